--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -69,6 +69,7 @@
     pub sends: Vec<(Micros, usize, u32)>,
     /// Tries that came, that were answered in time, and that were refused or failed.
     pub tally: [usize; 3],
+    recorder: Recorder,
 }
 
 impl Fleet {
@@ -103,6 +104,7 @@
             counts: HashMap::new(),
             sends: Vec::new(),
             tally: [0; 3],
+            recorder: Recorder::new(),
             settings,
             shape,
         };
@@ -260,6 +262,7 @@
     fn feed(&mut self, g: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[g].handle(self.now, event, &mut actions);
+        self.recorder.record(self.now, &actions);
         for action in actions {
             match action {
                 Action::Send { id, backend, .. } => self.send(g, id, backend),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,14 @@
 //! Hand-written events and a look at the actions.
 #![allow(dead_code)]
 
+mod recorder;
+
 use dewproxy::Gateway;
 use dewproxy::interface::*;
 use std::collections::HashMap;
 
+pub use recorder::Recorder;
+
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
@@ -29,6 +33,7 @@
     pub gateway: Gateway,
     pub now: Micros,
     totals: HashMap<u64, f64>,
+    recorder: Recorder,
 }
 
 impl Bench {
@@ -40,7 +45,7 @@
     pub fn start(settings: Settings, backends: &[BackendEntry], now: Micros) -> Self {
         let seed = 1 + u64::from(settings.me);
         let gateway = Gateway::new(settings, seed, now).unwrap();
-        let mut bench = Self { gateway, now, totals: HashMap::new() };
+        let mut bench = Self { gateway, now, totals: HashMap::new(), recorder: Recorder::new() };
         bench.feed(Event::Backends { kind: ListKind::Cached, entries: backends.to_vec() });
         bench
     }
@@ -48,6 +53,7 @@
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(self.now, event, &mut out);
+        self.recorder.record(self.now, &out);
         out
     }
 
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -69,6 +69,7 @@
     let settings =
         Settings { gateways, plans: vec![plan.clone()], largest: 8.0, counter_wait: 30 * MS, ..settings() };
     let (mut queue, mut totals, mut open) = (BinaryHeap::new(), HashMap::new(), HashMap::new());
+    let mut recorder = Recorder::new();
     let mut gateways = Vec::new();
     for me in 0..count as u32 {
         let mut gateway =
@@ -151,6 +152,7 @@
                 at
             }
         };
+        recorder.record(now, &out);
         for action in out {
             serial += 1;
             match action {
@@ -171,7 +173,9 @@
                     } else {
                         truth.beyond += units
                     }
-                    gateways[at].handle(now, ended(id, 0, backend, Outcome::Ok), &mut Vec::new());
+                    let mut after = Vec::new();
+                    gateways[at].handle(now, ended(id, 0, backend, Outcome::Ok), &mut after);
+                    recorder.record(now, &after);
                 }
                 Action::Refuse { id, .. } if open.remove(&id).is_some() => {
                     truth.fill(&plan, now);
