--- a/Makefile
+++ b/Makefile
@@ -24,9 +24,9 @@
 	exec target/release/snowfield
 
 limits:
-	@lines=$$(grep -cv '^[[:space:]]*$$' src/control.rs); \
-	widest=$$(LC_ALL=C.UTF-8 awk '{ if (length($$0) > w) w = length($$0) } END { print w + 0 }' src/control.rs); \
-	echo "src/control.rs: $$lines non-blank lines ($(LINES) at most), widest line $$widest ($(WIDTH) at most)"; \
+	@lines=$$(grep -cv '^[[:space:]]*$$' crates/policy/src/control.rs); \
+	widest=$$(LC_ALL=C.UTF-8 awk '{ if (length($$0) > w) w = length($$0) } END { print w + 0 }' crates/policy/src/control.rs); \
+	echo "crates/policy/src/control.rs: $$lines non-blank lines ($(LINES) at most), widest line $$widest ($(WIDTH) at most)"; \
 	[ "$$lines" -le $(LINES) ] && [ "$$widest" -le $(WIDTH) ]
 
 # Variants of the operators' site, as settings of other customers, beside deploy/sites/generate.py. It wants the operators' kit.
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -3,9 +3,9 @@
 //! The exchange gives calls up by itself; an answer that comes later still takes its turn here, so it is never matched
 //! to another call.
 
-use dewproxy::interface::{Micros, Outcome};
 use exchange::{CounterCall, Exchange, QuotaCounter};
 use link::{Incoming, Link, locked, spawn};
+use policy::interface::{Micros, Outcome};
 use resp::{Element, Malformed};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/counter/tests/client.rs
+++ b/crates/counter/tests/client.rs
@@ -1,8 +1,8 @@
 //! The client against a stand-in of the counter that is written from the protocol.
 
 use counter::CounterClient;
-use dewproxy::interface::Outcome;
 use exchange::{CounterCall, QuotaCounter};
+use policy::interface::Outcome;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -2,8 +2,8 @@
 
 use crate::{Protocol, Reading};
 use ::http::{Answer, Request};
-use dewproxy::interface::{Micros, Outcome};
 use exchange::AttemptEnd;
+use policy::interface::{Micros, Outcome};
 use std::net::SocketAddr;
 
 /// Speaks HTTP/1.1 with destinations. An answer with a status of 500 or above is a failure of its destination: it may
--- a/crates/destination/src/lib.rs
+++ b/crates/destination/src/lib.rs
@@ -4,9 +4,9 @@
 //! Each connection has one coroutine that always reads, so an idle one that is closed by its destination leaves the
 //! pool at once.
 
-use dewproxy::interface::{ListKind, Micros, Outcome, State};
 use exchange::{Attempt, AttemptEnd, AttemptId, Budget, Destinations, Exchange, StreamIn, StreamOut};
 use link::{Incoming, Link, locked, spawn};
+use policy::interface::{ListKind, Micros, Outcome, State};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -1,8 +1,8 @@
 //! Destinations that speak the platform's RESP2.
 
 use crate::{Long, Protocol, Reading};
-use dewproxy::interface::{Load, Micros, Outcome};
 use exchange::{AttemptEnd, Value};
+use policy::interface::{Load, Micros, Outcome};
 use resp::{Element, Malformed, Query};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -2,8 +2,8 @@
 
 use cuts::{same_however_cut, survives_garbage};
 use destination::{Protocol, Reading, RespDestination};
-use dewproxy::interface::{Load, Outcome};
 use exchange::Value;
+use policy::interface::{Load, Outcome};
 use resp::Query;
 
 fn destination() -> RespDestination {
--- a/crates/exchange/src/core.rs
+++ b/crates/exchange/src/core.rs
@@ -4,10 +4,10 @@
 use crate::{
     Attempt, AttemptEnd, AttemptId, CounterCall, FinalAnswer, LetIn, Operation, OperationId, Reply, Why,
 };
-use dewproxy::interface::{
+use policy::interface::{
     Action, BackendEntry, Event, ListKind, Micros, Outcome, Refusal, Settings, SettingsError, State,
 };
-use dewproxy::{Gateway, Members};
+use policy::{Gateway, Members};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
--- a/crates/exchange/src/core_tests.rs
+++ b/crates/exchange/src/core_tests.rs
@@ -1,7 +1,7 @@
 //! The table's own rules, at a clock that the tests set.
 
 use super::*;
-use dewproxy::interface::{Class, Plan};
+use policy::interface::{Class, Plan};
 use std::sync::mpsc::{Receiver, channel};
 
 const MS: Micros = 1000;
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -9,13 +9,13 @@
 mod stream;
 mod timers;
 
-use dewproxy::interface::{BackendEntry, Event, ListKind, Micros, Outcome, Settings, SettingsError};
+use policy::interface::{BackendEntry, Event, ListKind, Micros, Outcome, Settings, SettingsError};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 pub use crate::core::{Ends, Status};
 pub use crate::stream::{Budget, StreamIn, StreamOut, Taken, Told, Value, stream};
-pub use dewproxy::{Carried, Members};
+pub use policy::{Carried, Members};
 
 /// The number of an operation at this gatekeeper.
 pub type OperationId = u32;
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -1,7 +1,7 @@
 //! Timers, earliest first.
 
 use crate::{AttemptId, OperationId};
-use dewproxy::interface::Micros;
+use policy::interface::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,7 +1,7 @@
 //! Feeds a gateway by hand and prints what it asks for: `cargo run --example embed`.
 
-use dewproxy::Gateway;
-use dewproxy::interface::*;
+use policy::Gateway;
+use policy::interface::*;
 
 fn main() -> Result<(), SettingsError> {
     let settings = Settings {
--- a/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,4 @@
-#![doc = include_str!("../README.md")]
+//! The decisions of a gatekeeper that holds tenants to their quotas before shared backends, as a state machine without I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/p2.rs
+++ b/crates/policy/src/p2.rs
@@ -7,7 +7,7 @@
 /// # Examples
 ///
 /// ```
-/// let mut median = dewproxy::p2::P2::new(0.5);
+/// let mut median = policy::p2::P2::new(0.5);
 /// for sample in 1..=101 {
 ///     median.add(f64::from(sample));
 /// }
--- a/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 mod recorder;
 
-use dewproxy::Gateway;
-use dewproxy::interface::*;
+use policy::Gateway;
+use policy::interface::*;
 use std::collections::HashMap;
 
 pub use recorder::Recorder;
--- a/tests/common/recorder.rs
+++ b/crates/policy/tests/common/recorder.rs
@@ -4,7 +4,7 @@
 //! each test, written before the module was split: a change that is meant to move code only must leave it as it is. After an
 //! intended change of decisions `RECORD_ACTIONS=FILE cargo test` appends the new lines to a file.
 
-use dewproxy::interface::{Action, Micros};
+use policy::interface::{Action, Micros};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io::Write;
--- a/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use dewproxy::Gateway;
-use dewproxy::interface::*;
+use policy::Gateway;
+use policy::interface::*;
 
 fn deadline(id: u32) -> Event {
     Event::Timer { token: 1 << 56 | u64::from(id) }
--- a/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -4,9 +4,9 @@
 #[path = "common/fleet.rs"]
 mod fleet;
 use common::*;
-use dewproxy::Gateway;
-use dewproxy::interface::*;
 use fleet::{Fleet, Shape};
+use policy::Gateway;
+use policy::interface::*;
 
 /// 60 backends that carry 11.6 requests a second each, and a hundred gateways that are asked for this part of that.
 fn hundred(load: f64, seed: u64) -> Fleet {
--- a/tests/services.rs
+++ b/crates/policy/tests/services.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use dewproxy::interface::*;
+use policy::interface::*;
 
 fn one_gateway() -> Settings {
     Settings { gateways: 1, counter: false, second_copies: false, ..settings() }
--- a/tests/store.rs
+++ b/crates/policy/tests/store.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use dewproxy::Gateway;
-use dewproxy::interface::*;
+use policy::Gateway;
+use policy::interface::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use dewproxy::interface::*;
+use policy::interface::*;
 use std::collections::BTreeMap;
 
 const CEILING: (f64, f64) = (30.0, 60.0);
--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -1,7 +1,7 @@
 //! The appliance's file under `deploy/`: where it listens, its descriptions, lenders and plans, and Consul.
 
 use crate::{ConfigError, cluster};
-use dewproxy::interface as module;
+use policy::interface as module;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,7 +9,7 @@
 pub use shape::Shape;
 pub use tables::Tables;
 
-use dewproxy::interface as module;
+use policy::interface as module;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/settings/src/tables.rs
+++ b/crates/settings/src/tables.rs
@@ -1,7 +1,7 @@
 //! Classes and plans over all files that were in force: their numbers stay for as long as the process lives.
 
 use crate::{Config, ConfigError};
-use dewproxy::interface::{Class, Plan, Settings};
+use policy::interface::{Class, Plan, Settings};
 
 /// Entries that are kept at the most: files that bring ever new ones are turned down.
 const MOST: usize = 4096;
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -1,6 +1,6 @@
 //! Files that take the place of others: which are turned down, and what the numbers of classes and plans mean over them.
 
-use dewproxy::interface::Effect;
+use policy::interface::Effect;
 use settings::{Config, Shape, Tables};
 
 const CLASS: &str = r#"{"name":"lookup","goal-time-us":600000,"deadline-us":2500000,"effect":"read_like"}"#;
--- a/src/bin/dewproxy-drill/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -1,6 +1,6 @@
 //! Frames of the simulator's wire: batches of events in, replies of actions out.
 
-use dewproxy::interface::{Action, BackendEntry, Event, ListKind, Outcome, State};
+use policy::interface::{Action, BackendEntry, Event, ListKind, Outcome, State};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::sync::Arc;
@@ -293,7 +293,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use dewproxy::interface::Refusal;
+    use policy::interface::Refusal;
 
     /// One event record from its code and fields at their offsets.
     fn record(code: u16, fields: &[(usize, &[u8])]) -> Vec<u8> {
--- a/src/bin/dewproxy-drill/main.rs
+++ b/crates/simhost/src/main.rs
@@ -5,9 +5,9 @@
 mod frame;
 mod settings;
 
-use dewproxy::Gateway;
-use dewproxy::interface::Action;
 use frame::{Lists, Record, Reply};
+use policy::Gateway;
+use policy::interface::Action;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -15,12 +15,12 @@
 
 fn main() -> ExitCode {
     // The text of a panic reaches the report as BROKEN; the hook would only repeat it.
-    std::panic::set_hook(Box::new(|info| eprintln!("dewproxy-drill: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("snowfield-simhost: {info}")));
     let input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     match serve(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("dewproxy-drill: {error}");
+            eprintln!("snowfield-simhost: {error}");
             ExitCode::FAILURE
         }
     }
@@ -88,7 +88,7 @@
 
     fn tell_once(&mut self, text: String) {
         if !self.told.contains(&text) {
-            eprintln!("dewproxy-drill: {text}");
+            eprintln!("snowfield-simhost: {text}");
             self.told.insert(text);
         }
     }
--- a/src/bin/dewproxy-drill/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -1,6 +1,6 @@
 //! Translation of the wire's settings text into the library's [`Settings`].
 
-use dewproxy::interface::{Class, Effect, Group, Load, Plan, Reporting, Settings};
+use policy::interface::{Class, Effect, Group, Load, Plan, Reporting, Settings};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
--- a/crates/snowfield/src/desk.rs
+++ b/crates/snowfield/src/desk.rs
@@ -3,11 +3,11 @@
 use crate::hosts::Hosts;
 use crate::{door, held};
 use destination::{Pools, RespDestination};
-use dewproxy::interface::Refusal;
 use front_resp::RespExchange;
 use handover::{Message, Peer};
 use link::locked;
 use operator::{ClassFigures, Figures};
+use policy::interface::Refusal;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
--- a/crates/snowfield/src/hosts.rs
+++ b/crates/snowfield/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Discovery's names and addresses as the numbers that the module uses.
 
 use destination::Place;
-use dewproxy::interface::{BackendEntry, State};
+use policy::interface::{BackendEntry, State};
 use settings::{Config, HostList};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
