--- a/crates/quorum/src/net.rs
+++ b/crates/config_node/src/connection.rs
@@ -2,9 +2,9 @@
 //! room in its queue, or nobody behind it, is dropped: whoever said it says it again.
 
 use crate::Event;
-use crate::disk::read_frame;
-use agreed::{MOST_BYTES, Word};
+use crate::replica_log::read_frame;
 use membership::seal::{Keys, OVERHEAD};
+use replicated_config::{MOST_BYTES, Word};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
--- a/crates/quorum/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -1,18 +1,18 @@
-//! What drives the agreed versions of [`agreed`]: one thread that owns the state of this instance, the disk of a voter
-//! ([`disk`]), and sealed words over TCP. All queues are bounded; what finds no room is dropped and said again.
+//! What drives the agreed versions of [`replicated_config`]: one thread that owns the state of this instance, the disk of a voter
+//! ([`replica_log`]), and sealed words over TCP. All queues are bounded; what finds no room is dropped and said again.
 //!
 //! [`Quorum::start`] begins it; [`View`] is what it tells whenever this gatekeeper is to act on something else.
 
-pub mod disk;
-mod net;
+mod connection;
+pub mod replica_log;
 
-pub use agreed::{Ask, Change, Outcome, Stage, Version, Word};
-pub use net::call;
+pub use connection::call;
+pub use replicated_config::{Ask, Change, Outcome, Stage, Version, Word};
 
-use agreed::{Asker, Voter};
-use disk::Disk;
+use connection::Seal;
 use membership::seal::Keys;
-use net::Seal;
+use replica_log::Disk;
+use replicated_config::{Asker, Voter};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -97,14 +97,14 @@
         let (events, inbox) = sync_channel(MOST_EVENTS);
         let seal = Seal::new(config.keys.clone());
         if let Some(at) = config.listen {
-            net::listen(TcpListener::bind(at)?, seal.clone(), events.clone())?;
+            connection::listen(TcpListener::bind(at)?, seal.clone(), events.clone())?;
         }
         let ways = config
             .voters
             .iter()
             .map(|voter| match voter.name == config.name {
                 true => Ok(None),
-                false => net::way_to(voter.address, seal.clone(), events.clone()).map(Some),
+                false => connection::way_to(voter.address, seal.clone(), events.clone()).map(Some),
             })
             .collect::<std::io::Result<Vec<_>>>()?;
         let driver = Driver::new(config, ways, check, on_view);
--- a/crates/quorum/src/disk.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -4,7 +4,7 @@
 //! witness counts and the file lacks are one: whoever wrote them may have given a vote that is no longer to be seen, so that
 //! the log is not to be used.
 
-use agreed::{Kept, Record};
+use replicated_config::{Kept, Record};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 const HEAD: usize = 4 + TAG;
 const TAG: usize = 16;
 /// No frame holds more: a state of that many versions and their texts.
-const MOST_FRAME: usize = 64 * agreed::MOST_TEXT;
+const MOST_FRAME: usize = 64 * replicated_config::MOST_TEXT;
 /// A file that has grown to this, and to twice what it has to hold, is written anew with that alone.
 const LARGE: u64 = 4 << 20;
 
@@ -201,7 +201,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use agreed::{Base, Line};
+    use replicated_config::{Base, Line};
 
     struct Folder(PathBuf);
 
--- a/crates/quorum/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -1,10 +1,10 @@
 //! The log of a replica, and messages on a connection: the bytes in `fixtures/` were written by release 0.1 at commit 1461877.
 //! They are read, also where they are cut or damaged, and written byte for byte alike.
 
-use agreed::{Base, Kept, Line, Record};
+use config_node::replica_log::Disk;
+use config_node::{Ask, Change, Outcome, Word};
 use membership::seal::Keys;
-use quorum::disk::Disk;
-use quorum::{Ask, Change, Outcome, Word};
+use replicated_config::{Base, Kept, Line, Record};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -185,7 +185,7 @@
         stream.write_all(&answer).expect("it is sent");
         bytes
     });
-    let answered = quorum::call(address, &keys(), request, LONG, |_| true);
+    let answered = config_node::call(address, &keys(), request, LONG, |_| true);
     (server.join().expect("it was served"), answered)
 }
 
--- a/crates/agreed/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -14,15 +14,15 @@
 
 mod lease;
 mod log;
-mod versions;
-mod voter;
-mod wire;
+mod message;
+mod replica;
+mod state;
 
 pub use lease::{Answer, Asker, Leader, Stage};
 pub use log::{Base, Kept, Line, Record};
-pub use versions::{Change, Entry, Outcome, Version, Versions};
-pub use voter::{Ready, Voter};
-pub use wire::{Ask, MOST_BYTES, Word};
+pub use message::{Ask, MOST_BYTES, Word};
+pub use replica::{Ready, Voter};
+pub use state::{Change, Entry, Outcome, Version, Versions};
 
 /// The most bytes of a version's text.
 pub const MOST_TEXT: usize = 256 * 1024;
--- a/crates/agreed/src/wire.rs
+++ b/crates/replicated_config/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::lease::Answer;
 use crate::log::{Base, Line};
-use crate::versions::{Change, Outcome, Version};
+use crate::state::{Change, Outcome, Version};
 use raft::eraftpb::{ConfState, Message, MessageType};
 use serde::{Deserialize, Serialize};
 
--- a/crates/agreed/src/voter.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -2,8 +2,8 @@
 
 use crate::lease::{Answer, Leader, Stage};
 use crate::log::{Base, Kept, Line, Record, Store};
-use crate::versions::{Change, Entry, Outcome, Versions};
-use crate::wire::{Ask, Between, Word};
+use crate::message::{Ask, Between, Word};
+use crate::state::{Change, Entry, Outcome, Versions};
 use raft::eraftpb::Message;
 use raft::{Config, RawNode, ReadOnlyOption, StateRole};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/agreed/tests/fixtures.rs
+++ b/crates/replicated_config/tests/fixtures.rs
@@ -3,8 +3,10 @@
 
 mod fixture;
 
-use agreed::{Answer, Ask, Base, Change, Entry, Kept, Line, Outcome, Record, Stage, Version, Versions, Word};
 use fixture::{hex, matches_fixture, named_bytes};
+use replicated_config::{
+    Answer, Ask, Base, Change, Entry, Kept, Line, Outcome, Record, Stage, Version, Versions, Word,
+};
 
 fn version(number: u64) -> Version {
     Version { number, by: format!("author-{number}"), text: format!("[[plan]]\nname = \"p{number}\"\n") }
--- a/crates/agreed/tests/garbage.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -1,6 +1,6 @@
 //! Cut and random bytes against the reader of words.
 
-use agreed::{Answer, Ask, Change, Stage, Version, Word};
+use replicated_config::{Answer, Ask, Change, Stage, Version, Word};
 
 #[test]
 fn words_survive_their_bytes_and_garbage_is_none() {
--- a/crates/agreed/tests/course.rs
+++ b/crates/replicated_config/tests/simulation.rs
@@ -1,7 +1,7 @@
 //! Voters and gatekeepers in simulated time: words are late, lost and doubled, machines stop, die and start again from what is
 //! on their disks, the network splits. At each millisecond no two leases contradict, and nothing that was agreed is lost.
 
-use agreed::{Answer, Ask, Asker, Change, Kept, Outcome, Stage, Voter, Word};
+use replicated_config::{Answer, Ask, Asker, Change, Kept, Outcome, Stage, Voter, Word};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -140,7 +140,8 @@
                     if machine.asker.known() != before {
                         machine.asks_at = self.now;
                     }
-                    let number = |v: &Option<agreed::Version>, has| v.as_ref().map_or(has, |v| v.number);
+                    let number =
+                        |v: &Option<replicated_config::Version>, has| v.as_ref().map_or(has, |v| v.number);
                     machine.has = (number(&texts.0, machine.has.0), number(&texts.1, machine.has.1));
                 }
             }
--- a/crates/agreed/tests/transcript.rs
+++ b/crates/replicated_config/tests/transcript.rs
@@ -3,8 +3,8 @@
 
 mod fixture;
 
-use agreed::{Ask, Change, Kept, Voter, Word};
 use fixture::{hex, matches_fixture};
+use replicated_config::{Ask, Change, Kept, Voter, Word};
 use std::collections::VecDeque;
 
 const LEASE_MS: u64 = 500;
--- a/crates/snowfield/src/agreed.rs
+++ b/crates/snowfield/src/agreed.rs
@@ -1,8 +1,8 @@
 //! Versions of the plans that the gatekeepers agree on: what the file says of it, and what a version does here.
 
 use crate::duties;
+use config_node::{Config, Named, Quorum, View};
 use front_openapi::HttpExchange;
-use quorum::{Config, Named, Quorum, View};
 use settings::agreed::{Agreed, plans, share, stricter};
 use settings::appliance::{Appliance, Plan};
 use std::path::Path;
@@ -63,7 +63,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quorum::Version;
+    use config_node::Version;
 
     const FILE: &str = "listen = \"127.0.0.1:0\"\ndescriptions = [\"a\"]\nlender_header = \"X-Lender\"\n\
         [consul]\naddress = \"127.0.0.1:1\"\nservice = \"s\"\n\
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -3,6 +3,7 @@
 use crate::fleet::{self, Fleet};
 use crate::{agreed, duties, log, signals};
 use cluster::Cluster;
+use config_node::Quorum;
 use consul::Answered;
 use counter::CounterClient;
 use destination::{HttpDestination, Limits, Pools};
@@ -10,7 +11,6 @@
 use front_openapi::{Front, HttpExchange, Lender, Setup};
 use link::{Door, spawn};
 use openapi::{Description, Route, RouteTable};
-use quorum::Quorum;
 use settings::appliance::{self, Appliance, LogForm};
 use std::collections::BTreeSet;
 use std::path::Path;
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -2,8 +2,8 @@
 
 use crate::appliance;
 use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
+use config_node::Quorum;
 use membership::seal::Keys;
-use quorum::Quorum;
 use settings::appliance::Appliance;
 use settings::cluster::Duty;
 use std::path::Path;
--- a/crates/snowfield/src/propose.rs
+++ b/crates/snowfield/src/propose.rs
@@ -3,8 +3,8 @@
 
 use crate::appliance;
 use clap::{Parser, Subcommand};
-use quorum::disk::Disk;
-use quorum::{Change, Outcome, Version, Word};
+use config_node::replica_log::Disk;
+use config_node::{Change, Outcome, Version, Word};
 use settings::agreed::{Agreed, plans};
 use settings::appliance::Appliance;
 use std::path::{Path, PathBuf};
@@ -119,7 +119,7 @@
     while Instant::now() < end {
         for voter in &agreed.voters {
             let fits = |w: &Word| is_answer(w) || matches!(w, Word::Elsewhere(..) | Word::NotHere(..));
-            match quorum::call(voter.address, &keys, word, PATIENCE, fits) {
+            match config_node::call(voter.address, &keys, word, PATIENCE, fits) {
                 Ok(answer) if is_answer(&answer) => return Ok(answer),
                 Ok(_) => last = format!("{} does not lead", voter.name),
                 Err(e) => last = format!("{}: {e}", voter.name),
@@ -166,7 +166,7 @@
 fn versions(path: &Path) -> Result<(Option<Version>, Option<Version>), (u8, String)> {
     let question = unique();
     let who = format!("console-{question}");
-    let ask = quorum::Ask { who, question, leases: false, knew: 0, has: (0, 0) };
+    let ask = config_node::Ask { who, question, leases: false, knew: 0, has: (0, 0) };
     let answer = say(path, &Word::Ask(ask), |w| matches!(w, Word::Answer(..)))?;
     let Word::Answer(_, texts) = answer else { return Err(wrong("an answer that is none")) };
     Ok(*texts)
