--- a/crates/config_node/src/connection.rs
+++ b/crates/config_node/src/connection.rs
@@ -1,165 +1,186 @@
-//! Words over TCP: a frame is its length (four bytes) and the sealed word. A connection carries words both ways; what finds no
-//! room in its queue, or nobody behind it, is dropped: whoever said it says it again.
+//! Connections between nodes. A connection carries messages both ways. A message that finds no room in its connection's queue,
+//! or no node behind it, is dropped; its sender retransmits it.
 
-use crate::Event;
-use crate::replica_log::read_frame;
-use membership::seal::{Keys, OVERHEAD};
-use replicated_config::{MOST_BYTES, Word};
-use std::io::{self, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+use crate::error::Error;
+use crate::event::{ConnectionId, Event};
+use crate::message_io::{SharedKeys, read_message, write_message};
+use membership::seal::Keys;
+use replicated_config::Message;
+use std::io;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
-use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
 
-/// Words that may wait to be written to one connection.
-const MOST_WAITING: usize = 64;
-/// Connections that are open to this instance at most.
-const MOST_OPEN: usize = 512;
-/// A connection comes up, and takes a word, within this.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// One on which nothing is said for so long is closed.
-const IDLE: Duration = Duration::from_secs(30);
+/// Messages that may wait to be written to one connection.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Connections that other nodes may have open to this one.
+const MAX_CONNECTIONS: usize = 512;
+/// Time-out for connecting, and for writing a message.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
+/// A connection without messages for so long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Keys that can be changed while words are sealed.
-#[derive(Clone)]
-pub(crate) struct Seal(Arc<Mutex<Keys>>);
-
-impl Seal {
-    pub(crate) fn new(keys: Keys) -> Self {
-        Self(Arc::new(Mutex::new(keys)))
-    }
-
-    pub(crate) fn set(&self, keys: Keys) {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = keys;
-    }
-
-    fn keys(&self) -> Keys {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
-    }
-}
-
-/// Writes a word.
-pub(crate) fn write(to: &mut impl Write, word: &Word, seal: &Seal) -> io::Result<()> {
-    let sealed = seal.keys().seal(&word.bytes());
-    to.write_all(&[&(sealed.len() as u32).to_le_bytes()[..], &sealed].concat())
-}
-
-/// Reads a word.
-pub(crate) fn read(from: &mut TcpStream, seal: &Seal) -> io::Result<Word> {
-    let sealed = read_frame(from, MOST_BYTES + OVERHEAD)?;
-    let word = seal.keys().open_any(&sealed).and_then(Word::read);
-    word.ok_or_else(|| io::Error::other("it is sealed with another key, or no word"))
-}
-
-/// Reads words from a connection until it ends.
-fn reads(mut from: TcpStream, by: Option<u64>, seal: &Seal, events: &SyncSender<Event>) {
-    let _ = from.set_read_timeout(Some(IDLE));
-    while let Ok(word) = read(&mut from, seal) {
-        if events.send(Event::Said(by, word)).is_err() {
+/// Reads messages from a connection until it ends.
+fn read_messages(
+    mut stream: TcpStream,
+    connection: Option<ConnectionId>,
+    keys: &SharedKeys,
+    events: &SyncSender<Event>,
+) {
+    let _ = stream.set_read_timeout(Some(IDLE_TIMEOUT));
+    while let Ok(message) = read_message(&mut stream, keys) {
+        if events.send(Event::Received { connection, message }).is_err() {
             return;
         }
     }
 }
 
-/// Writes words to a connection until it ends or nobody has any for it.
-fn writes(to: &mut TcpStream, words: &Receiver<Word>, seal: &Seal) {
-    let _ = (to.set_nodelay(true), to.set_write_timeout(Some(PATIENCE)));
-    while let Ok(word) = words.recv_timeout(IDLE) {
-        if write(to, &word, seal).is_err() {
+/// Writes messages to a connection until it ends, or nobody has any for it.
+fn write_messages(stream: &mut TcpStream, messages: &Receiver<Message>, keys: &SharedKeys) {
+    set_write_options(stream);
+    while let Ok(message) = messages.recv_timeout(IDLE_TIMEOUT) {
+        if write_message(stream, &message, keys).is_err() {
             return;
         }
     }
 }
 
-/// Takes connections in.
-pub(crate) fn listen(listener: TcpListener, seal: Seal, events: SyncSender<Event>) -> io::Result<()> {
-    let (numbers, open) = (AtomicU64::new(0), Arc::new(AtomicUsize::new(0)));
-    let takes = move || {
-        for mut stream in listener.incoming().map_while(Result::ok) {
-            if open.load(Ordering::Relaxed) >= MOST_OPEN {
-                continue;
-            }
-            let number = numbers.fetch_add(1, Ordering::Relaxed);
-            let (queue, words) = sync_channel(MOST_WAITING);
-            let Ok(from) = stream.try_clone() else { continue };
-            if events.send(Event::Came(number, queue)).is_err() {
+/// Where an option cannot be set, the connection is slower and works all the same.
+fn set_write_options(stream: &TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+}
+
+/// Accepts connections in a thread of its own.
+pub(crate) fn listen(listener: TcpListener, keys: SharedKeys, events: SyncSender<Event>) -> io::Result<()> {
+    let accept_all = move || {
+        let open = Arc::new(AtomicUsize::new(0));
+        let accepted = listener.incoming().map_while(Result::ok);
+        let below_limit = accepted.filter(|_| open.load(Ordering::Relaxed) < MAX_CONNECTIONS);
+        for (number, stream) in (0..).zip(below_limit) {
+            let connection = ConnectionId(number);
+            let Ok(reader) = stream.try_clone() else { continue };
+            let (queue, messages) = sync_channel(MAX_QUEUED_MESSAGES);
+            if events.send(Event::Connected { connection, queue }).is_err() {
                 return;
             }
+            let accepted = AcceptedConnection {
+                connection,
+                reader,
+                writer: stream,
+                messages,
+                keys: keys.clone(),
+                events: events.clone(),
+            };
             open.fetch_add(1, Ordering::Relaxed);
-            let (seal, events, open) = (seal.clone(), events.clone(), open.clone());
+            let open = open.clone();
             let serve = move || {
-                let (reads_seal, told) = (seal.clone(), events.clone());
-                let reader = thread::spawn(move || {
-                    reads(from, Some(number), &reads_seal, &told);
-                    // Its queue goes with it, which ends the writer.
-                    let _ = told.send(Event::Gone(number));
-                });
-                writes(&mut stream, &words, &seal);
-                let _ = stream.shutdown(std::net::Shutdown::Both);
-                let _ = reader.join();
+                accepted.serve();
                 open.fetch_sub(1, Ordering::Relaxed);
             };
             let _ = thread::Builder::new().name("agreed-conn".into()).spawn(serve);
         }
     };
-    thread::Builder::new().name("agreed-door".into()).spawn(takes).map(drop)
+    thread::Builder::new().name("agreed-listen".into()).spawn(accept_all).map(drop)
+}
+
+/// A connection that another node has opened.
+struct AcceptedConnection {
+    connection: ConnectionId,
+    reader: TcpStream,
+    writer: TcpStream,
+    messages: Receiver<Message>,
+    keys: SharedKeys,
+    events: SyncSender<Event>,
 }
 
-/// A way to a voter; the connection is made when there is something to say.
-pub(crate) fn way_to(at: SocketAddr, seal: Seal, events: SyncSender<Event>) -> io::Result<SyncSender<Word>> {
-    let (queue, words) = sync_channel::<Word>(MOST_WAITING);
-    let carry = move || {
+impl AcceptedConnection {
+    /// Reads and writes messages until the connection ends.
+    fn serve(self) {
+        let Self { connection, reader, mut writer, messages, keys, events } = self;
+        let reader_keys = keys.clone();
+        let read = thread::spawn(move || {
+            read_messages(reader, Some(connection), &reader_keys, &events);
+            // The event drops the connection's queue, which ends the writer.
+            let _ = events.send(Event::Disconnected(connection));
+        });
+        write_messages(&mut writer, &messages, &keys);
+        let _ = writer.shutdown(Shutdown::Both);
+        let _ = read.join();
+    }
+}
+
+/// Starts the thread that sends messages to a replica. It connects when there is something to send. Returns the queue of messages.
+pub(crate) fn open_peer(
+    address: SocketAddr,
+    keys: SharedKeys,
+    events: SyncSender<Event>,
+) -> io::Result<SyncSender<Message>> {
+    let (queue, messages) = sync_channel::<Message>(MAX_QUEUED_MESSAGES);
+    let run = move || {
         loop {
-            let first = match words.recv_timeout(IDLE) {
-                Ok(word) => word,
-                Err(RecvTimeoutError::Timeout) => continue,
+            match messages.recv_timeout(IDLE_TIMEOUT) {
+                Ok(first) => send_over_new_connection(address, &first, &messages, &keys, &events),
+                Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
-            };
-            let Ok(mut stream) = TcpStream::connect_timeout(&at, PATIENCE) else {
-                // What has come meanwhile is as late as this one.
-                while words.try_recv().is_ok() {}
-                continue;
-            };
-            let Ok(from) = stream.try_clone() else { continue };
-            let (reads_seal, told) = (seal.clone(), events.clone());
-            let reader = thread::Builder::new()
-                .name("agreed-way".into())
-                .spawn(move || reads(from, None, &reads_seal, &told));
-            let _ = (stream.set_nodelay(true), stream.set_write_timeout(Some(PATIENCE)));
-            if write(&mut stream, &first, &seal).is_ok() {
-                writes(&mut stream, &words, &seal);
-            }
-            let _ = stream.shutdown(std::net::Shutdown::Both);
-            if let Ok(reader) = reader {
-                let _ = reader.join();
             }
         }
     };
-    thread::Builder::new().name("agreed-way".into()).spawn(carry)?;
+    thread::Builder::new().name("agreed-peer".into()).spawn(run)?;
     Ok(queue)
 }
 
-/// Says one word to a voter and brings the first answer that `fits`.
+/// Connects, and sends this message and those that follow until the connection ends.
+fn send_over_new_connection(
+    address: SocketAddr,
+    first: &Message,
+    messages: &Receiver<Message>,
+    keys: &SharedKeys,
+    events: &SyncSender<Event>,
+) {
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, WRITE_TIMEOUT) else {
+        // What has come meanwhile is as late as the first one.
+        while messages.try_recv().is_ok() {}
+        return;
+    };
+    let Ok(reader) = stream.try_clone() else { return };
+    let (reader_keys, reader_events) = (keys.clone(), events.clone());
+    let read = thread::Builder::new()
+        .name("agreed-peer".into())
+        .spawn(move || read_messages(reader, None, &reader_keys, &reader_events));
+    set_write_options(&stream);
+    if write_message(&mut stream, first, keys).is_ok() {
+        write_messages(&mut stream, messages, keys);
+    }
+    let _ = stream.shutdown(Shutdown::Both);
+    if let Ok(read) = read {
+        let _ = read.join();
+    }
+}
+
+/// Sends a message to a replica and returns the first answer that `is_answer` accepts.
 ///
 /// # Errors
 ///
-/// Nobody answers in time.
+/// [`Error::Connection`] where nothing comes within `timeout`; [`Error::Unauthenticated`], [`Error::FrameTooLarge`] or
+/// [`Error::Message`] where what comes is no message of a node with the same keys.
 pub fn call(
-    at: SocketAddr,
+    address: SocketAddr,
     keys: &Keys,
-    word: &Word,
-    within: Duration,
-    fits: impl Fn(&Word) -> bool,
-) -> io::Result<Word> {
-    let seal = Seal::new(keys.clone());
-    let mut stream = TcpStream::connect_timeout(&at, within)?;
-    stream.set_read_timeout(Some(within))?;
-    write(&mut stream, word, &seal)?;
+    message: &Message,
+    timeout: Duration,
+    is_answer: impl Fn(&Message) -> bool,
+) -> Result<Message, Error> {
+    let keys = SharedKeys::new(keys.clone());
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    write_message(&mut stream, message, &keys)?;
     loop {
-        let answer = read(&mut stream, &seal)?;
-        if fits(&answer) {
+        let answer = read_message(&mut stream, &keys)?;
+        if is_answer(&answer) {
             return Ok(answer);
         }
     }
--- /dev/null
+++ b/crates/config_node/src/message_io.rs
@@ -0,0 +1,60 @@
+//! Messages on a stream: a length (four bytes, little-endian), then the authenticated message.
+
+use crate::error::Error;
+use membership::seal::{Keys, OVERHEAD};
+use replicated_config::{MAX_MESSAGE_BYTES, Message};
+use std::io::{self, Read, Write};
+use std::sync::{Arc, Mutex, PoisonError};
+
+/// Largest authenticated message.
+const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + OVERHEAD;
+
+/// Keys that can be replaced while connections use them.
+#[derive(Clone)]
+pub(crate) struct SharedKeys(Arc<Mutex<Keys>>);
+
+impl SharedKeys {
+    pub(crate) fn new(keys: Keys) -> Self {
+        Self(Arc::new(Mutex::new(keys)))
+    }
+
+    pub(crate) fn replace(&self, keys: Keys) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = keys;
+    }
+
+    fn current(&self) -> Keys {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    }
+}
+
+/// Authenticates and writes a message.
+pub(crate) fn write_message(stream: &mut impl Write, message: &Message, keys: &SharedKeys) -> io::Result<()> {
+    let authenticated = keys.current().seal(&message.encode());
+    let length = (authenticated.len() as u32).to_le_bytes();
+    stream.write_all(&[&length[..], &authenticated].concat())
+}
+
+/// Reads and verifies a message.
+pub(crate) fn read_message(stream: &mut impl Read, keys: &SharedKeys) -> Result<Message, Error> {
+    let frame = read_frame(stream, MAX_FRAME_BYTES)?;
+    let keys = keys.current();
+    let encoded = keys.open_any(&frame).ok_or(Error::Unauthenticated)?;
+    Message::decode(encoded).map_err(Error::Message)
+}
+
+/// Reads the data of one frame.
+fn read_frame(stream: &mut impl Read, max: usize) -> Result<Vec<u8>, Error> {
+    let mut length = [0; 4];
+    stream.read_exact(&mut length)?;
+    let bytes = u32::from_le_bytes(length) as usize;
+    if bytes > max {
+        return Err(Error::FrameTooLarge { bytes, max });
+    }
+    // The buffer grows with what arrives, not with what was announced.
+    let mut data = Vec::new();
+    stream.take(bytes as u64).read_to_end(&mut data)?;
+    if data.len() < bytes {
+        return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
+    }
+    Ok(data)
+}
--- /dev/null
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -0,0 +1,108 @@
+use super::*;
+use replicated_config::{HardState, LogEntry, Snapshot};
+
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        Self(std::env::temp_dir().join(format!("config-node-{name}-{}", std::process::id())))
+    }
+    fn log(&self) -> PathBuf {
+        self.0.join("replica.log")
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn entries(range: std::ops::RangeInclusive<u64>, term: u64, bytes: usize) -> LogRecord {
+    LogRecord::Entries(range.map(|index| LogEntry { index, term, data: vec![7; bytes] }).collect())
+}
+
+fn hard_state(term: u64, vote: u64, commit: u64) -> LogRecord {
+    LogRecord::HardState(HardState { term, vote, commit })
+}
+
+fn snapshot(index: u64, term: u64, state: Vec<u8>) -> LogRecord {
+    LogRecord::Snapshot(Snapshot { index, term, state })
+}
+
+#[test]
+fn records_are_read_again_after_any_sequence_of_writes() {
+    let folder = Folder::new("again");
+    ReplicaLog::create(&folder.log()).expect("it is created");
+    assert!(matches!(ReplicaLog::create(&folder.log()), Err(Error::LogExists { .. })), "once");
+    let mut state = DurableState::default();
+    let frames = [
+        vec![hard_state(1, 2, 0), entries(1..=9, 1, 3)],
+        vec![entries(5..=6, 2, 3), hard_state(2, 0, 4)],
+        vec![snapshot(5, 2, vec![1, 2])],
+        vec![entries(7..=8, 2, 3)],
+        vec![snapshot(20, 3, vec![3]), hard_state(3, 1, 20)],
+        vec![entries(21..=22, 3, 3)],
+    ];
+    for records in frames {
+        let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
+        assert_eq!(log.state(), &state);
+        log.append(records.clone()).expect("there is room");
+        records.into_iter().for_each(|record| state.apply(record).expect("records follow each other"));
+    }
+    assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), &state);
+}
+
+#[test]
+fn a_log_cut_at_any_byte_is_refused_or_holds_all_counted_frames() {
+    let folder = Folder::new("cut");
+    ReplicaLog::create(&folder.log()).expect("it is created");
+    let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
+    let length = || std::fs::read(folder.log()).expect("a file").len();
+    let mut states = vec![(length(), log.state().clone())];
+    for turn in 1..=4 {
+        log.append(vec![hard_state(turn, 1, 0), entries(turn..=turn, turn, 5)]).expect("there is room");
+        states.push((length(), log.state().clone()));
+    }
+    let content = std::fs::read(folder.log()).expect("a file");
+    let count = std::fs::read(count_path(&folder.log())).expect("a file");
+    // Killed while it wrote the fourth: three were counted.
+    let three = encode_count(3);
+    for length in 0..=content.len() {
+        for (counted, frames) in [(&count, 4), (&three, 3)] {
+            std::fs::write(folder.log(), &content[..length]).expect("it is written");
+            std::fs::write(count_path(&folder.log()), counted).expect("it is written");
+            let intact = states.iter().rposition(|state| state.0 <= length);
+            let opened = ReplicaLog::open(&folder.log());
+            match intact.filter(|intact| *intact >= frames) {
+                Some(n) => assert_eq!(opened.expect("all counted frames are there").state(), &states[n].1),
+                None => assert!(opened.is_err(), "{length} bytes, {frames} frames"),
+            }
+        }
+    }
+    for position in 0..content.len() {
+        let mut altered = content.clone();
+        altered[position] ^= 0x10;
+        std::fs::write(folder.log(), altered).expect("it is written");
+        std::fs::write(count_path(&folder.log()), &count).expect("it is written");
+        assert!(ReplicaLog::open(&folder.log()).is_err(), "byte {position}");
+    }
+    std::fs::write(folder.log(), &content).expect("it is written");
+    for length in 0..count.len() {
+        std::fs::write(count_path(&folder.log()), &count[..length]).expect("it is written");
+        assert!(ReplicaLog::open(&folder.log()).is_err(), "count of {length} bytes");
+    }
+}
+
+#[test]
+fn a_log_stays_bounded() {
+    let folder = Folder::new("large");
+    ReplicaLog::create(&folder.log()).expect("it is created");
+    let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
+    for index in 1..=40 {
+        log.append(vec![entries(index..=index, 1, 200_000)]).expect("there is room");
+        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("there is room");
+        assert!(std::fs::metadata(folder.log()).expect("a file").len() < COMPACTION_BYTES + 400_000);
+    }
+    assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), log.state());
+}
--- /dev/null
+++ b/crates/config_node/src/status/tests.rs
@@ -0,0 +1,22 @@
+use super::*;
+
+/// Operators and their scripts read these lines.
+#[test]
+fn a_status_is_shown_as_in_release_0_1() {
+    let status = |replica| Status { version: 7, proposed: 8, lease_ms: 1_234, replica }.to_string();
+    let progress = Progress { term: 3, committed: 42 };
+    let first = "agreed\n  version 7  proposed 8  lease 1234 ms\n";
+    assert_eq!(
+        status(ReplicaStatus::Voting { progress, leader: Some("muscat-1".into()) }),
+        format!("{first}  voter  term 3  entries 42  muscat-1 leads\n")
+    );
+    assert_eq!(
+        status(ReplicaStatus::Voting { progress, leader: None }),
+        format!("{first}  voter  term 3  entries 42  nobody leads\n")
+    );
+    assert_eq!(
+        status(ReplicaStatus::WithoutLog),
+        format!("{first}  voter without a log: it does not vote\n")
+    );
+    assert_eq!(status(ReplicaStatus::NotAReplica), first);
+}
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -1,27 +1,29 @@
 //! The log of a replica, and messages on a connection: the bytes in `fixtures/` were written by release 0.1 at commit 1461877.
 //! They are read, also where they are cut or damaged, and written byte for byte alike.
 
-use config_node::replica_log::Disk;
-use config_node::{Ask, Change, Outcome, Word};
+use config_node::{
+    Error, LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog, RequestId,
+    VersionNumbers,
+};
 use membership::seal::Keys;
-use replicated_config::{Base, Kept, Line, Record};
+use replicated_config::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Bytes of the file that says how many frames of the log count.
+/// Bytes of the file that counts the frames of the log.
 const COUNT_BYTES: usize = 8 + 20 + 8;
 /// Bytes of the log without a frame.
 const EMPTY_LOG_BYTES: usize = 8;
 /// Longer than anything here may take.
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("quorum-fixture-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("config-node-fixture-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Self(path)
     }
@@ -51,28 +53,36 @@
     std::fs::read(path).expect("the fixture is there")
 }
 
-fn entries(range: std::ops::RangeInclusive<u64>, term: u64, bytes: usize) -> Record {
-    Record::Lines(range.map(|index| Line { index, term, data: vec![7; bytes] }).collect())
+fn entries(range: std::ops::RangeInclusive<u64>, term: u64, bytes: usize) -> LogRecord {
+    LogRecord::Entries(range.map(|index| LogEntry { index, term, data: vec![7; bytes] }).collect())
+}
+
+fn hard_state(term: u64, vote: u64, commit: u64) -> LogRecord {
+    LogRecord::HardState(HardState { term, vote, commit })
+}
+
+fn snapshot(index: u64, term: u64, state: Vec<u8>) -> LogRecord {
+    LogRecord::Snapshot(Snapshot { index, term, state })
 }
 
 /// What each frame of the log holds.
-fn frames() -> Vec<Vec<Record>> {
+fn frames() -> Vec<Vec<LogRecord>> {
     vec![
-        vec![Record::Hard(1, 2, 0), entries(1..=9, 1, 3)],
-        vec![entries(5..=6, 2, 3), Record::Hard(2, 0, 4)],
-        vec![Record::Base(Base { index: 5, term: 2, state: vec![1, 2] })],
+        vec![hard_state(1, 2, 0), entries(1..=9, 1, 3)],
+        vec![entries(5..=6, 2, 3), hard_state(2, 0, 4)],
+        vec![snapshot(5, 2, vec![1, 2])],
         vec![entries(7..=8, 2, 3)],
-        vec![Record::Base(Base { index: 20, term: 3, state: vec![3] }), Record::Hard(3, 1, 20)],
+        vec![snapshot(20, 3, vec![3]), hard_state(3, 1, 20)],
         vec![entries(21..=22, 3, 30)],
     ]
 }
 
 /// The state after each number of frames.
-fn states() -> Vec<Kept> {
-    let mut states = vec![Kept::default()];
+fn states() -> Vec<DurableState> {
+    let mut states = vec![DurableState::default()];
     for records in frames() {
         let mut state = states[states.len() - 1].clone();
-        records.into_iter().for_each(|record| state.take(record).expect("records follow each other"));
+        records.into_iter().for_each(|record| state.apply(record).expect("records follow each other"));
         states.push(state);
     }
     states
@@ -81,11 +91,11 @@
 #[test]
 fn a_log_is_written_as_before() {
     let folder = Folder::new("written");
-    Disk::begin(&folder.log()).expect("it is begun");
-    let mut disk = Disk::open(&folder.log()).expect("it is whole");
+    ReplicaLog::create(&folder.log()).expect("it is created");
+    let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
     let mut counts = folder.read().1;
     for records in frames() {
-        disk.write(records).expect("there is room");
+        log.append(records).expect("there is room");
         counts.extend(folder.read().1);
     }
     assert_eq!(folder.read().0, fixture("replica.log"));
@@ -109,11 +119,11 @@
     for (counted, count) in counts.chunks(COUNT_BYTES).enumerate() {
         for cut in 0..=log.len() {
             folder.write(&log[..cut], count);
-            let there = lengths.iter().rposition(|length| *length <= cut);
-            let opened = Disk::open(&folder.log());
-            match there.filter(|frames| *frames >= counted) {
+            let intact = lengths.iter().rposition(|length| *length <= cut);
+            let opened = ReplicaLog::open(&folder.log());
+            match intact.filter(|frames| *frames >= counted) {
                 Some(frames) => {
-                    assert_eq!(opened.expect("all that counts is there").kept(), &states[frames]);
+                    assert_eq!(opened.expect("all counted frames are there").state(), &states[frames]);
                     // What was being written is cut off.
                     assert_eq!(folder.read().0, &log[..lengths[frames]]);
                 }
@@ -127,39 +137,37 @@
 fn a_damaged_log_is_refused() {
     let (log, counts, folder) = (fixture("replica.log"), fixture("replica.counts"), Folder::new("damaged"));
     let count = &counts[counts.len() - COUNT_BYTES..];
-    for at in 0..log.len() {
+    for position in 0..log.len() {
         let mut altered = log.clone();
-        altered[at] ^= 0x10;
+        altered[position] ^= 0x10;
         folder.write(&altered, count);
-        assert!(Disk::open(&folder.log()).is_err(), "byte {at}");
+        assert!(ReplicaLog::open(&folder.log()).is_err(), "byte {position}");
     }
-    for at in 0..count.len() {
+    for position in 0..count.len() {
         let mut altered = count.to_vec();
-        altered[at] ^= 0x10;
+        altered[position] ^= 0x10;
         folder.write(&log, &altered);
-        assert!(Disk::open(&folder.log()).is_err(), "byte {at} of the count");
-        folder.write(&log, &count[..at]);
-        assert!(Disk::open(&folder.log()).is_err(), "{at} bytes of the count");
+        assert!(ReplicaLog::open(&folder.log()).is_err(), "byte {position} of the count");
+        folder.write(&log, &count[..position]);
+        assert!(ReplicaLog::open(&folder.log()).is_err(), "{position} bytes of the count");
     }
     folder.write(&log, count);
-    assert_eq!(Disk::open(&folder.log()).expect("it is whole").kept(), &states()[6]);
+    assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), &states()[6]);
 }
 
-/// The log is written anew once it is large: its length and hash at the end, and its count.
+/// The log is compacted once it is large: its length after each write, and a hash of it with its count.
 #[test]
-fn a_large_log_is_written_anew_as_before() {
+fn a_large_log_is_compacted_as_before() {
     let folder = Folder::new("large");
-    Disk::begin(&folder.log()).expect("it is begun");
-    let mut disk = Disk::open(&folder.log()).expect("it is whole");
+    ReplicaLog::create(&folder.log()).expect("it is created");
+    let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
     let mut lengths = String::new();
     for index in 1..=30 {
-        let base = Record::Base(Base { index, term: 1, state: vec![1; 1_000] });
-        disk.write(vec![entries(index..=index, 1, 200_000), Record::Hard(1, 3, index)])
-            .expect("there is room");
-        disk.write(vec![base]).expect("there is room");
-        let (log, count) = folder.read();
-        let hash = blake3::hash(&[&log[..], &count].concat()).to_hex();
-        lengths += &format!("{index} {} {hash}\n", log.len());
+        log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)]).expect("there is room");
+        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("there is room");
+        let (content, count) = folder.read();
+        let hash = blake3::hash(&[&content[..], &count].concat()).to_hex();
+        lengths += &format!("{index} {} {hash}\n", content.len());
     }
     assert_eq!(lengths, String::from_utf8(fixture("large.txt")).expect("text"));
 }
@@ -169,13 +177,20 @@
 }
 
 /// A request and its answer, as they are on a connection.
-fn exchange() -> (Word, Word) {
-    let request = Word::Propose(Change { id: 300, by: "staff".into(), expect: Some(2), text: "text".into() });
-    (request, Word::Proposed(300, Outcome::Busy(3, "other".into())))
+fn exchange() -> (Message, Message) {
+    let id = ProposalId(300);
+    let request = Message::Propose(Proposal {
+        id,
+        proposed_by: "staff".into(),
+        expected_version: Some(2),
+        text: "text".into(),
+    });
+    let outcome = ProposalOutcome::RolloutInProgress { version: 3, proposed_by: "other".into() };
+    (request, Message::ProposalOutcome { proposal: id, outcome })
 }
 
 /// What a client sends, where it is answered with these bytes, and what it makes of them.
-fn call(answer: Vec<u8>, request: &Word, sent: usize) -> (Vec<u8>, std::io::Result<Word>) {
+fn call(answer: Vec<u8>, request: &Message, sent: usize) -> (Vec<u8>, Result<Message, Error>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let server = std::thread::spawn(move || {
@@ -185,7 +200,7 @@
         stream.write_all(&answer).expect("it is sent");
         bytes
     });
-    let answered = config_node::call(address, &keys(), request, LONG, |_| true);
+    let answered = config_node::call(address, &keys(), request, TIMEOUT, |_| true);
     (server.join().expect("it was served"), answered)
 }
 
@@ -196,23 +211,29 @@
     let (sent, answered) = call(answer_frame.clone(), &request, request_frame.len());
     assert_eq!(sent, request_frame);
     assert_eq!(answered.expect("it is answered"), answer);
-    for at in 0..answer_frame.len() {
-        let (_, cut) = call(answer_frame[..at].to_vec(), &request, request_frame.len());
-        assert!(cut.is_err(), "{at} bytes");
+    for position in 0..answer_frame.len() {
+        let (_, cut) = call(answer_frame[..position].to_vec(), &request, request_frame.len());
+        assert!(cut.is_err(), "{position} bytes");
         let mut altered = answer_frame.clone();
-        altered[at] ^= 0x10;
+        altered[position] ^= 0x10;
         let (_, damaged) = call(altered, &request, request_frame.len());
-        assert!(damaged.is_err(), "byte {at}");
+        assert!(damaged.is_err(), "byte {position}");
     }
 }
 
 #[test]
-fn who_has_another_key_is_not_understood() {
+fn a_message_authenticated_with_another_key_is_not_accepted() {
     let (request, _) = exchange();
     let other = Keys::parse(&"cd".repeat(32)).expect("a key");
-    let ask = Ask { who: "m".into(), question: 1, leases: false, knew: 0, has: (0, 0) };
-    let sealed = other.seal(&Word::Ask(ask).bytes());
-    let frame = [&(sealed.len() as u32).to_le_bytes()[..], &sealed].concat();
+    let message = Message::LeaseRequest(LeaseRequest {
+        client: "m".into(),
+        id: RequestId(1),
+        wants_lease: false,
+        known_version: 0,
+        cached: VersionNumbers::default(),
+    });
+    let authenticated = other.seal(&message.encode());
+    let frame = [&(authenticated.len() as u32).to_le_bytes()[..], &authenticated].concat();
     let (_, answered) = call(frame, &request, fixture("request.frame").len());
-    assert!(answered.is_err());
+    assert!(matches!(answered, Err(Error::Unauthenticated)), "{answered:?}");
 }
--- /dev/null
+++ b/crates/replicated_config/src/lease/client.rs
@@ -0,0 +1,113 @@
+//! A gatekeeper's lease: which replica it asks for the latest version, and how long the answer is valid.
+
+use super::LatestVersion;
+use crate::ids::{ReplicaId, RequestId};
+use crate::message::LeaseResponse;
+
+/// A replica counts as unreachable when it has not answered within this fraction (one 15th) of the lease duration.
+const RESPONSE_TIMEOUT_DIVISOR: u64 = 15;
+
+/// A gatekeeper's lease on the latest version.
+#[derive(Clone, Debug)]
+pub struct LeaseClient {
+    /// A lease lasts for so long from the moment its request was sent.
+    lease_duration_ms: u64,
+    /// Index of the replica to ask.
+    target_index: usize,
+    pending: Option<PendingRequest>,
+    next_request: u64,
+    latest: Option<LatestVersion>,
+    expires_at_ms: u64,
+}
+
+/// The request that waits for its response.
+#[derive(Clone, Copy, Debug)]
+struct PendingRequest {
+    id: RequestId,
+    sent_at_ms: u64,
+}
+
+/// A new request, and the replica to send it to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AddressedRequest {
+    /// The request's id.
+    pub id: RequestId,
+    /// Where to send it.
+    pub replica: ReplicaId,
+}
+
+impl LeaseClient {
+    /// Creates a client without a lease.
+    ///
+    /// `first_request` is larger than any request id that an earlier incarnation of this client has used.
+    pub fn new(lease_duration_ms: u64, first_request: RequestId) -> Self {
+        Self {
+            lease_duration_ms,
+            target_index: 0,
+            pending: None,
+            next_request: first_request.0,
+            latest: None,
+            expires_at_ms: 0,
+        }
+    }
+
+    /// Starts a new request, which replaces the pending one. A replica that did not answer the last request in time is not
+    /// asked again before all others.
+    pub fn start_request(&mut self, now_ms: u64, replica_count: usize) -> AddressedRequest {
+        let timeout_ms = self.lease_duration_ms / RESPONSE_TIMEOUT_DIVISOR;
+        if self.pending.is_some_and(|pending| now_ms >= pending.sent_at_ms + timeout_ms) {
+            self.target_index += 1;
+        }
+        self.target_index %= replica_count.max(1);
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        self.pending = Some(PendingRequest { id, sent_at_ms: now_ms });
+        AddressedRequest { id, replica: ReplicaId::from_index(self.target_index) }
+    }
+
+    /// Handles the answer that the replica is not the leader, with the leader that it knows of. Returns whether to ask that
+    /// leader at once.
+    pub fn on_redirect(&mut self, request: RequestId, leader: Option<ReplicaId>) -> bool {
+        if self.pending.take_if(|pending| pending.id == request).is_none() {
+            return false;
+        }
+        let leader_index = leader.and_then(ReplicaId::index);
+        // Without a known leader the next replica is asked with the next regular request.
+        let leader_is_another = leader_index.is_some_and(|index| index != self.target_index);
+        self.target_index = leader_index.unwrap_or(self.target_index + 1);
+        leader_is_another
+    }
+
+    /// Handles a response. Returns whether it answered the pending request and was accepted.
+    pub fn on_response(&mut self, response: LeaseResponse) -> bool {
+        let Some(pending) = self.pending.take_if(|pending| pending.id == response.request) else {
+            return false;
+        };
+        let latest = LatestVersion { number: response.version, phase: response.phase };
+        // Responses are linearizable: one that goes back behind an earlier response is not to be trusted.
+        if self.latest.is_some_and(|known| known > latest) {
+            return false;
+        }
+        self.latest = Some(latest);
+        self.expires_at_ms = self.expires_at_ms.max(pending.sent_at_ms + self.lease_duration_ms);
+        true
+    }
+
+    /// The latest version, while the lease is valid.
+    pub fn leased_version(&self, now_ms: u64) -> Option<LatestVersion> {
+        self.latest.filter(|_| now_ms < self.expires_at_ms)
+    }
+
+    /// When the lease expires, or has expired.
+    pub fn expires_at_ms(&self) -> u64 {
+        self.expires_at_ms
+    }
+
+    /// The latest version that was heard of, with or without a valid lease.
+    pub fn latest(&self) -> Option<LatestVersion> {
+        self.latest
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -1,28 +1,39 @@
-//! Versions of settings that several gatekeepers agree on, and until when each may act on what it knows, without I/O.
+//! Replicated configuration without I/O: versions of the settings that several gatekeepers agree on, and leases that say until
+//! when each gatekeeper may act on the version that it knows.
 //!
-//! [`Voter`] is one of the three or five that keep the log: entries that a majority has written down, in one order, by the
-//! state machine of the crate `raft`. [`Versions`] is what the entries say: the version in force, one that is proposed, and what
-//! became of each proposal. [`Asker`] is any gatekeeper's lease on the last of them, [`Leader`] what a leader knows of the
-//! leases that it has given. docs/design/agreed.md has the reasons.
+//! - [`Replica`] is one of the three or five Raft replicas. It wraps the state machine of the crate `raft`, applies committed
+//!   commands to a [`ConfigState`], and grants leases while it is the leader.
+//! - [`ConfigState`] is the replicated state: the version in force, the proposed version, and the outcome of each proposal.
+//! - [`LeaseClient`] is a gatekeeper's lease on the latest version; [`LeaseTable`] is the leader's record of granted leases.
+//! - [`Message`] is what nodes exchange, and [`DurableState`] what a replica keeps on disk.
+//!
+//! docs/design/agreed.md explains the protocol and its reasons.
 //!
 //! Invariants:
 //!
-//! - What [`Voter::ready`] says is to be written is on disk before anything behind it is sent; its order says so.
-//! - Two gatekeepers with leases act on the same version, or on a version and its proposed successor, by the stricter of both.
-//! - Time is milliseconds of each one's own monotonic clock. No two clocks are compared.
-//! - Entries, logs, questions and what is remembered of proposals are bounded.
+//! - The records in [`Ready`] are on disk before any message of the same [`Ready`] is sent. This is the caller's duty.
+//! - Two gatekeepers that hold leases enforce the same version, or one of them also enforces the proposed successor of that
+//!   version, taking the stricter value of each setting.
+//! - Times are milliseconds of the node's own monotonic clock. Clocks of different nodes are never compared.
+//! - Commands, logs, pending requests and recorded outcomes are bounded.
 
+mod error;
+mod ids;
 mod lease;
+mod limits;
 mod log;
 mod message;
+mod raft_message;
+mod raft_storage;
 mod replica;
 mod state;
 
-pub use lease::{Answer, Asker, Leader, Stage};
-pub use log::{Base, Kept, Line, Record};
-pub use message::{Ask, MOST_BYTES, Word};
-pub use replica::{Ready, Voter};
-pub use state::{Change, Entry, Outcome, Version, Versions};
-
-/// The most bytes of a version's text.
-pub const MOST_TEXT: usize = 256 * 1024;
+pub use error::Error;
+pub use ids::{ProposalId, ReplicaId, RequestId};
+pub use lease::{AddressedRequest, LatestVersion, LeaseClient, LeaseTable, RolloutPhase};
+pub use limits::{MAX_MESSAGE_BYTES, MAX_TEXT_BYTES};
+pub use log::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
+pub use message::{LeaseRequest, LeaseResponse, Message, VersionNumbers, VersionTexts};
+pub use raft_message::RaftMessage;
+pub use replica::{Envelope, Progress, Ready, Replica};
+pub use state::{Command, ConfigState, Proposal, ProposalOutcome, Version};
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -1,203 +1,130 @@
-//! The log of a voter: what is on its disk, and the same in memory as the library asks for it.
+//! A replica's durable state: the records that it writes to disk, and what they add up to.
 
-use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
-use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
+use crate::error::Error;
 use serde::{Deserialize, Serialize};
 
-/// An entry as it is written down and sent.
+/// An entry of the Raft log, as it is written to disk and sent.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Line {
-    /// Its index.
+pub struct LogEntry {
+    /// Its position in the log, from 1.
     pub index: u64,
-    /// The term of the leader that made it.
+    /// The term of the leader that appended it.
     pub term: u64,
-    /// What it says; empty for the first of each leader.
+    /// The encoded [`Command`](crate::Command); empty for the first entry of each leader.
     pub data: Vec<u8>,
 }
 
-impl Line {
-    pub(crate) fn of(entry: &Entry) -> Self {
-        Self { index: entry.index, term: entry.term, data: entry.data.to_vec() }
-    }
-
-    pub(crate) fn entry(&self) -> Entry {
-        Entry { index: self.index, term: self.term, data: self.data.clone().into(), ..Entry::default() }
-    }
-}
-
-/// What all entries up to one amount to.
+/// The state after all entries up to an index, which replaces these entries.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Base {
-    /// The last of them.
+pub struct Snapshot {
+    /// The last entry that it includes.
     pub index: u64,
-    /// Its term.
+    /// The term of that entry.
     pub term: u64,
-    /// The state after it.
+    /// The encoded [`ConfigState`](crate::ConfigState); empty before the first snapshot.
     pub state: Vec<u8>,
 }
 
-/// Something to be written down before anything behind it is sent.
+/// Raft's hard state.
+#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
+pub struct HardState {
+    /// The latest term that the replica knows of.
+    pub term: u64,
+    /// The number of the replica that it voted for in this term; 0 for none.
+    pub vote: u64,
+    /// The last entry that is known to be committed.
+    pub commit: u64,
+}
+
+/// A record to be written to disk before anything that depends on it is sent.
+///
+/// The order of the variants is part of the format on disk.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub enum Record {
-    /// The term, whom this voter has voted for in it (0 for nobody), and what is known to be agreed.
-    Hard(u64, u64, u64),
-    /// These entries follow those before them; what was written at their indexes or behind them is void.
-    Lines(Vec<Line>),
-    /// What was written up to this index is replaced by the state after it; where nothing was written at the index, all is.
-    Base(Base),
+pub enum LogRecord {
+    /// The hard state has changed.
+    HardState(HardState),
+    /// Appends entries. Earlier entries at their indexes, and all behind them, are discarded.
+    Entries(Vec<LogEntry>),
+    /// Replaces all entries up to the snapshot's index; all entries where the log has another entry, or none, at the index.
+    Snapshot(Snapshot),
 }
 
-/// All that a voter has written down.
+/// All that a replica keeps on disk.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Kept {
-    /// As [`Record::Hard`].
-    pub hard: (u64, u64, u64),
-    /// As [`Record::Base`].
-    pub base: Base,
-    /// The entries behind it.
-    pub lines: Vec<Line>,
+pub struct DurableState {
+    /// The last hard state.
+    pub hard_state: HardState,
+    /// The last snapshot.
+    pub snapshot: Snapshot,
+    /// The entries behind the snapshot.
+    pub entries: Vec<LogEntry>,
 }
 
-impl Kept {
-    /// Takes in one more record. What is read from a disk is put together by this.
+impl DurableState {
+    /// Applies the next record. Reading a log from disk applies its records in order.
     ///
     /// # Errors
     ///
-    /// It does not follow what was written before it: the log is not whole.
-    pub fn take(&mut self, record: Record) -> Result<(), &'static str> {
+    /// [`Error::LogGap`] where an entry does not follow the one before it: the log is not complete.
+    pub fn apply(&mut self, record: LogRecord) -> Result<(), Error> {
         match record {
-            Record::Hard(term, vote, agreed) => self.hard = (term, vote, agreed),
-            Record::Base(base) => {
-                let known = self.lines.iter().any(|l| l.index == base.index && l.term == base.term);
-                self.lines.retain(|l| known && l.index > base.index);
-                self.hard.2 = self.hard.2.max(base.index);
-                self.base = base;
-            }
-            Record::Lines(lines) => {
-                let first = lines.first().map_or(u64::MAX, |l| l.index);
-                self.lines.retain(|l| l.index < first);
-                for line in lines {
-                    if line.index != self.last() + 1 {
-                        return Err("an entry does not follow the one before it");
-                    }
-                    self.lines.push(line);
-                }
-            }
+            LogRecord::HardState(hard_state) => self.hard_state = hard_state,
+            LogRecord::Snapshot(snapshot) => self.install(snapshot),
+            LogRecord::Entries(entries) => self.append(entries)?,
         }
         Ok(())
     }
 
-    /// The index of the last entry.
-    pub fn last(&self) -> u64 {
-        self.lines.last().map_or(self.base.index, |l| l.index)
+    fn install(&mut self, snapshot: Snapshot) {
+        let matches = |entry: &LogEntry| entry.index == snapshot.index && entry.term == snapshot.term;
+        let is_in_log = self.entries.iter().any(matches);
+        self.entries.retain(|entry| is_in_log && entry.index > snapshot.index);
+        self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
+        self.snapshot = snapshot;
     }
 
-    fn term(&self, index: u64) -> Option<u64> {
-        if index == self.base.index {
-            return Some(self.base.term);
+    fn append(&mut self, entries: Vec<LogEntry>) -> Result<(), Error> {
+        let first = entries.first().map_or(u64::MAX, |entry| entry.index);
+        self.entries.retain(|entry| entry.index < first);
+        for entry in entries {
+            let previous = self.last_index();
+            if entry.index != previous + 1 {
+                return Err(Error::LogGap { index: entry.index, previous });
+            }
+            self.entries.push(entry);
         }
-        self.lines.get(index.checked_sub(self.base.index + 1)? as usize).map(|l| l.term)
-    }
-}
-
-/// The log as the library asks for it.
-pub(crate) struct Store {
-    pub(crate) kept: Kept,
-    pub(crate) voters: Vec<u64>,
-}
-
-impl Store {
-    fn conf(&self) -> ConfState {
-        ConfState { voters: self.voters.clone(), ..ConfState::default() }
+        Ok(())
     }
-}
 
-impl Storage for Store {
-    fn initial_state(&self) -> raft::Result<RaftState> {
-        let (term, vote, commit) = self.kept.hard;
-        let hard_state = HardState { term, vote, commit, ..HardState::default() };
-        Ok(RaftState { hard_state, conf_state: self.conf() })
+    /// The index of the last entry.
+    pub fn last_index(&self) -> u64 {
+        self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    fn entries(
-        &self,
-        low: u64,
-        high: u64,
-        max_size: impl Into<Option<u64>>,
-        _: GetEntriesContext,
-    ) -> raft::Result<Vec<Entry>> {
-        let first = self.kept.base.index + 1;
-        if low < first {
-            return Err(Error::Store(StorageError::Compacted));
+    /// The term of the entry at this index, where it is the snapshot's last one or behind it.
+    pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
+        if index == self.snapshot.index {
+            return Some(self.snapshot.term);
         }
-        let most = max_size.into().unwrap_or(u64::MAX);
-        let mut bytes = 0;
-        let lines = self.kept.lines.iter().skip((low - first) as usize).take((high - low) as usize);
-        let within = lines.take_while(|line| {
-            // One at least, however large.
-            let fits = bytes == 0 || bytes + line.data.len() as u64 <= most;
-            bytes += line.data.len().max(1) as u64;
-            fits
-        });
-        Ok(within.map(Line::entry).collect())
+        let position = index.checked_sub(self.snapshot.index + 1)?;
+        self.entries.get(position as usize).map(|entry| entry.term)
     }
 
-    fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.kept.base.index {
-            return Err(Error::Store(StorageError::Compacted));
+    /// Checks that the log holds what its hard state says.
+    pub(crate) fn check_complete(&self) -> Result<(), Error> {
+        let HardState { term, commit, .. } = self.hard_state;
+        let last_index = self.last_index();
+        if commit > last_index {
+            return Err(Error::MissingCommittedEntries { commit, last_index });
         }
-        self.kept.term(index).ok_or(Error::Store(StorageError::Unavailable))
-    }
-
-    fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.kept.base.index + 1)
-    }
-
-    fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.kept.last())
-    }
-
-    fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<Snapshot> {
-        if request_index > self.kept.base.index {
-            return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
+        match self.entries.iter().find(|entry| entry.term > term) {
+            Some(entry) => {
+                Err(Error::EntryOfUnknownTerm { index: entry.index, entry_term: entry.term, term })
+            }
+            None => Ok(()),
         }
-        Ok(snapshot(&self.kept.base, self.conf()))
     }
 }
 
-pub(crate) fn snapshot(base: &Base, conf: ConfState) -> Snapshot {
-    let mut snapshot = Snapshot { data: base.state.clone().into(), ..Snapshot::default() };
-    let meta = snapshot.mut_metadata();
-    (meta.index, meta.term) = (base.index, base.term);
-    meta.set_conf_state(conf);
-    snapshot
-}
-
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn lines(range: std::ops::RangeInclusive<u64>, term: u64) -> Record {
-        Record::Lines(range.map(|index| Line { index, term, data: vec![index as u8] }).collect())
-    }
-
-    #[test]
-    fn what_is_written_again_replaces_what_was_there_and_behind_it() {
-        let mut kept = Kept::default();
-        kept.take(lines(1..=5, 1)).expect("it follows");
-        kept.take(lines(3..=4, 2)).expect("it follows");
-        assert_eq!((kept.last(), kept.term(2), kept.term(4), kept.term(5)), (4, Some(1), Some(2), None));
-        assert!(kept.take(lines(6..=6, 2)).is_err(), "a gap");
-    }
-
-    #[test]
-    fn a_base_replaces_what_is_up_to_it_and_all_where_the_log_is_another() {
-        let mut kept = Kept::default();
-        kept.take(lines(1..=5, 1)).expect("it follows");
-        let base = |index, term| Record::Base(Base { index, term, state: vec![7] });
-        kept.take(base(3, 1)).expect("it follows");
-        assert_eq!((kept.base.index, kept.lines.len(), kept.last(), kept.term(3)), (3, 2, 5, Some(1)));
-        kept.take(base(9, 4)).expect("it replaces all");
-        assert_eq!((kept.last(), kept.lines.len(), kept.hard.2), (9, 0, 9));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/replicated_config/src/raft_message.rs
@@ -0,0 +1,104 @@
+//! Raft's messages in an encoding of our own. Neither the library's encoding nor its parser meets bytes from the network.
+
+use crate::ids::ReplicaId;
+use crate::log::{LogEntry, Snapshot};
+use raft::eraftpb::{self, MessageType};
+use serde::{Deserialize, Serialize};
+
+/// The message types that replicas send each other; the library's other types stay inside a replica.
+const REPLICA_MESSAGE_TYPES: [MessageType; 10] = [
+    MessageType::MsgAppend,
+    MessageType::MsgAppendResponse,
+    MessageType::MsgRequestVote,
+    MessageType::MsgRequestVoteResponse,
+    MessageType::MsgSnapshot,
+    MessageType::MsgHeartbeat,
+    MessageType::MsgHeartbeatResponse,
+    MessageType::MsgRequestPreVote,
+    MessageType::MsgRequestPreVoteResponse,
+    MessageType::MsgTimeoutNow,
+];
+
+/// A message of the Raft library, field by field. The order of the fields is part of the encoding.
+#[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+pub struct RaftMessage {
+    message_type: u8,
+    to: ReplicaId,
+    from: ReplicaId,
+    term: u64,
+    log_term: u64,
+    index: u64,
+    commit: u64,
+    commit_term: u64,
+    entries: Vec<LogEntry>,
+    snapshot: Option<Snapshot>,
+    request_snapshot: u64,
+    reject: bool,
+    reject_hint: u64,
+    context: Vec<u8>,
+    priority: i64,
+}
+
+impl RaftMessage {
+    /// The replica that it is for.
+    pub fn to(&self) -> ReplicaId {
+        self.to
+    }
+
+    pub(crate) fn from_raft(message: &eraftpb::Message) -> Self {
+        let snapshot = message.get_snapshot();
+        let has_snapshot = snapshot.get_metadata().index > 0;
+        Self {
+            message_type: message.get_msg_type() as u8,
+            to: ReplicaId(message.to),
+            from: ReplicaId(message.from),
+            term: message.term,
+            log_term: message.log_term,
+            index: message.index,
+            commit: message.commit,
+            commit_term: message.commit_term,
+            entries: message.entries.iter().map(LogEntry::from_raft).collect(),
+            snapshot: has_snapshot.then(|| Snapshot::from_raft(snapshot)),
+            request_snapshot: message.request_snapshot,
+            reject: message.reject,
+            reject_hint: message.reject_hint,
+            context: message.context.to_vec(),
+            priority: message.priority,
+        }
+    }
+
+    /// The library's message, where this is one that a replica may send.
+    pub(crate) fn into_raft(self, replicas: &[ReplicaId]) -> Option<eraftpb::Message> {
+        let is_type = |known: &MessageType| *known as u8 == self.message_type;
+        let message_type = REPLICA_MESSAGE_TYPES.into_iter().find(is_type)?;
+        if !replicas.contains(&self.from) || !self.entries_are_consecutive() {
+            return None;
+        }
+        let mut message = eraftpb::Message {
+            to: self.to.0,
+            from: self.from.0,
+            term: self.term,
+            log_term: self.log_term,
+            index: self.index,
+            commit: self.commit,
+            commit_term: self.commit_term,
+            entries: self.entries.iter().map(LogEntry::to_raft).collect::<Vec<_>>().into(),
+            request_snapshot: self.request_snapshot,
+            reject: self.reject,
+            reject_hint: self.reject_hint,
+            context: self.context.into(),
+            priority: self.priority,
+            ..eraftpb::Message::default()
+        };
+        message.set_msg_type(message_type);
+        let snapshot = self.snapshot.map(|snapshot| snapshot.to_raft(replicas));
+        message.set_snapshot(snapshot.unwrap_or_default());
+        Some(message)
+    }
+
+    /// The library takes this for granted and would panic at a gap.
+    fn entries_are_consecutive(&self) -> bool {
+        self.entries.is_empty()
+            || self.entries.iter().zip(self.index + 1..).all(|(entry, index)| entry.index == index)
+    }
+}
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -1,372 +1,250 @@
-//! One of the voters: the library's state machine, what its entries say, and the leases that it gives while it leads.
-
-use crate::lease::{Answer, Leader, Stage};
-use crate::log::{Base, Kept, Line, Record, Store};
-use crate::message::{Ask, Between, Word};
-use crate::state::{Change, Entry, Outcome, Versions};
-use raft::eraftpb::Message;
-use raft::{Config, RawNode, ReadOnlyOption, StateRole};
-use std::collections::{BTreeMap, HashMap};
-
-/// ms from one tick of the library to the next.
-const TICK: u64 = 50;
+//! A Raft replica without I/O: the library's state machine, the replicated state, and the leases that it grants while it leads.
+
+mod apply;
+mod read_rounds;
+mod ready;
+
+pub use ready::{Envelope, Ready};
+
+use crate::error::Error;
+use crate::ids::{ProposalId, ReplicaId};
+use crate::lease::LeaseTable;
+use crate::limits::MAX_TEXT_BYTES;
+use crate::log::DurableState;
+use crate::message::{LeaseRequest, Message};
+use crate::raft_message::RaftMessage;
+use crate::raft_storage::LogStorage;
+use crate::state::{Command, ConfigState, Proposal, ProposalOutcome};
+use raft::{Config, RawNode, ReadOnlyOption};
+use read_rounds::ReadRounds;
+use std::collections::HashMap;
+
+/// Time from one tick of the Raft library to the next.
+const TICK_MS: u64 = 50;
 /// Ticks between two heartbeats of a leader.
-const HEARTBEAT: usize = 2;
-/// Ticks without a heartbeat after which the first voter stands for election; each further one waits for [`APART`] more, so that
-/// two seldom stand at once. No chance is in it, and a course in simulated time can be played again.
-const ELECTION: usize = 16;
-const APART: usize = 4;
+const HEARTBEAT_TICKS: usize = 2;
+/// Ticks without a heartbeat after which the first replica stands for election.
+const ELECTION_TICKS: usize = 16;
+/// Further ticks that each next replica waits, so that two seldom stand at once. Nothing is random, so that a simulated run can
+/// be repeated.
+const ELECTION_STAGGER_TICKS: usize = 4;
 /// Ticks that are made up for after a pause: enough to stand for election, and no more.
-const MOST_TICKS: u64 = 64;
-/// Entries behind the base from which they are replaced by the state after them.
-const MOST_LINES: usize = 256;
-/// Questions and proposals that wait at most.
-const MOST_WAITING: usize = 4_096;
+const MAX_CATCH_UP_TICKS: u64 = 64;
+/// Entries after which the log is compacted.
+const MAX_RETAINED_ENTRIES: usize = 256;
+/// Proposals, and likewise lease requests, that may wait.
+const MAX_PENDING: usize = 4_096;
+/// Append messages to one replica that may be unanswered.
+const MAX_INFLIGHT_APPENDS: usize = 16;
+/// Uncommitted entries hold no more bytes than this many of the largest texts.
+const MAX_UNCOMMITTED_TEXTS: u64 = 8;
+
+/// How far a replica's log is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Progress {
+    /// The current term.
+    pub term: u64,
+    /// The last entry that is known to be committed.
+    pub committed: u64,
+}
 
-/// What is to be done, in this order.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ready {
-    /// To be on disk before anything is sent. Where that fails, this voter is to be given up and all else here left undone.
-    pub writes: Vec<Record>,
-    /// To be sent to voters, by number.
-    pub voters: Vec<(u64, Word)>,
-    /// To be sent to gatekeepers, by name.
-    pub others: Vec<(String, Word)>,
-    /// What this voter knows to be agreed has changed.
-    pub changed: bool,
+/// The term in which a version was last proposed for activation, and its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Activation {
+    term: u64,
+    version: u64,
 }
 
-/// A voter.
-pub struct Voter {
-    raw: RawNode<Store>,
-    number: u64,
-    versions: Versions,
-    /// T, in ms.
-    span: u64,
-    ticked: u64,
-    /// While it leads.
-    leader: Option<Leader>,
-    /// Questions that came since the last round.
-    asked: Vec<Ask>,
-    /// Rounds of confirmation that are out, by number.
-    rounds: BTreeMap<u64, Vec<Ask>>,
-    next_round: u64,
+/// One of the replicas that keep the log.
+pub struct Replica {
+    raw_node: RawNode<LogStorage>,
+    id: ReplicaId,
+    state: ConfigState,
+    lease_duration_ms: u64,
+    last_tick_ms: u64,
+    /// While this replica leads.
+    leases: Option<LeaseTable>,
+    /// Lease requests that wait for a majority to confirm that this replica leads.
+    reads: ReadRounds,
     /// Who waits for the outcome of a proposal.
-    proposers: HashMap<u64, String>,
-    /// The term in which a version was asked to be in force, and its number.
-    forcing: (u64, u64),
+    proposers: HashMap<ProposalId, String>,
+    last_activation: Option<Activation>,
     ready: Ready,
 }
 
-impl Voter {
-    /// One that goes on from what it has written down. `number`: its own, of `voters`. `span`: T, in ms.
+impl Replica {
+    /// Creates a replica that goes on from what it has written to disk.
+    ///
+    /// `id` is its own among `replicas`.
     ///
     /// # Errors
     ///
-    /// What was written down cannot be used.
-    pub fn new(number: u64, voters: &[u64], kept: Kept, span: u64, now: u64) -> Result<Self, String> {
-        let place = voters.iter().position(|v| *v == number).ok_or("it is no voter")?;
-        let versions = match &kept.base.state[..] {
-            [] => Versions::default(),
-            state => postcard::from_bytes(state).map_err(|e| format!("its state cannot be read: {e}"))?,
+    /// [`Error::UnknownReplica`]; [`Error::UnreadableSnapshot`], [`Error::MissingCommittedEntries`],
+    /// [`Error::EntryOfUnknownTerm`] or [`Error::Raft`] where the durable state cannot be used.
+    pub fn new(
+        id: ReplicaId,
+        replicas: &[ReplicaId],
+        durable: DurableState,
+        lease_duration_ms: u64,
+        now_ms: u64,
+    ) -> Result<Self, Error> {
+        let position = replicas.iter().position(|replica| *replica == id);
+        let position = position.ok_or(Error::UnknownReplica { id, replica_count: replicas.len() })?;
+        let state = match &durable.snapshot.state[..] {
+            [] => ConfigState::default(),
+            encoded => postcard::from_bytes(encoded).map_err(Error::UnreadableSnapshot)?,
         };
-        let (applied, hard, last) = (kept.base.index, kept.hard, kept.last());
-        if hard.2 > last || kept.lines.iter().any(|l| l.term > hard.0) {
-            return Err("it holds less than it says was agreed".into());
-        }
-        let least = ELECTION + APART * place;
-        let config = Config {
-            id: number,
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
-            applied,
-            max_size_per_msg: crate::MOST_TEXT as u64,
-            max_inflight_msgs: 16,
-            check_quorum: true,
-            pre_vote: true,
-            min_election_tick: least,
-            max_election_tick: least + 1,
-            read_only_option: ReadOnlyOption::Safe,
-            max_uncommitted_size: 8 * crate::MOST_TEXT as u64,
-            ..Config::default()
-        };
-        let store = Store { kept, voters: voters.to_vec() };
+        durable.check_complete()?;
+        let config = raft_config(id, position, durable.snapshot.index);
+        let storage = LogStorage { durable, replicas: replicas.to_vec() };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, store, &logger).map_err(|e| e.to_string())?;
-        let mut voter = Self {
-            raw,
-            number,
-            versions,
-            span,
-            ticked: now,
-            leader: None,
-            asked: Vec::new(),
-            rounds: BTreeMap::new(),
-            next_round: 0,
+        let mut replica = Self {
+            raw_node: RawNode::new(&config, storage, &logger)?,
+            id,
+            state,
+            lease_duration_ms,
+            last_tick_ms: now_ms,
+            leases: None,
+            reads: ReadRounds::default(),
             proposers: HashMap::new(),
-            forcing: (0, 0),
+            last_activation: None,
             ready: Ready::default(),
         };
-        voter.turn(now);
-        Ok(voter)
+        replica.advance(now_ms);
+        Ok(replica)
     }
 
-    /// What is known to be agreed here: another voter may know more.
-    pub fn versions(&self) -> &Versions {
-        &self.versions
+    /// The committed state as far as this replica knows it.
+    pub fn state(&self) -> &ConfigState {
+        &self.state
     }
 
-    /// The voter that leads, as far as is known here.
-    pub fn leads(&self) -> Option<u64> {
-        Some(self.raw.raft.leader_id).filter(|id| *id != 0)
+    /// The leader as far as this replica knows it.
+    pub fn leader(&self) -> Option<ReplicaId> {
+        Some(self.raw_node.raft.leader_id).filter(|id| *id != 0).map(ReplicaId)
     }
 
-    /// The term, and the last entry that is known to be agreed.
-    pub fn agreed(&self) -> (u64, u64) {
-        (self.raw.raft.term, self.raw.raft.raft_log.committed)
+    /// The leader, where it is another replica.
+    fn other_leader(&self) -> Option<ReplicaId> {
+        self.leader().filter(|leader| *leader != self.id)
     }
 
-    /// Entries that are held beside the state.
-    pub fn lines(&self) -> usize {
-        self.raw.store().kept.lines.len()
+    /// The current term and the last committed entry.
+    pub fn progress(&self) -> Progress {
+        let raft = &self.raw_node.raft;
+        Progress { term: raft.term, committed: raft.raft_log.committed }
     }
 
-    /// Gatekeepers that still hold a lease on a version before the one that is proposed.
-    pub fn behind(&self, now: u64) -> Vec<String> {
-        let (Some(leader), Some(open)) = (&self.leader, self.versions.proposed()) else { return Vec::new() };
-        leader.behind(now, open.number).map(str::to_owned).collect()
+    /// How many entries the log holds behind its snapshot.
+    pub fn retained_entries(&self) -> usize {
+        self.raw_node.store().durable.entries.len()
     }
 
-    /// When [`Voter::tick`] wants to be called.
-    pub fn next_due(&self) -> u64 {
-        self.ticked + TICK
+    /// Clients that may still hold a lease on a version before the proposed one.
+    pub fn holders_behind(&self, now_ms: u64) -> Vec<String> {
+        let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return Vec::new() };
+        leases.holders_behind(now_ms, proposed.number).map(str::to_owned).collect()
     }
 
-    /// Lets time pass.
-    pub fn tick(&mut self, now: u64) {
-        let ticks = now.saturating_sub(self.ticked) / TICK;
-        self.ticked += ticks * TICK;
-        for _ in 0..ticks.min(MOST_TICKS) {
-            self.raw.tick();
-        }
-        self.turn(now);
+    /// When [`Replica::tick`] is due.
+    pub fn next_tick_ms(&self) -> u64 {
+        self.last_tick_ms + TICK_MS
     }
 
-    /// Takes a word of another voter's.
-    pub fn hear(&mut self, now: u64, word: Between) {
-        let voters = self.raw.store().voters.clone();
-        if let Some(message) = word.message(&voters).filter(|m| m.to == self.number) {
-            // What does not fit the state of things is dropped, as if it had been lost.
-            let _ = self.raw.step(message);
-            self.turn(now);
+    /// Advances the clock.
+    pub fn tick(&mut self, now_ms: u64) {
+        let ticks = now_ms.saturating_sub(self.last_tick_ms) / TICK_MS;
+        self.last_tick_ms += ticks * TICK_MS;
+        for _ in 0..ticks.min(MAX_CATCH_UP_TICKS) {
+            self.raw_node.tick();
         }
+        self.advance(now_ms);
     }
 
-    /// A gatekeeper asks for the last version.
-    pub fn ask(&mut self, now: u64, ask: Ask) {
-        if self.leader.is_none() {
-            let word = Word::Elsewhere(ask.question, self.leads().filter(|l| *l != self.number));
-            self.ready.others.push((ask.who, word));
+    /// Handles a message of another replica.
+    pub fn on_raft_message(&mut self, now_ms: u64, message: RaftMessage) {
+        let replicas = &self.raw_node.store().replicas;
+        let Some(message) = message.into_raft(replicas).filter(|message| message.to == self.id.0) else {
             return;
-        }
-        // Of several questions of one gatekeeper the newest is the one that it still waits for, in whatever order they come.
-        let room = self.asked.len() < MOST_WAITING;
-        match self.asked.iter_mut().find(|other| other.who == ask.who) {
-            Some(other) if other.question < ask.question => *other = ask,
-            None if room => self.asked.push(ask),
-            _ => {}
-        }
-        self.turn(now);
-    }
-
-    /// Somebody wants a change; what became of it is said to `who`.
-    pub fn propose(&mut self, now: u64, who: &str, change: Change) {
-        let known = self.versions.outcome(change.id).cloned();
-        let reply = if self.leader.is_none() {
-            Some(Word::NotHere(change.id, self.leads().filter(|l| *l != self.number)))
-        } else if change.text.len() > crate::MOST_TEXT {
-            Some(Word::Proposed(change.id, Outcome::TooLarge))
-        } else if let Some(outcome) = known {
-            Some(Word::Proposed(change.id, outcome))
-        } else if self.proposers.insert(change.id, who.to_owned()).is_none() {
-            let id = change.id;
-            if self.proposers.len() > MOST_WAITING || !self.append(&Entry::Propose(change)) {
-                self.proposers.remove(&id);
-            }
-            None
-        } else {
-            None
         };
-        self.ready.others.extend(reply.map(|word| (who.to_owned(), word)));
-        self.turn(now);
-    }
-
-    fn append(&mut self, entry: &Entry) -> bool {
-        let data = postcard::to_stdvec(entry).unwrap_or_default();
-        self.raw.propose(Vec::new(), data).is_ok()
-    }
-
-    /// What is to be done since the last call.
-    pub fn ready(&mut self) -> Ready {
-        std::mem::take(&mut self.ready)
+        // A message that does not fit the state is dropped, as if it had been lost.
+        let _ = self.raw_node.step(message);
+        self.advance(now_ms);
     }
 
-    /// Carries on what has come up.
-    fn turn(&mut self, now: u64) {
-        self.confirm();
-        loop {
-            while self.raw.has_ready() {
-                self.carry(now);
-            }
-            let versions = &self.versions;
-            let open = versions.proposed().map(|v| (self.raw.raft.term, v.number));
-            let may = |leader: &Leader| open.is_some_and(|open| leader.may_force(now, open.1));
-            match open {
-                Some(open) if self.forcing != open && self.leader.as_ref().is_some_and(may) => {
-                    if !self.append(&Entry::Force(open.1)) {
-                        break;
-                    }
-                    self.forcing = open;
-                }
-                _ => break,
-            }
-        }
-        self.shorten();
-    }
-
-    /// Begins a round of confirmation for all questions that have come; one at a time.
-    fn confirm(&mut self) {
-        let waits = self.asked.is_empty() || !self.rounds.is_empty();
-        if waits || self.leader.is_none() || !self.raw.raft.commit_to_current_term() {
+    /// Handles a client's question for the latest version.
+    pub fn on_lease_request(&mut self, now_ms: u64, request: LeaseRequest) {
+        if self.leases.is_none() {
+            let redirect = Message::RedirectLeaseRequest { request: request.id, leader: self.other_leader() };
+            self.ready.send_to_client(request.client, redirect);
             return;
         }
-        let round = self.next_round;
-        self.next_round += 1;
-        self.rounds.insert(round, std::mem::take(&mut self.asked));
-        self.raw.read_index(round.to_be_bytes().to_vec());
+        self.reads.enqueue(request);
+        self.advance(now_ms);
     }
 
-    fn carry(&mut self, now: u64) {
-        let mut ready = self.raw.ready();
-        if let Some(soft) = ready.ss() {
-            self.turn_to(now, soft.raft_state);
-        }
-        self.send(ready.take_messages());
-        let snapshot = ready.snapshot();
-        if !snapshot.is_empty() {
-            let meta = snapshot.get_metadata();
-            let base = Base { index: meta.index, term: meta.term, state: snapshot.data.to_vec() };
-            if let Ok(versions) = postcard::from_bytes(&base.state) {
-                (self.versions, self.ready.changed) = (versions, true);
-            }
-            self.write(Record::Base(base));
-        }
-        let lines: Vec<Line> = ready.entries().iter().map(Line::of).collect();
-        if !lines.is_empty() {
-            self.write(Record::Lines(lines));
-        }
-        if let Some(hard) = ready.hs() {
-            self.write(Record::Hard(hard.term, hard.vote, hard.commit));
-        }
-        let read: Vec<Vec<u8>> =
-            ready.take_read_states().into_iter().map(|state| state.request_ctx).collect();
-        let committed = ready.take_committed_entries();
-        self.send(ready.take_persisted_messages());
-        self.apply(now, committed);
-        let mut light = self.raw.advance(ready);
-        if let Some(commit) = light.commit_index() {
-            let (term, vote, _) = self.raw.store().kept.hard;
-            self.write(Record::Hard(term, vote, commit));
-        }
-        self.send(light.take_messages());
-        self.apply(now, light.take_committed_entries());
-        self.raw.advance_apply();
-        // What was agreed when the round began is applied by now, so the state is at least as new as each question.
-        for round in read {
-            let number = round.try_into().map_or(u64::MAX, u64::from_be_bytes);
-            let questions = self.rounds.remove(&number).unwrap_or_default();
-            questions.into_iter().for_each(|ask| self.answer(now, ask));
-            self.confirm();
+    /// Handles a client's proposal. The outcome is sent to `proposer`.
+    pub fn propose(&mut self, now_ms: u64, proposer: &str, proposal: Proposal) {
+        match self.reply_at_once(&proposal) {
+            Some(reply) => self.ready.send_to_client(proposer.to_owned(), reply),
+            None => self.append_proposal(proposer, proposal),
         }
+        self.advance(now_ms);
     }
 
-    fn turn_to(&mut self, now: u64, role: StateRole) {
-        match (role, &self.leader) {
-            (StateRole::Leader, None) => self.leader = Some(Leader::new(now, self.span)),
-            (StateRole::Leader, Some(_)) => {}
-            _ => {
-                self.leader = None;
-                self.rounds.clear();
-                self.asked.clear();
-                // They ask again, elsewhere.
-                self.proposers.clear();
-            }
+    /// The reply to a proposal that is not to be appended to the log.
+    fn reply_at_once(&self, proposal: &Proposal) -> Option<Message> {
+        let id = proposal.id;
+        if self.leases.is_none() {
+            return Some(Message::RedirectProposal { proposal: id, leader: self.other_leader() });
         }
+        let outcome = if proposal.text.len() > MAX_TEXT_BYTES {
+            ProposalOutcome::TooLarge
+        } else {
+            self.state.outcome(id)?.clone()
+        };
+        Some(Message::ProposalOutcome { proposal: id, outcome })
     }
 
-    fn answer(&mut self, now: u64, ask: Ask) {
-        let Some(leader) = &mut self.leader else { return };
-        let versions = &self.versions;
-        let (version, stage) =
-            (versions.last(), versions.proposed().map_or(Stage::InForce, |_| Stage::Proposed));
-        if ask.leases && !leader.answers(now, &ask.who, ask.question, ask.knew) {
+    fn append_proposal(&mut self, proposer: &str, proposal: Proposal) {
+        let id = proposal.id;
+        let is_pending = self.proposers.insert(id, proposer.to_owned()).is_some();
+        if is_pending {
             return;
         }
-        let missing =
-            |version: Option<&crate::Version>, has: u64| version.filter(|v| v.number != has).cloned();
-        let texts = (missing(versions.in_force(), ask.has.0), missing(versions.proposed(), ask.has.1));
-        let answer = Answer { question: ask.question, version, stage };
-        self.ready.others.push((ask.who, Word::Answer(answer, Box::new(texts))));
-    }
-
-    fn apply(&mut self, now: u64, committed: Vec<raft::eraftpb::Entry>) {
-        let before = (self.versions.last(), self.versions.proposed().is_some());
-        for entry in committed {
-            // The first entry of each leader says nothing; an entry that cannot be read says nothing to any voter.
-            let Ok(said) = postcard::from_bytes::<Entry>(&entry.data) else { continue };
-            let id = match &said {
-                Entry::Propose(change) => Some(change.id),
-                Entry::Force(_) => None,
-            };
-            let outcome = self.versions.take(said);
-            self.ready.changed = true;
-            if let (Some(id), Some(outcome)) = (id, outcome)
-                && let Some(who) = self.proposers.remove(&id)
-            {
-                self.ready.others.push((who, Word::Proposed(id, outcome)));
-            }
-        }
-        // They ask at once, instead of with their next question.
-        if let Some(leader) = self.leader.as_ref()
-            && before != (self.versions.last(), self.versions.proposed().is_some())
-        {
-            let word = Word::Changed(self.versions.last());
-            let others = leader.holders(now).map(|who| (who.to_owned(), word.clone()));
-            self.ready.others.extend(others);
+        if self.proposers.len() > MAX_PENDING || !self.append_command(&Command::Propose(proposal)) {
+            self.proposers.remove(&id);
         }
     }
 
-    fn write(&mut self, record: Record) {
-        // The library says nothing that does not follow.
-        let taken = self.raw.mut_store().kept.take(record.clone());
-        debug_assert_eq!(taken, Ok(()));
-        self.ready.writes.push(record);
+    /// Appends a command to the log. Returns false where the library accepts none now.
+    fn append_command(&mut self, command: &Command) -> bool {
+        let data = postcard::to_stdvec(command).unwrap_or_default();
+        self.raw_node.propose(Vec::new(), data).is_ok()
     }
 
-    fn send(&mut self, messages: Vec<Message>) {
-        let words = messages.iter().map(|m| (m.to, Word::Voters(Box::new(Between::of(m)))));
-        self.ready.voters.extend(words);
+    /// Returns what is to be done since the last call.
+    pub fn take_ready(&mut self) -> Ready {
+        std::mem::take(&mut self.ready)
     }
+}
 
-    /// Replaces entries that are agreed by the state after them, once they are many.
-    fn shorten(&mut self) {
-        let kept = &self.raw.store().kept;
-        let applied = self.raw.raft.raft_log.applied;
-        if kept.lines.len() < MOST_LINES || applied <= kept.base.index {
-            return;
-        }
-        let term = kept.lines.iter().find(|l| l.index == applied).map_or(0, |l| l.term);
-        let state = postcard::to_stdvec(&self.versions).unwrap_or_default();
-        self.write(Record::Base(Base { index: applied, term, state }));
+fn raft_config(id: ReplicaId, position: usize, applied: u64) -> Config {
+    let election_ticks = ELECTION_TICKS + ELECTION_STAGGER_TICKS * position;
+    Config {
+        id: id.0,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied,
+        max_size_per_msg: MAX_TEXT_BYTES as u64,
+        max_inflight_msgs: MAX_INFLIGHT_APPENDS,
+        check_quorum: true,
+        pre_vote: true,
+        // The library picks from a range; a range of one value leaves nothing to chance.
+        min_election_tick: election_ticks,
+        max_election_tick: election_ticks + 1,
+        read_only_option: ReadOnlyOption::Safe,
+        max_uncommitted_size: MAX_UNCOMMITTED_TEXTS * MAX_TEXT_BYTES as u64,
+        ..Config::default()
     }
 }
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -1,181 +1,168 @@
-//! What the entries of the log say: a pure state machine, the same at each voter after the same entries.
+//! The replicated state: versions, proposals, and the commands of the log that change them. Each replica has the same state after
+//! the same commands.
 
+use crate::ids::ProposalId;
+use crate::limits::MAX_TEXT_BYTES;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Versions whose texts are kept, the one in force last: what can be shown, compared and gone back to.
-const MOST_HISTORY: usize = 16;
-/// Proposals whose outcomes are kept. One that comes again later than that many others is a new one.
-const MOST_OUTCOMES: usize = 256;
+/// Activated versions whose texts are kept, including the one in force.
+const MAX_HISTORY: usize = 16;
+/// Proposals whose outcomes are kept. A retry that comes after that many other proposals counts as a new proposal.
+const MAX_RECORDED_OUTCOMES: usize = 256;
 
-/// A version.
+/// A version of the configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Version {
-    /// Grows by one with each that is agreed.
+    /// Its number: 1 for the first, and one more with each accepted proposal.
     pub number: u64,
-    /// Who asked for it.
-    pub by: String,
-    /// What it says.
+    /// Who proposed it.
+    pub proposed_by: String,
+    /// The configuration.
     pub text: String,
 }
 
-/// What somebody wants changed.
+/// A request to replace the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Change {
-    /// The proposer's own, so that one whose answer was lost and that comes again is taken once.
-    pub id: u64,
-    /// Who asks.
-    pub by: String,
-    /// The version that this is to follow; none where any will do.
-    pub expect: Option<u64>,
-    /// What the new version says.
+pub struct Proposal {
+    /// The same for each retry, so that the proposal is applied at most once.
+    pub id: ProposalId,
+    /// Who proposes it.
+    pub proposed_by: String,
+    /// The version that must be in force for the proposal to be accepted; none where any may be.
+    pub expected_version: Option<u64>,
+    /// The new configuration.
     pub text: String,
 }
 
-/// An entry of the log.
+/// A command in the log. The order of the variants is part of its encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub enum Entry {
-    /// A version is proposed.
-    Propose(Change),
-    /// The proposed version of this number is in force: none who holds a lease acts on the one before alone.
-    Force(u64),
+pub enum Command {
+    /// Propose a version.
+    Propose(Proposal),
+    /// Put the proposed version of this number in force: no client holds a lease on the version before it alone.
+    Activate(u64),
 }
 
-/// What became of a proposal.
+/// What became of a proposal. The order of the variants is part of its encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub enum Outcome {
-    /// It is the version of this number.
-    Taken(u64),
-    /// Another version is the last: its number, and who asked for it.
-    Other(u64, String),
-    /// The one of this number, asked for by this one, is proposed and not yet in force.
-    Busy(u64, String),
-    /// It is too large.
+pub enum ProposalOutcome {
+    /// Accepted as the version of this number.
+    Accepted(u64),
+    /// Another version than the expected one is in force.
+    VersionConflict {
+        /// The version in force.
+        in_force: u64,
+        /// Who proposed it.
+        proposed_by: String,
+    },
+    /// Another version is proposed and not yet in force.
+    RolloutInProgress {
+        /// That version.
+        version: u64,
+        /// Who proposed it.
+        proposed_by: String,
+    },
+    /// The text is longer than [`MAX_TEXT_BYTES`].
     TooLarge,
-    /// The voter that leads cannot use it, and says why; nothing is agreed.
-    Refused(String),
+    /// The leader found the text invalid, for this reason. Nothing was appended to the log.
+    Rejected(String),
 }
 
-/// What all entries so far amount to.
+/// The outcome of an earlier proposal.
+#[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
+struct RecordedOutcome {
+    proposal: ProposalId,
+    outcome: ProposalOutcome,
+}
+
+/// The state after all committed commands.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Versions {
-    /// Those that were in force, the last one is.
+pub struct ConfigState {
+    /// Versions that were put in force; the last one is in force.
     history: VecDeque<Version>,
     proposed: Option<Version>,
-    /// By a proposal's id.
-    outcomes: VecDeque<(u64, Outcome)>,
+    /// The oldest first.
+    outcomes: VecDeque<RecordedOutcome>,
 }
 
-impl Versions {
+impl ConfigState {
     /// The version in force.
     pub fn in_force(&self) -> Option<&Version> {
         self.history.back()
     }
 
-    /// The one that is to follow it.
+    /// The version that is to follow it.
     pub fn proposed(&self) -> Option<&Version> {
         self.proposed.as_ref()
     }
 
-    /// The versions that are kept, the one in force last.
+    /// The kept versions, from the oldest to the one in force.
     pub fn history(&self) -> impl Iterator<Item = &Version> {
         self.history.iter()
     }
 
-    /// What became of the proposal with this id, if it is known.
-    pub fn outcome(&self, id: u64) -> Option<&Outcome> {
-        self.outcomes.iter().find(|o| o.0 == id).map(|o| &o.1)
+    /// The outcome of a proposal, if it is still recorded.
+    pub fn outcome(&self, proposal: ProposalId) -> Option<&ProposalOutcome> {
+        self.outcomes.iter().find(|recorded| recorded.proposal == proposal).map(|recorded| &recorded.outcome)
     }
 
-    /// The number of the last version, in force or proposed; 0 before the first.
-    pub fn last(&self) -> u64 {
-        self.proposed.as_ref().or(self.in_force()).map_or(0, |v| v.number)
+    /// The number of the latest version, proposed or in force; 0 before the first.
+    pub fn latest_number(&self) -> u64 {
+        self.proposed.as_ref().or(self.in_force()).map_or(0, |version| version.number)
     }
 
-    /// Takes the next entry; the outcome where it is a proposal.
-    pub fn take(&mut self, entry: Entry) -> Option<Outcome> {
-        match entry {
-            Entry::Propose(change) => {
-                let id = change.id;
-                if let Some(known) = self.outcome(id) {
-                    return Some(known.clone());
-                }
-                let outcome = self.propose(change);
-                self.outcomes.push_back((id, outcome.clone()));
-                if self.outcomes.len() > MOST_OUTCOMES {
-                    self.outcomes.pop_front();
-                }
-                Some(outcome)
-            }
-            Entry::Force(number) => {
-                if let Some(version) = self.proposed.take_if(|v| v.number == number) {
-                    self.history.push_back(version);
-                    if self.history.len() > MOST_HISTORY {
-                        self.history.pop_front();
-                    }
-                }
+    /// Applies the next command. Returns the outcome of a proposal.
+    pub fn apply(&mut self, command: Command) -> Option<ProposalOutcome> {
+        match command {
+            Command::Propose(proposal) => Some(self.apply_proposal(proposal)),
+            Command::Activate(number) => {
+                self.activate(number);
                 None
             }
         }
     }
 
-    fn propose(&mut self, change: Change) -> Outcome {
-        if change.text.len() > crate::MOST_TEXT {
-            return Outcome::TooLarge;
-        }
-        let last = self.in_force().map_or((0, String::new()), |v| (v.number, v.by.clone()));
-        if let Some(open) = &self.proposed {
-            return Outcome::Busy(open.number, open.by.clone());
+    fn apply_proposal(&mut self, proposal: Proposal) -> ProposalOutcome {
+        let id = proposal.id;
+        if let Some(recorded) = self.outcome(id) {
+            return recorded.clone();
         }
-        if change.expect.is_some_and(|expect| expect != last.0) {
-            return Outcome::Other(last.0, last.1);
+        let outcome = self.propose(proposal);
+        self.outcomes.push_back(RecordedOutcome { proposal: id, outcome: outcome.clone() });
+        if self.outcomes.len() > MAX_RECORDED_OUTCOMES {
+            self.outcomes.pop_front();
         }
-        let number = last.0 + 1;
-        self.proposed = Some(Version { number, by: change.by, text: change.text });
-        Outcome::Taken(number)
+        outcome
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn change(id: u64, expect: Option<u64>) -> Entry {
-        Entry::Propose(Change { id, by: format!("p{id}"), expect, text: format!("text {id}") })
-    }
-
-    #[test]
-    fn of_two_proposals_one_wins_and_the_other_hears_which() {
-        let mut versions = Versions::default();
-        assert_eq!(versions.take(change(1, Some(0))), Some(Outcome::Taken(1)));
-        assert_eq!(versions.take(change(2, Some(0))), Some(Outcome::Busy(1, "p1".into())));
-        assert_eq!(versions.take(Entry::Force(1)), None);
-        assert_eq!(versions.take(change(3, Some(0))), Some(Outcome::Other(1, "p1".into())));
-        assert_eq!(versions.take(change(4, Some(1))), Some(Outcome::Taken(2)));
-        assert_eq!(versions.take(Entry::Force(7)), None, "no such proposal");
-        assert_eq!((versions.in_force().map(|v| v.number), versions.last()), (Some(1), 2));
-    }
-
-    #[test]
-    fn one_that_comes_again_is_taken_once() {
-        let mut versions = Versions::default();
-        assert_eq!(versions.take(change(1, None)), Some(Outcome::Taken(1)));
-        versions.take(Entry::Force(1));
-        assert_eq!(versions.take(change(1, None)), Some(Outcome::Taken(1)));
-        assert_eq!((versions.last(), versions.proposed()), (1, None));
+    fn propose(&mut self, proposal: Proposal) -> ProposalOutcome {
+        if proposal.text.len() > MAX_TEXT_BYTES {
+            return ProposalOutcome::TooLarge;
+        }
+        if let Some(open) = &self.proposed {
+            let proposed_by = open.proposed_by.clone();
+            return ProposalOutcome::RolloutInProgress { version: open.number, proposed_by };
+        }
+        let in_force = self.in_force().map_or(0, |version| version.number);
+        if proposal.expected_version.is_some_and(|expected| expected != in_force) {
+            let proposed_by = self.in_force().map_or_else(String::new, |version| version.proposed_by.clone());
+            return ProposalOutcome::VersionConflict { in_force, proposed_by };
+        }
+        let number = in_force + 1;
+        let Proposal { proposed_by, text, .. } = proposal;
+        self.proposed = Some(Version { number, proposed_by, text });
+        ProposalOutcome::Accepted(number)
     }
 
-    #[test]
-    fn what_is_kept_is_bounded_and_too_large_a_text_is_refused() {
-        let mut versions = Versions::default();
-        let large = Change { id: 0, by: "p".into(), expect: None, text: "x".repeat(crate::MOST_TEXT + 1) };
-        assert_eq!(versions.take(Entry::Propose(large)), Some(Outcome::TooLarge));
-        for id in 1..=1_000 {
-            versions.take(change(id, None));
-            versions.take(Entry::Force(id));
+    fn activate(&mut self, number: u64) {
+        let Some(version) = self.proposed.take_if(|version| version.number == number) else { return };
+        self.history.push_back(version);
+        if self.history.len() > MAX_HISTORY {
+            self.history.pop_front();
         }
-        assert_eq!(versions.history().count(), MOST_HISTORY);
-        assert_eq!(versions.outcomes.len(), MOST_OUTCOMES);
-        assert_eq!(versions.in_force().map(|v| v.number), Some(1_000));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/replicated_config/tests/malformed_messages.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -1,25 +1,39 @@
-//! Cut and random bytes against the reader of words.
+//! Cut and random bytes against the decoder of messages.
 
-use replicated_config::{Answer, Ask, Change, Stage, Version, Word};
+use replicated_config::{
+    LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ReplicaId, RequestId, RolloutPhase, Version,
+    VersionNumbers, VersionTexts,
+};
 
 #[test]
-fn words_survive_their_bytes_and_garbage_is_none() {
-    let version = Version { number: 3, by: "x".into(), text: "[[plan]]".into() };
-    let words = [
-        Word::Ask(Ask { who: "m1".into(), question: 7, leases: true, knew: 2, has: (1, 2) }),
-        Word::Answer(
-            Answer { question: 7, version: 3, stage: Stage::Proposed },
-            Box::new((None, Some(version))),
+fn messages_survive_their_encoding_and_garbage_is_an_error() {
+    let version = Version { number: 3, proposed_by: "x".into(), text: "[[plan]]".into() };
+    let messages = [
+        Message::LeaseRequest(LeaseRequest {
+            client: "m1".into(),
+            id: RequestId(7),
+            wants_lease: true,
+            known_version: 2,
+            cached: VersionNumbers { in_force: 1, proposed: 2 },
+        }),
+        Message::LeaseResponse(
+            LeaseResponse { request: RequestId(7), version: 3, phase: RolloutPhase::Proposed },
+            Box::new(VersionTexts { in_force: None, proposed: Some(version) }),
         ),
-        Word::Propose(Change { id: 9, by: "y".into(), expect: Some(2), text: "t".into() }),
-        Word::Elsewhere(7, Some(2)),
-        Word::Changed(4),
+        Message::Propose(Proposal {
+            id: ProposalId(9),
+            proposed_by: "y".into(),
+            expected_version: Some(2),
+            text: "t".into(),
+        }),
+        Message::RedirectLeaseRequest { request: RequestId(7), leader: Some(ReplicaId(2)) },
+        Message::VersionChanged(4),
     ];
-    for word in words {
-        let bytes = word.bytes();
-        assert_eq!(Word::read(&bytes), Some(word));
-        // What is cut is none; what is only like one may be read, and is bounded by its own length.
-        (0..bytes.len()).for_each(|n| assert_eq!(Word::read(&bytes[..n]), None));
-        cuts::survives_garbage(&bytes, |pieces| drop(Word::read(&pieces.concat())));
+    for message in messages {
+        let bytes = message.encode();
+        assert_eq!(Message::decode(&bytes).expect("it is a message"), message);
+        // A cut message is an error; bytes that resemble a message may be decoded, within their own length.
+        (0..bytes.len()).for_each(|n| assert!(Message::decode(&bytes[..n]).is_err(), "{n} bytes"));
+        cuts::survives_garbage(&bytes, |pieces| drop(Message::decode(&pieces.concat())));
     }
 }
--- a/crates/replicated_config/tests/transcript.rs
+++ b/crates/replicated_config/tests/transcript.rs
@@ -1,135 +1,155 @@
-//! What three replicas write and send in a fixed course: election, a change, and a snapshot for one that was cut off. The
+//! What three replicas write and send in a fixed run: election, a proposal, and a snapshot for one that was cut off. The
 //! transcript in `fixtures/` was written by release 0.1 at commit 1461877.
 
 mod fixture;
 
 use fixture::{hex, matches_fixture};
-use replicated_config::{Ask, Change, Kept, Voter, Word};
+use replicated_config::{
+    DurableState, Envelope, LeaseRequest, Message, Proposal, ProposalId, Replica, ReplicaId, RequestId,
+    VersionNumbers,
+};
 use std::collections::VecDeque;
 
-const LEASE_MS: u64 = 500;
-const REPLICAS: [u64; 3] = [1, 2, 3];
+const LEASE_DURATION_MS: u64 = 500;
+const REPLICAS: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
 
 struct Cluster {
-    now: u64,
-    replicas: Vec<Voter>,
-    /// Takes and sends nothing.
-    cut_off: Option<u64>,
-    /// What was written and sent, a line each, where it is noted.
+    now_ms: u64,
+    replicas: Vec<Replica>,
+    /// Receives nothing, and nobody receives from it.
+    cut_off: Option<ReplicaId>,
+    /// What was written and sent, a line each, while it is recorded.
     transcript: Option<String>,
 }
 
 impl Cluster {
     fn new() -> Self {
-        let replica = |number: &u64| {
-            Voter::new(*number, &REPLICAS, Kept::default(), LEASE_MS, 0).expect("a new log can be used")
+        let replica = |id: &ReplicaId| {
+            Replica::new(*id, &REPLICAS, DurableState::default(), LEASE_DURATION_MS, 0)
+                .expect("a new log can be used")
         };
         let replicas = REPLICAS.iter().map(replica).collect();
-        Self { now: 0, replicas, cut_off: None, transcript: Some(String::new()) }
+        Self { now_ms: 0, replicas, cut_off: None, transcript: Some(String::new()) }
     }
 
     fn note(&mut self, line: String) {
         if let Some(transcript) = &mut self.transcript {
-            transcript.push_str(&format!("{} {line}\n", self.now));
+            transcript.push_str(&format!("{} {line}\n", self.now_ms));
         }
     }
 
+    fn replica(&mut self, id: ReplicaId) -> &mut Replica {
+        &mut self.replicas[id.index().expect("it is a replica")]
+    }
+
     /// Writes and delivers until nothing is left to be done at this moment.
     fn settle(&mut self) {
-        let mut on_the_way: VecDeque<(u64, u64, Vec<u8>)> = VecDeque::new();
+        let mut in_flight: VecDeque<(ReplicaId, ReplicaId, Vec<u8>)> = VecDeque::new();
         loop {
             for from in REPLICAS {
-                let ready = self.replicas[from as usize - 1].ready();
-                if !ready.writes.is_empty() {
-                    let bytes = postcard::to_stdvec(&ready.writes).expect("they have a form");
+                let ready = self.replica(from).take_ready();
+                if !ready.records.is_empty() {
+                    let bytes = postcard::to_stdvec(&ready.records).expect("they have a form");
                     self.note(format!("{from} writes {}", hex(&bytes)));
                 }
-                for (to, message) in ready.voters {
-                    self.note(format!("{from} to {to} {}", hex(&message.bytes())));
-                    on_the_way.push_back((from, to, message.bytes()));
+                for Envelope { to, message } in ready.to_replicas {
+                    self.note(format!("{from} to {to} {}", hex(&message.encode())));
+                    in_flight.push_back((from, to, message.encode()));
                 }
-                for (to, message) in ready.others {
-                    self.note(format!("{from} to {to} {}", hex(&message.bytes())));
+                for Envelope { to, message } in ready.to_clients {
+                    self.note(format!("{from} to {to} {}", hex(&message.encode())));
                 }
             }
-            let Some((from, to, bytes)) = on_the_way.pop_front() else { return };
+            let Some((from, to, bytes)) = in_flight.pop_front() else { return };
             if self.cut_off.is_some_and(|replica| [from, to].contains(&replica)) {
                 continue;
             }
-            match Word::read(&bytes) {
-                Some(Word::Voters(message)) => self.replicas[to as usize - 1].hear(self.now, *message),
+            let now_ms = self.now_ms;
+            match Message::decode(&bytes) {
+                Ok(Message::Raft(message)) => self.replica(to).on_raft_message(now_ms, *message),
                 other => panic!("not a message between replicas: {other:?}"),
             }
         }
     }
 
-    fn pass(&mut self, ms: u64) {
-        let end = self.now + ms;
-        while self.now < end {
-            self.now += 50;
+    fn run_for(&mut self, ms: u64) {
+        let end = self.now_ms + ms;
+        while self.now_ms < end {
+            self.now_ms += 50;
             for replica in REPLICAS {
-                let now = self.now;
-                self.replicas[replica as usize - 1].tick(now);
+                let now_ms = self.now_ms;
+                self.replica(replica).tick(now_ms);
                 self.settle();
             }
         }
     }
 
-    fn leader(&mut self) -> &mut Voter {
-        let number = REPLICAS.into_iter().find(|n| self.replicas[*n as usize - 1].leads() == Some(*n));
-        &mut self.replicas[number.expect("one leads") as usize - 1]
+    fn leader(&mut self) -> &mut Replica {
+        let leader = REPLICAS.into_iter().find(|id| self.replica(*id).leader() == Some(*id));
+        self.replica(leader.expect("one leads"))
     }
 
     fn propose(&mut self, id: u64) {
-        let change = Change { id, by: format!("p{id}"), expect: None, text: format!("text {id}") };
-        let now = self.now;
-        self.leader().propose(now, "proposer", change);
+        let now_ms = self.now_ms;
+        self.leader().propose(now_ms, "proposer", proposal(id, &format!("p{id}"), &format!("text {id}")));
         self.settle();
     }
 
-    fn request_lease(&mut self, question: u64, knew: u64, has: (u64, u64)) {
-        let now = self.now;
-        let ask = Ask { who: "gatekeeper".into(), question, leases: true, knew, has };
-        self.leader().ask(now, ask);
+    fn request_lease(&mut self, id: u64, known_version: u64, cached: VersionNumbers) {
+        let now_ms = self.now_ms;
+        let (client, id) = ("gatekeeper".into(), RequestId(id));
+        let request = LeaseRequest { client, id, wants_lease: true, known_version, cached };
+        self.leader().on_lease_request(now_ms, request);
         self.settle();
     }
+
+    /// The term and committed index of each replica, and how many entries it retains.
+    fn note_progress(&mut self) {
+        let progress: Vec<_> = self
+            .replicas
+            .iter()
+            .map(|replica| {
+                ((replica.progress().term, replica.progress().committed), replica.retained_entries())
+            })
+            .collect();
+        self.note(format!("progress {progress:?}"));
+    }
+}
+
+fn proposal(id: u64, proposed_by: &str, text: &str) -> Proposal {
+    let (proposed_by, text) = (proposed_by.into(), text.into());
+    Proposal { id: ProposalId(id), proposed_by, expected_version: None, text }
 }
 
 #[test]
 fn replicas_write_and_send_what_they_did_before() {
     let mut cluster = Cluster::new();
     // The first stands for election, and leads for longer than any lease lasts.
-    cluster.pass(1_500);
-    cluster.request_lease(1, 0, (0, 0));
+    cluster.run_for(1_500);
+    cluster.request_lease(1, 0, VersionNumbers::default());
     cluster.propose(1);
     cluster.propose(2);
-    cluster.request_lease(2, 1, (0, 0));
-    cluster.request_lease(3, 1, (1, 0));
-    cluster.replicas[2].propose(
-        1_500,
-        "proposer",
-        Change { id: 3, by: "p".into(), expect: None, text: "t".into() },
-    );
+    cluster.request_lease(2, 1, VersionNumbers::default());
+    cluster.request_lease(3, 1, VersionNumbers { in_force: 1, proposed: 0 });
+    cluster.replica(ReplicaId(3)).propose(1_500, "proposer", proposal(3, "p", "t"));
     cluster.settle();
     // The third misses so much that its entries are no longer in the others' logs.
-    cluster.cut_off = Some(3);
+    cluster.cut_off = Some(ReplicaId(3));
     let transcript = cluster.transcript.take();
     for id in 10..200 {
-        cluster.pass(50);
+        cluster.run_for(50);
         cluster.propose(id);
     }
     cluster.transcript = transcript;
-    let progress: Vec<_> = cluster.replicas.iter().map(|r| (r.agreed(), r.lines())).collect();
-    cluster.note(format!("progress {progress:?}"));
+    cluster.note_progress();
     cluster.cut_off = None;
-    cluster.pass(1_000);
-    let progress: Vec<_> = cluster.replicas.iter().map(|r| (r.agreed(), r.lines())).collect();
-    cluster.note(format!("progress {progress:?}"));
-    let transcript = cluster.transcript.take().expect("it was noted");
+    cluster.run_for(1_000);
+    cluster.note_progress();
+    let transcript = cluster.transcript.take().expect("it was recorded");
     // Pre-vote, vote, entries, heartbeats, a snapshot, and the answers to each.
-    for kind in [17, 18, 5, 6, 3, 4, 8, 9, 7] {
-        let message = format!(" 00{kind:02x}");
-        assert!(transcript.contains(&message), "no message of kind {kind}");
+    for message_type in [17, 18, 5, 6, 3, 4, 8, 9, 7] {
+        let message = format!(" 00{message_type:02x}");
+        assert!(transcript.contains(&message), "no message of type {message_type}");
     }
     matches_fixture("transcript.txt", &transcript);
 }
--- a/crates/snowfield/src/agreed.rs
+++ b/crates/snowfield/src/agreed.rs
@@ -1,24 +1,26 @@
 //! Versions of the plans that the gatekeepers agree on: what the file says of it, and what a version does here.
 
 use crate::duties;
-use config_node::{Config, Named, Quorum, View};
+use config_node::{ConfigView, InvalidProposal, Node, NodeConfig, ReplicaAddress};
 use front_openapi::HttpExchange;
 use settings::agreed::{Agreed, plans, share, stricter};
 use settings::appliance::{Appliance, Plan};
 use std::path::Path;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// The file's own part in it; none where it has no such table.
-pub fn config(file: &Appliance, folder: &Path) -> Result<Option<Config>, String> {
+pub fn config(file: &Appliance, folder: &Path) -> Result<Option<NodeConfig>, String> {
     let (Some(agreed), Some(cluster)) = (&file.agreed, &file.cluster) else { return Ok(None) };
-    let named = |v: &settings::agreed::Voter| Named { name: v.name.clone(), address: v.address };
-    Ok(Some(Config {
+    let replica =
+        |voter: &settings::agreed::Voter| ReplicaAddress { name: voter.name.clone(), address: voter.address };
+    Ok(Some(NodeConfig {
         name: cluster.name.clone(),
         listen: agreed.listen,
-        voters: agreed.voters.iter().map(named).collect(),
+        replicas: agreed.voters.iter().map(replica).collect(),
         keys: duties::keys(file, folder)?,
         log: folder.join(&agreed.log),
-        span: agreed.lease_ms,
+        lease_duration: Duration::from_millis(agreed.lease_ms),
     }))
 }
 
@@ -26,16 +28,18 @@
 ///
 /// # Errors
 ///
-/// As [`Quorum::start`].
+/// As [`Node::start`].
 pub fn start(
-    config: Config,
+    config: NodeConfig,
     file: &Appliance,
     (largest, pairs): (f64, Vec<(u16, usize)>),
     exchange: Arc<HttpExchange>,
-) -> Result<Quorum, String> {
+) -> Result<Node, String> {
     let (checks, file) = (file.clone(), file.clone());
-    let check = Box::new(move |text: &str| plans(&checks, text).map(drop).map_err(|e| e.to_string()));
-    let on_view = Box::new(move |view: &View| {
+    let check = Box::new(move |text: &str| {
+        plans(&checks, text).map(drop).map_err(|e| InvalidProposal(e.to_string()))
+    });
+    let on_view = Box::new(move |view: &ConfigView| {
         let Some(agreed) = &file.agreed else { return };
         let plans = acts_on(&file, agreed, view);
         let settled =
@@ -45,11 +49,11 @@
             tracing::warn!("agreed: a version cannot be used here ({why}); the plans of before stay");
         }
     });
-    Quorum::start(config, check, on_view).map_err(|e| format!("agreed: {e}"))
+    Node::start(config, check, on_view).map_err(|e| format!("agreed: {e}"))
 }
 
 /// The plans to act on.
-fn acts_on(file: &Appliance, agreed: &Agreed, view: &View) -> Vec<Plan> {
+fn acts_on(file: &Appliance, agreed: &Agreed, view: &ConfigView) -> Vec<Plan> {
     // What every voter could use and this one cannot is as good as unknown: the file's own, by the stricter.
     let of = |text: &str| plans(file, text).unwrap_or_else(|_| file.plans.clone());
     let in_force = view.in_force.as_ref().map_or_else(|| file.plans.clone(), |v| of(&v.text));
@@ -57,7 +61,7 @@
         Some(proposed) => stricter(&in_force, &of(&proposed.text)),
         None => in_force,
     };
-    if view.leased { known } else { share(&known, agreed.when_apart) }
+    if view.has_lease { known } else { share(&known, agreed.when_apart) }
 }
 
 #[cfg(test)]
@@ -77,24 +81,24 @@
         [[lender]]\nname = \"l\"\nplan = \"a\"\n";
 
     fn version(number: u64, text: &str) -> Option<Version> {
-        Some(Version { number, by: "x".into(), text: text.into() })
+        Some(Version { number, proposed_by: "x".into(), text: text.into() })
     }
 
     #[test]
     fn a_proposed_version_counts_by_the_stricter_and_without_a_lease_a_share() {
         let file = settings::appliance::parse(FILE).expect("the file can be used");
         let agreed = file.agreed.clone().expect("the table is there");
-        let rates = |view: &View| {
+        let rates = |view: &ConfigView| {
             let plans = acts_on(&file, &agreed, view);
             (plans[0].units_per_second, plans[0].burst, plans[1].ceiling_per_second)
         };
-        let mut view = View { leased: true, ..View::default() };
+        let mut view = ConfigView { has_lease: true, ..ConfigView::default() };
         assert_eq!(rates(&view), (40.0, 80.0, 16.0));
         view.proposed = version(1, "[[plan]]\nname = \"a\"\nunits_per_second = 10.0\nburst = 100.0\n");
         assert_eq!(rates(&view), (10.0, 80.0, 16.0));
         (view.in_force, view.proposed) = (view.proposed, None);
         assert_eq!(rates(&view), (10.0, 100.0, 16.0));
-        view.leased = false;
+        view.has_lease = false;
         assert_eq!(rates(&view), (2.5, 25.0, 4.0));
     }
 
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{self, Fleet};
 use crate::{agreed, duties, log, signals};
 use cluster::Cluster;
-use config_node::Quorum;
+use config_node::Node;
 use consul::Answered;
 use counter::CounterClient;
 use destination::{HttpDestination, Limits, Pools};
@@ -126,7 +126,7 @@
     front: Arc<Front>,
     door: Arc<Door>,
     cluster: Option<Arc<Cluster>>,
-    agreement: Option<Arc<Quorum>>,
+    agreement: Option<Arc<Node>>,
     registered: Option<consul::Registered>,
 }
 
@@ -263,11 +263,12 @@
 }
 
 /// Answers whoever connects with the status as text.
-fn show_status(door: &Door, front: &Arc<Front>, fleet: &Arc<Fleet>, agreement: Option<&Arc<Quorum>>) {
+fn show_status(door: &Door, front: &Arc<Front>, fleet: &Arc<Fleet>, agreement: Option<&Arc<Node>>) {
     while let Some(link) = door.accept() {
         let (front, fleet, agreement) = (front.clone(), fleet.clone(), agreement.cloned());
         spawn(move || {
-            let agreed = agreement.and_then(|agreement| told(&agreement.ask_report())).unwrap_or_default();
+            let agreed =
+                agreement.and_then(|agreement| told(&agreement.request_status())).unwrap_or_default();
             let body = front.report() + &fleet.report() + &agreed;
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::appliance;
 use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
-use config_node::Quorum;
+use config_node::Node;
 use membership::seal::Keys;
 use settings::appliance::Appliance;
 use settings::cluster::Duty;
@@ -99,7 +99,7 @@
 }
 
 /// Takes the duties and the keys anew from the file; a file that cannot be used changes nothing.
-pub fn reload(path: &Path, cluster: &Cluster, agreement: Option<&Quorum>) {
+pub fn reload(path: &Path, cluster: &Cluster, agreement: Option<&Node>) {
     let read = || -> Result<(usize, bool), String> {
         let file = appliance::check(path)?.file;
         let keys = match &file.cluster {
--- a/crates/snowfield/src/propose.rs
+++ b/crates/snowfield/src/propose.rs
@@ -3,8 +3,10 @@
 
 use crate::appliance;
 use clap::{Parser, Subcommand};
-use config_node::replica_log::Disk;
-use config_node::{Change, Outcome, Version, Word};
+use config_node::{
+    LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog, RequestId, Version,
+    VersionNumbers, VersionTexts,
+};
 use settings::agreed::{Agreed, plans};
 use settings::appliance::Appliance;
 use std::path::{Path, PathBuf};
@@ -99,7 +101,7 @@
         return Err(wrong("this instance is no voter"));
     }
     let log = folder(path).join(&agreed.log);
-    Disk::begin(&log).map_err(|e| wrong(format!("{}: {e}", log.display())))?;
+    ReplicaLog::create(&log).map_err(wrong)?;
     println!("{}: the log is begun", log.display());
     Ok(())
 }
@@ -110,16 +112,23 @@
     now ^ u64::from(std::process::id()).rotate_left(40)
 }
 
-/// Says a word to one voter after the other until one of them leads and answers.
-fn say(path: &Path, word: &Word, is_answer: impl Fn(&Word) -> bool) -> Result<Word, (u8, String)> {
+/// Sends a message to one voter after the other until one of them leads and answers.
+fn say(
+    path: &Path,
+    message: &Message,
+    is_answer: impl Fn(&Message) -> bool,
+) -> Result<Message, (u8, String)> {
     let (file, agreed) = read(path)?;
     let keys = crate::duties::keys(&file, folder(path)).map_err(wrong)?;
     let end = Instant::now() + MOST;
     let mut last = String::new();
     while Instant::now() < end {
         for voter in &agreed.voters {
-            let fits = |w: &Word| is_answer(w) || matches!(w, Word::Elsewhere(..) | Word::NotHere(..));
-            match config_node::call(voter.address, &keys, word, PATIENCE, fits) {
+            let fits = |m: &Message| {
+                is_answer(m)
+                    || matches!(m, Message::RedirectLeaseRequest { .. } | Message::RedirectProposal { .. })
+            };
+            match config_node::call(voter.address, &keys, message, PATIENCE, fits) {
                 Ok(answer) if is_answer(&answer) => return Ok(answer),
                 Ok(_) => last = format!("{} does not lead", voter.name),
                 Err(e) => last = format!("{}: {e}", voter.name),
@@ -137,45 +146,58 @@
     let (file, _) = read(path)?;
     let text = std::fs::read_to_string(rules).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
     plans(&file, &text).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
-    let by = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
-    let id = unique();
+    let proposed_by = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
+    let id = ProposalId(unique());
     // The same id each time: one whose answer was lost is taken once.
-    let word = Word::Propose(Change { id, by, expect, text });
-    let answer = say(path, &word, |w| matches!(w, Word::Proposed(of, _) if *of == id))?;
-    let Word::Proposed(_, outcome) = answer else { return Err(wrong("an answer that is none")) };
+    let message = Message::Propose(Proposal { id, proposed_by, expected_version: expect, text });
+    let answer =
+        say(path, &message, |m| matches!(m, Message::ProposalOutcome { proposal, .. } if *proposal == id))?;
+    let Message::ProposalOutcome { outcome, .. } = answer else {
+        return Err(wrong("an answer that is none"));
+    };
     match outcome {
-        Outcome::Taken(number) => {
+        ProposalOutcome::Accepted(number) => {
             println!(
                 "version {number} is proposed; it is in force when no gatekeeper acts on the one before alone"
             );
             Ok(())
         }
-        Outcome::Other(number, by) => {
+        ProposalOutcome::VersionConflict { in_force: number, proposed_by: by } => {
             Err((OTHER, format!("version {number}, by {by}, is in force; nothing is changed")))
         }
-        Outcome::Busy(number, by) => Err((
+        ProposalOutcome::RolloutInProgress { version: number, proposed_by: by } => Err((
             OTHER,
             format!("version {number}, by {by}, is proposed and not yet in force; nothing is changed"),
         )),
-        Outcome::TooLarge => Err(wrong("it is too large")),
-        Outcome::Refused(why) => Err(wrong(why)),
+        ProposalOutcome::TooLarge => Err(wrong("it is too large")),
+        ProposalOutcome::Rejected(why) => Err(wrong(why)),
     }
 }
 
 /// The version in force and the proposed one.
-fn versions(path: &Path) -> Result<(Option<Version>, Option<Version>), (u8, String)> {
-    let question = unique();
-    let who = format!("console-{question}");
-    let ask = config_node::Ask { who, question, leases: false, knew: 0, has: (0, 0) };
-    let answer = say(path, &Word::Ask(ask), |w| matches!(w, Word::Answer(..)))?;
-    let Word::Answer(_, texts) = answer else { return Err(wrong("an answer that is none")) };
+fn versions(path: &Path) -> Result<VersionTexts, (u8, String)> {
+    let id = RequestId(unique());
+    let request = Message::LeaseRequest(LeaseRequest {
+        client: format!("console-{id}"),
+        id,
+        wants_lease: false,
+        known_version: 0,
+        cached: VersionNumbers::default(),
+    });
+    let answer = say(path, &request, |m| matches!(m, Message::LeaseResponse(..)))?;
+    let Message::LeaseResponse(_, texts) = answer else { return Err(wrong("an answer that is none")) };
     Ok(*texts)
 }
 
 fn show(path: &Path) -> Done {
-    let (in_force, proposed) = versions(path)?;
+    let VersionTexts { in_force, proposed } = versions(path)?;
     let told = |what: &str, version: &Version| {
-        println!("# version {}, {what}, by {}\n{}", version.number, version.by, version.text.trim_end());
+        println!(
+            "# version {}, {what}, by {}\n{}",
+            version.number,
+            version.proposed_by,
+            version.text.trim_end()
+        );
     };
     match &in_force {
         Some(version) => told("in force", version),
@@ -191,7 +213,7 @@
     let (file, _) = read(path)?;
     let text = std::fs::read_to_string(rules).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
     let new = plans(&file, &text).map_err(wrong)?;
-    let (in_force, _) = versions(path)?;
+    let in_force = versions(path)?.in_force;
     let old = match &in_force {
         Some(version) => plans(&file, &version.text).map_err(wrong)?,
         None => file.plans.clone(),
--- a/crates/snowfield/tests/agreed.rs
+++ b/crates/snowfield/tests/agreed.rs
@@ -79,7 +79,7 @@
     // Two of three voters are gone: the last two programs are apart, and staff is told.
     drop(programs.drain(..2));
     for program in &programs {
-        program.logged("agreed: no lease; acting apart by version 1");
+        program.logged("agreed: no lease; enforcing the when_apart share of version 1");
     }
     let (fine, said) = run(&["settings", "propose", &files[3], &rules(12.0)], &[]);
     assert!(!fine && said.contains("no majority"), "{said}");
@@ -100,7 +100,7 @@
     let bytes = std::fs::read(&log).expect("a log");
     std::fs::write(&log, &bytes[..bytes.len() - 1]).expect("it is cut");
     let again = start(&files[0]);
-    assert!(again.logged("agreed: the log").contains("this voter does not vote"));
+    assert!(again.logged("agreed: the replica log").contains("this replica does not vote"));
     again.logged("agreed: version 0 is in force");
     let rules =
         folder.write("rules.toml", "[[plan]]\nname = \"basic\"\nunits_per_second = 9.0\nburst = 40.0\n");
