--- a/crates/config_node/src/connection.rs
+++ b/crates/config_node/src/connection.rs
@@ -1,5 +1,5 @@
-//! Connections between nodes. A connection carries messages both ways. A message that finds no room in its connection's queue,
-//! or no node behind it, is dropped; its sender retransmits it.
+//! Connections between nodes. A connection carries messages both ways. A message is dropped where its connection's queue is full
+//! or no node accepts the connection; its sender retransmits it.
 
 use crate::error::Error;
 use crate::event::{ConnectionId, Event};
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -245,7 +245,7 @@
     }
 }
 
-/// Queues a message. Where there is no room, or nobody to send it, it is dropped: its sender retransmits it.
+/// Queues a message. Where the queue is full or its connection closed, the message is dropped; its sender retransmits it.
 fn enqueue(queue: &SyncSender<Message>, message: Message) {
     match queue.try_send(message) {
         Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
--- a/crates/config_node/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Node::start`] starts it. One thread owns the state machine ([`replicated_config::Replica`], if this node is a replica, and
 //! the node's lease). A replica's log is in [`ReplicaLog`]. Nodes exchange authenticated messages over TCP. All queues are
-//! bounded: what finds no room is dropped, and its sender retransmits it. [`ConfigView`] is what the gatekeeper is to enforce.
+//! bounded: a full queue drops the message, and its sender retransmits it. [`ConfigView`] is what the gatekeeper is to enforce.
 
 mod config;
 mod connection;
--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -47,7 +47,7 @@
     for records in frames {
         let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
         assert_eq!(log.state(), &state);
-        log.append(records.clone()).expect("there is room");
+        log.append(records.clone()).expect("it is written");
         records.into_iter().for_each(|record| state.apply(record).expect("records follow each other"));
     }
     assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), &state);
@@ -61,7 +61,7 @@
     let length = || std::fs::read(folder.log()).expect("a file").len();
     let mut states = vec![(length(), log.state().clone())];
     for turn in 1..=4 {
-        log.append(vec![hard_state(turn, 1, 0), entries(turn..=turn, turn, 5)]).expect("there is room");
+        log.append(vec![hard_state(turn, 1, 0), entries(turn..=turn, turn, 5)]).expect("it is written");
         states.push((length(), log.state().clone()));
     }
     let content = std::fs::read(folder.log()).expect("a file");
@@ -100,8 +100,8 @@
     ReplicaLog::create(&folder.log()).expect("it is created");
     let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
     for index in 1..=40 {
-        log.append(vec![entries(index..=index, 1, 200_000)]).expect("there is room");
-        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("there is room");
+        log.append(vec![entries(index..=index, 1, 200_000)]).expect("it is written");
+        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("it is written");
         assert!(std::fs::metadata(folder.log()).expect("a file").len() < COMPACTION_BYTES + 400_000);
     }
     assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), log.state());
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -95,7 +95,7 @@
     let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
     let mut counts = folder.read().1;
     for records in frames() {
-        log.append(records).expect("there is room");
+        log.append(records).expect("it is written");
         counts.extend(folder.read().1);
     }
     assert_eq!(folder.read().0, fixture("replica.log"));
@@ -163,8 +163,8 @@
     let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
     let mut lengths = String::new();
     for index in 1..=30 {
-        log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)]).expect("there is room");
-        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("there is room");
+        log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)]).expect("it is written");
+        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("it is written");
         let (content, count) = folder.read();
         let hash = blake3::hash(&[&content[..], &count].concat()).to_hex();
         lengths += &format!("{index} {} {hash}\n", content.len());
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -34,7 +34,7 @@
         Self { lease_duration_ms, earlier_leases_expire_at_ms, granted: BTreeMap::new() }
     }
 
-    /// Records that a request is answered now. Returns false where it must not be answered: there is no room to remember the
+    /// Records that a request is answered now. Returns false where it must not be answered: the table is full and cannot remember the
     /// lease, or a later request of this holder was answered.
     ///
     /// `known_version` is the latest version that the holder knew of when it sent the request. Only what the holder itself says
@@ -44,7 +44,7 @@
         if self.granted.get(holder).is_some_and(overtaken) {
             return false;
         }
-        if !self.granted.contains_key(holder) && !self.has_room(now_ms) {
+        if !self.granted.contains_key(holder) && !self.has_capacity(now_ms) {
             return false;
         }
         // The request was sent before now, so that the holder's lease expires before this.
@@ -54,7 +54,7 @@
     }
 
     /// Whether one more holder can be remembered; forgets expired leases where the table is full.
-    fn has_room(&mut self, now_ms: u64) -> bool {
+    fn has_capacity(&mut self, now_ms: u64) -> bool {
         if self.granted.len() >= MAX_LEASE_HOLDERS {
             self.granted.retain(|_, lease| lease.expires_at_ms > now_ms);
         }
--- a/crates/replicated_config/src/replica/apply.rs
+++ b/crates/replicated_config/src/replica/apply.rs
@@ -11,7 +11,7 @@
 impl Replica {
     /// Processes all that the last event has made possible.
     pub(super) fn advance(&mut self, now_ms: u64) {
-        self.begin_read_round();
+        self.start_read_round();
         loop {
             while self.raw_node.has_ready() {
                 self.process_raft_ready(now_ms);
@@ -38,12 +38,12 @@
         true
     }
 
-    /// Begins a round of confirmation for the waiting lease requests.
-    fn begin_read_round(&mut self) {
+    /// Starts a round of confirmation for the waiting lease requests.
+    fn start_read_round(&mut self) {
         // Until it has committed an entry of its term, a leader does not know what is committed.
         let may_read = self.leases.is_some() && self.raw_node.raft.commit_to_current_term();
-        if may_read && self.reads.can_begin() {
-            let context = self.reads.begin();
+        if may_read && self.reads.can_start() {
+            let context = self.reads.start();
             self.raw_node.read_index(context);
         }
     }
@@ -67,12 +67,12 @@
         self.send_to_replicas(light_ready.take_messages());
         self.apply_committed(now_ms, light_ready.take_committed_entries());
         self.raw_node.advance_apply();
-        // All that was committed when a round began is applied by now, so that the state is as new as each request.
+        // All that was committed when a round started is applied by now, so that the state is as new as each request.
         for read in confirmed_reads {
             for request in self.reads.finish(read.request_ctx) {
                 self.respond(now_ms, request);
             }
-            self.begin_read_round();
+            self.start_read_round();
         }
     }
 
