--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -106,3 +106,37 @@
     }
     assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), log.state());
 }
+
+#[test]
+fn each_damage_is_named_with_its_file() {
+    let folder = Folder::new("damage");
+    let log = folder.log();
+    let missing = ReplicaLog::open(&log);
+    assert!(matches!(&missing, Err(Error::File { path, .. }) if *path == log), "{missing:?}");
+    ReplicaLog::create(&log).expect("it is created");
+    ReplicaLog::open(&log).and_then(|mut log| log.append(vec![hard_state(1, 2, 0)])).expect("it is written");
+    let content = std::fs::read(&log).expect("a file");
+    let count = std::fs::read(count_path(&log)).expect("a file");
+    std::fs::write(&log, &content[..content.len() - 1]).expect("it is written");
+    let cut = ReplicaLog::open(&log);
+    assert!(matches!(&cut, Err(Error::MissingFrames { found: 0, counted: 1, .. })), "{cut:?}");
+    std::fs::write(&log, "another file").expect("it is written");
+    let other = ReplicaLog::open(&log);
+    assert!(matches!(&other, Err(Error::UnknownLogFormat { path }) if *path == log), "{other:?}");
+    let frames = [frame::encode(0, &[9]), frame::encode(0, &postcard_bytes(vec![entries(5..=5, 1, 1)]))];
+    let opened = frames.map(|frame| {
+        std::fs::write(&log, [&frame::FORMAT[..], &frame].concat()).expect("it is written");
+        ReplicaLog::open(&log).expect_err("its records cannot be used")
+    });
+    assert!(matches!(&opened[0], Error::Records { path, .. } if *path == log), "{opened:?}");
+    assert!(matches!(&opened[1], Error::UnusableLog { path, .. } if *path == log), "{opened:?}");
+    std::fs::write(&log, &content).expect("it is written");
+    std::fs::write(count_path(&log), &count[1..]).expect("it is written");
+    let count = ReplicaLog::open(&log);
+    let damaged = |path: &PathBuf| *path == count_path(&log);
+    assert!(matches!(&count, Err(Error::DamagedFrameCount { path }) if damaged(path)), "{count:?}");
+}
+
+fn postcard_bytes(records: Vec<LogRecord>) -> Vec<u8> {
+    postcard::to_stdvec(&records).expect("they can be encoded")
+}
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -248,3 +248,6 @@
         ..Config::default()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/replicated_config/src/replica/tests.rs
@@ -0,0 +1,37 @@
+use super::*;
+use crate::log::{HardState, LogEntry, Snapshot};
+
+fn start(id: u64, durable: DurableState) -> Result<Replica, Error> {
+    let replicas: Vec<ReplicaId> = (0..3).map(ReplicaId::from_index).collect();
+    Replica::new(ReplicaId(id), &replicas, durable, 3_000, 0)
+}
+
+fn durable(term: u64, commit: u64, entries: Vec<LogEntry>) -> DurableState {
+    DurableState { hard_state: HardState { term, vote: 0, commit }, entries, ..DurableState::default() }
+}
+
+#[test]
+fn a_replica_that_is_not_configured_does_not_start() {
+    let error = start(4, DurableState::default()).err();
+    assert!(matches!(error, Some(Error::UnknownReplica { id: ReplicaId(4), replica_count: 3 })), "{error:?}");
+}
+
+#[test]
+fn a_log_that_lacks_what_its_hard_state_says_is_refused() {
+    let entry = |term| LogEntry { index: 1, term, data: Vec::new() };
+    assert!(start(1, durable(2, 1, vec![entry(2)])).is_ok());
+    let error = start(1, durable(2, 2, vec![entry(2)])).err();
+    assert!(matches!(error, Some(Error::MissingCommittedEntries { commit: 2, last_index: 1 })), "{error:?}");
+    let error = start(1, durable(2, 1, vec![entry(3)])).err();
+    assert!(
+        matches!(error, Some(Error::EntryOfUnknownTerm { index: 1, entry_term: 3, term: 2 })),
+        "{error:?}"
+    );
+}
+
+#[test]
+fn a_snapshot_that_cannot_be_read_is_refused() {
+    let snapshot = Snapshot { index: 1, term: 1, state: vec![255; 3] };
+    let error = start(1, DurableState { snapshot, ..durable(1, 1, Vec::new()) }).err();
+    assert!(matches!(error, Some(Error::UnreadableSnapshot(_))), "{error:?}");
+}
