--- /dev/null
+++ b/crates/counter/tests/fixtures.rs
@@ -0,0 +1,86 @@
+//! What is exchanged with the quota counter: the bytes in `fixtures/calls.resp` were written by release 0.1 at commit 1461877,
+//! those in `answers.resp` follow the counter's protocol.
+
+use counter::CounterClient;
+use exchange::{CounterCall, QuotaCounter};
+use policy::interface::Outcome;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, channel};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+const CALLS: &[u8] = include_bytes!("fixtures/calls.resp");
+const ANSWERS: &[u8] = include_bytes!("fixtures/answers.resp");
+const TIMEOUT: Duration = Duration::from_secs(20);
+
+type Ended = (u64, Outcome, f64);
+
+/// A client of a stand-in, and how its calls end.
+fn client(listener: &TcpListener) -> (Arc<CounterClient>, Receiver<Ended>) {
+    link::set_up();
+    let (sender, ended) = channel();
+    let sender = Mutex::new(sender);
+    let address = listener.local_addr().expect("an address");
+    let client = CounterClient::new(
+        address,
+        Box::new(move |id, outcome, total| {
+            let _ = sender.lock().expect("no panic").send((id, outcome, total));
+        }),
+    );
+    (client, ended)
+}
+
+/// Calls on one connection: all have names of one lane.
+fn calls() -> Vec<CounterCall> {
+    let all = [
+        (0x0b, -2.5, 4_000_000),
+        (0x0b, 0.0, 0),
+        (0xfedc_ba98_7654_320f, 1.0, 999),
+        (3, 0.1, 30_000_001),
+        (u64::MAX, 1e21, u64::MAX),
+        (7, 1.0 / 3.0, 60_000_000),
+    ];
+    all.iter().zip(1..).map(|(&(name, add, keep), id)| CounterCall { id, name, add, keep }).collect()
+}
+
+fn accept(listener: &TcpListener) -> TcpStream {
+    let stream = listener.accept().expect("a connection").0;
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream
+}
+
+#[test]
+fn calls_are_written_as_before() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let (client, _ended) = client(&listener);
+    calls().into_iter().for_each(|call| client.call(call));
+    let mut written = vec![0; CALLS.len()];
+    accept(&listener).read_exact(&mut written).expect("the calls");
+    assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(CALLS));
+}
+
+#[test]
+fn answers_are_read_as_before_wherever_they_are_cut() {
+    for cut in (0..ANSWERS.len()).step_by(3) {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let (client, ended) = client(&listener);
+        calls().into_iter().for_each(|call| client.call(call));
+        let mut stream = accept(&listener);
+        stream.read_exact(&mut vec![0; CALLS.len()]).expect("the calls");
+        stream.write_all(&ANSWERS[..cut]).expect("the client reads");
+        std::thread::sleep(Duration::from_millis(2));
+        stream.write_all(&ANSWERS[cut..]).expect("the client reads");
+        let next = || ended.recv_timeout(TIMEOUT).expect("it came in time");
+        let all: Vec<Ended> = (0..6).map(|_| next()).collect();
+        let expected = [
+            (1, Outcome::Ok, -5.0),
+            (2, Outcome::Full, 0.0),
+            (3, Outcome::Full, 0.0),
+            (4, Outcome::Ok, 1.5),
+            (5, Outcome::Ok, 1e21),
+            (6, Outcome::Error, 0.0),
+        ];
+        assert_eq!(all, expected, "cut at {cut}");
+    }
+}
