--- /dev/null
+++ b/crates/counter/src/protocol.rs
@@ -0,0 +1,56 @@
+//! The counter's protocol: calls and answers in RESP2.
+
+use exchange::CounterCall;
+use resp::Element;
+
+/// The command that adds to a count and returns the total.
+const COMMAND: &[u8] = b"TALLY";
+/// How long the counter keeps a new count, in milliseconds.
+const RETENTION_RANGE_MS: std::ops::RangeInclusive<u64> = 1..=60_000;
+const MICROS_PER_MS: u64 = 1_000;
+/// What a call takes, as a rule.
+const CALL_BYTES: usize = 96;
+/// First words of the error lines by which the counter says that nothing was added.
+const REJECTIONS: [&[u8]; 2] = [b"BUSY", b"ERR"];
+
+/// What an answer says.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Answer {
+    /// The amount was added; the total.
+    Total(f64),
+    /// Nothing was added.
+    Rejected,
+    /// The amount was added, but the total cannot be read.
+    Unreadable,
+}
+
+/// Encodes a call.
+pub(crate) fn encode(call: &CounterCall) -> Vec<u8> {
+    let name = format!("{:016x}", call.name);
+    let amount = call.add.to_string();
+    let retention_ms =
+        (call.keep / MICROS_PER_MS).clamp(*RETENTION_RANGE_MS.start(), *RETENTION_RANGE_MS.end());
+    let retention = retention_ms.to_string();
+    let mut bytes = Vec::with_capacity(CALL_BYTES);
+    resp::put_command(&mut bytes, &[COMMAND, name.as_bytes(), amount.as_bytes(), retention.as_bytes()]);
+    bytes
+}
+
+/// Reads an answer that lies in this buffer.
+pub(crate) fn interpret(buffer: &[u8], element: &Element) -> Answer {
+    match element {
+        Element::Bulk(range) => total(&buffer[range.clone()]).map_or(Answer::Unreadable, Answer::Total),
+        Element::Error(range) if is_rejection(&buffer[range.clone()]) => Answer::Rejected,
+        _ => Answer::Unreadable,
+    }
+}
+
+fn total(text: &[u8]) -> Option<f64> {
+    let total: f64 = std::str::from_utf8(text).ok()?.trim().parse().ok()?;
+    total.is_finite().then_some(total)
+}
+
+/// Whether an error line says that nothing was added. Any other line is no answer of the counter's.
+fn is_rejection(line: &[u8]) -> bool {
+    line.split(|byte| *byte == b' ').next().is_some_and(|word| REJECTIONS.contains(&word))
+}
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -165,7 +165,7 @@
     let on_served = Some(Box::new(move |number| noted.note(number)) as Box<dyn Fn(u32) + Send + Sync>);
     let pools = Pools::new(HttpDestination { on_served }, limits);
     pools.connect(exchange.clone());
-    let counter = file.quota.counter.map(|at| CounterClient::of(at, exchange.clone()));
+    let counter = file.quota.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
     let calls = counter.clone().map(|c| c as Arc<dyn QuotaCounter>);
     exchange.connect(pools.clone(), calls);
 
@@ -197,7 +197,7 @@
         listed.sweep();
         swept.sweep();
         if let Some(counter) = &counter {
-            counter.sweep();
+            counter.close_silent_connections();
         }
     });
     if let Some(door) = status_door {
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -187,7 +187,7 @@
         tracing::info!("reload: discovery {discovery} {}", config.discovery);
         match (&self.counter, config.counter) {
             (Some(client), Some(at)) => {
-                let counter = if client.move_to(at) { "moved to" } else { "stays at" };
+                let counter = if client.set_address(at) { "moved to" } else { "stays at" };
                 tracing::info!("reload: the counter {counter} {at}");
             }
             (None, Some(at)) => tracing::info!("reload: a counter at {at} is used only after a restart"),
@@ -218,7 +218,7 @@
     let exchange = Exchange::new(settings, config.seed, clock).map_err(|e| e.to_string())?;
     let pools = Pools::new(protocol, limits);
     pools.connect(exchange.clone());
-    let counter = config.counter.map(|at| CounterClient::of(at, exchange.clone()));
+    let counter = config.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
     let calls = counter.clone().map(|c| c as Arc<dyn exchange::QuotaCounter>);
     exchange.connect(pools.clone(), calls);
 
@@ -271,7 +271,7 @@
         swept_front.sweep();
         swept_watch.sweep();
         if let Some(counter) = &swept_counter {
-            counter.sweep();
+            counter.close_silent_connections();
         }
     });
 
