--- /dev/null
+++ b/crates/replicated_config/src/lib.rs
@@ -0,0 +1,39 @@
+//! Replicated configuration without I/O: versions of the settings that several gatekeepers agree on, and leases that say until
+//! when each gatekeeper may act on the version that it knows.
+//!
+//! - [`Replica`] is one of the three or five Raft replicas. It wraps the state machine of the crate `raft`, applies committed
+//!   commands to a [`ConfigState`], and grants leases while it is the leader.
+//! - [`ConfigState`] is the replicated state: the version in force, the proposed version, and the outcome of each proposal.
+//! - [`LeaseClient`] is a gatekeeper's lease on the latest version; [`LeaseTable`] is the leader's record of granted leases.
+//! - [`Message`] is what nodes exchange, and [`DurableState`] what a replica keeps on disk.
+//!
+//! docs/design/agreed.md explains the protocol and its reasons.
+//!
+//! Invariants:
+//!
+//! - The records in [`Ready`] are on disk before any message of the same [`Ready`] is sent. This is the caller's duty.
+//! - Two gatekeepers that hold leases enforce the same version, or one of them also enforces the proposed successor of that
+//!   version, taking the stricter value of each setting.
+//! - Times are milliseconds of the node's own monotonic clock. Clocks of different nodes are never compared.
+//! - Commands, logs, pending requests and recorded outcomes are bounded.
+
+mod error;
+mod ids;
+mod lease;
+mod limits;
+mod log;
+mod message;
+mod raft_message;
+mod raft_storage;
+mod replica;
+mod state;
+
+pub use error::Error;
+pub use ids::{ProposalId, ReplicaId, RequestId};
+pub use lease::{AddressedRequest, LatestVersion, LeaseClient, LeaseTable, RolloutPhase};
+pub use limits::{MAX_MESSAGE_BYTES, MAX_TEXT_BYTES};
+pub use log::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
+pub use message::{LeaseRequest, LeaseResponse, Message, VersionNumbers, VersionTexts};
+pub use raft_message::RaftMessage;
+pub use replica::{Envelope, Progress, Ready, Replica};
+pub use state::{Command, ConfigState, Proposal, ProposalOutcome, Version};
