--- /dev/null
+++ b/crates/cluster/tests/wire_format.rs
@@ -0,0 +1,113 @@
+//! The HTTP requests that runs make, and the text of the status, as an earlier build wrote them; what differs from run to
+//! run (times, ports) is replaced by its kind.
+
+use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
+use membership::seal::Keys;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+use std::time::Duration;
+
+const REQUESTS: &str = include_str!("fixtures/requests.txt");
+const STATUS: &str = include_str!("fixtures/status.txt");
+
+/// Answers each request with 200 and hands its head over.
+fn target() -> (SocketAddr, Receiver<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    let (heads, received): (Sender<String>, _) = channel();
+    thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            let mut head = Vec::new();
+            let mut byte = [0];
+            while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n == 1) {
+                head.push(byte[0]);
+            }
+            let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+            if heads.send(String::from_utf8(head).expect("ASCII")).is_err() {
+                return;
+            }
+        }
+    });
+    (address, received)
+}
+
+/// Replaces each run of digits by N.
+fn without_numbers(text: &str) -> String {
+    let mut out = String::new();
+    for c in text.chars() {
+        match c {
+            '0'..='9' if out.ends_with('N') => {}
+            '0'..='9' => out.push('N'),
+            c => out.push(c),
+        }
+    }
+    out
+}
+
+/// A UDP address that was free a moment ago.
+fn udp_address() -> SocketAddr {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    socket.local_addr().expect("an address")
+}
+
+/// An instance without a store of its own making, whose gossip listens there.
+fn settings(name: &str, listen: SocketAddr, peers: Vec<SocketAddr>, probes: Option<Probes>) -> Settings {
+    let keys = Keys::parse(&"ab".repeat(32)).expect("a key");
+    Settings {
+        name: name.into(),
+        gossip: Some(Gossip { listen, advertise: listen, peers, keys, period: 20, suspect: 1_000 }),
+        store: StoreAt::Local,
+        standbys: 1,
+        skew: 0,
+        clock_offset: 0,
+        runners: 2,
+        probes,
+    }
+}
+
+#[test]
+fn runs_make_the_requests_of_the_earlier_build_and_the_status_reads_alike() {
+    let (address, heads) = target();
+    let probes = Probes {
+        path: "/health".into(),
+        timeout: Duration::from_secs(1),
+        rules: probe::Config { period: 200, down_after: 2, up_after: 2, most_out: 0.5 },
+    };
+    let call = Call {
+        name: "bell".into(),
+        period: 200,
+        url: format!("http://{address}/ring?x=1"),
+        timeout: Duration::from_secs(1),
+    };
+    let listen = udp_address();
+    let first = settings("muscat", listen, Vec::new(), Some(probes));
+    let cluster = Cluster::start(first, vec![call], Box::new(|_| {})).expect("a cluster");
+    cluster.set_fleet(vec![("loans".into(), address)]);
+    let second = settings("salalah", udp_address(), vec![listen], None);
+    let other = Cluster::start(second, Vec::new(), Box::new(|_| {})).expect("a cluster");
+    let mut requests: Vec<String> = Vec::new();
+    while requests.len() < 2 {
+        let head = without_numbers(&heads.recv_timeout(Duration::from_secs(10)).expect("a request"));
+        if !requests.contains(&head) {
+            requests.push(head);
+        }
+    }
+    requests.sort();
+    let requests = requests.concat().replace('\r', "");
+    let mut status = String::new();
+    for _ in 0..100 {
+        thread::sleep(Duration::from_millis(50));
+        status = cluster.ask_report().recv_timeout(Duration::from_secs(1)).expect("a status");
+        let ran = status.matches("token here 1").count() == 2 && status.matches("last round 1").count() == 2;
+        if ran && status.contains("alive") && status.contains("loans  well") {
+            break;
+        }
+    }
+    let status = without_numbers(&status);
+    assert_eq!(requests, REQUESTS);
+    assert_eq!(status, STATUS);
+    other.leave();
+    cluster.leave();
+}
