--- a/Makefile
+++ b/Makefile
@@ -56,7 +56,7 @@
 
 # Shared duties: the model in full, the pure modules up to 300 instances, and real programs. About four minutes.
 proof-duties: build
-	cargo test --release --locked -p claims --test model -- --ignored --nocapture
+	cargo test --release --locked -p job_lease --test model -- --ignored --nocapture
 	target/release/proof-duties-simulated
 	target/release/proof-duties
 
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -93,7 +93,7 @@
     /// Within which it must answer 200 to 299.
     pub timeout: Duration,
     /// Period, thresholds and the share that may be out.
-    pub rules: probe::Config,
+    pub rules: health_check::Config,
 }
 
 /// A duty that is an HTTP call.
@@ -127,9 +127,9 @@
 }
 
 impl Clocks {
-    pub(crate) fn now(&self) -> duties::Now {
+    pub(crate) fn now(&self) -> periodic_jobs::Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        duties::Now {
+        periodic_jobs::Now {
             wall: wall.saturating_add_signed(self.offset.load(Ordering::Relaxed)),
             mono: self.start.elapsed().as_millis() as u64,
         }
--- a/crates/cluster/src/work.rs
+++ b/crates/cluster/src/work.rs
@@ -2,10 +2,10 @@
 
 use crate::brain::{CALL, Event};
 use crate::{Clocks, Settings, StoreAt};
-use claims::consul::{Answer, Keys, Request};
-use claims::{Failure, Listing, Put, Record, Session};
+use job_lease::consul::{Answer, Keys, Request};
+use job_lease::{Failure, Listing, Put, Record, Session};
 use consul::Token;
-use duties::Run;
+use periodic_jobs::Run;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -73,7 +73,7 @@
     let probes = Probes {
         path: "/health".into(),
         timeout: Duration::from_secs(1),
-        rules: probe::Config { period: 200, down_after: 2, up_after: 2, most_out: 0.5 },
+        rules: health_check::Config { period: 200, down_after: 2, up_after: 2, most_out: 0.5 },
     };
     let call = Call {
         name: "bell".into(),
--- a/crates/probe/tests/wire_format.rs
+++ b/crates/health_check/tests/wire_format.rs
@@ -1,6 +1,6 @@
 //! Reports as an earlier build spread them: this build reads them and writes the same bytes.
 
-use probe::Report;
+use health_check::Report;
 
 /// A report a line: its fields, and its bytes in hexadecimal digits.
 const REPORTS: &str = include_str!("fixtures/reports.txt");
--- a/crates/claims/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -1,8 +1,8 @@
 //! The claim protocol, checked exhaustively: three instances whose clocks differ, pauses at any point, answers that are
 //! lost or come late, claims that are applied late, and a store that comes back empty. The steps are the ones that the
-//! program takes (`claims::step`); each guard is also taken out once, and the checker must then find a round run twice.
+//! program takes (`job_lease::step`); each guard is also taken out once, and the checker must then find a round run twice.
 
-use claims::{Found, Held, Record, Step, Want, step};
+use job_lease::{Found, Held, Record, Step, Want, step};
 use stateright::{Checker, Model, Property};
 
 /// Units of time in a round.
--- a/crates/claims/tests/wire_format.rs
+++ b/crates/job_lease/tests/wire_format.rs
@@ -2,8 +2,8 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use claims::consul::{Answer, Keys, Request};
-use claims::{Put, Record, Session};
+use job_lease::consul::{Answer, Keys, Request};
+use job_lease::{Put, Record, Session};
 
 /// The requests of the earlier build: method, target and body, a line each.
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
--- a/crates/duties/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -2,7 +2,7 @@
 
 use crate::ranks::{Members, Top, hash};
 use crate::{Duty, Now, Run, round_at};
-use claims::{Failure, Held, Listing, Put, Record, Session, Step, Want, step};
+use job_lease::{Failure, Held, Listing, Put, Record, Session, Step, Want, step};
 use std::collections::{BTreeSet, HashMap};
 
 /// Failed calls in a row after which the store counts as away.
--- a/crates/duties/src/scheduler_tests.rs
+++ b/crates/periodic_jobs/src/scheduler_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use claims::local::Local;
+use job_lease::local::Local;
 
 const PERIOD: u64 = 1_000;
 
--- a/crates/duties/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -1,9 +1,9 @@
 //! What instances of different builds must agree on: hashes, the order of members, the starts of rounds, and what is
 //! written to the store and when. The fixtures are an earlier build's.
 
-use claims::local::Local;
-use duties::ranks::{Members, Top, hash};
-use duties::{Action, Config, Duty, Now, Scheduler, round_at};
+use job_lease::local::Local;
+use periodic_jobs::ranks::{Members, Top, hash};
+use periodic_jobs::{Action, Config, Duty, Now, Scheduler, round_at};
 
 const ORDER: &str = include_str!("fixtures/order.txt");
 const COURSE: &str = include_str!("fixtures/course.txt");
--- a/crates/simulated/src/lib.rs
+++ b/crates/simulated/src/lib.rs
@@ -1,8 +1,8 @@
 //! A cluster of the pure modules in simulated time: `membership`, `duties` and `claims` as the program drives them, with
 //! a store and a network that can be told to fail. The same seed gives the same course, to the millisecond.
 
-use claims::{Failure, Found, Held, Listing, Put, Record, Session};
-use duties::{Action, Config, Duty, Note, Now, Scheduler};
+use job_lease::{Failure, Found, Held, Listing, Put, Record, Session};
+use periodic_jobs::{Action, Config, Duty, Note, Now, Scheduler};
 use membership::seal::Keys;
 use membership::{Member, Membership, Output};
 use rand::rngs::StdRng;
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -27,7 +27,7 @@
     let probes = file.probe.as_ref().map(|probe| Probes {
         path: probe.path.clone(),
         timeout: Duration::from_millis(probe.timeout_ms),
-        rules: probe::Config {
+        rules: health_check::Config {
             period: probe.period_ms,
             down_after: probe.down_after,
             up_after: probe.up_after,
