--- a/crates/cluster/src/brain.rs
+++ b/crates/cluster/src/brain.rs
@@ -3,12 +3,12 @@
 use crate::tell::Teller;
 use crate::work::{Doing, Outcome, Queue, StoreJob};
 use crate::{Call, Clocks, OnOut, Settings};
+use health_check::{Report, Standing, Verdicts};
 use job_lease::local::Local;
 use job_lease::{Failure, Listing, Put, Record, Session};
-use periodic_jobs::{Action, Config, Duty, Note, Now, Run, Scheduler};
 use membership::seal::Keys;
 use membership::{Member, Membership, Output};
-use health_check::{Report, Standing, Verdicts};
+use periodic_jobs::{Action, Config, Duty, Note, Now, Run, Scheduler};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/cluster/src/work.rs
+++ b/crates/cluster/src/work.rs
@@ -2,9 +2,9 @@
 
 use crate::brain::{CALL, Event};
 use crate::{Clocks, Settings, StoreAt};
+use consul::Token;
 use job_lease::consul::{Answer, Keys, Request};
 use job_lease::{Failure, Listing, Put, Record, Session};
-use consul::Token;
 use periodic_jobs::Run;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/simulated/src/lib.rs
+++ b/crates/simulated/src/lib.rs
@@ -2,9 +2,9 @@
 //! a store and a network that can be told to fail. The same seed gives the same course, to the millisecond.
 
 use job_lease::{Failure, Found, Held, Listing, Put, Record, Session};
-use periodic_jobs::{Action, Config, Duty, Note, Now, Scheduler};
 use membership::seal::Keys;
 use membership::{Member, Membership, Output};
+use periodic_jobs::{Action, Config, Duty, Note, Now, Scheduler};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
