--- a/crates/cluster/src/brain.rs
+++ b/crates/cluster/src/brain.rs
@@ -6,7 +6,7 @@
 use health_check::{Report, Standing, Verdicts};
 use job_lease::local::Local;
 use job_lease::{Failure, Listing, Put, Record, Session};
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use membership::{Member, Membership, Output};
 use periodic_jobs::{Action, Config, Duty, Note, Now, Run, Scheduler};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -35,7 +35,7 @@
     Put(u64, String, Record, Put),
     Ran(Run, Doing, Outcome),
     Calls(Vec<Call>),
-    Keys(Keys),
+    Keys(Keyring),
     Fleet(Vec<(String, SocketAddr)>),
     Report(SyncSender<String>),
     Leave(SyncSender<()>),
@@ -95,18 +95,19 @@
             start: start ^ rand::random::<u64>(),
         });
         let membership = settings.gossip.as_ref().map(|gossip| {
-            let me = Member { address: gossip.advertise, name: settings.name.clone(), generation: start };
+            let local_member =
+                Member { address: gossip.advertise, name: settings.name.clone(), generation: start };
             let config = membership::Config {
-                me,
-                peers: gossip.peers.clone(),
-                probe: gossip.period * 4,
-                answer: gossip.period,
-                suspect: gossip.suspect,
-                gossip: gossip.period,
-                join: gossip.period * 10,
-                most_members: 1_024,
-                most_topics: 16_384,
-                seed: rand::random(),
+                local_member,
+                seed_peers: gossip.peers.clone(),
+                probe_period_ms: gossip.period * 4,
+                probe_timeout_ms: gossip.period,
+                suspicion_timeout_ms: gossip.suspect,
+                gossip_period_ms: gossip.period,
+                join_period_ms: gossip.period * 10,
+                max_members: 1_024,
+                max_topics: 16_384,
+                rng_seed: rand::random(),
             };
             Membership::new(config, gossip.keys.clone())
         });
@@ -141,7 +142,7 @@
             self.tick(now);
             let now = self.clocks.now();
             let due = self.scheduler.next_due().map_or(LOOK, |at| at.saturating_sub(now.wall)).min(LOOK);
-            let gossip = self.membership.as_ref().map_or(LOOK, |m| m.next_due().saturating_sub(now.mono));
+            let gossip = self.membership.as_ref().map_or(LOOK, |m| m.next_tick_ms().saturating_sub(now.mono));
             match inbox.recv_timeout(Duration::from_millis(due.min(gossip))) {
                 Ok(event) => self.take(event),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -176,8 +177,8 @@
             Event::Datagram(bytes) => {
                 let Some(membership) = &mut self.membership else { return };
                 let mut out = Vec::new();
-                membership.datagram(now.mono, &bytes, &mut out);
-                let strange = membership.counts().strange;
+                membership.handle_datagram(now.mono, &bytes, &mut out);
+                let strange = membership.counts().authentication_failures;
                 if strange > self.strange {
                     self.strange = strange;
                     if let Some(more) = self.teller.may("strange", now.mono) {
@@ -198,7 +199,7 @@
             Event::Calls(calls) => self.take_calls(calls),
             Event::Keys(keys) => {
                 if let Some(membership) = &mut self.membership {
-                    membership.set_keys(keys);
+                    membership.set_keyring(keys);
                 }
             }
             Event::Fleet(fleet) => {
@@ -244,21 +245,21 @@
         let mut changed = false;
         for output in outputs {
             match output {
-                Output::Send(to, bytes) => {
+                Output::SendDatagram { to, bytes } => {
                     if let Some(socket) = &self.socket {
                         // What is not sent is like what is lost on the way.
                         let _ = socket.send_to(&bytes, to);
                     }
                 }
-                Output::Changed => changed = true,
-                Output::News { topic, body, .. } => {
+                Output::MembersChanged => changed = true,
+                Output::Broadcast { topic, body, .. } => {
                     if let (Some(id), Some(verdicts), Some(report)) =
                         (topic.strip_prefix(PROBE), &mut self.verdicts, Report::read(&body))
                     {
                         verdicts.heard(id, report, now.mono);
                     }
                 }
-                Output::Returned(_) => {
+                Output::Rejoined { .. } => {
                     if let Some(more) = self.teller.may("returned", now.mono) {
                         tracing::warn!(
                             "cluster: the others had taken this instance for dead; it is back{more}"
@@ -268,10 +269,10 @@
             }
         }
         if changed && let Some(membership) = &self.membership {
-            let living = membership.living();
+            let living = membership.alive_names();
             let (count, names) = (living.len(), living.join(" "));
             tracing::info!(count, names, "cluster: {count} members live: {names}");
-            let twins = membership.twins();
+            let twins = membership.duplicate_names();
             if twins != self.twins && !twins.is_empty() {
                 let names = twins.join(" ");
                 tracing::warn!(
@@ -385,7 +386,7 @@
                 }
                 if let Some(membership) = &mut self.membership {
                     let mut out = Vec::new();
-                    membership.tell(now.mono, &run.duty, report.round, &report.put(), &mut out);
+                    membership.broadcast(now.mono, &run.duty, report.round, &report.put(), &mut out);
                     self.gossip(now, out);
                 }
                 self.look_at_verdicts(now);
@@ -488,15 +489,15 @@
             let _ = writeln!(
                 out,
                 "  gossip sent {} ({} bytes)  taken {}  wrong key {}  unusable {}  no room {}",
-                counts.sent,
-                counts.sent_bytes,
-                counts.taken,
-                counts.strange,
-                counts.unusable,
-                counts.over + self.dropped.load(Ordering::Relaxed)
+                counts.datagrams_sent,
+                counts.bytes_sent,
+                counts.datagrams_accepted,
+                counts.authentication_failures,
+                counts.malformed,
+                counts.over_capacity + self.dropped.load(Ordering::Relaxed)
             );
             let _ = writeln!(out, "  {}  this instance", self.settings.name);
-            for (member, lives) in membership.members() {
+            for membership::MemberStatus { member, alive: lives } in membership.members() {
                 let state = if lives { "alive" } else { "down" };
                 let _ = writeln!(
                     out,
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -11,7 +11,7 @@
 mod tell;
 mod work;
 
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -60,7 +60,7 @@
     /// Where others may be found.
     pub peers: Vec<SocketAddr>,
     /// What seals the datagrams.
-    pub keys: Keys,
+    pub keys: Keyring,
     /// Milliseconds between two rounds of gossip.
     pub period: u64,
     /// Milliseconds from suspicion to giving a member up.
@@ -168,7 +168,7 @@
     }
 
     /// Takes other keys.
-    pub fn set_keys(&self, keys: Keys) {
+    pub fn set_keys(&self, keys: Keyring) {
         self.post(Event::Keys(keys));
     }
 
--- a/crates/cluster/src/net.rs
+++ b/crates/cluster/src/net.rs
@@ -13,10 +13,10 @@
 pub(crate) fn hear(socket: Arc<UdpSocket>, events: SyncSender<Event>, dropped: Arc<AtomicU64>) {
     thread::spawn(move || {
         // One byte more, so that what is too large is seen to be.
-        let mut buffer = vec![0; membership::LARGEST + 1];
+        let mut buffer = vec![0; membership::MAX_DATAGRAM_BYTES + 1];
         loop {
             match socket.recv(&mut buffer) {
-                Ok(n) if n <= membership::LARGEST => {
+                Ok(n) if n <= membership::MAX_DATAGRAM_BYTES => {
                     if !offer(&events, &dropped, buffer[..n].to_vec()) {
                         return;
                     }
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -2,7 +2,7 @@
 //! run (times, ports) is replaced by its kind.
 
 use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -54,7 +54,7 @@
 
 /// An instance without a store of its own making, whose gossip listens there.
 fn settings(name: &str, listen: SocketAddr, peers: Vec<SocketAddr>, probes: Option<Probes>) -> Settings {
-    let keys = Keys::parse(&"ab".repeat(32)).expect("a key");
+    let keys = Keyring::parse(&"ab".repeat(32)).expect("a key");
     Settings {
         name: name.into(),
         gossip: Some(Gossip { listen, advertise: listen, peers, keys, period: 20, suspect: 1_000 }),
--- /dev/null
+++ b/crates/membership/src/bulk_failure/tests.rs
@@ -0,0 +1,88 @@
+//! When dissemination is active, and what is sent then.
+
+use super::*;
+
+fn record(dissemination: &mut BulkFailureDissemination, now_ms: u64, fingerprint: u64) {
+    dissemination.record_failure(now_ms, MemberFingerprint(fingerprint));
+}
+
+#[test]
+fn it_is_active_while_many_are_suspected_or_have_failed_and_digests_agree_on_the_same_failures() {
+    let mut one = BulkFailureDissemination::new(100, 1_000);
+    assert_eq!(one.poll(0, 2, 6), None, "two are few");
+    assert_eq!(one.poll(100, 61, 1_000), None, "61 of 1,000 are what losses bring");
+    assert_eq!(one.poll(200, 62, 1_000), Some(0));
+    assert_eq!(one.poll(250, 500, 1_000), None, "once in a period");
+    let mut two = BulkFailureDissemination::new(100, 1_000);
+    (0..500).for_each(|member| record(&mut one, 300, member * 7919 + 1));
+    (0..500).rev().for_each(|member| record(&mut two, 400, member * 7919 + 1));
+    let digest = one.poll(400, 0, 500);
+    assert!(digest.is_some() && digest == two.poll(400, 0, 500));
+    assert_eq!(one.poll(2_400, 0, 500), None, "no failure for two suspicion timeouts");
+}
+
+#[test]
+fn it_rests_after_a_while_whatever_is_suspected_or_received() {
+    let mut dissemination = BulkFailureDissemination::new(100, 1_000);
+    let active = (0..400).filter(|period| {
+        let now_ms = period * 100;
+        dissemination.reply_to_digest(now_ms, 1, 0);
+        dissemination.poll(now_ms, 500, 1_000).is_some()
+    });
+    assert_eq!(active.count(), 100, "ten seconds");
+    assert_eq!(dissemination.poll(40_000, 0, 1_000), None);
+    assert!(dissemination.poll(40_100, 500, 1_000).is_some(), "and again when it was over");
+}
+
+#[test]
+fn a_reply_is_bounded_and_sent_only_where_the_digests_differ() {
+    let mut dissemination = BulkFailureDissemination::new(100, 1_000);
+    (1..=1_000).for_each(|member| record(&mut dissemination, 0, member));
+    let digest = dissemination.poll(0, 0, 1_000).expect("it is active");
+    assert!(dissemination.reply_to_digest(0, digest, 0).is_empty());
+    let reply = dissemination.reply_to_digest(0, 0, 990);
+    assert_eq!(reply.len(), MAX_MESSAGES_PER_REPLY);
+    let datagram_bytes = |message: &Message| message.encode().len() + crate::authentication::OVERHEAD_BYTES;
+    assert!(reply.iter().all(|message| datagram_bytes(message) <= crate::MAX_DATAGRAM_BYTES));
+    (1..MAX_REPLIES_PER_PERIOD).for_each(|_| assert!(!dissemination.reply_to_digest(0, 0, 0).is_empty()));
+    assert!(dissemination.reply_to_digest(0, 0, 0).is_empty(), "no more than so many in a period");
+    dissemination.poll(100, 0, 1_000);
+    assert!(!dissemination.reply_to_digest(100, 0, 0).is_empty());
+}
+
+#[test]
+fn only_probes_are_hurried() {
+    let mut dissemination = BulkFailureDissemination::new(100, 1_000);
+    let probe = Timer::SendIndirectProbe {
+        probed_id: Member { address: ([127, 0, 0, 1], 1).into(), name: "a".into(), generation: 1 },
+        token: 0,
+    };
+    assert_eq!(dissemination.timer_delay_ms(0, 400, &probe), 400);
+    dissemination.poll(0, 100, 100);
+    assert_eq!(dissemination.timer_delay_ms(1, 400, &probe), 100);
+    assert_eq!(dissemination.timer_delay_ms(1, 400, &Timer::PeriodicGossip(0)), 400);
+}
+
+/// A payload of the earlier build, from the fixtures of the wire format.
+fn payload(kind: &str) -> Vec<u8> {
+    let line = include_str!("../../tests/fixtures/datagrams.txt")
+        .lines()
+        .find_map(|line| line.strip_prefix(kind)?.strip_prefix(' '))
+        .expect("a datagram of this kind");
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
+    let datagram: Vec<u8> = line.as_bytes().chunks(2).map(|pair| byte(pair).expect("hexadecimal")).collect();
+    datagram[crate::authentication::OVERHEAD_BYTES..].to_vec()
+}
+
+#[test]
+fn messages_of_the_earlier_build_are_decoded_and_encoded_alike() {
+    for kind in ["bulk-failure-digest", "bulk-failure-list"] {
+        let payload = payload(kind);
+        let message = Message::decode(&payload).expect("of this kind").expect("a message");
+        assert_eq!(matches!(message, Message::Digest { .. }), kind == "bulk-failure-digest");
+        assert_eq!(message.encode(), payload, "{kind}");
+        for end in 1..payload.len() {
+            assert!(Message::decode(&payload[..end]).expect("of this kind").is_err(), "cut at {end}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/membership.rs
@@ -0,0 +1,311 @@
+//! One instance's view of the cluster.
+
+use crate::authentication::Keyring;
+use crate::bulk_failure::{self, BulkFailureDissemination, MemberFingerprint};
+use crate::swim::{PendingTimer, Swim, SwimEffects};
+use crate::topics::{Broadcast, SharedTopics};
+use crate::{Config, Counts, MAX_DATAGRAM_BYTES, Member, MemberStatus, Output};
+use foca::{Foca, PostcardCodec};
+use rand::rngs::StdRng;
+use rand::seq::IteratorRandom;
+use rand::{RngExt, SeedableRng};
+use std::collections::{BinaryHeap, HashSet};
+use std::net::SocketAddr;
+
+/// The size limit of an encoded broadcast, so that two fit into one datagram.
+const MAX_BROADCAST_BYTES: usize = MAX_DATAGRAM_BYTES / 2;
+/// Join periods between two attempts to join while this instance sees other members.
+const JOIN_PERIODS_WITH_MEMBERS: u64 = 10;
+
+/// One instance's view of which members are alive.
+///
+/// Times are milliseconds of the driver's monotonic clock. Outputs are appended to the vector that a call is given.
+pub struct Membership {
+    swim: Swim,
+    topics: SharedTopics,
+    keyring: Keyring,
+    config: Config,
+    bulk_failure: BulkFailureDissemination,
+    rng: StdRng,
+    timers: BinaryHeap<PendingTimer>,
+    timer_sequence: u64,
+    next_join_ms: u64,
+    counts: Counts,
+    left: bool,
+}
+
+impl Membership {
+    /// An instance that knows no other member yet. Its first [`Membership::tick`] contacts the seed peers.
+    pub fn new(config: Config, keyring: Keyring) -> Self {
+        let topics = SharedTopics::new(config.max_topics);
+        let mut swim_rng = StdRng::seed_from_u64(config.rng_seed);
+        let rng = StdRng::from_rng(&mut swim_rng);
+        let local_member = config.local_member.clone();
+        let swim =
+            Foca::with_custom_broadcast(local_member, config.swim(), swim_rng, PostcardCodec, topics.clone());
+        Self {
+            swim,
+            topics,
+            keyring,
+            bulk_failure: BulkFailureDissemination::new(config.gossip_period_ms, config.suspicion_timeout_ms),
+            rng,
+            config,
+            timers: BinaryHeap::new(),
+            timer_sequence: 0,
+            next_join_ms: 0,
+            counts: Counts::default(),
+            left: false,
+        }
+    }
+
+    /// The names of the live members, including this instance, sorted and without duplicates.
+    pub fn alive_names(&self) -> Vec<String> {
+        let mut names: Vec<String> =
+            self.swim.iter_members().map(|member| member.id().name.clone()).collect();
+        names.push(self.config.local_member.name.clone());
+        names.sort_unstable();
+        names.dedup();
+        names
+    }
+
+    /// The gossip addresses of the live members, excluding this instance.
+    pub fn alive_addresses(&self) -> impl Iterator<Item = SocketAddr> {
+        self.swim.iter_members().map(|member| member.id().address)
+    }
+
+    /// Names that more than one live member has, including this instance. Whoever works by names counts these as one.
+    pub fn duplicate_names(&self) -> Vec<String> {
+        let others = self.swim.iter_members().map(|member| &member.id().name);
+        let mut names: Vec<&String> = others.chain([&self.config.local_member.name]).collect();
+        names.sort_unstable();
+        let duplicates = names.windows(2).filter(|pair| pair[0] == pair[1]).map(|pair| pair[0].clone());
+        let mut duplicates: Vec<String> = duplicates.collect();
+        duplicates.dedup();
+        duplicates
+    }
+
+    /// How many members are alive, including this instance.
+    pub fn alive_count(&self) -> usize {
+        self.swim.num_members() + 1
+    }
+
+    /// All known members, excluding this instance, sorted by name.
+    pub fn members(&self) -> Vec<MemberStatus> {
+        let mut members: Vec<MemberStatus> = self
+            .swim
+            .iter_membership_state()
+            .map(|state| MemberStatus {
+                member: state.id().clone(),
+                alive: state.state() != foca::State::Down,
+            })
+            .collect();
+        members.sort_by(|a, b| a.member.name.cmp(&b.member.name));
+        members
+    }
+
+    /// The counters so far.
+    pub fn counts(&self) -> Counts {
+        let over_capacity = self.counts.over_capacity + self.topics.lock().over_capacity();
+        Counts { over_capacity, ..self.counts }
+    }
+
+    /// Uses another keyring from now on.
+    pub fn set_keyring(&mut self, keyring: Keyring) {
+        self.keyring = keyring;
+    }
+
+    /// When [`Membership::tick`] is to be called next.
+    pub fn next_tick_ms(&self) -> u64 {
+        let timer = self.timers.peek().map_or(self.next_join_ms, |timer| timer.due_ms.min(self.next_join_ms));
+        timer.min(self.bulk_failure.next_poll_ms())
+    }
+
+    /// Does what is due.
+    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+        if self.left {
+            return;
+        }
+        if now_ms >= self.next_join_ms {
+            self.join(now_ms, out);
+        }
+        while self.timers.peek().is_some_and(|timer| timer.due_ms <= now_ms) {
+            let Some(pending) = self.timers.pop() else { break };
+            self.call_swim(now_ms, out, |swim, effects| swim.handle_timer(pending.timer, effects));
+        }
+        if now_ms >= self.bulk_failure.next_poll_ms() {
+            self.disseminate_bulk_failure(now_ms, out);
+        }
+    }
+
+    /// Announces this instance to the seed peers that it does not see alive.
+    fn join(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+        // Often while alone, and now and then later: a partition that outlasts all memory heals by this.
+        let alone = self.swim.num_members() == 0;
+        let periods = if alone { 1 } else { JOIN_PERIODS_WITH_MEMBERS };
+        self.next_join_ms = now_ms + self.config.join_period_ms * periods;
+        let alive: Vec<SocketAddr> = self.alive_addresses().collect();
+        for address in self.config.seed_peers.clone() {
+            if address != self.config.local_member.address && !alive.contains(&address) {
+                let peer = Member { address, name: String::new(), generation: 0 };
+                self.call_swim(now_ms, out, |swim, effects| swim.announce(peer, effects));
+            }
+        }
+    }
+
+    /// Sends the digest of the known failures to a random member while bulk dissemination is active.
+    fn disseminate_bulk_failure(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+        let states = self.swim.iter_membership_state();
+        let suspects = states.filter(|state| state.state() == foca::State::Suspect).count();
+        if let Some(digest) = self.bulk_failure.poll(now_ms, suspects, self.swim.num_members())
+            && let Some(to) = self.swim.iter_members().choose(&mut self.rng).map(|member| member.id().address)
+        {
+            let reply_to = self.config.local_member.address;
+            self.send(to, &bulk_failure::Message::Digest { reply_to, digest }.encode(), out);
+        }
+    }
+
+    /// Handles a received datagram.
+    pub fn handle_datagram(&mut self, now_ms: u64, bytes: &[u8], out: &mut Vec<Output>) {
+        if self.left {
+            return;
+        }
+        let Some(payload) = self.keyring.verify(bytes) else {
+            self.counts.authentication_failures += 1;
+            return;
+        };
+        if let Some(message) = bulk_failure::Message::decode(payload) {
+            match message {
+                Ok(message) => {
+                    self.counts.datagrams_accepted += 1;
+                    self.handle_bulk_failure(now_ms, message, out);
+                }
+                Err(_) => self.counts.malformed += 1,
+            }
+            return;
+        }
+        if self.swim.iter_membership_state().len() >= self.config.max_members {
+            self.counts.over_capacity += 1;
+            // The state machine would remember each new sender, so beyond the bound only known ones are heard.
+            if !self.is_from_known_member(payload) {
+                return;
+            }
+        }
+        self.counts.datagrams_accepted += 1;
+        self.call_swim(now_ms, out, |swim, effects| swim.handle_data(payload, effects));
+    }
+
+    /// Whether a gossip payload, which begins with its sender, is from a known address.
+    fn is_from_known_member(&self, payload: &[u8]) -> bool {
+        postcard::take_from_bytes::<Member>(payload).is_ok_and(|(sender, _)| {
+            self.swim.iter_membership_state().any(|state| state.id().address == sender.address)
+        })
+    }
+
+    fn handle_bulk_failure(&mut self, now_ms: u64, message: bulk_failure::Message, out: &mut Vec<Output>) {
+        match message {
+            bulk_failure::Message::Digest { reply_to, digest } => {
+                let offset = self.rng.random_range(0..usize::MAX);
+                for reply in self.bulk_failure.reply_to_digest(now_ms, digest, offset) {
+                    self.send(reply_to, &reply.encode(), out);
+                }
+            }
+            bulk_failure::Message::FailedMembers(fingerprints) => {
+                let fingerprints: HashSet<MemberFingerprint> =
+                    fingerprints.into_iter().map(MemberFingerprint::from_bytes).collect();
+                let alive = self.swim.iter_members().map(|member| member.id());
+                let failed: Vec<foca::Member<Member>> = alive
+                    .chain([&self.config.local_member])
+                    .filter(|member| fingerprints.contains(&MemberFingerprint::of(member)))
+                    .map(|member| foca::Member::down(member.clone()))
+                    .collect();
+                // Disseminated further in the same way, not once more by the gossip.
+                self.call_swim(now_ms, out, |swim, effects| {
+                    swim.apply_many(failed.into_iter(), false, effects)
+                });
+            }
+        }
+    }
+
+    /// Broadcasts a new version of a topic. A version that is not newer than the known one, and a message that exceeds
+    /// half a datagram, are ignored.
+    pub fn broadcast(&mut self, now_ms: u64, topic: &str, version: u64, body: &[u8], out: &mut Vec<Output>) {
+        let broadcast = Broadcast { topic: topic.to_owned(), version, body: body.to_vec() };
+        if let Ok(encoded) = postcard::to_stdvec(&broadcast)
+            && encoded.len() < MAX_BROADCAST_BYTES
+        {
+            self.call_swim(now_ms, out, |swim, _| swim.add_broadcast(&encoded).map(|_| ()));
+            // The first hop at once; the rest travels with the gossip.
+            self.call_swim(now_ms, out, |swim, effects| swim.broadcast(effects));
+        }
+    }
+
+    /// Forgets the topics that `keep` rejects.
+    pub fn retain_topics(&mut self, keep: impl Fn(&str) -> bool) {
+        self.topics.lock().retain(keep);
+    }
+
+    /// Announces that this instance leaves. From then on it neither sends nor handles anything.
+    pub fn leave(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+        if !self.left {
+            self.call_swim(now_ms, out, |swim, effects| swim.leave_cluster(effects));
+            self.left = true;
+        }
+    }
+
+    /// Calls the state machine and carries out its effects.
+    fn call_swim(
+        &mut self,
+        now_ms: u64,
+        out: &mut Vec<Output>,
+        call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
+    ) {
+        let mut effects = SwimEffects::default();
+        // An error concerns this one datagram: what preceded the error in it has been applied.
+        if call(&mut self.swim, &mut effects).is_err() {
+            self.counts.malformed += 1;
+        }
+        for request in effects.timers {
+            self.timer_sequence += 1;
+            let delay_ms = self.bulk_failure.timer_delay_ms(now_ms, request.delay_ms, &request.timer);
+            let (due_ms, sequence) = (now_ms + delay_ms, self.timer_sequence);
+            self.timers.push(PendingTimer { due_ms, sequence, timer: request.timer });
+        }
+        for outgoing in effects.payloads {
+            self.send(outgoing.to, &outgoing.payload, out);
+        }
+        for fingerprint in effects.failed {
+            self.bulk_failure.record_failure(now_ms, fingerprint);
+        }
+        let received = self.topics.lock().take_received();
+        for Broadcast { topic, version, body } in received {
+            out.push(Output::Broadcast { topic, version, body });
+        }
+        if let Some(generation) = effects.rejoined {
+            self.config.local_member.generation = generation;
+            out.push(Output::Rejoined { generation });
+        }
+        if effects.members_changed {
+            out.push(Output::MembersChanged);
+        }
+    }
+
+    /// Authenticates and sends a payload.
+    fn send(&mut self, to: SocketAddr, payload: &[u8], out: &mut Vec<Output>) {
+        let bytes = self.keyring.sign(payload);
+        self.counts.datagrams_sent += 1;
+        self.counts.bytes_sent += bytes.len() as u64;
+        out.push(Output::SendDatagram { to, bytes });
+    }
+}
+
+impl std::fmt::Debug for Membership {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Membership")
+            .field("local_member", &self.config.local_member)
+            .field("counts", &self.counts)
+            .finish_non_exhaustive()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -5,7 +5,7 @@
 //! where an update of these changes it, the datagrams of the old build must still be accepted.
 
 use foca::{Codec, Header, Message, PostcardCodec};
-use membership::seal::{Keys, OVERHEAD};
+use membership::authentication::{Keyring, OVERHEAD_BYTES};
 use membership::{Config, Member, Membership, Output};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 /// The first byte of what is sent about bulk failures; the gossip's own payloads begin with 0 or 1.
 const BULK_FAILURE: u8 = 0xFF;
 
-fn keys() -> Keys {
-    Keys::parse(&"0123456789abcdef".repeat(4)).expect("a key")
+fn keyring() -> Keyring {
+    Keyring::parse(&"0123456789abcdef".repeat(4)).expect("a key")
 }
 
 fn address(i: usize) -> SocketAddr {
@@ -26,62 +26,66 @@
 
 fn member(i: usize) -> Membership {
     let config = Config {
-        me: Member { address: address(i), name: format!("m{i}"), generation: 1_800_000_000_000 + i as u64 },
-        peers: vec![address(0), address(1)],
-        probe: 200,
-        answer: 60,
-        suspect: 400,
-        gossip: 50,
-        join: 200,
-        most_members: 32,
-        most_topics: 8,
-        seed: i as u64,
+        local_member: Member {
+            address: address(i),
+            name: format!("m{i}"),
+            generation: 1_800_000_000_000 + i as u64,
+        },
+        seed_peers: vec![address(0), address(1)],
+        probe_period_ms: 200,
+        probe_timeout_ms: 60,
+        suspicion_timeout_ms: 400,
+        gossip_period_ms: 50,
+        join_period_ms: 200,
+        max_members: 32,
+        max_topics: 8,
+        rng_seed: i as u64,
     };
-    Membership::new(config, keys())
+    Membership::new(config, keyring())
 }
 
 /// Eight members whose datagrams arrive at once and in order; all that they send is kept.
-struct Net {
-    now: u64,
+struct Network {
+    now_ms: u64,
     members: Vec<Option<Membership>>,
     sent: Vec<Vec<u8>>,
-    /// Those that hear nothing at present.
+    /// Members that receive nothing at present.
     paused: Vec<usize>,
-    /// 0 and 1 do not hear each other.
-    apart: bool,
+    /// Datagrams between members 0 and 1 are lost.
+    partitioned: bool,
 }
 
-impl Net {
+impl Network {
     fn new() -> Self {
         let members = (0..MEMBERS).map(|i| Some(member(i))).collect();
-        Self { now: 0, members, sent: Vec::new(), paused: Vec::new(), apart: false }
+        Self { now_ms: 0, members, sent: Vec::new(), paused: Vec::new(), partitioned: false }
     }
 
     fn call(&mut self, i: usize, action: impl FnOnce(&mut Membership, u64, &mut Vec<Output>)) {
         let mut queue = VecDeque::new();
         let mut out = Vec::new();
         if let Some(member) = &mut self.members[i] {
-            action(member, self.now, &mut out);
+            action(member, self.now_ms, &mut out);
         }
         queue.extend(out.into_iter().map(|output| (i, output)));
         while let Some((from, output)) = queue.pop_front() {
-            let Output::Send(to, bytes) = output else { continue };
+            let Output::SendDatagram { to, bytes } = output else { continue };
             let to = usize::from(to.port() - 7000);
             self.sent.push(bytes.clone());
-            let unheard = self.paused.contains(&to) || (self.apart && from + to == 1);
+            let lost = self.paused.contains(&to) || (self.partitioned && from + to == 1);
             if let Some(Some(member)) = self.members.get_mut(to)
-                && !unheard
+                && !lost
             {
                 let mut out = Vec::new();
-                member.datagram(self.now, &bytes, &mut out);
+                member.handle_datagram(self.now_ms, &bytes, &mut out);
                 queue.extend(out.into_iter().map(|output| (to, output)));
             }
         }
     }
 
-    fn pass(&mut self, span: u64) {
-        for _ in 0..span / 10 {
-            self.now += 10;
+    fn advance(&mut self, span_ms: u64) {
+        for _ in 0..span_ms / 10 {
+            self.now_ms += 10;
             for i in (0..MEMBERS).filter(|i| !self.paused.contains(i)).collect::<Vec<_>>() {
                 self.call(i, |member, now, out| member.tick(now, out));
             }
@@ -91,21 +95,21 @@
 
 /// All datagrams of a course in which each kind of message is sent.
 fn course() -> Vec<Vec<u8>> {
-    let mut net = Net::new();
-    net.pass(1_000);
-    net.call(2, |member, now, out| member.tell(now, "probe/loans-1", 7, b"down", out));
-    net.apart = true;
-    net.pass(2_000);
-    net.apart = false;
-    net.paused = vec![3];
-    net.pass(2_000);
-    net.paused.clear();
-    net.pass(1_000);
-    (4..MEMBERS).for_each(|i| net.members[i] = None);
-    net.pass(2_000);
-    net.call(3, |member, now, out| member.leave(now, out));
-    net.pass(200);
-    net.sent
+    let mut network = Network::new();
+    network.advance(1_000);
+    network.call(2, |member, now, out| member.broadcast(now, "probe/loans-1", 7, b"down", out));
+    network.partitioned = true;
+    network.advance(2_000);
+    network.partitioned = false;
+    network.paused = vec![3];
+    network.advance(2_000);
+    network.paused.clear();
+    network.advance(1_000);
+    (4..MEMBERS).for_each(|i| network.members[i] = None);
+    network.advance(2_000);
+    network.call(3, |member, now, out| member.leave(now, out));
+    network.advance(200);
+    network.sent
 }
 
 fn kind(payload: &[u8]) -> String {
@@ -154,7 +158,7 @@
     let sent = course();
     let mut first: BTreeMap<String, &[u8]> = BTreeMap::new();
     for datagram in &sent {
-        first.entry(kind(&datagram[OVERHEAD..])).or_insert(datagram);
+        first.entry(kind(&datagram[OVERHEAD_BYTES..])).or_insert(datagram);
     }
     let datagrams: String = first.iter().map(|(kind, bytes)| format!("{kind} {}\n", hex(bytes))).collect();
     let all = sent.concat();
@@ -169,15 +173,15 @@
     let fixtures = fixtures();
     assert_eq!(fixtures.len(), 13, "one of each kind");
     for (kind, datagram) in fixtures {
-        let payload = keys().open(&datagram).unwrap_or_else(|| panic!("{kind} is not authentic"));
-        assert_eq!(keys().seal(payload), datagram, "{kind}");
+        let payload = keyring().verify(&datagram).unwrap_or_else(|| panic!("{kind} is not authentic"));
+        assert_eq!(keyring().sign(payload), datagram, "{kind}");
     }
 }
 
 #[test]
 fn each_gossip_header_of_the_earlier_build_is_decoded_and_encoded_alike() {
     for (name, datagram) in fixtures() {
-        let payload = &datagram[OVERHEAD..];
+        let payload = &datagram[OVERHEAD_BYTES..];
         if payload[0] == BULK_FAILURE {
             continue;
         }
@@ -194,20 +198,24 @@
     for (kind, datagram) in fixtures() {
         let mut receiver = member(0);
         let mut out = Vec::new();
-        receiver.datagram(0, &datagram, &mut out);
+        receiver.handle_datagram(0, &datagram, &mut out);
         let counts = receiver.counts();
-        assert_eq!((counts.taken, counts.strange), (1, 0), "{kind}: {counts:?}");
+        assert_eq!((counts.datagrams_accepted, counts.authentication_failures), (1, 0), "{kind}: {counts:?}");
         for i in 0..datagram.len() {
             let mut damaged = datagram.clone();
             damaged[i] ^= 0x40;
-            receiver.datagram(0, &damaged, &mut out);
-            receiver.datagram(0, &datagram[..i], &mut out);
+            receiver.handle_datagram(0, &damaged, &mut out);
+            receiver.handle_datagram(0, &datagram[..i], &mut out);
         }
         let counts = receiver.counts();
-        assert_eq!((counts.taken, counts.strange), (1, 2 * datagram.len() as u64), "{kind}: {counts:?}");
+        assert_eq!(
+            (counts.datagrams_accepted, counts.authentication_failures),
+            (1, 2 * datagram.len() as u64),
+            "{kind}: {counts:?}"
+        );
         // Authentic, but cut: nothing may panic.
-        for i in OVERHEAD..datagram.len() {
-            receiver.datagram(0, &keys().seal(&datagram[OVERHEAD..i]), &mut out);
+        for i in OVERHEAD_BYTES..datagram.len() {
+            receiver.handle_datagram(0, &keyring().sign(&datagram[OVERHEAD_BYTES..i]), &mut out);
         }
     }
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -11,7 +11,7 @@
 
 use agreed::{Asker, Voter};
 use disk::Disk;
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use net::Seal;
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -49,7 +49,7 @@
     /// The voters, in the same order everywhere.
     pub voters: Vec<Named>,
     /// The keys that seal the words.
-    pub keys: Keys,
+    pub keys: Keyring,
     /// The log of a voter.
     pub log: PathBuf,
     /// T, in ms.
@@ -120,7 +120,7 @@
     }
 
     /// Takes other keys.
-    pub fn set_keys(&self, keys: Keys) {
+    pub fn set_keys(&self, keys: Keyring) {
         self.seal.set(keys);
     }
 
@@ -475,8 +475,8 @@
     /// Longer than anything here may take.
     const LONG: Duration = Duration::from_secs(20);
 
-    fn keys() -> Keys {
-        Keys::parse(&"ab".repeat(32)).expect("a key")
+    fn keys() -> Keyring {
+        Keyring::parse(&"ab".repeat(32)).expect("a key")
     }
 
     struct Folder(PathBuf);
--- a/crates/quorum/src/net.rs
+++ b/crates/quorum/src/net.rs
@@ -4,7 +4,7 @@
 use crate::Event;
 use crate::disk::read_frame;
 use agreed::{MOST_BYTES, Word};
-use membership::seal::{Keys, OVERHEAD};
+use membership::authentication::{Keyring, OVERHEAD_BYTES};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -24,32 +24,32 @@
 
 /// Keys that can be changed while words are sealed.
 #[derive(Clone)]
-pub(crate) struct Seal(Arc<Mutex<Keys>>);
+pub(crate) struct Seal(Arc<Mutex<Keyring>>);
 
 impl Seal {
-    pub(crate) fn new(keys: Keys) -> Self {
+    pub(crate) fn new(keys: Keyring) -> Self {
         Self(Arc::new(Mutex::new(keys)))
     }
 
-    pub(crate) fn set(&self, keys: Keys) {
+    pub(crate) fn set(&self, keys: Keyring) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = keys;
     }
 
-    fn keys(&self) -> Keys {
+    fn keys(&self) -> Keyring {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 /// Writes a word.
 pub(crate) fn write(to: &mut impl Write, word: &Word, seal: &Seal) -> io::Result<()> {
-    let sealed = seal.keys().seal(&word.bytes());
+    let sealed = seal.keys().sign(&word.bytes());
     to.write_all(&[&(sealed.len() as u32).to_le_bytes()[..], &sealed].concat())
 }
 
 /// Reads a word.
 pub(crate) fn read(from: &mut TcpStream, seal: &Seal) -> io::Result<Word> {
-    let sealed = read_frame(from, MOST_BYTES + OVERHEAD)?;
-    let word = seal.keys().open_any(&sealed).and_then(Word::read);
+    let sealed = read_frame(from, MOST_BYTES + OVERHEAD_BYTES)?;
+    let word = seal.keys().verify_frame(&sealed).and_then(Word::read);
     word.ok_or_else(|| io::Error::other("it is sealed with another key, or no word"))
 }
 
@@ -148,7 +148,7 @@
 /// Nobody answers in time.
 pub fn call(
     at: SocketAddr,
-    keys: &Keys,
+    keys: &Keyring,
     word: &Word,
     within: Duration,
     fits: impl Fn(&Word) -> bool,
--- a/crates/simulated/src/lib.rs
+++ b/crates/simulated/src/lib.rs
@@ -2,7 +2,7 @@
 //! a store and a network that can be told to fail. The same seed gives the same course, to the millisecond.
 
 use job_lease::{Failure, Found, Held, Listing, Put, Record, Session};
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use membership::{Member, Membership, Output};
 use periodic_jobs::{Action, Config, Duty, Note, Now, Scheduler};
 use rand::rngs::StdRng;
@@ -217,21 +217,21 @@
     pub fn start(&mut self, i: usize) {
         let (wall, site) = (BASE + self.now, self.site.clone());
         let offset = if site.skew == 0 { 0 } else { self.rng.random_range(0..=site.skew) as i64 };
-        let me = Member { address: address(i), name: format!("m{i}"), generation: wall };
+        let local_member = Member { address: address(i), name: format!("m{i}"), generation: wall };
         let first = (0..site.instances.min(3)).map(address).collect();
         let config = membership::Config {
-            me,
-            peers: first,
-            probe: site.gossip * 4,
-            answer: site.gossip,
-            suspect: site.gossip * 10,
-            gossip: site.gossip,
-            join: site.gossip * 10,
-            most_members: 4 * site.instances,
-            most_topics: 1_024,
-            seed: self.rng.random(),
+            local_member,
+            seed_peers: first,
+            probe_period_ms: site.gossip * 4,
+            probe_timeout_ms: site.gossip,
+            suspicion_timeout_ms: site.gossip * 10,
+            gossip_period_ms: site.gossip,
+            join_period_ms: site.gossip * 10,
+            max_members: 4 * site.instances,
+            max_topics: 1_024,
+            rng_seed: self.rng.random(),
         };
-        let keys = Keys::parse(&"ab".repeat(32)).expect("a key");
+        let keys = Keyring::parse(&"ab".repeat(32)).expect("a key");
         let mut scheduler = Scheduler::new(Config {
             me: format!("m{i}"),
             standbys: site.standbys,
@@ -305,14 +305,14 @@
 
     /// How many instances see just these many members alive.
     pub fn seeing(&self, members: usize) -> usize {
-        self.instances.iter().flatten().filter(|i| i.membership.count() == members).count()
+        self.instances.iter().flatten().filter(|i| i.membership.alive_count() == members).count()
     }
 
     /// Pairs of a living instance and another one that it sees alive though it may not, or does not though it may.
     pub fn mistaken(&self, may: impl Fn(usize, usize) -> bool) -> usize {
         let lives = |i: usize| self.instances[i].is_some();
         let wrong = |(i, instance): (usize, &Instance)| {
-            let seen: Vec<usize> = instance.membership.addresses().map(number).collect();
+            let seen: Vec<usize> = instance.membership.alive_addresses().map(number).collect();
             let right = seen.iter().filter(|&&other| lives(other) && may(i, other)).count();
             let all = (0..self.instances.len()).filter(|&o| o != i && lives(o) && may(i, o)).count();
             (seen.len() - right) + (all - right)
@@ -323,7 +323,7 @@
     /// The same, only those who are seen alive.
     pub fn taken_for_living(&self, may: impl Fn(usize, usize) -> bool) -> usize {
         let wrong = |(i, instance): (usize, &Instance)| {
-            let seen = instance.membership.addresses().map(number);
+            let seen = instance.membership.alive_addresses().map(number);
             seen.filter(|&other| self.instances[other].is_none() || !may(i, other)).count()
         };
         self.instances.iter().enumerate().filter_map(|(i, x)| Some(wrong((i, x.as_ref()?)))).sum()
@@ -334,7 +334,7 @@
         self.instances
             .iter()
             .enumerate()
-            .filter_map(|(i, x)| Some((i, x.as_ref()?.membership.living())))
+            .filter_map(|(i, x)| Some((i, x.as_ref()?.membership.alive_names())))
             .collect()
     }
 
@@ -405,12 +405,12 @@
                 instance.membership.tick(now.mono, &mut outputs);
                 // Who has no duties need not know the members.
                 if std::mem::take(&mut instance.changed) && self.site.duties > 0 {
-                    let living = instance.membership.living();
+                    let living = instance.membership.alive_names();
                     instance.scheduler.set_members(now, living);
                 }
                 instance.scheduler.tick(now, &mut actions);
             }
-            Event::Datagram(_, bytes) => instance.membership.datagram(now.mono, &bytes, &mut outputs),
+            Event::Datagram(_, bytes) => instance.membership.handle_datagram(now.mono, &bytes, &mut outputs),
             Event::Answer(_, life, answer) if life == instance.life => match answer {
                 Answer::Opened(answer) => instance.scheduler.opened(now, answer, &mut actions),
                 Answer::Renewed(session, answer) => {
@@ -425,14 +425,14 @@
             },
             Event::Answer(..) | Event::Call(..) => return,
         }
-        instance.changed |= outputs.contains(&Output::Changed);
+        instance.changed |= outputs.contains(&Output::MembersChanged);
         let life = instance.life;
         let next = instance
             .membership
-            .next_due()
+            .next_tick_ms()
             .min(instance.scheduler.next_due().map_or(u64::MAX, |at| now.mono + at.saturating_sub(now.wall)));
         for output in outputs {
-            if let Output::Send(to, bytes) = output {
+            if let Output::SendDatagram { to, bytes } = output {
                 self.send(i, number(to), bytes);
             }
         }
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::appliance;
 use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use quorum::Quorum;
 use settings::appliance::Appliance;
 use settings::cluster::Duty;
@@ -81,11 +81,11 @@
 /// # Errors
 ///
 /// It cannot be read or used; the text holds no key.
-pub fn keys(file: &Appliance, folder: &Path) -> Result<Keys, String> {
+pub fn keys(file: &Appliance, folder: &Path) -> Result<Keyring, String> {
     let Some(cluster) = &file.cluster else { return Err("cluster: there is no such table".into()) };
     let path = folder.join(&cluster.key_file);
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Keys::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
+    Keyring::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn calls(duties: &[Duty]) -> Vec<Call> {
