--- a/crates/cluster/src/brain.rs
+++ b/crates/cluster/src/brain.rs
@@ -3,7 +3,7 @@
 use crate::tell::Teller;
 use crate::work::{Doing, Outcome, Queue, StoreJob};
 use crate::{Call, Clocks, OnOut, Settings};
-use health_check::{Report, Standing, Verdicts};
+use health_check::{BackendHealth, HealthReport, HealthStatus, HealthTracker};
 use job_lease::local::Local;
 use job_lease::{Failure, Listing, Put, Record, Session};
 use membership::authentication::Keyring;
@@ -59,7 +59,7 @@
     local: Local,
     store: Option<Queue<StoreJob>>,
     runs: Queue<(Run, Doing)>,
-    verdicts: Option<Verdicts>,
+    verdicts: Option<HealthTracker>,
     fleet: BTreeMap<String, SocketAddr>,
     calls: BTreeMap<String, Call>,
     out: BTreeSet<String>,
@@ -111,7 +111,7 @@
             };
             Membership::new(config, gossip.keys.clone())
         });
-        let verdicts = settings.probes.as_ref().map(|probes| Verdicts::new(probes.rules.clone()));
+        let verdicts = settings.probes.as_ref().map(|probes| HealthTracker::new(probes.rules.clone()));
         Self {
             settings,
             clocks,
@@ -205,7 +205,7 @@
             Event::Fleet(fleet) => {
                 self.fleet = fleet.into_iter().collect();
                 if let Some(verdicts) = &mut self.verdicts {
-                    verdicts.set_fleet(self.fleet.keys().cloned());
+                    verdicts.set_backends(self.fleet.keys().cloned());
                     if let Some(membership) = &mut self.membership {
                         let fleet = &self.fleet;
                         membership.retain_topics(|topic| {
@@ -232,7 +232,7 @@
 
     fn take_duties(&mut self, now: Now) {
         let calls = self.calls.iter().map(|(name, call)| Duty { name: name.clone(), period: call.period });
-        let period = self.verdicts.as_ref().map(|v| v.config().period);
+        let period = self.verdicts.as_ref().map(|v| v.config().period_ms);
         let probes =
             self.fleet.keys().filter_map(|id| Some(Duty { name: format!("{PROBE}{id}"), period: period? }));
         let all: Vec<Duty> = calls.chain(probes).collect();
@@ -254,9 +254,9 @@
                 Output::MembersChanged => changed = true,
                 Output::Broadcast { topic, body, .. } => {
                     if let (Some(id), Some(verdicts), Some(report)) =
-                        (topic.strip_prefix(PROBE), &mut self.verdicts, Report::read(&body))
+                        (topic.strip_prefix(PROBE), &mut self.verdicts, HealthReport::decode(&body))
                     {
-                        verdicts.heard(id, report, now.mono);
+                        verdicts.apply_report(id, report, now.mono);
                     }
                 }
                 Output::Rejoined { .. } => {
@@ -378,15 +378,21 @@
                     return;
                 }
                 let Some(verdicts) = &mut self.verdicts else { return };
-                let Some(report) = verdicts.probed(id, run.round, passed, now.mono) else { return };
-                if report.since == run.round && report.down {
+                let Some(report) = verdicts.record_check(id, run.round, passed, now.mono) else { return };
+                if report.has_changed() && report.failing {
                     tracing::warn!("probe: {id} fails ({why})");
-                } else if report.since == run.round && report.against == 0 && passed {
+                } else if report.has_changed() && report.contrary_results == 0 && passed {
                     tracing::info!("probe: {id} is well");
                 }
                 if let Some(membership) = &mut self.membership {
                     let mut out = Vec::new();
-                    membership.broadcast(now.mono, &run.duty, report.round, &report.put(), &mut out);
+                    membership.broadcast(
+                        now.mono,
+                        &run.duty,
+                        report.scheduled_unix_ms,
+                        &report.encode(),
+                        &mut out,
+                    );
                     self.gossip(now, out);
                 }
                 self.look_at_verdicts(now);
@@ -396,10 +402,13 @@
 
     fn look_at_verdicts(&mut self, now: Now) {
         let Some(verdicts) = &self.verdicts else { return };
-        let out: BTreeSet<String> = verdicts.out(now.mono).into_iter().collect();
+        let out: BTreeSet<String> = verdicts.ejected(now.mono).into_iter().collect();
         if out != self.out {
-            let spared =
-                verdicts.standings(now.mono).values().filter(|(s, _)| *s == Standing::Spared).count();
+            let spared = verdicts
+                .health(now.mono)
+                .values()
+                .filter(|h| h.status == HealthStatus::EjectionLimited)
+                .count();
             tracing::info!(
                 "probe: {} of {} destinations are out{}{}",
                 out.len(),
@@ -531,12 +540,12 @@
         }
         if let Some(verdicts) = &self.verdicts {
             out.push_str("probes\n");
-            for (id, (standing, age)) in verdicts.standings(now.mono) {
+            for (id, BackendHealth { status: standing, report_age_ms: age }) in verdicts.health(now.mono) {
                 let standing = match standing {
-                    Standing::Unknown => "unknown, by its traffic alone",
-                    Standing::Well => "well",
-                    Standing::Out => "out",
-                    Standing::Spared => "fails, in use since too many are out",
+                    HealthStatus::Unknown => "unknown, by its traffic alone",
+                    HealthStatus::Healthy => "well",
+                    HealthStatus::Ejected => "out",
+                    HealthStatus::EjectionLimited => "fails, in use since too many are out",
                 };
                 let age = age.map_or("never probed".into(), |age| format!("{age} ms old"));
                 let _ = writeln!(out, "  {id}  {standing}  {age}");
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -73,7 +73,12 @@
     let probes = Probes {
         path: "/health".into(),
         timeout: Duration::from_secs(1),
-        rules: health_check::Config { period: 200, down_after: 2, up_after: 2, most_out: 0.5 },
+        rules: health_check::Config {
+            period_ms: 200,
+            unhealthy_threshold: 2,
+            healthy_threshold: 2,
+            max_ejected_fraction: 0.5,
+        },
     };
     let call = Call {
         name: "bell".into(),
--- a/crates/health_check/tests/wire_format.rs
+++ b/crates/health_check/tests/wire_format.rs
@@ -1,16 +1,31 @@
 //! Reports as an earlier build spread them: this build reads them and writes the same bytes.
 
-use health_check::Report;
+use health_check::HealthReport;
 
 /// A report a line: its fields, and its bytes in hexadecimal digits.
 const REPORTS: &str = include_str!("fixtures/reports.txt");
 
-fn reports() -> Vec<Report> {
+fn reports() -> Vec<HealthReport> {
     vec![
-        Report { round: 0, down: false, against: 0, since: 0 },
-        Report { round: 1_800_000_000_123, down: true, against: 1, since: 1_799_999_999_123 },
-        Report { round: 1_800_000_002_123, down: false, against: 300, since: 5 },
-        Report { round: u64::MAX, down: true, against: u32::MAX, since: u64::MAX },
+        HealthReport { scheduled_unix_ms: 0, failing: false, contrary_results: 0, changed_unix_ms: 0 },
+        HealthReport {
+            scheduled_unix_ms: 1_800_000_000_123,
+            failing: true,
+            contrary_results: 1,
+            changed_unix_ms: 1_799_999_999_123,
+        },
+        HealthReport {
+            scheduled_unix_ms: 1_800_000_002_123,
+            failing: false,
+            contrary_results: 300,
+            changed_unix_ms: 5,
+        },
+        HealthReport {
+            scheduled_unix_ms: u64::MAX,
+            failing: true,
+            contrary_results: u32::MAX,
+            changed_unix_ms: u64::MAX,
+        },
     ]
 }
 
@@ -25,8 +40,15 @@
         .collect()
 }
 
-fn line(report: &Report) -> String {
-    format!("{} {} {} {} {}\n", report.round, report.down, report.against, report.since, hex(&report.put()))
+fn line(report: &HealthReport) -> String {
+    format!(
+        "{} {} {} {} {}\n",
+        report.scheduled_unix_ms,
+        report.failing,
+        report.contrary_results,
+        report.changed_unix_ms,
+        hex(&report.encode())
+    )
 }
 
 #[test]
@@ -39,7 +61,7 @@
 fn reports_of_the_earlier_build_are_read_and_cut_ones_are_none() {
     for (report, line) in reports().iter().zip(REPORTS.lines()) {
         let bytes = unhex(line.rsplit(' ').next().expect("the bytes"));
-        assert_eq!(Report::read(&bytes).as_ref(), Some(report));
-        assert!((0..bytes.len()).all(|end| Report::read(&bytes[..end]).is_none()), "cut");
+        assert_eq!(HealthReport::decode(&bytes).as_ref(), Some(report));
+        assert!((0..bytes.len()).all(|end| HealthReport::decode(&bytes[..end]).is_none()), "cut");
     }
 }
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -28,10 +28,10 @@
         path: probe.path.clone(),
         timeout: Duration::from_millis(probe.timeout_ms),
         rules: health_check::Config {
-            period: probe.period_ms,
-            down_after: probe.down_after,
-            up_after: probe.up_after,
-            most_out: probe.most_out,
+            period_ms: probe.period_ms,
+            unhealthy_threshold: probe.down_after,
+            healthy_threshold: probe.up_after,
+            max_ejected_fraction: probe.most_out,
         },
     });
     let settings = match &file.cluster {
