--- /dev/null
+++ b/crates/cluster/src/clocks.rs
@@ -0,0 +1,27 @@
+//! The clocks of this instance.
+
+use periodic_jobs::ClockReading;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicI64, Ordering};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// The Unix clock, with an offset for tests, and the monotonic clock since the start.
+#[derive(Clone, Debug)]
+pub(crate) struct Clocks {
+    start: Instant,
+    offset_ms: Arc<AtomicI64>,
+}
+
+impl Clocks {
+    pub(crate) fn new(offset_ms: Arc<AtomicI64>) -> Self {
+        Self { start: Instant::now(), offset_ms }
+    }
+
+    pub(crate) fn now(&self) -> ClockReading {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        ClockReading {
+            unix_ms: (unix.as_millis() as u64).saturating_add_signed(self.offset_ms.load(Ordering::Relaxed)),
+            monotonic_ms: self.start.elapsed().as_millis() as u64,
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/coordinator/status.rs
@@ -0,0 +1,90 @@
+//! The text of the console. Operators read it: its words are those of docs/operate/duties.md.
+
+use super::{Coordinator, RunCounts};
+use health_check::{BackendHealth, HealthStatus};
+use membership::{MemberStatus, Membership};
+use periodic_jobs::{ClockReading, JobStatus};
+use std::fmt::Write;
+use std::sync::atomic::Ordering;
+
+impl Coordinator {
+    pub(super) fn status(&self, now: ClockReading) -> String {
+        let mut out = String::from("cluster\n");
+        match &self.membership {
+            Some(membership) => self.write_members(membership, &mut out),
+            None => {
+                let _ = writeln!(out, "  {}  alone", self.settings.instance);
+            }
+        }
+        self.write_jobs(now, &mut out);
+        self.write_health(now, &mut out);
+        out
+    }
+
+    fn write_members(&self, membership: &Membership, out: &mut String) {
+        let counts = membership.counts();
+        let _ = writeln!(
+            out,
+            "  gossip sent {} ({} bytes)  taken {}  wrong key {}  unusable {}  no room {}",
+            counts.datagrams_sent,
+            counts.bytes_sent,
+            counts.datagrams_accepted,
+            counts.authentication_failures,
+            counts.malformed,
+            counts.over_capacity + self.resources.dropped_datagrams.load(Ordering::Relaxed)
+        );
+        let _ = writeln!(out, "  {}  this instance", self.settings.instance);
+        for MemberStatus { member, alive } in membership.members() {
+            let state = if alive { "alive" } else { "down" };
+            let _ =
+                writeln!(out, "  {}  {}  {state}  since {}", member.name, member.address, member.generation);
+        }
+    }
+
+    fn write_jobs(&self, now: ClockReading, out: &mut String) {
+        let store = if self.scheduler.is_store_unavailable() { "away" } else { "answers" };
+        let RunCounts { succeeded, failed, deadline_passed, queue_full } = self.run_counts;
+        let _ = writeln!(
+            out,
+            "duties\n  claim store {store}  done {succeeded}  failed {failed}  too late {deadline_passed}  \
+             no room {queue_full}"
+        );
+        for status in self.scheduler.job_statuses() {
+            let _ = writeln!(
+                out,
+                "  {}  every {} ms  owner {}  {}  token here {}",
+                status.job.name,
+                status.job.period_ms,
+                status.owner,
+                last_run(now, &status),
+                status.last_run_here
+            );
+        }
+    }
+
+    fn write_health(&self, now: ClockReading, out: &mut String) {
+        let Some(health) = &self.health else { return };
+        out.push_str("probes\n");
+        for (id, BackendHealth { status, report_age_ms }) in health.health(now.monotonic_ms) {
+            let status = match status {
+                HealthStatus::Unknown => "unknown, by its traffic alone",
+                HealthStatus::Healthy => "well",
+                HealthStatus::Ejected => "out",
+                HealthStatus::EjectionLimited => "fails, in use since too many are out",
+            };
+            let age = report_age_ms.map_or("never probed".into(), |age_ms| format!("{age_ms} ms old"));
+            let _ = writeln!(out, "  {id}  {status}  {age}");
+        }
+    }
+}
+
+fn last_run(now: ClockReading, status: &JobStatus) -> String {
+    match &status.last_run {
+        Some(last) if last.holder.is_empty() => format!("begins after round {}", last.run),
+        Some(last) => {
+            let age_ms = now.unix_ms.saturating_sub(last.run.scheduled_unix_ms());
+            format!("last round {} by {}, {age_ms} ms ago", last.run, last.holder)
+        }
+        None => "no round seen".into(),
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/handle.rs
@@ -0,0 +1,119 @@
+//! The handle through which the program uses the cluster's part.
+
+use crate::clocks::Clocks;
+use crate::coordinator::{Coordinator, Resources};
+use crate::event::Event;
+use crate::settings::{Backend, HttpJob, Settings};
+use crate::{ClusterError, gossip_receiver, run_executor, store_client};
+use membership::authentication::Keyring;
+use std::collections::BTreeSet;
+use std::net::UdpSocket;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
+use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
+use std::thread;
+use std::time::Duration;
+
+/// Events that may wait for the coordinator.
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
+/// The coordinator's thread.
+const COORDINATOR_THREAD: &str = "cluster";
+/// How long [`Cluster::leave`] waits for the session to end.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Called with the ids of the backends ejected by health checks, whenever these change.
+pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
+
+/// A handle to the coordinator.
+#[derive(Debug)]
+pub struct Cluster {
+    events: SyncSender<Event>,
+    clock_offset_ms: Arc<AtomicI64>,
+}
+
+impl Cluster {
+    /// Starts taking part.
+    ///
+    /// # Errors
+    ///
+    /// The address for gossip cannot be used, or the coordinator's thread cannot be started.
+    pub fn start(
+        settings: Settings,
+        http_jobs: Vec<HttpJob>,
+        on_ejection_change: OnEjectionChange,
+    ) -> Result<Arc<Self>, ClusterError> {
+        let clock_offset_ms = Arc::new(AtomicI64::new(settings.clock_offset_ms));
+        let clocks = Clocks::new(clock_offset_ms.clone());
+        let (events, receiver) = sync_channel(EVENT_QUEUE_CAPACITY);
+        let dropped_datagrams = Arc::new(AtomicU64::new(0));
+        let socket = bind_gossip(&settings)?;
+        if let Some(socket) = &socket {
+            gossip_receiver::start(socket.clone(), events.clone(), dropped_datagrams.clone());
+        }
+        let responses = events.clone();
+        let store = store_client::start(&settings.lease_store, &settings.instance, move |response| {
+            let _ = responses.send(Event::StoreResponded(response));
+        });
+        let finished_runs = events.clone();
+        let threads = settings.max_concurrent_runs;
+        let runs = run_executor::start(&settings.instance, threads, clocks.clone(), move |finished| {
+            let _ = finished_runs.send(Event::RunFinished(finished));
+        });
+        let resources = Resources { clocks, socket, store, runs, dropped_datagrams, on_ejection_change };
+        let coordinator = Coordinator::new(settings, resources);
+        thread::Builder::new()
+            .name(COORDINATOR_THREAD.into())
+            .spawn(move || coordinator.run(&receiver, http_jobs))
+            .map_err(|source| ClusterError::SpawnThread { name: COORDINATOR_THREAD, source })?;
+        Ok(Arc::new(Self { events, clock_offset_ms }))
+    }
+
+    /// Replaces the HTTP jobs.
+    pub fn set_http_jobs(&self, jobs: Vec<HttpJob>) {
+        self.send(Event::HttpJobsChanged(jobs));
+    }
+
+    /// Replaces the keys that authenticate gossip.
+    pub fn set_keyring(&self, keyring: Keyring) {
+        self.send(Event::KeyringChanged(keyring));
+    }
+
+    /// Sets the Unix clock off by so many milliseconds, for trials of clocks that are set.
+    pub fn set_clock_offset_ms(&self, offset_ms: i64) {
+        self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
+    }
+
+    /// Replaces the backends to be checked.
+    pub fn set_backends(&self, backends: Vec<Backend>) {
+        self.send(Event::BackendsChanged(backends));
+    }
+
+    /// Requests the text of the console. It comes a moment later, or never where the coordinator is stuck: a coroutine
+    /// polls for it and does not block on it.
+    pub fn request_status(&self) -> Receiver<String> {
+        let (sender, status) = sync_channel(1);
+        let _ = self.events.try_send(Event::StatusRequested(sender));
+        status
+    }
+
+    /// Leaves the cluster: the others take its jobs over at once, and its session ends.
+    pub fn leave(&self) {
+        let (sender, done) = sync_channel(1);
+        if self.events.try_send(Event::LeaveRequested(sender)).is_ok() {
+            let _ = done.recv_timeout(LEAVE_TIMEOUT);
+        }
+    }
+
+    fn send(&self, event: Event) {
+        // Only these few callers wait for a place in the queue; datagrams never do.
+        let _ = self.events.send(event);
+    }
+}
+
+fn bind_gossip(settings: &Settings) -> Result<Option<Arc<UdpSocket>>, ClusterError> {
+    let Some(gossip) = &settings.gossip else { return Ok(None) };
+    match UdpSocket::bind(gossip.listen) {
+        Ok(socket) => Ok(Some(Arc::new(socket))),
+        Err(source) => Err(ClusterError::BindGossip { address: gossip.listen, source }),
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/run_executor.rs
@@ -0,0 +1,143 @@
+//! The execution of runs: HTTP calls and health checks.
+
+use crate::clocks::Clocks;
+use crate::job_names;
+use crate::worker_pool::TaskQueue;
+use periodic_jobs::Run;
+use std::net::SocketAddr;
+use std::time::Duration;
+use ureq::{Agent, Body, http};
+
+/// The size limit of a response.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
+
+/// What a run does.
+#[derive(Clone, Debug)]
+pub(crate) enum RunTask {
+    HttpCall { url: String, timeout: Duration },
+    HealthCheck { backend_id: String, address: SocketAddr, path: String, timeout: Duration },
+}
+
+/// The result of a run.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) enum RunOutcome {
+    /// There was a response with this status.
+    Status(u16),
+    /// There was none, for this reason.
+    Failed(String),
+    /// The deadline passed before it started: this instance was paused, or a clock was set.
+    DeadlinePassed,
+}
+
+impl RunOutcome {
+    /// Whether the target accepted the run.
+    pub(crate) fn is_success(&self) -> bool {
+        matches!(self, Self::Status(200..=299))
+    }
+
+    /// The reason of a failure, for the log.
+    pub(crate) fn reason(&self) -> String {
+        match self {
+            Self::Status(status) => format!("status {status}"),
+            Self::Failed(reason) => reason.clone(),
+            Self::DeadlinePassed => "its time was over before it began".into(),
+        }
+    }
+}
+
+/// A run to be carried out.
+#[derive(Debug)]
+pub(crate) struct PendingRun {
+    pub(crate) run: Run,
+    pub(crate) task: RunTask,
+}
+
+/// A run that was carried out, or not.
+#[derive(Debug)]
+pub(crate) struct FinishedRun {
+    pub(crate) run: Run,
+    pub(crate) task: RunTask,
+    pub(crate) outcome: RunOutcome,
+}
+
+/// Starts the threads that carry out runs.
+pub(crate) fn start(
+    instance: &str,
+    threads: usize,
+    clocks: Clocks,
+    on_finished: impl Fn(FinishedRun) + Send + Sync + 'static,
+) -> TaskQueue<PendingRun> {
+    let executor = RunExecutor { agent: agent(), instance: instance.to_owned() };
+    TaskQueue::start("job-runs", threads, move |PendingRun { run, task }: PendingRun| {
+        // The last check before anything is sent: a pause may have come after the lease.
+        let outcome = if run.may_start(clocks.now()) {
+            executor.carry_out(&run, &task)
+        } else {
+            RunOutcome::DeadlinePassed
+        };
+        on_finished(FinishedRun { run, task, outcome });
+    })
+}
+
+fn agent() -> Agent {
+    Agent::config_builder()
+        .http_status_as_error(false)
+        .max_redirects(0)
+        // An environment variable must not redirect the calls.
+        .proxy(None)
+        // No connection is kept: one that the target has just closed could not be told from a run that may have run.
+        .max_idle_connections(0)
+        .max_idle_connections_per_host(0)
+        .user_agent("snowfield")
+        .build()
+        .into()
+}
+
+struct RunExecutor {
+    agent: Agent,
+    instance: String,
+}
+
+impl RunExecutor {
+    fn carry_out(&self, run: &Run, task: &RunTask) -> RunOutcome {
+        let response = match task {
+            RunTask::HttpCall { url, timeout } => self.call(run, url, *timeout),
+            RunTask::HealthCheck { address, path, timeout, .. } => {
+                self.check(run, &format!("http://{address}{path}"), *timeout)
+            }
+        };
+        match response.and_then(read_status) {
+            Ok(status) => RunOutcome::Status(status),
+            Err(e) => RunOutcome::Failed(e.to_string()),
+        }
+    }
+
+    fn call(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
+        self.agent
+            .post(url)
+            .config()
+            .timeout_global(Some(timeout))
+            .build()
+            .header("Snowfield-By", &self.instance)
+            .header("Snowfield-Duty", job_names::configured_name(&run.job))
+            .header("Snowfield-Round", run.id.to_string())
+            .header("Snowfield-Before", run.deadline.unix_ms.to_string())
+            .send_empty()
+    }
+
+    fn check(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
+        self.agent
+            .get(url)
+            .config()
+            .timeout_global(Some(timeout))
+            .build()
+            .header("Snowfield-Round", run.id.to_string())
+            .call()
+    }
+}
+
+/// The status of a response whose body ends; one that does not end counts as none.
+fn read_status(mut response: http::Response<Body>) -> Result<u16, ureq::Error> {
+    response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec()?;
+    Ok(response.status().as_u16())
+}
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! The HTTP requests that runs make, and the text of the status, as an earlier build wrote them; what differs from run to
 //! run (times, ports) is replaced by its kind.
 
-use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
+use cluster::{Backend, Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use membership::authentication::Keyring;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -52,44 +52,51 @@
     socket.local_addr().expect("an address")
 }
 
-/// An instance without a store of its own making, whose gossip listens there.
-fn settings(name: &str, listen: SocketAddr, peers: Vec<SocketAddr>, probes: Option<Probes>) -> Settings {
-    let keys = Keyring::parse(&"ab".repeat(32)).expect("a key");
+/// An instance that keeps its leases itself and whose gossip listens there.
+fn settings(
+    instance: &str,
+    listen: SocketAddr,
+    peers: Vec<SocketAddr>,
+    health_checks: Option<HealthChecks>,
+) -> Settings {
+    let keyring = Keyring::parse(&"ab".repeat(32)).expect("a key");
+    let gossip =
+        Gossip { listen, advertise: listen, peers, keyring, period_ms: 20, suspicion_timeout_ms: 1_000 };
     Settings {
-        name: name.into(),
-        gossip: Some(Gossip { listen, advertise: listen, peers, keys, period: 20, suspect: 1_000 }),
-        store: StoreAt::Local,
+        instance: instance.into(),
+        gossip: Some(gossip),
+        lease_store: LeaseStore::Local,
         standbys: 1,
-        skew: 0,
-        clock_offset: 0,
-        runners: 2,
-        probes,
+        max_clock_skew_ms: 0,
+        clock_offset_ms: 0,
+        max_concurrent_runs: 2,
+        health_checks,
     }
 }
 
 #[test]
 fn runs_make_the_requests_of_the_earlier_build_and_the_status_reads_alike() {
     let (address, heads) = target();
-    let probes = Probes {
+    let health_checks = HealthChecks {
         path: "/health".into(),
         timeout: Duration::from_secs(1),
-        rules: health_check::Config {
+        config: health_check::Config {
             period_ms: 200,
             unhealthy_threshold: 2,
             healthy_threshold: 2,
             max_ejected_fraction: 0.5,
         },
     };
-    let call = Call {
+    let job = HttpJob {
         name: "bell".into(),
-        period: 200,
+        period_ms: 200,
         url: format!("http://{address}/ring?x=1"),
         timeout: Duration::from_secs(1),
     };
     let listen = udp_address();
-    let first = settings("muscat", listen, Vec::new(), Some(probes));
-    let cluster = Cluster::start(first, vec![call], Box::new(|_| {})).expect("a cluster");
-    cluster.set_fleet(vec![("loans".into(), address)]);
+    let first = settings("muscat", listen, Vec::new(), Some(health_checks));
+    let cluster = Cluster::start(first, vec![job], Box::new(|_| {})).expect("a cluster");
+    cluster.set_backends(vec![Backend { id: "loans".into(), address }]);
     let second = settings("salalah", udp_address(), vec![listen], None);
     let other = Cluster::start(second, Vec::new(), Box::new(|_| {})).expect("a cluster");
     let mut requests: Vec<String> = Vec::new();
@@ -104,7 +111,7 @@
     let mut status = String::new();
     for _ in 0..100 {
         thread::sleep(Duration::from_millis(50));
-        status = cluster.ask_report().recv_timeout(Duration::from_secs(1)).expect("a status");
+        status = cluster.request_status().recv_timeout(Duration::from_secs(1)).expect("a status");
         let ran = status.matches("token here 1").count() == 2 && status.matches("last round 1").count() == 2;
         if ran && status.contains("alive") && status.contains("loans  well") {
             break;
--- /dev/null
+++ b/crates/job_lease/src/error/tests.rs
@@ -0,0 +1,37 @@
+//! The text of each error that an operator may read in the log.
+
+use super::*;
+
+#[test]
+fn each_text_names_what_went_wrong() {
+    let unreadable = serde_json::from_str::<u8>("x").expect_err("no JSON");
+    let unreadable_text = format!("an answer that cannot be read: {unreadable}");
+    let key = || "snowfield/duties/d".to_owned();
+    let texts = [
+        (StoreErrorCause::Status(500), "status 500"),
+        (StoreErrorCause::UnreadableResponse(unreadable), unreadable_text.as_str()),
+        (StoreErrorCause::UnusableSessionId { id: "../x".into() }, "a session with the unusable id \"../x\""),
+        (StoreErrorCause::SessionKeyHeld, "the session's own key is held by another"),
+        (StoreErrorCause::ForeignValue { key: key() }, "key \"snowfield/duties/d\" holds no lease record"),
+        (StoreErrorCause::ConflictWithoutReason, "a conflict without a reason"),
+        (
+            StoreErrorCause::KeyMissingInResponse { key: key() },
+            "a success without the key \"snowfield/duties/d\"",
+        ),
+        (StoreErrorCause::Transport("connection reset".into()), "connection reset"),
+        (StoreErrorCause::NoResponse, "no answer"),
+        (StoreErrorCause::QueueFull, "too many calls wait"),
+    ];
+    for (cause, text) in texts {
+        assert_eq!(cause.to_string(), text);
+    }
+}
+
+#[test]
+fn a_call_that_may_have_been_applied_says_so_and_keeps_its_cause() {
+    let error = StoreError::OutcomeUnknown(StoreErrorCause::Status(500));
+    assert_eq!(error.to_string(), "status 500; it may have been applied");
+    assert_eq!(error.cause().to_string(), "status 500");
+    assert_eq!(error.source().map(ToString::to_string), Some("status 500".to_owned()));
+    assert_eq!(StoreError::NotApplied(StoreErrorCause::QueueFull).to_string(), "too many calls wait");
+}
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -1,156 +1,186 @@
-//! The claim protocol, checked exhaustively: three instances whose clocks differ, pauses at any point, answers that are
-//! lost or come late, claims that are applied late, and a store that comes back empty. The steps are the ones that the
-//! program takes (`job_lease::step`); each guard is also taken out once, and the checker must then find a round run twice.
+//! The lease protocol, checked exhaustively: three instances whose clocks differ, pauses at any point, responses that are
+//! lost or late, writes that are applied late, and a store that comes back empty. The decisions are those of the program
+//! (`job_lease::decide`); each guard is also taken out once, and the checker must then find a run that starts twice.
 
-use job_lease::{Found, Held, Record, Step, Want, step};
+#![allow(clippy::too_many_lines)]
+
+use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, StoredLease, decide};
 use stateright::{Checker, Model, Property};
 
-/// Units of time in a round.
+/// Units of time in a period.
 const PERIOD: u64 = 2;
-/// The most that two clocks differ, in units.
+/// The largest difference between two clocks, in units of time.
 const SKEW: u64 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// Claims are written whatever the index is.
-    CheckAndSet,
-    /// Claims are not bound to a session.
+enum RemovedGuard {
+    None,
+    /// Records are written whatever the index is.
+    CompareAndSet,
+    /// Writes are not bound to a session.
     Session,
-    /// An absent key is claimed at once.
+    /// An absent key is acquired at once.
     Seed,
-    /// A lost answer is taken for a claim that holds.
+    /// A lost response is taken for a lease that holds.
     Reread,
 }
 
-struct Site {
-    without: Without,
+struct LeaseModel {
+    removed_guard: RemovedGuard,
     /// How far each clock is ahead.
-    ahead: [u64; 3],
+    clock_offsets: [u64; 3],
     end: u64,
-    empties: u8,
-    losses: u8,
+    /// How often the store comes back empty.
+    max_store_losses: u8,
+    /// How many responses are lost.
+    max_response_losses: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Stage {
+enum Phase {
     Idle,
-    Know(Found),
-    /// A claim is on its way to the store, or its answer on its way back.
+    /// The lease was read; `None` where there is no key.
+    Read(Option<StoredLease>),
+    /// A write is on its way to the store.
     Sent {
-        index: u64,
-        record: Record,
+        expected_index: u64,
+        record: LeaseRecord,
     },
-    Answered(bool),
-    /// No answer came.
-    Doubt,
-    /// The clock was looked at and the run is about to begin: a pause may fall in between.
-    Begins(u64),
+    /// The response is on its way back: whether the run was acquired.
+    Responded(bool),
+    /// No response came.
+    Uncertain,
+    /// The clock was checked and the run is about to start: a pause may fall in between.
+    Starting(RunId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Instance {
-    stage: Stage,
-    round: u64,
-    /// The store's life that its session belongs to.
+    phase: Phase,
+    run: RunId,
+    /// The incarnation of the store that its session belongs to.
     session: u8,
-    /// The last round that it has started.
-    ran: u64,
+    /// The last run that it has started.
+    last_started: RunId,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     time: u64,
-    key: Found,
-    index: u64,
-    life: u8,
-    losses: u8,
-    /// Claims whose sender has stopped waiting: the store may yet apply them.
-    late: Vec<(u8, u64, Record)>,
+    stored: Option<StoredLease>,
+    store_index: u64,
+    store_incarnation: u8,
+    lost_responses: u8,
+    /// Writes whose sender has stopped waiting: the store may yet apply them.
+    late_writes: Vec<LateWrite>,
     instances: Vec<Instance>,
-    /// Rounds that were run, sorted.
-    ran: Vec<u64>,
+    /// The runs that were started, sorted.
+    started: Vec<RunId>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct LateWrite {
+    session: u8,
+    expected_index: u64,
+    record: LeaseRecord,
 }
 
+/// What may happen next. The numbers are those of instances, and of late writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick,
-    Empty,
-    Session(usize),
+    EmptyStore,
+    OpenSession(usize),
     Read(usize),
     Send(usize),
     Apply(usize),
-    GiveUp(usize),
+    TimeOut(usize),
     ApplyLate(usize),
-    Hear(usize),
-    Run(usize),
-    Drop(usize),
+    Receive(usize),
+    Start(usize),
+    LoseResponse(usize),
 }
 
-impl Site {
-    fn clock(&self, state: &State, who: usize) -> u64 {
-        state.time + self.ahead[who]
+impl LeaseModel {
+    fn clock(&self, state: &State, instance: usize) -> u64 {
+        state.time + self.clock_offsets[instance]
     }
 
-    fn want(&self, state: &State, who: usize, round: u64) -> Want {
-        Want { round, id: who as u64 + 1, seed: (self.clock(state, who) + SKEW) / PERIOD }
+    /// The run at the present time by an instance's clock.
+    fn present_run(&self, state: &State, instance: usize) -> RunId {
+        RunId(self.clock(state, instance) / PERIOD)
     }
 
-    fn apply(&self, state: &mut State, session: u8, index: u64, record: &Record) -> bool {
-        let there = state.key.as_ref().map_or(0, |k| k.index);
-        let fits = there == index || self.without == Without::CheckAndSet;
-        let lives = session == state.life || self.without == Without::Session;
-        if fits && lives {
-            state.index += 1;
-            state.key = Some(Held { record: record.clone(), index: state.index });
+    fn request(&self, state: &State, instance: usize, run: RunId) -> AcquireRequest {
+        let seed_run = RunId((self.clock(state, instance) + SKEW) / PERIOD);
+        AcquireRequest { run, lease_id: instance as u64 + 1, seed_run }
+    }
+
+    fn apply(&self, state: &mut State, session: u8, expected_index: u64, record: &LeaseRecord) -> bool {
+        let index = state.stored.as_ref().map_or(0, |stored| stored.modify_index);
+        let index_matches = index == expected_index || self.removed_guard == RemovedGuard::CompareAndSet;
+        let session_exists =
+            session == state.store_incarnation || self.removed_guard == RemovedGuard::Session;
+        if index_matches && session_exists {
+            state.store_index += 1;
+            state.stored = Some(StoredLease { record: record.clone(), modify_index: state.store_index });
         }
-        fits && lives
+        index_matches && session_exists
     }
 }
 
-impl Model for Site {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let instance = Instance { stage: Stage::Idle, round: 0, session: 0, ran: 0 };
-        // The key has been there for a while: the round before the first has run.
-        let key = Held { record: Record { round: 0, by: "x".into(), id: 9 }, index: 1 };
-        let instances = vec![instance; 3];
-        let (losses, ran) = (0, Vec::new());
-        vec![State { time: PERIOD, key: Some(key), index: 1, life: 0, losses, late: vec![], instances, ran }]
+        let instance = Instance { phase: Phase::Idle, run: RunId(0), session: 0, last_started: RunId(0) };
+        // The key has existed for a while: the run before the first has started.
+        let record = LeaseRecord { run: RunId(0), holder: "x".into(), lease_id: 9 };
+        vec![State {
+            time: PERIOD,
+            stored: Some(StoredLease { record, modify_index: 1 }),
+            store_index: 1,
+            store_incarnation: 0,
+            lost_responses: 0,
+            late_writes: Vec::new(),
+            instances: vec![instance; 3],
+            started: Vec::new(),
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.time < self.end {
             actions.push(Action::Tick);
         }
-        if state.life < self.empties {
-            actions.push(Action::Empty);
+        if state.store_incarnation < self.max_store_losses {
+            actions.push(Action::EmptyStore);
         }
-        for (i, _) in state.late.iter().enumerate() {
+        for (i, _) in state.late_writes.iter().enumerate() {
             actions.push(Action::ApplyLate(i));
         }
+        let may_lose = state.lost_responses < self.max_response_losses;
         for (i, instance) in state.instances.iter().enumerate() {
-            match &instance.stage {
-                Stage::Idle if instance.session != state.life && self.without != Without::Session => {
-                    actions.push(Action::Session(i));
+            let session_ended = instance.session != state.store_incarnation;
+            match &instance.phase {
+                Phase::Idle if session_ended && self.removed_guard != RemovedGuard::Session => {
+                    actions.push(Action::OpenSession(i));
                 }
-                Stage::Idle | Stage::Doubt => actions.push(Action::Read(i)),
-                Stage::Know(_) => actions.push(Action::Send(i)),
-                Stage::Sent { .. } => {
+                Phase::Idle | Phase::Uncertain => actions.push(Action::Read(i)),
+                Phase::Read(_) => actions.push(Action::Send(i)),
+                Phase::Sent { .. } => {
                     actions.push(Action::Apply(i));
-                    if state.losses < self.losses {
-                        actions.push(Action::GiveUp(i));
+                    if may_lose {
+                        actions.push(Action::TimeOut(i));
                     }
                 }
-                Stage::Answered(_) => {
-                    actions.push(Action::Hear(i));
-                    if state.losses < self.losses {
-                        actions.push(Action::Drop(i));
+                Phase::Responded(_) => {
+                    actions.push(Action::Receive(i));
+                    if may_lose {
+                        actions.push(Action::LoseResponse(i));
                     }
                 }
-                Stage::Begins(_) => actions.push(Action::Run(i)),
+                Phase::Starting(_) => actions.push(Action::Start(i)),
             }
         }
     }
@@ -159,82 +189,88 @@
         let mut state = before.clone();
         match action {
             Action::Tick => state.time += 1,
-            Action::Empty => {
-                state.life += 1;
-                state.key = None;
-                // Indexes begin anew, so an old one may come to fit again.
-                state.index = 0;
+            Action::EmptyStore => {
+                state.store_incarnation += 1;
+                state.stored = None;
+                // Indexes begin anew, so an old one may come to match again.
+                state.store_index = 0;
             }
             Action::ApplyLate(i) => {
-                let (session, index, record) = state.late.remove(i);
-                self.apply(&mut state, session, index, &record);
+                let LateWrite { session, expected_index, record } = state.late_writes.remove(i);
+                self.apply(&mut state, session, expected_index, &record);
             }
-            Action::Session(i) => state.instances[i].session = state.life,
+            Action::OpenSession(i) => state.instances[i].session = state.store_incarnation,
             Action::Read(i) => {
-                let round = self.clock(&state, i) / PERIOD;
-                let key = state.key.clone();
+                let run = self.present_run(&state, i);
+                let stored = state.stored.clone();
                 let instance = &mut state.instances[i];
-                if instance.stage == Stage::Idle {
-                    // One round at a time, and never one that it has started.
-                    if round <= instance.ran {
+                if instance.phase == Phase::Idle {
+                    // One run at a time, and never one that it has started.
+                    if run <= instance.last_started {
                         return None;
                     }
-                    instance.round = round;
+                    instance.run = run;
                 }
-                instance.stage = Stage::Know(key);
+                instance.phase = Phase::Read(stored);
             }
             Action::Send(i) => {
-                let Stage::Know(found) = state.instances[i].stage.clone() else { return None };
-                let round = state.instances[i].round;
-                let now = self.clock(&state, i) / PERIOD;
-                let want = self.want(&state, i, round);
-                let stage = match step(&found, &want) {
-                    // Its own clock says that the round is over.
-                    _ if now != round => Stage::Idle,
-                    Step::Taken => Stage::Idle,
-                    Step::Mine => Stage::Begins(round),
-                    Step::Seed if self.without == Without::Seed => {
-                        Stage::Sent { index: 0, record: want.claim("x") }
+                let Phase::Read(stored) = state.instances[i].phase.clone() else { return None };
+                let run = state.instances[i].run;
+                let present_run = self.present_run(&state, i);
+                let request = self.request(&state, i, run);
+                let phase = match decide(stored.as_ref(), &request) {
+                    // Its own clock says that the run's period is over.
+                    _ if present_run != run => Phase::Idle,
+                    Decision::Settled => Phase::Idle,
+                    Decision::AlreadyHeld => Phase::Starting(run),
+                    Decision::Seed if self.removed_guard == RemovedGuard::Seed => {
+                        Phase::Sent { expected_index: 0, record: request.lease_record("x") }
+                    }
+                    Decision::Seed => Phase::Sent { expected_index: 0, record: request.seed_record() },
+                    Decision::CompareAndSet { expected_index } => {
+                        Phase::Sent { expected_index, record: request.lease_record("x") }
                     }
-                    Step::Seed => Stage::Sent { index: 0, record: want.seed() },
-                    Step::Put { index } => Stage::Sent { index, record: want.claim("x") },
                 };
-                state.instances[i].stage = stage;
+                state.instances[i].phase = phase;
             }
             Action::Apply(i) => {
-                let Stage::Sent { index, record } = state.instances[i].stage.clone() else { return None };
+                let Phase::Sent { expected_index, record } = state.instances[i].phase.clone() else {
+                    return None;
+                };
                 let session = state.instances[i].session;
-                let won = self.apply(&mut state, session, index, &record) && record.id != 0;
-                state.instances[i].stage = Stage::Answered(won);
+                let acquired = self.apply(&mut state, session, expected_index, &record) && !record.is_seed();
+                state.instances[i].phase = Phase::Responded(acquired);
             }
-            Action::GiveUp(i) => {
-                let Stage::Sent { index, record } = state.instances[i].stage.clone() else { return None };
-                state.late.push((state.instances[i].session, index, record.clone()));
-                state.losses += 1;
-                let now = self.clock(&state, i) / PERIOD;
-                let fits = now == state.instances[i].round && record.id != 0;
-                state.instances[i].stage = match self.without {
-                    Without::Reread if fits => Stage::Begins(record.round),
-                    _ => Stage::Doubt,
+            Action::TimeOut(i) => {
+                let Phase::Sent { expected_index, record } = state.instances[i].phase.clone() else {
+                    return None;
+                };
+                let session = state.instances[i].session;
+                state.late_writes.push(LateWrite { session, expected_index, record: record.clone() });
+                state.lost_responses += 1;
+                let in_time = self.present_run(&state, i) == state.instances[i].run && !record.is_seed();
+                state.instances[i].phase = match self.removed_guard {
+                    RemovedGuard::Reread if in_time => Phase::Starting(record.run),
+                    _ => Phase::Uncertain,
                 };
             }
-            Action::Drop(i) => {
-                state.losses += 1;
-                state.instances[i].stage = Stage::Doubt;
+            Action::LoseResponse(i) => {
+                state.lost_responses += 1;
+                state.instances[i].phase = Phase::Uncertain;
             }
-            Action::Hear(i) => {
-                let Stage::Answered(won) = state.instances[i].stage else { return None };
-                let now = self.clock(&state, i) / PERIOD;
-                let round = state.instances[i].round;
-                state.instances[i].stage =
-                    if won && now == round { Stage::Begins(round) } else { Stage::Idle };
+            Action::Receive(i) => {
+                let Phase::Responded(acquired) = state.instances[i].phase else { return None };
+                let run = state.instances[i].run;
+                let in_time = self.present_run(&state, i) == run;
+                state.instances[i].phase =
+                    if acquired && in_time { Phase::Starting(run) } else { Phase::Idle };
             }
-            Action::Run(i) => {
-                let Stage::Begins(round) = state.instances[i].stage else { return None };
-                state.instances[i].ran = round;
-                state.instances[i].stage = Stage::Idle;
-                state.ran.push(round);
-                state.ran.sort_unstable();
+            Action::Start(i) => {
+                let Phase::Starting(run) = state.instances[i].phase else { return None };
+                state.instances[i].last_started = run;
+                state.instances[i].phase = Phase::Idle;
+                state.started.push(run);
+                state.started.sort_unstable();
             }
         }
         Some(state)
@@ -242,65 +278,100 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no round runs twice", |_, s: &State| s.ran.windows(2).all(|w| w[0] != w[1])),
-            Property::sometimes("a round runs", |_, s: &State| !s.ran.is_empty()),
-            Property::sometimes("a round runs after the store came back empty", |site: &Site, s: &State| {
-                site.empties == 0 || (s.life > 0 && s.ran.len() > 1)
+            Property::always(NO_RUN_TWICE, |_, state: &State| {
+                state.started.windows(2).all(|pair| pair[0] != pair[1])
+            }),
+            Property::sometimes(A_RUN_STARTS, |_, state: &State| !state.started.is_empty()),
+            Property::sometimes(A_RUN_STARTS_AFTER_A_LOSS, |model: &LeaseModel, state: &State| {
+                let store_lost = state.store_incarnation > 0 && state.started.len() > 1;
+                model.max_store_losses == 0 || store_lost
             }),
         ]
     }
 }
 
-fn check(without: Without, ahead: [u64; 3], empties: u8, losses: u8, end: u64) -> (bool, usize) {
-    let site = Site { without, ahead, end, empties, losses };
+const NO_RUN_TWICE: &str = "no run starts twice";
+const A_RUN_STARTS: &str = "a run starts";
+const A_RUN_STARTS_AFTER_A_LOSS: &str = "a run starts after the store came back empty";
+
+/// The size of a check.
+#[derive(Clone, Copy)]
+struct Size {
+    store_losses: u8,
+    response_losses: u8,
+    end: u64,
+}
+
+const fn size(store_losses: u8, response_losses: u8, end: u64) -> Size {
+    Size { store_losses, response_losses, end }
+}
+
+struct Checked {
+    /// Whether some run starts twice.
+    run_twice: bool,
+    states: usize,
+}
+
+fn check(removed_guard: RemovedGuard, clock_offsets: [u64; 3], size: Size) -> Checked {
+    let model = LeaseModel {
+        removed_guard,
+        clock_offsets,
+        end: size.end,
+        max_store_losses: size.store_losses,
+        max_response_losses: size.response_losses,
+    };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let checker = site.checker().threads(threads).spawn_bfs().join();
-    let doubled = checker.discovery("no round runs twice").is_some();
-    if without == Without::Nothing {
-        for name in ["a round runs", "a round runs after the store came back empty"] {
+    let checker = model.checker().threads(threads).spawn_bfs().join();
+    let run_twice = checker.discovery(NO_RUN_TWICE).is_some();
+    if removed_guard == RemovedGuard::None {
+        for name in [A_RUN_STARTS, A_RUN_STARTS_AFTER_A_LOSS] {
             assert!(checker.discovery(name).is_some(), "{name}: the model shows too little");
         }
     }
-    (doubled, checker.unique_state_count())
+    Checked { run_twice, states: checker.unique_state_count() }
 }
 
 #[test]
-fn no_round_runs_twice_whatever_is_lost_late_or_emptied() {
+fn no_run_starts_twice_whatever_is_lost_late_or_emptied() {
     // Short enough for every run of the tests; `all_sizes` goes further.
-    sizes(&[[0, 0, 0], [1, 0, 0]], &[(0, 1, 4), (1, 1, 4)]);
+    check_sizes(&[[0, 0, 0], [1, 0, 0]], &[size(0, 1, 4), size(1, 1, 4)]);
 }
 
 #[test]
 #[ignore = "takes minutes: part of `make proof-duties`"]
 fn all_sizes() {
-    sizes(&[[0, 0, 0], [1, 0, 0], [1, 1, 0]], &[(0, 2, 5), (1, 1, 5)]);
+    check_sizes(&[[0, 0, 0], [1, 0, 0], [1, 1, 0]], &[size(0, 2, 5), size(1, 1, 5)]);
 }
 
-/// Checks all of these clocks with all of these numbers of restarts, lost answers and units of time.
-fn sizes(clocks: &[[u64; 3]], sizes: &[(u8, u8, u64)]) {
+/// Checks all of these clock offsets with all of these sizes.
+fn check_sizes(clock_offsets: &[[u64; 3]], sizes: &[Size]) {
     let mut states = 0;
-    for ahead in clocks {
-        for &(empties, losses, end) in sizes {
-            let (doubled, seen) = check(Without::Nothing, *ahead, empties, losses, end);
-            assert!(!doubled, "clocks {ahead:?}, {empties} restarts empty, {losses} answers lost");
-            states += seen;
+    for offsets in clock_offsets {
+        for &size in sizes {
+            let checked = check(RemovedGuard::None, *offsets, size);
+            let Size { store_losses, response_losses, .. } = size;
+            assert!(
+                !checked.run_twice,
+                "clocks {offsets:?}, {store_losses} restarts empty, {response_losses} responses lost"
+            );
+            states += checked.states;
         }
     }
-    println!("claims: {states} states checked, three instances");
+    println!("job leases: {states} states checked, three instances");
     assert!(states > 10_000, "only {states} states");
 }
 
 #[test]
 fn each_guard_is_needed() {
-    for (without, empties, losses) in [
-        (Without::CheckAndSet, 0, 0),
-        (Without::Session, 1, 1),
-        (Without::Seed, 1, 0),
-        (Without::Reread, 0, 1),
+    for (removed_guard, size) in [
+        (RemovedGuard::CompareAndSet, size(0, 0, 5)),
+        (RemovedGuard::Session, size(1, 1, 5)),
+        (RemovedGuard::Seed, size(1, 0, 5)),
+        (RemovedGuard::Reread, size(0, 1, 5)),
     ] {
         assert!(
-            check(without, [1, 0, 0], empties, losses, 5).0,
-            "the checker finds nothing without {without:?}"
+            check(removed_guard, [1, 0, 0], size).run_twice,
+            "the checker finds nothing without {removed_guard:?}"
         );
     }
 }
--- /dev/null
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -0,0 +1,155 @@
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): the order of the live members for each job. When a member leaves,
+//! only its own jobs move, and they spread over all others.
+
+use std::collections::BTreeMap;
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+
+/// A hash that is the same in every build: instances of different versions must agree.
+pub(crate) fn stable_hash(text: &str) -> u64 {
+    xxh3_64(text.as_bytes())
+}
+
+/// The hash of a job's name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JobHash(pub u64);
+
+impl JobHash {
+    /// The hash of this name.
+    pub fn of(name: &str) -> Self {
+        Self(stable_hash(name))
+    }
+}
+
+/// The hash of a member's name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MemberHash(pub u64);
+
+impl MemberHash {
+    /// The hash of this name.
+    pub fn of(name: &str) -> Self {
+        Self(stable_hash(name))
+    }
+}
+
+/// The live members, by the hash of their names.
+#[derive(Clone, Debug, Default)]
+pub struct Members {
+    names: BTreeMap<MemberHash, String>,
+}
+
+/// The difference between two sets of members.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct MembershipChange {
+    /// Members that joined.
+    pub joined: Vec<MemberHash>,
+    /// Members that left.
+    pub left: Vec<MemberHash>,
+}
+
+impl MembershipChange {
+    /// Whether nothing has changed.
+    pub fn is_empty(&self) -> bool {
+        self.joined.is_empty() && self.left.is_empty()
+    }
+}
+
+impl Members {
+    /// How many there are.
+    pub fn len(&self) -> usize {
+        self.names.len()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.names.is_empty()
+    }
+
+    /// The name behind a hash.
+    pub fn name(&self, member: MemberHash) -> Option<&str> {
+        self.names.get(&member).map(String::as_str)
+    }
+
+    /// Replaces the members; returns what has changed.
+    pub fn replace(&mut self, names: impl IntoIterator<Item = String>) -> MembershipChange {
+        let after: BTreeMap<MemberHash, String> =
+            names.into_iter().map(|name| (MemberHash::of(&name), name)).collect();
+        let joined = after.keys().filter(|member| !self.names.contains_key(member)).copied().collect();
+        let left = self.names.keys().filter(|member| !after.contains_key(member)).copied().collect();
+        self.names = after;
+        MembershipChange { joined, left }
+    }
+}
+
+/// A member and its weight for one job. The greatest has the first rank.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    weight: u64,
+    member: MemberHash,
+}
+
+impl Candidate {
+    fn new(job: JobHash, member: MemberHash) -> Self {
+        Self { weight: xxh3_64_with_seed(&job.0.to_le_bytes(), member.0), member }
+    }
+}
+
+/// The members of the first few ranks for one job.
+#[derive(Clone, Debug)]
+pub struct Ranking {
+    job: JobHash,
+    max_ranks: usize,
+    /// The first rank first.
+    candidates: Vec<Candidate>,
+}
+
+impl Ranking {
+    /// Ranks all members for a job and keeps the first `max_ranks`.
+    pub fn new(job: JobHash, members: &Members, max_ranks: usize) -> Self {
+        let mut ranking = Self { job, max_ranks, candidates: Vec::new() };
+        ranking.rebuild(members);
+        ranking
+    }
+
+    fn rebuild(&mut self, members: &Members) {
+        self.candidates.clear();
+        for &member in members.names.keys() {
+            self.insert(member);
+        }
+    }
+
+    fn insert(&mut self, member: MemberHash) {
+        let candidate = Candidate::new(self.job, member);
+        let rank = self.candidates.partition_point(|&other| other > candidate);
+        if rank < self.max_ranks {
+            self.candidates.insert(rank, candidate);
+            self.candidates.truncate(self.max_ranks);
+        }
+    }
+
+    /// Applies a change that `members` already contains; returns whether the ranking has changed. Only where one of its
+    /// members has left are all members ranked anew.
+    pub fn update(&mut self, members: &Members, change: &MembershipChange) -> bool {
+        let before = self.candidates.clone();
+        if self.candidates.iter().any(|candidate| change.left.contains(&candidate.member)) {
+            self.rebuild(members);
+        } else {
+            for &member in &change.joined {
+                self.insert(member);
+            }
+        }
+        self.candidates != before
+    }
+
+    /// The rank of a member, from 0.
+    pub fn rank(&self, member: MemberHash) -> Option<usize> {
+        self.candidates.iter().position(|candidate| candidate.member == member)
+    }
+
+    /// The member of the first rank.
+    pub fn owner(&self) -> Option<MemberHash> {
+        self.candidates.first().map(|candidate| candidate.member)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -1,82 +1,96 @@
-//! What instances of different builds must agree on: hashes, the order of members, the starts of rounds, and what is
-//! written to the store and when. The fixtures are an earlier build's.
+//! What instances of different builds must agree on: hashes, the ranking of members, the scheduled times of runs, and what
+//! is written to the store and when. The fixtures are an earlier build's.
 
-use job_lease::local::Local;
-use periodic_jobs::ranks::{Members, Top, hash};
-use periodic_jobs::{Action, Config, Duty, Now, Scheduler, round_at};
+use job_lease::LocalStore;
+use periodic_jobs::rendezvous::{JobHash, MemberHash, Members, Ranking};
+use periodic_jobs::{Action, ClockReading, Config, Job, Scheduler};
 
 const ORDER: &str = include_str!("fixtures/order.txt");
 const COURSE: &str = include_str!("fixtures/course.txt");
 
 const NAMES: [&str; 4] = ["call/close-of-day", "probe/loans-1", "probe/eu/loans-2", "d"];
 
-/// For each duty its hash, the start of a round, and its members in order.
+/// For each job its hash, the scheduled time of a run, and the ranks of all members.
 fn order() -> String {
     let mut members = Members::default();
-    members.set((0..6).map(|i| format!("m{i}")));
+    members.replace((0..6).map(|i| format!("m{i}")));
     let line = |name: &str| {
-        let mut top = Top::default();
-        top.build(hash(name), &members, 4);
-        let ranks: Vec<String> = (0..6).map(|i| format!("{:?}", top.rank(hash(&format!("m{i}"))))).collect();
-        let start = round_at(&Duty { name: name.into(), period: 7_000 }, 1_800_000_000_000);
-        format!("{name} {:016x} {start} {}\n", hash(name), ranks.join(" "))
+        let ranking = Ranking::new(JobHash::of(name), &members, 4);
+        let rank = |i| ranking.rank(MemberHash::of(&format!("m{i}")));
+        let ranks: Vec<String> = (0..6).map(|i| format!("{:?}", rank(i))).collect();
+        let run = Job { name: name.into(), period_ms: 7_000 }.run_at(1_800_000_000_000);
+        format!("{name} {:016x} {run} {}\n", JobHash::of(name).0, ranks.join(" "))
     };
     NAMES.iter().map(|name| line(name)).collect()
 }
 
-/// What the scheduler of one of two instances asks for, against a store that answers at once.
+/// What the scheduler of one of two instances asks for, against a store that responds at once.
 fn course() -> String {
     let mut scheduler = Scheduler::new(Config {
-        me: "m0".into(),
+        instance: "m0".into(),
         standbys: 2,
-        skew: 100,
-        guard: 10,
-        trial: 200,
-        renew: 3_000,
-        start: 11,
+        max_clock_skew_ms: 100,
+        start_margin_ms: 10,
+        store_retry_ms: 200,
+        session_renewal_ms: 3_000,
+        incarnation: 11,
     });
-    let (mut store, mut lines) = (Local::default(), String::new());
-    let mut now = Now { wall: 1_800_000_000_000, mono: 5_000 };
-    scheduler.set_duties(now, NAMES.map(|name| Duty { name: name.into(), period: 1_000 }).to_vec());
+    let (mut store, mut lines) = (LocalStore::default(), String::new());
+    let mut now = ClockReading { unix_ms: 1_800_000_000_000, monotonic_ms: 5_000 };
+    scheduler.set_jobs(now, NAMES.map(|name| Job { name: name.into(), period_ms: 1_000 }).to_vec());
     scheduler.set_members(now, ["m1".to_owned()]);
     for _ in 0..1_200 {
-        (now.wall, now.mono) = (now.wall + 5, now.mono + 5);
+        now.unix_ms += 5;
+        now.monotonic_ms += 5;
         let mut actions = Vec::new();
         scheduler.tick(now, &mut actions);
         while !actions.is_empty() {
             for action in std::mem::take(&mut actions) {
-                let line = match action {
-                    Action::Open => {
-                        scheduler.opened(now, Ok(store.open()), &mut actions);
-                        "open".into()
-                    }
-                    Action::Renew(session) => {
-                        scheduler.renewed(now, &session, Ok(true), &mut actions);
-                        "renew".into()
-                    }
-                    Action::Read { call, names } => {
-                        scheduler.read(now, call, &names, Ok(store.read(&names)), &mut actions);
-                        format!("read {call} {}", names.join(" "))
-                    }
-                    Action::Put { call, name, record, index, .. } => {
-                        let put = store.put(&name, record.clone(), index);
-                        scheduler.put(now, call, &name, &record, put, &mut actions);
-                        format!("put {call} {name} {} {:?} {} {index}", record.round, record.by, record.id)
-                    }
-                    Action::Run(run) => {
-                        format!("run {} {} {} {}", run.duty, run.round, run.before_wall, run.before_mono)
-                    }
-                    Action::Note(_) => "note".into(),
-                };
-                lines.push_str(&format!("{} {line}\n", now.wall));
+                let line = carry_out(&mut scheduler, &mut store, now, action, &mut actions);
+                lines.push_str(&format!("{} {line}\n", now.unix_ms));
             }
         }
     }
     lines
 }
 
+/// Carries out an action; returns its line in the course.
+fn carry_out(
+    scheduler: &mut Scheduler,
+    store: &mut LocalStore,
+    now: ClockReading,
+    action: Action,
+    out: &mut Vec<Action>,
+) -> String {
+    match action {
+        Action::OpenSession => {
+            scheduler.session_opened(now, Ok(store.open_session()), out);
+            "open".into()
+        }
+        Action::RenewSession(session) => {
+            scheduler.session_renewed(now, &session, Ok(true), out);
+            "renew".into()
+        }
+        Action::ReadLeases { call, jobs } => {
+            scheduler.leases_read(now, call, &jobs, Ok(store.read(&jobs)), out);
+            format!("read {} {}", call.0, jobs.join(" "))
+        }
+        Action::CompareAndSet { call, job, record, expected_index, .. } => {
+            let outcome = store.compare_and_set(&job, record.clone(), expected_index);
+            scheduler.compare_and_set_done(now, call, &job, &record, outcome, out);
+            let (run, holder, lease_id) = (record.run, &record.holder, record.lease_id);
+            format!("put {} {job} {run} {holder:?} {lease_id} {expected_index}", call.0)
+        }
+        Action::StartRun(run) => {
+            let ClockReading { unix_ms, monotonic_ms } = run.deadline;
+            format!("run {} {} {unix_ms} {monotonic_ms}", run.job, run.id)
+        }
+        Action::Notify(_) => "note".into(),
+    }
+}
+
 #[test]
-fn hashes_orders_and_starts_are_those_of_the_earlier_build() {
+fn hashes_ranks_and_scheduled_times_are_those_of_the_earlier_build() {
     assert_eq!(order(), ORDER);
 }
 
--- a/crates/simulated/src/lib.rs
+++ b/crates/simulated/src/lib.rs
@@ -1,10 +1,13 @@
 //! A cluster of the pure modules in simulated time: `membership`, `duties` and `claims` as the program drives them, with
 //! a store and a network that can be told to fail. The same seed gives the same course, to the millisecond.
 
-use job_lease::{Failure, Found, Held, Listing, Put, Record, Session};
+use job_lease::{
+    CompareAndSetOutcome, LeaseListing, LeaseRecord, ListedLease, Session, StoreError, StoreErrorCause,
+    StoredLease,
+};
 use membership::authentication::Keyring;
 use membership::{Member, Membership, Output};
-use periodic_jobs::{Action, Config, Duty, Note, Now, Scheduler};
+use periodic_jobs::{Action, CallId, ClockReading, Config, Job, Notice, Scheduler};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -65,16 +68,16 @@
 enum Call {
     Open,
     Renew(Session),
-    Read(u64, Vec<String>),
-    Put(u64, String, Record, u64, Session),
+    Read(CallId, Vec<String>),
+    CompareAndSet(CallId, String, LeaseRecord, u64, Session),
 }
 
 #[derive(Debug)]
 enum Answer {
-    Opened(Result<Session, Failure>),
-    Renewed(Session, Result<bool, Failure>),
-    Read(u64, Vec<String>, Result<Listing, Failure>),
-    Put(u64, String, Record, Put),
+    Opened(Result<Session, StoreError>),
+    Renewed(Session, Result<bool, StoreError>),
+    Read(CallId, Vec<String>, Result<LeaseListing, StoreError>),
+    CompareAndSet(CallId, String, LeaseRecord, CompareAndSetOutcome),
 }
 
 #[derive(Debug)]
@@ -125,7 +128,7 @@
     events: HashMap<u64, Event>,
     instances: Vec<Option<Instance>>,
     rng: StdRng,
-    keys: HashMap<String, Held>,
+    keys: HashMap<String, StoredLease>,
     index: u64,
     life: u64,
     fault: Fault,
@@ -139,8 +142,8 @@
     ran: HashMap<(String, u64), u32>,
     /// By duty its last run's round and the most rounds missed in a row since the last reset.
     gaps: HashMap<String, (u64, u64)>,
-    /// Notes so far.
-    pub notes: Vec<Note>,
+    /// Notices so far.
+    pub notices: Vec<Notice>,
 }
 
 fn address(i: usize) -> SocketAddr {
@@ -177,7 +180,7 @@
             counts: Counts::default(),
             ran: HashMap::new(),
             gaps: HashMap::new(),
-            notes: Vec::new(),
+            notices: Vec::new(),
             site,
         };
         for i in 0..world.site.instances {
@@ -233,17 +236,17 @@
         };
         let keys = Keyring::parse(&"ab".repeat(32)).expect("a key");
         let mut scheduler = Scheduler::new(Config {
-            me: format!("m{i}"),
+            instance: format!("m{i}"),
             standbys: site.standbys,
-            skew: site.skew,
-            guard: 10,
-            trial: 100,
-            renew: 3_000,
-            start: self.rng.random(),
+            max_clock_skew_ms: site.skew,
+            start_margin_ms: 10,
+            store_retry_ms: 100,
+            session_renewal_ms: 3_000,
+            incarnation: self.rng.random(),
         });
-        let now = Now { wall: wall.saturating_add_signed(offset), mono: self.now };
-        let duty = |i| Duty { name: name(i), period: site.period };
-        scheduler.set_duties(now, (0..site.duties).map(duty).collect());
+        let now = ClockReading { unix_ms: wall.saturating_add_signed(offset), monotonic_ms: self.now };
+        let job = |i| Job { name: name(i), period_ms: site.period };
+        scheduler.set_jobs(now, (0..site.duties).map(job).collect());
         let life = self.rng.random();
         self.instances[i] = Some(Instance {
             membership: Membership::new(config, keys),
@@ -370,9 +373,9 @@
         }
     }
 
-    fn clocks(&self, i: usize) -> Now {
+    fn clocks(&self, i: usize) -> ClockReading {
         let offset = self.instances[i].as_ref().map_or(0, |x| x.offset);
-        Now { wall: (BASE + self.now).saturating_add_signed(offset), mono: self.now }
+        ClockReading { unix_ms: (BASE + self.now).saturating_add_signed(offset), monotonic_ms: self.now }
     }
 
     fn take(&mut self, event: Event) {
@@ -397,12 +400,12 @@
         let (mut outputs, mut actions) = (Vec::new(), Vec::new());
         match event {
             Event::Tick(_) => {
-                if instance.ticks_at > now.mono {
+                if instance.ticks_at > now.monotonic_ms {
                     return;
                 }
                 // None is posted now: at the very beginning 0 would be taken for one that still is.
                 instance.ticks_at = u64::MAX;
-                instance.membership.tick(now.mono, &mut outputs);
+                instance.membership.tick(now.monotonic_ms, &mut outputs);
                 // Who has no duties need not know the members.
                 if std::mem::take(&mut instance.changed) && self.site.duties > 0 {
                     let living = instance.membership.alive_names();
@@ -410,34 +413,38 @@
                 }
                 instance.scheduler.tick(now, &mut actions);
             }
-            Event::Datagram(_, bytes) => instance.membership.handle_datagram(now.mono, &bytes, &mut outputs),
+            Event::Datagram(_, bytes) => {
+                instance.membership.handle_datagram(now.monotonic_ms, &bytes, &mut outputs)
+            }
             Event::Answer(_, life, answer) if life == instance.life => match answer {
-                Answer::Opened(answer) => instance.scheduler.opened(now, answer, &mut actions),
+                Answer::Opened(answer) => instance.scheduler.session_opened(now, answer, &mut actions),
                 Answer::Renewed(session, answer) => {
-                    instance.scheduler.renewed(now, &session, answer, &mut actions);
+                    instance.scheduler.session_renewed(now, &session, answer, &mut actions);
                 }
                 Answer::Read(call, names, answer) => {
-                    instance.scheduler.read(now, call, &names, answer, &mut actions);
+                    instance.scheduler.leases_read(now, call, &names, answer, &mut actions);
                 }
-                Answer::Put(call, name, record, put) => {
-                    instance.scheduler.put(now, call, &name, &record, put, &mut actions);
+                Answer::CompareAndSet(call, job, record, outcome) => {
+                    instance.scheduler.compare_and_set_done(now, call, &job, &record, outcome, &mut actions);
                 }
             },
             Event::Answer(..) | Event::Call(..) => return,
         }
         instance.changed |= outputs.contains(&Output::MembersChanged);
         let life = instance.life;
-        let next = instance
-            .membership
-            .next_tick_ms()
-            .min(instance.scheduler.next_due().map_or(u64::MAX, |at| now.mono + at.saturating_sub(now.wall)));
+        let next = instance.membership.next_tick_ms().min(
+            instance
+                .scheduler
+                .next_tick_unix_ms()
+                .map_or(u64::MAX, |at| now.monotonic_ms + at.saturating_sub(now.unix_ms)),
+        );
         for output in outputs {
             if let Output::SendDatagram { to, bytes } = output {
                 self.send(i, number(to), bytes);
             }
         }
         self.act(i, life, now, actions);
-        self.tick_at(i, next.max(now.mono + 1));
+        self.tick_at(i, next.max(now.monotonic_ms + 1));
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
@@ -450,28 +457,28 @@
         }
     }
 
-    fn act(&mut self, i: usize, life: u64, now: Now, actions: Vec<Action>) {
+    fn act(&mut self, i: usize, life: u64, now: ClockReading, actions: Vec<Action>) {
         for action in actions {
             let call = match action {
-                Action::Open => Call::Open,
-                Action::Renew(session) => Call::Renew(session),
-                Action::Read { call, names } => Call::Read(call, names),
-                Action::Put { call, name, record, index, session } => {
-                    Call::Put(call, name, record, index, session)
+                Action::OpenSession => Call::Open,
+                Action::RenewSession(session) => Call::Renew(session),
+                Action::ReadLeases { call, jobs } => Call::Read(call, jobs),
+                Action::CompareAndSet { call, job, record, expected_index, session } => {
+                    Call::CompareAndSet(call, job, record, expected_index, session)
                 }
-                Action::Note(note) => {
-                    self.notes.push(note);
+                Action::Notify(notice) => {
+                    self.notices.push(notice);
                     continue;
                 }
-                Action::Run(run) => {
+                Action::StartRun(run) => {
                     // The program looks again just before it acts.
-                    if run.in_time(now) {
+                    if run.may_start(now) {
                         self.counts.runs += 1;
-                        let (last, worst) = self.gaps.entry(run.duty.clone()).or_insert((run.round, 0));
+                        let (last, worst) = self.gaps.entry(run.job.clone()).or_insert((run.id.0, 0));
                         *worst = (*worst)
-                            .max((run.round.saturating_sub(*last) / self.site.period).saturating_sub(1));
-                        *last = run.round;
-                        *self.ran.entry((run.duty, run.round)).or_default() += 1;
+                            .max((run.id.0.saturating_sub(*last) / self.site.period).saturating_sub(1));
+                        *last = run.id.0;
+                        *self.ran.entry((run.job, run.id.0)).or_default() += 1;
                     } else {
                         self.counts.late += 1;
                     }
@@ -486,13 +493,13 @@
     fn store(&mut self, from: usize, life: u64, call: Call) {
         let silent = self.fault == Fault::Silent || !self.reached[usize::from(self.sides[from])];
         // Callers give up after 100 ms.
-        let lost = || Failure::Unknown("no answer".into());
+        let lost = || StoreError::OutcomeUnknown(StoreErrorCause::NoResponse);
         let (delay, answer) = match call {
             Call::Open if silent => (100, Answer::Opened(Err(lost()))),
             Call::Renew(session) if silent => (100, Answer::Renewed(session, Err(lost()))),
             Call::Read(call, names) if silent => (100, Answer::Read(call, names, Err(lost()))),
-            Call::Put(call, name, record, ..) if silent => {
-                (100, Answer::Put(call, name, record, Put::Failed(lost())))
+            Call::CompareAndSet(call, job, record, ..) if silent => {
+                (100, Answer::CompareAndSet(call, job, record, CompareAndSetOutcome::Failed(lost())))
             }
             Call::Open => {
                 let session = Session { id: self.life.to_string(), key: String::new() };
@@ -504,28 +511,33 @@
             }
             Call::Read(call, names) => {
                 self.counts.reads += 1;
-                let found = |n: &String| -> (String, Found) { (n.clone(), self.keys.get(n).cloned()) };
-                let listing = Listing { held: names.iter().map(found).collect(), index: self.index };
+                let listed =
+                    |job: &String| ListedLease { job: job.clone(), lease: self.keys.get(job).cloned() };
+                let listing =
+                    LeaseListing { leases: names.iter().map(listed).collect(), store_index: self.index };
                 (2, Answer::Read(call, names, Ok(listing)))
             }
-            Call::Put(call, name, record, index, session) => {
+            Call::CompareAndSet(call, name, record, index, session) => {
                 self.counts.claims.0 += 1;
-                let there = self.keys.get(&name).map_or(0, |h| h.index);
-                let put = if session.id != self.life.to_string() {
-                    Put::SessionGone
+                let there = self.keys.get(&name).map_or(0, |lease| lease.modify_index);
+                let outcome = if session.id != self.life.to_string() {
+                    CompareAndSetOutcome::SessionEnded
                 } else if there != index {
-                    Put::Lost
+                    CompareAndSetOutcome::Conflict
                 } else {
                     self.index += 1;
                     self.counts.claims.1 += 1;
-                    self.keys.insert(name.clone(), Held { record: record.clone(), index: self.index });
-                    Put::Won { index: self.index }
+                    let lease = StoredLease { record: record.clone(), modify_index: self.index };
+                    self.keys.insert(name.clone(), lease);
+                    CompareAndSetOutcome::Applied { modify_index: self.index }
                 };
-                if self.fault == Fault::Lost || (self.losing > 0 && matches!(put, Put::Won { .. })) {
+                if self.fault == Fault::Lost
+                    || (self.losing > 0 && matches!(outcome, CompareAndSetOutcome::Applied { .. }))
+                {
                     self.losing = self.losing.saturating_sub(1);
-                    (100, Answer::Put(call, name, record, Put::Failed(lost())))
+                    (100, Answer::CompareAndSet(call, name, record, CompareAndSetOutcome::Failed(lost())))
                 } else {
-                    (2, Answer::Put(call, name, record, put))
+                    (2, Answer::CompareAndSet(call, name, record, outcome))
                 }
             }
         };
--- a/crates/simulated/tests/duties.rs
+++ b/crates/simulated/tests/duties.rs
@@ -77,7 +77,8 @@
         world.pass(PERIOD + 50);
         world.go_on(i);
     }
-    late += world.notes.iter().filter(|n| matches!(n, periodic_jobs::Note::Late(..))).count();
+    late +=
+        world.notices.iter().filter(|n| matches!(n, periodic_jobs::Notice::AcquiredTooLate { .. })).count();
     assert!(late > 0, "the case did not arise");
     holds(&mut world, 1, "stalls");
 }
@@ -142,7 +143,7 @@
     let mut world = world(site(4));
     world.lose_answers(200);
     world.pass(10 * PERIOD);
-    assert!(world.notes.iter().any(|n| matches!(n, periodic_jobs::Note::Recovered(..))));
+    assert!(world.notices.iter().any(|n| matches!(n, periodic_jobs::Notice::LeaseRecovered { .. })));
     holds(&mut world, 0, "lost answers");
 }
 
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -248,7 +248,7 @@
 
 /// The cluster's part of the status.
 pub fn cluster_report(cluster: &Cluster) -> String {
-    told(&cluster.ask_report()).unwrap_or_else(|| "cluster\n  it does not answer\n".into())
+    told(&cluster.request_status()).unwrap_or_else(|| "cluster\n  it does not answer\n".into())
 }
 
 /// What another thread reports, which the worker does not wait for.
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -1,7 +1,7 @@
 //! The appliance's file as the settings of the cluster, and what a reload takes from it.
 
 use crate::appliance;
-use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
+use cluster::{Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use membership::authentication::Keyring;
 use quorum::Quorum;
 use settings::appliance::Appliance;
@@ -13,7 +13,7 @@
 const RUNNERS: usize = 8;
 
 /// How an instance takes part, and the calls that are duties at first.
-pub type Shared = (Settings, Vec<Call>);
+pub type Shared = (Settings, Vec<HttpJob>);
 
 /// What the file says of shared duties; `None` where it has none, and nothing is started.
 ///
@@ -24,10 +24,10 @@
     if file.cluster.is_none() && file.probe.is_none() && file.duties.is_empty() {
         return Ok(None);
     }
-    let probes = file.probe.as_ref().map(|probe| Probes {
+    let health_checks = file.probe.as_ref().map(|probe| HealthChecks {
         path: probe.path.clone(),
         timeout: Duration::from_millis(probe.timeout_ms),
-        rules: health_check::Config {
+        config: health_check::Config {
             period_ms: probe.period_ms,
             unhealthy_threshold: probe.down_after,
             healthy_threshold: probe.up_after,
@@ -36,16 +36,16 @@
     });
     let settings = match &file.cluster {
         Some(cluster) => Settings {
-            name: cluster.name.clone(),
+            instance: cluster.name.clone(),
             gossip: Some(Gossip {
                 listen: cluster.listen,
                 advertise: cluster.advertise.unwrap_or(cluster.listen),
                 peers: cluster.peers.clone(),
-                keys: keys(file, folder)?,
-                period: cluster.gossip_ms,
-                suspect: cluster.suspect_ms,
+                keyring: keys(file, folder)?,
+                period_ms: cluster.gossip_ms,
+                suspicion_timeout_ms: cluster.suspect_ms,
             }),
-            store: StoreAt::Consul {
+            lease_store: LeaseStore::Consul {
                 address: cluster.store.unwrap_or(file.consul.address),
                 prefix: cluster.prefix.clone(),
                 timeout: Duration::from_millis(cluster.store_timeout_ms),
@@ -57,20 +57,20 @@
                 },
             },
             standbys: cluster.standbys,
-            skew: cluster.skew_ms,
-            clock_offset: cluster.clock_offset_ms,
-            runners: RUNNERS,
-            probes,
+            max_clock_skew_ms: cluster.skew_ms,
+            clock_offset_ms: cluster.clock_offset_ms,
+            max_concurrent_runs: RUNNERS,
+            health_checks,
         },
         None => Settings {
-            name: "alone".into(),
+            instance: "alone".into(),
             gossip: None,
-            store: StoreAt::Local,
+            lease_store: LeaseStore::Local,
             standbys: 0,
-            skew: 0,
-            clock_offset: 0,
-            runners: RUNNERS,
-            probes,
+            max_clock_skew_ms: 0,
+            clock_offset_ms: 0,
+            max_concurrent_runs: RUNNERS,
+            health_checks,
         },
     };
     Ok(Some((settings, calls(&file.duties))))
@@ -88,10 +88,10 @@
     Keyring::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn calls(duties: &[Duty]) -> Vec<Call> {
-    let call = |d: &Duty| Call {
+fn calls(duties: &[Duty]) -> Vec<HttpJob> {
+    let call = |d: &Duty| HttpJob {
         name: d.name.clone(),
-        period: d.period_ms,
+        period_ms: d.period_ms,
         url: d.url.clone(),
         timeout: Duration::from_millis(d.timeout_ms),
     };
@@ -108,14 +108,14 @@
         };
         let calls = calls(&file.duties);
         let done = (calls.len(), keys.is_some());
-        cluster.set_calls(calls);
+        cluster.set_http_jobs(calls);
         if let Some(keys) = keys {
-            cluster.set_keys(keys.clone());
+            cluster.set_keyring(keys.clone());
             if let Some(agreement) = agreement {
                 agreement.set_keys(keys);
             }
         }
-        cluster.set_clock_offset(file.cluster.as_ref().map_or(0, |c| c.clock_offset_ms));
+        cluster.set_clock_offset_ms(file.cluster.as_ref().map_or(0, |c| c.clock_offset_ms));
         Ok(done)
     };
     match read() {
--- a/crates/snowfield/src/fleet.rs
+++ b/crates/snowfield/src/fleet.rs
@@ -2,7 +2,7 @@
 //! module are told of them.
 
 use catalogue::{Guards, Health, View};
-use cluster::Cluster;
+use cluster::{Backend, Cluster};
 use consul::{Answered, ListFile, NUMBERS, Source, Watch, Watched};
 use destination::{HttpDestination, Place, Pools};
 use dewproxy::interface::{BackendEntry, ListKind, Micros, State};
@@ -104,10 +104,12 @@
             self.tell(&mut known);
             let entries = known.views.iter().enumerate().flat_map(|(s, v)| v.iter().map(move |v| (s, v)));
             let entries = entries.flat_map(|(s, v)| v.entries.iter().map(move |e| (s, e)));
-            entries.map(|(s, e)| (self.name(s, &e.instance.id), e.instance.address)).collect()
+            let backends = entries
+                .map(|(s, e)| Backend { id: self.name(s, &e.instance.id), address: e.instance.address });
+            backends.collect()
         };
         if let Some(cluster) = self.cluster.get() {
-            cluster.set_fleet(fleet);
+            cluster.set_backends(fleet);
         }
     }
 
