--- a/crates/simulated/tests/course.rs
+++ b/crates/cluster_simulation/tests/course.rs
@@ -1,5 +1,5 @@
 //! The course of the whole simulation from fixed seeds, as an earlier build of the pure crates took it.
-use simulated::{Fault, Site, World};
+use cluster_simulation::{Fault, Site, World};
 
 const COURSE: &str = include_str!("fixtures/course.txt");
 
--- a/crates/simulated/tests/duties.rs
+++ b/crates/cluster_simulation/tests/duties.rs
@@ -1,7 +1,7 @@
 //! The hard cases of shared duties in simulated time. Each holds the same rules: no round twice, and no two rounds in a
 //! row missed while the store is reachable.
 
-use simulated::{Fault, Site, World};
+use cluster_simulation::{Fault, Site, World};
 
 const PERIOD: u64 = 1_000;
 
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! A few members in simulated time; the larger ones are in the crate `simulated`.
+//! A few members in simulated time; the larger ones are in the crate `cluster_simulation`.
 
 use super::*;
 
--- a/crates/proofs/src/bin/proof-duties-simulated.rs
+++ b/crates/proofs/src/bin/proof-duties-simulated.rs
@@ -1,8 +1,8 @@
 //! The pure modules of shared duties in simulated time, from 10 to 300 instances with ten duties each: a tenth of all
 //! datagrams lost, then half of the instances killed. Shows how the cost grows.
 
+use cluster_simulation::{Site, World};
 use proofs::Table;
-use simulated::{Site, World};
 use std::process::ExitCode;
 use std::time::Instant;
 
--- a/crates/proofs/src/bin/proof-membership.rs
+++ b/crates/proofs/src/bin/proof-membership.rs
@@ -1,8 +1,8 @@
 //! Membership alone in simulated time, up to 1,000 members with a tenth of all datagrams lost: how long a start, a mass
 //! death, the healing of a split and the return of a member that was stopped take until all see the same, and what that costs.
 
+use cluster_simulation::{Site, World};
 use proofs::Table;
-use simulated::{Site, World};
 use std::process::ExitCode;
 use std::time::Instant;
 
