--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -1,7 +1,7 @@
 //! What a node is started with.
 
 use crate::view::ConfigView;
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use replicated_config::ReplicaId;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,7 +26,7 @@
     /// The replicas, in the same order at every node.
     pub replicas: Vec<ReplicaAddress>,
     /// The keys that authenticate messages.
-    pub keys: Keys,
+    pub keys: Keyring,
     /// The file of a replica's log.
     pub log: PathBuf,
     /// How long a lease lasts.
--- a/crates/config_node/src/connection.rs
+++ b/crates/config_node/src/connection.rs
@@ -4,7 +4,7 @@
 use crate::error::Error;
 use crate::event::{ConnectionId, Event};
 use crate::message_io::{SharedKeys, read_message, write_message};
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use replicated_config::Message;
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -169,7 +169,7 @@
 /// [`Error::Message`] where what comes is no message of a node with the same keys.
 pub fn call(
     address: SocketAddr,
-    keys: &Keys,
+    keys: &Keyring,
     message: &Message,
     timeout: Duration,
     is_answer: impl Fn(&Message) -> bool,
--- a/crates/config_node/tests/three_nodes.rs
+++ b/crates/config_node/tests/three_nodes.rs
@@ -4,7 +4,7 @@
     ConfigView, Error, InvalidProposal, Message, Node, NodeConfig, Proposal, ProposalId, ProposalOutcome,
     ReplicaAddress, ReplicaLog, call,
 };
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -16,8 +16,8 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const LEASE_DURATION: Duration = Duration::from_millis(800);
 
-fn keys() -> Keys {
-    Keys::parse(&"ab".repeat(32)).expect("a key")
+fn keys() -> Keyring {
+    Keyring::parse(&"ab".repeat(32)).expect("a key")
 }
 
 struct Folder(PathBuf);
