--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,7 +12,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// Two gateways, one plan of 10 units a second with a burst of 20, one class of each effect, warm backends.
+/// Two gatekeepers, one plan of 10 units a second with a burst of 20, one class of each effect, warm backends.
 pub fn settings() -> Settings {
     let class = |effect| RequestClass {
         latency_objective: 500 * MS,
@@ -37,36 +37,36 @@
     }
 }
 
-/// One gateway and the actions of its last event.
-pub struct Bench {
-    pub gateway: Policy,
+/// One gatekeeper and the actions of its last event.
+pub struct Harness {
+    pub policy: Policy,
     pub now: Micros,
     totals: HashMap<u64, f64>,
     recorder: Recorder,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings, backends: &[BackendEntry]) -> Self {
         Self::start(settings, backends, 1)
     }
 
-    /// A gateway that starts at this time, knowing nothing.
+    /// A gatekeeper that starts at this time, knowing nothing.
     pub fn start(settings: Settings, backends: &[BackendEntry], now: Micros) -> Self {
         let seed = 1 + u64::from(settings.gatekeeper_index);
-        let gateway = Policy::new(settings, seed, now).expect("usable settings");
-        let mut bench = Self { gateway, now, totals: HashMap::new(), recorder: Recorder::new() };
-        bench.feed(Event::Endpoints { kind: ListKind::Cached, entries: backends.to_vec() });
-        bench
+        let gatekeeper = Policy::new(settings, seed, now).expect("usable settings");
+        let mut harness = Self { policy: gatekeeper, now, totals: HashMap::new(), recorder: Recorder::new() };
+        harness.feed(Event::Endpoints { kind: ListKind::Cached, entries: backends.to_vec() });
+        harness
     }
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.gateway.handle(self.now, event, &mut out);
+        self.policy.handle(self.now, event, &mut out);
         self.recorder.record(self.now, &out);
         out
     }
 
-    /// A request; a counter that knows this gateway's spend alone answers its calls at once.
+    /// A request; a counter that knows this gatekeeper's spend alone answers its calls at once.
     pub fn request(&mut self, id: u32, class: u16, units: f64) -> Vec<Action> {
         let out = self.feed(request(id, class, units));
         let mut totals = std::mem::take(&mut self.totals);
@@ -162,7 +162,7 @@
     actions.iter().filter_map(pick).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
@@ -175,3 +175,30 @@
         if let Action::CounterAdd { name, units: add, .. } = a { Some((*name, *add)) } else { None }
     })
 }
+
+/// One of so many gatekeepers, without a counter.
+pub fn fleet_of(gatekeepers: u32) -> Settings {
+    Settings { gatekeepers, shared_counter: false, ..settings() }
+}
+
+pub fn request_of(id: u32, class: u16, tenant: u64) -> Event {
+    Event::Request {
+        id: RequestId(id),
+        class,
+        plan: 0,
+        tenant: TenantId(tenant),
+        time_left: SECOND,
+        tenant_gatekeepers: 2.0,
+        units: 1.0,
+        client_retry: false,
+    }
+}
+
+/// The first attempt of a request was served after this span.
+pub fn served_after(span: Micros, id: u32, backend: u32) -> Event {
+    let mut end = ended(id, 0, backend, Outcome::Ok);
+    if let Event::AttemptEnded { elapsed, .. } = &mut end {
+        *elapsed = span;
+    }
+    end
+}
--- a/crates/policy/tests/services.rs
+++ b/crates/policy/tests/services.rs
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn a_request_goes_to_its_service_also_when_tried_again() {
-    let mut b = Bench::new(two_services(), &fleets());
+fn a_request_goes_to_its_service_also_when_retried() {
+    let mut b = Harness::new(two_services(), &fleets());
     for id in 0..40 {
         let class = (id % 2) as u16;
         let here = |backend: u32| u16::from(backend > 4) == class;
@@ -42,17 +42,17 @@
     }
 }
 
-/// Guards against a limit for all: what is late at one service would have the other's requests refused.
+/// Guards against a limit for all: what is late at one service would have the other's requests rejected.
 #[test]
-fn a_jam_of_one_service_leaves_the_places_of_the_other() {
-    let mut b = Bench::new(two_services(), &fleets());
+fn an_overload_of_one_service_leaves_the_capacity_of_the_other() {
+    let mut b = Harness::new(two_services(), &fleets());
     let (mut refusals, mut id) = ([0, 0], 0);
     // Service 0 answers nothing; service 1 answers at once.
     for _ in 0..400 {
         for class in [0u16, 1] {
             id += 1;
             let out = b.request(id, class, 1.0);
-            refusals[usize::from(class)] += usize::from(refused(&out));
+            refusals[usize::from(class)] += usize::from(rejected(&out));
             if class == 1 {
                 sends(&out).iter().for_each(|&backend| drop(b.end(id, 0, backend, Outcome::Ok)));
             }
@@ -68,7 +68,7 @@
     let mut settings = two_services();
     settings.plans[0] =
         Plan { rate: 10.0, burst: 10.0, ceiling_rate: 20.0, ceiling_burst: 20.0, ..Plan::default() };
-    let mut b = Bench::new(settings, &fleets());
+    let mut b = Harness::new(settings, &fleets());
     b.tick_until(5 * SECOND);
     let mut admitted = 0.0;
     for id in 0..40 {
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn a_service_without_backends_refuses_and_the_other_serves() {
+fn a_service_without_backends_rejects_and_the_other_serves() {
     let only: Vec<BackendEntry> = fleets().into_iter().filter(|e| e.service == 1).collect();
-    let mut b = Bench::new(two_services(), &only);
-    assert!(refused(&b.request(1, 0, 1.0)));
+    let mut b = Harness::new(two_services(), &only);
+    assert!(rejected(&b.request(1, 0, 1.0)));
     assert_eq!(sends(&b.request(2, 1, 1.0)).len(), 1);
 }
 
@@ -97,7 +97,7 @@
         .zip(sizes)
         .map(|(e, &size)| BackendEntry { size, ..e })
         .collect();
-    let mut b = Bench::new(settings, &entries);
+    let mut b = Harness::new(settings, &entries);
     let mut counts = vec![0.0; sizes.len()];
     let mut open = std::collections::VecDeque::new();
     for id in 0..3_000 {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn where_it_is_off_or_all_are_alike_sizes_change_nothing() {
+fn sizes_change_nothing_where_weighting_is_off_or_all_are_equal() {
     assert_eq!(shares(&[0.5, 1.0, 1.5], false, 1), shares(&[1.0; 3], false, 1));
     assert_eq!(shares(&[2.0; 3], true, 1), shares(&[1.0; 3], false, 1));
     assert!(shares(&[f64::NAN, 1.0, 1e9], true, 1).iter().all(|&n| n > 0.0), "none is left out for good");
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Seeded random event streams on several gateways: rules 1 to 3 and 5 hold whatever comes.
+//! Seeded random event streams on several gatekeepers: rules 1 to 3 and 5 hold whatever comes.
 
 #![allow(clippy::too_many_lines, clippy::unwrap_used)]
 
@@ -15,25 +15,25 @@
     ended: Option<Outcome>,
 }
 
-struct Held {
+struct OpenRequest {
     class: u16,
-    customer: u64,
+    tenant: u64,
     units: f64,
     deadline: Micros,
     attempts: Vec<Attempt>,
     done: bool,
 }
 
-/// One gateway with what a judge knows of it.
-struct Judged {
-    bench: Bench,
-    held: BTreeMap<u32, Held>,
+/// One gatekeeper with what a judge knows of it.
+struct Observed {
+    harness: Harness,
+    held: BTreeMap<u32, OpenRequest>,
     timers: Vec<(Micros, u64)>,
     calls: Vec<(u64, f64)>,
-    told_out: BTreeMap<u32, bool>,
+    not_ready: BTreeMap<u32, bool>,
 }
 
-impl Judged {
+impl Observed {
     fn new(me: u32, now: Micros) -> Self {
         let plan = Plan { ceiling_rate: CEILING.0, ceiling_burst: CEILING.1, ..settings().plans[0].clone() };
         let settings = Settings {
@@ -43,34 +43,34 @@
             slow_start_duration: SECOND,
             ..settings()
         };
-        let bench = Bench::start(settings, &[], now);
-        let mut judged = Self {
-            bench,
+        let harness = Harness::start(settings, &[], now);
+        let mut observed = Self {
+            harness,
             held: BTreeMap::new(),
             timers: vec![(now, 0)],
             calls: vec![],
-            told_out: BTreeMap::new(),
+            not_ready: BTreeMap::new(),
         };
         let entries = backends(6);
-        judged.take(Event::Endpoints { kind: ListKind::Cached, entries }, &mut BTreeMap::new());
-        judged
+        observed.take(Event::Endpoints { kind: ListKind::Cached, entries }, &mut BTreeMap::new());
+        observed
     }
 
     /// Feeds an event and judges each action by the rules; returns the log of actions.
-    fn take(&mut self, event: Event, stores: &mut BTreeMap<u64, f64>) -> Vec<Action> {
-        let now = self.bench.now;
-        let actions = self.bench.feed(event);
+    fn take(&mut self, event: Event, buckets: &mut BTreeMap<u64, f64>) -> Vec<Action> {
+        let now = self.harness.now;
+        let actions = self.harness.feed(event);
         for action in &actions {
             match action {
                 Action::Send { id, backend, .. } => {
                     let h = self.held.get_mut(&id.0).expect("sends only what it was given");
                     assert!(!h.done, "rule 1: sent after the end");
                     assert!(
-                        !self.told_out.get(&backend.0).copied().unwrap_or(false),
+                        !self.not_ready.get(&backend.0).copied().unwrap_or(false),
                         "rule 3: sent to a drained one"
                     );
                     for a in h.attempts.iter().filter(|a| a.ended.is_none_or(|o| !o.never_ran())) {
-                        assert_ne!(h.class, 2, "rule 2: unsafe sent twice");
+                        assert_ne!(h.class, 2, "rule 2: non-idempotent sent twice");
                         if h.class == 1 {
                             assert_eq!(
                                 (a.backend - 1) / 2,
@@ -81,9 +81,9 @@
                         }
                     }
                     if h.attempts.is_empty() {
-                        let store = stores.entry(h.customer).or_insert(CEILING.1);
-                        *store -= h.units;
-                        assert!(*store >= 0.0, "rule 5: over the ceiling");
+                        let bucket = buckets.entry(h.tenant).or_insert(CEILING.1);
+                        *bucket -= h.units;
+                        assert!(*bucket >= 0.0, "rule 5: over the ceiling");
                     }
                     h.attempts.push(Attempt { backend: backend.0, sent: now, ended: None });
                 }
@@ -93,7 +93,7 @@
                     h.done = true;
                     let ran = h.attempts.iter().any(|a| a.ended.is_none_or(|o| !o.never_ran()));
                     let refusal = matches!(action, Action::Reject { .. });
-                    assert!(!(refusal && ran && h.class != 0), "rule 2: refused what may have run");
+                    assert!(!(refusal && ran && h.class != 0), "rule 2: rejected what may have run");
                 }
                 Action::Timer { after, token } => self.timers.push((now + after, *token)),
                 Action::CounterAdd { name, units: add, .. } => self.calls.push((*name, *add)),
@@ -106,54 +106,60 @@
 
 fn run(seed: u64) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut gateways: Vec<Judged> = (0..3).map(|me| Judged::new(me, 1)).collect();
+    let mut gatekeepers: Vec<Observed> = (0..3).map(|me| Observed::new(me, 1)).collect();
     let mut counts: BTreeMap<u64, f64> = BTreeMap::new();
-    let mut stores: BTreeMap<u64, f64> = BTreeMap::new();
+    let mut buckets: BTreeMap<u64, f64> = BTreeMap::new();
     let mut log = Vec::new();
     let (mut now, mut next_id, mut answered) = (1, 0, 0);
     for _ in 0..6_000 {
         let step = rng.u64(0..4) * MS;
         now += step;
-        for store in stores.values_mut() {
-            *store = (*store + CEILING.0 * step as f64 / 1e6).min(CEILING.1);
+        for bucket in buckets.values_mut() {
+            *bucket = (*bucket + CEILING.0 * step as f64 / 1e6).min(CEILING.1);
         }
         let me = rng.usize(0..3);
         if rng.u32(0..800) == 0 {
-            gateways[me] = Judged::new(me as u32, now);
+            gatekeepers[me] = Observed::new(me as u32, now);
         }
         if rng.u32(0..1500) == 0 {
             counts.clear();
         }
-        let g = &mut gateways[me];
-        g.bench.now = now;
+        let g = &mut gatekeepers[me];
+        g.harness.now = now;
         let due: Vec<u64> = g.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
         g.timers.retain(|t| t.0 > now);
         for token in due {
-            log.push(format!("{:?}", g.take(Event::Timer { token }, &mut stores)));
+            log.push(format!("{:?}", g.take(Event::Timer { token }, &mut buckets)));
         }
         for h in g.held.values().filter(|h| !h.done) {
             assert!(now <= h.deadline + 8 * MS, "rule 1: no answer in time");
         }
-        let customer = rng.u64(0..3);
+        let tenant = rng.u64(0..3);
         match rng.u32(0..10) {
             0..=3 => {
                 let (id, class, units) = (next_id, rng.u16(0..3), rng.f64() * 4.0);
                 let time_left = rng.u64(50..1000) * MS;
                 next_id += 1;
-                let h =
-                    Held { class, customer, units, deadline: now + time_left, attempts: vec![], done: false };
+                let h = OpenRequest {
+                    class,
+                    tenant,
+                    units,
+                    deadline: now + time_left,
+                    attempts: vec![],
+                    done: false,
+                };
                 g.held.insert(id, h);
                 let request = Event::Request {
                     id: RequestId(id),
                     class,
                     plan: 0,
-                    tenant: TenantId(customer),
+                    tenant: TenantId(tenant),
                     time_left,
                     tenant_gatekeepers: 3.0,
                     units,
                     client_retry: false,
                 };
-                log.push(format!("{:?}", g.take(request, &mut stores)));
+                log.push(format!("{:?}", g.take(request, &mut buckets)));
             }
             4..=7 => {
                 let out = g.held.iter().flat_map(|(&id, h)| {
@@ -174,7 +180,7 @@
                     let backend = h.attempts[i].backend;
                     answered += u32::from(outcome == Ok && !h.done);
                     h.done |= outcome == Ok;
-                    log.push(format!("{:?}", g.take(ended(id, i as u8, backend, outcome), &mut stores)));
+                    log.push(format!("{:?}", g.take(ended(id, i as u8, backend, outcome), &mut buckets)));
                 }
             }
             8 => {
@@ -192,14 +198,14 @@
                         Outcome::Rejected,
                     ];
                     let event = counted(name, *total, outcome[fate as usize]);
-                    log.push(format!("{:?}", g.take(event, &mut stores)));
+                    log.push(format!("{:?}", g.take(event, &mut buckets)));
                 }
             }
             _ => {
                 let id = rng.u32(1..7);
                 let state =
                     [BackendState::Ready, BackendState::Draining, BackendState::Gone][rng.usize(0..3)];
-                g.told_out.insert(id, state != BackendState::Ready);
+                g.not_ready.insert(id, state != BackendState::Ready);
                 let started = if rng.bool() { now } else { 0 };
                 let entry = BackendEntry {
                     id: BackendId(id),
@@ -210,7 +216,7 @@
                 };
                 log.push(format!(
                     "{:?}",
-                    g.take(Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] }, &mut stores)
+                    g.take(Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] }, &mut buckets)
                 ));
             }
         }
