--- /dev/null
+++ b/crates/discovery/src/error/tests.rs
@@ -0,0 +1,27 @@
+use super::*;
+use settings::HostList;
+use std::error::Error as _;
+
+#[test]
+fn texts_say_why_the_watch_ended_and_keep_their_source() {
+    let refused = io::Error::new(io::ErrorKind::ConnectionRefused, "connection refused");
+    let unknown =
+        simd_json::serde::from_slice::<HostList>(&mut br#"{"rev":"x"}"#.to_vec()).expect_err("no list");
+    let unknown_text = format!("an unreadable list: {unknown}");
+    for (error, text, has_source) in [
+        (WatchError::Connection(refused), "connection refused", true),
+        (WatchError::AddressChanged, "the agent has moved", false),
+        (WatchError::Closed, "the agent closed it", false),
+        (WatchError::Status(403), "status 403", false),
+        (
+            WatchError::MalformedList(json_stream::Unreadable("too deep")),
+            "an unreadable list: too deep",
+            true,
+        ),
+        (WatchError::UnknownList(unknown), &unknown_text, true),
+        (WatchError::ResponseEnded, "the answer ended", false),
+    ] {
+        assert_eq!(error.to_string(), text);
+        assert_eq!(error.source().is_some(), has_source, "{text}");
+    }
+}
--- /dev/null
+++ b/crates/discovery/src/response.rs
@@ -0,0 +1,78 @@
+//! The agent's response: an HTTP head, then endpoint lists as JSON objects, between lines that may be empty.
+
+use crate::error::WatchError;
+use http::{AnswerHead, Chunks, Framing};
+use json_stream::{Item, Objects};
+use settings::HostList;
+
+/// Largest JSON object: some thousand endpoints.
+const MAX_OBJECT_BYTES: usize = 4 * 1024 * 1024;
+const STATUS_OK: u16 = 200;
+
+/// A response that is being received.
+pub(crate) struct Response {
+    head: Option<AnswerHead>,
+    chunks: Chunks,
+    objects: Objects,
+}
+
+/// A sign of life in the body.
+pub(crate) enum BodyItem {
+    /// A list.
+    List(HostList),
+    /// The end of a line. The agent writes empty lines while there is nothing to tell.
+    LineEnd,
+}
+
+impl Response {
+    pub(crate) fn new() -> Self {
+        Self { head: None, chunks: Chunks::default(), objects: Objects::new(MAX_OBJECT_BYTES) }
+    }
+
+    /// Whether the head is complete.
+    pub(crate) fn has_head(&self) -> bool {
+        self.head.is_some()
+    }
+
+    /// Whether the body is complete.
+    pub(crate) fn is_complete(&self) -> bool {
+        self.chunks.is_done()
+    }
+
+    /// Takes the bytes that were received, but for those that are not complete yet.
+    pub(crate) fn take(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
+        if self.head.is_none() {
+            self.take_head(received)?;
+        }
+        match self.head.as_ref().map(|head| head.framing) {
+            Some(Framing::Chunked) => {
+                let used = self.chunks.decode(received, 0, self.objects.input())?;
+                received.drain(..used);
+            }
+            Some(_) => self.objects.input().append(received),
+            None => {}
+        }
+        Ok(())
+    }
+
+    fn take_head(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
+        let Some((head, start)) = http::final_head(received, false)? else { return Ok(()) };
+        if head.status != STATUS_OK {
+            return Err(WatchError::Status(head.status));
+        }
+        received.drain(..start + head.end);
+        self.head = Some(head);
+        Ok(())
+    }
+
+    /// The next complete item of the body.
+    pub(crate) fn next_item(&mut self) -> Result<Option<BodyItem>, WatchError> {
+        match self.objects.next_item()? {
+            Some(Item::Object(mut object)) => {
+                Ok(Some(BodyItem::List(simd_json::serde::from_slice(&mut object)?)))
+            }
+            Some(Item::LineEnd) => Ok(Some(BodyItem::LineEnd)),
+            None => Ok(None),
+        }
+    }
+}
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! What is exchanged with the discovery agent: the bytes in `fixtures/request.http` were written by release 0.1 at commit
 //! 1461877 (`ADDRESS` stands for the agent's), those in `response.http` follow the agent's protocol.
 
-use discovery::{News, Pace, Watch};
+use discovery::{PollBackoff, Watch, WatchEvent};
 use settings::HostList;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,17 +14,17 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A watch on an agent at this listener, from version 18446744073709551615 on.
-fn watch(listener: &TcpListener) -> Receiver<News> {
+fn watch(listener: &TcpListener) -> Receiver<WatchEvent> {
     link::set_up();
     let watch = Watch::new(listener.local_addr().expect("an address"));
-    let (sender, news) = channel();
+    let (sender, events) = channel();
     let sender = Mutex::new(sender);
     link::spawn_with(link::LARGE_STACK, move || {
-        watch.run(u64::MAX, Pace::new(7, false), |news| {
-            let _ = sender.lock().expect("no panic").send(news);
+        watch.run(u64::MAX, PollBackoff::new(7, false), |event| {
+            let _ = sender.lock().expect("no panic").send(event);
         });
     });
-    news
+    events
 }
 
 /// The watch's request, and the connection that it came by.
@@ -48,10 +48,10 @@
     assert_eq!(accept(&listener).0, REQUEST.replace("ADDRESS", &address));
 }
 
-fn next_list(news: &Receiver<News>) -> HostList {
-    match news.recv_timeout(TIMEOUT).expect("it came in time") {
-        News::List(list) => list,
-        News::Lost => panic!("the watch was lost"),
+fn next_list(events: &Receiver<WatchEvent>) -> HostList {
+    match events.recv_timeout(TIMEOUT).expect("it came in time") {
+        WatchEvent::EndpointList(list) => list,
+        WatchEvent::Lost => panic!("the watch was lost"),
     }
 }
 
@@ -59,12 +59,12 @@
 fn lists_are_read_as_before_wherever_they_are_cut() {
     for cut in (0..RESPONSE.len()).step_by(5) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let news = watch(&listener);
+        let events = watch(&listener);
         let mut stream = accept(&listener).1;
         stream.write_all(&RESPONSE[..cut]).expect("the watch reads");
         std::thread::sleep(Duration::from_millis(2));
         stream.write_all(&RESPONSE[cut..]).expect("the watch reads");
-        let (first, second) = (next_list(&news), next_list(&news));
+        let (first, second) = (next_list(&events), next_list(&events));
         assert_eq!((first.rev, first.all, first.targets.len()), (41, true, 2), "cut at {cut}");
         let host = &first.targets[0];
         assert_eq!(
@@ -75,7 +75,7 @@
         assert_eq!(first.targets[1].state, "draining", "cut at {cut}");
         assert_eq!((second.rev, second.all, second.targets.len()), (42, false, 0), "cut at {cut}");
         // The response has ended: the watch is requested anew, from the version that it last had.
-        assert!(matches!(news.recv_timeout(TIMEOUT), Ok(News::Lost)), "cut at {cut}");
+        assert!(matches!(events.recv_timeout(TIMEOUT), Ok(WatchEvent::Lost)), "cut at {cut}");
         if cut == 0 {
             assert!(accept(&listener).0.contains("&index=42 "));
         }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,6 +1,6 @@
 //! The watch against a stand-in of the agent that is written from the protocol.
 
-use discovery::{News, Pace, Watch};
+use discovery::{PollBackoff, Watch, WatchEvent};
 use settings::HostList;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,27 +8,27 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What discovery has counts as told after this.
-const TOLD: Duration = Duration::from_secs(6);
+/// What the agent has counts as known after this.
+const KNOWN_WITHIN: Duration = Duration::from_secs(6);
 
 fn next<T>(from: &Receiver<T>) -> T {
-    from.recv_timeout(LONG).expect("it came in time")
+    from.recv_timeout(TIMEOUT).expect("it came in time")
 }
 
-/// A call that the watch has made.
-struct Call {
-    request: String,
+/// A request that the watch has sent.
+struct Request {
+    line: String,
     stream: TcpStream,
 }
 
-impl Call {
-    fn answer(&mut self) {
+impl Request {
+    fn respond(&mut self) {
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    fn say(&mut self, text: &str) {
+    fn send_chunk(&mut self, text: &str) {
         self.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
@@ -37,10 +37,10 @@
     }
 }
 
-fn agent() -> (SocketAddr, Receiver<Call>) {
+fn agent() -> (SocketAddr, Receiver<Request>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let (tell, calls) = channel();
+    let (sender, requests) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let mut lines = BufReader::new(stream.try_clone().expect("a second handle"));
@@ -52,101 +52,101 @@
                 }
                 line.clear();
             }
-            if tell.send(Call { request, stream }).is_err() {
+            if sender.send(Request { line: request, stream }).is_err() {
                 return;
             }
         }
     });
-    (address, calls)
+    (address, requests)
 }
 
-/// A watch that runs, with the sweeps that the program's clock makes.
-fn watch(at: SocketAddr) -> Receiver<News> {
+/// A watch that runs, whose silence is checked as the program's clock does.
+fn watch(at: SocketAddr) -> Receiver<WatchEvent> {
     link::set_up();
     let watch = Watch::new(at);
-    let (tell, told): (Sender<News>, _) = channel();
-    let (running, tell) = (watch.clone(), Mutex::new(tell));
+    let (sender, events): (Sender<WatchEvent>, _) = channel();
+    let (running, sender) = (watch.clone(), Mutex::new(sender));
     link::spawn_with(link::LARGE_STACK, move || {
-        running.run(40, Pace::new(7, false), |news| {
-            let _ = tell.lock().expect("no panic").send(news);
+        running.run(40, PollBackoff::new(7, false), |event| {
+            let _ = sender.lock().expect("no panic").send(event);
         });
     });
-    let swept = Arc::downgrade(&watch);
+    let checked = Arc::downgrade(&watch);
     std::thread::spawn(move || {
-        while let Some(watch) = swept.upgrade() {
-            watch.sweep();
+        while let Some(watch) = checked.upgrade() {
+            watch.close_if_silent();
             std::thread::park_timeout(Duration::from_millis(250));
         }
     });
-    told
+    events
 }
 
-fn list(news: News) -> HostList {
-    let News::List(list) = news else { panic!("no list but {news:?}") };
+fn list(event: WatchEvent) -> HostList {
+    let WatchEvent::EndpointList(list) = event else { panic!("no list but {event:?}") };
     list
 }
 
 #[test]
-fn an_indented_list_is_taken_like_one_on_a_line() {
-    let (at, calls) = agent();
-    let told = watch(at);
-    let mut call = next(&calls);
-    assert_eq!(call.request, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1");
-    call.answer();
-    call.say("{\n  \"rev\": 41,\n  \"all\": false,\n");
-    call.say("  \"targets\": [\n    {\"uid\": \"s-1\", \"state\": \"draining\"}\n  ]\n}\n");
-    let first = list(next(&told));
+fn an_indented_list_is_read_like_one_on_a_line() {
+    let (at, requests) = agent();
+    let events = watch(at);
+    let mut request = next(&requests);
+    assert_eq!(request.line, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1");
+    request.respond();
+    request.send_chunk("{\n  \"rev\": 41,\n  \"all\": false,\n");
+    request.send_chunk("  \"targets\": [\n    {\"uid\": \"s-1\", \"state\": \"draining\"}\n  ]\n}\n");
+    let first = list(next(&events));
     assert_eq!((first.rev, first.targets[0].state.as_str()), (41, "draining"));
-    call.say("{\"rev\":42,\"targets\":[]}\n");
-    assert_eq!(list(next(&told)).rev, 42);
+    request.send_chunk("{\"rev\":42,\"targets\":[]}\n");
+    assert_eq!(list(next(&events)).rev, 42);
 }
 
-/// The reader of JSON recurses: a list that nests without end overran the stack, and nothing was heard of discovery ever again.
+/// The reader of JSON recurses: a list that nests without end overran the stack, and the watch never came back.
 #[test]
 fn a_list_that_cannot_be_read_ends_the_watch_and_nothing_else() {
-    let (at, calls) = agent();
-    let told = watch(at);
+    let (at, requests) = agent();
+    let events = watch(at);
     let deep = format!("{{\"rev\":41,\"x\":{}\n", "[".repeat(200_000) + &"]".repeat(200_000) + "}");
-    for spoilt in [deep.as_str(), "nonsense\n", "{\"rev\":\"x\"}\n", "{\"targets\":[{}]}\n"] {
-        let mut call = next(&calls);
-        assert!(call.request.contains("index=40"), "from the version that was last had");
-        call.answer();
+    for malformed in [deep.as_str(), "nonsense\n", "{\"rev\":\"x\"}\n", "{\"targets\":[{}]}\n"] {
+        let mut request = next(&requests);
+        assert!(request.line.contains("index=40"), "from the version of the last list");
+        request.respond();
         // It may hang up before all is written.
-        let _ = call.stream.write_all(format!("{:x}\r\n{spoilt}\r\n", spoilt.len()).as_bytes());
-        assert!(matches!(next(&told), News::Lost), "{:.20}", spoilt);
+        let _ = request.stream.write_all(format!("{:x}\r\n{malformed}\r\n", malformed.len()).as_bytes());
+        assert!(matches!(next(&events), WatchEvent::Lost), "{:.20}", malformed);
     }
-    let mut call = next(&calls);
-    call.answer();
-    call.say("{\"rev\":43,\"all\":true,\"targets\":[]}\n");
-    assert_eq!(list(next(&told)).rev, 43);
+    let mut request = next(&requests);
+    request.respond();
+    request.send_chunk("{\"rev\":43,\"all\":true,\"targets\":[]}\n");
+    assert_eq!(list(next(&events)).rev, 43);
 }
 
-/// What it missed counts as told 6 s after it fell silent.
+/// What it missed counts as known 6 s after it fell silent.
 #[test]
-fn a_watch_with_no_whole_line_is_opened_anew_in_time() {
-    let (at, calls) = agent();
-    let told = watch(at);
-    let mut call = next(&calls);
-    call.answer();
+fn a_watch_without_a_complete_line_is_requested_again_in_time() {
+    let (at, requests) = agent();
+    let events = watch(at);
+    let mut request = next(&requests);
+    request.respond();
     let silent = Instant::now();
-    call.say("\n");
+    request.send_chunk("\n");
     // Bytes that make no line, and no object that ends, are no sign of life.
-    let mut stream = call.stream.try_clone().expect("a second handle");
-    call.say("{\"rev\":41,");
+    let mut stream = request.stream.try_clone().expect("a second handle");
+    request.send_chunk("{\"rev\":41,");
     let chatter = std::thread::spawn(move || {
-        while silent.elapsed() < LONG && stream.write_all(b"1\r\n \r\n").is_ok() {
+        while silent.elapsed() < TIMEOUT && stream.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::park_timeout(Duration::from_millis(100));
         }
     });
-    assert!(matches!(next(&told), News::Lost));
-    // One call that gets no answer is given up.
-    let unanswered = next(&calls);
-    assert!(unanswered.request.contains("index=40"));
-    let mut answered = next(&calls);
-    answered.answer();
-    answered.say("{\"rev\":42,\"targets\":[]}\n");
-    assert!(matches!(next(&told), News::Lost));
-    assert_eq!(list(next(&told)).rev, 42);
-    assert!(silent.elapsed() < TOLD, "{:?}", silent.elapsed());
+    assert!(matches!(next(&events), WatchEvent::Lost));
+    // One request that gets no response times out.
+    let unanswered = next(&requests);
+    assert!(unanswered.line.contains("index=40"));
+    let mut answered = next(&requests);
+    answered.respond();
+    answered.send_chunk("{\"rev\":42,\"targets\":[]}\n");
+    assert!(matches!(next(&events), WatchEvent::Lost));
+    assert_eq!(list(next(&events)).rev, 42);
+    assert!(silent.elapsed() < KNOWN_WITHIN, "{:?}", silent.elapsed());
     chatter.join().expect("no panic");
 }
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -6,7 +6,7 @@
 use crate::{log, signals, upgrade};
 use counter::CounterClient;
 use destination::{Limits, Pools, RespDestination};
-use discovery::{News, Pace, Watch};
+use discovery::{PollBackoff, Watch, WatchEvent};
 use exchange::{Clock, Exchange};
 use front_resp::{ClassRule, Front, Rules};
 use handover::Place;
@@ -183,7 +183,7 @@
         self.front.set_rules(rules(&config, &tables));
         let names: Vec<&str> = tables.classes().map(|(_, name, _)| name).collect();
         tracing::info!("reload: settings taken; classes {}", names.join(", "));
-        let discovery = if self.watch.move_to(config.discovery) { "moved to" } else { "stays at" };
+        let discovery = if self.watch.set_address(config.discovery) { "moved to" } else { "stays at" };
         tracing::info!("reload: discovery {discovery} {}", config.discovery);
         match (&self.counter, config.counter) {
             (Some(client), Some(at)) => {
@@ -243,10 +243,10 @@
     let (watching, told_pools, told, known_hosts) =
         (watch.clone(), pools.clone(), exchange.clone(), hosts.clone());
     let (tell, first_list) = sync_channel(1);
-    let pace = Pace::new(config.seed, config.settings.must_ask);
+    let backoff = PollBackoff::new(config.seed, config.settings.must_ask);
     spawn_with(link::LARGE_STACK, move || {
-        watching.run(rev, pace, |news| {
-            if let News::List(list) = news {
+        watching.run(rev, backoff, |event| {
+            if let WatchEvent::EndpointList(list) = event {
                 let kind = if list.all { ListKind::Full } else { ListKind::Changes };
                 let (entries, places) = link::locked(&known_hosts).translate(list);
                 told_pools.listed(kind, &places);
@@ -269,7 +269,7 @@
     crate::clock::run(timed, move || {
         swept_pools.sweep();
         swept_front.sweep();
-        swept_watch.sweep();
+        swept_watch.close_if_silent();
         if let Some(counter) = &swept_counter {
             counter.close_silent_connections();
         }
