--- a/crates/simulated/tests/duties.rs
+++ b/crates/cluster_simulation/tests/duties.rs
@@ -1,7 +1,7 @@
 //! The hard cases of shared duties in simulated time. Each holds the same rules: no round twice, and no two rounds in a
 //! row missed while the store is reachable.
 
-use simulated::{Fault, Site, World};
+use cluster_simulation::{Fault, Site, World};
 
 const PERIOD: u64 = 1_000;
 
@@ -77,7 +77,8 @@
         world.pass(PERIOD + 50);
         world.go_on(i);
     }
-    late += world.notes.iter().filter(|n| matches!(n, duties::Note::Late(..))).count();
+    late +=
+        world.notices.iter().filter(|n| matches!(n, periodic_jobs::Notice::AcquiredTooLate { .. })).count();
     assert!(late > 0, "the case did not arise");
     holds(&mut world, 1, "stalls");
 }
@@ -142,7 +143,7 @@
     let mut world = world(site(4));
     world.lose_answers(200);
     world.pass(10 * PERIOD);
-    assert!(world.notes.iter().any(|n| matches!(n, duties::Note::Recovered(..))));
+    assert!(world.notices.iter().any(|n| matches!(n, periodic_jobs::Notice::LeaseRecovered { .. })));
     holds(&mut world, 0, "lost answers");
 }
 
--- a/crates/config_node/src/message_io.rs
+++ b/crates/config_node/src/message_io.rs
@@ -1,35 +1,35 @@
 //! Messages on a stream: a length (four bytes, little-endian), then the authenticated message.
 
 use crate::error::Error;
-use membership::seal::{Keys, OVERHEAD};
+use membership::authentication::{Keyring, OVERHEAD_BYTES};
 use replicated_config::{MAX_MESSAGE_BYTES, Message};
 use std::io::{self, Read, Write};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Largest authenticated message.
-const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + OVERHEAD;
+const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + OVERHEAD_BYTES;
 
-/// Keys that can be replaced while connections use them.
+/// Keyring that can be replaced while connections use them.
 #[derive(Clone)]
-pub(crate) struct SharedKeys(Arc<Mutex<Keys>>);
+pub(crate) struct SharedKeys(Arc<Mutex<Keyring>>);
 
 impl SharedKeys {
-    pub(crate) fn new(keys: Keys) -> Self {
+    pub(crate) fn new(keys: Keyring) -> Self {
         Self(Arc::new(Mutex::new(keys)))
     }
 
-    pub(crate) fn replace(&self, keys: Keys) {
+    pub(crate) fn replace(&self, keys: Keyring) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = keys;
     }
 
-    fn current(&self) -> Keys {
+    fn current(&self) -> Keyring {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 /// Authenticates and writes a message.
 pub(crate) fn write_message(stream: &mut impl Write, message: &Message, keys: &SharedKeys) -> io::Result<()> {
-    let authenticated = keys.current().seal(&message.encode());
+    let authenticated = keys.current().sign(&message.encode());
     let length = (authenticated.len() as u32).to_le_bytes();
     stream.write_all(&[&length[..], &authenticated].concat())
 }
@@ -38,7 +38,7 @@
 pub(crate) fn read_message(stream: &mut impl Read, keys: &SharedKeys) -> Result<Message, Error> {
     let frame = read_frame(stream, MAX_FRAME_BYTES)?;
     let keys = keys.current();
-    let encoded = keys.open_any(&frame).ok_or(Error::Unauthenticated)?;
+    let encoded = keys.verify_frame(&frame).ok_or(Error::Unauthenticated)?;
     Message::decode(encoded).map_err(Error::Message)
 }
 
--- a/crates/config_node/src/node.rs
+++ b/crates/config_node/src/node.rs
@@ -7,7 +7,7 @@
 use crate::event::Event;
 use crate::message_io::SharedKeys;
 use crate::view::{SharedView, watch_lease};
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use replicated_config::Message;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     }
 
     /// Replaces the keys that authenticate messages.
-    pub fn set_keys(&self, keys: Keys) {
+    pub fn set_keys(&self, keys: Keyring) {
         self.keys.replace(keys);
     }
 
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -5,7 +5,7 @@
     Error, LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog, RequestId,
     VersionNumbers,
 };
-use membership::seal::Keys;
+use membership::authentication::Keyring;
 use replicated_config::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -172,8 +172,8 @@
     assert_eq!(lengths, String::from_utf8(fixture("large.txt")).expect("text"));
 }
 
-fn keys() -> Keys {
-    Keys::parse(&"ab".repeat(32)).expect("a key")
+fn keys() -> Keyring {
+    Keyring::parse(&"ab".repeat(32)).expect("a key")
 }
 
 /// A request and its answer, as they are on a connection.
@@ -224,7 +224,7 @@
 #[test]
 fn a_message_authenticated_with_another_key_is_not_accepted() {
     let (request, _) = exchange();
-    let other = Keys::parse(&"cd".repeat(32)).expect("a key");
+    let other = Keyring::parse(&"cd".repeat(32)).expect("a key");
     let message = Message::LeaseRequest(LeaseRequest {
         client: "m".into(),
         id: RequestId(1),
@@ -232,7 +232,7 @@
         known_version: 0,
         cached: VersionNumbers::default(),
     });
-    let authenticated = other.seal(&message.encode());
+    let authenticated = other.sign(&message.encode());
     let frame = [&(authenticated.len() as u32).to_le_bytes()[..], &authenticated].concat();
     let (_, answered) = call(frame, &request, fixture("request.frame").len());
     assert!(matches!(answered, Err(Error::Unauthenticated)), "{answered:?}");
--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -4,7 +4,7 @@
 use crate::lane::{self, LANES, Lane, Queued};
 use exchange::{CounterCall, Exchange, QuotaCounter};
 use link::{Link, locked, spawn};
-use policy::interface::Outcome;
+use policy::Outcome;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
@@ -43,7 +43,10 @@
         address: SocketAddr,
         exchange: Arc<Exchange<Q, A>>,
     ) -> Arc<Self> {
-        Self::new(address, Box::new(move |id, outcome, total| exchange.call_ended(id, outcome, total)))
+        Self::new(
+            address,
+            Box::new(move |id, outcome, total| exchange.counter_call_ended(id, outcome, total)),
+        )
     }
 
     /// Makes all further calls at this address. Unanswered calls keep their connections. Returns whether the address is another
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{self, Answer};
 use exchange::CounterCall;
 use link::{Incoming, Link, locked};
-use policy::interface::Outcome;
+use policy::Outcome;
 use std::collections::VecDeque;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -127,7 +127,7 @@
             let id = locked(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
                 Answer::Total(total) => on_ended(id, Outcome::Ok, total),
-                Answer::Rejected => on_ended(id, Outcome::Full, 0.0),
+                Answer::Rejected => on_ended(id, Outcome::Rejected, 0.0),
                 Answer::Unreadable => {
                     on_ended(id, Outcome::Error, 0.0);
                     return Err(AnswerError::UnknownForm);
--- a/crates/counter/src/protocol.rs
+++ b/crates/counter/src/protocol.rs
@@ -27,9 +27,9 @@
 /// Encodes a call.
 pub(crate) fn encode(call: &CounterCall) -> Vec<u8> {
     let name = format!("{:016x}", call.name);
-    let amount = call.add.to_string();
+    let amount = call.units.to_string();
     let retention_ms =
-        (call.keep / MICROS_PER_MS).clamp(*RETENTION_RANGE_MS.start(), *RETENTION_RANGE_MS.end());
+        (call.ttl / MICROS_PER_MS).clamp(*RETENTION_RANGE_MS.start(), *RETENTION_RANGE_MS.end());
     let retention = retention_ms.to_string();
     let mut bytes = Vec::with_capacity(CALL_BYTES);
     resp::put_command(&mut bytes, &[COMMAND, name.as_bytes(), amount.as_bytes(), retention.as_bytes()]);
--- a/crates/counter/tests/fixtures.rs
+++ b/crates/counter/tests/fixtures.rs
@@ -3,7 +3,7 @@
 
 use counter::CounterClient;
 use exchange::{CounterCall, QuotaCounter};
-use policy::interface::Outcome;
+use policy::Outcome;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
@@ -41,7 +41,10 @@
         (u64::MAX, 1e21, u64::MAX),
         (7, 1.0 / 3.0, 60_000_000),
     ];
-    all.iter().zip(1..).map(|(&(name, add, keep), id)| CounterCall { id, name, add, keep }).collect()
+    all.iter()
+        .zip(1..)
+        .map(|(&(name, add, keep), id)| CounterCall { id, name, units: add, ttl: keep })
+        .collect()
 }
 
 fn accept(listener: &TcpListener) -> TcpStream {
@@ -75,8 +78,8 @@
         let all: Vec<Ended> = (0..6).map(|_| next()).collect();
         let expected = [
             (1, Outcome::Ok, -5.0),
-            (2, Outcome::Full, 0.0),
-            (3, Outcome::Full, 0.0),
+            (2, Outcome::Rejected, 0.0),
+            (3, Outcome::Rejected, 0.0),
             (4, Outcome::Ok, 1.5),
             (5, Outcome::Ok, 1e21),
             (6, Outcome::Error, 0.0),
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -162,7 +162,8 @@
     };
     let answered = Arc::new(Answered::default());
     let noted = answered.clone();
-    let on_served = Some(Box::new(move |number| noted.note(number)) as Box<dyn Fn(u32) + Send + Sync>);
+    let on_served = Some(Box::new(move |backend: exchange::BackendId| noted.note(backend.0))
+        as Box<dyn Fn(exchange::BackendId) + Send + Sync>);
     let pools = Pools::new(HttpDestination { on_served }, limits);
     pools.connect(exchange.clone());
     let counter = file.quota.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
@@ -248,7 +249,7 @@
 
 /// The cluster's part of the status.
 pub fn cluster_report(cluster: &Cluster) -> String {
-    told(&cluster.ask_report()).unwrap_or_else(|| "cluster\n  it does not answer\n".into())
+    told(&cluster.request_status()).unwrap_or_else(|| "cluster\n  it does not answer\n".into())
 }
 
 /// What another thread reports, which the worker does not wait for.
--- a/crates/snowfield/tests/oncall.rs
+++ b/crates/snowfield/tests/oncall.rs
@@ -18,11 +18,13 @@
 fn each_log_line_is_explained() {
     let crates = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/.."));
     let page = std::fs::read_to_string(crates.join("../docs/ONCALL.md")).expect("the page");
+    // What a line was before it was reworded explains no line of today.
+    let page = page.split("## Old wording").next().expect("the page");
     let mut lines = 0;
     for folder in crates.read_dir().expect("the crates").flatten() {
         // Programs and stand-ins of their own, which write no log of the gatekeeper's.
         let name = folder.file_name();
-        let apart = ["proofs", "rig", "simulated", "stand_in_"];
+        let apart = ["proofs", "rig", "cluster_simulation", "stand_in_"];
         if apart.iter().any(|a| name.to_str().is_some_and(|n| n.starts_with(a))) {
             continue;
         }
