--- /dev/null
+++ b/crates/cluster_simulation/src/instance.rs
@@ -0,0 +1,174 @@
+//! One simulated instance.
+
+use crate::SimulationConfig;
+use crate::event::{Event, Incarnation};
+use crate::network;
+use membership::authentication::Keyring;
+use membership::{Member, Membership, Output};
+use periodic_jobs::{Action, ClockReading, Config, Job, Scheduler};
+use rand::RngExt;
+use rand::rngs::StdRng;
+use std::collections::VecDeque;
+
+/// Unix milliseconds at the start of the simulation.
+pub(crate) const START_UNIX_MS: u64 = 1_800_000_000_000;
+/// Instances at which the others join.
+const SEED_PEERS: usize = 3;
+/// Events that a paused instance keeps; like a socket's buffer, it drops what exceeds them.
+const MAX_PENDING_EVENTS: usize = 1_000;
+/// The cluster's key: 64 hexadecimal digits.
+const KEY_BYTE: &str = "ab";
+
+/// The name of a simulated job.
+pub(crate) fn job_name(job: usize) -> String {
+    format!("duty-{job}")
+}
+
+pub(crate) struct Instance {
+    pub(crate) membership: Membership,
+    pub(crate) scheduler: Scheduler,
+    /// The difference of its Unix clock.
+    clock_offset_ms: i64,
+    pub(crate) incarnation: Incarnation,
+    /// When its next tick is due.
+    pub(crate) next_tick_ms: u64,
+    has_jobs: bool,
+    paused: bool,
+    /// Its members have changed since the scheduler was notified: a burst of changes is one notification.
+    members_changed: bool,
+    /// The events that came while it was paused.
+    pending: VecDeque<Event>,
+}
+
+/// What an instance wants done.
+#[derive(Default)]
+pub(crate) struct Effects {
+    pub(crate) outputs: Vec<Output>,
+    pub(crate) actions: Vec<Action>,
+}
+
+impl Instance {
+    /// An instance that starts at this time.
+    pub(crate) fn start(number: usize, now_ms: u64, config: &SimulationConfig, rng: &mut StdRng) -> Self {
+        let unix_ms = START_UNIX_MS + now_ms;
+        let skew_ms = config.max_clock_skew_ms;
+        let clock_offset_ms = if skew_ms == 0 { 0 } else { rng.random_range(0..=skew_ms) as i64 };
+        let membership = Membership::new(
+            membership_config(number, unix_ms, config, rng.random()),
+            Keyring::parse(&KEY_BYTE.repeat(32)).expect("a constant key"),
+        );
+        let mut scheduler = Scheduler::new(scheduler_config(number, config, rng.random()));
+        let now =
+            ClockReading { unix_ms: unix_ms.saturating_add_signed(clock_offset_ms), monotonic_ms: now_ms };
+        let job = |job| Job { name: job_name(job), period_ms: config.period_ms };
+        scheduler.set_jobs(now, (0..config.jobs).map(job).collect());
+        Self {
+            membership,
+            scheduler,
+            clock_offset_ms,
+            incarnation: Incarnation(rng.random()),
+            next_tick_ms: u64::MAX,
+            has_jobs: config.jobs > 0,
+            paused: false,
+            members_changed: false,
+            pending: VecDeque::new(),
+        }
+    }
+
+    /// Its clocks at a time of the simulation.
+    pub(crate) fn clocks(&self, now_ms: u64) -> ClockReading {
+        ClockReading {
+            unix_ms: (START_UNIX_MS + now_ms).saturating_add_signed(self.clock_offset_ms),
+            monotonic_ms: now_ms,
+        }
+    }
+
+    pub(crate) fn pause(&mut self) {
+        self.paused = true;
+    }
+
+    /// Resumes it; returns the events that came meanwhile.
+    pub(crate) fn resume(&mut self) -> VecDeque<Event> {
+        self.paused = false;
+        std::mem::take(&mut self.pending)
+    }
+
+    /// Handles an event; `None` where it has no effects, since the instance is paused or the event is outdated.
+    pub(crate) fn handle(&mut self, event: Event, now: ClockReading) -> Option<Effects> {
+        if self.paused {
+            if !matches!(event, Event::Tick { .. }) && self.pending.len() < MAX_PENDING_EVENTS {
+                self.pending.push_back(event);
+            }
+            return None;
+        }
+        let mut effects = Effects::default();
+        match event {
+            Event::Tick { .. } if self.next_tick_ms > now.monotonic_ms => return None,
+            Event::Tick { .. } => self.tick(now, &mut effects),
+            Event::Datagram { bytes, .. } => {
+                self.membership.handle_datagram(now.monotonic_ms, &bytes, &mut effects.outputs);
+            }
+            Event::StoreResponse { incarnation, response, .. } if incarnation == self.incarnation => {
+                response.apply(&mut self.scheduler, now, &mut effects.actions);
+            }
+            Event::StoreResponse { .. } | Event::StoreCall { .. } => return None,
+        }
+        self.members_changed |= effects.outputs.contains(&Output::MembersChanged);
+        Some(effects)
+    }
+
+    fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
+        // No tick is pending now: at the very beginning 0 would be taken for one that still is.
+        self.next_tick_ms = u64::MAX;
+        self.membership.tick(now.monotonic_ms, &mut effects.outputs);
+        // An instance without jobs need not know the members.
+        if std::mem::take(&mut self.members_changed) && self.has_jobs {
+            self.scheduler.set_members(now, self.membership.alive_names());
+        }
+        self.scheduler.tick(now, &mut effects.actions);
+    }
+
+    /// When it wants its next tick.
+    pub(crate) fn due_ms(&self, now: ClockReading) -> u64 {
+        let jobs = self.scheduler.next_tick_unix_ms();
+        let jobs_ms = jobs.map_or(u64::MAX, |due| now.monotonic_ms + due.saturating_sub(now.unix_ms));
+        self.membership.next_tick_ms().min(jobs_ms)
+    }
+}
+
+fn membership_config(
+    number: usize,
+    start_unix_ms: u64,
+    config: &SimulationConfig,
+    rng_seed: u64,
+) -> membership::Config {
+    let gossip_period_ms = config.gossip_period_ms;
+    membership::Config {
+        local_member: Member {
+            address: network::address(number),
+            name: format!("m{number}"),
+            generation: start_unix_ms,
+        },
+        seed_peers: (0..config.instances.min(SEED_PEERS)).map(network::address).collect(),
+        probe_period_ms: gossip_period_ms * 4,
+        probe_timeout_ms: gossip_period_ms,
+        suspicion_timeout_ms: gossip_period_ms * 10,
+        gossip_period_ms,
+        join_period_ms: gossip_period_ms * 10,
+        max_members: 4 * config.instances,
+        max_topics: 1_024,
+        rng_seed,
+    }
+}
+
+fn scheduler_config(number: usize, config: &SimulationConfig, incarnation: u64) -> Config {
+    Config {
+        instance: format!("m{number}"),
+        standbys: config.standbys,
+        max_clock_skew_ms: config.max_clock_skew_ms,
+        start_margin_ms: 10,
+        store_retry_ms: 100,
+        session_renewal_ms: 3_000,
+        incarnation,
+    }
+}
--- /dev/null
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -0,0 +1,277 @@
+//! The simulation.
+
+use crate::SimulationConfig;
+use crate::counts::{Counts, RunLog};
+use crate::event::{Event, EventQueue, Incarnation};
+use crate::instance::{Effects, Instance, START_UNIX_MS, job_name};
+use crate::network::{self, Network};
+use crate::store::{DelayedResponse, SimulatedStore, StoreCall, StoreFault};
+use membership::Output;
+use periodic_jobs::{Action, ClockReading, Notice, Run};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+
+/// The shortest and the longest delay of a call to the store, in milliseconds.
+const CALL_DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
+
+/// The members that an instance sees alive.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct View {
+    /// The instance's number.
+    pub instance: usize,
+    /// The names of the members, itself included.
+    pub alive: Vec<String>,
+}
+
+/// A cluster in simulated time. Instances are addressed by their numbers, from 0.
+pub struct Simulation {
+    config: SimulationConfig,
+    now_ms: u64,
+    events: EventQueue,
+    /// `None` for one that is dead.
+    instances: Vec<Option<Instance>>,
+    rng: StdRng,
+    store: SimulatedStore,
+    network: Network,
+    counts: Counts,
+    run_log: RunLog,
+    notices: Vec<Notice>,
+}
+
+impl Simulation {
+    /// Starts all instances at once.
+    pub fn new(config: SimulationConfig) -> Self {
+        let mut simulation = Self {
+            now_ms: 0,
+            events: EventQueue::default(),
+            instances: (0..config.instances).map(|_| None).collect(),
+            rng: StdRng::seed_from_u64(config.rng_seed),
+            store: SimulatedStore::new(),
+            network: Network::new(config.instances, config.datagram_loss),
+            counts: Counts::default(),
+            run_log: RunLog::default(),
+            notices: Vec::new(),
+            config,
+        };
+        for instance in 0..simulation.config.instances {
+            simulation.start(instance);
+        }
+        simulation
+    }
+
+    /// Milliseconds since the start of the simulation.
+    pub fn now_ms(&self) -> u64 {
+        self.now_ms
+    }
+
+    /// The counts so far.
+    pub fn counts(&self) -> Counts {
+        Counts { repeated_runs: self.run_log.repeated(), ..self.counts.clone() }
+    }
+
+    /// The notices of all schedulers so far.
+    pub fn notices(&self) -> &[Notice] {
+        &self.notices
+    }
+
+    /// The most runs that any job has missed in a row since the last call; `u64::MAX` where a job has never run.
+    pub fn take_longest_gap(&mut self) -> u64 {
+        let (now_unix_ms, period_ms) = (START_UNIX_MS + self.now_ms, self.config.period_ms);
+        let gaps =
+            (0..self.config.jobs).map(|job| self.run_log.longest_gap(&job_name(job), now_unix_ms, period_ms));
+        let longest = gaps.max().unwrap_or(0);
+        self.run_log.reset_gaps();
+        longest
+    }
+
+    /// Starts an instance, or restarts it under its name and address.
+    pub fn start(&mut self, instance: usize) {
+        self.instances[instance] = Some(Instance::start(instance, self.now_ms, &self.config, &mut self.rng));
+        self.schedule_tick(instance, self.now_ms);
+    }
+
+    /// Kills an instance.
+    pub fn kill(&mut self, instance: usize) {
+        self.instances[instance] = None;
+    }
+
+    /// Pauses an instance.
+    pub fn pause(&mut self, instance: usize) {
+        if let Some(instance) = &mut self.instances[instance] {
+            instance.pause();
+        }
+    }
+
+    /// Resumes an instance: all that came meanwhile arrives at once.
+    pub fn resume(&mut self, instance: usize) {
+        let Some(paused) = &mut self.instances[instance] else { return };
+        for event in paused.resume() {
+            self.events.schedule(self.now_ms, event);
+        }
+        self.schedule_tick(instance, self.now_ms);
+    }
+
+    /// Sets how the store fails from now on.
+    pub fn set_store_fault(&mut self, fault: StoreFault) {
+        self.store.set_fault(fault);
+    }
+
+    /// Loses the responses to the next writes that are applied.
+    pub fn lose_responses(&mut self, count: u32) {
+        self.store.lose_responses(count);
+    }
+
+    /// Restarts the store without any key, its indexes from the beginning.
+    pub fn restart_store_empty(&mut self) {
+        self.store.restart_empty();
+    }
+
+    /// Partitions the network: the side, 0 or 1, of each instance, and whether the store is reachable from each side.
+    pub fn partition(&mut self, side: impl Fn(usize) -> u8, store_reachable: [bool; 2]) {
+        self.network.partition((0..self.config.instances).map(side).collect(), store_reachable);
+    }
+
+    /// How many instances see exactly this many members alive.
+    pub fn instances_seeing(&self, members: usize) -> usize {
+        let alive = self.instances.iter().flatten();
+        alive.filter(|instance| instance.membership.alive_count() == members).count()
+    }
+
+    /// The number of mistakes in all views: members seen alive that are dead or, by `may_see`, out of reach, and live
+    /// members in reach that are not seen alive.
+    pub fn mistaken_views(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
+        let visible = |observer: usize, other: usize| self.is_alive(other) && may_see(observer, other);
+        let mistakes = |(observer, instance): (usize, &Instance)| {
+            let seen: Vec<usize> = seen_by(instance).collect();
+            let correct = seen.iter().filter(|&&other| visible(observer, other)).count();
+            let others = (0..self.instances.len()).filter(|&other| other != observer);
+            let expected = others.filter(|&other| visible(observer, other)).count();
+            (seen.len() - correct) + (expected - correct)
+        };
+        self.alive_instances().map(mistakes).sum()
+    }
+
+    /// The number of members in all views that are seen alive and are dead or, by `may_see`, out of reach.
+    pub fn falsely_alive(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
+        let mistakes = |(observer, instance): (usize, &Instance)| {
+            seen_by(instance).filter(|&other| !self.is_alive(other) || !may_see(observer, other)).count()
+        };
+        self.alive_instances().map(mistakes).sum()
+    }
+
+    /// The members that each live instance sees alive.
+    pub fn views(&self) -> Vec<View> {
+        let view =
+            |(instance, state): (usize, &Instance)| View { instance, alive: state.membership.alive_names() };
+        self.alive_instances().map(view).collect()
+    }
+
+    fn alive_instances(&self) -> impl Iterator<Item = (usize, &Instance)> {
+        let instances = self.instances.iter().enumerate();
+        instances.filter_map(|(number, instance)| Some((number, instance.as_ref()?)))
+    }
+
+    fn is_alive(&self, instance: usize) -> bool {
+        self.instances[instance].is_some()
+    }
+
+    /// Advances the time.
+    pub fn advance(&mut self, span_ms: u64) {
+        let until_ms = self.now_ms + span_ms;
+        while let Some((due_ms, event)) = self.events.pop_due(until_ms) {
+            self.now_ms = due_ms;
+            self.handle(event);
+        }
+        self.now_ms = until_ms;
+    }
+
+    fn schedule_tick(&mut self, instance: usize, due_ms: u64) {
+        let Some(state) = &mut self.instances[instance] else { return };
+        if due_ms < state.next_tick_ms || state.next_tick_ms < self.now_ms {
+            state.next_tick_ms = due_ms;
+            self.events.schedule(due_ms.max(self.now_ms), Event::Tick { instance });
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let number = match event {
+            Event::StoreCall { instance, incarnation, call } => {
+                self.handle_store_call(instance, incarnation, call);
+                return;
+            }
+            Event::Tick { instance }
+            | Event::Datagram { instance, .. }
+            | Event::StoreResponse { instance, .. } => instance,
+        };
+        let Some(Some(instance)) = self.instances.get_mut(number) else { return };
+        let now = instance.clocks(self.now_ms);
+        let Some(Effects { outputs, actions }) = instance.handle(event, now) else { return };
+        let (incarnation, due_ms) = (instance.incarnation, instance.due_ms(now));
+        for output in outputs {
+            if let Output::SendDatagram { to, bytes } = output {
+                self.send(number, network::instance(to), bytes);
+            }
+        }
+        self.carry_out(number, incarnation, now, actions);
+        self.schedule_tick(number, due_ms.max(now.monotonic_ms + 1));
+    }
+
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        self.counts.datagrams += 1;
+        self.counts.datagram_bytes += bytes.len() as u64;
+        if let Some(delay_ms) = self.network.delay_ms(from, to, &mut self.rng) {
+            self.events.schedule(self.now_ms + delay_ms, Event::Datagram { instance: to, bytes });
+        }
+    }
+
+    fn carry_out(
+        &mut self,
+        instance: usize,
+        incarnation: Incarnation,
+        now: ClockReading,
+        actions: Vec<Action>,
+    ) {
+        for action in actions {
+            let call = match action {
+                Action::OpenSession => StoreCall::OpenSession,
+                Action::RenewSession(session) => StoreCall::RenewSession(session),
+                Action::ReadLeases { call, jobs } => StoreCall::ReadLeases { call, jobs },
+                Action::CompareAndSet { call, job, record, expected_index, session } => {
+                    StoreCall::CompareAndSet { call, job, record, expected_index, session }
+                }
+                Action::Notify(notice) => {
+                    self.notices.push(notice);
+                    continue;
+                }
+                Action::StartRun(run) => {
+                    self.start_run(run, now);
+                    continue;
+                }
+            };
+            let due_ms = self.now_ms + self.rng.random_range(CALL_DELAY_MS);
+            self.events.schedule(due_ms, Event::StoreCall { instance, incarnation, call });
+        }
+    }
+
+    fn start_run(&mut self, run: Run, now: ClockReading) {
+        // The program checks again just before it acts.
+        if run.may_start(now) {
+            self.counts.runs += 1;
+            self.run_log.record(run, self.config.period_ms);
+        } else {
+            self.counts.late_runs += 1;
+        }
+    }
+
+    fn handle_store_call(&mut self, instance: usize, incarnation: Incarnation, call: StoreCall) {
+        let reachable = self.network.reaches_store(instance);
+        let DelayedResponse { delay_ms, response } = self.store.handle(call, reachable, &mut self.counts);
+        let event = Event::StoreResponse { instance, incarnation, response };
+        self.events.schedule(self.now_ms + delay_ms, event);
+    }
+}
+
+/// The instances that this one sees alive, itself excluded.
+fn seen_by(instance: &Instance) -> impl Iterator<Item = usize> {
+    instance.membership.alive_addresses().map(network::instance)
+}
--- a/crates/proofs/src/bin/proof-duties-simulated.rs
+++ b/crates/proofs/src/bin/proof-duties-simulated.rs
@@ -1,7 +1,7 @@
 //! The pure modules of shared duties in simulated time, from 10 to 300 instances with ten duties each: a tenth of all
 //! datagrams lost, then half of the instances killed. Shows how the cost grows.
 
-use cluster_simulation::{Site, World};
+use cluster_simulation::{Simulation, SimulationConfig};
 use proofs::Table;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -16,12 +16,12 @@
 }
 
 /// Lets time pass until this many see this many alive; how long that took, in milliseconds.
-fn until(world: &mut World, see: usize, most: u64) -> u64 {
-    let begun = world.now();
-    while world.seeing(see) < see && world.now() - begun < most {
-        world.pass(100);
+fn until(world: &mut Simulation, see: usize, most: u64) -> u64 {
+    let begun = world.now_ms();
+    while world.instances_seeing(see) < see && world.now_ms() - begun < most {
+        world.advance(100);
     }
-    world.now() - begun
+    world.now_ms() - begun
 }
 
 fn main() -> ExitCode {
@@ -43,26 +43,26 @@
     for &instances in &sizes {
         let begun = Instant::now();
         let before = resident();
-        let site = Site {
+        let site = SimulationConfig {
             instances,
-            duties: 10 * instances,
-            period: PERIOD,
+            jobs: 10 * instances,
+            period_ms: PERIOD,
             standbys: 4,
-            skew: 100,
-            loss: 0.1,
-            gossip,
-            seed: 7,
+            max_clock_skew_ms: 100,
+            datagram_loss: 0.1,
+            gossip_period_ms: gossip,
+            rng_seed: 7,
         };
-        let mut world = World::new(site);
+        let mut world = Simulation::new(site);
         let joined = until(&mut world, instances, 120_000);
         eprintln!("{instances}: joined after {joined} ms, {:.0} s", begun.elapsed().as_secs_f64());
-        world.pass(2 * PERIOD);
-        world.worst_gap();
-        let calm = (world.counts(), world.now());
-        world.pass(2 * PERIOD);
-        let (counts, span) = (world.counts(), (world.now() - calm.1) as f64 / 1000.0);
+        world.advance(2 * PERIOD);
+        world.take_longest_gap();
+        let calm = (world.counts(), world.now_ms());
+        world.advance(2 * PERIOD);
+        let (counts, span) = (world.counts(), (world.now_ms() - calm.1) as f64 / 1000.0);
         let memory = (resident().saturating_sub(before)) as f64 / instances as f64 / 1024.0;
-        let calm_gap = world.worst_gap();
+        let calm_gap = world.take_longest_gap();
         (0..instances / 2).for_each(|i| world.kill(i));
         let alive = instances - instances / 2;
         eprintln!(
@@ -71,17 +71,17 @@
             begun.elapsed().as_secs_f64()
         );
         let noticed = until(&mut world, alive, 600_000);
-        world.pass(2 * PERIOD);
-        let gap = world.worst_gap();
-        let doubles = world.counts().doubles;
+        world.advance(2 * PERIOD);
+        let gap = world.take_longest_gap();
+        let doubles = world.counts().repeated_runs;
         let rate = |after: u64, before: u64| (after - before) as f64 / span;
         println!(
             "| {instances} | {} | {:.1} | {:.0} | {:.0} | {:.0} | {:.1} | {calm_gap} calm, {gap} after | {doubles} | {memory:.0} | {:.0} | {:.0} |",
             10 * instances,
             joined as f64 / 1000.0,
-            rate(counts.claims.0, calm.0.claims.0),
+            rate(counts.writes, calm.0.writes),
             rate(counts.reads, calm.0.reads),
-            rate(counts.datagrams.1, calm.0.datagrams.1) / instances as f64,
+            rate(counts.datagram_bytes, calm.0.datagram_bytes) / instances as f64,
             noticed as f64 / 1000.0,
             memory * 1024.0 / (10 * instances) as f64,
             begun.elapsed().as_secs_f64()
@@ -89,8 +89,7 @@
         worst = worst.max(doubles);
         bounds.at_most(&format!("{instances}: rounds run twice"), doubles as f64, 0.0);
         bounds.at_most(&format!("{instances}: rounds missed in a row, calm"), calm_gap as f64, 1.0);
-        let claims =
-            rate(counts.claims.0, calm.0.claims.0) / (10 * instances) as f64 * PERIOD as f64 / 1000.0;
+        let claims = rate(counts.writes, calm.0.writes) / (10 * instances) as f64 * PERIOD as f64 / 1000.0;
         bounds.at_most(&format!("{instances}: claims a round"), claims, 1.2);
     }
     println!();
--- a/crates/proofs/src/bin/proof-membership.rs
+++ b/crates/proofs/src/bin/proof-membership.rs
@@ -1,7 +1,7 @@
 //! Membership alone in simulated time, up to 1,000 members with a tenth of all datagrams lost: how long a start, a mass
 //! death, the healing of a split and the return of a member that was stopped take until all see the same, and what that costs.
 
-use cluster_simulation::{Site, World};
+use cluster_simulation::{Simulation, SimulationConfig};
 use proofs::Table;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -18,17 +18,17 @@
 const DOUBT: f64 = 1e-5;
 
 /// Lets time pass until this is so; how long that took, in ms.
-fn until(world: &mut World, so: impl Fn(&World) -> bool) -> u64 {
-    let begun = world.now();
-    while !so(world) && world.now() - begun < MOST {
-        world.pass(LOOK);
+fn until(world: &mut Simulation, so: impl Fn(&Simulation) -> bool) -> u64 {
+    let begun = world.now_ms();
+    while !so(world) && world.now_ms() - begun < MOST {
+        world.advance(LOOK);
     }
-    world.now() - begun
+    world.now_ms() - begun
 }
 
 /// Bytes that the cluster has sent so far.
-fn bytes(world: &World) -> u64 {
-    world.counts().datagrams.1
+fn bytes(world: &Simulation) -> u64 {
+    world.counts().datagram_bytes
 }
 
 /// A span in seconds, as a cell.
@@ -49,32 +49,39 @@
     let mut bounds = Table::default();
     for members in sizes {
         let begun = Instant::now();
-        let site = Site { instances: members, duties: 0, loss: 0.1, gossip, seed: 7, ..Site::default() };
-        let mut world = World::new(site);
+        let site = SimulationConfig {
+            instances: members,
+            jobs: 0,
+            datagram_loss: 0.1,
+            gossip_period_ms: gossip,
+            rng_seed: 7,
+            ..SimulationConfig::default()
+        };
+        let mut world = Simulation::new(site);
         let doubt = (DOUBT * (members * members) as f64) as usize;
-        let all = |w: &World| w.mistaken(|_, _| true) <= doubt;
+        let all = |w: &Simulation| w.mistaken_views(|_, _| true) <= doubt;
         let joined = until(&mut world, all);
-        world.pass(CALM);
+        world.advance(CALM);
         let before = bytes(&world);
-        world.pass(CALM);
+        world.advance(CALM);
         let calm = (bytes(&world) - before) as f64 / (CALM / 1_000 * members as u64) as f64;
         eprintln!("{members}: joined {joined} ms, calm {calm:.0}, {:.0} s", begun.elapsed().as_secs_f64());
 
         let half = members / 2;
         let before = bytes(&world);
-        world.split(|i| u8::from(i < half), [true, true]);
+        world.partition(|i| u8::from(i < half), [true, true]);
         let side = move |i: usize, o: usize| (i < half) == (o < half);
-        let apart = until(&mut world, |w| w.taken_for_living(side) == 0);
+        let apart = until(&mut world, |w| w.falsely_alive(side) == 0);
         eprintln!("{members}: apart {apart} ms, {:.0} s", begun.elapsed().as_secs_f64());
-        world.split(|_| 0, [true, true]);
+        world.partition(|_| 0, [true, true]);
         let healed = until(&mut world, all);
         let split_bytes = (bytes(&world) - before) / members as u64;
         eprintln!("{members}: healed {healed} ms, {:.0} s", begun.elapsed().as_secs_f64());
 
         let back = if members <= STOPPED_UP_TO {
             world.pause(1);
-            world.pass(60_000);
-            world.go_on(1);
+            world.advance(60_000);
+            world.resume(1);
             seconds(until(&mut world, all))
         } else {
             "not tried".into()
@@ -82,7 +89,7 @@
         eprintln!("{members}: back {back}, {:.0} s", begun.elapsed().as_secs_f64());
         let before = bytes(&world);
         (0..half).for_each(|i| world.kill(i));
-        let noticed = until(&mut world, |w| w.taken_for_living(|_, _| true) == 0);
+        let noticed = until(&mut world, |w| w.falsely_alive(|_, _| true) == 0);
         let death_bytes = (bytes(&world) - before) / (members - half) as u64;
         println!(
             "| {members} | {} | {calm:.0} | {} | {death_bytes} | {} | {} | {split_bytes} | {} | {:.0} |",
