--- a/crates/snowfield/src/held.rs
+++ b/crates/snowfield/src/held.rs
@@ -50,25 +50,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_was_written_is_read_and_what_is_damaged_is_not() {
-        let folder = std::env::temp_dir().join(format!("snowfield-held-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
-        assert_eq!(read(&folder), Ok(vec![]), "no file yet");
-        write(&folder, ["s-1", "s-2"].into_iter()).expect("it is written");
-        assert_eq!(read(&folder), Ok(vec!["s-1".to_owned(), "s-2".to_owned()]));
-        let whole = fs::read(path(&folder)).expect("it is there");
-        for cut in 0..whole.len() {
-            fs::write(path(&folder), &whole[..cut]).expect("it is cut");
-            assert!(read(&folder).is_err(), "cut at {cut}");
-        }
-        for bad in [&b"snowfield held 2 0\n"[..], b"\xff\xfe\n", b"snowfield held 1 x\n"] {
-            fs::write(path(&folder), bad).expect("it is damaged");
-            assert!(read(&folder).is_err(), "{bad:?}");
-        }
-        fs::remove_dir_all(&folder).expect("it is removed");
-    }
-}
+mod tests;
