--- /dev/null
+++ b/crates/rig/src/builds.rs
@@ -0,0 +1,52 @@
+//! Which build of the program runs where: one for all, or two that have to work together.
+
+use std::path::{Path, PathBuf};
+
+/// The builds of a site. Both files of a pair must have the same name, by which [`crate::process`] knows its programs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Builds {
+    /// One build for all programs.
+    One(PathBuf),
+    /// Programs with an even number run the first build, the others the second.
+    ByProgram(PathBuf, PathBuf),
+    /// Each program's first start runs the first build, its next start the second, and so on in turn.
+    InTurn(PathBuf, PathBuf),
+}
+
+impl Builds {
+    /// The build of a program, numbered from 0, for a start, numbered from 1.
+    pub fn of(&self, program: usize, start: u8) -> &Path {
+        match self {
+            Self::One(build) => build,
+            Self::ByProgram(even, odd) => {
+                if program.is_multiple_of(2) {
+                    even
+                } else {
+                    odd
+                }
+            }
+            Self::InTurn(odd, even) => {
+                if start.is_multiple_of(2) {
+                    even
+                } else {
+                    odd
+                }
+            }
+        }
+    }
+}
+
+impl From<&Path> for Builds {
+    fn from(build: &Path) -> Self {
+        Self::One(build.to_owned())
+    }
+}
+
+impl From<&PathBuf> for Builds {
+    fn from(build: &PathBuf) -> Self {
+        Self::One(build.clone())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -6,6 +6,7 @@
 //!
 //! The rig needs no privileges and stays on 127.0.0.0/8, where each site takes a net of its own.
 
+pub mod builds;
 pub mod checks;
 pub mod history;
 pub mod load;
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -1,5 +1,6 @@
 //! Plays a schedule on a site and judges what was seen.
 
+use crate::builds::Builds;
 use crate::checks::{self, Violation};
 use crate::history::{End, Record, Recorder, What, now};
 use crate::process::until;
@@ -45,9 +46,9 @@
 /// # Errors
 ///
 /// The site could not be started, or a program did not come back.
-pub fn play(schedule: &Schedule, build: &Path, folder: &Path) -> Result<Played, String> {
+pub fn play(schedule: &Schedule, builds: impl Into<Builds>, folder: &Path) -> Result<Played, String> {
     common_files(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let site = Site::start(schedule, build, folder)?;
+    let site = Site::start(schedule, builds, folder)?;
     if !until(STARTS, ASKS, || site.apart().is_empty()) {
         let apart = format!("at the start, before any fault: {}", site.apart());
         site.recorder.note(What::Agreed { after: None, apart });
--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -6,6 +6,7 @@
 pub use files::{LOANS, common_files};
 use files::{appliance, platform};
 
+use crate::builds::Builds;
 use crate::checks::Bounds;
 use crate::history::{End, Recorder, What, now};
 use crate::load::{Client, FREE, LENDERS, Lender, Manner};
@@ -81,7 +82,7 @@
 /// Programs, stand-ins and links.
 pub struct Site {
     schedule: Schedule,
-    build: PathBuf,
+    builds: Builds,
     /// What is seen.
     pub recorder: Recorder,
     /// The links.
@@ -130,11 +131,11 @@
     /// # Errors
     ///
     /// The text says what cannot be had.
-    pub fn start(schedule: &Schedule, build: &Path, folder: &Path) -> Result<Arc<Self>, String> {
-        let site = Self::set_up(schedule, build, folder).map_err(|e| e.to_string())?;
+    pub fn start(schedule: &Schedule, builds: impl Into<Builds>, folder: &Path) -> Result<Arc<Self>, String> {
+        let site = Self::set_up(schedule, builds.into(), folder).map_err(|e| e.to_string())?;
         for i in 0..schedule.has.voters {
             let file = site.write(i, &Running::default()).map_err(|e| e.to_string())?;
-            let (code, said) = site.run(&["settings", "begin", &file])?;
+            let (code, said) = site.run(i, &["settings", "begin", &file])?;
             if code != 0 {
                 return Err(said);
             }
@@ -150,7 +151,7 @@
         Ok(site)
     }
 
-    fn set_up(schedule: &Schedule, build: &Path, folder: &Path) -> std::io::Result<Arc<Self>> {
+    fn set_up(schedule: &Schedule, builds: Builds, folder: &Path) -> std::io::Result<Arc<Self>> {
         let (net, lock) = own_net()?;
         let ip = |last: u8, of: u8| Ipv4Addr::new(127, net, of, last);
         let (stand, links) = (IpAddr::V4(ip(1, 200)), ip(1, 201));
@@ -245,7 +246,7 @@
         };
         Ok(Arc::new(Self {
             schedule: schedule.clone(),
-            build: build.to_owned(),
+            builds,
             recorder,
             network,
             parties,
@@ -323,20 +324,19 @@
         let member = &self.members[i];
         running.starts = running.starts % 250 + 1;
         let path = self.write(i, running).map_err(|e| format!("{}: {e}", member.folder.display()))?;
+        let build = self.builds.of(i, running.starts);
         let started = match self.schedule.form {
-            Form::Appliance => {
-                Process::start(&member.name, &self.build, &["serve", &path], &[], &self.recorder)
-            }
+            Form::Appliance => Process::start(&member.name, build, &["serve", &path], &[], &self.recorder),
             Form::Platform => {
                 let variables = [
                     ("BALANCER_CONFIG", path),
                     ("BALANCER_OPERATOR", self.door(i, running.starts).to_string()),
                     ("TMPDIR", member.folder.join("tmp").display().to_string()),
                 ];
-                Process::start(&member.name, &self.build, &[], &variables, &self.recorder)
+                Process::start(&member.name, build, &[], &variables, &self.recorder)
             }
         };
-        started.map_err(|e| format!("{}: {e}", self.build.display()))
+        started.map_err(|e| format!("{}: {e}", build.display()))
     }
 
     /// Writes the files of a program as it is to run now, and brings the path of the one that it is started with.
@@ -361,10 +361,11 @@
         Ok(path.display().to_string())
     }
 
-    /// Runs the program to its end: its exit code, and all that it wrote.
-    fn run(&self, words: &[&str]) -> Result<(i32, String), String> {
-        let done = std::process::Command::new(&self.build).args(words).output();
-        let done = done.map_err(|e| format!("{}: {e}", self.build.display()))?;
+    /// Runs the build of this program's last start to its end: its exit code, and all that it wrote.
+    fn run(&self, i: usize, words: &[&str]) -> Result<(i32, String), String> {
+        let build = self.builds.of(i, held(&self.members[i].running).starts.max(1));
+        let done = std::process::Command::new(build).args(words).output();
+        let done = done.map_err(|e| format!("{}: {e}", build.display()))?;
         let said = [done.stdout, done.stderr].concat();
         Ok((done.status.code().unwrap_or(-1), String::from_utf8_lossy(&said).trim().to_owned()))
     }
--- a/crates/rig/src/site/faults.rs
+++ b/crates/rig/src/site/faults.rs
@@ -396,7 +396,7 @@
         let text = format!("[[plan]]\nname = \"basic\"\nunits_per_second = {rate:?}\nburst = {burst:?}\n");
         std::fs::write(&rules, text).map_err(|e| e.to_string())?;
         let file = member.folder.join(&self.texts[i].0).display().to_string();
-        let (code, said) = self.run(&["settings", "propose", &file, &rules.display().to_string()])?;
+        let (code, said) = self.run(i, &["settings", "propose", &file, &rules.display().to_string()])?;
         self.recorder.note(What::Proposed { who: member.name.clone(), code, said });
         Ok(())
     }
