--- /dev/null
+++ b/crates/handover/src/error/tests.rs
@@ -0,0 +1,19 @@
+//! The texts that operators meet in the log.
+
+use super::*;
+
+#[test]
+fn each_error_names_what_went_wrong() {
+    let cause = postcard::Error::DeserializeUnexpectedEnd;
+    for (error, text) in [
+        (Error::Io(io::ErrorKind::UnexpectedEof.into()), "unexpected end of file".to_owned()),
+        (
+            Error::FrameTooLong { length: 33_554_433 },
+            "a frame of 33554433 bytes is too long, 33554432 are allowed".to_owned(),
+        ),
+        (Error::Encode(cause.clone()), format!("a message cannot be encoded: {cause}")),
+        (Error::Decode(cause.clone()), format!("a frame holds no known message: {cause}")),
+    ] {
+        assert_eq!(error.to_string(), text);
+    }
+}
--- /dev/null
+++ b/crates/handover/src/journal/tests.rs
@@ -0,0 +1,38 @@
+//! Which journals count as complete.
+
+use super::*;
+
+fn admission(number: u32) -> Admission {
+    Admission { tenant: u64::from(number), plan: number % 3, gatekeepers: 2.0, units: f64::from(number) }
+}
+
+#[test]
+fn entries_outlive_their_writer() {
+    let (journal, reader) = AdmissionJournal::open().expect("a pair");
+    (0..20).for_each(|number| journal.append(&admission(number)));
+    drop(journal);
+    let mut read = Vec::new();
+    let end = read_journal(reader, |entry| read.push(entry));
+    assert_eq!(end, JournalEnd::Complete, "nothing can be missing");
+    assert_eq!(read, (0..20).map(admission).collect::<Vec<_>>());
+}
+
+#[test]
+fn a_suspended_reader_knows_that_entries_may_be_missing() {
+    let (journal, reader) = AdmissionJournal::open().expect("a pair");
+    (0..100_000).for_each(|number| journal.append(&admission(number)));
+    drop(journal);
+    let mut count = 0;
+    assert_eq!(read_journal(reader, |_| count += 1), JournalEnd::Incomplete);
+    assert!(count < 100_000, "the socket does not hold all");
+}
+
+#[test]
+fn garbage_and_partial_entries_make_a_journal_incomplete() {
+    for bytes in [&[0xff; ENTRY_BYTES][..], &[0; ENTRY_BYTES / 2][..]] {
+        let (journal, reader) = AdmissionJournal::open().expect("a pair");
+        (&journal.0).write_all(bytes).expect("there is room");
+        drop(journal);
+        assert_eq!(read_journal(reader, |_| ()), JournalEnd::Incomplete);
+    }
+}
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,54 +1,66 @@
-//! What the two programs say.
+//! The messages of a hot restart.
+//!
+//! Their encoding is postcard's, which is positional: the order of variants and fields and the types of fields are the wire
+//! format. Names may change, anything else needs a new [`PROTOCOL_VERSION`].
 
 use serde::{Deserialize, Serialize};
 
-/// The form of all messages. Programs of different forms do not take over from each other.
-pub const VERSION: u32 = 2;
+/// Version of the wire format. Processes with different versions do not take over from each other.
+pub const PROTOCOL_VERSION: u32 = 2;
 
-/// A message of either side. What the module knows travels as bytes of its own form.
+/// The number that the sender has given to a backend. Numbers differ between processes, ids do not.
+#[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
+pub struct BackendNumber {
+    /// The sender's number.
+    pub number: u32,
+    /// The backend's id.
+    pub id: String,
+}
+
+/// A message from either process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// The caller's form of messages.
+    /// The first message of a successor.
     Hello {
-        /// [`VERSION`] of the caller.
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
     },
-    /// The caller can serve now, and asks for all there is.
-    Take,
-    /// All there is; the listener comes with it.
+    /// The successor is ready to serve and asks for the state. The read end of its admission journal comes with it.
+    RequestState,
+    /// The state of the predecessor, which admits nothing from here on. Its listening socket comes with it.
     State {
-        /// What the module knows.
-        module: Vec<u8>,
-        /// Number and id of each loan server.
-        destinations: Vec<(u32, String)>,
+        /// The policy's snapshot in its own encoding.
+        policy_snapshot: Vec<u8>,
+        /// The listed backends.
+        backends: Vec<BackendNumber>,
         /// Names of the plans, by number.
         plans: Vec<String>,
-        /// Names of the classes, by number.
+        /// Names of the request classes, by number.
         classes: Vec<String>,
-        /// Ids of loan servers that are out by hand.
-        held: Vec<String>,
+        /// Ids of the backends that operators have ejected.
+        ejected: Vec<String>,
     },
-    /// A client's connection between two requests, which comes with it.
-    Client {
-        /// What was read of a request that is not whole.
-        begun: Vec<u8>,
+    /// A client connection between two requests. Its socket comes with it.
+    ClientConnection {
+        /// What was read of a request that is not yet complete.
+        partial_request: Vec<u8>,
     },
-    /// An operator takes a loan server out, or calls it back.
-    Hold {
-        /// Comes back with the answer.
+    /// An operator ejects a backend, or lets it be used again.
+    SetEjected {
+        /// Returned in the reply.
         call: u64,
-        /// The loan server.
+        /// The backend's id.
         id: String,
-        /// It is out.
-        held: bool,
-        /// The sender has it on its list, or out; else the receiver is to look.
+        /// True to eject it.
+        ejected: bool,
+        /// The sender has the backend listed or ejected. Otherwise the receiver checks whether it has.
         known: bool,
     },
-    /// The answer to [`Message::Hold`].
-    Held {
-        /// The call.
+    /// The reply to [`Message::SetEjected`].
+    EjectionApplied {
+        /// From the request.
         call: u64,
-        /// Whether it was done.
-        done: bool,
+        /// Whether the receiver has applied it.
+        applied: bool,
     },
 }
--- a/crates/handover/tests/wire_format.rs
+++ b/crates/handover/tests/wire_format.rs
@@ -1,6 +1,9 @@
 //! What two programs exchange during a hot restart, as version 0.1.0 sent it: later versions read it, and send the same bytes.
 
-use handover::{Ledger, LetIn, Message, Peer, Place, VERSION, follow};
+use handover::{
+    Admission, AdmissionJournal, BackendNumber, JournalEnd, Message, PROTOCOL_VERSION, Peer, UpgradeSocket,
+    read_journal,
+};
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::PathBuf;
@@ -25,41 +28,49 @@
     }
 }
 
+fn backend(number: u32, id: &str) -> BackendNumber {
+    BackendNumber { number, id: id.into() }
+}
+
 /// Each message, and its frame as version 0.1.0 sent it.
 fn messages() -> Vec<(&'static str, &'static [u8], Message)> {
     vec![
-        ("hello", include_bytes!("fixtures/hello.frame"), Message::Hello { version: VERSION }),
-        ("take", include_bytes!("fixtures/take.frame"), Message::Take),
+        ("hello", include_bytes!("fixtures/hello.frame"), Message::Hello { version: PROTOCOL_VERSION }),
+        ("take", include_bytes!("fixtures/take.frame"), Message::RequestState),
         (
             "state",
             include_bytes!("fixtures/state.frame"),
             Message::State {
-                module: (0..=255).collect(),
-                destinations: vec![(1, "s-5be2a07c".into()), (300, "s-1".into()), (u32::MAX, String::new())],
+                policy_snapshot: (0..=255).collect(),
+                backends: vec![backend(1, "s-5be2a07c"), backend(300, "s-1"), backend(u32::MAX, "")],
                 plans: vec!["basic".into(), "standard".into()],
                 classes: vec!["lookup".into(), "lookup-r2".into(), "lookup".into()],
-                held: vec!["s-1".into()],
+                ejected: vec!["s-1".into()],
             },
         ),
         (
             "client",
             include_bytes!("fixtures/client.frame"),
-            Message::Client { begun: b"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000".to_vec() },
+            Message::ClientConnection { partial_request: b"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000".to_vec() },
         ),
         (
             "hold",
             include_bytes!("fixtures/hold.frame"),
-            Message::Hold { call: 1 << 40, id: "s-5be2a07c".into(), held: true, known: false },
+            Message::SetEjected { call: 1 << 40, id: "s-5be2a07c".into(), ejected: true, known: false },
+        ),
+        (
+            "held",
+            include_bytes!("fixtures/held.frame"),
+            Message::EjectionApplied { call: 1 << 40, applied: true },
         ),
-        ("held", include_bytes!("fixtures/held.frame"), Message::Held { call: 1 << 40, done: true }),
     ]
 }
 
 /// The frame that this version sends.
 fn sent(message: &Message) -> Vec<u8> {
     let folder = Folder::new("sent");
-    let listener = UnixListener::bind(Place::path(&folder.0)).expect("a socket");
-    let peer = Peer::call(&folder.0).expect("it listens");
+    let listener = UnixListener::bind(UpgradeSocket::path(&folder.0)).expect("a socket");
+    let peer = Peer::connect(&folder.0).expect("it listens");
     peer.send(message, None).expect("it goes");
     peer.close();
     let mut frame = Vec::new();
@@ -69,9 +80,9 @@
 
 /// What this version makes of these bytes.
 fn received(folder: &Folder, bytes: &[u8]) -> Vec<Message> {
-    let place = Place::take(&folder.0).expect("a place");
-    let mut caller = UnixStream::connect(Place::path(&folder.0)).expect("it listens");
-    let peer = place.accept().expect("a caller");
+    let socket = UpgradeSocket::bind(&folder.0).expect("a place");
+    let mut caller = UnixStream::connect(UpgradeSocket::path(&folder.0)).expect("it listens");
+    let peer = socket.accept().expect("a caller");
     caller.write_all(bytes).expect("it takes them");
     drop(caller);
     std::iter::from_fn(|| peer.receive(LONG).ok()).map(|(message, _)| message).collect()
@@ -118,45 +129,49 @@
 /// The journal of version 0.1.0: these entries.
 const JOURNAL: &[u8] = include_bytes!("fixtures/admissions.journal");
 
-fn entries() -> Vec<LetIn> {
-    let entry = |customer, plan, set, units| LetIn { customer, plan, set, units };
+fn entries() -> Vec<Admission> {
+    let entry = |tenant, plan, gatekeepers, units| Admission { tenant, plan, gatekeepers, units };
     vec![entry(7, 0, 1.0, 1.0), entry(u64::MAX, 3, 12.0, 0.25), entry(0x1234_5678_9abc_def0, 1, 2.5, 4.0)]
 }
 
 #[test]
 fn writes_the_admission_journal_as_version_0_1_0_did() {
-    let (ledger, reads) = Ledger::open().expect("a pair");
-    entries().iter().for_each(|entry| ledger.enter(entry));
-    drop(ledger);
+    let (journal, reader) = AdmissionJournal::open().expect("a pair");
+    entries().iter().for_each(|entry| journal.append(entry));
+    drop(journal);
     let mut bytes = Vec::new();
-    UnixStream::from(reads).read_to_end(&mut bytes).expect("it comes");
+    UnixStream::from(reader).read_to_end(&mut bytes).expect("it comes");
     assert_eq!(bytes, JOURNAL);
 }
 
-/// What this version reads of a journal, and whether it takes it for complete.
-fn read(bytes: &[u8]) -> (Vec<LetIn>, bool) {
-    let (mut writes, reads) = UnixStream::pair().expect("a pair");
-    writes.write_all(bytes).expect("there is room");
-    drop(writes);
-    let mut told = Vec::new();
-    let whole = follow(reads.into(), |entry| told.push(entry));
-    (told, whole)
+/// What this version reads of a journal, and whether it counts as complete.
+fn read(bytes: &[u8]) -> (Vec<Admission>, JournalEnd) {
+    let (mut writer, reader) = UnixStream::pair().expect("a pair");
+    writer.write_all(bytes).expect("there is room");
+    drop(writer);
+    let mut entries = Vec::new();
+    let end = read_journal(reader.into(), |entry| entries.push(entry));
+    (entries, end)
 }
 
 #[test]
 fn reads_the_admission_journal_of_version_0_1_0() {
-    assert_eq!(read(JOURNAL), (entries(), true));
+    assert_eq!(read(JOURNAL), (entries(), JournalEnd::Complete));
 }
 
 #[test]
 fn a_truncated_or_damaged_admission_journal_is_known_to_be_incomplete() {
     let size = JOURNAL.len() / entries().len();
     for length in (0..JOURNAL.len()).filter(|length| length % size != 0) {
-        let whole = length / size;
-        assert_eq!(read(&JOURNAL[..length]), (entries()[..whole].to_vec(), false), "{length} bytes");
+        let complete = length / size;
+        assert_eq!(
+            read(&JOURNAL[..length]),
+            (entries()[..complete].to_vec(), JournalEnd::Incomplete),
+            "{length} bytes"
+        );
     }
     // A number of gatekeepers below 1 makes no sense.
     let mut damaged = JOURNAL.to_vec();
     damaged[12..20].copy_from_slice(&0.5f64.to_le_bytes());
-    assert_eq!(read(&damaged), (entries()[1..].to_vec(), false));
+    assert_eq!(read(&damaged), (entries()[1..].to_vec(), JournalEnd::Incomplete));
 }
--- a/crates/snowfield/src/desk.rs
+++ b/crates/snowfield/src/desk.rs
@@ -89,15 +89,15 @@
     /// The other program has said something about holds.
     pub fn heard(&self, peer: &Peer, message: Message) {
         match message {
-            Message::Hold { call, id, held, known } => {
-                let done = self.apply(&id, held, known);
+            Message::SetEjected { call, id, ejected, known } => {
+                let applied = self.apply(&id, ejected, known);
                 // Where it has gone nobody waits for this.
-                let _ = peer.send(&Message::Held { call, done }, None);
+                let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
-            Message::Held { call, done } => {
+            Message::EjectionApplied { call, applied } => {
                 if let Some(caller) = locked(&self.calls).1.remove(&call) {
                     // It may have given up.
-                    let _ = caller.send(done);
+                    let _ = caller.send(applied);
                 }
             }
             _ => {}
@@ -114,7 +114,7 @@
             calls.1.insert(call, tell);
             call
         };
-        let message = Message::Hold { call, id: id.to_owned(), held, known };
+        let message = Message::SetEjected { call, id: id.to_owned(), ejected: held, known };
         let done = peer.send(&message, None).is_ok() && told.recv_timeout(PEER_WITHIN).unwrap_or(false);
         locked(&self.calls).1.remove(&call);
         done
--- a/crates/snowfield/src/hosts.rs
+++ b/crates/snowfield/src/hosts.rs
@@ -2,6 +2,7 @@
 
 use destination::Place;
 use dewproxy::interface::{BackendEntry, State};
+use handover::BackendNumber;
 use settings::{Config, HostList};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -107,9 +108,9 @@
     }
 
     /// Number and id of those on the list.
-    pub fn listed(&self) -> Vec<(u32, String)> {
+    pub fn listed(&self) -> Vec<BackendNumber> {
         let here = self.numbers.iter().filter(|(_, number)| self.listed.contains(number));
-        here.map(|(uid, number)| (*number, uid.clone())).collect()
+        here.map(|(uid, number)| BackendNumber { number: *number, id: uid.clone() }).collect()
     }
 
     /// The number of an id, if it ever was on a list.
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -10,7 +10,7 @@
 use discovery::{News, Pace, Watch};
 use exchange::{Clock, Exchange};
 use front_resp::{ClassRule, Front, Rules};
-use handover::Place;
+use handover::UpgradeSocket;
 use link::{Door, spawn, spawn_with};
 use settings::{Config, Shape, Tables};
 use std::io::Read;
@@ -302,7 +302,7 @@
     };
     let door = Arc::new(door);
     if let Some(folder) = &folder {
-        match Place::take(folder) {
+        match UpgradeSocket::bind(folder) {
             Ok(place) => upgrade.give_way(place, &door),
             Err(why) => tracing::warn!("upgrade: the next program cannot call this one: {why}"),
         }
--- a/crates/snowfield/src/upgrade.rs
+++ b/crates/snowfield/src/upgrade.rs
@@ -6,7 +6,10 @@
 use destination::{Pools, RespDestination};
 use exchange::{Carried, LetIn};
 use front_resp::{Front, Heir, RespExchange};
-use handover::{LAST_ENTRIES, Ledger, Message, Peer, Place, VERSION, follow};
+use handover::{
+    Admission, AdmissionJournal, BackendNumber, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION,
+    Peer, UpgradeSocket, read_journal,
+};
 use link::{Door, Link, locked, spawn_with};
 use std::collections::HashMap;
 use std::net::{TcpListener, TcpStream};
@@ -34,8 +37,8 @@
 
 /// Calls the program that serves with this folder, if there is one.
 pub fn call(folder: &Path) -> Option<Arc<Peer>> {
-    let peer = Peer::call(folder).ok()?;
-    peer.send(&Message::Hello { version: VERSION }, None).ok()?;
+    let peer = Peer::connect(folder).ok()?;
+    peer.send(&Message::Hello { version: PROTOCOL_VERSION }, None).ok()?;
     Some(Arc::new(peer))
 }
 
@@ -51,32 +54,32 @@
     }
 
     fn take_state(&self, peer: &Peer) -> Result<Door, String> {
-        let (ledger, reads) = Ledger::open().map_err(|e| e.to_string())?;
-        peer.send(&Message::Take, Some(reads.as_fd())).map_err(|e| e.to_string())?;
+        let (ledger, reads) = AdmissionJournal::open().map_err(|e| e.to_string())?;
+        peer.send(&Message::RequestState, Some(reads.as_fd())).map_err(|e| e.to_string())?;
         let (message, listener) = loop {
             match peer.receive(Some(STEP)).map_err(|e| e.to_string())? {
-                (message @ (Message::Hold { .. } | Message::Held { .. }), _) => {
+                (message @ (Message::SetEjected { .. } | Message::EjectionApplied { .. }), _) => {
                     self.desk.heard(peer, message)
                 }
                 other => break other,
             }
         };
-        let Message::State { module, destinations, plans, classes, held } = message else {
+        let Message::State { policy_snapshot, backends, plans, classes, ejected } = message else {
             return Err("it sent something else".into());
         };
         let listener = TcpListener::from(listener.ok_or("it sent no listener")?);
         let door = Door::given(listener).map_err(|e| e.to_string())?;
-        for id in held {
+        for id in ejected {
             self.desk.apply(&id, true, true);
         }
         let ours = self.desk.names();
         // Whatever of its state can be read: a ledger that ends without entries says that nothing was let in.
         self.enter_all(ledger, &plans, &ours.1);
-        match postcard::from_bytes::<Carried>(&module) {
+        match postcard::from_bytes::<Carried>(&policy_snapshot) {
             Ok(carried) => {
                 let hosts = locked(&self.hosts);
-                let number = |(theirs, id): (u32, String)| Some((theirs, hosts.number(&id)?));
-                let numbers: HashMap<u32, u32> = destinations.into_iter().filter_map(number).collect();
+                let number = |theirs: BackendNumber| Some((theirs.number, hosts.number(&theirs.id)?));
+                let numbers: HashMap<u32, u32> = backends.into_iter().filter_map(number).collect();
                 let (plans, classes) = (places(&plans, &ours.1), places(&classes, &ours.0));
                 self.exchange.take_over(carried.renumbered(&numbers, &plans, &classes));
             }
@@ -90,12 +93,17 @@
     }
 
     /// What is let in from now on is entered before it is sent on, by the other program's numbers of plans.
-    fn enter_all(&self, ledger: Ledger, theirs: &[String], ours: &[String]) {
+    fn enter_all(&self, journal: AdmissionJournal, theirs: &[String], ours: &[String]) {
         let numbers = places(ours, theirs);
         self.exchange.tell_let_in(Some(Box::new(move |LetIn { customer, plan, set_size, units }| {
             // A plan that the other one does not have counts for nobody there.
             if let Some(plan) = numbers.get(plan as usize).copied().flatten() {
-                ledger.enter(&handover::LetIn { customer, plan: plan as u32, set: set_size, units });
+                journal.append(&Admission {
+                    tenant: customer,
+                    plan: plan as u32,
+                    gatekeepers: set_size,
+                    units,
+                });
             }
         })));
     }
@@ -107,7 +115,7 @@
             let mut taken = 0;
             loop {
                 match peer.receive(None) {
-                    Ok((Message::Client { begun }, Some(socket))) => {
+                    Ok((Message::ClientConnection { partial_request: begun }, Some(socket))) => {
                         if let Ok(link) = Link::new(TcpStream::from(socket)) {
                             parts.front.adopt(link, begun);
                             taken += 1;
@@ -124,7 +132,7 @@
     }
 
     /// Gives way to whoever calls at this place, one after the other, for as long as the process lives.
-    pub fn give_way(self: &Arc<Self>, place: Place, door: &Arc<Door>) {
+    pub fn give_way(self: &Arc<Self>, place: UpgradeSocket, door: &Arc<Door>) {
         let (parts, door) = (self.clone(), door.clone());
         thread::spawn(move || {
             loop {
@@ -143,7 +151,7 @@
 
     fn serve_heir(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Door>) {
         match peer.receive(Some(STEP)) {
-            Ok((Message::Hello { version: VERSION }, _)) => {}
+            Ok((Message::Hello { version: PROTOCOL_VERSION }, _)) => {}
             Ok(_) => return tracing::info!("upgrade: a program of another form called; this one serves on"),
             Err(_) => return,
         }
@@ -151,7 +159,7 @@
         let (mut given, mut ledger) = (false, None);
         while let Ok((message, descriptor)) = peer.receive((!given).then_some(2 * STEP)) {
             match message {
-                Message::Take if !given => {
+                Message::RequestState if !given => {
                     given = true;
                     ledger = descriptor.map(|reads| self.follow_ledger(reads));
                     if let Err(why) = self.give(peer, door) {
@@ -166,7 +174,8 @@
         self.desk.set_peer(None);
         if given && !self.desk.is_ending() {
             // All entries are there once the other one is gone; one that only hung up may still let in.
-            let whole = ledger.is_some_and(|told| told.recv_timeout(LAST_ENTRIES).unwrap_or(false));
+            let whole = ledger
+                .is_some_and(|told| told.recv_timeout(JOURNAL_DRAIN_TIMEOUT) == Ok(JournalEnd::Complete));
             let stores = if whole { "with what the other left" } else { "with empty stores" };
             tracing::warn!("upgrade: the other program has ended; this one serves on, {stores}");
             self.exchange.take_back(whole);
@@ -177,15 +186,15 @@
     }
 
     /// Keeps the stores here as the other program leaves them; tells at its end whether they are.
-    fn follow_ledger(self: &Arc<Self>, reads: OwnedFd) -> Receiver<bool> {
+    fn follow_ledger(self: &Arc<Self>, reads: OwnedFd) -> Receiver<JournalEnd> {
         let (tell, told) = channel();
         let parts = self.clone();
         thread::spawn(move || {
-            let whole = follow(reads, |e| {
-                let handover::LetIn { customer, plan, set, units } = e;
-                parts.exchange.mirror(LetIn { customer, plan, set_size: set, units });
+            let end = read_journal(reads, |admission| {
+                let Admission { tenant, plan, gatekeepers, units } = admission;
+                parts.exchange.mirror(LetIn { customer: tenant, plan, set_size: gatekeepers, units });
             });
-            let _ = tell.send(whole);
+            let _ = tell.send(end);
         });
         told
     }
@@ -214,11 +223,11 @@
         let message = {
             let hosts = locked(&self.hosts);
             Message::State {
-                module: postcard::to_stdvec(&carried).map_err(|e| e.to_string())?,
-                destinations: hosts.listed(),
+                policy_snapshot: postcard::to_stdvec(&carried).map_err(|e| e.to_string())?,
+                backends: hosts.listed(),
                 plans,
                 classes,
-                held: hosts.held().map(str::to_owned).collect(),
+                ejected: hosts.held().map(str::to_owned).collect(),
             }
         };
         peer.send(&message, Some(door.listener())).map_err(|e| e.to_string())?;
@@ -227,7 +236,9 @@
         let (parts, peer) = (self.clone(), peer.clone());
         thread::spawn(move || {
             for (socket, begun) in passed {
-                let gone = peer.send(&Message::Client { begun }, Some(socket.as_fd())).is_err();
+                let gone = peer
+                    .send(&Message::ClientConnection { partial_request: begun }, Some(socket.as_fd()))
+                    .is_err();
                 parts.passing.fetch_sub(1, Ordering::AcqRel);
                 if gone {
                     return;
