--- a/crates/snowfield/src/desk.rs
+++ b/crates/snowfield/src/desk.rs
@@ -7,7 +7,7 @@
 use front_resp::RespExchange;
 use handover::{Message, Peer};
 use link::locked;
-use operator::{ClassFigures, Figures};
+use operator::{ClassMetrics, Metrics, RejectionCount};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -161,13 +161,13 @@
         }
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> Metrics {
         let (ends, members) = self.exchange.ends();
         // A class that came back otherwise than it was is another number of the same name.
-        let mut classes: Vec<ClassFigures> = Vec::new();
+        let mut classes: Vec<ClassMetrics> = Vec::new();
         for (name, [completed, rejected, failed]) in locked(&self.names).0.iter().zip(&ends.classes) {
             let at = classes.iter().position(|c| c.name == *name).unwrap_or_else(|| {
-                classes.push(ClassFigures { name: name.clone(), ..ClassFigures::default() });
+                classes.push(ClassMetrics { name: name.clone(), ..ClassMetrics::default() });
                 classes.len() - 1
             });
             let class = &mut classes[at];
@@ -175,13 +175,15 @@
             class.rejected += rejected;
             class.failed += failed;
         }
-        Figures {
+        let names = Refusal::ALL.iter().map(|why| why.name());
+        let rejections = names.zip(ends.refusals).map(|(reason, count)| RejectionCount { reason, count });
+        Metrics {
             classes,
-            refusals: Refusal::ALL.iter().map(|why| why.name()).zip(ends.refusals).collect(),
-            upstream_requests: self.pools.written(),
+            rejections: rejections.collect(),
+            attempts_written: self.pools.written(),
             pending: ends.pending,
-            members: members.listed,
-            members_unavailable: members.avoided,
+            backends: members.listed,
+            backends_unavailable: members.avoided,
             reloads: self.reloads.load(Ordering::Relaxed),
             reload_errors: self.reload_errors.load(Ordering::Relaxed),
         }
--- a/crates/snowfield/src/door.rs
+++ b/crates/snowfield/src/door.rs
@@ -1,6 +1,6 @@
 //! The operators' door: a listener of its own, off the worker, so that a busy gatekeeper still answers within a second.
 
-use operator::{Call, Figures, LONGEST_LINE};
+use operator::{Command, MAX_LINE_BYTES, Metrics};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -23,7 +23,7 @@
     /// Why this process cannot serve, if it cannot.
     fn ready(&self) -> Result<(), String>;
     /// The figures.
-    fn figures(&self) -> Figures;
+    fn figures(&self) -> Metrics;
     /// Takes a loan server out, or calls it back. When this returns nothing new is sent to one that is out.
     fn hold(&self, id: &str, held: bool) -> Result<(), String>;
 }
@@ -93,17 +93,17 @@
 }
 
 fn answer(desk: &impl Desk, line: Result<Vec<u8>, &'static str>) -> String {
-    let call = match line.and_then(|line| Call::parse(&line)) {
-        Ok(call) => call,
+    let line = match line {
+        Ok(line) => line,
         Err(why) => return operator::reply(Err(why)),
     };
-    let done = match call {
-        Call::Telemetry => return desk.figures().text(),
-        Call::Ready => desk.ready(),
-        Call::Exclude(id) => desk.hold(&id, true),
-        Call::Include(id) => desk.hold(&id, false),
-    };
-    operator::reply(done.as_ref().copied().map_err(String::as_str))
+    match Command::parse(&line) {
+        Ok(Command::Metrics) => desk.figures().to_text(),
+        Ok(Command::Ready) => operator::reply(desk.ready()),
+        Ok(Command::Eject(id)) => operator::reply(desk.hold(&id, true)),
+        Ok(Command::Restore(id)) => operator::reply(desk.hold(&id, false)),
+        Err(error) => operator::reply(Err(error)),
+    }
 }
 
 /// The first line that a caller sends, without its end.
@@ -124,7 +124,7 @@
             line.truncate(end);
             return Ok(line);
         }
-        if line.len() > LONGEST_LINE {
+        if line.len() > MAX_LINE_BYTES {
             return Err("the line is too long");
         }
     }
