--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -6,7 +6,7 @@
 use json_stream::{Item, Objects};
 use link::{Incoming, Link, locked};
 pub use pace::Pace;
-use settings::HostList;
+use settings::EndpointList;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub enum News {
     /// A list.
-    List(HostList),
+    List(EndpointList),
     /// A call has failed, or a watch has ended: nothing is heard for now.
     Lost,
 }
@@ -175,13 +175,13 @@
                     Ok(None) => break,
                     Err(error) => return format!("an unreadable list: {error}"),
                 };
-                match simd_json::serde::from_slice::<HostList>(&mut object) {
+                match simd_json::serde::from_slice::<EndpointList>(&mut object) {
                     Ok(list) => {
                         if *lost {
-                            tracing::info!("discovery: the watch is back at version {}", list.rev);
+                            tracing::info!("discovery: the watch is back at version {}", list.revision);
                             *lost = false;
                         }
-                        *rev = list.rev;
+                        *rev = list.revision;
                         told(News::List(list));
                         self.heard(SILENCE);
                     }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The watch against a stand-in of the agent that is written from the protocol.
 
 use discovery::{News, Pace, Watch};
-use settings::HostList;
+use settings::EndpointList;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -81,7 +81,7 @@
     told
 }
 
-fn list(news: News) -> HostList {
+fn list(news: News) -> EndpointList {
     let News::List(list) = news else { panic!("no list but {news:?}") };
     list
 }
@@ -96,9 +96,9 @@
     call.say("{\n  \"rev\": 41,\n  \"all\": false,\n");
     call.say("  \"targets\": [\n    {\"uid\": \"s-1\", \"state\": \"draining\"}\n  ]\n}\n");
     let first = list(next(&told));
-    assert_eq!((first.rev, first.targets[0].state.as_str()), (41, "draining"));
+    assert_eq!((first.revision, first.endpoints[0].state.as_str()), (41, "draining"));
     call.say("{\"rev\":42,\"targets\":[]}\n");
-    assert_eq!(list(next(&told)).rev, 42);
+    assert_eq!(list(next(&told)).revision, 42);
 }
 
 /// The reader of JSON recurses: a list that nests without end overran the stack, and nothing was heard of discovery ever again.
@@ -118,7 +118,7 @@
     let mut call = next(&calls);
     call.answer();
     call.say("{\"rev\":43,\"all\":true,\"targets\":[]}\n");
-    assert_eq!(list(next(&told)).rev, 43);
+    assert_eq!(list(next(&told)).revision, 43);
 }
 
 /// What it missed counts as told 6 s after it fell silent.
@@ -146,7 +146,7 @@
     answered.answer();
     answered.say("{\"rev\":42,\"targets\":[]}\n");
     assert!(matches!(next(&told), News::Lost));
-    assert_eq!(list(next(&told)).rev, 42);
+    assert_eq!(list(next(&told)).revision, 42);
     assert!(silent.elapsed() < TOLD, "{:?}", silent.elapsed());
     chatter.join().expect("no panic");
 }
--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -1,526 +1,194 @@
-//! The appliance's file under `deploy/`: where it listens, its descriptions, lenders and plans, and Consul.
-
-use crate::{ConfigError, cluster};
-use dewproxy::interface as module;
+//! The appliance's configuration file: where it listens, its OpenAPI descriptions, tenants and plans, and Consul.
+
+mod classes;
+mod cluster;
+mod consul;
+mod limits;
+mod plan_version;
+mod plans;
+mod policy_settings;
+mod replication;
+
+pub use classes::{ClassConfig, RepeatEffect};
+pub use cluster::{ClusterConfig, HealthCheckConfig, PeriodicJobConfig};
+pub use consul::{ConsulConfig, MinimumHealth, RegistrationConfig, ServiceConfig};
+pub use limits::{LimitsConfig, QuotaConfig, SlowStartConfig};
+pub use plan_version::{apply_version, scaled, stricter};
+pub use plans::{PlanConfig, TenantConfig, tenant_number};
+pub use policy_settings::RouteClass;
+pub use replication::{ReplicaConfig, ReplicationConfig};
+
+use crate::SettingsError;
+use crate::validation::{check_loopback, check_names, invalid};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How the log's lines look.
+/// Limit on services, each of which is watched by itself.
+const MAX_SERVICES: usize = 32;
+
+/// The form of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum LogForm {
-    /// Words.
+pub enum LogFormat {
+    /// The message alone.
     #[default]
     Plain,
     /// JSON, with the machine's monotonic clock.
     Json,
 }
 
-/// The file as the program uses it.
+/// The file in the types that the program uses.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Appliance {
+pub struct ApplianceConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where the console asks for the live status; on loopback only.
     pub status: Option<SocketAddr>,
-    /// How the log's lines look; `SNOWFIELD_LOG` overrides it.
-    #[serde(default)]
-    pub log: LogForm,
-    /// The OpenAPI descriptions, relative to the file's folder.
+    /// The form of log lines; `SNOWFIELD_LOG` overrides it.
+    #[serde(rename = "log", default)]
+    pub log_format: LogFormat,
+    /// The OpenAPI descriptions, relative to the file's directory.
     pub descriptions: Vec<PathBuf>,
-    /// The header that names the lender.
-    pub lender_header: String,
-    /// Consul.
-    pub consul: Consul,
+    /// The HTTP header that names the tenant.
+    #[serde(rename = "lender_header")]
+    pub tenant_header: String,
+    /// Where the endpoint lists come from.
+    pub consul: ConsulConfig,
     /// How the quotas are shared with other gatekeepers.
     #[serde(default)]
-    pub quota: Quota,
-    /// Bounds and spans.
+    pub quota: QuotaConfig,
+    /// Limits and time-outs.
     #[serde(default)]
-    pub limits: Limits,
-    /// How destinations start.
-    #[serde(default)]
-    pub fleet: Fleet,
+    pub limits: LimitsConfig,
+    /// How backends warm up.
+    #[serde(rename = "fleet", default)]
+    pub slow_start: SlowStartConfig,
     /// Further services.
     #[serde(rename = "service", default)]
-    pub services: Vec<Service>,
-    /// This program's own registration.
-    pub register: Option<Register>,
-    /// The instances that share periodic duties.
-    pub cluster: Option<cluster::Cluster>,
-    /// How settings are agreed on with the other gatekeepers.
-    pub agreed: Option<crate::agreed::Agreed>,
-    /// Active probing of the destinations.
-    pub probe: Option<cluster::Probe>,
-    /// Duties that are HTTP calls.
+    pub services: Vec<ServiceConfig>,
+    /// The registration of this process.
+    #[serde(rename = "register")]
+    pub registration: Option<RegistrationConfig>,
+    /// The instances that share periodic jobs.
+    pub cluster: Option<ClusterConfig>,
+    /// How plans are replicated among the gatekeepers.
+    #[serde(rename = "agreed")]
+    pub replication: Option<ReplicationConfig>,
+    /// Active health checks of the backends.
+    #[serde(rename = "probe")]
+    pub health_check: Option<HealthCheckConfig>,
+    /// Periodic jobs that are HTTP calls.
     #[serde(rename = "duty", default)]
-    pub duties: Vec<cluster::Duty>,
+    pub periodic_jobs: Vec<PeriodicJobConfig>,
     /// The classes of requests.
     #[serde(rename = "class")]
-    pub classes: Vec<Class>,
+    pub classes: Vec<ClassConfig>,
     /// The plans.
     #[serde(rename = "plan")]
-    pub plans: Vec<Plan>,
-    /// The lenders.
+    pub plans: Vec<PlanConfig>,
+    /// The tenants.
     #[serde(rename = "lender")]
-    pub lenders: Vec<Lender>,
-}
-
-/// Where the destinations come from.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Consul {
-    /// Its HTTP API.
-    pub address: SocketAddr,
-    /// Further agents, asked in this order while the first does not answer.
-    #[serde(default)]
-    pub agents: Vec<SocketAddr>,
-    /// The service whose instances are the destinations of routes that name none.
-    pub service: String,
-    /// Only instances with this tag.
-    pub tag: Option<String>,
-    /// Consul's filter expression.
-    pub filter: Option<String>,
-    /// The file with the ACL token, relative to this file's folder; read anew when it changes.
-    pub token_file: Option<PathBuf>,
-    /// Datacentre, if not the agent's own.
-    pub datacenter: Option<String>,
-    /// Namespace.
-    pub namespace: Option<String>,
-    /// Partition.
-    pub partition: Option<String>,
-    /// Answers may come from a server that has heard from its leader this lately; without it the leader is asked.
-    pub stale_ms: Option<u64>,
-    /// How long a blocking query may stay open.
-    #[serde(default = "consul_wait")]
-    pub wait_ms: u64,
-    /// The worst state that takes work.
-    #[serde(default)]
-    pub takes_work: TakesWork,
-    /// The file that keeps the last good list, relative to this file's folder.
-    pub list_file: Option<PathBuf>,
-    /// An older one is not used.
-    #[serde(default = "list_age")]
-    pub list_max_age_s: u64,
-    /// An instance that comes back for the second time is held for this, and each further time for twice as long ...
-    #[serde(default = "flap_hold")]
-    pub flap_hold_ms: u64,
-    /// ... up to this.
-    #[serde(default = "flap_longest")]
-    pub flap_longest_ms: u64,
-    /// Where this share of the list vanishes in one answer, the loss is held ...
-    #[serde(default = "sudden_share")]
-    pub sudden_share: f64,
-    /// ... for this long, for those that still answer.
-    #[serde(default = "sudden_hold")]
-    pub sudden_hold_ms: u64,
-}
-
-/// The worst state that takes work.
-#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum TakesWork {
-    /// All checks pass.
-    #[default]
-    Passing,
-    /// Some check may warn.
-    Warning,
-}
-
-fn consul_wait() -> u64 {
-    10_000
-}
-fn list_age() -> u64 {
-    86_400
-}
-fn flap_hold() -> u64 {
-    2_000
-}
-fn flap_longest() -> u64 {
-    60_000
-}
-fn sudden_share() -> f64 {
-    0.5
-}
-fn sudden_hold() -> u64 {
-    15_000
-}
-
-/// A further service, for routes that name it.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Service {
-    /// Its name.
-    pub name: String,
-    /// Only instances with this tag.
-    pub tag: Option<String>,
-    /// Consul's filter expression.
-    pub filter: Option<String>,
-}
-
-/// This program's own registration with the first agent.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Register {
-    /// The service's name.
-    pub name: String,
-    /// Its id, unlike that of any other instance.
-    pub id: String,
-    /// Where clients reach it, if not at `listen`.
-    pub address: Option<SocketAddr>,
-    /// Its check fails after this without a word.
-    #[serde(default = "register_ttl")]
-    pub ttl_ms: u64,
-}
-
-fn register_ttl() -> u64 {
-    10_000
-}
-
-/// How the quotas are shared.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Quota {
-    /// Gatekeepers that share the quotas.
-    pub gatekeepers: u32,
-    /// This one's number, from 0.
-    pub number: u32,
-    /// The quota counter; without one each gatekeeper keeps to its even part.
-    pub counter: Option<SocketAddr>,
-    /// A call to it is given up after this.
-    pub counter_wait_ms: u64,
-    /// The longest advice on when to come back.
-    pub longest_retry_after_ms: u64,
+    pub tenants: Vec<TenantConfig>,
 }
 
-impl Default for Quota {
-    fn default() -> Self {
-        Self { gatekeepers: 1, number: 0, counter: None, counter_wait_ms: 30, longest_retry_after_ms: 60_000 }
+impl ApplianceConfig {
+    /// Reads the file and checks all that can be checked without other files.
+    ///
+    /// # Errors
+    ///
+    /// Says what is missing or cannot be used.
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
+        let config: Self = toml::from_str(text)?;
+        config.validate()?;
+        Ok(config)
     }
-}
-
-/// Bounds and spans.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Limits {
-    /// The most bytes of a request's body.
-    pub body_bytes: usize,
-    /// The most bytes of a destination's answer.
-    pub answer_bytes: usize,
-    /// Connections on both sides together.
-    pub sockets: usize,
-    /// A connection not made by then has failed.
-    pub connect_ms: u64,
-    /// An idle connection to a destination is closed after this.
-    pub idle_ms: u64,
-    /// Attempts of one operation.
-    pub route_steps: u32,
-    /// A request must be whole, and an answer taken, by then.
-    pub patience_ms: u64,
-}
 
-impl Default for Limits {
-    fn default() -> Self {
-        Self {
-            body_bytes: 65_536,
-            answer_bytes: 1_048_576,
-            sockets: 1024,
-            connect_ms: 250,
-            idle_ms: 15_000,
-            route_steps: 3,
-            patience_ms: 10_000,
+    fn validate(&self) -> Result<(), SettingsError> {
+        check_loopback("status", self.status, "the status has no access control")?;
+        if self.descriptions.is_empty() {
+            return Err(SettingsError::EmptyList { key: "descriptions" });
+        }
+        self.validate_tenant_header()?;
+        self.validate_names()?;
+        self.plans.iter().try_for_each(PlanConfig::validate)?;
+        self.limits.validate()?;
+        self.validate_timing()?;
+        self.consul.validate()?;
+        self.validate_services()?;
+        if let Some(registration) = &self.registration {
+            registration.validate(self.listen)?;
         }
+        cluster::validate(self.cluster.as_ref(), self.health_check.as_ref(), &self.periodic_jobs)?;
+        if let Some(replication) = &self.replication {
+            replication.validate(self.cluster.as_ref())?;
+        }
+        self.check_policy()
     }
-}
-
-/// How destinations start.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Fleet {
-    /// The share of its capacity that a destination starts with, at least.
-    pub cold_share: f64,
-    /// It is warm after this at most; 0 means at once.
-    pub cold_ms: u64,
-    /// A cold one sent more than this multiple of what it can do ...
-    pub overload_factor: f64,
-    /// ... for this long falls over.
-    pub fall_ms: u64,
-}
 
-impl Default for Fleet {
-    fn default() -> Self {
-        Self { cold_share: 1.0, cold_ms: 0, overload_factor: 2.0, fall_ms: 1_000 }
+    fn validate_tenant_header(&self) -> Result<(), SettingsError> {
+        let header = &self.tenant_header;
+        let valid = !header.is_empty()
+            && header.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_".contains(&byte));
+        if valid {
+            Ok(())
+        } else {
+            Err(invalid("lender_header", format!("{header:?}"), "the name of a header"))
+        }
     }
-}
-
-/// What a repeat may do.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum Repeat {
-    /// Nothing: requests of the class may be tried again and copied.
-    Safe,
-    /// Harm: a request that may have run is never sent again.
-    Unsafe,
-}
-
-/// A class of requests.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Class {
-    /// Its name in the descriptions.
-    pub name: String,
-    /// What a repeat may do.
-    pub repeat: Repeat,
-    /// An answer is wanted by then.
-    pub wanted_ms: u64,
-    /// It is given up then.
-    pub deadline_ms: u64,
-    /// The most attempts of one request, if not `limits.route_steps`.
-    pub attempts: Option<u32>,
-    /// An attempt is given up after this, the making of its connection included; without it, when the client gives up.
-    pub attempt_ms: Option<u64>,
-    /// A second copy may be sent after this; without it, after a part of `wanted_ms`.
-    pub copy_after_ms: Option<u64>,
-    /// Worth of one unit.
-    #[serde(default = "one")]
-    pub worth: f64,
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-/// A plan.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Plan {
-    /// Its name.
-    pub name: String,
-    /// Units a second of each of its lenders.
-    pub units_per_second: f64,
-    /// The most units that a lender may use at once.
-    pub burst: f64,
-    /// Hard ceiling in units a second; 0 means none.
-    #[serde(default)]
-    pub ceiling_per_second: f64,
-    /// The most units that the ceiling lets through at once.
-    #[serde(default)]
-    pub ceiling_burst: f64,
-    /// Factor on the worth.
-    #[serde(default = "one")]
-    pub price: f64,
-}
-
-/// A lender.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Lender {
-    /// Its name, as the header gives it.
-    pub name: String,
-    /// The name of its plan.
-    pub plan: String,
-}
 
-/// Reads the file.
-///
-/// # Errors
-///
-/// The text names what is missing or cannot be used.
-pub fn parse(text: &str) -> Result<Appliance, ConfigError> {
-    let file: Appliance = toml::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
-    let bad = |text: String| Err(ConfigError(text));
-    let fine = |problem: Option<String>| problem.map_or(Ok(()), |text| Err(ConfigError(text)));
-    if let Some(status) = file.status.filter(|s| !s.ip().is_loopback()) {
-        return bad(format!("status: {status} is not on loopback, and the status has no access control"));
-    }
-    if file.descriptions.is_empty() {
-        return bad("descriptions: at least one is needed".into());
-    }
-    let header = !file.lender_header.is_empty()
-        && file.lender_header.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b));
-    if !header {
-        return bad(format!("lender_header: {:?} is no name of a header", file.lender_header));
-    }
-    let names = |list: Vec<&str>, what: &str| {
-        let twice = list.iter().enumerate().find(|(i, n)| list[..*i].contains(n)).map(|(_, n)| *n);
-        match (twice, list.iter().any(|n| n.is_empty())) {
-            (Some(name), _) => fine(Some(format!("{what} {name:?} comes twice"))),
-            (None, true) => fine(Some(format!("a {what} has no name"))),
-            (None, false) => fine(None),
+    fn validate_names(&self) -> Result<(), SettingsError> {
+        check_names("class", self.classes.iter().map(|class| class.name.as_str()))?;
+        check_names("plan", self.plans.iter().map(|plan| plan.name.as_str()))?;
+        check_names("lender", self.tenants.iter().map(|tenant| tenant.name.as_str()))?;
+        if self.tenants.is_empty() {
+            return Err(SettingsError::EmptyList { key: "lender" });
         }
-    };
-    names(file.classes.iter().map(|c| c.name.as_str()).collect(), "class")?;
-    names(file.plans.iter().map(|p| p.name.as_str()).collect(), "plan")?;
-    names(file.lenders.iter().map(|l| l.name.as_str()).collect(), "lender")?;
-    if file.lenders.is_empty() {
-        return bad("lender: at least one is needed".into());
-    }
-    for lender in &file.lenders {
-        if file.plan_number(&lender.plan).is_none() {
-            return bad(format!("lender {:?} has the unknown plan {:?}", lender.name, lender.plan));
+        match self.tenants.iter().find(|tenant| self.plan_number(&tenant.plan).is_none()) {
+            Some(TenantConfig { name, plan }) => {
+                Err(SettingsError::UnknownPlan { tenant: name.clone(), plan: plan.clone() })
+            }
+            None => Ok(()),
         }
     }
-    if let Some(plan) = file.plans.iter().find(|p| !(p.units_per_second > 0.0 && p.burst > 0.0)) {
-        return bad(format!("plan {:?} needs units_per_second and burst above 0", plan.name));
-    }
-    if file.limits.sockets < 128 || file.limits.route_steps == 0 || file.limits.route_steps > 16 {
-        return bad("limits: sockets must be 128 at least, and route_steps 1 to 16".into());
-    }
-    let findings: Vec<String> =
-        file.timings().iter().flat_map(timing::Timing::check).map(|f| f.to_string()).collect();
-    if !findings.is_empty() {
-        return bad(format!("the timing of the classes cannot be kept:\n  {}", findings.join("\n  ")));
-    }
-    check_consul(&file)?;
-    cluster::check(file.cluster.as_ref(), file.probe.as_ref(), &file.duties)?;
-    crate::agreed::check(&file)?;
-    let pairs: Vec<(u16, usize)> = (0..file.classes.len()).map(|c| (0, c)).collect();
-    file.settings(1.0, &pairs)?;
-    Ok(file)
-}
 
-fn check_consul(file: &Appliance) -> Result<(), ConfigError> {
-    let bad = |text: String| Err(ConfigError(text));
-    let consul = &file.consul;
-    if consul.service.is_empty() || consul.wait_ms == 0 || consul.wait_ms > 600_000 {
-        return bad("consul: service must have a name, and wait_ms must be 1 to 600000".into());
-    }
-    if consul.agents.contains(&consul.address) || consul.agents.len() > 8 {
-        return bad("consul: agents must be 8 at most, and address is not named again".into());
-    }
-    if !(consul.sudden_share > 0.0 && consul.sudden_share <= 1.0) {
-        return bad("consul: sudden_share must be above 0 and at most 1".into());
-    }
-    if consul.flap_hold_ms > consul.flap_longest_ms || consul.sudden_hold_ms > 600_000 {
-        return bad(
-            "consul: flap_longest_ms must be flap_hold_ms at least, and sudden_hold_ms 600000 at most".into(),
-        );
+    fn validate_timing(&self) -> Result<(), SettingsError> {
+        let findings: Vec<_> = self.timings().iter().flat_map(timing::Timing::check).collect();
+        if findings.is_empty() { Ok(()) } else { Err(SettingsError::Timing(findings)) }
     }
-    let services: Vec<&str> = file.service_names();
-    if let Some(i) =
-        (1..services.len()).find(|&i| services[i].is_empty() || services[..i].contains(&services[i]))
-    {
-        return bad(format!("service {:?} comes twice or has no name", services[i]));
-    }
-    if services.len() > 32 {
-        return bad("service: 32 are served at most".into());
-    }
-    if let Some(register) = &file.register {
-        if register.name.is_empty() || register.id.is_empty() || register.ttl_ms < 1_000 {
-            return bad("register: name and id are needed, and ttl_ms must be 1000 at least".into());
-        }
-        if register.address.unwrap_or(file.listen).port() == 0 {
-            return bad("register: listen has no port that clients could know; name an address".into());
+
+    fn validate_services(&self) -> Result<(), SettingsError> {
+        let names = self.service_names();
+        check_names("service", names.iter().copied())?;
+        if names.len() > MAX_SERVICES {
+            return Err(invalid(
+                "service",
+                format!("a list of {}", names.len()),
+                format!("{MAX_SERVICES} at most"),
+            ));
         }
+        Ok(())
     }
-    Ok(())
-}
 
-impl Appliance {
-    /// The names of the services, the file's own first.
+    /// Names of the services, the one under `consul` first.
     pub fn service_names(&self) -> Vec<&str> {
-        std::iter::once(self.consul.service.as_str())
-            .chain(self.services.iter().map(|s| s.name.as_str()))
-            .collect()
+        let further = self.services.iter().map(|service| service.name.as_str());
+        std::iter::once(self.consul.service.as_str()).chain(further).collect()
     }
 
-    /// What is stated of the timing of each class.
+    /// The stated times of each class.
     pub fn timings(&self) -> Vec<timing::Timing> {
-        let timing = |c: &Class| timing::Timing {
-            class: c.name.clone(),
-            repeatable: c.repeat == Repeat::Safe,
-            wanted: c.wanted_ms,
-            deadline: c.deadline_ms,
-            connect: self.limits.connect_ms,
-            most_attempts: self.limits.route_steps,
-            attempts: c.attempts,
-            attempt: c.attempt_ms,
-            copy_after: c.copy_after_ms,
-        };
-        self.classes.iter().map(timing).collect()
+        self.classes.iter().map(|class| class.timing(&self.limits)).collect()
     }
 
-    /// The number of a class.
+    /// The number of a class, by its place in the file.
     pub fn class_number(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|c| c.name == name)
+        self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The number of a plan.
+    /// The number of a plan, by its place in the file.
     pub fn plan_number(&self, name: &str) -> Option<usize> {
-        self.plans.iter().position(|p| p.name == name)
-    }
-
-    /// The module's settings where one request takes so many units at most. The module's classes are these pairs of
-    /// service and class.
-    ///
-    /// # Errors
-    ///
-    /// The module cannot work by them.
-    pub fn settings(&self, largest: f64, pairs: &[(u16, usize)]) -> Result<module::Settings, ConfigError> {
-        let settings = module::Settings {
-            gateways: self.quota.gatekeepers,
-            me: self.quota.number,
-            tick: 4_000,
-            classes: pairs
-                .iter()
-                .map(|&(service, c)| module::Class { service, ..class(&self.classes[c]) })
-                .collect(),
-            weighted: true,
-            plans: self.plans.iter().map(plan).collect(),
-            max_attempts: self.limits.route_steps,
-            second_copies: true,
-            cancel: true,
-            max_retry_after: self.quota.longest_retry_after_ms * 1000,
-            connect_timeout: self.limits.connect_ms * 1000,
-            cold_share: self.fleet.cold_share,
-            cold_span: self.fleet.cold_ms * 1000,
-            overload_factor: self.fleet.overload_factor,
-            fall_span: self.fleet.fall_ms * 1000,
-            drain_grace: 1_000_000,
-            counter: self.quota.counter.is_some(),
-            counter_wait: self.quota.counter_wait_ms * 1000,
-            largest,
-            ..module::Settings::default()
-        };
-        settings.validate().map_err(|e| ConfigError(e.to_string()))?;
-        Ok(settings)
-    }
-}
-
-fn class(c: &Class) -> module::Class {
-    module::Class {
-        aim: c.wanted_ms * 1000,
-        deadline: c.deadline_ms * 1000,
-        effect: match c.repeat {
-            Repeat::Safe => module::Effect::Safe,
-            Repeat::Unsafe => module::Effect::Unsafe,
-        },
-        group: module::Group::All,
-        worth: c.worth,
-        attempts: c.attempts.unwrap_or(0),
-        attempt_timeout: c.attempt_ms.unwrap_or(0).saturating_mul(1000),
-        copy_after: c.copy_after_ms.unwrap_or(0).saturating_mul(1000),
-        ..module::Class::default()
-    }
-}
-
-fn plan(p: &Plan) -> module::Plan {
-    let times = if weakened::breaks("ceilings") { 4.0 } else { 1.0 };
-    module::Plan {
-        rate: p.units_per_second * times,
-        burst: p.burst * times,
-        ceiling_rate: p.ceiling_per_second * times,
-        ceiling_burst: p.ceiling_burst * times,
-        price: p.price,
-        ..module::Plan::default()
+        self.plans.iter().position(|plan| plan.name == name)
     }
 }
-
-/// A lender's customer number: the same at every gatekeeper, whatever the order of its file (FNV-1a).
-pub fn customer_number(lender: &str) -> u64 {
-    lender
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
-}
--- /dev/null
+++ b/crates/settings/src/platform.rs
@@ -0,0 +1,91 @@
+//! The configuration file of a gatekeeper on the platform, `config.json`.
+
+mod file;
+mod policy_settings;
+
+use crate::json::check_nesting;
+use crate::validation::{check_unique, invalid};
+use crate::{EndpointList, SettingsError};
+use dewproxy::interface as policy;
+use std::net::SocketAddr;
+
+/// Limit on `limits.memory_mb`, in MiB.
+const MAX_MEMORY_MB: usize = 1 << 20;
+
+/// The configuration in the types that the program uses.
+#[derive(Clone, Debug)]
+pub struct PlatformConfig {
+    /// The gatekeeper's name.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where operators connect, if they may.
+    pub admin: Option<SocketAddr>,
+    /// The discovery agent.
+    pub discovery: SocketAddr,
+    /// Seed of all random numbers.
+    pub seed: u64,
+    /// Limit on the file descriptors of the process.
+    pub max_sockets: usize,
+    /// Limit on the memory of the process, in bytes.
+    pub max_memory_bytes: usize,
+    /// The quota counter.
+    pub counter: Option<SocketAddr>,
+    /// The endpoint list that this gatekeeper had last.
+    pub cached_list: EndpointList,
+    /// The policy's settings.
+    pub settings: policy::Settings,
+    /// The most units of one request, where they are stated.
+    pub max_units: Option<f64>,
+    /// How long backends keep an idle connection open.
+    pub keepalive: policy::Micros,
+    /// Names of the classes, by number.
+    pub classes: Vec<String>,
+    /// Names of the plans, by number.
+    pub plans: Vec<String>,
+    /// Names of the zones, by number.
+    pub zones: Vec<String>,
+    /// Names of the machine types, by number.
+    pub machine_types: Vec<String>,
+}
+
+impl PlatformConfig {
+    /// Reads the file. The parser overwrites the bytes.
+    ///
+    /// # Errors
+    ///
+    /// Says what is missing or cannot be used.
+    pub fn parse(json: &mut [u8]) -> Result<Self, SettingsError> {
+        check_nesting(json)?;
+        let file: file::File = simd_json::serde::from_slice(json)?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|_| invalid("seed", format!("{:?}", file.seed), "a hexadecimal number"))?;
+        let counter = file.counter.as_deref().map(|text| address("counter", text)).transpose()?;
+        let admin = file.operator.as_deref().map(|text| address("operator", text)).transpose()?;
+        let settings = file.settings;
+        check_unique("class", settings.classes.iter().map(|class| class.name.as_str()))?;
+        check_unique("contract", settings.contracts.iter().map(|plan| plan.name.as_str()))?;
+        Ok(Self {
+            listen: address("listen", &file.listen)?,
+            discovery: address("discovery", &file.discovery)?,
+            admin,
+            name: file.name,
+            seed,
+            max_sockets: file.limits.sockets,
+            max_memory_bytes: file.limits.memory_mb.clamp(1, MAX_MEMORY_MB) << 20,
+            counter,
+            cached_list: file.known,
+            max_units: settings.specifics.largest,
+            keepalive: settings.bounds.keepalive_us,
+            classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
+            plans: settings.contracts.iter().map(|plan| plan.name.clone()).collect(),
+            zones: settings.localities.clone(),
+            machine_types: settings.kinds.clone(),
+            settings: settings.into_policy(counter.is_some())?,
+        })
+    }
+}
+
+fn address(key: &str, text: &str) -> Result<SocketAddr, SettingsError> {
+    text.parse().map_err(|_| invalid(key, format!("{text:?}"), "an address and port"))
+}
--- /dev/null
+++ b/crates/settings/src/validation.rs
@@ -0,0 +1,85 @@
+//! Checks that several tables share.
+
+use crate::SettingsError;
+use std::fmt::Display;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+/// Limit on a name that becomes part of keys and log lines, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// ms; periods of jobs and health checks.
+pub(crate) const PERIODS_MS: RangeInclusive<u64> = 100..=86_400_000;
+
+/// An error for a value that a key cannot have.
+pub(crate) fn invalid(
+    key: impl Into<String>,
+    value: impl Display,
+    requirement: impl Into<String>,
+) -> SettingsError {
+    SettingsError::InvalidValue { key: key.into(), value: value.to_string(), requirement: requirement.into() }
+}
+
+/// Whether a number lies within these bounds.
+pub(crate) fn check_range<T: Copy + Display + PartialOrd>(
+    key: impl Into<String>,
+    value: T,
+    range: RangeInclusive<T>,
+) -> Result<(), SettingsError> {
+    if range.contains(&value) {
+        return Ok(());
+    }
+    Err(invalid(key, value, format!("{} to {}", range.start(), range.end())))
+}
+
+/// Whether a number is at least this.
+pub(crate) fn check_at_least<T: Copy + Display + PartialOrd>(
+    key: impl Into<String>,
+    value: T,
+    least: T,
+) -> Result<(), SettingsError> {
+    if value >= least { Ok(()) } else { Err(invalid(key, value, format!("{least} at least"))) }
+}
+
+/// Whether no name comes twice.
+pub(crate) fn check_unique<'a>(
+    kind: &'static str,
+    names: impl IntoIterator<Item = &'a str>,
+) -> Result<(), SettingsError> {
+    let names: Vec<&str> = names.into_iter().collect();
+    let mut seen = std::collections::HashSet::new();
+    match names.iter().find(|name| !seen.insert(**name)) {
+        Some(name) => Err(SettingsError::Duplicate { kind, name: (*name).to_owned() }),
+        None => Ok(()),
+    }
+}
+
+/// Whether all entries have names, and none comes twice.
+pub(crate) fn check_names<'a>(
+    kind: &'static str,
+    names: impl IntoIterator<Item = &'a str> + Clone,
+) -> Result<(), SettingsError> {
+    check_unique(kind, names.clone())?;
+    if names.into_iter().any(str::is_empty) { Err(SettingsError::Unnamed { kind }) } else { Ok(()) }
+}
+
+/// Whether a name may become part of keys and log lines.
+pub(crate) fn check_identifier(key: impl Into<String>, name: &str) -> Result<(), SettingsError> {
+    let valid = (1..=MAX_NAME_BYTES).contains(&name.len())
+        && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
+    if valid {
+        return Ok(());
+    }
+    Err(invalid(key, format!("{name:?}"), format!("1 to {MAX_NAME_BYTES} letters, digits and any of -_.")))
+}
+
+/// Whether none of these addresses can be reached from other machines.
+pub(crate) fn check_loopback(
+    key: &'static str,
+    addresses: impl IntoIterator<Item = SocketAddr>,
+    reason: &'static str,
+) -> Result<(), SettingsError> {
+    match addresses.into_iter().find(|address| !address.ip().is_loopback()) {
+        Some(address) => Err(SettingsError::NotOnLoopback { key, address, reason }),
+        None => Ok(()),
+    }
+}
--- a/crates/settings/tests/garbage.rs
+++ b/crates/settings/tests/garbage.rs
@@ -1,6 +1,8 @@
-//! Files that cannot be used are refused without a panic.
+//! What files say, and files that are rejected without a panic.
 
 use cuts::survives_garbage;
+use settings::appliance::ApplianceConfig;
+use settings::platform::PlatformConfig;
 
 const CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:6400",
@@ -15,10 +17,10 @@
 
 #[test]
 fn the_values_that_are_used_are_read() {
-    let config = settings::parse(&mut CONFIG.as_bytes().to_vec()).unwrap();
-    assert_eq!((config.name.as_str(), config.seed, config.sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 1024));
+    let config = PlatformConfig::parse(&mut CONFIG.as_bytes().to_vec()).unwrap();
+    assert_eq!((config.name.as_str(), config.seed, config.max_sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 1024));
     assert_eq!(config.counter, Some(([127, 0, 0, 1], 6400).into()));
-    assert_eq!((config.known.rev, config.known.targets[0].boot_ms), (41, 5));
+    assert_eq!((config.cached_list.revision, config.cached_list.endpoints[0].started_ms), (41, 5));
     let s = &config.settings;
     assert_eq!((s.gateways, s.me, s.tick, s.max_attempts, s.max_retry_after), (2, 1, 4000, 6, 1_000_000));
     assert_eq!((s.plans[0].ceiling_rate, s.plans[0].ceiling_burst, s.plans[0].burst), (10.0, 59.0, 32.0));
@@ -26,24 +28,24 @@
 }
 
 #[test]
-fn without_a_counters_address_none_is_called() {
+fn without_a_counter_address_no_counter_is_called() {
     let text = CONFIG.replace("\"counter\":\"127.0.0.1:6400\",", "");
-    assert!(!settings::parse(&mut text.into_bytes()).unwrap().settings.counter);
+    assert!(!PlatformConfig::parse(&mut text.into_bytes()).unwrap().settings.counter);
 }
 
 #[test]
-fn garbage_is_refused_without_a_panic() {
-    survives_garbage(CONFIG.as_bytes(), |pieces| drop(settings::parse(&mut pieces.concat())));
+fn garbage_is_rejected_without_a_panic() {
+    survives_garbage(CONFIG.as_bytes(), |pieces| drop(PlatformConfig::parse(&mut pieces.concat())));
     let toml = include_str!("../../../deploy/openapi.toml");
     survives_garbage(toml.as_bytes(), |pieces| {
-        drop(settings::appliance::parse(&String::from_utf8_lossy(&pieces.concat())));
+        drop(ApplianceConfig::parse(&String::from_utf8_lossy(&pieces.concat())));
     });
 }
 
 #[test]
-fn a_file_of_the_appliance_with_a_mistake_is_refused_by_its_place() {
+fn an_appliance_file_with_a_mistake_is_rejected_with_its_place() {
     let toml = include_str!("../../../deploy/openapi.toml");
-    assert!(settings::appliance::parse(toml).is_ok());
+    assert!(ApplianceConfig::parse(toml).is_ok());
     for (from, to, told) in [
         ("127.0.0.1:8081", "0.0.0.0:8081", "loopback"),
         ("descriptions = [\"loans.openapi.json\"]", "descriptions = []", "descriptions"),
@@ -57,7 +59,7 @@
         ("status =", "state =", "state"),
     ] {
         assert!(toml.contains(from), "{from}");
-        let error = settings::appliance::parse(&toml.replacen(from, to, 1)).expect_err(told).to_string();
+        let error = ApplianceConfig::parse(&toml.replacen(from, to, 1)).expect_err(told).to_string();
         assert!(error.contains(told), "{told}: {error}");
     }
 }
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -1,7 +1,8 @@
-//! Files that take the place of others: which are turned down, and what the numbers of classes and plans mean over them.
+//! Files that replace others: which are rejected, and what the numbers of classes and plans mean over them.
 
 use dewproxy::interface::Effect;
-use settings::{Config, Shape, Tables};
+use settings::platform::PlatformConfig;
+use settings::{KeySet, Numbering, SettingsError};
 
 const CLASS: &str = r#"{"name":"lookup","goal-time-us":600000,"deadline-us":2500000,"effect":"read_like"}"#;
 
@@ -15,27 +16,28 @@
     )
 }
 
-fn config(text: &str) -> Result<Config, String> {
-    settings::parse(&mut text.as_bytes().to_vec()).map_err(|e| e.to_string())
+fn config(text: &str) -> Result<PlatformConfig, SettingsError> {
+    PlatformConfig::parse(&mut text.as_bytes().to_vec())
 }
 
-fn shape(text: &str) -> Result<Shape, String> {
-    Shape::of(&mut text.as_bytes().to_vec()).map_err(|e| e.to_string())
+fn keys(text: &str) -> Result<KeySet, SettingsError> {
+    KeySet::of(&mut text.as_bytes().to_vec())
 }
 
-/// Why a file does not take the place of the good one.
-fn refusal(text: &str) -> Option<String> {
-    let (good, other) = (shape(&file(CLASS)).expect("it is good"), shape(text));
-    other.and_then(|other| good.kept_by(&other).map_err(|e| e.to_string())).and_then(|()| config(text)).err()
+/// Why a file does not replace the good one.
+fn rejection(text: &str) -> Option<String> {
+    let good = keys(&file(CLASS)).expect("it is good");
+    let checked = keys(text).and_then(|other| good.check_kept_by(&other)).and_then(|()| config(text));
+    checked.err().map(|error| error.to_string())
 }
 
 #[test]
-fn a_bad_file_is_turned_down_with_its_own_reason() {
-    assert_eq!(refusal(&file(CLASS)), None);
-    assert!(refusal("").is_some());
+fn a_bad_file_is_rejected_with_its_own_reason() {
+    assert_eq!(rejection(&file(CLASS)), None);
+    assert!(rejection("").is_some());
     let whole = file(CLASS);
     for cut in 0..whole.len() {
-        assert!(refusal(&whole[..cut]).is_some(), "cut at {cut}");
+        assert!(rejection(&whole[..cut]).is_some(), "cut at {cut}");
     }
     for (from, to, told) in [
         ("2500000", "0", "above 0"),
@@ -58,41 +60,46 @@
         ("127.0.0.1:8500", "nowhere", "discovery"),
     ] {
         assert!(whole.contains(from), "{from}");
-        let why = refusal(&whole.replacen(from, to, 1)).unwrap_or_else(|| panic!("{from} -> {to} was taken"));
+        let why =
+            rejection(&whole.replacen(from, to, 1)).unwrap_or_else(|| panic!("{from} -> {to} was taken"));
         assert!(why.contains(told), "{from} -> {to}: {why}");
     }
-    assert_eq!(refusal(&whole.replace("2500000", "2500000.0")), None, "a number above 0 all the same");
+    assert_eq!(rejection(&whole.replace("2500000", "2500000.0")), None, "a number above 0 all the same");
     assert_eq!(
-        refusal(&file(CLASS).replace(r#"{"uid":"s","state":"up"}"#, "")),
+        rejection(&file(CLASS).replace(r#"{"uid":"s","state":"up"}"#, "")),
         None,
         "the list is no setting"
     );
 }
 
 #[test]
-fn numbers_stay_with_what_they_stood_for() {
-    let mut tables = Tables::default();
-    let numbers =
-        |tables: &Tables| tables.classes().map(|(at, name, _)| (at, name.to_owned())).collect::<Vec<_>>();
-    tables.take(&config(&file(CLASS)).expect("good")).expect("room");
-    assert_eq!(numbers(&tables), [(0, "lookup".to_owned())]);
+fn numbers_keep_their_meaning() {
+    let mut numbering = Numbering::default();
+    let numbers = |numbering: &Numbering| {
+        numbering.classes().map(|class| (class.number, class.name.to_owned())).collect::<Vec<_>>()
+    };
+    numbering.update(&config(&file(CLASS)).expect("good")).expect("room");
+    assert_eq!(numbers(&numbering), [(0, "lookup".to_owned())]);
     // It vanishes, and another appears.
     let other = CLASS.replace("lookup", "lookup-r2");
-    let settings = tables.take(&config(&file(&other)).expect("good")).expect("room");
-    assert_eq!(numbers(&tables), [(1, "lookup-r2".to_owned())]);
+    let settings = numbering.update(&config(&file(&other)).expect("good")).expect("room");
+    assert_eq!(numbers(&numbering), [(1, "lookup-r2".to_owned())]);
     assert_eq!(settings.classes.len(), 2, "what is under way keeps its class");
     // It comes back stricter: another number; as it was: its own.
     let stricter = CLASS.replace("read_like", "non_idempotent");
-    let settings = tables.take(&config(&file(&stricter)).expect("good")).expect("room");
-    assert_eq!(numbers(&tables), [(2, "lookup".to_owned())]);
+    let settings = numbering.update(&config(&file(&stricter)).expect("good")).expect("room");
+    assert_eq!(numbers(&numbering), [(2, "lookup".to_owned())]);
     assert_eq!((settings.classes[0].effect, settings.classes[2].effect), (Effect::Safe, Effect::Unsafe));
-    tables.take(&config(&file(CLASS)).expect("good")).expect("room");
-    assert_eq!(numbers(&tables), [(0, "lookup".to_owned())]);
-    assert_eq!(tables.class_names(), ["lookup", "lookup-r2", "lookup"]);
+    numbering.update(&config(&file(CLASS)).expect("good")).expect("room");
+    assert_eq!(numbers(&numbering), [(0, "lookup".to_owned())]);
+    assert_eq!(numbering.class_names(), ["lookup", "lookup-r2", "lookup"]);
     // Plans in another order, one of them with other figures.
     let text = file(CLASS).replace(r#""name":"standard","per-second":5.6"#, r#""name":"x","per-second":1.0"#);
     let text = text.replace("\"basic\"", "\"standard\"");
-    let settings = tables.take(&config(&text).expect("good")).expect("room");
-    assert_eq!(tables.plans().collect::<Vec<_>>(), [(2, "x"), (0, "standard")]);
+    let settings = numbering.update(&config(&text).expect("good")).expect("room");
+    assert_eq!(
+        numbering.plans().map(|plan| (plan.number, plan.name)).collect::<Vec<_>>(),
+        [(2, "x"), (0, "standard")]
+    );
     assert_eq!((settings.plans[0].rate, settings.plans[1].rate, settings.plans[2].rate), (2.0, 2.0, 1.0));
 }
--- a/crates/snowfield/src/agreed.rs
+++ b/crates/snowfield/src/agreed.rs
@@ -3,22 +3,24 @@
 use crate::duties;
 use front_openapi::HttpExchange;
 use quorum::{Config, Named, Quorum, View};
-use settings::agreed::{Agreed, plans, share, stricter};
-use settings::appliance::{Appliance, Plan};
+use settings::appliance::{
+    ApplianceConfig, PlanConfig, ReplicaConfig, ReplicationConfig, RouteClass, apply_version, scaled,
+    stricter,
+};
 use std::path::Path;
 use std::sync::Arc;
 
 /// The file's own part in it; none where it has no such table.
-pub fn config(file: &Appliance, folder: &Path) -> Result<Option<Config>, String> {
-    let (Some(agreed), Some(cluster)) = (&file.agreed, &file.cluster) else { return Ok(None) };
-    let named = |v: &settings::agreed::Voter| Named { name: v.name.clone(), address: v.address };
+pub fn config(file: &ApplianceConfig, folder: &Path) -> Result<Option<Config>, String> {
+    let (Some(agreed), Some(cluster)) = (&file.replication, &file.cluster) else { return Ok(None) };
+    let named = |v: &ReplicaConfig| Named { name: v.name.clone(), address: v.address };
     Ok(Some(Config {
         name: cluster.name.clone(),
         listen: agreed.listen,
-        voters: agreed.voters.iter().map(named).collect(),
+        voters: agreed.replicas.iter().map(named).collect(),
         keys: duties::keys(file, folder)?,
         log: folder.join(&agreed.log),
-        span: agreed.lease_ms,
+        span: agreed.lease_duration_ms,
     }))
 }
 
@@ -29,17 +31,18 @@
 /// As [`Quorum::start`].
 pub fn start(
     config: Config,
-    file: &Appliance,
-    (largest, pairs): (f64, Vec<(u16, usize)>),
+    file: &ApplianceConfig,
+    (largest, pairs): (f64, Vec<RouteClass>),
     exchange: Arc<HttpExchange>,
 ) -> Result<Quorum, String> {
     let (checks, file) = (file.clone(), file.clone());
-    let check = Box::new(move |text: &str| plans(&checks, text).map(drop).map_err(|e| e.to_string()));
+    let check = Box::new(move |text: &str| apply_version(&checks, text).map(drop).map_err(|e| e.to_string()));
     let on_view = Box::new(move |view: &View| {
-        let Some(agreed) = &file.agreed else { return };
+        let Some(agreed) = &file.replication else { return };
         let plans = acts_on(&file, agreed, view);
-        let settled =
-            Appliance { plans, ..file.clone() }.settings(largest, &pairs).map_err(|e| e.to_string());
+        let settled = ApplianceConfig { plans, ..file.clone() }
+            .policy_settings(largest, &pairs)
+            .map_err(|e| e.to_string());
         let done = settled.and_then(|settings| exchange.resettle(settings).map_err(|e| e.to_string()));
         if let Err(why) = done {
             tracing::warn!("agreed: a version cannot be used here ({why}); the plans of before stay");
@@ -49,15 +52,15 @@
 }
 
 /// The plans to act on.
-fn acts_on(file: &Appliance, agreed: &Agreed, view: &View) -> Vec<Plan> {
+fn acts_on(file: &ApplianceConfig, agreed: &ReplicationConfig, view: &View) -> Vec<PlanConfig> {
     // What every voter could use and this one cannot is as good as unknown: the file's own, by the stricter.
-    let of = |text: &str| plans(file, text).unwrap_or_else(|_| file.plans.clone());
+    let of = |text: &str| apply_version(file, text).unwrap_or_else(|_| file.plans.clone());
     let in_force = view.in_force.as_ref().map_or_else(|| file.plans.clone(), |v| of(&v.text));
     let known = match &view.proposed {
         Some(proposed) => stricter(&in_force, &of(&proposed.text)),
         None => in_force,
     };
-    if view.leased { known } else { share(&known, agreed.when_apart) }
+    if view.leased { known } else { scaled(&known, agreed.share_without_lease) }
 }
 
 #[cfg(test)]
@@ -82,8 +85,8 @@
 
     #[test]
     fn a_proposed_version_counts_by_the_stricter_and_without_a_lease_a_share() {
-        let file = settings::appliance::parse(FILE).expect("the file can be used");
-        let agreed = file.agreed.clone().expect("the table is there");
+        let file = ApplianceConfig::parse(FILE).expect("the file can be used");
+        let agreed = file.replication.clone().expect("the table is there");
         let rates = |view: &View| {
             let plans = acts_on(&file, &agreed, view);
             (plans[0].units_per_second, plans[0].burst, plans[1].ceiling_per_second)
@@ -100,7 +103,7 @@
 
     #[test]
     fn what_cannot_be_used_is_refused_by_name() {
-        let file = settings::appliance::parse(FILE).expect("the file can be used");
+        let file = ApplianceConfig::parse(FILE).expect("the file can be used");
         for (text, why) in [
             ("[[plan]]\nname = \"z\"\nunits_per_second = 1.0\nburst = 1.0\n", "none of the file's"),
             ("[[plan]]\nname = \"a\"\nunits_per_second = 0.0\nburst = 1.0\n", "above 0"),
@@ -110,7 +113,7 @@
             ),
             ("lender = 1", "lender"),
         ] {
-            let error = plans(&file, text).expect_err(text).to_string();
+            let error = apply_version(&file, text).expect_err(text).to_string();
             assert!(error.contains(why), "{error}");
         }
         for (from, to, why) in [
@@ -118,7 +121,7 @@
             ("{ name = \"m1\", address = \"127.0.0.1:7001\" }, ", "", "three or five"),
             ("when_apart = 0.25", "when_apart = 2.0", "when_apart"),
         ] {
-            let error = settings::appliance::parse(&FILE.replace(from, to)).expect_err(to).to_string();
+            let error = ApplianceConfig::parse(&FILE.replace(from, to)).expect_err(to).to_string();
             assert!(error.contains(why), "{error}");
         }
     }
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -11,7 +11,7 @@
 use link::{Door, spawn};
 use openapi::{Description, Route, RouteTable};
 use quorum::Quorum;
-use settings::appliance::{self, Appliance, LogForm};
+use settings::appliance::{ApplianceConfig, LogFormat, RouteClass, TenantConfig, tenant_number};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 /// A file with its descriptions, checked together.
 pub struct Checked {
     /// The file.
-    pub file: Appliance,
+    pub file: ApplianceConfig,
     /// Its routes.
     pub table: RouteTable,
 }
@@ -36,7 +36,7 @@
 /// The text names what is missing or cannot be used.
 pub fn check(path: &Path) -> Result<Checked, String> {
     let read = |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
-    let file = appliance::parse(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))?;
+    let file = ApplianceConfig::parse(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))?;
     let folder = path.parent().unwrap_or(Path::new("."));
     let texts = file
         .descriptions
@@ -72,9 +72,9 @@
 pub fn serve(path: &Path) -> Result<(), String> {
     let caught = signals::catch()?;
     let Checked { file, table } = check(path)?;
-    log::begin(match file.log {
-        LogForm::Plain => log::Form::Plain,
-        LogForm::Json => log::Form::Json,
+    log::begin(match file.log_format {
+        LogFormat::Plain => log::Form::Plain,
+        LogFormat::Json => log::Form::Json,
     })?;
     link::set_up();
     let longest = file.classes.iter().map(|c| c.deadline_ms).max().unwrap_or(0);
@@ -131,32 +131,32 @@
 }
 
 /// The service and the class of a route, by number.
-fn pair(file: &Appliance, route: &Route) -> (u16, usize) {
+fn pair(file: &ApplianceConfig, route: &Route) -> RouteClass {
     let names = file.service_names();
     let service = route.service.as_deref().and_then(|s| names.iter().position(|n| *n == s)).unwrap_or(0);
-    (service as u16, file.class_number(&route.class).unwrap_or(0))
+    RouteClass { service: service as u16, class: file.class_number(&route.class).unwrap_or(0) }
 }
 
 fn start(
-    file: Appliance,
+    file: ApplianceConfig,
     table: RouteTable,
     shared: Option<duties::Shared>,
     folder: &Path,
 ) -> Result<Started, String> {
     let largest = table.routes().iter().map(|r| r.units).fold(0.0, f64::max);
     // The module's classes: each pair of service and class that some route has.
-    let pairs: Vec<(u16, usize)> =
+    let pairs: Vec<RouteClass> =
         table.routes().iter().map(|r| pair(&file, r)).collect::<BTreeSet<_>>().into_iter().collect();
-    let settings = file.settings(largest, &pairs).map_err(|e| e.to_string())?;
+    let settings = file.policy_settings(largest, &pairs).map_err(|e| e.to_string())?;
     let clock = Clock::start();
     let exchange: Arc<HttpExchange> =
         Exchange::new(settings, clock.now(), clock).map_err(|e| e.to_string())?;
-    let sockets = file.limits.sockets - SPARE_SOCKETS;
+    let sockets = file.limits.max_sockets - SPARE_SOCKETS;
     let limits = Limits {
-        connect: Duration::from_millis(file.limits.connect_ms),
-        idle: Duration::from_millis(file.limits.idle_ms),
+        connect: Duration::from_millis(file.limits.connect_timeout_ms),
+        idle: Duration::from_millis(file.limits.idle_timeout_ms),
         connections: sockets / 2,
-        answer: file.limits.answer_bytes + http::LARGEST_HEAD,
+        answer: file.limits.max_response_bytes + http::LARGEST_HEAD,
         // Answers over HTTP are held whole.
         streams: 0,
     };
@@ -208,7 +208,7 @@
     fleet.start()?;
     let (accepting, entrance) = (front.clone(), door.clone());
     spawn(move || accepting.run(&entrance));
-    let registered = file.register.as_ref().map(|r| {
+    let registered = file.registration.as_ref().map(|r| {
         let at = r.address.unwrap_or(file.listen);
         let ttl = Duration::from_millis(r.ttl_ms);
         consul::register(fleet::source(&file, folder), r.name.clone(), r.id.clone(), at, ttl)
@@ -221,28 +221,28 @@
     Door::open(at).map(Arc::new).map_err(|e| format!("{at}: {e}"))
 }
 
-fn setup(file: &Appliance, table: RouteTable, pairs: &[(u16, usize)], most_sockets: usize) -> Setup {
+fn setup(file: &ApplianceConfig, table: RouteTable, pairs: &[RouteClass], most_sockets: usize) -> Setup {
     let class = |r: &Route| {
         let pair = pair(file, r);
         let number = pairs.iter().position(|p| *p == pair).unwrap_or(0);
-        (number as u16, file.classes[pair.1].deadline_ms * 1000)
+        (number as u16, file.classes[pair.class].deadline_ms * 1000)
     };
     let classes = table.routes().iter().map(class).collect();
-    let lender = |l: &appliance::Lender| Lender {
+    let lender = |l: &TenantConfig| Lender {
         name: l.name.clone(),
-        customer: appliance::customer_number(&l.name),
+        customer: tenant_number(&l.name),
         plan: file.plan_number(&l.plan).unwrap_or(0) as u32,
         plan_name: l.plan.clone(),
     };
     Setup {
         classes,
         table,
-        lender_header: file.lender_header.clone(),
-        lenders: file.lenders.iter().map(lender).collect(),
+        lender_header: file.tenant_header.clone(),
+        lenders: file.tenants.iter().map(lender).collect(),
         set_size: f64::from(file.quota.gatekeepers),
-        largest_body: file.limits.body_bytes,
+        largest_body: file.limits.max_body_bytes,
         most_sockets,
-        patience: Duration::from_millis(file.limits.patience_ms),
+        patience: Duration::from_millis(file.limits.client_timeout_ms),
     }
 }
 
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -31,7 +31,7 @@
         "{}: {} routes, {} lenders, {} plans; listens on {}",
         path.display(),
         table.routes().len(),
-        file.lenders.len(),
+        file.tenants.len(),
         file.plans.len(),
         file.listen
     );
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -4,8 +4,7 @@
 use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
 use membership::seal::Keys;
 use quorum::Quorum;
-use settings::appliance::Appliance;
-use settings::cluster::Duty;
+use settings::appliance::{ApplianceConfig, PeriodicJobConfig};
 use std::path::Path;
 use std::time::Duration;
 
@@ -20,18 +19,18 @@
 /// # Errors
 ///
 /// The key file cannot be read or used.
-pub fn settings(file: &Appliance, folder: &Path) -> Result<Option<Shared>, String> {
-    if file.cluster.is_none() && file.probe.is_none() && file.duties.is_empty() {
+pub fn settings(file: &ApplianceConfig, folder: &Path) -> Result<Option<Shared>, String> {
+    if file.cluster.is_none() && file.health_check.is_none() && file.periodic_jobs.is_empty() {
         return Ok(None);
     }
-    let probes = file.probe.as_ref().map(|probe| Probes {
+    let probes = file.health_check.as_ref().map(|probe| Probes {
         path: probe.path.clone(),
         timeout: Duration::from_millis(probe.timeout_ms),
         rules: probe::Config {
             period: probe.period_ms,
-            down_after: probe.down_after,
-            up_after: probe.up_after,
-            most_out: probe.most_out,
+            down_after: probe.unhealthy_threshold,
+            up_after: probe.healthy_threshold,
+            most_out: probe.max_ejected_share,
         },
     });
     let settings = match &file.cluster {
@@ -42,8 +41,8 @@
                 advertise: cluster.advertise.unwrap_or(cluster.listen),
                 peers: cluster.peers.clone(),
                 keys: keys(file, folder)?,
-                period: cluster.gossip_ms,
-                suspect: cluster.suspect_ms,
+                period: cluster.gossip_interval_ms,
+                suspect: cluster.suspicion_timeout_ms,
             }),
             store: StoreAt::Consul {
                 address: cluster.store.unwrap_or(file.consul.address),
@@ -57,7 +56,7 @@
                 },
             },
             standbys: cluster.standbys,
-            skew: cluster.skew_ms,
+            skew: cluster.max_clock_skew_ms,
             clock_offset: cluster.clock_offset_ms,
             runners: RUNNERS,
             probes,
@@ -73,7 +72,7 @@
             probes,
         },
     };
-    Ok(Some((settings, calls(&file.duties))))
+    Ok(Some((settings, calls(&file.periodic_jobs))))
 }
 
 /// The keys of the file's key file.
@@ -81,15 +80,15 @@
 /// # Errors
 ///
 /// It cannot be read or used; the text holds no key.
-pub fn keys(file: &Appliance, folder: &Path) -> Result<Keys, String> {
+pub fn keys(file: &ApplianceConfig, folder: &Path) -> Result<Keys, String> {
     let Some(cluster) = &file.cluster else { return Err("cluster: there is no such table".into()) };
     let path = folder.join(&cluster.key_file);
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     Keys::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn calls(duties: &[Duty]) -> Vec<Call> {
-    let call = |d: &Duty| Call {
+fn calls(duties: &[PeriodicJobConfig]) -> Vec<Call> {
+    let call = |d: &PeriodicJobConfig| Call {
         name: d.name.clone(),
         period: d.period_ms,
         url: d.url.clone(),
@@ -106,7 +105,7 @@
             Some(_) => Some(keys(&file, path.parent().unwrap_or(Path::new(".")))?),
             None => None,
         };
-        let calls = calls(&file.duties);
+        let calls = calls(&file.periodic_jobs);
         let done = (calls.len(), keys.is_some());
         cluster.set_calls(calls);
         if let Some(keys) = keys {
--- a/crates/snowfield/src/fleet.rs
+++ b/crates/snowfield/src/fleet.rs
@@ -9,7 +9,7 @@
 use exchange::Clock;
 use front_openapi::HttpExchange;
 use link::locked;
-use settings::appliance::{Appliance, TakesWork};
+use settings::appliance::{ApplianceConfig, MinimumHealth};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
 use std::path::Path;
@@ -49,7 +49,7 @@
         clock: Clock,
         exchange: Arc<HttpExchange>,
         pools: Arc<Pools<HttpDestination>>,
-        file: &Appliance,
+        file: &ApplianceConfig,
     ) -> Self {
         let services: Vec<String> = file.service_names().into_iter().map(str::to_owned).collect();
         let known = Known { views: services.iter().map(|_| None).collect(), ..Known::default() };
@@ -193,15 +193,15 @@
 }
 
 /// Where Consul is, as the file says.
-pub fn source(file: &Appliance, folder: &Path) -> Source {
+pub fn source(file: &ApplianceConfig, folder: &Path) -> Source {
     let consul = &file.consul;
     Source {
-        agents: std::iter::once(consul.address).chain(consul.agents.iter().copied()).collect(),
+        agents: std::iter::once(consul.address).chain(consul.further_agents.iter().copied()).collect(),
         token_file: consul.token_file.as_ref().map(|name| folder.join(name)),
         datacenter: consul.datacenter.clone(),
         namespace: consul.namespace.clone(),
         partition: consul.partition.clone(),
-        stale_ms: consul.stale_ms,
+        stale_ms: consul.max_stale_ms,
         wait: Duration::from_millis(consul.wait_ms),
     }
 }
@@ -213,26 +213,26 @@
 /// The token file cannot be used.
 pub fn watch(
     fleet: &Arc<Fleet>,
-    file: &Appliance,
+    file: &ApplianceConfig,
     folder: &Path,
     answered: &Arc<Answered>,
 ) -> Result<(), String> {
     let consul = &file.consul;
     let source = source(file, folder);
     consul::Token::of(source.token_file.clone()).read().map_err(|e| format!("consul: token_file: {e}"))?;
-    let list_file = consul.list_file.as_ref().map(|name| {
+    let list_file = consul.cache_file.as_ref().map(|name| {
         let services = file.service_names().into_iter().map(str::to_owned);
-        Arc::new(ListFile::open(folder.join(name), consul.list_max_age_s, services))
+        Arc::new(ListFile::open(folder.join(name), consul.cache_max_age_s, services))
     });
     let guards = Guards {
-        worst: match consul.takes_work {
-            TakesWork::Passing => Health::Passing,
-            TakesWork::Warning => Health::Warning,
+        worst: match consul.minimum_health {
+            MinimumHealth::Passing => Health::Passing,
+            MinimumHealth::Warning => Health::Warning,
         },
         flap_hold: consul.flap_hold_ms,
-        flap_longest: consul.flap_longest_ms,
-        sudden_share: consul.sudden_share,
-        sudden_hold: consul.sudden_hold_ms,
+        flap_longest: consul.max_flap_hold_ms,
+        sudden_share: consul.sudden_loss_share,
+        sudden_hold: consul.sudden_loss_hold_ms,
         ..Guards::default()
     };
     let own = (consul.service.clone(), consul.tag.clone(), consul.filter.clone());
--- a/crates/snowfield/src/hosts.rs
+++ b/crates/snowfield/src/hosts.rs
@@ -3,7 +3,8 @@
 use destination::Place;
 use dewproxy::interface::{BackendEntry, State};
 use handover::BackendNumber;
-use settings::{Config, HostList};
+use settings::EndpointList;
+use settings::platform::PlatformConfig;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// Destinations that may be out by hand; each is kept until it is called back.
@@ -23,17 +24,17 @@
 
 impl Hosts {
     /// Starts with the zones and kinds of the settings.
-    pub fn new(config: &Config) -> Self {
-        Self { zones: config.zones.clone(), kinds: config.kinds.clone(), ..Self::default() }
+    pub fn new(config: &PlatformConfig) -> Self {
+        Self { zones: config.zones.clone(), kinds: config.machine_types.clone(), ..Self::default() }
     }
 
     /// A list as the module and the pools take it. An entry that cannot be used is left out and logged.
-    pub fn translate(&mut self, list: HostList) -> (Vec<BackendEntry>, Vec<Place>) {
+    pub fn translate(&mut self, list: EndpointList) -> (Vec<BackendEntry>, Vec<Place>) {
         let (mut entries, mut places) = (Vec::new(), Vec::new());
-        if list.all {
+        if list.complete {
             self.listed.clear();
         }
-        for host in list.targets {
+        for host in list.endpoints {
             let state = match host.state.as_str() {
                 "up" => State::Ready,
                 "draining" => State::Draining,
@@ -41,40 +42,40 @@
                 other => {
                     tracing::warn!(
                         "discovery: {} has the unknown state {other:?}; taken as draining",
-                        host.uid
+                        host.id
                     );
                     State::Draining
                 }
             };
-            let address = match host.endpoint.parse() {
+            let address = match host.address.parse() {
                 Ok(address) => address,
                 Err(_) if state == State::Gone => ([127, 0, 0, 1], 0).into(),
                 Err(_) => {
                     tracing::warn!(
                         "discovery: {} has no usable address {:?}; left out",
-                        host.uid,
-                        host.endpoint
+                        host.id,
+                        host.address
                     );
                     continue;
                 }
             };
             let next = self.numbers.len() as u32 + 1;
-            let id = *self.numbers.entry(host.uid).or_insert(next);
+            let id = *self.numbers.entry(host.id).or_insert(next);
             if state == State::Gone {
                 self.listed.remove(&id);
             } else {
                 self.listed.insert(id);
             }
-            let started = host.boot_ms.saturating_mul(1000);
+            let started = host.started_ms.saturating_mul(1000);
             places.push(Place { id, address, state, started });
             entries.push(BackendEntry {
                 id,
-                zone: position(&mut self.zones, host.az).min(255) as u8,
-                kind: position(&mut self.kinds, host.model).min(65_535) as u16,
-                cell: host.pod_group,
+                zone: position(&mut self.zones, host.zone).min(255) as u8,
+                kind: position(&mut self.kinds, host.machine_type).min(65_535) as u16,
+                cell: host.cell,
                 service: 0,
                 state,
-                size: host.capacity_hint,
+                size: host.capacity,
                 started,
             });
         }
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -12,7 +12,8 @@
 use front_resp::{ClassRule, Front, Rules};
 use handover::UpgradeSocket;
 use link::{Door, spawn, spawn_with};
-use settings::{Config, Shape, Tables};
+use settings::platform::PlatformConfig;
+use settings::{KeySet, NumberedClass, Numbering};
 use std::io::Read;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -47,7 +48,7 @@
     log::begin(log::Form::Plain)?;
     if let Ok(at) = std::env::var("BALANCER_OPERATOR") {
         let at = at.parse().map_err(|_| format!("BALANCER_OPERATOR: {at:?} is no address and port"))?;
-        config.operator = Some(at);
+        config.admin = Some(at);
     }
     link::set_up();
     let parts = start(config, shape)?;
@@ -111,7 +112,7 @@
 /// The most bytes of a configuration.
 const LARGEST_FILE: u64 = 16 * 1024 * 1024;
 
-fn read(path: &str) -> Result<(Config, Shape), String> {
+fn read(path: &str) -> Result<(PlatformConfig, KeySet), String> {
     let named = |e: &dyn std::fmt::Display| format!("{path}: {e}");
     let mut json = Vec::new();
     let file = std::fs::File::open(path).map_err(|e| named(&e))?;
@@ -119,13 +120,13 @@
     if json.len() as u64 > LARGEST_FILE {
         return Err(named(&"it is too long"));
     }
-    let shape = Shape::of(&mut json.clone()).map_err(|e| named(&e))?;
-    Ok((settings::parse(&mut json).map_err(|e| named(&e))?, shape))
+    let shape = KeySet::of(&mut json.clone()).map_err(|e| named(&e))?;
+    Ok((PlatformConfig::parse(&mut json).map_err(|e| named(&e))?, shape))
 }
 
 /// What the settings ask of a request.
-fn rules(config: &Config, tables: &Tables) -> Rules {
-    let classes = tables.classes().map(|(number, name, class)| ClassRule {
+fn rules(config: &PlatformConfig, tables: &Numbering) -> Rules {
+    let classes = tables.classes().map(|NumberedClass { number, name, class }| ClassRule {
         name: name.to_owned(),
         number: number as u16,
         repeatable: class.effect == Effect::Safe,
@@ -133,18 +134,18 @@
     });
     Rules {
         classes: classes.collect(),
-        plans: tables.plans().map(|(number, name)| (name.to_owned(), number as u32)).collect(),
+        plans: tables.plans().map(|plan| (plan.name.to_owned(), plan.number as u32)).collect(),
         gatekeepers: u64::from(config.settings.gateways),
-        largest: config.largest,
+        largest: config.max_units,
     }
 }
 
 /// How long a connection may take to be made, and to be idle.
-fn spans(config: &Config) -> (Duration, Duration) {
+fn spans(config: &PlatformConfig) -> (Duration, Duration) {
     (Duration::from_micros(config.settings.connect_timeout), Duration::from_micros(config.keepalive / 2))
 }
 
-fn longest(config: &Config) -> Micros {
+fn longest(config: &PlatformConfig) -> Micros {
     config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
 }
 
@@ -157,7 +158,7 @@
     desk: Arc<Desk>,
     upgrade: Arc<upgrade::Parts>,
     /// The keys of the file in force, and its classes and plans with those before.
-    in_force: Mutex<(Shape, Tables)>,
+    in_force: Mutex<(KeySet, Numbering)>,
     /// us; the longest deadline of all files so far: what was taken under an older one may still be open.
     longest: AtomicU64,
 }
@@ -168,9 +169,9 @@
     fn reload(&self, path: &str) -> Result<(), String> {
         let (config, shape) = read(path)?;
         let mut in_force = link::locked(&self.in_force);
-        in_force.0.kept_by(&shape).map_err(|e| format!("{path}: {e}"))?;
+        in_force.0.check_kept_by(&shape).map_err(|e| format!("{path}: {e}"))?;
         let mut tables = in_force.1.clone();
-        let mut settings = tables.take(&config).map_err(|e| format!("{path}: {e}"))?;
+        let mut settings = tables.update(&config).map_err(|e| format!("{path}: {e}"))?;
         settings.counter &= self.counter.is_some();
         let (connect, idle) = spans(&config);
         let columns = settings.report.clone();
@@ -181,7 +182,7 @@
         self.upgrade.pools.protocol().set_columns(&columns);
         self.longest.fetch_max(longest(&config), Ordering::Relaxed);
         self.front.set_rules(rules(&config, &tables));
-        let names: Vec<&str> = tables.classes().map(|(_, name, _)| name).collect();
+        let names: Vec<&str> = tables.classes().map(|class| class.name).collect();
         tracing::info!("reload: settings taken; classes {}", names.join(", "));
         let discovery = if self.watch.move_to(config.discovery) { "moved to" } else { "stays at" };
         tracing::info!("reload: discovery {discovery} {}", config.discovery);
@@ -199,19 +200,19 @@
     }
 }
 
-fn start(config: Config, shape: Shape) -> Result<Parts, String> {
+fn start(config: PlatformConfig, shape: KeySet) -> Result<Parts, String> {
     let clock = Clock::start();
-    let spare = SPARE_SOCKETS + config.operator.map_or(0, |_| DOOR_SOCKETS);
-    let sockets = config.sockets.saturating_sub(spare).max(16);
-    let mut tables = Tables::default();
-    let settings = tables.take(&config).map_err(|e| e.to_string())?;
+    let spare = SPARE_SOCKETS + config.admin.map_or(0, |_| DOOR_SOCKETS);
+    let sockets = config.max_sockets.saturating_sub(spare).max(16);
+    let mut tables = Numbering::default();
+    let settings = tables.update(&config).map_err(|e| e.to_string())?;
     let (longest, (connect, idle)) = (AtomicU64::new(longest(&config)), spans(&config));
     let limits = Limits {
         connect,
         idle,
         connections: sockets / 3,
         answer: resp::LARGEST_MESSAGE,
-        streams: config.memory / STREAMS_PART,
+        streams: config.max_memory_bytes / STREAMS_PART,
     };
     let rules = rules(&config, &tables);
     let protocol = RespDestination::new(&settings.report);
@@ -224,17 +225,17 @@
 
     let hosts = Arc::new(Mutex::new(Hosts::new(&config)));
     // Only who is operated can be asked whether it is ready, and so be started beside another.
-    let folder = config.operator.and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
+    let folder = config.admin.and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
     let desk = Arc::new(Desk::new(exchange.clone(), pools.clone(), hosts.clone(), folder.clone()));
     desk.set_names(tables.class_names(), tables.plan_names());
     let mut callers = None;
-    if let Some(at) = config.operator {
+    if let Some(at) = config.admin {
         let open = door::open(at, desk.clone()).map_err(|e| format!("operator {at}: {e}"))?;
         tracing::info!("{}: operators are answered on {}", config.name, open.address);
         callers = Some(open);
     }
-    let rev = config.known.rev;
-    let (entries, places) = link::locked(&hosts).translate(config.known);
+    let rev = config.cached_list.revision;
+    let (entries, places) = link::locked(&hosts).translate(config.cached_list);
     tracing::info!("{}: {} destinations known, version {rev}", config.name, places.len());
     pools.listed(ListKind::Cached, &places);
     exchange.listed(ListKind::Cached, entries);
@@ -247,7 +248,7 @@
     spawn_with(link::LARGE_STACK, move || {
         watching.run(rev, pace, |news| {
             if let News::List(list) = news {
-                let kind = if list.all { ListKind::Full } else { ListKind::Changes };
+                let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
                 let (entries, places) = link::locked(&known_hosts).translate(list);
                 told_pools.listed(kind, &places);
                 told.listed(kind, entries);
@@ -259,7 +260,7 @@
     // Attempts take few connections, clients hold on to many: a client connection may use any descriptor that no attempt
     // uses, but for some that stay free for these.
     let (room, kept) = (pools.clone(), sockets / 6);
-    let front = Front::new(exchange.clone(), rules, config.memory, move || {
+    let front = Front::new(exchange.clone(), rules, config.max_memory_bytes, move || {
         // Some callers always find a descriptor; the others wait until a client's has become free.
         let callers = callers.as_ref().map_or(0, |c| (c.count() + MORE_CALLERS).min(door::MOST_CALLERS));
         sockets.saturating_sub(kept.max(room.open() + kept / 6) + callers)
--- a/crates/snowfield/src/propose.rs
+++ b/crates/snowfield/src/propose.rs
@@ -5,8 +5,7 @@
 use clap::{Parser, Subcommand};
 use quorum::disk::Disk;
 use quorum::{Change, Outcome, Version, Word};
-use settings::agreed::{Agreed, plans};
-use settings::appliance::Appliance;
+use settings::appliance::{ApplianceConfig, ReplicationConfig, apply_version};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -82,10 +81,12 @@
     (1, text.to_string())
 }
 
-fn read(path: &Path) -> Result<(Appliance, Agreed), (u8, String)> {
+fn read(path: &Path) -> Result<(ApplianceConfig, ReplicationConfig), (u8, String)> {
     let file = appliance::check(path).map_err(wrong)?.file;
-    let agreed =
-        file.agreed.clone().ok_or_else(|| wrong(format!("{}: it has no table [agreed]", path.display())))?;
+    let agreed = file
+        .replication
+        .clone()
+        .ok_or_else(|| wrong(format!("{}: it has no table [agreed]", path.display())))?;
     Ok((file, agreed))
 }
 
@@ -117,7 +118,7 @@
     let end = Instant::now() + MOST;
     let mut last = String::new();
     while Instant::now() < end {
-        for voter in &agreed.voters {
+        for voter in &agreed.replicas {
             let fits = |w: &Word| is_answer(w) || matches!(w, Word::Elsewhere(..) | Word::NotHere(..));
             match quorum::call(voter.address, &keys, word, PATIENCE, fits) {
                 Ok(answer) if is_answer(&answer) => return Ok(answer),
@@ -136,7 +137,7 @@
 fn propose(path: &Path, rules: &Path, expect: Option<u64>) -> Done {
     let (file, _) = read(path)?;
     let text = std::fs::read_to_string(rules).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
-    plans(&file, &text).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
+    apply_version(&file, &text).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
     let by = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
     let id = unique();
     // The same id each time: one whose answer was lost is taken once.
@@ -190,10 +191,10 @@
 fn diff(path: &Path, rules: &Path) -> Done {
     let (file, _) = read(path)?;
     let text = std::fs::read_to_string(rules).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
-    let new = plans(&file, &text).map_err(wrong)?;
+    let new = apply_version(&file, &text).map_err(wrong)?;
     let (in_force, _) = versions(path)?;
     let old = match &in_force {
-        Some(version) => plans(&file, &version.text).map_err(wrong)?,
+        Some(version) => apply_version(&file, &version.text).map_err(wrong)?,
         None => file.plans.clone(),
     };
     for (old, new) in old.iter().zip(&new) {
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -311,24 +311,33 @@
     let good = cluster("m0", at, &[at]);
     let (one, two) = (duties(&["d".into()], at, 300), duties(&["d".into(), "d".into()], at, 300));
     for (rest, reason) in [
-        (good.replace("\"m0\"", "\"a b\""), "name \"a b\""),
+        (good.replace("\"m0\"", "\"a b\""), "cluster.name is \"a b\""),
         (good.replace(&format!("listen = \"{at}\""), "listen = \"10.0.0.1:7946\""), "not on loopback"),
-        (good.replace(&format!("listen = \"{at}\""), "listen = \"127.0.0.1:0\""), "0 is none"),
-        (good.clone() + "prefix = \"/x\"\n", "prefix \"/x\""),
-        (good.replace("gossip_ms = 50", "gossip_ms = 1"), "gossip_ms must be"),
-        (good.replace("suspect_ms = 300", "suspect_ms = 60"), "suspect_ms twice"),
-        (good.replace("standbys = 3", "standbys = 16"), "standbys must be 15"),
+        (
+            good.replace(&format!("listen = \"{at}\""), "listen = \"127.0.0.1:0\""),
+            "cluster.listen: port 0 cannot be told",
+        ),
+        (good.clone() + "prefix = \"/x\"\n", "cluster.prefix is \"/x\""),
+        (good.replace("gossip_ms = 50", "gossip_ms = 1"), "cluster.gossip_ms is 1, but must be 10"),
+        (
+            good.replace("suspect_ms = 300", "suspect_ms = 60"),
+            "cluster.suspect_ms is 60, but must be 100 at least",
+        ),
+        (good.replace("standbys = 3", "standbys = 16"), "cluster.standbys is 16, but must be 0 to 15"),
         (good.replace("cluster.key", "missing.key"), "missing.key"),
         (
             good.replace("store_timeout_ms = 100", "store_timeout_ms = 200") + &one,
             "more than half of the shortest period, 300",
         ),
         (two, "\"d\" comes twice"),
-        (one.replace("300", "50"), "period_ms must be 100"),
-        (one.replace("http://", "https://"), "url must be http://"),
+        (one.replace("300", "50"), "period_ms is 50, but must be 100"),
+        (one.replace("http://", "https://"), "but must be http://"),
         (one.replace("127.0.0.1", "192.0.2.1"), "on loopback"),
-        (PROBE.replace("/health", "health"), "path \"health\""),
-        (PROBE.replace("timeout_ms = 80", "timeout_ms = 101"), "timeout_ms 1 to period_ms"),
+        (PROBE.replace("/health", "health"), "probe.path is \"health\""),
+        (
+            PROBE.replace("timeout_ms = 80", "timeout_ms = 101"),
+            "probe.timeout_ms is 101, but must be 1 to 100",
+        ),
         (PROBE.replace("down_after = 2", "down_after = 0"), "down_after"),
         (PROBE.replace("0.34", "1.0"), "may never take out all"),
         (PROBE.replace("0.34", "nan"), "may never take out all"),
