--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -30,7 +30,7 @@
     /// The plan's number at the reader.
     pub plan: u32,
     /// Number of gatekeepers that the tenant's requests come through.
-    pub gatekeepers: f64,
+    pub tenant_gatekeepers: f64,
     /// Units that it takes from the quota.
     pub units: f64,
 }
@@ -41,7 +41,7 @@
         let mut bytes = [0; ENTRY_BYTES];
         bytes[..8].copy_from_slice(&self.tenant.to_le_bytes());
         bytes[8..12].copy_from_slice(&self.plan.to_le_bytes());
-        bytes[12..20].copy_from_slice(&self.gatekeepers.to_le_bytes());
+        bytes[12..20].copy_from_slice(&self.tenant_gatekeepers.to_le_bytes());
         bytes[20..].copy_from_slice(&self.units.to_le_bytes());
         bytes
     }
@@ -50,15 +50,15 @@
     fn decode(bytes: &[u8]) -> Option<Self> {
         let (tenant, rest) = bytes.split_first_chunk::<8>()?;
         let (plan, rest) = rest.split_first_chunk::<4>()?;
-        let (gatekeepers, rest) = rest.split_first_chunk::<8>()?;
+        let (tenant_gatekeepers, rest) = rest.split_first_chunk::<8>()?;
         let (units, _) = rest.split_first_chunk::<8>()?;
         let admission = Self {
             tenant: u64::from_le_bytes(*tenant),
             plan: u32::from_le_bytes(*plan),
-            gatekeepers: f64::from_le_bytes(*gatekeepers),
+            tenant_gatekeepers: f64::from_le_bytes(*tenant_gatekeepers),
             units: f64::from_le_bytes(*units),
         };
-        let valid = GATEKEEPERS.contains(&admission.gatekeepers) && UNITS.contains(&admission.units);
+        let valid = GATEKEEPERS.contains(&admission.tenant_gatekeepers) && UNITS.contains(&admission.units);
         valid.then_some(admission)
     }
 }
--- a/crates/handover/src/journal/tests.rs
+++ b/crates/handover/src/journal/tests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 fn admission(number: u32) -> Admission {
-    Admission { tenant: u64::from(number), plan: number % 3, gatekeepers: 2.0, units: f64::from(number) }
+    Admission {
+        tenant: u64::from(number),
+        plan: number % 3,
+        tenant_gatekeepers: 2.0,
+        units: f64::from(number),
+    }
 }
 
 #[test]
--- a/crates/handover/tests/wire_format.rs
+++ b/crates/handover/tests/wire_format.rs
@@ -130,7 +130,8 @@
 const JOURNAL: &[u8] = include_bytes!("fixtures/admissions.journal");
 
 fn entries() -> Vec<Admission> {
-    let entry = |tenant, plan, gatekeepers, units| Admission { tenant, plan, gatekeepers, units };
+    let entry =
+        |tenant, plan, tenant_gatekeepers, units| Admission { tenant, plan, tenant_gatekeepers, units };
     vec![entry(7, 0, 1.0, 1.0), entry(u64::MAX, 3, 12.0, 0.25), entry(0x1234_5678_9abc_def0, 1, 2.5, 4.0)]
 }
 
--- a/crates/settings/src/appliance/policy_settings.rs
+++ b/crates/settings/src/appliance/policy_settings.rs
@@ -2,7 +2,6 @@
 
 use super::{ApplianceConfig, ClassConfig, PlanConfig, RepeatEffect};
 use crate::SettingsError;
-use dewproxy::interface as policy;
 
 /// The policy's housekeeping interval in microseconds.
 const TICK_US: policy::Micros = 4_000;
@@ -31,30 +30,30 @@
         max_units: f64,
         classes: &[RouteClass],
     ) -> Result<policy::Settings, SettingsError> {
-        let class = |route: &RouteClass| policy::Class {
+        let class = |route: &RouteClass| policy::RequestClass {
             service: route.service,
             ..self.classes[route.class].to_policy()
         };
         let settings = policy::Settings {
-            gateways: self.quota.gatekeepers,
-            me: self.quota.number,
+            gatekeepers: self.quota.gatekeepers,
+            gatekeeper_index: self.quota.number,
             tick: TICK_US,
             classes: classes.iter().map(class).collect(),
-            weighted: true,
+            weighted_backends: true,
             plans: self.plans.iter().map(PlanConfig::to_policy).collect(),
             max_attempts: self.limits.max_attempts,
-            second_copies: true,
-            cancel: true,
+            hedging: true,
+            cancellation: true,
             max_retry_after: self.quota.max_retry_after_ms * 1000,
             connect_timeout: self.limits.connect_timeout_ms * 1000,
-            cold_share: self.slow_start.initial_share,
-            cold_span: self.slow_start.duration_ms * 1000,
+            slow_start_share: self.slow_start.initial_share,
+            slow_start_duration: self.slow_start.duration_ms * 1000,
             overload_factor: self.slow_start.overload_factor,
-            fall_span: self.slow_start.collapse_after_ms * 1000,
+            overload_duration: self.slow_start.collapse_after_ms * 1000,
             drain_grace: DRAIN_GRACE_US,
-            counter: self.quota.counter.is_some(),
-            counter_wait: self.quota.counter_timeout_ms * 1000,
-            largest: max_units,
+            shared_counter: self.quota.counter.is_some(),
+            counter_timeout: self.quota.counter_timeout_ms * 1000,
+            max_cost: max_units,
             ..policy::Settings::default()
         };
         settings.validate()?;
@@ -69,21 +68,21 @@
 }
 
 impl ClassConfig {
-    fn to_policy(&self) -> policy::Class {
+    fn to_policy(&self) -> policy::RequestClass {
         let microseconds = |ms: Option<u64>| ms.unwrap_or(0).saturating_mul(1000);
-        policy::Class {
-            aim: self.latency_objective_ms * 1000,
+        policy::RequestClass {
+            latency_objective: self.latency_objective_ms * 1000,
             deadline: self.deadline_ms * 1000,
-            effect: match self.repeat {
-                RepeatEffect::Safe => policy::Effect::Safe,
-                RepeatEffect::Unsafe => policy::Effect::Unsafe,
+            idempotency: match self.repeat {
+                RepeatEffect::Safe => policy::Idempotency::Idempotent,
+                RepeatEffect::Unsafe => policy::Idempotency::NonIdempotent,
             },
-            group: policy::Group::All,
-            worth: self.priority_weight,
-            attempts: self.max_attempts.unwrap_or(0),
+            dedup_scope: policy::DedupScope::All,
+            priority_weight: self.priority_weight,
+            max_attempts: self.max_attempts.unwrap_or(0),
             attempt_timeout: microseconds(self.attempt_timeout_ms),
-            copy_after: microseconds(self.hedge_after_ms),
-            ..policy::Class::default()
+            hedge_after: microseconds(self.hedge_after_ms),
+            ..policy::RequestClass::default()
         }
     }
 }
@@ -96,7 +95,7 @@
             burst: self.burst * factor,
             ceiling_rate: self.ceiling_per_second * factor,
             ceiling_burst: self.ceiling_burst * factor,
-            price: self.price,
+            priority_factor: self.price,
             ..policy::Plan::default()
         }
     }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,7 +1,6 @@
 //! Why a configuration cannot be used.
 
 use crate::numbering::MAX_NUMBERED;
-use dewproxy::interface as policy;
 use std::net::SocketAddr;
 
 /// Why a configuration cannot be used. The file's name is for the caller to add.
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -1,7 +1,7 @@
 //! The text of each variant, as operators read it.
 
 use super::*;
-use dewproxy::interface::Settings;
+use policy::Settings;
 
 fn finding() -> timing::Finding {
     timing::Finding {
@@ -15,7 +15,8 @@
 #[test]
 fn each_error_names_the_key_and_the_value() {
     let key = || "agreed.lease_ms".to_owned();
-    let policy_error = Settings { gateways: 0, ..Settings::default() }.validate().expect_err("no gatekeeper");
+    let policy_error =
+        Settings { gatekeepers: 0, ..Settings::default() }.validate().expect_err("no gatekeeper");
     let policy_text = policy_error.to_string();
     let name = || "gold".to_owned();
     let address = ([10, 0, 0, 1], 80).into();
--- a/crates/settings/src/numbering.rs
+++ b/crates/settings/src/numbering.rs
@@ -3,7 +3,7 @@
 
 use crate::SettingsError;
 use crate::platform::PlatformConfig;
-use dewproxy::interface::{Class, Plan, Settings};
+use policy::{Plan, RequestClass, Settings};
 
 /// Limit on classes and on plans that are kept. Files that bring ever new ones are rejected.
 pub(crate) const MAX_NUMBERED: usize = 4096;
@@ -16,7 +16,7 @@
     /// Its name.
     pub name: &'a str,
     /// What it says.
-    pub class: &'a Class,
+    pub class: &'a RequestClass,
 }
 
 /// A plan of the file in force.
@@ -31,7 +31,7 @@
 /// All classes and plans so far, by number.
 #[derive(Clone, Debug, Default)]
 pub struct Numbering {
-    classes: Vec<(String, Class)>,
+    classes: Vec<(String, RequestClass)>,
     plans: Vec<(String, Plan)>,
     /// Numbers of the classes in force.
     current_classes: Vec<usize>,
@@ -88,7 +88,7 @@
 }
 
 /// The number of this class, which may be new.
-fn number_class(classes: &mut Vec<(String, Class)>, name: &str, class: &Class) -> usize {
+fn number_class(classes: &mut Vec<(String, RequestClass)>, name: &str, class: &RequestClass) -> usize {
     let unchanged = classes.iter().position(|(known, its)| known == name && its == class);
     unchanged.unwrap_or_else(|| {
         classes.push((name.to_owned(), class.clone()));
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -6,7 +6,6 @@
 use crate::json::check_nesting;
 use crate::validation::{check_unique, invalid};
 use crate::{EndpointList, SettingsError};
-use dewproxy::interface as policy;
 use std::net::SocketAddr;
 
 /// Limit on `limits.memory_mb`, in MiB.
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -1,6 +1,6 @@
 //! Files that replace others: which are rejected, and what the numbers of classes and plans mean over them.
 
-use dewproxy::interface::Effect;
+use policy::Idempotency;
 use settings::platform::PlatformConfig;
 use settings::{KeySet, Numbering, SettingsError};
 
@@ -89,7 +89,10 @@
     let stricter = CLASS.replace("read_like", "non_idempotent");
     let settings = numbering.update(&config(&file(&stricter)).expect("good")).expect("room");
     assert_eq!(numbers(&numbering), [(2, "lookup".to_owned())]);
-    assert_eq!((settings.classes[0].effect, settings.classes[2].effect), (Effect::Safe, Effect::Unsafe));
+    assert_eq!(
+        (settings.classes[0].idempotency, settings.classes[2].idempotency),
+        (Idempotency::Idempotent, Idempotency::NonIdempotent)
+    );
     numbering.update(&config(&file(CLASS)).expect("good")).expect("room");
     assert_eq!(numbers(&numbering), [(0, "lookup".to_owned())]);
     assert_eq!(numbering.class_names(), ["lookup", "lookup-r2", "lookup"]);
--- a/src/bin/dewproxy-drill/main.rs
+++ b/crates/simhost/src/main.rs
@@ -5,9 +5,9 @@
 mod frame;
 mod settings;
 
-use dewproxy::Gateway;
-use dewproxy::interface::Action;
 use frame::{Lists, Record, Reply};
+use policy::Action;
+use policy::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -15,12 +15,12 @@
 
 fn main() -> ExitCode {
     // The text of a panic reaches the report as BROKEN; the hook would only repeat it.
-    std::panic::set_hook(Box::new(|info| eprintln!("dewproxy-drill: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("snowfield-simhost: {info}")));
     let input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     match serve(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("dewproxy-drill: {error}");
+            eprintln!("snowfield-simhost: {error}");
             ExitCode::FAILURE
         }
     }
@@ -44,7 +44,7 @@
 /// The gateways of this process, each wholly apart from the others.
 #[derive(Default)]
 struct Host {
-    gateways: BTreeMap<u32, Gateway>,
+    gateways: BTreeMap<u32, Policy>,
     told: BTreeSet<String>,
     actions: Vec<Action>,
 }
@@ -55,7 +55,7 @@
             Record::Start { gateway, seed, settings } => {
                 self.gateways.remove(&gateway);
                 let made = settings::parse(&settings)
-                    .and_then(|s| Gateway::new(s, seed, now).map_err(|error| error.to_string()));
+                    .and_then(|s| Policy::new(s, seed, now).map_err(|error| error.to_string()));
                 match made {
                     Ok(instance) => {
                         self.gateways.insert(gateway, instance);
@@ -88,7 +88,7 @@
 
     fn tell_once(&mut self, text: String) {
         if !self.told.contains(&text) {
-            eprintln!("dewproxy-drill: {text}");
+            eprintln!("snowfield-simhost: {text}");
             self.told.insert(text);
         }
     }
--- a/crates/snowfield/src/agreed.rs
+++ b/crates/snowfield/src/agreed.rs
@@ -43,7 +43,7 @@
         let settled = ApplianceConfig { plans, ..file.clone() }
             .policy_settings(largest, &pairs)
             .map_err(|e| e.to_string());
-        let done = settled.and_then(|settings| exchange.resettle(settings).map_err(|e| e.to_string()));
+        let done = settled.and_then(|settings| exchange.update_settings(settings).map_err(|e| e.to_string()));
         if let Err(why) = done {
             tracing::warn!("agreed: a version cannot be used here ({why}); the plans of before stay");
         }
--- a/crates/snowfield/src/desk.rs
+++ b/crates/snowfield/src/desk.rs
@@ -3,11 +3,11 @@
 use crate::hosts::Hosts;
 use crate::{door, held};
 use destination::{Pools, RespDestination};
-use dewproxy::interface::Refusal;
 use front_resp::RespExchange;
 use handover::{Message, Peer};
 use link::locked;
 use operator::{ClassMetrics, Metrics, RejectionCount};
+use policy::RejectReason;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -127,7 +127,7 @@
         let Some(number) = hosts.hold(id, held, known) else { return false };
         // Decisions follow the pools: what was decided before the hold is refused there, called back it finds them open.
         self.pools.hold(number, held);
-        self.exchange.hold(number, held);
+        self.exchange.set_operator_ejection(number, held);
         if let Some(Err(why)) = self.folder.as_ref().map(|folder| held::write(folder, hosts.held())) {
             tracing::warn!("operators: which loan servers are out could not be written down: {why}");
         }
@@ -162,28 +162,28 @@
     }
 
     fn figures(&self) -> Metrics {
-        let (ends, members) = self.exchange.ends();
+        let (ends, members) = self.exchange.outcome_counts();
         // A class that came back otherwise than it was is another number of the same name.
         let mut classes: Vec<ClassMetrics> = Vec::new();
-        for (name, [completed, rejected, failed]) in locked(&self.names).0.iter().zip(&ends.classes) {
+        for (name, counts) in locked(&self.names).0.iter().zip(&ends.classes) {
             let at = classes.iter().position(|c| c.name == *name).unwrap_or_else(|| {
                 classes.push(ClassMetrics { name: name.clone(), ..ClassMetrics::default() });
                 classes.len() - 1
             });
             let class = &mut classes[at];
-            class.completed += completed;
-            class.rejected += rejected;
-            class.failed += failed;
+            class.completed += counts.served;
+            class.rejected += counts.rejected;
+            class.failed += counts.failed;
         }
-        let names = Refusal::ALL.iter().map(|why| why.name());
-        let rejections = names.zip(ends.refusals).map(|(reason, count)| RejectionCount { reason, count });
+        let names = RejectReason::ALL.iter().map(|why| why.name());
+        let rejections = names.zip(ends.rejections).map(|(reason, count)| RejectionCount { reason, count });
         Metrics {
             classes,
             rejections: rejections.collect(),
             attempts_written: self.pools.written(),
             pending: ends.pending,
             backends: members.listed,
-            backends_unavailable: members.avoided,
+            backends_unavailable: members.unavailable,
             reloads: self.reloads.load(Ordering::Relaxed),
             reload_errors: self.reload_errors.load(Ordering::Relaxed),
         }
--- a/crates/snowfield/src/hosts.rs
+++ b/crates/snowfield/src/hosts.rs
@@ -1,8 +1,8 @@
 //! Discovery's names and addresses as the numbers that the module uses.
 
 use destination::Place;
-use dewproxy::interface::{BackendEntry, State};
 use handover::BackendNumber;
+use policy::{BackendEntry, BackendId, BackendState};
 use settings::EndpointList;
 use settings::platform::PlatformConfig;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -13,11 +13,11 @@
 /// Numbers for the ids of destinations, each kept for good: one that restarts is the same.
 #[derive(Debug, Default)]
 pub struct Hosts {
-    numbers: HashMap<String, u32>,
+    numbers: HashMap<String, BackendId>,
     zones: Vec<String>,
     kinds: Vec<String>,
     /// Numbers of those that are on the list now.
-    listed: HashSet<u32>,
+    listed: HashSet<BackendId>,
     /// Ids that operators have taken out.
     held: BTreeSet<String>,
 }
@@ -36,20 +36,20 @@
         }
         for host in list.endpoints {
             let state = match host.state.as_str() {
-                "up" => State::Ready,
-                "draining" => State::Draining,
-                "removed" => State::Gone,
+                "up" => BackendState::Ready,
+                "draining" => BackendState::Draining,
+                "removed" => BackendState::Gone,
                 other => {
                     tracing::warn!(
                         "discovery: {} has the unknown state {other:?}; taken as draining",
                         host.id
                     );
-                    State::Draining
+                    BackendState::Draining
                 }
             };
             let address = match host.address.parse() {
                 Ok(address) => address,
-                Err(_) if state == State::Gone => ([127, 0, 0, 1], 0).into(),
+                Err(_) if state == BackendState::Gone => ([127, 0, 0, 1], 0).into(),
                 Err(_) => {
                     tracing::warn!(
                         "discovery: {} has no usable address {:?}; left out",
@@ -59,9 +59,9 @@
                     continue;
                 }
             };
-            let next = self.numbers.len() as u32 + 1;
+            let next = BackendId(self.numbers.len() as u32 + 1);
             let id = *self.numbers.entry(host.id).or_insert(next);
-            if state == State::Gone {
+            if state == BackendState::Gone {
                 self.listed.remove(&id);
             } else {
                 self.listed.insert(id);
@@ -71,7 +71,7 @@
             entries.push(BackendEntry {
                 id,
                 zone: position(&mut self.zones, host.zone).min(255) as u8,
-                kind: position(&mut self.kinds, host.machine_type).min(65_535) as u16,
+                machine_type: position(&mut self.kinds, host.machine_type).min(65_535) as u16,
                 cell: host.cell,
                 service: 0,
                 state,
@@ -85,8 +85,8 @@
     /// Notes that operators take a destination out, or call it back, and tells its number. An id may be named that is on
     /// the list, or out by hand; nobody else has one, unless it is `known` elsewhere. `None` for such an id, or where too
     /// many are out.
-    pub fn hold(&mut self, uid: &str, held: bool, known: bool) -> Option<u32> {
-        let next = self.numbers.len() as u32 + 1;
+    pub fn hold(&mut self, uid: &str, held: bool, known: bool) -> Option<BackendId> {
+        let next = BackendId(self.numbers.len() as u32 + 1);
         let known = if known {
             *self.numbers.entry(uid.to_owned()).or_insert(next)
         } else {
@@ -111,11 +111,11 @@
     /// Number and id of those on the list.
     pub fn listed(&self) -> Vec<BackendNumber> {
         let here = self.numbers.iter().filter(|(_, number)| self.listed.contains(number));
-        here.map(|(uid, number)| BackendNumber { number: *number, id: uid.clone() }).collect()
+        here.map(|(uid, number)| BackendNumber { number: number.0, id: uid.clone() }).collect()
     }
 
     /// The number of an id, if it ever was on a list.
-    pub fn number(&self, uid: &str) -> Option<u32> {
+    pub fn number(&self, uid: &str) -> Option<BackendId> {
         self.numbers.get(uid).copied()
     }
 }
--- a/crates/snowfield/src/upgrade.rs
+++ b/crates/snowfield/src/upgrade.rs
@@ -4,7 +4,7 @@
 use crate::desk::Desk;
 use crate::hosts::Hosts;
 use destination::{Pools, RespDestination};
-use exchange::{Carried, LetIn};
+use exchange::{BackendId, PolicySnapshot, TenantId};
 use front_resp::{Front, Heir, RespExchange};
 use handover::{
     Admission, AdmissionJournal, BackendNumber, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION,
@@ -75,13 +75,15 @@
         let ours = self.desk.names();
         // Whatever of its state can be read: a ledger that ends without entries says that nothing was let in.
         self.enter_all(ledger, &plans, &ours.1);
-        match postcard::from_bytes::<Carried>(&policy_snapshot) {
+        match postcard::from_bytes::<PolicySnapshot>(&policy_snapshot) {
             Ok(carried) => {
                 let hosts = locked(&self.hosts);
-                let number = |theirs: BackendNumber| Some((theirs.number, hosts.number(&theirs.id)?));
-                let numbers: HashMap<u32, u32> = backends.into_iter().filter_map(number).collect();
+                let number =
+                    |theirs: BackendNumber| Some((BackendId(theirs.number), hosts.number(&theirs.id)?));
+                let numbers: HashMap<BackendId, BackendId> =
+                    backends.into_iter().filter_map(number).collect();
                 let (plans, classes) = (places(&plans, &ours.1), places(&classes, &ours.0));
-                self.exchange.take_over(carried.renumbered(&numbers, &plans, &classes));
+                self.exchange.take_over(carried.remap(&numbers, &plans, &classes));
             }
             Err(why) => {
                 tracing::warn!(
@@ -95,14 +97,14 @@
     /// What is let in from now on is entered before it is sent on, by the other program's numbers of plans.
     fn enter_all(&self, journal: AdmissionJournal, theirs: &[String], ours: &[String]) {
         let numbers = places(ours, theirs);
-        self.exchange.tell_let_in(Some(Box::new(move |LetIn { customer, plan, set_size, units }| {
+        self.exchange.set_admission_listener(Some(Box::new(move |admission: exchange::Admission| {
             // A plan that the other one does not have counts for nobody there.
-            if let Some(plan) = numbers.get(plan as usize).copied().flatten() {
+            if let Some(plan) = numbers.get(admission.plan as usize).copied().flatten() {
                 journal.append(&Admission {
-                    tenant: customer,
+                    tenant: admission.tenant.0,
                     plan: plan as u32,
-                    gatekeepers: set_size,
-                    units,
+                    tenant_gatekeepers: admission.tenant_gatekeepers,
+                    units: admission.units,
                 });
             }
         })));
@@ -126,7 +128,7 @@
                 }
             }
             parts.desk.set_peer(None);
-            parts.exchange.tell_let_in(None);
+            parts.exchange.set_admission_listener(None);
             tracing::warn!("upgrade: the other program has ended; {taken} connections were taken over");
         });
     }
@@ -178,7 +180,7 @@
                 .is_some_and(|told| told.recv_timeout(JOURNAL_DRAIN_TIMEOUT) == Ok(JournalEnd::Complete));
             let stores = if whole { "with what the other left" } else { "with empty stores" };
             tracing::warn!("upgrade: the other program has ended; this one serves on, {stores}");
-            self.exchange.take_back(whole);
+            self.exchange.resume(whole);
             self.pools.retire(false);
             self.front.go_on();
             door.hold(false);
@@ -191,8 +193,12 @@
         let parts = self.clone();
         thread::spawn(move || {
             let end = read_journal(reads, |admission| {
-                let Admission { tenant, plan, gatekeepers, units } = admission;
-                parts.exchange.mirror(LetIn { customer: tenant, plan, set_size: gatekeepers, units });
+                parts.exchange.mirror_admission(exchange::Admission {
+                    tenant: TenantId(admission.tenant),
+                    plan: admission.plan,
+                    tenant_gatekeepers: admission.tenant_gatekeepers,
+                    units: admission.units,
+                });
             });
             let _ = tell.send(end);
         });
