--- /dev/null
+++ b/crates/health_check/tests/wire_format.rs
@@ -0,0 +1,67 @@
+//! Reports as an earlier build spread them: this build reads them and writes the same bytes.
+
+use health_check::HealthReport;
+
+/// A report a line: its fields, and its bytes in hexadecimal digits.
+const REPORTS: &str = include_str!("fixtures/reports.txt");
+
+fn reports() -> Vec<HealthReport> {
+    vec![
+        HealthReport { scheduled_unix_ms: 0, failing: false, contrary_results: 0, changed_unix_ms: 0 },
+        HealthReport {
+            scheduled_unix_ms: 1_800_000_000_123,
+            failing: true,
+            contrary_results: 1,
+            changed_unix_ms: 1_799_999_999_123,
+        },
+        HealthReport {
+            scheduled_unix_ms: 1_800_000_002_123,
+            failing: false,
+            contrary_results: 300,
+            changed_unix_ms: 5,
+        },
+        HealthReport {
+            scheduled_unix_ms: u64::MAX,
+            failing: true,
+            contrary_results: u32::MAX,
+            changed_unix_ms: u64::MAX,
+        },
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = text.as_bytes().chunks(2);
+    digits
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex"))
+        .collect()
+}
+
+fn line(report: &HealthReport) -> String {
+    format!(
+        "{} {} {} {} {}\n",
+        report.scheduled_unix_ms,
+        report.failing,
+        report.contrary_results,
+        report.changed_unix_ms,
+        hex(&report.encode())
+    )
+}
+
+#[test]
+fn reports_are_written_as_by_the_earlier_build() {
+    let written: String = reports().iter().map(line).collect();
+    assert_eq!(written, REPORTS);
+}
+
+#[test]
+fn reports_of_the_earlier_build_are_read_and_cut_ones_are_none() {
+    for (report, line) in reports().iter().zip(REPORTS.lines()) {
+        let bytes = unhex(line.rsplit(' ').next().expect("the bytes"));
+        assert_eq!(HealthReport::decode(&bytes).as_ref(), Some(report));
+        assert!((0..bytes.len()).all(|end| HealthReport::decode(&bytes[..end]).is_none()), "cut");
+    }
+}
--- /dev/null
+++ b/crates/replicated_config/tests/transcript.rs
@@ -0,0 +1,155 @@
+//! What three replicas write and send in a fixed run: election, a proposal, and a snapshot for one that was cut off. The
+//! transcript in `fixtures/` was written by release 0.1 at commit 1461877.
+
+mod fixture;
+
+use fixture::{hex, matches_fixture};
+use replicated_config::{
+    DurableState, Envelope, LeaseRequest, Message, Proposal, ProposalId, Replica, ReplicaId, RequestId,
+    VersionNumbers,
+};
+use std::collections::VecDeque;
+
+const LEASE_DURATION_MS: u64 = 500;
+const REPLICAS: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
+
+struct Cluster {
+    now_ms: u64,
+    replicas: Vec<Replica>,
+    /// Receives nothing, and nobody receives from it.
+    cut_off: Option<ReplicaId>,
+    /// What was written and sent, a line each, while it is recorded.
+    transcript: Option<String>,
+}
+
+impl Cluster {
+    fn new() -> Self {
+        let replica = |id: &ReplicaId| {
+            Replica::new(*id, &REPLICAS, DurableState::default(), LEASE_DURATION_MS, 0)
+                .expect("a new log can be used")
+        };
+        let replicas = REPLICAS.iter().map(replica).collect();
+        Self { now_ms: 0, replicas, cut_off: None, transcript: Some(String::new()) }
+    }
+
+    fn note(&mut self, line: String) {
+        if let Some(transcript) = &mut self.transcript {
+            transcript.push_str(&format!("{} {line}\n", self.now_ms));
+        }
+    }
+
+    fn replica(&mut self, id: ReplicaId) -> &mut Replica {
+        &mut self.replicas[id.index().expect("it is a replica")]
+    }
+
+    /// Writes and delivers until nothing is left to be done at this moment.
+    fn settle(&mut self) {
+        let mut in_flight: VecDeque<(ReplicaId, ReplicaId, Vec<u8>)> = VecDeque::new();
+        loop {
+            for from in REPLICAS {
+                let ready = self.replica(from).take_ready();
+                if !ready.records.is_empty() {
+                    let bytes = postcard::to_stdvec(&ready.records).expect("they have a form");
+                    self.note(format!("{from} writes {}", hex(&bytes)));
+                }
+                for Envelope { to, message } in ready.to_replicas {
+                    self.note(format!("{from} to {to} {}", hex(&message.encode())));
+                    in_flight.push_back((from, to, message.encode()));
+                }
+                for Envelope { to, message } in ready.to_clients {
+                    self.note(format!("{from} to {to} {}", hex(&message.encode())));
+                }
+            }
+            let Some((from, to, bytes)) = in_flight.pop_front() else { return };
+            if self.cut_off.is_some_and(|replica| [from, to].contains(&replica)) {
+                continue;
+            }
+            let now_ms = self.now_ms;
+            match Message::decode(&bytes) {
+                Ok(Message::Raft(message)) => self.replica(to).on_raft_message(now_ms, *message),
+                other => panic!("not a message between replicas: {other:?}"),
+            }
+        }
+    }
+
+    fn run_for(&mut self, ms: u64) {
+        let end = self.now_ms + ms;
+        while self.now_ms < end {
+            self.now_ms += 50;
+            for replica in REPLICAS {
+                let now_ms = self.now_ms;
+                self.replica(replica).tick(now_ms);
+                self.settle();
+            }
+        }
+    }
+
+    fn leader(&mut self) -> &mut Replica {
+        let leader = REPLICAS.into_iter().find(|id| self.replica(*id).leader() == Some(*id));
+        self.replica(leader.expect("one leads"))
+    }
+
+    fn propose(&mut self, id: u64) {
+        let now_ms = self.now_ms;
+        self.leader().propose(now_ms, "proposer", proposal(id, &format!("p{id}"), &format!("text {id}")));
+        self.settle();
+    }
+
+    fn request_lease(&mut self, id: u64, known_version: u64, cached: VersionNumbers) {
+        let now_ms = self.now_ms;
+        let (client, id) = ("gatekeeper".into(), RequestId(id));
+        let request = LeaseRequest { client, id, wants_lease: true, known_version, cached };
+        self.leader().on_lease_request(now_ms, request);
+        self.settle();
+    }
+
+    /// The term and committed index of each replica, and how many entries it retains.
+    fn note_progress(&mut self) {
+        let progress: Vec<_> = self
+            .replicas
+            .iter()
+            .map(|replica| {
+                ((replica.progress().term, replica.progress().committed), replica.retained_entries())
+            })
+            .collect();
+        self.note(format!("progress {progress:?}"));
+    }
+}
+
+fn proposal(id: u64, proposed_by: &str, text: &str) -> Proposal {
+    let (proposed_by, text) = (proposed_by.into(), text.into());
+    Proposal { id: ProposalId(id), proposed_by, expected_version: None, text }
+}
+
+#[test]
+fn replicas_write_and_send_what_they_did_before() {
+    let mut cluster = Cluster::new();
+    // The first stands for election, and leads for longer than any lease lasts.
+    cluster.run_for(1_500);
+    cluster.request_lease(1, 0, VersionNumbers::default());
+    cluster.propose(1);
+    cluster.propose(2);
+    cluster.request_lease(2, 1, VersionNumbers::default());
+    cluster.request_lease(3, 1, VersionNumbers { in_force: 1, proposed: 0 });
+    cluster.replica(ReplicaId(3)).propose(1_500, "proposer", proposal(3, "p", "t"));
+    cluster.settle();
+    // The third misses so much that its entries are no longer in the others' logs.
+    cluster.cut_off = Some(ReplicaId(3));
+    let transcript = cluster.transcript.take();
+    for id in 10..200 {
+        cluster.run_for(50);
+        cluster.propose(id);
+    }
+    cluster.transcript = transcript;
+    cluster.note_progress();
+    cluster.cut_off = None;
+    cluster.run_for(1_000);
+    cluster.note_progress();
+    let transcript = cluster.transcript.take().expect("it was recorded");
+    // Pre-vote, vote, entries, heartbeats, a snapshot, and the answers to each.
+    for message_type in [17, 18, 5, 6, 3, 4, 8, 9, 7] {
+        let message = format!(" 00{message_type:02x}");
+        assert!(transcript.contains(&message), "no message of type {message_type}");
+    }
+    matches_fixture("transcript.txt", &transcript);
+}
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -15,9 +15,6 @@
 #[test]
 fn each_error_names_the_key_and_the_value() {
     let key = || "agreed.lease_ms".to_owned();
-    let policy_error =
-        Settings { gatekeepers: 0, ..Settings::default() }.validate().expect_err("no gatekeeper");
-    let policy_text = policy_error.to_string();
     let name = || "gold".to_owned();
     let address = ([10, 0, 0, 1], 80).into();
     for (error, text) in [
@@ -60,6 +57,17 @@
             SettingsError::UnknownEffect { class: "lookup".into(), effect: "harmless".into() },
             "class lookup: unknown effect \"harmless\"",
         ),
+    ] {
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn each_error_of_several_tables_names_what_contradicts() {
+    let policy_error =
+        Settings { gatekeepers: 0, ..Settings::default() }.validate().expect_err("no gatekeeper");
+    let policy_text = policy_error.to_string();
+    for (error, text) in [
         (
             SettingsError::ReplicationWithoutCluster,
             "agreed: it needs [cluster] for this instance's name and the key",
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -3,6 +3,7 @@
 use crate::fleet::{self, Fleet};
 use crate::{agreed, duties, log, signals};
 use cluster::Cluster;
+use config_node::Node;
 use consul::Answered;
 use counter::CounterClient;
 use destination::{HttpDestination, Limits, Pools};
@@ -10,7 +11,6 @@
 use front_openapi::{Front, HttpExchange, Lender, Setup};
 use link::{Door, spawn};
 use openapi::{Description, Route, RouteTable};
-use quorum::Quorum;
 use settings::appliance::{ApplianceConfig, LogFormat, RouteClass, TenantConfig, tenant_number};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -126,7 +126,7 @@
     front: Arc<Front>,
     door: Arc<Door>,
     cluster: Option<Arc<Cluster>>,
-    agreement: Option<Arc<Quorum>>,
+    agreement: Option<Arc<Node>>,
     registered: Option<consul::Registered>,
 }
 
@@ -166,7 +166,7 @@
         as Box<dyn Fn(exchange::BackendId) + Send + Sync>);
     let pools = Pools::new(HttpDestination { on_served }, limits);
     pools.connect(exchange.clone());
-    let counter = file.quota.counter.map(|at| CounterClient::of(at, exchange.clone()));
+    let counter = file.quota.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
     let calls = counter.clone().map(|c| c as Arc<dyn QuotaCounter>);
     exchange.connect(pools.clone(), calls);
 
@@ -198,7 +198,7 @@
         listed.sweep();
         swept.sweep();
         if let Some(counter) = &counter {
-            counter.sweep();
+            counter.close_silent_connections();
         }
     });
     if let Some(door) = status_door {
@@ -249,7 +249,7 @@
 
 /// The cluster's part of the status.
 pub fn cluster_report(cluster: &Cluster) -> String {
-    told(&cluster.ask_report()).unwrap_or_else(|| "cluster\n  it does not answer\n".into())
+    told(&cluster.request_status()).unwrap_or_else(|| "cluster\n  it does not answer\n".into())
 }
 
 /// What another thread reports, which the worker does not wait for.
@@ -264,11 +264,12 @@
 }
 
 /// Answers whoever connects with the status as text.
-fn show_status(door: &Door, front: &Arc<Front>, fleet: &Arc<Fleet>, agreement: Option<&Arc<Quorum>>) {
+fn show_status(door: &Door, front: &Arc<Front>, fleet: &Arc<Fleet>, agreement: Option<&Arc<Node>>) {
     while let Some(link) = door.accept() {
         let (front, fleet, agreement) = (front.clone(), fleet.clone(), agreement.cloned());
         spawn(move || {
-            let agreed = agreement.and_then(|agreement| told(&agreement.ask_report())).unwrap_or_default();
+            let agreed =
+                agreement.and_then(|agreement| told(&agreement.request_status())).unwrap_or_default();
             let body = front.report() + &fleet.report() + &agreed;
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -1,9 +1,9 @@
 //! The appliance's file as the settings of the cluster, and what a reload takes from it.
 
 use crate::appliance;
-use cluster::{Call, Cluster, Gossip, Probes, Settings, StoreAt};
-use membership::seal::Keys;
-use quorum::Quorum;
+use cluster::{Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
+use config_node::Node;
+use membership::authentication::Keyring;
 use settings::appliance::{ApplianceConfig, PeriodicJobConfig};
 use std::path::Path;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const RUNNERS: usize = 8;
 
 /// How an instance takes part, and the calls that are duties at first.
-pub type Shared = (Settings, Vec<Call>);
+pub type Shared = (Settings, Vec<HttpJob>);
 
 /// What the file says of shared duties; `None` where it has none, and nothing is started.
 ///
@@ -23,28 +23,28 @@
     if file.cluster.is_none() && file.health_check.is_none() && file.periodic_jobs.is_empty() {
         return Ok(None);
     }
-    let probes = file.health_check.as_ref().map(|probe| Probes {
+    let health_checks = file.health_check.as_ref().map(|probe| HealthChecks {
         path: probe.path.clone(),
         timeout: Duration::from_millis(probe.timeout_ms),
-        rules: probe::Config {
-            period: probe.period_ms,
-            down_after: probe.unhealthy_threshold,
-            up_after: probe.healthy_threshold,
-            most_out: probe.max_ejected_share,
+        config: health_check::Config {
+            period_ms: probe.period_ms,
+            unhealthy_threshold: probe.unhealthy_threshold,
+            healthy_threshold: probe.healthy_threshold,
+            max_ejected_fraction: probe.max_ejected_share,
         },
     });
     let settings = match &file.cluster {
         Some(cluster) => Settings {
-            name: cluster.name.clone(),
+            instance: cluster.name.clone(),
             gossip: Some(Gossip {
                 listen: cluster.listen,
                 advertise: cluster.advertise.unwrap_or(cluster.listen),
                 peers: cluster.peers.clone(),
-                keys: keys(file, folder)?,
-                period: cluster.gossip_interval_ms,
-                suspect: cluster.suspicion_timeout_ms,
+                keyring: keys(file, folder)?,
+                period_ms: cluster.gossip_interval_ms,
+                suspicion_timeout_ms: cluster.suspicion_timeout_ms,
             }),
-            store: StoreAt::Consul {
+            lease_store: LeaseStore::Consul {
                 address: cluster.store.unwrap_or(file.consul.address),
                 prefix: cluster.prefix.clone(),
                 timeout: Duration::from_millis(cluster.store_timeout_ms),
@@ -56,20 +56,20 @@
                 },
             },
             standbys: cluster.standbys,
-            skew: cluster.max_clock_skew_ms,
-            clock_offset: cluster.clock_offset_ms,
-            runners: RUNNERS,
-            probes,
+            max_clock_skew_ms: cluster.max_clock_skew_ms,
+            clock_offset_ms: cluster.clock_offset_ms,
+            max_concurrent_runs: RUNNERS,
+            health_checks,
         },
         None => Settings {
-            name: "alone".into(),
+            instance: "alone".into(),
             gossip: None,
-            store: StoreAt::Local,
+            lease_store: LeaseStore::Local,
             standbys: 0,
-            skew: 0,
-            clock_offset: 0,
-            runners: RUNNERS,
-            probes,
+            max_clock_skew_ms: 0,
+            clock_offset_ms: 0,
+            max_concurrent_runs: RUNNERS,
+            health_checks,
         },
     };
     Ok(Some((settings, calls(&file.periodic_jobs))))
@@ -80,17 +80,17 @@
 /// # Errors
 ///
 /// It cannot be read or used; the text holds no key.
-pub fn keys(file: &ApplianceConfig, folder: &Path) -> Result<Keys, String> {
+pub fn keys(file: &ApplianceConfig, folder: &Path) -> Result<Keyring, String> {
     let Some(cluster) = &file.cluster else { return Err("cluster: there is no such table".into()) };
     let path = folder.join(&cluster.key_file);
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Keys::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
+    Keyring::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn calls(duties: &[PeriodicJobConfig]) -> Vec<Call> {
-    let call = |d: &PeriodicJobConfig| Call {
+fn calls(duties: &[PeriodicJobConfig]) -> Vec<HttpJob> {
+    let call = |d: &PeriodicJobConfig| HttpJob {
         name: d.name.clone(),
-        period: d.period_ms,
+        period_ms: d.period_ms,
         url: d.url.clone(),
         timeout: Duration::from_millis(d.timeout_ms),
     };
@@ -98,7 +98,7 @@
 }
 
 /// Takes the duties and the keys anew from the file; a file that cannot be used changes nothing.
-pub fn reload(path: &Path, cluster: &Cluster, agreement: Option<&Quorum>) {
+pub fn reload(path: &Path, cluster: &Cluster, agreement: Option<&Node>) {
     let read = || -> Result<(usize, bool), String> {
         let file = appliance::check(path)?.file;
         let keys = match &file.cluster {
@@ -107,14 +107,14 @@
         };
         let calls = calls(&file.periodic_jobs);
         let done = (calls.len(), keys.is_some());
-        cluster.set_calls(calls);
+        cluster.set_http_jobs(calls);
         if let Some(keys) = keys {
-            cluster.set_keys(keys.clone());
+            cluster.set_keyring(keys.clone());
             if let Some(agreement) = agreement {
                 agreement.set_keys(keys);
             }
         }
-        cluster.set_clock_offset(file.cluster.as_ref().map_or(0, |c| c.clock_offset_ms));
+        cluster.set_clock_offset_ms(file.cluster.as_ref().map_or(0, |c| c.clock_offset_ms));
         Ok(done)
     };
     match read() {
