--- a/crates/snowfield/src/duties.rs
+++ b/crates/snowfield/src/duties.rs
@@ -4,8 +4,7 @@
 use cluster::{Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use config_node::Node;
 use membership::authentication::Keyring;
-use settings::appliance::Appliance;
-use settings::cluster::Duty;
+use settings::appliance::{ApplianceConfig, PeriodicJobConfig};
 use std::path::Path;
 use std::time::Duration;
 
@@ -20,18 +19,18 @@
 /// # Errors
 ///
 /// The key file cannot be read or used.
-pub fn settings(file: &Appliance, folder: &Path) -> Result<Option<Shared>, String> {
-    if file.cluster.is_none() && file.probe.is_none() && file.duties.is_empty() {
+pub fn settings(file: &ApplianceConfig, folder: &Path) -> Result<Option<Shared>, String> {
+    if file.cluster.is_none() && file.health_check.is_none() && file.periodic_jobs.is_empty() {
         return Ok(None);
     }
-    let health_checks = file.probe.as_ref().map(|probe| HealthChecks {
+    let health_checks = file.health_check.as_ref().map(|probe| HealthChecks {
         path: probe.path.clone(),
         timeout: Duration::from_millis(probe.timeout_ms),
         config: health_check::Config {
             period_ms: probe.period_ms,
-            unhealthy_threshold: probe.down_after,
-            healthy_threshold: probe.up_after,
-            max_ejected_fraction: probe.most_out,
+            unhealthy_threshold: probe.unhealthy_threshold,
+            healthy_threshold: probe.healthy_threshold,
+            max_ejected_fraction: probe.max_ejected_share,
         },
     });
     let settings = match &file.cluster {
@@ -42,8 +41,8 @@
                 advertise: cluster.advertise.unwrap_or(cluster.listen),
                 peers: cluster.peers.clone(),
                 keyring: keys(file, folder)?,
-                period_ms: cluster.gossip_ms,
-                suspicion_timeout_ms: cluster.suspect_ms,
+                period_ms: cluster.gossip_interval_ms,
+                suspicion_timeout_ms: cluster.suspicion_timeout_ms,
             }),
             lease_store: LeaseStore::Consul {
                 address: cluster.store.unwrap_or(file.consul.address),
@@ -57,7 +56,7 @@
                 },
             },
             standbys: cluster.standbys,
-            max_clock_skew_ms: cluster.skew_ms,
+            max_clock_skew_ms: cluster.max_clock_skew_ms,
             clock_offset_ms: cluster.clock_offset_ms,
             max_concurrent_runs: RUNNERS,
             health_checks,
@@ -73,7 +72,7 @@
             health_checks,
         },
     };
-    Ok(Some((settings, calls(&file.duties))))
+    Ok(Some((settings, calls(&file.periodic_jobs))))
 }
 
 /// The keys of the file's key file.
@@ -81,15 +80,15 @@
 /// # Errors
 ///
 /// It cannot be read or used; the text holds no key.
-pub fn keys(file: &Appliance, folder: &Path) -> Result<Keyring, String> {
+pub fn keys(file: &ApplianceConfig, folder: &Path) -> Result<Keyring, String> {
     let Some(cluster) = &file.cluster else { return Err("cluster: there is no such table".into()) };
     let path = folder.join(&cluster.key_file);
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     Keyring::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn calls(duties: &[Duty]) -> Vec<HttpJob> {
-    let call = |d: &Duty| HttpJob {
+fn calls(duties: &[PeriodicJobConfig]) -> Vec<HttpJob> {
+    let call = |d: &PeriodicJobConfig| HttpJob {
         name: d.name.clone(),
         period_ms: d.period_ms,
         url: d.url.clone(),
@@ -106,7 +105,7 @@
             Some(_) => Some(keys(&file, path.parent().unwrap_or(Path::new(".")))?),
             None => None,
         };
-        let calls = calls(&file.duties);
+        let calls = calls(&file.periodic_jobs);
         let done = (calls.len(), keys.is_some());
         cluster.set_http_jobs(calls);
         if let Some(keys) = keys {
--- a/crates/snowfield/src/propose.rs
+++ b/crates/snowfield/src/propose.rs
@@ -7,8 +7,7 @@
     LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog, RequestId, Version,
     VersionNumbers, VersionTexts,
 };
-use settings::agreed::{Agreed, plans};
-use settings::appliance::Appliance;
+use settings::appliance::{ApplianceConfig, ReplicationConfig, apply_version};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -84,10 +83,12 @@
     (1, text.to_string())
 }
 
-fn read(path: &Path) -> Result<(Appliance, Agreed), (u8, String)> {
+fn read(path: &Path) -> Result<(ApplianceConfig, ReplicationConfig), (u8, String)> {
     let file = appliance::check(path).map_err(wrong)?.file;
-    let agreed =
-        file.agreed.clone().ok_or_else(|| wrong(format!("{}: it has no table [agreed]", path.display())))?;
+    let agreed = file
+        .replication
+        .clone()
+        .ok_or_else(|| wrong(format!("{}: it has no table [agreed]", path.display())))?;
     Ok((file, agreed))
 }
 
@@ -123,7 +124,7 @@
     let end = Instant::now() + MOST;
     let mut last = String::new();
     while Instant::now() < end {
-        for voter in &agreed.voters {
+        for voter in &agreed.replicas {
             let fits = |m: &Message| {
                 is_answer(m)
                     || matches!(m, Message::RedirectLeaseRequest { .. } | Message::RedirectProposal { .. })
@@ -145,7 +146,7 @@
 fn propose(path: &Path, rules: &Path, expect: Option<u64>) -> Done {
     let (file, _) = read(path)?;
     let text = std::fs::read_to_string(rules).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
-    plans(&file, &text).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
+    apply_version(&file, &text).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
     let proposed_by = std::env::var("USER").unwrap_or_else(|_| "somebody".into());
     let id = ProposalId(unique());
     // The same id each time: one whose answer was lost is taken once.
@@ -212,10 +213,10 @@
 fn diff(path: &Path, rules: &Path) -> Done {
     let (file, _) = read(path)?;
     let text = std::fs::read_to_string(rules).map_err(|e| wrong(format!("{}: {e}", rules.display())))?;
-    let new = plans(&file, &text).map_err(wrong)?;
+    let new = apply_version(&file, &text).map_err(wrong)?;
     let in_force = versions(path)?.in_force;
     let old = match &in_force {
-        Some(version) => plans(&file, &version.text).map_err(wrong)?,
+        Some(version) => apply_version(&file, &version.text).map_err(wrong)?,
         None => file.plans.clone(),
     };
     for (old, new) in old.iter().zip(&new) {
