--- a/crates/rig/src/site/files.rs
+++ b/crates/rig/src/site/files.rs
@@ -76,3 +76,6 @@
 }
 
 const PROBE: &str = "[probe]\npath = \"/health\"\nperiod_ms = 1000\ntimeout_ms = 300\n";
+
+#[cfg(test)]
+mod tests;
