--- a/crates/catalogue/src/answer.rs
+++ b/crates/catalogue/src/answer.rs
@@ -270,6 +270,6 @@
         for end in 0..body.len() {
             assert!(read(&body.as_bytes()[..end]).is_err(), "{end}");
         }
-        cuts::survives_garbage(body.as_bytes(), |pieces| drop(read(&pieces.concat())));
+        fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| drop(read(&pieces.concat())));
     }
 }
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -1,8 +1,8 @@
 //! What a destination's RESP2 answers mean.
 
-use cuts::{same_however_cut, survives_garbage};
 use destination::{Protocol, Reading, RespDestination};
 use exchange::AnswerBody;
+use fuzz_inputs::{same_however_cut, survives_garbage};
 use policy::{LoadMetric, Outcome};
 use resp::Query;
 
--- a/crates/handover/tests/frames.rs
+++ b/crates/handover/tests/frames.rs
@@ -93,5 +93,7 @@
     assert!(received(&[9, 0, 0, 0, 0]).is_empty(), "cut short");
     assert!(received(&[1, 0, 0, 0, 99]).is_empty(), "no such kind");
     assert_eq!(received(&[1, 0, 0, 0, 1]), [Message::RequestState]);
-    cuts::survives_garbage(&[2, 0, 0, 0, 0, 1, 1, 0, 0, 0, 1], |pieces| drop(received(&pieces.concat())));
+    fuzz_inputs::survives_garbage(&[2, 0, 0, 0, 0, 1, 1, 0, 0, 0, 1], |pieces| {
+        drop(received(&pieces.concat()))
+    });
 }
--- a/crates/http/tests/cuts.rs
+++ b/crates/http/tests/cuts.rs
@@ -1,6 +1,6 @@
 //! Random cuts and garbage against the framing.
 
-use cuts::{same_however_cut, survives_garbage};
+use fuzz_inputs::{same_however_cut, survives_garbage};
 use snowfield_http::{self as http, Body, Chunks, Refusal};
 
 const REQUESTS: &[u8] = b"POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nX-One: two\r\n\r\nabc\
--- a/crates/job_lease/src/consul/tests.rs
+++ b/crates/job_lease/src/consul/tests.rs
@@ -62,7 +62,7 @@
 #[test]
 fn responses_survive_cuts_and_garbage() {
     let body = r#"{"Results":[{"KV":{"Key":"snowfield/duties/d","ModifyIndex":12}}],"Errors":null}"#;
-    cuts::survives_garbage(body.as_bytes(), |pieces| {
+    fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| {
         for status in [200, 409] {
             let response = Response { status, index: 0, body: pieces.concat() };
             let _ = keys().compare_and_set_outcome(&response, "d");
--- a/crates/json_stream/tests/objects.rs
+++ b/crates/json_stream/tests/objects.rs
@@ -36,8 +36,8 @@
         end(),
     ];
     assert_eq!(found, expected);
-    cuts::same_however_cut(stream.as_bytes(), read);
-    cuts::survives_garbage(stream.as_bytes(), |pieces| drop(read(pieces)));
+    fuzz_inputs::same_however_cut(stream.as_bytes(), read);
+    fuzz_inputs::survives_garbage(stream.as_bytes(), |pieces| drop(read(pieces)));
 }
 
 #[test]
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -175,7 +175,7 @@
     };
     let valid = keyring("ab").verify(&valid).expect("authentic").to_vec();
     let state = std::cell::RefCell::new(&mut member);
-    cuts::survives_garbage(&valid, |pieces| {
+    fuzz_inputs::survives_garbage(&valid, |pieces| {
         let data = pieces.concat();
         let mut out = Vec::new();
         state.borrow_mut().handle_datagram(0, &data, &mut out);
--- a/crates/openapi/tests/load.rs
+++ b/crates/openapi/tests/load.rs
@@ -1,6 +1,6 @@
 //! What a table is made of, and what is refused.
 
-use cuts::survives_garbage;
+use fuzz_inputs::survives_garbage;
 use openapi::{Description, Match, RouteTable};
 
 fn load(texts: &[&str]) -> Result<RouteTable, String> {
--- a/crates/replicated_config/tests/malformed_messages.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -34,6 +34,6 @@
         assert_eq!(Message::decode(&bytes).expect("it is a message"), message);
         // A cut message is an error; bytes that resemble a message may be decoded, within their own length.
         (0..bytes.len()).for_each(|n| assert!(Message::decode(&bytes[..n]).is_err(), "{n} bytes"));
-        cuts::survives_garbage(&bytes, |pieces| drop(Message::decode(&pieces.concat())));
+        fuzz_inputs::survives_garbage(&bytes, |pieces| drop(Message::decode(&pieces.concat())));
     }
 }
--- a/crates/resp/tests/cuts.rs
+++ b/crates/resp/tests/cuts.rs
@@ -1,6 +1,6 @@
 //! Random cuts and garbage against the codec, and the exact bytes that go on.
 
-use cuts::{same_however_cut, survives_garbage};
+use fuzz_inputs::{same_however_cut, survives_garbage};
 use resp::{LARGEST_BULK, Malformed, Query};
 
 const COMMANDS: &[u8] =
--- a/crates/settings/tests/garbage.rs
+++ b/crates/settings/tests/garbage.rs
@@ -1,6 +1,6 @@
 //! What files say, and files that are rejected without a panic.
 
-use cuts::survives_garbage;
+use fuzz_inputs::survives_garbage;
 use settings::appliance::ApplianceConfig;
 use settings::platform::PlatformConfig;
 
