--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 
 # Passes over just the tests that KNOWN-RED.txt lists (at most three, each with cause and issue), and prints them.
 test:
-	cargo run --quiet --locked -p known_red -- KNOWN-RED.txt cargo test --workspace --locked --no-fail-fast
+	cargo run --quiet --locked -p known_failures -- KNOWN-RED.txt cargo test --workspace --locked --no-fail-fast
 
 lint:
 	cargo fmt --all --check
--- a/crates/known_red/src/main.rs
+++ b/crates/known_failures/src/main.rs
@@ -1,14 +1,14 @@
-//! `known_red LIST COMMAND...`: runs a test command, passes on what it writes, and tells whether the run is good. A list that does
+//! `known_failures LIST COMMAND...`: runs a test command, passes on what it writes, and tells whether the run is good. A list that does
 //! not exist is an empty one.
 
-use known_red::{Run, read};
+use known_failures::{Run, read};
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::process::{Command, ExitCode};
 
 fn judge() -> Result<Vec<String>, String> {
     let mut arguments = std::env::args().skip(1);
     let (Some(list), Some(program)) = (arguments.next(), arguments.next()) else {
-        return Err("usage: known_red LIST COMMAND...".into());
+        return Err("usage: known_failures LIST COMMAND...".into());
     };
     let list = match std::fs::read_to_string(&list) {
         Err(e) if e.kind() == ErrorKind::NotFound => Vec::new(),
--- a/crates/known_red/tests/verdict.rs
+++ b/crates/known_failures/tests/verdict.rs
@@ -1,6 +1,6 @@
 //! What the verdict is on runs and lists of each kind, and what the program makes of a command.
 
-use known_red::{Run, read};
+use known_failures::{Run, read};
 use std::process::Command;
 
 /// A run of two targets, as the test runner writes it.
@@ -97,7 +97,7 @@
     let (list, output) = (folder.join("KNOWN-RED.txt"), folder.join("output"));
     std::fs::write(&output, with_failure("second")).expect("a file");
     let run = |command: &str| {
-        let mut program = Command::new(env!("CARGO_BIN_EXE_known_red"));
+        let mut program = Command::new(env!("CARGO_BIN_EXE_known_failures"));
         program.arg(&list).args(["sh", "-c", command]).current_dir(&folder);
         let out = program.output().expect("it runs");
         (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
