--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -202,12 +202,12 @@
         }
         // Before the answer goes out: what is not written yet must not be forwarded after it.
         self.withdraw_open_attempts(id);
-        let is_weakened = weakened::BUILD && id.0 % WEAKENED_PERIOD == WEAKENED_PERIOD - 1;
-        if is_weakened && weakened::breaks("holds") {
+        let is_weakened = seeded_faults::BUILD && id.0 % WEAKENED_PERIOD == WEAKENED_PERIOD - 1;
+        if is_weakened && seeded_faults::breaks("holds") {
             // Used by nothing else: without the black box the compiler leaves it out.
             std::mem::forget(std::hint::black_box(vec![1u8; WEAKENED_LEAK]));
         }
-        if !is_weakened || !weakened::breaks("answers") {
+        if !is_weakened || !seeded_faults::breaks("answers") {
             self.side_effects.push_back(SideEffect::Answer(reply, answer));
         }
         self.remove_if_over(id);
--- a/crates/snowfield/src/fleet.rs
+++ b/crates/snowfield/src/fleet.rs
@@ -136,7 +136,7 @@
             let mean = working().map(|e| e.instance.weight).sum::<f64>() / working().count().max(1) as f64;
             for entry in &view.entries {
                 let (id, instance) = (entry.number, &entry.instance);
-                let takes_work = entry.takes_work || weakened::breaks("drained");
+                let takes_work = entry.takes_work || seeded_faults::breaks("drained");
                 let ready = takes_work && !known.out.contains(&self.name(service, &instance.id));
                 let stated = instance.started.map(|ms| (ms * 1000).min(now));
                 let started = match known.before.get(&id) {
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -19,10 +19,10 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    if weakened::BUILD {
+    if seeded_faults::BUILD {
         eprintln!("snowfield: this build breaks a rule on purpose; it serves nobody");
     }
-    if weakened::breaks("exits") {
+    if seeded_faults::breaks("exits") {
         std::thread::spawn(|| {
             std::thread::sleep(std::time::Duration::from_secs(5));
             std::process::exit(0);
