--- a/crates/rig/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -1,8 +1,8 @@
 //! The forms that are kept in files and the verdicts on them stay as they were: schedules, histories, and what checkers find.
 
-use rig::checks::{Bounds, check, contradiction, operations};
-use rig::history::{read, write};
-use rig::schedule::{Schedule, named};
+use fault_injection::checks::{Bounds, check, contradiction, operations};
+use fault_injection::history::{read, write};
+use fault_injection::schedule::{Schedule, named};
 use std::fmt::Write;
 use std::path::PathBuf;
 
--- a/crates/proofs/src/bin/proof-agreed.rs
+++ b/crates/proofs/src/bin/proof-agreed.rs
@@ -1,11 +1,11 @@
 //! Agreed versions on real programs under injected faults: what each acted on and when, by its own lines with the machine's
 //! clock, and how long a change takes.
 
+use fault_injection::checks::contradiction;
+use fault_injection::history::{Record, What};
+use fault_injection::play::{Played, play};
+use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use proofs::{Table, each_of, percentile, program};
-use rig::checks::contradiction;
-use rig::history::{Record, What};
-use rig::play::{Played, play};
-use rig::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
--- a/crates/proofs/src/bin/proof-catalogue.rs
+++ b/crates/proofs/src/bin/proof-catalogue.rs
@@ -1,12 +1,12 @@
 //! The list of loan servers through Consul's faults, on the rig: the real program with two agents, and 12 loan servers under
 //! steady load. For each drain the time of the word and of the last request that came there.
 
+use fault_injection::checks::{answers, exits};
+use fault_injection::history::{End, Record, What, now};
+use fault_injection::load::{FREE, Lender};
+use fault_injection::schedule::{Disk, Form, Has, How, Kind, Schedule};
+use fault_injection::site::{Site, common_files};
 use proofs::{Table, percentile, program};
-use rig::checks::{answers, exits};
-use rig::history::{End, Record, What, now};
-use rig::load::{FREE, Lender};
-use rig::schedule::{Disk, Form, Has, How, Kind, Schedule};
-use rig::site::{Site, common_files};
 use stand_in_consul::{Fault, Service, Status};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/proofs/src/bin/proof-checkers.rs
+++ b/crates/proofs/src/bin/proof-checkers.rs
@@ -1,8 +1,8 @@
 //! Whether the rig's checkers find what they are for: a build that breaks one rule on purpose is played until its rule is named.
 
+use fault_injection::play::play;
+use fault_injection::schedule::{Fault, Form, Kind, Schedule};
 use proofs::{Table, program};
-use rig::play::play;
-use rig::schedule::{Fault, Form, Kind, Schedule};
 use std::path::Path;
 use std::process::{Command, ExitCode};
 
--- a/crates/proofs/src/bin/proof-compatibility.rs
+++ b/crates/proofs/src/bin/proof-compatibility.rs
@@ -9,12 +9,12 @@
 //!
 //! Ends with 1 where a rule is broken or a figure is out of bounds, and with 2 where it is called wrongly.
 
+use fault_injection::builds::Builds;
+use fault_injection::history::{End, Record, What};
+use fault_injection::play::{Played, play};
+use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
+use fault_injection::site::PERIOD;
 use proofs::{Table, program};
-use rig::builds::Builds;
-use rig::history::{End, Record, What};
-use rig::play::{Played, play};
-use rig::schedule::{Fault, Form, Has, How, Kind, Schedule};
-use rig::site::PERIOD;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
--- a/crates/proofs/src/bin/proof-duties.rs
+++ b/crates/proofs/src/bin/proof-duties.rs
@@ -1,11 +1,11 @@
 //! Shared duties on real programs: 8 instances, 64 duties every 500 ms, with kills, pauses, splits and outages of the claim
 //! store, played on the rig. The target takes every call, so a round that ran twice is seen twice.
 
+use fault_injection::history::{Record, What};
+use fault_injection::play::{Played, play};
+use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
+use fault_injection::site::PERIOD;
 use proofs::{Table, percentile, program};
-use rig::history::{Record, What};
-use rig::play::{Played, play};
-use rig::schedule::{Fault, Form, Has, How, Kind, Schedule};
-use rig::site::PERIOD;
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 
--- a/crates/proofs/src/bin/proof-faults.rs
+++ b/crates/proofs/src/bin/proof-faults.rs
@@ -1,12 +1,12 @@
 //! Several real programs under injected faults: schedules from seeds and by name, played several at a time, each judged by
 //! the rig's checkers.
 
+use fault_injection::checks::Violation;
+use fault_injection::history;
+use fault_injection::play::{Played, play, shrunk};
+use fault_injection::schedule::{Schedule, named};
+use fault_injection::torn::{Torn, at_each_byte};
 use proofs::{Table, each_of, percentile, program};
-use rig::checks::Violation;
-use rig::history;
-use rig::play::{Played, play, shrunk};
-use rig::schedule::{Schedule, named};
-use rig::torn::{Torn, at_each_byte};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
