--- a/crates/snowfield/tests/oncall.rs
+++ b/crates/snowfield/tests/oncall.rs
@@ -24,7 +24,7 @@
     for folder in crates.read_dir().expect("the crates").flatten() {
         // Programs and stand-ins of their own, which write no log of the gatekeeper's.
         let name = folder.file_name();
-        let apart = ["proofs", "fault_injection", "cluster_simulation", "stand_in_"];
+        let apart = ["system_tests", "fault_injection", "cluster_simulation", "stand_in_"];
         if apart.iter().any(|a| name.to_str().is_some_and(|n| n.starts_with(a))) {
             continue;
         }
--- a/crates/proofs/src/bin/proof-agreed.rs
+++ b/crates/system_tests/src/bin/proof-agreed.rs
@@ -5,11 +5,11 @@
 use fault_injection::history::{Record, What};
 use fault_injection::play::{Played, play};
 use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
-use proofs::{Table, each_of, percentile, program};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::sync::Mutex;
+use system_tests::{Table, each_of, percentile, program};
 
 /// The first voter stands for election first, so that as a rule it leads.
 const LEADER: &str = "m0";
--- a/crates/proofs/src/bin/proof-catalogue.rs
+++ b/crates/system_tests/src/bin/proof-catalogue.rs
@@ -6,7 +6,6 @@
 use fault_injection::load::{FREE, Lender};
 use fault_injection::schedule::{Disk, Form, Has, How, Kind, Schedule};
 use fault_injection::site::{Site, common_files};
-use proofs::{Table, percentile, program};
 use stand_in_consul::{Fault, Service, Status};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,6 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, sleep};
 use std::time::Duration;
+use system_tests::{Table, percentile, program};
 
 const LOANS: usize = 12;
 const CLIENTS: usize = 6;
--- a/crates/proofs/src/bin/proof-checkers.rs
+++ b/crates/system_tests/src/bin/proof-checkers.rs
@@ -2,9 +2,9 @@
 
 use fault_injection::play::play;
 use fault_injection::schedule::{Fault, Form, Kind, Schedule};
-use proofs::{Table, program};
 use std::path::Path;
 use std::process::{Command, ExitCode};
+use system_tests::{Table, program};
 
 /// What is broken, and the rule that has to name it.
 const BROKEN: [(&str, &str); 7] = [
--- a/crates/proofs/src/bin/proof-compatibility.rs
+++ b/crates/system_tests/src/bin/proof-compatibility.rs
@@ -14,11 +14,11 @@
 use fault_injection::play::{Played, play};
 use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use fault_injection::site::PERIOD;
-use proofs::{Table, program};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use system_tests::{Table, program};
 
 const USAGE: &str =
     "proof-compatibility OLD [NEW]: two builds of snowfield; NEW is the release build beside this program";
--- a/crates/proofs/src/bin/proof-duties-simulated.rs
+++ b/crates/system_tests/src/bin/proof-duties-simulated.rs
@@ -2,9 +2,9 @@
 //! datagrams lost, then half of the instances killed. Shows how the cost grows.
 
 use cluster_simulation::{Simulation, SimulationConfig};
-use proofs::Table;
 use std::process::ExitCode;
 use std::time::Instant;
+use system_tests::Table;
 
 /// Milliseconds from round to round.
 const PERIOD: u64 = 5_000;
--- a/crates/proofs/src/bin/proof-duties.rs
+++ b/crates/system_tests/src/bin/proof-duties.rs
@@ -5,9 +5,9 @@
 use fault_injection::play::{Played, play};
 use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use fault_injection::site::PERIOD;
-use proofs::{Table, percentile, program};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
+use system_tests::{Table, percentile, program};
 
 const INSTANCES: usize = 8;
 const DUTIES: usize = 64;
--- a/crates/proofs/src/bin/proof-faults.rs
+++ b/crates/system_tests/src/bin/proof-faults.rs
@@ -6,11 +6,11 @@
 use fault_injection::play::{Played, play, shrunk};
 use fault_injection::schedule::{Schedule, named};
 use fault_injection::torn::{Torn, at_each_byte};
-use proofs::{Table, each_of, percentile, program};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Mutex;
+use system_tests::{Table, each_of, percentile, program};
 
 const USAGE: &str = "\
 proof-faults [--seed N] [--schedules N] [--length MS] [--parallel N] [--build PROGRAM] [--keep FOLDER]
--- a/crates/proofs/src/bin/proof-membership.rs
+++ b/crates/system_tests/src/bin/proof-membership.rs
@@ -2,9 +2,9 @@
 //! death, the healing of a split and the return of a member that was stopped take until all see the same, and what that costs.
 
 use cluster_simulation::{Simulation, SimulationConfig};
-use proofs::Table;
 use std::process::ExitCode;
 use std::time::Instant;
+use system_tests::Table;
 
 /// ms between two looks.
 const LOOK: u64 = 100;
--- a/crates/proofs/src/bin/proof-platform-cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost.rs
@@ -2,11 +2,11 @@
 //! to a `snowfield`; without any, the one beside this program. They take turns, so that a machine that changes its pace
 //! changes it for all. The last is held to the first.
 
-use proofs::{Folder, LONG, Program, Table, free_ports, percentile};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use system_tests::{Folder, LONG, Program, Table, free_ports, percentile};
 
 const CLIENTS: u32 = 8;
 /// Requests of one client in a turn, the first of which are not counted: the program grows its tables then.
@@ -139,7 +139,7 @@
 fn main() -> ExitCode {
     let mut builds: Vec<PathBuf> = std::env::args().skip(1).map(PathBuf::from).collect();
     if builds.is_empty() {
-        builds.push(proofs::program());
+        builds.push(system_tests::program());
     }
     let agent = agent();
     let destinations: Vec<SocketAddr> = (0..4).map(|_| destination()).collect();
--- a/crates/proofs/src/bin/proof-timing.rs
+++ b/crates/system_tests/src/bin/proof-timing.rs
@@ -2,7 +2,6 @@
 //! attempts and copies do to latencies and load where one of ten destinations is slow, where some answers of each are, and
 //! where all are.
 
-use proofs::{Folder, LONG, Program, Table, free_ports, percentile};
 use stand_in_consul::{Consul, Service};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,6 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
+use system_tests::{Folder, LONG, Program, Table, free_ports, percentile};
 
 const DESTINATIONS: usize = 10;
 const CLIENTS: usize = 8;
@@ -72,7 +72,8 @@
     let bad = bad_classes();
     let refused = bad.iter().filter(|(class, told)| {
         let path = folder.write("bad.toml", &file(ports, ports[0], class));
-        let out = Command::new(proofs::program()).args(["check", &path]).output().expect("the program runs");
+        let out =
+            Command::new(system_tests::program()).args(["check", &path]).output().expect("the program runs");
         let said = String::from_utf8_lossy(&out.stderr);
         let good = !out.status.success() && said.contains(told);
         if !good {
