--- a/crates/fault_injection/src/checks.rs
+++ b/crates/fault_injection/src/checks.rs
@@ -1,6 +1,6 @@
 //! The rules, as pure functions over a history. What excuses what is in docs/design/faults.md.
 
-use crate::history::{End, Record, What};
+use crate::history::{Observation, Outcome, Record};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -58,11 +58,15 @@
     let mut open = HashMap::new();
     let mut all = Vec::new();
     for record in history {
-        let What::Fault { number, kind, begins, hits, late } = &record.what else { continue };
+        let Observation::Fault { index: number, kind, begins, affected: hits, delays_attempts: late } =
+            &record.observation
+        else {
+            continue;
+        };
         if *begins {
-            open.insert(*number, Span { span: (record.at, u64::MAX), kind, hits, late: *late });
+            open.insert(*number, Span { span: (record.at_us, u64::MAX), kind, hits, late: *late });
         } else if let Some(fault) = open.remove(number) {
-            all.push(Span { span: (fault.span.0, record.at), ..fault });
+            all.push(Span { span: (fault.span.0, record.at_us), ..fault });
         }
     }
     all.extend(open.into_values());
@@ -95,31 +99,33 @@
         hits.get(via).is_some_and(|spans| spans.iter().any(|&(from, to)| from <= until && to >= asked))
     };
     for record in history {
-        match &record.what {
-            What::Asked { op, via, .. } if open.insert(*op, (record.at, via)).is_some() => {
+        match &record.observation {
+            Observation::RequestSent { request_id: op, gatekeeper: via, .. }
+                if open.insert(*op, (record.at_us, via)).is_some() =>
+            {
                 found.push(violation(RULE, format!("operation {op} was asked twice")));
             }
-            What::Ended { op, end } => {
+            Observation::RequestEnded { request_id: op, outcome: end } => {
                 let Some((asked, via)) = open.remove(op) else {
-                    if *end != End::Untaken {
+                    if *end != Outcome::NotAccepted {
                         found.push(violation(RULE, format!("operation {op} has more than one end")));
                     }
                     continue;
                 };
-                let took = record.at - asked;
+                let took = record.at_us - asked;
                 match end {
-                    End::Foreign => {
+                    Outcome::Foreign => {
                         found.push(violation(
                             RULE,
                             format!("operation {op} got the answer of another, by {via}"),
                         ));
                     }
-                    End::Broken if !excused(asked, record.at, via) => found.push(violation(
+                    Outcome::Unanswered if !excused(asked, record.at_us, via) => found.push(violation(
                         RULE,
                         format!("operation {op} has no answer from {via} after {} ms", took / 1_000),
                     )),
-                    End::Served | End::Refused | End::Failed
-                        if took > longest && !excused(asked, record.at, via) =>
+                    Outcome::Served | Outcome::Rejected | Outcome::Failed
+                        if took > longest && !excused(asked, record.at_us, via) =>
                     {
                         found.push(violation(
                             RULE,
@@ -132,7 +138,7 @@
             _ => {}
         }
     }
-    let last = history.last().map_or(0, |r| r.at);
+    let last = history.last().map_or(0, |r| r.at_us);
     for (op, (asked, via)) in open {
         if last - asked > longest && !excused(asked, last, via) {
             found.push(violation(RULE, format!("operation {op} through {via} never ended for its client")));
@@ -148,28 +154,29 @@
     let mut stores: HashMap<&str, (f64, u64)> = HashMap::new();
     let mut worst: BTreeMap<&str, (f64, u64)> = BTreeMap::new();
     for record in history {
-        match &record.what {
-            What::Asked { op, lender, units, .. } => {
+        match &record.observation {
+            Observation::RequestSent { request_id: op, tenant: lender, units, .. } => {
                 asked.insert(*op, (lender, *units));
             }
-            What::Arrived { op, .. } => {
+            Observation::AttemptArrived { request_id: op, .. } => {
                 // Only the first attempt counts.
                 let Some((lender, units)) = asked.remove(op) else { continue };
                 let Some(&(rate, burst, _)) = bounds.ceilings.get(lender) else { continue };
-                let (level, at) = stores.entry(lender).or_insert((burst, record.at));
-                *level = (*level + rate * (record.at - *at) as f64 / 1e6).min(burst) - units;
-                *at = record.at;
+                let (level, at) = stores.entry(lender).or_insert((burst, record.at_us));
+                *level = (*level + rate * (record.at_us - *at) as f64 / 1e6).min(burst) - units;
+                *at = record.at_us;
                 let low = worst.entry(lender).or_insert((f64::MAX, 0));
                 if *level < low.0 {
-                    *low = (*level, record.at);
+                    *low = (*level, record.at_us);
                 }
             }
             _ => {}
         }
     }
-    let begun = history.first().map_or(0, |r| r.at);
+    let begun = history.first().map_or(0, |r| r.at_us);
     // What is on its way to a loan server is seen late by so much; by a spoilt link for as long as its sender waits.
-    let spoilt = history.iter().any(|r| matches!(r.what, What::Fault { late: true, .. }));
+    let spoilt =
+        history.iter().any(|r| matches!(r.observation, Observation::Fault { delays_attempts: true, .. }));
     let late = bounds.late + if spoilt { bounds.deadline } else { 0 };
     let past = |(lender, (level, at)): (&str, (f64, u64))| {
         let &(rate, burst, largest) = bounds.ceilings.get(lender)?;
@@ -191,8 +198,8 @@
     let mut out: HashMap<(&str, String), u64> = HashMap::new();
     let mut found = Vec::new();
     for record in history {
-        match &record.what {
-            What::Line { who, fields, .. } => {
+        match &record.observation {
+            Observation::LogLine { process: who, fields, .. } => {
                 let told = (fields.get("server"), fields.get("takes_work"));
                 let (Some(Value::String(server)), Some(Value::Bool(takes_work))) = told else { continue };
                 // Ids are told with their node.
@@ -200,23 +207,24 @@
                 if *takes_work {
                     out.remove(&(who.as_str(), server));
                 } else {
-                    out.insert((who, server), record.at);
+                    out.insert((who, server), record.at_us);
                 }
             }
-            What::Told { who, server, takes_work: true } => {
+            Observation::EndpointNotified { gatekeeper: who, backend: server, accepts_requests: true } => {
                 out.remove(&(who.as_str(), server.clone()));
             }
-            What::Told { who, server, takes_work: false } => {
-                out.entry((who, server.clone())).or_insert(record.at);
+            Observation::EndpointNotified { gatekeeper: who, backend: server, accepts_requests: false } => {
+                out.entry((who, server.clone())).or_insert(record.at_us);
             }
-            What::Started { who } => out.retain(|(by, _), _| by != who),
-            What::Arrived { op, server, via } => {
+            Observation::ProcessStarted { process: who } => out.retain(|(by, _), _| by != who),
+            Observation::AttemptArrived { request_id: op, backend: server, gatekeeper: via } => {
                 let since = out.get(&(via.as_str(), server.clone()));
-                let late = since.map_or(0, |since| (record.at - since) / 1_000);
+                let late = since.map_or(0, |since| (record.at_us - since) / 1_000);
                 // A fault excuses what comes while it lasts, and for as long after its end as it would be allowed anyway.
                 let after = (bounds.drain + bounds.late + bounds.deadline) * 1_000;
-                let within =
-                    |&(from, to): &(u64, u64)| from <= record.at && record.at <= to.saturating_add(after);
+                let within = |&(from, to): &(u64, u64)| {
+                    from <= record.at_us && record.at_us <= to.saturating_add(after)
+                };
                 let excused = |since: u64| {
                     let hit = hits.get(via.as_str()).into_iter().flatten();
                     hit.chain(&spoilt).any(|span| span.1 >= since && within(span))
@@ -239,7 +247,9 @@
     let mut ran: HashMap<(&str, u64), &str> = HashMap::new();
     let mut found = Vec::new();
     for record in history {
-        let What::Ran { duty, round, by } = &record.what else { continue };
+        let Observation::JobRan { job: duty, run: round, instance: by } = &record.observation else {
+            continue;
+        };
         if let Some(before) = ran.insert((duty, *round), by) {
             let text = format!("round {round} of {duty} was run by {before} and by {by}");
             found.push(violation("no round twice", text));
@@ -250,12 +260,14 @@
 
 /// No program ends but when it is told to, and one that is told to end in order ends with 0.
 pub fn exits(history: &[Record], _: &Bounds) -> Vec<Violation> {
-    let wrong = |record: &Record| match &record.what {
-        What::Exited { who, code, told } if !told || (*code != 0 && *code != -9) => {
+    let wrong = |record: &Record| match &record.observation {
+        Observation::ProcessExited { process: who, exit_code: code, requested: told }
+            if !told || (*code != 0 && *code != -9) =>
+        {
             let lines: Vec<&str> = history
                 .iter()
-                .filter_map(|r| match &r.what {
-                    What::Line { who: by, text, .. } if by == who => Some(text.as_str()),
+                .filter_map(|r| match &r.observation {
+                    Observation::LogLine { process: by, text, .. } if by == who => Some(text.as_str()),
                     _ => None,
                 })
                 .collect();
@@ -272,7 +284,11 @@
     let mut told = HashSet::new();
     let mut found = Vec::new();
     for record in history {
-        let What::Holds { who, kb, files, threads, .. } = &record.what else { continue };
+        let Observation::ResourceUse { process: who, memory_kb: kb, descriptors: files, threads, .. } =
+            &record.observation
+        else {
+            continue;
+        };
         let (most_kb, most_files, most_threads) = bounds.holds;
         if (*kb > most_kb || *files > most_files || *threads > most_threads) && told.insert(who) {
             let text = format!("{who} holds {kb} kB, {files} descriptors and {threads} threads");
@@ -284,17 +300,19 @@
 
 /// All agree again in time after the last fault.
 pub fn agreed(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
-    let lost = history.iter().any(|r| matches!(&r.what, What::Fault { kind, .. } if kind == "counter empty"));
+    let lost = history
+        .iter()
+        .any(|r| matches!(&r.observation, Observation::Fault { kind, .. } if kind == "counter empty"));
     let most = if lost { bounds.agree_after_loss } else { bounds.agree };
-    let late = |record: &Record| match &record.what {
-        What::Agreed { after, apart } if after.is_none_or(|ms| ms > most) => {
+    let late = |record: &Record| match &record.observation {
+        Observation::Converged { after_ms: after, divergence: apart } if after.is_none_or(|ms| ms > most) => {
             let after = after.map_or("never".into(), |ms| format!("after {ms} ms"));
             Some(violation("all agree again", format!("{after}, {most} ms allowed; apart: {apart}")))
         }
         _ => None,
     };
     let mut found: Vec<Violation> = history.iter().filter_map(late).collect();
-    if !history.iter().any(|r| matches!(r.what, What::Agreed { .. })) {
+    if !history.iter().any(|r| matches!(r.observation, Observation::Converged { .. })) {
         found.push(violation("all agree again", "nobody has looked".into()));
     }
     found
@@ -314,8 +332,8 @@
     let mut acts: BTreeMap<&str, Acts> = BTreeMap::new();
     let (mut since, mut longest) = (None::<(u64, String)>, (0, String::new()));
     for record in history {
-        match &record.what {
-            What::Line { who, fields, .. } => {
+        match &record.observation {
+            Observation::LogLine { process: who, fields, .. } => {
                 let number = |name: &str| fields.get(name).and_then(Value::as_u64);
                 let (Some(version), Some(proposed), Some(leased)) =
                     (number("version"), number("proposed"), fields.get("leased").and_then(Value::as_bool))
@@ -328,32 +346,33 @@
                     acts.remove(who.as_str());
                 }
             }
-            What::Exited { who, .. } | What::Started { who } => drop(acts.remove(who.as_str())),
-            What::Fault { .. } => {}
+            Observation::ProcessExited { process: who, .. }
+            | Observation::ProcessStarted { process: who } => drop(acts.remove(who.as_str())),
+            Observation::Fault { .. } => {}
             _ => continue,
         }
-        let now: Vec<(&&str, &Acts)> = acts.iter().filter(|(who, _)| !stands(who, record.at)).collect();
+        let now: Vec<(&&str, &Acts)> = acts.iter().filter(|(who, _)| !stands(who, record.at_us)).collect();
         let behind = now.iter().min_by_key(|(_, a)| a.1);
         let ahead = now.iter().max_by_key(|(_, a)| a.0);
         let apart = behind.zip(ahead).filter(|(b, a)| a.1.0 > b.1.1);
         match apart {
             Some((b, a)) if since.is_none() => {
-                since = Some((record.at, format!("{} by {:?}, {} by {:?}", b.0, b.1, a.0, a.1)));
+                since = Some((record.at_us, format!("{} by {:?}, {} by {:?}", b.0, b.1, a.0, a.1)));
             }
             Some(_) => {}
             None => {
                 if let Some((from, text)) = since.take()
-                    && record.at - from > longest.0
+                    && record.at_us - from > longest.0
                 {
-                    longest = (record.at - from, text);
+                    longest = (record.at_us - from, text);
                 }
             }
         }
     }
     if let (Some((from, text)), Some(last)) = (since, history.last())
-        && last.at - from > longest.0
+        && last.at_us - from > longest.0
     {
-        longest = (last.at - from, text);
+        longest = (last.at_us - from, text);
     }
     (longest.0 / 1_000, longest.1)
 }
@@ -366,10 +385,10 @@
 }
 
 /// Operations by their end: for a table, no rule.
-pub fn operations(history: &[Record]) -> BTreeMap<End, u64> {
+pub fn operations(history: &[Record]) -> BTreeMap<Outcome, u64> {
     let mut ends = BTreeMap::new();
     for record in history {
-        if let What::Ended { end, .. } = &record.what {
+        if let Observation::RequestEnded { outcome: end, .. } = &record.observation {
             *ends.entry(*end).or_default() += 1;
         }
     }
@@ -394,97 +413,136 @@
     }
 
     /// A history from times in ms.
-    fn history(list: &[(u64, What)]) -> Vec<Record> {
-        list.iter().map(|(ms, what)| Record { at: ms * 1_000, what: what.clone() }).collect()
+    fn history(list: &[(u64, Observation)]) -> Vec<Record> {
+        list.iter().map(|(ms, what)| Record { at_us: ms * 1_000, observation: what.clone() }).collect()
     }
 
-    fn asked(op: u64, via: &str) -> What {
-        What::Asked { op, lender: "greedy".into(), units: 1.0, via: via.into() }
+    fn asked(op: u64, via: &str) -> Observation {
+        Observation::RequestSent {
+            request_id: op,
+            tenant: "greedy".into(),
+            units: 1.0,
+            gatekeeper: via.into(),
+        }
     }
 
-    fn ended(op: u64, end: End) -> What {
-        What::Ended { op, end }
+    fn ended(op: u64, end: Outcome) -> Observation {
+        Observation::RequestEnded { request_id: op, outcome: end }
     }
 
-    fn fault(begins: bool, hits: &[&str]) -> What {
+    fn fault(begins: bool, hits: &[&str]) -> Observation {
         let hits = hits.iter().map(|h| (*h).to_owned()).collect();
-        What::Fault { number: 0, kind: "killed".into(), begins, hits, late: false }
+        Observation::Fault { index: 0, kind: "killed".into(), begins, affected: hits, delays_attempts: false }
     }
 
     /// What m0 logs of l0.
-    fn says(takes_work: bool) -> What {
+    fn says(takes_work: bool) -> Observation {
         let fields = [("server", Value::from("a/l0")), ("takes_work", Value::from(takes_work))];
         let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
-        What::Line { who: "m0".into(), text: String::new(), fields }
+        Observation::LogLine { process: "m0".into(), text: String::new(), fields }
     }
 
-    fn arrived(op: u64) -> What {
-        What::Arrived { op, server: "l0".into(), via: "m0".into() }
+    fn arrived(op: u64) -> Observation {
+        Observation::AttemptArrived { request_id: op, backend: "l0".into(), gatekeeper: "m0".into() }
     }
 
     #[test]
     fn a_good_history_breaks_nothing() {
         let good = history(&[
-            (0, What::Started { who: "m0".into() }),
+            (0, Observation::ProcessStarted { process: "m0".into() }),
             (1, asked(1, "m0")),
             (2, arrived(1)),
-            (3, ended(1, End::Served)),
+            (3, ended(1, Outcome::Served)),
             (4, fault(true, &["m0"])),
             (5, asked(2, "m0")),
-            (6, ended(2, End::Broken)),
+            (6, ended(2, Outcome::Unanswered)),
             (7, fault(false, &["m0"])),
             (8, says(false)),
             (900, arrived(3)),
             (901, says(true)),
             (9_000, arrived(4)),
-            (9_001, What::Ran { duty: "d".into(), round: 1, by: "m0".into() }),
-            (9_002, What::Ran { duty: "d".into(), round: 2, by: "m1".into() }),
-            (9_003, What::Holds { who: "m0".into(), kb: 9_000, files: 40, threads: 20, cpu_ms: 0 }),
-            (9_004, What::Exited { who: "m0".into(), code: -9, told: true }),
-            (9_005, What::Agreed { after: Some(700), apart: String::new() }),
+            (9_001, Observation::JobRan { job: "d".into(), run: 1, instance: "m0".into() }),
+            (9_002, Observation::JobRan { job: "d".into(), run: 2, instance: "m1".into() }),
+            (
+                9_003,
+                Observation::ResourceUse {
+                    process: "m0".into(),
+                    memory_kb: 9_000,
+                    descriptors: 40,
+                    threads: 20,
+                    cpu_ms: 0,
+                },
+            ),
+            (9_004, Observation::ProcessExited { process: "m0".into(), exit_code: -9, requested: true }),
+            (9_005, Observation::Converged { after_ms: Some(700), divergence: String::new() }),
         ]);
         assert_eq!(check(&good, &bounds()), []);
         let mut text = Vec::new();
         crate::history::write(&good, &mut text).expect("it is written");
-        assert_eq!(crate::history::read(&String::from_utf8_lossy(&text)), Ok(good));
+        let read = crate::history::read(&String::from_utf8_lossy(&text)).expect("it is read");
+        assert_eq!(read, good);
     }
 
     /// For each rule a history that breaks it, and only it.
     #[test]
     fn each_checker_finds_what_it_is_for() {
-        let agreed = (20_000, What::Agreed { after: Some(1), apart: String::new() });
-        let ran = |by: &str| What::Ran { duty: "d".into(), round: 7, by: by.into() };
-        let crowd: Vec<(u64, What)> =
+        let agreed = (20_000, Observation::Converged { after_ms: Some(1), divergence: String::new() });
+        let ran = |by: &str| Observation::JobRan { job: "d".into(), run: 7, instance: by.into() };
+        let crowd: Vec<(u64, Observation)> =
             (0..60).flat_map(|op| [(op, asked(op, "m0")), (op, arrived(op))]).collect();
-        let cases: Vec<(&str, Vec<(u64, What)>)> = vec![
-            ("one final answer in time", vec![(1, asked(1, "m0")), (9, ended(1, End::Broken))]),
-            ("one final answer in time", vec![(1, asked(1, "m0")), (1_900, ended(1, End::Served))]),
-            ("one final answer in time", vec![(1, asked(1, "m0")), (9, ended(1, End::Foreign))]),
+        let cases: Vec<(&str, Vec<(u64, Observation)>)> = vec![
+            ("one final answer in time", vec![(1, asked(1, "m0")), (9, ended(1, Outcome::Unanswered))]),
+            ("one final answer in time", vec![(1, asked(1, "m0")), (1_900, ended(1, Outcome::Served))]),
+            ("one final answer in time", vec![(1, asked(1, "m0")), (9, ended(1, Outcome::Foreign))]),
             ("one final answer in time", vec![(1, asked(1, "m0"))]),
             (
                 "one final answer in time",
-                vec![(1, asked(1, "m0")), (2, ended(1, End::Served)), (3, ended(1, End::Served))],
+                vec![(1, asked(1, "m0")), (2, ended(1, Outcome::Served)), (3, ended(1, Outcome::Served))],
             ),
             (
                 // The fault hit another one.
                 "one final answer in time",
-                vec![(0, fault(true, &["m1"])), (1, asked(1, "m0")), (9, ended(1, End::Broken))],
+                vec![(0, fault(true, &["m1"])), (1, asked(1, "m0")), (9, ended(1, Outcome::Unanswered))],
             ),
             ("hard ceiling", crowd),
             ("nothing new to who takes no work", vec![(1, says(false)), (1_500, arrived(9))]),
             ("no round twice", vec![(1, ran("m0")), (2, ran("m1"))]),
-            ("no exit unasked", vec![(1, What::Exited { who: "m0".into(), code: 0, told: false })]),
-            ("no exit unasked", vec![(1, What::Exited { who: "m0".into(), code: 101, told: true })]),
+            (
+                "no exit unasked",
+                vec![(
+                    1,
+                    Observation::ProcessExited { process: "m0".into(), exit_code: 0, requested: false },
+                )],
+            ),
+            (
+                "no exit unasked",
+                vec![(
+                    1,
+                    Observation::ProcessExited { process: "m0".into(), exit_code: 101, requested: true },
+                )],
+            ),
             (
                 "bounded memory, descriptors and threads",
-                vec![(1, What::Holds { who: "m0".into(), kb: 9_000, files: 900, threads: 20, cpu_ms: 0 })],
+                vec![(
+                    1,
+                    Observation::ResourceUse {
+                        process: "m0".into(),
+                        memory_kb: 9_000,
+                        descriptors: 900,
+                        threads: 20,
+                        cpu_ms: 0,
+                    },
+                )],
+            ),
+            (
+                "all agree again",
+                vec![(1, Observation::Converged { after_ms: None, divergence: "m1 sees 2".into() })],
             ),
-            ("all agree again", vec![(1, What::Agreed { after: None, apart: "m1 sees 2".into() })]),
         ];
         for (rule, list) in cases {
-            let ends: Vec<(u64, What)> = match rule {
+            let ends: Vec<(u64, Observation)> = match rule {
                 // What this rule is not about has its end.
-                "hard ceiling" => (0..60).map(|op| (100, ended(op, End::Served))).collect(),
+                "hard ceiling" => (0..60).map(|op| (100, ended(op, Outcome::Served))).collect(),
                 _ => Vec::new(),
             };
             let found =
@@ -504,11 +562,11 @@
         assert_eq!(ceilings(&history(&list), &bounds()), []);
     }
 
-    fn acts(who: &str, version: u64, proposed: u64, leased: bool) -> What {
+    fn acts(who: &str, version: u64, proposed: u64, leased: bool) -> Observation {
         let fields =
             [("version", version.into()), ("proposed", proposed.into()), ("leased", Value::from(leased))];
         let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
-        What::Line { who: who.into(), text: String::new(), fields }
+        Observation::LogLine { process: who.into(), text: String::new(), fields }
     }
 
     #[test]
@@ -535,12 +593,12 @@
         assert_eq!(contradiction(&bad).0, 5_000);
         assert_eq!(versions(&bad, &bounds()).len(), 1);
         // One that stands still acts on nothing.
-        let stopped = |begins| What::Fault {
-            number: 0,
+        let stopped = |begins| Observation::Fault {
+            index: 0,
             kind: "stopped".into(),
             begins,
-            hits: vec!["b".into()],
-            late: false,
+            affected: vec!["b".into()],
+            delays_attempts: false,
         };
         let still = history(&[
             (0, acts("a", 1, 0, true)),
--- /dev/null
+++ b/crates/fault_injection/src/history/recorder.rs
@@ -0,0 +1,34 @@
+//! Collects observations from all threads.
+
+use super::{Observation, Record, now_us};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// Collects observations from all threads. Clones share one list.
+#[derive(Clone, Debug, Default)]
+pub struct Recorder(Arc<Mutex<Vec<Record>>>);
+
+impl Recorder {
+    fn records(&self) -> MutexGuard<'_, Vec<Record>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Records an observation with the present time.
+    pub fn record(&self, observation: Observation) {
+        // The clock is read under the lock, so that the list is in the order of time.
+        let mut records = self.records();
+        records.push(Record { at_us: now_us(), observation });
+    }
+
+    /// Records what a process did at a time that it states itself. A time in the future counts as the present.
+    pub fn record_at(&self, at_us: u64, observation: Observation) {
+        let mut records = self.records();
+        records.push(Record { at_us: at_us.min(now_us()), observation });
+    }
+
+    /// All records so far, in the order of time.
+    pub fn records_by_time(&self) -> Vec<Record> {
+        let mut records = self.records().clone();
+        records.sort_by_key(|record| record.at_us);
+        records
+    }
+}
--- a/crates/fault_injection/src/load.rs
+++ b/crates/fault_injection/src/load.rs
@@ -1,6 +1,6 @@
 //! A steady load of lenders, each of whose requests is followed to its end.
 
-use crate::history::{End, Recorder, What};
+use crate::history::{Observation, Outcome, Recorder};
 use crate::net::Network;
 use crate::schedule::Form;
 use crate::wire;
@@ -74,29 +74,34 @@
     }
 
     /// Asks once and follows the operation to its end.
-    pub fn ask(&mut self, lender: &Lender) -> End {
+    pub fn ask(&mut self, lender: &Lender) -> Outcome {
         let op = self.manner.numbers.fetch_add(1, Ordering::Relaxed);
         let units = if op.is_multiple_of(5) { 4.0 } else { 1.0 };
-        let asked = What::Asked { op, lender: lender.name.to_owned(), units, via: self.via.clone() };
-        self.recorder.note(asked);
+        let asked = Observation::RequestSent {
+            request_id: op,
+            tenant: lender.name.to_owned(),
+            units,
+            gatekeeper: self.via.clone(),
+        };
+        self.recorder.record(asked);
         let mut end = self.attempt(op, lender, units);
         // What crosses the end of a connection that was kept is sent once more, on a new one.
         if end == Err(true) {
             end = self.attempt(op, lender, units);
         }
-        let end = end.unwrap_or(End::Broken);
-        self.recorder.note(What::Ended { op, end });
+        let end = end.unwrap_or(Outcome::Unanswered);
+        self.recorder.record(Observation::RequestEnded { request_id: op, outcome: end });
         end
     }
 
     /// The end, or whether a connection that was kept ended before a word of the answer.
-    fn attempt(&mut self, op: u64, lender: &Lender, units: f64) -> Result<End, bool> {
+    fn attempt(&mut self, op: u64, lender: &Lender, units: f64) -> Result<Outcome, bool> {
         let kept = self.connection.is_some();
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => {
                 let Ok(stream) = TcpStream::connect_timeout(&self.at, COMES_UP) else {
-                    return Ok(End::Untaken);
+                    return Ok(Outcome::NotAccepted);
                 };
                 let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(PATIENCE)));
                 BufReader::new(stream)
@@ -110,7 +115,7 @@
                 self.connection = Some(connection);
                 Ok(end)
             }
-            None if here.is_ok_and(|at| self.network.was_refused(at)) => Ok(End::Untaken),
+            None if here.is_ok_and(|at| self.network.was_refused(at)) => Ok(Outcome::NotAccepted),
             None => Err(kept),
         }
     }
@@ -138,24 +143,24 @@
         }
     }
 
-    fn answer(&self, from: &mut BufReader<TcpStream>, op: u64) -> Option<End> {
+    fn answer(&self, from: &mut BufReader<TcpStream>, op: u64) -> Option<Outcome> {
         match self.manner.form {
             Form::Appliance => {
                 let message = wire::message(from)?;
                 Some(match message.second() {
-                    "200" if message.body == op.to_string().as_bytes() => End::Served,
-                    "200" => End::Foreign,
-                    "429" | "503" => End::Refused,
-                    _ => End::Failed,
+                    "200" if message.body == op.to_string().as_bytes() => Outcome::Served,
+                    "200" => Outcome::Foreign,
+                    "429" | "503" => Outcome::Rejected,
+                    _ => Outcome::Failed,
                 })
             }
             Form::Platform => {
                 let text = wire::reply(from)?;
                 Some(match &text {
-                    text if text.starts_with("-BUSY") => End::Refused,
-                    text if text.starts_with('-') => End::Failed,
-                    text if u64::from_str_radix(text, 16) == Ok(op) => End::Served,
-                    _ => End::Foreign,
+                    text if text.starts_with("-BUSY") => Outcome::Rejected,
+                    text if text.starts_with('-') => Outcome::Failed,
+                    text if u64::from_str_radix(text, 16) == Ok(op) => Outcome::Served,
+                    _ => Outcome::Foreign,
                 })
             }
         }
@@ -176,7 +181,11 @@
             while !over.load(Ordering::Relaxed) {
                 let end = client.ask(&lender);
                 let pause = lender.pause * programs as u32;
-                thread::sleep(if end == End::Untaken { NOBODY } else { pause.mul_f64(0.5 + random.f64()) });
+                thread::sleep(if end == Outcome::NotAccepted {
+                    NOBODY
+                } else {
+                    pause.mul_f64(0.5 + random.f64())
+                });
             }
         })
     };
--- a/crates/fault_injection/src/play.rs
+++ b/crates/fault_injection/src/play.rs
@@ -2,7 +2,7 @@
 
 use crate::builds::Builds;
 use crate::checks::{self, Violation};
-use crate::history::{End, Record, Recorder, What, now};
+use crate::history::{Observation, Outcome, Record, Recorder, now_us};
 use crate::process::until;
 use crate::schedule::Schedule;
 use crate::site::{Site, common_files};
@@ -32,7 +32,7 @@
     /// Faults by kind, those that were played.
     pub faults: BTreeMap<String, u64>,
     /// Operations by their end.
-    pub ends: BTreeMap<End, u64>,
+    pub ends: BTreeMap<Outcome, u64>,
     /// ms from the end of the last fault until all agreed.
     pub agreed: Option<u64>,
     /// Bytes that links carried, datagrams dropped, connections reset.
@@ -51,7 +51,7 @@
     let site = Site::start(schedule, builds, folder)?;
     if !until(STARTS, ASKS, || site.apart().is_empty()) {
         let apart = format!("at the start, before any fault: {}", site.apart());
-        site.recorder.note(What::Agreed { after: None, apart });
+        site.recorder.record(Observation::Converged { after_ms: None, divergence: apart });
         return Ok(judged(&site, Vec::new(), None));
     }
     let over = Arc::new(AtomicBool::new(false));
@@ -68,7 +68,7 @@
         let left = Duration::from_millis(ms).saturating_sub(begun.elapsed());
         thread::sleep(left);
     };
-    let last_end = AtomicU64::new(now());
+    let last_end = AtomicU64::new(now_us());
     let failed: Vec<String> = thread::scope(|scope| {
         let (site, at, last_end) = (&site, &at, &last_end);
         let plays: Vec<_> = schedule
@@ -79,7 +79,7 @@
                 scope.spawn(move || {
                     at(fault.at_ms);
                     let done = site.play(number, &fault.kind, &|| at(fault.at_ms + fault.for_ms));
-                    last_end.fetch_max(now(), Ordering::Relaxed);
+                    last_end.fetch_max(now_us(), Ordering::Relaxed);
                     done
                 })
             })
@@ -92,12 +92,12 @@
         let text = site.apart();
         let fine = text.is_empty();
         if apart.replace(text.clone()) != text && !fine {
-            site.recorder.note(What::Apart { text });
+            site.recorder.record(Observation::DivergenceChanged { divergence: text });
         }
         fine
     };
-    let agreed = until(WAITS, ASKS, agree).then(|| (now() - last_end.load(Ordering::Relaxed)) / 1_000);
-    site.recorder.note(What::Agreed { after: agreed, apart: apart.into_inner() });
+    let agreed = until(WAITS, ASKS, agree).then(|| (now_us() - last_end.load(Ordering::Relaxed)) / 1_000);
+    site.recorder.record(Observation::Converged { after_ms: agreed, divergence: apart.into_inner() });
     at(schedule.length_ms);
     over.store(true, Ordering::Relaxed);
     load.into_iter().for_each(|client| drop(client.join()));
@@ -114,7 +114,7 @@
     violations.extend(failed.into_iter().map(|text| Violation { rule: "a program comes back", text }));
     let mut faults = BTreeMap::new();
     for record in &history {
-        if let What::Fault { kind, begins: true, .. } = &record.what {
+        if let Observation::Fault { kind, begins: true, .. } = &record.observation {
             *faults.entry(kind.clone()).or_default() += 1;
         }
     }
@@ -125,17 +125,17 @@
 fn settled(recorder: &Recorder) -> Vec<Record> {
     let open = || {
         let count = |exited: bool| {
-            let fits = |r: &&Record| match r.what {
-                What::Exited { .. } => exited,
-                What::Started { .. } => !exited,
+            let fits = |r: &&Record| match r.observation {
+                Observation::ProcessExited { .. } => exited,
+                Observation::ProcessStarted { .. } => !exited,
                 _ => false,
             };
-            recorder.all().iter().filter(fits).count()
+            recorder.records_by_time().iter().filter(fits).count()
         };
         count(true) == count(false)
     };
     until(Duration::from_secs(2), Duration::from_millis(20), open);
-    recorder.all()
+    recorder.records_by_time()
 }
 
 /// Leaves faults out one at a time for as long as what is left still fails, and brings the smallest that does.
--- a/crates/fault_injection/src/process.rs
+++ b/crates/fault_injection/src/process.rs
@@ -1,6 +1,6 @@
 //! A real program as a child, with its log, its signals and its end.
 
-use crate::history::{Recorder, What};
+use crate::history::{Observation, Recorder};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Map, Value};
 use std::ffi::OsString;
@@ -68,7 +68,7 @@
             .stderr(Stdio::piped())
             .spawn()?;
         let pid = Pid::from_child(&child);
-        recorder.note(What::Started { who: who.to_owned() });
+        recorder.record(Observation::ProcessStarted { process: who.to_owned() });
         let seen = Arc::<(Mutex<Seen>, Condvar)>::default();
         let told = Arc::new(AtomicBool::new(false));
         let mut readers = Vec::new();
@@ -85,7 +85,7 @@
             readers.into_iter().for_each(|reader| drop(reader.join()));
             let code = status.map_or(i32::MIN, |s| s.code().unwrap_or_else(|| -s.signal().unwrap_or(0)));
             let told = was_told.load(Ordering::Relaxed);
-            noted.note(What::Exited { who: name, code, told });
+            noted.record(Observation::ProcessExited { process: name, exit_code: code, requested: told });
             held(&ended).ended = true;
             ended.1.notify_all();
         });
@@ -239,10 +239,10 @@
     thread::spawn(move || {
         for line in out.lines().map_while(Result::ok) {
             let (at, text, fields) = told(line);
-            let noted = What::Line { who: who.clone(), text: text.clone(), fields };
+            let noted = Observation::LogLine { process: who.clone(), text: text.clone(), fields };
             match at {
-                Some(at) => recorder.note_at(at, noted),
-                None => recorder.note(noted),
+                Some(at) => recorder.record_at(at, noted),
+                None => recorder.record(noted),
             }
             held(&seen).lines.push(text);
             seen.1.notify_all();
--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -8,7 +8,7 @@
 
 use crate::builds::Builds;
 use crate::checks::Bounds;
-use crate::history::{End, Recorder, What, now};
+use crate::history::{Observation, Outcome, Recorder, now_us};
 use crate::load::{Client, FREE, LENDERS, Lender, Manner};
 use crate::net::{Network, Pairs, Party, Quality};
 use crate::process::{LONG, Process, until};
@@ -110,7 +110,7 @@
 
 /// A second byte of 127.x.y.z that no other site of this machine has, and what holds it.
 fn own_net() -> std::io::Result<(u8, TcpListener)> {
-    let first = now() as u8;
+    let first = now_us() as u8;
     for i in 0..=255u8 {
         let net = first.wrapping_add(i).max(2);
         let Ok(lock) = TcpListener::bind((Ipv4Addr::new(127, net, 0, 1), 7_999)) else { continue };
@@ -307,11 +307,20 @@
             for process in running.process.iter().chain(&running.next) {
                 if let Some((kb, files, threads, cpu_ms)) = process.holds() {
                     let who = process.who().to_owned();
-                    self.recorder.note(What::Holds { who, kb, files, threads, cpu_ms });
+                    self.recorder.record(Observation::ResourceUse {
+                        process: who,
+                        memory_kb: kb,
+                        descriptors: files,
+                        threads,
+                        cpu_ms,
+                    });
                 }
             }
         }
-        self.recorder.note(What::Carried { consul: self.consul.counts(), gossip: self.network.gossip() });
+        self.recorder.record(Observation::Traffic {
+            consul_requests: self.consul.counts(),
+            gossip_bytes: self.network.gossip(),
+        });
     }
 
     fn door(&self, i: usize, starts: u8) -> SocketAddr {
@@ -409,7 +418,7 @@
     /// The catalogue lists these from now on; brings the time.
     pub fn list(&self, services: Vec<Service>) -> u64 {
         let index = self.consul_index.fetch_add(1, Ordering::Relaxed) + 1;
-        let at = now();
+        let at = now_us();
         self.consul.set_service(index, SERVICE, services);
         at
     }
@@ -458,8 +467,8 @@
         let mut client = self.client(i);
         let probe = Lender { pause: Duration::ZERO, ..FREE };
         match client.ask(&probe) {
-            End::Served => String::new(),
-            end => format!("{}: a request was {end:?}", member.name),
+            Outcome::Served => String::new(),
+            end => format!("{}: a request was {}", member.name, end.name()),
         }
     }
 
--- a/crates/fault_injection/src/site/faults.rs
+++ b/crates/fault_injection/src/site/faults.rs
@@ -164,7 +164,13 @@
     ) -> Result<bool, String> {
         let note = |begins| {
             let (kind, hits) = (kind.name(), hits.clone());
-            self.recorder.note(What::Fault { number, kind, begins, hits, late });
+            self.recorder.record(Observation::Fault {
+                index: number,
+                kind,
+                begins,
+                affected: hits,
+                delays_attempts: late,
+            });
         };
         note(true);
         let done = act();
@@ -397,7 +403,11 @@
         std::fs::write(&rules, text).map_err(|e| e.to_string())?;
         let file = member.folder.join(&self.texts[i].0).display().to_string();
         let (code, said) = self.run(i, &["settings", "propose", &file, &rules.display().to_string()])?;
-        self.recorder.note(What::Proposed { who: member.name.clone(), code, said });
+        self.recorder.record(Observation::VersionProposed {
+            gatekeeper: member.name.clone(),
+            exit_code: code,
+            output: said,
+        });
         Ok(())
     }
 
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -1,6 +1,6 @@
 //! Stand-ins of what programs speak to, each of which can be told to fail. Consul's is a package of its own.
 
-use crate::history::{Recorder, What, now};
+use crate::history::{Observation, Recorder, now_us};
 use crate::net::{Network, Party};
 use crate::schedule::{Form, How};
 use crate::wire;
@@ -109,7 +109,12 @@
                             let life = Duration::from_millis(life.clamp(1, 60_000));
                             let total = self.add(name, amount, life);
                             let (name, via) = ((*name).to_owned(), via.to_owned());
-                            recorder.note(What::Counted { name, add: amount, total, via });
+                            recorder.record(Observation::CounterAdded {
+                                counter: name,
+                                amount: amount,
+                                total,
+                                gatekeeper: via,
+                            });
                             let total = total.to_string();
                             format!("${}\r\n{total}\r\n", total.len())
                         }
@@ -160,7 +165,7 @@
     fn serve(&self, mut stream: TcpStream, via: &str) {
         let Ok(read) = stream.try_clone() else { return };
         let mut requests = BufReader::new(read);
-        let mut random = fastrand::Rng::with_seed(now());
+        let mut random = fastrand::Rng::with_seed(now_us());
         loop {
             if *held(&self.failing) == Some(How::Closed) {
                 return;
@@ -182,7 +187,11 @@
             let how = *held(&self.failing);
             if let Some(op) = op {
                 // Probes are no operations.
-                self.recorder.note(What::Arrived { op, server: self.name.clone(), via: via.to_owned() });
+                self.recorder.record(Observation::AttemptArrived {
+                    request_id: op,
+                    backend: self.name.clone(),
+                    gatekeeper: via.to_owned(),
+                });
             }
             // Some milliseconds of work.
             thread::sleep(Duration::from_micros(random.u64(3_000..9_000)));
@@ -220,7 +229,11 @@
         while let Some(call) = wire::message(&mut calls) {
             let field = |name: &str| call.field(name).unwrap_or_default().to_owned();
             let Ok(round) = field("snowfield-round").parse() else { return };
-            recorder.note(What::Ran { duty: field("snowfield-duty"), round, by: field("snowfield-by") });
+            recorder.record(Observation::JobRan {
+                job: field("snowfield-duty"),
+                run: round,
+                instance: field("snowfield-by"),
+            });
             if stream.write_all(&wire::http("HTTP/1.1 200 OK", "")).is_err() {
                 return;
             }
@@ -303,7 +316,11 @@
                 if rev != told && network.quality(me, to) == Default::default() {
                     for (server, drains, _) in &held(&discovery.listed.0).servers {
                         let (who, server) = (who.clone(), server.clone());
-                        recorder.note(What::Told { who, server, takes_work: !drains });
+                        recorder.record(Observation::EndpointNotified {
+                            gatekeeper: who,
+                            backend: server,
+                            accepts_requests: !drains,
+                        });
                     }
                 }
                 if stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).is_err() {
--- a/crates/fault_injection/src/torn.rs
+++ b/crates/fault_injection/src/torn.rs
@@ -2,7 +2,7 @@
 //! while Consul does not answer.
 
 use crate::checks::Violation;
-use crate::history::{Recorder, What};
+use crate::history::{Observation, Recorder};
 use crate::process::Process;
 use crate::site::common_files;
 use stand_in_consul::{Consul, Fault, Service};
@@ -100,7 +100,10 @@
     let serves = program.listens().logged("serving OpenAPI");
     program.kill();
     let said = |text: &str| {
-        recorder.all().iter().any(|r| matches!(&r.what, What::Line { text: line, .. } if line.contains(text)))
+        recorder
+            .records_by_time()
+            .iter()
+            .any(|r| matches!(&r.observation, Observation::LogLine { text: line, .. } if line.contains(text)))
     };
     match (serves, said("is not used"), said("the list on disk serves")) {
         (false, ..) => Err("it does not serve".into()),
--- a/crates/system_tests/src/bin/proof-agreed.rs
+++ b/crates/system_tests/src/bin/proof-agreed.rs
@@ -2,7 +2,7 @@
 //! clock, and how long a change takes.
 
 use fault_injection::checks::contradiction;
-use fault_injection::history::{Record, What};
+use fault_injection::history::{Observation, Record};
 use fault_injection::play::{Played, play};
 use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use serde_json::Value;
@@ -137,20 +137,20 @@
 fn effects(history: &[Record]) -> BTreeMap<u64, (u64, u64)> {
     let mut all: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     for record in history {
-        match &record.what {
-            What::Proposed { code: 0, said, .. } => {
+        match &record.observation {
+            Observation::VersionProposed { exit_code: 0, output: said, .. } => {
                 let number = said.strip_prefix("version ").and_then(|t| t.split(' ').next()?.parse().ok());
                 if let Some(number) = number {
-                    all.entry(number).or_insert((record.at, record.at));
+                    all.entry(number).or_insert((record.at_us, record.at_us));
                 }
             }
-            What::Line { fields, .. } => {
+            Observation::LogLine { fields, .. } => {
                 let number = |name: &str| fields.get(name).and_then(Value::as_u64);
                 if let (Some(version), Some(0), Some(true)) =
                     (number("version"), number("proposed"), fields.get("leased").and_then(Value::as_bool))
                     && let Some(entry) = all.get_mut(&version)
                 {
-                    entry.1 = record.at;
+                    entry.1 = record.at_us;
                 }
             }
             _ => {}
@@ -178,7 +178,7 @@
         }
         self.operations += played.ends.values().sum::<u64>();
         for record in &played.history {
-            if let What::Proposed { code, .. } = &record.what {
+            if let Observation::VersionProposed { exit_code: code, .. } = &record.observation {
                 self.taken += u64::from(*code == 0);
                 *self.refused.entry(*code).or_default() += u64::from(*code != 0);
             }
--- a/crates/system_tests/src/bin/proof-catalogue.rs
+++ b/crates/system_tests/src/bin/proof-catalogue.rs
@@ -2,7 +2,7 @@
 //! steady load. For each drain the time of the word and of the last request that came there.
 
 use fault_injection::checks::{answers, exits};
-use fault_injection::history::{End, Record, What, now};
+use fault_injection::history::{Observation, Outcome, Record, now_us};
 use fault_injection::load::{FREE, Lender};
 use fault_injection::schedule::{Disk, Form, Has, How, Kind, Schedule};
 use fault_injection::site::{Site, common_files};
@@ -31,7 +31,7 @@
 /// What a history says of requests.
 struct Seen {
     /// By operation when it was asked.
-    ends: Vec<(u64, End)>,
+    ends: Vec<(u64, Outcome)>,
     /// When which loan server got one.
     arrived: Vec<(u64, String)>,
     lines: Vec<(u64, String)>,
@@ -42,14 +42,18 @@
         let mut asked = HashMap::new();
         let mut seen = Self { ends: Vec::new(), arrived: Vec::new(), lines: Vec::new() };
         for record in history {
-            match &record.what {
-                What::Asked { op, .. } => drop(asked.insert(*op, record.at)),
+            match &record.observation {
+                Observation::RequestSent { request_id: op, .. } => drop(asked.insert(*op, record.at_us)),
                 // Nobody there is nobody's answer.
-                What::Ended { op, end } if *end != End::Untaken && asked.contains_key(op) => {
-                    seen.ends.push((record.at, *end));
+                Observation::RequestEnded { request_id: op, outcome: end }
+                    if *end != Outcome::NotAccepted && asked.contains_key(op) =>
+                {
+                    seen.ends.push((record.at_us, *end));
                 }
-                What::Arrived { server, .. } => seen.arrived.push((record.at, server.clone())),
-                What::Line { text, .. } => seen.lines.push((record.at, text.clone())),
+                Observation::AttemptArrived { backend: server, .. } => {
+                    seen.arrived.push((record.at_us, server.clone()))
+                }
+                Observation::LogLine { text, .. } => seen.lines.push((record.at_us, text.clone())),
                 _ => {}
             }
         }
@@ -59,7 +63,7 @@
     /// The share of answers in a span that were a loan server's, and how many answers there were.
     fn served(&self, (from, to): Span) -> (f64, usize) {
         let here = || self.ends.iter().filter(|e| e.0 >= from && e.0 < to);
-        let served = here().filter(|e| e.1 == End::Served).count();
+        let served = here().filter(|e| e.1 == Outcome::Served).count();
         (served as f64 / here().count().max(1) as f64, here().count())
     }
 
@@ -84,19 +88,19 @@
 }
 
 fn pass(seconds: f64) -> Span {
-    let from = now();
+    let from = now_us();
     sleep(Duration::from_secs_f64(seconds));
-    (from, now())
+    (from, now_us())
 }
 
 /// Processor time in ms and memory in kB of the program now.
 fn held(site: &Site) -> (u64, u64) {
     site.look();
-    let last = |r: &Record| match r.what {
-        What::Holds { kb, cpu_ms, .. } => Some((cpu_ms, kb)),
+    let last = |r: &Record| match r.observation {
+        Observation::ResourceUse { memory_kb: kb, cpu_ms, .. } => Some((cpu_ms, kb)),
         _ => None,
     };
-    site.recorder.all().iter().rev().find_map(last).unwrap_or_default()
+    site.recorder.records_by_time().iter().rev().find_map(last).unwrap_or_default()
 }
 
 /// What was done and when, to be looked up in the history at the end.
@@ -130,7 +134,7 @@
 fn played(site: &Arc<Site>) -> Result<Course, String> {
     let mut course = Course::default();
     let over = Arc::new(AtomicBool::new(false));
-    let begun = now();
+    let begun = now_us();
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             let (mut client, over) = (site.client(0), over.clone());
@@ -167,7 +171,7 @@
         }
         let word = site.list(list);
         pass(0.5);
-        course.drains.push((name, (word, now())));
+        course.drains.push((name, (word, now_us())));
         site.list(full());
         pass(0.1);
     }
@@ -206,19 +210,19 @@
     pass(3.0);
     let word = site.list(marked(&[7], Status::Critical));
     pass(1.5);
-    course.failover = (word, now());
+    course.failover = (word, now_us());
     site.agents(0)[0].fail(Fault::None);
     site.list(full());
     pass(1.0);
 
     // A flap every second, on one and on a third of the fleet.
     for flapping in [&[8][..], &[8, 9, 10, 11]] {
-        let from = now();
+        let from = now_us();
         for second in 0..FLAPS {
             site.list(if second % 2 == 0 { marked(flapping, Status::Critical) } else { full() });
             pass(1.0);
         }
-        course.flaps.push((flapping.len(), (from, now())));
+        course.flaps.push((flapping.len(), (from, now_us())));
         site.list(full());
     }
 
@@ -241,7 +245,7 @@
     list[0].id = "l-new".into();
     let word = site.list(list.clone());
     pass(2.0);
-    course.replaced = (word + 1_000_000, now());
+    course.replaced = (word + 1_000_000, now_us());
 
     // Weights 1 to 3.
     list.iter_mut().enumerate().for_each(|(i, s)| s.weights = (i as u32 % 3 + 1, 1));
@@ -254,17 +258,17 @@
     pass(2.0);
     fail(site, Fault::Silence);
     pass(0.5);
-    let from = now();
+    let from = now_us();
     site.play(1, &Kind::Ended { who: "m0".into() }, &|| ())?;
     pass(4.0);
-    course.restart = (from, now());
+    course.restart = (from, now_us());
     course.shown = site.status(0);
-    let from = now();
+    let from = now_us();
     site.play(2, &Kind::Disk { who: "m0".into(), how: Disk::Torn(500) }, &|| ())?;
-    course.torn = (from, now());
+    course.torn = (from, now_us());
     fail(site, Fault::None);
     pass(4.0);
-    course.load = (begun, now());
+    course.load = (begun, now_us());
     over.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| drop(client.join()));
 
@@ -281,7 +285,7 @@
         site.list(crowd(0, count));
         pass(1.0);
         let before = held(site).0;
-        let from = now();
+        let from = now_us();
         // Fifty changes a second, of one instance each.
         for turn in 0..150 {
             let mut list = crowd(0, count);
@@ -290,7 +294,7 @@
             pass(0.02);
         }
         let (cpu, memory) = held(site);
-        let share = (cpu - before) as f64 / 1_000.0 / seconds(now() - from);
+        let share = (cpu - before) as f64 / 1_000.0 / seconds(now_us() - from);
         course.sizes.push((count + LOANS, share, memory));
     }
     site.list(crowd(0, 0));
@@ -361,13 +365,13 @@
     table.at_most("weight 3 against 1, at most", ratio, 3.6);
     let said = seen.lines(course.restart, "the list on disk serves until Consul answers");
     table.at_least("restart while Consul is silent: the log says so", said.len() as f64, 1.0);
-    let again = history.iter().rev().filter(|r| r.at < course.restart.1);
+    let again = history.iter().rev().filter(|r| r.at_us < course.restart.1);
     let started = again
-        .filter(|r| matches!(r.what, What::Started { .. }))
-        .map(|r| r.at)
+        .filter(|r| matches!(r.observation, Observation::ProcessStarted { .. }))
+        .map(|r| r.at_us)
         .next()
         .unwrap_or(course.restart.0);
-    let first = seen.ends.iter().find(|e| e.0 > started && e.1 == End::Served);
+    let first = seen.ends.iter().find(|e| e.0 > started && e.1 == Outcome::Served);
     table.at_most("... first served after, s", first.map_or(f64::INFINITY, |e| seconds(e.0 - started)), 2.0);
     let from_disk = first.map_or(0.0, |e| seen.served((e.0, course.restart.1)).0);
     table.at_least("... served share from then on", from_disk, 0.999);
@@ -413,7 +417,7 @@
     site.end();
     let _ = std::fs::remove_dir_all(&folder);
     let mut table = Table::default();
-    let said = judged(&mut table, &course?, &site.recorder.all());
+    let said = judged(&mut table, &course?, &site.recorder.records_by_time());
     let fine = table.print();
     println!("proof catalogue: {said}, {}", if fine { "all within bounds" } else { "OUT OF BOUNDS" });
     Ok(fine)
--- a/crates/system_tests/src/bin/proof-compatibility.rs
+++ b/crates/system_tests/src/bin/proof-compatibility.rs
@@ -10,7 +10,7 @@
 //! Ends with 1 where a rule is broken or a figure is out of bounds, and with 2 where it is called wrongly.
 
 use fault_injection::builds::Builds;
-use fault_injection::history::{End, Record, What};
+use fault_injection::history::{Observation, Outcome, Record};
 use fault_injection::play::{Played, play};
 use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use fault_injection::site::PERIOD;
@@ -81,7 +81,10 @@
 
 /// How often a line with this text was logged.
 fn logged(history: &[Record], wanted: &str) -> usize {
-    history.iter().filter(|r| matches!(&r.what, What::Line { text, .. } if text.contains(wanted))).count()
+    history
+        .iter()
+        .filter(|r| matches!(&r.observation, Observation::LogLine { text, .. } if text.contains(wanted)))
+        .count()
 }
 
 fn upgrades(pair: &Pair, table: &mut Table) -> Result<u64, String> {
@@ -101,9 +104,12 @@
     let ends = |end| played.ends.get(&end).copied().unwrap_or(0);
     let all: u64 = played.ends.values().sum();
     table.tell("upgrades: requests", all);
-    table.at_least("upgrades: requests served", ends(End::Served) as f64, 500.0);
-    table.tell("upgrades: requests rejected by quota", ends(End::Refused));
-    let lost = ends(End::Broken) + ends(End::Untaken) + ends(End::Foreign) + ends(End::Failed);
+    table.at_least("upgrades: requests served", ends(Outcome::Served) as f64, 500.0);
+    table.tell("upgrades: requests rejected by quota", ends(Outcome::Rejected));
+    let lost = ends(Outcome::Unanswered)
+        + ends(Outcome::NotAccepted)
+        + ends(Outcome::Foreign)
+        + ends(Outcome::Failed);
     table.at_most("upgrades: requests lost or failed", lost as f64, 0.0);
     let taken_over = logged(&played.history, GAVE_WAY) as f64;
     let wanted = (UPGRADES as usize * UPGRADED_PROGRAMS) as f64;
@@ -115,8 +121,8 @@
 
 /// The numbers of the versions that were proposed, in order; 0 where a proposal was not taken.
 fn proposed(history: &[Record]) -> Vec<u64> {
-    let number = |record: &Record| match &record.what {
-        What::Proposed { code, said, .. } => {
+    let number = |record: &Record| match &record.observation {
+        Observation::VersionProposed { exit_code: code, output: said, .. } => {
             let number = said.strip_prefix("version ").and_then(|text| text.split(' ').next()?.parse().ok());
             Some(if *code == 0 { number.unwrap_or(0) } else { 0 })
         }
@@ -128,14 +134,17 @@
 /// Requests that were served between the end of a restart and Consul's return.
 fn served_from_cached_list(history: &[Record], restart: usize) -> usize {
     let time = |wanted: &str, nth: usize| {
-        let ends = history
-            .iter()
-            .filter(|r| matches!(&r.what, What::Fault { kind, begins: false, .. } if kind == wanted));
-        ends.map(|r| r.at).nth(nth).unwrap_or(u64::MAX)
+        let ends = history.iter().filter(
+            |r| matches!(&r.observation, Observation::Fault { kind, begins: false, .. } if kind == wanted),
+        );
+        ends.map(|r| r.at_us).nth(nth).unwrap_or(u64::MAX)
     };
     let (from, to) = (time("killed", restart), time("consul silent", restart));
-    let served =
-        |r: &&Record| matches!(r.what, What::Ended { end: End::Served, .. }) && from < r.at && r.at < to;
+    let served = |r: &&Record| {
+        matches!(r.observation, Observation::RequestEnded { outcome: Outcome::Served, .. })
+            && from < r.at_us
+            && r.at_us < to
+    };
     history.iter().filter(served).count()
 }
 
@@ -181,7 +190,7 @@
 fn acted_on(history: &[Record]) -> BTreeMap<&str, u64> {
     let mut acts = BTreeMap::new();
     for record in history {
-        let What::Line { who, fields, .. } = &record.what else { continue };
+        let Observation::LogLine { process: who, fields, .. } = &record.observation else { continue };
         let number = |name: &str| fields.get(name).and_then(Value::as_u64);
         if let (Some(version), Some(0), Some(true)) =
             (number("version"), number("proposed"), fields.get("leased").and_then(Value::as_bool))
@@ -194,12 +203,14 @@
 
 /// Runs of periodic jobs: how many there were, how many of these ran a period again, and by whom.
 fn job_runs(history: &[Record]) -> (usize, usize, BTreeSet<&str>) {
-    let begun = history.first().map_or(0, |r| r.at) + JOBS_RUN_AFTER;
+    let begun = history.first().map_or(0, |r| r.at_us) + JOBS_RUN_AFTER;
     let (mut count, mut seen, mut by_whom) = (0, BTreeSet::new(), BTreeSet::new());
     for record in history {
-        let What::Ran { duty, round, by } = &record.what else { continue };
+        let Observation::JobRan { job: duty, run: round, instance: by } = &record.observation else {
+            continue;
+        };
         by_whom.insert(by.as_str());
-        if record.at >= begun {
+        if record.at_us >= begun {
             count += 1;
             seen.insert((duty.as_str(), *round));
         }
--- a/crates/system_tests/src/bin/proof-duties.rs
+++ b/crates/system_tests/src/bin/proof-duties.rs
@@ -1,7 +1,7 @@
 //! Shared duties on real programs: 8 instances, 64 duties every 500 ms, with kills, pauses, splits and outages of the claim
 //! store, played on the rig. The target takes every call, so a round that ran twice is seen twice.
 
-use fault_injection::history::{Record, What};
+use fault_injection::history::{Observation, Record};
 use fault_injection::play::{Played, play};
 use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
 use fault_injection::site::PERIOD;
@@ -70,8 +70,10 @@
 
 impl<'a> Runs<'a> {
     fn of(history: &'a [Record]) -> Self {
-        let run = |r: &'a Record| match &r.what {
-            What::Ran { duty, round, by } => Some((r.at, duty.as_str(), *round, by.as_str())),
+        let run = |r: &'a Record| match &r.observation {
+            Observation::JobRan { job: duty, run: round, instance: by } => {
+                Some((r.at_us, duty.as_str(), *round, by.as_str()))
+            }
             _ => None,
         };
         Self { came: history.iter().filter_map(run).collect() }
@@ -151,8 +153,8 @@
     let times = |asked: bool| {
         history
             .iter()
-            .filter_map(move |r| match r.what {
-                What::Fault { number, begins, .. } => Some((number, begins, r.at)),
+            .filter_map(move |r| match r.observation {
+                Observation::Fault { index: number, begins, .. } => Some((number, begins, r.at_us)),
                 _ => None,
             })
             .filter(move |f| f.1 == asked)
@@ -163,8 +165,8 @@
 
 /// What was carried by a time: calls of Consul of this kind, and bytes of gossip.
 fn carried(history: &[Record], at: u64, kind: &str) -> (u64, u64) {
-    let so_far = history.iter().rev().find_map(|r| match &r.what {
-        What::Carried { consul, gossip } if r.at <= at => {
+    let so_far = history.iter().rev().find_map(|r| match &r.observation {
+        Observation::Traffic { consul_requests: consul, gossip_bytes: gossip } if r.at_us <= at => {
             Some((consul.get(kind).copied().unwrap_or(0), *gossip))
         }
         _ => None,
@@ -194,7 +196,7 @@
     let history = &played.history;
     let runs = Runs::of(history);
     let duties: BTreeSet<String> = (0..DUTIES).map(|n| format!("duty-{n}")).collect();
-    let last = history.last().map_or(0, |r| r.at);
+    let last = history.last().map_or(0, |r| r.at_us);
     let mut number = 0;
     let spans: Vec<(&str, Span)> = course
         .iter()
@@ -264,15 +266,15 @@
     let gossip = carried(history, calm.1, "").1 - carried(history, calm.0, "").1;
     table.tell("bytes of gossip a second, all instances, calm", gossip / 10);
     let cpu = |at: u64| -> u64 {
-        let mine = history.iter().rev().filter(|r| r.at <= at).find_map(|r| match &r.what {
-            What::Holds { who, cpu_ms, .. } if who == "m1" => Some(*cpu_ms),
+        let mine = history.iter().rev().filter(|r| r.at_us <= at).find_map(|r| match &r.observation {
+            Observation::ResourceUse { process: who, cpu_ms, .. } if who == "m1" => Some(*cpu_ms),
             _ => None,
         });
         mine.unwrap_or(0)
     };
     table.tell("processor time of m1, calm", format!("{:.1}%", (cpu(calm.1) - cpu(calm.0)) as f64 / 100.0));
     let recovered = history.iter().filter(
-        |r| matches!(&r.what, What::Line { text, .. } if text.contains("holds, though the response was lost")),
+        |r| matches!(&r.observation, Observation::LogLine { text, .. } if text.contains("holds, though the response was lost")),
     );
     table.tell("log lines on claims recovered", recovered.count());
     Ok(format!("{} runs, {} doubles, worst take-over {worst:.3} s", runs.came.len(), runs.doubles()))
--- a/crates/system_tests/src/bin/proof-faults.rs
+++ b/crates/system_tests/src/bin/proof-faults.rs
@@ -106,7 +106,7 @@
             *self.faults.entry(kind.clone()).or_default() += count;
         }
         for (end, count) in &played.ends {
-            *self.ends.entry(format!("{end:?}").to_lowercase()).or_default() += count;
+            *self.ends.entry(end.name().to_owned()).or_default() += count;
         }
         self.agreed.extend(played.agreed.map(|ms| ms as f64 / 1_000.0));
         let (a, b, c) = played.carried;
