--- a/crates/fault_injection/src/play.rs
+++ b/crates/fault_injection/src/play.rs
@@ -77,8 +77,8 @@
             .enumerate()
             .map(|(number, fault)| {
                 scope.spawn(move || {
-                    at(fault.at_ms);
-                    let done = site.play(number, &fault.kind, &|| at(fault.at_ms + fault.for_ms));
+                    at(fault.start_ms);
+                    let done = site.play(number, &fault.kind, &|| at(fault.start_ms + fault.duration_ms));
                     last_end.fetch_max(now_us(), Ordering::Relaxed);
                     done
                 })
@@ -150,7 +150,7 @@
     let mut smallest = schedule.clone();
     let mut at = 0;
     while at < smallest.faults.len() {
-        let less = smallest.without(at);
+        let less = smallest.without_fault(at);
         if fails(&less)? {
             smallest = less;
         } else {
@@ -163,12 +163,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::schedule::Kind;
+    use crate::schedule::FaultKind;
 
     #[test]
     fn a_failing_schedule_is_made_as_small_as_what_fails() {
-        let drawn = (0..).map(|seed| Schedule::drawn(seed, 10_000));
-        let is_kill = |s: &Schedule| s.faults.iter().any(|f| matches!(f.kind, Kind::Killed { .. }));
+        let drawn = (0..).map(|seed| Schedule::from_seed(seed, 10_000));
+        let is_kill = |s: &Schedule| s.faults.iter().any(|f| matches!(f.kind, FaultKind::Killed { .. }));
         let schedule = drawn.into_iter().find(|s| s.faults.len() > 3 && is_kill(s)).expect("there is one");
         let small = shrunk(&schedule, |s| Ok(is_kill(s))).expect("nothing fails in it");
         assert_eq!(small.faults.len(), 1);
--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -12,7 +12,7 @@
 use crate::load::{Client, FREE, LENDERS, Lender, Manner};
 use crate::net::{Network, Pairs, Party, Quality};
 use crate::process::{LONG, Process, until};
-use crate::schedule::{Disk, Form, Has, How, Kind, MOST, Schedule};
+use crate::schedule::{DiskFault, FailureMode, FaultKind, Form, MAX_NODES, Schedule, SiteOptions};
 use crate::stand_ins::{Counter, Discovery, Failing, Loans, target};
 use crate::wire;
 use stand_in_consul::{Consul, Door, Fault as ConsulFault, Service, Status};
@@ -117,7 +117,7 @@
         // Programs outlive a rig that was killed, and share their port with whoever is started at their address: their answers
         // once were taken for those of the new ones.
         let left =
-            (1..=MOST as u8).any(|i| TcpListener::bind((Ipv4Addr::new(127, net, i, 1), FRONT)).is_err());
+            (1..=MAX_NODES as u8).any(|i| TcpListener::bind((Ipv4Addr::new(127, net, i, 1), FRONT)).is_err());
         if !left {
             return Ok((net, lock));
         }
@@ -133,7 +133,7 @@
     /// The text says what cannot be had.
     pub fn start(schedule: &Schedule, builds: impl Into<Builds>, folder: &Path) -> Result<Arc<Self>, String> {
         let site = Self::set_up(schedule, builds.into(), folder).map_err(|e| e.to_string())?;
-        for i in 0..schedule.has.voters {
+        for i in 0..schedule.options.replicas {
             let file = site.write(i, &Running::default()).map_err(|e| e.to_string())?;
             let (code, said) = site.run(i, &["settings", "begin", &file])?;
             if code != 0 {
@@ -160,7 +160,7 @@
         let network = Network::new(schedule.seed);
         let names =
             |prefix: &str, count: usize| (0..count).map(move |i| format!("{prefix}{i}")).collect::<Vec<_>>();
-        let (programs, servers) = (names("m", schedule.programs), names("l", schedule.loans));
+        let (programs, servers) = (names("m", schedule.gatekeepers), names("l", schedule.backends));
         let fixed = ["consul", "counter", "discovery", "target", "load"].map(str::to_owned);
         let all = programs.iter().chain(&servers).chain(&fixed);
         let parties: HashMap<String, Party> = all.cloned().enumerate().map(|(i, n)| (n, i)).collect();
@@ -189,7 +189,8 @@
             std::fs::create_dir_all(folder.join("list"))?;
             std::fs::create_dir_all(folder.join("tmp"))?;
             let link = |to: &str, behind| network.stream(i, parties[to], free, behind);
-            let agents: Vec<Door> = (0..schedule.has.agents.max(1)).map(|_| consul.open()).collect();
+            let agents: Vec<Door> =
+                (0..schedule.options.consul_agents.max(1)).map(|_| consul.open()).collect();
             let mut at = HashMap::new();
             for (k, server) in loans.iter().enumerate() {
                 let seen = link(&server.name, server.open(&network, stand, name)?)?;
@@ -201,7 +202,7 @@
                 .map(|door| link("consul", door.address))
                 .collect::<std::io::Result<Vec<_>>>()?;
             let counter_link = link("counter", counter.open(&network, stand, name, &recorder)?)?;
-            let voters = (0..schedule.has.voters).map(|v| {
+            let voters = (0..schedule.options.replicas).map(|v| {
                 // A voter is reached at its own address by nobody but itself.
                 let behind = SocketAddr::from((ip(1, v as u8 + 1), AGREED));
                 let at = if v == i { Ok(behind) } else { network.stream(i, v, free, behind) };
@@ -218,7 +219,7 @@
                     let peers = peers.join(", ");
                     let gossip = (gossip_at(i), advertised[i], peers.as_str());
                     let at = [listen, SocketAddr::from((host, 8_081)), counter_link];
-                    let mut text = appliance(i, programs.len(), &schedule.has, at, &consul_links, gossip);
+                    let mut text = appliance(i, programs.len(), &schedule.options, at, &consul_links, gossip);
                     if !voters.is_empty() {
                         let listen = SocketAddr::from((host, AGREED));
                         let listen =
@@ -286,7 +287,7 @@
 
     /// Starts the clients of all programs.
     pub fn load(&self, over: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<()>> {
-        if !self.schedule.has.load {
+        if !self.schedule.options.load {
             return Vec::new();
         }
         let starts = (0..self.members.len()).flat_map(|i| {
@@ -354,7 +355,7 @@
         let (file, text) = &self.texts[i];
         let path = member.folder.join(file);
         let name = running.name.as_ref().unwrap_or(&member.name);
-        let duties = running.duties.clone().unwrap_or(0..self.schedule.has.duties);
+        let duties = running.duties.clone().unwrap_or(0..self.schedule.options.jobs);
         let target = self.targets[i];
         let duty = |n: usize| {
             format!(
--- a/crates/fault_injection/src/site/faults.rs
+++ b/crates/fault_injection/src/site/faults.rs
@@ -45,7 +45,7 @@
     }
 
     /// Begins this fault, holds it until `end` returns, and ends it. False where other faults have its programs.
-    pub fn play(&self, number: usize, kind: &Kind, end: &dyn Fn()) -> Result<bool, String> {
+    pub fn play(&self, number: usize, kind: &FaultKind, end: &dyn Fn()) -> Result<bool, String> {
         let id = number as u64;
         let link = |pairs: Pairs| {
             let (hits, late) = self.spoilt(&pairs);
@@ -58,11 +58,21 @@
         };
         let cut = Quality { cut: true, ..Quality::default() };
         match kind {
-            Kind::Cut { from, to, one_way } => link(self.pairs(from, to, !one_way, cut)),
-            Kind::Closed { from, to } => {
+            FaultKind::Cut { from, to, one_way } => link(self.pairs(from, to, !one_way, cut)),
+            FaultKind::Closed { from, to } => {
                 link(self.pairs(from, to, true, Quality { closed: true, ..Quality::default() }))
             }
-            Kind::Spoilt { from, to, reset, loss, repeat, reorder, delay_ms, jitter_ms, bytes_per_s } => {
+            FaultKind::Degraded {
+                from,
+                to,
+                reset,
+                loss,
+                duplicate: repeat,
+                reorder,
+                delay_ms,
+                jitter_ms,
+                bytes_per_s,
+            } => {
                 let quality = Quality {
                     reset: *reset,
                     loss: *loss,
@@ -75,7 +85,7 @@
                 };
                 link(self.pairs(from, to, true, quality))
             }
-            Kind::Flapping { from, to, period_ms } => {
+            FaultKind::Flapping { from, to, period_ms } => {
                 let pairs = self.pairs(from, to, true, cut);
                 let (hits, late) = self.spoilt(&pairs);
                 self.noted(number, kind, hits, late, || {
@@ -95,18 +105,18 @@
                     Ok(())
                 })
             }
-            Kind::Consul { who, how } => {
+            FaultKind::Consul { target: who, mode: how } => {
                 let fault = match how {
-                    How::Silent => ConsulFault::Silence,
-                    How::Slow => ConsulFault::Delay(Duration::from_millis(200)),
-                    How::Error => ConsulFault::Status(500),
-                    How::Lost => ConsulFault::Lost,
-                    How::Cut => ConsulFault::Cut,
-                    How::Closed => ConsulFault::Closed,
-                    How::Empty => ConsulFault::None,
+                    FailureMode::Silent => ConsulFault::Silence,
+                    FailureMode::Slow => ConsulFault::Delay(Duration::from_millis(200)),
+                    FailureMode::Error => ConsulFault::Status(500),
+                    FailureMode::ResponseLost => ConsulFault::Lost,
+                    FailureMode::ResponseTruncated => ConsulFault::Cut,
+                    FailureMode::Closed => ConsulFault::Closed,
+                    FailureMode::RestartedEmpty => ConsulFault::None,
                 };
                 self.noted(number, kind, Vec::new(), false, || {
-                    if *how == How::Empty {
+                    if *how == FailureMode::RestartedEmpty {
                         self.consul.restart_empty();
                     }
                     let agents = || self.programs(who).into_iter().flat_map(|i| &self.doors[i]);
@@ -116,48 +126,52 @@
                     Ok(())
                 })
             }
-            Kind::Counter { how } => self.noted(number, kind, Vec::new(), false, || {
-                if *how == How::Empty {
+            FaultKind::Counter { mode: how } => self.noted(number, kind, Vec::new(), false, || {
+                if *how == FailureMode::RestartedEmpty {
                     self.counter.empty();
                 }
                 failing([&self.counter.failing], *how, end);
                 Ok(())
             }),
-            Kind::Loans { who, how } => self.noted(number, kind, Vec::new(), false, || {
-                failing(self.loans(who).iter().map(|l| &l.failing), *how, end);
-                Ok(())
-            }),
-            Kind::Drained { who } => self.noted(number, kind, Vec::new(), false, || {
+            FaultKind::Backends { target: who, mode: how } => {
+                self.noted(number, kind, Vec::new(), false, || {
+                    failing(self.loans(who).iter().map(|l| &l.failing), *how, end);
+                    Ok(())
+                })
+            }
+            FaultKind::Drained { target: who } => self.noted(number, kind, Vec::new(), false, || {
                 self.mark(who, true);
                 end();
                 self.mark(who, false);
                 Ok(())
             }),
-            Kind::Propose { who, rate } => self.noted(number, kind, Vec::new(), false, || {
-                let done = self.programs(who).into_iter().try_for_each(|i| self.propose(i, *rate));
-                end();
-                done
-            }),
-            Kind::Keys { who } => {
+            FaultKind::VersionProposed { target: who, units_per_second: rate } => {
+                self.noted(number, kind, Vec::new(), false, || {
+                    let done = self.programs(who).into_iter().try_for_each(|i| self.propose(i, *rate));
+                    end();
+                    done
+                })
+            }
+            FaultKind::KeyRotation { target: who } => {
                 let first = self.programs(who);
                 self.noted(number, kind, Vec::new(), false, || self.change_keys(&first, end))
             }
-            Kind::Killed { who }
-            | Kind::Ended { who }
-            | Kind::Stopped { who }
-            | Kind::Slowed { who }
-            | Kind::Clock { who, .. }
-            | Kind::Renamed { who, .. }
-            | Kind::Duties { who, .. }
-            | Kind::Disk { who, .. }
-            | Kind::Upgrade { who, .. } => self.play_on(number, kind, who, end),
+            FaultKind::Killed { target: who }
+            | FaultKind::ShutDown { target: who }
+            | FaultKind::Suspended { target: who }
+            | FaultKind::Throttled { target: who }
+            | FaultKind::ClockOffset { target: who, .. }
+            | FaultKind::NameConflict { target: who, .. }
+            | FaultKind::JobsChanged { target: who, .. }
+            | FaultKind::Disk { target: who, .. }
+            | FaultKind::Upgrade { target: who, .. } => self.play_on(number, kind, who, end),
         }
     }
 
     fn noted(
         &self,
         number: usize,
-        kind: &Kind,
+        kind: &FaultKind,
         hits: Vec<String>,
         late: bool,
         act: impl FnOnce() -> Result<(), String>,
@@ -194,7 +208,7 @@
     }
 
     /// A fault of programs.
-    fn play_on(&self, number: usize, kind: &Kind, who: &str, end: &dyn Fn()) -> Result<bool, String> {
+    fn play_on(&self, number: usize, kind: &FaultKind, who: &str, end: &dyn Fn()) -> Result<bool, String> {
         let mine: Vec<usize> = self.programs(who);
         let mine: Vec<usize> = mine
             .into_iter()
@@ -207,10 +221,13 @@
             return Ok(false);
         }
         // An orderly end, a full disk and an upgrade that goes well take nobody's answer away.
-        let whole = matches!(kind, Kind::Ended { .. })
-            || matches!(kind, Kind::Disk { how: Disk::Full | Disk::Lost | Disk::ReadOnly, .. })
-            || matches!(kind, Kind::Clock { running: true, .. } | Kind::Duties { .. })
-            || matches!(kind, Kind::Upgrade { new_dies_after_us: None, old_dies_after_us: None, .. });
+        let whole = matches!(kind, FaultKind::ShutDown { .. })
+            || matches!(
+                kind,
+                FaultKind::Disk { fault: DiskFault::Full | DiskFault::Lost | DiskFault::ReadOnly, .. }
+            )
+            || matches!(kind, FaultKind::ClockOffset { running: true, .. } | FaultKind::JobsChanged { .. })
+            || matches!(kind, FaultKind::Upgrade { new_dies_after_us: None, old_dies_after_us: None, .. });
         let names: Vec<String> = mine.iter().map(|&i| self.members[i].name.clone()).collect();
         let hits = if whole { Vec::new() } else { names };
         let done = self.noted(number, kind, hits, false, || self.act_on(kind, &mine, end));
@@ -233,42 +250,42 @@
         })
     }
 
-    fn act_on(&self, kind: &Kind, mine: &[usize], end: &dyn Fn()) -> Result<(), String> {
+    fn act_on(&self, kind: &FaultKind, mine: &[usize], end: &dyn Fn()) -> Result<(), String> {
         match kind {
-            Kind::Killed { .. } => {
+            FaultKind::Killed { .. } => {
                 self.each(mine, Process::kill);
                 end();
                 self.again(mine)
             }
-            Kind::Ended { .. } => {
+            FaultKind::ShutDown { .. } => {
                 self.each(mine, Process::end);
                 end();
                 self.each(mine, Process::has_ended_in_order);
                 self.again(mine)
             }
-            Kind::Stopped { .. } => {
+            FaultKind::Suspended { .. } => {
                 self.each(mine, Process::stop);
                 end();
                 self.each(mine, Process::go_on);
                 Ok(())
             }
-            Kind::Slowed { .. } => {
+            FaultKind::Throttled { .. } => {
                 self.each(mine, Process::slow_down);
                 end();
                 self.each(mine, Process::go_on);
                 Ok(())
             }
-            Kind::Clock { ms, running: true, .. } => {
+            FaultKind::ClockOffset { offset_ms: ms, running: true, .. } => {
                 self.reload(mine, |running| running.clock = *ms)?;
                 end();
                 self.reload(mine, |running| running.clock = 0)
             }
-            Kind::Duties { first, count, .. } => {
+            FaultKind::JobsChanged { first_job: first, job_count: count, .. } => {
                 self.reload(mine, |running| running.duties = Some(*first..*first + *count))?;
                 end();
                 self.reload(mine, |running| running.duties = None)
             }
-            Kind::Renamed { name, .. } => {
+            FaultKind::NameConflict { name, .. } => {
                 let set = |name: Option<&String>| {
                     self.each(mine, Process::kill);
                     mine.iter().for_each(|&i| held(&self.members[i].running).name = name.cloned());
@@ -278,7 +295,7 @@
                 end();
                 set(None)
             }
-            Kind::Clock { ms, .. } => {
+            FaultKind::ClockOffset { offset_ms: ms, .. } => {
                 let set = |ms: i64| {
                     self.each(mine, Process::kill);
                     mine.iter().for_each(|&i| held(&self.members[i].running).clock = ms);
@@ -288,18 +305,18 @@
                 end();
                 set(0)
             }
-            Kind::Disk { how, .. } => self.spoil_disk(*how, mine, end),
-            Kind::Upgrade { new_dies_after_us, old_dies_after_us, .. } => {
+            FaultKind::Disk { fault: how, .. } => self.spoil_disk(*how, mine, end),
+            FaultKind::Upgrade { new_dies_after_us, old_dies_after_us, .. } => {
                 self.upgrade(mine, *new_dies_after_us, *old_dies_after_us, end)
             }
             _ => Ok(()),
         }
     }
 
-    fn spoil_disk(&self, how: Disk, mine: &[usize], end: &dyn Fn()) -> Result<(), String> {
+    fn spoil_disk(&self, how: DiskFault, mine: &[usize], end: &dyn Fn()) -> Result<(), String> {
         let folder = |i: usize| self.members[i].folder.join("list");
         match how {
-            Disk::Torn(part) => {
+            DiskFault::Torn(part) => {
                 self.each(mine, Process::kill);
                 for &i in mine {
                     let file = folder(i).join("loans.list");
@@ -312,26 +329,26 @@
                 end();
                 Ok(())
             }
-            Disk::Lost | Disk::ReadOnly => {
+            DiskFault::Lost | DiskFault::ReadOnly => {
                 let aside = |i: usize| self.members[i].folder.join("list.aside");
                 let text = |e: std::io::Error| e.to_string();
                 for &i in mine {
                     std::fs::rename(folder(i), aside(i)).map_err(text)?;
-                    if how == Disk::ReadOnly {
+                    if how == DiskFault::ReadOnly {
                         // A file system that takes no new file from anybody.
                         std::os::unix::fs::symlink("/proc", folder(i)).map_err(text)?;
                     }
                 }
                 end();
                 for &i in mine {
-                    if how == Disk::ReadOnly {
+                    if how == DiskFault::ReadOnly {
                         std::fs::remove_file(folder(i)).map_err(text)?;
                     }
                     std::fs::rename(aside(i), folder(i)).map_err(text)?;
                 }
                 Ok(())
             }
-            Disk::Full => {
+            DiskFault::Full => {
                 let over = AtomicBool::new(false);
                 thread::scope(|scope| {
                     scope.spawn(|| {
@@ -448,7 +465,7 @@
 }
 
 /// These fail for as long as `end` takes.
-fn failing<'a>(them: impl IntoIterator<Item = &'a Failing> + Clone, how: How, end: &dyn Fn()) {
+fn failing<'a>(them: impl IntoIterator<Item = &'a Failing> + Clone, how: FailureMode, end: &dyn Fn()) {
     them.clone().into_iter().for_each(|f| *held(f) = Some(how));
     end();
     them.into_iter().for_each(|f| *held(f) = None);
--- a/crates/fault_injection/src/site/files.rs
+++ b/crates/fault_injection/src/site/files.rs
@@ -5,7 +5,7 @@
 pub(super) fn appliance(
     i: usize,
     programs: usize,
-    has: &Has,
+    has: &SiteOptions,
     [listen, status, counter]: [SocketAddr; 3],
     agents: &[SocketAddr],
     (gossip, advertise, peers): (SocketAddr, SocketAddr, &str),
@@ -28,7 +28,7 @@
          {}[[class]]\nname = \"lookup\"\nrepeat = \"safe\"\nwanted_ms = 400\ndeadline_ms = {DEADLINE}\n{}{}DUTIES",
         others.join(", "),
         has.standbys,
-        if has.probes { PROBE } else { "" },
+        if has.health_checks { PROBE } else { "" },
         PLANS.map(plan).concat(),
         LENDERS.map(lender).concat(),
     )
--- a/crates/fault_injection/src/site/files/tests.rs
+++ b/crates/fault_injection/src/site/files/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn settings_files_are_written_byte_for_byte_alike() {
-    let has = Has { agents: 2, ..Has::default() };
+    let has = SiteOptions { consul_agents: 2, ..SiteOptions::default() };
     let at = [address(1, 8_080), address(1, 8_081), address(201, 40_000)];
     let agents = [address(201, 40_001), address(201, 40_002)];
     let peers = "\"127.9.1.201:41000\", \"127.9.1.201:41001\"";
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Observation, Recorder, now_us};
 use crate::net::{Network, Party};
-use crate::schedule::{Form, How};
+use crate::schedule::{FailureMode, Form};
 use crate::wire;
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
@@ -18,7 +18,7 @@
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 
 /// Whether and how a stand-in fails now.
-pub type Failing = Arc<Mutex<Option<How>>>;
+pub type Failing = Arc<Mutex<Option<FailureMode>>>;
 
 fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -102,16 +102,16 @@
                     self.calls.fetch_add(1, Ordering::Relaxed);
                     let (Ok(amount), Ok(life)) = (amount.parse::<f64>(), life.parse::<u64>()) else { return };
                     match how {
-                        Some(How::Silent) => return keep_silent(&mut stream),
-                        Some(How::Closed) => return,
-                        Some(How::Error) => "-BUSY\r\n".to_owned(),
+                        Some(FailureMode::Silent) => return keep_silent(&mut stream),
+                        Some(FailureMode::Closed) => return,
+                        Some(FailureMode::Error) => "-BUSY\r\n".to_owned(),
                         _ => {
                             let life = Duration::from_millis(life.clamp(1, 60_000));
                             let total = self.add(name, amount, life);
                             let (name, via) = ((*name).to_owned(), via.to_owned());
                             recorder.record(Observation::CounterAdded {
                                 counter: name,
-                                amount: amount,
+                                amount,
                                 total,
                                 gatekeeper: via,
                             });
@@ -123,9 +123,11 @@
                 _ => "-ERR no such call\r\n".to_owned(),
             };
             match how {
-                Some(How::Lost) => return keep_silent(&mut stream),
-                Some(How::Cut) => return drop(stream.write_all(&answer.as_bytes()[..answer.len() / 2])),
-                Some(How::Slow) => thread::sleep(SLOW),
+                Some(FailureMode::ResponseLost) => return keep_silent(&mut stream),
+                Some(FailureMode::ResponseTruncated) => {
+                    return drop(stream.write_all(&answer.as_bytes()[..answer.len() / 2]));
+                }
+                Some(FailureMode::Slow) => thread::sleep(SLOW),
                 _ => {}
             }
             if stream.write_all(answer.as_bytes()).is_err() {
@@ -167,7 +169,7 @@
         let mut requests = BufReader::new(read);
         let mut random = fastrand::Rng::with_seed(now_us());
         loop {
-            if *held(&self.failing) == Some(How::Closed) {
+            if *held(&self.failing) == Some(FailureMode::Closed) {
                 return;
             }
             // What it is asked, and the good answer and the bad one.
@@ -196,17 +198,17 @@
             // Some milliseconds of work.
             thread::sleep(Duration::from_micros(random.u64(3_000..9_000)));
             let answer = match how {
-                Some(How::Silent | How::Lost) => return keep_silent(&mut stream),
-                Some(How::Error | How::Empty) => bad,
-                Some(How::Cut) => {
+                Some(FailureMode::Silent | FailureMode::ResponseLost) => return keep_silent(&mut stream),
+                Some(FailureMode::Error | FailureMode::RestartedEmpty) => bad,
+                Some(FailureMode::ResponseTruncated) => {
                     let _ = stream.write_all(&good[..good.len() / 2]);
                     return;
                 }
-                Some(How::Slow) => {
+                Some(FailureMode::Slow) => {
                     thread::sleep(SLOW);
                     good
                 }
-                Some(How::Closed) => return,
+                Some(FailureMode::Closed) => return,
                 None => good,
             };
             if stream.write_all(&answer).is_err() {
--- a/crates/fault_injection/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -2,7 +2,7 @@
 
 use fault_injection::checks::{Bounds, check, contradiction, operations};
 use fault_injection::history::{read, write};
-use fault_injection::schedule::{Schedule, named};
+use fault_injection::schedule::{Schedule, named_schedules};
 use std::fmt::Write;
 use std::path::PathBuf;
 
@@ -46,10 +46,10 @@
 
 #[test]
 fn a_seed_draws_the_schedule_that_it_always_drew() {
-    let drawn: String = (0..24).map(|seed| Schedule::drawn(seed, 10_000).text() + "\n").collect();
+    let drawn: String = (0..24).map(|seed| Schedule::from_seed(seed, 10_000).to_toml() + "\n").collect();
     assert_eq!(drawn, fixture("drawn.toml"));
     let digests = [2_000, 10_000, 60_000].map(|length_ms| {
-        let drawn: String = (0..3_000).map(|seed| Schedule::drawn(seed, length_ms).text()).collect();
+        let drawn: String = (0..3_000).map(|seed| Schedule::from_seed(seed, length_ms).to_toml()).collect();
         format!("{length_ms} {:016x}\n", digest(&drawn))
     });
     assert_eq!(digests.concat(), fixture("drawn.digests"));
@@ -57,7 +57,7 @@
 
 #[test]
 fn named_schedules_are_those_that_they_always_were() {
-    let all: String = named().iter().map(|schedule| schedule.text() + "\n").collect();
+    let all: String = named_schedules().iter().map(|schedule| schedule.to_toml() + "\n").collect();
     assert_eq!(all, fixture("named.toml"));
 }
 
--- a/crates/system_tests/src/bin/proof-agreed.rs
+++ b/crates/system_tests/src/bin/proof-agreed.rs
@@ -4,7 +4,7 @@
 use fault_injection::checks::contradiction;
 use fault_injection::history::{Observation, Record};
 use fault_injection::play::{Played, play};
-use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
+use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -17,42 +17,52 @@
 /// ms; two that contradict each other for longer are named.
 const NOTED: u64 = 100;
 
-fn fault(at_ms: u64, for_ms: u64, kind: Kind) -> Fault {
-    Fault { at_ms, for_ms, kind }
+fn fault(at_ms: u64, for_ms: u64, kind: FaultKind) -> Fault {
+    Fault { start_ms: at_ms, duration_ms: for_ms, kind }
 }
 
 fn change(at: u64, who: &str, rate: f64) -> Fault {
-    fault(at, 0, Kind::Propose { who: who.into(), rate })
+    fault(at, 0, FaultKind::VersionProposed { target: who.into(), units_per_second: rate })
 }
 
 fn schedule(name: &str, seed: u64, programs: usize, length_ms: u64, faults: Vec<Fault>) -> Schedule {
-    let has = Has { voters: if programs > 8 { 5 } else { 3 }, ..Has::default() };
-    Schedule { name: name.into(), seed, form: Form::Appliance, programs, loans: 4, length_ms, has, faults }
+    let has = SiteOptions { replicas: if programs > 8 { 5 } else { 3 }, ..SiteOptions::default() };
+    Schedule {
+        name: name.into(),
+        seed,
+        form: Form::Appliance,
+        gatekeepers: programs,
+        backends: 4,
+        length_ms,
+        options: has,
+        faults,
+    }
 }
 
 /// The hard cases.
 fn named() -> Vec<Schedule> {
     let who = || LEADER.to_owned();
     let make = |name: &str, programs, faults| schedule(name, 1, programs, 14_000, faults);
-    let cut = |from: &str, to: &str| Kind::Cut { from: from.into(), to: to.into(), one_way: false };
-    let all = |at: u64| (0..6).map(move |i| fault(at, 300, Kind::Killed { who: format!("m{i}") }));
-    let around =
-        |kind: Kind| vec![change(4_500, "m4", 16.0), fault(4_520, 3_000, kind), change(5_000, "m5", 12.0)];
+    let cut = |from: &str, to: &str| FaultKind::Cut { from: from.into(), to: to.into(), one_way: false };
+    let all = |at: u64| (0..6).map(move |i| fault(at, 300, FaultKind::Killed { target: format!("m{i}") }));
+    let around = |kind: FaultKind| {
+        vec![change(4_500, "m4", 16.0), fault(4_520, 3_000, kind), change(5_000, "m5", 12.0)]
+    };
     vec![
         make(
             "at rest",
             6,
             vec![change(5_000, "m4", 16.0), change(7_000, "m5", 12.0), change(9_000, "m3", 18.0)],
         ),
-        make("the leader killed in a change", 6, around(Kind::Killed { who: who() })),
-        make("the leader stopped in a change", 6, around(Kind::Stopped { who: who() })),
+        make("the leader killed in a change", 6, around(FaultKind::Killed { target: who() })),
+        make("the leader stopped in a change", 6, around(FaultKind::Suspended { target: who() })),
         make("the leader cut off in a change", 6, around(cut(LEADER, "*"))),
         make(
             "a stopped leader wakes after its successor changed settings",
             6,
             vec![
                 change(3_800, "m5", 19.0),
-                fault(4_500, 5_000, Kind::Stopped { who: who() }),
+                fault(4_500, 5_000, FaultKind::Suspended { target: who() }),
                 change(6_500, "m4", 12.0),
             ],
         ),
@@ -81,8 +91,16 @@
             "clocks set apart and back",
             6,
             vec![
-                fault(3_500, 6_000, Kind::Clock { who: "m0".into(), ms: -60_000, running: true }),
-                fault(3_500, 3_000, Kind::Clock { who: "m4".into(), ms: 60_000, running: true }),
+                fault(
+                    3_500,
+                    6_000,
+                    FaultKind::ClockOffset { target: "m0".into(), offset_ms: -60_000, running: true },
+                ),
+                fault(
+                    3_500,
+                    3_000,
+                    FaultKind::ClockOffset { target: "m4".into(), offset_ms: 60_000, running: true },
+                ),
                 change(5_000, "m5", 12.0),
                 change(8_000, "m3", 14.0),
             ],
@@ -97,7 +115,7 @@
             6,
             (0..5)
                 .map(|i| change(5_000 + 200 * i, &format!("m{}", i % 4), 11.0 + i as f64))
-                .chain([fault(4_800, 3_000, Kind::Stopped { who: "m5".into() })])
+                .chain([fault(4_800, 3_000, FaultKind::Suspended { target: "m5".into() })])
                 .collect(),
         ),
     ]
@@ -106,30 +124,34 @@
 /// Drawn faults, with changes in between.
 fn drawn(seed: u64) -> Schedule {
     let mut random = fastrand::Rng::with_seed(seed ^ 0xa9ee);
-    let mut drawn = Schedule::drawn(seed, 10_000);
+    let mut drawn = Schedule::from_seed(seed, 10_000);
     drawn.form = Form::Appliance;
     drawn.length_ms = 14_000;
     // What has the platform's form alone is left out; a voter under another's name is refused when its file is read.
-    drawn.faults.retain(|f| !matches!(f.kind, Kind::Upgrade { .. } | Kind::Renamed { .. }));
+    drawn.faults.retain(|f| !matches!(f.kind, FaultKind::Upgrade { .. } | FaultKind::NameConflict { .. }));
     // Not before there is a leader and the first leases are given.
-    drawn.faults.iter_mut().for_each(|f| f.at_ms += 3_000);
+    drawn.faults.iter_mut().for_each(|f| f.start_ms += 3_000);
     if random.bool() {
         let at_ms = random.u64(3_500..6_000);
         let for_ms = random.u64(500..4_000);
         let who = format!("m{}", random.usize(0..3));
-        let kind = if random.bool() { Kind::Killed { who } } else { Kind::Stopped { who } };
-        drawn.faults.push(Fault { at_ms, for_ms, kind });
+        let kind = if random.bool() {
+            FaultKind::Killed { target: who }
+        } else {
+            FaultKind::Suspended { target: who }
+        };
+        drawn.faults.push(Fault { start_ms: at_ms, duration_ms: for_ms, kind });
     }
     if random.u8(..) < 60 {
-        drawn.faults.push(fault(4_000, 2_000, Kind::Counter { how: How::Empty }));
+        drawn.faults.push(fault(4_000, 2_000, FaultKind::Counter { mode: FailureMode::RestartedEmpty }));
     }
     for i in 0..3 {
-        let who = format!("m{}", random.usize(0..drawn.programs));
+        let who = format!("m{}", random.usize(0..drawn.gatekeepers));
         drawn.faults.push(change(4_000 + 1_500 * i + random.u64(0..900), &who, random.u32(10..20).into()));
     }
     let mut schedule =
-        schedule(&format!("agreed, seed {seed}"), seed, drawn.programs, drawn.length_ms, drawn.faults);
-    schedule.faults.sort_by_key(|f| f.at_ms);
+        schedule(&format!("agreed, seed {seed}"), seed, drawn.gatekeepers, drawn.length_ms, drawn.faults);
+    schedule.faults.sort_by_key(|f| f.start_ms);
     schedule
 }
 
--- a/crates/system_tests/src/bin/proof-catalogue.rs
+++ b/crates/system_tests/src/bin/proof-catalogue.rs
@@ -4,7 +4,7 @@
 use fault_injection::checks::{answers, exits};
 use fault_injection::history::{Observation, Outcome, Record, now_us};
 use fault_injection::load::{FREE, Lender};
-use fault_injection::schedule::{Disk, Form, Has, How, Kind, Schedule};
+use fault_injection::schedule::{DiskFault, FailureMode, FaultKind, Form, Schedule, SiteOptions};
 use fault_injection::site::{Site, common_files};
 use stand_in_consul::{Fault, Service, Status};
 use std::collections::HashMap;
@@ -190,7 +190,7 @@
             let dead = [2 * turn, 2 * turn + 1].map(|i| format!("l{i}"));
             let die = |who: String| {
                 scope.spawn(move || {
-                    site.play(0, &Kind::Loans { who, how: How::Closed }, &|| {
+                    site.play(0, &FaultKind::Backends { target: who, mode: FailureMode::Closed }, &|| {
                         pass(OUTAGE);
                     })
                 })
@@ -259,12 +259,12 @@
     fail(site, Fault::Silence);
     pass(0.5);
     let from = now_us();
-    site.play(1, &Kind::Ended { who: "m0".into() }, &|| ())?;
+    site.play(1, &FaultKind::ShutDown { target: "m0".into() }, &|| ())?;
     pass(4.0);
     course.restart = (from, now_us());
     course.shown = site.status(0);
     let from = now_us();
-    site.play(2, &Kind::Disk { who: "m0".into(), how: Disk::Torn(500) }, &|| ())?;
+    site.play(2, &FaultKind::Disk { target: "m0".into(), fault: DiskFault::Torn(500) }, &|| ())?;
     course.torn = (from, now_us());
     fail(site, Fault::None);
     pass(4.0);
@@ -398,16 +398,22 @@
 }
 
 fn run() -> Result<bool, String> {
-    let has = Has { duties: 0, agents: 2, load: false, probes: false, ..Has::default() };
+    let has = SiteOptions {
+        jobs: 0,
+        consul_agents: 2,
+        load: false,
+        health_checks: false,
+        ..SiteOptions::default()
+    };
     let (seed, form, faults) = (1, Form::Appliance, Vec::new());
     let schedule = Schedule {
         name: "catalogue".into(),
         seed,
         form,
-        programs: 1,
-        loans: LOANS,
+        gatekeepers: 1,
+        backends: LOANS,
         length_ms: 0,
-        has,
+        options: has,
         faults,
     };
     let folder = std::env::temp_dir().join(format!("sf-catalogue-{}", std::process::id()));
--- a/crates/system_tests/src/bin/proof-checkers.rs
+++ b/crates/system_tests/src/bin/proof-checkers.rs
@@ -1,7 +1,7 @@
 //! Whether the rig's checkers find what they are for: a build that breaks one rule on purpose is played until its rule is named.
 
 use fault_injection::play::play;
-use fault_injection::schedule::{Fault, Form, Kind, Schedule};
+use fault_injection::schedule::{Fault, FaultKind, Form, Schedule};
 use std::path::Path;
 use std::process::{Command, ExitCode};
 use system_tests::{Table, program};
@@ -21,11 +21,15 @@
 
 /// The course for a seed, in the appliance's form, which alone has duties and a catalogue.
 fn course(seed: u64) -> Schedule {
-    let mut drawn = Schedule::drawn(seed, 10_000);
+    let mut drawn = Schedule::from_seed(seed, 10_000);
     // Some loan server drains in each, as it does on any day.
     drawn.form = Form::Appliance;
-    drawn.faults.retain(|f| !matches!(f.kind, Kind::Upgrade { .. }));
-    drawn.faults.push(Fault { at_ms: 2_000, for_ms: 4_000, kind: Kind::Drained { who: "l1".into() } });
+    drawn.faults.retain(|f| !matches!(f.kind, FaultKind::Upgrade { .. }));
+    drawn.faults.push(Fault {
+        start_ms: 2_000,
+        duration_ms: 4_000,
+        kind: FaultKind::Drained { target: "l1".into() },
+    });
     drawn
 }
 
--- a/crates/system_tests/src/bin/proof-compatibility.rs
+++ b/crates/system_tests/src/bin/proof-compatibility.rs
@@ -12,7 +12,7 @@
 use fault_injection::builds::Builds;
 use fault_injection::history::{Observation, Outcome, Record};
 use fault_injection::play::{Played, play};
-use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
+use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 use fault_injection::site::PERIOD;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,12 +55,12 @@
     new: PathBuf,
 }
 
-fn fault(at_ms: u64, for_ms: u64, kind: Kind) -> Fault {
-    Fault { at_ms, for_ms, kind }
+fn fault(at_ms: u64, for_ms: u64, kind: FaultKind) -> Fault {
+    Fault { start_ms: at_ms, duration_ms: for_ms, kind }
 }
 
 fn propose(at_ms: u64, who: &str, rate: f64) -> Fault {
-    fault(at_ms, 0, Kind::Propose { who: who.into(), rate })
+    fault(at_ms, 0, FaultKind::VersionProposed { target: who.into(), units_per_second: rate })
 }
 
 fn play_course(schedule: &Schedule, builds: Builds, table: &mut Table) -> Result<Played, String> {
@@ -88,15 +88,15 @@
 }
 
 fn upgrades(pair: &Pair, table: &mut Table) -> Result<u64, String> {
-    let kind = || Kind::Upgrade { who: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
+    let kind = || FaultKind::Upgrade { target: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
     let schedule = Schedule {
         name: "upgrades".into(),
         seed: 1,
         form: Form::Platform,
-        programs: UPGRADED_PROGRAMS,
-        loans: 3,
+        gatekeepers: UPGRADED_PROGRAMS,
+        backends: 3,
         length_ms: UPGRADE_EVERY * (UPGRADES + 1),
-        has: Has::default(),
+        options: SiteOptions::default(),
         faults: (1..=UPGRADES).map(|n| fault(n * UPGRADE_EVERY, SIDE_BY_SIDE, kind())).collect(),
     };
     let builds = Builds::InTurn(pair.old.clone(), pair.new.clone());
@@ -152,18 +152,22 @@
     let mut faults =
         vec![propose(4_000, "m4", 16.0), propose(10_500, "m3", 12.0), propose(17_500, "m0", 18.0)];
     for at in RESTARTS {
-        faults.push(fault(at, 300, Kind::Killed { who: "*".into() }));
-        faults.push(fault(at - 100, CONSUL_AWAY, Kind::Consul { who: "*".into(), how: How::Silent }));
+        faults.push(fault(at, 300, FaultKind::Killed { target: "*".into() }));
+        faults.push(fault(
+            at - 100,
+            CONSUL_AWAY,
+            FaultKind::Consul { target: "*".into(), mode: FailureMode::Silent },
+        ));
     }
-    faults.sort_by_key(|f| f.at_ms);
+    faults.sort_by_key(|f| f.start_ms);
     let schedule = Schedule {
         name: "restarts".into(),
         seed: 1,
         form: Form::Appliance,
-        programs: RESTARTED_PROGRAMS,
-        loans: 3,
+        gatekeepers: RESTARTED_PROGRAMS,
+        backends: 3,
         length_ms: 20_000,
-        has: Has { voters: 3, ..Has::default() },
+        options: SiteOptions { replicas: 3, ..SiteOptions::default() },
         faults,
     };
     let builds = Builds::InTurn(pair.old.clone(), pair.new.clone());
@@ -227,10 +231,15 @@
         name: "mixed".into(),
         seed: 1,
         form: Form::Appliance,
-        programs: MIXED_PROGRAMS,
-        loans: 3,
+        gatekeepers: MIXED_PROGRAMS,
+        backends: 3,
         length_ms: MIXED_LENGTH,
-        has: Has { voters: 3, duties: MIXED_JOBS, standbys: MIXED_PROGRAMS - 1, ..Has::default() },
+        options: SiteOptions {
+            replicas: 3,
+            jobs: MIXED_JOBS,
+            standbys: MIXED_PROGRAMS - 1,
+            ..SiteOptions::default()
+        },
         faults: vec![propose(5_000, "m4", 16.0), propose(8_000, "m5", 12.0)],
     };
     let builds = Builds::ByProgram(pair.old.clone(), pair.new.clone());
--- a/crates/system_tests/src/bin/proof-duties.rs
+++ b/crates/system_tests/src/bin/proof-duties.rs
@@ -3,7 +3,7 @@
 
 use fault_injection::history::{Observation, Record};
 use fault_injection::play::{Played, play};
-use fault_injection::schedule::{Fault, Form, Has, How, Kind, Schedule};
+use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 use fault_injection::site::PERIOD;
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
@@ -17,8 +17,8 @@
 /// Spans of the history, in us.
 type Span = (u64, u64);
 
-fn fault(at_ms: u64, for_ms: u64, kind: Kind) -> Fault {
-    Fault { at_ms, for_ms, kind }
+fn fault(at_ms: u64, for_ms: u64, kind: FaultKind) -> Fault {
+    Fault { start_ms: at_ms, duration_ms: for_ms, kind }
 }
 
 fn half() -> impl Iterator<Item = String> {
@@ -26,38 +26,59 @@
 }
 
 fn schedule(name: &str, length_ms: u64, faults: Vec<Fault>) -> Schedule {
-    let has = Has { duties: DUTIES, standbys: INSTANCES - 1, load: false, ..Has::default() };
+    let has = SiteOptions { jobs: DUTIES, standbys: INSTANCES - 1, load: false, ..SiteOptions::default() };
     let (seed, form) = (1, Form::Appliance);
-    Schedule { name: name.into(), seed, form, programs: INSTANCES, loans: 1, length_ms, has, faults }
+    Schedule {
+        name: name.into(),
+        seed,
+        form,
+        gatekeepers: INSTANCES,
+        backends: 1,
+        length_ms,
+        options: has,
+        faults,
+    }
 }
 
 /// What happens, by what the table calls it; the bounds on missed rounds hold from each begin to the next one's.
 fn course() -> Vec<(&'static str, Vec<Fault>)> {
-    let stopped = |who: &str, at, lasts| fault(at, lasts, Kind::Stopped { who: who.into() });
+    let stopped = |who: &str, at, lasts| fault(at, lasts, FaultKind::Suspended { target: who.into() });
     let first_four = || (0..4).map(|i| format!("m{i}"));
-    let consul = |who: &str, at, lasts, how| fault(at, lasts, Kind::Consul { who: who.into(), how });
+    let consul =
+        |who: &str, at, lasts, how| fault(at, lasts, FaultKind::Consul { target: who.into(), mode: how });
     let split = |at, lasts| {
         let cut = |a: String| {
-            (4..INSTANCES).map(move |b| Kind::Cut { from: a.clone(), to: format!("m{b}"), one_way: false })
+            (4..INSTANCES).map(move |b| FaultKind::Cut {
+                from: a.clone(),
+                to: format!("m{b}"),
+                one_way: false,
+            })
         };
         first_four().flat_map(cut).map(|kind| fault(at, lasts, kind)).collect::<Vec<_>>()
     };
     vec![
-        ("half killed at once", half().map(|who| fault(14_000, 6_000, Kind::Killed { who })).collect()),
+        (
+            "half killed at once",
+            half().map(|who| fault(14_000, 6_000, FaultKind::Killed { target: who })).collect(),
+        ),
         ("one paused", vec![stopped("m1", 26_000, 5_000)]),
         ("two paused", vec![stopped("m3", 35_000, 4_000), stopped("m5", 35_000, 4_000)]),
-        ("the store silent", vec![consul("*", 43_000, 5_000, How::Silent)]),
-        ("the store back empty", vec![consul("*", 48_000, 10, How::Empty)]),
+        ("the store silent", vec![consul("*", 43_000, 5_000, FailureMode::Silent)]),
+        ("the store back empty", vec![consul("*", 48_000, 10, FailureMode::RestartedEmpty)]),
         ("split, store reachable from both sides", split(53_000, 5_000)),
         ("split, store reachable from one side", {
-            let closed = first_four().map(|who| consul(&who, 60_000, 4_000, How::Closed));
+            let closed = first_four().map(|who| consul(&who, 60_000, 4_000, FailureMode::Closed));
             split(60_000, 4_000).into_iter().chain(closed).collect()
         }),
-        ("answers to claims lost", vec![consul("*", 69_000, 1_000, How::Lost)]),
-        ("one leaves", vec![fault(74_000, 2_000, Kind::Ended { who: "m7".into() })]),
+        ("answers to claims lost", vec![consul("*", 69_000, 1_000, FailureMode::ResponseLost)]),
+        ("one leaves", vec![fault(74_000, 2_000, FaultKind::ShutDown { target: "m7".into() })]),
         (
             "duties changed by a reload",
-            vec![fault(80_000, 5_000, Kind::Duties { who: "*".into(), first: 16, count: DUTIES - 12 })],
+            vec![fault(
+                80_000,
+                5_000,
+                FaultKind::JobsChanged { target: "*".into(), first_job: 16, job_count: DUTIES - 12 },
+            )],
         ),
     ]
 }
@@ -283,14 +304,19 @@
 /// The same with clocks apart by as much as is stated: two are killed, and the store is emptied.
 fn in_clocks_apart(table: &mut Table) -> Result<(), String> {
     let ahead = [0, SKEW, SKEW / 2, 0, SKEW, 50, 250, 100];
-    let clock =
-        |(i, ms): (usize, i64)| fault(500, 17_000, Kind::Clock { who: format!("m{i}"), ms, running: true });
+    let clock = |(i, ms): (usize, i64)| {
+        fault(500, 17_000, FaultKind::ClockOffset { target: format!("m{i}"), offset_ms: ms, running: true })
+    };
     let mut faults: Vec<Fault> = ahead.into_iter().enumerate().filter(|a| a.1 != 0).map(clock).collect();
     let clocks = faults.len();
     // Those whose clocks are right.
-    faults.extend(["m0", "m3"].map(|who| fault(8_000, 2_000, Kind::Killed { who: who.into() })));
+    faults.extend(["m0", "m3"].map(|who| fault(8_000, 2_000, FaultKind::Killed { target: who.into() })));
     let killed = faults.len();
-    faults.push(fault(13_000, 10, Kind::Consul { who: "*".into(), how: How::Empty }));
+    faults.push(fault(
+        13_000,
+        10,
+        FaultKind::Consul { target: "*".into(), mode: FailureMode::RestartedEmpty },
+    ));
     let played = played(&schedule("duties, clocks apart", 18_000, faults))?;
     told(table, &played);
     let runs = Runs::of(&played.history);
--- a/crates/system_tests/src/bin/proof-faults.rs
+++ b/crates/system_tests/src/bin/proof-faults.rs
@@ -4,7 +4,7 @@
 use fault_injection::checks::Violation;
 use fault_injection::history;
 use fault_injection::play::{Played, play, shrunk};
-use fault_injection::schedule::{Schedule, named};
+use fault_injection::schedule::{Schedule, named_schedules};
 use fault_injection::torn::{Torn, at_each_byte};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -128,7 +128,7 @@
         let kept = asked.keep.join(schedule.name.replace([' ', ',', '/'], "-"));
         let write = || -> std::io::Result<()> {
             std::fs::create_dir_all(&kept)?;
-            std::fs::write(kept.join("schedule.toml"), schedule.text())?;
+            std::fs::write(kept.join("schedule.toml"), schedule.to_toml())?;
             let mut file = std::io::BufWriter::new(std::fs::File::create(kept.join("history.jsonl"))?);
             history::write(&played.history, &mut file)
         };
@@ -158,7 +158,7 @@
 fn run() -> Result<bool, String> {
     let asked = asked()?;
     if let Some(seed) = asked.print {
-        print!("{}", Schedule::drawn(seed, asked.length).text());
+        print!("{}", Schedule::from_seed(seed, asked.length).to_toml());
         return Ok(true);
     }
     if let Some(path) = &asked.shrink {
@@ -171,16 +171,17 @@
             }
             Ok(false)
         };
-        print!("{}", shrunk(&read(path)?, fails)?.text());
+        print!("{}", shrunk(&read(path)?, fails)?.to_toml());
         return Ok(true);
     }
     let schedules: Vec<Schedule> = match &asked.replay {
         Some(path) => vec![read(path)?; asked.schedules],
-        None if asked.short => named().into_iter().filter(|s| s.length_ms <= 10_000).collect(),
+        None if asked.short => named_schedules().into_iter().filter(|s| s.length_ms <= 10_000).collect(),
         None => {
-            let drawn = (0..asked.schedules as u64).map(|i| Schedule::drawn(asked.seed + i, asked.length));
+            let drawn =
+                (0..asked.schedules as u64).map(|i| Schedule::from_seed(asked.seed + i, asked.length));
             // The long ones first, so that none of them is left alone at the end.
-            let mut all = named();
+            let mut all = named_schedules();
             all.sort_by_key(|s| std::cmp::Reverse(s.length_ms));
             all.into_iter().chain(drawn).collect()
         }
