--- a/crates/fault_injection/src/builds.rs
+++ b/crates/fault_injection/src/builds.rs
@@ -1,31 +1,31 @@
-//! Which build of the program runs where: one for all, or two that have to work together.
+//! Which build of the gatekeeper runs where: one for all, or two that have to work together.
 
 use std::path::{Path, PathBuf};
 
-/// The builds of a site. Both files of a pair must have the same name, by which [`crate::process`] knows its programs.
+/// The builds of a site. Both files of a pair must have the same name, by which [`crate::process`] knows its processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Builds {
-    /// One build for all programs.
+    /// One build for all gatekeepers.
     One(PathBuf),
-    /// Programs with an even number run the first build, the others the second.
-    ByProgram(PathBuf, PathBuf),
-    /// Each program's first start runs the first build, its next start the second, and so on in turn.
-    InTurn(PathBuf, PathBuf),
+    /// Gatekeepers with an even number run the first build, the others the second.
+    ByGatekeeper(PathBuf, PathBuf),
+    /// Each gatekeeper's first start runs the first build, its next start the second, and so on in turn.
+    Alternating(PathBuf, PathBuf),
 }
 
 impl Builds {
-    /// The build of a program, numbered from 0, for a start, numbered from 1.
-    pub fn of(&self, program: usize, start: u8) -> &Path {
+    /// The build of a gatekeeper, numbered from 0, for a start, numbered from 1.
+    pub fn for_start(&self, gatekeeper: usize, start: u8) -> &Path {
         match self {
             Self::One(build) => build,
-            Self::ByProgram(even, odd) => {
-                if program.is_multiple_of(2) {
+            Self::ByGatekeeper(even, odd) => {
+                if gatekeeper.is_multiple_of(2) {
                     even
                 } else {
                     odd
                 }
             }
-            Self::InTurn(odd, even) => {
+            Self::Alternating(odd, even) => {
                 if start.is_multiple_of(2) {
                     even
                 } else {
--- /dev/null
+++ b/crates/fault_injection/src/checkers/tests.rs
@@ -0,0 +1,214 @@
+//! For each rule histories that keep it and histories that break it.
+
+use super::*;
+use crate::history::{Observation, Outcome};
+use serde_json::Value;
+
+const CEILING: Ceiling = Ceiling { units_per_second: 20.0, burst: 40.0, largest_request: 4.0 };
+
+fn bounds() -> Bounds {
+    Bounds {
+        deadline_ms: 1_000,
+        tolerance_ms: 400,
+        ceilings: [("greedy".to_owned(), CEILING)].into(),
+        drain_ms: 1_000,
+        convergence_ms: 5_000,
+        convergence_after_counter_loss_ms: 5_000,
+        contradiction_ms: 3_000,
+        resources: ResourceLimits { memory_kb: 50_000, descriptors: 500, threads: 40 },
+    }
+}
+
+/// A history from times in ms.
+fn history(list: &[(u64, Observation)]) -> Vec<Record> {
+    list.iter()
+        .map(|(ms, observation)| Record { at_us: ms * 1_000, observation: observation.clone() })
+        .collect()
+}
+
+fn sent(request_id: u64, gatekeeper: &str) -> Observation {
+    Observation::RequestSent {
+        request_id,
+        tenant: "greedy".into(),
+        units: 1.0,
+        gatekeeper: gatekeeper.into(),
+    }
+}
+
+fn ended(request_id: u64, outcome: Outcome) -> Observation {
+    Observation::RequestEnded { request_id, outcome }
+}
+
+fn fault(begins: bool, affected: &[&str]) -> Observation {
+    let affected = affected.iter().map(|h| (*h).to_owned()).collect();
+    Observation::Fault { index: 0, kind: "killed".into(), begins, affected, delays_attempts: false }
+}
+
+/// What m0 logs of l0.
+fn logs_state(accepts_requests: bool) -> Observation {
+    let fields = [("server", Value::from("a/l0")), ("takes_work", Value::from(accepts_requests))];
+    let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
+    Observation::LogLine { process: "m0".into(), text: String::new(), fields }
+}
+
+fn arrived(request_id: u64) -> Observation {
+    Observation::AttemptArrived { request_id, backend: "l0".into(), gatekeeper: "m0".into() }
+}
+
+#[test]
+fn a_good_history_breaks_nothing() {
+    let good = history(&[
+        (0, Observation::ProcessStarted { process: "m0".into() }),
+        (1, sent(1, "m0")),
+        (2, arrived(1)),
+        (3, ended(1, Outcome::Served)),
+        (4, fault(true, &["m0"])),
+        (5, sent(2, "m0")),
+        (6, ended(2, Outcome::Unanswered)),
+        (7, fault(false, &["m0"])),
+        (8, logs_state(false)),
+        (900, arrived(3)),
+        (901, logs_state(true)),
+        (9_000, arrived(4)),
+        (9_001, Observation::JobRan { job: "d".into(), run: 1, instance: "m0".into() }),
+        (9_002, Observation::JobRan { job: "d".into(), run: 2, instance: "m1".into() }),
+        (
+            9_003,
+            Observation::ResourceUse {
+                process: "m0".into(),
+                memory_kb: 9_000,
+                descriptors: 40,
+                threads: 20,
+                cpu_ms: 0,
+            },
+        ),
+        (9_004, Observation::ProcessExited { process: "m0".into(), exit_code: -9, requested: true }),
+        (9_005, Observation::Converged { after_ms: Some(700), divergence: String::new() }),
+    ]);
+    assert_eq!(check(&good, &bounds()), []);
+    let mut text = Vec::new();
+    crate::history::write(&good, &mut text).expect("it is written");
+    let read = crate::history::read(&String::from_utf8_lossy(&text)).expect("it is read");
+    assert_eq!(read, good);
+}
+
+/// For each rule a history that breaks it, and only it.
+#[test]
+fn each_checker_finds_what_it_is_for() {
+    let agreed = (20_000, Observation::Converged { after_ms: Some(1), divergence: String::new() });
+    let ran = |by: &str| Observation::JobRan { job: "d".into(), run: 7, instance: by.into() };
+    let crowd: Vec<(u64, Observation)> =
+        (0..60).flat_map(|op| [(op, sent(op, "m0")), (op, arrived(op))]).collect();
+    let cases: Vec<(&str, Vec<(u64, Observation)>)> = vec![
+        ("one final answer in time", vec![(1, sent(1, "m0")), (9, ended(1, Outcome::Unanswered))]),
+        ("one final answer in time", vec![(1, sent(1, "m0")), (1_900, ended(1, Outcome::Served))]),
+        ("one final answer in time", vec![(1, sent(1, "m0")), (9, ended(1, Outcome::Foreign))]),
+        ("one final answer in time", vec![(1, sent(1, "m0"))]),
+        (
+            "one final answer in time",
+            vec![(1, sent(1, "m0")), (2, ended(1, Outcome::Served)), (3, ended(1, Outcome::Served))],
+        ),
+        (
+            // The fault hit another one.
+            "one final answer in time",
+            vec![(0, fault(true, &["m1"])), (1, sent(1, "m0")), (9, ended(1, Outcome::Unanswered))],
+        ),
+        ("hard ceiling", crowd),
+        ("nothing new to who takes no work", vec![(1, logs_state(false)), (1_500, arrived(9))]),
+        ("no round twice", vec![(1, ran("m0")), (2, ran("m1"))]),
+        (
+            "no exit unasked",
+            vec![(1, Observation::ProcessExited { process: "m0".into(), exit_code: 0, requested: false })],
+        ),
+        (
+            "no exit unasked",
+            vec![(1, Observation::ProcessExited { process: "m0".into(), exit_code: 101, requested: true })],
+        ),
+        (
+            "bounded memory, descriptors and threads",
+            vec![(
+                1,
+                Observation::ResourceUse {
+                    process: "m0".into(),
+                    memory_kb: 9_000,
+                    descriptors: 900,
+                    threads: 20,
+                    cpu_ms: 0,
+                },
+            )],
+        ),
+        (
+            "all agree again",
+            vec![(1, Observation::Converged { after_ms: None, divergence: "m1 sees 2".into() })],
+        ),
+    ];
+    for (rule, list) in cases {
+        let ends: Vec<(u64, Observation)> = match rule {
+            // What this rule is not about has its end.
+            "hard ceiling" => (0..60).map(|op| (100, ended(op, Outcome::Served))).collect(),
+            _ => Vec::new(),
+        };
+        let found = check(&history(&[&list[..], &ends, std::slice::from_ref(&agreed)].concat()), &bounds());
+        assert!(!found.is_empty() && found.iter().all(|v| v.rule == rule), "{rule}: {found:?}");
+    }
+}
+
+#[test]
+fn a_ceiling_counts_first_attempts_and_fills_with_time() {
+    // 40 at once and 20 a second: four a tick of 200 ms, each with a second attempt.
+    let mut list = Vec::new();
+    for op in 0..200 {
+        let at = op / 4 * 200;
+        list.extend([(at, sent(op, "m0")), (at, arrived(op)), (at, arrived(op))]);
+    }
+    assert_eq!(hard_ceilings(&history(&list), &bounds()), []);
+}
+
+fn logs_versions(who: &str, version: u64, proposed: u64, leased: bool) -> Observation {
+    let fields =
+        [("version", version.into()), ("proposed", proposed.into()), ("leased", Value::from(leased))];
+    let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
+    Observation::LogLine { process: who.into(), text: String::new(), fields }
+}
+
+#[test]
+fn versions_contradict_each_other_from_when_to_when() {
+    let fine = history(&[
+        (0, logs_versions("a", 1, 0, true)),
+        (0, logs_versions("b", 1, 0, true)),
+        (100, logs_versions("a", 1, 2, true)),
+        (200, logs_versions("b", 1, 2, true)),
+        (300, logs_versions("a", 2, 0, true)),
+        // Without a lease it acts on no version.
+        (400, logs_versions("b", 1, 2, false)),
+        (500, logs_versions("a", 2, 3, true)),
+        (600, logs_versions("a", 3, 0, true)),
+        (700, logs_versions("b", 3, 0, true)),
+    ]);
+    assert_eq!(longest_contradiction(&fine).longest_ms, 0);
+    let bad = history(&[
+        (0, logs_versions("a", 1, 0, true)),
+        (0, logs_versions("b", 1, 0, true)),
+        (100, logs_versions("a", 2, 0, true)),
+        (5_100, logs_versions("b", 2, 0, true)),
+    ]);
+    assert_eq!(longest_contradiction(&bad).longest_ms, 5_000);
+    assert_eq!(contradicting_versions(&bad, &bounds()).len(), 1);
+    // One that is suspended acts on nothing.
+    let stopped = |begins| Observation::Fault {
+        index: 0,
+        kind: "stopped".into(),
+        begins,
+        affected: vec!["b".into()],
+        delays_attempts: false,
+    };
+    let still = history(&[
+        (0, logs_versions("a", 1, 0, true)),
+        (0, logs_versions("b", 1, 0, true)),
+        (50, stopped(true)),
+        (100, logs_versions("a", 2, 0, true)),
+        (5_000, stopped(false)),
+        (5_020, logs_versions("b", 1, 0, false)),
+    ]);
+    assert_eq!(longest_contradiction(&still).longest_ms, 20);
+}
--- a/crates/fault_injection/src/history.rs
+++ b/crates/fault_injection/src/history.rs
@@ -9,22 +9,9 @@
 pub use observation::{Observation, Outcome, Record};
 pub use recorder::Recorder;
 
+use crate::Error;
 use std::io::{self, Write};
 
-/// A history file that cannot be read.
-#[derive(Debug, thiserror::Error)]
-pub enum HistoryError {
-    /// A line holds no record.
-    #[error("line {line}: {source}")]
-    Line {
-        /// The line's number, from 1.
-        line: usize,
-        /// What is wrong with it.
-        #[source]
-        source: serde_json::Error,
-    },
-}
-
 /// Microseconds of the system's monotonic clock, which all processes of a machine share.
 pub fn now_us() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
@@ -49,9 +36,9 @@
 /// # Errors
 ///
 /// A line holds no record.
-pub fn read(text: &str) -> Result<Vec<Record>, HistoryError> {
+pub fn read(text: &str) -> Result<Vec<Record>, Error> {
     let record = |(index, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|source| HistoryError::Line { line: index + 1, source })
+        serde_json::from_str(line).map_err(|source| Error::HistoryLine { line: index + 1, source })
     };
     text.lines().enumerate().map(record).collect()
 }
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -1,20 +1,26 @@
-//! Several real programs on loopback with faults between them, a history of what they did, and checkers of the rules.
+//! Fault injection: several real gatekeepers on loopback with faults between them, a history of what they did, and checkers of
+//! the rules.
 //!
-//! [`site`] starts programs of the release build and the stand-ins around them; all that one sends to another passes a link
-//! of [`net`]. A [`schedule`] says which faults come when; [`play`] plays it under the steady load of [`load`] and judges the
-//! [`history`] by the pure functions of [`checks`]. docs/design/faults.md has the reasons.
+//! [`site`] starts gatekeepers and the stand-ins around them; all that one node sends to another passes a link of [`network`].
+//! A [`schedule`] says which faults come when; the [`runner`] injects them under the steady load of [`load`] and judges the
+//! [`history`] by the pure functions of [`checkers`]. docs/design/faults.md has the reasons.
 //!
-//! The rig needs no privileges and stays on 127.0.0.0/8, where each site takes a net of its own.
+//! The harness needs no privileges and stays on 127.0.0.0/8, where each site takes a network of its own.
 
 pub mod builds;
-pub mod checks;
+pub mod checkers;
+mod error;
 pub mod history;
 pub mod load;
-pub mod net;
-pub mod play;
+pub mod network;
 pub mod process;
+pub mod runner;
 pub mod schedule;
 pub mod site;
 pub mod stand_ins;
-pub mod torn;
+mod sync;
+pub mod torn_writes;
+pub mod wait;
 pub mod wire;
+
+pub use error::Error;
--- /dev/null
+++ b/crates/fault_injection/src/load/client.rs
@@ -0,0 +1,164 @@
+//! A client of one gatekeeper.
+
+use super::Tenant;
+use crate::history::{Observation, Outcome, Recorder};
+use crate::network::Network;
+use crate::schedule::Form;
+use crate::wire;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+/// A client gives up after this; an answer so late has broken its rule long before.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection that does not come up within this never does: the way to the gatekeeper is cut.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Every so many requests one is large.
+const LARGE_REQUEST_EVERY: u64 = 5;
+const LARGE_REQUEST_UNITS: f64 = 4.0;
+const SMALL_REQUEST_UNITS: f64 = 1.0;
+
+/// What all clients of a site share.
+#[derive(Clone, Debug)]
+pub struct ClientSettings {
+    /// The protocol that they speak.
+    pub form: Form,
+    /// How long a request may take, ms.
+    pub deadline_ms: u64,
+    /// How many gatekeepers share the tenants.
+    pub gatekeepers: usize,
+    /// The next request's id.
+    pub next_request_id: Arc<AtomicU64>,
+}
+
+/// An attempt that got no answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct NoAnswer {
+    /// It went over a connection that earlier requests had used, and which may have been closed before it arrived.
+    on_reused_connection: bool,
+}
+
+/// A client of one gatekeeper, with one connection that it reuses.
+pub struct Client {
+    settings: ClientSettings,
+    gatekeeper: String,
+    address: SocketAddr,
+    network: Network,
+    recorder: Recorder,
+    connection: Option<BufReader<TcpStream>>,
+}
+
+impl Client {
+    /// A client of the gatekeeper at this address.
+    pub fn new(
+        settings: &ClientSettings,
+        gatekeeper: &str,
+        address: SocketAddr,
+        network: &Network,
+        recorder: &Recorder,
+    ) -> Self {
+        Self {
+            settings: settings.clone(),
+            gatekeeper: gatekeeper.to_owned(),
+            address,
+            network: network.clone(),
+            recorder: recorder.clone(),
+            connection: None,
+        }
+    }
+
+    /// Sends one request and follows it to its end.
+    pub fn send_request(&mut self, tenant: &Tenant) -> Outcome {
+        let request_id = self.settings.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let is_large = request_id.is_multiple_of(LARGE_REQUEST_EVERY);
+        let units = if is_large { LARGE_REQUEST_UNITS } else { SMALL_REQUEST_UNITS };
+        self.recorder.record(Observation::RequestSent {
+            request_id,
+            tenant: tenant.name.to_owned(),
+            units,
+            gatekeeper: self.gatekeeper.clone(),
+        });
+        let mut outcome = self.attempt(request_id, tenant, units);
+        // What crosses the end of a reused connection is sent once more, on a new one.
+        if outcome == Err(NoAnswer { on_reused_connection: true }) {
+            outcome = self.attempt(request_id, tenant, units);
+        }
+        let outcome = outcome.unwrap_or(Outcome::Unanswered);
+        self.recorder.record(Observation::RequestEnded { request_id, outcome });
+        outcome
+    }
+
+    fn attempt(&mut self, request_id: u64, tenant: &Tenant, units: f64) -> Result<Outcome, NoAnswer> {
+        let on_reused_connection = self.connection.is_some();
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
+            None => match self.connect() {
+                Ok(connection) => connection,
+                Err(_) => return Ok(Outcome::NotAccepted),
+            },
+        };
+        let local_address = connection.get_ref().local_addr();
+        let sent = connection.get_mut().write_all(&self.request(request_id, tenant, units));
+        let outcome = sent.ok().and_then(|()| self.read_outcome(&mut connection, request_id));
+        match outcome {
+            Some(outcome) => {
+                self.connection = Some(connection);
+                Ok(outcome)
+            }
+            None if local_address.is_ok_and(|address| self.network.was_refused(address)) => {
+                Ok(Outcome::NotAccepted)
+            }
+            None => Err(NoAnswer { on_reused_connection }),
+        }
+    }
+
+    fn connect(&self) -> std::io::Result<BufReader<TcpStream>> {
+        let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
+        let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(ANSWER_TIMEOUT)));
+        Ok(BufReader::new(stream))
+    }
+
+    fn request(&self, request_id: u64, tenant: &Tenant, units: f64) -> Vec<u8> {
+        match self.settings.form {
+            Form::Appliance => {
+                let path = if units > SMALL_REQUEST_UNITS { "/loans/history" } else { "/loans" };
+                let name = tenant.name;
+                format!("GET {path} HTTP/1.1\r\nHost: a\r\nX-Lender: {name}\r\nX-Op: {request_id}\r\n\r\n")
+                    .into_bytes()
+            }
+            Form::Platform => {
+                let fields = format!(
+                    "c=lookup,t={},d={},units={units},spread={},first=0",
+                    tenant.plan, self.settings.deadline_ms, self.settings.gatekeepers
+                );
+                let (tenant_id, request_id) = (format!("{:016x}", tenant.id), format!("{request_id:016x}"));
+                wire::resp_command(&["SVC.QUERY", &tenant_id, &request_id, &fields])
+            }
+        }
+    }
+
+    fn read_outcome(&self, from: &mut BufReader<TcpStream>, request_id: u64) -> Option<Outcome> {
+        match self.settings.form {
+            Form::Appliance => {
+                let message = wire::read_http_message(from)?;
+                Some(match message.target_or_status() {
+                    "200" if message.body == request_id.to_string().as_bytes() => Outcome::Served,
+                    "200" => Outcome::Foreign,
+                    "429" | "503" => Outcome::Rejected,
+                    _ => Outcome::Failed,
+                })
+            }
+            Form::Platform => {
+                let reply = wire::read_resp_reply(from)?;
+                Some(match &reply {
+                    text if text.starts_with("-BUSY") => Outcome::Rejected,
+                    text if text.starts_with('-') => Outcome::Failed,
+                    text if u64::from_str_radix(text, 16) == Ok(request_id) => Outcome::Served,
+                    _ => Outcome::Foreign,
+                })
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fault_injection/src/network/datagram_link.rs
@@ -0,0 +1,155 @@
+//! Links for datagrams, and the queue of those that are delayed.
+
+use super::{Link, LinkQuality, Network, NodeId, POLL_INTERVAL};
+use crate::sync::lock;
+use std::collections::BinaryHeap;
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::atomic::Ordering;
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// The most delayed datagrams; further ones are dropped.
+const MAX_DELAYED: usize = 65_536;
+/// Larger than any datagram that gatekeepers send.
+const DATAGRAM_BUFFER: usize = 2048;
+/// A datagram that is overtaken comes this much later, and by the link's latency once more.
+const REORDER_DELAY: Duration = Duration::from_millis(5);
+
+/// A datagram that is under way.
+struct DelayedDatagram {
+    due: Instant,
+    /// Orders datagrams that are due at the same time.
+    number: u64,
+    bytes: Vec<u8>,
+    from: Arc<UdpSocket>,
+    to: SocketAddr,
+}
+
+impl PartialEq for DelayedDatagram {
+    fn eq(&self, other: &Self) -> bool {
+        (self.due, self.number) == (other.due, other.number)
+    }
+}
+
+impl Eq for DelayedDatagram {}
+
+impl PartialOrd for DelayedDatagram {
+    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for DelayedDatagram {
+    /// The one that is due first is the greatest, and so on top of a heap.
+    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+        (other.due, other.number).cmp(&(self.due, self.number))
+    }
+}
+
+/// Datagrams that are under way.
+#[derive(Default)]
+pub(super) struct DelayQueue {
+    heap: Mutex<BinaryHeap<DelayedDatagram>>,
+    changed: Condvar,
+}
+
+impl DelayQueue {
+    pub(super) fn notify(&self) {
+        self.changed.notify_all();
+    }
+}
+
+impl Network {
+    /// Datagrams from this address are this node's.
+    pub fn register_sender(&self, node: NodeId, address: SocketAddr) {
+        lock(&self.0.senders).insert(address, node);
+    }
+
+    /// A link for datagrams to a node that receives them at `target`. Returns the address at which the others reach it.
+    ///
+    /// # Errors
+    ///
+    /// `listen_at` cannot be listened on.
+    pub fn datagram_link(
+        &self,
+        to: NodeId,
+        listen_at: SocketAddr,
+        target: SocketAddr,
+    ) -> std::io::Result<SocketAddr> {
+        let socket = Arc::new(UdpSocket::bind(listen_at)?);
+        let address = socket.local_addr()?;
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
+        let network = self.clone();
+        thread::spawn(move || {
+            let mut random = network.random();
+            let mut buffer = [0; DATAGRAM_BUFFER];
+            while !network.is_shut_down() {
+                // A datagram that nobody receives behind the link concerns no other one.
+                let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
+                let from = lock(&network.0.senders).get(&from).copied();
+                let quality = from.map(|from| network.quality(Link::new(from, to))).unwrap_or_default();
+                network.forward_datagram(&quality, &mut random, &buffer[..length], &socket, target);
+            }
+        });
+        Ok(address)
+    }
+
+    fn forward_datagram(
+        &self,
+        quality: &LinkQuality,
+        random: &mut fastrand::Rng,
+        bytes: &[u8],
+        socket: &Arc<UdpSocket>,
+        target: SocketAddr,
+    ) {
+        let counters = &self.0.counters;
+        if quality.cut || quality.closed || random.f64() < quality.loss {
+            counters.dropped_datagrams.fetch_add(1, Ordering::Relaxed);
+            return;
+        }
+        let copies = 1 + usize::from(random.f64() < quality.duplicate);
+        for _ in 0..copies {
+            let mut latency = quality.latency(bytes.len(), random);
+            if random.f64() < quality.reorder {
+                latency += REORDER_DELAY + quality.delay + quality.jitter;
+            }
+            counters.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            counters.datagram_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            if latency.is_zero() {
+                let _ = socket.send_to(bytes, target);
+            } else {
+                self.delay_datagram(latency, bytes.to_vec(), socket.clone(), target);
+            }
+        }
+    }
+
+    fn delay_datagram(&self, latency: Duration, bytes: Vec<u8>, from: Arc<UdpSocket>, to: SocketAddr) {
+        let mut heap = lock(&self.0.delayed.heap);
+        if heap.len() >= MAX_DELAYED {
+            self.0.counters.dropped_datagrams.fetch_add(1, Ordering::Relaxed);
+            return;
+        }
+        let number = self.0.next_seed.fetch_add(1, Ordering::Relaxed);
+        heap.push(DelayedDatagram { due: Instant::now() + latency, number, bytes, from, to });
+        self.0.delayed.changed.notify_one();
+    }
+
+    /// Delivers delayed datagrams when they are due, until the network ends.
+    pub(super) fn deliver_delayed(&self) {
+        let queue = &self.0.delayed;
+        let mut heap = lock(&queue.heap);
+        while !self.is_shut_down() {
+            let now = Instant::now();
+            let wait =
+                heap.peek().map_or(POLL_INTERVAL, |datagram| datagram.due.saturating_duration_since(now));
+            if wait.is_zero() {
+                if let Some(datagram) = heap.pop() {
+                    let _ = datagram.from.send_to(&datagram.bytes, datagram.to);
+                }
+                continue;
+            }
+            heap = queue.changed.wait_timeout(heap, wait).map_or_else(|e| e.into_inner().0, |(heap, _)| heap);
+        }
+    }
+}
--- a/crates/fault_injection/src/process.rs
+++ b/crates/fault_injection/src/process.rs
@@ -1,293 +1,234 @@
-//! A real program as a child, with its log, its signals and its end.
+//! A real gatekeeper as a child process, with its log, its signals and its end.
+
+mod log;
+
+#[cfg(test)]
+mod tests;
+
+pub use log::Log;
 
 use crate::history::{Observation, Recorder};
+use crate::wait::STEP_TIMEOUT;
+use log::{Progress, spawn_reader};
 use rustix::process::{Pid, Signal, kill_process};
-use serde_json::{Map, Value};
 use std::ffi::OsString;
-use std::io::{BufRead, BufReader};
+use std::io::BufReader;
 use std::os::unix::process::ExitStatusExt;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread;
-use std::time::{Duration, Instant};
-
-/// Longer than any step of a program may take.
-pub const LONG: Duration = Duration::from_secs(20);
-/// A program ends within this after it was told to: the longest deadline, 0.7 s, and a slow machine.
-const ENDS_WITHIN: Duration = Duration::from_secs(8);
-/// A slowed program runs for this ...
-const RUNS: Duration = Duration::from_millis(5);
-/// ... and then stands still for this.
-const STANDS: Duration = Duration::from_millis(45);
-
-#[derive(Debug, Default)]
-struct Seen {
-    lines: Vec<String>,
-    ended: bool,
+use std::time::Duration;
+
+/// A graceful shutdown takes no longer: the longest deadline, 0.7 s, and a slow machine.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
+/// A throttled process runs for this ...
+const THROTTLED_RUN: Duration = Duration::from_millis(5);
+/// ... and is then suspended for this.
+const THROTTLED_PAUSE: Duration = Duration::from_millis(45);
+/// Linux counts processor time in ticks of so many ms here (proc(5)).
+const TICK_MS: u64 = 10;
+/// User and system time among the fields of `/proc/PID/stat` behind the name (fields 14 and 15 of proc(5)).
+const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
+
+/// The resources that a process uses at one moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceUsage {
+    /// Resident memory, kB.
+    pub memory_kb: u64,
+    /// Open descriptors.
+    pub descriptors: u64,
+    /// Threads.
+    pub threads: u64,
+    /// Processor time since its start, ms.
+    pub cpu_ms: u64,
 }
 
-/// A running program.
+/// A running gatekeeper. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
-    who: String,
-    /// The file's name.
+    name: String,
+    /// The file name of its build.
     build: OsString,
     pid: Pid,
-    seen: Arc<(Mutex<Seen>, Condvar)>,
-    /// The rig ends it.
-    told: Arc<AtomicBool>,
-    /// It is to be slow.
-    slow: Arc<AtomicBool>,
-}
-
-fn held(seen: &(Mutex<Seen>, Condvar)) -> MutexGuard<'_, Seen> {
-    seen.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    progress: Arc<Progress>,
+    /// The harness has asked for its end.
+    end_requested: Arc<AtomicBool>,
+    throttled: Arc<AtomicBool>,
 }
 
 impl Process {
-    /// Starts it. All that it writes goes into the history.
+    /// Starts a build. All that it writes goes into the history.
     ///
     /// # Errors
     ///
     /// It cannot be started.
     pub fn start(
-        who: &str,
+        name: &str,
         build: &Path,
-        words: &[&str],
+        arguments: &[&str],
         variables: &[(&str, String)],
         recorder: &Recorder,
     ) -> std::io::Result<Self> {
         let mut child = Command::new(build)
-            .args(words)
+            .args(arguments)
             .env("SNOWFIELD_LOG", "json")
             .envs(variables.iter().map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()?;
-        let pid = Pid::from_child(&child);
-        recorder.record(Observation::ProcessStarted { process: who.to_owned() });
-        let seen = Arc::<(Mutex<Seen>, Condvar)>::default();
-        let told = Arc::new(AtomicBool::new(false));
+        let process = Self {
+            name: name.to_owned(),
+            build: build.file_name().unwrap_or_default().to_owned(),
+            pid: Pid::from_child(&child),
+            progress: Arc::default(),
+            end_requested: Arc::default(),
+            throttled: Arc::default(),
+        };
+        recorder.record(Observation::ProcessStarted { process: name.to_owned() });
         let mut readers = Vec::new();
         if let Some(out) = child.stdout.take() {
-            readers.push(reads(who, BufReader::new(out), recorder, &seen));
+            readers.push(spawn_reader(name, BufReader::new(out), recorder, &process.progress));
         }
         if let Some(out) = child.stderr.take() {
-            readers.push(reads(who, BufReader::new(out), recorder, &seen));
+            readers.push(spawn_reader(name, BufReader::new(out), recorder, &process.progress));
         }
-        let (ended, was_told, name, noted) = (seen.clone(), told.clone(), who.to_owned(), recorder.clone());
+        process.spawn_waiter(child, readers, recorder.clone());
+        Ok(process)
+    }
+
+    /// Waits for the end in a thread and records it.
+    fn spawn_waiter(&self, mut child: Child, readers: Vec<thread::JoinHandle<()>>, recorder: Recorder) {
+        let (progress, end_requested) = (self.progress.clone(), self.end_requested.clone());
+        let process = self.name.clone();
         thread::spawn(move || {
             let status = child.wait();
             // What it wrote last is in the history before its end.
             readers.into_iter().for_each(|reader| drop(reader.join()));
-            let code = status.map_or(i32::MIN, |s| s.code().unwrap_or_else(|| -s.signal().unwrap_or(0)));
-            let told = was_told.load(Ordering::Relaxed);
-            noted.record(Observation::ProcessExited { process: name, exit_code: code, requested: told });
-            held(&ended).ended = true;
-            ended.1.notify_all();
+            let exit_code = status.map_or(i32::MIN, exit_code);
+            let requested = end_requested.load(Ordering::Relaxed);
+            recorder.record(Observation::ProcessExited { process, exit_code, requested });
+            progress.end();
         });
-        let build = build.file_name().unwrap_or_default().to_owned();
-        Ok(Self { who: who.to_owned(), build, pid, seen, told, slow: Arc::default() })
-    }
-
-    /// Its log, which can be waited on while others act on the program.
-    pub fn listens(&self) -> Log {
-        Log(self.seen.clone())
     }
 
-    /// Waits for its end within `most`.
-    fn wait(&self, most: Duration) -> bool {
-        let done = self.seen.1.wait_timeout_while(held(&self.seen), most, |seen| !seen.ended);
-        done.map_or_else(|e| e.into_inner().0, |d| d.0).ended
+    /// Its log, which can be waited on while others act on the process.
+    pub fn log(&self) -> Log {
+        Log::new(self.progress.clone())
     }
 
-    /// Waits for the end of a program that was told to end in order. One that does not is killed, and counts as one that
+    /// Waits for the end of a process that was asked to shut down. One that does not is killed, and counts as one that
     /// ended unasked.
-    pub fn has_ended_in_order(&self) {
-        if !self.wait(ENDS_WITHIN) {
-            self.told.store(false, Ordering::Relaxed);
+    pub fn wait_for_shutdown(&self) {
+        if !self.progress.wait_for_end(SHUTDOWN_TIMEOUT) {
+            self.end_requested.store(false, Ordering::Relaxed);
             self.signal(Signal::KILL);
-            self.wait(LONG);
+            self.progress.wait_for_end(STEP_TIMEOUT);
         }
     }
 
     fn signal(&self, signal: Signal) {
-        // A number is another's only after the end was waited for.
-        let seen = held(&self.seen);
-        if !seen.ended {
+        self.progress.if_running(|| {
             let _ = kill_process(self.pid, signal);
-        }
+        });
     }
 
     /// Kills it and waits for its end.
     pub fn kill(&self) {
-        self.told.store(true, Ordering::Relaxed);
+        self.end_requested.store(true, Ordering::Relaxed);
         self.signal(Signal::KILL);
-        self.wait(LONG);
+        self.progress.wait_for_end(STEP_TIMEOUT);
     }
 
-    /// Tells it to end in order.
-    pub fn end(&self) {
-        self.told.store(true, Ordering::Relaxed);
+    /// Asks for a graceful shutdown.
+    pub fn shut_down(&self) {
+        self.end_requested.store(true, Ordering::Relaxed);
         self.signal(Signal::TERM);
     }
 
-    /// Tells it to take its file anew.
+    /// Asks it to reload its settings.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Stops it until [`Process::go_on`].
-    pub fn stop(&self) {
+    /// Suspends it until [`Process::resume`].
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
     /// It runs again, at full speed.
-    pub fn go_on(&self) {
-        self.slow.store(false, Ordering::Relaxed);
+    pub fn resume(&self) {
+        self.throttled.store(false, Ordering::Relaxed);
         self.signal(Signal::CONT);
     }
 
-    /// Stops it nine tenths of the time until [`Process::go_on`].
-    pub fn slow_down(&self) {
-        if self.slow.swap(true, Ordering::Relaxed) {
+    /// Suspends it nine tenths of the time until [`Process::resume`].
+    pub fn throttle(&self) {
+        if self.throttled.swap(true, Ordering::Relaxed) {
             return;
         }
-        let (slow, seen, pid) = (self.slow.clone(), self.seen.clone(), self.pid);
+        let (throttled, progress, pid) = (self.throttled.clone(), self.progress.clone(), self.pid);
         thread::spawn(move || {
-            let say = |signal| {
-                let seen = held(&seen);
-                !seen.ended && kill_process(pid, signal).is_ok()
-            };
-            while slow.load(Ordering::Relaxed) && say(Signal::STOP) {
-                thread::sleep(STANDS);
-                if !say(Signal::CONT) {
+            let send = |signal| progress.if_running(|| kill_process(pid, signal).is_ok()).unwrap_or(false);
+            while throttled.load(Ordering::Relaxed) && send(Signal::STOP) {
+                thread::sleep(THROTTLED_PAUSE);
+                if !send(Signal::CONT) {
                     return;
                 }
-                thread::sleep(RUNS);
+                thread::sleep(THROTTLED_RUN);
             }
         });
     }
 
-    /// Memory in kB, descriptors and threads that it has now, and its processor time in ms.
-    pub fn holds(&self) -> Option<(u64, u64, u64, u64)> {
-        // Its number may be another's once it has ended.
-        let _seen = Some(held(&self.seen)).filter(|seen| !seen.ended)?;
+    /// The resources that it uses now; none where it has ended, or is not yet the program.
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
+        self.progress.if_running(|| self.read_resource_usage())?
+    }
+
+    fn read_resource_usage(&self) -> Option<ResourceUsage> {
         let folder = PathBuf::from(format!("/proc/{}", self.pid.as_raw_nonzero()));
-        // Just before it becomes the program it is a copy of the rig.
+        // Just before it becomes the program it is a copy of the harness.
         if std::fs::read_link(folder.join("exe")).ok()?.file_name()? != self.build {
             return None;
         }
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
-        let number = |name: &str| -> Option<u64> {
+        let figure = |name: &str| -> Option<u64> {
             status.lines().find_map(|l| l.strip_prefix(name))?.split_whitespace().next()?.parse().ok()
         };
-        let files = std::fs::read_dir(folder.join("fd")).ok()?.count() as u64;
+        let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as u64;
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-        // Fields 14 and 15, in hundredths of a second (proc(5)).
-        let ticks = |i: usize| fields.get(i)?.parse::<u64>().ok();
-        Some((number("VmRSS:")?, files, number("Threads:")?, 10 * (ticks(11)? + ticks(12)?)))
-    }
-
-    /// Its number in the system.
-    pub fn number(&self) -> i32 {
+        let ticks = |field: usize| fields.get(field)?.parse::<u64>().ok();
+        let [user, system] = CPU_TIME_FIELDS.map(ticks);
+        Some(ResourceUsage {
+            memory_kb: figure("VmRSS:")?,
+            descriptors,
+            threads: figure("Threads:")?,
+            cpu_ms: TICK_MS * (user? + system?),
+        })
+    }
+
+    /// Its process id.
+    pub fn pid(&self) -> i32 {
         self.pid.as_raw_nonzero().get()
     }
 
     /// Its name.
-    pub fn who(&self) -> &str {
-        &self.who
-    }
-}
-
-/// What a program has logged.
-#[derive(Clone, Debug)]
-pub struct Log(Arc<(Mutex<Seen>, Condvar)>);
-
-impl Log {
-    /// How many lines so far hold this text.
-    pub fn count(&self, text: &str) -> usize {
-        held(&self.0).lines.iter().filter(|l| l.contains(text)).count()
-    }
-
-    /// Waits for a line that holds this text; tells whether one came before the program's end and in time.
-    pub fn logged(&self, text: &str) -> bool {
-        let waits = |seen: &mut Seen| !seen.ended && !seen.lines.iter().any(|l| l.contains(text));
-        let done = self.0.1.wait_timeout_while(held(&self.0), LONG, waits);
-        done.map_or_else(|e| e.into_inner().0, |d| d.0).lines.iter().any(|l| l.contains(text))
+    pub fn name(&self) -> &str {
+        &self.name
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.slow.store(false, Ordering::Relaxed);
+        self.throttled.store(false, Ordering::Relaxed);
         self.kill();
     }
 }
 
-fn reads(
-    who: &str,
-    out: impl BufRead + Send + 'static,
-    recorder: &Recorder,
-    seen: &Arc<(Mutex<Seen>, Condvar)>,
-) -> thread::JoinHandle<()> {
-    let (who, recorder, seen) = (who.to_owned(), recorder.clone(), seen.clone());
-    thread::spawn(move || {
-        for line in out.lines().map_while(Result::ok) {
-            let (at, text, fields) = told(line);
-            let noted = Observation::LogLine { process: who.clone(), text: text.clone(), fields };
-            match at {
-                Some(at) => recorder.record_at(at, noted),
-                None => recorder.record(noted),
-            }
-            held(&seen).lines.push(text);
-            seen.1.notify_all();
-        }
-    })
-}
-
-/// Time, words and fields of a line of the program's JSON log. What is none, as the words of a program that gives up, is
-/// taken as it is.
-fn told(line: String) -> (Option<u64>, String, Map<String, Value>) {
-    let Ok(Value::Object(mut fields)) = serde_json::from_str(&line) else { return (None, line, Map::new()) };
-    let mut word = |name: &str| match fields.remove(name) {
-        Some(Value::String(word)) => word,
-        _ => String::new(),
-    };
-    let (at, text) = (word("timestamp").parse().ok(), word("message"));
-    drop((word("level"), word("target")));
-    (at, text, fields)
-}
-
-/// Waits until this is so, with a look so often; tells whether it became so in time.
-pub fn until(within: Duration, often: Duration, so: impl Fn() -> bool) -> bool {
-    let end = Instant::now() + within;
-    while !so() {
-        if Instant::now() >= end {
-            return false;
-        }
-        thread::sleep(often);
-    }
-    true
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_line_of_the_log_is_read_with_its_own_time_and_other_words_as_they_are() {
-        let line = r#"{"timestamp":"17","level":"INFO","message":"consul: a takes work","server":"a","takes_work":true,"target":"consul"}"#;
-        let (at, text, fields) = told(line.to_owned());
-        assert_eq!((at, text.as_str()), (Some(17), "consul: a takes work"));
-        assert_eq!(fields.len(), 2);
-        assert_eq!(fields["takes_work"], Value::Bool(true));
-        for other in ["fatal: a panic", "[1]", "{\"timestamp\":"] {
-            assert_eq!(told(other.to_owned()), (None, other.to_owned(), Map::new()));
-        }
-    }
+/// The exit code, or the negative number of the signal that ended it.
+fn exit_code(status: ExitStatus) -> i32 {
+    status.code().unwrap_or_else(|| -status.signal().unwrap_or(0))
 }
--- /dev/null
+++ b/crates/fault_injection/src/runner.rs
@@ -0,0 +1,195 @@
+//! Runs a schedule on a site and checks what was observed.
+
+#[cfg(test)]
+mod tests;
+
+use crate::Error;
+use crate::builds::Builds;
+use crate::checkers::{self, Violation};
+use crate::history::{Observation, Outcome, Record, Recorder, now_us};
+use crate::network::Traffic;
+use crate::schedule::{Fault, Schedule};
+use crate::site::{Site, write_common_files};
+use crate::wait::wait_until;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::path::Path;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+
+/// All have this long to agree after the last fault; the bound of the rule is shorter.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(35);
+/// All agree by then at the start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Between two looks at whether all agree. Each sends a request that counts to every gatekeeper: twelve that were asked fifty
+/// times a second spent the whole quota of the tenant that is to show whether there is capacity.
+const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Between two records of the resources that gatekeepers use.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// All ends of processes are recorded within this after a site was shut down.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(2);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What came of a schedule.
+#[derive(Debug)]
+pub struct RunResult {
+    /// What was broken.
+    pub violations: Vec<Violation>,
+    /// Faults by kind, those that were injected.
+    pub faults: BTreeMap<String, u64>,
+    /// Requests by outcome.
+    pub outcomes: BTreeMap<Outcome, u64>,
+    /// ms from the end of the last fault until all agreed.
+    pub converged_after_ms: Option<u64>,
+    /// What links carried and dropped.
+    pub traffic: Traffic,
+    /// All that was observed.
+    pub history: Vec<Record>,
+}
+
+/// The time since a schedule began.
+#[derive(Clone, Copy)]
+struct ScheduleClock(Instant);
+
+impl ScheduleClock {
+    fn sleep_until(self, ms: u64) {
+        thread::sleep(Duration::from_millis(ms).saturating_sub(self.0.elapsed()));
+    }
+}
+
+/// The faults of a schedule, once all are over.
+struct InjectedFaults {
+    errors: Vec<Error>,
+    last_end_us: u64,
+}
+
+/// Starts a site in this folder, runs the schedule on it, shuts it down, and checks the history.
+///
+/// # Errors
+///
+/// The site could not be started. A fault that could not be injected is a violation.
+pub fn run(schedule: &Schedule, builds: impl Into<Builds>, folder: &Path) -> Result<RunResult, Error> {
+    write_common_files(folder)?;
+    let site = Site::start(schedule, builds, folder)?;
+    if !wait_until(START_TIMEOUT, CONVERGENCE_POLL_INTERVAL, || site.divergence().is_empty()) {
+        let divergence = format!("at the start, before any fault: {}", site.divergence());
+        site.recorder.record(Observation::Converged { after_ms: None, divergence });
+        return Ok(finish(&site, &[], None));
+    }
+    let is_over = Arc::new(AtomicBool::new(false));
+    let clients = site.start_load(&is_over);
+    let sampler = start_sampler(&site, &is_over);
+    let clock = ScheduleClock(Instant::now());
+    let injected = inject_faults(&site, schedule, clock);
+    let converged_after_ms = wait_for_convergence(&site, injected.last_end_us);
+    clock.sleep_until(schedule.length_ms);
+    is_over.store(true, Ordering::Relaxed);
+    clients.into_iter().for_each(|client| drop(client.join()));
+    drop(sampler.join());
+    Ok(finish(&site, &injected.errors, converged_after_ms))
+}
+
+/// Records the resources that gatekeepers use, until the load is over.
+fn start_sampler(site: &Arc<Site>, is_over: &Arc<AtomicBool>) -> JoinHandle<()> {
+    let (site, is_over) = (site.clone(), is_over.clone());
+    thread::spawn(move || {
+        while !is_over.load(Ordering::Relaxed) {
+            site.record_resource_use();
+            thread::sleep(SAMPLE_INTERVAL);
+        }
+    })
+}
+
+/// Injects each fault in a thread and waits until all are over.
+fn inject_faults(site: &Site, schedule: &Schedule, clock: ScheduleClock) -> InjectedFaults {
+    let last_end_us = AtomicU64::new(now_us());
+    let inject = |index: usize, fault: &Fault| {
+        clock.sleep_until(fault.start_ms);
+        let wait_for_end = || clock.sleep_until(fault.start_ms + fault.duration_ms);
+        let done = site.inject_fault(index, &fault.kind, &wait_for_end);
+        last_end_us.fetch_max(now_us(), Ordering::Relaxed);
+        done
+    };
+    let errors = thread::scope(|scope| {
+        let inject = &inject;
+        let faults = schedule.faults.iter().enumerate();
+        let threads: Vec<_> =
+            faults.map(|(index, fault)| scope.spawn(move || inject(index, fault))).collect();
+        let results = threads.into_iter().map(|t| t.join().unwrap_or(Err(Error::FaultPanicked)));
+        results.filter_map(Result::err).collect()
+    });
+    InjectedFaults { errors, last_end_us: last_end_us.into_inner() }
+}
+
+/// Waits until all agree; ms from the end of the last fault until then.
+fn wait_for_convergence(site: &Site, last_end_us: u64) -> Option<u64> {
+    let divergence = RefCell::new(String::new());
+    let has_converged = || {
+        let present = site.divergence();
+        let agrees = present.is_empty();
+        if divergence.replace(present.clone()) != present && !agrees {
+            site.recorder.record(Observation::DivergenceChanged { divergence: present });
+        }
+        agrees
+    };
+    let after_ms = wait_until(CONVERGENCE_TIMEOUT, CONVERGENCE_POLL_INTERVAL, has_converged)
+        .then(|| (now_us() - last_end_us) / 1_000);
+    site.recorder.record(Observation::Converged { after_ms, divergence: divergence.into_inner() });
+    after_ms
+}
+
+/// Shuts the site down and checks its history.
+fn finish(site: &Site, errors: &[Error], converged_after_ms: Option<u64>) -> RunResult {
+    site.shut_down();
+    let traffic = site.network.traffic();
+    let history = complete_history(&site.recorder);
+    let mut violations = checkers::check(&history, &Site::bounds());
+    let failed = |error: &Error| Violation { rule: "a program comes back", text: error.to_string() };
+    violations.extend(errors.iter().map(failed));
+    let mut faults = BTreeMap::new();
+    for record in &history {
+        if let Observation::Fault { kind, begins: true, .. } = &record.observation {
+            *faults.entry(kind.clone()).or_default() += 1;
+        }
+    }
+    let outcomes = checkers::outcomes(&history);
+    RunResult { violations, faults, outcomes, converged_after_ms, traffic, history }
+}
+
+/// The history, once the last ends of processes are in it.
+fn complete_history(recorder: &Recorder) -> Vec<Record> {
+    let all_ended = || {
+        let records = recorder.records_by_time();
+        let count =
+            |wanted: fn(&Observation) -> bool| records.iter().filter(|r| wanted(&r.observation)).count();
+        let started = count(|observation| matches!(observation, Observation::ProcessStarted { .. }));
+        let exited = count(|observation| matches!(observation, Observation::ProcessExited { .. }));
+        started == exited
+    };
+    wait_until(EXIT_TIMEOUT, EXIT_POLL_INTERVAL, all_ended);
+    recorder.records_by_time()
+}
+
+/// Leaves faults out one at a time for as long as what is left still fails; returns the smallest schedule that does.
+///
+/// # Errors
+///
+/// Those of `fails`.
+pub fn shrink<E>(
+    schedule: &Schedule,
+    mut fails: impl FnMut(&Schedule) -> Result<bool, E>,
+) -> Result<Schedule, E> {
+    let mut smallest = schedule.clone();
+    let mut index = 0;
+    while index < smallest.faults.len() {
+        let smaller = smallest.without_fault(index);
+        if fails(&smaller)? {
+            smallest = smaller;
+        } else {
+            index += 1;
+        }
+    }
+    Ok(smallest)
+}
--- a/crates/fault_injection/src/schedule.rs
+++ b/crates/fault_injection/src/schedule.rs
@@ -10,33 +10,12 @@
 pub use fault::{DiskFault, FailureMode, Fault, FaultKind};
 pub use named::named_schedules;
 
+use crate::Error;
 use serde::{Deserialize, Serialize};
 
 /// The most gatekeepers, and the most backends, of a site.
 pub const MAX_NODES: usize = 64;
 
-/// A schedule file that cannot be played.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ScheduleError {
-    /// The file is no schedule.
-    #[error(transparent)]
-    Syntax(#[from] toml::de::Error),
-    /// Too few or too many gatekeepers or backends.
-    #[error("programs and loans must be 1 to {MAX_NODES}, not {gatekeepers} and {backends}")]
-    SiteSize {
-        /// Gatekeepers asked for.
-        gatekeepers: usize,
-        /// Backends asked for.
-        backends: usize,
-    },
-    /// A fault ends after the schedule does.
-    #[error("a fault of {start_ms} ms ends after length_ms")]
-    FaultEndsLate {
-        /// When it begins.
-        start_ms: u64,
-    },
-}
-
 /// The form in which gatekeepers run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
@@ -114,14 +93,14 @@
     /// # Errors
     ///
     /// The text is no schedule, or one that cannot be played.
-    pub fn parse(text: &str) -> Result<Self, ScheduleError> {
+    pub fn parse(text: &str) -> Result<Self, Error> {
         let schedule: Self = toml::from_str(text)?;
         let (gatekeepers, backends) = (schedule.gatekeepers, schedule.backends);
         if [gatekeepers, backends].iter().any(|count| !(1..=MAX_NODES).contains(count)) {
-            return Err(ScheduleError::SiteSize { gatekeepers, backends });
+            return Err(Error::SiteSize { gatekeepers, backends });
         }
         match schedule.faults.iter().find(|fault| fault.end_ms() > schedule.length_ms) {
-            Some(late) => Err(ScheduleError::FaultEndsLate { start_ms: late.start_ms }),
+            Some(late) => Err(Error::FaultEndsLate { start_ms: late.start_ms }),
             None => Ok(schedule),
         }
     }
--- a/crates/fault_injection/src/schedule/tests.rs
+++ b/crates/fault_injection/src/schedule/tests.rs
@@ -8,9 +8,11 @@
     for seed in 0..500 {
         let schedule = Schedule::from_seed(seed, 10_000);
         assert_eq!(schedule, Schedule::from_seed(seed, 10_000));
-        assert_eq!(Schedule::parse(&schedule.to_toml()), Ok(schedule));
+        assert_eq!(Schedule::parse(&schedule.to_toml()).expect("it can be played"), schedule);
+    }
+    for schedule in named_schedules() {
+        assert_eq!(Schedule::parse(&schedule.to_toml()).expect("it can be played"), schedule);
     }
-    named_schedules().iter().for_each(|s| assert_eq!(Schedule::parse(&s.to_toml()).as_ref(), Ok(s)));
 }
 
 #[test]
--- /dev/null
+++ b/crates/fault_injection/src/site/addresses.rs
@@ -0,0 +1,94 @@
+//! The addresses of a site: a network of its own within 127.0.0.0/8.
+
+use crate::history::now_us;
+use crate::schedule::MAX_NODES;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
+
+/// The port at which gatekeepers serve clients.
+const CLIENT_PORT: u16 = 8_080;
+const STATUS_PORT: u16 = 8_081;
+const GOSSIP_PORT: u16 = 7_946;
+/// The port at which replicas of the replicated configuration receive messages.
+const REPLICA_PORT: u16 = 7_947;
+const ADMIN_PORT: u16 = 9_600;
+/// The port that backends have in Consul's own record.
+const RECORDED_PORT: u16 = 6_379;
+/// Whoever listens here has the network.
+const LOCK_PORT: u16 = 7_999;
+
+/// The third byte of addresses: gatekeepers have 1 to [`MAX_NODES`].
+const STAND_INS: u8 = 200;
+const LINKS: u8 = 201;
+const RECORDED: u8 = 202;
+
+/// The addresses of a site.
+pub(super) struct AddressPlan {
+    /// The second byte of all addresses.
+    network: u8,
+    /// Held so that no other site takes the same addresses.
+    _lock: TcpListener,
+}
+
+impl AddressPlan {
+    /// Reserves a network that no other site of this machine has.
+    pub(super) fn reserve() -> std::io::Result<Self> {
+        let first = now_us() as u8;
+        for i in 0..=255u8 {
+            let network = first.wrapping_add(i).max(2);
+            let lock_address = (Ipv4Addr::new(127, network, 0, 1), LOCK_PORT);
+            let Ok(lock) = TcpListener::bind(lock_address) else { continue };
+            // Gatekeepers outlive a harness that was killed, and share their port with whoever is started at their address:
+            // their answers once were taken for those of the new ones.
+            let is_in_use = (1..=MAX_NODES as u8)
+                .any(|i| TcpListener::bind((Ipv4Addr::new(127, network, i, 1), CLIENT_PORT)).is_err());
+            if !is_in_use {
+                return Ok(Self { network, _lock: lock });
+            }
+        }
+        Err(std::io::Error::other("no free addresses"))
+    }
+
+    fn host(&self, group: u8, number: u8) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.network, group, number)
+    }
+
+    /// The host of all stand-ins.
+    pub(super) fn stand_ins(&self) -> IpAddr {
+        IpAddr::V4(self.host(STAND_INS, 1))
+    }
+
+    /// Where links listen, each at a free port.
+    pub(super) fn link(&self) -> SocketAddr {
+        SocketAddr::from((self.host(LINKS, 1), 0))
+    }
+
+    /// The address of a backend in Consul's own record. Each gatekeeper is shown another.
+    pub(super) fn recorded_backend(&self, index: usize) -> SocketAddr {
+        SocketAddr::from((self.host(RECORDED, index as u8 + 1), RECORDED_PORT))
+    }
+
+    fn gatekeeper(&self, index: usize) -> Ipv4Addr {
+        self.host(index as u8 + 1, 1)
+    }
+
+    pub(super) fn client(&self, gatekeeper: usize) -> SocketAddr {
+        SocketAddr::from((self.gatekeeper(gatekeeper), CLIENT_PORT))
+    }
+
+    pub(super) fn status(&self, gatekeeper: usize) -> SocketAddr {
+        SocketAddr::from((self.gatekeeper(gatekeeper), STATUS_PORT))
+    }
+
+    pub(super) fn gossip(&self, gatekeeper: usize) -> SocketAddr {
+        SocketAddr::from((self.gatekeeper(gatekeeper), GOSSIP_PORT))
+    }
+
+    pub(super) fn replica(&self, gatekeeper: usize) -> SocketAddr {
+        SocketAddr::from((self.gatekeeper(gatekeeper), REPLICA_PORT))
+    }
+
+    /// The admin address of a gatekeeper's process: each start has one of its own.
+    pub(super) fn admin(&self, gatekeeper: usize, start: u8) -> SocketAddr {
+        SocketAddr::from((self.host(gatekeeper as u8 + 1, start.max(1)), ADMIN_PORT))
+    }
+}
--- /dev/null
+++ b/crates/fault_injection/src/site/convergence.rs
@@ -0,0 +1,120 @@
+//! Whether all gatekeepers of a site agree, and what still differs.
+
+use super::Site;
+use crate::history::Outcome;
+use crate::load::{Tenant, UNLIMITED_TENANT};
+use crate::schedule::Form;
+use crate::sync::lock;
+use crate::wire;
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::thread;
+use std::time::Duration;
+
+/// The node that the stand-in of Consul names for all backends.
+const CONSUL_NODE: &str = "a";
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl Site {
+    /// What still differs between the gatekeepers, in words; empty where all agree.
+    pub fn divergence(&self) -> String {
+        let parts: Vec<String> = thread::scope(|scope| {
+            let looks: Vec<_> =
+                (0..self.members.len()).map(|i| scope.spawn(move || self.divergence_of(i))).collect();
+            looks.into_iter().map(|look| look.join().unwrap_or_default()).collect()
+        });
+        parts.into_iter().filter(|part| !part.is_empty()).collect::<Vec<_>>().join("; ")
+    }
+
+    fn divergence_of(&self, index: usize) -> String {
+        let member = &self.members[index];
+        let missing = match self.schedule.form {
+            Form::Appliance => self.missing_in_status(&self.status(index)),
+            Form::Platform => self.missing_in_telemetry(index),
+        };
+        if let Some(missing) = missing {
+            return format!("{}: {missing}", member.name);
+        }
+        // A client that was never there before.
+        let mut client = self.client(index);
+        let tenant = Tenant { request_interval: Duration::ZERO, ..UNLIMITED_TENANT };
+        match client.send_request(&tenant) {
+            Outcome::Served => String::new(),
+            outcome => format!("{}: a request was {}", member.name, outcome.name()),
+        }
+    }
+
+    /// What a gatekeeper of the platform does not know of.
+    fn missing_in_telemetry(&self, index: usize) -> Option<String> {
+        let text = self.admin_call(index, "telemetry").unwrap_or_default();
+        let figure =
+            |name: &str| text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse::<usize>().ok());
+        match (figure("balancer_members "), figure("balancer_members_unavailable ")) {
+            (Some(all), Some(0)) if all == self.backends.len() => None,
+            (Some(all), Some(out)) => Some(format!("{all} loan servers, {out} out")),
+            _ => Some("its door does not answer".into()),
+        }
+    }
+
+    /// What an appliance's status page does not show as it should be.
+    fn missing_in_status(&self, status: &str) -> Option<String> {
+        if status.is_empty() {
+            return Some("no status".into());
+        }
+        let entry = |name: &str| {
+            status.lines().find_map(|line| {
+                line.strip_prefix("  ")?.strip_prefix(name)?.strip_prefix("  ").map(str::to_owned)
+            })
+        };
+        for member in &self.members {
+            let shown = entry(&member.name);
+            if !shown.as_deref().is_some_and(|s| s.contains("alive") || s.contains("this instance")) {
+                return Some(format!("{} is {}", member.name, shown.unwrap_or("unknown".into())));
+            }
+        }
+        for backend in &self.backends {
+            let shown = entry(&format!("{CONSUL_NODE}/{}", backend.name));
+            if shown.as_deref().is_none_or(|s| s.contains("no new work") || s.contains("out by its probes")) {
+                return Some(format!("{} is {}", backend.name, shown.unwrap_or("unknown".into())));
+            }
+        }
+        (!status.contains("claim store answers")).then(|| "its claim store is away".into())
+    }
+
+    /// Whether the process that was started last says that it is ready.
+    pub(super) fn is_ready(&self, index: usize) -> bool {
+        self.admin_call(index, "readyz").is_some_and(|reply| reply == "OK\n")
+    }
+
+    /// An operator's call to the process that was started last, and its complete reply.
+    fn admin_call(&self, index: usize, command: &str) -> Option<String> {
+        let start = lock(&self.members[index].state).starts;
+        call(self.addresses.admin(index, start), command)
+    }
+
+    /// What an appliance shows at its status address; empty where nobody answers.
+    pub fn status(&self, index: usize) -> String {
+        let body = get_status(self.addresses.status(index)).map(|message| message.body);
+        body.map_or(String::new(), |body| String::from_utf8_lossy(&body).into_owned())
+    }
+}
+
+fn connect(address: SocketAddr) -> Option<TcpStream> {
+    let stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).ok()?;
+    Some(stream)
+}
+
+fn get_status(address: SocketAddr) -> Option<wire::HttpMessage> {
+    let mut stream = connect(address)?;
+    stream.write_all(format!("GET / HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes()).ok()?;
+    wire::read_http_message(&mut BufReader::new(stream))
+}
+
+fn call(address: SocketAddr, command: &str) -> Option<String> {
+    let mut stream = connect(address)?;
+    stream.write_all(format!("{command}\n").as_bytes()).ok()?;
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).ok()?;
+    Some(reply)
+}
--- /dev/null
+++ b/crates/fault_injection/src/site/faults/configuration.rs
@@ -0,0 +1,100 @@
+//! Changes of settings while gatekeepers run: reloads, gossip keys, and proposed versions.
+
+use super::{ActiveFault, FaultScope};
+use crate::Error;
+use crate::history::Observation;
+use crate::process::Log;
+use crate::site::member::MemberState;
+use crate::site::{POLL_INTERVAL, Site};
+use crate::sync::lock;
+use crate::wait::wait_until;
+use std::time::Duration;
+
+/// What a gatekeeper logs once it has reloaded its settings, or rejected them.
+const RELOADED: &str = "reload: ";
+/// A reload takes no longer, unless the gatekeeper is suspended.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// The burst of a proposed plan, in seconds of its rate.
+const BURST_SECONDS: f64 = 2.0;
+
+/// A reload that was asked for.
+struct PendingReload {
+    log: Log,
+    /// How many reloads the log told of before.
+    reloads_before: usize,
+}
+
+impl Site {
+    /// Changes the settings of these members, asks them to reload, and waits a while until they have.
+    pub(super) fn reload(&self, members: &[usize], change: impl Fn(&mut MemberState)) -> Result<(), Error> {
+        let mut pending = Vec::new();
+        for &i in members {
+            let mut state = lock(&self.members[i].state);
+            change(&mut state);
+            self.write_files(i, &state)?;
+            if let Some(process) = &state.process {
+                let log = process.log();
+                let reloads_before = log.count(RELOADED);
+                pending.push(PendingReload { log, reloads_before });
+                process.reload();
+            }
+        }
+        // One that is suspended or has ended reloads later, or at its start.
+        for PendingReload { log, reloads_before } in pending {
+            wait_until(RELOAD_TIMEOUT, POLL_INTERVAL, || log.count(RELOADED) > reloads_before);
+        }
+        Ok(())
+    }
+
+    /// Rotates the gossip key in all without a gap; in the target first, in the others at the fault's end.
+    pub(super) fn rotate_gossip_key(&self, fault: &ActiveFault<'_>, target: &str) -> Result<bool, Error> {
+        let first = self.selected_members(target);
+        self.record_fault(fault, &FaultScope::default(), || {
+            let mut key = lock(&self.gossip_key);
+            let (old, new) = (*key, *key + 1);
+            let all: Vec<usize> = (0..self.members.len()).collect();
+            let others: Vec<usize> = all.iter().copied().filter(|i| !first.contains(i)).collect();
+            self.reload(&all, |state| state.gossip_keys = vec![old, new])?;
+            self.reload(&first, |state| state.gossip_keys = vec![new, old])?;
+            (fault.wait_for_end)();
+            self.reload(&others, |state| state.gossip_keys = vec![new, old])?;
+            self.reload(&all, |state| state.gossip_keys = vec![new])?;
+            *key = new;
+            Ok(())
+        })
+    }
+
+    pub(super) fn propose_versions(
+        &self,
+        fault: &ActiveFault<'_>,
+        target: &str,
+        units_per_second: f64,
+    ) -> Result<bool, Error> {
+        self.record_fault(fault, &FaultScope::default(), || {
+            let members = self.selected_members(target);
+            let done = members.into_iter().try_for_each(|i| self.propose_version(i, units_per_second));
+            (fault.wait_for_end)();
+            done
+        })
+    }
+
+    /// Proposes a version from the folder of this member, as an operator does.
+    fn propose_version(&self, index: usize, units_per_second: f64) -> Result<(), Error> {
+        let member = &self.members[index];
+        let rules = member.folder.join(format!("rules-{units_per_second}.toml"));
+        let burst = BURST_SECONDS * units_per_second;
+        let text = format!(
+            "[[plan]]\nname = \"basic\"\nunits_per_second = {units_per_second:?}\nburst = {burst:?}\n"
+        );
+        std::fs::write(&rules, text).map_err(Error::file(&rules))?;
+        let settings = member.settings_path().display().to_string();
+        let arguments = ["settings", "propose", &settings, &rules.display().to_string()];
+        let result = self.run_command(index, &arguments)?;
+        self.recorder.record(Observation::VersionProposed {
+            gatekeeper: member.name.clone(),
+            exit_code: result.exit_code,
+            output: result.output,
+        });
+        Ok(())
+    }
+}
--- a/crates/fault_injection/src/site/files.rs
+++ b/crates/fault_injection/src/site/files.rs
@@ -1,81 +1,204 @@
-//! The files that programs are started with.
-
-use super::*;
-
-pub(super) fn appliance(
-    i: usize,
-    programs: usize,
-    has: &SiteOptions,
-    [listen, status, counter]: [SocketAddr; 3],
-    agents: &[SocketAddr],
-    (gossip, advertise, peers): (SocketAddr, SocketAddr, &str),
-) -> String {
-    let plan = |(name, rate, burst, ceiling, at_once): (&str, f64, f64, f64, f64)| {
+//! The files with which gatekeepers are started.
+
+use crate::Error;
+use crate::load::{TENANTS, Tenant};
+use crate::schedule::SiteOptions;
+use std::net::SocketAddr;
+use std::path::Path;
+
+#[cfg(test)]
+mod tests;
+
+/// The service under which Consul lists the backends.
+pub(super) const SERVICE: &str = "loan-server";
+/// The load's requests are given up after this.
+pub const REQUEST_DEADLINE_MS: u64 = 1_000;
+/// The period of an appliance's periodic jobs.
+pub const JOB_PERIOD_MS: u64 = 500;
+
+/// In the template of an appliance's settings: replaced by the wall clock's offset in ms.
+const CLOCK_OFFSET: &str = "CLOCK";
+/// Replaced by the member's name.
+const MEMBER_NAME: &str = "NAME";
+/// Replaced by the periodic jobs.
+const JOBS: &str = "DUTIES";
+
+const HEALTH_CHECK: &str = "[probe]\npath = \"/health\"\nperiod_ms = 1000\ntimeout_ms = 300\n";
+
+/// A plan of tenants.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Plan {
+    pub(super) name: &'static str,
+    units_per_second: f64,
+    burst: f64,
+    /// 0 for no ceiling.
+    pub(super) ceiling_per_second: f64,
+    pub(super) ceiling_burst: f64,
+}
+
+const fn plan(name: &'static str, units_per_second: f64, burst: f64, ceiling: [f64; 2]) -> Plan {
+    Plan { name, units_per_second, burst, ceiling_per_second: ceiling[0], ceiling_burst: ceiling[1] }
+}
+
+const PLANS: [Plan; 3] =
+    [plan("basic", 20.0, 40.0, [0.0, 0.0]), STANDARD_PLAN, plan("free", 400.0, 800.0, [0.0, 0.0])];
+/// The plan with a hard ceiling.
+pub(super) const STANDARD_PLAN: Plan = plan("standard", 10.0, 20.0, [20.0, 40.0]);
+
+impl Plan {
+    fn toml(self) -> String {
+        format!(
+            "[[plan]]\nname = \"{}\"\nunits_per_second = {:?}\nburst = {:?}\nceiling_per_second = {:?}\nceiling_burst = {:?}\n",
+            self.name, self.units_per_second, self.burst, self.ceiling_per_second, self.ceiling_burst
+        )
+    }
+
+    fn json(self) -> String {
         format!(
-            "[[plan]]\nname = \"{name}\"\nunits_per_second = {rate:?}\nburst = {burst:?}\n\
-             ceiling_per_second = {ceiling:?}\nceiling_burst = {at_once:?}\n"
+            r#"{{"name":"{}","per-second":{:?},"depth":{:?},"ceiling-rate":{:?},"ceiling-burst":{:?}}}"#,
+            self.name, self.units_per_second, self.burst, self.ceiling_per_second, self.ceiling_burst
         )
-    };
-    let lender = |l: Lender| format!("[[lender]]\nname = \"{}\"\nplan = \"{}\"\n", l.name, l.plan);
-    let (consul, others) = (agents[0], &agents[1..]);
-    let others: Vec<String> = others.iter().map(|a| format!("\"{a}\"")).collect();
-    format!(
-        "listen = \"{listen}\"\nstatus = \"{status}\"\ndescriptions = [\"../loans.json\"]\nlender_header = \"X-Lender\"\n\
-         [consul]\naddress = \"{consul}\"\nagents = [{}]\nservice = \"{SERVICE}\"\nwait_ms = 2000\nlist_file = \"list/loans.list\"\n\
-         [quota]\ngatekeepers = {programs}\nnumber = {i}\ncounter = \"{counter}\"\n\
-         [cluster]\nname = \"NAME\"\nlisten = \"{gossip}\"\nadvertise = \"{advertise}\"\npeers = [{peers}]\n\
-         key_file = \"cluster.key\"\nstandbys = {}\nskew_ms = 300\nstore_timeout_ms = 150\nclock_offset_ms = CLOCK\n\
-         {}[[class]]\nname = \"lookup\"\nrepeat = \"safe\"\nwanted_ms = 400\ndeadline_ms = {DEADLINE}\n{}{}DUTIES",
-        others.join(", "),
-        has.standbys,
-        if has.health_checks { PROBE } else { "" },
-        PLANS.map(plan).concat(),
-        LENDERS.map(lender).concat(),
-    )
+    }
 }
 
-/// The description that all appliances serve.
-pub const LOANS: &str = r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},"paths":{
-  "/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}},
-  "/loans/history":{"get":{"x-snowfield-units":4,"x-snowfield-class":"lookup","responses":{}}}}}"#;
+/// Where an appliance listens for gossip, and where members reach each other.
+#[derive(Clone, Copy)]
+pub(super) struct GossipAddresses<'a> {
+    pub(super) listen: SocketAddr,
+    pub(super) advertise: SocketAddr,
+    /// All advertised addresses, as a list in TOML.
+    pub(super) peers: &'a str,
+}
 
-/// Writes what the files of all programs name.
-///
-/// # Errors
-///
-/// The folder cannot be written.
-pub fn common_files(folder: &Path) -> std::io::Result<()> {
-    std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join("loans.json"), LOANS)
+/// The replicas of the replicated configuration, as one member sees them.
+pub(super) struct ReplicaAddresses {
+    /// Where the member listens as a replica, if it is one.
+    pub(super) listen: Option<SocketAddr>,
+    /// Tables in TOML.
+    pub(super) replicas: Vec<String>,
 }
 
-pub(super) fn platform(
-    i: usize,
-    programs: usize,
-    [listen, agent, counter]: [SocketAddr; 3],
-    known: &str,
-) -> String {
-    let plan = |(name, rate, burst, ceiling, at_once): (&str, f64, f64, f64, f64)| {
+/// What goes into an appliance's settings.
+pub(super) struct ApplianceSettings<'a> {
+    pub(super) number: usize,
+    pub(super) gatekeepers: usize,
+    pub(super) options: &'a SiteOptions,
+    pub(super) listen: SocketAddr,
+    pub(super) status: SocketAddr,
+    pub(super) counter: SocketAddr,
+    /// The first is asked first.
+    pub(super) consul_agents: &'a [SocketAddr],
+    pub(super) gossip: GossipAddresses<'a>,
+    pub(super) replicas: ReplicaAddresses,
+}
+
+impl ApplianceSettings<'_> {
+    /// The template of the file.
+    pub(super) fn template(&self) -> String {
+        let tenant = |t: Tenant| format!("[[lender]]\nname = \"{}\"\nplan = \"{}\"\n", t.name, t.plan);
+        let (consul, agents) = (self.consul_agents[0], &self.consul_agents[1..]);
+        let agents: Vec<String> = agents.iter().map(|address| format!("\"{address}\"")).collect();
+        let GossipAddresses { listen: gossip, advertise, peers } = self.gossip;
         format!(
-            r#"{{"name":"{name}","per-second":{rate:?},"depth":{burst:?},"ceiling-rate":{ceiling:?},"ceiling-burst":{at_once:?}}}"#
+            "listen = \"{listen}\"\nstatus = \"{status}\"\ndescriptions = [\"../loans.json\"]\nlender_header = \"X-Lender\"\n\
+             [consul]\naddress = \"{consul}\"\nagents = [{agents}]\nservice = \"{SERVICE}\"\nwait_ms = 2000\nlist_file = \"list/loans.list\"\n\
+             [quota]\ngatekeepers = {gatekeepers}\nnumber = {number}\ncounter = \"{counter}\"\n\
+             [cluster]\nname = \"{MEMBER_NAME}\"\nlisten = \"{gossip}\"\nadvertise = \"{advertise}\"\npeers = [{peers}]\n\
+             key_file = \"cluster.key\"\nstandbys = {standbys}\nskew_ms = 300\nstore_timeout_ms = 150\nclock_offset_ms = {CLOCK_OFFSET}\n\
+             {health_check}[[class]]\nname = \"lookup\"\nrepeat = \"safe\"\nwanted_ms = 400\ndeadline_ms = {REQUEST_DEADLINE_MS}\n\
+             {plans}{tenants}{JOBS}{replicas}",
+            listen = self.listen,
+            status = self.status,
+            agents = agents.join(", "),
+            gatekeepers = self.gatekeepers,
+            number = self.number,
+            counter = self.counter,
+            standbys = self.options.standbys,
+            health_check = if self.options.health_checks { HEALTH_CHECK } else { "" },
+            plans = PLANS.map(Plan::toml).concat(),
+            tenants = TENANTS.map(tenant).concat(),
+            replicas = self.replicas.toml(),
         )
-    };
-    format!(
-        r#"{{"name":"m{i}","listen":"{listen}","discovery":"{agent}","seed":"8c1f30d27a5be964","counter":"{counter}",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},
-        "settings":{{"balancers":{programs},"me":{i},"tick-us":4000,"zone":0,"localities":["z"],"kinds":["m"],
+    }
+}
+
+impl ReplicaAddresses {
+    /// The table; empty where there are no replicas.
+    fn toml(&self) -> String {
+        if self.replicas.is_empty() {
+            return String::new();
+        }
+        let listen = self.listen.map_or(String::new(), |address| format!("listen = \"{address}\"\n"));
+        format!("[agreed]\n{listen}voters = [{}]\n", self.replicas.join(", "))
+    }
+}
+
+/// What goes into the configuration of a gatekeeper of the platform.
+pub(super) struct PlatformSettings<'a> {
+    pub(super) number: usize,
+    pub(super) gatekeepers: usize,
+    pub(super) listen: SocketAddr,
+    pub(super) discovery: SocketAddr,
+    pub(super) counter: SocketAddr,
+    /// The endpoint list that it starts with, in JSON.
+    pub(super) endpoint_list: &'a str,
+}
+
+impl PlatformSettings<'_> {
+    /// The file's text.
+    pub(super) fn text(&self) -> String {
+        let Self { number, gatekeepers, listen, discovery, counter, endpoint_list } = self;
+        format!(
+            r#"{{"name":"m{number}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","counter":"{counter}",
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{endpoint_list},
+        "settings":{{"balancers":{gatekeepers},"me":{number},"tick-us":4000,"zone":0,"localities":["z"],"kinds":["m"],
         "bounds":{{"cancel":true,"connect-timeout-us":250000,"keepalive-us":30000000,"max-attempts":3,
         "max-retry-after-us":1000000,"retry-after":true,"second-copies":true}},
-        "classes":[{{"name":"lookup","goal-time-us":400000,"deadline-us":{deadline},"effect":"read_like","group":"all"}}],
+        "classes":[{{"name":"lookup","goal-time-us":400000,"deadline-us":{deadline_us},"effect":"read_like","group":"all"}}],
         "contracts":[{plans}],
         "report":{{"columns":["active","waiting","avg_ms"],"how":"inline"}},
         "specifics":{{"may-count":true,"count-wait-us":30000,"largest":4}}}}}}"#,
-        deadline = DEADLINE * 1_000,
-        plans = PLANS.map(plan).join(","),
-    )
+            deadline_us = REQUEST_DEADLINE_MS * 1_000,
+            plans = PLANS.map(Plan::json).join(","),
+        )
+    }
 }
 
-const PROBE: &str = "[probe]\npath = \"/health\"\nperiod_ms = 1000\ntimeout_ms = 300\n";
+/// What changes in an appliance's settings while a site runs.
+pub(super) struct MemberVariables<'a> {
+    pub(super) name: &'a str,
+    pub(super) clock_offset_ms: i64,
+    pub(super) jobs: std::ops::Range<usize>,
+    pub(super) job_target: SocketAddr,
+}
 
-#[cfg(test)]
-mod tests;
+impl MemberVariables<'_> {
+    /// Fills a template.
+    pub(super) fn fill(&self, template: &str) -> String {
+        let target = self.job_target;
+        let job = |number: usize| {
+            format!(
+                "[[duty]]\nname = \"duty-{number}\"\nperiod_ms = {JOB_PERIOD_MS}\ntimeout_ms = 400\nurl = \"http://{target}/\"\n"
+            )
+        };
+        let text = template.replace(CLOCK_OFFSET, &self.clock_offset_ms.to_string());
+        let text = text.replace(MEMBER_NAME, self.name);
+        text.replace(JOBS, &self.jobs.clone().map(job).collect::<String>())
+    }
+}
+
+/// The OpenAPI description that all appliances serve.
+pub const API_DESCRIPTION: &str = r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},"paths":{
+  "/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}},
+  "/loans/history":{"get":{"x-snowfield-units":4,"x-snowfield-class":"lookup","responses":{}}}}}"#;
+
+/// Writes the files that the settings of all gatekeepers name.
+///
+/// # Errors
+///
+/// The folder cannot be written.
+pub fn write_common_files(folder: &Path) -> Result<(), Error> {
+    std::fs::create_dir_all(folder).map_err(Error::file(folder))?;
+    let path = folder.join("loans.json");
+    std::fs::write(&path, API_DESCRIPTION).map_err(Error::file(&path))
+}
--- /dev/null
+++ b/crates/fault_injection/src/site/member.rs
@@ -0,0 +1,98 @@
+//! One gatekeeper of a site: its folder, its settings and its processes.
+
+use super::files::MemberVariables;
+use crate::Error;
+use crate::process::{Log, Process};
+use crate::sync::lock;
+use stand_in_consul::Door;
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::path::PathBuf;
+use std::sync::Mutex;
+
+/// What a gatekeeper logs once it serves.
+const SERVING: &str = "serving ";
+/// The gossip key with number 0.
+const FIRST_GOSSIP_KEY: u64 = 0x0a11;
+/// Starts are numbered from 1 to this, and then anew.
+const MAX_START_NUMBER: u8 = 250;
+
+/// The settings file of a gatekeeper.
+pub(super) struct SettingsFile {
+    pub(super) file_name: &'static str,
+    pub(super) template: String,
+}
+
+/// One gatekeeper of a site.
+pub(super) struct Member {
+    pub(super) name: String,
+    /// Where its clients reach it.
+    pub(super) client_address: SocketAddr,
+    pub(super) folder: PathBuf,
+    pub(super) settings: SettingsFile,
+    pub(super) consul_agents: Vec<Door>,
+    /// Where it reaches the target of periodic jobs.
+    pub(super) job_target: SocketAddr,
+    pub(super) state: Mutex<MemberState>,
+}
+
+/// What changes while a site runs.
+#[derive(Default)]
+pub(super) struct MemberState {
+    pub(super) process: Option<Process>,
+    /// Started beside it, to take its place.
+    pub(super) successor: Option<Process>,
+    /// Starts so far; each has an admin address of its own.
+    pub(super) starts: u8,
+    /// By how much its wall clock is off.
+    pub(super) clock_offset_ms: i64,
+    /// The name of another member, under which it runs.
+    pub(super) assumed_name: Option<String>,
+    /// Other periodic jobs than the usual ones.
+    pub(super) jobs: Option<Range<usize>>,
+    /// The numbers of the gossip keys in its key file, the one that signs first. None stands for the first key alone.
+    pub(super) gossip_keys: Vec<u64>,
+    /// A fault has it: others leave it alone.
+    pub(super) has_fault: bool,
+}
+
+impl MemberState {
+    pub(super) fn count_start(&mut self) {
+        self.starts = self.starts % MAX_START_NUMBER + 1;
+    }
+}
+
+impl Member {
+    /// The path of its settings file.
+    pub(super) fn settings_path(&self) -> PathBuf {
+        self.folder.join(self.settings.file_name)
+    }
+
+    /// Writes its files as it is to run now, and returns the path of its settings.
+    pub(super) fn write_files(&self, state: &MemberState, usual_jobs: usize) -> Result<String, Error> {
+        let variables = MemberVariables {
+            name: state.assumed_name.as_ref().unwrap_or(&self.name),
+            clock_offset_ms: state.clock_offset_ms,
+            jobs: state.jobs.clone().unwrap_or(0..usual_jobs),
+            job_target: self.job_target,
+        };
+        let path = self.settings_path();
+        std::fs::write(&path, variables.fill(&self.settings.template)).map_err(Error::file(&path))?;
+        let numbers = if state.gossip_keys.is_empty() { &[0][..] } else { &state.gossip_keys };
+        let keys: String =
+            numbers.iter().map(|number| format!("{:064x}\n", number + FIRST_GOSSIP_KEY)).collect();
+        let key_path = self.folder.join("cluster.key");
+        std::fs::write(&key_path, keys).map_err(Error::file(&key_path))?;
+        Ok(path.display().to_string())
+    }
+
+    fn log(&self) -> Option<Log> {
+        lock(&self.state).process.as_ref().map(Process::log)
+    }
+
+    /// Waits until its process says that it serves.
+    pub(super) fn wait_until_serving(&self) -> bool {
+        // The lock is released meanwhile: a fault may end the process.
+        self.log().is_some_and(|log| log.wait_for(SERVING))
+    }
+}
--- /dev/null
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -0,0 +1,168 @@
+//! A gatekeeper killed at each byte of the file that it writes: the cached endpoint list, truncated to so many bytes, is found
+//! at a start while Consul does not answer.
+
+use crate::Error;
+use crate::checkers::Violation;
+use crate::history::{Observation, Recorder};
+use crate::process::Process;
+use crate::site::write_common_files;
+use crate::sync::lock;
+use crate::wait::{STEP_TIMEOUT, wait_until};
+use stand_in_consul::{Consul, Fault, Service};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::thread;
+use std::time::Duration;
+
+const RULE: &str = "a torn file never replaces good state";
+const SERVICE: &str = "loan-server";
+const BACKENDS: u16 = 3;
+const FIRST_BACKEND_PORT: u16 = 7_000;
+const FILE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What a gatekeeper logs that has received an endpoint list.
+const LIST_RECEIVED: &str = "take work";
+/// What a gatekeeper logs once it serves.
+const SERVING: &str = "serving OpenAPI";
+/// What a gatekeeper logs of a cached list that it rejects.
+const LIST_REJECTED: &str = "is not used";
+/// What a gatekeeper logs of a cached list that it uses.
+const LIST_USED: &str = "the list on disk serves";
+
+/// What came of it.
+#[derive(Debug)]
+pub struct TornWrites {
+    /// Starts, one for each length and one with the complete file.
+    pub starts: usize,
+    /// Those that went wrong.
+    pub violations: Vec<Violation>,
+}
+
+/// How a start with a truncated file goes wrong.
+#[derive(Debug, thiserror::Error)]
+enum StartFailure {
+    #[error(transparent)]
+    Harness(#[from] Error),
+    #[error("it does not serve")]
+    NotServing,
+    #[error("it says both that it uses the file and that it does not")]
+    Ambiguous,
+    #[error("used: {used}, refused: {rejected}")]
+    WrongUse { used: bool, rejected: bool },
+}
+
+/// Where the starts happen.
+struct TornWriteTest<'a> {
+    build: &'a Path,
+    folder: &'a Path,
+    consul: SocketAddr,
+}
+
+/// Starts a gatekeeper for each length of the file, several at a time.
+///
+/// # Errors
+///
+/// The file could not be had, or the gatekeeper that writes it not be started.
+pub fn truncate_at_each_byte(build: &Path, folder: &Path, parallel: usize) -> Result<TornWrites, Error> {
+    write_common_files(folder)?;
+    let consul = Consul::start();
+    let agent = consul.open();
+    let service = |i: u16| {
+        Service::new(&format!("l{i}"), SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_BACKEND_PORT + i)))
+    };
+    consul.set_service(11, SERVICE, (0..BACKENDS).map(service).collect());
+    let test = TornWriteTest { build, folder, consul: agent.address };
+    let complete = test.list_written_by_a_gatekeeper()?;
+    agent.fail(Fault::Status(500));
+    let violations = test.start_with_each_length(&complete, parallel);
+    consul.stop();
+    drop(std::net::TcpStream::connect(agent.address));
+    Ok(TornWrites { starts: complete.len() + 1, violations })
+}
+
+impl TornWriteTest<'_> {
+    fn settings(&self, list: &Path) -> String {
+        format!(
+            "listen = \"127.0.0.1:0\"\ndescriptions = [\"loans.json\"]\nlender_header = \"X-Lender\"\n\
+             [consul]\naddress = \"{}\"\nservice = \"{SERVICE}\"\nlist_file = \"{}\"\n\
+             [[class]]\nname = \"lookup\"\nrepeat = \"safe\"\nwanted_ms = 400\ndeadline_ms = 1000\n\
+             [[plan]]\nname = \"basic\"\nunits_per_second = 10.0\nburst = 20.0\n\
+             [[lender]]\nname = \"al-noor\"\nplan = \"basic\"\n",
+            self.consul,
+            list.display()
+        )
+    }
+
+    /// Starts a gatekeeper whose cached list is this file.
+    fn start(&self, name: &str, settings: &Path, list: &Path, recorder: &Recorder) -> Result<Process, Error> {
+        std::fs::write(settings, self.settings(list)).map_err(Error::file(settings))?;
+        let arguments = ["serve", &settings.display().to_string()];
+        Process::start(name, self.build, &arguments, &[], recorder).map_err(Error::start(self.build))
+    }
+
+    /// The file as a gatekeeper writes it.
+    fn list_written_by_a_gatekeeper(&self) -> Result<Vec<u8>, Error> {
+        let (settings, list) = (self.folder.join("first.toml"), self.folder.join("first.list"));
+        let process = self.start("first", &settings, &list, &Recorder::default())?;
+        if !process.log().wait_for(LIST_RECEIVED) {
+            return Err(Error::NoEndpointList);
+        }
+        let is_written = wait_until(STEP_TIMEOUT, FILE_POLL_INTERVAL, || list.exists());
+        let bytes = std::fs::read(&list).map_err(Error::file(&list))?;
+        if is_written { Ok(bytes) } else { Err(Error::NoCachedList) }
+    }
+
+    fn start_with_each_length(&self, complete: &[u8], parallel: usize) -> Vec<Violation> {
+        let (next_length, violations) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+        let work = || {
+            loop {
+                let length = next_length.fetch_add(1, Ordering::Relaxed);
+                if length > complete.len() {
+                    return;
+                }
+                let is_complete = length == complete.len();
+                if let Err(failure) = self.start_with(&complete[..length], is_complete) {
+                    let text = format!("{length} of {} bytes: {failure}", complete.len());
+                    lock(&violations).push(Violation { rule: RULE, text });
+                }
+            }
+        };
+        thread::scope(|scope| {
+            for _ in 0..parallel {
+                scope.spawn(work);
+            }
+        });
+        violations.into_inner().unwrap_or_default()
+    }
+
+    /// Starts a gatekeeper with so much of the file. It has to serve, and to use the file only where it is complete.
+    fn start_with(&self, cached: &[u8], is_complete: bool) -> Result<(), StartFailure> {
+        let path = |suffix: &str| -> PathBuf { self.folder.join(format!("cut-{}.{suffix}", cached.len())) };
+        let (settings, list) = (path("toml"), path("list"));
+        std::fs::write(&list, cached).map_err(Error::file(&list))?;
+        let recorder = Recorder::default();
+        let process = self.start("cut", &settings, &list, &recorder)?;
+        let serves = process.log().wait_for(SERVING);
+        process.kill();
+        let rejected = has_logged(&recorder, LIST_REJECTED);
+        let used = has_logged(&recorder, LIST_USED);
+        match (serves, rejected, used) {
+            (false, ..) => Err(StartFailure::NotServing),
+            (true, true, true) => Err(StartFailure::Ambiguous),
+            (true, rejected, used) if rejected == is_complete || used != is_complete => {
+                Err(StartFailure::WrongUse { used, rejected })
+            }
+            _ => Ok(()),
+        }
+    }
+}
+
+fn has_logged(recorder: &Recorder, wanted: &str) -> bool {
+    let is_wanted = |o: &Observation| matches!(o, Observation::LogLine { text, .. } if text.contains(wanted));
+    recorder.records_by_time().iter().any(|record| is_wanted(&record.observation))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/fault_injection/src/wire.rs
+++ b/crates/fault_injection/src/wire.rs
@@ -2,97 +2,101 @@
 
 use std::io::BufRead;
 
-fn line(from: &mut impl BufRead) -> Option<String> {
+/// What follows the value in a backend's RESP2 reply: its load report.
+const LOAD_REPORT: &str = "inflight=7,queue=2,latency_ms=51.0";
+
+fn read_line(from: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     (from.read_line(&mut text).ok()? > 0 && text.ends_with('\n')).then(|| text.trim_end().to_owned())
 }
 
-/// An HTTP message: first line, fields with names in small letters, body.
+/// An HTTP message.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
-    /// The first line.
-    pub first: String,
+pub struct HttpMessage {
+    /// The request line or the status line.
+    pub first_line: String,
+    /// Names in lower case, and values.
     fields: Vec<(String, String)>,
     /// The body, of the length that the head states.
     pub body: Vec<u8>,
 }
 
-impl Message {
+impl HttpMessage {
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.fields.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
     /// The second word of the first line: a target or a status.
-    pub fn second(&self) -> &str {
-        self.first.split(' ').nth(1).unwrap_or_default()
+    pub fn target_or_status(&self) -> &str {
+        self.first_line.split(' ').nth(1).unwrap_or_default()
     }
 }
 
 /// Reads one HTTP message; none where the connection ends first.
-pub fn message(from: &mut impl BufRead) -> Option<Message> {
-    let mut message = Message { first: line(from)?, ..Message::default() };
+pub fn read_http_message(from: &mut impl BufRead) -> Option<HttpMessage> {
+    let mut message = HttpMessage { first_line: read_line(from)?, ..HttpMessage::default() };
     loop {
-        let text = line(from)?;
+        let text = read_line(from)?;
         let Some((name, value)) = text.split_once(':') else { break };
         message.fields.push((name.to_ascii_lowercase(), value.trim().to_owned()));
     }
-    let length = message.field("content-length").map_or(Some(0), |l| l.parse().ok())?;
+    let length = message.field("content-length").map_or(Some(0), |length| length.parse().ok())?;
     message.body = vec![0; length];
     from.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// An HTTP message of this first line and body.
-pub fn http(first: &str, body: &str) -> Vec<u8> {
-    format!("{first}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+/// An HTTP message with this first line and body.
+pub fn http_message(first_line: &str, body: &str) -> Vec<u8> {
+    format!("{first_line}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+/// Reads the rest of a bulk string whose length line was `$LENGTH`.
+fn read_bulk_string(from: &mut impl BufRead, length: &str) -> Option<String> {
+    let mut bytes = vec![0; length.parse::<usize>().ok()? + 2];
+    from.read_exact(&mut bytes).ok()?;
+    bytes.truncate(bytes.len() - 2);
+    String::from_utf8(bytes).ok()
 }
 
-/// Reads one RESP2 command.
-pub fn command(from: &mut impl BufRead) -> Option<Vec<String>> {
-    let count: usize = line(from)?.strip_prefix('*')?.parse().ok()?;
-    (0..count)
-        .map(|_| {
-            let length: usize = line(from)?.strip_prefix('$')?.parse().ok()?;
-            let mut bytes = vec![0; length + 2];
-            from.read_exact(&mut bytes).ok()?;
-            bytes.truncate(length);
-            String::from_utf8(bytes).ok()
-        })
-        .collect()
+/// Reads one RESP2 command; none where the connection ends first, or what comes is no command.
+pub fn read_resp_command(from: &mut impl BufRead) -> Option<Vec<String>> {
+    let count: usize = read_line(from)?.strip_prefix('*')?.parse().ok()?;
+    let mut argument = || {
+        let line = read_line(from)?;
+        read_bulk_string(from, line.strip_prefix('$')?)
+    };
+    (0..count).map(|_| argument()).collect()
 }
 
 /// One RESP2 command.
-pub fn words(words: &[&str]) -> Vec<u8> {
-    let items: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*{}\r\n{items}", words.len()).into_bytes()
+pub fn resp_command(arguments: &[&str]) -> Vec<u8> {
+    let items: String = arguments.iter().map(|a| format!("${}\r\n{a}\r\n", a.len())).collect();
+    format!("*{}\r\n{items}", arguments.len()).into_bytes()
 }
 
-/// A RESP2 answer: the text of a line, or the first value of a bulk string or an array.
-pub fn reply(from: &mut impl BufRead) -> Option<String> {
-    let first = line(from)?;
+/// Reads a RESP2 reply: the text of a line, or the first value of a bulk string or an array.
+pub fn read_resp_reply(from: &mut impl BufRead) -> Option<String> {
+    let first = read_line(from)?;
     match first.split_at_checked(1)? {
-        ("$", length) => {
-            let mut bytes = vec![0; length.parse::<usize>().ok()? + 2];
-            from.read_exact(&mut bytes).ok()?;
-            bytes.truncate(bytes.len() - 2);
-            String::from_utf8(bytes).ok()
-        }
+        ("$", length) => read_bulk_string(from, length),
         ("*", count) => {
-            let all: Vec<Option<String>> = (0..count.parse::<usize>().ok()?)
-                .map(|_| {
-                    let begins = from.fill_buf().ok()?.starts_with(b"$-1");
-                    if begins { line(from) } else { reply(from) }
-                })
-                .collect();
+            let all: Vec<Option<String>> =
+                (0..count.parse::<usize>().ok()?).map(|_| read_array_item(from)).collect();
             all.into_iter().collect::<Option<Vec<_>>>()?.into_iter().next()
         }
         _ => Some(first),
     }
 }
 
-/// A loan server's RESP2 answer with this value.
-pub fn value(text: &str) -> Vec<u8> {
-    format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$34\r\ninflight=7,queue=2,latency_ms=51.0\r\n", text.len())
+fn read_array_item(from: &mut impl BufRead) -> Option<String> {
+    let is_null = from.fill_buf().ok()?.starts_with(b"$-1");
+    if is_null { read_line(from) } else { read_resp_reply(from) }
+}
+
+/// A backend's RESP2 reply with this value, and its load report.
+pub fn backend_reply(value: &str) -> Vec<u8> {
+    format!("*3\r\n${}\r\n{value}\r\n$-1\r\n${}\r\n{LOAD_REPORT}\r\n", value.len(), LOAD_REPORT.len())
         .into_bytes()
 }
--- a/crates/fault_injection/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -1,8 +1,9 @@
 //! The forms that are kept in files and the verdicts on them stay as they were: schedules, histories, and what checkers find.
 
-use fault_injection::checks::{Bounds, check, contradiction, operations};
+use fault_injection::checkers::{Bounds, Ceiling, ResourceLimits, check, longest_contradiction, outcomes};
 use fault_injection::history::{read, write};
 use fault_injection::schedule::{Schedule, named_schedules};
+use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::PathBuf;
 
@@ -21,31 +22,35 @@
 
 /// Bounds as a site has them, and some that nearly all is beyond.
 fn bounds() -> [Bounds; 2] {
+    let ceiling = |units_per_second, burst, largest_request| {
+        let ceiling = Ceiling { units_per_second, burst, largest_request };
+        BTreeMap::from([("greedy".to_owned(), ceiling)])
+    };
     let wide = Bounds {
-        deadline: 1_000,
-        late: 400,
-        ceilings: [("greedy".to_owned(), (20.0, 40.0, 4.0))].into(),
-        drain: 1_000,
-        agree: 5_000,
-        agree_after_loss: 7_000,
-        apart: 100,
-        holds: (50_000, 500, 40),
+        deadline_ms: 1_000,
+        tolerance_ms: 400,
+        ceilings: ceiling(20.0, 40.0, 4.0),
+        drain_ms: 1_000,
+        convergence_ms: 5_000,
+        convergence_after_counter_loss_ms: 7_000,
+        contradiction_ms: 100,
+        resources: ResourceLimits { memory_kb: 50_000, descriptors: 500, threads: 40 },
     };
     let narrow = Bounds {
-        deadline: 100,
-        late: 10,
-        ceilings: [("greedy".to_owned(), (2.0, 4.0, 1.0))].into(),
-        drain: 20,
-        agree: 500,
-        agree_after_loss: 600,
-        apart: 10,
-        holds: (30_000, 300, 20),
+        deadline_ms: 100,
+        tolerance_ms: 10,
+        ceilings: ceiling(2.0, 4.0, 1.0),
+        drain_ms: 20,
+        convergence_ms: 500,
+        convergence_after_counter_loss_ms: 600,
+        contradiction_ms: 10,
+        resources: ResourceLimits { memory_kb: 30_000, descriptors: 300, threads: 20 },
     };
     [wide, narrow]
 }
 
 #[test]
-fn a_seed_draws_the_schedule_that_it_always_drew() {
+fn a_seed_gives_the_schedule_that_it_always_gave() {
     let drawn: String = (0..24).map(|seed| Schedule::from_seed(seed, 10_000).to_toml() + "\n").collect();
     assert_eq!(drawn, fixture("drawn.toml"));
     let digests = [2_000, 10_000, 60_000].map(|length_ms| {
@@ -88,8 +93,10 @@
         for violation in bounds().iter().flat_map(|bounds| check(&history, bounds)) {
             writeln!(verdicts, "{i}: {}: {}", violation.rule, violation.text).expect("a string takes all");
         }
-        let ends = serde_json::to_string(&operations(&history)).expect("a map of numbers");
-        writeln!(verdicts, "{i}: {:?} {ends}", contradiction(&history)).expect("a string takes all");
+        let ends = serde_json::to_string(&outcomes(&history)).expect("a map of numbers");
+        let contradiction = longest_contradiction(&history);
+        let (longest_ms, description) = (contradiction.longest_ms, contradiction.description);
+        writeln!(verdicts, "{i}: ({longest_ms}, {description:?}) {ends}").expect("a string takes all");
     }
     assert_eq!(verdicts, fixture("verdicts.txt"));
 }
--- a/crates/system_tests/src/bin/proof-agreed.rs
+++ b/crates/system_tests/src/bin/proof-agreed.rs
@@ -1,9 +1,9 @@
 //! Agreed versions on real programs under injected faults: what each acted on and when, by its own lines with the machine's
 //! clock, and how long a change takes.
 
-use fault_injection::checks::contradiction;
+use fault_injection::checkers::longest_contradiction;
 use fault_injection::history::{Observation, Record};
-use fault_injection::play::{Played, play};
+use fault_injection::runner::{RunResult, run as run_schedule};
 use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -194,18 +194,19 @@
 }
 
 impl Sums {
-    fn add(&mut self, schedule: &Schedule, played: &Played) {
+    fn add(&mut self, schedule: &Schedule, played: &RunResult) {
         for (kind, count) in &played.faults {
             *self.faults.entry(kind.clone()).or_default() += count;
         }
-        self.operations += played.ends.values().sum::<u64>();
+        self.operations += played.outcomes.values().sum::<u64>();
         for record in &played.history {
             if let Observation::VersionProposed { exit_code: code, .. } = &record.observation {
                 self.taken += u64::from(*code == 0);
                 *self.refused.entry(*code).or_default() += u64::from(*code != 0);
             }
         }
-        let (apart, who) = contradiction(&played.history);
+        let contradiction = longest_contradiction(&played.history);
+        let (apart, who) = (contradiction.longest_ms, contradiction.description);
         self.apart.push(apart as f64 / 1_000.0);
         if apart > NOTED {
             println!("{}: apart for {apart} ms: {who}", schedule.name);
@@ -235,7 +236,7 @@
     let at_a_time = 2 * std::thread::available_parallelism().map_or(1, |n| n.get());
     each_of(&schedules, at_a_time, |i, schedule| {
         let folder = std::env::temp_dir().join(format!("sf-agreed-{}-{i}", std::process::id()));
-        let played = play(schedule, &build, &folder);
+        let played = run_schedule(schedule, &build, &folder);
         let _ = std::fs::remove_dir_all(&folder);
         let mut sums = sums.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         match played {
--- a/crates/system_tests/src/bin/proof-catalogue.rs
+++ b/crates/system_tests/src/bin/proof-catalogue.rs
@@ -1,11 +1,11 @@
 //! The list of loan servers through Consul's faults, on the rig: the real program with two agents, and 12 loan servers under
 //! steady load. For each drain the time of the word and of the last request that came there.
 
-use fault_injection::checks::{answers, exits};
+use fault_injection::checkers::{final_answers, unexpected_exits};
 use fault_injection::history::{Observation, Outcome, Record, now_us};
-use fault_injection::load::{FREE, Lender};
+use fault_injection::load::{Tenant, UNLIMITED_TENANT};
 use fault_injection::schedule::{DiskFault, FailureMode, FaultKind, Form, Schedule, SiteOptions};
-use fault_injection::site::{Site, common_files};
+use fault_injection::site::{Site, write_common_files};
 use stand_in_consul::{Fault, Service, Status};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -95,7 +95,7 @@
 
 /// Processor time in ms and memory in kB of the program now.
 fn held(site: &Site) -> (u64, u64) {
-    site.look();
+    site.record_resource_use();
     let last = |r: &Record| match r.observation {
         Observation::ResourceUse { memory_kb: kb, cpu_ms, .. } => Some((cpu_ms, kb)),
         _ => None,
@@ -128,7 +128,7 @@
 }
 
 fn fail(site: &Site, fault: Fault) {
-    site.agents(0).iter().for_each(|door| door.fail(fault));
+    site.consul_agents(0).iter().for_each(|door| door.fail(fault));
 }
 
 fn played(site: &Arc<Site>) -> Result<Course, String> {
@@ -140,13 +140,13 @@
             let (mut client, over) = (site.client(0), over.clone());
             thread::spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    client.ask(&Lender { pause: PAUSE, ..FREE });
+                    client.send_request(&Tenant { request_interval: PAUSE, ..UNLIMITED_TENANT });
                     sleep(PAUSE);
                 }
             })
         })
         .collect();
-    let full = || site.listed();
+    let full = || site.healthy_services();
     let marked = |which: &[usize], status: Status| {
         let mut list = full();
         which.iter().for_each(|&i| list[i].status = status);
@@ -169,10 +169,10 @@
             "warning" => list[i].status = Status::Warning,
             _ => drop(list.remove(i)),
         }
-        let word = site.list(list);
+        let word = site.set_services(list);
         pass(0.5);
         course.drains.push((name, (word, now_us())));
-        site.list(full());
+        site.set_services(full());
         pass(0.1);
     }
     // All are back for good before anything else; their holds for flaps run out.
@@ -190,9 +190,13 @@
             let dead = [2 * turn, 2 * turn + 1].map(|i| format!("l{i}"));
             let die = |who: String| {
                 scope.spawn(move || {
-                    site.play(0, &FaultKind::Backends { target: who, mode: FailureMode::Closed }, &|| {
-                        pass(OUTAGE);
-                    })
+                    site.inject_fault(
+                        0,
+                        &FaultKind::Backends { target: who, mode: FailureMode::Closed },
+                        &|| {
+                            pass(OUTAGE);
+                        },
+                    )
                 })
             };
             let dying = dead.map(die);
@@ -206,65 +210,66 @@
     }
 
     // The first agent alone is away: the second is asked.
-    site.agents(0)[0].fail(Fault::Closed);
+    site.consul_agents(0)[0].fail(Fault::Closed);
     pass(3.0);
-    let word = site.list(marked(&[7], Status::Critical));
+    let word = site.set_services(marked(&[7], Status::Critical));
     pass(1.5);
     course.failover = (word, now_us());
-    site.agents(0)[0].fail(Fault::None);
-    site.list(full());
+    site.consul_agents(0)[0].fail(Fault::None);
+    site.set_services(full());
     pass(1.0);
 
     // A flap every second, on one and on a third of the fleet.
     for flapping in [&[8][..], &[8, 9, 10, 11]] {
         let from = now_us();
         for second in 0..FLAPS {
-            site.list(if second % 2 == 0 { marked(flapping, Status::Critical) } else { full() });
+            site.set_services(if second % 2 == 0 { marked(flapping, Status::Critical) } else { full() });
             pass(1.0);
         }
         course.flaps.push((flapping.len(), (from, now_us())));
-        site.list(full());
+        site.set_services(full());
     }
 
     // The catalogue wiped and restored.
-    let wiped = site.list(Vec::new());
+    let wiped = site.set_services(Vec::new());
     pass(3.0);
-    site.list(full());
+    site.set_services(full());
     course.wiped = (wiped, pass(2.0).1);
 
     // Answers cut in the middle, and an index that goes back.
     fail(site, Fault::Cut);
     course.cut = pass(2.0);
     fail(site, Fault::None);
-    site.set_index(3);
-    site.list(full());
+    site.set_catalogue_index(3);
+    site.set_services(full());
     course.index_back = pass(2.0);
 
     // An instance replaced at the same address.
     let mut list = full();
     list[0].id = "l-new".into();
-    let word = site.list(list.clone());
+    let word = site.set_services(list.clone());
     pass(2.0);
     course.replaced = (word + 1_000_000, now_us());
 
     // Weights 1 to 3.
     list.iter_mut().enumerate().for_each(|(i, s)| s.weights = (i as u32 % 3 + 1, 1));
-    site.list(list);
+    site.set_services(list);
     pass(1.0);
     course.weighed = pass(6.0);
 
     // A restart while Consul is away, and one that finds half of the list file.
-    site.list(full());
+    site.set_services(full());
     pass(2.0);
     fail(site, Fault::Silence);
     pass(0.5);
     let from = now_us();
-    site.play(1, &FaultKind::ShutDown { target: "m0".into() }, &|| ())?;
+    site.inject_fault(1, &FaultKind::ShutDown { target: "m0".into() }, &|| ()).map_err(|e| e.to_string())?;
     pass(4.0);
     course.restart = (from, now_us());
     course.shown = site.status(0);
     let from = now_us();
-    site.play(2, &FaultKind::Disk { target: "m0".into(), fault: DiskFault::Torn(500) }, &|| ())?;
+    site.inject_fault(2, &FaultKind::Disk { target: "m0".into(), fault: DiskFault::Torn(500) }, &|| ())
+        .map_err(|e| e.to_string())?;
     course.torn = (from, now_us());
     fail(site, Fault::None);
     pass(4.0);
@@ -282,7 +287,7 @@
         list
     };
     for count in [0, 500, 5_000] {
-        site.list(crowd(0, count));
+        site.set_services(crowd(0, count));
         pass(1.0);
         let before = held(site).0;
         let from = now_us();
@@ -290,21 +295,21 @@
         for turn in 0..150 {
             let mut list = crowd(0, count);
             list[turn % LOANS].meta.insert("turn".into(), turn.to_string());
-            site.list(list);
+            site.set_services(list);
             pass(0.02);
         }
         let (cpu, memory) = held(site);
         let share = (cpu - before) as f64 / 1_000.0 / seconds(now_us() - from);
         course.sizes.push((count + LOANS, share, memory));
     }
-    site.list(crowd(0, 0));
+    site.set_services(crowd(0, 0));
     pass(2.0);
     let before = held(site).1;
     for turn in 1..=50 {
-        site.list(crowd(turn, 2_000));
+        site.set_services(crowd(turn, 2_000));
         pass(0.15);
     }
-    site.list(crowd(0, 0));
+    site.set_services(crowd(0, 0));
     pass(3.0);
     course.memory = (before, held(site).1);
     Ok(course)
@@ -379,7 +384,7 @@
     table.at_least("... the status says so", f64::from(u8::from(shown)), 1.0);
     let refused = seen.lines(course.torn, "is not used").len();
     table.at_least("half of a list file is refused", refused as f64, 1.0);
-    for rule in [answers, exits] {
+    for rule in [final_answers, unexpected_exits] {
         let broken = rule(history, &Site::bounds());
         let text = broken.first().map_or("rules on answers and exits broken", |v| &v.text);
         table.at_most(text, broken.len() as f64, 0.0);
@@ -417,10 +422,10 @@
         faults,
     };
     let folder = std::env::temp_dir().join(format!("sf-catalogue-{}", std::process::id()));
-    common_files(&folder).map_err(|e| e.to_string())?;
-    let site = Site::start(&schedule, &program(), &folder)?;
+    write_common_files(&folder).map_err(|e| e.to_string())?;
+    let site = Site::start(&schedule, &program(), &folder).map_err(|e| e.to_string())?;
     let course = played(&site);
-    site.end();
+    site.shut_down();
     let _ = std::fs::remove_dir_all(&folder);
     let mut table = Table::default();
     let said = judged(&mut table, &course?, &site.recorder.records_by_time());
--- a/crates/system_tests/src/bin/proof-checkers.rs
+++ b/crates/system_tests/src/bin/proof-checkers.rs
@@ -1,6 +1,6 @@
 //! Whether the rig's checkers find what they are for: a build that breaks one rule on purpose is played until its rule is named.
 
-use fault_injection::play::play;
+use fault_injection::runner::run as run_schedule;
 use fault_injection::schedule::{Fault, FaultKind, Form, Schedule};
 use std::path::Path;
 use std::process::{Command, ExitCode};
@@ -37,7 +37,7 @@
 fn found(build: &Path, rule: &str) -> Option<usize> {
     (1..=MOST).find(|&seed| {
         let folder = std::env::temp_dir().join(format!("sf-check-{}-{seed}", std::process::id()));
-        let played = play(&course(seed as u64), build, &folder);
+        let played = run_schedule(&course(seed as u64), build, &folder);
         let _ = std::fs::remove_dir_all(&folder);
         match played {
             Ok(played) => played.violations.iter().any(|v| v.rule == rule),
@@ -102,7 +102,7 @@
 fn found_in_release() -> usize {
     let played = (1..=3).map(|seed| {
         let folder = std::env::temp_dir().join(format!("sf-check-{}-sound-{seed}", std::process::id()));
-        let played = play(&course(seed), &program(), &folder);
+        let played = run_schedule(&course(seed), &program(), &folder);
         let _ = std::fs::remove_dir_all(&folder);
         played.map_or(1, |p| p.violations.len())
     });
--- a/crates/system_tests/src/bin/proof-compatibility.rs
+++ b/crates/system_tests/src/bin/proof-compatibility.rs
@@ -11,9 +11,9 @@
 
 use fault_injection::builds::Builds;
 use fault_injection::history::{Observation, Outcome, Record};
-use fault_injection::play::{Played, play};
+use fault_injection::runner::{RunResult, run as run_schedule};
 use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
-use fault_injection::site::PERIOD;
+use fault_injection::site::JOB_PERIOD_MS;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -63,9 +63,9 @@
     fault(at_ms, 0, FaultKind::VersionProposed { target: who.into(), units_per_second: rate })
 }
 
-fn play_course(schedule: &Schedule, builds: Builds, table: &mut Table) -> Result<Played, String> {
+fn play_course(schedule: &Schedule, builds: Builds, table: &mut Table) -> Result<RunResult, String> {
     let folder = std::env::temp_dir().join(format!("sf-compat-{}", std::process::id()));
-    let done = play(schedule, builds, &folder);
+    let done = run_schedule(schedule, builds, &folder);
     let _ = std::fs::remove_dir_all(&folder);
     let played = done.map_err(|why| format!("{}: {why}", schedule.name))?;
     for violation in &played.violations {
@@ -99,10 +99,10 @@
         options: SiteOptions::default(),
         faults: (1..=UPGRADES).map(|n| fault(n * UPGRADE_EVERY, SIDE_BY_SIDE, kind())).collect(),
     };
-    let builds = Builds::InTurn(pair.old.clone(), pair.new.clone());
+    let builds = Builds::Alternating(pair.old.clone(), pair.new.clone());
     let played = play_course(&schedule, builds, table)?;
-    let ends = |end| played.ends.get(&end).copied().unwrap_or(0);
-    let all: u64 = played.ends.values().sum();
+    let ends = |end| played.outcomes.get(&end).copied().unwrap_or(0);
+    let all: u64 = played.outcomes.values().sum();
     table.tell("upgrades: requests", all);
     table.at_least("upgrades: requests served", ends(Outcome::Served) as f64, 500.0);
     table.tell("upgrades: requests rejected by quota", ends(Outcome::Rejected));
@@ -170,7 +170,7 @@
         options: SiteOptions { replicas: 3, ..SiteOptions::default() },
         faults,
     };
-    let builds = Builds::InTurn(pair.old.clone(), pair.new.clone());
+    let builds = Builds::Alternating(pair.old.clone(), pair.new.clone());
     let played = play_course(&schedule, builds, table)?;
     let versions = proposed(&played.history);
     table.tell("restarts: versions proposed, before, between and after", format!("{versions:?}"));
@@ -182,11 +182,11 @@
         table.at_least(&what, served as f64, 20.0);
     }
     agreed(&played, "restarts", table);
-    Ok(played.ends.values().sum())
+    Ok(played.outcomes.values().sum())
 }
 
-fn agreed(played: &Played, name: &str, table: &mut Table) {
-    let after = played.agreed.map_or("never".to_owned(), |ms| format!("{ms} ms"));
+fn agreed(played: &RunResult, name: &str, table: &mut Table) {
+    let after = played.converged_after_ms.map_or("never".to_owned(), |ms| format!("{ms} ms"));
     table.tell(&format!("{name}: all agree after the last fault"), after);
 }
 
@@ -242,13 +242,13 @@
         },
         faults: vec![propose(5_000, "m4", 16.0), propose(8_000, "m5", 12.0)],
     };
-    let builds = Builds::ByProgram(pair.old.clone(), pair.new.clone());
+    let builds = Builds::ByGatekeeper(pair.old.clone(), pair.new.clone());
     let played = play_course(&schedule, builds, table)?;
     // The course begins once all see all others alive; without that a rule is broken.
     agreed(&played, "mixed", table);
     let (runs, twice, by_whom) = job_runs(&played.history);
     let length_ms = MIXED_LENGTH - JOBS_RUN_AFTER / 1_000;
-    let expected = MIXED_JOBS as f64 * length_ms as f64 / PERIOD as f64;
+    let expected = MIXED_JOBS as f64 * length_ms as f64 / JOB_PERIOD_MS as f64;
     table.at_least("mixed: runs of periodic jobs", runs as f64, 0.95 * expected);
     table.at_most("mixed: runs of a period that had run", twice as f64, 0.0);
     let old = by_whom.iter().filter(|who| is_old(who)).count();
@@ -258,7 +258,7 @@
     let reached = acts.values().filter(|version| **version == 2).count();
     table.tell("mixed: versions proposed, by each build", format!("{:?}", proposed(&played.history)));
     table.at_least("mixed: instances that act on the last version", reached as f64, MIXED_PROGRAMS as f64);
-    Ok(played.ends.values().sum())
+    Ok(played.outcomes.values().sum())
 }
 
 /// The builds that are named; `None` where the call is wrong.
--- a/crates/system_tests/src/bin/proof-duties.rs
+++ b/crates/system_tests/src/bin/proof-duties.rs
@@ -2,9 +2,9 @@
 //! store, played on the rig. The target takes every call, so a round that ran twice is seen twice.
 
 use fault_injection::history::{Observation, Record};
-use fault_injection::play::{Played, play};
+use fault_injection::runner::{RunResult, run as run_schedule};
 use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
-use fault_injection::site::PERIOD;
+use fault_injection::site::JOB_PERIOD_MS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 use system_tests::{Table, percentile, program};
@@ -112,11 +112,11 @@
             entry.0.insert(round);
             entry.2 = at;
         }
-        let periods = |us: u64| us as f64 / (1_000 * PERIOD) as f64;
+        let periods = |us: u64| us as f64 / (1_000 * JOB_PERIOD_MS) as f64;
         let worst = |duty: &String| {
             let Some((rounds, first, last)) = ran.get(duty.as_str()) else { return periods(to - from) };
             let rounds: Vec<u64> = rounds.iter().copied().collect();
-            let between = rounds.windows(2).map(|w| (w[1] - w[0]) / PERIOD - 1).max().unwrap_or(0);
+            let between = rounds.windows(2).map(|w| (w[1] - w[0]) / JOB_PERIOD_MS - 1).max().unwrap_or(0);
             // At the ends too: a duty that stops is missed from its last round on, once it is late by more than half a period.
             let edge = (periods((first - from).max(to - last)) - 1.6).max(0.0).ceil();
             (between as f64).max(edge)
@@ -195,14 +195,14 @@
     so_far.unwrap_or_default()
 }
 
-fn played(schedule: &Schedule) -> Result<Played, String> {
+fn played(schedule: &Schedule) -> Result<RunResult, String> {
     let folder = std::env::temp_dir().join(format!("sf-duties-{}", std::process::id()));
-    let done = play(schedule, &program(), &folder);
+    let done = run_schedule(schedule, &program(), &folder);
     let _ = std::fs::remove_dir_all(&folder);
-    done
+    done.map_err(|e| e.to_string())
 }
 
-fn told(table: &mut Table, played: &Played) {
+fn told(table: &mut Table, played: &RunResult) {
     for violation in &played.violations {
         table.at_most(&format!("broken: {}: {}", violation.rule, violation.text), 1.0, 0.0);
     }
@@ -231,9 +231,9 @@
     let calm = (killed.0 - 10_000_000, killed.0);
     table.tell(
         "size",
-        format!("{INSTANCES} instances, {DUTIES} duties, period {PERIOD} ms, {} s", length / 1_000),
+        format!("{INSTANCES} instances, {DUTIES} duties, period {JOB_PERIOD_MS} ms, {} s", length / 1_000),
     );
-    let expected = DUTIES as f64 * (length - 12_000) as f64 / PERIOD as f64;
+    let expected = DUTIES as f64 * (length - 12_000) as f64 / JOB_PERIOD_MS as f64;
     table.at_least("runs", runs.came.len() as f64, 0.9 * expected);
     table.at_most("rounds run twice", runs.doubles() as f64, 0.0);
     table.at_most("rounds missed in a row, calm", runs.missed(&duties, calm), 1.0);
@@ -250,7 +250,7 @@
                 table.at_most(
                     "the store back empty: the last duty runs again after, s",
                     again,
-                    2.0 * PERIOD as f64 / 1_000.0,
+                    2.0 * JOB_PERIOD_MS as f64 / 1_000.0,
                 );
                 let later = runs.missed(&duties, (to + 1_000_000, next));
                 table.at_most("... rounds missed in a row later", later, 1.0);
@@ -270,11 +270,11 @@
     }
     table.tell("longest gap between two runs of a duty, calm, s", format!("{:.3}", runs.longest_gap(calm)));
     let gap = runs.longest_gap((calm.0, killed.1));
-    table.at_most("... half killed at once, s", gap, 2.0 * PERIOD as f64 / 1_000.0 + 0.1);
+    table.at_most("... half killed at once, s", gap, 2.0 * JOB_PERIOD_MS as f64 / 1_000.0 + 0.1);
     let over = runs.taken_over(killed.0, &half().collect::<Vec<_>>());
     let worst = over.last().copied().unwrap_or(f64::INFINITY);
     table.tell("time to take over when half die, median, s", format!("{:.3}", percentile(&over, 0.5)));
-    table.at_most("... worst, s", worst, 2.0 * PERIOD as f64 / 1_000.0);
+    table.at_most("... worst, s", worst, 2.0 * JOB_PERIOD_MS as f64 / 1_000.0);
     let left = runs.taken_over(of("one leaves").0, &["m7".to_owned()]);
     table.tell(
         "time to take over when one leaves, worst, s",
@@ -326,7 +326,7 @@
     table.at_most("clocks 300 ms apart: rounds run twice", runs.doubles() as f64, 0.0);
     let missed = runs.missed(&duties, (set + 3_000_000, emptied));
     table.at_most("... rounds missed in a row, two killed meanwhile", missed, 1.0);
-    let bound = (2 * PERIOD) as f64 / 1_000.0 + 2.0 * SKEW as f64 / 1_000.0;
+    let bound = (2 * JOB_PERIOD_MS) as f64 / 1_000.0 + 2.0 * SKEW as f64 / 1_000.0;
     table.at_most(
         "... store emptied: the last duty runs again after, s",
         runs.all_again(&duties, emptied),
--- a/crates/system_tests/src/bin/proof-faults.rs
+++ b/crates/system_tests/src/bin/proof-faults.rs
@@ -1,11 +1,12 @@
 //! Several real programs under injected faults: schedules from seeds and by name, played several at a time, each judged by
 //! the rig's checkers.
 
-use fault_injection::checks::Violation;
+use fault_injection::checkers::Violation;
 use fault_injection::history;
-use fault_injection::play::{Played, play, shrunk};
+use fault_injection::network::Traffic;
+use fault_injection::runner::{RunResult, run as run_schedule, shrink};
 use fault_injection::schedule::{Schedule, named_schedules};
-use fault_injection::torn::{Torn, at_each_byte};
+use fault_injection::torn_writes::{TornWrites, truncate_at_each_byte};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -94,23 +95,22 @@
     faults: BTreeMap<String, u64>,
     ends: BTreeMap<String, u64>,
     agreed: Vec<f64>,
-    carried: (u64, u64, u64),
+    traffic: Traffic,
     rules: BTreeMap<&'static str, u64>,
     failed: Vec<String>,
     seconds: f64,
 }
 
 impl Sums {
-    fn add(&mut self, schedule: &Schedule, played: &Played) {
+    fn add(&mut self, schedule: &Schedule, played: &RunResult) {
         for (kind, count) in &played.faults {
             *self.faults.entry(kind.clone()).or_default() += count;
         }
-        for (end, count) in &played.ends {
+        for (end, count) in &played.outcomes {
             *self.ends.entry(end.name().to_owned()).or_default() += count;
         }
-        self.agreed.extend(played.agreed.map(|ms| ms as f64 / 1_000.0));
-        let (a, b, c) = played.carried;
-        self.carried = (self.carried.0 + a, self.carried.1 + b, self.carried.2 + c);
+        self.agreed.extend(played.converged_after_ms.map(|ms| ms as f64 / 1_000.0));
+        self.traffic += played.traffic;
         for violation in &played.violations {
             *self.rules.entry(violation.rule).or_default() += 1;
         }
@@ -119,11 +119,11 @@
 }
 
 /// Plays one in a folder of its own and keeps what a failure leaves.
-fn played(asked: &Asked, number: usize, schedule: &Schedule) -> Result<Played, String> {
+fn played(asked: &Asked, number: usize, schedule: &Schedule) -> Result<RunResult, String> {
     let folder = std::env::temp_dir().join(format!("sf-rig-{}-{number}", std::process::id()));
-    let done = play(schedule, &asked.build, &folder);
+    let done = run_schedule(schedule, &asked.build, &folder);
     let _ = std::fs::remove_dir_all(&folder);
-    let played = done?;
+    let played = done.map_err(|e| e.to_string())?;
     if asked.keep_all || !played.violations.is_empty() {
         let kept = asked.keep.join(schedule.name.replace([' ', ',', '/'], "-"));
         let write = || -> std::io::Result<()> {
@@ -148,11 +148,11 @@
 }
 
 /// The file that a program keeps, cut at each byte.
-fn torn(asked: &Asked) -> Result<Torn, String> {
+fn torn(asked: &Asked) -> Result<TornWrites, String> {
     let folder = std::env::temp_dir().join(format!("sf-torn-{}", std::process::id()));
-    let done = at_each_byte(&asked.build, &folder, asked.parallel);
+    let done = truncate_at_each_byte(&asked.build, &folder, asked.parallel);
     let _ = std::fs::remove_dir_all(&folder);
-    done
+    done.map_err(|e| e.to_string())
 }
 
 fn run() -> Result<bool, String> {
@@ -163,7 +163,7 @@
     }
     if let Some(path) = &asked.shrink {
         // What fails one time in a few is tried so often before it counts as well.
-        let fails = |schedule: &Schedule| {
+        let fails = |schedule: &Schedule| -> Result<bool, String> {
             for _ in 0..3 {
                 if !played(&asked, 0, schedule)?.violations.is_empty() {
                     return Ok(true);
@@ -171,7 +171,7 @@
             }
             Ok(false)
         };
-        print!("{}", shrunk(&read(path)?, fails)?.to_toml());
+        print!("{}", shrink(&read(path)?, fails)?.to_toml());
         return Ok(true);
     }
     let schedules: Vec<Schedule> = match &asked.replay {
@@ -221,7 +221,7 @@
     for (end, count) in &sums.ends {
         table.tell(&format!("operations {end}"), count);
     }
-    let (bytes, dropped, resets) = sums.carried;
+    let Traffic { bytes, dropped_datagrams: dropped, resets } = sums.traffic;
     table.tell("megabytes carried by links", bytes / 1_000_000);
     table.tell("datagrams dropped, connections reset in the middle", format!("{dropped}, {resets}"));
     for (share, name) in [(0.5, "median"), (0.99, "99th percentile")] {
