--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -133,7 +133,7 @@
         if !self.left {
             let mut actions = Vec::new();
             self.scheduler.tick(now, &mut actions);
-            self.carry_out(now, actions);
+            self.apply_action(now, actions);
         }
         self.update_ejections(now);
     }
@@ -164,7 +164,7 @@
         let mut actions = Vec::new();
         self.apply_store_response(now, response, &mut actions);
         if !self.left {
-            self.carry_out(now, actions);
+            self.apply_action(now, actions);
         }
     }
 
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -49,7 +49,7 @@
     }
 
     /// Carries out the scheduler's actions, and those that follow from them.
-    pub(super) fn carry_out(&mut self, now: ClockReading, actions: Vec<Action>) {
+    pub(super) fn apply_action(&mut self, now: ClockReading, actions: Vec<Action>) {
         let mut pending: VecDeque<Action> = actions.into();
         while let Some(action) = pending.pop_front() {
             let call = match action {
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -71,7 +71,7 @@
     TaskQueue::start("job-runs", threads, move |PendingRun { run, task }: PendingRun| {
         // The last check before anything is sent: a pause may have come after the lease.
         let outcome = if run.may_start(clocks.now()) {
-            executor.carry_out(&run, &task)
+            executor.apply_action(&run, &task)
         } else {
             RunOutcome::DeadlinePassed
         };
@@ -99,7 +99,7 @@
 }
 
 impl RunExecutor {
-    fn carry_out(&self, run: &Run, task: &RunTask) -> RunOutcome {
+    fn apply_action(&self, run: &Run, task: &RunTask) -> RunOutcome {
         let response = match task {
             RunTask::HttpCall { url, timeout } => self.call(run, url, *timeout),
             RunTask::HealthCheck { address, path, timeout, .. } => {
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -101,7 +101,7 @@
         instance: instance.to_owned(),
     };
     Some(TaskQueue::start("lease-store", THREADS, move |call| {
-        if let Some(response) = client.carry_out(call) {
+        if let Some(response) = client.apply_action(call) {
             on_response(response);
         }
     }))
@@ -132,7 +132,7 @@
 
 impl ConsulClient {
     /// Makes a call; `None` where nobody awaits a response.
-    fn carry_out(&self, call: StoreCall) -> Option<StoreResponse> {
+    fn apply_action(&self, call: StoreCall) -> Option<StoreResponse> {
         Some(match call {
             StoreCall::OpenSession => StoreResponse::SessionOpened(self.open_session()),
             StoreCall::RenewSession(session) => {
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -212,7 +212,7 @@
                 self.send(number, network::instance(to), bytes);
             }
         }
-        self.carry_out(number, incarnation, now, actions);
+        self.apply_action(number, incarnation, now, actions);
         self.schedule_tick(number, due_ms.max(now.monotonic_ms + 1));
     }
 
@@ -224,7 +224,7 @@
         }
     }
 
-    fn carry_out(
+    fn apply_action(
         &mut self,
         instance: usize,
         incarnation: Incarnation,
--- a/crates/destination/src/lib.rs
+++ b/crates/destination/src/lib.rs
@@ -342,7 +342,7 @@
             let wanted = state.busy.remove(&attempt.id).is_some();
             // The module counts on it that what has not begun by then never will.
             let late =
-                begun.elapsed() > connect || begun.elapsed().as_micros() as Micros >= attempt.begin_within;
+                begun.elapsed() > connect || begun.elapsed().as_micros() as Micros >= attempt.max_start_delay;
             match &connection {
                 Ok(connection) if wanted && ready && !late => {
                     state.busy.insert(attempt.id, Busy::On(connection.clone()));
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -45,7 +45,7 @@
     /// How long to wait for its answer.
     pub time_left: Micros,
     /// Nothing of it may be written later than this after now.
-    pub begin_within: Micros,
+    pub max_start_delay: Micros,
     /// What is forwarded.
     pub payload: Arc<Q>,
 }
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -144,16 +144,16 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.policy.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action);
+                self.apply_action(now, action);
             }
             self.actions = actions;
         }
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action) {
+    fn apply_action(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, backend, timeout, begin_within } => {
-                self.send(now, id, backend, timeout, begin_within);
+            Action::Send { id, backend, timeout, max_start_delay } => {
+                self.send(now, id, backend, timeout, max_start_delay);
             }
             Action::Cancel { id, attempt } => {
                 self.cancel_attempt(now, AttemptId { request: id, attempt }, Outcome::Cancelled);
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -16,7 +16,7 @@
         id: RequestId,
         backend: BackendId,
         timeout: Micros,
-        begin_within: Micros,
+        max_start_delay: Micros,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = AttemptId { request: id, attempt: request.attempts.len() as u8 };
@@ -39,7 +39,7 @@
             time_left = timeout;
             self.timers.set(now + timeout, Timer::Attempt(attempt));
         }
-        let attempt = Attempt { id: attempt, backend, time_left, begin_within, payload };
+        let attempt = Attempt { id: attempt, backend, time_left, max_start_delay, payload };
         self.side_effects.push_back(SideEffect::Start(attempt));
     }
 
--- a/crates/periodic_jobs/src/scheduler/tests.rs
+++ b/crates/periodic_jobs/src/scheduler/tests.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    fn carry_out(&mut self, mut actions: Vec<Action>) {
+    fn apply_action(&mut self, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
@@ -113,7 +113,7 @@
     fn tick(&mut self) {
         let mut out = Vec::new();
         self.scheduler.tick(self.now, &mut out);
-        self.carry_out(out);
+        self.apply_action(out);
     }
 
     fn run_ids(&self) -> Vec<u64> {
@@ -196,7 +196,7 @@
     }
     bench.now.unix_ms += 4 * PERIOD_MS;
     bench.now.monotonic_ms += 4 * PERIOD_MS;
-    bench.carry_out(out);
+    bench.apply_action(out);
     assert!(bench.run_ids().is_empty(), "{:?}", bench.run_ids());
     assert!(matches!(bench.notices[..], [Notice::AcquiredTooLate { .. }]), "{:?}", bench.notices);
     let present = Job { name: "d".into(), period_ms: PERIOD_MS }.run_at(bench.now.unix_ms).0;
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -46,7 +46,7 @@
         scheduler.tick(now, &mut actions);
         while !actions.is_empty() {
             for action in std::mem::take(&mut actions) {
-                let line = carry_out(&mut scheduler, &mut store, now, action, &mut actions);
+                let line = apply_action(&mut scheduler, &mut store, now, action, &mut actions);
                 lines.push_str(&format!("{} {line}\n", now.unix_ms));
             }
         }
@@ -55,7 +55,7 @@
 }
 
 /// Carries out an action; returns its line in the course.
-fn carry_out(
+fn apply_action(
     scheduler: &mut Scheduler,
     store: &mut LocalStore,
     now: ClockReading,
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -79,7 +79,7 @@
         timeout: Micros,
         /// Do not write it if its connection is not established within this time: the window in which backends drop
         /// duplicates would be over.
-        begin_within: Micros,
+        max_start_delay: Micros,
     },
     /// Cancel an attempt.
     Cancel {
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -54,7 +54,8 @@
                 // One in flight may still wait for its connection, and would then be the later one.
                 let connected_by = self.settings.connect_timeout + self.settings.tick;
                 let has_begun = |a: &Attempt| !a.is_in_flight() || self.now >= a.sent_at + connected_by;
-                let in_time = self.now < self.begin_by(request) && request.attempts.iter().all(has_begun);
+                let in_time =
+                    self.now < self.start_deadline(request) && request.attempts.iter().all(has_begun);
                 in_time && self.dedup_group(request.class, backend) == first.dedup_group
             }
         }
@@ -62,7 +63,7 @@
 
     /// By when a further attempt has to begin: duplicates of a key are dropped for a while from the first
     /// attempt that may have run.
-    fn begin_by(&self, request: &Request) -> Micros {
+    fn start_deadline(&self, request: &Request) -> Micros {
         let class = &self.settings.classes[request.class];
         let first = request.attempts.iter().find(|attempt| attempt.may_have_run());
         let Some(first) = first.filter(|_| class.idempotency == Idempotency::Keyed) else {
@@ -84,7 +85,7 @@
     pub(crate) fn send(&mut self, id: RequestId, backend_id: BackendId, out: &mut Actions) {
         let (now, next_trial) = (self.now, self.now + self.ejection_time());
         let Some(request) = self.requests.get(&id) else { return };
-        let (class, begin_within) = (request.class, self.begin_by(request).saturating_sub(now));
+        let (class, max_start_delay) = (request.class, self.start_deadline(request).saturating_sub(now));
         let Some(backend) = self.backends.get(&backend_id) else { return };
         let dedup_group = self.dedup_group(class, backend);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -103,7 +104,7 @@
         }
         self.tenants.entry(request.tenant).and_modify(|bucket| bucket.in_flight += 1);
         let class = &self.settings.classes[class];
-        out.push(Action::Send { id, backend: backend_id, timeout: class.attempt_timeout, begin_within });
+        out.push(Action::Send { id, backend: backend_id, timeout: class.attempt_timeout, max_start_delay });
         let default_hedge = (class.latency_objective as f64 * HEDGE_PART) as Micros;
         let after = if class.hedge_after > 0 { class.hedge_after } else { default_hedge };
         out.push(Action::Timer { after, token: hedge_token(id, attempt) });
--- a/crates/policy/src/bucket_estimator.rs
+++ b/crates/policy/src/bucket_estimator.rs
@@ -93,15 +93,15 @@
         let own = self.synced_level + plan.rate * unseen - self.spent_since_sync;
         // Just before the call it held a burst at most; under a new name, the most it held under the last one.
         let exact = before.is_some() && self.view != BucketView::Fresh;
-        let most = if exact { plan.burst } else { (own + reported + self.unreported).min(plan.burst) };
+        let max_level = if exact { plan.burst } else { (own + reported + self.unreported).min(plan.burst) };
         let written_off = self.written_off.max(0.0);
         let level_before_call = plan.burst + refilled - (total - reported - written_off);
-        self.written_off = (level_before_call - most).max(0.0) - written_off;
-        let least = -MAX_DEBT_PART * plan.burst;
+        self.written_off = (level_before_call - max_level).max(0.0) - written_off;
+        let min_level = -MAX_DEBT_PART * plan.burst;
         let shown = plan.burst + refilled - total - self.written_off;
-        let left = shown.max(least) - self.unreported;
+        let left = shown.max(min_level) - self.unreported;
         // A deeper debt is what others are still correcting: it tells nothing about their spend.
-        if before.is_some() && shown >= least {
+        if before.is_some() && shown >= min_level {
             self.learn_rates((own.min(plan.burst) - left).max(0.0), others.max(0.0), unseen);
         }
         // A counter that lost spend lost write-offs as well. Others that take back what they all wrote off at once leave a full
@@ -121,7 +121,7 @@
             (self.local_share * self.gatekeepers).min(own).min(plan.burst) - self.unreported
         } else if self.view == BucketView::Diverged {
             // After a loss others write off once more what all had before: no spend, and no deeper debt than any other.
-            (own - others).max(least).min(left)
+            (own - others).max(min_level).min(left)
         } else {
             left
         };
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -29,15 +29,16 @@
     /// This gatekeeper's even share of the capacity of all backends.
     pub(crate) even_share: f64,
     /// The same with chance on top: with many gatekeepers the traffic of each is uneven.
-    pub(crate) most: f64,
+    pub(crate) upper_bound: f64,
 }
 
 impl Policy {
     pub(crate) fn capacity(&self) -> Capacity {
         let per_backend = MAX_PER_BACKEND / f64::from(self.settings.gatekeepers);
         let even_share = per_backend * self.pool.ready.len() as f64;
-        let most = if per_backend < 1.0 { even_share + 2.0 * (even_share + 1.0).sqrt() } else { even_share };
-        Capacity { even_share, most }
+        let upper_bound =
+            if per_backend < 1.0 { even_share + 2.0 * (even_share + 1.0).sqrt() } else { even_share };
+        Capacity { even_share, upper_bound }
     }
 
     /// When capacity runs short, work of low weight leaves the last of it to work of high weight.
@@ -75,11 +76,11 @@
         pool.objective_part_updated_at = now;
         let limit = pool.concurrency_limit;
         if pool.objective_part > LATE_PART && sent_at >= pool.limit_reduced_at {
-            let least = MIN_PER_BACKEND / MAX_PER_BACKEND * capacity.even_share;
-            pool.concurrency_limit = (limit * DECREASE_FACTOR).max(least);
+            let lower_bound = MIN_PER_BACKEND / MAX_PER_BACKEND * capacity.even_share;
+            pool.concurrency_limit = (limit * DECREASE_FACTOR).max(lower_bound);
             pool.limit_reduced_at = now;
         } else if pool.objective_part < EARLY_PART {
-            pool.concurrency_limit = (limit + (1.0 / limit).min(limit)).min(capacity.most);
+            pool.concurrency_limit = (limit + (1.0 / limit).min(limit)).min(capacity.upper_bound);
         }
     }
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -58,7 +58,7 @@
         self.pool.has_uneven_sizes = self.settings.weighted_backends && is_uneven;
         let capacity = self.capacity();
         let limit = &mut self.pool.concurrency_limit;
-        *limit = if *limit == 0.0 { capacity.even_share } else { limit.min(capacity.most) };
+        *limit = if *limit == 0.0 { capacity.even_share } else { limit.min(capacity.upper_bound) };
     }
 
     /// Operators eject a backend, or admit it again: then it may have restarted unseen, and begins in slow
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -36,9 +36,9 @@
         let rate = self.settings.plans[bucket.plan].rate;
         let unseen = (self.now - bucket.synced_at) as f64 / SECOND;
         // No total can show more than this: where that is too little, none is read.
-        let most = bucket.synced_level + rate * unseen - bucket.spent_since_sync - required;
-        if most < 0.0 {
-            return Headroom::certain(most);
+        let max_units = bucket.synced_level + rate * unseen - bucket.spent_since_sync - required;
+        if max_units < 0.0 {
+            return Headroom::certain(max_units);
         }
         let others_rate = bucket.others_rate.max(rate * (1.0 - 2.0 / bucket.gatekeepers));
         let deviation = (others_rate * unseen * self.settings.max_cost).sqrt();
--- a/crates/policy/src/state/counter.rs
+++ b/crates/policy/src/state/counter.rs
@@ -92,9 +92,9 @@
         if recovered {
             self.recovered_at = now;
         }
-        let step = 1.0 + ((now - self.interval_changed_at) as f64 / SECOND).min(1.0);
+        let factor = 1.0 + ((now - self.interval_changed_at) as f64 / SECOND).min(1.0);
         let is_fast = (elapsed as f64) < FAST_ANSWER_PART * settings.counter_timeout as f64;
-        let interval = if is_fast { self.call_interval / step } else { self.call_interval * step };
+        let interval = if is_fast { self.call_interval / factor } else { self.call_interval * factor };
         self.call_interval = interval.clamp(MIN_CALL_INTERVAL, max_interval(settings));
         self.interval_changed_at = now;
         recovered.then_some(Notice::CounterRecovered)
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -159,8 +159,9 @@
 #[test]
 fn a_keyed_retry_has_to_begin_inside_its_window_and_only_what_has_begun_is_retried() {
     let within = |out: &[Action]| {
-        out.iter()
-            .find_map(|a| if let Action::Send { begin_within, .. } = a { Some(*begin_within) } else { None })
+        out.iter().find_map(|a| {
+            if let Action::Send { max_start_delay, .. } = a { Some(*max_start_delay) } else { None }
+        })
     };
     for connect_timeout in [100 * MS, 300 * MS] {
         let mut b = Harness::new(Settings { connect_timeout, ..settings() }, &backends(8));
--- a/crates/policy/tests/common/recorder.rs
+++ b/crates/policy/tests/common/recorder.rs
@@ -56,8 +56,8 @@
 /// A stable form of an action, independent of names in the code.
 fn values_of(action: &Action) -> Vec<u64> {
     match *action {
-        Action::Send { id, backend, timeout, begin_within } => {
-            vec![0, u64::from(id.0), u64::from(backend.0), timeout, begin_within]
+        Action::Send { id, backend, timeout, max_start_delay } => {
+            vec![0, u64::from(id.0), u64::from(backend.0), timeout, max_start_delay]
         }
         Action::Cancel { id, attempt } => vec![1, u64::from(id.0), u64::from(attempt)],
         Action::Reject { id, retry_after, reason: why } => vec![2, u64::from(id.0), retry_after, why as u64],
--- a/crates/simhost/src/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -40,7 +40,7 @@
         if self.0.contains_key(key) { self.required(key) } else { Ok(default) }
     }
 
-    fn word(&self, key: &str) -> &'a str {
+    fn text(&self, key: &str) -> &'a str {
         self.0.get(key).copied().unwrap_or("")
     }
 }
@@ -68,14 +68,14 @@
             0
         },
         connect_timeout: pairs.optional("bounds.connect-timeout-us", 250_000)?,
-        polls_endpoints: pairs.word("discovery") == "ask",
+        polls_endpoints: pairs.text("discovery") == "ask",
         poll_interval: pairs.optional("contract.ask-every-us", 10_000_000)?,
-        load_reporting: match pairs.word("report.how") {
+        load_reporting: match pairs.text("report.how") {
             "inline" => LoadReporting::Inline,
             "on_probe" => LoadReporting::OnHealthCheck,
             _ => LoadReporting::Off,
         },
-        load_metrics: pairs.word("report.columns").split(',').filter(|c| !c.is_empty()).map(column).collect(),
+        load_metrics: pairs.text("report.columns").split(',').filter(|c| !c.is_empty()).map(column).collect(),
         slow_start_share: pairs.optional("contract.cold-share", 1.0)?,
         slow_start_duration: pairs.optional("contract.cold-us", 0)?,
         overload_factor: pairs.optional("contract.overload-factor", 1.0)?,
@@ -108,7 +108,7 @@
     Ok(RequestClass {
         latency_objective: pairs.required(&format!("{path}.goal-time-us"))?,
         deadline: pairs.required(&format!("{path}.deadline-us"))?,
-        idempotency: match pairs.word(&idempotency_key) {
+        idempotency: match pairs.text(&idempotency_key) {
             "read_like" => Idempotency::Idempotent,
             "idempotency_key" => Idempotency::Keyed,
             "non_idempotent" => Idempotency::NonIdempotent,
@@ -116,7 +116,7 @@
                 return Err(ParseError::Unusable { key: idempotency_key, value: format!("{other:?}") });
             }
         },
-        dedup_scope: match pairs.word(&dedup_scope_key) {
+        dedup_scope: match pairs.text(&dedup_scope_key) {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             // The narrowest group is the safe reading of anything else.
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -128,7 +128,7 @@
             id: RequestId(0x5d3a_91c4),
             backend: BackendId(0x0312_4a07),
             timeout: 80_000,
-            begin_within: 9,
+            max_start_delay: 9,
         },
     );
     reply.push(3, &Action::Timer { after: 500_000, token: 77 });
