--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Why a proposed text is not valid; the proposer is told.
+/// Why a proposed text is not valid. The proposer gets it as [`ProposalOutcome::Rejected`](crate::ProposalOutcome::Rejected).
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidProposal(pub String);
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -44,7 +44,7 @@
     /// By which of them each client has asked last.
     routes: HashMap<String, ConnectionId>,
     validator: ProposalValidator,
-    /// The last term in which the log has told of this replica's leadership.
+    /// The last term for which this replica has logged that it leads.
     announced_term: u64,
 }
 
@@ -211,9 +211,10 @@
         if client == self.config.name {
             return self.on_message(None, message);
         }
-        let connection = match ConnectionId::from_client_name(client) {
-            Some(connection) => connection,
-            None => self.routes.get(client).copied(),
+        let connection = if ConnectionId::is_client_name(client) {
+            ConnectionId::from_client_name(client)
+        } else {
+            self.routes.get(client).copied()
         };
         if let Some(queue) = connection.and_then(|connection| self.connections.get(&connection)) {
             enqueue(queue, message);
--- a/crates/config_node/src/error.rs
+++ b/crates/config_node/src/error.rs
@@ -21,7 +21,7 @@
         /// Why.
         source: io::Error,
     },
-    /// The file beside the log that counts its frames is cut or damaged.
+    /// The file that counts the log's frames is cut or damaged.
     #[error("{}: the count of the log's frames is cut or damaged", .path.display())]
     DamagedFrameCount {
         /// The file with the count.
--- a/crates/config_node/src/event.rs
+++ b/crates/config_node/src/event.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// Prefix of a client name that stands for whoever is on a connection.
+/// Prefix of a client name that identifies the client by its connection.
 const CONNECTION_PREFIX: &str = "on ";
 
 impl fmt::Display for ConnectionId {
@@ -18,11 +18,14 @@
 }
 
 impl ConnectionId {
-    /// The connection, where a client name stands for one: none for a node's name. The inner option is none where the rest of
-    /// the name is no number.
-    pub(crate) fn from_client_name(client: &str) -> Option<Option<Self>> {
-        let number = client.strip_prefix(CONNECTION_PREFIX)?;
-        Some(number.parse().ok().map(Self))
+    /// Whether a client name stands for a connection; otherwise it is a node's name.
+    pub(crate) fn is_client_name(client: &str) -> bool {
+        client.starts_with(CONNECTION_PREFIX)
+    }
+
+    /// The connection that a client name stands for.
+    pub(crate) fn from_client_name(client: &str) -> Option<Self> {
+        client.strip_prefix(CONNECTION_PREFIX)?.parse().ok().map(Self)
     }
 }
 
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -1,4 +1,4 @@
-//! A replica's log on disk: a file of frames with checksums, and beside it a file with the count of frames that were written.
+//! A replica's log on disk: a file of frames with checksums, and a second file with the count of frames that were written.
 //!
 //! A frame that was being written when the program was killed is discarded: nothing that depends on it was sent. Frames that were
 //! counted and are missing mean that the log cannot be used: the replica may have voted in a way that the log no longer shows.
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -36,7 +36,7 @@
         Self { node_name, view, texts, lease_expires_at_ms: 0, listener }
     }
 
-    /// Tells the listener what to enforce, if that has changed.
+    /// Calls the listener with what to enforce, if that has changed.
     fn publish(&mut self, now_ms: u64) {
         let ignores_expiry = weakened::breaks("lease") && self.lease_expires_at_ms > 0;
         let VersionTexts { in_force, proposed } = self.texts.clone();
@@ -94,7 +94,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the listener the present view, whether or not it has changed.
+    /// Calls the listener with the present view, whether or not it has changed.
     pub(crate) fn announce(&self) {
         let state = self.lock();
         (state.listener)(&state.view);
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -16,11 +16,11 @@
     objects: Objects,
 }
 
-/// A sign of life in the body.
+/// An item of the body. Each shows that the agent is alive.
 pub(crate) enum BodyItem {
     /// A list.
     List(HostList),
-    /// The end of a line. The agent writes empty lines while there is nothing to tell.
+    /// The end of a line. The agent writes empty lines as heartbeats.
     LineEnd,
 }
 
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -87,7 +87,7 @@
         if std::mem::replace(&mut agent.address, address) == address {
             return false;
         }
-        // The old agent may stay silent instead of closing, and has nothing more to tell.
+        // The old agent may stay silent instead of closing, and its lists no longer count.
         if let Some(connection) = agent.connection.take() {
             connection.link.close();
         }
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -31,7 +31,7 @@
         /// The leader, where one is known.
         leader: Option<ReplicaId>,
     },
-    /// The leader tells lease holders that the latest version, or its phase, has changed, so that they ask at once.
+    /// The leader notifies lease holders that the latest version, or its phase, has changed, so that they ask at once.
     VersionChanged(u64),
     /// A client proposes a version.
     Propose(Proposal),
@@ -80,7 +80,7 @@
     pub phase: RolloutPhase,
 }
 
-/// The texts of the version in force and of the proposed one, each where there is one to tell.
+/// The texts of the version in force and of the proposed one, each where the recipient lacks it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionTexts {
     /// The version in force.
--- a/crates/replicated_config/tests/simulation.rs
+++ b/crates/replicated_config/tests/simulation.rs
@@ -160,7 +160,7 @@
             Message::LeaseResponse(response, texts) => {
                 let before = machine.client.latest();
                 if machine.client.on_response(response) {
-                    // What is new is told to the leader by asking again.
+                    // By asking again the client shows the leader that it knows.
                     if machine.client.latest() != before {
                         machine.next_request_ms = self.now_ms;
                     }
@@ -409,7 +409,7 @@
         accepted += usize::from(matches!(outcome, ProposalOutcome::Accepted(_)));
         world.run_for(150);
     }
-    // One rollout is open at a time; the other proposers are told which.
+    // One rollout is open at a time; the other proposers hear which.
     let in_progress =
         |outcome: &ProposalOutcome| matches!(outcome, ProposalOutcome::RolloutInProgress { version: 1, .. });
     assert!(accepted >= 1 && world.outcomes.iter().any(|o| in_progress(&o.1)));
