--- a/crates/discovery/src/error/tests.rs
+++ b/crates/discovery/src/error/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use settings::HostList;
+use settings::EndpointList;
 use std::error::Error as _;
 
 #[test]
 fn texts_say_why_the_watch_ended_and_keep_their_source() {
     let refused = io::Error::new(io::ErrorKind::ConnectionRefused, "connection refused");
     let unknown =
-        simd_json::serde::from_slice::<HostList>(&mut br#"{"rev":"x"}"#.to_vec()).expect_err("no list");
+        simd_json::serde::from_slice::<EndpointList>(&mut br#"{"rev":"x"}"#.to_vec()).expect_err("no list");
     let unknown_text = format!("an unreadable list: {unknown}");
     for (error, text, has_source) in [
         (WatchError::Connection(refused), "connection refused", true),
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -3,7 +3,7 @@
 use crate::error::WatchError;
 use http::{AnswerHead, Chunks, Framing};
 use json_stream::{Item, Objects};
-use settings::HostList;
+use settings::EndpointList;
 
 /// Largest JSON object: some thousand endpoints.
 const MAX_OBJECT_BYTES: usize = 4 * 1024 * 1024;
@@ -19,7 +19,7 @@
 /// An item of the body. Each shows that the agent is alive.
 pub(crate) enum BodyItem {
     /// A list.
-    List(HostList),
+    List(EndpointList),
     /// The end of a line. The agent writes empty lines as heartbeats.
     LineEnd,
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::poll_backoff::PollBackoff;
 use crate::response::{BodyItem, Response};
 use link::{Incoming, Link, locked};
-use settings::HostList;
+use settings::EndpointList;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub enum WatchEvent {
     /// An endpoint list: complete, or what has changed.
-    EndpointList(HostList),
+    EndpointList(EndpointList),
     /// A request has failed, or the watch has ended: nothing is known of changes for now.
     Lost,
 }
@@ -56,12 +56,12 @@
 }
 
 impl<Listener: Fn(WatchEvent)> Session<Listener> {
-    fn on_list(&mut self, list: HostList) {
+    fn on_list(&mut self, list: EndpointList) {
         if self.is_lost {
-            tracing::info!("discovery: the watch is back at version {}", list.rev);
+            tracing::info!("discovery: the watch is back at version {}", list.revision);
             self.is_lost = false;
         }
-        self.version = list.rev;
+        self.version = list.revision;
         (self.listener)(WatchEvent::EndpointList(list));
     }
 
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -2,7 +2,7 @@
 //! 1461877 (`ADDRESS` stands for the agent's), those in `response.http` follow the agent's protocol.
 
 use discovery::{PollBackoff, Watch, WatchEvent};
-use settings::HostList;
+use settings::EndpointList;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Mutex;
@@ -48,7 +48,7 @@
     assert_eq!(accept(&listener).0, REQUEST.replace("ADDRESS", &address));
 }
 
-fn next_list(events: &Receiver<WatchEvent>) -> HostList {
+fn next_list(events: &Receiver<WatchEvent>) -> EndpointList {
     match events.recv_timeout(TIMEOUT).expect("it came in time") {
         WatchEvent::EndpointList(list) => list,
         WatchEvent::Lost => panic!("the watch was lost"),
@@ -65,15 +65,19 @@
         std::thread::sleep(Duration::from_millis(2));
         stream.write_all(&RESPONSE[cut..]).expect("the watch reads");
         let (first, second) = (next_list(&events), next_list(&events));
-        assert_eq!((first.rev, first.all, first.targets.len()), (41, true, 2), "cut at {cut}");
-        let host = &first.targets[0];
+        assert_eq!((first.revision, first.complete, first.endpoints.len()), (41, true, 2), "cut at {cut}");
+        let host = &first.endpoints[0];
         assert_eq!(
-            (host.uid.as_str(), host.endpoint.as_str(), host.az.as_str(), host.model.as_str()),
+            (host.id.as_str(), host.address.as_str(), host.zone.as_str(), host.machine_type.as_str()),
             ("s-1", "127.0.0.1:9001", "a", "m"),
             "cut at {cut}"
         );
-        assert_eq!(first.targets[1].state, "draining", "cut at {cut}");
-        assert_eq!((second.rev, second.all, second.targets.len()), (42, false, 0), "cut at {cut}");
+        assert_eq!(first.endpoints[1].state, "draining", "cut at {cut}");
+        assert_eq!(
+            (second.revision, second.complete, second.endpoints.len()),
+            (42, false, 0),
+            "cut at {cut}"
+        );
         // The response has ended: the watch is requested anew, from the version that it last had.
         assert!(matches!(events.recv_timeout(TIMEOUT), Ok(WatchEvent::Lost)), "cut at {cut}");
         if cut == 0 {
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The watch against a stand-in of the agent that is written from the protocol.
 
 use discovery::{PollBackoff, Watch, WatchEvent};
-use settings::HostList;
+use settings::EndpointList;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -81,7 +81,7 @@
     events
 }
 
-fn list(event: WatchEvent) -> HostList {
+fn list(event: WatchEvent) -> EndpointList {
     let WatchEvent::EndpointList(list) = event else { panic!("no list but {event:?}") };
     list
 }
@@ -96,9 +96,9 @@
     request.send_chunk("{\n  \"rev\": 41,\n  \"all\": false,\n");
     request.send_chunk("  \"targets\": [\n    {\"uid\": \"s-1\", \"state\": \"draining\"}\n  ]\n}\n");
     let first = list(next(&events));
-    assert_eq!((first.rev, first.targets[0].state.as_str()), (41, "draining"));
+    assert_eq!((first.revision, first.endpoints[0].state.as_str()), (41, "draining"));
     request.send_chunk("{\"rev\":42,\"targets\":[]}\n");
-    assert_eq!(list(next(&events)).rev, 42);
+    assert_eq!(list(next(&events)).revision, 42);
 }
 
 /// The reader of JSON recurses: a list that nests without end overran the stack, and the watch never came back.
@@ -118,7 +118,7 @@
     let mut request = next(&requests);
     request.respond();
     request.send_chunk("{\"rev\":43,\"all\":true,\"targets\":[]}\n");
-    assert_eq!(list(next(&events)).rev, 43);
+    assert_eq!(list(next(&events)).revision, 43);
 }
 
 /// What it missed counts as known 6 s after it fell silent.
@@ -146,7 +146,7 @@
     answered.respond();
     answered.send_chunk("{\"rev\":42,\"targets\":[]}\n");
     assert!(matches!(next(&events), WatchEvent::Lost));
-    assert_eq!(list(next(&events)).rev, 42);
+    assert_eq!(list(next(&events)).revision, 42);
     assert!(silent.elapsed() < KNOWN_WITHIN, "{:?}", silent.elapsed());
     chatter.join().expect("no panic");
 }
--- a/crates/snowfield/src/desk.rs
+++ b/crates/snowfield/src/desk.rs
@@ -6,7 +6,7 @@
 use front_resp::RespExchange;
 use handover::{Message, Peer};
 use link::locked;
-use operator::{ClassFigures, Figures};
+use operator::{ClassMetrics, Metrics, RejectionCount};
 use policy::RejectReason;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -89,15 +89,15 @@
     /// The other program has said something about holds.
     pub fn heard(&self, peer: &Peer, message: Message) {
         match message {
-            Message::Hold { call, id, held, known } => {
-                let done = self.apply(&id, held, known);
+            Message::SetEjected { call, id, ejected, known } => {
+                let applied = self.apply(&id, ejected, known);
                 // Where it has gone nobody waits for this.
-                let _ = peer.send(&Message::Held { call, done }, None);
+                let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
-            Message::Held { call, done } => {
+            Message::EjectionApplied { call, applied } => {
                 if let Some(caller) = locked(&self.calls).1.remove(&call) {
                     // It may have given up.
-                    let _ = caller.send(done);
+                    let _ = caller.send(applied);
                 }
             }
             _ => {}
@@ -114,7 +114,7 @@
             calls.1.insert(call, tell);
             call
         };
-        let message = Message::Hold { call, id: id.to_owned(), held, known };
+        let message = Message::SetEjected { call, id: id.to_owned(), ejected: held, known };
         let done = peer.send(&message, None).is_ok() && told.recv_timeout(PEER_WITHIN).unwrap_or(false);
         locked(&self.calls).1.remove(&call);
         done
@@ -161,13 +161,13 @@
         }
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> Metrics {
         let (ends, members) = self.exchange.outcome_counts();
         // A class that came back otherwise than it was is another number of the same name.
-        let mut classes: Vec<ClassFigures> = Vec::new();
+        let mut classes: Vec<ClassMetrics> = Vec::new();
         for (name, counts) in locked(&self.names).0.iter().zip(&ends.classes) {
             let at = classes.iter().position(|c| c.name == *name).unwrap_or_else(|| {
-                classes.push(ClassFigures { name: name.clone(), ..ClassFigures::default() });
+                classes.push(ClassMetrics { name: name.clone(), ..ClassMetrics::default() });
                 classes.len() - 1
             });
             let class = &mut classes[at];
@@ -175,13 +175,15 @@
             class.rejected += counts.rejected;
             class.failed += counts.failed;
         }
-        Figures {
+        let names = RejectReason::ALL.iter().map(|why| why.name());
+        let rejections = names.zip(ends.rejections).map(|(reason, count)| RejectionCount { reason, count });
+        Metrics {
             classes,
-            refusals: RejectReason::ALL.iter().map(|reason| reason.name()).zip(ends.rejections).collect(),
-            upstream_requests: self.pools.written(),
+            rejections: rejections.collect(),
+            attempts_written: self.pools.written(),
             pending: ends.pending,
-            members: members.listed,
-            members_unavailable: members.unavailable,
+            backends: members.listed,
+            backends_unavailable: members.unavailable,
             reloads: self.reloads.load(Ordering::Relaxed),
             reload_errors: self.reload_errors.load(Ordering::Relaxed),
         }
