--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -3,7 +3,7 @@
 use crate::connection::{CounterConnection, WriteResult};
 use crate::lane::{self, LANES, Lane, Queued};
 use exchange::{CounterCall, Exchange, QuotaCounter};
-use link::{Link, locked, spawn};
+use link::{Connection, locked, spawn};
 use policy::Outcome;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, Weak};
@@ -100,19 +100,19 @@
     fn connect(&self, lane: &Mutex<Lane>) -> Option<(Arc<CounterConnection>, Vec<CounterCall>)> {
         loop {
             let address = *locked(&self.address);
-            let link = Link::connect(address, CONNECT_TIMEOUT);
+            let connection = Connection::connect(address, CONNECT_TIMEOUT);
             let mut lane = locked(lane);
             // Compared under the lane's lock: `set_address` looks at the lanes after it has changed the address.
             if address != *locked(&self.address) {
                 continue;
             }
             let waiting = lane.waiting.take().unwrap_or_default();
-            let Ok(link) = link else {
+            let Ok(connection) = connection else {
                 drop(lane);
                 waiting.iter().for_each(|call| self.fail_to_connect(call));
                 return None;
             };
-            let connection = Arc::new(CounterConnection::new(link));
+            let connection = Arc::new(CounterConnection::new(connection));
             lane.connection = Some(connection.clone());
             return Some((connection, waiting));
         }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -4,7 +4,7 @@
 use crate::error::AnswerError;
 use crate::protocol::{self, Answer};
 use exchange::CounterCall;
-use link::{Incoming, Link, locked};
+use link::{Connection, Incoming, locked};
 use policy::Outcome;
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 
 /// A connection to the counter.
 pub(crate) struct CounterConnection {
-    link: Link,
+    connection: Connection,
     pending: Mutex<PendingCalls>,
     last_received: Mutex<Instant>,
 }
@@ -48,16 +48,16 @@
 }
 
 impl CounterConnection {
-    pub(crate) fn new(link: Link) -> Self {
-        Self { link, pending: Mutex::default(), last_received: Mutex::new(Instant::now()) }
+    pub(crate) fn new(connection: Connection) -> Self {
+        Self { connection, pending: Mutex::default(), last_received: Mutex::new(Instant::now()) }
     }
 
     pub(crate) fn is_closed(&self) -> bool {
-        self.link.is_closed()
+        self.connection.is_closed()
     }
 
     pub(crate) fn close(&self) {
-        self.link.close();
+        self.connection.close();
     }
 
     /// Lets no more calls be written. [`CounterConnection::wake`] ends a connection that has none unanswered.
@@ -67,7 +67,7 @@
 
     /// Wakes the reader, so that it looks whether the connection is to end.
     pub(crate) fn wake(&self) {
-        self.link.wake();
+        self.connection.wake();
     }
 
     /// Closes the connection where calls are unanswered and nothing was received for too long.
@@ -93,7 +93,7 @@
         if pending.ids.is_empty() {
             *locked(&self.last_received) = Instant::now();
         }
-        if pending.ids.len() >= MAX_PENDING_CALLS || self.link.send(&bytes).is_err() {
+        if pending.ids.len() >= MAX_PENDING_CALLS || self.connection.send(&bytes).is_err() {
             return WriteResult::Failed;
         }
         pending.ids.push_back(call.id);
@@ -104,7 +104,7 @@
     pub(crate) fn read_answers(&self, on_ended: &CallEnded) -> Result<(), AnswerError> {
         let mut buffer = Vec::new();
         loop {
-            match self.link.receive(&mut buffer, READ_BYTES) {
+            match self.connection.receive(&mut buffer, READ_BYTES) {
                 Ok(Incoming::Bytes(_)) => *locked(&self.last_received) = Instant::now(),
                 Ok(Incoming::Woken) => {}
                 Ok(Incoming::End) | Err(_) => return Ok(()),
--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -1,48 +1,54 @@
-//! Destinations that speak HTTP/1.1.
+//! Backends that speak HTTP/1.1.
 
-use crate::{Protocol, Reading};
+use crate::{Parsed, Protocol};
 use ::http::{Answer, Request};
 use exchange::AttemptEnd;
 use policy::{BackendId, Micros, Outcome};
 use std::net::SocketAddr;
 
-/// Speaks HTTP/1.1 with destinations. An answer with a status of 500 or above is a failure of its destination: it may
-/// have run, and a class that is safe to repeat is tried elsewhere.
+/// The lowest status that counts as a failure of the backend.
+const SERVER_ERROR: u16 = 500;
+
+/// Called with each backend that has served an attempt.
+type OnServed = Box<dyn Fn(BackendId) + Send + Sync>;
+
+/// HTTP/1.1. An answer with a status of 500 or above is a failure of its backend: it may have run, and an idempotent request is
+/// retried elsewhere.
 #[derive(Default)]
-pub struct HttpDestination {
-    /// Told of each destination that has answered well.
-    pub on_served: Option<Box<dyn Fn(BackendId) + Send + Sync>>,
+pub struct HttpProtocol {
+    /// Called with each backend that has served an attempt.
+    pub on_served: Option<OnServed>,
 }
 
-impl Protocol for HttpDestination {
-    type Query = Request;
+impl Protocol for HttpProtocol {
+    type Payload = Request;
     type Answer = Answer;
 
-    fn write(&self, query: &Request, _to: SocketAddr, _time_left: Micros, out: &mut Vec<u8>) {
-        query.put(out);
+    fn encode(&self, request: &Request, _to: SocketAddr, _time_left: Micros, out: &mut Vec<u8>) {
+        request.put(out);
     }
 
-    fn served(&self, backend: BackendId) {
-        if let Some(told) = &self.on_served {
-            told(backend);
+    fn on_served(&self, backend: BackendId) {
+        if let Some(callback) = &self.on_served {
+            callback(backend);
         }
     }
 
-    fn read(&self, query: &Request, buffer: &[u8], end: bool) -> Reading<Answer> {
-        match ::http::answer(buffer, query.is_head, end) {
-            Ok(Some((answer, used, keep))) => {
-                let served = answer.status < 500;
+    fn parse(&self, request: &Request, buffer: &[u8], is_end: bool) -> Parsed<Answer> {
+        match ::http::answer(buffer, request.is_head, is_end) {
+            Ok(Some((answer, consumed, keep_alive))) => {
+                let is_served = answer.status < SERVER_ERROR;
                 let end = AttemptEnd {
-                    outcome: if served { Outcome::Ok } else { Outcome::Error },
-                    answer: served.then_some(answer),
+                    outcome: if is_served { Outcome::Ok } else { Outcome::Error },
+                    answer: is_served.then_some(answer),
                     load: Vec::new(),
                     is_streaming: false,
                 };
-                Reading::Whole { used, keep, end }
+                Parsed::Complete { consumed, keep_alive, end }
             }
-            Ok(None) => Reading::More,
-            Err(::http::Refusal::Malformed(text)) => Reading::Malformed(text),
-            Err(_) => Reading::Malformed("an answer passes a limit"),
+            Ok(None) => Parsed::Incomplete,
+            Err(::http::Refusal::Malformed(text)) => Parsed::Malformed(text),
+            Err(_) => Parsed::Malformed("an answer passes a limit"),
         }
     }
 }
--- /dev/null
+++ b/crates/destination/src/streaming.rs
@@ -0,0 +1,109 @@
+//! Answers that are passed on while they arrive.
+
+use crate::connection::{MAX_READ, PooledConnection};
+use crate::pools::BackendPools;
+use crate::protocol::{Protocol, StreamedAnswer};
+use exchange::{AttemptEnd, AttemptId, StreamEnd, StreamWriter, open_stream};
+use link::{Incoming, locked};
+use policy::Outcome;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// A streamed answer that does not move for this long has been forgotten by its backend or its client. Peers take seconds.
+const STALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// The most bytes that stand behind the value of a streamed answer.
+const MAX_TAIL: usize = 64 * 1024;
+
+impl<P: Protocol> BackendPools<P> {
+    /// Passes a large answer on while it arrives, at the pace of its client. For the policy the attempt ends with the first bytes.
+    /// Returns whether the answer is complete and the connection can carry another attempt.
+    pub(crate) fn stream_answer(
+        &self,
+        id: AttemptId,
+        connection: &Arc<PooledConnection<P::Payload>>,
+        buffer: &mut Vec<u8>,
+        streamed: &StreamedAnswer<P::Answer>,
+    ) -> bool {
+        let weak_connection = Arc::downgrade(connection);
+        let wake_connection = move || {
+            if let Some(connection) = weak_connection.upgrade() {
+                connection.socket.wake();
+            }
+        };
+        let (writer, reader) = open_stream(&self.stream_budget, Box::new(wake_connection));
+        locked(&self.state).streaming.push(Arc::downgrade(connection));
+        writer.write(&streamed.head);
+        let answer = Some((streamed.into_answer)(reader));
+        let end = AttemptEnd { outcome: Outcome::Ok, answer, load: Vec::new(), is_streaming: true };
+        self.exchange().attempt_ended(id, end);
+        let is_complete = self.copy_value(connection, buffer, streamed, &writer);
+        let is_client_gone = writer.reader_is_gone();
+        if is_complete {
+            writer.finish();
+        } else {
+            drop(writer);
+        }
+        let end = match (is_client_gone, is_complete) {
+            (true, _) => StreamEnd::ClientGone,
+            (false, true) => StreamEnd::Complete,
+            (false, false) => StreamEnd::Broken,
+        };
+        self.exchange().stream_ended(id, end);
+        is_complete && buffer.is_empty() && connection.socket.unsent() == 0
+    }
+
+    /// Copies the bytes of a value, and then parses what stands behind it. Returns whether all was well-formed.
+    fn copy_value(
+        &self,
+        connection: &PooledConnection<P::Payload>,
+        buffer: &mut Vec<u8>,
+        streamed: &StreamedAnswer<P::Answer>,
+        writer: &StreamWriter,
+    ) -> bool {
+        let (mut remaining, mut last_progress) = (streamed.value_bytes, Instant::now());
+        loop {
+            if remaining > 0 {
+                let count = remaining.min(buffer.len()).min(writer.capacity());
+                if count > 0 {
+                    writer.write(&buffer[..count]);
+                    buffer.drain(..count);
+                    (remaining, last_progress) = (remaining - count, Instant::now());
+                }
+            } else {
+                match self.protocol.parse_tail(streamed.trailing_items, buffer) {
+                    Ok(Some(tail)) => {
+                        writer.write(tail.forwarded);
+                        buffer.drain(..tail.consumed);
+                        return true;
+                    }
+                    Ok(None) => {}
+                    Err(_) => return false,
+                }
+            }
+            let is_stalled = last_progress.elapsed() >= STALL_TIMEOUT;
+            if writer.reader_is_gone() || is_stalled || buffer.len() > MAX_TAIL + MAX_READ {
+                return false;
+            }
+            let waits_for_client = remaining > 0 && !buffer.is_empty();
+            if !wait_for_progress(connection, buffer, waits_for_client) {
+                return false;
+            }
+        }
+    }
+}
+
+/// Waits until the client has taken some bytes, or more have arrived. Returns whether the connection goes on.
+fn wait_for_progress<Q>(
+    connection: &PooledConnection<Q>,
+    buffer: &mut Vec<u8>,
+    waits_for_client: bool,
+) -> bool {
+    if waits_for_client {
+        connection.socket.wait();
+        return !connection.socket.is_closed();
+    }
+    match connection.socket.receive(buffer, MAX_READ) {
+        Ok(Incoming::Bytes(_) | Incoming::Woken) => true,
+        Ok(Incoming::End) | Err(_) => false,
+    }
+}
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -1,13 +1,13 @@
 //! What a destination's RESP2 answers mean.
 
 use cuts::{same_however_cut, survives_garbage};
-use destination::{Protocol, Reading, RespDestination};
+use destination::{Parsed, Protocol, RespProtocol};
 use exchange::AnswerBody;
 use policy::{LoadMetric, Outcome};
 use resp::Query;
 
-fn destination() -> RespDestination {
-    RespDestination::new(&[LoadMetric::InFlight, LoadMetric::Queued, LoadMetric::ServiceTimeMillis])
+fn destination() -> RespProtocol {
+    RespProtocol::new(&[LoadMetric::InFlight, LoadMetric::Queued, LoadMetric::ServiceTimeMillis])
 }
 
 fn query() -> Query {
@@ -18,25 +18,25 @@
 
 /// The end that the bytes tell and what they took; `Err` where none can come, `None` where more must.
 fn read(bytes: &[u8]) -> Option<Result<(usize, End), &'static str>> {
-    match destination().read(&query(), bytes, false) {
-        Reading::More => None,
-        Reading::Whole { used, end, .. } => {
+    match destination().parse(&query(), bytes, false) {
+        Parsed::Incomplete => None,
+        Parsed::Complete { consumed: used, end, .. } => {
             let answer = end.answer.map(|answer| match answer {
                 AnswerBody::Complete(bytes) => bytes,
                 AnswerBody::Stream(_) => panic!("a whole answer holds all its bytes"),
             });
             Some(Ok((used, (end.outcome, answer, end.load))))
         }
-        Reading::Long(_) => Some(Err("a long answer")),
-        Reading::Malformed(text) => Some(Err(text)),
+        Parsed::Streamed(_) => Some(Err("a long answer")),
+        Parsed::Malformed(text) => Some(Err(text)),
     }
 }
 
 /// Guards the border between answers that are held and those that are passed on, and what stands behind the latter.
 #[test]
 fn long_answers_begin_with_their_head_and_end_with_a_sound_tail() {
-    let begun = |text: &str| match destination().read(&query(), text.as_bytes(), false) {
-        Reading::Long(long) => Some((long.used, long.head, long.length, long.behind)),
+    let begun = |text: &str| match destination().parse(&query(), text.as_bytes(), false) {
+        Parsed::Streamed(long) => Some((long.consumed, long.head, long.value_bytes, long.trailing_items)),
         _ => None,
     };
     assert_eq!(begun("*3\r\n$65537\r\nab"), Some((12, b"$65537\r\n".to_vec(), 65_537, 2)));
@@ -44,13 +44,15 @@
     {
         assert_eq!(begun(text), None, "{text:?}");
     }
-    let tail = |text: &[u8]| destination().after_value(2, text);
+    let tail = |text: &[u8]| {
+        destination().parse_tail(2, text).map(|tail| tail.map(|tail| (tail.consumed, tail.forwarded)))
+    };
     let whole = b"\r\n$-1\r\n$12\r\ninflight=7,q\r\n";
     assert_eq!(tail(&[&whole[..], b"noise"].concat()), Ok(Some((whole.len(), &b"\r\n"[..]))));
     (0..whole.len()).for_each(|cut| assert_eq!(tail(&whole[..cut]), Ok(None), "cut at {cut}"));
     assert!(tail(b"xy$-1\r\n$-1\r\n").is_err() && tail(b"\r\n$-1\r\n$x\r\n").is_err());
     survives_garbage(whole, |pieces| {
-        let _ = destination().after_value(2, &pieces.concat());
+        let _ = destination().parse_tail(2, &pieces.concat());
     });
 }
 
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::error::WatchError;
 use crate::poll_backoff::PollBackoff;
 use crate::response::{BodyItem, Response};
-use link::{Incoming, Link, locked};
+use link::{Connection, Incoming, locked};
 use settings::EndpointList;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 
 /// An open connection, and the time by which the agent has to send something.
 struct AgentConnection {
-    link: Arc<Link>,
+    connection: Arc<Connection>,
     deadline: Instant,
 }
 
@@ -89,7 +89,7 @@
         }
         // The old agent may stay silent instead of closing, and its lists no longer count.
         if let Some(connection) = agent.connection.take() {
-            connection.link.close();
+            connection.connection.close();
         }
         true
     }
@@ -99,7 +99,7 @@
         if let Some(connection) = &locked(&self.agent).connection
             && Instant::now() > connection.deadline
         {
-            connection.link.close();
+            connection.connection.close();
         }
     }
 
@@ -141,11 +141,11 @@
         session: &mut Session<impl Fn(WatchEvent)>,
         response_timeout: Duration,
     ) -> Result<Infallible, WatchError> {
-        let link = self.connect(address, response_timeout)?;
-        link.send(request(address, session.version).as_bytes())?;
+        let connection = self.connect(address, response_timeout)?;
+        connection.send(request(address, session.version).as_bytes())?;
         let (mut received, mut response) = (Vec::new(), Response::new());
         loop {
-            match link.receive(&mut received, READ_BYTES)? {
+            match connection.receive(&mut received, READ_BYTES)? {
                 Incoming::Bytes(_) | Incoming::Woken => {}
                 Incoming::End => return Err(WatchError::Closed),
             }
@@ -167,15 +167,19 @@
     }
 
     /// Connects to the agent, which has to send something within this time-out.
-    fn connect(&self, address: SocketAddr, response_timeout: Duration) -> Result<Arc<Link>, WatchError> {
-        let link = Arc::new(Link::connect(address, CONNECT_TIMEOUT)?);
+    fn connect(
+        &self,
+        address: SocketAddr,
+        response_timeout: Duration,
+    ) -> Result<Arc<Connection>, WatchError> {
+        let connection = Arc::new(Connection::connect(address, CONNECT_TIMEOUT)?);
         let mut agent = locked(&self.agent);
         if agent.address != address {
             return Err(WatchError::AddressChanged);
         }
         let deadline = Instant::now() + response_timeout;
-        agent.connection = Some(AgentConnection { link: link.clone(), deadline });
-        Ok(link)
+        agent.connection = Some(AgentConnection { connection: connection.clone(), deadline });
+        Ok(connection)
     }
 
     /// The agent has sent a line, and has [`SILENCE_TIMEOUT`] for the next one.
--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -8,7 +8,7 @@
 
 use exchange::{Exchange, FailureReason, FinalAnswer, TenantId};
 use http::{Answer, Body, Framing, Refusal, Request, RequestHead};
-use link::{Door, Incoming, Link, locked, sleep, spawn};
+use link::{Connection, Incoming, Listener, locked, sleep, spawn};
 use openapi::{Match, RouteTable};
 use problem::Problem;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -78,7 +78,7 @@
 
 /// One client's connection.
 struct ClientConnection {
-    link: Link,
+    connection: Connection,
     phase: Mutex<(Phase, Instant)>,
     answer: Mutex<Option<FinalAnswer<Answer>>>,
     /// Room is needed: it ends if it is idle.
@@ -145,20 +145,20 @@
     }
 
     /// Accepts client connections until the door is shut; runs in a coroutine.
-    pub fn run(self: &Arc<Self>, door: &Door) {
-        while let Some(link) = door.accept() {
+    pub fn run(self: &Arc<Self>, door: &Listener) {
+        while let Some(connection) = door.accept() {
             // A full table keeps new sockets waiting until idle ones have made room: closed, they would only come again.
             while self.is_full() {
                 self.make_room();
                 sleep(LOOK);
             }
             let (phase, unwanted) = (Mutex::new((Phase::Idle, Instant::now())), AtomicBool::new(false));
-            let socket = Arc::new(ClientConnection { link, phase, answer: Mutex::new(None), unwanted });
+            let socket = Arc::new(ClientConnection { connection, phase, answer: Mutex::new(None), unwanted });
             locked(&self.sockets).push(Arc::downgrade(&socket));
             let front = self.clone();
             spawn(move || {
                 front.serve(&socket);
-                socket.link.close();
+                socket.connection.close();
             });
         }
     }
@@ -166,7 +166,7 @@
     /// Closes every client connection as soon as it is between requests.
     pub fn close(&self) {
         self.closing.store(true, Ordering::Release);
-        self.open_sockets().iter().for_each(|socket| socket.link.wake());
+        self.open_sockets().iter().for_each(|socket| socket.connection.wake());
     }
 
     /// Client connections that are open.
@@ -181,11 +181,11 @@
             match phase {
                 Phase::Idle if since.elapsed() > IDLE => {
                     socket.unwanted.store(true, Ordering::Release);
-                    socket.link.wake();
+                    socket.connection.wake();
                 }
                 // Woken, it looks at the time by itself.
-                Phase::Reading if since.elapsed() > self.setup.patience => socket.link.wake(),
-                Phase::Finishing if since.elapsed() > self.setup.patience => socket.link.close(),
+                Phase::Reading if since.elapsed() > self.setup.patience => socket.connection.wake(),
+                Phase::Finishing if since.elapsed() > self.setup.patience => socket.connection.close(),
                 _ => {}
             }
         }
@@ -208,12 +208,12 @@
             sockets.iter().filter_map(|s| Some((idle(s)?, s))).min_by_key(|(at, _)| *at)
         {
             socket.unwanted.store(true, Ordering::Release);
-            socket.link.wake();
+            socket.connection.wake();
         }
     }
 
     fn open_sockets(&self) -> Vec<Arc<ClientConnection>> {
-        locked(&self.sockets).iter().filter_map(Weak::upgrade).filter(|s| !s.link.is_closed()).collect()
+        locked(&self.sockets).iter().filter_map(Weak::upgrade).filter(|s| !s.connection.is_closed()).collect()
     }
 
     /// Serves one request after another until the client leaves or one cannot be told from the next.
@@ -229,12 +229,12 @@
                 Some(Stop::Gone) => return,
                 Some(Stop::Quiet) => {
                     socket.enter(Phase::Finishing);
-                    return socket.link.finish();
+                    return socket.connection.close_gracefully();
                 }
                 Some(Stop::Problem(problem)) => {
-                    let _ = socket.link.send(&problem.bytes(true, false));
+                    let _ = socket.connection.send(&problem.bytes(true, false));
                     socket.enter(Phase::Finishing);
-                    return socket.link.finish();
+                    return socket.connection.close_gracefully();
                 }
             }
         }
@@ -243,7 +243,7 @@
     /// Waits for a whole request. Its route and lender are looked up before its body is taken in.
     fn receive(&self, socket: &ClientConnection, buffer: &mut Vec<u8>) -> Result<Whole, Stop> {
         // What it sent ahead is not begun for a client that has gone.
-        if socket.link.is_left() {
+        if socket.connection.is_peer_closed() {
             return Err(Stop::Gone);
         }
         let head = loop {
@@ -266,7 +266,7 @@
         while !body.take(buffer).map_err(refused)? {
             if !told {
                 told = true;
-                let _ = socket.link.send(b"HTTP/1.1 100 Continue\r\n\r\n");
+                let _ = socket.connection.send(b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             self.more(socket, buffer)?;
         }
@@ -281,9 +281,9 @@
             }
             socket.enter(Phase::Idle);
         }
-        match socket.link.receive(buffer, READ) {
+        match socket.connection.receive(buffer, READ) {
             // What has come from a client that has gone since is not begun.
-            Ok(Incoming::Bytes(_)) if socket.link.is_left() => return Err(Stop::Gone),
+            Ok(Incoming::Bytes(_)) if socket.connection.is_peer_closed() => return Err(Stop::Gone),
             Ok(Incoming::Bytes(_)) => socket.enter(Phase::Reading),
             Ok(Incoming::Woken) => {
                 let (phase, since) = *locked(&socket.phase);
@@ -356,13 +356,13 @@
     }
 
     fn say(&self, socket: &ClientConnection, bytes: &[u8], keep: bool) -> Option<Stop> {
-        if socket.link.send(bytes).is_err() {
+        if socket.connection.send(bytes).is_err() {
             return Some(Stop::Gone);
         }
         socket.enter(Phase::Finishing);
         if keep {
             // The next request is read when the client has taken this answer, so answers never pile up.
-            if socket.link.drain().is_err() {
+            if socket.connection.flush_all().is_err() {
                 return Some(Stop::Gone);
             }
             socket.enter(Phase::Idle);
@@ -399,7 +399,7 @@
         let place = socket.clone();
         let reply = move |answer| {
             *locked(&place.answer) = Some(answer);
-            place.link.wake();
+            place.connection.wake();
         };
         let id = self.exchange.submit(request, Box::new(reply));
         loop {
@@ -407,11 +407,11 @@
                 return Ok(answer);
             }
             let gone = if buffer.len() >= MOST_AHEAD {
-                socket.link.wait();
-                socket.link.is_closed()
+                socket.connection.wait();
+                socket.connection.is_closed()
             } else {
-                matches!(socket.link.receive(buffer, READ), Ok(Incoming::End) | Err(_))
-            } || socket.link.is_left();
+                matches!(socket.connection.receive(buffer, READ), Ok(Incoming::End) | Err(_))
+            } || socket.connection.is_peer_closed();
             if gone {
                 self.exchange.client_gone(id);
                 return Err(Stop::Gone);
--- a/crates/front_resp/src/lib.rs
+++ b/crates/front_resp/src/lib.rs
@@ -9,7 +9,7 @@
 
 use exchange::{AnswerBody, Exchange, FinalAnswer, ReadResult, Request, RequestId, StreamReader};
 use held::{Held, Holding};
-use link::{Door, Incoming, Link, locked, sleep, spawn};
+use link::{Connection, Incoming, Listener, locked, sleep, spawn};
 use resp::{Malformed, Query};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::TcpStream;
@@ -93,7 +93,7 @@
 
 /// One client's connection.
 struct ClientConnection {
-    link: Link,
+    connection: Connection,
     turns: Mutex<Turns>,
 }
 
@@ -156,7 +156,7 @@
 }
 
 impl ClientConnection {
-    fn new(link: Link, half: Holding, unread: Holding) -> Arc<Self> {
+    fn new(connection: Connection, half: Holding, unread: Holding) -> Arc<Self> {
         let turns = Turns {
             first: 0,
             turns: VecDeque::new(),
@@ -171,7 +171,7 @@
             unread,
             too_large: false,
         };
-        Arc::new(Self { link, turns: Mutex::new(turns) })
+        Arc::new(Self { connection, turns: Mutex::new(turns) })
     }
 
     /// Keeps an answer for its turn. Where the turn is no more the client has left, and the answer with it.
@@ -257,27 +257,27 @@
     }
 
     /// Accepts client connections until the door is shut; runs in a coroutine.
-    pub fn run(self: &Arc<Self>, door: &Door) {
-        while let Some(link) = door.accept() {
+    pub fn run(self: &Arc<Self>, door: &Listener) {
+        while let Some(connection) = door.accept() {
             // A full table keeps new sockets waiting, and those behind them at the door, until others have made room:
             // closed, they would only come again.
             while locked(&self.sockets).open.len() >= (self.most)() {
                 self.make_room(1);
                 sleep(LOOK);
             }
-            self.admit(link, Vec::new());
+            self.admit(connection, Vec::new());
         }
     }
 
     /// Goes on with a connection that another process has served: it has brought requests, and maybe begun one.
-    pub fn adopt(self: &Arc<Self>, link: Link, begun: Vec<u8>) {
-        let socket = self.admit(link, begun);
+    pub fn adopt(self: &Arc<Self>, connection: Connection, begun: Vec<u8>) {
+        let socket = self.admit(connection, begun);
         let mut turns = locked(&socket.turns);
         (turns.spoken, turns.used) = (true, true);
     }
 
-    fn admit(self: &Arc<Self>, link: Link, begun: Vec<u8>) -> Arc<ClientConnection> {
-        let socket = ClientConnection::new(link, Holding::of(&self.half), Holding::of(&self.unread));
+    fn admit(self: &Arc<Self>, connection: Connection, begun: Vec<u8>) -> Arc<ClientConnection> {
+        let socket = ClientConnection::new(connection, Holding::of(&self.half), Holding::of(&self.unread));
         let number = {
             let mut sockets = locked(&self.sockets);
             sockets.next += 1;
@@ -315,7 +315,7 @@
 
     fn wake_all(&self) {
         for socket in self.open_sockets() {
-            socket.link.wake();
+            socket.connection.wake();
         }
     }
 
@@ -337,7 +337,7 @@
         for socket in &sockets {
             let (stale, over) = {
                 let mut turns = locked(&socket.turns);
-                let unread = socket.link.unsent();
+                let unread = socket.connection.unsent();
                 let stuck = crowded && unread > LEAST_UNREAD && unread >= turns.unread.bytes();
                 turns.unread.set(unread);
                 let half = turns.is_late();
@@ -346,10 +346,10 @@
                 (half || silent || turns.ending, over || stuck)
             };
             if over {
-                socket.link.close();
+                socket.connection.close();
             } else if stale {
                 // Woken, it looks at the time by itself.
-                socket.link.wake();
+                socket.connection.wake();
             }
         }
         // A quarter of the table stays free for those who come.
@@ -374,16 +374,16 @@
         idle.sort_by_key(|(span, _)| std::cmp::Reverse(*span));
         for (span, socket) in idle.into_iter().take(count) {
             if span == Duration::MAX && locked(&socket.turns).idle.elapsed() >= LINGER / 4 {
-                socket.link.close();
+                socket.connection.close();
             } else {
                 locked(&socket.turns).unwanted = true;
-                socket.link.wake();
+                socket.connection.wake();
             }
         }
     }
 
     fn open_sockets(&self) -> Vec<Arc<ClientConnection>> {
-        locked(&self.sockets).open.values().filter(|s| !s.link.is_closed()).cloned().collect()
+        locked(&self.sockets).open.values().filter(|s| !s.connection.is_closed()).cloned().collect()
     }
 
     /// Reads commands until the client leaves or cannot be understood.
@@ -394,7 +394,7 @@
             End::Last => self.finish(socket),
             End::Quiet | End::Gone => {}
         }
-        socket.link.close();
+        socket.connection.close();
         let turns = std::mem::take(&mut locked(&socket.turns).turns);
         for turn in turns {
             // Answers that go on end with their turns.
@@ -412,7 +412,7 @@
                 return End::PassedOn;
             }
             // What has come from a client that has gone since is not begun.
-            if socket.link.is_left() {
+            if socket.connection.is_peer_closed() {
                 return End::Gone;
             }
             let (mut at, mut errors, mut commands) = (0, false, 0);
@@ -457,7 +457,7 @@
             if buffer.len() >= USUAL && self.half.is_over() {
                 self.make_room_for_half();
                 let waits = |turns: &Turns| !turns.too_large && !turns.is_late();
-                while self.half.is_over() && waits(&locked(&socket.turns)) && !socket.link.is_closed() {
+                while self.half.is_over() && waits(&locked(&socket.turns)) && !socket.connection.is_closed() {
                     sleep(LOOK);
                 }
             }
@@ -465,7 +465,7 @@
                 return End::Error("no room for so long a command");
             }
             loop {
-                match socket.link.receive(&mut buffer, READ) {
+                match socket.connection.receive(&mut buffer, READ) {
                     Ok(Incoming::Bytes(_)) => break,
                     Ok(Incoming::Woken) if self.frozen.load(Ordering::Acquire) => break,
                     // Only here, where nothing is left to read, is it sure that no request has come in unseen.
@@ -490,7 +490,7 @@
         let oldest = sockets.iter().filter_map(|s| Some((since(s)?, s))).min_by_key(|(since, _)| *since);
         if let Some((_, socket)) = oldest {
             locked(&socket.turns).too_large = true;
-            socket.link.wake();
+            socket.connection.wake();
         }
     }
 
@@ -500,13 +500,13 @@
         loop {
             let heir = locked(&self.heir).clone();
             let Some(heir) = heir else { return false };
-            if locked(&socket.turns).turns.is_empty() && socket.link.unsent() == 0 {
-                let Ok(handle) = socket.link.handle() else { return false };
+            if locked(&socket.turns).turns.is_empty() && socket.connection.unsent() == 0 {
+                let Ok(handle) = socket.connection.try_clone_socket() else { return false };
                 heir(handle, std::mem::take(buffer));
-                socket.link.let_go();
+                socket.connection.release();
                 return true;
             }
-            if socket.link.rest().is_err() || socket.link.is_left() {
+            if socket.connection.flush_and_wait().is_err() || socket.connection.is_peer_closed() {
                 return false;
             }
         }
@@ -527,7 +527,7 @@
         }
         let unwanted = std::mem::take(&mut turns.unwanted) && turns.makes_room().is_some();
         let silent = !turns.spoken && turns.idle_for().is_some_and(|idle| idle >= QUIET);
-        ((unwanted || silent) && socket.link.unsent() == 0).then_some(End::Quiet)
+        ((unwanted || silent) && socket.connection.unsent() == 0).then_some(End::Quiet)
     }
 
     /// Says an error in its turn, once all that was taken before has its answer, and ends the socket. What still comes
@@ -550,17 +550,17 @@
             if locked(&socket.turns).turns.is_empty() {
                 break;
             }
-            match socket.link.receive(&mut unread, READ) {
+            match socket.connection.receive(&mut unread, READ) {
                 Ok(Incoming::Bytes(_) | Incoming::Woken) => unread.clear(),
                 Ok(Incoming::End) | Err(_) => return,
             }
         }
         while !locked(&socket.turns).turns.is_empty() {
-            if socket.link.is_left() || socket.link.rest().is_err() {
+            if socket.connection.is_peer_closed() || socket.connection.flush_and_wait().is_err() {
                 return;
             }
         }
-        socket.link.finish();
+        socket.connection.close_gracefully();
     }
 
     /// Takes a command in its turn; tells whether it could be used.
@@ -631,7 +631,7 @@
             }
         };
         stream.notify_with(Box::new(write(self, socket)));
-        socket.link.when_drained(write(self, socket));
+        socket.connection.on_flushed(write(self, socket));
         socket.fill(turn, Turn::Passing(stream));
         self.write(socket);
     }
@@ -646,7 +646,7 @@
                 Some(Turn::Answered { bytes, .. }) if whole.is_empty() => whole = std::mem::take(bytes),
                 Some(Turn::Answered { bytes, .. }) => whole.extend_from_slice(bytes),
                 // What waits for the socket goes first; it is written on when that is gone.
-                Some(Turn::Passing(_)) if whole.len() + socket.link.unsent() >= PIECE => break,
+                Some(Turn::Passing(_)) if whole.len() + socket.connection.unsent() >= PIECE => break,
                 Some(Turn::Passing(stream)) => match stream.read(PIECE) {
                     ReadResult::Bytes(bytes) => {
                         whole.extend_from_slice(&bytes);
@@ -666,17 +666,17 @@
         }
         if broken {
             // The client can tell by the end that its value is not whole; nothing else may follow on this connection.
-            let _ = socket.link.send(&whole);
+            let _ = socket.connection.send(&whole);
             drop(turns);
-            socket.link.close();
+            socket.connection.close();
             return;
         }
-        if whole.is_empty() && !turns.turns.is_empty() || socket.link.is_closed() {
+        if whole.is_empty() && !turns.turns.is_empty() || socket.connection.is_closed() {
             return;
         }
         // Sent before the turns are free, so that no later answer overtakes.
-        let sent = socket.link.send(&whole);
-        let unread = socket.link.unsent();
+        let sent = socket.connection.send(&whole);
+        let unread = socket.connection.unsent();
         let before = turns.unread.bytes();
         turns.unread.set(unread);
         let mut waits_for_this = self.closing.load(Ordering::Acquire) || self.frozen.load(Ordering::Acquire);
@@ -687,9 +687,9 @@
         drop(turns);
         let crowded = before > 0 && unread > LEAST_UNREAD && self.unread.is_over();
         if sent.is_err() || unread > MOST_UNREAD || crowded {
-            socket.link.close();
+            socket.connection.close();
         } else if waits_for_this {
-            socket.link.wake();
+            socket.connection.wake();
         }
     }
 
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -6,10 +6,10 @@
 use config_node::Node;
 use consul::Answered;
 use counter::CounterClient;
-use destination::{HttpDestination, Limits, Pools};
+use destination::{BackendPools, HttpProtocol, Limits};
 use exchange::{Clock, Exchange, QuotaCounter};
 use front_openapi::{Front, HttpExchange, Lender, Setup};
-use link::{Door, spawn};
+use link::{Listener, spawn};
 use openapi::{Description, Route, RouteTable};
 use settings::appliance::{ApplianceConfig, LogFormat, RouteClass, TenantConfig, tenant_number};
 use std::collections::BTreeSet;
@@ -124,7 +124,7 @@
 
 struct Started {
     front: Arc<Front>,
-    door: Arc<Door>,
+    door: Arc<Listener>,
     cluster: Option<Arc<Cluster>>,
     agreement: Option<Arc<Node>>,
     registered: Option<consul::Registered>,
@@ -153,19 +153,19 @@
         Exchange::new(settings, clock.now(), clock).map_err(|e| e.to_string())?;
     let sockets = file.limits.max_sockets - SPARE_SOCKETS;
     let limits = Limits {
-        connect: Duration::from_millis(file.limits.connect_timeout_ms),
-        idle: Duration::from_millis(file.limits.idle_timeout_ms),
-        connections: sockets / 2,
-        answer: file.limits.max_response_bytes + http::LARGEST_HEAD,
+        connect_timeout: Duration::from_millis(file.limits.connect_timeout_ms),
+        idle_timeout: Duration::from_millis(file.limits.idle_timeout_ms),
+        max_connections: sockets / 2,
+        max_answer_bytes: file.limits.max_response_bytes + http::LARGEST_HEAD,
         // Answers over HTTP are held whole.
-        streams: 0,
+        stream_budget_bytes: 0,
     };
     let answered = Arc::new(Answered::default());
     let noted = answered.clone();
     let on_served = Some(Box::new(move |backend: exchange::BackendId| noted.note(backend.0))
         as Box<dyn Fn(exchange::BackendId) + Send + Sync>);
-    let pools = Pools::new(HttpDestination { on_served }, limits);
-    pools.connect(exchange.clone());
+    let pools = BackendPools::new(HttpProtocol { on_served }, limits);
+    pools.set_exchange(exchange.clone());
     let counter = file.quota.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
     let calls = counter.clone().map(|c| c as Arc<dyn QuotaCounter>);
     exchange.connect(pools.clone(), calls);
@@ -205,7 +205,7 @@
         let (shown, fleet, agreement) = (front.clone(), fleet.clone(), agreement.clone());
         spawn(move || show_status(&door, &shown, &fleet, agreement.as_ref()));
     }
-    tracing::info!("serving OpenAPI on {}", door.address().map_err(|e| e.to_string())?);
+    tracing::info!("serving OpenAPI on {}", door.local_address().map_err(|e| e.to_string())?);
     fleet.start()?;
     let (accepting, entrance) = (front.clone(), door.clone());
     spawn(move || accepting.run(&entrance));
@@ -218,8 +218,8 @@
     Ok(Started { front, door, cluster, agreement, registered })
 }
 
-fn open(at: std::net::SocketAddr) -> Result<Arc<Door>, String> {
-    Door::open(at).map(Arc::new).map_err(|e| format!("{at}: {e}"))
+fn open(at: std::net::SocketAddr) -> Result<Arc<Listener>, String> {
+    Listener::bind(at).map(Arc::new).map_err(|e| format!("{at}: {e}"))
 }
 
 fn setup(file: &ApplianceConfig, table: RouteTable, pairs: &[RouteClass], most_sockets: usize) -> Setup {
@@ -264,7 +264,7 @@
 }
 
 /// Answers whoever connects with the status as text.
-fn show_status(door: &Door, front: &Arc<Front>, fleet: &Arc<Fleet>, agreement: Option<&Arc<Node>>) {
+fn show_status(door: &Listener, front: &Arc<Front>, fleet: &Arc<Fleet>, agreement: Option<&Arc<Node>>) {
     while let Some(link) = door.accept() {
         let (front, fleet, agreement) = (front.clone(), fleet.clone(), agreement.cloned());
         spawn(move || {
@@ -277,7 +277,7 @@
                 body.len()
             );
             if link.send((head + &body).as_bytes()).is_ok() {
-                link.finish();
+                link.close_gracefully();
             }
         });
     }
--- a/crates/snowfield/src/desk.rs
+++ b/crates/snowfield/src/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::hosts::Hosts;
 use crate::{door, held};
-use destination::{Pools, RespDestination};
+use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
 use handover::{Message, Peer};
 use link::locked;
@@ -25,7 +25,7 @@
 /// The parts, and what has been counted outside them.
 pub struct Desk {
     exchange: Arc<RespExchange>,
-    pools: Arc<Pools<RespDestination>>,
+    pools: Arc<BackendPools<RespProtocol>>,
     hosts: Arc<Mutex<Hosts>>,
     /// Names of the classes and of the plans by number.
     names: Mutex<(Vec<String>, Vec<String>)>,
@@ -43,7 +43,7 @@
     /// A desk that is not ready yet.
     pub fn new(
         exchange: Arc<RespExchange>,
-        pools: Arc<Pools<RespDestination>>,
+        pools: Arc<BackendPools<RespProtocol>>,
         hosts: Arc<Mutex<Hosts>>,
         folder: Option<PathBuf>,
     ) -> Self {
@@ -126,7 +126,7 @@
         let mut hosts = locked(&self.hosts);
         let Some(number) = hosts.hold(id, held, known) else { return false };
         // Decisions follow the pools: what was decided before the hold is refused there, called back it finds them open.
-        self.pools.hold(number, held);
+        self.pools.set_operator_ejection(number, held);
         self.exchange.set_operator_ejection(number, held);
         if let Some(Err(why)) = self.folder.as_ref().map(|folder| held::write(folder, hosts.held())) {
             tracing::warn!("operators: which loan servers are out could not be written down: {why}");
@@ -180,7 +180,7 @@
         Metrics {
             classes,
             rejections: rejections.collect(),
-            attempts_written: self.pools.written(),
+            attempts_written: self.pools.attempts_written(),
             pending: ends.pending,
             backends: members.listed,
             backends_unavailable: members.unavailable,
--- a/crates/snowfield/src/fleet.rs
+++ b/crates/snowfield/src/fleet.rs
@@ -4,7 +4,7 @@
 use catalogue::{Guards, Health, View};
 use cluster::{Backend, Cluster};
 use consul::{Answered, ListFile, NUMBERS, Source, Watch, Watched};
-use destination::{HttpDestination, Place, Pools};
+use destination::{BackendEndpoint, BackendPools, HttpProtocol};
 use exchange::Clock;
 use front_openapi::HttpExchange;
 use link::locked;
@@ -23,7 +23,7 @@
 pub struct Fleet {
     clock: Clock,
     exchange: Arc<HttpExchange>,
-    pools: Arc<Pools<HttpDestination>>,
+    pools: Arc<BackendPools<HttpProtocol>>,
     known: Mutex<Known>,
     cluster: OnceLock<Arc<Cluster>>,
     watches: OnceLock<Vec<Arc<Watch>>>,
@@ -48,7 +48,7 @@
     pub fn new(
         clock: Clock,
         exchange: Arc<HttpExchange>,
-        pools: Arc<Pools<HttpDestination>>,
+        pools: Arc<BackendPools<HttpProtocol>>,
         file: &ApplianceConfig,
     ) -> Self {
         let services: Vec<String> = file.service_names().into_iter().map(str::to_owned).collect();
@@ -151,7 +151,7 @@
                 before.insert(id, (ready, entry.since, started));
                 let state = if ready { BackendState::Ready } else { BackendState::Draining };
                 let size = if mean > 0.0 { instance.weight / mean } else { 1.0 };
-                places.push(Place { id: BackendId(id), address: instance.address, state, started });
+                places.push(BackendEndpoint { id: BackendId(id), address: instance.address, state, started });
                 let service = service as u16;
                 entries.push(BackendEntry {
                     id: BackendId(id),
@@ -164,7 +164,7 @@
             }
         }
         known.before = before;
-        self.pools.listed(ListKind::Full, &places);
+        self.pools.update_endpoints(ListKind::Full, &places);
         self.exchange.update_endpoints(ListKind::Full, entries);
     }
 
@@ -195,7 +195,7 @@
                 let _ = writeln!(out, "  and {} more", entries.len() - MOST_SHOWN);
             }
         }
-        let _ = writeln!(out, "connections to destinations {}", self.pools.open());
+        let _ = writeln!(out, "connections to destinations {}", self.pools.open_connections());
         if let Some(cluster) = self.cluster.get() {
             out.push_str(&crate::appliance::cluster_report(cluster));
         }
--- a/crates/snowfield/src/hosts.rs
+++ b/crates/snowfield/src/hosts.rs
@@ -1,6 +1,6 @@
 //! Discovery's names and addresses as the numbers that the module uses.
 
-use destination::Place;
+use destination::BackendEndpoint;
 use handover::BackendNumber;
 use policy::{BackendEntry, BackendId, BackendState};
 use settings::EndpointList;
@@ -29,7 +29,7 @@
     }
 
     /// A list as the module and the pools take it. An entry that cannot be used is left out and logged.
-    pub fn translate(&mut self, list: EndpointList) -> (Vec<BackendEntry>, Vec<Place>) {
+    pub fn translate(&mut self, list: EndpointList) -> (Vec<BackendEntry>, Vec<BackendEndpoint>) {
         let (mut entries, mut places) = (Vec::new(), Vec::new());
         if list.complete {
             self.listed.clear();
@@ -67,7 +67,7 @@
                 self.listed.insert(id);
             }
             let started = host.started_ms.saturating_mul(1000);
-            places.push(Place { id, address, state, started });
+            places.push(BackendEndpoint { id, address, state, started });
             entries.push(BackendEntry {
                 id,
                 zone: position(&mut self.zones, host.zone).min(255) as u8,
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -5,12 +5,12 @@
 use crate::hosts::Hosts;
 use crate::{log, signals, upgrade};
 use counter::CounterClient;
-use destination::{Limits, Pools, RespDestination};
+use destination::{BackendPools, Limits, RespProtocol};
 use discovery::{PollBackoff, Watch, WatchEvent};
 use exchange::{Clock, Exchange};
 use front_resp::{ClassRule, Front, Rules};
 use handover::UpgradeSocket;
-use link::{Door, spawn, spawn_with};
+use link::{Listener, spawn, spawn_with};
 use policy::{Idempotency, ListKind, Micros};
 use settings::platform::PlatformConfig;
 use settings::{KeySet, NumberedClass, Numbering};
@@ -152,7 +152,7 @@
 /// What signals act on.
 struct Parts {
     front: Arc<Front>,
-    door: Arc<Door>,
+    door: Arc<Listener>,
     watch: Arc<Watch>,
     counter: Option<Arc<CounterClient>>,
     desk: Arc<Desk>,
@@ -178,7 +178,7 @@
         self.upgrade.exchange.update_settings(settings).map_err(|e| format!("{path}: {e}"))?;
         // A class has its name before anything of it can end, and is let in last.
         self.desk.set_names(tables.class_names(), tables.plan_names());
-        self.upgrade.pools.set_spans(connect, idle);
+        self.upgrade.pools.set_timeouts(connect, idle);
         self.upgrade.pools.protocol().set_columns(&columns);
         self.longest.fetch_max(longest(&config), Ordering::Relaxed);
         self.front.set_rules(rules(&config, &tables));
@@ -208,17 +208,17 @@
     let settings = tables.update(&config).map_err(|e| e.to_string())?;
     let (longest, (connect, idle)) = (AtomicU64::new(longest(&config)), spans(&config));
     let limits = Limits {
-        connect,
-        idle,
-        connections: sockets / 3,
-        answer: resp::LARGEST_MESSAGE,
-        streams: config.max_memory_bytes / STREAMS_PART,
+        connect_timeout: connect,
+        idle_timeout: idle,
+        max_connections: sockets / 3,
+        max_answer_bytes: resp::LARGEST_MESSAGE,
+        stream_budget_bytes: config.max_memory_bytes / STREAMS_PART,
     };
     let rules = rules(&config, &tables);
-    let protocol = RespDestination::new(&settings.load_metrics);
+    let protocol = RespProtocol::new(&settings.load_metrics);
     let exchange = Exchange::new(settings, config.seed, clock).map_err(|e| e.to_string())?;
-    let pools = Pools::new(protocol, limits);
-    pools.connect(exchange.clone());
+    let pools = BackendPools::new(protocol, limits);
+    pools.set_exchange(exchange.clone());
     let counter = config.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
     let calls = counter.clone().map(|c| c as Arc<dyn exchange::QuotaCounter>);
     exchange.connect(pools.clone(), calls);
@@ -237,7 +237,7 @@
     let rev = config.cached_list.revision;
     let (entries, places) = link::locked(&hosts).translate(config.cached_list);
     tracing::info!("{}: {} destinations known, version {rev}", config.name, places.len());
-    pools.listed(ListKind::Cached, &places);
+    pools.update_endpoints(ListKind::Cached, &places);
     exchange.update_endpoints(ListKind::Cached, entries);
 
     let watch = Watch::new(config.discovery);
@@ -250,7 +250,7 @@
             if let WatchEvent::EndpointList(list) = event {
                 let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
                 let (entries, places) = link::locked(&known_hosts).translate(list);
-                told_pools.listed(kind, &places);
+                told_pools.update_endpoints(kind, &places);
                 told.update_endpoints(kind, entries);
             }
             // Only the first is waited for.
@@ -263,7 +263,7 @@
     let front = Front::new(exchange.clone(), rules, config.max_memory_bytes, move || {
         // Some callers always find a descriptor; the others wait until a client's has become free.
         let callers = callers.as_ref().map_or(0, |c| (c.count() + MORE_CALLERS).min(door::MOST_CALLERS));
-        sockets.saturating_sub(kept.max(room.open() + kept / 6) + callers)
+        sockets.saturating_sub(kept.max(room.open_connections() + kept / 6) + callers)
     });
     let (swept_front, swept_watch, swept_counter) = (front.clone(), watch.clone(), counter.clone());
     let (timed, swept_pools) = (exchange.clone(), pools.clone());
@@ -299,7 +299,7 @@
     }
     let (door, old) = match taken {
         Some((door, old)) => (door, Some(old)),
-        None => (Door::open(config.listen).map_err(|e| format!("{}: {e}", config.listen))?, None),
+        None => (Listener::bind(config.listen).map_err(|e| format!("{}: {e}", config.listen))?, None),
     };
     let door = Arc::new(door);
     if let Some(folder) = &folder {
@@ -310,7 +310,7 @@
     }
     front.set_ready();
     desk.set_ready();
-    tracing::info!("{}: serving on {}", config.name, door.address().map_err(|e| e.to_string())?);
+    tracing::info!("{}: serving on {}", config.name, door.local_address().map_err(|e| e.to_string())?);
     let (accepting, entrance) = (front.clone(), door.clone());
     spawn(move || accepting.run(&entrance));
     if let Some(old) = old {
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -1,7 +1,7 @@
 //! How the program is told to reload and to end: on SIGHUP it takes a new configuration while it serves; at the end it
 //! serves the overlap, closes client connections between requests, and answers what it took.
 
-use link::Door;
+use link::Listener;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
 }
 
 /// Serves until a signal says to end; then ends in good order, and shuts `door` meanwhile.
-pub fn serve_until(mut signals: Signals, door: &Door, serving: &impl Serving) {
+pub fn serve_until(mut signals: Signals, door: &Listener, serving: &impl Serving) {
     for signal in signals.forever() {
         if signal != SIGHUP {
             tracing::info!("signal {signal}: serving the overlap, then finishing");
@@ -56,7 +56,7 @@
     while begun.elapsed() < overlap && !serving.must_close() {
         std::thread::sleep(LOOK);
     }
-    door.shut();
+    door.close();
     serving.close();
     let (begun, longest) = (Instant::now(), serving.longest());
     while serving.open() > 0 && begun.elapsed() < longest + LAST_CALL {
--- a/crates/snowfield/src/upgrade.rs
+++ b/crates/snowfield/src/upgrade.rs
@@ -3,14 +3,14 @@
 
 use crate::desk::Desk;
 use crate::hosts::Hosts;
-use destination::{Pools, RespDestination};
+use destination::{BackendPools, RespProtocol};
 use exchange::{BackendId, PolicySnapshot, TenantId};
 use front_resp::{Front, Heir, RespExchange};
 use handover::{
     Admission, AdmissionJournal, BackendNumber, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION,
     Peer, UpgradeSocket, read_journal,
 };
-use link::{Door, Link, locked, spawn_with};
+use link::{Connection, Listener, locked, spawn_with};
 use std::collections::HashMap;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
@@ -28,7 +28,7 @@
 pub struct Parts {
     pub desk: Arc<Desk>,
     pub exchange: Arc<RespExchange>,
-    pub pools: Arc<Pools<RespDestination>>,
+    pub pools: Arc<BackendPools<RespProtocol>>,
     pub hosts: Arc<Mutex<Hosts>>,
     pub front: Arc<Front>,
     /// Connections that are on their way to the other program.
@@ -44,7 +44,7 @@
 
 impl Parts {
     /// Takes the place of a program that serves. When this returns it lets nothing in any more, and the door is its own.
-    pub fn take(&self, peer: &Arc<Peer>) -> Result<Door, String> {
+    pub fn take(&self, peer: &Arc<Peer>) -> Result<Listener, String> {
         let taken = self.take_state(peer);
         if taken.is_err() {
             peer.close();
@@ -53,7 +53,7 @@
         taken
     }
 
-    fn take_state(&self, peer: &Peer) -> Result<Door, String> {
+    fn take_state(&self, peer: &Peer) -> Result<Listener, String> {
         let (ledger, reads) = AdmissionJournal::open().map_err(|e| e.to_string())?;
         peer.send(&Message::RequestState, Some(reads.as_fd())).map_err(|e| e.to_string())?;
         let (message, listener) = loop {
@@ -68,7 +68,7 @@
             return Err("it sent something else".into());
         };
         let listener = TcpListener::from(listener.ok_or("it sent no listener")?);
-        let door = Door::given(listener).map_err(|e| e.to_string())?;
+        let door = Listener::inherit(listener).map_err(|e| e.to_string())?;
         for id in ejected {
             self.desk.apply(&id, true, true);
         }
@@ -118,7 +118,7 @@
             loop {
                 match peer.receive(None) {
                     Ok((Message::ClientConnection { partial_request: begun }, Some(socket))) => {
-                        if let Ok(link) = Link::new(TcpStream::from(socket)) {
+                        if let Ok(link) = Connection::new(TcpStream::from(socket)) {
                             parts.front.adopt(link, begun);
                             taken += 1;
                         }
@@ -134,7 +134,7 @@
     }
 
     /// Gives way to whoever calls at this place, one after the other, for as long as the process lives.
-    pub fn give_way(self: &Arc<Self>, place: UpgradeSocket, door: &Arc<Door>) {
+    pub fn give_way(self: &Arc<Self>, place: UpgradeSocket, door: &Arc<Listener>) {
         let (parts, door) = (self.clone(), door.clone());
         thread::spawn(move || {
             loop {
@@ -151,7 +151,7 @@
         self.front.is_frozen()
     }
 
-    fn serve_heir(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Door>) {
+    fn serve_heir(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Listener>) {
         match peer.receive(Some(STEP)) {
             Ok((Message::Hello { version: PROTOCOL_VERSION }, _)) => {}
             Ok(_) => return tracing::info!("upgrade: a program of another form called; this one serves on"),
@@ -181,9 +181,9 @@
             let stores = if whole { "with what the other left" } else { "with empty stores" };
             tracing::warn!("upgrade: the other program has ended; this one serves on, {stores}");
             self.exchange.resume(whole);
-            self.pools.retire(false);
+            self.pools.set_retired(false);
             self.front.go_on();
-            door.hold(false);
+            door.set_paused(false);
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Stops letting anything in, and gives all there is.
-    fn give(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Door>) -> Result<(), String> {
+    fn give(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Listener>) -> Result<(), String> {
         let (pass, passed) = channel::<(TcpStream, Vec<u8>)>();
         let counted = self.clone();
         let heir: Arc<Heir> = Arc::new(move |socket, begun| {
@@ -219,7 +219,7 @@
         let (parts, shut) = (self.clone(), door.clone());
         // On the worker, between two steps of any client connection: no request is let in after the state was taken.
         spawn_with(link::LARGE_STACK, move || {
-            shut.hold(true);
+            shut.set_paused(true);
             parts.front.pass_on(heir);
             // Nobody waits for it where the program is ending.
             let _ = tell.send(parts.exchange.hand_over());
@@ -236,8 +236,8 @@
                 ejected: hosts.held().map(str::to_owned).collect(),
             }
         };
-        peer.send(&message, Some(door.listener())).map_err(|e| e.to_string())?;
-        self.pools.retire(true);
+        peer.send(&message, Some(door.descriptor())).map_err(|e| e.to_string())?;
+        self.pools.set_retired(true);
         tracing::info!("upgrade: another program serves now; this one finishes what it has");
         let (parts, peer) = (self.clone(), peer.clone());
         thread::spawn(move || {
