--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -8,7 +8,7 @@
 use destination::{BackendPools, Limits, RespProtocol};
 use discovery::{PollBackoff, Watch, WatchEvent};
 use exchange::{Clock, Exchange};
-use front_resp::{ClassRule, Front, Rules};
+use front_resp::{ClassRule, Front, PlanRule, RequestRules};
 use handover::UpgradeSocket;
 use link::{Listener, spawn, spawn_with};
 use policy::{Idempotency, ListKind, Micros};
@@ -93,7 +93,7 @@
     }
 
     fn open(&self) -> usize {
-        self.parts.front.open() + self.parts.upgrade.passing.load(Ordering::Acquire)
+        self.parts.front.open_connections() + self.parts.upgrade.passing.load(Ordering::Acquire)
     }
 
     fn longest(&self) -> Duration {
@@ -125,18 +125,21 @@
 }
 
 /// What the settings ask of a request.
-fn rules(config: &PlatformConfig, tables: &Numbering) -> Rules {
+fn rules(config: &PlatformConfig, tables: &Numbering) -> RequestRules {
     let classes = tables.classes().map(|NumberedClass { number, name, class }| ClassRule {
         name: name.to_owned(),
         number: number as u16,
-        repeatable: class.idempotency == Idempotency::Idempotent,
+        is_idempotent: class.idempotency == Idempotency::Idempotent,
         deadline_ms: class.deadline.div_ceil(1000),
     });
-    Rules {
+    RequestRules {
         classes: classes.collect(),
-        plans: tables.plans().map(|plan| (plan.name.to_owned(), plan.number as u32)).collect(),
+        plans: tables
+            .plans()
+            .map(|plan| PlanRule { name: plan.name.to_owned(), number: plan.number as u32 })
+            .collect(),
         gatekeepers: u64::from(config.settings.gatekeepers),
-        largest: config.max_units,
+        max_units: config.max_units,
     }
 }
 
--- a/crates/snowfield/src/upgrade.rs
+++ b/crates/snowfield/src/upgrade.rs
@@ -5,7 +5,7 @@
 use crate::hosts::Hosts;
 use destination::{BackendPools, RespProtocol};
 use exchange::{BackendId, PolicySnapshot, TenantId};
-use front_resp::{Front, Heir, RespExchange};
+use front_resp::{Front, HandOverConnection, RespExchange};
 use handover::{
     Admission, AdmissionJournal, BackendNumber, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION,
     Peer, UpgradeSocket, read_journal,
@@ -148,7 +148,7 @@
 
     /// Whether another program serves in this one's place.
     pub fn has_given(&self) -> bool {
-        self.front.is_frozen()
+        self.front.is_handing_over()
     }
 
     fn serve_heir(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Listener>) {
@@ -182,7 +182,7 @@
             tracing::warn!("upgrade: the other program has ended; this one serves on, {stores}");
             self.exchange.resume(whole);
             self.pools.set_retired(false);
-            self.front.go_on();
+            self.front.resume();
             door.set_paused(false);
         }
     }
@@ -209,7 +209,7 @@
     fn give(self: &Arc<Self>, peer: &Arc<Peer>, door: &Arc<Listener>) -> Result<(), String> {
         let (pass, passed) = channel::<(TcpStream, Vec<u8>)>();
         let counted = self.clone();
-        let heir: Arc<Heir> = Arc::new(move |socket, begun| {
+        let heir: Arc<HandOverConnection> = Arc::new(move |socket, begun| {
             counted.passing.fetch_add(1, Ordering::AcqRel);
             if pass.send((socket, begun)).is_err() {
                 counted.passing.fetch_sub(1, Ordering::AcqRel);
@@ -220,7 +220,7 @@
         // On the worker, between two steps of any client connection: no request is let in after the state was taken.
         spawn_with(link::LARGE_STACK, move || {
             shut.set_paused(true);
-            parts.front.pass_on(heir);
+            parts.front.hand_over_connections(heir);
             // Nobody waits for it where the program is ending.
             let _ = tell.send(parts.exchange.hand_over());
         });
