--- /dev/null
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -0,0 +1,188 @@
+//! The start of the appliance: each part is created, connected to the others, and started.
+
+use super::status::StatusServer;
+use crate::backends::Backends;
+use crate::checked_config::CheckedConfig;
+use crate::cluster_settings::ClusterStart;
+use crate::error::Error;
+use crate::plan_replication::{self, PolicyInputs};
+use crate::{consul_watches, timer_thread};
+use cluster::Cluster;
+use config_node::Node;
+use consul::{Answered, Registered};
+use counter::CounterClient;
+use destination::{HttpDestination, Limits, Pools};
+use exchange::{BackendId, Clock, Exchange, QuotaCounter};
+use front_openapi::{Front, HttpExchange, Lender, Setup};
+use link::{Door, spawn};
+use openapi::{Route, RouteTable};
+use settings::appliance::{ApplianceConfig, RouteClass, TenantConfig, tenant_number};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Descriptors kept for listeners, Consul, the counter, `may` and the standard streams.
+const RESERVED_SOCKETS: usize = 64;
+
+/// The parts that signals act on.
+pub(super) struct Running {
+    pub(super) front: Arc<Front>,
+    pub(super) listener: Arc<Door>,
+    pub(super) cluster: Option<Arc<Cluster>>,
+    pub(super) config_node: Option<Arc<Node>>,
+    pub(super) registration: Option<Registered>,
+}
+
+/// The request table with the two sides that it drives.
+struct Core {
+    clock: Clock,
+    exchange: Arc<HttpExchange>,
+    pools: Arc<Pools<HttpDestination>>,
+    counter: Option<Arc<CounterClient>>,
+    /// When clients last had an answer of each backend.
+    answered: Arc<Answered>,
+}
+
+/// Starts serving the file `path`.
+///
+/// # Errors
+///
+/// Says which file or address cannot be used.
+pub(super) fn start(
+    checked: CheckedConfig,
+    cluster_start: Option<ClusterStart>,
+    path: &Path,
+) -> Result<Running, Error> {
+    let CheckedConfig { config, routes } = checked;
+    let inputs = policy_inputs(&config, &routes);
+    let core = Core::new(&config, &inputs, path)?;
+    let config_node =
+        plan_replication::start(&config, path, inputs.clone(), core.exchange.clone())?.map(Arc::new);
+    let listener = listen(config.listen)?;
+    let status_listener = config.status.map(listen).transpose()?;
+    let front = Front::new(core.exchange.clone(), front_setup(&config, routes, &inputs.classes));
+    let backends = Arc::new(Backends::new(core.clock, core.exchange.clone(), core.pools.clone(), &config));
+    let cluster = cluster_start.map(|start| join_cluster(start, &backends)).transpose()?;
+    consul_watches::create(&backends, &config, path, &core.answered)?;
+    start_timers(core, &backends, &front);
+    if let Some(listener) = status_listener {
+        let server = StatusServer {
+            front: front.clone(),
+            backends: backends.clone(),
+            cluster: cluster.clone(),
+            config_node: config_node.clone(),
+        };
+        spawn(move || server.run(&listener));
+    }
+    tracing::info!("serving OpenAPI on {}", listener.address()?);
+    backends.start_watches().map_err(Error::ConsulWatch)?;
+    let (accepting, accepts_from) = (front.clone(), listener.clone());
+    spawn(move || accepting.run(&accepts_from));
+    let registration = config.registration.as_ref();
+    let registration =
+        registration.map(|table| consul_watches::register(table, &config, path)).transpose()?;
+    Ok(Running { front, listener, cluster, config_node, registration })
+}
+
+impl Core {
+    fn new(config: &ApplianceConfig, inputs: &PolicyInputs, path: &Path) -> Result<Self, Error> {
+        let settings = config.policy_settings(inputs.max_units, &inputs.classes);
+        let settings = settings.map_err(Error::settings(path))?;
+        let clock = Clock::start();
+        let exchange: Arc<HttpExchange> = Exchange::new(settings, clock.now(), clock)?;
+        let answered = Arc::new(Answered::default());
+        let noted = answered.clone();
+        let on_served = Box::new(move |backend: BackendId| noted.note(backend.0));
+        let pools = Pools::new(HttpDestination { on_served: Some(on_served) }, pool_limits(config));
+        pools.connect(exchange.clone());
+        let counter =
+            config.quota.counter.map(|address| CounterClient::for_exchange(address, exchange.clone()));
+        let calls = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
+        exchange.connect(pools.clone(), calls);
+        Ok(Self { clock, exchange, pools, counter, answered })
+    }
+}
+
+/// Descriptors for clients and backends together.
+fn connection_sockets(config: &ApplianceConfig) -> usize {
+    config.limits.max_sockets - RESERVED_SOCKETS
+}
+
+fn pool_limits(config: &ApplianceConfig) -> Limits {
+    Limits {
+        connect: Duration::from_millis(config.limits.connect_timeout_ms),
+        idle: Duration::from_millis(config.limits.idle_timeout_ms),
+        connections: connection_sockets(config) / 2,
+        answer: config.limits.max_response_bytes + http::LARGEST_HEAD,
+        // Responses over HTTP are held completely.
+        streams: 0,
+    }
+}
+
+fn join_cluster(start: ClusterStart, backends: &Arc<Backends>) -> Result<Arc<Cluster>, Error> {
+    let told = backends.clone();
+    let on_ejection_change = Box::new(move |ejected: &BTreeSet<String>| told.set_ejected(ejected));
+    let cluster = Cluster::start(start.settings, start.jobs, on_ejection_change)?;
+    backends.set_cluster(cluster.clone());
+    Ok(cluster)
+}
+
+fn start_timers(core: Core, backends: &Arc<Backends>, front: &Arc<Front>) {
+    let (backends, front) = (backends.clone(), front.clone());
+    let Core { exchange, pools, counter, .. } = core;
+    timer_thread::start(exchange, move || {
+        pools.sweep();
+        backends.sweep();
+        front.sweep();
+        if let Some(counter) = &counter {
+            counter.close_silent_connections();
+        }
+    });
+}
+
+fn listen(address: SocketAddr) -> Result<Arc<Door>, Error> {
+    Door::open(address).map(Arc::new).map_err(|source| Error::Listen { address, source })
+}
+
+/// The policy's class of a route.
+fn route_class(config: &ApplianceConfig, route: &Route) -> RouteClass {
+    let names = config.service_names();
+    let service = route.service.as_deref().and_then(|service| names.iter().position(|name| *name == service));
+    RouteClass { service: service.unwrap_or(0) as u16, class: config.class_number(&route.class).unwrap_or(0) }
+}
+
+/// The policy's classes are all pairs of service and class that some route has.
+fn policy_inputs(config: &ApplianceConfig, routes: &RouteTable) -> PolicyInputs {
+    let classes: BTreeSet<RouteClass> =
+        routes.routes().iter().map(|route| route_class(config, route)).collect();
+    PolicyInputs {
+        max_units: routes.routes().iter().map(|route| route.units).fold(0.0, f64::max),
+        classes: classes.into_iter().collect(),
+    }
+}
+
+fn front_setup(config: &ApplianceConfig, routes: RouteTable, classes: &[RouteClass]) -> Setup {
+    let class = |route: &Route| {
+        let class = route_class(config, route);
+        let number = classes.iter().position(|known| *known == class).unwrap_or(0);
+        (number as u16, config.classes[class.class].deadline_ms * 1000)
+    };
+    let tenant = |tenant: &TenantConfig| Lender {
+        name: tenant.name.clone(),
+        customer: tenant_number(&tenant.name),
+        plan: config.plan_number(&tenant.plan).unwrap_or(0) as u32,
+        plan_name: tenant.plan.clone(),
+    };
+    Setup {
+        classes: routes.routes().iter().map(class).collect(),
+        table: routes,
+        lender_header: config.tenant_header.clone(),
+        lenders: config.tenants.iter().map(tenant).collect(),
+        set_size: f64::from(config.quota.gatekeepers),
+        largest_body: config.limits.max_body_bytes,
+        most_sockets: connection_sockets(config) / 2,
+        patience: Duration::from_millis(config.limits.client_timeout_ms),
+    }
+}
--- /dev/null
+++ b/crates/snowfield/src/appliance/status.rs
@@ -0,0 +1,67 @@
+//! The live status, as text over HTTP.
+
+use crate::backends::Backends;
+use cluster::Cluster;
+use config_node::Node;
+use front_openapi::Front;
+use link::{Door, Link, spawn};
+use std::sync::Arc;
+use std::sync::mpsc::Receiver;
+use std::time::Duration;
+
+/// Between two looks whether a report has arrived.
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Looks for a report until it counts as missing: half a second.
+const MAX_REPORT_CHECKS: usize = 100;
+
+/// What the status reports on.
+pub(super) struct StatusServer {
+    pub(super) front: Arc<Front>,
+    pub(super) backends: Arc<Backends>,
+    pub(super) cluster: Option<Arc<Cluster>>,
+    pub(super) config_node: Option<Arc<Node>>,
+}
+
+impl StatusServer {
+    /// Sends the status to whoever connects, until the listener is closed; runs in a coroutine.
+    pub(super) fn run(self, listener: &Door) {
+        let server = Arc::new(self);
+        while let Some(client) = listener.accept() {
+            let server = server.clone();
+            spawn(move || server.send(&client));
+        }
+    }
+
+    fn send(&self, client: &Link) {
+        let body = self.report();
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
+             Connection: close\r\n\r\n",
+            body.len()
+        );
+        if client.send((head + &body).as_bytes()).is_ok() {
+            client.finish();
+        }
+    }
+
+    fn report(&self) -> String {
+        let replication = self.config_node.as_ref().and_then(|node| wait_for(&node.request_status()));
+        let cluster = self.cluster.as_ref().map(|cluster| {
+            let report = wait_for(&cluster.request_status());
+            report.unwrap_or_else(|| "cluster\n  it does not answer\n".into())
+        });
+        let (cluster, replication) = (cluster.unwrap_or_default(), replication.unwrap_or_default());
+        self.front.report() + &self.backends.report() + &cluster + &replication
+    }
+}
+
+/// A report of another thread. The worker does not block meanwhile.
+fn wait_for(report: &Receiver<String>) -> Option<String> {
+    for _ in 0..MAX_REPORT_CHECKS {
+        if let Ok(report) = report.try_recv() {
+            return Some(report);
+        }
+        link::sleep(REPORT_CHECK_INTERVAL);
+    }
+    None
+}
--- /dev/null
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -0,0 +1,167 @@
+//! What the appliance's file says of the cluster, its periodic jobs and health checks, and what a reload takes from it.
+
+use crate::checked_config::{CheckedConfig, directory, read};
+use crate::error::Error;
+use cluster::{Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
+use config_node::Node;
+use membership::authentication::Keyring;
+use settings::appliance::{ApplianceConfig, ClusterConfig, HealthCheckConfig, PeriodicJobConfig};
+use std::path::Path;
+use std::time::Duration;
+
+/// Limit on the runs of jobs at the same time.
+const MAX_CONCURRENT_RUNS: usize = 8;
+/// The name of an instance without a cluster.
+const SINGLE_INSTANCE: &str = "alone";
+
+/// What a cluster is started with.
+pub struct ClusterStart {
+    /// How the instance takes part.
+    pub settings: Settings,
+    /// The jobs at first.
+    pub jobs: Vec<HttpJob>,
+}
+
+impl ClusterStart {
+    /// What the file `path` says; `None` where it has neither a cluster nor jobs nor health checks.
+    ///
+    /// # Errors
+    ///
+    /// The key file cannot be read or used.
+    pub fn from_config(config: &ApplianceConfig, path: &Path) -> Result<Option<Self>, Error> {
+        if config.cluster.is_none() && config.health_check.is_none() && config.periodic_jobs.is_empty() {
+            return Ok(None);
+        }
+        let health_checks = config.health_check.as_ref().map(health_checks);
+        let settings = match &config.cluster {
+            Some(cluster) => shared_settings(config, cluster, path, health_checks)?,
+            None => single_instance_settings(health_checks),
+        };
+        Ok(Some(Self { settings, jobs: http_jobs(&config.periodic_jobs) }))
+    }
+}
+
+fn shared_settings(
+    config: &ApplianceConfig,
+    cluster: &ClusterConfig,
+    path: &Path,
+    health_checks: Option<HealthChecks>,
+) -> Result<Settings, Error> {
+    Ok(Settings {
+        instance: cluster.name.clone(),
+        gossip: Some(Gossip {
+            listen: cluster.listen,
+            advertise: cluster.advertise.unwrap_or(cluster.listen),
+            peers: cluster.peers.clone(),
+            keyring: keyring(config, path)?,
+            period_ms: cluster.gossip_interval_ms,
+            suspicion_timeout_ms: cluster.suspicion_timeout_ms,
+        }),
+        lease_store: lease_store(config, cluster, path),
+        standbys: cluster.standbys,
+        max_clock_skew_ms: cluster.max_clock_skew_ms,
+        clock_offset_ms: cluster.clock_offset_ms,
+        max_concurrent_runs: MAX_CONCURRENT_RUNS,
+        health_checks,
+    })
+}
+
+fn single_instance_settings(health_checks: Option<HealthChecks>) -> Settings {
+    Settings {
+        instance: SINGLE_INSTANCE.into(),
+        gossip: None,
+        lease_store: LeaseStore::Local,
+        standbys: 0,
+        max_clock_skew_ms: 0,
+        clock_offset_ms: 0,
+        max_concurrent_runs: MAX_CONCURRENT_RUNS,
+        health_checks,
+    }
+}
+
+fn lease_store(config: &ApplianceConfig, cluster: &ClusterConfig, path: &Path) -> LeaseStore {
+    // A store of its own has its own token, or none; otherwise it is the Consul of the endpoint lists.
+    let token_file = match (&cluster.store_token_file, cluster.store) {
+        (Some(file), _) => Some(file),
+        (None, None) => config.consul.token_file.as_ref(),
+        (None, Some(_)) => None,
+    };
+    LeaseStore::Consul {
+        address: cluster.store.unwrap_or(config.consul.address),
+        prefix: cluster.prefix.clone(),
+        timeout: Duration::from_millis(cluster.store_timeout_ms),
+        token_file: token_file.map(|file| directory(path).join(file)),
+    }
+}
+
+fn health_checks(config: &HealthCheckConfig) -> HealthChecks {
+    HealthChecks {
+        path: config.path.clone(),
+        timeout: Duration::from_millis(config.timeout_ms),
+        config: health_check::Config {
+            period_ms: config.period_ms,
+            unhealthy_threshold: config.unhealthy_threshold,
+            healthy_threshold: config.healthy_threshold,
+            max_ejected_fraction: config.max_ejected_share,
+        },
+    }
+}
+
+fn http_jobs(jobs: &[PeriodicJobConfig]) -> Vec<HttpJob> {
+    let http_job = |job: &PeriodicJobConfig| HttpJob {
+        name: job.name.clone(),
+        period_ms: job.period_ms,
+        url: job.url.clone(),
+        timeout: Duration::from_millis(job.timeout_ms),
+    };
+    jobs.iter().map(http_job).collect()
+}
+
+/// The keys of the key file that the file `path` names.
+///
+/// # Errors
+///
+/// There is no table for the cluster, or the key file cannot be read or used. The text holds no key.
+pub fn keyring(config: &ApplianceConfig, path: &Path) -> Result<Keyring, Error> {
+    let Some(cluster) = &config.cluster else {
+        return Err(Error::MissingTable { path: path.to_owned(), table: "cluster" });
+    };
+    let key_file = directory(path).join(&cluster.key_file);
+    let text = read(&key_file)?;
+    Keyring::parse(&text).map_err(|source| Error::Keyring { path: key_file, source })
+}
+
+/// What a reload has taken.
+struct Reloaded {
+    jobs: usize,
+    keys: bool,
+}
+
+/// Takes jobs, keys and the clock's offset from the file again. A file that cannot be used changes nothing.
+pub fn reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) {
+    match take(path, cluster, config_node) {
+        Ok(Reloaded { jobs, keys: true }) => {
+            tracing::info!("reload: {jobs} jobs and the cluster's keys taken; the rest needs a restart")
+        }
+        Ok(Reloaded { jobs, keys: false }) => {
+            tracing::info!("reload: {jobs} jobs taken; the rest needs a restart")
+        }
+        Err(error) => tracing::warn!("reload: {error}; the old settings stay"),
+    }
+}
+
+fn take(path: &Path, cluster: &Cluster, config_node: Option<&Node>) -> Result<Reloaded, Error> {
+    let config = CheckedConfig::read(path)?.config;
+    let keys = config.cluster.as_ref().map(|_| keyring(&config, path)).transpose()?;
+    let jobs = http_jobs(&config.periodic_jobs);
+    let reloaded = Reloaded { jobs: jobs.len(), keys: keys.is_some() };
+    cluster.set_http_jobs(jobs);
+    if let Some(keys) = keys {
+        cluster.set_keyring(keys.clone());
+        if let Some(node) = config_node {
+            node.set_keys(keys);
+        }
+    }
+    cluster.set_clock_offset_ms(config.cluster.as_ref().map_or(0, |cluster| cluster.clock_offset_ms));
+    Ok(reloaded)
+}
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -1,39 +1,34 @@
-//! What the terminal console shows.
+//! The commands that show something on the terminal.
 
-use crate::appliance;
+use crate::checked_config::CheckedConfig;
+use crate::error::Error;
+use openapi::Match;
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::Duration;
+use timing::Timing;
 
-/// How the program is called.
-pub const USAGE: &str = "\
-snowfield               serve on the platform, by the file that BALANCER_CONFIG names
-snowfield serve FILE    serve the OpenAPI descriptions that FILE names
-snowfield check FILE    check FILE and its descriptions
-snowfield routes FILE   list the routes with their units and classes
-snowfield explain FILE METHOD PATH
-                        tell the timing of a request and the course of its worst case
-snowfield status FILE   show the live status of the program that serves FILE
-snowfield watch FILE    show it anew each second
-snowfield settings ...  change the plans that the gatekeepers agree on; \"snowfield settings help\" tells how
-";
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+/// Clears the terminal and moves to its upper left corner.
+const CLEAR: &str = "\x1b[2J\x1b[H";
 
-/// Checks a file and says what it holds.
+/// Checks a file and prints what it holds.
 ///
 /// # Errors
 ///
-/// The text names what is missing or cannot be used.
-pub fn check(path: &Path) -> Result<(), String> {
-    let checked = appliance::check(path)?;
-    let (file, table) = (&checked.file, &checked.table);
+/// Says what is missing or cannot be used.
+pub fn check(path: &Path) -> Result<(), Error> {
+    let CheckedConfig { config, routes } = CheckedConfig::read(path)?;
     println!(
         "{}: {} routes, {} lenders, {} plans; listens on {}",
         path.display(),
-        table.routes().len(),
-        file.tenants.len(),
-        file.plans.len(),
-        file.listen
+        routes.routes().len(),
+        config.tenants.len(),
+        config.plans.len(),
+        config.listen
     );
     Ok(())
 }
@@ -43,9 +38,8 @@
 /// # Errors
 ///
 /// As [`check`].
-pub fn routes(path: &Path) -> Result<(), String> {
-    let checked = appliance::check(path)?;
-    for route in checked.table.routes() {
+pub fn routes(path: &Path) -> Result<(), Error> {
+    for route in CheckedConfig::read(path)?.routes.routes() {
         let name = route.name.as_deref().unwrap_or("-");
         println!(
             "{:7} {}  units {}  class {}  {name}  {}",
@@ -55,80 +49,88 @@
     Ok(())
 }
 
-/// Tells which figures hold for a request, where each comes from, and the course of its worst case.
+/// Prints the times that hold for a request, where each comes from, and the course of its worst case.
 ///
 /// # Errors
 ///
 /// As [`check`], or no route takes the request.
-pub fn explain(path: &Path, method: &str, target: &str) -> Result<(), String> {
-    let checked = appliance::check(path)?;
-    let found =
-        checked.table.find(method, target).map_err(|_| format!("{target}: no path that is served"))?;
-    let number = match found {
-        openapi::Match::Route(number) => number,
-        openapi::Match::WrongMethod(allowed) => return Err(format!("{target} takes {allowed}")),
-        openapi::Match::Unknown => return Err(format!("{target}: no route")),
+pub fn explain(path: &Path, method: &str, target: &str) -> Result<(), Error> {
+    let checked = CheckedConfig::read(path)?;
+    let target_path = target.to_owned();
+    let number = match checked.routes.find(method, target) {
+        Ok(Match::Route(number)) => number,
+        Ok(Match::WrongMethod(allowed)) => {
+            return Err(Error::WrongMethod { path: target_path, allowed: allowed.to_string() });
+        }
+        Ok(Match::Unknown) => return Err(Error::NoRoute { path: target_path }),
+        Err(_) => return Err(Error::InvalidPath { path: target_path }),
     };
-    let route = &checked.table.routes()[number];
-    let timings = checked.file.timings();
-    let timing = timings.iter().find(|t| t.class == route.class).ok_or("its class is not in the file")?;
+    let route = &checked.routes.routes()[number];
     println!("{} {}  class {}  from {}", route.method, route.path, route.class, route.source);
+    // Each route's class is one of the file's, or the check would have failed.
+    for timing in checked.config.timings().iter().filter(|timing| timing.class == route.class) {
+        print_timing(timing);
+    }
+    Ok(())
+}
+
+fn print_timing(timing: &Timing) {
     let class = format!("class {:?}", timing.class);
     let stated = |value: Option<u64>, unit: &str, otherwise: String| match value {
         Some(value) => format!("{value}{unit}, stated by {class}"),
         None => otherwise,
     };
+    let most = format!("{}, from limits.route_steps", timing.most_attempts);
+    let hedge =
+        if timing.repeatable { "when it is late for its class" } else { "never: it must not run twice" };
     println!("  wanted within  {} ms, stated by {class}", timing.wanted);
     println!("  given up after {} ms, stated by {class}", timing.deadline);
-    let most = format!("{}, from limits.route_steps", timing.most_attempts);
     println!("  attempts       {}", stated(timing.attempts.map(u64::from), "", most));
     println!("  each attempt   {}", stated(timing.attempt, " ms", "until the client gives up".into()));
-    let copy =
-        if timing.repeatable { "when it is late for its class" } else { "never: it must not run twice" };
-    println!("  second copy    {}", stated(timing.copy_after, " ms", copy.into()));
+    println!("  second copy    {}", stated(timing.copy_after, " ms", hedge.into()));
     println!("  may run again  {}", if timing.repeatable { "yes" } else { "no" });
     println!("the worst case:");
     for moment in timing.worst_case() {
         println!("  {:>6} ms  {}", moment.at, moment.what);
     }
-    Ok(())
 }
 
-/// Asks the program that serves a file for its status.
+/// Prints the status of the program that serves a file.
 ///
 /// # Errors
 ///
 /// The file names no status address, or nobody answers there.
-pub fn status(path: &Path) -> Result<(), String> {
-    print!("{}", ask_status(path)?);
+pub fn status(path: &Path) -> Result<(), Error> {
+    print!("{}", fetch_status(path)?);
     Ok(())
 }
 
-/// Shows the status anew each second, until interrupted.
+/// Prints the status again each second, until interrupted.
 ///
 /// # Errors
 ///
 /// As [`status`].
-pub fn watch(path: &Path) -> Result<(), String> {
+pub fn watch(path: &Path) -> Result<(), Error> {
     loop {
-        // Clears the terminal and goes to its corner.
-        print!("\x1b[2J\x1b[H{}", ask_status(path)?);
-        std::io::stdout().flush().map_err(|e| e.to_string())?;
-        std::thread::sleep(Duration::from_secs(1));
+        print!("{CLEAR}{}", fetch_status(path)?);
+        std::io::stdout().flush()?;
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
-fn ask_status(path: &Path) -> Result<String, String> {
-    let checked = appliance::check(path)?;
-    let at = checked.file.status.ok_or_else(|| format!("{}: it names no status address", path.display()))?;
-    let ask = || -> std::io::Result<String> {
-        let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(2))?;
-        stream.set_read_timeout(Some(Duration::from_secs(5)))?;
-        stream.write_all(format!("GET / HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer)?;
-        Ok(answer)
-    };
-    let answer = ask().map_err(|e| format!("{at}: {e}"))?;
-    Ok(answer.split_once("\r\n\r\n").map_or("", |(_, body)| body).to_owned())
+fn fetch_status(path: &Path) -> Result<String, Error> {
+    let address = CheckedConfig::read(path)?.config.status;
+    let address = address.ok_or_else(|| Error::NoStatusAddress { path: path.to_owned() })?;
+    let response = get(address).map_err(|source| Error::NoStatus { address, source })?;
+    Ok(response.split_once("\r\n\r\n").map_or("", |(_, body)| body).to_owned())
+}
+
+/// The whole response to a GET request.
+fn get(address: SocketAddr) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+    stream.set_read_timeout(Some(STATUS_TIMEOUT))?;
+    stream.write_all(format!("GET / HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response)
 }
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -1,7 +1,9 @@
 //! The log on standard output: plain lines, or JSON lines with the machine's monotonic clock.
 //!
-//! A line that cannot be written is dropped: who reads the log may go away, the gatekeeper serves on.
+//! A line that cannot be written is dropped: whoever reads the log may go away, the gatekeeper continues to serve.
 
+use crate::error::Error;
+use settings::appliance::LogFormat;
 use std::fmt;
 use tracing::field::{Field, Visit};
 use tracing::{Event, Subscriber};
@@ -10,70 +12,70 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Overrides `log` of the appliance's file; the platform's form has nothing else.
+/// Overrides `log` of the appliance's file; on the platform nothing else names a format.
 const VARIABLE: &str = "SNOWFIELD_LOG";
 
-/// How lines look.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// The words alone, as docs/ONCALL.md lists them.
-    Plain,
-    /// An object a line, with time, level, part, words and fields.
-    Json,
-}
-
-/// Begins the log, in the form that the environment names, else in this one.
+/// Starts the log in the format that the environment names, otherwise in this one.
 ///
 /// # Errors
 ///
-/// The environment names no form.
-pub fn begin(stated: Form) -> Result<(), String> {
-    let form = match std::env::var(VARIABLE).as_deref() {
-        Err(_) | Ok("") => stated,
-        Ok("plain") => Form::Plain,
-        Ok("json") => Form::Json,
-        Ok(other) => return Err(format!("{VARIABLE}: {other:?} is neither \"plain\" nor \"json\"")),
+/// The environment names no format.
+pub fn init(configured: LogFormat) -> Result<(), Error> {
+    let format = match std::env::var(VARIABLE).as_deref() {
+        Err(_) | Ok("") => configured,
+        Ok("plain") => LogFormat::Plain,
+        Ok("json") => LogFormat::Json,
+        Ok(other) => return Err(Error::InvalidLogFormat { variable: VARIABLE, value: other.to_owned() }),
     };
-    let lines = tracing_subscriber::fmt().log_internal_errors(false).with_ansi(false);
-    match form {
-        Form::Plain => lines.event_format(Words).init(),
-        Form::Json => lines.json().flatten_event(true).with_timer(Monotonic).init(),
+    let subscriber = tracing_subscriber::fmt().log_internal_errors(false).with_ansi(false);
+    match format {
+        LogFormat::Plain => subscriber.event_format(PlainMessage).init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).with_timer(MonotonicClock).init(),
     }
     Ok(())
 }
 
-/// Microseconds of the system's monotonic clock, which all programs of a machine share.
-struct Monotonic;
+/// Microseconds of the system's monotonic clock, which all processes of a machine share.
+struct MonotonicClock;
 
-impl FormatTime for Monotonic {
-    fn format_time(&self, to: &mut Writer<'_>) -> fmt::Result {
-        let at = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-        write!(to, "{}", at.tv_sec as u64 * 1_000_000 + at.tv_nsec as u64 / 1_000)
+impl FormatTime for MonotonicClock {
+    fn format_time(&self, writer: &mut Writer<'_>) -> fmt::Result {
+        let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
+        write!(writer, "{}", now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000)
     }
 }
 
-/// The message and nothing else.
-struct Words;
+/// Writes the message and nothing else.
+struct PlainMessage;
 
-impl<S, N> FormatEvent<S, N> for Words
+impl<S, N> FormatEvent<S, N> for PlainMessage
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut message = Message(&mut to, Ok(()));
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        let mut message = MessageVisitor { writer: &mut writer, result: Ok(()) };
         event.record(&mut message);
-        message.1?;
-        writeln!(to)
+        message.result?;
+        writeln!(writer)
     }
 }
 
-struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
+/// Writes the field with the message.
+struct MessageVisitor<'a, 'w> {
+    writer: &'a mut Writer<'w>,
+    result: fmt::Result,
+}
 
-impl Visit for Message<'_, '_> {
+impl Visit for MessageVisitor<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        if field.name() == "message" && self.1.is_ok() {
-            self.1 = write!(self.0, "{value:?}");
+        if field.name() == "message" && self.result.is_ok() {
+            self.result = write!(self.writer, "{value:?}");
         }
     }
 }
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -1,59 +1,73 @@
-//! The gatekeeper: wires the parts, answers signals and writes the log.
+//! The gatekeeper: command line, start, signals and shutdown, hot restart, and the admin service.
+//!
+//! [`platform`] is a gatekeeper on the platform, [`appliance`] one with the OpenAPI front; both wire the packages that do the
+//! work. Errors become text here and nowhere else.
 
-mod agreed;
+mod admin_listener;
+mod admin_service;
 mod appliance;
-mod clock;
+mod backends;
+mod checked_config;
+mod cluster_settings;
+mod command_line;
 mod console;
-mod desk;
-mod door;
-mod duties;
-mod fleet;
-mod held;
-mod hosts;
+mod consul_watches;
+mod ejections_file;
+mod endpoint_ids;
+mod error;
+mod hot_restart;
 mod log;
+mod plan_replication;
 mod platform;
-mod propose;
+mod settings_command;
 mod signals;
-mod upgrade;
+mod timer_thread;
 
+use command_line::{Command, CommandLine};
+use error::Error;
 use std::process::ExitCode;
+use std::time::Duration;
+
+/// A build with seeded faults ends by itself after this where it is told to.
+const SEEDED_EXIT_AFTER: Duration = Duration::from_secs(5);
 
 fn main() -> ExitCode {
+    start_seeded_faults();
+    let command = match CommandLine::parse() {
+        Ok(command) => command,
+        Err(exit) => return exit,
+    };
+    match run(command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("snowfield: {error}");
+            ExitCode::from(error.exit_code())
+        }
+    }
+}
+
+fn run(command: Command) -> Result<(), Error> {
+    match command {
+        Command::Platform => platform::run(),
+        Command::Serve { file } => appliance::serve(&file),
+        Command::Check { file } => console::check(&file),
+        Command::Routes { file } => console::routes(&file),
+        Command::Explain { file, method, path } => console::explain(&file, &method, &path),
+        Command::Status { file } => console::status(&file),
+        Command::Watch { file } => console::watch(&file),
+        Command::Settings { command } => settings_command::run(&command),
+    }
+}
+
+/// A build with seeded faults says so, and may end by itself; see the package `weakened`.
+fn start_seeded_faults() {
     if weakened::BUILD {
         eprintln!("snowfield: this build breaks a rule on purpose; it serves nobody");
     }
     if weakened::breaks("exits") {
         std::thread::spawn(|| {
-            std::thread::sleep(std::time::Duration::from_secs(5));
+            std::thread::sleep(SEEDED_EXIT_AFTER);
             std::process::exit(0);
         });
     }
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let done = match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        // What the platform starts.
-        [] => platform::run(),
-        ["serve", file] => appliance::serve(file.as_ref()),
-        ["check", file] => console::check(file.as_ref()),
-        ["routes", file] => console::routes(file.as_ref()),
-        ["explain", file, method, path] => console::explain(file.as_ref(), method, path),
-        ["status", file] => console::status(file.as_ref()),
-        ["watch", file] => console::watch(file.as_ref()),
-        ["settings", ..] => return propose::run(&words),
-        ["help" | "--help" | "-h"] => {
-            print!("{}", console::USAGE);
-            Ok(())
-        }
-        ["--version" | "-V"] => {
-            println!("snowfield {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-        _ => Err(format!("these arguments mean nothing\n{}", console::USAGE)),
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("snowfield: {text}");
-            ExitCode::FAILURE
-        }
-    }
 }
--- /dev/null
+++ b/crates/snowfield/src/plan_replication.rs
@@ -0,0 +1,101 @@
+//! The replicated plans: how this instance takes part, and the plans that it enforces by each view.
+
+use crate::checked_config::directory;
+use crate::cluster_settings::keyring;
+use crate::error::Error;
+use config_node::{ConfigView, InvalidProposal, Node, NodeConfig, ReplicaAddress};
+use front_openapi::HttpExchange;
+use settings::appliance::{
+    ApplianceConfig, PlanConfig, ReplicaConfig, ReplicationConfig, RouteClass, apply_version, scaled,
+    stricter,
+};
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What the policy's settings depend on beside the plans.
+#[derive(Clone)]
+pub struct PolicyInputs {
+    /// Units of the largest request.
+    pub max_units: f64,
+    /// The policy's classes.
+    pub classes: Vec<RouteClass>,
+}
+
+/// Starts a node where the file `path` has the table for it.
+///
+/// # Errors
+///
+/// The key file cannot be used, or as [`Node::start`].
+pub fn start(
+    config: &ApplianceConfig,
+    path: &Path,
+    inputs: PolicyInputs,
+    exchange: Arc<HttpExchange>,
+) -> Result<Option<Node>, Error> {
+    let Some(node_config) = node_config(config, path)? else { return Ok(None) };
+    let (validated_by, config) = (config.clone(), config.clone());
+    let validator = move |text: &str| match apply_version(&validated_by, text) {
+        Ok(_) => Ok(()),
+        Err(error) => Err(InvalidProposal(error.to_string())),
+    };
+    let listener = move |view: &ConfigView| {
+        if let Err(error) = enforce(&config, view, &inputs, &exchange) {
+            tracing::warn!("agreed: a version cannot be used here ({error}); the previous plans stay");
+        }
+    };
+    Ok(Some(Node::start(node_config, Box::new(validator), Box::new(listener))?))
+}
+
+/// What the file says; `None` where it has no such table.
+fn node_config(config: &ApplianceConfig, path: &Path) -> Result<Option<NodeConfig>, Error> {
+    let (Some(replication), Some(cluster)) = (&config.replication, &config.cluster) else { return Ok(None) };
+    let replica =
+        |replica: &ReplicaConfig| ReplicaAddress { name: replica.name.clone(), address: replica.address };
+    Ok(Some(NodeConfig {
+        name: cluster.name.clone(),
+        listen: replication.listen,
+        replicas: replication.replicas.iter().map(replica).collect(),
+        keys: keyring(config, path)?,
+        log: directory(path).join(&replication.log),
+        lease_duration: Duration::from_millis(replication.lease_duration_ms),
+    }))
+}
+
+/// Has the policy work by the plans of a view.
+fn enforce(
+    config: &ApplianceConfig,
+    view: &ConfigView,
+    inputs: &PolicyInputs,
+    exchange: &HttpExchange,
+) -> Result<(), settings::SettingsError> {
+    let Some(replication) = &config.replication else { return Ok(()) };
+    let plans = enforced_plans(config, replication, view);
+    let config = ApplianceConfig { plans, ..config.clone() };
+    let settings = config.policy_settings(inputs.max_units, &inputs.classes)?;
+    exchange.update_settings(settings)?;
+    Ok(())
+}
+
+/// The plans to enforce: of a version that is proposed and the one in force the stricter figures, and without a lease a share
+/// of them.
+fn enforced_plans(
+    config: &ApplianceConfig,
+    replication: &ReplicationConfig,
+    view: &ConfigView,
+) -> Vec<PlanConfig> {
+    // A version that every replica could use and this instance cannot is as good as unknown: the file's own plans count.
+    let plans_of = |text: &str| apply_version(config, text).unwrap_or_else(|_| config.plans.clone());
+    let in_force = match &view.in_force {
+        Some(version) => plans_of(&version.text),
+        None => config.plans.clone(),
+    };
+    let known = match &view.proposed {
+        Some(proposed) => stricter(&in_force, &plans_of(&proposed.text)),
+        None => in_force,
+    };
+    if view.has_lease { known } else { scaled(&known, replication.share_without_lease) }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/snowfield/src/settings_command.rs
@@ -0,0 +1,116 @@
+//! `snowfield settings`: what operators do with the replicated plans.
+
+mod replicas;
+
+use crate::checked_config::{CheckedConfig, directory, read};
+use crate::command_line::SettingsCommand;
+use crate::error::Error;
+use config_node::{ProposalOutcome, ReplicaLog, Version, VersionTexts};
+use replicas::Replicas;
+use settings::appliance::{ApplianceConfig, PlanConfig, ReplicationConfig, apply_version};
+use std::path::Path;
+
+/// Carries out a command.
+///
+/// # Errors
+///
+/// Says what cannot be used, or why the replicas did not do it. [`Error::exit_code`] tells the cases apart.
+pub fn run(command: &SettingsCommand) -> Result<(), Error> {
+    match command {
+        SettingsCommand::Begin { file } => begin(file),
+        SettingsCommand::Propose { file, rules, expect } => propose(file, rules, *expect),
+        SettingsCommand::Show { file } => show(file),
+        SettingsCommand::Diff { file, rules } => diff(file, rules),
+    }
+}
+
+/// A configuration with the table for replication, and that table.
+fn read_config(path: &Path) -> Result<(ApplianceConfig, ReplicationConfig), Error> {
+    let config = CheckedConfig::read(path)?.config;
+    match config.replication.clone() {
+        Some(replication) => Ok((config, replication)),
+        None => Err(Error::MissingTable { path: path.to_owned(), table: "agreed" }),
+    }
+}
+
+/// The text of a version, and the plans that follow from it.
+fn read_rules(path: &Path, config: &ApplianceConfig) -> Result<(String, Vec<PlanConfig>), Error> {
+    let text = read(path)?;
+    let plans = apply_version(config, &text).map_err(Error::settings(path))?;
+    Ok((text, plans))
+}
+
+fn begin(path: &Path) -> Result<(), Error> {
+    let (_, replication) = read_config(path)?;
+    if replication.listen.is_none() {
+        return Err(Error::NotAReplica);
+    }
+    let log = directory(path).join(&replication.log);
+    ReplicaLog::create(&log).map_err(Error::ReplicaLog)?;
+    println!("{}: the log is begun", log.display());
+    Ok(())
+}
+
+fn propose(path: &Path, rules: &Path, expected_version: Option<u64>) -> Result<(), Error> {
+    let (config, replication) = read_config(path)?;
+    let (text, _) = read_rules(rules, &config)?;
+    let replicas = Replicas::new(&config, &replication, path)?;
+    match replicas.propose(text, expected_version)? {
+        ProposalOutcome::Accepted(version) => {
+            println!(
+                "version {version} is proposed; it is in force when no gatekeeper acts on the one before alone"
+            );
+            Ok(())
+        }
+        ProposalOutcome::VersionConflict { in_force, proposed_by } => {
+            Err(Error::VersionConflict { version: in_force, proposed_by })
+        }
+        ProposalOutcome::RolloutInProgress { version, proposed_by } => {
+            Err(Error::RolloutInProgress { version, proposed_by })
+        }
+        ProposalOutcome::TooLarge => Err(Error::ProposalTooLarge),
+        ProposalOutcome::Rejected(reason) => Err(Error::ProposalRejected(reason.to_string())),
+    }
+}
+
+fn show(path: &Path) -> Result<(), Error> {
+    let (config, replication) = read_config(path)?;
+    let VersionTexts { in_force, proposed } = Replicas::new(&config, &replication, path)?.versions()?;
+    match &in_force {
+        Some(version) => print_version(version, "in force"),
+        None => println!("# no version yet: each file's own plans are in force"),
+    }
+    if let Some(version) = &proposed {
+        print_version(version, "proposed");
+    }
+    Ok(())
+}
+
+fn print_version(version: &Version, state: &str) {
+    let Version { number, proposed_by, text } = version;
+    println!("# version {number}, {state}, by {proposed_by}\n{}", text.trim_end());
+}
+
+fn diff(path: &Path, rules: &Path) -> Result<(), Error> {
+    let (config, replication) = read_config(path)?;
+    let (_, new) = read_rules(rules, &config)?;
+    let in_force = Replicas::new(&config, &replication, path)?.versions()?.in_force;
+    let old = match &in_force {
+        Some(version) => apply_version(&config, &version.text).map_err(Error::settings(path))?,
+        None => config.plans.clone(),
+    };
+    old.iter().zip(&new).for_each(|(old, new)| print_changes(old, new));
+    Ok(())
+}
+
+fn print_changes(old: &PlanConfig, new: &PlanConfig) {
+    let figures = [
+        ("units_per_second", old.units_per_second, new.units_per_second),
+        ("burst", old.burst, new.burst),
+        ("ceiling_per_second", old.ceiling_per_second, new.ceiling_per_second),
+        ("ceiling_burst", old.ceiling_burst, new.ceiling_burst),
+    ];
+    for (name, before, after) in figures.into_iter().filter(|(_, before, after)| before != after) {
+        println!("plan {}: {name} {before} -> {after}", old.name);
+    }
+}
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -1,66 +1,67 @@
-//! How the program is told to reload and to end: on SIGHUP it takes a new configuration while it serves; at the end it
-//! serves the overlap, closes client connections between requests, and answers what it took.
+//! Signals: SIGHUP reloads the configuration while the program serves; SIGTERM and SIGINT start a graceful shutdown, which
+//! serves an overlap, closes client connections between requests, and answers what was accepted.
 
+use crate::error::Error;
 use link::Door;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::time::{Duration, Instant};
 
-/// After SIGTERM new connections still come for up to 0.4 s.
+/// New connections still arrive for up to 0.4 s after SIGTERM.
 pub const OVERLAP: Duration = Duration::from_millis(500);
-/// Past the longest deadline nothing can be unanswered.
-const LAST_CALL: Duration = Duration::from_millis(300);
-/// Between two looks whether all is answered.
-const LOOK: Duration = Duration::from_millis(5);
+/// Past the longest deadline nothing can be unanswered; this is for a busy machine.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(300);
+/// How often the end of the overlap, and of the last requests, is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the signals act on.
-pub trait Serving {
-    /// SIGHUP: takes the file anew. Runs on the caller's thread, off the worker.
+/// What signals act on.
+pub trait SignalHandler {
+    /// SIGHUP: reads the configuration again. Runs on the caller's thread, off the worker.
     fn reload(&self);
-    /// SIGTERM or SIGINT has come. Tells for how long clients are still served as before.
-    fn begin_end(&self) -> Duration {
+    /// SIGTERM or SIGINT has arrived. Returns for how long clients are still served as before.
+    fn start_shutdown(&self) -> Duration {
         OVERLAP
     }
-    /// Whether closing has to begin now, though that time is not over.
+    /// Whether connections must be closed now, before that time is over.
     fn must_close(&self) -> bool {
         false
     }
-    /// Has the front close each socket once it is between requests.
-    fn close(&self);
+    /// Closes each client connection once it is between requests.
+    fn close_connections(&self);
     /// How many client connections are left.
-    fn open(&self) -> usize;
-    /// No operation can be unanswered for longer than this.
-    fn longest(&self) -> Duration;
+    fn open_connections(&self) -> usize;
+    /// No request can be unanswered for longer than this.
+    fn longest_deadline(&self) -> Duration;
 }
 
-/// Signals are caught from here on, so that one during the start is not lost and a reload never ends the program.
+/// Starts catching signals, so that one during the start is not lost, and a reload never ends the process.
 ///
 /// # Errors
 ///
-/// The system takes no handler.
-pub fn catch() -> Result<Signals, String> {
-    Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| format!("signals: {e}"))
+/// The system refuses a handler.
+pub fn catch() -> Result<Signals, Error> {
+    Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(Error::Signals)
 }
 
-/// Serves until a signal says to end; then ends in good order, and shuts `door` meanwhile.
-pub fn serve_until(mut signals: Signals, door: &Door, serving: &impl Serving) {
+/// Serves until a signal asks for the end, then shuts down gracefully. `listener` is closed after the overlap.
+pub fn serve_until_end(mut signals: Signals, listener: &Door, handler: &impl SignalHandler) {
     for signal in signals.forever() {
         if signal != SIGHUP {
             tracing::info!("signal {signal}: serving the overlap, then finishing");
             break;
         }
-        serving.reload();
+        handler.reload();
     }
-    let (begun, overlap) = (Instant::now(), serving.begin_end());
+    let (started, overlap) = (Instant::now(), handler.start_shutdown());
     std::thread::sleep(OVERLAP.min(overlap));
-    while begun.elapsed() < overlap && !serving.must_close() {
-        std::thread::sleep(LOOK);
+    while started.elapsed() < overlap && !handler.must_close() {
+        std::thread::sleep(CHECK_INTERVAL);
     }
-    door.shut();
-    serving.close();
-    let (begun, longest) = (Instant::now(), serving.longest());
-    while serving.open() > 0 && begun.elapsed() < longest + LAST_CALL {
-        std::thread::sleep(LOOK);
+    listener.shut();
+    handler.close_connections();
+    let (started, longest) = (Instant::now(), handler.longest_deadline() + DEADLINE_MARGIN);
+    while handler.open_connections() > 0 && started.elapsed() < longest {
+        std::thread::sleep(CHECK_INTERVAL);
     }
-    tracing::info!("stopped with {} client connections open", serving.open());
+    tracing::info!("stopped with {} client connections open", handler.open_connections());
 }
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -259,7 +259,7 @@
     // Both keys for a while; this one seals by the new one.
     folder.write("cluster.key", &format!("{}\n{KEY}\n", "ab".repeat(32)));
     program.signal("-HUP");
-    program.logged("reload: 1 duties and the cluster's keys taken");
+    program.logged("reload: 1 jobs and the cluster's keys taken");
     while asked(&seen).field("snowfield-duty") != Some("new") {}
     // Another instance that has the old key alone: heard, but not understood in return.
     folder.write("old.key", KEY);
