--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -4,7 +4,7 @@
 use crate::admin_listener::{AdminError, AdminHandler};
 use crate::ejections_file;
 use crate::endpoint_ids::EndpointIds;
-use destination::{Pools, RespDestination};
+use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
 use handover::{Message, Peer};
 use link::locked;
@@ -48,7 +48,7 @@
 /// The parts that commands act on, and what is counted outside them.
 pub struct AdminService {
     exchange: Arc<RespExchange>,
-    pools: Arc<Pools<RespDestination>>,
+    pools: Arc<BackendPools<RespProtocol>>,
     endpoint_ids: Arc<Mutex<EndpointIds>>,
     names: Mutex<Names>,
     /// Where ejections are stored for the next process.
@@ -65,7 +65,7 @@
     /// A service that is not ready yet.
     pub fn new(
         exchange: Arc<RespExchange>,
-        pools: Arc<Pools<RespDestination>>,
+        pools: Arc<BackendPools<RespProtocol>>,
         endpoint_ids: Arc<Mutex<EndpointIds>>,
         directory: Option<PathBuf>,
     ) -> Self {
@@ -159,7 +159,7 @@
         let Some(backend) = endpoint_ids.set_ejected(id, ejected, known) else { return false };
         // The pools come first: what the policy decided before the ejection is refused there, and when it sends again after a
         // restoration the pools are open.
-        self.pools.hold(backend, ejected);
+        self.pools.set_operator_ejection(backend, ejected);
         self.exchange.set_operator_ejection(backend, ejected);
         if let Some(directory) = &self.directory
             && let Err(error) = ejections_file::write(directory, endpoint_ids.ejected())
@@ -218,7 +218,7 @@
         Metrics {
             classes: self.class_metrics(&outcomes),
             rejections: reasons.map(|(reason, count)| RejectionCount { reason, count }).collect(),
-            attempts_written: self.pools.written(),
+            attempts_written: self.pools.attempts_written(),
             pending: outcomes.pending,
             backends: backends.listed,
             backends_unavailable: backends.unavailable,
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -11,10 +11,10 @@
 use config_node::Node;
 use consul::{Answered, Registered};
 use counter::CounterClient;
-use destination::{HttpDestination, Limits, Pools};
+use destination::{BackendPools, HttpProtocol, Limits};
 use exchange::{BackendId, Clock, Exchange, QuotaCounter};
 use front_openapi::{Front, HttpExchange, Lender, Setup};
-use link::{Door, spawn};
+use link::{Listener, spawn};
 use openapi::{Route, RouteTable};
 use settings::appliance::{ApplianceConfig, RouteClass, TenantConfig, tenant_number};
 use std::collections::BTreeSet;
@@ -29,7 +29,7 @@
 /// The parts that signals act on.
 pub(super) struct Running {
     pub(super) front: Arc<Front>,
-    pub(super) listener: Arc<Door>,
+    pub(super) listener: Arc<Listener>,
     pub(super) cluster: Option<Arc<Cluster>>,
     pub(super) config_node: Option<Arc<Node>>,
     pub(super) registration: Option<Registered>,
@@ -39,7 +39,7 @@
 struct Core {
     clock: Clock,
     exchange: Arc<HttpExchange>,
-    pools: Arc<Pools<HttpDestination>>,
+    pools: Arc<BackendPools<HttpProtocol>>,
     counter: Option<Arc<CounterClient>>,
     /// When clients last had an answer of each backend.
     answered: Arc<Answered>,
@@ -76,7 +76,7 @@
         };
         spawn(move || server.run(&listener));
     }
-    tracing::info!("serving OpenAPI on {}", listener.address()?);
+    tracing::info!("serving OpenAPI on {}", listener.local_address()?);
     backends.start_watches().map_err(Error::ConsulWatch)?;
     let (accepting, accepts_from) = (front.clone(), listener.clone());
     spawn(move || accepting.run(&accepts_from));
@@ -95,8 +95,8 @@
         let answered = Arc::new(Answered::default());
         let noted = answered.clone();
         let on_served = Box::new(move |backend: BackendId| noted.note(backend.0));
-        let pools = Pools::new(HttpDestination { on_served: Some(on_served) }, pool_limits(config));
-        pools.connect(exchange.clone());
+        let pools = BackendPools::new(HttpProtocol { on_served: Some(on_served) }, pool_limits(config));
+        pools.set_exchange(exchange.clone());
         let counter =
             config.quota.counter.map(|address| CounterClient::for_exchange(address, exchange.clone()));
         let calls = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
@@ -112,12 +112,12 @@
 
 fn pool_limits(config: &ApplianceConfig) -> Limits {
     Limits {
-        connect: Duration::from_millis(config.limits.connect_timeout_ms),
-        idle: Duration::from_millis(config.limits.idle_timeout_ms),
-        connections: connection_sockets(config) / 2,
-        answer: config.limits.max_response_bytes + http::LARGEST_HEAD,
+        connect_timeout: Duration::from_millis(config.limits.connect_timeout_ms),
+        idle_timeout: Duration::from_millis(config.limits.idle_timeout_ms),
+        max_connections: connection_sockets(config) / 2,
+        max_answer_bytes: config.limits.max_response_bytes + http::LARGEST_HEAD,
         // Responses over HTTP are held completely.
-        streams: 0,
+        stream_budget_bytes: 0,
     }
 }
 
@@ -142,8 +142,8 @@
     });
 }
 
-fn listen(address: SocketAddr) -> Result<Arc<Door>, Error> {
-    Door::open(address).map(Arc::new).map_err(|source| Error::Listen { address, source })
+fn listen(address: SocketAddr) -> Result<Arc<Listener>, Error> {
+    Listener::bind(address).map(Arc::new).map_err(|source| Error::Listen { address, source })
 }
 
 /// The policy's class of a route.
--- a/crates/snowfield/src/appliance/status.rs
+++ b/crates/snowfield/src/appliance/status.rs
@@ -4,7 +4,7 @@
 use cluster::Cluster;
 use config_node::Node;
 use front_openapi::Front;
-use link::{Door, Link, spawn};
+use link::{Connection, Listener, spawn};
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 
 impl StatusServer {
     /// Sends the status to whoever connects, until the listener is closed; runs in a coroutine.
-    pub(super) fn run(self, listener: &Door) {
+    pub(super) fn run(self, listener: &Listener) {
         let server = Arc::new(self);
         while let Some(client) = listener.accept() {
             let server = server.clone();
@@ -32,7 +32,7 @@
         }
     }
 
-    fn send(&self, client: &Link) {
+    fn send(&self, client: &Connection) {
         let body = self.report();
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
@@ -40,7 +40,7 @@
             body.len()
         );
         if client.send((head + &body).as_bytes()).is_ok() {
-            client.finish();
+            client.close_gracefully();
         }
     }
 
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -4,7 +4,7 @@
 use catalogue::{Entry, View};
 use cluster::{Backend, Cluster};
 use consul::Watch;
-use destination::{HttpDestination, Place, Pools};
+use destination::{BackendEndpoint, BackendPools, HttpProtocol};
 use exchange::{AnswerCounts, Clock, Status};
 use front_openapi::HttpExchange;
 use link::locked;
@@ -21,7 +21,7 @@
 pub struct Backends {
     clock: Clock,
     exchange: Arc<HttpExchange>,
-    pools: Arc<Pools<HttpDestination>>,
+    pools: Arc<BackendPools<HttpProtocol>>,
     state: Mutex<State>,
     cluster: OnceLock<Arc<Cluster>>,
     watches: OnceLock<Vec<Arc<Watch>>>,
@@ -56,7 +56,7 @@
     pub fn new(
         clock: Clock,
         exchange: Arc<HttpExchange>,
-        pools: Arc<Pools<HttpDestination>>,
+        pools: Arc<BackendPools<HttpProtocol>>,
         config: &ApplianceConfig,
     ) -> Self {
         let services: Vec<String> = config.service_names().into_iter().map(str::to_owned).collect();
@@ -144,7 +144,7 @@
             return;
         }
         let now = self.clock.now();
-        let (mut policy_entries, mut places, mut announced) = (Vec::new(), Vec::new(), HashMap::new());
+        let (mut policy_entries, mut endpoints, mut announced) = (Vec::new(), Vec::new(), HashMap::new());
         for (service, view) in state.views.iter().enumerate() {
             let Some(view) = view else { continue };
             let mean_weight = mean_weight(view);
@@ -156,7 +156,7 @@
                 let state = if ready { BackendState::Ready } else { BackendState::Draining };
                 let size = if mean_weight > 0.0 { entry.instance.weight / mean_weight } else { 1.0 };
                 let service = service as u16;
-                places.push(Place { id, address: entry.instance.address, state, started });
+                endpoints.push(BackendEndpoint { id, address: entry.instance.address, state, started });
                 policy_entries.push(BackendEntry {
                     id,
                     state,
@@ -168,7 +168,7 @@
             }
         }
         state.announced = announced;
-        self.pools.listed(ListKind::Full, &places);
+        self.pools.update_endpoints(ListKind::Full, &endpoints);
         self.exchange.update_endpoints(ListKind::Full, policy_entries);
     }
 
@@ -200,7 +200,7 @@
         for (service, watch) in self.watches().iter().enumerate() {
             self.report_service(service, watch, &status, &ejected, &mut report);
         }
-        let _ = writeln!(report, "connections to destinations {}", self.pools.open());
+        let _ = writeln!(report, "connections to destinations {}", self.pools.open_connections());
         report
     }
 
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -1,6 +1,6 @@
 //! The platform's endpoint list in the types of the policy and the pools, and which backends operators have ejected.
 
-use destination::Place;
+use destination::BackendEndpoint;
 use handover::BackendNumber;
 use policy::{BackendEntry, BackendId, BackendState};
 use settings::platform::PlatformConfig;
@@ -16,7 +16,7 @@
     /// For the policy.
     pub entries: Vec<BackendEntry>,
     /// For the pools.
-    pub places: Vec<Place>,
+    pub endpoints: Vec<BackendEndpoint>,
 }
 
 /// Numbers for the ids of backends. A number is kept for good: a backend that restarts is the same.
@@ -43,7 +43,7 @@
         if list.complete {
             self.listed.clear();
         }
-        let mut translated = TranslatedList { entries: Vec::new(), places: Vec::new() };
+        let mut translated = TranslatedList { entries: Vec::new(), endpoints: Vec::new() };
         for endpoint in list.endpoints {
             let state = state(&endpoint);
             let Some(address) = address(&endpoint, state) else { continue };
@@ -54,7 +54,7 @@
                 self.listed.insert(id);
             }
             let started = endpoint.started_ms.saturating_mul(1000);
-            translated.places.push(Place { id, address, state, started });
+            translated.endpoints.push(BackendEndpoint { id, address, state, started });
             translated.entries.push(BackendEntry {
                 id,
                 zone: position(&mut self.zones, endpoint.zone).min(u8::MAX.into()) as u8,
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -6,7 +6,7 @@
 
 use crate::admin_service::AdminService;
 use crate::endpoint_ids::EndpointIds;
-use destination::{Pools, RespDestination};
+use destination::{BackendPools, RespProtocol};
 use front_resp::{Front, RespExchange};
 use handover::{Message, PROTOCOL_VERSION, Peer};
 use std::path::Path;
@@ -24,7 +24,7 @@
     /// Has the policy's state.
     pub exchange: Arc<RespExchange>,
     /// The connections to backends.
-    pub pools: Arc<Pools<RespDestination>>,
+    pub pools: Arc<BackendPools<RespProtocol>>,
     /// Numbers of backends, and ejections.
     pub endpoint_ids: Arc<Mutex<EndpointIds>>,
     /// Has the client connections.
@@ -45,7 +45,7 @@
     pub fn new(
         admin: Arc<AdminService>,
         exchange: Arc<RespExchange>,
-        pools: Arc<Pools<RespDestination>>,
+        pools: Arc<BackendPools<RespProtocol>>,
         endpoint_ids: Arc<Mutex<EndpointIds>>,
         front: Arc<Front>,
     ) -> Arc<Self> {
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -8,7 +8,7 @@
     Admission, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION, Peer, UpgradeSocket,
     read_journal,
 };
-use link::{Door, locked, spawn_with};
+use link::{Listener, locked, spawn_with};
 use std::net::TcpStream;
 use std::os::fd::{AsFd, OwnedFd};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 
 impl HotRestart {
     /// Starts serving successors at this socket, one after the other, until the process ends.
-    pub fn serve_successors(self: &Arc<Self>, socket: UpgradeSocket, listener: &Arc<Door>) {
+    pub fn serve_successors(self: &Arc<Self>, socket: UpgradeSocket, listener: &Arc<Listener>) {
         let (restart, listener) = (self.clone(), listener.clone());
         thread::spawn(move || {
             loop {
@@ -36,7 +36,7 @@
         });
     }
 
-    fn serve_successor(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Door>) {
+    fn serve_successor(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) {
         match peer.receive(Some(STEP_TIMEOUT)) {
             Ok((Message::Hello { version: PROTOCOL_VERSION }, _)) => {}
             Ok(_) => {
@@ -91,7 +91,7 @@
     }
 
     /// Stops admitting requests, and sends the listener, the state and, as they come, the client connections.
-    fn hand_over(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Door>) -> Result<(), Error> {
+    fn hand_over(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) -> Result<(), Error> {
         let (sender, connections) = channel();
         let restart = self.clone();
         let pass_on: Arc<Heir> = Arc::new(move |socket, partial_request| {
@@ -101,20 +101,24 @@
             }
         });
         let snapshot = self.freeze(pass_on, listener)?;
-        peer.send(&self.state_message(&snapshot)?, Some(listener.listener()))?;
-        self.pools.retire(true);
+        peer.send(&self.state_message(&snapshot)?, Some(listener.descriptor()))?;
+        self.pools.set_retired(true);
         tracing::info!("upgrade: another program serves now; this one finishes what it has");
         self.send_connections(connections, peer.clone());
         Ok(())
     }
 
     /// Stops accepting and reading, and takes the policy's snapshot.
-    fn freeze(self: &Arc<Self>, pass_on: Arc<Heir>, listener: &Arc<Door>) -> Result<PolicySnapshot, Error> {
+    fn freeze(
+        self: &Arc<Self>,
+        pass_on: Arc<Heir>,
+        listener: &Arc<Listener>,
+    ) -> Result<PolicySnapshot, Error> {
         let (sender, snapshot) = channel();
         let (restart, listener) = (self.clone(), listener.clone());
         // On the worker, between two steps of any client connection: no request is admitted after the snapshot.
         spawn_with(link::LARGE_STACK, move || {
-            listener.hold(true);
+            listener.set_paused(true);
             restart.front.pass_on(pass_on);
             // Nobody waits for it where the process ends.
             let _ = sender.send(restart.exchange.hand_over());
@@ -150,15 +154,15 @@
     }
 
     /// Serves again after the successor has ended.
-    fn resume(&self, journal: Option<Receiver<JournalEnd>>, listener: &Door) {
+    fn resume(&self, journal: Option<Receiver<JournalEnd>>, listener: &Listener) {
         // All entries are there once the successor is gone; one that only hung up may still admit requests.
         let journal_end = journal.and_then(|end| end.recv_timeout(JOURNAL_DRAIN_TIMEOUT).ok());
         let knows_all = journal_end == Some(JournalEnd::Complete);
         let buckets = if knows_all { "with what the other left" } else { "with empty token buckets" };
         tracing::warn!("upgrade: the other program has ended; this one serves on, {buckets}");
         self.exchange.resume(knows_all);
-        self.pools.retire(false);
+        self.pools.set_retired(false);
         self.front.go_on();
-        listener.hold(false);
+        listener.set_paused(false);
     }
 }
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -4,7 +4,7 @@
 use crate::error::Error;
 use exchange::{BackendId, PolicySnapshot};
 use handover::{Admission, AdmissionJournal, BackendNumber, Message, Peer};
-use link::{Door, Link, locked};
+use link::{Connection, Listener, locked};
 use std::collections::HashMap;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
@@ -13,7 +13,7 @@
 
 /// What a predecessor sends in [`Message::State`].
 struct PredecessorState {
-    listener: Door,
+    listener: Listener,
     policy_snapshot: Vec<u8>,
     backends: Vec<BackendNumber>,
     plans: Vec<String>,
@@ -27,7 +27,7 @@
     /// # Errors
     ///
     /// The predecessor did not hand over. The connection to it is closed then.
-    pub fn take_over(&self, predecessor: &Arc<Peer>) -> Result<Door, Error> {
+    pub fn take_over(&self, predecessor: &Arc<Peer>) -> Result<Listener, Error> {
         let taken = self.request_and_apply_state(predecessor);
         if taken.is_err() {
             predecessor.close();
@@ -36,7 +36,7 @@
         taken
     }
 
-    fn request_and_apply_state(&self, predecessor: &Peer) -> Result<Door, Error> {
+    fn request_and_apply_state(&self, predecessor: &Peer) -> Result<Listener, Error> {
         let (journal, reader) = AdmissionJournal::open()?;
         predecessor.send(&Message::RequestState, Some(reader.as_fd()))?;
         let (message, descriptor) = self.receive_state(predecessor)?;
@@ -121,8 +121,8 @@
         while let Ok((message, descriptor)) = predecessor.receive(None) {
             match (message, descriptor) {
                 (Message::ClientConnection { partial_request }, Some(socket)) => {
-                    if let Ok(link) = Link::new(TcpStream::from(socket)) {
-                        self.front.adopt(link, partial_request);
+                    if let Ok(connection) = Connection::new(TcpStream::from(socket)) {
+                        self.front.adopt(connection, partial_request);
                         taken_over += 1;
                     }
                 }
@@ -139,7 +139,7 @@
             return Err(Error::UnexpectedMessage);
         };
         let listener = TcpListener::from(descriptor.ok_or(Error::NoListener)?);
-        let listener = Door::given(listener)?;
+        let listener = Listener::inherit(listener)?;
         Ok(Self { listener, policy_snapshot, backends, plans, classes, ejected })
     }
 }
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -37,7 +37,7 @@
         // A class has its name before any of its requests can end, and is accepted last.
         self.admin.set_names(Names { classes: numbering.class_names(), plans: numbering.plan_names() });
         let timeouts = BackendTimeouts::of(&config);
-        self.hot_restart.pools.set_spans(timeouts.connect, timeouts.idle);
+        self.hot_restart.pools.set_timeouts(timeouts.connect, timeouts.idle);
         self.hot_restart.pools.protocol().set_columns(&load_metrics);
         self.longest_deadline_us.fetch_max(config_file::longest_deadline_us(&config), Ordering::Relaxed);
         self.front.set_rules(config_file::request_rules(&config, &numbering));
@@ -50,7 +50,7 @@
 
     /// Connects to discovery and the counter at the addresses of a new configuration.
     fn move_connections(&self, config: &PlatformConfig) {
-        let discovery = if self.watch.move_to(config.discovery) { "moved to" } else { "stays at" };
+        let discovery = if self.watch.set_address(config.discovery) { "moved to" } else { "stays at" };
         tracing::info!("reload: discovery {discovery} {}", config.discovery);
         match (&self.counter, config.counter) {
             (Some(client), Some(address)) => {
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -10,12 +10,12 @@
 use crate::hot_restart::{self, HotRestart};
 use crate::timer_thread;
 use counter::CounterClient;
-use destination::{Limits, Pools, RespDestination};
-use discovery::{News, Pace, Watch};
+use destination::{BackendPools, Limits, RespProtocol};
+use discovery::{PollBackoff, Watch, WatchEvent};
 use exchange::{Clock, Exchange, QuotaCounter};
 use front_resp::{Front, RespExchange};
 use handover::{Peer, UpgradeSocket};
-use link::{Door, spawn, spawn_with};
+use link::{Listener, spawn, spawn_with};
 use policy::{ListKind, Settings};
 use settings::Numbering;
 use settings::platform::PlatformConfig;
@@ -49,7 +49,7 @@
 /// The parts that signals act on.
 pub(super) struct Running {
     pub(super) front: Arc<Front>,
-    pub(super) listener: Arc<Door>,
+    pub(super) listener: Arc<Listener>,
     pub(super) watch: Arc<Watch>,
     pub(super) counter: Option<Arc<CounterClient>>,
     pub(super) admin: Arc<AdminService>,
@@ -62,7 +62,7 @@
 /// The request table with the two sides that it drives.
 struct Core {
     exchange: Arc<RespExchange>,
-    pools: Arc<Pools<RespDestination>>,
+    pools: Arc<BackendPools<RespProtocol>>,
     counter: Option<Arc<CounterClient>>,
     endpoint_ids: Arc<Mutex<EndpointIds>>,
 }
@@ -101,7 +101,7 @@
         None => {
             admin.restore_ejections();
             let address = config.listen;
-            (Door::open(address).map_err(|source| Error::Listen { address, source })?, None)
+            (Listener::bind(address).map_err(|source| Error::Listen { address, source })?, None)
         }
     };
     let listener = Arc::new(listener);
@@ -110,7 +110,7 @@
     }
     front.set_ready();
     admin.set_ready();
-    tracing::info!("{}: serving on {}", config.name, listener.address()?);
+    tracing::info!("{}: serving on {}", config.name, listener.local_address()?);
     let (accepting, accepts_from) = (front.clone(), listener.clone());
     spawn(move || accepting.run(&accepts_from));
     if let Some(predecessor) = predecessor {
@@ -144,7 +144,7 @@
 }
 
 /// Takes over from the process that serves with this directory, if there is one.
-fn take_over(hot_restart: &Arc<HotRestart>, directory: &Path) -> Option<(Door, Arc<Peer>)> {
+fn take_over(hot_restart: &Arc<HotRestart>, directory: &Path) -> Option<(Listener, Arc<Peer>)> {
     let predecessor = hot_restart::connect(directory)?;
     hot_restart.admin.set_peer(Some(predecessor.clone()));
     match hot_restart.take_over(&predecessor) {
@@ -157,7 +157,7 @@
 }
 
 /// Hands over to whoever connects in this directory.
-fn await_successors(hot_restart: &Arc<HotRestart>, directory: &Path, listener: &Arc<Door>) {
+fn await_successors(hot_restart: &Arc<HotRestart>, directory: &Path, listener: &Arc<Listener>) {
     match UpgradeSocket::bind(directory) {
         Ok(socket) => hot_restart.serve_successors(socket, listener),
         Err(error) => tracing::warn!("upgrade: the next program cannot call this one: {error}"),
@@ -167,18 +167,18 @@
 impl Core {
     fn new(config: &PlatformConfig, settings: Settings, max_connections: usize) -> Result<Self, Error> {
         let clock = Clock::start();
-        let protocol = RespDestination::new(&settings.load_metrics);
+        let protocol = RespProtocol::new(&settings.load_metrics);
         let exchange = Exchange::new(settings, config.seed, clock)?;
         let timeouts = BackendTimeouts::of(config);
         let limits = Limits {
-            connect: timeouts.connect,
-            idle: timeouts.idle,
-            connections: max_connections / ATTEMPT_SOCKETS_PART,
-            answer: resp::LARGEST_MESSAGE,
-            streams: config.max_memory_bytes / STREAMS_PART,
+            connect_timeout: timeouts.connect,
+            idle_timeout: timeouts.idle,
+            max_connections: max_connections / ATTEMPT_SOCKETS_PART,
+            max_answer_bytes: resp::LARGEST_MESSAGE,
+            stream_budget_bytes: config.max_memory_bytes / STREAMS_PART,
         };
-        let pools = Pools::new(protocol, limits);
-        pools.connect(exchange.clone());
+        let pools = BackendPools::new(protocol, limits);
+        pools.set_exchange(exchange.clone());
         let counter = config.counter.map(|address| CounterClient::for_exchange(address, exchange.clone()));
         let calls = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
         exchange.connect(pools.clone(), calls);
@@ -189,9 +189,9 @@
     fn announce_cached_list(&self, config: &PlatformConfig) {
         let list = config.cached_list.clone();
         let revision = list.revision;
-        let TranslatedList { entries, places } = link::locked(&self.endpoint_ids).translate(list);
-        tracing::info!("{}: {} backends known, version {revision}", config.name, places.len());
-        self.pools.listed(ListKind::Cached, &places);
+        let TranslatedList { entries, endpoints } = link::locked(&self.endpoint_ids).translate(list);
+        tracing::info!("{}: {} backends known, version {revision}", config.name, endpoints.len());
+        self.pools.update_endpoints(ListKind::Cached, &endpoints);
         self.exchange.update_endpoints(ListKind::Cached, entries);
     }
 
@@ -202,13 +202,13 @@
             (watch.clone(), self.pools.clone(), self.exchange.clone(), self.endpoint_ids.clone());
         let (sender, first_event) = sync_channel(1);
         let revision = config.cached_list.revision;
-        let pace = Pace::new(config.seed, config.settings.polls_endpoints);
+        let backoff = PollBackoff::new(config.seed, config.settings.polls_endpoints);
         spawn_with(link::LARGE_STACK, move || {
-            running.run(revision, pace, |news| {
-                if let News::List(list) = news {
+            running.run(revision, backoff, |event| {
+                if let WatchEvent::EndpointList(list) = event {
                     let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
-                    let TranslatedList { entries, places } = link::locked(&endpoint_ids).translate(list);
-                    pools.listed(kind, &places);
+                    let TranslatedList { entries, endpoints } = link::locked(&endpoint_ids).translate(list);
+                    pools.update_endpoints(kind, &endpoints);
                     exchange.update_endpoints(kind, entries);
                 }
                 // Only the first is waited for.
@@ -234,7 +234,7 @@
             let operators = admin_listener
                 .as_ref()
                 .map_or(0, |listener| (listener.client_count() + SPARE_ADMIN_CLIENTS).min(MAX_CLIENTS));
-            let attempts = reserved.max(pools.open() + reserved / RESERVED_FOR_ATTEMPTS_PART);
+            let attempts = reserved.max(pools.open_connections() + reserved / RESERVED_FOR_ATTEMPTS_PART);
             max_connections.saturating_sub(attempts + operators)
         })
     }
@@ -245,7 +245,7 @@
         timer_thread::start(self.exchange.clone(), move || {
             pools.sweep();
             front.sweep();
-            watch.sweep();
+            watch.close_if_silent();
             if let Some(counter) = &counter {
                 counter.close_silent_connections();
             }
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -2,7 +2,7 @@
 //! serves an overlap, closes client connections between requests, and answers what was accepted.
 
 use crate::error::Error;
-use link::Door;
+use link::Listener;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
 }
 
 /// Serves until a signal asks for the end, then shuts down gracefully. `listener` is closed after the overlap.
-pub fn serve_until_end(mut signals: Signals, listener: &Door, handler: &impl SignalHandler) {
+pub fn serve_until_end(mut signals: Signals, listener: &Listener, handler: &impl SignalHandler) {
     for signal in signals.forever() {
         if signal != SIGHUP {
             tracing::info!("signal {signal}: serving the overlap, then finishing");
@@ -57,7 +57,7 @@
     while started.elapsed() < overlap && !handler.must_close() {
         std::thread::sleep(CHECK_INTERVAL);
     }
-    listener.shut();
+    listener.close();
     handler.close_connections();
     let (started, longest) = (Instant::now(), handler.longest_deadline() + DEADLINE_MARGIN);
     while handler.open_connections() > 0 && started.elapsed() < longest {
