--- /dev/null
+++ b/crates/fault_injection/src/schedule.rs
@@ -0,0 +1,150 @@
+//! A schedule of faults: a file that people read and edit, or what follows from a seed.
+
+mod fault;
+mod generator;
+mod named;
+
+#[cfg(test)]
+mod tests;
+
+pub use fault::{DiskFault, FailureMode, Fault, FaultKind};
+pub use named::named_schedules;
+
+use serde::{Deserialize, Serialize};
+
+/// The most gatekeepers, and the most backends, of a site.
+pub const MAX_NODES: usize = 64;
+
+/// A schedule file that cannot be played.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScheduleError {
+    /// The file is no schedule.
+    #[error(transparent)]
+    Syntax(#[from] toml::de::Error),
+    /// Too few or too many gatekeepers or backends.
+    #[error("programs and loans must be 1 to {MAX_NODES}, not {gatekeepers} and {backends}")]
+    SiteSize {
+        /// Gatekeepers asked for.
+        gatekeepers: usize,
+        /// Backends asked for.
+        backends: usize,
+    },
+    /// A fault ends after the schedule does.
+    #[error("a fault of {start_ms} ms ends after length_ms")]
+    FaultEndsLate {
+        /// When it begins.
+        start_ms: u64,
+    },
+}
+
+/// The form in which gatekeepers run.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
+#[serde(rename_all = "snake_case")]
+pub enum Form {
+    /// The appliance: HTTP, Consul, gossip and shared periodic jobs.
+    #[default]
+    Appliance,
+    /// The platform's: RESP2, discovery, hot restarts; the instances do not talk to each other.
+    Platform,
+}
+
+/// What a site has beside gatekeepers and backends.
+#[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
+#[serde(deny_unknown_fields, default)]
+pub struct SiteOptions {
+    /// Periodic jobs of the appliances.
+    #[serde(rename = "duties")]
+    pub jobs: usize,
+    /// Members that step in behind the first for a job.
+    pub standbys: usize,
+    /// Consul agents of each gatekeeper.
+    #[serde(rename = "agents")]
+    pub consul_agents: usize,
+    /// Tenants send requests all the time.
+    pub load: bool,
+    /// Appliances check the health of backends.
+    #[serde(rename = "probes")]
+    pub health_checks: bool,
+    /// Replicas of the replicated configuration, the first gatekeepers; 0 for none.
+    #[serde(rename = "voters")]
+    pub replicas: usize,
+}
+
+impl Default for SiteOptions {
+    fn default() -> Self {
+        Self { jobs: 4, standbys: 3, consul_agents: 1, load: true, health_checks: true, replicas: 0 }
+    }
+}
+
+impl SiteOptions {
+    fn is_default(&self) -> bool {
+        *self == Self::default()
+    }
+}
+
+/// A schedule of faults for a site.
+#[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct Schedule {
+    /// Its name.
+    pub name: String,
+    /// Seeds all that is random in the harness.
+    pub seed: u64,
+    /// The form of the gatekeepers.
+    pub form: Form,
+    /// How many gatekeepers.
+    #[serde(rename = "programs")]
+    pub gatekeepers: usize,
+    /// How many backends.
+    #[serde(rename = "loans")]
+    pub backends: usize,
+    /// The load goes on for so long; then all must agree again.
+    pub length_ms: u64,
+    /// What else the site has.
+    #[serde(default, rename = "has", skip_serializing_if = "SiteOptions::is_default")]
+    pub options: SiteOptions,
+    /// The faults.
+    #[serde(default, rename = "fault")]
+    pub faults: Vec<Fault>,
+}
+
+impl Schedule {
+    /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// The text is no schedule, or one that cannot be played.
+    pub fn parse(text: &str) -> Result<Self, ScheduleError> {
+        let schedule: Self = toml::from_str(text)?;
+        let (gatekeepers, backends) = (schedule.gatekeepers, schedule.backends);
+        if [gatekeepers, backends].iter().any(|count| !(1..=MAX_NODES).contains(count)) {
+            return Err(ScheduleError::SiteSize { gatekeepers, backends });
+        }
+        match schedule.faults.iter().find(|fault| fault.end_ms() > schedule.length_ms) {
+            Some(late) => Err(ScheduleError::FaultEndsLate { start_ms: late.start_ms }),
+            None => Ok(schedule),
+        }
+    }
+
+    /// The file's text.
+    ///
+    /// # Panics
+    ///
+    /// Never: each field has a form in TOML.
+    pub fn to_toml(&self) -> String {
+        toml::to_string(self).expect("a schedule has a form in TOML")
+    }
+
+    /// When the last fault ends, in ms.
+    pub fn last_fault_end_ms(&self) -> u64 {
+        self.faults.iter().map(Fault::end_ms).max().unwrap_or(0)
+    }
+
+    /// The same schedule without the fault at this index.
+    #[must_use]
+    pub fn without_fault(&self, index: usize) -> Self {
+        let mut smaller = self.clone();
+        smaller.faults.remove(index);
+        smaller
+    }
+}
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -59,12 +59,12 @@
     }
 }
 
-/// A build with seeded faults says so, and may end by itself; see the package `weakened`.
+/// A build with seeded faults says so, and may end by itself; see the package `seeded_faults`.
 fn start_seeded_faults() {
-    if weakened::BUILD {
+    if seeded_faults::BUILD {
         eprintln!("snowfield: this build breaks a rule on purpose; it serves nobody");
     }
-    if weakened::breaks("exits") {
+    if seeded_faults::breaks("exits") {
         std::thread::spawn(|| {
             std::thread::sleep(SEEDED_EXIT_AFTER);
             std::process::exit(0);
