--- /dev/null
+++ b/crates/consul/tests/requests.rs
@@ -0,0 +1,113 @@
+//! The requests that Consul's agent receives, as version 0.1.0 sent them: later versions send the same bytes.
+
+use catalogue::Guards;
+use consul::{Answered, Source, Watch, Watched};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+const WATCH: &str = include_str!("fixtures/watch.http");
+const WATCH_WITH_ALL_OPTIONS: &str = include_str!("fixtures/watch_all_options.http");
+const REGISTRATION: &str = include_str!("fixtures/registration.http");
+
+/// The head and the body of one request.
+fn read_request(stream: &mut TcpStream) -> Option<String> {
+    let mut received = Vec::new();
+    let mut piece = [0; 4096];
+    loop {
+        let text = String::from_utf8(received.clone()).expect("a request is text");
+        if let Some((head, body)) = text.split_once("\r\n\r\n") {
+            let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+            let length: usize = length.map_or(0, |digits| digits.parse().expect("a length"));
+            if body.len() >= length {
+                return Some(text);
+            }
+        }
+        let count = stream.read(&mut piece).ok().filter(|&count| count > 0)?;
+        received.extend_from_slice(&piece[..count]);
+    }
+}
+
+/// An agent that answers the requests of one connection in turn, and returns what it received with its port left out.
+fn agent(responses: Vec<&'static str>) -> (SocketAddr, JoinHandle<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let run = move || {
+        let mut received = String::new();
+        let (mut stream, _) = listener.accept().expect("a connection");
+        for response in responses {
+            received += &read_request(&mut stream).expect("a request");
+            received += "\n----\n";
+            stream.write_all(response.as_bytes()).expect("the response is sent");
+        }
+        received.replace(&address.port().to_string(), "PORT")
+    };
+    (address, std::thread::spawn(run))
+}
+
+fn source(agent: SocketAddr) -> Source {
+    Source {
+        agents: vec![agent],
+        token_file: None,
+        datacenter: None,
+        namespace: None,
+        partition: None,
+        stale_ms: None,
+        wait: Duration::from_millis(10_000),
+    }
+}
+
+fn start_watch(source: Source, watched: Watched) {
+    let answered = Arc::new(Answered::default());
+    let watch = Watch::new(source, watched, answered, None, Box::new(|_| {}), Box::new(|_| false));
+    watch.start().expect("a thread");
+}
+
+fn watched(service: &str) -> Watched {
+    Watched { service: service.into(), tag: None, filter: None, guards: Guards::default(), first_number: 0 }
+}
+
+const EMPTY_LIST: &str = "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\nContent-Length: 2\r\n\r\n[]";
+
+#[test]
+fn watches_send_the_requests_of_version_0_1_0() {
+    let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
+    start_watch(source(address), watched("loan-server"));
+    assert_eq!(received.join().expect("the requests"), WATCH);
+}
+
+#[test]
+fn watches_with_all_options_send_the_requests_of_version_0_1_0() {
+    let token_file = std::env::temp_dir().join(format!("snowfield-requests-{}", std::process::id()));
+    std::fs::write(&token_file, "4f6a-token\n").expect("the token is written");
+    let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
+    let source = Source {
+        token_file: Some(token_file.clone()),
+        datacenter: Some("dc1".into()),
+        namespace: Some("team a".into()),
+        partition: Some("p/1".into()),
+        stale_ms: Some(500),
+        ..source(address)
+    };
+    let filter = Some(r#"Service.Meta.zone == "z1""#.to_owned());
+    start_watch(source, Watched { tag: Some("v2".into()), filter, ..watched("loan server/é") });
+    let received = received.join().expect("the requests");
+    std::fs::remove_file(&token_file).expect("it was there");
+    assert_eq!(received, WATCH_WITH_ALL_OPTIONS);
+}
+
+#[test]
+fn registrations_send_the_requests_of_version_0_1_0() {
+    const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    let (address, received) = agent(vec![DONE, DONE, DONE]);
+    let at = "10.1.2.3:8443".parse().expect("an address");
+    let ttl = Duration::from_millis(10_000);
+    let registered = consul::register(source(address), "gatekeeper".into(), "gate keeper-1".into(), at, ttl)
+        .expect("a thread");
+    // Past the registration and the first heartbeat, and before the next.
+    std::thread::sleep(Duration::from_millis(500));
+    registered.end();
+    assert_eq!(received.join().expect("the requests"), REGISTRATION);
+}
--- a/crates/front_openapi/src/problem.rs
+++ b/crates/front_openapi/src/problem.rs
@@ -48,3 +48,6 @@
         .into_bytes()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -57,3 +57,6 @@
         out
     }
 }
+
+#[cfg(test)]
+mod tests;
