--- a/crates/consul/src/ask.rs
+++ b/crates/consul/src/ask.rs
@@ -3,7 +3,7 @@
 use crate::{Token, Watched};
 use catalogue::agents::Ask;
 use catalogue::answer::{self, Answer};
-use http::escaped;
+use http::percent_encode;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -110,12 +110,12 @@
 
 /// Path and query of a query.
 fn target(source: &Source, watched: &Watched, ask: &Ask) -> String {
-    let mut target = format!("/v1/health/service/{}", escaped(&watched.service));
+    let mut target = format!("/v1/health/service/{}", percent_encode(&watched.service));
     let mut first = true;
     let mut put = |name: &str, value: &str| {
         let _ = write!(target, "{}{name}", if std::mem::take(&mut first) { '?' } else { '&' });
         if !value.is_empty() {
-            let _ = write!(target, "={}", escaped(value));
+            let _ = write!(target, "={}", percent_encode(value));
         }
     };
     let named = [
--- a/crates/consul/src/register.rs
+++ b/crates/consul/src/register.rs
@@ -3,7 +3,7 @@
 use crate::ask::client;
 use crate::{Source, Token};
 use catalogue::register::{Ask, Registration, Told};
-use http::escaped;
+use http::percent_encode;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::thread;
@@ -59,8 +59,8 @@
     let tell = |ask: Ask| -> Told {
         let (path, body) = match ask {
             Ask::Register => ("/v1/agent/service/register".to_owned(), body),
-            Ask::Pass => (format!("/v1/agent/check/pass/service:{}", escaped(id)), ""),
-            Ask::Deregister => (format!("/v1/agent/service/deregister/{}", escaped(id)), ""),
+            Ask::Pass => (format!("/v1/agent/check/pass/service:{}", percent_encode(id)), ""),
+            Ask::Deregister => (format!("/v1/agent/service/deregister/{}", percent_encode(id)), ""),
         };
         let url = format!("http://{}{path}", source.agents[0]);
         let mut request = agent.put(url).config().timeout_global(Some(TIMEOUT)).build();
--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -1,7 +1,7 @@
 //! Destinations that speak HTTP/1.1.
 
 use crate::{Protocol, Reading};
-use ::http::{Answer, Request};
+use ::http::{Request, Response};
 use exchange::AttemptEnd;
 use policy::{BackendId, Micros, Outcome};
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 
 impl Protocol for HttpDestination {
     type Query = Request;
-    type Answer = Answer;
+    type Answer = Response;
 
     fn write(&self, query: &Request, _to: SocketAddr, _time_left: Micros, out: &mut Vec<u8>) {
-        query.put(out);
+        query.encode(out);
     }
 
     fn served(&self, backend: BackendId) {
@@ -28,8 +28,8 @@
         }
     }
 
-    fn read(&self, query: &Request, buffer: &[u8], end: bool) -> Reading<Answer> {
-        match ::http::answer(buffer, query.is_head, end) {
+    fn read(&self, query: &Request, buffer: &[u8], end: bool) -> Reading<Response> {
+        match ::http::parse_response(buffer, query.is_head, end) {
             Ok(Some((answer, used, keep))) => {
                 let served = answer.status < 500;
                 let end = AttemptEnd {
@@ -41,7 +41,7 @@
                 Reading::Whole { used, keep, end }
             }
             Ok(None) => Reading::More,
-            Err(::http::Refusal::Malformed(text)) => Reading::Malformed(text),
+            Err(::http::HttpError::Malformed(text)) => Reading::Malformed(text),
             Err(_) => Reading::Malformed("an answer passes a limit"),
         }
     }
--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -19,7 +19,7 @@
     Status(u16),
     /// The response is no valid HTTP.
     #[error("{0}")]
-    Http(#[from] http::Refusal),
+    Http(#[from] http::HttpError),
     /// The body is no sequence of JSON objects, or one of them is too large or nests too deep.
     #[error("an unreadable list: {0}")]
     MalformedList(#[from] json_stream::Unreadable),
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -1,7 +1,7 @@
 //! The agent's response: an HTTP head, then endpoint lists as JSON objects, between lines that may be empty.
 
 use crate::error::WatchError;
-use http::{AnswerHead, Chunks, Framing};
+use http::{ChunkedDecoder, Framing, ResponseHead};
 use json_stream::{Item, Objects};
 use settings::EndpointList;
 
@@ -11,8 +11,8 @@
 
 /// A response that is being received.
 pub(crate) struct Response {
-    head: Option<AnswerHead>,
-    chunks: Chunks,
+    head: Option<ResponseHead>,
+    chunks: ChunkedDecoder,
     objects: Objects,
 }
 
@@ -26,7 +26,7 @@
 
 impl Response {
     pub(crate) fn new() -> Self {
-        Self { head: None, chunks: Chunks::default(), objects: Objects::new(MAX_OBJECT_BYTES) }
+        Self { head: None, chunks: ChunkedDecoder::default(), objects: Objects::new(MAX_OBJECT_BYTES) }
     }
 
     /// Whether the head is complete.
@@ -56,11 +56,11 @@
     }
 
     fn take_head(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
-        let Some((head, start)) = http::final_head(received, false)? else { return Ok(()) };
+        let Some((head, start)) = http::parse_final_response_head(received, false)? else { return Ok(()) };
         if head.status != STATUS_OK {
             return Err(WatchError::Status(head.status));
         }
-        received.drain(..start + head.end);
+        received.drain(..start + head.length);
         self.head = Some(head);
         Ok(())
     }
--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -7,7 +7,7 @@
 mod report;
 
 use exchange::{Exchange, FailureReason, FinalAnswer, TenantId};
-use http::{Answer, Body, Framing, Refusal, Request, RequestHead};
+use http::{BodyReader, Framing, HttpError, Request, RequestHead, Response};
 use link::{Door, Incoming, Link, locked, sleep, spawn};
 use openapi::{Match, RouteTable};
 use problem::Problem;
@@ -31,7 +31,7 @@
 const MARGIN: u64 = 10_000;
 
 /// What this front passes on and gives back.
-pub type HttpExchange = Exchange<Request, Answer>;
+pub type HttpExchange = Exchange<Request, Response>;
 
 /// A lender that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 struct ClientConnection {
     link: Link,
     phase: Mutex<(Phase, Instant)>,
-    answer: Mutex<Option<FinalAnswer<Answer>>>,
+    answer: Mutex<Option<FinalAnswer<Response>>>,
     /// Room is needed: it ends if it is idle.
     unwanted: AtomicBool,
 }
@@ -247,23 +247,23 @@
             return Err(Stop::Gone);
         }
         let head = loop {
-            match http::request_head(buffer) {
+            match http::parse_request_head(buffer) {
                 Ok(Some(head)) => break head,
                 Ok(None) => self.more(socket, buffer)?,
                 Err(refusal) => return Err(Stop::Problem(Problem::refused(refusal))),
             }
         };
         socket.enter(Phase::Reading);
-        let bytes: Vec<u8> = buffer.drain(..head.end).collect();
+        let bytes: Vec<u8> = buffer.drain(..head.length).collect();
         let admitted = self.admit(&bytes, &head);
         if let (Err(problem), true) = (&admitted, head.framing != Framing::Empty) {
             // The body that follows is not wanted: it ends with the connection.
             return Err(Stop::Problem(problem.clone()));
         }
         let refused = |r| Stop::Problem(Problem::refused(r));
-        let mut body = Body::new(head.framing, self.setup.largest_body).map_err(refused)?;
-        let mut told = !head.expects;
-        while !body.take(buffer).map_err(refused)? {
+        let mut body = BodyReader::new(head.framing, self.setup.largest_body).map_err(refused)?;
+        let mut told = !head.expects_continue;
+        while !body.read_from(buffer).map_err(refused)? {
             if !told {
                 told = true;
                 let _ = socket.link.send(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -315,7 +315,7 @@
             Match::Unknown => return Err(Problem::new(404, "Not Found", "no route has this path")),
         };
         let header = &self.setup.lender_header;
-        let mut names = http::values(bytes, &head.fields, header);
+        let mut names = http::header_values(bytes, &head.fields, header);
         let (Some(name), None) = (names.next(), names.next()) else {
             return Err(Problem::malformed(&format!("the header {header} must name one lender")));
         };
@@ -338,13 +338,15 @@
                 }
                 Err(stop) => return Some(stop),
             },
-            Err(problem) => return self.say(socket, &problem.bytes(!head.keep, is_head), head.keep),
+            Err(problem) => {
+                return self.say(socket, &problem.bytes(!head.keep_alive, is_head), head.keep_alive);
+            }
         };
-        let keep = head.keep && !self.closing.load(Ordering::Acquire);
+        let keep = head.keep_alive && !self.closing.load(Ordering::Acquire);
         let bytes = match answer {
             FinalAnswer::Served(answer) => {
                 let mut out = Vec::with_capacity(answer.head.len() + answer.body.len() + 64);
-                answer.put(!keep, &mut out);
+                answer.encode(!keep, &mut out);
                 out
             }
             FinalAnswer::Rejected { retry_after, reason: why } => {
@@ -380,7 +382,7 @@
         head: &RequestHead,
         body: Vec<u8>,
         admitted: Admitted,
-    ) -> Result<FinalAnswer<Answer>, Stop> {
+    ) -> Result<FinalAnswer<Response>, Stop> {
         let Admitted { route, lender } = admitted;
         let target = target_of(bytes, head).map_err(Stop::Problem)?;
         let (class, deadline) = self.setup.classes[route];
@@ -445,13 +447,13 @@
 }
 
 impl Problem {
-    fn refused(refusal: Refusal) -> Self {
+    fn refused(refusal: HttpError) -> Self {
         match refusal {
-            Refusal::Malformed(text) => Self::malformed(text),
-            Refusal::HeadTooLarge => {
+            HttpError::Malformed(text) => Self::malformed(text),
+            HttpError::HeadTooLarge => {
                 Self::new(431, "Request Header Fields Too Large", "the head is too large")
             }
-            Refusal::BodyTooLarge => Self::new(413, "Content Too Large", "the body is too large"),
+            HttpError::BodyTooLarge => Self::new(413, "Content Too Large", "the body is too large"),
         }
     }
 
--- a/crates/front_openapi/src/problem/tests.rs
+++ b/crates/front_openapi/src/problem/tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 use exchange::FailureReason;
-use http::Refusal;
+use http::HttpError;
 
 const PROBLEMS: &str = include_str!("../../tests/fixtures/problems.http");
 
 /// One of each answer: the connection stays open, closes, or the request was HEAD.
 fn all_problems() -> Vec<Problem> {
     vec![
-        Problem::refused(Refusal::Malformed("a header's name is malformed")),
-        Problem::refused(Refusal::HeadTooLarge),
-        Problem::refused(Refusal::BodyTooLarge),
+        Problem::refused(HttpError::Malformed("a header's name is malformed")),
+        Problem::refused(HttpError::HeadTooLarge),
+        Problem::refused(HttpError::BodyTooLarge),
         Problem::malformed("a \"quoted\\\" text\twith\u{1} controls and é"),
         Problem::wrong_method("GET, POST"),
         Problem::new(404, "Not Found", "no route has this path"),
--- a/crates/front_openapi/src/report/tests.rs
+++ b/crates/front_openapi/src/report/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::{Front, HttpExchange, Lender, Setup, Tally};
 use exchange::{Clock, Exchange, FailureReason, FinalAnswer};
-use http::Answer;
+use http::Response;
 use link::locked;
 use openapi::{Description, RouteTable};
 use policy::{Plan, RequestClass, Settings};
@@ -52,13 +52,14 @@
 #[test]
 fn counts_each_kind_of_final_answer() {
     let mut counts = Tally::default();
-    let answer = Answer { status: 200, head: Vec::new(), length: None, body: Vec::new() };
+    let answer = Response { status: 200, head: Vec::new(), length: None, body: Vec::new() };
     counts.count(&FinalAnswer::Served(answer));
     for _ in 0..2 {
-        counts.count(&FinalAnswer::<Answer>::Rejected { retry_after: 1, reason: FailureReason::NoCapacity });
+        counts
+            .count(&FinalAnswer::<Response>::Rejected { retry_after: 1, reason: FailureReason::NoCapacity });
     }
     for _ in 0..3 {
-        counts.count(&FinalAnswer::<Answer>::Failed(FailureReason::BackendFailed));
+        counts.count(&FinalAnswer::<Response>::Failed(FailureReason::BackendFailed));
     }
     assert_eq!(counts, Tally { served: 1, busy: 2, failed: 3 });
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -4,13 +4,13 @@
 use std::ops::Range;
 
 /// The most bytes of a head.
-pub const LARGEST_HEAD: usize = 32 * 1024;
+pub const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// The most header fields of a head.
-pub const MOST_FIELDS: usize = 64;
+pub const MAX_HEADER_FIELDS: usize = 64;
 
 /// Why bytes are no message that can be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum HttpError {
     /// Not HTTP/1.1, or framed in an ambiguous way.
     Malformed(&'static str),
     /// The head passes a limit.
@@ -19,7 +19,7 @@
     BodyTooLarge,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Malformed(text) => text,
@@ -29,16 +29,16 @@
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for HttpError {}
 
 /// A decoder of the chunked coding that takes bytes as they come.
 #[derive(Debug, Default)]
-pub struct Chunks {
-    state: ChunkState,
+pub struct ChunkedDecoder {
+    state: ChunkedState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum ChunkState {
+enum ChunkedState {
     #[default]
     Size,
     Data(u64),
@@ -47,54 +47,54 @@
     Done,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Decodes from `from` on, appends the data to `out` and tells where it stopped. It stops early only where more
     /// bytes must come, or when the body is done.
     ///
     /// # Errors
     ///
     /// The coding is malformed.
-    pub fn decode(&mut self, bytes: &[u8], from: usize, out: &mut Vec<u8>) -> Result<usize, Refusal> {
+    pub fn decode(&mut self, bytes: &[u8], from: usize, out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = from;
-        while self.state != ChunkState::Done {
+        while self.state != ChunkedState::Done {
             let rest = &bytes[at..];
             match self.state {
-                ChunkState::Size => match httparse::parse_chunk_size(rest) {
+                ChunkedState::Size => match httparse::parse_chunk_size(rest) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         at += used;
-                        self.state = if size == 0 { ChunkState::Trailer } else { ChunkState::Data(size) };
+                        self.state = if size == 0 { ChunkedState::Trailer } else { ChunkedState::Data(size) };
                     }
                     Ok(httparse::Status::Partial) if rest.len() < 1024 => break,
-                    _ => return Err(Refusal::Malformed("a chunk's size is malformed")),
+                    _ => return Err(HttpError::Malformed("a chunk's size is malformed")),
                 },
-                ChunkState::Data(left) => {
+                ChunkedState::Data(left) => {
                     let take = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                     out.extend_from_slice(&rest[..take]);
                     at += take;
                     let left = left - take as u64;
-                    self.state = if left == 0 { ChunkState::DataEnd } else { ChunkState::Data(left) };
+                    self.state = if left == 0 { ChunkedState::DataEnd } else { ChunkedState::Data(left) };
                     if left > 0 {
                         break;
                     }
                 }
-                ChunkState::DataEnd => match rest {
+                ChunkedState::DataEnd => match rest {
                     [b'\r', b'\n', ..] => {
                         at += 2;
-                        self.state = ChunkState::Size;
+                        self.state = ChunkedState::Size;
                     }
                     [] | [b'\r'] => break,
-                    _ => return Err(Refusal::Malformed("a chunk has no end")),
+                    _ => return Err(HttpError::Malformed("a chunk has no end")),
                 },
-                ChunkState::Trailer => match rest.windows(2).position(|w| w == b"\r\n") {
+                ChunkedState::Trailer => match rest.windows(2).position(|w| w == b"\r\n") {
                     Some(0) => {
                         at += 2;
-                        self.state = ChunkState::Done;
+                        self.state = ChunkedState::Done;
                     }
                     Some(n) => at += n + 2,
                     None if rest.len() < 4096 => break,
-                    None => return Err(Refusal::Malformed("a trailer is too long")),
+                    None => return Err(HttpError::Malformed("a trailer is too long")),
                 },
-                ChunkState::Done => {}
+                ChunkedState::Done => {}
             }
         }
         Ok(at)
@@ -102,7 +102,7 @@
 
     /// Whether the body is done.
     pub fn is_done(&self) -> bool {
-        self.state == ChunkState::Done
+        self.state == ChunkedState::Done
     }
 }
 
@@ -121,7 +121,7 @@
 
 /// A header field as it lies in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Field {
+pub struct HeaderField {
     /// Its name.
     pub name: Range<usize>,
     /// Its value.
@@ -130,17 +130,17 @@
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// The fields, in order.
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// How the body ends.
     pub framing: Framing,
     /// The connection may be used again.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// Where the head ends.
-    pub end: usize,
+    pub length: usize,
 }
 
 /// Where a part of `buffer` lies in it.
@@ -149,64 +149,64 @@
     start..start + part.len()
 }
 
-fn places(buffer: &[u8], headers: &[httparse::Header<'_>]) -> Vec<Field> {
-    let field = |h: &httparse::Header<'_>| Field {
+fn places(buffer: &[u8], headers: &[httparse::Header<'_>]) -> Vec<HeaderField> {
+    let field = |h: &httparse::Header<'_>| HeaderField {
         name: place(buffer, h.name.as_bytes()),
         value: place(buffer, h.value),
     };
     headers.iter().map(field).collect()
 }
 
-fn refusal(error: httparse::Error) -> Refusal {
+fn refusal(error: httparse::Error) -> HttpError {
     match error {
-        httparse::Error::TooManyHeaders => Refusal::HeadTooLarge,
-        httparse::Error::HeaderName => Refusal::Malformed("a header's name is malformed"),
-        httparse::Error::HeaderValue => Refusal::Malformed("a header's value is malformed"),
-        _ => Refusal::Malformed("not HTTP/1.1"),
+        httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
+        httparse::Error::HeaderName => HttpError::Malformed("a header's name is malformed"),
+        httparse::Error::HeaderValue => HttpError::Malformed("a header's value is malformed"),
+        _ => HttpError::Malformed("not HTTP/1.1"),
     }
 }
 
 /// The values of all fields of this name.
-pub fn values<'a>(
+pub fn header_values<'a>(
     buffer: &'a [u8],
-    fields: &'a [Field],
+    fields: &'a [HeaderField],
     name: &'a str,
 ) -> impl Iterator<Item = &'a [u8]> + 'a {
-    let named = move |f: &&Field| buffer[f.name.clone()].eq_ignore_ascii_case(name.as_bytes());
+    let named = move |f: &&HeaderField| buffer[f.name.clone()].eq_ignore_ascii_case(name.as_bytes());
     fields.iter().filter(named).map(|f| &buffer[f.value.clone()])
 }
 
 /// Whether a comma-separated field holds this word.
-pub fn lists(buffer: &[u8], fields: &[Field], name: &str, word: &str) -> bool {
-    values(buffer, fields, name)
+pub fn has_list_token(buffer: &[u8], fields: &[HeaderField], name: &str, word: &str) -> bool {
+    header_values(buffer, fields, name)
         .flat_map(|v| v.split(|&b| b == b','))
         .any(|v| v.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
 }
 
 /// What the fields say of the body; `None` where they say nothing.
-fn framing(buffer: &[u8], fields: &[Field]) -> Result<Option<Framing>, Refusal> {
-    let mut lengths = values(buffer, fields, "content-length");
+fn framing(buffer: &[u8], fields: &[HeaderField]) -> Result<Option<Framing>, HttpError> {
+    let mut lengths = header_values(buffer, fields, "content-length");
     let length = lengths.next();
     if lengths.next().is_some() {
-        return Err(Refusal::Malformed("more than one Content-Length"));
+        return Err(HttpError::Malformed("more than one Content-Length"));
     }
-    let mut codings = values(buffer, fields, "transfer-encoding");
+    let mut codings = header_values(buffer, fields, "transfer-encoding");
     let coding = codings.next();
     if codings.next().is_some() {
-        return Err(Refusal::Malformed("more than one Transfer-Encoding"));
+        return Err(HttpError::Malformed("more than one Transfer-Encoding"));
     }
     match (length, coding) {
-        (Some(_), Some(_)) => Err(Refusal::Malformed("both Content-Length and Transfer-Encoding")),
+        (Some(_), Some(_)) => Err(HttpError::Malformed("both Content-Length and Transfer-Encoding")),
         (None, Some(coding)) if coding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
             Ok(Some(Framing::Chunked))
         }
-        (None, Some(_)) => Err(Refusal::Malformed("a Transfer-Encoding other than chunked")),
+        (None, Some(_)) => Err(HttpError::Malformed("a Transfer-Encoding other than chunked")),
         (Some(digits), None) => {
             let valid = !digits.is_empty() && digits.len() <= 18 && digits.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(digits).ok().filter(|_| valid);
             match text.and_then(|t| t.parse().ok()) {
                 Some(length) => Ok(Some(Framing::Length(length))),
-                None => Err(Refusal::Malformed("a Content-Length that is no number")),
+                None => Err(HttpError::Malformed("a Content-Length that is no number")),
             }
         }
         (None, None) => Ok(None),
@@ -218,8 +218,8 @@
 /// # Errors
 ///
 /// The bytes are no answer, or one whose end cannot be told.
-pub fn answer_head(buffer: &[u8], to_head: bool) -> Result<Option<AnswerHead>, Refusal> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+pub fn parse_response_head(buffer: &[u8], to_head: bool) -> Result<Option<ResponseHead>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut answer = httparse::Response::new(&mut headers);
     match answer.parse(buffer) {
         Ok(httparse::Status::Complete(end)) => {
@@ -228,12 +228,12 @@
             let told = framing(buffer, &fields)?;
             let bare = to_head || status < 200 || status == 204 || status == 304;
             let framing = if bare { Framing::Empty } else { told.unwrap_or(Framing::UntilEnd) };
-            let close = lists(buffer, &fields, "connection", "close");
+            let close = has_list_token(buffer, &fields, "connection", "close");
             let keep = answer.version == Some(1) && !close && framing != Framing::UntilEnd;
-            Ok(Some(AnswerHead { status, fields, framing, keep, end }))
+            Ok(Some(ResponseHead { status, fields, framing, keep_alive: keep, length: end }))
         }
-        Ok(httparse::Status::Partial) if buffer.len() <= LARGEST_HEAD => Ok(None),
-        Ok(httparse::Status::Partial) => Err(Refusal::HeadTooLarge),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => Ok(None),
+        Ok(httparse::Status::Partial) => Err(HttpError::HeadTooLarge),
         Err(error) => Err(refusal(error)),
     }
 }
@@ -243,14 +243,17 @@
 ///
 /// # Errors
 ///
-/// As [`answer_head`], and an upgrade that nobody asked for.
-pub fn final_head(buffer: &[u8], to_head: bool) -> Result<Option<(AnswerHead, usize)>, Refusal> {
+/// As [`parse_response_head`], and an upgrade that nobody asked for.
+pub fn parse_final_response_head(
+    buffer: &[u8],
+    to_head: bool,
+) -> Result<Option<(ResponseHead, usize)>, HttpError> {
     let mut from = 0;
     loop {
-        let Some(head) = answer_head(&buffer[from..], to_head)? else { return Ok(None) };
+        let Some(head) = parse_response_head(&buffer[from..], to_head)? else { return Ok(None) };
         match head.status {
-            101 => return Err(Refusal::Malformed("an upgrade that nobody asked for")),
-            100..200 => from += head.end,
+            101 => return Err(HttpError::Malformed("an upgrade that nobody asked for")),
+            100..200 => from += head.length,
             _ => return Ok(Some((head, from))),
         }
     }
@@ -264,15 +267,15 @@
     /// The target as it came.
     pub target: Range<usize>,
     /// The fields, in order.
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// How the body ends.
     pub framing: Framing,
     /// The connection may be used again.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// The client waits for `100 Continue` before it sends the body.
-    pub expects: bool,
+    pub expects_continue: bool,
     /// Where the head ends.
-    pub end: usize,
+    pub length: usize,
 }
 
 /// Reads the head of a request; `None` where more must come.
@@ -280,59 +283,67 @@
 /// # Errors
 ///
 /// The bytes are no request, or one whose meaning two readers could take in different ways.
-pub fn request_head(buffer: &[u8]) -> Result<Option<RequestHead>, Refusal> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+pub fn parse_request_head(buffer: &[u8]) -> Result<Option<RequestHead>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(buffer) {
-        Ok(httparse::Status::Complete(end)) if end <= LARGEST_HEAD => {
+        Ok(httparse::Status::Complete(end)) if end <= MAX_HEAD_BYTES => {
             let (Some(method), Some(target), Some(version)) = (request.method, request.path, request.version)
             else {
-                return Err(Refusal::Malformed("not HTTP/1.1"));
+                return Err(HttpError::Malformed("not HTTP/1.1"));
             };
             let (method, target) = (place(buffer, method.as_bytes()), place(buffer, target.as_bytes()));
             let fields = places(buffer, request.headers);
             let told = framing(buffer, &fields)?;
             if version == 0 && told == Some(Framing::Chunked) {
-                return Err(Refusal::Malformed("Transfer-Encoding in HTTP/1.0"));
+                return Err(HttpError::Malformed("Transfer-Encoding in HTTP/1.0"));
             }
-            match values(buffer, &fields, "host").count() {
+            match header_values(buffer, &fields, "host").count() {
                 1 => {}
                 0 if version == 0 => {}
-                _ => return Err(Refusal::Malformed("not exactly one Host")),
+                _ => return Err(HttpError::Malformed("not exactly one Host")),
             }
-            let close = lists(buffer, &fields, "connection", "close");
-            let expects = version == 1 && lists(buffer, &fields, "expect", "100-continue");
+            let close = has_list_token(buffer, &fields, "connection", "close");
+            let expects = version == 1 && has_list_token(buffer, &fields, "expect", "100-continue");
             let framing = told.unwrap_or(Framing::Empty);
             let keep = version == 1 && !close;
-            Ok(Some(RequestHead { method, target, fields, framing, keep, expects, end }))
+            Ok(Some(RequestHead {
+                method,
+                target,
+                fields,
+                framing,
+                keep_alive: keep,
+                expects_continue: expects,
+                length: end,
+            }))
         }
-        Ok(httparse::Status::Partial) if buffer.len() <= LARGEST_HEAD => Ok(None),
-        Ok(_) => Err(Refusal::HeadTooLarge),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => Ok(None),
+        Ok(_) => Err(HttpError::HeadTooLarge),
         Err(error) => Err(refusal(error)),
     }
 }
 
 /// A request body as it comes in.
 #[derive(Debug)]
-pub struct Body {
+pub struct BodyReader {
     framing: Framing,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
     most: usize,
     /// What has come so far.
     pub bytes: Vec<u8>,
 }
 
-impl Body {
+impl BodyReader {
     /// A body that is about to come.
     ///
     /// # Errors
     ///
     /// It says itself that it is larger than `most`.
-    pub fn new(framing: Framing, most: usize) -> Result<Self, Refusal> {
+    pub fn new(framing: Framing, most: usize) -> Result<Self, HttpError> {
         if matches!(framing, Framing::Length(length) if length > most as u64) {
-            return Err(Refusal::BodyTooLarge);
+            return Err(HttpError::BodyTooLarge);
         }
-        Ok(Self { framing, chunks: Chunks::default(), most, bytes: Vec::new() })
+        Ok(Self { framing, chunks: ChunkedDecoder::default(), most, bytes: Vec::new() })
     }
 
     /// Takes what belongs to the body off the front of the buffer; tells whether it is whole.
@@ -340,7 +351,7 @@
     /// # Errors
     ///
     /// It is malformed or too large.
-    pub fn take(&mut self, buffer: &mut Vec<u8>) -> Result<bool, Refusal> {
+    pub fn read_from(&mut self, buffer: &mut Vec<u8>) -> Result<bool, HttpError> {
         let whole = match self.framing {
             Framing::Empty => true,
             Framing::Length(length) => {
@@ -358,12 +369,12 @@
                 false
             }
         };
-        if self.bytes.len() > self.most { Err(Refusal::BodyTooLarge) } else { Ok(whole) }
+        if self.bytes.len() > self.most { Err(HttpError::BodyTooLarge) } else { Ok(whole) }
     }
 }
 
 /// Percent-encodes what may not stand in a path segment or a query's value (RFC 3986, section 2.3).
-pub fn escaped(text: &str) -> String {
+pub fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
@@ -390,11 +401,12 @@
 
 /// Appends the fields that go on to the next hop, as they came. The framing of the body is written anew, so
 /// `Content-Length` is left out, and so is `Expect`, which is answered here.
-pub fn put_end_to_end(buffer: &[u8], fields: &[Field], out: &mut Vec<u8>) {
+pub fn write_end_to_end_fields(buffer: &[u8], fields: &[HeaderField], out: &mut Vec<u8>) {
     for field in fields {
         let name = &buffer[field.name.clone()];
         let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
-        let named = std::str::from_utf8(name).is_ok_and(|name| lists(buffer, fields, "connection", name));
+        let named =
+            std::str::from_utf8(name).is_ok_and(|name| has_list_token(buffer, fields, "connection", name));
         // A client may not have the fields stripped that say whom and how long a request is for.
         let kept = is("host");
         if (named && !kept) || HOP_BY_HOP.iter().any(|h| is(h)) || is("content-length") || is("expect") {
@@ -422,18 +434,18 @@
     /// The request of this head and body. A field that tells of this program is added, as gateways must.
     pub fn new(buffer: &[u8], head: &RequestHead, target: &[u8], body: Vec<u8>) -> Self {
         let method = &buffer[head.method.clone()];
-        let mut out = Vec::with_capacity(head.end + 64);
+        let mut out = Vec::with_capacity(head.length + 64);
         for part in [method, b" ", target, b" HTTP/1.1\r\n"] {
             out.extend_from_slice(part);
         }
-        put_end_to_end(buffer, &head.fields, &mut out);
+        write_end_to_end_fields(buffer, &head.fields, &mut out);
         out.extend_from_slice(b"Via: 1.1 snowfield\r\n");
         let body = (head.framing != Framing::Empty).then_some(body);
         Self { head: out, body, is_head: method == b"HEAD" }
     }
 
     /// Appends the whole request.
-    pub fn put(&self, out: &mut Vec<u8>) {
+    pub fn encode(&self, out: &mut Vec<u8>) {
         out.extend_from_slice(&self.head);
         if let Some(body) = &self.body {
             out.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
@@ -446,7 +458,7 @@
 
 /// A destination's answer as it goes back to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// The status code.
     pub status: u16,
     /// The status line and the end-to-end fields, each with its line's end.
@@ -457,9 +469,9 @@
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// Appends the whole answer.
-    pub fn put(&self, close: bool, out: &mut Vec<u8>) {
+    pub fn encode(&self, close: bool, out: &mut Vec<u8>) {
         out.extend_from_slice(&self.head);
         if let Some(length) = self.length {
             out.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
@@ -478,25 +490,29 @@
 /// # Errors
 ///
 /// No valid answer can come any more.
-pub fn answer(buffer: &[u8], is_head: bool, end: bool) -> Result<Option<(Answer, usize, bool)>, Refusal> {
-    let Some((head, from)) = final_head(buffer, is_head)? else {
-        return if end { Err(Refusal::Malformed("an answer is cut short")) } else { Ok(None) };
+pub fn parse_response(
+    buffer: &[u8],
+    is_head: bool,
+    end: bool,
+) -> Result<Option<(Response, usize, bool)>, HttpError> {
+    let Some((head, from)) = parse_final_response_head(buffer, is_head)? else {
+        return if end { Err(HttpError::Malformed("an answer is cut short")) } else { Ok(None) };
     };
     let message = &buffer[from..];
-    let rest = &message[head.end..];
+    let rest = &message[head.length..];
     let (body, used) = match head.framing {
         Framing::Empty => (Vec::new(), 0),
         Framing::Length(length) => match rest.get(..usize::try_from(length).unwrap_or(usize::MAX)) {
             Some(body) => (body.to_vec(), body.len()),
-            None if end => return Err(Refusal::Malformed("an answer is cut short")),
+            None if end => return Err(HttpError::Malformed("an answer is cut short")),
             None => return Ok(None),
         },
         Framing::Chunked => {
-            let (mut chunks, mut body) = (Chunks::default(), Vec::new());
+            let (mut chunks, mut body) = (ChunkedDecoder::default(), Vec::new());
             let used = chunks.decode(rest, 0, &mut body)?;
             match (chunks.is_done(), end) {
                 (true, _) => (body, used),
-                (false, true) => return Err(Refusal::Malformed("an answer is cut short")),
+                (false, true) => return Err(HttpError::Malformed("an answer is cut short")),
                 (false, false) => return Ok(None),
             }
         }
@@ -507,17 +523,17 @@
         // What a body would have been long, where there is none: as the destination told.
         Framing::Empty if head.status == 204 => None,
         Framing::Empty => {
-            let told = values(message, &head.fields, "content-length").next();
+            let told = header_values(message, &head.fields, "content-length").next();
             told.and_then(|v| std::str::from_utf8(v).ok()).and_then(|v| v.trim().parse().ok())
         }
         _ => Some(body.len() as u64),
     };
     let line = message.iter().position(|&b| b == b'\n').map_or(message, |at| &message[..at]).trim_ascii_end();
-    let mut out = Vec::with_capacity(head.end + 32);
+    let mut out = Vec::with_capacity(head.length + 32);
     out.extend_from_slice(b"HTTP/1.1");
     out.extend_from_slice(line.get(8..).unwrap_or_default());
     out.extend_from_slice(b"\r\n");
-    put_end_to_end(message, &head.fields, &mut out);
-    let answer = Answer { status: head.status, head: out, length, body };
-    Ok(Some((answer, from + head.end + used, head.keep)))
+    write_end_to_end_fields(message, &head.fields, &mut out);
+    let answer = Response { status: head.status, head: out, length, body };
+    Ok(Some((answer, from + head.length + used, head.keep_alive)))
 }
--- a/crates/http/tests/cuts.rs
+++ b/crates/http/tests/cuts.rs
@@ -1,7 +1,7 @@
 //! Random cuts and garbage against the framing.
 
 use cuts::{same_however_cut, survives_garbage};
-use snowfield_http::{self as http, Body, Chunks, Refusal};
+use snowfield_http::{self as http, BodyReader, ChunkedDecoder, HttpError};
 
 const REQUESTS: &[u8] = b"POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nX-One: two\r\n\r\nabc\
     POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nde\r\n1\r\nf\r\n0\r\nT: r\r\n\r\n\
@@ -11,7 +11,7 @@
     HTTP/1.1 204 No Content\r\n\r\n";
 const CHUNKS: &[u8] = b"5\r\nhello\r\nA;name=value\r\n0123456789\r\n0\r\nTrailer: x\r\nOther: y\r\n\r\nrest";
 
-type Requests = (Vec<(Vec<u8>, Vec<u8>)>, Option<Refusal>);
+type Requests = (Vec<(Vec<u8>, Vec<u8>)>, Option<HttpError>);
 
 /// All requests as target and body, and the refusal at the end if there is one.
 fn requests(pieces: &[&[u8]]) -> Requests {
@@ -20,11 +20,11 @@
         buffer.extend_from_slice(piece);
         loop {
             if reading.is_none() {
-                match http::request_head(&buffer) {
+                match http::parse_request_head(&buffer) {
                     Ok(Some(head)) => {
                         let target = buffer[head.target.clone()].to_vec();
-                        buffer.drain(..head.end);
-                        match Body::new(head.framing, 1000) {
+                        buffer.drain(..head.length);
+                        match BodyReader::new(head.framing, 1000) {
                             Ok(body) => reading = Some((target, body)),
                             Err(refusal) => return (all, Some(refusal)),
                         }
@@ -34,7 +34,7 @@
                 }
             }
             let Some((target, mut body)) = reading.take() else { break };
-            match body.take(&mut buffer) {
+            match body.read_from(&mut buffer) {
                 Ok(true) => all.push((target, body.bytes)),
                 Ok(false) => {
                     reading = Some((target, body));
@@ -47,12 +47,12 @@
     (all, None)
 }
 
-fn answers(pieces: &[&[u8]]) -> (Vec<(u16, Vec<u8>)>, Option<Refusal>) {
+fn answers(pieces: &[&[u8]]) -> (Vec<(u16, Vec<u8>)>, Option<HttpError>) {
     let (mut buffer, mut all) = (Vec::new(), Vec::new());
     for piece in pieces {
         buffer.extend_from_slice(piece);
         loop {
-            match http::answer(&buffer, false, false) {
+            match http::parse_response(&buffer, false, false) {
                 Ok(Some((answer, used, _))) => {
                     all.push((answer.status, answer.body));
                     buffer.drain(..used);
@@ -65,8 +65,8 @@
     (all, None)
 }
 
-fn chunks(pieces: &[&[u8]]) -> (Result<(), Refusal>, Vec<u8>, bool) {
-    let (mut chunks, mut buffer, mut out) = (Chunks::default(), Vec::new(), Vec::new());
+fn chunks(pieces: &[&[u8]]) -> (Result<(), HttpError>, Vec<u8>, bool) {
+    let (mut chunks, mut buffer, mut out) = (ChunkedDecoder::default(), Vec::new(), Vec::new());
     for piece in pieces {
         buffer.extend_from_slice(piece);
         match chunks.decode(&buffer, 0, &mut out) {
@@ -100,11 +100,11 @@
 #[test]
 fn an_answer_that_ends_with_its_connection_is_whole_only_then() {
     let bytes = b"HTTP/1.1 200 OK\r\n\r\nall of it";
-    assert_eq!(http::answer(bytes, false, false), Ok(None));
-    let (answer, used, keep) = http::answer(bytes, false, true).unwrap().unwrap();
+    assert_eq!(http::parse_response(bytes, false, false), Ok(None));
+    let (answer, used, keep) = http::parse_response(bytes, false, true).unwrap().unwrap();
     assert_eq!((&answer.body[..], used, keep), (&b"all of it"[..], bytes.len(), false));
     for cut in [&b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"[..], b"HTTP/1.1 200", b""] {
-        assert!(http::answer(cut, false, true).is_err(), "cut short: {cut:?}");
+        assert!(http::parse_response(cut, false, true).is_err(), "cut short: {cut:?}");
     }
 }
 
@@ -113,8 +113,8 @@
 fn interim_answers_are_passed_over() {
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let bytes = [&interim[..], interim, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"].concat();
-    let (head, from) = http::final_head(&bytes, false).unwrap().unwrap();
+    let (head, from) = http::parse_final_response_head(&bytes, false).unwrap().unwrap();
     assert_eq!((head.status, from), (200, 2 * interim.len()));
-    assert_eq!(http::final_head(&bytes[..interim.len() + 5], false), Ok(None));
-    assert!(http::final_head(b"HTTP/1.1 101 Switching Protocols\r\n\r\n", false).is_err());
+    assert_eq!(http::parse_final_response_head(&bytes[..interim.len() + 5], false), Ok(None));
+    assert!(http::parse_final_response_head(b"HTTP/1.1 101 Switching Protocols\r\n\r\n", false).is_err());
 }
--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -129,7 +129,7 @@
 
 /// Percent-encodes what must not stand in a path; the slash may.
 fn escape_path(path: &str) -> String {
-    path.split('/').map(http::escaped).collect::<Vec<_>>().join("/")
+    path.split('/').map(http::percent_encode).collect::<Vec<_>>().join("/")
 }
 
 #[cfg(test)]
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -156,7 +156,7 @@
         connect: Duration::from_millis(file.limits.connect_timeout_ms),
         idle: Duration::from_millis(file.limits.idle_timeout_ms),
         connections: sockets / 2,
-        answer: file.limits.max_response_bytes + http::LARGEST_HEAD,
+        answer: file.limits.max_response_bytes + http::MAX_HEAD_BYTES,
         // Answers over HTTP are held whole.
         streams: 0,
     };
--- a/crates/stand_in_consul/src/serve.rs
+++ b/crates/stand_in_consul/src/serve.rs
@@ -127,18 +127,18 @@
 fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Asked> {
     let mut piece = [0; 16 * 1024];
     loop {
-        if let Some(head) = http::request_head(buffer).ok()? {
+        if let Some(head) = http::parse_request_head(buffer).ok()? {
             let text =
                 |range: &std::ops::Range<usize>| String::from_utf8_lossy(&buffer[range.clone()]).into_owned();
             let (method, target) = (text(&head.method), text(&head.target));
             let field = |name: &str| {
-                let value = http::values(buffer, &head.fields, name).next().unwrap_or_default();
+                let value = http::header_values(buffer, &head.fields, name).next().unwrap_or_default();
                 String::from_utf8_lossy(value).into_owned()
             };
             let (token, takes_gzip) = (field("x-consul-token"), field("accept-encoding").contains("gzip"));
-            let mut body = http::Body::new(head.framing, 1 << 20).ok()?;
-            buffer.drain(..head.end);
-            while !body.take(buffer).ok()? {
+            let mut body = http::BodyReader::new(head.framing, 1 << 20).ok()?;
+            buffer.drain(..head.length);
+            while !body.read_from(buffer).ok()? {
                 let n = stream.read(&mut piece).ok().filter(|&n| n > 0)?;
                 buffer.extend_from_slice(&piece[..n]);
             }
