--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -154,7 +154,7 @@
     }
 
     fn validate_timing(&self) -> Result<(), SettingsError> {
-        let findings: Vec<_> = self.timings().iter().flat_map(timing::Timing::check).collect();
+        let findings: Vec<_> = self.timings().iter().flat_map(timing::ClassTiming::violations).collect();
         if findings.is_empty() { Ok(()) } else { Err(SettingsError::Timing(findings)) }
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// The stated times of each class.
-    pub fn timings(&self) -> Vec<timing::Timing> {
+    pub fn timings(&self) -> Vec<timing::ClassTiming> {
         self.classes.iter().map(|class| class.timing(&self.limits)).collect()
     }
 
--- a/crates/settings/src/appliance/classes.rs
+++ b/crates/settings/src/appliance/classes.rs
@@ -46,17 +46,17 @@
 
 impl ClassConfig {
     /// The stated times, as their rules are checked.
-    pub(super) fn timing(&self, limits: &LimitsConfig) -> timing::Timing {
-        timing::Timing {
+    pub(super) fn timing(&self, limits: &LimitsConfig) -> timing::ClassTiming {
+        timing::ClassTiming {
             class: self.name.clone(),
-            repeatable: self.repeat == RepeatEffect::Safe,
-            wanted: self.latency_objective_ms,
-            deadline: self.deadline_ms,
-            connect: limits.connect_timeout_ms,
-            most_attempts: limits.max_attempts,
-            attempts: self.max_attempts,
-            attempt: self.attempt_timeout_ms,
-            copy_after: self.hedge_after_ms,
+            idempotent: self.repeat == RepeatEffect::Safe,
+            latency_objective_ms: self.latency_objective_ms,
+            deadline_ms: self.deadline_ms,
+            connect_timeout_ms: limits.connect_timeout_ms,
+            attempt_limit: limits.max_attempts,
+            max_attempts: self.max_attempts,
+            attempt_timeout_ms: self.attempt_timeout_ms,
+            hedge_after_ms: self.hedge_after_ms,
         }
     }
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -97,7 +97,7 @@
     },
     /// The stated times of the classes contradict each other.
     #[error("the timing of the classes cannot be kept:\n  {}", join(.0))]
-    Timing(Vec<timing::Finding>),
+    Timing(Vec<timing::TimingViolation>),
     /// A class of the platform's file whose effect is not known.
     #[error("class {class}: unknown effect {effect:?}")]
     UnknownEffect {
@@ -143,7 +143,7 @@
     }
 }
 
-fn join(findings: &[timing::Finding]) -> String {
+fn join(findings: &[timing::TimingViolation]) -> String {
     findings.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n  ")
 }
 
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use policy::Settings;
 
-fn finding() -> timing::Finding {
-    timing::Finding {
+fn finding() -> timing::TimingViolation {
+    timing::TimingViolation {
         class: "lookup".into(),
-        rule: timing::Rule::Zero,
-        text: "wanted_ms is 0".into(),
-        mend: "it must be above 0".into(),
+        rule: timing::TimingRule::ZeroValue,
+        problem: "wanted_ms is 0".into(),
+        remedy: "it must be above 0".into(),
     }
 }
 
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -78,18 +78,21 @@
         Some(value) => format!("{value}{unit}, stated by {class}"),
         None => otherwise,
     };
-    println!("  wanted within  {} ms, stated by {class}", timing.wanted);
-    println!("  given up after {} ms, stated by {class}", timing.deadline);
-    let most = format!("{}, from limits.route_steps", timing.most_attempts);
-    println!("  attempts       {}", stated(timing.attempts.map(u64::from), "", most));
-    println!("  each attempt   {}", stated(timing.attempt, " ms", "until the client gives up".into()));
+    println!("  wanted within  {} ms, stated by {class}", timing.latency_objective_ms);
+    println!("  given up after {} ms, stated by {class}", timing.deadline_ms);
+    let most = format!("{}, from limits.route_steps", timing.attempt_limit);
+    println!("  attempts       {}", stated(timing.max_attempts.map(u64::from), "", most));
+    println!(
+        "  each attempt   {}",
+        stated(timing.attempt_timeout_ms, " ms", "until the client gives up".into())
+    );
     let copy =
-        if timing.repeatable { "when it is late for its class" } else { "never: it must not run twice" };
-    println!("  second copy    {}", stated(timing.copy_after, " ms", copy.into()));
-    println!("  may run again  {}", if timing.repeatable { "yes" } else { "no" });
+        if timing.idempotent { "when it is late for its class" } else { "never: it must not run twice" };
+    println!("  second copy    {}", stated(timing.hedge_after_ms, " ms", copy.into()));
+    println!("  may run again  {}", if timing.idempotent { "yes" } else { "no" });
     println!("the worst case:");
-    for moment in timing.worst_case() {
-        println!("  {:>6} ms  {}", moment.at, moment.what);
+    for moment in timing.worst_case_timeline() {
+        println!("  {:>6} ms  {}", moment.at_ms, moment.event);
     }
     Ok(())
 }
--- a/crates/timing/src/lib.rs
+++ b/crates/timing/src/lib.rs
@@ -8,188 +8,212 @@
 
 /// What is stated of one class. Times are milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Timing {
+pub struct ClassTiming {
     /// The class.
     pub class: String,
     /// A request that may have run may be sent again.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// An answer is wanted by then.
-    pub wanted: u64,
+    pub latency_objective_ms: u64,
     /// The client gives up then.
-    pub deadline: u64,
+    pub deadline_ms: u64,
     /// A connection that is not made by then has failed.
-    pub connect: u64,
+    pub connect_timeout_ms: u64,
     /// The most attempts of any class.
-    pub most_attempts: u32,
+    pub attempt_limit: u32,
     /// Attempts of this class, where it states them.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// How long one attempt may take, where it is stated; else until the client gives up.
-    pub attempt: Option<u64>,
+    pub attempt_timeout_ms: Option<u64>,
     /// When a second copy is worth its work, where it is stated.
-    pub copy_after: Option<u64>,
+    pub hedge_after_ms: Option<u64>,
 }
 
 /// A rule that a file can break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Rule {
+pub enum TimingRule {
     /// A time or a number is 0.
-    Zero,
+    ZeroValue,
     /// An answer is wanted only after the client has given up.
-    WantedTooLate,
+    ObjectiveAfterDeadline,
     /// More attempts than any class may have.
     TooManyAttempts,
     /// The attempts do not fit before the client gives up.
-    DoesNotFit,
+    AttemptsExceedDeadline,
     /// An attempt ends before a connection can be made.
-    ShorterThanConnect,
+    AttemptShorterThanConnect,
     /// A copy of what may not run twice.
-    CopyOfUnsafe,
+    HedgeOfNonIdempotent,
     /// A copy that cannot be answered in time.
-    CopyTooLate,
+    HedgeTooLate,
     /// A copy of an attempt that has been given up by then.
-    CopyNeverDue,
+    HedgeNeverSent,
     /// A copy where one attempt is all there may be.
-    CopyWithoutAttempt,
+    HedgeWithoutAttempt,
 }
 
 /// One broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finding {
+pub struct TimingViolation {
     /// The class.
     pub class: String,
     /// The rule.
-    pub rule: Rule,
+    pub rule: TimingRule,
     /// What is wrong, in the figures of the file.
-    pub text: String,
+    pub problem: String,
     /// A way to mend it.
-    pub mend: String,
+    pub remedy: String,
 }
 
-impl fmt::Display for Finding {
+impl fmt::Display for TimingViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "class {:?}: {}; {}", self.class, self.text, self.mend)
+        write!(f, "class {:?}: {}; {}", self.class, self.problem, self.remedy)
     }
 }
 
 /// A moment of the worst case.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct TimelineEntry {
     /// Milliseconds after the request came.
-    pub at: u64,
+    pub at_ms: u64,
     /// What happens.
-    pub what: String,
+    pub event: String,
 }
 
-impl Timing {
+impl ClassTiming {
     /// Attempts that a request may have.
-    pub fn attempts(&self) -> u32 {
-        self.attempts.unwrap_or(self.most_attempts)
+    pub fn effective_max_attempts(&self) -> u32 {
+        self.max_attempts.unwrap_or(self.attempt_limit)
     }
 
     /// How long all attempts take in the worst case, where one's time is stated: the next begins when the last was silent for
     /// all of it. What may have run is not sent again where that does harm, so there only connections that are never made
     /// can come before.
     fn whole(&self, attempt: u64) -> u64 {
-        let before = if self.repeatable { attempt } else { attempt.min(self.connect) };
-        before.saturating_mul(u64::from(self.attempts().saturating_sub(1))).saturating_add(attempt)
+        let before = if self.idempotent { attempt } else { attempt.min(self.connect_timeout_ms) };
+        before
+            .saturating_mul(u64::from(self.effective_max_attempts().saturating_sub(1)))
+            .saturating_add(attempt)
     }
 
     /// All rules that are broken.
-    pub fn check(&self) -> Vec<Finding> {
+    pub fn violations(&self) -> Vec<TimingViolation> {
         let mut findings = Vec::new();
         let mut find = |rule, text: String, mend: String| {
-            findings.push(Finding { class: self.class.clone(), rule, text, mend });
+            findings.push(TimingViolation { class: self.class.clone(), rule, problem: text, remedy: mend });
         };
         let stated = [
-            ("wanted_ms", Some(self.wanted)),
-            ("deadline_ms", Some(self.deadline)),
-            ("attempts", self.attempts.map(u64::from)),
-            ("attempt_ms", self.attempt),
-            ("copy_after_ms", self.copy_after),
+            ("wanted_ms", Some(self.latency_objective_ms)),
+            ("deadline_ms", Some(self.deadline_ms)),
+            ("attempts", self.max_attempts.map(u64::from)),
+            ("attempt_ms", self.attempt_timeout_ms),
+            ("copy_after_ms", self.hedge_after_ms),
         ];
         for (name, _) in stated.iter().filter(|(_, value)| *value == Some(0)) {
-            find(Rule::Zero, format!("{name} is 0"), "it must be above 0".into());
+            find(TimingRule::ZeroValue, format!("{name} is 0"), "it must be above 0".into());
         }
-        if self.wanted > self.deadline {
-            let text =
-                format!("an answer wanted within {} ms is given up after {} ms", self.wanted, self.deadline);
-            find(Rule::WantedTooLate, text, format!("deadline_ms must be {} at least", self.wanted));
+        if self.latency_objective_ms > self.deadline_ms {
+            let text = format!(
+                "an answer wanted within {} ms is given up after {} ms",
+                self.latency_objective_ms, self.deadline_ms
+            );
+            find(
+                TimingRule::ObjectiveAfterDeadline,
+                text,
+                format!("deadline_ms must be {} at least", self.latency_objective_ms),
+            );
         }
-        if let Some(attempts) = self.attempts.filter(|a| *a > self.most_attempts) {
+        if let Some(attempts) = self.max_attempts.filter(|a| *a > self.attempt_limit) {
             let text =
-                format!("{attempts} attempts are more than limits.route_steps = {}", self.most_attempts);
+                format!("{attempts} attempts are more than limits.route_steps = {}", self.attempt_limit);
             find(
-                Rule::TooManyAttempts,
+                TimingRule::TooManyAttempts,
                 text,
-                format!("state {} at most, or raise the limit", self.most_attempts),
+                format!("state {} at most, or raise the limit", self.attempt_limit),
             );
         }
-        if let Some(attempt) = self.attempt.filter(|a| *a > 0) {
+        if let Some(attempt) = self.attempt_timeout_ms.filter(|a| *a > 0) {
             let whole = self.whole(attempt);
-            if whole > self.deadline {
+            if whole > self.deadline_ms {
                 let text = format!(
                     "{} attempts of {attempt} ms take up to {whole} ms, and the client gives up after {}",
-                    self.attempts(),
-                    self.deadline
+                    self.effective_max_attempts(),
+                    self.deadline_ms
+                );
+                let shorter = self.deadline_ms / u64::from(self.effective_max_attempts().max(1));
+                find(
+                    TimingRule::AttemptsExceedDeadline,
+                    text,
+                    format!("state fewer attempts, or attempt_ms = {shorter}"),
                 );
-                let shorter = self.deadline / u64::from(self.attempts().max(1));
-                find(Rule::DoesNotFit, text, format!("state fewer attempts, or attempt_ms = {shorter}"));
             }
-            if attempt <= self.connect {
+            if attempt <= self.connect_timeout_ms {
                 let text = format!(
                     "an attempt of {attempt} ms ends before a connection may be made ({} ms)",
-                    self.connect
+                    self.connect_timeout_ms
+                );
+                find(
+                    TimingRule::AttemptShorterThanConnect,
+                    text,
+                    format!("attempt_ms must be above {}", self.connect_timeout_ms),
                 );
-                find(Rule::ShorterThanConnect, text, format!("attempt_ms must be above {}", self.connect));
             }
         }
-        if let Some(copy) = self.copy_after {
-            if !self.repeatable {
+        if let Some(copy) = self.hedge_after_ms {
+            if !self.idempotent {
                 let text = "a second copy of a request that must not run twice".to_owned();
-                find(Rule::CopyOfUnsafe, text, "take copy_after_ms out, or state repeat = \"safe\"".into());
+                find(
+                    TimingRule::HedgeOfNonIdempotent,
+                    text,
+                    "take copy_after_ms out, or state repeat = \"safe\"".into(),
+                );
             }
-            if copy >= self.wanted {
+            if copy >= self.latency_objective_ms {
                 let text = format!(
                     "a copy after {copy} ms comes when the answer is no longer wanted ({} ms)",
-                    self.wanted
+                    self.latency_objective_ms
+                );
+                find(
+                    TimingRule::HedgeTooLate,
+                    text,
+                    format!("copy_after_ms must be below {}", self.latency_objective_ms),
                 );
-                find(Rule::CopyTooLate, text, format!("copy_after_ms must be below {}", self.wanted));
             }
-            if let Some(attempt) = self.attempt.filter(|attempt| copy >= *attempt) {
+            if let Some(attempt) = self.attempt_timeout_ms.filter(|attempt| copy >= *attempt) {
                 let text =
                     format!("a copy after {copy} ms never comes: the attempt is given up after {attempt} ms");
-                find(Rule::CopyNeverDue, text, format!("copy_after_ms must be below {attempt}"));
+                find(TimingRule::HedgeNeverSent, text, format!("copy_after_ms must be below {attempt}"));
             }
-            if self.attempts() < 2 {
+            if self.effective_max_attempts() < 2 {
                 let text = "a second copy is an attempt, and one is all there may be".to_owned();
-                find(Rule::CopyWithoutAttempt, text, "state attempts = 2 at least".into());
+                find(TimingRule::HedgeWithoutAttempt, text, "state attempts = 2 at least".into());
             }
         }
         findings
     }
 
     /// The course of the worst case, to its last moment.
-    pub fn worst_case(&self) -> Vec<Moment> {
+    pub fn worst_case_timeline(&self) -> Vec<TimelineEntry> {
         let mut course = Vec::new();
-        let mut tell = |at, what: String| course.push(Moment { at, what });
-        let copy = self.copy_after.filter(|_| self.repeatable);
-        let Some(attempt) = self.attempt else {
+        let mut tell = |at, what: String| course.push(TimelineEntry { at_ms: at, event: what });
+        let copy = self.hedge_after_ms.filter(|_| self.idempotent);
+        let Some(attempt) = self.attempt_timeout_ms else {
             tell(0, "attempt 1 begins and is silent; others follow only where one fails before".into());
             if let Some(copy) = copy {
                 tell(copy, "a second copy may be sent".into());
             }
-            tell(self.deadline, "the client gives up, and has its answer just before".into());
+            tell(self.deadline_ms, "the client gives up, and has its answer just before".into());
             return course;
         };
         let mut at = 0;
-        for number in 1..=self.attempts() {
+        for number in 1..=self.effective_max_attempts() {
             tell(at, format!("attempt {number} begins and is silent"));
             if let Some(copy) = copy.filter(|_| number == 1) {
                 tell(at + copy, "a second copy may be sent in the place of a later attempt".into());
             }
-            let last = number == self.attempts();
-            at += if self.repeatable || last { attempt } else { attempt.min(self.connect) };
-            let ends = if self.repeatable || last { "is given up" } else { "has had no connection" };
+            let last = number == self.effective_max_attempts();
+            at += if self.idempotent || last { attempt } else { attempt.min(self.connect_timeout_ms) };
+            let ends = if self.idempotent || last { "is given up" } else { "has had no connection" };
             tell(at, format!("attempt {number} {ends}"));
         }
         tell(at, "the client has its answer".into());
@@ -202,88 +226,122 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn good() -> Timing {
-        Timing {
+    fn good() -> ClassTiming {
+        ClassTiming {
             class: "lookup".into(),
-            repeatable: true,
-            wanted: 600,
-            deadline: 2_500,
-            connect: 250,
-            most_attempts: 4,
-            attempts: Some(3),
-            attempt: Some(800),
-            copy_after: Some(200),
+            idempotent: true,
+            latency_objective_ms: 600,
+            deadline_ms: 2_500,
+            connect_timeout_ms: 250,
+            attempt_limit: 4,
+            max_attempts: Some(3),
+            attempt_timeout_ms: Some(800),
+            hedge_after_ms: Some(200),
         }
     }
 
     #[test]
     fn each_rule_is_found_by_its_own_name_and_the_mend_mends_it() {
-        assert_eq!(good().check(), []);
-        assert_eq!(Timing { attempts: None, attempt: None, copy_after: None, ..good() }.check(), []);
-        let cases: [(Rule, Timing, Timing); 13] = [
-            (Rule::Zero, Timing { attempts: Some(0), copy_after: None, ..good() }, good()),
-            (Rule::Zero, Timing { attempt: Some(0), copy_after: None, ..good() }, good()),
-            (Rule::WantedTooLate, Timing { wanted: 2_501, ..good() }, Timing { wanted: 2_500, ..good() }),
-            (Rule::TooManyAttempts, Timing { attempts: Some(5), attempt: Some(400), ..good() }, good()),
+        assert_eq!(good().violations(), []);
+        assert_eq!(
+            ClassTiming { max_attempts: None, attempt_timeout_ms: None, hedge_after_ms: None, ..good() }
+                .violations(),
+            []
+        );
+        let cases: [(TimingRule, ClassTiming, ClassTiming); 13] = [
+            (
+                TimingRule::ZeroValue,
+                ClassTiming { max_attempts: Some(0), hedge_after_ms: None, ..good() },
+                good(),
+            ),
+            (
+                TimingRule::ZeroValue,
+                ClassTiming { attempt_timeout_ms: Some(0), hedge_after_ms: None, ..good() },
+                good(),
+            ),
+            (
+                TimingRule::ObjectiveAfterDeadline,
+                ClassTiming { latency_objective_ms: 2_501, ..good() },
+                ClassTiming { latency_objective_ms: 2_500, ..good() },
+            ),
+            (
+                TimingRule::TooManyAttempts,
+                ClassTiming { max_attempts: Some(5), attempt_timeout_ms: Some(400), ..good() },
+                good(),
+            ),
+            (
+                TimingRule::AttemptsExceedDeadline,
+                ClassTiming { attempt_timeout_ms: Some(834), ..good() },
+                ClassTiming { attempt_timeout_ms: Some(833), ..good() },
+            ),
+            (TimingRule::AttemptsExceedDeadline, ClassTiming { max_attempts: None, ..good() }, good()),
             (
-                Rule::DoesNotFit,
-                Timing { attempt: Some(834), ..good() },
-                Timing { attempt: Some(833), ..good() },
+                TimingRule::AttemptsExceedDeadline,
+                ClassTiming { attempt_timeout_ms: Some(u64::MAX), ..good() },
+                good(),
             ),
-            (Rule::DoesNotFit, Timing { attempts: None, ..good() }, good()),
-            (Rule::DoesNotFit, Timing { attempt: Some(u64::MAX), ..good() }, good()),
             (
-                Rule::DoesNotFit,
-                Timing { repeatable: false, attempt: Some(2_001), copy_after: None, ..good() },
-                Timing { repeatable: false, attempt: Some(2_000), copy_after: None, ..good() },
+                TimingRule::AttemptsExceedDeadline,
+                ClassTiming {
+                    idempotent: false,
+                    attempt_timeout_ms: Some(2_001),
+                    hedge_after_ms: None,
+                    ..good()
+                },
+                ClassTiming {
+                    idempotent: false,
+                    attempt_timeout_ms: Some(2_000),
+                    hedge_after_ms: None,
+                    ..good()
+                },
             ),
             (
-                Rule::ShorterThanConnect,
-                Timing { attempt: Some(250), ..good() },
-                Timing { attempt: Some(251), ..good() },
+                TimingRule::AttemptShorterThanConnect,
+                ClassTiming { attempt_timeout_ms: Some(250), ..good() },
+                ClassTiming { attempt_timeout_ms: Some(251), ..good() },
             ),
-            (Rule::CopyOfUnsafe, Timing { repeatable: false, ..good() }, good()),
+            (TimingRule::HedgeOfNonIdempotent, ClassTiming { idempotent: false, ..good() }, good()),
             (
-                Rule::CopyTooLate,
-                Timing { copy_after: Some(600), ..good() },
-                Timing { copy_after: Some(599), ..good() },
+                TimingRule::HedgeTooLate,
+                ClassTiming { hedge_after_ms: Some(600), ..good() },
+                ClassTiming { hedge_after_ms: Some(599), ..good() },
             ),
             (
-                Rule::CopyNeverDue,
-                Timing { copy_after: Some(500), attempt: Some(500), ..good() },
-                Timing { copy_after: Some(499), attempt: Some(500), ..good() },
+                TimingRule::HedgeNeverSent,
+                ClassTiming { hedge_after_ms: Some(500), attempt_timeout_ms: Some(500), ..good() },
+                ClassTiming { hedge_after_ms: Some(499), attempt_timeout_ms: Some(500), ..good() },
             ),
             (
-                Rule::CopyWithoutAttempt,
-                Timing { attempts: Some(1), ..good() },
-                Timing { attempts: Some(2), ..good() },
+                TimingRule::HedgeWithoutAttempt,
+                ClassTiming { max_attempts: Some(1), ..good() },
+                ClassTiming { max_attempts: Some(2), ..good() },
             ),
         ];
         for (rule, bad, mended) in cases {
-            let found: Vec<Rule> = bad.check().into_iter().map(|f| f.rule).collect();
+            let found: Vec<TimingRule> = bad.violations().into_iter().map(|f| f.rule).collect();
             assert_eq!(found, [rule], "{bad:?}");
-            assert_eq!(mended.check(), [], "{mended:?}");
+            assert_eq!(mended.violations(), [], "{mended:?}");
         }
     }
 
     #[test]
     fn all_findings_come_at_once() {
-        let bad = Timing {
-            repeatable: false,
-            wanted: 3_000,
-            attempt: Some(100),
-            copy_after: Some(3_000),
+        let bad = ClassTiming {
+            idempotent: false,
+            latency_objective_ms: 3_000,
+            attempt_timeout_ms: Some(100),
+            hedge_after_ms: Some(3_000),
             ..good()
         };
-        let rules: Vec<Rule> = bad.check().into_iter().map(|f| f.rule).collect();
+        let rules: Vec<TimingRule> = bad.violations().into_iter().map(|f| f.rule).collect();
         assert_eq!(
             rules,
             [
-                Rule::WantedTooLate,
-                Rule::ShorterThanConnect,
-                Rule::CopyOfUnsafe,
-                Rule::CopyTooLate,
-                Rule::CopyNeverDue
+                TimingRule::ObjectiveAfterDeadline,
+                TimingRule::AttemptShorterThanConnect,
+                TimingRule::HedgeOfNonIdempotent,
+                TimingRule::HedgeTooLate,
+                TimingRule::HedgeNeverSent
             ]
         );
     }
@@ -299,11 +357,11 @@
         ) {
             let class = String::from("c");
             let timing =
-                Timing { class, repeatable, wanted, deadline, connect, most_attempts, attempts, attempt, copy_after };
-            let course = timing.worst_case();
-            let over = course.last().map_or(0, |moment| moment.at);
-            let begun = course.iter().filter(|m| m.what.ends_with("begins and is silent")).count() as u32;
-            if timing.check().is_empty() {
+                ClassTiming { class, idempotent: repeatable, latency_objective_ms: wanted, deadline_ms: deadline, connect_timeout_ms: connect, attempt_limit: most_attempts, max_attempts: attempts, attempt_timeout_ms: attempt, hedge_after_ms: copy_after };
+            let course = timing.worst_case_timeline();
+            let over = course.last().map_or(0, |moment| moment.at_ms);
+            let begun = course.iter().filter(|m| m.event.ends_with("begins and is silent")).count() as u32;
+            if timing.violations().is_empty() {
                 prop_assert!(over <= deadline, "{timing:?}: {course:?}");
                 prop_assert!(begun <= most_attempts);
                 prop_assert!(copy_after.is_none_or(|copy| repeatable && copy < wanted));
--- a/crates/timing/tests/texts.rs
+++ b/crates/timing/tests/texts.rs
@@ -1,61 +1,62 @@
 //! The texts that `snowfield check` and `snowfield explain` print, as version 0.1.0 wrote them.
 
 use std::fmt::Write;
-use timing::Timing;
+use timing::ClassTiming;
 
 const TEXTS: &str = include_str!("fixtures/texts.txt");
 
-fn valid() -> Timing {
-    Timing {
+fn valid() -> ClassTiming {
+    ClassTiming {
         class: "lookup".into(),
-        repeatable: true,
-        wanted: 600,
-        deadline: 2_500,
-        connect: 250,
-        most_attempts: 4,
-        attempts: Some(3),
-        attempt: Some(800),
-        copy_after: Some(200),
+        idempotent: true,
+        latency_objective_ms: 600,
+        deadline_ms: 2_500,
+        connect_timeout_ms: 250,
+        attempt_limit: 4,
+        max_attempts: Some(3),
+        attempt_timeout_ms: Some(800),
+        hedge_after_ms: Some(200),
     }
 }
 
 /// One class for each rule that a file can break, and some that break none.
-fn classes() -> Vec<Timing> {
+fn classes() -> Vec<ClassTiming> {
     vec![
         valid(),
-        Timing { attempts: None, attempt: None, copy_after: None, ..valid() },
-        Timing { attempts: None, attempt: None, ..valid() },
-        Timing { repeatable: false, attempt: Some(2_000), copy_after: None, ..valid() },
-        Timing {
-            wanted: 0,
-            deadline: 0,
-            attempts: Some(0),
-            attempt: Some(0),
-            copy_after: Some(0),
+        ClassTiming { max_attempts: None, attempt_timeout_ms: None, hedge_after_ms: None, ..valid() },
+        ClassTiming { max_attempts: None, attempt_timeout_ms: None, ..valid() },
+        ClassTiming { idempotent: false, attempt_timeout_ms: Some(2_000), hedge_after_ms: None, ..valid() },
+        ClassTiming {
+            latency_objective_ms: 0,
+            deadline_ms: 0,
+            max_attempts: Some(0),
+            attempt_timeout_ms: Some(0),
+            hedge_after_ms: Some(0),
             ..valid()
         },
-        Timing { wanted: 2_501, ..valid() },
-        Timing { attempts: Some(5), attempt: Some(400), ..valid() },
-        Timing { attempt: Some(834), ..valid() },
-        Timing { attempt: Some(u64::MAX), copy_after: None, ..valid() },
-        Timing { attempt: Some(250), ..valid() },
-        Timing { repeatable: false, ..valid() },
-        Timing { copy_after: Some(600), ..valid() },
-        Timing { copy_after: Some(500), attempt: Some(500), ..valid() },
-        Timing { attempts: Some(1), ..valid() },
+        ClassTiming { latency_objective_ms: 2_501, ..valid() },
+        ClassTiming { max_attempts: Some(5), attempt_timeout_ms: Some(400), ..valid() },
+        ClassTiming { attempt_timeout_ms: Some(834), ..valid() },
+        ClassTiming { attempt_timeout_ms: Some(u64::MAX), hedge_after_ms: None, ..valid() },
+        ClassTiming { attempt_timeout_ms: Some(250), ..valid() },
+        ClassTiming { idempotent: false, ..valid() },
+        ClassTiming { hedge_after_ms: Some(600), ..valid() },
+        ClassTiming { hedge_after_ms: Some(500), attempt_timeout_ms: Some(500), ..valid() },
+        ClassTiming { max_attempts: Some(1), ..valid() },
     ]
 }
 
 fn written() -> String {
     let mut text = String::new();
     for class in classes() {
-        for finding in class.check() {
+        for finding in class.violations() {
             writeln!(text, "{finding}").expect("a text");
         }
         // The course of a class with findings is shown to nobody, and the largest times overflow in it.
-        let course = if class.attempt == Some(u64::MAX) { Vec::new() } else { class.worst_case() };
+        let course =
+            if class.attempt_timeout_ms == Some(u64::MAX) { Vec::new() } else { class.worst_case_timeline() };
         for moment in course {
-            writeln!(text, "  {:>6} ms  {}", moment.at, moment.what).expect("a text");
+            writeln!(text, "  {:>6} ms  {}", moment.at_ms, moment.event).expect("a text");
         }
         text += "----\n";
     }
