--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -9,13 +9,14 @@
 use exchange::{Exchange, FailureReason, FinalAnswer, TenantId};
 use http::{BodyReader, Framing, HttpError, Request, RequestHead, Response};
 use link::{Door, Incoming, Link, locked, sleep, spawn};
-use openapi::{Match, RouteTable};
+use openapi::{RouteMatch, RouteTable};
+use policy::Micros;
 use problem::Problem;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-pub use report::Tally;
+pub use report::RouteCounts;
 
 /// Bytes asked of the system in one read.
 const READ: usize = 16 * 1024;
@@ -35,45 +36,54 @@
 
 /// A lender that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lender {
+pub struct Tenant {
     /// Its name, as the header gives it.
     pub name: String,
     /// Its customer number.
-    pub customer: u64,
+    pub id: TenantId,
     /// The number of its plan.
     pub plan: u32,
     /// The name of its plan.
     pub plan_name: String,
 }
 
+/// The request class of a route, as the exchange knows it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RouteClass {
+    /// The number of the class.
+    pub class: u16,
+    /// The client gives up after this, in microseconds.
+    pub deadline: Micros,
+}
+
 /// What the front works by.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct FrontConfig {
     /// The routes.
-    pub table: RouteTable,
+    pub routes: RouteTable,
     /// For each route the number of its class and, in us, its deadline.
-    pub classes: Vec<(u16, u64)>,
+    pub classes: Vec<RouteClass>,
     /// The header that names the lender.
-    pub lender_header: String,
+    pub tenant_header: String,
     /// The lenders.
-    pub lenders: Vec<Lender>,
+    pub tenants: Vec<Tenant>,
     /// How many gatekeepers a lender's requests come through.
-    pub set_size: f64,
+    pub tenant_gatekeepers: f64,
     /// The most bytes of a request's body.
-    pub largest_body: usize,
+    pub max_body_bytes: usize,
     /// The most client connections.
-    pub most_sockets: usize,
+    pub max_connections: usize,
     /// A request must be whole, and an answer taken, in this span.
-    pub patience: Duration,
+    pub client_timeout: Duration,
 }
 
 /// The front with all its sockets.
 pub struct Front {
     exchange: Arc<HttpExchange>,
-    setup: Setup,
+    setup: FrontConfig,
     closing: AtomicBool,
     sockets: Mutex<Vec<Weak<ClientConnection>>>,
-    tallies: Mutex<Vec<Tally>>,
+    counts: Mutex<Vec<RouteCounts>>,
 }
 
 /// One client's connection.
@@ -133,19 +143,13 @@
 
 impl Front {
     /// A front on this exchange.
-    pub fn new(exchange: Arc<HttpExchange>, setup: Setup) -> Arc<Self> {
-        let tallies = Mutex::new(vec![Tally::default(); setup.table.routes().len()]);
-        Arc::new(Self {
-            exchange,
-            setup,
-            closing: AtomicBool::new(false),
-            sockets: Mutex::default(),
-            tallies,
-        })
+    pub fn new(exchange: Arc<HttpExchange>, setup: FrontConfig) -> Arc<Self> {
+        let counts = Mutex::new(vec![RouteCounts::default(); setup.routes.routes().len()]);
+        Arc::new(Self { exchange, setup, closing: AtomicBool::new(false), sockets: Mutex::default(), counts })
     }
 
     /// Accepts client connections until the door is shut; runs in a coroutine.
-    pub fn run(self: &Arc<Self>, door: &Door) {
+    pub fn accept_connections(self: &Arc<Self>, door: &Door) {
         while let Some(link) = door.accept() {
             // A full table keeps new sockets waiting until idle ones have made room: closed, they would only come again.
             while self.is_full() {
@@ -164,18 +168,18 @@
     }
 
     /// Closes every client connection as soon as it is between requests.
-    pub fn close(&self) {
+    pub fn drain(&self) {
         self.closing.store(true, Ordering::Release);
         self.open_sockets().iter().for_each(|socket| socket.link.wake());
     }
 
     /// Client connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_sockets().len()
     }
 
     /// Ends what takes too long; call it now and then.
-    pub fn sweep(&self) {
+    pub fn close_overdue(&self) {
         for socket in self.open_sockets() {
             let (phase, since) = *locked(&socket.phase);
             match phase {
@@ -184,8 +188,8 @@
                     socket.link.wake();
                 }
                 // Woken, it looks at the time by itself.
-                Phase::Reading if since.elapsed() > self.setup.patience => socket.link.wake(),
-                Phase::Finishing if since.elapsed() > self.setup.patience => socket.link.close(),
+                Phase::Reading if since.elapsed() > self.setup.client_timeout => socket.link.wake(),
+                Phase::Finishing if since.elapsed() > self.setup.client_timeout => socket.link.close(),
                 _ => {}
             }
         }
@@ -194,7 +198,7 @@
     fn is_full(&self) -> bool {
         let mut sockets = locked(&self.sockets);
         sockets.retain(|s| s.strong_count() > 0);
-        sockets.len() >= self.setup.most_sockets
+        sockets.len() >= self.setup.max_connections
     }
 
     /// Has the socket end that has been idle for longest, if it has been for long enough.
@@ -261,7 +265,7 @@
             return Err(Stop::Problem(problem.clone()));
         }
         let refused = |r| Stop::Problem(Problem::refused(r));
-        let mut body = BodyReader::new(head.framing, self.setup.largest_body).map_err(refused)?;
+        let mut body = BodyReader::new(head.framing, self.setup.max_body_bytes).map_err(refused)?;
         let mut told = !head.expects_continue;
         while !body.read_from(buffer).map_err(refused)? {
             if !told {
@@ -292,7 +296,7 @@
                 if unwanted && phase == Phase::Idle && since.elapsed() >= QUIET {
                     return Err(Stop::Quiet);
                 }
-                if phase == Phase::Reading && since.elapsed() > self.setup.patience {
+                if phase == Phase::Reading && since.elapsed() > self.setup.client_timeout {
                     let detail = "the request came too slowly";
                     return Err(Stop::Problem(Problem::new(408, "Request Timeout", detail)));
                 }
@@ -308,18 +312,18 @@
         let method = &bytes[head.method.clone()];
         let text =
             |part| std::str::from_utf8(part).map_err(|_| Problem::malformed("the target is not ASCII"));
-        let found = self.setup.table.find(text(method)?, text(path)?);
+        let found = self.setup.routes.find(text(method)?, text(path)?);
         let route = match found.map_err(|e| Problem::malformed(&e.to_string()))? {
-            Match::Route(route) => route,
-            Match::WrongMethod(allowed) => return Err(Problem::wrong_method(&allowed)),
-            Match::Unknown => return Err(Problem::new(404, "Not Found", "no route has this path")),
+            RouteMatch::Route(route) => route,
+            RouteMatch::MethodNotAllowed(allowed) => return Err(Problem::wrong_method(&allowed)),
+            RouteMatch::NotFound => return Err(Problem::new(404, "Not Found", "no route has this path")),
         };
-        let header = &self.setup.lender_header;
+        let header = &self.setup.tenant_header;
         let mut names = http::header_values(bytes, &head.fields, header);
         let (Some(name), None) = (names.next(), names.next()) else {
             return Err(Problem::malformed(&format!("the header {header} must name one lender")));
         };
-        match self.setup.lenders.iter().position(|l| l.name.as_bytes() == name) {
+        match self.setup.tenants.iter().position(|l| l.name.as_bytes() == name) {
             Some(lender) => Ok(Admitted { route, lender }),
             None => Err(Problem::new(403, "Forbidden", "this lender is not known here")),
         }
@@ -333,7 +337,7 @@
         let answer = match admitted {
             Ok(admitted) => match self.exchange(socket, buffer, &bytes, &head, body, admitted) {
                 Ok(answer) => {
-                    locked(&self.tallies)[admitted.route].count(&answer);
+                    locked(&self.counts)[admitted.route].count(&answer);
                     answer
                 }
                 Err(stop) => return Some(stop),
@@ -385,17 +389,17 @@
     ) -> Result<FinalAnswer<Response>, Stop> {
         let Admitted { route, lender } = admitted;
         let target = target_of(bytes, head).map_err(Stop::Problem)?;
-        let (class, deadline) = self.setup.classes[route];
-        let who = &self.setup.lenders[lender];
+        let RouteClass { class, deadline } = self.setup.classes[route];
+        let who = &self.setup.tenants[lender];
         let request = exchange::Request {
             class,
             plan: who.plan,
-            tenant: TenantId(who.customer),
+            tenant: who.id,
             time_left: deadline.saturating_sub(MARGIN).max(1000),
-            tenant_gatekeepers: self.setup.set_size,
-            units: self.setup.table.routes()[route].units,
+            tenant_gatekeepers: self.setup.tenant_gatekeepers,
+            units: self.setup.routes.routes()[route].units,
             client_retry: false,
-            account: Some((route * self.setup.lenders.len() + lender) as u32),
+            account: Some((route * self.setup.tenants.len() + lender) as u32),
             payload: Request::new(bytes, head, target, body),
         };
         let place = socket.clone();
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -7,20 +7,20 @@
 
 /// Final answers of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct RouteCounts {
     /// With a destination's answer.
     pub served: u64,
     /// With the busy reply.
-    pub busy: u64,
+    pub rejected: u64,
     /// Neither.
     pub failed: u64,
 }
 
-impl Tally {
+impl RouteCounts {
     pub(crate) fn count<A>(&mut self, answer: &FinalAnswer<A>) {
         match answer {
             FinalAnswer::Served(_) => self.served += 1,
-            FinalAnswer::Rejected { .. } => self.busy += 1,
+            FinalAnswer::Rejected { .. } => self.rejected += 1,
             FinalAnswer::Failed(_) => self.failed += 1,
         }
     }
@@ -30,7 +30,7 @@
     /// Routes and lenders as text, one a line. `units` are those sent on, each client's try once.
     pub fn report(&self) -> String {
         let status = self.exchange.status();
-        let lenders = self.setup.lenders.len();
+        let lenders = self.setup.tenants.len();
         let units = |fits: &dyn Fn(usize) -> bool| -> f64 {
             status
                 .accounts
@@ -40,17 +40,17 @@
         };
         let mut out = String::from("routes\n");
         for (i, (route, tally)) in
-            self.setup.table.routes().iter().zip(locked(&self.tallies).iter()).enumerate()
+            self.setup.routes.routes().iter().zip(locked(&self.counts).iter()).enumerate()
         {
             let sent = units(&|account| account / lenders == i);
             let _ = writeln!(
                 out,
                 "  {:7} {}  cost {}  served {}  busy {}  failed {}  units {sent}",
-                route.method, route.path, route.units, tally.served, tally.busy, tally.failed
+                route.method, route.path, route.units, tally.served, tally.rejected, tally.failed
             );
         }
         out.push_str("lenders\n");
-        for (i, lender) in self.setup.lenders.iter().enumerate() {
+        for (i, lender) in self.setup.tenants.iter().enumerate() {
             let sent = units(&|account| account % lenders == i);
             let _ = writeln!(out, "  {}  plan {}  units {sent}", lender.name, lender.plan_name);
         }
--- a/crates/front_openapi/src/report/tests.rs
+++ b/crates/front_openapi/src/report/tests.rs
@@ -1,7 +1,7 @@
 //! The report on routes and lenders, as version 0.1.0 wrote it: later versions write the same bytes.
 
-use crate::{Front, HttpExchange, Lender, Setup, Tally};
-use exchange::{Clock, Exchange, FailureReason, FinalAnswer};
+use crate::{Front, FrontConfig, HttpExchange, RouteClass, RouteCounts, Tenant};
+use exchange::{Clock, Exchange, FailureReason, FinalAnswer, TenantId};
 use http::Response;
 use link::locked;
 use openapi::{Description, RouteTable};
@@ -22,21 +22,21 @@
     };
     let exchange: Arc<HttpExchange> = Exchange::new(settings, 1, Clock::start()).expect("usable settings");
     let table = RouteTable::load(&[Description { name: "loans.json", text: DESCRIPTION }]).expect("a table");
-    let lender = |name: &str, number: u64, plan: &str| Lender {
+    let lender = |name: &str, number: u64, plan: &str| Tenant {
         name: name.into(),
-        customer: number,
+        id: TenantId(number),
         plan: 0,
         plan_name: plan.into(),
     };
-    let setup = Setup {
-        classes: vec![(0, 2_500_000); table.routes().len()],
-        table,
-        lender_header: "x-lender".into(),
-        lenders: vec![lender("acme", 1, "gold"), lender("bank", 2, "basic")],
-        set_size: 1.0,
-        largest_body: 1024,
-        most_sockets: 8,
-        patience: Duration::from_secs(1),
+    let setup = FrontConfig {
+        classes: vec![RouteClass { class: 0, deadline: 2_500_000 }; table.routes().len()],
+        routes: table,
+        tenant_header: "x-lender".into(),
+        tenants: vec![lender("acme", 1, "gold"), lender("bank", 2, "basic")],
+        tenant_gatekeepers: 1.0,
+        max_body_bytes: 1024,
+        max_connections: 8,
+        client_timeout: Duration::from_secs(1),
     };
     Front::new(exchange, setup)
 }
@@ -45,13 +45,13 @@
 fn writes_the_report_of_version_0_1_0() {
     let front = front();
     assert!(front.report().contains("served 0  busy 0  failed 0"));
-    locked(&front.tallies)[1] = Tally { served: 12_345, busy: 67, failed: 8 };
+    locked(&front.counts)[1] = RouteCounts { served: 12_345, rejected: 67, failed: 8 };
     assert_eq!(front.report(), REPORT);
 }
 
 #[test]
 fn counts_each_kind_of_final_answer() {
-    let mut counts = Tally::default();
+    let mut counts = RouteCounts::default();
     let answer = Response { status: 200, head: Vec::new(), length: None, body: Vec::new() };
     counts.count(&FinalAnswer::Served(answer));
     for _ in 0..2 {
@@ -61,5 +61,5 @@
     for _ in 0..3 {
         counts.count(&FinalAnswer::<Response>::Failed(FailureReason::BackendFailed));
     }
-    assert_eq!(counts, Tally { served: 1, busy: 2, failed: 3 });
+    assert_eq!(counts, RouteCounts { served: 1, rejected: 2, failed: 3 });
 }
--- a/crates/openapi/src/lib.rs
+++ b/crates/openapi/src/lib.rs
@@ -65,13 +65,13 @@
 
 /// What a method and a path lead to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Match {
+pub enum RouteMatch {
     /// The route of this number.
     Route(usize),
     /// The path is known, with these methods only.
-    WrongMethod(String),
+    MethodNotAllowed(String),
     /// No path matches.
-    Unknown,
+    NotFound,
 }
 
 /// All routes, ready to be asked.
@@ -130,20 +130,20 @@
     /// # Errors
     ///
     /// The path is one that back ends may read in different ways.
-    pub fn find(&self, method: &str, path: &str) -> Result<Match, PathError> {
+    pub fn find(&self, method: &str, path: &str) -> Result<RouteMatch, PathError> {
         let segments = template::segments(path)?;
         let matching = self.paths.iter().filter(|p| p.template.matches(&segments));
         // Load has refused ambiguity, so of those that match one is more concrete than all others.
         let Some(best) = matching.max_by(|a, b| a.template.concreteness(&b.template)) else {
-            return Ok(Match::Unknown);
+            return Ok(RouteMatch::NotFound);
         };
         let routes = || best.routes.iter().map(|&i| (i, &self.routes[i].method));
         Ok(match routes().find(|(_, m)| *m == method) {
-            Some((i, _)) => Match::Route(i),
+            Some((i, _)) => RouteMatch::Route(i),
             None => {
                 let mut allowed: Vec<&str> = routes().map(|(_, m)| m.as_str()).collect();
                 allowed.sort_unstable();
-                Match::WrongMethod(allowed.join(", "))
+                RouteMatch::MethodNotAllowed(allowed.join(", "))
             }
         })
     }
--- a/crates/openapi/tests/load.rs
+++ b/crates/openapi/tests/load.rs
@@ -1,7 +1,7 @@
 //! What a table is made of, and what is refused.
 
 use cuts::survives_garbage;
-use openapi::{Description, Match, RouteTable};
+use openapi::{Description, RouteMatch, RouteTable};
 
 fn load(texts: &[&str]) -> Result<RouteTable, String> {
     let names = ["one", "two", "three"];
@@ -77,15 +77,15 @@
         r#""/a/{x}":{"get":{},"post":{}},"/a/all":{"get":{}},"/{y}/{x}":{"get":{}},"/a/{x}/":{"get":{}}"#;
     let table = load(&[&with(DEFAULT, paths)]).unwrap();
     let find = |method, path| table.find(method, path).unwrap();
-    assert_eq!(find("GET", "/a/7"), Match::Route(0));
-    assert_eq!(find("GET", "/a/all"), Match::Route(2));
-    assert_eq!(find("GET", "/%61/al%6C"), Match::Route(2));
-    assert_eq!(find("GET", "/b/all"), Match::Route(3));
-    assert_eq!(find("POST", "/a/all"), Match::WrongMethod("GET".into()));
-    assert_eq!(find("PUT", "/a/7"), Match::WrongMethod("GET, POST".into()));
-    assert_eq!(find("GET", "/a/7/"), Match::Route(4));
+    assert_eq!(find("GET", "/a/7"), RouteMatch::Route(0));
+    assert_eq!(find("GET", "/a/all"), RouteMatch::Route(2));
+    assert_eq!(find("GET", "/%61/al%6C"), RouteMatch::Route(2));
+    assert_eq!(find("GET", "/b/all"), RouteMatch::Route(3));
+    assert_eq!(find("POST", "/a/all"), RouteMatch::MethodNotAllowed("GET".into()));
+    assert_eq!(find("PUT", "/a/7"), RouteMatch::MethodNotAllowed("GET, POST".into()));
+    assert_eq!(find("GET", "/a/7/"), RouteMatch::Route(4));
     for path in ["/a/", "/a", "/", "/A/7/x", "/a/7/x"] {
-        assert_eq!(find("GET", path), Match::Unknown, "{path}");
+        assert_eq!(find("GET", path), RouteMatch::NotFound, "{path}");
     }
     for path in ["a", "/a/%", "/a/%4", "/a/%2f", "/a/%5C", "/a/..", "/a/%2E", "/a/%00"] {
         assert!(table.find("GET", path).is_err(), "{path}");
@@ -96,7 +96,7 @@
 fn two_descriptions_may_share_a_path_but_not_a_route() {
     let one = with(DEFAULT, r#""/a/{x}":{"get":{}}"#);
     let table = load(&[&one, &with(DEFAULT, r#""/a/{other}":{"post":{}}"#)]).unwrap();
-    assert_eq!(table.find("PUT", "/a/7"), Ok(Match::WrongMethod("GET, POST".into())));
+    assert_eq!(table.find("PUT", "/a/7"), Ok(RouteMatch::MethodNotAllowed("GET, POST".into())));
     let told = load(&[&one, &with(DEFAULT, r#""/a/{other}":{"get":{}}"#)]).unwrap_err();
     assert!(["one", "two", "/a/{x}", "/a/{other}"].iter().all(|part| told.contains(part)), "{told}");
     // The base path makes them the same.
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -8,7 +8,7 @@
 use counter::CounterClient;
 use destination::{HttpDestination, Limits, Pools};
 use exchange::{Clock, Exchange, QuotaCounter};
-use front_openapi::{Front, HttpExchange, Lender, Setup};
+use front_openapi::{Front, FrontConfig, HttpExchange, Tenant};
 use link::{Door, spawn};
 use openapi::{Description, Route, RouteTable};
 use settings::appliance::{ApplianceConfig, LogFormat, RouteClass, TenantConfig, tenant_number};
@@ -110,11 +110,11 @@
         if let Some(cluster) = &self.started.cluster {
             cluster.leave();
         }
-        self.started.front.close();
+        self.started.front.drain();
     }
 
     fn open(&self) -> usize {
-        self.started.front.open()
+        self.started.front.open_connections()
     }
 
     fn longest(&self) -> Duration {
@@ -196,7 +196,7 @@
     crate::clock::run(exchange, move || {
         pools.sweep();
         listed.sweep();
-        swept.sweep();
+        swept.close_overdue();
         if let Some(counter) = &counter {
             counter.close_silent_connections();
         }
@@ -208,7 +208,7 @@
     tracing::info!("serving OpenAPI on {}", door.address().map_err(|e| e.to_string())?);
     fleet.start()?;
     let (accepting, entrance) = (front.clone(), door.clone());
-    spawn(move || accepting.run(&entrance));
+    spawn(move || accepting.accept_connections(&entrance));
     let registered = file.registration.as_ref().map(|r| {
         let at = r.address.unwrap_or(file.listen);
         let ttl = Duration::from_millis(r.ttl_ms);
@@ -222,28 +222,36 @@
     Door::open(at).map(Arc::new).map_err(|e| format!("{at}: {e}"))
 }
 
-fn setup(file: &ApplianceConfig, table: RouteTable, pairs: &[RouteClass], most_sockets: usize) -> Setup {
+fn setup(
+    file: &ApplianceConfig,
+    table: RouteTable,
+    pairs: &[RouteClass],
+    most_sockets: usize,
+) -> FrontConfig {
     let class = |r: &Route| {
         let pair = pair(file, r);
         let number = pairs.iter().position(|p| *p == pair).unwrap_or(0);
-        (number as u16, file.classes[pair.class].deadline_ms * 1000)
+        front_openapi::RouteClass {
+            class: number as u16,
+            deadline: file.classes[pair.class].deadline_ms * 1000,
+        }
     };
     let classes = table.routes().iter().map(class).collect();
-    let lender = |l: &TenantConfig| Lender {
+    let lender = |l: &TenantConfig| Tenant {
         name: l.name.clone(),
-        customer: tenant_number(&l.name),
+        id: exchange::TenantId(tenant_number(&l.name)),
         plan: file.plan_number(&l.plan).unwrap_or(0) as u32,
         plan_name: l.plan.clone(),
     };
-    Setup {
+    FrontConfig {
         classes,
-        table,
-        lender_header: file.tenant_header.clone(),
-        lenders: file.tenants.iter().map(lender).collect(),
-        set_size: f64::from(file.quota.gatekeepers),
-        largest_body: file.limits.max_body_bytes,
-        most_sockets,
-        patience: Duration::from_millis(file.limits.client_timeout_ms),
+        routes: table,
+        tenant_header: file.tenant_header.clone(),
+        tenants: file.tenants.iter().map(lender).collect(),
+        tenant_gatekeepers: f64::from(file.quota.gatekeepers),
+        max_body_bytes: file.limits.max_body_bytes,
+        max_connections: most_sockets,
+        client_timeout: Duration::from_millis(file.limits.client_timeout_ms),
     }
 }
 
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -65,9 +65,9 @@
     let found =
         checked.table.find(method, target).map_err(|_| format!("{target}: no path that is served"))?;
     let number = match found {
-        openapi::Match::Route(number) => number,
-        openapi::Match::WrongMethod(allowed) => return Err(format!("{target} takes {allowed}")),
-        openapi::Match::Unknown => return Err(format!("{target}: no route")),
+        openapi::RouteMatch::Route(number) => number,
+        openapi::RouteMatch::MethodNotAllowed(allowed) => return Err(format!("{target} takes {allowed}")),
+        openapi::RouteMatch::NotFound => return Err(format!("{target}: no route")),
     };
     let route = &checked.table.routes()[number];
     let timings = checked.file.timings();
