--- a/crates/catalogue/src/list.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -1,6 +1,6 @@
 //! From answers to the list that is used.
 
-use crate::answer::{Health, Instance};
+use crate::health_response::{HealthStatus, Instance};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -9,76 +9,76 @@
 
 /// How sudden changes are met. Spans in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Guards {
+pub struct StabilityConfig {
     /// The worst state that still takes work.
-    pub worst: Health,
+    pub minimum_health: HealthStatus,
     /// An instance that comes back for the second time in a while is held for this; each further time for twice as long.
     pub flap_hold: u64,
     /// No longer than this.
-    pub flap_longest: u64,
+    pub max_flap_hold: u64,
     /// A flap is half forgotten after this.
-    pub flap_memory: u64,
+    pub flap_half_life: u64,
     /// Where this share of the list or more goes without a mark in one answer, the loss is held.
-    pub sudden_share: f64,
+    pub sudden_loss_share: f64,
     /// For this long; then it is believed.
-    pub sudden_hold: u64,
+    pub sudden_loss_hold: u64,
     /// Held are only those that have answered a client this lately.
-    pub answered: u64,
+    pub recently_answered: u64,
 }
 
-impl Default for Guards {
+impl Default for StabilityConfig {
     fn default() -> Self {
         Self {
-            worst: Health::Warning,
+            minimum_health: HealthStatus::Warning,
             flap_hold: 2_000,
-            flap_longest: 60_000,
-            flap_memory: 60_000,
-            sudden_share: 0.5,
-            sudden_hold: 15_000,
-            answered: 3_000,
+            max_flap_hold: 60_000,
+            flap_half_life: 60_000,
+            sudden_loss_share: 0.5,
+            sudden_loss_hold: 15_000,
+            recently_answered: 3_000,
         }
     }
 }
 
 /// Why an instance takes no work, or still does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum EligibilityReason {
     /// It is in the list and well enough.
     Listed,
     /// Its checks say that it takes no work.
-    Unwell(Health),
+    Unhealthy(HealthStatus),
     /// It has come back too often lately: held until this time.
     Flapping(u64),
     /// Another instance at its address takes the work.
-    SharesAddress,
+    DuplicateAddress,
     /// It has weight 0.
-    NoWeight,
+    ZeroWeight,
     /// It vanished with much of the list and still answers: kept until this time.
-    Kept(u64),
+    Retained(u64),
     /// It is no longer in the list.
-    Gone,
+    Deregistered,
 }
 
 /// An instance as it is used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// Its number: a new one for each id and address, and never used again.
     pub number: u32,
     /// As Consul told of it last.
     pub instance: Instance,
     /// Whether it takes work.
-    pub takes_work: bool,
+    pub eligible: bool,
     /// Why.
-    pub reason: Reason,
+    pub reason: EligibilityReason,
     /// Since when it takes work, or did last, in milliseconds; `None` if it has since the first list.
-    pub since: Option<u64>,
+    pub eligible_since: Option<u64>,
 }
 
 /// The list as it is used.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct EndpointList {
     /// By number.
-    pub entries: Vec<Entry>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// What is known of an instance.
@@ -89,7 +89,7 @@
     /// In the last answer.
     listed: bool,
     takes_work: bool,
-    reason: Reason,
+    reason: EligibilityReason,
     since: Option<u64>,
     /// Times that it has stopped taking work, halved in each span of the flaps' memory.
     flaps: f64,
@@ -105,13 +105,13 @@
 
 /// What has happened, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum WatchEvent {
     /// So many entries, so many of which take work.
-    List(usize, usize),
+    ListChanged(usize, usize),
     /// An instance has stopped or begun to take work, and why.
-    Turned(String, bool, Reason),
+    EligibilityChanged(String, bool, EligibilityReason),
     /// So many vanished of so many in one answer; so many are kept until this.
-    Sudden {
+    SuddenLoss {
         /// Vanished.
         vanished: usize,
         /// Of those that took work.
@@ -120,13 +120,13 @@
         kept: usize,
     },
     /// The sudden loss is believed now.
-    Believed(usize),
+    LossAccepted(usize),
 }
 
 /// The list of one service.
 #[derive(Clone, Debug)]
-pub struct Catalogue {
-    guards: Guards,
+pub struct EndpointTracker {
+    guards: StabilityConfig,
     records: HashMap<Key, Record>,
     next_number: u32,
     /// Consul has told a list.
@@ -138,9 +138,9 @@
     counts: Option<(usize, usize)>,
 }
 
-impl Catalogue {
+impl EndpointTracker {
     /// Nothing known yet. Numbers go on from here.
-    pub fn new(guards: Guards, first_number: u32) -> Self {
+    pub fn new(guards: StabilityConfig, first_number: u32) -> Self {
         Self {
             guards,
             records: HashMap::new(),
@@ -153,7 +153,12 @@
     }
 
     /// Takes in a list from disk, from before a restart: all of it counts as it stood.
-    pub fn remembered(&mut self, now: u64, instances: Vec<Instance>, notes: &mut Vec<Note>) -> View {
+    pub fn restore(
+        &mut self,
+        now: u64,
+        instances: Vec<Instance>,
+        notes: &mut Vec<WatchEvent>,
+    ) -> EndpointList {
         // What Consul tells first is no sudden change against what is on disk: much may have happened meanwhile.
         self.take(now, instances, &|_| None, notes);
         let view = self.view(now, notes);
@@ -162,13 +167,13 @@
     }
 
     /// Takes in an answer of Consul. `answered` tells when a client last got an answer from a number.
-    pub fn listed(
+    pub fn apply_response(
         &mut self,
         now: u64,
         instances: Vec<Instance>,
         answered: &dyn Fn(u32) -> Option<u64>,
-        notes: &mut Vec<Note>,
-    ) -> View {
+        notes: &mut Vec<WatchEvent>,
+    ) -> EndpointList {
         self.take(now, instances, answered, notes);
         let view = self.view(now, notes);
         (self.told, self.had_list) = (true, true);
@@ -176,13 +181,18 @@
     }
 
     /// Time has passed: holds may be over. `has_steps` tells whether any work is out at a number.
-    pub fn tick(&mut self, now: u64, has_steps: &dyn Fn(u32) -> bool, notes: &mut Vec<Note>) -> View {
+    pub fn advance(
+        &mut self,
+        now: u64,
+        has_steps: &dyn Fn(u32) -> bool,
+        notes: &mut Vec<WatchEvent>,
+    ) -> EndpointList {
         if self.sudden_until.is_some_and(|until| now >= until) {
             self.sudden_until = None;
             let over =
                 self.records.values().filter(|r| r.kept_until.is_some_and(|until| now >= until)).count();
             if over > 0 {
-                notes.push(Note::Believed(over));
+                notes.push(WatchEvent::LossAccepted(over));
             }
         }
         self.forget(now, has_steps);
@@ -190,16 +200,16 @@
     }
 
     /// When the next hold is over.
-    pub fn next_due(&self, now: u64) -> Option<u64> {
+    pub fn next_deadline(&self, now: u64) -> Option<u64> {
         let holds = self.records.values().filter_map(|r| match r.reason {
-            Reason::Flapping(until) | Reason::Kept(until) => Some(until),
+            EligibilityReason::Flapping(until) | EligibilityReason::Retained(until) => Some(until),
             _ => None,
         });
         holds.filter(|&at| at > now).min()
     }
 
     /// Instances that are remembered, of the fleet and others.
-    pub fn remembers(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.records.len()
     }
 
@@ -208,7 +218,7 @@
         now: u64,
         instances: Vec<Instance>,
         answered: &dyn Fn(u32) -> Option<u64>,
-        notes: &mut Vec<Note>,
+        notes: &mut Vec<WatchEvent>,
     ) {
         let took_work = self.records.values().filter(|r| r.takes_work && r.listed).count();
         self.records.values_mut().for_each(|r| r.listed = false);
@@ -223,7 +233,7 @@
                     instance: instance.clone(),
                     listed: true,
                     takes_work: false,
-                    reason: Reason::Gone,
+                    reason: EligibilityReason::Deregistered,
                     // What was there from the first list on has been running.
                     since: None,
                     flaps: 0.0,
@@ -253,9 +263,9 @@
             .map(|(k, _)| k.clone())
             .collect();
         let sudden = lost.len() >= 2 || (lost.len() == 1 && took_work == 1);
-        if sudden && self.told && lost.len() as f64 >= took_work as f64 * self.guards.sudden_share {
-            let until = now + self.guards.sudden_hold;
-            let lately = self.guards.answered;
+        if sudden && self.told && lost.len() as f64 >= took_work as f64 * self.guards.sudden_loss_share {
+            let until = now + self.guards.sudden_loss_hold;
+            let lately = self.guards.recently_answered;
             let mut kept = 0;
             for key in &lost {
                 if let Some(record) = self.records.get_mut(key)
@@ -266,10 +276,13 @@
                 }
             }
             self.sudden_until = Some(until);
-            notes.push(Note::Sudden { vanished: lost.len(), of: took_work, kept });
+            notes.push(WatchEvent::SuddenLoss { vanished: lost.len(), of: took_work, kept });
         }
         for (key, record) in &mut self.records {
-            if !record.listed && record.kept_until.is_none() && record.reason != Reason::Gone {
+            if !record.listed
+                && record.kept_until.is_none()
+                && record.reason != EligibilityReason::Deregistered
+            {
                 record.left = now;
             }
             if moved.contains(key) {
@@ -286,16 +299,16 @@
             return 0;
         }
         let times = 2f64.powf((flaps - 1.0).min(32.0).floor() - 1.0);
-        ((self.guards.flap_hold as f64 * times) as u64).min(self.guards.flap_longest)
+        ((self.guards.flap_hold as f64 * times) as u64).min(self.guards.max_flap_hold)
     }
 
     fn flaps(&self, record: &Record, now: u64) -> f64 {
-        let spans = now.saturating_sub(record.flapped) as f64 / self.guards.flap_memory.max(1) as f64;
+        let spans = now.saturating_sub(record.flapped) as f64 / self.guards.flap_half_life.max(1) as f64;
         record.flaps * 0.5f64.powf(spans)
     }
 
     /// Settles who takes work now.
-    fn view(&mut self, now: u64, notes: &mut Vec<Note>) -> View {
+    fn view(&mut self, now: u64, notes: &mut Vec<WatchEvent>) -> EndpointList {
         let mut keys: Vec<Key> = self.records.keys().cloned().collect();
         // Of two at one address, who takes work already keeps it; else the later number, which replaced the other.
         keys.sort_by_key(|k| {
@@ -307,7 +320,8 @@
         for key in &keys {
             let Some(record) = self.records.get_mut(key) else { continue };
             let instance = &record.instance;
-            let well = record.listed && instance.health <= self.guards.worst && instance.weight > 0.0;
+            let well =
+                record.listed && instance.health <= self.guards.minimum_health && instance.weight > 0.0;
             match (well, record.well_since) {
                 (true, None) => record.well_since = Some(now),
                 (false, Some(_)) => record.well_since = None,
@@ -318,28 +332,28 @@
                 + self.hold(record, now.min(record.well_since.unwrap_or(now)));
             let reason = if !record.listed {
                 match record.kept_until {
-                    Some(until) if now < until => Reason::Kept(until),
-                    _ => Reason::Gone,
+                    Some(until) if now < until => EligibilityReason::Retained(until),
+                    _ => EligibilityReason::Deregistered,
                 }
-            } else if record.instance.health > self.guards.worst {
-                Reason::Unwell(record.instance.health)
+            } else if record.instance.health > self.guards.minimum_health {
+                EligibilityReason::Unhealthy(record.instance.health)
             } else if record.instance.weight <= 0.0 {
-                Reason::NoWeight
+                EligibilityReason::ZeroWeight
             } else if !record.takes_work && now < until {
-                Reason::Flapping(until)
+                EligibilityReason::Flapping(until)
             } else if addresses.contains_key(&record.instance.address) {
-                Reason::SharesAddress
+                EligibilityReason::DuplicateAddress
             } else {
-                Reason::Listed
+                EligibilityReason::Listed
             };
-            if matches!(reason, Reason::Listed | Reason::Kept(_)) {
+            if matches!(reason, EligibilityReason::Listed | EligibilityReason::Retained(_)) {
                 addresses.insert(record.instance.address, record.number);
             }
             reasons.push(reason);
         }
         let mut turned = Vec::new();
         for (key, reason) in keys.iter().zip(reasons) {
-            let takes_work = matches!(reason, Reason::Listed | Reason::Kept(_));
+            let takes_work = matches!(reason, EligibilityReason::Listed | EligibilityReason::Retained(_));
             let flaps = self.records.get(key).map_or(0.0, |r| self.flaps(r, now));
             let Some(record) = self.records.get_mut(key) else { continue };
             if takes_work != record.takes_work {
@@ -349,11 +363,17 @@
                 } else {
                     (record.flaps, record.flapped) = (flaps + 1.0, now);
                 }
-                turned.push(Note::Turned(record.instance.id.clone(), takes_work, reason));
+                turned.push(WatchEvent::EligibilityChanged(record.instance.id.clone(), takes_work, reason));
             } else if record.reason != reason
-                && matches!((record.reason, reason), (Reason::Unwell(_) | Reason::Gone, Reason::Flapping(_)))
+                && matches!(
+                    (record.reason, reason),
+                    (
+                        EligibilityReason::Unhealthy(_) | EligibilityReason::Deregistered,
+                        EligibilityReason::Flapping(_)
+                    )
+                )
             {
-                turned.push(Note::Turned(record.instance.id.clone(), false, reason));
+                turned.push(WatchEvent::EligibilityChanged(record.instance.id.clone(), false, reason));
             }
             (record.takes_work, record.reason) = (takes_work, reason);
         }
@@ -361,29 +381,29 @@
         let working = self.records.values().filter(|r| r.takes_work).count();
         if !turned.is_empty() || self.counts != Some((listed, working)) {
             self.counts = Some((listed, working));
-            notes.push(Note::List(listed, working));
+            notes.push(WatchEvent::ListChanged(listed, working));
             turned.sort_by(|a, b| format!("{a:?}").cmp(&format!("{b:?}")));
             notes.extend(turned);
         }
-        let mut entries: Vec<Entry> = self
+        let mut entries: Vec<Endpoint> = self
             .records
             .values()
             .filter(|r| r.listed || r.takes_work)
-            .map(|r| Entry {
+            .map(|r| Endpoint {
                 number: r.number,
                 instance: r.instance.clone(),
-                takes_work: r.takes_work,
+                eligible: r.takes_work,
                 reason: r.reason,
-                since: r.since,
+                eligible_since: r.since,
             })
             .collect();
         entries.sort_by_key(|e| e.number);
-        View { entries }
+        EndpointList { endpoints: entries }
     }
 
     /// What has left is remembered for its flaps, and its number while work is out there; both in bounds.
     fn forget(&mut self, now: u64, has_steps: &dyn Fn(u32) -> bool) {
-        let memory = self.guards.flap_memory * 4;
+        let memory = self.guards.flap_half_life * 4;
         self.records.retain(|_, r| {
             r.listed || r.takes_work || has_steps(r.number) || (r.flaps > 1.5 && now < r.left + memory)
         });
@@ -401,5 +421,4 @@
 }
 
 #[cfg(test)]
-#[path = "list_tests.rs"]
 mod tests;
--- a/crates/catalogue/src/list_tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -9,56 +9,56 @@
     Instance {
         id: format!("i{i}"),
         address: at(1_000 + i),
-        health: Health::Passing,
+        health: HealthStatus::Passing,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
-fn sick(i: u16, health: Health) -> Instance {
+fn sick(i: u16, health: HealthStatus) -> Instance {
     Instance { health, ..instance(i) }
 }
 
 /// A list that is told of things, with what came of it.
 struct Bench {
-    list: Catalogue,
+    list: EndpointTracker,
     now: u64,
-    view: View,
-    notes: Vec<Note>,
+    view: EndpointList,
+    notes: Vec<WatchEvent>,
     /// When clients had their last answers.
     answered: HashMap<u32, u64>,
 }
 
 impl Bench {
     fn new(first: Vec<Instance>) -> Self {
-        let mut list = Catalogue::new(Guards::default(), 0);
-        let view = list.listed(1_000, first, &|_| None, &mut Vec::new());
+        let mut list = EndpointTracker::new(StabilityConfig::default(), 0);
+        let view = list.apply_response(1_000, first, &|_| None, &mut Vec::new());
         Self { list, now: 1_000, view, notes: Vec::new(), answered: HashMap::new() }
     }
 
     fn tell(&mut self, after: u64, instances: Vec<Instance>) {
         self.now += after;
         let answered = |n: u32| self.answered.get(&n).copied();
-        self.view = self.list.listed(self.now, instances, &answered, &mut self.notes);
+        self.view = self.list.apply_response(self.now, instances, &answered, &mut self.notes);
     }
 
     fn pass(&mut self, span: u64) {
         let until = self.now + span;
         while self.now < until {
-            self.now = self.list.next_due(self.now).unwrap_or(until).min(until);
-            self.view = self.list.tick(self.now, &|_| false, &mut self.notes);
+            self.now = self.list.next_deadline(self.now).unwrap_or(until).min(until);
+            self.view = self.list.advance(self.now, &|_| false, &mut self.notes);
         }
     }
 
     fn working(&self) -> Vec<&str> {
         let mut ids: Vec<&str> =
-            self.view.entries.iter().filter(|e| e.takes_work).map(|e| e.instance.id.as_str()).collect();
+            self.view.endpoints.iter().filter(|e| e.eligible).map(|e| e.instance.id.as_str()).collect();
         ids.sort_unstable();
         ids
     }
 
-    fn entry(&self, id: &str) -> &Entry {
-        self.view.entries.iter().find(|e| e.instance.id == id).expect("it is listed")
+    fn entry(&self, id: &str) -> &Endpoint {
+        self.view.endpoints.iter().find(|e| e.instance.id == id).expect("it is listed")
     }
 }
 
@@ -68,32 +68,36 @@
     bench.tell(
         10,
         vec![
-            sick(0, Health::Critical),
-            sick(1, Health::Maintenance),
-            sick(2, Health::NodeDown),
-            sick(3, Health::Warning),
+            sick(0, HealthStatus::Critical),
+            sick(1, HealthStatus::Maintenance),
+            sick(2, HealthStatus::NodeDown),
+            sick(3, HealthStatus::Warning),
         ],
     );
     assert_eq!(bench.working(), ["i3"]);
-    assert_eq!(bench.entry("i1").reason, Reason::Unwell(Health::Maintenance));
-    assert_eq!(bench.notes[0], Note::List(4, 1));
+    assert_eq!(bench.entry("i1").reason, EligibilityReason::Unhealthy(HealthStatus::Maintenance));
+    assert_eq!(bench.notes[0], WatchEvent::ListChanged(4, 1));
 }
 
 #[test]
 fn what_the_setting_says_takes_work() {
-    let mut list = Catalogue::new(Guards { worst: Health::Passing, ..Guards::default() }, 0);
-    let view = list.listed(0, vec![instance(0), sick(1, Health::Warning)], &|_| None, &mut Vec::new());
-    assert_eq!(view.entries.iter().filter(|e| e.takes_work).count(), 1);
+    let mut list = EndpointTracker::new(
+        StabilityConfig { minimum_health: HealthStatus::Passing, ..StabilityConfig::default() },
+        0,
+    );
+    let view =
+        list.apply_response(0, vec![instance(0), sick(1, HealthStatus::Warning)], &|_| None, &mut Vec::new());
+    assert_eq!(view.endpoints.iter().filter(|e| e.eligible).count(), 1);
 }
 
 #[test]
 fn one_restart_costs_no_hold_and_counts_as_a_start() {
     let mut bench = Bench::new((0..3).map(instance).collect());
-    assert_eq!(bench.entry("i0").since, None, "it was there from the first list on");
-    bench.tell(1_000, vec![sick(0, Health::Critical), instance(1), instance(2)]);
+    assert_eq!(bench.entry("i0").eligible_since, None, "it was there from the first list on");
+    bench.tell(1_000, vec![sick(0, HealthStatus::Critical), instance(1), instance(2)]);
     bench.tell(5_000, (0..3).map(instance).collect());
     assert_eq!(bench.working().len(), 3);
-    assert_eq!(bench.entry("i0").since, Some(7_000));
+    assert_eq!(bench.entry("i0").eligible_since, Some(7_000));
 }
 
 /// A flap every second for a minute: without the hold it moves traffic thirty times.
@@ -103,19 +107,19 @@
     let mut moves = 0;
     let mut before = 3;
     for second in 0..60 {
-        let health = if second % 2 == 0 { Health::Critical } else { Health::Passing };
+        let health = if second % 2 == 0 { HealthStatus::Critical } else { HealthStatus::Passing };
         bench.tell(1_000, vec![sick(0, health), instance(1), instance(2)]);
         bench.pass(0);
         moves += usize::from(bench.working().len() != before);
         before = bench.working().len();
     }
     assert!((2..=6).contains(&moves), "{moves} moves");
-    assert!(matches!(bench.entry("i0").reason, Reason::Flapping(_)), "{:?}", bench.entry("i0"));
+    assert!(matches!(bench.entry("i0").reason, EligibilityReason::Flapping(_)), "{:?}", bench.entry("i0"));
     // Well for good: it is back after its hold, and after some quiet minutes nothing is left of it.
     bench.pass(60_000);
     assert_eq!(bench.working().len(), 3);
     bench.pass(600_000);
-    bench.tell(1_000, vec![sick(0, Health::Critical), instance(1), instance(2)]);
+    bench.tell(1_000, vec![sick(0, HealthStatus::Critical), instance(1), instance(2)]);
     bench.tell(1_000, (0..3).map(instance).collect());
     assert_eq!(bench.working().len(), 3);
 }
@@ -125,7 +129,7 @@
     let mut bench = Bench::new((0..3).map(instance).collect());
     let mut holds = Vec::new();
     for _ in 0..8 {
-        bench.tell(1, vec![sick(0, Health::Critical), instance(1), instance(2)]);
+        bench.tell(1, vec![sick(0, HealthStatus::Critical), instance(1), instance(2)]);
         bench.tell(1, (0..3).map(instance).collect());
         let begun = bench.now;
         while bench.working().len() < 3 {
@@ -142,12 +146,12 @@
 #[test]
 fn a_wiped_catalogue_is_held_for_those_that_still_answer_and_then_believed() {
     let mut bench = Bench::new((0..6).map(instance).collect());
-    let numbers: Vec<u32> = bench.view.entries.iter().map(|e| e.number).collect();
+    let numbers: Vec<u32> = bench.view.endpoints.iter().map(|e| e.number).collect();
     // Two are dead for real: they have not answered for long.
     bench.answered.extend(numbers[2..].iter().map(|&n| (n, 1_500)));
     bench.tell(1_000, Vec::new());
     assert_eq!(bench.working(), ["i2", "i3", "i4", "i5"]);
-    assert_eq!(bench.notes[0], Note::Sudden { vanished: 6, of: 6, kept: 4 });
+    assert_eq!(bench.notes[0], WatchEvent::SuddenLoss { vanished: 6, of: 6, kept: 4 });
     // Told again, it is the same loss and not a new one.
     bench.tell(5_000, Vec::new());
     assert_eq!(bench.working().len(), 4);
@@ -155,14 +159,14 @@
     assert_eq!(bench.working().len(), 4);
     bench.pass(2_000);
     assert_eq!(bench.working().len(), 0);
-    assert!(bench.notes.contains(&Note::Believed(4)), "{:?}", bench.notes);
+    assert!(bench.notes.contains(&WatchEvent::LossAccepted(4)), "{:?}", bench.notes);
 }
 
 #[test]
 fn a_wiped_catalogue_that_is_restored_in_time_moves_nothing() {
     let mut bench = Bench::new((0..6).map(instance).collect());
     let before = bench.view.clone();
-    bench.answered.extend(before.entries.iter().map(|e| (e.number, 1_500)));
+    bench.answered.extend(before.endpoints.iter().map(|e| (e.number, 1_500)));
     bench.tell(1_000, Vec::new());
     bench.tell(4_000, (0..6).map(instance).collect());
     assert_eq!(bench.view, before, "not even a start is counted");
@@ -173,7 +177,7 @@
 #[test]
 fn a_few_that_go_are_believed_at_once() {
     let mut bench = Bench::new((0..6).map(instance).collect());
-    let numbers: Vec<u32> = bench.view.entries.iter().map(|e| e.number).collect();
+    let numbers: Vec<u32> = bench.view.endpoints.iter().map(|e| e.number).collect();
     bench.answered.extend(numbers.iter().map(|&n| (n, 1_900)));
     bench.tell(1_000, (2..6).map(instance).collect());
     assert_eq!(bench.working().len(), 4);
@@ -185,40 +189,40 @@
     let twin = Instance { id: "twin".into(), ..instance(0) };
     bench.tell(10, vec![instance(0), instance(1), instance(2), twin.clone()]);
     assert_eq!(bench.working(), ["i0", "i1", "i2"]);
-    assert_eq!(bench.entry("twin").reason, Reason::SharesAddress);
+    assert_eq!(bench.entry("twin").reason, EligibilityReason::DuplicateAddress);
     let before = bench.entry("i0").number;
-    bench.tell(10, vec![sick(0, Health::Critical), instance(1), instance(2), twin]);
+    bench.tell(10, vec![sick(0, HealthStatus::Critical), instance(1), instance(2), twin]);
     assert_eq!(bench.working(), ["i1", "i2", "twin"]);
     assert_ne!(bench.entry("twin").number, before, "what is known of the old one does not hold for it");
-    assert!(bench.entry("twin").since.is_some(), "it may be cold");
+    assert!(bench.entry("twin").eligible_since.is_some(), "it may be cold");
 }
 
 #[test]
 fn an_instance_that_moves_has_a_new_number_and_its_old_place_is_gone_at_once() {
     let mut bench = Bench::new((0..2).map(instance).collect());
     let before = bench.entry("i0").number;
-    bench.answered.extend(bench.view.entries.iter().map(|e| (e.number, 1_001)));
+    bench.answered.extend(bench.view.endpoints.iter().map(|e| (e.number, 1_001)));
     let moved = |i: u16| Instance { address: at(2_000 + i), ..instance(i) };
     bench.tell(10, vec![moved(0), moved(1)]);
-    assert_eq!(bench.view.entries.len(), 2, "nothing is kept at the old places: {:?}", bench.view);
+    assert_eq!(bench.view.endpoints.len(), 2, "nothing is kept at the old places: {:?}", bench.view);
     assert_ne!(bench.entry("i0").number, before);
 }
 
 #[test]
 fn a_list_from_disk_serves_until_consul_answers_whatever_that_says() {
-    let mut list = Catalogue::new(Guards::default(), 0);
-    let view = list.remembered(0, (0..6).map(instance).collect(), &mut Vec::new());
-    assert_eq!(view.entries.iter().filter(|e| e.takes_work && e.since.is_none()).count(), 6);
+    let mut list = EndpointTracker::new(StabilityConfig::default(), 0);
+    let view = list.restore(0, (0..6).map(instance).collect(), &mut Vec::new());
+    assert_eq!(view.endpoints.iter().filter(|e| e.eligible && e.eligible_since.is_none()).count(), 6);
     // Consul's first word is no sudden change: much may have happened meanwhile.
-    let view = list.listed(500, vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
+    let view = list.apply_response(500, vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
     let working: Vec<&str> =
-        view.entries.iter().filter(|e| e.takes_work).map(|e| e.instance.id.as_str()).collect();
+        view.endpoints.iter().filter(|e| e.eligible).map(|e| e.instance.id.as_str()).collect();
     assert_eq!(working, ["i0", "i9"]);
 }
 
 #[test]
 fn memory_is_bounded_over_a_hundred_thousand_replaced_ids() {
-    let mut list = Catalogue::new(Guards::default(), 0);
+    let mut list = EndpointTracker::new(StabilityConfig::default(), 0);
     let (mut now, mut most, mut numbers) = (0, 0, HashSet::new());
     for turn in 0u32..10_000 {
         now += 100;
@@ -226,10 +230,10 @@
             let generation = (turn + i) / 12 * 12 + i;
             Instance { id: format!("i{generation}"), ..instance(i as u16) }
         });
-        let view = list.listed(now, fleet.collect(), &|_| None, &mut Vec::new());
-        numbers.extend(view.entries.iter().map(|e| e.number));
-        list.tick(now, &|_| false, &mut Vec::new());
-        most = most.max(list.remembers());
+        let view = list.apply_response(now, fleet.collect(), &|_| None, &mut Vec::new());
+        numbers.extend(view.endpoints.iter().map(|e| e.number));
+        list.advance(now, &|_| false, &mut Vec::new());
+        most = most.max(list.tracked_count());
     }
     assert!(numbers.len() > 9_000, "{} numbers", numbers.len());
     assert!(most <= 12 + 2, "{most} remembered");
@@ -239,11 +243,11 @@
 fn a_number_with_work_out_is_remembered() {
     let mut bench = Bench::new((0..6).map(instance).collect());
     bench.tell(10, (1..6).map(instance).collect());
-    let kept = bench.list.remembers();
-    bench.list.tick(bench.now, &|_| true, &mut Vec::new());
-    assert_eq!(bench.list.remembers(), kept);
-    bench.list.tick(bench.now, &|_| false, &mut Vec::new());
-    assert_eq!(bench.list.remembers(), kept - 1);
+    let kept = bench.list.tracked_count();
+    bench.list.advance(bench.now, &|_| true, &mut Vec::new());
+    assert_eq!(bench.list.tracked_count(), kept);
+    bench.list.advance(bench.now, &|_| false, &mut Vec::new());
+    assert_eq!(bench.list.tracked_count(), kept - 1);
 }
 
 proptest! {
@@ -255,33 +259,33 @@
         course in prop::collection::vec(
             (prop::collection::btree_map(0u16..10, (0u8..5, 0u16..12), 0..10), 0u64..5_000, any::<bool>()), 1..40)
     ) {
-        let mut list = Catalogue::new(Guards::default(), 0);
+        let mut list = EndpointTracker::new(StabilityConfig::default(), 0);
         let (mut now, mut answered) = (0, HashMap::new());
         for (told, after, answers) in course {
             now += after;
-            let healths = [Health::Passing, Health::Warning, Health::Critical, Health::Maintenance, Health::NodeDown];
+            let healths = [HealthStatus::Passing, HealthStatus::Warning, HealthStatus::Critical, HealthStatus::Maintenance, HealthStatus::NodeDown];
             let told: Vec<Instance> = told
                 .into_iter()
                 .map(|(i, (h, p))| Instance { address: at(1_000 + p), ..sick(i, healths[usize::from(h)]) })
                 .collect();
-            let view = list.listed(now, told.clone(), &|n| answered.get(&n).copied(), &mut Vec::new());
+            let view = list.apply_response(now, told.clone(), &|n| answered.get(&n).copied(), &mut Vec::new());
             let mut addresses = HashSet::new();
             let mut numbers = HashSet::new();
-            for entry in &view.entries {
+            for entry in &view.endpoints {
                 prop_assert!(numbers.insert(entry.number));
-                if entry.takes_work {
+                if entry.eligible {
                     prop_assert!(addresses.insert(entry.instance.address));
                     let now_told = told.iter().find(|i| i.id == entry.instance.id && i.address == entry.instance.address);
                     match now_told {
-                        Some(now_told) => prop_assert!(now_told.health <= Health::Warning),
-                        None => prop_assert!(matches!(entry.reason, Reason::Kept(_))),
+                        Some(now_told) => prop_assert!(now_told.health <= HealthStatus::Warning),
+                        None => prop_assert!(matches!(entry.reason, EligibilityReason::Retained(_))),
                     }
                 }
                 if answers {
                     answered.insert(entry.number, now);
                 }
             }
-            list.tick(now, &|_| false, &mut Vec::new());
+            list.advance(now, &|_| false, &mut Vec::new());
         }
     }
 }
--- a/crates/catalogue/src/answer.rs
+++ b/crates/catalogue/src/health_response.rs
@@ -8,14 +8,14 @@
 use std::net::{IpAddr, SocketAddr};
 
 /// The most instances of one answer.
-pub const MOST_INSTANCES: usize = 65_536;
+pub const MAX_INSTANCES: usize = 65_536;
 /// Keys of `Service.Meta` that are read.
 const CAPACITY: &str = "snowfield-capacity";
 const STARTED: &str = "snowfield-started-ms";
 
 /// Where an instance stands, the worst that any of its checks or its node's says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, Deserialize)]
-pub enum Health {
+pub enum HealthStatus {
     /// All checks pass, or there are none.
     Passing,
     /// Some check warns.
@@ -28,7 +28,7 @@
     NodeDown,
 }
 
-impl Health {
+impl HealthStatus {
     /// Its name in the log and the console.
     pub fn name(self) -> &'static str {
         match self {
@@ -49,20 +49,21 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Where it stands.
-    pub health: Health,
+    pub health: HealthStatus,
     /// Its weight as it stands (`Service.Weights`), times the capacity of its `Meta`.
     pub weight: f64,
     /// When it started, in Unix milliseconds, if its `Meta` says.
-    pub started: Option<u64>,
+    #[serde(rename = "started")]
+    pub started_at: Option<u64>,
 }
 
 /// What an answer holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct HealthResponse {
     /// The instances, by id.
     pub instances: Vec<Instance>,
     /// Those that cannot be used, with why.
-    pub left_out: Vec<(String, String)>,
+    pub invalid: Vec<(String, String)>,
 }
 
 #[derive(Deserialize)]
@@ -118,17 +119,17 @@
 /// # Errors
 ///
 /// It is not what the health page answers, or names too many instances. The text says where.
-pub fn read(body: &[u8]) -> Result<Answer, String> {
+pub fn read(body: &[u8]) -> Result<HealthResponse, String> {
     let rows: Vec<Row> = serde_json::from_slice(body).map_err(|e| format!("unreadable: {e}"))?;
-    if rows.len() > MOST_INSTANCES {
-        return Err(format!("{} instances, more than {MOST_INSTANCES}", rows.len()));
+    if rows.len() > MAX_INSTANCES {
+        return Err(format!("{} instances, more than {MAX_INSTANCES}", rows.len()));
     }
-    let mut answer = Answer::default();
+    let mut answer = HealthResponse::default();
     for row in rows {
         let id = format!("{}/{}", row.node.node, row.service.id);
         match instance(&id, &row) {
             Ok(instance) => answer.instances.push(instance),
-            Err(why) => answer.left_out.push((id, why)),
+            Err(why) => answer.invalid.push((id, why)),
         }
     }
     answer.instances.sort_by(|a, b| a.id.cmp(&b.id));
@@ -151,10 +152,10 @@
     let port =
         u16::try_from(*port).ok().filter(|&p| p > 0).ok_or_else(|| format!("no usable port {port}"))?;
     let checks = row.checks.as_deref().unwrap_or_default();
-    let health = checks.iter().map(health).max().unwrap_or(Health::Passing);
+    let health = checks.iter().map(health).max().unwrap_or(HealthStatus::Passing);
     let weight = match (weights, health) {
         (None, _) => 1.0,
-        (Some(weights), Health::Warning) => weights.warning,
+        (Some(weights), HealthStatus::Warning) => weights.warning,
         (Some(weights), _) => weights.passing,
     };
     let told = |key: &str| meta.as_ref().and_then(|m| m.get(key));
@@ -174,19 +175,25 @@
         None => None,
         Some(text) => Some(text.parse().map_err(|_| format!("{STARTED} is {text:?}, and no time"))?),
     };
-    Ok(Instance { id: id.to_owned(), address: SocketAddr::new(ip, port), health, weight, started })
+    Ok(Instance {
+        id: id.to_owned(),
+        address: SocketAddr::new(ip, port),
+        health,
+        weight,
+        started_at: started,
+    })
 }
 
-fn health(check: &Check) -> Health {
+fn health(check: &Check) -> HealthStatus {
     match check.status.as_str() {
-        "passing" => Health::Passing,
-        "warning" => Health::Warning,
+        "passing" => HealthStatus::Passing,
+        "warning" => HealthStatus::Warning,
         // Maintenance is a failing check with a reserved name; so is the node's own.
         _ if check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance:") => {
-            Health::Maintenance
+            HealthStatus::Maintenance
         }
-        _ if check.id == "serfHealth" => Health::NodeDown,
-        _ => Health::Critical,
+        _ if check.id == "serfHealth" => HealthStatus::NodeDown,
+        _ => HealthStatus::Critical,
     }
 }
 
@@ -205,21 +212,21 @@
         )
     }
 
-    fn one(service: &str, checks: &[(&str, &str)]) -> Answer {
+    fn one(service: &str, checks: &[(&str, &str)]) -> HealthResponse {
         read(format!("[{}]", row("x", service, checks)).as_bytes()).expect("an answer")
     }
 
     #[test]
     fn the_worst_check_counts_and_reserved_names_have_their_meaning() {
         for (checks, health) in [
-            (&[][..], Health::Passing),
-            (&[("serfHealth", "passing"), ("c", "passing")], Health::Passing),
-            (&[("serfHealth", "passing"), ("c", "warning")], Health::Warning),
-            (&[("c", "critical"), ("d", "warning")], Health::Critical),
-            (&[("c", "something new")], Health::Critical),
-            (&[("_service_maintenance:x", "critical"), ("c", "critical")], Health::Maintenance),
-            (&[("_node_maintenance", "critical")], Health::Maintenance),
-            (&[("serfHealth", "critical"), ("c", "passing")], Health::NodeDown),
+            (&[][..], HealthStatus::Passing),
+            (&[("serfHealth", "passing"), ("c", "passing")], HealthStatus::Passing),
+            (&[("serfHealth", "passing"), ("c", "warning")], HealthStatus::Warning),
+            (&[("c", "critical"), ("d", "warning")], HealthStatus::Critical),
+            (&[("c", "something new")], HealthStatus::Critical),
+            (&[("_service_maintenance:x", "critical"), ("c", "critical")], HealthStatus::Maintenance),
+            (&[("_node_maintenance", "critical")], HealthStatus::Maintenance),
+            (&[("serfHealth", "critical"), ("c", "passing")], HealthStatus::NodeDown),
         ] {
             assert_eq!(one(r#""Port":80"#, checks).instances[0].health, health, "{checks:?}");
         }
@@ -232,7 +239,7 @@
         assert_eq!(one(weights, &[("c", "warning")]).instances[0].weight, 1.0);
         let meta = r#""Port":80,"Weights":{"Passing":2,"Warning":1},"Meta":{"snowfield-capacity":"1.5","snowfield-started-ms":"17"}"#;
         let instance = &one(meta, &[]).instances[0];
-        assert_eq!((instance.weight, instance.started), (3.0, Some(17)));
+        assert_eq!((instance.weight, instance.started_at), (3.0, Some(17)));
         assert_eq!(one(r#""Port":80"#, &[]).instances[0].weight, 1.0);
     }
 
@@ -249,7 +256,7 @@
         ];
         let answer = read(format!("[{}]", rows.join(",")).as_bytes()).expect("an answer");
         assert_eq!(answer.instances.len(), 1);
-        let names: Vec<&str> = answer.left_out.iter().map(|(id, _)| id.as_str()).collect();
+        let names: Vec<&str> = answer.invalid.iter().map(|(id, _)| id.as_str()).collect();
         assert_eq!(names, ["n/name", "n/port", "n/large", "n/meta", "n/time", "n/weight"]);
     }
 
@@ -258,7 +265,7 @@
         let rows = [row("x", r#""Port":80"#, &[]), row("x", r#""Port":81"#, &[("c", "critical")])];
         let answer = read(format!("[{}]", rows.join(",")).as_bytes()).expect("an answer");
         assert_eq!(answer.instances.len(), 1);
-        assert_eq!(answer.instances[0].health, Health::Critical);
+        assert_eq!(answer.instances[0].health, HealthStatus::Critical);
     }
 
     #[test]
--- a/crates/catalogue/src/register.rs
+++ b/crates/catalogue/src/registration.rs
@@ -3,22 +3,22 @@
 
 /// What to ask of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum RegistrationRequest {
     /// `PUT /v1/agent/service/register`.
     Register,
     /// `PUT /v1/agent/check/pass/service:ID`.
-    Pass,
+    Heartbeat,
     /// `PUT /v1/agent/service/deregister/ID`.
     Deregister,
 }
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum RegistrationOutcome {
     /// 200.
-    Done,
+    Accepted,
     /// The agent knows no such check: 404, or 500 as older agents say.
-    Unknown,
+    UnknownCheck,
     /// No answer, or another.
     Failed,
 }
@@ -39,38 +39,47 @@
     }
 
     /// What is due, if anything.
-    pub fn next(&self, now: u64) -> Option<Ask> {
-        (now >= self.due).then_some(if self.registered { Ask::Pass } else { Ask::Register })
+    pub fn next_request(&self, now: u64) -> Option<RegistrationRequest> {
+        (now >= self.due).then_some(if self.registered {
+            RegistrationRequest::Heartbeat
+        } else {
+            RegistrationRequest::Register
+        })
     }
 
     /// When something is due.
-    pub fn due(&self) -> u64 {
+    pub fn next_due(&self) -> u64 {
         self.due
     }
 
     /// Takes in what came of it. Tells whether this is a change worth a line: registered, or not any more.
-    pub fn told(&mut self, now: u64, ask: Ask, told: Told) -> Option<bool> {
+    pub fn handle_outcome(
+        &mut self,
+        now: u64,
+        ask: RegistrationRequest,
+        told: RegistrationOutcome,
+    ) -> Option<bool> {
         let before = self.registered;
         match (ask, told) {
-            (Ask::Register, Told::Done) => {
+            (RegistrationRequest::Register, RegistrationOutcome::Accepted) => {
                 (self.registered, self.failures) = (true, 0);
                 // The check begins critical: it is told that all is well at once.
                 self.due = now;
             }
-            (Ask::Pass, Told::Done) => {
+            (RegistrationRequest::Heartbeat, RegistrationOutcome::Accepted) => {
                 self.failures = 0;
                 self.due = now + self.ttl / 3;
             }
-            (Ask::Pass, Told::Unknown) => {
+            (RegistrationRequest::Heartbeat, RegistrationOutcome::UnknownCheck) => {
                 self.registered = false;
                 self.due = now;
             }
-            (_, Told::Failed | Told::Unknown) => {
+            (_, RegistrationOutcome::Failed | RegistrationOutcome::UnknownCheck) => {
                 self.failures += 1;
                 // Soon enough for a second try within the TTL; an agent that is away is not pressed.
                 self.due = now + (self.ttl / 6).min(250 << self.failures.min(6));
             }
-            (Ask::Deregister, Told::Done) => {
+            (RegistrationRequest::Deregister, RegistrationOutcome::Accepted) => {
                 self.registered = false;
                 self.due = u64::MAX;
             }
@@ -86,26 +95,39 @@
     #[test]
     fn it_is_registered_kept_passing_and_registered_anew_when_forgotten() {
         let mut registration = Registration::new(9_000);
-        assert_eq!(registration.next(0), Some(Ask::Register));
-        assert_eq!(registration.told(0, Ask::Register, Told::Done), Some(true));
-        assert_eq!(registration.next(0), Some(Ask::Pass));
-        assert_eq!(registration.told(5, Ask::Pass, Told::Done), None);
-        assert_eq!(registration.next(3_004), None);
-        assert_eq!(registration.next(3_005), Some(Ask::Pass));
-        assert_eq!(registration.told(3_005, Ask::Pass, Told::Unknown), Some(false));
-        assert_eq!(registration.next(3_005), Some(Ask::Register));
+        assert_eq!(registration.next_request(0), Some(RegistrationRequest::Register));
+        assert_eq!(
+            registration.handle_outcome(0, RegistrationRequest::Register, RegistrationOutcome::Accepted),
+            Some(true)
+        );
+        assert_eq!(registration.next_request(0), Some(RegistrationRequest::Heartbeat));
+        assert_eq!(
+            registration.handle_outcome(5, RegistrationRequest::Heartbeat, RegistrationOutcome::Accepted),
+            None
+        );
+        assert_eq!(registration.next_request(3_004), None);
+        assert_eq!(registration.next_request(3_005), Some(RegistrationRequest::Heartbeat));
+        assert_eq!(
+            registration.handle_outcome(
+                3_005,
+                RegistrationRequest::Heartbeat,
+                RegistrationOutcome::UnknownCheck
+            ),
+            Some(false)
+        );
+        assert_eq!(registration.next_request(3_005), Some(RegistrationRequest::Register));
     }
 
     #[test]
     fn an_agent_that_is_away_is_tried_again_within_the_ttl_and_not_pressed() {
         let mut registration = Registration::new(9_000);
-        registration.told(0, Ask::Register, Told::Done);
+        registration.handle_outcome(0, RegistrationRequest::Register, RegistrationOutcome::Accepted);
         let (mut now, mut tries) = (0, 0);
         while now < 9_000 {
-            now = registration.due().max(now + 1);
-            if let Some(ask) = registration.next(now) {
+            now = registration.next_due().max(now + 1);
+            if let Some(ask) = registration.next_request(now) {
                 tries += 1;
-                assert_eq!(registration.told(now, ask, Told::Failed), None);
+                assert_eq!(registration.handle_outcome(now, ask, RegistrationOutcome::Failed), None);
             }
         }
         assert!((4..=12).contains(&tries), "{tries}");
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -1,7 +1,7 @@
 //! The file of the last endpoint list, as version 0.1.0 wrote it: later versions read it, and write the same bytes.
 
-use catalogue::saved::{Saved, SavedError};
-use catalogue::{Health, Instance};
+use catalogue::{CachedList, CachedListError};
+use catalogue::{HealthStatus, Instance};
 use std::collections::BTreeMap;
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/loans.list");
@@ -9,42 +9,48 @@
 const CONFIRMED_AT: u64 = 1_700_000_000_000;
 const MAX_AGE_SECONDS: u64 = 100;
 
-fn list() -> Saved {
+fn list() -> CachedList {
     let instance = |id: &str, address: &str, health, weight, started| Instance {
         id: id.into(),
         address: address.parse().expect("an address"),
         health,
         weight,
-        started,
+        started_at: started,
     };
     let loans = vec![
-        instance("a/l0", "127.0.0.1:8500", Health::Passing, 1.0, None),
-        instance("a/l1", "127.0.0.2:8500", Health::Warning, 2.5, Some(1_699_999_000_000)),
-        instance("b/l2", "[::1]:80", Health::Passing, 0.125, Some(0)),
+        instance("a/l0", "127.0.0.1:8500", HealthStatus::Passing, 1.0, None),
+        instance("a/l1", "127.0.0.2:8500", HealthStatus::Warning, 2.5, Some(1_699_999_000_000)),
+        instance("b/l2", "[::1]:80", HealthStatus::Passing, 0.125, Some(0)),
     ];
-    Saved { at: CONFIRMED_AT, services: BTreeMap::from([("loans".into(), loans), ("rates".into(), vec![])]) }
+    CachedList {
+        confirmed_at: CONFIRMED_AT,
+        services: BTreeMap::from([("loans".into(), loans), ("rates".into(), vec![])]),
+    }
 }
 
 #[test]
 fn reads_the_file_of_version_0_1_0() {
-    let read = Saved::read(FIXTURE, CONFIRMED_AT + 42_000, MAX_AGE_SECONDS);
+    let read = CachedList::decode(FIXTURE, CONFIRMED_AT + 42_000, MAX_AGE_SECONDS);
     assert_eq!(read, Ok((list(), 42)));
 }
 
 #[test]
 fn writes_the_same_bytes_as_version_0_1_0() {
-    assert_eq!(list().put().as_bytes(), FIXTURE);
+    assert_eq!(list().encode().as_bytes(), FIXTURE);
 }
 
 #[test]
 fn rejects_a_truncated_or_damaged_file_of_version_0_1_0() {
     for length in 0..FIXTURE.len() {
-        let read = Saved::read(&FIXTURE[..length], CONFIRMED_AT, MAX_AGE_SECONDS);
+        let read = CachedList::decode(&FIXTURE[..length], CONFIRMED_AT, MAX_AGE_SECONDS);
         assert!(read.is_err(), "truncated to {length} bytes");
         let mut damaged = FIXTURE.to_vec();
         damaged[length] ^= 1;
-        assert!(Saved::read(&damaged, CONFIRMED_AT, MAX_AGE_SECONDS).is_err(), "byte {length} changed");
+        assert!(
+            CachedList::decode(&damaged, CONFIRMED_AT, MAX_AGE_SECONDS).is_err(),
+            "byte {length} changed"
+        );
     }
     let late = CONFIRMED_AT + 200_000;
-    assert_eq!(Saved::read(FIXTURE, late, MAX_AGE_SECONDS), Err(SavedError::TooOld(200)));
+    assert_eq!(CachedList::decode(FIXTURE, late, MAX_AGE_SECONDS), Err(CachedListError::TooOld(200)));
 }
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::LeaseStore;
 use crate::worker_pool::TaskQueue;
-use consul::Token;
+use consul::TokenFile;
 use job_lease::consul::{LeaseKeys, Method, Request, Response};
 use job_lease::{
     CompareAndSetOutcome, LeaseListing, LeaseRecord, LocalStore, Session, StoreError, StoreErrorCause,
@@ -96,7 +96,7 @@
     let client = ConsulClient {
         agent: agent(timeout),
         address,
-        token: Token::of(token_file),
+        token: TokenFile::new(token_file),
         keys: LeaseKeys { prefix },
         instance: instance.to_owned(),
     };
@@ -125,7 +125,7 @@
 struct ConsulClient {
     agent: Agent,
     address: SocketAddr,
-    token: Token,
+    token: TokenFile,
     keys: LeaseKeys,
     instance: String,
 }
@@ -184,7 +184,7 @@
 
     fn send(&self, request: &Request) -> Result<Response, StoreError> {
         let url = format!("http://{}{}", self.address, request.target);
-        let token = self.token.get().map(|token| ("X-Consul-Token", token));
+        let token = self.token.current().map(|token| ("X-Consul-Token", token));
         let response = match request.method {
             Method::Get => {
                 let get = self.agent.get(&url);
--- a/crates/consul/src/file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -1,8 +1,8 @@
 //! The last good list on disk, replaced whole or not at all.
 
-use crate::held;
+use crate::watch::held;
+use catalogue::CachedList;
 use catalogue::Instance;
-use catalogue::saved::{self, Saved};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -17,10 +17,10 @@
 
 /// The file.
 #[derive(Debug)]
-pub struct ListFile {
+pub struct CacheFile {
     path: PathBuf,
     /// What it held at the start, with its age in seconds.
-    found: Option<(Saved, u64)>,
+    found: Option<(CachedList, u64)>,
     state: Mutex<State>,
 }
 
@@ -38,19 +38,20 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-impl ListFile {
+impl CacheFile {
     /// Opens the file for these services. One that cannot be used is said so and not used.
     pub fn open(path: PathBuf, most_age_s: u64, services: impl IntoIterator<Item = String>) -> Self {
-        let read = || -> Result<Option<(Saved, u64)>, String> {
+        let read = || -> Result<Option<(CachedList, u64)>, String> {
             let mut bytes = Vec::new();
             match File::open(&path) {
-                Ok(file) => {
-                    file.take(saved::LARGEST as u64).read_to_end(&mut bytes).map_err(|e| e.to_string())?
-                }
+                Ok(file) => file
+                    .take(catalogue::MAX_FILE_BYTES as u64)
+                    .read_to_end(&mut bytes)
+                    .map_err(|e| e.to_string())?,
                 Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
                 Err(e) => return Err(e.to_string()),
             };
-            Saved::read(&bytes, unix_ms(), most_age_s).map(Some).map_err(|e| e.to_string())
+            CachedList::decode(&bytes, unix_ms(), most_age_s).map(Some).map_err(|e| e.to_string())
         };
         let found = read().unwrap_or_else(|why| {
             tracing::warn!("consul: the list file {} is not used: {why}", path.display());
@@ -67,13 +68,13 @@
     }
 
     /// What it held of a service, with its age in seconds.
-    pub fn of(&self, service: &str) -> Option<(Vec<Instance>, u64)> {
+    pub fn cached(&self, service: &str) -> Option<(Vec<Instance>, u64)> {
         let (saved, age) = self.found.as_ref()?;
         Some((saved.services.get(service)?.clone(), *age))
     }
 
     /// Keeps what Consul has just confirmed of a service.
-    pub fn keep(&self, service: &str, instances: Vec<Instance>) {
+    pub fn store(&self, service: &str, instances: Vec<Instance>) {
         let mut state = held(&self.state);
         state.services.insert(service.to_owned(), instances);
         state.awaited.remove(service);
@@ -85,8 +86,8 @@
         if !due || !state.awaited.is_empty() {
             return;
         }
-        let saved = Saved { at: unix_ms(), services: state.services.clone() };
-        match self.write(&saved.put()) {
+        let saved = CachedList { confirmed_at: unix_ms(), services: state.services.clone() };
+        match self.write(&saved.encode()) {
             Ok(()) => {
                 state.failing = false;
                 state.as_written = saved.services;
--- a/crates/consul/src/ask.rs
+++ b/crates/consul/src/health_query.rs
@@ -1,8 +1,8 @@
 //! One query of the health page.
 
-use crate::{Token, Watched};
-use catalogue::agents::Ask;
-use catalogue::answer::{self, Answer};
+use crate::{TokenFile, WatchConfig};
+use catalogue::HealthResponse;
+use catalogue::Query;
 use http::percent_encode;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 /// Where Consul is, and how it is asked.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct ConsulConfig {
     /// Its agents, in the order of preference.
     pub agents: Vec<SocketAddr>,
     /// The file that holds the ACL token; read anew for each query.
@@ -30,9 +30,9 @@
     pub partition: Option<String>,
     /// Answers may come from a server that has heard from the leader this lately, in milliseconds; `None` asks the
     /// leader.
-    pub stale_ms: Option<u64>,
+    pub max_stale_ms: Option<u64>,
     /// How long a blocking query may stay open.
-    pub wait: Duration,
+    pub blocking_wait: Duration,
 }
 
 /// Why there is no answer. No text holds a token.
@@ -45,16 +45,16 @@
 }
 
 /// An answer and its index.
-pub(crate) struct Answered {
+pub(crate) struct HealthAnswer {
     pub(crate) index: u64,
-    pub(crate) body: Answer,
+    pub(crate) body: HealthResponse,
 }
 
 /// Asks the agents of one source.
 pub(crate) struct Asker {
-    source: Source,
+    source: ConsulConfig,
     agent: ureq::Agent,
-    token: Token,
+    token: TokenFile,
 }
 
 pub(crate) fn client(connections: usize) -> ureq::Agent {
@@ -72,18 +72,22 @@
 }
 
 impl Asker {
-    pub(crate) fn new(source: &Source) -> Self {
-        Self { source: source.clone(), agent: client(1), token: Token::of(source.token_file.clone()) }
+    pub(crate) fn new(source: &ConsulConfig) -> Self {
+        Self { source: source.clone(), agent: client(1), token: TokenFile::new(source.token_file.clone()) }
     }
 
     /// Asks for the health of a service.
-    pub(crate) fn health(&self, watched: &Watched, ask: &Ask) -> Result<Answered, Problem> {
+    pub(crate) fn health(&self, watched: &WatchConfig, query: &Query) -> Result<HealthAnswer, Problem> {
         let failed = |why: String| Problem::Failed(why);
-        let address = self.source.agents[ask.agent];
-        let url = format!("http://{address}{}", target(&self.source, watched, ask));
-        let wait = if ask.index > 0 { self.source.wait + self.source.wait / 16 } else { Duration::ZERO };
+        let address = self.source.agents[query.agent];
+        let url = format!("http://{address}{}", target(&self.source, watched, query));
+        let wait = if query.index > 0 {
+            self.source.blocking_wait + self.source.blocking_wait / 16
+        } else {
+            Duration::ZERO
+        };
         let mut request = self.agent.get(&url).config().timeout_global(Some(wait + SLACK)).build();
-        if let Some(token) = self.token.get() {
+        if let Some(token) = self.token.current() {
             request = request.header("X-Consul-Token", token);
         }
         let mut answer = request.call().map_err(|e| failed(e.to_string()))?;
@@ -98,18 +102,18 @@
             return Err(Problem::TooStale("the servers have no leader".into()));
         }
         let contact: u64 = field("x-consul-lastcontact").trim().parse().unwrap_or(0);
-        if ask.stale && self.source.stale_ms.is_some_and(|most| contact > most) {
+        if query.allow_stale && self.source.max_stale_ms.is_some_and(|most| contact > most) {
             return Err(Problem::TooStale(format!("the server heard from its leader {contact} ms ago")));
         }
         let bytes = answer.body_mut().with_config().limit(LARGEST).read_to_vec();
         let bytes = bytes.map_err(|e| failed(e.to_string()))?;
-        let body = answer::read(&bytes).map_err(failed)?;
-        Ok(Answered { index, body })
+        let body = catalogue::read(&bytes).map_err(failed)?;
+        Ok(HealthAnswer { index, body })
     }
 }
 
 /// Path and query of a query.
-fn target(source: &Source, watched: &Watched, ask: &Ask) -> String {
+fn target(source: &ConsulConfig, watched: &WatchConfig, query: &Query) -> String {
     let mut target = format!("/v1/health/service/{}", percent_encode(&watched.service));
     let mut first = true;
     let mut put = |name: &str, value: &str| {
@@ -130,12 +134,12 @@
             put(name, value);
         }
     }
-    if ask.stale {
+    if query.allow_stale {
         put("stale", "");
     }
-    if ask.index > 0 {
-        put("index", &ask.index.to_string());
-        put("wait", &format!("{}ms", source.wait.as_millis()));
+    if query.index > 0 {
+        put("index", &query.index.to_string());
+        put("wait", &format!("{}ms", source.blocking_wait.as_millis()));
     }
     target
 }
--- a/crates/consul/src/register.rs
+++ b/crates/consul/src/registration.rs
@@ -1,8 +1,8 @@
 //! This program's own registration with its agent.
 
-use crate::ask::client;
-use crate::{Source, Token};
-use catalogue::register::{Ask, Registration, Told};
+use crate::health_query::client;
+use crate::{ConsulConfig, TokenFile};
+use catalogue::{Registration, RegistrationOutcome, RegistrationRequest};
 use http::percent_encode;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -13,13 +13,13 @@
 
 /// Ends the registration when asked.
 #[derive(Debug)]
-pub struct Registered {
+pub struct RegistrationHandle {
     end: SyncSender<SyncSender<()>>,
 }
 
-impl Registered {
+impl RegistrationHandle {
     /// Takes the registration back; waits for that for a second at most.
-    pub fn end(&self) {
+    pub fn deregister(&self) {
         let (done, told) = sync_channel(1);
         if self.end.try_send(done).is_ok() {
             let _ = told.recv_timeout(Duration::from_secs(1));
@@ -33,12 +33,12 @@
 ///
 /// There is no thread to be had.
 pub fn register(
-    source: Source,
+    source: ConsulConfig,
     name: String,
     id: String,
     at: SocketAddr,
     ttl: Duration,
-) -> std::io::Result<Registered> {
+) -> std::io::Result<RegistrationHandle> {
     let (end, ends) = sync_channel(1);
     let body = serde_json::json!({
         "ID": id, "Name": name, "Address": at.ip().to_string(), "Port": at.port(),
@@ -48,45 +48,49 @@
     });
     let run = move || keep(&source, &id, &body.to_string(), ttl, &ends);
     thread::Builder::new().name("register".into()).spawn(run)?;
-    Ok(Registered { end })
+    Ok(RegistrationHandle { end })
 }
 
-fn keep(source: &Source, id: &str, body: &str, ttl: Duration, ends: &Receiver<SyncSender<()>>) {
+fn keep(source: &ConsulConfig, id: &str, body: &str, ttl: Duration, ends: &Receiver<SyncSender<()>>) {
     let (start, agent) = (Instant::now(), client(1));
-    let token = Token::of(source.token_file.clone());
+    let token = TokenFile::new(source.token_file.clone());
     let now = || start.elapsed().as_millis() as u64;
     let mut registration = Registration::new(ttl.as_millis() as u64);
-    let tell = |ask: Ask| -> Told {
+    let tell = |ask: RegistrationRequest| -> RegistrationOutcome {
         let (path, body) = match ask {
-            Ask::Register => ("/v1/agent/service/register".to_owned(), body),
-            Ask::Pass => (format!("/v1/agent/check/pass/service:{}", percent_encode(id)), ""),
-            Ask::Deregister => (format!("/v1/agent/service/deregister/{}", percent_encode(id)), ""),
+            RegistrationRequest::Register => ("/v1/agent/service/register".to_owned(), body),
+            RegistrationRequest::Heartbeat => {
+                (format!("/v1/agent/check/pass/service:{}", percent_encode(id)), "")
+            }
+            RegistrationRequest::Deregister => {
+                (format!("/v1/agent/service/deregister/{}", percent_encode(id)), "")
+            }
         };
         let url = format!("http://{}{path}", source.agents[0]);
         let mut request = agent.put(url).config().timeout_global(Some(TIMEOUT)).build();
-        if let Some(token) = token.get() {
+        if let Some(token) = token.current() {
             request = request.header("X-Consul-Token", token);
         }
         match request.send(body.as_bytes()).map(|answer| answer.status().as_u16()) {
-            Ok(200) => Told::Done,
+            Ok(200) => RegistrationOutcome::Accepted,
             // Older agents say 500 for a check that they do not know.
-            Ok(404 | 500) => Told::Unknown,
-            _ => Told::Failed,
+            Ok(404 | 500) => RegistrationOutcome::UnknownCheck,
+            _ => RegistrationOutcome::Failed,
         }
     };
     loop {
-        if let Some(ask) = registration.next(now()) {
+        if let Some(ask) = registration.next_request(now()) {
             let told = tell(ask);
-            match registration.told(now(), ask, told) {
+            match registration.handle_outcome(now(), ask, told) {
                 Some(true) => tracing::info!("consul: registered as {id}"),
                 Some(false) => tracing::warn!("consul: the agent forgot {id}; it is registered anew"),
                 None => {}
             }
         }
-        let wait = Duration::from_millis(registration.due().saturating_sub(now()).max(1));
+        let wait = Duration::from_millis(registration.next_due().saturating_sub(now()).max(1));
         match ends.recv_timeout(wait) {
             Ok(done) => {
-                tell(Ask::Deregister);
+                tell(RegistrationRequest::Deregister);
                 tracing::info!("consul: {id} is deregistered");
                 let _ = done.send(());
                 return;
--- a/crates/consul/src/token.rs
+++ b/crates/consul/src/token_file.rs
@@ -8,15 +8,15 @@
 
 /// A token in a file, read anew for each request. No text of this module holds one.
 #[derive(Debug, Default)]
-pub struct Token {
+pub struct TokenFile {
     file: Option<PathBuf>,
     /// The last one that could be read, and whether the last try failed.
     held: Mutex<(Option<String>, bool)>,
 }
 
-impl Token {
+impl TokenFile {
     /// The token of this file, or none at all.
-    pub fn of(file: Option<PathBuf>) -> Self {
+    pub fn new(file: Option<PathBuf>) -> Self {
         Self { file, held: Mutex::default() }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// The token for the next request. A file that cannot be read leaves the last one in use.
-    pub fn get(&self) -> Option<String> {
+    pub fn current(&self) -> Option<String> {
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         match self.read() {
             Ok(token) => *held = (token, false),
@@ -57,18 +57,18 @@
     #[test]
     fn a_file_that_cannot_be_used_leaves_the_last_token() {
         let path = std::env::temp_dir().join(format!("snowfield-token-{}", std::process::id()));
-        let token = Token::of(Some(path.clone()));
-        assert_eq!(token.get(), None);
+        let token = TokenFile::new(Some(path.clone()));
+        assert_eq!(token.current(), None);
         std::fs::write(&path, " one\n").expect("it is written");
-        assert_eq!(token.get().as_deref(), Some("one"));
+        assert_eq!(token.current().as_deref(), Some("one"));
         for bad in ["", "two words", "\u{7}", &"x".repeat(LONGEST + 1)] {
             std::fs::write(&path, bad).expect("it is written");
-            assert_eq!(token.get().as_deref(), Some("one"), "{bad:?}");
+            assert_eq!(token.current().as_deref(), Some("one"), "{bad:?}");
         }
         std::fs::write(&path, "two").expect("it is written");
-        assert_eq!(token.get().as_deref(), Some("two"));
+        assert_eq!(token.current().as_deref(), Some("two"));
         std::fs::remove_file(&path).expect("it was there");
-        assert_eq!(token.get().as_deref(), Some("two"));
-        assert_eq!(Token::of(None).get(), None);
+        assert_eq!(token.current().as_deref(), Some("two"));
+        assert_eq!(TokenFile::new(None).current(), None);
     }
 }
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -1,7 +1,7 @@
 //! The requests that Consul's agent receives, as version 0.1.0 sent them: later versions send the same bytes.
 
-use catalogue::Guards;
-use consul::{Answered, Source, Watch, Watched};
+use catalogue::StabilityConfig;
+use consul::{ConsulConfig, LastAnswers, ServiceWatch, WatchConfig};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -47,26 +47,32 @@
     (address, std::thread::spawn(run))
 }
 
-fn source(agent: SocketAddr) -> Source {
-    Source {
+fn source(agent: SocketAddr) -> ConsulConfig {
+    ConsulConfig {
         agents: vec![agent],
         token_file: None,
         datacenter: None,
         namespace: None,
         partition: None,
-        stale_ms: None,
-        wait: Duration::from_millis(10_000),
+        max_stale_ms: None,
+        blocking_wait: Duration::from_millis(10_000),
     }
 }
 
-fn start_watch(source: Source, watched: Watched) {
-    let answered = Arc::new(Answered::default());
-    let watch = Watch::new(source, watched, answered, None, Box::new(|_| {}), Box::new(|_| false));
+fn start_watch(source: ConsulConfig, watched: WatchConfig) {
+    let answered = Arc::new(LastAnswers::default());
+    let watch = ServiceWatch::new(source, watched, answered, None, Box::new(|_| {}), Box::new(|_| false));
     watch.start().expect("a thread");
 }
 
-fn watched(service: &str) -> Watched {
-    Watched { service: service.into(), tag: None, filter: None, guards: Guards::default(), first_number: 0 }
+fn watched(service: &str) -> WatchConfig {
+    WatchConfig {
+        service: service.into(),
+        tag: None,
+        filter: None,
+        stability: StabilityConfig::default(),
+        first_number: 0,
+    }
 }
 
 const EMPTY_LIST: &str = "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\nContent-Length: 2\r\n\r\n[]";
@@ -83,16 +89,16 @@
     let token_file = std::env::temp_dir().join(format!("snowfield-requests-{}", std::process::id()));
     std::fs::write(&token_file, "4f6a-token\n").expect("the token is written");
     let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
-    let source = Source {
+    let source = ConsulConfig {
         token_file: Some(token_file.clone()),
         datacenter: Some("dc1".into()),
         namespace: Some("team a".into()),
         partition: Some("p/1".into()),
-        stale_ms: Some(500),
+        max_stale_ms: Some(500),
         ..source(address)
     };
     let filter = Some(r#"Service.Meta.zone == "z1""#.to_owned());
-    start_watch(source, Watched { tag: Some("v2".into()), filter, ..watched("loan server/é") });
+    start_watch(source, WatchConfig { tag: Some("v2".into()), filter, ..watched("loan server/é") });
     let received = received.join().expect("the requests");
     std::fs::remove_file(&token_file).expect("it was there");
     assert_eq!(received, WATCH_WITH_ALL_OPTIONS);
@@ -108,6 +114,6 @@
         .expect("a thread");
     // Past the registration and the first heartbeat, and before the next.
     std::thread::sleep(Duration::from_millis(500));
-    registered.end();
+    registered.deregister();
     assert_eq!(received.join().expect("the requests"), REGISTRATION);
 }
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -4,7 +4,7 @@
 use crate::{agreed, duties, log, signals};
 use cluster::Cluster;
 use config_node::Node;
-use consul::Answered;
+use consul::LastAnswers;
 use counter::CounterClient;
 use destination::{HttpDestination, Limits, Pools};
 use exchange::{Clock, Exchange, QuotaCounter};
@@ -105,7 +105,7 @@
     fn close(&self) {
         // First of all, so that the others take over while this instance finishes.
         if let Some(registered) = &self.started.registered {
-            registered.end();
+            registered.deregister();
         }
         if let Some(cluster) = &self.started.cluster {
             cluster.leave();
@@ -127,7 +127,7 @@
     door: Arc<Door>,
     cluster: Option<Arc<Cluster>>,
     agreement: Option<Arc<Node>>,
-    registered: Option<consul::Registered>,
+    registered: Option<consul::RegistrationHandle>,
 }
 
 /// The service and the class of a route, by number.
@@ -160,9 +160,9 @@
         // Answers over HTTP are held whole.
         streams: 0,
     };
-    let answered = Arc::new(Answered::default());
+    let answered = Arc::new(LastAnswers::default());
     let noted = answered.clone();
-    let on_served = Some(Box::new(move |backend: exchange::BackendId| noted.note(backend.0))
+    let on_served = Some(Box::new(move |backend: exchange::BackendId| noted.record(backend.0))
         as Box<dyn Fn(exchange::BackendId) + Send + Sync>);
     let pools = Pools::new(HttpDestination { on_served }, limits);
     pools.connect(exchange.clone());
--- a/crates/snowfield/src/fleet.rs
+++ b/crates/snowfield/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The appliance's destinations: the lists of all services and the verdicts of probes, as the destination side and the
 //! module are told of them.
 
-use catalogue::{Guards, Health, View};
+use catalogue::{EndpointList, HealthStatus, StabilityConfig};
 use cluster::{Backend, Cluster};
-use consul::{Answered, ListFile, NUMBERS, Source, Watch, Watched};
+use consul::{CacheFile, ConsulConfig, LastAnswers, NUMBERS_PER_SERVICE, ServiceWatch, WatchConfig};
 use destination::{HttpDestination, Place, Pools};
 use exchange::Clock;
 use front_openapi::HttpExchange;
@@ -26,7 +26,7 @@
     pools: Arc<Pools<HttpDestination>>,
     known: Mutex<Known>,
     cluster: OnceLock<Arc<Cluster>>,
-    watches: OnceLock<Vec<Arc<Watch>>>,
+    watches: OnceLock<Vec<Arc<ServiceWatch>>>,
     /// Numbers with attempts out, as of the last sweep.
     busy: Arc<Mutex<HashSet<u32>>>,
     /// More than one: ids are told apart by their service.
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct Known {
     /// By service; `None` until its first list.
-    views: Vec<Option<View>>,
+    views: Vec<Option<EndpointList>>,
     /// The names that get no new work by their probes.
     out: BTreeSet<String>,
     /// By number: whether it took work, and the time from which it counts as started.
@@ -89,7 +89,7 @@
             status.backends.iter().filter(|(_, backend)| backend.in_flight > 0).map(|(id, _)| id.0).collect();
         *locked(&self.busy) = busy;
         for watch in self.watches.get().into_iter().flatten() {
-            watch.tick();
+            watch.advance();
         }
     }
 
@@ -98,13 +98,13 @@
     }
 
     /// A service's list has changed.
-    fn listed(&self, service: usize, view: &View) {
+    fn listed(&self, service: usize, view: &EndpointList) {
         let fleet = {
             let mut known = locked(&self.known);
             known.views[service] = Some(view.clone());
             self.tell(&mut known);
             let entries = known.views.iter().enumerate().flat_map(|(s, v)| v.iter().map(move |v| (s, v)));
-            let entries = entries.flat_map(|(s, v)| v.entries.iter().map(move |e| (s, e)));
+            let entries = entries.flat_map(|(s, v)| v.endpoints.iter().map(move |e| (s, e)));
             let backends = entries
                 .map(|(s, e)| Backend { id: self.name(s, &e.instance.id), address: e.instance.address });
             backends.collect()
@@ -131,24 +131,26 @@
         let mut before = HashMap::new();
         for (service, view) in known.views.iter().enumerate() {
             let Some(view) = view else { continue };
-            let working = || view.entries.iter().filter(|e| e.takes_work);
+            let working = || view.endpoints.iter().filter(|e| e.eligible);
             // Sizes are told against their mean, so that a service whose weights are all 100 is like one of all 1.
             let mean = working().map(|e| e.instance.weight).sum::<f64>() / working().count().max(1) as f64;
-            for entry in &view.entries {
+            for entry in &view.endpoints {
                 let (id, instance) = (entry.number, &entry.instance);
-                let takes_work = entry.takes_work || weakened::breaks("drained");
+                let takes_work = entry.eligible || weakened::breaks("drained");
                 let ready = takes_work && !known.out.contains(&self.name(service, &instance.id));
-                let stated = instance.started.map(|ms| (ms * 1000).min(now));
+                let stated = instance.started_at.map(|ms| (ms * 1000).min(now));
                 let started = match known.before.get(&id) {
                     // Back from its probes' verdict it may be cold; so may one that its list counts as begun anew.
-                    Some(&(was_ready, since, started)) if since == entry.since && (was_ready || !ready) => {
+                    Some(&(was_ready, since, started))
+                        if since == entry.eligible_since && (was_ready || !ready) =>
+                    {
                         started
                     }
                     Some(_) => stated.unwrap_or(now),
-                    None if entry.since.is_some() => stated.unwrap_or(now),
+                    None if entry.eligible_since.is_some() => stated.unwrap_or(now),
                     None => stated.unwrap_or(0),
                 };
-                before.insert(id, (ready, entry.since, started));
+                before.insert(id, (ready, entry.eligible_since, started));
                 let state = if ready { BackendState::Ready } else { BackendState::Draining };
                 let size = if mean > 0.0 { instance.weight / mean } else { 1.0 };
                 places.push(Place { id: BackendId(id), address: instance.address, state, started });
@@ -178,7 +180,7 @@
         );
         let by_probes = locked(&self.known).out.clone();
         for (service, watch) in self.watches.get().into_iter().flatten().enumerate() {
-            let (entries, origin) = watch.shown();
+            let (entries, origin) = watch.status();
             let _ = writeln!(out, "destinations of {}  from {origin}", watch.service());
             for (id, number, word, takes_work) in entries.iter().take(MOST_SHOWN) {
                 let attempts =
@@ -204,16 +206,16 @@
 }
 
 /// Where Consul is, as the file says.
-pub fn source(file: &ApplianceConfig, folder: &Path) -> Source {
+pub fn source(file: &ApplianceConfig, folder: &Path) -> ConsulConfig {
     let consul = &file.consul;
-    Source {
+    ConsulConfig {
         agents: std::iter::once(consul.address).chain(consul.further_agents.iter().copied()).collect(),
         token_file: consul.token_file.as_ref().map(|name| folder.join(name)),
         datacenter: consul.datacenter.clone(),
         namespace: consul.namespace.clone(),
         partition: consul.partition.clone(),
-        stale_ms: consul.max_stale_ms,
-        wait: Duration::from_millis(consul.wait_ms),
+        max_stale_ms: consul.max_stale_ms,
+        blocking_wait: Duration::from_millis(consul.wait_ms),
     }
 }
 
@@ -226,33 +228,35 @@
     fleet: &Arc<Fleet>,
     file: &ApplianceConfig,
     folder: &Path,
-    answered: &Arc<Answered>,
+    answered: &Arc<LastAnswers>,
 ) -> Result<(), String> {
     let consul = &file.consul;
     let source = source(file, folder);
-    consul::Token::of(source.token_file.clone()).read().map_err(|e| format!("consul: token_file: {e}"))?;
+    consul::TokenFile::new(source.token_file.clone())
+        .read()
+        .map_err(|e| format!("consul: token_file: {e}"))?;
     let list_file = consul.cache_file.as_ref().map(|name| {
         let services = file.service_names().into_iter().map(str::to_owned);
-        Arc::new(ListFile::open(folder.join(name), consul.cache_max_age_s, services))
+        Arc::new(CacheFile::open(folder.join(name), consul.cache_max_age_s, services))
     });
-    let guards = Guards {
-        worst: match consul.minimum_health {
-            MinimumHealth::Passing => Health::Passing,
-            MinimumHealth::Warning => Health::Warning,
+    let guards = StabilityConfig {
+        minimum_health: match consul.minimum_health {
+            MinimumHealth::Passing => HealthStatus::Passing,
+            MinimumHealth::Warning => HealthStatus::Warning,
         },
         flap_hold: consul.flap_hold_ms,
-        flap_longest: consul.max_flap_hold_ms,
-        sudden_share: consul.sudden_loss_share,
-        sudden_hold: consul.sudden_loss_hold_ms,
-        ..Guards::default()
+        max_flap_hold: consul.max_flap_hold_ms,
+        sudden_loss_share: consul.sudden_loss_share,
+        sudden_loss_hold: consul.sudden_loss_hold_ms,
+        ..StabilityConfig::default()
     };
     let own = (consul.service.clone(), consul.tag.clone(), consul.filter.clone());
     let others = file.services.iter().map(|s| (s.name.clone(), s.tag.clone(), s.filter.clone()));
     let watches = std::iter::once(own).chain(others).enumerate().map(|(i, (service, tag, filter))| {
-        let first_number = i as u32 * NUMBERS;
-        let watched = Watched { service, tag, filter, guards: guards.clone(), first_number };
+        let first_number = i as u32 * NUMBERS_PER_SERVICE;
+        let watched = WatchConfig { service, tag, filter, stability: guards.clone(), first_number };
         let (told, busy) = (fleet.clone(), fleet.busy.clone());
-        Watch::new(
+        ServiceWatch::new(
             source.clone(),
             watched,
             answered.clone(),
