--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -1,7 +1,7 @@
 //! Backends that speak HTTP/1.1.
 
 use crate::{Parsed, Protocol};
-use ::http::{Answer, Request};
+use ::http::{Request, Response};
 use exchange::AttemptEnd;
 use policy::{BackendId, Micros, Outcome};
 use std::net::SocketAddr;
@@ -22,10 +22,10 @@
 
 impl Protocol for HttpProtocol {
     type Payload = Request;
-    type Answer = Answer;
+    type Answer = Response;
 
     fn encode(&self, request: &Request, _to: SocketAddr, _time_left: Micros, out: &mut Vec<u8>) {
-        request.put(out);
+        request.encode(out);
     }
 
     fn on_served(&self, backend: BackendId) {
@@ -34,8 +34,8 @@
         }
     }
 
-    fn parse(&self, request: &Request, buffer: &[u8], is_end: bool) -> Parsed<Answer> {
-        match ::http::answer(buffer, request.is_head, is_end) {
+    fn parse(&self, request: &Request, buffer: &[u8], is_end: bool) -> Parsed<Response> {
+        match ::http::parse_response(buffer, request.is_head, is_end) {
             Ok(Some((answer, consumed, keep_alive))) => {
                 let is_served = answer.status < SERVER_ERROR;
                 let end = AttemptEnd {
@@ -47,7 +47,7 @@
                 Parsed::Complete { consumed, keep_alive, end }
             }
             Ok(None) => Parsed::Incomplete,
-            Err(::http::Refusal::Malformed(text)) => Parsed::Malformed(text),
+            Err(::http::HttpError::Malformed(text)) => Parsed::Malformed(text),
             Err(_) => Parsed::Malformed("an answer passes a limit"),
         }
     }
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -9,11 +9,11 @@
 use crate::{consul_watches, timer_thread};
 use cluster::Cluster;
 use config_node::Node;
-use consul::{Answered, Registered};
+use consul::{LastAnswers, RegistrationHandle};
 use counter::CounterClient;
 use destination::{BackendPools, HttpProtocol, Limits};
 use exchange::{BackendId, Clock, Exchange, QuotaCounter};
-use front_openapi::{Front, HttpExchange, Lender, Setup};
+use front_openapi::{Front, FrontConfig, HttpExchange, Tenant};
 use link::{Listener, spawn};
 use openapi::{Route, RouteTable};
 use settings::appliance::{ApplianceConfig, RouteClass, TenantConfig, tenant_number};
@@ -32,7 +32,7 @@
     pub(super) listener: Arc<Listener>,
     pub(super) cluster: Option<Arc<Cluster>>,
     pub(super) config_node: Option<Arc<Node>>,
-    pub(super) registration: Option<Registered>,
+    pub(super) registration: Option<RegistrationHandle>,
 }
 
 /// The request table with the two sides that it drives.
@@ -42,7 +42,7 @@
     pools: Arc<BackendPools<HttpProtocol>>,
     counter: Option<Arc<CounterClient>>,
     /// When clients last had an answer of each backend.
-    answered: Arc<Answered>,
+    answered: Arc<LastAnswers>,
 }
 
 /// Starts serving the file `path`.
@@ -79,7 +79,7 @@
     tracing::info!("serving OpenAPI on {}", listener.local_address()?);
     backends.start_watches().map_err(Error::ConsulWatch)?;
     let (accepting, accepts_from) = (front.clone(), listener.clone());
-    spawn(move || accepting.run(&accepts_from));
+    spawn(move || accepting.accept_connections(&accepts_from));
     let registration = config.registration.as_ref();
     let registration =
         registration.map(|table| consul_watches::register(table, &config, path)).transpose()?;
@@ -92,9 +92,9 @@
         let settings = settings.map_err(Error::settings(path))?;
         let clock = Clock::start();
         let exchange: Arc<HttpExchange> = Exchange::new(settings, clock.now(), clock)?;
-        let answered = Arc::new(Answered::default());
+        let answered = Arc::new(LastAnswers::default());
         let noted = answered.clone();
-        let on_served = Box::new(move |backend: BackendId| noted.note(backend.0));
+        let on_served = Box::new(move |backend: BackendId| noted.record(backend.0));
         let pools = BackendPools::new(HttpProtocol { on_served: Some(on_served) }, pool_limits(config));
         pools.set_exchange(exchange.clone());
         let counter =
@@ -115,7 +115,7 @@
         connect_timeout: Duration::from_millis(config.limits.connect_timeout_ms),
         idle_timeout: Duration::from_millis(config.limits.idle_timeout_ms),
         max_connections: connection_sockets(config) / 2,
-        max_answer_bytes: config.limits.max_response_bytes + http::LARGEST_HEAD,
+        max_answer_bytes: config.limits.max_response_bytes + http::MAX_HEAD_BYTES,
         // Responses over HTTP are held completely.
         stream_budget_bytes: 0,
     }
@@ -135,7 +135,7 @@
     timer_thread::start(exchange, move || {
         pools.sweep();
         backends.sweep();
-        front.sweep();
+        front.close_overdue();
         if let Some(counter) = &counter {
             counter.close_silent_connections();
         }
@@ -163,26 +163,29 @@
     }
 }
 
-fn front_setup(config: &ApplianceConfig, routes: RouteTable, classes: &[RouteClass]) -> Setup {
+fn front_setup(config: &ApplianceConfig, routes: RouteTable, classes: &[RouteClass]) -> FrontConfig {
     let class = |route: &Route| {
         let class = route_class(config, route);
         let number = classes.iter().position(|known| *known == class).unwrap_or(0);
-        (number as u16, config.classes[class.class].deadline_ms * 1000)
+        front_openapi::RouteClass {
+            class: number as u16,
+            deadline: config.classes[class.class].deadline_ms * 1000,
+        }
     };
-    let tenant = |tenant: &TenantConfig| Lender {
+    let tenant = |tenant: &TenantConfig| Tenant {
         name: tenant.name.clone(),
-        customer: tenant_number(&tenant.name),
+        id: exchange::TenantId(tenant_number(&tenant.name)),
         plan: config.plan_number(&tenant.plan).unwrap_or(0) as u32,
         plan_name: tenant.plan.clone(),
     };
-    Setup {
+    FrontConfig {
         classes: routes.routes().iter().map(class).collect(),
-        table: routes,
-        lender_header: config.tenant_header.clone(),
-        lenders: config.tenants.iter().map(tenant).collect(),
-        set_size: f64::from(config.quota.gatekeepers),
-        largest_body: config.limits.max_body_bytes,
-        most_sockets: connection_sockets(config) / 2,
-        patience: Duration::from_millis(config.limits.client_timeout_ms),
+        routes,
+        tenant_header: config.tenant_header.clone(),
+        tenants: config.tenants.iter().map(tenant).collect(),
+        tenant_gatekeepers: f64::from(config.quota.gatekeepers),
+        max_body_bytes: config.limits.max_body_bytes,
+        max_connections: connection_sockets(config) / 2,
+        client_timeout: Duration::from_millis(config.limits.client_timeout_ms),
     }
 }
