--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -7,15 +7,16 @@
 mod report;
 
 use exchange::{Exchange, FailureReason, FinalAnswer, TenantId};
-use http::{Answer, Body, Framing, Refusal, Request, RequestHead};
-use link::{Door, Incoming, Link, locked, sleep, spawn};
-use openapi::{Match, RouteTable};
+use http::{BodyReader, Framing, HttpError, Request, RequestHead, Response};
+use link::{Connection, Incoming, Listener, locked, sleep, spawn};
+use openapi::{RouteMatch, RouteTable};
+use policy::Micros;
 use problem::Problem;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-pub use report::Tally;
+pub use report::RouteCounts;
 
 /// Bytes asked of the system in one read.
 const READ: usize = 16 * 1024;
@@ -31,56 +32,65 @@
 const MARGIN: u64 = 10_000;
 
 /// What this front passes on and gives back.
-pub type HttpExchange = Exchange<Request, Answer>;
+pub type HttpExchange = Exchange<Request, Response>;
 
 /// A lender that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lender {
+pub struct Tenant {
     /// Its name, as the header gives it.
     pub name: String,
     /// Its customer number.
-    pub customer: u64,
+    pub id: TenantId,
     /// The number of its plan.
     pub plan: u32,
     /// The name of its plan.
     pub plan_name: String,
 }
 
+/// The request class of a route, as the exchange knows it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RouteClass {
+    /// The number of the class.
+    pub class: u16,
+    /// The client gives up after this, in microseconds.
+    pub deadline: Micros,
+}
+
 /// What the front works by.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct FrontConfig {
     /// The routes.
-    pub table: RouteTable,
+    pub routes: RouteTable,
     /// For each route the number of its class and, in us, its deadline.
-    pub classes: Vec<(u16, u64)>,
+    pub classes: Vec<RouteClass>,
     /// The header that names the lender.
-    pub lender_header: String,
+    pub tenant_header: String,
     /// The lenders.
-    pub lenders: Vec<Lender>,
+    pub tenants: Vec<Tenant>,
     /// How many gatekeepers a lender's requests come through.
-    pub set_size: f64,
+    pub tenant_gatekeepers: f64,
     /// The most bytes of a request's body.
-    pub largest_body: usize,
+    pub max_body_bytes: usize,
     /// The most client connections.
-    pub most_sockets: usize,
+    pub max_connections: usize,
     /// A request must be whole, and an answer taken, in this span.
-    pub patience: Duration,
+    pub client_timeout: Duration,
 }
 
 /// The front with all its sockets.
 pub struct Front {
     exchange: Arc<HttpExchange>,
-    setup: Setup,
+    setup: FrontConfig,
     closing: AtomicBool,
     sockets: Mutex<Vec<Weak<ClientConnection>>>,
-    tallies: Mutex<Vec<Tally>>,
+    counts: Mutex<Vec<RouteCounts>>,
 }
 
 /// One client's connection.
 struct ClientConnection {
-    link: Link,
+    connection: Connection,
     phase: Mutex<(Phase, Instant)>,
-    answer: Mutex<Option<FinalAnswer<Answer>>>,
+    answer: Mutex<Option<FinalAnswer<Response>>>,
     /// Room is needed: it ends if it is idle.
     unwanted: AtomicBool,
 }
@@ -133,59 +143,53 @@
 
 impl Front {
     /// A front on this exchange.
-    pub fn new(exchange: Arc<HttpExchange>, setup: Setup) -> Arc<Self> {
-        let tallies = Mutex::new(vec![Tally::default(); setup.table.routes().len()]);
-        Arc::new(Self {
-            exchange,
-            setup,
-            closing: AtomicBool::new(false),
-            sockets: Mutex::default(),
-            tallies,
-        })
+    pub fn new(exchange: Arc<HttpExchange>, setup: FrontConfig) -> Arc<Self> {
+        let counts = Mutex::new(vec![RouteCounts::default(); setup.routes.routes().len()]);
+        Arc::new(Self { exchange, setup, closing: AtomicBool::new(false), sockets: Mutex::default(), counts })
     }
 
     /// Accepts client connections until the door is shut; runs in a coroutine.
-    pub fn run(self: &Arc<Self>, door: &Door) {
-        while let Some(link) = door.accept() {
+    pub fn accept_connections(self: &Arc<Self>, door: &Listener) {
+        while let Some(connection) = door.accept() {
             // A full table keeps new sockets waiting until idle ones have made room: closed, they would only come again.
             while self.is_full() {
                 self.make_room();
                 sleep(LOOK);
             }
             let (phase, unwanted) = (Mutex::new((Phase::Idle, Instant::now())), AtomicBool::new(false));
-            let socket = Arc::new(ClientConnection { link, phase, answer: Mutex::new(None), unwanted });
+            let socket = Arc::new(ClientConnection { connection, phase, answer: Mutex::new(None), unwanted });
             locked(&self.sockets).push(Arc::downgrade(&socket));
             let front = self.clone();
             spawn(move || {
                 front.serve(&socket);
-                socket.link.close();
+                socket.connection.close();
             });
         }
     }
 
     /// Closes every client connection as soon as it is between requests.
-    pub fn close(&self) {
+    pub fn drain(&self) {
         self.closing.store(true, Ordering::Release);
-        self.open_sockets().iter().for_each(|socket| socket.link.wake());
+        self.open_sockets().iter().for_each(|socket| socket.connection.wake());
     }
 
     /// Client connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_sockets().len()
     }
 
     /// Ends what takes too long; call it now and then.
-    pub fn sweep(&self) {
+    pub fn close_overdue(&self) {
         for socket in self.open_sockets() {
             let (phase, since) = *locked(&socket.phase);
             match phase {
                 Phase::Idle if since.elapsed() > IDLE => {
                     socket.unwanted.store(true, Ordering::Release);
-                    socket.link.wake();
+                    socket.connection.wake();
                 }
                 // Woken, it looks at the time by itself.
-                Phase::Reading if since.elapsed() > self.setup.patience => socket.link.wake(),
-                Phase::Finishing if since.elapsed() > self.setup.patience => socket.link.close(),
+                Phase::Reading if since.elapsed() > self.setup.client_timeout => socket.connection.wake(),
+                Phase::Finishing if since.elapsed() > self.setup.client_timeout => socket.connection.close(),
                 _ => {}
             }
         }
@@ -194,7 +198,7 @@
     fn is_full(&self) -> bool {
         let mut sockets = locked(&self.sockets);
         sockets.retain(|s| s.strong_count() > 0);
-        sockets.len() >= self.setup.most_sockets
+        sockets.len() >= self.setup.max_connections
     }
 
     /// Has the socket end that has been idle for longest, if it has been for long enough.
@@ -208,12 +212,12 @@
             sockets.iter().filter_map(|s| Some((idle(s)?, s))).min_by_key(|(at, _)| *at)
         {
             socket.unwanted.store(true, Ordering::Release);
-            socket.link.wake();
+            socket.connection.wake();
         }
     }
 
     fn open_sockets(&self) -> Vec<Arc<ClientConnection>> {
-        locked(&self.sockets).iter().filter_map(Weak::upgrade).filter(|s| !s.link.is_closed()).collect()
+        locked(&self.sockets).iter().filter_map(Weak::upgrade).filter(|s| !s.connection.is_closed()).collect()
     }
 
     /// Serves one request after another until the client leaves or one cannot be told from the next.
@@ -229,12 +233,12 @@
                 Some(Stop::Gone) => return,
                 Some(Stop::Quiet) => {
                     socket.enter(Phase::Finishing);
-                    return socket.link.finish();
+                    return socket.connection.close_gracefully();
                 }
                 Some(Stop::Problem(problem)) => {
-                    let _ = socket.link.send(&problem.bytes(true, false));
+                    let _ = socket.connection.send(&problem.bytes(true, false));
                     socket.enter(Phase::Finishing);
-                    return socket.link.finish();
+                    return socket.connection.close_gracefully();
                 }
             }
         }
@@ -243,30 +247,30 @@
     /// Waits for a whole request. Its route and lender are looked up before its body is taken in.
     fn receive(&self, socket: &ClientConnection, buffer: &mut Vec<u8>) -> Result<Whole, Stop> {
         // What it sent ahead is not begun for a client that has gone.
-        if socket.link.is_left() {
+        if socket.connection.is_peer_closed() {
             return Err(Stop::Gone);
         }
         let head = loop {
-            match http::request_head(buffer) {
+            match http::parse_request_head(buffer) {
                 Ok(Some(head)) => break head,
                 Ok(None) => self.more(socket, buffer)?,
                 Err(refusal) => return Err(Stop::Problem(Problem::refused(refusal))),
             }
         };
         socket.enter(Phase::Reading);
-        let bytes: Vec<u8> = buffer.drain(..head.end).collect();
+        let bytes: Vec<u8> = buffer.drain(..head.length).collect();
         let admitted = self.admit(&bytes, &head);
         if let (Err(problem), true) = (&admitted, head.framing != Framing::Empty) {
             // The body that follows is not wanted: it ends with the connection.
             return Err(Stop::Problem(problem.clone()));
         }
         let refused = |r| Stop::Problem(Problem::refused(r));
-        let mut body = Body::new(head.framing, self.setup.largest_body).map_err(refused)?;
-        let mut told = !head.expects;
-        while !body.take(buffer).map_err(refused)? {
+        let mut body = BodyReader::new(head.framing, self.setup.max_body_bytes).map_err(refused)?;
+        let mut told = !head.expects_continue;
+        while !body.read_from(buffer).map_err(refused)? {
             if !told {
                 told = true;
-                let _ = socket.link.send(b"HTTP/1.1 100 Continue\r\n\r\n");
+                let _ = socket.connection.send(b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             self.more(socket, buffer)?;
         }
@@ -281,9 +285,9 @@
             }
             socket.enter(Phase::Idle);
         }
-        match socket.link.receive(buffer, READ) {
+        match socket.connection.receive(buffer, READ) {
             // What has come from a client that has gone since is not begun.
-            Ok(Incoming::Bytes(_)) if socket.link.is_left() => return Err(Stop::Gone),
+            Ok(Incoming::Bytes(_)) if socket.connection.is_peer_closed() => return Err(Stop::Gone),
             Ok(Incoming::Bytes(_)) => socket.enter(Phase::Reading),
             Ok(Incoming::Woken) => {
                 let (phase, since) = *locked(&socket.phase);
@@ -292,7 +296,7 @@
                 if unwanted && phase == Phase::Idle && since.elapsed() >= QUIET {
                     return Err(Stop::Quiet);
                 }
-                if phase == Phase::Reading && since.elapsed() > self.setup.patience {
+                if phase == Phase::Reading && since.elapsed() > self.setup.client_timeout {
                     let detail = "the request came too slowly";
                     return Err(Stop::Problem(Problem::new(408, "Request Timeout", detail)));
                 }
@@ -308,18 +312,18 @@
         let method = &bytes[head.method.clone()];
         let text =
             |part| std::str::from_utf8(part).map_err(|_| Problem::malformed("the target is not ASCII"));
-        let found = self.setup.table.find(text(method)?, text(path)?);
+        let found = self.setup.routes.find(text(method)?, text(path)?);
         let route = match found.map_err(|e| Problem::malformed(&e.to_string()))? {
-            Match::Route(route) => route,
-            Match::WrongMethod(allowed) => return Err(Problem::wrong_method(&allowed)),
-            Match::Unknown => return Err(Problem::new(404, "Not Found", "no route has this path")),
+            RouteMatch::Route(route) => route,
+            RouteMatch::MethodNotAllowed(allowed) => return Err(Problem::wrong_method(&allowed)),
+            RouteMatch::NotFound => return Err(Problem::new(404, "Not Found", "no route has this path")),
         };
-        let header = &self.setup.lender_header;
-        let mut names = http::values(bytes, &head.fields, header);
+        let header = &self.setup.tenant_header;
+        let mut names = http::header_values(bytes, &head.fields, header);
         let (Some(name), None) = (names.next(), names.next()) else {
             return Err(Problem::malformed(&format!("the header {header} must name one lender")));
         };
-        match self.setup.lenders.iter().position(|l| l.name.as_bytes() == name) {
+        match self.setup.tenants.iter().position(|l| l.name.as_bytes() == name) {
             Some(lender) => Ok(Admitted { route, lender }),
             None => Err(Problem::new(403, "Forbidden", "this lender is not known here")),
         }
@@ -333,18 +337,20 @@
         let answer = match admitted {
             Ok(admitted) => match self.exchange(socket, buffer, &bytes, &head, body, admitted) {
                 Ok(answer) => {
-                    locked(&self.tallies)[admitted.route].count(&answer);
+                    locked(&self.counts)[admitted.route].count(&answer);
                     answer
                 }
                 Err(stop) => return Some(stop),
             },
-            Err(problem) => return self.say(socket, &problem.bytes(!head.keep, is_head), head.keep),
+            Err(problem) => {
+                return self.say(socket, &problem.bytes(!head.keep_alive, is_head), head.keep_alive);
+            }
         };
-        let keep = head.keep && !self.closing.load(Ordering::Acquire);
+        let keep = head.keep_alive && !self.closing.load(Ordering::Acquire);
         let bytes = match answer {
             FinalAnswer::Served(answer) => {
                 let mut out = Vec::with_capacity(answer.head.len() + answer.body.len() + 64);
-                answer.put(!keep, &mut out);
+                answer.encode(!keep, &mut out);
                 out
             }
             FinalAnswer::Rejected { retry_after, reason: why } => {
@@ -356,13 +362,13 @@
     }
 
     fn say(&self, socket: &ClientConnection, bytes: &[u8], keep: bool) -> Option<Stop> {
-        if socket.link.send(bytes).is_err() {
+        if socket.connection.send(bytes).is_err() {
             return Some(Stop::Gone);
         }
         socket.enter(Phase::Finishing);
         if keep {
             // The next request is read when the client has taken this answer, so answers never pile up.
-            if socket.link.drain().is_err() {
+            if socket.connection.flush_all().is_err() {
                 return Some(Stop::Gone);
             }
             socket.enter(Phase::Idle);
@@ -380,26 +386,26 @@
         head: &RequestHead,
         body: Vec<u8>,
         admitted: Admitted,
-    ) -> Result<FinalAnswer<Answer>, Stop> {
+    ) -> Result<FinalAnswer<Response>, Stop> {
         let Admitted { route, lender } = admitted;
         let target = target_of(bytes, head).map_err(Stop::Problem)?;
-        let (class, deadline) = self.setup.classes[route];
-        let who = &self.setup.lenders[lender];
+        let RouteClass { class, deadline } = self.setup.classes[route];
+        let who = &self.setup.tenants[lender];
         let request = exchange::Request {
             class,
             plan: who.plan,
-            tenant: TenantId(who.customer),
+            tenant: who.id,
             time_left: deadline.saturating_sub(MARGIN).max(1000),
-            tenant_gatekeepers: self.setup.set_size,
-            units: self.setup.table.routes()[route].units,
+            tenant_gatekeepers: self.setup.tenant_gatekeepers,
+            units: self.setup.routes.routes()[route].units,
             client_retry: false,
-            account: Some((route * self.setup.lenders.len() + lender) as u32),
+            account: Some((route * self.setup.tenants.len() + lender) as u32),
             payload: Request::new(bytes, head, target, body),
         };
         let place = socket.clone();
         let reply = move |answer| {
             *locked(&place.answer) = Some(answer);
-            place.link.wake();
+            place.connection.wake();
         };
         let id = self.exchange.submit(request, Box::new(reply));
         loop {
@@ -407,11 +413,11 @@
                 return Ok(answer);
             }
             let gone = if buffer.len() >= MOST_AHEAD {
-                socket.link.wait();
-                socket.link.is_closed()
+                socket.connection.wait();
+                socket.connection.is_closed()
             } else {
-                matches!(socket.link.receive(buffer, READ), Ok(Incoming::End) | Err(_))
-            } || socket.link.is_left();
+                matches!(socket.connection.receive(buffer, READ), Ok(Incoming::End) | Err(_))
+            } || socket.connection.is_peer_closed();
             if gone {
                 self.exchange.client_gone(id);
                 return Err(Stop::Gone);
@@ -445,13 +451,13 @@
 }
 
 impl Problem {
-    fn refused(refusal: Refusal) -> Self {
+    fn refused(refusal: HttpError) -> Self {
         match refusal {
-            Refusal::Malformed(text) => Self::malformed(text),
-            Refusal::HeadTooLarge => {
+            HttpError::Malformed(text) => Self::malformed(text),
+            HttpError::HeadTooLarge => {
                 Self::new(431, "Request Header Fields Too Large", "the head is too large")
             }
-            Refusal::BodyTooLarge => Self::new(413, "Content Too Large", "the body is too large"),
+            HttpError::BodyTooLarge => Self::new(413, "Content Too Large", "the body is too large"),
         }
     }
 
