--- /dev/null
+++ b/crates/stand_in_consul/tests/http.rs
@@ -0,0 +1,137 @@
+//! The HTTP API byte for byte, as a script of requests and what was answered.
+
+use stand_in_consul::{Consul, Service, Status};
+use std::fmt::Write as _;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// Requests: method, target, body. `SESSION` stands for the id of the session that was created last.
+const SCRIPT: &[(&str, &str, &str)] = &[
+    ("GET", "/v1/status/leader", ""),
+    ("GET", "/v1/kv/a", ""),
+    ("PUT", "/v1/kv/a?flags=7", "one"),
+    ("GET", "/v1/kv/a", ""),
+    ("PUT", "/v1/kv/a?cas=0", "two"),
+    ("PUT", "/v1/kv/a?cas=11", "two"),
+    ("PUT", "/v1/kv/a%2Fb", "three"),
+    ("GET", "/v1/kv/a?recurse", ""),
+    ("PUT", "/v1/kv/a?cas=x", "two"),
+    ("PUT", "/v1/kv/a?acquire=none", "two"),
+    ("PUT", "/v1/kv/a?acquire=none&cas=1", "two"),
+    ("POST", "/v1/kv/a", ""),
+    ("PUT", "/v1/session/create", r#"{"Name":"short","TTL":"1s"}"#),
+    ("PUT", "/v1/session/create", r#"{"Name":"s","TTL":"15s","LockDelay":"0s","Behavior":"delete"}"#),
+    ("PUT", "/v1/kv/lock?acquire=SESSION", "held"),
+    ("GET", "/v1/kv/lock", ""),
+    ("PUT", "/v1/session/renew/SESSION", ""),
+    (
+        "PUT",
+        "/v1/txn",
+        r#"[{"KV":{"Verb":"check-session","Key":"lock","Session":"SESSION"}},{"KV":{"Verb":"cas","Key":"t","Value":"YQ==","Index":0}},{"KV":{"Verb":"get","Key":"t"}}]"#,
+    ),
+    (
+        "PUT",
+        "/v1/txn",
+        r#"[{"KV":{"Verb":"cas","Key":"t","Value":"Yg==","Index":0}},{"KV":{"Verb":"get","Key":"no"}}]"#,
+    ),
+    (
+        "PUT",
+        "/v1/txn",
+        r#"[{"KV":{"Verb":"set","Key":"t","Value":"Yg==","Flags":3}},{"KV":{"Verb":"check-index","Key":"t","Index":1}},{"KV":{"Verb":"lock","Key":"lock","Session":"other"}},{"KV":{"Verb":"check-session","Key":"t","Session":"x"}},{"KV":{"Verb":"delete","Key":"t"}}]"#,
+    ),
+    ("PUT", "/v1/txn", r#"[{"KV":{"Verb":"leap","Key":"t"}}]"#),
+    ("PUT", "/v1/txn", "{}"),
+    ("PUT", "/v1/kv/lock?release=SESSION", "free"),
+    ("PUT", "/v1/session/destroy/SESSION", ""),
+    ("PUT", "/v1/session/renew/SESSION", ""),
+    ("PUT", "/v1/session/leap/SESSION", ""),
+    ("DELETE", "/v1/kv/a?recurse", ""),
+    ("GET", "/v1/kv/a/b", ""),
+    ("GET", "/v1/health/service/loans", ""),
+    ("GET", "/v1/health/service/loans?passing", ""),
+    ("GET", "/v1/health/service/loans?tag=blue", ""),
+    ("GET", "/v1/health/service/none", ""),
+    ("GET", "/v1/catalog/service/loans", ""),
+    ("PUT", "/v1/agent/service/register", r#"{"Name":"gate","Port":8080}"#),
+    ("PUT", "/v1/agent/check/pass/service:gate", ""),
+    ("PUT", "/v1/agent/check/pass/service:none", ""),
+    ("PUT", "/v1/agent/service/deregister/gate", ""),
+    ("PUT", "/v1/agent/service/deregister/gate", ""),
+    ("PUT", "/v1/agent/service/register", "{}"),
+    ("PUT", "/v1/agent/service/register", "-"),
+    ("GET", "/v2/none", ""),
+];
+
+fn services() -> Vec<Service> {
+    let service = |i: u16| Service::new(&format!("l{i}"), SocketAddr::from(([127, 0, 0, 1], 7_000 + i)));
+    let mut all: Vec<Service> = (0..4).map(service).collect();
+    all[1].status = Status::Critical;
+    all[1].tags = vec!["blue".to_owned()];
+    all[2].maintenance = true;
+    all[2].meta.insert("zone".to_owned(), "a".to_owned());
+    all[3].node_well = false;
+    all[3].weights = (3, 2);
+    all
+}
+
+/// Head and body of an answer.
+fn answer(from: &mut impl BufRead) -> (String, String) {
+    let (mut head, mut length) = (String::new(), 0);
+    loop {
+        let mut line = String::new();
+        from.read_line(&mut line).expect("a line");
+        if line.trim().is_empty() {
+            break;
+        }
+        if let Some(value) = line.strip_prefix("Content-Length: ") {
+            length = value.trim().parse().expect("a length");
+        }
+        head += &line;
+    }
+    let mut body = vec![0; length];
+    from.read_exact(&mut body).expect("a body");
+    (head, String::from_utf8(body).expect("text"))
+}
+
+#[test]
+fn requests_are_answered_byte_for_byte_alike() {
+    let consul = Consul::start();
+    consul.set_service(11, "loans", services());
+    let door = consul.open();
+    door.translate(SocketAddr::from(([127, 0, 0, 1], 7_000)), SocketAddr::from(([127, 0, 0, 2], 80)));
+    let mut writes = TcpStream::connect(door.address).expect("it listens");
+    let mut reads = BufReader::new(writes.try_clone().expect("a second handle"));
+    let (mut course, mut session) = (String::new(), "none".to_owned());
+    for (method, target, body) in SCRIPT {
+        let (sent_target, sent) = (target.replace("SESSION", &session), body.replace("SESSION", &session));
+        let length = sent.len();
+        let head = format!("{method} {sent_target} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n");
+        writes.write_all((head + &sent).as_bytes()).expect("it is taken");
+        let (mut head, mut body) = answer(&mut reads);
+        if let Some(id) = body.strip_prefix(r#"{"ID":""#).and_then(|rest| rest.split('"').next()) {
+            session = id.to_owned();
+        }
+        if session != "none" {
+            body = body.replace(&session, "SESSION");
+            let end = head.find("Content-Length").expect("a length");
+            head.truncate(end);
+        }
+        writeln!(course, "{method} {target}\n{}{body}\n", head.replace('\r', ""))
+            .expect("a string takes all");
+    }
+    assert_eq!(course, include_str!("fixtures/http.txt"));
+}
+
+#[test]
+fn requests_are_counted_by_method_and_kind() {
+    let consul = Consul::start();
+    let door = consul.open();
+    for (method, target) in [("GET", "/v1/kv/a/b"), ("GET", "/v1/kv/c"), ("PUT", "/v1/txn")] {
+        let mut stream = TcpStream::connect(door.address).expect("it listens");
+        let request = format!("{method} {target} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+        stream.write_all(request.as_bytes()).expect("it is taken");
+        answer(&mut BufReader::new(stream));
+    }
+    let counts: Vec<(String, u64)> = consul.counts().into_iter().collect();
+    assert_eq!(counts, [("GET /v1/kv".to_owned(), 2), ("PUT /v1/txn".to_owned(), 1)]);
+}
