--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -24,7 +24,7 @@
 use files::{SERVICE, STANDARD_PLAN};
 use member::{Member, MemberState};
 use selector::selects;
-use stand_in_consul::{Consul, Door, Service};
+use stand_in_consul::{Consul, Listener, Service};
 use std::collections::HashMap;
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -149,7 +149,7 @@
                 }
             }
         }
-        let (consul_requests, gossip_bytes) = (self.consul.counts(), self.network.datagram_bytes());
+        let (consul_requests, gossip_bytes) = (self.consul.request_counts(), self.network.datagram_bytes());
         self.recorder.record(Observation::Traffic { consul_requests, gossip_bytes });
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// The Consul agents of this gatekeeper.
-    pub fn consul_agents(&self, index: usize) -> &[Door] {
+    pub fn consul_agents(&self, index: usize) -> &[Listener] {
         &self.members[index].consul_agents
     }
 
--- a/crates/fault_injection/src/site/faults/stand_ins.rs
+++ b/crates/fault_injection/src/site/faults/stand_ins.rs
@@ -5,7 +5,7 @@
 use crate::schedule::FailureMode;
 use crate::site::{SERVICE, Site};
 use crate::stand_ins::FailureSwitch;
-use stand_in_consul::{Fault as ConsulFault, Status};
+use stand_in_consul::{CheckStatus, Fault as ConsulFault};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 
 fn consul_fault(mode: FailureMode) -> ConsulFault {
     match mode {
-        FailureMode::Silent => ConsulFault::Silence,
+        FailureMode::Silent => ConsulFault::Silent,
         FailureMode::Slow => ConsulFault::Delay(SLOW_ANSWER),
         FailureMode::Error => ConsulFault::Status(500),
-        FailureMode::ResponseLost => ConsulFault::Lost,
-        FailureMode::ResponseTruncated => ConsulFault::Cut,
+        FailureMode::ResponseLost => ConsulFault::ResponseLost,
+        FailureMode::ResponseTruncated => ConsulFault::ResponseTruncated,
         FailureMode::Closed => ConsulFault::Closed,
         FailureMode::RestartedEmpty => ConsulFault::None,
     }
@@ -92,10 +92,10 @@
         let names: Vec<String> = self.selected_backends(target).iter().map(|b| b.name.clone()).collect();
         names.iter().for_each(|name| self.discovery.set_draining(name, is_draining));
         let index = self.catalogue_index.fetch_add(1, Ordering::Relaxed) + 1;
-        self.consul.change(|state| {
+        self.consul.update(|state| {
             for service in state.services.get_mut(SERVICE).into_iter().flatten() {
                 if names.contains(&service.id) {
-                    service.status = if is_draining { Status::Critical } else { Status::Passing };
+                    service.status = if is_draining { CheckStatus::Critical } else { CheckStatus::Passing };
                 }
             }
             state.services_index = index;
--- a/crates/fault_injection/src/site/member.rs
+++ b/crates/fault_injection/src/site/member.rs
@@ -4,7 +4,7 @@
 use crate::Error;
 use crate::process::{Log, Process};
 use crate::sync::lock;
-use stand_in_consul::Door;
+use stand_in_consul::Listener;
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
     pub(super) client_address: SocketAddr,
     pub(super) folder: PathBuf,
     pub(super) settings: SettingsFile,
-    pub(super) consul_agents: Vec<Door>,
+    pub(super) consul_agents: Vec<Listener>,
     /// Where it reaches the target of periodic jobs.
     pub(super) job_target: SocketAddr,
     pub(super) state: Mutex<MemberState>,
--- a/crates/fault_injection/src/site/setup.rs
+++ b/crates/fault_injection/src/site/setup.rs
@@ -13,7 +13,7 @@
 use crate::network::{Link, Network, NodeId};
 use crate::schedule::{Form, Schedule};
 use crate::stand_ins::{Backend, Counter, Discovery, WatchRoute, open_job_target};
-use stand_in_consul::{Consul, Door, Service};
+use stand_in_consul::{Consul, Listener, Service};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -132,7 +132,7 @@
             std::fs::create_dir_all(&path).map_err(Error::file(&path))?;
         }
         let agents = self.schedule.options.consul_agents.max(1);
-        let consul_agents: Vec<Door> = (0..agents).map(|_| self.consul.open()).collect();
+        let consul_agents: Vec<Listener> = (0..agents).map(|_| self.consul.open()).collect();
         let backends = self.backend_links(index, &consul_agents)?;
         let settings = self.settings(index, &consul_agents, backends)?;
         let from_load = Link::new(self.nodes[LOAD], NodeId(index));
@@ -151,7 +151,11 @@
     }
 
     /// Opens all backends for a gatekeeper; its Consul agents show them at the addresses of their links.
-    fn backend_links(&self, index: usize, agents: &[Door]) -> std::io::Result<HashMap<String, SocketAddr>> {
+    fn backend_links(
+        &self,
+        index: usize,
+        agents: &[Listener],
+    ) -> std::io::Result<HashMap<String, SocketAddr>> {
         let mut links = HashMap::new();
         for (number, backend) in self.backends.iter().enumerate() {
             let target = backend.open(&self.network, self.addresses.stand_ins(), &self.gatekeepers[index])?;
@@ -166,7 +170,7 @@
     fn settings(
         &self,
         index: usize,
-        agents: &[Door],
+        agents: &[Listener],
         backends: HashMap<String, SocketAddr>,
     ) -> std::io::Result<SettingsFile> {
         let host = self.addresses.stand_ins();
@@ -189,7 +193,7 @@
         &self,
         index: usize,
         counter: SocketAddr,
-        agents: &[Door],
+        agents: &[Listener],
     ) -> std::io::Result<String> {
         let consul_agents = agents
             .iter()
--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use stand_in_consul::{Door, Fault, Service, Status};
+use stand_in_consul::{CheckStatus, Fault, Listener, Service};
 use std::net::SocketAddr;
 use std::sync::mpsc::Receiver;
 
@@ -12,14 +12,14 @@
 struct Consul {
     address: SocketAddr,
     shared: stand_in_consul::Consul,
-    door: Door,
+    door: Listener,
 }
 
 impl Consul {
     /// Also tells the target of each query.
     fn start(instances: &[SocketAddr]) -> (Self, Receiver<String>) {
         let shared = stand_in_consul::Consul::start();
-        let asked = shared.listen();
+        let asked = shared.log_requests();
         let named = |(i, at): (usize, &SocketAddr)| service(&format!("loans-{i}"), *at);
         shared.set_service(10, "loan-server", instances.iter().enumerate().map(named).collect());
         let door = shared.open();
@@ -27,7 +27,7 @@
     }
 
     fn set(&self, index: u64, change: impl FnOnce(&mut Vec<Service>)) {
-        self.shared.change(|state| {
+        self.shared.update(|state| {
             change(state.services.entry("loan-server".into()).or_default());
             state.services_index = index;
         });
@@ -410,7 +410,7 @@
     assert_eq!(ask(), 200);
     asked(&old_seen);
     site.consul.set(11, |instances| {
-        instances[0].status = Status::Critical;
+        instances[0].status = CheckStatus::Critical;
         instances.push(service("loans-new", new));
     });
     // An idle connection is let go of once the change has been heard; the new one comes with it or just after.
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use stand_in_consul::{Consul, Fault, Service, Status};
+use stand_in_consul::{CheckStatus, Consul, Fault, Service, Weights};
 use std::net::SocketAddr;
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
@@ -66,7 +66,11 @@
     // 9 of 9 are used but for what has filled since; another 4 are not there.
     assert_eq!(ask(listen, "/papers").status(), 429);
     // One service without instances leaves the other alone.
-    consul.set_service(12, "paper-server", vec![Service::new("p", papers).with(Status::Critical)]);
+    consul.set_service(
+        12,
+        "paper-server",
+        vec![Service::new("p", papers).with_status(CheckStatus::Critical)],
+    );
     program.logged("paper-server: 1 instances, 0 of them take work");
     let until = Instant::now() + LONG;
     loop {
@@ -99,7 +103,7 @@
     let (old, _old_seen) = serving();
     let (new, new_seen) = serving();
     let consul = Consul::start();
-    consul.change(|s| (s.token, s.gzip) = (Some("secret-1".into()), true));
+    consul.update(|s| (s.token, s.compresses) = (Some("secret-1".into()), true));
     consul.set_service(11, "loan-server", vec![Service::new("l", old)]);
     consul.set_service(11, "paper-server", Vec::new());
     let (first, second) = (consul.open(), consul.open());
@@ -120,12 +124,12 @@
         assert_eq!(ask(listen, "/loans").status(), 200);
     }
     // The token is changed on both sides, without a restart.
-    consul.change(|s| s.token = Some("secret-2".into()));
+    consul.update(|s| s.token = Some("secret-2".into()));
     program.logged("(status 403); the last list stays");
     folder.write("token", "secret-2\n");
     program.logged("answers again");
     // What has no leader behind it is no news.
-    consul.change(|s| s.leaderless = true);
+    consul.update(|s| s.leaderless = true);
     consul.set_service(13, "loan-server", Vec::new());
     assert!(program.logged("no news (").starts_with("the servers have no leader"));
     assert_eq!(ask(listen, "/loans").status(), 200);
@@ -151,7 +155,7 @@
     }
     program.terminate();
     assert_eq!(program.wait(), Some(0));
-    door.fail(Fault::Silence);
+    door.fail(Fault::Silent);
     let mut program = Program::start(&["serve", &path], &[]);
     program.logged("loan-server: the list on disk serves until Consul answers: 1 instances, ");
     let listen = listening(&program);
@@ -184,7 +188,7 @@
     let consul = Consul::start();
     let weighed = |(i, at): (usize, SocketAddr)| {
         let mut service = Service::new(&format!("l{i}"), at);
-        service.weights = (i as u32 + 1, 1);
+        service.weights = Weights { passing: i as u32 + 1, warning: 1 };
         service
     };
     let list = places.iter().map(|p| p.0).enumerate().map(weighed).collect();
@@ -218,14 +222,15 @@
     let path = folder.write("a.toml", &file(&address, register, WIDE));
     let mut program = Program::start(&["serve", &path], &[]);
     program.logged("consul: registered as gk-1");
-    let passed = || consul.change(|s| s.registered.get("gk-1").map(|r| (r.name.clone(), r.port, r.passed)));
+    let passed =
+        || consul.update(|s| s.registrations.get("gk-1").map(|r| (r.name.clone(), r.port, r.passed_checks)));
     let until = Instant::now() + LONG;
     while passed().is_none_or(|r| r.2 < 3) {
         assert!(Instant::now() < until, "{:?}", passed());
         std::thread::yield_now();
     }
     assert_eq!(passed().map(|r| (r.0, r.1)), Some(("gatekeeper".into(), 9999)));
-    consul.change(|s| s.registered.clear());
+    consul.update(|s| s.registrations.clear());
     program.logged("the agent forgot gk-1");
     program.logged("consul: registered as gk-1");
     program.terminate();
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -193,14 +193,14 @@
     programs[0].signal("-CONT");
     rounds(3);
     // The store falls silent and comes back empty.
-    doors.iter().for_each(|door| door.fail(Fault::Silence));
+    doors.iter().for_each(|door| door.fail(Fault::Silent));
     programs[0].logged("jobs: the lease store is unavailable");
     consul.restart_empty();
     doors.iter().for_each(|door| door.fail(Fault::None));
     programs[0].logged("jobs: all leases are read anew");
     rounds(4);
     // Answers to claims are lost after they were applied.
-    doors.iter().for_each(|door| door.fail_writes(Fault::Lost, 4));
+    doors.iter().for_each(|door| door.fail_writes(Fault::ResponseLost, 4));
     rounds(3);
     // One leaves: the other is told, and does it all.
     programs[1].terminate();
@@ -353,7 +353,7 @@
 fn claims_bring_the_token_of_the_file_as_it_is_now() {
     let (target, runs) = destination(message, |_| ok());
     let (store, catalogue) = (Consul::start(), Consul::start());
-    store.change(|s| s.token = Some("secret-1".into()));
+    store.update(|s| s.token = Some("secret-1".into()));
     let folder = folder("claim-token");
     folder.write("claims.token", "secret-0\n");
     let own = cluster("a", udp_ports(1)[0], &[]);
@@ -366,7 +366,7 @@
     assert_eq!(all_asked(&runs).len(), 0, "no claim, no run");
     folder.write("claims.token", "secret-1\n");
     asked(&runs);
-    store.change(|s| s.token = Some("secret-2".into()));
+    store.update(|s| s.token = Some("secret-2".into()));
     folder.write("claims.token", "secret-2\n");
     all_asked(&runs);
     (0..3).for_each(|_| drop(asked(&runs)));
--- /dev/null
+++ b/crates/stand_in_consul/src/server/agent.rs
@@ -0,0 +1,48 @@
+//! The agent's pages: a service with a TTL check.
+
+use super::NO_SUCH_PAGE;
+use super::request::Request;
+use super::response::Response;
+use crate::consul::{Listener, State};
+use crate::service::Registration;
+use serde_json::Value;
+
+pub(super) fn serve(listener: &Listener, request: &Request, page: &str) -> Response {
+    let mut state = listener.shared.state();
+    let response = if page == "service/register" {
+        register(&mut state, &request.body)
+    } else if let Some(id) = page.strip_prefix("service/deregister/") {
+        match state.registrations.remove(id) {
+            Some(_) => Response::text(200, ""),
+            None => Response::text(404, "Unknown service ID"),
+        }
+    } else if let Some(id) = page.strip_prefix("check/pass/service:") {
+        match state.registrations.get_mut(id) {
+            Some(registration) => {
+                registration.passed_checks += 1;
+                Response::text(200, "")
+            }
+            None => Response::text(404, "Unknown check ID"),
+        }
+    } else {
+        Response::text(404, NO_SUCH_PAGE)
+    };
+    drop(state);
+    listener.shared.notify_changed();
+    response
+}
+
+fn register(state: &mut State, body: &[u8]) -> Response {
+    let Ok(body) = serde_json::from_slice::<Value>(body) else {
+        return Response::text(400, "no JSON");
+    };
+    let text = |name: &str| body.get(name).and_then(Value::as_str).unwrap_or_default().to_owned();
+    let name = text("Name");
+    if name.is_empty() {
+        return Response::text(400, "Missing service name");
+    }
+    let id = Some(text("ID")).filter(|id| !id.is_empty()).unwrap_or_else(|| name.clone());
+    let port = body.get("Port").and_then(Value::as_u64).and_then(|port| u16::try_from(port).ok());
+    state.registrations.insert(id, Registration { name, port: port.unwrap_or(0), passed_checks: 0 });
+    Response::text(200, "")
+}
--- /dev/null
+++ b/crates/stand_in_consul/src/server/services.rs
@@ -0,0 +1,79 @@
+//! The health and catalogue pages of services.
+
+use super::FAULT_TEXT;
+use super::blocking::wait_for_change;
+use super::request::Request;
+use super::response::Response;
+use crate::consul::{Fault, Listener};
+use crate::service::Service;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+
+/// The node on which all instances are.
+const NODE: &str = "a";
+
+/// The health page of a service.
+pub(super) fn health(listener: &Listener, request: &Request, name: &str, fault: Fault) -> Response {
+    list(listener, request, name, fault, |instance, address| health_json(name, instance, address))
+}
+
+/// The catalogue page of a service.
+pub(super) fn catalog(listener: &Listener, request: &Request, name: &str, fault: Fault) -> Response {
+    list(listener, request, name, fault, catalog_json)
+}
+
+fn list(
+    listener: &Listener,
+    request: &Request,
+    name: &str,
+    fault: Fault,
+    show: impl Fn(&Service, SocketAddr) -> Value,
+) -> Response {
+    wait_for_change(listener, request, fault, |state| state.services_index);
+    // A listener that was made to fail meanwhile ends its open queries like this.
+    if listener.fault_for(false) != fault {
+        return Response::text(500, FAULT_TEXT);
+    }
+    let state = listener.shared.state();
+    let only_passing = request.query.contains_key("passing");
+    let tag = request.query.get("tag");
+    let instances = state.services.get(name).into_iter().flatten();
+    let entries: Vec<Value> = instances
+        .filter(|instance| instance.is_passing() || !only_passing)
+        .filter(|instance| tag.is_none_or(|tag| instance.tags.contains(tag)))
+        .map(|instance| show(instance, listener.shown_address(instance.address)))
+        .collect();
+    Response::json(state.services_index, &entries.into())
+}
+
+fn catalog_json(instance: &Service, address: SocketAddr) -> Value {
+    json!({
+        "Node": NODE, "Address": address.ip().to_string(), "ServiceID": instance.id, "ServiceAddress": "",
+        "ServicePort": address.port(),
+    })
+}
+
+fn health_json(name: &str, instance: &Service, address: SocketAddr) -> Value {
+    json!({
+        "Node": {"Node": NODE, "Address": address.ip().to_string()},
+        "Service": {
+            "ID": instance.id, "Service": name, "Address": "", "Port": address.port(), "Tags": instance.tags,
+            "Meta": instance.meta,
+            "Weights": {"Passing": instance.weights.passing, "Warning": instance.weights.warning},
+        },
+        "Checks": checks_json(instance),
+    })
+}
+
+fn checks_json(instance: &Service) -> Vec<Value> {
+    let check = |id: &str, status: &str| json!({"Node": NODE, "CheckID": id, "Status": status});
+    let node_status = if instance.is_node_healthy { "passing" } else { "critical" };
+    let mut checks = vec![
+        check("serfHealth", node_status),
+        check(&format!("service:{}", instance.id), instance.status.name()),
+    ];
+    if instance.in_maintenance {
+        checks.push(check(&format!("_service_maintenance:{}", instance.id), "critical"));
+    }
+    checks
+}
--- a/crates/stand_in_consul/tests/http.rs
+++ b/crates/stand_in_consul/tests/http.rs
@@ -1,8 +1,8 @@
 //! The HTTP API byte for byte, as a script of requests and what was answered.
 
-use stand_in_consul::{Consul, Service, Status};
+use stand_in_consul::{CheckStatus, Consul, Service, Weights};
 use std::fmt::Write as _;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
 /// Requests: method, target, body. `SESSION` stands for the id of the session that was created last.
@@ -65,12 +65,12 @@
 fn services() -> Vec<Service> {
     let service = |i: u16| Service::new(&format!("l{i}"), SocketAddr::from(([127, 0, 0, 1], 7_000 + i)));
     let mut all: Vec<Service> = (0..4).map(service).collect();
-    all[1].status = Status::Critical;
+    all[1].status = CheckStatus::Critical;
     all[1].tags = vec!["blue".to_owned()];
-    all[2].maintenance = true;
+    all[2].in_maintenance = true;
     all[2].meta.insert("zone".to_owned(), "a".to_owned());
-    all[3].node_well = false;
-    all[3].weights = (3, 2);
+    all[3].is_node_healthy = false;
+    all[3].weights = Weights { passing: 3, warning: 2 };
     all
 }
 
@@ -97,9 +97,9 @@
 fn requests_are_answered_byte_for_byte_alike() {
     let consul = Consul::start();
     consul.set_service(11, "loans", services());
-    let door = consul.open();
-    door.translate(SocketAddr::from(([127, 0, 0, 1], 7_000)), SocketAddr::from(([127, 0, 0, 2], 80)));
-    let mut writes = TcpStream::connect(door.address).expect("it listens");
+    let listener = consul.open();
+    listener.translate(SocketAddr::from(([127, 0, 0, 1], 7_000)), SocketAddr::from(([127, 0, 0, 2], 80)));
+    let mut writes = TcpStream::connect(listener.address).expect("it listens");
     let mut reads = BufReader::new(writes.try_clone().expect("a second handle"));
     let (mut course, mut session) = (String::new(), "none".to_owned());
     for (method, target, body) in SCRIPT {
@@ -125,13 +125,13 @@
 #[test]
 fn requests_are_counted_by_method_and_kind() {
     let consul = Consul::start();
-    let door = consul.open();
+    let listener = consul.open();
     for (method, target) in [("GET", "/v1/kv/a/b"), ("GET", "/v1/kv/c"), ("PUT", "/v1/txn")] {
-        let mut stream = TcpStream::connect(door.address).expect("it listens");
+        let mut stream = TcpStream::connect(listener.address).expect("it listens");
         let request = format!("{method} {target} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("it is taken");
         answer(&mut BufReader::new(stream));
     }
-    let counts: Vec<(String, u64)> = consul.counts().into_iter().collect();
+    let counts: Vec<(String, u64)> = consul.request_counts().into_iter().collect();
     assert_eq!(counts, [("GET /v1/kv".to_owned(), 2), ("PUT /v1/txn".to_owned(), 1)]);
 }
--- a/crates/system_tests/src/bin/proof-catalogue.rs
+++ b/crates/system_tests/src/bin/proof-catalogue.rs
@@ -6,7 +6,7 @@
 use fault_injection::load::{Tenant, UNLIMITED_TENANT};
 use fault_injection::schedule::{DiskFault, FailureMode, FaultKind, Form, Schedule, SiteOptions};
 use fault_injection::site::{Site, write_common_files};
-use stand_in_consul::{Fault, Service, Status};
+use stand_in_consul::{CheckStatus, Fault, Service, Weights};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -147,7 +147,7 @@
         })
         .collect();
     let full = || site.healthy_services();
-    let marked = |which: &[usize], status: Status| {
+    let marked = |which: &[usize], status: CheckStatus| {
         let mut list = full();
         which.iter().for_each(|&i| list[i].status = status);
         list
@@ -163,10 +163,10 @@
         let mut list = full();
         let name = list[i].id.clone();
         match *kind {
-            "critical" => list[i].status = Status::Critical,
-            "maintenance" => list[i].maintenance = true,
-            "node down" => list[i].node_well = false,
-            "warning" => list[i].status = Status::Warning,
+            "critical" => list[i].status = CheckStatus::Critical,
+            "maintenance" => list[i].in_maintenance = true,
+            "node down" => list[i].is_node_healthy = false,
+            "warning" => list[i].status = CheckStatus::Warning,
             _ => drop(list.remove(i)),
         }
         let word = site.set_services(list);
@@ -180,7 +180,7 @@
 
     // Outages of three kinds, in each of which two loan servers die for real.
     for (turn, (kind, fault)) in
-        [("silent", Fault::Silence), ("refusing", Fault::Closed), ("answering 500", Fault::Status(500))]
+        [("silent", Fault::Silent), ("refusing", Fault::Closed), ("answering 500", Fault::Status(500))]
             .into_iter()
             .enumerate()
     {
@@ -212,7 +212,7 @@
     // The first agent alone is away: the second is asked.
     site.consul_agents(0)[0].fail(Fault::Closed);
     pass(3.0);
-    let word = site.set_services(marked(&[7], Status::Critical));
+    let word = site.set_services(marked(&[7], CheckStatus::Critical));
     pass(1.5);
     course.failover = (word, now_us());
     site.consul_agents(0)[0].fail(Fault::None);
@@ -223,7 +223,7 @@
     for flapping in [&[8][..], &[8, 9, 10, 11]] {
         let from = now_us();
         for second in 0..FLAPS {
-            site.set_services(if second % 2 == 0 { marked(flapping, Status::Critical) } else { full() });
+            site.set_services(if second % 2 == 0 { marked(flapping, CheckStatus::Critical) } else { full() });
             pass(1.0);
         }
         course.flaps.push((flapping.len(), (from, now_us())));
@@ -237,7 +237,7 @@
     course.wiped = (wiped, pass(2.0).1);
 
     // Answers cut in the middle, and an index that goes back.
-    fail(site, Fault::Cut);
+    fail(site, Fault::ResponseTruncated);
     course.cut = pass(2.0);
     fail(site, Fault::None);
     site.set_catalogue_index(3);
@@ -252,7 +252,9 @@
     course.replaced = (word + 1_000_000, now_us());
 
     // Weights 1 to 3.
-    list.iter_mut().enumerate().for_each(|(i, s)| s.weights = (i as u32 % 3 + 1, 1));
+    list.iter_mut()
+        .enumerate()
+        .for_each(|(i, s)| s.weights = Weights { passing: i as u32 % 3 + 1, warning: 1 });
     site.set_services(list);
     pass(1.0);
     course.weighed = pass(6.0);
@@ -260,7 +262,7 @@
     // A restart while Consul is away, and one that finds half of the list file.
     site.set_services(full());
     pass(2.0);
-    fail(site, Fault::Silence);
+    fail(site, Fault::Silent);
     pass(0.5);
     let from = now_us();
     site.inject_fault(1, &FaultKind::ShutDown { target: "m0".into() }, &|| ()).map_err(|e| e.to_string())?;
@@ -282,7 +284,7 @@
         let mut list = full();
         list.extend((0..count).map(|i| {
             let at = SocketAddr::from(([127, 1, (i >> 8) as u8, i as u8], 80));
-            Service::new(&format!("c{turn}-{i}"), at).with(Status::Critical)
+            Service::new(&format!("c{turn}-{i}"), at).with_status(CheckStatus::Critical)
         }));
         list
     };
