--- a/crates/system_tests/src/bin/proof-timing.rs
+++ b/crates/system_tests/src/bin/proof-timing.rs
@@ -23,7 +23,7 @@
 
 fn file(ports: &[SocketAddr], consul: SocketAddr, class: &str) -> String {
     format!(
-        "listen = \"{}\"\nstatus = \"{}\"\ndescriptions = [\"loans.json\"]\nlender_header = \"X-Tenant\"\n\
+        "listen = \"{}\"\nstatus = \"{}\"\ndescriptions = [\"loans.json\"]\nlender_header = \"X-Lender\"\n\
          [consul]\naddress = \"{consul}\"\nservice = \"loan-server\"\n[limits]\nconnect_ms = 50\nroute_steps = 4\n\
          [[class]]\nname = \"lookup\"\n{class}\n\
          [[plan]]\nname = \"basic\"\nunits_per_second = 100000.0\nburst = 400000.0\n\
@@ -151,7 +151,7 @@
 
     /// The status of one request.
     fn ask(&mut self) -> u16 {
-        let request = b"GET /loans HTTP/1.1\r\nHost: a\r\nX-Tenant: al-noor\r\n\r\n";
+        let request = b"GET /loans HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n";
         self.0.get_mut().write_all(request).expect("it is taken");
         let (mut status, mut length, mut line) = (0, 0, String::new());
         while self.0.read_line(&mut line).expect("an answer") > 2 {
