--- a/crates/snowfield/tests/agreed.rs
+++ b/crates/snowfield/tests/agreed.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_version_is_in_force_at_all_survives_restarts_and_needs_a_majority() {
+fn a_version_reaches_all_instances_survives_restarts_and_needs_a_majority() {
     let folder = Folder::new("agreed");
     let files = files(&folder);
     let rules = |rate: f64| {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_voter_whose_log_is_cut_does_not_vote_and_follows() {
+fn a_replica_with_a_truncated_log_does_not_vote_and_follows() {
     let folder = Folder::new("agreed-cut");
     let files = files(&folder);
     for file in &files[..3] {
--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn beyond_the_quota_a_lender_is_told_when_to_come_back_and_others_are_served() {
+fn a_tenant_beyond_its_quota_gets_retry_after_and_others_are_served() {
     let (at, seen) = serving();
     let plan = "units_per_second = 0.5\nburst = 4.0";
     let site = site("quota", &Shape { destinations: &[at], plan, ..Shape::default() });
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn the_body_and_end_to_end_fields_go_on_unchanged_and_hop_by_hop_ones_do_not() {
+fn forwards_body_and_end_to_end_headers_unchanged_and_drops_hop_by_hop_ones() {
     let answer = "HTTP/1.1 203 Fine Enough\r\nX-One: a b\r\nSet-Cookie: x=1\r\nSet-Cookie: y=2\r\nKeep-Alive: timeout=5\r\n\
                   Connection: X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n";
     let (at, seen) = destination(message, move |_| Does::Say(answer.as_bytes().to_vec()));
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn what_cannot_be_taken_gets_its_status() {
+fn unacceptable_requests_get_their_status() {
     let (at, seen) = serving();
     let site = site("statuses", &Shape { destinations: &[at], ..Shape::default() });
     let ask = |request: &str| Client::connect(site.listen).ask(request);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn failures_of_destinations_get_their_statuses() {
+fn backend_failures_get_their_statuses() {
     let (broken, _seen) =
         destination(message, |_| Does::Say(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()));
     let failing = site("failing", &Shape { destinations: &[broken], ..Shape::default() });
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn only_classes_that_are_safe_to_repeat_are_tried_again() {
+fn only_idempotent_classes_are_retried() {
     let (breaks, broken) = destination(message, |_| Does::Close);
     let (other, others) = destination(message, |_| Does::Close);
     let site = site("repeat", &Shape { destinations: &[breaks, other], ..Shape::default() });
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn connections_are_kept_and_pipelined_requests_answered_in_order() {
+fn keeps_connections_alive_and_answers_pipelined_requests_in_order() {
     let (at, _seen) = serving();
     let site = site("keep", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_operation() {
+fn a_client_that_disconnects_cancels_its_request() {
     let (at, seen) = destination(message, |_| Does::Nothing);
     let site = site("leaves", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -376,7 +376,7 @@
 
 /// Guards against clients that hold sockets by sending a request byte by byte, or not at all.
 #[test]
-fn a_request_that_comes_too_slowly_gets_408_and_idle_sockets_stay() {
+fn a_slow_request_gets_408_and_idle_connections_stay() {
     let (at, _seen) = serving();
     let site = site("slow", &Shape { destinations: &[at], patience_ms: 200, ..Shape::default() });
     let mut idle = Client::connect(site.listen);
@@ -390,7 +390,7 @@
 /// Guards against clients that keep their connections for good, as on the other front: a full table turned all others
 /// away.
 #[test]
-fn idle_sockets_make_room_for_new_ones() {
+fn idle_connections_make_room_for_new_ones() {
     let site = site("room", &Shape { sockets: 128, ..Shape::default() });
     let mut kept: Vec<Client> = (0..40).map(|_| Client::connect(site.listen)).collect();
     kept.iter_mut().for_each(|client| client.send(get("/v1/nothing").as_bytes()));
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn an_outage_of_consul_keeps_the_last_list_and_a_lower_index_starts_anew() {
+fn an_outage_of_consul_keeps_the_last_list_and_a_lower_index_resets_the_watch() {
     let (at, _seen) = serving();
     let (new, new_seen) = serving();
     let consul = "sudden_hold_ms = 300";
@@ -475,7 +475,7 @@
 }
 
 #[test]
-fn what_cannot_be_honoured_is_refused_at_load() {
+fn unusable_descriptions_are_rejected_at_load() {
     let folder = Folder::new("load");
     let with = |descriptions: &[&str]| {
         let names: Vec<String> = (0..descriptions.len()).map(|i| format!("\"d{i}.json\"")).collect();
@@ -531,7 +531,7 @@
 
 /// Guards against half an answer: one without a length ends with its connection, but a reset is no end.
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_none() {
+fn a_response_without_a_length_that_is_reset_counts_as_failed() {
     for (reset, whole) in [(false, true), (true, false)] {
         let breaks = listen(move |stream| {
             let mut requests = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
@@ -554,7 +554,7 @@
 
 /// Guards against work for nobody: what a client sent that has gone since is not begun, nor what it had sent ahead.
 #[test]
-fn a_request_whose_client_has_gone_is_not_begun() {
+fn a_request_of_a_disconnected_client_is_not_started() {
     let (at, seen) = serving();
     let site = site("gone", &Shape { destinations: &[at], ..Shape::default() });
     let mut stays = Client::connect(site.listen);
@@ -577,7 +577,7 @@
 
 /// Guards the last answer, and the requests behind it: these are surely unread, so that their client may send them again.
 #[test]
-fn at_the_end_what_comes_behind_the_last_answer_is_not_taken() {
+fn during_shutdown_nothing_behind_the_last_response_is_accepted() {
     let (release, word) = std::sync::mpsc::channel();
     let word = std::sync::Mutex::new(Some(word));
     let (at, seen) = destination(message, move |request| {
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -45,7 +45,7 @@
 
 /// Each service has its own list and drains; what a lender may use is one over both.
 #[test]
-fn routes_go_to_their_service_and_the_quota_is_one() {
+fn routes_go_to_their_service_and_share_one_quota() {
     let (loans, loans_seen) = serving();
     let (papers, papers_seen) = serving();
     let consul = Consul::start();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_service_that_the_file_does_not_know_is_refused_at_load() {
+fn an_undefined_service_is_rejected_at_load() {
     let folder = folder("unknown");
     let text =
         file("address = \"127.0.0.1:1\"", "", WIDE).replace("[[service]]\nname = \"paper-server\"", "");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn another_agent_is_asked_while_the_first_is_away_and_the_token_goes_along() {
+fn fails_over_to_another_agent_with_the_token() {
     let (old, _old_seen) = serving();
     let (new, new_seen) = serving();
     let consul = Consul::start();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_restart_during_an_outage_serves_from_the_file_and_an_altered_one_is_refused() {
+fn a_restart_during_an_outage_serves_from_the_cached_list_and_rejects_an_altered_one() {
     let (at, _seen) = serving();
     let consul = Consul::start();
     consul.set_service(11, "loan-server", vec![Service::new("l", at)]);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn weights_show_in_the_traffic() {
+fn traffic_follows_the_weights() {
     // Two milliseconds of work each: what the machine does beside it is small against that. With none, the same weights gave
     // one in five of the traffic or one in nine.
     let works = || {
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn it_registers_itself_again_when_forgotten_and_takes_it_back_at_the_end() {
+fn registers_again_when_forgotten_and_deregisters_at_shutdown() {
     let consul = Consul::start();
     consul.set_service(11, "loan-server", Vec::new());
     consul.set_service(11, "paper-server", Vec::new());
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -87,7 +87,7 @@
 
 /// The bound of the brief: nothing new later than 1 s after the verdict, here by the log line of it.
 #[test]
-fn a_destination_that_fails_its_probes_gets_no_new_work_and_no_more_than_the_share_is_out() {
+fn an_unhealthy_backend_gets_no_requests_and_no_more_than_the_share_is_ejected() {
     let servers: Vec<_> = (0..3).map(|_| loan_server()).collect();
     let consul = Consul::start();
     consul.set_service(11, "loan-server", servers.iter().enumerate().map(|(i, s)| service(i, s.0)).collect());
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn each_round_runs_once_while_one_dies_one_pauses_and_the_store_is_emptied() {
+fn each_job_runs_once_a_period_through_a_death_a_pause_and_an_emptied_store() {
     const PERIOD: u64 = 300;
     let (target, seen) = destination(message, |_| ok());
     let consul = Consul::start();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_verdict_spreads_to_the_instances_that_do_not_probe() {
+fn health_status_reaches_the_instances_that_do_not_check() {
     let server = loan_server();
     let other = loan_server();
     let third = loan_server();
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_reload_takes_other_duties_and_keys_and_a_bad_file_changes_nothing() {
+fn a_reload_takes_jobs_and_keys_and_a_bad_file_changes_nothing() {
     let (target, seen) = destination(message, |_| ok());
     let consul = Consul::start();
     let (ports, folder, door) = (udp_ports(2), folder("reload"), consul.open());
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn the_status_shows_members_duties_and_verdicts() {
+fn the_status_shows_members_jobs_and_health() {
     let server = loan_server();
     let (target, seen) = destination(message, |_| ok());
     let consul = Consul::start();
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_work_is_refused_with_its_reason() {
+fn an_unusable_file_is_rejected_with_its_reason() {
     let folder = folder("refused");
     let at = nobody();
     let good = cluster("m0", at, &[at]);
@@ -350,7 +350,7 @@
 
 /// Guards installations with access lists: claims bring the token, and a token that is changed is used without a restart.
 #[test]
-fn claims_bring_the_token_of_the_file_as_it_is_now() {
+fn lease_calls_use_the_current_token() {
     let (target, runs) = destination(message, |_| ok());
     let (store, catalogue) = (Consul::start(), Consul::start());
     store.change(|s| s.token = Some("secret-1".into()));
--- a/crates/snowfield/tests/endings.rs
+++ b/crates/snowfield/tests/endings.rs
@@ -26,7 +26,7 @@
 /// Guards against work for nobody: a request and the end of its connection that come together were read one after the other,
 /// and the request was sent on in between. The same at once for many requests, behind errors that slow their reader down.
 #[test]
-fn what_a_client_sent_that_has_gone_since_is_not_begun() {
+fn requests_of_a_disconnected_client_are_not_started() {
     let (at, seen) = echo();
     let site = site("gone", &Shape { destinations: &[at], ..Shape::default() });
     let mut stays = Client::connect(site.listen);
@@ -63,7 +63,7 @@
 
 /// Guards against work for nobody behind an error: its socket was not read any more, and so its client's end was not seen.
 #[test]
-fn a_client_that_leaves_after_an_error_ends_what_it_had_asked() {
+fn a_client_that_disconnects_after_an_error_cancels_its_requests() {
     let (at, seen) = destination(command, |_| Does::Nothing);
     let site = site("after-error", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -87,7 +87,7 @@
 /// Guards planned restarts: a client that always has one more request on its way was never found between two, and had some
 /// unanswered when the program was killed. What is taken is answered; the rest is surely unread.
 #[test]
-fn at_the_end_a_socket_that_is_never_idle_ends_with_its_answers() {
+fn at_shutdown_a_busy_connection_closes_after_its_answers() {
     let (tell, crossings) = channel();
     let asks = Mutex::new(tell.clone());
     let (at, seen) = destination(command, move |words| {
@@ -144,7 +144,7 @@
 /// Guards the answer before a close: bytes that come in the instant of the close would reset the connection and take away
 /// what its client has not read yet.
 #[test]
-fn at_the_end_bytes_that_cross_the_close_cost_no_answer() {
+fn at_shutdown_bytes_that_cross_the_close_cost_no_answer() {
     let (at, seen, release) = first_waits();
     let mut site = site("crossing", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -188,7 +188,7 @@
 /// Guards the window of a key on the wire: a repeat was decided inside it and written when its connection came up, 0.2 s after it
 /// was over.
 #[test]
-fn a_keyed_repeat_whose_connection_comes_up_too_late_is_not_written() {
+fn a_keyed_retry_with_a_late_connection_is_not_written() {
     let (release, word) = channel::<()>();
     let word = Mutex::new(word);
     let (breaks, broken) = destination(command, move |_| {
@@ -241,7 +241,7 @@
 
 /// Guards against half an answer that passes for one: a line without its end, a value cut short, figures that are missing.
 #[test]
-fn half_an_answer_is_none_however_it_breaks_off() {
+fn a_partial_answer_counts_as_failed_however_it_breaks_off() {
     for bytes in [
         &b"-ERR fai"[..],
         b"-BUSY",
@@ -265,7 +265,7 @@
 
 /// Guards against an attempt for nobody while its connection is being made.
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_a_connection_was_made() {
+fn nothing_is_written_for_a_client_that_disconnected_during_connect() {
     let (late, filled) = crowded();
     let at = late.local_addr().expect("an address");
     let shape = Shape { destinations: &[at], ..Shape::default() };
@@ -295,7 +295,7 @@
 
 /// Guards against an attempt for nobody after the call to the counter for which its request waited.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_the_counter_was_asked() {
+fn nothing_is_sent_for_a_client_that_disconnected_during_a_counter_call() {
     let (tell, called) = channel();
     let tell = Mutex::new(tell);
     let counter = listen(move |stream| {
@@ -328,7 +328,7 @@
 
 /// Guards idle connections: a request that crosses their eviction is served whole or surely unread, and then sent once more.
 #[test]
-fn a_request_that_comes_as_its_idle_connection_makes_room_is_served_or_unread() {
+fn a_request_that_crosses_an_idle_close_is_served_or_unread() {
     let (at, seen) = echo();
     let site = site("evicted", &Shape { destinations: &[at], sockets: 96, ..Shape::default() });
     let mut idle: Vec<Client> = (1..=50).map(|_| Client::connect(site.listen)).collect();
@@ -364,7 +364,7 @@
 
 /// Guards starts while the counter is away: refused, or silent. What comes through one gatekeeper alone needs none.
 #[test]
-fn a_program_that_starts_serves_without_the_counter() {
+fn starts_without_the_counter() {
     let (at, _seen) = echo();
     let silent = listen(|mut stream| while stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
     for counter in [nobody(), silent] {
@@ -380,7 +380,7 @@
 
 /// Guards clients that take their time: half a request when closing begins may become whole, and is answered.
 #[test]
-fn at_the_end_half_a_request_may_become_whole() {
+fn during_shutdown_a_partial_request_may_complete() {
     let (at, _seen) = destination(command, |words| match words[2] == id(1) {
         true => Does::Nothing,
         false => Does::Say(value(&words[2])),
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -44,7 +44,7 @@
 
 /// Seen: 400 clients that stopped half way through a body of 64 kB had the program hold 45 MB of its 48.
 #[test]
-fn half_requests_of_many_clients_stay_within_memory() {
+fn partial_requests_of_many_clients_stay_within_memory() {
     let (at, _seen) = echo();
     let site = small_site("half-flood", &[at]);
     let (mut crowd, before) = crowd(&site, 400);
@@ -59,7 +59,7 @@
 /// Answers that wait for their turn behind the first, which has none: one client alone could have 60 MB held, a thousand answers of
 /// the longest kind. Beyond the bound further requests are told to come back.
 #[test]
-fn answers_in_line_behind_the_first_stay_within_memory() {
+fn queued_answers_stay_within_memory() {
     let (at, seen) = destination(command, |words| match words[2] == id(1) {
         true => Does::Nothing,
         false => Does::Say(value(&"v".repeat(60_000))),
@@ -86,7 +86,7 @@
 /// Guards others' turns as well: a client that always has hundreds of commands to read took so long for each of its turns that
 /// with a hundred such clients a usual one had no answer in time.
 #[test]
-fn answers_that_many_clients_leave_unread_stay_within_memory_and_others_are_served() {
+fn unread_answers_stay_within_memory_and_others_are_served() {
     let (at, _seen) = echo();
     let site = small_site("unread-flood", &[at]);
     let (mut crowd, before) = crowd(&site, 100);
@@ -102,7 +102,7 @@
 /// Guards what is reserved: idle clients may take every descriptor that is left while discovery is down. Discovery, the counter and
 /// the loan servers still get theirs, those who wait at the door cost no work, and all are served when it returns.
 #[test]
-fn idle_clients_take_no_descriptor_from_discovery_counter_and_destinations() {
+fn idle_clients_take_no_descriptor_from_discovery_counter_and_backends() {
     let (at, _seen) = echo();
     let (counter, added) = counter(0.0);
     let (agent, folder) = (nobody(), Folder::new("descriptors"));
--- a/crates/snowfield/tests/log.rs
+++ b/crates/snowfield/tests/log.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn lines_are_words_or_objects_as_the_file_and_above_it_the_environment_say() {
+fn the_environment_overrides_the_log_format_of_the_file() {
     let folder = folder("log-forms");
     let plain = folder.write("plain.toml", FILE);
     let json = folder.write("json.toml", &format!("log = \"json\"\n{FILE}"));
@@ -38,7 +38,7 @@
 
 /// Guards against `println!`, which panics where standard output is closed: that had ended the thread that wrote.
 #[test]
-fn who_reads_the_log_may_go_away() {
+fn a_closed_log_reader_does_not_stop_the_process() {
     let folder = folder("log-closed");
     let file = folder.write("a.toml", FILE);
     let mut child = Command::new(env!("CARGO_BIN_EXE_snowfield"))
--- a/crates/snowfield/tests/operation.rs
+++ b/crates/snowfield/tests/operation.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_door_answers_calls_and_refuses_what_is_none() {
+fn the_admin_listener_answers_commands_and_rejects_others() {
     let (site, door) = operated("door", &Shape::default());
     assert_eq!(call(door, "readyz"), "OK\n");
     let text = call(door, "telemetry");
@@ -72,7 +72,7 @@
 
 /// Guards the 1 s in which a caller is answered: callers who complete no call must not keep others waiting.
 #[test]
-fn callers_who_complete_no_call_keep_nobody_waiting() {
+fn clients_that_complete_no_command_delay_nobody() {
     let (site, door) = operated("stuck", &Shape::default());
     let stuck: Vec<TcpStream> = (0..60)
         .map(|number| {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_bad_operator_address_is_refused_at_the_start() {
+fn a_bad_operator_address_is_rejected_at_the_start() {
     let folder = Folder::new("bad-door");
     let path = folder.write("config.json", &config(nobody(), &Shape::default()));
     let (good, text) = run(&[], &[("BALANCER_CONFIG", &path), ("BALANCER_OPERATOR", "9600")]);
@@ -100,7 +100,7 @@
 
 /// Guards the figures: each operation ends in exactly one of them, and each attempt that was written whole counts.
 #[test]
-fn figures_agree_with_what_clients_and_destinations_saw() {
+fn metrics_agree_with_what_clients_and_backends_saw() {
     let (at, seen) = destination(command, |words| match words[2].as_bytes().last() {
         Some(b'1') => Does::Say(b"-ERR failed\r\n".to_vec()),
         Some(b'2') => Does::Nothing,
@@ -137,7 +137,7 @@
 
 /// Guards the ban: it holds whatever the list says, and ends with one call back however often it was called out.
 #[test]
-fn a_loan_server_that_is_out_gets_nothing_until_it_is_called_back() {
+fn an_ejected_backend_gets_nothing_until_it_is_restored() {
     let ((one, seen_one), (two, seen_two)) = (echo(), echo());
     let (site, door) = operated("out", &Shape { destinations: &[one, two], ..Shape::default() });
     for _ in 0..2 {
@@ -198,7 +198,7 @@
 
 /// Guards those who stand at the door: an upgrade under load must not reset, close on or leave unread a single request.
 #[test]
-fn upgrades_under_load_end_nothing_at_the_door() {
+fn upgrades_under_load_lose_no_request() {
     use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
     let (at, _seen) = echo();
     let (mut site, _) = operated("upgrade-load", &Shape { destinations: &[at], ..Shape::default() });
@@ -237,7 +237,7 @@
 
 /// Guards the take-over: while a connection waits to be passed on it is not read, and the end of its client was not seen.
 #[test]
-fn a_client_that_leaves_while_its_connection_waits_to_be_passed_on_ends_its_request() {
+fn a_client_that_disconnects_before_its_connection_is_passed_on_cancels_its_request() {
     let (at, seen, _release) = holds(10, |words| Does::Say(value(&words[2])));
     let (site, _door) = operated("upgrade-left", &Shape { destinations: &[at], ..Shape::default() });
     let mut waits = Client::connect(site.listen);
@@ -257,7 +257,7 @@
 /// Guards what stands between two programs: a request that is answered by the old one, half a request, an idle connection, and
 /// the stores, which must not be filled anew.
 #[test]
-fn the_next_program_goes_on_where_the_last_one_stopped() {
+fn the_successor_continues_from_the_predecessors_state() {
     let (at, seen, release) = holds(10, |words| Does::Say(value(&words[2])));
     let (mut site, door) = operated("upgrade-state", &Shape { destinations: &[at], ..Shape::default() });
     let (mut idle, mut half, mut waits) =
@@ -291,7 +291,7 @@
 
 /// Guards the ban over an upgrade: a call to either program binds both, and holds outlive the program that was called.
 #[test]
-fn a_hold_binds_both_programs_and_those_that_come_later() {
+fn an_ejection_binds_both_processes_and_later_ones() {
     let ((one, seen_one), (two, _seen)) = (echo(), echo());
     let (mut site, door) = operated("upgrade-hold", &Shape { destinations: &[one, two], ..Shape::default() });
     let unavailable = |door| figure(&call(door, "telemetry"), "balancer_members_unavailable");
@@ -324,7 +324,7 @@
 /// Guards against a new program that dies unheard: the one before it serves on with what the other has left, and neither
 /// fills a store twice nor forgets what is in it.
 #[test]
-fn a_program_whose_successor_dies_serves_on_with_what_is_left() {
+fn a_predecessor_whose_successor_dies_serves_with_what_is_left() {
     let (at, _seen) = echo();
     let (site, door) = operated("upgrade-back", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -348,7 +348,7 @@
 
 /// Guards a start beside a socket or a file that is of no use: it is passed over, and the program serves.
 #[test]
-fn what_an_earlier_program_has_left_damaged_is_passed_over() {
+fn damaged_files_of_an_earlier_process_are_ignored() {
     let (at, _seen) = echo();
     let folder = Folder::new("upgrade-stale");
     folder.write("snowfield.sock", "no socket");
@@ -454,7 +454,7 @@
 /// Guards large values: they go on unchanged whatever the pieces, their first bytes before the last have come, and what is
 /// pipelined behind them stays in order.
 #[test]
-fn a_large_value_is_passed_on_as_it_comes() {
+fn a_large_value_is_streamed() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(word);
     let value = large(3_000_001);
@@ -490,7 +490,7 @@
 
 /// Guards memory: many large values at once, whose clients do not read, hold a window each, and others are served meanwhile.
 #[test]
-fn clients_that_do_not_read_hold_little_and_nobody_else_up() {
+fn clients_that_do_not_read_hold_little_memory_and_delay_nobody() {
     let value = large(4 << 20);
     let at = writes(move |words, out| {
         let value = if words[2].starts_with("000000000000f") { words[2].as_bytes() } else { &value };
@@ -524,7 +524,7 @@
 /// Guards clients against half a value taken for a whole one: where it breaks off, or what stands behind it is not sound, the
 /// connection ends, and nothing follows on it.
 #[test]
-fn a_large_value_that_is_spoilt_ends_the_connection() {
+fn a_broken_large_value_closes_the_connection() {
     let value = large(200_000);
     let at = writes(move |words, out| {
         let whole = framed(&value, BEHIND);
@@ -560,7 +560,7 @@
 
 /// Guards heads that come slowly: a command may take a client 2 s.
 #[test]
-fn a_command_may_take_its_client_two_seconds() {
+fn a_client_may_take_two_seconds_for_a_command() {
     let (at, _seen) = echo();
     let site = site("slow-head", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -581,7 +581,7 @@
 
 /// Guards the one that serves against a start that fails: a bad file, or a door that is taken.
 #[test]
-fn a_failed_start_leaves_the_old_program_serving() {
+fn a_failed_start_leaves_the_predecessor_serving() {
     let (at, _seen) = echo();
     let (site, door) = operated("failed-start", &Shape { destinations: &[at], ..Shape::default() });
     let tmp = site.shared.as_ref().expect("a folder that both have").0.to_str().expect("a path in UTF-8");
@@ -603,7 +603,7 @@
 
 /// Guards a second upgrade that comes before the first has ended, and an old program that is killed in the middle.
 #[test]
-fn an_upgrade_inside_an_upgrade_and_a_killed_old_program_lose_nobody() {
+fn a_nested_upgrade_and_a_killed_predecessor_lose_no_request() {
     let (at, _seen) = echo();
     let (mut site, _) = operated("chain", &Shape { destinations: &[at], ..Shape::default() });
     let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(site.listen)).collect();
@@ -663,7 +663,7 @@
 
 /// Guards holds where the program that serves could not give its own: the file has them.
 #[test]
-fn holds_come_from_the_file_where_nothing_was_taken_over() {
+fn ejections_come_from_the_file_where_nothing_was_taken_over() {
     let (at, seen) = echo();
     let folder = Folder::new("upgrade-refused");
     let place = folder.0.join("snowfield.sock");
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn a_request_goes_on_as_it_came_and_its_value_comes_back() {
+fn forwards_a_request_unchanged_and_returns_its_value() {
     let (at, seen) = echo();
     let site = site("serve", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn garbage_gets_an_error_and_the_end_and_others_are_served() {
+fn garbage_gets_an_error_and_a_close_and_others_are_served() {
     let (at, _seen) = echo();
     let site = site("garbage", &Shape { destinations: &[at], ..Shape::default() });
     for garbage in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"*1\r\n$99999999\r\n", b"*-5\r\n", b"*1\r\n:5\r\n"] {
@@ -57,7 +57,7 @@
 /// Guards the turn of an error: it once overtook the answers before it, and its close ended their operations. What comes
 /// behind it must not reset it away either, however much that is.
 #[test]
-fn a_malformed_command_has_its_error_in_turn_and_ends_nothing_before_it() {
+fn a_malformed_command_gets_its_error_in_turn_and_cancels_nothing_before_it() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
     let (at, seen) = destination(command, move |words| {
@@ -80,7 +80,7 @@
 
 /// Guards against clients that say nothing, or half a command: each has an error or the end in the protocol's 3 s.
 #[test]
-fn silent_and_half_sent_sockets_end() {
+fn silent_and_incomplete_connections_are_closed() {
     let site = site("half", &Shape::default());
     let mut silent = Client::connect(site.listen);
     let mut half = Client::connect(site.listen);
@@ -91,7 +91,7 @@
 
 /// Guards against clients that keep their connections for good: a full table once turned all others away.
 #[test]
-fn idle_sockets_make_room_for_new_ones() {
+fn idle_connections_make_room_for_new_ones() {
     let (at, _seen) = echo();
     let site = site("room", &Shape { destinations: &[at], sockets: 96, ..Shape::default() });
     let mut kept: Vec<Client> = (1..=60)
@@ -111,7 +111,7 @@
 /// Guards usual clients at a restart of another gatekeeper, when all come at once: the table must use the descriptors that
 /// attempts leave free, and sockets that brought nothing but errors must not fill it.
 #[test]
-fn a_table_takes_what_is_free_and_bad_clients_do_not_fill_it() {
+fn free_descriptors_are_used_and_bad_clients_do_not_exhaust_them() {
     let site = site("table", &Shape { sockets: 96, ..Shape::default() });
     let begun = std::time::Instant::now();
     let mut bad: Vec<Client> = (0..120).map(|_| Client::connect(site.listen)).collect();
@@ -144,7 +144,7 @@
 
 /// Guards against serving one client's request to another: an id stands for one open request.
 #[test]
-fn the_id_of_an_open_request_is_refused_and_free_again_after_its_answer() {
+fn a_duplicate_id_is_rejected_until_its_request_is_answered() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
     let (at, seen) = destination(command, move |words| {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_spent_quota_gets_the_busy_reply_with_advice_at_once() {
+fn an_exhausted_quota_is_rejected_with_retry_after_at_once() {
     let (at, seen) = echo();
     let site = site("quota", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn the_counter_hears_each_unit_once_and_its_total_empties_the_quota() {
+fn the_counter_is_told_each_unit_once_and_its_total_exhausts_the_quota() {
     let (at, _seen) = echo();
     let (counter, added) = counter(6.5);
     let shape = Shape { destinations: &[at], counter: Some(counter), gatekeepers: 2, ..Shape::default() };
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn without_an_answer_the_busy_reply_comes_before_the_client_gives_up() {
+fn without_an_answer_the_rejection_comes_before_the_client_gives_up() {
     let (at, _seen) = destination(command, |_| Does::Nothing);
     let site = site("deadline", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -224,7 +224,7 @@
 /// Guards the outcomes: a break after the last byte may have run, a refused connection never ran; either way a class
 /// that is safe to repeat is tried elsewhere.
 #[test]
-fn a_break_after_the_request_and_a_refused_connection_are_tried_elsewhere() {
+fn resets_and_refused_connections_are_retried_elsewhere() {
     let (breaks, broken) = destination(command, |_| Does::Close);
     let (serves, _seen) = echo();
     let site = site("elsewhere", &Shape { destinations: &[breaks, nobody(), serves], ..Shape::default() });
@@ -241,7 +241,7 @@
 
 /// Guards the rule that a reset after the write is told as one: the pool must not resend by itself.
 #[test]
-fn a_pooled_connection_that_its_destination_closed_is_not_used() {
+fn a_pooled_connection_closed_by_its_backend_is_not_used() {
     let (tell, closed) = channel();
     let tell = std::sync::Mutex::new(tell);
     let seen = std::sync::Mutex::new(Vec::new());
@@ -289,7 +289,7 @@
 
 /// Guards against another request's value: a second copy that came some milliseconds late was read as the answer to the next one.
 #[test]
-fn a_second_answer_that_comes_late_is_nobodys() {
+fn a_late_second_answer_is_dropped() {
     let at = listen(|stream| {
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(words) = command(&mut reads) {
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_operation() {
+fn a_client_that_disconnects_cancels_its_request() {
     let (at, seen) = destination(command, |_| Does::Nothing);
     let site = site("leaves", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_draining_destination_gets_nothing_new_and_a_new_one_is_used() {
+fn a_draining_backend_gets_nothing_new_and_a_new_one_is_used() {
     let (old, old_seen) = echo();
     let (new, new_seen) = echo();
     let site = site("drain", &Shape { destinations: &[old], ..Shape::default() });
@@ -343,7 +343,7 @@
 /// Guards the first moments of a new process: what the agent has counts as told from there on, and the list that it starts from
 /// may be of long ago. The state is one that it has to log, which tells when the list was read.
 #[test]
-fn a_program_that_starts_hears_the_agent_before_it_serves() {
+fn waits_for_the_first_list_before_serving() {
     let (old, old_seen) = echo();
     let (new, _new_seen) = echo();
     let (agent, folder) = (agent(), Folder::new("first-list"));
@@ -363,7 +363,7 @@
 
 /// Guards starts while discovery is down: the agent says nothing, and the list that is known has to do.
 #[test]
-fn a_program_that_starts_serves_without_the_agent() {
+fn starts_without_the_discovery_agent() {
     let (at, _seen) = echo();
     let silent =
         listen(|stream| while std::io::Read::read(&mut &stream, &mut [0; 4096]).is_ok_and(|n| n > 0) {});
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_full_list_takes_the_place_of_the_old_one() {
+fn a_full_list_replaces_the_old_one() {
     let (old, old_seen) = echo();
     let (new, _new_seen) = echo();
     let site = site("full", &Shape { destinations: &[old], ..Shape::default() });
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn a_lost_watch_comes_back_at_the_last_version() {
+fn a_lost_watch_resumes_at_the_last_version() {
     let site = site("watch", &Shape::default());
     site.watch.send(list(47, false, &[])).expect("the watch is open");
     drop(site.watch);
@@ -405,7 +405,7 @@
 
 /// Guards against a link that was cut: nothing is said there, not even the empty lines, and no end comes.
 #[test]
-fn a_silent_watch_is_given_up_and_comes_back_at_the_last_version() {
+fn a_silent_watch_is_closed_and_resumes_at_the_last_version() {
     let site = site("silent", &Shape::default());
     let (request, _watch) = next(&site.agent.watches);
     assert_eq!(request, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1");
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn after_sigterm_what_was_taken_is_answered_and_then_the_socket_ends() {
+fn after_sigterm_accepted_requests_are_answered_and_connections_closed() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
     let (at, seen) = destination(command, move |words| {
@@ -444,7 +444,7 @@
 /// Guards planned restarts: a gatekeeper that ended half a second after SIGTERM left clients calling nobody for seconds. It is
 /// killed 3.2 s after SIGTERM here, and nothing that it takes may be unanswered then.
 #[test]
-fn after_sigterm_it_serves_on_and_all_is_answered_before_the_kill() {
+fn after_sigterm_it_keeps_serving_and_answers_all_before_the_kill() {
     // Odd ids are never answered.
     let (at, _seen) = destination(command, |words| {
         let odd = words[2].ends_with(['1', '3', '5', '7', '9']);
@@ -523,7 +523,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_told_and_ends_the_program() {
+fn an_unusable_configuration_is_reported_and_ends_the_process() {
     let folder = Folder::new("config");
     for (text, told) in [
         ("{", "config.json"),
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_honoured_is_refused_with_every_reason_at_once() {
+fn an_unusable_file_is_rejected_with_all_reasons_at_once() {
     let folder = folder("timing-bad");
     let lookup = "attempts = 3\nattempt_ms = 900\ncopy_after_ms = 1500";
     let text = file(nobody(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn explain_tells_where_each_figure_comes_from_and_the_worst_case() {
+fn explain_shows_the_source_of_each_figure_and_the_worst_case() {
     let folder = folder("timing-explain");
     let text = file(nobody(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
     let path = folder.write("a.toml", &text);
@@ -71,7 +71,7 @@
 /// Guards the figures themselves: a silent destination costs its attempt and no more, where that may be tried again; what may
 /// not is answered when its attempt is over.
 #[test]
-fn an_attempt_ends_at_its_time_and_only_a_safe_one_is_tried_elsewhere() {
+fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
     let (silent, seen) = destination(message, |_| Does::Nothing);
     let (good, _seen) =
         destination(message, |_| Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec()));
