--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! The program under test and stand-ins for what it speaks to. Everything is synchronised by messages, never by sleep.
 #![allow(dead_code, unused_imports)]
 
+pub mod admin;
 mod site;
 
 pub use site::*;
