--- a/crates/snowfield/tests/admin.rs
+++ b/crates/snowfield/tests/admin.rs
@@ -9,28 +9,28 @@
 
 #[test]
 fn the_admin_listener_answers_commands_and_rejects_others() {
-    let (site, door) = operated("door", &Shape::default());
-    assert_eq!(call(door, "readyz"), "OK\n");
-    let text = call(door, "telemetry");
+    let (site, admin) = site_with_admin("admin", &Shape::default());
+    assert_eq!(call(admin, "readyz"), "OK\n");
+    let text = call(admin, "telemetry");
     assert!(text.starts_with("OK\n") && text.ends_with("\nEND\n"), "{text}");
     for bad in ["", "stop", "exclude", "exclude s-unknown", "include s-unknown", "readyz now"] {
-        let reply = call(door, bad);
+        let reply = call(admin, bad);
         assert!(reply.starts_with("ERR ") && reply.lines().count() == 1, "{bad:?}: {reply:?}");
     }
     // Several lines, an endless line and garbage get one reply each.
-    assert_eq!(say(door, b"readyz\nreadyz\nreadyz\n"), "OK\n");
-    assert!(say(door, &[b'x'; 600]).starts_with("ERR "));
-    assert!(say(door, b"\xff\xfe\n").starts_with("ERR "));
+    assert_eq!(send_bytes(admin, b"readyz\nreadyz\nreadyz\n"), "OK\n");
+    assert!(send_bytes(admin, &[b'x'; 600]).starts_with("ERR "));
+    assert!(send_bytes(admin, b"\xff\xfe\n").starts_with("ERR "));
     drop(site);
 }
 
 /// Guards the 1 s in which a caller is answered: callers who complete no call must not keep others waiting.
 #[test]
 fn clients_that_complete_no_command_delay_nobody() {
-    let (site, door) = operated("stuck", &Shape::default());
+    let (site, admin) = site_with_admin("stuck", &Shape::default());
     let stuck: Vec<TcpStream> = (0..60)
         .map(|number| {
-            let mut caller = TcpStream::connect(door).expect("the door is open");
+            let mut caller = TcpStream::connect(admin).expect("the admin listener accepts");
             // Those whose place was taken may have been closed already.
             let _ = caller.write_all(&b"telem"[..number % 6]);
             caller
@@ -38,7 +38,7 @@
         .collect();
     for _ in 0..20 {
         let begun = std::time::Instant::now();
-        assert_eq!(call(door, "readyz"), "OK\n");
+        assert_eq!(call(admin, "readyz"), "OK\n");
         assert!(begun.elapsed().as_millis() < 1000, "{:?}", begun.elapsed());
     }
     drop((stuck, site));
@@ -46,8 +46,8 @@
 
 #[test]
 fn a_bad_operator_address_is_rejected_at_the_start() {
-    let folder = Folder::new("bad-door");
-    let path = folder.write("config.json", &config(nobody(), &Shape::default()));
+    let folder = TestDirectory::new("bad-admin");
+    let path = folder.write("config.json", &config(unused_address(), &Shape::default()));
     let (good, text) = run(&[], &[("BALANCER_CONFIG", &path), ("BALANCER_OPERATOR", "9600")]);
     assert!(!good && text.contains("BALANCER_OPERATOR"), "{text}");
 }
@@ -55,18 +55,18 @@
 /// Guards the figures: each operation ends in exactly one of them, and each attempt that was written whole counts.
 #[test]
 fn metrics_agree_with_what_clients_and_backends_saw() {
-    let (at, seen) = destination(command, |words| match words[2].as_bytes().last() {
-        Some(b'1') => Does::Say(b"-ERR failed\r\n".to_vec()),
-        Some(b'2') => Does::Nothing,
-        _ => Does::Say(value(&words[2])),
+    let (at, seen) = backend(command, |words| match words[2].as_bytes().last() {
+        Some(b'1') => Behaviour::Reply(b"-ERR failed\r\n".to_vec()),
+        Some(b'2') => Behaviour::NoReply,
+        _ => Behaviour::Reply(value(&words[2])),
     });
     let shape = Shape { destinations: &[at], attempts: 1, ..Shape::default() };
-    let (site, door) = operated("figures", &shape);
+    let (site, admin) = site_with_admin("figures", &shape);
     // One client at a time: as long as its request is open it is pending.
     let mut waits = Client::connect(site.listen);
     waits.send(&query(0xf2, 2400, 1));
-    asked(&seen);
-    assert_eq!(figure(&call(door, "telemetry"), "balancer_pending"), 1);
+    next_request(&seen);
+    assert_eq!(metric(&call(admin, "telemetry"), "balancer_pending"), 1);
     drop(waits);
     let (mut served, mut refused, mut failed) = (0, 0, 0);
     let mut client = Client::connect(site.listen);
@@ -78,32 +78,32 @@
             _ => served += 1,
         }
     }
-    client.send(&words(&["NONSENSE"]));
+    client.send(&resp_command(&["NONSENSE"]));
     assert!(client.reply().starts_with("-ERR"));
-    let text = call(door, "telemetry");
-    let of = |name: &str| figure(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
+    let text = call(admin, "telemetry");
+    let of = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
     assert_eq!((of("completed"), of("rejected"), of("failed")), (served, refused, failed));
-    assert_eq!(figure(&text, "balancer_pending"), 0, "who left is not pending");
-    assert_eq!(figure(&text, "balancer_upstream_requests_total"), 1 + all_asked(&seen).len() as u64);
+    assert_eq!(metric(&text, "balancer_pending"), 0, "who left is not pending");
+    assert_eq!(metric(&text, "balancer_upstream_requests_total"), 1 + all_requests(&seen).len() as u64);
     assert!(served > 0 && refused > 0, "a mixed run: {served} {refused} {failed}");
-    assert_eq!(figure(&text, "balancer_members"), 1);
+    assert_eq!(metric(&text, "balancer_members"), 1);
 }
 
 /// Guards the ban: it holds whatever the list says, and ends with one call back however often it was called out.
 #[test]
 fn an_ejected_backend_gets_nothing_until_it_is_restored() {
     let ((one, seen_one), (two, seen_two)) = (echo(), echo());
-    let (site, door) = operated("out", &Shape { destinations: &[one, two], ..Shape::default() });
+    let (site, admin) = site_with_admin("out", &Shape { destinations: &[one, two], ..Shape::default() });
     for _ in 0..2 {
-        assert_eq!(call(door, "exclude s-0"), "OK\n");
+        assert_eq!(call(admin, "exclude s-0"), "OK\n");
     }
-    assert_eq!(figure(&call(door, "telemetry"), "balancer_members_unavailable"), 1);
+    assert_eq!(metric(&call(admin, "telemetry"), "balancer_members_unavailable"), 1);
     let mut number = 0;
     let mut ask = |site: &Site, times| {
         let mut client = Client::connect(site.listen);
         for _ in 0..times {
             number += 1;
-            client.send(&query_by_another(number));
+            client.send(&query_of_another_tenant(number));
             client.reply();
         }
     };
@@ -111,26 +111,26 @@
     // A list in which it goes and comes back changes nothing.
     for (rev, state, members) in [(41, "removed", 1), (42, "up", 2)] {
         site.watch.send(list(rev, false, &[host("s-0", one, state)])).expect("the agent writes");
-        while figure(&call(door, "telemetry"), "balancer_members") != members {}
+        while metric(&call(admin, "telemetry"), "balancer_members") != members {}
         ask(&site, 6);
     }
-    assert_eq!(all_asked(&seen_one).len(), 0, "it is out");
-    assert!(!all_asked(&seen_two).is_empty());
-    assert_eq!(call(door, "exclude s-1"), "OK\n");
+    assert_eq!(all_requests(&seen_one).len(), 0, "it is out");
+    assert!(!all_requests(&seen_two).is_empty());
+    assert_eq!(call(admin, "exclude s-1"), "OK\n");
     let mut client = Client::connect(site.listen);
-    client.send(&query_by_another(1000));
+    client.send(&query_of_another_tenant(1000));
     assert!(client.reply().starts_with("-BUSY"), "with all out it is refused at once");
-    assert_eq!(call(door, "include s-0"), "OK\n");
+    assert_eq!(call(admin, "include s-0"), "OK\n");
     let begun = std::time::Instant::now();
-    while all_asked(&seen_one).is_empty() {
+    while all_requests(&seen_one).is_empty() {
         ask(&site, 1);
-        assert!(begun.elapsed() < LONG, "it is used again");
+        assert!(begun.elapsed() < TIMEOUT, "it is used again");
     }
-    assert_eq!(all_asked(&seen_two).len(), 0, "the other one is still out");
+    assert_eq!(all_requests(&seen_two).len(), 0, "the other one is still out");
     // One that has left the list can be called back, and is nobody's after that.
     site.watch.send(list(43, false, &[host("s-1", two, "removed")])).expect("the agent writes");
-    while figure(&call(door, "telemetry"), "balancer_members") != 1 {}
-    assert_eq!(call(door, "include s-1"), "OK\n");
-    assert_eq!(call(door, "include s-1"), "ERR no such loan server\n");
-    assert_eq!(call(door, "exclude s-1"), "ERR no such loan server\n");
+    while metric(&call(admin, "telemetry"), "balancer_members") != 1 {}
+    assert_eq!(call(admin, "include s-1"), "OK\n");
+    assert_eq!(call(admin, "include s-1"), "ERR no such loan server\n");
+    assert_eq!(call(admin, "exclude s-1"), "ERR no such loan server\n");
 }
--- a/crates/snowfield/tests/agreed.rs
+++ b/crates/snowfield/tests/agreed.rs
@@ -10,10 +10,10 @@
   "paths":{"/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}}}}"#;
 
 /// The files of three voters and of a fourth instance; what is reserved here is freed before a program takes it.
-fn files(folder: &Folder) -> Vec<String> {
+fn files(folder: &TestDirectory) -> Vec<String> {
     folder.write("loans.json", LOANS);
     folder.write("cluster.key", KEY);
-    let ports: Vec<SocketAddr> = (0..8).map(|_| nobody()).collect();
+    let ports: Vec<SocketAddr> = (0..8).map(|_| unused_address()).collect();
     let (gossip, words) = ports.split_at(4);
     let voters: Vec<String> =
         (0..3).map(|i| format!("{{ name = \"m{i}\", address = \"{}\" }}", words[i])).collect();
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_version_reaches_all_instances_survives_restarts_and_needs_a_majority() {
-    let folder = Folder::new("agreed");
+    let folder = TestDirectory::new("agreed");
     let files = files(&folder);
     let rules = |rate: f64| {
         folder.write(
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_replica_with_a_truncated_log_does_not_vote_and_follows() {
-    let folder = Folder::new("agreed-cut");
+    let folder = TestDirectory::new("agreed-cut");
     let files = files(&folder);
     for file in &files[..3] {
         assert!(run(&["settings", "begin", file], &[]).0);
--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -83,7 +83,7 @@
     consul: Consul,
     asked: Receiver<String>,
     file: String,
-    _folder: Folder,
+    _folder: TestDirectory,
 }
 
 fn file(consul: SocketAddr, status: SocketAddr, shape: &Shape<'_>) -> String {
@@ -134,9 +134,9 @@
 
 fn site(test: &str, shape: &Shape<'_>) -> Site {
     let (consul, asked) = Consul::start(shape.destinations);
-    let folder = Folder::new(test);
+    let folder = TestDirectory::new(test);
     folder.write("loans.json", LOANS);
-    let file = folder.write("openapi.toml", &file(consul.address, nobody(), shape));
+    let file = folder.write("openapi.toml", &file(consul.address, unused_address(), shape));
     let program = Program::start(&["serve", &file], &[]);
     let listen = program.logged("serving OpenAPI on ").parse().expect("an address");
     let site = Site { program, listen, consul, asked, file, _folder: folder };
@@ -152,8 +152,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes()
 }
 
-fn serving() -> (SocketAddr, Receiver<Seen<Message>>) {
-    destination(message, |request| Does::Say(ok(&request.first)))
+fn serving() -> (SocketAddr, Receiver<BackendEvent<Message>>) {
+    backend(message, |request| Behaviour::Reply(ok(&request.first)))
 }
 
 #[test]
@@ -182,7 +182,7 @@
     wanted += 2.0;
     // What is not sent on is not counted.
     assert_eq!(client.ask(&get("/v1/nothing")).status(), 404);
-    assert_eq!(all_asked(&seen).len(), 13);
+    assert_eq!(all_requests(&seen).len(), 13);
     let (succeeded, status) = run(&["status", &site.file], &[]);
     assert!(succeeded, "{status}");
     for line in [
@@ -218,14 +218,14 @@
     let wait: u64 = busy.field("retry-after").expect("advice").parse().expect("seconds");
     assert!((1..=6).contains(&wait), "3 units come in 6 s: {wait}");
     assert_eq!(client.ask(&get("/v1/loans/all").replace("al-noor", "sohar")).status(), 200);
-    assert_eq!(all_asked(&seen).len(), 2);
+    assert_eq!(all_requests(&seen).len(), 2);
 }
 
 #[test]
 fn forwards_body_and_end_to_end_headers_unchanged_and_drops_hop_by_hop_ones() {
     let answer = "HTTP/1.1 203 Fine Enough\r\nX-One: a b\r\nSet-Cookie: x=1\r\nSet-Cookie: y=2\r\nKeep-Alive: timeout=5\r\n\
                   Connection: X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n";
-    let (at, seen) = destination(message, move |_| Does::Say(answer.as_bytes().to_vec()));
+    let (at, seen) = backend(message, move |_| Behaviour::Reply(answer.as_bytes().to_vec()));
     let site = site("unchanged", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     let got = client.ask(
@@ -236,7 +236,7 @@
     assert_eq!((got.first.as_str(), got.text().as_str()), ("HTTP/1.1 203 Fine Enough", "abcde"));
     let names: Vec<&str> = got.fields.iter().map(|(n, _)| n.as_str()).collect();
     assert_eq!(names, ["x-one", "set-cookie", "set-cookie", "content-length"]);
-    let sent = asked(&seen);
+    let sent = next_request(&seen);
     assert_eq!(sent.first, "POST /v1/loans/7?q=%20x&y HTTP/1.1");
     assert_eq!(sent.body, b"\0\x01\r\n");
     assert_eq!(sent.field("x-mixed-case"), Some("Kept  As Is"));
@@ -293,22 +293,22 @@
     // Concrete paths win over templates, with their methods.
     let wrong = ask(&format!("POST /v1/loans/all HTTP/1.1\r\n{fields}\r\n"));
     assert_eq!((wrong.status(), wrong.field("allow")), (405, Some("GET")));
-    assert!(all_asked(&seen).is_empty(), "nothing of this was sent on");
+    assert!(all_requests(&seen).is_empty(), "nothing of this was sent on");
 }
 
 #[test]
 fn backend_failures_get_their_statuses() {
     let (broken, _seen) =
-        destination(message, |_| Does::Say(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()));
+        backend(message, |_| Behaviour::Reply(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()));
     let failing = site("failing", &Shape { destinations: &[broken], ..Shape::default() });
     assert_eq!(Client::connect(failing.listen).ask(&get("/v1/loans/7")).status(), 502);
 
     let empty = site("empty", &Shape::default());
     assert_eq!(Client::connect(empty.listen).ask(&get("/v1/loans/7")).status(), 503);
-    let refusing = site("refusing", &Shape { destinations: &[nobody()], ..Shape::default() });
+    let refusing = site("refusing", &Shape { destinations: &[unused_address()], ..Shape::default() });
     assert_eq!(Client::connect(refusing.listen).ask(&get("/v1/loans/7")).status(), 503);
 
-    let (silent, _seen) = destination(message, |_| Does::Nothing);
+    let (silent, _seen) = backend(message, |_| Behaviour::NoReply);
     let late = site("late", &Shape { destinations: &[silent], deadline_ms: 400, ..Shape::default() });
     let begun = std::time::Instant::now();
     assert_eq!(Client::connect(late.listen).ask(&get("/v1/loans/7")).status(), 504);
@@ -318,10 +318,10 @@
 
 #[test]
 fn only_idempotent_classes_are_retried() {
-    let (breaks, broken) = destination(message, |_| Does::Close);
-    let (other, others) = destination(message, |_| Does::Close);
+    let (breaks, broken) = backend(message, |_| Behaviour::Close);
+    let (other, others) = backend(message, |_| Behaviour::Close);
     let site = site("repeat", &Shape { destinations: &[breaks, other], ..Shape::default() });
-    let count = || all_asked(&broken).len() + all_asked(&others).len();
+    let count = || all_requests(&broken).len() + all_requests(&others).len();
     let notice = "POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(Client::connect(site.listen).ask(notice).status(), 502);
     assert_eq!(count(), 1, "it may have run");
@@ -347,16 +347,20 @@
 
 #[test]
 fn a_client_that_waits_for_100_continue_gets_it_and_head_has_no_body() {
-    let (at, seen) = destination(message, |request| {
+    let (at, seen) = backend(message, |request| {
         let head = request.first.starts_with("HEAD");
-        Does::Say(if head { b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_vec() } else { ok("hello") })
+        Behaviour::Reply(if head {
+            b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_vec()
+        } else {
+            ok("hello")
+        })
     });
     let site = site("continue", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(b"POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
     assert_eq!(message_head(&mut client.reads).expect("an interim answer").status(), 100);
     assert_eq!(client.ask("hi").text(), "hello");
-    assert_eq!(asked(&seen).body, b"hi");
+    assert_eq!(next_request(&seen).body, b"hi");
     client.send(get("/v1/loans/7").replace("GET", "HEAD").as_bytes());
     let head = message_head(&mut client.reads).expect("an answer");
     assert_eq!((head.status(), head.field("content-length")), (200, Some("5")));
@@ -365,13 +369,13 @@
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    let (at, seen) = destination(message, |_| Does::Nothing);
+    let (at, seen) = backend(message, |_| Behaviour::NoReply);
     let site = site("leaves", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(get("/v1/loans/7").as_bytes());
-    asked(&seen);
+    next_request(&seen);
     drop(client);
-    assert!(matches!(next(&seen), Seen::GivenUp));
+    assert!(matches!(next(&seen), BackendEvent::RequestAbandoned));
 }
 
 /// Guards against clients that hold sockets by sending a request byte by byte, or not at all.
@@ -408,20 +412,20 @@
     let site = site("consul", &Shape { destinations: &[old], consul, ..Shape::default() });
     let ask = || Client::connect(site.listen).ask(&get("/v1/loans/7")).status();
     assert_eq!(ask(), 200);
-    asked(&old_seen);
+    next_request(&old_seen);
     site.consul.set(11, |instances| {
         instances[0].status = Status::Critical;
         instances.push(service("loans-new", new));
     });
     // An idle connection is let go of once the change has been heard; the new one comes with it or just after.
-    assert!(matches!(next(&old_seen), Seen::Ended));
+    assert!(matches!(next(&old_seen), BackendEvent::ConnectionClosed));
     site.program.logged("consul: loan-server: 2 instances, 1 of them take work");
     assert_eq!(ask(), 200);
-    asked(&new_seen);
+    next_request(&new_seen);
     site.consul.set(12, |instances| drop(instances.remove(0)));
     site.program.logged("consul: loan-server: 1 instances, 1 of them take work");
     assert_eq!(ask(), 200);
-    assert!(all_asked(&old_seen).is_empty(), "nothing more went to the one that was critical");
+    assert!(all_requests(&old_seen).is_empty(), "nothing more went to the one that was critical");
     site.consul.set(13, Vec::clear);
     site.program.logged("consul: loan-server: 0 instances, 0 of them take work");
     assert_eq!(ask(), 503);
@@ -445,7 +449,7 @@
     site.consul.set(5, |instances| *instances = vec![service("loans-new", new)]);
     site.consul.door.fail(Fault::None);
     site.program.logged("consul: loan-server: 1 instances, 1 of them take work");
-    while all_asked(&new_seen).is_empty() {
+    while all_requests(&new_seen).is_empty() {
         assert_eq!(ask(), 200);
     }
 }
@@ -476,13 +480,14 @@
 
 #[test]
 fn unusable_descriptions_are_rejected_at_load() {
-    let folder = Folder::new("load");
+    let folder = TestDirectory::new("load");
     let with = |descriptions: &[&str]| {
         let names: Vec<String> = (0..descriptions.len()).map(|i| format!("\"d{i}.json\"")).collect();
         for (i, text) in descriptions.iter().enumerate() {
             folder.write(&format!("d{i}.json"), text);
         }
-        let text = file(nobody(), nobody(), &Shape::default()).replace("\"loans.json\"", &names.join(", "));
+        let text = file(unused_address(), unused_address(), &Shape::default())
+            .replace("\"loans.json\"", &names.join(", "));
         run(&["check", &folder.write("openapi.toml", &text)], &[])
     };
     let (succeeded, said) = with(&[LOANS]);
@@ -504,7 +509,8 @@
     let (succeeded, said) = with(&[&LOANS.replace("\"x-snowfield-units\": 3", "\"x-snowfield-units\": 500")]);
     assert!(!succeeded && said.contains("500 units"), "{said}");
     // A file with a mistake.
-    let text = file(nobody(), nobody(), &Shape::default()).replace("plan = \"basic\"", "plan = \"gold\"");
+    let text = file(unused_address(), unused_address(), &Shape::default())
+        .replace("plan = \"basic\"", "plan = \"gold\"");
     let (succeeded, said) = run(&["serve", &folder.write("openapi.toml", &text)], &[]);
     assert!(!succeeded && said.contains("gold"), "{said}");
 }
@@ -561,7 +567,7 @@
     assert_eq!(stays.ask(&get("/v1/loans/1")).status(), 200);
     let mut known = Client::connect(site.listen);
     assert_eq!(known.ask(&get("/v1/loans/2")).status(), 200);
-    all_asked(&seen);
+    all_requests(&seen);
     site.program.signal("-STOP");
     known.send(&[get("/v1/loans/gone"), get("/v1/loans/gone")].concat().into_bytes());
     let mut new = Client::connect(site.listen);
@@ -571,7 +577,8 @@
     for _ in 0..5 {
         assert_eq!(stays.ask(&get("/v1/loans/3")).status(), 200);
     }
-    let targets: Vec<String> = all_asked(&seen).iter().map(|request| request.target().to_owned()).collect();
+    let targets: Vec<String> =
+        all_requests(&seen).iter().map(|request| request.target().to_owned()).collect();
     assert_eq!(targets, ["/v1/loans/3"; 5]);
 }
 
@@ -580,14 +587,14 @@
 fn during_shutdown_nothing_behind_the_last_response_is_accepted() {
     let (release, word) = std::sync::mpsc::channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = destination(message, move |request| {
+    let (at, seen) = backend(message, move |request| {
         let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Does::SayAfter(word, ok(&request.first))
+        Behaviour::ReplyAfter(word, ok(&request.first))
     });
     let mut site = site("ends", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(get("/v1/loans/1").as_bytes());
-    asked(&seen);
+    next_request(&seen);
     let mut idle = Client::connect(site.listen);
     assert_eq!(idle.ask(&get("/v1/nothing")).status(), 404);
     site.program.terminate();
@@ -600,5 +607,5 @@
     assert!(rest.is_empty());
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
-    assert!(all_asked(&seen).is_empty(), "what came behind it is surely unread");
+    assert!(all_requests(&seen).is_empty(), "what came behind it is surely unread");
 }
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -19,20 +19,20 @@
          [consul]\nservice = \"loan-server\"\nwait_ms = 500\n{consul}\n[[service]]\nname = \"paper-server\"\n{rest}\n\
          [[class]]\nname = \"lookup\"\nrepeat = \"safe\"\nwanted_ms = 300\ndeadline_ms = 2500\n\
          [[plan]]\nname = \"basic\"\n{plan}\n[[lender]]\nname = \"al-noor\"\nplan = \"basic\"\n",
-        nobody()
+        unused_address()
     )
 }
 
 const WIDE: &str = "units_per_second = 100000.0\nburst = 400000.0";
 
-fn folder(test: &str) -> Folder {
-    let folder = Folder::new(test);
+fn folder(test: &str) -> TestDirectory {
+    let folder = TestDirectory::new(test);
     folder.write("loans.json", LOANS);
     folder
 }
 
-fn serving() -> (SocketAddr, Receiver<Seen<Message>>) {
-    destination(message, |_| Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()))
+fn serving() -> (SocketAddr, Receiver<BackendEvent<Message>>) {
+    backend(message, |_| Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()))
 }
 
 fn ask(at: SocketAddr, path: &str) -> Message {
@@ -61,14 +61,14 @@
     program.logged("1 of them take work");
     assert_eq!(ask(listen, "/loans").status(), 200);
     assert_eq!(ask(listen, "/papers").status(), 200);
-    assert_eq!((all_asked(&loans_seen).len(), all_asked(&papers_seen).len()), (1, 1));
+    assert_eq!((all_requests(&loans_seen).len(), all_requests(&papers_seen).len()), (1, 1));
     assert_eq!(ask(listen, "/papers").status(), 200);
     // 9 of 9 are used but for what has filled since; another 4 are not there.
     assert_eq!(ask(listen, "/papers").status(), 429);
     // One service without instances leaves the other alone.
     consul.set_service(12, "paper-server", vec![Service::new("p", papers).with(Status::Critical)]);
     program.logged("paper-server: 1 instances, 0 of them take work");
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TIMEOUT;
     loop {
         // 503 where nothing serves; 429 while the quota is empty, which is asked first.
         match ask(listen, "/papers").status() {
@@ -79,7 +79,7 @@
     while ask(listen, "/loans").status() != 200 {
         assert!(Instant::now() < until);
     }
-    assert!(all_asked(&papers_seen).len() <= 1);
+    assert!(all_requests(&papers_seen).len() <= 1);
 }
 
 #[test]
@@ -116,7 +116,7 @@
     program.logged(&format!("loan-server: asking agent {} now", second.address));
     consul.set_service(12, "loan-server", vec![Service::new("l2", new)]);
     program.logged("loan-server: a/l2 takes work");
-    while all_asked(&new_seen).is_empty() {
+    while all_requests(&new_seen).is_empty() {
         assert_eq!(ask(listen, "/loans").status(), 200);
     }
     // The token is changed on both sides, without a restart.
@@ -144,7 +144,7 @@
     let mut program = Program::start(&["serve", &path], &[]);
     program.logged("1 of them take work");
     program.logged("1 of them take work");
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TIMEOUT;
     while !std::fs::read_to_string(&list).is_ok_and(|t| t.contains("a/l") && t.contains("a/p")) {
         assert!(Instant::now() < until, "the list is written");
         std::thread::yield_now();
@@ -175,9 +175,9 @@
     // Two milliseconds of work each: what the machine does beside it is small against that. With none, the same weights gave
     // one in five of the traffic or one in nine.
     let works = || {
-        destination(message, |_| {
+        backend(message, |_| {
             std::thread::sleep(Duration::from_millis(2));
-            Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
+            Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
         })
     };
     let places = [works(), works(), works()];
@@ -200,7 +200,7 @@
         let answer = client.ask("GET /loans HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n");
         assert_eq!(answer.status(), 200);
     }
-    let counts = places.map(|p| all_asked(&p.1).len() as f64);
+    let counts = places.map(|p| all_requests(&p.1).len() as f64);
     // Measured latencies count too, and differ by chance in so short a run.
     let [one, two, three] = counts;
     assert!((1.3..3.2).contains(&(two / one)) && (2.0..4.6).contains(&(three / one)), "{counts:?}");
@@ -219,7 +219,7 @@
     let mut program = Program::start(&["serve", &path], &[]);
     program.logged("consul: registered as gk-1");
     let passed = || consul.change(|s| s.registered.get("gk-1").map(|r| (r.name.clone(), r.port, r.passed)));
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TIMEOUT;
     while passed().is_none_or(|r| r.2 < 3) {
         assert!(Instant::now() < until, "{:?}", passed());
         std::thread::yield_now();
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -23,7 +23,7 @@
          [[class]]\nname = \"lookup\"\nrepeat = \"safe\"\nwanted_ms = 300\ndeadline_ms = 2500\n\
          [[plan]]\nname = \"basic\"\nunits_per_second = 100000.0\nburst = 400000.0\n\
          [[lender]]\nname = \"al-noor\"\nplan = \"basic\"\n{rest}",
-        nobody()
+        unused_address()
     )
 }
 
@@ -48,24 +48,24 @@
     held.iter().map(|s| s.local_addr().expect("an address")).collect()
 }
 
-fn folder(test: &str) -> Folder {
-    let folder = Folder::new(test);
+fn folder(test: &str) -> TestDirectory {
+    let folder = TestDirectory::new(test);
     folder.write("loans.json", LOANS);
     folder.write("cluster.key", KEY);
     folder
 }
 
-fn ok() -> Does {
-    Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
+fn ok() -> Behaviour {
+    Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
 }
 
 /// A destination whose `/health` fails when told to.
-fn loan_server() -> (SocketAddr, Receiver<Seen<Message>>, Arc<AtomicBool>) {
+fn loan_server() -> (SocketAddr, Receiver<BackendEvent<Message>>, Arc<AtomicBool>) {
     let well = Arc::new(AtomicBool::new(true));
     let shown = well.clone();
-    let (at, seen) = destination(message, move |request| {
+    let (at, seen) = backend(message, move |request| {
         if request.target() == "/health" && !shown.load(Ordering::Relaxed) {
-            Does::Say(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_vec())
+            Behaviour::Reply(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_vec())
         } else {
             ok()
         }
@@ -108,9 +108,9 @@
             })
         })
         .collect();
-    let loans = |i: usize| all_asked(&servers[i].1).iter().filter(|m| m.target() == "/loans").count();
+    let loans = |i: usize| all_requests(&servers[i].1).iter().filter(|m| m.target() == "/loans").count();
     let gets_work = |i: usize| {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TIMEOUT;
         while loans(i) == 0 {
             assert!(Instant::now() < until, "destination {i} gets no work");
             std::thread::yield_now();
@@ -141,8 +141,8 @@
 }
 
 /// Runs by duty and round, from what the target has seen since the last look.
-fn runs(seen: &Receiver<Seen<Message>>, into: &mut BTreeMap<(String, u64), Vec<String>>) {
-    for call in all_asked(seen) {
+fn runs(seen: &Receiver<BackendEvent<Message>>, into: &mut BTreeMap<(String, u64), Vec<String>>) {
+    for call in all_requests(seen) {
         let field = |name: &str| call.field(name).expect("the field").to_owned();
         let key = (field("snowfield-duty"), field("snowfield-round").parse().expect("a number"));
         into.entry(key).or_default().push(field("snowfield-by"));
@@ -152,7 +152,7 @@
 #[test]
 fn each_job_runs_once_a_period_through_a_death_a_pause_and_an_emptied_store() {
     const PERIOD: u64 = 300;
-    let (target, seen) = destination(message, |_| ok());
+    let (target, seen) = backend(message, |_| ok());
     let consul = Consul::start();
     let (ports, folder) = (udp_ports(3), folder("duties"));
     let names: Vec<String> = (0..12).map(|i| format!("d{i}")).collect();
@@ -168,11 +168,11 @@
     let mut all = BTreeMap::new();
     // Waits until every duty has run so many more rounds.
     let mut rounds = |count: usize| {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TIMEOUT;
         let mut since = BTreeMap::new();
         while names.iter().any(|n| since.keys().filter(|(d, _): &&(String, u64)| d == n).count() < count) {
             assert!(Instant::now() < until, "{count} rounds in time: {since:?}");
-            if let Ok(first) = seen.recv_timeout(LONG) {
+            if let Ok(first) = seen.recv_timeout(TIMEOUT) {
                 let (tell, told) = std::sync::mpsc::channel();
                 tell.send(first).expect("it is held here");
                 runs(&told, &mut since);
@@ -242,7 +242,7 @@
 
 #[test]
 fn a_reload_takes_jobs_and_keys_and_a_bad_file_changes_nothing() {
-    let (target, seen) = destination(message, |_| ok());
+    let (target, seen) = backend(message, |_| ok());
     let consul = Consul::start();
     let (ports, folder, door) = (udp_ports(2), folder("reload"), consul.open());
     let write = |names: &[&str]| {
@@ -251,7 +251,7 @@
         folder.write("m0.toml", &file(door.address, &rest))
     };
     let mut program = Program::start(&["serve", &write(&["old"])], &[]);
-    assert_eq!(asked(&seen).field("snowfield-duty"), Some("old"));
+    assert_eq!(next_request(&seen).field("snowfield-duty"), Some("old"));
     write(&["new", "new"]);
     program.signal("-HUP");
     assert!(program.logged("reload: ").contains("\"new\" comes twice; the old settings stay"));
@@ -260,7 +260,7 @@
     folder.write("cluster.key", &format!("{}\n{KEY}\n", "ab".repeat(32)));
     program.signal("-HUP");
     program.logged("reload: 1 jobs and the cluster's keys taken");
-    while asked(&seen).field("snowfield-duty") != Some("new") {}
+    while next_request(&seen).field("snowfield-duty") != Some("new") {}
     // Another instance that has the old key alone: heard, but not understood in return.
     folder.write("old.key", KEY);
     let rest = cluster("m1", ports[1], &ports).replace("cluster.key", "old.key");
@@ -275,7 +275,7 @@
 #[test]
 fn the_status_shows_members_jobs_and_health() {
     let server = loan_server();
-    let (target, seen) = destination(message, |_| ok());
+    let (target, seen) = backend(message, |_| ok());
     let consul = Consul::start();
     consul.set_service(11, "loan-server", vec![service(0, server.0)]);
     let (ports, folder, door) = (udp_ports(1), folder("status"), consul.open());
@@ -284,10 +284,10 @@
     let path = folder.write("m0.toml", &file(door.address, &rest));
     let program = Program::start(&["serve", &path], &[]);
     program.logged("serving OpenAPI on ");
-    asked(&seen);
+    next_request(&seen);
     // Each message is looked at: one that was taken and dropped could be the only kind that comes.
-    while asked(&server.1).target() != "/health" {}
-    let until = Instant::now() + LONG;
+    while next_request(&server.1).target() != "/health" {}
+    let until = Instant::now() + TIMEOUT;
     loop {
         let (succeeded, status) = run(&["status", &path], &[]);
         assert!(succeeded, "{status}");
@@ -307,7 +307,7 @@
 #[test]
 fn an_unusable_file_is_rejected_with_its_reason() {
     let folder = folder("refused");
-    let at = nobody();
+    let at = unused_address();
     let good = cluster("m0", at, &[at]);
     let (one, two) = (duties(&["d".into()], at, 300), duties(&["d".into(), "d".into()], at, 300));
     for (rest, reason) in [
@@ -351,7 +351,7 @@
 /// Guards installations with access lists: claims bring the token, and a token that is changed is used without a restart.
 #[test]
 fn lease_calls_use_the_current_token() {
-    let (target, runs) = destination(message, |_| ok());
+    let (target, runs) = backend(message, |_| ok());
     let (store, catalogue) = (Consul::start(), Consul::start());
     store.change(|s| s.token = Some("secret-1".into()));
     let folder = folder("claim-token");
@@ -363,11 +363,11 @@
     let program = Program::start(&["serve", &path], &[]);
     program.logged("serving OpenAPI on ");
     program.logged("403");
-    assert_eq!(all_asked(&runs).len(), 0, "no claim, no run");
+    assert_eq!(all_requests(&runs).len(), 0, "no claim, no run");
     folder.write("claims.token", "secret-1\n");
-    asked(&runs);
+    next_request(&runs);
     store.change(|s| s.token = Some("secret-2".into()));
     folder.write("claims.token", "secret-2\n");
-    all_asked(&runs);
-    (0..3).for_each(|_| drop(asked(&runs)));
+    all_requests(&runs);
+    (0..3).for_each(|_| drop(next_request(&runs)));
 }
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -15,12 +15,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longer than anything here may take; a test that waits so long has failed.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Longer than anything here may take: a test that waits this long has failed.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits for a message, or fails the test.
 pub fn next<T>(from: &Receiver<T>) -> T {
-    from.recv_timeout(LONG).expect("it came in time")
+    from.recv_timeout(TIMEOUT).expect("it came in time")
 }
 
 /// The program, killed at the end.
@@ -135,9 +135,9 @@
 }
 
 /// A folder for one test's files.
-pub struct Folder(pub PathBuf);
+pub struct TestDirectory(pub PathBuf);
 
-impl Folder {
+impl TestDirectory {
     pub fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("snowfield-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder for files");
@@ -151,7 +151,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -173,7 +173,7 @@
 
 /// An address on which nobody listens. Its port is below those that the system gives to clients' sockets, or one of these
 /// may take it before the program does that is to listen there.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let from = std::process::id().wrapping_mul(64);
     let port = || 16_000 + (from.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % 16_000) as u16;
@@ -201,35 +201,39 @@
 }
 
 /// One RESP2 command.
-pub fn words(words: &[&str]) -> Vec<u8> {
+pub fn resp_command(words: &[&str]) -> Vec<u8> {
     let items: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
     format!("*{}\r\n{items}", words.len()).into_bytes()
 }
 
-/// What a stand-in of a destination does with a request.
-pub enum Does {
-    Say(Vec<u8>),
-    /// Waits for a word, then says this.
-    SayAfter(Receiver<()>, Vec<u8>),
+/// What a stand-in of a backend does with a request.
+pub enum Behaviour {
+    /// Sends this.
+    Reply(Vec<u8>),
+    /// Waits for a signal, then sends this.
+    ReplyAfter(Receiver<()>, Vec<u8>),
+    /// Closes the connection.
     Close,
-    Nothing,
+    /// Waits for the end of the connection.
+    NoReply,
 }
 
 /// What a stand-in has seen.
 #[derive(Debug)]
-pub enum Seen<T> {
-    Asked(T),
-    /// A connection on which nothing was under way has ended.
-    Ended,
-    /// A connection has ended before its request was answered.
-    GivenUp,
+pub enum BackendEvent<T> {
+    /// A request has arrived.
+    Request(T),
+    /// A connection without an open request was closed.
+    ConnectionClosed,
+    /// A connection was closed before its request was answered.
+    RequestAbandoned,
 }
 
-/// A stand-in of a destination: reads requests with `read`, asks `act` what to do, and tells what it has seen.
-pub fn destination<T: Clone + Send + 'static>(
+/// A stand-in of a backend: reads requests with `read`, does what `act` says, and reports what it has seen.
+pub fn backend<T: Clone + Send + 'static>(
     read: fn(&mut BufReader<TcpStream>) -> Option<T>,
-    act: impl Fn(&T) -> Does + Send + Sync + 'static,
-) -> (SocketAddr, Receiver<Seen<T>>) {
+    act: impl Fn(&T) -> Behaviour + Send + Sync + 'static,
+) -> (SocketAddr, Receiver<BackendEvent<T>>) {
     let (tell, seen) = channel();
     let tell = Mutex::new(tell);
     let address = listen(move |stream| {
@@ -237,38 +241,40 @@
         let mut answers = stream.try_clone().expect("a second handle");
         let mut requests = BufReader::new(stream);
         while let Some(request) = read(&mut requests) {
-            let _ = tell.send(Seen::Asked(request.clone()));
+            let _ = tell.send(BackendEvent::Request(request.clone()));
             match act(&request) {
-                Does::Say(bytes) => drop(answers.write_all(&bytes)),
-                Does::SayAfter(word, bytes) => {
+                Behaviour::Reply(bytes) => drop(answers.write_all(&bytes)),
+                Behaviour::ReplyAfter(word, bytes) => {
                     let _ = word.recv();
                     let _ = answers.write_all(&bytes);
                 }
-                Does::Close => return,
-                Does::Nothing => {
+                Behaviour::Close => return,
+                Behaviour::NoReply => {
                     let _ = read(&mut requests);
-                    let _ = tell.send(Seen::GivenUp);
+                    let _ = tell.send(BackendEvent::RequestAbandoned);
                     return;
                 }
             }
         }
-        let _ = tell.send(Seen::Ended);
+        let _ = tell.send(BackendEvent::ConnectionClosed);
     });
     (address, seen)
 }
 
 /// The next request that a stand-in got.
-pub fn asked<T>(seen: &Receiver<Seen<T>>) -> T {
+pub fn next_request<T>(seen: &Receiver<BackendEvent<T>>) -> T {
     loop {
-        if let Seen::Asked(request) = next(seen) {
+        if let BackendEvent::Request(request) = next(seen) {
             return request;
         }
     }
 }
 
 /// Requests that a stand-in got so far.
-pub fn all_asked<T>(seen: &Receiver<Seen<T>>) -> Vec<T> {
-    seen.try_iter().filter_map(|s| if let Seen::Asked(request) = s { Some(request) } else { None }).collect()
+pub fn all_requests<T>(seen: &Receiver<BackendEvent<T>>) -> Vec<T> {
+    seen.try_iter()
+        .filter_map(|s| if let BackendEvent::Request(request) = s { Some(request) } else { None })
+        .collect()
 }
 
 /// A stand-in of the counter. Each name starts at `first`; tells each amount that was added.
@@ -355,7 +361,7 @@
 impl Client {
     pub fn connect(to: SocketAddr) -> Self {
         let writes = TcpStream::connect(to).expect("the program accepts");
-        writes.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+        writes.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
         let reads = BufReader::new(writes.try_clone().expect("a second handle"));
         Self { writes, reads }
     }
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -9,11 +9,11 @@
     pub agent: Agent,
     /// The watch that the program opened first.
     pub watch: Sender<String>,
-    pub folder: Folder,
+    pub folder: TestDirectory,
     /// Where operators call, if they may.
-    pub door: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     /// The folder that programs of an upgrade share.
-    pub shared: Option<Folder>,
+    pub shared: Option<TestDirectory>,
 }
 
 pub struct Shape<'a> {
@@ -83,15 +83,15 @@
     variables: &[(&str, &str)],
     change: impl FnOnce(String) -> String,
 ) -> Site {
-    let (agent, folder) = (agent(), Folder::new(test));
+    let (agent, folder) = (agent(), TestDirectory::new(test));
     let path = folder.write("config.json", &change(config(agent.address, shape)));
     let variables = [&[("BALANCER_CONFIG", path.as_str())], variables].concat();
     let program = Program::start(&[], &variables);
     let operated = variables.iter().any(|(name, _)| *name == "BALANCER_OPERATOR");
-    let door = operated.then(|| program.logged("operators are answered on ").parse().expect("an address"));
+    let admin = operated.then(|| program.logged("operators are answered on ").parse().expect("an address"));
     let listen = program.logged("serving on ").parse().expect("an address");
     let (_, watch) = next(&agent.watches);
-    Site { program, listen, agent, watch, folder, door, shared: None }
+    Site { program, listen, agent, watch, folder, admin, shared: None }
 }
 
 pub fn query(id: u32, wait_ms: u32, units: u32) -> Vec<u8> {
@@ -101,13 +101,13 @@
 /// A request of a customer that comes through so many gatekeepers.
 pub fn query_of(id: u32, wait_ms: u32, units: u32, spread: u32) -> Vec<u8> {
     let fields = format!("c=lookup,t=team,d={wait_ms},units={units},spread={spread},first=0");
-    words(&["SVC.QUERY", "00000000b4d65521", &format!("{id:016x}"), &fields])
+    resp_command(&["SVC.QUERY", "00000000b4d65521", &format!("{id:016x}"), &fields])
 }
 
 /// A request of one unit by a customer of its own, so that no quota is in the way.
-pub fn query_by_another(id: u32) -> Vec<u8> {
+pub fn query_of_another_tenant(id: u32) -> Vec<u8> {
     let fields = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
-    words(&["SVC.QUERY", &format!("{id:016x}"), &format!("{id:016x}"), fields])
+    resp_command(&["SVC.QUERY", &format!("{id:016x}"), &format!("{id:016x}"), fields])
 }
 
 pub fn value(text: &str) -> Vec<u8> {
@@ -116,8 +116,8 @@
 }
 
 /// A destination that serves each request with the id that it came with.
-pub fn echo() -> (SocketAddr, Receiver<Seen<Vec<String>>>) {
-    destination(command, |words| Does::Say(value(&words[2])))
+pub fn echo() -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>) {
+    backend(command, |words| Behaviour::Reply(value(&words[2])))
 }
 
 pub fn id(number: u32) -> String {
--- a/crates/snowfield/tests/endings.rs
+++ b/crates/snowfield/tests/endings.rs
@@ -13,12 +13,13 @@
 use std::time::{Duration, Instant};
 
 /// A destination that serves the first request after a word, and the others at once.
-fn first_waits() -> (SocketAddr, std::sync::mpsc::Receiver<Seen<Vec<String>>>, std::sync::mpsc::Sender<()>) {
+fn first_waits()
+-> (SocketAddr, std::sync::mpsc::Receiver<BackendEvent<Vec<String>>>, std::sync::mpsc::Sender<()>) {
     let (release, word) = channel();
     let word = Mutex::new(Some(word));
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Does::Say(value(&words[2])), |word| Does::SayAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
     });
     (at, seen, release)
 }
@@ -30,49 +31,50 @@
     let (at, seen) = echo();
     let site = site("gone", &Shape { destinations: &[at], ..Shape::default() });
     let mut stays = Client::connect(site.listen);
-    stays.send(&query_by_another(1));
+    stays.send(&query_of_another_tenant(1));
     assert_eq!(stays.reply(), id(1));
-    asked(&seen);
+    next_request(&seen);
     let mut known = Client::connect(site.listen);
-    known.send(&words(&["PING"]));
+    known.send(&resp_command(&["PING"]));
     assert_eq!(known.reply(), "+PONG");
 
     site.program.signal("-STOP");
-    known.send(&query_by_another(100));
+    known.send(&query_of_another_tenant(100));
     let mut new = Client::connect(site.listen);
-    new.send(&query_by_another(101));
+    new.send(&query_of_another_tenant(101));
     let mut many = Client::connect(site.listen);
-    let much: Vec<u8> =
-        (200..400).flat_map(|number| [words(&["NONSENSE"]), query_by_another(number)].concat()).collect();
+    let much: Vec<u8> = (200..400)
+        .flat_map(|number| [resp_command(&["NONSENSE"]), query_of_another_tenant(number)].concat())
+        .collect();
     many.send(&much);
     // An end of its sending is no different from a close, and one that resets has gone as well.
     let mut half = Client::connect(site.listen);
-    half.send(&query_by_another(102));
+    half.send(&query_of_another_tenant(102));
     half.writes.shutdown(Shutdown::Write).expect("it is open");
     drop((known, new, many));
     site.program.signal("-CONT");
 
     // What came later is served, so what came before has been read.
     for number in 2..=9 {
-        stays.send(&query_by_another(number));
+        stays.send(&query_of_another_tenant(number));
         assert_eq!(stays.reply(), id(number));
     }
-    let begun: Vec<_> = all_asked(&seen).into_iter().map(|words| words[2].clone()).collect();
+    let begun: Vec<_> = all_requests(&seen).into_iter().map(|words| words[2].clone()).collect();
     assert_eq!(begun, (2..=9).map(id).collect::<Vec<_>>(), "nothing for those who had gone");
 }
 
 /// Guards against work for nobody behind an error: its socket was not read any more, and so its client's end was not seen.
 #[test]
 fn a_client_that_disconnects_after_an_error_cancels_its_requests() {
-    let (at, seen) = destination(command, |_| Does::Nothing);
+    let (at, seen) = backend(command, |_| Behaviour::NoReply);
     let site = site("after-error", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     // More behind the error than is read of it.
     client.send(&[&query(1, 2_400, 1)[..], b"*x\r\n", &[b'x'; 100_000]].concat());
-    asked(&seen);
+    next_request(&seen);
     let begun = Instant::now();
     drop(client);
-    assert!(matches!(next(&seen), Seen::GivenUp));
+    assert!(matches!(next(&seen), BackendEvent::RequestAbandoned));
     assert!(begun.elapsed().as_millis() < 1_000, "long before its deadline: {:?}", begun.elapsed());
 }
 
@@ -90,10 +92,10 @@
 fn at_shutdown_a_busy_connection_closes_after_its_answers() {
     let (tell, crossings) = channel();
     let asks = Mutex::new(tell.clone());
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let (release, word) = channel();
         let _ = asks.lock().expect("no stand-in panics").send(Crossing::Asked(release));
-        Does::SayAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, value(&words[2]))
     });
     let mut site = site("never-idle", &Shape { destinations: &[at], ..Shape::default() });
     let Client { mut writes, mut reads } = Client::connect(site.listen);
@@ -108,13 +110,13 @@
         }
         let _ = tell.send(Crossing::Ended);
     });
-    writes.write_all(&query_by_another(1)).expect("the program takes it");
+    writes.write_all(&query_of_another_tenant(1)).expect("the program takes it");
     let (mut sent, mut answered, mut terminated) = (1, 0, None);
     loop {
         match next(&crossings) {
             Crossing::Asked(release) => {
                 // The next one is there before this one's answer.
-                sent += u32::from(writes.write_all(&query_by_another(sent + 1)).is_ok());
+                sent += u32::from(writes.write_all(&query_of_another_tenant(sent + 1)).is_ok());
                 release.send(()).expect("the stand-in waits");
             }
             Crossing::Reply(reply) => {
@@ -131,7 +133,7 @@
     let ended = terminated.expect("it served until then").elapsed();
     assert!(ended.as_millis() < 3_000, "before it may be killed, 3.2 s after the signal: {ended:?}");
     assert_eq!(
-        all_asked(&seen).len() as u32,
+        all_requests(&seen).len() as u32,
         answered,
         "what was read was answered, and nothing else sent on"
     );
@@ -149,14 +151,14 @@
     let mut site = site("crossing", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2_500, 1));
-    asked(&seen);
+    next_request(&seen);
     site.program.terminate();
     let mut idle = Client::connect(site.listen);
-    idle.send(&words(&["PING"]));
+    idle.send(&resp_command(&["PING"]));
     assert_eq!(idle.reply(), "+PONG");
     assert!(idle.ended(), "closing has begun");
     // Taken by nobody: the socket ends with the answer that is owed.
-    let much = [query_by_another(2), vec![b'x'; 200_000]].concat();
+    let much = [query_of_another_tenant(2), vec![b'x'; 200_000]].concat();
     client.send(&much);
     release.send(()).expect("the stand-in waits");
     assert_eq!(client.reply(), id(1));
@@ -165,7 +167,7 @@
     assert!(rest.is_empty());
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
-    assert!(all_asked(&seen).is_empty(), "what came after the close had begun is surely unread");
+    assert!(all_requests(&seen).is_empty(), "what came after the close had begun is surely unread");
 }
 
 /// A listener that takes no more connections until it accepts: the system drops what would connect, and tries again after 1 s.
@@ -191,9 +193,9 @@
 fn a_keyed_retry_with_a_late_connection_is_not_written() {
     let (release, word) = channel::<()>();
     let word = Mutex::new(word);
-    let (breaks, broken) = destination(command, move |_| {
+    let (breaks, broken) = backend(command, move |_| {
         let _ = word.lock().expect("no stand-in panics").recv();
-        Does::Close
+        Behaviour::Close
     });
     let (late, filled) = crowded();
     let site = site_of("keyed", &Shape { destinations: &[breaks], ..Shape::default() }, |text| {
@@ -202,17 +204,17 @@
     });
     let mut client = Client::connect(site.listen);
     let fields = "c=lookup,t=team,d=2400,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0";
-    client.send(&words(&["SVC.SUBMIT", "00000000b4d65521", &id(1), fields, "body"]));
-    asked(&broken);
+    client.send(&resp_command(&["SVC.SUBMIT", "00000000b4d65521", &id(1), fields, "body"]));
+    next_request(&broken);
     // The only place for a repeat; the state of the other is one that is logged, which tells when the list was read.
     let at = late.local_addr().expect("an address");
-    let hosts = [host("s-late", at, "up"), host("s-odd", nobody(), "odd")];
+    let hosts = [host("s-late", at, "up"), host("s-odd", unused_address(), "odd")];
     site.watch.send(list(41, false, &hosts)).expect("the watch is open");
     site.program.line("unknown state");
     release.send(()).expect("the stand-in waits");
     let begun = Instant::now();
     while !is_connecting(at) {
-        assert!(begun.elapsed() < LONG, "the repeat is tried");
+        assert!(begun.elapsed() < TIMEOUT, "the repeat is tried");
     }
     // All who stand in its way are let in, and so is the repeat's connection when the system tries it again.
     let mut connections: Vec<TcpStream> = Vec::new();
@@ -255,10 +257,10 @@
             let site = site("half-answer", &shape);
             let mut client = Client::connect(site.listen);
             for number in 1..=4 {
-                client.send(&query_by_another(number));
+                client.send(&query_of_another_tenant(number));
                 assert_eq!(client.reply(), id(number), "{bytes:?}, reset {reset}");
             }
-            assert_eq!(all_asked(&seen).len(), 4, "each was served by the other one");
+            assert_eq!(all_requests(&seen).len(), 4, "each was served by the other one");
         }
     }
 }
@@ -276,12 +278,12 @@
     client.send(&query(1, 2_400, 1));
     let begun = Instant::now();
     while !is_connecting(at) {
-        assert!(begun.elapsed() < LONG, "it is tried");
+        assert!(begun.elapsed() < TIMEOUT, "it is tried");
     }
     drop(client);
     // A usual client is answered: what came before it has been seen.
     let mut other = Client::connect(site.listen);
-    other.send(&words(&["PING"]));
+    other.send(&resp_command(&["PING"]));
     assert_eq!(other.reply(), "+PONG");
     let mut connections: Vec<TcpStream> = Vec::new();
     while connections.len() <= filled.len() {
@@ -317,13 +319,13 @@
     let (_, release) = next(&called);
     drop(client);
     let mut other = Client::connect(site.listen);
-    other.send(&words(&["PING"]));
+    other.send(&resp_command(&["PING"]));
     assert_eq!(other.reply(), "+PONG");
     release.send(()).expect("the counter waits");
     // A request of a lender that comes through one gatekeeper alone asks no counter.
-    other.send(&query_by_another(2));
+    other.send(&query_of_another_tenant(2));
     assert_eq!(other.reply(), id(2));
-    assert_eq!(all_asked(&seen).len(), 1, "only the other's");
+    assert_eq!(all_requests(&seen).len(), 1, "only the other's");
 }
 
 /// Guards idle connections: a request that crosses their eviction is served whole or surely unread, and then sent once more.
@@ -333,16 +335,16 @@
     let site = site("evicted", &Shape { destinations: &[at], sockets: 96, ..Shape::default() });
     let mut idle: Vec<Client> = (1..=50).map(|_| Client::connect(site.listen)).collect();
     for (client, number) in idle.iter_mut().zip(1..) {
-        client.send(&query_by_another(number));
+        client.send(&query_of_another_tenant(number));
         assert!(!client.reply().is_empty());
     }
-    all_asked(&seen);
+    all_requests(&seen);
     // One that says nothing ends after 2 s: then all others have been idle for as long.
     assert!(Client::connect(site.listen).ended());
     site.program.signal("-STOP");
     let newcomers: Vec<Client> = (0..100).map(|_| Client::connect(site.listen)).collect();
     for (client, number) in idle.iter_mut().zip(1_000..) {
-        client.send(&query_by_another(number));
+        client.send(&query_of_another_tenant(number));
     }
     site.program.signal("-CONT");
     let (mut served, mut unread) = (Vec::new(), 0);
@@ -353,7 +355,7 @@
             _ => unread += 1,
         }
     }
-    let sent_on: HashSet<String> = all_asked(&seen).into_iter().map(|words| words[2].clone()).collect();
+    let sent_on: HashSet<String> = all_requests(&seen).into_iter().map(|words| words[2].clone()).collect();
     assert_eq!(served.len() + unread, 50);
     for number in 1_000..1_050 {
         let answered = served.iter().any(|(n, _)| *n == number);
@@ -367,7 +369,7 @@
 fn starts_without_the_counter() {
     let (at, _seen) = echo();
     let silent = listen(|mut stream| while stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
-    for counter in [nobody(), silent] {
+    for counter in [unused_address(), silent] {
         let shape = Shape { destinations: &[at], counter: Some(counter), gatekeepers: 2, ..Shape::default() };
         let begun = Instant::now();
         let site = site("no-counter", &shape);
@@ -381,13 +383,13 @@
 /// Guards clients that take their time: half a request when closing begins may become whole, and is answered.
 #[test]
 fn during_shutdown_a_partial_request_may_complete() {
-    let (at, _seen) = destination(command, |words| match words[2] == id(1) {
-        true => Does::Nothing,
-        false => Does::Say(value(&words[2])),
+    let (at, _seen) = backend(command, |words| match words[2] == id(1) {
+        true => Behaviour::NoReply,
+        false => Behaviour::Reply(value(&words[2])),
     });
     let mut site = site("half-at-end", &Shape { destinations: &[at], ..Shape::default() });
     let mut idle = Client::connect(site.listen);
-    idle.send(&words(&["PING"]));
+    idle.send(&resp_command(&["PING"]));
     assert_eq!(idle.reply(), "+PONG");
     site.program.terminate();
     site.program.line("signal 15");
@@ -396,7 +398,7 @@
     clock.send(&query(1, 1_400, 1));
     assert!(clock.reply().starts_with("-BUSY"));
     let mut half = Client::connect(site.listen);
-    let whole = query_by_another(2);
+    let whole = query_of_another_tenant(2);
     half.send(&whole[..40]);
     assert!(idle.ended(), "closing has begun");
     half.send(&whole[40..]);
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -20,7 +20,7 @@
 /// A request with a body of so many bytes, by a customer of its own.
 fn with_body(number: u32, body: usize) -> Vec<u8> {
     let fields = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
-    words(&["SVC.SUBMIT", &id(number), &id(number), fields, &"x".repeat(body)])
+    resp_command(&["SVC.SUBMIT", &id(number), &id(number), fields, &"x".repeat(body)])
 }
 
 /// What a usual client hears, and what the process holds then.
@@ -42,7 +42,7 @@
     (crowd.collect(), site.program.memory_kb())
 }
 
-/// Seen: 400 clients that stopped half way through a body of 64 kB had the program hold 45 MB of its 48.
+/// BackendEvent: 400 clients that stopped half way through a body of 64 kB had the program hold 45 MB of its 48.
 #[test]
 fn partial_requests_of_many_clients_stay_within_memory() {
     let (at, _seen) = echo();
@@ -60,13 +60,13 @@
 /// the longest kind. Beyond the bound further requests are told to come back.
 #[test]
 fn queued_answers_stay_within_memory() {
-    let (at, seen) = destination(command, |words| match words[2] == id(1) {
-        true => Does::Nothing,
-        false => Does::Say(value(&"v".repeat(60_000))),
+    let (at, seen) = backend(command, |words| match words[2] == id(1) {
+        true => Behaviour::NoReply,
+        false => Behaviour::Reply(value(&"v".repeat(60_000))),
     });
     let site = small_site("in-line", &[at]);
     let (mut crowd, before) = crowd(&site, 2);
-    all_asked(&seen);
+    all_requests(&seen);
     let client = &mut crowd[0];
     client.send(&with_body(1, 10));
     let (mut served, begun) = (0, Instant::now());
@@ -74,7 +74,7 @@
     for number in 2..700 {
         client.send(&with_body(number, 10));
         let mut sent_on = std::iter::from_fn(|| seen.recv_timeout(Duration::from_millis(100)).ok());
-        served += u32::from(sent_on.any(|what| matches!(what, Seen::Asked(_))));
+        served += u32::from(sent_on.any(|what| matches!(what, BackendEvent::Request(_))));
         if begun.elapsed() > Duration::from_millis(2_000) {
             break;
         }
@@ -90,7 +90,7 @@
     let (at, _seen) = echo();
     let site = small_site("unread-flood", &[at]);
     let (mut crowd, before) = crowd(&site, 100);
-    let pings = words(&["PING"]).repeat(400_000);
+    let pings = resp_command(&["PING"]).repeat(400_000);
     for client in &mut crowd {
         let _ = client.writes.write_all(&pings);
     }
@@ -105,7 +105,7 @@
 fn idle_clients_take_no_descriptor_from_discovery_counter_and_backends() {
     let (at, _seen) = echo();
     let (counter, added) = counter(0.0);
-    let (agent, folder) = (nobody(), Folder::new("descriptors"));
+    let (agent, folder) = (unused_address(), TestDirectory::new("descriptors"));
     let shape = Shape {
         destinations: &[at],
         counter: Some(counter),
@@ -118,11 +118,11 @@
     let listen: std::net::SocketAddr = program.logged("serving on ").parse().expect("an address");
     let usual = |number: u32| {
         let fields = "c=lookup,t=team,d=2400,units=1,spread=2,first=0";
-        words(&["SVC.QUERY", &id(number), &id(number), fields])
+        resp_command(&["SVC.QUERY", &id(number), &id(number), fields])
     };
     // Each has used its connection and rests until the gatekeeper ends it; beyond the table they wait at the door.
     let mut crowd: Vec<Client> = (0..200).map(|_| Client::connect(listen)).collect();
-    crowd.iter_mut().for_each(|client| client.send(&words(&["PING"])));
+    crowd.iter_mut().for_each(|client| client.send(&resp_command(&["PING"])));
     let mut answered = 0;
     for client in &mut crowd {
         client.writes.set_read_timeout(Some(Duration::from_millis(50))).expect("it can be set");
--- a/crates/snowfield/tests/log.rs
+++ b/crates/snowfield/tests/log.rs
@@ -12,8 +12,8 @@
     [[plan]]\nname = \"basic\"\nunits_per_second = 10.0\nburst = 20.0\n\
     [[lender]]\nname = \"al-noor\"\nplan = \"basic\"\n";
 
-fn folder(test: &str) -> Folder {
-    let folder = Folder::new(test);
+fn folder(test: &str) -> TestDirectory {
+    let folder = TestDirectory::new(test);
     folder.write("loans.json", r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},"paths":{"/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}}}}"#);
     folder
 }
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -11,11 +11,11 @@
     let (at, seen) = echo();
     let site = site("serve", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
-    client.send(&words(&["PING"]));
+    client.send(&resp_command(&["PING"]));
     assert_eq!(client.reply(), "+PONG");
     client.send(&query(1, 480, 2));
     assert_eq!(client.reply(), id(1));
-    let got = asked(&seen);
+    let got = next_request(&seen);
     assert_eq!(got[..3], ["SVC.QUERY".to_owned(), "00000000b4d65521".to_owned(), id(1)]);
     let (before, after) = got[3].split_once(",d=").expect("d stays in its place");
     let (wait, after) = after.split_once(',').expect("what follows d stays");
@@ -34,7 +34,7 @@
         (&["HELLO", "3"], "-ERR unknown command"),
         (&["SVC.QUERY", "00000000b4d65521"], "-ERR wrong number of words"),
     ] {
-        client.send(&words(ask));
+        client.send(&resp_command(ask));
         assert_eq!(client.reply(), answer, "{ask:?}");
     }
 }
@@ -60,22 +60,22 @@
 fn a_malformed_command_gets_its_error_in_turn_and_cancels_nothing_before_it() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Does::SayAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, value(&words[2]))
     });
     let site = site("in-turn", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(&[&query(1, 2400, 1)[..], b"*2\r\n:1\r\n:2\r\n", &query(2, 2400, 1)].concat());
     let mut endless = client.writes.try_clone().expect("a second handle");
     let sends = std::thread::spawn(move || while endless.write_all(&[b'k'; 4096]).is_ok() {});
-    asked(&seen);
+    next_request(&seen);
     release.send(()).expect("the stand-in waits");
     assert_eq!(client.reply(), id(1));
     assert!(client.reply().starts_with("-ERR"));
     assert!(client.ended());
     sends.join().expect("the end reaches a client that only sends");
-    assert_eq!(all_asked(&seen).len(), 0, "what came behind it is not looked at");
+    assert_eq!(all_requests(&seen).len(), 0, "what came behind it is not looked at");
 }
 
 /// Guards against clients that say nothing, or half a command: each has an error or the end in the protocol's 3 s.
@@ -115,8 +115,8 @@
     let site = site("table", &Shape { sockets: 96, ..Shape::default() });
     let begun = std::time::Instant::now();
     let mut bad: Vec<Client> = (0..120).map(|_| Client::connect(site.listen)).collect();
-    bad.iter_mut().step_by(2).for_each(|client| client.send(&words(&["NONSENSE"])));
-    bad.iter_mut().skip(1).step_by(2).for_each(|client| client.send(&words(&["PING"])));
+    bad.iter_mut().step_by(2).for_each(|client| client.send(&resp_command(&["NONSENSE"])));
+    bad.iter_mut().skip(1).step_by(2).for_each(|client| client.send(&resp_command(&["PING"])));
     let mut usual: Vec<Client> = (0..40).map(|_| Client::connect(site.listen)).collect();
     usual.iter_mut().zip(1..).for_each(|(client, number)| client.send(&query(number, 2400, 1)));
     usual
@@ -136,7 +136,7 @@
     let mut client = Client::connect(site.listen);
     let begun = std::time::Instant::now();
     for _ in 0..20 {
-        client.send(&words(&["NONSENSE"]));
+        client.send(&resp_command(&["NONSENSE"]));
         assert!(client.reply().starts_with("-ERR"));
     }
     assert!(begun.elapsed().as_millis() >= 19 * 20, "{:?}", begun.elapsed());
@@ -147,14 +147,14 @@
 fn a_duplicate_id_is_rejected_until_its_request_is_answered() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Does::Say(value(&words[2])), |word| Does::SayAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
     });
     let site = site("ids", &Shape { destinations: &[at], ..Shape::default() });
     let (mut first, mut second) = (Client::connect(site.listen), Client::connect(site.listen));
     first.send(&query(1, 2400, 1));
-    asked(&seen);
+    next_request(&seen);
     second.send(&query(1, 2400, 1));
     assert_eq!(second.reply(), "-ERR the id is that of an open request");
     release.send(()).expect("the stand-in waits");
@@ -167,16 +167,16 @@
 fn pipelined_commands_are_answered_in_their_order() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Does::Say(value(&words[2])), |word| Does::SayAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
     });
     let site = site("order", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
-    client.send(&[query(1, 2400, 1), query(2, 2400, 1), words(&["PING"])].concat());
+    client.send(&[query(1, 2400, 1), query(2, 2400, 1), resp_command(&["PING"])].concat());
     // Both are out before the first may be answered; the second one's answer then waits for its turn.
-    asked(&seen);
-    asked(&seen);
+    next_request(&seen);
+    next_request(&seen);
     release.send(()).expect("the stand-in waits");
     assert_eq!([client.reply(), client.reply(), client.reply()], [id(1), id(2), "+PONG".into()]);
 }
@@ -193,7 +193,7 @@
     let reply = client.reply();
     let advice: u32 = reply.strip_prefix("-BUSY ").expect("a busy reply").parse().expect("milliseconds");
     assert!((1..=1000).contains(&advice), "within what clients honour: {advice}");
-    assert_eq!(all_asked(&seen).len(), 1, "what is refused is not sent on");
+    assert_eq!(all_requests(&seen).len(), 1, "what is refused is not sent on");
 }
 
 #[test]
@@ -211,7 +211,7 @@
 
 #[test]
 fn without_an_answer_the_rejection_comes_before_the_client_gives_up() {
-    let (at, _seen) = destination(command, |_| Does::Nothing);
+    let (at, _seen) = backend(command, |_| Behaviour::NoReply);
     let site = site("deadline", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     let begun = std::time::Instant::now();
@@ -225,15 +225,16 @@
 /// that is safe to repeat is tried elsewhere.
 #[test]
 fn resets_and_refused_connections_are_retried_elsewhere() {
-    let (breaks, broken) = destination(command, |_| Does::Close);
+    let (breaks, broken) = backend(command, |_| Behaviour::Close);
     let (serves, _seen) = echo();
-    let site = site("elsewhere", &Shape { destinations: &[breaks, nobody(), serves], ..Shape::default() });
+    let site =
+        site("elsewhere", &Shape { destinations: &[breaks, unused_address(), serves], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     for number in 1..=8 {
         client.send(&query(number, 2400, 1));
         assert_eq!(client.reply(), id(number));
     }
-    let ids: Vec<String> = all_asked(&broken).into_iter().map(|words| words[2].clone()).collect();
+    let ids: Vec<String> = all_requests(&broken).into_iter().map(|words| words[2].clone()).collect();
     let mut once = ids.clone();
     once.dedup();
     assert_eq!(ids, once, "a break is no reason to send the same request there again");
@@ -303,21 +304,21 @@
     let site = site("second-answer", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     for number in 1..=100 {
-        client.send(&query_by_another(number));
+        client.send(&query_of_another_tenant(number));
         assert_eq!(client.reply(), id(number));
     }
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    let (at, seen) = destination(command, |_| Does::Nothing);
+    let (at, seen) = backend(command, |_| Behaviour::NoReply);
     let site = site("leaves", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2500, 1));
-    asked(&seen);
+    next_request(&seen);
     let begun = std::time::Instant::now();
     drop(client);
-    assert!(matches!(next(&seen), Seen::GivenUp));
+    assert!(matches!(next(&seen), BackendEvent::RequestAbandoned));
     assert!(begun.elapsed().as_millis() < 2000, "long before its deadline");
 }
 
@@ -329,15 +330,15 @@
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2400, 1));
     assert_eq!(client.reply(), id(1));
-    asked(&old_seen);
+    next_request(&old_seen);
     let changes = [host("s-0", old, "draining"), host("s-new", new, "up")];
     site.watch.send(list(41, false, &changes)).expect("the watch is open");
     // It lets go of its idle connection once it has heard.
-    assert!(matches!(next(&old_seen), Seen::Ended));
+    assert!(matches!(next(&old_seen), BackendEvent::ConnectionClosed));
     client.send(&query(2, 2400, 1));
     assert_eq!(client.reply(), id(2));
-    assert_eq!(asked(&new_seen)[2], id(2));
-    assert!(all_asked(&old_seen).is_empty());
+    assert_eq!(next_request(&new_seen)[2], id(2));
+    assert!(all_requests(&old_seen).is_empty());
 }
 
 /// Guards the first moments of a new process: what the agent has counts as told from there on, and the list that it starts from
@@ -346,7 +347,7 @@
 fn waits_for_the_first_list_before_serving() {
     let (old, old_seen) = echo();
     let (new, _new_seen) = echo();
-    let (agent, folder) = (agent(), Folder::new("first-list"));
+    let (agent, folder) = (agent(), TestDirectory::new("first-list"));
     let shape = Shape { destinations: &[old], ..Shape::default() };
     let path = folder.write("config.json", &config(agent.address, &shape));
     let program = Program::start(&[], &[("BALANCER_CONFIG", &path)]);
@@ -358,7 +359,7 @@
     let mut client = Client::connect(program.logged("serving on ").parse().expect("an address"));
     client.send(&query(1, 2400, 1));
     assert_eq!(client.reply(), id(1));
-    assert!(all_asked(&old_seen).is_empty());
+    assert!(all_requests(&old_seen).is_empty());
 }
 
 /// Guards starts while discovery is down: the agent says nothing, and the list that is known has to do.
@@ -367,8 +368,8 @@
     let (at, _seen) = echo();
     let silent =
         listen(|stream| while std::io::Read::read(&mut &stream, &mut [0; 4096]).is_ok_and(|n| n > 0) {});
-    for agent in [nobody(), silent] {
-        let folder = Folder::new("no-agent");
+    for agent in [unused_address(), silent] {
+        let folder = TestDirectory::new("no-agent");
         let shape = Shape { destinations: &[at], ..Shape::default() };
         let path = folder.write("config.json", &config(agent, &shape));
         let program = Program::start(&[], &[("BALANCER_CONFIG", &path)]);
@@ -387,11 +388,11 @@
     client.send(&query(1, 2400, 1));
     assert_eq!(client.reply(), id(1));
     site.watch.send(list(50, true, &[host("s-new", new, "up")])).expect("the watch is open");
-    asked(&old_seen);
-    assert!(matches!(next(&old_seen), Seen::Ended));
+    next_request(&old_seen);
+    assert!(matches!(next(&old_seen), BackendEvent::ConnectionClosed));
     client.send(&query(2, 2400, 1));
     assert_eq!(client.reply(), id(2));
-    assert!(all_asked(&old_seen).is_empty());
+    assert!(all_requests(&old_seen).is_empty());
 }
 
 #[test]
@@ -416,22 +417,22 @@
 fn after_sigterm_accepted_requests_are_answered_and_connections_closed() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Does::SayAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, value(&words[2]))
     });
     let mut site = site("sigterm", &Shape { destinations: &[at], ..Shape::default() });
     let mut idle = Client::connect(site.listen);
-    idle.send(&words(&["PING"]));
+    idle.send(&resp_command(&["PING"]));
     assert_eq!(idle.reply(), "+PONG");
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2500, 1));
-    asked(&seen);
+    next_request(&seen);
     site.program.terminate();
     site.program.logged("signal 15");
     // The overlap: sockets stay open and are served, and new ones are taken.
     for client in [&mut idle, &mut Client::connect(site.listen)] {
-        client.send(&words(&["PING"]));
+        client.send(&resp_command(&["PING"]));
         assert_eq!(client.reply(), "+PONG");
     }
     assert!(idle.ended(), "closed between requests");
@@ -446,9 +447,9 @@
 #[test]
 fn after_sigterm_it_keeps_serving_and_answers_all_before_the_kill() {
     // Odd ids are never answered.
-    let (at, _seen) = destination(command, |words| {
+    let (at, _seen) = backend(command, |words| {
         let odd = words[2].ends_with(['1', '3', '5', '7', '9']);
-        if odd { Does::Nothing } else { Does::Say(value(&words[2])) }
+        if odd { Behaviour::NoReply } else { Behaviour::Reply(value(&words[2])) }
     });
     let mut site = site("lasting", &Shape { destinations: &[at], ..Shape::default() });
     let mut kept = Client::connect(site.listen);
@@ -477,9 +478,9 @@
 fn sighup_moves_discovery_and_the_counter_and_a_bad_file_changes_nothing() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = destination(command, move |words| {
+    let (at, seen) = backend(command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Does::Say(value(&words[2])), |word| Does::SayAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
     });
     let ((old_counter, old_added), (new_counter, new_added)) = (counter(0.0), counter(0.0));
     let shape = Shape { destinations: &[at], counter: Some(old_counter), gatekeepers: 2, ..Shape::default() };
@@ -487,7 +488,7 @@
     let mut client = Client::connect(site.listen);
     client.send(&query_of(1, 2500, 1, 2));
     next(&old_added);
-    asked(&seen);
+    next_request(&seen);
 
     site.folder.write("config.json", "{");
     site.program.signal("-HUP");
@@ -509,7 +510,7 @@
     next(&new_added);
 
     // The new agent is heard: its list replaces the old one.
-    let (other, _) = destination(command, |_| Does::Say(value("other")));
+    let (other, _) = backend(command, |_| Behaviour::Reply(value("other")));
     watch.send(list(41, true, &[host("s-9", other, "up")])).expect("the watch is open");
     for number in 3.. {
         client.send(&query_of(number, 2500, 1, 2));
@@ -524,13 +525,13 @@
 
 #[test]
 fn an_unusable_configuration_is_reported_and_ends_the_process() {
-    let folder = Folder::new("config");
+    let folder = TestDirectory::new("config");
     for (text, told) in [
         ("{", "config.json"),
         (r#"{"name":"n0"}"#, "missing field"),
-        (&config(nobody(), &Shape::default()).replace("127.0.0.1:0", "nowhere"), "listen"),
-        (&config(nobody(), &Shape::default()).replace("read_like", "often"), "often"),
-        (&config(nobody(), &Shape { gatekeepers: 0, ..Shape::default() }), "gateways"),
+        (&config(unused_address(), &Shape::default()).replace("127.0.0.1:0", "nowhere"), "listen"),
+        (&config(unused_address(), &Shape::default()).replace("read_like", "often"), "often"),
+        (&config(unused_address(), &Shape { gatekeepers: 0, ..Shape::default() }), "gateways"),
     ] {
         let path = folder.write("config.json", text);
         let (succeeded, said) = run(&[], &[("BALANCER_CONFIG", &path)]);
--- a/crates/snowfield/tests/reload.rs
+++ b/crates/snowfield/tests/reload.rs
@@ -4,21 +4,20 @@
 
 use common::admin::*;
 use common::*;
-use std::io::Write;
 
 /// Guards operations under way: a class that vanishes is kept by those that came with it, a new one is let in, and a bad file
 /// changes nothing.
 #[test]
 fn new_settings_are_in_force_at_once_and_a_bad_file_changes_nothing() {
     let (at, seen, release) = holds(10, |words| match words[2].as_str() {
-        "0000000000000014" => Does::Close,
-        _ => Does::Say(value(&words[2])),
+        "0000000000000014" => Behaviour::Close,
+        _ => Behaviour::Reply(value(&words[2])),
     });
     let shape = Shape { destinations: &[at], ..Shape::default() };
-    let (site, door) = operated("retune", &shape);
+    let (site, admin) = site_with_admin("retune", &shape);
     let (mut waits, mut client) = (Client::connect(site.listen), Client::connect(site.listen));
-    waits.send(&query_by_another(10));
-    asked(&seen);
+    waits.send(&query_of_another_tenant(10));
+    next_request(&seen);
     let good = config(site.agent.address, &shape);
     let other =
         good.replace(r#""name":"lookup""#, r#""name":"notice""#).replace("read_like", "non_idempotent");
@@ -28,11 +27,11 @@
         site.program.logged(line)
     };
     reload(&other, "reload: settings taken");
-    client.send(&query_by_another(11));
+    client.send(&query_of_another_tenant(11));
     assert_eq!(client.reply(), "-ERR no such class");
     let submit = |number: u32| {
         let list = "c=notice,t=team,d=2400,units=1,spread=1,first=0";
-        words(&["SVC.SUBMIT", &format!("{number:016x}"), &id(number), list, "body"])
+        resp_command(&["SVC.SUBMIT", &format!("{number:016x}"), &id(number), list, "body"])
     };
     client.send(&submit(12));
     assert_eq!(client.reply(), id(12), "the class that appeared is served");
@@ -50,9 +49,9 @@
     }
     release.send(()).expect("the stand-in waits");
     assert_eq!(waits.reply(), id(10), "it keeps the class that it came with");
-    let text = call(door, "telemetry");
-    let of = |name: &str, class: &str| figure(&text, &format!("balancer_{name}_total{{lane=\"{class}\"}}"));
+    let text = call(admin, "telemetry");
+    let of = |name: &str, class: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"{class}\"}}"));
     assert_eq!((of("completed", "lookup"), of("completed", "notice"), of("failed", "notice")), (1, 5, 1));
-    assert_eq!(figure(&text, "balancer_config_reloads_total"), 1);
-    assert_eq!(figure(&text, "balancer_config_reload_errors_total"), 4);
+    assert_eq!(metric(&text, "balancer_config_reloads_total"), 1);
+    assert_eq!(metric(&text, "balancer_config_reload_errors_total"), 4);
 }
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -22,8 +22,8 @@
     )
 }
 
-fn folder(test: &str) -> Folder {
-    let folder = Folder::new(test);
+fn folder(test: &str) -> TestDirectory {
+    let folder = TestDirectory::new(test);
     folder.write("loans.json", LOANS);
     folder
 }
@@ -32,7 +32,7 @@
 fn an_unusable_file_is_rejected_with_all_reasons_at_once() {
     let folder = folder("timing-bad");
     let lookup = "attempts = 3\nattempt_ms = 900\ncopy_after_ms = 1500";
-    let text = file(nobody(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
+    let text = file(unused_address(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
     let (good, said) = run(&["check", &folder.write("a.toml", &text)], &[]);
     assert!(!good);
     for told in [
@@ -49,7 +49,7 @@
 #[test]
 fn explain_shows_the_source_of_each_figure_and_the_worst_case() {
     let folder = folder("timing-explain");
-    let text = file(nobody(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
+    let text = file(unused_address(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
     let path = folder.write("a.toml", &text);
     let (good, said) = run(&["explain", &path, "GET", "/loans/7"], &[]);
     assert!(good, "{said}");
@@ -72,9 +72,9 @@
 /// not is answered when its attempt is over.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
-    let (silent, seen) = destination(message, |_| Does::Nothing);
+    let (silent, seen) = backend(message, |_| Behaviour::NoReply);
     let (good, _seen) =
-        destination(message, |_| Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec()));
+        backend(message, |_| Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec()));
     let consul = Consul::start();
     let set = |at: &[SocketAddr], index| {
         let services =
@@ -100,12 +100,12 @@
         let (status, took) = ask("GET");
         assert_eq!(status, 200);
         assert!(took < 1_200, "at most one attempt of 300 ms comes before: {took} ms");
-        waited = seen.try_iter().filter(|s| matches!(s, Seen::Asked(_))).count();
+        waited = seen.try_iter().filter(|s| matches!(s, BackendEvent::Request(_))).count();
     }
     // Refused meanwhile, where no place is free, it never ran.
     let begun = Instant::now();
     let (mut lost, mut took) = (200, 0);
-    while lost < 500 && begun.elapsed() < LONG {
+    while lost < 500 && begun.elapsed() < TIMEOUT {
         (lost, took) = ask("POST");
     }
     assert!(lost >= 500 && (300..1_200).contains(&took), "{lost} after {took} ms");
