--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -1,233 +1,204 @@
-//! Whom to ask, and when: several agents in order, with fail-over and return, by Consul's rules for blocking queries.
+//! Which agent is queried next, and when: several agents in order, with failover and failback, by Consul's rules for blocking
+//! queries.
 
-/// What is asked of an agent.
+use crate::Millis;
+
+/// The next query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// The agent's number.
+    /// The agent's number, from 0.
     pub agent: usize,
-    /// The index to block on; 0 asks for the list as it is.
+    /// The index to block on; 0 returns the present list at once.
     pub index: u64,
-    /// May be answered by a server that is not the leader.
+    /// Any server may respond, not only the leader.
     pub allow_stale: bool,
-    /// Not before this, in milliseconds.
-    pub not_before: u64,
+    /// It must not be sent before this time.
+    pub not_before: Millis,
 }
 
-/// What came of a query.
+/// How a query ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// An answer that can be used, at this index (`X-Consul-Index`).
+    /// A usable response, at this index (`X-Consul-Index`).
     Response(u64),
-    /// An answer from a server that has no leader, or has not heard of it for too long: no news.
+    /// The server has no leader, or has not heard from it for too long: the response is not used.
     TooStale,
-    /// No answer that can be used.
+    /// No usable response.
     Failed,
 }
 
-/// Bounds and spans, in milliseconds.
+/// Whether a usable response says anything new.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Freshness {
+    /// The list may have changed.
+    New,
+    /// The wait of a blocking query expired without a change, or there was no usable response.
+    Unchanged,
+}
+
+/// Bounds of the pauses after failures.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PollBackoff {
+    /// After the first failure; doubles with each further one.
+    pub initial: Millis,
+    /// At most.
+    pub max: Millis,
+}
+
+impl PollBackoff {
+    /// The pause after this many failures in a row before the last, without jitter.
+    fn after(self, earlier_failures: u32) -> Millis {
+        const MAX_DOUBLINGS: u32 = 16;
+        (self.initial << earlier_failures.min(MAX_DOUBLINGS)).min(self.max).max(1)
+    }
+}
+
+/// How agents are selected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSelectorConfig {
     /// How many agents there are.
     pub agent_count: usize,
-    /// Between two queries at the least, also when the list changes all the time.
-    pub min_query_interval: u64,
-    /// After a failure; doubles up to the second.
-    pub backoff: (u64, u64),
-    /// While another agent than the first is asked, the first is tried again after this.
-    pub failback_after: u64,
-    /// Stale answers are wanted.
+    /// The shortest time between two queries, also while the list changes all the time.
+    pub min_query_interval: Millis,
+    /// The pauses of an agent that fails.
+    pub backoff: PollBackoff,
+    /// After this long with another agent the first is tried again.
+    pub failback_after: Millis,
+    /// Queries may be answered by any server.
     pub allow_stale: bool,
 }
 
-/// The agents and how they have answered.
+/// The agents and how they have responded.
 #[derive(Clone, Debug)]
 pub struct AgentSelector {
-    rules: AgentSelectorConfig,
-    state: Vec<Agent>,
+    config: AgentSelectorConfig,
+    agents: Vec<AgentState>,
     current: usize,
     index: u64,
     /// The next query must be answered by the leader.
-    fresh: bool,
-    asked: u64,
-    moved: u64,
-    random: u64,
+    needs_leader: bool,
+    last_query_at: Millis,
+    selected_at: Millis,
+    jitter: Jitter,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Agent {
-    failures: u32,
-    /// Not to be asked before this.
-    until: u64,
+struct AgentState {
+    consecutive_failures: u32,
+    backoff_until: Millis,
 }
 
 impl AgentSelector {
-    /// All agents thought well; `seed` spreads the pauses of several gatekeepers.
-    pub fn new(rules: AgentSelectorConfig, seed: u64) -> Self {
-        let state = vec![Agent::default(); rules.agent_count.max(1)];
-        Self { rules, state, current: 0, index: 0, fresh: false, asked: 0, moved: 0, random: seed | 1 }
+    /// Starts with the first agent. `seed` spreads the pauses of several gatekeepers.
+    pub fn new(config: AgentSelectorConfig, seed: u64) -> Self {
+        Self {
+            agents: vec![AgentState::default(); config.agent_count.max(1)],
+            config,
+            current: 0,
+            index: 0,
+            needs_leader: false,
+            last_query_at: 0,
+            selected_at: 0,
+            jitter: Jitter(seed | 1),
+        }
     }
 
-    /// Which agent is asked now.
+    /// The agent that is in use.
     pub fn current(&self) -> usize {
         self.current
     }
 
-    /// The next query. Blocking queries of one agent mean nothing to another, which may lag: a move starts with index 0.
-    pub fn next_query(&mut self, now: u64) -> Query {
-        let preferred_is_due = self.current > 0 && now >= self.moved + self.rules.failback_after;
-        if preferred_is_due {
-            // AgentSelector in front are tried in order; whichever of them fails is left for another while.
-            self.go_to(0, now);
+    /// Decides the next query.
+    pub fn next_query(&mut self, now: Millis) -> Query {
+        if self.current > 0 && now >= self.selected_at + self.config.failback_after {
+            // The agents in front are tried in order; one that fails is left alone for another interval.
+            self.select(0, now);
         }
-        if self.state[self.current].until > now {
-            // The one in order that may be asked, or else the one that may be asked first.
-            let order = (0..self.state.len()).min_by_key(|&i| (self.state[i].until.max(now), i));
-            if let Some(agent) = order.filter(|&a| a != self.current) {
-                self.go_to(agent, now);
-            }
+        if self.agents[self.current].backoff_until > now {
+            self.fail_over(now);
         }
-        let at = now.max(self.state[self.current].until).max(self.asked + self.rules.min_query_interval);
-        self.asked = at;
+        let earliest = self.last_query_at + self.config.min_query_interval;
+        let not_before = now.max(self.agents[self.current].backoff_until).max(earliest);
+        self.last_query_at = not_before;
         Query {
             agent: self.current,
             index: self.index,
-            allow_stale: self.rules.allow_stale && !self.fresh,
-            not_before: at,
+            allow_stale: self.config.allow_stale && !self.needs_leader,
+            not_before,
         }
     }
 
-    fn go_to(&mut self, agent: usize, now: u64) {
-        (self.current, self.index, self.moved) = (agent, 0, now);
+    /// Selects the first agent in order that is not in backoff, or else the one whose backoff ends first.
+    fn fail_over(&mut self, now: Millis) {
+        let available_at = |&agent: &usize| (self.agents[agent].backoff_until.max(now), agent);
+        let best = (0..self.agents.len()).min_by_key(available_at);
+        if let Some(agent) = best.filter(|&agent| agent != self.current) {
+            self.select(agent, now);
+        }
     }
 
-    /// Takes in what came of the query. Tells whether an answer is news, which one that repeats its index is not.
-    pub fn handle_outcome(&mut self, now: u64, agent: usize, told: &QueryOutcome) -> bool {
-        let Some(state) = self.state.get_mut(agent) else { return false };
-        match told {
-            QueryOutcome::Response(index) => {
-                (state.failures, state.until) = (0, 0);
-                let news = *index != self.index || self.index == 0;
-                // The documentation asks for a fresh start where the index went back or is not above 0.
-                self.index = if *index < self.index || *index == 0 { 0 } else { *index };
-                self.fresh = false;
-                news
-            }
+    /// Indexes of one agent mean nothing to another, which may lag behind: a switch starts with index 0.
+    fn select(&mut self, agent: usize, now: Millis) {
+        self.current = agent;
+        self.index = 0;
+        self.selected_at = now;
+    }
+
+    /// Records how a query ended, and returns whether its response is new.
+    pub fn handle_outcome(&mut self, now: Millis, agent: usize, outcome: &QueryOutcome) -> Freshness {
+        if agent >= self.agents.len() {
+            return Freshness::Unchanged;
+        }
+        match outcome {
+            QueryOutcome::Response(index) => self.handle_response(agent, *index),
             QueryOutcome::TooStale => {
-                // Once more, and this time from the leader; without one that fails, and the next agent is asked.
-                self.fresh = true;
-                self.index = 0;
-                self.pause(now, agent);
-                false
+                // The next query goes to the leader. Without one it fails, and the next agent is queried.
+                self.needs_leader = true;
+                self.back_off(now, agent);
+                Freshness::Unchanged
             }
             QueryOutcome::Failed => {
-                self.index = 0;
-                self.pause(now, agent);
-                false
+                self.back_off(now, agent);
+                Freshness::Unchanged
             }
         }
     }
 
-    fn pause(&mut self, now: u64, agent: usize) {
-        // xorshift64 (Marsaglia, 2003): only spreads pauses, and keeps this module free of outside state.
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        let (first, longest) = self.rules.backoff;
-        let state = &mut self.state[agent];
-        let span = (first << state.failures.min(16)).min(longest).max(1);
-        state.failures += 1;
-        state.until = now + span / 2 + self.random % (span / 2 + 1);
+    fn handle_response(&mut self, agent: usize, index: u64) -> Freshness {
+        self.agents[agent] = AgentState::default();
+        let is_new = index != self.index || self.index == 0;
+        // Consul's documentation asks for a fresh start where the index decreases or is not above 0.
+        self.index = if index < self.index { 0 } else { index };
+        self.needs_leader = false;
+        if is_new { Freshness::New } else { Freshness::Unchanged }
     }
 
-    /// Failures in a row of an agent.
-    pub fn failures(&self, agent: usize) -> u32 {
-        self.state.get(agent).map_or(0, |a| a.failures)
+    fn back_off(&mut self, now: Millis, agent: usize) {
+        self.index = 0;
+        let state = &mut self.agents[agent];
+        let pause = self.config.backoff.after(state.consecutive_failures);
+        state.consecutive_failures += 1;
+        state.backoff_until = now + pause / 2 + self.jitter.next() % (pause / 2 + 1);
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn agents(count: usize) -> AgentSelector {
-        let rules = AgentSelectorConfig {
-            agent_count: count,
-            min_query_interval: 50,
-            backoff: (200, 5_000),
-            failback_after: 30_000,
-            allow_stale: true,
-        };
-        AgentSelector::new(rules, 7)
-    }
-
-    #[test]
-    fn a_list_that_changes_all_the_time_is_asked_for_at_a_bounded_rate() {
-        let mut agents = agents(1);
-        let (mut now, mut asked) = (0, 0);
-        while now < 10_000 {
-            let ask = agents.next_query(now);
-            now = ask.not_before + 1;
-            asked += 1;
-            assert!(agents.handle_outcome(now, 0, &QueryOutcome::Response(asked)));
-        }
-        assert!((190..=201).contains(&asked), "{asked}");
-    }
-
-    #[test]
-    fn an_index_that_goes_back_or_to_zero_starts_anew_and_one_that_stays_is_no_news() {
-        let mut agents = agents(1);
-        assert!(agents.handle_outcome(0, 0, &QueryOutcome::Response(10)));
-        assert_eq!(agents.next_query(0).index, 10);
-        assert!(!agents.handle_outcome(0, 0, &QueryOutcome::Response(10)), "the wait was over");
-        assert!(agents.handle_outcome(0, 0, &QueryOutcome::Response(4)));
-        assert_eq!(agents.next_query(0).index, 0);
-        assert!(agents.handle_outcome(0, 0, &QueryOutcome::Response(0)));
-        assert_eq!(agents.next_query(0).index, 0);
-    }
-
-    #[test]
-    fn failures_move_on_at_once_and_pauses_grow_with_jitter() {
-        let mut agents = agents(2);
-        agents.handle_outcome(0, 0, &QueryOutcome::Response(10));
-        agents.handle_outcome(100, 0, &QueryOutcome::Failed);
-        let ask = agents.next_query(100);
-        assert_eq!((ask.agent, ask.index), (1, 0));
-        assert!(ask.not_before <= 150, "without a pause");
-        // Both fail: whoever may be asked first is asked, ever less often.
-        let (mut now, mut pauses) = (100, Vec::new());
-        for _ in 0..20 {
-            let ask = agents.next_query(now);
-            pauses.push(ask.not_before - now);
-            now = ask.not_before;
-            agents.handle_outcome(now, ask.agent, &QueryOutcome::Failed);
-        }
-        assert!(pauses[19] >= 500 && pauses.iter().all(|&p| p <= 5_000), "{pauses:?}");
-    }
-
-    #[test]
-    fn the_first_agent_is_returned_to() {
-        let mut agents = agents(3);
-        agents.handle_outcome(0, 0, &QueryOutcome::Failed);
-        assert_eq!(agents.next_query(0).agent, 1);
-        agents.handle_outcome(0, 1, &QueryOutcome::Failed);
-        assert_eq!(agents.next_query(10).agent, 2);
-        agents.handle_outcome(10, 2, &QueryOutcome::Response(5));
-        assert_eq!(agents.next_query(29_000).agent, 2);
-        let ask = agents.next_query(30_100);
-        assert_eq!((ask.agent, ask.index), (0, 0));
-        // It is still away: the others go on for another while.
-        agents.handle_outcome(30_100, 0, &QueryOutcome::Failed);
-        assert_ne!(agents.next_query(30_100).agent, 0);
+    /// Failures in a row of an agent.
+    pub fn consecutive_failures(&self, agent: usize) -> u32 {
+        self.agents.get(agent).map_or(0, |state| state.consecutive_failures)
     }
+}
 
-    #[test]
-    fn an_answer_that_is_too_stale_is_asked_of_the_leader() {
-        let mut agents = agents(1);
-        assert!(agents.next_query(0).allow_stale);
-        agents.handle_outcome(0, 0, &QueryOutcome::TooStale);
-        let ask = agents.next_query(0);
-        assert!(!ask.allow_stale && ask.not_before >= 100);
-        agents.handle_outcome(ask.not_before, 0, &QueryOutcome::Response(3));
-        assert!(agents.next_query(ask.not_before).allow_stale);
+/// xorshift64 (Marsaglia, 2003). It only spreads pauses, and keeps this module free of outside state.
+#[derive(Clone, Debug)]
+struct Jitter(u64);
+
+impl Jitter {
+    fn next(&mut self) -> u64 {
+        self.0 ^= self.0 << 13;
+        self.0 ^= self.0 >> 7;
+        self.0 ^= self.0 << 17;
+        self.0
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -1,211 +1,115 @@
-//! From answers to the list that is used.
+//! Turns responses into the endpoint list in use.
 
-use crate::health_response::{HealthStatus, Instance};
+mod record;
+
+use crate::{
+    EligibilityReason, Endpoint, EndpointList, EndpointNumber, Instance, Millis, StabilityConfig, WatchEvent,
+};
+use record::Record;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
 /// Instances that are remembered after they have left, beside those of the fleet.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
+/// The flaps of an instance that has left are remembered for so many half-lives.
+const REMEMBERED_HALF_LIVES: Millis = 4;
+/// Fewer flaps than this are not worth remembering: one is a restart.
+const REMEMBERED_FLAPS: f64 = 1.5;
 
-/// How sudden changes are met. Spans in milliseconds.
-#[derive(Clone, Debug, PartialEq)]
-pub struct StabilityConfig {
-    /// The worst state that still takes work.
-    pub minimum_health: HealthStatus,
-    /// An instance that comes back for the second time in a while is held for this; each further time for twice as long.
-    pub flap_hold: u64,
-    /// No longer than this.
-    pub max_flap_hold: u64,
-    /// A flap is half forgotten after this.
-    pub flap_half_life: u64,
-    /// Where this share of the list or more goes without a mark in one answer, the loss is held.
-    pub sudden_loss_share: f64,
-    /// For this long; then it is believed.
-    pub sudden_loss_hold: u64,
-    /// Held are only those that have answered a client this lately.
-    pub recently_answered: u64,
-}
+/// An id at an address: what has a number and a history of its own.
+type InstanceKey = (String, SocketAddr);
 
-impl Default for StabilityConfig {
-    fn default() -> Self {
-        Self {
-            minimum_health: HealthStatus::Warning,
-            flap_hold: 2_000,
-            max_flap_hold: 60_000,
-            flap_half_life: 60_000,
-            sudden_loss_share: 0.5,
-            sudden_loss_hold: 15_000,
-            recently_answered: 3_000,
-        }
-    }
-}
+/// When a client last got an answer from an endpoint, if ever.
+pub type LastAnswerAt<'a> = &'a dyn Fn(EndpointNumber) -> Option<Millis>;
 
-/// Why an instance takes no work, or still does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EligibilityReason {
-    /// It is in the list and well enough.
-    Listed,
-    /// Its checks say that it takes no work.
-    Unhealthy(HealthStatus),
-    /// It has come back too often lately: held until this time.
-    Flapping(u64),
-    /// Another instance at its address takes the work.
-    DuplicateAddress,
-    /// It has weight 0.
-    ZeroWeight,
-    /// It vanished with much of the list and still answers: kept until this time.
-    Retained(u64),
-    /// It is no longer in the list.
-    Deregistered,
-}
+/// Whether any attempt is in flight at an endpoint.
+pub type HasAttempts<'a> = &'a dyn Fn(EndpointNumber) -> bool;
 
-/// An instance as it is used.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Endpoint {
-    /// Its number: a new one for each id and address, and never used again.
-    pub number: u32,
-    /// As Consul told of it last.
-    pub instance: Instance,
-    /// Whether it takes work.
-    pub eligible: bool,
-    /// Why.
-    pub reason: EligibilityReason,
-    /// Since when it takes work, or did last, in milliseconds; `None` if it has since the first list.
-    pub eligible_since: Option<u64>,
-}
-
-/// The list as it is used.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointList {
-    /// By number.
-    pub endpoints: Vec<Endpoint>,
-}
-
-/// What is known of an instance.
-#[derive(Clone, Debug)]
-struct Record {
-    number: u32,
-    instance: Instance,
-    /// In the last answer.
-    listed: bool,
-    takes_work: bool,
-    reason: EligibilityReason,
-    since: Option<u64>,
-    /// Times that it has stopped taking work, halved in each span of the flaps' memory.
-    flaps: f64,
-    flapped: u64,
-    /// Well again since this.
-    well_since: Option<u64>,
-    /// Kept until this though it vanished.
-    kept_until: Option<u64>,
-    left: u64,
-}
-
-type Key = (String, SocketAddr);
-
-/// What has happened, for the log.
-#[derive(Clone, Debug, PartialEq)]
-pub enum WatchEvent {
-    /// So many entries, so many of which take work.
-    ListChanged(usize, usize),
-    /// An instance has stopped or begun to take work, and why.
-    EligibilityChanged(String, bool, EligibilityReason),
-    /// So many vanished of so many in one answer; so many are kept until this.
-    SuddenLoss {
-        /// Vanished.
-        vanished: usize,
-        /// Of those that took work.
-        of: usize,
-        /// Kept.
-        kept: usize,
-    },
-    /// The sudden loss is believed now.
-    LossAccepted(usize),
-}
-
-/// The list of one service.
+/// The instances of one service and their histories.
 #[derive(Clone, Debug)]
 pub struct EndpointTracker {
-    guards: StabilityConfig,
-    records: HashMap<Key, Record>,
-    next_number: u32,
-    /// Consul has told a list.
-    told: bool,
+    config: StabilityConfig,
+    records: HashMap<InstanceKey, Record>,
+    last_number: u32,
+    /// Consul has responded since the start.
+    has_response: bool,
     /// There was a list before, from Consul or from disk: what comes later may be cold.
-    had_list: bool,
-    sudden_until: Option<u64>,
-    /// Entries and those of them that take work, as they were noted last.
-    counts: Option<(usize, usize)>,
+    has_list: bool,
+    loss_held_until: Option<Millis>,
+    /// Endpoints and eligible ones, as they were reported last.
+    reported_counts: Option<(usize, usize)>,
 }
 
 impl EndpointTracker {
-    /// Nothing known yet. Numbers go on from here.
-    pub fn new(guards: StabilityConfig, first_number: u32) -> Self {
+    /// Nothing known yet. Numbers begin after `last_number`.
+    pub fn new(config: StabilityConfig, last_number: u32) -> Self {
         Self {
-            guards,
+            config,
             records: HashMap::new(),
-            next_number: first_number,
-            told: false,
-            had_list: false,
-            sudden_until: None,
-            counts: None,
+            last_number,
+            has_response: false,
+            has_list: false,
+            loss_held_until: None,
+            reported_counts: None,
         }
     }
 
-    /// Takes in a list from disk, from before a restart: all of it counts as it stood.
+    /// Restores the cached list of before a restart: all of it counts as it was.
+    ///
+    /// Consul's first response is no sudden change against it: much may have happened meanwhile.
     pub fn restore(
         &mut self,
-        now: u64,
+        now: Millis,
         instances: Vec<Instance>,
-        notes: &mut Vec<WatchEvent>,
+        events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
-        // What Consul tells first is no sudden change against what is on disk: much may have happened meanwhile.
-        self.take(now, instances, &|_| None, notes);
-        let view = self.view(now, notes);
-        self.had_list = true;
-        view
+        self.record(now, instances, &|_| None, events);
+        let list = self.evaluate(now, events);
+        self.has_list = true;
+        list
     }
 
-    /// Takes in an answer of Consul. `answered` tells when a client last got an answer from a number.
+    /// Applies a response of Consul.
     pub fn apply_response(
         &mut self,
-        now: u64,
+        now: Millis,
         instances: Vec<Instance>,
-        answered: &dyn Fn(u32) -> Option<u64>,
-        notes: &mut Vec<WatchEvent>,
+        last_answer_at: LastAnswerAt<'_>,
+        events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
-        self.take(now, instances, answered, notes);
-        let view = self.view(now, notes);
-        (self.told, self.had_list) = (true, true);
-        view
+        self.record(now, instances, last_answer_at, events);
+        let list = self.evaluate(now, events);
+        self.has_response = true;
+        self.has_list = true;
+        list
     }
 
-    /// Time has passed: holds may be over. `has_steps` tells whether any work is out at a number.
+    /// Applies the passing of time: holds may have ended.
     pub fn advance(
         &mut self,
-        now: u64,
-        has_steps: &dyn Fn(u32) -> bool,
-        notes: &mut Vec<WatchEvent>,
+        now: Millis,
+        has_attempts: HasAttempts<'_>,
+        events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
-        if self.sudden_until.is_some_and(|until| now >= until) {
-            self.sudden_until = None;
-            let over =
-                self.records.values().filter(|r| r.kept_until.is_some_and(|until| now >= until)).count();
-            if over > 0 {
-                notes.push(WatchEvent::LossAccepted(over));
+        if self.loss_held_until.is_some_and(|until| now >= until) {
+            self.loss_held_until = None;
+            let is_over = |record: &&Record| record.retained_until.is_some_and(|until| now >= until);
+            let count = self.records.values().filter(is_over).count();
+            if count > 0 {
+                events.push(WatchEvent::LossAccepted { count });
             }
         }
-        self.forget(now, has_steps);
-        self.view(now, notes)
+        self.forget(now, has_attempts);
+        self.evaluate(now, events)
     }
 
-    /// When the next hold is over.
-    pub fn next_deadline(&self, now: u64) -> Option<u64> {
-        let holds = self.records.values().filter_map(|r| match r.reason {
+    /// When the next hold ends.
+    pub fn next_deadline(&self, now: Millis) -> Option<Millis> {
+        let holds = self.records.values().filter_map(|record| match record.reason {
             EligibilityReason::Flapping(until) | EligibilityReason::Retained(until) => Some(until),
             _ => None,
         });
-        holds.filter(|&at| at > now).min()
+        holds.filter(|&until| until > now).min()
     }
 
     /// Instances that are remembered, of the fleet and others.
@@ -213,208 +117,176 @@
         self.records.len()
     }
 
-    fn take(
+    /// Records a list as it is, and what has left since the one before.
+    fn record(
         &mut self,
-        now: u64,
+        now: Millis,
         instances: Vec<Instance>,
-        answered: &dyn Fn(u32) -> Option<u64>,
-        notes: &mut Vec<WatchEvent>,
+        last_answer_at: LastAnswerAt<'_>,
+        events: &mut Vec<WatchEvent>,
     ) {
-        let took_work = self.records.values().filter(|r| r.takes_work && r.listed).count();
-        self.records.values_mut().for_each(|r| r.listed = false);
-        let first = !self.had_list;
+        let eligible = self.records.values().filter(|record| record.eligible && record.listed).count();
+        self.records.values_mut().for_each(|record| record.listed = false);
         for instance in instances {
-            let key = (instance.id.clone(), instance.address);
-            let next = &mut self.next_number;
-            let record = self.records.entry(key).or_insert_with(|| {
-                *next = next.wrapping_add(1).max(1);
-                Record {
-                    number: *next,
-                    instance: instance.clone(),
-                    listed: true,
-                    takes_work: false,
-                    reason: EligibilityReason::Deregistered,
-                    // What was there from the first list on has been running.
-                    since: None,
-                    flaps: 0.0,
-                    flapped: now,
-                    well_since: first.then_some(0),
-                    kept_until: None,
-                    left: now,
-                }
-            });
-            record.instance = instance;
-            record.listed = true;
-            record.kept_until = None;
+            self.record_listed(now, instance);
         }
-        // An id that is listed elsewhere now has moved: its old place is gone for sure.
-        let here: HashSet<&str> =
-            self.records.values().filter(|r| r.listed).map(|r| r.instance.id.as_str()).collect();
-        let moved: HashSet<Key> = self
-            .records
-            .iter()
-            .filter(|(k, r)| !r.listed && here.contains(k.0.as_str()))
-            .map(|(k, _)| k.clone())
-            .collect();
-        let lost: Vec<Key> = self
-            .records
-            .iter()
-            .filter(|(k, r)| !r.listed && r.takes_work && r.kept_until.is_none() && !moved.contains(*k))
-            .map(|(k, _)| k.clone())
-            .collect();
-        let sudden = lost.len() >= 2 || (lost.len() == 1 && took_work == 1);
-        if sudden && self.told && lost.len() as f64 >= took_work as f64 * self.guards.sudden_loss_share {
-            let until = now + self.guards.sudden_loss_hold;
-            let lately = self.guards.recently_answered;
-            let mut kept = 0;
-            for key in &lost {
-                if let Some(record) = self.records.get_mut(key)
-                    && answered(record.number).is_some_and(|at| now.saturating_sub(at) <= lately)
-                {
-                    record.kept_until = Some(until);
-                    kept += 1;
-                }
-            }
-            self.sudden_until = Some(until);
-            notes.push(WatchEvent::SuddenLoss { vanished: lost.len(), of: took_work, kept });
+        let moved = self.moved();
+        let vanished = self.vanished(&moved);
+        if self.is_sudden(vanished.len(), eligible) {
+            let until = now + self.config.sudden_loss_hold;
+            let retained = self.retain_answering(now, until, &vanished, last_answer_at);
+            self.loss_held_until = Some(until);
+            events.push(WatchEvent::SuddenLoss { vanished: vanished.len(), of: eligible, retained });
         }
         for (key, record) in &mut self.records {
             if !record.listed
-                && record.kept_until.is_none()
+                && record.retained_until.is_none()
                 && record.reason != EligibilityReason::Deregistered
             {
-                record.left = now;
+                record.left_at = now;
             }
             if moved.contains(key) {
-                record.kept_until = None;
+                record.retained_until = None;
             }
         }
     }
 
-    /// How long an instance is held that is well again.
-    fn hold(&self, record: &Record, now: u64) -> u64 {
-        let flaps = self.flaps(record, now);
-        // The first time costs nothing: that is a restart.
-        if flaps < 1.5 {
-            return 0;
-        }
-        let times = 2f64.powf((flaps - 1.0).min(32.0).floor() - 1.0);
-        ((self.guards.flap_hold as f64 * times) as u64).min(self.guards.max_flap_hold)
+    fn record_listed(&mut self, now: Millis, instance: Instance) {
+        let is_first_list = !self.has_list;
+        let last_number = &mut self.last_number;
+        let key = (instance.id.clone(), instance.address);
+        let record = self.records.entry(key).or_insert_with(|| {
+            *last_number = last_number.wrapping_add(1).max(1);
+            Record::new(EndpointNumber(*last_number), instance.clone(), now, is_first_list)
+        });
+        record.instance = instance;
+        record.listed = true;
+        record.retained_until = None;
     }
 
-    fn flaps(&self, record: &Record, now: u64) -> f64 {
-        let spans = now.saturating_sub(record.flapped) as f64 / self.guards.flap_half_life.max(1) as f64;
-        record.flaps * 0.5f64.powf(spans)
+    /// Unlisted addresses of ids that are listed at another: these have moved for sure.
+    fn moved(&self) -> HashSet<InstanceKey> {
+        let listed_records = self.records.values().filter(|record| record.listed);
+        let listed_ids: HashSet<&str> = listed_records.map(|record| record.instance.id.as_str()).collect();
+        let is_moved =
+            |(key, record): &(&InstanceKey, &Record)| !record.listed && listed_ids.contains(key.0.as_str());
+        self.records.iter().filter(is_moved).map(|(key, _)| key.clone()).collect()
     }
 
-    /// Settles who takes work now.
-    fn view(&mut self, now: u64, notes: &mut Vec<WatchEvent>) -> EndpointList {
-        let mut keys: Vec<Key> = self.records.keys().cloned().collect();
-        // Of two at one address, who takes work already keeps it; else the later number, which replaced the other.
-        keys.sort_by_key(|k| {
-            let r = &self.records[k];
-            (!r.takes_work, u32::MAX - r.number)
-        });
-        let mut addresses: HashMap<SocketAddr, u32> = HashMap::new();
-        let mut reasons = Vec::with_capacity(keys.len());
-        for key in &keys {
+    /// Eligible instances that this list has dropped without a mark.
+    fn vanished(&self, moved: &HashSet<InstanceKey>) -> Vec<InstanceKey> {
+        let has_vanished = |(key, record): &(&InstanceKey, &Record)| {
+            !record.listed && record.eligible && record.retained_until.is_none() && !moved.contains(*key)
+        };
+        self.records.iter().filter(has_vanished).map(|(key, _)| key.clone()).collect()
+    }
+
+    fn is_sudden(&self, vanished: usize, eligible: usize) -> bool {
+        let is_more_than_one_server = vanished >= 2 || (vanished == 1 && eligible == 1);
+        let least = eligible as f64 * self.config.sudden_loss_share;
+        is_more_than_one_server && self.has_response && vanished as f64 >= least
+    }
+
+    /// Retains those that have answered a client lately, and returns how many.
+    fn retain_answering(
+        &mut self,
+        now: Millis,
+        until: Millis,
+        vanished: &[InstanceKey],
+        last_answer_at: LastAnswerAt<'_>,
+    ) -> usize {
+        let mut retained = 0;
+        for key in vanished {
             let Some(record) = self.records.get_mut(key) else { continue };
-            let instance = &record.instance;
-            let well =
-                record.listed && instance.health <= self.guards.minimum_health && instance.weight > 0.0;
-            match (well, record.well_since) {
-                (true, None) => record.well_since = Some(now),
-                (false, Some(_)) => record.well_since = None,
-                _ => {}
+            let is_recent = |at| now.saturating_sub(at) <= self.config.recently_answered;
+            if last_answer_at(record.number).is_some_and(is_recent) {
+                record.retained_until = Some(until);
+                retained += 1;
             }
+        }
+        retained
+    }
+
+    /// Decides which instances are eligible now, and returns the list.
+    fn evaluate(&mut self, now: Millis, events: &mut Vec<WatchEvent>) -> EndpointList {
+        let decisions = self.decide(now);
+        let changes = self.apply_decisions(now, decisions);
+        let list = self.list();
+        let eligible = list.endpoints.iter().filter(|endpoint| endpoint.eligible).count();
+        let counts = (list.endpoints.len(), eligible);
+        if !changes.is_empty() || self.reported_counts != Some(counts) {
+            self.reported_counts = Some(counts);
+            events.push(WatchEvent::ListChanged { listed: counts.0, eligible });
+            events.extend(changes);
+        }
+        list
+    }
+
+    /// Of two instances at one address, the one that is eligible already stays so; else the later number, which replaced the other.
+    fn decide(&mut self, now: Millis) -> Vec<(InstanceKey, EligibilityReason)> {
+        let mut keys: Vec<InstanceKey> = self.records.keys().cloned().collect();
+        keys.sort_by_key(|key| {
             let record = &self.records[key];
-            let until = record.well_since.unwrap_or(now)
-                + self.hold(record, now.min(record.well_since.unwrap_or(now)));
-            let reason = if !record.listed {
-                match record.kept_until {
-                    Some(until) if now < until => EligibilityReason::Retained(until),
-                    _ => EligibilityReason::Deregistered,
-                }
-            } else if record.instance.health > self.guards.minimum_health {
-                EligibilityReason::Unhealthy(record.instance.health)
-            } else if record.instance.weight <= 0.0 {
-                EligibilityReason::ZeroWeight
-            } else if !record.takes_work && now < until {
-                EligibilityReason::Flapping(until)
-            } else if addresses.contains_key(&record.instance.address) {
-                EligibilityReason::DuplicateAddress
-            } else {
-                EligibilityReason::Listed
-            };
-            if matches!(reason, EligibilityReason::Listed | EligibilityReason::Retained(_)) {
-                addresses.insert(record.instance.address, record.number);
+            (!record.eligible, u32::MAX - record.number.0)
+        });
+        let mut used_addresses = HashSet::new();
+        let mut decisions = Vec::with_capacity(keys.len());
+        for key in keys {
+            let Some(record) = self.records.get_mut(&key) else { continue };
+            record.update_healthy_since(now, &self.config);
+            let is_used = used_addresses.contains(&record.instance.address);
+            let reason = record.decide(now, &self.config, is_used);
+            if reason.is_eligible() {
+                used_addresses.insert(record.instance.address);
             }
-            reasons.push(reason);
+            decisions.push((key, reason));
         }
-        let mut turned = Vec::new();
-        for (key, reason) in keys.iter().zip(reasons) {
-            let takes_work = matches!(reason, EligibilityReason::Listed | EligibilityReason::Retained(_));
-            let flaps = self.records.get(key).map_or(0.0, |r| self.flaps(r, now));
-            let Some(record) = self.records.get_mut(key) else { continue };
-            if takes_work != record.takes_work {
-                if takes_work {
-                    // Of the first list there is no telling when it started; later it may be cold.
-                    record.since = self.had_list.then_some(now);
-                } else {
-                    (record.flaps, record.flapped) = (flaps + 1.0, now);
-                }
-                turned.push(WatchEvent::EligibilityChanged(record.instance.id.clone(), takes_work, reason));
-            } else if record.reason != reason
-                && matches!(
-                    (record.reason, reason),
-                    (
-                        EligibilityReason::Unhealthy(_) | EligibilityReason::Deregistered,
-                        EligibilityReason::Flapping(_)
-                    )
-                )
-            {
-                turned.push(WatchEvent::EligibilityChanged(record.instance.id.clone(), false, reason));
+        decisions
+    }
+
+    /// Applies decisions, and returns the changes in a fixed order.
+    fn apply_decisions(
+        &mut self,
+        now: Millis,
+        decisions: Vec<(InstanceKey, EligibilityReason)>,
+    ) -> Vec<WatchEvent> {
+        // Of the first list there is no telling when an instance started; one that appears later may be cold.
+        let eligible_since = self.has_list.then_some(now);
+        let mut changes = Vec::new();
+        for (key, reason) in decisions {
+            let Some(record) = self.records.get_mut(&key) else { continue };
+            if record.apply(now, &self.config, reason, eligible_since) {
+                changes.push((key.0, reason.is_eligible(), reason));
             }
-            (record.takes_work, record.reason) = (takes_work, reason);
-        }
-        let listed = self.records.values().filter(|r| r.listed || r.takes_work).count();
-        let working = self.records.values().filter(|r| r.takes_work).count();
-        if !turned.is_empty() || self.counts != Some((listed, working)) {
-            self.counts = Some((listed, working));
-            notes.push(WatchEvent::ListChanged(listed, working));
-            turned.sort_by(|a, b| format!("{a:?}").cmp(&format!("{b:?}")));
-            notes.extend(turned);
         }
-        let mut entries: Vec<Endpoint> = self
-            .records
-            .values()
-            .filter(|r| r.listed || r.takes_work)
-            .map(|r| Endpoint {
-                number: r.number,
-                instance: r.instance.clone(),
-                eligible: r.takes_work,
-                reason: r.reason,
-                eligible_since: r.since,
-            })
-            .collect();
-        entries.sort_by_key(|e| e.number);
-        EndpointList { endpoints: entries }
+        changes.sort();
+        let event = |(id, eligible, reason)| WatchEvent::EligibilityChanged { id, eligible, reason };
+        changes.into_iter().map(event).collect()
+    }
+
+    fn list(&self) -> EndpointList {
+        let shown = self.records.values().filter(|record| record.listed || record.eligible);
+        let mut endpoints: Vec<Endpoint> = shown.map(Record::endpoint).collect();
+        endpoints.sort_by_key(|endpoint| endpoint.number);
+        EndpointList { endpoints }
     }
 
-    /// What has left is remembered for its flaps, and its number while work is out there; both in bounds.
-    fn forget(&mut self, now: u64, has_steps: &dyn Fn(u32) -> bool) {
-        let memory = self.guards.flap_half_life * 4;
-        self.records.retain(|_, r| {
-            r.listed || r.takes_work || has_steps(r.number) || (r.flaps > 1.5 && now < r.left + memory)
+    /// What has left is remembered for its flaps, and its number while attempts are in flight there; both in bounds.
+    fn forget(&mut self, now: Millis, has_attempts: HasAttempts<'_>) {
+        let memory = self.config.flap_half_life * REMEMBERED_HALF_LIVES;
+        self.records.retain(|_, record| {
+            let is_in_use = record.listed || record.eligible || has_attempts(record.number);
+            is_in_use || (record.flaps > REMEMBERED_FLAPS && now < record.left_at + memory)
         });
-        let gone: BTreeMap<(u64, u32), Key> = self
+        let has_left = |record: &Record| !record.listed && !record.eligible && !has_attempts(record.number);
+        let by_age: BTreeMap<(Millis, EndpointNumber), InstanceKey> = self
             .records
             .iter()
-            .filter(|(_, r)| !r.listed && !r.takes_work && !has_steps(r.number))
-            .map(|(k, r)| ((r.left, r.number), k.clone()))
+            .filter(|(_, record)| has_left(record))
+            .map(|(key, record)| ((record.left_at, record.number), key.clone()))
             .collect();
-        let over = gone.len().saturating_sub(MOST_REMEMBERED);
-        for key in gone.into_values().take(over) {
+        let excess = by_age.len().saturating_sub(MAX_REMEMBERED);
+        for key in by_age.into_values().take(excess) {
             self.records.remove(&key);
         }
     }
--- /dev/null
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -0,0 +1,122 @@
+//! One instance of a service: its address, health and weight.
+
+use super::wire::{Check, Row, Service};
+use crate::Millis;
+use crate::error::InstanceError;
+use serde::{Deserialize, Serialize};
+use std::net::{IpAddr, SocketAddr};
+use std::ops::RangeInclusive;
+
+/// The key of `Service.Meta` that scales the weight.
+pub(crate) const CAPACITY_KEY: &str = "snowfield-capacity";
+/// The key of `Service.Meta` that says when the instance started.
+pub(crate) const STARTED_KEY: &str = "snowfield-started-ms";
+const CAPACITY_RANGE: RangeInclusive<f64> = 0.01..=1_000.0;
+/// Consul's largest weight, 65535, times the largest capacity.
+const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=65_535_000.0;
+
+/// The health of an instance: the worst of its own checks and its node's.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub enum HealthStatus {
+    /// All checks pass, or there are none.
+    Passing,
+    /// Some check warns.
+    Warning,
+    /// Some check fails.
+    Critical,
+    /// An operator has put the service or its node into maintenance.
+    Maintenance,
+    /// The node's own check (`serfHealth`) fails: the machine is presumed dead.
+    NodeDown,
+}
+
+impl HealthStatus {
+    /// Its name in the log and the console.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Passing => "passing",
+            Self::Warning => "warning",
+            Self::Critical => "critical",
+            Self::Maintenance => "in maintenance",
+            Self::NodeDown => "on a node that is down",
+        }
+    }
+
+    fn of(check: &Check) -> Self {
+        match check.status.as_str() {
+            "passing" => Self::Passing,
+            "warning" => Self::Warning,
+            // Maintenance is a failing check with a reserved name; so is the node's own.
+            _ if check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance:") => {
+                Self::Maintenance
+            }
+            _ if check.id == "serfHealth" => Self::NodeDown,
+            _ => Self::Critical,
+        }
+    }
+}
+
+/// One instance of a service.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Instance {
+    /// Its node's name and its service id: unique within a datacentre.
+    pub id: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its health.
+    pub health: HealthStatus,
+    /// Its weight in its present health (`Service.Weights`), times the capacity of its `Meta`.
+    pub weight: f64,
+    /// When it started, in milliseconds since the Unix epoch, if its `Meta` says.
+    #[serde(rename = "started")]
+    pub started_at: Option<Millis>,
+}
+
+impl Instance {
+    pub(super) fn from_row(id: &str, row: &Row) -> Result<Self, InstanceError> {
+        let checks = row.checks.as_deref().unwrap_or_default();
+        let health = checks.iter().map(HealthStatus::of).max().unwrap_or(HealthStatus::Passing);
+        Ok(Self {
+            id: id.to_owned(),
+            address: address_of(row)?,
+            health,
+            weight: weight_of(&row.service, health)?,
+            started_at: started_at_of(&row.service)?,
+        })
+    }
+}
+
+/// A service without an address of its own listens at its node's. Names are not resolved: there is no DNS here.
+fn address_of(row: &Row) -> Result<SocketAddr, InstanceError> {
+    let Service { address, port, .. } = &row.service;
+    let text = if address.is_empty() { &row.node.address } else { address };
+    let ip: IpAddr = text.parse().map_err(|_| InstanceError::Address(text.clone()))?;
+    let valid_port = u16::try_from(*port).ok().filter(|&port| port > 0);
+    let port = valid_port.ok_or(InstanceError::Port(*port))?;
+    Ok(SocketAddr::new(ip, port))
+}
+
+fn weight_of(service: &Service, health: HealthStatus) -> Result<f64, InstanceError> {
+    let base = match (&service.weights, health) {
+        (None, _) => 1.0,
+        (Some(weights), HealthStatus::Warning) => weights.warning,
+        (Some(weights), _) => weights.passing,
+    };
+    let weight = base * capacity_of(service)?;
+    if WEIGHT_RANGE.contains(&weight) { Ok(weight) } else { Err(InstanceError::Weight(weight)) }
+}
+
+fn capacity_of(service: &Service) -> Result<f64, InstanceError> {
+    let Some(text) = metadata(service, CAPACITY_KEY) else { return Ok(1.0) };
+    let capacity = text.parse().ok().filter(|capacity| CAPACITY_RANGE.contains(capacity));
+    capacity.ok_or_else(|| InstanceError::Capacity(text.clone()))
+}
+
+fn started_at_of(service: &Service) -> Result<Option<Millis>, InstanceError> {
+    let Some(text) = metadata(service, STARTED_KEY) else { return Ok(None) };
+    text.parse().map(Some).map_err(|_| InstanceError::Started(text.clone()))
+}
+
+fn metadata<'a>(service: &'a Service, key: &str) -> Option<&'a String> {
+    service.meta.as_ref()?.get(key)
+}
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -16,14 +16,20 @@
 
 mod agent_selector;
 mod cached_list;
+mod endpoint_list;
 mod endpoint_tracker;
+mod error;
 mod health_response;
 mod registration;
+mod stability;
+mod time;
 
-pub use agent_selector::{AgentSelector, AgentSelectorConfig, Query, QueryOutcome};
-pub use cached_list::{CachedList, CachedListError, MAX_FILE_BYTES};
-pub use endpoint_tracker::{
-    EligibilityReason, Endpoint, EndpointList, EndpointTracker, StabilityConfig, WatchEvent,
-};
-pub use health_response::{HealthResponse, HealthStatus, Instance, MAX_INSTANCES, read};
-pub use registration::{Registration, RegistrationOutcome, RegistrationRequest};
+pub use agent_selector::{AgentSelector, AgentSelectorConfig, Freshness, PollBackoff, Query, QueryOutcome};
+pub use cached_list::{AgedList, CachedList, MAX_FILE_BYTES};
+pub use endpoint_list::{EligibilityReason, Endpoint, EndpointList, EndpointNumber, WatchEvent};
+pub use endpoint_tracker::{EndpointTracker, HasAttempts, LastAnswerAt};
+pub use error::{CachedListError, InstanceError, ResponseError};
+pub use health_response::{HealthResponse, HealthStatus, Instance, InvalidInstance, MAX_INSTANCES};
+pub use registration::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
+pub use stability::StabilityConfig;
+pub use time::Millis;
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -1,7 +1,17 @@
-//! This program's own registration with its agent: registered, its TTL check kept passing, registered anew when the agent
-//! forgot it, and taken back at the end.
+//! This program's own registration with its agent: registered, its TTL check kept passing by heartbeats, registered again when
+//! the agent forgot it, and deregistered at the end.
 
-/// What to ask of the agent.
+use crate::Millis;
+
+/// Heartbeats of one TTL, so that two may be lost.
+const HEARTBEATS_PER_TTL: Millis = 3;
+/// A failed request is repeated within this part of the TTL ...
+const RETRIES_PER_TTL: Millis = 6;
+/// ... and after this; doubles with each further failure, so that an agent that is down is not flooded.
+const INITIAL_BACKOFF: Millis = 250;
+const MAX_DOUBLINGS: u32 = 6;
+
+/// A request to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationRequest {
     /// `PUT /v1/agent/service/register`.
@@ -12,124 +22,95 @@
     Deregister,
 }
 
-/// What came of it.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// 200.
+    /// Status 200.
     Accepted,
-    /// The agent knows no such check: 404, or 500 as older agents say.
+    /// The agent knows no such check: status 404, or 500 as older agents respond.
     UnknownCheck,
-    /// No answer, or another.
+    /// No response, or another.
     Failed,
 }
 
+/// A change of the registration that is logged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RegistrationChange {
+    /// The agent has accepted the registration.
+    Registered,
+    /// The agent has no registration of this program any more.
+    Lost,
+}
+
 /// The registration.
 #[derive(Clone, Debug)]
 pub struct Registration {
-    ttl: u64,
-    registered: bool,
-    due: u64,
-    failures: u32,
+    ttl: Millis,
+    is_registered: bool,
+    next_due: Millis,
+    consecutive_failures: u32,
 }
 
 impl Registration {
-    /// Not registered yet; the check is to pass every third of `ttl` milliseconds.
-    pub fn new(ttl: u64) -> Self {
-        Self { ttl, registered: false, due: 0, failures: 0 }
+    /// Not registered yet. The check expires `ttl` after the last heartbeat.
+    pub fn new(ttl: Millis) -> Self {
+        Self { ttl, is_registered: false, next_due: 0, consecutive_failures: 0 }
     }
 
-    /// What is due, if anything.
-    pub fn next_request(&self, now: u64) -> Option<RegistrationRequest> {
-        (now >= self.due).then_some(if self.registered {
-            RegistrationRequest::Heartbeat
-        } else {
-            RegistrationRequest::Register
-        })
+    /// The request that is due, if any.
+    pub fn next_request(&self, now: Millis) -> Option<RegistrationRequest> {
+        let request =
+            if self.is_registered { RegistrationRequest::Heartbeat } else { RegistrationRequest::Register };
+        (now >= self.next_due).then_some(request)
     }
 
-    /// When something is due.
-    pub fn next_due(&self) -> u64 {
-        self.due
+    /// When the next request is due.
+    pub fn next_due(&self) -> Millis {
+        self.next_due
     }
 
-    /// Takes in what came of it. Tells whether this is a change worth a line: registered, or not any more.
+    /// Records how a request ended, and returns a change that is worth a line in the log.
     pub fn handle_outcome(
         &mut self,
-        now: u64,
-        ask: RegistrationRequest,
-        told: RegistrationOutcome,
-    ) -> Option<bool> {
-        let before = self.registered;
-        match (ask, told) {
+        now: Millis,
+        request: RegistrationRequest,
+        outcome: RegistrationOutcome,
+    ) -> Option<RegistrationChange> {
+        let was_registered = self.is_registered;
+        match (request, outcome) {
             (RegistrationRequest::Register, RegistrationOutcome::Accepted) => {
-                (self.registered, self.failures) = (true, 0);
-                // The check begins critical: it is told that all is well at once.
-                self.due = now;
+                self.is_registered = true;
+                self.consecutive_failures = 0;
+                // A new check is critical until its first heartbeat.
+                self.next_due = now;
             }
             (RegistrationRequest::Heartbeat, RegistrationOutcome::Accepted) => {
-                self.failures = 0;
-                self.due = now + self.ttl / 3;
+                self.consecutive_failures = 0;
+                self.next_due = now + self.ttl / HEARTBEATS_PER_TTL;
             }
             (RegistrationRequest::Heartbeat, RegistrationOutcome::UnknownCheck) => {
-                self.registered = false;
-                self.due = now;
-            }
-            (_, RegistrationOutcome::Failed | RegistrationOutcome::UnknownCheck) => {
-                self.failures += 1;
-                // Soon enough for a second try within the TTL; an agent that is away is not pressed.
-                self.due = now + (self.ttl / 6).min(250 << self.failures.min(6));
+                self.is_registered = false;
+                self.next_due = now;
             }
             (RegistrationRequest::Deregister, RegistrationOutcome::Accepted) => {
-                self.registered = false;
-                self.due = u64::MAX;
+                self.is_registered = false;
+                self.next_due = Millis::MAX;
             }
+            (_, RegistrationOutcome::Failed | RegistrationOutcome::UnknownCheck) => self.back_off(now),
+        }
+        match (was_registered, self.is_registered) {
+            (false, true) => Some(RegistrationChange::Registered),
+            (true, false) => Some(RegistrationChange::Lost),
+            _ => None,
         }
-        (before != self.registered).then_some(self.registered)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn it_is_registered_kept_passing_and_registered_anew_when_forgotten() {
-        let mut registration = Registration::new(9_000);
-        assert_eq!(registration.next_request(0), Some(RegistrationRequest::Register));
-        assert_eq!(
-            registration.handle_outcome(0, RegistrationRequest::Register, RegistrationOutcome::Accepted),
-            Some(true)
-        );
-        assert_eq!(registration.next_request(0), Some(RegistrationRequest::Heartbeat));
-        assert_eq!(
-            registration.handle_outcome(5, RegistrationRequest::Heartbeat, RegistrationOutcome::Accepted),
-            None
-        );
-        assert_eq!(registration.next_request(3_004), None);
-        assert_eq!(registration.next_request(3_005), Some(RegistrationRequest::Heartbeat));
-        assert_eq!(
-            registration.handle_outcome(
-                3_005,
-                RegistrationRequest::Heartbeat,
-                RegistrationOutcome::UnknownCheck
-            ),
-            Some(false)
-        );
-        assert_eq!(registration.next_request(3_005), Some(RegistrationRequest::Register));
     }
 
-    #[test]
-    fn an_agent_that_is_away_is_tried_again_within_the_ttl_and_not_pressed() {
-        let mut registration = Registration::new(9_000);
-        registration.handle_outcome(0, RegistrationRequest::Register, RegistrationOutcome::Accepted);
-        let (mut now, mut tries) = (0, 0);
-        while now < 9_000 {
-            now = registration.next_due().max(now + 1);
-            if let Some(ask) = registration.next_request(now) {
-                tries += 1;
-                assert_eq!(registration.handle_outcome(now, ask, RegistrationOutcome::Failed), None);
-            }
-        }
-        assert!((4..=12).contains(&tries), "{tries}");
+    fn back_off(&mut self, now: Millis) {
+        self.consecutive_failures += 1;
+        let backoff = INITIAL_BACKOFF << self.consecutive_failures.min(MAX_DOUBLINGS);
+        self.next_due = now + (self.ttl / RETRIES_PER_TTL).min(backoff);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -1,7 +1,6 @@
 //! The file of the last endpoint list, as version 0.1.0 wrote it: later versions read it, and write the same bytes.
 
-use catalogue::{CachedList, CachedListError};
-use catalogue::{HealthStatus, Instance};
+use catalogue::{AgedList, CachedList, CachedListError, HealthStatus, Instance};
 use std::collections::BTreeMap;
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/loans.list");
@@ -31,7 +30,7 @@
 #[test]
 fn reads_the_file_of_version_0_1_0() {
     let read = CachedList::decode(FIXTURE, CONFIRMED_AT + 42_000, MAX_AGE_SECONDS);
-    assert_eq!(read, Ok((list(), 42)));
+    assert_eq!(read, Ok(AgedList { list: list(), age_seconds: 42 }));
 }
 
 #[test]
@@ -52,5 +51,8 @@
         );
     }
     let late = CONFIRMED_AT + 200_000;
-    assert_eq!(CachedList::decode(FIXTURE, late, MAX_AGE_SECONDS), Err(CachedListError::TooOld(200)));
+    assert_eq!(
+        CachedList::decode(FIXTURE, late, MAX_AGE_SECONDS),
+        Err(CachedListError::TooOld { age_seconds: 200 })
+    );
 }
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -1,123 +1,141 @@
-//! The last good list on disk, replaced whole or not at all.
+//! The cached endpoint list on disk, replaced as a whole or not at all.
 
-use crate::watch::held;
-use catalogue::CachedList;
-use catalogue::Instance;
+use crate::error::CacheFileError;
+use crate::sync::locked;
+use catalogue::{AgedList, CachedList, Instance, MAX_FILE_BYTES, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// An unchanged list is written anew after this, so that its age is known.
-const RENEW: Duration = Duration::from_secs(10);
-/// A changing one no more often than this.
-const SPACE: Duration = Duration::from_millis(500);
+/// An unchanged list is written again after this, so that its age is known.
+const RENEW_INTERVAL: Duration = Duration::from_secs(10);
+/// A changing one is written no more often than this.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
+
+type InstancesByService = BTreeMap<String, Vec<Instance>>;
 
 /// The file.
 #[derive(Debug)]
 pub struct CacheFile {
     path: PathBuf,
-    /// What it held at the start, with its age in seconds.
-    found: Option<(CachedList, u64)>,
+    /// What it held at the start.
+    found: Option<AgedList>,
     state: Mutex<State>,
 }
 
+/// What the file held of one service at the start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CachedInstances {
+    /// The instances that were eligible.
+    pub instances: Vec<Instance>,
+    /// The age of the file when it was read.
+    pub age_seconds: u64,
+}
+
 #[derive(Debug)]
 struct State {
-    services: BTreeMap<String, Vec<Instance>>,
-    /// Services that have been heard of since the start: the file is not written before all have.
+    services: InstancesByService,
+    /// Services without a response since the start: the file is not written before all have one.
     awaited: BTreeSet<String>,
-    written: Option<Instant>,
-    as_written: BTreeMap<String, Vec<Instance>>,
-    failing: bool,
+    written_at: Option<Instant>,
+    written: InstancesByService,
+    is_failing: bool,
 }
 
-fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+impl State {
+    fn is_due(&self) -> bool {
+        let Some(written_at) = self.written_at else { return true };
+        let elapsed = written_at.elapsed();
+        let has_changed = self.services != self.written;
+        elapsed >= RENEW_INTERVAL || (elapsed >= MIN_WRITE_INTERVAL && has_changed)
+    }
 }
 
 impl CacheFile {
-    /// Opens the file for these services. One that cannot be used is said so and not used.
-    pub fn open(path: PathBuf, most_age_s: u64, services: impl IntoIterator<Item = String>) -> Self {
-        let read = || -> Result<Option<(CachedList, u64)>, String> {
-            let mut bytes = Vec::new();
-            match File::open(&path) {
-                Ok(file) => file
-                    .take(catalogue::MAX_FILE_BYTES as u64)
-                    .read_to_end(&mut bytes)
-                    .map_err(|e| e.to_string())?,
-                Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-                Err(e) => return Err(e.to_string()),
-            };
-            CachedList::decode(&bytes, unix_ms(), most_age_s).map(Some).map_err(|e| e.to_string())
-        };
-        let found = read().unwrap_or_else(|why| {
-            tracing::warn!("consul: the list file {} is not used: {why}", path.display());
+    /// Opens the file for these services. One that cannot be used is logged and not used.
+    pub fn open(path: PathBuf, max_age_seconds: u64, services: impl IntoIterator<Item = String>) -> Self {
+        let found = read(&path, max_age_seconds).unwrap_or_else(|error| {
+            tracing::warn!("consul: the list file {} is not used: {error}", path.display());
             None
         });
         let state = State {
             services: BTreeMap::new(),
             awaited: services.into_iter().collect(),
-            written: None,
-            as_written: BTreeMap::new(),
-            failing: false,
+            written_at: None,
+            written: BTreeMap::new(),
+            is_failing: false,
         };
         Self { path, found, state: Mutex::new(state) }
     }
 
-    /// What it held of a service, with its age in seconds.
-    pub fn cached(&self, service: &str) -> Option<(Vec<Instance>, u64)> {
-        let (saved, age) = self.found.as_ref()?;
-        Some((saved.services.get(service)?.clone(), *age))
+    /// What the file held of a service at the start.
+    pub fn cached(&self, service: &str) -> Option<CachedInstances> {
+        let found = self.found.as_ref()?;
+        let instances = found.list.services.get(service)?.clone();
+        Some(CachedInstances { instances, age_seconds: found.age_seconds })
     }
 
-    /// Keeps what Consul has just confirmed of a service.
+    /// Stores what Consul has just confirmed of a service, and writes the file if that is due.
     pub fn store(&self, service: &str, instances: Vec<Instance>) {
-        let mut state = held(&self.state);
+        let mut state = locked(&self.state);
         state.services.insert(service.to_owned(), instances);
         state.awaited.remove(service);
-        let since = state.written.map(|at| at.elapsed());
-        let due = match since {
-            None => true,
-            Some(since) => since >= RENEW || (since >= SPACE && state.services != state.as_written),
-        };
-        if !due || !state.awaited.is_empty() {
+        if !state.is_due() || !state.awaited.is_empty() {
             return;
         }
-        let saved = CachedList { confirmed_at: unix_ms(), services: state.services.clone() };
-        match self.write(&saved.encode()) {
+        let list = CachedList { confirmed_at: unix_time(), services: state.services.clone() };
+        match replace(&self.path, &list.encode()) {
             Ok(()) => {
-                state.failing = false;
-                state.as_written = saved.services;
+                state.is_failing = false;
+                state.written = list.services;
             }
-            Err(e) if !state.failing => {
-                tracing::warn!("consul: the list file {} could not be written: {e}", self.path.display());
-                state.failing = true;
+            Err(error) if !state.is_failing => {
+                tracing::warn!("consul: the list file {} could not be written: {error}", self.path.display());
+                state.is_failing = true;
             }
             Err(_) => {}
         }
-        state.written = Some(Instant::now());
+        state.written_at = Some(Instant::now());
     }
+}
 
-    /// Beside the file first, then in its place: a crash at any point leaves the old file or the new one.
-    fn write(&self, text: &str) -> io::Result<()> {
-        let beside = self.path.with_extension(format!("{}.new", std::process::id()));
-        let done = (|| {
-            let mut file = File::create(&beside)?;
-            file.write_all(text.as_bytes())?;
-            file.sync_all()?;
-            fs::rename(&beside, &self.path)?;
-            // The name itself must survive a crash too.
-            match self.path.parent().filter(|p| !p.as_os_str().is_empty()) {
-                Some(folder) => File::open(folder)?.sync_all(),
-                None => Ok(()),
-            }
-        })();
-        if done.is_err() {
-            let _ = fs::remove_file(&beside);
-        }
-        done
+fn unix_time() -> Millis {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as Millis
+}
+
+fn read(path: &Path, max_age_seconds: u64) -> Result<Option<AgedList>, CacheFileError> {
+    let file = match File::open(path) {
+        Ok(file) => file,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error.into()),
+    };
+    let mut bytes = Vec::new();
+    file.take(MAX_FILE_BYTES as u64).read_to_end(&mut bytes)?;
+    Ok(Some(CachedList::decode(&bytes, unix_time(), max_age_seconds)?))
+}
+
+/// Writes a temporary file and renames it: a crash at any point leaves the old file or the new one.
+fn replace(path: &Path, text: &str) -> io::Result<()> {
+    let temporary = path.with_extension(format!("{}.new", std::process::id()));
+    let result = write_and_rename(&temporary, path, text);
+    if result.is_err() {
+        // It may not exist; there is nothing else to be done about it.
+        let _ = fs::remove_file(&temporary);
+    }
+    result
+}
+
+fn write_and_rename(temporary: &Path, path: &Path, text: &str) -> io::Result<()> {
+    let mut file = File::create(temporary)?;
+    file.write_all(text.as_bytes())?;
+    file.sync_all()?;
+    fs::rename(temporary, path)?;
+    // The directory entry must survive a crash too.
+    match path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
+        Some(folder) => File::open(folder)?.sync_all(),
+        None => Ok(()),
     }
 }
--- /dev/null
+++ b/crates/consul/src/error/tests.rs
@@ -0,0 +1,36 @@
+//! The text of each variant, as operators read it.
+
+use super::*;
+use std::error::Error;
+
+#[test]
+fn a_query_error_says_why_the_response_is_not_used() {
+    let response = ResponseError::TooManyInstances { count: 70_000 };
+    for (error, text, is_stale) in [
+        (QueryError::NoLeader, "the servers have no leader", true),
+        (QueryError::Stale { last_contact_ms: 900 }, "the server heard from its leader 900 ms ago", true),
+        (QueryError::Status(500), "status 500", false),
+        (QueryError::Transport(ureq::Error::HostNotFound), "host not found", false),
+        (QueryError::Response(response), "70000 instances, more than 65536", false),
+    ] {
+        assert_eq!((error.to_string().as_str(), error.is_stale()), (text, is_stale));
+    }
+}
+
+#[test]
+fn a_token_error_names_the_file_and_keeps_its_source() {
+    let path = PathBuf::from("/etc/consul.token");
+    let source = io::Error::new(io::ErrorKind::NotFound, "no such file");
+    let error = TokenError::Unreadable { path: path.clone(), source };
+    assert_eq!(error.to_string(), "/etc/consul.token: no such file");
+    assert!(error.source().is_some());
+    assert_eq!(TokenError::NoToken { path }.to_string(), "/etc/consul.token: it holds no token");
+}
+
+#[test]
+fn a_cache_file_error_says_why_the_file_is_not_used() {
+    let source = io::Error::new(io::ErrorKind::PermissionDenied, "permission denied");
+    assert_eq!(CacheFileError::from(source).to_string(), "permission denied");
+    let error = CacheFileError::from(CachedListError::Corrupt);
+    assert_eq!(error.to_string(), "it was cut short or altered");
+}
--- /dev/null
+++ b/crates/consul/src/health_client.rs
@@ -0,0 +1,118 @@
+//! Queries of the health API.
+
+use crate::error::QueryError;
+use crate::http_agent::{TOKEN_HEADER, http_agent};
+use crate::{ConsulConfig, TokenFile, WatchConfig};
+use catalogue::{HealthResponse, Query};
+use http::percent_encode;
+use std::fmt::Write;
+use std::time::Duration;
+use ureq::Body;
+use ureq::http::Response;
+
+/// The most bytes of a body, unpacked.
+const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
+/// Beyond the wait of a blocking query: the way there and back, and an agent under load.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Consul adds up to this part of the wait by chance, so that blocking queries do not end together.
+const WAIT_JITTER_DIVISOR: u32 = 16;
+
+/// A usable response and its index.
+pub(crate) struct IndexedResponse {
+    pub(crate) index: u64,
+    pub(crate) body: HealthResponse,
+}
+
+/// Queries the agents of one configuration.
+pub(crate) struct HealthClient {
+    config: ConsulConfig,
+    agent: ureq::Agent,
+    token: TokenFile,
+}
+
+impl HealthClient {
+    pub(crate) fn new(config: &ConsulConfig) -> Self {
+        let token = TokenFile::new(config.token_file.clone());
+        Self { config: config.clone(), agent: http_agent(), token }
+    }
+
+    /// Queries the health of a service; blocks while the query does.
+    pub(crate) fn health(&self, watch: &WatchConfig, query: &Query) -> Result<IndexedResponse, QueryError> {
+        let mut response = self.send(watch, query)?;
+        if response.status() != 200 {
+            return Err(QueryError::Status(response.status().as_u16()));
+        }
+        let index = number_in_header(&response, "x-consul-index");
+        self.check_staleness(&response, query)?;
+        let bytes = response.body_mut().with_config().limit(MAX_BODY_BYTES).read_to_vec()?;
+        let body = HealthResponse::parse(&bytes)?;
+        Ok(IndexedResponse { index, body })
+    }
+
+    fn send(&self, watch: &WatchConfig, query: &Query) -> Result<Response<Body>, QueryError> {
+        let address = self.config.agents[query.agent];
+        let url = format!("http://{address}{}", request_target(&self.config, watch, query));
+        let is_blocking = query.index > 0;
+        let wait = self.config.blocking_wait;
+        let wait = if is_blocking { wait + wait / WAIT_JITTER_DIVISOR } else { Duration::ZERO };
+        let mut request = self.agent.get(&url).config().timeout_global(Some(wait + QUERY_TIMEOUT)).build();
+        if let Some(token) = self.token.current() {
+            request = request.header(TOKEN_HEADER, token);
+        }
+        Ok(request.call()?)
+    }
+
+    fn check_staleness(&self, response: &Response<Body>, query: &Query) -> Result<(), QueryError> {
+        if header(response, "x-consul-knownleader").eq_ignore_ascii_case("false") {
+            return Err(QueryError::NoLeader);
+        }
+        let last_contact_ms = number_in_header(response, "x-consul-lastcontact");
+        if query.allow_stale && self.config.max_stale_ms.is_some_and(|max| last_contact_ms > max) {
+            return Err(QueryError::Stale { last_contact_ms });
+        }
+        Ok(())
+    }
+}
+
+fn header<'a>(response: &'a Response<Body>, name: &str) -> &'a str {
+    response.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
+}
+
+/// The number in a header; 0 where there is none.
+fn number_in_header(response: &Response<Body>, name: &str) -> u64 {
+    header(response, name).trim().parse().unwrap_or(0)
+}
+
+/// The path and the query string of a request.
+fn request_target(config: &ConsulConfig, watch: &WatchConfig, query: &Query) -> String {
+    let mut target = format!("/v1/health/service/{}", percent_encode(&watch.service));
+    let mut separator = '?';
+    let mut add = |name: &str, value: Option<&str>| {
+        // Writing to a string cannot fail.
+        let _ = write!(target, "{separator}{name}");
+        if let Some(value) = value.filter(|value| !value.is_empty()) {
+            let _ = write!(target, "={}", percent_encode(value));
+        }
+        separator = '&';
+    };
+    let options = [
+        ("dc", &config.datacenter),
+        ("ns", &config.namespace),
+        ("partition", &config.partition),
+        ("tag", &watch.tag),
+        ("filter", &watch.filter),
+    ];
+    for (name, value) in options {
+        if let Some(value) = value {
+            add(name, Some(value));
+        }
+    }
+    if query.allow_stale {
+        add("stale", None);
+    }
+    if query.index > 0 {
+        add("index", Some(&query.index.to_string()));
+        add("wait", Some(&format!("{}ms", config.blocking_wait.as_millis())));
+    }
+    target
+}
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -5,13 +5,20 @@
 //! are accepted.
 
 mod cache_file;
-mod health_query;
+mod config;
+mod error;
+mod health_client;
+mod http_agent;
+mod last_answers;
 mod registration;
+mod sync;
 mod token_file;
 mod watch;
 
-pub use cache_file::CacheFile;
-pub use health_query::ConsulConfig;
-pub use registration::{RegistrationHandle, register};
+pub use cache_file::{CacheFile, CachedInstances};
+pub use config::{ConsulConfig, WatchConfig};
+pub use error::{CacheFileError, QueryError, TokenError};
+pub use last_answers::LastAnswers;
+pub use registration::{RegistrationConfig, RegistrationHandle, register};
 pub use token_file::TokenFile;
-pub use watch::{HasAttempts, LastAnswers, NUMBERS_PER_SERVICE, OnListChange, ServiceWatch, WatchConfig};
+pub use watch::{EndpointStatus, HasAttempts, NUMBERS_PER_SERVICE, OnListChange, ServiceWatch, WatchStatus};
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -1,7 +1,7 @@
 //! The requests that Consul's agent receives, as version 0.1.0 sent them: later versions send the same bytes.
 
 use catalogue::StabilityConfig;
-use consul::{ConsulConfig, LastAnswers, ServiceWatch, WatchConfig};
+use consul::{ConsulConfig, LastAnswers, RegistrationConfig, ServiceWatch, WatchConfig};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     (address, std::thread::spawn(run))
 }
 
-fn source(agent: SocketAddr) -> ConsulConfig {
+fn config(agent: SocketAddr) -> ConsulConfig {
     ConsulConfig {
         agents: vec![agent],
         token_file: None,
@@ -59,19 +59,19 @@
     }
 }
 
-fn start_watch(source: ConsulConfig, watched: WatchConfig) {
-    let answered = Arc::new(LastAnswers::default());
-    let watch = ServiceWatch::new(source, watched, answered, None, Box::new(|_| {}), Box::new(|_| false));
+fn start_watch(consul: ConsulConfig, config: WatchConfig) {
+    let last_answers = Arc::new(LastAnswers::default());
+    let watch = ServiceWatch::new(consul, config, last_answers, None, Box::new(|_| {}), Box::new(|_| false));
     watch.start().expect("a thread");
 }
 
-fn watched(service: &str) -> WatchConfig {
+fn watch_config(service: &str) -> WatchConfig {
     WatchConfig {
         service: service.into(),
         tag: None,
         filter: None,
         stability: StabilityConfig::default(),
-        first_number: 0,
+        last_number: 0,
     }
 }
 
@@ -80,7 +80,7 @@
 #[test]
 fn watches_send_the_requests_of_version_0_1_0() {
     let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
-    start_watch(source(address), watched("loan-server"));
+    start_watch(config(address), watch_config("loan-server"));
     assert_eq!(received.join().expect("the requests"), WATCH);
 }
 
@@ -89,16 +89,16 @@
     let token_file = std::env::temp_dir().join(format!("snowfield-requests-{}", std::process::id()));
     std::fs::write(&token_file, "4f6a-token\n").expect("the token is written");
     let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
-    let source = ConsulConfig {
+    let consul = ConsulConfig {
         token_file: Some(token_file.clone()),
         datacenter: Some("dc1".into()),
         namespace: Some("team a".into()),
         partition: Some("p/1".into()),
         max_stale_ms: Some(500),
-        ..source(address)
+        ..config(address)
     };
     let filter = Some(r#"Service.Meta.zone == "z1""#.to_owned());
-    start_watch(source, WatchConfig { tag: Some("v2".into()), filter, ..watched("loan server/é") });
+    start_watch(consul, WatchConfig { tag: Some("v2".into()), filter, ..watch_config("loan server/é") });
     let received = received.join().expect("the requests");
     std::fs::remove_file(&token_file).expect("it was there");
     assert_eq!(received, WATCH_WITH_ALL_OPTIONS);
@@ -108,10 +108,13 @@
 fn registrations_send_the_requests_of_version_0_1_0() {
     const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (address, received) = agent(vec![DONE, DONE, DONE]);
-    let at = "10.1.2.3:8443".parse().expect("an address");
-    let ttl = Duration::from_millis(10_000);
-    let registered = consul::register(source(address), "gatekeeper".into(), "gate keeper-1".into(), at, ttl)
-        .expect("a thread");
+    let registration = RegistrationConfig {
+        name: "gatekeeper".into(),
+        id: "gate keeper-1".into(),
+        address: "10.1.2.3:8443".parse().expect("an address"),
+        ttl: Duration::from_millis(10_000),
+    };
+    let registered = consul::register(config(address), registration).expect("a thread");
     // Past the registration and the first heartbeat, and before the next.
     std::thread::sleep(Duration::from_millis(500));
     registered.deregister();
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -162,8 +162,11 @@
     };
     let answered = Arc::new(LastAnswers::default());
     let noted = answered.clone();
-    let on_served = Some(Box::new(move |backend: exchange::BackendId| noted.record(backend.0))
-        as Box<dyn Fn(exchange::BackendId) + Send + Sync>);
+    let on_served =
+        Some(
+            Box::new(move |backend: exchange::BackendId| noted.record(catalogue::EndpointNumber(backend.0)))
+                as Box<dyn Fn(exchange::BackendId) + Send + Sync>,
+        );
     let pools = BackendPools::new(HttpProtocol { on_served }, limits);
     pools.set_exchange(exchange.clone());
     let counter = file.quota.counter.map(|at| CounterClient::for_exchange(at, exchange.clone()));
@@ -210,9 +213,13 @@
     let (accepting, entrance) = (front.clone(), door.clone());
     spawn(move || accepting.accept_connections(&entrance));
     let registered = file.registration.as_ref().map(|r| {
-        let at = r.address.unwrap_or(file.listen);
-        let ttl = Duration::from_millis(r.ttl_ms);
-        consul::register(fleet::source(&file, folder), r.name.clone(), r.id.clone(), at, ttl)
+        let registration = consul::RegistrationConfig {
+            name: r.name.clone(),
+            id: r.id.clone(),
+            address: r.address.unwrap_or(file.listen),
+            ttl: Duration::from_millis(r.ttl_ms),
+        };
+        consul::register(fleet::source(&file, folder), registration)
     });
     let registered = registered.transpose().map_err(|e| format!("register: {e}"))?;
     Ok(Started { front, door, cluster, agreement, registered })
--- a/crates/snowfield/src/fleet.rs
+++ b/crates/snowfield/src/fleet.rs
@@ -135,7 +135,7 @@
             // Sizes are told against their mean, so that a service whose weights are all 100 is like one of all 1.
             let mean = working().map(|e| e.instance.weight).sum::<f64>() / working().count().max(1) as f64;
             for entry in &view.endpoints {
-                let (id, instance) = (entry.number, &entry.instance);
+                let (id, instance) = (entry.number.0, &entry.instance);
                 let takes_work = entry.eligible || weakened::breaks("drained");
                 let ready = takes_work && !known.out.contains(&self.name(service, &instance.id));
                 let stated = instance.started_at.map(|ms| (ms * 1000).min(now));
@@ -180,11 +180,13 @@
         );
         let by_probes = locked(&self.known).out.clone();
         for (service, watch) in self.watches.get().into_iter().flatten().enumerate() {
-            let (entries, origin) = watch.status();
+            let consul::WatchStatus { endpoints: entries, origin } = watch.status();
             let _ = writeln!(out, "destinations of {}  from {origin}", watch.service());
-            for (id, number, word, takes_work) in entries.iter().take(MOST_SHOWN) {
+            for consul::EndpointStatus { id, number, description: word, eligible: takes_work } in
+                entries.iter().take(MOST_SHOWN)
+            {
                 let attempts =
-                    status.backends.get(&BackendId(*number)).map_or(0, |backend| backend.in_flight);
+                    status.backends.get(&BackendId(number.0)).map_or(0, |backend| backend.in_flight);
                 let probed = by_probes.contains(&self.name(service, id));
                 let word = match (takes_work, probed) {
                     (true, true) => "out by its probes".to_owned(),
@@ -253,8 +255,8 @@
     let own = (consul.service.clone(), consul.tag.clone(), consul.filter.clone());
     let others = file.services.iter().map(|s| (s.name.clone(), s.tag.clone(), s.filter.clone()));
     let watches = std::iter::once(own).chain(others).enumerate().map(|(i, (service, tag, filter))| {
-        let first_number = i as u32 * NUMBERS_PER_SERVICE;
-        let watched = WatchConfig { service, tag, filter, stability: guards.clone(), first_number };
+        let last_number = i as u32 * NUMBERS_PER_SERVICE;
+        let watched = WatchConfig { service, tag, filter, stability: guards.clone(), last_number };
         let (told, busy) = (fleet.clone(), fleet.busy.clone());
         ServiceWatch::new(
             source.clone(),
@@ -262,7 +264,7 @@
             answered.clone(),
             list_file.clone(),
             Box::new(move |view| told.listed(i, view)),
-            Box::new(move |number| locked(&busy).contains(&number)),
+            Box::new(move |number| locked(&busy).contains(&number.0)),
         )
     });
     let watches: Vec<_> = watches.collect();
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -113,7 +113,7 @@
     let listen = listening(&program);
     program.logged("loan-server: 1 instances, 1 of them take work");
     first.fail(Fault::Closed);
-    program.logged(&format!("loan-server: asking agent {} now", second.address));
+    program.logged(&format!("loan-server: polling agent {} now", second.address));
     consul.set_service(12, "loan-server", vec![Service::new("l2", new)]);
     program.logged("loan-server: a/l2 takes work");
     while all_asked(&new_seen).is_empty() {
