--- a/crates/catalogue/src/health_response/tests.rs
+++ b/crates/catalogue/src/health_response/tests.rs
@@ -74,5 +74,5 @@
     for end in 0..body.len() {
         assert!(HealthResponse::parse(&body.as_bytes()[..end]).is_err(), "{end}");
     }
-    cuts::survives_garbage(body.as_bytes(), |pieces| drop(HealthResponse::parse(&pieces.concat())));
+    fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| drop(HealthResponse::parse(&pieces.concat())));
 }
--- a/crates/proofs/src/bin/proof-compatibility.rs
+++ b/crates/system_tests/src/bin/proof-compatibility.rs
@@ -9,16 +9,16 @@
 //!
 //! Ends with 1 where a rule is broken or a figure is out of bounds, and with 2 where it is called wrongly.
 
-use proofs::{Table, program};
-use rig::builds::Builds;
-use rig::history::{End, Record, What};
-use rig::play::{Played, play};
-use rig::schedule::{Fault, Form, Has, How, Kind, Schedule};
-use rig::site::PERIOD;
+use fault_injection::builds::Builds;
+use fault_injection::history::{Observation, Outcome, Record};
+use fault_injection::play::{Played, play};
+use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
+use fault_injection::site::PERIOD;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use system_tests::{Table, program};
 
 const USAGE: &str =
     "proof-compatibility OLD [NEW]: two builds of snowfield; NEW is the release build beside this program";
@@ -55,12 +55,12 @@
     new: PathBuf,
 }
 
-fn fault(at_ms: u64, for_ms: u64, kind: Kind) -> Fault {
-    Fault { at_ms, for_ms, kind }
+fn fault(at_ms: u64, for_ms: u64, kind: FaultKind) -> Fault {
+    Fault { start_ms: at_ms, duration_ms: for_ms, kind }
 }
 
 fn propose(at_ms: u64, who: &str, rate: f64) -> Fault {
-    fault(at_ms, 0, Kind::Propose { who: who.into(), rate })
+    fault(at_ms, 0, FaultKind::VersionProposed { target: who.into(), units_per_second: rate })
 }
 
 fn play_course(schedule: &Schedule, builds: Builds, table: &mut Table) -> Result<Played, String> {
@@ -81,19 +81,22 @@
 
 /// How often a line with this text was logged.
 fn logged(history: &[Record], wanted: &str) -> usize {
-    history.iter().filter(|r| matches!(&r.what, What::Line { text, .. } if text.contains(wanted))).count()
+    history
+        .iter()
+        .filter(|r| matches!(&r.observation, Observation::LogLine { text, .. } if text.contains(wanted)))
+        .count()
 }
 
 fn upgrades(pair: &Pair, table: &mut Table) -> Result<u64, String> {
-    let kind = || Kind::Upgrade { who: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
+    let kind = || FaultKind::Upgrade { target: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
     let schedule = Schedule {
         name: "upgrades".into(),
         seed: 1,
         form: Form::Platform,
-        programs: UPGRADED_PROGRAMS,
-        loans: 3,
+        gatekeepers: UPGRADED_PROGRAMS,
+        backends: 3,
         length_ms: UPGRADE_EVERY * (UPGRADES + 1),
-        has: Has::default(),
+        options: SiteOptions::default(),
         faults: (1..=UPGRADES).map(|n| fault(n * UPGRADE_EVERY, SIDE_BY_SIDE, kind())).collect(),
     };
     let builds = Builds::InTurn(pair.old.clone(), pair.new.clone());
@@ -101,9 +104,12 @@
     let ends = |end| played.ends.get(&end).copied().unwrap_or(0);
     let all: u64 = played.ends.values().sum();
     table.tell("upgrades: requests", all);
-    table.at_least("upgrades: requests served", ends(End::Served) as f64, 500.0);
-    table.tell("upgrades: requests rejected by quota", ends(End::Refused));
-    let lost = ends(End::Broken) + ends(End::Untaken) + ends(End::Foreign) + ends(End::Failed);
+    table.at_least("upgrades: requests served", ends(Outcome::Served) as f64, 500.0);
+    table.tell("upgrades: requests rejected by quota", ends(Outcome::Rejected));
+    let lost = ends(Outcome::Unanswered)
+        + ends(Outcome::NotAccepted)
+        + ends(Outcome::Foreign)
+        + ends(Outcome::Failed);
     table.at_most("upgrades: requests lost or failed", lost as f64, 0.0);
     let taken_over = logged(&played.history, GAVE_WAY) as f64;
     let wanted = (UPGRADES as usize * UPGRADED_PROGRAMS) as f64;
@@ -115,8 +121,8 @@
 
 /// The numbers of the versions that were proposed, in order; 0 where a proposal was not taken.
 fn proposed(history: &[Record]) -> Vec<u64> {
-    let number = |record: &Record| match &record.what {
-        What::Proposed { code, said, .. } => {
+    let number = |record: &Record| match &record.observation {
+        Observation::VersionProposed { exit_code: code, output: said, .. } => {
             let number = said.strip_prefix("version ").and_then(|text| text.split(' ').next()?.parse().ok());
             Some(if *code == 0 { number.unwrap_or(0) } else { 0 })
         }
@@ -128,14 +134,17 @@
 /// Requests that were served between the end of a restart and Consul's return.
 fn served_from_cached_list(history: &[Record], restart: usize) -> usize {
     let time = |wanted: &str, nth: usize| {
-        let ends = history
-            .iter()
-            .filter(|r| matches!(&r.what, What::Fault { kind, begins: false, .. } if kind == wanted));
-        ends.map(|r| r.at).nth(nth).unwrap_or(u64::MAX)
+        let ends = history.iter().filter(
+            |r| matches!(&r.observation, Observation::Fault { kind, begins: false, .. } if kind == wanted),
+        );
+        ends.map(|r| r.at_us).nth(nth).unwrap_or(u64::MAX)
     };
     let (from, to) = (time("killed", restart), time("consul silent", restart));
-    let served =
-        |r: &&Record| matches!(r.what, What::Ended { end: End::Served, .. }) && from < r.at && r.at < to;
+    let served = |r: &&Record| {
+        matches!(r.observation, Observation::RequestEnded { outcome: Outcome::Served, .. })
+            && from < r.at_us
+            && r.at_us < to
+    };
     history.iter().filter(served).count()
 }
 
@@ -143,18 +152,22 @@
     let mut faults =
         vec![propose(4_000, "m4", 16.0), propose(10_500, "m3", 12.0), propose(17_500, "m0", 18.0)];
     for at in RESTARTS {
-        faults.push(fault(at, 300, Kind::Killed { who: "*".into() }));
-        faults.push(fault(at - 100, CONSUL_AWAY, Kind::Consul { who: "*".into(), how: How::Silent }));
+        faults.push(fault(at, 300, FaultKind::Killed { target: "*".into() }));
+        faults.push(fault(
+            at - 100,
+            CONSUL_AWAY,
+            FaultKind::Consul { target: "*".into(), mode: FailureMode::Silent },
+        ));
     }
-    faults.sort_by_key(|f| f.at_ms);
+    faults.sort_by_key(|f| f.start_ms);
     let schedule = Schedule {
         name: "restarts".into(),
         seed: 1,
         form: Form::Appliance,
-        programs: RESTARTED_PROGRAMS,
-        loans: 3,
+        gatekeepers: RESTARTED_PROGRAMS,
+        backends: 3,
         length_ms: 20_000,
-        has: Has { voters: 3, ..Has::default() },
+        options: SiteOptions { replicas: 3, ..SiteOptions::default() },
         faults,
     };
     let builds = Builds::InTurn(pair.old.clone(), pair.new.clone());
@@ -181,7 +194,7 @@
 fn acted_on(history: &[Record]) -> BTreeMap<&str, u64> {
     let mut acts = BTreeMap::new();
     for record in history {
-        let What::Line { who, fields, .. } = &record.what else { continue };
+        let Observation::LogLine { process: who, fields, .. } = &record.observation else { continue };
         let number = |name: &str| fields.get(name).and_then(Value::as_u64);
         if let (Some(version), Some(0), Some(true)) =
             (number("version"), number("proposed"), fields.get("leased").and_then(Value::as_bool))
@@ -194,12 +207,14 @@
 
 /// Runs of periodic jobs: how many there were, how many of these ran a period again, and by whom.
 fn job_runs(history: &[Record]) -> (usize, usize, BTreeSet<&str>) {
-    let begun = history.first().map_or(0, |r| r.at) + JOBS_RUN_AFTER;
+    let begun = history.first().map_or(0, |r| r.at_us) + JOBS_RUN_AFTER;
     let (mut count, mut seen, mut by_whom) = (0, BTreeSet::new(), BTreeSet::new());
     for record in history {
-        let What::Ran { duty, round, by } = &record.what else { continue };
+        let Observation::JobRan { job: duty, run: round, instance: by } = &record.observation else {
+            continue;
+        };
         by_whom.insert(by.as_str());
-        if record.at >= begun {
+        if record.at_us >= begun {
             count += 1;
             seen.insert((duty.as_str(), *round));
         }
@@ -216,10 +231,15 @@
         name: "mixed".into(),
         seed: 1,
         form: Form::Appliance,
-        programs: MIXED_PROGRAMS,
-        loans: 3,
+        gatekeepers: MIXED_PROGRAMS,
+        backends: 3,
         length_ms: MIXED_LENGTH,
-        has: Has { voters: 3, duties: MIXED_JOBS, standbys: MIXED_PROGRAMS - 1, ..Has::default() },
+        options: SiteOptions {
+            replicas: 3,
+            jobs: MIXED_JOBS,
+            standbys: MIXED_PROGRAMS - 1,
+            ..SiteOptions::default()
+        },
         faults: vec![propose(5_000, "m4", 16.0), propose(8_000, "m5", 12.0)],
     };
     let builds = Builds::ByProgram(pair.old.clone(), pair.new.clone());
