--- a/crates/front_openapi/src/problem.rs
+++ b/crates/front_openapi/src/problem.rs
@@ -1,11 +1,18 @@
 //! Answers that this front gives itself, as problem details (RFC 9457).
 
-/// An answer that no destination gave.
+use exchange::FailureReason;
+use http::HttpError;
+use policy::Micros;
+
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// An answer that no backend gave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Problem {
     status: u16,
     title: &'static str,
     detail: String,
+    /// Header fields beside those of every problem, each with its line's end.
     fields: String,
 }
 
@@ -18,34 +25,64 @@
         Self::new(400, "Bad Request", detail)
     }
 
-    pub(crate) fn wrong_method(allowed: &str) -> Self {
+    /// `allowed`: the methods of the path, separated by commas.
+    pub(crate) fn method_not_allowed(allowed: &str) -> Self {
         let mut problem = Self::new(405, "Method Not Allowed", "the path has other methods");
         problem.fields = format!("Allow: {allowed}\r\n");
         problem
     }
 
-    /// Adds when to come back, in whole seconds and never too early; none where there is no advice.
-    pub(crate) fn retry_after(mut self, micros: u64) -> Self {
-        if micros > 0 {
-            self.fields = format!("Retry-After: {}\r\n", micros.div_ceil(1_000_000));
+    /// The answer to a request that was rejected or failed.
+    pub(crate) fn not_served(reason: FailureReason, retry_after: Micros) -> Self {
+        match reason {
+            FailureReason::NoCapacity => {
+                Self::new(429, "Too Many Requests", "the lender's quota or the destinations have no room")
+                    .with_retry_after(retry_after.max(1))
+            }
+            FailureReason::NoBackend => Self::new(503, "Service Unavailable", "no destination is available")
+                .with_retry_after(retry_after),
+            FailureReason::BackendFailed => Self::new(502, "Bad Gateway", "the destination failed"),
+            FailureReason::DeadlineExceeded => {
+                Self::new(504, "Gateway Timeout", "no destination answered in time")
+            }
+        }
+    }
+
+    /// Adds `Retry-After` in whole seconds, rounded up; 0 adds none.
+    fn with_retry_after(mut self, retry_after: Micros) -> Self {
+        if retry_after > 0 {
+            self.fields = format!("Retry-After: {}\r\n", retry_after.div_ceil(MICROS_PER_SECOND));
         }
         self
     }
 
-    /// The whole answer; to a HEAD request it has no body.
-    pub(crate) fn bytes(&self, close: bool, to_head: bool) -> Vec<u8> {
+    /// The bytes of the response; to a HEAD request it has no body.
+    pub(crate) fn encode(&self, close: bool, is_head: bool) -> Vec<u8> {
         let Self { status, title, detail, fields } = self;
+        let needs_escape = |character: char| character.is_control() || "\"\\".contains(character);
         let detail: String =
-            detail.chars().map(|c| if c.is_control() || "\"\\".contains(c) { ' ' } else { c }).collect();
+            detail.chars().map(|character| if needs_escape(character) { ' ' } else { character }).collect();
         let body = format!("{{\"title\":\"{title}\",\"status\":{status},\"detail\":\"{detail}\"}}\n");
         let length = body.len();
         let connection = if close { "Connection: close\r\n" } else { "" };
-        let body = if to_head { "" } else { &body };
-        format!(
+        let body = if is_head { "" } else { &body };
+        let response = format!(
             "HTTP/1.1 {status} {title}\r\n{fields}Content-Type: application/problem+json\r\n\
              Content-Length: {length}\r\n{connection}\r\n{body}"
-        )
-        .into_bytes()
+        );
+        response.into_bytes()
+    }
+}
+
+impl From<HttpError> for Problem {
+    fn from(error: HttpError) -> Self {
+        match error {
+            HttpError::Malformed(text) => Self::malformed(text),
+            HttpError::HeadTooLarge => {
+                Self::new(431, "Request Header Fields Too Large", "the head is too large")
+            }
+            HttpError::BodyTooLarge => Self::new(413, "Content Too Large", "the body is too large"),
+        }
     }
 }
 
--- a/crates/front_openapi/src/problem/tests.rs
+++ b/crates/front_openapi/src/problem/tests.rs
@@ -1,36 +1,34 @@
 //! The answers that the front gives itself, as version 0.1.0 wrote them: later versions write the same bytes.
 
 use super::*;
-use exchange::FailureReason;
-use http::HttpError;
 
 const PROBLEMS: &str = include_str!("../../tests/fixtures/problems.http");
 
 /// One of each answer: the connection stays open, closes, or the request was HEAD.
 fn all_problems() -> Vec<Problem> {
     vec![
-        Problem::refused(HttpError::Malformed("a header's name is malformed")),
-        Problem::refused(HttpError::HeadTooLarge),
-        Problem::refused(HttpError::BodyTooLarge),
+        Problem::from(HttpError::Malformed("a header's name is malformed")),
+        Problem::from(HttpError::HeadTooLarge),
+        Problem::from(HttpError::BodyTooLarge),
         Problem::malformed("a \"quoted\\\" text\twith\u{1} controls and é"),
-        Problem::wrong_method("GET, POST"),
+        Problem::method_not_allowed("GET, POST"),
         Problem::new(404, "Not Found", "no route has this path"),
         Problem::new(403, "Forbidden", "this lender is not known here"),
         Problem::new(408, "Request Timeout", "the request came too slowly"),
-        Problem::unserved(FailureReason::NoCapacity, 0),
-        Problem::unserved(FailureReason::NoCapacity, 1_500_000),
-        Problem::unserved(FailureReason::NoBackend, 0),
-        Problem::unserved(FailureReason::NoBackend, 2_000_000),
-        Problem::unserved(FailureReason::BackendFailed, 2_000_000),
-        Problem::unserved(FailureReason::DeadlineExceeded, 2_000_000),
+        Problem::not_served(FailureReason::NoCapacity, 0),
+        Problem::not_served(FailureReason::NoCapacity, 1_500_000),
+        Problem::not_served(FailureReason::NoBackend, 0),
+        Problem::not_served(FailureReason::NoBackend, 2_000_000),
+        Problem::not_served(FailureReason::BackendFailed, 2_000_000),
+        Problem::not_served(FailureReason::DeadlineExceeded, 2_000_000),
     ]
 }
 
 fn written() -> String {
     let mut text = String::new();
     for problem in all_problems() {
-        for (close, to_head) in [(false, false), (true, false), (false, true), (true, true)] {
-            text += &String::from_utf8(problem.bytes(close, to_head)).expect("text");
+        for (close, is_head) in [(false, false), (true, false), (false, true), (true, true)] {
+            text += &String::from_utf8(problem.encode(close, is_head)).expect("text");
             text += "\n----\n";
         }
     }
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -1,18 +1,20 @@
 //! What the console shows of the front.
 
-use crate::Front;
+use crate::{Front, Tenant};
 use exchange::FinalAnswer;
 use link::locked;
+use openapi::Route;
+use std::collections::BTreeMap;
 use std::fmt::Write;
 
 /// Final answers of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteCounts {
-    /// With a destination's answer.
+    /// Served by a backend.
     pub served: u64,
-    /// With the busy reply.
+    /// Rejected. The console calls them busy.
     pub rejected: u64,
-    /// Neither.
+    /// Failed.
     pub failed: u64,
 }
 
@@ -26,35 +28,49 @@
     }
 }
 
+/// Units by account, as the exchange counts them.
+type UnitsByAccount = BTreeMap<u32, f64>;
+
 impl Front {
-    /// Routes and lenders as text, one a line. `units` are those sent on, each client's try once.
+    /// Routes and tenants as text, one a line. The units are those forwarded, once for each request.
     pub fn report(&self) -> String {
-        let status = self.exchange.status();
-        let lenders = self.setup.tenants.len();
-        let units = |fits: &dyn Fn(usize) -> bool| -> f64 {
-            status
-                .accounts
-                .iter()
-                .filter(|(account, _)| fits(**account as usize))
-                .fold(0.0, |sum, (_, units)| sum + units)
-        };
-        let mut out = String::from("routes\n");
-        for (i, (route, tally)) in
-            self.setup.routes.routes().iter().zip(locked(&self.counts).iter()).enumerate()
-        {
-            let sent = units(&|account| account / lenders == i);
-            let _ = writeln!(
-                out,
-                "  {:7} {}  cost {}  served {}  busy {}  failed {}  units {sent}",
-                route.method, route.path, route.units, tally.served, tally.rejected, tally.failed
-            );
+        let units = self.exchange.status().accounts;
+        let mut report = String::from("routes\n");
+        for (number, route) in self.config.routes.routes().iter().enumerate() {
+            self.report_route(number, route, &units, &mut report);
         }
-        out.push_str("lenders\n");
-        for (i, lender) in self.setup.tenants.iter().enumerate() {
-            let sent = units(&|account| account % lenders == i);
-            let _ = writeln!(out, "  {}  plan {}  units {sent}", lender.name, lender.plan_name);
+        report.push_str("lenders\n");
+        for (number, tenant) in self.config.tenants.iter().enumerate() {
+            self.report_tenant(number, tenant, &units, &mut report);
         }
-        out
+        report
+    }
+
+    fn report_route(&self, number: usize, route: &Route, units: &UnitsByAccount, report: &mut String) {
+        let RouteCounts { served, rejected, failed } = locked(&self.counts)[number];
+        let forwarded = self.sum_units(units, |route, _| route == number);
+        let Route { method, path, units: cost, .. } = route;
+        // Writing to a string cannot fail.
+        let _ = writeln!(
+            report,
+            "  {method:7} {path}  cost {cost}  served {served}  busy {rejected}  failed {failed}  units {forwarded}"
+        );
+    }
+
+    fn report_tenant(&self, number: usize, tenant: &Tenant, units: &UnitsByAccount, report: &mut String) {
+        let forwarded = self.sum_units(units, |_, tenant| tenant == number);
+        let Tenant { name, plan_name, .. } = tenant;
+        let _ = writeln!(report, "  {name}  plan {plan_name}  units {forwarded}");
+    }
+
+    /// The units of the accounts whose route and tenant are included.
+    fn sum_units(&self, units: &UnitsByAccount, is_included: impl Fn(usize, usize) -> bool) -> f64 {
+        let included = units.iter().filter(|(account, _)| {
+            let (route, tenant) = self.config.route_and_tenant(**account);
+            is_included(route, tenant)
+        });
+        // Not `sum`, which is -0 for no account at all.
+        included.fold(0.0, |sum, (_, units)| sum + units)
     }
 }
 
