--- a/crates/openapi/src/node.rs
+++ b/crates/openapi/src/node.rs
@@ -1,4 +1,4 @@
-//! A description as a tree, from JSON or YAML. A key that comes twice is refused: one of the two would be lost.
+//! A description as a tree, from JSON or YAML. A key that occurs twice is rejected: one of the two would be lost.
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use std::fmt;
@@ -17,7 +17,7 @@
 impl Node {
     /// The value under a key of a map.
     pub(crate) fn get(&self, key: &str) -> Option<&Node> {
-        self.entries().iter().find(|(k, _)| k == key).map(|(_, v)| v)
+        self.entries().iter().find(|(name, _)| name == key).map(|(_, value)| value)
     }
 
     /// The entries of a map; none where it is no map.
@@ -30,12 +30,13 @@
         if let Self::List(items) = self { items } else { &[] }
     }
 
+    /// The text; `None` where it is no text.
     pub(crate) fn text(&self) -> Option<&str> {
         if let Self::Text(text) = self { Some(text) } else { None }
     }
 
-    /// The value that a JSON pointer leads to.
-    pub(crate) fn pointed(&self, pointer: &str) -> Option<&Node> {
+    /// The value at a JSON pointer (RFC 6901).
+    pub(crate) fn follow_pointer(&self, pointer: &str) -> Option<&Node> {
         pointer.split('/').skip(1).try_fold(self, |node, token| {
             let token = token.replace("~1", "/").replace("~0", "~");
             match node {
@@ -47,8 +48,8 @@
 }
 
 impl<'de> Deserialize<'de> for Node {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(NodeVisitor)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
@@ -85,25 +86,25 @@
         Ok(Node::Text(value.to_owned()))
     }
 
-    fn visit_seq<S: SeqAccess<'de>>(self, mut from: S) -> Result<Node, S::Error> {
+    fn visit_seq<S: SeqAccess<'de>>(self, mut sequence: S) -> Result<Node, S::Error> {
         let mut items = Vec::new();
-        while let Some(item) = from.next_element()? {
+        while let Some(item) = sequence.next_element()? {
             items.push(item);
         }
         Ok(Node::List(items))
     }
 
-    fn visit_map<M: MapAccess<'de>>(self, mut from: M) -> Result<Node, M::Error> {
+    fn visit_map<M: MapAccess<'de>>(self, mut map: M) -> Result<Node, M::Error> {
         let mut entries: Vec<(String, Node)> = Vec::new();
-        while let Some((key, value)) = from.next_entry::<Node, Node>()? {
-            // YAML has keys that are no text: the statuses of answers are often written as numbers.
+        while let Some((key, value)) = map.next_entry::<Node, Node>()? {
+            // YAML has keys that are no text: the status codes of responses are often written as numbers.
             let key = match key {
                 Node::Text(text) => text,
                 Node::Number(number) => number.to_string(),
                 Node::Bool(truth) => truth.to_string(),
                 _ => return Err(M::Error::custom("a key is neither text nor a number")),
             };
-            if entries.iter().any(|(k, _)| *k == key) {
+            if entries.iter().any(|(name, _)| *name == key) {
                 return Err(M::Error::custom(format!("the key {key:?} comes twice")));
             }
             entries.push((key, value));
--- /dev/null
+++ b/crates/openapi/src/reference.rs
@@ -0,0 +1,33 @@
+//! Local references of path items.
+
+use crate::error::DescriptionError;
+use crate::node::Node;
+
+/// The most references in a row.
+const MAX_REFERENCES: usize = 16;
+/// Keys that may stand beside a reference.
+const KEYS_BESIDE: [&str; 3] = ["$ref", "summary", "description"];
+
+/// Follows the references of a path item to its object.
+pub(crate) fn resolve_path_item<'a>(
+    root: &'a Node,
+    mut item: &'a Node,
+) -> Result<&'a Node, DescriptionError> {
+    for _ in 0..MAX_REFERENCES {
+        let Some(reference) = item.get("$ref") else {
+            let is_object = matches!(item, Node::Map(_));
+            return if is_object { Ok(item) } else { Err(DescriptionError::NotAPathItem) };
+        };
+        let target = reference.text().unwrap_or_default();
+        let Some(pointer) = target.strip_prefix('#').filter(|pointer| pointer.starts_with('/')) else {
+            return Err(DescriptionError::RemoteReference(target.to_owned()));
+        };
+        let is_other = |(key, _): &&(String, Node)| !KEYS_BESIDE.contains(&key.as_str());
+        if let Some((key, _)) = item.entries().iter().find(is_other) {
+            return Err(DescriptionError::KeyBesideReference(key.clone()));
+        }
+        let dangling = || DescriptionError::DanglingReference(target.to_owned());
+        item = root.follow_pointer(pointer).ok_or_else(dangling)?;
+    }
+    Err(DescriptionError::CircularReference)
+}
--- a/crates/openapi/src/template.rs
+++ b/crates/openapi/src/template.rs
@@ -1,19 +1,7 @@
-//! Path templates: what they match and how two of them overlap.
+//! Path templates: what they match, and how two of them overlap.
 
+use crate::error::{PathError, TemplateError};
 use std::cmp::Ordering;
-use std::fmt;
-
-/// A path that back ends may read in different ways, so that a cheap route could stand in for a dear one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PathError(pub &'static str);
-
-impl fmt::Display for PathError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.0)
-    }
-}
-
-impl std::error::Error for PathError {}
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Segment {
@@ -23,78 +11,65 @@
     Parameter,
 }
 
-/// A path whose segments are literal or parameters.
+/// A path whose segments are literals or parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Template(Vec<Segment>);
 
-/// How the requests of two templates relate.
+/// How the requests that two templates match relate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Overlap {
-    /// None in common.
-    Apart,
-    /// All in common: the same but for the parameters' names.
+    /// No request matches both.
+    Disjoint,
+    /// The same requests match both: they differ in the names of parameters alone.
     Same,
-    /// One is more concrete throughout.
+    /// One is more concrete in some segment, and no less in any other.
     Nested,
-    /// Some in common, and neither is more concrete throughout.
+    /// Some requests match both, and neither is more concrete in all segments.
     Ambiguous,
 }
 
 impl Template {
-    pub(crate) fn parse(path: &str) -> Result<Self, String> {
-        if !path.starts_with('/') {
-            return Err("a path must begin with a slash".into());
-        }
-        let segment = |text: &str| {
-            let named = text.strip_prefix('{').and_then(|t| t.strip_suffix('}'));
-            match named {
-                Some(name) if !name.is_empty() && !name.contains(['{', '}']) => Ok(Segment::Parameter),
-                _ if text.contains(['{', '}']) => {
-                    Err(format!("the segment {text:?} mixes text and parameters, which is not served"))
-                }
-                _ if text.contains(['?', '#']) => {
-                    Err(format!("the segment {text:?} holds a query or a fragment"))
-                }
-                _ => decoded(text).map(Segment::Literal).map_err(|e| format!("the segment {text:?}: {e}")),
-            }
-        };
-        path[1..].split('/').map(segment).collect::<Result<_, _>>().map(Self)
+    pub(crate) fn parse(path: &str) -> Result<Self, TemplateError> {
+        let segments = path.strip_prefix('/').ok_or(TemplateError::NoLeadingSlash)?;
+        segments.split('/').map(Segment::parse).collect::<Result<_, _>>().map(Self)
     }
 
+    /// Whether the decoded segments of a request's path match.
     pub(crate) fn matches(&self, segments: &[Vec<u8>]) -> bool {
-        let fits = |(own, given): (&Segment, &Vec<u8>)| match own {
-            Segment::Literal(text) => text == given,
-            Segment::Parameter => !given.is_empty(),
-        };
-        self.0.len() == segments.len() && self.0.iter().zip(segments).all(fits)
+        let is_same_length = self.0.len() == segments.len();
+        is_same_length && self.0.iter().zip(segments).all(|(segment, bytes)| segment.matches(bytes))
     }
 
     /// Of two that match one request and are not ambiguous, the greater is the more concrete.
-    pub(crate) fn concreteness(&self, other: &Self) -> Ordering {
-        let literals = |t: &Self| t.0.iter().filter(|s| matches!(s, Segment::Literal(_))).count();
-        literals(self).cmp(&literals(other))
+    pub(crate) fn compare_concreteness(&self, other: &Self) -> Ordering {
+        self.literals().cmp(&other.literals())
+    }
+
+    fn literals(&self) -> usize {
+        self.0.iter().filter(|segment| matches!(segment, Segment::Literal(_))).count()
     }
 
     pub(crate) fn overlap(&self, other: &Self) -> Overlap {
         if self.0.len() != other.0.len() {
-            return Overlap::Apart;
+            return Overlap::Disjoint;
         }
-        let (mut mine, mut theirs) = (false, false);
+        let (mut more_concrete, mut less_concrete) = (false, false);
         for pair in self.0.iter().zip(&other.0) {
             match pair {
-                (Segment::Literal(a), Segment::Literal(b)) if a != b => return Overlap::Apart,
-                // A parameter takes no empty segment.
-                (Segment::Literal(a), Segment::Parameter) | (Segment::Parameter, Segment::Literal(a))
-                    if a.is_empty() =>
+                (Segment::Literal(a), Segment::Literal(b)) if a != b => return Overlap::Disjoint,
+                // A parameter matches no empty segment.
+                (Segment::Literal(text), Segment::Parameter)
+                | (Segment::Parameter, Segment::Literal(text))
+                    if text.is_empty() =>
                 {
-                    return Overlap::Apart;
+                    return Overlap::Disjoint;
                 }
-                (Segment::Literal(_), Segment::Parameter) => mine = true,
-                (Segment::Parameter, Segment::Literal(_)) => theirs = true,
+                (Segment::Literal(_), Segment::Parameter) => more_concrete = true,
+                (Segment::Parameter, Segment::Literal(_)) => less_concrete = true,
                 _ => {}
             }
         }
-        match (mine, theirs) {
+        match (more_concrete, less_concrete) {
             (false, false) => Overlap::Same,
             (true, true) => Overlap::Ambiguous,
             _ => Overlap::Nested,
@@ -102,31 +77,56 @@
     }
 }
 
+impl Segment {
+    fn parse(text: &str) -> Result<Self, TemplateError> {
+        const BRACES: [char; 2] = ['{', '}'];
+        let parameter = text.strip_prefix('{').and_then(|rest| rest.strip_suffix('}'));
+        if parameter.is_some_and(|name| !name.is_empty() && !name.contains(BRACES)) {
+            return Ok(Self::Parameter);
+        }
+        if text.contains(BRACES) {
+            return Err(TemplateError::MixedSegment(text.to_owned()));
+        }
+        if text.contains(['?', '#']) {
+            return Err(TemplateError::QueryOrFragment(text.to_owned()));
+        }
+        let invalid = |source| TemplateError::Segment { segment: text.to_owned(), source };
+        decode_segment(text).map(Self::Literal).map_err(invalid)
+    }
+
+    fn matches(&self, bytes: &[u8]) -> bool {
+        match self {
+            Self::Literal(text) => text == bytes,
+            Self::Parameter => !bytes.is_empty(),
+        }
+    }
+}
+
 /// The segments of a request's path, percent-decoded, so that no spelling of a path escapes its route.
-pub(crate) fn segments(path: &str) -> Result<Vec<Vec<u8>>, PathError> {
-    let rest = path.strip_prefix('/').ok_or(PathError("the path does not begin with a slash"))?;
-    rest.split('/').map(decoded).collect()
+pub(crate) fn decode_path(path: &str) -> Result<Vec<Vec<u8>>, PathError> {
+    let segments = path.strip_prefix('/').ok_or(PathError::NoLeadingSlash)?;
+    segments.split('/').map(decode_segment).collect()
 }
 
-fn decoded(segment: &str) -> Result<Vec<u8>, PathError> {
-    let mut out = Vec::with_capacity(segment.len());
+fn decode_segment(segment: &str) -> Result<Vec<u8>, PathError> {
+    let mut decoded = Vec::with_capacity(segment.len());
     let mut bytes = segment.bytes();
     while let Some(byte) = bytes.next() {
         if byte != b'%' {
-            out.push(byte);
+            decoded.push(byte);
             continue;
         }
-        let digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
+        let digit = |byte: Option<u8>| byte.and_then(|byte| char::from(byte).to_digit(16));
         match (digit(bytes.next()), digit(bytes.next())) {
-            (Some(high), Some(low)) => out.push((high * 16 + low) as u8),
-            _ => return Err(PathError("a percent sign without two hexadecimal digits")),
+            (Some(high), Some(low)) => decoded.push((high * 16 + low) as u8),
+            _ => return Err(PathError::InvalidPercentEncoding),
         }
     }
-    if out == b"." || out == b".." {
-        return Err(PathError("a dot segment"));
+    if decoded == b"." || decoded == b".." {
+        return Err(PathError::DotSegment);
     }
-    if out.iter().any(|b| matches!(b, b'/' | b'\\' | 0)) {
-        return Err(PathError("a slash, backslash or zero byte inside a segment"));
+    if decoded.iter().any(|byte| matches!(byte, b'/' | b'\\' | 0)) {
+        return Err(PathError::SeparatorInSegment);
     }
-    Ok(out)
+    Ok(decoded)
 }
--- a/crates/openapi/tests/load.rs
+++ b/crates/openapi/tests/load.rs
@@ -1,4 +1,6 @@
-//! What a table is made of, and what is refused.
+//! What a table of routes holds, and which descriptions are rejected.
+
+#![allow(clippy::unwrap_used)]
 
 use fuzz_inputs::survives_garbage;
 use openapi::{Description, RouteMatch, RouteTable};
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn yaml_says_the_same_as_json() {
+fn yaml_gives_the_same_routes_as_json() {
     let json = r##"{"openapi":"3.0.3","servers":[{"url":"/v1"}],"paths":{"/a/{x}":{"get":{"operationId":"get",
         "x-snowfield-units":1.5,"x-snowfield-class":"c","responses":{"200":{"description":"ok"}}}}}}"##;
     let yaml = "openapi: 3.0.3\nservers:\n  - url: /v1\npaths:\n  /a/{x}:\n    get:\n      operationId: get\n      \
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn base_paths_of_servers_count() {
+fn base_paths_come_from_the_nearest_servers() {
     for (servers, wanted) in [
         (r#"[{"url":"https://h.example/v1/"}]"#, vec!["GET /v1/a"]),
         (r#"[{"url":"https://h.example"},{"url":"https://other.example/"}]"#, vec!["GET /a"]),
@@ -65,7 +67,7 @@
 }
 
 #[test]
-fn local_references_are_followed() {
+fn follows_local_references() {
     let head = format!(r##"{DEFAULT}"components":{{"pathItems":{{"it~em":{{"get":{{}}}}}}}},"##);
     let table = load(&[&with(&head, r##""/a":{"$ref":"#/components/pathItems/it~0em"}"##)]).unwrap();
     assert_eq!(routes(&table)[0].0, "GET /a");
@@ -97,25 +99,32 @@
     let one = with(DEFAULT, r#""/a/{x}":{"get":{}}"#);
     let table = load(&[&one, &with(DEFAULT, r#""/a/{other}":{"post":{}}"#)]).unwrap();
     assert_eq!(table.find("PUT", "/a/7"), Ok(RouteMatch::MethodNotAllowed("GET, POST".into())));
-    let told = load(&[&one, &with(DEFAULT, r#""/a/{other}":{"get":{}}"#)]).unwrap_err();
-    assert!(["one", "two", "/a/{x}", "/a/{other}"].iter().all(|part| told.contains(part)), "{told}");
+    let error_text = load(&[&one, &with(DEFAULT, r#""/a/{other}":{"get":{}}"#)]).unwrap_err();
+    assert!(
+        ["one", "two", "/a/{x}", "/a/{other}"].iter().all(|part| error_text.contains(part)),
+        "{error_text}"
+    );
     // The base path makes them the same.
     let based = with(&format!(r#"{DEFAULT}"servers":[{{"url":"/a"}}],"#), r#""/{x}":{"get":{}}"#);
-    let told = load(&[&one, &based]).unwrap_err();
-    assert!(told.contains("one") && told.contains("two"), "{told}");
+    let error_text = load(&[&one, &based]).unwrap_err();
+    assert!(error_text.contains("one") && error_text.contains("two"), "{error_text}");
 }
 
 #[test]
-fn ambiguous_templates_are_refused_with_both_names() {
-    let told = load(&[&with(DEFAULT, r#""/a/{x}":{"get":{}}"#), &with(DEFAULT, r#""/{y}/b":{"post":{}}"#)])
-        .unwrap_err();
-    assert!(["one", "two", "/a/{x}", "/{y}/b", "ambiguous"].iter().all(|part| told.contains(part)), "{told}");
+fn rejects_ambiguous_templates_with_both_names() {
+    let error_text =
+        load(&[&with(DEFAULT, r#""/a/{x}":{"get":{}}"#), &with(DEFAULT, r#""/{y}/b":{"post":{}}"#)])
+            .unwrap_err();
+    assert!(
+        ["one", "two", "/a/{x}", "/{y}/b", "ambiguous"].iter().all(|part| error_text.contains(part)),
+        "{error_text}"
+    );
 }
 
 #[test]
-fn what_cannot_be_honoured_is_refused_with_its_place() {
+fn rejects_what_cannot_be_served_with_its_place() {
     let op = r#""/a":{"get":{}}"#;
-    for (text, told) in [
+    for (text, error_text) in [
         (with("", r#""/a":{"get":{"operationId":"balance"}}"#), "\"balance\" (GET /a) states no units"),
         (with(r#""x-snowfield-default":{"class":"c"},"#, op), "GET /a states no units"),
         (with(r#""x-snowfield-default":{"units":1},"#, op), "GET /a states no class"),
@@ -142,13 +151,13 @@
         ("{".into(), "unreadable JSON"),
         ("a: [".into(), "unreadable YAML"),
     ] {
-        let error = load(&[&text]).expect_err(told);
-        assert!(error.starts_with("one: ") && error.contains(told), "{told}: {error}");
+        let error = load(&[&text]).expect_err(error_text);
+        assert!(error.starts_with("one: ") && error.contains(error_text), "{error_text}: {error}");
     }
 }
 
 #[test]
-fn garbage_is_refused_without_a_panic() {
+fn rejects_garbage_without_a_panic() {
     let valid = with(DEFAULT, r#""/a/{x}":{"get":{"x-snowfield-units":3}},"/a/b":{"get":{}}"#);
     survives_garbage(valid.as_bytes(), |pieces| {
         let bytes = pieces.concat();
