--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -7,6 +7,7 @@
 use crate::error::Error;
 use crate::plan_replication::{self, PolicyInputs};
 use crate::{consul_watches, timer_thread};
+use catalogue::EndpointNumber;
 use cluster::Cluster;
 use config_node::Node;
 use consul::{LastAnswers, RegistrationHandle};
@@ -94,7 +95,7 @@
         let exchange: Arc<HttpExchange> = Exchange::new(settings, clock.now(), clock)?;
         let answered = Arc::new(LastAnswers::default());
         let noted = answered.clone();
-        let on_served = Box::new(move |backend: BackendId| noted.record(backend.0));
+        let on_served = Box::new(move |backend: BackendId| noted.record(EndpointNumber(backend.0)));
         let pools = BackendPools::new(HttpProtocol { on_served: Some(on_served) }, pool_limits(config));
         pools.set_exchange(exchange.clone());
         let counter =
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -52,7 +52,7 @@
             answered.clone(),
             cache.clone(),
             Box::new(move |view| announced_to.set_view(service, view)),
-            Box::new(move |number| locked(&busy).contains(&number)),
+            Box::new(move |number| locked(&busy).contains(&number.0)),
         )
     });
     backends.set_watches(watches.collect());
@@ -70,7 +70,7 @@
             tag: tag.clone(),
             filter: filter.clone(),
             stability: stability(consul),
-            first_number: number as u32 * NUMBERS_PER_SERVICE,
+            last_number: number as u32 * NUMBERS_PER_SERVICE,
         });
     watched.collect()
 }
@@ -100,8 +100,11 @@
     path: &Path,
 ) -> Result<RegistrationHandle, Error> {
     let RegistrationConfig { name, id, address, ttl_ms } = registration;
-    let address = address.unwrap_or(config.listen);
-    let ttl = Duration::from_millis(*ttl_ms);
-    consul::register(source(&config.consul, path), name.clone(), id.clone(), address, ttl)
-        .map_err(Error::Registration)
+    let registration = consul::RegistrationConfig {
+        name: name.clone(),
+        id: id.clone(),
+        address: address.unwrap_or(config.listen),
+        ttl: Duration::from_millis(*ttl_ms),
+    };
+    consul::register(source(&config.consul, path), registration).map_err(Error::Registration)
 }
--- a/crates/snowfield/src/error/tests.rs
+++ b/crates/snowfield/src/error/tests.rs
@@ -95,7 +95,7 @@
             "m0.log: there is a log already; it is left as it is",
         ),
         (
-            Error::ConsulToken("token: it holds no token".into()),
+            Error::ConsulToken(consul::TokenError::NoToken { path: "token".into() }),
             "consul: token_file: token: it holds no token",
         ),
         (Error::ConsulWatch(refused()), "consul: connection refused"),
