--- a/crates/stand_in_consul/tests/http.rs
+++ b/crates/stand_in_consul/tests/http.rs
@@ -2,7 +2,7 @@
 
 use stand_in_consul::{Consul, Service, Status};
 use std::fmt::Write as _;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
 /// Requests: method, target, body. `SESSION` stands for the id of the session that was created last.
