--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -38,18 +38,18 @@
 }
 
 impl Front {
-    /// Takes a command in its turn; returns whether it is valid. `raw` is the command alone, and its words lie in it.
+    /// Takes a command in its turn; returns whether it is valid. `raw` is the command alone, and its arguments lie in it.
     pub(crate) fn take_command(
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
         raw: &[u8],
-        words: &[Range<usize>],
+        arguments: &[Range<usize>],
     ) -> bool {
         let (number, is_crowded) = {
             let mut queue = locked(&client.queue);
             (queue.push(), queue.waiting >= MAX_WAITING || self.memory.complete.is_exceeded())
         };
-        let command = self.interpret(raw, words);
+        let command = self.interpret(raw, arguments);
         {
             let mut queue = locked(&client.queue);
             queue.had_valid_command |= !matches!(command, Command::Error(_));
@@ -70,8 +70,8 @@
         true
     }
 
-    fn interpret(self: &Arc<Self>, raw: &[u8], words: &[Range<usize>]) -> Command {
-        let name = words.first().map_or(&[][..], |word| &raw[word.clone()]);
+    fn interpret(self: &Arc<Self>, raw: &[u8], arguments: &[Range<usize>]) -> Command {
+        let name = arguments.first().map_or(&[][..], |argument| &raw[argument.clone()]);
         if name.eq_ignore_ascii_case(b"PING") {
             let is_ready = self.is_ready.load(Ordering::Acquire);
             return Command::Answer(if is_ready { b"+PONG\r\n" } else { b"-ERR not ready\r\n" });
@@ -80,7 +80,7 @@
             return Command::Answer(b"+OK\r\n");
         }
         let rules = locked(&self.rules).clone();
-        let valid = match rules.validate(raw, words) {
+        let valid = match rules.validate(raw, arguments) {
             Ok(valid) => valid,
             Err(error) => return Command::Error(error.to_string()),
         };
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -103,9 +103,10 @@
         while !self.is_handing_over() {
             let start = taken.bytes;
             let Some(command) = resp::command(buffer, start)? else { break };
-            let words = command.words.iter().map(|word| word.start - start..word.end - start);
-            let words: Vec<Range<usize>> = words.collect();
-            taken.has_errors |= !self.take_command(client, &buffer[start..command.end], &words);
+            let arguments =
+                command.arguments.iter().map(|argument| argument.start - start..argument.end - start);
+            let arguments: Vec<Range<usize>> = arguments.collect();
+            taken.has_errors |= !self.take_command(client, &buffer[start..command.end], &arguments);
             taken.bytes = command.end;
             taken.commands += 1;
         }
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -20,7 +20,7 @@
 /// A client may wait for at most so many times the deadline of its class.
 const MAX_DEADLINES: u64 = 4;
 /// Words of a command without a body.
-const WORDS: usize = 4;
+const ARGUMENTS: usize = 4;
 
 /// A class as clients name it.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     /// The command is none of the protocol's.
     #[error("unknown command")]
     UnknownCommand,
-    /// It has too few or too many words.
+    /// It has too few or too many arguments. The text is part of the wire.
     #[error("wrong number of words")]
     WordCount,
     /// The tenant is not a number in the protocol's range.
@@ -119,29 +119,29 @@
 }
 
 impl RequestRules {
-    /// The request of a command; `raw` is the command alone, and its words lie in it.
+    /// The request of a command; `raw` is the command alone, and its arguments lie in it.
     pub(crate) fn validate(
         &self,
         raw: &[u8],
-        words: &[Range<usize>],
+        arguments: &[Range<usize>],
     ) -> Result<ValidRequest, InvalidRequest> {
-        let word = |index: usize| words.get(index).map_or(&[][..], |word| &raw[word.clone()]);
-        let is_query = match word(0) {
+        let argument = |index: usize| arguments.get(index).map_or(&[][..], |argument| &raw[argument.clone()]);
+        let is_query = match argument(0) {
             b"SVC.QUERY" => true,
             b"SVC.SUBMIT" => false,
             _ => return Err(InvalidRequest::UnknownCommand),
         };
         // Only what is submitted has a body.
-        let max_words = if is_query { WORDS } else { WORDS + 1 };
-        if words.len() < WORDS || words.len() > max_words {
+        let max_arguments = if is_query { ARGUMENTS } else { ARGUMENTS + 1 };
+        if arguments.len() < ARGUMENTS || arguments.len() > max_arguments {
             return Err(InvalidRequest::WordCount);
         }
-        let tenant = tenant(word(1)).ok_or(InvalidRequest::Tenant)?;
-        let id = word(2);
+        let tenant = tenant(argument(1)).ok_or(InvalidRequest::Tenant)?;
+        let id = argument(2);
         if id.is_empty() || id.len() > MAX_ID || !id.iter().all(u8::is_ascii_graphic) {
             return Err(InvalidRequest::Id);
         }
-        let list = words[3].clone();
+        let list = arguments[3].clone();
         let values = Values::parse(raw, list.clone()).ok_or(InvalidRequest::Values)?;
         let class = self.class(&values, is_query)?;
         let plan = self.plans.iter().find(|plan| Some(plan.name.as_str()) == values.plan);
--- a/crates/front_resp/src/rules/tests.rs
+++ b/crates/front_resp/src/rules/tests.rs
@@ -4,7 +4,7 @@
 
 const GOOD: &str = "c=lookup,t=team,d=480,units=2,spread=3,first=1";
 
-fn request(words: &[&str]) -> Result<Request<Query>, InvalidRequest> {
+fn request(arguments: &[&str]) -> Result<Request<Query>, InvalidRequest> {
     let class = |name: &str, number, is_idempotent| {
         let (name, deadline_ms) = (name.into(), 2500);
         ClassRule { name, number, is_idempotent, deadline_ms }
@@ -16,9 +16,9 @@
         max_units: Some(8.0),
     };
     let mut raw = Vec::new();
-    resp::put_command(&mut raw, &words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>());
+    resp::put_command(&mut raw, &arguments.iter().map(|w| w.as_bytes()).collect::<Vec<_>>());
     let command = resp::command(&raw, 0).expect("a command").expect("a whole one");
-    rules.validate(&raw, &command.words).map(|valid| valid.request)
+    rules.validate(&raw, &command.arguments).map(|valid| valid.request)
 }
 
 #[test]
@@ -34,7 +34,7 @@
 #[test]
 fn what_is_out_of_range_or_missing_is_invalid() {
     let tenant = "00000000b4d65521";
-    for words in [
+    for arguments in [
         &["SVC.QUERY", tenant, "1"][..],
         &["SVC.QUERY", tenant, "1", GOOD, "body"],
         &["SVC.SUBMIT", tenant, "1", GOOD],
@@ -44,7 +44,7 @@
         &["SVC.QUERY", "b4d65521", "1", GOOD],
         &["SVC.QUERY", "+0000000b4d65521", "1", GOOD],
     ] {
-        assert!(request(words).is_err(), "{words:?}");
+        assert!(request(arguments).is_err(), "{arguments:?}");
     }
     for (good, bad) in [
         ("c=lookup", &["c=lookups", "c=notice", "c=", "c=lookup,c=lookup"][..]),
@@ -66,7 +66,7 @@
 fn each_error_names_what_is_invalid() {
     let tenant = "00000000b4d65521";
     let list = |good: &str, bad: &str| GOOD.replace(good, bad);
-    for (words, text) in [
+    for (arguments, text) in [
         (["GET", tenant, "1", GOOD], "unknown command"),
         (["SVC.QUERY", "x", "1", GOOD], "no such customer"),
         (["SVC.QUERY", tenant, "", GOOD], "no usable id"),
@@ -79,7 +79,7 @@
         (["SVC.QUERY", tenant, "1", &list("spread=3", "spread=5")], "spread is out of range"),
         (["SVC.QUERY", tenant, "1", &list("first=1", "first=4")], "first is out of range"),
     ] {
-        assert_eq!(request(&words).expect_err(text).to_string(), text);
+        assert_eq!(request(&arguments).expect_err(text).to_string(), text);
     }
     assert_eq!(
         request(&["SVC.QUERY", tenant, "1"]).expect_err("too few").to_string(),
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -156,11 +156,11 @@
     Ok(Some(at))
 }
 
-/// A command: its words as they lie in the buffer, and where the next command begins.
+/// A command: its arguments as they lie in the buffer, and where the next command begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The words, without their frames.
-    pub words: Vec<Range<usize>>,
+    /// The arguments, without their frames.
+    pub arguments: Vec<Range<usize>>,
     /// Where the command ends.
     pub end: usize,
 }
@@ -175,21 +175,21 @@
     let Element::Array(count @ 1..) = first else {
         return Err(Malformed("a command is an array of bulk strings"));
     };
-    let mut words = Vec::with_capacity(count);
+    let mut arguments = Vec::with_capacity(count);
     for _ in 0..count {
         if at - from > LARGEST_MESSAGE {
             return Err(Malformed("a command is too large"));
         }
         match element(buffer, at)? {
             Some((Element::Bulk(word), next)) => {
-                words.push(word);
+                arguments.push(word);
                 at = next;
             }
             Some(_) => return Err(Malformed("a command is an array of bulk strings")),
             None => return Ok(None),
         }
     }
-    Ok(Some(Command { words, end: at }))
+    Ok(Some(Command { arguments, end: at }))
 }
 
 /// Appends a bulk string.
@@ -199,10 +199,10 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a command of these words.
-pub fn put_command(out: &mut Vec<u8>, words: &[&[u8]]) {
-    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
+/// Appends a command of these arguments.
+pub fn put_command(out: &mut Vec<u8>, arguments: &[&[u8]]) {
+    out.extend_from_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    for word in arguments {
         put_bulk(out, word);
     }
 }
--- a/crates/resp/tests/cuts.rs
+++ b/crates/resp/tests/cuts.rs
@@ -9,7 +9,7 @@
 const ANSWERS: &[u8] =
     b"*3\r\n$5\r\nva\r\nl\r\n*2\r\n:5\r\n+ok\r\n$-1\r\n-BUSY inflight=7\r\n*-1\r\n$0\r\n\r\n";
 
-/// All commands, each as its words, and the error at the end if there is one.
+/// All commands, each as its arguments, and the error at the end if there is one.
 fn commands(pieces: &[&[u8]]) -> (Vec<Vec<Vec<u8>>>, Option<Malformed>) {
     let (mut buffer, mut at, mut all) = (Vec::new(), 0, Vec::new());
     for piece in pieces {
@@ -17,7 +17,7 @@
         loop {
             match resp::command(&buffer, at) {
                 Ok(Some(command)) => {
-                    all.push(command.words.iter().map(|w| buffer[w.clone()].to_vec()).collect());
+                    all.push(command.arguments.iter().map(|w| buffer[w.clone()].to_vec()).collect());
                     at = command.end;
                 }
                 Ok(None) => break,
@@ -85,12 +85,16 @@
 fn a_query_goes_on_as_it_came_but_for_its_wait() {
     let raw = b"*5\r\n$10\r\nSVC.SUBMIT\r\n$1\r\n7\r\n$1\r\n9\r\n$15\r\nc=x,d=1000,k=ab\r\n$3\r\n\0\r\n\r\n";
     let command = resp::command(raw, 0).unwrap().unwrap();
-    let query = Query::new(raw.to_vec(), command.words[3].clone()).unwrap();
+    let query = Query::new(raw.to_vec(), command.arguments[3].clone()).unwrap();
     let mut out = Vec::new();
     query.put(87, &mut out);
     assert_eq!(
         out,
         b"*5\r\n$10\r\nSVC.SUBMIT\r\n$1\r\n7\r\n$1\r\n9\r\n$13\r\nc=x,d=87,k=ab\r\n$3\r\n\0\r\n\r\n"
     );
-    assert_eq!(Query::new(raw.to_vec(), command.words[2].clone()), None, "without d there is nothing to say");
+    assert_eq!(
+        Query::new(raw.to_vec(), command.arguments[2].clone()),
+        None,
+        "without d there is nothing to say"
+    );
 }
