--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -20,9 +20,9 @@
 /// How many ticks before its deadline a request that is given up counts as out of time.
 const DEADLINE_TICKS: Micros = 4;
 /// One request in so many is treated wrongly by a build for the checkers of the fault-injection harness.
-const WEAKENED_PERIOD: u32 = 50;
+const SEEDED_FAULT_PERIOD: u32 = 50;
 /// Bytes that such a build leaks with it.
-const WEAKENED_LEAK: usize = 32 << 20;
+const SEEDED_FAULT_LEAK: usize = 32 << 20;
 
 /// Told of each admission before it is forwarded.
 pub(crate) type AdmissionListener = Box<dyn Fn(Admission) + Send>;
@@ -202,12 +202,12 @@
         }
         // Before the answer goes out: what is not written yet must not be forwarded after it.
         self.withdraw_open_attempts(id);
-        let is_weakened = weakened::BUILD && id.0 % WEAKENED_PERIOD == WEAKENED_PERIOD - 1;
-        if is_weakened && weakened::breaks("holds") {
+        let has_seeded_fault = seeded_faults::BUILD && id.0 % SEEDED_FAULT_PERIOD == SEEDED_FAULT_PERIOD - 1;
+        if has_seeded_fault && seeded_faults::breaks("holds") {
             // Used by nothing else: without the black box the compiler leaves it out.
-            std::mem::forget(std::hint::black_box(vec![1u8; WEAKENED_LEAK]));
+            std::mem::forget(std::hint::black_box(vec![1u8; SEEDED_FAULT_LEAK]));
         }
-        if !is_weakened || !weakened::breaks("answers") {
+        if !has_seeded_fault || !seeded_faults::breaks("answers") {
             self.side_effects.push_back(SideEffect::Answer(reply, answer));
         }
         self.remove_if_over(id);
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -1,8 +1,8 @@
 //! Stand-ins of what programs speak to, each of which can be told to fail. Consul's is a package of its own.
 
-use crate::history::{Recorder, What, now};
+use crate::history::{Observation, Recorder, now_us};
 use crate::net::{Network, Party};
-use crate::schedule::{Form, How};
+use crate::schedule::{FailureMode, Form};
 use crate::wire;
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
@@ -18,7 +18,7 @@
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 
 /// Whether and how a stand-in fails now.
-pub type Failing = Arc<Mutex<Option<How>>>;
+pub type Failing = Arc<Mutex<Option<FailureMode>>>;
 
 fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -102,14 +102,19 @@
                     self.calls.fetch_add(1, Ordering::Relaxed);
                     let (Ok(amount), Ok(life)) = (amount.parse::<f64>(), life.parse::<u64>()) else { return };
                     match how {
-                        Some(How::Silent) => return keep_silent(&mut stream),
-                        Some(How::Closed) => return,
-                        Some(How::Error) => "-BUSY\r\n".to_owned(),
+                        Some(FailureMode::Silent) => return keep_silent(&mut stream),
+                        Some(FailureMode::Closed) => return,
+                        Some(FailureMode::Error) => "-BUSY\r\n".to_owned(),
                         _ => {
                             let life = Duration::from_millis(life.clamp(1, 60_000));
                             let total = self.add(name, amount, life);
                             let (name, via) = ((*name).to_owned(), via.to_owned());
-                            recorder.note(What::Counted { name, add: amount, total, via });
+                            recorder.record(Observation::CounterAdded {
+                                counter: name,
+                                amount,
+                                total,
+                                gatekeeper: via,
+                            });
                             let total = total.to_string();
                             format!("${}\r\n{total}\r\n", total.len())
                         }
@@ -118,9 +123,11 @@
                 _ => "-ERR no such call\r\n".to_owned(),
             };
             match how {
-                Some(How::Lost) => return keep_silent(&mut stream),
-                Some(How::Cut) => return drop(stream.write_all(&answer.as_bytes()[..answer.len() / 2])),
-                Some(How::Slow) => thread::sleep(SLOW),
+                Some(FailureMode::ResponseLost) => return keep_silent(&mut stream),
+                Some(FailureMode::ResponseTruncated) => {
+                    return drop(stream.write_all(&answer.as_bytes()[..answer.len() / 2]));
+                }
+                Some(FailureMode::Slow) => thread::sleep(SLOW),
                 _ => {}
             }
             if stream.write_all(answer.as_bytes()).is_err() {
@@ -160,9 +167,9 @@
     fn serve(&self, mut stream: TcpStream, via: &str) {
         let Ok(read) = stream.try_clone() else { return };
         let mut requests = BufReader::new(read);
-        let mut random = fastrand::Rng::with_seed(now());
+        let mut random = fastrand::Rng::with_seed(now_us());
         loop {
-            if *held(&self.failing) == Some(How::Closed) {
+            if *held(&self.failing) == Some(FailureMode::Closed) {
                 return;
             }
             // What it is asked, and the good answer and the bad one.
@@ -182,22 +189,26 @@
             let how = *held(&self.failing);
             if let Some(op) = op {
                 // Probes are no operations.
-                self.recorder.note(What::Arrived { op, server: self.name.clone(), via: via.to_owned() });
+                self.recorder.record(Observation::AttemptArrived {
+                    request_id: op,
+                    backend: self.name.clone(),
+                    gatekeeper: via.to_owned(),
+                });
             }
             // Some milliseconds of work.
             thread::sleep(Duration::from_micros(random.u64(3_000..9_000)));
             let answer = match how {
-                Some(How::Silent | How::Lost) => return keep_silent(&mut stream),
-                Some(How::Error | How::Empty) => bad,
-                Some(How::Cut) => {
+                Some(FailureMode::Silent | FailureMode::ResponseLost) => return keep_silent(&mut stream),
+                Some(FailureMode::Error | FailureMode::RestartedEmpty) => bad,
+                Some(FailureMode::ResponseTruncated) => {
                     let _ = stream.write_all(&good[..good.len() / 2]);
                     return;
                 }
-                Some(How::Slow) => {
+                Some(FailureMode::Slow) => {
                     thread::sleep(SLOW);
                     good
                 }
-                Some(How::Closed) => return,
+                Some(FailureMode::Closed) => return,
                 None => good,
             };
             if stream.write_all(&answer).is_err() {
@@ -220,7 +231,11 @@
         while let Some(call) = wire::message(&mut calls) {
             let field = |name: &str| call.field(name).unwrap_or_default().to_owned();
             let Ok(round) = field("snowfield-round").parse() else { return };
-            recorder.note(What::Ran { duty: field("snowfield-duty"), round, by: field("snowfield-by") });
+            recorder.record(Observation::JobRan {
+                job: field("snowfield-duty"),
+                run: round,
+                instance: field("snowfield-by"),
+            });
             if stream.write_all(&wire::http("HTTP/1.1 200 OK", "")).is_err() {
                 return;
             }
@@ -303,7 +318,11 @@
                 if rev != told && network.quality(me, to) == Default::default() {
                     for (server, drains, _) in &held(&discovery.listed.0).servers {
                         let (who, server) = (who.clone(), server.clone());
-                        recorder.note(What::Told { who, server, takes_work: !drains });
+                        recorder.record(Observation::EndpointNotified {
+                            gatekeeper: who,
+                            backend: server,
+                            accepts_requests: !drains,
+                        });
                     }
                 }
                 if stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).is_err() {
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -52,16 +52,16 @@
     fn close_connections(&self) {
         // First of all, so that the other instances take over while this one finishes.
         if let Some(registration) = &self.running.registration {
-            registration.end();
+            registration.deregister();
         }
         if let Some(cluster) = &self.running.cluster {
             cluster.leave();
         }
-        self.running.front.close();
+        self.running.front.drain();
     }
 
     fn open_connections(&self) -> usize {
-        self.running.front.open()
+        self.running.front.open_connections()
     }
 
     fn longest_deadline(&self) -> Duration {
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,9 +1,9 @@
 //! The appliance's backends: the endpoint lists of all services and the results of health checks, merged into what the
 //! connection pools and the policy are told.
 
-use catalogue::{Entry, View};
+use catalogue::{Endpoint, EndpointList};
 use cluster::{Backend, Cluster};
-use consul::Watch;
+use consul::ServiceWatch;
 use destination::{BackendEndpoint, BackendPools, HttpProtocol};
 use exchange::{AnswerCounts, Clock, Status};
 use front_openapi::HttpExchange;
@@ -24,7 +24,7 @@
     pools: Arc<BackendPools<HttpProtocol>>,
     state: Mutex<State>,
     cluster: OnceLock<Arc<Cluster>>,
-    watches: OnceLock<Vec<Arc<Watch>>>,
+    watches: OnceLock<Vec<Arc<ServiceWatch>>>,
     /// Backends with attempts in flight, as of the last sweep.
     busy: Arc<Mutex<HashSet<u32>>>,
     /// With more than one, backends are named with their service.
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct State {
     /// By service; `None` until its first list.
-    views: Vec<Option<View>>,
+    views: Vec<Option<EndpointList>>,
     /// Names of the backends that health checks have ejected.
     ejected: BTreeSet<String>,
     /// What was announced of each backend last, by number.
@@ -79,7 +79,7 @@
     }
 
     /// Sets the watches on the services, in their order. The first ones stay.
-    pub fn set_watches(&self, watches: Vec<Arc<Watch>>) {
+    pub fn set_watches(&self, watches: Vec<Arc<ServiceWatch>>) {
         let _ = self.watches.set(watches);
     }
 
@@ -89,10 +89,10 @@
     ///
     /// No thread can be started.
     pub fn start_watches(&self) -> std::io::Result<()> {
-        self.watches().iter().try_for_each(Watch::start)
+        self.watches().iter().try_for_each(ServiceWatch::start)
     }
 
-    fn watches(&self) -> &[Arc<Watch>] {
+    fn watches(&self) -> &[Arc<ServiceWatch>] {
         self.watches.get().map_or(&[], Vec::as_slice)
     }
 
@@ -106,7 +106,7 @@
         let status = self.exchange.status();
         let in_flight = status.backends.iter().filter(|(_, backend)| backend.in_flight > 0);
         *locked(&self.busy) = in_flight.map(|(id, _)| id.0).collect();
-        self.watches().iter().for_each(|watch| watch.tick());
+        self.watches().iter().for_each(|watch| watch.advance());
     }
 
     /// A backend's name in logs, reports and health checks.
@@ -115,12 +115,12 @@
     }
 
     /// Takes the new list of a service, by its number.
-    pub fn set_view(&self, service: usize, view: &View) {
+    pub fn set_view(&self, service: usize, view: &EndpointList) {
         let backends = {
             let mut state = locked(&self.state);
             state.views[service] = Some(view.clone());
             self.announce(&mut state);
-            let backend = |(service, entry): (usize, &Entry)| Backend {
+            let backend = |(service, entry): (usize, &Endpoint)| Backend {
                 id: self.name(service, &entry.instance.id),
                 address: entry.instance.address,
             };
@@ -148,7 +148,7 @@
         for (service, view) in state.views.iter().enumerate() {
             let Some(view) = view else { continue };
             let mean_weight = mean_weight(view);
-            for entry in &view.entries {
+            for entry in &view.endpoints {
                 let now_announced = self.next_announcement(state, service, entry, now);
                 announced.insert(entry.number, now_announced);
                 let Announced { ready, started, .. } = now_announced;
@@ -173,19 +173,19 @@
     }
 
     /// What to announce of a backend now.
-    fn next_announcement(&self, state: &State, service: usize, entry: &Entry, now: Micros) -> Announced {
-        let takes_work = entry.takes_work || weakened::breaks("drained");
+    fn next_announcement(&self, state: &State, service: usize, entry: &Endpoint, now: Micros) -> Announced {
+        let takes_work = entry.eligible || seeded_faults::breaks("drained");
         let ready = takes_work && !state.ejected.contains(&self.name(service, &entry.instance.id));
-        let stated = entry.instance.started.map(|ms| (ms * 1000).min(now));
+        let stated = entry.instance.started_at.map(|ms| (ms * 1000).min(now));
         let started = match state.announced.get(&entry.number) {
             // It was ready all along, or is not yet: it counts as started when it did before.
-            Some(last) if last.listed_since == entry.since && (last.ready || !ready) => last.started,
+            Some(last) if last.listed_since == entry.eligible_since && (last.ready || !ready) => last.started,
             // Health checks have let it back in, or its list counts it as restarted: it may be cold.
             Some(_) => stated.unwrap_or(now),
-            None if entry.since.is_some() => stated.unwrap_or(now),
+            None if entry.eligible_since.is_some() => stated.unwrap_or(now),
             None => stated.unwrap_or(0),
         };
-        Announced { ready, listed_since: entry.since, started }
+        Announced { ready, listed_since: entry.eligible_since, started }
     }
 
     /// The report on requests and backends for the status.
@@ -207,12 +207,12 @@
     fn report_service(
         &self,
         service: usize,
-        watch: &Watch,
+        watch: &ServiceWatch,
         status: &Status,
         ejected: &BTreeSet<String>,
         report: &mut String,
     ) {
-        let (entries, origin) = watch.shown();
+        let (entries, origin) = watch.status();
         let _ = writeln!(report, "destinations of {}  from {origin}", watch.service());
         for (id, number, state, takes_work) in entries.iter().take(MAX_SHOWN) {
             let in_flight = status.backends.get(&BackendId(*number)).map_or(0, |backend| backend.in_flight);
@@ -230,13 +230,13 @@
 }
 
 /// All entries with the number of their service.
-fn entries(views: &[Option<View>]) -> impl Iterator<Item = (usize, &Entry)> {
+fn entries(views: &[Option<EndpointList>]) -> impl Iterator<Item = (usize, &Endpoint)> {
     let listed = views.iter().enumerate().filter_map(|(service, view)| Some((service, view.as_ref()?)));
-    listed.flat_map(|(service, view)| view.entries.iter().map(move |entry| (service, entry)))
+    listed.flat_map(|(service, view)| view.endpoints.iter().map(move |entry| (service, entry)))
 }
 
 /// Sizes are relative to the mean weight: a service with weights of 100 throughout is like one with weights of 1.
-fn mean_weight(view: &View) -> f64 {
-    let working = || view.entries.iter().filter(|entry| entry.takes_work);
+fn mean_weight(view: &EndpointList) -> f64 {
+    let working = || view.endpoints.iter().filter(|entry| entry.eligible);
     working().map(|entry| entry.instance.weight).sum::<f64>() / working().count().max(1) as f64
 }
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -2,12 +2,12 @@
 
 use crate::checked_config::CheckedConfig;
 use crate::error::Error;
-use openapi::Match;
+use openapi::RouteMatch;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::Duration;
-use timing::Timing;
+use timing::ClassTiming;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
@@ -58,11 +58,11 @@
     let checked = CheckedConfig::read(path)?;
     let target_path = target.to_owned();
     let number = match checked.routes.find(method, target) {
-        Ok(Match::Route(number)) => number,
-        Ok(Match::WrongMethod(allowed)) => {
+        Ok(RouteMatch::Route(number)) => number,
+        Ok(RouteMatch::MethodNotAllowed(allowed)) => {
             return Err(Error::WrongMethod { path: target_path, allowed: allowed.to_string() });
         }
-        Ok(Match::Unknown) => return Err(Error::NoRoute { path: target_path }),
+        Ok(RouteMatch::NotFound) => return Err(Error::NoRoute { path: target_path }),
         Err(_) => return Err(Error::InvalidPath { path: target_path }),
     };
     let route = &checked.routes.routes()[number];
@@ -74,24 +74,27 @@
     Ok(())
 }
 
-fn print_timing(timing: &Timing) {
+fn print_timing(timing: &ClassTiming) {
     let class = format!("class {:?}", timing.class);
     let stated = |value: Option<u64>, unit: &str, otherwise: String| match value {
         Some(value) => format!("{value}{unit}, stated by {class}"),
         None => otherwise,
     };
-    let most = format!("{}, from limits.route_steps", timing.most_attempts);
+    let most = format!("{}, from limits.route_steps", timing.attempt_limit);
     let hedge =
-        if timing.repeatable { "when it is late for its class" } else { "never: it must not run twice" };
-    println!("  wanted within  {} ms, stated by {class}", timing.wanted);
-    println!("  given up after {} ms, stated by {class}", timing.deadline);
-    println!("  attempts       {}", stated(timing.attempts.map(u64::from), "", most));
-    println!("  each attempt   {}", stated(timing.attempt, " ms", "until the client gives up".into()));
-    println!("  second copy    {}", stated(timing.copy_after, " ms", hedge.into()));
-    println!("  may run again  {}", if timing.repeatable { "yes" } else { "no" });
+        if timing.idempotent { "when it is late for its class" } else { "never: it must not run twice" };
+    println!("  wanted within  {} ms, stated by {class}", timing.latency_objective_ms);
+    println!("  given up after {} ms, stated by {class}", timing.deadline_ms);
+    println!("  attempts       {}", stated(timing.max_attempts.map(u64::from), "", most));
+    println!(
+        "  each attempt   {}",
+        stated(timing.attempt_timeout_ms, " ms", "until the client gives up".into())
+    );
+    println!("  second copy    {}", stated(timing.hedge_after_ms, " ms", hedge.into()));
+    println!("  may run again  {}", if timing.idempotent { "yes" } else { "no" });
     println!("the worst case:");
-    for moment in timing.worst_case() {
-        println!("  {:>6} ms  {}", moment.at, moment.what);
+    for moment in timing.worst_case_timeline() {
+        println!("  {:>6} ms  {}", moment.at_ms, moment.event);
     }
 }
 
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -54,7 +54,7 @@
 
     /// Whether a successor serves in place of this process.
     pub fn has_handed_over(&self) -> bool {
-        self.front.is_frozen()
+        self.front.is_handing_over()
     }
 
     /// Client connections on their way to the successor.
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -3,7 +3,7 @@
 use super::{HotRestart, STEP_TIMEOUT};
 use crate::error::Error;
 use exchange::{PolicySnapshot, TenantId};
-use front_resp::Heir;
+use front_resp::HandOverConnection;
 use handover::{
     Admission, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION, Peer, UpgradeSocket,
     read_journal,
@@ -94,7 +94,7 @@
     fn hand_over(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) -> Result<(), Error> {
         let (sender, connections) = channel();
         let restart = self.clone();
-        let pass_on: Arc<Heir> = Arc::new(move |socket, partial_request| {
+        let pass_on: Arc<HandOverConnection> = Arc::new(move |socket, partial_request| {
             restart.passing.fetch_add(1, Ordering::AcqRel);
             if sender.send(PassedConnection { socket, partial_request }).is_err() {
                 restart.passing.fetch_sub(1, Ordering::AcqRel);
@@ -111,7 +111,7 @@
     /// Stops accepting and reading, and takes the policy's snapshot.
     fn freeze(
         self: &Arc<Self>,
-        pass_on: Arc<Heir>,
+        pass_on: Arc<HandOverConnection>,
         listener: &Arc<Listener>,
     ) -> Result<PolicySnapshot, Error> {
         let (sender, snapshot) = channel();
@@ -119,7 +119,7 @@
         // On the worker, between two steps of any client connection: no request is admitted after the snapshot.
         spawn_with(link::LARGE_STACK, move || {
             listener.set_paused(true);
-            restart.front.pass_on(pass_on);
+            restart.front.hand_over_connections(pass_on);
             // Nobody waits for it where the process ends.
             let _ = sender.send(restart.exchange.hand_over());
         });
@@ -162,7 +162,7 @@
         tracing::warn!("upgrade: the other program has ended; this one serves on, {buckets}");
         self.exchange.resume(knows_all);
         self.pools.set_retired(false);
-        self.front.go_on();
+        self.front.resume();
         listener.set_paused(false);
     }
 }
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -89,7 +89,7 @@
     }
 
     fn open_connections(&self) -> usize {
-        self.running.front.open() + self.running.hot_restart.connections_passing()
+        self.running.front.open_connections() + self.running.hot_restart.connections_passing()
     }
 
     fn longest_deadline(&self) -> Duration {
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -1,7 +1,7 @@
 //! The configuration file, and what it says of requests and connections.
 
 use crate::error::Error;
-use front_resp::{ClassRule, Rules};
+use front_resp::{ClassRule, PlanRule, RequestRules};
 use policy::{Idempotency, Micros};
 use settings::platform::PlatformConfig;
 use settings::{KeySet, NumberedClass, Numbering};
@@ -39,18 +39,21 @@
 }
 
 /// What the front requires of requests.
-pub(super) fn request_rules(config: &PlatformConfig, numbering: &Numbering) -> Rules {
+pub(super) fn request_rules(config: &PlatformConfig, numbering: &Numbering) -> RequestRules {
     let class_rule = |NumberedClass { number, name, class }: NumberedClass<'_>| ClassRule {
         name: name.to_owned(),
         number: number as u16,
-        repeatable: class.idempotency == Idempotency::Idempotent,
+        is_idempotent: class.idempotency == Idempotency::Idempotent,
         deadline_ms: class.deadline.div_ceil(1000),
     };
-    Rules {
+    RequestRules {
         classes: numbering.classes().map(class_rule).collect(),
-        plans: numbering.plans().map(|plan| (plan.name.to_owned(), plan.number as u32)).collect(),
+        plans: numbering
+            .plans()
+            .map(|plan| PlanRule { name: plan.name.to_owned(), number: plan.number as u32 })
+            .collect(),
         gatekeepers: u64::from(config.settings.gatekeepers),
-        largest: config.max_units,
+        max_units: config.max_units,
     }
 }
 
