--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -59,9 +59,9 @@
             return Err(CommandError::LineTooLong);
         }
         let text = std::str::from_utf8(line).map_err(|_| CommandError::NotUtf8)?;
-        let mut words = text.split_ascii_whitespace();
-        let (name, id) = (words.next(), words.next());
-        if words.next().is_some() {
+        let mut tokens = text.split_ascii_whitespace();
+        let (name, id) = (tokens.next(), tokens.next());
+        if tokens.next().is_some() {
             return Err(CommandError::TooManyWords);
         }
         match (name, id) {
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::SettingsError;
 use crate::validation::{
-    PERIODS_MS, check_at_least, check_identifier, check_loopback, check_range, check_unique, invalid,
+    PERIODS_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique, invalid,
 };
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -93,7 +93,7 @@
         }
         self.validate_prefix()?;
         check_range("cluster.gossip_ms", self.gossip_interval_ms, SHORT_SPANS_MS)?;
-        check_at_least("cluster.suspect_ms", self.suspicion_timeout_ms, 2 * self.gossip_interval_ms)?;
+        check_minimum("cluster.suspect_ms", self.suspicion_timeout_ms, 2 * self.gossip_interval_ms)?;
         check_range("cluster.store_timeout_ms", self.store_timeout_ms, SHORT_SPANS_MS)?;
         check_range("cluster.skew_ms", self.max_clock_skew_ms, 0..=MAX_CLOCK_SKEW_MS)?;
         check_range("cluster.standbys", self.standbys, 0..=MAX_STANDBYS)
@@ -158,8 +158,8 @@
         }
         check_range("probe.period_ms", self.period_ms, PERIODS_MS)?;
         check_range("probe.timeout_ms", self.timeout_ms, 1..=self.period_ms)?;
-        check_at_least("probe.down_after", self.unhealthy_threshold, 1)?;
-        check_at_least("probe.up_after", self.healthy_threshold, 1)?;
+        check_minimum("probe.down_after", self.unhealthy_threshold, 1)?;
+        check_minimum("probe.up_after", self.healthy_threshold, 1)?;
         if !(0.0..1.0).contains(&self.max_ejected_share) {
             let requirement = "0 or above and below 1: health checks may never take out all backends";
             return Err(invalid("probe.most_out", self.max_ejected_share, requirement));
@@ -192,7 +192,7 @@
         check_identifier("duty.name", &self.name)?;
         let key = |name: &str| format!("duty {:?}: {name}", self.name);
         check_range(key("period_ms"), self.period_ms, PERIODS_MS)?;
-        check_at_least(key("timeout_ms"), self.timeout_ms, 1)?;
+        check_minimum(key("timeout_ms"), self.timeout_ms, 1)?;
         if !self.has_loopback_target() || !is_printable(&self.url) {
             let requirement = "http://ADDRESS:PORT/PATH on loopback";
             return Err(invalid(key("url"), format!("{:?}", self.url), requirement));
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -2,7 +2,7 @@
 //! process.
 
 use crate::SettingsError;
-use crate::validation::{check_at_least, check_range, invalid};
+use crate::validation::{check_minimum, check_range, invalid};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 const WAITS_MS: std::ops::RangeInclusive<u64> = 1..=600_000;
 const MAX_FURTHER_AGENTS: usize = 8;
 /// ms
-const MAX_SUDDEN_HOLD_MS: u64 = 600_000;
+const MAX_SUDDEN_LOSS_GRACE_MS: u64 = 600_000;
 /// ms
 const MIN_TTL_MS: u64 = 1_000;
 
@@ -56,17 +56,17 @@
     pub cache_max_age_s: u64,
     /// An instance that returns for the second time is held back for this many milliseconds, each further time for twice as
     /// long ...
-    #[serde(rename = "flap_hold_ms", default = "default_flap_hold_ms")]
-    pub flap_hold_ms: u64,
+    #[serde(rename = "flap_hold_ms", default = "default_flap_damping_ms")]
+    pub flap_damping_ms: u64,
     /// ... up to this.
-    #[serde(rename = "flap_longest_ms", default = "default_max_flap_hold_ms")]
-    pub max_flap_hold_ms: u64,
+    #[serde(rename = "flap_longest_ms", default = "default_max_flap_damping_ms")]
+    pub max_flap_damping_ms: u64,
     /// Where this share of the list vanishes in one response, the loss is held back ...
     #[serde(rename = "sudden_share", default = "default_sudden_loss_share")]
     pub sudden_loss_share: f64,
     /// ... for this many milliseconds, for those that still respond.
-    #[serde(rename = "sudden_hold_ms", default = "default_sudden_loss_hold_ms")]
-    pub sudden_loss_hold_ms: u64,
+    #[serde(rename = "sudden_hold_ms", default = "default_sudden_loss_grace_ms")]
+    pub sudden_loss_grace_ms: u64,
 }
 
 /// The worst health with which a backend gets requests.
@@ -88,11 +88,11 @@
     86_400
 }
 
-fn default_flap_hold_ms() -> u64 {
+fn default_flap_damping_ms() -> u64 {
     2_000
 }
 
-fn default_max_flap_hold_ms() -> u64 {
+fn default_max_flap_damping_ms() -> u64 {
     60_000
 }
 
@@ -100,7 +100,7 @@
     0.5
 }
 
-fn default_sudden_loss_hold_ms() -> u64 {
+fn default_sudden_loss_grace_ms() -> u64 {
     15_000
 }
 
@@ -114,8 +114,8 @@
         if !(self.sudden_loss_share > 0.0 && self.sudden_loss_share <= 1.0) {
             return Err(invalid("consul.sudden_share", self.sudden_loss_share, "above 0 and at most 1"));
         }
-        check_at_least("consul.flap_longest_ms", self.max_flap_hold_ms, self.flap_hold_ms)?;
-        check_range("consul.sudden_hold_ms", self.sudden_loss_hold_ms, 0..=MAX_SUDDEN_HOLD_MS)
+        check_minimum("consul.flap_longest_ms", self.max_flap_damping_ms, self.flap_damping_ms)?;
+        check_range("consul.sudden_hold_ms", self.sudden_loss_grace_ms, 0..=MAX_SUDDEN_LOSS_GRACE_MS)
     }
 
     fn validate_agents(&self) -> Result<(), SettingsError> {
@@ -170,7 +170,7 @@
                 return Err(invalid(key, "\"\"", "a name"));
             }
         }
-        check_at_least("register.ttl_ms", self.ttl_ms, MIN_TTL_MS)?;
+        check_minimum("register.ttl_ms", self.ttl_ms, MIN_TTL_MS)?;
         if self.address.unwrap_or(listen).port() == 0 {
             let remedy = "name register.address, or a port in listen";
             return Err(SettingsError::PortUnknown { key: "register", remedy });
--- a/crates/settings/src/appliance/limits.rs
+++ b/crates/settings/src/appliance/limits.rs
@@ -1,7 +1,7 @@
 //! The tables `[quota]`, `[limits]` and `[fleet]`.
 
 use crate::SettingsError;
-use crate::validation::{check_at_least, check_range};
+use crate::validation::{check_minimum, check_range};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -76,7 +76,7 @@
 
 impl LimitsConfig {
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
-        check_at_least("limits.sockets", self.max_sockets, MIN_SOCKETS)?;
+        check_minimum("limits.sockets", self.max_sockets, MIN_SOCKETS)?;
         check_range("limits.route_steps", self.max_attempts, ATTEMPTS)
     }
 }
--- a/crates/settings/src/key_set.rs
+++ b/crates/settings/src/key_set.rs
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// Names one that it has not.
-    pub fn check_kept_by(&self, other: &Self) -> Result<(), SettingsError> {
+    pub fn check_included_in(&self, other: &Self) -> Result<(), SettingsError> {
         match self.0.difference(&other.0).next() {
             Some(key) => Err(SettingsError::MissingKey { key: key.clone() }),
             None => Ok(()),
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -32,12 +32,12 @@
 }
 
 /// Whether a number is at least this.
-pub(crate) fn check_at_least<T: Copy + Display + PartialOrd>(
+pub(crate) fn check_minimum<T: Copy + Display + PartialOrd>(
     key: impl Into<String>,
     value: T,
-    least: T,
+    minimum: T,
 ) -> Result<(), SettingsError> {
-    if value >= least { Ok(()) } else { Err(invalid(key, value, format!("{least} at least"))) }
+    if value >= minimum { Ok(()) } else { Err(invalid(key, value, format!("{minimum} at least"))) }
 }
 
 /// Whether no name comes twice.
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -27,7 +27,7 @@
 /// Why a file does not replace the good one.
 fn rejection(text: &str) -> Option<String> {
     let good = keys(&file(CLASS)).expect("it is good");
-    let checked = keys(text).and_then(|other| good.check_kept_by(&other)).and_then(|()| config(text));
+    let checked = keys(text).and_then(|other| good.check_included_in(&other)).and_then(|()| config(text));
     checked.err().map(|error| error.to_string())
 }
 
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -122,8 +122,8 @@
 }
 
 fn join_cluster(start: ClusterStart, backends: &Arc<Backends>) -> Result<Arc<Cluster>, Error> {
-    let told = backends.clone();
-    let on_ejection_change = Box::new(move |ejected: &BTreeSet<String>| told.set_ejected(ejected));
+    let notified = backends.clone();
+    let on_ejection_change = Box::new(move |ejected: &BTreeSet<String>| notified.set_ejected(ejected));
     let cluster = Cluster::start(start.settings, start.jobs, on_ejection_change)?;
     backends.set_cluster(cluster.clone());
     Ok(cluster)
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -80,12 +80,12 @@
         Some(value) => format!("{value}{unit}, stated by {class}"),
         None => otherwise,
     };
-    let most = format!("{}, from limits.route_steps", timing.attempt_limit);
+    let default_attempts = format!("{}, from limits.route_steps", timing.attempt_limit);
     let hedge =
         if timing.idempotent { "when it is late for its class" } else { "never: it must not run twice" };
     println!("  wanted within  {} ms, stated by {class}", timing.latency_objective_ms);
     println!("  given up after {} ms, stated by {class}", timing.deadline_ms);
-    println!("  attempts       {}", stated(timing.max_attempts.map(u64::from), "", most));
+    println!("  attempts       {}", stated(timing.max_attempts.map(u64::from), "", default_attempts));
     println!(
         "  each attempt   {}",
         stated(timing.attempt_timeout_ms, " ms", "until the client gives up".into())
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -81,10 +81,10 @@
             MinimumHealth::Passing => HealthStatus::Passing,
             MinimumHealth::Warning => HealthStatus::Warning,
         },
-        flap_hold: config.flap_hold_ms,
-        max_flap_hold: config.max_flap_hold_ms,
+        flap_hold: config.flap_damping_ms,
+        max_flap_hold: config.max_flap_damping_ms,
         sudden_loss_share: config.sudden_loss_share,
-        sudden_loss_hold: config.sudden_loss_hold_ms,
+        sudden_loss_hold: config.sudden_loss_grace_ms,
         ..StabilityConfig::default()
     }
 }
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -2,6 +2,7 @@
 //! restarts.
 
 mod config_file;
+mod core;
 mod reload;
 mod startup;
 
