--- /dev/null
+++ b/crates/timing/src/timeline.rs
@@ -0,0 +1,61 @@
+//! The course of the worst case, as `snowfield explain` prints it.
+
+use crate::ClassTiming;
+
+/// An event of the worst case.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TimelineEntry {
+    /// Milliseconds after the request arrived.
+    pub at_ms: u64,
+    /// What happens.
+    pub event: String,
+}
+
+impl TimelineEntry {
+    fn new(at_ms: u64, event: impl Into<String>) -> Self {
+        Self { at_ms, event: event.into() }
+    }
+}
+
+impl ClassTiming {
+    /// The course of the worst case, to its last event.
+    pub fn worst_case_timeline(&self) -> Vec<TimelineEntry> {
+        let hedge_after = self.hedge_after_ms.filter(|_| self.idempotent);
+        match self.attempt_timeout_ms {
+            Some(attempt_timeout) => self.timeline_of_attempts(attempt_timeout, hedge_after),
+            None => self.timeline_of_one_attempt(hedge_after),
+        }
+    }
+
+    /// Without a time-out an attempt that is silent lasts until the client gives up.
+    fn timeline_of_one_attempt(&self, hedge_after: Option<u64>) -> Vec<TimelineEntry> {
+        let begin = "attempt 1 begins and is silent; others follow only where one fails before";
+        let mut timeline = vec![TimelineEntry::new(0, begin)];
+        timeline.extend(hedge_after.map(|after| TimelineEntry::new(after, "a second copy may be sent")));
+        let end = "the client gives up, and has its answer just before";
+        timeline.push(TimelineEntry::new(self.deadline_ms, end));
+        timeline
+    }
+
+    fn timeline_of_attempts(&self, attempt_timeout: u64, hedge_after: Option<u64>) -> Vec<TimelineEntry> {
+        let mut timeline = Vec::new();
+        let mut now = 0;
+        let attempts = self.effective_max_attempts();
+        for attempt in 1..=attempts {
+            timeline.push(TimelineEntry::new(now, format!("attempt {attempt} begins and is silent")));
+            if let Some(after) = hedge_after.filter(|_| attempt == 1) {
+                let event = "a second copy may be sent in the place of a later attempt";
+                timeline.push(TimelineEntry::new(now + after, event));
+            }
+            let (time, end) = if self.idempotent || attempt == attempts {
+                (attempt_timeout, "is given up")
+            } else {
+                (self.time_before_retry_ms(attempt_timeout), "has had no connection")
+            };
+            now += time;
+            timeline.push(TimelineEntry::new(now, format!("attempt {attempt} {end}")));
+        }
+        timeline.push(TimelineEntry::new(now, "the client has its answer"));
+        timeline
+    }
+}
--- a/crates/timing/tests/texts.rs
+++ b/crates/timing/tests/texts.rs
@@ -49,14 +49,14 @@
 fn written() -> String {
     let mut text = String::new();
     for class in classes() {
-        for finding in class.violations() {
-            writeln!(text, "{finding}").expect("a text");
+        for violation in class.violations() {
+            writeln!(text, "{violation}").expect("a text");
         }
-        // The course of a class with findings is shown to nobody, and the largest times overflow in it.
-        let course =
+        // The timeline of a class with violations is shown to nobody, and the largest times overflow in it.
+        let timeline =
             if class.attempt_timeout_ms == Some(u64::MAX) { Vec::new() } else { class.worst_case_timeline() };
-        for moment in course {
-            writeln!(text, "  {:>6} ms  {}", moment.at_ms, moment.event).expect("a text");
+        for entry in timeline {
+            writeln!(text, "  {:>6} ms  {}", entry.at_ms, entry.event).expect("a text");
         }
         text += "----\n";
     }
