--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -1,7 +1,7 @@
 //! Backends that speak HTTP/1.1.
 
 use crate::{Parsed, Protocol};
-use ::http::{Request, Response};
+use ::http::{ParsedResponse, Request, Response};
 use exchange::AttemptEnd;
 use policy::{BackendId, Micros, Outcome};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 
     fn parse(&self, request: &Request, buffer: &[u8], is_end: bool) -> Parsed<Response> {
         match ::http::parse_response(buffer, request.is_head, is_end) {
-            Ok(Some((answer, consumed, keep_alive))) => {
+            Ok(Some(ParsedResponse { response: answer, consumed, keep_alive })) => {
                 let is_served = answer.status < SERVER_ERROR;
                 let end = AttemptEnd {
                     outcome: if is_served { Outcome::Ok } else { Outcome::Error },
@@ -47,7 +47,7 @@
                 Parsed::Complete { consumed, keep_alive, end }
             }
             Ok(None) => Parsed::Incomplete,
-            Err(::http::HttpError::Malformed(text)) => Parsed::Malformed(text),
+            Err(::http::HttpError::Malformed(message)) => Parsed::Malformed(message.text()),
             Err(_) => Parsed::Malformed("an answer passes a limit"),
         }
     }
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -46,7 +46,7 @@
         }
         match self.head.as_ref().map(|head| head.framing) {
             Some(Framing::Chunked) => {
-                let used = self.chunks.decode(received, 0, self.objects.input())?;
+                let used = self.chunks.decode(received, self.objects.input())?;
                 received.drain(..used);
             }
             Some(_) => self.objects.input().append(received),
@@ -56,7 +56,10 @@
     }
 
     fn take_head(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
-        let Some((head, start)) = http::parse_final_response_head(received, false)? else { return Ok(()) };
+        let Some(http::FinalResponseHead { head, start }) = http::parse_final_response_head(received, false)?
+        else {
+            return Ok(());
+        };
         if head.status != STATUS_OK {
             return Err(WatchError::Status(head.status));
         }
--- a/crates/front_openapi/src/problem.rs
+++ b/crates/front_openapi/src/problem.rs
@@ -77,7 +77,7 @@
 impl From<HttpError> for Problem {
     fn from(error: HttpError) -> Self {
         match error {
-            HttpError::Malformed(text) => Self::malformed(text),
+            HttpError::Malformed(message) => Self::malformed(message.text()),
             HttpError::HeadTooLarge => {
                 Self::new(431, "Request Header Fields Too Large", "the head is too large")
             }
--- a/crates/front_openapi/src/problem/tests.rs
+++ b/crates/front_openapi/src/problem/tests.rs
@@ -7,7 +7,7 @@
 /// One of each answer: the connection stays open, closes, or the request was HEAD.
 fn all_problems() -> Vec<Problem> {
     vec![
-        Problem::from(HttpError::Malformed("a header's name is malformed")),
+        Problem::from(HttpError::Malformed(http::MalformedMessage::HeaderName)),
         Problem::from(HttpError::HeadTooLarge),
         Problem::from(HttpError::BodyTooLarge),
         Problem::malformed("a \"quoted\\\" text\twith\u{1} controls and é"),
--- /dev/null
+++ b/crates/http/src/chunked.rs
@@ -0,0 +1,110 @@
+//! The chunked transfer coding (RFC 9112, section 7.1).
+
+use crate::error::{HttpError, MalformedMessage};
+
+/// The longest line that states the size of a chunk, with its extensions.
+const MAX_SIZE_LINE_BYTES: usize = 1024;
+/// The longest line of the trailer section.
+const MAX_TRAILER_LINE_BYTES: usize = 4096;
+const LINE_END: &[u8] = b"\r\n";
+
+/// An incremental decoder of the chunked coding.
+#[derive(Debug, Default)]
+pub struct ChunkedDecoder {
+    state: ChunkedState,
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum ChunkedState {
+    /// The size of the next chunk is next.
+    #[default]
+    Size,
+    /// So many bytes of data are left.
+    Data(u64),
+    /// The line's end after the data is next.
+    DataEnd,
+    /// The trailer section follows the last chunk.
+    Trailer,
+    Done,
+}
+
+/// What a step of the decoder has consumed; `None` where more bytes must arrive.
+type Step = Result<Option<usize>, HttpError>;
+
+impl ChunkedDecoder {
+    /// Decodes from the start of `bytes`, appends the data to `out`, and returns how many bytes were consumed. It stops
+    /// early only where more bytes must arrive, or at the end of the body.
+    ///
+    /// # Errors
+    ///
+    /// The coding is malformed.
+    pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
+        let mut consumed = 0;
+        while !self.is_done() {
+            let rest = &bytes[consumed..];
+            let step = match self.state {
+                ChunkedState::Size => self.read_size(rest)?,
+                ChunkedState::Data(left) => self.read_data(rest, left, out),
+                ChunkedState::DataEnd => self.read_data_end(rest)?,
+                ChunkedState::Trailer => self.read_trailer_line(rest)?,
+                ChunkedState::Done => None,
+            };
+            let Some(count) = step else { break };
+            consumed += count;
+            if matches!(self.state, ChunkedState::Data(_)) && consumed == bytes.len() {
+                break;
+            }
+        }
+        Ok(consumed)
+    }
+
+    /// Whether the body has ended.
+    pub fn is_done(&self) -> bool {
+        self.state == ChunkedState::Done
+    }
+
+    fn read_size(&mut self, rest: &[u8]) -> Step {
+        match httparse::parse_chunk_size(rest) {
+            Ok(httparse::Status::Complete((count, size))) => {
+                self.state = if size == 0 { ChunkedState::Trailer } else { ChunkedState::Data(size) };
+                Ok(Some(count))
+            }
+            Ok(httparse::Status::Partial) if rest.len() < MAX_SIZE_LINE_BYTES => Ok(None),
+            _ => Err(MalformedMessage::ChunkSize.into()),
+        }
+    }
+
+    fn read_data(&mut self, rest: &[u8], left: u64, out: &mut Vec<u8>) -> Option<usize> {
+        let count = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+        out.extend_from_slice(&rest[..count]);
+        let left = left - count as u64;
+        self.state = if left == 0 { ChunkedState::DataEnd } else { ChunkedState::Data(left) };
+        Some(count)
+    }
+
+    fn read_data_end(&mut self, rest: &[u8]) -> Step {
+        match rest {
+            [b'\r', b'\n', ..] => {
+                self.state = ChunkedState::Size;
+                Ok(Some(LINE_END.len()))
+            }
+            [] | [b'\r'] => Ok(None),
+            _ => Err(MalformedMessage::ChunkEnd.into()),
+        }
+    }
+
+    /// Skips a field of the trailer section; an empty line ends it.
+    fn read_trailer_line(&mut self, rest: &[u8]) -> Step {
+        let line_length = rest.windows(LINE_END.len()).position(|window| window == LINE_END);
+        match line_length {
+            Some(length) => {
+                if length == 0 {
+                    self.state = ChunkedState::Done;
+                }
+                Ok(Some(length + LINE_END.len()))
+            }
+            None if rest.len() < MAX_TRAILER_LINE_BYTES => Ok(None),
+            None => Err(MalformedMessage::TrailerTooLong.into()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/http/src/percent_encoding.rs
@@ -0,0 +1,17 @@
+//! Percent-encoding of URLs.
+
+use std::fmt::Write;
+
+/// Percent-encodes what may not stand in a path segment or a query's value (RFC 3986, section 2.3).
+pub fn percent_encode(text: &str) -> String {
+    let mut encoded = String::with_capacity(text.len());
+    for byte in text.bytes() {
+        if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
+            encoded.push(char::from(byte));
+        } else {
+            // Writing to a string cannot fail.
+            let _ = write!(encoded, "%{byte:02X}");
+        }
+    }
+    encoded
+}
