--- a/crates/catalogue/src/cached_list/tests.rs
+++ b/crates/catalogue/src/cached_list/tests.rs
@@ -37,7 +37,7 @@
 #[test]
 fn says_why_a_file_is_rejected() {
     let text = cached().encode();
-    let read = |text: &str, now| CachedList::decode(text.as_bytes(), now, 100).expect_err("refused");
+    let read = |text: &str, now| CachedList::decode(text.as_bytes(), now, 100).expect_err("rejected");
     assert_eq!(read(&text, 1_200_000), CachedListError::TooOld { age_seconds: 200 });
     assert_eq!(read(&text, 100_000), CachedListError::FromTheFuture { ahead_seconds: 900 });
     assert_eq!(read(&text.replacen(" 1 ", " 2 ", 1), 1_000_000), CachedListError::UnknownVersion("2".into()));
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -33,9 +33,9 @@
     last_number: u32,
     /// Consul has responded since the start.
     has_response: bool,
-    /// There was a list before, from Consul or from disk: what comes later may be cold.
+    /// There was a list before, from Consul or from disk: what appears later may need slow start.
     has_list: bool,
-    loss_held_until: Option<Millis>,
+    loss_accepted_at: Option<Millis>,
     /// Endpoints and eligible ones, as they were reported last.
     reported_counts: Option<(usize, usize)>,
 }
@@ -49,7 +49,7 @@
             last_number,
             has_response: false,
             has_list: false,
-            loss_held_until: None,
+            loss_accepted_at: None,
             reported_counts: None,
         }
     }
@@ -91,8 +91,8 @@
         has_attempts: HasAttempts<'_>,
         events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
-        if self.loss_held_until.is_some_and(|until| now >= until) {
-            self.loss_held_until = None;
+        if self.loss_accepted_at.is_some_and(|at| now >= at) {
+            self.loss_accepted_at = None;
             let is_over = |record: &&Record| record.retained_until.is_some_and(|until| now >= until);
             let count = self.records.values().filter(is_over).count();
             if count > 0 {
@@ -135,7 +135,7 @@
         if self.is_sudden(vanished.len(), eligible) {
             let until = now + self.config.sudden_loss_hold;
             let retained = self.retain_answering(now, until, &vanished, last_answer_at);
-            self.loss_held_until = Some(until);
+            self.loss_accepted_at = Some(until);
             events.push(WatchEvent::SuddenLoss { vanished: vanished.len(), of: eligible, retained });
         }
         for (key, record) in &mut self.records {
@@ -183,8 +183,8 @@
 
     fn is_sudden(&self, vanished: usize, eligible: usize) -> bool {
         let is_more_than_one_server = vanished >= 2 || (vanished == 1 && eligible == 1);
-        let least = eligible as f64 * self.config.sudden_loss_share;
-        is_more_than_one_server && self.has_response && vanished as f64 >= least
+        let min_vanished = eligible as f64 * self.config.sudden_loss_share;
+        is_more_than_one_server && self.has_response && vanished as f64 >= min_vanished
     }
 
     /// Retains those that have answered a client lately, and returns how many.
@@ -250,7 +250,7 @@
         now: Millis,
         decisions: Vec<(InstanceKey, EligibilityReason)>,
     ) -> Vec<WatchEvent> {
-        // Of the first list there is no telling when an instance started; one that appears later may be cold.
+        // Of the first list there is no telling when an instance started; one that appears later may need slow start.
         let eligible_since = self.has_list.then_some(now);
         let mut changes = Vec::new();
         for (key, reason) in decisions {
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -28,7 +28,7 @@
 }
 
 impl Record {
-    /// An instance that is listed for the first time. One of the first list counts as healthy from ever.
+    /// An instance that is listed for the first time. One of the first list counts as having always been healthy.
     pub(super) fn new(number: EndpointNumber, instance: Instance, now: Millis, is_first_list: bool) -> Self {
         Self {
             number,
@@ -108,10 +108,10 @@
         }
         let was_away =
             matches!(self.reason, EligibilityReason::Unhealthy(_) | EligibilityReason::Deregistered);
-        let is_held_back = was_away && matches!(reason, EligibilityReason::Flapping(_));
+        let is_suppressed = was_away && matches!(reason, EligibilityReason::Flapping(_));
         self.eligible = eligible;
         self.reason = reason;
-        has_turned || is_held_back
+        has_turned || is_suppressed
     }
 
     /// The end of its hold, which begins when it is healthy again.
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -158,12 +158,12 @@
 fn a_sudden_loss_is_delayed_for_endpoints_that_still_answer_and_then_accepted() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
-    // Two are dead for real: they have not answered for long.
+    // Two have failed: they have not answered for long.
     harness.answered.extend(numbers[2..].iter().map(|&n| (n, 1_500)));
     harness.respond(1_000, Vec::new());
     assert_eq!(harness.eligible_ids(), ["i2", "i3", "i4", "i5"]);
     assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, of: 6, retained: 4 });
-    // Told again, it is the same loss and not a new one.
+    // In a further response it is the same loss and not a new one.
     harness.respond(5_000, Vec::new());
     assert_eq!(harness.eligible_ids().len(), 4);
     harness.pass_time(9_000);
@@ -180,7 +180,7 @@
     harness.answered.extend(before.endpoints.iter().map(|e| (e.number, 1_500)));
     harness.respond(1_000, Vec::new());
     harness.respond(4_000, (0..6).map(instance).collect());
-    assert_eq!(harness.list, before, "not even a start is counted");
+    assert_eq!(harness.list, before, "not even a restart is counted");
     harness.pass_time(60_000);
     assert_eq!(harness.eligible_ids().len(), 6);
 }
@@ -205,7 +205,7 @@
     harness.respond(10, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2), twin]);
     assert_eq!(harness.eligible_ids(), ["i1", "i2", "twin"]);
     assert_ne!(harness.endpoint("twin").number, before, "what is known of the old one does not hold for it");
-    assert!(harness.endpoint("twin").eligible_since.is_some(), "it may be cold");
+    assert!(harness.endpoint("twin").eligible_since.is_some(), "it may need slow start");
 }
 
 #[test]
@@ -215,7 +215,12 @@
     harness.answered.extend(harness.list.endpoints.iter().map(|e| (e.number, 1_001)));
     let moved = |i: u16| Instance { address: at(2_000 + i), ..instance(i) };
     harness.respond(10, vec![moved(0), moved(1)]);
-    assert_eq!(harness.list.endpoints.len(), 2, "nothing is kept at the old places: {:?}", harness.list);
+    assert_eq!(
+        harness.list.endpoints.len(),
+        2,
+        "nothing is retained at the old addresses: {:?}",
+        harness.list
+    );
     assert_ne!(harness.endpoint("i0").number, before);
 }
 
@@ -224,17 +229,17 @@
     let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
     let list = tracker.restore(0, (0..6).map(instance).collect(), &mut Vec::new());
     assert_eq!(list.endpoints.iter().filter(|e| e.eligible && e.eligible_since.is_none()).count(), 6);
-    // Consul's first word is no sudden change: much may have happened meanwhile.
+    // Consul's first response is no sudden change: much may have happened meanwhile.
     let list = tracker.apply_response(500, vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
-    let working: Vec<&str> =
+    let eligible: Vec<&str> =
         list.endpoints.iter().filter(|e| e.eligible).map(|e| e.instance.id.as_str()).collect();
-    assert_eq!(working, ["i0", "i9"]);
+    assert_eq!(eligible, ["i0", "i9"]);
 }
 
 #[test]
 fn memory_is_bounded_over_a_hundred_thousand_replaced_ids() {
     let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-    let (mut now, mut most, mut numbers) = (0, 0, HashSet::new());
+    let (mut now, mut max_tracked, mut numbers) = (0, 0, HashSet::new());
     for turn in 0u32..10_000 {
         now += 100;
         let fleet = (0..12u32).map(|i| {
@@ -244,27 +249,27 @@
         let list = tracker.apply_response(now, fleet.collect(), &|_| None, &mut Vec::new());
         numbers.extend(list.endpoints.iter().map(|e| e.number));
         tracker.advance(now, &|_| false, &mut Vec::new());
-        most = most.max(tracker.tracked_count());
+        max_tracked = max_tracked.max(tracker.tracked_count());
     }
     assert!(numbers.len() > 9_000, "{} numbers", numbers.len());
-    assert!(most <= 12 + 2, "{most} remembered");
+    assert!(max_tracked <= 12 + 2, "{max_tracked} remembered");
 }
 
 #[test]
 fn a_number_with_attempts_in_flight_is_remembered() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     harness.respond(10, (1..6).map(instance).collect());
-    let kept = harness.tracker.tracked_count();
+    let tracked = harness.tracker.tracked_count();
     harness.tracker.advance(harness.now, &|_| true, &mut Vec::new());
-    assert_eq!(harness.tracker.tracked_count(), kept);
+    assert_eq!(harness.tracker.tracked_count(), tracked);
     harness.tracker.advance(harness.now, &|_| false, &mut Vec::new());
-    assert_eq!(harness.tracker.tracked_count(), kept - 1);
+    assert_eq!(harness.tracker.tracked_count(), tracked - 1);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(42), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is listed in whatever order: what is marked takes no work, no address works twice, numbers are unique.
+    /// Whatever is listed in whatever order: marked endpoints are not eligible, no address is so twice, numbers are unique.
     #[test]
     fn invariants_hold_on_any_course(
         course in prop::collection::vec(
@@ -282,18 +287,18 @@
             let list = tracker.apply_response(now, listed.clone(), &|n| answered.get(&n).copied(), &mut Vec::new());
             let mut addresses = HashSet::new();
             let mut numbers = HashSet::new();
-            for entry in &list.endpoints {
-                prop_assert!(numbers.insert(entry.number));
-                if entry.eligible {
-                    prop_assert!(addresses.insert(entry.instance.address));
-                    let now_told = listed.iter().find(|i| i.id == entry.instance.id && i.address == entry.instance.address);
-                    match now_told {
-                        Some(now_told) => prop_assert!(now_told.health <= HealthStatus::Warning),
-                        None => prop_assert!(matches!(entry.reason, EligibilityReason::Retained(_))),
+            for endpoint in &list.endpoints {
+                prop_assert!(numbers.insert(endpoint.number));
+                if endpoint.eligible {
+                    prop_assert!(addresses.insert(endpoint.instance.address));
+                    let now_listed = listed.iter().find(|i| i.id == endpoint.instance.id && i.address == endpoint.instance.address);
+                    match now_listed {
+                        Some(now_listed) => prop_assert!(now_listed.health <= HealthStatus::Warning),
+                        None => prop_assert!(matches!(endpoint.reason, EligibilityReason::Retained(_))),
                     }
                 }
                 if answers {
-                    answered.insert(entry.number, now);
+                    answered.insert(endpoint.number, now);
                 }
             }
             tracker.advance(now, &|_| false, &mut Vec::new());
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -87,7 +87,7 @@
         self.publish(&mut state, list, &events);
     }
 
-    /// Polls for ever, on a thread of its own.
+    /// Polls as long as the process lives, on a thread of its own.
     ///
     /// # Errors
     ///
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -101,3 +101,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -83,10 +83,10 @@
 
 #[test]
 fn messages_are_the_same_however_they_are_split() {
-    let (whole, error) = requests(&[REQUESTS]);
+    let (complete, error) = requests(&[REQUESTS]);
     assert_eq!(error, None);
-    let told: Vec<(&[u8], &[u8])> = whole.iter().map(|(t, b)| (&t[..], &b[..])).collect();
-    assert_eq!(told, [(&b"/a?b"[..], &b"abc"[..]), (b"/c", b"def"), (b"/d", b"")]);
+    let received: Vec<(&[u8], &[u8])> = complete.iter().map(|(t, b)| (&t[..], &b[..])).collect();
+    assert_eq!(received, [(&b"/a?b"[..], &b"abc"[..]), (b"/c", b"def"), (b"/d", b"")]);
     same_however_cut(REQUESTS, requests);
     assert_eq!(responses(&[RESPONSES]).0, [(200, b"hi".to_vec()), (404, b"abc".to_vec()), (204, vec![])]);
     same_however_cut(RESPONSES, responses);
