--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -193,14 +193,14 @@
     programs[0].signal("-CONT");
     rounds(3);
     // The store falls silent and comes back empty.
-    doors.iter().for_each(|door| door.fail(Fault::Silence));
+    doors.iter().for_each(|door| door.fail(Fault::Silent));
     programs[0].logged("jobs: the lease store is unavailable");
     consul.restart_empty();
     doors.iter().for_each(|door| door.fail(Fault::None));
     programs[0].logged("jobs: all leases are read anew");
     rounds(4);
     // Answers to claims are lost after they were applied.
-    doors.iter().for_each(|door| door.fail_writes(Fault::Lost, 4));
+    doors.iter().for_each(|door| door.fail_writes(Fault::ResponseLost, 4));
     rounds(3);
     // One leaves: the other is told, and does it all.
     programs[1].terminate();
@@ -353,7 +353,7 @@
 fn lease_calls_use_the_current_token() {
     let (target, runs) = backend(message, |_| ok());
     let (store, catalogue) = (Consul::start(), Consul::start());
-    store.change(|s| s.token = Some("secret-1".into()));
+    store.update(|s| s.token = Some("secret-1".into()));
     let folder = folder("claim-token");
     folder.write("claims.token", "secret-0\n");
     let own = cluster("a", udp_ports(1)[0], &[]);
@@ -366,7 +366,7 @@
     assert_eq!(all_requests(&runs).len(), 0, "no claim, no run");
     folder.write("claims.token", "secret-1\n");
     next_request(&runs);
-    store.change(|s| s.token = Some("secret-2".into()));
+    store.update(|s| s.token = Some("secret-2".into()));
     folder.write("claims.token", "secret-2\n");
     all_requests(&runs);
     (0..3).for_each(|_| drop(next_request(&runs)));
