--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,9 +1,9 @@
 //! The appliance's backends: the endpoint lists of all services and the results of health checks, merged into what the
 //! connection pools and the policy are told.
 
-use catalogue::{Endpoint, EndpointList};
+use catalogue::{Endpoint, EndpointList, EndpointNumber};
 use cluster::{Backend, Cluster};
-use consul::ServiceWatch;
+use consul::{ServiceWatch, WatchStatus};
 use destination::{BackendEndpoint, BackendPools, HttpProtocol};
 use exchange::{AnswerCounts, Clock, Status};
 use front_openapi::HttpExchange;
@@ -38,7 +38,7 @@
     /// Names of the backends that health checks have ejected.
     ejected: BTreeSet<String>,
     /// What was announced of each backend last, by number.
-    announced: HashMap<u32, Announced>,
+    announced: HashMap<EndpointNumber, Announced>,
 }
 
 /// What was announced of a backend.
@@ -152,7 +152,7 @@
                 let now_announced = self.next_announcement(state, service, entry, now);
                 announced.insert(entry.number, now_announced);
                 let Announced { ready, started, .. } = now_announced;
-                let id = BackendId(entry.number);
+                let id = BackendId(entry.number.0);
                 let state = if ready { BackendState::Ready } else { BackendState::Draining };
                 let size = if mean_weight > 0.0 { entry.instance.weight / mean_weight } else { 1.0 };
                 let service = service as u16;
@@ -212,19 +212,20 @@
         ejected: &BTreeSet<String>,
         report: &mut String,
     ) {
-        let (entries, origin) = watch.status();
+        let WatchStatus { endpoints, origin } = watch.status();
         let _ = writeln!(report, "destinations of {}  from {origin}", watch.service());
-        for (id, number, state, takes_work) in entries.iter().take(MAX_SHOWN) {
-            let in_flight = status.backends.get(&BackendId(*number)).map_or(0, |backend| backend.in_flight);
-            let state = match (takes_work, ejected.contains(&self.name(service, id))) {
+        for endpoint in endpoints.iter().take(MAX_SHOWN) {
+            let backend = BackendId(endpoint.number.0);
+            let in_flight = status.backends.get(&backend).map_or(0, |backend| backend.in_flight);
+            let state = match (endpoint.eligible, ejected.contains(&self.name(service, &endpoint.id))) {
                 (true, true) => "out by its probes".to_owned(),
-                (true, false) => state.clone(),
-                (false, _) => format!("no new work: {state}"),
+                (true, false) => endpoint.description.clone(),
+                (false, _) => format!("no new work: {}", endpoint.description),
             };
-            let _ = writeln!(report, "  {id}  {state}  attempts out {in_flight}");
+            let _ = writeln!(report, "  {}  {state}  attempts out {in_flight}", endpoint.id);
         }
-        if entries.len() > MAX_SHOWN {
-            let _ = writeln!(report, "  and {} more", entries.len() - MAX_SHOWN);
+        if endpoints.len() > MAX_SHOWN {
+            let _ = writeln!(report, "  and {} more", endpoints.len() - MAX_SHOWN);
         }
     }
 }
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -52,7 +52,7 @@
             answered.clone(),
             cache.clone(),
             Box::new(move |view| announced_to.set_view(service, view)),
-            Box::new(move |number| locked(&busy).contains(&number)),
+            Box::new(move |number| locked(&busy).contains(&number.0)),
         )
     });
     backends.set_watches(watches.collect());
@@ -70,7 +70,7 @@
             tag: tag.clone(),
             filter: filter.clone(),
             stability: stability(consul),
-            first_number: number as u32 * NUMBERS_PER_SERVICE,
+            last_number: number as u32 * NUMBERS_PER_SERVICE,
         });
     watched.collect()
 }
@@ -81,10 +81,10 @@
             MinimumHealth::Passing => HealthStatus::Passing,
             MinimumHealth::Warning => HealthStatus::Warning,
         },
-        flap_hold: config.flap_hold_ms,
-        max_flap_hold: config.max_flap_hold_ms,
+        flap_hold: config.flap_damping_ms,
+        max_flap_hold: config.max_flap_damping_ms,
         sudden_loss_share: config.sudden_loss_share,
-        sudden_loss_hold: config.sudden_loss_hold_ms,
+        sudden_loss_hold: config.sudden_loss_grace_ms,
         ..StabilityConfig::default()
     }
 }
@@ -100,8 +100,11 @@
     path: &Path,
 ) -> Result<RegistrationHandle, Error> {
     let RegistrationConfig { name, id, address, ttl_ms } = registration;
-    let address = address.unwrap_or(config.listen);
-    let ttl = Duration::from_millis(*ttl_ms);
-    consul::register(source(&config.consul, path), name.clone(), id.clone(), address, ttl)
-        .map_err(Error::Registration)
+    let registration = consul::RegistrationConfig {
+        name: name.clone(),
+        id: id.clone(),
+        address: address.unwrap_or(config.listen),
+        ttl: Duration::from_millis(*ttl_ms),
+    };
+    consul::register(source(&config.consul, path), registration).map_err(Error::Registration)
 }
