--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod site;
 pub mod stand_ins;
 mod sync;
-pub mod temporary_folder;
+pub mod test_directory;
 pub mod torn_writes;
 pub mod wait;
 pub mod wire;
--- a/crates/fault_injection/src/temporary_folder.rs
+++ b/crates/fault_injection/src/test_directory.rs
@@ -1,13 +1,13 @@
-//! Folders for the files of a test.
+//! Directories for the files of a test.
 
 use std::path::{Path, PathBuf};
 
-/// A folder for the files of a test. It is removed when this is dropped.
+/// A directory for the files of a test. It is removed when this is dropped.
 #[derive(Debug)]
-pub struct TemporaryFolder(PathBuf);
+pub struct TestDirectory(PathBuf);
 
-impl TemporaryFolder {
-    /// Creates a folder that no other test of this process has.
+impl TestDirectory {
+    /// Creates a directory that no other test of this process has.
     ///
     /// # Panics
     ///
@@ -35,7 +35,7 @@
     }
 }
 
-impl Drop for TemporaryFolder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/snowfield/tests/admin.rs
+++ b/crates/snowfield/tests/admin.rs
@@ -55,10 +55,10 @@
 /// Guards the figures: each operation ends in exactly one of them, and each attempt that was written whole counts.
 #[test]
 fn metrics_agree_with_what_clients_and_backends_saw() {
-    let (at, seen) = backend(command, |words| match words[2].as_bytes().last() {
+    let (at, seen) = backend(read_resp_command, |words| match words[2].as_bytes().last() {
         Some(b'1') => Behaviour::Reply(b"-ERR failed\r\n".to_vec()),
         Some(b'2') => Behaviour::NoReply,
-        _ => Behaviour::Reply(value(&words[2])),
+        _ => Behaviour::Reply(backend_reply(&words[2])),
     });
     let shape = Shape { destinations: &[at], attempts: 1, ..Shape::default() };
     let (site, admin) = site_with_admin("figures", &shape);
--- a/crates/snowfield/tests/agreed.rs
+++ b/crates/snowfield/tests/agreed.rs
@@ -96,7 +96,7 @@
     let mut programs: Vec<Program> = files.iter().map(start).collect();
     programs[3].logged("agreed: version 0 is in force");
     drop(programs.remove(0));
-    let log = folder.0.join("m0.log");
+    let log = folder.path().join("m0.log");
     let bytes = std::fs::read(&log).expect("a log");
     std::fs::write(&log, &bytes[..bytes.len() - 1]).expect("it is cut");
     let again = start(&files[0]);
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -144,7 +144,7 @@
     let (door, folder) = (consul.open(), folder("list"));
     let more = format!("address = \"{}\"\nlist_file = \"list\"", door.address);
     let path = folder.write("a.toml", &file(&more, "", WIDE));
-    let list = folder.0.join("list");
+    let list = folder.path().join("list");
     let mut program = Program::start(&["serve", &path], &[]);
     program.logged("1 of them take work");
     program.logged("1 of them take work");
--- a/crates/snowfield/tests/common/admin.rs
+++ b/crates/snowfield/tests/common/admin.rs
@@ -27,7 +27,7 @@
 
 pub fn site_with_admin(test: &str, shape: &Shape<'_>) -> (Site, SocketAddr) {
     let folder = TestDirectory::new(&format!("{test}-tmp"));
-    let tmp = folder.0.to_str().expect("a path in UTF-8");
+    let tmp = folder.path().to_str().expect("a path in UTF-8");
     let mut site = site_with(test, shape, &[("BALANCER_OPERATOR", "127.0.0.1:0"), ("TMPDIR", tmp)]);
     site.shared = Some(folder);
     let admin = site.admin.expect("operators are answered");
@@ -41,20 +41,20 @@
 ) -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>, Sender<()>) {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         if words[2] != id(number) {
             return others(words);
         }
         let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Behaviour::ReplyAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, backend_reply(&words[2]))
     });
     (at, seen, release)
 }
 
 /// Starts the successor of a site's process, as an upgrade does, and waits until it is ready.
 pub fn start_successor(site: &Site) -> (Program, SocketAddr) {
-    let path = site.folder.0.join("config.json");
-    let tmp = &site.shared.as_ref().expect("a directory that both share").0;
+    let path = site.folder.path().join("config.json");
+    let tmp = &site.shared.as_ref().expect("a directory that both share").path();
     let variables = [
         ("BALANCER_CONFIG", path.to_str().expect("a path in UTF-8")),
         ("BALANCER_OPERATOR", "127.0.0.1:0"),
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -4,6 +4,8 @@
 pub mod admin;
 mod site;
 
+pub use fault_injection::test_directory::TestDirectory;
+pub use fault_injection::wire::{backend_reply, read_resp_command, resp_command};
 pub use site::*;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -134,29 +136,6 @@
     (out.status.success(), text)
 }
 
-/// A folder for one test's files.
-pub struct TestDirectory(pub PathBuf);
-
-impl TestDirectory {
-    pub fn new(test: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("snowfield-{test}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder for files");
-        Self(path)
-    }
-
-    pub fn write(&self, name: &str, text: &str) -> String {
-        let path = self.0.join(name);
-        std::fs::write(&path, text).expect("a file is written");
-        path.to_str().expect("a path in UTF-8").to_owned()
-    }
-}
-
-impl Drop for TestDirectory {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
 /// Listens on a free loopback port and serves each connection in a thread.
 pub fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -186,26 +165,6 @@
     (from.read_line(&mut text).ok()? > 0).then(|| text.trim_end().to_owned())
 }
 
-/// Reads one RESP2 command.
-pub fn command(from: &mut impl BufRead) -> Option<Vec<String>> {
-    let count: usize = line(from)?.strip_prefix('*')?.parse().ok()?;
-    (0..count)
-        .map(|_| {
-            let length: usize = line(from)?.strip_prefix('$')?.parse().ok()?;
-            let mut bytes = vec![0; length + 2];
-            from.read_exact(&mut bytes).ok()?;
-            bytes.truncate(length);
-            String::from_utf8(bytes).ok()
-        })
-        .collect()
-}
-
-/// One RESP2 command.
-pub fn resp_command(words: &[&str]) -> Vec<u8> {
-    let items: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*{}\r\n{items}", words.len()).into_bytes()
-}
-
 /// What a stand-in of a backend does with a request.
 pub enum Behaviour {
     /// Sends this.
@@ -284,7 +243,7 @@
     let address = listen(move |stream| {
         let mut answers = stream.try_clone().expect("a second handle");
         let mut calls = BufReader::new(stream);
-        while let Some(call) = command(&mut calls) {
+        while let Some(call) = read_resp_command(&mut calls) {
             let [verb, name, amount, _] = &call[..] else { return };
             assert_eq!(verb, "TALLY");
             let amount: f64 = amount.parse().expect("a decimal number");
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -110,14 +110,9 @@
     resp_command(&["SVC.QUERY", &format!("{id:016x}"), &format!("{id:016x}"), fields])
 }
 
-pub fn value(text: &str) -> Vec<u8> {
-    format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$34\r\ninflight=7,queue=2,latency_ms=51.0\r\n", text.len())
-        .into_bytes()
-}
-
 /// A destination that serves each request with the id that it came with.
 pub fn echo() -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>) {
-    backend(command, |words| Behaviour::Reply(value(&words[2])))
+    backend(read_resp_command, |words| Behaviour::Reply(backend_reply(&words[2])))
 }
 
 pub fn id(number: u32) -> String {
--- a/crates/snowfield/tests/endings.rs
+++ b/crates/snowfield/tests/endings.rs
@@ -17,9 +17,11 @@
 -> (SocketAddr, std::sync::mpsc::Receiver<BackendEvent<Vec<String>>>, std::sync::mpsc::Sender<()>) {
     let (release, word) = channel();
     let word = Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(backend_reply(&words[2])), |word| {
+            Behaviour::ReplyAfter(word, backend_reply(&words[2]))
+        })
     });
     (at, seen, release)
 }
@@ -66,7 +68,7 @@
 /// Guards against work for nobody behind an error: its socket was not read any more, and so its client's end was not seen.
 #[test]
 fn a_client_that_disconnects_after_an_error_cancels_its_requests() {
-    let (at, seen) = backend(command, |_| Behaviour::NoReply);
+    let (at, seen) = backend(read_resp_command, |_| Behaviour::NoReply);
     let site = site("after-error", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     // More behind the error than is read of it.
@@ -92,10 +94,10 @@
 fn at_shutdown_a_busy_connection_closes_after_its_answers() {
     let (tell, crossings) = channel();
     let asks = Mutex::new(tell.clone());
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let (release, word) = channel();
         let _ = asks.lock().expect("no stand-in panics").send(Crossing::Asked(release));
-        Behaviour::ReplyAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, backend_reply(&words[2]))
     });
     let mut site = site("never-idle", &Shape { destinations: &[at], ..Shape::default() });
     let Client { mut writes, mut reads } = Client::connect(site.listen);
@@ -193,7 +195,7 @@
 fn a_keyed_retry_with_a_late_connection_is_not_written() {
     let (release, word) = channel::<()>();
     let word = Mutex::new(word);
-    let (breaks, broken) = backend(command, move |_| {
+    let (breaks, broken) = backend(read_resp_command, move |_| {
         let _ = word.lock().expect("no stand-in panics").recv();
         Behaviour::Close
     });
@@ -232,7 +234,7 @@
 fn breaks_off(bytes: &'static [u8], reset: bool) -> SocketAddr {
     listen(move |stream| {
         let mut requests = BufReader::new(stream.try_clone().expect("a second handle"));
-        if command(&mut requests).is_some() {
+        if read_resp_command(&mut requests).is_some() {
             let _ = (&stream).write_all(bytes);
             if reset {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can be set");
@@ -302,7 +304,7 @@
     let tell = Mutex::new(tell);
     let counter = listen(move |stream| {
         let mut calls = BufReader::new(stream.try_clone().expect("a second handle"));
-        while let Some(call) = command(&mut calls) {
+        while let Some(call) = read_resp_command(&mut calls) {
             let (release, word) = channel::<()>();
             let _ = tell.lock().expect("no stand-in panics").send((call, release));
             let _ = word.recv();
@@ -383,9 +385,9 @@
 /// Guards clients that take their time: half a request when closing begins may become whole, and is answered.
 #[test]
 fn during_shutdown_a_partial_request_may_complete() {
-    let (at, _seen) = backend(command, |words| match words[2] == id(1) {
+    let (at, _seen) = backend(read_resp_command, |words| match words[2] == id(1) {
         true => Behaviour::NoReply,
-        false => Behaviour::Reply(value(&words[2])),
+        false => Behaviour::Reply(backend_reply(&words[2])),
     });
     let mut site = site("half-at-end", &Shape { destinations: &[at], ..Shape::default() });
     let mut idle = Client::connect(site.listen);
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -60,9 +60,9 @@
 /// the longest kind. Beyond the bound further requests are told to come back.
 #[test]
 fn queued_answers_stay_within_memory() {
-    let (at, seen) = backend(command, |words| match words[2] == id(1) {
+    let (at, seen) = backend(read_resp_command, |words| match words[2] == id(1) {
         true => Behaviour::NoReply,
-        false => Behaviour::Reply(value(&"v".repeat(60_000))),
+        false => Behaviour::Reply(backend_reply(&"v".repeat(60_000))),
     });
     let site = small_site("in-line", &[at]);
     let (mut crowd, before) = crowd(&site, 2);
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -47,7 +47,7 @@
 /// Guards the take-over: while a connection waits to be passed on it is not read, and the end of its client was not seen.
 #[test]
 fn a_client_that_disconnects_before_its_connection_is_passed_on_cancels_its_request() {
-    let (at, seen, _release) = holds(10, |words| Behaviour::Reply(value(&words[2])));
+    let (at, seen, _release) = holds(10, |words| Behaviour::Reply(backend_reply(&words[2])));
     let (site, _door) = site_with_admin("upgrade-left", &Shape { destinations: &[at], ..Shape::default() });
     let mut waits = Client::connect(site.listen);
     waits.send(&query_of_another_tenant(10));
@@ -67,7 +67,7 @@
 /// the stores, which must not be filled anew.
 #[test]
 fn the_successor_continues_from_the_predecessors_state() {
-    let (at, seen, release) = holds(10, |words| Behaviour::Reply(value(&words[2])));
+    let (at, seen, release) = holds(10, |words| Behaviour::Reply(backend_reply(&words[2])));
     let (mut site, admin) =
         site_with_admin("upgrade-state", &Shape { destinations: &[at], ..Shape::default() });
     let (mut idle, mut half, mut waits) =
@@ -164,7 +164,7 @@
     let folder = TestDirectory::new("upgrade-stale");
     folder.write("snowfield.sock", "no socket");
     folder.write("snowfield.held", "snowfield held 1 3\ns-0\n");
-    let tmp = folder.0.to_str().expect("a path in UTF-8");
+    let tmp = folder.path().to_str().expect("a path in UTF-8");
     let variables = [("BALANCER_OPERATOR", "127.0.0.1:0"), ("TMPDIR", tmp)];
     let site =
         site_with("upgrade-stale-site", &Shape { destinations: &[at], ..Shape::default() }, &variables);
@@ -178,8 +178,9 @@
 fn a_failed_start_leaves_the_predecessor_serving() {
     let (at, _seen) = echo();
     let (site, admin) = site_with_admin("failed-start", &Shape { destinations: &[at], ..Shape::default() });
-    let tmp = site.shared.as_ref().expect("a directory that both share").0.to_str().expect("a path in UTF-8");
-    let good = site.folder.0.join("config.json");
+    let tmp =
+        site.shared.as_ref().expect("a directory that both share").path().to_str().expect("a path in UTF-8");
+    let good = site.folder.path().join("config.json");
     let bad = site.folder.write("bad.json", "{\"name\":\"n0\"");
     let taken = admin.to_string();
     for (file, at, told) in [
@@ -236,12 +237,12 @@
 fn ejections_come_from_the_file_where_nothing_was_taken_over() {
     let (at, seen) = echo();
     let folder = TestDirectory::new("upgrade-refused");
-    let place = folder.0.join("snowfield.sock");
+    let place = folder.path().join("snowfield.sock");
     let listener = std::os::unix::net::UnixListener::bind(place).expect("a place of its own");
     // It takes the call and hangs up.
     std::thread::spawn(move || listener.accept().map(drop));
     folder.write("snowfield.held", "snowfield held 1 1\ns-0\n");
-    let tmp = folder.0.to_str().expect("a path in UTF-8");
+    let tmp = folder.path().to_str().expect("a path in UTF-8");
     let variables = [("BALANCER_OPERATOR", "127.0.0.1:0"), ("TMPDIR", tmp)];
     let site =
         site_with("upgrade-refused-site", &Shape { destinations: &[at], ..Shape::default() }, &variables);
--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -26,7 +26,7 @@
     listen(move |stream| {
         let mut out = stream.try_clone().expect("a second handle");
         let mut requests = std::io::BufReader::new(stream);
-        while let Some(words) = command(&mut requests) {
+        while let Some(words) = read_resp_command(&mut requests) {
             if answer(&words, &mut out).is_err() {
                 return;
             }
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -60,9 +60,9 @@
 fn a_malformed_command_gets_its_error_in_turn_and_cancels_nothing_before_it() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Behaviour::ReplyAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, backend_reply(&words[2]))
     });
     let site = site("in-turn", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -147,9 +147,11 @@
 fn a_duplicate_id_is_rejected_until_its_request_is_answered() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(backend_reply(&words[2])), |word| {
+            Behaviour::ReplyAfter(word, backend_reply(&words[2]))
+        })
     });
     let site = site("ids", &Shape { destinations: &[at], ..Shape::default() });
     let (mut first, mut second) = (Client::connect(site.listen), Client::connect(site.listen));
@@ -167,9 +169,11 @@
 fn pipelined_commands_are_answered_in_their_order() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(backend_reply(&words[2])), |word| {
+            Behaviour::ReplyAfter(word, backend_reply(&words[2]))
+        })
     });
     let site = site("order", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
@@ -211,7 +215,7 @@
 
 #[test]
 fn without_an_answer_the_rejection_comes_before_the_client_gives_up() {
-    let (at, _seen) = backend(command, |_| Behaviour::NoReply);
+    let (at, _seen) = backend(read_resp_command, |_| Behaviour::NoReply);
     let site = site("deadline", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     let begun = std::time::Instant::now();
@@ -225,7 +229,7 @@
 /// that is safe to repeat is tried elsewhere.
 #[test]
 fn resets_and_refused_connections_are_retried_elsewhere() {
-    let (breaks, broken) = backend(command, |_| Behaviour::Close);
+    let (breaks, broken) = backend(read_resp_command, |_| Behaviour::Close);
     let (serves, _seen) = echo();
     let site =
         site("elsewhere", &Shape { destinations: &[breaks, unused_address(), serves], ..Shape::default() });
@@ -248,13 +252,13 @@
     let seen = std::sync::Mutex::new(Vec::new());
     let at = listen(move |stream| {
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-        let words = command(&mut reads).expect("one request");
+        let words = read_resp_command(&mut reads).expect("one request");
         seen.lock().expect("no stand-in panics").push(words[2].clone());
-        let _ = std::io::Write::write_all(&mut &stream, &value(&words[2]));
+        let _ = std::io::Write::write_all(&mut &stream, &backend_reply(&words[2]));
         // One request on each connection, then the end.
         let _ = stream.shutdown(std::net::Shutdown::Write);
         // The gatekeeper ends its side when it has seen that.
-        let more = command(&mut reads);
+        let more = read_resp_command(&mut reads);
         let _ = tell.lock().expect("no stand-in panics").send(more);
     });
     let site = site("stale", &Shape { destinations: &[at], attempts: 1, ..Shape::default() });
@@ -275,8 +279,8 @@
     let at = listen(move |stream| {
         let _ = tell.lock().expect("no stand-in panics").send(());
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-        while let Some(words) = command(&mut reads) {
-            let _ = (&stream).write_all(&value(&words[2]));
+        while let Some(words) = read_resp_command(&mut reads) {
+            let _ = (&stream).write_all(&backend_reply(&words[2]));
         }
     });
     let site = site("rests", &Shape { destinations: &[at], ..Shape::default() });
@@ -293,12 +297,12 @@
 fn a_late_second_answer_is_dropped() {
     let at = listen(|stream| {
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-        while let Some(words) = command(&mut reads) {
-            let _ = (&stream).write_all(&value(&words[2]));
+        while let Some(words) = read_resp_command(&mut reads) {
+            let _ = (&stream).write_all(&backend_reply(&words[2]));
             // Nothing is sent on this channel: it is the copy's delay.
             let (_held, late) = channel::<()>();
             let _ = late.recv_timeout(std::time::Duration::from_millis(10));
-            let _ = (&stream).write_all(&value(&words[2]));
+            let _ = (&stream).write_all(&backend_reply(&words[2]));
         }
     });
     let site = site("second-answer", &Shape { destinations: &[at], ..Shape::default() });
@@ -311,7 +315,7 @@
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    let (at, seen) = backend(command, |_| Behaviour::NoReply);
+    let (at, seen) = backend(read_resp_command, |_| Behaviour::NoReply);
     let site = site("leaves", &Shape { destinations: &[at], ..Shape::default() });
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2500, 1));
@@ -417,9 +421,9 @@
 fn after_sigterm_accepted_requests_are_answered_and_connections_closed() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Behaviour::ReplyAfter(word, value(&words[2]))
+        Behaviour::ReplyAfter(word, backend_reply(&words[2]))
     });
     let mut site = site("sigterm", &Shape { destinations: &[at], ..Shape::default() });
     let mut idle = Client::connect(site.listen);
@@ -447,9 +451,9 @@
 #[test]
 fn after_sigterm_it_keeps_serving_and_answers_all_before_the_kill() {
     // Odd ids are never answered.
-    let (at, _seen) = backend(command, |words| {
+    let (at, _seen) = backend(read_resp_command, |words| {
         let odd = words[2].ends_with(['1', '3', '5', '7', '9']);
-        if odd { Behaviour::NoReply } else { Behaviour::Reply(value(&words[2])) }
+        if odd { Behaviour::NoReply } else { Behaviour::Reply(backend_reply(&words[2])) }
     });
     let mut site = site("lasting", &Shape { destinations: &[at], ..Shape::default() });
     let mut kept = Client::connect(site.listen);
@@ -478,9 +482,11 @@
 fn sighup_moves_discovery_and_the_counter_and_a_bad_file_changes_nothing() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(command, move |words| {
+    let (at, seen) = backend(read_resp_command, move |words| {
         let word = word.lock().expect("no stand-in panics").take();
-        word.map_or(Behaviour::Reply(value(&words[2])), |word| Behaviour::ReplyAfter(word, value(&words[2])))
+        word.map_or(Behaviour::Reply(backend_reply(&words[2])), |word| {
+            Behaviour::ReplyAfter(word, backend_reply(&words[2]))
+        })
     });
     let ((old_counter, old_added), (new_counter, new_added)) = (counter(0.0), counter(0.0));
     let shape = Shape { destinations: &[at], counter: Some(old_counter), gatekeepers: 2, ..Shape::default() };
@@ -510,7 +516,7 @@
     next(&new_added);
 
     // The new agent is heard: its list replaces the old one.
-    let (other, _) = backend(command, |_| Behaviour::Reply(value("other")));
+    let (other, _) = backend(read_resp_command, |_| Behaviour::Reply(backend_reply("other")));
     watch.send(list(41, true, &[host("s-9", other, "up")])).expect("the watch is open");
     for number in 3.. {
         client.send(&query_of(number, 2500, 1, 2));
--- a/crates/snowfield/tests/reload.rs
+++ b/crates/snowfield/tests/reload.rs
@@ -11,7 +11,7 @@
 fn new_settings_are_in_force_at_once_and_a_bad_file_changes_nothing() {
     let (at, seen, release) = holds(10, |words| match words[2].as_str() {
         "0000000000000014" => Behaviour::Close,
-        _ => Behaviour::Reply(value(&words[2])),
+        _ => Behaviour::Reply(backend_reply(&words[2])),
     });
     let shape = Shape { destinations: &[at], ..Shape::default() };
     let (site, admin) = site_with_admin("retune", &shape);
--- a/crates/system_tests/src/bin/proof-platform-cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 use system_tests::{
-    Gatekeeper, STEP_TIMEOUT, Table, TemporaryFolder, free_ports, percentile, release_build, verdict,
+    Gatekeeper, STEP_TIMEOUT, Table, TestDirectory, free_ports, percentile, release_build, verdict,
 };
 
 const CLIENTS: u32 = 8;
@@ -113,7 +113,7 @@
 
 /// Starts a build and measures it.
 fn measure_turn(build: &Path, agent: SocketAddr, backends: &[SocketAddr]) -> TurnCost {
-    let folder = TemporaryFolder::new("platform-cost");
+    let folder = TestDirectory::new("platform-cost");
     let listen = free_ports(1)[0];
     let file = folder.write("config.json", &config(listen, agent, backends));
     let gatekeeper = Gatekeeper::start_build(build, &[], &[("BALANCER_CONFIG", &file)]);
--- a/crates/system_tests/src/bin/proof-timing/main.rs
+++ b/crates/system_tests/src/bin/proof-timing/main.rs
@@ -12,10 +12,10 @@
 
 use site::TestSite;
 use std::process::ExitCode;
-use system_tests::{Table, TemporaryFolder, verdict};
+use system_tests::{Table, TestDirectory, verdict};
 
 fn main() -> ExitCode {
-    let (folder, mut table) = (TemporaryFolder::new("timing"), Table::default());
+    let (folder, mut table) = (TestDirectory::new("timing"), Table::default());
     folder.write("loans.json", settings::API_DESCRIPTION);
     let rejections = rejections::count(&folder);
     table.add("bad files", rejections.files);
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::{Addresses, idempotent, settings};
 use std::process::Command;
-use system_tests::{TemporaryFolder, free_ports, release_build};
+use system_tests::{TestDirectory, free_ports, release_build};
 
 const WANTED_MS: u64 = 600;
 const DEADLINE_MS: u64 = 2_500;
@@ -49,7 +49,7 @@
 }
 
 /// Checks all files with the gatekeeper's own command.
-pub(crate) fn count(folder: &TemporaryFolder) -> Rejections {
+pub(crate) fn count(folder: &TestDirectory) -> Rejections {
     let ports = free_ports(2);
     let addresses = Addresses { listen: ports[0], status: ports[1], consul: ports[0] };
     let classes = bad_classes();
@@ -57,7 +57,7 @@
     Rejections { files: classes.len(), rejected }
 }
 
-fn is_rejected(folder: &TemporaryFolder, addresses: Addresses, class: &BadClass) -> bool {
+fn is_rejected(folder: &TestDirectory, addresses: Addresses, class: &BadClass) -> bool {
     let path = folder.write("bad.toml", &settings(addresses, &class.settings));
     let output = Command::new(release_build()).args(["check", &path]).output().expect("the program runs");
     let message = String::from_utf8_lossy(&output.stderr);
--- a/crates/system_tests/src/bin/proof-timing/site.rs
+++ b/crates/system_tests/src/bin/proof-timing/site.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
-use system_tests::{Gatekeeper, TemporaryFolder, free_ports};
+use system_tests::{Gatekeeper, TestDirectory, free_ports};
 
 pub(crate) const BACKENDS: usize = 10;
 const CLIENTS: usize = 8;
@@ -36,7 +36,7 @@
 
 /// Backends and their catalogue.
 pub(crate) struct TestSite<'a> {
-    folder: &'a TemporaryFolder,
+    folder: &'a TestDirectory,
     consul: Consul,
     backends: Vec<Backend>,
 }
@@ -48,7 +48,7 @@
 }
 
 impl<'a> TestSite<'a> {
-    pub(crate) fn start(folder: &'a TemporaryFolder) -> Self {
+    pub(crate) fn start(folder: &'a TestDirectory) -> Self {
         let backends = (0..BACKENDS).map(|_| Backend::start()).collect();
         Self { folder, consul: Consul::start(), backends }
     }
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -12,7 +12,7 @@
 mod versions;
 
 pub use error::Error;
-pub use fault_injection::temporary_folder::TemporaryFolder;
+pub use fault_injection::test_directory::TestDirectory;
 pub use gatekeeper::{Gatekeeper, ProcessUsage, STEP_TIMEOUT, release_build};
 pub use parallel::for_each_parallel;
 pub use ports::free_ports;
