--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -2,7 +2,7 @@
 
 use destination::{Parsed, Protocol, RespProtocol};
 use exchange::AnswerBody;
-use fuzz_inputs::{same_however_cut, survives_garbage};
+use fuzz_inputs::{parses_alike_however_split, survives_garbage};
 use policy::{LoadMetric, Outcome};
 use resp::Query;
 
@@ -137,6 +137,6 @@
         })
     };
     assert!(matches!(first(&[bytes]), Some(Ok((used, _))) if used == bytes.len()));
-    same_however_cut(bytes, first);
+    parses_alike_however_split(bytes, first);
     survives_garbage(bytes, |pieces| drop(first(pieces)));
 }
--- a/crates/fuzz_inputs/tests/inputs.rs
+++ b/crates/fuzz_inputs/tests/inputs.rs
@@ -1,6 +1,6 @@
 //! The inputs are the same in each run and version, so that a failure comes back; and a parser that fails is found.
 
-use fuzz_inputs::{same_however_cut, survives_garbage};
+use fuzz_inputs::{parses_alike_however_split, survives_garbage};
 use std::cell::RefCell;
 use std::panic::catch_unwind;
 
@@ -25,7 +25,7 @@
 #[test]
 fn a_message_is_split_as_it_always_was() {
     let digest = Digest::default();
-    same_however_cut(BYTES, |pieces| digest.add(pieces));
+    parses_alike_however_split(BYTES, |pieces| digest.add(pieces));
     assert_eq!(digest.0.into_inner(), (12_367_585_785_969_809_627, 258));
 }
 
@@ -38,9 +38,9 @@
 
 #[test]
 fn a_parser_that_depends_on_the_split_fails() {
-    let counts_pieces = || same_however_cut(BYTES, |pieces| pieces.len());
+    let counts_pieces = || parses_alike_however_split(BYTES, |pieces| pieces.len());
     assert!(catch_unwind(counts_pieces).is_err());
-    same_however_cut(BYTES, |pieces| pieces.concat());
+    parses_alike_however_split(BYTES, |pieces| pieces.concat());
 }
 
 #[test]
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-use fuzz_inputs::{same_however_cut, survives_garbage};
+use fuzz_inputs::{parses_alike_however_split, survives_garbage};
 use snowfield_http::{
     self as http, BodyReader, ChunkedDecoder, FinalResponseHead, HttpError, ParsedResponse,
 };
@@ -87,11 +87,11 @@
     assert_eq!(error, None);
     let received: Vec<(&[u8], &[u8])> = complete.iter().map(|(t, b)| (&t[..], &b[..])).collect();
     assert_eq!(received, [(&b"/a?b"[..], &b"abc"[..]), (b"/c", b"def"), (b"/d", b"")]);
-    same_however_cut(REQUESTS, requests);
+    parses_alike_however_split(REQUESTS, requests);
     assert_eq!(responses(&[RESPONSES]).0, [(200, b"hi".to_vec()), (404, b"abc".to_vec()), (204, vec![])]);
-    same_however_cut(RESPONSES, responses);
+    parses_alike_however_split(RESPONSES, responses);
     assert_eq!(chunks(&[CHUNKS]), (Ok(()), b"hello0123456789".to_vec(), true));
-    same_however_cut(CHUNKS, chunks);
+    parses_alike_however_split(CHUNKS, chunks);
 }
 
 #[test]
--- a/crates/json_stream/tests/objects.rs
+++ b/crates/json_stream/tests/objects.rs
@@ -36,7 +36,7 @@
         end(),
     ];
     assert_eq!(found, expected);
-    fuzz_inputs::same_however_cut(stream.as_bytes(), read);
+    fuzz_inputs::parses_alike_however_split(stream.as_bytes(), read);
     fuzz_inputs::survives_garbage(stream.as_bytes(), |pieces| drop(read(pieces)));
 }
 
--- a/crates/resp/tests/cuts.rs
+++ b/crates/resp/tests/cuts.rs
@@ -1,6 +1,6 @@
 //! Random cuts and garbage against the codec, and the exact bytes that go on.
 
-use fuzz_inputs::{same_however_cut, survives_garbage};
+use fuzz_inputs::{parses_alike_however_split, survives_garbage};
 use resp::{LARGEST_BULK, Malformed, Query};
 
 const COMMANDS: &[u8] =
@@ -51,10 +51,10 @@
     assert_eq!((whole.len(), error.is_some()), (1, true));
     let valid = [&COMMANDS[..14], b"*2\r\n$1\r\na\r\n$0\r\n\r\n"].concat();
     assert_eq!(commands(&[&valid]).0, [vec![b"PING".to_vec()], vec![b"a".to_vec(), vec![]]]);
-    same_however_cut(&valid, commands);
-    same_however_cut(COMMANDS, commands);
+    parses_alike_however_split(&valid, commands);
+    parses_alike_however_split(COMMANDS, commands);
     assert_eq!(ends(&[ANSWERS]).0.last(), Some(&ANSWERS.len()));
-    same_however_cut(ANSWERS, ends);
+    parses_alike_however_split(ANSWERS, ends);
 }
 
 #[test]
