--- a/crates/known_failures/tests/verdict.rs
+++ b/crates/known_failures/tests/verdict.rs
@@ -1,6 +1,6 @@
 //! What the verdict is on runs and lists of each kind, and what the program makes of a command.
 
-use known_failures::{Run, read};
+use known_failures::{TestRun, parse_list};
 use std::process::Command;
 
 /// A run of two targets, as the test runner writes it.
@@ -34,32 +34,33 @@
     )
 }
 
-fn faults(output: &str, succeeded: bool, list: &str) -> Vec<String> {
-    let mut run = Run::default();
-    output.lines().for_each(|line| run.line(line));
-    run.faults(succeeded, &read(list).expect("a sound list"))
+fn problems(output: &str, succeeded: bool, list: &str) -> Vec<String> {
+    let mut run = TestRun::default();
+    output.lines().for_each(|line| run.apply_line(line));
+    let problems = run.problems(succeeded, &parse_list(list).expect("a sound list"));
+    problems.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn a_run_is_good_when_just_the_listed_tests_fail() {
-    assert_eq!(faults(GOOD, true, ""), Vec::<String>::new());
-    assert_eq!(faults(&with_failure("second"), false, LISTED), Vec::<String>::new());
+    assert_eq!(problems(GOOD, true, ""), Vec::<String>::new());
+    assert_eq!(problems(&with_failure("second"), false, LISTED), Vec::<String>::new());
 }
 
 #[test]
-fn any_other_failure_a_listed_test_that_passes_and_one_that_is_not_there_are_told() {
-    assert_eq!(faults(&with_failure("second"), false, ""), ["endings::second failed"]);
+fn any_other_failure_a_listed_test_that_passes_and_a_missing_one_are_reported() {
+    assert_eq!(problems(&with_failure("second"), false, ""), ["endings::second failed"]);
     assert_eq!(
-        faults(&with_failure("first"), false, LISTED),
+        problems(&with_failure("first"), false, LISTED),
         ["endings::first failed", "endings::second is listed and passes: take it off"]
     );
-    assert_eq!(faults(GOOD, true, LISTED), ["endings::second is listed and passes: take it off"]);
+    assert_eq!(problems(GOOD, true, LISTED), ["endings::second is listed and passes: take it off"]);
     let gone = LISTED.replace("second", "third");
-    assert_eq!(faults(GOOD, true, &gone), ["endings::third is listed and did not run"]);
+    assert_eq!(problems(GOOD, true, &gone), ["endings::third is listed and did not run"]);
     // One of the same name elsewhere is another test.
     let elsewhere = LISTED.replace("endings", "link");
     assert!(
-        faults(&with_failure("second"), false, &elsewhere).contains(&"endings::second failed".to_owned())
+        problems(&with_failure("second"), false, &elsewhere).contains(&"endings::second failed".to_owned())
     );
 }
 
@@ -67,17 +68,17 @@
 fn a_target_that_is_killed_or_not_built_is_no_known_failure() {
     let ended = "the tests did not run to their end";
     let killed = with_failure("second").replace("1 target failed", "2 targets failed");
-    assert_eq!(faults(&killed, false, LISTED), [ended]);
+    assert_eq!(problems(&killed, false, LISTED), [ended]);
     let unbuilt = "error[E0425]: cannot find value `x`\nerror: could not compile `link`\n";
-    assert_eq!(faults(unbuilt, false, ""), [ended, "no test ran"]);
-    assert_eq!(faults("", true, ""), ["no test ran"]);
+    assert_eq!(problems(unbuilt, false, ""), [ended, "no test ran"]);
+    assert_eq!(problems("", true, ""), ["no test ran"]);
 }
 
 #[test]
-fn a_list_that_is_long_or_says_too_little_is_refused() {
+fn a_list_that_is_long_or_says_too_little_is_rejected() {
     let line = |test: &str| format!("{test} | a cause | issue 33\n");
     let three: String = ["a::b", "a::c", "a::d"].into_iter().map(line).collect();
-    assert_eq!(read(&three).map(|list| list.len()), Ok(3));
+    assert_eq!(parse_list(&three).map(|list| list.len()), Ok(3));
     for bad in [
         three.clone() + &line("a::e"),
         line("a::b") + &line("a::b"),
@@ -86,13 +87,13 @@
         "a::b |  | issue 33\n".into(),
         "a::b | a cause | \n".into(),
     ] {
-        assert!(read(&bad).is_err(), "{bad}");
+        assert!(parse_list(&bad).is_err(), "{bad}");
     }
 }
 
 #[test]
-fn the_program_passes_on_what_the_command_writes_and_prints_what_is_known() {
-    let folder = std::env::temp_dir().join(format!("known-red-{}", std::process::id()));
+fn the_program_passes_on_the_output_and_prints_known_failures() {
+    let folder = std::env::temp_dir().join(format!("known-failures-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (list, output) = (folder.join("KNOWN-RED.txt"), folder.join("output"));
     std::fs::write(&output, with_failure("second")).expect("a file");
