--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -142,7 +142,7 @@
         let now = self.resources.clocks.now();
         match event {
             Event::DatagramReceived(_)
-                if seeded_faults::breaks("agreed") && now.monotonic_ms > SEEDED_FAULT_AFTER_MS => {}
+                if seeded_faults::is_active("agreed") && now.monotonic_ms > SEEDED_FAULT_AFTER_MS => {}
             Event::DatagramReceived(bytes) => self.handle_datagram(now, &bytes),
             Event::StoreResponded(response) => self.handle_store_response(now, response),
             Event::RunFinished(finished) => self.handle_finished_run(now, &finished),
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -38,7 +38,7 @@
 
     /// Calls the listener with what to enforce, if that has changed.
     fn publish(&mut self, now_ms: u64) {
-        let ignores_expiry = seeded_faults::breaks("lease") && self.lease_expires_at_ms > 0;
+        let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at_ms > 0;
         let VersionTexts { in_force, proposed } = self.texts.clone();
         let has_lease = now_ms < self.lease_expires_at_ms || ignores_expiry;
         let view = ConfigView { in_force, proposed, has_lease };
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -202,12 +202,13 @@
         }
         // Before the answer goes out: what is not written yet must not be forwarded after it.
         self.withdraw_open_attempts(id);
-        let has_seeded_fault = seeded_faults::BUILD && id.0 % SEEDED_FAULT_PERIOD == SEEDED_FAULT_PERIOD - 1;
-        if has_seeded_fault && seeded_faults::breaks("holds") {
+        let has_seeded_fault =
+            seeded_faults::ENABLED && id.0 % SEEDED_FAULT_PERIOD == SEEDED_FAULT_PERIOD - 1;
+        if has_seeded_fault && seeded_faults::is_active("holds") {
             // Used by nothing else: without the black box the compiler leaves it out.
             std::mem::forget(std::hint::black_box(vec![1u8; SEEDED_FAULT_LEAK]));
         }
-        if !has_seeded_fault || !seeded_faults::breaks("answers") {
+        if !has_seeded_fault || !seeded_faults::is_active("answers") {
             self.side_effects.push_back(SideEffect::Answer(reply, answer));
         }
         self.remove_if_over(id);
--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -118,7 +118,7 @@
         expected_index: u64,
     ) -> Request {
         let value = STANDARD.encode(serde_json::to_vec(record).unwrap_or_default());
-        let verb = if seeded_faults::breaks("rounds") { "set" } else { "cas" };
+        let verb = if seeded_faults::is_active("rounds") { "set" } else { "cas" };
         let body = serde_json::json!([
             {"KV": {"Verb": "check-session", "Key": session.key, "Session": session.id}},
             {"KV": {"Verb": verb, "Key": self.job(job), "Value": value, "Index": expected_index}},
--- a/crates/job_lease/src/decision.rs
+++ b/crates/job_lease/src/decision.rs
@@ -48,7 +48,7 @@
     let record = &stored.record;
     if record.run == request.run && record.lease_id == request.lease_id {
         Decision::AlreadyHeld
-    } else if record.run >= request.run && !seeded_faults::breaks("rounds") {
+    } else if record.run >= request.run && !seeded_faults::is_active("rounds") {
         Decision::Settled
     } else {
         Decision::CompareAndSet { expected_index: stored.modify_index }
--- a/crates/seeded_faults/src/lib.rs
+++ b/crates/seeded_faults/src/lib.rs
@@ -1,25 +1,29 @@
-//! Rules that the program breaks on purpose, so that the rig's checkers can be seen to find it.
+//! Seeded faults: rules that the gatekeeper breaks on purpose, so that the checkers of the fault-injection harness can be seen to
+//! find it.
 //!
-//! Without the feature `on` every question is answered with no at build time, and nothing is left of it. A build with it is
-//! never released: it says so when it starts, and breaks the rule that `SNOWFIELD_WEAKENED` names.
+//! Without the feature `on` no fault is active, which is known at build time, so that nothing is left of them. A build with it is
+//! never released: it says so when it starts, and has the fault that `SNOWFIELD_WEAKENED` names.
 
-/// The variable that names the rule.
+/// The variable that names the fault.
 #[cfg(feature = "on")]
 const VARIABLE: &str = "SNOWFIELD_WEAKENED";
 
-/// Whether this build may break rules.
-pub const BUILD: bool = cfg!(feature = "on");
+/// Whether this build may have seeded faults.
+pub const ENABLED: bool = cfg!(feature = "on");
 
-/// Whether this rule is to be broken.
+/// Whether this fault is active in this process.
 #[cfg(feature = "on")]
-pub fn breaks(rule: &str) -> bool {
-    static NAMED: std::sync::OnceLock<String> = std::sync::OnceLock::new();
-    NAMED.get_or_init(|| std::env::var(VARIABLE).unwrap_or_default()) == rule
+pub fn is_active(fault: &str) -> bool {
+    static ACTIVE: std::sync::OnceLock<String> = std::sync::OnceLock::new();
+    ACTIVE.get_or_init(|| std::env::var(VARIABLE).unwrap_or_default()) == fault
 }
 
-/// Whether this rule is to be broken: never.
+/// Whether this fault is active in this process: never.
 #[cfg(not(feature = "on"))]
 #[inline(always)]
-pub const fn breaks(_: &str) -> bool {
+pub const fn is_active(_: &str) -> bool {
     false
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/seeded_faults/src/tests.rs
@@ -0,0 +1,21 @@
+//! What a build answers.
+
+use super::*;
+
+#[cfg(not(feature = "on"))]
+#[test]
+fn no_fault_is_active_in_a_usual_build() {
+    const { assert!(!ENABLED) };
+    for fault in ["", "answers", "ceilings", "drained", "rounds", "exits", "holds", "agreed", "lease"] {
+        assert!(!is_active(fault), "{fault}");
+    }
+}
+
+#[cfg(feature = "on")]
+#[test]
+fn just_the_fault_that_the_variable_names_is_active() {
+    const { assert!(ENABLED) };
+    let named = std::env::var("SNOWFIELD_WEAKENED").unwrap_or_default();
+    assert!(is_active(&named));
+    assert!(!is_active("no such fault"));
+}
--- a/crates/settings/src/appliance/policy_settings.rs
+++ b/crates/settings/src/appliance/policy_settings.rs
@@ -89,7 +89,7 @@
 
 impl PlanConfig {
     fn to_policy(&self) -> policy::Plan {
-        let factor = if seeded_faults::breaks("ceilings") { SEEDED_FAULT_FACTOR } else { 1.0 };
+        let factor = if seeded_faults::is_active("ceilings") { SEEDED_FAULT_FACTOR } else { 1.0 };
         policy::Plan {
             rate: self.units_per_second * factor,
             burst: self.burst * factor,
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -174,7 +174,7 @@
 
     /// What to announce of a backend now.
     fn next_announcement(&self, state: &State, service: usize, entry: &Endpoint, now: Micros) -> Announced {
-        let takes_work = entry.eligible || seeded_faults::breaks("drained");
+        let takes_work = entry.eligible || seeded_faults::is_active("drained");
         let ready = takes_work && !state.ejected.contains(&self.name(service, &entry.instance.id));
         let stated = entry.instance.started_at.map(|ms| (ms * 1000).min(now));
         let started = match state.announced.get(&entry.number) {
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -61,10 +61,10 @@
 
 /// A build with seeded faults says so, and may end by itself; see the package `seeded_faults`.
 fn start_seeded_faults() {
-    if seeded_faults::BUILD {
+    if seeded_faults::ENABLED {
         eprintln!("snowfield: this build breaks a rule on purpose; it serves nobody");
     }
-    if seeded_faults::breaks("exits") {
+    if seeded_faults::is_active("exits") {
         std::thread::spawn(|| {
             std::thread::sleep(SEEDED_EXIT_AFTER);
             std::process::exit(0);
