--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -1,8 +1,8 @@
 //! Backends that drain get nothing new.
 
-use super::fault_spans::{AffectedSpans, Span, delayed_attempts};
+use super::fault_spans::{AffectedSpans, delayed_attempts};
 use super::{Bounds, Violation};
-use crate::history::{Observation, Record};
+use crate::history::{Observation, Record, Span};
 use serde_json::{Map, Value};
 use std::collections::HashMap;
 
--- a/crates/fault_injection/src/checkers/fault_spans.rs
+++ b/crates/fault_injection/src/checkers/fault_spans.rs
@@ -1,15 +1,8 @@
 //! When faults were on, and what they excuse.
 
-use crate::history::{Observation, Record};
+use crate::history::{Observation, Record, Span};
 use std::collections::HashMap;
 
-/// A span of time, us, both ends included.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Span {
-    pub(super) from_us: u64,
-    pub(super) to_us: u64,
-}
-
 /// A fault from its begin to its end.
 #[derive(Clone, Debug)]
 pub(super) struct FaultSpan<'a> {
@@ -57,7 +50,7 @@
         self.0.get(name).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a fault affected the gatekeeper at some time of this span.
+    /// Whether a fault affected the gatekeeper at some time of this span, its ends included.
     pub(super) fn overlap(&self, gatekeeper: &str, span: Span) -> bool {
         self.of_gatekeeper(gatekeeper)
             .iter()
--- a/crates/fault_injection/src/checkers/requests.rs
+++ b/crates/fault_injection/src/checkers/requests.rs
@@ -1,8 +1,8 @@
 //! Each request has one final answer.
 
-use super::fault_spans::{AffectedSpans, Span};
+use super::fault_spans::AffectedSpans;
 use super::{Bounds, Violation};
-use crate::history::{Observation, Outcome, Record};
+use crate::history::{Observation, Outcome, Record, Span};
 use std::collections::BTreeMap;
 
 const RULE: &str = "one final answer in time";
--- a/crates/fault_injection/src/history.rs
+++ b/crates/fault_injection/src/history.rs
@@ -2,12 +2,14 @@
 
 mod observation;
 mod recorder;
+mod span;
 
 #[cfg(test)]
 mod tests;
 
 pub use observation::{Observation, Outcome, Record};
 pub use recorder::Recorder;
+pub use span::Span;
 
 use crate::Error;
 use std::io::{self, Write};
--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -2,10 +2,10 @@
 
 use crate::requests::Requests;
 use crate::scenario::FAILOVER_BACKEND;
-use crate::timeline::{MemoryGrowth, SizeCost, Timeline};
+use crate::timeline::{Drain, MemoryGrowth, SizeCost, Timeline};
 use crate::{BACKENDS, CLIENTS, FLAPS};
 use fault_injection::checkers::{final_answers, unexpected_exits};
-use fault_injection::history::{Observation, Outcome, Record};
+use fault_injection::history::{Observation, Outcome, Record, Span};
 use fault_injection::site::Site;
 use system_tests::{Table, percentile, seconds};
 
@@ -51,8 +51,7 @@
 
     /// Returns how long after a drain the last request came, at worst, s.
     fn drains(&mut self) -> f64 {
-        let lag =
-            |drain: &crate::timeline::Drain| self.requests.last_arrival_after(&drain.backend, drain.span);
+        let lag = |drain: &Drain| self.requests.last_arrival_after(&drain.backend, drain.span);
         let mut lags: Vec<f64> = self.timeline.drains.iter().map(lag).collect();
         lags.sort_by(f64::total_cmp);
         let name = "last request come after the word of a drain, s: median of 20";
@@ -133,7 +132,7 @@
         let first_us = first.map(|answer| answer.at_us);
         let after = first_us.map_or(f64::INFINITY, |at_us| seconds(at_us - started_us));
         self.table.at_most("... first served after, s", after, 2.0);
-        let from_disk = |from_us| self.requests.served(crate::timeline::Span { from_us, ..restart }).share;
+        let from_disk = |from_us| self.requests.served(Span { from_us, ..restart }).share;
         let share = first_us.map_or(0.0, from_disk);
         self.table.at_least("... served share from then on", share, 0.999);
         let shown = self.timeline.status.contains("the list on disk");
--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -1,7 +1,6 @@
 //! What a history says of requests.
 
-use crate::timeline::Span;
-use fault_injection::history::{Observation, Outcome, Record};
+use fault_injection::history::{Observation, Outcome, Record, Span};
 use std::collections::HashSet;
 use system_tests::seconds;
 
--- a/crates/system_tests/src/bin/proof-catalogue/scenario.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/scenario.rs
@@ -1,9 +1,9 @@
 //! What happens to the catalogue, step by step.
 
 use crate::sizes;
-use crate::timeline::{Drain, Flapping, Outage, Span, Timeline, pause};
+use crate::timeline::{Drain, Flapping, Outage, Timeline, pause};
 use crate::{BACKENDS, CLIENTS, FLAPS, OUTAGE_S};
-use fault_injection::history::now_us;
+use fault_injection::history::{Span, now_us};
 use fault_injection::load::{Tenant, UNLIMITED_TENANT};
 use fault_injection::schedule::{DiskFault, FailureMode, FaultKind};
 use fault_injection::site::Site;
--- a/crates/system_tests/src/bin/proof-catalogue/sizes.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/sizes.rs
@@ -1,8 +1,8 @@
 //! What large catalogues cost, and memory over replaced ids.
 
 use crate::BACKENDS;
-use crate::timeline::{MemoryGrowth, SizeCost, Span, Timeline, pause};
-use fault_injection::history::{Observation, Record, now_us};
+use crate::timeline::{MemoryGrowth, SizeCost, Timeline, pause};
+use fault_injection::history::{Observation, Record, Span, now_us};
 use fault_injection::site::Site;
 use stand_in_consul::{CheckStatus, Service};
 use std::net::SocketAddr;
--- a/crates/system_tests/src/bin/proof-catalogue/timeline.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/timeline.rs
@@ -1,27 +1,8 @@
 //! What was done and when, to be looked up in the history at the end.
 
-use fault_injection::history::now_us;
+use fault_injection::history::{Span, now_us};
 use std::thread::sleep;
 use std::time::Duration;
-use system_tests::seconds;
-
-/// A span of the history, us.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Span {
-    pub(crate) from_us: u64,
-    pub(crate) to_us: u64,
-}
-
-impl Span {
-    /// From a time until now.
-    pub(crate) fn since(from_us: u64) -> Self {
-        Self { from_us, to_us: now_us() }
-    }
-
-    pub(crate) fn seconds(self) -> f64 {
-        seconds(self.to_us - self.from_us)
-    }
-}
 
 /// Lets so many seconds pass.
 pub(crate) fn pause(seconds: f64) -> Span {
--- a/crates/system_tests/src/bin/proof-duties/clock_offsets.rs
+++ b/crates/system_tests/src/bin/proof-duties/clock_offsets.rs
@@ -1,8 +1,9 @@
 //! Clocks apart by as much as is stated: two instances are killed, and the store loses its state.
 
-use crate::job_runs::{JobRuns, Span};
+use crate::job_runs::{JobRuns, span_of_faults};
 use crate::run_and_report;
 use crate::schedules::{INSTANCES, MAX_CLOCK_SKEW_MS, schedule, usual_jobs};
+use fault_injection::history::Span;
 use fault_injection::schedule::{FailureMode, Fault, FaultKind};
 use fault_injection::site::JOB_PERIOD_MS;
 use system_tests::{Error, Table};
@@ -36,8 +37,8 @@
     let result = run_and_report(&schedule("duties, clocks apart", LENGTH_MS, faults), table)?;
     let runs = JobRuns::of(&result.history);
     let jobs = usual_jobs();
-    let set_us = Span::of_faults(&result.history, &offset_indexes).from_us;
-    let lost_us = Span::of_faults(&result.history, &(loss_index..loss_index + 1)).to_us;
+    let set_us = span_of_faults(&result.history, &offset_indexes).from_us;
+    let lost_us = span_of_faults(&result.history, &(loss_index..loss_index + 1)).to_us;
     table.at_most("clocks 300 ms apart: rounds run twice", runs.repeated() as f64, 0.0);
     let missed = runs.missed(&jobs, Span { from_us: set_us + SETTLED_US, to_us: lost_us });
     table.at_most("... rounds missed in a row, two killed meanwhile", missed, 1.0);
--- a/crates/system_tests/src/bin/proof-duties/job_runs.rs
+++ b/crates/system_tests/src/bin/proof-duties/job_runs.rs
@@ -1,6 +1,6 @@
 //! Runs of periodic jobs in a history.
 
-use fault_injection::history::{Observation, Record};
+use fault_injection::history::{Observation, Record, Span};
 use fault_injection::site::JOB_PERIOD_MS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -9,26 +9,17 @@
 /// A job that is late by more periods than this at an end of a span has missed a run there.
 const MAX_LATE_PERIODS: f64 = 1.6;
 
-/// A span of a history, us.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Span {
-    pub(crate) from_us: u64,
-    pub(crate) to_us: u64,
-}
-
-impl Span {
-    /// From the begin of the first of these faults to the end of the last.
-    pub(crate) fn of_faults(history: &[Record], indexes: &Range<usize>) -> Self {
-        let times = |wanted: bool| {
-            history.iter().filter_map(move |record| match record.observation {
-                Observation::Fault { index, begins, .. } if begins == wanted && indexes.contains(&index) => {
-                    Some(record.at_us)
-                }
-                _ => None,
-            })
-        };
-        Self { from_us: times(true).min().unwrap_or(0), to_us: times(false).max().unwrap_or(0) }
-    }
+/// From the begin of the first of these faults to the end of the last.
+pub(crate) fn span_of_faults(history: &[Record], indexes: &Range<usize>) -> Span {
+    let times = |wanted: bool| {
+        history.iter().filter_map(move |record| match record.observation {
+            Observation::Fault { index, begins, .. } if begins == wanted && indexes.contains(&index) => {
+                Some(record.at_us)
+            }
+            _ => None,
+        })
+    };
+    Span { from_us: times(true).min().unwrap_or(0), to_us: times(false).max().unwrap_or(0) }
 }
 
 /// A run of a job.
--- a/crates/system_tests/src/bin/proof-duties/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-duties/single_clock.rs
@@ -1,12 +1,12 @@
 //! All phases, with clocks that agree.
 
-use crate::job_runs::{JobRuns, Span};
+use crate::job_runs::{JobRuns, span_of_faults};
 use crate::run_and_report;
 use crate::schedules::{
     HALF_KILLED, INSTANCES, JOBS, JOBS_CHANGED, ONE_LEAVES, Phase, STORE_EMPTY, STORE_SILENT, changed_jobs,
     half, phases, schedule, usual_jobs,
 };
-use fault_injection::history::{Observation, Record};
+use fault_injection::history::{Observation, Record, Span};
 use fault_injection::site::JOB_PERIOD_MS;
 use std::collections::BTreeSet;
 use system_tests::{Error, Table, percentile};
@@ -52,7 +52,7 @@
         let timed = phases.iter().map(|phase| {
             let first = next_index;
             next_index += phase.faults.len();
-            TimedPhase { name: phase.name, span: Span::of_faults(history, &(first..next_index)) }
+            TimedPhase { name: phase.name, span: span_of_faults(history, &(first..next_index)) }
         });
         let phases: Vec<TimedPhase> = timed.collect();
         let begin_us = phases[0].span.from_us;
--- a/crates/system_tests/src/gatekeeper.rs
+++ b/crates/system_tests/src/gatekeeper.rs
@@ -1,13 +1,11 @@
 //! A real gatekeeper as a child process.
 
+use fault_injection::wait::STEP_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{Receiver, channel};
-use std::time::{Duration, Instant};
-
-/// Longer than any log line or answer may take.
-pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+use std::time::Instant;
 
 /// Among the fields of `/proc/PID/stat` behind the name (proc(5)): user and system time, in ticks.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
