--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -8,7 +8,6 @@
 
 use crate::clocks::Clocks;
 use crate::event::Event;
-use crate::handle::OnEjectionChange;
 use crate::log_limiter::LogLimiter;
 use crate::run_executor::PendingRun;
 use crate::settings::{HttpJob, Settings};
@@ -25,6 +24,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
 
+/// Called with the ids of the backends ejected by health checks, whenever these change.
+pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
+
 /// The longest time between two ticks, in milliseconds; reports that become stale are noticed within it.
 const MAX_TICK_INTERVAL_MS: u64 = 100;
 /// Events that are handled between two ticks, beyond the first.
--- a/crates/cluster/src/handle.rs
+++ b/crates/cluster/src/handle.rs
@@ -1,12 +1,11 @@
 //! The handle through which the program uses the cluster's part.
 
 use crate::clocks::Clocks;
-use crate::coordinator::{Coordinator, Resources};
+use crate::coordinator::{Coordinator, OnEjectionChange, Resources};
 use crate::event::Event;
 use crate::settings::{Backend, HttpJob, Settings};
 use crate::{ClusterError, gossip_receiver, run_executor, store_client};
 use membership::authentication::Keyring;
-use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -21,9 +20,6 @@
 /// How long [`Cluster::leave`] waits for the session to end.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Called with the ids of the backends ejected by health checks, whenever these change.
-pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
-
 /// A handle to the coordinator.
 #[derive(Debug)]
 pub struct Cluster {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -19,6 +19,7 @@
 mod store_client;
 mod worker_pool;
 
+pub use coordinator::OnEjectionChange;
 pub use error::ClusterError;
-pub use handle::{Cluster, OnEjectionChange};
+pub use handle::Cluster;
 pub use settings::{Backend, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -1,6 +1,5 @@
 //! What a node is started with.
 
-use crate::view::ConfigView;
 use membership::authentication::Keyring;
 use replicated_config::ReplicaId;
 use std::net::SocketAddr;
@@ -57,6 +56,3 @@
 
 /// Validates a proposed text before the leader appends it to the log.
 pub type ProposalValidator = Box<dyn Fn(&str) -> Result<(), InvalidProposal> + Send>;
-
-/// Called with what the gatekeeper is to enforce, whenever that changes.
-pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
--- a/crates/config_node/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -16,7 +16,7 @@
 mod status;
 mod view;
 
-pub use config::{InvalidProposal, NodeConfig, ProposalValidator, ReplicaAddress, ViewListener};
+pub use config::{InvalidProposal, NodeConfig, ProposalValidator, ReplicaAddress};
 pub use connection::call;
 pub use error::Error;
 pub use node::Node;
@@ -25,4 +25,4 @@
     LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ProposalOutcome, RequestId, RolloutPhase,
     Version, VersionNumbers, VersionTexts,
 };
-pub use view::ConfigView;
+pub use view::{ConfigView, ViewListener};
--- a/crates/config_node/src/node.rs
+++ b/crates/config_node/src/node.rs
@@ -1,12 +1,12 @@
 //! The handle of a running node.
 
-use crate::config::{NodeConfig, ProposalValidator, ViewListener};
+use crate::config::{NodeConfig, ProposalValidator};
 use crate::connection;
 use crate::driver::Driver;
 use crate::error::Error;
 use crate::event::Event;
 use crate::message_io::SharedKeys;
-use crate::view::{SharedView, watch_lease};
+use crate::view::{SharedView, ViewListener, watch_lease};
 use membership::authentication::Keyring;
 use replicated_config::Message;
 use std::net::TcpListener;
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -1,7 +1,6 @@
 //! What the gatekeeper is to enforce, and until when. A thread of its own ends an expired lease: the thread that owns the node's
 //! state may be blocked for as long as its disk is, and the lease must expire all the same.
 
-use crate::config::ViewListener;
 use replicated_config::{Version, VersionNumbers, VersionTexts};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError, Weak};
 use std::time::{Duration, Instant};
@@ -9,6 +8,9 @@
 /// How often the thread that ends leases looks while none is about to expire.
 const WATCH_INTERVAL_MS: u64 = 500;
 
+/// Called with what the gatekeeper is to enforce, whenever that changes.
+pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
+
 /// What a gatekeeper is to enforce.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigView {
--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -1,6 +1,6 @@
 //! The client: it opens connections as calls need them, and follows the counter to another address.
 
-use crate::connection::{CounterConnection, WriteResult};
+use crate::connection::{CallEnded, CounterConnection, WriteResult};
 use crate::lane::{self, LANES, Lane, Queued};
 use exchange::{CounterCall, Exchange, QuotaCounter};
 use link::{Connection, locked, spawn};
@@ -12,9 +12,6 @@
 /// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Called at the end of a call, with its id, its outcome and the count's total (0 where the outcome is not [`Outcome::Ok`]).
-pub type CallEnded = Box<dyn Fn(u64, Outcome, f64) + Send + Sync>;
-
 /// The client of one counter.
 pub struct CounterClient {
     /// For the coroutines that run connections.
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -1,6 +1,5 @@
 //! A connection to the counter: it pipelines calls and matches answers to them in order.
 
-use crate::client::CallEnded;
 use crate::error::AnswerError;
 use crate::protocol::{self, Answer};
 use exchange::CounterCall;
@@ -10,6 +9,9 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
+/// Called at the end of a call, with its id, its outcome and the count's total (0 where the outcome is not [`Outcome::Ok`]).
+pub type CallEnded = Box<dyn Fn(u64, Outcome, f64) + Send + Sync>;
+
 /// Calls that may be unanswered on one connection, or wait for one that is being opened.
 pub(crate) const MAX_PENDING_CALLS: usize = 256;
 /// A connection with unanswered calls that was silent for so long counts as dead: a network that was cut says nothing.
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -9,4 +9,5 @@
 mod lane;
 mod protocol;
 
-pub use client::{CallEnded, CounterClient};
+pub use client::CounterClient;
+pub use connection::CallEnded;
--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -1,7 +1,7 @@
 //! How an attempt begins, and how it is cancelled.
 
 use crate::checkout::Checkout;
-use crate::connection::{ActiveAttempt, PooledConnection};
+use crate::pooled_connection::{ActiveAttempt, PooledConnection};
 use crate::pools::{BackendPools, Carrier};
 use crate::protocol::Protocol;
 use exchange::{Attempt, AttemptId, Backends};
--- a/crates/destination/src/checkout.rs
+++ b/crates/destination/src/checkout.rs
@@ -1,6 +1,6 @@
 //! Which connection an attempt gets.
 
-use crate::connection::PooledConnection;
+use crate::pooled_connection::PooledConnection;
 use crate::pools::{BackendPools, Carrier, IdleConnection, PoolsState};
 use crate::protocol::Protocol;
 use exchange::Attempt;
--- a/crates/destination/src/lib.rs
+++ b/crates/destination/src/lib.rs
@@ -10,15 +10,17 @@
 //! | `pools` | [`BackendPools`]: endpoints, limits, operator ejections |
 //! | `checkout` | which connection an attempt gets, or whether a new one is made |
 //! | `attempt` | how an attempt begins, on an idle connection or a new one |
-//! | `connection` | reading answers until a connection ends |
+//! | `pooled_connection` | a connection and the attempt on it |
+//! | `read_answers` | reading answers until a connection ends |
 //! | `streaming` | an answer that is passed on while it arrives |
 
 mod attempt;
 mod checkout;
-mod connection;
 mod http;
+mod pooled_connection;
 mod pools;
 mod protocol;
+mod read_answers;
 mod resp;
 mod streaming;
 
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -1,6 +1,6 @@
 //! The pools of all backends.
 
-use crate::connection::PooledConnection;
+use crate::pooled_connection::PooledConnection;
 use crate::protocol::Protocol;
 use exchange::{AttemptEnd, AttemptId, Exchange, StreamBudget};
 use link::locked;
--- a/crates/destination/src/connection.rs
+++ b/crates/destination/src/read_answers.rs
@@ -1,42 +1,17 @@
-//! Connections, and reading answers until they end.
+//! Reading answers until a connection ends.
 
+use crate::pooled_connection::{MAX_READ, PooledConnection};
 use crate::pools::BackendPools;
 use crate::protocol::{Parsed, Protocol};
 use exchange::{AttemptEnd, AttemptId};
-use link::{Connection, Incoming, locked};
-use policy::{BackendId, Outcome};
-use std::net::SocketAddr;
+use link::{Incoming, locked};
+use policy::Outcome;
+use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use std::sync::{Arc, Mutex};
 
-/// Bytes of one read at most.
-pub(crate) const MAX_READ: usize = 8 * 1024;
 /// A buffer larger than this is freed once its answer is complete.
 const MAX_KEPT_BUFFER: usize = 32 * 1024;
 
-/// A connection to a backend.
-pub(crate) struct PooledConnection<Q> {
-    pub(crate) socket: Connection,
-    pub(crate) backend: BackendId,
-    pub(crate) address: SocketAddr,
-    /// The attempt that it carries.
-    pub(crate) attempt: Mutex<Option<ActiveAttempt<Q>>>,
-}
-
-/// The attempt on a connection.
-pub(crate) struct ActiveAttempt<Q> {
-    pub(crate) id: AttemptId,
-    pub(crate) payload: Arc<Q>,
-    /// Its last byte is with the system.
-    pub(crate) is_written: bool,
-}
-
-impl<Q> PooledConnection<Q> {
-    pub(crate) fn new(socket: Connection, backend: BackendId, address: SocketAddr) -> Self {
-        Self { socket, backend, address, attempt: Mutex::new(None) }
-    }
-}
-
 impl<P: Protocol> BackendPools<P> {
     /// Reads answers until the connection ends.
     pub(crate) fn serve(&self, connection: &Arc<PooledConnection<P::Payload>>) {
--- a/crates/destination/src/streaming.rs
+++ b/crates/destination/src/streaming.rs
@@ -1,6 +1,6 @@
 //! Answers that are passed on while they arrive.
 
-use crate::connection::{MAX_READ, PooledConnection};
+use crate::pooled_connection::{MAX_READ, PooledConnection};
 use crate::pools::BackendPools;
 use crate::protocol::{Protocol, StreamedAnswer};
 use exchange::{AttemptEnd, AttemptId, StreamEnd, StreamWriter, open_stream};
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -8,5 +8,5 @@
 mod response;
 mod watch;
 
-pub use poll_backoff::PollBackoff;
-pub use watch::{SILENCE_TIMEOUT, Watch, WatchEvent};
+pub use poll_backoff::{PollBackoff, SILENCE_TIMEOUT};
+pub use watch::{Watch, WatchEvent};
--- a/crates/discovery/src/poll_backoff.rs
+++ b/crates/discovery/src/poll_backoff.rs
@@ -11,9 +11,11 @@
 //! fails for want of a response, another pause, and the request that succeeds: 3 + 0.57 + 1 + 0.57 s at the worst, and two ticks of
 //! the clock.
 
-use crate::watch::SILENCE_TIMEOUT;
 use std::time::Duration;
 
+/// The agent writes a line every 2 s, be it an empty one: a watch that got none for this long is broken. Endpoints that it misses
+/// count as known 6 s after it fell silent, and before that one more request may fail ([`PollBackoff`] has the sum).
+pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The longest pause after a watch that worked.
 const MAX_PAUSE_AFTER_SUCCESS: Duration = Duration::from_millis(200);
 /// The mean pause after the first failure where the agent must poll: requests fail after they have waited for seconds, so what is
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,7 +1,7 @@
 //! The watch: it follows the agent's response, notices silence, and requests the watch again when it has ended.
 
 use crate::error::WatchError;
-use crate::poll_backoff::PollBackoff;
+use crate::poll_backoff::{PollBackoff, SILENCE_TIMEOUT};
 use crate::response::{BodyItem, Response};
 use link::{Connection, Incoming, locked};
 use settings::EndpointList;
@@ -10,9 +10,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The agent writes a line every 2 s, be it an empty one: a watch that got none for this long is broken. Endpoints that it misses
-/// count as known 6 s after it fell silent, and before that one more request may fail ([`PollBackoff`] has the sum).
-pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How soon a pause notices that the agent has another address.
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,10 +1,9 @@
 //! Admission: whether a request is forwarded, rejected, or waits for a fresh total of its tenant's count.
 
 use crate::action::{Action, RejectReason};
-use crate::concurrency_limit::EARLY_PART;
-use crate::ids::{Micros, RequestId};
+use crate::ids::{Micros, RequestId, SECOND};
 use crate::state::{Request, TenantBucket};
-use crate::state_machine::{Actions, Policy, SECOND};
+use crate::state_machine::{Actions, Policy};
 use crate::timer_token::deadline_token;
 
 /// Part of a cap on attempts in flight that all gatekeepers together aim at: what goes out above the cap
@@ -126,7 +125,7 @@
         let quota = -self.headroom(bucket, request).units / plan.rate;
         let ceiling = (request.cost - bucket.ceiling_level) / plan.ceiling_rate;
         // A retry finds capacity at any of the tenant's gatekeepers, so only the lag of late answers counts.
-        let lag = (self.pool.objective_part - EARLY_PART).max(0.0) * self.pool.mean_latency / SECOND;
+        let lag = (self.pool.objective_part - Self::EARLY_PART).max(0.0) * self.pool.mean_latency / SECOND;
         let capacity = if self.has_capacity(request) { 0.0 } else { lag };
         let waits = [quota, ceiling, capacity].into_iter().filter(|wait| wait.is_finite());
         let wait = (waits.fold(0.0, f64::max) * SECOND) as Micros;
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -11,9 +11,8 @@
 
 /// Part of the objective after which a hedged request is worth its work.
 const HEDGE_PART: f64 = 0.4;
-/// Retries that an admitted request adds to the budget, and the largest budget.
+/// Retries that an admitted request adds to the budget.
 const BUDGET_PER_REQUEST: f64 = 0.1;
-pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
 /// Budget that a hedged request takes. A failed attempt has to be made again, and takes one; a slow one
 /// mostly still answers, and its work goes on though it is cancelled.
 const HEDGE_COST: f64 = 5.0;
@@ -21,8 +20,11 @@
 const DEDUP_MARGIN: f64 = 0.15;
 
 impl Policy {
+    /// Retries that the budget holds at the most.
+    pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
+
     pub(crate) fn earn_retry_budget(&mut self) {
-        self.retry_budget = (self.retry_budget + BUDGET_PER_REQUEST).min(MAX_RETRY_BUDGET);
+        self.retry_budget = (self.retry_budget + BUDGET_PER_REQUEST).min(Self::MAX_RETRY_BUDGET);
     }
 
     /// A number for the backends that share idempotency keys with this one.
--- a/crates/policy/src/bucket_estimator.rs
+++ b/crates/policy/src/bucket_estimator.rs
@@ -6,10 +6,9 @@
 //! name in order, so an answer also tells the level just before the call: a write-off that was too large, because another
 //! gatekeeper had made it already, is known by its own answer and taken back.
 
-use crate::ids::{Micros, TenantId};
+use crate::ids::{Micros, SECOND, TenantId};
 use crate::settings::Plan;
 use crate::state::{BucketView, CountTotal, TenantBucket, mix};
-use crate::state_machine::SECOND;
 
 /// us; how long the name of a count is used (the design's epoch). Totals are read as differences and buckets refill smoothly, so
 /// a long epoch only means fewer changes of name. A name lives for two, 60 s at most.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,14 +1,11 @@
 //! Concurrency limit: how many attempts this gatekeeper may have in flight, and which work may use the last
 //! of it.
 
-use crate::ids::Micros;
+use crate::ids::{Micros, SECOND};
 use crate::state::{Attempt, Request};
-use crate::state_machine::{Policy, SECOND};
+use crate::state_machine::Policy;
 
-/// Mean latency as a part of the objective: below the first the limit grows, above the second it shrinks.
-/// Latencies spread to three times their mean, so a mean of half the objective already means many late
-/// answers.
-pub(crate) const EARLY_PART: f64 = 0.3;
+/// Mean latency as a part of the objective above which the limit shrinks.
 const LATE_PART: f64 = 0.45;
 /// Factor on the limit for each round of late answers.
 const DECREASE_FACTOR: f64 = 0.8;
@@ -33,6 +30,10 @@
 }
 
 impl Policy {
+    /// Mean latency as a part of the objective below which the limit grows. Latencies spread to three times
+    /// their mean, so a mean of half the objective already means many late answers.
+    pub(crate) const EARLY_PART: f64 = 0.3;
+
     pub(crate) fn capacity(&self) -> Capacity {
         let per_backend = MAX_PER_BACKEND / f64::from(self.settings.gatekeepers);
         let even_share = per_backend * self.pool.ready.len() as f64;
@@ -79,7 +80,7 @@
             let lower_bound = MIN_PER_BACKEND / MAX_PER_BACKEND * capacity.even_share;
             pool.concurrency_limit = (limit * DECREASE_FACTOR).max(lower_bound);
             pool.limit_reduced_at = now;
-        } else if pool.objective_part < EARLY_PART {
+        } else if pool.objective_part < Self::EARLY_PART {
             pool.concurrency_limit = (limit + (1.0 / limit).min(limit)).min(capacity.upper_bound);
         }
     }
--- a/crates/policy/src/estimates.rs
+++ b/crates/policy/src/estimates.rs
@@ -1,10 +1,9 @@
 //! Estimates of latency, warm-up and rates that the decisions are made by: no decision itself.
 
-use crate::concurrency_limit::EARLY_PART;
 use crate::event::Outcome;
-use crate::ids::{BackendId, Micros};
+use crate::ids::{BackendId, Micros, SECOND};
 use crate::state::{Backend, EndedAttempt};
-use crate::state_machine::{Policy, SECOND};
+use crate::state_machine::Policy;
 
 /// Long-term over short-term p95 latency below which the backends are overloaded (the design).
 pub(crate) const MIN_LATENCY_RATIO: f64 = 0.3;
@@ -64,7 +63,7 @@
     pub(crate) fn record_latency(&mut self, attempt: EndedAttempt) {
         let elapsed = attempt.elapsed as f64;
         self.pool.mean_latency += MEAN_WEIGHT * (elapsed - self.pool.mean_latency);
-        let is_early = self.pool.objective_part < EARLY_PART;
+        let is_early = self.pool.objective_part < Self::EARLY_PART;
         let stats = &mut self.class_stats[attempt.class];
         let relative = (elapsed / stats.mean_latency).clamp(BEST_LATENCY, WORST_LATENCY);
         let is_normal = self.latency_trend.add(relative, is_early, 2.0 * MIN_LATENCY_RATIO, self.now);
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -3,9 +3,9 @@
 
 use crate::counter_sync::REPORT_DELAY;
 use crate::headroom::Headroom;
-use crate::ids::{Micros, RequestId, TenantId};
+use crate::ids::{Micros, RequestId, SECOND, TenantId};
 use crate::state::{Request, TenantBucket};
-use crate::state_machine::{Policy, SECOND};
+use crate::state_machine::Policy;
 
 /// Uncertain units that count, in standard deviations.
 const UNCERTAINTY_DEVIATIONS: f64 = 2.0;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: how much a backend that has just started is sent by this gatekeeper.
 
-use crate::ids::BackendId;
+use crate::ids::{BackendId, SECOND};
 use crate::state::Backend;
-use crate::state_machine::{Policy, SECOND};
+use crate::state_machine::Policy;
 
 /// Standard deviations that are left free in what a backend in slow start is sent.
 const RESERVED_DEVIATIONS: f64 = 2.0;
--- a/crates/policy/src/state/counter.rs
+++ b/crates/policy/src/state/counter.rs
@@ -2,9 +2,8 @@
 
 use crate::action::Notice;
 use crate::event::Outcome;
-use crate::ids::Micros;
+use crate::ids::{Micros, SECOND};
 use crate::settings::Settings;
-use crate::state_machine::SECOND;
 use serde::{Deserialize, Serialize};
 
 /// Microseconds between two calls, of one gatekeeper at the least and of all together before the counter's latency has told what
--- a/crates/policy/src/state/tenant.rs
+++ b/crates/policy/src/state/tenant.rs
@@ -1,9 +1,8 @@
 //! One tenant's quota.
 
 use super::Request;
-use crate::ids::{Micros, RequestId};
+use crate::ids::{Micros, RequestId, SECOND};
 use crate::settings::Settings;
-use crate::state_machine::SECOND;
 use serde::{Deserialize, Serialize};
 
 /// One tenant's token buckets as this gatekeeper knows them. The order of the fields is part of the form of a snapshot.
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -1,19 +1,14 @@
 //! The state machine: its state, and the entry point that hands each event to the module that decides.
 
 use crate::action::Action;
-use crate::attempts::MAX_RETRY_BUDGET;
-use crate::concurrency_limit::EARLY_PART;
 use crate::event::{Event, ListKind, Outcome};
-use crate::ids::{BackendId, Micros, RequestId, TenantId};
+use crate::ids::{BackendId, Micros, RequestId, SECOND, TenantId};
 use crate::latency_trend::LatencyTrend;
 use crate::settings::{Plan, Settings, SettingsError};
 use crate::state::{Backend, BackendPool, ClassStats, CounterHealth, Request, TenantBucket};
 use crate::timer_token::TOKEN_TICK;
-use crate::timers::TICK;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds a second.
-pub(crate) const SECOND: f64 = 1e6;
 /// Part of the latency objective that is assumed as the mean latency before any answer.
 const INITIAL_LATENCY_PART: f64 = 0.2;
 
@@ -81,7 +76,7 @@
                 .map(|class| new_class_stats(class.latency_objective))
                 .collect(),
             max_weight: max_weight(&settings),
-            retry_budget: MAX_RETRY_BUDGET / 2.0,
+            retry_budget: Self::MAX_RETRY_BUDGET / 2.0,
             next_poll: now,
             pool: pools[0].clone(),
             active_service: 0,
@@ -96,7 +91,7 @@
         self.now = self.now.max(now);
         if !self.ticking {
             self.ticking = true;
-            out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
+            out.push(Action::Timer { after: Self::TICK, token: TOKEN_TICK });
         }
         match event {
             Event::Endpoints { kind: ListKind::Failed, .. } => self.next_poll = self.now + SECOND as Micros,
@@ -182,7 +177,7 @@
     let latency = objective as f64 * INITIAL_LATENCY_PART;
     let pool = BackendPool {
         measured_at: now,
-        objective_part: EARLY_PART,
+        objective_part: Policy::EARLY_PART,
         mean_latency: latency,
         mean_attempt_time: latency,
         ..BackendPool::default()
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -7,14 +7,15 @@
 use crate::state_machine::{Actions, Policy};
 use crate::timer_token::{TOKEN_TICK, TimerKind};
 
-/// us; period of reporting spend and of looking for silent backends. Short against every objective.
-pub(crate) const TICK: Micros = 20_000;
 /// us; period of the work over all backends and tenants: too expensive for each tick of large fleets.
 const POOL_TICK: Micros = 200_000;
 /// A tenant's bucket is dropped after this many epochs without a request.
 const IDLE_EPOCHS: Micros = 3;
 
 impl Policy {
+    /// us; period of reporting spend and of looking for silent backends. Short against every objective.
+    pub(crate) const TICK: Micros = 20_000;
+
     pub(crate) fn on_timer(&mut self, token: u64, out: &mut Actions) {
         match TimerKind::of(token) {
             TimerKind::Deadline { request } => self.answer(request, out),
@@ -24,7 +25,7 @@
     }
 
     fn on_tick(&mut self, out: &mut Actions) {
-        out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
+        out.push(Action::Timer { after: Self::TICK, token: TOKEN_TICK });
         // From anywhere in the order, so that a shortage of calls does not starve the same tenants.
         let from = TenantId(self.rng.u64(..));
         self.report_spend(from, out);
--- a/crates/replicated_config/src/lease.rs
+++ b/crates/replicated_config/src/lease.rs
@@ -7,17 +7,7 @@
 pub use client::{AddressedRequest, LeaseClient};
 pub use table::LeaseTable;
 
-use serde::{Deserialize, Serialize};
-
-/// How far the rollout of a version is.
-#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum RolloutPhase {
-    /// Proposed: enforced together with the version before it, taking the stricter value of each setting.
-    #[default]
-    Proposed,
-    /// In force: enforced alone.
-    InForce,
-}
+use crate::rollout_phase::RolloutPhase;
 
 /// The latest version and its rollout phase. Ordered by the progress of the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/replicated_config/src/lease/client/tests.rs
+++ b/crates/replicated_config/src/lease/client/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::lease::RolloutPhase;
+use crate::rollout_phase::RolloutPhase;
 
 const LEASE_DURATION_MS: u64 = 3_000;
 
--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -26,14 +26,16 @@
 mod raft_message;
 mod raft_storage;
 mod replica;
+mod rollout_phase;
 mod state;
 
 pub use error::Error;
 pub use ids::{ProposalId, ReplicaId, RequestId};
-pub use lease::{AddressedRequest, LatestVersion, LeaseClient, LeaseTable, RolloutPhase};
+pub use lease::{AddressedRequest, LatestVersion, LeaseClient, LeaseTable};
 pub use limits::{MAX_MESSAGE_BYTES, MAX_TEXT_BYTES};
 pub use log::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
 pub use message::{LeaseRequest, LeaseResponse, Message, VersionNumbers, VersionTexts};
 pub use raft_message::RaftMessage;
 pub use replica::{Envelope, Progress, Ready, Replica};
+pub use rollout_phase::RolloutPhase;
 pub use state::{Command, ConfigState, Proposal, ProposalOutcome, Version};
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -2,9 +2,9 @@
 
 use crate::error::Error;
 use crate::ids::{ProposalId, ReplicaId, RequestId};
-use crate::lease::RolloutPhase;
 use crate::limits::MAX_MESSAGE_BYTES;
 use crate::raft_message::RaftMessage;
+use crate::rollout_phase::RolloutPhase;
 use crate::state::{Proposal, ProposalOutcome, Version};
 use serde::{Deserialize, Serialize};
 
--- a/crates/replicated_config/src/replica/apply.rs
+++ b/crates/replicated_config/src/replica/apply.rs
@@ -1,10 +1,11 @@
 //! Processes what the Raft library has ready: persists records, applies committed commands, answers confirmed reads.
 
 use super::{Activation, MAX_RETAINED_ENTRIES, Replica};
-use crate::lease::{LeaseTable, RolloutPhase};
+use crate::lease::LeaseTable;
 use crate::log::{HardState, LogEntry, LogRecord, Snapshot};
 use crate::message::{LeaseRequest, LeaseResponse, Message, VersionTexts};
 use crate::raft_message::RaftMessage;
+use crate::rollout_phase::RolloutPhase;
 use crate::state::{Command, Version};
 use raft::{StateRole, eraftpb};
 
