--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -139,7 +139,7 @@
     ReplicaLog(#[source] config_node::Error),
     /// The ACL token of Consul cannot be used.
     #[error("consul: token_file: {0}")]
-    ConsulToken(String),
+    ConsulToken(#[source] consul::TokenError),
     /// A watch on Consul could not be started.
     #[error("consul: {0}")]
     ConsulWatch(#[source] io::Error),
