--- a/crates/snowfield/src/error/tests.rs
+++ b/crates/snowfield/src/error/tests.rs
@@ -25,6 +25,7 @@
     let source_of_policy = policy::Settings { gatekeepers: 0, ..policy::Settings::default() };
     let source_of_policy = source_of_policy.validate().expect_err("no gatekeeper");
     let policy_text = format!("/etc/snowfield/a.toml: {source_of_policy}");
+    assert_eq!(Error::from(source_of_policy.clone()).to_string(), source_of_policy.to_string());
     let keyring = membership::authentication::Keyring::parse("").expect_err("no key");
     assert_texts([
         (Error::NoConfigFile, "BALANCER_CONFIG names no configuration file"),
@@ -90,6 +91,10 @@
             Error::from(config_node::Error::Listen { address, source: refused() }),
             "agreed: cannot listen on 127.0.0.1:9600: connection refused",
         ),
+        (
+            Error::from(cluster::ClusterError::BindGossip { address, source: refused() }),
+            "cluster: gossip on 127.0.0.1:9600: connection refused",
+        ),
         (
             Error::ReplicaLog(config_node::Error::LogExists { path: "m0.log".into() }),
             "m0.log: there is a log already; it is left as it is",
