--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -568,7 +568,7 @@
     let mut known = Client::connect(site.listen);
     assert_eq!(known.ask(&get("/v1/loans/2")).status(), 200);
     all_requests(&seen);
-    site.program.signal("-STOP");
+    site.program.suspend();
     known.send(&[get("/v1/loans/gone"), get("/v1/loans/gone")].concat().into_bytes());
     let mut new = Client::connect(site.listen);
     new.send(get("/v1/loans/gone").as_bytes());
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -188,7 +188,7 @@
     programs.remove(0);
     rounds(5);
     // One pauses for several periods, while the other takes over, and continues.
-    programs[0].signal("-STOP");
+    programs[0].suspend();
     rounds(5);
     programs[0].signal("-CONT");
     rounds(3);
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -81,6 +81,24 @@
         assert!(done.expect("kill runs").success());
     }
 
+    /// Suspends all its threads, and returns when they are: the signal alone takes effect after `kill` has returned.
+    pub fn suspend(&self) {
+        self.signal("-STOP");
+        while !self.is_suspended() {
+            std::thread::yield_now();
+        }
+    }
+
+    /// Whether every thread is in the state T of `/proc`.
+    fn is_suspended(&self) -> bool {
+        let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
+        threads.flatten().all(|thread| {
+            let stat = std::fs::read_to_string(thread.path().join("stat")).unwrap_or_default();
+            // The name of the thread, in parentheses, may hold anything.
+            stat.rsplit_once(") ").is_none_or(|(_, rest)| rest.starts_with('T'))
+        })
+    }
+
     /// Memory that it holds now.
     pub fn memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
--- a/crates/snowfield/tests/endings.rs
+++ b/crates/snowfield/tests/endings.rs
@@ -38,7 +38,7 @@
     known.send(&resp_command(&["PING"]));
     assert_eq!(known.reply(), "+PONG");
 
-    site.program.signal("-STOP");
+    site.program.suspend();
     known.send(&query_of_another_tenant(100));
     let mut new = Client::connect(site.listen);
     new.send(&query_of_another_tenant(101));
@@ -341,7 +341,7 @@
     all_requests(&seen);
     // One that says nothing ends after 2 s: then all others have been idle for as long.
     assert!(Client::connect(site.listen).ended());
-    site.program.signal("-STOP");
+    site.program.suspend();
     let newcomers: Vec<Client> = (0..100).map(|_| Client::connect(site.listen)).collect();
     for (client, number) in idle.iter_mut().zip(1_000..) {
         client.send(&query_of_another_tenant(number));
