--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -89,3 +89,6 @@
         within.filter(|line| line.text.contains(text)).count()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/system_tests/src/bin/proof-duties/job_runs.rs
+++ b/crates/system_tests/src/bin/proof-duties/job_runs.rs
@@ -130,3 +130,6 @@
 fn periods(us: u64) -> f64 {
     us as f64 / (1_000 * JOB_PERIOD_MS) as f64
 }
+
+#[cfg(test)]
+mod tests;
