--- a/crates/system_tests/src/bin/proof-agreed/schedules.rs
+++ b/crates/system_tests/src/bin/proof-agreed/schedules.rs
@@ -155,3 +155,6 @@
     faults.sort_by_key(|fault| fault.start_ms);
     schedule(&format!("agreed, seed {seed}"), seed, gatekeepers, faults)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/system_tests/src/bin/proof-duties/schedules.rs
+++ b/crates/system_tests/src/bin/proof-duties/schedules.rs
@@ -107,3 +107,6 @@
     ];
     phases.into_iter().map(|(name, faults)| Phase { name, faults }).collect()
 }
+
+#[cfg(test)]
+mod tests;
