--- a/crates/fault_injection/src/wire.rs
+++ b/crates/fault_injection/src/wire.rs
@@ -100,3 +100,6 @@
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n${}\r\n{LOAD_REPORT}\r\n", value.len(), LOAD_REPORT.len())
         .into_bytes()
 }
+
+#[cfg(test)]
+mod tests;
