--- a/Makefile
+++ b/Makefile
@@ -43,7 +43,7 @@
 proof-faults: build
 	target/release/proof-faults --schedules 200
 
-# Each checker of the rig against a build that breaks its rule on purpose. About two minutes.
+# Each checker of the fault-injection harness against a build that breaks its rule on purpose. About two minutes.
 proof-checkers: build
 	cargo build --release --locked -p snowfield --features weakened --target-dir target/weakened
 	target/release/proof-checkers target/weakened/release/snowfield
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -261,7 +261,7 @@
 
 /// A counter that comes back empty gets what all wrote off before once more, from each gatekeeper that asks before it hears of
 /// the others. Two that did so at once once took each other's for spend: a debt of ten bursts and more, that they let fill
-/// without another look. On the rig two of twelve rejected a tenant that used a quarter of its quota for 36 s.
+/// without another look. Under injected faults two of twelve rejected a tenant that used a quarter of its quota for 36 s.
 #[test]
 fn a_counter_that_comes_back_empty_starves_no_tenant() {
     for seed in 0..24 {
