--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -36,15 +36,15 @@
         if !is_shared || bucket.call_in_flight.is_some() || nothing_to_report {
             return bucket.call_in_flight.is_some();
         }
+        let (rate, burst) = (plan.rate, plan.burst);
         if !self.take_call_token(awaited) {
             return false;
         }
-        let plan = &self.settings.plans[self.tenants[&tenant].plan];
-        let (name, age) = count_name(tenant, plan.rate, now);
+        let (name, age) = count_name(tenant, rate, now);
         let last_call_answered = self.counter.failures == 0;
-        let refilled = plan.rate * age as f64 / SECOND;
+        let refilled = rate * age as f64 / SECOND;
         let Some(bucket) = self.tenants.get_mut(&tenant) else { return false };
-        let units = bucket.start_call(plan.burst, name, refilled, now, last_call_answered);
+        let units = bucket.start_call(burst, name, refilled, now, last_call_answered);
         self.unreported_tenants.remove(&tenant);
         self.counter_calls.insert(name, tenant);
         out.push(Action::CounterAdd { name, units, ttl: 2 * EPOCH });
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -187,7 +187,7 @@
 }
 
 /// The largest weight over all classes and plans.
-pub(crate) fn max_weight(settings: &Settings) -> f64 {
+fn max_weight(settings: &Settings) -> f64 {
     let class_weight = settings.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
     let plan_factor = settings.plans.iter().map(|plan| plan.priority_factor).fold(0.0, f64::max);
     class_weight * plan_factor
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -35,8 +35,8 @@
             for service in self.services() {
                 self.activate_pool(service);
                 self.update_pool();
-                self.drop_idle_tenants();
             }
+            self.drop_idle_tenants();
         }
         if self.settings.polls_endpoints && self.now >= self.next_poll {
             self.next_poll = self.now + self.settings.poll_interval / 2;
