--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`LeaseClient`] is a gatekeeper's lease on the latest version; [`LeaseTable`] is the leader's record of granted leases.
 //! - [`Message`] is what nodes exchange, and [`DurableState`] what a replica keeps on disk.
 //!
-//! docs/design/agreed.md explains the protocol and its reasons.
+//! docs/design/replicated-config.md explains the protocol and its reasons.
 //!
 //! Invariants:
 //!
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -1,5 +1,5 @@
 //! Hot restarts: this process takes over from its predecessor, and later gives way to its successor. `handover` has the
-//! messages, docs/design/operation.md the order of steps.
+//! messages, docs/design/operations.md the order of steps.
 
 mod predecessor;
 mod successor;
--- a/crates/snowfield/tests/endings.rs
+++ b/crates/snowfield/tests/endings.rs
@@ -1,4 +1,4 @@
-//! The instants in which a connection or a program ends while something is still owed (docs/design/endings.md). What must
+//! The instants in which a connection or a program ends while something is still owed (docs/design/shutdown-and-cancellation.md). What must
 //! cross is made to: a stopped program reads nothing, so all that was done meanwhile is there at once when it goes on.
 
 mod common;
