--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run check doc limits faults sites proof-agreed proof-faults proof-checkers proof-duties proof-catalogue \
+.PHONY: build test lint run check doc limits faults sites proof-replicated-config proof-faults proof-checkers proof-periodic-jobs proof-catalogue \
         proof-compatibility proof-membership proof-platform-cost proof-soak proof-soak-checkers proof-timing soak
 
 # The widest line of the decision module.
@@ -66,18 +66,18 @@
 	done
 
 # Agreed versions on real programs: the hard cases and 200 drawn courses of 14 s. About six minutes on 6 cores.
-proof-agreed: build
-	target/release/proof-agreed 200
+proof-replicated-config: build
+	target/release/proof-replicated-config 200
 
 # Membership in simulated time up to 1,000: starts, mass deaths, splits. About eight minutes.
 proof-membership: build
 	target/release/proof-membership
 
 # Shared duties: the model in full, the pure modules up to 300 instances, and real programs. About four minutes.
-proof-duties: build
+proof-periodic-jobs: build
 	cargo test --release --locked -p job_lease --test model -- --ignored --nocapture
-	target/release/proof-duties-simulated
-	target/release/proof-duties
+	target/release/proof-periodic-jobs-simulated
+	target/release/proof-periodic-jobs
 
 # Consul's catalogue: drains, outages, flaps, restarts and sizes on the real program. About six minutes.
 proof-catalogue: build
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -338,7 +338,7 @@
 }
 
 #[test]
-#[ignore = "takes minutes: part of `make proof-duties`"]
+#[ignore = "takes minutes: part of `make proof-periodic-jobs`"]
 fn all_sizes() {
     check_sizes(&[[0, 0, 0], [1, 0, 0], [1, 1, 0]], &[size(0, 2, 5), size(1, 1, 5)]);
 }
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -1,5 +1,5 @@
 //! Shared duties and probes in the real program, with stand-ins for Consul, the destinations and the duties' target. The
-//! long form is `make proof-duties`.
+//! long form is `make proof-periodic-jobs`.
 
 mod common;
 
--- a/crates/snowfield/tests/agreed.rs
+++ b/crates/snowfield/tests/replicated_config.rs
@@ -1,4 +1,4 @@
-//! Plans that three real programs agree on, changed by the command line. The long form is `make proof-agreed`.
+//! Plans that three real programs agree on, changed by the command line. The long form is `make proof-replicated-config`.
 
 mod common;
 
--- a/crates/system_tests/src/bin/proof-duties-simulated.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
@@ -1,5 +1,5 @@
 //! The pure modules of shared periodic jobs in simulated time, from 10 to 300 instances with ten jobs each: a tenth of all
-//! datagrams lost, then half of the instances killed. Shows how the cost grows. `proof-duties-simulated [INSTANCES
+//! datagrams lost, then half of the instances killed. Shows how the cost grows. `proof-periodic-jobs-simulated [INSTANCES
 //! [GOSSIP_PERIOD_MS]]`.
 
 use cluster_simulation::{Simulation, SimulationConfig};
--- a/crates/system_tests/src/bin/proof-agreed/main.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/main.rs
@@ -1,5 +1,5 @@
 //! The replicated configuration on real gatekeepers under injected faults: which version each acted on and when, by its own log
-//! with the machine's clock, and how long a change takes. `proof-agreed [SCHEDULES [FIRST_SEED [BUILD]]]`.
+//! with the machine's clock, and how long a change takes. `proof-replicated-config [SCHEDULES [FIRST_SEED [BUILD]]]`.
 
 mod schedules;
 mod totals;
