--- a/crates/cluster/src/coordinator/gossip.rs
+++ b/crates/cluster/src/coordinator/gossip.rs
@@ -2,6 +2,7 @@
 
 use super::Coordinator;
 use crate::job_names;
+use crate::log_limiter::LogPermit;
 use crate::settings::Gossip;
 use health_check::HealthReport;
 use membership::{Member, Membership, Output};
@@ -43,9 +44,13 @@
         let failures = membership.counts().authentication_failures;
         if failures > self.authentication_failures {
             self.authentication_failures = failures;
-            if let Some(more) = self.log_limiter.suffix("authentication", now.monotonic_ms) {
+            if let Some(LogPermit { suppressed }) =
+                self.log_limiter.permit("authentication", now.monotonic_ms)
+            {
                 tracing::warn!(
-                    "cluster: a datagram with a wrong or old key was dropped; {failures} so far{more}"
+                    count = failures,
+                    suppressed,
+                    "datagram dropped, message authentication failed"
                 );
             }
         }
@@ -71,10 +76,10 @@
                     }
                 }
                 Output::Rejoined { .. } => {
-                    if let Some(more) = self.log_limiter.suffix("rejoined", now.monotonic_ms) {
-                        tracing::warn!(
-                            "cluster: the other members had declared this instance dead; it has rejoined{more}"
-                        );
+                    if let Some(LogPermit { suppressed }) =
+                        self.log_limiter.permit("rejoined", now.monotonic_ms)
+                    {
+                        tracing::warn!(suppressed, "declared dead by other members, rejoined");
                     }
                 }
             }
@@ -88,14 +93,11 @@
         let Some(membership) = &self.membership else { return };
         let alive = membership.alive_names();
         let (count, names) = (alive.len(), alive.join(" "));
-        tracing::info!(count, names, "cluster: {count} members alive: {names}");
+        tracing::info!(count, names, "members alive");
         let duplicate_names = membership.duplicate_names();
         if duplicate_names != self.duplicate_names && !duplicate_names.is_empty() {
             let names = duplicate_names.join(" ");
-            tracing::warn!(
-                names,
-                "cluster: more than one member is called {names}; each name must be one instance's"
-            );
+            tracing::warn!(names, "several members have one name");
         }
         self.duplicate_names = duplicate_names;
         self.scheduler.set_members(now, alive);
--- a/crates/cluster/src/coordinator/health.rs
+++ b/crates/cluster/src/coordinator/health.rs
@@ -40,9 +40,9 @@
         let report = health.record_check(backend_id, scheduled_unix_ms, passed, now.monotonic_ms);
         let Some(report) = report else { return };
         if report.has_changed() && report.failing {
-            tracing::warn!("health check: {backend_id} is failing ({})", outcome.reason());
+            tracing::warn!(backend = backend_id, reason = %outcome.reason(), "health check failing");
         } else if report.has_changed() && report.contrary_results == 0 && passed {
-            tracing::info!("health check: {backend_id} is healthy");
+            tracing::info!(backend = backend_id, "health check recovered");
         }
         self.disseminate_report(now, run, &report);
         self.update_ejections(now);
@@ -64,18 +64,15 @@
             return;
         }
         tracing::info!(
-            "health check: {} of {} backends are ejected{}{}",
-            ejected.len(),
-            self.backends.len(),
-            if ejected.is_empty() { "" } else { ": " },
-            ejected.iter().map(String::as_str).collect::<Vec<_>>().join(" ")
+            count = ejected.len(),
+            listed = self.backends.len(),
+            backends = ejected.iter().map(String::as_str).collect::<Vec<_>>().join(" "),
+            "ejected backends changed"
         );
         let health = health.health(now.monotonic_ms);
         let limited = health.values().filter(|h| h.status == HealthStatus::EjectionLimited).count();
         if limited > 0 {
-            tracing::warn!(
-                "health check: {limited} more are failing and stay in use, since too many are ejected"
-            );
+            tracing::warn!(count = limited, "failing backends kept in use, ejection limit reached");
         }
         (self.resources.on_ejection_change)(&ejected);
         self.ejected = ejected;
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -2,6 +2,7 @@
 
 use super::Coordinator;
 use crate::job_names;
+use crate::log_limiter::LogPermit;
 use crate::run_executor::{FinishedRun, PendingRun, RunOutcome, RunTask};
 use crate::settings::{HttpJob, Settings};
 use crate::store_client::StoreCall;
@@ -89,12 +90,8 @@
         let Some(task) = self.run_task(&run) else { return };
         if let Err(PendingRun { run, .. }) = self.resources.runs.offer(PendingRun { run, task }) {
             self.run_counts.queue_full += 1;
-            if let Some(more) = self.log_limiter.suffix("queue full", now.monotonic_ms) {
-                tracing::info!(
-                    "jobs: no thread was free for run {} of {}; it is missed{more}",
-                    run.id,
-                    run.job
-                );
+            if let Some(LogPermit { suppressed }) = self.log_limiter.permit("queue full", now.monotonic_ms) {
+                tracing::info!(job = run.job, run = run.id.0, suppressed, "run missed, no worker was free");
             }
         }
     }
@@ -125,9 +122,9 @@
             RunTask::HealthCheck { backend_id, .. } => self.handle_health_check(now, backend_id, finished),
             RunTask::HttpCall { .. } if outcome.is_success() => {}
             RunTask::HttpCall { .. } => {
-                if let Some(more) = self.log_limiter.suffix("call", now.monotonic_ms) {
+                if let Some(LogPermit { suppressed }) = self.log_limiter.permit("call", now.monotonic_ms) {
                     let reason = outcome.reason();
-                    tracing::warn!("jobs: run {} of {} failed: {reason}{more}", run.id, run.job);
+                    tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
                 }
             }
         }
--- a/crates/cluster/src/coordinator/notices.rs
+++ b/crates/cluster/src/coordinator/notices.rs
@@ -1,10 +1,10 @@
-//! The log lines of the scheduler's notices. Their fields keep the names `duty` and `round`, which readers of the JSON log
-//! know.
+//! Log events of the scheduler's notices.
 
 use super::Coordinator;
+use crate::log_limiter::LogPermit;
 use periodic_jobs::{ClockReading, Notice};
 
-/// The kind by which lines of a notice are rate-limited.
+/// The kind by which events of a notice are rate-limited.
 fn kind(notice: &Notice) -> &'static str {
     match notice {
         Notice::StoreUnavailable { .. } => "store unavailable",
@@ -20,51 +20,36 @@
 
 impl Coordinator {
     pub(super) fn log_notice(&mut self, now: ClockReading, notice: &Notice) {
-        let Some(more) = self.log_limiter.suffix(kind(notice), now.monotonic_ms) else { return };
+        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind(notice), now.monotonic_ms) else {
+            return;
+        };
         match notice {
             Notice::StoreUnavailable { reason } => {
-                tracing::warn!(
-                    "jobs: the lease store is unavailable ({reason}); no lease is acquired and nothing runs{more}"
-                );
+                tracing::warn!(error = %reason, suppressed, "lease store unreachable, no job runs");
             }
-            Notice::StoreAvailable => tracing::info!("jobs: the lease store is available again{more}"),
+            Notice::StoreAvailable => tracing::info!(suppressed, "lease store recovered"),
             Notice::StoreReset(reason) => {
-                tracing::info!("jobs: all leases are read anew, since {reason}{more}");
+                tracing::info!(%reason, suppressed, "leases invalidated, reading them again")
             }
             Notice::Seeded { job, run } => {
-                let (duty, round) = (job, run.0);
-                tracing::info!(
-                    duty,
-                    round,
-                    "jobs: {duty} had no lease record; its first run is after {round}{more}"
-                );
+                tracing::info!(job, run = run.0, suppressed, "lease record created")
             }
             Notice::AcquiredTooLate { job, run } => {
-                let (duty, round) = (job, run.0);
-                tracing::warn!(
-                    duty,
-                    round,
-                    "jobs: run {round} of {duty} was acquired too late to start{more}"
-                );
+                tracing::warn!(job, run = run.0, suppressed, "lease acquired too late to start the run");
             }
             Notice::LeaseRecovered { job, run } => {
-                let (duty, round) = (job, run.0);
-                tracing::info!(
-                    duty,
-                    round,
-                    "jobs: the lease on run {round} of {duty} holds, though the response was lost{more}"
-                );
+                tracing::info!(job, run = run.0, suppressed, "lease confirmed after its response was lost");
             }
             Notice::RecordAheadOfClock { job, run } => {
-                let (duty, round) = (job, run.0);
                 tracing::info!(
-                    duty,
-                    round,
-                    "jobs: the lease record of {duty} is at run {round}, ahead of any clock here; it does not run{more}"
+                    job,
+                    run = run.0,
+                    suppressed,
+                    "lease record ahead of every clock, the job does not run"
                 );
             }
             Notice::ClockStepped { by_ms } => {
-                tracing::warn!("jobs: the clock was set by {by_ms} ms, or this instance was paused{more}");
+                tracing::warn!(offset_ms = by_ms, suppressed, "wall clock stepped or instance suspended");
             }
         }
     }
--- a/crates/cluster/src/gossip_receiver.rs
+++ b/crates/cluster/src/gossip_receiver.rs
@@ -26,10 +26,8 @@
                 Ok(_) => {}
                 // An earlier datagram that we sent had no receiver: the system reports it here, and it concerns nothing else.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
-                Err(e) => {
-                    tracing::warn!(
-                        "cluster: gossip is no longer received ({e}); jobs continue by their leases alone"
-                    );
+                Err(error) => {
+                    tracing::warn!(%error, "gossip receiver stopped, jobs continue by their leases alone");
                     return;
                 }
             }
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,8 +1,8 @@
-//! Rate-limited logging: one line of each kind a second, with the number of those suppressed in between.
+//! Rate-limited logging: one event of each kind a second, with the number of those suppressed in between.
 
 use std::collections::HashMap;
 
-/// Milliseconds between two lines of a kind.
+/// Milliseconds between two logged events of a kind.
 const INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Default)]
@@ -11,15 +11,22 @@
     suppressed: u64,
 }
 
-/// Decides which log lines may be written.
+/// Permits one event of a kind to be logged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct LogPermit {
+    /// Events of the kind that were not logged since the last one that was; none if there were none.
+    pub(crate) suppressed: Option<u64>,
+}
+
+/// Decides which events may be logged.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
     kinds: HashMap<&'static str, KindState>,
 }
 
 impl LogLimiter {
-    /// The suffix for a line of this kind that may be written now; `None` where it is suppressed.
-    pub(crate) fn suffix(&mut self, kind: &'static str, now_ms: u64) -> Option<String> {
+    /// Permits an event of this kind to be logged now, or returns `None` and counts it as suppressed.
+    pub(crate) fn permit(&mut self, kind: &'static str, now_ms: u64) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
         if now_ms < state.next_ms {
             state.suppressed += 1;
@@ -27,7 +34,7 @@
         }
         state.next_ms = now_ms + INTERVAL_MS;
         let suppressed = std::mem::take(&mut state.suppressed);
-        Some(if suppressed > 0 { format!(" (and {suppressed} more like it)") } else { String::new() })
+        Some(LogPermit { suppressed: (suppressed > 0).then_some(suppressed) })
     }
 }
 
--- a/crates/cluster/src/worker_pool.rs
+++ b/crates/cluster/src/worker_pool.rs
@@ -23,8 +23,8 @@
                     work(task);
                 }
             };
-            if let Err(e) = thread::Builder::new().name(name.into()).spawn(run) {
-                tracing::warn!("cluster: a thread could not be started ({e})");
+            if let Err(error) = thread::Builder::new().name(name.into()).spawn(run) {
+                tracing::warn!(%error, pool = name, "worker thread could not be started");
             }
         }
         Self(sender)
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -81,7 +81,7 @@
         let id = self.config.replica_id()?;
         self.try_open_replica(id)
             .inspect_err(|error| {
-                tracing::warn!("agreed: the replica log is not used ({error}); this replica does not vote");
+                tracing::warn!(%error, "replica log not usable, this replica does not vote");
             })
             .ok()
     }
@@ -178,9 +178,7 @@
         let Some(local) = &mut self.local else { return };
         let Ready { records, to_replicas, to_clients, .. } = local.replica.take_ready();
         if let Err(error) = local.log.append(records) {
-            tracing::warn!(
-                "agreed: the replica log could not be written ({error}); this replica no longer votes"
-            );
+            tracing::warn!(%error, "replica log write failed, this replica no longer votes");
             self.local = None;
             return;
         }
@@ -202,7 +200,7 @@
         let leads = local.replica.leader() == self.config.replica_id();
         if leads && term > self.announced_term {
             self.announced_term = term;
-            tracing::info!(term, "agreed: this replica is the leader, term {term}");
+            tracing::info!(term, "elected leader");
         }
     }
 
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -55,22 +55,16 @@
         let (version, proposed) = (version_number(&view.in_force), version_number(&view.proposed));
         let (leased, name) = (view.has_lease, &self.node_name);
         match (leased, proposed) {
-            (false, _) => tracing::warn!(
-                name,
-                version,
-                proposed,
-                leased,
-                "agreed: no lease; enforcing the when_apart share of version {version}"
-            ),
-            (true, 0) => {
-                tracing::info!(name, version, proposed, leased, "agreed: version {version} is in force")
+            (false, _) => {
+                tracing::warn!(name, version, proposed, leased, "no lease, enforcing the when_apart share");
             }
+            (true, 0) => tracing::info!(name, version, proposed, leased, "version in force"),
             (true, _) => tracing::info!(
                 name,
                 version,
                 proposed,
                 leased,
-                "agreed: version {proposed} is proposed; the stricter of it and version {version} is enforced"
+                "version proposed, enforcing the stricter of it and the version in force"
             ),
         }
     }
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -58,7 +58,7 @@
     /// Opens the file for these services. One that cannot be used is logged and not used.
     pub fn open(path: PathBuf, max_age_seconds: u64, services: impl IntoIterator<Item = String>) -> Self {
         let found = read(&path, max_age_seconds).unwrap_or_else(|error| {
-            tracing::warn!("consul: the list file {} is not used: {error}", path.display());
+            tracing::warn!(path = %path.display(), %error, "endpoint cache not usable");
             None
         });
         let state = State {
@@ -93,7 +93,7 @@
                 state.written = list.services;
             }
             Err(error) if !state.is_failing => {
-                tracing::warn!("consul: the list file {} could not be written: {error}", self.path.display());
+                tracing::warn!(path = %self.path.display(), %error, "endpoint cache write failed");
                 state.is_failing = true;
             }
             Err(_) => {}
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -115,7 +115,7 @@
             match stop_requests.recv_timeout(wait) {
                 Ok(done) => {
                     self.send(RegistrationRequest::Deregister);
-                    tracing::info!("consul: {} is deregistered", self.id);
+                    tracing::info!(id = self.id, "service deregistered");
                     // Whoever requested it may have given up waiting.
                     let _ = done.send(());
                     return;
@@ -129,9 +129,9 @@
     fn log(&self, change: Option<RegistrationChange>) {
         let id = &self.id;
         match change {
-            Some(RegistrationChange::Registered) => tracing::info!("consul: registered as {id}"),
+            Some(RegistrationChange::Registered) => tracing::info!(id, "service registered"),
             Some(RegistrationChange::Lost) => {
-                tracing::warn!("consul: the agent forgot {id}; it is registered again");
+                tracing::warn!(id, "service registration lost, registering again");
             }
             None => {}
         }
--- a/crates/consul/src/token_file.rs
+++ b/crates/consul/src/token_file.rs
@@ -54,7 +54,7 @@
         match self.read() {
             Ok(token) => *last = LastRead { token, is_failing: false },
             Err(error) if !last.is_failing => {
-                tracing::warn!("consul: the token file cannot be used ({error}); the last token stays");
+                tracing::warn!(%error, "token file not usable, previous token kept in use");
                 last.is_failing = true;
             }
             Err(_) => {}
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -76,10 +76,8 @@
         let service = &self.config.service;
         let Some(cached) = self.cache.as_ref().and_then(|cache| cache.cached(service)) else { return };
         let (instances, age) = (cached.instances, cached.age_seconds);
-        tracing::info!(
-            "consul: {service}: the list on disk serves until Consul answers: {} instances, {age} s old",
-            instances.len()
-        );
+        let count = instances.len();
+        tracing::info!(service, count, age_seconds = age, "cached endpoint list in use until Consul answers");
         let mut state = locked(&self.state);
         state.origin = format!("the list on disk, {age} s old at the start");
         let mut events = Vec::new();
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -1,37 +1,37 @@
-//! The log lines of a watch. docs/ONCALL.md explains each.
+//! The log events of a watch. docs/ONCALL.md explains each.
 
 use super::ServiceWatch;
 use crate::QueryError;
 use catalogue::{EligibilityReason, InvalidInstance, WatchEvent};
 
-/// Lines about single instances that one change may log.
+/// Events about single instances that one change may log.
 const MAX_INSTANCE_LINES: usize = 8;
 
 impl ServiceWatch {
     pub(super) fn log_agent_selected(&self, agent: usize) {
         let (service, agent) = (&self.config.service, self.consul.agents[agent]);
-        tracing::info!("consul: {service}: polling agent {agent} now");
+        tracing::info!(service, %agent, "agent selected");
     }
 
     pub(super) fn log_agent_recovered(&self, agent: usize) {
         let (service, agent) = (&self.config.service, self.consul.agents[agent]);
-        tracing::info!("consul: {service}: agent {agent} answers again");
+        tracing::info!(service, %agent, "agent recovered");
     }
 
     pub(super) fn log_agent_failed(&self, agent: usize, error: &QueryError) {
         let (service, agent) = (&self.config.service, self.consul.agents[agent]);
-        tracing::warn!("consul: {service}: agent {agent} does not answer ({error}); the last list stays");
+        tracing::warn!(service, %agent, %error, "agent unreachable, previous list kept in force");
     }
 
     pub(super) fn log_stale_response(&self, error: &QueryError) {
         let service = &self.config.service;
-        tracing::warn!("consul: {service}: no news ({error}); the last list stays");
+        tracing::warn!(service, %error, "watch failed, previous list kept in force");
     }
 
     pub(super) fn log_invalid(&self, invalid: &[InvalidInstance]) {
         let service = &self.config.service;
         for InvalidInstance { id, error } in invalid.iter().take(MAX_INSTANCE_LINES) {
-            tracing::warn!("consul: {service}: {id} left out: {error}");
+            tracing::warn!(service, backend = %id, %error, "invalid entry");
         }
     }
 
@@ -49,36 +49,36 @@
         let more = events.iter().filter(is_change).count().saturating_sub(MAX_INSTANCE_LINES);
         if more > 0 {
             let service = &self.config.service;
-            tracing::info!(service, more, "consul: {service}: and {more} more changes");
+            tracing::info!(service, count = more, "further eligibility changes not logged");
         }
     }
 
     fn log_event(&self, event: &WatchEvent) {
         let service = &self.config.service;
         match event {
-            WatchEvent::ListChanged { listed, eligible } => tracing::info!(
-                service,
-                all = listed,
-                working = eligible,
-                "consul: {service}: {listed} instances, {eligible} of them take work"
-            ),
+            WatchEvent::ListChanged { listed, eligible } => {
+                tracing::info!(service, listed, eligible_count = eligible, "endpoint list changed")
+            }
             WatchEvent::EligibilityChanged { id, eligible: true, .. } => tracing::info!(
-                service, server = %id, takes_work = true, "consul: {service}: {id} takes work"
+                service, backend = %id, eligible = true, "endpoint eligible"
             ),
             WatchEvent::EligibilityChanged { id, eligible: false, reason } => {
-                let why = self.describe(*reason);
-                tracing::info!(
-                    service, server = %id, takes_work = false, "consul: {service}: {id} takes no work: {why}"
-                );
+                let reason = self.describe(*reason);
+                tracing::info!(service, backend = %id, eligible = false, reason, "endpoint not eligible");
             }
             WatchEvent::SuddenLoss { vanished, of, retained } => {
-                let hold = self.config.stability.sudden_loss_hold / 1000;
+                let hold_seconds = self.config.stability.sudden_loss_hold / 1000;
                 tracing::info!(
-                    "consul: {service}: {vanished} of {of} vanished in one response; {retained} that still answer are retained for {hold} s"
+                    service,
+                    vanished,
+                    listed = of,
+                    retained,
+                    hold_seconds,
+                    "sudden loss of endpoints, those that still answer are retained"
                 );
             }
             WatchEvent::LossAccepted { count } => {
-                tracing::info!("consul: {service}: the loss of {count} instances is accepted now");
+                tracing::info!(service, count, "removal of endpoints accepted");
             }
         }
     }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -56,7 +56,7 @@
 impl<Listener: Fn(WatchEvent)> Session<Listener> {
     fn on_list(&mut self, list: EndpointList) {
         if self.is_lost {
-            tracing::info!("discovery: the watch is back at version {}", list.revision);
+            tracing::info!(version = list.revision, "discovery watch recovered");
             self.is_lost = false;
         }
         self.version = list.revision;
@@ -67,7 +67,7 @@
         (self.listener)(WatchEvent::Lost);
         if !self.is_lost {
             let version = self.version;
-            tracing::warn!("discovery: the watch ended ({error}); the last list stays, version {version}");
+            tracing::warn!(version, %error, "discovery watch failed, previous list kept in force");
             self.is_lost = true;
         }
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -252,9 +252,12 @@
                 Some(counter) => counter.call(call),
                 None => self.counter_call_ended(call.id, Outcome::ConnectFailed, 0.0),
             },
-            SideEffect::Log(notice) => tracing::info!("policy: {notice}"),
+            SideEffect::Log(notice) => tracing::info!("{notice}"),
             SideEffect::LogClockOffset(offset) => {
-                tracing::warn!("clock: {} ms ahead of the fleet's; counts go by the fleet's", offset / 1_000);
+                tracing::warn!(
+                    offset_ms = offset / 1_000,
+                    "clock offset found, shared counts use the fleet's clock"
+                );
             }
         }
     }
--- a/crates/fault_injection/src/checkers/tests.rs
+++ b/crates/fault_injection/src/checkers/tests.rs
@@ -46,7 +46,12 @@
 
 /// What m0 logs of l0.
 fn logs_state(accepts_requests: bool) -> Observation {
-    let fields = [("server", Value::from("a/l0")), ("takes_work", Value::from(accepts_requests))];
+    logs_state_as(["backend", "eligible"], accepts_requests)
+}
+
+/// The same with these names of fields.
+fn logs_state_as([backend, eligible]: [&str; 2], accepts_requests: bool) -> Observation {
+    let fields = [(backend, Value::from("a/l0")), (eligible, Value::from(accepts_requests))];
     let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
     Observation::LogLine { process: "m0".into(), text: String::new(), fields }
 }
@@ -115,6 +120,11 @@
         ),
         ("hard ceiling", crowd),
         ("nothing new to who takes no work", vec![(1, logs_state(false)), (1_500, arrived(9))]),
+        // The names of an older build.
+        (
+            "nothing new to who takes no work",
+            vec![(1, logs_state_as(["server", "takes_work"], false)), (1_500, arrived(9))],
+        ),
         ("no round twice", vec![(1, ran("m0")), (2, ran("m1"))]),
         (
             "no exit unasked",
--- a/crates/fault_injection/src/site/faults/configuration.rs
+++ b/crates/fault_injection/src/site/faults/configuration.rs
@@ -10,8 +10,8 @@
 use crate::wait::wait_until;
 use std::time::Duration;
 
-/// What a gatekeeper logs once it has reloaded its settings, or rejected them.
-const RELOADED: &str = "reload: ";
+/// What a gatekeeper logs once it has reloaded its settings, or rejected them; the last is that of older builds.
+const RELOADED: [&str; 3] = ["configuration reloaded", "reload failed", "reload: "];
 /// A reload takes no longer, unless the gatekeeper is suspended.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(1);
 /// The burst of a proposed plan, in seconds of its rate.
@@ -24,6 +24,11 @@
     reloads_before: usize,
 }
 
+/// How many reloads a gatekeeper has logged.
+fn reloads(log: &Log) -> usize {
+    RELOADED.iter().map(|text| log.count(text)).sum()
+}
+
 impl Site {
     /// Changes the settings of these members, asks them to reload, and waits a while until they have.
     pub(super) fn reload(&self, members: &[usize], change: impl Fn(&mut MemberState)) -> Result<(), Error> {
@@ -34,14 +39,14 @@
             self.write_files(i, &state)?;
             if let Some(process) = &state.process {
                 let log = process.log();
-                let reloads_before = log.count(RELOADED);
+                let reloads_before = reloads(&log);
                 pending.push(PendingReload { log, reloads_before });
                 process.reload();
             }
         }
         // One that is suspended or has ended reloads later, or at its start.
         for PendingReload { log, reloads_before } in pending {
-            wait_until(RELOAD_TIMEOUT, POLL_INTERVAL, || log.count(RELOADED) > reloads_before);
+            wait_until(RELOAD_TIMEOUT, POLL_INTERVAL, || reloads(&log) > reloads_before);
         }
         Ok(())
     }
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -23,13 +23,13 @@
 const FILE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a gatekeeper logs that has received an endpoint list.
-const LIST_RECEIVED: &str = "take work";
+const LIST_RECEIVED: &str = "endpoint list changed";
 /// What a gatekeeper logs once it serves.
 const SERVING: &str = "serving OpenAPI";
 /// What a gatekeeper logs of a cached list that it rejects.
-const LIST_REJECTED: &str = "is not used";
+const LIST_REJECTED: &str = "endpoint cache not usable";
 /// What a gatekeeper logs of a cached list that it uses.
-const LIST_USED: &str = "the list on disk serves";
+const LIST_USED: &str = "cached endpoint list in use";
 
 /// What came of it.
 #[derive(Debug)]
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -44,7 +44,7 @@
 pub fn violated(guard: Guard, details: fmt::Arguments<'_>) {
     let count = 1 + VIOLATIONS[guard as usize].fetch_add(1, Ordering::Relaxed);
     if count <= LOGGED || count.is_multiple_of(LOGGED_PERIOD) {
-        tracing::warn!("invariant violated: {} ({count}): {details}", guard.name());
+        tracing::warn!(guard = guard.name(), count, %details, "invariant violated");
     }
 }
 
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -60,8 +60,8 @@
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::CounterSilent => "quota counter is silent; quotas are enforced by local shares",
-            Self::CounterRecovered => "quota counter answers again",
+            Self::CounterSilent => "quota counter unreachable, local shares enforced",
+            Self::CounterRecovered => "quota counter recovered",
         })
     }
 }
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -105,7 +105,7 @@
                     self.apply_ejection(&id, true, true);
                 }
             }
-            Err(error) => tracing::warn!("operators: the file of ejected backends is not used: {error}"),
+            Err(error) => tracing::warn!(%error, "ejections file not usable"),
         }
     }
 
@@ -167,7 +167,11 @@
         if let Some(store) = &self.store {
             store.store(&endpoint_ids);
         }
-        tracing::info!("operators: {id} {}", if ejected { "is ejected" } else { "is used again" });
+        if ejected {
+            tracing::info!(backend = id, "backend ejected by an operator");
+        } else {
+            tracing::info!(backend = id, "backend restored by an operator");
+        }
         true
     }
 
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -45,7 +45,7 @@
             Some(cluster) => {
                 cluster_settings::reload(self.path, cluster, self.running.config_node.as_deref())
             }
-            None => tracing::info!("reload: SIGHUP changes nothing here; a restart takes the new file"),
+            None => tracing::info!("reload ignored, changes need a restart"),
         }
     }
 
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -140,13 +140,10 @@
 /// Takes jobs, keys and the clock's offset from the file again. A file that cannot be used changes nothing.
 pub fn reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) {
     match take(path, cluster, config_node) {
-        Ok(Reloaded { jobs, keys: true }) => {
-            tracing::info!("reload: {jobs} jobs and the cluster's keys taken; the rest needs a restart")
+        Ok(Reloaded { jobs, keys }) => {
+            tracing::info!(jobs, keys, "configuration reloaded, other changes need a restart");
         }
-        Ok(Reloaded { jobs, keys: false }) => {
-            tracing::info!("reload: {jobs} jobs taken; the rest needs a restart")
-        }
-        Err(error) => tracing::warn!("reload: {error}; the old settings stay"),
+        Err(error) => tracing::warn!(%error, "reload failed, previous configuration kept in force"),
     }
 }
 
--- a/crates/snowfield/src/ejections_store.rs
+++ b/crates/snowfield/src/ejections_store.rs
@@ -41,7 +41,7 @@
     /// Writes the file, now or as soon as the disk takes it. The caller holds the lock of the ids.
     pub fn store(&self, endpoint_ids: &EndpointIds) {
         let Err(error) = ejections_file::write(&self.directory, endpoint_ids.ejected()) else { return };
-        tracing::warn!("operators: the file of ejected backends could not be written: {error}; tried again");
+        tracing::warn!(%error, "ejections file write failed, retrying");
         if !self.is_pending.swap(true, Ordering::AcqRel) {
             let store = self.clone();
             thread::spawn(move || store.write_until_stored());
@@ -57,7 +57,7 @@
             let endpoint_ids = locked(&self.endpoint_ids);
             if ejections_file::write(&self.directory, endpoint_ids.ejected()).is_ok() {
                 self.is_pending.store(false, Ordering::Release);
-                tracing::info!("operators: the file of ejected backends is written");
+                tracing::info!("ejections file written");
                 return;
             }
         }
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -122,7 +122,11 @@
         "draining" => BackendState::Draining,
         "removed" => BackendState::Gone,
         other => {
-            tracing::warn!("discovery: {} has the unknown state {other:?}; taken as draining", endpoint.id);
+            tracing::warn!(
+                backend = endpoint.id,
+                state = other,
+                "unknown endpoint state, treated as draining"
+            );
             BackendState::Draining
         }
     }
@@ -134,8 +138,11 @@
         Ok(address) => Some(address),
         Err(_) if state == BackendState::Gone => Some(([127, 0, 0, 1], 0).into()),
         Err(_) => {
-            let (id, address) = (&endpoint.id, &endpoint.address);
-            tracing::warn!("discovery: {id} has no usable address {address:?}; left out");
+            tracing::warn!(
+                backend = endpoint.id,
+                address = endpoint.address,
+                "invalid entry, its address is not usable"
+            );
             None
         }
     }
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -40,9 +40,7 @@
         match peer.receive(Some(STEP_TIMEOUT)) {
             Ok((Message::Hello { version: PROTOCOL_VERSION }, _)) => {}
             Ok(_) => {
-                return tracing::info!(
-                    "upgrade: a program with another protocol version called; this one serves on"
-                );
+                return tracing::info!("successor has another protocol version, serving continues");
             }
             Err(_) => return,
         }
@@ -54,7 +52,7 @@
                     handed_over = true;
                     journal = descriptor.map(|reader| self.mirror_journal(reader));
                     if let Err(error) = self.hand_over(peer, listener) {
-                        tracing::warn!("upgrade: the other program could not be given all ({error})");
+                        tracing::warn!(%error, "hand-over to the successor failed");
                         break;
                     }
                 }
@@ -103,7 +101,7 @@
         let snapshot = self.freeze(pass_on, listener)?;
         peer.send(&self.state_message(&snapshot)?, Some(listener.descriptor()))?;
         self.pools.set_retired(true);
-        tracing::info!("upgrade: another program serves now; this one finishes what it has");
+        tracing::info!("successor serves, draining");
         self.send_connections(connections, peer.clone());
         Ok(())
     }
@@ -158,8 +156,7 @@
         // All entries are there once the successor is gone; one that only hung up may still admit requests.
         let journal_end = journal.and_then(|end| end.recv_timeout(JOURNAL_DRAIN_TIMEOUT).ok());
         let knows_all = journal_end == Some(JournalEnd::Complete);
-        let buckets = if knows_all { "with what the other left" } else { "with empty token buckets" };
-        tracing::warn!("upgrade: the other program has ended; this one serves on, {buckets}");
+        tracing::warn!(token_buckets_kept = knows_all, "successor exited, serving resumed");
         self.exchange.resume(knows_all);
         self.pools.set_retired(false);
         self.front.resume();
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -83,9 +83,7 @@
         let snapshot: PolicySnapshot = match postcard::from_bytes(&state.policy_snapshot) {
             Ok(snapshot) => snapshot,
             Err(error) => {
-                tracing::warn!(
-                    "upgrade: what the other program knew cannot be read ({error}); starting without it"
-                );
+                tracing::warn!(%error, "snapshot of the predecessor not readable, starting without it");
                 return;
             }
         };
@@ -111,7 +109,7 @@
             let taken_over = restart.take_connections(&predecessor);
             restart.admin.set_peer(None);
             restart.exchange.set_admission_listener(None);
-            tracing::warn!("upgrade: the other program has ended; {taken_over} connections were taken over");
+            tracing::warn!(count = taken_over, "predecessor exited, its connections were taken over");
         });
     }
 
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -1,4 +1,4 @@
-//! The log on standard output: plain lines, or JSON lines with the machine's monotonic clock.
+//! The log on standard output: plain lines (`message field=value ...`), or JSON lines with the machine's monotonic clock.
 //!
 //! A line that cannot be written is dropped: whoever reads the log may go away, the gatekeeper continues to serve.
 
@@ -14,6 +14,8 @@
 
 /// Overrides `log` of the appliance's file; on the platform nothing else names a format.
 const VARIABLE: &str = "SNOWFIELD_LOG";
+/// The name that `tracing` gives the field with the message.
+const MESSAGE_FIELD: &str = "message";
 
 /// Starts the log in the format that the environment names, otherwise in this one.
 ///
@@ -29,7 +31,7 @@
     };
     let subscriber = tracing_subscriber::fmt().log_internal_errors(false).with_ansi(false);
     match format {
-        LogFormat::Plain => subscriber.event_format(PlainMessage).init(),
+        LogFormat::Plain => subscriber.event_format(PlainLine).init(),
         LogFormat::Json => subscriber.json().flatten_event(true).with_timer(MonotonicClock).init(),
     }
     Ok(())
@@ -45,10 +47,10 @@
     }
 }
 
-/// Writes the message and nothing else.
-struct PlainMessage;
+/// Writes the message, then the fields as ` name=value`.
+struct PlainLine;
 
-impl<S, N> FormatEvent<S, N> for PlainMessage
+impl<S, N> FormatEvent<S, N> for PlainLine
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -59,23 +61,58 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut message = MessageVisitor { writer: &mut writer, result: Ok(()) };
-        event.record(&mut message);
-        message.result?;
+        for part in [Part::Message, Part::Fields] {
+            let mut visitor = PartVisitor { part, writer: &mut writer, result: Ok(()) };
+            event.record(&mut visitor);
+            visitor.result?;
+        }
         writeln!(writer)
     }
 }
 
-/// Writes the field with the message.
-struct MessageVisitor<'a, 'w> {
+/// A part of a plain line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Part {
+    Message,
+    Fields,
+}
+
+/// Writes one part of an event.
+struct PartVisitor<'a, 'w> {
+    part: Part,
     writer: &'a mut Writer<'w>,
     result: fmt::Result,
 }
 
-impl Visit for MessageVisitor<'_, '_> {
-    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        if field.name() == "message" && self.result.is_ok() {
-            self.result = write!(self.writer, "{value:?}");
+impl PartVisitor<'_, '_> {
+    fn write(&mut self, field: &Field, value: &str) {
+        let part = if field.name() == MESSAGE_FIELD { Part::Message } else { Part::Fields };
+        if part != self.part || self.result.is_err() {
+            return;
         }
+        self.result = match part {
+            Part::Message => self.writer.write_str(value),
+            Part::Fields if is_plain(value) => write!(self.writer, " {field}={value}"),
+            Part::Fields => write!(self.writer, " {field}={value:?}"),
+        };
     }
 }
+
+impl Visit for PartVisitor<'_, '_> {
+    fn record_str(&mut self, field: &Field, value: &str) {
+        self.write(field, value);
+    }
+
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        self.write(field, &format!("{value:?}"));
+    }
+}
+
+/// Whether a value can be told from what follows it without quotes. Others are quoted, with line ends and quotes escaped.
+fn is_plain(value: &str) -> bool {
+    let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
+    !value.is_empty() && value.chars().all(is_plain)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/snowfield/src/plan_replication.rs
+++ b/crates/snowfield/src/plan_replication.rs
@@ -41,7 +41,7 @@
     };
     let listener = move |view: &ConfigView| {
         if let Err(error) = enforce(&config, view, &inputs, &exchange) {
-            tracing::warn!("agreed: a version cannot be used here ({error}); the previous plans stay");
+            tracing::warn!(%error, "replicated version not usable, previous configuration kept in force");
         }
     };
     Ok(Some(Node::start(node_config, Box::new(validator), Box::new(listener))?))
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -62,7 +62,7 @@
     fn reload(&self) {
         let reloaded = self.running.reload(self.path);
         if let Err(error) = &reloaded {
-            tracing::warn!("reload: {error}; the old settings stay");
+            tracing::warn!(%error, "reload failed, previous configuration kept in force");
         }
         self.running.admin.count_reload(reloaded.is_ok());
     }
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -89,7 +89,12 @@
         let list = config.cached_list.clone();
         let revision = list.revision;
         let TranslatedList { entries, endpoints } = link::locked(&self.endpoint_ids).translate(list);
-        tracing::info!("{}: {} backends known, version {revision}", config.name, endpoints.len());
+        tracing::info!(
+            name = config.name,
+            count = endpoints.len(),
+            version = revision,
+            "starting with known endpoints"
+        );
         self.pools.update_endpoints(ListKind::Cached, &endpoints);
         self.exchange.update_endpoints(ListKind::Cached, entries);
     }
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -42,7 +42,7 @@
         self.longest_deadline_us.fetch_max(config_file::longest_deadline_us(&config), Ordering::Relaxed);
         self.front.set_rules(config_file::request_rules(&config, &numbering));
         let names: Vec<&str> = numbering.classes().map(|class| class.name).collect();
-        tracing::info!("reload: settings taken; classes {}", names.join(", "));
+        tracing::info!(classes = names.join(" "), "configuration reloaded");
         self.move_connections(&config);
         *in_force = InForce { keys, numbering };
         Ok(())
@@ -50,15 +50,15 @@
 
     /// Connects to discovery and the counter at the addresses of a new configuration.
     fn move_connections(&self, config: &PlatformConfig) {
-        let discovery = if self.watch.set_address(config.discovery) { "moved to" } else { "stays at" };
-        tracing::info!("reload: discovery {discovery} {}", config.discovery);
+        let changed = self.watch.set_address(config.discovery);
+        tracing::info!(address = %config.discovery, changed, "discovery address reloaded");
         match (&self.counter, config.counter) {
             (Some(client), Some(address)) => {
-                let counter = if client.set_address(address) { "moved to" } else { "stays at" };
-                tracing::info!("reload: the counter {counter} {address}");
+                let changed = client.set_address(address);
+                tracing::info!(%address, changed, "quota counter address reloaded");
             }
             (None, Some(address)) => {
-                tracing::info!("reload: a counter at {address} is used only after a restart")
+                tracing::info!(%address, "quota counter not in use before a restart");
             }
             // A file without the counter's key was rejected before.
             (_, None) => {}
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -118,7 +118,7 @@
     let Some(address) = config.admin else { return Ok(None) };
     let listener = with_retries(|| AdminListener::start(address, admin.clone()))
         .map_err(|source| Error::AdminListener { address, source })?;
-    tracing::info!("{}: operators are answered on {}", config.name, listener.address);
+    tracing::info!(name = config.name, address = %listener.address, "admin listener open");
     Ok(Some(listener))
 }
 
@@ -160,7 +160,7 @@
     match hot_restart.take_over(&predecessor) {
         Ok(listener) => Some((listener, predecessor)),
         Err(error) => {
-            tracing::info!("upgrade: nothing was taken over ({error}); starting without it");
+            tracing::info!(%error, "hot restart failed, starting without the state of the predecessor");
             None
         }
     }
@@ -171,12 +171,12 @@
     match UpgradeSocket::bind(directory) {
         Ok(socket) => hot_restart.serve_successors(socket, listener),
         Err(error) => {
-            tracing::warn!("upgrade: the next program cannot call this one: {error}; tried again");
+            tracing::warn!(%error, "hot restart socket not usable, retrying");
             let (hot_restart, listener) = (hot_restart.clone(), listener.clone());
             let directory = directory.to_owned();
             std::thread::spawn(move || match with_retries(|| UpgradeSocket::bind(&directory)) {
                 Ok(socket) => hot_restart.serve_successors(socket, &listener),
-                Err(error) => tracing::warn!("upgrade: the next program cannot call this one: {error}"),
+                Err(error) => tracing::warn!(%error, "hot restart socket not usable"),
             });
         }
     }
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -52,7 +52,7 @@
 pub fn serve_until_end(mut signals: Signals, listener: &Listener, handler: &impl SignalHandler) {
     for signal in signals.forever() {
         if signal != SIGHUP {
-            tracing::info!("signal {signal}: serving the overlap, then finishing");
+            tracing::info!(signal, "graceful shutdown started");
             break;
         }
         handler.reload();
@@ -70,5 +70,5 @@
     while handler.open_connections() > 0 && is_needed() {
         std::thread::sleep(CHECK_INTERVAL);
     }
-    tracing::info!("stopped with {} client connections open", handler.open_connections());
+    tracing::info!(count = handler.open_connections(), "stopped with open client connections");
 }
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -74,6 +74,13 @@
         self.line(text).split_once(text).map_or(String::new(), |(_, rest)| rest.to_owned())
     }
 
+    /// The value of a field of the first event from now on that has this message.
+    pub fn logged_field(&self, message: &str, field: &str) -> String {
+        let fields = self.logged(message);
+        let value = fields.split(' ').find_map(|part| part.strip_prefix(field)?.strip_prefix('='));
+        value.unwrap_or_else(|| panic!("no field {field} in {fields:?}")).to_owned()
+    }
+
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -80,8 +80,8 @@
     fn flapping(&mut self) {
         for flapping in &self.timeline.flapping {
             let (count, span) = (flapping.backends, flapping.span);
-            let changes = self.requests.logged(span, "takes work")
-                + self.requests.logged(span, "takes no work: it is c");
+            let changes = self.requests.logged(span, "endpoint eligible")
+                + self.requests.logged(span, "endpoint not eligible: it is c");
             let each = changes as f64 / count as f64;
             let name = format!("{count} flapping each second for {FLAPS} s: turns of each");
             self.table.at_most(&name, each, 8.0);
@@ -120,7 +120,7 @@
 
     fn restarts(&mut self) {
         let restart = self.timeline.restart;
-        let logged = self.requests.logged(restart, "the list on disk serves until Consul answers");
+        let logged = self.requests.logged(restart, "cached endpoint list in use until Consul answers");
         self.table.at_least("restart while Consul is silent: the log says so", logged as f64, 1.0);
         let is_start = |record: &&Record| {
             record.at_us < restart.to_us && matches!(record.observation, Observation::ProcessStarted { .. })
@@ -137,7 +137,7 @@
         self.table.at_least("... served share from then on", share, 0.999);
         let shown = self.timeline.status.contains("the list on disk");
         self.table.at_least("... the status says so", f64::from(u8::from(shown)), 1.0);
-        let rejected = self.requests.logged(self.timeline.torn, "is not used");
+        let rejected = self.requests.logged(self.timeline.torn, "endpoint cache not usable");
         self.table.at_least("half of a list file is refused", rejected as f64, 1.0);
     }
 
--- a/crates/system_tests/src/bin/proof-timing/site.rs
+++ b/crates/system_tests/src/bin/proof-timing/site.rs
@@ -67,7 +67,7 @@
         let addresses = Addresses { listen: ports[0], status: ports[1], consul };
         let path = self.folder.write("a.toml", &settings(addresses, class));
         let gatekeeper = Gatekeeper::start(&["serve", &path]);
-        gatekeeper.wait_for_log("of them take work");
+        gatekeeper.wait_for_log("endpoint list changed");
         RunningGatekeeper { _gatekeeper: gatekeeper, address: ports[0] }
     }
 
