--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -134,7 +134,7 @@
 
     /// Microseconds since an attempt was decided. Read anew before anything is written: the process may have been held up.
     fn elapsed(&self, attempt: &Attempt<P::Payload>) -> Micros {
-        self.exchange().now().saturating_sub(attempt.decided_at)
+        self.exchange().now().saturating_since(attempt.decided_at)
     }
 
     /// Establishes a connection, makes the attempt on it if it is still wanted, and serves the connection.
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -4,7 +4,7 @@
 use crate::protocol::Protocol;
 use exchange::{AttemptEnd, AttemptId, Exchange, StreamBudget};
 use link::locked;
-use policy::{BackendId, BackendState, ListKind, Micros, Outcome};
+use policy::{BackendId, BackendState, ListKind, Outcome, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -36,7 +36,7 @@
     /// Whether it takes work.
     pub state: BackendState,
     /// Its most recent start: connections from before are dead.
-    pub started: Micros,
+    pub started: Timestamp,
 }
 
 /// Timeouts that new settings may change.
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::side_effect::SideEffect;
 use policy::{
     BackendEntry, BackendId, Event, FleetSummary, ListKind, Micros, Outcome, PolicySnapshot, RequestId,
-    Settings, SettingsError,
+    Settings, SettingsError, Timestamp,
 };
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
@@ -44,7 +44,7 @@
     }
 
     /// The time, as the times of attempts are given.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -198,7 +198,7 @@
 
     /// Changes the table under its lock, then carries out the side effects. One caller at a time carries them out, in order, also
     /// those that others add meanwhile: were two to do so, an attempt could be cancelled before it was started.
-    fn drive(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Micros)) {
+    fn drive(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Timestamp)) {
         let mut table = self.lock();
         change(&mut table, self.clock.now());
         self.wake_timers(&mut table);
--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -10,7 +10,7 @@
 //! were placed at once takes its own back. Who finds that a stamp stands still becomes the timekeeper. A difference is as exact as
 //! the stamp is recent: one of up to [`AGREEMENT`] is none.
 
-use policy::{Micros, Outcome};
+use policy::{Micros, Outcome, Timestamp};
 
 #[cfg(test)]
 mod tests;
@@ -131,7 +131,7 @@
     /// Microseconds that this process's clock is ahead of the fleet's.
     offset: i64,
     call: Option<Call>,
-    next_call_at: Micros,
+    next_call_at: Timestamp,
     /// What is to be taken back.
     owed: i64,
     had_reply: bool,
@@ -139,7 +139,7 @@
 
 impl FleetClock {
     /// One that knows nothing; its first call is due at once.
-    pub(crate) fn new(gatekeepers: u32, seed: u64, now: Micros) -> Self {
+    pub(crate) fn new(gatekeepers: u32, seed: u64, now: Timestamp) -> Self {
         Self {
             gatekeepers: u64::from(gatekeepers),
             random: fastrand::Rng::with_seed(seed),
@@ -163,12 +163,12 @@
     }
 
     /// When the next call is due; none while one is in flight.
-    pub(crate) fn next_call_at(&self) -> Option<Micros> {
+    pub(crate) fn next_call_at(&self) -> Option<Timestamp> {
         self.call.is_none().then_some(self.next_call_at)
     }
 
     /// Starts the call that is due and returns what it adds; none where none is due.
-    pub(crate) fn start_call(&mut self, now: Micros) -> Option<f64> {
+    pub(crate) fn start_call(&mut self, now: Timestamp) -> Option<f64> {
         if self.call.is_some() || now < self.next_call_at {
             return None;
         }
@@ -191,7 +191,7 @@
     }
 
     /// The call in flight has ended.
-    pub(crate) fn call_ended(&mut self, now: Micros, outcome: Outcome, total: f64) {
+    pub(crate) fn call_ended(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
         let Some(call) = self.call.take() else { return };
         self.had_reply = true;
         if outcome != Outcome::Ok {
@@ -211,7 +211,7 @@
     }
 
     /// Where it may have been added, the stamp is read before anything is added again.
-    fn call_failed(&mut self, now: Micros, call: Call, outcome: Outcome) {
+    fn call_failed(&mut self, now: Timestamp, call: Call, outcome: Outcome) {
         let may_have_added = !outcome.never_ran();
         match call {
             Call::TakeBack if may_have_added => self.owed = 0,
@@ -226,7 +226,7 @@
         self.random.u64(..longest * (1 + self.gatekeepers / GATEKEEPERS_PER_PAUSE))
     }
 
-    fn on_read(&mut self, now: Micros, stamp: Stamp) {
+    fn on_read(&mut self, now: Timestamp, stamp: Stamp) {
         match (stamp.placed, self.role) {
             (0, Role::Candidate) => self.place(now, stamp.time),
             (0, _) => {
@@ -239,12 +239,12 @@
     }
 
     /// A stamp is placed with the next call, which is due at once. `found`: what the count holds without one.
-    fn place(&mut self, now: Micros, found: i64) {
+    fn place(&mut self, now: Timestamp, found: i64) {
         self.role = Role::Placing { found };
         self.next_call_at = now;
     }
 
-    fn on_added(&mut self, now: Micros, found: Stamp, time: i64, amount: i64) {
+    fn on_added(&mut self, now: Timestamp, found: Stamp, time: i64, amount: i64) {
         if found == (Stamp { placed: 1, time }) {
             self.role = Role::Timekeeper { stamp: time };
             self.next_call_at = now + ADVANCE_INTERVAL;
@@ -256,7 +256,7 @@
         }
     }
 
-    fn on_advanced(&mut self, now: Micros, found: Stamp, time: i64, amount: i64) {
+    fn on_advanced(&mut self, now: Timestamp, found: Stamp, time: i64, amount: i64) {
         let is_fresh =
             found.placed == 0 && found.time == amount || found.placed == -1 && found.time == PERIOD + amount;
         if is_fresh {
@@ -268,7 +268,7 @@
     }
 
     /// Compares a stamp with the time that is assumed.
-    fn compare(&mut self, now: Micros, stamp: i64) {
+    fn compare(&mut self, now: Timestamp, stamp: i64) {
         if let Role::Adopted { stamp: before, standstills } = self.role
             && before == stamp
         {
@@ -299,14 +299,14 @@
 
     /// The stamp is another clock's time: this process's clock is off by that. If its timekeeper has died it is old as well, which
     /// shows when another one advances it.
-    fn adopt(&mut self, now: Micros, stamp: i64, behind: i64) {
+    fn adopt(&mut self, now: Timestamp, stamp: i64, behind: i64) {
         self.offset += (behind - MEAN_AGE) * UNIT as i64;
         self.role = Role::Adopted { stamp, standstills: 0 };
         self.next_call_at = now + CONFIRMATION_INTERVAL + self.random_pause(DOUBT_PAUSE);
     }
 
     /// Those that know the fleet's time better go first.
-    fn on_standstill(&mut self, now: Micros, stamp: i64, standstills: u32) {
+    fn on_standstill(&mut self, now: Timestamp, stamp: i64, standstills: u32) {
         if standstills < MAX_STANDSTILLS {
             self.role = Role::Adopted { stamp, standstills };
             self.next_call_at = now + CONFIRMATION_INTERVAL + self.random_pause(DOUBT_PAUSE);
@@ -316,14 +316,14 @@
         }
     }
 
-    fn read_again(&mut self, now: Micros) {
+    fn read_again(&mut self, now: Timestamp) {
         self.role = Role::Reader;
         self.next_call_at = now + RETRY_PAUSE / 2 + self.random_pause(RETRY_PAUSE / 2);
     }
 
     /// The fleet's time, as far as it is known, as a stamp tells it.
-    fn fleet_stamp(&self, now: Micros) -> i64 {
-        ((now as i64 - self.offset) / UNIT as i64).rem_euclid(PERIOD)
+    fn fleet_stamp(&self, now: Timestamp) -> i64 {
+        ((now.as_micros() as i64 - self.offset) / UNIT as i64).rem_euclid(PERIOD)
     }
 }
 
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -5,14 +5,14 @@
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 1_000;
 /// A time far from zero, as on a real wall clock.
-const START: Micros = 1_790_000_000 * SECOND;
+const START: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 const HOUR: i64 = 3_600 * SECOND as i64;
 
 /// The count of the stamp, which expires.
 #[derive(Default)]
 struct Counter {
     total: f64,
-    expires_at: Micros,
+    expires_at: Timestamp,
     /// Calls in all.
     calls: u64,
     /// How calls end now.
@@ -20,7 +20,7 @@
 }
 
 impl Counter {
-    fn add(&mut self, now: Micros, amount: f64) -> (Outcome, f64) {
+    fn add(&mut self, now: Timestamp, amount: f64) -> (Outcome, f64) {
         self.calls += 1;
         match self.outcome {
             Some(outcome) if outcome.never_ran() => return (outcome, 0.0),
@@ -38,13 +38,13 @@
     clock: FleetClock,
     /// Microseconds that its wall clock was ahead when it started.
     ahead: i64,
-    reply: Option<(Micros, Outcome, f64)>,
+    reply: Option<(Timestamp, Outcome, f64)>,
 }
 
 struct Fleet {
     /// Gatekeepers by the settings.
     size: u32,
-    now: Micros,
+    now: Timestamp,
     counter: Counter,
     members: Vec<Member>,
     random: fastrand::Rng,
@@ -104,8 +104,9 @@
     }
 }
 
-fn local(now: Micros, ahead: i64) -> Micros {
-    now.checked_add_signed(ahead).expect("times are far from zero")
+fn local(now: Timestamp, ahead: i64) -> Timestamp {
+    let local = now.as_micros().checked_add_signed(ahead);
+    Timestamp::from_micros(local.expect("times are far from zero"))
 }
 
 /// What a difference between two members may be: the stamp is advanced once a second.
@@ -204,7 +205,7 @@
     let mut fleet = Fleet::new();
     fleet.start_many(3);
     fleet.run(10 * SECOND);
-    fleet.counter.expires_at = 0;
+    fleet.counter.expires_at = Timestamp::ZERO;
     fleet.run(2 * SECOND);
     assert_eq!(Stamp::of(fleet.counter.total).placed, 1);
     fleet.start(HOUR);
@@ -217,7 +218,7 @@
 fn the_end_of_a_period_of_the_stamp_is_no_step() {
     let period = PERIOD as u64 * UNIT;
     let mut fleet = Fleet::new();
-    fleet.now = (START / period + 1) * period - 5 * SECOND;
+    fleet.now = Timestamp::from_micros((START.as_micros() / period + 1) * period - 5 * SECOND);
     fleet.start_many(3);
     fleet.run(4 * SECOND);
     fleet.start(HOUR);
--- a/crates/exchange/src/in_flight.rs
+++ b/crates/exchange/src/in_flight.rs
@@ -1,13 +1,13 @@
 //! A request in flight and its attempts.
 
 use crate::request::{Admission, Reply};
-use policy::{BackendId, Micros, Outcome};
+use policy::{BackendId, Outcome, Timestamp};
 use std::sync::Arc;
 
 /// One attempt in the table.
 pub(crate) struct InFlightAttempt {
     pub(crate) backend: BackendId,
-    pub(crate) sent_at: Micros,
+    pub(crate) sent_at: Timestamp,
     pub(crate) is_open: bool,
     /// How it ended.
     pub(crate) outcome: Option<Outcome>,
@@ -18,7 +18,7 @@
     pub(crate) payload: Arc<Q>,
     /// Taken when the final answer is given or the client disconnects.
     pub(crate) reply: Option<Reply<A>>,
-    pub(crate) deadline: Micros,
+    pub(crate) deadline: Timestamp,
     pub(crate) admission: Admission,
     pub(crate) account: Option<u32>,
     pub(crate) class: u16,
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -1,6 +1,6 @@
 //! Requests, their attempts, and their final answers.
 
-use policy::{BackendId, Micros, Outcome, RequestId, TenantId};
+use policy::{BackendId, Micros, Outcome, RequestId, TenantId, Timestamp};
 use std::sync::Arc;
 
 /// What a front submits.
@@ -43,7 +43,7 @@
     /// The backend that the policy selected.
     pub backend: BackendId,
     /// When it was decided, by [`Exchange::now`](crate::Exchange::now).
-    pub decided_at: Micros,
+    pub decided_at: Timestamp,
     /// How long to wait for its answer, from then on.
     pub time_left: Micros,
     /// Nothing of it may be written later than this, from then on.
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -16,6 +16,7 @@
 use counter_calls::InFlightCall;
 use policy::{
     Action, BackendId, Event, FleetSummary, Micros, Outcome, Policy, RequestId, Settings, SettingsError,
+    Timestamp,
 };
 use repeat_guard::RepeatRule;
 use std::collections::{HashMap, VecDeque};
@@ -61,16 +62,16 @@
     /// A caller is carrying out side effects.
     pub(crate) is_performing: bool,
     /// No request has a later deadline.
-    latest_deadline: Micros,
+    latest_deadline: Timestamp,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     pub(crate) timers: Timers,
     /// When the thread that runs the timers wakes by itself.
-    pub(crate) wakes_at: Option<Micros>,
+    pub(crate) wakes_at: Option<Timestamp>,
 }
 
 impl<Q, A> RequestTable<Q, A> {
-    pub(crate) fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
+    pub(crate) fn new(settings: Settings, seed: u64, now: Timestamp) -> Result<Self, SettingsError> {
         let class_services: Vec<u16> = settings.classes.iter().map(|class| class.service).collect();
         let classes = vec![AnswerCounts::default(); class_services.len()];
         let counting_gatekeepers = if settings.shared_counter { settings.gatekeepers } else { 1 };
@@ -95,7 +96,7 @@
             admission_listener: None,
             side_effects: VecDeque::new(),
             is_performing: false,
-            latest_deadline: Micros::MAX,
+            latest_deadline: Timestamp::MAX,
             events: VecDeque::new(),
             actions: Vec::new(),
             timers: Timers::default(),
@@ -103,11 +104,11 @@
         })
     }
 
-    pub(crate) fn submit(&mut self, now: Micros, request: Request<Q>, reply: Reply<A>) -> RequestId {
+    pub(crate) fn submit(&mut self, now: Timestamp, request: Request<Q>, reply: Reply<A>) -> RequestId {
         let id = self.free_id();
         let Request { class, plan, tenant, tenant_gatekeepers, units, client_retry, .. } = request;
         let deadline = now.saturating_add(request.time_left).min(self.latest_deadline);
-        let time_left = deadline.saturating_sub(now);
+        let time_left = deadline.saturating_since(now);
         let in_flight = InFlightRequest {
             payload: Arc::new(request.payload),
             reply: Some(reply),
@@ -139,17 +140,17 @@
     }
 
     /// What is taken from now on is over by then.
-    pub(crate) fn set_latest_deadline(&mut self, deadline: Micros) {
+    pub(crate) fn set_latest_deadline(&mut self, deadline: Timestamp) {
         self.latest_deadline = deadline;
     }
 
     /// Hands one event to the policy and carries out its actions; events that follow at once are handed over too.
-    pub(crate) fn feed(&mut self, now: Micros, event: Event) {
+    pub(crate) fn feed(&mut self, now: Timestamp, event: Event) {
         self.events.push_back(event);
         self.run_events(now);
     }
 
-    fn run_events(&mut self, now: Micros) {
+    fn run_events(&mut self, now: Timestamp) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.policy.handle(now, event, &mut actions);
@@ -160,7 +161,7 @@
         }
     }
 
-    fn apply_action(&mut self, now: Micros, action: Action) {
+    fn apply_action(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::Send { id, backend, timeout, max_start_delay } => {
                 self.send(now, id, backend, timeout, max_start_delay);
@@ -248,7 +249,7 @@
     }
 
     /// Why the policy gives a request up now.
-    fn failure_reason(&self, now: Micros, id: RequestId) -> FailureReason {
+    fn failure_reason(&self, now: Timestamp, id: RequestId) -> FailureReason {
         let Some(request) = self.requests.get(&id) else { return FailureReason::NoCapacity };
         if now + DEADLINE_TICKS * self.tick >= request.deadline {
             return FailureReason::DeadlineExceeded;
@@ -266,7 +267,7 @@
         }
     }
 
-    pub(crate) fn client_gone(&mut self, now: Micros, id: RequestId) {
+    pub(crate) fn client_gone(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_over()) else { return };
         request.reply = None;
         self.counts.pending -= 1;
@@ -283,7 +284,7 @@
         }
     }
 
-    pub(crate) fn run_due_timers(&mut self, now: Micros) {
+    pub(crate) fn run_due_timers(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
                 Timer::Policy(token) => self.feed(now, Event::Timer { token }),
@@ -302,7 +303,7 @@
         }
     }
 
-    fn deadline_expired(&mut self, now: Micros, id: RequestId) {
+    fn deadline_expired(&mut self, now: Timestamp, id: RequestId) {
         self.cancel_open_attempts(now, id, Outcome::Timeout);
         // The policy answers before this. Were it ever not to, the request still gets its answer.
         if self.requests.get(&id).is_some_and(|request| !request.is_over()) {
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -6,13 +6,13 @@
 use crate::request::{Attempt, AttemptEnd, AttemptId, FinalAnswer, StreamEnd};
 use crate::side_effect::SideEffect;
 use crate::timers::Timer;
-use policy::{BackendId, BackendState, Event, Micros, Outcome, RequestId};
+use policy::{BackendId, BackendState, Event, Micros, Outcome, RequestId, Timestamp};
 
 impl<Q, A> RequestTable<Q, A> {
     /// Starts an attempt, unless its request is over.
     pub(super) fn send(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: RequestId,
         backend: BackendId,
         timeout: Micros,
@@ -64,7 +64,7 @@
     }
 
     /// Closes an attempt in the table and queues its end for the policy. Returns whether it was open.
-    fn close_attempt(&mut self, now: Micros, id: AttemptId, outcome: Outcome, load: Vec<f32>) -> bool {
+    fn close_attempt(&mut self, now: Timestamp, id: AttemptId, outcome: Outcome, load: Vec<f32>) -> bool {
         let Some(request) = self.requests.get_mut(&id.request) else { return false };
         let is_over = request.is_over();
         let attempt = request.attempts.get_mut(usize::from(id.attempt));
@@ -89,13 +89,13 @@
     }
 
     /// Ends an attempt from this side.
-    pub(super) fn cancel_attempt(&mut self, now: Micros, id: AttemptId, outcome: Outcome) {
+    pub(super) fn cancel_attempt(&mut self, now: Timestamp, id: AttemptId, outcome: Outcome) {
         if self.close_attempt(now, id, outcome, Vec::new()) {
             self.side_effects.push_back(SideEffect::Cancel(id));
         }
     }
 
-    pub(super) fn cancel_open_attempts(&mut self, now: Micros, id: RequestId, outcome: Outcome) {
+    pub(super) fn cancel_open_attempts(&mut self, now: Timestamp, id: RequestId, outcome: Outcome) {
         let attempts = self.requests.get(&id).map_or(0, |request| request.attempts.len());
         for attempt in 0..attempts {
             self.cancel_attempt(now, AttemptId { request: id, attempt: attempt as u8 }, outcome);
@@ -112,7 +112,7 @@
         }
     }
 
-    pub(crate) fn attempt_ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<A>) {
+    pub(crate) fn attempt_ended(&mut self, now: Timestamp, id: AttemptId, end: AttemptEnd<A>) {
         if !self.close_attempt(now, id, end.outcome, end.load) {
             return;
         }
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -5,7 +5,7 @@
 use crate::ports::CounterCall;
 use crate::side_effect::SideEffect;
 use crate::timers::Timer;
-use policy::{Event, Micros, Outcome};
+use policy::{Event, Micros, Outcome, Timestamp};
 
 /// What a call is for.
 #[derive(Clone, Copy, Debug)]
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightCall {
     purpose: Purpose,
-    started_at: Micros,
+    started_at: Timestamp,
 }
 
 impl<Q, A> RequestTable<Q, A> {
-    fn call_counter(&mut self, now: Micros, purpose: Purpose, units: f64, ttl: Micros) {
+    fn call_counter(&mut self, now: Timestamp, purpose: Purpose, units: f64, ttl: Micros) {
         let id = self.next_counter_call;
         self.next_counter_call += 1;
         self.status.counter_calls += 1;
@@ -39,11 +39,11 @@
         self.side_effects.push_back(SideEffect::CallCounter(CounterCall { id, name, units, ttl }));
     }
 
-    pub(super) fn call_quota_counter(&mut self, now: Micros, name: u64, units: f64, ttl: Micros) {
+    pub(super) fn call_quota_counter(&mut self, now: Timestamp, name: u64, units: f64, ttl: Micros) {
         self.call_counter(now, Purpose::Quota { name }, units, ttl);
     }
 
-    pub(crate) fn counter_call_ended(&mut self, now: Micros, id: u64, outcome: Outcome, total: f64) {
+    pub(crate) fn counter_call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, total: f64) {
         let Some(InFlightCall { purpose, started_at }) = self.counter_calls.remove(&id) else { return };
         match purpose {
             Purpose::Quota { name } => {
@@ -54,7 +54,7 @@
     }
 
     /// Reads the fleet's clock from now on. Without other gatekeepers, or without a counter, there is none.
-    pub(crate) fn start_fleet_clock(&mut self, now: Micros) {
+    pub(crate) fn start_fleet_clock(&mut self, now: Timestamp) {
         if self.counting_gatekeepers > 1 {
             self.fleet_clock = Some(FleetClock::new(self.counting_gatekeepers, self.seed, now));
             self.call_for_fleet_clock(now);
@@ -67,7 +67,7 @@
     }
 
     /// Makes the call that is due, and sets the timer of the next one.
-    pub(super) fn call_for_fleet_clock(&mut self, now: Micros) {
+    pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
         let Some(clock) = &mut self.fleet_clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
             (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_LIFE),
@@ -77,7 +77,7 @@
         }
     }
 
-    fn fleet_clock_replied(&mut self, now: Micros, outcome: Outcome, total: f64) {
+    fn fleet_clock_replied(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
         let Some(clock) = &mut self.fleet_clock else { return };
         let before = clock.offset();
         clock.call_ended(now, outcome, total);
--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -2,7 +2,7 @@
 
 use crate::in_flight::InFlightAttempt;
 use invariants::Guard;
-use policy::{Idempotency, Micros, Outcome, RequestClass, RequestId};
+use policy::{Idempotency, Micros, Outcome, RequestClass, RequestId, Timestamp};
 
 /// A gatekeeper may be held up for so long between this check and the write.
 const HOLD_UP: Micros = 150_000;
@@ -29,7 +29,7 @@
     }
 
     /// Whether a further attempt keeps the rule.
-    fn permits(self, now: Micros, earlier: &[InFlightAttempt]) -> bool {
+    fn permits(self, now: Timestamp, earlier: &[InFlightAttempt]) -> bool {
         let may_have_run = |attempt: &&InFlightAttempt| !attempt.outcome.is_some_and(Outcome::never_ran);
         let Some(first) = earlier.iter().find(may_have_run) else { return true };
         match self {
@@ -42,7 +42,7 @@
 
 /// Reports a further attempt that its class does not permit.
 pub(super) fn check(
-    now: Micros,
+    now: Timestamp,
     id: RequestId,
     rules: &[RepeatRule],
     class: u16,
--- a/crates/exchange/src/request_table/tests.rs
+++ b/crates/exchange/src/request_table/tests.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, channel};
 
 const MS: Micros = 1000;
-const START: Micros = 1_000_000_000;
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 type TestTable = RequestTable<&'static str, &'static str>;
 
@@ -36,13 +36,13 @@
 }
 
 /// A request of a tenant that uses this gatekeeper alone, so that the counter is not called.
-fn submit(table: &mut TestTable, now: Micros) -> (RequestId, Receiver<String>) {
+fn submit(table: &mut TestTable, now: Timestamp) -> (RequestId, Receiver<String>) {
     submit_through(table, now, 1.0)
 }
 
 fn submit_through(
     table: &mut TestTable,
-    now: Micros,
+    now: Timestamp,
     tenant_gatekeepers: f64,
 ) -> (RequestId, Receiver<String>) {
     let (tell, answered) = channel();
@@ -94,7 +94,7 @@
 }
 
 /// Runs the timers as the clock does, each at its time.
-fn run_until(table: &mut TestTable, until: Micros) {
+fn run_until(table: &mut TestTable, until: Timestamp) {
     while let Some(at) = table.timers.next().filter(|&at| at <= until) {
         table.run_due_timers(at);
     }
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -1,7 +1,7 @@
 //! Timers, earliest first.
 
 use crate::request::AttemptId;
-use policy::{Micros, RequestId};
+use policy::{RequestId, Timestamp};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -25,13 +25,13 @@
 /// A timer in the heap. Those that expire together come in the order in which they were set.
 #[derive(Debug)]
 struct Entry {
-    expires_at: Micros,
+    expires_at: Timestamp,
     serial: u64,
     timer: Timer,
 }
 
 impl Entry {
-    fn key(&self) -> (Micros, u64) {
+    fn key(&self) -> (Timestamp, u64) {
         (self.expires_at, self.serial)
     }
 }
@@ -64,18 +64,18 @@
 }
 
 impl Timers {
-    pub(crate) fn set(&mut self, expires_at: Micros, timer: Timer) {
+    pub(crate) fn set(&mut self, expires_at: Timestamp, timer: Timer) {
         self.last_serial += 1;
         self.heap.push(Reverse(Entry { expires_at, serial: self.last_serial, timer }));
     }
 
     /// When the first timer expires.
-    pub(crate) fn next(&self) -> Option<Micros> {
+    pub(crate) fn next(&self) -> Option<Timestamp> {
         self.heap.peek().map(|Reverse(entry)| entry.expires_at)
     }
 
     /// Takes the first timer if it has expired.
-    pub(crate) fn pop(&mut self, now: Micros) -> Option<Timer> {
+    pub(crate) fn pop(&mut self, now: Timestamp) -> Option<Timer> {
         self.next().filter(|&expires_at| expires_at <= now)?;
         self.heap.pop().map(|Reverse(entry)| entry.timer)
     }
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -11,7 +11,7 @@
         shared_counter: true,
         ..Settings::default()
     };
-    let mut gateway = Policy::new(settings, 42, 0)?;
+    let mut gateway = Policy::new(settings, 42, Timestamp::ZERO)?;
     let request = |id, units| Event::Request {
         id,
         class: 0,
@@ -44,7 +44,7 @@
     let mut actions = Vec::new();
     for (now, event) in events {
         println!("{now:>6} us  {event:?}");
-        gateway.handle(now, event, &mut actions);
+        gateway.handle(Timestamp::from_micros(now), event, &mut actions);
         for action in actions.drain(..) {
             println!("           -> {action:?}");
         }
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,6 +1,7 @@
 //! Actions: what the state machine asks of the driver.
 
-use crate::ids::{BackendId, Micros, RequestId};
+use crate::ids::{BackendId, RequestId};
+use crate::time::Micros;
 use std::fmt;
 
 /// Why a request was rejected.
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,9 +1,10 @@
 //! Admission: whether a request is forwarded, rejected, or waits for a fresh total of its tenant's count.
 
 use crate::action::{Action, RejectReason};
-use crate::ids::{Micros, RequestId, SECOND};
+use crate::ids::RequestId;
 use crate::state::{Request, TenantBucket};
 use crate::state_machine::{Actions, Policy};
+use crate::time::{Micros, SECOND};
 use crate::timer_token::deadline_token;
 
 /// Part of a cap on attempts in flight that all gatekeepers together aim at: what goes out above the cap
@@ -112,7 +113,7 @@
         let usable = IN_FLIGHT_PART * cap;
         let attempt_time = self.pool.mean_attempt_time / SECOND;
         if bucket.last_total.is_none() || self.counter.silent_since.is_some() {
-            let idle = (self.now - bucket.last_admitted) as f64 / SECOND;
+            let idle = self.now.seconds_since(bucket.last_admitted);
             return bucket.in_flight == 0 && idle >= attempt_time * bucket.gatekeepers / usable;
         }
         let others = bucket.others_rate * attempt_time / self.pool.mean_cost.max(1.0);
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -3,10 +3,11 @@
 use crate::action::{Action, RejectReason};
 use crate::estimates::{MIN_LATENCY_RATIO, WORST_LATENCY};
 use crate::event::Outcome;
-use crate::ids::{BackendId, Micros, RequestId};
+use crate::ids::{BackendId, RequestId};
 use crate::settings::{DedupScope, Idempotency};
 use crate::state::{Attempt, Backend, EndedAttempt, Request};
 use crate::state_machine::{Actions, Policy};
+use crate::time::{Micros, Timestamp};
 use crate::timer_token::hedge_token;
 
 /// Part of the objective after which a hedged request is worth its work.
@@ -66,11 +67,11 @@
 
     /// By when a further attempt has to begin: duplicates of a key are dropped for a while from the first
     /// attempt that may have run.
-    fn start_deadline(&self, request: &Request) -> Micros {
+    fn start_deadline(&self, request: &Request) -> Timestamp {
         let class = &self.settings.classes[request.class];
         let first = request.attempts.iter().find(|attempt| attempt.may_have_run());
         let Some(first) = first.filter(|_| class.idempotency == Idempotency::Keyed) else {
-            return Micros::MAX;
+            return Timestamp::MAX;
         };
         let margin = ((class.idempotency_key_ttl as f64 * DEDUP_MARGIN) as Micros).max(MIN_DEDUP_MARGIN);
         first.sent_at.saturating_add(class.idempotency_key_ttl.saturating_sub(margin))
@@ -88,7 +89,7 @@
     pub(crate) fn send(&mut self, id: RequestId, backend_id: BackendId, out: &mut Actions) {
         let (now, next_trial) = (self.now, self.now + self.ejection_time());
         let Some(request) = self.requests.get(&id) else { return };
-        let (class, max_start_delay) = (request.class, self.start_deadline(request).saturating_sub(now));
+        let (class, max_start_delay) = (request.class, self.start_deadline(request).saturating_since(now));
         let Some(backend) = self.backends.get(&backend_id) else { return };
         let dedup_group = self.dedup_group(class, backend);
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/crates/policy/src/bucket_estimator.rs
+++ b/crates/policy/src/bucket_estimator.rs
@@ -6,9 +6,10 @@
 //! name in order, so an answer also tells the level just before the call: a write-off that was too large, because another
 //! gatekeeper had made it already, is known by its own answer and taken back.
 
-use crate::ids::{Micros, SECOND, TenantId};
+use crate::ids::TenantId;
 use crate::settings::Plan;
 use crate::state::{BucketView, CountTotal, TenantBucket, mix};
+use crate::time::{Micros, Timestamp};
 
 /// us; how long the name of a count is used (the design's epoch). Totals are read as differences and buckets refill smoothly, so
 /// a long epoch only means fewer changes of name. A name lives for two, 60 s at most.
@@ -61,7 +62,7 @@
         burst: f64,
         name: u64,
         refilled: f64,
-        now: Micros,
+        now: Timestamp,
         last_call_answered: bool,
     ) -> f64 {
         let known = self.last_total.filter(|known| known.name == name);
@@ -69,7 +70,7 @@
             // It was due under the name before, or is left to whoever gets an answer.
             self.written_off = self.written_off.min(0.0) * f64::from(known.is_some());
         } else if self.written_off >= 0.0 {
-            let growth = self.others_growth * (now - self.synced_at) as f64 / SECOND;
+            let growth = self.others_growth * now.seconds_since(self.synced_at);
             let expected = known.map_or(refilled, |known| known.total + (self.written_off + growth));
             self.written_off += (refilled - expected).clamp(0.0, ESTIMATED_WRITE_OFF_PART * burst);
         }
@@ -82,9 +83,9 @@
     }
 
     /// Updates the level from the answer to a call.
-    pub(crate) fn apply_total(&mut self, plan: &Plan, answer: CounterAnswer, now: Micros) {
+    pub(crate) fn apply_total(&mut self, plan: &Plan, answer: CounterAnswer, now: Timestamp) {
         let CounterAnswer { total: CountTotal { name, total }, added, refilled, .. } = answer;
-        let unseen = (now - self.synced_at) as f64 / SECOND;
+        let unseen = now.seconds_since(self.synced_at);
         let before = self.last_total.filter(|known| known.name == name).map(|known| known.total);
         let others = total - added - before.unwrap_or(0.0);
         let reported = added - self.written_off;
@@ -142,7 +143,7 @@
 /// The name of a tenant's count, from tenant, rate and epoch alone, so that every gatekeeper finds the same, and microseconds since
 /// that epoch began. Each tenant has its own phase, so that not all names change at once. What has refilled follows from the
 /// rate: under another one the total would show a debt, or room, that nobody has.
-pub(crate) fn count_name(tenant: TenantId, rate: f64, now: Micros) -> (u64, Micros) {
-    let time = now + mix(tenant.0) % EPOCH;
+pub(crate) fn count_name(tenant: TenantId, rate: f64, now: Timestamp) -> (u64, Micros) {
+    let time = now.as_micros() + mix(tenant.0) % EPOCH;
     (mix(mix(tenant.0) ^ mix(rate.to_bits()) ^ (time / EPOCH)), time % EPOCH)
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,9 +1,9 @@
 //! Concurrency limit: how many attempts this gatekeeper may have in flight, and which work may use the last
 //! of it.
 
-use crate::ids::{Micros, SECOND};
 use crate::state::{Attempt, Request};
 use crate::state_machine::Policy;
+use crate::time::Timestamp;
 
 /// Mean latency as a part of the objective above which the limit shrinks.
 const LATE_PART: f64 = 0.45;
@@ -68,10 +68,10 @@
     }
 
     /// Adds a latency as a part of its objective: the limit shrinks once for each round of late answers.
-    pub(crate) fn update_concurrency_limit(&mut self, objective_part: f64, sent_at: Micros) {
+    pub(crate) fn update_concurrency_limit(&mut self, objective_part: f64, sent_at: Timestamp) {
         let (capacity, now) = (self.capacity(), self.now);
         let pool = &mut self.pool;
-        let since = (now - pool.objective_part_updated_at) as f64 / SECOND / OBJECTIVE_PART_MEMORY;
+        let since = now.seconds_since(pool.objective_part_updated_at) / OBJECTIVE_PART_MEMORY;
         let weight = since.clamp(OBJECTIVE_PART_WEIGHTS.0, OBJECTIVE_PART_WEIGHTS.1);
         pool.objective_part += weight * (objective_part.min(1.0) - pool.objective_part);
         pool.objective_part_updated_at = now;
--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -3,9 +3,10 @@
 use crate::action::Action;
 use crate::bucket_estimator::{CounterAnswer, EPOCH, count_name};
 use crate::event::Outcome;
-use crate::ids::{Micros, SECOND, TenantId};
+use crate::ids::TenantId;
 use crate::state::{CountTotal, CounterHealth};
 use crate::state_machine::{Actions, Policy};
+use crate::time::{Micros, SECOND};
 
 /// us; for how long spend may go unreported while a bucket is well filled.
 pub(crate) const REPORT_DELAY: Micros = 500_000;
--- a/crates/policy/src/estimates.rs
+++ b/crates/policy/src/estimates.rs
@@ -1,9 +1,10 @@
 //! Estimates of latency, warm-up and rates that the decisions are made by: no decision itself.
 
 use crate::event::Outcome;
-use crate::ids::{BackendId, Micros, SECOND};
+use crate::ids::BackendId;
 use crate::state::{Backend, EndedAttempt};
 use crate::state_machine::Policy;
+use crate::time::{Micros, SECOND, Timestamp};
 
 /// Long-term over short-term p95 latency below which the backends are overloaded (the design).
 pub(crate) const MIN_LATENCY_RATIO: f64 = 0.3;
@@ -80,17 +81,17 @@
     pub(crate) fn warmth(&self, backend: &Backend) -> f64 {
         let (duration, share) = (self.settings.slow_start_duration, self.settings.slow_start_share);
         let started = self.start_times.start_of(backend, self.now).max(backend.readmitted_at);
-        if started == 0 || duration == 0 {
+        if started == Timestamp::ZERO || duration == 0 {
             return 1.0;
         }
-        let age = self.now.saturating_sub(started) as f64 / duration as f64;
+        let age = self.now.saturating_since(started) as f64 / duration as f64;
         (share + (1.0 - share) * age).min(1.0)
     }
 
     /// Measures what a warm backend carries, the guide to what one in slow start can: answers a second of this gatekeeper for each
     /// warm backend, or its part of one request at a time with nothing known. Returns the seconds since the last time.
     pub(crate) fn measure_rates(&mut self) -> f64 {
-        let seconds = (self.now - self.pool.measured_at) as f64 / SECOND;
+        let seconds = self.now.seconds_since(self.pool.measured_at);
         let warmth: f64 = self.ready_backends().map(|backend| self.warmth(backend)).sum();
         let pool = &mut self.pool;
         let rate = pool.answers as f64 / warmth.max(1.0) / seconds;
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,6 +1,7 @@
 //! Events: what the driver tells the state machine.
 
-use crate::ids::{BackendId, Micros, RequestId, TenantId};
+use crate::ids::{BackendId, RequestId, TenantId};
+use crate::time::{Micros, Timestamp};
 
 /// Whether a backend takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +32,7 @@
     /// Its size relative to other backends.
     pub size: f64,
     /// Clock of its most recent start; 0 for long ago.
-    pub started: Micros,
+    pub started: Timestamp,
 }
 
 impl Default for BackendEntry {
@@ -45,7 +46,7 @@
             state: BackendState::Ready,
             service: 0,
             size: 1.0,
-            started: 0,
+            started: Timestamp::ZERO,
         }
     }
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,14 +1,8 @@
-//! Identifiers, and the unit of time.
+//! Identifiers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Microseconds: a duration, or a reading of the caller's clock.
-pub type Micros = u64;
-
-/// Microseconds a second.
-pub(crate) const SECOND: f64 = 1e6;
-
 /// Identifies a request within one gatekeeper while it is open.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestId(pub u32);
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -1,7 +1,7 @@
 //! The ratio of long-term to short-term p95 latency: an estimate, no decision.
 
-use crate::ids::Micros;
 use crate::quantile::P2Quantile;
+use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// The quantile of both latency estimates (the design).
@@ -18,14 +18,14 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct LatencyTrend {
     short_term: P2Quantile,
-    short_term_since: Micros,
+    short_term_since: Timestamp,
     /// The last short-term estimate, and when it was made.
-    estimate: Option<(f64, Micros)>,
+    estimate: Option<(f64, Timestamp)>,
     long_term: P2Quantile,
 }
 
 impl LatencyTrend {
-    pub(crate) fn new(now: Micros) -> Self {
+    pub(crate) fn new(now: Timestamp) -> Self {
         Self {
             short_term: P2Quantile::new(QUANTILE),
             short_term_since: now,
@@ -35,7 +35,7 @@
     }
 
     /// Changes all times that are kept.
-    pub(crate) fn change_times(&mut self, change: impl Fn(&mut Micros)) {
+    pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
         change(&mut self.short_term_since);
         if let Some((_, estimated_at)) = &mut self.estimate {
             change(estimated_at);
@@ -44,7 +44,7 @@
 
     /// Adds a sample; returns whether it feeds the long-term estimate. A lasting slowdown, which is a ratio below `slow_ratio`,
     /// must not become the new normal unless answers still meet their objective (`on_time`).
-    pub(crate) fn add(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Micros) -> bool {
+    pub(crate) fn add(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Timestamp) -> bool {
         self.short_term.add(sample);
         if self.short_term.count() >= SHORT_TERM_SAMPLES && now >= self.short_term_since + SHORT_TERM_DURATION
         {
@@ -60,7 +60,7 @@
     }
 
     /// Long-term over short-term p95, 1 at most; none until both are valid.
-    pub(crate) fn ratio(&self, now: Micros) -> Option<f64> {
+    pub(crate) fn ratio(&self, now: Timestamp) -> Option<f64> {
         let (short_term, estimated_at) = self.estimate?;
         let long_term = self.long_term.value().filter(|_| self.long_term.count() >= LONG_TERM_SAMPLES)?;
         (now < estimated_at + SHORT_TERM_EXPIRY && short_term > 0.0)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -23,14 +23,14 @@
 //! # Examples
 //!
 //! ```
-//! use policy::{Action, BackendEntry, BackendId, Event, ListKind, Plan, Policy, RequestClass, RequestId, Settings, TenantId};
+//! use policy::{Action, BackendEntry, BackendId, Event, ListKind, Plan, Policy, RequestClass, RequestId, Settings, TenantId, Timestamp};
 //!
 //! let settings =
 //!     Settings { classes: vec![RequestClass::default()], plans: vec![Plan::default()], ..Settings::default() };
-//! let mut policy = Policy::new(settings, 42, 0)?;
+//! let mut policy = Policy::new(settings, 42, Timestamp::ZERO)?;
 //! let mut actions = Vec::new();
 //! let entries = vec![BackendEntry { id: BackendId(5), ..BackendEntry::default() }];
-//! policy.handle(0, Event::Endpoints { kind: ListKind::Full, entries }, &mut actions);
+//! policy.handle(Timestamp::ZERO, Event::Endpoints { kind: ListKind::Full, entries }, &mut actions);
 //! let request = Event::Request {
 //!     id: RequestId(1),
 //!     class: 0,
@@ -41,7 +41,7 @@
 //!     units: 4.0,
 //!     client_retry: false,
 //! };
-//! policy.handle(1_000, request, &mut actions);
+//! policy.handle(Timestamp::from_micros(1_000), request, &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { backend: BackendId(5), .. })));
 //! # Ok::<(), policy::SettingsError>(())
 //! ```
@@ -73,16 +73,18 @@
 mod state;
 mod state_machine;
 mod surcharge;
+mod time;
 mod timer_token;
 mod timers;
 
 pub use action::{Action, Notice, RejectReason};
 pub use event::{BackendEntry, BackendState, Event, ListKind, Outcome};
 pub use fleet_summary::FleetSummary;
-pub use ids::{BackendId, Micros, RequestId, TenantId};
+pub use ids::{BackendId, RequestId, TenantId};
 pub use quantile::P2Quantile;
 pub use settings::{
     DedupScope, Idempotency, LoadMetric, LoadReporting, Plan, RequestClass, Settings, SettingsError,
 };
 pub use snapshot::PolicySnapshot;
 pub use state_machine::Policy;
+pub use time::{Micros, Timestamp};
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -3,9 +3,9 @@
 
 use crate::estimates::WORST_LATENCY;
 use crate::event::Outcome;
-use crate::ids::Micros;
 use crate::state::{ClassHealth, EndedAttempt};
 use crate::state_machine::Policy;
+use crate::time::{Micros, Timestamp};
 
 /// Part of its objective for which an attempt may be unanswered, with no answer of its backend since, before
 /// that is ejected.
@@ -25,7 +25,7 @@
         for request in self.requests.values() {
             let objective = self.settings.classes[request.class].latency_objective;
             let patience = (objective as f64 * SILENCE_PART) as Micros;
-            let is_late = |sent_at: Micros| now - sent_at > patience;
+            let is_late = |sent_at: Timestamp| now - sent_at > patience;
             for attempt in request.attempts.iter().filter(|a| a.is_in_flight() && is_late(a.sent_at)) {
                 let Some(backend) = self.backends.get_mut(&attempt.backend) else { continue };
                 let answers_none = backend.last_answer < attempt.sent_at;
@@ -96,10 +96,10 @@
                 let backoff = (2 * backend.connect_backoff).clamp(pause, MAX_EJECTION_TIME);
                 backend.connect_backoff = backoff;
                 backend.connect_backoff_until = now + backoff;
-                self.pool.last_send = 0;
+                self.pool.last_send = Timestamp::ZERO;
                 self.record_relative_latency(attempt.backend, WORST_LATENCY);
             }
-            Outcome::NotStarted => self.pool.last_send = 0,
+            Outcome::NotStarted => self.pool.last_send = Timestamp::ZERO,
             Outcome::Ok => {
                 backend.connect_backoff = 0;
                 backend.last_answer = now;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -3,9 +3,10 @@
 
 use crate::counter_sync::REPORT_DELAY;
 use crate::headroom::Headroom;
-use crate::ids::{Micros, RequestId, SECOND, TenantId};
+use crate::ids::{RequestId, TenantId};
 use crate::state::{Request, TenantBucket};
 use crate::state_machine::Policy;
+use crate::time::{Micros, SECOND};
 
 /// Uncertain units that count, in standard deviations.
 const UNCERTAINTY_DEVIATIONS: f64 = 2.0;
@@ -18,7 +19,7 @@
     /// Finds or creates a tenant's bucket and brings it up to now.
     pub(crate) fn refill(&mut self, tenant: TenantId, plan: usize, gatekeepers: f64) {
         let (now, settings) = (self.now, &self.settings);
-        let age = (now - self.started_at) as f64 / SECOND;
+        let age = now.seconds_since(self.started_at);
         let create = || TenantBucket::new(settings, plan, gatekeepers, age, now);
         let bucket = self.tenants.entry(tenant).or_insert_with(create);
         bucket.gatekeepers = gatekeepers;
@@ -34,7 +35,7 @@
             return Headroom { units: bucket.local_share - required, uncertainty: f64::INFINITY };
         }
         let rate = self.settings.plans[bucket.plan].rate;
-        let unseen = (self.now - bucket.synced_at) as f64 / SECOND;
+        let unseen = self.now.seconds_since(bucket.synced_at);
         // No total can show more than this: where that is too little, none is read.
         let max_units = bucket.synced_level + rate * unseen - bucket.spent_since_sync - required;
         if max_units < 0.0 {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the state machine: request classes, plans, limits and timings.
 
-use crate::ids::Micros;
+use crate::time::Micros;
 use thiserror::Error;
 
 /// What a second execution of a request may do.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: how much a backend that has just started is sent by this gatekeeper.
 
-use crate::ids::{BackendId, SECOND};
+use crate::ids::BackendId;
 use crate::state::Backend;
 use crate::state_machine::Policy;
+use crate::time::SECOND;
 
 /// Standard deviations that are left free in what a backend in slow start is sent.
 const RESERVED_DEVIATIONS: f64 = 2.0;
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -2,10 +2,11 @@
 //! nothing from then on, so that each bucket and each right has one owner.
 
 use crate::counter_sync::NEGLIGIBLE_UNITS;
-use crate::ids::{BackendId, Micros, TenantId};
+use crate::ids::{BackendId, TenantId};
 use crate::latency_trend::LatencyTrend;
 use crate::state::{Backend, BackendPool, ClassStats, CountTotal, CounterHealth, TenantBucket};
 use crate::state_machine::Policy;
+use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -14,8 +15,8 @@
 /// The memory of a state machine. The order of the fields is the serialized form.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PolicySnapshot {
-    now: Micros,
-    started_at: Micros,
+    now: Timestamp,
+    started_at: Timestamp,
     tenants: Vec<(TenantId, TenantBucket)>,
     counter: CounterHealth,
     backends: Vec<BackendSnapshot>,
@@ -29,7 +30,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct BackendSnapshot {
     id: BackendId,
-    started: Micros,
+    started: Timestamp,
     state: Backend,
 }
 
@@ -111,7 +112,7 @@
 
     /// Continues where the predecessor stopped. The endpoint list and operator ejections are this state machine's own. The clocks of
     /// the two may be apart: each reads the wall clock when it starts, and that may have been stepped in between.
-    pub fn take_over(&mut self, now: Micros, mut snapshot: PolicySnapshot) {
+    pub fn take_over(&mut self, now: Timestamp, mut snapshot: PolicySnapshot) {
         self.activate_pool(0);
         self.now = self.now.max(now);
         snapshot.change_clock(self.now);
@@ -197,7 +198,7 @@
     /// spend to the counter.
     pub fn mirror_admission(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         tenant: TenantId,
         plan: usize,
         gatekeepers: f64,
--- a/crates/policy/src/snapshot/clock_change.rs
+++ b/crates/policy/src/snapshot/clock_change.rs
@@ -2,8 +2,8 @@
 //! starts kept in the times, the successor would wait for it to pass: nothing would refill, and no pause would end.
 
 use super::PolicySnapshot;
-use crate::ids::Micros;
 use crate::state::{Backend, BackendPool, CounterHealth, TenantBucket};
+use crate::time::Timestamp;
 
 /// Clocks that are less apart are the same one: a snapshot takes moments to arrive.
 const SAME_CLOCK: u64 = 200_000;
@@ -17,9 +17,9 @@
 
 impl ClockChange {
     /// Changes a time. 0 stands for never.
-    fn change(self, time: &mut Micros) {
-        if *time > 0 {
-            *time = time.saturating_add_signed(self.ahead).max(1);
+    fn change(self, time: &mut Timestamp) {
+        if *time > Timestamp::ZERO {
+            *time = time.saturating_add_signed(self.ahead).max(Timestamp::from_micros(1));
         }
     }
 
@@ -61,11 +61,11 @@
 
 impl PolicySnapshot {
     /// Changes all times to the clock that reads `now`, unless that is the same one.
-    pub(super) fn change_clock(&mut self, now: Micros) {
+    pub(super) fn change_clock(&mut self, now: Timestamp) {
         if self.now.abs_diff(now) <= SAME_CLOCK {
             return;
         }
-        let change = ClockChange { ahead: now.wrapping_sub(self.now) as i64 };
+        let change = ClockChange { ahead: now.as_micros().wrapping_sub(self.now.as_micros()) as i64 };
         change.change(&mut self.started_at);
         self.tenants.iter_mut().for_each(|(_, bucket)| change.change_bucket(bucket));
         change.change_counter(&mut self.counter);
--- a/crates/policy/src/start_times.rs
+++ b/crates/policy/src/start_times.rs
@@ -10,8 +10,9 @@
 //!   clocks that disagree the one is taken by which backends are younger, unless that puts a start into the future.
 
 use crate::event::BackendEntry;
-use crate::ids::{BackendId, Micros};
+use crate::ids::BackendId;
 use crate::state::Backend;
+use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// A start that is notified may be so old: lists may be late, and a watch may have been lost.
@@ -37,9 +38,9 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownStart {
     /// As the list states it.
-    stated: Micros,
+    stated: Timestamp,
     /// By this gatekeeper's clock, where it was notified.
-    notified: Option<Micros>,
+    notified: Option<Timestamp>,
 }
 
 impl StartTimes {
@@ -49,7 +50,7 @@
     }
 
     /// The time by the clock that the fleet goes by.
-    pub(crate) fn fleet_time(&self, now: Micros) -> Micros {
+    pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
         now.saturating_add_signed(-self.clock_offset)
     }
 
@@ -59,15 +60,15 @@
     }
 
     /// Takes in an entry of a list. Returns when the backend started by this gatekeeper's clock, where that was notified of it.
-    pub(crate) fn observe(&mut self, entry: &BackendEntry, now: Micros) -> Option<Micros> {
+    pub(crate) fn observe(&mut self, entry: &BackendEntry, now: Timestamp) -> Option<Timestamp> {
         let stated = entry.started;
-        if stated == 0 {
+        if stated == Timestamp::ZERO {
             return None;
         }
         if let Some(known) = self.known.get(&entry.id).filter(|known| known.stated == stated) {
             return known.notified;
         }
-        let age = now as i64 - stated as i64;
+        let age = now.as_micros() as i64 - stated.as_micros() as i64;
         let notified = self.is_following.then(|| self.notified_start(age, now));
         self.least_age = Some(self.least_age.map_or(age, |least| least.min(age)));
         self.remember(entry.id, KnownStart { stated, notified });
@@ -75,7 +76,7 @@
     }
 
     /// When a backend started of whose start this gatekeeper is notified now. `age`: by its clock.
-    fn notified_start(&self, age: i64, now: Micros) -> Micros {
+    fn notified_start(&self, age: i64, now: Timestamp) -> Timestamp {
         let age = age - self.clock_error();
         if (-TOLERANCE..=MAX_NOTIFICATION_AGE).contains(&age) { now.saturating_add_signed(-age) } else { now }
     }
@@ -89,11 +90,18 @@
     }
 
     /// When a backend started, by this gatekeeper's clock; 0 for long ago.
-    pub(crate) fn start_of(&self, backend: &Backend, now: Micros) -> Micros {
+    pub(crate) fn start_of(&self, backend: &Backend, now: Timestamp) -> Timestamp {
         match backend.notified_start {
             Some(start) => start,
-            None if backend.entry.started == 0 => 0,
-            None => backend.entry.started.saturating_add_signed(self.clock_error()).clamp(1, now.max(1)),
+            None if backend.entry.started == Timestamp::ZERO => Timestamp::ZERO,
+            None => {
+                let earliest = Timestamp::from_micros(1);
+                backend
+                    .entry
+                    .started
+                    .saturating_add_signed(self.clock_error())
+                    .clamp(earliest, now.max(earliest))
+            }
         }
     }
 
--- a/crates/policy/src/state/backend.rs
+++ b/crates/policy/src/state/backend.rs
@@ -1,7 +1,7 @@
 //! One backend.
 
 use crate::event::BackendEntry;
-use crate::ids::Micros;
+use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -16,38 +16,38 @@
     pub(crate) entry: BackendEntry,
     /// When it started by this gatekeeper's clock, where that was notified of the start; else its entry tells.
     #[serde(skip)]
-    pub(crate) notified_start: Option<Micros>,
+    pub(crate) notified_start: Option<Timestamp>,
     /// Attempts in flight.
     pub(crate) in_flight: u32,
     /// Recent latency as a multiple of the mean of the class, and when it was last updated.
     pub(crate) relative_latency: f64,
-    pub(crate) latency_updated_at: Micros,
-    pub(crate) last_answer: Micros,
+    pub(crate) latency_updated_at: Timestamp,
+    pub(crate) last_answer: Timestamp,
     /// By class.
     pub(crate) health: Vec<ClassHealth>,
     /// By class and plan: until when it gets none of these after it rejected one.
-    pub(crate) rejects_until: BTreeMap<(usize, usize), Micros>,
+    pub(crate) rejects_until: BTreeMap<(usize, usize), Timestamp>,
     /// Attempts that it may be sent during slow start.
     pub(crate) slow_start_tokens: f64,
     /// Attempts sent recently, decaying; used where work goes by size.
     pub(crate) recent_sends: f64,
     /// When operators admitted it again: it may have restarted while it was ejected.
-    pub(crate) readmitted_at: Micros,
+    pub(crate) readmitted_at: Timestamp,
     /// Until when no connection is attempted, and the last backoff.
-    pub(crate) connect_backoff_until: Micros,
+    pub(crate) connect_backoff_until: Timestamp,
     pub(crate) connect_backoff: Micros,
 }
 
 /// How one class fares at one backend.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub(crate) struct ClassHealth {
-    pub(crate) last_answer: Micros,
+    pub(crate) last_answer: Timestamp,
     /// Set while the backend is ejected for this class: the time of the next trial.
-    pub(crate) ejected_until: Option<Micros>,
+    pub(crate) ejected_until: Option<Timestamp>,
 }
 
 impl Backend {
-    pub(crate) fn new(entry: BackendEntry, now: Micros, classes: usize) -> Self {
+    pub(crate) fn new(entry: BackendEntry, now: Timestamp, classes: usize) -> Self {
         let health = vec![ClassHealth { last_answer: now, ejected_until: None }; classes];
         Self {
             entry,
@@ -77,7 +77,7 @@
     }
 
     /// The time of the next trial if it is ejected for this class.
-    pub(crate) fn ejected_until(&self, class: usize) -> Option<Micros> {
+    pub(crate) fn ejected_until(&self, class: usize) -> Option<Timestamp> {
         self.health.get(class).and_then(|health| health.ejected_until)
     }
 }
--- a/crates/policy/src/state/counter.rs
+++ b/crates/policy/src/state/counter.rs
@@ -2,8 +2,8 @@
 
 use crate::action::Notice;
 use crate::event::Outcome;
-use crate::ids::{Micros, SECOND};
 use crate::settings::Settings;
+use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Microseconds between two calls, of one gatekeeper at the least and of all together before the counter's latency has told what
@@ -28,22 +28,22 @@
 pub(crate) struct CounterHealth {
     /// Calls that failed in a row.
     pub(crate) failures: u32,
-    pub(crate) last_answer: Micros,
+    pub(crate) last_answer: Timestamp,
     /// Since when it counts as silent.
-    pub(crate) silent_since: Option<Micros>,
-    pub(crate) recovered_at: Micros,
+    pub(crate) silent_since: Option<Timestamp>,
+    pub(crate) recovered_at: Timestamp,
     /// When the next trial call is allowed while it is silent.
-    pub(crate) next_trial: Micros,
+    pub(crate) next_trial: Timestamp,
     /// Microseconds between two calls, and when that was last changed.
     pub(crate) call_interval: f64,
-    pub(crate) interval_changed_at: Micros,
+    pub(crate) interval_changed_at: Timestamp,
     /// Calls that may be made at once, and when they were last counted.
     pub(crate) call_tokens: f64,
-    pub(crate) tokens_counted_at: Micros,
+    pub(crate) tokens_counted_at: Timestamp,
 }
 
 impl CounterHealth {
-    pub(crate) fn new(settings: &Settings, seed: u64, now: Micros) -> Self {
+    pub(crate) fn new(settings: &Settings, seed: u64, now: Timestamp) -> Self {
         Self {
             call_interval: MIN_CALL_INTERVAL * f64::from(settings.gatekeepers),
             call_tokens: max_call_tokens(settings) * fastrand::Rng::with_seed(seed).f64(),
@@ -54,7 +54,7 @@
     }
 
     /// Adds the calls that may be made since the last time.
-    pub(crate) fn earn_call_tokens(&mut self, settings: &Settings, now: Micros) {
+    pub(crate) fn earn_call_tokens(&mut self, settings: &Settings, now: Timestamp) {
         let earned = (now - self.tokens_counted_at) as f64 / self.call_interval;
         self.call_tokens = (self.call_tokens + earned).min(max_call_tokens(settings));
         self.tokens_counted_at = now;
@@ -72,7 +72,7 @@
         settings: &Settings,
         elapsed: Micros,
         outcome: Outcome,
-        now: Micros,
+        now: Timestamp,
     ) -> Option<Notice> {
         match outcome {
             Outcome::Ok => self.record_answer(settings, elapsed, now),
@@ -85,13 +85,13 @@
         }
     }
 
-    fn record_answer(&mut self, settings: &Settings, elapsed: Micros, now: Micros) -> Option<Notice> {
+    fn record_answer(&mut self, settings: &Settings, elapsed: Micros, now: Timestamp) -> Option<Notice> {
         (self.failures, self.last_answer) = (0, now);
         let recovered = self.silent_since.take().is_some();
         if recovered {
             self.recovered_at = now;
         }
-        let factor = 1.0 + ((now - self.interval_changed_at) as f64 / SECOND).min(1.0);
+        let factor = 1.0 + now.seconds_since(self.interval_changed_at).min(1.0);
         let is_fast = (elapsed as f64) < FAST_ANSWER_PART * settings.counter_timeout as f64;
         let interval = if is_fast { self.call_interval / factor } else { self.call_interval * factor };
         self.call_interval = interval.clamp(MIN_CALL_INTERVAL, max_interval(settings));
@@ -99,7 +99,7 @@
         recovered.then_some(Notice::CounterRecovered)
     }
 
-    fn record_failure(&mut self, settings: &Settings, now: Micros) -> Option<Notice> {
+    fn record_failure(&mut self, settings: &Settings, now: Timestamp) -> Option<Notice> {
         self.failures += 1;
         if now >= self.interval_changed_at + settings.counter_timeout {
             self.call_interval = (self.call_interval * BACKOFF_FACTOR).min(max_interval(settings));
--- a/crates/policy/src/state/pool.rs
+++ b/crates/policy/src/state/pool.rs
@@ -1,6 +1,7 @@
 //! The backends of one service together.
 
-use crate::ids::{BackendId, Micros};
+use crate::ids::BackendId;
+use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 /// What is known of the backends of one service together. The order of the fields is part of the form of a snapshot.
@@ -15,8 +16,8 @@
     pub(crate) in_panic_mode: bool,
     /// Attempts that this gatekeeper may have in flight, and when that was last reduced.
     pub(crate) concurrency_limit: f64,
-    pub(crate) limit_reduced_at: Micros,
-    pub(crate) last_send: Micros,
+    pub(crate) limit_reduced_at: Timestamp,
+    pub(crate) last_send: Timestamp,
     /// Mean latency as a part of the objective, and in microseconds.
     pub(crate) objective_part: f64,
     pub(crate) mean_latency: f64,
@@ -26,11 +27,11 @@
     /// Latency over the mean of its class at backends about which nothing was known.
     pub(crate) first_contact_latency: f64,
     /// When `objective_part` was last updated.
-    pub(crate) objective_part_updated_at: Micros,
+    pub(crate) objective_part_updated_at: Timestamp,
     /// Answers a second that one warm backend gives this gatekeeper, as measured and as assumed.
     pub(crate) measured_rate: f64,
     pub(crate) assumed_rate: f64,
     /// Answers since the rate was last measured.
     pub(crate) answers: u64,
-    pub(crate) measured_at: Micros,
+    pub(crate) measured_at: Timestamp,
 }
--- a/crates/policy/src/state/request.rs
+++ b/crates/policy/src/state/request.rs
@@ -1,7 +1,8 @@
 //! An open request and its attempts.
 
 use crate::event::Outcome;
-use crate::ids::{BackendId, Micros, TenantId};
+use crate::ids::{BackendId, TenantId};
+use crate::time::{Micros, Timestamp};
 
 /// An open request. It stays until all its attempts have ended.
 #[derive(Debug, Default)]
@@ -9,7 +10,7 @@
     pub(crate) class: usize,
     pub(crate) plan: usize,
     pub(crate) tenant: TenantId,
-    pub(crate) deadline: Micros,
+    pub(crate) deadline: Timestamp,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) answered: bool,
     pub(crate) streaming: bool,
@@ -30,9 +31,9 @@
     pub(crate) backend: BackendId,
     /// The backends that share idempotency keys with its backend.
     pub(crate) dedup_group: u32,
-    pub(crate) sent_at: Micros,
+    pub(crate) sent_at: Timestamp,
     /// By then it has begun, or never will.
-    pub(crate) begins_by: Micros,
+    pub(crate) begins_by: Timestamp,
     /// None while it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
@@ -53,7 +54,7 @@
     pub(crate) class: usize,
     pub(crate) plan: usize,
     pub(crate) backend: BackendId,
-    pub(crate) sent_at: Micros,
+    pub(crate) sent_at: Timestamp,
     pub(crate) elapsed: Micros,
     pub(crate) outcome: Outcome,
 }
--- a/crates/policy/src/state/tenant.rs
+++ b/crates/policy/src/state/tenant.rs
@@ -1,8 +1,9 @@
 //! One tenant's quota.
 
 use super::Request;
-use crate::ids::{Micros, RequestId, SECOND};
+use crate::ids::RequestId;
 use crate::settings::Settings;
+use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 /// One tenant's token buckets as this gatekeeper knows them. The order of the fields is part of the form of a snapshot.
@@ -20,7 +21,7 @@
     pub(crate) synced_level: f64,
     pub(crate) spent_since_sync: f64,
     /// When the levels were last brought up to date.
-    pub(crate) refilled_at: Micros,
+    pub(crate) refilled_at: Timestamp,
     /// Own spend that the counter has not been told.
     pub(crate) unreported: f64,
     /// Units that overflowed the full bucket and are written off in the count, with the call in flight or the next one;
@@ -35,11 +36,11 @@
     pub(crate) others_growth: f64,
     /// The total that was read last.
     pub(crate) last_total: Option<CountTotal>,
-    pub(crate) synced_at: Micros,
+    pub(crate) synced_at: Timestamp,
     /// What the call in flight adds to the count.
     pub(crate) call_in_flight: Option<f64>,
     /// When unreported spend is to be reported.
-    pub(crate) report_due: Micros,
+    pub(crate) report_due: Timestamp,
     /// Requests that wait for the call in flight.
     pub(crate) waiting: Vec<RequestId>,
     /// Units in this gatekeeper's share of the hard ceiling.
@@ -48,11 +49,11 @@
     pub(crate) surcharge: f64,
     /// Attempts in flight, and when the last request was admitted.
     pub(crate) in_flight: u32,
-    pub(crate) last_admitted: Micros,
+    pub(crate) last_admitted: Timestamp,
 }
 
 impl TenantBucket {
-    pub(crate) fn new(settings: &Settings, plan: usize, gatekeepers: f64, age: f64, now: Micros) -> Self {
+    pub(crate) fn new(settings: &Settings, plan: usize, gatekeepers: f64, age: f64, now: Timestamp) -> Self {
         let quota = &settings.plans[plan];
         Self {
             plan,
@@ -70,9 +71,9 @@
     }
 
     /// Brings the levels up to now.
-    pub(crate) fn refill(&mut self, settings: &Settings, now: Micros) {
+    pub(crate) fn refill(&mut self, settings: &Settings, now: Timestamp) {
         let (plan, gatekeepers) = (&settings.plans[self.plan], self.gatekeepers);
-        let seconds = (now - self.refilled_at) as f64 / SECOND;
+        let seconds = now.seconds_since(self.refilled_at);
         self.refilled_at = now;
         let ceiling_share = plan.ceiling_burst / gatekeepers;
         self.ceiling_level =
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -2,11 +2,12 @@
 
 use crate::action::Action;
 use crate::event::{Event, ListKind, Outcome};
-use crate::ids::{BackendId, Micros, RequestId, SECOND, TenantId};
+use crate::ids::{BackendId, RequestId, TenantId};
 use crate::latency_trend::LatencyTrend;
 use crate::settings::{Plan, Settings, SettingsError};
 use crate::start_times::StartTimes;
 use crate::state::{Backend, BackendPool, ClassStats, CounterHealth, Request, TenantBucket};
+use crate::time::{Micros, SECOND, Timestamp};
 use crate::timer_token::TOKEN_TICK;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,8 +22,8 @@
 pub struct Policy {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) now: Micros,
-    pub(crate) started_at: Micros,
+    pub(crate) now: Timestamp,
+    pub(crate) started_at: Timestamp,
     ticking: bool,
     pub(crate) tenants: BTreeMap<TenantId, TenantBucket>,
     /// Tenants with spend that the counter has not been told.
@@ -38,7 +39,7 @@
     pub(crate) max_weight: f64,
     /// Retries and hedged requests that may be sent now.
     pub(crate) retry_budget: f64,
-    pub(crate) next_poll: Micros,
+    pub(crate) next_poll: Timestamp,
     /// The pool of the active service; the pools of all others are at their places in `pools`.
     pub(crate) pool: BackendPool,
     active_service: u16,
@@ -54,7 +55,7 @@
     /// # Errors
     ///
     /// Returns what [`Settings::validate`] finds.
-    pub fn new(mut settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
+    pub fn new(mut settings: Settings, seed: u64, now: Timestamp) -> Result<Self, SettingsError> {
         settings.validate()?;
         settings.max_cost = settings.max_cost.max(1.0);
         // The last plan stands for any unknown one: no quota is known for it.
@@ -90,7 +91,7 @@
     }
 
     /// Applies one event and appends the resulting actions in order.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.ticking {
             self.ticking = true;
@@ -181,7 +182,7 @@
 }
 
 /// One pool for each service that a class names.
-fn new_pools(settings: &Settings, now: Micros) -> Vec<BackendPool> {
+fn new_pools(settings: &Settings, now: Timestamp) -> Vec<BackendPool> {
     let objective = settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(1);
     let latency = objective as f64 * INITIAL_LATENCY_PART;
     let pool = BackendPool {
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -2,9 +2,10 @@
 
 use crate::action::Action;
 use crate::bucket_estimator::EPOCH;
-use crate::ids::{Micros, TenantId};
+use crate::ids::TenantId;
 use crate::state::TenantBucket;
 use crate::state_machine::{Actions, Policy};
+use crate::time::Micros;
 use crate::timer_token::{TOKEN_TICK, TimerKind};
 
 /// us; period of the work over all backends and tenants: too expensive for each tick of large fleets.
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -116,7 +116,7 @@
         for me in 0..fleet.shape.gatekeepers {
             let settings = Settings { gatekeeper_index: me, ..fleet.settings.clone() };
             let seed = fleet.rng.u64(..);
-            fleet.gatekeepers.push(Policy::new(settings, seed, now).expect("usable settings"));
+            fleet.gatekeepers.push(Policy::new(settings, seed, at(now)).expect("usable settings"));
             let entries = fleet.list();
             fleet.feed(me as usize, Event::Endpoints { kind: ListKind::Cached, entries });
             let first = fleet.gap(me as usize);
@@ -129,7 +129,7 @@
     fn list(&self) -> Vec<BackendEntry> {
         let entry = |(&id, s): (&u32, &Server)| BackendEntry {
             id: BackendId(id),
-            started: s.started,
+            started: at(s.started),
             ..Default::default()
         };
         let mut list: Vec<_> = self.servers.iter().map(entry).collect();
@@ -279,7 +279,7 @@
 
     fn feed(&mut self, g: usize, event: Event) {
         let mut actions = Vec::new();
-        self.gatekeepers[g].handle(self.now, event, &mut actions);
+        self.gatekeepers[g].handle(at(self.now), event, &mut actions);
         self.recorder.record(self.now, &actions);
         for action in actions {
             match action {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,6 +12,11 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
+/// The moment at which clocks read this many microseconds.
+pub fn at(micros: Micros) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
 /// Two gatekeepers, one plan of 10 units a second with a burst of 20, one class of each effect, warm backends.
 pub fn settings() -> Settings {
     let class = |effect| RequestClass {
@@ -53,7 +58,7 @@
     /// A gatekeeper that starts at this time, knowing nothing.
     pub fn start(settings: Settings, backends: &[BackendEntry], now: Micros) -> Self {
         let seed = 1 + u64::from(settings.gatekeeper_index);
-        let gatekeeper = Policy::new(settings, seed, now).expect("usable settings");
+        let gatekeeper = Policy::new(settings, seed, at(now)).expect("usable settings");
         let mut harness = Self { policy: gatekeeper, now, totals: HashMap::new(), recorder: Recorder::new() };
         harness.feed(Event::Endpoints { kind: ListKind::Cached, entries: backends.to_vec() });
         harness
@@ -61,7 +66,7 @@
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.policy.handle(self.now, event, &mut out);
+        self.policy.handle(at(self.now), event, &mut out);
         self.recorder.record(self.now, &out);
         out
     }
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -38,7 +38,7 @@
             ..settings()
         };
         let mut entries = backends(4);
-        entries.iter_mut().for_each(|e| e.started = 1);
+        entries.iter_mut().for_each(|e| e.started = at(1));
         let mut all: Vec<Harness> = (0..gatekeepers).map(|me| Harness::new(cold(me), &entries)).collect();
         let mut sent = [0u32; 5];
         for step in 1..=50 {
@@ -73,7 +73,7 @@
     let hold = |held| Event::OperatorEjection { backend: BackendId(1), ejected: held };
     harness.feed(hold(true));
     harness.feed(hold(true));
-    let restarted = BackendEntry { id: BackendId(1), started: 99 * SECOND, ..BackendEntry::default() };
+    let restarted = BackendEntry { id: BackendId(1), started: at(99 * SECOND), ..BackendEntry::default() };
     for entries in [
         backends(2),
         vec![BackendEntry { state: BackendState::Gone, ..backends(1)[0].clone() }],
--- a/crates/policy/tests/hot_restart.rs
+++ b/crates/policy/tests/hot_restart.rs
@@ -28,7 +28,7 @@
     assert!((1..100).contains(&spent), "{spent}");
     assert!(let_in(&mut started(), 0), "a bucket of its own would let it in");
     let mut taker = started();
-    taker.policy.take_over(taker.now, giver.policy.hand_over());
+    taker.policy.take_over(at(taker.now), giver.policy.hand_over());
     assert!(!let_in(&mut taker, 200), "the bucket is as empty as it was");
     // Given back unheard, nothing may be spent that the other may have spent.
     let mut giver = started();
@@ -52,12 +52,12 @@
         !sent.is_empty()
     };
     assert!(let_in(&mut giver, 0));
-    taker.policy.take_over(taker.now, giver.policy.hand_over());
+    taker.policy.take_over(at(taker.now), giver.policy.hand_over());
     // It lets in all that there is, over two seconds, and each is told before it is sent.
     for id in 1..40 {
         taker.now += 50 * MS;
         if let_in(&mut taker, id) {
-            giver.policy.mirror_admission(taker.now, TenantId(7), 0, 2.0, 1.0);
+            giver.policy.mirror_admission(at(taker.now), TenantId(7), 0, 2.0, 1.0);
         }
     }
     giver.now = taker.now;
@@ -68,7 +68,7 @@
     giver.now += 250 * MS;
     assert!(let_in(&mut giver, 102), "it does not begin with empty buckets");
     // A plan that is not known here is passed over.
-    giver.policy.mirror_admission(giver.now, TenantId(9), 7, 2.0, 1.0);
+    giver.policy.mirror_admission(at(giver.now), TenantId(9), 7, 2.0, 1.0);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     giver.feed(request(3, 0, 0.5));
     let out: f64 = [4.0, 0.5].iter().sum();
     let mut taker = Harness::start(settings(), &backends(4), 100 * SECOND);
-    taker.policy.take_over(taker.now, giver.policy.hand_over());
+    taker.policy.take_over(at(taker.now), giver.policy.hand_over());
     let told = taker.tick_until(100_700 * MS);
     let told: f64 = told
         .iter()
--- a/crates/policy/tests/input.rs
+++ b/crates/policy/tests/input.rs
@@ -37,10 +37,10 @@
 
 #[test]
 fn unusable_settings_are_named() {
-    let error = Policy::new(Settings { gatekeeper_index: 5, ..settings() }, 1, 0).unwrap_err();
+    let error = Policy::new(Settings { gatekeeper_index: 5, ..settings() }, 1, Timestamp::ZERO).unwrap_err();
     assert_eq!(error.setting(), "me");
     assert!(error.to_string().contains("`me`"));
-    assert!(Policy::new(Settings { classes: vec![], ..settings() }, 1, 0).is_err());
+    assert!(Policy::new(Settings { classes: vec![], ..settings() }, 1, Timestamp::ZERO).is_err());
 }
 
 #[test]
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -80,10 +80,14 @@
     let mut gatekeepers = Vec::new();
     for me in 0..count as u32 {
         let mut gatekeeper =
-            Policy::new(Settings { gatekeeper_index: me, ..settings.clone() }, rng.u64(..), start)
+            Policy::new(Settings { gatekeeper_index: me, ..settings.clone() }, rng.u64(..), at(start))
                 .expect("usable");
         let mut out = Vec::new();
-        gatekeeper.handle(start, Event::Endpoints { kind: ListKind::Full, entries: backends(20) }, &mut out);
+        gatekeeper.handle(
+            at(start),
+            Event::Endpoints { kind: ListKind::Full, entries: backends(20) },
+            &mut out,
+        );
         assert!(matches!(out[..], [Action::Timer { .. }]), "its housekeeping");
         queue.push(Reverse((start + u64::from(me), 0, Simulated::Timer(me as usize, 0))));
         gatekeepers.push(gatekeeper);
@@ -120,7 +124,7 @@
                     units,
                     client_retry: false,
                 };
-                gatekeepers[at].handle(now, event, &mut out);
+                gatekeepers[at].handle(common::at(now), event, &mut out);
                 at
             }
             Simulated::Emptied => {
@@ -138,7 +142,7 @@
                 continue;
             }
             Simulated::Timer(at, token) => {
-                gatekeepers[at].handle(now, Event::Timer { token }, &mut out);
+                gatekeepers[at].handle(common::at(now), Event::Timer { token }, &mut out);
                 at
             }
             Simulated::Called(at, name, add) => {
@@ -156,7 +160,7 @@
                     elapsed: 4 * MS,
                     outcome: Outcome::Ok,
                 };
-                gatekeepers[at].handle(now, event, &mut out);
+                gatekeepers[at].handle(common::at(now), event, &mut out);
                 at
             }
         };
@@ -182,7 +186,11 @@
                         exact.beyond += units
                     }
                     let mut after = Vec::new();
-                    gatekeepers[at].handle(now, ended(id.0, 0, backend.0, Outcome::Ok), &mut after);
+                    gatekeepers[at].handle(
+                        common::at(now),
+                        ended(id.0, 0, backend.0, Outcome::Ok),
+                        &mut after,
+                    );
                     recorder.record(now, &after);
                 }
                 Action::Reject { id, .. } if open.remove(&id.0).is_some() => {
--- a/crates/policy/tests/stepped_clock.rs
+++ b/crates/policy/tests/stepped_clock.rs
@@ -47,7 +47,7 @@
 }
 
 fn start(id: BackendId, started: Micros) -> BackendEntry {
-    BackendEntry { id, started, ..BackendEntry::default() }
+    BackendEntry { id, started: at(started), ..BackendEntry::default() }
 }
 
 fn notify(harness: &mut Harness, entry: BackendEntry) {
@@ -184,7 +184,7 @@
         assert!(admitted(&mut giver, 0) > 0);
         let now = giver.now.saturating_add_signed(ahead);
         let mut taker = Harness::start(settings.clone(), &backends(4), now);
-        taker.policy.take_over(taker.now, giver.policy.hand_over());
+        taker.policy.take_over(at(taker.now), giver.policy.hand_over());
         assert_eq!(admitted(&mut taker, 200), 0, "{ahead} us ahead: the bucket is as empty as it was");
         // Two seconds refill 10 units of its half.
         taker.tick_until(now + 2 * SECOND);
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -206,7 +206,7 @@
                 let state =
                     [BackendState::Ready, BackendState::Draining, BackendState::Gone][rng.usize(0..3)];
                 g.not_ready.insert(id, state != BackendState::Ready);
-                let started = if rng.bool() { now } else { 0 };
+                let started = if rng.bool() { at(now) } else { Timestamp::ZERO };
                 let entry = BackendEntry {
                     id: BackendId(id),
                     cell: (id as u16 - 1) / 2,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::settings;
 use crate::wire::{Record, Reply};
-use policy::{Action, Event, Micros, Policy};
+use policy::{Action, Event, Policy, Timestamp};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -18,7 +18,7 @@
 
 impl Host {
     /// Applies one record and adds what follows to the reply.
-    pub(crate) fn apply(&mut self, now: Micros, record: Record, reply: &mut Reply) {
+    pub(crate) fn apply(&mut self, now: Timestamp, record: Record, reply: &mut Reply) {
         match record {
             Record::Start { gatekeeper, seed, settings } => {
                 self.start(now, gatekeeper, seed, &settings, reply);
@@ -29,7 +29,7 @@
         }
     }
 
-    fn start(&mut self, now: Micros, gatekeeper: u32, seed: u64, text: &str, reply: &mut Reply) {
+    fn start(&mut self, now: Timestamp, gatekeeper: u32, seed: u64, text: &str, reply: &mut Reply) {
         self.instances.remove(&gatekeeper);
         let instance = settings::parse(text)
             .and_then(|settings| Policy::new(settings, seed, now).map_err(settings::ParseError::Invalid));
@@ -40,7 +40,7 @@
     }
 
     /// A panic ends the one instance and is reported.
-    fn handle(&mut self, now: Micros, gatekeeper: u32, event: Event, reply: &mut Reply) {
+    fn handle(&mut self, now: Timestamp, gatekeeper: u32, event: Event, reply: &mut Reply) {
         let Some(instance) = self.instances.get_mut(&gatekeeper) else {
             self.warn_once(format!("skipped an event for gateway {gatekeeper}, which is not running"));
             return;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -7,6 +7,7 @@
 mod wire;
 
 use host::Host;
+use policy::Timestamp;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 use wire::{EndpointLists, Reply, WireError, read_batch};
@@ -34,7 +35,7 @@
     while let Some(batch) = read_batch(&mut input)? {
         let mut reply = Reply::default();
         for record in batch.records(&mut lists)? {
-            host.apply(batch.clock, record, &mut reply);
+            host.apply(Timestamp::from_micros(batch.clock), record, &mut reply);
         }
         output.write_all(&reply.into_bytes(batch.number))?;
         output.flush()?;
--- a/crates/simhost/src/wire/record.rs
+++ b/crates/simhost/src/wire/record.rs
@@ -2,7 +2,9 @@
 
 use super::bytes::{f32_at, u16_at, u32_at, u64_at};
 use super::error::RecordError;
-use policy::{BackendEntry, BackendId, BackendState, Event, ListKind, Outcome, RequestId, TenantId};
+use policy::{
+    BackendEntry, BackendId, BackendState, Event, ListKind, Outcome, RequestId, TenantId, Timestamp,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -154,7 +156,7 @@
         service: 0,
         state,
         size: f64::from(f32_at(entry, 10)),
-        started: u64_at(entry, 14),
+        started: Timestamp::from_micros(u64_at(entry, 14)),
     })
 }
 
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -93,7 +93,7 @@
         let settings = config.policy_settings(inputs.max_units, &inputs.classes);
         let settings = settings.map_err(Error::settings(path))?;
         let clock = Clock::start();
-        let exchange: Arc<HttpExchange> = Exchange::new(settings, clock.now(), clock)?;
+        let exchange: Arc<HttpExchange> = Exchange::new(settings, clock.now().as_micros(), clock)?;
         let answered = Arc::new(LastAnswers::default());
         let noted = answered.clone();
         let on_served = Box::new(move |backend: BackendId| noted.record(EndpointNumber(backend.0)));
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -8,7 +8,7 @@
 use exchange::{AnswerCounts, Clock, Status};
 use front_openapi::HttpExchange;
 use link::locked;
-use policy::{BackendEntry, BackendId, BackendState, ListKind, Micros};
+use policy::{BackendEntry, BackendId, BackendState, ListKind, Timestamp};
 use settings::appliance::ApplianceConfig;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
@@ -48,7 +48,7 @@
     /// When its list says that it began, which changes with each restart.
     listed_since: Option<u64>,
     /// When it counts as started.
-    started: Micros,
+    started: Timestamp,
 }
 
 impl Backends {
@@ -173,17 +173,23 @@
     }
 
     /// What to announce of a backend now.
-    fn next_announcement(&self, state: &State, service: usize, entry: &Endpoint, now: Micros) -> Announced {
+    fn next_announcement(
+        &self,
+        state: &State,
+        service: usize,
+        entry: &Endpoint,
+        now: Timestamp,
+    ) -> Announced {
         let takes_work = entry.eligible || seeded_faults::is_active("drained");
         let ready = takes_work && !state.ejected.contains(&self.name(service, &entry.instance.id));
-        let stated = entry.instance.started_at.map(|ms| (ms * 1000).min(now));
+        let stated = entry.instance.started_at.map(|ms| Timestamp::from_micros(ms * 1000).min(now));
         let started = match state.announced.get(&entry.number) {
             // It was ready all along, or is not yet: it counts as started when it did before.
             Some(last) if last.listed_since == entry.eligible_since && (last.ready || !ready) => last.started,
             // Health checks have let it back in, or its list counts it as restarted: it may be cold.
             Some(_) => stated.unwrap_or(now),
             None if entry.eligible_since.is_some() => stated.unwrap_or(now),
-            None => stated.unwrap_or(0),
+            None => stated.unwrap_or(Timestamp::ZERO),
         };
         Announced { ready, listed_since: entry.eligible_since, started }
     }
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -2,7 +2,7 @@
 
 use destination::BackendEndpoint;
 use handover::BackendNumber;
-use policy::{BackendEntry, BackendId, BackendState};
+use policy::{BackendEntry, BackendId, BackendState, Timestamp};
 use settings::platform::PlatformConfig;
 use settings::{Endpoint, EndpointList};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -53,7 +53,7 @@
             } else {
                 self.listed.insert(id);
             }
-            let started = endpoint.started_ms.saturating_mul(1000);
+            let started = Timestamp::from_micros(endpoint.started_ms.saturating_mul(1000));
             translated.endpoints.push(BackendEndpoint { id, address, state, started });
             translated.entries.push(BackendEntry {
                 id,
--- a/crates/snowfield/tests/policy_snapshot.rs
+++ b/crates/snowfield/tests/policy_snapshot.rs
@@ -3,14 +3,14 @@
 
 use policy::{
     Action, BackendEntry, BackendId, Event, Idempotency, ListKind, Micros, Outcome, Plan, Policy,
-    PolicySnapshot, RequestClass, RequestId, Settings, TenantId,
+    PolicySnapshot, RequestClass, RequestId, Settings, TenantId, Timestamp,
 };
 use std::collections::HashMap;
 
 /// In postcard's form.
 const FIXTURE: &[u8] = include_bytes!("fixtures/policy-snapshot.postcard");
 const MS: Micros = 1_000;
-const START: Micros = 1_700_000_000_000_000;
+const START: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
 const SEED: u64 = 7;
 
 fn settings() -> Settings {
@@ -52,7 +52,7 @@
 }
 
 /// A policy that knows the list.
-fn policy(now: Micros) -> Policy {
+fn policy(now: Timestamp) -> Policy {
     let mut policy = Policy::new(settings(), SEED, now).expect("the settings can be used");
     let event = Event::Endpoints { kind: ListKind::Full, entries: entries() };
     policy.handle(now, event, &mut Vec::new());
@@ -73,7 +73,7 @@
 /// Feeds an event and what follows from it at once: attempts end, and the counter answers.
 fn feed(
     policy: &mut Policy,
-    now: Micros,
+    now: Timestamp,
     event: Event,
     attempts: &mut HashMap<RequestId, u8>,
     total: &mut f64,
@@ -117,7 +117,7 @@
 }
 
 /// A policy after the same course of events each time, and the time then.
-fn course() -> (Policy, Micros) {
+fn course() -> (Policy, Timestamp) {
     let mut policy = policy(START);
     let (mut now, mut attempts, mut total) = (START, HashMap::new(), 0.0);
     for id in 0..400 {
