--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,17 +1,30 @@
 //! Admission: whether a request is forwarded, rejected, or waits for a fresh total of its tenant's count.
 
 use crate::action::{Action, RejectReason};
-use crate::ids::RequestId;
-use crate::state::{Request, TenantBucket};
+use crate::concurrency_limit::Demand;
+use crate::counter_health::Urgency;
+use crate::counter_sync::REPORT_DELAY;
+use crate::ids::{BackendId, RequestId, TenantId};
+use crate::request::{Attempt, Request};
+use crate::selection::LoadBalancer;
 use crate::state_machine::{Actions, Policy};
+use crate::surcharge::surcharge_factor;
+use crate::tenant_quota::TenantQuota;
 use crate::time::{Micros, SECOND};
 use crate::timer_token::deadline_token;
 
-/// Part of a cap on attempts in flight that all gatekeepers together aim at: what goes out above the cap
-/// takes capacity there too and earns nothing. With random arrivals, sends x P(below the cap) is largest near
-/// half of it.
+/// Part of a cap on attempts in flight that all gatekeepers together aim at. Attempts above the cap take
+/// capacity there too and earn nothing. With random arrivals, sends x P(below the cap) is largest near half
+/// of it.
 const IN_FLIGHT_PART: f64 = 0.55;
 
+/// What became of a request that was decided.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Decision {
+    Forwarded,
+    Rejected,
+}
+
 impl Policy {
     /// Decides at once where the bucket is certain. Where a fresh total could change the decision, as with
     /// many gatekeepers it often could, the request waits for the one call that its tenant has in flight.
@@ -26,110 +39,183 @@
             return;
         }
         let tenant = request.tenant;
-        self.activate_pool_of(request.class);
-        self.refill(tenant, request.plan, gatekeepers);
-        self.price(&mut request);
-        let headroom = self.headroom(&self.tenants[&tenant], &request);
-        // What looks affordable is reported as spent with the call, lest another gatekeeper spends it
-        // meanwhile, but not what has no capacity: its units would be given back with a second call.
-        let capacity = self.has_capacity(&request);
-        request.provisional_spend = if capacity && headroom.units >= 0.0 { request.cost } else { 0.0 };
-        let latest = (request.deadline - self.now).saturating_sub(2 * self.settings.tick);
-        let provisional_spend = request.provisional_spend;
+        self.set_price(&mut request);
+        let counter = self.counter_state();
+        let (now, has_capacity) = (self.now, self.has_capacity(&request));
+        self.refilled_quota(tenant, request.plan, gatekeepers);
+        let Some(quota) = self.tenants.get_mut(&tenant) else { return };
+        let headroom = quota.headroom(request.price, counter, &self.settings, now);
+        // What looks affordable is reported as spent with the call, so that no other gatekeeper spends it
+        // meanwhile. A request without capacity is not: its units would be given back with a second call.
+        let is_affordable = has_capacity && headroom.units >= 0.0;
+        request.provisional_spend = if is_affordable { request.price.cost } else { 0.0 };
+        quota.shared.spend(request.provisional_spend);
+        let latest = (request.deadline - now).saturating_sub(2 * self.settings.tick);
         self.requests.insert(id, request);
-        self.tenants.entry(tenant).and_modify(|bucket| bucket.spend(provisional_spend));
-        if capacity && headroom.may_change() && self.call_counter(tenant, true, out) {
-            self.tenants.entry(tenant).and_modify(|bucket| bucket.waiting.push(id));
-        } else if !self.decide(id, out) {
+        let may_wait = has_capacity && headroom.may_change();
+        if may_wait && self.call_counter(tenant, Urgency::Awaited, out) {
+            self.tenants.entry(tenant).and_modify(|quota| quota.waiting.push(id));
+        } else if self.decide(id, out) == Decision::Rejected {
             return;
         }
         out.push(Action::Timer { after: latest.max(1), token: deadline_token(id) });
     }
 
     /// Under a ceiling, the largest cost of its class is reserved for a request until its cost is settled.
-    fn price(&self, request: &mut Request) {
+    fn set_price(&self, request: &mut Request) {
+        let price = &mut request.price;
         let has_ceiling = self.settings.plans[request.plan].ceiling_rate > 0.0;
         if self.settings.estimated_costs && has_ceiling {
-            request.reserved = (self.class_stats[request.class].largest_cost - request.cost).max(0.0);
+            price.reserved = (self.class_stats[request.class].largest_cost() - price.cost).max(0.0);
         }
-        request.charged_cost = request.cost * self.surcharge_factor(request.class);
+        price.charged_cost =
+            price.cost * surcharge_factor(&self.settings, request.class, self.latency_ratio());
     }
 
-    /// Rejects what its bucket, its ceiling or the backends have no room for, and forwards the rest.
-    pub(crate) fn decide(&mut self, id: RequestId, out: &mut Actions) -> bool {
-        let Some(mut request) = self.requests.remove(&id) else { return false };
-        self.activate_pool_of(request.class);
+    /// Rejects a request that its bucket, its ceiling or the backends cannot take, and forwards it otherwise.
+    pub(crate) fn decide(&mut self, id: RequestId, out: &mut Actions) -> Decision {
+        let Some(mut request) = self.requests.remove(&id) else { return Decision::Rejected };
         let tenant = request.tenant;
         let provisional_spend = std::mem::take(&mut request.provisional_spend);
-        self.tenants.entry(tenant).and_modify(|bucket| bucket.spend(-provisional_spend));
+        self.tenants.entry(tenant).and_modify(|quota| quota.shared.spend(-provisional_spend));
         let choice = match self.reject_reason(&self.tenants[&tenant], &request) {
             Some(reason) => Err(reason),
-            None => self.select_backend(&request, false).ok_or(RejectReason::NoBackend),
+            None => self.select_backend(&request).ok_or(RejectReason::NoBackend),
         };
         let backend = match choice {
             Ok(backend) => backend,
             Err(reason) => {
                 out.push(Action::Reject { id, retry_after: self.retry_after(&request), reason });
-                self.schedule_counter_sync(tenant, provisional_spend, 0);
-                return false;
+                self.schedule_report(tenant, provisional_spend, 0);
+                return Decision::Rejected;
             }
         };
         self.charge(&request);
         self.requests.insert(id, request);
-        self.earn_retry_budget();
+        self.retry_budget.earn();
         self.send(id, backend, out);
         if self.tenants[&tenant].report_due <= self.now {
-            self.call_counter(tenant, false, out);
+            self.call_counter(tenant, Urgency::Deferrable, out);
         }
-        true
+        Decision::Forwarded
     }
 
-    /// Why a request is rejected, if it is. Where the shared bucket is uncertain the local share decides,
-    /// lest all gatekeepers spend the same last units. Each gatekeeper owns the ceiling's rate and burst over
-    /// the number of the tenant's gatekeepers, debited by the reported units at first send and never
-    /// refunded: all together keep under it whatever the counter or the others do.
-    fn reject_reason(&self, bucket: &TenantBucket, request: &Request) -> Option<RejectReason> {
+    /// Why a request is rejected, if it is. Where the shared bucket is uncertain the local share decides, so
+    /// that gatekeepers do not all spend the same last units.
+    fn reject_reason(&self, quota: &TenantQuota, request: &Request) -> Option<RejectReason> {
         let plan = &self.settings.plans[request.plan];
-        let headroom = self.headroom(bucket, request);
-        if plan.max_in_flight > 0 && !self.may_add_in_flight(bucket, f64::from(plan.max_in_flight)) {
+        let headroom = quota.headroom(request.price, self.counter_state(), &self.settings, self.now);
+        if plan.max_in_flight > 0 && !self.may_add_in_flight(quota, request, f64::from(plan.max_in_flight)) {
             return Some(RejectReason::TooManyInFlight);
         }
-        if plan.rate > 0.0 && headroom.is_uncertain() && bucket.local_share < bucket.required(request) {
+        if plan.rate > 0.0 && headroom.is_uncertain() && quota.exceeds_local_share(request.price) {
             return Some(RejectReason::LocalShareExhausted);
         }
         if plan.rate > 0.0 && !headroom.is_uncertain() && headroom.units < 0.0 {
             return Some(RejectReason::QuotaExhausted);
         }
-        if plan.ceiling_rate > 0.0 && bucket.ceiling_level < request.cost {
+        if plan.ceiling_rate > 0.0 && quota.exceeds_ceiling(request.price.cost) {
             return Some(RejectReason::CeilingReached);
         }
         (!self.has_capacity(request)).then_some(RejectReason::NoCapacity)
     }
 
     /// Whether a further attempt is likely below the cap on attempts in flight. A cap for each gatekeeper
-    /// would be many times the cap, so the others' are estimated from their rate and the mean time of an
-    /// attempt; with no total to tell their rate, each gatekeeper has its even share, spaced out.
-    fn may_add_in_flight(&self, bucket: &TenantBucket, cap: f64) -> bool {
+    /// would be many times the cap, so those of the others are estimated from their rate and the mean time of
+    /// an attempt. With no total to tell their rate, each gatekeeper has its even share, spaced out.
+    fn may_add_in_flight(&self, quota: &TenantQuota, request: &Request, cap: f64) -> bool {
+        let means = &self.pool_of(request.class).means;
         let usable = IN_FLIGHT_PART * cap;
-        let attempt_time = self.pool.mean_attempt_time / SECOND;
-        if bucket.last_total.is_none() || self.counter.silent_since.is_some() {
-            let idle = self.now.seconds_since(bucket.last_admitted);
-            return bucket.in_flight == 0 && idle >= attempt_time * bucket.gatekeepers / usable;
+        let attempt_seconds = means.attempt_seconds();
+        let in_flight = &quota.in_flight;
+        if !quota.shared.is_synced() || self.counter.health.is_silent() {
+            let is_spaced =
+                in_flight.idle_seconds(self.now) >= attempt_seconds * quota.gatekeepers() / usable;
+            return in_flight.attempts() == 0 && is_spaced;
+        }
+        let others = quota.shared.others_rate() * attempt_seconds / means.cost().max(1.0);
+        f64::from(in_flight.attempts()) + others < usable
+    }
+
+    /// Takes the units of a request at admission.
+    fn charge(&mut self, request: &Request) {
+        let (now, counter_is_silent) = (self.now, self.counter.health.is_silent());
+        let service = self.service_of(request.class);
+        let Some(quota) = self.tenants.get_mut(&request.tenant) else { return };
+        self.pools[service].means.record_cost(request.price.cost);
+        quota.charge(request.price, counter_is_silent, now);
+        let delay = if quota.may_delay_report() { REPORT_DELAY } else { 0 };
+        self.counter.schedule(request.tenant, quota, request.price.cost, delay, now);
+    }
+
+    /// The answer told the actual cost: the difference is charged or refunded, and the reservation ends.
+    pub(crate) fn settle(&mut self, id: RequestId, units: f64) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.settled) else { return };
+        request.settled = true;
+        let (tenant, difference) = (request.tenant, units - request.price.cost);
+        let Some(quota) = self.tenants.get_mut(&tenant) else { return };
+        quota.release(request.price.reserved);
+        if self.settings.estimated_costs && units.is_finite() && units > 0.0 {
+            quota.settle(difference);
+            self.class_stats[request.class].record_cost(units, self.settings.max_cost);
+            // A small difference: it goes with the next spend, or after a second.
+            self.counter.schedule(tenant, quota, difference, SECOND as Micros, self.now);
         }
-        let others = bucket.others_rate * attempt_time / self.pool.mean_cost.max(1.0);
-        f64::from(bucket.in_flight) + others < usable
     }
 
     /// When the tenant's bucket and ceiling hold the cost and capacity is free, within what clients honour.
     pub(crate) fn retry_after(&self, request: &Request) -> Micros {
-        let (bucket, plan) = (&self.tenants[&request.tenant], &self.settings.plans[request.plan]);
-        let quota = -self.headroom(bucket, request).units / plan.rate;
-        let ceiling = (request.cost - bucket.ceiling_level) / plan.ceiling_rate;
+        let (quota, plan) = (&self.tenants[&request.tenant], &self.settings.plans[request.plan]);
+        let headroom = quota.headroom(request.price, self.counter_state(), &self.settings, self.now);
+        let bucket = -headroom.units / plan.rate;
+        let ceiling = quota.seconds_until_ceiling_covers(request.price.cost, plan);
         // A retry finds capacity at any of the tenant's gatekeepers, so only the lag of late answers counts.
-        let lag = (self.pool.objective_part - Self::EARLY_PART).max(0.0) * self.pool.mean_latency / SECOND;
+        let pool = self.pool_of(request.class);
+        let lag = pool.concurrency.lateness() * pool.means.latency() / SECOND;
         let capacity = if self.has_capacity(request) { 0.0 } else { lag };
-        let waits = [quota, ceiling, capacity].into_iter().filter(|wait| wait.is_finite());
+        let waits = [bucket, ceiling, capacity].into_iter().filter(|wait| wait.is_finite());
         let wait = (waits.fold(0.0, f64::max) * SECOND) as Micros;
         wait.max(self.settings.tick).min(self.settings.max_retry_after)
     }
+
+    /// Whether the concurrency limit of the service leaves room for a request.
+    pub(crate) fn has_capacity(&self, request: &Request) -> bool {
+        let pool = self.pool_of(request.class);
+        let plan = &self.settings.plans[request.plan];
+        let weight = self.settings.classes[request.class].priority_weight * plan.priority_factor;
+        let demand = Demand {
+            in_flight: self.attempts_in_flight(self.service_of(request.class)),
+            relative_weight: weight / self.max_weight.max(1e-9),
+            mean_latency: pool.means.latency(),
+        };
+        pool.concurrency.has_room(demand, self.now)
+    }
+
+    /// Attempts in flight at the backends of a service, except those at ejected backends: they take nobody's
+    /// capacity.
+    fn attempts_in_flight(&self, service: usize) -> f64 {
+        let in_panic_mode = self.pools[service].order.in_panic_mode();
+        let counts = |request: &Request, attempt: &Attempt| {
+            let backend = self.backends.get(attempt.backend);
+            let is_lost = backend.is_none_or(|b| b.health.ejected_until(request.class).is_some());
+            attempt.is_in_flight() && (in_panic_mode || !is_lost)
+        };
+        let in_flight = |request: &Request| request.attempts.iter().filter(|a| counts(request, a)).count();
+        let is_served_here = |request: &&Request| self.service_of(request.class) == service;
+        self.requests.values().filter(is_served_here).map(in_flight).sum::<usize>() as f64
+    }
+
+    /// Selects a backend for a request.
+    pub(crate) fn select_backend(&mut self, request: &Request) -> Option<BackendId> {
+        let pool = &self.pools[usize::from(self.settings.classes[request.class].service)];
+        let (settings, backends, now) = (&self.settings, &self.backends, self.now);
+        LoadBalancer { settings, backends, pool, now }.select(request, &mut self.rng)
+    }
+
+    /// Schedules a report of spend within a delay.
+    pub(crate) fn schedule_report(&mut self, tenant: TenantId, units: f64, delay: Micros) {
+        if let Some(quota) = self.tenants.get_mut(&tenant) {
+            self.counter.schedule(tenant, quota, units, delay, self.now);
+        }
+    }
 }
--- /dev/null
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -0,0 +1,102 @@
+//! What is learnt from the end of an attempt: the health of its backend, the concurrency limit, and
+//! latencies.
+
+use crate::backend_latency::{BEST_LATENCY, Contact, WORST_LATENCY};
+use crate::concurrency_limit::{Capacity, objective_part};
+use crate::event::Outcome;
+use crate::ids::BackendId;
+use crate::latency_trend::MIN_LATENCY_RATIO;
+use crate::outlier_detection::{ejection_time, rejection_pause};
+use crate::request::EndedAttempt;
+use crate::state_machine::Policy;
+use crate::time::Timestamp;
+
+/// Ratio of long-term to short-term latency below which samples do not feed the long-term estimates.
+const SLOW_RATIO: f64 = 2.0 * MIN_LATENCY_RATIO;
+
+impl Policy {
+    /// Learns from the end of an attempt.
+    pub(crate) fn record_outcome(&mut self, attempt: EndedAttempt) {
+        let EndedAttempt { class, backend, sent_at, elapsed, outcome, .. } = attempt;
+        if !self.record_backend_health(attempt) {
+            return;
+        }
+        if outcome == Outcome::Reset {
+            // How early the connection broke says nothing of the backend's speed. Taken for fast it would
+            // attract all work.
+            self.record_relative_latency(class, backend, WORST_LATENCY);
+            return;
+        }
+        let service = self.service_of(class);
+        let is_lost = outcome == Outcome::Timeout && !self.pools[service].order.in_panic_mode();
+        let has_run = !outcome.never_ran() && outcome != Outcome::Cancelled;
+        if has_run {
+            self.pools[service].means.record_attempt_time(elapsed);
+        }
+        if has_run && !is_lost {
+            let objective = self.settings.classes[class].latency_objective;
+            self.update_concurrency_limit(class, objective_part(elapsed, objective), sent_at);
+            self.record_latency(attempt);
+        }
+    }
+
+    /// Records an outcome at its backend. Returns whether the backend is known.
+    fn record_backend_health(&mut self, attempt: EndedAttempt) -> bool {
+        let EndedAttempt { class, plan, .. } = attempt;
+        let now = self.now;
+        let next_trial = now + ejection_time(&self.settings);
+        let pause = rejection_pause(&self.settings);
+        let service = self.service_of(class);
+        let Some(backend) = self.backends.get_mut(attempt.backend) else { return false };
+        match attempt.outcome {
+            Outcome::Rejected => backend.health.record_rejection(class, plan, now + pause),
+            Outcome::ConnectFailed => {
+                backend.health.record_connect_failure(pause, now);
+                // The attempt took no capacity.
+                self.pools[service].concurrency.forget_last_send();
+                self.record_relative_latency(class, attempt.backend, WORST_LATENCY);
+            }
+            Outcome::NotStarted => self.pools[service].concurrency.forget_last_send(),
+            Outcome::Ok => backend.health.record_served(class, now),
+            Outcome::Error => backend.health.record_error(class, now, next_trial),
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {}
+        }
+        true
+    }
+
+    /// Records the latency of an attempt that ran.
+    fn record_latency(&mut self, attempt: EndedAttempt) {
+        let EndedAttempt { class, backend, elapsed, outcome, .. } = attempt;
+        let service = self.service_of(class);
+        let pool = &mut self.pools[service];
+        pool.means.record_latency(elapsed);
+        let is_early = pool.concurrency.is_early();
+        let stats = &mut self.class_stats[class];
+        let relative = stats.relative_latency(elapsed).clamp(BEST_LATENCY, WORST_LATENCY);
+        let is_normal = self.latency_trend.add(relative, is_early, SLOW_RATIO, self.now);
+        if outcome == Outcome::Ok {
+            if is_normal {
+                stats.record_latency(elapsed);
+            }
+            pool.answers.record_answer();
+        }
+        self.record_relative_latency(class, backend, relative);
+    }
+
+    /// Records a backend's latency relative to the mean of its class.
+    pub(crate) fn record_relative_latency(&mut self, class: usize, backend: BackendId, relative: f64) {
+        let service = self.service_of(class);
+        let Some(backend) = self.backends.get_mut(backend) else { return };
+        if backend.latency.record(relative, self.now) == Contact::First {
+            self.pools[service].means.record_first_contact(relative);
+        }
+    }
+
+    /// Feeds a latency, as a part of its objective, to the concurrency limit of the service of a class.
+    pub(crate) fn update_concurrency_limit(&mut self, class: usize, objective_part: f64, sent_at: Timestamp) {
+        let service = self.service_of(class);
+        let pool = &mut self.pools[service];
+        let capacity = Capacity::of(self.settings.gatekeepers, pool.order.ready().len());
+        pool.concurrency.record_latency(objective_part, sent_at, capacity, self.now);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/attempt_rules/tests.rs
@@ -0,0 +1,81 @@
+//! The rules alone: no state machine.
+
+use super::*;
+use crate::event::Outcome;
+use crate::ids::BackendId;
+
+const MS: Micros = 1_000;
+
+fn settings(idempotency: Idempotency) -> Settings {
+    let class = RequestClass {
+        idempotency,
+        idempotency_key_ttl: 2_000 * MS,
+        dedup_scope: DedupScope::Zone,
+        ..RequestClass::default()
+    };
+    Settings { classes: vec![class], max_attempts: 3, hedging: true, ..Settings::default() }
+}
+
+fn at(micros: u64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
+/// A request with one attempt sent at moment 0 to a backend of zone 0.
+fn request(outcome: Option<Outcome>) -> Request {
+    let attempt = Attempt {
+        backend: BackendId(1),
+        dedup_group: 0,
+        sent_at: at(0),
+        connect_deadline: at(250 * MS),
+        outcome,
+    };
+    Request { deadline: at(5_000 * MS), attempts: vec![attempt], ..Request::default() }
+}
+
+fn in_zone(zone: u8) -> BackendEntry {
+    BackendEntry { zone, ..BackendEntry::default() }
+}
+
+#[test]
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
+    let settings = settings(Idempotency::NonIdempotent);
+    let rules = AttemptRules::new(&settings, at(10 * MS));
+    assert!(rules.may_attempt(&request(Some(Outcome::ConnectFailed)), &in_zone(0)));
+    assert!(!rules.may_attempt(&request(Some(Outcome::Reset)), &in_zone(0)));
+    assert!(!rules.may_attempt(&request(None), &in_zone(0)));
+    assert!(rules.may_reject(&request(Some(Outcome::ConnectFailed))));
+    assert!(!rules.may_reject(&request(Some(Outcome::Timeout))));
+}
+
+#[test]
+fn a_key_is_repeated_within_its_window_and_scope() {
+    let settings = settings(Idempotency::Keyed);
+    let failed = request(Some(Outcome::Error));
+    let may_attempt_at = |now, zone| AttemptRules::new(&settings, now).may_attempt(&failed, &in_zone(zone));
+    // 15 % of the window of 2 s are left for the journey.
+    assert!(may_attempt_at(at(1_699 * MS), 0));
+    assert!(!may_attempt_at(at(1_700 * MS), 0));
+    assert!(!may_attempt_at(at(10 * MS), 1));
+}
+
+#[test]
+fn a_key_is_not_repeated_beside_an_attempt_that_may_still_connect() {
+    let settings = settings(Idempotency::Keyed);
+    let connecting = request(None);
+    assert!(!AttemptRules::new(&settings, at(249 * MS)).may_attempt(&connecting, &in_zone(0)));
+    assert!(AttemptRules::new(&settings, at(250 * MS)).may_attempt(&connecting, &in_zone(0)));
+}
+
+#[test]
+fn nothing_is_sent_past_the_deadline_beyond_the_limit_or_after_the_answer() {
+    let settings = settings(Idempotency::Idempotent);
+    let rules = AttemptRules::new(&settings, at(10 * MS));
+    let failed = || request(Some(Outcome::Error));
+    assert!(rules.may_attempt(&failed(), &in_zone(0)));
+    assert!(!rules.may_attempt(&Request { answered: true, ..failed() }, &in_zone(0)));
+    assert!(!rules.may_attempt(&Request { streaming: true, ..failed() }, &in_zone(0)));
+    assert!(!AttemptRules::new(&settings, at(5_000 * MS)).may_attempt(&failed(), &in_zone(0)));
+    let mut exhausted = failed();
+    exhausted.attempts.extend([failed(), failed()].into_iter().flat_map(|request| request.attempts));
+    assert!(!rules.may_attempt(&exhausted, &in_zone(0)));
+}
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,10 +1,13 @@
-//! Concurrency limit: how many attempts this gatekeeper may have in flight, and which work may use the last
-//! of it.
+//! Concurrency limit: how many attempts this gatekeeper may have in flight at the backends of one service,
+//! and which work may use the last of it. Additive increase while answers are early, multiplicative decrease
+//! while they are late.
 
-use crate::state::{Attempt, Request};
-use crate::state_machine::Policy;
-use crate::time::Timestamp;
+use crate::snapshot::StoredPool;
+use crate::time::{Micros, Timestamp};
 
+/// Mean latency as a part of the objective below which the limit grows. Latencies spread to three times their
+/// mean, so a mean of half the objective already means many late answers.
+const EARLY_PART: f64 = 0.3;
 /// Mean latency as a part of the objective above which the limit shrinks.
 const LATE_PART: f64 = 0.45;
 /// Factor on the limit for each round of late answers.
@@ -16,7 +19,7 @@
 /// Share of the capacity that the work of least weight leaves to that of most weight when capacity runs
 /// short.
 const RESERVED_SHARE: f64 = 0.5;
-/// s; memory of latency over all backends, and bounds of the weight of one sample.
+/// Seconds; memory of latency over all backends, and bounds of the weight of one sample.
 const OBJECTIVE_PART_MEMORY: f64 = 1.0;
 const OBJECTIVE_PART_WEIGHTS: (f64, f64) = (0.01, 0.3);
 
@@ -25,63 +28,135 @@
 pub(crate) struct Capacity {
     /// This gatekeeper's even share of the capacity of all backends.
     pub(crate) even_share: f64,
-    /// The same with chance on top: with many gatekeepers the traffic of each is uneven.
+    /// The same with a margin for chance: with many gatekeepers the traffic of each is uneven.
     pub(crate) upper_bound: f64,
 }
 
-impl Policy {
-    /// Mean latency as a part of the objective below which the limit grows. Latencies spread to three times
-    /// their mean, so a mean of half the objective already means many late answers.
-    pub(crate) const EARLY_PART: f64 = 0.3;
-
-    pub(crate) fn capacity(&self) -> Capacity {
-        let per_backend = MAX_PER_BACKEND / f64::from(self.settings.gatekeepers);
-        let even_share = per_backend * self.pool.ready.len() as f64;
+impl Capacity {
+    pub(crate) fn of(gatekeepers: u32, ready_backends: usize) -> Self {
+        let per_backend = MAX_PER_BACKEND / f64::from(gatekeepers);
+        let even_share = per_backend * ready_backends as f64;
         let upper_bound =
             if per_backend < 1.0 { even_share + 2.0 * (even_share + 1.0).sqrt() } else { even_share };
-        Capacity { even_share, upper_bound }
+        Self { even_share, upper_bound }
+    }
+}
+
+/// A request that asks for capacity.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Demand {
+    /// Attempts in flight now.
+    pub(crate) in_flight: f64,
+    /// Weight of the request over the largest weight that a request can have.
+    pub(crate) relative_weight: f64,
+    /// Mean latency of the service in microseconds.
+    pub(crate) mean_latency: f64,
+}
+
+/// The limit of one service, and the latency that it follows.
+#[derive(Clone, Debug)]
+pub(crate) struct ConcurrencyLimit {
+    /// Attempts that may be in flight; 0 until the first backends are known.
+    limit: f64,
+    reduced_at: Timestamp,
+    last_send: Timestamp,
+    /// Mean latency as a part of the objective.
+    objective_part: f64,
+    updated_at: Timestamp,
+}
+
+impl ConcurrencyLimit {
+    pub(crate) fn new() -> Self {
+        Self {
+            limit: 0.0,
+            reduced_at: Timestamp::ZERO,
+            last_send: Timestamp::ZERO,
+            objective_part: EARLY_PART,
+            updated_at: Timestamp::ZERO,
+        }
+    }
+
+    /// Fits the limit to other backends.
+    pub(crate) fn fit_to(&mut self, capacity: Capacity) {
+        let is_first = self.limit == 0.0;
+        self.limit = if is_first { capacity.even_share } else { self.limit.min(capacity.upper_bound) };
+    }
+
+    /// Whether the demand finds capacity. When capacity runs short, work of low weight leaves the last of it
+    /// to work of high weight. A limit below one attempt is kept by spacing attempts out.
+    pub(crate) fn has_room(&self, demand: Demand, now: Timestamp) -> bool {
+        let reserved = RESERVED_SHARE * (1.0 - demand.relative_weight);
+        let since_send = (now - self.last_send) as f64;
+        let is_spaced = self.limit >= 1.0 || since_send * self.limit >= demand.mean_latency;
+        let is_within = demand.in_flight <= self.limit * (1.0 - reserved);
+        is_spaced && is_within && demand.in_flight + 1.0 <= self.limit.max(1.0)
     }
 
-    /// When capacity runs short, work of low weight leaves the last of it to work of high weight.
-    pub(crate) fn has_capacity(&self, request: &Request) -> bool {
-        let (pool, in_flight) = (&self.pool, self.attempts_in_flight());
-        let plan = &self.settings.plans[request.plan];
-        let weight = self.settings.classes[request.class].priority_weight * plan.priority_factor;
-        let reserved = RESERVED_SHARE * (1.0 - weight / self.max_weight.max(1e-9));
-        let limit = pool.concurrency_limit;
-        let since_send = (self.now - pool.last_send) as f64;
-        let is_spaced = limit >= 1.0 || since_send * limit >= pool.mean_latency;
-        is_spaced && in_flight <= limit * (1.0 - reserved) && in_flight + 1.0 <= limit.max(1.0)
+    pub(crate) fn record_send(&mut self, now: Timestamp) {
+        self.last_send = now;
     }
 
-    /// Attempts in flight, except those at ejected backends: they take nobody's capacity.
-    fn attempts_in_flight(&self) -> f64 {
-        let counts = |request: &Request, attempt: &Attempt| {
-            let backend = self.backends.get(&attempt.backend);
-            let is_lost = backend.is_none_or(|backend| backend.ejected_until(request.class).is_some());
-            attempt.is_in_flight() && (self.pool.in_panic_mode || !is_lost)
-        };
-        let in_flight = |request: &Request| request.attempts.iter().filter(|a| counts(request, a)).count();
-        let is_served_here =
-            |request: &&Request| self.settings.classes[request.class].service == self.active_service();
-        self.requests.values().filter(is_served_here).map(in_flight).sum::<usize>() as f64
+    /// The last attempt took no capacity: the next one need not be spaced out.
+    pub(crate) fn forget_last_send(&mut self) {
+        self.last_send = Timestamp::ZERO;
     }
 
-    /// Adds a latency as a part of its objective: the limit shrinks once for each round of late answers.
-    pub(crate) fn update_concurrency_limit(&mut self, objective_part: f64, sent_at: Timestamp) {
-        let (capacity, now) = (self.capacity(), self.now);
-        let pool = &mut self.pool;
-        let since = now.seconds_since(pool.objective_part_updated_at) / OBJECTIVE_PART_MEMORY;
+    /// Adds a latency as a part of its objective. The limit shrinks once for each round of late answers.
+    pub(crate) fn record_latency(
+        &mut self,
+        objective_part: f64,
+        sent_at: Timestamp,
+        capacity: Capacity,
+        now: Timestamp,
+    ) {
+        let since = now.seconds_since(self.updated_at) / OBJECTIVE_PART_MEMORY;
         let weight = since.clamp(OBJECTIVE_PART_WEIGHTS.0, OBJECTIVE_PART_WEIGHTS.1);
-        pool.objective_part += weight * (objective_part.min(1.0) - pool.objective_part);
-        pool.objective_part_updated_at = now;
-        let limit = pool.concurrency_limit;
-        if pool.objective_part > LATE_PART && sent_at >= pool.limit_reduced_at {
+        self.objective_part += weight * (objective_part.min(1.0) - self.objective_part);
+        self.updated_at = now;
+        let limit = self.limit;
+        if self.objective_part > LATE_PART && sent_at >= self.reduced_at {
             let lower_bound = MIN_PER_BACKEND / MAX_PER_BACKEND * capacity.even_share;
-            pool.concurrency_limit = (limit * DECREASE_FACTOR).max(lower_bound);
-            pool.limit_reduced_at = now;
-        } else if pool.objective_part < Self::EARLY_PART {
-            pool.concurrency_limit = (limit + (1.0 / limit).min(limit)).min(capacity.upper_bound);
+            self.limit = (limit * DECREASE_FACTOR).max(lower_bound);
+            self.reduced_at = now;
+        } else if self.is_early() {
+            self.limit = (limit + (1.0 / limit).min(limit)).min(capacity.upper_bound);
+        }
+    }
+
+    /// Whether answers come early enough for the limit to grow.
+    pub(crate) fn is_early(&self) -> bool {
+        self.objective_part < EARLY_PART
+    }
+
+    /// By how much the mean latency is above the part of the objective that is early, as a part of the
+    /// objective.
+    pub(crate) fn lateness(&self) -> f64 {
+        (self.objective_part - EARLY_PART).max(0.0)
+    }
+
+    pub(crate) fn store(&self, stored: &mut StoredPool) {
+        stored.concurrency_limit = self.limit;
+        stored.limit_reduced_at = self.reduced_at;
+        stored.last_send = self.last_send;
+        stored.objective_part = self.objective_part;
+        stored.objective_part_updated_at = self.updated_at;
+    }
+
+    pub(crate) fn restore(stored: &StoredPool, now: Timestamp) -> Self {
+        Self {
+            limit: stored.concurrency_limit,
+            reduced_at: stored.limit_reduced_at,
+            last_send: stored.last_send.min(now),
+            objective_part: stored.objective_part,
+            updated_at: stored.objective_part_updated_at.min(now),
         }
     }
 }
+
+/// Latency of an attempt as a part of its objective.
+pub(crate) fn objective_part(elapsed: Micros, latency_objective: Micros) -> f64 {
+    elapsed as f64 / latency_objective as f64
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/counter_calls.rs
@@ -0,0 +1,96 @@
+//! Calls to the shared quota counter: which are made, and what follows from their answers.
+
+use crate::action::Action;
+use crate::counter_health::Urgency;
+use crate::counter_sync::NEGLIGIBLE_UNITS;
+use crate::event::Outcome;
+use crate::ids::TenantId;
+use crate::shared_bucket::{CountName, CountTotal, CounterAnswer, CounterCall, EPOCH, FailedCall, refilled};
+use crate::state_machine::{Actions, Policy};
+
+impl Policy {
+    /// Adds unreported spend to the tenant's count and reads its total: one call in flight for a tenant, rate
+    /// limited over all tenants. Returns whether a call is in flight.
+    pub(crate) fn call_counter(&mut self, tenant: TenantId, urgency: Urgency, out: &mut Actions) -> bool {
+        let now = self.now;
+        let Some(quota) = self.tenants.get_mut(&tenant) else { return false };
+        if quota.shared.is_call_in_flight() {
+            return true;
+        }
+        let plan = &self.settings.plans[quota.plan];
+        let is_shared = self.settings.shared_counter && plan.rate > 0.0 && quota.gatekeepers() > 1.0;
+        let is_worth_a_call =
+            urgency == Urgency::Awaited || quota.shared.units_to_report(plan) >= NEGLIGIBLE_UNITS;
+        if !is_shared || !is_worth_a_call {
+            return false;
+        }
+        if !self.counter.health.take_call_token(urgency, &self.settings, &mut self.rng, now) {
+            return false;
+        }
+        let count = CountName::of(tenant, plan.rate, self.backends.fleet_time(now));
+        let call = CounterCall {
+            name: count.name,
+            refilled: count.refilled(plan.rate),
+            last_call_answered: self.counter.health.last_call_answered(),
+        };
+        let units = quota.shared.start_call(plan, call, now);
+        self.counter.call_started(tenant, count.name);
+        out.push(Action::CounterAdd { name: count.name, units, ttl: 2 * EPOCH });
+        true
+    }
+
+    pub(crate) fn on_counter_reply(&mut self, name: u64, total: f64, outcome: Outcome, out: &mut Actions) {
+        let Some(tenant) = self.counter.call_ended(name) else { return };
+        let Some(quota) = self.tenants.get_mut(&tenant) else { return };
+        quota.refill(&self.settings, quota.gatekeepers(), self.now);
+        let Some(added) = quota.shared.take_call() else { return };
+        match outcome {
+            Outcome::Ok if total.is_finite() => self.apply_total(tenant, CountTotal { name, total }, added),
+            Outcome::Rejected | Outcome::ConnectFailed => {
+                quota.shared.call_failed(added, FailedCall::NotAdded);
+            }
+            _ => quota.shared.call_failed(added, FailedCall::PossiblyAdded),
+        }
+        // Added, with a total that cannot be read: a request that waits for it still needs it.
+        let needs_total = outcome == Outcome::Error && self.is_awaited(tenant);
+        if needs_total && self.call_counter(tenant, Urgency::Awaited, out) {
+            return;
+        }
+        let Some(quota) = self.tenants.get_mut(&tenant) else { return };
+        let waiting = std::mem::take(&mut quota.waiting);
+        let units = quota.shared.units_to_report(&self.settings.plans[quota.plan]);
+        self.counter.schedule(tenant, quota, units, 0, self.now);
+        for id in waiting {
+            self.decide(id, out);
+        }
+    }
+
+    /// Whether a request waits for the total of this tenant.
+    fn is_awaited(&self, tenant: TenantId) -> bool {
+        self.tenants.get(&tenant).is_some_and(|quota| !quota.waiting.is_empty())
+    }
+
+    fn apply_total(&mut self, tenant: TenantId, total: CountTotal, added: f64) {
+        let fleet_time = self.backends.fleet_time(self.now);
+        let Some(quota) = self.tenants.get_mut(&tenant) else { return };
+        let plan = &self.settings.plans[quota.plan];
+        let current = CountName::of(tenant, plan.rate, fleet_time);
+        let previous = CountName::of(tenant, plan.rate, fleet_time.saturating_sub(EPOCH));
+        // The name may have changed while the call was in flight.
+        let age = match total.name {
+            name if name == current.name => current.age,
+            name if name == previous.name => current.age + EPOCH,
+            // The rate or the clock has changed as well: no gatekeeper reads that count any more.
+            _ => return quota.shared.call_misdirected(added),
+        };
+        let answer = CounterAnswer {
+            total,
+            added,
+            refilled: refilled(plan.rate, age),
+            after_silence: self.counter.health.has_recovered_since(quota.shared.synced_at()),
+            lost_total_change: -2.0 * self.settings.max_cost - plan.burst,
+            local_shares: quota.all_local_shares(),
+        };
+        quota.shared.apply_total(plan, answer, self.now);
+    }
+}
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,92 +1,152 @@
-//! The endpoint list and operator ejections: which backends are ready, in which order this gatekeeper prefers
-//! them.
+//! The endpoint list and operator ejections: which backends are known, and which of them are ready.
 
+use crate::backend::Backend;
 use crate::event::{BackendEntry, BackendState, ListKind};
 use crate::ids::BackendId;
-use crate::state::{Backend, mix};
-use crate::state_machine::Policy;
+use crate::settings::Settings;
+use crate::slow_start::{self, SlowStart};
+use crate::snapshot::BackendSnapshot;
+use crate::start_times::StartTimes;
+use crate::time::Timestamp;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Gatekeepers that share a backend where there are many, and the fewest backends that one prefers: enough
-/// for a lost zone and a release at once. Fewer connections are held, and the same few are known better.
-const GATEKEEPERS_PER_BACKEND: f64 = 12.0;
-const MIN_SUBSET: usize = 8;
+/// All known backends.
+#[derive(Debug, Default)]
+pub(crate) struct Backends {
+    known: BTreeMap<BackendId, Backend>,
+    /// Backends that operators have ejected, on the list or not.
+    operator_ejections: BTreeSet<BackendId>,
+    start_times: StartTimes,
+}
+
+/// What a change of the list needs beside the backends.
+#[derive(Debug)]
+pub(crate) struct ListContext<'a> {
+    pub(crate) now: Timestamp,
+    /// The number of request classes.
+    pub(crate) classes: usize,
+    pub(crate) rng: &'a mut fastrand::Rng,
+}
+
+impl Backends {
+    pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
+        self.known.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
+        self.known.get_mut(&id)
+    }
 
-impl Policy {
-    pub(crate) fn on_endpoints(&mut self, kind: ListKind, entries: Vec<BackendEntry>) {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Backend> {
+        self.known.values()
+    }
+
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
+        self.known.values_mut()
+    }
+
+    /// The backends of a service that may be sent work.
+    pub(crate) fn ready(&self, service: u16) -> impl Iterator<Item = &Backend> {
+        let is_ready = move |backend: &&Backend| {
+            let entry = &backend.entry;
+            entry.state == BackendState::Ready
+                && entry.service == service
+                && !self.is_ejected_by_operator(entry.id)
+        };
+        self.known.values().filter(is_ready)
+    }
+
+    pub(crate) fn is_ejected_by_operator(&self, id: BackendId) -> bool {
+        self.operator_ejections.contains(&id)
+    }
+
+    /// Applies an update of the endpoint list.
+    pub(crate) fn apply_list(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<BackendEntry>,
+        context: &mut ListContext<'_>,
+    ) {
         if kind != ListKind::Delta {
             // What a complete list leaves out is gone.
-            self.backends.values_mut().for_each(|backend| backend.entry.state = BackendState::Gone);
+            self.known.values_mut().for_each(|backend| backend.entry.state = BackendState::Gone);
         }
         for entry in entries {
-            self.apply_entry(entry);
+            self.apply_entry(entry, context);
         }
         if kind != ListKind::Cached {
             self.start_times.follow();
         }
-        self.backends.retain(|_, backend| backend.entry.state != BackendState::Gone || backend.in_flight > 0);
-        for service in self.services() {
-            self.activate_pool(service);
-            self.order_pool();
-        }
+        self.known
+            .retain(|_, backend| backend.entry.state != BackendState::Gone || backend.load.in_flight() > 0);
     }
 
-    fn apply_entry(&mut self, entry: BackendEntry) {
-        let mut fresh = Backend::new(entry.clone(), self.now, self.settings.classes.len());
-        // A fraction of a token: were it a whole one, every gatekeeper would use it at once.
-        fresh.slow_start_tokens = self.rng.f64();
-        fresh.notified_start = self.start_times.observe(&entry, self.now);
-        match self.backends.get_mut(&entry.id) {
+    fn apply_entry(&mut self, entry: BackendEntry, context: &mut ListContext<'_>) {
+        let now = context.now;
+        let fraction = context.rng.f64();
+        let slow_start = SlowStart::new(fraction, self.start_times.observe(&entry, now));
+        match self.known.get_mut(&entry.id) {
             Some(known) if known.entry.started == entry.started => known.entry = entry,
-            // Restarted: in slow start, and nothing learnt of it holds.
             Some(known) => {
-                let (in_flight, readmitted_at) = (known.in_flight, known.readmitted_at);
-                *known = Backend { in_flight, readmitted_at, ..fresh };
+                let slow_start = known.slow_start.restarted(slow_start);
+                *known = known.restarted(entry, slow_start, now);
             }
             None if entry.state == BackendState::Gone => {}
             None => {
-                self.backends.insert(entry.id, fresh);
+                self.known.insert(entry.id, Backend::new(entry, slow_start, now, context.classes));
             }
         }
     }
 
-    /// Orders the ready backends of the active pool by a hash of their own for each gatekeeper.
-    fn order_pool(&mut self) {
-        self.pool.ready = self.ready_backends().map(|backend| backend.entry.id).collect();
-        let seed = mix(u64::from(self.settings.gatekeeper_index));
-        self.pool.ready.sort_by_key(|&id| mix(seed ^ u64::from(id.0)));
-        let share = (GATEKEEPERS_PER_BACKEND / f64::from(self.settings.gatekeepers)).min(1.0);
-        let subset = self.pool.ready.len() as f64 * share;
-        self.pool.subset_size = (subset.ceil() as usize).max(MIN_SUBSET);
-        let sizes = || self.pool.ready.iter().map(|id| self.backends[id].size());
-        let is_uneven = sizes().any(|size| Some(size) != sizes().next());
-        self.pool.has_uneven_sizes = self.settings.weighted_backends && is_uneven;
-        let capacity = self.capacity();
-        let limit = &mut self.pool.concurrency_limit;
-        *limit = if *limit == 0.0 { capacity.even_share } else { limit.min(capacity.upper_bound) };
-    }
-
-    /// Operators eject a backend, or admit it again: then it may have restarted unseen, and begins in slow
-    /// start.
-    pub(crate) fn on_operator_ejection(&mut self, id: BackendId, ejected: bool) {
+    /// An operator ejects a backend, or admits it again: then it may have restarted unseen, and begins in
+    /// slow start.
+    pub(crate) fn set_operator_ejection(
+        &mut self,
+        id: BackendId,
+        ejected: bool,
+        context: &mut ListContext<'_>,
+    ) {
         let ejections = &mut self.operator_ejections;
         let has_changed = if ejected { ejections.insert(id) } else { ejections.remove(&id) };
-        if let Some(backend) = self.backends.get_mut(&id).filter(|_| has_changed && !ejected) {
-            let fresh = Backend::new(backend.entry.clone(), self.now, self.settings.classes.len());
-            *backend = Backend {
-                in_flight: backend.in_flight,
-                readmitted_at: self.now,
-                notified_start: backend.notified_start,
-                slow_start_tokens: self.rng.f64(),
-                ..fresh
-            };
+        if let Some(backend) = self.known.get_mut(&id).filter(|_| has_changed && !ejected) {
+            let slow_start = backend.slow_start.readmitted(context.rng.f64(), context.now);
+            *backend = backend.restarted(backend.entry.clone(), slow_start, context.now);
         }
-        self.on_endpoints(ListKind::Delta, Vec::new());
     }
 
-    /// The backends of the active pool that take work.
-    pub(crate) fn ready_backends(&self) -> impl Iterator<Item = &Backend> {
-        let is_ejected = |backend: &Backend| self.operator_ejections.contains(&backend.entry.id);
-        let is_here = move |b: &&Backend| b.entry.service == self.active_service() && !is_ejected(b);
-        self.backends.values().filter(|b| b.entry.state == BackendState::Ready).filter(is_here)
+    /// The share of its capacity that a backend certainly has.
+    pub(crate) fn warmth(&self, backend: &Backend, settings: &Settings, now: Timestamp) -> f64 {
+        let slow_start = &backend.slow_start;
+        let started = self.start_times.start_of(backend.entry.started, slow_start.notified_start(), now);
+        slow_start::warmth(settings, started.max(slow_start.readmitted_at()), now)
+    }
+
+    /// This gatekeeper's clock is ahead of the fleet's by this many microseconds.
+    pub(crate) fn set_clock_offset(&mut self, offset: i64) {
+        self.start_times.set_clock_offset(offset);
+    }
+
+    /// The time by the fleet's clock.
+    pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
+        self.start_times.fleet_time(now)
+    }
+
+    pub(crate) fn store(&self) -> Vec<BackendSnapshot> {
+        let stored = self.known.iter().map(|(&id, backend)| BackendSnapshot {
+            id,
+            started: backend.entry.started,
+            state: backend.store(),
+        });
+        stored.collect()
+    }
+
+    /// Continues from a snapshot of a backend, if it is the same start of the same backend and the same
+    /// classes.
+    pub(crate) fn restore(&mut self, snapshot: BackendSnapshot, now: Timestamp) {
+        let BackendSnapshot { id, started, state } = snapshot;
+        let Some(backend) = self.known.get_mut(&id) else { return };
+        if backend.entry.started == started && state.classes.len() == backend.health.classes() {
+            backend.restore(state, now);
+        }
     }
 }
--- a/crates/policy/src/fleet_summary.rs
+++ b/crates/policy/src/fleet_summary.rs
@@ -1,7 +1,7 @@
 //! A summary of the backends for operators: a reading, no decision.
 
+use crate::backend::Backend;
 use crate::event::BackendState;
-use crate::state::Backend;
 use crate::state_machine::Policy;
 
 /// Backends on the list, and those of them that get no work now.
@@ -16,7 +16,7 @@
 impl Policy {
     /// Counts the backends of all services.
     pub fn fleet_summary(&self) -> FleetSummary {
-        let listed = || self.backends.values().filter(|backend| backend.entry.state != BackendState::Gone);
+        let listed = || self.backends.iter().filter(|backend| backend.entry.state != BackendState::Gone);
         FleetSummary {
             listed: listed().count(),
             unavailable: listed().filter(|backend| self.is_unavailable(backend)).count(),
@@ -24,9 +24,11 @@
     }
 
     fn is_unavailable(&self, backend: &Backend) -> bool {
+        let pool = self.pools.get(usize::from(backend.entry.service));
+        let in_panic_mode = pool.is_some_and(|pool| pool.order.in_panic_mode());
         backend.entry.state != BackendState::Ready
-            || self.operator_ejections.contains(&backend.entry.id)
-            || self.now < backend.connect_backoff_until
-            || backend.is_ejected() && !self.pool.in_panic_mode
+            || self.backends.is_ejected_by_operator(backend.entry.id)
+            || backend.health.is_in_connect_backoff(self.now)
+            || backend.health.is_ejected() && !in_panic_mode
     }
 }
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -4,6 +4,8 @@
 use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
+/// Ratio of long-term to short-term p95 latency below which the backends are overloaded (the design).
+pub(crate) const MIN_LATENCY_RATIO: f64 = 0.3;
 /// The quantile of both latency estimates (the design).
 const QUANTILE: f64 = 0.95;
 /// Samples and microseconds that make a short-term estimate.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,24 +1,40 @@
 //! The decisions of a gatekeeper that holds tenants to their quotas before shared backends, as a state machine without I/O.
 //!
 //! A driver feeds [`Policy::handle`] with an [`Event`] for everything that happens and carries out the [`Action`]s that come back,
-//! in order. Each concern has a module of its own:
+//! in order. `Policy` holds the parts, hands each event to them, and puts their answers together:
 //!
-//! | module | decides |
+//! | module | what it does |
 //! | --- | --- |
-//! | `admission` | whether a request is forwarded, rejected, or waits for a fresh total |
-//! | `quota` | token buckets of a tenant: what an admission takes, and what its answer corrects |
-//! | `counter_sync` | when spend is reported to the shared counter |
-//! | `surcharge` | what classes pay while latency is high |
-//! | `concurrency_limit` | how many attempts may be in flight, and which work may use the last of the capacity |
-//! | `selection` | which backend gets an attempt |
+//! | `state_machine` | holds the parts and dispatches events |
+//! | `admission` | forwards a request, rejects it, or lets it wait for a fresh total |
+//! | `attempts` | sends attempts, retries and hedged requests, and gives the final answer |
+//! | `attempt_outcomes` | feeds the end of an attempt to the parts that learn from it |
+//! | `counter_calls` | calls the shared counter and applies its totals |
+//! | `pool_updates` | applies the endpoint list and operator ejections, and the periodic work over backends |
+//! | `timers` | runs what a timer is for, and the periodic work |
+//!
+//! Each part owns its state behind a few methods, and is tested without the rest:
+//!
+//! | part | what it owns |
+//! | --- | --- |
+//! | `tenant_quota` | the quota of one tenant: shares of bucket and ceiling, reservations, surcharge |
+//! | `shared_bucket` | the estimated level of a token bucket that several gatekeepers share |
+//! | `counter_sync` | which tenants have spend to report, and the counter calls in flight |
+//! | `counter_health` | whether the counter is silent, and the rate limit of calls to it |
+//! | `attempt_rules` | whether a further attempt keeps the promise of its class (no state) |
+//! | `retry_budget` | tokens of retries and hedged requests |
+//! | `endpoints` | the known backends and operator ejections |
+//! | `outlier_detection` | which backends are ejected, and when they get a trial |
 //! | `slow_start` | how much a backend that has just started is sent |
-//! | `outlier_detection` | which backends are ejected, and when they are tried again |
-//! | `endpoints` | which backends are ready, and in which order they are preferred |
-//! | `attempts` | retries, hedged requests, the final answer |
-//! | `timers` | the periodic work |
+//! | `backend_latency`, `class_stats`, `latency_trend` | latency estimates of a backend, of a class, and over all |
+//! | `service_pool` | the order of preference and running means of the backends of one service |
+//! | `concurrency_limit` | how many attempts may be in flight, and which work may use the last of the capacity |
+//! | `selection` | which backend gets an attempt (no state) |
+//! | `surcharge` | what classes pay while latency is high (no state) |
+//! | `start_times` | start times of backends, and the offset of this gatekeeper's clock |
 //!
-//! The other modules hold state and estimates and decide nothing. A *request* is what a client sends; an *attempt* is one
-//! forwarding of it to a *backend*; a *tenant* is whose quota it takes.
+//! A *request* is what a client sends; an *attempt* is one forwarding of it to a *backend*; a *tenant* is whose quota it takes. A
+//! moment is a [`Timestamp`], a span of time is [`Micros`].
 //!
 //! # Examples
 //!
@@ -50,29 +66,39 @@
 
 mod action;
 mod admission;
+mod attempt_outcomes;
+mod attempt_rules;
 mod attempts;
-mod bucket_estimator;
+mod backend;
+mod backend_latency;
+mod class_stats;
 mod concurrency_limit;
+mod counter_calls;
+mod counter_health;
 mod counter_sync;
 mod endpoints;
-mod estimates;
 mod event;
 mod fleet_summary;
+mod hash;
 mod headroom;
 mod ids;
 mod latency_trend;
 mod outlier_detection;
+mod pool_updates;
 mod quantile;
-mod quota;
+mod request;
+mod retry_budget;
 mod selection;
+mod service_pool;
 mod settings;
 mod settings_update;
+mod shared_bucket;
 mod slow_start;
 mod snapshot;
 mod start_times;
-mod state;
 mod state_machine;
 mod surcharge;
+mod tenant_quota;
 mod time;
 mod timer_token;
 mod timers;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,116 +1,201 @@
-//! Outlier detection: backends that do not answer, fail or refuse connections are ejected, and tried again at
-//! times.
+//! Outlier detection: backends that do not answer, fail or refuse connections are ejected for the classes
+//! concerned, and get a trial now and then.
 
-use crate::estimates::WORST_LATENCY;
-use crate::event::Outcome;
-use crate::state::{ClassHealth, EndedAttempt};
-use crate::state_machine::Policy;
+use crate::settings::Settings;
+use crate::snapshot::StoredBackend;
 use crate::time::{Micros, Timestamp};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 
-/// Part of its objective for which an attempt may be unanswered, with no answer of its backend since, before
-/// that is ejected.
+/// Part of its latency objective for which an attempt may be unanswered, with no answer of its backend since,
+/// before the backend is ejected.
 const SILENCE_PART: f64 = 0.6;
-/// us; pause between trials of an ejected backend by all gatekeepers together, and the longest of one: faults
-/// last tens of seconds.
+/// Microseconds between trials of an ejected backend by all gatekeepers together, and the longest pause of
+/// one gatekeeper: faults last tens of seconds.
 const EJECTION_TIME: Micros = 200_000;
 const MAX_EJECTION_TIME: Micros = 20_000_000;
-/// us; pause after a rejection, and the first connect backoff, times the number of gatekeepers.
+/// Microseconds of pause after a rejection, and of the first connect backoff, for each gatekeeper.
 const REJECTION_PAUSE: Micros = 10_000;
 
-impl Policy {
-    /// A backend that does not answer is found by the age of its attempts in flight with no answer since: of
-    /// any class, or of this one alone, since a backend may fail one class and serve the others.
-    pub(crate) fn eject_silent_backends(&mut self) {
-        let (now, trial, mut found) = (self.now, self.now + self.ejection_time(), false);
-        for request in self.requests.values() {
-            let objective = self.settings.classes[request.class].latency_objective;
-            let patience = (objective as f64 * SILENCE_PART) as Micros;
-            let is_late = |sent_at: Timestamp| now - sent_at > patience;
-            for attempt in request.attempts.iter().filter(|a| a.is_in_flight() && is_late(a.sent_at)) {
-                let Some(backend) = self.backends.get_mut(&attempt.backend) else { continue };
-                let answers_none = backend.last_answer < attempt.sent_at;
-                for (class, health) in backend.health.iter_mut().enumerate() {
-                    let is_affected = answers_none || class == request.class;
-                    if health.last_answer < attempt.sent_at && is_affected && health.ejected_until.is_none() {
-                        health.ejected_until = Some(trial);
-                        found = true;
-                    }
-                }
-            }
-        }
-        // At once: until it is known that all are silent, nothing would be admitted.
-        for service in self.services().filter(|_| found) {
-            self.activate_pool(service);
-            self.update_panic_mode();
+/// How long this gatekeeper leaves an ejected backend alone, so that all gatekeepers together try it now and
+/// then.
+pub(crate) fn ejection_time(settings: &Settings) -> Micros {
+    (EJECTION_TIME * u64::from(settings.gatekeepers)).min(MAX_EJECTION_TIME)
+}
+
+/// How long this gatekeeper sends a backend nothing of a kind that it rejected.
+pub(crate) fn rejection_pause(settings: &Settings) -> Micros {
+    REJECTION_PAUSE * u64::from(settings.gatekeepers)
+}
+
+/// How long an attempt may be unanswered before its backend counts as silent.
+pub(crate) fn silence_timeout(latency_objective: Micros) -> Micros {
+    (latency_objective as f64 * SILENCE_PART) as Micros
+}
+
+/// How one class fares at one backend.
+#[derive(Clone, Copy, Debug, Deserialize, Serialize)]
+pub(crate) struct ClassHealth {
+    last_answer: Timestamp,
+    /// Set while the backend is ejected for this class: the moment of the next trial.
+    ejected_until: Option<Timestamp>,
+}
+
+impl ClassHealth {
+    fn new(now: Timestamp) -> Self {
+        Self { last_answer: now, ejected_until: None }
+    }
+
+    /// Changes all moments that are kept.
+    pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
+        change(&mut self.last_answer);
+        self.ejected_until.iter_mut().for_each(change);
+    }
+}
+
+/// Exponential backoff of connections to a backend that accepts none.
+#[derive(Clone, Copy, Debug, Default)]
+struct ConnectBackoff {
+    until: Timestamp,
+    /// The last backoff; 0 after an answer.
+    last: Micros,
+}
+
+/// What outlier detection knows of one backend.
+#[derive(Clone, Debug)]
+pub(crate) struct BackendHealth {
+    last_answer: Timestamp,
+    /// By class.
+    classes: Vec<ClassHealth>,
+    /// By class and plan: until when it gets none of these after it rejected one.
+    rejects_until: BTreeMap<(usize, usize), Timestamp>,
+    connect_backoff: ConnectBackoff,
+}
+
+impl BackendHealth {
+    pub(crate) fn new(now: Timestamp, classes: usize) -> Self {
+        Self {
+            last_answer: now,
+            classes: vec![ClassHealth::new(now); classes],
+            rejects_until: BTreeMap::new(),
+            connect_backoff: ConnectBackoff::default(),
         }
     }
 
-    /// When most are ejected at once the cause is common, and ejections are ignored.
-    pub(crate) fn update_panic_mode(&mut self) {
-        let ejected = self.ready_backends().filter(|backend| backend.is_ejected()).count();
-        self.pool.in_panic_mode = ejected * 2 > self.pool.ready.len();
+    /// The number of classes.
+    pub(crate) fn classes(&self) -> usize {
+        self.classes.len()
     }
 
-    /// us; how long this gatekeeper leaves an ejected backend alone, so that all together try it now and
-    /// then.
-    pub(crate) fn ejection_time(&self) -> Micros {
-        (EJECTION_TIME * u64::from(self.settings.gatekeepers)).min(MAX_EJECTION_TIME)
+    /// Adds classes that are new, as healthy.
+    pub(crate) fn add_classes(&mut self, classes: usize, now: Timestamp) {
+        self.classes.resize(classes, ClassHealth::new(now));
     }
 
-    /// Learns from the end of an attempt.
-    pub(crate) fn record_outcome(&mut self, attempt: EndedAttempt) {
-        if !self.update_backend_health(attempt) {
-            return;
-        }
-        let outcome = attempt.outcome;
-        if outcome == Outcome::Reset {
-            // Broken off: how early says nothing of its speed. Taken for fast it would attract all work.
-            self.record_relative_latency(attempt.backend, WORST_LATENCY);
+    /// Whether it is ejected for every class, so that only a trial can show that it has recovered.
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.classes.iter().all(|class| class.ejected_until.is_some())
+    }
+
+    /// The moment of the next trial if it is ejected for this class.
+    pub(crate) fn ejected_until(&self, class: usize) -> Option<Timestamp> {
+        self.classes.get(class).and_then(|class| class.ejected_until)
+    }
+
+    /// Whether this class is the one for its trial: the last that it answered.
+    pub(crate) fn wants_trial(&self, class: usize) -> bool {
+        let last_answer = self.classes[class].last_answer;
+        self.is_ejected() && self.classes.iter().all(|class| class.last_answer <= last_answer)
+    }
+
+    /// An attempt of this class is sent. A trial of one class is a trial for all classes for which the
+    /// backend is ejected.
+    pub(crate) fn record_send(&mut self, class: usize, next_trial: Timestamp) {
+        if self.ejected_until(class).is_none() {
             return;
         }
-        let is_lost = outcome == Outcome::Timeout && !self.pool.in_panic_mode;
-        let has_run = !outcome.never_ran() && outcome != Outcome::Cancelled;
-        if has_run {
-            self.record_attempt_time(attempt.elapsed);
-        }
-        if has_run && !is_lost {
-            let objective = self.settings.classes[attempt.class].latency_objective as f64;
-            self.update_concurrency_limit(attempt.elapsed as f64 / objective, attempt.sent_at);
-            self.record_latency(attempt);
+        for ejected_until in self.classes.iter_mut().filter_map(|class| class.ejected_until.as_mut()) {
+            *ejected_until = next_trial;
         }
     }
 
-    /// Returns whether the backend is known.
-    fn update_backend_health(&mut self, attempt: EndedAttempt) -> bool {
-        let EndedAttempt { class, plan, .. } = attempt;
-        let (now, ejected_until) = (self.now, self.now + self.ejection_time());
-        let pause = REJECTION_PAUSE * u64::from(self.settings.gatekeepers);
-        let Some(backend) = self.backends.get_mut(&attempt.backend) else { return false };
-        match attempt.outcome {
-            // One plan or class may be rejected where others are served: only that pair pauses.
-            Outcome::Rejected => drop(backend.rejects_until.insert((class, plan), now + pause)),
-            // Dead, or out of connections: nothing of any class gets in here. Who holds a connection never
-            // sees this, so a crowded one is left by those alone who cannot use it. The attempt took no
-            // capacity.
-            Outcome::ConnectFailed => {
-                let backoff = (2 * backend.connect_backoff).clamp(pause, MAX_EJECTION_TIME);
-                backend.connect_backoff = backoff;
-                backend.connect_backoff_until = now + backoff;
-                self.pool.last_send = Timestamp::ZERO;
-                self.record_relative_latency(attempt.backend, WORST_LATENCY);
-            }
-            Outcome::NotStarted => self.pool.last_send = Timestamp::ZERO,
-            Outcome::Ok => {
-                backend.connect_backoff = 0;
-                backend.last_answer = now;
-                backend.health[class] = ClassHealth { last_answer: now, ejected_until: None };
-            }
-            Outcome::Error => {
-                backend.last_answer = now;
-                backend.health[class].ejected_until.get_or_insert(ejected_until);
+    /// Whether it has answered an attempt of any class since this moment.
+    pub(crate) fn has_answered_since(&self, moment: Timestamp) -> bool {
+        self.last_answer > moment
+    }
+
+    pub(crate) fn is_in_connect_backoff(&self, now: Timestamp) -> bool {
+        now < self.connect_backoff.until
+    }
+
+    /// Whether it pauses after it rejected a request of this class and plan.
+    pub(crate) fn pauses_after_rejection(&self, class: usize, plan: usize, now: Timestamp) -> bool {
+        self.rejects_until.get(&(class, plan)).is_some_and(|&until| now < until)
+    }
+
+    pub(crate) fn record_served(&mut self, class: usize, now: Timestamp) {
+        self.connect_backoff.last = 0;
+        self.last_answer = now;
+        self.classes[class] = ClassHealth::new(now);
+    }
+
+    pub(crate) fn record_error(&mut self, class: usize, now: Timestamp, next_trial: Timestamp) {
+        self.last_answer = now;
+        self.classes[class].ejected_until.get_or_insert(next_trial);
+    }
+
+    /// One plan or class may be rejected where others are served: only that pair pauses.
+    pub(crate) fn record_rejection(&mut self, class: usize, plan: usize, until: Timestamp) {
+        self.rejects_until.insert((class, plan), until);
+    }
+
+    /// It is dead, or out of connections: nothing of any class gets in here. A gatekeeper that holds a
+    /// connection never sees this, so a crowded backend is left alone by those only that cannot use it.
+    pub(crate) fn record_connect_failure(&mut self, first_backoff: Micros, now: Timestamp) {
+        let backoff = (2 * self.connect_backoff.last).clamp(first_backoff, MAX_EJECTION_TIME);
+        self.connect_backoff = ConnectBackoff { until: now + backoff, last: backoff };
+    }
+
+    /// Ejects it for the classes that an unanswered attempt speaks against: this class, and all if it has
+    /// answered none since the attempt was sent. A backend may fail one class and serve the others. Returns
+    /// whether it was ejected for any.
+    pub(crate) fn eject_if_silent(
+        &mut self,
+        class: usize,
+        sent_at: Timestamp,
+        next_trial: Timestamp,
+    ) -> bool {
+        let answers_none = self.last_answer < sent_at;
+        let mut was_ejected = false;
+        for (index, health) in self.classes.iter_mut().enumerate() {
+            let is_affected = answers_none || index == class;
+            if health.last_answer < sent_at && is_affected && health.ejected_until.is_none() {
+                health.ejected_until = Some(next_trial);
+                was_ejected = true;
             }
-            _ => {}
         }
-        true
+        was_ejected
+    }
+
+    pub(crate) fn store(&self, stored: &mut StoredBackend) {
+        stored.last_answer = self.last_answer;
+        stored.classes.clone_from(&self.classes);
+        stored.rejects_until.clone_from(&self.rejects_until);
+        stored.connect_backoff_until = self.connect_backoff.until;
+        stored.connect_backoff = self.connect_backoff.last;
+    }
+
+    pub(crate) fn restore(stored: StoredBackend) -> Self {
+        let connect_backoff =
+            ConnectBackoff { until: stored.connect_backoff_until, last: stored.connect_backoff };
+        Self {
+            last_answer: stored.last_answer,
+            classes: stored.classes,
+            rejects_until: stored.rejects_until,
+            connect_backoff,
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/service_pool.rs
@@ -0,0 +1,275 @@
+//! The backends of one service together: their order, their concurrency limit, and running means over their
+//! attempts.
+
+use crate::backend_latency::LATENCY_MEMORY;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::hash::mix;
+use crate::ids::BackendId;
+use crate::settings::Settings;
+use crate::snapshot::StoredPool;
+use crate::time::{Micros, SECOND, Timestamp};
+
+/// Gatekeepers that share a backend where there are many, and the fewest backends that one prefers: enough
+/// for a lost zone and a release at once. Fewer connections are held, and the same few backends are known
+/// better.
+const GATEKEEPERS_PER_BACKEND: f64 = 12.0;
+const MIN_SUBSET: usize = 8;
+/// Weight of one attempt in the mean latency, in the mean time of an attempt and in the mean cost.
+const MEAN_WEIGHT: f64 = 0.05;
+/// Weight of one sample in the latency of first contacts.
+const FIRST_CONTACT_WEIGHT: f64 = 0.1;
+/// Weight of a second in the measured rate of answers.
+const RATE_WEIGHT: f64 = 0.2;
+
+/// The backends of one service.
+#[derive(Clone, Debug)]
+pub(crate) struct ServicePool {
+    pub(crate) order: PreferenceOrder,
+    pub(crate) concurrency: ConcurrencyLimit,
+    pub(crate) means: PoolMeans,
+    pub(crate) answers: AnswerRate,
+}
+
+impl ServicePool {
+    /// A pool without backends. `latency` is assumed in microseconds until the first answers.
+    pub(crate) fn new(latency: f64, now: Timestamp) -> Self {
+        Self {
+            order: PreferenceOrder::default(),
+            concurrency: ConcurrencyLimit::new(),
+            means: PoolMeans::new(latency),
+            answers: AnswerRate::new(now),
+        }
+    }
+
+    pub(crate) fn store(&self) -> StoredPool {
+        let mut stored = StoredPool::default();
+        self.order.store(&mut stored);
+        self.concurrency.store(&mut stored);
+        self.means.store(&mut stored);
+        self.answers.store(&mut stored);
+        stored
+    }
+
+    pub(crate) fn restore(stored: StoredPool, now: Timestamp) -> Self {
+        Self {
+            concurrency: ConcurrencyLimit::restore(&stored, now),
+            means: PoolMeans::restore(&stored),
+            answers: AnswerRate::restore(&stored, now),
+            order: PreferenceOrder::restore(stored),
+        }
+    }
+}
+
+/// The ready backends in this gatekeeper's own order of preference.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PreferenceOrder {
+    ready: Vec<BackendId>,
+    /// How many of the first it prefers.
+    subset_size: usize,
+    /// Work goes by size, and sizes differ.
+    has_uneven_sizes: bool,
+    /// Most are ejected at once: the cause is common, and ejections are ignored.
+    in_panic_mode: bool,
+}
+
+/// A ready backend and its size.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SizedBackend {
+    pub(crate) id: BackendId,
+    pub(crate) size: f64,
+}
+
+impl PreferenceOrder {
+    /// Orders the ready backends by a hash of their own for each gatekeeper.
+    pub(crate) fn set(&mut self, mut backends: Vec<SizedBackend>, settings: &Settings) {
+        let seed = mix(u64::from(settings.gatekeeper_index));
+        backends.sort_by_key(|backend| mix(seed ^ u64::from(backend.id.0)));
+        self.ready = backends.iter().map(|backend| backend.id).collect();
+        let share = (GATEKEEPERS_PER_BACKEND / f64::from(settings.gatekeepers)).min(1.0);
+        let subset = self.ready.len() as f64 * share;
+        self.subset_size = (subset.ceil() as usize).max(MIN_SUBSET);
+        let mut sizes = backends.iter().map(|backend| backend.size);
+        let first = sizes.next();
+        let is_uneven = sizes.any(|size| Some(size) != first);
+        self.has_uneven_sizes = settings.weighted_backends && is_uneven;
+    }
+
+    /// Ready backends, the preferred ones first.
+    pub(crate) fn ready(&self) -> &[BackendId] {
+        &self.ready
+    }
+
+    pub(crate) fn subset_size(&self) -> usize {
+        self.subset_size
+    }
+
+    /// Part of the ready backends that this gatekeeper prefers; above 1 where there are few.
+    pub(crate) fn subset_part(&self) -> f64 {
+        self.subset_size as f64 / self.ready.len().max(1) as f64
+    }
+
+    pub(crate) fn has_uneven_sizes(&self) -> bool {
+        self.has_uneven_sizes
+    }
+
+    pub(crate) fn in_panic_mode(&self) -> bool {
+        self.in_panic_mode
+    }
+
+    /// Above the panic threshold, half of the ready backends, the cause of ejections is common to them.
+    pub(crate) fn update_panic_mode(&mut self, ejected: usize) {
+        self.in_panic_mode = ejected * 2 > self.ready.len();
+    }
+
+    fn store(&self, stored: &mut StoredPool) {
+        stored.ready.clone_from(&self.ready);
+        stored.subset_size = self.subset_size;
+        stored.has_uneven_sizes = self.has_uneven_sizes;
+        stored.in_panic_mode = self.in_panic_mode;
+    }
+
+    fn restore(stored: StoredPool) -> Self {
+        Self {
+            ready: stored.ready,
+            subset_size: stored.subset_size,
+            has_uneven_sizes: stored.has_uneven_sizes,
+            in_panic_mode: stored.in_panic_mode,
+        }
+    }
+}
+
+/// Running means over the attempts of one service.
+#[derive(Clone, Debug)]
+pub(crate) struct PoolMeans {
+    /// Latency of attempts that ran, in microseconds.
+    latency: f64,
+    /// Microseconds for which an attempt is in flight, however it ends.
+    attempt_time: f64,
+    /// Cost of an admitted request in units.
+    cost: f64,
+    /// Latency over the mean of its class at backends about which little was known.
+    first_contact_latency: f64,
+}
+
+impl PoolMeans {
+    fn new(latency: f64) -> Self {
+        Self { latency, attempt_time: latency, cost: 0.0, first_contact_latency: 0.0 }
+    }
+
+    pub(crate) fn latency(&self) -> f64 {
+        self.latency
+    }
+
+    /// Mean time of an attempt in seconds.
+    pub(crate) fn attempt_seconds(&self) -> f64 {
+        self.attempt_time / SECOND
+    }
+
+    pub(crate) fn cost(&self) -> f64 {
+        self.cost
+    }
+
+    pub(crate) fn first_contact_latency(&self) -> f64 {
+        self.first_contact_latency
+    }
+
+    pub(crate) fn record_latency(&mut self, elapsed: Micros) {
+        self.latency += MEAN_WEIGHT * (elapsed as f64 - self.latency);
+    }
+
+    pub(crate) fn record_attempt_time(&mut self, elapsed: Micros) {
+        self.attempt_time += MEAN_WEIGHT * (elapsed as f64 - self.attempt_time);
+    }
+
+    pub(crate) fn record_cost(&mut self, cost: f64) {
+        self.cost += MEAN_WEIGHT * (cost - self.cost);
+    }
+
+    pub(crate) fn record_first_contact(&mut self, relative_latency: f64) {
+        self.first_contact_latency += FIRST_CONTACT_WEIGHT * (relative_latency - self.first_contact_latency);
+    }
+
+    /// Lets bad first contacts be forgotten over this many seconds, or backends that were bad once would
+    /// never be tried again.
+    pub(crate) fn forget_first_contacts(&mut self, seconds: f64) {
+        let forgotten = (seconds / LATENCY_MEMORY).min(1.0);
+        self.first_contact_latency += (1.0 - self.first_contact_latency) * forgotten;
+    }
+
+    fn store(&self, stored: &mut StoredPool) {
+        stored.mean_latency = self.latency;
+        stored.mean_attempt_time = self.attempt_time;
+        stored.mean_cost = self.cost;
+        stored.first_contact_latency = self.first_contact_latency;
+    }
+
+    fn restore(stored: &StoredPool) -> Self {
+        Self {
+            latency: stored.mean_latency,
+            attempt_time: stored.mean_attempt_time,
+            cost: stored.mean_cost,
+            first_contact_latency: stored.first_contact_latency,
+        }
+    }
+}
+
+/// Answers a second that one warm backend gives this gatekeeper: the guide to what one in slow start can.
+#[derive(Clone, Debug)]
+pub(crate) struct AnswerRate {
+    measured: f64,
+    assumed: f64,
+    /// Answers since the rate was last measured.
+    answers: u64,
+    measured_at: Timestamp,
+}
+
+impl AnswerRate {
+    fn new(now: Timestamp) -> Self {
+        Self { measured: 0.0, assumed: 0.0, answers: 0, measured_at: now }
+    }
+
+    pub(crate) fn measured_at(&self) -> Timestamp {
+        self.measured_at
+    }
+
+    /// The rate as measured, or as assumed where little is known.
+    pub(crate) fn assumed(&self) -> f64 {
+        self.assumed
+    }
+
+    pub(crate) fn record_answer(&mut self) {
+        self.answers += 1;
+    }
+
+    /// Seconds since the rate was last measured.
+    pub(crate) fn seconds_since_measured(&self, now: Timestamp) -> f64 {
+        now.seconds_since(self.measured_at)
+    }
+
+    /// Measures the rate over the time since the last measurement. `warmth`: the sum over the ready backends.
+    /// With nothing known the rate is this gatekeeper's part of one request at a time.
+    pub(crate) fn measure(&mut self, warmth: f64, mean_latency: f64, gatekeepers: u32, now: Timestamp) {
+        let seconds = self.seconds_since_measured(now);
+        let rate = self.answers as f64 / warmth.max(1.0) / seconds;
+        self.measured += (RATE_WEIGHT * seconds).min(1.0) * (rate - self.measured);
+        (self.answers, self.measured_at) = (0, now);
+        let one_at_a_time = SECOND / mean_latency / f64::from(gatekeepers);
+        self.assumed = self.measured.max(one_at_a_time);
+    }
+
+    fn store(&self, stored: &mut StoredPool) {
+        stored.measured_rate = self.measured;
+        stored.assumed_rate = self.assumed;
+        stored.answers = self.answers;
+        stored.measured_at = self.measured_at;
+    }
+
+    fn restore(stored: &StoredPool, now: Timestamp) -> Self {
+        Self {
+            measured: stored.measured_rate,
+            assumed: stored.assumed_rate,
+            answers: stored.answers,
+            measured_at: stored.measured_at.min(now),
+        }
+    }
+}
--- a/crates/policy/src/settings_update.rs
+++ b/crates/policy/src/settings_update.rs
@@ -1,8 +1,7 @@
-//! A change of settings in service: what is known is kept, no decision.
+//! A change of settings in service. Everything that is known is kept; no decision.
 
 use crate::event::{Event, ListKind};
 use crate::settings::{Settings, SettingsError};
-use crate::state::ClassHealth;
 use crate::state_machine::Policy;
 
 impl Policy {
@@ -19,16 +18,16 @@
         settings.plans.extend(known_plans.iter().skip(settings.plans.len()).cloned());
         let fresh = Self::new(settings, 0, self.now)?;
         let new_unknown_plan = fresh.settings.plans.len() - 1;
-        for bucket in self.tenants.values_mut().filter(|bucket| bucket.plan == unknown_plan) {
-            bucket.plan = new_unknown_plan;
+        for quota in self.tenants.values_mut().filter(|quota| quota.plan == unknown_plan) {
+            quota.plan = new_unknown_plan;
         }
         for request in self.requests.values_mut().filter(|request| request.plan == unknown_plan) {
             request.plan = new_unknown_plan;
         }
         self.class_stats.extend(fresh.class_stats.into_iter().skip(self.class_stats.len()));
         let classes = fresh.settings.classes.len();
-        for backend in self.backends.values_mut() {
-            backend.health.resize(classes, ClassHealth { last_answer: self.now, ejected_until: None });
+        for backend in self.backends.iter_mut() {
+            backend.health.add_classes(classes, self.now);
         }
         self.settings = fresh.settings;
         self.max_weight = fresh.max_weight;
@@ -36,7 +35,7 @@
         Ok(())
     }
 
-    /// Orders the backends anew by the settings in force.
+    /// Orders the backends again by the settings in force.
     pub(crate) fn reorder_backends(&mut self) {
         let event = Event::Endpoints { kind: ListKind::Delta, entries: Vec::new() };
         self.handle(self.now, event, &mut Vec::new());
--- a/crates/policy/src/start_times.rs
+++ b/crates/policy/src/start_times.rs
@@ -1,35 +1,34 @@
-//! When backends started, and by how much this gatekeeper's clock is off: estimates, no decision.
+//! Start times of backends, and the offset of this gatekeeper's clock: estimates, no decision.
 //!
 //! The endpoint list states starts on a clock that all machines read. A gatekeeper whose wall clock was wrong when it started reads
-//! another one, and all that it can go by is:
+//! another clock. Its evidence is:
 //!
-//! - A start that it is notified of while it follows the list has just been: by its own clock the backend started between then and
-//!   [`MAX_NOTIFICATION_AGE`] before, or just now if the stated start lies anywhere else.
-//! - No backend starts in the future, so the clock is behind at least by what a stated start lies ahead.
-//! - The other gatekeepers' clock, as far as that is known ([`StartTimes::set_clock_offset`]). It may be theirs that is wrong: of two
-//!   clocks that disagree the one is taken by which backends are younger, unless that puts a start into the future.
+//! - A start of which it is notified while it follows the list is recent. By its own clock the backend started at most
+//!   [`MAX_NOTIFICATION_AGE`] before the notification, or at the notification if the stated start lies outside that range.
+//! - No backend starts in the future, so the clock is behind by at least the span that a stated start lies ahead.
+//! - The offset from the fleet's clock, as far as it is known ([`StartTimes::set_clock_offset`]). The fleet's clock may be the wrong
+//!   one. Of two clocks that disagree the one counts by which backends are younger, unless that puts a start into the future.
 
 use crate::event::BackendEntry;
 use crate::ids::BackendId;
-use crate::state::Backend;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// A start that is notified may be so old: lists may be late, and a watch may have been lost.
+/// Maximum age of a start in microseconds when this gatekeeper is notified of it: lists may be late, and a watch may have been lost.
 const MAX_NOTIFICATION_AGE: i64 = 60_000_000;
-/// By how much a stated start may lie in the future where all clocks are right.
+/// Microseconds by which a stated start may lie in the future where all clocks are right.
 const TOLERANCE: i64 = 1_000_000;
-/// Backends whose last start is remembered, also while they are off the list.
+/// Maximum number of backends whose last start is remembered, also while they are off the list.
 const MAX_REMEMBERED: usize = 16_384;
 
-/// What is known of starts and clocks.
+/// Known starts and the offset of the clock.
 #[derive(Debug, Default)]
 pub(crate) struct StartTimes {
     /// Microseconds that this gatekeeper's clock is ahead of the fleet's.
     clock_offset: i64,
-    /// A list has come from discovery: what starts from then on is notified.
+    /// A list has come from discovery: this gatekeeper is notified of starts from now on.
     is_following: bool,
-    /// The least age at which a start was heard of, by this gatekeeper's clock.
+    /// The least age of a start when it was first listed, by this gatekeeper's clock.
     least_age: Option<i64>,
     known: BTreeMap<BackendId, KnownStart>,
 }
@@ -44,12 +43,12 @@
 }
 
 impl StartTimes {
-    /// This gatekeeper's clock is so many microseconds ahead of the fleet's.
+    /// Sets by how many microseconds this gatekeeper's clock is ahead of the fleet's.
     pub(crate) fn set_clock_offset(&mut self, offset: i64) {
         self.clock_offset = offset;
     }
 
-    /// The time by the clock that the fleet goes by.
+    /// The time by the fleet's clock.
     pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
         now.saturating_add_signed(-self.clock_offset)
     }
@@ -59,7 +58,7 @@
         self.is_following = true;
     }
 
-    /// Takes in an entry of a list. Returns when the backend started by this gatekeeper's clock, where that was notified of it.
+    /// Observes an entry of a list. Returns when the backend started by this gatekeeper's clock, if it was notified of the start.
     pub(crate) fn observe(&mut self, entry: &BackendEntry, now: Timestamp) -> Option<Timestamp> {
         let stated = entry.started;
         if stated == Timestamp::ZERO {
@@ -75,7 +74,7 @@
         notified
     }
 
-    /// When a backend started of whose start this gatekeeper is notified now. `age`: by its clock.
+    /// The start of a backend of which this gatekeeper is notified now. `age`: by its clock.
     fn notified_start(&self, age: i64, now: Timestamp) -> Timestamp {
         let age = age - self.clock_error();
         if (-TOLERANCE..=MAX_NOTIFICATION_AGE).contains(&age) { now.saturating_add_signed(-age) } else { now }
@@ -83,24 +82,26 @@
 
     fn remember(&mut self, backend: BackendId, start: KnownStart) {
         if self.known.len() >= MAX_REMEMBERED && !self.known.contains_key(&backend) {
-            // Any one: those on the list come again with the next complete one.
+            // Any entry: those on the list are observed again with the next complete list.
             self.known.pop_first();
         }
         self.known.insert(backend, start);
     }
 
-    /// When a backend started, by this gatekeeper's clock; 0 for long ago.
-    pub(crate) fn start_of(&self, backend: &Backend, now: Timestamp) -> Timestamp {
-        match backend.notified_start {
+    /// When a backend started, by this gatekeeper's clock; [`Timestamp::ZERO`] for long ago. `stated`: as its entry states it.
+    /// `notified`: when this gatekeeper was notified of the start.
+    pub(crate) fn start_of(
+        &self,
+        stated: Timestamp,
+        notified: Option<Timestamp>,
+        now: Timestamp,
+    ) -> Timestamp {
+        match notified {
             Some(start) => start,
-            None if backend.entry.started == Timestamp::ZERO => Timestamp::ZERO,
+            None if stated == Timestamp::ZERO => Timestamp::ZERO,
             None => {
                 let earliest = Timestamp::from_micros(1);
-                backend
-                    .entry
-                    .started
-                    .saturating_add_signed(self.clock_error())
-                    .clamp(earliest, now.max(earliest))
+                stated.saturating_add_signed(self.clock_error()).clamp(earliest, now.max(earliest))
             }
         }
     }
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -1,23 +1,29 @@
-//! The state machine: its state, and the entry point that hands each event to the module that decides.
+//! The state machine: the parts that it holds, and the entry point that hands each event to the module that decides.
 
 use crate::action::Action;
+use crate::class_stats::{ClassStats, INITIAL_LATENCY_PART};
+use crate::counter_health::CounterHealth;
+use crate::counter_sync::CounterSync;
+use crate::endpoints::Backends;
 use crate::event::{Event, ListKind, Outcome};
-use crate::ids::{BackendId, RequestId, TenantId};
+use crate::ids::{RequestId, TenantId};
 use crate::latency_trend::LatencyTrend;
+use crate::request::{Price, Request};
+use crate::retry_budget::RetryBudget;
+use crate::service_pool::ServicePool;
 use crate::settings::{Plan, Settings, SettingsError};
-use crate::start_times::StartTimes;
-use crate::state::{Backend, BackendPool, ClassStats, CounterHealth, Request, TenantBucket};
+use crate::tenant_quota::{CounterState, TenantQuota};
 use crate::time::{Micros, SECOND, Timestamp};
 use crate::timer_token::TOKEN_TICK;
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Part of the latency objective that is assumed as the mean latency before any answer.
-const INITIAL_LATENCY_PART: f64 = 0.2;
+use crate::timers::TICK;
+use std::collections::BTreeMap;
 
 /// Actions in the order in which they are to be carried out.
 pub(crate) type Actions = Vec<Action>;
 
 /// The decisions of one gatekeeper. No clock, thread, I/O or global: the same events give the same actions.
+///
+/// It holds the parts, hands each event to them, and puts their answers together. Each part owns its state.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) settings: Settings,
@@ -25,28 +31,19 @@
     pub(crate) now: Timestamp,
     pub(crate) started_at: Timestamp,
     ticking: bool,
-    pub(crate) tenants: BTreeMap<TenantId, TenantBucket>,
-    /// Tenants with spend that the counter has not been told.
-    pub(crate) unreported_tenants: BTreeSet<TenantId>,
-    /// Counter calls in flight, by the name of the count.
-    pub(crate) counter_calls: BTreeMap<u64, TenantId>,
-    pub(crate) counter: CounterHealth,
-    pub(crate) backends: BTreeMap<BackendId, Backend>,
+    pub(crate) tenants: BTreeMap<TenantId, TenantQuota>,
+    pub(crate) counter: CounterSync,
+    pub(crate) backends: Backends,
+    /// The pool of each service, by its number. The quotas of a tenant are one over all of them.
+    pub(crate) pools: Vec<ServicePool>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) latency_trend: LatencyTrend,
+    /// By class.
     pub(crate) class_stats: Vec<ClassStats>,
     /// The largest weight that a request can have.
     pub(crate) max_weight: f64,
-    /// Retries and hedged requests that may be sent now.
-    pub(crate) retry_budget: f64,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) next_poll: Timestamp,
-    /// The pool of the active service; the pools of all others are at their places in `pools`.
-    pub(crate) pool: BackendPool,
-    active_service: u16,
-    pub(crate) pools: Vec<BackendPool>,
-    /// Backends that operators have ejected, on the list or not.
-    pub(crate) operator_ejections: BTreeSet<BackendId>,
-    pub(crate) start_times: StartTimes,
 }
 
 impl Policy {
@@ -60,32 +57,21 @@
         settings.max_cost = settings.max_cost.max(1.0);
         // The last plan stands for any unknown one: no quota is known for it.
         settings.plans.push(Plan::default());
-        let pools = new_pools(&settings, now);
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             now,
             started_at: now,
             ticking: false,
             tenants: BTreeMap::new(),
-            unreported_tenants: BTreeSet::new(),
-            counter_calls: BTreeMap::new(),
-            counter: CounterHealth::new(&settings, seed, now),
-            backends: BTreeMap::new(),
+            counter: CounterSync::new(CounterHealth::new(&settings, seed, now)),
+            backends: Backends::default(),
+            pools: new_pools(&settings, now),
             requests: BTreeMap::new(),
             latency_trend: LatencyTrend::new(now),
-            class_stats: settings
-                .classes
-                .iter()
-                .map(|class| new_class_stats(class.latency_objective))
-                .collect(),
+            class_stats: settings.classes.iter().map(ClassStats::new).collect(),
             max_weight: max_weight(&settings),
-            retry_budget: Self::MAX_RETRY_BUDGET / 2.0,
+            retry_budget: RetryBudget::new(),
             next_poll: now,
-            pool: pools[0].clone(),
-            active_service: 0,
-            pools,
-            operator_ejections: BTreeSet::new(),
-            start_times: StartTimes::default(),
             settings,
         })
     }
@@ -95,7 +81,7 @@
         self.now = self.now.max(now);
         if !self.ticking {
             self.ticking = true;
-            out.push(Action::Timer { after: Self::TICK, token: TOKEN_TICK });
+            out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
         }
         match event {
             Event::Endpoints { kind: ListKind::Failed, .. } => self.next_poll = self.now + SECOND as Micros,
@@ -120,7 +106,7 @@
             Event::ClientGone { id } => self.close(id),
             Event::Timer { token } => self.on_timer(token, out),
             Event::CounterReply { name, total, elapsed, outcome } => {
-                let notice = self.counter.record(&self.settings, elapsed, outcome, self.now);
+                let notice = self.counter.health.record(&self.settings, elapsed, outcome, self.now);
                 out.extend(notice.map(Action::Log));
                 self.on_counter_reply(name, total, outcome, out);
             }
@@ -128,20 +114,21 @@
         }
     }
 
-    /// This gatekeeper's clock was found to be so many microseconds ahead of the one that the fleet goes by. Times given to
+    /// This gatekeeper's clock was found to be ahead of the fleet's clock by this many microseconds. Moments given to
     /// [`Policy::handle`] stay those of its own clock.
     pub fn set_clock_offset(&mut self, offset: i64) {
-        self.start_times.set_clock_offset(offset);
+        self.backends.set_clock_offset(offset);
     }
 
-    /// Figures that cannot be are replaced by what the settings allow.
+    /// Invalid figures are replaced by what the settings allow.
     fn new_request(&self, class: u16, plan: u32, tenant: TenantId, time_left: Micros, units: f64) -> Request {
+        let cost = if units.is_finite() && units > 0.0 { units } else { self.settings.max_cost };
         Request {
             class: usize::from(class).min(self.settings.classes.len() - 1),
             plan: (plan as usize).min(self.settings.plans.len() - 1),
             tenant,
             deadline: self.now.saturating_add(time_left),
-            cost: if units.is_finite() && units > 0.0 { units } else { self.settings.max_cost },
+            price: Price { cost, ..Price::default() },
             ..Request::default()
         }
     }
@@ -152,46 +139,47 @@
         if is_valid { tenant_gatekeepers.min(all) } else { all }
     }
 
-    /// Makes the pool of a service the active one. Each service has its capacity, limits and health of its own; the buckets of a
-    /// tenant are one over all of them.
-    pub(crate) fn activate_pool(&mut self, service: u16) {
-        if service != self.active_service {
-            std::mem::swap(&mut self.pool, &mut self.pools[usize::from(self.active_service)]);
-            std::mem::swap(&mut self.pool, &mut self.pools[usize::from(service)]);
-            self.active_service = service;
-        }
+    /// The service that serves this class.
+    pub(crate) fn service_of(&self, class: usize) -> usize {
+        usize::from(self.settings.classes[class].service)
     }
 
-    /// Makes the pool of the service that serves this class the active one.
-    pub(crate) fn activate_pool_of(&mut self, class: usize) {
-        self.activate_pool(self.settings.classes[class].service);
+    /// The pool of the service that serves this class.
+    pub(crate) fn pool_of(&self, class: usize) -> &ServicePool {
+        &self.pools[self.service_of(class)]
     }
 
-    pub(crate) fn active_service(&self) -> u16 {
-        self.active_service
+    /// Long-term over short-term p95 of latency over the mean of its class, 1 until both are valid.
+    pub(crate) fn latency_ratio(&self) -> f64 {
+        self.latency_trend.ratio(self.now).unwrap_or(1.0)
     }
 
-    /// Numbers of all services.
-    pub(crate) fn services(&self) -> std::ops::Range<u16> {
-        0..self.pools.len() as u16
+    /// Whether the shared counter can be relied on.
+    pub(crate) fn counter_state(&self) -> CounterState {
+        let is_available = self.settings.shared_counter && !self.counter.health.is_silent();
+        if is_available { CounterState::Available } else { CounterState::Unavailable }
     }
-}
 
-fn new_class_stats(latency_objective: Micros) -> ClassStats {
-    ClassStats { mean_latency: latency_objective as f64 * INITIAL_LATENCY_PART, largest_cost: 1.0 }
+    /// Finds or creates a tenant's quota and brings it up to now.
+    pub(crate) fn refilled_quota(
+        &mut self,
+        tenant: TenantId,
+        plan: usize,
+        gatekeepers: f64,
+    ) -> &mut TenantQuota {
+        let (now, settings) = (self.now, &self.settings);
+        let age = now.seconds_since(self.started_at);
+        let create = || TenantQuota::new(settings, plan, gatekeepers, age, now);
+        let quota = self.tenants.entry(tenant).or_insert_with(create);
+        quota.refill(settings, gatekeepers, now);
+        quota
+    }
 }
 
 /// One pool for each service that a class names.
-fn new_pools(settings: &Settings, now: Timestamp) -> Vec<BackendPool> {
+fn new_pools(settings: &Settings, now: Timestamp) -> Vec<ServicePool> {
     let objective = settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(1);
-    let latency = objective as f64 * INITIAL_LATENCY_PART;
-    let pool = BackendPool {
-        measured_at: now,
-        objective_part: Policy::EARLY_PART,
-        mean_latency: latency,
-        mean_attempt_time: latency,
-        ..BackendPool::default()
-    };
+    let pool = ServicePool::new(objective as f64 * INITIAL_LATENCY_PART, now);
     let last_service = settings.classes.iter().map(|class| class.service).max().unwrap_or(0);
     vec![pool; usize::from(last_service) + 1]
 }
