--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -17,7 +17,7 @@
     CeilingReached,
     /// The capacity of the backends is in use.
     NoCapacity,
-    /// No backend accepts it now: all are draining, ejected, in connect backoff or in slow start.
+    /// No backend accepts it now: all are draining, ejected, in connect backoff or warming up.
     NoBackend,
     /// It was admitted, and no attempt succeeded in time.
     AttemptsExhausted,
@@ -49,12 +49,12 @@
     }
 }
 
-/// A change of state that operators are told of.
+/// A change of state that operators are notified of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// Calls to the shared counter fail; quotas are enforced by local shares.
     CounterSilent,
-    /// The shared counter answers again.
+    /// The shared counter has recovered.
     CounterRecovered,
 }
 
@@ -78,8 +78,8 @@
         backend: BackendId,
         /// Give the attempt up after this time; 0 for the client's deadline.
         timeout: Micros,
-        /// Do not write it if its connection is not established within this time: the window in which backends drop
-        /// duplicates would be over.
+        /// Do not write it if its connection is not established within this time: backends might no longer drop it as a
+        /// duplicate.
         max_start_delay: Micros,
     },
     /// Cancel an attempt.
@@ -126,6 +126,6 @@
     },
     /// Poll the endpoint list.
     PollEndpoints,
-    /// Tell the operators.
+    /// Notify the operators.
     Log(Notice),
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -178,7 +178,7 @@
         wait.max(self.settings.tick).min(self.settings.max_retry_after)
     }
 
-    /// Whether the concurrency limit of the service leaves room for a request.
+    /// Whether the concurrency limit of its service admits a request.
     pub(crate) fn has_capacity(&self, request: &Request) -> bool {
         let pool = self.pool_of(request.class);
         let plan = &self.settings.plans[request.plan];
@@ -188,7 +188,7 @@
             relative_weight: weight / self.max_weight.max(1e-9),
             mean_latency: pool.means.latency(),
         };
-        pool.concurrency.has_room(demand, self.now)
+        pool.concurrency.admits(demand, self.now)
     }
 
     /// Attempts in flight at the backends of a service, except those at ejected backends: they take nobody's
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -9,7 +9,7 @@
 
 /// Bounds of a backend's size: a wrong figure must not attract all work, or none for good.
 const SIZE_BOUNDS: (f64, f64) = (0.05, 20.0);
-/// Seconds; memory of what was sent to a backend, where work goes by size.
+/// Seconds; memory of recent sends, used where work is distributed by size.
 const RECENT_SENDS_MEMORY: f64 = 1.0;
 
 /// One backend.
@@ -24,7 +24,7 @@
 }
 
 impl Backend {
-    /// A backend about which nothing is known.
+    /// A new backend.
     pub(crate) fn new(entry: BackendEntry, slow_start: SlowStart, now: Timestamp, classes: usize) -> Self {
         Self {
             entry,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The same backend after a restart: nothing that was learnt holds, but attempts in flight still end.
+    /// The same backend after a restart: estimates are reset, and attempts in flight still end.
     pub(crate) fn restarted(&self, entry: BackendEntry, slow_start: SlowStart, now: Timestamp) -> Self {
         let fresh = Self::new(entry, slow_start, now, self.health.classes());
         Self { load: self.load.without_recent_sends(), ..fresh }
@@ -65,11 +65,11 @@
     }
 }
 
-/// What this gatekeeper has in flight at a backend, and has sent it recently.
+/// Attempts of this gatekeeper in flight at a backend, and its recent sends.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackendLoad {
     in_flight: u32,
-    /// Attempts sent recently, decaying; used where work goes by size.
+    /// Recent sends, decaying; used where work is distributed by size.
     recent_sends: f64,
 }
 
--- a/crates/policy/src/class_stats.rs
+++ b/crates/policy/src/class_stats.rs
@@ -1,4 +1,4 @@
-//! What is learnt of each class of requests: estimates, no decision.
+//! Estimates of each class of requests: latency and cost. No decision.
 
 use crate::settings::RequestClass;
 use crate::time::Micros;
@@ -6,7 +6,7 @@
 
 /// Part of the latency objective that is assumed as the mean latency before any answer.
 pub(crate) const INITIAL_LATENCY_PART: f64 = 0.2;
-/// Weight of one answer in the mean latency.
+/// Weight of one answer in the running mean of the latency.
 const LATENCY_WEIGHT: f64 = 0.02;
 
 /// Estimates of one class. The order of the fields is part of the form of a snapshot.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -82,9 +82,9 @@
         self.limit = if is_first { capacity.even_share } else { self.limit.min(capacity.upper_bound) };
     }
 
-    /// Whether the demand finds capacity. When capacity runs short, work of low weight leaves the last of it
-    /// to work of high weight. A limit below one attempt is kept by spacing attempts out.
-    pub(crate) fn has_room(&self, demand: Demand, now: Timestamp) -> bool {
+    /// Whether the limit admits one more attempt. When capacity runs short, work of low weight leaves the
+    /// last of it to work of high weight. A limit below one attempt is kept by spacing attempts out.
+    pub(crate) fn admits(&self, demand: Demand, now: Timestamp) -> bool {
         let reserved = RESERVED_SHARE * (1.0 - demand.relative_weight);
         let since_send = (now - self.last_send) as f64;
         let is_spaced = self.limit >= 1.0 || since_send * self.limit >= demand.mean_latency;
--- a/crates/policy/src/concurrency_limit/tests.rs
+++ b/crates/policy/src/concurrency_limit/tests.rs
@@ -33,10 +33,10 @@
 #[test]
 fn low_weight_leaves_half_of_the_capacity_to_high_weight() {
     let (limit, _) = fitted();
-    assert!(limit.has_room(demand(40.0, 0.0), at(SECOND)));
-    assert!(!limit.has_room(demand(41.0, 0.0), at(SECOND)));
-    assert!(limit.has_room(demand(79.0, 1.0), at(SECOND)));
-    assert!(!limit.has_room(demand(80.0, 1.0), at(SECOND)));
+    assert!(limit.admits(demand(40.0, 0.0), at(SECOND)));
+    assert!(!limit.admits(demand(41.0, 0.0), at(SECOND)));
+    assert!(limit.admits(demand(79.0, 1.0), at(SECOND)));
+    assert!(!limit.admits(demand(80.0, 1.0), at(SECOND)));
 }
 
 #[test]
@@ -45,12 +45,12 @@
     for _ in 0..50 {
         limit.record_latency(1.0, at(0), capacity, at(SECOND));
     }
-    assert!(limit.has_room(demand(63.0, 1.0), at(SECOND)) && !limit.has_room(demand(64.0, 1.0), at(SECOND)));
+    assert!(limit.admits(demand(63.0, 1.0), at(SECOND)) && !limit.admits(demand(64.0, 1.0), at(SECOND)));
     for step in 0..200 {
         limit.record_latency(0.01, at(0), capacity, at(2 * SECOND + step * SECOND));
     }
     assert!(limit.is_early() && limit.lateness() == 0.0);
-    assert!(limit.has_room(demand(65.0, 1.0), at(300 * SECOND)));
+    assert!(limit.admits(demand(65.0, 1.0), at(300 * SECOND)));
 }
 
 #[test]
@@ -58,8 +58,8 @@
     let mut limit = ConcurrencyLimit::new();
     limit.fit_to(Capacity { even_share: 0.5, upper_bound: 0.5 });
     limit.record_send(at(SECOND));
-    assert!(!limit.has_room(demand(0.0, 1.0), at(SECOND + 199_999)));
-    assert!(limit.has_room(demand(0.0, 1.0), at(SECOND + 200_000)));
+    assert!(!limit.admits(demand(0.0, 1.0), at(SECOND + 199_999)));
+    assert!(limit.admits(demand(0.0, 1.0), at(SECOND + 200_000)));
     limit.forget_last_send();
-    assert!(limit.has_room(demand(0.0, 1.0), at(SECOND + 1)));
+    assert!(limit.admits(demand(0.0, 1.0), at(SECOND + 1)));
 }
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -19,9 +19,9 @@
         }
         let plan = &self.settings.plans[quota.plan];
         let is_shared = self.settings.shared_counter && plan.rate > 0.0 && quota.gatekeepers() > 1.0;
-        let is_worth_a_call =
+        let is_call_needed =
             urgency == Urgency::Awaited || quota.shared.units_to_report(plan) >= NEGLIGIBLE_UNITS;
-        if !is_shared || !is_worth_a_call {
+        if !is_shared || !is_call_needed {
             return false;
         }
         if !self.counter.health.take_call_token(urgency, &self.settings, &mut self.rng, now) {
@@ -51,7 +51,7 @@
             }
             _ => quota.shared.call_failed(added, FailedCall::PossiblyAdded),
         }
-        // Added, with a total that cannot be read: a request that waits for it still needs it.
+        // The units were added, but the total could not be read. A request that waits still needs it.
         let needs_total = outcome == Outcome::Error && self.is_awaited(tenant);
         if needs_total && self.call_counter(tenant, Urgency::Awaited, out) {
             return;
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -12,7 +12,7 @@
 /// The longest interval, and the least pause between trials of a silent counter, in shortest intervals for
 /// each gatekeeper.
 const MAX_INTERVAL_FACTOR: f64 = 10.0;
-/// Bounds of how many calls a gatekeeper may save up: what gets through in one wait without a flood.
+/// Bounds of the tokens that a gatekeeper may save up: enough calls for one wait, without a flood.
 const CALL_TOKENS: (f64, f64) = (3.0, 8.0);
 /// Failed calls in a row from which the counter counts as silent, and for how many timeouts it must not have
 /// answered.
@@ -112,7 +112,7 @@
         self.tokens_counted_at = now;
     }
 
-    /// Learns from the end of a call. Returns what operators are to be notified of.
+    /// Records the end of a call. Returns the notice for operators if the counter became silent or recovered.
     pub(crate) fn record(
         &mut self,
         settings: &Settings,
@@ -122,7 +122,7 @@
     ) -> Option<Notice> {
         match outcome {
             Outcome::Ok => self.record_answer(settings, elapsed, now),
-            // It answered, if with nothing that can be read: neither slow nor silent.
+            // It answered, though the answer could not be read: it is neither slow nor silent.
             Outcome::Error => {
                 (self.failures, self.last_answer) = (0, now);
                 None
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -3,12 +3,12 @@
 use crate::ids::{BackendId, RequestId, TenantId};
 use crate::time::{Micros, Timestamp};
 
-/// Whether a backend takes work.
+/// Whether a backend is eligible for new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// Takes work.
+    /// Eligible.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes its requests in flight; nothing new may be sent.
     Draining,
     /// Withdrawn from the list.
     Gone,
@@ -25,7 +25,7 @@
     pub machine_type: u16,
     /// Its cell, see [`DedupScope::Cell`](crate::DedupScope::Cell).
     pub cell: u16,
-    /// Whether it takes work.
+    /// Whether it is eligible.
     pub state: BackendState,
     /// The service that it belongs to.
     pub service: u16,
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -1,10 +1,11 @@
-//! How much of a quota is left for a request, and how certain that is.
+//! The units of a quota that are left for a request, with their uncertainty.
 
-/// Units that a bucket holds above the price of a request, and by how many that may be wrong because of what others have spent
-/// since the last total; negative: certain.
+/// The headroom of a quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Headroom {
+    /// Units that the bucket holds above the price of a request.
     pub(crate) units: f64,
+    /// Units by which that may be wrong because of unseen spend of others; negative if it is certain.
     pub(crate) uncertainty: f64,
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a gatekeeper that holds tenants to their quotas before shared backends, as a state machine without I/O.
+//! The policy of a gatekeeper that holds tenants to their quotas before shared backends, as a state machine without I/O.
 //!
 //! A driver feeds [`Policy::handle`] with an [`Event`] for everything that happens and carries out the [`Action`]s that come back,
 //! in order. `Policy` holds the parts, hands each event to them, and puts their answers together:
 //!
-//! | module | what it does |
+//! | module | job |
 //! | --- | --- |
 //! | `state_machine` | holds the parts and dispatches events |
 //! | `admission` | forwards a request, rejects it, or lets it wait for a fresh total |
@@ -15,7 +15,7 @@
 //!
 //! Each part owns its state behind a few methods, and is tested without the rest:
 //!
-//! | part | what it owns |
+//! | part | state |
 //! | --- | --- |
 //! | `tenant_quota` | the quota of one tenant: shares of bucket and ceiling, reservations, surcharge |
 //! | `shared_bucket` | the estimated level of a token bucket that several gatekeepers share |
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -15,12 +15,12 @@
 /// Factor that turns the settings' price of crossing zones into expected wait.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
 
-/// Backends among which a request is balanced.
+/// The backends that may get a request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Candidates {
     /// The trial of this backend is due.
     Trial(BackendId),
-    /// The ones that accept the request, in this gatekeeper's order of preference.
+    /// Backends that accept the request, in this gatekeeper's order of preference.
     Accepting(Vec<BackendId>),
 }
 
@@ -101,12 +101,12 @@
         let ejected_until = health.ejected_until(request.class);
         match ejected_until.filter(|_| !self.pool.order.in_panic_mode()) {
             Some(next_trial) => self.now >= next_trial,
-            None => self.has_room(backend),
+            None => self.has_capacity(backend),
         }
     }
 
-    /// Whether this gatekeeper's share of the attempts in flight there allows one more.
-    fn has_room(self, backend: &Backend) -> bool {
+    /// Whether this gatekeeper's share of the attempts in flight at a backend allows one more.
+    fn has_capacity(self, backend: &Backend) -> bool {
         let size = if self.pool.order.has_uneven_sizes() { backend.size().max(1.0) } else { 1.0 };
         let per_backend = (MAX_PER_BACKEND / f64::from(self.settings.gatekeepers)).max(1.0);
         f64::from(backend.load.in_flight()) < per_backend * size
@@ -120,7 +120,7 @@
         self.expected_latency(backend) < GOOD_LATENCY
     }
 
-    /// Expected latency times what is in flight there. Crossing zones costs what the settings say.
+    /// Expected latency times the attempts in flight, times the settings' price of crossing zones.
     fn expected_wait(self, backend: &Backend) -> f64 {
         let is_same_zone = backend.entry.zone == self.settings.zone;
         let cross_zone = CROSS_ZONE_FACTOR * self.settings.cross_zone_cost;
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -14,7 +14,7 @@
 /// better.
 const GATEKEEPERS_PER_BACKEND: f64 = 12.0;
 const MIN_SUBSET: usize = 8;
-/// Weight of one attempt in the mean latency, in the mean time of an attempt and in the mean cost.
+/// Weight of one sample in the running means of latency, attempt time and cost.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Weight of one sample in the latency of first contacts.
 const FIRST_CONTACT_WEIGHT: f64 = 0.1;
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -21,7 +21,7 @@
 /// Part of a burst from which a write-off that is due is worth a call: others would read a level that is too high.
 const DUE_WRITE_OFF_PART: f64 = 0.25;
 /// Part of a burst that is written off at most on an estimate. Until it is taken back others read a level that is too low and
-/// reject; a write-off that is missing costs nobody anything, as the next to call makes it.
+/// reject. A write-off that is missing does no harm: the gatekeeper that calls next makes it.
 const ESTIMATED_WRITE_OFF_PART: f64 = 0.5;
 /// Part of a burst that a bucket may be in debt. Gatekeepers that start at once each write off all that refilled since the epoch
 /// began, and until all but one have taken that back the total shows a debt of many bursts: a gatekeeper that read it then would reject
@@ -172,17 +172,17 @@
         self.unreported -= units;
     }
 
-    /// Units that others should learn of: spend, what was written off too much, and write-offs that are due if that is much.
+    /// Units to report to the others: spend, an excess of write-offs, and write-offs that are due if they are large.
     pub(crate) fn units_to_report(&self, plan: &Plan) -> f64 {
         let due = self.written_off - DUE_WRITE_OFF_PART * plan.burst;
         self.unreported.abs().max(-self.written_off).max(due)
     }
 
-    /// Starts a call and returns what it adds: the unreported spend, and the write-off as well as it is known before the answer.
+    /// Starts a call and returns the units that it adds: the unreported spend, and the estimated write-off.
     pub(crate) fn start_call(&mut self, plan: &Plan, call: CounterCall, now: Timestamp) -> f64 {
         let known = self.last_total.filter(|known| known.name == call.name);
         if known.is_none() || !call.last_call_answered {
-            // It was due under the name before, or is left to whoever gets an answer.
+            // It was due under the previous name, or is left to a gatekeeper whose call is answered.
             self.written_off = self.written_off.min(0.0) * f64::from(known.is_some());
         } else if self.written_off >= 0.0 {
             let growth = self.others_growth * (now - self.synced_at) as f64 / SECOND;
@@ -197,7 +197,7 @@
         added
     }
 
-    /// The call in flight has ended: returns what it was to add, if there was one.
+    /// Ends the call in flight and returns the units that it was to add; `None` if there was none.
     pub(crate) fn take_call(&mut self) -> Option<f64> {
         self.call_in_flight.take()
     }
@@ -242,10 +242,10 @@
         let has_lost_spend = self.is_synced() && self.has_lost_spend(plan, answer, others);
         self.view = self.next_view(has_lost_spend, before.is_some());
         self.level = if has_lost_spend {
-            // All shares are assumed to be as full as this one, as far as there can be so much.
+            // All local shares are assumed to be as full as this one, up to the highest possible level.
             answer.local_shares.min(own).min(plan.burst) - self.unreported
         } else if self.view == BucketView::Diverged {
-            // After a loss others write off once more what all had before: no spend, and no deeper debt than any other.
+            // After a loss the others repeat write-offs that all had made before. That is no spend, and no deeper debt.
             (own - others).max(min_level).min(left)
         } else {
             left
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Learns what the others spent in this time, and by how much they raised the total.
+    /// Updates the rates at which the others spend and raise the total.
     fn learn_rates(&mut self, spent: f64, raised: f64, seconds: f64) {
         let seconds = seconds.max(MIN_RATE_SECONDS);
         let weight = 1.0 - (-seconds / SPEND_MEMORY).exp();
@@ -283,13 +283,13 @@
         self.others_growth += weight * (raised / seconds - self.others_growth);
     }
 
-    /// Some spend is not known: the bucket holds nothing until a total tells otherwise.
+    /// Some spend is not known: the bucket counts as empty until a total is read.
     pub(crate) fn assume_empty(&mut self) {
         self.last_total = None;
         self.level = self.level.min(0.0);
     }
 
-    /// The spend is another process's to report.
+    /// Another process reports the spend from now on.
     pub(crate) fn hand_over_report(&mut self) {
         self.unreported = 0.0;
     }
@@ -337,8 +337,8 @@
 
 impl CountName {
     /// The name of a tenant's count, from tenant, rate and epoch alone, so that every gatekeeper finds the same. Each tenant has its own
-    /// phase, so that not all names change at once. What has refilled follows from the rate: under another rate the total would show
-    /// a debt, or a level, that does not exist.
+    /// phase, so that not all names change at once. The rate is part of the name because the refill follows from it: under another rate the
+    /// total would show a level that does not exist.
     pub(crate) fn of(tenant: TenantId, rate: f64, fleet_time: Timestamp) -> Self {
         let time = fleet_time.as_micros() + mix(tenant.0) % EPOCH;
         let name = mix(mix(tenant.0) ^ mix(rate.to_bits()) ^ (time / EPOCH));
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What one state machine hands to its successor at a hot restart: its memory as plain data, no decision. The predecessor admits
-//! nothing from then on, so that each bucket and each right has one owner.
+//! The snapshot that one state machine hands to its successor at a hot restart: its memory as plain data, no decision. The predecessor
+//! admits nothing from then on, so that each bucket has one owner.
 
 mod clock_change;
 mod stored;
@@ -34,7 +34,7 @@
     retry_budget: f64,
 }
 
-/// What is known of one backend since its most recent start.
+/// One backend since its most recent start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct BackendSnapshot {
     pub(crate) id: BackendId,
@@ -62,7 +62,7 @@
             backend.id = number.unwrap_or_default();
             number.is_some()
         });
-        // With other classes, what was learnt of each class says nothing.
+        // Estimates of classes and backends are by class: with other classes they are void.
         let has_same_classes = classes.iter().enumerate().all(|(index, class)| *class == Some(index));
         if !has_same_classes {
             self.class_stats.clear();
@@ -153,7 +153,7 @@
         self.refilled_quota(tenant, plan, gatekeepers).mirror_admission(units, max_cost);
     }
 
-    /// Goes on after the successor ended without handing back. Where not all that it admitted is known, every bucket starts empty.
+    /// Continues after the successor exited without handing back. If some of its admissions are not known, every bucket starts empty.
     pub fn resume(&mut self, knows_all_admissions: bool) {
         if knows_all_admissions {
             return;
--- a/crates/policy/src/start_times.rs
+++ b/crates/policy/src/start_times.rs
@@ -29,7 +29,7 @@
     /// A list has come from discovery: this gatekeeper is notified of starts from now on.
     is_following: bool,
     /// The least age of a start when it was first listed, by this gatekeeper's clock.
-    least_age: Option<i64>,
+    min_age: Option<i64>,
     known: BTreeMap<BackendId, KnownStart>,
 }
 
@@ -69,7 +69,7 @@
         }
         let age = now.as_micros() as i64 - stated.as_micros() as i64;
         let notified = self.is_following.then(|| self.notified_start(age, now));
-        self.least_age = Some(self.least_age.map_or(age, |least| least.min(age)));
+        self.min_age = Some(self.min_age.map_or(age, |min| min.min(age)));
         self.remember(entry.id, KnownStart { stated, notified });
         notified
     }
@@ -108,12 +108,12 @@
 
     /// Microseconds that this gatekeeper's clock is ahead of the one that starts are stated on.
     fn clock_error(&self) -> i64 {
-        let is_possible = |error: i64| self.least_age.is_none_or(|least| error <= least + TOLERANCE);
+        let is_possible = |error: i64| self.min_age.is_none_or(|min| error <= min + TOLERANCE);
         let (ahead, behind) = (self.clock_offset.max(0), self.clock_offset.min(0));
         match (is_possible(ahead), is_possible(behind)) {
             (true, _) => ahead,
             (false, true) => behind,
-            (false, false) => self.least_age.unwrap_or(0),
+            (false, false) => self.min_age.unwrap_or(0),
         }
     }
 }
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -21,7 +21,7 @@
 /// Actions in the order in which they are to be carried out.
 pub(crate) type Actions = Vec<Action>;
 
-/// The decisions of one gatekeeper. No clock, thread, I/O or global: the same events give the same actions.
+/// The policy of one gatekeeper. No clock, thread, I/O or global: the same events give the same actions.
 ///
 /// It holds the parts, hands each event to them, and puts their answers together. Each part owns its state.
 #[derive(Debug)]
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -84,7 +84,8 @@
             shared: SharedBucket::full(quota, now),
             // Its even share of a second's quota, but one request at least.
             local_share: (quota.rate / gatekeepers).max(settings.max_cost),
-            // What refilled since this gatekeeper's start: a restart must not fill the ceiling's bucket anew.
+            // Only what refilled since this gatekeeper's start: a restart must not refill the ceiling's
+            // bucket.
             ceiling_level: (quota.ceiling_rate * age).min(quota.ceiling_burst) / gatekeepers,
             surcharge: 0.0,
             reserved: 0.0,
@@ -110,7 +111,7 @@
             (self.ceiling_level + plan.ceiling_rate / gatekeepers * seconds).min(ceiling_share);
         self.surcharge = (self.surcharge - plan.rate / gatekeepers * seconds).max(0.0);
         self.shared.refill(plan, seconds);
-        // The local share: what it may spend whatever the others do.
+        // The local share may be spent whatever the others do.
         let share = 1.0 / gatekeepers;
         let local_burst = (plan.burst * share).max(settings.max_cost);
         self.local_share = (self.local_share + plan.rate * share * seconds).min(local_burst);
@@ -215,7 +216,7 @@
         self.ceiling_level -= units;
     }
 
-    /// Some spend of another process is not known: nothing is left until it refills.
+    /// Some spend of another process is not known: all levels count as empty until they refill.
     pub(crate) fn assume_empty(&mut self) {
         self.shared.assume_empty();
         self.local_share = self.local_share.min(0.0);
