--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -8,7 +8,9 @@
 use crate::replica_log::ReplicaLog;
 use crate::status::{ReplicaStatus, Status};
 use crate::view::{SharedView, version_number};
-use replicated_config::{Envelope, LeaseClient, LeaseRequest, Message, Ready, Replica, ReplicaId, RequestId};
+use replicated_config::{
+    ConfigVersion, Envelope, LeaseClient, LeaseRequest, Message, Ready, Replica, ReplicaId, RequestId, Term,
+};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError};
@@ -45,7 +47,7 @@
     routes: HashMap<String, ConnectionId>,
     validator: ProposalValidator,
     /// The last term for which this replica has logged that it leads.
-    announced_term: u64,
+    announced_term: Term,
 }
 
 impl Driver {
@@ -69,7 +71,7 @@
             connections: HashMap::new(),
             routes: HashMap::new(),
             validator,
-            announced_term: 0,
+            announced_term: Term::default(),
             config,
         };
         driver.local = driver.open_replica();
@@ -139,7 +141,7 @@
 
     fn request_lease(&mut self, now_ms: u64) {
         let cached = self.view.known_numbers();
-        let known_version = self.lease_client.latest().map_or(0, |latest| latest.number);
+        let known_version = self.lease_client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
         let request = self.lease_client.start_request(now_ms, self.peers.len());
         let message = LeaseRequest {
             client: self.config.name.clone(),
@@ -202,6 +204,7 @@
         let leads = local.replica.leader() == self.config.replica_id();
         if leads && term > self.announced_term {
             self.announced_term = term;
+            let term = term.0;
             tracing::info!(term, "agreed: this replica is the leader, term {term}");
         }
     }
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -3,8 +3,8 @@
 use super::Driver;
 use crate::event::ConnectionId;
 use replicated_config::{
-    LeaseRequest, LeaseResponse, Message, Proposal, ProposalOutcome, RolloutPhase, VersionNumbers,
-    VersionTexts,
+    ConfigVersion, LeaseRequest, LeaseResponse, Message, Proposal, ProposalOutcome, RolloutPhase,
+    VersionNumbers, VersionTexts,
 };
 
 impl Driver {
@@ -78,9 +78,11 @@
             self.next_request_ms = now_ms;
         }
         let numbers = match response.phase {
-            RolloutPhase::InForce => VersionNumbers { in_force: response.version, proposed: 0 },
+            RolloutPhase::InForce => {
+                VersionNumbers { in_force: response.version, proposed: ConfigVersion::NONE }
+            }
             RolloutPhase::Proposed => {
-                VersionNumbers { in_force: response.version.saturating_sub(1), proposed: response.version }
+                VersionNumbers { in_force: response.version.previous(), proposed: response.version }
             }
         };
         self.view.update(self.now_ms(), numbers, texts, self.lease_client.expires_at_ms());
--- a/crates/config_node/src/error/tests.rs
+++ b/crates/config_node/src/error/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use replicated_config::LogIndex;
 use std::error::Error as _;
 
 /// Each error with its text and whether it has a source.
@@ -6,7 +7,7 @@
     let path = || PathBuf::from("/var/replica.log");
     let full = || io::Error::new(io::ErrorKind::StorageFull, "disk full");
     let address = SocketAddr::from(([127, 0, 0, 1], 7_000));
-    let gap = replicated_config::Error::LogGap { index: 7, previous: 5 };
+    let gap = replicated_config::Error::LogGap { index: LogIndex(7), previous: LogIndex(5) };
     let large = replicated_config::Error::MessageTooLarge { bytes: 700_000 };
     let cut = postcard::Error::DeserializeUnexpectedEnd;
     vec![
--- a/crates/config_node/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -22,7 +22,7 @@
 pub use node::Node;
 pub use replica_log::ReplicaLog;
 pub use replicated_config::{
-    LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ProposalOutcome, RequestId, RolloutPhase,
-    Version, VersionNumbers, VersionTexts,
+    ConfigVersion, LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ProposalOutcome, RequestId,
+    RolloutPhase, Version, VersionNumbers, VersionTexts,
 };
 pub use view::{ConfigView, ViewListener};
--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use replicated_config::{HardState, LogEntry, Snapshot};
+use replicated_config::{HardState, LogEntry, LogIndex, ReplicaId, Snapshot, Term};
 
 struct Folder(PathBuf);
 
@@ -19,15 +19,17 @@
 }
 
 fn entries(range: std::ops::RangeInclusive<u64>, term: u64, bytes: usize) -> LogRecord {
-    LogRecord::Entries(range.map(|index| LogEntry { index, term, data: vec![7; bytes] }).collect())
+    let entry = |index| LogEntry { index: LogIndex(index), term: Term(term), data: vec![7; bytes] };
+    LogRecord::Entries(range.map(entry).collect())
 }
 
 fn hard_state(term: u64, vote: u64, commit: u64) -> LogRecord {
-    LogRecord::HardState(HardState { term, vote, commit })
+    let vote = (vote != 0).then_some(ReplicaId(vote));
+    LogRecord::HardState(HardState { term: Term(term), vote, commit: LogIndex(commit) })
 }
 
 fn snapshot(index: u64, term: u64, state: Vec<u8>) -> LogRecord {
-    LogRecord::Snapshot(Snapshot { index, term, state })
+    LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state })
 }
 
 #[test]
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -1,15 +1,15 @@
 //! A node's status as the console shows it.
 
-use replicated_config::Progress;
+use replicated_config::{ConfigVersion, Progress};
 use std::fmt;
 
 /// A node's status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
     /// The version in force; 0 for none.
-    pub(crate) version: u64,
+    pub(crate) version: ConfigVersion,
     /// The proposed version; 0 for none.
-    pub(crate) proposed: u64,
+    pub(crate) proposed: ConfigVersion,
     /// How long the lease still lasts.
     pub(crate) lease_ms: u64,
     pub(crate) replica: ReplicaStatus,
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -1,7 +1,7 @@
 //! What the gatekeeper is to enforce, and until when. A thread of its own ends an expired lease: the thread that owns the node's
 //! state may be blocked for as long as its disk is, and the lease must expire all the same.
 
-use replicated_config::{Version, VersionNumbers, VersionTexts};
+use replicated_config::{ConfigVersion, Version, VersionNumbers, VersionTexts};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError, Weak};
 use std::time::{Duration, Instant};
 
@@ -52,7 +52,7 @@
     }
 
     fn log(&self, view: &ConfigView) {
-        let (version, proposed) = (version_number(&view.in_force), version_number(&view.proposed));
+        let (version, proposed) = (version_number(&view.in_force).0, version_number(&view.proposed).0);
         let (leased, name) = (view.has_lease, &self.node_name);
         match (leased, proposed) {
             (false, _) => tracing::warn!(
@@ -77,8 +77,8 @@
 }
 
 /// A version's number; 0 for none.
-pub(crate) fn version_number(version: &Option<Version>) -> u64 {
-    version.as_ref().map_or(0, |version| version.number)
+pub(crate) fn version_number(version: &Option<Version>) -> ConfigVersion {
+    version.as_ref().map_or(ConfigVersion::NONE, |version| version.number)
 }
 
 /// The view, shared with the thread that ends leases.
@@ -128,7 +128,7 @@
         let known = std::mem::take(&mut state.texts);
         let candidates = [received.in_force, received.proposed, known.in_force, known.proposed];
         let mut candidates: Vec<Version> = candidates.into_iter().flatten().collect();
-        let mut take = |number: u64| {
+        let mut take = |number: ConfigVersion| {
             let position = candidates.iter().position(|version| version.number == number)?;
             Some(candidates.swap_remove(position))
         };
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -2,11 +2,11 @@
 //! They are read, also where they are cut or damaged, and written byte for byte alike.
 
 use config_node::{
-    Error, LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog, RequestId,
-    VersionNumbers,
+    ConfigVersion, Error, LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog,
+    RequestId, VersionNumbers,
 };
 use membership::authentication::Keyring;
-use replicated_config::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
+use replicated_config::{DurableState, HardState, LogEntry, LogIndex, LogRecord, ReplicaId, Snapshot, Term};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -54,15 +54,17 @@
 }
 
 fn entries(range: std::ops::RangeInclusive<u64>, term: u64, bytes: usize) -> LogRecord {
-    LogRecord::Entries(range.map(|index| LogEntry { index, term, data: vec![7; bytes] }).collect())
+    let entry = |index| LogEntry { index: LogIndex(index), term: Term(term), data: vec![7; bytes] };
+    LogRecord::Entries(range.map(entry).collect())
 }
 
 fn hard_state(term: u64, vote: u64, commit: u64) -> LogRecord {
-    LogRecord::HardState(HardState { term, vote, commit })
+    let vote = (vote != 0).then_some(ReplicaId(vote));
+    LogRecord::HardState(HardState { term: Term(term), vote, commit: LogIndex(commit) })
 }
 
 fn snapshot(index: u64, term: u64, state: Vec<u8>) -> LogRecord {
-    LogRecord::Snapshot(Snapshot { index, term, state })
+    LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state })
 }
 
 /// What each frame of the log holds.
@@ -182,10 +184,11 @@
     let request = Message::Propose(Proposal {
         id,
         proposed_by: "staff".into(),
-        expected_version: Some(2),
+        expected_version: Some(ConfigVersion(2)),
         text: "text".into(),
     });
-    let outcome = ProposalOutcome::RolloutInProgress { version: 3, proposed_by: "other".into() };
+    let outcome =
+        ProposalOutcome::RolloutInProgress { version: ConfigVersion(3), proposed_by: "other".into() };
     (request, Message::ProposalOutcome { proposal: id, outcome })
 }
 
@@ -229,7 +232,7 @@
         client: "m".into(),
         id: RequestId(1),
         wants_lease: false,
-        known_version: 0,
+        known_version: ConfigVersion::NONE,
         cached: VersionNumbers::default(),
     });
     let authenticated = other.sign(&message.encode());
--- a/crates/config_node/tests/three_nodes.rs
+++ b/crates/config_node/tests/three_nodes.rs
@@ -1,8 +1,8 @@
 //! Three nodes on loopback: leases expire in time, and a proposal comes into force everywhere.
 
 use config_node::{
-    ConfigView, Error, InvalidProposal, Message, Node, NodeConfig, Proposal, ProposalId, ProposalOutcome,
-    ReplicaAddress, ReplicaLog, call,
+    ConfigVersion, ConfigView, Error, InvalidProposal, Message, Node, NodeConfig, Proposal, ProposalId,
+    ProposalOutcome, ReplicaAddress, ReplicaLog, call,
 };
 use membership::authentication::Keyring;
 use std::net::TcpListener;
@@ -122,8 +122,10 @@
     let folder = Folder::new("in-force");
     let Cluster { _nodes, views, replicas } = start_three(&folder, |_| Ok(()));
     views.iter().for_each(|view| drop(wait_for(view, |v| v.has_lease)));
-    let expected =
-        Message::ProposalOutcome { proposal: ProposalId(7), outcome: ProposalOutcome::Accepted(1) };
+    let expected = Message::ProposalOutcome {
+        proposal: ProposalId(7),
+        outcome: ProposalOutcome::Accepted(ConfigVersion(1)),
+    };
     let accepted = replicas.iter().any(|replica| propose(replica, 7).is_ok_and(|answer| answer == expected));
     assert!(accepted, "one of them leads");
     for view in &views {
--- a/crates/replicated_config/src/error.rs
+++ b/crates/replicated_config/src/error.rs
@@ -2,6 +2,7 @@
 
 use crate::ids::ReplicaId;
 use crate::limits::MAX_MESSAGE_BYTES;
+use crate::log::{LogIndex, Term};
 
 /// An error of the replicated configuration.
 #[derive(Debug, thiserror::Error)]
@@ -21,27 +22,27 @@
     #[error("the log ends at entry {last_index}, but entries up to {commit} were committed")]
     MissingCommittedEntries {
         /// Last committed entry by the hard state.
-        commit: u64,
+        commit: LogIndex,
         /// Last entry that the log holds.
-        last_index: u64,
+        last_index: LogIndex,
     },
     /// The log holds an entry of a term that its hard state does not know.
     #[error("entry {index} of the log has term {entry_term}, but the recorded term is {term}")]
     EntryOfUnknownTerm {
         /// The entry.
-        index: u64,
+        index: LogIndex,
         /// The entry's term.
-        entry_term: u64,
+        entry_term: Term,
         /// The term of the hard state.
-        term: u64,
+        term: Term,
     },
     /// A record holds an entry that does not follow the entry before it.
     #[error("entry {index} of the log does not follow the one before it, entry {previous}")]
     LogGap {
         /// The entry.
-        index: u64,
+        index: LogIndex,
         /// Last entry before it.
-        previous: u64,
+        previous: LogIndex,
     },
     /// The Raft library rejected the replica's configuration or log.
     #[error("raft: {0}")]
--- a/crates/replicated_config/src/error/tests.rs
+++ b/crates/replicated_config/src/error/tests.rs
@@ -17,17 +17,17 @@
             true,
         ),
         (
-            Error::MissingCommittedEntries { commit: 9, last_index: 7 },
+            Error::MissingCommittedEntries { commit: LogIndex(9), last_index: LogIndex(7) },
             "the log ends at entry 7, but entries up to 9 were committed",
             false,
         ),
         (
-            Error::EntryOfUnknownTerm { index: 7, entry_term: 3, term: 2 },
+            Error::EntryOfUnknownTerm { index: LogIndex(7), entry_term: Term(3), term: Term(2) },
             "entry 7 of the log has term 3, but the recorded term is 2",
             false,
         ),
         (
-            Error::LogGap { index: 7, previous: 5 },
+            Error::LogGap { index: LogIndex(7), previous: LogIndex(5) },
             "entry 7 of the log does not follow the one before it, entry 5",
             false,
         ),
--- a/crates/replicated_config/src/ids.rs
+++ b/crates/replicated_config/src/ids.rs
@@ -20,6 +20,13 @@
     }
 }
 
+impl ReplicaId {
+    /// Converts a number of the Raft library, which uses 0 for "no replica".
+    pub(crate) fn from_raft(number: u64) -> Option<Self> {
+        (number != 0).then_some(Self(number))
+    }
+}
+
 impl fmt::Display for ReplicaId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
@@ -47,3 +54,22 @@
         self.0.fmt(formatter)
     }
 }
+
+/// Serializes an optional replica as the Raft library does: as its number, 0 for none.
+pub(crate) mod zero_for_none {
+    use super::ReplicaId;
+    use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+    pub(crate) fn serialize<S: Serializer>(
+        replica: &Option<ReplicaId>,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        replica.map_or(0, |replica| replica.0).serialize(serializer)
+    }
+
+    pub(crate) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Option<ReplicaId>, D::Error> {
+        u64::deserialize(deserializer).map(ReplicaId::from_raft)
+    }
+}
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -1,8 +1,8 @@
 //! A gatekeeper's lease: which replica it asks for the latest version, and how long the answer is valid.
 
-use super::LatestVersion;
 use crate::ids::{ReplicaId, RequestId};
 use crate::message::LeaseResponse;
+use crate::version::LatestVersion;
 
 /// A replica counts as unreachable when it has not answered within this fraction (one 15th) of the lease duration.
 const RESPONSE_TIMEOUT_DIVISOR: u64 = 15;
--- a/crates/replicated_config/src/lease/client/tests.rs
+++ b/crates/replicated_config/src/lease/client/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::rollout_phase::RolloutPhase;
+use crate::version::{ConfigVersion, RolloutPhase};
 
 const LEASE_DURATION_MS: u64 = 3_000;
 
@@ -8,11 +8,11 @@
 }
 
 fn response(request: RequestId, version: u64, phase: RolloutPhase) -> LeaseResponse {
-    LeaseResponse { request, version, phase }
+    LeaseResponse { request, version: ConfigVersion(version), phase }
 }
 
 fn in_force(number: u64) -> Option<LatestVersion> {
-    Some(LatestVersion { number, phase: RolloutPhase::InForce })
+    Some(LatestVersion { number: ConfigVersion(number), phase: RolloutPhase::InForce })
 }
 
 #[test]
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -1,6 +1,7 @@
 //! The leader's record of the leases that it has granted.
 
 use crate::ids::RequestId;
+use crate::version::ConfigVersion;
 use std::collections::BTreeMap;
 
 /// Lease holders that a leader remembers at most.
@@ -24,7 +25,7 @@
     /// The lease has expired by then.
     expires_at_ms: u64,
     /// The holder knows of this version, or of a later one.
-    known_version: u64,
+    known_version: ConfigVersion,
 }
 
 impl LeaseTable {
@@ -39,7 +40,13 @@
     ///
     /// `known_version` is the latest version that the holder knew of when it sent the request. Only what the holder itself says
     /// counts: the response may get lost while an earlier lease is still valid.
-    pub fn grant(&mut self, now_ms: u64, holder: &str, request: RequestId, known_version: u64) -> bool {
+    pub fn grant(
+        &mut self,
+        now_ms: u64,
+        holder: &str,
+        request: RequestId,
+        known_version: ConfigVersion,
+    ) -> bool {
         let overtaken = |lease: &GrantedLease| request < lease.request && now_ms < lease.expires_at_ms;
         if self.granted.get(holder).is_some_and(overtaken) {
             return false;
@@ -62,7 +69,7 @@
     }
 
     /// Whether no client can still hold a lease on a version before this one.
-    pub fn may_activate(&self, now_ms: u64, version: u64) -> bool {
+    pub fn may_activate(&self, now_ms: u64, version: ConfigVersion) -> bool {
         now_ms >= self.earlier_leases_expire_at_ms
             && self
                 .granted
@@ -79,7 +86,7 @@
     }
 
     /// Clients that may still hold a lease on a version before this one.
-    pub fn holders_behind(&self, now_ms: u64, version: u64) -> impl Iterator<Item = &str> {
+    pub fn holders_behind(&self, now_ms: u64, version: ConfigVersion) -> impl Iterator<Item = &str> {
         self.granted
             .iter()
             .filter(move |(_, lease)| lease.known_version < version && now_ms < lease.expires_at_ms)
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -1,15 +1,20 @@
 //! A replica's durable state: the records that it writes to disk, and what they add up to.
 
+mod position;
+
+pub use position::{LogIndex, Term};
+
 use crate::error::Error;
+use crate::ids::ReplicaId;
 use serde::{Deserialize, Serialize};
 
 /// An entry of the Raft log, as it is written to disk and sent.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LogEntry {
     /// Its position in the log, from 1.
-    pub index: u64,
+    pub index: LogIndex,
     /// The term of the leader that appended it.
-    pub term: u64,
+    pub term: Term,
     /// The encoded [`Command`](crate::Command); empty for the first entry of each leader.
     pub data: Vec<u8>,
 }
@@ -18,9 +23,9 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Snapshot {
     /// The last entry that it includes.
-    pub index: u64,
+    pub index: LogIndex,
     /// The term of that entry.
-    pub term: u64,
+    pub term: Term,
     /// The encoded [`ConfigState`](crate::ConfigState); empty before the first snapshot.
     pub state: Vec<u8>,
 }
@@ -29,11 +34,12 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct HardState {
     /// The latest term that the replica knows of.
-    pub term: u64,
-    /// The number of the replica that it voted for in this term; 0 for none.
-    pub vote: u64,
+    pub term: Term,
+    /// The replica that it voted for in this term. It is stored as a number, 0 for none.
+    #[serde(with = "crate::ids::zero_for_none")]
+    pub vote: Option<ReplicaId>,
     /// The last entry that is known to be committed.
-    pub commit: u64,
+    pub commit: LogIndex,
 }
 
 /// A record to be written to disk before anything that depends on it is sent.
@@ -84,11 +90,11 @@
     }
 
     fn append(&mut self, entries: Vec<LogEntry>) -> Result<(), Error> {
-        let first = entries.first().map_or(u64::MAX, |entry| entry.index);
-        self.entries.retain(|entry| entry.index < first);
+        let first = entries.first().map(|entry| entry.index);
+        self.entries.retain(|entry| first.is_none_or(|first| entry.index < first));
         for entry in entries {
             let previous = self.last_index();
-            if entry.index != previous + 1 {
+            if entry.index != previous.next() {
                 return Err(Error::LogGap { index: entry.index, previous });
             }
             self.entries.push(entry);
@@ -97,17 +103,17 @@
     }
 
     /// The index of the last entry.
-    pub fn last_index(&self) -> u64 {
+    pub fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
     /// The term of the entry at this index, where it is the snapshot's last one or behind it.
-    pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
+    pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
         }
-        let position = index.checked_sub(self.snapshot.index + 1)?;
-        self.entries.get(position as usize).map(|entry| entry.term)
+        let position = index.distance_from(self.snapshot.index.next())?;
+        self.entries.get(position).map(|entry| entry.term)
     }
 
     /// Checks that the log holds what its hard state says.
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -4,8 +4,8 @@
 use crate::ids::{ProposalId, ReplicaId, RequestId};
 use crate::limits::MAX_MESSAGE_BYTES;
 use crate::raft_message::RaftMessage;
-use crate::rollout_phase::RolloutPhase;
-use crate::state::{Proposal, ProposalOutcome, Version};
+use crate::state::{Proposal, ProposalOutcome};
+use crate::version::{ConfigVersion, RolloutPhase, Version};
 use serde::{Deserialize, Serialize};
 
 /// A message from one node to another.
@@ -32,7 +32,7 @@
         leader: Option<ReplicaId>,
     },
     /// The leader notifies lease holders that the latest version, or its phase, has changed, so that they ask at once.
-    VersionChanged(u64),
+    VersionChanged(ConfigVersion),
     /// A client proposes a version.
     Propose(Proposal),
     /// What became of a proposal.
@@ -54,7 +54,7 @@
     /// Whether the client wants a lease. A client that only reads, such as the command line, must not delay the next rollout.
     pub wants_lease: bool,
     /// The latest version that the client knew of when it sent the request.
-    pub known_version: u64,
+    pub known_version: ConfigVersion,
     /// The versions whose texts the client has.
     pub cached: VersionNumbers,
 }
@@ -63,9 +63,9 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionNumbers {
     /// The version in force.
-    pub in_force: u64,
+    pub in_force: ConfigVersion,
     /// The proposed version.
-    pub proposed: u64,
+    pub proposed: ConfigVersion,
 }
 
 /// The leader's response to a [`LeaseRequest`]. It is sent once a majority has confirmed, after the request came, that the
@@ -75,7 +75,7 @@
     /// The request that it answers.
     pub request: RequestId,
     /// The number of the latest version; 0 before the first.
-    pub version: u64,
+    pub version: ConfigVersion,
     /// The latest version's phase.
     pub phase: RolloutPhase,
 }
--- a/crates/replicated_config/src/raft_message.rs
+++ b/crates/replicated_config/src/raft_message.rs
@@ -1,7 +1,7 @@
 //! Raft's messages in an encoding of our own. Neither the library's encoding nor its parser meets bytes from the network.
 
 use crate::ids::ReplicaId;
-use crate::log::{LogEntry, Snapshot};
+use crate::log::{LogEntry, LogIndex, Snapshot, Term};
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
@@ -25,16 +25,16 @@
     message_type: u8,
     to: ReplicaId,
     from: ReplicaId,
-    term: u64,
-    log_term: u64,
-    index: u64,
-    commit: u64,
-    commit_term: u64,
+    term: Term,
+    log_term: Term,
+    index: LogIndex,
+    commit: LogIndex,
+    commit_term: Term,
     entries: Vec<LogEntry>,
     snapshot: Option<Snapshot>,
-    request_snapshot: u64,
+    request_snapshot: LogIndex,
     reject: bool,
-    reject_hint: u64,
+    reject_hint: LogIndex,
     context: Vec<u8>,
     priority: i64,
 }
@@ -52,16 +52,16 @@
             message_type: message.get_msg_type() as u8,
             to: ReplicaId(message.to),
             from: ReplicaId(message.from),
-            term: message.term,
-            log_term: message.log_term,
-            index: message.index,
-            commit: message.commit,
-            commit_term: message.commit_term,
+            term: Term(message.term),
+            log_term: Term(message.log_term),
+            index: LogIndex(message.index),
+            commit: LogIndex(message.commit),
+            commit_term: Term(message.commit_term),
             entries: message.entries.iter().map(LogEntry::from_raft).collect(),
             snapshot: has_snapshot.then(|| Snapshot::from_raft(snapshot)),
-            request_snapshot: message.request_snapshot,
+            request_snapshot: LogIndex(message.request_snapshot),
             reject: message.reject,
-            reject_hint: message.reject_hint,
+            reject_hint: LogIndex(message.reject_hint),
             context: message.context.to_vec(),
             priority: message.priority,
         }
@@ -77,15 +77,15 @@
         let mut message = eraftpb::Message {
             to: self.to.0,
             from: self.from.0,
-            term: self.term,
-            log_term: self.log_term,
-            index: self.index,
-            commit: self.commit,
-            commit_term: self.commit_term,
+            term: self.term.0,
+            log_term: self.log_term.0,
+            index: self.index.0,
+            commit: self.commit.0,
+            commit_term: self.commit_term.0,
             entries: self.entries.iter().map(LogEntry::to_raft).collect::<Vec<_>>().into(),
-            request_snapshot: self.request_snapshot,
+            request_snapshot: self.request_snapshot.0,
             reject: self.reject,
-            reject_hint: self.reject_hint,
+            reject_hint: self.reject_hint.0,
             context: self.context.into(),
             priority: self.priority,
             ..eraftpb::Message::default()
@@ -99,6 +99,10 @@
     /// The library takes this for granted and would panic at a gap.
     fn entries_are_consecutive(&self) -> bool {
         self.entries.is_empty()
-            || self.entries.iter().zip(self.index + 1..).all(|(entry, index)| entry.index == index)
+            || self
+                .entries
+                .iter()
+                .zip(self.index.0 + 1..)
+                .all(|(entry, index)| entry.index == LogIndex(index))
     }
 }
--- a/crates/replicated_config/src/raft_storage.rs
+++ b/crates/replicated_config/src/raft_storage.rs
@@ -1,19 +1,19 @@
 //! The durable state in memory, as the Raft library reads it.
 
 use crate::ids::ReplicaId;
-use crate::log::{DurableState, LogEntry, Snapshot};
+use crate::log::{DurableState, LogEntry, LogIndex, Snapshot, Term};
 use raft::eraftpb::{self, ConfState};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
 impl LogEntry {
     pub(crate) fn from_raft(entry: &eraftpb::Entry) -> Self {
-        Self { index: entry.index, term: entry.term, data: entry.data.to_vec() }
+        Self { index: LogIndex(entry.index), term: Term(entry.term), data: entry.data.to_vec() }
     }
 
     pub(crate) fn to_raft(&self) -> eraftpb::Entry {
         eraftpb::Entry {
-            index: self.index,
-            term: self.term,
+            index: self.index.0,
+            term: self.term.0,
             data: self.data.clone().into(),
             ..eraftpb::Entry::default()
         }
@@ -23,15 +23,15 @@
 impl Snapshot {
     pub(crate) fn from_raft(snapshot: &eraftpb::Snapshot) -> Self {
         let metadata = snapshot.get_metadata();
-        Self { index: metadata.index, term: metadata.term, state: snapshot.data.to_vec() }
+        Self { index: LogIndex(metadata.index), term: Term(metadata.term), state: snapshot.data.to_vec() }
     }
 
     pub(crate) fn to_raft(&self, replicas: &[ReplicaId]) -> eraftpb::Snapshot {
         let mut snapshot =
             eraftpb::Snapshot { data: self.state.clone().into(), ..eraftpb::Snapshot::default() };
         let metadata = snapshot.mut_metadata();
-        metadata.index = self.index;
-        metadata.term = self.term;
+        metadata.index = self.index.0;
+        metadata.term = self.term.0;
         metadata.set_conf_state(conf_state(replicas));
         snapshot
     }
@@ -51,9 +51,9 @@
     fn initial_state(&self) -> raft::Result<RaftState> {
         let durable = self.durable.hard_state;
         let hard_state = eraftpb::HardState {
-            term: durable.term,
-            vote: durable.vote,
-            commit: durable.commit,
+            term: durable.term.0,
+            vote: durable.vote.map_or(0, |replica| replica.0),
+            commit: durable.commit.0,
             ..eraftpb::HardState::default()
         };
         Ok(RaftState { hard_state, conf_state: conf_state(&self.replicas) })
@@ -66,7 +66,7 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        let first = self.durable.snapshot.index + 1;
+        let first = self.durable.snapshot.index.0 + 1;
         if low < first {
             return Err(Error::Store(StorageError::Compacted));
         }
@@ -83,22 +83,25 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.durable.snapshot.index {
+        if index < self.durable.snapshot.index.0 {
             return Err(Error::Store(StorageError::Compacted));
         }
-        self.durable.term_at(index).ok_or(Error::Store(StorageError::Unavailable))
+        self.durable
+            .term_at(LogIndex(index))
+            .map(|term| term.0)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.durable.snapshot.index + 1)
+        Ok(self.durable.snapshot.index.0 + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.durable.last_index())
+        Ok(self.durable.last_index().0)
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
-        if request_index > self.durable.snapshot.index {
+        if request_index > self.durable.snapshot.index.0 {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.durable.snapshot.to_raft(&self.replicas))
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -10,11 +10,12 @@
 use crate::ids::{ProposalId, ReplicaId};
 use crate::lease::LeaseTable;
 use crate::limits::MAX_TEXT_BYTES;
-use crate::log::DurableState;
+use crate::log::{DurableState, LogIndex, Term};
 use crate::message::{LeaseRequest, Message};
 use crate::raft_message::RaftMessage;
 use crate::raft_storage::LogStorage;
 use crate::state::{Command, ConfigState, Proposal, ProposalOutcome};
+use crate::version::ConfigVersion;
 use raft::{Config, RawNode, ReadOnlyOption};
 use read_rounds::ReadRounds;
 use std::collections::HashMap;
@@ -43,16 +44,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// The current term.
-    pub term: u64,
+    pub term: Term,
     /// The last entry that is known to be committed.
-    pub committed: u64,
+    pub committed: LogIndex,
 }
 
 /// The term in which a version was last proposed for activation, and its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Activation {
-    term: u64,
-    version: u64,
+    term: Term,
+    version: ConfigVersion,
 }
 
 /// One of the replicas that keep the log.
@@ -121,7 +122,7 @@
 
     /// The leader as far as this replica knows it.
     pub fn leader(&self) -> Option<ReplicaId> {
-        Some(self.raw_node.raft.leader_id).filter(|id| *id != 0).map(ReplicaId)
+        ReplicaId::from_raft(self.raw_node.raft.leader_id)
     }
 
     /// The leader, where it is another replica.
@@ -132,7 +133,7 @@
     /// The current term and the last committed entry.
     pub fn progress(&self) -> Progress {
         let raft = &self.raw_node.raft;
-        Progress { term: raft.term, committed: raft.raft_log.committed }
+        Progress { term: Term(raft.term), committed: LogIndex(raft.raft_log.committed) }
     }
 
     /// How many entries the log holds behind its snapshot.
@@ -229,13 +230,13 @@
     }
 }
 
-fn raft_config(id: ReplicaId, position: usize, applied: u64) -> Config {
+fn raft_config(id: ReplicaId, position: usize, applied: LogIndex) -> Config {
     let election_ticks = ELECTION_TICKS + ELECTION_STAGGER_TICKS * position;
     Config {
         id: id.0,
         election_tick: ELECTION_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
-        applied,
+        applied: applied.0,
         max_size_per_msg: MAX_TEXT_BYTES as u64,
         max_inflight_msgs: MAX_INFLIGHT_APPENDS,
         check_quorum: true,
--- a/crates/replicated_config/src/replica/apply.rs
+++ b/crates/replicated_config/src/replica/apply.rs
@@ -1,12 +1,13 @@
 //! Processes what the Raft library has ready: persists records, applies committed commands, answers confirmed reads.
 
 use super::{Activation, MAX_RETAINED_ENTRIES, Replica};
+use crate::ids::ReplicaId;
 use crate::lease::LeaseTable;
-use crate::log::{HardState, LogEntry, LogRecord, Snapshot};
+use crate::log::{HardState, LogEntry, LogIndex, LogRecord, Snapshot, Term};
 use crate::message::{LeaseRequest, LeaseResponse, Message, VersionTexts};
 use crate::raft_message::RaftMessage;
-use crate::rollout_phase::RolloutPhase;
-use crate::state::{Command, Version};
+use crate::state::Command;
+use crate::version::{ConfigVersion, RolloutPhase, Version};
 use raft::{StateRole, eraftpb};
 
 impl Replica {
@@ -28,7 +29,7 @@
     /// whether it was appended.
     fn activate_proposed(&mut self, now_ms: u64) -> bool {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return false };
-        let activation = Activation { term: self.raw_node.raft.term, version: proposed.number };
+        let activation = Activation { term: Term(self.raw_node.raft.term), version: proposed.number };
         if self.last_activation == Some(activation) || !leases.may_activate(now_ms, activation.version) {
             return false;
         }
@@ -62,7 +63,8 @@
         self.apply_committed(now_ms, committed);
         let mut light_ready = self.raw_node.advance(ready);
         if let Some(commit) = light_ready.commit_index() {
-            let hard_state = HardState { commit, ..self.raw_node.store().durable.hard_state };
+            let hard_state =
+                HardState { commit: LogIndex(commit), ..self.raw_node.store().durable.hard_state };
             self.write(LogRecord::HardState(hard_state));
         }
         self.send_to_replicas(light_ready.take_messages());
@@ -92,7 +94,11 @@
             self.write(LogRecord::Entries(entries));
         }
         if let Some(hard) = ready.hs() {
-            let hard_state = HardState { term: hard.term, vote: hard.vote, commit: hard.commit };
+            let hard_state = HardState {
+                term: Term(hard.term),
+                vote: ReplicaId::from_raft(hard.vote),
+                commit: LogIndex(hard.commit),
+            };
             self.write(LogRecord::HardState(hard_state));
         }
     }
@@ -130,7 +136,7 @@
         }
         let phase = self.state.proposed().map_or(RolloutPhase::InForce, |_| RolloutPhase::Proposed);
         let response = LeaseResponse { request: id, version: self.state.latest_number(), phase };
-        let missing = |version: Option<&Version>, cached_number: u64| {
+        let missing = |version: Option<&Version>, cached_number: ConfigVersion| {
             version.filter(|version| version.number != cached_number).cloned()
         };
         let texts = VersionTexts {
@@ -153,7 +159,7 @@
     }
 
     /// The latest version, and whether it is proposed.
-    fn rollout(&self) -> (u64, bool) {
+    fn rollout(&self) -> (ConfigVersion, bool) {
         (self.state.latest_number(), self.state.proposed().is_some())
     }
 
@@ -183,11 +189,15 @@
     /// Replaces applied entries by a snapshot once the log is long.
     fn compact_log(&mut self) {
         let durable = &self.raw_node.store().durable;
-        let applied = self.raw_node.raft.raft_log.applied;
+        let applied = LogIndex(self.raw_node.raft.raft_log.applied);
         if durable.entries.len() < MAX_RETAINED_ENTRIES || applied <= durable.snapshot.index {
             return;
         }
-        let term = durable.entries.iter().find(|entry| entry.index == applied).map_or(0, |entry| entry.term);
+        let term = durable
+            .entries
+            .iter()
+            .find(|entry| entry.index == applied)
+            .map_or(Term::default(), |entry| entry.term);
         let state = postcard::to_stdvec(&self.state).unwrap_or_default();
         self.write(LogRecord::Snapshot(Snapshot { index: applied, term, state }));
     }
--- a/crates/replicated_config/src/replica/tests.rs
+++ b/crates/replicated_config/src/replica/tests.rs
@@ -7,7 +7,8 @@
 }
 
 fn durable(term: u64, commit: u64, entries: Vec<LogEntry>) -> DurableState {
-    DurableState { hard_state: HardState { term, vote: 0, commit }, entries, ..DurableState::default() }
+    let hard_state = HardState { term: Term(term), vote: None, commit: LogIndex(commit) };
+    DurableState { hard_state, entries, ..DurableState::default() }
 }
 
 #[test]
@@ -18,20 +19,29 @@
 
 #[test]
 fn a_log_that_lacks_what_its_hard_state_says_is_refused() {
-    let entry = |term| LogEntry { index: 1, term, data: Vec::new() };
+    let entry = |term| LogEntry { index: LogIndex(1), term: Term(term), data: Vec::new() };
     assert!(start(1, durable(2, 1, vec![entry(2)])).is_ok());
     let error = start(1, durable(2, 2, vec![entry(2)])).err();
-    assert!(matches!(error, Some(Error::MissingCommittedEntries { commit: 2, last_index: 1 })), "{error:?}");
+    assert!(
+        matches!(
+            error,
+            Some(Error::MissingCommittedEntries { commit: LogIndex(2), last_index: LogIndex(1) })
+        ),
+        "{error:?}"
+    );
     let error = start(1, durable(2, 1, vec![entry(3)])).err();
     assert!(
-        matches!(error, Some(Error::EntryOfUnknownTerm { index: 1, entry_term: 3, term: 2 })),
+        matches!(
+            error,
+            Some(Error::EntryOfUnknownTerm { index: LogIndex(1), entry_term: Term(3), term: Term(2) })
+        ),
         "{error:?}"
     );
 }
 
 #[test]
 fn a_snapshot_that_cannot_be_read_is_refused() {
-    let snapshot = Snapshot { index: 1, term: 1, state: vec![255; 3] };
+    let snapshot = Snapshot { index: LogIndex(1), term: Term(1), state: vec![255; 3] };
     let error = start(1, DurableState { snapshot, ..durable(1, 1, Vec::new()) }).err();
     assert!(matches!(error, Some(Error::UnreadableSnapshot(_))), "{error:?}");
 }
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -3,6 +3,7 @@
 
 use crate::ids::ProposalId;
 use crate::limits::MAX_TEXT_BYTES;
+use crate::version::{ConfigVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -11,17 +12,6 @@
 /// Proposals whose outcomes are kept. A retry that comes after that many other proposals counts as a new proposal.
 const MAX_RECORDED_OUTCOMES: usize = 256;
 
-/// A version of the configuration.
-#[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Version {
-    /// Its number: 1 for the first, and one more with each accepted proposal.
-    pub number: u64,
-    /// Who proposed it.
-    pub proposed_by: String,
-    /// The configuration.
-    pub text: String,
-}
-
 /// A request to replace the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Proposal {
@@ -30,7 +20,7 @@
     /// Who proposes it.
     pub proposed_by: String,
     /// The version that must be in force for the proposal to be accepted; none where any may be.
-    pub expected_version: Option<u64>,
+    pub expected_version: Option<ConfigVersion>,
     /// The new configuration.
     pub text: String,
 }
@@ -41,25 +31,25 @@
     /// Propose a version.
     Propose(Proposal),
     /// Put the proposed version of this number in force: no client holds a lease on the version before it alone.
-    Activate(u64),
+    Activate(ConfigVersion),
 }
 
 /// What became of a proposal. The order of the variants is part of its encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum ProposalOutcome {
     /// Accepted as the version of this number.
-    Accepted(u64),
+    Accepted(ConfigVersion),
     /// Another version than the expected one is in force.
     VersionConflict {
         /// The version in force.
-        in_force: u64,
+        in_force: ConfigVersion,
         /// Who proposed it.
         proposed_by: String,
     },
     /// Another version is proposed and not yet in force.
     RolloutInProgress {
         /// That version.
-        version: u64,
+        version: ConfigVersion,
         /// Who proposed it.
         proposed_by: String,
     },
@@ -108,8 +98,8 @@
     }
 
     /// The number of the latest version, proposed or in force; 0 before the first.
-    pub fn latest_number(&self) -> u64 {
-        self.proposed.as_ref().or(self.in_force()).map_or(0, |version| version.number)
+    pub fn latest_number(&self) -> ConfigVersion {
+        self.proposed.as_ref().or(self.in_force()).map_or(ConfigVersion::NONE, |version| version.number)
     }
 
     /// Applies the next command. Returns the outcome of a proposal.
@@ -144,18 +134,18 @@
             let proposed_by = open.proposed_by.clone();
             return ProposalOutcome::RolloutInProgress { version: open.number, proposed_by };
         }
-        let in_force = self.in_force().map_or(0, |version| version.number);
+        let in_force = self.in_force().map_or(ConfigVersion::NONE, |version| version.number);
         if proposal.expected_version.is_some_and(|expected| expected != in_force) {
             let proposed_by = self.in_force().map_or_else(String::new, |version| version.proposed_by.clone());
             return ProposalOutcome::VersionConflict { in_force, proposed_by };
         }
-        let number = in_force + 1;
+        let number = in_force.next();
         let Proposal { proposed_by, text, .. } = proposal;
         self.proposed = Some(Version { number, proposed_by, text });
         ProposalOutcome::Accepted(number)
     }
 
-    fn activate(&mut self, number: u64) {
+    fn activate(&mut self, number: ConfigVersion) {
         let Some(version) = self.proposed.take_if(|version| version.number == number) else { return };
         self.history.push_back(version);
         if self.history.len() > MAX_HISTORY {
--- a/crates/replicated_config/src/state/tests.rs
+++ b/crates/replicated_config/src/state/tests.rs
@@ -4,7 +4,7 @@
     Command::Propose(Proposal {
         id: ProposalId(id),
         proposed_by: format!("p{id}"),
-        expected_version,
+        expected_version: expected_version.map(ConfigVersion),
         text: format!("text {id}"),
     })
 }
@@ -13,28 +13,29 @@
 fn of_two_proposals_one_is_accepted_and_the_other_is_told_which() {
     let mut state = ConfigState::default();
     let by_first = || "p1".to_owned();
-    assert_eq!(state.apply(propose(1, Some(0))), Some(ProposalOutcome::Accepted(1)));
+    assert_eq!(state.apply(propose(1, Some(0))), Some(ProposalOutcome::Accepted(ConfigVersion(1))));
     assert_eq!(
         state.apply(propose(2, Some(0))),
-        Some(ProposalOutcome::RolloutInProgress { version: 1, proposed_by: by_first() })
+        Some(ProposalOutcome::RolloutInProgress { version: ConfigVersion(1), proposed_by: by_first() })
     );
-    assert_eq!(state.apply(Command::Activate(1)), None);
+    assert_eq!(state.apply(Command::Activate(ConfigVersion(1))), None);
     assert_eq!(
         state.apply(propose(3, Some(0))),
-        Some(ProposalOutcome::VersionConflict { in_force: 1, proposed_by: by_first() })
+        Some(ProposalOutcome::VersionConflict { in_force: ConfigVersion(1), proposed_by: by_first() })
     );
-    assert_eq!(state.apply(propose(4, Some(1))), Some(ProposalOutcome::Accepted(2)));
-    assert_eq!(state.apply(Command::Activate(7)), None, "no such proposal");
-    assert_eq!((state.in_force().map(|version| version.number), state.latest_number()), (Some(1), 2));
+    assert_eq!(state.apply(propose(4, Some(1))), Some(ProposalOutcome::Accepted(ConfigVersion(2))));
+    assert_eq!(state.apply(Command::Activate(ConfigVersion(7))), None, "no such proposal");
+    assert_eq!(state.in_force().map(|version| version.number), Some(ConfigVersion(1)));
+    assert_eq!(state.latest_number(), ConfigVersion(2));
 }
 
 #[test]
 fn a_repeated_proposal_is_applied_once() {
     let mut state = ConfigState::default();
-    assert_eq!(state.apply(propose(1, None)), Some(ProposalOutcome::Accepted(1)));
-    state.apply(Command::Activate(1));
-    assert_eq!(state.apply(propose(1, None)), Some(ProposalOutcome::Accepted(1)));
-    assert_eq!((state.latest_number(), state.proposed()), (1, None));
+    assert_eq!(state.apply(propose(1, None)), Some(ProposalOutcome::Accepted(ConfigVersion(1))));
+    state.apply(Command::Activate(ConfigVersion(1)));
+    assert_eq!(state.apply(propose(1, None)), Some(ProposalOutcome::Accepted(ConfigVersion(1))));
+    assert_eq!((state.latest_number(), state.proposed()), (ConfigVersion(1), None));
 }
 
 #[test]
@@ -49,9 +50,9 @@
     assert_eq!(state.apply(Command::Propose(large)), Some(ProposalOutcome::TooLarge));
     for id in 1..=1_000 {
         state.apply(propose(id, None));
-        state.apply(Command::Activate(id));
+        state.apply(Command::Activate(ConfigVersion(id)));
     }
     assert_eq!(state.history().count(), MAX_HISTORY);
     assert_eq!(state.outcomes.len(), MAX_RECORDED_OUTCOMES);
-    assert_eq!(state.in_force().map(|version| version.number), Some(1_000));
+    assert_eq!(state.in_force().map(|version| version.number), Some(ConfigVersion(1_000)));
 }
--- /dev/null
+++ b/crates/replicated_config/src/version.rs
@@ -0,0 +1,64 @@
+//! Versions of the configuration and the progress of their rollout.
+
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// The number of a configuration version. The first version is 1 and each accepted proposal takes the next number.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
+#[serde(transparent)]
+pub struct ConfigVersion(pub u64);
+
+impl ConfigVersion {
+    /// Stands for "no version" in messages. It precedes every version.
+    pub const NONE: Self = Self(0);
+
+    /// Returns the number of the version that follows this one.
+    #[must_use]
+    pub fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+
+    /// Returns the number of the version before this one, or [`ConfigVersion::NONE`] for the first version.
+    #[must_use]
+    pub fn previous(self) -> Self {
+        Self(self.0.saturating_sub(1))
+    }
+}
+
+impl fmt::Display for ConfigVersion {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
+/// A version of the configuration.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
+pub struct Version {
+    /// The version's number.
+    pub number: ConfigVersion,
+    /// The user who proposed the version.
+    pub proposed_by: String,
+    /// The text of the configuration.
+    pub text: String,
+}
+
+/// The progress of a version's rollout.
+///
+/// The order of the variants is part of the encoding. A later variant is further in the rollout.
+#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+pub enum RolloutPhase {
+    /// Gatekeepers enforce this version together with the one before it, taking the stricter value of each setting.
+    #[default]
+    Proposed,
+    /// Gatekeepers enforce this version alone.
+    InForce,
+}
+
+/// The latest version and its rollout phase. A greater value is further in the rollout.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LatestVersion {
+    /// The version's number; [`ConfigVersion::NONE`] before the first version.
+    pub number: ConfigVersion,
+    /// The version's phase.
+    pub phase: RolloutPhase,
+}
--- a/crates/replicated_config/tests/fixtures.rs
+++ b/crates/replicated_config/tests/fixtures.rs
@@ -5,9 +5,9 @@
 
 use fixture::{hex, matches_fixture, named_bytes};
 use replicated_config::{
-    Command, ConfigState, DurableState, HardState, LeaseRequest, LeaseResponse, LogEntry, LogRecord, Message,
-    Proposal, ProposalId, ProposalOutcome, ReplicaId, RequestId, RolloutPhase, Snapshot, Version,
-    VersionNumbers, VersionTexts,
+    Command, ConfigState, ConfigVersion, DurableState, HardState, LeaseRequest, LeaseResponse, LogEntry,
+    LogIndex, LogRecord, Message, Proposal, ProposalId, ProposalOutcome, ReplicaId, RequestId, RolloutPhase,
+    Snapshot, Term, Version, VersionNumbers, VersionTexts,
 };
 
 const REQUEST: RequestId = RequestId(1_764_653_000_000_123);
@@ -16,7 +16,7 @@
 
 fn version(number: u64) -> Version {
     Version {
-        number,
+        number: ConfigVersion(number),
         proposed_by: format!("author-{number}"),
         text: format!("[[plan]]\nname = \"p{number}\"\n"),
     }
@@ -25,14 +25,20 @@
 /// Lease requests, their responses and redirects.
 fn lease_messages() -> Vec<(&'static str, Message)> {
     let request = |client: &str, id, wants_lease, known_version, cached| {
-        Message::LeaseRequest(LeaseRequest { client: client.into(), id, wants_lease, known_version, cached })
+        Message::LeaseRequest(LeaseRequest {
+            client: client.into(),
+            id,
+            wants_lease,
+            known_version: ConfigVersion(known_version),
+            cached,
+        })
     };
     let response = |phase, in_force, proposed| {
-        let response = LeaseResponse { request: REQUEST, version: 300, phase };
+        let response = LeaseResponse { request: REQUEST, version: ConfigVersion(300), phase };
         Message::LeaseResponse(response, Box::new(VersionTexts { in_force, proposed }))
     };
     let redirect = |leader| Message::RedirectLeaseRequest { request: RequestId(41), leader };
-    let cached = VersionNumbers { in_force: 298, proposed: 299 };
+    let cached = VersionNumbers { in_force: ConfigVersion(298), proposed: ConfigVersion(299) };
     vec![
         ("lease_request", request("muscat-1", REQUEST, true, 299, cached)),
         (
@@ -55,15 +61,20 @@
     };
     let redirect = |proposal, leader| Message::RedirectProposal { proposal, leader };
     let outcome = |outcome| Message::ProposalOutcome { proposal: PROPOSAL, outcome };
-    let conflict = ProposalOutcome::VersionConflict { in_force: 301, proposed_by: "other".into() };
-    let in_progress = ProposalOutcome::RolloutInProgress { version: 302, proposed_by: "third".into() };
+    let conflict =
+        ProposalOutcome::VersionConflict { in_force: ConfigVersion(301), proposed_by: "other".into() };
+    let in_progress =
+        ProposalOutcome::RolloutInProgress { version: ConfigVersion(302), proposed_by: "third".into() };
     vec![
         ("proposal_redirected", redirect(LARGE_PROPOSAL, Some(ReplicaId(3)))),
         ("proposal_without_leader", redirect(PROPOSAL, None)),
-        ("version_changed", Message::VersionChanged(300)),
-        ("proposal_with_expected_version", propose(LARGE_PROPOSAL, "staff", Some(299), &version(300).text)),
+        ("version_changed", Message::VersionChanged(ConfigVersion(300))),
+        (
+            "proposal_with_expected_version",
+            propose(LARGE_PROPOSAL, "staff", Some(ConfigVersion(299)), &version(300).text),
+        ),
         ("proposal_without_expected_version", propose(PROPOSAL, "", None, "ü")),
-        ("outcome_accepted", outcome(ProposalOutcome::Accepted(300))),
+        ("outcome_accepted", outcome(ProposalOutcome::Accepted(ConfigVersion(300)))),
         ("outcome_conflict", outcome(conflict)),
         ("outcome_in_progress", outcome(in_progress)),
         ("outcome_too_large", outcome(ProposalOutcome::TooLarge)),
@@ -93,14 +104,21 @@
 }
 
 fn entry(index: u64) -> LogEntry {
-    LogEntry { index, term: 3, data: vec![index as u8, 0, 255] }
+    LogEntry { index: LogIndex(index), term: Term(3), data: vec![index as u8, 0, 255] }
+}
+
+fn hard_state(vote: u64) -> HardState {
+    HardState { term: Term(3), vote: Some(ReplicaId(vote)), commit: LogIndex(299) }
 }
 
 fn records() -> Vec<(&'static str, LogRecord)> {
     vec![
-        ("hard_state", LogRecord::HardState(HardState { term: 3, vote: 2, commit: 299 })),
+        ("hard_state", LogRecord::HardState(hard_state(2))),
         ("entries", LogRecord::Entries(vec![LogEntry::default(), entry(299), entry(300)])),
-        ("snapshot", LogRecord::Snapshot(Snapshot { index: 300, term: 3, state: vec![1, 2, 3] })),
+        (
+            "snapshot",
+            LogRecord::Snapshot(Snapshot { index: LogIndex(300), term: Term(3), state: vec![1, 2, 3] }),
+        ),
     ]
 }
 
@@ -120,10 +138,10 @@
 #[test]
 fn the_durable_state_is_read_and_written_as_before() {
     let mut state = DurableState::default();
-    let snapshot = Snapshot { index: 298, term: 2, state: vec![9] };
+    let snapshot = Snapshot { index: LogIndex(298), term: Term(2), state: vec![9] };
     state.apply(LogRecord::Snapshot(snapshot)).expect("it follows");
     state.apply(LogRecord::Entries(vec![entry(299), entry(300)])).expect("it follows");
-    state.apply(LogRecord::HardState(HardState { term: 3, vote: 1, commit: 299 })).expect("it follows");
+    state.apply(LogRecord::HardState(hard_state(1))).expect("it follows");
     let bytes = postcard::to_stdvec(&state).expect("it has a form");
     matches_fixture("durable_state.txt", &named_bytes(&[("durable_state", bytes.clone())]));
     assert_eq!(postcard::from_bytes(&bytes), Ok(state));
@@ -131,7 +149,12 @@
 
 fn propose(id: u64, expected_version: Option<u64>) -> Command {
     let (proposed_by, text) = (format!("p{id}"), format!("text {id}"));
-    Command::Propose(Proposal { id: ProposalId(id), proposed_by, expected_version, text })
+    Command::Propose(Proposal {
+        id: ProposalId(id),
+        proposed_by,
+        expected_version: expected_version.map(ConfigVersion),
+        text,
+    })
 }
 
 #[test]
@@ -139,9 +162,9 @@
     let commands = [
         ("propose", propose(300, None)),
         ("in_progress", propose(301, Some(0))),
-        ("force", Command::Activate(1)),
+        ("force", Command::Activate(ConfigVersion(1))),
         ("propose_expecting", propose(302, Some(1))),
-        ("force_second", Command::Activate(2)),
+        ("force_second", Command::Activate(ConfigVersion(2))),
         ("conflict", propose(303, Some(1))),
         ("propose_third", propose(u64::MAX, None)),
     ];
--- a/crates/replicated_config/tests/malformed_messages.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -1,33 +1,33 @@
 //! Cut and random bytes against the decoder of messages.
 
 use replicated_config::{
-    LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ReplicaId, RequestId, RolloutPhase, Version,
-    VersionNumbers, VersionTexts,
+    ConfigVersion, LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ReplicaId, RequestId,
+    RolloutPhase, Version, VersionNumbers, VersionTexts,
 };
 
 #[test]
 fn messages_survive_their_encoding_and_garbage_is_an_error() {
-    let version = Version { number: 3, proposed_by: "x".into(), text: "[[plan]]".into() };
+    let version = Version { number: ConfigVersion(3), proposed_by: "x".into(), text: "[[plan]]".into() };
     let messages = [
         Message::LeaseRequest(LeaseRequest {
             client: "m1".into(),
             id: RequestId(7),
             wants_lease: true,
-            known_version: 2,
-            cached: VersionNumbers { in_force: 1, proposed: 2 },
+            known_version: ConfigVersion(2),
+            cached: VersionNumbers { in_force: ConfigVersion(1), proposed: ConfigVersion(2) },
         }),
         Message::LeaseResponse(
-            LeaseResponse { request: RequestId(7), version: 3, phase: RolloutPhase::Proposed },
+            LeaseResponse { request: RequestId(7), version: ConfigVersion(3), phase: RolloutPhase::Proposed },
             Box::new(VersionTexts { in_force: None, proposed: Some(version) }),
         ),
         Message::Propose(Proposal {
             id: ProposalId(9),
             proposed_by: "y".into(),
-            expected_version: Some(2),
+            expected_version: Some(ConfigVersion(2)),
             text: "t".into(),
         }),
         Message::RedirectLeaseRequest { request: RequestId(7), leader: Some(ReplicaId(2)) },
-        Message::VersionChanged(4),
+        Message::VersionChanged(ConfigVersion(4)),
     ];
     for message in messages {
         let bytes = message.encode();
--- a/crates/replicated_config/tests/simulation.rs
+++ b/crates/replicated_config/tests/simulation.rs
@@ -2,8 +2,9 @@
 //! what is on their disks; the network partitions. At each millisecond no two leases contradict, and no committed version is lost.
 
 use replicated_config::{
-    DurableState, Envelope, LatestVersion, LeaseClient, LeaseRequest, LeaseResponse, Message, Proposal,
-    ProposalId, ProposalOutcome, Replica, ReplicaId, RequestId, RolloutPhase, Version, VersionNumbers,
+    ConfigVersion, DurableState, Envelope, LatestVersion, LeaseClient, LeaseRequest, LeaseResponse, Message,
+    Proposal, ProposalId, ProposalOutcome, Replica, ReplicaId, RequestId, RolloutPhase, Version,
+    VersionNumbers,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -48,7 +49,7 @@
     partition: Vec<u8>,
     loss: f64,
     /// The text of each version when it was first seen.
-    texts: BTreeMap<u64, String>,
+    texts: BTreeMap<ConfigVersion, String>,
     outcomes: Vec<(ProposalId, ProposalOutcome)>,
     /// How many leases were checked.
     checked: u64,
@@ -56,7 +57,7 @@
     ignores_expiry: bool,
 }
 
-fn in_force(number: u64) -> LatestVersion {
+fn in_force(number: ConfigVersion) -> LatestVersion {
     LatestVersion { number, phase: RolloutPhase::InForce }
 }
 
@@ -212,7 +213,7 @@
         let now = self.clock(i);
         let machine = &mut self.machines[i];
         machine.next_request_ms = self.now_ms + REQUEST_INTERVAL_MS;
-        let known_version = machine.client.latest().map_or(0, |latest| latest.number);
+        let known_version = machine.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
         let cached = machine.cached;
         let request = machine.client.start_request(now, self.replicas.len());
         let message = Message::LeaseRequest(LeaseRequest {
@@ -238,12 +239,13 @@
             let latest = machine.client.leased_version(now).or(expired);
             latest.map(|LatestVersion { number, phase }| match phase {
                 RolloutPhase::InForce => (number, number),
-                RolloutPhase::Proposed => (number - 1, number),
+                RolloutPhase::Proposed => (number.previous(), number),
             })
         };
-        let all: Vec<(u64, u64)> = (0..self.machines.len()).filter_map(enforced).collect();
+        let all: Vec<(ConfigVersion, ConfigVersion)> =
+            (0..self.machines.len()).filter_map(enforced).collect();
         self.checked += all.len() as u64;
-        let least = all.iter().map(|range| range.1).min().unwrap_or(0);
+        let least = all.iter().map(|range| range.1).min().unwrap_or_default();
         assert!(all.iter().all(|range| range.0 <= least), "at {} ms: {all:?}", self.now_ms);
     }
 
@@ -296,7 +298,7 @@
     }
 
     /// How long until all that are alive hold leases on this version in force.
-    fn until_in_force(&mut self, version: u64, most_ms: u64) -> Option<u64> {
+    fn until_in_force(&mut self, version: ConfigVersion, most_ms: u64) -> Option<u64> {
         let begun = self.now_ms;
         while self.now_ms - begun < most_ms {
             self.step();
@@ -321,8 +323,11 @@
         // A new leader waits for leases that another may have granted.
         world.run_for(5_000);
         let (took, outcome) = world.propose(11, 1, 2_000).expect("there is an outcome");
-        assert!(took < 100 && outcome == ProposalOutcome::Accepted(1), "{took} ms, {outcome:?}");
-        let took = world.until_in_force(1, 5_000).expect("it comes into force");
+        assert!(
+            took < 100 && outcome == ProposalOutcome::Accepted(ConfigVersion(1)),
+            "{took} ms, {outcome:?}"
+        );
+        let took = world.until_in_force(ConfigVersion(1), 5_000).expect("it comes into force");
         // Notified of it, clients ask for it, confirm it, it is activated, and they are notified and ask again.
         assert!(took <= 200, "{took} ms");
         assert!(world.checked > 10_000);
@@ -337,9 +342,9 @@
         let leader = world.leader().expect("one leads");
         world.crash(leader);
         let (took, outcome) = world.propose(7, 1, 5_000).expect("there is an outcome");
-        let accepted = outcome == ProposalOutcome::Accepted(1);
+        let accepted = outcome == ProposalOutcome::Accepted(ConfigVersion(1));
         assert!(took < 3_000 && accepted, "seed {seed}: {took} ms, {outcome:?}");
-        assert!(world.until_in_force(1, 8_000).is_some(), "seed {seed}");
+        assert!(world.until_in_force(ConfigVersion(1), 8_000).is_some(), "seed {seed}");
     }
 }
 
@@ -348,15 +353,15 @@
     let mut world = World::new(3, 3, 6);
     world.run_for(3_500);
     world.propose(5, 1, 2_000).expect("there is an outcome");
-    world.until_in_force(1, 5_000).expect("it comes into force");
+    world.until_in_force(ConfigVersion(1), 5_000).expect("it comes into force");
     world.machines[4].stopped = true;
     world.propose(5, 2, 2_000).expect("there is an outcome");
-    let took = world.until_in_force(2, 6_000).expect("it comes into force");
+    let took = world.until_in_force(ConfigVersion(2), 6_000).expect("it comes into force");
     assert!((1_500..=LEASE_DURATION_MS + 2 * REQUEST_INTERVAL_MS).contains(&took), "{took} ms");
     world.machines[4].stopped = false;
     let now = world.clock(4);
     assert_eq!(world.machines[4].client.leased_version(now), None);
-    assert!(world.until_in_force(2, 2_000).is_some());
+    assert!(world.until_in_force(ConfigVersion(2), 2_000).is_some());
 }
 
 /// Guards against a read from the command line delaying the next rollout, like the lease of a client that never asks again.
@@ -371,14 +376,14 @@
             client: "5".into(),
             id: RequestId(1),
             wants_lease: false,
-            known_version: 0,
+            known_version: ConfigVersion::NONE,
             cached: VersionNumbers::default(),
         };
         world.send(4, to, &Message::LeaseRequest(request));
     }
     world.run_for(100);
     world.propose(4, 1, 2_000).expect("there is an outcome");
-    let took = world.until_in_force(1, 5_000).expect("it comes into force");
+    let took = world.until_in_force(ConfigVersion(1), 5_000).expect("it comes into force");
     assert!(took <= 200, "{took} ms");
 }
 
@@ -393,9 +398,12 @@
     assert_eq!(world.machines[5].client.leased_version(world.clock(5)), None);
     // The others go on, and the minority takes over what they committed.
     let other = (0..3).find(|i| *i != leader).expect("there are three");
-    assert_eq!(world.propose(other, 2, 3_000).map(|c| c.1), Some(ProposalOutcome::Accepted(1)));
+    assert_eq!(
+        world.propose(other, 2, 3_000).map(|c| c.1),
+        Some(ProposalOutcome::Accepted(ConfigVersion(1)))
+    );
     world.partition = vec![0; 6];
-    assert!(world.until_in_force(1, 5_000).is_some());
+    assert!(world.until_in_force(ConfigVersion(1), 5_000).is_some());
 }
 
 #[test]
@@ -410,8 +418,9 @@
         world.run_for(150);
     }
     // One rollout is open at a time; the other proposers hear which.
-    let in_progress =
-        |outcome: &ProposalOutcome| matches!(outcome, ProposalOutcome::RolloutInProgress { version: 1, .. });
+    let in_progress = |outcome: &ProposalOutcome| {
+        matches!(outcome, ProposalOutcome::RolloutInProgress { version: ConfigVersion(1), .. })
+    };
     assert!(accepted >= 1 && world.outcomes.iter().any(|o| in_progress(&o.1)));
     world.machines[8].stopped = false;
     let last = world.texts.keys().max().copied().expect("there are versions");
@@ -434,7 +443,11 @@
         let next = world.leader().expect("another leads");
         world.send(4, next, &Message::Propose(proposal));
         world.run_for(100);
-        assert_eq!(world.outcomes, [(ProposalId(9), ProposalOutcome::Accepted(1))], "seed {seed}");
+        assert_eq!(
+            world.outcomes,
+            [(ProposalId(9), ProposalOutcome::Accepted(ConfigVersion(1)))],
+            "seed {seed}"
+        );
         assert_eq!(world.texts.len(), 1);
     }
 }
@@ -466,7 +479,10 @@
     let ProposalOutcome::Accepted(number) = outcome else { panic!("seed {seed}: {outcome:?}") };
     assert!(world.until_in_force(number, 8_000).is_some(), "seed {seed}");
     // Numbers have no gaps: no committed version is lost.
-    assert_eq!(world.texts.keys().copied().collect::<Vec<_>>(), (1..=number).collect::<Vec<_>>());
+    assert_eq!(
+        world.texts.keys().copied().collect::<Vec<_>>(),
+        (1..=number.0).map(ConfigVersion).collect::<Vec<_>>()
+    );
     (world.texts.len(), world.checked)
 }
 
@@ -530,7 +546,8 @@
 fn a_response_to_an_earlier_incarnation_gives_no_lease() {
     let mut client = LeaseClient::new(LEASE_DURATION_MS, RequestId(100));
     client.start_request(0, 3);
-    let response = LeaseResponse { request: RequestId(99), version: 1, phase: RolloutPhase::InForce };
+    let response =
+        LeaseResponse { request: RequestId(99), version: ConfigVersion(1), phase: RolloutPhase::InForce };
     assert!(!client.on_response(response));
     assert_eq!(client.leased_version(1), None);
 }
--- a/crates/replicated_config/tests/transcript.rs
+++ b/crates/replicated_config/tests/transcript.rs
@@ -5,8 +5,8 @@
 
 use fixture::{hex, matches_fixture};
 use replicated_config::{
-    DurableState, Envelope, LeaseRequest, Message, Proposal, ProposalId, Replica, ReplicaId, RequestId,
-    VersionNumbers,
+    ConfigVersion, DurableState, Envelope, LeaseRequest, Message, Progress, Proposal, ProposalId, Replica,
+    ReplicaId, RequestId, VersionNumbers,
 };
 use std::collections::VecDeque;
 
@@ -98,7 +98,13 @@
     fn request_lease(&mut self, id: u64, known_version: u64, cached: VersionNumbers) {
         let now_ms = self.now_ms;
         let (client, id) = ("gatekeeper".into(), RequestId(id));
-        let request = LeaseRequest { client, id, wants_lease: true, known_version, cached };
+        let request = LeaseRequest {
+            client,
+            id,
+            wants_lease: true,
+            known_version: ConfigVersion(known_version),
+            cached,
+        };
         self.leader().on_lease_request(now_ms, request);
         self.settle();
     }
@@ -109,7 +115,8 @@
             .replicas
             .iter()
             .map(|replica| {
-                ((replica.progress().term, replica.progress().committed), replica.retained_entries())
+                let Progress { term, committed } = replica.progress();
+                ((term.0, committed.0), replica.retained_entries())
             })
             .collect();
         self.note(format!("progress {progress:?}"));
@@ -130,7 +137,7 @@
     cluster.propose(1);
     cluster.propose(2);
     cluster.request_lease(2, 1, VersionNumbers::default());
-    cluster.request_lease(3, 1, VersionNumbers { in_force: 1, proposed: 0 });
+    cluster.request_lease(3, 1, VersionNumbers { in_force: ConfigVersion(1), proposed: ConfigVersion::NONE });
     cluster.replica(ReplicaId(3)).propose(1_500, "proposer", proposal(3, "p", "t"));
     cluster.settle();
     // The third misses so much that its entries are no longer in the others' logs.
--- a/crates/snowfield/src/plan_replication/tests.rs
+++ b/crates/snowfield/src/plan_replication/tests.rs
@@ -1,7 +1,7 @@
 //! Which plans a view enforces, and which versions and files are rejected.
 
 use super::*;
-use config_node::Version;
+use config_node::{ConfigVersion, Version};
 
 const FILE: &str = "listen = \"127.0.0.1:0\"\ndescriptions = [\"a\"]\nlender_header = \"X-Lender\"\n\
     [consul]\naddress = \"127.0.0.1:1\"\nservice = \"s\"\n\
@@ -15,7 +15,7 @@
     [[lender]]\nname = \"l\"\nplan = \"a\"\n";
 
 fn version(number: u64, text: &str) -> Option<Version> {
-    Some(Version { number, proposed_by: "x".into(), text: text.into() })
+    Some(Version { number: ConfigVersion(number), proposed_by: "x".into(), text: text.into() })
 }
 
 #[test]
--- a/crates/snowfield/src/settings_command.rs
+++ b/crates/snowfield/src/settings_command.rs
@@ -63,10 +63,10 @@
             Ok(())
         }
         ProposalOutcome::VersionConflict { in_force, proposed_by } => {
-            Err(Error::VersionConflict { version: in_force, proposed_by })
+            Err(Error::VersionConflict { version: in_force.0, proposed_by })
         }
         ProposalOutcome::RolloutInProgress { version, proposed_by } => {
-            Err(Error::RolloutInProgress { version, proposed_by })
+            Err(Error::RolloutInProgress { version: version.0, proposed_by })
         }
         ProposalOutcome::TooLarge => Err(Error::ProposalTooLarge),
         ProposalOutcome::Rejected(reason) => Err(Error::ProposalRejected(reason.to_string())),
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -3,7 +3,8 @@
 use crate::cluster_settings::keyring;
 use crate::error::Error;
 use config_node::{
-    LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, RequestId, VersionNumbers, VersionTexts,
+    ConfigVersion, LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, RequestId, VersionNumbers,
+    VersionTexts,
 };
 use membership::authentication::Keyring;
 use settings::appliance::{ApplianceConfig, ReplicaConfig, ReplicationConfig};
@@ -52,6 +53,7 @@
         let proposed_by = std::env::var("USER").unwrap_or_else(|_| UNKNOWN_USER.into());
         // The same id in each attempt: a proposal whose answer was lost is accepted once.
         let id = ProposalId(unique_number());
+        let expected_version = expected_version.map(ConfigVersion);
         let message = Message::Propose(Proposal { id, proposed_by, expected_version, text });
         let is_answer =
             |answer: &Message| matches!(answer, Message::ProposalOutcome { proposal, .. } if *proposal == id);
@@ -72,7 +74,7 @@
             client: format!("console-{id}"),
             id,
             wants_lease: false,
-            known_version: 0,
+            known_version: ConfigVersion::NONE,
             cached: VersionNumbers::default(),
         });
         match self.call_leader(&request, |answer| matches!(answer, Message::LeaseResponse(..)))? {
