--- a/crates/replicated_config/src/ids.rs
+++ b/crates/replicated_config/src/ids.rs
@@ -3,27 +3,31 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A replica's number: its position, counted from 1, in the list of replicas that all nodes are configured with.
+/// The id of a replica: its position, counted from 1, in the list of replicas that all nodes are configured with.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct ReplicaId(pub u64);
 
+/// The number by which Raft says that there is no replica, such as no vote or no known leader.
+const NO_REPLICA: u64 = 0;
+
 impl ReplicaId {
-    /// The replica at this index of the configured list.
+    /// Returns the id of the replica at this index of the configured list.
     pub fn from_index(index: usize) -> Self {
         Self(index as u64 + 1)
     }
 
-    /// Its index in the configured list; none for 0, which Raft uses for "no replica".
+    /// Returns the replica's index in the configured list, or `None` for 0, by which Raft says that there is no replica.
     pub fn index(self) -> Option<usize> {
         (self.0 as usize).checked_sub(1)
     }
-}
 
-impl ReplicaId {
-    /// Converts a number of the Raft library, which uses 0 for "no replica".
     pub(crate) fn from_raft(number: u64) -> Option<Self> {
-        (number != 0).then_some(Self(number))
+        (number != NO_REPLICA).then_some(Self(number))
+    }
+
+    pub(crate) fn to_raft(replica: Option<Self>) -> u64 {
+        replica.map_or(NO_REPLICA, |replica| replica.0)
     }
 }
 
@@ -44,7 +48,7 @@
     }
 }
 
-/// Identifies a proposal. The proposer picks it and repeats it on each retry, so that a proposal is applied at most once.
+/// Identifies a proposal. The proposer chooses the id and repeats it in each retry, so that the proposal is applied at most once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct ProposalId(pub u64);
@@ -55,7 +59,7 @@
     }
 }
 
-/// Serializes an optional replica as the Raft library does: as its number, 0 for none.
+/// Serializes an optional replica as Raft does: as its number, 0 for none.
 pub(crate) mod zero_for_none {
     use super::ReplicaId;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -64,7 +68,7 @@
         replica: &Option<ReplicaId>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        replica.map_or(0, |replica| replica.0).serialize(serializer)
+        ReplicaId::to_raft(*replica).serialize(serializer)
     }
 
     pub(crate) fn deserialize<'de, D: Deserializer<'de>>(
--- a/crates/replicated_config/src/lease.rs
+++ b/crates/replicated_config/src/lease.rs
@@ -1,5 +1,5 @@
-//! Leases on the latest version: until when a gatekeeper may act on what it knows, and when the leader may put a proposed version
-//! in force.
+//! Leases on the latest version. A lease limits how long a gatekeeper may act on the version that it knows, and tells the leader
+//! when it may put a proposed version in force.
 
 mod client;
 mod table;
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -1,18 +1,18 @@
-//! A gatekeeper's lease: which replica it asks for the latest version, and how long the answer is valid.
+//! A gatekeeper's lease: selects the replica to ask for the latest version, and tracks how long its response is valid.
 
 use crate::ids::{ReplicaId, RequestId};
 use crate::message::LeaseResponse;
 use crate::version::LatestVersion;
 
-/// A replica counts as unreachable when it has not answered within this fraction (one 15th) of the lease duration.
+/// A replica counts as unreachable if it has not answered within this fraction (one 15th) of the lease duration.
 const RESPONSE_TIMEOUT_DIVISOR: u64 = 15;
 
 /// A gatekeeper's lease on the latest version.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
-    /// A lease lasts for so long from the moment its request was sent.
+    /// Validity of a lease, counted from the moment its request was sent.
     lease_duration_ms: u64,
-    /// Index of the replica to ask.
+    /// Index of the replica to ask next.
     target_index: usize,
     pending: Option<PendingRequest>,
     next_request: u64,
@@ -27,19 +27,19 @@
     sent_at_ms: u64,
 }
 
-/// A new request, and the replica to send it to.
+/// A new request and the replica to send it to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
     /// The request's id.
     pub id: RequestId,
-    /// Where to send it.
+    /// The replica to send it to.
     pub replica: ReplicaId,
 }
 
 impl LeaseClient {
     /// Creates a client without a lease.
     ///
-    /// `first_request` is larger than any request id that an earlier incarnation of this client has used.
+    /// `first_request` must be larger than any request id that an earlier incarnation of this client has used.
     pub fn new(lease_duration_ms: u64, first_request: RequestId) -> Self {
         Self {
             lease_duration_ms,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Starts a new request, which replaces the pending one. A replica that did not answer the last request in time is not
-    /// asked again before all others.
+    /// Starts a new request, which replaces the pending one. If the pending request has timed out, the new one goes to the next
+    /// replica, so that an unreachable replica is asked again only after all others.
     pub fn start_request(&mut self, now_ms: u64, replica_count: usize) -> AddressedRequest {
         let timeout_ms = self.lease_duration_ms / RESPONSE_TIMEOUT_DIVISOR;
         if self.pending.is_some_and(|pending| now_ms >= pending.sent_at_ms + timeout_ms) {
@@ -65,26 +65,26 @@
         AddressedRequest { id, replica: ReplicaId::from_index(self.target_index) }
     }
 
-    /// Handles the answer that the replica is not the leader, with the leader that it knows of. Returns whether to ask that
-    /// leader at once.
+    /// Handles a redirect from a replica that is not the leader. Returns whether it names another replica as the leader, which
+    /// the caller should ask at once.
     pub fn on_redirect(&mut self, request: RequestId, leader: Option<ReplicaId>) -> bool {
         if self.pending.take_if(|pending| pending.id == request).is_none() {
             return false;
         }
         let leader_index = leader.and_then(ReplicaId::index);
-        // Without a known leader the next replica is asked with the next regular request.
+        // If the leader is unknown, the next regular request goes to the next replica.
         let leader_is_another = leader_index.is_some_and(|index| index != self.target_index);
         self.target_index = leader_index.unwrap_or(self.target_index + 1);
         leader_is_another
     }
 
-    /// Handles a response. Returns whether it answered the pending request and was accepted.
+    /// Handles a response. Returns whether it answers the pending request and was accepted.
     pub fn on_response(&mut self, response: LeaseResponse) -> bool {
         let Some(pending) = self.pending.take_if(|pending| pending.id == response.request) else {
             return false;
         };
         let latest = LatestVersion { number: response.version, phase: response.phase };
-        // Responses are linearizable: one that goes back behind an earlier response is not to be trusted.
+        // Reads are linearizable, so a correct response never goes back behind an earlier one.
         if self.latest.is_some_and(|known| known > latest) {
             return false;
         }
@@ -93,17 +93,17 @@
         true
     }
 
-    /// The latest version, while the lease is valid.
+    /// Returns the latest version while the lease is valid.
     pub fn leased_version(&self, now_ms: u64) -> Option<LatestVersion> {
         self.latest.filter(|_| now_ms < self.expires_at_ms)
     }
 
-    /// When the lease expires, or has expired.
+    /// Returns when the lease expires or has expired.
     pub fn expires_at_ms(&self) -> u64 {
         self.expires_at_ms
     }
 
-    /// The latest version that was heard of, with or without a valid lease.
+    /// Returns the latest known version, whether or not the lease is valid.
     pub fn latest(&self) -> Option<LatestVersion> {
         self.latest
     }
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -4,30 +4,41 @@
 use crate::version::ConfigVersion;
 use std::collections::BTreeMap;
 
-/// Lease holders that a leader remembers at most.
+/// Maximum number of lease holders that a leader remembers.
 const MAX_LEASE_HOLDERS: usize = 4_096;
 
-/// The leases that a leader has granted, and those that an earlier leader may have granted.
+/// The leases that a leader has granted, and a bound on those that earlier leaders may have granted.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     lease_duration_ms: u64,
-    /// All leases of earlier leaders have expired by then.
+    /// All leases of earlier leaders have expired at this moment.
     earlier_leases_expire_at_ms: u64,
-    /// By the holder's name.
+    /// Leases by the holder's name.
     granted: BTreeMap<String, GrantedLease>,
 }
 
 /// A lease that a client may hold.
 #[derive(Clone, Copy, Debug)]
 struct GrantedLease {
-    /// The last request that was answered.
+    /// The last request of the holder that was answered.
     request: RequestId,
-    /// The lease has expired by then.
+    /// Upper bound of the lease's expiry at the holder.
     expires_at_ms: u64,
-    /// The holder knows of this version, or of a later one.
+    /// The latest version that the holder has confirmed to know.
     known_version: ConfigVersion,
 }
 
+impl GrantedLease {
+    fn is_valid(&self, now_ms: u64) -> bool {
+        now_ms < self.expires_at_ms
+    }
+
+    /// Returns whether the holder may still act on a version before this one without knowing of it.
+    fn is_behind(&self, now_ms: u64, version: ConfigVersion) -> bool {
+        self.known_version < version && self.is_valid(now_ms)
+    }
+}
+
 impl LeaseTable {
     /// Creates the table of a replica that has just become the leader.
     pub fn new(now_ms: u64, lease_duration_ms: u64) -> Self {
@@ -35,11 +46,11 @@
         Self { lease_duration_ms, earlier_leases_expire_at_ms, granted: BTreeMap::new() }
     }
 
-    /// Records that a request is answered now. Returns false where it must not be answered: the table is full and cannot remember the
-    /// lease, or a later request of this holder was answered.
+    /// Records a lease that is granted now. Returns false, and the request must not be answered, if the table is full or a later
+    /// request of this holder has been answered.
     ///
-    /// `known_version` is the latest version that the holder knew of when it sent the request. Only what the holder itself says
-    /// counts: the response may get lost while an earlier lease is still valid.
+    /// `known_version` is the latest version that the holder knew of when it sent the request. The version in the response does
+    /// not count: the response may get lost while an earlier lease is still valid.
     pub fn grant(
         &mut self,
         now_ms: u64,
@@ -47,50 +58,45 @@
         request: RequestId,
         known_version: ConfigVersion,
     ) -> bool {
-        let overtaken = |lease: &GrantedLease| request < lease.request && now_ms < lease.expires_at_ms;
-        if self.granted.get(holder).is_some_and(overtaken) {
+        let is_newer = |lease: &GrantedLease| request < lease.request && lease.is_valid(now_ms);
+        if self.granted.get(holder).is_some_and(is_newer) {
             return false;
         }
         if !self.granted.contains_key(holder) && !self.has_capacity(now_ms) {
             return false;
         }
-        // The request was sent before now, so that the holder's lease expires before this.
+        // The holder counts from the moment it sent the request, which is earlier than now.
         let expires_at_ms = now_ms + self.lease_duration_ms;
         self.granted.insert(holder.to_owned(), GrantedLease { request, expires_at_ms, known_version });
         true
     }
 
-    /// Whether one more holder can be remembered; forgets expired leases where the table is full.
+    /// Returns whether one more holder can be remembered. Removes expired leases if the table is full.
     fn has_capacity(&mut self, now_ms: u64) -> bool {
         if self.granted.len() >= MAX_LEASE_HOLDERS {
-            self.granted.retain(|_, lease| lease.expires_at_ms > now_ms);
+            self.granted.retain(|_, lease| lease.is_valid(now_ms));
         }
         self.granted.len() < MAX_LEASE_HOLDERS
     }
 
-    /// Whether no client can still hold a lease on a version before this one.
+    /// Returns whether no client can hold a lease on a version before this one any more.
     pub fn may_activate(&self, now_ms: u64, version: ConfigVersion) -> bool {
         now_ms >= self.earlier_leases_expire_at_ms
-            && self
-                .granted
-                .values()
-                .all(|lease| lease.known_version >= version || now_ms >= lease.expires_at_ms)
+            && !self.granted.values().any(|lease| lease.is_behind(now_ms, version))
     }
 
-    /// All clients that may hold a lease granted here.
+    /// Returns the clients that may hold a lease granted by this leader.
     pub fn holders(&self, now_ms: u64) -> impl Iterator<Item = &str> {
-        self.granted
-            .iter()
-            .filter(move |(_, lease)| now_ms < lease.expires_at_ms)
-            .map(|(holder, _)| holder.as_str())
+        self.holders_where(move |lease| lease.is_valid(now_ms))
     }
 
-    /// Clients that may still hold a lease on a version before this one.
+    /// Returns the clients that may still hold a lease on a version before this one.
     pub fn holders_behind(&self, now_ms: u64, version: ConfigVersion) -> impl Iterator<Item = &str> {
-        self.granted
-            .iter()
-            .filter(move |(_, lease)| lease.known_version < version && now_ms < lease.expires_at_ms)
-            .map(|(holder, _)| holder.as_str())
+        self.holders_where(move |lease| lease.is_behind(now_ms, version))
+    }
+
+    fn holders_where(&self, condition: impl Fn(&GrantedLease) -> bool) -> impl Iterator<Item = &str> {
+        self.granted.iter().filter(move |(_, lease)| condition(lease)).map(|(holder, _)| holder.as_str())
     }
 }
 
--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -1,17 +1,17 @@
-//! Replicated configuration without I/O: versions of the settings that several gatekeepers agree on, and leases that say until
-//! when each gatekeeper may act on the version that it knows.
+//! Replicated configuration without I/O: gatekeepers agree on versions of the settings through Raft, and hold leases that say
+//! until when they may act on the version that they know.
 //!
 //! - [`Replica`] is one of the three or five Raft replicas. It wraps the state machine of the crate `raft`, applies committed
 //!   commands to a [`ConfigState`], and grants leases while it is the leader.
-//! - [`ConfigState`] is the replicated state: the version in force, the proposed version, and the outcome of each proposal.
-//! - [`LeaseClient`] is a gatekeeper's lease on the latest version; [`LeaseTable`] is the leader's record of granted leases.
-//! - [`Message`] is what nodes exchange, and [`DurableState`] what a replica keeps on disk.
+//! - [`ConfigState`] is the replicated state: the version in force, the proposed version, and the outcomes of recent proposals.
+//! - [`LeaseClient`] holds a gatekeeper's lease on the latest version. [`LeaseTable`] is the leader's record of granted leases.
+//! - [`Message`] is exchanged between nodes. [`DurableState`] is what a replica keeps on disk, and each [`LogRecord`] updates it.
 //!
 //! docs/design/replicated-config.md explains the protocol and its reasons.
 //!
 //! Invariants:
 //!
-//! - The records in [`Ready`] are on disk before any message of the same [`Ready`] is sent. This is the caller's duty.
+//! - The caller writes the records of a [`Ready`] to disk before it sends any message of the same [`Ready`].
 //! - Two gatekeepers that hold leases enforce the same version, or one of them also enforces the proposed successor of that
 //!   version, taking the stricter value of each setting.
 //! - Times are milliseconds of the node's own monotonic clock. Clocks of different nodes are never compared.
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -1,4 +1,4 @@
-//! A replica's durable state: the records that it writes to disk, and what they add up to.
+//! A replica's durable state and the records that update it on disk.
 
 mod position;
 
@@ -8,25 +8,25 @@
 use crate::ids::ReplicaId;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the Raft log, as it is written to disk and sent.
+/// An entry of the Raft log, on disk and in messages.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LogEntry {
-    /// Its position in the log, from 1.
+    /// The entry's position in the log.
     pub index: LogIndex,
-    /// The term of the leader that appended it.
+    /// The term of the leader that appended the entry.
     pub term: Term,
-    /// The encoded [`Command`](crate::Command); empty for the first entry of each leader.
+    /// The encoded [`Command`](crate::Command). Empty in the first entry of each leader.
     pub data: Vec<u8>,
 }
 
-/// The state after all entries up to an index, which replaces these entries.
+/// The state after all entries up to an index. It replaces these entries.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Snapshot {
-    /// The last entry that it includes.
+    /// The last entry that the snapshot includes.
     pub index: LogIndex,
     /// The term of that entry.
     pub term: Term,
-    /// The encoded [`ConfigState`](crate::ConfigState); empty before the first snapshot.
+    /// The encoded [`ConfigState`](crate::ConfigState). Empty before the first snapshot.
     pub state: Vec<u8>,
 }
 
@@ -35,43 +35,44 @@
 pub struct HardState {
     /// The latest term that the replica knows of.
     pub term: Term,
-    /// The replica that it voted for in this term. It is stored as a number, 0 for none.
+    /// The replica that it voted for in this term. Stored as a number, 0 for none.
     #[serde(with = "crate::ids::zero_for_none")]
     pub vote: Option<ReplicaId>,
-    /// The last entry that is known to be committed.
+    /// The last entry known to be committed.
     pub commit: LogIndex,
 }
 
-/// A record to be written to disk before anything that depends on it is sent.
+/// A record to write to disk before any message that depends on it is sent.
 ///
 /// The order of the variants is part of the format on disk.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum LogRecord {
-    /// The hard state has changed.
+    /// Replaces the hard state.
     HardState(HardState),
-    /// Appends entries. Earlier entries at their indexes, and all behind them, are discarded.
+    /// Appends entries. Discards the earlier entries from the first appended index on.
     Entries(Vec<LogEntry>),
-    /// Replaces all entries up to the snapshot's index; all entries where the log has another entry, or none, at the index.
+    /// Replaces all entries up to the snapshot's index. If the log has another entry, or none, at this index, all entries are
+    /// discarded.
     Snapshot(Snapshot),
 }
 
-/// All that a replica keeps on disk.
+/// Everything that a replica keeps on disk.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct DurableState {
     /// The last hard state.
     pub hard_state: HardState,
     /// The last snapshot.
     pub snapshot: Snapshot,
-    /// The entries behind the snapshot.
+    /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
 impl DurableState {
-    /// Applies the next record. Reading a log from disk applies its records in order.
+    /// Applies the next record. The state of a log on disk results from applying its records in order.
     ///
     /// # Errors
     ///
-    /// [`Error::LogGap`] where an entry does not follow the one before it: the log is not complete.
+    /// Returns [`Error::LogGap`] if an entry does not follow the one before it: the log is incomplete.
     pub fn apply(&mut self, record: LogRecord) -> Result<(), Error> {
         match record {
             LogRecord::HardState(hard_state) => self.hard_state = hard_state,
@@ -82,16 +83,17 @@
     }
 
     fn install(&mut self, snapshot: Snapshot) {
-        let matches = |entry: &LogEntry| entry.index == snapshot.index && entry.term == snapshot.term;
-        let is_in_log = self.entries.iter().any(matches);
-        self.entries.retain(|entry| is_in_log && entry.index > snapshot.index);
+        let is_last_included =
+            |entry: &LogEntry| entry.index == snapshot.index && entry.term == snapshot.term;
+        let matches_log = self.entries.iter().any(is_last_included);
+        self.entries.retain(|entry| matches_log && entry.index > snapshot.index);
         self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
         self.snapshot = snapshot;
     }
 
     fn append(&mut self, entries: Vec<LogEntry>) -> Result<(), Error> {
-        let first = entries.first().map(|entry| entry.index);
-        self.entries.retain(|entry| first.is_none_or(|first| entry.index < first));
+        let Some(first) = entries.first().map(|entry| entry.index) else { return Ok(()) };
+        self.entries.retain(|entry| entry.index < first);
         for entry in entries {
             let previous = self.last_index();
             if entry.index != previous.next() {
@@ -102,12 +104,12 @@
         Ok(())
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The term of the entry at this index, where it is the snapshot's last one or behind it.
+    /// Returns the term of the entry at this index, if it is the last one in the snapshot or follows it.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -116,7 +118,7 @@
         self.entries.get(position).map(|entry| entry.term)
     }
 
-    /// Checks that the log holds what its hard state says.
+    /// Checks that the log is consistent with its hard state.
     pub(crate) fn check_complete(&self) -> Result<(), Error> {
         let HardState { term, commit, .. } = self.hard_state;
         let last_index = self.last_index();
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes. Their encoding is positional: the order of fields and variants is part of it, their names are not.
+//! Messages between nodes. The encoding is positional: it depends on the order of fields and variants, not on their names.
 
 use crate::error::Error;
 use crate::ids::{ProposalId, ReplicaId, RequestId};
@@ -11,47 +11,47 @@
 /// A message from one node to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// Raft's own messages, between replicas.
+    /// A Raft message between replicas.
     Raft(Box<RaftMessage>),
     /// A client asks the leader for the latest version.
     LeaseRequest(LeaseRequest),
-    /// The leader's response, with the texts that the client lacks.
+    /// The leader answers a lease request, with the texts that the client lacks.
     LeaseResponse(LeaseResponse, Box<VersionTexts>),
-    /// The asked replica is not the leader.
+    /// A replica that is not the leader answers a lease request.
     RedirectLeaseRequest {
-        /// The request that was not answered.
+        /// The redirected request.
         request: RequestId,
-        /// The leader, where one is known.
+        /// The leader, if the replica knows one.
         leader: Option<ReplicaId>,
     },
-    /// The replica that a proposal was sent to is not the leader.
+    /// A replica that is not the leader answers a proposal.
     RedirectProposal {
-        /// The proposal.
+        /// The redirected proposal.
         proposal: ProposalId,
-        /// The leader, where one is known.
+        /// The leader, if the replica knows one.
         leader: Option<ReplicaId>,
     },
-    /// The leader notifies lease holders that the latest version, or its phase, has changed, so that they ask at once.
+    /// The leader notifies lease holders that the latest version or its phase has changed, so that they ask for it at once.
     VersionChanged(ConfigVersion),
     /// A client proposes a version.
     Propose(Proposal),
-    /// What became of a proposal.
+    /// The leader answers a proposal.
     ProposalOutcome {
-        /// The proposal.
+        /// The answered proposal.
         proposal: ProposalId,
-        /// Its outcome.
+        /// The proposal's outcome.
         outcome: ProposalOutcome,
     },
 }
 
-/// A client's question for the latest version.
+/// A client's request for the latest version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseRequest {
     /// The client's name.
     pub client: String,
     /// The client's id for this request.
     pub id: RequestId,
-    /// Whether the client wants a lease. A client that only reads, such as the command line, must not delay the next rollout.
+    /// Whether the client asks for a lease. A client that only reads, such as the command line, must not delay the next rollout.
     pub wants_lease: bool,
     /// The latest version that the client knew of when it sent the request.
     pub known_version: ConfigVersion,
@@ -59,7 +59,7 @@
     pub cached: VersionNumbers,
 }
 
-/// The numbers of the version in force and of the proposed one; 0 for none.
+/// The numbers of the version in force and of the proposed version. [`ConfigVersion::NONE`] stands for a missing version.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionNumbers {
     /// The version in force.
@@ -68,31 +68,32 @@
     pub proposed: ConfigVersion,
 }
 
-/// The leader's response to a [`LeaseRequest`]. It is sent once a majority has confirmed, after the request came, that the
-/// sender still leads.
+/// The leader's response to a [`LeaseRequest`].
+///
+/// The leader sends it after a quorum has confirmed, later than the request arrived, that the sender still leads.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseResponse {
-    /// The request that it answers.
+    /// The answered request.
     pub request: RequestId,
-    /// The number of the latest version; 0 before the first.
+    /// The latest version; [`ConfigVersion::NONE`] before the first.
     pub version: ConfigVersion,
     /// The latest version's phase.
     pub phase: RolloutPhase,
 }
 
-/// The texts of the version in force and of the proposed one, each where the recipient lacks it.
+/// The texts of the version in force and of the proposed version, without those that the recipient has.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionTexts {
     /// The version in force.
     pub in_force: Option<Version>,
-    /// The version that is to follow it.
+    /// The proposed version.
     pub proposed: Option<Version>,
 }
 
 impl Message {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Encoding into a vector fails for no type that a message holds.
+        // Encoding into a vector cannot fail for the types in a message.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -100,7 +101,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::MessageTooLarge`] beyond [`MAX_MESSAGE_BYTES`]; [`Error::MalformedMessage`] where the bytes are no message.
+    /// Returns [`Error::MessageTooLarge`] for more than [`MAX_MESSAGE_BYTES`], and [`Error::MalformedMessage`] if the bytes do
+    /// not encode a message.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(Error::MessageTooLarge { bytes: bytes.len() });
--- a/crates/replicated_config/src/raft_message.rs
+++ b/crates/replicated_config/src/raft_message.rs
@@ -1,11 +1,11 @@
-//! Raft's messages in an encoding of our own. Neither the library's encoding nor its parser meets bytes from the network.
+//! Raft messages in this crate's own encoding. Bytes from the network never reach the parser of the Raft library.
 
 use crate::ids::ReplicaId;
 use crate::log::{LogEntry, LogIndex, Snapshot, Term};
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// The message types that replicas send each other; the library's other types stay inside a replica.
+/// The message types that replicas accept from each other. The library uses its other types only within a replica.
 const REPLICA_MESSAGE_TYPES: [MessageType; 10] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -19,7 +19,7 @@
     MessageType::MsgTimeoutNow,
 ];
 
-/// A message of the Raft library, field by field. The order of the fields is part of the encoding.
+/// A message of the Raft library. The order of the fields is part of the encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RaftMessage {
     message_type: u8,
@@ -40,7 +40,7 @@
 }
 
 impl RaftMessage {
-    /// The replica that it is for.
+    /// Returns the recipient.
     pub fn to(&self) -> ReplicaId {
         self.to
     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The library's message, where this is one that a replica may send.
+    /// Converts to the library's message. Returns `None` if no configured replica may have sent it.
     pub(crate) fn into_raft(self, replicas: &[ReplicaId]) -> Option<eraftpb::Message> {
         let is_type = |known: &MessageType| *known as u8 == self.message_type;
         let message_type = REPLICA_MESSAGE_TYPES.into_iter().find(is_type)?;
@@ -96,7 +96,7 @@
         Some(message)
     }
 
-    /// The library takes this for granted and would panic at a gap.
+    /// Returns whether the entries follow `index` without a gap. The library would panic at a gap.
     fn entries_are_consecutive(&self) -> bool {
         self.entries.is_empty()
             || self
--- a/crates/replicated_config/src/raft_storage.rs
+++ b/crates/replicated_config/src/raft_storage.rs
@@ -1,9 +1,10 @@
-//! The durable state in memory, as the Raft library reads it.
+//! The replica's log as the Raft library reads it, and conversions between the log's types and those of the library.
 
+use crate::error::Error;
 use crate::ids::ReplicaId;
-use crate::log::{DurableState, LogEntry, LogIndex, Snapshot, Term};
+use crate::log::{DurableState, HardState, LogEntry, LogIndex, LogRecord, Snapshot, Term};
 use raft::eraftpb::{self, ConfState};
-use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
+use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
 impl LogEntry {
     pub(crate) fn from_raft(entry: &eraftpb::Entry) -> Self {
@@ -23,7 +24,8 @@
 impl Snapshot {
     pub(crate) fn from_raft(snapshot: &eraftpb::Snapshot) -> Self {
         let metadata = snapshot.get_metadata();
-        Self { index: LogIndex(metadata.index), term: Term(metadata.term), state: snapshot.data.to_vec() }
+        let (index, term) = (LogIndex(metadata.index), Term(metadata.term));
+        Self { index, term, state: snapshot.data.to_vec() }
     }
 
     pub(crate) fn to_raft(&self, replicas: &[ReplicaId]) -> eraftpb::Snapshot {
@@ -37,25 +39,59 @@
     }
 }
 
+impl HardState {
+    pub(crate) fn from_raft(hard_state: &eraftpb::HardState) -> Self {
+        Self {
+            term: Term(hard_state.term),
+            vote: ReplicaId::from_raft(hard_state.vote),
+            commit: LogIndex(hard_state.commit),
+        }
+    }
+
+    fn to_raft(self) -> eraftpb::HardState {
+        eraftpb::HardState {
+            term: self.term.0,
+            vote: ReplicaId::to_raft(self.vote),
+            commit: self.commit.0,
+            ..eraftpb::HardState::default()
+        }
+    }
+}
+
 fn conf_state(replicas: &[ReplicaId]) -> ConfState {
     ConfState { voters: replicas.iter().map(|replica| replica.0).collect(), ..ConfState::default() }
 }
 
-/// The replica's log, for the Raft library.
+/// The durable state in memory, from which the Raft library reads.
 pub(crate) struct LogStorage {
-    pub(crate) durable: DurableState,
-    pub(crate) replicas: Vec<ReplicaId>,
+    durable: DurableState,
+    replicas: Vec<ReplicaId>,
+}
+
+impl LogStorage {
+    /// Creates the storage of a replica that resumes from `durable`.
+    pub(crate) fn new(durable: DurableState, replicas: Vec<ReplicaId>) -> Self {
+        Self { durable, replicas }
+    }
+
+    pub(crate) fn durable(&self) -> &DurableState {
+        &self.durable
+    }
+
+    /// Returns all configured replicas.
+    pub(crate) fn replicas(&self) -> &[ReplicaId] {
+        &self.replicas
+    }
+
+    /// Applies a record that is also written to disk.
+    pub(crate) fn apply(&mut self, record: LogRecord) -> Result<(), Error> {
+        self.durable.apply(record)
+    }
 }
 
 impl Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let durable = self.durable.hard_state;
-        let hard_state = eraftpb::HardState {
-            term: durable.term.0,
-            vote: durable.vote.map_or(0, |replica| replica.0),
-            commit: durable.commit.0,
-            ..eraftpb::HardState::default()
-        };
+        let hard_state = self.durable.hard_state.to_raft();
         Ok(RaftState { hard_state, conf_state: conf_state(&self.replicas) })
     }
 
@@ -66,9 +102,9 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        let first = self.durable.snapshot.index.0 + 1;
+        let first = self.first_index()?;
         if low < first {
-            return Err(Error::Store(StorageError::Compacted));
+            return Err(raft::Error::Store(StorageError::Compacted));
         }
         let max_bytes = max_size.into().unwrap_or(u64::MAX);
         let mut bytes = 0;
@@ -83,17 +119,16 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.durable.snapshot.index.0 {
-            return Err(Error::Store(StorageError::Compacted));
+        let index = LogIndex(index);
+        if index < self.durable.snapshot.index {
+            return Err(raft::Error::Store(StorageError::Compacted));
         }
-        self.durable
-            .term_at(LogIndex(index))
-            .map(|term| term.0)
-            .ok_or(Error::Store(StorageError::Unavailable))
+        let term = self.durable.term_at(index);
+        term.map(|term| term.0).ok_or(raft::Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.durable.snapshot.index.0 + 1)
+        Ok(self.durable.snapshot.index.next().0)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
@@ -101,8 +136,8 @@
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
-        if request_index > self.durable.snapshot.index.0 {
-            return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
+        if LogIndex(request_index) > self.durable.snapshot.index {
+            return Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.durable.snapshot.to_raft(&self.replicas))
     }
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -1,13 +1,17 @@
 //! A Raft replica without I/O: the library's state machine, the replicated state, and the leases that it grants while it leads.
 
-mod apply;
+mod leadership;
+mod pending_proposals;
+mod raft_config;
+mod raft_ready;
 mod read_rounds;
 mod ready;
+mod tick_clock;
 
 pub use ready::{Envelope, Ready};
 
 use crate::error::Error;
-use crate::ids::{ProposalId, ReplicaId};
+use crate::ids::ReplicaId;
 use crate::lease::LeaseTable;
 use crate::limits::MAX_TEXT_BYTES;
 use crate::log::{DurableState, LogIndex, Term};
@@ -15,73 +19,53 @@
 use crate::raft_message::RaftMessage;
 use crate::raft_storage::LogStorage;
 use crate::state::{Command, ConfigState, Proposal, ProposalOutcome};
-use crate::version::ConfigVersion;
-use raft::{Config, RawNode, ReadOnlyOption};
+use leadership::Activation;
+use pending_proposals::PendingProposals;
+use raft::RawNode;
+use raft_config::raft_config;
 use read_rounds::ReadRounds;
-use std::collections::HashMap;
-
-/// Time from one tick of the Raft library to the next.
-const TICK_MS: u64 = 50;
-/// Ticks between two heartbeats of a leader.
-const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a heartbeat after which the first replica stands for election.
-const ELECTION_TICKS: usize = 16;
-/// Further ticks that each next replica waits, so that two seldom stand at once. Nothing is random, so that a simulated run can
-/// be repeated.
-const ELECTION_STAGGER_TICKS: usize = 4;
-/// Ticks that are made up for after a pause: enough to stand for election, and no more.
-const MAX_CATCH_UP_TICKS: u64 = 64;
-/// Entries after which the log is compacted.
-const MAX_RETAINED_ENTRIES: usize = 256;
-/// Proposals, and likewise lease requests, that may wait.
+use tick_clock::TickClock;
+
+/// Maximum number of pending proposals, and likewise of waiting lease requests.
 const MAX_PENDING: usize = 4_096;
-/// Append messages to one replica that may be unanswered.
-const MAX_INFLIGHT_APPENDS: usize = 16;
-/// Uncommitted entries hold no more bytes than this many of the largest texts.
-const MAX_UNCOMMITTED_TEXTS: u64 = 8;
 
-/// How far a replica's log is.
+/// The progress of a replica's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// The current term.
     pub term: Term,
-    /// The last entry that is known to be committed.
+    /// The last entry known to be committed.
     pub committed: LogIndex,
 }
 
-/// The term in which a version was last proposed for activation, and its number.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Activation {
-    term: Term,
-    version: ConfigVersion,
-}
-
 /// One of the replicas that keep the log.
+///
+/// Each method that handles an event adds its output to a [`Ready`], which the caller takes with [`Replica::take_ready`].
 pub struct Replica {
     raw_node: RawNode<LogStorage>,
     id: ReplicaId,
     state: ConfigState,
+    clock: TickClock,
     lease_duration_ms: u64,
-    last_tick_ms: u64,
-    /// While this replica leads.
+    /// The granted leases; `None` unless this replica is the leader.
     leases: Option<LeaseTable>,
-    /// Lease requests that wait for a majority to confirm that this replica leads.
+    /// Lease requests that wait for a quorum to confirm that this replica leads.
     reads: ReadRounds,
-    /// Who waits for the outcome of a proposal.
-    proposers: HashMap<ProposalId, String>,
+    pending_proposals: PendingProposals,
+    /// The last activation command that this replica has appended.
     last_activation: Option<Activation>,
     ready: Ready,
 }
 
 impl Replica {
-    /// Creates a replica that goes on from what it has written to disk.
+    /// Creates a replica that resumes from its durable state.
     ///
-    /// `id` is its own among `replicas`.
+    /// `id` is the replica's own id among `replicas`.
     ///
     /// # Errors
     ///
-    /// [`Error::UnknownReplica`]; [`Error::UnreadableSnapshot`], [`Error::MissingCommittedEntries`],
-    /// [`Error::EntryOfUnknownTerm`] or [`Error::Raft`] where the durable state cannot be used.
+    /// Returns [`Error::UnknownReplica`] if `replicas` lacks `id`, and [`Error::UnreadableSnapshot`],
+    /// [`Error::MissingCommittedEntries`], [`Error::EntryOfUnknownTerm`] or [`Error::Raft`] if the durable state is damaged.
     pub fn new(
         id: ReplicaId,
         replicas: &[ReplicaId],
@@ -89,25 +73,26 @@
         lease_duration_ms: u64,
         now_ms: u64,
     ) -> Result<Self, Error> {
-        let position = replicas.iter().position(|replica| *replica == id);
-        let position = position.ok_or(Error::UnknownReplica { id, replica_count: replicas.len() })?;
+        let index_in_list = replicas.iter().position(|replica| *replica == id);
+        let index_in_list =
+            index_in_list.ok_or(Error::UnknownReplica { id, replica_count: replicas.len() })?;
         let state = match &durable.snapshot.state[..] {
             [] => ConfigState::default(),
             encoded => postcard::from_bytes(encoded).map_err(Error::UnreadableSnapshot)?,
         };
         durable.check_complete()?;
-        let config = raft_config(id, position, durable.snapshot.index);
-        let storage = LogStorage { durable, replicas: replicas.to_vec() };
+        let config = raft_config(id, index_in_list, durable.snapshot.index);
+        let storage = LogStorage::new(durable, replicas.to_vec());
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let mut replica = Self {
             raw_node: RawNode::new(&config, storage, &logger)?,
             id,
             state,
+            clock: TickClock::new(now_ms),
             lease_duration_ms,
-            last_tick_ms: now_ms,
             leases: None,
             reads: ReadRounds::default(),
-            proposers: HashMap::new(),
+            pending_proposals: PendingProposals::default(),
             last_activation: None,
             ready: Ready::default(),
         };
@@ -115,65 +100,63 @@
         Ok(replica)
     }
 
-    /// The committed state as far as this replica knows it.
+    /// Returns the committed state as far as this replica knows it.
     pub fn state(&self) -> &ConfigState {
         &self.state
     }
 
-    /// The leader as far as this replica knows it.
+    /// Returns the leader as far as this replica knows it.
     pub fn leader(&self) -> Option<ReplicaId> {
         ReplicaId::from_raft(self.raw_node.raft.leader_id)
     }
 
-    /// The leader, where it is another replica.
+    /// Returns the leader to redirect a client to, unless it is this replica itself.
     fn other_leader(&self) -> Option<ReplicaId> {
         self.leader().filter(|leader| *leader != self.id)
     }
 
-    /// The current term and the last committed entry.
+    /// Returns the current term and the last committed entry.
     pub fn progress(&self) -> Progress {
         let raft = &self.raw_node.raft;
         Progress { term: Term(raft.term), committed: LogIndex(raft.raft_log.committed) }
     }
 
-    /// How many entries the log holds behind its snapshot.
+    /// Returns the number of entries that the log holds after its snapshot.
     pub fn retained_entries(&self) -> usize {
-        self.raw_node.store().durable.entries.len()
+        self.raw_node.store().durable().entries.len()
     }
 
-    /// Clients that may still hold a lease on a version before the proposed one.
+    /// Returns the clients that may still hold a lease on a version before the proposed one.
     pub fn holders_behind(&self, now_ms: u64) -> Vec<String> {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return Vec::new() };
         leases.holders_behind(now_ms, proposed.number).map(str::to_owned).collect()
     }
 
-    /// When [`Replica::tick`] is due.
+    /// Returns when [`Replica::tick`] is due.
     pub fn next_tick_ms(&self) -> u64 {
-        self.last_tick_ms + TICK_MS
+        self.clock.next_tick_ms()
     }
 
-    /// Advances the clock.
+    /// Advances the clock, which may start an election, a heartbeat or the activation of a version.
     pub fn tick(&mut self, now_ms: u64) {
-        let ticks = now_ms.saturating_sub(self.last_tick_ms) / TICK_MS;
-        self.last_tick_ms += ticks * TICK_MS;
-        for _ in 0..ticks.min(MAX_CATCH_UP_TICKS) {
+        for _ in 0..self.clock.advance(now_ms) {
             self.raw_node.tick();
         }
         self.advance(now_ms);
     }
 
-    /// Handles a message of another replica.
+    /// Handles a message from another replica. Messages that are invalid or for another replica are dropped.
     pub fn on_raft_message(&mut self, now_ms: u64, message: RaftMessage) {
-        let replicas = &self.raw_node.store().replicas;
+        let replicas = self.raw_node.store().replicas();
         let Some(message) = message.into_raft(replicas).filter(|message| message.to == self.id.0) else {
             return;
         };
-        // A message that does not fit the state is dropped, as if it had been lost.
+        // Raft tolerates lost messages, so one that the library rejects is dropped.
         let _ = self.raw_node.step(message);
         self.advance(now_ms);
     }
 
-    /// Handles a client's question for the latest version.
+    /// Handles a client's lease request: redirects it, or answers it once a quorum has confirmed that this replica leads.
     pub fn on_lease_request(&mut self, now_ms: u64, request: LeaseRequest) {
         if self.leases.is_none() {
             let redirect = Message::RedirectLeaseRequest { request: request.id, leader: self.other_leader() };
@@ -184,17 +167,17 @@
         self.advance(now_ms);
     }
 
-    /// Handles a client's proposal. The outcome is sent to `proposer`.
+    /// Handles a client's proposal. The outcome or a redirect is sent to `proposer`.
     pub fn propose(&mut self, now_ms: u64, proposer: &str, proposal: Proposal) {
-        match self.reply_at_once(&proposal) {
+        match self.immediate_reply(&proposal) {
             Some(reply) => self.ready.send_to_client(proposer.to_owned(), reply),
             None => self.append_proposal(proposer, proposal),
         }
         self.advance(now_ms);
     }
 
-    /// The reply to a proposal that is not to be appended to the log.
-    fn reply_at_once(&self, proposal: &Proposal) -> Option<Message> {
+    /// Returns the reply to a proposal that needs no entry in the log: a redirect, or an outcome that is known already.
+    fn immediate_reply(&self, proposal: &Proposal) -> Option<Message> {
         let id = proposal.id;
         if self.leases.is_none() {
             return Some(Message::RedirectProposal { proposal: id, leader: self.other_leader() });
@@ -207,48 +190,29 @@
         Some(Message::ProposalOutcome { proposal: id, outcome })
     }
 
+    /// Appends a proposal to the log, unless it is pending already. A proposal beyond the limit is dropped; its proposer retries.
     fn append_proposal(&mut self, proposer: &str, proposal: Proposal) {
         let id = proposal.id;
-        let is_pending = self.proposers.insert(id, proposer.to_owned()).is_some();
-        if is_pending {
+        let was_pending = self.pending_proposals.insert(id, proposer);
+        if was_pending {
             return;
         }
-        if self.proposers.len() > MAX_PENDING || !self.append_command(&Command::Propose(proposal)) {
-            self.proposers.remove(&id);
+        if self.pending_proposals.exceeds_limit() || !self.append_command(&Command::Propose(proposal)) {
+            self.pending_proposals.remove(id);
         }
     }
 
-    /// Appends a command to the log. Returns false where the library accepts none now.
+    /// Appends a command to the log. Returns false if the library does not accept it now.
     fn append_command(&mut self, command: &Command) -> bool {
         let data = postcard::to_stdvec(command).unwrap_or_default();
         self.raw_node.propose(Vec::new(), data).is_ok()
     }
 
-    /// Returns what is to be done since the last call.
+    /// Returns the output since the last call.
     pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.ready)
     }
 }
 
-fn raft_config(id: ReplicaId, position: usize, applied: LogIndex) -> Config {
-    let election_ticks = ELECTION_TICKS + ELECTION_STAGGER_TICKS * position;
-    Config {
-        id: id.0,
-        election_tick: ELECTION_TICKS,
-        heartbeat_tick: HEARTBEAT_TICKS,
-        applied: applied.0,
-        max_size_per_msg: MAX_TEXT_BYTES as u64,
-        max_inflight_msgs: MAX_INFLIGHT_APPENDS,
-        check_quorum: true,
-        pre_vote: true,
-        // The library picks from a range; a range of one value leaves nothing to chance.
-        min_election_tick: election_ticks,
-        max_election_tick: election_ticks + 1,
-        read_only_option: ReadOnlyOption::Safe,
-        max_uncommitted_size: MAX_UNCOMMITTED_TEXTS * MAX_TEXT_BYTES as u64,
-        ..Config::default()
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -0,0 +1,93 @@
+//! The leader's duties: it confirms reads, answers lease requests, and puts the proposed version in force.
+
+use super::Replica;
+use crate::lease::LeaseTable;
+use crate::log::Term;
+use crate::message::{LeaseRequest, LeaseResponse, Message, VersionTexts};
+use crate::state::Command;
+use crate::version::{ConfigVersion, Version};
+use raft::StateRole;
+
+/// An activation command that was appended to the log: the version, and the term in which it was appended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Activation {
+    term: Term,
+    version: ConfigVersion,
+}
+
+impl Replica {
+    /// Handles a change of this replica's role.
+    pub(super) fn on_role(&mut self, now_ms: u64, role: StateRole) {
+        if role != StateRole::Leader {
+            self.leases = None;
+            self.reads.clear();
+            // Proposers retry, and are redirected to the new leader.
+            self.pending_proposals.clear();
+        } else if self.leases.is_none() {
+            self.leases = Some(LeaseTable::new(now_ms, self.lease_duration_ms));
+        }
+    }
+
+    /// Appends the command that puts the proposed version in force, as soon as no lease forbids it and at most once in a term.
+    /// Returns whether it was appended.
+    pub(super) fn activate_proposed(&mut self, now_ms: u64) -> bool {
+        let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return false };
+        let activation = Activation { term: self.progress().term, version: proposed.number };
+        if self.last_activation == Some(activation) || !leases.may_activate(now_ms, activation.version) {
+            return false;
+        }
+        if !self.append_command(&Command::Activate(activation.version)) {
+            return false;
+        }
+        self.last_activation = Some(activation);
+        true
+    }
+
+    /// Starts a confirmation round for the waiting lease requests.
+    pub(super) fn start_read_round(&mut self) {
+        // A leader knows the last committed entry only once it has committed an entry of its own term.
+        let may_read = self.leases.is_some() && self.raw_node.raft.commit_to_current_term();
+        if may_read && self.reads.can_start() {
+            let context = self.reads.start();
+            self.raw_node.read_index(context);
+        }
+    }
+
+    /// Answers the lease requests of a confirmed round, and starts the next round.
+    pub(super) fn finish_read_round(&mut self, now_ms: u64, context: Vec<u8>) {
+        for request in self.reads.finish(context) {
+            self.respond(now_ms, request);
+        }
+        self.start_read_round();
+    }
+
+    /// Answers a confirmed lease request, with the texts that its client lacks.
+    fn respond(&mut self, now_ms: u64, request: LeaseRequest) {
+        let Some(leases) = &mut self.leases else { return };
+        let LeaseRequest { client, id, wants_lease, known_version, cached } = request;
+        if wants_lease && !leases.grant(now_ms, &client, id, known_version) {
+            return;
+        }
+        let latest = self.state.latest();
+        let response = LeaseResponse { request: id, version: latest.number, phase: latest.phase };
+        let texts = VersionTexts {
+            in_force: unless_cached(self.state.in_force(), cached.in_force),
+            proposed: unless_cached(self.state.proposed(), cached.proposed),
+        };
+        self.ready.send_to_client(client, Message::LeaseResponse(response, Box::new(texts)));
+    }
+
+    /// Notifies lease holders of a change, so that they ask at once and not only with their next regular request.
+    pub(super) fn notify_lease_holders(&mut self, now_ms: u64) {
+        let Some(leases) = &self.leases else { return };
+        for holder in leases.holders(now_ms) {
+            let message = Message::VersionChanged(self.state.latest_number());
+            self.ready.send_to_client(holder.to_owned(), message);
+        }
+    }
+}
+
+/// Returns a copy of the version, or `None` if the client has it.
+fn unless_cached(version: Option<&Version>, cached: ConfigVersion) -> Option<Version> {
+    version.filter(|version| version.number != cached).cloned()
+}
--- /dev/null
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -0,0 +1,136 @@
+//! Processes the output of the Raft library: records to persist, messages to send, committed commands to apply, and confirmed
+//! reads to answer.
+
+use super::Replica;
+use crate::log::{HardState, LogEntry, LogIndex, LogRecord, Snapshot, Term};
+use crate::message::Message;
+use crate::raft_message::RaftMessage;
+use crate::state::Command;
+use raft::eraftpb;
+
+/// Number of entries at which the log is compacted.
+const MAX_RETAINED_ENTRIES: usize = 256;
+
+impl Replica {
+    /// Processes all output that the last event has caused.
+    pub(super) fn advance(&mut self, now_ms: u64) {
+        self.start_read_round();
+        loop {
+            while self.raw_node.has_ready() {
+                self.process_raft_ready(now_ms);
+            }
+            if !self.activate_proposed(now_ms) {
+                break;
+            }
+        }
+        self.compact_log();
+    }
+
+    /// Processes one `Ready` of the library in the order that the library requires.
+    fn process_raft_ready(&mut self, now_ms: u64) {
+        let mut ready = self.raw_node.ready();
+        if let Some(soft_state) = ready.ss() {
+            self.on_role(now_ms, soft_state.raft_state);
+        }
+        self.send_to_replicas(ready.take_messages());
+        self.persist(&ready);
+        let confirmed_reads = ready.take_read_states();
+        let committed = ready.take_committed_entries();
+        self.send_to_replicas(ready.take_persisted_messages());
+        self.apply_committed(now_ms, committed);
+        let light_ready = self.raw_node.advance(ready);
+        self.process_light_ready(now_ms, light_ready);
+        self.raw_node.advance_apply();
+        // All entries that were committed when a round started are applied by now, so the state is as new as each request.
+        for read in confirmed_reads {
+            self.finish_read_round(now_ms, read.request_ctx);
+        }
+    }
+
+    /// Processes the output that the library has once its records are persisted.
+    fn process_light_ready(&mut self, now_ms: u64, mut light_ready: raft::LightReady) {
+        if let Some(commit) = light_ready.commit_index() {
+            let hard_state = self.raw_node.store().durable().hard_state;
+            self.write(LogRecord::HardState(HardState { commit: LogIndex(commit), ..hard_state }));
+        }
+        self.send_to_replicas(light_ready.take_messages());
+        self.apply_committed(now_ms, light_ready.take_committed_entries());
+    }
+
+    /// Writes the library's snapshot, entries and hard state, in this order.
+    fn persist(&mut self, ready: &raft::Ready) {
+        if !ready.snapshot().is_empty() {
+            self.install_snapshot(Snapshot::from_raft(ready.snapshot()));
+        }
+        let entries: Vec<LogEntry> = ready.entries().iter().map(LogEntry::from_raft).collect();
+        if !entries.is_empty() {
+            self.write(LogRecord::Entries(entries));
+        }
+        if let Some(hard_state) = ready.hs() {
+            self.write(LogRecord::HardState(HardState::from_raft(hard_state)));
+        }
+    }
+
+    /// Replaces the state by that of a leader's snapshot, and writes the snapshot.
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
+        if let Ok(state) = postcard::from_bytes(&snapshot.state) {
+            self.state = state;
+            self.ready.state_changed = true;
+        }
+        self.write(LogRecord::Snapshot(snapshot));
+    }
+
+    fn write(&mut self, record: LogRecord) {
+        let applied = self.raw_node.mut_store().apply(record.clone());
+        debug_assert!(applied.is_ok(), "the library wrote a gap: {applied:?}");
+        self.ready.records.push(record);
+    }
+
+    fn send_to_replicas(&mut self, messages: Vec<eraftpb::Message>) {
+        for message in &messages {
+            let message = RaftMessage::from_raft(message);
+            self.ready.send_to_replica(message.to(), Message::Raft(Box::new(message)));
+        }
+    }
+
+    /// Applies committed entries, and notifies lease holders if the latest version or its phase has changed.
+    fn apply_committed(&mut self, now_ms: u64, committed: Vec<eraftpb::Entry>) {
+        let latest_before = self.state.latest();
+        for entry in committed {
+            // The first entry of each leader is empty. All replicas skip an entry that cannot be decoded.
+            let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else { continue };
+            self.apply_command(command);
+        }
+        if self.state.latest() != latest_before {
+            self.notify_lease_holders(now_ms);
+        }
+    }
+
+    /// Applies a command. If it is a proposal whose proposer waits here, sends the outcome.
+    fn apply_command(&mut self, command: Command) {
+        let proposal = match &command {
+            Command::Propose(proposal) => Some(proposal.id),
+            Command::Activate(_) => None,
+        };
+        let outcome = self.state.apply(command);
+        self.ready.state_changed = true;
+        if let (Some(proposal), Some(outcome)) = (proposal, outcome)
+            && let Some(proposer) = self.pending_proposals.remove(proposal)
+        {
+            self.ready.send_to_client(proposer, Message::ProposalOutcome { proposal, outcome });
+        }
+    }
+
+    /// Replaces the applied entries by a snapshot once the log is long.
+    fn compact_log(&mut self) {
+        let durable = self.raw_node.store().durable();
+        let applied = LogIndex(self.raw_node.raft.raft_log.applied);
+        if durable.entries.len() < MAX_RETAINED_ENTRIES || applied <= durable.snapshot.index {
+            return;
+        }
+        let applied_entry = durable.entries.iter().find(|entry| entry.index == applied);
+        let term = applied_entry.map_or(Term::default(), |entry| entry.term);
+        let state = postcard::to_stdvec(&self.state).unwrap_or_default();
+        self.write(LogRecord::Snapshot(Snapshot { index: applied, term, state }));
+    }
+}
--- a/crates/replicated_config/src/replica/ready.rs
+++ b/crates/replicated_config/src/replica/ready.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done: records to write, then messages to send.
+//! The output of a replica: records to write, then messages to send.
 
 use crate::ids::ReplicaId;
 use crate::log::LogRecord;
@@ -13,14 +13,14 @@
     pub message: Message,
 }
 
-/// What is to be done, in the order of the fields.
+/// Pending output of a replica. The caller handles the fields in their order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
-    /// To be on disk before anything is sent. Where that fails, the replica must stop and nothing else here may be done.
+    /// Records to write to disk before any message is sent. If writing fails, the caller drops the replica and sends nothing.
     pub records: Vec<LogRecord>,
     /// Messages to other replicas.
     pub to_replicas: Vec<Envelope<ReplicaId>>,
-    /// Messages to clients, by name.
+    /// Messages to clients, by client name.
     pub to_clients: Vec<Envelope<String>>,
     /// Whether the committed state has changed.
     pub state_changed: bool,
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -1,27 +1,28 @@
-//! The replicated state: versions, proposals, and the commands of the log that change them. Each replica has the same state after
-//! the same commands.
+//! The replicated state: versions, proposals, and the log commands that change them. Replicas that have applied the same commands
+//! have the same state.
 
 use crate::ids::ProposalId;
 use crate::limits::MAX_TEXT_BYTES;
-use crate::version::{ConfigVersion, Version};
+use crate::version::{ConfigVersion, LatestVersion, RolloutPhase, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Activated versions whose texts are kept, including the one in force.
+/// Maximum number of activated versions whose texts are kept, including the version in force.
 const MAX_HISTORY: usize = 16;
-/// Proposals whose outcomes are kept. A retry that comes after that many other proposals counts as a new proposal.
+/// Maximum number of proposals whose outcomes are kept. A retry that arrives after that many other proposals counts as a new
+/// proposal.
 const MAX_RECORDED_OUTCOMES: usize = 256;
 
 /// A request to replace the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Proposal {
-    /// The same for each retry, so that the proposal is applied at most once.
+    /// The proposal's id. Retries repeat it, so that the proposal is applied at most once.
     pub id: ProposalId,
-    /// Who proposes it.
+    /// The user who proposes.
     pub proposed_by: String,
-    /// The version that must be in force for the proposal to be accepted; none where any may be.
+    /// If set, the proposal is accepted only while this version is in force.
     pub expected_version: Option<ConfigVersion>,
-    /// The new configuration.
+    /// The text of the new configuration.
     pub text: String,
 }
 
@@ -30,32 +31,33 @@
 pub enum Command {
     /// Propose a version.
     Propose(Proposal),
-    /// Put the proposed version of this number in force: no client holds a lease on the version before it alone.
+    /// Put the proposed version of this number in force. The leader appends this command once no client holds a lease on the
+    /// previous version alone.
     Activate(ConfigVersion),
 }
 
-/// What became of a proposal. The order of the variants is part of its encoding.
+/// The outcome of a proposal. The order of the variants is part of its encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum ProposalOutcome {
-    /// Accepted as the version of this number.
+    /// The proposal was accepted as the version of this number.
     Accepted(ConfigVersion),
-    /// Another version than the expected one is in force.
+    /// The expected version is not in force.
     VersionConflict {
         /// The version in force.
         in_force: ConfigVersion,
-        /// Who proposed it.
+        /// The user who proposed the version in force.
         proposed_by: String,
     },
     /// Another version is proposed and not yet in force.
     RolloutInProgress {
-        /// That version.
+        /// The proposed version.
         version: ConfigVersion,
-        /// Who proposed it.
+        /// The user who proposed it.
         proposed_by: String,
     },
     /// The text is longer than [`MAX_TEXT_BYTES`].
     TooLarge,
-    /// The leader found the text invalid, for this reason. Nothing was appended to the log.
+    /// The leader found the text invalid, for this reason. The proposal was not appended to the log.
     Rejected(String),
 }
 
@@ -69,40 +71,50 @@
 /// The state after all committed commands.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ConfigState {
-    /// Versions that were put in force; the last one is in force.
+    /// Activated versions, oldest first. The last one is in force.
     history: VecDeque<Version>,
     proposed: Option<Version>,
-    /// The oldest first.
+    /// Outcomes of recent proposals, oldest first.
     outcomes: VecDeque<RecordedOutcome>,
 }
 
 impl ConfigState {
-    /// The version in force.
+    /// Returns the version in force.
     pub fn in_force(&self) -> Option<&Version> {
         self.history.back()
     }
 
-    /// The version that is to follow it.
+    /// Returns the proposed version, which is to follow the version in force.
     pub fn proposed(&self) -> Option<&Version> {
         self.proposed.as_ref()
     }
 
-    /// The kept versions, from the oldest to the one in force.
+    /// Returns the kept versions, from the oldest to the one in force.
     pub fn history(&self) -> impl Iterator<Item = &Version> {
         self.history.iter()
     }
 
-    /// The outcome of a proposal, if it is still recorded.
+    /// Returns the outcome of a proposal if it is still recorded.
     pub fn outcome(&self, proposal: ProposalId) -> Option<&ProposalOutcome> {
         self.outcomes.iter().find(|recorded| recorded.proposal == proposal).map(|recorded| &recorded.outcome)
     }
 
-    /// The number of the latest version, proposed or in force; 0 before the first.
+    /// Returns the number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
     pub fn latest_number(&self) -> ConfigVersion {
-        self.proposed.as_ref().or(self.in_force()).map_or(ConfigVersion::NONE, |version| version.number)
+        let latest = self.proposed.as_ref().or(self.in_force());
+        latest.map_or(ConfigVersion::NONE, |version| version.number)
     }
 
-    /// Applies the next command. Returns the outcome of a proposal.
+    /// Returns the latest version and its phase. Before the first version the phase is [`RolloutPhase::InForce`].
+    pub fn latest(&self) -> LatestVersion {
+        let phase = match self.proposed {
+            Some(_) => RolloutPhase::Proposed,
+            None => RolloutPhase::InForce,
+        };
+        LatestVersion { number: self.latest_number(), phase }
+    }
+
+    /// Applies the next command. Returns the outcome if the command is a proposal.
     pub fn apply(&mut self, command: Command) -> Option<ProposalOutcome> {
         match command {
             Command::Propose(proposal) => Some(self.apply_proposal(proposal)),
@@ -113,6 +125,7 @@
         }
     }
 
+    /// Applies a proposal, or returns its recorded outcome if it is a retry.
     fn apply_proposal(&mut self, proposal: Proposal) -> ProposalOutcome {
         let id = proposal.id;
         if let Some(recorded) = self.outcome(id) {
@@ -145,6 +158,7 @@
         ProposalOutcome::Accepted(number)
     }
 
+    /// Puts the proposed version in force. Does nothing if another version, or none, is proposed.
     fn activate(&mut self, number: ConfigVersion) {
         let Some(version) = self.proposed.take_if(|version| version.number == number) else { return };
         self.history.push_back(version);
