--- a/crates/replicated_config/src/lease/client/tests.rs
+++ b/crates/replicated_config/src/lease/client/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_lease_lasts_from_its_request_on_and_only_the_last_request_is_answered() {
+fn a_lease_lasts_from_its_request_and_only_the_last_request_counts() {
     let mut client = client(7);
     let first = client.start_request(1_000, 3).id;
     let second = client.start_request(1_500, 3).id;
@@ -28,11 +28,11 @@
 }
 
 #[test]
-fn a_silent_replica_is_not_asked_again_before_all_others() {
+fn an_unreachable_replica_is_asked_again_only_after_all_others() {
     let mut client = client(0);
     let asked: Vec<u64> = (0..5).map(|i| client.start_request(i * 250, 3).replica.0).collect();
     assert_eq!(asked, [1, 2, 3, 1, 2]);
-    assert!(!client.on_redirect(RequestId(0), Some(ReplicaId(3))), "of an earlier request");
+    assert!(!client.on_redirect(RequestId(0), Some(ReplicaId(3))), "a redirect of an earlier request");
     assert!(client.on_redirect(RequestId(4), Some(ReplicaId(3))));
     let request = client.start_request(1_300, 3);
     assert_eq!(request.replica, ReplicaId(3));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_response_never_leads_back_to_an_earlier_version() {
+fn a_response_with_an_earlier_version_is_rejected() {
     let mut client = client(0);
     let request = client.start_request(0, 3).id;
     assert!(client.on_response(response(request, 2, RolloutPhase::InForce)));
--- a/crates/replicated_config/src/log/tests.rs
+++ b/crates/replicated_config/src/log/tests.rs
@@ -6,10 +6,10 @@
 }
 
 #[test]
-fn entries_that_are_written_again_replace_what_was_there_and_behind_it() {
+fn rewritten_entries_discard_all_entries_from_their_first_index_on() {
     let mut state = DurableState::default();
-    state.apply(entries(1..=5, 1)).expect("it follows");
-    state.apply(entries(3..=4, 2)).expect("it follows");
+    state.apply(entries(1..=5, 1)).expect("the record follows");
+    state.apply(entries(3..=4, 2)).expect("the record follows");
     let terms = [2, 4, 5].map(|index| state.term_at(LogIndex(index)));
     assert_eq!(state.last_index(), LogIndex(4));
     assert_eq!(terms, [Some(Term(1)), Some(Term(2)), None]);
@@ -18,16 +18,16 @@
 }
 
 #[test]
-fn a_snapshot_replaces_what_is_up_to_it_and_all_where_the_log_is_another() {
+fn a_snapshot_discards_entries_up_to_its_index_or_all_if_the_log_differs() {
     let mut state = DurableState::default();
-    state.apply(entries(1..=5, 1)).expect("it follows");
+    state.apply(entries(1..=5, 1)).expect("the record follows");
     let snapshot = |index, term| {
         LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state: vec![7] })
     };
-    state.apply(snapshot(3, 1)).expect("it follows");
+    state.apply(snapshot(3, 1)).expect("the record follows");
     assert_eq!((state.snapshot.index, state.last_index()), (LogIndex(3), LogIndex(5)));
     assert_eq!((state.entries.len(), state.term_at(LogIndex(3))), (2, Some(Term(1))));
-    state.apply(snapshot(9, 4)).expect("it replaces all");
+    state.apply(snapshot(9, 4)).expect("the snapshot can be installed");
     assert_eq!((state.last_index(), state.hard_state.commit), (LogIndex(9), LogIndex(9)));
     assert_eq!(state.entries, []);
 }
--- a/crates/replicated_config/src/replica/tests.rs
+++ b/crates/replicated_config/src/replica/tests.rs
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn a_replica_that_is_not_configured_does_not_start() {
+fn a_replica_outside_the_configured_list_does_not_start() {
     let error = start(4, DurableState::default()).err();
     assert!(matches!(error, Some(Error::UnknownReplica { id: ReplicaId(4), replica_count: 3 })), "{error:?}");
 }
 
 #[test]
-fn a_log_that_lacks_what_its_hard_state_says_is_refused() {
+fn a_log_that_contradicts_its_hard_state_is_rejected() {
     let entry = |term| LogEntry { index: LogIndex(1), term: Term(term), data: Vec::new() };
     assert!(start(1, durable(2, 1, vec![entry(2)])).is_ok());
     let error = start(1, durable(2, 2, vec![entry(2)])).err();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_read_is_refused() {
+fn an_unreadable_snapshot_is_rejected() {
     let snapshot = Snapshot { index: LogIndex(1), term: Term(1), state: vec![255; 3] };
     let error = start(1, DurableState { snapshot, ..durable(1, 1, Vec::new()) }).err();
     assert!(matches!(error, Some(Error::UnreadableSnapshot(_))), "{error:?}");
--- a/crates/replicated_config/src/state/tests.rs
+++ b/crates/replicated_config/src/state/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn of_two_proposals_one_is_accepted_and_the_other_is_told_which() {
+fn of_two_concurrent_proposals_one_is_accepted_and_the_other_learns_which() {
     let mut state = ConfigState::default();
     let by_first = || "p1".to_owned();
     assert_eq!(state.apply(propose(1, Some(0))), Some(ProposalOutcome::Accepted(ConfigVersion(1))));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn history_and_outcomes_are_bounded_and_too_large_a_text_is_rejected() {
+fn history_and_outcomes_are_bounded_and_a_too_large_text_is_rejected() {
     let mut state = ConfigState::default();
     let large = Proposal {
         id: ProposalId(0),
--- a/crates/replicated_config/tests/fixtures.rs
+++ b/crates/replicated_config/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Stored and exchanged forms: the bytes in `fixtures/` were written by release 0.1 at commit 1461877. They are read, and
-//! written byte for byte alike.
+//! Compatibility of stored and exchanged data with release 0.1. Commit 1461877 wrote the bytes in `fixtures/`. They must be
+//! decoded, and encoded again byte for byte.
 
 mod fixture;
 
@@ -82,7 +82,7 @@
     ]
 }
 
-/// One of each message, but for those between replicas: `transcript.rs` has these.
+/// One of each message except those between replicas, which `transcript.rs` covers.
 #[test]
 fn messages_are_read_and_written_as_before() {
     let messages = [lease_messages(), proposal_messages()].concat();
@@ -90,16 +90,16 @@
     matches_fixture("messages.txt", &named_bytes(&written));
     for ((name, message), (_, bytes)) in messages.into_iter().zip(written) {
         assert_eq!(Message::decode(&bytes).expect(name), message, "{name}");
-        // What is cut is no message.
+        // A truncated message is an error.
         (0..bytes.len()).for_each(|n| assert!(Message::decode(&bytes[..n]).is_err(), "{name}, {n} bytes"));
     }
 }
 
-/// A replica never sends the library's request to stand for election at once, yet accepts it.
+/// Replicas accept a request to stand for election at once (`MsgTimeoutNow`), though they never send one.
 #[test]
 fn a_timeout_now_message_is_read_and_written_as_before() {
     let bytes = [0, 14, 2, 1, 5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
-    let message = Message::decode(&bytes).expect("it is a message");
+    let message = Message::decode(&bytes).expect("the bytes are a message");
     assert_eq!(hex(&message.encode()), hex(&bytes));
 }
 
@@ -124,7 +124,7 @@
 
 #[test]
 fn log_records_are_read_and_written_as_before() {
-    let bytes = |record: &LogRecord| postcard::to_stdvec(record).expect("it has a form");
+    let bytes = |record: &LogRecord| postcard::to_stdvec(record).expect("it can be encoded");
     let written: Vec<_> = records().iter().map(|(name, record)| (*name, bytes(record))).collect();
     matches_fixture("records.txt", &named_bytes(&written));
     for ((name, record), (_, bytes)) in records().into_iter().zip(written) {
@@ -139,10 +139,10 @@
 fn the_durable_state_is_read_and_written_as_before() {
     let mut state = DurableState::default();
     let snapshot = Snapshot { index: LogIndex(298), term: Term(2), state: vec![9] };
-    state.apply(LogRecord::Snapshot(snapshot)).expect("it follows");
-    state.apply(LogRecord::Entries(vec![entry(299), entry(300)])).expect("it follows");
-    state.apply(LogRecord::HardState(hard_state(1))).expect("it follows");
-    let bytes = postcard::to_stdvec(&state).expect("it has a form");
+    state.apply(LogRecord::Snapshot(snapshot)).expect("the record follows");
+    state.apply(LogRecord::Entries(vec![entry(299), entry(300)])).expect("the record follows");
+    state.apply(LogRecord::HardState(hard_state(1))).expect("the record follows");
+    let bytes = postcard::to_stdvec(&state).expect("it can be encoded");
     matches_fixture("durable_state.txt", &named_bytes(&[("durable_state", bytes.clone())]));
     assert_eq!(postcard::from_bytes(&bytes), Ok(state));
 }
@@ -175,15 +175,15 @@
         expected_version: None,
         text: "x".repeat(256 * 1024 + 1),
     }));
-    let initial = postcard::to_stdvec(&ConfigState::default()).expect("it has a form");
+    let initial = postcard::to_stdvec(&ConfigState::default()).expect("it can be encoded");
     let mut written = vec![("initial_state", initial)];
     for (name, command) in commands {
-        let bytes = postcard::to_stdvec(&command).expect("it has a form");
+        let bytes = postcard::to_stdvec(&command).expect("it can be encoded");
         assert_eq!(postcard::from_bytes(&bytes), Ok(command.clone()), "{name}");
         written.push((name, bytes));
         state.apply(command);
     }
-    let bytes = postcard::to_stdvec(&state).expect("it has a form");
+    let bytes = postcard::to_stdvec(&state).expect("it can be encoded");
     written.push(("state", bytes.clone()));
     matches_fixture("state.txt", &named_bytes(&written));
     assert_eq!(postcard::from_bytes(&bytes), Ok(state));
--- a/crates/replicated_config/tests/malformed_messages.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -1,4 +1,4 @@
-//! Cut and random bytes against the decoder of messages.
+//! The message decoder with truncated and random bytes.
 
 use replicated_config::{
     ConfigVersion, LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ReplicaId, RequestId,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn messages_survive_their_encoding_and_garbage_is_an_error() {
+fn messages_round_trip_and_malformed_bytes_are_rejected() {
     let version = Version { number: ConfigVersion(3), proposed_by: "x".into(), text: "[[plan]]".into() };
     let messages = [
         Message::LeaseRequest(LeaseRequest {
@@ -31,8 +31,8 @@
     ];
     for message in messages {
         let bytes = message.encode();
-        assert_eq!(Message::decode(&bytes).expect("it is a message"), message);
-        // A cut message is an error; bytes that resemble a message may be decoded, within their own length.
+        assert_eq!(Message::decode(&bytes).expect("the bytes are a message"), message);
+        // A truncated message is an error. Other malformed bytes must not panic.
         (0..bytes.len()).for_each(|n| assert!(Message::decode(&bytes[..n]).is_err(), "{n} bytes"));
         fuzz_inputs::survives_garbage(&bytes, |pieces| drop(Message::decode(&pieces.concat())));
     }
--- a/crates/replicated_config/tests/transcript.rs
+++ b/crates/replicated_config/tests/transcript.rs
@@ -1,5 +1,5 @@
-//! What three replicas write and send in a fixed run: election, a proposal, and a snapshot for one that was cut off. The
-//! transcript in `fixtures/` was written by release 0.1 at commit 1461877.
+//! Records and messages of three replicas in a fixed run: an election, a proposal, and a snapshot for a replica that was cut off.
+//! Release 0.1 wrote the transcript in `fixtures/` at commit 1461877.
 
 mod fixture;
 
@@ -10,15 +10,25 @@
 };
 use std::collections::VecDeque;
 
+/// Time between two ticks of a replica.
+const TICK_MS: u64 = 50;
 const LEASE_DURATION_MS: u64 = 500;
 const REPLICAS: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
 
+/// A message that is being delivered.
+struct InFlightMessage {
+    from: ReplicaId,
+    to: ReplicaId,
+    bytes: Vec<u8>,
+}
+
+/// Three replicas whose output is recorded.
 struct Cluster {
     now_ms: u64,
     replicas: Vec<Replica>,
-    /// Receives nothing, and nobody receives from it.
+    /// This replica neither receives messages nor reaches the others.
     cut_off: Option<ReplicaId>,
-    /// What was written and sent, a line each, while it is recorded.
+    /// A line for each written or sent item; `None` while recording is paused.
     transcript: Option<String>,
 }
 
@@ -26,41 +36,41 @@
     fn new() -> Self {
         let replica = |id: &ReplicaId| {
             Replica::new(*id, &REPLICAS, DurableState::default(), LEASE_DURATION_MS, 0)
-                .expect("a new log can be used")
+                .expect("an empty log is valid")
         };
         let replicas = REPLICAS.iter().map(replica).collect();
         Self { now_ms: 0, replicas, cut_off: None, transcript: Some(String::new()) }
     }
 
-    fn note(&mut self, line: String) {
+    fn record(&mut self, line: String) {
         if let Some(transcript) = &mut self.transcript {
             transcript.push_str(&format!("{} {line}\n", self.now_ms));
         }
     }
 
     fn replica(&mut self, id: ReplicaId) -> &mut Replica {
-        &mut self.replicas[id.index().expect("it is a replica")]
+        &mut self.replicas[id.index().expect("the id is that of a replica")]
     }
 
-    /// Writes and delivers until nothing is left to be done at this moment.
+    /// Writes records and delivers messages until no replica has output left.
     fn settle(&mut self) {
-        let mut in_flight: VecDeque<(ReplicaId, ReplicaId, Vec<u8>)> = VecDeque::new();
+        let mut in_flight: VecDeque<InFlightMessage> = VecDeque::new();
         loop {
             for from in REPLICAS {
                 let ready = self.replica(from).take_ready();
                 if !ready.records.is_empty() {
-                    let bytes = postcard::to_stdvec(&ready.records).expect("they have a form");
-                    self.note(format!("{from} writes {}", hex(&bytes)));
+                    let bytes = postcard::to_stdvec(&ready.records).expect("they can be encoded");
+                    self.record(format!("{from} writes {}", hex(&bytes)));
                 }
                 for Envelope { to, message } in ready.to_replicas {
-                    self.note(format!("{from} to {to} {}", hex(&message.encode())));
-                    in_flight.push_back((from, to, message.encode()));
+                    self.record(format!("{from} to {to} {}", hex(&message.encode())));
+                    in_flight.push_back(InFlightMessage { from, to, bytes: message.encode() });
                 }
                 for Envelope { to, message } in ready.to_clients {
-                    self.note(format!("{from} to {to} {}", hex(&message.encode())));
+                    self.record(format!("{from} to {to} {}", hex(&message.encode())));
                 }
             }
-            let Some((from, to, bytes)) = in_flight.pop_front() else { return };
+            let Some(InFlightMessage { from, to, bytes }) = in_flight.pop_front() else { return };
             if self.cut_off.is_some_and(|replica| [from, to].contains(&replica)) {
                 continue;
             }
@@ -75,7 +85,7 @@
     fn run_for(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
-            self.now_ms += 50;
+            self.now_ms += TICK_MS;
             for replica in REPLICAS {
                 let now_ms = self.now_ms;
                 self.replica(replica).tick(now_ms);
@@ -86,7 +96,7 @@
 
     fn leader(&mut self) -> &mut Replica {
         let leader = REPLICAS.into_iter().find(|id| self.replica(*id).leader() == Some(*id));
-        self.replica(leader.expect("one leads"))
+        self.replica(leader.expect("there is a leader"))
     }
 
     fn propose(&mut self, id: u64) {
@@ -109,8 +119,8 @@
         self.settle();
     }
 
-    /// The term and committed index of each replica, and how many entries it retains.
-    fn note_progress(&mut self) {
+    /// Records the term, committed index and number of retained entries of each replica.
+    fn record_progress(&mut self) {
         let progress: Vec<_> = self
             .replicas
             .iter()
@@ -119,7 +129,7 @@
                 ((term.0, committed.0), replica.retained_entries())
             })
             .collect();
-        self.note(format!("progress {progress:?}"));
+        self.record(format!("progress {progress:?}"));
     }
 }
 
@@ -129,9 +139,9 @@
 }
 
 #[test]
-fn replicas_write_and_send_what_they_did_before() {
+fn replicas_write_and_send_the_recorded_transcript() {
     let mut cluster = Cluster::new();
-    // The first stands for election, and leads for longer than any lease lasts.
+    // The first replica is elected, and leads until leases of earlier leaders have expired.
     cluster.run_for(1_500);
     cluster.request_lease(1, 0, VersionNumbers::default());
     cluster.propose(1);
@@ -140,20 +150,20 @@
     cluster.request_lease(3, 1, VersionNumbers { in_force: ConfigVersion(1), proposed: ConfigVersion::NONE });
     cluster.replica(ReplicaId(3)).propose(1_500, "proposer", proposal(3, "p", "t"));
     cluster.settle();
-    // The third misses so much that its entries are no longer in the others' logs.
+    // The third replica misses entries that the others then compact.
     cluster.cut_off = Some(ReplicaId(3));
     let transcript = cluster.transcript.take();
     for id in 10..200 {
-        cluster.run_for(50);
+        cluster.run_for(TICK_MS);
         cluster.propose(id);
     }
     cluster.transcript = transcript;
-    cluster.note_progress();
+    cluster.record_progress();
     cluster.cut_off = None;
     cluster.run_for(1_000);
-    cluster.note_progress();
-    let transcript = cluster.transcript.take().expect("it was recorded");
-    // Pre-vote, vote, entries, heartbeats, a snapshot, and the answers to each.
+    cluster.record_progress();
+    let transcript = cluster.transcript.take().expect("the transcript was recorded");
+    // Pre-vote, vote, append, heartbeat and snapshot messages and their responses.
     for message_type in [17, 18, 5, 6, 3, 4, 8, 9, 7] {
         let message = format!(" 00{message_type:02x}");
         assert!(transcript.contains(&message), "no message of type {message_type}");
