--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,63 +1,63 @@
 //! Message authentication: a keyed hash (BLAKE3 in keyed mode) over the payload.
 //!
-//! The first key of a [`Keyring`] signs; all of them verify. To rotate the key, every instance gets the new key behind the
-//! old one, then in front of it, then the old one is removed: at each step all instances understand each other.
+//! The first key of a [`Keyring`] signs and all keys verify. To rotate the key, append the new key on every instance, then
+//! move it to the front, then remove the old key. In each step every instance accepts the messages of all others.
 //!
-//! The code shows that somebody with the key made the message, not when: a recorded message can be replayed. SWIM's
-//! incarnations and the versions of broadcasts make replays harmless, except for a member that has left for good and whose
-//! last messages are replayed: it is suspected and declared dead again.
+//! The authentication code does not prevent replays. SWIM's incarnation numbers and the versions of broadcasts make replays
+//! harmless, with one exception: replayed messages of a member that has left make it appear alive until it is suspected
+//! and declared dead again.
 
 use crate::MAX_DATAGRAM_BYTES;
 
 /// Bytes that [`Keyring::sign`] adds to a payload.
 pub const OVERHEAD_BYTES: usize = 1 + TAG_BYTES;
-/// The largest number of keys that may be valid at once.
+/// The maximum number of keys in a keyring.
 pub const MAX_KEYS: usize = 2;
 /// The length of a message authentication code.
 const TAG_BYTES: usize = 32;
 /// The length of a key.
 const KEY_BYTES: usize = 32;
-/// The first byte of each message: the version of its format.
+/// The first byte of each message, which identifies its format.
 const FORMAT_VERSION: u8 = 1;
 
 /// The keys of a cluster.
 #[derive(Clone)]
 pub struct Keyring {
-    /// Never empty. The first signs.
+    /// Never empty. The first key signs.
     keys: Vec<[u8; KEY_BYTES]>,
 }
 
 impl std::fmt::Debug for Keyring {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Keys are never shown.
+        // Secrets must not reach the log.
         write!(f, "Keyring({})", self.keys.len())
     }
 }
 
-/// Why a key file cannot be used. The texts never contain a key.
+/// The error of an unusable key file. Its text never contains a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyringError {
-    /// It holds no key.
+    /// The file contains no key.
     #[error("it holds no key: a line of 64 hexadecimal digits is needed")]
     Empty,
-    /// It holds more than [`MAX_KEYS`].
+    /// The file contains more than [`MAX_KEYS`] keys.
     #[error("it holds more than {MAX_KEYS} keys")]
     TooManyKeys,
     /// A line is not 64 hexadecimal digits.
     #[error("line {line} is not 64 hexadecimal digits")]
     MalformedLine {
-        /// The line's number, from 1.
+        /// The line number, from 1.
         line: usize,
     },
 }
 
 impl Keyring {
-    /// Parses a key file: one key a line, 64 hexadecimal digits each; empty lines and those that begin with `#` are
+    /// Parses a key file with one key per line, 64 hexadecimal digits each. Empty lines and lines that start with `#` are
     /// ignored.
     ///
     /// # Errors
     ///
-    /// See [`KeyringError`].
+    /// Returns a [`KeyringError`] if there is no key, too many keys or a malformed line.
     pub fn parse(text: &str) -> Result<Self, KeyringError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The message that carries this payload.
+    /// Returns the message that carries this payload with its authentication code.
     pub fn sign(&self, payload: &[u8]) -> Vec<u8> {
         let mut message = Vec::with_capacity(OVERHEAD_BYTES + payload.len());
         message.push(FORMAT_VERSION);
@@ -83,7 +83,8 @@
         message
     }
 
-    /// The payload of a datagram, if one of the keys signed it and it is within the size limit.
+    /// Returns the payload of a datagram signed with one of the keys. Returns `None` for any other datagram and for one
+    /// larger than [`MAX_DATAGRAM_BYTES`].
     pub fn verify<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
         if datagram.len() > MAX_DATAGRAM_BYTES {
             return None;
@@ -91,12 +92,13 @@
         self.verify_frame(datagram)
     }
 
-    /// The payload of a message of any length, if one of the keys signed it: for streams, whose reader limits the length.
+    /// Returns the payload of a message of any length, if it was signed with one of the keys. It serves streams, whose
+    /// reader limits the length.
     pub fn verify_frame<'a>(&self, frame: &'a [u8]) -> Option<&'a [u8]> {
         let (&version, rest) = frame.split_first()?;
         let (tag, payload) = rest.split_first_chunk::<TAG_BYTES>()?;
         let tag = blake3::Hash::from_bytes(*tag);
-        // Hashes compare in constant time.
+        // `blake3::Hash` compares in constant time.
         let signed_by = |key: &[u8; KEY_BYTES]| blake3::keyed_hash(key, payload) == tag;
         (version == FORMAT_VERSION && self.keys.iter().any(signed_by)).then_some(payload)
     }
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -1,4 +1,4 @@
-//! Keys, their rotation, and what is not authentic.
+//! Key files, key rotation and the rejection of unauthentic messages.
 
 use super::*;
 
@@ -7,12 +7,11 @@
 }
 
 #[test]
-fn keys_change_without_a_gap() {
+fn consecutive_steps_of_a_key_rotation_accept_each_others_messages() {
     let (a, b) = ("aa".repeat(32), "bb".repeat(32));
-    let [old, both, turned, new] =
+    let [old, old_first, new_first, new] =
         [a.clone(), format!("{a}\n{b}\n"), format!("# new first\n{b}\n\n{a}"), b].map(|text| keyring(&text));
-    // Neighbouring steps understand each other in both directions.
-    for (one, other) in [(&old, &both), (&both, &turned), (&turned, &new)] {
+    for (one, other) in [(&old, &old_first), (&old_first, &new_first), (&new_first, &new)] {
         assert_eq!(other.verify(&one.sign(b"x")), Some(&b"x"[..]));
         assert_eq!(one.verify(&other.sign(b"x")), Some(&b"x"[..]));
     }
@@ -20,7 +19,7 @@
 }
 
 #[test]
-fn unusable_files_are_rejected_without_showing_a_key() {
+fn unusable_key_files_are_rejected_without_exposing_a_key() {
     let key = "0f".repeat(32);
     let error = |text: &str| Keyring::parse(text).map(|_| ()).expect_err("an error");
     assert_eq!(error("# nothing\n"), KeyringError::Empty);
@@ -43,15 +42,15 @@
 }
 
 #[test]
-fn one_changed_byte_is_enough() {
+fn a_message_with_one_changed_byte_or_cut_short_is_rejected() {
     let keyring = keyring(&"0f".repeat(32));
     let message = keyring.sign(b"hello");
     assert_eq!(keyring.verify(&message), Some(&b"hello"[..]));
-    for at in 0..message.len() {
+    for position in 0..message.len() {
         let mut damaged = message.clone();
-        damaged[at] ^= 1;
-        assert_eq!(keyring.verify(&damaged), None, "byte {at}");
-        assert_eq!(keyring.verify(&message[..at]), None);
+        damaged[position] ^= 1;
+        assert_eq!(keyring.verify(&damaged), None, "byte {position}");
+        assert_eq!(keyring.verify(&message[..position]), None);
     }
     assert_eq!(keyring.verify(&keyring.sign(&[0; MAX_DATAGRAM_BYTES])), None, "too large");
 }
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -1,56 +1,53 @@
-//! Bulk failure dissemination: many failures at once, known to all members in seconds.
+//! Bulk failure dissemination: all members learn of many simultaneous failures within seconds.
 //!
-//! SWIM probes one member after the other and disseminates each failure as an update of its own, piggybacked on other
-//! messages. That is too slow twice when half of a large cluster fails: some dead members are probed by nobody for many
-//! periods, and each of hundreds of updates has to be drawn for each of hundreds of receivers. So while many members are
-//! suspected or have just failed, probes follow each other [`PROBE_SPEEDUP`] times as fast, and once in a gossip period a
-//! random member is sent the digest of the failures known here. Where its own digest differs it replies with the failures
-//! it knows, eight bytes each, so that knowledge spreads like a rumour whatever else the gossip has to carry.
+//! SWIM probes one member after the other and piggybacks each failure as an update of its own. Both steps are too slow when
+//! half of a large cluster fails: some dead members are not probed for many periods, and hundreds of updates compete for
+//! the space in each message. While many members are suspected or have just failed, this instance therefore probes
+//! [`PROBE_SPEEDUP`] times as fast, and sends a digest of its known failures to one random member per gossip period. A
+//! receiver whose digest differs replies with the failures it knows, eight bytes each. The failures spread epidemically,
+//! independent of other gossip traffic.
 //!
 //! In normal operation none of this is sent.
 
+mod failure_log;
 mod message;
 
 pub(crate) use message::{MAX_FAILURES_PER_MESSAGE, MemberFingerprint, Message};
 
 use crate::Member;
+use failure_log::FailureLog;
 use foca::Timer;
-use std::collections::{HashMap, VecDeque};
 
-/// While dissemination is active, probes and the timers that wait for their answers are this many times as fast.
+/// The factor by which probes and their timeouts are faster while dissemination is active.
 pub(crate) const PROBE_SPEEDUP: u64 = 4;
-/// Fewer suspected and failed members than this are not many: the gossip of a small cluster disseminates them by itself.
+/// The minimum number of suspected and failed members that activates dissemination. Gossip alone is fast enough for fewer.
 const MIN_FAILURES: usize = 3;
-/// One suspected or failed member in this many live ones are many: two to three times what a datagram loss of 10% brings
-/// under suspicion. With one in eight, half of 1,000 members were known to be dead after 13 s instead of 7 s.
+/// One suspected or failed member per this many live members activates dissemination: two to three times the share that a
+/// datagram loss of 10% brings under suspicion. With one in eight, members knew that half of 1,000 were dead after 13 s
+/// instead of 7 s.
 const ALIVE_PER_FAILURE: usize = 16;
-/// Dissemination stays active for at most this many activity windows, then rests until there are fewer failures: more
-/// than a bulk failure needs. Faster probes bring more members under suspicion where datagrams are lost, which must not
-/// keep it active.
+/// The maximum number of activity windows without a break, more than a bulk failure needs. Fast probes cause further
+/// suspicions where datagrams are lost, and these must not keep dissemination active forever.
 const MAX_ACTIVE_WINDOWS: u64 = 5;
-/// Activity windows for which a failure is remembered: longer than dissemination stays active, so that digests differ by
-/// what one member does not know yet, not by what another has forgotten.
-const REMEMBERED_WINDOWS: u64 = 10;
-/// The limit of messages in a reply to a digest.
+/// The retention of a failure in activity windows. It exceeds [`MAX_ACTIVE_WINDOWS`], so digests do not differ because one
+/// member has already removed a failure.
+const FAILURE_RETENTION_WINDOWS: u64 = 10;
+/// The maximum number of messages in a reply to a digest.
 const MAX_MESSAGES_PER_REPLY: usize = 4;
-/// The limit of replies in a gossip period, when more than one member has drawn this one as its receiver.
+/// The maximum number of replies per gossip period. Several members may send their digest to this one.
 const MAX_REPLIES_PER_PERIOD: u32 = 4;
-/// The limit of failures that are remembered.
-const MAX_KNOWN_FAILURES: usize = 4_096;
 
-/// The failures that are known here, and whether they are many. Times are in the driver's milliseconds.
+/// The failures known to this instance, and whether there are so many that dissemination is active.
+///
+/// `now_ms` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
 pub(crate) struct BulkFailureDissemination {
     gossip_period_ms: u64,
-    /// Dissemination is active for this long after the last sign of a bulk failure.
+    /// The time for which dissemination stays active after the last evidence of a bulk failure.
     activity_window_ms: u64,
-    /// When each recent failure was learned.
-    known: HashMap<MemberFingerprint, u64>,
-    /// The keys of `known`, oldest first.
-    by_age: VecDeque<MemberFingerprint>,
-    /// The exclusive or of all fingerprints in `known`.
-    digest: u64,
-    /// Since when dissemination is active, or resting after it was active for too long.
+    failures: FailureLog,
+    /// The moment at which dissemination last became active. It stays set after [`MAX_ACTIVE_WINDOWS`], until there are few
+    /// failures again.
     active_since_ms: Option<u64>,
     active_until_ms: u64,
     next_poll_ms: u64,
@@ -58,14 +55,12 @@
 }
 
 impl BulkFailureDissemination {
-    /// One for gossip with these periods.
+    /// Creates an inactive instance for gossip with these periods.
     pub(crate) fn new(gossip_period_ms: u64, suspicion_timeout_ms: u64) -> Self {
         Self {
             gossip_period_ms,
             activity_window_ms: 2 * suspicion_timeout_ms,
-            known: HashMap::new(),
-            by_age: VecDeque::new(),
-            digest: 0,
+            failures: FailureLog::default(),
             active_since_ms: None,
             active_until_ms: 0,
             next_poll_ms: 0,
@@ -73,72 +68,51 @@
         }
     }
 
-    /// Whether dissemination is active.
+    /// Returns whether dissemination is active.
     pub(crate) fn is_active(&self, now_ms: u64) -> bool {
         now_ms < self.active_until_ms
     }
 
-    /// When [`BulkFailureDissemination::poll`] is to be called next.
+    /// Returns the moment at which [`BulkFailureDissemination::poll`] must be called next.
     pub(crate) fn next_poll_ms(&self) -> u64 {
         self.next_poll_ms
     }
 
     /// Records that a member has failed.
     pub(crate) fn record_failure(&mut self, now_ms: u64, fingerprint: MemberFingerprint) {
-        if self.known.len() < MAX_KNOWN_FAILURES && self.known.insert(fingerprint, now_ms).is_none() {
-            self.by_age.push_back(fingerprint);
-            self.digest ^= fingerprint.0;
-        }
+        self.failures.add(now_ms, fingerprint);
     }
 
-    /// Once in a gossip period: weighs the number of failures. While dissemination is active, returns the digest to send
-    /// to a random member.
+    /// Activates dissemination if there are many failures, at most once per gossip period. While it is active, returns the
+    /// digest to send to a random member.
     pub(crate) fn poll(&mut self, now_ms: u64, suspects: usize, alive: usize) -> Option<u64> {
         if now_ms < self.next_poll_ms {
             return None;
         }
         self.next_poll_ms = now_ms + self.gossip_period_ms;
         self.replies_in_period = 0;
-        self.forget_old_failures(now_ms);
-        let many = suspects + self.recent_failures(now_ms) >= MIN_FAILURES.max(alive / ALIVE_PER_FAILURE);
-        if many {
+        self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window_ms, now_ms);
+        let failures = suspects + self.failures.count_within(self.activity_window_ms, now_ms);
+        if failures >= MIN_FAILURES.max(alive / ALIVE_PER_FAILURE) {
             self.extend_activity(now_ms);
         } else if !self.is_active(now_ms) {
             self.active_since_ms = None;
         }
-        self.is_active(now_ms).then_some(self.digest)
-    }
-
-    fn forget_old_failures(&mut self, now_ms: u64) {
-        while let Some(oldest) = self.by_age.front()
-            && self.known[oldest] + REMEMBERED_WINDOWS * self.activity_window_ms < now_ms
-        {
-            self.digest ^= oldest.0;
-            self.known.remove(oldest);
-            self.by_age.pop_front();
-        }
-    }
-
-    /// The number of failures learned within the activity window.
-    fn recent_failures(&self, now_ms: u64) -> usize {
-        let recent =
-            |fingerprint: &&MemberFingerprint| self.known[*fingerprint] + self.activity_window_ms >= now_ms;
-        self.by_age.iter().rev().take_while(recent).count()
+        self.is_active(now_ms).then_some(self.failures.digest())
     }
 
-    /// Handles another member's digest. Returns the messages of the reply, starting with the failure at `offset`, since
-    /// one reply may not hold all of them.
+    /// Handles another member's digest. Returns the messages of the reply, starting with the failure at `offset`. A random
+    /// offset makes successive replies cover all failures when one reply cannot hold them.
     pub(crate) fn reply_to_digest(&mut self, now_ms: u64, digest: u64, offset: usize) -> Vec<Message> {
-        // The sender has its reasons to be active: members that exchange digests find each other's failures.
+        // The sender has evidence of a bulk failure that this instance may not have yet.
         self.extend_activity(now_ms);
-        let replied_enough = self.replies_in_period >= MAX_REPLIES_PER_PERIOD;
-        if digest == self.digest || self.by_age.is_empty() || replied_enough {
+        let at_reply_limit = self.replies_in_period >= MAX_REPLIES_PER_PERIOD;
+        if digest == self.failures.digest() || self.failures.is_empty() || at_reply_limit {
             return Vec::new();
         }
         self.replies_in_period += 1;
-        let count = self.by_age.len();
-        let rotated = self.by_age.iter().cycle().skip(offset % count).take(count);
-        let fingerprints: Vec<[u8; 8]> = rotated.map(|fingerprint| fingerprint.to_bytes()).collect();
+        let fingerprints: Vec<[u8; 8]> =
+            self.failures.rotated(offset).map(MemberFingerprint::to_bytes).collect();
         fingerprints
             .chunks(MAX_FAILURES_PER_MESSAGE)
             .take(MAX_MESSAGES_PER_REPLY)
@@ -146,16 +120,17 @@
             .collect()
     }
 
+    /// Keeps dissemination active for another activity window, up to the limit.
     fn extend_activity(&mut self, now_ms: u64) {
         let active_since_ms = *self.active_since_ms.get_or_insert(now_ms);
         let limit_ms = active_since_ms.saturating_add(MAX_ACTIVE_WINDOWS * self.activity_window_ms);
         self.active_until_ms = (now_ms + self.activity_window_ms).min(limit_ms);
     }
 
-    /// The delay after which a timer of the gossip is due that was asked for with this delay.
+    /// Returns the delay of a SWIM timer, shorter than the requested one for probes while dissemination is active.
     pub(crate) fn timer_delay_ms(&self, now_ms: u64, delay_ms: u64, timer: &Timer<Member>) -> u64 {
-        let probe = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
-        if probe && self.is_active(now_ms) { (delay_ms / PROBE_SPEEDUP).max(1) } else { delay_ms }
+        let is_probe = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
+        if is_probe && self.is_active(now_ms) { (delay_ms / PROBE_SPEEDUP).max(1) } else { delay_ms }
     }
 }
 
--- a/crates/membership/src/bulk_failure/tests.rs
+++ b/crates/membership/src/bulk_failure/tests.rs
@@ -1,4 +1,4 @@
-//! When dissemination is active, and what is sent then.
+//! Activation of bulk failure dissemination, and its messages.
 
 use super::*;
 
@@ -7,12 +7,12 @@
 }
 
 #[test]
-fn it_is_active_while_many_are_suspected_or_have_failed_and_digests_agree_on_the_same_failures() {
+fn many_suspected_or_failed_members_activate_it_and_equal_failures_give_equal_digests() {
     let mut one = BulkFailureDissemination::new(100, 1_000);
-    assert_eq!(one.poll(0, 2, 6), None, "two are few");
-    assert_eq!(one.poll(100, 61, 1_000), None, "61 of 1,000 are what losses bring");
+    assert_eq!(one.poll(0, 2, 6), None, "two are below the minimum");
+    assert_eq!(one.poll(100, 61, 1_000), None, "61 of 1,000 are explained by datagram loss");
     assert_eq!(one.poll(200, 62, 1_000), Some(0));
-    assert_eq!(one.poll(250, 500, 1_000), None, "once in a period");
+    assert_eq!(one.poll(250, 500, 1_000), None, "at most once per period");
     let mut two = BulkFailureDissemination::new(100, 1_000);
     (0..500).for_each(|member| record(&mut one, 300, member * 7919 + 1));
     (0..500).rev().for_each(|member| record(&mut two, 400, member * 7919 + 1));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn it_rests_after_a_while_whatever_is_suspected_or_received() {
+fn it_stops_after_the_maximum_duration_while_suspicions_and_digests_continue() {
     let mut dissemination = BulkFailureDissemination::new(100, 1_000);
     let active = (0..400).filter(|period| {
         let now_ms = period * 100;
@@ -31,7 +31,7 @@
     });
     assert_eq!(active.count(), 100, "ten seconds");
     assert_eq!(dissemination.poll(40_000, 0, 1_000), None);
-    assert!(dissemination.poll(40_100, 500, 1_000).is_some(), "and again when it was over");
+    assert!(dissemination.poll(40_100, 500, 1_000).is_some(), "active again after the failures had ended");
 }
 
 #[test]
@@ -45,13 +45,13 @@
     let datagram_bytes = |message: &Message| message.encode().len() + crate::authentication::OVERHEAD_BYTES;
     assert!(reply.iter().all(|message| datagram_bytes(message) <= crate::MAX_DATAGRAM_BYTES));
     (1..MAX_REPLIES_PER_PERIOD).for_each(|_| assert!(!dissemination.reply_to_digest(0, 0, 0).is_empty()));
-    assert!(dissemination.reply_to_digest(0, 0, 0).is_empty(), "no more than so many in a period");
+    assert!(dissemination.reply_to_digest(0, 0, 0).is_empty(), "at the limit of replies per period");
     dissemination.poll(100, 0, 1_000);
     assert!(!dissemination.reply_to_digest(100, 0, 0).is_empty());
 }
 
 #[test]
-fn only_probes_are_hurried() {
+fn only_probes_are_faster_while_it_is_active() {
     let mut dissemination = BulkFailureDissemination::new(100, 1_000);
     let probe = Timer::SendIndirectProbe {
         probed_id: Member { address: ([127, 0, 0, 1], 1).into(), name: "a".into(), generation: 1 },
@@ -63,8 +63,8 @@
     assert_eq!(dissemination.timer_delay_ms(1, 400, &Timer::PeriodicGossip(0)), 400);
 }
 
-/// A payload of the earlier build, from the fixtures of the wire format.
-fn payload(kind: &str) -> Vec<u8> {
+/// Returns the payload of a datagram of the earlier build, from the fixtures of the wire format.
+fn fixture_payload(kind: &str) -> Vec<u8> {
     let line = include_str!("../../tests/fixtures/datagrams.txt")
         .lines()
         .find_map(|line| line.strip_prefix(kind)?.strip_prefix(' '))
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn messages_of_the_earlier_build_are_decoded_and_encoded_alike() {
+fn messages_of_the_earlier_build_decode_and_encode_to_the_same_bytes() {
     for kind in ["bulk-failure-digest", "bulk-failure-list"] {
-        let payload = payload(kind);
+        let payload = fixture_payload(kind);
         let message = Message::decode(&payload).expect("of this kind").expect("a message");
         assert_eq!(matches!(message, Message::Digest { .. }), kind == "bulk-failure-digest");
         assert_eq!(message.encode(), payload, "{kind}");
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,17 @@
 //! Cluster membership and failure detection by SWIM gossip, in authenticated datagrams, without I/O.
 //!
-//! [`Membership`] wraps the state machine of the crate `foca` (Das, Gupta and Motivala, "SWIM", 2002). Datagrams and
-//! time go in; datagrams to send, membership changes and broadcasts come out. [`authentication`] decides which datagrams
-//! belong to the cluster. Broadcasts are small versioned messages, one topic each, that travel with the gossip; an older
-//! version never replaces a newer one.
+//! [`Membership`] wraps the state machine of the crate `foca` (Das, Gupta and Motivala, "SWIM", 2002). Its inputs are
+//! datagrams and the time. Its outputs are datagrams to send, membership changes and broadcasts. [`authentication`]
+//! verifies that a datagram comes from a member of the cluster. A broadcast is a small versioned message on a topic. It is
+//! piggybacked on gossip, and an older version never replaces a newer one.
 //!
 //! Invariants:
 //!
-//! - A datagram is decoded only after its message authentication code was verified, and none is larger than
+//! - A datagram is decoded only after its message authentication code has been verified. No datagram is larger than
 //!   [`MAX_DATAGRAM_BYTES`].
-//! - An instance that restarts, or that others declared dead, has a greater generation than before, so what was gossiped
-//!   about its earlier generation does not count against it.
-//! - Members and topics are bounded; what exceeds a bound is dropped and counted.
+//! - An instance increases its generation when it restarts and when others declare it dead. Updates about an earlier
+//!   generation do not affect it.
+//! - The numbers of members and topics are bounded. Entries beyond a bound are dropped and counted.
 
 pub mod authentication;
 mod bulk_failure;
@@ -27,5 +27,5 @@
 pub use membership::Membership;
 pub use output::{Counts, Output};
 
-/// The size limit of a datagram: what crosses an ordinary network unfragmented (RFC 8085, section 3.2).
+/// The size limit of a datagram, chosen to avoid IP fragmentation on common networks (RFC 8085, section 3.2).
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -4,14 +4,15 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The identity of a member, as gossip carries it (postcard: the order and the types of the fields are the wire format).
+/// The identity of a member. Gossip carries it encoded with postcard: the order and the types of the fields are the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it receives gossip.
+    /// The address that receives its gossip.
     pub address: SocketAddr,
     /// Its name.
     pub name: String,
-    /// Increases with each start, and each time that others declared it dead.
+    /// The generation, which increases at each start and each time others have declared the member dead.
     pub generation: u64,
 }
 
@@ -31,11 +32,11 @@
     }
 }
 
-/// A known member and its state.
+/// A known member and whether it is alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
     /// The member.
     pub member: Member,
-    /// Whether it counts as alive; a suspected member does.
+    /// Whether the member is alive. A suspected member still is.
     pub alive: bool,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,25 +1,25 @@
-//! One instance's view of the cluster.
+//! The membership state machine of one instance.
 
 use crate::authentication::Keyring;
 use crate::bulk_failure::{self, BulkFailureDissemination, MemberFingerprint};
-use crate::swim::{PendingTimer, Swim, SwimEffects};
+use crate::swim::{Swim, SwimEffects, TimerQueue};
 use crate::topics::{Broadcast, SharedTopics};
 use crate::{Config, Counts, MAX_DATAGRAM_BYTES, Member, MemberStatus, Output};
 use foca::{Foca, PostcardCodec};
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
-use std::collections::{BinaryHeap, HashSet};
+use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// The size limit of an encoded broadcast, so that two fit into one datagram.
+/// The size limit of an encoded broadcast. Two broadcasts fit into one datagram.
 const MAX_BROADCAST_BYTES: usize = MAX_DATAGRAM_BYTES / 2;
-/// Join periods between two attempts to join while this instance sees other members.
+/// Join periods between two join attempts while other members are alive.
 const JOIN_PERIODS_WITH_MEMBERS: u64 = 10;
 
-/// One instance's view of which members are alive.
+/// The members of the cluster as one instance sees them.
 ///
-/// Times are milliseconds of the driver's monotonic clock. Outputs are appended to the vector that a call is given.
+/// `now_ms` is a reading of the driver's monotonic clock in milliseconds. Methods append their outputs to `out`.
 pub struct Membership {
     swim: Swim,
     topics: SharedTopics,
@@ -27,15 +27,15 @@
     config: Config,
     bulk_failure: BulkFailureDissemination,
     rng: StdRng,
-    timers: BinaryHeap<PendingTimer>,
-    timer_sequence: u64,
+    timers: TimerQueue,
     next_join_ms: u64,
     counts: Counts,
     left: bool,
 }
 
 impl Membership {
-    /// An instance that knows no other member yet. Its first [`Membership::tick`] contacts the seed peers.
+    /// Creates the membership of an instance that knows no other member. The first [`Membership::tick`] contacts the seed
+    /// peers.
     pub fn new(config: Config, keyring: Keyring) -> Self {
         let topics = SharedTopics::new(config.max_topics);
         let mut swim_rng = StdRng::seed_from_u64(config.rng_seed);
@@ -50,15 +50,14 @@
             bulk_failure: BulkFailureDissemination::new(config.gossip_period_ms, config.suspicion_timeout_ms),
             rng,
             config,
-            timers: BinaryHeap::new(),
-            timer_sequence: 0,
+            timers: TimerQueue::default(),
             next_join_ms: 0,
             counts: Counts::default(),
             left: false,
         }
     }
 
-    /// The names of the live members, including this instance, sorted and without duplicates.
+    /// Returns the names of the live members, including this instance, sorted and without duplicates.
     pub fn alive_names(&self) -> Vec<String> {
         let mut names: Vec<String> =
             self.swim.iter_members().map(|member| member.id().name.clone()).collect();
@@ -68,12 +67,13 @@
         names
     }
 
-    /// The gossip addresses of the live members, excluding this instance.
+    /// Returns the gossip addresses of the live members, excluding this instance.
     pub fn alive_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.swim.iter_members().map(|member| member.id().address)
     }
 
-    /// Names that more than one live member has, including this instance. Whoever works by names counts these as one.
+    /// Returns the names shared by several live members, including this instance. [`Membership::alive_names`] lists each of
+    /// them once.
     pub fn duplicate_names(&self) -> Vec<String> {
         let others = self.swim.iter_members().map(|member| &member.id().name);
         let mut names: Vec<&String> = others.chain([&self.config.local_member.name]).collect();
@@ -84,12 +84,12 @@
         duplicates
     }
 
-    /// How many members are alive, including this instance.
+    /// Returns the number of live members, including this instance.
     pub fn alive_count(&self) -> usize {
         self.swim.num_members() + 1
     }
 
-    /// All known members, excluding this instance, sorted by name.
+    /// Returns all known members, excluding this instance, sorted by name.
     pub fn members(&self) -> Vec<MemberStatus> {
         let mut members: Vec<MemberStatus> = self
             .swim
@@ -103,24 +103,24 @@
         members
     }
 
-    /// The counters so far.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         let over_capacity = self.counts.over_capacity + self.topics.lock().over_capacity();
         Counts { over_capacity, ..self.counts }
     }
 
-    /// Uses another keyring from now on.
+    /// Replaces the keyring.
     pub fn set_keyring(&mut self, keyring: Keyring) {
         self.keyring = keyring;
     }
 
-    /// When [`Membership::tick`] is to be called next.
+    /// Returns the moment at which [`Membership::tick`] must be called next.
     pub fn next_tick_ms(&self) -> u64 {
-        let timer = self.timers.peek().map_or(self.next_join_ms, |timer| timer.due_ms.min(self.next_join_ms));
-        timer.min(self.bulk_failure.next_poll_ms())
+        let periodic_ms = self.next_join_ms.min(self.bulk_failure.next_poll_ms());
+        self.timers.next_due_ms().map_or(periodic_ms, |timer_ms| timer_ms.min(periodic_ms))
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due: joins, probes, gossip and bulk failure dissemination.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         if self.left {
             return;
@@ -128,18 +128,17 @@
         if now_ms >= self.next_join_ms {
             self.join(now_ms, out);
         }
-        while self.timers.peek().is_some_and(|timer| timer.due_ms <= now_ms) {
-            let Some(pending) = self.timers.pop() else { break };
-            self.call_swim(now_ms, out, |swim, effects| swim.handle_timer(pending.timer, effects));
+        while let Some(timer) = self.timers.pop_due(now_ms) {
+            self.call_swim(now_ms, out, |swim, effects| swim.handle_timer(timer, effects));
         }
         if now_ms >= self.bulk_failure.next_poll_ms() {
             self.disseminate_bulk_failure(now_ms, out);
         }
     }
 
-    /// Announces this instance to the seed peers that it does not see alive.
+    /// Announces this instance to the seed peers that it does not see alive. While other members are alive it does so less
+    /// often, which still heals a partition that lasted longer than the retention of dead members.
     fn join(&mut self, now_ms: u64, out: &mut Vec<Output>) {
-        // Often while alone, and now and then later: a partition that outlasts all memory heals by this.
         let alone = self.swim.num_members() == 0;
         let periods = if alone { 1 } else { JOIN_PERIODS_WITH_MEMBERS };
         self.next_join_ms = now_ms + self.config.join_period_ms * periods;
@@ -152,7 +151,7 @@
         }
     }
 
-    /// Sends the digest of the known failures to a random member while bulk dissemination is active.
+    /// Sends the digest of the known failures to a random member while bulk failure dissemination is active.
     fn disseminate_bulk_failure(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let states = self.swim.iter_membership_state();
         let suspects = states.filter(|state| state.state() == foca::State::Suspect).count();
@@ -164,7 +163,7 @@
         }
     }
 
-    /// Handles a received datagram.
+    /// Handles a received datagram. Drops and counts it if it is not authentic or cannot be decoded.
     pub fn handle_datagram(&mut self, now_ms: u64, bytes: &[u8], out: &mut Vec<Output>) {
         if self.left {
             return;
@@ -173,19 +172,20 @@
             self.counts.authentication_failures += 1;
             return;
         };
-        if let Some(message) = bulk_failure::Message::decode(payload) {
-            match message {
-                Ok(message) => {
-                    self.counts.datagrams_accepted += 1;
-                    self.handle_bulk_failure(now_ms, message, out);
-                }
-                Err(_) => self.counts.malformed += 1,
+        match bulk_failure::Message::decode(payload) {
+            Some(Ok(message)) => {
+                self.counts.datagrams_accepted += 1;
+                self.handle_bulk_failure(now_ms, message, out);
             }
-            return;
+            Some(Err(_)) => self.counts.malformed += 1,
+            None => self.handle_swim_payload(now_ms, payload, out),
         }
+    }
+
+    fn handle_swim_payload(&mut self, now_ms: u64, payload: &[u8], out: &mut Vec<Output>) {
         if self.swim.iter_membership_state().len() >= self.config.max_members {
             self.counts.over_capacity += 1;
-            // The state machine would remember each new sender, so beyond the bound only known ones are heard.
+            // foca adds each new sender to its members. At the limit, accept known senders only.
             if !self.is_from_known_member(payload) {
                 return;
             }
@@ -194,7 +194,7 @@
         self.call_swim(now_ms, out, |swim, effects| swim.handle_data(payload, effects));
     }
 
-    /// Whether a gossip payload, which begins with its sender, is from a known address.
+    /// Returns whether a SWIM payload, which starts with its sender, comes from a known address.
     fn is_from_known_member(&self, payload: &[u8]) -> bool {
         postcard::take_from_bytes::<Member>(payload).is_ok_and(|(sender, _)| {
             self.swim.iter_membership_state().any(|state| state.id().address == sender.address)
@@ -218,7 +218,7 @@
                     .filter(|member| fingerprints.contains(&MemberFingerprint::of(member)))
                     .map(|member| foca::Member::down(member.clone()))
                     .collect();
-                // Disseminated further in the same way, not once more by the gossip.
+                // `false`: no gossip updates. Bulk failure dissemination spreads these failures.
                 self.call_swim(now_ms, out, |swim, effects| {
                     swim.apply_many(failed.into_iter(), false, effects)
                 });
@@ -226,25 +226,25 @@
         }
     }
 
-    /// Broadcasts a new version of a topic. A version that is not newer than the known one, and a message that exceeds
-    /// half a datagram, are ignored.
+    /// Broadcasts a new version of a topic. Ignores a version that is not newer than the known one, and a broadcast larger
+    /// than half a datagram.
     pub fn broadcast(&mut self, now_ms: u64, topic: &str, version: u64, body: &[u8], out: &mut Vec<Output>) {
         let broadcast = Broadcast { topic: topic.to_owned(), version, body: body.to_vec() };
         if let Ok(encoded) = postcard::to_stdvec(&broadcast)
             && encoded.len() < MAX_BROADCAST_BYTES
         {
             self.call_swim(now_ms, out, |swim, _| swim.add_broadcast(&encoded).map(|_| ()));
-            // The first hop at once; the rest travels with the gossip.
+            // Send the first hop at once. Later hops are piggybacked on gossip.
             self.call_swim(now_ms, out, |swim, effects| swim.broadcast(effects));
         }
     }
 
-    /// Forgets the topics that `keep` rejects.
+    /// Removes the topics for which `keep` returns false.
     pub fn retain_topics(&mut self, keep: impl Fn(&str) -> bool) {
         self.topics.lock().retain(keep);
     }
 
-    /// Announces that this instance leaves. From then on it neither sends nor handles anything.
+    /// Announces to the cluster that this instance leaves. Later datagrams and ticks are ignored.
     pub fn leave(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         if !self.left {
             self.call_swim(now_ms, out, |swim, effects| swim.leave_cluster(effects));
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Calls the state machine and carries out its effects.
+    /// Calls the state machine and applies its effects.
     fn call_swim(
         &mut self,
         now_ms: u64,
@@ -260,15 +260,13 @@
         call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
     ) {
         let mut effects = SwimEffects::default();
-        // An error concerns this one datagram: what preceded the error in it has been applied.
+        // The error concerns this datagram alone. foca has applied its contents up to the error.
         if call(&mut self.swim, &mut effects).is_err() {
             self.counts.malformed += 1;
         }
         for request in effects.timers {
-            self.timer_sequence += 1;
             let delay_ms = self.bulk_failure.timer_delay_ms(now_ms, request.delay_ms, &request.timer);
-            let (due_ms, sequence) = (now_ms + delay_ms, self.timer_sequence);
-            self.timers.push(PendingTimer { due_ms, sequence, timer: request.timer });
+            self.timers.schedule(now_ms + delay_ms, request.timer);
         }
         for outgoing in effects.payloads {
             self.send(outgoing.to, &outgoing.payload, out);
@@ -289,7 +287,7 @@
         }
     }
 
-    /// Authenticates and sends a payload.
+    /// Signs and sends a payload.
     fn send(&mut self, to: SocketAddr, payload: &[u8], out: &mut Vec<Output>) {
         let bytes = self.keyring.sign(payload);
         self.counts.datagrams_sent += 1;
@@ -306,6 +304,3 @@
             .finish_non_exhaustive()
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -1,4 +1,4 @@
-//! What [`Membership`](crate::Membership) asks its driver to do, and what it counts.
+//! The outputs and counters of [`Membership`](crate::Membership).
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
     },
     /// The set of live members has changed.
     MembersChanged,
-    /// A broadcast that this instance did not have.
+    /// A broadcast of another member was received, newer than the known version of its topic.
     Broadcast {
-        /// Its topic.
+        /// The topic.
         topic: String,
-        /// Its version.
+        /// The version.
         version: u64,
-        /// Its content.
+        /// The content.
         body: Vec<u8>,
     },
-    /// Others had declared this instance dead; it has rejoined under a new generation.
+    /// Other members had declared this instance dead, and it has rejoined with a new generation.
     Rejoined {
         /// The new generation.
         generation: u64,
@@ -35,14 +35,14 @@
 pub struct Counts {
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Bytes sent in datagrams.
     pub bytes_sent: u64,
     /// Datagrams accepted.
     pub datagrams_accepted: u64,
-    /// Datagrams dropped since their authentication code was wrong.
+    /// Datagrams dropped because their authentication code was invalid.
     pub authentication_failures: u64,
-    /// Authentic datagrams that could not be used.
+    /// Authentic datagrams that could not be decoded or applied.
     pub malformed: u64,
-    /// Members and topics dropped since a bound was reached.
+    /// Members and topics dropped because a bound was reached.
     pub over_capacity: u64,
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! The adapter to the SWIM state machine of `foca`: its effects, and its timers in the order in which they are due.
+//! The adapter to foca's SWIM state machine: its effects and its timers.
 
 use crate::Member;
 use crate::bulk_failure::MemberFingerprint;
@@ -6,6 +6,7 @@
 use foca::{Foca, Notification, PostcardCodec, Runtime, Timer};
 use rand::rngs::StdRng;
 use std::cmp::Ordering;
+use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -18,21 +19,22 @@
     pub(crate) payload: Vec<u8>,
 }
 
-/// A timer that the state machine has asked for.
+/// A timer requested by the state machine.
 pub(crate) struct TimerRequest {
-    /// Milliseconds from the call in which it was asked for.
+    /// Milliseconds from the call that requested the timer.
     pub(crate) delay_ms: u64,
     pub(crate) timer: Timer<Member>,
 }
 
-/// Collects the effects of one call of the state machine.
+/// The effects of one call of the state machine.
 #[derive(Default)]
 pub(crate) struct SwimEffects {
     pub(crate) payloads: Vec<OutgoingPayload>,
     pub(crate) timers: Vec<TimerRequest>,
     pub(crate) members_changed: bool,
+    /// Members declared dead.
     pub(crate) failed: Vec<MemberFingerprint>,
-    /// The generation under which this instance has rejoined.
+    /// The generation with which this instance has rejoined.
     pub(crate) rejoined: Option<u64>,
 }
 
@@ -58,13 +60,37 @@
     }
 }
 
-/// A pending timer. The greatest is the one due first, as a `BinaryHeap` wants it.
-pub(crate) struct PendingTimer {
-    /// When it is due, in the driver's milliseconds.
-    pub(crate) due_ms: u64,
-    /// Orders timers due at the same time by when they were asked for.
-    pub(crate) sequence: u64,
-    pub(crate) timer: Timer<Member>,
+/// The pending timers of the state machine. Timers due at the same time fire in the order of their requests.
+#[derive(Default)]
+pub(crate) struct TimerQueue {
+    pending: BinaryHeap<PendingTimer>,
+    last_sequence: u64,
+}
+
+impl TimerQueue {
+    /// Schedules a timer for this moment.
+    pub(crate) fn schedule(&mut self, due_ms: u64, timer: Timer<Member>) {
+        self.last_sequence += 1;
+        self.pending.push(PendingTimer { due_ms, sequence: self.last_sequence, timer });
+    }
+
+    /// Returns the moment at which the next timer is due.
+    pub(crate) fn next_due_ms(&self) -> Option<u64> {
+        self.pending.peek().map(|pending| pending.due_ms)
+    }
+
+    /// Removes the next timer that is due.
+    pub(crate) fn pop_due(&mut self, now_ms: u64) -> Option<Timer<Member>> {
+        let is_due = self.next_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
+        if is_due { self.pending.pop().map(|pending| pending.timer) } else { None }
+    }
+}
+
+/// A pending timer. The greatest is due first, because `BinaryHeap` is a max-heap.
+struct PendingTimer {
+    due_ms: u64,
+    sequence: u64,
+    timer: Timer<Member>,
 }
 
 impl PartialEq for PendingTimer {
--- a/crates/membership/src/topics.rs
+++ b/crates/membership/src/topics.rs
@@ -1,4 +1,4 @@
-//! Broadcast topics: which version of each is known, and which broadcasts are still to be handed to the driver.
+//! Broadcast topics: the known version of each, and received broadcasts that await the driver.
 
 use crate::Member;
 use foca::{BroadcastHandler, Invalidates};
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A broadcast as gossip carries it (postcard: the order and the types of the fields are the wire format).
+/// A broadcast. Gossip carries it encoded with postcard: the order and the types of the fields are the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Broadcast {
     pub(crate) topic: String,
@@ -19,28 +19,28 @@
 pub(crate) struct Topics {
     versions: HashMap<String, u64>,
     max_topics: usize,
-    /// Received and not yet handed to the driver.
+    /// Broadcasts received and not yet taken by [`Topics::take_received`].
     received: Vec<Broadcast>,
     over_capacity: u64,
 }
 
 impl Topics {
-    /// Forgets the topics that `keep` rejects.
+    /// Removes the topics for which `keep` returns false.
     pub(crate) fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.versions.retain(|topic, _| keep(topic));
     }
 
-    /// The broadcasts received since the last call.
+    /// Takes the broadcasts received since the last call.
     pub(crate) fn take_received(&mut self) -> Vec<Broadcast> {
         std::mem::take(&mut self.received)
     }
 
-    /// Broadcasts dropped since [`Topics`] was full.
+    /// Returns the number of broadcasts dropped because the topic limit was reached.
     pub(crate) fn over_capacity(&self) -> u64 {
         self.over_capacity
     }
 
-    /// Records a version; whether it is newer than the known one and there is capacity for its topic.
+    /// Records a version if it is newer than the known one and there is capacity for its topic. Returns whether it did.
     fn record(&mut self, topic: &str, version: u64) -> bool {
         let full = self.versions.len() >= self.max_topics;
         match self.versions.get_mut(topic) {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The topics as the SWIM state machine, which owns its handler, and [`Membership`](crate::Membership) share them.
+/// The topics, shared by [`Membership`](crate::Membership) and the SWIM state machine, which owns its broadcast handler.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedTopics(Arc<Mutex<Topics>>);
 
@@ -71,12 +71,12 @@
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Topics> {
-        // Each change is one step, so a panic elsewhere leaves nothing half-changed.
+        // Each critical section makes one change, so a poisoned lock still guards a consistent state.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Identifies a broadcast in the queue of those still to be disseminated.
+/// The key of a broadcast in foca's dissemination queue.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct BroadcastKey {
     topic: String,
@@ -104,7 +104,7 @@
             return Ok(None);
         }
         let key = BroadcastKey { topic: broadcast.topic.clone(), version: broadcast.version };
-        // No sender: this instance's own broadcast, which its driver knows.
+        // A broadcast without a sender is this instance's own. The driver does not need it back.
         if from.is_some() {
             topics.received.push(broadcast);
         }
--- /dev/null
+++ b/crates/membership/tests/support/mod.rs
@@ -0,0 +1,39 @@
+//! Members with short periods, for simulated time.
+
+use membership::authentication::Keyring;
+use membership::{Config, Member};
+use std::net::SocketAddr;
+
+/// The port of member 0. The others follow it.
+const FIRST_PORT: u16 = 7_000;
+
+/// Parses a key file.
+pub fn keyring(text: &str) -> Keyring {
+    Keyring::parse(text).expect("keys")
+}
+
+/// The gossip address of a member.
+pub fn address(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
+}
+
+/// The member at an address.
+pub fn member_at(address: SocketAddr) -> usize {
+    usize::from(address.port() - FIRST_PORT)
+}
+
+/// The configuration of a member that joins through members 0 and 1.
+pub fn config(member: usize, generation: u64) -> Config {
+    Config {
+        local_member: Member { address: address(member), name: format!("m{member}"), generation },
+        seed_peers: vec![address(0), address(1)],
+        probe_period_ms: 200,
+        probe_timeout_ms: 60,
+        suspicion_timeout_ms: 400,
+        gossip_period_ms: 50,
+        join_period_ms: 200,
+        max_members: 32,
+        max_topics: 8,
+        rng_seed: member as u64,
+    }
+}
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,55 +1,38 @@
-//! The datagrams of an earlier build: this build reads them, and writes the same bytes.
+//! Wire compatibility with an earlier build: this build accepts its datagrams and writes the same bytes.
 //!
-//! `fixtures/datagrams.txt` holds the first datagram of each kind that the course below sends, `fixtures/course.txt` the
-//! number, the size and the hash of all of them. The course depends on the versions of `foca` and `rand` in `Cargo.lock`:
-//! where an update of these changes it, the datagrams of the old build must still be accepted.
+//! `fixtures/datagrams.txt` holds the first datagram of each kind that the scenario below sends. `fixtures/course.txt` holds
+//! the number, the size and the hash of all of them. The scenario depends on the versions of `foca` and `rand` in
+//! `Cargo.lock`. If an update of these changes it, the datagrams of the earlier build must still be accepted.
+
+mod support;
 
 use foca::{Codec, Header, Message, PostcardCodec};
 use membership::authentication::{Keyring, OVERHEAD_BYTES};
-use membership::{Config, Member, Membership, Output};
+use membership::{Member, Membership, Output};
 use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
+use support::member_at;
 
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.txt");
-const COURSE: &str = include_str!("fixtures/course.txt");
+const SUMMARY: &str = include_str!("fixtures/course.txt");
 const MEMBERS: usize = 8;
-/// The first byte of what is sent about bulk failures; the gossip's own payloads begin with 0 or 1.
+/// The first byte of the payloads of bulk failure dissemination. Those of SWIM begin with 0 or 1.
 const BULK_FAILURE: u8 = 0xFF;
+const FIRST_GENERATION: u64 = 1_800_000_000_000;
 
 fn keyring() -> Keyring {
-    Keyring::parse(&"0123456789abcdef".repeat(4)).expect("a key")
-}
-
-fn address(i: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7000 + i as u16))
+    support::keyring(&"0123456789abcdef".repeat(4))
 }
 
-fn member(i: usize) -> Membership {
-    let config = Config {
-        local_member: Member {
-            address: address(i),
-            name: format!("m{i}"),
-            generation: 1_800_000_000_000 + i as u64,
-        },
-        seed_peers: vec![address(0), address(1)],
-        probe_period_ms: 200,
-        probe_timeout_ms: 60,
-        suspicion_timeout_ms: 400,
-        gossip_period_ms: 50,
-        join_period_ms: 200,
-        max_members: 32,
-        max_topics: 8,
-        rng_seed: i as u64,
-    };
-    Membership::new(config, keyring())
+fn member(number: usize) -> Membership {
+    Membership::new(support::config(number, FIRST_GENERATION + number as u64), keyring())
 }
 
-/// Eight members whose datagrams arrive at once and in order; all that they send is kept.
+/// Eight members that exchange datagrams without delay and in order. Records all datagrams.
 struct Network {
     now_ms: u64,
     members: Vec<Option<Membership>>,
     sent: Vec<Vec<u8>>,
-    /// Members that receive nothing at present.
+    /// Members that receive no datagrams.
     paused: Vec<usize>,
     /// Datagrams between members 0 and 1 are lost.
     partitioned: bool,
@@ -70,7 +53,7 @@
         queue.extend(out.into_iter().map(|output| (i, output)));
         while let Some((from, output)) = queue.pop_front() {
             let Output::SendDatagram { to, bytes } = output else { continue };
-            let to = usize::from(to.port() - 7000);
+            let to = member_at(to);
             self.sent.push(bytes.clone());
             let lost = self.paused.contains(&to) || (self.partitioned && from + to == 1);
             if let Some(Some(member)) = self.members.get_mut(to)
@@ -93,8 +76,8 @@
     }
 }
 
-/// All datagrams of a course in which each kind of message is sent.
-fn course() -> Vec<Vec<u8>> {
+/// The datagrams of a scenario in which each kind of message is sent.
+fn run_scenario() -> Vec<Vec<u8>> {
     let mut network = Network::new();
     network.advance(1_000);
     network.call(2, |member, now, out| member.broadcast(now, "probe/loans-1", 7, b"down", out));
@@ -133,11 +116,11 @@
     name.into()
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     digits
         .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex"))
@@ -146,26 +129,27 @@
 
 /// The datagrams of the earlier build by kind.
 fn fixtures() -> BTreeMap<String, Vec<u8>> {
-    let line = |line: &str| {
+    let parse_line = |line: &str| {
         let (kind, hex) = line.split_once(' ').expect("a kind and its bytes");
-        (kind.to_owned(), unhex(hex))
+        (kind.to_owned(), decode_hex(hex))
     };
-    DATAGRAMS.lines().map(line).collect()
+    DATAGRAMS.lines().map(parse_line).collect()
 }
 
 #[test]
-fn a_course_from_fixed_seeds_sends_the_same_datagrams_as_the_earlier_build() {
-    let sent = course();
+fn a_scenario_with_fixed_seeds_sends_the_same_datagrams_as_the_earlier_build() {
+    let sent = run_scenario();
     let mut first: BTreeMap<String, &[u8]> = BTreeMap::new();
     for datagram in &sent {
         first.entry(kind(&datagram[OVERHEAD_BYTES..])).or_insert(datagram);
     }
-    let datagrams: String = first.iter().map(|(kind, bytes)| format!("{kind} {}\n", hex(bytes))).collect();
+    let datagrams: String =
+        first.iter().map(|(kind, bytes)| format!("{kind} {}\n", encode_hex(bytes))).collect();
     let all = sent.concat();
-    let course = format!("{} datagrams, {} bytes, BLAKE3 {}\n", sent.len(), all.len(), blake3::hash(&all));
+    let summary = format!("{} datagrams, {} bytes, BLAKE3 {}\n", sent.len(), all.len(), blake3::hash(&all));
     assert_eq!(first.len(), 13, "one of each kind");
     assert_eq!(datagrams, DATAGRAMS);
-    assert_eq!(course, COURSE);
+    assert_eq!(summary, SUMMARY);
 }
 
 #[test]
@@ -213,7 +197,7 @@
             (1, 2 * datagram.len() as u64),
             "{kind}: {counts:?}"
         );
-        // Authentic, but cut: nothing may panic.
+        // Authentic but truncated payloads must not panic.
         for i in OVERHEAD_BYTES..datagram.len() {
             receiver.handle_datagram(0, &keyring().sign(&datagram[OVERHEAD_BYTES..i]), &mut out);
         }
