--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -1,10 +1,9 @@
-//! Leases in Consul's KV store: the requests to its HTTP API (its pages on the KV store, sessions and transactions), and
-//! the parsing of the responses.
+//! Leases in Consul's KV store: requests to the HTTP API for KV, sessions and transactions, and their responses.
 //!
-//! A session is created, and a key of its own is acquired with it. A compare-and-set is then one transaction of two
-//! operations: `check-session` on that key, which fails once the session has ended or the store came back empty, and `cas`
-//! on the job's key, which fails where the key has changed. The response holds the new `ModifyIndex`, so the next
-//! compare-and-set on the same key needs no read.
+//! An instance creates a session and acquires one key with it, the session key. A compare-and-set is a transaction of two
+//! operations. `check-session` on the session key fails if the session has ended or the store has lost its data. `cas` on the
+//! job's key fails if the key has changed. The response contains the new `ModifyIndex`, so the next compare-and-set on the
+//! same key needs no read.
 
 mod response;
 
@@ -14,9 +13,9 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
-/// The folder of the jobs' keys below the prefix.
+/// The folder of the job keys below the prefix.
 const JOBS_FOLDER: &str = "duties";
-/// The folder of the sessions' own keys below the prefix.
+/// The folder of the session keys below the prefix.
 const SESSIONS_FOLDER: &str = "holders";
 
 /// An HTTP method.
@@ -29,7 +28,7 @@
 }
 
 impl Method {
-    /// Its name on the wire.
+    /// Returns the method's name on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
@@ -45,7 +44,7 @@
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// The body; empty for none.
+    /// The body. Empty for a request without a body.
     pub body: String,
 }
 
@@ -54,7 +53,7 @@
         Self { method: Method::Put, target, body }
     }
 
-    /// Renews a session; answered by [`Response::session_exists`].
+    /// Renews a session. Parse the response with [`Response::session_exists`].
     pub fn renew_session(session: &Session) -> Self {
         Self::put(format!("/v1/session/renew/{}", session.id), String::new())
     }
@@ -64,15 +63,15 @@
         Self::put(format!("/v1/session/destroy/{}", session.id), String::new())
     }
 
-    /// Acquires the session's own key; answered by [`Response::key_acquired`].
+    /// Acquires the session key. Parse the response with [`Response::key_acquired`].
     pub fn acquire_session_key(session: &Session, instance: &str) -> Self {
         let target = format!("/v1/kv/{}?acquire={}", escape_path(&session.key), session.id);
         Self::put(target, instance.to_owned())
     }
 
-    /// Creates a session that ends after `ttl_s` seconds without renewal, and its key with it. There is no lock delay:
-    /// runs are made exclusive by compare-and-set, and a delay would only keep a restarted instance out. Answered by
-    /// [`LeaseKeys::created_session`].
+    /// Creates a session that expires after `ttl_s` seconds without renewal. Consul then deletes its key. There is no lock
+    /// delay: compare-and-set makes runs exclusive, and a delay would only block a restarted instance. Parse the response
+    /// with [`LeaseKeys::created_session`].
     pub fn create_session(instance: &str, ttl_s: u64) -> Self {
         let body = serde_json::json!({
             "Name": format!("snowfield {instance}"), "TTL": format!("{ttl_s}s"), "LockDelay": "0s", "Behavior": "delete"
@@ -84,22 +83,22 @@
 /// The keys of the leases in Consul's KV store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseKeys {
-    /// In front of every key, without a slash at the end.
+    /// The prefix of all keys, without a trailing slash.
     pub prefix: String,
 }
 
 impl LeaseKeys {
-    /// The key of a job.
+    /// Returns the key of a job.
     pub fn job(&self, job: &str) -> String {
         format!("{}/{JOBS_FOLDER}/{job}", self.prefix)
     }
 
-    /// The key that a session holds.
+    /// Returns the key that a session holds.
     fn session(&self, id: &str) -> String {
         format!("{}/{SESSIONS_FOLDER}/{id}", self.prefix)
     }
 
-    /// Reads the lease of one job, or of all jobs where `job` is `None`; answered by [`LeaseKeys::listing`].
+    /// Reads the lease of one job, or of all jobs if `job` is `None`. Parse the response with [`LeaseKeys::listing`].
     pub fn read_request(&self, job: Option<&str>) -> Request {
         let target = match job {
             Some(job) => format!("/v1/kv/{}?consistent", escape_path(&self.job(job))),
@@ -108,8 +107,8 @@
         Request { method: Method::Get, target, body: String::new() }
     }
 
-    /// Writes a record if the index of the job's key is still this one, 0 standing for no key, and the session exists;
-    /// answered by [`LeaseKeys::compare_and_set_outcome`].
+    /// Writes a record if the job's key has this index and the session exists. Index 0 means that the key must not exist.
+    /// Parse the response with [`LeaseKeys::compare_and_set_outcome`].
     pub fn compare_and_set_request(
         &self,
         session: &Session,
@@ -127,7 +126,7 @@
     }
 }
 
-/// Percent-encodes what must not stand in a path; the slash may.
+/// Percent-encodes the segments of a path.
 fn escape_path(path: &str) -> String {
     path.split('/').map(http::percent_encode).collect::<Vec<_>>().join("/")
 }
--- a/crates/job_lease/src/consul/response.rs
+++ b/crates/job_lease/src/consul/response.rs
@@ -1,4 +1,4 @@
-//! The parsing of Consul's responses.
+//! Parsers for Consul's responses.
 
 use super::LeaseKeys;
 use crate::{
@@ -10,55 +10,60 @@
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// The size limit of a value that is parsed as a record, as base64.
+/// The size limit of a lease record in base64.
 const MAX_RECORD_BYTES: usize = 1024;
 /// The length limit of a session's id.
 const MAX_SESSION_ID_BYTES: usize = 64;
-/// The position of `check-session` in a transaction.
+/// The index of the `check-session` operation in a transaction.
 const CHECK_SESSION_OPERATION: usize = 0;
+const HTTP_OK: u16 = 200;
+const HTTP_NOT_FOUND: u16 = 404;
+/// The status of a transaction that was rolled back.
+const HTTP_CONFLICT: u16 = 409;
 
-/// A response of Consul.
+/// A response from Consul.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// `X-Consul-Index`; 0 where there was none.
+    /// The value of `X-Consul-Index`. 0 if the header is absent.
     pub index: u64,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// Whether the session's key was acquired.
+    /// Returns whether the session key was acquired.
     ///
     /// # Errors
     ///
-    /// The response is not conclusive.
+    /// Returns an error if the response is not conclusive.
     pub fn key_acquired(&self) -> Result<bool, StoreError> {
         self.parse()
     }
 
-    /// Whether the session that was to be renewed exists.
+    /// Returns whether the renewed session exists.
     ///
     /// # Errors
     ///
-    /// The response is not conclusive.
+    /// Returns an error if the response is not conclusive.
     pub fn session_exists(&self) -> Result<bool, StoreError> {
         match self.status {
-            200 => Ok(true),
-            404 => Ok(false),
+            HTTP_OK => Ok(true),
+            HTTP_NOT_FOUND => Ok(false),
             _ => Err(self.status_error()),
         }
     }
 
     fn parse<T: for<'a> Deserialize<'a>>(&self) -> Result<T, StoreError> {
-        if self.status != 200 {
+        if self.status != HTTP_OK {
             return Err(self.status_error());
         }
-        serde_json::from_slice(&self.body).map_err(unreadable)
+        serde_json::from_slice(&self.body).map_err(unreadable_response)
     }
 
-    /// The error of an unexpected status. A status from 400 to 499 is sent before anything is done; others may come after.
+    /// Returns the error for an unexpected status. Consul sends a client error (4xx) before it applies anything. Any other
+    /// status may follow an applied write.
     fn status_error(&self) -> StoreError {
         let cause = StoreErrorCause::Status(self.status);
         match self.status {
@@ -68,7 +73,7 @@
     }
 }
 
-fn unreadable(error: serde_json::Error) -> StoreError {
+fn unreadable_response(error: serde_json::Error) -> StoreError {
     StoreError::OutcomeUnknown(StoreErrorCause::UnreadableResponse(error))
 }
 
@@ -133,28 +138,29 @@
 }
 
 impl LeaseKeys {
-    /// The session that was created, with the key that it is to hold.
+    /// Returns the created session with the key that it has to acquire.
     ///
     /// # Errors
     ///
-    /// None was created as far as the response tells, or its id is not usable.
+    /// Returns an error if the response does not confirm a session, or if the session id cannot be used in a path.
     pub fn created_session(&self, response: &Response) -> Result<Session, StoreError> {
         let CreatedSession { id } = response.parse()?;
-        let plain = id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
-        if id.is_empty() || id.len() > MAX_SESSION_ID_BYTES || !plain {
+        let is_plain = id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
+        if id.is_empty() || id.len() > MAX_SESSION_ID_BYTES || !is_plain {
             return Err(StoreError::OutcomeUnknown(StoreErrorCause::UnusableSessionId { id }));
         }
         Ok(Session { key: self.session(&id), id })
     }
 
-    /// What a read found of these jobs. A value that is no lease record is an error: it is never overwritten.
+    /// Returns the leases of these jobs.
     ///
     /// # Errors
     ///
-    /// The response is not conclusive.
+    /// Returns an error if the response is not conclusive, or if the value under a requested key is not a lease record. Such
+    /// a value must not be taken for an absent key and overwritten.
     pub fn listing(&self, response: &Response, jobs: &[String]) -> Result<LeaseListing, StoreError> {
-        // 404: there is no such key.
-        let entries: Vec<KeyEntry> = if response.status == 404 { Vec::new() } else { response.parse()? };
+        let has_no_key = response.status == HTTP_NOT_FOUND;
+        let entries: Vec<KeyEntry> = if has_no_key { Vec::new() } else { response.parse()? };
         let folder = self.job("");
         let by_job: HashMap<&str, &KeyEntry> =
             entries.iter().filter_map(|entry| Some((entry.key.strip_prefix(&folder)?, entry))).collect();
@@ -165,21 +171,22 @@
         Ok(LeaseListing { leases: leases.collect::<Result<_, StoreError>>()?, store_index: response.index })
     }
 
-    /// The outcome of a compare-and-set on a job's key.
+    /// Returns the outcome of a compare-and-set on a job's key.
     pub fn compare_and_set_outcome(&self, response: &Response, job: &str) -> CompareAndSetOutcome {
-        if response.status != 200 && response.status != 409 {
+        if response.status != HTTP_OK && response.status != HTTP_CONFLICT {
             return CompareAndSetOutcome::Failed(response.status_error());
         }
         let transaction: Transaction = match serde_json::from_slice(&response.body) {
             Ok(transaction) => transaction,
-            Err(error) => return CompareAndSetOutcome::Failed(unreadable(error)),
+            Err(error) => return CompareAndSetOutcome::Failed(unreadable_response(error)),
         };
         let errors = transaction.errors.unwrap_or_default();
-        if response.status == 409 {
-            return rolled_back(&errors);
+        if response.status == HTTP_CONFLICT {
+            return rolled_back_outcome(&errors);
         }
         let key = self.job(job);
-        let mut written = transaction.results.unwrap_or_default().into_iter().filter_map(|r| r.entry);
+        let mut written =
+            transaction.results.unwrap_or_default().into_iter().filter_map(|result| result.entry);
         match written.find(|entry| entry.key == key) {
             Some(entry) if errors.is_empty() && entry.modify_index > 0 => {
                 CompareAndSetOutcome::Applied { modify_index: entry.modify_index }
@@ -191,9 +198,9 @@
     }
 }
 
-/// The outcome of a transaction that was rolled back as a whole.
-fn rolled_back(errors: &[TransactionError]) -> CompareAndSetOutcome {
-    // The session's failure has priority: it voids all that is known.
+/// Returns the outcome of a transaction that was rolled back.
+fn rolled_back_outcome(errors: &[TransactionError]) -> CompareAndSetOutcome {
+    // An ended session takes precedence over a conflict because it invalidates all cached leases.
     if errors.iter().any(|error| error.op_index == CHECK_SESSION_OPERATION) {
         CompareAndSetOutcome::SessionEnded
     } else if errors.is_empty() {
--- a/crates/job_lease/src/consul/tests.rs
+++ b/crates/job_lease/src/consul/tests.rs
@@ -1,4 +1,4 @@
-//! Requests, and responses that are whole, cut or garbage.
+//! Requests, and complete, truncated and invalid responses.
 
 use super::*;
 use crate::{CompareAndSetOutcome, RunId, StoreError};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_session_holds_a_key_of_its_own() {
+fn a_session_acquires_its_own_key_and_an_unusable_id_is_rejected() {
     let keys = keys();
     let session = keys.created_session(&response(200, r#"{"ID":"11-ab"}"#)).expect("a session");
     assert_eq!(session.key, "snowfield/holders/11-ab");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_outcome_of_a_compare_and_set_is_parsed_with_care() {
+fn only_a_complete_response_gives_a_conclusive_outcome() {
     let keys = keys();
     let outcome = |status, body: &str| keys.compare_and_set_outcome(&response(status, body), "d");
     let applied = r#"{"Results":[{"KV":{"Key":"snowfield/holders/x","ModifyIndex":3}},
@@ -40,11 +40,11 @@
     assert!(not_applied(outcome(429, "")));
     assert!(unknown(outcome(500, "")));
     assert!(unknown(outcome(200, "{}")));
-    assert!(unknown(outcome(200, &applied[..40])), "cut off");
+    assert!(unknown(outcome(200, &applied[..40])), "truncated");
 }
 
 #[test]
-fn a_foreign_value_is_never_taken_for_an_absent_key() {
+fn a_foreign_value_is_an_error_and_not_an_absent_key() {
     let keys = keys();
     let value = STANDARD.encode(r#"{"round":5,"by":"a","id":2}"#);
     let body = format!(r#"[{{"Key":"snowfield/duties/d","ModifyIndex":7,"Value":"{value}"}}]"#);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn responses_survive_cuts_and_garbage() {
+fn truncated_and_invalid_responses_do_not_panic() {
     let body = r#"{"Results":[{"KV":{"Key":"snowfield/duties/d","ModifyIndex":12}}],"Errors":null}"#;
     fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| {
         for status in [200, 409] {
--- a/crates/job_lease/src/decision.rs
+++ b/crates/job_lease/src/decision.rs
@@ -1,48 +1,48 @@
-//! The protocol for one key.
+//! The lease protocol for one key.
 
 use crate::{LeaseRecord, RunId, StoredLease};
 
-/// A run that an instance wants to acquire.
+/// A request to acquire a run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcquireRequest {
     /// The run.
     pub run: RunId,
-    /// The id of the lease, the same for all attempts of one instance at one run; never 0.
+    /// The id of the lease, the same for all attempts of one instance at one run. Never 0, which marks a seed.
     pub lease_id: u64,
-    /// The run that seeds an absent key: the run at the instance's clock put forward by the largest difference between two
-    /// clocks. Nobody can have acquired a later run.
+    /// The run that seeds an absent key: the run at the instance's clock plus the maximum clock skew. No instance can have
+    /// acquired a later run.
     pub seed_run: RunId,
 }
 
 impl AcquireRequest {
-    /// The record that acquires the run.
+    /// Returns the record that acquires the run.
     pub fn lease_record(&self, holder: &str) -> LeaseRecord {
         LeaseRecord { run: self.run, holder: holder.to_owned(), lease_id: self.lease_id }
     }
 
-    /// The record that seeds an absent key.
+    /// Returns the record that seeds an absent key.
     pub fn seed_record(&self) -> LeaseRecord {
-        LeaseRecord { run: self.seed_run.max(self.run), holder: String::new(), lease_id: 0 }
+        LeaseRecord::seed(self.seed_run.max(self.run))
     }
 }
 
-/// How to go on with a request.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// The run is settled, by another lease holder or by a seed: leave it.
+    /// Give up the run. Another lease holder or a seed has settled it.
     Settled,
-    /// The key holds a record with this very lease id: the response must have been lost. Run it if there is time.
+    /// Start the run if its deadline allows. The key already holds this lease, so the response to the write was lost.
     AlreadyHeld,
-    /// Write a seed if there still is no key. Nothing is run.
+    /// Write a seed if the key is still absent. The run does not start.
     Seed,
-    /// Write the lease record if the key's index is still this one.
+    /// Write the lease record by compare-and-set.
     CompareAndSet {
-        /// The expected index.
+        /// The index that the key must still have.
         expected_index: u64,
     },
 }
 
-/// How to go on with a request, by what the key holds; `None` where it does not exist.
+/// Decides the next step of a request from the stored lease, which is `None` if the key does not exist.
 pub fn decide(stored: Option<&StoredLease>, request: &AcquireRequest) -> Decision {
     let Some(stored) = stored else { return Decision::Seed };
     let record = &stored.record;
--- a/crates/job_lease/src/decision/tests.rs
+++ b/crates/job_lease/src/decision/tests.rs
@@ -9,29 +9,33 @@
 
 const REQUEST: AcquireRequest = AcquireRequest { run: RunId(7), lease_id: 3, seed_run: RunId(8) };
 
-fn decide_on(run: u64, lease_id: u64) -> Decision {
+fn decide_on_stored(run: u64, lease_id: u64) -> Decision {
     decide(Some(&stored(run, lease_id)), &REQUEST)
 }
 
 #[test]
 fn only_a_settled_earlier_run_is_replaced() {
-    assert_eq!(decide_on(6, 9), Decision::CompareAndSet { expected_index: 46 });
-    assert_eq!(decide_on(7, 9), Decision::Settled);
-    assert_eq!(decide_on(8, 9), Decision::Settled, "its clock is behind, or it was paused");
+    assert_eq!(decide_on_stored(6, 9), Decision::CompareAndSet { expected_index: 46 });
+    assert_eq!(decide_on_stored(7, 9), Decision::Settled);
+    assert_eq!(
+        decide_on_stored(8, 9),
+        Decision::Settled,
+        "this instance's clock is behind, or it was paused"
+    );
 }
 
 #[test]
 fn a_lease_whose_response_was_lost_is_recognized_but_not_one_from_before_a_restart() {
-    assert_eq!(decide_on(7, 3), Decision::AlreadyHeld);
-    assert_eq!(decide_on(7, 4), Decision::Settled);
-    assert_eq!(decide_on(6, 3), Decision::CompareAndSet { expected_index: 46 });
+    assert_eq!(decide_on_stored(7, 3), Decision::AlreadyHeld);
+    assert_eq!(decide_on_stored(7, 4), Decision::Settled);
+    assert_eq!(decide_on_stored(6, 3), Decision::CompareAndSet { expected_index: 46 });
 }
 
 #[test]
-fn an_absent_key_is_seeded_past_any_clock_and_never_acquired() {
+fn an_absent_key_is_seeded_beyond_the_clock_skew_and_never_acquired() {
     assert_eq!(decide(None, &REQUEST), Decision::Seed);
     let seed = LeaseRecord { run: RunId(8), holder: String::new(), lease_id: 0 };
     assert_eq!(REQUEST.seed_record(), seed);
     let behind = AcquireRequest { seed_run: RunId(2), ..REQUEST };
-    assert_eq!(behind.seed_record().run, RunId(7), "never behind the run itself");
+    assert_eq!(behind.seed_record().run, RunId(7), "never earlier than the run itself");
 }
--- a/crates/job_lease/src/error/tests.rs
+++ b/crates/job_lease/src/error/tests.rs
@@ -1,9 +1,9 @@
-//! The text of each error that an operator may read in the log.
+//! The error texts that operators read in the log.
 
 use super::*;
 
 #[test]
-fn each_text_names_what_went_wrong() {
+fn each_cause_has_its_text() {
     let unreadable = serde_json::from_str::<u8>("x").expect_err("no JSON");
     let unreadable_text = format!("a response that cannot be parsed: {unreadable}");
     let key = || "snowfield/duties/d".to_owned();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_call_that_may_have_been_applied_says_so_and_keeps_its_cause() {
+fn an_error_with_unknown_outcome_says_so_and_keeps_its_cause() {
     let error = StoreError::OutcomeUnknown(StoreErrorCause::Status(500));
     assert_eq!(error.to_string(), "status 500; it may have been applied");
     assert_eq!(error.cause().to_string(), "status 500");
--- a/crates/job_lease/src/lib.rs
+++ b/crates/job_lease/src/lib.rs
@@ -1,18 +1,18 @@
 //! The lease that makes each run of a periodic job exclusive.
 //!
-//! Gossip only says which instance should try a run. What makes the run exclusive is one key for each job in a store that
-//! is linearizable for a single key: the key holds the last run that anybody has acquired, and a new record replaces it
-//! only if nobody has replaced it since it was read (compare-and-set). [`decide`] is that protocol for one key, without
-//! I/O; the same code is checked by the model in `tests/model.rs`. [`consul`] turns it into requests to Consul's HTTP API
-//! and parses the responses; [`LocalStore`] keeps the keys in the process, for a single instance.
+//! Gossip determines only which instance should attempt a run. Exclusivity comes from one key per job in a store that is
+//! linearizable for a single key. The key holds the last acquired run. An instance acquires the next one by
+//! compare-and-set, which fails if the record has changed since it was read. [`decide`] is that protocol for one key,
+//! without I/O, and the model checker in `tests/model.rs` checks the same code. [`consul`] builds requests to Consul's HTTP
+//! API and parses its responses. [`LocalStore`] holds the keys in memory, for a single instance.
 //!
 //! Invariants:
 //!
-//! - The run under a key only grows while the store keeps its data.
-//! - A compare-and-set is bound to a session, and a session to one incarnation of the store. A write from before the store
-//!   came back empty therefore never takes effect, even where an index happens to be the same again.
-//! - An absent key is never acquired but seeded: with a run that no instance, its clock being within the stated bound, can
-//!   have acquired in the store's earlier incarnation.
+//! - The run under a key never decreases while the store keeps its data.
+//! - A compare-and-set is bound to a session, and a session to one incarnation of the store. After a store has lost its data,
+//!   a late write from before therefore never takes effect, even if the key's index matches again.
+//! - An absent key is never acquired directly. It is first seeded with a run that is at least as late as any run that an
+//!   instance with a clock within the stated skew can have acquired before the store lost its data.
 
 pub mod consul;
 mod decision;
--- a/crates/job_lease/src/local.rs
+++ b/crates/job_lease/src/local.rs
@@ -1,5 +1,5 @@
-//! Leases kept in the process, for a single instance. They follow the same protocol, so a program that restarts seeds its
-//! jobs like a store that came back empty, and a run from before the restart is not run again.
+//! Leases in memory, for a single instance. They follow the same protocol as leases in Consul: after a restart the absent
+//! keys are seeded, so a run from before the restart is not repeated.
 
 use crate::{CompareAndSetOutcome, LeaseListing, LeaseRecord, ListedLease, Session, StoredLease};
 use std::collections::HashMap;
@@ -12,25 +12,26 @@
 }
 
 impl LocalStore {
-    /// A session; it lasts as long as the process.
+    /// Opens a session, which lasts as long as the process.
     pub fn open_session(&self) -> Session {
         Session { id: "local".into(), key: String::new() }
     }
 
-    /// The leases of these jobs.
+    /// Reads the leases of these jobs.
     pub fn read(&self, jobs: &[String]) -> LeaseListing {
         let listed = |job: &String| ListedLease { job: job.clone(), lease: self.leases.get(job).cloned() };
         LeaseListing { leases: jobs.iter().map(listed).collect(), store_index: self.last_index }
     }
 
-    /// Writes a record if the index of the job's key is still this one, 0 standing for no key.
+    /// Writes a record if the job's key has this index. Index 0 means that the key must not exist.
     pub fn compare_and_set(
         &mut self,
         job: &str,
         record: LeaseRecord,
         expected_index: u64,
     ) -> CompareAndSetOutcome {
-        if self.leases.get(job).map_or(0, |lease| lease.modify_index) != expected_index {
+        let current_index = self.leases.get(job).map_or(0, |lease| lease.modify_index);
+        if current_index != expected_index {
             return CompareAndSetOutcome::Conflict;
         }
         self.last_index += 1;
@@ -39,7 +40,7 @@
         CompareAndSetOutcome::Applied { modify_index }
     }
 
-    /// Forgets the jobs that `keep` rejects.
+    /// Removes the jobs for which `keep` returns false.
     pub fn retain_jobs(&mut self, keep: impl Fn(&str) -> bool) {
         self.leases.retain(|job, _| keep(job));
     }
--- a/crates/job_lease/src/local/tests.rs
+++ b/crates/job_lease/src/local/tests.rs
@@ -1,16 +1,16 @@
-//! Compare-and-set on the keys of the process.
+//! Compare-and-set on keys in memory.
 
 use super::*;
 use crate::RunId;
 
 #[test]
-fn a_key_is_made_once_and_replaced_only_at_its_index() {
+fn a_key_is_created_once_and_replaced_only_at_its_index() {
     let mut store = LocalStore::default();
     let record = |run| LeaseRecord { run: RunId(run), holder: "a".into(), lease_id: 1 };
-    let applied = |outcome, index| matches!(outcome, CompareAndSetOutcome::Applied { modify_index } if modify_index == index);
-    assert!(applied(store.compare_and_set("d", record(1), 0), 1));
+    let applied_at = |outcome, index| matches!(outcome, CompareAndSetOutcome::Applied { modify_index } if modify_index == index);
+    assert!(applied_at(store.compare_and_set("d", record(1), 0), 1));
     assert!(matches!(store.compare_and_set("d", record(2), 0), CompareAndSetOutcome::Conflict));
-    assert!(applied(store.compare_and_set("d", record(2), 1), 2));
+    assert!(applied_at(store.compare_and_set("d", record(2), 1), 2));
     assert!(matches!(store.compare_and_set("d", record(3), 1), CompareAndSetOutcome::Conflict));
     let listing = store.read(&["d".into(), "e".into()]);
     let lease = listing.leases[0].lease.as_ref();
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -1,16 +1,16 @@
-//! What a job's key holds.
+//! The record under a job's key.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A run of a job: the time at which it is scheduled, in Unix milliseconds. It only grows from run to run, and is the
-/// run's fencing token.
+/// A run of a job, identified by its scheduled time in Unix milliseconds. The id increases from run to run and serves as
+/// the fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RunId(pub u64);
 
 impl RunId {
-    /// The scheduled time in Unix milliseconds.
+    /// Returns the scheduled time in Unix milliseconds.
     pub fn scheduled_unix_ms(self) -> u64 {
         self.0
     }
@@ -22,32 +22,40 @@
     }
 }
 
-/// The value under a job's key: the last run that was acquired. Stored as JSON, whose names are those of the `rename`s.
+/// The lease id of a seed.
+const SEED_LEASE_ID: u64 = 0;
+
+/// The value under a job's key: the last acquired run. It is stored as JSON with the names given by `rename`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The run. All runs up to it are settled.
+    /// The run. This run and all earlier ones are settled.
     #[serde(rename = "round")]
     pub run: RunId,
-    /// The lease holder's name; empty for a seed.
+    /// The lease holder's name. Empty for a seed.
     #[serde(rename = "by")]
     pub holder: String,
-    /// Distinguishes this lease from any other, also from one of the same instance before its restart; 0 for a seed.
+    /// The id of the lease, unique also across restarts of an instance. 0 for a seed.
     #[serde(rename = "id")]
     pub lease_id: u64,
 }
 
 impl LeaseRecord {
-    /// Whether it is a seed, which nobody runs.
+    /// Returns the record of a seed, which settles all runs up to this one without running them.
+    pub fn seed(run: RunId) -> Self {
+        Self { run, holder: String::new(), lease_id: SEED_LEASE_ID }
+    }
+
+    /// Returns whether the record is a seed.
     pub fn is_seed(&self) -> bool {
-        self.lease_id == 0
+        self.lease_id == SEED_LEASE_ID
     }
 }
 
-/// A record as found in the store.
+/// A record read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredLease {
     /// The record.
     pub record: LeaseRecord,
-    /// The store's index of the key's last change (Consul's `ModifyIndex`).
+    /// The index of the key's last modification (Consul's `ModifyIndex`).
     pub modify_index: u64,
 }
--- a/crates/job_lease/src/store.rs
+++ b/crates/job_lease/src/store.rs
@@ -2,12 +2,12 @@
 
 use crate::{StoreError, StoredLease};
 
-/// A session with the store: writes bound to it are void once it has ended.
+/// A session with the store. Writes bound to it fail after the session has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Session {
-    /// The store's id of the session.
+    /// The session id assigned by the store.
     pub id: String,
-    /// The key that it holds, by which a transaction checks that the session still exists.
+    /// The key held by the session. A transaction checks it to verify that the session exists.
     pub key: String,
 }
 
@@ -16,31 +16,31 @@
 pub enum CompareAndSetOutcome {
     /// The record was written.
     Applied {
-        /// The key's index from now on.
+        /// The key's new index.
         modify_index: u64,
     },
-    /// Another instance has replaced the record since it was read.
+    /// The record was not written because the key's index has changed.
     Conflict,
-    /// The session has ended: nothing was applied, and nothing known about the store's keys holds any more.
+    /// The record was not written because the session has ended. All cached knowledge of the store's keys is invalid.
     SessionEnded,
-    /// There is no conclusive response.
+    /// The call failed, or its response is not conclusive.
     Failed(StoreError),
 }
 
-/// A job and what its key holds.
+/// A job and its stored lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedLease {
     /// The job's name.
     pub job: String,
-    /// Its lease; `None` where the key does not exist.
+    /// The lease. `None` if the key does not exist.
     pub lease: Option<StoredLease>,
 }
 
 /// The result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseListing {
-    /// One entry for each job asked for.
+    /// One entry per requested job.
     pub leases: Vec<ListedLease>,
-    /// The store's index at the time of reading; 0 where it is not known.
+    /// The store's index at the time of the read. 0 if unknown.
     pub store_index: u64,
 }
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -1,6 +1,6 @@
-//! The lease protocol, checked exhaustively: three instances whose clocks differ, pauses at any point, responses that are
-//! lost or late, writes that are applied late, and a store that comes back empty. The decisions are those of the program
-//! (`job_lease::decide`); each guard is also taken out once, and the checker must then find a run that starts twice.
+//! Exhaustive model checking of the lease protocol: three instances with clock skew, pauses at any point, lost and late
+//! responses, late writes, and a store that loses its data. The model calls the program's own `job_lease::decide`. Each
+//! guard is also removed once, and the checker must then find a run that starts twice.
 
 #![allow(clippy::too_many_lines)]
 
@@ -9,48 +9,51 @@
 
 /// Units of time in a period.
 const PERIOD: u64 = 2;
-/// The largest difference between two clocks, in units of time.
-const SKEW: u64 = 1;
+/// The maximum clock skew between two instances, in units of time.
+const MAX_CLOCK_SKEW: u64 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RemovedGuard {
     None,
-    /// Records are written whatever the index is.
+    /// Writes ignore the expected index.
     CompareAndSet,
     /// Writes are not bound to a session.
     Session,
-    /// An absent key is acquired at once.
+    /// An absent key is acquired without a seed.
     Seed,
-    /// A lost response is taken for a lease that holds.
+    /// A run starts after a lost response without reading its lease again.
     Reread,
 }
 
 struct LeaseModel {
     removed_guard: RemovedGuard,
-    /// How far each clock is ahead.
+    /// The offset of each instance's clock.
     clock_offsets: [u64; 3],
+    /// The moment at which the time stops.
     end: u64,
-    /// How often the store comes back empty.
+    /// The maximum number of times the store loses its data.
     max_store_losses: u8,
-    /// How many responses are lost.
+    /// The maximum number of lost responses.
     max_response_losses: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    /// The lease was read; `None` where there is no key.
+    /// The lease was read. `None` if the key does not exist.
     Read(Option<StoredLease>),
-    /// A write is on its way to the store.
+    /// A write was sent to the store.
     Sent {
         expected_index: u64,
         record: LeaseRecord,
     },
-    /// The response is on its way back: whether the run was acquired.
-    Responded(bool),
-    /// No response came.
+    /// The store has responded.
+    Responded {
+        acquired: bool,
+    },
+    /// The response was lost or timed out.
     Uncertain,
-    /// The clock was checked and the run is about to start: a pause may fall in between.
+    /// The clock was checked and the run will start. The instance may pause in between.
     Starting(RunId),
 }
 
@@ -58,9 +61,9 @@
 struct Instance {
     phase: Phase,
     run: RunId,
-    /// The incarnation of the store that its session belongs to.
+    /// The store incarnation of its session.
     session: u8,
-    /// The last run that it has started.
+    /// The last run that this instance has started.
     last_started: RunId,
 }
 
@@ -71,10 +74,10 @@
     store_index: u64,
     store_incarnation: u8,
     lost_responses: u8,
-    /// Writes whose sender has stopped waiting: the store may yet apply them.
+    /// Timed-out writes that the store may still apply.
     late_writes: Vec<LateWrite>,
     instances: Vec<Instance>,
-    /// The runs that were started, sorted.
+    /// The started runs, sorted.
     started: Vec<RunId>,
 }
 
@@ -85,11 +88,11 @@
     record: LeaseRecord,
 }
 
-/// What may happen next. The numbers are those of instances, and of late writes.
+/// A step of the model. The number is the index of an instance, for `ApplyLate` that of a late write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick,
-    EmptyStore,
+    LoseStoreData,
     OpenSession(usize),
     Read(usize),
     Send(usize),
@@ -106,26 +109,28 @@
         state.time + self.clock_offsets[instance]
     }
 
-    /// The run at the present time by an instance's clock.
-    fn present_run(&self, state: &State, instance: usize) -> RunId {
+    /// Returns the run of the current period by an instance's clock.
+    fn current_run(&self, state: &State, instance: usize) -> RunId {
         RunId(self.clock(state, instance) / PERIOD)
     }
 
     fn request(&self, state: &State, instance: usize, run: RunId) -> AcquireRequest {
-        let seed_run = RunId((self.clock(state, instance) + SKEW) / PERIOD);
+        let seed_run = RunId((self.clock(state, instance) + MAX_CLOCK_SKEW) / PERIOD);
         AcquireRequest { run, lease_id: instance as u64 + 1, seed_run }
     }
 
+    /// Applies a compare-and-set. Returns whether the record was written.
     fn apply(&self, state: &mut State, session: u8, expected_index: u64, record: &LeaseRecord) -> bool {
         let index = state.stored.as_ref().map_or(0, |stored| stored.modify_index);
         let index_matches = index == expected_index || self.removed_guard == RemovedGuard::CompareAndSet;
         let session_exists =
             session == state.store_incarnation || self.removed_guard == RemovedGuard::Session;
-        if index_matches && session_exists {
+        let applied = index_matches && session_exists;
+        if applied {
             state.store_index += 1;
             state.stored = Some(StoredLease { record: record.clone(), modify_index: state.store_index });
         }
-        index_matches && session_exists
+        applied
     }
 }
 
@@ -135,7 +140,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let instance = Instance { phase: Phase::Idle, run: RunId(0), session: 0, last_started: RunId(0) };
-        // The key has existed for a while: the run before the first has started.
+        // The key exists, and the run before the first one has started.
         let record = LeaseRecord { run: RunId(0), holder: "x".into(), lease_id: 9 };
         vec![State {
             time: PERIOD,
@@ -154,7 +159,7 @@
             actions.push(Action::Tick);
         }
         if state.store_incarnation < self.max_store_losses {
-            actions.push(Action::EmptyStore);
+            actions.push(Action::LoseStoreData);
         }
         for (i, _) in state.late_writes.iter().enumerate() {
             actions.push(Action::ApplyLate(i));
@@ -174,7 +179,7 @@
                         actions.push(Action::TimeOut(i));
                     }
                 }
-                Phase::Responded(_) => {
+                Phase::Responded { .. } => {
                     actions.push(Action::Receive(i));
                     if may_lose {
                         actions.push(Action::LoseResponse(i));
@@ -189,10 +194,10 @@
         let mut state = before.clone();
         match action {
             Action::Tick => state.time += 1,
-            Action::EmptyStore => {
+            Action::LoseStoreData => {
                 state.store_incarnation += 1;
                 state.stored = None;
-                // Indexes begin anew, so an old one may come to match again.
+                // Indexes restart, so an old one may match again.
                 state.store_index = 0;
             }
             Action::ApplyLate(i) => {
@@ -201,11 +206,11 @@
             }
             Action::OpenSession(i) => state.instances[i].session = state.store_incarnation,
             Action::Read(i) => {
-                let run = self.present_run(&state, i);
+                let run = self.current_run(&state, i);
                 let stored = state.stored.clone();
                 let instance = &mut state.instances[i];
                 if instance.phase == Phase::Idle {
-                    // One run at a time, and never one that it has started.
+                    // Runs are attempted one at a time and never after they have started.
                     if run <= instance.last_started {
                         return None;
                     }
@@ -216,11 +221,11 @@
             Action::Send(i) => {
                 let Phase::Read(stored) = state.instances[i].phase.clone() else { return None };
                 let run = state.instances[i].run;
-                let present_run = self.present_run(&state, i);
+                let current_run = self.current_run(&state, i);
                 let request = self.request(&state, i, run);
                 let phase = match decide(stored.as_ref(), &request) {
-                    // Its own clock says that the run's period is over.
-                    _ if present_run != run => Phase::Idle,
+                    // By the instance's clock the run's period is over.
+                    _ if current_run != run => Phase::Idle,
                     Decision::Settled => Phase::Idle,
                     Decision::AlreadyHeld => Phase::Starting(run),
                     Decision::Seed if self.removed_guard == RemovedGuard::Seed => {
@@ -239,7 +244,7 @@
                 };
                 let session = state.instances[i].session;
                 let acquired = self.apply(&mut state, session, expected_index, &record) && !record.is_seed();
-                state.instances[i].phase = Phase::Responded(acquired);
+                state.instances[i].phase = Phase::Responded { acquired };
             }
             Action::TimeOut(i) => {
                 let Phase::Sent { expected_index, record } = state.instances[i].phase.clone() else {
@@ -248,7 +253,7 @@
                 let session = state.instances[i].session;
                 state.late_writes.push(LateWrite { session, expected_index, record: record.clone() });
                 state.lost_responses += 1;
-                let in_time = self.present_run(&state, i) == state.instances[i].run && !record.is_seed();
+                let in_time = self.current_run(&state, i) == state.instances[i].run && !record.is_seed();
                 state.instances[i].phase = match self.removed_guard {
                     RemovedGuard::Reread if in_time => Phase::Starting(record.run),
                     _ => Phase::Uncertain,
@@ -259,9 +264,9 @@
                 state.instances[i].phase = Phase::Uncertain;
             }
             Action::Receive(i) => {
-                let Phase::Responded(acquired) = state.instances[i].phase else { return None };
+                let Phase::Responded { acquired } = state.instances[i].phase else { return None };
                 let run = state.instances[i].run;
-                let in_time = self.present_run(&state, i) == run;
+                let in_time = self.current_run(&state, i) == run;
                 state.instances[i].phase =
                     if acquired && in_time { Phase::Starting(run) } else { Phase::Idle };
             }
@@ -282,7 +287,7 @@
                 state.started.windows(2).all(|pair| pair[0] != pair[1])
             }),
             Property::sometimes(A_RUN_STARTS, |_, state: &State| !state.started.is_empty()),
-            Property::sometimes(A_RUN_STARTS_AFTER_A_LOSS, |model: &LeaseModel, state: &State| {
+            Property::sometimes(A_RUN_STARTS_AFTER_DATA_LOSS, |model: &LeaseModel, state: &State| {
                 let store_lost = state.store_incarnation > 0 && state.started.len() > 1;
                 model.max_store_losses == 0 || store_lost
             }),
@@ -292,67 +297,67 @@
 
 const NO_RUN_TWICE: &str = "no run starts twice";
 const A_RUN_STARTS: &str = "a run starts";
-const A_RUN_STARTS_AFTER_A_LOSS: &str = "a run starts after the store came back empty";
+const A_RUN_STARTS_AFTER_DATA_LOSS: &str = "a run starts after the store has lost its data";
 
-/// The size of a check.
+/// The bounds of a check.
 #[derive(Clone, Copy)]
-struct Size {
+struct Bounds {
     store_losses: u8,
     response_losses: u8,
     end: u64,
 }
 
-const fn size(store_losses: u8, response_losses: u8, end: u64) -> Size {
-    Size { store_losses, response_losses, end }
+const fn bounds(store_losses: u8, response_losses: u8, end: u64) -> Bounds {
+    Bounds { store_losses, response_losses, end }
 }
 
-struct Checked {
+struct CheckResult {
     /// Whether some run starts twice.
-    run_twice: bool,
+    run_starts_twice: bool,
     states: usize,
 }
 
-fn check(removed_guard: RemovedGuard, clock_offsets: [u64; 3], size: Size) -> Checked {
+fn check(removed_guard: RemovedGuard, clock_offsets: [u64; 3], bounds: Bounds) -> CheckResult {
     let model = LeaseModel {
         removed_guard,
         clock_offsets,
-        end: size.end,
-        max_store_losses: size.store_losses,
-        max_response_losses: size.response_losses,
+        end: bounds.end,
+        max_store_losses: bounds.store_losses,
+        max_response_losses: bounds.response_losses,
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = model.checker().threads(threads).spawn_bfs().join();
-    let run_twice = checker.discovery(NO_RUN_TWICE).is_some();
+    let run_starts_twice = checker.discovery(NO_RUN_TWICE).is_some();
     if removed_guard == RemovedGuard::None {
-        for name in [A_RUN_STARTS, A_RUN_STARTS_AFTER_A_LOSS] {
-            assert!(checker.discovery(name).is_some(), "{name}: the model shows too little");
+        for name in [A_RUN_STARTS, A_RUN_STARTS_AFTER_DATA_LOSS] {
+            assert!(checker.discovery(name).is_some(), "{name}: not reached by the model");
         }
     }
-    Checked { run_twice, states: checker.unique_state_count() }
+    CheckResult { run_starts_twice, states: checker.unique_state_count() }
 }
 
 #[test]
-fn no_run_starts_twice_whatever_is_lost_late_or_emptied() {
-    // Short enough for every run of the tests; `all_sizes` goes further.
-    check_sizes(&[[0, 0, 0], [1, 0, 0]], &[size(0, 1, 4), size(1, 1, 4)]);
+fn no_run_starts_twice_despite_lost_responses_late_writes_and_data_loss() {
+    // The bounds are small enough for every test run. The ignored test checks larger ones.
+    check_all(&[[0, 0, 0], [1, 0, 0]], &[bounds(0, 1, 4), bounds(1, 1, 4)]);
 }
 
 #[test]
 #[ignore = "takes minutes: part of `make proof-periodic-jobs`"]
-fn all_sizes() {
-    check_sizes(&[[0, 0, 0], [1, 0, 0], [1, 1, 0]], &[size(0, 2, 5), size(1, 1, 5)]);
+fn no_run_starts_twice_within_larger_bounds() {
+    check_all(&[[0, 0, 0], [1, 0, 0], [1, 1, 0]], &[bounds(0, 2, 5), bounds(1, 1, 5)]);
 }
 
-/// Checks all of these clock offsets with all of these sizes.
-fn check_sizes(clock_offsets: &[[u64; 3]], sizes: &[Size]) {
+/// Checks all combinations of these clock offsets and bounds.
+fn check_all(clock_offsets: &[[u64; 3]], all_bounds: &[Bounds]) {
     let mut states = 0;
     for offsets in clock_offsets {
-        for &size in sizes {
-            let checked = check(RemovedGuard::None, *offsets, size);
-            let Size { store_losses, response_losses, .. } = size;
+        for &bounds in all_bounds {
+            let checked = check(RemovedGuard::None, *offsets, bounds);
+            let Bounds { store_losses, response_losses, .. } = bounds;
             assert!(
-                !checked.run_twice,
-                "clocks {offsets:?}, {store_losses} restarts empty, {response_losses} responses lost"
+                !checked.run_starts_twice,
+                "clocks {offsets:?}, {store_losses} data losses, {response_losses} lost responses"
             );
             states += checked.states;
         }
@@ -362,16 +367,16 @@
 }
 
 #[test]
-fn each_guard_is_needed() {
-    for (removed_guard, size) in [
-        (RemovedGuard::CompareAndSet, size(0, 0, 5)),
-        (RemovedGuard::Session, size(1, 1, 5)),
-        (RemovedGuard::Seed, size(1, 0, 5)),
-        (RemovedGuard::Reread, size(0, 1, 5)),
+fn without_any_one_guard_a_run_starts_twice() {
+    for (removed_guard, bounds) in [
+        (RemovedGuard::CompareAndSet, bounds(0, 0, 5)),
+        (RemovedGuard::Session, bounds(1, 1, 5)),
+        (RemovedGuard::Seed, bounds(1, 0, 5)),
+        (RemovedGuard::Reread, bounds(0, 1, 5)),
     ] {
         assert!(
-            check(removed_guard, [1, 0, 0], size).run_twice,
-            "the checker finds nothing without {removed_guard:?}"
+            check(removed_guard, [1, 0, 0], bounds).run_starts_twice,
+            "no run starts twice without the guard {removed_guard:?}"
         );
     }
 }
--- a/crates/job_lease/tests/wire_format.rs
+++ b/crates/job_lease/tests/wire_format.rs
@@ -1,15 +1,18 @@
-//! What an earlier build sent to Consul and stored there: this build writes the same bytes and reads them.
+//! Wire compatibility with an earlier build: this build writes the same requests and records, and reads those records.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use job_lease::consul::{LeaseKeys, Request, Response};
 use job_lease::{CompareAndSetOutcome, LeaseRecord, RunId, Session};
 
-/// The requests of the earlier build: method, target and body, a line each.
+/// The requests of the earlier build, each as a line with method and target and a line with the body.
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
-/// The value of a lease, and that of a seed, as a key holds them.
+/// The stored values of a lease and of a seed.
 const LEASE: &str = include_str!("fixtures/lease.json");
 const SEED: &str = include_str!("fixtures/seed.json");
+/// A job, and its key in the store.
+const JOB: &str = "call/close-of-day";
+const JOB_KEY: &str = "snow field/duties/call/close-of-day";
 
 fn keys() -> LeaseKeys {
     LeaseKeys { prefix: "snow field".into() }
@@ -25,32 +28,32 @@
 }
 
 fn seed() -> LeaseRecord {
-    LeaseRecord { run: RunId(1_800_000_000_456), holder: String::new(), lease_id: 0 }
+    LeaseRecord::seed(RunId(1_800_000_000_456))
 }
 
-fn line(request: &Request) -> String {
+fn fixture_text(request: &Request) -> String {
     format!("{} {}\n{}\n", request.method.as_str(), request.target, request.body)
 }
 
 #[test]
-fn requests_to_consul_are_those_of_the_earlier_build() {
+fn requests_to_consul_equal_those_of_the_earlier_build() {
     let (keys, session) = (keys(), session());
     let requests = [
         Request::create_session("muscat-1", 10),
         Request::acquire_session_key(&session, "muscat-1"),
         Request::renew_session(&session),
         Request::destroy_session(&session),
-        keys.read_request(Some("call/close-of-day")),
+        keys.read_request(Some(JOB)),
         keys.read_request(None),
-        keys.compare_and_set_request(&session, "call/close-of-day", &lease(), 42),
+        keys.compare_and_set_request(&session, JOB, &lease(), 42),
         keys.compare_and_set_request(&session, "probe/loans/10 1", &seed(), 0),
     ];
-    let written: String = requests.iter().map(line).collect();
+    let written: String = requests.iter().map(fixture_text).collect();
     assert_eq!(written, REQUESTS);
 }
 
 #[test]
-fn records_of_the_earlier_build_are_read_and_written_alike() {
+fn records_of_the_earlier_build_decode_and_encode_to_the_same_bytes() {
     for (stored, record) in [(LEASE, lease()), (SEED, seed())] {
         assert_eq!(serde_json::from_str::<LeaseRecord>(stored).expect("a record"), record);
         assert_eq!(serde_json::to_string(&record).expect("JSON"), stored);
@@ -58,12 +61,11 @@
 }
 
 #[test]
-fn a_stored_record_is_found_in_a_listing_and_a_cut_one_is_an_error() {
-    let names = ["call/close-of-day".to_owned()];
+fn a_stored_record_is_listed_and_a_truncated_one_is_an_error() {
+    let names = [JOB.to_owned()];
     let listing = |value: &str| {
         let value = STANDARD.encode(value);
-        let key = "snow field/duties/call/close-of-day";
-        let body = format!(r#"[{{"Key":"{key}","ModifyIndex":7,"Value":"{value}"}}]"#).into_bytes();
+        let body = format!(r#"[{{"Key":"{JOB_KEY}","ModifyIndex":7,"Value":"{value}"}}]"#).into_bytes();
         keys().listing(&Response { status: 200, index: 9, body }, &names)
     };
     for (stored, record) in [(LEASE, lease()), (SEED, seed())] {
@@ -77,11 +79,10 @@
 }
 
 #[test]
-fn the_response_to_a_transaction_names_the_key_of_the_earlier_build() {
-    let key = "snow field/duties/call/close-of-day";
-    let body =
-        format!(r#"{{"Results":[{{"KV":{{"Key":"{key}","ModifyIndex":12}}}}],"Errors":null}}"#).into_bytes();
+fn a_transaction_on_the_key_of_the_earlier_build_is_applied() {
+    let body = format!(r#"{{"Results":[{{"KV":{{"Key":"{JOB_KEY}","ModifyIndex":12}}}}],"Errors":null}}"#)
+        .into_bytes();
     let response = Response { status: 200, index: 0, body };
-    let outcome = keys().compare_and_set_outcome(&response, "call/close-of-day");
+    let outcome = keys().compare_and_set_outcome(&response, JOB);
     assert!(matches!(outcome, CompareAndSetOutcome::Applied { modify_index: 12 }));
 }
