--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -1,6 +1,6 @@
 //! Bulk failure dissemination: all members learn of many simultaneous failures within seconds.
 //!
-//! SWIM probes one member after the other and piggybacks each failure as an update of its own. Both steps are too slow when
+//! SWIM probes one member after the other and piggybacks each failure as a separate update. Both steps are too slow when
 //! half of a large cluster fails: some dead members are not probed for many periods, and hundreds of updates compete for
 //! the space in each message. While many members are suspected or have just failed, this instance therefore probes
 //! [`PROBE_SPEEDUP`] times as fast, and sends a digest of its known failures to one random member per gossip period. A
@@ -37,7 +37,7 @@
 /// The maximum number of replies per gossip period. Several members may send their digest to this one.
 const MAX_REPLIES_PER_PERIOD: u32 = 4;
 
-/// The failures known to this instance, and whether there are so many that dissemination is active.
+/// The failures known to this instance, and and the state of their dissemination.
 ///
 /// `now_ms` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
--- a/crates/membership/src/bulk_failure/failure_log.rs
+++ b/crates/membership/src/bulk_failure/failure_log.rs
@@ -60,3 +60,6 @@
         self.by_age.iter().cycle().skip(offset % count.max(1)).take(count).copied()
     }
 }
+
+#[cfg(test)]
+mod tests;
