--- a/crates/health_check/src/lib.rs
+++ b/crates/health_check/src/lib.rs
@@ -1,15 +1,16 @@
-//! The results of health checks, without I/O.
+//! The evaluation of health checks, without I/O.
 //!
-//! Each backend is checked by one instance in each period; the result becomes a [`HealthReport`] that all instances
-//! receive by gossip. A report holds the counts that the thresholds need, so whichever instance checks next continues where
-//! the last one stopped. [`HealthTracker`] keeps the newest report of each backend and says which backends are ejected.
+//! In each period one instance checks each backend and disseminates a [`HealthReport`] to all instances by gossip. A report
+//! carries the counts that the thresholds need, so any instance can make the next check. [`HealthTracker`] keeps the newest
+//! report of each backend and determines the ejected backends.
 //!
 //! Invariants:
 //!
 //! - An older report never replaces a newer one.
-//! - Health checks eject no more than the configured fraction of the backends: the checker may be what is broken. Those
-//!   that have failed for longest stay ejected, so the choice is the same at all instances with the same reports.
-//! - A backend without a report for [`STALE_AFTER_PERIODS`] periods is judged by its traffic alone.
+//! - Health checks eject at most the configured fraction of the backends, because the checking instance itself may be faulty
+//!   (panic threshold). The backends that have failed longest stay ejected, so all instances with the same reports eject
+//!   the same ones.
+//! - A report older than [`STALE_AFTER_PERIODS`] periods is ignored, and its backend is judged by its traffic alone.
 
 mod config;
 mod report;
--- a/crates/health_check/src/report.rs
+++ b/crates/health_check/src/report.rs
@@ -1,25 +1,26 @@
-//! The report that a health check leaves.
+//! The report of a health check.
 
 use crate::Config;
 use serde::{Deserialize, Serialize};
 
-/// What is known about a backend after a check (postcard: the order and the types of the fields are the wire format).
+/// The state of a backend after a check. Gossip carries it encoded with postcard: the order and the types of the fields are
+/// the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// When the check was scheduled, in Unix milliseconds. It orders the reports of a backend.
+    /// The scheduled time of the check in Unix milliseconds. It orders the reports of a backend.
     pub scheduled_unix_ms: u64,
-    /// Whether the backend counts as failing.
+    /// Whether the backend is failing.
     pub failing: bool,
-    /// Results in a row that contradict this.
+    /// The number of consecutive results that contradict `failing`.
     pub contrary_results: u32,
-    /// When the check was scheduled that last made it failing or healthy, in Unix milliseconds.
+    /// The scheduled time of the check that last changed `failing`, in Unix milliseconds.
     pub changed_unix_ms: u64,
 }
 
 impl HealthReport {
-    /// The report after one more check.
+    /// Returns the report after another check.
     pub fn after_check(before: Option<&Self>, scheduled_unix_ms: u64, passed: bool, config: &Config) -> Self {
-        // A backend that nobody has checked yet counts as healthy, since its traffic may.
+        // A backend without checks starts as healthy, because its traffic may show that it is.
         let unchecked = Self {
             scheduled_unix_ms: 0,
             failing: false,
@@ -27,8 +28,8 @@
             changed_unix_ms: scheduled_unix_ms,
         };
         let before = before.copied().unwrap_or(unchecked);
-        let contrary = passed == before.failing;
-        let contrary_results = if contrary { before.contrary_results.saturating_add(1) } else { 0 };
+        let is_contrary = passed == before.failing;
+        let contrary_results = if is_contrary { before.contrary_results.saturating_add(1) } else { 0 };
         let threshold = if before.failing { config.healthy_threshold } else { config.unhealthy_threshold };
         if contrary_results < threshold.max(1) {
             return Self { scheduled_unix_ms, contrary_results, ..before };
@@ -41,17 +42,17 @@
         }
     }
 
-    /// Whether this very check has made the backend failing or healthy.
+    /// Returns whether this check has changed `failing`.
     pub fn has_changed(&self) -> bool {
         self.changed_unix_ms == self.scheduled_unix_ms
     }
 
-    /// The bytes that other instances decode.
+    /// Encodes the report for other instances.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a report; `None` where the bytes are none.
+    /// Decodes a report. Returns `None` for malformed bytes.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -1,42 +1,51 @@
-//! The health of all backends by their newest reports.
+//! The health of all backends, derived from their newest reports.
 
 use crate::{Config, HealthReport};
 use std::collections::BTreeMap;
 
-/// Check periods without a new report after which a report no longer counts.
+/// The age in check periods beyond which a report is ignored.
 pub const STALE_AFTER_PERIODS: u64 = 3;
 
-/// What health checks say about a backend.
+/// The status of a backend by its health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// There is no recent report: the backend is judged by its traffic alone.
+    /// No recent report exists. The backend is judged by its traffic alone.
     Unknown,
-    /// It passes its checks.
+    /// The backend passes its checks.
     Healthy,
-    /// It fails its checks and gets no new requests.
+    /// The backend fails its checks and gets no new requests.
     Ejected,
-    /// It fails its checks, but too many are ejected already: it is judged by its traffic alone.
+    /// The backend fails its checks, but the ejection limit is reached. It is judged by its traffic alone.
     EjectionLimited,
 }
 
-/// The status of a backend.
+/// The status of a backend and the age of its report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendHealth {
     /// The status.
     pub status: HealthStatus,
-    /// The age of the newest report in milliseconds; `None` where the backend was never checked.
+    /// The age of the newest report in milliseconds. `None` if there is no report.
     pub report_age_ms: Option<u64>,
 }
 
-/// A report, and when this instance got it.
+/// A report and the moment at which this instance received it.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     report: HealthReport,
-    /// Milliseconds of the driver's monotonic clock.
+    /// A moment on the driver's monotonic clock.
     received_ms: u64,
 }
 
-/// The newest report of each backend. Times are milliseconds of the driver's monotonic clock.
+/// A failing backend, ordered by the time since which it has been failing.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct FailingBackend {
+    since_unix_ms: u64,
+    id: String,
+}
+
+/// The newest report of each backend.
+///
+/// `now_ms` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
 pub struct HealthTracker {
     config: Config,
@@ -44,24 +53,24 @@
 }
 
 impl HealthTracker {
-    /// A tracker without backends.
+    /// Creates a tracker without backends.
     pub fn new(config: Config) -> Self {
         Self { config, reports: BTreeMap::new() }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Replaces the backends; the reports of those that stay are kept.
+    /// Replaces the backends. Backends that remain keep their reports.
     pub fn set_backends(&mut self, ids: impl IntoIterator<Item = String>) {
         let mut before = std::mem::take(&mut self.reports);
         self.reports = ids.into_iter().map(|id| (id.clone(), before.remove(&id).flatten())).collect();
     }
 
-    /// Records the result of a check made by this instance; returns the report to disseminate. `None` for an unknown
-    /// backend, and for a check that is not newer than the newest report.
+    /// Records the result of a check made by this instance and returns the report to disseminate. Returns `None` for an
+    /// unknown backend, and for a check that is not newer than the newest report.
     pub fn record_check(
         &mut self,
         id: &str,
@@ -77,7 +86,7 @@
         self.apply_report(id, report, now_ms).then_some(report)
     }
 
-    /// Applies a report; returns whether it is newer than the newest one so far.
+    /// Applies a report if it is newer than the one stored. Returns whether it was.
     pub fn apply_report(&mut self, id: &str, report: HealthReport, now_ms: u64) -> bool {
         let Some(newest) = self.reports.get_mut(id) else { return false };
         if newest.is_some_and(|newest| newest.report.scheduled_unix_ms >= report.scheduled_unix_ms) {
@@ -87,7 +96,7 @@
         true
     }
 
-    /// The health of each backend.
+    /// Returns the health of each backend.
     pub fn health(&self, now_ms: u64) -> BTreeMap<&str, BackendHealth> {
         let ejected = self.ejected(now_ms);
         let health = |(id, received): (&String, &Option<ReceivedReport>)| {
@@ -104,22 +113,30 @@
         self.reports.iter().map(|entry| (entry.0.as_str(), health(entry))).collect()
     }
 
-    /// The ids of the ejected backends, sorted.
+    /// Returns the ids of the ejected backends, sorted.
     pub fn ejected(&self, now_ms: u64) -> Vec<String> {
-        let failing_since = |(id, received): (&String, &Option<ReceivedReport>)| {
-            let received = received.filter(|r| r.report.failing && !self.is_stale(r, now_ms))?;
-            Some((received.report.changed_unix_ms, id.clone()))
-        };
-        let mut failing: Vec<(u64, String)> = self.reports.iter().filter_map(failing_since).collect();
+        let mut failing = self.failing_backends(now_ms);
         failing.sort_unstable();
-        // Rounded down: of three backends, a fraction of 0.5 allows one ejection.
-        let max_ejected = (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize;
-        failing.truncate(max_ejected);
-        let mut ejected: Vec<String> = failing.into_iter().map(|(_, id)| id).collect();
+        failing.truncate(self.max_ejected());
+        let mut ejected: Vec<String> = failing.into_iter().map(|backend| backend.id).collect();
         ejected.sort_unstable();
         ejected
     }
 
+    /// Returns the maximum number of ejected backends. It is rounded down: a fraction of 0.5 allows one of three.
+    fn max_ejected(&self) -> usize {
+        (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize
+    }
+
+    fn failing_backends(&self, now_ms: u64) -> Vec<FailingBackend> {
+        let failing = |(id, received): (&String, &Option<ReceivedReport>)| {
+            let is_failing = |r: &ReceivedReport| r.report.failing && !self.is_stale(r, now_ms);
+            let received = received.filter(is_failing)?;
+            Some(FailingBackend { since_unix_ms: received.report.changed_unix_ms, id: id.clone() })
+        };
+        self.reports.iter().filter_map(failing).collect()
+    }
+
     fn is_stale(&self, received: &ReceivedReport, now_ms: u64) -> bool {
         now_ms.saturating_sub(received.received_ms) > STALE_AFTER_PERIODS * self.config.period_ms
     }
--- a/crates/health_check/src/tracker/tests.rs
+++ b/crates/health_check/src/tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Thresholds, the order of reports, the limit of ejections.
+//! Thresholds, the order of reports and the ejection limit.
 
 use super::*;
 use proptest::prelude::*;
@@ -22,13 +22,14 @@
 }
 
 #[test]
-fn thresholds_count_results_in_a_row_over_a_change_of_checker() {
-    let (mut one, mut other) = (tracker(4), tracker(4));
+fn thresholds_count_consecutive_results_across_checking_instances() {
+    let mut one = tracker(4);
+    let mut other = tracker(4);
     let results = [false, false, true, false, false, false, true, false, true, true];
     let mut failing = Vec::new();
     for (i, passed) in results.into_iter().enumerate() {
         let now_ms = i as u64 * 1_000;
-        // They take turns, and each receives what the other found.
+        // The two instances take turns, and each receives the reports of the other.
         let (checker, receiver) = if i % 2 == 0 { (&mut one, &mut other) } else { (&mut other, &mut one) };
         let report = checker.record_check("d0", now_ms + 1, passed, now_ms).expect("a newer check");
         let received = HealthReport::decode(&report.encode()).expect("a report");
@@ -39,31 +40,31 @@
 }
 
 #[test]
-fn an_old_report_never_overtakes_a_newer_one() {
+fn an_older_report_never_replaces_a_newer_one() {
     let mut tracker = tracker(4);
     assert!(tracker.apply_report("d0", report(5, true, 5), 0));
     assert!(!tracker.apply_report("d0", report(4, false, 4), 0));
     assert!(!tracker.apply_report("d0", report(5, false, 5), 0));
     assert_eq!(tracker.record_check("d0", 5, true, 0), None);
     assert_eq!(status(&tracker, "d0", 0), HealthStatus::Ejected);
-    assert!(!tracker.apply_report("elsewhere", report(9, true, 9), 0));
+    assert!(!tracker.apply_report("unknown", report(9, true, 9), 0));
 }
 
 #[test]
-fn no_more_than_the_fraction_is_ejected_and_the_longest_failing_stay_ejected() {
+fn at_most_the_fraction_is_ejected_and_the_longest_failing_stay_ejected() {
     let mut tracker = tracker(5);
     for i in 0..5 {
         tracker.apply_report(&format!("d{i}"), report(50, true, 40 - i), 0);
     }
     assert_eq!(tracker.ejected(0), ["d3", "d4"]);
     assert_eq!(status(&tracker, "d0", 0), HealthStatus::EjectionLimited);
-    // One of those recovers: the next in order is ejected in its place.
+    // An ejected backend recovers, and the next in order is ejected instead.
     tracker.apply_report("d4", report(51, false, 51), 0);
     assert_eq!(tracker.ejected(0), ["d2", "d3"]);
 }
 
 #[test]
-fn without_a_report_for_three_periods_the_traffic_alone_counts() {
+fn the_status_is_unknown_without_a_report_for_three_periods() {
     let mut tracker = tracker(4);
     tracker.apply_report("d0", report(1, true, 1), 10_000);
     assert_eq!(status(&tracker, "d0", 13_000), HealthStatus::Ejected);
@@ -72,21 +73,21 @@
 }
 
 #[test]
-fn backends_that_stay_keep_their_reports() {
+fn remaining_backends_keep_their_reports() {
     let mut tracker = tracker(4);
     tracker.apply_report("d0", report(1, true, 1), 0);
     tracker.set_backends(["d0", "d9"].map(String::from));
     assert_eq!(tracker.ejected(0), ["d0"]);
     tracker.set_backends(["d9".to_owned()]);
     tracker.set_backends(["d0", "d9"].map(String::from));
-    assert_eq!(status(&tracker, "d0", 0), HealthStatus::Unknown, "it is a new one");
+    assert_eq!(status(&tracker, "d0", 0), HealthStatus::Unknown, "added again without a report");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(42), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_reported_the_fraction_holds(
+    fn no_sequence_of_reports_ejects_more_than_the_fraction(
         reports in prop::collection::vec((0usize..12, 0u64..40, any::<bool>(), 0u64..40), 0..80),
         fraction in 0.0..1.0f64,
     ) {
@@ -106,7 +107,7 @@
     }
 
     #[test]
-    fn garbage_is_no_report_or_one_that_does_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn any_bytes_are_rejected_or_decode_to_a_usable_report(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         if let Some(report) = HealthReport::decode(&bytes) {
             let next = HealthReport::after_check(Some(&report), u64::MAX, true, &config());
             prop_assert_eq!(next.scheduled_unix_ms, u64::MAX);
--- a/crates/health_check/tests/wire_format.rs
+++ b/crates/health_check/tests/wire_format.rs
@@ -1,8 +1,8 @@
-//! Reports as an earlier build spread them: this build reads them and writes the same bytes.
+//! Wire compatibility with an earlier build: this build reads its reports and writes the same bytes.
 
 use health_check::HealthReport;
 
-/// A report a line: its fields, and its bytes in hexadecimal digits.
+/// One report per line: its fields, and its bytes in hexadecimal digits.
 const REPORTS: &str = include_str!("fixtures/reports.txt");
 
 fn reports() -> Vec<HealthReport> {
@@ -29,39 +29,39 @@
     ]
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     digits
         .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex"))
         .collect()
 }
 
-fn line(report: &HealthReport) -> String {
+fn fixture_line(report: &HealthReport) -> String {
     format!(
         "{} {} {} {} {}\n",
         report.scheduled_unix_ms,
         report.failing,
         report.contrary_results,
         report.changed_unix_ms,
-        hex(&report.encode())
+        encode_hex(&report.encode())
     )
 }
 
 #[test]
-fn reports_are_written_as_by_the_earlier_build() {
-    let written: String = reports().iter().map(line).collect();
+fn reports_encode_to_the_bytes_of_the_earlier_build() {
+    let written: String = reports().iter().map(fixture_line).collect();
     assert_eq!(written, REPORTS);
 }
 
 #[test]
-fn reports_of_the_earlier_build_are_read_and_cut_ones_are_none() {
+fn reports_of_the_earlier_build_are_decoded_and_truncated_ones_are_rejected() {
     for (report, line) in reports().iter().zip(REPORTS.lines()) {
-        let bytes = unhex(line.rsplit(' ').next().expect("the bytes"));
+        let bytes = decode_hex(line.rsplit(' ').next().expect("the bytes"));
         assert_eq!(HealthReport::decode(&bytes).as_ref(), Some(report));
-        assert!((0..bytes.len()).all(|end| HealthReport::decode(&bytes[..end]).is_none()), "cut");
+        assert!((0..bytes.len()).all(|end| HealthReport::decode(&bytes[..end]).is_none()), "truncated");
     }
 }
