--- a/crates/cluster/src/clocks.rs
+++ b/crates/cluster/src/clocks.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The Unix clock, with an offset for tests, and the monotonic clock since the start.
+/// The Unix clock, with an offset for tests, and a monotonic clock that counts from the start.
 #[derive(Clone, Debug)]
 pub(crate) struct Clocks {
     start: Instant,
@@ -17,6 +17,7 @@
         Self { start: Instant::now(), offset_ms }
     }
 
+    /// Reads both clocks.
     pub(crate) fn now(&self) -> ClockReading {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         ClockReading {
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the state: events in, tasks and datagrams out.
+//! The thread that owns the cluster state. It handles events and emits datagrams, store calls and runs.
 
 mod gossip;
 mod health;
@@ -11,12 +11,11 @@
 use crate::log_limiter::LogLimiter;
 use crate::run_executor::PendingRun;
 use crate::settings::{HttpJob, Settings};
-use crate::store_client::{StoreCall, StoreResponse};
+use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
 use health_check::HealthTracker;
-use job_lease::LocalStore;
 use membership::Membership;
-use periodic_jobs::{Action, ClockReading, Scheduler};
+use periodic_jobs::{ClockReading, Scheduler, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -24,30 +23,29 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
 
-/// Called with the ids of the backends ejected by health checks, whenever these change.
+/// A callback that receives the ids of the backends ejected by health checks whenever the set changes.
 pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
 
-/// The longest time between two ticks, in milliseconds; reports that become stale are noticed within it.
+/// The maximum time between two ticks in milliseconds, which bounds the delay in detecting stale health reports.
 const MAX_TICK_INTERVAL_MS: u64 = 100;
-/// Events that are handled between two ticks, beyond the first.
+/// The maximum number of events handled between two ticks, beyond the first.
 const MAX_EVENT_BATCH: usize = 256;
-/// Milliseconds after which datagrams are ignored in a build with the seeded fault `agreed`.
+/// Milliseconds after the start from which datagrams are ignored in a build with the seeded fault `agreed`.
 const SEEDED_FAULT_AFTER_MS: u64 = 6_000;
 
-/// What the coordinator works with.
+/// The clocks, sockets and worker pools that the coordinator uses.
 pub(crate) struct Resources {
     pub(crate) clocks: Clocks,
-    /// Sends gossip; `None` without gossip.
+    /// The socket for gossip. `None` without gossip.
     pub(crate) socket: Option<Arc<UdpSocket>>,
-    /// Calls to the lease store; `None` where the leases are kept in the process.
-    pub(crate) store: Option<TaskQueue<StoreCall>>,
+    pub(crate) store: StoreClient,
     pub(crate) runs: TaskQueue<PendingRun>,
-    /// Datagrams dropped since the event queue was full.
+    /// Datagrams dropped because the event queue was full.
     pub(crate) dropped_datagrams: Arc<AtomicU64>,
     pub(crate) on_ejection_change: OnEjectionChange,
 }
 
-/// Counts of runs since the start.
+/// The outcomes of runs since the start.
 #[derive(Debug, Default)]
 struct RunCounts {
     succeeded: u64,
@@ -56,16 +54,15 @@
     queue_full: u64,
 }
 
-/// The state of the cluster's part.
+/// The state of the cluster on this instance.
 pub(crate) struct Coordinator {
     settings: Settings,
     resources: Resources,
     membership: Option<Membership>,
     scheduler: Scheduler,
-    local_store: LocalStore,
     health: Option<HealthTracker>,
     backends: BTreeMap<String, SocketAddr>,
-    /// By the name of the job.
+    /// HTTP jobs by job name.
     http_jobs: BTreeMap<String, HttpJob>,
     ejected: BTreeSet<String>,
     run_counts: RunCounts,
@@ -87,7 +84,6 @@
             health: settings.health_checks.as_ref().map(|checks| HealthTracker::new(checks.config.clone())),
             settings,
             resources,
-            local_store: LocalStore::default(),
             backends: BTreeMap::new(),
             http_jobs: BTreeMap::new(),
             ejected: BTreeSet::new(),
@@ -99,7 +95,7 @@
         }
     }
 
-    /// Handles events until all senders are gone.
+    /// Handles events until all senders are dropped.
     pub(crate) fn run(mut self, events: &Receiver<Event>, http_jobs: Vec<HttpJob>) {
         self.set_http_jobs(http_jobs);
         loop {
@@ -117,14 +113,15 @@
 
     fn time_to_next_tick(&self) -> Duration {
         let now = self.resources.clocks.now();
-        let jobs_ms = self.scheduler.next_tick_unix_ms().map(|due| due.saturating_sub(now.unix_ms));
-        let membership = self.membership.as_ref();
-        let gossip_ms = membership.map(|m| m.next_tick_ms().saturating_sub(now.monotonic_ms));
-        let due_ms = jobs_ms.into_iter().chain(gossip_ms).chain([MAX_TICK_INTERVAL_MS]).min();
-        Duration::from_millis(due_ms.unwrap_or(MAX_TICK_INTERVAL_MS))
+        let jobs_due_unix_ms = self.scheduler.next_tick_unix_ms();
+        let until_jobs_ms = jobs_due_unix_ms.map(|due_unix_ms| due_unix_ms.saturating_sub(now.unix_ms));
+        let gossip_due_ms = self.membership.as_ref().map(Membership::next_tick_ms);
+        let until_gossip_ms = gossip_due_ms.map(|due_ms| due_ms.saturating_sub(now.monotonic_ms));
+        let until_due_ms = until_jobs_ms.into_iter().chain(until_gossip_ms).min();
+        Duration::from_millis(until_due_ms.unwrap_or(MAX_TICK_INTERVAL_MS).min(MAX_TICK_INTERVAL_MS))
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due in gossip, jobs and health checks.
     fn tick(&mut self) {
         let now = self.resources.clocks.now();
         if let Some(membership) = &mut self.membership {
@@ -135,7 +132,7 @@
         if !self.left {
             let mut actions = Vec::new();
             self.scheduler.tick(now, &mut actions);
-            self.apply_action(now, actions);
+            self.apply_actions(now, actions);
         }
         self.update_ejections(now);
     }
@@ -164,28 +161,13 @@
 
     fn handle_store_response(&mut self, now: ClockReading, response: StoreResponse) {
         let mut actions = Vec::new();
-        self.apply_store_response(now, response, &mut actions);
+        self.scheduler.handle_store_response(now, response, &mut actions);
         if !self.left {
-            self.apply_action(now, actions);
+            self.apply_actions(now, actions);
         }
     }
 
-    fn apply_store_response(&mut self, now: ClockReading, response: StoreResponse, out: &mut Vec<Action>) {
-        match response {
-            StoreResponse::SessionOpened(result) => self.scheduler.session_opened(now, result, out),
-            StoreResponse::SessionRenewed(session, result) => {
-                self.scheduler.session_renewed(now, &session, result, out);
-            }
-            StoreResponse::LeasesRead { call, jobs, result } => {
-                self.scheduler.leases_read(now, call, &jobs, result, out);
-            }
-            StoreResponse::CompareAndSetDone { call, job, record, outcome } => {
-                self.scheduler.compare_and_set_done(now, call, &job, &record, outcome, out);
-            }
-        }
-    }
-
-    /// Leaves the gossip and ends the session; `done` is notified when both are done.
+    /// Leaves the cluster and ends the session, then notifies `done`.
     fn leave(&mut self, now: ClockReading, done: SyncSender<()>) {
         if std::mem::replace(&mut self.left, true) {
             return;
@@ -195,9 +177,9 @@
             membership.leave(now.monotonic_ms, &mut outputs);
             self.handle_membership_outputs(now, outputs);
         }
-        match (self.scheduler.session().cloned(), &self.resources.store) {
-            (Some(session), Some(store)) => drop(store.offer(StoreCall::EndSession(session, done))),
-            _ => drop(done.try_send(())),
+        match self.scheduler.session().cloned() {
+            Some(session) => self.resources.store.end_session(session, done),
+            None => drop(done.try_send(())),
         }
     }
 }
--- a/crates/cluster/src/coordinator/gossip.rs
+++ b/crates/cluster/src/coordinator/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: datagrams in and out, membership changes and health reports.
+//! Gossip: datagrams, membership changes and health reports.
 
 use super::Coordinator;
 use crate::job_names;
@@ -7,16 +7,16 @@
 use membership::{Member, Membership, Output};
 use periodic_jobs::ClockReading;
 
-/// The bound on members.
+/// The maximum number of members.
 const MAX_MEMBERS: usize = 1_024;
-/// The bound on topics: one for each backend.
+/// The maximum number of broadcast topics, one per backend.
 const MAX_TOPICS: usize = 16_384;
-/// Gossip periods in which one member is probed.
+/// Gossip periods between two probes.
 const PROBE_GOSSIP_PERIODS: u64 = 4;
-/// Gossip periods between two attempts to join.
+/// Gossip periods between two join attempts.
 const JOIN_GOSSIP_PERIODS: u64 = 10;
 
-/// The membership of an instance that starts at this time.
+/// Creates the membership of an instance that starts at this moment.
 pub(super) fn join(gossip: &Gossip, instance: &str, start_unix_ms: u64) -> Membership {
     let local_member =
         Member { address: gossip.advertise, name: instance.to_owned(), generation: start_unix_ms };
@@ -58,7 +58,7 @@
             match output {
                 Output::SendDatagram { to, bytes } => {
                     if let Some(socket) = &self.resources.socket {
-                        // A datagram that is not sent is like one that is lost on the way.
+                        // SWIM tolerates lost datagrams, so a failed send needs no handling.
                         let _ = socket.send_to(&bytes, to);
                     }
                 }
--- a/crates/cluster/src/coordinator/health.rs
+++ b/crates/cluster/src/coordinator/health.rs
@@ -1,4 +1,4 @@
-//! Health checks: the backends, the results of checks, and which backends are ejected.
+//! Health checks: the backends, the results of checks and the ejected backends.
 
 use super::Coordinator;
 use crate::job_names;
@@ -30,7 +30,7 @@
         finished: &FinishedRun,
     ) {
         let FinishedRun { run, outcome, .. } = finished;
-        // A check that was not made says nothing.
+        // The check was not made, so there is no result to record.
         if *outcome == RunOutcome::DeadlinePassed {
             return;
         }
@@ -56,7 +56,7 @@
         self.handle_membership_outputs(now, outputs);
     }
 
-    /// Notifies the program where the set of ejected backends has changed.
+    /// Notifies the program if the set of ejected backends has changed.
     pub(super) fn update_ejections(&mut self, now: ClockReading) {
         let Some(health) = &self.health else { return };
         let ejected: BTreeSet<String> = health.ejected(now.monotonic_ms).into_iter().collect();
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -1,30 +1,29 @@
-//! Jobs: the scheduler's actions, and the runs.
+//! Jobs: the scheduler's actions and the results of runs.
 
 use super::Coordinator;
 use crate::job_names;
 use crate::run_executor::{FinishedRun, PendingRun, RunOutcome, RunTask};
 use crate::settings::{HttpJob, Settings};
-use crate::store_client::StoreCall;
-use periodic_jobs::{Action, ClockReading, Config, Job, Run};
+use periodic_jobs::{Action, ClockReading, Config, Job, Run, StoreCall};
 use std::collections::{BTreeSet, VecDeque};
 
-/// A run must start at least this many milliseconds before its period ends.
+/// Milliseconds between the deadline of a run and the end of its period.
 const START_MARGIN_MS: u64 = 10;
 /// Milliseconds between two calls while the lease store is unavailable.
-const STORE_RETRY_MS: u64 = 100;
+const STORE_RETRY_INTERVAL_MS: u64 = 100;
 /// Milliseconds between two renewals of the session.
-const SESSION_RENEWAL_MS: u64 = 3_000;
+const SESSION_RENEWAL_INTERVAL_MS: u64 = 3_000;
 
-/// The scheduler's configuration for an instance that starts at this time.
+/// Returns the configuration of the scheduler of an instance that starts at this moment.
 pub(super) fn scheduler_config(settings: &Settings, start_unix_ms: u64) -> Config {
     Config {
         instance: settings.instance.clone(),
         standbys: settings.standbys,
         max_clock_skew_ms: settings.max_clock_skew_ms,
         start_margin_ms: START_MARGIN_MS,
-        store_retry_ms: STORE_RETRY_MS,
-        session_renewal_ms: SESSION_RENEWAL_MS,
-        // Two starts in the same millisecond must not be taken for one.
+        store_retry_interval_ms: STORE_RETRY_INTERVAL_MS,
+        session_renewal_interval_ms: SESSION_RENEWAL_INTERVAL_MS,
+        // The random part distinguishes two starts in the same millisecond.
         incarnation: start_unix_ms ^ rand::random::<u64>(),
     }
 }
@@ -35,7 +34,7 @@
         self.update_jobs(self.resources.clocks.now());
     }
 
-    /// Hands the HTTP jobs and a health check for each backend to the scheduler.
+    /// Passes the HTTP jobs and a health check per backend to the scheduler.
     pub(super) fn update_jobs(&mut self, now: ClockReading) {
         let http_jobs =
             self.http_jobs.iter().map(|(name, job)| Job { name: name.clone(), period_ms: job.period_ms });
@@ -44,43 +43,27 @@
             |id: &String| Some(Job { name: job_names::health_check(id), period_ms: check_period_ms? });
         let jobs: Vec<Job> = http_jobs.chain(self.backends.keys().filter_map(health_check)).collect();
         let names: BTreeSet<&str> = jobs.iter().map(|job| job.name.as_str()).collect();
-        self.local_store.retain_jobs(|job| names.contains(job));
+        self.resources.store.retain_local_jobs(|job| names.contains(job));
         self.scheduler.set_jobs(now, jobs);
     }
 
-    /// Carries out the scheduler's actions, and those that follow from them.
-    pub(super) fn apply_action(&mut self, now: ClockReading, actions: Vec<Action>) {
+    /// Applies the scheduler's actions, and those that follow from them at once.
+    pub(super) fn apply_actions(&mut self, now: ClockReading, actions: Vec<Action>) {
         let mut pending: VecDeque<Action> = actions.into();
         while let Some(action) = pending.pop_front() {
-            let call = match action {
-                Action::StartRun(run) => {
-                    self.start_run(now, run);
-                    continue;
-                }
-                Action::Notify(notice) => {
-                    self.log_notice(now, &notice);
-                    continue;
-                }
-                Action::OpenSession => StoreCall::OpenSession,
-                Action::RenewSession(session) => StoreCall::RenewSession(session),
-                Action::ReadLeases { call, jobs } => StoreCall::ReadLeases { call, jobs },
-                Action::CompareAndSet { call, job, record, expected_index, session } => {
-                    StoreCall::CompareAndSet { call, job, record, expected_index, session }
-                }
-            };
-            pending.extend(self.call_store(now, call));
+            match action {
+                Action::CallStore(call) => pending.extend(self.call_store(now, call)),
+                Action::StartRun(run) => self.start_run(now, run),
+                Action::Notify(notice) => self.log_notice(now, &notice),
+            }
         }
     }
 
-    /// Calls the store; returns the actions that follow at once.
+    /// Calls the store. Returns the actions that follow from a response that is available at once.
     fn call_store(&mut self, now: ClockReading, call: StoreCall) -> Vec<Action> {
-        let response = match &self.resources.store {
-            None => call.answer_locally(&mut self.local_store),
-            Some(store) => store.offer(call).err().and_then(StoreCall::rejected),
-        };
         let mut actions = Vec::new();
-        if let Some(response) = response {
-            self.apply_store_response(now, response, &mut actions);
+        if let Some(response) = self.resources.store.call(call) {
+            self.scheduler.handle_store_response(now, response, &mut actions);
         }
         actions
     }
@@ -99,7 +82,7 @@
         }
     }
 
-    /// What a run does; `None` where its job or backend is gone.
+    /// Returns the task of a run. Returns `None` if its job or backend was removed.
     fn run_task(&self, run: &Run) -> Option<RunTask> {
         if let Some(job) = self.http_jobs.get(&run.job) {
             return Some(RunTask::HttpCall { url: job.url.clone(), timeout: job.timeout });
--- a/crates/cluster/src/coordinator/notices.rs
+++ b/crates/cluster/src/coordinator/notices.rs
@@ -1,10 +1,9 @@
-//! The log lines of the scheduler's notices. Their fields keep the names `duty` and `round`, which readers of the JSON log
-//! know.
+//! The log lines of the scheduler's notices. Their fields keep the names `duty` and `round` for readers of the JSON log.
 
 use super::Coordinator;
 use periodic_jobs::{ClockReading, Notice};
 
-/// The kind by which lines of a notice are rate-limited.
+/// Returns the key under which the log lines of a notice are rate-limited.
 fn kind(notice: &Notice) -> &'static str {
     match notice {
         Notice::StoreUnavailable { .. } => "store unavailable",
--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -1,4 +1,4 @@
-//! The text of the console. Operators read it: its words are those of docs/operate/periodic-jobs.md.
+//! The status text for operators. Its wording is documented in docs/operate/periodic-jobs.md.
 
 use super::{Coordinator, RunCounts};
 use health_check::{BackendHealth, HealthStatus};
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -1,25 +1,25 @@
-//! Why an instance cannot take part.
+//! Errors at the start of the cluster.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the cluster's part cannot be started.
+/// An error at the start of the cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The address for gossip cannot be used.
+    /// The gossip address cannot be bound.
     #[error("gossip on {address}: {source}")]
     BindGossip {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The coordinator's thread cannot be started.
+    /// A thread cannot be started.
     #[error("thread {name}: {source}")]
     SpawnThread {
-        /// The thread's name.
+        /// The name of the thread.
         name: &'static str,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/cluster/src/error/tests.rs
+++ b/crates/cluster/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The text of each error.
+//! The error texts.
 
 use super::*;
 use std::error::Error;
--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -1,9 +1,9 @@
-//! The coordinator's events.
+//! The events of the coordinator.
 
 use crate::run_executor::FinishedRun;
 use crate::settings::{Backend, HttpJob};
-use crate::store_client::StoreResponse;
 use membership::authentication::Keyring;
+use periodic_jobs::StoreResponse;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{SyncSender, TrySendError};
 
@@ -17,27 +17,31 @@
     KeyringChanged(Keyring),
     BackendsChanged(Vec<Backend>),
     StatusRequested(SyncSender<String>),
-    /// The sender is notified when the session has ended.
+    /// The sender is notified after the session has ended.
     LeaveRequested(SyncSender<()>),
 }
 
-/// What became of a datagram offered to the coordinator.
+/// The result of [`offer_datagram`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Offered {
-    /// It was queued, or dropped and counted since the queue is full: gossip tolerates the loss.
+pub(crate) enum OfferResult {
+    /// The datagram was queued. If the queue was full, it was dropped and counted, which gossip tolerates.
     Handled,
     /// The coordinator has ended.
     Disconnected,
 }
 
-/// Queues a datagram, or drops and counts it.
-pub(crate) fn offer_datagram(events: &SyncSender<Event>, dropped: &AtomicU64, datagram: Vec<u8>) -> Offered {
+/// Queues a datagram for the coordinator, or drops and counts it if the queue is full.
+pub(crate) fn offer_datagram(
+    events: &SyncSender<Event>,
+    dropped: &AtomicU64,
+    datagram: Vec<u8>,
+) -> OfferResult {
     match events.try_send(Event::DatagramReceived(datagram)) {
-        Ok(()) => Offered::Handled,
+        Ok(()) => OfferResult::Handled,
         Err(TrySendError::Full(_)) => {
             dropped.fetch_add(1, Ordering::Relaxed);
-            Offered::Handled
+            OfferResult::Handled
         }
-        Err(TrySendError::Disconnected(_)) => Offered::Disconnected,
+        Err(TrySendError::Disconnected(_)) => OfferResult::Disconnected,
     }
 }
--- a/crates/cluster/src/handle.rs
+++ b/crates/cluster/src/handle.rs
@@ -1,10 +1,11 @@
-//! The handle through which the program uses the cluster's part.
+//! The program's handle to the cluster.
 
 use crate::clocks::Clocks;
 use crate::coordinator::{Coordinator, OnEjectionChange, Resources};
 use crate::event::Event;
 use crate::settings::{Backend, HttpJob, Settings};
-use crate::{ClusterError, gossip_receiver, run_executor, store_client};
+use crate::store_client::StoreClient;
+use crate::{ClusterError, gossip_receiver, run_executor};
 use membership::authentication::Keyring;
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -13,14 +14,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// Events that may wait for the coordinator.
+/// The capacity of the coordinator's event queue.
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
-/// The coordinator's thread.
+/// The name of the coordinator's thread.
 const COORDINATOR_THREAD: &str = "cluster";
-/// How long [`Cluster::leave`] waits for the session to end.
+/// The timeout of [`Cluster::leave`].
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A handle to the coordinator.
+/// A handle to the coordinator thread.
 #[derive(Debug)]
 pub struct Cluster {
     events: SyncSender<Event>,
@@ -28,11 +29,11 @@
 }
 
 impl Cluster {
-    /// Starts taking part.
+    /// Joins the cluster and starts the threads.
     ///
     /// # Errors
     ///
-    /// The address for gossip cannot be used, or the coordinator's thread cannot be started.
+    /// Returns an error if the gossip address cannot be bound or the coordinator's thread cannot be started.
     pub fn start(
         settings: Settings,
         http_jobs: Vec<HttpJob>,
@@ -47,7 +48,7 @@
             gossip_receiver::start(socket.clone(), events.clone(), dropped_datagrams.clone());
         }
         let responses = events.clone();
-        let store = store_client::start(&settings.lease_store, &settings.instance, move |response| {
+        let store = StoreClient::start(&settings.lease_store, &settings.instance, move |response| {
             let _ = responses.send(Event::StoreResponded(response));
         });
         let finished_runs = events.clone();
@@ -74,25 +75,25 @@
         self.send(Event::KeyringChanged(keyring));
     }
 
-    /// Sets the Unix clock off by so many milliseconds, for trials of clocks that are set.
+    /// Sets the offset of the Unix clock, to test the effect of clock steps.
     pub fn set_clock_offset_ms(&self, offset_ms: i64) {
         self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 
-    /// Replaces the backends to be checked.
+    /// Replaces the backends to check.
     pub fn set_backends(&self, backends: Vec<Backend>) {
         self.send(Event::BackendsChanged(backends));
     }
 
-    /// Requests the text of the console. It comes a moment later, or never where the coordinator is stuck: a coroutine
-    /// polls for it and does not block on it.
+    /// Requests the status text, which arrives through the returned channel. A coroutine must poll the channel and not block
+    /// on it, because no text arrives if the coordinator is stuck.
     pub fn request_status(&self) -> Receiver<String> {
         let (sender, status) = sync_channel(1);
         let _ = self.events.try_send(Event::StatusRequested(sender));
         status
     }
 
-    /// Leaves the cluster: the others take its jobs over at once, and its session ends.
+    /// Leaves the cluster and ends the session, so that the other members take over at once.
     pub fn leave(&self) {
         let (sender, done) = sync_channel(1);
         if self.events.try_send(Event::LeaveRequested(sender)).is_ok() {
@@ -101,7 +102,7 @@
     }
 
     fn send(&self, event: Event) {
-        // Only these few callers wait for a place in the queue; datagrams never do.
+        // This blocks while the queue is full. Datagrams never block; see `offer_datagram`.
         let _ = self.events.send(event);
     }
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,10 +1,10 @@
-//! Drives the pure crates of a cluster: `membership` over UDP, `periodic_jobs` and `job_lease` over Consul's HTTP API or
-//! in the process, `health_check`, and the runs themselves: HTTP calls and health checks.
+//! The cluster of gatekeepers: drives the state machines `membership` (over UDP), `periodic_jobs` and `job_lease` (over
+//! Consul's HTTP API or in memory) and `health_check`, and executes the runs, which are HTTP calls and health checks.
 //!
-//! One thread, the coordinator, owns all state and is fed through one bounded queue; a thread receives gossip; a few make
-//! calls to the lease store and a few carry out runs, each from a bounded queue of its own, so that a slow target never
-//! delays a lease. Nothing here runs on the program's `may` worker. Without a `[cluster]` table in the operator's file
-//! there is no listener, and without jobs and health checks none of these threads is started.
+//! One thread, the coordinator, owns all state and handles events from one bounded queue. Another thread receives gossip.
+//! Two worker pools, one for store calls and one for runs, have separate bounded queues, so a slow target never delays a
+//! lease. None of this runs on the program's `may` worker. Without a `[cluster]` table in the settings there is no UDP
+//! socket, and without jobs and health checks none of these threads is started.
 
 mod clocks;
 mod coordinator;
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,24 +1,25 @@
-//! Rate-limited logging: one line of each kind a second, with the number of those suppressed in between.
+//! Rate-limited logging: at most one line of each kind per second, with the number of suppressed lines.
 
 use std::collections::HashMap;
 
-/// Milliseconds between two lines of a kind.
+/// The minimum time between two lines of a kind in milliseconds.
 const INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Default)]
 struct KindState {
+    /// The moment from which the next line may be written.
     next_ms: u64,
     suppressed: u64,
 }
 
-/// Decides which log lines may be written.
+/// Decides which log lines are written.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
     kinds: HashMap<&'static str, KindState>,
 }
 
 impl LogLimiter {
-    /// The suffix for a line of this kind that may be written now; `None` where it is suppressed.
+    /// Returns the suffix for a line of this kind. Returns `None` if the line is suppressed.
     pub(crate) fn suffix(&mut self, kind: &'static str, now_ms: u64) -> Option<String> {
         let state = self.kinds.entry(kind).or_default();
         if now_ms < state.next_ms {
--- a/crates/cluster/src/log_limiter/tests.rs
+++ b/crates/cluster/src/log_limiter/tests.rs
@@ -1,9 +1,9 @@
-//! Which lines are written.
+//! The limit per kind and the count of suppressed lines.
 
 use super::*;
 
 #[test]
-fn one_a_second_of_each_kind_and_the_rest_counted() {
+fn one_line_of_each_kind_is_written_per_second_and_the_others_are_counted() {
     let mut limiter = LogLimiter::default();
     assert_eq!(limiter.suffix("a", 0), Some(String::new()));
     assert_eq!((limiter.suffix("a", 10), limiter.suffix("a", 999)), (None, None));
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -11,7 +11,7 @@
 /// The size limit of a response.
 const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
-/// What a run does.
+/// The task of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum RunTask {
     HttpCall { url: String, timeout: Duration },
@@ -21,21 +21,21 @@
 /// The result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
-    /// There was a response with this status.
+    /// The target responded with this status.
     Status(u16),
-    /// There was none, for this reason.
+    /// The call failed with this error.
     Failed(String),
-    /// The deadline passed before it started: this instance was paused, or a clock was set.
+    /// The run did not start because its deadline had passed. The process was paused or a clock was stepped.
     DeadlinePassed,
 }
 
 impl RunOutcome {
-    /// Whether the target accepted the run.
+    /// Returns whether the target accepted the run.
     pub(crate) fn is_success(&self) -> bool {
         matches!(self, Self::Status(200..=299))
     }
 
-    /// The reason of a failure, for the log.
+    /// Returns the reason of a failure for the log.
     pub(crate) fn reason(&self) -> String {
         match self {
             Self::Status(status) => format!("status {status}"),
@@ -45,14 +45,14 @@
     }
 }
 
-/// A run to be carried out.
+/// A run that waits for a thread.
 #[derive(Debug)]
 pub(crate) struct PendingRun {
     pub(crate) run: Run,
     pub(crate) task: RunTask,
 }
 
-/// A run that was carried out, or not.
+/// A run with its outcome.
 #[derive(Debug)]
 pub(crate) struct FinishedRun {
     pub(crate) run: Run,
@@ -60,7 +60,7 @@
     pub(crate) outcome: RunOutcome,
 }
 
-/// Starts the threads that carry out runs.
+/// Starts the threads that execute runs and pass their outcomes to `on_finished`.
 pub(crate) fn start(
     instance: &str,
     threads: usize,
@@ -69,9 +69,9 @@
 ) -> TaskQueue<PendingRun> {
     let executor = RunExecutor { agent: agent(), instance: instance.to_owned() };
     TaskQueue::start("job-runs", threads, move |PendingRun { run, task }: PendingRun| {
-        // The last check before anything is sent: a pause may have come after the lease.
+        // Check the deadline last, because the process may have been paused since it acquired the lease.
         let outcome = if run.may_start(clocks.now()) {
-            executor.apply_action(&run, &task)
+            executor.execute(&run, &task)
         } else {
             RunOutcome::DeadlinePassed
         };
@@ -83,9 +83,10 @@
     Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
-        // An environment variable must not redirect the calls.
+        // Ignore proxy settings in environment variables.
         .proxy(None)
-        // No connection is kept: one that the target has just closed could not be told from a run that may have run.
+        // Do not reuse connections. On a connection that the target has just closed, an unsent request is
+        // indistinguishable from one that the target may have executed.
         .max_idle_connections(0)
         .max_idle_connections_per_host(0)
         .user_agent("snowfield")
@@ -99,7 +100,7 @@
 }
 
 impl RunExecutor {
-    fn apply_action(&self, run: &Run, task: &RunTask) -> RunOutcome {
+    fn execute(&self, run: &Run, task: &RunTask) -> RunOutcome {
         let response = match task {
             RunTask::HttpCall { url, timeout } => self.call(run, url, *timeout),
             RunTask::HealthCheck { address, path, timeout, .. } => {
@@ -136,7 +137,7 @@
     }
 }
 
-/// The status of a response whose body ends; one that does not end counts as none.
+/// Reads a response to its end and returns its status. A truncated or oversized response is an error.
 fn read_status(mut response: http::Response<Body>) -> Result<u16, ureq::Error> {
     response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec()?;
     Ok(response.status().as_u16())
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -1,96 +1,96 @@
-//! How an instance takes part in a cluster.
+//! The settings of an instance in the cluster.
 
 use membership::authentication::Keyring;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How this instance takes part.
+/// The settings of this instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// The name of the instance.
     pub instance: String,
-    /// Gossip; without it this instance is alone.
+    /// Gossip. `None` for an instance without other members.
     pub gossip: Option<Gossip>,
-    /// Where the leases are kept.
+    /// The lease store.
     pub lease_store: LeaseStore,
-    /// Members that step in behind the first one for a job.
+    /// The number of members that attempt a run if the owner of the job does not.
     pub standbys: usize,
-    /// The largest difference between the clocks of two instances, in milliseconds.
+    /// The maximum clock skew between two instances in milliseconds.
     pub max_clock_skew_ms: u64,
-    /// Milliseconds added to this instance's Unix clock, to test the effect of a wrong clock.
+    /// Milliseconds added to this instance's Unix clock, to test the effect of clock offsets.
     pub clock_offset_ms: i64,
-    /// Runs that may be in progress at once.
+    /// The maximum number of concurrent runs.
     pub max_concurrent_runs: usize,
-    /// Health checks of the backends.
+    /// Health checks of the backends. `None` if they are disabled.
     pub health_checks: Option<HealthChecks>,
 }
 
-/// How gossip is exchanged.
+/// The settings of gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    /// Where it is received (UDP).
+    /// The UDP address on which to receive gossip.
     pub listen: SocketAddr,
-    /// Where the other members reach it.
+    /// The address announced to the other members.
     pub advertise: SocketAddr,
     /// Addresses through which to join the cluster.
     pub peers: Vec<SocketAddr>,
-    /// Authenticates the datagrams.
+    /// The keys that authenticate datagrams.
     pub keyring: Keyring,
-    /// Milliseconds between two rounds of gossip.
+    /// Milliseconds between two gossip rounds.
     pub period_ms: u64,
-    /// Milliseconds after which a suspected member is declared dead.
+    /// Milliseconds of suspicion after which a member is declared dead.
     pub suspicion_timeout_ms: u64,
 }
 
-/// Where the leases are kept.
+/// The store that holds the leases.
 #[derive(Clone, Debug)]
 pub enum LeaseStore {
-    /// In this process, for a single instance.
+    /// Memory of this process, for a single instance.
     Local,
-    /// In Consul's KV store.
+    /// Consul's KV store.
     Consul {
-        /// Its HTTP API.
+        /// The address of the HTTP API.
         address: SocketAddr,
-        /// In front of all keys.
+        /// The prefix of all keys.
         prefix: String,
-        /// The time limit of a call.
+        /// The timeout of a call.
         timeout: Duration,
-        /// The file with the ACL token, if calls need one: it must allow writes below `prefix`, and making and reading
+        /// The file with the ACL token, if required. The token must allow writes below `prefix`, and writing and reading
         /// sessions.
         token_file: Option<PathBuf>,
     },
 }
 
-/// How backends are checked.
+/// The settings of health checks.
 #[derive(Clone, Debug)]
 pub struct HealthChecks {
-    /// The path that is requested.
+    /// The path to request.
     pub path: String,
-    /// The time within which a status of 200 to 299 must come.
+    /// The timeout for a response with a status from 200 to 299.
     pub timeout: Duration,
-    /// Period, thresholds and the limit of ejections.
+    /// The period, the thresholds and the ejection limit.
     pub config: health_check::Config,
 }
 
-/// A periodic job that is an HTTP call.
+/// A periodic job that makes an HTTP call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpJob {
-    /// Its name.
+    /// The name of the job.
     pub name: String,
     /// Milliseconds between two runs.
     pub period_ms: u64,
-    /// What is called, by POST.
+    /// The URL of the POST request.
     pub url: String,
-    /// The time limit of the call.
+    /// The timeout of the call.
     pub timeout: Duration,
 }
 
-/// A backend to be checked.
+/// A backend to check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
-    /// Its id, the same at all instances.
+    /// The id of the backend, the same on all instances.
     pub id: String,
-    /// Where it is checked.
+    /// The address to check.
     pub address: SocketAddr,
 }
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -1,110 +1,102 @@
-//! Calls to the lease store.
+//! The client of the lease store, in memory or in Consul.
 
 use crate::settings::LeaseStore;
 use crate::worker_pool::TaskQueue;
 use consul::TokenFile;
 use job_lease::consul::{LeaseKeys, Method, Request, Response};
-use job_lease::{
-    CompareAndSetOutcome, LeaseListing, LeaseRecord, LocalStore, Session, StoreError, StoreErrorCause,
-};
-use periodic_jobs::CallId;
+use job_lease::{CompareAndSetOutcome, LeaseListing, LocalStore, Session, StoreError, StoreErrorCause};
+use periodic_jobs::{StoreCall, StoreResponse};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 use ureq::Agent;
 
-/// Threads that call the store.
+/// The number of threads that call the store.
 const THREADS: usize = 4;
 /// The size limit of a response.
 const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
-/// Seconds without renewal after which the session ends: the least that Consul accepts.
+/// The TTL of the session in seconds, the minimum that Consul accepts.
 const SESSION_TTL_S: u64 = 10;
 
-/// A call to the store.
+/// A task for the threads that call Consul.
 #[derive(Debug)]
-pub(crate) enum StoreCall {
-    OpenSession,
-    RenewSession(Session),
-    ReadLeases {
-        call: CallId,
-        jobs: Vec<String>,
-    },
-    CompareAndSet {
-        call: CallId,
-        job: String,
-        record: LeaseRecord,
-        expected_index: u64,
+enum StoreTask {
+    Call(StoreCall),
+    /// Ends the session. `done` is notified afterwards.
+    EndSession {
         session: Session,
+        done: SyncSender<()>,
     },
-    /// The last one; the sender is notified when it is done.
-    EndSession(Session, SyncSender<()>),
 }
 
-/// The response to a [`StoreCall`].
+/// The client of the lease store.
 #[derive(Debug)]
-pub(crate) enum StoreResponse {
-    SessionOpened(Result<Session, StoreError>),
-    SessionRenewed(Session, Result<bool, StoreError>),
-    LeasesRead { call: CallId, jobs: Vec<String>, result: Result<LeaseListing, StoreError> },
-    CompareAndSetDone { call: CallId, job: String, record: LeaseRecord, outcome: CompareAndSetOutcome },
+pub(crate) enum StoreClient {
+    /// Leases in memory.
+    Local(LocalStore),
+    /// Leases in Consul, called from a worker pool.
+    Consul(ConsulCalls),
 }
 
-impl StoreCall {
-    /// The response of the store of this process.
-    pub(crate) fn answer_locally(self, store: &mut LocalStore) -> Option<StoreResponse> {
-        Some(match self {
-            Self::OpenSession => StoreResponse::SessionOpened(Ok(store.open_session())),
-            Self::RenewSession(session) => StoreResponse::SessionRenewed(session, Ok(true)),
-            Self::ReadLeases { call, jobs } => {
-                let result = Ok(store.read(&jobs));
-                StoreResponse::LeasesRead { call, jobs, result }
-            }
-            Self::CompareAndSet { call, job, record, expected_index, .. } => {
-                let outcome = store.compare_and_set(&job, record.clone(), expected_index);
-                StoreResponse::CompareAndSetDone { call, job, record, outcome }
+/// The queue of calls to Consul.
+#[derive(Debug)]
+pub(crate) struct ConsulCalls(TaskQueue<StoreTask>);
+
+impl StoreClient {
+    /// Creates the client. For Consul this starts the threads that make the calls and pass the responses to `on_response`.
+    pub(crate) fn start(
+        store: &LeaseStore,
+        instance: &str,
+        on_response: impl Fn(StoreResponse) + Send + Sync + 'static,
+    ) -> Self {
+        let LeaseStore::Consul { address, prefix, timeout, token_file } = store.clone() else {
+            return Self::Local(LocalStore::default());
+        };
+        let api = ConsulApi {
+            agent: agent(timeout),
+            address,
+            token: TokenFile::new(token_file),
+            keys: LeaseKeys { prefix },
+            instance: instance.to_owned(),
+        };
+        Self::Consul(ConsulCalls(TaskQueue::start("lease-store", THREADS, move |task| match task {
+            StoreTask::Call(call) => on_response(api.call(call)),
+            StoreTask::EndSession { session, done } => {
+                api.end_session(&session);
+                let _ = done.send(());
             }
-            Self::EndSession(..) => return None,
-        })
+        })))
     }
 
-    /// The response to a call that was never sent, since too many wait.
-    pub(crate) fn rejected(self) -> Option<StoreResponse> {
-        let error = StoreError::NotApplied(StoreErrorCause::QueueFull);
-        Some(match self {
-            Self::OpenSession => StoreResponse::SessionOpened(Err(error)),
-            Self::RenewSession(session) => StoreResponse::SessionRenewed(session, Err(error)),
-            Self::ReadLeases { call, jobs } => StoreResponse::LeasesRead { call, jobs, result: Err(error) },
-            Self::CompareAndSet { call, job, record, .. } => {
-                let outcome = CompareAndSetOutcome::Failed(error);
-                StoreResponse::CompareAndSetDone { call, job, record, outcome }
-            }
-            Self::EndSession(..) => return None,
-        })
+    /// Makes a call. Returns its response, or `None` if a thread will pass it on later. A call that finds the queue full
+    /// fails at once.
+    pub(crate) fn call(&mut self, call: StoreCall) -> Option<StoreResponse> {
+        match self {
+            Self::Local(store) => Some(call.apply_to(store)),
+            Self::Consul(calls) => match calls.0.offer(StoreTask::Call(call)) {
+                Err(StoreTask::Call(call)) => {
+                    Some(call.fail(StoreError::NotApplied(StoreErrorCause::QueueFull)))
+                }
+                Ok(()) | Err(StoreTask::EndSession { .. }) => None,
+            },
+        }
     }
-}
 
-/// Starts the threads that call the store; `None` where the leases are kept in the process.
-pub(crate) fn start(
-    store: &LeaseStore,
-    instance: &str,
-    on_response: impl Fn(StoreResponse) + Send + Sync + 'static,
-) -> Option<TaskQueue<StoreCall>> {
-    let LeaseStore::Consul { address, prefix, timeout, token_file } = store.clone() else {
-        return None;
-    };
-    let client = ConsulClient {
-        agent: agent(timeout),
-        address,
-        token: TokenFile::new(token_file),
-        keys: LeaseKeys { prefix },
-        instance: instance.to_owned(),
-    };
-    Some(TaskQueue::start("lease-store", THREADS, move |call| {
-        if let Some(response) = client.apply_action(call) {
-            on_response(response);
+    /// Ends a session and notifies `done`. If the queue is full, drops both: the session expires by its TTL.
+    pub(crate) fn end_session(&self, session: Session, done: SyncSender<()>) {
+        match self {
+            Self::Local(_) => drop(done.try_send(())),
+            Self::Consul(calls) => drop(calls.0.offer(StoreTask::EndSession { session, done })),
+        }
+    }
+
+    /// Removes the leases in memory for which `keep` returns false. Leases in Consul remain.
+    pub(crate) fn retain_local_jobs(&mut self, keep: impl Fn(&str) -> bool) {
+        if let Self::Local(store) = self {
+            store.retain_jobs(keep);
         }
-    }))
+    }
 }
 
 fn agent(timeout: Duration) -> Agent {
@@ -112,7 +104,7 @@
         .timeout_global(Some(timeout))
         .http_status_as_error(false)
         .max_redirects(0)
-        // An environment variable must not redirect the calls.
+        // Ignore proxy settings in environment variables.
         .proxy(None)
         .max_idle_connections(THREADS)
         .max_idle_connections_per_host(THREADS)
@@ -121,8 +113,8 @@
         .into()
 }
 
-/// The leases in Consul's KV store.
-struct ConsulClient {
+/// Consul's HTTP API for leases.
+struct ConsulApi {
     agent: Agent,
     address: SocketAddr,
     token: TokenFile,
@@ -130,14 +122,15 @@
     instance: String,
 }
 
-impl ConsulClient {
-    /// Makes a call; `None` where nobody awaits a response.
-    fn apply_action(&self, call: StoreCall) -> Option<StoreResponse> {
-        Some(match call {
+impl ConsulApi {
+    /// Makes a call and waits for its response.
+    fn call(&self, call: StoreCall) -> StoreResponse {
+        match call {
             StoreCall::OpenSession => StoreResponse::SessionOpened(self.open_session()),
             StoreCall::RenewSession(session) => {
-                let renewed = self.send(&Request::renew_session(&session)).and_then(|r| r.session_exists());
-                StoreResponse::SessionRenewed(session, renewed)
+                let response = self.send(&Request::renew_session(&session));
+                let result = response.and_then(|response| response.session_exists());
+                StoreResponse::SessionRenewed { session, result }
             }
             StoreCall::ReadLeases { call, jobs } => {
                 let result = self.read(&jobs);
@@ -151,16 +144,15 @@
                 };
                 StoreResponse::CompareAndSetDone { call, job, record, outcome }
             }
-            StoreCall::EndSession(session, done) => {
-                // Where this fails the session ends by its time to live.
-                let _ = self.send(&Request::destroy_session(&session));
-                let _ = done.send(());
-                return None;
-            }
-        })
+        }
+    }
+
+    fn end_session(&self, session: &Session) {
+        // If the call fails, the session expires by its TTL.
+        let _ = self.send(&Request::destroy_session(session));
     }
 
-    /// Opens a session that holds its own key.
+    /// Opens a session and acquires its key.
     fn open_session(&self) -> Result<Session, StoreError> {
         let created = self.send(&Request::create_session(&self.instance, SESSION_TTL_S))?;
         let session = self.keys.created_session(&created)?;
@@ -171,12 +163,13 @@
         }
     }
 
-    /// Reads one job's lease alone, and those of more with the whole list.
+    /// Reads the leases of these jobs. A single lease is read alone, several with a listing of all.
     fn read(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
-        let single = if let [job] = jobs { Some(job.as_str()) } else { None };
-        let mut listing = self.keys.listing(&self.send(&self.keys.read_request(single))?, jobs)?;
-        if single.is_some() {
-            // A query of one key returns that key's index, which says nothing about the store's.
+        let single_job = if let [job] = jobs { Some(job.as_str()) } else { None };
+        let response = self.send(&self.keys.read_request(single_job))?;
+        let mut listing = self.keys.listing(&response, jobs)?;
+        if single_job.is_some() {
+            // A query for one key returns that key's index instead of the store's.
             listing.store_index = 0;
         }
         Ok(listing)
@@ -205,13 +198,13 @@
     }
 }
 
-/// Only a call that failed while its connection was made was surely not applied.
+/// Classifies an error of the HTTP client. Only a call that failed to connect was certainly not applied.
 fn transport_error(error: ureq::Error) -> StoreError {
-    let connecting = match &error {
+    let failed_to_connect = match &error {
         ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => true,
         ureq::Error::Io(e) => e.kind() == ErrorKind::ConnectionRefused,
         _ => false,
     };
     let cause = StoreErrorCause::Transport(Box::new(error));
-    if connecting { StoreError::NotApplied(cause) } else { StoreError::OutcomeUnknown(cause) }
+    if failed_to_connect { StoreError::NotApplied(cause) } else { StoreError::OutcomeUnknown(cause) }
 }
--- a/crates/cluster/src/worker_pool.rs
+++ b/crates/cluster/src/worker_pool.rs
@@ -1,18 +1,18 @@
-//! A pool of threads behind a bounded queue.
+//! A pool of worker threads with a bounded queue.
 
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// Tasks that may wait for a thread.
+/// The maximum number of queued tasks.
 const QUEUE_CAPACITY: usize = 1_024;
 
-/// The queue of a worker pool. The threads end when all clones of it are dropped.
+/// The queue of a worker pool. The threads end when all clones of the queue are dropped.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskQueue<T>(SyncSender<T>);
 
 impl<T: Send + 'static> TaskQueue<T> {
-    /// Starts a pool whose threads bear this name.
+    /// Starts a pool whose threads have this name.
     pub(crate) fn start(name: &str, threads: usize, work: impl Fn(T) + Send + Sync + 'static) -> Self {
         let (sender, receiver) = sync_channel::<T>(QUEUE_CAPACITY);
         let (receiver, work) = (Arc::new(Mutex::new(receiver)), Arc::new(work));
@@ -32,7 +32,7 @@
 }
 
 impl<T> TaskQueue<T> {
-    /// Queues a task, or returns it where the queue is full.
+    /// Queues a task. Returns the task as an error if the queue is full.
     pub(crate) fn offer(&self, task: T) -> Result<(), T> {
         self.0.try_send(task).map_err(|error| match error {
             TrySendError::Full(task) | TrySendError::Disconnected(task) => task,
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The HTTP requests that runs make, and the text of the status, as an earlier build wrote them; what differs from run to
-//! run (times, ports) is replaced by its kind.
+//! Compatibility with an earlier build: the HTTP requests of runs and the status text. Numbers, which differ from run to run,
+//! are masked.
 
 use cluster::{Backend, Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use membership::authentication::Keyring;
@@ -12,8 +12,8 @@
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
 const STATUS: &str = include_str!("fixtures/status.txt");
 
-/// Answers each request with 200 and hands its head over.
-fn target() -> (SocketAddr, Receiver<String>) {
+/// Starts a server that answers each request with 200 and passes on its head.
+fn start_target() -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (heads, received): (Sender<String>, _) = channel();
@@ -33,8 +33,8 @@
     (address, received)
 }
 
-/// Replaces each run of digits by N.
-fn without_numbers(text: &str) -> String {
+/// Replaces each number by N.
+fn mask_numbers(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
         match c {
@@ -46,13 +46,13 @@
     out
 }
 
-/// A UDP address that was free a moment ago.
-fn udp_address() -> SocketAddr {
+/// Returns a UDP address that was free a moment ago.
+fn free_udp_address() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     socket.local_addr().expect("an address")
 }
 
-/// An instance that keeps its leases itself and whose gossip listens there.
+/// The settings of an instance with leases in memory.
 fn settings(
     instance: &str,
     listen: SocketAddr,
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn runs_make_the_requests_of_the_earlier_build_and_the_status_reads_alike() {
-    let (address, heads) = target();
+fn the_requests_of_runs_and_the_status_text_equal_those_of_the_earlier_build() {
+    let (address, heads) = start_target();
     let health_checks = HealthChecks {
         path: "/health".into(),
         timeout: Duration::from_secs(1),
@@ -93,15 +93,15 @@
         url: format!("http://{address}/ring?x=1"),
         timeout: Duration::from_secs(1),
     };
-    let listen = udp_address();
+    let listen = free_udp_address();
     let first = settings("muscat", listen, Vec::new(), Some(health_checks));
     let cluster = Cluster::start(first, vec![job], Box::new(|_| {})).expect("a cluster");
     cluster.set_backends(vec![Backend { id: "loans".into(), address }]);
-    let second = settings("salalah", udp_address(), vec![listen], None);
+    let second = settings("salalah", free_udp_address(), vec![listen], None);
     let other = Cluster::start(second, Vec::new(), Box::new(|_| {})).expect("a cluster");
     let mut requests: Vec<String> = Vec::new();
     while requests.len() < 2 {
-        let head = without_numbers(&heads.recv_timeout(Duration::from_secs(10)).expect("a request"));
+        let head = mask_numbers(&heads.recv_timeout(Duration::from_secs(10)).expect("a request"));
         if !requests.contains(&head) {
             requests.push(head);
         }
@@ -117,7 +117,7 @@
             break;
         }
     }
-    let status = without_numbers(&status);
+    let status = mask_numbers(&status);
     assert_eq!(requests, REQUESTS);
     assert_eq!(status, STATUS);
     other.leave();
--- a/crates/cluster_simulation/src/config.rs
+++ b/crates/cluster_simulation/src/config.rs
@@ -1,6 +1,6 @@
-//! What is simulated.
+//! The configuration of a simulation.
 
-/// The size of the cluster, and how its network and clocks behave.
+/// The size of the cluster and the behaviour of its network and clocks.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
     /// The number of instances.
@@ -9,15 +9,15 @@
     pub jobs: usize,
     /// Milliseconds between two runs of a job.
     pub period_ms: u64,
-    /// Members that step in behind the first one for a job.
+    /// The number of members that attempt a run if the owner of the job does not.
     pub standbys: usize,
-    /// The largest difference between two clocks in milliseconds, as stated and as simulated.
+    /// The maximum clock skew in milliseconds, both configured and simulated.
     pub max_clock_skew_ms: u64,
-    /// The fraction of datagrams that are lost.
+    /// The fraction of lost datagrams.
     pub datagram_loss: f64,
-    /// Milliseconds between two rounds of gossip.
+    /// Milliseconds between two gossip rounds.
     pub gossip_period_ms: u64,
-    /// Seeds all random choices.
+    /// The seed of the random number generator.
     pub rng_seed: u64,
 }
 
--- a/crates/cluster_simulation/src/event.rs
+++ b/crates/cluster_simulation/src/event.rs
@@ -1,16 +1,16 @@
-//! The events of the simulation, in the order in which they are due.
+//! The events of the simulation and their queue.
 
-use crate::store::{StoreCall, StoreResponse};
+use periodic_jobs::{StoreCall, StoreResponse};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Identifies one start of an instance: a response to an earlier one is dropped.
+/// Identifies one start of an instance. Responses to an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Incarnation(pub(crate) u64);
 
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// An instance's timer is due.
+    /// The timer of an instance is due.
     Tick { instance: usize },
     /// A datagram arrives at an instance.
     Datagram { instance: usize, bytes: Vec<u8> },
@@ -20,29 +20,44 @@
     StoreResponse { instance: usize, incarnation: Incarnation, response: StoreResponse },
 }
 
-/// The pending events. Those due at the same time keep the order in which they were scheduled.
+/// The pending events. Events due at the same moment keep the order in which they were scheduled.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
-    /// The due time and the number of each event.
-    order: BinaryHeap<Reverse<(u64, u64)>>,
+    order: BinaryHeap<Reverse<QueuePosition>>,
+    /// The events by their sequence numbers.
     events: HashMap<u64, Event>,
-    last_number: u64,
+    last_sequence: u64,
+}
+
+/// The position of an event in the queue, ordered by due moment, then by sequence number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePosition {
+    due_ms: u64,
+    sequence: u64,
+}
+
+/// An event that is due.
+pub(crate) struct DueEvent {
+    pub(crate) due_ms: u64,
+    pub(crate) event: Event,
 }
 
 impl EventQueue {
+    /// Schedules an event for this moment.
     pub(crate) fn schedule(&mut self, due_ms: u64, event: Event) {
-        self.last_number += 1;
-        self.order.push(Reverse((due_ms, self.last_number)));
-        self.events.insert(self.last_number, event);
+        self.last_sequence += 1;
+        self.order.push(Reverse(QueuePosition { due_ms, sequence: self.last_sequence }));
+        self.events.insert(self.last_sequence, event);
     }
 
-    /// The next event that is due by this time, and its due time.
-    pub(crate) fn pop_due(&mut self, until_ms: u64) -> Option<(u64, Event)> {
-        let &Reverse((due_ms, number)) = self.order.peek()?;
+    /// Removes the next event that is due at or before this moment.
+    pub(crate) fn pop_due(&mut self, until_ms: u64) -> Option<DueEvent> {
+        let &Reverse(QueuePosition { due_ms, sequence }) = self.order.peek()?;
         if due_ms > until_ms {
             return None;
         }
         self.order.pop();
-        Some((due_ms, self.events.remove(&number)?))
+        let event = self.events.remove(&sequence)?;
+        Some(DueEvent { due_ms, event })
     }
 }
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated instance.
+//! A simulated instance.
 
 use crate::SimulationConfig;
 use crate::event::{Event, Incarnation};
@@ -12,35 +12,37 @@
 
 /// Unix milliseconds at the start of the simulation.
 pub(crate) const START_UNIX_MS: u64 = 1_800_000_000_000;
-/// Instances at which the others join.
+/// The number of instances through which the others join.
 const SEED_PEERS: usize = 3;
-/// Events that a paused instance keeps; like a socket's buffer, it drops what exceeds them.
+/// The maximum number of events queued for a paused instance. Further events are dropped, as by a socket buffer.
 const MAX_PENDING_EVENTS: usize = 1_000;
-/// The cluster's key: 64 hexadecimal digits.
+/// One byte of the gossip key in hexadecimal digits. All bytes of the key are equal.
 const KEY_BYTE: &str = "ab";
+const KEY_BYTES: usize = 32;
 
-/// The name of a simulated job.
+/// Returns the name of a simulated job.
 pub(crate) fn job_name(job: usize) -> String {
     format!("duty-{job}")
 }
 
+/// A running instance: its membership, its scheduler and its clocks.
 pub(crate) struct Instance {
     pub(crate) membership: Membership,
     pub(crate) scheduler: Scheduler,
-    /// The difference of its Unix clock.
+    /// The offset of its Unix clock.
     clock_offset_ms: i64,
     pub(crate) incarnation: Incarnation,
-    /// When its next tick is due.
+    /// The moment of its next tick.
     pub(crate) next_tick_ms: u64,
     has_jobs: bool,
     paused: bool,
-    /// Its members have changed since the scheduler was notified: a burst of changes is one notification.
+    /// Whether the members have changed since the last tick, which passes them to the scheduler.
     members_changed: bool,
-    /// The events that came while it was paused.
+    /// The events received while it was paused.
     pending: VecDeque<Event>,
 }
 
-/// What an instance wants done.
+/// The effects of an event on an instance.
 #[derive(Default)]
 pub(crate) struct Effects {
     pub(crate) outputs: Vec<Output>,
@@ -48,14 +50,14 @@
 }
 
 impl Instance {
-    /// An instance that starts at this time.
+    /// Starts an instance at this moment.
     pub(crate) fn start(number: usize, now_ms: u64, config: &SimulationConfig, rng: &mut StdRng) -> Self {
         let unix_ms = START_UNIX_MS + now_ms;
         let skew_ms = config.max_clock_skew_ms;
         let clock_offset_ms = if skew_ms == 0 { 0 } else { rng.random_range(0..=skew_ms) as i64 };
         let membership = Membership::new(
             membership_config(number, unix_ms, config, rng.random()),
-            Keyring::parse(&KEY_BYTE.repeat(32)).expect("a constant key"),
+            Keyring::parse(&KEY_BYTE.repeat(KEY_BYTES)).expect("a constant key"),
         );
         let mut scheduler = Scheduler::new(scheduler_config(number, config, rng.random()));
         let now =
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Its clocks at a time of the simulation.
+    /// Reads the clocks of the instance at this moment.
     pub(crate) fn clocks(&self, now_ms: u64) -> ClockReading {
         ClockReading {
             unix_ms: (START_UNIX_MS + now_ms).saturating_add_signed(self.clock_offset_ms),
@@ -83,17 +85,18 @@
         }
     }
 
+    /// Pauses the instance.
     pub(crate) fn pause(&mut self) {
         self.paused = true;
     }
 
-    /// Resumes it; returns the events that came meanwhile.
+    /// Resumes the instance. Returns the events received during the pause.
     pub(crate) fn resume(&mut self) -> VecDeque<Event> {
         self.paused = false;
         std::mem::take(&mut self.pending)
     }
 
-    /// Handles an event; `None` where it has no effects, since the instance is paused or the event is outdated.
+    /// Handles an event. Returns `None` if the instance is paused or the event is outdated.
     pub(crate) fn handle(&mut self, event: Event, now: ClockReading) -> Option<Effects> {
         if self.paused {
             if !matches!(event, Event::Tick { .. }) && self.pending.len() < MAX_PENDING_EVENTS {
@@ -109,7 +112,7 @@
                 self.membership.handle_datagram(now.monotonic_ms, &bytes, &mut effects.outputs);
             }
             Event::StoreResponse { incarnation, response, .. } if incarnation == self.incarnation => {
-                response.apply(&mut self.scheduler, now, &mut effects.actions);
+                self.scheduler.handle_store_response(now, response, &mut effects.actions);
             }
             Event::StoreResponse { .. } | Event::StoreCall { .. } => return None,
         }
@@ -118,21 +121,21 @@
     }
 
     fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
-        // No tick is pending now: at the very beginning 0 would be taken for one that still is.
+        // No tick is pending. At the start of the simulation 0 would count as a pending tick.
         self.next_tick_ms = u64::MAX;
         self.membership.tick(now.monotonic_ms, &mut effects.outputs);
-        // An instance without jobs need not know the members.
+        // Without jobs the scheduler does not need the members.
         if std::mem::take(&mut self.members_changed) && self.has_jobs {
             self.scheduler.set_members(now, self.membership.alive_names());
         }
         self.scheduler.tick(now, &mut effects.actions);
     }
 
-    /// When it wants its next tick.
-    pub(crate) fn due_ms(&self, now: ClockReading) -> u64 {
-        let jobs = self.scheduler.next_tick_unix_ms();
-        let jobs_ms = jobs.map_or(u64::MAX, |due| now.monotonic_ms + due.saturating_sub(now.unix_ms));
-        self.membership.next_tick_ms().min(jobs_ms)
+    /// Returns the moment at which the instance needs its next tick.
+    pub(crate) fn next_due_ms(&self, now: ClockReading) -> u64 {
+        let to_monotonic_ms = |unix_ms: u64| now.monotonic_ms + unix_ms.saturating_sub(now.unix_ms);
+        let jobs_due_ms = self.scheduler.next_tick_unix_ms().map_or(u64::MAX, to_monotonic_ms);
+        self.membership.next_tick_ms().min(jobs_due_ms)
     }
 }
 
@@ -167,8 +170,8 @@
         standbys: config.standbys,
         max_clock_skew_ms: config.max_clock_skew_ms,
         start_margin_ms: 10,
-        store_retry_ms: 100,
-        session_renewal_ms: 3_000,
+        store_retry_interval_ms: 100,
+        session_renewal_interval_ms: 3_000,
         incarnation,
     }
 }
--- a/crates/cluster_simulation/src/lib.rs
+++ b/crates/cluster_simulation/src/lib.rs
@@ -1,5 +1,6 @@
-//! A cluster of the pure crates in simulated time: `membership`, `periodic_jobs` and `job_lease` as the program drives them,
-//! with a lease store and a network that can be made to fail. The same seed gives the same course, to the millisecond.
+//! A deterministic simulation of a cluster. It drives the state machines `membership`, `periodic_jobs` and `job_lease` as the
+//! program does, in simulated time, with a lease store and a network that can be made to fail. The same seed gives the same
+//! sequence of events.
 
 mod config;
 mod counts;
--- a/crates/cluster_simulation/src/network.rs
+++ b/crates/cluster_simulation/src/network.rs
@@ -4,16 +4,16 @@
 use rand::rngs::StdRng;
 use std::net::{IpAddr, SocketAddr};
 
-/// The longest delay of a datagram, in milliseconds.
+/// The maximum delay of a datagram in milliseconds.
 const MAX_DELAY_MS: u64 = 2;
 
-/// The address of an instance.
+/// Returns the gossip address of an instance.
 pub(crate) fn address(instance: usize) -> SocketAddr {
     let [.., high, middle, low] = (instance as u32).to_be_bytes();
     SocketAddr::from(([127, high, middle, low], 7_000))
 }
 
-/// The instance at an address.
+/// Returns the instance with this gossip address.
 pub(crate) fn instance(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -24,11 +24,11 @@
     }
 }
 
-/// Which datagrams arrive, and which instances reach the store.
+/// The connections between the instances, and from the instances to the store.
 #[derive(Debug)]
 pub(crate) struct Network {
     loss: f64,
-    /// The side of a partition on which each instance is; datagrams do not cross.
+    /// The side of the partition, 0 or 1, of each instance. Datagrams between the sides are lost.
     sides: Vec<u8>,
     /// Whether the store is reachable from each side.
     store_reachable: [bool; 2],
@@ -39,16 +39,18 @@
         Self { loss, sides: vec![0; instances], store_reachable: [true; 2] }
     }
 
+    /// Partitions the network.
     pub(crate) fn partition(&mut self, sides: Vec<u8>, store_reachable: [bool; 2]) {
         self.sides = sides;
         self.store_reachable = store_reachable;
     }
 
+    /// Returns whether an instance reaches the store.
     pub(crate) fn reaches_store(&self, instance: usize) -> bool {
         self.store_reachable[usize::from(self.sides[instance])]
     }
 
-    /// The delay of a datagram; `None` where it is lost.
+    /// Returns the delay of a datagram, or `None` if it is lost.
     pub(crate) fn delay_ms(&self, from: usize, to: usize, rng: &mut StdRng) -> Option<u64> {
         let lost = rng.random_bool(self.loss);
         let delay_ms = rng.random_range(0..=MAX_DELAY_MS);
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -1,34 +1,34 @@
-//! The simulation.
+//! The simulation of a cluster.
 
 use crate::SimulationConfig;
 use crate::counts::{Counts, RunLog};
-use crate::event::{Event, EventQueue, Incarnation};
+use crate::event::{DueEvent, Event, EventQueue, Incarnation};
 use crate::instance::{Effects, Instance, START_UNIX_MS, job_name};
 use crate::network::{self, Network};
-use crate::store::{DelayedResponse, SimulatedStore, StoreCall, StoreFault};
+use crate::store::{DelayedResponse, SimulatedStore, StoreFault};
 use membership::Output;
-use periodic_jobs::{Action, ClockReading, Notice, Run};
+use periodic_jobs::{Action, ClockReading, Notice, Run, StoreCall};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// The shortest and the longest delay of a call to the store, in milliseconds.
+/// The range of the delay of a call to the store in milliseconds.
 const CALL_DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// The members that an instance sees alive.
+/// The live members as one instance sees them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The instance's number.
+    /// The number of the instance.
     pub instance: usize,
-    /// The names of the members, itself included.
+    /// The names of the live members, including the instance itself.
     pub alive: Vec<String>,
 }
 
-/// A cluster in simulated time. Instances are addressed by their numbers, from 0.
+/// A cluster in simulated time. Instances are identified by their numbers, from 0.
 pub struct Simulation {
     config: SimulationConfig,
     now_ms: u64,
     events: EventQueue,
-    /// `None` for one that is dead.
+    /// `None` for a dead instance.
     instances: Vec<Option<Instance>>,
     rng: StdRng,
     store: SimulatedStore,
@@ -59,22 +59,23 @@
         simulation
     }
 
-    /// Milliseconds since the start of the simulation.
+    /// Returns the milliseconds since the start of the simulation.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// The counts so far.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         Counts { repeated_runs: self.run_log.repeated(), ..self.counts.clone() }
     }
 
-    /// The notices of all schedulers so far.
+    /// Returns the notices of all schedulers since the start.
     pub fn notices(&self) -> &[Notice] {
         &self.notices
     }
 
-    /// The most runs that any job has missed in a row since the last call; `u64::MAX` where a job has never run.
+    /// Returns the maximum number of consecutive runs that any job has missed since the last call. Returns `u64::MAX` if a job
+    /// has never run.
     pub fn take_longest_gap(&mut self) -> u64 {
         let (now_unix_ms, period_ms) = (START_UNIX_MS + self.now_ms, self.config.period_ms);
         let gaps =
@@ -84,7 +85,7 @@
         longest
     }
 
-    /// Starts an instance, or restarts it under its name and address.
+    /// Starts an instance, or restarts it with the same name and address.
     pub fn start(&mut self, instance: usize) {
         self.instances[instance] = Some(Instance::start(instance, self.now_ms, &self.config, &mut self.rng));
         self.schedule_tick(instance, self.now_ms);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Resumes an instance: all that came meanwhile arrives at once.
+    /// Resumes an instance. Events of the pause are delivered at once.
     pub fn resume(&mut self, instance: usize) {
         let Some(paused) = &mut self.instances[instance] else { return };
         for event in paused.resume() {
@@ -111,34 +112,35 @@
         self.schedule_tick(instance, self.now_ms);
     }
 
-    /// Sets how the store fails from now on.
+    /// Sets the fault of the store.
     pub fn set_store_fault(&mut self, fault: StoreFault) {
         self.store.set_fault(fault);
     }
 
-    /// Loses the responses to the next writes that are applied.
+    /// Loses the responses to the next `count` applied writes.
     pub fn lose_responses(&mut self, count: u32) {
         self.store.lose_responses(count);
     }
 
-    /// Restarts the store without any key, its indexes from the beginning.
+    /// Restarts the store without any key. Its indexes start from 0 again.
     pub fn restart_store_empty(&mut self) {
         self.store.restart_empty();
     }
 
-    /// Partitions the network: the side, 0 or 1, of each instance, and whether the store is reachable from each side.
+    /// Partitions the network. `side` assigns each instance to side 0 or 1, and `store_reachable` tells from which sides the
+    /// store is reachable.
     pub fn partition(&mut self, side: impl Fn(usize) -> u8, store_reachable: [bool; 2]) {
         self.network.partition((0..self.config.instances).map(side).collect(), store_reachable);
     }
 
-    /// How many instances see exactly this many members alive.
+    /// Returns the number of instances that see exactly this many live members.
     pub fn instances_seeing(&self, members: usize) -> usize {
-        let alive = self.instances.iter().flatten();
-        alive.filter(|instance| instance.membership.alive_count() == members).count()
+        let instances = self.instances.iter().flatten();
+        instances.filter(|instance| instance.membership.alive_count() == members).count()
     }
 
-    /// The number of mistakes in all views: members seen alive that are dead or, by `may_see`, out of reach, and live
-    /// members in reach that are not seen alive.
+    /// Returns the number of mistakes in all views. A mistake is a member seen alive that is dead or, by `may_see`,
+    /// unreachable, or a reachable live member that is not seen alive.
     pub fn mistaken_views(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
         let visible = |observer: usize, other: usize| self.is_alive(other) && may_see(observer, other);
         let mistakes = |(observer, instance): (usize, &Instance)| {
@@ -151,7 +153,7 @@
         self.alive_instances().map(mistakes).sum()
     }
 
-    /// The number of members in all views that are seen alive and are dead or, by `may_see`, out of reach.
+    /// Returns the number of members in all views that are seen alive but are dead or, by `may_see`, unreachable.
     pub fn falsely_alive(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
         let mistakes = |(observer, instance): (usize, &Instance)| {
             seen_by(instance).filter(|&other| !self.is_alive(other) || !may_see(observer, other)).count()
@@ -159,7 +161,7 @@
         self.alive_instances().map(mistakes).sum()
     }
 
-    /// The members that each live instance sees alive.
+    /// Returns the view of each live instance.
     pub fn views(&self) -> Vec<View> {
         let view =
             |(instance, state): (usize, &Instance)| View { instance, alive: state.membership.alive_names() };
@@ -175,10 +177,10 @@
         self.instances[instance].is_some()
     }
 
-    /// Advances the time.
+    /// Advances the time and handles the events that become due.
     pub fn advance(&mut self, span_ms: u64) {
         let until_ms = self.now_ms + span_ms;
-        while let Some((due_ms, event)) = self.events.pop_due(until_ms) {
+        while let Some(DueEvent { due_ms, event }) = self.events.pop_due(until_ms) {
             self.now_ms = due_ms;
             self.handle(event);
         }
@@ -206,13 +208,14 @@
         let Some(Some(instance)) = self.instances.get_mut(number) else { return };
         let now = instance.clocks(self.now_ms);
         let Some(Effects { outputs, actions }) = instance.handle(event, now) else { return };
-        let (incarnation, due_ms) = (instance.incarnation, instance.due_ms(now));
+        let incarnation = instance.incarnation;
+        let due_ms = instance.next_due_ms(now);
         for output in outputs {
             if let Output::SendDatagram { to, bytes } = output {
                 self.send(number, network::instance(to), bytes);
             }
         }
-        self.apply_action(number, incarnation, now, actions);
+        self.apply_actions(number, incarnation, now, actions);
         self.schedule_tick(number, due_ms.max(now.monotonic_ms + 1));
     }
 
@@ -224,7 +227,7 @@
         }
     }
 
-    fn apply_action(
+    fn apply_actions(
         &mut self,
         instance: usize,
         incarnation: Incarnation,
@@ -232,29 +235,21 @@
         actions: Vec<Action>,
     ) {
         for action in actions {
-            let call = match action {
-                Action::OpenSession => StoreCall::OpenSession,
-                Action::RenewSession(session) => StoreCall::RenewSession(session),
-                Action::ReadLeases { call, jobs } => StoreCall::ReadLeases { call, jobs },
-                Action::CompareAndSet { call, job, record, expected_index, session } => {
-                    StoreCall::CompareAndSet { call, job, record, expected_index, session }
-                }
-                Action::Notify(notice) => {
-                    self.notices.push(notice);
-                    continue;
-                }
-                Action::StartRun(run) => {
-                    self.start_run(run, now);
-                    continue;
-                }
-            };
-            let due_ms = self.now_ms + self.rng.random_range(CALL_DELAY_MS);
-            self.events.schedule(due_ms, Event::StoreCall { instance, incarnation, call });
+            match action {
+                Action::CallStore(call) => self.send_store_call(instance, incarnation, call),
+                Action::StartRun(run) => self.start_run(run, now),
+                Action::Notify(notice) => self.notices.push(notice),
+            }
         }
     }
 
+    fn send_store_call(&mut self, instance: usize, incarnation: Incarnation, call: StoreCall) {
+        let due_ms = self.now_ms + self.rng.random_range(CALL_DELAY_MS);
+        self.events.schedule(due_ms, Event::StoreCall { instance, incarnation, call });
+    }
+
     fn start_run(&mut self, run: Run, now: ClockReading) {
-        // The program checks again just before it acts.
+        // The program checks the deadline again just before it acts.
         if run.may_start(now) {
             self.counts.runs += 1;
             self.run_log.record(run, self.config.period_ms);
@@ -271,7 +266,7 @@
     }
 }
 
-/// The instances that this one sees alive, itself excluded.
+/// Returns the instances that this one sees alive, excluding itself.
 fn seen_by(instance: &Instance) -> impl Iterator<Item = usize> {
     instance.membership.alive_addresses().map(network::instance)
 }
--- a/crates/cluster_simulation/src/store.rs
+++ b/crates/cluster_simulation/src/store.rs
@@ -1,92 +1,43 @@
 //! The simulated lease store.
 
 use crate::counts::Counts;
-use job_lease::{
-    CompareAndSetOutcome, LeaseListing, LeaseRecord, LocalStore, Session, StoreError, StoreErrorCause,
-};
-use periodic_jobs::{Action, CallId, ClockReading, Scheduler};
+use job_lease::{CompareAndSetOutcome, LeaseRecord, LocalStore, Session, StoreError, StoreErrorCause};
+use periodic_jobs::{StoreCall, StoreResponse};
 
-/// The delay of a response, in milliseconds.
+/// The delay of a response in milliseconds.
 const RESPONSE_DELAY_MS: u64 = 2;
-/// The time limit of a call, in milliseconds.
+/// The timeout of a call in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 100;
 
-/// How the store fails.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It does not.
+    /// No fault.
     None,
-    /// It handles no call and does not respond.
+    /// The store ignores all calls.
     Unresponsive,
-    /// It applies writes, and their responses are lost.
+    /// The store applies writes, but their responses are lost.
     ResponsesLost,
 }
 
-#[derive(Debug)]
-pub(crate) enum StoreCall {
-    OpenSession,
-    RenewSession(Session),
-    ReadLeases { call: CallId, jobs: Vec<String> },
-    CompareAndSet { call: CallId, job: String, record: LeaseRecord, expected_index: u64, session: Session },
-}
-
-#[derive(Debug)]
-pub(crate) enum StoreResponse {
-    SessionOpened(Result<Session, StoreError>),
-    SessionRenewed(Session, Result<bool, StoreError>),
-    LeasesRead { call: CallId, jobs: Vec<String>, result: Result<LeaseListing, StoreError> },
-    CompareAndSetDone { call: CallId, job: String, record: LeaseRecord, outcome: CompareAndSetOutcome },
-}
-
-impl StoreCall {
-    /// The response of a call that timed out.
-    fn timed_out(self) -> StoreResponse {
-        match self {
-            Self::OpenSession => StoreResponse::SessionOpened(Err(no_response())),
-            Self::RenewSession(session) => StoreResponse::SessionRenewed(session, Err(no_response())),
-            Self::ReadLeases { call, jobs } => {
-                StoreResponse::LeasesRead { call, jobs, result: Err(no_response()) }
-            }
-            Self::CompareAndSet { call, job, record, .. } => {
-                let outcome = CompareAndSetOutcome::Failed(no_response());
-                StoreResponse::CompareAndSetDone { call, job, record, outcome }
-            }
-        }
-    }
-}
-
-impl StoreResponse {
-    /// Hands the response to the scheduler that made the call.
-    pub(crate) fn apply(self, scheduler: &mut Scheduler, now: ClockReading, out: &mut Vec<Action>) {
-        match self {
-            Self::SessionOpened(result) => scheduler.session_opened(now, result, out),
-            Self::SessionRenewed(session, result) => scheduler.session_renewed(now, &session, result, out),
-            Self::LeasesRead { call, jobs, result } => scheduler.leases_read(now, call, &jobs, result, out),
-            Self::CompareAndSetDone { call, job, record, outcome } => {
-                scheduler.compare_and_set_done(now, call, &job, &record, outcome, out);
-            }
-        }
-    }
-}
-
 fn no_response() -> StoreError {
     StoreError::OutcomeUnknown(StoreErrorCause::NoResponse)
 }
 
-/// A response, and after how long it reaches the caller.
+/// A response and the time until it reaches the caller.
 pub(crate) struct DelayedResponse {
     pub(crate) delay_ms: u64,
     pub(crate) response: StoreResponse,
 }
 
-/// The store: compare-and-set on keys, bound to sessions.
+/// A lease store whose writes are bound to sessions.
 #[derive(Debug)]
 pub(crate) struct SimulatedStore {
     leases: LocalStore,
-    /// Increases each time that the store comes back empty; the id of all its sessions.
+    /// Increases each time the store loses its data. It is the id of all sessions.
     incarnation: u64,
     fault: StoreFault,
-    /// The responses to so many further applied writes are lost.
+    /// The number of applied writes whose responses will be lost.
     responses_to_lose: u32,
 }
 
@@ -103,13 +54,13 @@
         self.responses_to_lose = count;
     }
 
-    /// Comes back without any key, its indexes from the beginning.
+    /// Restarts without any key. Its indexes start from 0 again.
     pub(crate) fn restart_empty(&mut self) {
         self.leases = LocalStore::default();
         self.incarnation += 1;
     }
 
-    /// Handles a call of an instance that reaches the store or not.
+    /// Handles a call. It times out if the store is unresponsive or not reachable by the caller.
     pub(crate) fn handle(
         &mut self,
         call: StoreCall,
@@ -117,7 +68,7 @@
         counts: &mut Counts,
     ) -> DelayedResponse {
         if self.fault == StoreFault::Unresponsive || !reachable {
-            return DelayedResponse { delay_ms: CALL_TIMEOUT_MS, response: call.timed_out() };
+            return DelayedResponse { delay_ms: CALL_TIMEOUT_MS, response: call.fail(no_response()) };
         }
         let response = match call {
             StoreCall::OpenSession => {
@@ -126,19 +77,18 @@
             }
             StoreCall::RenewSession(session) => {
                 let exists = self.session_exists(&session);
-                StoreResponse::SessionRenewed(session, Ok(exists))
+                StoreResponse::SessionRenewed { session, result: Ok(exists) }
             }
-            StoreCall::ReadLeases { call, jobs } => {
+            StoreCall::ReadLeases { .. } => {
                 counts.reads += 1;
-                let result = Ok(self.leases.read(&jobs));
-                StoreResponse::LeasesRead { call, jobs, result }
+                call.apply_to(&mut self.leases)
             }
             StoreCall::CompareAndSet { call, job, record, expected_index, session } => {
                 counts.writes += 1;
                 let outcome = self.compare_and_set(&job, &record, expected_index, &session);
                 let applied = matches!(outcome, CompareAndSetOutcome::Applied { .. });
                 counts.writes_applied += u64::from(applied);
-                if self.loses_response(applied) {
+                if self.takes_response_loss(applied) {
                     let outcome = CompareAndSetOutcome::Failed(no_response());
                     let response = StoreResponse::CompareAndSetDone { call, job, record, outcome };
                     return DelayedResponse { delay_ms: CALL_TIMEOUT_MS, response };
@@ -166,8 +116,8 @@
         self.leases.compare_and_set(job, record.clone(), expected_index)
     }
 
-    /// Whether the response to a write is lost.
-    fn loses_response(&mut self, applied: bool) -> bool {
+    /// Returns whether the response to this write is lost, and counts it.
+    fn takes_response_loss(&mut self, applied: bool) -> bool {
         let lost = self.fault == StoreFault::ResponsesLost || (self.responses_to_lose > 0 && applied);
         if lost {
             self.responses_to_lose = self.responses_to_lose.saturating_sub(1);
--- a/crates/cluster_simulation/tests/course.rs
+++ b/crates/cluster_simulation/tests/course.rs
@@ -1,15 +1,15 @@
-//! The course of the whole simulation from fixed seeds, as an earlier build of the pure crates took it. It depends on the
+//! Regression test of whole simulations with fixed seeds: the counters equal those of an earlier build. They depend on the
 //! versions of `foca` and `rand` in `Cargo.lock`.
 
 use cluster_simulation::{Simulation, SimulationConfig, StoreFault};
 
-const COURSE: &str = include_str!("fixtures/course.txt");
+const COUNTERS: &str = include_str!("fixtures/course.txt");
 
-fn line(simulation: &mut Simulation, what: &str) -> String {
+fn counter_line(simulation: &mut Simulation, stage: &str) -> String {
     let counts = simulation.counts();
     let gap = simulation.take_longest_gap();
     format!(
-        "{what}: {} writes, {} applied, {} reads, {} datagrams of {} bytes, {} runs, {} repeated, {} late, {gap} missed in a row\n",
+        "{stage}: {} writes, {} applied, {} reads, {} datagrams of {} bytes, {} runs, {} repeated, {} late, {gap} missed in a row\n",
         counts.writes,
         counts.writes_applied,
         counts.reads,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_course_from_fixed_seeds_is_that_of_the_earlier_build() {
+fn simulations_with_fixed_seeds_give_the_counters_of_the_earlier_build() {
     let mut text = String::new();
     for seed in 1..=3 {
         let config = SimulationConfig {
@@ -37,23 +37,23 @@
         };
         let mut simulation = Simulation::new(config);
         simulation.advance(6_000);
-        text += &line(&mut simulation, &format!("seed {seed}, started"));
+        text += &counter_line(&mut simulation, &format!("seed {seed}, started"));
         (0..4).for_each(|i| simulation.kill(i));
         simulation.advance(6_000);
-        text += &line(&mut simulation, "half killed");
+        text += &counter_line(&mut simulation, "half killed");
         (0..4).for_each(|i| simulation.start(i));
         simulation.pause(5);
         simulation.advance(4_000);
         simulation.resume(5);
         simulation.advance(3_000);
-        text += &line(&mut simulation, "started again, one paused");
+        text += &counter_line(&mut simulation, "started again, one paused");
         simulation.partition(|i| u8::from(i < 4), [true, false]);
         simulation.advance(5_000);
-        text += &line(&mut simulation, "partitioned");
+        text += &counter_line(&mut simulation, "partitioned");
         simulation.partition(|_| 0, [true, true]);
         simulation.lose_responses(20);
         simulation.advance(4_000);
-        text += &line(&mut simulation, "healed, responses lost");
+        text += &counter_line(&mut simulation, "healed, responses lost");
         simulation.set_store_fault(StoreFault::Unresponsive);
         simulation.advance(3_000);
         simulation.set_store_fault(StoreFault::ResponsesLost);
@@ -61,7 +61,7 @@
         simulation.set_store_fault(StoreFault::None);
         simulation.restart_store_empty();
         simulation.advance(5_000);
-        text += &line(&mut simulation, "store emptied");
+        text += &counter_line(&mut simulation, "store emptied");
     }
-    assert_eq!(text, COURSE);
+    assert_eq!(text, COUNTERS);
 }
--- a/crates/cluster_simulation/tests/faults.rs
+++ b/crates/cluster_simulation/tests/faults.rs
@@ -1,11 +1,12 @@
-//! Faults of a simulated cluster. The same rules hold in each: no run starts twice, and no two runs in a row are missed while
-//! the store is reachable.
+//! Faults in a simulated cluster. In each case no run starts twice, and no job misses two consecutive runs while the store is
+//! reachable.
 
 use cluster_simulation::{Simulation, SimulationConfig, StoreFault};
+use periodic_jobs::Notice;
 
 const PERIOD_MS: u64 = 1_000;
 
-/// A cluster that has settled.
+/// A cluster whose members know each other and whose jobs run.
 fn settled(config: SimulationConfig) -> Simulation {
     let mut simulation = Simulation::new(config);
     simulation.advance(6 * PERIOD_MS);
@@ -13,11 +14,12 @@
     simulation
 }
 
-fn assert_runs(simulation: &mut Simulation, max_gap: u64, what: &str) {
+/// Asserts that no run started twice and that no job missed more than `max_gap` consecutive runs since the last call.
+fn assert_runs(simulation: &mut Simulation, max_gap: u64, stage: &str) {
     let counts = simulation.counts();
-    assert_eq!(counts.repeated_runs, 0, "{what}: {counts:?}");
+    assert_eq!(counts.repeated_runs, 0, "{stage}: {counts:?}");
     let gap = simulation.take_longest_gap();
-    assert!(gap <= max_gap, "{what}: {gap} runs missed in a row, {counts:?}");
+    assert!(gap <= max_gap, "{stage}: {gap} runs missed in a row, {counts:?}");
 }
 
 fn config(seed: u64) -> SimulationConfig {
@@ -32,19 +34,19 @@
 }
 
 #[test]
-fn in_normal_operation_each_run_costs_one_write_and_a_read_for_each_standby() {
+fn without_faults_each_run_costs_one_write() {
     let mut simulation = settled(config(1));
     let before = simulation.counts();
     simulation.advance(20 * PERIOD_MS);
     let after = simulation.counts();
-    // A run at either end may fall to the other side of it.
+    // Runs at either end of the interval may fall outside it.
     assert!((after.runs - before.runs).abs_diff(20 * 64) <= 8, "{} runs", after.runs - before.runs);
     assert!(after.writes - before.writes <= 20 * 64 + 8);
     assert_runs(&mut simulation, 0, "calm");
 }
 
 #[test]
-fn half_of_the_instances_die_at_once() {
+fn no_two_runs_are_missed_when_half_of_the_instances_die_and_return() {
     for seed in 1..=5 {
         let mut simulation = settled(config(seed));
         (0..4).for_each(|i| simulation.kill(i));
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn paused_instances_that_resume_run_nothing_that_was_taken_over() {
+fn resumed_instances_repeat_no_run_that_others_took_over() {
     for seed in 1..=5 {
         let mut simulation = settled(config(seed));
         for paused in [&[1][..], &[2, 3]] {
@@ -73,28 +75,23 @@
 }
 
 #[test]
-fn a_stall_between_a_write_and_its_response_runs_nothing_late() {
+fn a_pause_between_a_write_and_its_response_starts_no_late_run() {
     let mut simulation = settled(config(3));
-    let mut late = 0;
-    for turn in 0..200 {
-        // Anywhere in the period, for a little more than one.
-        simulation.advance(PERIOD_MS / 7 + turn % 13);
-        let i = turn as usize % 8;
-        simulation.pause(i);
+    for round in 0..200 {
+        // Pauses start at varying offsets and last slightly longer than a period.
+        simulation.advance(PERIOD_MS / 7 + round % 13);
+        let instance = round as usize % 8;
+        simulation.pause(instance);
         simulation.advance(PERIOD_MS + 50);
-        simulation.resume(i);
+        simulation.resume(instance);
     }
-    late += simulation
-        .notices()
-        .iter()
-        .filter(|n| matches!(n, periodic_jobs::Notice::AcquiredTooLate { .. }))
-        .count();
-    assert!(late > 0, "the case did not arise");
-    assert_runs(&mut simulation, 1, "stalls");
+    let is_late = |notice: &Notice| matches!(notice, Notice::AcquiredTooLate { .. });
+    assert!(simulation.notices().iter().any(is_late), "no run was acquired too late");
+    assert_runs(&mut simulation, 1, "pauses");
 }
 
 #[test]
-fn while_the_store_is_unresponsive_nothing_runs_and_when_it_is_back_empty_all_do_within_two_periods() {
+fn no_run_starts_while_the_store_is_unresponsive_and_all_jobs_run_within_two_periods_of_its_restart() {
     for seed in 1..=5 {
         let mut simulation = settled(config(seed));
         simulation.set_store_fault(StoreFault::Unresponsive);
@@ -107,11 +104,8 @@
         simulation.take_longest_gap();
         let before = simulation.counts().runs;
         simulation.advance(2 * PERIOD_MS);
-        assert!(
-            simulation.counts().runs - before >= 64,
-            "{} of 64 run again",
-            simulation.counts().runs - before
-        );
+        let runs = simulation.counts().runs - before;
+        assert!(runs >= 64, "{runs} of 64 run again");
         simulation.take_longest_gap();
         simulation.advance(10 * PERIOD_MS);
         assert_runs(&mut simulation, 1, "after the outage");
@@ -119,23 +113,23 @@
 }
 
 #[test]
-fn a_store_emptied_at_any_moment_and_clocks_300_ms_apart_start_no_run_twice() {
+fn no_run_starts_twice_with_repeated_data_loss_and_a_clock_skew_of_300_ms() {
     for seed in 1..=10 {
         let mut simulation = settled(SimulationConfig { max_clock_skew_ms: 300, ..config(seed) });
-        for turn in 0..15 {
-            simulation.advance(PERIOD_MS / 3 + turn * 71);
+        for restart in 0..15 {
+            simulation.advance(PERIOD_MS / 3 + restart * 71);
             simulation.restart_store_empty();
         }
         simulation.advance(4 * PERIOD_MS);
         assert_eq!(simulation.counts().repeated_runs, 0);
         simulation.take_longest_gap();
         simulation.advance(10 * PERIOD_MS);
-        assert_runs(&mut simulation, 1, "clocks apart");
+        assert_runs(&mut simulation, 1, "clock skew");
     }
 }
 
 #[test]
-fn a_partition_costs_no_run_whether_the_store_is_reachable_from_both_sides_or_from_one() {
+fn a_partition_misses_no_two_runs_with_the_store_reachable_from_both_sides_or_one() {
     for seed in 1..=3 {
         let mut simulation = settled(config(seed));
         simulation.partition(|i| u8::from(i < 4), [true, true]);
@@ -153,16 +147,17 @@
 }
 
 #[test]
-fn lost_responses_to_writes_cost_no_run() {
+fn lost_responses_to_writes_miss_no_run() {
     let mut simulation = settled(config(4));
     simulation.lose_responses(200);
     simulation.advance(10 * PERIOD_MS);
-    assert!(simulation.notices().iter().any(|n| matches!(n, periodic_jobs::Notice::LeaseRecovered { .. })));
-    assert_runs(&mut simulation, 0, "lost answers");
+    let is_recovered = |notice: &Notice| matches!(notice, Notice::LeaseRecovered { .. });
+    assert!(simulation.notices().iter().any(is_recovered));
+    assert_runs(&mut simulation, 0, "lost responses");
 }
 
 #[test]
-fn a_tenth_of_all_datagrams_lost_changes_nothing() {
+fn members_agree_and_miss_no_two_runs_with_a_tenth_of_the_datagrams_lost() {
     let mut simulation =
         settled(SimulationConfig { datagram_loss: 0.1, instances: 30, jobs: 300, standbys: 4, ..config(5) });
     assert_eq!(simulation.instances_seeing(30), 30);
@@ -170,7 +165,7 @@
     simulation.advance(4 * PERIOD_MS);
     simulation.take_longest_gap();
     simulation.advance(8 * PERIOD_MS);
-    // A member that missed the update of a failure finds it out by its own probes: 30 members at 0.4 s, twice at most.
+    // A member that missed the update about a failure detects it by its own probes: 30 members at 0.4 s, at most twice.
     let agreed = (0..240).any(|_| {
         simulation.advance(100);
         simulation.instances_seeing(15) == 15
@@ -180,13 +175,13 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_course() {
-    let course = || {
+fn the_same_seed_gives_the_same_counters() {
+    let counters = || {
         let mut simulation =
             settled(SimulationConfig { datagram_loss: 0.1, max_clock_skew_ms: 100, ..config(9) });
         simulation.kill(3);
         simulation.advance(5 * PERIOD_MS);
         format!("{:?}", simulation.counts())
     };
-    assert_eq!(course(), course());
+    assert_eq!(counters(), counters());
 }
--- a/crates/periodic_jobs/src/action.rs
+++ b/crates/periodic_jobs/src/action.rs
@@ -1,99 +1,73 @@
-//! What a scheduler asks its driver to do.
+//! The actions and notices of a scheduler.
 
-use crate::Run;
-use job_lease::{LeaseRecord, RunId, Session};
+use crate::{Run, StoreCall};
+use job_lease::RunId;
 use std::fmt;
 
-/// Identifies a call to the store, so that its response can be assigned.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
-
-/// An action for the driver. Each call to the store is answered by the method named with it.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Open a session: [`Scheduler::session_opened`](crate::Scheduler::session_opened).
-    OpenSession,
-    /// Renew it: [`Scheduler::session_renewed`](crate::Scheduler::session_renewed).
-    RenewSession(Session),
-    /// Read the leases of these jobs: [`Scheduler::leases_read`](crate::Scheduler::leases_read).
-    ReadLeases {
-        /// Returned with the response.
-        call: CallId,
-        /// The jobs' names.
-        jobs: Vec<String>,
-    },
-    /// Acquire a run, or seed its key: [`Scheduler::compare_and_set_done`](crate::Scheduler::compare_and_set_done).
-    CompareAndSet {
-        /// Returned with the response.
-        call: CallId,
-        /// The job's name.
-        job: String,
-        /// The record to write.
-        record: LeaseRecord,
-        /// The index that the key must still have; 0 for no key.
-        expected_index: u64,
-        /// The session that the write is bound to.
-        session: Session,
-    },
-    /// Carry out a run.
+    /// Call the lease store.
+    CallStore(StoreCall),
+    /// Start a run.
     StartRun(Run),
-    /// Log something.
+    /// Log a notice.
     Notify(Notice),
 }
 
-/// What an operator may want to know.
+/// An event of interest to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The store does not respond: nothing is acquired and nothing runs.
+    /// The store is unavailable. No run is acquired and none starts.
     StoreUnavailable {
-        /// Why, as the failed call says.
+        /// The error of the last call.
         reason: String,
     },
-    /// It responds again.
+    /// The store has recovered.
     StoreAvailable,
-    /// All keys are read anew.
+    /// All cached leases were discarded and are read again.
     StoreReset(ResetReason),
-    /// A job's key was created, with all runs up to this one settled and not run.
+    /// A job's key was absent and has been seeded. Runs up to this one do not start.
     Seeded {
-        /// The job's name.
+        /// The name of the job.
         job: String,
         /// The run.
         run: RunId,
     },
-    /// A run was acquired, but too late to start it.
+    /// A run was acquired after its deadline and did not start.
     AcquiredTooLate {
-        /// The job's name.
+        /// The name of the job.
         job: String,
         /// The run.
         run: RunId,
     },
-    /// The response to a compare-and-set was lost, and the lease was found to hold.
+    /// The response to a compare-and-set was lost, and a read has confirmed the lease.
     LeaseRecovered {
-        /// The job's name.
+        /// The name of the job.
         job: String,
         /// The run.
         run: RunId,
     },
-    /// The record holds a run further ahead than any clock within the bound: some clock is wrong.
+    /// The stored run is later than any clock within the maximum skew allows. Some clock is wrong.
     RecordAheadOfClock {
-        /// The job's name.
+        /// The name of the job.
         job: String,
         /// The run.
         run: RunId,
     },
-    /// The Unix clock has moved against the monotonic one.
+    /// The Unix clock was stepped relative to the monotonic clock.
     ClockStepped {
-        /// By how many milliseconds; negative where it was put back.
+        /// The size of the step in milliseconds, negative for a step backwards.
         by_ms: i64,
     },
 }
 
-/// Why nothing that is known about the store's keys holds any more.
+/// The reason why the cached leases were discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetReason {
     /// The session has ended.
     SessionEnded,
-    /// The store's index has decreased.
+    /// The store's index has decreased, so the store has lost its data.
     IndexDecreased,
 }
 
--- a/crates/periodic_jobs/src/clock.rs
+++ b/crates/periodic_jobs/src/clock.rs
@@ -1,10 +1,10 @@
-//! Time on two clocks.
+//! Readings of the two clocks of an instance.
 
-/// A reading of both clocks of an instance.
+/// A moment on both clocks of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Milliseconds of Unix time, by which runs are identified. This clock may be set.
+    /// Unix time in milliseconds. Runs are identified by it. This clock may be stepped.
     pub unix_ms: u64,
-    /// Milliseconds of a monotonic clock.
+    /// Milliseconds on a monotonic clock.
     pub monotonic_ms: u64,
 }
--- a/crates/periodic_jobs/src/config.rs
+++ b/crates/periodic_jobs/src/config.rs
@@ -1,20 +1,20 @@
 //! The configuration of a scheduler.
 
-/// How an instance takes part.
+/// The configuration of a [`Scheduler`](crate::Scheduler).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Its own name.
+    /// The name of this instance.
     pub instance: String,
-    /// Members that step in behind the first one.
+    /// The number of members that attempt a run if the owner of the job does not.
     pub standbys: usize,
-    /// The largest difference between the clocks of two instances, in milliseconds.
+    /// The maximum clock skew between two instances in milliseconds.
     pub max_clock_skew_ms: u64,
-    /// A run must start at least this many milliseconds before its period ends.
+    /// Milliseconds between the deadline of a run and the end of its period.
     pub start_margin_ms: u64,
     /// Milliseconds between two calls while the store is unavailable.
-    pub store_retry_ms: u64,
+    pub store_retry_interval_ms: u64,
     /// Milliseconds between two renewals of the session.
-    pub session_renewal_ms: u64,
-    /// Different at each start of the program: leases from before a restart are not this instance's.
+    pub session_renewal_interval_ms: u64,
+    /// A number that differs at each start of the process. Leases from before a restart do not belong to this incarnation.
     pub incarnation: u64,
 }
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -4,18 +4,18 @@
 use crate::rendezvous::JobHash;
 use job_lease::RunId;
 
-/// Something to be done once in each period by exactly one instance.
+/// A job that exactly one instance runs once per period.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Job {
-    /// Its name, the same at all instances.
+    /// The name, the same on all instances.
     pub name: String,
     /// Milliseconds between two runs.
     pub period_ms: u64,
 }
 
 impl Job {
-    /// The run whose period contains this time. Periods of different jobs begin at different times, so that not all leases
-    /// are acquired at once.
+    /// Returns the run whose period contains this moment. The periods of different jobs start at different offsets, which
+    /// spreads the load on the lease store.
     pub fn run_at(&self, unix_ms: u64) -> RunId {
         let period_ms = self.period_ms.max(1);
         let phase_ms = JobHash::of(&self.name).0 % period_ms;
@@ -23,26 +23,26 @@
         RunId(unix_ms.saturating_sub(elapsed_ms))
     }
 
-    /// The run that follows the one whose period contains this run's scheduled time.
+    /// Returns the run after the one whose period contains the scheduled time of `run`.
     pub(crate) fn run_after(&self, run: RunId) -> RunId {
         RunId(self.run_at(run.scheduled_unix_ms()).0 + self.period_ms)
     }
 }
 
-/// A run to be carried out now.
+/// A run whose lease is held by this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The job's name.
+    /// The name of the job.
     pub job: String,
-    /// The run's scheduled time, which is the fencing token.
+    /// The id of the run, which is also its fencing token.
     pub id: RunId,
-    /// It must start before this, on both clocks.
+    /// The run must start before this moment on both clocks.
     pub deadline: ClockReading,
 }
 
 impl Run {
-    /// Whether it may still start. Both clocks must say so: one may have been set, and an instance that was paused finds
-    /// that time has passed on both.
+    /// Returns whether the run may still start. The deadline must not have passed on either clock, because the Unix clock may
+    /// have been stepped back during a pause.
     pub fn may_start(&self, now: ClockReading) -> bool {
         now.unix_ms < self.deadline.unix_ms && now.monotonic_ms < self.deadline.monotonic_ms
     }
--- a/crates/periodic_jobs/src/lib.rs
+++ b/crates/periodic_jobs/src/lib.rs
@@ -1,21 +1,20 @@
-//! Periodic jobs of a cluster: which instance does which run of which job, and when.
+//! The scheduler of a cluster's periodic jobs: it decides which runs this instance starts, and when.
 //!
-//! [`Scheduler`] takes events — time passing, members joining and leaving, responses of the lease store — and returns
-//! actions: open a session, read, compare-and-set, start a run. It has no I/O, no clock and no thread. [`rendezvous`] ranks
-//! the live members for each job: the first tries a run at its scheduled time, the others step in one after the other, late
-//! enough not to race it and early enough to finish in the same period. Whether they may is for the lease store alone to
-//! say (see the crate `job_lease`).
+//! [`Scheduler`] is a state machine without I/O, clock or thread. Its inputs are the time, the live members and the responses
+//! of the lease store. Its outputs are calls to the lease store and runs to start. [`rendezvous`] ranks the live members for
+//! each job. The first, the owner, attempts a run at its scheduled time. The standbys follow one after the other, with
+//! enough distance to avoid conflicts and early enough to finish in the same period. The lease store alone decides which
+//! attempt succeeds (see the crate `job_lease`).
 //!
-//! A run is identified by its scheduled time in Unix milliseconds, so ids only grow, also when a job's period is changed.
-//! The id is the fencing token too: a receiver that keeps the highest it has seen rejects what comes late or twice.
+//! A run is identified by its scheduled time in Unix milliseconds, so ids increase even if a job's period changes. The id is
+//! also the fencing token: a receiver that remembers the highest id can reject late and repeated runs.
 //!
 //! Invariants:
 //!
-//! - A run is started only after a lease on that very run was confirmed, and once at most.
-//! - A run carries its deadline on both clocks; whoever carries it out checks again before it acts
-//!   ([`Run::may_start`]), since a pause may fall anywhere.
-//! - Without a session nothing is written, and while the store is unavailable there is one call in each retry period and
-//!   no more.
+//! - A run starts at most once, and only after its lease was confirmed.
+//! - A run carries its deadline on both clocks. The driver checks it again before it acts ([`Run::may_start`]), because the
+//!   process may be paused at any point.
+//! - Without a session nothing is written. While the store is unavailable, there is at most one call per retry interval.
 
 mod action;
 mod clock;
@@ -23,9 +22,11 @@
 mod job;
 pub mod rendezvous;
 mod scheduler;
+mod store_call;
 
-pub use action::{Action, CallId, Notice, ResetReason};
+pub use action::{Action, Notice, ResetReason};
 pub use clock::ClockReading;
 pub use config::Config;
 pub use job::{Job, Run};
 pub use scheduler::{JobStatus, LastRun, Scheduler};
+pub use store_call::{CallId, StoreCall, StoreResponse};
--- a/crates/periodic_jobs/src/rendezvous.rs
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): the order of the live members for each job. When a member leaves,
-//! only its own jobs move, and they spread over all others.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998) ranks the live members for each job. When a member leaves, only its
+//! own jobs move, and they spread over all others.
 
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A hash that is the same in every build: instances of different versions must agree.
+/// Hashes a text to the same value in every build. Instances of different versions must agree on the ranking.
 pub(crate) fn stable_hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
@@ -14,7 +14,7 @@
 pub struct JobHash(pub u64);
 
 impl JobHash {
-    /// The hash of this name.
+    /// Returns the hash of this name.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name))
     }
@@ -25,13 +25,13 @@
 pub struct MemberHash(pub u64);
 
 impl MemberHash {
-    /// The hash of this name.
+    /// Returns the hash of this name.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
 
-/// The live members, by the hash of their names.
+/// The live members by the hash of their names.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     names: BTreeMap<MemberHash, String>,
@@ -47,29 +47,29 @@
 }
 
 impl MembershipChange {
-    /// Whether nothing has changed.
+    /// Returns whether no member joined or left.
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty() && self.left.is_empty()
     }
 }
 
 impl Members {
-    /// How many there are.
+    /// Returns the number of members.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// The name behind a hash.
+    /// Returns the name with this hash.
     pub fn name(&self, member: MemberHash) -> Option<&str> {
         self.names.get(&member).map(String::as_str)
     }
 
-    /// Replaces the members; returns what has changed.
+    /// Replaces the members. Returns the difference.
     pub fn replace(&mut self, names: impl IntoIterator<Item = String>) -> MembershipChange {
         let after: BTreeMap<MemberHash, String> =
             names.into_iter().map(|name| (MemberHash::of(&name), name)).collect();
@@ -80,7 +80,7 @@
     }
 }
 
-/// A member and its weight for one job. The greatest has the first rank.
+/// A member and its weight for one job. The greatest candidate has rank 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     weight: u64,
@@ -93,12 +93,12 @@
     }
 }
 
-/// The members of the first few ranks for one job.
+/// The members with the highest ranks for one job.
 #[derive(Clone, Debug)]
 pub struct Ranking {
     job: JobHash,
     max_ranks: usize,
-    /// The first rank first.
+    /// In the order of their ranks.
     candidates: Vec<Candidate>,
 }
 
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Applies a change that `members` already contains; returns whether the ranking has changed. Only where one of its
-    /// members has left are all members ranked anew.
+    /// Applies a change that `members` already contains. Returns whether the ranking has changed. It is rebuilt only if one of
+    /// its members has left.
     pub fn update(&mut self, members: &Members, change: &MembershipChange) -> bool {
         let before = self.candidates.clone();
         if self.candidates.iter().any(|candidate| change.left.contains(&candidate.member)) {
@@ -140,12 +140,12 @@
         self.candidates != before
     }
 
-    /// The rank of a member, from 0.
+    /// Returns the rank of a member, from 0. Returns `None` beyond the maximum rank.
     pub fn rank(&self, member: MemberHash) -> Option<usize> {
         self.candidates.iter().position(|candidate| candidate.member == member)
     }
 
-    /// The member of the first rank.
+    /// Returns the member with rank 0.
     pub fn owner(&self) -> Option<MemberHash> {
         self.candidates.first().map(|candidate| candidate.member)
     }
--- a/crates/periodic_jobs/src/rendezvous/tests.rs
+++ b/crates/periodic_jobs/src/rendezvous/tests.rs
@@ -1,4 +1,4 @@
-//! What moves when members change.
+//! Changes of the ranking when members join and leave.
 
 use super::*;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn updates_give_the_same_ranking_as_ranking_anew() {
+fn incremental_updates_give_the_same_ranking_as_a_rebuild() {
     let mut alive = members(20);
     for job in (0..50).map(|i| JobHash::of(&format!("d{i}"))) {
         let mut ranking = Ranking::new(job, &alive, 4);
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -1,6 +1,7 @@
 //! The scheduler of one instance.
 
 mod attempt;
+mod attempt_queue;
 mod job_state;
 mod responses;
 mod store_connection;
@@ -8,18 +9,19 @@
 pub use job_state::{JobStatus, LastRun};
 
 use crate::rendezvous::{MemberHash, Members};
-use crate::{Action, ClockReading, Config, Job, Notice, ResetReason};
+use crate::{Action, ClockReading, Config, Job, Notice, ResetReason, StoreCall};
+use attempt_queue::AttemptQueue;
 use job_lease::Session;
 use job_state::{JobState, Phase};
-use std::collections::{BTreeSet, HashMap};
+use std::collections::HashMap;
 use store_connection::StoreConnection;
 
-/// A difference between the clocks' steps beyond which the Unix clock counts as set, in milliseconds.
-const CLOCK_STEP_MS: u64 = 250;
-/// The share of a period over which the attempts of all ranks are spread; the rest is left for the run.
+/// The difference in progress between the two clocks, in milliseconds, beyond which the Unix clock counts as stepped.
+const MIN_CLOCK_STEP_MS: u64 = 250;
+/// The percentage of a period over which the attempts of all ranks are spread. The rest remains for the run.
 const ATTEMPT_SPREAD_PERCENT: u64 = 60;
 
-/// The scheduler of one instance. Actions are appended to the vector that a call is given.
+/// The scheduler of one instance. Methods append their actions to `out`.
 #[derive(Debug)]
 pub struct Scheduler {
     config: Config,
@@ -27,14 +29,13 @@
     members: Members,
     jobs: Vec<JobState>,
     index_by_name: HashMap<String, usize>,
-    /// The jobs that are due, by Unix milliseconds and index.
-    due: BTreeSet<(u64, usize)>,
+    attempts: AttemptQueue,
     store: StoreConnection,
     last_clock: Option<ClockReading>,
 }
 
 impl Scheduler {
-    /// A scheduler without jobs, which knows only its own instance.
+    /// Creates a scheduler without jobs whose only member is its own instance.
     pub fn new(config: Config) -> Self {
         let mut members = Members::default();
         members.replace([config.instance.clone()]);
@@ -44,18 +45,18 @@
             members,
             jobs: Vec::new(),
             index_by_name: HashMap::new(),
-            due: BTreeSet::new(),
+            attempts: AttemptQueue::default(),
             store: StoreConnection::default(),
             last_clock: None,
         }
     }
 
-    /// Replaces the jobs. Those that stay keep what is known about them.
+    /// Replaces the jobs. Jobs that remain keep their state.
     pub fn set_jobs(&mut self, now: ClockReading, jobs: Vec<Job>) {
         let mut before: HashMap<String, JobState> =
             std::mem::take(&mut self.jobs).into_iter().map(|state| (state.job.name.clone(), state)).collect();
         self.index_by_name.clear();
-        self.due.clear();
+        self.attempts.clear();
         for job in jobs {
             if job.period_ms == 0 || self.index_by_name.contains_key(&job.name) {
                 continue;
@@ -64,14 +65,13 @@
                 .remove(&job.name)
                 .unwrap_or_else(|| JobState::new(job.clone(), &self.members, self.config.standbys + 1));
             state.job = job;
-            state.due_unix_ms = None;
             self.index_by_name.insert(state.job.name.clone(), self.jobs.len());
             self.jobs.push(state);
         }
-        self.plan_all(now);
+        self.schedule_all(now);
     }
 
-    /// Replaces the live members; this instance always counts as one.
+    /// Replaces the live members. This instance is always one of them.
     pub fn set_members(&mut self, now: ClockReading, names: impl IntoIterator<Item = String>) {
         let local = self.config.instance.clone();
         let change = self.members.replace(names.into_iter().chain([local]));
@@ -80,47 +80,42 @@
         }
         for index in 0..self.jobs.len() {
             if self.jobs[index].ranking.update(&self.members, &change) {
-                self.plan(index, now);
+                self.schedule_next_run(index, now);
             }
         }
     }
 
-    /// When [`Scheduler::tick`] is to be called next, in Unix milliseconds.
+    /// Returns the moment at which [`Scheduler::tick`] must be called next, in Unix milliseconds.
     pub fn next_tick_unix_ms(&self) -> Option<u64> {
-        self.due.first().map(|&(unix_ms, _)| unix_ms)
+        self.attempts.next_due_unix_ms()
     }
 
-    /// The status of all jobs, for the console.
+    /// Returns the status of all jobs.
     pub fn job_statuses(&self) -> Vec<JobStatus> {
         self.jobs.iter().map(|state| state.status(&self.members, self.local_member)).collect()
     }
 
-    /// Whether the store counts as unavailable.
+    /// Returns whether the lease store is unavailable.
     pub fn is_store_unavailable(&self) -> bool {
         self.store.is_unavailable()
     }
 
-    /// The session, to be ended on shutdown.
+    /// Returns the current session. The driver ends it on shutdown.
     pub fn session(&self) -> Option<&Session> {
         self.store.session()
     }
 
-    /// Does what is due.
+    /// Renews the session and attempts the runs that are due.
     pub fn tick(&mut self, now: ClockReading, out: &mut Vec<Action>) {
         self.detect_clock_step(now, out);
         if self.jobs.is_empty() {
             return;
         }
-        if let Some(session) = self.store.begin_renewal(now, self.config.session_renewal_ms) {
-            out.push(Action::RenewSession(session));
+        if let Some(session) = self.store.start_renewal(now, self.config.session_renewal_interval_ms) {
+            out.push(Action::CallStore(StoreCall::RenewSession(session)));
         }
         let mut reads = Vec::new();
-        while let Some(&(unix_ms, index)) = self.due.first() {
-            if unix_ms > now.unix_ms {
-                break;
-            }
-            self.due.pop_first();
-            self.jobs[index].due_unix_ms = None;
+        while let Some(index) = self.attempts.pop_due(now.unix_ms) {
             self.attempt(index, now, &mut reads, out);
         }
         if !reads.is_empty() {
@@ -139,35 +134,36 @@
             };
         }
         let jobs = indexes.iter().map(|&index| self.jobs[index].job.name.clone()).collect();
-        out.push(Action::ReadLeases { call, jobs });
+        out.push(Action::CallStore(StoreCall::ReadLeases { call, jobs }));
     }
 
+    /// Detects a step of the Unix clock and schedules all attempts again.
     fn detect_clock_step(&mut self, now: ClockReading, out: &mut Vec<Action>) {
         if let Some(before) = self.last_clock.replace(now) {
-            let unix_step_ms = now.unix_ms as i64 - before.unix_ms as i64;
-            let monotonic_step_ms = now.monotonic_ms.saturating_sub(before.monotonic_ms) as i64;
-            if unix_step_ms.abs_diff(monotonic_step_ms) > CLOCK_STEP_MS {
-                let by_ms = unix_step_ms - monotonic_step_ms;
+            let unix_elapsed_ms = now.unix_ms as i64 - before.unix_ms as i64;
+            let monotonic_elapsed_ms = now.monotonic_ms.saturating_sub(before.monotonic_ms) as i64;
+            if unix_elapsed_ms.abs_diff(monotonic_elapsed_ms) > MIN_CLOCK_STEP_MS {
+                let by_ms = unix_elapsed_ms - monotonic_elapsed_ms;
                 out.push(Action::Notify(Notice::ClockStepped { by_ms }));
-                self.plan_all(now);
+                self.schedule_all(now);
             }
         }
     }
 
-    fn plan_all(&mut self, now: ClockReading) {
+    fn schedule_all(&mut self, now: ClockReading) {
         for index in 0..self.jobs.len() {
-            self.plan(index, now);
+            self.schedule_next_run(index, now);
         }
     }
 
-    /// Schedules a job's next attempt: at this instance's rank in the first run that is not settled.
-    fn plan(&mut self, index: usize, now: ClockReading) {
+    /// Schedules a job's next attempt, delayed by this instance's rank, in the first run that is not settled.
+    fn schedule_next_run(&mut self, index: usize, now: ClockReading) {
         let state = &self.jobs[index];
         if state.phase != Phase::Idle {
             return;
         }
         let Some(rank) = state.ranking.rank(self.local_member) else {
-            self.cancel_attempt(index);
+            self.attempts.cancel(index);
             return;
         };
         let mut run = state.job.run_at(now.unix_ms);
@@ -177,57 +173,42 @@
         let stagger_ms = self.stagger_ms(state.job.period_ms);
         let mut unix_ms = run.scheduled_unix_ms() + rank as u64 * stagger_ms;
         if rank > 0 {
-            // Attempts that fall close together share one read.
-            let grid_ms = (stagger_ms / 2).max(1);
-            unix_ms = unix_ms.div_ceil(grid_ms) * grid_ms;
+            // Round up so that attempts close together share one read.
+            let granularity_ms = (stagger_ms / 2).max(1);
+            unix_ms = unix_ms.div_ceil(granularity_ms) * granularity_ms;
         }
-        self.schedule_attempt(index, unix_ms.max(now.unix_ms));
+        self.attempts.schedule(index, unix_ms.max(now.unix_ms));
     }
 
-    /// Tries a job again in the same run, a little later.
+    /// Schedules another attempt at the same run.
     fn retry_later(&mut self, index: usize, now: ClockReading) {
         let stagger_ms = self.stagger_ms(self.jobs[index].job.period_ms);
-        self.schedule_attempt(index, now.unix_ms + stagger_ms);
+        self.attempts.schedule(index, now.unix_ms + stagger_ms);
     }
 
-    /// The time between the attempts of two successive ranks. The last attempt leaves time for the run.
+    /// Returns the delay between the attempts of two successive ranks. The last attempt leaves time for the run.
     fn stagger_ms(&self, period_ms: u64) -> u64 {
         let ranks = self.config.standbys as u64 + 1;
         (period_ms * ATTEMPT_SPREAD_PERCENT / 100 / ranks).max(1)
     }
 
-    fn schedule_attempt(&mut self, index: usize, unix_ms: u64) {
-        self.cancel_attempt(index);
-        self.jobs[index].due_unix_ms = Some(unix_ms);
-        self.due.insert((unix_ms, index));
-    }
-
-    fn cancel_attempt(&mut self, index: usize) {
-        if let Some(unix_ms) = self.jobs[index].due_unix_ms.take() {
-            self.due.remove(&(unix_ms, index));
-        }
-    }
-
-    /// Forgets all that is known about the store's keys, since it does not hold any more.
+    /// Discards the session and all cached leases, and schedules all attempts again.
     fn reset_store(&mut self, now: ClockReading, reason: ResetReason, out: &mut Vec<Action>) {
         if self.store.reset() {
             out.push(Action::Notify(Notice::StoreReset(reason)));
         }
         for index in 0..self.jobs.len() {
             let state = &mut self.jobs[index];
-            state.known = None;
-            // A lease that was being written is void or stands under its id: a read shows which.
+            state.cached_lease = None;
+            // A lease that was being written may or may not be stored. A read resolves it.
             state.phase = match state.phase {
                 Phase::Writing { seed: false, .. } => Phase::Uncertain { read: None },
                 Phase::Uncertain { read } => Phase::Uncertain { read },
                 _ => Phase::Idle,
             };
             if state.ranking.rank(self.local_member).is_some() {
-                self.schedule_attempt(index, now.unix_ms);
+                self.attempts.schedule(index, now.unix_ms);
             }
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -1,13 +1,13 @@
-//! The attempt at a run: from the moment it is due to the start of the run.
+//! The attempt at a run, from its due moment to the start of the run.
 
 use super::Scheduler;
 use super::job_state::{LastRun, Phase};
 use crate::rendezvous::stable_hash;
-use crate::{Action, ClockReading, Config, Notice, Run};
+use crate::{Action, ClockReading, Config, Notice, Run, StoreCall};
 use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, decide};
 
 impl Scheduler {
-    /// Attempts the run at the present time. Jobs whose lease has to be read first are added to `reads`.
+    /// Attempts the run of the current period. Adds the job to `reads` if its lease must be read first.
     pub(super) fn attempt(
         &mut self,
         index: usize,
@@ -15,7 +15,7 @@
         reads: &mut Vec<usize>,
         out: &mut Vec<Action>,
     ) {
-        if !self.begin_attempt(index, now) {
+        if !self.prepare_attempt(index, now) {
             return;
         }
         if !self.is_store_ready(now, out) {
@@ -24,23 +24,24 @@
         }
         let state = &self.jobs[index];
         let uncertain = matches!(state.phase, Phase::Uncertain { .. });
-        let first_rank = state.ranking.rank(self.local_member) == Some(0);
-        // The first rank need not read what it wrote itself. All others read first.
-        if state.known.is_some() && !uncertain && !self.store.is_unavailable() && first_rank {
-            self.proceed(index, now, out);
+        let is_owner = state.ranking.rank(self.local_member) == Some(0);
+        // The owner wrote the cached lease itself and can skip the read.
+        let may_skip_read = state.cached_lease.is_some() && !uncertain && is_owner;
+        if may_skip_read && !self.store.is_unavailable() {
+            self.continue_attempt(index, now, out);
         } else {
             reads.push(index);
         }
     }
 
-    /// Whether there is a run to attempt.
-    fn begin_attempt(&mut self, index: usize, now: ClockReading) -> bool {
+    /// Sets the current run of a job. Returns whether there is a run to attempt.
+    fn prepare_attempt(&mut self, index: usize, now: ClockReading) -> bool {
         let state = &mut self.jobs[index];
         let run = state.job.run_at(now.unix_ms);
         match state.phase {
             Phase::Idle => {
                 if state.settled >= run || state.ranking.rank(self.local_member).is_none() {
-                    self.plan(index, now);
+                    self.schedule_next_run(index, now);
                     return false;
                 }
                 if state.current_run != run {
@@ -50,27 +51,27 @@
                 true
             }
             Phase::Uncertain { .. } if state.current_run == run => true,
-            // The uncertain run is over: whether it was acquired no longer matters, since it may not start.
+            // The period of the uncertain run is over. Even if it was acquired, it may no longer start.
             Phase::Uncertain { .. } => {
                 state.phase = Phase::Idle;
                 state.settle_current_run();
-                state.known = None;
-                self.plan(index, now);
+                state.cached_lease = None;
+                self.schedule_next_run(index, now);
                 false
             }
-            // The response continues the attempt.
+            // The response to the pending call continues the attempt.
             Phase::Reading(_) | Phase::Writing { .. } => false,
         }
     }
 
-    /// Whether there is a session and a call may be made. Opens a session where there is none.
+    /// Returns whether there is a session and a call may be made. Opens a session if there is none.
     fn is_store_ready(&mut self, now: ClockReading, out: &mut Vec<Action>) -> bool {
-        let retry_ms = self.config.store_retry_ms;
+        let retry_interval_ms = self.config.store_retry_interval_ms;
         if self.store.session().is_some() {
-            return self.store.may_call(now, retry_ms);
+            return self.store.may_call(now, retry_interval_ms);
         }
-        if self.store.begin_opening(now, retry_ms) {
-            out.push(Action::OpenSession);
+        if self.store.start_opening(now, retry_interval_ms) {
+            out.push(Action::CallStore(StoreCall::OpenSession));
         }
         false
     }
@@ -79,54 +80,61 @@
         let state = &self.jobs[index];
         let Config { instance, incarnation, max_clock_skew_ms, .. } = &self.config;
         let run = state.current_run;
-        // Never 0, which is a seed's, and never that of another start of the program.
+        // Never 0, which marks a seed, and different for each incarnation.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
         AcquireRequest { run, lease_id, seed_run: state.job.run_at(now.unix_ms + max_clock_skew_ms) }
     }
 
-    /// Continues an attempt by what is known about the key.
-    pub(super) fn proceed(&mut self, index: usize, now: ClockReading, out: &mut Vec<Action>) {
+    /// Continues an attempt from the cached lease.
+    pub(super) fn continue_attempt(&mut self, index: usize, now: ClockReading, out: &mut Vec<Action>) {
         let request = self.acquire_request(index, now);
         let state = &mut self.jobs[index];
-        let last_run_changed = state.note_last_run();
+        let last_run_changed = state.update_last_run();
         if state.job.run_at(now.unix_ms) != request.run {
-            // The response took longer than the run's period.
+            // The period of the run ended before the response arrived.
             state.phase = Phase::Idle;
-            self.plan(index, now);
+            self.schedule_next_run(index, now);
             return;
         }
-        match decide(state.known.as_ref(), &request) {
-            Decision::Settled => self.settle(index, now, last_run_changed, out),
+        match decide(state.cached_lease.as_ref(), &request) {
+            Decision::Settled => self.accept_settled_run(index, now, last_run_changed, out),
             Decision::AlreadyHeld => {
                 let (job, run) = (state.job.name.clone(), request.run);
                 out.push(Action::Notify(Notice::LeaseRecovered { job, run }));
                 self.start_run(index, now, out);
             }
-            Decision::Seed => self.write(index, now, request.seed_record(), 0, out),
+            Decision::Seed => self.write_record(index, now, request.seed_record(), 0, out),
             Decision::CompareAndSet { expected_index } => {
                 let record = request.lease_record(&self.config.instance);
-                self.write(index, now, record, expected_index, out);
+                self.write_record(index, now, record, expected_index, out);
             }
         }
     }
 
-    /// Leaves a run that the known record settles.
-    fn settle(&mut self, index: usize, now: ClockReading, last_run_changed: bool, out: &mut Vec<Action>) {
+    /// Gives up the current run because the cached lease settles it.
+    fn accept_settled_run(
+        &mut self,
+        index: usize,
+        now: ClockReading,
+        last_run_changed: bool,
+        out: &mut Vec<Action>,
+    ) {
         let state = &mut self.jobs[index];
-        let settled = state.known.as_ref().map_or(RunId::default(), |known| known.record.run);
-        let latest_ms = now.unix_ms + state.job.period_ms + 2 * self.config.max_clock_skew_ms;
-        let ahead = settled.scheduled_unix_ms() > latest_ms;
-        if ahead && last_run_changed {
+        let settled = state.cached_lease.as_ref().map_or(RunId::default(), |lease| lease.record.run);
+        let latest_unix_ms = now.unix_ms + state.job.period_ms + 2 * self.config.max_clock_skew_ms;
+        let ahead_of_clocks = settled.scheduled_unix_ms() > latest_unix_ms;
+        if ahead_of_clocks && last_run_changed {
             let job = state.job.name.clone();
             out.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled }));
         }
-        // A record that no clock within the bound can have written is checked again in each run.
-        state.settled = if ahead { state.current_run } else { settled };
+        // No clock within the maximum skew can have written such a record. Read it again in each run.
+        state.settled = if ahead_of_clocks { state.current_run } else { settled };
         state.phase = Phase::Idle;
-        self.plan(index, now);
+        self.schedule_next_run(index, now);
     }
 
-    fn write(
+    /// Writes a record by compare-and-set.
+    fn write_record(
         &mut self,
         index: usize,
         now: ClockReading,
@@ -143,30 +151,30 @@
         let state = &mut self.jobs[index];
         state.phase = Phase::Writing { call, seed: record.is_seed() };
         let job = state.job.name.clone();
-        out.push(Action::CompareAndSet { call, job, record, expected_index, session });
+        out.push(Action::CallStore(StoreCall::CompareAndSet { call, job, record, expected_index, session }));
     }
 
-    /// Starts the current run, whose lease is confirmed, if there is time.
+    /// Starts the current run, whose lease is confirmed, unless its deadline has passed.
     pub(super) fn start_run(&mut self, index: usize, now: ClockReading, out: &mut Vec<Action>) {
         let state = &mut self.jobs[index];
         state.phase = Phase::Idle;
         state.settle_current_run();
         let (job, id) = (state.job.name.clone(), state.current_run);
         state.last_run = Some(LastRun { run: id, holder: self.config.instance.clone() });
-        let period_end_ms = id.scheduled_unix_ms() + state.job.period_ms;
-        let deadline_ms = period_end_ms.saturating_sub(self.config.start_margin_ms);
+        let period_end_unix_ms = id.scheduled_unix_ms() + state.job.period_ms;
+        let deadline_unix_ms = period_end_unix_ms.saturating_sub(self.config.start_margin_ms);
         if id > state.last_run_here {
-            if now.unix_ms < deadline_ms {
+            if now.unix_ms < deadline_unix_ms {
                 state.last_run_here = id;
                 let deadline = ClockReading {
-                    unix_ms: deadline_ms,
-                    monotonic_ms: now.monotonic_ms + (deadline_ms - now.unix_ms),
+                    unix_ms: deadline_unix_ms,
+                    monotonic_ms: now.monotonic_ms + (deadline_unix_ms - now.unix_ms),
                 };
                 out.push(Action::StartRun(Run { job, id, deadline }));
             } else {
                 out.push(Action::Notify(Notice::AcquiredTooLate { job, run: id }));
             }
         }
-        self.plan(index, now);
+        self.schedule_next_run(index, now);
     }
 }
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -1,30 +1,30 @@
-//! The state of one job.
+//! The state of one job in the scheduler.
 
 use crate::rendezvous::{JobHash, MemberHash, Members, Ranking};
 use crate::{CallId, Job};
 use job_lease::{LeaseRecord, RunId, StoredLease};
 
-/// A job as the console shows it.
+/// The status of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStatus {
     /// The job.
     pub job: Job,
-    /// The member of the first rank.
+    /// The name of the member with rank 0.
     pub owner: String,
-    /// This instance's rank, from 0; `None` beyond the standbys.
+    /// The rank of this instance. `None` if it is neither owner nor standby.
     pub rank: Option<usize>,
-    /// The last run that was seen to be acquired.
+    /// The last acquired run known to this instance.
     pub last_run: Option<LastRun>,
-    /// The last run that started here; 0 for none.
+    /// The last run that this instance started. 0 if there is none.
     pub last_run_here: RunId,
 }
 
-/// The last run of a job that was seen to be acquired.
+/// The last acquired run of a job, as known to this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastRun {
     /// The run.
     pub run: RunId,
-    /// The lease holder's name; empty for a seed.
+    /// The lease holder's name. Empty for a seed.
     pub holder: String,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// How far the attempt at a run is.
+/// The progress of the attempt at a run.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// No call to the store is pending.
@@ -44,18 +44,18 @@
     /// A record is being written.
     Writing {
         call: CallId,
-        /// It is a seed.
+        /// Whether the record is a seed.
         seed: bool,
     },
-    /// A lease may hold: it is read before anything else is done.
+    /// The outcome of a write is unknown. The lease must be read next.
     Uncertain {
-        /// The read that is pending.
+        /// The pending read.
         read: Option<CallId>,
     },
 }
 
 impl Phase {
-    /// Whether the response to this read is awaited.
+    /// Returns whether the job awaits the response to this read.
     pub(super) fn awaits_read(&self, call: CallId) -> bool {
         match self {
             Self::Reading(pending) => *pending == call,
@@ -65,24 +65,22 @@
     }
 }
 
-/// What the scheduler knows about a job.
+/// A job and its state.
 #[derive(Debug)]
 pub(super) struct JobState {
     pub(super) job: Job,
     pub(super) ranking: Ranking,
     pub(super) phase: Phase,
-    /// The run that is attempted.
+    /// The run of the current attempt.
     pub(super) current_run: RunId,
-    /// All runs up to this one are settled.
+    /// The latest settled run. All earlier runs are settled too.
     pub(super) settled: RunId,
-    /// What the key holds, as far as this is known.
-    pub(super) known: Option<StoredLease>,
+    /// The stored lease as last read or written.
+    pub(super) cached_lease: Option<StoredLease>,
     pub(super) last_run: Option<LastRun>,
     pub(super) last_run_here: RunId,
-    /// Writes in the current run that conflicted with another instance's.
+    /// The number of conflicting writes in the current run.
     pub(super) conflicts: u8,
-    /// When the next attempt is due, in Unix milliseconds.
-    pub(super) due_unix_ms: Option<u64>,
 }
 
 impl JobState {
@@ -93,11 +91,10 @@
             phase: Phase::Idle,
             current_run: RunId::default(),
             settled: RunId::default(),
-            known: None,
+            cached_lease: None,
             last_run: None,
             last_run_here: RunId::default(),
             conflicts: 0,
-            due_unix_ms: None,
         }
     }
 
@@ -112,15 +109,15 @@
         }
     }
 
-    /// Settles the current run, whoever runs it.
+    /// Marks the current run as settled. This instance does not attempt it again.
     pub(super) fn settle_current_run(&mut self) {
         self.settled = self.settled.max(self.current_run);
     }
 
-    /// Notes the run that the key is known to hold; returns whether it is another than before.
-    pub(super) fn note_last_run(&mut self) -> bool {
-        let Some(known) = &self.known else { return false };
-        let last_run = Some(LastRun::from(&known.record));
+    /// Updates the last run from the cached lease. Returns whether it has changed.
+    pub(super) fn update_last_run(&mut self) -> bool {
+        let Some(lease) = &self.cached_lease else { return false };
+        let last_run = Some(LastRun::from(&lease.record));
         let changed = self.last_run != last_run;
         self.last_run = last_run;
         changed
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -1,22 +1,42 @@
-//! The handling of the store's responses.
+//! The handling of responses of the lease store.
 
 use super::Scheduler;
 use super::job_state::Phase;
-use crate::{Action, CallId, ClockReading, Notice, ResetReason};
+use crate::{Action, CallId, ClockReading, Notice, ResetReason, StoreResponse};
 use job_lease::{CompareAndSetOutcome, LeaseListing, LeaseRecord, Session, StoreError, StoredLease};
 
-/// Conflicting writes in a run after which it is left: another instance is at work on it.
+/// The number of conflicting writes after which a run is given up. Another instance is acquiring it.
 const MAX_CONFLICTS: u8 = 3;
 
 impl Scheduler {
-    /// Handles the response to [`Action::OpenSession`].
-    pub fn session_opened(
+    /// Handles the response to an [`Action::CallStore`].
+    pub fn handle_store_response(
+        &mut self,
+        now: ClockReading,
+        response: StoreResponse,
+        out: &mut Vec<Action>,
+    ) {
+        match response {
+            StoreResponse::SessionOpened(result) => self.session_opened(now, result, out),
+            StoreResponse::SessionRenewed { session, result } => {
+                self.session_renewed(now, &session, result, out);
+            }
+            StoreResponse::LeasesRead { call, jobs, result } => {
+                self.leases_read(now, call, &jobs, result, out);
+            }
+            StoreResponse::CompareAndSetDone { call, job, record, outcome } => {
+                self.compare_and_set_done(now, call, &job, &record, outcome, out);
+            }
+        }
+    }
+
+    fn session_opened(
         &mut self,
         now: ClockReading,
         response: Result<Session, StoreError>,
         out: &mut Vec<Action>,
     ) {
-        self.store.end_opening();
+        self.store.finish_opening();
         match response {
             Ok(session) => {
                 self.store.opened(now, session);
@@ -27,8 +47,7 @@
         }
     }
 
-    /// Handles the response to [`Action::RenewSession`]: whether the session still exists.
-    pub fn session_renewed(
+    fn session_renewed(
         &mut self,
         now: ClockReading,
         session: &Session,
@@ -39,22 +58,21 @@
             return;
         }
         match response {
-            Ok(true) => self.store.end_renewal(now.monotonic_ms),
+            Ok(true) => self.store.finish_renewal(now.monotonic_ms),
             Ok(false) => {
-                self.store.abandon_renewal();
+                self.store.cancel_renewal();
                 self.reset_store(now, ResetReason::SessionEnded, out);
             }
             Err(error) => {
-                // Tried again soon; a session that ends meanwhile is noticed by the next write.
-                let elapsed_ms = self.config.session_renewal_ms * 9 / 10;
-                self.store.end_renewal(now.monotonic_ms.saturating_sub(elapsed_ms));
+                // Retry after a tenth of the interval. If the session ends before, the next write detects it.
+                let elapsed_ms = self.config.session_renewal_interval_ms * 9 / 10;
+                self.store.finish_renewal(now.monotonic_ms.saturating_sub(elapsed_ms));
                 self.store.record_failure(&error, out);
             }
         }
     }
 
-    /// Handles the response to [`Action::ReadLeases`].
-    pub fn leases_read(
+    fn leases_read(
         &mut self,
         now: ClockReading,
         call: CallId,
@@ -63,7 +81,7 @@
         out: &mut Vec<Action>,
     ) {
         match response {
-            // Sent before the store came back empty.
+            // The read was made before the last reset. Its result may be outdated.
             Ok(_) if !self.store.is_valid_call(call) => {}
             Ok(listing) => {
                 self.store.record_success(out);
@@ -89,8 +107,8 @@
     ) {
         for listed in listing.leases {
             if let Some(index) = self.awaiting_read(&listed.job, call) {
-                self.jobs[index].known = listed.lease;
-                self.proceed(index, now, out);
+                self.jobs[index].cached_lease = listed.lease;
+                self.continue_attempt(index, now, out);
             }
         }
     }
@@ -106,14 +124,13 @@
         }
     }
 
-    /// The index of a job that awaits the response to this read.
+    /// Returns the index of a job if it awaits the response to this read.
     fn awaiting_read(&self, job: &str, call: CallId) -> Option<usize> {
         let index = *self.index_by_name.get(job)?;
         self.jobs[index].phase.awaits_read(call).then_some(index)
     }
 
-    /// Handles the response to [`Action::CompareAndSet`].
-    pub fn compare_and_set_done(
+    fn compare_and_set_done(
         &mut self,
         now: ClockReading,
         call: CallId,
@@ -129,17 +146,17 @@
         }
         match outcome {
             CompareAndSetOutcome::Applied { modify_index } => {
-                self.jobs[index].known = Some(StoredLease { record: record.clone(), modify_index });
+                self.jobs[index].cached_lease = Some(StoredLease { record: record.clone(), modify_index });
                 self.store.record_success(out);
-                self.applied(index, now, record, out);
+                self.record_written(index, now, record, out);
             }
             CompareAndSetOutcome::Conflict => {
-                self.conflict(index, now);
+                self.write_conflicted(index, now);
                 self.store.record_success(out);
             }
             CompareAndSetOutcome::SessionEnded => {
                 let state = &mut self.jobs[index];
-                state.known = None;
+                state.cached_lease = None;
                 state.phase = Phase::Idle;
                 self.store.record_success(out);
                 self.reset_store(now, ResetReason::SessionEnded, out);
@@ -151,8 +168,14 @@
         }
     }
 
-    /// A record was written: starts the run, or notes the seed.
-    fn applied(&mut self, index: usize, now: ClockReading, record: &LeaseRecord, out: &mut Vec<Action>) {
+    /// Starts the acquired run. After a seed, schedules the first run behind it.
+    fn record_written(
+        &mut self,
+        index: usize,
+        now: ClockReading,
+        record: &LeaseRecord,
+        out: &mut Vec<Action>,
+    ) {
         if !record.is_seed() {
             self.start_run(index, now, out);
             return;
@@ -162,30 +185,30 @@
         state.phase = Phase::Idle;
         let job = state.job.name.clone();
         out.push(Action::Notify(Notice::Seeded { job, run: record.run }));
-        self.plan(index, now);
+        self.schedule_next_run(index, now);
     }
 
-    /// Another instance was faster: reads again, a few times at most.
-    fn conflict(&mut self, index: usize, now: ClockReading) {
+    /// Retries after another instance has changed the record, up to [`MAX_CONFLICTS`] times per run.
+    fn write_conflicted(&mut self, index: usize, now: ClockReading) {
         let state = &mut self.jobs[index];
-        state.known = None;
+        state.cached_lease = None;
         state.phase = Phase::Idle;
         state.conflicts += 1;
         if state.conflicts > MAX_CONFLICTS {
             state.settle_current_run();
-            self.plan(index, now);
+            self.schedule_next_run(index, now);
         } else {
-            self.schedule_attempt(index, now.unix_ms);
+            self.attempts.schedule(index, now.unix_ms);
         }
     }
 
     fn write_failed(&mut self, index: usize, now: ClockReading, record: &LeaseRecord, error: &StoreError) {
         let state = &mut self.jobs[index];
-        state.known = None;
+        state.cached_lease = None;
         match error {
             StoreError::OutcomeUnknown(_) if !record.is_seed() => {
                 state.phase = Phase::Uncertain { read: None };
-                self.schedule_attempt(index, now.unix_ms);
+                self.attempts.schedule(index, now.unix_ms);
             }
             _ => {
                 state.phase = Phase::Idle;
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -1,23 +1,25 @@
-//! The session with the store, and whether the store responds.
+//! The session with the lease store, and the availability of the store.
 
 use crate::{Action, CallId, ClockReading, Notice};
 use job_lease::{Session, StoreError};
 
-/// Failed calls in a row after which the store counts as unavailable.
+/// The number of consecutive failed calls after which the store is unavailable.
 const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
 
-/// The connection to the store. Times are monotonic milliseconds.
+/// The session with the store and its availability. Moments are on the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct StoreConnection {
     session: Option<Session>,
     opening: bool,
     renewing: bool,
+    /// The moment of the last renewal.
     renewed_ms: u64,
     last_call: CallId,
-    /// Reads before this one were made before the last reset: what they found may not hold any more.
+    /// Calls before this one were made before the last reset, and their results may be outdated.
     first_valid_call: CallId,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     unavailable: bool,
+    /// The moment of the last call made while the store was unavailable.
     last_trial_ms: u64,
     /// The highest index seen since the last reset.
     store_index: u64,
@@ -37,16 +39,16 @@
         self.last_call
     }
 
-    /// Whether a read was made after the last reset.
+    /// Returns whether a call was made after the last reset.
     pub(super) fn is_valid_call(&self, call: CallId) -> bool {
         call >= self.first_valid_call
     }
 
-    /// Whether a session is to be opened now: there is none, none is being opened, and the store is available or due for a
-    /// trial.
-    pub(super) fn begin_opening(&mut self, now: ClockReading, retry_ms: u64) -> bool {
-        let due = !self.unavailable || now.monotonic_ms >= self.last_trial_ms + retry_ms;
-        if self.opening || !due {
+    /// Returns whether to open a session now: none is being opened, and the store is available or due for a trial. Records
+    /// the call.
+    pub(super) fn start_opening(&mut self, now: ClockReading, retry_interval_ms: u64) -> bool {
+        let may_call = !self.unavailable || self.trial_is_due(now, retry_interval_ms);
+        if self.opening || !may_call {
             return false;
         }
         self.opening = true;
@@ -54,52 +56,57 @@
         true
     }
 
-    /// Whether a call may be made now. While the store is unavailable this is one trial in each retry period.
-    pub(super) fn may_call(&mut self, now: ClockReading, retry_ms: u64) -> bool {
+    /// Returns whether a call may be made now, and records it. While the store is unavailable, one trial is allowed per retry
+    /// interval.
+    pub(super) fn may_call(&mut self, now: ClockReading, retry_interval_ms: u64) -> bool {
         if !self.unavailable {
             return true;
         }
-        if now.monotonic_ms < self.last_trial_ms + retry_ms {
+        if !self.trial_is_due(now, retry_interval_ms) {
             return false;
         }
         self.last_trial_ms = now.monotonic_ms;
         true
     }
 
-    /// A session was opened.
+    fn trial_is_due(&self, now: ClockReading, retry_interval_ms: u64) -> bool {
+        now.monotonic_ms >= self.last_trial_ms + retry_interval_ms
+    }
+
+    /// Stores an opened session.
     pub(super) fn opened(&mut self, now: ClockReading, session: Session) {
         self.session = Some(session);
         self.renewing = false;
         self.renewed_ms = now.monotonic_ms;
     }
 
-    /// The attempt to open a session has ended.
-    pub(super) fn end_opening(&mut self) {
+    /// Records the end of a call that opens a session.
+    pub(super) fn finish_opening(&mut self) {
         self.opening = false;
     }
 
-    /// The session, if it is to be renewed now.
-    pub(super) fn begin_renewal(&mut self, now: ClockReading, renewal_ms: u64) -> Option<Session> {
+    /// Returns the session if it is due for renewal, and records the call.
+    pub(super) fn start_renewal(&mut self, now: ClockReading, interval_ms: u64) -> Option<Session> {
         let session = self.session.as_ref()?;
-        if self.renewing || now.monotonic_ms < self.renewed_ms + renewal_ms {
+        if self.renewing || now.monotonic_ms < self.renewed_ms + interval_ms {
             return None;
         }
         self.renewing = true;
         Some(session.clone())
     }
 
-    /// The attempt to renew the session has ended; it counts as renewed at this time.
-    pub(super) fn end_renewal(&mut self, renewed_ms: u64) {
+    /// Records the end of a renewal. The next one is due one interval after `renewed_ms`.
+    pub(super) fn finish_renewal(&mut self, renewed_ms: u64) {
         self.renewing = false;
         self.renewed_ms = renewed_ms;
     }
 
-    /// The session that was to be renewed has ended.
-    pub(super) fn abandon_renewal(&mut self) {
+    /// Records the end of a renewal whose session no longer exists.
+    pub(super) fn cancel_renewal(&mut self) {
         self.renewing = false;
     }
 
-    /// Takes in the store's index, 0 where it is not known; returns whether it has decreased.
+    /// Records the store's index, 0 if unknown. Returns whether it has decreased.
     pub(super) fn index_decreased(&mut self, store_index: u64) -> bool {
         if store_index > 0 && store_index < self.store_index {
             return true;
@@ -108,25 +115,25 @@
         false
     }
 
-    /// Forgets the session and the index; returns whether there was a session.
+    /// Discards the session and the index. Returns whether there was a session.
     pub(super) fn reset(&mut self) -> bool {
         self.first_valid_call = CallId(self.last_call.0 + 1);
         self.store_index = 0;
         self.session.take().is_some()
     }
 
-    /// A call succeeded.
+    /// Records a successful call.
     pub(super) fn record_success(&mut self, out: &mut Vec<Action>) {
-        self.failures_in_row = 0;
+        self.consecutive_failures = 0;
         if std::mem::take(&mut self.unavailable) {
             out.push(Action::Notify(Notice::StoreAvailable));
         }
     }
 
-    /// A call failed.
+    /// Records a failed call.
     pub(super) fn record_failure(&mut self, error: &StoreError, out: &mut Vec<Action>) {
-        self.failures_in_row += 1;
-        if self.failures_in_row >= FAILURES_UNTIL_UNAVAILABLE && !self.unavailable {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= FAILURES_UNTIL_UNAVAILABLE && !self.unavailable {
             self.unavailable = true;
             let reason = error.cause().to_string();
             out.push(Action::Notify(Notice::StoreUnavailable { reason }));
--- /dev/null
+++ b/crates/periodic_jobs/src/store_call.rs
@@ -0,0 +1,102 @@
+//! Calls to the lease store and their responses.
+
+use job_lease::{CompareAndSetOutcome, LeaseListing, LeaseRecord, LocalStore, Session, StoreError};
+
+/// Identifies a call to the store. The response carries the same id.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CallId(pub u64);
+
+/// A call to the lease store. Its response goes to
+/// [`Scheduler::handle_store_response`](crate::Scheduler::handle_store_response).
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum StoreCall {
+    /// Open a session.
+    OpenSession,
+    /// Renew a session.
+    RenewSession(Session),
+    /// Read the leases of these jobs.
+    ReadLeases {
+        /// The id of the call.
+        call: CallId,
+        /// The names of the jobs.
+        jobs: Vec<String>,
+    },
+    /// Acquire a run or seed a key by compare-and-set.
+    CompareAndSet {
+        /// The id of the call.
+        call: CallId,
+        /// The name of the job.
+        job: String,
+        /// The record to write.
+        record: LeaseRecord,
+        /// The index that the key must still have. 0 if the key must not exist.
+        expected_index: u64,
+        /// The session that the write is bound to.
+        session: Session,
+    },
+}
+
+/// The response to a [`StoreCall`].
+#[derive(Debug)]
+pub enum StoreResponse {
+    /// The response to [`StoreCall::OpenSession`].
+    SessionOpened(Result<Session, StoreError>),
+    /// The response to [`StoreCall::RenewSession`].
+    SessionRenewed {
+        /// The session of the call.
+        session: Session,
+        /// Whether the session still exists.
+        result: Result<bool, StoreError>,
+    },
+    /// The response to [`StoreCall::ReadLeases`].
+    LeasesRead {
+        /// The id of the call.
+        call: CallId,
+        /// The names of the jobs.
+        jobs: Vec<String>,
+        /// The leases found.
+        result: Result<LeaseListing, StoreError>,
+    },
+    /// The response to [`StoreCall::CompareAndSet`].
+    CompareAndSetDone {
+        /// The id of the call.
+        call: CallId,
+        /// The name of the job.
+        job: String,
+        /// The record of the call.
+        record: LeaseRecord,
+        /// Whether the record was written.
+        outcome: CompareAndSetOutcome,
+    },
+}
+
+impl StoreCall {
+    /// Applies the call to a store in memory. Its sessions never end.
+    pub fn apply_to(self, store: &mut LocalStore) -> StoreResponse {
+        match self {
+            Self::OpenSession => StoreResponse::SessionOpened(Ok(store.open_session())),
+            Self::RenewSession(session) => StoreResponse::SessionRenewed { session, result: Ok(true) },
+            Self::ReadLeases { call, jobs } => {
+                let result = Ok(store.read(&jobs));
+                StoreResponse::LeasesRead { call, jobs, result }
+            }
+            Self::CompareAndSet { call, job, record, expected_index, .. } => {
+                let outcome = store.compare_and_set(&job, record.clone(), expected_index);
+                StoreResponse::CompareAndSetDone { call, job, record, outcome }
+            }
+        }
+    }
+
+    /// Returns the response of a call that failed.
+    pub fn fail(self, error: StoreError) -> StoreResponse {
+        match self {
+            Self::OpenSession => StoreResponse::SessionOpened(Err(error)),
+            Self::RenewSession(session) => StoreResponse::SessionRenewed { session, result: Err(error) },
+            Self::ReadLeases { call, jobs } => StoreResponse::LeasesRead { call, jobs, result: Err(error) },
+            Self::CompareAndSet { call, job, record, .. } => {
+                let outcome = CompareAndSetOutcome::Failed(error);
+                StoreResponse::CompareAndSetDone { call, job, record, outcome }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -0,0 +1,326 @@
+//! The scheduler of one instance with a lease store in memory that responds at once.
+
+mod support;
+
+use job_lease::{
+    CompareAndSetOutcome, LeaseRecord, LocalStore, RunId, StoreError, StoreErrorCause, StoredLease,
+};
+use periodic_jobs::{
+    Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse,
+};
+use support::config;
+
+const PERIOD_MS: u64 = 1_000;
+/// Milliseconds between two ticks of the simulated time.
+const TICK_MS: u64 = 5;
+
+fn no_response() -> StoreError {
+    StoreError::OutcomeUnknown(StoreErrorCause::NoResponse)
+}
+
+fn job(name: &str, period_ms: u64) -> Job {
+    Job { name: name.into(), period_ms }
+}
+
+/// An outcome that the store returns for a write in place of the real one.
+struct InjectedOutcome {
+    outcome: CompareAndSetOutcome,
+    /// Whether the write is applied nevertheless.
+    applied: bool,
+}
+
+/// The number of calls to the store.
+#[derive(Debug, Default, PartialEq, Eq)]
+struct CallCounts {
+    reads: usize,
+    writes: usize,
+}
+
+/// A scheduler and its lease store.
+struct TestBed {
+    scheduler: Scheduler,
+    store: LocalStore,
+    now: ClockReading,
+    runs: Vec<Run>,
+    notices: Vec<Notice>,
+    calls: CallCounts,
+    /// For the next write.
+    injected: Option<InjectedOutcome>,
+    store_unavailable: bool,
+}
+
+impl TestBed {
+    fn new(jobs: &[&str]) -> Self {
+        let mut scheduler = Scheduler::new(config("a", 1));
+        let now = ClockReading { unix_ms: 1_000_000, monotonic_ms: 5_000 };
+        scheduler.set_jobs(now, jobs.iter().map(|name| job(name, PERIOD_MS)).collect());
+        Self {
+            scheduler,
+            store: LocalStore::default(),
+            now,
+            runs: Vec::new(),
+            notices: Vec::new(),
+            calls: CallCounts::default(),
+            injected: None,
+            store_unavailable: false,
+        }
+    }
+
+    /// A test bed whose jobs are seeded and running.
+    fn settled(jobs: &[&str]) -> Self {
+        let mut bed = Self::new(jobs);
+        bed.advance(3 * PERIOD_MS);
+        bed.runs.clear();
+        bed.notices.clear();
+        bed.calls = CallCounts::default();
+        bed
+    }
+
+    /// Applies actions, and those that follow from them.
+    fn apply_actions(&mut self, mut actions: Vec<Action>) {
+        while !actions.is_empty() {
+            let mut next = Vec::new();
+            for action in actions {
+                match action {
+                    Action::CallStore(call) => {
+                        let response = self.call_store(call);
+                        self.scheduler.handle_store_response(self.now, response, &mut next);
+                    }
+                    Action::StartRun(run) => self.runs.push(run),
+                    Action::Notify(notice) => self.notices.push(notice),
+                }
+            }
+            actions = next;
+        }
+    }
+
+    fn call_store(&mut self, call: StoreCall) -> StoreResponse {
+        match call {
+            StoreCall::ReadLeases { .. } => self.calls.reads += 1,
+            StoreCall::CompareAndSet { .. } => self.calls.writes += 1,
+            StoreCall::OpenSession | StoreCall::RenewSession(_) => {}
+        }
+        if matches!(call, StoreCall::CompareAndSet { .. })
+            && let Some(injected) = self.injected.take()
+        {
+            return self.inject(call, injected);
+        }
+        if self.store_unavailable { call.fail(no_response()) } else { call.apply_to(&mut self.store) }
+    }
+
+    /// Returns the response to a write with an injected outcome.
+    fn inject(&mut self, call: StoreCall, injected: InjectedOutcome) -> StoreResponse {
+        if injected.applied {
+            call.clone().apply_to(&mut self.store);
+        }
+        match call.fail(no_response()) {
+            StoreResponse::CompareAndSetDone { call, job, record, .. } => {
+                StoreResponse::CompareAndSetDone { call, job, record, outcome: injected.outcome }
+            }
+            response => panic!("{response:?} is no response to a write"),
+        }
+    }
+
+    fn advance(&mut self, span_ms: u64) {
+        for _ in 0..span_ms / TICK_MS {
+            self.move_clocks(TICK_MS);
+            let mut out = Vec::new();
+            self.scheduler.tick(self.now, &mut out);
+            self.apply_actions(out);
+        }
+    }
+
+    /// Moves both clocks without a tick, as in a pause of the process.
+    fn move_clocks(&mut self, span_ms: u64) {
+        self.now.unix_ms += span_ms;
+        self.now.monotonic_ms += span_ms;
+    }
+
+    fn run_ids(&self) -> Vec<u64> {
+        self.runs.iter().map(|run| run.id.0).collect()
+    }
+
+    fn assert_run_ids_increase(&self) {
+        let ids = self.run_ids();
+        assert!(ids.windows(2).all(|pair| pair[0] < pair[1]), "{ids:?}");
+    }
+
+    fn count_notices(&self, is_counted: impl Fn(&Notice) -> bool) -> usize {
+        self.notices.iter().filter(|notice| is_counted(notice)).count()
+    }
+
+    /// Returns the stored lease of a job.
+    fn stored_lease(&self, job: &str) -> StoredLease {
+        self.store.read(&[job.into()]).leases[0].lease.clone().expect("a lease")
+    }
+
+    /// Writes a lease of another instance that is this much later than the stored one.
+    fn acquire_elsewhere(&mut self, job: &str, later_ms: u64) {
+        let stored = self.stored_lease(job);
+        let run = RunId(stored.record.run.0 + later_ms);
+        let record = LeaseRecord { run, holder: "b".into(), lease_id: 77 };
+        self.store.compare_and_set(job, record, stored.modify_index);
+    }
+}
+
+#[test]
+fn a_single_instance_starts_each_run_once() {
+    let mut bed = TestBed::settled(&["d"]);
+    bed.advance(10 * PERIOD_MS);
+    let ids = bed.run_ids();
+    assert_eq!(ids.len(), 10);
+    assert!(ids.windows(2).all(|pair| pair[1] - pair[0] == PERIOD_MS), "{ids:?}");
+    assert_eq!(bed.notices, []);
+}
+
+#[test]
+fn the_owner_acquires_each_run_with_one_call() {
+    let mut bed = TestBed::settled(&["d"]);
+    bed.advance(10 * PERIOD_MS);
+    assert_eq!(bed.calls, CallCounts { reads: 0, writes: 10 });
+}
+
+#[test]
+fn an_absent_key_is_seeded_and_its_run_does_not_start() {
+    let mut bed = TestBed::new(&["d"]);
+    bed.advance(PERIOD_MS);
+    assert!(matches!(bed.notices[..], [Notice::Seeded { .. }]), "{:?}", bed.notices);
+    let Notice::Seeded { run: seed, .. } = bed.notices[0] else { unreachable!() };
+    bed.advance(2 * PERIOD_MS);
+    assert!(bed.run_ids()[0] > seed.0);
+}
+
+#[test]
+fn a_run_starts_once_if_the_response_to_its_applied_write_is_lost() {
+    let mut bed = TestBed::settled(&["d"]);
+    let outcome = CompareAndSetOutcome::Failed(no_response());
+    bed.injected = Some(InjectedOutcome { outcome, applied: true });
+    bed.advance(2 * PERIOD_MS);
+    assert_eq!(bed.run_ids().len(), 2);
+    assert!(matches!(bed.notices[..], [Notice::LeaseRecovered { .. }]), "{:?}", bed.notices);
+}
+
+#[test]
+fn a_write_that_was_lost_is_retried() {
+    let mut bed = TestBed::settled(&["d"]);
+    let outcome = CompareAndSetOutcome::Failed(no_response());
+    bed.injected = Some(InjectedOutcome { outcome, applied: false });
+    bed.advance(2 * PERIOD_MS);
+    assert_eq!(bed.run_ids().len(), 2);
+}
+
+#[test]
+fn a_run_acquired_after_its_deadline_does_not_start() {
+    let mut bed = TestBed::settled(&["d"]);
+    let mut out = Vec::new();
+    let is_write = |action: &Action| matches!(action, Action::CallStore(StoreCall::CompareAndSet { .. }));
+    while !out.iter().any(is_write) {
+        out.clear();
+        bed.move_clocks(TICK_MS);
+        bed.scheduler.tick(bed.now, &mut out);
+    }
+    // The response arrives after a pause.
+    bed.move_clocks(4 * PERIOD_MS);
+    bed.apply_actions(out);
+    assert!(bed.run_ids().is_empty(), "{:?}", bed.run_ids());
+    assert!(matches!(bed.notices[..], [Notice::AcquiredTooLate { .. }]), "{:?}", bed.notices);
+    let current_run = job("d", PERIOD_MS).run_at(bed.now.unix_ms).0;
+    bed.advance(PERIOD_MS);
+    assert_eq!(bed.run_ids(), [current_run, current_run + PERIOD_MS], "continues with the current run");
+}
+
+#[test]
+fn a_run_may_not_start_if_its_deadline_has_passed_on_either_clock() {
+    let mut bed = TestBed::settled(&["d"]);
+    bed.advance(PERIOD_MS);
+    let run = &bed.runs[0];
+    let scheduled_ms = run.id.scheduled_unix_ms();
+    let remaining_ms = run.deadline.unix_ms - scheduled_ms;
+    let start =
+        ClockReading { unix_ms: scheduled_ms, monotonic_ms: run.deadline.monotonic_ms - remaining_ms };
+    assert!(run.may_start(start));
+    let stepped_forward = ClockReading { unix_ms: run.deadline.unix_ms, ..start };
+    assert!(!run.may_start(stepped_forward), "the Unix clock was stepped forward");
+    let paused = ClockReading { monotonic_ms: run.deadline.monotonic_ms, ..start };
+    assert!(!run.may_start(paused), "the instance was paused and the Unix clock stepped back");
+}
+
+#[test]
+fn while_the_store_is_unavailable_no_run_starts_and_calls_are_limited() {
+    let mut bed = TestBed::settled(&["d", "e", "f", "g"]);
+    bed.store_unavailable = true;
+    bed.advance(10 * PERIOD_MS);
+    assert!(bed.run_ids().is_empty(), "{:?}", bed.run_ids());
+    assert!(bed.calls.reads + bed.calls.writes <= 10 * PERIOD_MS as usize / 200 + 8, "{:?}", bed.calls);
+    let notices = bed.count_notices(|notice| matches!(notice, Notice::StoreUnavailable { .. }));
+    assert_eq!(notices, 1, "{:?}", bed.notices);
+    bed.store_unavailable = false;
+    bed.advance(2 * PERIOD_MS);
+    assert!(bed.notices.contains(&Notice::StoreAvailable));
+    assert!(bed.run_ids().len() >= 4, "all jobs run again within two periods");
+}
+
+#[test]
+fn a_store_that_lost_its_data_is_seeded_again() {
+    let mut bed = TestBed::settled(&["d"]);
+    bed.advance(PERIOD_MS);
+    bed.store = LocalStore::default();
+    bed.injected = Some(InjectedOutcome { outcome: CompareAndSetOutcome::SessionEnded, applied: false });
+    bed.advance(3 * PERIOD_MS);
+    assert!(bed.notices.contains(&Notice::StoreReset(ResetReason::SessionEnded)), "{:?}", bed.notices);
+    assert!(bed.count_notices(|notice| matches!(notice, Notice::Seeded { .. })) > 0);
+    assert!(bed.runs.len() >= 3, "{:?}", bed.runs);
+    bed.assert_run_ids_increase();
+}
+
+#[test]
+fn a_run_acquired_by_another_instance_does_not_start() {
+    let mut bed = TestBed::settled(&["d"]);
+    // Another instance with a different view of the members acquires every second run.
+    for period in 0..10 {
+        if period % 2 == 0 {
+            bed.acquire_elsewhere("d", PERIOD_MS);
+        }
+        bed.advance(PERIOD_MS);
+    }
+    assert_eq!(bed.run_ids().len(), 5);
+    assert_eq!(bed.scheduler.job_statuses()[0].last_run_here.0, *bed.run_ids().last().expect("a run"));
+}
+
+#[test]
+fn a_record_ahead_of_all_clocks_is_reported_once_and_stops_only_its_job() {
+    let mut bed = TestBed::settled(&["d", "e"]);
+    bed.acquire_elsewhere("d", 3_600_000);
+    bed.advance(5 * PERIOD_MS);
+    assert!(bed.runs.iter().all(|run| run.job == "e"), "{:?}", bed.runs);
+    assert_eq!(bed.count_notices(|notice| matches!(notice, Notice::RecordAheadOfClock { .. })), 1);
+}
+
+#[test]
+fn run_ids_increase_when_the_period_of_a_job_changes() {
+    let mut bed = TestBed::settled(&["d"]);
+    bed.advance(2 * PERIOD_MS);
+    for period_ms in [7 * PERIOD_MS, 300] {
+        bed.scheduler.set_jobs(bed.now, vec![job("d", period_ms)]);
+        let before = bed.runs.len();
+        bed.advance(15 * PERIOD_MS);
+        let count = (bed.runs.len() - before) as u64;
+        assert!(count >= 15 * PERIOD_MS / period_ms - 1, "{count} with a period of {period_ms}");
+    }
+    bed.assert_run_ids_increase();
+    bed.scheduler.set_jobs(bed.now, Vec::new());
+    let before = bed.runs.len();
+    bed.advance(5 * PERIOD_MS);
+    assert_eq!(bed.runs.len(), before, "a removed job does not run");
+}
+
+#[test]
+fn a_clock_step_backwards_repeats_no_run() {
+    let mut bed = TestBed::settled(&["d"]);
+    bed.advance(3 * PERIOD_MS);
+    bed.now.unix_ms -= 2 * PERIOD_MS;
+    bed.advance(4 * PERIOD_MS);
+    bed.assert_run_ids_increase();
+    let stepped_back = |notice: &Notice| matches!(notice, Notice::ClockStepped { by_ms } if *by_ms < 0);
+    assert!(bed.count_notices(stepped_back) > 0, "{:?}", bed.notices);
+}
