--- a/crates/cluster/src/coordinator/gossip.rs
+++ b/crates/cluster/src/coordinator/gossip.rs
@@ -12,9 +12,9 @@
 /// The maximum number of broadcast topics, one per backend.
 const MAX_TOPICS: usize = 16_384;
 /// Gossip periods between two probes.
-const PROBE_GOSSIP_PERIODS: u64 = 4;
+const PROBE_GOSSIP_PERIODS: u32 = 4;
 /// Gossip periods between two join attempts.
-const JOIN_GOSSIP_PERIODS: u64 = 10;
+const JOIN_GOSSIP_PERIODS: u32 = 10;
 
 /// Creates the membership of an instance that starts at this moment.
 pub(super) fn join(gossip: &Gossip, instance: &str, start_unix_ms: u64) -> Membership {
@@ -23,11 +23,11 @@
     let config = membership::Config {
         local_member,
         seed_peers: gossip.peers.clone(),
-        probe_period_ms: gossip.period_ms * PROBE_GOSSIP_PERIODS,
-        probe_timeout_ms: gossip.period_ms,
-        suspicion_timeout_ms: gossip.suspicion_timeout_ms,
-        gossip_period_ms: gossip.period_ms,
-        join_period_ms: gossip.period_ms * JOIN_GOSSIP_PERIODS,
+        probe_period: gossip.period * PROBE_GOSSIP_PERIODS,
+        probe_timeout: gossip.period,
+        suspicion_timeout: gossip.suspicion_timeout,
+        gossip_period: gossip.period,
+        join_period: gossip.period * JOIN_GOSSIP_PERIODS,
         max_members: MAX_MEMBERS,
         max_topics: MAX_TOPICS,
         rng_seed: rand::random(),
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -6,23 +6,24 @@
 use crate::settings::{HttpJob, Settings};
 use periodic_jobs::{Action, ClockReading, Config, Job, Run, StoreCall};
 use std::collections::{BTreeSet, VecDeque};
+use std::time::Duration;
 
-/// Milliseconds between the deadline of a run and the end of its period.
-const START_MARGIN_MS: u64 = 10;
-/// Milliseconds between two calls while the lease store is unavailable.
-const STORE_RETRY_INTERVAL_MS: u64 = 100;
-/// Milliseconds between two renewals of the session.
-const SESSION_RENEWAL_INTERVAL_MS: u64 = 3_000;
+/// The time between the deadline of a run and the end of its period.
+const START_MARGIN: Duration = Duration::from_millis(10);
+/// The time between two calls while the lease store is unavailable.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The time between two renewals of the session.
+const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Returns the configuration of the scheduler of an instance that starts at this moment.
 pub(super) fn scheduler_config(settings: &Settings, start_unix_ms: u64) -> Config {
     Config {
         instance: settings.instance.clone(),
         standbys: settings.standbys,
-        max_clock_skew_ms: settings.max_clock_skew_ms,
-        start_margin_ms: START_MARGIN_MS,
-        store_retry_interval_ms: STORE_RETRY_INTERVAL_MS,
-        session_renewal_interval_ms: SESSION_RENEWAL_INTERVAL_MS,
+        max_clock_skew: settings.max_clock_skew,
+        start_margin: START_MARGIN,
+        store_retry_interval: STORE_RETRY_INTERVAL,
+        session_renewal_interval: SESSION_RENEWAL_INTERVAL,
         // The random part distinguishes two starts in the same millisecond.
         incarnation: start_unix_ms ^ rand::random::<u64>(),
     }
@@ -37,10 +38,10 @@
     /// Passes the HTTP jobs and a health check per backend to the scheduler.
     pub(super) fn update_jobs(&mut self, now: ClockReading) {
         let http_jobs =
-            self.http_jobs.iter().map(|(name, job)| Job { name: name.clone(), period_ms: job.period_ms });
-        let check_period_ms = self.health.as_ref().map(|health| health.config().period_ms);
+            self.http_jobs.iter().map(|(name, job)| Job { name: name.clone(), period: job.period });
+        let check_period = self.health.as_ref().map(|health| health.config().period);
         let health_check =
-            |id: &String| Some(Job { name: job_names::health_check(id), period_ms: check_period_ms? });
+            |id: &String| Some(Job { name: job_names::health_check(id), period: check_period? });
         let jobs: Vec<Job> = http_jobs.chain(self.backends.keys().filter_map(health_check)).collect();
         let names: BTreeSet<&str> = jobs.iter().map(|job| job.name.as_str()).collect();
         self.resources.store.retain_local_jobs(|job| names.contains(job));
--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -54,7 +54,7 @@
                 out,
                 "  {}  every {} ms  owner {}  {}  token here {}",
                 status.job.name,
-                status.job.period_ms,
+                status.job.period_ms(),
                 status.owner,
                 last_run(now, &status),
                 status.last_run_here
@@ -65,14 +65,14 @@
     fn write_health(&self, now: ClockReading, out: &mut String) {
         let Some(health) = &self.health else { return };
         out.push_str("probes\n");
-        for (id, BackendHealth { status, report_age_ms }) in health.health(now.monotonic_ms) {
+        for (id, BackendHealth { status, report_age }) in health.health(now.monotonic_ms) {
             let status = match status {
                 HealthStatus::Unknown => "unknown, by its traffic alone",
                 HealthStatus::Healthy => "well",
                 HealthStatus::Ejected => "out",
                 HealthStatus::EjectionLimited => "fails, in use since too many are out",
             };
-            let age = report_age_ms.map_or("never probed".into(), |age_ms| format!("{age_ms} ms old"));
+            let age = report_age.map_or("never probed".into(), |age| format!("{} ms old", age.as_millis()));
             let _ = writeln!(out, "  {id}  {status}  {age}");
         }
     }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -16,8 +16,8 @@
     pub lease_store: LeaseStore,
     /// The number of members that attempt a run if the owner of the job does not.
     pub standbys: usize,
-    /// The maximum clock skew between two instances in milliseconds.
-    pub max_clock_skew_ms: u64,
+    /// The maximum clock skew between two instances.
+    pub max_clock_skew: Duration,
     /// Milliseconds added to this instance's Unix clock, to test the effect of clock offsets.
     pub clock_offset_ms: i64,
     /// The maximum number of concurrent runs.
@@ -37,10 +37,10 @@
     pub peers: Vec<SocketAddr>,
     /// The keys that authenticate datagrams.
     pub keyring: Keyring,
-    /// Milliseconds between two gossip rounds.
-    pub period_ms: u64,
-    /// Milliseconds of suspicion after which a member is declared dead.
-    pub suspicion_timeout_ms: u64,
+    /// The time between two gossip rounds.
+    pub period: Duration,
+    /// The time of suspicion after which a member is declared dead.
+    pub suspicion_timeout: Duration,
 }
 
 /// The store that holds the leases.
@@ -78,8 +78,8 @@
 pub struct HttpJob {
     /// The name of the job.
     pub name: String,
-    /// Milliseconds between two runs.
-    pub period_ms: u64,
+    /// The time between two runs.
+    pub period: Duration,
     /// The URL of the POST request.
     pub url: String,
     /// The timeout of the call.
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -60,14 +60,20 @@
     health_checks: Option<HealthChecks>,
 ) -> Settings {
     let keyring = Keyring::parse(&"ab".repeat(32)).expect("a key");
-    let gossip =
-        Gossip { listen, advertise: listen, peers, keyring, period_ms: 20, suspicion_timeout_ms: 1_000 };
+    let gossip = Gossip {
+        listen,
+        advertise: listen,
+        peers,
+        keyring,
+        period: Duration::from_millis(20),
+        suspicion_timeout: Duration::from_secs(1),
+    };
     Settings {
         instance: instance.into(),
         gossip: Some(gossip),
         lease_store: LeaseStore::Local,
         standbys: 1,
-        max_clock_skew_ms: 0,
+        max_clock_skew: Duration::ZERO,
         clock_offset_ms: 0,
         max_concurrent_runs: 2,
         health_checks,
@@ -81,7 +87,7 @@
         path: "/health".into(),
         timeout: Duration::from_secs(1),
         config: health_check::Config {
-            period_ms: 200,
+            period: Duration::from_millis(200),
             unhealthy_threshold: 2,
             healthy_threshold: 2,
             max_ejected_fraction: 0.5,
@@ -89,7 +95,7 @@
     };
     let job = HttpJob {
         name: "bell".into(),
-        period_ms: 200,
+        period: Duration::from_millis(200),
         url: format!("http://{address}/ring?x=1"),
         timeout: Duration::from_secs(1),
     };
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -9,6 +9,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// Unix milliseconds at the start of the simulation.
 pub(crate) const START_UNIX_MS: u64 = 1_800_000_000_000;
@@ -62,7 +63,7 @@
         let mut scheduler = Scheduler::new(scheduler_config(number, config, rng.random()));
         let now =
             ClockReading { unix_ms: unix_ms.saturating_add_signed(clock_offset_ms), monotonic_ms: now_ms };
-        let job = |job| Job { name: job_name(job), period_ms: config.period_ms };
+        let job = |job| Job { name: job_name(job), period: Duration::from_millis(config.period_ms) };
         scheduler.set_jobs(now, (0..config.jobs).map(job).collect());
         Self {
             membership,
@@ -145,7 +146,7 @@
     config: &SimulationConfig,
     rng_seed: u64,
 ) -> membership::Config {
-    let gossip_period_ms = config.gossip_period_ms;
+    let gossip_period = Duration::from_millis(config.gossip_period_ms);
     membership::Config {
         local_member: Member {
             address: network::address(number),
@@ -153,11 +154,11 @@
             generation: start_unix_ms,
         },
         seed_peers: (0..config.instances.min(SEED_PEERS)).map(network::address).collect(),
-        probe_period_ms: gossip_period_ms * 4,
-        probe_timeout_ms: gossip_period_ms,
-        suspicion_timeout_ms: gossip_period_ms * 10,
-        gossip_period_ms,
-        join_period_ms: gossip_period_ms * 10,
+        probe_period: gossip_period * 4,
+        probe_timeout: gossip_period,
+        suspicion_timeout: gossip_period * 10,
+        gossip_period,
+        join_period: gossip_period * 10,
         max_members: 4 * config.instances,
         max_topics: 1_024,
         rng_seed,
@@ -168,10 +169,10 @@
     Config {
         instance: format!("m{number}"),
         standbys: config.standbys,
-        max_clock_skew_ms: config.max_clock_skew_ms,
-        start_margin_ms: 10,
-        store_retry_interval_ms: 100,
-        session_renewal_interval_ms: 3_000,
+        max_clock_skew: Duration::from_millis(config.max_clock_skew_ms),
+        start_margin: Duration::from_millis(10),
+        store_retry_interval: Duration::from_millis(100),
+        session_renewal_interval: Duration::from_secs(3),
         incarnation,
     }
 }
--- a/crates/health_check/src/config.rs
+++ b/crates/health_check/src/config.rs
@@ -1,10 +1,12 @@
 //! The configuration of health checks.
 
+use std::time::Duration;
+
 /// The period, the thresholds and the ejection limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Milliseconds between two checks of a backend.
-    pub period_ms: u64,
+    /// The time between two checks of a backend.
+    pub period: Duration,
     /// The number of consecutive failed checks after which a healthy backend is failing.
     pub unhealthy_threshold: u32,
     /// The number of consecutive passed checks after which a failing backend is healthy.
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -2,9 +2,10 @@
 
 use crate::{Config, HealthReport};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// The age in check periods beyond which a report is ignored.
-pub const STALE_AFTER_PERIODS: u64 = 3;
+pub const STALE_AFTER_PERIODS: u32 = 3;
 
 /// The status of a backend by its health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,8 +25,8 @@
 pub struct BackendHealth {
     /// The status.
     pub status: HealthStatus,
-    /// The age of the newest report in milliseconds. `None` if there is no report.
-    pub report_age_ms: Option<u64>,
+    /// The age of the newest report. `None` if there is no report.
+    pub report_age: Option<Duration>,
 }
 
 /// A report and the moment at which this instance received it.
@@ -36,6 +37,12 @@
     received_ms: u64,
 }
 
+impl ReceivedReport {
+    fn age(&self, now_ms: u64) -> Duration {
+        Duration::from_millis(now_ms.saturating_sub(self.received_ms))
+    }
+}
+
 /// A failing backend, ordered by the time since which it has been failing.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FailingBackend {
@@ -107,8 +114,8 @@
                 Some(_) => HealthStatus::EjectionLimited,
                 None => HealthStatus::Unknown,
             };
-            let report_age_ms = received.map(|received| now_ms.saturating_sub(received.received_ms));
-            BackendHealth { status, report_age_ms }
+            let report_age = received.map(|received| received.age(now_ms));
+            BackendHealth { status, report_age }
         };
         self.reports.iter().map(|entry| (entry.0.as_str(), health(entry))).collect()
     }
@@ -138,7 +145,7 @@
     }
 
     fn is_stale(&self, received: &ReceivedReport, now_ms: u64) -> bool {
-        now_ms.saturating_sub(received.received_ms) > STALE_AFTER_PERIODS * self.config.period_ms
+        received.age(now_ms) > STALE_AFTER_PERIODS * self.config.period
     }
 }
 
--- a/crates/health_check/src/tracker/tests.rs
+++ b/crates/health_check/src/tracker/tests.rs
@@ -4,7 +4,12 @@
 use proptest::prelude::*;
 
 fn config() -> Config {
-    Config { period_ms: 1_000, unhealthy_threshold: 3, healthy_threshold: 2, max_ejected_fraction: 0.5 }
+    Config {
+        period: Duration::from_secs(1),
+        unhealthy_threshold: 3,
+        healthy_threshold: 2,
+        max_ejected_fraction: 0.5,
+    }
 }
 
 fn tracker(count: usize) -> HealthTracker {
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -14,12 +14,15 @@
 
 pub(crate) use message::{MAX_FAILURES_PER_MESSAGE, MemberFingerprint, Message};
 
-use crate::Member;
+use crate::{Member, as_millis};
 use failure_log::FailureLog;
 use foca::Timer;
+use std::time::Duration;
 
 /// The factor by which probes and their timeouts are faster while dissemination is active.
-pub(crate) const PROBE_SPEEDUP: u64 = 4;
+pub(crate) const PROBE_SPEEDUP: u32 = 4;
+/// The minimum delay of a timer of a probe.
+const MIN_PROBE_DELAY: Duration = Duration::from_millis(1);
 /// The minimum number of suspected and failed members that activates dissemination. Gossip alone is fast enough for fewer.
 const MIN_FAILURES: usize = 3;
 /// One suspected or failed member per this many live members activates dissemination: two to three times the share that a
@@ -28,10 +31,10 @@
 const ALIVE_PER_FAILURE: usize = 16;
 /// The maximum number of activity windows without a break, more than a bulk failure needs. Fast probes cause further
 /// suspicions where datagrams are lost, and these must not keep dissemination active forever.
-const MAX_ACTIVE_WINDOWS: u64 = 5;
+const MAX_ACTIVE_WINDOWS: u32 = 5;
 /// The retention of a failure in activity windows. It exceeds [`MAX_ACTIVE_WINDOWS`], so digests do not differ because one
 /// member has already removed a failure.
-const FAILURE_RETENTION_WINDOWS: u64 = 10;
+const FAILURE_RETENTION_WINDOWS: u32 = 10;
 /// The maximum number of messages in a reply to a digest.
 const MAX_MESSAGES_PER_REPLY: usize = 4;
 /// The maximum number of replies per gossip period. Several members may send their digest to this one.
@@ -42,9 +45,9 @@
 /// `now_ms` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
 pub(crate) struct BulkFailureDissemination {
-    gossip_period_ms: u64,
+    gossip_period: Duration,
     /// The time for which dissemination stays active after the last evidence of a bulk failure.
-    activity_window_ms: u64,
+    activity_window: Duration,
     failures: FailureLog,
     /// The moment at which dissemination last became active. It stays set after [`MAX_ACTIVE_WINDOWS`], until there are few
     /// failures again.
@@ -56,10 +59,10 @@
 
 impl BulkFailureDissemination {
     /// Creates an inactive instance for gossip with these periods.
-    pub(crate) fn new(gossip_period_ms: u64, suspicion_timeout_ms: u64) -> Self {
+    pub(crate) fn new(gossip_period: Duration, suspicion_timeout: Duration) -> Self {
         Self {
-            gossip_period_ms,
-            activity_window_ms: 2 * suspicion_timeout_ms,
+            gossip_period,
+            activity_window: 2 * suspicion_timeout,
             failures: FailureLog::default(),
             active_since_ms: None,
             active_until_ms: 0,
@@ -89,10 +92,10 @@
         if now_ms < self.next_poll_ms {
             return None;
         }
-        self.next_poll_ms = now_ms + self.gossip_period_ms;
+        self.next_poll_ms = now_ms + as_millis(self.gossip_period);
         self.replies_in_period = 0;
-        self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window_ms, now_ms);
-        let failures = suspects + self.failures.count_within(self.activity_window_ms, now_ms);
+        self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window, now_ms);
+        let failures = suspects + self.failures.count_within(self.activity_window, now_ms);
         if failures >= MIN_FAILURES.max(alive / ALIVE_PER_FAILURE) {
             self.extend_activity(now_ms);
         } else if !self.is_active(now_ms) {
@@ -123,14 +126,14 @@
     /// Keeps dissemination active for another activity window, up to the limit.
     fn extend_activity(&mut self, now_ms: u64) {
         let active_since_ms = *self.active_since_ms.get_or_insert(now_ms);
-        let limit_ms = active_since_ms.saturating_add(MAX_ACTIVE_WINDOWS * self.activity_window_ms);
-        self.active_until_ms = (now_ms + self.activity_window_ms).min(limit_ms);
+        let limit_ms = active_since_ms.saturating_add(as_millis(MAX_ACTIVE_WINDOWS * self.activity_window));
+        self.active_until_ms = (now_ms + as_millis(self.activity_window)).min(limit_ms);
     }
 
     /// Returns the delay of a SWIM timer, shorter than the requested one for probes while dissemination is active.
-    pub(crate) fn timer_delay_ms(&self, now_ms: u64, delay_ms: u64, timer: &Timer<Member>) -> u64 {
+    pub(crate) fn timer_delay(&self, now_ms: u64, delay: Duration, timer: &Timer<Member>) -> Duration {
         let is_probe = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
-        if is_probe && self.is_active(now_ms) { (delay_ms / PROBE_SPEEDUP).max(1) } else { delay_ms }
+        if is_probe && self.is_active(now_ms) { (delay / PROBE_SPEEDUP).max(MIN_PROBE_DELAY) } else { delay }
     }
 }
 
--- a/crates/membership/src/bulk_failure/failure_log.rs
+++ b/crates/membership/src/bulk_failure/failure_log.rs
@@ -1,7 +1,9 @@
 //! The failures that this instance has learned of recently.
 
 use super::MemberFingerprint;
+use crate::as_millis;
 use std::collections::{HashMap, VecDeque};
+use std::time::Duration;
 
 /// The maximum number of failures in the log.
 const MAX_FAILURES: usize = 4_096;
@@ -27,9 +29,9 @@
     }
 
     /// Removes the failures older than this.
-    pub(super) fn remove_older_than(&mut self, max_age_ms: u64, now_ms: u64) {
+    pub(super) fn remove_older_than(&mut self, max_age: Duration, now_ms: u64) {
         while let Some(oldest) = self.by_age.front()
-            && self.learned_at_ms[oldest] + max_age_ms < now_ms
+            && self.learned_at_ms[oldest] + as_millis(max_age) < now_ms
         {
             self.digest ^= oldest.0;
             self.learned_at_ms.remove(oldest);
@@ -37,10 +39,11 @@
         }
     }
 
-    /// Returns the number of failures learned within the last `max_age_ms`.
-    pub(super) fn count_within(&self, max_age_ms: u64, now_ms: u64) -> usize {
-        let is_recent =
-            |fingerprint: &&MemberFingerprint| self.learned_at_ms[*fingerprint] + max_age_ms >= now_ms;
+    /// Returns the number of failures learned within the last `max_age`.
+    pub(super) fn count_within(&self, max_age: Duration, now_ms: u64) -> usize {
+        let is_recent = |fingerprint: &&MemberFingerprint| {
+            self.learned_at_ms[*fingerprint] + as_millis(max_age) >= now_ms
+        };
         self.by_age.iter().rev().take_while(is_recent).count()
     }
 
--- a/crates/membership/src/bulk_failure/failure_log/tests.rs
+++ b/crates/membership/src/bulk_failure/failure_log/tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 
+const MAX_AGE: Duration = Duration::from_millis(100);
+
 fn log_of(fingerprints: &[u64]) -> FailureLog {
     let mut log = FailureLog::default();
     fingerprints.iter().for_each(|&fingerprint| log.add(0, MemberFingerprint(fingerprint)));
@@ -18,8 +20,8 @@
 fn old_failures_are_removed_from_the_log_and_its_digest() {
     let mut log = log_of(&[1, 2]);
     log.add(500, MemberFingerprint(4));
-    assert_eq!((log.count_within(100, 550), log.count_within(600, 550)), (1, 3));
-    log.remove_older_than(100, 550);
+    assert_eq!((log.count_within(MAX_AGE, 550), log.count_within(6 * MAX_AGE, 550)), (1, 3));
+    log.remove_older_than(MAX_AGE, 550);
     assert_eq!(log.digest(), log_of(&[4]).digest());
     assert_eq!(log.rotated(0).collect::<Vec<_>>(), [MemberFingerprint(4)]);
 }
--- a/crates/membership/src/bulk_failure/tests.rs
+++ b/crates/membership/src/bulk_failure/tests.rs
@@ -2,18 +2,23 @@
 
 use super::*;
 
+/// Dissemination with a gossip period of 100 ms and an activity window of 2 s.
+fn new_dissemination() -> BulkFailureDissemination {
+    BulkFailureDissemination::new(Duration::from_millis(100), Duration::from_secs(1))
+}
+
 fn record(dissemination: &mut BulkFailureDissemination, now_ms: u64, fingerprint: u64) {
     dissemination.record_failure(now_ms, MemberFingerprint(fingerprint));
 }
 
 #[test]
 fn many_suspected_or_failed_members_activate_it_and_equal_failures_give_equal_digests() {
-    let mut one = BulkFailureDissemination::new(100, 1_000);
+    let mut one = new_dissemination();
     assert_eq!(one.poll(0, 2, 6), None, "two are below the minimum");
     assert_eq!(one.poll(100, 61, 1_000), None, "61 of 1,000 are explained by datagram loss");
     assert_eq!(one.poll(200, 62, 1_000), Some(0));
     assert_eq!(one.poll(250, 500, 1_000), None, "at most once per period");
-    let mut two = BulkFailureDissemination::new(100, 1_000);
+    let mut two = new_dissemination();
     (0..500).for_each(|member| record(&mut one, 300, member * 7919 + 1));
     (0..500).rev().for_each(|member| record(&mut two, 400, member * 7919 + 1));
     let digest = one.poll(400, 0, 500);
@@ -23,7 +28,7 @@
 
 #[test]
 fn it_stops_after_the_maximum_duration_while_suspicions_and_digests_continue() {
-    let mut dissemination = BulkFailureDissemination::new(100, 1_000);
+    let mut dissemination = new_dissemination();
     let active = (0..400).filter(|period| {
         let now_ms = period * 100;
         dissemination.reply_to_digest(now_ms, 1, 0);
@@ -36,7 +41,7 @@
 
 #[test]
 fn a_reply_is_bounded_and_sent_only_where_the_digests_differ() {
-    let mut dissemination = BulkFailureDissemination::new(100, 1_000);
+    let mut dissemination = new_dissemination();
     (1..=1_000).for_each(|member| record(&mut dissemination, 0, member));
     let digest = dissemination.poll(0, 0, 1_000).expect("it is active");
     assert!(dissemination.reply_to_digest(0, digest, 0).is_empty());
@@ -52,15 +57,16 @@
 
 #[test]
 fn only_probes_are_faster_while_it_is_active() {
-    let mut dissemination = BulkFailureDissemination::new(100, 1_000);
+    let mut dissemination = new_dissemination();
     let probe = Timer::SendIndirectProbe {
         probed_id: Member { address: ([127, 0, 0, 1], 1).into(), name: "a".into(), generation: 1 },
         token: 0,
     };
-    assert_eq!(dissemination.timer_delay_ms(0, 400, &probe), 400);
+    let requested = Duration::from_millis(400);
+    assert_eq!(dissemination.timer_delay(0, requested, &probe), requested);
     dissemination.poll(0, 100, 100);
-    assert_eq!(dissemination.timer_delay_ms(1, 400, &probe), 100);
-    assert_eq!(dissemination.timer_delay_ms(1, 400, &Timer::PeriodicGossip(0)), 400);
+    assert_eq!(dissemination.timer_delay(1, requested, &probe), Duration::from_millis(100));
+    assert_eq!(dissemination.timer_delay(1, requested, &Timer::PeriodicGossip(0)), requested);
 }
 
 /// Returns the payload of a datagram of the earlier build, from the fixtures of the wire format.
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -18,8 +18,10 @@
 const GOSSIP_FANOUT: usize = 3;
 /// Dead members that receive an announcement in each join period.
 const DEAD_ANNOUNCE_FANOUT: usize = 2;
+/// The minimum period of periodic messages.
+const MIN_PERIOD: Duration = Duration::from_millis(1);
 /// Join periods between two announcements to a live member.
-const ANNOUNCE_JOIN_PERIODS: u64 = 5;
+const ANNOUNCE_JOIN_PERIODS: u32 = 5;
 
 /// The configuration of a [`Membership`](crate::Membership).
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,16 +30,16 @@
     pub local_member: Member,
     /// Addresses through which to join the cluster.
     pub seed_peers: Vec<SocketAddr>,
-    /// Milliseconds between two probes. Each probes one member.
-    pub probe_period_ms: u64,
-    /// Milliseconds until an unanswered direct probe is followed by indirect probes.
-    pub probe_timeout_ms: u64,
-    /// Milliseconds of suspicion after which a member is declared dead.
-    pub suspicion_timeout_ms: u64,
-    /// Milliseconds between two gossip messages to three random members each.
-    pub gossip_period_ms: u64,
-    /// Milliseconds between two join attempts through the seed peers, and between two announcements to dead members.
-    pub join_period_ms: u64,
+    /// The time between two probes. Each probes one member.
+    pub probe_period: Duration,
+    /// The time until an unanswered direct probe is followed by indirect probes.
+    pub probe_timeout: Duration,
+    /// The time of suspicion after which a member is declared dead.
+    pub suspicion_timeout: Duration,
+    /// The time between two gossip messages to three random members each.
+    pub gossip_period: Duration,
+    /// The time between two join attempts through the seed peers, and between two announcements to dead members.
+    pub join_period: Duration,
     /// The maximum number of members, dead ones in retention included.
     pub max_members: usize,
     /// The maximum number of broadcast topics.
@@ -50,23 +52,23 @@
     /// Returns the configuration of the SWIM state machine.
     pub(crate) fn swim(&self) -> foca::Config {
         foca::Config {
-            probe_period: Duration::from_millis(self.probe_period_ms),
-            probe_rtt: Duration::from_millis(self.probe_timeout_ms),
+            probe_period: self.probe_period,
+            probe_rtt: self.probe_timeout,
             num_indirect_probes: non_zero(INDIRECT_PROBES),
             max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: Duration::from_millis(self.suspicion_timeout_ms),
+            suspect_to_down_after: self.suspicion_timeout,
             remove_down_after: Some(DEAD_MEMBER_RETENTION),
             max_packet_size: non_zero(MAX_DATAGRAM_BYTES - authentication::OVERHEAD_BYTES),
             notify_down_members: true,
-            periodic_announce: periodic(self.join_period_ms * ANNOUNCE_JOIN_PERIODS, 1),
-            periodic_announce_to_down_members: periodic(self.join_period_ms, DEAD_ANNOUNCE_FANOUT),
-            periodic_gossip: periodic(self.gossip_period_ms, GOSSIP_FANOUT),
+            periodic_announce: periodic(self.join_period * ANNOUNCE_JOIN_PERIODS, 1),
+            periodic_announce_to_down_members: periodic(self.join_period, DEAD_ANNOUNCE_FANOUT),
+            periodic_gossip: periodic(self.gossip_period, GOSSIP_FANOUT),
         }
     }
 }
 
-fn periodic(period_ms: u64, members: usize) -> Option<foca::PeriodicParams> {
-    let frequency = Duration::from_millis(period_ms.max(1));
+fn periodic(period: Duration, members: usize) -> Option<foca::PeriodicParams> {
+    let frequency = period.max(MIN_PERIOD);
     Some(foca::PeriodicParams { frequency, num_members: non_zero(members) })
 }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -4,7 +4,7 @@
 use crate::bulk_failure::{self, BulkFailureDissemination, MemberFingerprint};
 use crate::swim::{Swim, SwimEffects, TimerQueue};
 use crate::topics::{Broadcast, SharedTopics};
-use crate::{Config, Counts, MAX_DATAGRAM_BYTES, Member, MemberStatus, Output};
+use crate::{Config, Counts, MAX_DATAGRAM_BYTES, Member, MemberStatus, Output, as_millis};
 use foca::{Foca, PostcardCodec};
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
@@ -15,7 +15,7 @@
 /// The size limit of an encoded broadcast. Two broadcasts fit into one datagram.
 const MAX_BROADCAST_BYTES: usize = MAX_DATAGRAM_BYTES / 2;
 /// Join periods between two join attempts while other members are alive.
-const JOIN_PERIODS_WITH_MEMBERS: u64 = 10;
+const JOIN_PERIODS_WITH_MEMBERS: u32 = 10;
 
 /// The members of the cluster as one instance sees them.
 ///
@@ -47,7 +47,7 @@
             swim,
             topics,
             keyring,
-            bulk_failure: BulkFailureDissemination::new(config.gossip_period_ms, config.suspicion_timeout_ms),
+            bulk_failure: BulkFailureDissemination::new(config.gossip_period, config.suspicion_timeout),
             rng,
             config,
             timers: TimerQueue::default(),
@@ -141,7 +141,7 @@
     fn join(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let alone = self.swim.num_members() == 0;
         let periods = if alone { 1 } else { JOIN_PERIODS_WITH_MEMBERS };
-        self.next_join_ms = now_ms + self.config.join_period_ms * periods;
+        self.next_join_ms = now_ms + as_millis(self.config.join_period * periods);
         let alive: Vec<SocketAddr> = self.alive_addresses().collect();
         for address in self.config.seed_peers.clone() {
             if address != self.config.local_member.address && !alive.contains(&address) {
@@ -265,8 +265,8 @@
             self.counts.malformed += 1;
         }
         for request in effects.timers {
-            let delay_ms = self.bulk_failure.timer_delay_ms(now_ms, request.delay_ms, &request.timer);
-            self.timers.schedule(now_ms + delay_ms, request.timer);
+            let delay = self.bulk_failure.timer_delay(now_ms, request.delay, &request.timer);
+            self.timers.schedule(now_ms + as_millis(delay), request.timer);
         }
         for outgoing in effects.payloads {
             self.send(outgoing.to, &outgoing.payload, out);
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -21,8 +21,8 @@
 
 /// A timer requested by the state machine.
 pub(crate) struct TimerRequest {
-    /// Milliseconds from the call that requested the timer.
-    pub(crate) delay_ms: u64,
+    /// The delay from the call that requested the timer.
+    pub(crate) delay: Duration,
     pub(crate) timer: Timer<Member>,
 }
 
@@ -56,7 +56,7 @@
     }
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
-        self.timers.push(TimerRequest { delay_ms: after.as_millis() as u64, timer: event });
+        self.timers.push(TimerRequest { delay: after, timer: event });
     }
 }
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -3,6 +3,7 @@
 use membership::authentication::Keyring;
 use membership::{Config, Member};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// The port of member 0. The others follow it.
 const FIRST_PORT: u16 = 7_000;
@@ -27,11 +28,11 @@
     Config {
         local_member: Member { address: address(member), name: format!("m{member}"), generation },
         seed_peers: vec![address(0), address(1)],
-        probe_period_ms: 200,
-        probe_timeout_ms: 60,
-        suspicion_timeout_ms: 400,
-        gossip_period_ms: 50,
-        join_period_ms: 200,
+        probe_period: Duration::from_millis(200),
+        probe_timeout: Duration::from_millis(60),
+        suspicion_timeout: Duration::from_millis(400),
+        gossip_period: Duration::from_millis(50),
+        join_period: Duration::from_millis(200),
         max_members: 32,
         max_topics: 8,
         rng_seed: member as u64,
--- a/crates/periodic_jobs/src/config.rs
+++ b/crates/periodic_jobs/src/config.rs
@@ -1,5 +1,7 @@
 //! The configuration of a scheduler.
 
+use std::time::Duration;
+
 /// The configuration of a [`Scheduler`](crate::Scheduler).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
@@ -7,14 +9,14 @@
     pub instance: String,
     /// The number of members that attempt a run if the owner of the job does not.
     pub standbys: usize,
-    /// The maximum clock skew between two instances in milliseconds.
-    pub max_clock_skew_ms: u64,
-    /// Milliseconds between the deadline of a run and the end of its period.
-    pub start_margin_ms: u64,
-    /// Milliseconds between two calls while the store is unavailable.
-    pub store_retry_interval_ms: u64,
-    /// Milliseconds between two renewals of the session.
-    pub session_renewal_interval_ms: u64,
+    /// The maximum clock skew between two instances.
+    pub max_clock_skew: Duration,
+    /// The time between the deadline of a run and the end of its period.
+    pub start_margin: Duration,
+    /// The time between two calls while the store is unavailable.
+    pub store_retry_interval: Duration,
+    /// The time between two renewals of the session.
+    pub session_renewal_interval: Duration,
     /// A number that differs at each start of the process. Leases from before a restart do not belong to this incarnation.
     pub incarnation: u64,
 }
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -1,31 +1,38 @@
 //! Jobs and their runs.
 
 use crate::ClockReading;
+use crate::clock::as_millis;
 use crate::rendezvous::JobHash;
 use job_lease::RunId;
+use std::time::Duration;
 
 /// A job that exactly one instance runs once per period.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Job {
     /// The name, the same on all instances.
     pub name: String,
-    /// Milliseconds between two runs.
-    pub period_ms: u64,
+    /// The time between two runs. Fractions of a millisecond are ignored.
+    pub period: Duration,
 }
 
 impl Job {
     /// Returns the run whose period contains this moment. The periods of different jobs start at different offsets, which
     /// spreads the load on the lease store.
     pub fn run_at(&self, unix_ms: u64) -> RunId {
-        let period_ms = self.period_ms.max(1);
+        let period_ms = self.period_ms().max(1);
         let phase_ms = JobHash::of(&self.name).0 % period_ms;
-        let elapsed_ms = (unix_ms + self.period_ms - phase_ms) % period_ms;
+        let elapsed_ms = (unix_ms + self.period_ms() - phase_ms) % period_ms;
         RunId(unix_ms.saturating_sub(elapsed_ms))
     }
 
+    /// Returns the period in milliseconds.
+    pub fn period_ms(&self) -> u64 {
+        as_millis(self.period)
+    }
+
     /// Returns the run after the one whose period contains the scheduled time of `run`.
     pub(crate) fn run_after(&self, run: RunId) -> RunId {
-        RunId(self.run_at(run.scheduled_unix_ms()).0 + self.period_ms)
+        RunId(self.run_at(run.scheduled_unix_ms()).0 + self.period_ms())
     }
 }
 
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -58,7 +58,7 @@
         self.index_by_name.clear();
         self.attempts.clear();
         for job in jobs {
-            if job.period_ms == 0 || self.index_by_name.contains_key(&job.name) {
+            if job.period_ms() == 0 || self.index_by_name.contains_key(&job.name) {
                 continue;
             }
             let mut state = before
@@ -111,7 +111,7 @@
         if self.jobs.is_empty() {
             return;
         }
-        if let Some(session) = self.store.start_renewal(now, self.config.session_renewal_interval_ms) {
+        if let Some(session) = self.store.start_renewal(now, self.config.session_renewal_interval) {
             out.push(Action::CallStore(StoreCall::RenewSession(session)));
         }
         let mut reads = Vec::new();
@@ -170,7 +170,7 @@
         if state.settled >= run {
             run = state.job.run_after(state.settled);
         }
-        let stagger_ms = self.stagger_ms(state.job.period_ms);
+        let stagger_ms = self.stagger_ms(&state.job);
         let mut unix_ms = run.scheduled_unix_ms() + rank as u64 * stagger_ms;
         if rank > 0 {
             // Round up so that attempts close together share one read.
@@ -182,14 +182,14 @@
 
     /// Schedules another attempt at the same run.
     fn retry_later(&mut self, index: usize, now: ClockReading) {
-        let stagger_ms = self.stagger_ms(self.jobs[index].job.period_ms);
+        let stagger_ms = self.stagger_ms(&self.jobs[index].job);
         self.attempts.schedule(index, now.unix_ms + stagger_ms);
     }
 
     /// Returns the delay between the attempts of two successive ranks. The last attempt leaves time for the run.
-    fn stagger_ms(&self, period_ms: u64) -> u64 {
+    fn stagger_ms(&self, job: &Job) -> u64 {
         let ranks = self.config.standbys as u64 + 1;
-        (period_ms * ATTEMPT_SPREAD_PERCENT / 100 / ranks).max(1)
+        (job.period_ms() * ATTEMPT_SPREAD_PERCENT / 100 / ranks).max(1)
     }
 
     /// Discards the session and all cached leases, and schedules all attempts again.
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -2,6 +2,7 @@
 
 use super::Scheduler;
 use super::job_state::{LastRun, Phase};
+use crate::clock::as_millis;
 use crate::rendezvous::stable_hash;
 use crate::{Action, ClockReading, Config, Notice, Run, StoreCall};
 use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, decide};
@@ -66,11 +67,11 @@
 
     /// Returns whether there is a session and a call may be made. Opens a session if there is none.
     fn is_store_ready(&mut self, now: ClockReading, out: &mut Vec<Action>) -> bool {
-        let retry_interval_ms = self.config.store_retry_interval_ms;
+        let retry_interval = self.config.store_retry_interval;
         if self.store.session().is_some() {
-            return self.store.may_call(now, retry_interval_ms);
+            return self.store.may_call(now, retry_interval);
         }
-        if self.store.start_opening(now, retry_interval_ms) {
+        if self.store.start_opening(now, retry_interval) {
             out.push(Action::CallStore(StoreCall::OpenSession));
         }
         false
@@ -78,11 +79,12 @@
 
     fn acquire_request(&self, index: usize, now: ClockReading) -> AcquireRequest {
         let state = &self.jobs[index];
-        let Config { instance, incarnation, max_clock_skew_ms, .. } = &self.config;
+        let Config { instance, incarnation, max_clock_skew, .. } = &self.config;
         let run = state.current_run;
         // Never 0, which marks a seed, and different for each incarnation.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
-        AcquireRequest { run, lease_id, seed_run: state.job.run_at(now.unix_ms + max_clock_skew_ms) }
+        let seed_run = state.job.run_at(now.unix_ms + as_millis(*max_clock_skew));
+        AcquireRequest { run, lease_id, seed_run }
     }
 
     /// Continues an attempt from the cached lease.
@@ -121,7 +123,7 @@
     ) {
         let state = &mut self.jobs[index];
         let settled = state.cached_lease.as_ref().map_or(RunId::default(), |lease| lease.record.run);
-        let latest_unix_ms = now.unix_ms + state.job.period_ms + 2 * self.config.max_clock_skew_ms;
+        let latest_unix_ms = now.unix_ms + as_millis(state.job.period + 2 * self.config.max_clock_skew);
         let ahead_of_clocks = settled.scheduled_unix_ms() > latest_unix_ms;
         if ahead_of_clocks && last_run_changed {
             let job = state.job.name.clone();
@@ -161,8 +163,8 @@
         state.settle_current_run();
         let (job, id) = (state.job.name.clone(), state.current_run);
         state.last_run = Some(LastRun { run: id, holder: self.config.instance.clone() });
-        let period_end_unix_ms = id.scheduled_unix_ms() + state.job.period_ms;
-        let deadline_unix_ms = period_end_unix_ms.saturating_sub(self.config.start_margin_ms);
+        let period_end_unix_ms = id.scheduled_unix_ms() + state.job.period_ms();
+        let deadline_unix_ms = period_end_unix_ms.saturating_sub(as_millis(self.config.start_margin));
         if id > state.last_run_here {
             if now.unix_ms < deadline_unix_ms {
                 state.last_run_here = id;
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -2,6 +2,7 @@
 
 use super::Scheduler;
 use super::job_state::Phase;
+use crate::clock::as_millis;
 use crate::{Action, CallId, ClockReading, Notice, ResetReason, StoreResponse};
 use job_lease::{CompareAndSetOutcome, LeaseListing, LeaseRecord, Session, StoreError, StoredLease};
 
@@ -65,7 +66,7 @@
             }
             Err(error) => {
                 // Retry after a tenth of the interval. If the session ends before, the next write detects it.
-                let elapsed_ms = self.config.session_renewal_interval_ms * 9 / 10;
+                let elapsed_ms = as_millis(self.config.session_renewal_interval * 9 / 10);
                 self.store.finish_renewal(now.monotonic_ms.saturating_sub(elapsed_ms));
                 self.store.record_failure(&error, out);
             }
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -1,7 +1,9 @@
 //! The session with the lease store, and the availability of the store.
 
+use crate::clock::as_millis;
 use crate::{Action, CallId, ClockReading, Notice};
 use job_lease::{Session, StoreError};
+use std::time::Duration;
 
 /// The number of consecutive failed calls after which the store is unavailable.
 const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
@@ -46,8 +48,8 @@
 
     /// Returns whether to open a session now: none is being opened, and the store is available or due for a trial. Records
     /// the call.
-    pub(super) fn start_opening(&mut self, now: ClockReading, retry_interval_ms: u64) -> bool {
-        let may_call = !self.unavailable || self.trial_is_due(now, retry_interval_ms);
+    pub(super) fn start_opening(&mut self, now: ClockReading, retry_interval: Duration) -> bool {
+        let may_call = !self.unavailable || self.trial_is_due(now, retry_interval);
         if self.opening || !may_call {
             return false;
         }
@@ -58,19 +60,19 @@
 
     /// Returns whether a call may be made now, and records it. While the store is unavailable, one trial is allowed per retry
     /// interval.
-    pub(super) fn may_call(&mut self, now: ClockReading, retry_interval_ms: u64) -> bool {
+    pub(super) fn may_call(&mut self, now: ClockReading, retry_interval: Duration) -> bool {
         if !self.unavailable {
             return true;
         }
-        if !self.trial_is_due(now, retry_interval_ms) {
+        if !self.trial_is_due(now, retry_interval) {
             return false;
         }
         self.last_trial_ms = now.monotonic_ms;
         true
     }
 
-    fn trial_is_due(&self, now: ClockReading, retry_interval_ms: u64) -> bool {
-        now.monotonic_ms >= self.last_trial_ms + retry_interval_ms
+    fn trial_is_due(&self, now: ClockReading, retry_interval: Duration) -> bool {
+        now.monotonic_ms >= self.last_trial_ms + as_millis(retry_interval)
     }
 
     /// Stores an opened session.
@@ -86,9 +88,9 @@
     }
 
     /// Returns the session if it is due for renewal, and records the call.
-    pub(super) fn start_renewal(&mut self, now: ClockReading, interval_ms: u64) -> Option<Session> {
+    pub(super) fn start_renewal(&mut self, now: ClockReading, interval: Duration) -> Option<Session> {
         let session = self.session.as_ref()?;
-        if self.renewing || now.monotonic_ms < self.renewed_ms + interval_ms {
+        if self.renewing || now.monotonic_ms < self.renewed_ms + as_millis(interval) {
             return None;
         }
         self.renewing = true;
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -6,6 +6,7 @@
 use job_lease::{LeaseRecord, LocalStore};
 use periodic_jobs::rendezvous::{JobHash, MemberHash, Members, Ranking};
 use periodic_jobs::{Action, ClockReading, Job, Scheduler, StoreCall};
+use std::time::Duration;
 use support::config;
 
 const RANKS: &str = include_str!("fixtures/order.txt");
@@ -21,7 +22,7 @@
         let ranking = Ranking::new(JobHash::of(name), &members, 4);
         let rank = |i| ranking.rank(MemberHash::of(&format!("m{i}")));
         let ranks: Vec<String> = (0..6).map(|i| format!("{:?}", rank(i))).collect();
-        let run = Job { name: name.into(), period_ms: 7_000 }.run_at(1_800_000_000_000);
+        let run = Job { name: name.into(), period: Duration::from_secs(7) }.run_at(1_800_000_000_000);
         format!("{name} {:016x} {run} {}\n", JobHash::of(name).0, ranks.join(" "))
     };
     JOBS.iter().map(|name| rank_line(name)).collect()
@@ -33,7 +34,8 @@
     let mut store = LocalStore::default();
     let mut lines = String::new();
     let mut now = ClockReading { unix_ms: 1_800_000_000_000, monotonic_ms: 5_000 };
-    scheduler.set_jobs(now, JOBS.map(|name| Job { name: name.into(), period_ms: 1_000 }).to_vec());
+    scheduler
+        .set_jobs(now, JOBS.map(|name| Job { name: name.into(), period: Duration::from_secs(1) }).to_vec());
     scheduler.set_members(now, ["m1".to_owned()]);
     for _ in 0..1_200 {
         now.unix_ms += 5;
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -8,6 +8,7 @@
 use periodic_jobs::{
     Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse,
 };
+use std::time::Duration;
 use support::config;
 
 const PERIOD_MS: u64 = 1_000;
@@ -19,7 +20,7 @@
 }
 
 fn job(name: &str, period_ms: u64) -> Job {
-    Job { name: name.into(), period_ms }
+    Job { name: name.into(), period: Duration::from_millis(period_ms) }
 }
 
 /// An outcome that the store returns for a write in place of the real one.
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -54,12 +54,12 @@
             advertise: cluster.advertise.unwrap_or(cluster.listen),
             peers: cluster.peers.clone(),
             keyring: keyring(config, path)?,
-            period_ms: cluster.gossip_interval_ms,
-            suspicion_timeout_ms: cluster.suspicion_timeout_ms,
+            period: Duration::from_millis(cluster.gossip_interval_ms),
+            suspicion_timeout: Duration::from_millis(cluster.suspicion_timeout_ms),
         }),
         lease_store: lease_store(config, cluster, path),
         standbys: cluster.standbys,
-        max_clock_skew_ms: cluster.max_clock_skew_ms,
+        max_clock_skew: Duration::from_millis(cluster.max_clock_skew_ms),
         clock_offset_ms: cluster.clock_offset_ms,
         max_concurrent_runs: MAX_CONCURRENT_RUNS,
         health_checks,
@@ -72,7 +72,7 @@
         gossip: None,
         lease_store: LeaseStore::Local,
         standbys: 0,
-        max_clock_skew_ms: 0,
+        max_clock_skew: Duration::ZERO,
         clock_offset_ms: 0,
         max_concurrent_runs: MAX_CONCURRENT_RUNS,
         health_checks,
@@ -99,7 +99,7 @@
         path: config.path.clone(),
         timeout: Duration::from_millis(config.timeout_ms),
         config: health_check::Config {
-            period_ms: config.period_ms,
+            period: Duration::from_millis(config.period_ms),
             unhealthy_threshold: config.unhealthy_threshold,
             healthy_threshold: config.healthy_threshold,
             max_ejected_fraction: config.max_ejected_share,
@@ -110,7 +110,7 @@
 fn http_jobs(jobs: &[PeriodicJobConfig]) -> Vec<HttpJob> {
     let http_job = |job: &PeriodicJobConfig| HttpJob {
         name: job.name.clone(),
-        period_ms: job.period_ms,
+        period: Duration::from_millis(job.period_ms),
         url: job.url.clone(),
         timeout: Duration::from_millis(job.timeout_ms),
     };
