--- a/crates/cluster/src/gossip_receiver.rs
+++ b/crates/cluster/src/gossip_receiver.rs
@@ -26,10 +26,8 @@
                 Ok(_) => {}
                 // The operating system reports here that an earlier datagram had no receiver. The socket remains usable.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
-                Err(e) => {
-                    tracing::warn!(
-                        "cluster: gossip is no longer received ({e}); jobs continue by their leases alone"
-                    );
+                Err(error) => {
+                    tracing::warn!(%error, "gossip receiver stopped, jobs continue by their leases alone");
                     return;
                 }
             }
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,26 +1,33 @@
-//! Rate-limited logging: at most one line of each kind per second, with the number of suppressed lines.
+//! Rate-limited logging: at most one event of each kind per second, with the number of suppressed events.
 
 use std::collections::HashMap;
 
-/// The minimum time between two lines of a kind in milliseconds.
+/// The minimum time between two logged events of a kind in milliseconds.
 const INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Default)]
 struct KindState {
-    /// The moment from which the next line may be written.
+    /// The moment from which the next event is logged.
     next_ms: u64,
     suppressed: u64,
 }
 
-/// Decides which log lines are written.
+/// Permits one event of a kind to be logged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct LogPermit {
+    /// The number of events of the kind suppressed since the last logged one. `None` if there were none.
+    pub(crate) suppressed: Option<u64>,
+}
+
+/// Decides which events are logged.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
     kinds: HashMap<&'static str, KindState>,
 }
 
 impl LogLimiter {
-    /// Returns the suffix for a line of this kind. Returns `None` if the line is suppressed.
-    pub(crate) fn suffix(&mut self, kind: &'static str, now_ms: u64) -> Option<String> {
+    /// Permits an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
+    pub(crate) fn permit(&mut self, kind: &'static str, now_ms: u64) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
         if now_ms < state.next_ms {
             state.suppressed += 1;
@@ -28,7 +35,7 @@
         }
         state.next_ms = now_ms + INTERVAL_MS;
         let suppressed = std::mem::take(&mut state.suppressed);
-        Some(if suppressed > 0 { format!(" (and {suppressed} more like it)") } else { String::new() })
+        Some(LogPermit { suppressed: (suppressed > 0).then_some(suppressed) })
     }
 }
 
