--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -1,31 +1,26 @@
 //! The thread that owns the cluster state. It handles events and emits datagrams, store calls and runs.
 
-mod gossip;
-mod health;
 mod jobs;
 mod notices;
 mod status;
 
 use crate::clocks::Clocks;
 use crate::event::Event;
+use crate::gossip_node::{GossipChanges, GossipNode, ReceivedReport};
+use crate::health_monitor::{HealthMonitor, OnEjectionChange};
+use crate::job_table::JobTable;
 use crate::log_limiter::LogLimiter;
 use crate::run_executor::PendingRun;
-use crate::settings::{HttpJob, Settings};
+use crate::settings::{Backend, HttpJob, Settings};
 use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
-use health_check::HealthTracker;
-use membership::Membership;
 use periodic_jobs::{ClockReading, Scheduler, StoreResponse};
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::{SocketAddr, UdpSocket};
+use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
 
-/// A callback that receives the ids of the backends ejected by health checks whenever the set changes.
-pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
-
 /// The maximum time between two ticks in milliseconds, which bounds the delay in detecting stale health reports.
 const MAX_TICK_INTERVAL_MS: u64 = 100;
 /// The maximum number of events handled between two ticks, beyond the first.
@@ -33,11 +28,11 @@
 /// Milliseconds after the start from which datagrams are ignored in a build with the seeded fault `agreed`.
 const SEEDED_FAULT_AFTER_MS: u64 = 6_000;
 
-/// The clocks, sockets and worker pools that the coordinator uses.
+/// The clocks, the socket, the worker pools and the callback that the coordinator uses.
 pub(crate) struct Resources {
     pub(crate) clocks: Clocks,
     /// The socket for gossip. `None` without gossip.
-    pub(crate) socket: Option<Arc<UdpSocket>>,
+    pub(crate) gossip_socket: Option<Arc<UdpSocket>>,
     pub(crate) store: StoreClient,
     pub(crate) runs: TaskQueue<PendingRun>,
     /// Datagrams dropped because the event queue was full.
@@ -56,41 +51,42 @@
 
 /// The state of the cluster on this instance.
 pub(crate) struct Coordinator {
-    settings: Settings,
-    resources: Resources,
-    membership: Option<Membership>,
+    instance: String,
+    clocks: Clocks,
+    gossip: Option<GossipNode>,
     scheduler: Scheduler,
-    health: Option<HealthTracker>,
-    backends: BTreeMap<String, SocketAddr>,
-    /// HTTP jobs by job name.
-    http_jobs: BTreeMap<String, HttpJob>,
-    ejected: BTreeSet<String>,
+    store: StoreClient,
+    jobs: JobTable,
+    runs: TaskQueue<PendingRun>,
     run_counts: RunCounts,
+    health: Option<HealthMonitor>,
+    dropped_datagrams: Arc<AtomicU64>,
     log_limiter: LogLimiter,
-    authentication_failures: u64,
-    duplicate_names: Vec<String>,
     left: bool,
 }
 
 impl Coordinator {
     pub(crate) fn new(settings: Settings, resources: Resources) -> Self {
-        let start_unix_ms = resources.clocks.now().unix_ms;
+        let Resources { clocks, gossip_socket, store, runs, dropped_datagrams, on_ejection_change } =
+            resources;
+        let start_unix_ms = clocks.now().unix_ms;
+        let scheduler = Scheduler::new(jobs::scheduler_config(&settings, start_unix_ms));
+        let gossip = settings.gossip.zip(gossip_socket);
+        let gossip = gossip
+            .map(|(gossip, socket)| GossipNode::new(&gossip, &settings.instance, start_unix_ms, socket));
+        let health_config = settings.health_checks.as_ref().map(|checks| checks.config.clone());
         Self {
-            scheduler: Scheduler::new(jobs::scheduler_config(&settings, start_unix_ms)),
-            membership: settings
-                .gossip
-                .as_ref()
-                .map(|gossip| gossip::join(gossip, &settings.instance, start_unix_ms)),
-            health: settings.health_checks.as_ref().map(|checks| HealthTracker::new(checks.config.clone())),
-            settings,
-            resources,
-            backends: BTreeMap::new(),
-            http_jobs: BTreeMap::new(),
-            ejected: BTreeSet::new(),
+            instance: settings.instance,
+            clocks,
+            gossip,
+            scheduler,
+            store,
+            jobs: JobTable::new(settings.health_checks),
+            runs,
             run_counts: RunCounts::default(),
+            health: health_config.map(|config| HealthMonitor::new(config, on_ejection_change)),
+            dropped_datagrams,
             log_limiter: LogLimiter::default(),
-            authentication_failures: 0,
-            duplicate_names: Vec::new(),
             left: false,
         }
     }
@@ -112,10 +108,10 @@
     }
 
     fn time_to_next_tick(&self) -> Duration {
-        let now = self.resources.clocks.now();
+        let now = self.clocks.now();
         let jobs_due_unix_ms = self.scheduler.next_tick_unix_ms();
         let until_jobs_ms = jobs_due_unix_ms.map(|due_unix_ms| due_unix_ms.saturating_sub(now.unix_ms));
-        let gossip_due_ms = self.membership.as_ref().map(Membership::next_tick_ms);
+        let gossip_due_ms = self.gossip.as_ref().map(GossipNode::next_tick_ms);
         let until_gossip_ms = gossip_due_ms.map(|due_ms| due_ms.saturating_sub(now.monotonic_ms));
         let until_due_ms = until_jobs_ms.into_iter().chain(until_gossip_ms).min();
         Duration::from_millis(until_due_ms.unwrap_or(MAX_TICK_INTERVAL_MS).min(MAX_TICK_INTERVAL_MS))
@@ -123,22 +119,23 @@
 
     /// Runs the timers that are due in gossip, jobs and health checks.
     fn tick(&mut self) {
-        let now = self.resources.clocks.now();
-        if let Some(membership) = &mut self.membership {
-            let mut outputs = Vec::new();
-            membership.tick(now.monotonic_ms, &mut outputs);
-            self.handle_membership_outputs(now, outputs);
+        let now = self.clocks.now();
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.tick(now.monotonic_ms);
+            self.apply_gossip_changes(now, changes);
         }
         if !self.left {
             let mut actions = Vec::new();
             self.scheduler.tick(now, &mut actions);
             self.apply_actions(now, actions);
         }
-        self.update_ejections(now);
+        if let Some(health) = &mut self.health {
+            health.update_ejections(now.monotonic_ms);
+        }
     }
 
     fn handle(&mut self, event: Event) {
-        let now = self.resources.clocks.now();
+        let now = self.clocks.now();
         match event {
             Event::DatagramReceived(_)
                 if seeded_faults::is_active("agreed") && now.monotonic_ms > SEEDED_FAULT_AFTER_MS => {}
@@ -147,8 +144,8 @@
             Event::RunFinished(finished) => self.handle_finished_run(now, &finished),
             Event::HttpJobsChanged(jobs) => self.set_http_jobs(jobs),
             Event::KeyringChanged(keyring) => {
-                if let Some(membership) = &mut self.membership {
-                    membership.set_keyring(keyring);
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.set_keyring(keyring);
                 }
             }
             Event::BackendsChanged(backends) => self.set_backends(now, backends),
@@ -159,6 +156,35 @@
         }
     }
 
+    fn handle_datagram(&mut self, now: ClockReading, bytes: &[u8]) {
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.handle_datagram(now.monotonic_ms, bytes);
+            self.apply_gossip_changes(now, changes);
+        }
+    }
+
+    /// Passes received health reports and changed members on to the parts that use them.
+    fn apply_gossip_changes(&mut self, now: ClockReading, changes: GossipChanges) {
+        if let Some(health) = &mut self.health {
+            for ReceivedReport { backend_id, report } in changes.reports {
+                health.apply_report(&backend_id, report, now.monotonic_ms);
+            }
+        }
+        if let Some(alive_names) = changes.alive_names {
+            self.scheduler.set_members(now, alive_names);
+        }
+    }
+
+    fn set_backends(&mut self, now: ClockReading, backends: Vec<Backend>) {
+        self.jobs.set_backends(backends);
+        let Some(health) = &mut self.health else { return };
+        health.set_backends(self.jobs.backend_ids());
+        if let Some(gossip) = &mut self.gossip {
+            gossip.retain_backends(|id| self.jobs.has_backend(id));
+        }
+        self.update_jobs(now);
+    }
+
     fn handle_store_response(&mut self, now: ClockReading, response: StoreResponse) {
         let mut actions = Vec::new();
         self.scheduler.handle_store_response(now, response, &mut actions);
@@ -172,13 +198,12 @@
         if std::mem::replace(&mut self.left, true) {
             return;
         }
-        if let Some(membership) = &mut self.membership {
-            let mut outputs = Vec::new();
-            membership.leave(now.monotonic_ms, &mut outputs);
-            self.handle_membership_outputs(now, outputs);
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.leave(now.monotonic_ms);
+            self.apply_gossip_changes(now, changes);
         }
         match self.scheduler.session().cloned() {
-            Some(session) => self.resources.store.end_session(session, done),
+            Some(session) => self.store.end_session(session, done),
             None => drop(done.try_send(())),
         }
     }
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -1,11 +1,10 @@
 //! Jobs: the scheduler's actions and the results of runs.
 
 use super::Coordinator;
-use crate::job_names;
 use crate::log_limiter::LogPermit;
 use crate::run_executor::{FinishedRun, PendingRun, RunOutcome, RunTask};
 use crate::settings::{HttpJob, Settings};
-use periodic_jobs::{Action, ClockReading, Config, Job, Run, StoreCall};
+use periodic_jobs::{Action, ClockReading, Config, Run, StoreCall};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -32,20 +31,15 @@
 
 impl Coordinator {
     pub(super) fn set_http_jobs(&mut self, jobs: Vec<HttpJob>) {
-        self.http_jobs = jobs.into_iter().map(|job| (job_names::http_job(&job.name), job)).collect();
-        self.update_jobs(self.resources.clocks.now());
+        self.jobs.set_http_jobs(jobs);
+        self.update_jobs(self.clocks.now());
     }
 
-    /// Passes the HTTP jobs and a health check per backend to the scheduler.
+    /// Passes the jobs to the scheduler, and removes the leases of other jobs from memory.
     pub(super) fn update_jobs(&mut self, now: ClockReading) {
-        let http_jobs =
-            self.http_jobs.iter().map(|(name, job)| Job { name: name.clone(), period: job.period });
-        let check_period = self.health.as_ref().map(|health| health.config().period);
-        let health_check =
-            |id: &String| Some(Job { name: job_names::health_check(id), period: check_period? });
-        let jobs: Vec<Job> = http_jobs.chain(self.backends.keys().filter_map(health_check)).collect();
+        let jobs = self.jobs.jobs();
         let names: BTreeSet<&str> = jobs.iter().map(|job| job.name.as_str()).collect();
-        self.resources.store.retain_local_jobs(|job| names.contains(job));
+        self.store.retain_local_jobs(|job| names.contains(job));
         self.scheduler.set_jobs(now, jobs);
     }
 
@@ -64,15 +58,15 @@
     /// Calls the store. Returns the actions that follow from a response that is available at once.
     fn call_store(&mut self, now: ClockReading, call: StoreCall) -> Vec<Action> {
         let mut actions = Vec::new();
-        if let Some(response) = self.resources.store.call(call) {
+        if let Some(response) = self.store.call(call) {
             self.scheduler.handle_store_response(now, response, &mut actions);
         }
         actions
     }
 
     fn start_run(&mut self, now: ClockReading, run: Run) {
-        let Some(task) = self.run_task(&run) else { return };
-        if let Err(PendingRun { run, .. }) = self.resources.runs.offer(PendingRun { run, task }) {
+        let Some(task) = self.jobs.task(&run) else { return };
+        if let Err(PendingRun { run, .. }) = self.runs.offer(PendingRun { run, task }) {
             self.run_counts.queue_full += 1;
             if let Some(LogPermit { suppressed }) = self.log_limiter.permit("queue full", now.monotonic_ms) {
                 tracing::info!(job = run.job, run = run.id.0, suppressed, "run missed, no worker was free");
@@ -80,21 +74,6 @@
         }
     }
 
-    /// Returns the task of a run. Returns `None` if its job or backend was removed.
-    fn run_task(&self, run: &Run) -> Option<RunTask> {
-        if let Some(job) = self.http_jobs.get(&run.job) {
-            return Some(RunTask::HttpCall { url: job.url.clone(), timeout: job.timeout });
-        }
-        let checks = self.settings.health_checks.as_ref()?;
-        let backend_id = job_names::checked_backend(&run.job)?;
-        Some(RunTask::HealthCheck {
-            backend_id: backend_id.to_owned(),
-            address: *self.backends.get(backend_id)?,
-            path: checks.path.clone(),
-            timeout: checks.timeout,
-        })
-    }
-
     pub(super) fn handle_finished_run(&mut self, now: ClockReading, finished: &FinishedRun) {
         let FinishedRun { run, task, outcome } = finished;
         match outcome {
@@ -113,4 +92,17 @@
             }
         }
     }
+
+    /// Records the result of a health check and disseminates its report.
+    fn handle_health_check(&mut self, now: ClockReading, backend_id: &str, finished: &FinishedRun) {
+        let Some(health) = &mut self.health else { return };
+        let Some(report) = health.record_check(backend_id, finished, now.monotonic_ms) else { return };
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.broadcast_report(now.monotonic_ms, &finished.run.job, &report);
+            self.apply_gossip_changes(now, changes);
+        }
+        if let Some(health) = &mut self.health {
+            health.update_ejections(now.monotonic_ms);
+        }
+    }
 }
--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -1,8 +1,9 @@
 //! The status text for operators. Its wording is documented in docs/operate/periodic-jobs.md.
 
 use super::{Coordinator, RunCounts};
+use crate::gossip_node::GossipNode;
 use health_check::{BackendHealth, HealthStatus};
-use membership::{MemberStatus, Membership};
+use membership::MemberStatus;
 use periodic_jobs::{ClockReading, JobStatus};
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -10,10 +11,10 @@
 impl Coordinator {
     pub(super) fn status(&self, now: ClockReading) -> String {
         let mut out = String::from("cluster\n");
-        match &self.membership {
-            Some(membership) => self.write_members(membership, &mut out),
+        match &self.gossip {
+            Some(gossip) => self.write_members(gossip, &mut out),
             None => {
-                let _ = writeln!(out, "  {}  alone", self.settings.instance);
+                let _ = writeln!(out, "  {}  alone", self.instance);
             }
         }
         self.write_jobs(now, &mut out);
@@ -21,8 +22,8 @@
         out
     }
 
-    fn write_members(&self, membership: &Membership, out: &mut String) {
-        let counts = membership.counts();
+    fn write_members(&self, gossip: &GossipNode, out: &mut String) {
+        let counts = gossip.counts();
         let _ = writeln!(
             out,
             "  gossip sent {} ({} bytes)  taken {}  wrong key {}  unusable {}  no room {}",
@@ -31,10 +32,10 @@
             counts.datagrams_accepted,
             counts.authentication_failures,
             counts.malformed,
-            counts.over_capacity + self.resources.dropped_datagrams.load(Ordering::Relaxed)
+            counts.over_capacity + self.dropped_datagrams.load(Ordering::Relaxed)
         );
-        let _ = writeln!(out, "  {}  this instance", self.settings.instance);
-        for MemberStatus { member, alive } in membership.members() {
+        let _ = writeln!(out, "  {}  this instance", self.instance);
+        for MemberStatus { member, alive } in gossip.members() {
             let state = if alive { "alive" } else { "down" };
             let _ =
                 writeln!(out, "  {}  {}  {state}  since {}", member.name, member.address, member.generation);
--- /dev/null
+++ b/crates/cluster/src/gossip_node.rs
@@ -0,0 +1,193 @@
+//! Gossip over UDP: the members of the cluster and the dissemination of health reports.
+
+use crate::job_names;
+use crate::log_limiter::{LogLimiter, LogPermit};
+use crate::settings::Gossip;
+use health_check::HealthReport;
+use membership::authentication::Keyring;
+use membership::{Counts, Member, MemberStatus, Membership, Output};
+use std::net::UdpSocket;
+use std::sync::Arc;
+
+/// The maximum number of members.
+const MAX_MEMBERS: usize = 1_024;
+/// The maximum number of broadcast topics, one per backend.
+const MAX_TOPICS: usize = 16_384;
+/// Gossip periods between two probes.
+const PROBE_GOSSIP_PERIODS: u32 = 4;
+/// Gossip periods between two join attempts.
+const JOIN_GOSSIP_PERIODS: u32 = 10;
+
+/// A health report received from another member.
+#[derive(Debug)]
+pub(crate) struct ReceivedReport {
+    pub(crate) backend_id: String,
+    pub(crate) report: HealthReport,
+}
+
+/// The changes that follow from a gossip event.
+#[derive(Debug, Default)]
+pub(crate) struct GossipChanges {
+    pub(crate) reports: Vec<ReceivedReport>,
+    /// The names of the live members if they have changed.
+    pub(crate) alive_names: Option<Vec<String>>,
+}
+
+/// This instance's membership and its socket.
+///
+/// `now_ms` is a reading of the monotonic clock.
+pub(crate) struct GossipNode {
+    membership: Membership,
+    socket: Arc<UdpSocket>,
+    log_limiter: LogLimiter,
+    authentication_failures: u64,
+    duplicate_names: Vec<String>,
+}
+
+impl GossipNode {
+    /// Creates the node of an instance that starts at this moment.
+    pub(crate) fn new(gossip: &Gossip, instance: &str, start_unix_ms: u64, socket: Arc<UdpSocket>) -> Self {
+        let config = membership_config(gossip, instance, start_unix_ms);
+        Self {
+            membership: Membership::new(config, gossip.keyring.clone()),
+            socket,
+            log_limiter: LogLimiter::default(),
+            authentication_failures: 0,
+            duplicate_names: Vec::new(),
+        }
+    }
+
+    /// Returns the moment at which [`GossipNode::tick`] must be called next.
+    pub(crate) fn next_tick_ms(&self) -> u64 {
+        self.membership.next_tick_ms()
+    }
+
+    /// Returns the counters of gossip.
+    pub(crate) fn counts(&self) -> Counts {
+        self.membership.counts()
+    }
+
+    /// Returns all known members, excluding this instance.
+    pub(crate) fn members(&self) -> Vec<MemberStatus> {
+        self.membership.members()
+    }
+
+    /// Replaces the keys that authenticate datagrams.
+    pub(crate) fn set_keyring(&mut self, keyring: Keyring) {
+        self.membership.set_keyring(keyring);
+    }
+
+    /// Removes the topics of the backends for which `keep` returns false.
+    pub(crate) fn retain_backends(&mut self, keep: impl Fn(&str) -> bool) {
+        self.membership.retain_topics(|topic| job_names::checked_backend(topic).is_some_and(&keep));
+    }
+
+    /// Runs the timers that are due.
+    pub(crate) fn tick(&mut self, now_ms: u64) -> GossipChanges {
+        let mut outputs = Vec::new();
+        self.membership.tick(now_ms, &mut outputs);
+        self.apply_outputs(now_ms, outputs)
+    }
+
+    /// Handles a received datagram.
+    pub(crate) fn handle_datagram(&mut self, now_ms: u64, bytes: &[u8]) -> GossipChanges {
+        let mut outputs = Vec::new();
+        self.membership.handle_datagram(now_ms, bytes, &mut outputs);
+        self.log_authentication_failures(now_ms);
+        self.apply_outputs(now_ms, outputs)
+    }
+
+    /// Disseminates a report of the health check with this job name.
+    pub(crate) fn broadcast_report(
+        &mut self,
+        now_ms: u64,
+        job: &str,
+        report: &HealthReport,
+    ) -> GossipChanges {
+        let version = report.scheduled_unix_ms;
+        let mut outputs = Vec::new();
+        self.membership.broadcast(now_ms, job, version, &report.encode(), &mut outputs);
+        self.apply_outputs(now_ms, outputs)
+    }
+
+    /// Announces to the cluster that this instance leaves.
+    pub(crate) fn leave(&mut self, now_ms: u64) -> GossipChanges {
+        let mut outputs = Vec::new();
+        self.membership.leave(now_ms, &mut outputs);
+        self.apply_outputs(now_ms, outputs)
+    }
+
+    /// Sends the datagrams among the outputs and collects the changes.
+    fn apply_outputs(&mut self, now_ms: u64, outputs: Vec<Output>) -> GossipChanges {
+        let mut changes = GossipChanges::default();
+        let mut members_changed = false;
+        for output in outputs {
+            match output {
+                Output::SendDatagram { to, bytes } => {
+                    // SWIM tolerates lost datagrams, so a failed send needs no handling.
+                    let _ = self.socket.send_to(&bytes, to);
+                }
+                Output::MembersChanged => members_changed = true,
+                Output::Broadcast { topic, body, .. } => changes.reports.extend(decode_report(&topic, &body)),
+                Output::Rejoined { .. } => self.log_rejoin(now_ms),
+            }
+        }
+        if members_changed {
+            let alive_names = self.membership.alive_names();
+            self.log_members(&alive_names);
+            changes.alive_names = Some(alive_names);
+        }
+        changes
+    }
+
+    fn log_authentication_failures(&mut self, now_ms: u64) {
+        let failures = self.membership.counts().authentication_failures;
+        if failures <= self.authentication_failures {
+            return;
+        }
+        self.authentication_failures = failures;
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("authentication", now_ms) {
+            tracing::warn!(count = failures, suppressed, "datagram dropped, message authentication failed");
+        }
+    }
+
+    fn log_rejoin(&mut self, now_ms: u64) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("rejoined", now_ms) {
+            tracing::warn!(suppressed, "declared dead by other members, rejoined");
+        }
+    }
+
+    fn log_members(&mut self, alive_names: &[String]) {
+        let (count, names) = (alive_names.len(), alive_names.join(" "));
+        tracing::info!(count, names, "members alive");
+        let duplicate_names = self.membership.duplicate_names();
+        if duplicate_names != self.duplicate_names && !duplicate_names.is_empty() {
+            let names = duplicate_names.join(" ");
+            tracing::warn!(names, "several members have one name");
+        }
+        self.duplicate_names = duplicate_names;
+    }
+}
+
+fn membership_config(gossip: &Gossip, instance: &str, start_unix_ms: u64) -> membership::Config {
+    let local_member =
+        Member { address: gossip.advertise, name: instance.to_owned(), generation: start_unix_ms };
+    membership::Config {
+        local_member,
+        seed_peers: gossip.peers.clone(),
+        probe_period: gossip.period * PROBE_GOSSIP_PERIODS,
+        probe_timeout: gossip.period,
+        suspicion_timeout: gossip.suspicion_timeout,
+        gossip_period: gossip.period,
+        join_period: gossip.period * JOIN_GOSSIP_PERIODS,
+        max_members: MAX_MEMBERS,
+        max_topics: MAX_TOPICS,
+        rng_seed: rand::random(),
+    }
+}
+
+/// Decodes a broadcast. Returns `None` for topics other than health checks, and for malformed reports.
+fn decode_report(topic: &str, body: &[u8]) -> Option<ReceivedReport> {
+    let backend_id = job_names::checked_backend(topic)?.to_owned();
+    Some(ReceivedReport { backend_id, report: HealthReport::decode(body)? })
+}
--- a/crates/cluster/src/handle.rs
+++ b/crates/cluster/src/handle.rs
@@ -1,8 +1,9 @@
 //! The program's handle to the cluster.
 
 use crate::clocks::Clocks;
-use crate::coordinator::{Coordinator, OnEjectionChange, Resources};
+use crate::coordinator::{Coordinator, Resources};
 use crate::event::Event;
+use crate::health_monitor::OnEjectionChange;
 use crate::settings::{Backend, HttpJob, Settings};
 use crate::store_client::StoreClient;
 use crate::{ClusterError, gossip_receiver, run_executor};
@@ -43,8 +44,8 @@
         let clocks = Clocks::new(clock_offset_ms.clone());
         let (events, receiver) = sync_channel(EVENT_QUEUE_CAPACITY);
         let dropped_datagrams = Arc::new(AtomicU64::new(0));
-        let socket = bind_gossip(&settings)?;
-        if let Some(socket) = &socket {
+        let gossip_socket = bind_gossip(&settings)?;
+        if let Some(socket) = &gossip_socket {
             gossip_receiver::start(socket.clone(), events.clone(), dropped_datagrams.clone());
         }
         let responses = events.clone();
@@ -56,7 +57,8 @@
         let runs = run_executor::start(&settings.instance, threads, clocks.clone(), move |finished| {
             let _ = finished_runs.send(Event::RunFinished(finished));
         });
-        let resources = Resources { clocks, socket, store, runs, dropped_datagrams, on_ejection_change };
+        let resources =
+            Resources { clocks, gossip_socket, store, runs, dropped_datagrams, on_ejection_change };
         let coordinator = Coordinator::new(settings, resources);
         thread::Builder::new()
             .name(COORDINATOR_THREAD.into())
