--- a/crates/cluster/src/clocks.rs
+++ b/crates/cluster/src/clocks.rs
@@ -1,6 +1,6 @@
 //! The clocks of this instance.
 
-use periodic_jobs::ClockReading;
+use periodic_jobs::{ClockReading, MonotonicTime, UnixTime};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -20,9 +20,11 @@
     /// Reads both clocks.
     pub(crate) fn now(&self) -> ClockReading {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_ms = (unix.as_millis() as u64).saturating_add_signed(self.offset_ms.load(Ordering::Relaxed));
+        let monotonic_ms = self.start.elapsed().as_millis() as u64;
         ClockReading {
-            unix_ms: (unix.as_millis() as u64).saturating_add_signed(self.offset_ms.load(Ordering::Relaxed)),
-            monotonic_ms: self.start.elapsed().as_millis() as u64,
+            unix: UnixTime::from_millis(unix_ms),
+            monotonic: MonotonicTime::from_millis(monotonic_ms),
         }
     }
 }
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -14,19 +14,19 @@
 use crate::settings::{Backend, HttpJob, Settings};
 use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
-use periodic_jobs::{ClockReading, Scheduler, StoreResponse};
+use periodic_jobs::{ClockReading, MonotonicTime, Scheduler, StoreResponse};
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
 
-/// The maximum time between two ticks in milliseconds, which bounds the delay in detecting stale health reports.
-const MAX_TICK_INTERVAL_MS: u64 = 100;
+/// The maximum time between two ticks, which bounds the delay in detecting stale health reports.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum number of events handled between two ticks, beyond the first.
 const MAX_EVENT_BATCH: usize = 256;
-/// Milliseconds after the start from which datagrams are ignored in a build with the seeded fault `agreed`.
-const SEEDED_FAULT_AFTER_MS: u64 = 6_000;
+/// The moment from which datagrams are ignored in a build with the seeded fault `agreed`.
+const SEEDED_FAULT_AFTER: MonotonicTime = MonotonicTime::from_millis(6_000);
 
 /// The clocks, the socket, the worker pools and the callback that the coordinator uses.
 pub(crate) struct Resources {
@@ -69,7 +69,7 @@
     pub(crate) fn new(settings: Settings, resources: Resources) -> Self {
         let Resources { clocks, gossip_socket, store, runs, dropped_datagrams, on_ejection_change } =
             resources;
-        let start_unix_ms = clocks.now().unix_ms;
+        let start_unix_ms = clocks.now().unix.as_millis();
         let scheduler = Scheduler::new(jobs::scheduler_config(&settings, start_unix_ms));
         let gossip = settings.gossip.zip(gossip_socket);
         let gossip = gossip
@@ -109,19 +109,17 @@
 
     fn time_to_next_tick(&self) -> Duration {
         let now = self.clocks.now();
-        let jobs_due_unix_ms = self.scheduler.next_tick_unix_ms();
-        let until_jobs_ms = jobs_due_unix_ms.map(|due_unix_ms| due_unix_ms.saturating_sub(now.unix_ms));
-        let gossip_due_ms = self.gossip.as_ref().map(GossipNode::next_tick_ms);
-        let until_gossip_ms = gossip_due_ms.map(|due_ms| due_ms.saturating_sub(now.monotonic_ms));
-        let until_due_ms = until_jobs_ms.into_iter().chain(until_gossip_ms).min();
-        Duration::from_millis(until_due_ms.unwrap_or(MAX_TICK_INTERVAL_MS).min(MAX_TICK_INTERVAL_MS))
+        let until_jobs = self.scheduler.next_tick().map(|due| due.saturating_since(now.unix));
+        let gossip_due = self.gossip.as_ref().map(GossipNode::next_tick);
+        let until_gossip = gossip_due.map(|due| due.saturating_since(now.monotonic));
+        until_jobs.into_iter().chain(until_gossip).fold(MAX_TICK_INTERVAL, Duration::min)
     }
 
     /// Runs the timers that are due in gossip, jobs and health checks.
     fn tick(&mut self) {
         let now = self.clocks.now();
         if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.tick(now.monotonic_ms);
+            let changes = gossip.tick(now.monotonic);
             self.apply_gossip_changes(now, changes);
         }
         if !self.left {
@@ -130,7 +128,7 @@
             self.apply_actions(now, actions);
         }
         if let Some(health) = &mut self.health {
-            health.update_ejections(now.monotonic_ms);
+            health.update_ejections(now.monotonic);
         }
     }
 
@@ -138,7 +136,7 @@
         let now = self.clocks.now();
         match event {
             Event::DatagramReceived(_)
-                if seeded_faults::is_active("agreed") && now.monotonic_ms > SEEDED_FAULT_AFTER_MS => {}
+                if seeded_faults::is_active("agreed") && now.monotonic > SEEDED_FAULT_AFTER => {}
             Event::DatagramReceived(bytes) => self.handle_datagram(now, &bytes),
             Event::StoreResponded(response) => self.handle_store_response(now, response),
             Event::RunFinished(finished) => self.handle_finished_run(now, &finished),
@@ -158,7 +156,7 @@
 
     fn handle_datagram(&mut self, now: ClockReading, bytes: &[u8]) {
         if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.handle_datagram(now.monotonic_ms, bytes);
+            let changes = gossip.handle_datagram(now.monotonic, bytes);
             self.apply_gossip_changes(now, changes);
         }
     }
@@ -167,7 +165,7 @@
     fn apply_gossip_changes(&mut self, now: ClockReading, changes: GossipChanges) {
         if let Some(health) = &mut self.health {
             for ReceivedReport { backend_id, report } in changes.reports {
-                health.apply_report(&backend_id, report, now.monotonic_ms);
+                health.apply_report(&backend_id, report, now.monotonic);
             }
         }
         if let Some(alive_names) = changes.alive_names {
@@ -199,7 +197,7 @@
             return;
         }
         if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.leave(now.monotonic_ms);
+            let changes = gossip.leave(now.monotonic);
             self.apply_gossip_changes(now, changes);
         }
         match self.scheduler.session().cloned() {
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -68,7 +68,7 @@
         let Some(task) = self.jobs.task(&run) else { return };
         if let Err(PendingRun { run, .. }) = self.runs.offer(PendingRun { run, task }) {
             self.run_counts.queue_full += 1;
-            if let Some(LogPermit { suppressed }) = self.log_limiter.permit("queue full", now.monotonic_ms) {
+            if let Some(LogPermit { suppressed }) = self.log_limiter.permit("queue full", now.monotonic) {
                 tracing::info!(job = run.job, run = run.id.0, suppressed, "run missed, no worker was free");
             }
         }
@@ -85,7 +85,7 @@
             RunTask::HealthCheck { backend_id, .. } => self.handle_health_check(now, backend_id, finished),
             RunTask::HttpCall { .. } if outcome.is_success() => {}
             RunTask::HttpCall { .. } => {
-                if let Some(LogPermit { suppressed }) = self.log_limiter.permit("call", now.monotonic_ms) {
+                if let Some(LogPermit { suppressed }) = self.log_limiter.permit("call", now.monotonic) {
                     let reason = outcome.reason();
                     tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
                 }
@@ -96,13 +96,15 @@
     /// Records the result of a health check and disseminates its report.
     fn handle_health_check(&mut self, now: ClockReading, backend_id: &str, finished: &FinishedRun) {
         let Some(health) = &mut self.health else { return };
-        let Some(report) = health.record_check(backend_id, finished, now.monotonic_ms) else { return };
+        let Some(report) = health.record_check(backend_id, finished, now.monotonic) else {
+            return;
+        };
         if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.broadcast_report(now.monotonic_ms, &finished.run.job, &report);
+            let changes = gossip.broadcast_report(now.monotonic, &finished.run.job, &report);
             self.apply_gossip_changes(now, changes);
         }
         if let Some(health) = &mut self.health {
-            health.update_ejections(now.monotonic_ms);
+            health.update_ejections(now.monotonic);
         }
     }
 }
--- a/crates/cluster/src/coordinator/notices.rs
+++ b/crates/cluster/src/coordinator/notices.rs
@@ -20,7 +20,7 @@
 
 impl Coordinator {
     pub(super) fn log_notice(&mut self, now: ClockReading, notice: &Notice) {
-        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind(notice), now.monotonic_ms) else {
+        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind(notice), now.monotonic) else {
             return;
         };
         match notice {
--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -66,7 +66,7 @@
     fn write_health(&self, now: ClockReading, out: &mut String) {
         let Some(health) = &self.health else { return };
         out.push_str("probes\n");
-        for (id, BackendHealth { status, report_age }) in health.health(now.monotonic_ms) {
+        for (id, BackendHealth { status, report_age }) in health.health(now.monotonic) {
             let status = match status {
                 HealthStatus::Unknown => "unknown, by its traffic alone",
                 HealthStatus::Healthy => "well",
@@ -83,7 +83,7 @@
     match &status.last_run {
         Some(last) if last.holder.is_empty() => format!("begins after round {}", last.run),
         Some(last) => {
-            let age_ms = now.unix_ms.saturating_sub(last.run.scheduled_unix_ms());
+            let age_ms = now.unix.saturating_since(last.run.into()).as_millis();
             format!("last round {} by {}, {age_ms} ms ago", last.run, last.holder)
         }
         None => "no round seen".into(),
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -6,6 +6,7 @@
 use health_check::HealthReport;
 use membership::authentication::Keyring;
 use membership::{Counts, Member, MemberStatus, Membership, Output};
+use periodic_jobs::MonotonicTime;
 use std::net::UdpSocket;
 use std::sync::Arc;
 
@@ -34,8 +35,6 @@
 }
 
 /// This instance's membership and its socket.
-///
-/// `now_ms` is a reading of the monotonic clock.
 pub(crate) struct GossipNode {
     membership: Membership,
     socket: Arc<UdpSocket>,
@@ -58,8 +57,8 @@
     }
 
     /// Returns the moment at which [`GossipNode::tick`] must be called next.
-    pub(crate) fn next_tick_ms(&self) -> u64 {
-        self.membership.next_tick_ms()
+    pub(crate) fn next_tick(&self) -> MonotonicTime {
+        MonotonicTime::from_millis(self.membership.next_tick_ms())
     }
 
     /// Returns the counters of gossip.
@@ -83,42 +82,42 @@
     }
 
     /// Runs the timers that are due.
-    pub(crate) fn tick(&mut self, now_ms: u64) -> GossipChanges {
+    pub(crate) fn tick(&mut self, now: MonotonicTime) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.tick(now_ms, &mut outputs);
-        self.apply_outputs(now_ms, outputs)
+        self.membership.tick(now.as_millis(), &mut outputs);
+        self.apply_outputs(now, outputs)
     }
 
     /// Handles a received datagram.
-    pub(crate) fn handle_datagram(&mut self, now_ms: u64, bytes: &[u8]) -> GossipChanges {
+    pub(crate) fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8]) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.handle_datagram(now_ms, bytes, &mut outputs);
-        self.log_authentication_failures(now_ms);
-        self.apply_outputs(now_ms, outputs)
+        self.membership.handle_datagram(now.as_millis(), bytes, &mut outputs);
+        self.log_authentication_failures(now);
+        self.apply_outputs(now, outputs)
     }
 
     /// Disseminates a report of the health check with this job name.
     pub(crate) fn broadcast_report(
         &mut self,
-        now_ms: u64,
+        now: MonotonicTime,
         job: &str,
         report: &HealthReport,
     ) -> GossipChanges {
         let version = report.scheduled_unix_ms;
         let mut outputs = Vec::new();
-        self.membership.broadcast(now_ms, job, version, &report.encode(), &mut outputs);
-        self.apply_outputs(now_ms, outputs)
+        self.membership.broadcast(now.as_millis(), job, version, &report.encode(), &mut outputs);
+        self.apply_outputs(now, outputs)
     }
 
     /// Announces to the cluster that this instance leaves.
-    pub(crate) fn leave(&mut self, now_ms: u64) -> GossipChanges {
+    pub(crate) fn leave(&mut self, now: MonotonicTime) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.leave(now_ms, &mut outputs);
-        self.apply_outputs(now_ms, outputs)
+        self.membership.leave(now.as_millis(), &mut outputs);
+        self.apply_outputs(now, outputs)
     }
 
     /// Sends the datagrams among the outputs and collects the changes.
-    fn apply_outputs(&mut self, now_ms: u64, outputs: Vec<Output>) -> GossipChanges {
+    fn apply_outputs(&mut self, now: MonotonicTime, outputs: Vec<Output>) -> GossipChanges {
         let mut changes = GossipChanges::default();
         let mut members_changed = false;
         for output in outputs {
@@ -129,7 +128,7 @@
                 }
                 Output::MembersChanged => members_changed = true,
                 Output::Broadcast { topic, body, .. } => changes.reports.extend(decode_report(&topic, &body)),
-                Output::Rejoined { .. } => self.log_rejoin(now_ms),
+                Output::Rejoined { .. } => self.log_rejoin(now),
             }
         }
         if members_changed {
@@ -140,19 +139,19 @@
         changes
     }
 
-    fn log_authentication_failures(&mut self, now_ms: u64) {
+    fn log_authentication_failures(&mut self, now: MonotonicTime) {
         let failures = self.membership.counts().authentication_failures;
         if failures <= self.authentication_failures {
             return;
         }
         self.authentication_failures = failures;
-        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("authentication", now_ms) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("authentication", now) {
             tracing::warn!(count = failures, suppressed, "datagram dropped, message authentication failed");
         }
     }
 
-    fn log_rejoin(&mut self, now_ms: u64) {
-        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("rejoined", now_ms) {
+    fn log_rejoin(&mut self, now: MonotonicTime) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("rejoined", now) {
             tracing::warn!(suppressed, "declared dead by other members, rejoined");
         }
     }
--- a/crates/cluster/src/health_monitor.rs
+++ b/crates/cluster/src/health_monitor.rs
@@ -2,14 +2,13 @@
 
 use crate::run_executor::{FinishedRun, RunOutcome};
 use health_check::{BackendHealth, HealthReport, HealthStatus, HealthTracker};
+use periodic_jobs::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A callback that receives the ids of the backends ejected by health checks whenever the set changes.
 pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
 
 /// Tracks the health reports of the backends and notifies the program when the set of ejected backends changes.
-///
-/// `now_ms` is a reading of the monotonic clock.
 pub(crate) struct HealthMonitor {
     tracker: HealthTracker,
     ejected: BTreeSet<String>,
@@ -28,13 +27,13 @@
     }
 
     /// Returns the health of each backend.
-    pub(crate) fn health(&self, now_ms: u64) -> BTreeMap<&str, BackendHealth> {
-        self.tracker.health(now_ms)
+    pub(crate) fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
+        self.tracker.health(now.as_millis())
     }
 
     /// Applies the report of another instance.
-    pub(crate) fn apply_report(&mut self, backend_id: &str, report: HealthReport, now_ms: u64) {
-        self.tracker.apply_report(backend_id, report, now_ms);
+    pub(crate) fn apply_report(&mut self, backend_id: &str, report: HealthReport, now: MonotonicTime) {
+        self.tracker.apply_report(backend_id, report, now.as_millis());
     }
 
     /// Records the result of a check made by this instance. Returns the report to disseminate, or `None` if the check was
@@ -43,7 +42,7 @@
         &mut self,
         backend_id: &str,
         finished: &FinishedRun,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Option<HealthReport> {
         let FinishedRun { run, outcome, .. } = finished;
         if *outcome == RunOutcome::DeadlinePassed {
@@ -51,7 +50,7 @@
         }
         let passed = outcome.is_success();
         let scheduled_unix_ms = run.id.scheduled_unix_ms();
-        let report = self.tracker.record_check(backend_id, scheduled_unix_ms, passed, now_ms)?;
+        let report = self.tracker.record_check(backend_id, scheduled_unix_ms, passed, now.as_millis())?;
         if report.has_changed() && report.failing {
             tracing::warn!(backend = backend_id, reason = %outcome.reason(), "health check failing");
         } else if report.has_changed() && report.contrary_results == 0 && passed {
@@ -61,18 +60,18 @@
     }
 
     /// Notifies the program if the set of ejected backends has changed.
-    pub(crate) fn update_ejections(&mut self, now_ms: u64) {
-        let ejected: BTreeSet<String> = self.tracker.ejected(now_ms).into_iter().collect();
+    pub(crate) fn update_ejections(&mut self, now: MonotonicTime) {
+        let ejected: BTreeSet<String> = self.tracker.ejected(now.as_millis()).into_iter().collect();
         if ejected == self.ejected {
             return;
         }
-        self.log_ejections(&ejected, now_ms);
+        self.log_ejections(&ejected, now);
         (self.on_ejection_change)(&ejected);
         self.ejected = ejected;
     }
 
-    fn log_ejections(&self, ejected: &BTreeSet<String>, now_ms: u64) {
-        let health = self.tracker.health(now_ms);
+    fn log_ejections(&self, ejected: &BTreeSet<String>, now: MonotonicTime) {
+        let health = self.tracker.health(now.as_millis());
         tracing::info!(
             count = ejected.len(),
             listed = health.len(),
--- a/crates/cluster/src/health_monitor/tests.rs
+++ b/crates/cluster/src/health_monitor/tests.rs
@@ -3,10 +3,12 @@
 use super::*;
 use crate::run_executor::RunTask;
 use job_lease::RunId;
-use periodic_jobs::{ClockReading, Run};
+use periodic_jobs::{ClockReading, MonotonicTime, Run, UnixTime};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
+const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
+
 /// A monitor of two backends that ejects one after a failed check, and the sets that it notifies.
 fn monitor() -> (HealthMonitor, Receiver<BTreeSet<String>>) {
     let config = health_check::Config {
@@ -23,7 +25,7 @@
 }
 
 fn finished_check(run: u64, outcome: RunOutcome) -> FinishedRun {
-    let deadline = ClockReading { unix_ms: 0, monotonic_ms: 0 };
+    let deadline = ClockReading { unix: UnixTime::default(), monotonic: MonotonicTime::default() };
     FinishedRun {
         run: Run { job: "probe/a".into(), id: RunId(run), deadline },
         task: RunTask::HealthCheck {
@@ -39,12 +41,12 @@
 #[test]
 fn each_change_of_the_ejected_backends_is_notified_once() {
     let (mut monitor, notified) = monitor();
-    monitor.update_ejections(0);
-    assert!(monitor.record_check("a", &finished_check(1, RunOutcome::Status(503)), 0).is_some());
-    monitor.update_ejections(0);
-    monitor.update_ejections(0);
-    assert!(monitor.record_check("a", &finished_check(2, RunOutcome::Status(200)), 0).is_some());
-    monitor.update_ejections(0);
+    monitor.update_ejections(NOW);
+    assert!(monitor.record_check("a", &finished_check(1, RunOutcome::Status(503)), NOW).is_some());
+    monitor.update_ejections(NOW);
+    monitor.update_ejections(NOW);
+    assert!(monitor.record_check("a", &finished_check(2, RunOutcome::Status(200)), NOW).is_some());
+    monitor.update_ejections(NOW);
     let sets: Vec<BTreeSet<String>> = notified.try_iter().collect();
     assert_eq!(sets, [BTreeSet::from(["a".to_owned()]), BTreeSet::new()]);
 }
@@ -52,7 +54,7 @@
 #[test]
 fn a_check_that_was_not_made_or_is_outdated_gives_no_report() {
     let (mut monitor, _notified) = monitor();
-    assert!(monitor.record_check("a", &finished_check(2, RunOutcome::DeadlinePassed), 0).is_none());
-    assert!(monitor.record_check("a", &finished_check(2, RunOutcome::Status(200)), 0).is_some());
-    assert!(monitor.record_check("a", &finished_check(1, RunOutcome::Status(503)), 0).is_none());
+    assert!(monitor.record_check("a", &finished_check(2, RunOutcome::DeadlinePassed), NOW).is_none());
+    assert!(monitor.record_check("a", &finished_check(2, RunOutcome::Status(200)), NOW).is_some());
+    assert!(monitor.record_check("a", &finished_check(1, RunOutcome::Status(503)), NOW).is_none());
 }
--- a/crates/cluster/src/job_table/tests.rs
+++ b/crates/cluster/src/job_table/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use job_lease::RunId;
-use periodic_jobs::ClockReading;
+use periodic_jobs::{ClockReading, MonotonicTime, UnixTime};
 use std::time::Duration;
 
 fn http_job() -> HttpJob {
@@ -35,7 +35,7 @@
 }
 
 fn run(job: &str) -> Run {
-    let deadline = ClockReading { unix_ms: 0, monotonic_ms: 0 };
+    let deadline = ClockReading { unix: UnixTime::default(), monotonic: MonotonicTime::default() };
     Run { job: job.into(), id: RunId(1), deadline }
 }
 
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,14 +1,16 @@
 //! Rate-limited logging: at most one event of each kind per second, with the number of suppressed events.
 
+use periodic_jobs::MonotonicTime;
 use std::collections::HashMap;
+use std::time::Duration;
 
-/// The minimum time between two logged events of a kind in milliseconds.
-const INTERVAL_MS: u64 = 1_000;
+/// The minimum time between two logged events of a kind.
+const INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct KindState {
     /// The moment from which the next event is logged.
-    next_ms: u64,
+    next: MonotonicTime,
     suppressed: u64,
 }
 
@@ -27,13 +29,13 @@
 
 impl LogLimiter {
     /// Permits an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
-    pub(crate) fn permit(&mut self, kind: &'static str, now_ms: u64) -> Option<LogPermit> {
+    pub(crate) fn permit(&mut self, kind: &'static str, now: MonotonicTime) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
-        if now_ms < state.next_ms {
+        if now < state.next {
             state.suppressed += 1;
             return None;
         }
-        state.next_ms = now_ms + INTERVAL_MS;
+        state.next = now + INTERVAL;
         let suppressed = std::mem::take(&mut state.suppressed);
         Some(LogPermit { suppressed: (suppressed > 0).then_some(suppressed) })
     }
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -122,7 +122,7 @@
             .header("Snowfield-By", &self.instance)
             .header("Snowfield-Duty", job_names::configured_name(&run.job))
             .header("Snowfield-Round", run.id.to_string())
-            .header("Snowfield-Before", run.deadline.unix_ms.to_string())
+            .header("Snowfield-Before", run.deadline.unix.as_millis().to_string())
             .send_empty()
     }
 
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::network;
 use membership::authentication::Keyring;
 use membership::{Member, Membership, Output};
-use periodic_jobs::{Action, ClockReading, Config, Job, Scheduler};
+use periodic_jobs::{Action, ClockReading, Config, Job, MonotonicTime, Scheduler, UnixTime};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::VecDeque;
@@ -61,8 +61,7 @@
             Keyring::parse(&KEY_BYTE.repeat(KEY_BYTES)).expect("a constant key"),
         );
         let mut scheduler = Scheduler::new(scheduler_config(number, config, rng.random()));
-        let now =
-            ClockReading { unix_ms: unix_ms.saturating_add_signed(clock_offset_ms), monotonic_ms: now_ms };
+        let now = clock_reading(now_ms, clock_offset_ms);
         let job = |job| Job { name: job_name(job), period: Duration::from_millis(config.period_ms) };
         scheduler.set_jobs(now, (0..config.jobs).map(job).collect());
         Self {
@@ -80,10 +79,7 @@
 
     /// Reads the clocks of the instance at this moment.
     pub(crate) fn clocks(&self, now_ms: u64) -> ClockReading {
-        ClockReading {
-            unix_ms: (START_UNIX_MS + now_ms).saturating_add_signed(self.clock_offset_ms),
-            monotonic_ms: now_ms,
-        }
+        clock_reading(now_ms, self.clock_offset_ms)
     }
 
     /// Pauses the instance.
@@ -107,10 +103,10 @@
         }
         let mut effects = Effects::default();
         match event {
-            Event::Tick { .. } if self.next_tick_ms > now.monotonic_ms => return None,
+            Event::Tick { .. } if self.next_tick_ms > now.monotonic.as_millis() => return None,
             Event::Tick { .. } => self.tick(now, &mut effects),
             Event::Datagram { bytes, .. } => {
-                self.membership.handle_datagram(now.monotonic_ms, &bytes, &mut effects.outputs);
+                self.membership.handle_datagram(now.monotonic.as_millis(), &bytes, &mut effects.outputs);
             }
             Event::StoreResponse { incarnation, response, .. } if incarnation == self.incarnation => {
                 self.scheduler.handle_store_response(now, response, &mut effects.actions);
@@ -124,7 +120,7 @@
     fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
         // No tick is pending. At the start of the simulation 0 would count as a pending tick.
         self.next_tick_ms = u64::MAX;
-        self.membership.tick(now.monotonic_ms, &mut effects.outputs);
+        self.membership.tick(now.monotonic.as_millis(), &mut effects.outputs);
         // Without jobs the scheduler does not need the members.
         if std::mem::take(&mut self.members_changed) && self.has_jobs {
             self.scheduler.set_members(now, self.membership.alive_names());
@@ -134,12 +130,19 @@
 
     /// Returns the moment at which the instance needs its next tick.
     pub(crate) fn next_due_ms(&self, now: ClockReading) -> u64 {
-        let to_monotonic_ms = |unix_ms: u64| now.monotonic_ms + unix_ms.saturating_sub(now.unix_ms);
-        let jobs_due_ms = self.scheduler.next_tick_unix_ms().map_or(u64::MAX, to_monotonic_ms);
+        let to_monotonic = |due: UnixTime| now.monotonic + due.saturating_since(now.unix);
+        let jobs_due = self.scheduler.next_tick().map(to_monotonic);
+        let jobs_due_ms = jobs_due.map_or(u64::MAX, MonotonicTime::as_millis);
         self.membership.next_tick_ms().min(jobs_due_ms)
     }
 }
 
+/// Returns the clocks of an instance at a moment of the simulation.
+fn clock_reading(now_ms: u64, clock_offset_ms: i64) -> ClockReading {
+    let unix_ms = (START_UNIX_MS + now_ms).saturating_add_signed(clock_offset_ms);
+    ClockReading { unix: UnixTime::from_millis(unix_ms), monotonic: MonotonicTime::from_millis(now_ms) }
+}
+
 fn membership_config(
     number: usize,
     start_unix_ms: u64,
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -216,7 +216,7 @@
             }
         }
         self.apply_actions(number, incarnation, now, actions);
-        self.schedule_tick(number, due_ms.max(now.monotonic_ms + 1));
+        self.schedule_tick(number, due_ms.max(self.now_ms + 1));
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -1,8 +1,8 @@
 //! Jobs and their runs.
 
-use crate::ClockReading;
 use crate::clock::as_millis;
 use crate::rendezvous::JobHash;
+use crate::{ClockReading, UnixTime};
 use job_lease::RunId;
 use std::time::Duration;
 
@@ -18,7 +18,8 @@
 impl Job {
     /// Returns the run whose period contains this moment. The periods of different jobs start at different offsets, which
     /// spreads the load on the lease store.
-    pub fn run_at(&self, unix_ms: u64) -> RunId {
+    pub fn run_at(&self, moment: UnixTime) -> RunId {
+        let unix_ms = moment.as_millis();
         let period_ms = self.period_ms().max(1);
         let phase_ms = JobHash::of(&self.name).0 % period_ms;
         let elapsed_ms = (unix_ms + self.period_ms() - phase_ms) % period_ms;
@@ -32,7 +33,7 @@
 
     /// Returns the run after the one whose period contains the scheduled time of `run`.
     pub(crate) fn run_after(&self, run: RunId) -> RunId {
-        RunId(self.run_at(run.scheduled_unix_ms()).0 + self.period_ms())
+        RunId(self.run_at(run.into()).0 + self.period_ms())
     }
 }
 
@@ -51,6 +52,6 @@
     /// Returns whether the run may still start. The deadline must not have passed on either clock, because the Unix clock may
     /// have been stepped back during a pause.
     pub fn may_start(&self, now: ClockReading) -> bool {
-        now.unix_ms < self.deadline.unix_ms && now.monotonic_ms < self.deadline.monotonic_ms
+        now.unix < self.deadline.unix && now.monotonic < self.deadline.monotonic
     }
 }
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -9,11 +9,12 @@
 pub use job_state::{JobStatus, LastRun};
 
 use crate::rendezvous::{MemberHash, Members};
-use crate::{Action, ClockReading, Config, Job, Notice, ResetReason, StoreCall};
+use crate::{Action, ClockReading, Config, Job, Notice, ResetReason, StoreCall, UnixTime};
 use attempt_queue::AttemptQueue;
 use job_lease::Session;
 use job_state::{JobState, Phase};
 use std::collections::HashMap;
+use std::time::Duration;
 use store_connection::StoreConnection;
 
 /// The difference in progress between the two clocks, in milliseconds, beyond which the Unix clock counts as stepped.
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Returns the moment at which [`Scheduler::tick`] must be called next, in Unix milliseconds.
-    pub fn next_tick_unix_ms(&self) -> Option<u64> {
-        self.attempts.next_due_unix_ms()
+    /// Returns the moment at which [`Scheduler::tick`] must be called next.
+    pub fn next_tick(&self) -> Option<UnixTime> {
+        self.attempts.next_due()
     }
 
     /// Returns the status of all jobs.
@@ -115,7 +116,7 @@
             out.push(Action::CallStore(StoreCall::RenewSession(session)));
         }
         let mut reads = Vec::new();
-        while let Some(index) = self.attempts.pop_due(now.unix_ms) {
+        while let Some(index) = self.attempts.pop_due(now.unix) {
             self.attempt(index, now, &mut reads, out);
         }
         if !reads.is_empty() {
@@ -140,8 +141,9 @@
     /// Detects a step of the Unix clock and schedules all attempts again.
     fn detect_clock_step(&mut self, now: ClockReading, out: &mut Vec<Action>) {
         if let Some(before) = self.last_clock.replace(now) {
-            let unix_elapsed_ms = now.unix_ms as i64 - before.unix_ms as i64;
-            let monotonic_elapsed_ms = now.monotonic_ms.saturating_sub(before.monotonic_ms) as i64;
+            let unix_elapsed_ms = now.unix.as_millis() as i64 - before.unix.as_millis() as i64;
+            let monotonic_elapsed = now.monotonic.saturating_since(before.monotonic);
+            let monotonic_elapsed_ms = monotonic_elapsed.as_millis() as i64;
             if unix_elapsed_ms.abs_diff(monotonic_elapsed_ms) > MIN_CLOCK_STEP_MS {
                 let by_ms = unix_elapsed_ms - monotonic_elapsed_ms;
                 out.push(Action::Notify(Notice::ClockStepped { by_ms }));
@@ -166,24 +168,24 @@
             self.attempts.cancel(index);
             return;
         };
-        let mut run = state.job.run_at(now.unix_ms);
+        let mut run = state.job.run_at(now.unix);
         if state.settled >= run {
             run = state.job.run_after(state.settled);
         }
         let stagger_ms = self.stagger_ms(&state.job);
-        let mut unix_ms = run.scheduled_unix_ms() + rank as u64 * stagger_ms;
+        let mut due_unix_ms = run.scheduled_unix_ms() + rank as u64 * stagger_ms;
         if rank > 0 {
             // Round up so that attempts close together share one read.
             let granularity_ms = (stagger_ms / 2).max(1);
-            unix_ms = unix_ms.div_ceil(granularity_ms) * granularity_ms;
+            due_unix_ms = due_unix_ms.div_ceil(granularity_ms) * granularity_ms;
         }
-        self.attempts.schedule(index, unix_ms.max(now.unix_ms));
+        self.attempts.schedule(index, UnixTime::from_millis(due_unix_ms).max(now.unix));
     }
 
     /// Schedules another attempt at the same run.
     fn retry_later(&mut self, index: usize, now: ClockReading) {
-        let stagger_ms = self.stagger_ms(&self.jobs[index].job);
-        self.attempts.schedule(index, now.unix_ms + stagger_ms);
+        let stagger = Duration::from_millis(self.stagger_ms(&self.jobs[index].job));
+        self.attempts.schedule(index, now.unix + stagger);
     }
 
     /// Returns the delay between the attempts of two successive ranks. The last attempt leaves time for the run.
@@ -207,7 +209,7 @@
                 _ => Phase::Idle,
             };
             if state.ranking.rank(self.local_member).is_some() {
-                self.attempts.schedule(index, now.unix_ms);
+                self.attempts.schedule(index, now.unix);
             }
         }
     }
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -2,9 +2,8 @@
 
 use super::Scheduler;
 use super::job_state::{LastRun, Phase};
-use crate::clock::as_millis;
 use crate::rendezvous::stable_hash;
-use crate::{Action, ClockReading, Config, Notice, Run, StoreCall};
+use crate::{Action, ClockReading, Config, Notice, Run, StoreCall, UnixTime};
 use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, decide};
 
 impl Scheduler {
@@ -38,7 +37,7 @@
     /// Sets the current run of a job. Returns whether there is a run to attempt.
     fn prepare_attempt(&mut self, index: usize, now: ClockReading) -> bool {
         let state = &mut self.jobs[index];
-        let run = state.job.run_at(now.unix_ms);
+        let run = state.job.run_at(now.unix);
         match state.phase {
             Phase::Idle => {
                 if state.settled >= run || state.ranking.rank(self.local_member).is_none() {
@@ -83,7 +82,7 @@
         let run = state.current_run;
         // Never 0, which marks a seed, and different for each incarnation.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
-        let seed_run = state.job.run_at(now.unix_ms + as_millis(*max_clock_skew));
+        let seed_run = state.job.run_at(now.unix + *max_clock_skew);
         AcquireRequest { run, lease_id, seed_run }
     }
 
@@ -92,7 +91,7 @@
         let request = self.acquire_request(index, now);
         let state = &mut self.jobs[index];
         let last_run_changed = state.update_last_run();
-        if state.job.run_at(now.unix_ms) != request.run {
+        if state.job.run_at(now.unix) != request.run {
             // The period of the run ended before the response arrived.
             state.phase = Phase::Idle;
             self.schedule_next_run(index, now);
@@ -123,8 +122,8 @@
     ) {
         let state = &mut self.jobs[index];
         let settled = state.cached_lease.as_ref().map_or(RunId::default(), |lease| lease.record.run);
-        let latest_unix_ms = now.unix_ms + as_millis(state.job.period + 2 * self.config.max_clock_skew);
-        let ahead_of_clocks = settled.scheduled_unix_ms() > latest_unix_ms;
+        let latest = now.unix + state.job.period + 2 * self.config.max_clock_skew;
+        let ahead_of_clocks = UnixTime::from(settled) > latest;
         if ahead_of_clocks && last_run_changed {
             let job = state.job.name.clone();
             out.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled }));
@@ -163,15 +162,12 @@
         state.settle_current_run();
         let (job, id) = (state.job.name.clone(), state.current_run);
         state.last_run = Some(LastRun { run: id, holder: self.config.instance.clone() });
-        let period_end_unix_ms = id.scheduled_unix_ms() + state.job.period_ms();
-        let deadline_unix_ms = period_end_unix_ms.saturating_sub(as_millis(self.config.start_margin));
+        let period_end = UnixTime::from(id) + state.job.period;
+        let deadline = period_end.saturating_sub(self.config.start_margin);
         if id > state.last_run_here {
-            if now.unix_ms < deadline_unix_ms {
+            if now.unix < deadline {
                 state.last_run_here = id;
-                let deadline = ClockReading {
-                    unix_ms: deadline_unix_ms,
-                    monotonic_ms: now.monotonic_ms + (deadline_unix_ms - now.unix_ms),
-                };
+                let deadline = now + deadline.saturating_since(now.unix);
                 out.push(Action::StartRun(Run { job, id, deadline }));
             } else {
                 out.push(Action::Notify(Notice::AcquiredTooLate { job, run: id }));
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -2,7 +2,6 @@
 
 use super::Scheduler;
 use super::job_state::Phase;
-use crate::clock::as_millis;
 use crate::{Action, CallId, ClockReading, Notice, ResetReason, StoreResponse};
 use job_lease::{CompareAndSetOutcome, LeaseListing, LeaseRecord, Session, StoreError, StoredLease};
 
@@ -59,15 +58,15 @@
             return;
         }
         match response {
-            Ok(true) => self.store.finish_renewal(now.monotonic_ms),
+            Ok(true) => self.store.finish_renewal(now.monotonic),
             Ok(false) => {
                 self.store.cancel_renewal();
                 self.reset_store(now, ResetReason::SessionEnded, out);
             }
             Err(error) => {
                 // Retry after a tenth of the interval. If the session ends before, the next write detects it.
-                let elapsed_ms = as_millis(self.config.session_renewal_interval * 9 / 10);
-                self.store.finish_renewal(now.monotonic_ms.saturating_sub(elapsed_ms));
+                let elapsed = self.config.session_renewal_interval * 9 / 10;
+                self.store.finish_renewal(now.monotonic.saturating_sub(elapsed));
                 self.store.record_failure(&error, out);
             }
         }
@@ -199,7 +198,7 @@
             state.settle_current_run();
             self.schedule_next_run(index, now);
         } else {
-            self.attempts.schedule(index, now.unix_ms);
+            self.attempts.schedule(index, now.unix);
         }
     }
 
@@ -209,7 +208,7 @@
         match error {
             StoreError::OutcomeUnknown(_) if !record.is_seed() => {
                 state.phase = Phase::Uncertain { read: None };
-                self.attempts.schedule(index, now.unix_ms);
+                self.attempts.schedule(index, now.unix);
             }
             _ => {
                 state.phase = Phase::Idle;
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -1,28 +1,27 @@
 //! The session with the lease store, and the availability of the store.
 
-use crate::clock::as_millis;
-use crate::{Action, CallId, ClockReading, Notice};
+use crate::{Action, CallId, ClockReading, MonotonicTime, Notice};
 use job_lease::{Session, StoreError};
 use std::time::Duration;
 
 /// The number of consecutive failed calls after which the store is unavailable.
 const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
 
-/// The session with the store and its availability. Moments are on the monotonic clock.
+/// The session with the store and its availability.
 #[derive(Debug, Default)]
 pub(super) struct StoreConnection {
     session: Option<Session>,
     opening: bool,
     renewing: bool,
     /// The moment of the last renewal.
-    renewed_ms: u64,
+    renewed_at: MonotonicTime,
     last_call: CallId,
     /// Calls before this one were made before the last reset, and their results may be outdated.
     first_valid_call: CallId,
     consecutive_failures: u32,
     unavailable: bool,
     /// The moment of the last call made while the store was unavailable.
-    last_trial_ms: u64,
+    last_trial_at: MonotonicTime,
     /// The highest index seen since the last reset.
     store_index: u64,
 }
@@ -54,7 +53,7 @@
             return false;
         }
         self.opening = true;
-        self.last_trial_ms = now.monotonic_ms;
+        self.last_trial_at = now.monotonic;
         true
     }
 
@@ -67,19 +66,19 @@
         if !self.trial_is_due(now, retry_interval) {
             return false;
         }
-        self.last_trial_ms = now.monotonic_ms;
+        self.last_trial_at = now.monotonic;
         true
     }
 
     fn trial_is_due(&self, now: ClockReading, retry_interval: Duration) -> bool {
-        now.monotonic_ms >= self.last_trial_ms + as_millis(retry_interval)
+        now.monotonic >= self.last_trial_at + retry_interval
     }
 
     /// Stores an opened session.
     pub(super) fn opened(&mut self, now: ClockReading, session: Session) {
         self.session = Some(session);
         self.renewing = false;
-        self.renewed_ms = now.monotonic_ms;
+        self.renewed_at = now.monotonic;
     }
 
     /// Records the end of a call that opens a session.
@@ -90,17 +89,17 @@
     /// Returns the session if it is due for renewal, and records the call.
     pub(super) fn start_renewal(&mut self, now: ClockReading, interval: Duration) -> Option<Session> {
         let session = self.session.as_ref()?;
-        if self.renewing || now.monotonic_ms < self.renewed_ms + as_millis(interval) {
+        if self.renewing || now.monotonic < self.renewed_at + interval {
             return None;
         }
         self.renewing = true;
         Some(session.clone())
     }
 
-    /// Records the end of a renewal. The next one is due one interval after `renewed_ms`.
-    pub(super) fn finish_renewal(&mut self, renewed_ms: u64) {
+    /// Records the end of a renewal. The next one is due one interval after `renewed_at`.
+    pub(super) fn finish_renewal(&mut self, renewed_at: MonotonicTime) {
         self.renewing = false;
-        self.renewed_ms = renewed_ms;
+        self.renewed_at = renewed_at;
     }
 
     /// Records the end of a renewal whose session no longer exists.
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -5,13 +5,15 @@
 
 use job_lease::{LeaseRecord, LocalStore};
 use periodic_jobs::rendezvous::{JobHash, MemberHash, Members, Ranking};
-use periodic_jobs::{Action, ClockReading, Job, Scheduler, StoreCall};
+use periodic_jobs::{Action, ClockReading, Job, Scheduler, StoreCall, UnixTime};
 use std::time::Duration;
-use support::config;
+use support::{clocks, config};
 
 const RANKS: &str = include_str!("fixtures/order.txt");
 const ACTIONS: &str = include_str!("fixtures/course.txt");
 
+const TICK: Duration = Duration::from_millis(5);
+
 const JOBS: [&str; 4] = ["call/close-of-day", "probe/loans-1", "probe/eu/loans-2", "d"];
 
 /// Returns a line per job with its hash, the scheduled time of a run, and the ranks of all members.
@@ -22,7 +24,8 @@
         let ranking = Ranking::new(JobHash::of(name), &members, 4);
         let rank = |i| ranking.rank(MemberHash::of(&format!("m{i}")));
         let ranks: Vec<String> = (0..6).map(|i| format!("{:?}", rank(i))).collect();
-        let run = Job { name: name.into(), period: Duration::from_secs(7) }.run_at(1_800_000_000_000);
+        let run = Job { name: name.into(), period: Duration::from_secs(7) }
+            .run_at(UnixTime::from_millis(1_800_000_000_000));
         format!("{name} {:016x} {run} {}\n", JobHash::of(name).0, ranks.join(" "))
     };
     JOBS.iter().map(|name| rank_line(name)).collect()
@@ -33,18 +36,17 @@
     let mut scheduler = Scheduler::new(config("m0", 11));
     let mut store = LocalStore::default();
     let mut lines = String::new();
-    let mut now = ClockReading { unix_ms: 1_800_000_000_000, monotonic_ms: 5_000 };
+    let mut now = clocks(1_800_000_000_000, 5_000);
     scheduler
         .set_jobs(now, JOBS.map(|name| Job { name: name.into(), period: Duration::from_secs(1) }).to_vec());
     scheduler.set_members(now, ["m1".to_owned()]);
     for _ in 0..1_200 {
-        now.unix_ms += 5;
-        now.monotonic_ms += 5;
+        now = now + TICK;
         let mut actions = Vec::new();
         scheduler.tick(now, &mut actions);
         while !actions.is_empty() {
             for action in std::mem::take(&mut actions) {
-                lines.push_str(&format!("{} {}\n", now.unix_ms, describe(&action)));
+                lines.push_str(&format!("{} {}\n", now.unix.as_millis(), describe(&action)));
                 if let Action::CallStore(call) = action {
                     let response = call.apply_to(&mut store);
                     scheduler.handle_store_response(now, response, &mut actions);
@@ -68,8 +70,8 @@
             format!("put {} {job} {run} {holder:?} {lease_id} {expected_index}", call.0)
         }
         Action::StartRun(run) => {
-            let ClockReading { unix_ms, monotonic_ms } = run.deadline;
-            format!("run {} {} {unix_ms} {monotonic_ms}", run.job, run.id)
+            let ClockReading { unix, monotonic } = run.deadline;
+            format!("run {} {} {} {}", run.job, run.id, unix.as_millis(), monotonic.as_millis())
         }
         Action::Notify(_) => "note".into(),
     }
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -6,10 +6,10 @@
     CompareAndSetOutcome, LeaseRecord, LocalStore, RunId, StoreError, StoreErrorCause, StoredLease,
 };
 use periodic_jobs::{
-    Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse,
+    Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse, UnixTime,
 };
 use std::time::Duration;
-use support::config;
+use support::{clocks, config};
 
 const PERIOD_MS: u64 = 1_000;
 /// Milliseconds between two ticks of the simulated time.
@@ -53,7 +53,7 @@
 impl TestBed {
     fn new(jobs: &[&str]) -> Self {
         let mut scheduler = Scheduler::new(config("a", 1));
-        let now = ClockReading { unix_ms: 1_000_000, monotonic_ms: 5_000 };
+        let now = clocks(1_000_000, 5_000);
         scheduler.set_jobs(now, jobs.iter().map(|name| job(name, PERIOD_MS)).collect());
         Self {
             scheduler,
@@ -133,8 +133,7 @@
 
     /// Moves both clocks without a tick, as in a pause of the process.
     fn move_clocks(&mut self, span_ms: u64) {
-        self.now.unix_ms += span_ms;
-        self.now.monotonic_ms += span_ms;
+        self.now = self.now + Duration::from_millis(span_ms);
     }
 
     fn run_ids(&self) -> Vec<u64> {
@@ -225,7 +224,7 @@
     bed.apply_actions(out);
     assert!(bed.run_ids().is_empty(), "{:?}", bed.run_ids());
     assert!(matches!(bed.notices[..], [Notice::AcquiredTooLate { .. }]), "{:?}", bed.notices);
-    let current_run = job("d", PERIOD_MS).run_at(bed.now.unix_ms).0;
+    let current_run = job("d", PERIOD_MS).run_at(bed.now.unix).0;
     bed.advance(PERIOD_MS);
     assert_eq!(bed.run_ids(), [current_run, current_run + PERIOD_MS], "continues with the current run");
 }
@@ -235,14 +234,13 @@
     let mut bed = TestBed::settled(&["d"]);
     bed.advance(PERIOD_MS);
     let run = &bed.runs[0];
-    let scheduled_ms = run.id.scheduled_unix_ms();
-    let remaining_ms = run.deadline.unix_ms - scheduled_ms;
-    let start =
-        ClockReading { unix_ms: scheduled_ms, monotonic_ms: run.deadline.monotonic_ms - remaining_ms };
+    let scheduled = UnixTime::from(run.id);
+    let remaining = run.deadline.unix.saturating_since(scheduled);
+    let start = ClockReading { unix: scheduled, monotonic: run.deadline.monotonic.saturating_sub(remaining) };
     assert!(run.may_start(start));
-    let stepped_forward = ClockReading { unix_ms: run.deadline.unix_ms, ..start };
+    let stepped_forward = ClockReading { unix: run.deadline.unix, ..start };
     assert!(!run.may_start(stepped_forward), "the Unix clock was stepped forward");
-    let paused = ClockReading { monotonic_ms: run.deadline.monotonic_ms, ..start };
+    let paused = ClockReading { monotonic: run.deadline.monotonic, ..start };
     assert!(!run.may_start(paused), "the instance was paused and the Unix clock stepped back");
 }
 
@@ -319,7 +317,7 @@
 fn a_clock_step_backwards_repeats_no_run() {
     let mut bed = TestBed::settled(&["d"]);
     bed.advance(3 * PERIOD_MS);
-    bed.now.unix_ms -= 2 * PERIOD_MS;
+    bed.now.unix = bed.now.unix.saturating_sub(Duration::from_millis(2 * PERIOD_MS));
     bed.advance(4 * PERIOD_MS);
     bed.assert_run_ids_increase();
     let stepped_back = |notice: &Notice| matches!(notice, Notice::ClockStepped { by_ms } if *by_ms < 0);
--- a/crates/periodic_jobs/tests/support/mod.rs
+++ b/crates/periodic_jobs/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! The configuration of a scheduler in tests.
+//! The configuration and the clocks of a scheduler in tests.
 
-use periodic_jobs::Config;
+use periodic_jobs::{ClockReading, Config, MonotonicTime, UnixTime};
 use std::time::Duration;
 
 /// The configuration of an instance with two standbys.
@@ -15,3 +15,8 @@
         incarnation,
     }
 }
+
+/// A moment on both clocks.
+pub fn clocks(unix_ms: u64, monotonic_ms: u64) -> ClockReading {
+    ClockReading { unix: UnixTime::from_millis(unix_ms), monotonic: MonotonicTime::from_millis(monotonic_ms) }
+}
