--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -2,8 +2,6 @@
 //! responses, late writes, and a store that loses its data. The model calls the program's own `job_lease::decide`. Each
 //! guard is also removed once, and the checker must then find a run that starts twice.
 
-#![allow(clippy::too_many_lines)]
-
 use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, StoredLease, decide};
 use stateright::{Checker, Model, Property};
 
@@ -43,10 +41,7 @@
     /// The lease was read. `None` if the key does not exist.
     Read(Option<StoredLease>),
     /// A write was sent to the store.
-    Sent {
-        expected_index: u64,
-        record: LeaseRecord,
-    },
+    Sent(Write),
     /// The store has responded.
     Responded {
         acquired: bool,
@@ -75,14 +70,15 @@
     store_incarnation: u8,
     lost_responses: u8,
     /// Timed-out writes that the store may still apply.
-    late_writes: Vec<LateWrite>,
+    late_writes: Vec<Write>,
     instances: Vec<Instance>,
     /// The started runs, sorted.
     started: Vec<RunId>,
 }
 
+/// A compare-and-set bound to a session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct LateWrite {
+struct Write {
     session: u8,
     expected_index: u64,
     record: LeaseRecord,
@@ -119,19 +115,117 @@
         AcquireRequest { run, lease_id: instance as u64 + 1, seed_run }
     }
 
-    /// Applies a compare-and-set. Returns whether the record was written.
-    fn apply(&self, state: &mut State, session: u8, expected_index: u64, record: &LeaseRecord) -> bool {
+    /// Applies a compare-and-set in the store. Returns whether the record was written.
+    fn apply(&self, state: &mut State, write: &Write) -> bool {
         let index = state.stored.as_ref().map_or(0, |stored| stored.modify_index);
-        let index_matches = index == expected_index || self.removed_guard == RemovedGuard::CompareAndSet;
+        let index_matches =
+            index == write.expected_index || self.removed_guard == RemovedGuard::CompareAndSet;
         let session_exists =
-            session == state.store_incarnation || self.removed_guard == RemovedGuard::Session;
+            write.session == state.store_incarnation || self.removed_guard == RemovedGuard::Session;
         let applied = index_matches && session_exists;
         if applied {
             state.store_index += 1;
-            state.stored = Some(StoredLease { record: record.clone(), modify_index: state.store_index });
+            let record = write.record.clone();
+            state.stored = Some(StoredLease { record, modify_index: state.store_index });
         }
         applied
     }
+
+    /// An instance reads the lease. Returns `None` if it has no run to attempt.
+    fn read(&self, state: &mut State, i: usize) -> Option<()> {
+        let run = self.current_run(state, i);
+        let stored = state.stored.clone();
+        let instance = &mut state.instances[i];
+        if instance.phase == Phase::Idle {
+            // Runs are attempted one at a time and never after they have started.
+            if run <= instance.last_started {
+                return None;
+            }
+            instance.run = run;
+        }
+        instance.phase = Phase::Read(stored);
+        Some(())
+    }
+
+    /// An instance acts on the lease that it has read.
+    fn send(&self, state: &mut State, i: usize) -> Option<()> {
+        let Phase::Read(stored) = state.instances[i].phase.clone() else { return None };
+        let Instance { run, session, .. } = state.instances[i];
+        let current_run = self.current_run(state, i);
+        let request = self.request(state, i, run);
+        let acquire = |expected_index| {
+            Phase::Sent(Write { session, expected_index, record: request.lease_record("x") })
+        };
+        state.instances[i].phase = match decide(stored.as_ref(), &request) {
+            // By the instance's clock the run's period is over.
+            _ if current_run != run => Phase::Idle,
+            Decision::Settled => Phase::Idle,
+            Decision::AlreadyHeld => Phase::Starting(run),
+            Decision::Seed if self.removed_guard == RemovedGuard::Seed => acquire(0),
+            Decision::Seed => {
+                Phase::Sent(Write { session, expected_index: 0, record: request.seed_record() })
+            }
+            Decision::CompareAndSet { expected_index } => acquire(expected_index),
+        };
+        Some(())
+    }
+
+    /// The store applies the write of an instance and responds.
+    fn apply_sent(&self, state: &mut State, i: usize) -> Option<()> {
+        let Phase::Sent(write) = state.instances[i].phase.clone() else { return None };
+        let acquired = self.apply(state, &write) && !write.record.is_seed();
+        state.instances[i].phase = Phase::Responded { acquired };
+        Some(())
+    }
+
+    /// An instance stops waiting for its write, which the store may apply later.
+    fn time_out(&self, state: &mut State, i: usize) -> Option<()> {
+        let Phase::Sent(write) = state.instances[i].phase.clone() else { return None };
+        let run = write.record.run;
+        let in_time = self.current_run(state, i) == state.instances[i].run && !write.record.is_seed();
+        state.late_writes.push(write);
+        state.lost_responses += 1;
+        state.instances[i].phase = match self.removed_guard {
+            RemovedGuard::Reread if in_time => Phase::Starting(run),
+            _ => Phase::Uncertain,
+        };
+        Some(())
+    }
+
+    /// An instance receives the response to its write.
+    fn receive(&self, state: &mut State, i: usize) -> Option<()> {
+        let Phase::Responded { acquired } = state.instances[i].phase else { return None };
+        let run = state.instances[i].run;
+        let in_time = self.current_run(state, i) == run;
+        state.instances[i].phase = if acquired && in_time { Phase::Starting(run) } else { Phase::Idle };
+        Some(())
+    }
+}
+
+impl State {
+    /// The store restarts without data.
+    fn lose_store_data(&mut self) {
+        self.store_incarnation += 1;
+        self.stored = None;
+        // Indexes restart, so an old one may match again.
+        self.store_index = 0;
+    }
+
+    /// The response to the write of an instance is lost.
+    fn lose_response(&mut self, i: usize) {
+        self.lost_responses += 1;
+        self.instances[i].phase = Phase::Uncertain;
+    }
+
+    /// An instance starts its run.
+    fn start(&mut self, i: usize) -> Option<()> {
+        let Phase::Starting(run) = self.instances[i].phase else { return None };
+        self.instances[i].last_started = run;
+        self.instances[i].phase = Phase::Idle;
+        self.started.push(run);
+        self.started.sort_unstable();
+        Some(())
+    }
 }
 
 impl Model for LeaseModel {
@@ -173,7 +267,7 @@
                 }
                 Phase::Idle | Phase::Uncertain => actions.push(Action::Read(i)),
                 Phase::Read(_) => actions.push(Action::Send(i)),
-                Phase::Sent { .. } => {
+                Phase::Sent(_) => {
                     actions.push(Action::Apply(i));
                     if may_lose {
                         actions.push(Action::TimeOut(i));
@@ -194,89 +288,19 @@
         let mut state = before.clone();
         match action {
             Action::Tick => state.time += 1,
-            Action::LoseStoreData => {
-                state.store_incarnation += 1;
-                state.stored = None;
-                // Indexes restart, so an old one may match again.
-                state.store_index = 0;
-            }
+            Action::LoseStoreData => state.lose_store_data(),
             Action::ApplyLate(i) => {
-                let LateWrite { session, expected_index, record } = state.late_writes.remove(i);
-                self.apply(&mut state, session, expected_index, &record);
+                let write = state.late_writes.remove(i);
+                self.apply(&mut state, &write);
             }
             Action::OpenSession(i) => state.instances[i].session = state.store_incarnation,
-            Action::Read(i) => {
-                let run = self.current_run(&state, i);
-                let stored = state.stored.clone();
-                let instance = &mut state.instances[i];
-                if instance.phase == Phase::Idle {
-                    // Runs are attempted one at a time and never after they have started.
-                    if run <= instance.last_started {
-                        return None;
-                    }
-                    instance.run = run;
-                }
-                instance.phase = Phase::Read(stored);
-            }
-            Action::Send(i) => {
-                let Phase::Read(stored) = state.instances[i].phase.clone() else { return None };
-                let run = state.instances[i].run;
-                let current_run = self.current_run(&state, i);
-                let request = self.request(&state, i, run);
-                let phase = match decide(stored.as_ref(), &request) {
-                    // By the instance's clock the run's period is over.
-                    _ if current_run != run => Phase::Idle,
-                    Decision::Settled => Phase::Idle,
-                    Decision::AlreadyHeld => Phase::Starting(run),
-                    Decision::Seed if self.removed_guard == RemovedGuard::Seed => {
-                        Phase::Sent { expected_index: 0, record: request.lease_record("x") }
-                    }
-                    Decision::Seed => Phase::Sent { expected_index: 0, record: request.seed_record() },
-                    Decision::CompareAndSet { expected_index } => {
-                        Phase::Sent { expected_index, record: request.lease_record("x") }
-                    }
-                };
-                state.instances[i].phase = phase;
-            }
-            Action::Apply(i) => {
-                let Phase::Sent { expected_index, record } = state.instances[i].phase.clone() else {
-                    return None;
-                };
-                let session = state.instances[i].session;
-                let acquired = self.apply(&mut state, session, expected_index, &record) && !record.is_seed();
-                state.instances[i].phase = Phase::Responded { acquired };
-            }
-            Action::TimeOut(i) => {
-                let Phase::Sent { expected_index, record } = state.instances[i].phase.clone() else {
-                    return None;
-                };
-                let session = state.instances[i].session;
-                state.late_writes.push(LateWrite { session, expected_index, record: record.clone() });
-                state.lost_responses += 1;
-                let in_time = self.current_run(&state, i) == state.instances[i].run && !record.is_seed();
-                state.instances[i].phase = match self.removed_guard {
-                    RemovedGuard::Reread if in_time => Phase::Starting(record.run),
-                    _ => Phase::Uncertain,
-                };
-            }
-            Action::LoseResponse(i) => {
-                state.lost_responses += 1;
-                state.instances[i].phase = Phase::Uncertain;
-            }
-            Action::Receive(i) => {
-                let Phase::Responded { acquired } = state.instances[i].phase else { return None };
-                let run = state.instances[i].run;
-                let in_time = self.current_run(&state, i) == run;
-                state.instances[i].phase =
-                    if acquired && in_time { Phase::Starting(run) } else { Phase::Idle };
-            }
-            Action::Start(i) => {
-                let Phase::Starting(run) = state.instances[i].phase else { return None };
-                state.instances[i].last_started = run;
-                state.instances[i].phase = Phase::Idle;
-                state.started.push(run);
-                state.started.sort_unstable();
-            }
+            Action::Read(i) => self.read(&mut state, i)?,
+            Action::Send(i) => self.send(&mut state, i)?,
+            Action::Apply(i) => self.apply_sent(&mut state, i)?,
+            Action::TimeOut(i) => self.time_out(&mut state, i)?,
+            Action::LoseResponse(i) => state.lose_response(i),
+            Action::Receive(i) => self.receive(&mut state, i)?,
+            Action::Start(i) => state.start(i)?,
         }
         Some(state)
     }
