--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -2,20 +2,17 @@
 //! rejected.
 
 use crate::error::CachedListError;
+use crate::format::CACHE_VERSION;
 use crate::{Instance, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The first word of the file.
 const MAGIC: &str = "snowfield-list";
-/// The version of the format.
-pub(crate) const VERSION: &str = "1";
 /// The longest version of an unknown format that an error shows, in characters.
 const MAX_SHOWN_VERSION: usize = 16;
 /// A list may be this far in the future, for clocks that differ.
 const MAX_CLOCK_DIFFERENCE: Millis = 60_000;
-/// The most bytes of a file.
-pub const MAX_FILE_BYTES: usize = 64 * 1024 * 1024;
 
 /// The endpoint lists of all services, as Consul confirmed them last.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,7 +37,7 @@
     /// The text of the file.
     pub fn encode(&self) -> String {
         let body = serde_json::to_string(self).unwrap_or_default();
-        format!("{MAGIC} {VERSION} {}\n{body}\n", checksum(&body))
+        format!("{MAGIC} {CACHE_VERSION} {}\n{body}\n", checksum(&body))
     }
 
     /// Reads the text of a file. `now` is in milliseconds since the Unix epoch.
@@ -69,7 +66,7 @@
             return Err(CachedListError::NotAListFile);
         }
         match words.next() {
-            Some(VERSION) => {}
+            Some(CACHE_VERSION) => {}
             other => {
                 let version = other.unwrap_or_default().chars().take(MAX_SHOWN_VERSION).collect();
                 return Err(CachedListError::UnknownVersion(version));
--- a/crates/catalogue/src/error.rs
+++ b/crates/catalogue/src/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with a response of Consul, an instance in it, or the file of the cached list.
 
-use crate::health_response::{CAPACITY_KEY, MAX_INSTANCES, STARTED_KEY};
+use crate::format::{CACHE_VERSION, CAPACITY_KEY, MAX_INSTANCES, STARTED_KEY};
 
 /// A response that cannot be used. The list in use stays.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
     #[error("it is no list of snowfield's")]
     NotAListFile,
     /// Its format has a version that this program does not know.
-    #[error("its version is {0:?}, and {known} is known", known = crate::cached_list::VERSION)]
+    #[error("its version is {0:?}, and {known} is known", known = CACHE_VERSION)]
     UnknownVersion(String),
     /// It was truncated or altered: the checksum does not match.
     #[error("it was cut short or altered")]
--- a/crates/catalogue/src/health_response.rs
+++ b/crates/catalogue/src/health_response.rs
@@ -7,13 +7,10 @@
 mod wire;
 
 use crate::error::{InstanceError, ResponseError};
+use crate::format::MAX_INSTANCES;
 
-pub(crate) use instance::{CAPACITY_KEY, STARTED_KEY};
 pub use instance::{HealthStatus, Instance};
 
-/// The most instances of one response.
-pub const MAX_INSTANCES: usize = 65_536;
-
 /// The instances of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthResponse {
--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -3,14 +3,11 @@
 use super::wire::{Check, Row, Service};
 use crate::Millis;
 use crate::error::InstanceError;
+use crate::format::{CAPACITY_KEY, STARTED_KEY};
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
 
-/// The key of `Service.Meta` that scales the weight.
-pub(crate) const CAPACITY_KEY: &str = "snowfield-capacity";
-/// The key of `Service.Meta` that says when the instance started.
-pub(crate) const STARTED_KEY: &str = "snowfield-started-ms";
 const CAPACITY_RANGE: RangeInclusive<f64> = 0.01..=1_000.0;
 /// Consul's largest weight, 65535, times the largest capacity.
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=65_535_000.0;
