--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -1,95 +1,99 @@
-//! Which agent is queried next, and when: several agents in order, with failover and failback, by Consul's rules for blocking
-//! queries.
+//! Selects the agent of the next blocking query: agents in order of preference, with failover, failback, and exponential backoff
+//! with jitter. Follows Consul's documented rules for blocking queries.
 
-use crate::Millis;
+use crate::Timestamp;
+use crate::time::whole_millis;
+use std::time::Duration;
 
 /// The next query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// The agent's number, from 0.
+    /// Position of the agent in the configured order.
     pub agent: usize,
-    /// The index to block on; 0 returns the present list at once.
+    /// The index to block on. With 0 the agent returns the present list at once.
     pub index: u64,
-    /// Any server may respond, not only the leader.
+    /// Whether the agent may answer from any server (a stale read) or only from the leader.
     pub allow_stale: bool,
-    /// It must not be sent before this time.
-    pub not_before: Millis,
+    /// Earliest time to send it.
+    pub not_before: Timestamp,
 }
 
-/// How a query ended.
+/// The outcome of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// A usable response, at this index (`X-Consul-Index`).
+    /// A usable response with this index (`X-Consul-Index`).
     Response(u64),
-    /// The server has no leader, or has not heard from it for too long: the response is not used.
+    /// A response that is not used because the server has no leader, or last heard from it too long ago.
     TooStale,
     /// No usable response.
     Failed,
 }
 
-/// Whether a usable response says anything new.
+/// Whether a response may differ from the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The list may have changed.
+    /// The index has changed, so the list may have changed.
     New,
-    /// The wait of a blocking query expired without a change, or there was no usable response.
+    /// The blocking query timed out without a change, or there was no usable response.
     Unchanged,
 }
 
-/// Bounds of the pauses after failures.
+/// Bounds of the exponential backoff after failed queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollBackoff {
-    /// After the first failure; doubles with each further one.
-    pub initial: Millis,
-    /// At most.
-    pub max: Millis,
+    /// Backoff after the first failure. It doubles with each further one.
+    pub initial: Duration,
+    /// Upper bound.
+    pub max: Duration,
 }
 
 impl PollBackoff {
-    /// The pause after this many failures in a row before the last, without jitter.
-    fn after(self, earlier_failures: u32) -> Millis {
+    /// Backoff after a failure that follows `earlier_failures` consecutive ones, without jitter.
+    fn after(self, earlier_failures: u32) -> Duration {
         const MAX_DOUBLINGS: u32 = 16;
-        (self.initial << earlier_failures.min(MAX_DOUBLINGS)).min(self.max).max(1)
+        const MIN_BACKOFF: Duration = Duration::from_millis(1);
+        let doublings = earlier_failures.min(MAX_DOUBLINGS);
+        (self.initial * 2u32.pow(doublings)).min(self.max).max(MIN_BACKOFF)
     }
 }
 
-/// How agents are selected.
+/// Settings of an [`AgentSelector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSelectorConfig {
-    /// How many agents there are.
+    /// Number of configured agents.
     pub agent_count: usize,
-    /// The shortest time between two queries, also while the list changes all the time.
-    pub min_query_interval: Millis,
-    /// The pauses of an agent that fails.
+    /// Minimum time between two queries. It bounds the query rate while the list changes constantly.
+    pub min_query_interval: Duration,
+    /// Backoff of an agent that fails.
     pub backoff: PollBackoff,
-    /// After this long with another agent the first is tried again.
-    pub failback_after: Millis,
-    /// Queries may be answered by any server.
+    /// Time with another agent after which the first one is queried again.
+    pub failback_after: Duration,
+    /// Whether queries may be stale reads.
     pub allow_stale: bool,
 }
 
-/// The agents and how they have responded.
+/// Selects agents by the outcomes of their queries.
 #[derive(Clone, Debug)]
 pub struct AgentSelector {
     config: AgentSelectorConfig,
     agents: Vec<AgentState>,
     current: usize,
     index: u64,
-    /// The next query must be answered by the leader.
+    /// Whether the next query must be answered by the leader.
     needs_leader: bool,
-    last_query_at: Millis,
-    selected_at: Millis,
+    last_query_at: Timestamp,
+    selected_at: Timestamp,
     jitter: Jitter,
 }
 
 #[derive(Clone, Debug, Default)]
 struct AgentState {
     consecutive_failures: u32,
-    backoff_until: Millis,
+    backoff_until: Timestamp,
 }
 
 impl AgentSelector {
-    /// Starts with the first agent. `seed` spreads the pauses of several gatekeepers.
+    /// Starts with the first agent. `seed` determines the jitter; different seeds keep gatekeepers from polling in step.
     pub fn new(config: AgentSelectorConfig, seed: u64) -> Self {
         Self {
             agents: vec![AgentState::default(); config.agent_count.max(1)],
@@ -97,21 +101,21 @@
             current: 0,
             index: 0,
             needs_leader: false,
-            last_query_at: 0,
-            selected_at: 0,
+            last_query_at: Timestamp::ZERO,
+            selected_at: Timestamp::ZERO,
             jitter: Jitter(seed | 1),
         }
     }
 
-    /// The agent that is in use.
+    /// Position of the selected agent.
     pub fn current(&self) -> usize {
         self.current
     }
 
     /// Decides the next query.
-    pub fn next_query(&mut self, now: Millis) -> Query {
+    pub fn next_query(&mut self, now: Timestamp) -> Query {
         if self.current > 0 && now >= self.selected_at + self.config.failback_after {
-            // The agents in front are tried in order; one that fails is left alone for another interval.
+            // Failback: agents ahead in the order are queried again. One that fails is not queried for another interval.
             self.select(0, now);
         }
         if self.agents[self.current].backoff_until > now {
@@ -129,7 +133,7 @@
     }
 
     /// Selects the first agent in order that is not in backoff, or else the one whose backoff ends first.
-    fn fail_over(&mut self, now: Millis) {
+    fn fail_over(&mut self, now: Timestamp) {
         let available_at = |&agent: &usize| (self.agents[agent].backoff_until.max(now), agent);
         let best = (0..self.agents.len()).min_by_key(available_at);
         if let Some(agent) = best.filter(|&agent| agent != self.current) {
@@ -137,22 +141,22 @@
         }
     }
 
-    /// Indexes of one agent mean nothing to another, which may lag behind: a switch starts with index 0.
-    fn select(&mut self, agent: usize, now: Millis) {
+    /// Selects an agent. Its index starts at 0, because an index is only meaningful to the server that returned it.
+    fn select(&mut self, agent: usize, now: Timestamp) {
         self.current = agent;
         self.index = 0;
         self.selected_at = now;
     }
 
-    /// Records how a query ended, and returns whether its response is new.
-    pub fn handle_outcome(&mut self, now: Millis, agent: usize, outcome: &QueryOutcome) -> Freshness {
+    /// Records the outcome of a query, and returns whether its response may differ from the one before.
+    pub fn handle_outcome(&mut self, now: Timestamp, agent: usize, outcome: &QueryOutcome) -> Freshness {
         if agent >= self.agents.len() {
             return Freshness::Unchanged;
         }
         match outcome {
             QueryOutcome::Response(index) => self.handle_response(agent, *index),
             QueryOutcome::TooStale => {
-                // The next query goes to the leader. Without one it fails, and the next agent is queried.
+                // The next query is a consistent read. Without a leader it fails, and the next agent is selected.
                 self.needs_leader = true;
                 self.back_off(now, agent);
                 Freshness::Unchanged
@@ -167,31 +171,37 @@
     fn handle_response(&mut self, agent: usize, index: u64) -> Freshness {
         self.agents[agent] = AgentState::default();
         let is_new = index != self.index || self.index == 0;
-        // Consul's documentation asks for a fresh start where the index decreases or is not above 0.
+        // Consul's documentation requires a reset to 0 when the index decreases or is not positive.
         self.index = if index < self.index { 0 } else { index };
         self.needs_leader = false;
         if is_new { Freshness::New } else { Freshness::Unchanged }
     }
 
-    fn back_off(&mut self, now: Millis, agent: usize) {
+    fn back_off(&mut self, now: Timestamp, agent: usize) {
         self.index = 0;
         let state = &mut self.agents[agent];
-        let pause = self.config.backoff.after(state.consecutive_failures);
+        let backoff = self.config.backoff.after(state.consecutive_failures);
         state.consecutive_failures += 1;
-        state.backoff_until = now + pause / 2 + self.jitter.next() % (pause / 2 + 1);
+        state.backoff_until = now + self.jitter.apply(backoff);
     }
 
-    /// Failures in a row of an agent.
+    /// Number of consecutive failures of an agent.
     pub fn consecutive_failures(&self, agent: usize) -> u32 {
         self.agents.get(agent).map_or(0, |state| state.consecutive_failures)
     }
 }
 
-/// xorshift64 (Marsaglia, 2003). It only spreads pauses, and keeps this module free of outside state.
+/// Jitter from an xorshift64 generator (Marsaglia, 2003). A local generator keeps the selector deterministic for a given seed.
 #[derive(Clone, Debug)]
 struct Jitter(u64);
 
 impl Jitter {
+    /// Draws a span between half of the backoff and the whole of it ("equal jitter").
+    fn apply(&mut self, backoff: Duration) -> Duration {
+        let half = whole_millis(backoff) / 2;
+        Duration::from_millis(half + self.next() % (half + 1))
+    }
+
     fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -1,57 +1,58 @@
-//! The cached list on disk: one line with version and checksum, then one of JSON. A file that was altered or truncated is
-//! rejected.
+//! The cached endpoint list in the cache file: a header line with format version and checksum, then a line of JSON. A truncated or
+//! altered file is rejected.
 
 use crate::error::CachedListError;
 use crate::format::CACHE_VERSION;
-use crate::{Instance, Millis};
+use crate::{Instance, UnixMillis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The first word of the file.
 const MAGIC: &str = "snowfield-list";
-/// The longest version of an unknown format that an error shows, in characters.
+/// Maximum number of characters of an unknown version in an error text.
 const MAX_SHOWN_VERSION: usize = 16;
-/// A list may be this far in the future, for clocks that differ.
-const MAX_CLOCK_DIFFERENCE: Millis = 60_000;
+/// Maximum accepted clock skew in milliseconds between the writer of a file and its reader.
+const MAX_CLOCK_SKEW_MS: UnixMillis = 60_000;
+const MILLIS_PER_SECOND: UnixMillis = 1_000;
 
-/// The endpoint lists of all services, as Consul confirmed them last.
+/// The endpoint lists of all services, as Consul last confirmed them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedList {
-    /// When Consul last confirmed it, in milliseconds since the Unix epoch.
+    /// When Consul last confirmed them.
     #[serde(rename = "at")]
-    pub confirmed_at: Millis,
-    /// By service, the instances that were eligible.
+    pub confirmed_at: UnixMillis,
+    /// The instances that were eligible, by service name.
     pub services: BTreeMap<String, Vec<Instance>>,
 }
 
-/// A list that was read, with its age.
+/// A decoded list and its age.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgedList {
     /// The list.
     pub list: CachedList,
-    /// Its age when it was read.
+    /// Its age in seconds when it was decoded.
     pub age_seconds: u64,
 }
 
 impl CachedList {
-    /// The text of the file.
+    /// Encodes the contents of the cache file.
     pub fn encode(&self) -> String {
         let body = serde_json::to_string(self).unwrap_or_default();
         format!("{MAGIC} {CACHE_VERSION} {}\n{body}\n", checksum(&body))
     }
 
-    /// Reads the text of a file. `now` is in milliseconds since the Unix epoch.
+    /// Decodes the contents of a cache file.
     ///
     /// # Errors
     ///
-    /// The file must not be used: it is none of ours, damaged, older than `max_age_seconds` or from the future.
-    pub fn decode(text: &[u8], now: Millis, max_age_seconds: u64) -> Result<AgedList, CachedListError> {
+    /// Returns an error if the file has another format, is damaged, is older than `max_age_seconds`, or is from the future.
+    pub fn decode(text: &[u8], now: UnixMillis, max_age_seconds: u64) -> Result<AgedList, CachedListError> {
         let list = Self::parse(text)?;
-        if list.confirmed_at > now + MAX_CLOCK_DIFFERENCE {
-            let ahead_seconds = (list.confirmed_at - now) / 1000;
+        if list.confirmed_at > now + MAX_CLOCK_SKEW_MS {
+            let ahead_seconds = (list.confirmed_at - now) / MILLIS_PER_SECOND;
             return Err(CachedListError::FromTheFuture { ahead_seconds });
         }
-        let age_seconds = now.saturating_sub(list.confirmed_at) / 1000;
+        let age_seconds = now.saturating_sub(list.confirmed_at) / MILLIS_PER_SECOND;
         if age_seconds > max_age_seconds {
             return Err(CachedListError::TooOld { age_seconds });
         }
--- a/crates/catalogue/src/cached_list/tests.rs
+++ b/crates/catalogue/src/cached_list/tests.rs
@@ -1,9 +1,9 @@
-//! Damage, age and version of the file.
+//! Rejection of cache files that are damaged, too old or of another version.
 
 use super::*;
 use crate::HealthStatus;
 
-fn cached() -> CachedList {
+fn sample_list() -> CachedList {
     let address = "127.0.0.1:80".parse().expect("an address");
     let instance = Instance {
         id: "n/x".into(),
@@ -18,29 +18,35 @@
 #[test]
 fn reads_back_what_it_wrote_with_its_age() {
     assert_eq!(
-        CachedList::decode(cached().encode().as_bytes(), 1_042_000, 100),
-        Ok(AgedList { list: cached(), age_seconds: 42 })
+        CachedList::decode(sample_list().encode().as_bytes(), 1_042_000, 100),
+        Ok(AgedList { list: sample_list(), age_seconds: 42 })
     );
 }
 
 #[test]
 fn rejects_a_file_truncated_or_altered_at_any_byte() {
-    let text = cached().encode().into_bytes();
-    for at in 0..text.len() {
-        assert!(CachedList::decode(&text[..at], 1_000_000, 100).is_err(), "cut at {at}");
-        let mut other = text.clone();
-        other[at] ^= 1;
-        assert!(CachedList::decode(&other, 1_000_000, 100).is_err(), "byte {at}");
+    let text = sample_list().encode().into_bytes();
+    for position in 0..text.len() {
+        assert!(
+            CachedList::decode(&text[..position], 1_000_000, 100).is_err(),
+            "truncated to {position} bytes"
+        );
+        let mut altered = text.clone();
+        altered[position] ^= 1;
+        assert!(CachedList::decode(&altered, 1_000_000, 100).is_err(), "byte {position} altered");
     }
 }
 
 #[test]
 fn says_why_a_file_is_rejected() {
-    let text = cached().encode();
-    let read = |text: &str, now| CachedList::decode(text.as_bytes(), now, 100).expect_err("rejected");
-    assert_eq!(read(&text, 1_200_000), CachedListError::TooOld { age_seconds: 200 });
-    assert_eq!(read(&text, 100_000), CachedListError::FromTheFuture { ahead_seconds: 900 });
-    assert_eq!(read(&text.replacen(" 1 ", " 2 ", 1), 1_000_000), CachedListError::UnknownVersion("2".into()));
-    assert_eq!(read("{}\n", 1_000_000), CachedListError::NotAListFile);
-    assert_eq!(read(&text[..text.len() - 9], 1_000_000), CachedListError::Corrupt);
+    let text = sample_list().encode();
+    let rejection = |text: &str, now| CachedList::decode(text.as_bytes(), now, 100).expect_err("rejected");
+    assert_eq!(rejection(&text, 1_200_000), CachedListError::TooOld { age_seconds: 200 });
+    assert_eq!(rejection(&text, 100_000), CachedListError::FromTheFuture { ahead_seconds: 900 });
+    assert_eq!(
+        rejection(&text.replacen(" 1 ", " 2 ", 1), 1_000_000),
+        CachedListError::UnknownVersion("2".into())
+    );
+    assert_eq!(rejection("{}\n", 1_000_000), CachedListError::NotAListFile);
+    assert_eq!(rejection(&text[..text.len() - 9], 1_000_000), CachedListError::Corrupt);
 }
--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -1,32 +1,32 @@
-//! The endpoint list in use, and why an endpoint is in it or not.
+//! The endpoint list in use, and the reason why each endpoint is eligible or not.
 
-use crate::{HealthStatus, Instance, Millis};
+use crate::{HealthStatus, Instance, Timestamp};
 
-/// The number of an endpoint: a new one for each id at an address, and never used again.
+/// Number of an endpoint. Each pair of id and address gets a new one, and numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointNumber(pub u32);
 
 /// Why an endpoint is eligible for requests, or is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EligibilityReason {
-    /// It is listed and healthy enough.
+    /// Eligible: it is listed, and its health status is good enough.
     Listed,
-    /// Its checks mark it as not eligible.
+    /// Not eligible: its health checks report this status.
     Unhealthy(HealthStatus),
-    /// It was marked and unmarked too often lately: not eligible until this time.
-    Flapping(Millis),
-    /// Another instance at its address is eligible.
+    /// Not eligible: it is flapping, and flap damping suppresses it until this moment.
+    Flapping(Timestamp),
+    /// Not eligible: another eligible instance has the same address.
     DuplicateAddress,
-    /// Its weight is 0.
+    /// Not eligible: its weight is 0.
     ZeroWeight,
-    /// It vanished with much of the list and still answers: retained until this time.
-    Retained(Millis),
-    /// It is no longer listed.
+    /// Eligible: it vanished in a sudden loss, still answers clients, and is retained until this moment.
+    Retained(Timestamp),
+    /// Not eligible: it is no longer listed.
     Deregistered,
 }
 
 impl EligibilityReason {
-    /// Whether an endpoint gets requests for this reason.
+    /// Whether an endpoint with this reason gets requests.
     pub fn is_eligible(self) -> bool {
         matches!(self, Self::Listed | Self::Retained(_))
     }
@@ -37,54 +37,61 @@
 pub struct Endpoint {
     /// Its number.
     pub number: EndpointNumber,
-    /// The instance as Consul listed it last.
+    /// The instance as Consul last listed it.
     pub instance: Instance,
     /// Whether it gets new requests.
     pub eligible: bool,
-    /// Why.
+    /// Why it is eligible or not.
     pub reason: EligibilityReason,
-    /// When it became eligible last; `None` if it has been since the first list.
-    pub eligible_since: Option<Millis>,
+    /// When it last became eligible; `None` if it has been eligible since the first list.
+    pub eligible_since: Option<Timestamp>,
 }
 
 /// The endpoints of a service that are listed or eligible.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
-    /// By number.
+    /// The endpoints, in order of their numbers.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A change of an endpoint list, for the log.
+impl EndpointList {
+    /// The endpoints that get new requests.
+    pub fn eligible(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.iter().filter(|endpoint| endpoint.eligible)
+    }
+}
+
+/// A change of an endpoint list, reported for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// The list, or an endpoint in it, has changed.
     ListChanged {
-        /// Endpoints of the list.
+        /// Number of endpoints in the list.
         listed: usize,
-        /// Those of them that are eligible.
+        /// Number of those that are eligible.
         eligible: usize,
     },
-    /// An endpoint has become eligible or ceased to be, or is held now for another reason.
+    /// An endpoint became eligible, ceased to be eligible, or is now suppressed by flap damping.
     EligibilityChanged {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
         /// Whether it is eligible now.
         eligible: bool,
         /// Why.
         reason: EligibilityReason,
     },
-    /// Much of the list vanished in one response without a mark.
+    /// One response dropped a large share of the eligible endpoints, none of them marked unhealthy.
     SuddenLoss {
-        /// How many vanished.
+        /// Number of endpoints that vanished.
         vanished: usize,
-        /// Of how many that were eligible.
+        /// Number of endpoints that were eligible before the response.
         of: usize,
-        /// How many of those that vanished are retained.
+        /// Number of vanished endpoints that are retained.
         retained: usize,
     },
-    /// The endpoints that were retained after a sudden loss are given up.
+    /// The retention after a sudden loss ended, and these endpoints did not reappear.
     LossAccepted {
-        /// How many.
+        /// Number of endpoints that are no longer retained.
         count: usize,
     },
 }
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -1,35 +1,38 @@
 //! The history of one instance at one address.
 
-use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, Millis, StabilityConfig};
+use super::flap_damping::FlapDamping;
+use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, StabilityConfig, Timestamp};
+use std::net::SocketAddr;
 
-/// Up to this count of flaps an instance that recovers is not held back: the first time is a restart.
-const FREE_FLAPS: f64 = 1.5;
-/// The hold doubles so many times at most, before its bound is applied.
-const MAX_DOUBLINGS: f64 = 32.0;
+/// An instance that has left is remembered for its flaps for this many half-lives of the flap count.
+const REMEMBERED_HALF_LIVES: u32 = 4;
 
-/// What is known of an instance.
+/// State of one instance at one address.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    pub(super) number: EndpointNumber,
-    pub(super) instance: Instance,
-    /// It is in the last response.
-    pub(super) listed: bool,
-    pub(super) eligible: bool,
-    pub(super) reason: EligibilityReason,
-    pub(super) eligible_since: Option<Millis>,
-    /// Times that it ceased to be eligible, halved in each half-life; as of `flapped_at`.
-    pub(super) flaps: f64,
-    flapped_at: Millis,
-    healthy_since: Option<Millis>,
-    /// It is eligible until this though it vanished.
-    pub(super) retained_until: Option<Millis>,
+    number: EndpointNumber,
+    instance: Instance,
+    /// Whether the last response lists it.
+    listed: bool,
+    eligible: bool,
+    reason: EligibilityReason,
+    eligible_since: Option<Timestamp>,
+    flap_damping: FlapDamping,
+    /// End of its retention after a sudden loss.
+    retained_until: Option<Timestamp>,
     /// When it was first missing from a response.
-    pub(super) left_at: Millis,
+    left_at: Timestamp,
 }
 
 impl Record {
-    /// An instance that is listed for the first time. One of the first list counts as having always been healthy.
-    pub(super) fn new(number: EndpointNumber, instance: Instance, now: Millis, is_first_list: bool) -> Self {
+    /// Creates the record of an instance that is listed for the first time. An instance of the first list counts as healthy
+    /// since the start of the clock.
+    pub(super) fn new(
+        number: EndpointNumber,
+        instance: Instance,
+        now: Timestamp,
+        is_first_list: bool,
+    ) -> Self {
         Self {
             number,
             instance,
@@ -37,14 +40,64 @@
             eligible: false,
             reason: EligibilityReason::Deregistered,
             eligible_since: None,
-            flaps: 0.0,
-            flapped_at: now,
-            healthy_since: is_first_list.then_some(0),
+            flap_damping: FlapDamping::new(now, is_first_list.then_some(Timestamp::ZERO)),
             retained_until: None,
             left_at: now,
         }
     }
 
+    pub(super) fn number(&self) -> EndpointNumber {
+        self.number
+    }
+
+    pub(super) fn id(&self) -> &str {
+        &self.instance.id
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.instance.address
+    }
+
+    pub(super) fn is_listed(&self) -> bool {
+        self.listed
+    }
+
+    pub(super) fn is_eligible(&self) -> bool {
+        self.eligible
+    }
+
+    pub(super) fn left_at(&self) -> Timestamp {
+        self.left_at
+    }
+
+    /// Whether it belongs to the endpoint list in use.
+    pub(super) fn is_in_use(&self) -> bool {
+        self.listed || self.eligible
+    }
+
+    /// Whether the last response dropped it while it was eligible. A retained instance vanished in an earlier response.
+    pub(super) fn has_vanished(&self) -> bool {
+        !self.listed && self.eligible && self.retained_until.is_none()
+    }
+
+    pub(super) fn is_retention_over(&self, now: Timestamp) -> bool {
+        self.retained_until.is_some_and(|until| now >= until)
+    }
+
+    /// Whether it has flapped often enough to be remembered after it has left, and left recently enough.
+    pub(super) fn is_remembered_for_flaps(&self, now: Timestamp, config: &StabilityConfig) -> bool {
+        let remembered_until = self.left_at + config.flap_half_life * REMEMBERED_HALF_LIVES;
+        self.flap_damping.has_repeated_flaps() && now < remembered_until
+    }
+
+    /// When its flap suppression or its retention ends.
+    pub(super) fn deadline(&self) -> Option<Timestamp> {
+        match self.reason {
+            EligibilityReason::Flapping(until) | EligibilityReason::Retained(until) => Some(until),
+            _ => None,
+        }
+    }
+
     pub(super) fn endpoint(&self) -> Endpoint {
         Endpoint {
             number: self.number,
@@ -55,18 +108,47 @@
         }
     }
 
-    pub(super) fn update_healthy_since(&mut self, now: Millis, config: &StabilityConfig) {
-        let is_healthy =
-            self.listed && self.instance.health <= config.minimum_health && self.instance.weight > 0.0;
-        self.healthy_since = is_healthy.then(|| self.healthy_since.unwrap_or(now));
+    /// Marks it as unlisted until the present response lists it.
+    pub(super) fn set_unlisted(&mut self) {
+        self.listed = false;
+    }
+
+    /// Applies its entry in the present response.
+    pub(super) fn set_listed(&mut self, instance: Instance) {
+        self.instance = instance;
+        self.listed = true;
+        self.retained_until = None;
+    }
+
+    pub(super) fn retain_until(&mut self, until: Timestamp) {
+        self.retained_until = Some(until);
+    }
+
+    pub(super) fn cancel_retention(&mut self) {
+        self.retained_until = None;
+    }
+
+    /// Records when it left, if the present response is the first without it and it is not retained.
+    pub(super) fn record_departure(&mut self, now: Timestamp) {
+        let has_left_before = self.reason == EligibilityReason::Deregistered;
+        if !self.listed && self.retained_until.is_none() && !has_left_before {
+            self.left_at = now;
+        }
+    }
+
+    /// Records whether it is healthy now.
+    pub(super) fn update_health(&mut self, now: Timestamp, config: &StabilityConfig) {
+        let is_health_sufficient = self.instance.health <= config.minimum_health;
+        let is_healthy = self.listed && is_health_sufficient && self.instance.weight > 0.0;
+        self.flap_damping.update_health(now, is_healthy);
     }
 
-    /// Decides whether it is eligible now. `is_address_used`: another eligible instance has its address.
+    /// Decides whether it is eligible now. `is_address_taken` tells that another eligible instance has its address.
     pub(super) fn decide(
         &self,
-        now: Millis,
+        now: Timestamp,
         config: &StabilityConfig,
-        is_address_used: bool,
+        is_address_taken: bool,
     ) -> EligibilityReason {
         if !self.listed {
             return match self.retained_until {
@@ -80,59 +162,37 @@
         if self.instance.weight <= 0.0 {
             return EligibilityReason::ZeroWeight;
         }
-        let held_until = self.held_until(now, config);
-        if !self.eligible && now < held_until {
-            EligibilityReason::Flapping(held_until)
-        } else if is_address_used {
+        let suppressed_until = self.flap_damping.suppressed_until(now, config);
+        if !self.eligible && now < suppressed_until {
+            EligibilityReason::Flapping(suppressed_until)
+        } else if is_address_taken {
             EligibilityReason::DuplicateAddress
         } else {
             EligibilityReason::Listed
         }
     }
 
-    /// Applies a decision, and returns whether it is a change that is worth a line in the log.
+    /// Applies a decision, and returns whether the change is logged. An instance that becomes eligible is so since
+    /// `eligible_since`.
     pub(super) fn apply(
         &mut self,
-        now: Millis,
+        now: Timestamp,
         config: &StabilityConfig,
         reason: EligibilityReason,
-        eligible_since: Option<Millis>,
+        eligible_since: Option<Timestamp>,
     ) -> bool {
         let eligible = reason.is_eligible();
-        let has_turned = eligible != self.eligible;
-        if has_turned && eligible {
+        let eligibility_changed = eligible != self.eligible;
+        if eligibility_changed && eligible {
             self.eligible_since = eligible_since;
-        } else if has_turned {
-            self.flaps = self.decayed_flaps(now, config) + 1.0;
-            self.flapped_at = now;
+        } else if eligibility_changed {
+            self.flap_damping.count_flap(now, config);
         }
-        let was_away =
+        let was_down =
             matches!(self.reason, EligibilityReason::Unhealthy(_) | EligibilityReason::Deregistered);
-        let is_suppressed = was_away && matches!(reason, EligibilityReason::Flapping(_));
+        let suppression_started = was_down && matches!(reason, EligibilityReason::Flapping(_));
         self.eligible = eligible;
         self.reason = reason;
-        has_turned || is_suppressed
-    }
-
-    /// The end of its hold, which begins when it is healthy again.
-    fn held_until(&self, now: Millis, config: &StabilityConfig) -> Millis {
-        let healthy_since = self.healthy_since.unwrap_or(now);
-        healthy_since + self.hold(now.min(healthy_since), config)
-    }
-
-    /// How long it is held back when it becomes healthy.
-    fn hold(&self, at: Millis, config: &StabilityConfig) -> Millis {
-        let flaps = self.decayed_flaps(at, config);
-        if flaps < FREE_FLAPS {
-            return 0;
-        }
-        let doublings = (flaps - 1.0).min(MAX_DOUBLINGS).floor() - 1.0;
-        let hold = config.flap_hold as f64 * 2f64.powf(doublings);
-        (hold as Millis).min(config.max_flap_hold)
-    }
-
-    fn decayed_flaps(&self, now: Millis, config: &StabilityConfig) -> f64 {
-        let half_lives = now.saturating_sub(self.flapped_at) as f64 / config.flap_half_life.max(1) as f64;
-        self.flaps * 0.5f64.powf(half_lives)
+        eligibility_changed || suppression_started
     }
 }
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -1,17 +1,22 @@
-//! The course of a list over responses and time.
+//! Endpoint lists over sequences of responses and the passage of time.
 
 use super::*;
 use crate::HealthStatus;
 use proptest::prelude::*;
+use std::time::Duration;
 
-fn at(port: u16) -> SocketAddr {
+fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
+const fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
 fn instance(i: u16) -> Instance {
     Instance {
         id: format!("i{i}"),
-        address: at(1_000 + i),
+        address: loopback(1_000 + i),
         health: HealthStatus::Passing,
         weight: 1.0,
         started_at: None,
@@ -22,31 +27,32 @@
     Instance { health, ..instance(i) }
 }
 
-/// A tracker that gets responses, with the list and the events that came of them.
+/// Feeds a tracker with responses, and collects its latest list and its events.
 struct Harness {
     tracker: EndpointTracker,
-    now: Millis,
+    now: Timestamp,
     list: EndpointList,
     events: Vec<WatchEvent>,
-    /// When clients had their last answers.
-    answered: HashMap<EndpointNumber, Millis>,
+    /// When clients got their last answers.
+    last_answers: HashMap<EndpointNumber, Timestamp>,
 }
 
 impl Harness {
-    fn new(first: Vec<Instance>) -> Self {
+    fn new(first_response: Vec<Instance>) -> Self {
         let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-        let list = tracker.apply_response(1_000, first, &|_| None, &mut Vec::new());
-        Self { tracker, now: 1_000, list, events: Vec::new(), answered: HashMap::new() }
+        let now = at(1_000);
+        let list = tracker.apply_response(now, first_response, &|_| None, &mut Vec::new());
+        Self { tracker, now, list, events: Vec::new(), last_answers: HashMap::new() }
     }
 
-    fn respond(&mut self, after: u64, instances: Vec<Instance>) {
-        self.now += after;
-        let answered = |number: EndpointNumber| self.answered.get(&number).copied();
-        self.list = self.tracker.apply_response(self.now, instances, &answered, &mut self.events);
+    fn respond_after(&mut self, millis: u64, instances: Vec<Instance>) {
+        self.now = self.now + Duration::from_millis(millis);
+        let last_answer_at = |number: EndpointNumber| self.last_answers.get(&number).copied();
+        self.list = self.tracker.apply_response(self.now, instances, &last_answer_at, &mut self.events);
     }
 
-    fn pass_time(&mut self, span: u64) {
-        let until = self.now + span;
+    fn advance_by(&mut self, millis: u64) {
+        let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now = self.tracker.next_deadline(self.now).unwrap_or(until).min(until);
             self.list = self.tracker.advance(self.now, &|_| false, &mut self.events);
@@ -54,21 +60,20 @@
     }
 
     fn eligible_ids(&self) -> Vec<&str> {
-        let mut ids: Vec<&str> =
-            self.list.endpoints.iter().filter(|e| e.eligible).map(|e| e.instance.id.as_str()).collect();
+        let mut ids: Vec<&str> = self.list.eligible().map(|endpoint| endpoint.instance.id.as_str()).collect();
         ids.sort_unstable();
         ids
     }
 
     fn endpoint(&self, id: &str) -> &Endpoint {
-        self.list.endpoints.iter().find(|e| e.instance.id == id).expect("it is listed")
+        self.list.endpoints.iter().find(|e| e.instance.id == id).expect("the id is listed")
     }
 }
 
 #[test]
-fn marked_endpoints_are_ineligible_at_once_however_many() {
+fn endpoints_marked_unhealthy_become_ineligible_at_once_whatever_their_number() {
     let mut harness = Harness::new((0..4).map(instance).collect());
-    harness.respond(
+    harness.respond_after(
         10,
         vec![
             with_health(0, HealthStatus::Critical),
@@ -83,114 +88,114 @@
 }
 
 #[test]
-fn minimum_health_decides_who_is_eligible() {
+fn an_endpoint_below_the_minimum_health_is_ineligible() {
     let mut tracker = EndpointTracker::new(
         StabilityConfig { minimum_health: HealthStatus::Passing, ..StabilityConfig::default() },
         0,
     );
     let list = tracker.apply_response(
-        0,
+        at(0),
         vec![instance(0), with_health(1, HealthStatus::Warning)],
         &|_| None,
         &mut Vec::new(),
     );
-    assert_eq!(list.endpoints.iter().filter(|e| e.eligible).count(), 1);
+    assert_eq!(list.eligible().count(), 1);
 }
 
 #[test]
-fn one_restart_costs_no_hold_and_counts_as_a_start() {
+fn a_single_restart_is_not_suppressed_and_counts_as_a_start() {
     let mut harness = Harness::new((0..3).map(instance).collect());
-    assert_eq!(harness.endpoint("i0").eligible_since, None, "it was there from the first list on");
-    harness.respond(1_000, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
-    harness.respond(5_000, (0..3).map(instance).collect());
+    assert_eq!(harness.endpoint("i0").eligible_since, None, "eligible since the first list");
+    harness.respond_after(1_000, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
+    harness.respond_after(5_000, (0..3).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 3);
-    assert_eq!(harness.endpoint("i0").eligible_since, Some(7_000));
+    assert_eq!(harness.endpoint("i0").eligible_since, Some(at(7_000)));
 }
 
-/// A flap every second for a minute: without the hold it moves traffic thirty times.
+/// Without damping, a flap every second for a minute would move traffic thirty times.
 #[test]
-fn a_flap_every_second_moves_traffic_a_few_times_only_and_is_forgiven_later() {
+fn a_flap_every_second_moves_traffic_a_few_times_and_is_forgotten_later() {
     let mut harness = Harness::new((0..3).map(instance).collect());
-    let mut moves = 0;
-    let mut before = 3;
+    let mut traffic_moves = 0;
+    let mut eligible_before = 3;
     for second in 0..60 {
         let health = if second % 2 == 0 { HealthStatus::Critical } else { HealthStatus::Passing };
-        harness.respond(1_000, vec![with_health(0, health), instance(1), instance(2)]);
-        harness.pass_time(0);
-        moves += usize::from(harness.eligible_ids().len() != before);
-        before = harness.eligible_ids().len();
+        harness.respond_after(1_000, vec![with_health(0, health), instance(1), instance(2)]);
+        harness.advance_by(0);
+        traffic_moves += usize::from(harness.eligible_ids().len() != eligible_before);
+        eligible_before = harness.eligible_ids().len();
     }
-    assert!((2..=6).contains(&moves), "{moves} moves");
+    assert!((2..=6).contains(&traffic_moves), "{traffic_moves} moves");
     assert!(
         matches!(harness.endpoint("i0").reason, EligibilityReason::Flapping(_)),
         "{:?}",
         harness.endpoint("i0")
     );
-    // Well for good: it is back after its hold, and after some quiet minutes nothing is left of it.
-    harness.pass_time(60_000);
+    // It stays healthy: it is eligible after its suppression, and its flap count has decayed after some minutes.
+    harness.advance_by(60_000);
     assert_eq!(harness.eligible_ids().len(), 3);
-    harness.pass_time(600_000);
-    harness.respond(1_000, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
-    harness.respond(1_000, (0..3).map(instance).collect());
+    harness.advance_by(600_000);
+    harness.respond_after(1_000, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
+    harness.respond_after(1_000, (0..3).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 3);
 }
 
 #[test]
-fn holds_grow_to_a_bound() {
+fn suppression_times_grow_up_to_a_bound() {
     let mut harness = Harness::new((0..3).map(instance).collect());
-    let mut holds = Vec::new();
+    let mut suppressions_ms = Vec::new();
     for _ in 0..8 {
-        harness.respond(1, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
-        harness.respond(1, (0..3).map(instance).collect());
-        let begun = harness.now;
+        harness.respond_after(1, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
+        harness.respond_after(1, (0..3).map(instance).collect());
+        let recovered_at = harness.now;
         while harness.eligible_ids().len() < 3 {
-            harness.pass_time(100);
+            harness.advance_by(100);
         }
-        holds.push(harness.now - begun);
+        suppressions_ms.push(harness.now.saturating_since(recovered_at).as_millis());
     }
-    assert_eq!(holds[0], 0);
-    assert!(holds.windows(2).all(|w| w[1] >= w[0] || w[0] > 30_000), "{holds:?}");
-    assert!(holds.iter().all(|&h| h <= 60_000), "{holds:?}");
-    assert!(holds[3] >= 4_000, "{holds:?}");
+    assert_eq!(suppressions_ms[0], 0);
+    assert!(suppressions_ms.windows(2).all(|w| w[1] >= w[0] || w[0] > 30_000), "{suppressions_ms:?}");
+    assert!(suppressions_ms.iter().all(|&millis| millis <= 60_000), "{suppressions_ms:?}");
+    assert!(suppressions_ms[3] >= 4_000, "{suppressions_ms:?}");
 }
 
 #[test]
-fn a_sudden_loss_is_delayed_for_endpoints_that_still_answer_and_then_accepted() {
+fn a_sudden_loss_retains_endpoints_that_still_answer_and_is_accepted_later() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
-    // Two have failed: they have not answered for long.
-    harness.answered.extend(numbers[2..].iter().map(|&n| (n, 1_500)));
-    harness.respond(1_000, Vec::new());
+    // The first two have failed: they have no recent answer.
+    harness.last_answers.extend(numbers[2..].iter().map(|&n| (n, at(1_500))));
+    harness.respond_after(1_000, Vec::new());
     assert_eq!(harness.eligible_ids(), ["i2", "i3", "i4", "i5"]);
     assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, of: 6, retained: 4 });
-    // In a further response it is the same loss and not a new one.
-    harness.respond(5_000, Vec::new());
+    // A further response without them is part of the same loss.
+    harness.respond_after(5_000, Vec::new());
     assert_eq!(harness.eligible_ids().len(), 4);
-    harness.pass_time(9_000);
+    harness.advance_by(9_000);
     assert_eq!(harness.eligible_ids().len(), 4);
-    harness.pass_time(2_000);
+    harness.advance_by(2_000);
     assert_eq!(harness.eligible_ids().len(), 0);
     assert!(harness.events.contains(&WatchEvent::LossAccepted { count: 4 }), "{:?}", harness.events);
 }
 
 #[test]
-fn a_wiped_catalogue_that_is_restored_in_time_moves_nothing() {
+fn an_emptied_catalogue_that_is_restored_in_time_changes_nothing() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let before = harness.list.clone();
-    harness.answered.extend(before.endpoints.iter().map(|e| (e.number, 1_500)));
-    harness.respond(1_000, Vec::new());
-    harness.respond(4_000, (0..6).map(instance).collect());
-    assert_eq!(harness.list, before, "not even a restart is counted");
-    harness.pass_time(60_000);
+    harness.last_answers.extend(before.endpoints.iter().map(|e| (e.number, at(1_500))));
+    harness.respond_after(1_000, Vec::new());
+    harness.respond_after(4_000, (0..6).map(instance).collect());
+    assert_eq!(harness.list, before, "no restart is counted");
+    harness.advance_by(60_000);
     assert_eq!(harness.eligible_ids().len(), 6);
 }
 
 #[test]
-fn the_loss_of_a_few_is_accepted_at_once() {
+fn the_loss_of_a_small_share_is_accepted_at_once() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
-    harness.answered.extend(numbers.iter().map(|&n| (n, 1_900)));
-    harness.respond(1_000, (2..6).map(instance).collect());
+    harness.last_answers.extend(numbers.iter().map(|&n| (n, at(1_900))));
+    harness.respond_after(1_000, (2..6).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 4);
 }
 
@@ -198,23 +203,23 @@
 fn of_two_ids_at_one_address_one_is_eligible_and_a_replacement_takes_over() {
     let mut harness = Harness::new((0..3).map(instance).collect());
     let twin = Instance { id: "twin".into(), ..instance(0) };
-    harness.respond(10, vec![instance(0), instance(1), instance(2), twin.clone()]);
+    harness.respond_after(10, vec![instance(0), instance(1), instance(2), twin.clone()]);
     assert_eq!(harness.eligible_ids(), ["i0", "i1", "i2"]);
     assert_eq!(harness.endpoint("twin").reason, EligibilityReason::DuplicateAddress);
     let before = harness.endpoint("i0").number;
-    harness.respond(10, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2), twin]);
+    harness.respond_after(10, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2), twin]);
     assert_eq!(harness.eligible_ids(), ["i1", "i2", "twin"]);
-    assert_ne!(harness.endpoint("twin").number, before, "what is known of the old one does not hold for it");
+    assert_ne!(harness.endpoint("twin").number, before, "a new endpoint starts without history");
     assert!(harness.endpoint("twin").eligible_since.is_some(), "it may need slow start");
 }
 
 #[test]
-fn an_instance_that_moves_has_a_new_number_and_its_old_address_is_dropped_at_once() {
+fn an_instance_that_moves_gets_a_new_number_and_its_old_address_is_dropped_at_once() {
     let mut harness = Harness::new((0..2).map(instance).collect());
     let before = harness.endpoint("i0").number;
-    harness.answered.extend(harness.list.endpoints.iter().map(|e| (e.number, 1_001)));
-    let moved = |i: u16| Instance { address: at(2_000 + i), ..instance(i) };
-    harness.respond(10, vec![moved(0), moved(1)]);
+    harness.last_answers.extend(harness.list.endpoints.iter().map(|e| (e.number, at(1_001))));
+    let moved = |i: u16| Instance { address: loopback(2_000 + i), ..instance(i) };
+    harness.respond_after(10, vec![moved(0), moved(1)]);
     assert_eq!(
         harness.list.endpoints.len(),
         2,
@@ -225,23 +230,22 @@
 }
 
 #[test]
-fn a_cached_list_is_used_until_the_first_response_whatever_that_says() {
+fn a_cached_list_is_used_until_the_first_response_replaces_it() {
     let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-    let list = tracker.restore(0, (0..6).map(instance).collect(), &mut Vec::new());
-    assert_eq!(list.endpoints.iter().filter(|e| e.eligible && e.eligible_since.is_none()).count(), 6);
-    // Consul's first response is no sudden change: much may have happened meanwhile.
-    let list = tracker.apply_response(500, vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
-    let eligible: Vec<&str> =
-        list.endpoints.iter().filter(|e| e.eligible).map(|e| e.instance.id.as_str()).collect();
+    let list = tracker.restore(at(0), (0..6).map(instance).collect(), &mut Vec::new());
+    assert_eq!(list.eligible().filter(|endpoint| endpoint.eligible_since.is_none()).count(), 6);
+    // Consul's first response is not checked for a sudden loss: the fleet may have changed during the restart.
+    let list = tracker.apply_response(at(500), vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
+    let eligible: Vec<&str> = list.eligible().map(|endpoint| endpoint.instance.id.as_str()).collect();
     assert_eq!(eligible, ["i0", "i9"]);
 }
 
 #[test]
-fn memory_is_bounded_over_a_hundred_thousand_replaced_ids() {
+fn memory_is_bounded_while_ids_are_replaced_constantly() {
     let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-    let (mut now, mut max_tracked, mut numbers) = (0, 0, HashSet::new());
+    let (mut now, mut max_tracked, mut numbers) = (at(0), 0, HashSet::new());
     for turn in 0u32..10_000 {
-        now += 100;
+        now = now + Duration::from_millis(100);
         let fleet = (0..12u32).map(|i| {
             let generation = (turn + i) / 12 * 12 + i;
             Instance { id: format!("i{generation}"), ..instance(i as u16) }
@@ -256,9 +260,9 @@
 }
 
 #[test]
-fn a_number_with_attempts_in_flight_is_remembered() {
+fn an_endpoint_with_attempts_in_flight_is_remembered() {
     let mut harness = Harness::new((0..6).map(instance).collect());
-    harness.respond(10, (1..6).map(instance).collect());
+    harness.respond_after(10, (1..6).map(instance).collect());
     let tracked = harness.tracker.tracked_count();
     harness.tracker.advance(harness.now, &|_| true, &mut Vec::new());
     assert_eq!(harness.tracker.tracked_count(), tracked);
@@ -269,22 +273,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(42), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is listed in whatever order: marked endpoints are not eligible, no address is so twice, numbers are unique.
+    /// Unhealthy endpoints are not eligible, eligible endpoints have distinct addresses, and numbers are unique.
     #[test]
-    fn invariants_hold_on_any_course(
-        course in prop::collection::vec(
+    fn invariants_hold_over_any_sequence_of_responses(
+        responses in prop::collection::vec(
             (prop::collection::btree_map(0u16..10, (0u8..5, 0u16..12), 0..10), 0u64..5_000, any::<bool>()), 1..40)
     ) {
         let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-        let (mut now, mut answered) = (0, HashMap::new());
-        for (listed, after, answers) in course {
-            now += after;
+        let (mut now, mut last_answers) = (at(0), HashMap::new());
+        for (listed, after_ms, answers) in responses {
+            now = now + Duration::from_millis(after_ms);
             let healths = [HealthStatus::Passing, HealthStatus::Warning, HealthStatus::Critical, HealthStatus::Maintenance, HealthStatus::NodeDown];
             let listed: Vec<Instance> = listed
                 .into_iter()
-                .map(|(i, (h, p))| Instance { address: at(1_000 + p), ..with_health(i, healths[usize::from(h)]) })
+                .map(|(i, (h, p))| Instance { address: loopback(1_000 + p), ..with_health(i, healths[usize::from(h)]) })
                 .collect();
-            let list = tracker.apply_response(now, listed.clone(), &|n| answered.get(&n).copied(), &mut Vec::new());
+            let list = tracker.apply_response(now, listed.clone(), &|number| last_answers.get(&number).copied(), &mut Vec::new());
             let mut addresses = HashSet::new();
             let mut numbers = HashSet::new();
             for endpoint in &list.endpoints {
@@ -298,7 +302,7 @@
                     }
                 }
                 if answers {
-                    answered.insert(endpoint.number, now);
+                    last_answers.insert(endpoint.number, now);
                 }
             }
             tracker.advance(now, &|_| false, &mut Vec::new());
--- a/crates/catalogue/src/health_response.rs
+++ b/crates/catalogue/src/health_response.rs
@@ -1,7 +1,7 @@
-//! The response of `/v1/health/service/NAME`, by Consul's public documentation of the health API and of checks.
+//! Parser of the response to `/v1/health/service/NAME`, after Consul's public documentation of the health API and of checks.
 //!
-//! One query without `passing` returns every registered instance with all its checks, so that registration and health are of
-//! one moment. The catalogue's page of the same service holds nothing beyond it.
+//! A query without `passing` returns every registered instance with all its checks, a consistent view of registration and health.
+//! The catalogue API would add nothing to it.
 
 mod instance;
 mod wire;
@@ -11,21 +11,21 @@
 
 pub use instance::{HealthStatus, Instance};
 
-/// The instances of a service.
+/// The instances of a service, as one response lists them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthResponse {
-    /// The instances that can be used, by id.
+    /// Valid instances, sorted by id.
     pub instances: Vec<Instance>,
-    /// The others.
+    /// Entries that are left out of the list.
     pub invalid: Vec<InvalidInstance>,
 }
 
-/// An instance that cannot be used.
+/// An entry of a response that is no valid instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidInstance {
-    /// Its node's name and its service id.
+    /// Node name and service id.
     pub id: String,
-    /// Why.
+    /// Why it is invalid.
     pub error: InstanceError,
 }
 
@@ -34,16 +34,16 @@
     ///
     /// # Errors
     ///
-    /// The body is not what the health API returns, or lists too many instances.
+    /// Returns an error if the body is not a response of the health API, or has more than [`MAX_INSTANCES`] instances.
     pub fn parse(body: &[u8]) -> Result<Self, ResponseError> {
-        let rows: Vec<wire::Row> = serde_json::from_slice(body)?;
-        if rows.len() > MAX_INSTANCES {
-            return Err(ResponseError::TooManyInstances { count: rows.len() });
+        let entries: Vec<wire::Entry> = serde_json::from_slice(body)?;
+        if entries.len() > MAX_INSTANCES {
+            return Err(ResponseError::TooManyInstances { count: entries.len() });
         }
         let mut response = Self::default();
-        for row in rows {
-            let id = format!("{}/{}", row.node.node, row.service.id);
-            match Instance::from_row(&id, &row) {
+        for entry in entries {
+            let id = format!("{}/{}", entry.node.node, entry.service.id);
+            match Instance::from_entry(&id, &entry) {
                 Ok(instance) => response.instances.push(instance),
                 Err(error) => response.invalid.push(InvalidInstance { id, error }),
             }
@@ -52,7 +52,7 @@
         Ok(response)
     }
 
-    /// One id names one instance; of two the one in worse health counts.
+    /// Sorts by id and keeps one instance of each id, the one with the worst health status.
     fn remove_duplicates(&mut self) {
         self.instances.sort_by(|a, b| a.id.cmp(&b.id));
         self.instances.dedup_by(|later, earlier| {
--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -1,7 +1,7 @@
 //! One instance of a service: its address, health and weight.
 
-use super::wire::{Check, Row, Service};
-use crate::Millis;
+use super::wire::{Check, Entry, Service};
+use crate::UnixMillis;
 use crate::error::InstanceError;
 use crate::format::{CAPACITY_KEY, STARTED_KEY};
 use serde::{Deserialize, Serialize};
@@ -12,23 +12,23 @@
 /// Consul's largest weight, 65535, times the largest capacity.
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=65_535_000.0;
 
-/// The health of an instance: the worst of its own checks and its node's.
+/// Health status of an instance: the worst status among its own checks and its node's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HealthStatus {
-    /// All checks pass, or there are none.
+    /// All checks are passing, or there are none.
     Passing,
-    /// Some check warns.
+    /// A check is in warning state.
     Warning,
-    /// Some check fails.
+    /// A check is critical.
     Critical,
-    /// An operator has put the service or its node into maintenance.
+    /// An operator has put the service or its node into maintenance mode.
     Maintenance,
-    /// The node's own check (`serfHealth`) fails: the machine is presumed dead.
+    /// The node's own check (`serfHealth`) is critical: the machine is presumed dead.
     NodeDown,
 }
 
 impl HealthStatus {
-    /// Its name in the log and the console.
+    /// Its name in log lines and on the console.
     pub fn name(self) -> &'static str {
         match self {
             Self::Passing => "passing",
@@ -43,7 +43,7 @@
         match check.status.as_str() {
             "passing" => Self::Passing,
             "warning" => Self::Warning,
-            // Maintenance is a failing check with a reserved name; so is the node's own.
+            // Consul represents maintenance mode, and a failed node, as critical checks with reserved ids.
             _ if check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance:") => {
                 Self::Maintenance
             }
@@ -56,37 +56,37 @@
 /// One instance of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its node's name and its service id: unique within a datacentre.
+    /// Node name and service id, unique within a datacentre.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Its health.
+    /// Its health status.
     pub health: HealthStatus,
-    /// Its weight in its present health (`Service.Weights`), times the capacity of its `Meta`.
+    /// Its weight for its health status (`Service.Weights`), times the capacity in its `Meta`.
     pub weight: f64,
-    /// When it started, in milliseconds since the Unix epoch, if its `Meta` says.
+    /// When it started, if its `Meta` has the start time.
     #[serde(rename = "started")]
-    pub started_at: Option<Millis>,
+    pub started_at: Option<UnixMillis>,
 }
 
 impl Instance {
-    pub(super) fn from_row(id: &str, row: &Row) -> Result<Self, InstanceError> {
-        let checks = row.checks.as_deref().unwrap_or_default();
+    pub(super) fn from_entry(id: &str, entry: &Entry) -> Result<Self, InstanceError> {
+        let checks = entry.checks.as_deref().unwrap_or_default();
         let health = checks.iter().map(HealthStatus::of).max().unwrap_or(HealthStatus::Passing);
         Ok(Self {
             id: id.to_owned(),
-            address: address_of(row)?,
+            address: address_of(entry)?,
             health,
-            weight: weight_of(&row.service, health)?,
-            started_at: started_at_of(&row.service)?,
+            weight: weight_of(&entry.service, health)?,
+            started_at: started_at_of(&entry.service)?,
         })
     }
 }
 
-/// A service without an address of its own listens at its node's. Names are not resolved: there is no DNS here.
-fn address_of(row: &Row) -> Result<SocketAddr, InstanceError> {
-    let Service { address, port, .. } = &row.service;
-    let text = if address.is_empty() { &row.node.address } else { address };
+/// The service's address, or its node's address if the service has none. Host names are not resolved.
+fn address_of(entry: &Entry) -> Result<SocketAddr, InstanceError> {
+    let Service { address, port, .. } = &entry.service;
+    let text = if address.is_empty() { &entry.node.address } else { address };
     let ip: IpAddr = text.parse().map_err(|_| InstanceError::Address(text.clone()))?;
     let valid_port = u16::try_from(*port).ok().filter(|&port| port > 0);
     let port = valid_port.ok_or(InstanceError::Port(*port))?;
@@ -109,7 +109,7 @@
     capacity.ok_or_else(|| InstanceError::Capacity(text.clone()))
 }
 
-fn started_at_of(service: &Service) -> Result<Option<Millis>, InstanceError> {
+fn started_at_of(service: &Service) -> Result<Option<UnixMillis>, InstanceError> {
     let Some(text) = metadata(service, STARTED_KEY) else { return Ok(None) };
     text.parse().map(Some).map_err(|_| InstanceError::Started(text.clone()))
 }
--- a/crates/catalogue/src/health_response/wire.rs
+++ b/crates/catalogue/src/health_response/wire.rs
@@ -1,11 +1,12 @@
-//! The JSON of the health API, as far as it is read.
+//! JSON schema of the health API, limited to the fields that are used.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// One entry of the response: an instance, its node and their checks.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub(super) struct Row {
+pub(super) struct Entry {
     pub(super) node: Node,
     pub(super) service: Service,
     #[serde(default)]
@@ -15,7 +16,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Node {
-    /// Its name.
+    /// Name of the node.
     pub(super) node: String,
     #[serde(default)]
     pub(super) address: String,
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,18 +1,20 @@
-//! The endpoint list of a service that survives outages of Consul, without I/O: responses, failures and time go in, endpoint
-//! lists and events come out.
+//! Service discovery through Consul as a state machine without I/O: responses, failures and time go in, endpoint lists and events
+//! come out. The endpoint list survives outages of Consul.
 //!
-//! [`HealthResponse`] is what Consul's health API says of a service, [`AgentSelector`] decides which agent is queried next and
-//! when, [`EndpointTracker`] turns responses into the [`EndpointList`] in use and damps sudden changes, [`CachedList`] is the
-//! list's form on disk, and [`Registration`] keeps this program's own registration alive.
+//! - [`HealthResponse`] parses a response of Consul's health API.
+//! - [`AgentSelector`] decides which agent gets the next blocking query, and when.
+//! - [`EndpointTracker`] turns responses into the [`EndpointList`] in use, and damps sudden changes.
+//! - [`CachedList`] encodes the list for the cache file.
+//! - [`Registration`] keeps this process registered as a service.
 //!
 //! Invariants:
 //!
-//! - A response that cannot be used, for whatever reason, never replaces a list.
-//! - An endpoint that Consul marks as unhealthy, or drops while most stay, is not eligible from then on. Only a sudden loss of
-//!   half the list or more, without a mark, is delayed for a configured time, and then only for endpoints that still answer
-//!   clients.
-//! - Memory is bounded by the fleet and what has left it lately, however many ids have come and gone.
-//! - No text holds an ACL token.
+//! - An invalid response never replaces a list.
+//! - An endpoint that Consul marks as unhealthy, or drops while most others stay, is not eligible from then on. The exception is a
+//!   sudden loss, a response that drops a large share of the list without marking it: endpoints that still answer clients are
+//!   then retained for a configured time.
+//! - Memory is bounded by the present instances and a fixed number of those that have left.
+//! - No error text contains an ACL token.
 
 mod agent_selector;
 mod cached_list;
@@ -34,4 +36,4 @@
 pub use health_response::{HealthResponse, HealthStatus, Instance, InvalidInstance};
 pub use registration::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 pub use stability::StabilityConfig;
-pub use time::Millis;
+pub use time::{Timestamp, UnixMillis};
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -1,14 +1,15 @@
-//! This program's own registration with its agent: registered, its TTL check kept passing by heartbeats, registered again when
-//! the agent forgot it, and deregistered at the end.
+//! This process's registration with its agent: registers, keeps the TTL check passing with heartbeats, registers again when the
+//! agent has lost the registration, and deregisters at shutdown.
 
-use crate::Millis;
+use crate::Timestamp;
+use std::time::Duration;
 
-/// Heartbeats of one TTL, so that two may be lost.
-const HEARTBEATS_PER_TTL: Millis = 3;
-/// A failed request is repeated within this part of the TTL ...
-const RETRIES_PER_TTL: Millis = 6;
-/// ... and after this; doubles with each further failure, so that an agent that is down is not flooded.
-const INITIAL_BACKOFF: Millis = 250;
+/// Heartbeats per TTL, so that two may be lost in a row.
+const HEARTBEATS_PER_TTL: u32 = 3;
+/// The backoff after a failed request is at most the TTL divided by this.
+const RETRIES_PER_TTL: u32 = 6;
+/// Base of the exponential backoff. The first failure doubles it, and so does each further one.
+const BASE_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_DOUBLINGS: u32 = 6;
 
 /// A request to the agent.
@@ -22,14 +23,14 @@
     Deregister,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// Status 200.
+    /// The agent responded with status 200.
     Accepted,
-    /// The agent knows no such check: status 404, or 500 as older agents respond.
+    /// The agent does not know the check: status 404, or 500 from older agents.
     UnknownCheck,
-    /// No response, or another.
+    /// The agent did not respond, or responded with another status.
     Failed,
 }
 
@@ -38,41 +39,41 @@
 pub enum RegistrationChange {
     /// The agent has accepted the registration.
     Registered,
-    /// The agent has no registration of this program any more.
+    /// The agent has lost the registration, or has removed it on request.
     Lost,
 }
 
-/// The registration.
+/// State of the registration, without I/O.
 #[derive(Clone, Debug)]
 pub struct Registration {
-    ttl: Millis,
+    ttl: Duration,
     is_registered: bool,
-    next_due: Millis,
+    next_request_at: Timestamp,
     consecutive_failures: u32,
 }
 
 impl Registration {
-    /// Not registered yet. The check expires `ttl` after the last heartbeat.
-    pub fn new(ttl: Millis) -> Self {
-        Self { ttl, is_registered: false, next_due: 0, consecutive_failures: 0 }
+    /// Starts unregistered. The check expires `ttl` after the last heartbeat.
+    pub fn new(ttl: Duration) -> Self {
+        Self { ttl, is_registered: false, next_request_at: Timestamp::ZERO, consecutive_failures: 0 }
     }
 
     /// The request that is due, if any.
-    pub fn next_request(&self, now: Millis) -> Option<RegistrationRequest> {
+    pub fn next_request(&self, now: Timestamp) -> Option<RegistrationRequest> {
         let request =
             if self.is_registered { RegistrationRequest::Heartbeat } else { RegistrationRequest::Register };
-        (now >= self.next_due).then_some(request)
+        (now >= self.next_request_at).then_some(request)
     }
 
     /// When the next request is due.
-    pub fn next_due(&self) -> Millis {
-        self.next_due
+    pub fn next_request_at(&self) -> Timestamp {
+        self.next_request_at
     }
 
-    /// Records how a request ended, and returns a change that is worth a line in the log.
+    /// Records the outcome of a request, and returns the change to log, if any.
     pub fn handle_outcome(
         &mut self,
-        now: Millis,
+        now: Timestamp,
         request: RegistrationRequest,
         outcome: RegistrationOutcome,
     ) -> Option<RegistrationChange> {
@@ -81,20 +82,20 @@
             (RegistrationRequest::Register, RegistrationOutcome::Accepted) => {
                 self.is_registered = true;
                 self.consecutive_failures = 0;
-                // A new check is critical until its first heartbeat.
-                self.next_due = now;
+                // A new TTL check is critical until its first heartbeat.
+                self.next_request_at = now;
             }
             (RegistrationRequest::Heartbeat, RegistrationOutcome::Accepted) => {
                 self.consecutive_failures = 0;
-                self.next_due = now + self.ttl / HEARTBEATS_PER_TTL;
+                self.next_request_at = now + self.ttl / HEARTBEATS_PER_TTL;
             }
             (RegistrationRequest::Heartbeat, RegistrationOutcome::UnknownCheck) => {
                 self.is_registered = false;
-                self.next_due = now;
+                self.next_request_at = now;
             }
             (RegistrationRequest::Deregister, RegistrationOutcome::Accepted) => {
                 self.is_registered = false;
-                self.next_due = Millis::MAX;
+                self.next_request_at = Timestamp::NEVER;
             }
             (_, RegistrationOutcome::Failed | RegistrationOutcome::UnknownCheck) => self.back_off(now),
         }
@@ -105,10 +106,11 @@
         }
     }
 
-    fn back_off(&mut self, now: Millis) {
+    fn back_off(&mut self, now: Timestamp) {
         self.consecutive_failures += 1;
-        let backoff = INITIAL_BACKOFF << self.consecutive_failures.min(MAX_DOUBLINGS);
-        self.next_due = now + (self.ttl / RETRIES_PER_TTL).min(backoff);
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        let backoff = BASE_BACKOFF * 2u32.pow(doublings);
+        self.next_request_at = now + backoff.min(self.ttl / RETRIES_PER_TTL);
     }
 }
 
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -1,20 +1,20 @@
-//! The file of the last endpoint list, as version 0.1.0 wrote it: later versions read it, and write the same bytes.
+//! Compatibility of the cache file: this version reads the file of version 0.1.0 and writes the same bytes.
 
 use catalogue::{AgedList, CachedList, CachedListError, HealthStatus, Instance};
 use std::collections::BTreeMap;
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/loans.list");
-/// Unix milliseconds: when Consul confirmed the list of the fixture.
+/// When Consul confirmed the list of the fixture, in Unix milliseconds.
 const CONFIRMED_AT: u64 = 1_700_000_000_000;
 const MAX_AGE_SECONDS: u64 = 100;
 
-fn list() -> CachedList {
-    let instance = |id: &str, address: &str, health, weight, started| Instance {
+fn fixture_list() -> CachedList {
+    let instance = |id: &str, address: &str, health, weight, started_at| Instance {
         id: id.into(),
         address: address.parse().expect("an address"),
         health,
         weight,
-        started_at: started,
+        started_at,
     };
     let loans = vec![
         instance("a/l0", "127.0.0.1:8500", HealthStatus::Passing, 1.0, None),
@@ -30,12 +30,12 @@
 #[test]
 fn reads_the_file_of_version_0_1_0() {
     let read = CachedList::decode(FIXTURE, CONFIRMED_AT + 42_000, MAX_AGE_SECONDS);
-    assert_eq!(read, Ok(AgedList { list: list(), age_seconds: 42 }));
+    assert_eq!(read, Ok(AgedList { list: fixture_list(), age_seconds: 42 }));
 }
 
 #[test]
 fn writes_the_same_bytes_as_version_0_1_0() {
-    assert_eq!(list().encode().as_bytes(), FIXTURE);
+    assert_eq!(fixture_list().encode().as_bytes(), FIXTURE);
 }
 
 #[test]
@@ -47,7 +47,7 @@
         damaged[length] ^= 1;
         assert!(
             CachedList::decode(&damaged, CONFIRMED_AT, MAX_AGE_SECONDS).is_err(),
-            "byte {length} changed"
+            "byte {length} altered"
         );
     }
     let late = CONFIRMED_AT + 200_000;
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CacheFileError;
 use crate::sync::locked;
-use catalogue::{AgedList, CachedList, Instance, MAX_FILE_BYTES, Millis};
+use catalogue::{AgedList, CachedList, Instance, MAX_FILE_BYTES, UnixMillis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -102,8 +102,8 @@
     }
 }
 
-fn unix_time() -> Millis {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as Millis
+fn unix_time() -> UnixMillis {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as UnixMillis
 }
 
 fn read(path: &Path, max_age_seconds: u64) -> Result<Option<AgedList>, CacheFileError> {
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -1,7 +1,7 @@
 //! When clients last had an answer from each endpoint.
 
 use crate::sync::locked;
-use catalogue::{EndpointNumber, Millis};
+use catalogue::{EndpointNumber, Timestamp};
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub struct LastAnswers {
     start: Instant,
-    times: Mutex<HashMap<EndpointNumber, Millis>>,
+    times: Mutex<HashMap<EndpointNumber, Timestamp>>,
 }
 
 impl Default for LastAnswers {
@@ -26,12 +26,12 @@
         locked(&self.times).insert(endpoint, now);
     }
 
-    /// Milliseconds since the start.
-    pub(crate) fn now(&self) -> Millis {
-        self.start.elapsed().as_millis() as Millis
+    /// The present moment of the clock that all watches share.
+    pub(crate) fn now(&self) -> Timestamp {
+        Timestamp::ZERO + self.start.elapsed()
     }
 
-    pub(crate) fn of(&self, endpoint: EndpointNumber) -> Option<Millis> {
+    pub(crate) fn of(&self, endpoint: EndpointNumber) -> Option<Timestamp> {
         locked(&self.times).get(&endpoint).copied()
     }
 
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -2,13 +2,15 @@
 
 use crate::http_agent::{TOKEN_HEADER, http_agent};
 use crate::{ConsulConfig, TokenFile};
-use catalogue::{Millis, Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
+use catalogue::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest, Timestamp};
 use http::percent_encode;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Minimum wait between two looks at the registration.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest time that deregistration may delay the end of the program.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -104,14 +106,14 @@
 
     fn run(&self, stop_requests: &Receiver<Done>) {
         let start = Instant::now();
-        let now = || start.elapsed().as_millis() as Millis;
-        let mut registration = Registration::new(self.ttl.as_millis() as Millis);
+        let now = || Timestamp::ZERO + start.elapsed();
+        let mut registration = Registration::new(self.ttl);
         loop {
             if let Some(request) = registration.next_request(now()) {
                 let outcome = self.send(request);
                 self.log(registration.handle_outcome(now(), request, outcome));
             }
-            let wait = Duration::from_millis(registration.next_due().saturating_sub(now()).max(1));
+            let wait = registration.next_request_at().saturating_since(now()).max(MIN_WAIT);
             match stop_requests.recv_timeout(wait) {
                 Ok(done) => {
                     self.send(RegistrationRequest::Deregister);
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -8,7 +8,7 @@
 use crate::{CacheFile, ConsulConfig, LastAnswers, QueryError, WatchConfig};
 use catalogue::{
     AgentSelector, AgentSelectorConfig, EndpointList, EndpointNumber, EndpointTracker, Freshness,
-    HealthResponse, Instance, InvalidInstance, Millis, PollBackoff, Query, QueryOutcome, WatchEvent,
+    HealthResponse, Instance, InvalidInstance, PollBackoff, Query, QueryOutcome, WatchEvent,
 };
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -18,10 +18,10 @@
 pub use status::{EndpointStatus, WatchStatus};
 
 /// The shortest time between two queries, also while the list changes all the time.
-const MIN_QUERY_INTERVAL: Millis = 50;
-const BACKOFF: PollBackoff = PollBackoff { initial: 250, max: 5_000 };
+const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(50);
+const BACKOFF: PollBackoff = PollBackoff { initial: Duration::from_millis(250), max: Duration::from_secs(5) };
 /// The first agent is tried again after this.
-const FAILBACK_AFTER: Millis = 15_000;
+const FAILBACK_AFTER: Duration = Duration::from_secs(15);
 /// Numbers that each service has to itself.
 pub const NUMBERS_PER_SERVICE: u32 = 1 << 26;
 
@@ -115,7 +115,7 @@
                 self.log_agent_selected(query.agent);
                 last_agent = query.agent;
             }
-            thread::sleep(Duration::from_millis(query.not_before.saturating_sub(now)));
+            thread::sleep(query.not_before.saturating_since(now));
             let result = client.health(&self.config, &query);
             self.handle_result(&mut agents, &query, result, &mut is_failing);
         }
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -2,7 +2,7 @@
 
 use super::ServiceWatch;
 use crate::QueryError;
-use catalogue::{EligibilityReason, InvalidInstance, WatchEvent};
+use catalogue::{EligibilityReason, InvalidInstance, Timestamp, WatchEvent};
 
 /// Lines about single instances that one change may log.
 const MAX_INSTANCE_LINES: usize = 8;
@@ -72,7 +72,7 @@
                 );
             }
             WatchEvent::SuddenLoss { vanished, of, retained } => {
-                let hold = self.config.stability.sudden_loss_hold / 1000;
+                let hold = self.config.stability.sudden_loss_retention.as_secs();
                 tracing::info!(
                     "consul: {service}: {vanished} of {of} vanished in one response; {retained} that still answer are retained for {hold} s"
                 );
@@ -85,7 +85,8 @@
 
     /// Why an endpoint is eligible or not, as operators read it.
     pub(super) fn describe(&self, reason: EligibilityReason) -> String {
-        let seconds_left = |until: u64| until.saturating_sub(self.last_answers.now()).div_ceil(1000);
+        let seconds_left =
+            |until: Timestamp| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
         match reason {
             EligibilityReason::Listed => "it is listed".into(),
             EligibilityReason::Unhealthy(health) => format!("it is {}", health.name()),
--- a/crates/consul/src/watch/log/tests.rs
+++ b/crates/consul/src/watch/log/tests.rs
@@ -31,7 +31,7 @@
 fn describes_each_reason_in_words_and_whole_seconds() {
     let watch = watch();
     // Not quite two seconds are left, which are rounded up.
-    let until = watch.last_answers.now() + 2_000;
+    let until = watch.last_answers.now() + Duration::from_secs(2);
     for (reason, text) in [
         (EligibilityReason::Listed, "it is listed"),
         (EligibilityReason::Unhealthy(HealthStatus::Critical), "it is critical"),
