--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -1,4 +1,4 @@
-//! The cached endpoint list on disk, replaced as a whole or not at all.
+//! The cache file with the last confirmed endpoint lists. Each write replaces it atomically.
 
 use crate::error::CacheFileError;
 use crate::sync::locked;
@@ -10,54 +10,59 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// An unchanged list is written again after this, so that its age is known.
+/// Interval at which unchanged lists are written again, which renews their time of confirmation.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
-/// A changing one is written no more often than this.
+/// Minimum time between two writes of changing lists.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 type InstancesByService = BTreeMap<String, Vec<Instance>>;
 
-/// The file.
+/// The cache file of all watched services.
 #[derive(Debug)]
 pub struct CacheFile {
     path: PathBuf,
-    /// What it held at the start.
-    found: Option<AgedList>,
+    /// The list read at the start.
+    initial: Option<AgedList>,
     state: Mutex<State>,
 }
 
-/// What the file held of one service at the start.
+/// The cached instances of one service, as read at the start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedInstances {
     /// The instances that were eligible.
     pub instances: Vec<Instance>,
-    /// The age of the file when it was read.
+    /// Age of the list in seconds when it was read.
     pub age_seconds: u64,
 }
 
 #[derive(Debug)]
 struct State {
     services: InstancesByService,
-    /// Services without a response since the start: the file is not written before all have one.
+    /// Services without a response since the start. The file is not written until this is empty.
     awaited: BTreeSet<String>,
     written_at: Option<Instant>,
-    written: InstancesByService,
+    written_services: InstancesByService,
+    /// Whether the last write failed. Only the first of consecutive failures is logged.
     is_failing: bool,
 }
 
 impl State {
-    fn is_due(&self) -> bool {
+    /// Whether all services have a response, and the file is to be written now.
+    fn is_write_due(&self) -> bool {
+        if !self.awaited.is_empty() {
+            return false;
+        }
         let Some(written_at) = self.written_at else { return true };
         let elapsed = written_at.elapsed();
-        let has_changed = self.services != self.written;
+        let has_changed = self.services != self.written_services;
         elapsed >= RENEW_INTERVAL || (elapsed >= MIN_WRITE_INTERVAL && has_changed)
     }
 }
 
 impl CacheFile {
-    /// Opens the file for these services. One that cannot be used is logged and not used.
+    /// Reads the file at `path`, and prepares to write the lists of these services. An invalid file is logged and ignored.
     pub fn open(path: PathBuf, max_age_seconds: u64, services: impl IntoIterator<Item = String>) -> Self {
-        let found = read(&path, max_age_seconds).unwrap_or_else(|error| {
+        let initial = read(&path, max_age_seconds).unwrap_or_else(|error| {
             tracing::warn!("consul: the list file {} is not used: {error}", path.display());
             None
         });
@@ -65,32 +70,32 @@
             services: BTreeMap::new(),
             awaited: services.into_iter().collect(),
             written_at: None,
-            written: BTreeMap::new(),
+            written_services: BTreeMap::new(),
             is_failing: false,
         };
-        Self { path, found, state: Mutex::new(state) }
+        Self { path, initial, state: Mutex::new(state) }
     }
 
-    /// What the file held of a service at the start.
+    /// Returns the instances of a service that were read at the start.
     pub fn cached(&self, service: &str) -> Option<CachedInstances> {
-        let found = self.found.as_ref()?;
-        let instances = found.list.services.get(service)?.clone();
-        Some(CachedInstances { instances, age_seconds: found.age_seconds })
+        let initial = self.initial.as_ref()?;
+        let instances = initial.list.services.get(service)?.clone();
+        Some(CachedInstances { instances, age_seconds: initial.age_seconds })
     }
 
-    /// Stores what Consul has just confirmed of a service, and writes the file if that is due.
+    /// Stores the list of a service that Consul has just confirmed, and writes the file if a write is due.
     pub fn store(&self, service: &str, instances: Vec<Instance>) {
         let mut state = locked(&self.state);
         state.services.insert(service.to_owned(), instances);
         state.awaited.remove(service);
-        if !state.is_due() || !state.awaited.is_empty() {
+        if !state.is_write_due() {
             return;
         }
         let list = CachedList { confirmed_at: unix_time(), services: state.services.clone() };
         match replace(&self.path, &list.encode()) {
             Ok(()) => {
                 state.is_failing = false;
-                state.written = list.services;
+                state.written_services = list.services;
             }
             Err(error) if !state.is_failing => {
                 tracing::warn!("consul: the list file {} could not be written: {error}", self.path.display());
@@ -106,6 +111,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as UnixMillis
 }
 
+/// Reads the list from the file; `None` if there is no file.
 fn read(path: &Path, max_age_seconds: u64) -> Result<Option<AgedList>, CacheFileError> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -117,12 +123,12 @@
     Ok(Some(CachedList::decode(&bytes, unix_time(), max_age_seconds)?))
 }
 
-/// Writes a temporary file and renames it: a crash at any point leaves the old file or the new one.
+/// Replaces a file atomically: a crash at any point leaves the old contents or the new ones.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let temporary = path.with_extension(format!("{}.new", std::process::id()));
     let result = write_and_rename(&temporary, path, text);
     if result.is_err() {
-        // It may not exist; there is nothing else to be done about it.
+        // The temporary file may not exist, and a failure to remove it has no other remedy.
         let _ = fs::remove_file(&temporary);
     }
     result
@@ -133,7 +139,7 @@
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
     fs::rename(temporary, path)?;
-    // The directory entry must survive a crash too.
+    // The rename is durable only after a sync of the directory.
     match path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
         Some(folder) => File::open(folder)?.sync_all(),
         None => Ok(()),
--- a/crates/consul/src/config.rs
+++ b/crates/consul/src/config.rs
@@ -1,40 +1,40 @@
-//! Where Consul is, and which services are watched.
+//! Settings of the Consul client and of the watches.
 
 use catalogue::StabilityConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Where Consul is, and how it is queried.
+/// Addresses of the Consul agents, and how they are queried.
 #[derive(Clone, Debug)]
 pub struct ConsulConfig {
-    /// Its agents, in order of preference; at least one.
+    /// Agents in order of preference; at least one.
     pub agents: Vec<SocketAddr>,
-    /// The file that holds the ACL token; read again for each query.
+    /// File with the ACL token, read before each request.
     pub token_file: Option<PathBuf>,
-    /// The datacentre, where not the agent's own.
+    /// Datacentre, if not the agent's own.
     pub datacenter: Option<String>,
-    /// The namespace, where not the agent's own.
+    /// Namespace, if not the agent's own.
     pub namespace: Option<String>,
-    /// The partition, where not the agent's own.
+    /// Partition, if not the agent's own.
     pub partition: Option<String>,
-    /// Any server may respond that has heard from its leader within this many milliseconds; `None` queries the leader.
+    /// Maximum staleness in milliseconds of a stale read; `None` for consistent reads from the leader.
     pub max_stale_ms: Option<u64>,
-    /// How long a blocking query may stay open.
+    /// Maximum duration of a blocking query.
     pub blocking_wait: Duration,
 }
 
-/// One service to watch.
+/// Settings of the watch on one service.
 #[derive(Clone, Debug)]
 pub struct WatchConfig {
-    /// Its name.
+    /// Name of the service.
     pub service: String,
-    /// Only instances with this tag.
+    /// Restricts the watch to instances with this tag.
     pub tag: Option<String>,
-    /// Consul's filter expression.
+    /// Filter expression in Consul's syntax.
     pub filter: Option<String>,
-    /// How sudden changes are damped.
+    /// Damping of sudden changes.
     pub stability: StabilityConfig,
-    /// The numbers of its endpoints begin after this.
+    /// The first endpoint gets the number after this one.
     pub last_number: u32,
 }
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -1,40 +1,40 @@
-//! What can be wrong with a query, the token file or the cache file. No text holds a token.
+//! Errors of queries, of the token file and of the cache file. No error text contains a token.
 
 use catalogue::{CachedListError, ResponseError};
 use std::io;
 use std::path::PathBuf;
 
-/// A query without a usable response.
+/// Why a query has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// The servers have no leader.
     #[error("the servers have no leader")]
     NoLeader,
-    /// The server lags too far behind.
+    /// The server last heard from its leader too long ago.
     #[error("the server heard from its leader {last_contact_ms} ms ago")]
     Stale {
-        /// Milliseconds since it heard from its leader.
+        /// Milliseconds since the last contact.
         last_contact_ms: u64,
     },
-    /// The agent did not respond with 200.
+    /// The agent responded with a status other than 200.
     #[error("status {0}")]
     Status(u16),
-    /// The agent cannot be reached, or the connection failed.
+    /// The connection to the agent failed.
     #[error("{0}")]
     Transport(#[from] ureq::Error),
-    /// The body is not what the health API returns.
+    /// The body is not a valid response of the health API.
     #[error("{0}")]
     Response(#[from] ResponseError),
 }
 
 impl QueryError {
-    /// Whether the agent responded, but with a list that is too old to be used.
+    /// Whether the agent responded with data that is too stale to be used.
     pub fn is_stale(&self) -> bool {
         matches!(self, Self::NoLeader | Self::Stale { .. })
     }
 }
 
-/// A token file that cannot be used.
+/// Why a token file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum TokenError {
     /// The file cannot be read.
@@ -42,10 +42,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// It is empty, too long, or holds blanks or other bytes that no token has.
+    /// The file is empty, too long, or contains whitespace or other characters that are invalid in a token.
     #[error("{}: it holds no token", path.display())]
     NoToken {
         /// The file.
@@ -53,13 +53,13 @@
     },
 }
 
-/// A cache file that cannot be used.
+/// Why a cache file is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum CacheFileError {
     /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// What it holds must not be used.
+    /// The contents are invalid.
     #[error("{0}")]
     Rejected(#[from] CachedListError),
 }
--- a/crates/consul/src/health_client.rs
+++ b/crates/consul/src/health_client.rs
@@ -1,4 +1,4 @@
-//! Queries of the health API.
+//! Client of the health API.
 
 use crate::error::QueryError;
 use crate::http_agent::{TOKEN_HEADER, http_agent};
@@ -10,20 +10,20 @@
 use ureq::Body;
 use ureq::http::Response;
 
-/// The most bytes of a body, unpacked.
+/// Maximum size of a response body in bytes, after decompression.
 const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
-/// Beyond the wait of a blocking query: the way there and back, and an agent under load.
+/// Time-out of a query beyond the wait of the blocking query. It covers the round trip and an agent under load.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Consul adds up to this part of the wait by chance, so that blocking queries do not end together.
+/// Consul adds a random jitter of up to the wait divided by this, so that blocking queries do not end at the same time.
 const WAIT_JITTER_DIVISOR: u32 = 16;
 
-/// A usable response and its index.
+/// A valid response and its index (`X-Consul-Index`).
 pub(crate) struct IndexedResponse {
     pub(crate) index: u64,
     pub(crate) body: HealthResponse,
 }
 
-/// Queries the agents of one configuration.
+/// Sends queries to the configured agents.
 pub(crate) struct HealthClient {
     config: ConsulConfig,
     agent: ureq::Agent,
@@ -36,7 +36,7 @@
         Self { config: config.clone(), agent: http_agent(), token }
     }
 
-    /// Queries the health of a service; blocks while the query does.
+    /// Queries the health of a service. Blocks until the agent responds or the query times out.
     pub(crate) fn health(&self, watch: &WatchConfig, query: &Query) -> Result<IndexedResponse, QueryError> {
         let mut response = self.send(watch, query)?;
         if response.status() != 200 {
@@ -52,16 +52,21 @@
     fn send(&self, watch: &WatchConfig, query: &Query) -> Result<Response<Body>, QueryError> {
         let address = self.config.agents[query.agent];
         let url = format!("http://{address}{}", request_target(&self.config, watch, query));
-        let is_blocking = query.index > 0;
-        let wait = self.config.blocking_wait;
-        let wait = if is_blocking { wait + wait / WAIT_JITTER_DIVISOR } else { Duration::ZERO };
-        let mut request = self.agent.get(&url).config().timeout_global(Some(wait + QUERY_TIMEOUT)).build();
+        let timeout = self.max_wait(query) + QUERY_TIMEOUT;
+        let mut request = self.agent.get(&url).config().timeout_global(Some(timeout)).build();
         if let Some(token) = self.token.current() {
             request = request.header(TOKEN_HEADER, token);
         }
         Ok(request.call()?)
     }
 
+    /// Maximum time for which the agent may hold the query open.
+    fn max_wait(&self, query: &Query) -> Duration {
+        let wait = self.config.blocking_wait;
+        let is_blocking = query.index > 0;
+        if is_blocking { wait + wait / WAIT_JITTER_DIVISOR } else { Duration::ZERO }
+    }
+
     fn check_staleness(&self, response: &Response<Body>, query: &Query) -> Result<(), QueryError> {
         if header(response, "x-consul-knownleader").eq_ignore_ascii_case("false") {
             return Err(QueryError::NoLeader);
@@ -78,12 +83,12 @@
     response.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
-/// The number in a header; 0 where there is none.
+/// The number in a header, or 0 if the header is missing or invalid.
 fn number_in_header(response: &Response<Body>, name: &str) -> u64 {
     header(response, name).trim().parse().unwrap_or(0)
 }
 
-/// The path and the query string of a request.
+/// Path and query string of a query.
 fn request_target(config: &ConsulConfig, watch: &WatchConfig, query: &Query) -> String {
     let mut target = format!("/v1/health/service/{}", percent_encode(&watch.service));
     let mut separator = '?';
--- a/crates/consul/src/http_agent.rs
+++ b/crates/consul/src/http_agent.rs
@@ -1,19 +1,19 @@
-//! The HTTP client that queries and registrations share.
+//! The HTTP client shared by queries and registrations.
 
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_IDLE: Duration = Duration::from_secs(60);
-/// The header that carries the ACL token.
+/// Request header with the ACL token.
 pub(crate) const TOKEN_HEADER: &str = "X-Consul-Token";
 
-/// A client that keeps one connection alive.
+/// Creates an HTTP client that keeps at most one idle connection alive.
 pub(crate) fn http_agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .timeout_connect(Some(CONNECT_TIMEOUT))
         .http_status_as_error(false)
         .max_redirects(0)
-        // An environment variable must not send queries elsewhere.
+        // Ignores the proxy settings of the environment.
         .proxy(None)
         .max_idle_connections(1)
         .max_idle_age(MAX_IDLE)
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -1,4 +1,4 @@
-//! When clients last had an answer from each endpoint.
+//! The time of the last answer that each endpoint gave to a client.
 
 use crate::sync::locked;
 use catalogue::{EndpointNumber, Timestamp};
@@ -6,7 +6,8 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// When clients last had an answer, by endpoint. Shared with the backend side; its clock is that of all watches.
+/// The time of the last answer to a client, by endpoint. The backend side records answers; the watches read them and use the same
+/// clock.
 #[derive(Debug)]
 pub struct LastAnswers {
     start: Instant,
@@ -20,7 +21,7 @@
 }
 
 impl LastAnswers {
-    /// Records that a client has just got an answer from this endpoint.
+    /// Records that this endpoint has just answered a client.
     pub fn record(&self, endpoint: EndpointNumber) {
         let now = self.now();
         locked(&self.times).insert(endpoint, now);
@@ -31,11 +32,12 @@
         Timestamp::ZERO + self.start.elapsed()
     }
 
-    pub(crate) fn of(&self, endpoint: EndpointNumber) -> Option<Timestamp> {
+    /// When this endpoint last answered a client, if ever.
+    pub(crate) fn last_answer_at(&self, endpoint: EndpointNumber) -> Option<Timestamp> {
         locked(&self.times).get(&endpoint).copied()
     }
 
-    /// Forgets the endpoints for which this is false.
+    /// Forgets the endpoints for which `is_kept` returns false.
     pub(crate) fn retain(&self, is_kept: impl Fn(EndpointNumber) -> bool) {
         locked(&self.times).retain(|&endpoint, _| is_kept(endpoint));
     }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,8 +1,9 @@
-//! The client of Consul's HTTP API: one thread for each watched service, one for this program's own registration. What the
-//! responses mean is decided in the package `catalogue`; here are the calls, the token, the cache file and the log.
+//! Client of Consul's HTTP API, with one thread for each watched service and one for the registration of this process.
 //!
-//! Nothing here runs on the `may` worker thread. Connections are kept alive between queries (`ureq`), and compressed bodies
-//! are accepted.
+//! The package `catalogue` interprets the responses. This package has the HTTP calls, the token file, the cache file and the log.
+//!
+//! No code of this package blocks the `may` worker threads. Connections are kept alive between queries (`ureq`), and compressed
+//! bodies are accepted.
 
 mod cache_file;
 mod config;
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -1,4 +1,4 @@
-//! This program's own registration with its agent.
+//! Registers this process as a service with its agent.
 
 use crate::http_agent::{TOKEN_HEADER, http_agent};
 use crate::{ConsulConfig, TokenFile};
@@ -9,32 +9,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Minimum wait between two looks at the registration.
+/// Minimum wait between two checks for due requests.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest time that deregistration may delay the end of the program.
+/// Maximum delay of the shutdown by deregistration.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Consul removes a registration whose check has been critical for this long.
 const DEREGISTER_CRITICAL_AFTER: &str = "10m";
 
-/// Sent when deregistration is done.
-type Done = SyncSender<()>;
+/// A request to deregister, with the channel for its acknowledgement.
+struct DeregisterRequest {
+    done: SyncSender<()>,
+}
 
-/// What this program registers.
+/// The service that is registered.
 #[derive(Clone, Debug)]
 pub struct RegistrationConfig {
-    /// The name of the service.
+    /// Name of the service.
     pub name: String,
-    /// The id of this instance.
+    /// Id of this instance.
     pub id: String,
-    /// Where clients reach it.
+    /// The address at which clients reach it.
     pub address: SocketAddr,
-    /// Its check fails this long after the last heartbeat.
+    /// Time after the last heartbeat at which its TTL check becomes critical.
     pub ttl: Duration,
 }
 
 impl RegistrationConfig {
-    /// The body of the request to register.
+    /// Body of the registration request.
     fn body(&self) -> String {
         let body = serde_json::json!({
             "ID": self.id,
@@ -50,36 +52,36 @@
     }
 }
 
-/// A registration that is kept alive.
+/// Handle of the thread that keeps a registration alive.
 #[derive(Debug)]
 pub struct RegistrationHandle {
-    stop: SyncSender<Done>,
+    deregister_requests: SyncSender<DeregisterRequest>,
 }
 
 impl RegistrationHandle {
-    /// Deregisters, and waits for that for a second at most.
+    /// Deregisters, and waits up to one second for the agent's response.
     pub fn deregister(&self) {
-        let (done, is_done) = sync_channel(1);
-        if self.stop.try_send(done).is_ok() {
-            // After the time-out the check expires by itself.
-            let _ = is_done.recv_timeout(DEREGISTER_TIMEOUT);
+        let (done, acknowledgement) = sync_channel(1);
+        if self.deregister_requests.try_send(DeregisterRequest { done }).is_ok() {
+            // After a time-out the TTL check expires, and Consul removes the registration.
+            let _ = acknowledgement.recv_timeout(DEREGISTER_TIMEOUT);
         }
     }
 }
 
-/// Registers a service with the first agent, and keeps its TTL check passing on a thread of its own.
+/// Starts a thread that registers a service with the first agent and sends the heartbeats of its TTL check.
 ///
 /// # Errors
 ///
-/// The thread cannot be started.
+/// Returns an error if the thread cannot be started.
 pub fn register(
     consul: ConsulConfig,
     registration: RegistrationConfig,
 ) -> std::io::Result<RegistrationHandle> {
-    let (stop, stop_requests) = sync_channel(1);
-    let run = move || Registrar::new(&consul, registration).run(&stop_requests);
+    let (deregister_requests, receiver) = sync_channel(1);
+    let run = move || Registrar::new(&consul, registration).run(&receiver);
     thread::Builder::new().name("register".into()).spawn(run)?;
-    Ok(RegistrationHandle { stop })
+    Ok(RegistrationHandle { deregister_requests })
 }
 
 /// Sends the requests of one registration.
@@ -104,7 +106,7 @@
         }
     }
 
-    fn run(&self, stop_requests: &Receiver<Done>) {
+    fn run(&self, deregister_requests: &Receiver<DeregisterRequest>) {
         let start = Instant::now();
         let now = || Timestamp::ZERO + start.elapsed();
         let mut registration = Registration::new(self.ttl);
@@ -114,11 +116,11 @@
                 self.log(registration.handle_outcome(now(), request, outcome));
             }
             let wait = registration.next_request_at().saturating_since(now()).max(MIN_WAIT);
-            match stop_requests.recv_timeout(wait) {
-                Ok(done) => {
+            match deregister_requests.recv_timeout(wait) {
+                Ok(DeregisterRequest { done }) => {
                     self.send(RegistrationRequest::Deregister);
                     tracing::info!("consul: {} is deregistered", self.id);
-                    // Whoever requested it may have given up waiting.
+                    // The requester may have timed out.
                     let _ = done.send(());
                     return;
                 }
@@ -153,7 +155,7 @@
         }
         match request.send(body.as_bytes()).map(|response| response.status().as_u16()) {
             Ok(200) => RegistrationOutcome::Accepted,
-            // Older agents respond with 500 for a check that they do not know.
+            // Older agents respond with 500 for an unknown check.
             Ok(404 | 500) => RegistrationOutcome::UnknownCheck,
             _ => RegistrationOutcome::Failed,
         }
--- a/crates/consul/src/token_file.rs
+++ b/crates/consul/src/token_file.rs
@@ -1,14 +1,14 @@
-//! The ACL token of a file that may change at any time.
+//! The ACL token, read from a file that may change at any time.
 
 use crate::error::TokenError;
 use crate::sync::locked;
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-/// The most bytes of a token; Consul's own are 36 long.
+/// Maximum length of a token in bytes. Consul generates tokens of 36 bytes.
 const MAX_TOKEN_BYTES: usize = 256;
 
-/// A token in a file, read again for each request. No text of this module holds one.
+/// A token file, read before each request. No error text or log line of this module contains a token.
 #[derive(Debug, Default)]
 pub struct TokenFile {
     path: Option<PathBuf>,
@@ -17,38 +17,35 @@
 
 #[derive(Debug, Default)]
 struct LastRead {
-    /// The last token that could be read.
+    /// The last valid token.
     token: Option<String>,
-    /// The last attempt to read it failed, and that is logged.
+    /// Whether the last read failed. Only the first of consecutive failures is logged.
     is_failing: bool,
 }
 
 impl TokenFile {
-    /// The token of this file, or no token at all.
+    /// Creates a reader of this file. Without a path there is no token.
     pub fn new(path: Option<PathBuf>) -> Self {
         Self { path, last: Mutex::default() }
     }
 
-    /// Reads the token that is in the file now, trimmed.
+    /// Reads the token from the file and trims it.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or holds no token.
+    /// Returns an error if the file cannot be read or does not contain a token.
     pub fn read(&self) -> Result<Option<String>, TokenError> {
         let Some(path) = &self.path else { return Ok(None) };
         let text = std::fs::read_to_string(path)
             .map_err(|source| TokenError::Unreadable { path: path.clone(), source })?;
         let token = text.trim();
-        let is_token = !token.is_empty()
-            && token.len() <= MAX_TOKEN_BYTES
-            && token.bytes().all(|byte| byte.is_ascii_graphic());
-        if !is_token {
+        if !is_valid_token(token) {
             return Err(TokenError::NoToken { path: path.clone() });
         }
         Ok(Some(token.to_owned()))
     }
 
-    /// The token for the next request. A file that cannot be read leaves the last one in use.
+    /// Returns the token for the next request. If the file cannot be read, the last valid token stays in use.
     pub fn current(&self) -> Option<String> {
         let mut last = locked(&self.last);
         match self.read() {
@@ -63,5 +60,9 @@
     }
 }
 
+fn is_valid_token(text: &str) -> bool {
+    (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -1,36 +1,31 @@
-//! The watch on one service.
+//! The watch on one service: keeps its endpoint list up to date, and publishes each change.
 
 mod log;
+mod poll_loop;
 mod status;
 
-use crate::health_client::{HealthClient, IndexedResponse};
 use crate::sync::locked;
-use crate::{CacheFile, ConsulConfig, LastAnswers, QueryError, WatchConfig};
+use crate::{CacheFile, ConsulConfig, LastAnswers, WatchConfig};
 use catalogue::{
-    AgentSelector, AgentSelectorConfig, EndpointList, EndpointNumber, EndpointTracker, Freshness,
-    HealthResponse, Instance, InvalidInstance, PollBackoff, Query, QueryOutcome, WatchEvent,
+    EndpointList, EndpointNumber, EndpointTracker, HealthResponse, Instance, InvalidInstance, WatchEvent,
 };
+use poll_loop::PollLoop;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 pub use status::{EndpointStatus, WatchStatus};
 
-/// The shortest time between two queries, also while the list changes all the time.
-const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(50);
-const BACKOFF: PollBackoff = PollBackoff { initial: Duration::from_millis(250), max: Duration::from_secs(5) };
-/// The first agent is tried again after this.
-const FAILBACK_AFTER: Duration = Duration::from_secs(15);
-/// Numbers that each service has to itself.
+/// Size of the range of endpoint numbers reserved for each service.
 pub const NUMBERS_PER_SERVICE: u32 = 1 << 26;
 
-/// Called with every list that differs from the one before.
+/// Called with each list that differs from the one before.
 pub type OnListChange = Box<dyn Fn(&EndpointList) + Send + Sync>;
-/// Whether any attempt is in flight at an endpoint.
+/// Returns whether any attempt is in flight at an endpoint.
 pub type HasAttempts = Box<dyn Fn(EndpointNumber) -> bool + Send + Sync>;
 
-/// The watch on one service.
+/// A watch on one service.
 pub struct ServiceWatch {
     config: WatchConfig,
     consul: ConsulConfig,
@@ -45,13 +40,13 @@
     tracker: EndpointTracker,
     list: EndpointList,
     invalid: Vec<InvalidInstance>,
-    /// Where the list comes from, for the console.
+    /// The source of the list, as the console shows it.
     origin: String,
     last_response: Option<Instant>,
 }
 
 impl ServiceWatch {
-    /// A watch that knows nothing yet, or what the cache file holds. In that case `on_list_change` is called before this returns.
+    /// Creates a watch with the list of the cache file, if there is one. `on_list_change` then gets it before this returns.
     pub fn new(
         consul: ConsulConfig,
         config: WatchConfig,
@@ -87,81 +82,26 @@
         self.publish(&mut state, list, &events);
     }
 
-    /// Polls as long as the process lives, on a thread of its own.
+    /// Starts a thread that polls until the process ends.
     ///
     /// # Errors
     ///
-    /// The thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(self: &Arc<Self>) -> std::io::Result<()> {
         let watch = self.clone();
-        thread::Builder::new().name("consul".into()).spawn(move || watch.run()).map(|_| ())
+        thread::Builder::new().name("consul".into()).spawn(move || PollLoop::new(&watch).run()).map(|_| ())
     }
 
-    fn run(&self) {
-        let config = AgentSelectorConfig {
-            agent_count: self.consul.agents.len(),
-            min_query_interval: MIN_QUERY_INTERVAL,
-            backoff: BACKOFF,
-            failback_after: FAILBACK_AFTER,
-            allow_stale: self.consul.max_stale_ms.is_some(),
-        };
-        let mut agents = AgentSelector::new(config, rand::random());
-        let client = HealthClient::new(&self.consul);
-        let (mut last_agent, mut is_failing) = (0, false);
-        loop {
-            let now = self.last_answers.now();
-            let query = agents.next_query(now);
-            if query.agent != last_agent {
-                self.log_agent_selected(query.agent);
-                last_agent = query.agent;
-            }
-            thread::sleep(query.not_before.saturating_since(now));
-            let result = client.health(&self.config, &query);
-            self.handle_result(&mut agents, &query, result, &mut is_failing);
-        }
-    }
-
-    fn handle_result(
-        &self,
-        agents: &mut AgentSelector,
-        query: &Query,
-        result: Result<IndexedResponse, QueryError>,
-        is_failing: &mut bool,
-    ) {
-        let now = self.last_answers.now();
-        match result {
-            Ok(response) => {
-                let outcome = QueryOutcome::Response(response.index);
-                let freshness = agents.handle_outcome(now, query.agent, &outcome);
-                if std::mem::take(is_failing) {
-                    self.log_agent_recovered(query.agent);
-                }
-                self.handle_response(query.agent, (freshness == Freshness::New).then_some(response.body));
-            }
-            Err(error) if error.is_stale() => {
-                agents.handle_outcome(now, query.agent, &QueryOutcome::TooStale);
-                self.log_stale_response(&error);
-            }
-            Err(error) => {
-                agents.handle_outcome(now, query.agent, &QueryOutcome::Failed);
-                if agents.consecutive_failures(query.agent) == 1 {
-                    self.log_agent_failed(query.agent, &error);
-                }
-                *is_failing = true;
-            }
-        }
-    }
-
-    /// An agent has responded; with a body where that is new.
-    fn handle_response(&self, agent: usize, body: Option<HealthResponse>) {
+    /// Applies a response of an agent, with its body if it is new, and stores the confirmed list in the cache file.
+    fn handle_response(&self, agent: usize, new_body: Option<HealthResponse>) {
         let mut state = locked(&self.state);
         state.last_response = Some(Instant::now());
         state.origin = format!("agent {}", self.consul.agents[agent]);
-        if let Some(response) = body {
+        if let Some(response) = new_body {
             self.apply(&mut state, response);
         }
         if let Some(cache) = &self.cache {
-            let eligible = state.list.endpoints.iter().filter(|endpoint| endpoint.eligible);
+            let eligible = state.list.eligible();
             let instances: Vec<Instance> = eligible.map(|endpoint| endpoint.instance.clone()).collect();
             drop(state);
             cache.store(&self.config.service, instances);
@@ -175,12 +115,12 @@
         }
         let mut events = Vec::new();
         let now = self.last_answers.now();
-        let last_answer_at = |endpoint| self.last_answers.of(endpoint);
+        let last_answer_at = |endpoint| self.last_answers.last_answer_at(endpoint);
         let list = state.tracker.apply_response(now, response.instances, &last_answer_at, &mut events);
         self.publish(state, list, &events);
     }
 
-    /// Applies the passing of time: call it twice a second or so.
+    /// Applies the passage of time. The caller runs it about twice a second.
     pub fn advance(&self) {
         let mut state = locked(&self.state);
         let now = self.last_answers.now();
@@ -189,9 +129,9 @@
         self.publish(&mut state, list, &events);
     }
 
-    /// Publishes a list that has changed, and logs events. The lock is held meanwhile, so that lists are published in order.
+    /// Publishes a changed list and logs events. The caller holds the lock, so that lists are published in order.
     fn publish(&self, state: &mut State, list: EndpointList, events: &[WatchEvent]) {
-        // The list first: whoever reads the log may act on it.
+        // The list is published first: an operator or script may act on the log line.
         if list != state.list {
             state.list = list;
             (self.on_list_change)(&state.list);
@@ -200,7 +140,7 @@
         self.log_events(events);
     }
 
-    /// Forgets the last answers of this service's endpoints that have left the list.
+    /// Forgets the last answers of endpoints of this service that are no longer in the list.
     fn forget_last_answers(&self, list: &EndpointList) {
         let listed: HashSet<EndpointNumber> = list.endpoints.iter().map(|endpoint| endpoint.number).collect();
         let last_number = self.config.last_number;
@@ -210,7 +150,7 @@
         self.last_answers.retain(|endpoint| !is_own(endpoint) || listed.contains(&endpoint));
     }
 
-    /// The service's name.
+    /// Name of the service.
     pub fn service(&self) -> &str {
         &self.config.service
     }
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -4,7 +4,7 @@
 use crate::QueryError;
 use catalogue::{EligibilityReason, InvalidInstance, Timestamp, WatchEvent};
 
-/// Lines about single instances that one change may log.
+/// Maximum number of log lines about single instances for one change.
 const MAX_INSTANCE_LINES: usize = 8;
 
 impl ServiceWatch {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Why an endpoint is eligible or not, as operators read it.
+    /// Describes for operators why an endpoint is eligible or not.
     pub(super) fn describe(&self, reason: EligibilityReason) -> String {
         let seconds_left =
             |until: Timestamp| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
--- a/crates/consul/src/watch/log/tests.rs
+++ b/crates/consul/src/watch/log/tests.rs
@@ -1,4 +1,4 @@
-//! The reasons that operators read in the log and the console.
+//! Texts of the eligibility reasons in log lines and on the console.
 
 use super::*;
 use crate::{ConsulConfig, LastAnswers, WatchConfig};
@@ -30,7 +30,7 @@
 #[test]
 fn describes_each_reason_in_words_and_whole_seconds() {
     let watch = watch();
-    // Not quite two seconds are left, which are rounded up.
+    // Slightly less than two seconds remain, which are rounded up.
     let until = watch.last_answers.now() + Duration::from_secs(2);
     for (reason, text) in [
         (EligibilityReason::Listed, "it is listed"),
--- a/crates/consul/src/watch/status.rs
+++ b/crates/consul/src/watch/status.rs
@@ -1,33 +1,33 @@
-//! What the console shows of a watch.
+//! Status of a watch for the console.
 
 use super::ServiceWatch;
 use crate::sync::locked;
 use catalogue::{EligibilityReason, Endpoint, EndpointNumber};
 
-/// A watch as the console shows it.
+/// Status of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchStatus {
-    /// The endpoints, by number.
+    /// Status of its endpoints, in order of their numbers.
     pub endpoints: Vec<EndpointStatus>,
-    /// Where the list comes from, and how old the last response is.
+    /// The source of the list and the age of the last response.
     pub origin: String,
 }
 
-/// An endpoint as the console shows it.
+/// Status of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointStatus {
     /// Its id.
     pub id: String,
     /// Its number.
     pub number: EndpointNumber,
-    /// Its health, or why it is not eligible.
+    /// Its health status, or the reason why it is not eligible.
     pub description: String,
     /// Whether it gets new requests.
     pub eligible: bool,
 }
 
 impl ServiceWatch {
-    /// The present status.
+    /// Returns the present status.
     pub fn status(&self) -> WatchStatus {
         let state = locked(&self.state);
         let age = state
--- a/crates/consul/tests/cache_file.rs
+++ b/crates/consul/tests/cache_file.rs
@@ -1,4 +1,4 @@
-//! The cached endpoint list on disk: what is written when, and what is read at a start.
+//! Writing of the cache file, and reading it at the next start.
 
 use catalogue::{HealthStatus, Instance};
 use consul::CacheFile;
@@ -6,14 +6,14 @@
 
 const MAX_AGE_SECONDS: u64 = 60;
 
-/// A path in a folder of its own, which is removed at the end.
+/// Path of a cache file in a temporary directory, which is removed on drop.
 struct TemporaryPath(PathBuf);
 
 impl TemporaryPath {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("snowfield-cache-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        Self(folder.join("endpoints.list"))
+        let directory = std::env::temp_dir().join(format!("snowfield-cache-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("a directory");
+        Self(directory.join("endpoints.list"))
     }
 
     fn open(&self, services: &[&str]) -> CacheFile {
@@ -24,9 +24,9 @@
 
 impl Drop for TemporaryPath {
     fn drop(&mut self) {
-        let folder = self.0.parent().expect("a folder");
-        // A folder that stays does no harm.
-        let _ = std::fs::remove_dir_all(folder);
+        let directory = self.0.parent().expect("a directory");
+        // A directory that cannot be removed does no harm.
+        let _ = std::fs::remove_dir_all(directory);
     }
 }
 
@@ -37,27 +37,27 @@
 }
 
 #[test]
-fn is_written_once_all_services_have_a_response_and_read_at_the_next_start() {
+fn the_file_is_written_once_all_services_have_a_response_and_read_at_the_next_start() {
     let path = TemporaryPath::new("written");
     let cache = path.open(&["loans", "rates"]);
     assert_eq!(cache.cached("loans"), None);
     cache.store("loans", instances());
-    assert!(!path.0.exists(), "it would hold no list of the other service");
+    assert!(!path.0.exists(), "the list of the other service is not known yet");
     cache.store("rates", Vec::new());
-    let cached = path.open(&["loans", "rates"]).cached("loans").expect("it was written");
+    let cached = path.open(&["loans", "rates"]).cached("loans").expect("the file was written");
     assert_eq!(cached.instances, instances());
     assert!(cached.age_seconds <= 5, "{}", cached.age_seconds);
-    let files = std::fs::read_dir(path.0.parent().expect("a folder")).expect("the folder").count();
+    let files = std::fs::read_dir(path.0.parent().expect("a directory")).expect("the directory").count();
     assert_eq!(files, 1, "no temporary file is left");
 }
 
 #[test]
-fn is_not_used_when_damaged_and_written_again() {
+fn a_damaged_file_is_ignored_and_replaced() {
     let path = TemporaryPath::new("damaged");
     path.open(&["loans"]).store("loans", instances());
-    let mut bytes = std::fs::read(&path.0).expect("it was written");
+    let mut bytes = std::fs::read(&path.0).expect("the file was written");
     bytes.truncate(bytes.len() / 2);
-    std::fs::write(&path.0, bytes).expect("it is damaged");
+    std::fs::write(&path.0, bytes).expect("the file is damaged");
     let cache = path.open(&["loans"]);
     assert_eq!(cache.cached("loans"), None);
     cache.store("loans", instances());
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that Consul's agent receives, as version 0.1.0 sent them: later versions send the same bytes.
+//! Compatibility of the requests to Consul's agent: this version sends the same bytes as version 0.1.0.
 
 use catalogue::StabilityConfig;
 use consul::{ConsulConfig, LastAnswers, RegistrationConfig, ServiceWatch, WatchConfig};
@@ -12,7 +12,7 @@
 const WATCH_WITH_ALL_OPTIONS: &str = include_str!("fixtures/watch_all_options.http");
 const REGISTRATION: &str = include_str!("fixtures/registration.http");
 
-/// The head and the body of one request.
+/// Reads the head and the body of one request.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut received = Vec::new();
     let mut piece = [0; 4096];
@@ -30,8 +30,8 @@
     }
 }
 
-/// An agent that answers the requests of one connection in turn, and returns what it received with its port left out.
-fn agent(responses: Vec<&'static str>) -> (SocketAddr, JoinHandle<String>) {
+/// Starts an agent that answers the requests of one connection in order. It returns the received bytes, with its port replaced.
+fn start_agent(responses: Vec<&'static str>) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let run = move || {
@@ -47,7 +47,7 @@
     (address, std::thread::spawn(run))
 }
 
-fn config(agent: SocketAddr) -> ConsulConfig {
+fn consul_config(agent: SocketAddr) -> ConsulConfig {
     ConsulConfig {
         agents: vec![agent],
         token_file: None,
@@ -79,8 +79,8 @@
 
 #[test]
 fn watches_send_the_requests_of_version_0_1_0() {
-    let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
-    start_watch(config(address), watch_config("loan-server"));
+    let (address, received) = start_agent(vec![EMPTY_LIST, EMPTY_LIST]);
+    start_watch(consul_config(address), watch_config("loan-server"));
     assert_eq!(received.join().expect("the requests"), WATCH);
 }
 
@@ -88,34 +88,34 @@
 fn watches_with_all_options_send_the_requests_of_version_0_1_0() {
     let token_file = std::env::temp_dir().join(format!("snowfield-requests-{}", std::process::id()));
     std::fs::write(&token_file, "4f6a-token\n").expect("the token is written");
-    let (address, received) = agent(vec![EMPTY_LIST, EMPTY_LIST]);
+    let (address, received) = start_agent(vec![EMPTY_LIST, EMPTY_LIST]);
     let consul = ConsulConfig {
         token_file: Some(token_file.clone()),
         datacenter: Some("dc1".into()),
         namespace: Some("team a".into()),
         partition: Some("p/1".into()),
         max_stale_ms: Some(500),
-        ..config(address)
+        ..consul_config(address)
     };
     let filter = Some(r#"Service.Meta.zone == "z1""#.to_owned());
     start_watch(consul, WatchConfig { tag: Some("v2".into()), filter, ..watch_config("loan server/é") });
     let received = received.join().expect("the requests");
-    std::fs::remove_file(&token_file).expect("it was there");
+    std::fs::remove_file(&token_file).expect("the token file exists");
     assert_eq!(received, WATCH_WITH_ALL_OPTIONS);
 }
 
 #[test]
 fn registrations_send_the_requests_of_version_0_1_0() {
-    const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    let (address, received) = agent(vec![DONE, DONE, DONE]);
+    const ACCEPTED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    let (address, received) = start_agent(vec![ACCEPTED, ACCEPTED, ACCEPTED]);
     let registration = RegistrationConfig {
         name: "gatekeeper".into(),
         id: "gate keeper-1".into(),
         address: "10.1.2.3:8443".parse().expect("an address"),
         ttl: Duration::from_millis(10_000),
     };
-    let registered = consul::register(config(address), registration).expect("a thread");
-    // Past the registration and the first heartbeat, and before the next.
+    let registered = consul::register(consul_config(address), registration).expect("a thread");
+    // After the registration and the first heartbeat, and before the second heartbeat.
     std::thread::sleep(Duration::from_millis(500));
     registered.deregister();
     assert_eq!(received.join().expect("the requests"), REGISTRATION);
