--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -85,7 +85,7 @@
         /// Number of endpoints that vanished.
         vanished: usize,
         /// Number of endpoints that were eligible before the response.
-        of: usize,
+        eligible_before: usize,
         /// Number of vanished endpoints that are retained.
         retained: usize,
     },
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -150,7 +150,7 @@
         let vanished = self.vanished(&moved);
         if self.is_sudden_loss(vanished.len(), eligible_before) {
             let retained = self.retain_answering(now, &vanished, last_answer_at);
-            events.push(WatchEvent::SuddenLoss { vanished: vanished.len(), of: eligible_before, retained });
+            events.push(WatchEvent::SuddenLoss { vanished: vanished.len(), eligible_before, retained });
         }
         for (key, record) in &mut self.records {
             record.record_departure(now);
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -167,7 +167,7 @@
     harness.last_answers.extend(numbers[2..].iter().map(|&n| (n, at(1_500))));
     harness.respond_after(1_000, Vec::new());
     assert_eq!(harness.eligible_ids(), ["i2", "i3", "i4", "i5"]);
-    assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, of: 6, retained: 4 });
+    assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, eligible_before: 6, retained: 4 });
     // A further response without them is part of the same loss.
     harness.respond_after(5_000, Vec::new());
     assert_eq!(harness.eligible_ids().len(), 4);
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -63,7 +63,7 @@
     /// Reads the file at `path`, and prepares to write the lists of these services. An invalid file is logged and ignored.
     pub fn open(path: PathBuf, max_age_seconds: u64, services: impl IntoIterator<Item = String>) -> Self {
         let initial = read(&path, max_age_seconds).unwrap_or_else(|error| {
-            tracing::warn!("consul: the list file {} is not used: {error}", path.display());
+            tracing::warn!(path = %path.display(), %error, "endpoint cache not usable");
             None
         });
         let state = State {
@@ -98,7 +98,7 @@
                 state.written_services = list.services;
             }
             Err(error) if !state.is_failing => {
-                tracing::warn!("consul: the list file {} could not be written: {error}", self.path.display());
+                tracing::warn!(path = %self.path.display(), %error, "endpoint cache write failed");
                 state.is_failing = true;
             }
             Err(_) => {}
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -119,7 +119,7 @@
             match deregister_requests.recv_timeout(wait) {
                 Ok(DeregisterRequest { done }) => {
                     self.send(RegistrationRequest::Deregister);
-                    tracing::info!("consul: {} is deregistered", self.id);
+                    tracing::info!(id = self.id, "service deregistered");
                     // The requester may have timed out.
                     let _ = done.send(());
                     return;
@@ -133,9 +133,9 @@
     fn log(&self, change: Option<RegistrationChange>) {
         let id = &self.id;
         match change {
-            Some(RegistrationChange::Registered) => tracing::info!("consul: registered as {id}"),
+            Some(RegistrationChange::Registered) => tracing::info!(id, "service registered"),
             Some(RegistrationChange::Lost) => {
-                tracing::warn!("consul: the agent forgot {id}; it is registered again");
+                tracing::warn!(id, "service registration lost, registering again");
             }
             None => {}
         }
