--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a watch has ended. The log shows the texts.
+//! Errors that end a watch. Their texts appear in the log.
 
 use std::io;
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
-    /// The agent cannot be reached, or the connection failed.
+    /// The connection to the agent failed.
     #[error("{0}")]
     Connection(#[from] io::Error),
-    /// The agent has another address now.
+    /// The configured address of the agent changed.
     #[error("the agent has moved")]
     AddressChanged,
     /// The agent closed the connection.
     #[error("the agent closed it")]
     Closed,
-    /// The agent did not answer 200.
+    /// The agent responded with a status other than 200.
     #[error("status {0}")]
     Status(u16),
-    /// The response is no valid HTTP.
+    /// The response is not valid HTTP.
     #[error("{0}")]
     Http(#[from] http::HttpError),
-    /// The body is no sequence of JSON objects, or one of them is too large or nests too deep.
+    /// The body is not a sequence of JSON objects, or an object is too large or nested too deeply.
     #[error("an unreadable list: {0}")]
     MalformedList(#[from] json_stream::Unreadable),
-    /// An object is no list of endpoints.
+    /// An object does not have the schema of an endpoint list.
     #[error("an unreadable list: {0}")]
-    UnknownList(#[from] simd_json::Error),
-    /// The response came to its end.
+    InvalidList(#[from] simd_json::Error),
+    /// The response is complete. A watch has no regular end.
     #[error("the answer ended")]
     ResponseEnded,
 }
--- a/crates/discovery/src/error/tests.rs
+++ b/crates/discovery/src/error/tests.rs
@@ -1,13 +1,15 @@
+//! Texts and sources of the errors.
+
 use super::*;
 use settings::EndpointList;
 use std::error::Error as _;
 
 #[test]
-fn texts_say_why_the_watch_ended_and_keep_their_source() {
+fn errors_say_why_the_watch_ended_and_keep_their_source() {
     let refused = io::Error::new(io::ErrorKind::ConnectionRefused, "connection refused");
-    let unknown =
+    let invalid =
         simd_json::serde::from_slice::<EndpointList>(&mut br#"{"rev":"x"}"#.to_vec()).expect_err("no list");
-    let unknown_text = format!("an unreadable list: {unknown}");
+    let invalid_text = format!("an unreadable list: {invalid}");
     for (error, text, has_source) in [
         (WatchError::Connection(refused), "connection refused", true),
         (WatchError::AddressChanged, "the agent has moved", false),
@@ -18,7 +20,7 @@
             "an unreadable list: too deep",
             true,
         ),
-        (WatchError::UnknownList(unknown), &unknown_text, true),
+        (WatchError::InvalidList(invalid), &invalid_text, true),
         (WatchError::ResponseEnded, "the answer ended", false),
     ] {
         assert_eq!(error.to_string(), text);
--- a/crates/discovery/src/poll_backoff.rs
+++ b/crates/discovery/src/poll_backoff.rs
@@ -1,81 +1,97 @@
-//! How soon a watch that ended is requested again. No clock and no socket is used here, so that a test can run a hundred of them in
-//! simulated time.
+//! Exponential backoff with jitter between requests of a watch. It uses no clock and no socket, so that a test can run a hundred
+//! instances in simulated time.
 //!
-//! All gatekeepers lose their watches at the same moment when the agents, or the service behind them, fail, and all start together
-//! after a release. The discovery service serves requests in turn. Requests that wait too long fail, and if those were repeated at
-//! once, each would always be served too late. So each failure in a row doubles the pause, and random jitter spreads all
-//! pauses. A lone watch that ends is back within [`MAX_PAUSE_AFTER_SUCCESS`].
+//! All gatekeepers lose their watches at the same moment when the agents or the discovery service fail, and all start together
+//! after a release. The discovery service serves requests in order of arrival. Requests that wait too long time out. If they were
+//! retried at once, the queue would stay too long for any of them (a retry storm). Therefore each consecutive failure doubles the
+//! backoff, and jitter spreads the requests. A single watch that ends after it worked is requested again within
+//! [`MAX_BACKOFF_AFTER_SUCCESS`].
 //!
-//! Where the agent is notified of all changes, what it has counts as known 6 s after it had it and could be reached, whatever
-//! requests failed meanwhile. A watch that falls silent takes [`SILENCE_TIMEOUT`] to be noticed; then come a pause, a request that
-//! fails for want of a response, another pause, and the request that succeeds: 3 + 0.57 + 1 + 0.57 s at the worst, and two ticks of
-//! the clock.
+//! An agent that is notified of changes has a bound: a gatekeeper must know a list 6 s after the agent has it and is reachable,
+//! whatever requests failed in between. In the worst case a silent watch is detected after [`SILENCE_TIMEOUT`], followed by a
+//! backoff, a request that times out, another backoff, and the request that succeeds: 3 + 0.57 + 1 + 0.57 s and two clock ticks.
 
 use std::time::Duration;
 
-/// The agent writes a line every 2 s, be it an empty one: a watch that got none for this long is broken. Endpoints that it misses
-/// count as known 6 s after it fell silent, and before that one more request may fail ([`PollBackoff`] has the sum).
+/// Maximum time between two lines of a watch. The agent writes at least an empty line (a heartbeat) every 2 s, so a watch without one
+/// for this long is broken. Missed changes must be known 6 s after the last line, with one failed request in between.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest pause after a watch that worked.
-const MAX_PAUSE_AFTER_SUCCESS: Duration = Duration::from_millis(200);
-/// The mean pause after the first failure where the agent must poll: requests fail after they have waited for seconds, so what is
-/// queued before the next one takes seconds to clear as well.
-const POLLING_FIRST_PAUSE: Duration = Duration::from_secs(3);
-/// The longest mean pause where the agent must poll.
-const POLLING_MAX_PAUSE: Duration = Duration::from_secs(6);
-/// The longest mean pause where the agent is notified: its requests cost nobody else anything.
-const NOTIFIED_MAX_PAUSE: Duration = Duration::from_millis(300);
-/// An agent that is notified responds at once with what it has. One that does not is down, and is requested anew.
+/// Maximum backoff after a watch that worked.
+const MAX_BACKOFF_AFTER_SUCCESS: Duration = Duration::from_millis(200);
+/// Mean backoff after the first failure of a polling agent. Its requests time out after seconds in the queue of the discovery
+/// service, and the requests queued before the next one take seconds as well.
+const POLLING_INITIAL_BACKOFF: Duration = Duration::from_secs(3);
+/// Upper bound of the mean backoff of a polling agent.
+const POLLING_MAX_BACKOFF: Duration = Duration::from_secs(6);
+/// Upper bound of the mean backoff of a notified agent. It is short, because its requests put no load on a shared service.
+const NOTIFIED_MAX_BACKOFF: Duration = Duration::from_millis(300);
+/// Time-out for the response of a notified agent. It responds at once with its present list, unless it is down.
 const NOTIFIED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch that ends sooner than this after its request never worked: an agent responds at once with what it has, and closes the
-/// connection when its own request fails.
+/// A watch that ends sooner than this after its request counts as failed: the agent responds at once with its present list, and closes
+/// the connection when its own request to the discovery service fails.
 const MIN_WORKING_AGE: Duration = Duration::from_secs(5);
-/// Further failures in a row don't double the pause any more.
+/// Maximum number of doublings of the backoff.
 const MAX_DOUBLINGS: u32 = 16;
-/// Jitter: a pause is between a tenth of the mean and nineteen tenths.
+/// Jitter: the backoff is uniformly distributed between 0.1 and 1.9 times the mean.
 const MIN_JITTER: f64 = 0.1;
 const JITTER_RANGE: f64 = 1.8;
 
-/// The pauses of one gatekeeper.
+/// How the agent learns of changes of the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AgentMode {
+    /// It polls a discovery service that all gatekeepers share.
+    Polling,
+    /// It is notified of each change.
+    Notified,
+}
+
+/// Backoff of the watch of one gatekeeper.
 #[derive(Debug)]
 pub struct PollBackoff {
     random: fastrand::Rng,
-    /// Failures in a row.
-    failures: u32,
-    first_pause: Duration,
-    max_pause: Duration,
+    consecutive_failures: u32,
+    initial_backoff: Duration,
+    max_backoff: Duration,
     response_timeout: Duration,
 }
 
 impl PollBackoff {
-    /// Creates the pauses that follow from this seed.
-    ///
-    /// `must_poll` says that the agent polls a service that all gatekeepers share; otherwise the agent is notified of changes.
-    pub fn new(seed: u64, must_poll: bool) -> Self {
-        let (first_pause, max_pause, response_timeout) = if must_poll {
-            // The agent may respond when its own request has had its turn.
-            (POLLING_FIRST_PAUSE, POLLING_MAX_PAUSE, SILENCE_TIMEOUT)
-        } else {
-            (MAX_PAUSE_AFTER_SUCCESS, NOTIFIED_MAX_PAUSE, NOTIFIED_RESPONSE_TIMEOUT)
-        };
+    /// Creates the backoff for an agent of this mode. `seed` determines the jitter.
+    pub fn new(seed: u64, mode: AgentMode) -> Self {
         let random = fastrand::Rng::with_seed(seed);
-        Self { random, failures: 0, first_pause, max_pause, response_timeout }
+        match mode {
+            AgentMode::Polling => Self {
+                random,
+                consecutive_failures: 0,
+                initial_backoff: POLLING_INITIAL_BACKOFF,
+                max_backoff: POLLING_MAX_BACKOFF,
+                // The agent responds once the discovery service has served its own request.
+                response_timeout: SILENCE_TIMEOUT,
+            },
+            AgentMode::Notified => Self {
+                random,
+                consecutive_failures: 0,
+                initial_backoff: MAX_BACKOFF_AFTER_SUCCESS,
+                max_backoff: NOTIFIED_MAX_BACKOFF,
+                response_timeout: NOTIFIED_RESPONSE_TIMEOUT,
+            },
+        }
     }
 
-    /// How long the agent may take to begin its response.
+    /// Time-out for the head of the agent's response.
     pub fn response_timeout(&self) -> Duration {
         self.response_timeout
     }
 
-    /// How long to wait after a watch that ended at this age, counted from its request.
-    pub fn next_pause(&mut self, age: Duration) -> Duration {
+    /// Returns the backoff after a watch that ended at this age, counted from its request.
+    pub fn next_backoff(&mut self, age: Duration) -> Duration {
         if age >= MIN_WORKING_AGE {
-            self.failures = 0;
-            return MAX_PAUSE_AFTER_SUCCESS.mul_f64(self.random.f64());
+            self.consecutive_failures = 0;
+            return MAX_BACKOFF_AFTER_SUCCESS.mul_f64(self.random.f64());
         }
-        let doubled = self.first_pause.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
-        let mean = doubled.min(self.max_pause);
-        self.failures = self.failures.saturating_add(1);
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        let mean = self.initial_backoff.saturating_mul(1 << doublings).min(self.max_backoff);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         mean.mul_f64(MIN_JITTER + JITTER_RANGE * self.random.f64())
     }
 }
--- a/crates/discovery/src/poll_backoff/tests.rs
+++ b/crates/discovery/src/poll_backoff/tests.rs
@@ -1,112 +1,120 @@
-//! The pauses of many gatekeepers in simulated time.
+//! Backoff of many gatekeepers in simulated time.
 
 use super::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long the discovery service takes for a request.
-const SERVICE_MS: u64 = 60;
-/// How long a request may wait. One that nobody waits for any more is served all the same.
-const MAX_WAIT_MS: u64 = 2_000;
-/// How many requests may wait: beyond that a request is rejected at once.
+/// Service time of a request in the discovery service.
+const SERVICE_TIME_MS: u64 = 60;
+/// Time-out of a request. The service spends the service time on timed-out requests too.
+const REQUEST_TIMEOUT_MS: u64 = 2_000;
+/// Maximum length of the service's queue. Further requests are rejected at once.
 const MAX_QUEUE: usize = 90;
 const GATEKEEPERS: usize = 100;
 
-/// A hundred gatekeepers whose watches end at the same moment, before a service of fixed capacity. Returns ms until the last one
-/// has its watch back, if all have within a minute, and the requests made.
-fn all_lose_their_watches(
-    seed: u64,
-    mut pause: impl FnMut(usize, Duration) -> Duration,
-) -> (Option<u64>, usize) {
+/// The result of a simulated recovery.
+#[derive(Debug)]
+struct Recovery {
+    /// When the last gatekeeper had its watch again; `None` if that took more than a minute.
+    completed_ms: Option<u64>,
+    /// Number of requests to the service.
+    requests: usize,
+}
+
+/// Simulates a hundred gatekeepers whose watches end at the same moment, and a discovery service with a fixed service time.
+/// `backoff` returns the backoff of a gatekeeper after a watch of this age.
+fn simulate_recovery(seed: u64, mut backoff: impl FnMut(usize, Duration) -> Duration) -> Recovery {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut due: BTreeSet<(u64, usize)> = (0..GATEKEEPERS)
-        .map(|who| (pause(who, MIN_WORKING_AGE).as_millis() as u64 + random.u64(0..5), who))
+        .map(|gatekeeper| {
+            (backoff(gatekeeper, MIN_WORKING_AGE).as_millis() as u64 + random.u64(0..5), gatekeeper)
+        })
         .collect();
-    let (mut queue, mut next_service_ms, mut back, mut requests) = (VecDeque::new(), 0, 0, 0);
+    let (mut queue, mut next_service_ms, mut recovered, mut requests) = (VecDeque::new(), 0, 0, 0);
     for now in 0..60_000 {
-        while let Some(&(due_ms, who)) = due.first()
+        while let Some(&(due_ms, gatekeeper)) = due.first()
             && due_ms <= now
         {
             due.pop_first();
             requests += 1;
             if queue.len() < MAX_QUEUE {
-                queue.push_back((now, who));
+                queue.push_back((now, gatekeeper));
             } else {
-                due.insert((now + 1 + pause(who, Duration::ZERO).as_millis() as u64, who));
+                due.insert((now + 1 + backoff(gatekeeper, Duration::ZERO).as_millis() as u64, gatekeeper));
             }
         }
         if now >= next_service_ms
-            && let Some((since, who)) = queue.pop_front()
+            && let Some((queued_at, gatekeeper)) = queue.pop_front()
         {
-            next_service_ms = now + SERVICE_MS;
-            if now - since <= MAX_WAIT_MS {
-                back += 1;
-                if back == GATEKEEPERS {
-                    return (Some(now), requests);
+            next_service_ms = now + SERVICE_TIME_MS;
+            if now - queued_at <= REQUEST_TIMEOUT_MS {
+                recovered += 1;
+                if recovered == GATEKEEPERS {
+                    return Recovery { completed_ms: Some(now), requests };
                 }
             } else {
-                // It timed out then.
-                let waited = Duration::from_millis(MAX_WAIT_MS);
-                let due_ms = since + MAX_WAIT_MS + pause(who, waited).as_millis() as u64;
-                due.insert((due_ms.max(now), who));
+                let age = Duration::from_millis(REQUEST_TIMEOUT_MS);
+                let timed_out_ms = queued_at + REQUEST_TIMEOUT_MS;
+                let due_ms = timed_out_ms + backoff(gatekeeper, age).as_millis() as u64;
+                due.insert((due_ms.max(now), gatekeeper));
             }
         }
     }
-    (None, requests)
+    Recovery { completed_ms: None, requests }
 }
 
-/// Seen with a fixed pause of 200 ms: after all watches had ended at once no request was served in time ever again.
+/// With a fixed wait of 200 ms, no request was served in time any more after all watches had ended at once.
 #[test]
-fn a_hundred_that_lose_their_watches_together_get_them_back() {
+fn a_hundred_gatekeepers_that_lose_their_watches_together_recover_without_a_retry_storm() {
     for seed in 0..20 {
-        let mut backoffs: Vec<PollBackoff> =
-            (0..100).map(|who| PollBackoff::new(seed << 8 | who, true)).collect();
-        let (back, requests) = all_lose_their_watches(seed, |who, age| backoffs[who].next_pause(age));
-        assert!(back.is_some_and(|ms| ms < 25_000), "seed {seed}: {back:?} ms after {requests} requests");
-        assert!(requests < 400, "seed {seed}: {requests} requests");
+        let backoff = |gatekeeper| PollBackoff::new(seed << 8 | gatekeeper, AgentMode::Polling);
+        let mut backoffs: Vec<PollBackoff> = (0..100).map(backoff).collect();
+        let recovery = simulate_recovery(seed, |gatekeeper, age| backoffs[gatekeeper].next_backoff(age));
+        assert!(recovery.completed_ms.is_some_and(|ms| ms < 25_000), "seed {seed}: {recovery:?}");
+        assert!(recovery.requests < 400, "seed {seed}: {recovery:?}");
     }
-    let fixed = all_lose_their_watches(1, |_, _| MAX_PAUSE_AFTER_SUCCESS);
-    assert_eq!(fixed.0, None, "the model no longer shows what is guarded against");
+    let with_fixed_wait = simulate_recovery(1, |_, _| MAX_BACKOFF_AFTER_SUCCESS);
+    assert_eq!(with_fixed_wait.completed_ms, None, "the simulation no longer shows a retry storm");
 }
 
 #[test]
-fn one_that_loses_a_watch_alone_requests_it_at_once() {
-    let mut backoff = PollBackoff::new(7, true);
+fn a_watch_that_worked_is_requested_again_almost_at_once() {
+    let mut backoff = PollBackoff::new(7, AgentMode::Polling);
     for age in [Duration::ZERO, Duration::from_secs(2)] {
-        assert!(backoff.next_pause(age) >= POLLING_FIRST_PAUSE / 10);
+        assert!(backoff.next_backoff(age) >= POLLING_INITIAL_BACKOFF / 10);
     }
     for _ in 0..100 {
-        assert!(backoff.next_pause(MIN_WORKING_AGE) <= MAX_PAUSE_AFTER_SUCCESS);
+        assert!(backoff.next_backoff(MIN_WORKING_AGE) <= MAX_BACKOFF_AFTER_SUCCESS);
     }
 }
 
 #[test]
-fn pauses_stay_bounded_and_differ_by_seed() {
-    let pauses = |seed| {
-        let mut backoff = PollBackoff::new(seed, true);
-        (0..1_000).map(|_| backoff.next_pause(Duration::ZERO)).collect::<Vec<_>>()
+fn backoff_is_bounded_and_differs_by_seed() {
+    let backoffs = |seed| {
+        let mut backoff = PollBackoff::new(seed, AgentMode::Polling);
+        (0..1_000).map(|_| backoff.next_backoff(Duration::ZERO)).collect::<Vec<_>>()
     };
-    assert!(pauses(1).iter().all(|pause| *pause <= 2 * POLLING_MAX_PAUSE));
-    assert_ne!(pauses(1), pauses(2));
+    assert!(backoffs(1).iter().all(|backoff| *backoff <= 2 * POLLING_MAX_BACKOFF));
+    assert_ne!(backoffs(1), backoffs(2));
 }
 
-/// What the agent has must be known 6 s after it had it and could be reached, though a watch has just fallen silent and a request
-/// gets no response. The ticks of the clock are 0.25 s apart.
+/// A list must be known 6 s after the agent has it and is reachable, even if a watch has just fallen silent and one request gets no
+/// response. Clock ticks are 0.25 s apart.
 #[test]
-fn a_silent_watch_and_a_failed_request_leave_time_to_be_notified() {
+fn a_silent_watch_and_a_failed_request_stay_within_the_notification_bound() {
     for seed in 0..100 {
-        let mut backoff = PollBackoff::new(seed, false);
+        let mut backoff = PollBackoff::new(seed, AgentMode::Notified);
         for failures in 0..20 {
             let tick = Duration::from_millis(250);
             let response_timeout = backoff.response_timeout();
-            let spent = SILENCE_TIMEOUT
+            let elapsed = SILENCE_TIMEOUT
                 + tick
-                + backoff.next_pause(Duration::ZERO)
+                + backoff.next_backoff(Duration::ZERO)
                 + response_timeout
                 + tick
-                + backoff.next_pause(Duration::ZERO);
+                + backoff.next_backoff(Duration::ZERO);
             assert!(
-                spent < Duration::from_millis(5_900),
-                "seed {seed}, after {failures} failures: {spent:?}"
+                elapsed < Duration::from_millis(5_900),
+                "seed {seed}, after {failures} failures: {elapsed:?}"
             );
         }
     }
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -1,11 +1,11 @@
-//! The agent's response: an HTTP head, then endpoint lists as JSON objects, between lines that may be empty.
+//! Parser of the agent's response: an HTTP head, then endpoint lists as JSON objects, separated by lines that may be empty.
 
 use crate::error::WatchError;
 use http::{ChunkedDecoder, Framing, ResponseHead};
 use json_stream::{Item, Objects};
 use settings::EndpointList;
 
-/// Largest JSON object: some thousand endpoints.
+/// Maximum size of a JSON object in bytes. It has room for some thousand endpoints.
 const MAX_OBJECT_BYTES: usize = 4 * 1024 * 1024;
 const STATUS_OK: u16 = 200;
 
@@ -16,11 +16,11 @@
     objects: Objects,
 }
 
-/// An item of the body. Each shows that the agent is alive.
+/// An item of the body. Each item shows that the agent is alive.
 pub(crate) enum BodyItem {
-    /// A list.
+    /// An endpoint list.
     List(EndpointList),
-    /// The end of a line. The agent writes empty lines as heartbeats.
+    /// The end of a line. Empty lines are the agent's heartbeats.
     LineEnd,
 }
 
@@ -39,10 +39,10 @@
         self.chunks.is_done()
     }
 
-    /// Takes the bytes that were received, but for those that are not complete yet.
-    pub(crate) fn take(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
+    /// Consumes received bytes. A part that is not complete yet stays in `received`.
+    pub(crate) fn consume(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
         if self.head.is_none() {
-            self.take_head(received)?;
+            self.consume_head(received)?;
         }
         match self.head.as_ref().map(|head| head.framing) {
             Some(Framing::Chunked) => {
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    fn take_head(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
+    fn consume_head(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
         let Some(http::FinalResponseHead { head, start }) = http::parse_final_response_head(received, false)?
         else {
             return Ok(());
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// The next complete item of the body.
+    /// Returns the next complete item of the body.
     pub(crate) fn next_item(&mut self) -> Result<Option<BodyItem>, WatchError> {
         match self.objects.next_item()? {
             Some(Item::Object(mut object)) => {
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: it follows the agent's response, notices silence, and requests the watch again when it has ended.
+//! The watch: reads the agent's response, detects silence, and requests the watch again when it has ended.
 
 use crate::error::WatchError;
 use crate::poll_backoff::{PollBackoff, SILENCE_TIMEOUT};
@@ -13,42 +13,57 @@
 
 /// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How soon a pause notices that the agent has another address.
+/// Interval at which a backoff checks whether the agent's address has changed.
 const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Bytes that are read at once.
+/// Maximum number of bytes of one read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// The watch on the discovery agent.
+/// A watch on the discovery agent.
 pub struct Watch {
     agent: Mutex<Agent>,
 }
 
-/// The agent's address, and the connection to it.
+/// The agent's address and the connection to it.
 struct Agent {
     address: SocketAddr,
     connection: Option<AgentConnection>,
 }
 
-/// An open connection, and the time by which the agent has to send something.
+/// An open connection, and the deadline for the next sign of life of the agent.
 struct AgentConnection {
     connection: Arc<Connection>,
     deadline: Instant,
 }
 
-/// What a watch reports.
+impl AgentConnection {
+    fn close(&self) {
+        self.connection.close();
+    }
+
+    fn is_silent(&self) -> bool {
+        Instant::now() > self.deadline
+    }
+
+    /// Extends the deadline after a sign of life.
+    fn extend_deadline(&mut self) {
+        self.deadline = Instant::now() + SILENCE_TIMEOUT;
+    }
+}
+
+/// An event of a watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// An endpoint list: complete, or what has changed.
+    /// The agent sent an endpoint list, either complete or with the changed endpoints only.
     EndpointList(EndpointList),
-    /// A request has failed, or the watch has ended: nothing is known of changes for now.
+    /// A request failed, or the watch ended: changes are not seen until the next list.
     Lost,
 }
 
-/// What a running watch keeps from one connection to the next.
+/// State of a running watch that outlives a connection.
 struct Session<Listener> {
-    /// The version of the last list.
+    /// Version of the last list.
     version: u64,
-    /// Whether the log says that the watch ended, and not yet that it is back.
+    /// Whether the end of the watch is logged, and no list has arrived since.
     is_lost: bool,
     listener: Listener,
 }
@@ -79,68 +94,69 @@
         Arc::new(Self { agent: Mutex::new(Agent { address, connection: None }) })
     }
 
-    /// Watches at this address from now on, from the version of the last list. Returns whether the address is another than before.
+    /// Continues at this address, from the version of the last list. Returns whether the address has changed.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let mut agent = locked(&self.agent);
         if std::mem::replace(&mut agent.address, address) == address {
             return false;
         }
-        // The old agent may stay silent instead of closing, and its lists no longer count.
+        // The old agent may never close the connection, and its lists must not be used any more.
         if let Some(connection) = agent.connection.take() {
-            connection.connection.close();
+            connection.close();
         }
         true
     }
 
-    /// Closes the connection if it has been silent for too long. To be called several times a second.
+    /// Closes the connection if it has been silent for too long. The caller runs this several times a second.
     pub fn close_if_silent(&self) {
         if let Some(connection) = &locked(&self.agent).connection
-            && Instant::now() > connection.deadline
+            && connection.is_silent()
         {
-            connection.connection.close();
+            connection.close();
         }
     }
 
-    /// Watches for ever, from the version after this one on. Parses JSON, and so runs in a coroutine with a large stack.
+    /// Runs the watch until the process ends, starting after this version. Parsing JSON requires a coroutine with a large stack.
     pub fn run(&self, version: u64, mut backoff: PollBackoff, listener: impl Fn(WatchEvent)) {
         let mut session = Session { version, is_lost: false, listener };
         loop {
             let address = locked(&self.agent).address;
-            let requested = Instant::now();
-            let Err(error) = self.follow(address, &mut session, backoff.response_timeout());
-            {
-                let mut agent = locked(&self.agent);
-                agent.connection.take();
-                if agent.address != address {
-                    // A new address is no loss, and the new agent is asked at once.
-                    continue;
-                }
+            let requested_at = Instant::now();
+            let Err(error) = self.read_response(address, &mut session, backoff.response_timeout());
+            locked(&self.agent).connection.take();
+            if !self.is_current(address) {
+                // A change of the address is not a failure: the new agent is requested at once.
+                continue;
             }
             session.on_lost(&error);
-            self.pause(address, backoff.next_pause(requested.elapsed()));
+            self.wait(address, backoff.next_backoff(requested_at.elapsed()));
         }
     }
 
-    /// Waits, but only while the agent has this address.
-    fn pause(&self, address: SocketAddr, pause: Duration) {
-        let end = Instant::now() + pause;
+    fn is_current(&self, address: SocketAddr) -> bool {
+        locked(&self.agent).address == address
+    }
+
+    /// Waits for the backoff, or until the agent's address changes.
+    fn wait(&self, address: SocketAddr, backoff: Duration) {
+        let end = Instant::now() + backoff;
         while let left = end.saturating_duration_since(Instant::now())
             && !left.is_zero()
-            && locked(&self.agent).address == address
+            && self.is_current(address)
         {
             link::sleep(left.min(ADDRESS_CHECK_INTERVAL));
         }
     }
 
-    /// Follows one response until it ends.
-    fn follow(
+    /// Requests the watch and reads the response until it ends.
+    fn read_response(
         &self,
         address: SocketAddr,
         session: &mut Session<impl Fn(WatchEvent)>,
         response_timeout: Duration,
     ) -> Result<Infallible, WatchError> {
         let connection = self.connect(address, response_timeout)?;
-        connection.send(request(address, session.version).as_bytes())?;
+        connection.send(encode_request(address, session.version).as_bytes())?;
         let (mut received, mut response) = (Vec::new(), Response::new());
         loop {
             match connection.receive(&mut received, READ_BYTES)? {
@@ -148,7 +164,7 @@
                 Incoming::End => return Err(WatchError::Closed),
             }
             let had_head = response.has_head();
-            response.take(&mut received)?;
+            response.consume(&mut received)?;
             if !had_head && response.has_head() {
                 self.extend_deadline();
             }
@@ -164,7 +180,7 @@
         }
     }
 
-    /// Connects to the agent, which has to send something within this time-out.
+    /// Connects to the agent, which must send the head of its response within `response_timeout`.
     fn connect(
         &self,
         address: SocketAddr,
@@ -180,15 +196,15 @@
         Ok(connection)
     }
 
-    /// The agent has sent a line, and has [`SILENCE_TIMEOUT`] for the next one.
+    /// Extends the deadline for the next sign of life of the agent.
     fn extend_deadline(&self) {
         if let Some(connection) = &mut locked(&self.agent).connection {
-            connection.deadline = Instant::now() + SILENCE_TIMEOUT;
+            connection.extend_deadline();
         }
     }
 }
 
-/// The request for all lists after this version.
-fn request(address: SocketAddr, version: u64) -> String {
+/// Encodes the request for all changes after this version.
+fn encode_request(address: SocketAddr, version: u64) -> String {
     format!("GET /discovery/hosts?stream=1&index={version} HTTP/1.1\r\nHost: {address}\r\n\r\n")
 }
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -1,7 +1,7 @@
-//! What is exchanged with the discovery agent: the bytes in `fixtures/request.http` were written by release 0.1 at commit
-//! 1461877 (`ADDRESS` stands for the agent's), those in `response.http` follow the agent's protocol.
+//! Compatibility of the exchange with the discovery agent. Release 0.1 at commit 1461877 wrote the bytes in
+//! `fixtures/request.http`, where `ADDRESS` stands for the agent's address. The bytes in `response.http` follow the agent's protocol.
 
-use discovery::{PollBackoff, Watch, WatchEvent};
+use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
 use settings::EndpointList;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,21 +13,21 @@
 const RESPONSE: &[u8] = include_bytes!("fixtures/response.http");
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A watch on an agent at this listener, from version 18446744073709551615 on.
-fn watch(listener: &TcpListener) -> Receiver<WatchEvent> {
+/// Starts a watch on an agent at this listener, after version 18446744073709551615.
+fn start_watch(listener: &TcpListener) -> Receiver<WatchEvent> {
     link::set_up();
     let watch = Watch::new(listener.local_addr().expect("an address"));
     let (sender, events) = channel();
     let sender = Mutex::new(sender);
     link::spawn_with(link::LARGE_STACK, move || {
-        watch.run(u64::MAX, PollBackoff::new(7, false), |event| {
+        watch.run(u64::MAX, PollBackoff::new(7, AgentMode::Notified), |event| {
             let _ = sender.lock().expect("no panic").send(event);
         });
     });
     events
 }
 
-/// The watch's request, and the connection that it came by.
+/// Accepts a connection and returns the request on it, with the connection.
 fn accept(listener: &TcpListener) -> (String, TcpStream) {
     let mut stream = listener.accept().expect("a connection").0;
     stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
@@ -41,46 +41,55 @@
 }
 
 #[test]
-fn a_watch_is_requested_as_before() {
+fn a_watch_sends_the_request_of_release_0_1() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let _news = watch(&listener);
+    let _events = start_watch(&listener);
     let address = listener.local_addr().expect("an address").to_string();
     assert_eq!(accept(&listener).0, REQUEST.replace("ADDRESS", &address));
 }
 
 fn next_list(events: &Receiver<WatchEvent>) -> EndpointList {
-    match events.recv_timeout(TIMEOUT).expect("it came in time") {
+    match events.recv_timeout(TIMEOUT).expect("an event in time") {
         WatchEvent::EndpointList(list) => list,
         WatchEvent::Lost => panic!("the watch was lost"),
     }
 }
 
 #[test]
-fn lists_are_read_as_before_wherever_they_are_cut() {
-    for cut in (0..RESPONSE.len()).step_by(5) {
+fn lists_are_read_wherever_the_response_is_split() {
+    for split in (0..RESPONSE.len()).step_by(5) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let events = watch(&listener);
+        let events = start_watch(&listener);
         let mut stream = accept(&listener).1;
-        stream.write_all(&RESPONSE[..cut]).expect("the watch reads");
+        stream.write_all(&RESPONSE[..split]).expect("the watch reads");
         std::thread::sleep(Duration::from_millis(2));
-        stream.write_all(&RESPONSE[cut..]).expect("the watch reads");
+        stream.write_all(&RESPONSE[split..]).expect("the watch reads");
         let (first, second) = (next_list(&events), next_list(&events));
-        assert_eq!((first.revision, first.complete, first.endpoints.len()), (41, true, 2), "cut at {cut}");
-        let host = &first.endpoints[0];
         assert_eq!(
-            (host.id.as_str(), host.address.as_str(), host.zone.as_str(), host.machine_type.as_str()),
+            (first.revision, first.complete, first.endpoints.len()),
+            (41, true, 2),
+            "split at {split}"
+        );
+        let endpoint = &first.endpoints[0];
+        assert_eq!(
+            (
+                endpoint.id.as_str(),
+                endpoint.address.as_str(),
+                endpoint.zone.as_str(),
+                endpoint.machine_type.as_str()
+            ),
             ("s-1", "127.0.0.1:9001", "a", "m"),
-            "cut at {cut}"
+            "split at {split}"
         );
-        assert_eq!(first.endpoints[1].state, "draining", "cut at {cut}");
+        assert_eq!(first.endpoints[1].state, "draining", "split at {split}");
         assert_eq!(
             (second.revision, second.complete, second.endpoints.len()),
             (42, false, 0),
-            "cut at {cut}"
+            "split at {split}"
         );
-        // The response has ended: the watch is requested anew, from the version that it last had.
-        assert!(matches!(events.recv_timeout(TIMEOUT), Ok(WatchEvent::Lost)), "cut at {cut}");
-        if cut == 0 {
+        // The response has ended: the watch is requested again, from the version of the last list.
+        assert!(matches!(events.recv_timeout(TIMEOUT), Ok(WatchEvent::Lost)), "split at {split}");
+        if split == 0 {
             assert!(accept(&listener).0.contains("&index=42 "));
         }
     }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,6 +1,6 @@
-//! The watch against a stand-in of the agent that is written from the protocol.
+//! The watch against a stand-in of the agent, written from the protocol.
 
-use discovery::{PollBackoff, Watch, WatchEvent};
+use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
 use settings::EndpointList;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,21 +10,21 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the agent has counts as known after this.
-const KNOWN_WITHIN: Duration = Duration::from_secs(6);
+/// Bound for learning of a change after the agent has it.
+const NOTIFICATION_BOUND: Duration = Duration::from_secs(6);
 
-fn next<T>(from: &Receiver<T>) -> T {
-    from.recv_timeout(TIMEOUT).expect("it came in time")
+fn next<T>(receiver: &Receiver<T>) -> T {
+    receiver.recv_timeout(TIMEOUT).expect("an item in time")
 }
 
-/// A request that the watch has sent.
+/// A request of the watch, and the connection for the response.
 struct Request {
     line: String,
     stream: TcpStream,
 }
 
 impl Request {
-    fn respond(&mut self) {
+    fn send_head(&mut self) {
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
@@ -37,7 +37,8 @@
     }
 }
 
-fn agent() -> (SocketAddr, Receiver<Request>) {
+/// Starts an agent and returns its address and the requests that it receives.
+fn start_agent() -> (SocketAddr, Receiver<Request>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (sender, requests) = channel();
@@ -60,14 +61,14 @@
     (address, requests)
 }
 
-/// A watch that runs, whose silence is checked as the program's clock does.
-fn watch(at: SocketAddr) -> Receiver<WatchEvent> {
+/// Starts a watch and checks it for silence at the interval of the program's clock ticks.
+fn start_watch(address: SocketAddr) -> Receiver<WatchEvent> {
     link::set_up();
-    let watch = Watch::new(at);
+    let watch = Watch::new(address);
     let (sender, events): (Sender<WatchEvent>, _) = channel();
     let (running, sender) = (watch.clone(), Mutex::new(sender));
     link::spawn_with(link::LARGE_STACK, move || {
-        running.run(40, PollBackoff::new(7, false), |event| {
+        running.run(40, PollBackoff::new(7, AgentMode::Notified), |event| {
             let _ = sender.lock().expect("no panic").send(event);
         });
     });
@@ -81,72 +82,72 @@
     events
 }
 
-fn list(event: WatchEvent) -> EndpointList {
-    let WatchEvent::EndpointList(list) = event else { panic!("no list but {event:?}") };
+fn expect_list(event: WatchEvent) -> EndpointList {
+    let WatchEvent::EndpointList(list) = event else { panic!("expected a list, got {event:?}") };
     list
 }
 
 #[test]
-fn an_indented_list_is_read_like_one_on_a_line() {
-    let (at, requests) = agent();
-    let events = watch(at);
+fn a_list_may_span_several_lines_and_chunks() {
+    let (address, requests) = start_agent();
+    let events = start_watch(address);
     let mut request = next(&requests);
     assert_eq!(request.line, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1");
-    request.respond();
+    request.send_head();
     request.send_chunk("{\n  \"rev\": 41,\n  \"all\": false,\n");
     request.send_chunk("  \"targets\": [\n    {\"uid\": \"s-1\", \"state\": \"draining\"}\n  ]\n}\n");
-    let first = list(next(&events));
+    let first = expect_list(next(&events));
     assert_eq!((first.revision, first.endpoints[0].state.as_str()), (41, "draining"));
     request.send_chunk("{\"rev\":42,\"targets\":[]}\n");
-    assert_eq!(list(next(&events)).revision, 42);
+    assert_eq!(expect_list(next(&events)).revision, 42);
 }
 
-/// The reader of JSON recurses: a list that nests without end overran the stack, and the watch never came back.
+/// The JSON parser recurses: a deeply nested list once overflowed the stack, and the watch never recovered.
 #[test]
-fn a_list_that_cannot_be_read_ends_the_watch_and_nothing_else() {
-    let (at, requests) = agent();
-    let events = watch(at);
+fn a_malformed_list_ends_the_watch_which_is_then_requested_again() {
+    let (address, requests) = start_agent();
+    let events = start_watch(address);
     let deep = format!("{{\"rev\":41,\"x\":{}\n", "[".repeat(200_000) + &"]".repeat(200_000) + "}");
     for malformed in [deep.as_str(), "nonsense\n", "{\"rev\":\"x\"}\n", "{\"targets\":[{}]}\n"] {
         let mut request = next(&requests);
         assert!(request.line.contains("index=40"), "from the version of the last list");
-        request.respond();
-        // It may hang up before all is written.
+        request.send_head();
+        // The watch may close the connection before all is written.
         let _ = request.stream.write_all(format!("{:x}\r\n{malformed}\r\n", malformed.len()).as_bytes());
         assert!(matches!(next(&events), WatchEvent::Lost), "{:.20}", malformed);
     }
     let mut request = next(&requests);
-    request.respond();
+    request.send_head();
     request.send_chunk("{\"rev\":43,\"all\":true,\"targets\":[]}\n");
-    assert_eq!(list(next(&events)).revision, 43);
+    assert_eq!(expect_list(next(&events)).revision, 43);
 }
 
-/// What it missed counts as known 6 s after it fell silent.
+/// Changes must be known 6 s after the last line of the broken watch.
 #[test]
-fn a_watch_without_a_complete_line_is_requested_again_in_time() {
-    let (at, requests) = agent();
-    let events = watch(at);
+fn a_watch_without_complete_lines_is_requested_again_within_the_notification_bound() {
+    let (address, requests) = start_agent();
+    let events = start_watch(address);
     let mut request = next(&requests);
-    request.respond();
-    let silent = Instant::now();
+    request.send_head();
+    let last_line_at = Instant::now();
     request.send_chunk("\n");
-    // Bytes that make no line, and no object that ends, are no sign of life.
+    // Bytes that complete neither a line nor an object are no sign of life.
     let mut stream = request.stream.try_clone().expect("a second handle");
     request.send_chunk("{\"rev\":41,");
     let chatter = std::thread::spawn(move || {
-        while silent.elapsed() < TIMEOUT && stream.write_all(b"1\r\n \r\n").is_ok() {
+        while last_line_at.elapsed() < TIMEOUT && stream.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::park_timeout(Duration::from_millis(100));
         }
     });
     assert!(matches!(next(&events), WatchEvent::Lost));
-    // One request that gets no response times out.
+    // One request without a response times out.
     let unanswered = next(&requests);
     assert!(unanswered.line.contains("index=40"));
     let mut answered = next(&requests);
-    answered.respond();
+    answered.send_head();
     answered.send_chunk("{\"rev\":42,\"targets\":[]}\n");
     assert!(matches!(next(&events), WatchEvent::Lost));
-    assert_eq!(list(next(&events)).revision, 42);
-    assert!(silent.elapsed() < KNOWN_WITHIN, "{:?}", silent.elapsed());
+    assert_eq!(expect_list(next(&events)).revision, 42);
+    assert!(last_line_at.elapsed() < NOTIFICATION_BOUND, "{:?}", last_line_at.elapsed());
     chatter.join().expect("no panic");
 }
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -8,7 +8,7 @@
 use crate::timer_thread;
 use counter::CounterClient;
 use destination::{BackendPools, Limits, RespProtocol};
-use discovery::{PollBackoff, Watch, WatchEvent};
+use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
 use exchange::{Clock, Exchange, QuotaCounter};
 use front_resp::{Front, RespExchange};
 use link::spawn_with;
@@ -106,7 +106,9 @@
             (watch.clone(), self.pools.clone(), self.exchange.clone(), self.endpoint_ids.clone());
         let (sender, first_event) = sync_channel(1);
         let revision = config.cached_list.revision;
-        let backoff = PollBackoff::new(config.seed, config.settings.polls_endpoints);
+        let agent_mode =
+            if config.settings.polls_endpoints { AgentMode::Polling } else { AgentMode::Notified };
+        let backoff = PollBackoff::new(config.seed, agent_mode);
         spawn_with(link::LARGE_STACK, move || {
             running.run(revision, backoff, |event| {
                 if let WatchEvent::EndpointList(list) = event {
