--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -1,7 +1,8 @@
-//! The client: it opens connections as calls need them, and follows the counter to another address.
+//! The client: opens connections on demand, and moves to another address of the counter.
 
-use crate::connection::{CallEnded, CounterConnection, WriteResult};
-use crate::lane::{self, LANES, Lane, Queued};
+use crate::call_result::{CallResult, OnCallEnded};
+use crate::connection::{CounterConnection, WriteResult};
+use crate::shard::{self, Queued, SHARDS, Shard};
 use exchange::{CounterCall, Exchange, QuotaCounter};
 use link::{Connection, locked, spawn};
 use policy::Outcome;
@@ -12,49 +13,48 @@
 /// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The client of one counter.
+/// Client of one counter.
 pub struct CounterClient {
-    /// For the coroutines that run connections.
+    /// Reference to itself for the coroutines that run connections.
     this: Weak<Self>,
     address: Mutex<SocketAddr>,
-    on_ended: CallEnded,
-    lanes: [Mutex<Lane>; LANES],
+    on_ended: OnCallEnded,
+    shards: [Mutex<Shard>; SHARDS],
     /// Connections to earlier addresses that still have unanswered calls.
     retired: Mutex<Vec<Weak<CounterConnection>>>,
 }
 
 impl CounterClient {
-    /// Creates a client. It connects with its first call.
-    pub fn new(address: SocketAddr, on_ended: CallEnded) -> Arc<Self> {
+    /// Creates a client. It connects on its first call.
+    pub fn new(address: SocketAddr, on_ended: OnCallEnded) -> Arc<Self> {
         Arc::new_cyclic(|this| Self {
             this: this.clone(),
             address: Mutex::new(address),
             on_ended,
-            lanes: Default::default(),
+            shards: Default::default(),
             retired: Mutex::default(),
         })
     }
 
-    /// Creates a client whose calls belong to this exchange.
+    /// Creates a client that reports the results of its calls to this exchange.
     pub fn for_exchange<Q: Send + Sync + 'static, A: Send + 'static>(
         address: SocketAddr,
         exchange: Arc<Exchange<Q, A>>,
     ) -> Arc<Self> {
-        Self::new(
-            address,
-            Box::new(move |id, outcome, total| exchange.counter_call_ended(id, outcome, total)),
-        )
+        let on_ended = move |CallResult { id, outcome, total }: CallResult| {
+            exchange.counter_call_ended(id, outcome, total);
+        };
+        Self::new(address, Box::new(on_ended))
     }
 
-    /// Makes all further calls at this address. Unanswered calls keep their connections. Returns whether the address is another
-    /// than before.
+    /// Sends all further calls to this address. Unanswered calls keep their connections. Returns whether the address has changed.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         if std::mem::replace(&mut *locked(&self.address), address) == address {
             return false;
         }
-        for lane in &self.lanes {
-            // Taken out of its lane first, so that a call that meets a retired connection finds the lane free.
-            let Some(connection) = locked(lane).connection.take() else { continue };
+        for shard in &self.shards {
+            // Removed from its shard before it is retired: a call that finds it retired must find a shard without connection.
+            let Some(connection) = locked(shard).take_connection() else { continue };
             connection.retire();
             locked(&self.retired).push(Arc::downgrade(&connection));
             connection.wake();
@@ -62,20 +62,20 @@
         true
     }
 
-    /// Closes connections that have been silent for too long. To be called several times a second.
+    /// Closes connections that have been silent for too long. The caller runs this several times a second.
     pub fn close_silent_connections(&self) {
         let mut connections: Vec<_> = {
             let mut retired = locked(&self.retired);
             retired.retain(|connection| connection.strong_count() > 0);
             retired.iter().filter_map(Weak::upgrade).collect()
         };
-        connections.extend(self.lanes.iter().filter_map(|lane| locked(lane).connection.clone()));
+        connections.extend(self.shards.iter().filter_map(|shard| locked(shard).connection()));
         connections.iter().for_each(|connection| connection.close_if_silent());
     }
 
-    /// Opens a lane's connection, writes the calls that wait for it, and reads answers until it ends.
-    fn run_connection(&self, lane: &Mutex<Lane>) {
-        let Some((connection, waiting)) = self.connect(lane) else { return };
+    /// Opens the connection of a shard, writes the waiting calls, and reads answers until it ends.
+    fn run_connection(&self, shard: &Mutex<Shard>) {
+        let Some((connection, waiting)) = self.connect(shard) else { return };
         for call in waiting {
             match connection.write(&call) {
                 WriteResult::Written => {}
@@ -83,50 +83,51 @@
                 WriteResult::Retired => self.call(call),
             }
         }
-        // Why reading ended makes no difference: the connection is of no further use.
+        // Every way in which reading ends closes the connection.
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
-        locked(lane).connection.take_if(|current| Arc::ptr_eq(current, &connection));
-        // What was written may have been added: it is not known which calls the counter has had.
+        locked(shard).remove_connection(&connection);
+        // It is unknown which of the written calls the counter has received.
         for id in connection.take_pending() {
-            (self.on_ended)(id, Outcome::Reset, 0.0);
+            (self.on_ended)(CallResult::without_total(id, Outcome::Reset));
         }
     }
 
-    /// Connects a lane. Returns its connection and the calls that waited for it; none where the counter cannot be reached.
-    fn connect(&self, lane: &Mutex<Lane>) -> Option<(Arc<CounterConnection>, Vec<CounterCall>)> {
+    /// Connects a shard, and returns the connection and the calls that waited for it. If the counter is unreachable, these calls fail,
+    /// and it returns `None`.
+    fn connect(&self, shard: &Mutex<Shard>) -> Option<(Arc<CounterConnection>, Vec<CounterCall>)> {
         loop {
             let address = *locked(&self.address);
             let connection = Connection::connect(address, CONNECT_TIMEOUT);
-            let mut lane = locked(lane);
-            // Compared under the lane's lock: `set_address` looks at the lanes after it has changed the address.
+            let mut shard = locked(shard);
+            // Compared under the lock of the shard: `set_address` changes the address before it checks the shards.
             if address != *locked(&self.address) {
                 continue;
             }
-            let waiting = lane.waiting.take().unwrap_or_default();
+            let waiting = shard.take_waiting();
             let Ok(connection) = connection else {
-                drop(lane);
+                drop(shard);
                 waiting.iter().for_each(|call| self.fail_to_connect(call));
                 return None;
             };
             let connection = Arc::new(CounterConnection::new(connection));
-            lane.connection = Some(connection.clone());
+            shard.set_connection(connection.clone());
             return Some((connection, waiting));
         }
     }
 
-    /// Ends a call of which nothing was written.
+    /// Ends a call that was not written.
     fn fail_to_connect(&self, call: &CounterCall) {
-        (self.on_ended)(call.id, Outcome::ConnectFailed, 0.0);
+        (self.on_ended)(CallResult::without_total(call.id, Outcome::ConnectFailed));
     }
 }
 
 impl QuotaCounter for CounterClient {
     fn call(&self, call: CounterCall) {
-        let lane = &self.lanes[lane::index_of(call.name)];
+        let shard = &self.shards[shard::index_of(call.name)];
         loop {
-            let mut state = locked(lane);
-            if let Some(connection) = state.connection.clone().filter(|connection| !connection.is_closed()) {
+            let mut state = locked(shard);
+            if let Some(connection) = state.open_connection() {
                 drop(state);
                 match connection.write(&call) {
                     WriteResult::Written => return,
@@ -137,11 +138,11 @@
             let queued = state.enqueue(call);
             drop(state);
             match queued {
-                Queued::Waits => {}
+                Queued::Waiting => {}
                 Queued::Full => self.fail_to_connect(&call),
                 Queued::MustConnect => {
                     if let Some(this) = self.this.upgrade() {
-                        spawn(move || this.run_connection(&this.lanes[lane::index_of(call.name)]));
+                        spawn(move || this.run_connection(&this.shards[shard::index_of(call.name)]));
                     }
                 }
             }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -1,5 +1,6 @@
-//! A connection to the counter: it pipelines calls and matches answers to them in order.
+//! A connection to the counter: pipelines calls, and matches answers to them in order.
 
+use crate::call_result::{CallResult, OnCallEnded};
 use crate::error::AnswerError;
 use crate::protocol::{self, Answer};
 use exchange::CounterCall;
@@ -9,16 +10,13 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Called at the end of a call, with its id, its outcome and the count's total (0 where the outcome is not [`Outcome::Ok`]).
-pub type CallEnded = Box<dyn Fn(u64, Outcome, f64) + Send + Sync>;
-
-/// Calls that may be unanswered on one connection, or wait for one that is being opened.
+/// Maximum number of unanswered calls on a connection, and of calls that wait until it is open.
 pub(crate) const MAX_PENDING_CALLS: usize = 256;
-/// A connection with unanswered calls that was silent for so long counts as dead: a network that was cut says nothing.
+/// A connection with unanswered calls counts as dead after this time without received bytes. A network partition sends no reset.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// An answer is a few bytes and comes in one piece: one that is incomplete after this will never be complete.
+/// Time-out for the rest of an incomplete answer. Answers have a few bytes and arrive in one piece.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Bytes that are read at once.
+/// Maximum number of bytes of one read.
 const READ_BYTES: usize = 4096;
 
 /// A connection to the counter.
@@ -28,24 +26,24 @@
     last_received: Mutex<Instant>,
 }
 
-/// The calls that were written and are not answered.
+/// Calls that were written and are not answered.
 #[derive(Default)]
 struct PendingCalls {
-    /// Their ids, the oldest first.
+    /// Their ids, oldest first.
     ids: VecDeque<u64>,
-    /// Since when an incomplete answer is here.
+    /// When the first bytes of an incomplete answer arrived.
     incomplete_since: Option<Instant>,
-    /// The counter has another address now: no more calls are written, and the connection ends with the last answer.
+    /// Whether the counter has another address now. No more calls are written, and the connection ends with the last answer.
     retired: bool,
 }
 
-/// What became of a call that was to be written.
+/// Result of [`CounterConnection::write`].
 pub(crate) enum WriteResult {
-    /// It was written.
+    /// The call was written.
     Written,
-    /// Nothing of it was written, so nothing was added.
+    /// Nothing was written, so nothing was added.
     Failed,
-    /// Nothing of it was written, and another connection must carry it.
+    /// Nothing was written. The caller must use another connection.
     Retired,
 }
 
@@ -62,17 +60,18 @@
         self.connection.close();
     }
 
-    /// Lets no more calls be written. [`CounterConnection::wake`] ends a connection that has none unanswered.
+    /// Stops further calls from being written. The caller then calls [`CounterConnection::wake`], which ends the connection if it has
+    /// no unanswered calls.
     pub(crate) fn retire(&self) {
         locked(&self.pending).retired = true;
     }
 
-    /// Wakes the reader, so that it looks whether the connection is to end.
+    /// Wakes the reader, which checks whether the connection has to end.
     pub(crate) fn wake(&self) {
         self.connection.wake();
     }
 
-    /// Closes the connection where calls are unanswered and nothing was received for too long.
+    /// Closes the connection if it has unanswered calls and nothing was received for too long.
     pub(crate) fn close_if_silent(&self) {
         let has_pending = !locked(&self.pending).ids.is_empty();
         if has_pending && locked(&self.last_received).elapsed() > SILENCE_TIMEOUT {
@@ -83,7 +82,7 @@
     /// Writes a call.
     pub(crate) fn write(&self, call: &CounterCall) -> WriteResult {
         let bytes = protocol::encode(call);
-        // Held while the bytes go out: calls must be queued in the order in which they are written.
+        // The lock is held while the bytes are written, so that calls are queued in the order of writing.
         let mut pending = locked(&self.pending);
         if pending.incomplete_since.is_some_and(|since| since.elapsed() > ANSWER_TIMEOUT) {
             self.close();
@@ -102,8 +101,10 @@
         WriteResult::Written
     }
 
-    /// Reads answers until the connection ends, or one cannot be used: what became of the calls behind it is not known then.
-    pub(crate) fn read_answers(&self, on_ended: &CallEnded) -> Result<(), AnswerError> {
+    /// Reads answers until the connection ends.
+    ///
+    /// Returns an error for an invalid answer. The outcome of the calls after it is unknown then.
+    pub(crate) fn read_answers(&self, on_ended: &OnCallEnded) -> Result<(), AnswerError> {
         let mut buffer = Vec::new();
         loop {
             match self.connection.receive(&mut buffer, READ_BYTES) {
@@ -111,27 +112,28 @@
                 Ok(Incoming::Woken) => {}
                 Ok(Incoming::End) | Err(_) => return Ok(()),
             }
-            let consumed = self.take_answers(&buffer, on_ended)?;
+            let consumed = self.match_answers(&buffer, on_ended)?;
             buffer.drain(..consumed);
-            if self.is_finished(consumed, !buffer.is_empty()) {
+            self.update_incomplete_since(consumed, !buffer.is_empty());
+            if self.is_finished() {
                 return Ok(());
             }
         }
     }
 
-    /// Matches the complete answers in a buffer to the oldest calls. Returns how many bytes they take.
-    fn take_answers(&self, buffer: &[u8], on_ended: &CallEnded) -> Result<usize, AnswerError> {
+    /// Matches the complete answers in a buffer to the oldest calls, and returns the number of bytes consumed.
+    fn match_answers(&self, buffer: &[u8], on_ended: &OnCallEnded) -> Result<usize, AnswerError> {
         let mut position = 0;
         loop {
-            // Malformed bytes stand where the oldest call's answer should: the counter has had that call.
+            // Malformed bytes are in place of the answer to the oldest call, so the counter has received that call.
             let element = resp::element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
             let Some((element, next)) = element else { return Ok(position) };
             let id = locked(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
-                Answer::Total(total) => on_ended(id, Outcome::Ok, total),
-                Answer::Rejected => on_ended(id, Outcome::Rejected, 0.0),
+                Answer::Total(total) => on_ended(CallResult::ok(id, total)),
+                Answer::Rejected => on_ended(CallResult::without_total(id, Outcome::Rejected)),
                 Answer::Unreadable => {
-                    on_ended(id, Outcome::Error, 0.0);
+                    on_ended(CallResult::without_total(id, Outcome::Error));
                     return Err(AnswerError::UnknownForm);
                 }
             }
@@ -139,23 +141,28 @@
         }
     }
 
-    fn fail_oldest_call(&self, on_ended: &CallEnded) {
+    fn fail_oldest_call(&self, on_ended: &OnCallEnded) {
         let oldest = locked(&self.pending).ids.pop_front();
         if let Some(id) = oldest {
-            on_ended(id, Outcome::Error, 0.0);
+            on_ended(CallResult::without_total(id, Outcome::Error));
         }
     }
 
-    /// Notes since when an incomplete answer is here. Returns whether the connection is retired and has no unanswered call.
-    fn is_finished(&self, consumed: usize, has_incomplete: bool) -> bool {
+    /// Records since when there is an incomplete answer.
+    fn update_incomplete_since(&self, consumed: usize, has_incomplete: bool) {
         let mut pending = locked(&self.pending);
-        // Where an answer was completed, what is left belongs to a later one.
+        // If an answer was completed, the remaining bytes belong to a later one.
         let since = pending.incomplete_since.filter(|_| consumed == 0);
         pending.incomplete_since = has_incomplete.then(|| since.unwrap_or_else(Instant::now));
+    }
+
+    /// Whether the connection is retired and has no unanswered calls.
+    fn is_finished(&self) -> bool {
+        let pending = locked(&self.pending);
         pending.retired && pending.ids.is_empty()
     }
 
-    /// Takes the ids of the unanswered calls.
+    /// Removes and returns the ids of the unanswered calls.
     pub(crate) fn take_pending(&self) -> VecDeque<u64> {
         std::mem::take(&mut locked(&self.pending).ids)
     }
--- a/crates/counter/src/error.rs
+++ b/crates/counter/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a connection to the counter is of no further use.
+//! Errors that end a connection to the counter.
 
-/// An answer that cannot be used.
+/// Why an answer is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AnswerError {
-    /// The bytes are no RESP2.
+    /// The bytes are not valid RESP2.
     #[error("{0}")]
     Malformed(#[from] resp::Malformed),
-    /// No call waits for an answer.
+    /// There is no unanswered call.
     #[error("an answer to no call")]
     Unexpected,
     /// The answer is neither a total nor a rejection.
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,13 +1,14 @@
-//! The client of the quota counter: pipelined `TALLY` calls in RESP2, whose answers come in order.
+//! Client of the quota counter: pipelined `TALLY` calls in RESP2, whose answers arrive in order.
 //!
-//! The exchange times calls out by itself. An answer that comes later still takes its turn here, so that it is never matched to
-//! another call.
+//! The exchange applies the time-outs of calls. An answer that arrives after the time-out is still matched to its call here, and so
+//! never to a later one.
 
+mod call_result;
 mod client;
 mod connection;
 mod error;
-mod lane;
 mod protocol;
+mod shard;
 
+pub use call_result::{CallResult, OnCallEnded};
 pub use client::CounterClient;
-pub use connection::CallEnded;
--- a/crates/counter/src/protocol.rs
+++ b/crates/counter/src/protocol.rs
@@ -1,42 +1,42 @@
-//! The counter's protocol: calls and answers in RESP2.
+//! Protocol of the counter: calls and answers in RESP2.
 
 use exchange::CounterCall;
 use resp::Element;
 
 /// The command that adds to a count and returns the total.
 const COMMAND: &[u8] = b"TALLY";
-/// How long the counter keeps a new count, in milliseconds.
+/// Accepted range for the retention of a new count, in milliseconds.
 const RETENTION_RANGE_MS: std::ops::RangeInclusive<u64> = 1..=60_000;
 const MICROS_PER_MS: u64 = 1_000;
-/// What a call takes, as a rule.
-const CALL_BYTES: usize = 96;
-/// First words of the error lines by which the counter says that nothing was added.
-const REJECTIONS: [&[u8]; 2] = [b"BUSY", b"ERR"];
+/// Usual size of an encoded call.
+const TYPICAL_CALL_BYTES: usize = 96;
+/// First words of the error lines that mean that nothing was added.
+const REJECTION_CODES: [&[u8]; 2] = [b"BUSY", b"ERR"];
 
-/// What an answer says.
+/// Meaning of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Answer {
-    /// The amount was added; the total.
+    /// The units were added, and this is the total.
     Total(f64),
     /// Nothing was added.
     Rejected,
-    /// The amount was added, but the total cannot be read.
+    /// The units count as added, but the total is not valid.
     Unreadable,
 }
 
 /// Encodes a call.
 pub(crate) fn encode(call: &CounterCall) -> Vec<u8> {
     let name = format!("{:016x}", call.name);
-    let amount = call.units.to_string();
+    let units = call.units.to_string();
     let retention_ms =
         (call.ttl / MICROS_PER_MS).clamp(*RETENTION_RANGE_MS.start(), *RETENTION_RANGE_MS.end());
     let retention = retention_ms.to_string();
-    let mut bytes = Vec::with_capacity(CALL_BYTES);
-    resp::put_command(&mut bytes, &[COMMAND, name.as_bytes(), amount.as_bytes(), retention.as_bytes()]);
+    let mut bytes = Vec::with_capacity(TYPICAL_CALL_BYTES);
+    resp::put_command(&mut bytes, &[COMMAND, name.as_bytes(), units.as_bytes(), retention.as_bytes()]);
     bytes
 }
 
-/// Reads an answer that lies in this buffer.
+/// Interprets the answer at this element of the buffer.
 pub(crate) fn interpret(buffer: &[u8], element: &Element) -> Answer {
     match element {
         Element::Bulk(range) => total(&buffer[range.clone()]).map_or(Answer::Unreadable, Answer::Total),
@@ -50,7 +50,7 @@
     total.is_finite().then_some(total)
 }
 
-/// Whether an error line says that nothing was added. Any other line is no answer of the counter's.
+/// Whether an error line means that nothing was added. The counter never sends any other error line.
 fn is_rejection(line: &[u8]) -> bool {
-    line.split(|byte| *byte == b' ').next().is_some_and(|word| REJECTIONS.contains(&word))
+    line.split(|byte| *byte == b' ').next().is_some_and(|word| REJECTION_CODES.contains(&word))
 }
--- a/crates/counter/tests/fixtures.rs
+++ b/crates/counter/tests/fixtures.rs
@@ -1,7 +1,7 @@
-//! What is exchanged with the quota counter: the bytes in `fixtures/calls.resp` were written by release 0.1 at commit 1461877,
-//! those in `answers.resp` follow the counter's protocol.
+//! Compatibility of the exchange with the quota counter. Release 0.1 at commit 1461877 wrote the bytes in `fixtures/calls.resp`. The
+//! bytes in `answers.resp` follow the counter's protocol.
 
-use counter::CounterClient;
+use counter::{CallResult, CounterClient};
 use exchange::{CounterCall, QuotaCounter};
 use policy::Outcome;
 use std::io::{Read, Write};
@@ -14,26 +14,24 @@
 const ANSWERS: &[u8] = include_bytes!("fixtures/answers.resp");
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-type Ended = (u64, Outcome, f64);
-
-/// A client of a stand-in, and how its calls end.
-fn client(listener: &TcpListener) -> (Arc<CounterClient>, Receiver<Ended>) {
+/// Starts a client of the counter at this listener, and returns it with the results of its calls.
+fn start_client(listener: &TcpListener) -> (Arc<CounterClient>, Receiver<CallResult>) {
     link::set_up();
-    let (sender, ended) = channel();
+    let (sender, results) = channel();
     let sender = Mutex::new(sender);
     let address = listener.local_addr().expect("an address");
     let client = CounterClient::new(
         address,
-        Box::new(move |id, outcome, total| {
-            let _ = sender.lock().expect("no panic").send((id, outcome, total));
+        Box::new(move |result| {
+            let _ = sender.lock().expect("no panic").send(result);
         }),
     );
-    (client, ended)
+    (client, results)
 }
 
-/// Calls on one connection: all have names of one lane.
+/// Calls on one connection: the names of their counts belong to one shard.
 fn calls() -> Vec<CounterCall> {
-    let all = [
+    let arguments = [
         (0x0b, -2.5, 4_000_000),
         (0x0b, 0.0, 0),
         (0xfedc_ba98_7654_320f, 1.0, 999),
@@ -41,10 +39,8 @@
         (u64::MAX, 1e21, u64::MAX),
         (7, 1.0 / 3.0, 60_000_000),
     ];
-    all.iter()
-        .zip(1..)
-        .map(|(&(name, add, keep), id)| CounterCall { id, name, units: add, ttl: keep })
-        .collect()
+    let call = |((name, units, ttl), id)| CounterCall { id, name, units, ttl };
+    arguments.into_iter().zip(1..).map(call).collect()
 }
 
 fn accept(listener: &TcpListener) -> TcpStream {
@@ -54,9 +50,9 @@
 }
 
 #[test]
-fn calls_are_written_as_before() {
+fn calls_are_encoded_as_by_release_0_1() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let (client, _ended) = client(&listener);
+    let (client, _results) = start_client(&listener);
     calls().into_iter().for_each(|call| client.call(call));
     let mut written = vec![0; CALLS.len()];
     accept(&listener).read_exact(&mut written).expect("the calls");
@@ -64,18 +60,18 @@
 }
 
 #[test]
-fn answers_are_read_as_before_wherever_they_are_cut() {
-    for cut in (0..ANSWERS.len()).step_by(3) {
+fn answers_are_read_wherever_they_are_split() {
+    for split in (0..ANSWERS.len()).step_by(3) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let (client, ended) = client(&listener);
+        let (client, results) = start_client(&listener);
         calls().into_iter().for_each(|call| client.call(call));
         let mut stream = accept(&listener);
         stream.read_exact(&mut vec![0; CALLS.len()]).expect("the calls");
-        stream.write_all(&ANSWERS[..cut]).expect("the client reads");
+        stream.write_all(&ANSWERS[..split]).expect("the client receives");
         std::thread::sleep(Duration::from_millis(2));
-        stream.write_all(&ANSWERS[cut..]).expect("the client reads");
-        let next = || ended.recv_timeout(TIMEOUT).expect("it came in time");
-        let all: Vec<Ended> = (0..6).map(|_| next()).collect();
+        stream.write_all(&ANSWERS[split..]).expect("the client receives");
+        let next = || results.recv_timeout(TIMEOUT).expect("a result in time");
+        let received: Vec<CallResult> = (0..6).map(|_| next()).collect();
         let expected = [
             (1, Outcome::Ok, -5.0),
             (2, Outcome::Rejected, 0.0),
@@ -83,7 +79,8 @@
             (4, Outcome::Ok, 1.5),
             (5, Outcome::Ok, 1e21),
             (6, Outcome::Error, 0.0),
-        ];
-        assert_eq!(all, expected, "cut at {cut}");
+        ]
+        .map(|(id, outcome, total)| CallResult { id, outcome, total });
+        assert_eq!(received, expected, "split at {split}");
     }
 }
