--- a/crates/stand_in_consul/src/lib.rs
+++ b/crates/stand_in_consul/src/lib.rs
@@ -1,17 +1,23 @@
-//! A stand-in of Consul's HTTP API, written from its public documentation, that can be made to fail.
+//! A stand-in for Consul's HTTP API with fault injection, written from Consul's public documentation.
 //!
-//! It holds what snowfield uses: the KV store with check-and-set, locks by session and `recurse`, sessions with TTL and
-//! lock delay, transactions of `cas`, `check-session` and the like, blocking queries with `X-Consul-Index`, and the
-//! health and catalogue pages of services. One [`Consul`] may listen at several [`Listener`]s, each with faults of its own:
-//! that is how a store is reached from one side of a network partition only.
+//! It implements the parts that snowfield uses: the KV store with check-and-set, locks by session and `recurse`; sessions with TTL
+//! and lock delay; transactions; blocking queries with `X-Consul-Index`; the health and catalogue pages of services; and the
+//! agent's registration pages. One [`Consul`] may have several [`Listener`]s, each with its own [`Fault`], so that a store can be
+//! reachable from one side of a network partition only.
 //!
-//! It is for tests, system tests and the emulator: threads, no bounds against hostile clients, and it listens on loopback only.
+//! It is meant for tests, system tests and the emulator: it uses a thread for each connection, has no bounds against hostile
+//! clients, and listens on loopback only.
 
 mod consul;
+mod fault;
+mod listener;
 mod server;
 mod service;
+mod state;
 mod store;
 
-pub use consul::{Consul, Fault, Listener, State};
+pub use consul::Consul;
+pub use fault::Fault;
+pub use listener::Listener;
 pub use service::{CheckStatus, Registration, Service, Weights};
-pub use store::{Entry, KeyOperation, KeyValue, Operation, OperationError, Session, SessionOptions, Store};
+pub use state::State;
--- a/crates/stand_in_consul/src/server/agent.rs
+++ b/crates/stand_in_consul/src/server/agent.rs
@@ -1,35 +1,24 @@
-//! The agent's pages: a service with a TTL check.
+//! The agent's pages: registration of a service with a TTL check.
 
-use super::NO_SUCH_PAGE;
 use super::request::Request;
 use super::response::Response;
-use crate::consul::{Listener, State};
+use crate::listener::Listener;
 use crate::service::Registration;
+use crate::state::State;
 use serde_json::Value;
 
 pub(super) fn serve(listener: &Listener, request: &Request, page: &str) -> Response {
-    let mut state = listener.shared.state();
-    let response = if page == "service/register" {
-        register(&mut state, &request.body)
-    } else if let Some(id) = page.strip_prefix("service/deregister/") {
-        match state.registrations.remove(id) {
-            Some(_) => Response::text(200, ""),
-            None => Response::text(404, "Unknown service ID"),
+    listener.update(|state| {
+        if page == "service/register" {
+            register(state, &request.body)
+        } else if let Some(id) = page.strip_prefix("service/deregister/") {
+            deregister(state, id)
+        } else if let Some(id) = page.strip_prefix("check/pass/service:") {
+            pass_check(state, id)
+        } else {
+            Response::unknown_page()
         }
-    } else if let Some(id) = page.strip_prefix("check/pass/service:") {
-        match state.registrations.get_mut(id) {
-            Some(registration) => {
-                registration.passed_checks += 1;
-                Response::text(200, "")
-            }
-            None => Response::text(404, "Unknown check ID"),
-        }
-    } else {
-        Response::text(404, NO_SUCH_PAGE)
-    };
-    drop(state);
-    listener.shared.notify_changed();
-    response
+    })
 }
 
 fn register(state: &mut State, body: &[u8]) -> Response {
@@ -46,3 +35,20 @@
     state.registrations.insert(id, Registration { name, port: port.unwrap_or(0), passed_checks: 0 });
     Response::text(200, "")
 }
+
+fn deregister(state: &mut State, id: &str) -> Response {
+    match state.registrations.remove(id) {
+        Some(_) => Response::text(200, ""),
+        None => Response::text(404, "Unknown service ID"),
+    }
+}
+
+fn pass_check(state: &mut State, id: &str) -> Response {
+    match state.registrations.get_mut(id) {
+        Some(registration) => {
+            registration.passed_checks += 1;
+            Response::text(200, "")
+        }
+        None => Response::text(404, "Unknown check ID"),
+    }
+}
--- a/crates/stand_in_consul/src/server/response.rs
+++ b/crates/stand_in_consul/src/server/response.rs
@@ -1,22 +1,26 @@
-//! Responses.
+//! Responses, and how they are sent.
 
 use super::request::Request;
-use crate::consul::State;
+use crate::state::State;
 use flate2::Compression;
 use flate2::write::GzEncoder;
 use serde_json::Value;
 use std::io::Write;
 use std::net::TcpStream;
 
+const UNKNOWN_PAGE: &str = "no such page here";
+/// Body of responses with an injected status.
+const INJECTED_FAULT: &str = "told to fail";
+
 /// A response.
 pub(super) struct Response {
     status: u16,
-    /// 0 for none.
+    /// Value of `X-Consul-Index`; 0 for a response without it.
     index: u64,
     body: String,
 }
 
-/// What is stated about the servers on every response, and how its body is sent.
+/// Headers about the state of the servers, and the encoding of the body.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ResponseOptions {
     last_contact_ms: u64,
@@ -43,17 +47,30 @@
         Self { status, index: 0, body: text.to_owned() }
     }
 
-    /// There is nothing there, as of this index.
+    /// A response that is `true` or `false`.
+    pub(super) fn boolean(value: bool) -> Self {
+        Self::text(200, if value { "true" } else { "false" })
+    }
+
+    /// The response to a path that the stand-in does not implement.
+    pub(super) fn unknown_page() -> Self {
+        Self::text(404, UNKNOWN_PAGE)
+    }
+
+    /// The response of a listener with an injected fault.
+    pub(super) fn injected_fault(status: u16) -> Self {
+        Self::text(status, INJECTED_FAULT)
+    }
+
+    /// The response to a read without result, with the index of the query.
     pub(super) fn not_found(index: u64) -> Self {
         Self { status: 404, index, body: String::new() }
     }
 
-    /// The head, and the body as it is sent.
+    /// Encodes the head and the body.
     fn encode(&self, options: ResponseOptions) -> std::io::Result<(String, Vec<u8>)> {
-        let (body, coding) = if options.compress {
-            let mut gzip = GzEncoder::new(Vec::new(), Compression::fast());
-            gzip.write_all(self.body.as_bytes())?;
-            (gzip.finish()?, "Content-Encoding: gzip\r\n")
+        let (body, encoding) = if options.compress {
+            (compress(self.body.as_bytes())?, "Content-Encoding: gzip\r\n")
         } else {
             (self.body.clone().into_bytes(), "")
         };
@@ -61,7 +78,7 @@
             if self.index > 0 { format!("X-Consul-Index: {}\r\n", self.index) } else { String::new() };
         let head = format!(
             "HTTP/1.1 {} -\r\nContent-Type: application/json\r\nX-Consul-KnownLeader: {}\r\nX-Consul-LastContact: {}\r\n\
-             {index}{coding}Content-Length: {}\r\n\r\n",
+             {index}{encoding}Content-Length: {}\r\n\r\n",
             self.status,
             !options.leaderless,
             options.last_contact_ms,
@@ -81,3 +98,9 @@
         stream.write_all(&[head.as_bytes(), &body[..body.len() / 2]].concat())
     }
 }
+
+fn compress(bytes: &[u8]) -> std::io::Result<Vec<u8>> {
+    let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(bytes)?;
+    encoder.finish()
+}
--- a/crates/stand_in_consul/src/server/services.rs
+++ b/crates/stand_in_consul/src/server/services.rs
@@ -1,15 +1,15 @@
 //! The health and catalogue pages of services.
 
-use super::FAULT_TEXT;
 use super::blocking::wait_for_change;
 use super::request::Request;
 use super::response::Response;
-use crate::consul::{Fault, Listener};
+use crate::fault::Fault;
+use crate::listener::Listener;
 use crate::service::Service;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The node on which all instances are.
+/// Name of the node of all instances.
 const NODE: &str = "a";
 
 /// The health page of a service.
@@ -30,17 +30,17 @@
     show: impl Fn(&Service, SocketAddr) -> Value,
 ) -> Response {
     wait_for_change(listener, request, fault, |state| state.services_index);
-    // A listener that was made to fail meanwhile ends its open queries like this.
-    if listener.fault_for(false) != fault {
-        return Response::text(500, FAULT_TEXT);
+    // A fault that was injected during the wait fails the open query.
+    if listener.read_fault() != fault {
+        return Response::injected_fault(500);
     }
-    let state = listener.shared.state();
-    let only_passing = request.query.contains_key("passing");
-    let tag = request.query.get("tag");
+    let state = listener.state();
+    let only_passing = request.parameter("passing").is_some();
+    let tag = request.parameter("tag");
     let instances = state.services.get(name).into_iter().flatten();
     let entries: Vec<Value> = instances
         .filter(|instance| instance.is_passing() || !only_passing)
-        .filter(|instance| tag.is_none_or(|tag| instance.tags.contains(tag)))
+        .filter(|instance| tag.is_none_or(|tag| instance.has_tag(tag)))
         .map(|instance| show(instance, listener.shown_address(instance.address)))
         .collect();
     Response::json(state.services_index, &entries.into())
--- a/crates/stand_in_consul/src/server/transaction.rs
+++ b/crates/stand_in_consul/src/server/transaction.rs
@@ -1,11 +1,11 @@
 //! The page of transactions.
 
-use super::kv::entry_json;
-use super::now_ms;
+use super::clock::now_ms;
+use super::kv::{entry_json, entry_json_without_value};
 use super::request::Request;
 use super::response::Response;
-use crate::consul::Listener;
-use crate::store::{KeyOperation, Operation};
+use crate::listener::Listener;
+use crate::store::{FailedOperation, KeyOperation, KeyValue, Operation};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
@@ -22,32 +22,37 @@
     let Some(operations) = list.iter().map(parse_operation).collect::<Option<Vec<_>>>() else {
         return Response::text(400, "an operation that cannot be read");
     };
-    let reads: Vec<bool> = operations.iter().map(|operation| operation.operation == Operation::Get).collect();
-    let mut state = listener.shared.state();
-    state.store.expire(now_ms());
-    let done = state.store.transact(now_ms(), operations);
-    drop(state);
-    listener.shared.notify_changed();
-    match done {
-        Ok(results) => {
-            let result = |(i, result): (usize, &crate::store::KeyValue)| {
-                let with_value = reads.get(i).copied().unwrap_or(false);
-                json!({"KV": entry_json(&result.key, &result.entry, with_value)})
-            };
-            let results: Vec<Value> = results.iter().enumerate().map(result).collect();
-            Response::json(0, &json!({"Results": results, "Errors": Value::Null}))
-        }
-        Err(errors) => {
-            let errors: Vec<Value> = errors
-                .iter()
-                .map(|(position, error)| json!({"OpIndex": position, "What": error.to_string()}))
-                .collect();
-            Response::text(409, &json!({"Results": Value::Null, "Errors": errors}).to_string())
-        }
+    let is_read: Vec<bool> =
+        operations.iter().map(|operation| operation.operation == Operation::Get).collect();
+    let result = listener.update(|state| {
+        state.store.expire_sessions(now_ms());
+        state.store.transact(now_ms(), operations)
+    });
+    match result {
+        Ok(results) => committed(&results, &is_read),
+        Err(failures) => rolled_back(&failures),
     }
 }
 
-/// None where a part is missing or cannot be read.
+/// The response to a committed transaction. Only reads return values.
+fn committed(results: &[KeyValue], is_read: &[bool]) -> Response {
+    let show = |(position, KeyValue { key, entry }): (usize, &KeyValue)| {
+        let with_value = is_read.get(position).copied().unwrap_or(false);
+        let shown = if with_value { entry_json(key, entry) } else { entry_json_without_value(key, entry) };
+        json!({"KV": shown})
+    };
+    let results: Vec<Value> = results.iter().enumerate().map(show).collect();
+    Response::json(0, &json!({"Results": results, "Errors": Value::Null}))
+}
+
+fn rolled_back(failures: &[FailedOperation]) -> Response {
+    let show =
+        |failure: &FailedOperation| json!({"OpIndex": failure.position, "What": failure.error.to_string()});
+    let errors: Vec<Value> = failures.iter().map(show).collect();
+    Response::text(409, &json!({"Results": Value::Null, "Errors": errors}).to_string())
+}
+
+/// Parses an operation; `None` if a part is missing or invalid.
 fn parse_operation(value: &Value) -> Option<KeyOperation> {
     let kv = value.get("KV")?;
     let text = |name: &str| kv.get(name).and_then(Value::as_str);
--- a/crates/stand_in_consul/src/service.rs
+++ b/crates/stand_in_consul/src/service.rs
@@ -1,4 +1,4 @@
-//! What the catalogue lists, and what the agent's pages register.
+//! Instances of services in the catalogue, and services registered through the agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 /// The status of a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CheckStatus {
-    /// It passes.
+    /// The check passes.
     #[default]
     Passing,
-    /// It warns.
+    /// The check is in warning state.
     Warning,
-    /// It fails.
+    /// The check is critical.
     Critical,
 }
 
 impl CheckStatus {
-    /// The name on Consul's pages.
+    /// Its name in Consul's API.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Passing => "passing",
@@ -29,9 +29,9 @@
 /// The weights of a service instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Weights {
-    /// While its check passes.
+    /// Weight while its check passes.
     pub passing: u32,
-    /// While its check warns.
+    /// Weight while its check is in warning state.
     pub warning: u32,
 }
 
@@ -40,13 +40,13 @@
 pub struct Service {
     /// Its id.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// The status of its check.
     pub status: CheckStatus,
-    /// It is in maintenance.
+    /// Whether it is in maintenance mode.
     pub in_maintenance: bool,
-    /// Its node's own check passes.
+    /// Whether its node's own check passes.
     pub is_node_healthy: bool,
     /// Its weights.
     pub weights: Weights,
@@ -57,7 +57,7 @@
 }
 
 impl Service {
-    /// An instance whose check passes.
+    /// Creates an instance whose checks pass.
     pub fn new(id: &str, address: SocketAddr) -> Self {
         Self {
             id: id.to_owned(),
@@ -71,25 +71,29 @@
         }
     }
 
-    /// The same instance with another status of its check.
+    /// Returns the instance with another status of its check.
     #[must_use]
     pub fn with_status(self, status: CheckStatus) -> Self {
         Self { status, ..self }
     }
 
+    pub(crate) fn has_tag(&self, tag: &str) -> bool {
+        self.tags.iter().any(|own| own == tag)
+    }
+
     /// Whether all checks pass.
     pub(crate) fn is_passing(&self) -> bool {
         self.status == CheckStatus::Passing && !self.in_maintenance && self.is_node_healthy
     }
 }
 
-/// A service that was registered through the agent's pages.
+/// A service registered through the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
     /// The service's name.
     pub name: String,
     /// Its port.
     pub port: u16,
-    /// How often its TTL check has passed.
+    /// Number of heartbeats of its TTL check.
     pub passed_checks: u64,
 }
--- a/crates/stand_in_consul/src/store.rs
+++ b/crates/stand_in_consul/src/store.rs
@@ -1,83 +1,77 @@
-//! The KV store and its sessions, without I/O: time is given in milliseconds.
+//! The KV store and its sessions, without I/O. The caller passes the time, in milliseconds of a monotonic clock.
 
+mod session;
 mod transaction;
 
 #[cfg(test)]
 mod tests;
 
-pub use transaction::{KeyOperation, KeyValue, Operation, OperationError};
+pub(crate) use session::{KeysAtEnd, Session, SessionOptions};
+pub(crate) use transaction::{FailedOperation, KeyOperation, KeyValue, Operation};
 
+use rand::RngExt;
 use rand::rngs::StdRng;
-use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Consul itself lets no TTL be shorter.
-const MIN_TTL_MS: u64 = 10_000;
+/// Index that stands for a missing key in check-and-set.
+const MISSING_KEY_INDEX: u64 = 0;
 
-/// A key's entry.
+/// Entry of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Entry {
-    /// The value.
-    pub value: Vec<u8>,
-    /// The flags that its writer gave.
-    pub flags: u64,
-    /// The index at which it was created.
-    pub create_index: u64,
-    /// The index of its last change.
-    pub modify_index: u64,
-    /// How often it was locked.
-    pub lock_index: u64,
-    /// The session that holds it.
-    pub session: Option<String>,
+pub(crate) struct Entry {
+    pub(crate) value: Vec<u8>,
+    /// Flags set by the last writer.
+    pub(crate) flags: u64,
+    /// Index at which the key was created.
+    pub(crate) create_index: u64,
+    /// Index of the last change.
+    pub(crate) modify_index: u64,
+    /// Number of times that the key was locked.
+    pub(crate) lock_index: u64,
+    /// Id of the session that holds the lock.
+    pub(crate) session: Option<String>,
 }
 
-/// What a session is created with.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SessionOptions {
-    /// Its name.
-    pub name: String,
-    /// Milliseconds without renewal after which it expires; `None` for never.
-    pub ttl_ms: Option<u64>,
-    /// Milliseconds for which a key that it held at its end cannot be locked.
-    pub lock_delay_ms: u64,
-    /// Whether keys that it holds at its end are deleted; else they are released.
-    pub deletes_keys: bool,
+impl Entry {
+    fn is_held_by(&self, session: &str) -> bool {
+        self.session.as_deref() == Some(session)
+    }
 }
 
-/// A session.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Session {
-    /// What it was created with.
-    pub options: SessionOptions,
-    /// The index at which it was created.
-    pub create_index: u64,
-    expires_ms: Option<u64>,
+/// Selects keys.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum KeySelector<'a> {
+    /// One key.
+    Key(&'a str),
+    /// All keys with this prefix (`recurse`).
+    Prefix(&'a str),
 }
 
-impl Session {
-    fn renew(&mut self, now_ms: u64) {
-        self.expires_ms = self.options.ttl_ms.map(|ttl| now_ms + ttl);
-    }
-
-    fn has_expired(&self, now_ms: u64) -> bool {
-        self.expires_ms.is_some_and(|at| at <= now_ms)
+impl KeySelector<'_> {
+    fn matches(self, key: &str) -> bool {
+        match self {
+            Self::Key(selected) => key == selected,
+            Self::Prefix(prefix) => key.starts_with(prefix),
+        }
     }
 }
 
-/// The store.
+/// The session that is to hold a lock does not exist.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("invalid session")]
+pub(crate) struct InvalidSession;
+
+/// The KV store with its sessions.
 #[derive(Debug)]
-pub struct Store {
-    /// By key.
-    pub keys: BTreeMap<String, Entry>,
-    /// By id.
-    pub sessions: BTreeMap<String, Session>,
-    /// By key until when it cannot be locked, ms.
+pub(crate) struct Store {
+    keys: BTreeMap<String, Entry>,
+    /// Sessions by id.
+    sessions: BTreeMap<String, Session>,
+    /// End of the lock delay in milliseconds, by key.
     lock_delays: BTreeMap<String, u64>,
-    /// The last index.
-    pub index: u64,
-    /// The shortest TTL of a session. Tests may have shorter ones than Consul.
-    pub min_ttl_ms: u64,
-    ids: StdRng,
+    /// Index of the last change.
+    index: u64,
+    random: StdRng,
 }
 
 impl Default for Store {
@@ -87,22 +81,14 @@
 }
 
 impl Store {
-    /// An empty store whose indexes go on from here.
-    pub fn new(index: u64) -> Self {
-        Self {
-            keys: BTreeMap::new(),
-            sessions: BTreeMap::new(),
-            lock_delays: BTreeMap::new(),
-            index,
-            min_ttl_ms: MIN_TTL_MS,
-            // Ids must differ between the incarnations of a store, or a session of an earlier one would be taken for a new one.
-            ids: rand::make_rng(),
-        }
+    /// Creates an empty store with this index.
+    pub(crate) fn new(index: u64) -> Self {
+        // Session ids must differ between incarnations of a store: a session of an earlier one must not be valid in a later one.
+        Self::with_random(index, rand::make_rng())
     }
 
-    /// As [`Store::new`], with ids from a seed.
-    pub fn seeded(index: u64, seed: u64) -> Self {
-        Self { ids: StdRng::seed_from_u64(seed), ..Self::new(index) }
+    fn with_random(index: u64, random: StdRng) -> Self {
+        Self { keys: BTreeMap::new(), sessions: BTreeMap::new(), lock_delays: BTreeMap::new(), index, random }
     }
 
     fn next_index(&mut self) -> u64 {
@@ -110,110 +96,132 @@
         self.index
     }
 
+    /// The selected keys with their entries, in order.
+    pub(crate) fn matching<'a>(
+        &'a self,
+        selector: KeySelector<'a>,
+    ) -> impl Iterator<Item = (&'a String, &'a Entry)> {
+        self.keys.iter().filter(move |(key, _)| selector.matches(key))
+    }
+
+    /// Index of a query: the last change of the selected keys, or the index of the store if there are none.
+    pub(crate) fn index_of(&self, selector: KeySelector<'_>) -> u64 {
+        self.matching(selector).map(|(_, entry)| entry.modify_index).max().unwrap_or(self.index)
+    }
+
     /// Ends the sessions that have expired.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub(crate) fn expire_sessions(&mut self, now_ms: u64) {
         let expired = self.sessions.iter().filter(|(_, session)| session.has_expired(now_ms));
         let ids: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
         ids.iter().for_each(|id| self.destroy_session(now_ms, id));
     }
 
     /// Creates a session and returns its id.
-    pub fn create_session(&mut self, now_ms: u64, options: SessionOptions) -> String {
+    pub(crate) fn create_session(&mut self, now_ms: u64, options: SessionOptions) -> String {
         let create_index = self.next_index();
-        let bits: u128 = self.ids.random();
-        let hex = format!("{bits:032x}");
-        let id = [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]].join("-");
-        let mut session = Session { options, create_index, expires_ms: None };
-        session.renew(now_ms);
-        self.sessions.insert(id.clone(), session);
+        let id = self.random_id();
+        self.sessions.insert(id.clone(), Session::new(options, create_index, now_ms));
         id
     }
 
-    /// Renews a session; `false` where there is none.
-    pub fn renew_session(&mut self, now_ms: u64, id: &str) -> bool {
-        let Some(session) = self.sessions.get_mut(id) else { return false };
+    /// Draws an id in the format of a UUID.
+    fn random_id(&mut self) -> String {
+        let bits: u128 = self.random.random();
+        let hex = format!("{bits:032x}");
+        [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]].join("-")
+    }
+
+    /// Renews a session and returns it; `None` if it does not exist.
+    pub(crate) fn renew_session(&mut self, now_ms: u64, id: &str) -> Option<&Session> {
+        let session = self.sessions.get_mut(id)?;
         session.renew(now_ms);
-        true
+        Some(session)
     }
 
-    /// Ends a session: what it holds is released or deleted, and cannot be locked for its lock delay.
-    pub fn destroy_session(&mut self, now_ms: u64, id: &str) {
-        let Some(Session { options, .. }) = self.sessions.remove(id) else { return };
-        let held = self.keys.iter().filter(|(_, entry)| entry.session.as_deref() == Some(id));
+    /// Ends a session. The keys that it holds are released or deleted, and cannot be locked until its lock delay is over.
+    pub(crate) fn destroy_session(&mut self, now_ms: u64, id: &str) {
+        let Some(session) = self.sessions.remove(id) else { return };
+        let held = self.keys.iter().filter(|(_, entry)| entry.is_held_by(id));
         let keys: Vec<String> = held.map(|(key, _)| key.clone()).collect();
         for key in keys {
             let index = self.next_index();
-            if options.lock_delay_ms > 0 {
-                self.lock_delays.insert(key.clone(), now_ms + options.lock_delay_ms);
+            if let Some(until) = session.lock_delay_until(now_ms) {
+                self.lock_delays.insert(key.clone(), until);
             }
-            if options.deletes_keys {
-                self.keys.remove(&key);
-            } else if let Some(entry) = self.keys.get_mut(&key) {
-                entry.session = None;
-                entry.modify_index = index;
+            match session.keys_at_end() {
+                KeysAtEnd::Delete => {
+                    self.keys.remove(&key);
+                }
+                KeysAtEnd::Release => {
+                    self.keys.entry(key).and_modify(|entry| {
+                        entry.session = None;
+                        entry.modify_index = index;
+                    });
+                }
             }
         }
     }
 
-    /// Writes.
-    pub fn set(&mut self, key: &str, value: Vec<u8>, flags: u64) {
+    /// Writes a key, and returns its entry.
+    pub(crate) fn set(&mut self, key: &str, value: Vec<u8>, flags: u64) -> &mut Entry {
         let index = self.next_index();
         let create = || Entry { create_index: index, ..Entry::default() };
         let entry = self.keys.entry(key.to_owned()).or_insert_with(create);
-        (entry.value, entry.flags, entry.modify_index) = (value, flags, index);
+        entry.value = value;
+        entry.flags = flags;
+        entry.modify_index = index;
+        entry
     }
 
-    /// Check-and-set: writes where the key's index is this one; 0 stands for no key. Tells whether it was written.
-    pub fn cas(&mut self, key: &str, value: Vec<u8>, flags: u64, index: u64) -> bool {
-        let matches = self.keys.get(key).map_or(0, |entry| entry.modify_index) == index;
-        if matches {
+    /// Check-and-set: writes the key if its index is this one. Index 0 stands for a missing key. Returns whether it was written.
+    pub(crate) fn cas(&mut self, key: &str, value: Vec<u8>, flags: u64, index: u64) -> bool {
+        let current_index = self.keys.get(key).map_or(MISSING_KEY_INDEX, |entry| entry.modify_index);
+        let is_current = current_index == index;
+        if is_current {
             self.set(key, value, flags);
         }
-        matches
+        is_current
     }
 
-    /// Locks a key for a session and writes; `None` where there is no such session.
-    pub fn acquire(
+    /// Locks a key for a session and writes it. Returns `false` if another session holds the lock, or the lock delay is not over.
+    pub(crate) fn acquire(
         &mut self,
         now_ms: u64,
         key: &str,
         value: Vec<u8>,
         flags: u64,
         session: &str,
-    ) -> Option<bool> {
+    ) -> Result<bool, InvalidSession> {
         if !self.sessions.contains_key(session) {
-            return None;
+            return Err(InvalidSession);
         }
-        let holder = self.keys.get(key).and_then(|entry| entry.session.clone());
+        let holder = self.keys.get(key).and_then(|entry| entry.session.as_deref());
+        let is_free = holder.is_none();
+        let is_held_by_other = holder.is_some_and(|holder| holder != session);
         let is_delayed = self.lock_delays.get(key).is_some_and(|&until| until > now_ms);
-        if holder.as_deref().is_some_and(|holder| holder != session) || (holder.is_none() && is_delayed) {
-            return Some(false);
-        }
-        self.set(key, value, flags);
-        if let Some(entry) = self.keys.get_mut(key) {
-            entry.lock_index += u64::from(holder.is_none());
-            entry.session = Some(session.to_owned());
+        if is_held_by_other || (is_free && is_delayed) {
+            return Ok(false);
         }
-        Some(true)
+        let entry = self.set(key, value, flags);
+        entry.lock_index += u64::from(is_free);
+        entry.session = Some(session.to_owned());
+        Ok(true)
     }
 
-    /// Unlocks a key that this session holds, and writes.
-    pub fn release(&mut self, key: &str, value: Vec<u8>, flags: u64, session: &str) -> bool {
-        let is_held = self.keys.get(key).is_some_and(|entry| entry.session.as_deref() == Some(session));
+    /// Writes and unlocks a key if this session holds its lock. Returns whether it did.
+    pub(crate) fn release(&mut self, key: &str, value: Vec<u8>, flags: u64, session: &str) -> bool {
+        let is_held = self.keys.get(key).is_some_and(|entry| entry.is_held_by(session));
         if is_held {
-            self.set(key, value, flags);
-            if let Some(entry) = self.keys.get_mut(key) {
-                entry.session = None;
-            }
+            self.set(key, value, flags).session = None;
         }
         is_held
     }
 
-    /// Deletes a key, or all that begin with it.
-    pub fn delete(&mut self, key: &str, recurse: bool) {
-        let before = self.keys.len();
-        self.keys.retain(|k, _| if recurse { !k.starts_with(key) } else { k != key });
-        if self.keys.len() != before {
+    /// Deletes the selected keys.
+    pub(crate) fn delete(&mut self, selector: KeySelector<'_>) {
+        let count_before = self.keys.len();
+        self.keys.retain(|key, _| !selector.matches(key));
+        if self.keys.len() != count_before {
             self.next_index();
         }
     }
--- a/crates/stand_in_consul/src/store/transaction.rs
+++ b/crates/stand_in_consul/src/store/transaction.rs
@@ -1,99 +1,81 @@
-//! Transactions: all operations are applied, or none.
+//! Transactions: either all operations are applied or none.
 
-use super::{Entry, Store};
+use super::{Entry, KeySelector, Store};
 
 /// An operation on a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Operation {
-    /// Check-and-set.
-    Cas {
-        /// The value.
-        value: Vec<u8>,
-        /// The flags.
-        flags: u64,
-        /// The index that the key must have; 0 stands for no key.
-        index: u64,
-    },
-    /// Writes.
-    Set {
-        /// The value.
-        value: Vec<u8>,
-        /// The flags.
-        flags: u64,
-    },
-    /// Reads; a missing key fails.
+pub(crate) enum Operation {
+    /// Check-and-set: writes the key if its index is this one. Index 0 stands for a missing key.
+    Cas { value: Vec<u8>, flags: u64, index: u64 },
+    /// Writes the key.
+    Set { value: Vec<u8>, flags: u64 },
+    /// Reads the key. Fails if it is missing.
     Get,
-    /// Fails where the key is not held by this session.
+    /// Fails unless this session holds the lock of the key.
     CheckSession(String),
-    /// Fails where the key's index is not this one.
+    /// Fails unless the index of the key is this one.
     CheckIndex(u64),
-    /// Deletes.
+    /// Deletes the key.
     Delete,
-    /// Locks, with a value.
-    Lock {
-        /// The value.
-        value: Vec<u8>,
-        /// The flags.
-        flags: u64,
-        /// The session.
-        session: String,
-    },
+    /// Locks the key for a session and writes it.
+    Lock { value: Vec<u8>, flags: u64, session: String },
 }
 
 /// An operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyOperation {
-    /// The key.
-    pub key: String,
-    /// What is done with it.
-    pub operation: Operation,
+pub(crate) struct KeyOperation {
+    pub(crate) key: String,
+    pub(crate) operation: Operation,
 }
 
-/// A key and its entry after a transaction.
+/// A key with its entry after a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyValue {
-    /// The key.
-    pub key: String,
-    /// Its entry.
-    pub entry: Entry,
+pub(crate) struct KeyValue {
+    pub(crate) key: String,
+    pub(crate) entry: Entry,
 }
 
-/// Why an operation of a transaction fails, in Consul's words.
+/// Why an operation of a transaction failed. The texts are Consul's.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OperationError {
-    /// The key has another index.
+pub(crate) enum OperationError {
+    /// Check-and-set found another index.
     #[error("failed to set key {0:?}, index is stale")]
     StaleIndex(String),
-    /// There is no such key.
+    /// The key is missing.
     #[error("key {0:?} doesn't exist")]
     MissingKey(String),
-    /// The key is not held by the session.
+    /// The session does not hold the lock of the key.
     #[error("failed session check for key {0:?}")]
     SessionCheck(String),
-    /// The key has another index.
+    /// The index check found another index.
     #[error("failed index check for key {0:?}")]
     IndexCheck(String),
-    /// The key is held by another session, or cannot be locked yet.
+    /// Another session holds the lock of the key, the session does not exist, or the lock delay is not over.
     #[error("failed to lock key {0:?}")]
     Locked(String),
 }
 
-/// A failed operation: its position in the transaction, and why.
-pub(crate) type FailedOperation = (usize, OperationError);
+/// A failed operation of a transaction.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct FailedOperation {
+    /// Position in the transaction.
+    pub(crate) position: usize,
+    pub(crate) error: OperationError,
+}
 
 impl Store {
-    /// Applies all operations or none. All changes share one index.
+    /// Applies all operations with one common index, or none if any fails. Returns the entries of the keys that exist afterwards.
     ///
     /// # Errors
     ///
-    /// The positions of those that fail, each with why.
-    pub fn transact(
+    /// Returns the operations that failed.
+    pub(crate) fn transact(
         &mut self,
         now_ms: u64,
         operations: Vec<KeyOperation>,
     ) -> Result<Vec<KeyValue>, Vec<FailedOperation>> {
         let (keys_before, delays_before) = (self.keys.clone(), self.lock_delays.clone());
-        let (mut results, mut errors) = (Vec::new(), Vec::new());
+        let (mut results, mut failures) = (Vec::new(), Vec::new());
         let index_before = self.index;
         for (position, KeyOperation { key, operation }) in operations.into_iter().enumerate() {
             self.index = index_before;
@@ -102,14 +84,14 @@
                     let entry = self.keys.get(&key).cloned();
                     results.extend(entry.map(|entry| KeyValue { key, entry }));
                 }
-                Err(error) => errors.push((position, error)),
+                Err(error) => failures.push(FailedOperation { position, error }),
             }
         }
-        let has_changed = errors.is_empty() && self.keys != keys_before;
+        let has_changed = failures.is_empty() && self.keys != keys_before;
         self.index = index_before + u64::from(has_changed);
-        if !errors.is_empty() {
+        if !failures.is_empty() {
             (self.keys, self.lock_delays) = (keys_before, delays_before);
-            return Err(errors);
+            return Err(failures);
         }
         Ok(results)
     }
@@ -129,7 +111,7 @@
             }
             Operation::Get => check(entry.is_some(), OperationError::MissingKey),
             Operation::CheckSession(session) => {
-                let is_held = entry.is_some_and(|entry| entry.session == Some(session));
+                let is_held = entry.is_some_and(|entry| entry.is_held_by(&session));
                 check(is_held, OperationError::SessionCheck)
             }
             Operation::CheckIndex(index) => {
@@ -137,11 +119,11 @@
                 check(matches, OperationError::IndexCheck)
             }
             Operation::Delete => {
-                self.delete(key, false);
+                self.delete(KeySelector::Key(key));
                 Ok(())
             }
             Operation::Lock { value, flags, session } => {
-                let is_locked = self.acquire(now_ms, key, value, flags, &session) == Some(true);
+                let is_locked = self.acquire(now_ms, key, value, flags, &session) == Ok(true);
                 check(is_locked, OperationError::Locked)
             }
         }
--- a/crates/stand_in_consul/tests/http.rs
+++ b/crates/stand_in_consul/tests/http.rs
@@ -1,11 +1,11 @@
-//! The HTTP API byte for byte, as a script of requests and what was answered.
+//! The HTTP API byte for byte: a script of requests and the recorded responses.
 
 use stand_in_consul::{CheckStatus, Consul, Service, Weights};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Requests: method, target, body. `SESSION` stands for the id of the session that was created last.
+/// Requests as method, target and body. `SESSION` stands for the id of the last session created.
 const SCRIPT: &[(&str, &str, &str)] = &[
     ("GET", "/v1/status/leader", ""),
     ("GET", "/v1/kv/a", ""),
@@ -64,22 +64,22 @@
 
 fn services() -> Vec<Service> {
     let service = |i: u16| Service::new(&format!("l{i}"), SocketAddr::from(([127, 0, 0, 1], 7_000 + i)));
-    let mut all: Vec<Service> = (0..4).map(service).collect();
-    all[1].status = CheckStatus::Critical;
-    all[1].tags = vec!["blue".to_owned()];
-    all[2].in_maintenance = true;
-    all[2].meta.insert("zone".to_owned(), "a".to_owned());
-    all[3].is_node_healthy = false;
-    all[3].weights = Weights { passing: 3, warning: 2 };
-    all
+    let mut services: Vec<Service> = (0..4).map(service).collect();
+    services[1].status = CheckStatus::Critical;
+    services[1].tags = vec!["blue".to_owned()];
+    services[2].in_maintenance = true;
+    services[2].meta.insert("zone".to_owned(), "a".to_owned());
+    services[3].is_node_healthy = false;
+    services[3].weights = Weights { passing: 3, warning: 2 };
+    services
 }
 
-/// Head and body of an answer.
-fn answer(from: &mut impl BufRead) -> (String, String) {
+/// Reads the head and the body of a response.
+fn read_response(reader: &mut impl BufRead) -> (String, String) {
     let (mut head, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).expect("a line");
+        reader.read_line(&mut line).expect("a line");
         if line.trim().is_empty() {
             break;
         }
@@ -89,25 +89,26 @@
         head += &line;
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body).expect("a body");
+    reader.read_exact(&mut body).expect("a body");
     (head, String::from_utf8(body).expect("text"))
 }
 
 #[test]
-fn requests_are_answered_byte_for_byte_alike() {
+fn responses_are_byte_for_byte_as_recorded() {
     let consul = Consul::start();
     consul.set_service(11, "loans", services());
     let listener = consul.open();
     listener.translate(SocketAddr::from(([127, 0, 0, 1], 7_000)), SocketAddr::from(([127, 0, 0, 2], 80)));
-    let mut writes = TcpStream::connect(listener.address).expect("it listens");
-    let mut reads = BufReader::new(writes.try_clone().expect("a second handle"));
-    let (mut course, mut session) = (String::new(), "none".to_owned());
+    let mut stream = TcpStream::connect(listener.address).expect("it listens");
+    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+    let (mut transcript, mut session) = (String::new(), "none".to_owned());
     for (method, target, body) in SCRIPT {
-        let (sent_target, sent) = (target.replace("SESSION", &session), body.replace("SESSION", &session));
-        let length = sent.len();
+        let (sent_target, sent_body) =
+            (target.replace("SESSION", &session), body.replace("SESSION", &session));
+        let length = sent_body.len();
         let head = format!("{method} {sent_target} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n");
-        writes.write_all((head + &sent).as_bytes()).expect("it is taken");
-        let (mut head, mut body) = answer(&mut reads);
+        stream.write_all((head + &sent_body).as_bytes()).expect("the request is sent");
+        let (mut head, mut body) = read_response(&mut reader);
         if let Some(id) = body.strip_prefix(r#"{"ID":""#).and_then(|rest| rest.split('"').next()) {
             session = id.to_owned();
         }
@@ -116,10 +117,10 @@
             let end = head.find("Content-Length").expect("a length");
             head.truncate(end);
         }
-        writeln!(course, "{method} {target}\n{}{body}\n", head.replace('\r', ""))
-            .expect("a string takes all");
+        writeln!(transcript, "{method} {target}\n{}{body}\n", head.replace('\r', ""))
+            .expect("writing to a string cannot fail");
     }
-    assert_eq!(course, include_str!("fixtures/http.txt"));
+    assert_eq!(transcript, include_str!("fixtures/http.txt"));
 }
 
 #[test]
@@ -129,8 +130,8 @@
     for (method, target) in [("GET", "/v1/kv/a/b"), ("GET", "/v1/kv/c"), ("PUT", "/v1/txn")] {
         let mut stream = TcpStream::connect(listener.address).expect("it listens");
         let request = format!("{method} {target} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-        stream.write_all(request.as_bytes()).expect("it is taken");
-        answer(&mut BufReader::new(stream));
+        stream.write_all(request.as_bytes()).expect("the request is sent");
+        read_response(&mut BufReader::new(stream));
     }
     let counts: Vec<(String, u64)> = consul.request_counts().into_iter().collect();
     assert_eq!(counts, [("GET /v1/kv".to_owned(), 2), ("PUT /v1/txn".to_owned(), 1)]);
