--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -22,7 +22,7 @@
     Http(#[from] http::HttpError),
     /// The body is not a sequence of JSON objects, or an object is too large or nested too deeply.
     #[error("an unreadable list: {0}")]
-    MalformedList(#[from] json_stream::Unreadable),
+    MalformedList(#[from] json_stream::StreamError),
     /// An object does not have the schema of an endpoint list.
     #[error("an unreadable list: {0}")]
     InvalidList(#[from] simd_json::Error),
--- a/crates/discovery/src/error/tests.rs
+++ b/crates/discovery/src/error/tests.rs
@@ -16,8 +16,8 @@
         (WatchError::Closed, "the agent closed it", false),
         (WatchError::Status(403), "status 403", false),
         (
-            WatchError::MalformedList(json_stream::Unreadable("too deep")),
-            "an unreadable list: too deep",
+            WatchError::MalformedList(json_stream::StreamError::TooDeep),
+            "an unreadable list: an object that nests too deep",
             true,
         ),
         (WatchError::InvalidList(invalid), &invalid_text, true),
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -2,7 +2,7 @@
 
 use crate::error::WatchError;
 use http::{ChunkedDecoder, Framing, ResponseHead};
-use json_stream::{Item, Objects};
+use json_stream::{Item, ObjectStream};
 use settings::EndpointList;
 
 /// Maximum size of a JSON object in bytes. It has room for some thousand endpoints.
@@ -13,7 +13,7 @@
 pub(crate) struct Response {
     head: Option<ResponseHead>,
     chunks: ChunkedDecoder,
-    objects: Objects,
+    objects: ObjectStream,
 }
 
 /// An item of the body. Each item shows that the agent is alive.
@@ -26,7 +26,7 @@
 
 impl Response {
     pub(crate) fn new() -> Self {
-        Self { head: None, chunks: ChunkedDecoder::default(), objects: Objects::new(MAX_OBJECT_BYTES) }
+        Self { head: None, chunks: ChunkedDecoder::default(), objects: ObjectStream::new(MAX_OBJECT_BYTES) }
     }
 
     /// Whether the head is complete.
--- a/crates/json_stream/tests/objects.rs
+++ b/crates/json_stream/tests/objects.rs
@@ -1,13 +1,15 @@
-//! Streams of objects, cut anywhere and spoilt anyhow.
+//! Streams of objects: items, limits and invalid text.
 
-use json_stream::{DEEPEST, Item, Objects, Unreadable, nests_too_deep};
+use json_stream::{Item, MAX_DEPTH, ObjectStream, StreamError, exceeds_max_depth};
 
-/// All items of what comes in these pieces, or why it cannot be read.
-fn read(pieces: &[&[u8]]) -> Result<Vec<Item>, Unreadable> {
-    let (mut objects, mut items) = (Objects::new(4096), Vec::new());
+const MAX_OBJECT_BYTES: usize = 4096;
+
+/// Reads all items of a stream that arrives in these pieces.
+fn read_items(pieces: &[&[u8]]) -> Result<Vec<Item>, StreamError> {
+    let (mut stream, mut items) = (ObjectStream::new(MAX_OBJECT_BYTES), Vec::new());
     for piece in pieces {
-        objects.input().extend_from_slice(piece);
-        while let Some(item) = objects.next_item()? {
+        stream.input().extend_from_slice(piece);
+        while let Some(item) = stream.next_item()? {
             items.push(item);
         }
     }
@@ -21,51 +23,65 @@
 const INDENTED: &str = "{\n  \"rev\": 43,\n  \"targets\": [\n    {\"uid\": \"s-}\\\"{\\\\\"}\n  ]\n}";
 
 #[test]
-fn objects_on_one_line_and_over_several_are_found_with_the_lines_between() {
+fn objects_may_share_a_line_or_span_several_and_lines_between_them_are_reported() {
     let stream = format!("{{\"rev\":41}}\n\r\n{INDENTED}\r\n{{\"rev\":44}}{{\"rev\":45}}\n");
-    let found = read(&[stream.as_bytes()]).expect("it is sound");
-    let end = || Item::LineEnd;
+    let items = read_items(&[stream.as_bytes()]).expect("a valid stream");
+    let line_end = || Item::LineEnd;
     let expected = [
         object("{\"rev\":41}"),
-        end(),
-        end(),
+        line_end(),
+        line_end(),
         object(INDENTED),
-        end(),
+        line_end(),
         object("{\"rev\":44}"),
         object("{\"rev\":45}"),
-        end(),
+        line_end(),
     ];
-    assert_eq!(found, expected);
-    fuzz_inputs::parses_alike_however_split(stream.as_bytes(), read);
-    fuzz_inputs::survives_garbage(stream.as_bytes(), |pieces| drop(read(pieces)));
+    assert_eq!(items, expected);
+    fuzz_inputs::parses_alike_however_split(stream.as_bytes(), read_items);
+    fuzz_inputs::survives_garbage(stream.as_bytes(), |pieces| drop(read_items(pieces)));
 }
 
 #[test]
-fn an_object_that_has_begun_is_told_until_it_ends() {
-    let mut objects = Objects::new(64);
-    objects.input().extend_from_slice(b"\n{\"rev\":1,\n\n");
-    assert_eq!(objects.next_item(), Ok(Some(Item::LineEnd)));
-    assert_eq!(objects.next_item(), Ok(None), "blank lines inside an object are no sign of life");
-    assert!(objects.is_begun());
-    objects.input().push(b'}');
-    assert_eq!(objects.next_item(), Ok(Some(object("{\"rev\":1,\n\n}"))));
-    assert!(!objects.is_begun());
+fn an_incomplete_object_is_reported_until_it_is_complete() {
+    let mut stream = ObjectStream::new(64);
+    stream.input().extend_from_slice(b"\n{\"rev\":1,\n\n");
+    assert_eq!(stream.next_item(), Ok(Some(Item::LineEnd)));
+    assert_eq!(stream.next_item(), Ok(None), "empty lines inside an object are no heartbeats");
+    assert!(stream.is_inside_object());
+    stream.input().push(b'}');
+    assert_eq!(stream.next_item(), Ok(Some(object("{\"rev\":1,\n\n}"))));
+    assert!(!stream.is_inside_object());
 }
 
 #[test]
-fn other_text_and_what_is_too_long_or_too_deep_is_told() {
+fn rejects_text_outside_objects_and_objects_that_are_too_long_or_too_deep() {
     for text in ["nonsense\n", "[1]\n", "  7", "{}x"] {
-        assert_eq!(read(&[text.as_bytes()]), Err(Unreadable("text that is no object")), "{text}");
+        assert_eq!(read_items(&[text.as_bytes()]), Err(StreamError::NotAnObject), "{text}");
     }
     let long = format!("{{\"a\":\"{}", "x".repeat(5000));
-    assert_eq!(read(&[long.as_bytes()]), Err(Unreadable("an object that is too long")));
+    assert_eq!(read_items(&[long.as_bytes()]), Err(StreamError::TooLong));
     let nested = |depth: usize| format!("{{\"a\":{}{}}}", "[".repeat(depth - 1), "]".repeat(depth - 1));
-    assert!(read(&[nested(DEEPEST).as_bytes()]).is_ok() && !nests_too_deep(nested(DEEPEST).as_bytes()));
-    let deep = nested(DEEPEST + 1);
-    assert_eq!(read(&[deep.as_bytes()]), Err(Unreadable("an object that nests too deep")));
-    assert!(nests_too_deep(deep.as_bytes()));
     assert!(
-        !nests_too_deep(format!("\"{}", "[".repeat(999)).as_bytes()),
-        "brackets in a string nest nothing"
+        read_items(&[nested(MAX_DEPTH).as_bytes()]).is_ok()
+            && !exceeds_max_depth(nested(MAX_DEPTH).as_bytes())
+    );
+    let deep = nested(MAX_DEPTH + 1);
+    assert_eq!(read_items(&[deep.as_bytes()]), Err(StreamError::TooDeep));
+    assert!(exceeds_max_depth(deep.as_bytes()));
+    assert!(
+        !exceeds_max_depth(format!("\"{}", "[".repeat(999)).as_bytes()),
+        "brackets in a string do not count"
     );
 }
+
+#[test]
+fn an_error_says_what_is_wrong() {
+    for (error, text) in [
+        (StreamError::NotAnObject, "text that is no object"),
+        (StreamError::TooDeep, "an object that nests too deep"),
+        (StreamError::TooLong, "an object that is too long"),
+    ] {
+        assert_eq!(error.to_string(), text);
+    }
+}
--- a/crates/openapi/src/description.rs
+++ b/crates/openapi/src/description.rs
@@ -115,7 +115,7 @@
         return Ok(yaml_serde::from_str(text)?);
     }
     let mut bytes = text.as_bytes().to_vec();
-    if json_stream::nests_too_deep(&bytes) {
+    if json_stream::exceeds_max_depth(&bytes) {
         return Err(DescriptionError::NestedTooDeep);
     }
     Ok(simd_json::serde::from_slice(&mut bytes)?)
