--- a/crates/link/src/connect_error.rs
+++ b/crates/link/src/connect_error.rs
@@ -1,22 +1,22 @@
-//! Why a connection was not made: for a reason of this machine's, or of the other side's.
+//! Failed connects, told apart by whether this machine or the other side is the cause.
 
 use std::io;
 use std::time::Duration;
 
-/// The system refuses what it cannot even try at once; an answer of the network takes longer.
-const WITHOUT_THE_NETWORK: Duration = Duration::from_millis(1);
+/// An error within this time came without a network round trip: the kernel failed the connect at once.
+const MIN_NETWORK_ROUND_TRIP: Duration = Duration::from_millis(1);
 
-/// Why a connection was not made.
+/// A failed connect.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// This machine could not try: it lacks a descriptor, a port, memory or a route.
+    /// This machine could not try: it lacks a file descriptor, an ephemeral port, memory or a route.
     Local(io::Error),
-    /// The other side refused, or did not answer in time.
+    /// The other side refused the connection or did not answer in time.
     Remote(io::Error),
 }
 
 impl ConnectError {
-    /// The error of a call that took so long.
+    /// Classifies the error of a connect that failed after `elapsed`.
     pub(crate) fn new(error: io::Error, elapsed: Duration) -> Self {
         let is_local = match error.raw_os_error() {
             Some(
@@ -29,14 +29,16 @@
                 | libc::ENOBUFS
                 | libc::ENOMEM,
             ) => true,
-            // A route that is missing here, or a machine there that does not answer.
-            Some(libc::EHOSTUNREACH | libc::ENETUNREACH | libc::ETIMEDOUT) => elapsed < WITHOUT_THE_NETWORK,
+            // Either this machine has no route, or the other one does not answer.
+            Some(libc::EHOSTUNREACH | libc::ENETUNREACH | libc::ETIMEDOUT) => {
+                elapsed < MIN_NETWORK_ROUND_TRIP
+            }
             _ => false,
         };
         if is_local { Self::Local(error) } else { Self::Remote(error) }
     }
 
-    /// Whether this machine could not try.
+    /// Whether the cause is on this machine, so that the failure says nothing about the other side.
     pub fn is_local(&self) -> bool {
         matches!(self, Self::Local(_))
     }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,67 +1,55 @@
-//! Connections.
+//! TCP connections.
 
 use crate::connect_error::ConnectError;
-use crate::fairness::{MAX_BURST, TURN};
+use crate::fairness::TURN;
 use crate::lock::locked;
+use crate::read_state::ReadState;
+use crate::send_buffer::SendBuffer;
 use crate::socket::{Stream, Watched};
 use crate::tcp_info;
 use crate::timer::sleep;
 use may::net::TcpStream;
-use std::io::{self, ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read};
 use std::net::{self, Shutdown, SocketAddr};
-use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-/// Bytes of one read at most.
+/// Maximum bytes of one read.
 const MAX_READ: usize = 16 * 1024;
-/// Where all connections read into before they keep what has arrived: a connection that waits for the rest of a command holds
-/// no more than it was sent. All connections are read by one worker, so nobody waits for it.
+/// Receive buffer that all connections share. Each copies out what has arrived, so a connection that waits for the rest of a
+/// command holds no more memory than the bytes that it received. One worker reads all connections, so the lock is uncontended.
 static READ_BUFFER: Mutex<[u8; MAX_READ]> = Mutex::new([0; MAX_READ]);
-/// The flag among the system's events (EPOLLRDHUP) that says that the peer has ended its sending or has reset.
-const PEER_CLOSED_EVENT: usize = 0x2000;
-/// Bytes that are read and dropped for a client that still sends while its connection is being closed.
+/// Maximum bytes that are read and discarded from a peer that still sends during a graceful close.
 const MAX_DISCARDED: usize = 256 * 1024;
 
-/// A TCP connection that one coroutine waits on and any may write to.
+/// A TCP connection that one coroutine reads and any coroutine or thread may write to.
 pub struct Connection {
     stream: Stream,
-    outgoing: Mutex<Outgoing>,
+    read_state: ReadState,
+    send_buffer: Mutex<SendBuffer>,
     is_closed: AtomicBool,
-    is_woken: AtomicBool,
-    /// The peer has ended its sending, or is gone: known even if bytes from before are unread.
-    is_peer_closed: AtomicBool,
-    /// The last read found nothing, so only an event can bring more.
-    is_exhausted: AtomicBool,
-    /// The worker has polled for events since this connection was made.
-    was_polled: AtomicBool,
-    /// Why no more can be read: reported once by the system, and kept for the next read.
-    read_error: Mutex<Option<ErrorKind>>,
-    /// Called when the socket has taken all queued bytes.
+    /// Called when the socket has taken all buffered bytes.
     on_flushed: OnceLock<Box<dyn Fn() + Send + Sync>>,
-    /// Reads in a row that did not have to wait.
-    reads_in_a_row: AtomicU32,
-}
-
-/// Bytes that the socket has not taken yet.
-#[derive(Debug, Default)]
-struct Outgoing {
-    bytes: Vec<u8>,
-    /// How many of them the socket has taken.
-    sent: usize,
 }
 
 /// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incoming {
-    /// That many bytes were read.
+    /// This many bytes were read.
     Bytes(usize),
-    /// The peer has ended its sending.
+    /// The peer has shut down its sending side.
     End,
     /// [`Connection::wake`] was called.
     Woken,
 }
 
+/// What a pass of non-blocking reads found.
+struct Received {
+    bytes: usize,
+    is_end: bool,
+}
+
 impl std::fmt::Debug for Connection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Connection").field("stream", &self.stream).finish_non_exhaustive()
@@ -69,118 +57,97 @@
 }
 
 impl Connection {
-    /// Connects, or fails after `timeout`.
+    /// Connects to an address, or fails after `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, and whose it is.
+    /// Returns the system's error, as a local or a remote one.
     pub fn connect(to: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let stream = TcpStream::connect_timeout(&to, timeout);
-        let stream = stream.map_err(|error| ConnectError::new(error, begun.elapsed()))?;
+        let stream = stream.map_err(|error| ConnectError::new(error, started_at.elapsed()))?;
         Ok(Self::from_stream(Stream::Outbound(stream)))
     }
 
-    /// Takes over an open connection.
+    /// Wraps a connection that was accepted, or inherited from another process.
     ///
     /// # Errors
     ///
-    /// The system cannot watch it.
+    /// Fails where the system cannot watch the socket for events.
     pub fn new(stream: net::TcpStream) -> io::Result<Self> {
         Watched::new(stream).map(|stream| Self::from_stream(Stream::Inbound(stream)))
     }
 
     fn from_stream(stream: Stream) -> Self {
-        // Without it small answers wait for acknowledgements; where it fails they do, and nothing else is lost.
+        // Disables Nagle's algorithm, which delays small answers until the peer acknowledges earlier ones. A failure costs latency
+        // alone.
         let _ = stream.inner().set_nodelay(true);
         Self {
             stream,
-            outgoing: Mutex::default(),
+            read_state: ReadState::default(),
+            send_buffer: Mutex::default(),
             is_closed: AtomicBool::new(false),
-            is_woken: AtomicBool::new(false),
-            is_peer_closed: AtomicBool::new(false),
-            is_exhausted: AtomicBool::new(false),
-            was_polled: AtomicBool::new(false),
-            read_error: Mutex::default(),
             on_flushed: OnceLock::new(),
-            reads_in_a_row: AtomicU32::new(0),
         }
     }
 
-    /// Writes what the socket takes now and queues the rest for the coroutine that waits on this connection. Returns whether all
-    /// bytes are with the system.
+    /// Writes as many bytes as the socket takes now, and buffers the rest for the connection's own coroutine to send. Never blocks.
+    /// Returns whether the socket has taken all bytes.
     ///
     /// # Errors
     ///
-    /// The connection is broken or closed.
+    /// Fails where the connection is broken or closed.
     pub fn send(&self, bytes: &[u8]) -> io::Result<bool> {
         if self.is_closed() {
             return Err(ErrorKind::NotConnected.into());
         }
-        let mut outgoing = locked(&self.outgoing);
-        let mut rest = bytes;
-        if outgoing.bytes.is_empty() {
-            while !rest.is_empty() {
-                match self.stream.inner().write(rest) {
-                    Ok(count) => rest = &rest[count..],
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) => return Err(e),
-                }
-            }
-        }
-        outgoing.bytes.extend_from_slice(rest);
-        Ok(outgoing.bytes.is_empty())
+        let mut send_buffer = locked(&self.send_buffer);
+        send_buffer.send(self.stream.inner(), bytes)?;
+        Ok(send_buffer.is_empty())
     }
 
-    /// Bytes that wait for the socket.
+    /// Returns the number of bytes that wait for the socket to become writable.
     pub fn unsent(&self) -> usize {
-        let outgoing = locked(&self.outgoing);
-        outgoing.bytes.len() - outgoing.sent
+        locked(&self.send_buffer).unsent()
     }
 
-    /// Sets what is called, by the connection's own coroutine, whenever the socket has taken all queued bytes. A second call has
-    /// no effect.
+    /// Sets the callback that the connection's own coroutine runs whenever the socket has taken all buffered bytes. Only the first
+    /// call has an effect.
     pub fn on_flushed(&self, callback: impl Fn() + Send + Sync + 'static) {
-        // Already set: the first stays.
+        // Fails where a callback is set already, which stays.
         let _ = self.on_flushed.set(Box::new(callback));
     }
 
     fn flush(&self) -> io::Result<()> {
-        let mut outgoing = locked(&self.outgoing);
-        if outgoing.bytes.is_empty() {
+        let mut send_buffer = locked(&self.send_buffer);
+        if send_buffer.is_empty() {
             return Ok(());
         }
-        while outgoing.sent < outgoing.bytes.len() {
-            match self.stream.inner().write(&outgoing.bytes[outgoing.sent..]) {
-                Ok(count) => outgoing.sent += count,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
-            }
-        }
-        *outgoing = Outgoing::default();
-        drop(outgoing);
-        if let Some(callback) = self.on_flushed.get() {
+        send_buffer.flush(self.stream.inner())?;
+        let is_flushed = send_buffer.is_empty();
+        // The callback may send.
+        drop(send_buffer);
+        if is_flushed && let Some(callback) = self.on_flushed.get() {
             callback();
         }
         Ok(())
     }
 
-    /// Waits for bytes and appends all that have arrived, at most `max_bytes` and 16 KiB; also sends queued bytes meanwhile. Only
-    /// the connection's own coroutine calls this. Bytes that have arrived come before [`Incoming::Woken`], so whoever gets that
-    /// knows that nothing has arrived unread; and an end right behind them is known with them ([`Connection::is_peer_closed`]).
+    /// Waits for bytes and appends those that have arrived, at most `max_bytes` and 16 KiB. Sends buffered bytes meanwhile. Only the
+    /// connection's own coroutine calls this.
+    ///
+    /// Bytes that have arrived are returned before [`Incoming::Woken`], so a caller that gets it knows that nothing is unread. An end
+    /// of stream right behind the bytes is known together with them ([`Connection::is_peer_closed`]).
     ///
     /// # Errors
     ///
-    /// The connection broke or was closed.
+    /// Fails where the connection is broken or closed.
     pub fn receive(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Incoming> {
-        if self.reads_in_a_row.fetch_add(1, Ordering::Relaxed) >= MAX_BURST {
-            self.reads_in_a_row.store(0, Ordering::Relaxed);
+        if self.read_state.count_read() {
             sleep(TURN);
         }
         loop {
-            self.note_events(self.stream.poll_events());
+            self.poll_events();
             if self.is_closed() {
                 return Err(ErrorKind::NotConnected.into());
             }
@@ -188,43 +155,39 @@
             if let Some(incoming) = self.receive_now(buffer, max_bytes)? {
                 return Ok(incoming);
             }
-            self.reads_in_a_row.store(0, Ordering::Relaxed);
-            self.note_events(self.stream.wait_for_events());
+            self.read_state.end_burst();
+            self.wait_for_events();
         }
     }
 
-    /// What can be returned without waiting.
+    /// Returns what can be returned without waiting, if anything.
     fn receive_now(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Option<Incoming>> {
-        let is_woken = self.is_woken.swap(false, Ordering::AcqRel);
-        if !is_woken && self.is_exhausted.load(Ordering::Relaxed) {
+        let is_woken = self.read_state.take_wake();
+        if !is_woken && self.read_state.is_drained() {
             return Ok(None);
         }
-        let (count, has_ended) = self.read(buffer, max_bytes)?;
-        // If the peer sends much at once, an end far behind is known only once the worker has polled for events.
-        if count == max_bytes && !self.was_polled.swap(true, Ordering::Relaxed) {
+        let received = self.read_available(buffer, max_bytes)?;
+        // Where the peer sent more than fits, its end of stream is known only after the worker has polled for events.
+        if received.bytes == max_bytes && self.read_state.take_first_poll() {
             sleep(TURN);
-            self.note_events(self.stream.poll_events());
+            self.poll_events();
         }
-        if count > 0 {
-            // Whoever woke it is answered when nothing is left to read.
-            self.is_woken.fetch_or(is_woken, Ordering::AcqRel);
-            return Ok(Some(Incoming::Bytes(count)));
+        if received.bytes > 0 {
+            self.read_state.restore_wake(is_woken);
+            return Ok(Some(Incoming::Bytes(received.bytes)));
         }
-        if has_ended {
+        if received.is_end {
             return Ok(Some(Incoming::End));
         }
         if is_woken {
-            self.reads_in_a_row.store(0, Ordering::Relaxed);
+            self.read_state.end_burst();
         }
         Ok(is_woken.then_some(Incoming::Woken))
     }
 
-    /// Reads until nothing has arrived or there is no more room. Returns how much was read, and whether the end came behind it; an
-    /// error that came behind bytes is kept.
-    fn read(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<(usize, bool)> {
-        if self.is_peer_closed()
-            && let Some(kind) = locked(&self.read_error).take()
-        {
+    /// Reads until the read would block or `max_bytes` have arrived. An error behind bytes is deferred to the next read.
+    fn read_available(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Received> {
+        if let Some(kind) = self.read_state.take_deferred_error() {
             return Err(kind.into());
         }
         let mut read_buffer = locked(&READ_BUFFER);
@@ -233,75 +196,74 @@
         while total < max_bytes {
             match self.stream.inner().read(&mut read_buffer[..max_bytes - total]) {
                 Ok(0) => {
-                    self.is_peer_closed.store(true, Ordering::Relaxed);
-                    return Ok((total, true));
+                    self.read_state.set_peer_closed();
+                    return Ok(Received { bytes: total, is_end: true });
                 }
                 Ok(count) => {
                     buffer.extend_from_slice(&read_buffer[..count]);
                     total += count;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.is_exhausted.store(true, Ordering::Relaxed);
+                    self.read_state.set_drained();
                     break;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
-                    self.is_peer_closed.store(true, Ordering::Relaxed);
+                    self.read_state.set_peer_closed();
                     if total == 0 {
                         return Err(e);
                     }
-                    *locked(&self.read_error) = Some(e.kind());
+                    self.read_state.defer_error(e.kind());
                     break;
                 }
             }
         }
-        Ok((total, false))
+        Ok(Received { bytes: total, is_end: false })
     }
 
-    fn note_events(&self, events: usize) {
-        if events != 0 {
-            self.is_exhausted.store(false, Ordering::Relaxed);
-        }
-        if events & PEER_CLOSED_EVENT != 0 {
-            self.is_peer_closed.store(true, Ordering::Relaxed);
-        }
+    fn poll_events(&self) {
+        self.read_state.apply_events(self.stream.poll_events());
+    }
+
+    fn wait_for_events(&self) {
+        self.read_state.apply_events(self.stream.wait_for_events());
     }
 
-    /// Whether the peer has ended its sending or is gone, as far as the system has reported: also if bytes that it sent before are
-    /// unread.
+    /// Whether the peer has shut down its sending side or reset the connection, as far as the system has reported it. Earlier bytes
+    /// may still be unread.
     pub fn is_peer_closed(&self) -> bool {
-        self.is_peer_closed.load(Ordering::Relaxed)
+        self.read_state.is_peer_closed()
     }
 
-    /// Whether the socket holds bytes, an end or an error that nobody has read yet. Reads nothing.
+    /// Whether the socket holds unread bytes, an end of stream or an error. Reads nothing.
     pub fn has_unread(&self) -> bool {
         !matches!(self.stream.inner().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// How long ago the system received the last bytes of the peer, where it tells that: what is read now has been waiting for at
-    /// least as long.
+    /// Returns how long ago the system received the peer's last bytes, where it tells. Bytes that are read now have waited at least
+    /// as long.
     pub fn time_since_last_data(&self) -> Option<Duration> {
         tcp_info::time_since_last_data(self.stream.inner())
     }
 
     /// Makes the connection's own coroutine return from [`Connection::receive`] with [`Incoming::Woken`].
     pub fn wake(&self) {
-        self.is_woken.store(true, Ordering::Release);
+        self.read_state.wake();
         self.stream.waker().wakeup();
     }
 
     /// Waits for any event, without reading. Only the connection's own coroutine calls this.
     pub fn wait(&self) {
-        if !self.is_closed() && !self.is_woken.swap(false, Ordering::AcqRel) {
-            self.note_events(self.stream.wait_for_events());
+        if !self.is_closed() && !self.read_state.take_wake() {
+            self.wait_for_events();
         }
     }
 
-    /// Waits until the system has taken all queued bytes. Only the connection's own coroutine calls this.
+    /// Waits until the socket has taken all buffered bytes. Only the connection's own coroutine calls this.
     ///
     /// # Errors
     ///
-    /// The connection broke or was closed.
+    /// Fails where the connection is broken or closed.
     pub fn flush_all(&self) -> io::Result<()> {
         loop {
             if self.is_closed() {
@@ -311,15 +273,15 @@
             if self.unsent() == 0 {
                 return Ok(());
             }
-            self.note_events(self.stream.wait_for_events());
+            self.wait_for_events();
         }
     }
 
-    /// Sends queued bytes and then waits for any event, without reading. Only the connection's own coroutine calls this.
+    /// Sends buffered bytes and then waits for any event, without reading. Only the connection's own coroutine calls this.
     ///
     /// # Errors
     ///
-    /// The connection broke or was closed.
+    /// Fails where the connection is broken or closed.
     pub fn flush_and_wait(&self) -> io::Result<()> {
         if self.is_closed() {
             return Err(ErrorKind::NotConnected.into());
@@ -329,9 +291,12 @@
         Ok(())
     }
 
-    /// Sends queued bytes, ends the sending side, and waits for the peer's end, so that an answer is not lost where unread bytes
-    /// would reset the connection. What still arrives is read and dropped up to a bound and then left to the system, which stops a
-    /// sender that goes on; the owner closes the connection after a while. Only the connection's own coroutine calls this.
+    /// Closes the connection without losing its last answer: sends buffered bytes, half-closes, and waits for the peer's end of
+    /// stream. Only the connection's own coroutine calls this.
+    ///
+    /// Closing a socket with unread bytes resets the connection, and a reset can destroy an answer that the peer has not read. So up
+    /// to 256 KiB are read and discarded; beyond that, TCP flow control stops a peer that goes on sending. The owner bounds the
+    /// wait by calling [`Connection::close`].
     pub fn close_gracefully(&self) {
         if self.flush_all().is_ok() && self.stream.shutdown(Shutdown::Write).is_ok() {
             self.discard_until_end();
@@ -352,16 +317,16 @@
         while discarded >= MAX_DISCARDED && self.flush_and_wait().is_ok() {}
     }
 
-    /// Ends the connection and wakes its coroutine.
+    /// Closes the connection at once and wakes its coroutine.
     pub fn close(&self) {
         if !self.is_closed.swap(true, Ordering::AcqRel) {
-            // Where the peer is gone already there is nothing left to end.
+            // Fails where the peer is gone already, and nothing is left to shut down.
             let _ = self.stream.shutdown(Shutdown::Both);
             self.stream.waker().wakeup();
         }
     }
 
-    /// A second handle on the socket, to be passed to another process.
+    /// Duplicates the socket, to be passed to another process.
     ///
     /// # Errors
     ///
@@ -370,7 +335,7 @@
         self.stream.inner().try_clone()
     }
 
-    /// Gives the connection up without ending it: another process continues with it.
+    /// Stops using the connection without shutting it down: another process continues with it.
     pub fn release(&self) {
         self.is_closed.store(true, Ordering::Release);
     }
--- a/crates/link/src/fairness.rs
+++ b/crates/link/src/fairness.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Reads, or accepted connections, in a row after which all others get a turn. The worker polls other sockets only when every
-/// coroutine waits, so one that always finds bytes would starve them.
+/// Consecutive reads or accepted connections after which other coroutines get a turn. The worker polls sockets only when every
+/// coroutine waits, so a connection that always has bytes would starve the others.
 pub(crate) const MAX_BURST: u32 = 16;
-/// How long their turn is. A sleep and no yield: what yields stays in the worker's queue and keeps it from polling.
+/// Length of that turn. It is a sleep, since a coroutine that yields stays in the worker's run queue and keeps it from polling.
 pub(crate) const TURN: Duration = Duration::from_millis(1);
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,14 +1,17 @@
-//! Coroutines, and TCP connections that never make their writers wait.
+//! Coroutines, and TCP connections whose writers never block.
 //!
-//! All sockets of the program are driven by one `may` worker. Each [`Connection`] has one coroutine that waits on it; any other
-//! coroutine or thread may queue bytes on it, wake it or close it without ever blocking.
+//! One `may` worker drives all sockets of the program. Each [`Connection`] has one coroutine that reads it; any other coroutine or
+//! thread may send on it, wake it or close it without blocking.
 
+mod accept_state;
 mod connect_error;
 mod connection;
 mod fairness;
 mod listener;
 mod lock;
+mod read_state;
 mod runtime;
+mod send_buffer;
 mod socket;
 mod tcp_info;
 mod timer;
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -1,5 +1,6 @@
-//! Listeners.
+//! Listening sockets.
 
+use crate::accept_state::{AcceptState, SharedAcceptState};
 use crate::connection::Connection;
 use crate::fairness::{MAX_BURST, TURN};
 use crate::lock::locked;
@@ -11,43 +12,46 @@
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::sync::Mutex;
-use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// What the accept loop does.
-mod state {
-    /// Accepts connections.
-    pub(super) const OPEN: u8 = 0;
-    /// Accepts nothing for now.
-    pub(super) const PAUSED: u8 = 1;
-    /// Accepts those that wait already, then ends.
-    pub(super) const CLOSING: u8 = 2;
-    /// Ends, and leaves those that wait to whoever else accepts at the socket.
-    pub(super) const ABANDONED: u8 = 3;
-}
-
-/// Connections that may wait to be accepted: hundreds come at once when another gatekeeper has gone.
+/// Maximum length of the accept queue. Hundreds of clients reconnect at once when another gatekeeper has failed.
 const BACKLOG: i32 = 1024;
-/// Pause after an error of accept, such as a lack of descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+/// Backoff after an error of `accept(2)`, such as a lack of descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
 
-/// A listener whose accept loop can be paused and ended from outside.
+/// A listening socket whose accept loop can be paused and ended by other coroutines and threads.
 #[derive(Debug)]
 pub struct Listener {
     socket: Watched<TcpListener>,
-    state: AtomicU8,
+    state: SharedAcceptState,
     burst: Mutex<Burst>,
 }
 
-/// Connections accepted in a row.
+/// Connections accepted in quick succession.
 #[derive(Debug)]
 struct Burst {
     accepted: u32,
-    since: Instant,
+    started_at: Instant,
+}
+
+impl Burst {
+    fn start() -> Self {
+        Self { accepted: 0, started_at: Instant::now() }
+    }
+
+    /// Counts an accepted connection, and returns whether the burst is over and other coroutines get a turn.
+    fn count_accept(&mut self) -> bool {
+        self.accepted += 1;
+        let is_over = self.accepted > MAX_BURST;
+        if is_over || self.started_at.elapsed() > TURN {
+            *self = Self::start();
+        }
+        is_over
+    }
 }
 
 impl Listener {
-    /// Listens on this address only. Another process may listen there too.
+    /// Listens on an address, with `SO_REUSEPORT`: other processes may listen there too.
     ///
     /// # Errors
     ///
@@ -61,17 +65,18 @@
         Self::inherit(socket.into())
     }
 
-    /// Accepts on a listener that another process has opened.
+    /// Accepts on a listening socket that another process has opened.
     ///
     /// # Errors
     ///
-    /// The system cannot watch it.
+    /// Fails where the system cannot watch the socket for events.
     pub fn inherit(listener: TcpListener) -> io::Result<Self> {
-        let burst = Mutex::new(Burst { accepted: 0, since: Instant::now() });
-        Ok(Self { socket: Watched::new(listener)?, state: AtomicU8::new(state::OPEN), burst })
+        let socket = Watched::new(listener)?;
+        let state = SharedAcceptState::new(AcceptState::Open);
+        Ok(Self { socket, state, burst: Mutex::new(Burst::start()) })
     }
 
-    /// The address that it listens on.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
     ///
@@ -80,68 +85,61 @@
         self.socket.io().inner().local_addr()
     }
 
-    /// The descriptor, to be passed to another process.
+    /// Returns the descriptor, to be passed to another process.
     pub fn descriptor(&self) -> BorrowedFd<'_> {
         self.socket.io().inner().as_fd()
     }
 
-    /// Waits for the next connection; `None` once the listener is closed and no connection waits.
+    /// Waits for the next connection. Returns `None` once the listener is closed and its backlog is empty.
     pub fn accept(&self) -> Option<Connection> {
-        self.give_turn();
+        self.yield_after_burst();
         loop {
-            match self.state.load(Ordering::Acquire) {
-                state::PAUSED => {
+            match self.state.get() {
+                AcceptState::Paused => {
                     self.socket.io().wait_io();
                     continue;
                 }
-                state::ABANDONED => return None,
-                _ => {}
+                AcceptState::Abandoned => return None,
+                AcceptState::Open | AcceptState::Closing => {}
             }
             match self.socket.io().inner().accept().and_then(|(stream, _)| Connection::new(stream)) {
                 Ok(connection) => return Some(connection),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    if self.state.load(Ordering::Acquire) == state::CLOSING {
-                        // New ones are refused at once. It can only fail if it is shut down already.
+                    if self.state.get() == AcceptState::Closing {
+                        // Refuses new connections from here on. Fails only where the socket is shut down already.
                         let _ = SockRef::from(self.socket.io().inner()).shutdown(Shutdown::Both);
                         return None;
                     }
                     self.socket.io().wait_io();
                 }
-                // Out of descriptors: others must close before this can continue. Other errors concern one connection.
-                Err(_) => sleep(ACCEPT_RETRY),
+                // Without free descriptors the loop cannot go on until connections are closed. Other errors concern one connection.
+                Err(_) => sleep(ACCEPT_BACKOFF),
             }
         }
     }
 
     /// Lets other coroutines run after a burst of accepted connections.
-    fn give_turn(&self) {
-        let is_burst = {
-            let mut burst = locked(&self.burst);
-            burst.accepted += 1;
-            let is_burst = burst.accepted > MAX_BURST;
-            if is_burst || burst.since.elapsed() > TURN {
-                *burst = Burst { accepted: 0, since: Instant::now() };
-            }
-            is_burst
-        };
-        if is_burst {
+    fn yield_after_burst(&self) {
+        let is_over = locked(&self.burst).count_accept();
+        if is_over {
             sleep(TURN);
         }
     }
 
-    /// Accepts nothing for now, or again. Connections wait at the socket meanwhile, for whoever else accepts there.
+    /// Pauses or resumes the accept loop. Connections stay in the backlog meanwhile, for other processes that accept at the socket.
     pub fn set_paused(&self, paused: bool) {
-        self.set_state(if paused { state::PAUSED } else { state::OPEN });
+        self.set_state(if paused { AcceptState::Paused } else { AcceptState::Open });
     }
 
-    /// Accepts those that wait already, and nobody more. A paused one leaves them to whoever else accepts there.
+    /// Ends the accept loop after the connections in the backlog. A paused listener leaves its backlog to the other processes that
+    /// accept at the socket.
     pub fn close(&self) {
-        let is_paused = self.state.load(Ordering::Acquire) == state::PAUSED;
-        self.set_state(if is_paused { state::ABANDONED } else { state::CLOSING });
+        let is_paused = self.state.get() == AcceptState::Paused;
+        self.set_state(if is_paused { AcceptState::Abandoned } else { AcceptState::Closing });
     }
 
-    fn set_state(&self, state: u8) {
-        self.state.store(state, Ordering::Release);
+    fn set_state(&self, state: AcceptState) {
+        self.state.set(state);
         self.socket.io().waker().wakeup();
     }
 }
--- a/crates/link/src/runtime.rs
+++ b/crates/link/src/runtime.rs
@@ -1,35 +1,44 @@
-//! Coroutines on the one worker of `may`.
+//! The coroutine runtime: `may` with one worker.
 
 use may::coroutine::{Builder, JoinHandle};
 
-/// Bytes of stack of an ordinary coroutine. Pages are touched only when used; the room above what the program needs
-/// is for the text of a panic.
+/// Stack of an ordinary coroutine in bytes. Only used pages take memory. The reserve beyond the program's own need is for formatting
+/// a panic message.
 pub const STACK: usize = 128 * 1024;
-/// Bytes of stack where JSON is parsed.
+/// Stack in bytes of a coroutine that parses JSON.
 pub const LARGE_STACK: usize = 1024 * 1024;
-/// Sets `may` up for one core: one worker, not pinned, since other programs may share the core.
+/// Stacks that `may` keeps for reuse.
+const STACK_POOL_CAPACITY: usize = 64;
+
+/// Configures `may` with one worker. It is not pinned, since other programs may share its core.
 pub fn set_up() {
-    may::config().set_workers(1).set_stack_size(words(STACK)).set_pool_capacity(64).set_worker_pin(false);
+    may::config()
+        .set_workers(1)
+        .set_stack_size(words(STACK))
+        .set_pool_capacity(STACK_POOL_CAPACITY)
+        .set_worker_pin(false);
 }
 
+/// Converts a size in bytes to machine words, the unit of `may`.
 fn words(bytes: usize) -> usize {
     bytes / size_of::<usize>()
 }
 
-/// Starts a coroutine with [`STACK`] bytes of stack.
+/// Spawns a coroutine with [`STACK`] bytes of stack.
 pub fn spawn<F: FnOnce() + Send + 'static>(f: F) -> JoinHandle<()> {
     spawn_with(STACK, f)
 }
 
-/// Starts a coroutine with this many bytes of stack.
+/// Spawns a coroutine with this many bytes of stack.
 ///
 /// # Panics
 ///
-/// Panics where the system has no memory for the stack.
+/// Panics where the system cannot allocate the stack.
 #[allow(unsafe_code)]
 pub fn spawn_with<F: FnOnce() + Send + 'static>(stack: usize, f: F) -> JoinHandle<()> {
-    // SAFETY: `may` asks for two things. No coroutine here keeps a reference into thread-local storage over a point
-    // where it waits, and with one worker none ever moves to another thread. Each stack ends in a guard page and is
-    // far larger than what runs on it: parsers don't recurse, and JSON is read on `LARGE_STACK`.
-    unsafe { Builder::new().stack_size(words(stack)).spawn(f) }.expect("memory for a coroutine's stack")
+    // SAFETY: `may` requires that thread-local references do not cross a suspension point, and that stacks do not overflow. No
+    // coroutine here keeps such a reference while it waits, and with one worker none ever migrates to another thread. Each stack
+    // ends in a guard page and is far larger than its use: parsers do not recurse, and JSON is parsed on `LARGE_STACK`.
+    unsafe { Builder::new().stack_size(words(stack)).spawn(f) }
+        .expect("the system allocates a coroutine's stack")
 }
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets that `may` watches.
+//! Sockets that are registered with `may`'s event loop.
 
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use may::net::TcpStream;
@@ -6,7 +6,7 @@
 use std::net::{self, Shutdown};
 use std::os::fd::AsRawFd;
 
-/// A socket that was accepted or inherited, watched by `may`.
+/// An accepted or inherited socket, registered with `may`'s event loop.
 #[derive(Debug)]
 pub(crate) struct Watched<T: AsRawFd>(Option<CoIo<T>>);
 
@@ -16,19 +16,19 @@
     }
 
     pub(crate) fn io(&self) -> &CoIo<T> {
-        self.0.as_ref().expect("taken only when dropped")
+        self.0.as_ref().expect("taken by drop alone")
     }
 }
 
 impl<T: AsRawFd> Drop for Watched<T> {
-    /// `CoIo` closes its socket before it ends the watch. Where another process holds the socket too, the system would go on
-    /// reporting events with a pointer to freed memory; taken out of it, the socket is closed last.
+    /// Deregisters the socket before it is closed. `CoIo` itself closes first and deregisters then. Where another process holds the
+    /// socket too, epoll would keep reporting events with a pointer to freed memory.
     fn drop(&mut self) {
         drop(self.0.take().map(CoIo::into_inner));
     }
 }
 
-/// The stream of a connection.
+/// A connection's stream.
 #[derive(Debug)]
 pub(crate) enum Stream {
     /// Connected by this process.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Waits for an event; returns the system's flags of all events since the last call.
+    /// Waits for an event, and returns the epoll flags of all events since the last call.
     pub(crate) fn wait_for_events(&self) -> usize {
         match self {
             Self::Outbound(stream) => stream.wait_io(),
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The flags of events since the last call, without waiting.
-    #[allow(deprecated)] // It says that nobody needs to call it, but no other call polls without waiting.
+    /// Returns the epoll flags of the events since the last call, without waiting.
+    #[allow(deprecated)] // `reset_io` is the only call that polls without waiting.
     pub(crate) fn poll_events(&self) -> usize {
         match self {
             Self::Outbound(stream) => stream.reset_io(),
--- a/crates/link/src/timer.rs
+++ b/crates/link/src/timer.rs
@@ -1,7 +1,7 @@
-//! Sleep for coroutines, by a thread of its own.
+//! Sleep for coroutines, with a timer thread.
 //!
-//! `may` runs a coroutine whose sleep is over in its timer thread, beside the worker, and its parks with a timeout may never end.
-//! Here a coroutine parks without one and is unparked like by any other event, so it continues on the worker.
+//! `may`'s own sleep resumes a coroutine on `may`'s timer thread, in parallel to the worker, and its parks with a timeout may never
+//! end. Here a coroutine parks without a timeout and the timer thread unparks it, so it resumes on the worker.
 
 use crate::lock::locked;
 use may::coroutine::{self, Coroutine};
@@ -10,11 +10,29 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// Sleeping coroutines by the time at which they wake, and in the order in which they fell asleep.
+/// Sleeping coroutines, ordered by wake time and then by the order of their sleeps.
 #[derive(Default)]
 struct Sleepers {
     last_serial: u64,
-    by_time: BTreeMap<(Instant, u64), Coroutine>,
+    by_time: BTreeMap<SleepKey, Coroutine>,
+}
+
+/// Identifies a sleep. The order of the fields is the order of waking.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SleepKey {
+    wakes_at: Instant,
+    serial: u64,
+}
+
+impl Sleepers {
+    fn insert(&mut self, wakes_at: Instant, coroutine: Coroutine) {
+        self.last_serial += 1;
+        self.by_time.insert(SleepKey { wakes_at, serial: self.last_serial }, coroutine);
+    }
+
+    fn next_wake(&self) -> Option<Instant> {
+        self.by_time.first_key_value().map(|(key, _)| key.wakes_at)
+    }
 }
 
 struct TimerThread {
@@ -33,30 +51,25 @@
 
 fn run(sleepers: &Mutex<Sleepers>) {
     loop {
-        let next = locked(sleepers).by_time.first_key_value().map(|(&(wakes_at, _), _)| wakes_at);
-        match next.map(|wakes_at| wakes_at.saturating_duration_since(Instant::now())) {
+        let next_wake = locked(sleepers).next_wake();
+        match next_wake.map(|wakes_at| wakes_at.saturating_duration_since(Instant::now())) {
             Some(Duration::ZERO) => {
                 let sleeper = locked(sleepers).by_time.pop_first();
                 if let Some((_, coroutine)) = sleeper {
                     coroutine.unpark();
                 }
             }
-            Some(time) => thread::park_timeout(time),
+            Some(remaining) => thread::park_timeout(remaining),
             None => thread::park(),
         }
     }
 }
 
-/// Lets other coroutines run for this long.
-pub fn sleep(time: Duration) {
-    let wakes_at = Instant::now() + time;
+/// Suspends the current coroutine for a duration, while others run.
+pub fn sleep(duration: Duration) {
+    let wakes_at = Instant::now() + duration;
     let timer = TIMER_THREAD.get_or_init(start);
-    {
-        let mut sleepers = locked(&timer.sleepers);
-        sleepers.last_serial += 1;
-        let key = (wakes_at, sleepers.last_serial);
-        sleepers.by_time.insert(key, coroutine::current());
-    }
+    locked(&timer.sleepers).insert(wakes_at, coroutine::current());
     timer.thread.unpark();
     while Instant::now() < wakes_at {
         coroutine::park();
