--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -1,29 +1,32 @@
 //! One client's connection.
 
-use crate::answer_queue::{AnswerQueue, CommandNumber, Slot};
+use crate::answer_queue::{CommandNumber, Slot};
+use crate::client_state::ClientState;
 use crate::memory::Reservation;
 use link::{Connection, locked};
 use std::sync::{Arc, Mutex};
 
+/// One client's connection: its socket and its state.
 pub(crate) struct ClientConnection {
     pub(crate) socket: Connection,
-    pub(crate) queue: Mutex<AnswerQueue>,
+    pub(crate) state: Mutex<ClientState>,
 }
 
 impl ClientConnection {
     pub(crate) fn new(socket: Connection, incomplete: Reservation, unread: Reservation) -> Arc<Self> {
-        Arc::new(Self { socket, queue: Mutex::new(AnswerQueue::new(incomplete, unread)) })
+        Arc::new(Self { socket, state: Mutex::new(ClientState::new(incomplete, unread)) })
     }
 
-    /// Keeps an answer for its turn. If its command is no longer queued, the client has left, and the answer is dropped.
+    /// Stores the answer to a command until its turn. An answer to a command that is no longer queued is dropped: the client has
+    /// disconnected.
     pub(crate) fn set_answer(&self, command: CommandNumber, answer: Slot) {
-        let mut queue = locked(&self.queue);
-        let replaced = match queue.slot(command) {
+        let mut state = locked(&self.state);
+        let replaced = match state.answers.slot(command) {
             Some(slot) => std::mem::replace(slot, answer),
             None => answer,
         };
-        drop(queue);
-        // Dropped after the lock is released: a stream notifies its backend's side.
+        drop(state);
+        // Dropped after the lock is released: dropping a stream notifies the backend's side.
         drop(replaced);
     }
 }
--- /dev/null
+++ b/crates/front_resp/src/client_state.rs
@@ -0,0 +1,117 @@
+//! What is known of a client's connection between its commands.
+//!
+//! ```text
+//!            first byte              last byte
+//!   idle ---------------> reading ---------------> in use --+
+//!    ^                                                      | last answer written
+//!    +------------------------------------------------------+
+//!    |
+//!    | `end`, from any state: nothing more is read
+//!    v
+//!   ending ---- last answer written ----> lingering, until the client has read it or LINGER_TIMEOUT
+//! ```
+
+use crate::answer_queue::AnswerQueue;
+use crate::incomplete_command::IncompleteCommand;
+use crate::limits::{COMMAND_TIMEOUT, FIRST_COMMAND_TIMEOUT, IDLE_TIMEOUT, UNUSED_TIMEOUT};
+use crate::memory::Reservation;
+use std::time::{Duration, Instant};
+
+#[cfg(test)]
+mod tests;
+
+/// The state of one client's connection, behind one lock.
+pub(crate) struct ClientState {
+    /// Pipelined commands and their answers.
+    pub(crate) answers: AnswerQueue,
+    /// The command that is being read.
+    pub(crate) incomplete: IncompleteCommand,
+    /// Bytes of answers that the client had not read at the last look.
+    pub(crate) unread: Reservation,
+    /// When the answer queue last became empty.
+    idle_since: Instant,
+    had_valid_command: bool,
+    had_request: bool,
+    is_ending: bool,
+    is_eviction_requested: bool,
+}
+
+impl ClientState {
+    pub(crate) fn new(incomplete: Reservation, unread: Reservation) -> Self {
+        Self {
+            answers: AnswerQueue::default(),
+            incomplete: IncompleteCommand::none(incomplete),
+            unread,
+            idle_since: Instant::now(),
+            had_valid_command: false,
+            had_request: false,
+            is_ending: false,
+            is_eviction_requested: false,
+        }
+    }
+
+    /// Notes that the client has sent a valid command other than a request.
+    pub(crate) fn record_valid_command(&mut self) {
+        self.had_valid_command = true;
+    }
+
+    /// Notes that the client has sent a request.
+    pub(crate) fn record_request(&mut self) {
+        self.had_valid_command = true;
+        self.had_request = true;
+    }
+
+    /// Notes that the last answer was written.
+    pub(crate) fn record_idle(&mut self) {
+        self.idle_since = Instant::now();
+    }
+
+    /// Reads no more commands. The connection ends with the last answer.
+    pub(crate) fn end(&mut self) {
+        self.is_ending = true;
+        self.incomplete.clear();
+        self.record_idle();
+    }
+
+    /// Whether [`ClientState::end`] was called.
+    pub(crate) fn is_ending(&self) -> bool {
+        self.is_ending
+    }
+
+    /// Time that the client has had to read the last answer, once the connection has ended.
+    pub(crate) fn lingering_for(&self) -> Option<Duration> {
+        (self.is_ending && self.answers.is_empty()).then(|| self.idle_since.elapsed())
+    }
+
+    /// Whether the incomplete command has exceeded its time-out.
+    pub(crate) fn is_late(&self) -> bool {
+        let is_first_late = !self.had_valid_command && self.idle_since.elapsed() >= FIRST_COMMAND_TIMEOUT;
+        self.incomplete.age().is_some_and(|age| age >= COMMAND_TIMEOUT || is_first_late)
+    }
+
+    /// Time since the last request, if none is in flight and no command is incomplete.
+    fn idle_time(&self) -> Option<Duration> {
+        (self.answers.is_empty() && !self.incomplete.is_pending()).then(|| self.idle_since.elapsed())
+    }
+
+    /// Idle time of a connection that may be evicted: a new one after a shorter time than one that has sent a request.
+    pub(crate) fn evictable_for(&self) -> Option<Duration> {
+        let timeout = if self.had_request { IDLE_TIMEOUT } else { UNUSED_TIMEOUT };
+        self.idle_time().filter(|&idle| idle >= timeout)
+    }
+
+    /// Whether the client has never sent a valid command and has exceeded the idle time-out.
+    pub(crate) fn is_silent(&self) -> bool {
+        !self.had_valid_command && self.idle_time().is_some_and(|idle| idle >= IDLE_TIMEOUT)
+    }
+
+    /// Asks the reader to close the connection if it is still evictable when nothing is left to read.
+    pub(crate) fn request_eviction(&mut self) {
+        self.is_eviction_requested = true;
+    }
+
+    /// Takes the request for an eviction, and returns whether the connection is evicted.
+    pub(crate) fn take_eviction(&mut self) -> bool {
+        std::mem::take(&mut self.is_eviction_requested) && self.evictable_for().is_some()
+    }
+}
--- /dev/null
+++ b/crates/front_resp/src/closing.rs
@@ -0,0 +1,125 @@
+//! The ends of a connection: graceful drain, hand-over to a successor, and errors.
+
+use crate::answer_queue::Slot;
+use crate::client::ClientConnection;
+use crate::client_state::ClientState;
+use crate::front::Front;
+use crate::limits::{MAX_READ_BYTES, MAX_READS_WHILE_ENDING};
+use exchange::RequestId;
+use invariants::Guard;
+use link::{Incoming, locked};
+use std::collections::VecDeque;
+
+/// Why a connection ends.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum ConnectionEnd {
+    /// The client has disconnected: no answer can reach it.
+    ClientGone,
+    /// The idle time-out has passed, or the connection is evicted.
+    Idle,
+    /// The process shuts down: no more commands are read, and those that were read are answered.
+    Shutdown,
+    /// A successor continues with the connection.
+    HandedOver,
+    /// This error is answered in its turn.
+    Error(&'static str),
+}
+
+impl Front {
+    /// Ends a connection whose commands are read no more, and cancels its requests in flight.
+    pub(crate) fn end(&self, client: &ClientConnection, end: ConnectionEnd) {
+        match end {
+            ConnectionEnd::Error(text) => self.end_with_error(client, text),
+            ConnectionEnd::HandedOver => return,
+            ConnectionEnd::Shutdown => finish(client),
+            ConnectionEnd::Idle | ConnectionEnd::ClientGone => {}
+        }
+        let unanswered = locked(&client.state).answers.take_all();
+        check_unanswered(client, end, &unanswered);
+        client.socket.close();
+        for slot in unanswered {
+            // A streamed answer is cancelled when its slot is dropped.
+            if let Slot::Waiting(Some(id)) = slot {
+                self.exchange.client_gone(id);
+            }
+        }
+    }
+
+    /// Ends the connection if the front drains and no command is incomplete.
+    pub(crate) fn end_if_draining(&self, state: &mut ClientState) -> Option<ConnectionEnd> {
+        if !self.is_draining() || state.incomplete.is_pending() {
+            return None;
+        }
+        state.end();
+        Some(ConnectionEnd::Shutdown)
+    }
+
+    /// Waits until all commands are answered, then hands the connection over to the successor. Bytes that arrive meanwhile stay
+    /// unread for the successor. Returns false where the front resumes or the client disconnects first.
+    pub(crate) fn hand_over(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> bool {
+        loop {
+            let successor = locked(&self.successor).clone();
+            let Some(successor) = successor else { return false };
+            if locked(&client.state).answers.is_empty() && client.socket.unsent() == 0 {
+                let Ok(socket) = client.socket.try_clone_socket() else { return false };
+                successor(socket, std::mem::take(buffer));
+                client.socket.release();
+                return true;
+            }
+            if client.socket.flush_and_wait().is_err() || client.socket.is_peer_closed() {
+                return false;
+            }
+        }
+    }
+
+    /// Answers an error behind all earlier commands, and closes the connection. Bytes that still arrive are ignored.
+    fn end_with_error(&self, client: &ClientConnection, text: &str) {
+        let command = {
+            let mut state = locked(&client.state);
+            state.end();
+            state.answers.push()
+        };
+        self.answer_error(client, command, text);
+        finish(client);
+    }
+}
+
+/// Waits until all commands are answered, and closes the connection gracefully.
+fn finish(client: &ClientConnection) {
+    // Reads on for a while, to notice that the client disconnects. A client that sends without end is stopped by flow control.
+    let mut unread = Vec::new();
+    for _ in 0..MAX_READS_WHILE_ENDING {
+        if locked(&client.state).answers.is_empty() {
+            break;
+        }
+        match client.socket.receive(&mut unread, MAX_READ_BYTES) {
+            Ok(Incoming::Bytes(_) | Incoming::Woken) => unread.clear(),
+            Ok(Incoming::End) | Err(_) => return,
+        }
+    }
+    while !locked(&client.state).answers.is_empty() {
+        if client.socket.is_peer_closed() || client.socket.flush_and_wait().is_err() {
+            return;
+        }
+    }
+    client.socket.close_gracefully();
+}
+
+/// Checks the invariant that a client which is still connected has the answers to all its requests.
+fn check_unanswered(client: &ClientConnection, end: ConnectionEnd, unanswered: &VecDeque<Slot>) {
+    let waiting = || unanswered.iter().filter(|slot| matches!(slot, Slot::Waiting(_)));
+    // A socket that this process has closed belongs to a client that read too slowly.
+    let is_gone = matches!(end, ConnectionEnd::ClientGone)
+        || client.socket.is_peer_closed()
+        || client.socket.is_closed();
+    invariants::check(
+        Guard::Closing,
+        is_gone || waiting().next().is_none(),
+        format_args!("requests {:?} have no answer where a connection ends: {end:?}", request_ids(waiting())),
+    );
+}
+
+/// The ids of the requests that wait in these slots.
+fn request_ids<'a>(slots: impl Iterator<Item = &'a Slot>) -> Vec<RequestId> {
+    slots.filter_map(|slot| if let Slot::Waiting(id) = slot { *id } else { None }).collect()
+}
--- /dev/null
+++ b/crates/front_resp/src/connection_table.rs
@@ -0,0 +1,70 @@
+//! The open client connections and their limit.
+
+use crate::client::ClientConnection;
+use link::locked;
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex};
+
+/// The reserve for new connections is the limit divided by this.
+const RESERVE_DIVISOR: usize = 4;
+
+/// The position of a connection among all that this front has opened.
+pub(crate) type ConnectionNumber = u64;
+
+/// The open client connections, oldest first.
+pub(crate) struct ConnectionTable {
+    max_connections: Box<dyn Fn() -> usize + Send + Sync>,
+    open: Mutex<OpenConnections>,
+}
+
+#[derive(Default)]
+struct OpenConnections {
+    last_number: ConnectionNumber,
+    by_number: BTreeMap<ConnectionNumber, Arc<ClientConnection>>,
+}
+
+impl ConnectionTable {
+    /// Creates an empty table. `max_connections` returns the limit of the moment.
+    pub(crate) fn new(max_connections: impl Fn() -> usize + Send + Sync + 'static) -> Self {
+        Self { max_connections: Box::new(max_connections), open: Mutex::default() }
+    }
+
+    /// Adds a connection, and returns its number.
+    pub(crate) fn insert(&self, client: Arc<ClientConnection>) -> ConnectionNumber {
+        let mut open = locked(&self.open);
+        open.last_number += 1;
+        let number = open.last_number;
+        open.by_number.insert(number, client);
+        number
+    }
+
+    /// Removes a connection whose coroutine has ended.
+    pub(crate) fn remove(&self, number: ConnectionNumber) {
+        locked(&self.open).by_number.remove(&number);
+    }
+
+    /// Whether the limit is reached. Closed connections count until their coroutine has ended.
+    pub(crate) fn is_full(&self) -> bool {
+        locked(&self.open).by_number.len() >= (self.max_connections)()
+    }
+
+    /// Returns how many of `open` connections occupy the reserve for new ones.
+    pub(crate) fn excess(&self, open: usize) -> usize {
+        let max_connections = (self.max_connections)();
+        let target = max_connections - max_connections / RESERVE_DIVISOR;
+        open.saturating_sub(target)
+    }
+
+    /// Returns the connections that are not closed, oldest first.
+    pub(crate) fn clients(&self) -> Vec<Arc<ClientConnection>> {
+        let open = locked(&self.open);
+        open.by_number.values().filter(|client| !client.socket.is_closed()).cloned().collect()
+    }
+
+    /// Makes the reader of each connection look at its state.
+    pub(crate) fn wake_all(&self) {
+        for client in self.clients() {
+            client.socket.wake();
+        }
+    }
+}
--- /dev/null
+++ b/crates/front_resp/src/eviction.rs
@@ -0,0 +1,89 @@
+//! Eviction: closing connections for the sake of others, at the limit of connections or of memory.
+
+use crate::client::ClientConnection;
+use crate::connection_table::ConnectionTable;
+use crate::limits::LINGER_TIMEOUT;
+use link::locked;
+use std::cmp::Reverse;
+use std::sync::Arc;
+use std::time::Duration;
+
+#[cfg(test)]
+mod tests;
+
+/// At the limit, a client has this part of the linger time-out to read its last answer.
+const LINGER_DIVISOR: u32 = 4;
+
+/// A connection that may be evicted.
+struct Candidate {
+    client: Arc<ClientConnection>,
+    reason: EvictableState,
+}
+
+/// Why a connection may be evicted.
+#[derive(Clone, Copy)]
+enum EvictableState {
+    /// It has ended, and its client has had this long to read the last answer.
+    Lingering(Duration),
+    /// It has had no request in flight for this long.
+    Idle(Duration),
+}
+
+impl ConnectionTable {
+    /// Evicts up to `count` connections that have no request in flight: lingering ones first, then the longest idle.
+    pub(crate) fn evict(&self, count: usize) {
+        if count == 0 {
+            return;
+        }
+        let mut candidates: Vec<Candidate> = self.clients().into_iter().filter_map(Candidate::new).collect();
+        candidates.sort_by_key(|candidate| Reverse(candidate.reason.precedence()));
+        candidates.into_iter().take(count).for_each(Candidate::evict);
+    }
+
+    /// Sheds the oldest incomplete command among the large ones, to free its memory.
+    pub(crate) fn shed_incomplete_command(&self) {
+        let clients = self.clients();
+        let sheddable = clients
+            .iter()
+            .filter_map(|client| Some((locked(&client.state).incomplete.sheddable_since()?, client)));
+        if let Some((_, client)) = sheddable.min_by_key(|(since, _)| *since) {
+            locked(&client.state).incomplete.shed();
+            client.socket.wake();
+        }
+    }
+}
+
+impl Candidate {
+    /// Returns `None` for a connection in use.
+    fn new(client: Arc<ClientConnection>) -> Option<Self> {
+        let reason = {
+            let state = locked(&client.state);
+            let lingering = state.lingering_for().map(EvictableState::Lingering);
+            lingering.or_else(|| state.evictable_for().map(EvictableState::Idle))
+        };
+        reason.map(|reason| Self { client, reason })
+    }
+
+    /// Closes a connection that has lingered for long enough. Any other is closed by its reader, unless a request has arrived.
+    fn evict(self) {
+        match self.reason {
+            EvictableState::Lingering(time) if time >= LINGER_TIMEOUT / LINGER_DIVISOR => {
+                self.client.socket.close()
+            }
+            EvictableState::Lingering(_) | EvictableState::Idle(_) => {
+                locked(&self.client.state).request_eviction();
+                self.client.socket.wake();
+            }
+        }
+    }
+}
+
+impl EvictableState {
+    /// Connections with the greatest value are evicted first.
+    fn precedence(self) -> Duration {
+        match self {
+            Self::Lingering(_) => Duration::MAX,
+            Self::Idle(time) => time,
+        }
+    }
+}
--- a/crates/front_resp/src/limits.rs
+++ b/crates/front_resp/src/limits.rs
@@ -1,46 +1,49 @@
-//! Limits of client connections.
+//! Limits and time-outs of client connections.
 
 use std::time::Duration;
 
-/// Bytes of one read at most.
-pub(crate) const MAX_READ: usize = 8 * 1024;
-/// An empty buffer larger than this is freed.
-pub(crate) const MAX_KEPT_BUFFER: usize = 4 * MAX_READ;
-/// Requests of one connection that may wait for answers; more are rejected at once.
-pub(crate) const MAX_WAITING: usize = 64;
-/// Commands of one connection in its answer queue: more is an error, so that the queue stays bounded.
-pub(crate) const MAX_QUEUED: usize = 1024;
-/// Bytes of a streamed answer that wait for the socket, before more of it is read.
-pub(crate) const STREAM_CHUNK: usize = 16 * 1024;
-/// Bytes of answers that a client may leave unread before it is disconnected, and where all clients hold too much together.
-pub(crate) const MAX_UNREAD: usize = 256 * 1024;
-pub(crate) const MAX_UNREAD_UNDER_PRESSURE: usize = 16 * 1024;
-/// Parts of the memory: for incomplete requests, for complete ones with the answers that wait for their turn, and for answers
-/// that clients have not read.
-pub(crate) const INCOMPLETE_PART: usize = 8;
-pub(crate) const COMPLETE_PART: usize = 4;
-pub(crate) const UNREAD_PART: usize = 8;
-/// Bytes of an incomplete request that may always be held: any usual one fits in.
-pub(crate) const USUAL_REQUEST: usize = 16 * 1024;
-/// Clients send one command at a time. One that sends more than this at once gets its next turn after all others.
+/// Maximum bytes of one read.
+pub(crate) const MAX_READ_BYTES: usize = 8 * 1024;
+/// An empty read buffer with more capacity is freed.
+pub(crate) const MAX_RETAINED_BUFFER_BYTES: usize = 4 * MAX_READ_BYTES;
+/// Maximum requests in flight on one connection. More are rejected at once.
+pub(crate) const MAX_IN_FLIGHT: usize = 64;
+/// Maximum commands in a connection's answer queue. More are an error, so that the queue stays bounded.
+pub(crate) const MAX_PIPELINED: usize = 1024;
+/// Bytes of a streamed answer that may wait for the socket before more of it is read (backpressure).
+pub(crate) const STREAM_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes of answers that a client may leave unread before it is disconnected.
+pub(crate) const MAX_UNREAD_BYTES: usize = 256 * 1024;
+/// The same while all clients together exceed their budget of unread bytes.
+pub(crate) const MAX_UNREAD_BYTES_UNDER_PRESSURE: usize = 16 * 1024;
+/// The budget for incomplete commands is the process's memory divided by this.
+pub(crate) const INCOMPLETE_MEMORY_DIVISOR: usize = 8;
+/// The budget for complete requests and for answers that wait for their turn is the process's memory divided by this.
+pub(crate) const COMPLETE_MEMORY_DIVISOR: usize = 4;
+/// The budget for answers that clients have not read is the process's memory divided by this.
+pub(crate) const UNREAD_MEMORY_DIVISOR: usize = 8;
+/// An incomplete command of fewer bytes is never delayed or shed for memory. Typical requests are smaller.
+pub(crate) const TYPICAL_REQUEST_BYTES: usize = 16 * 1024;
+/// Commands that a client may pipeline in one read before other connections get a turn. Usual clients send one at a time.
 pub(crate) const MAX_BURST: usize = 16;
-/// How long that takes.
+/// Length of that turn.
 pub(crate) const TURN: Duration = Duration::from_millis(1);
-/// A connection without a request may be closed after this (the protocol); one that never sent a valid command is.
+/// Idle time-out of the protocol: a connection without a request may be closed after it. One that never sent a valid command is
+/// closed then.
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A command must be complete this long after it began: a head may take a client 2 s. With the time between two sweeps, what is
-/// never complete has its error within the 3 s in which it is owed.
+/// A command must be complete this long after its first byte. The protocol grants 2 s for a head, and owes the error within 3 s; the
+/// interval between two sweeps comes on top.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_250);
-/// The same, from the connection's start, for one that has never sent a complete command.
+/// The same for a client's first command, counted from the connection's start.
 pub(crate) const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// Clients send their request as soon as they are connected: one that has sent none after this makes room for others when the
-/// table is full. Bad clients connect by the hundred and send nothing, or no more than `PING`.
+/// A connection that has sent no request may be evicted after this. Clients send their request as soon as they are connected.
+/// Misbehaving ones connect by the hundred and send nothing, or no more than `PING`.
 pub(crate) const UNUSED_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a client whose connection ends may take to read the last answer.
-pub(crate) const LINGER: Duration = Duration::from_millis(400);
-/// After an error nothing more is read from its connection for this long, so that one that repeats it takes little work.
+/// Time for a client to read the last answer of a connection that is being closed.
+pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Pause in reading from a connection after an error, so that a client that repeats it costs little work.
 pub(crate) const ERROR_PENALTY: Duration = Duration::from_millis(20);
-/// Pause between two checks for room in a full table.
-pub(crate) const ROOM_CHECK: Duration = Duration::from_millis(2);
-/// How many reads of a connection that is ending see its client leave, before the rest is left to the system.
-pub(crate) const READS_WHILE_ENDING: usize = 8;
+/// Interval between two checks for free capacity: in the connection table, or in a memory budget.
+pub(crate) const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Reads from a connection that is ending, to notice that its client disconnects. TCP flow control stops a client that sends more.
+pub(crate) const MAX_READS_WHILE_ENDING: usize = 8;
--- a/crates/front_resp/src/memory.rs
+++ b/crates/front_resp/src/memory.rs
@@ -1,27 +1,27 @@
-//! Bytes that a front holds for its clients, counted: a process that holds more than its limit is killed.
+//! Byte budgets of all clients together: the system kills a process that exceeds its memory limit.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// How many bytes are held for one purpose, and how many should be at the most.
+/// Bytes that are reserved for one purpose, and the soft limit on them.
 #[derive(Debug)]
 pub(crate) struct MemoryBudget {
-    held_bytes: AtomicUsize,
+    reserved_bytes: AtomicUsize,
     max_bytes: usize,
 }
 
 impl MemoryBudget {
     pub(crate) fn new(max_bytes: usize) -> Arc<Self> {
-        Arc::new(Self { held_bytes: AtomicUsize::new(0), max_bytes })
+        Arc::new(Self { reserved_bytes: AtomicUsize::new(0), max_bytes })
     }
 
-    /// Whether no more should be held.
+    /// Whether the reservations exceed the budget.
     pub(crate) fn is_exceeded(&self) -> bool {
-        self.held_bytes.load(Ordering::Relaxed) > self.max_bytes
+        self.reserved_bytes.load(Ordering::Relaxed) > self.max_bytes
     }
 }
 
-/// What one owner holds of a budget; given back when dropped.
+/// One owner's share of a budget, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: Arc<MemoryBudget>,
@@ -43,12 +43,12 @@
         self.bytes
     }
 
-    /// Holds so many bytes from now on.
+    /// Grows or shrinks the reservation to this many bytes. It never fails; owners check [`MemoryBudget::is_exceeded`].
     pub(crate) fn resize(&mut self, bytes: usize) {
         if bytes != self.bytes {
-            // Wraps where it becomes less, and so does the sum.
-            let more = bytes.wrapping_sub(std::mem::replace(&mut self.bytes, bytes));
-            self.budget.held_bytes.fetch_add(more, Ordering::Relaxed);
+            // The difference wraps where the reservation shrinks, and so does the sum.
+            let difference = bytes.wrapping_sub(std::mem::replace(&mut self.bytes, bytes));
+            self.budget.reserved_bytes.fetch_add(difference, Ordering::Relaxed);
         }
     }
 }
--- /dev/null
+++ b/crates/front_resp/src/open_requests.rs
@@ -0,0 +1,31 @@
+//! Ids of the requests in flight: an id that a client has in use is rejected.
+
+use link::locked;
+use std::collections::HashSet;
+use std::sync::{Arc, Mutex};
+
+/// Ids of the requests in flight on this front.
+#[derive(Default)]
+pub(crate) struct OpenRequests {
+    ids: Mutex<HashSet<Vec<u8>>>,
+}
+
+/// A request in flight. Its id is free again when this is dropped.
+pub(crate) struct OpenRequest {
+    requests: Arc<OpenRequests>,
+    id: Vec<u8>,
+}
+
+impl OpenRequests {
+    /// Registers a request; `None` where its id is in use.
+    pub(crate) fn open(self: &Arc<Self>, id: Vec<u8>) -> Option<OpenRequest> {
+        let is_new = locked(&self.ids).insert(id.clone());
+        is_new.then(|| OpenRequest { requests: self.clone(), id })
+    }
+}
+
+impl Drop for OpenRequest {
+    fn drop(&mut self) {
+        locked(&self.requests.ids).remove(&self.id);
+    }
+}
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -1,5 +1,5 @@
-//! Which requests are valid. What passes here may be forwarded and counted, so each value is checked against the settings: an amount
-//! that is no number, or a set that does not exist, would spoil a usual tenant's quota.
+//! Validation of requests. A valid request may be forwarded and charged to the tenant that it names, so each value is checked against
+//! the settings: a malformed amount or an impossible number of gatekeepers would corrupt that tenant's quota.
 
 use exchange::{Request, TenantId};
 use resp::Query;
@@ -9,27 +9,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Microseconds that an answer leaves before its client gives up, for the way back and the timers' resolution.
+/// An answer is due this long before the client times out, in microseconds: for the network and the timers' resolution.
 const ANSWER_MARGIN: u64 = 10_000;
-/// Tenants are numbers below this (the protocol).
-const TENANTS: u64 = 1 << 33;
-/// Digits of a tenant's number.
+/// A request has at least this much time left, in microseconds.
+const MIN_TIME_LEFT: u64 = 1_000;
+const MICROS_PER_MILLISECOND: u64 = 1_000;
+/// Tenant numbers are below this (the protocol).
+const TENANT_LIMIT: u64 = 1 << 33;
+/// Hexadecimal digits of a tenant's number.
 const TENANT_DIGITS: usize = 16;
-/// The most bytes of a request's id.
-const MAX_ID: usize = 64;
-/// A client may wait for at most so many times the deadline of its class.
-const MAX_DEADLINES: u64 = 4;
-/// Words of a command without a body.
-const ARGUMENTS: usize = 4;
-
-/// A class as clients name it.
+/// Maximum bytes of a request's id.
+const MAX_ID_BYTES: usize = 64;
+/// A client's deadline is at most this many times the deadline of its class.
+const MAX_DEADLINE_FACTOR: u64 = 4;
+/// Arguments of a command without a body, its name included: name, tenant, id and list of values.
+const ARGUMENT_COUNT: usize = 4;
+
+/// A request class as clients name it.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
     /// Its name.
     pub name: String,
     /// Its number.
     pub number: u16,
-    /// It is idempotent, and so served by `SVC.QUERY`; others come as `SVC.SUBMIT`.
+    /// Its requests are idempotent and sent as `SVC.QUERY`. Those of other classes are sent as `SVC.SUBMIT`.
     pub is_idempotent: bool,
     /// Its deadline in milliseconds.
     pub deadline_ms: u64,
@@ -44,26 +47,26 @@
     pub number: u32,
 }
 
-/// What requests are checked against.
+/// The settings that requests are checked against.
 #[derive(Clone, Debug)]
 pub struct RequestRules {
-    /// The classes.
+    /// The request classes.
     pub classes: Vec<ClassRule>,
     /// The plans.
     pub plans: Vec<PlanRule>,
-    /// How many gatekeepers there are.
+    /// Number of gatekeepers in the fleet.
     pub gatekeepers: u64,
-    /// The most units of one request, where the settings name them.
+    /// Maximum units of one request, where the settings limit them.
     pub max_units: Option<f64>,
 }
 
-/// Why a command is not a valid request, as its client is told.
+/// Why a command is not a valid request. The texts are part of the wire format.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// The command is none of the protocol's.
+    /// The protocol has no such command.
     #[error("unknown command")]
     UnknownCommand,
-    /// It has too few or too many arguments. The text is part of the wire.
+    /// It has too few or too many arguments.
     #[error("wrong number of words")]
     WordCount,
     /// The tenant is not a number in the protocol's range.
@@ -72,13 +75,13 @@
     /// The id is empty, too long, or not graphic ASCII.
     #[error("no usable id")]
     Id,
-    /// The list of values is malformed, or has a name twice.
+    /// The list of values is malformed or repeats a name.
     #[error("a malformed list of values")]
     Values,
     /// The class is not in the settings.
     #[error("no such class")]
     Class,
-    /// The class is served by the other command.
+    /// Requests of this class are sent with the other command.
     #[error("the class has another command")]
     OtherCommand,
     /// The plan is not in the settings.
@@ -98,15 +101,14 @@
     First,
 }
 
-/// A valid request.
+/// A valid request and the id that its client gave it.
 #[derive(Debug)]
 pub(crate) struct ValidRequest {
     pub(crate) request: Request<Query>,
-    /// The id that its client gave it.
     pub(crate) id: Vec<u8>,
 }
 
-/// The values of a request's list.
+/// The known values of a request's list.
 #[derive(Default)]
 struct Values<'a> {
     class: Option<&'a str>,
@@ -119,7 +121,7 @@
 }
 
 impl RequestRules {
-    /// The request of a command; `raw` is the command alone, and its arguments lie in it.
+    /// Validates a command as a request. `raw` is the command alone, and the ranges of its arguments lie in it.
     pub(crate) fn validate(
         &self,
         raw: &[u8],
@@ -131,21 +133,20 @@
             b"SVC.SUBMIT" => false,
             _ => return Err(InvalidRequest::UnknownCommand),
         };
-        // Only what is submitted has a body.
-        let max_arguments = if is_query { ARGUMENTS } else { ARGUMENTS + 1 };
-        if arguments.len() < ARGUMENTS || arguments.len() > max_arguments {
+        // Only a submission has a body.
+        let max_arguments = if is_query { ARGUMENT_COUNT } else { ARGUMENT_COUNT + 1 };
+        if !(ARGUMENT_COUNT..=max_arguments).contains(&arguments.len()) {
             return Err(InvalidRequest::WordCount);
         }
-        let tenant = tenant(argument(1)).ok_or(InvalidRequest::Tenant)?;
+        let tenant = parse_tenant(argument(1)).ok_or(InvalidRequest::Tenant)?;
         let id = argument(2);
-        if id.is_empty() || id.len() > MAX_ID || !id.iter().all(u8::is_ascii_graphic) {
+        if !is_valid_id(id) {
             return Err(InvalidRequest::Id);
         }
         let list = arguments[3].clone();
         let values = Values::parse(raw, list.clone()).ok_or(InvalidRequest::Values)?;
         let class = self.class(&values, is_query)?;
-        let plan = self.plans.iter().find(|plan| Some(plan.name.as_str()) == values.plan);
-        let plan = plan.ok_or(InvalidRequest::Plan)?;
+        let plan = self.plan(&values)?;
         let deadline_ms = values.deadline_ms(class)?;
         let units = self.units(&values)?;
         let tenant_gatekeepers = self.tenant_gatekeepers(&values)?;
@@ -153,7 +154,7 @@
             class: class.number,
             plan: plan.number,
             tenant,
-            time_left: (deadline_ms * 1000).saturating_sub(ANSWER_MARGIN).max(1000),
+            time_left: time_left(deadline_ms),
             tenant_gatekeepers,
             units,
             client_retry: values.retry == Some("1"),
@@ -169,6 +170,11 @@
         if class.is_idempotent == is_query { Ok(class) } else { Err(InvalidRequest::OtherCommand) }
     }
 
+    fn plan(&self, values: &Values<'_>) -> Result<&PlanRule, InvalidRequest> {
+        let plan = self.plans.iter().find(|plan| Some(plan.name.as_str()) == values.plan);
+        plan.ok_or(InvalidRequest::Plan)
+    }
+
     fn units(&self, values: &Values<'_>) -> Result<f64, InvalidRequest> {
         let units = values.units.and_then(|text| text.parse::<f64>().ok());
         let in_range =
@@ -176,12 +182,12 @@
         units.filter(in_range).ok_or(InvalidRequest::Units)
     }
 
-    /// 0 where a request does not tell its set: the policy assumes all gatekeepers then.
+    /// Returns the number of gatekeepers that serve the tenant; 0 where the request does not name it, which the policy takes as all.
     fn tenant_gatekeepers(&self, values: &Values<'_>) -> Result<f64, InvalidRequest> {
         let in_range = |spread: &u64| (1..=self.gatekeepers).contains(spread);
-        let spread = values.spread.map_or(Some(0), |text| digits(text).filter(in_range));
+        let spread = values.spread.map_or(Some(0), |text| parse_digits(text).filter(in_range));
         let spread = spread.ok_or(InvalidRequest::Spread)?;
-        if values.first.is_some_and(|text| digits(text).is_none_or(|first| first >= self.gatekeepers)) {
+        if values.first.is_some_and(|text| parse_digits(text).is_none_or(|first| first >= self.gatekeepers)) {
             return Err(InvalidRequest::First);
         }
         Ok(spread as f64)
@@ -189,7 +195,7 @@
 }
 
 impl<'a> Values<'a> {
-    /// The values that are used; `None` where one stands twice, so that all who parse the list find the same.
+    /// Parses the known values. Returns `None` where one is repeated: two readers could take different ones.
     fn parse(raw: &'a [u8], list: Range<usize>) -> Option<Self> {
         let mut values = Self::default();
         for (name, value) in resp::fields(raw, list) {
@@ -212,21 +218,30 @@
     }
 
     fn deadline_ms(&self, class: &ClassRule) -> Result<u64, InvalidRequest> {
-        let longest = class.deadline_ms.saturating_mul(MAX_DEADLINES).max(1);
-        let deadline = self.deadline.and_then(digits);
-        deadline.filter(|deadline| (1..=longest).contains(deadline)).ok_or(InvalidRequest::Deadline)
+        let max_deadline = class.deadline_ms.saturating_mul(MAX_DEADLINE_FACTOR).max(1);
+        let deadline = self.deadline.and_then(parse_digits);
+        deadline.filter(|deadline| (1..=max_deadline).contains(deadline)).ok_or(InvalidRequest::Deadline)
     }
 }
 
-/// A number of digits only; a sign or a blank is none.
-fn digits(text: &str) -> Option<u64> {
+/// The time that a request has in microseconds, by its client's deadline.
+fn time_left(deadline_ms: u64) -> u64 {
+    (deadline_ms * MICROS_PER_MILLISECOND).saturating_sub(ANSWER_MARGIN).max(MIN_TIME_LEFT)
+}
+
+fn is_valid_id(id: &[u8]) -> bool {
+    (1..=MAX_ID_BYTES).contains(&id.len()) && id.iter().all(u8::is_ascii_graphic)
+}
+
+/// Parses a number that consists of decimal digits alone, without a sign.
+fn parse_digits(text: &str) -> Option<u64> {
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?
 }
 
-/// 16 hexadecimal digits, a number in the protocol's range.
-fn tenant(word: &[u8]) -> Option<TenantId> {
-    let text = std::str::from_utf8(word).ok().filter(|text| text.len() == TENANT_DIGITS)?;
+/// Parses a tenant's number of 16 hexadecimal digits.
+fn parse_tenant(argument: &[u8]) -> Option<TenantId> {
+    let text = std::str::from_utf8(argument).ok().filter(|text| text.len() == TENANT_DIGITS)?;
     let is_hexadecimal = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = is_hexadecimal.then(|| u64::from_str_radix(text, 16).ok())??;
-    (number < TENANTS).then_some(TenantId(number))
+    (number < TENANT_LIMIT).then_some(TenantId(number))
 }
--- /dev/null
+++ b/crates/front_resp/src/sweep.rs
@@ -0,0 +1,47 @@
+//! The periodic sweep: time-outs that no event of a connection triggers, and the reserve for new connections.
+
+use crate::client::ClientConnection;
+use crate::front::Front;
+use crate::limits::{LINGER_TIMEOUT, MAX_UNREAD_BYTES_UNDER_PRESSURE};
+use link::locked;
+
+/// What a sweep does with a connection.
+enum SweepAction {
+    Keep,
+    /// Its reader looks at the state and ends it where that is due.
+    Wake,
+    Close,
+}
+
+impl Front {
+    /// Closes connections that are silent, late, lingering, or too slow to read under memory pressure, and evicts idle ones to keep
+    /// a reserve for new connections. To be called a few times a second.
+    pub fn sweep(&self) {
+        let clients = self.connections.clients();
+        let is_under_pressure = self.memory.unread.is_exceeded();
+        for client in &clients {
+            match SweepAction::for_client(client, is_under_pressure) {
+                SweepAction::Keep => {}
+                SweepAction::Wake => client.socket.wake(),
+                SweepAction::Close => client.socket.close(),
+            }
+        }
+        self.connections.evict(self.connections.excess(clients.len()));
+    }
+}
+
+impl SweepAction {
+    /// Decides on a connection, and updates its reservation of unread bytes.
+    fn for_client(client: &ClientConnection, is_under_pressure: bool) -> Self {
+        let mut state = locked(&client.state);
+        let unread = client.socket.unsent();
+        let is_stuck = unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && unread >= state.unread.bytes();
+        state.unread.resize(unread);
+        let has_lingered = state.lingering_for().is_some_and(|time| time >= LINGER_TIMEOUT);
+        if has_lingered || is_under_pressure && is_stuck {
+            return Self::Close;
+        }
+        let needs_look = state.is_late() || state.is_silent() || state.is_ending();
+        if needs_look { Self::Wake } else { Self::Keep }
+    }
+}
--- /dev/null
+++ b/crates/front_resp/src/writer.rs
@@ -0,0 +1,79 @@
+//! Writing answers in the order of their commands.
+
+use crate::answer_queue::{CommandNumber, Slot};
+use crate::client::ClientConnection;
+use crate::front::Front;
+use crate::limits::{MAX_UNREAD_BYTES, MAX_UNREAD_BYTES_UNDER_PRESSURE};
+use crate::memory::Reservation;
+use exchange::StreamReader;
+use link::locked;
+use std::sync::Arc;
+
+impl Front {
+    /// Answers an error.
+    pub(crate) fn answer_error(&self, client: &ClientConnection, command: CommandNumber, text: &str) {
+        self.answer(client, command, format!("-ERR {text}\r\n").into_bytes());
+    }
+
+    /// Stores a complete answer, and writes those whose turn has come.
+    pub(crate) fn answer(&self, client: &ClientConnection, command: CommandNumber, bytes: Vec<u8>) {
+        let _reservation = Reservation::new(&self.memory.complete, bytes.len());
+        client.set_answer(command, Slot::Answered { bytes, _reservation });
+        self.write(client);
+    }
+
+    /// Stores a streamed answer, and writes it as it arrives and the client reads.
+    pub(crate) fn stream(
+        self: &Arc<Self>,
+        client: &Arc<ClientConnection>,
+        command: CommandNumber,
+        stream: StreamReader,
+    ) {
+        let write_more = || {
+            let (front, client) = (Arc::downgrade(self), Arc::downgrade(client));
+            move || {
+                if let (Some(front), Some(client)) = (front.upgrade(), client.upgrade()) {
+                    front.write(&client);
+                }
+            }
+        };
+        stream.notify_with(Box::new(write_more()));
+        client.socket.on_flushed(write_more());
+        client.set_answer(command, Slot::Streaming(stream));
+        self.write(client);
+    }
+
+    /// Writes the answers whose turn has come. Closes the connection of a client that leaves too much unread.
+    fn write(&self, client: &ClientConnection) {
+        let mut state = locked(&client.state);
+        let due = state.answers.take_due(client.socket.unsent());
+        if due.is_broken {
+            // The end of the connection tells the client that the value is truncated. Nothing may follow it.
+            let _ = client.socket.send(&due.bytes);
+            drop(state);
+            client.socket.close();
+            return;
+        }
+        if due.bytes.is_empty() && !state.answers.is_empty() || client.socket.is_closed() {
+            return;
+        }
+        // Sent under the lock, so that a later answer cannot overtake.
+        let sent = client.socket.send(&due.bytes);
+        let unread = client.socket.unsent();
+        let unread_before = state.unread.bytes();
+        state.unread.resize(unread);
+        let mut wakes_reader = self.is_draining() || self.is_handing_over();
+        if state.answers.is_empty() {
+            state.record_idle();
+            wakes_reader |= state.is_ending();
+        }
+        drop(state);
+        let is_under_pressure = self.memory.unread.is_exceeded();
+        let is_stuck = unread_before > 0 && unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && is_under_pressure;
+        if sent.is_err() || unread > MAX_UNREAD_BYTES || is_stuck {
+            client.socket.close();
+        } else if wakes_reader {
+            client.socket.wake();
+        }
+    }
+}
