--- a/crates/front_openapi/src/client_connection.rs
+++ b/crates/front_openapi/src/client_connection.rs
@@ -7,75 +7,98 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// What a client connection does at present.
+/// What a client connection is doing.
+///
+/// ```text
+///            first byte             last byte              final answer
+///   Idle ----------------> Reading ----------> Waiting -------------------> Finishing
+///    ^                                                                          |
+///    +--------------------------- client has taken the answer ------------------+
+/// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Between requests.
+    /// It is between requests.
     Idle,
-    /// A request has begun to arrive.
+    /// A request is arriving.
     Reading,
-    /// The exchange has the request.
+    /// A request is in flight at the exchange.
     Waiting,
-    /// The last bytes of an answer are being sent.
+    /// The rest of an answer is being sent.
     Finishing,
 }
 
+/// The phase of a connection and when it began.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CurrentPhase {
+    pub(crate) phase: Phase,
+    pub(crate) since: Instant,
+}
+
+impl CurrentPhase {
+    fn start(phase: Phase) -> Self {
+        Self { phase, since: Instant::now() }
+    }
+
+    /// Whether the connection has been in its phase for longer than `timeout`.
+    pub(crate) fn exceeds(&self, timeout: Duration) -> bool {
+        self.since.elapsed() > timeout
+    }
+}
+
 /// One client's connection.
 pub(crate) struct ClientConnection {
     pub(crate) connection: Connection,
-    /// The phase, and when it began.
-    phase: Mutex<(Phase, Instant)>,
+    phase: Mutex<CurrentPhase>,
     answer: Mutex<Option<FinalAnswer<Response>>>,
-    /// It is to close if it is idle.
-    close_if_idle: AtomicBool,
+    is_close_requested: AtomicBool,
 }
 
 impl ClientConnection {
     pub(crate) fn new(connection: Connection) -> Self {
         Self {
             connection,
-            phase: Mutex::new((Phase::Idle, Instant::now())),
+            phase: Mutex::new(CurrentPhase::start(Phase::Idle)),
             answer: Mutex::new(None),
-            close_if_idle: AtomicBool::new(false),
+            is_close_requested: AtomicBool::new(false),
         }
     }
 
+    /// Enters a phase. No effect where the connection is in it already.
     pub(crate) fn enter(&self, phase: Phase) {
         let mut current = locked(&self.phase);
-        if current.0 != phase {
-            *current = (phase, Instant::now());
+        if current.phase != phase {
+            *current = CurrentPhase::start(phase);
         }
     }
 
-    /// The phase, and since when it lasts.
-    pub(crate) fn phase(&self) -> (Phase, Instant) {
+    pub(crate) fn phase(&self) -> CurrentPhase {
         *locked(&self.phase)
     }
 
-    /// Since when it is idle, if it has been for this long.
+    /// Returns since when the connection is idle, if it has been for at least `min_idle`.
     pub(crate) fn idle_since(&self, min_idle: Duration) -> Option<Instant> {
-        let (phase, since) = self.phase();
+        let CurrentPhase { phase, since } = self.phase();
         (phase == Phase::Idle && since.elapsed() >= min_idle).then_some(since)
     }
 
-    /// Closes it unless a request arrives first.
+    /// Asks the connection's coroutine to close it, unless a request arrives first.
     pub(crate) fn request_close_if_idle(&self) {
-        self.close_if_idle.store(true, Ordering::Release);
+        self.is_close_requested.store(true, Ordering::Release);
         self.connection.wake();
     }
 
-    /// Whether it was to be closed if idle; asks once.
-    pub(crate) fn take_close_if_idle(&self) -> bool {
-        self.close_if_idle.swap(false, Ordering::AcqRel)
+    /// Takes the request of [`ClientConnection::request_close_if_idle`], and returns whether there was one.
+    pub(crate) fn take_close_request(&self) -> bool {
+        self.is_close_requested.swap(false, Ordering::AcqRel)
     }
 
-    /// Delivers the final answer of the request that it waits for.
+    /// Delivers the final answer to the request in flight.
     pub(crate) fn deliver(&self, answer: FinalAnswer<Response>) {
         *locked(&self.answer) = Some(answer);
         self.connection.wake();
     }
 
-    /// The final answer, if it has come.
+    /// Takes the final answer, if it has been delivered.
     pub(crate) fn take_answer(&self) -> Option<FinalAnswer<Response>> {
         locked(&self.answer).take()
     }
--- a/crates/front_openapi/src/config.rs
+++ b/crates/front_openapi/src/config.rs
@@ -1,4 +1,4 @@
-//! What the front serves, and whom.
+//! The configuration of the front: routes, tenants and limits.
 
 use exchange::TenantId;
 use openapi::RouteTable;
@@ -8,7 +8,7 @@
 /// A tenant that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, as the header gives it.
+    /// Its name, as clients send it in the tenant header.
     pub name: String,
     /// Its number.
     pub id: TenantId,
@@ -23,40 +23,44 @@
 pub struct RouteClass {
     /// The number of the class.
     pub class: u16,
-    /// The client gives up after this, in microseconds.
+    /// Time until the client times out, in microseconds.
     pub deadline: Micros,
 }
 
-/// What the front works by.
+/// The configuration of the front.
 #[derive(Clone, Debug)]
 pub struct FrontConfig {
     /// The routes.
     pub routes: RouteTable,
-    /// The class of each route, by the route's number.
+    /// The class of each route, indexed by the route's number.
     pub classes: Vec<RouteClass>,
     /// The header that names the tenant.
     pub tenant_header: String,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// How many gatekeepers a tenant's requests come through.
+    /// Number of gatekeepers that serve one tenant.
     pub tenant_gatekeepers: f64,
-    /// The most bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub max_body_bytes: usize,
-    /// The most client connections.
+    /// Maximum number of client connections.
     pub max_connections: usize,
-    /// A request must be complete, and an answer read by the client, within this time.
+    /// Time for a client to send a complete request, and to read an answer.
     pub client_timeout: Duration,
 }
 
 impl FrontConfig {
-    /// The account in which the exchange counts the units of a tenant on a route.
+    /// Returns the account in which the exchange sums up the units of a tenant on a route.
     pub(crate) fn account(&self, route: usize, tenant: usize) -> u32 {
         (route * self.tenants.len() + tenant) as u32
     }
 
-    /// The route and the tenant of an account.
-    pub(crate) fn route_and_tenant(&self, account: u32) -> (usize, usize) {
-        let account = account as usize;
-        (account / self.tenants.len(), account % self.tenants.len())
+    /// Returns the route of an account.
+    pub(crate) fn route_of(&self, account: u32) -> usize {
+        account as usize / self.tenants.len()
+    }
+
+    /// Returns the tenant of an account.
+    pub(crate) fn tenant_of(&self, account: u32) -> usize {
+        account as usize % self.tenants.len()
     }
 }
--- a/crates/front_openapi/src/front.rs
+++ b/crates/front_openapi/src/front.rs
@@ -1,4 +1,4 @@
-//! The front with all its client connections.
+//! The front: accepting client connections, draining them, and closing idle and stalled ones.
 
 use crate::client_connection::{ClientConnection, Phase};
 use crate::{FrontConfig, RouteCounts};
@@ -11,9 +11,9 @@
 
 /// A client connection that has been idle for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// At the limit of connections, one that has been idle for this long is closed for a new one.
-pub(crate) const EVICTABLE_AFTER: Duration = Duration::from_secs(2);
-/// Between two attempts to make room at the limit of connections.
+/// At the limit of connections, one that has been idle for at least this long is evicted for a new one.
+pub(crate) const MIN_IDLE_FOR_EVICTION: Duration = Duration::from_secs(2);
+/// Interval between two evictions at the limit of connections.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The exchange of this front: HTTP requests in, HTTP responses out.
@@ -25,22 +25,22 @@
     pub(crate) config: FrontConfig,
     is_draining: AtomicBool,
     connections: Mutex<Vec<Weak<ClientConnection>>>,
-    /// By the number of the route.
+    /// Final answers by route, indexed by the route's number.
     pub(crate) counts: Mutex<Vec<RouteCounts>>,
 }
 
 impl Front {
-    /// A front on this exchange.
+    /// Creates a front that submits its requests to this exchange.
     pub fn new(exchange: Arc<HttpExchange>, config: FrontConfig) -> Arc<Self> {
         let counts = Mutex::new(vec![RouteCounts::default(); config.routes.routes().len()]);
         let is_draining = AtomicBool::new(false);
         Arc::new(Self { exchange, config, is_draining, connections: Mutex::default(), counts })
     }
 
-    /// Accepts client connections until the listener is closed; runs in a coroutine.
+    /// Accepts client connections until the listener is closed. Runs in a coroutine.
     pub fn accept_connections(self: &Arc<Self>, listener: &Listener) {
         while let Some(connection) = listener.accept() {
-            // At the limit a new connection waits until idle ones are closed: closed itself, it would only come again.
+            // At the limit a new connection waits for evictions. If it were closed, its client would only reconnect.
             while self.is_full() {
                 self.evict_longest_idle();
                 sleep(EVICTION_INTERVAL);
@@ -55,31 +55,31 @@
         }
     }
 
-    /// Closes every client connection as soon as it is between requests.
+    /// Starts a graceful drain: closes every client connection as soon as it is between requests.
     pub fn drain(&self) {
         self.is_draining.store(true, Ordering::Release);
-        self.open().iter().for_each(|client| client.connection.wake());
+        self.open_clients().iter().for_each(|client| client.connection.wake());
     }
 
     pub(crate) fn is_draining(&self) -> bool {
         self.is_draining.load(Ordering::Acquire)
     }
 
-    /// How many client connections are open.
+    /// Returns the number of open client connections.
     pub fn open_connections(&self) -> usize {
-        self.open().len()
+        self.open_clients().len()
     }
 
-    /// Closes connections that are idle or stalled for too long; call it now and then.
+    /// Closes connections that have exceeded the idle time-out or the client time-out. To be called a few times a second.
     pub fn close_overdue(&self) {
         let client_timeout = self.config.client_timeout;
-        for client in self.open() {
-            let (phase, since) = client.phase();
-            match phase {
-                Phase::Idle if since.elapsed() > IDLE_TIMEOUT => client.request_close_if_idle(),
-                // Woken, it checks the time by itself.
-                Phase::Reading if since.elapsed() > client_timeout => client.connection.wake(),
-                Phase::Finishing if since.elapsed() > client_timeout => client.connection.close(),
+        for client in self.open_clients() {
+            let current = client.phase();
+            match current.phase {
+                Phase::Idle if current.exceeds(IDLE_TIMEOUT) => client.request_close_if_idle(),
+                // Its coroutine wakes, checks the time-out and answers 408.
+                Phase::Reading if current.exceeds(client_timeout) => client.connection.wake(),
+                Phase::Finishing if current.exceeds(client_timeout) => client.connection.close(),
                 _ => {}
             }
         }
@@ -91,17 +91,18 @@
         connections.len() >= self.config.max_connections
     }
 
-    /// Closes the connection that has been idle for longest, if it has been for long enough.
+    /// Evicts the longest idle connection, if it has been idle for [`MIN_IDLE_FOR_EVICTION`].
     fn evict_longest_idle(&self) {
-        let clients = self.open();
+        let clients = self.open_clients();
         let evictable =
-            clients.iter().filter_map(|client| Some((client.idle_since(EVICTABLE_AFTER)?, client)));
+            clients.iter().filter_map(|client| Some((client.idle_since(MIN_IDLE_FOR_EVICTION)?, client)));
         if let Some((_, client)) = evictable.min_by_key(|(since, _)| *since) {
             client.request_close_if_idle();
         }
     }
 
-    fn open(&self) -> Vec<Arc<ClientConnection>> {
+    /// Returns the connections that are not closed.
+    fn open_clients(&self) -> Vec<Arc<ClientConnection>> {
         let connections = locked(&self.connections);
         let clients = connections.iter().filter_map(Weak::upgrade);
         clients.filter(|client| !client.connection.is_closed()).collect()
--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -1,12 +1,14 @@
-//! The front whose routes and costs come from OpenAPI descriptions: HTTP/1.1 in, requests to the exchange out.
+//! The HTTP/1.1 front, whose routes and costs come from OpenAPI descriptions.
 //!
-//! A request's method and path select a route, and the route its units and class; a configured header names the tenant, and
-//! the configuration, not the client, names the tenant's plan. The exchange decides as it does for every front.
+//! The method and path of a request select its route, and the route its units and request class. A configured header names the
+//! tenant; the tenant's plan comes from the configuration, never from the client. The exchange makes all admission decisions, as it
+//! does for every front.
 
 mod client_connection;
 mod config;
 mod front;
 mod problem;
+mod receive;
 mod report;
 mod resolve;
 mod serve;
--- a/crates/front_openapi/src/problem.rs
+++ b/crates/front_openapi/src/problem.rs
@@ -1,4 +1,4 @@
-//! Answers that this front gives itself, as problem details (RFC 9457).
+//! Error responses that the front creates itself, as problem details (RFC 9457).
 
 use exchange::FailureReason;
 use http::HttpError;
@@ -6,13 +6,13 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// An answer that no backend gave.
+/// An error response that comes from the front, not from a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Problem {
     status: u16,
     title: &'static str,
     detail: String,
-    /// Header fields beside those of every problem, each with its line's end.
+    /// Additional header fields, each with its CRLF.
     fields: String,
 }
 
@@ -25,14 +25,14 @@
         Self::new(400, "Bad Request", detail)
     }
 
-    /// `allowed`: the methods of the path, separated by commas.
+    /// `allowed` lists the methods of the path, separated by commas.
     pub(crate) fn method_not_allowed(allowed: &str) -> Self {
         let mut problem = Self::new(405, "Method Not Allowed", "the path has other methods");
         problem.fields = format!("Allow: {allowed}\r\n");
         problem
     }
 
-    /// The answer to a request that was rejected or failed.
+    /// The response to a request that was rejected or failed. `retry_after` is 0 for none.
     pub(crate) fn not_served(reason: FailureReason, retry_after: Micros) -> Self {
         match reason {
             FailureReason::NoCapacity => {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Adds `Retry-After` in whole seconds, rounded up; 0 adds none.
+    /// Adds `Retry-After` in whole seconds, rounded up, unless it is 0.
     fn with_retry_after(mut self, retry_after: Micros) -> Self {
         if retry_after > 0 {
             self.fields = format!("Retry-After: {}\r\n", retry_after.div_ceil(MICROS_PER_SECOND));
@@ -56,7 +56,7 @@
         self
     }
 
-    /// The bytes of the response; to a HEAD request it has no body.
+    /// Encodes the response. `close` announces the end of the connection. The response to a HEAD request has no body.
     pub(crate) fn encode(&self, close: bool, is_head: bool) -> Vec<u8> {
         let Self { status, title, detail, fields } = self;
         let needs_escape = |character: char| character.is_control() || "\"\\".contains(character);
--- a/crates/front_openapi/src/problem/tests.rs
+++ b/crates/front_openapi/src/problem/tests.rs
@@ -1,10 +1,10 @@
-//! The answers that the front gives itself, as version 0.1.0 wrote them: later versions write the same bytes.
+//! Error responses, as version 0.1.0 wrote them: later versions write the same bytes.
 
 use super::*;
 
 const PROBLEMS: &str = include_str!("../../tests/fixtures/problems.http");
 
-/// One of each answer: the connection stays open, closes, or the request was HEAD.
+/// One problem of each kind.
 fn all_problems() -> Vec<Problem> {
     vec![
         Problem::from(HttpError::Malformed(http::MalformedMessage::HeaderName)),
@@ -24,11 +24,12 @@
     ]
 }
 
-fn written() -> String {
+/// Each problem as it is encoded for each kind of connection and request.
+fn encoded_problems() -> String {
     let mut text = String::new();
     for problem in all_problems() {
         for (close, is_head) in [(false, false), (true, false), (false, true), (true, true)] {
-            text += &String::from_utf8(problem.encode(close, is_head)).expect("text");
+            text += &String::from_utf8(problem.encode(close, is_head)).expect("a response is UTF-8");
             text += "\n----\n";
         }
     }
@@ -37,5 +38,5 @@
 
 #[test]
 fn writes_the_problem_details_of_version_0_1_0() {
-    assert_eq!(written(), PROBLEMS);
+    assert_eq!(encoded_problems(), PROBLEMS);
 }
--- /dev/null
+++ b/crates/front_openapi/src/receive.rs
@@ -0,0 +1,104 @@
+//! Receiving requests from a client connection.
+
+use crate::Front;
+use crate::client_connection::{ClientConnection, Phase};
+use crate::front::MIN_IDLE_FOR_EVICTION;
+use crate::problem::Problem;
+use crate::resolve::Resolved;
+use crate::serve::{ConnectionEnd, ServeResult};
+use http::{BodyReader, Framing, RequestHead};
+use link::Incoming;
+
+/// Maximum bytes of one read.
+pub(crate) const MAX_READ_BYTES: usize = 16 * 1024;
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// A request that has arrived completely.
+pub(crate) struct CompleteRequest {
+    /// The bytes of its head.
+    pub(crate) bytes: Vec<u8>,
+    pub(crate) head: RequestHead,
+    pub(crate) body: Vec<u8>,
+    pub(crate) resolved: Result<Resolved, Problem>,
+}
+
+impl Front {
+    /// Waits for a complete request. Its route and tenant are resolved before its body is read.
+    pub(crate) fn receive(
+        &self,
+        client: &ClientConnection,
+        buffer: &mut Vec<u8>,
+    ) -> Result<CompleteRequest, ConnectionEnd> {
+        // Requests that a client pipelined before it disconnected are not started.
+        if client.connection.is_peer_closed() {
+            return Err(ConnectionEnd::ClientGone);
+        }
+        let head = loop {
+            match http::parse_request_head(buffer)? {
+                Some(head) => break head,
+                None => self.read_more(client, buffer)?,
+            }
+        };
+        client.enter(Phase::Reading);
+        let bytes: Vec<u8> = buffer.drain(..head.length).collect();
+        let resolved = self.resolve(&bytes, &head);
+        if let (Err(problem), true) = (&resolved, head.framing != Framing::Empty) {
+            // The body is not read, so the connection cannot serve a further request.
+            return Err(ConnectionEnd::Problem(problem.clone()));
+        }
+        let body = self.receive_body(client, buffer, &head)?;
+        Ok(CompleteRequest { bytes, head, body, resolved })
+    }
+
+    fn receive_body(
+        &self,
+        client: &ClientConnection,
+        buffer: &mut Vec<u8>,
+        head: &RequestHead,
+    ) -> Result<Vec<u8>, ConnectionEnd> {
+        let mut body = BodyReader::new(head.framing, self.config.max_body_bytes)?;
+        let mut awaits_continue = head.expects_continue;
+        while !body.read_from(buffer)? {
+            if std::mem::take(&mut awaits_continue) {
+                // A failure to send is reported by the next read.
+                let _ = client.connection.send(CONTINUE);
+            }
+            self.read_more(client, buffer)?;
+        }
+        Ok(body.bytes)
+    }
+
+    /// Waits for more bytes of a request.
+    fn read_more(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> ServeResult {
+        if buffer.is_empty() && client.phase().phase != Phase::Reading {
+            if self.is_draining() {
+                return Err(ConnectionEnd::BetweenRequests);
+            }
+            client.enter(Phase::Idle);
+        }
+        match client.connection.receive(buffer, MAX_READ_BYTES) {
+            // Requests of a client that has disconnected since are not started.
+            Ok(Incoming::Bytes(_)) if client.connection.is_peer_closed() => Err(ConnectionEnd::ClientGone),
+            Ok(Incoming::Bytes(_)) => {
+                client.enter(Phase::Reading);
+                Ok(())
+            }
+            Ok(Incoming::Woken) => self.check_timeouts(client),
+            Ok(Incoming::End) | Err(_) => Err(ConnectionEnd::ClientGone),
+        }
+    }
+
+    /// Ends a connection that was woken because it is evicted, idle or stalled.
+    fn check_timeouts(&self, client: &ClientConnection) -> ServeResult {
+        let current = client.phase();
+        // A wake is reported when nothing is left to read. Only here is it certain that no request has arrived unread.
+        if client.take_close_request() && client.idle_since(MIN_IDLE_FOR_EVICTION).is_some() {
+            return Err(ConnectionEnd::BetweenRequests);
+        }
+        if current.phase == Phase::Reading && current.exceeds(self.config.client_timeout) {
+            let problem = Problem::new(408, "Request Timeout", "the request came too slowly");
+            return Err(ConnectionEnd::Problem(problem));
+        }
+        Ok(())
+    }
+}
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -1,4 +1,4 @@
-//! What the console shows of the front.
+//! The report on routes and tenants for the operator console.
 
 use crate::{Front, Tenant};
 use exchange::FinalAnswer;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Final answers of one route.
+/// Counts of the final answers of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteCounts {
     /// Served by a backend.
     pub served: u64,
-    /// Rejected. The console calls them busy.
+    /// Rejected. The console shows them as `busy`.
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
@@ -28,11 +28,12 @@
     }
 }
 
-/// Units by account, as the exchange counts them.
+/// Forwarded units by account, as the exchange counts them.
 type UnitsByAccount = BTreeMap<u32, f64>;
 
 impl Front {
-    /// Routes and tenants as text, one a line. The units are those forwarded, once for each request.
+    /// Returns a text with one line for each route and tenant. Units count once for each forwarded request, however many attempts it
+    /// took.
     pub fn report(&self) -> String {
         let units = self.exchange.status().accounts;
         let mut report = String::from("routes\n");
@@ -48,7 +49,7 @@
 
     fn report_route(&self, number: usize, route: &Route, units: &UnitsByAccount, report: &mut String) {
         let RouteCounts { served, rejected, failed } = locked(&self.counts)[number];
-        let forwarded = self.sum_units(units, |route, _| route == number);
+        let forwarded = sum_units(units, |account| self.config.route_of(account) == number);
         let Route { method, path, units: cost, .. } = route;
         // Writing to a string cannot fail.
         let _ = writeln!(
@@ -58,20 +59,17 @@
     }
 
     fn report_tenant(&self, number: usize, tenant: &Tenant, units: &UnitsByAccount, report: &mut String) {
-        let forwarded = self.sum_units(units, |_, tenant| tenant == number);
+        let forwarded = sum_units(units, |account| self.config.tenant_of(account) == number);
         let Tenant { name, plan_name, .. } = tenant;
         let _ = writeln!(report, "  {name}  plan {plan_name}  units {forwarded}");
     }
+}
 
-    /// The units of the accounts whose route and tenant are included.
-    fn sum_units(&self, units: &UnitsByAccount, is_included: impl Fn(usize, usize) -> bool) -> f64 {
-        let included = units.iter().filter(|(account, _)| {
-            let (route, tenant) = self.config.route_and_tenant(**account);
-            is_included(route, tenant)
-        });
-        // Not `sum`, which is -0 for no account at all.
-        included.fold(0.0, |sum, (_, units)| sum + units)
-    }
+/// Sums up the units of the accounts that are included.
+fn sum_units(units: &UnitsByAccount, is_included: impl Fn(u32) -> bool) -> f64 {
+    let included = units.iter().filter(|(account, _)| is_included(**account));
+    // `Iterator::sum` returns -0 for an empty iterator, which would be printed as such.
+    included.fold(0.0, |sum, (_, units)| sum + units)
 }
 
 #[cfg(test)]
--- a/crates/front_openapi/src/report/tests.rs
+++ b/crates/front_openapi/src/report/tests.rs
@@ -1,4 +1,4 @@
-//! The report on routes and lenders, as version 0.1.0 wrote it: later versions write the same bytes.
+//! The report, as version 0.1.0 wrote it: later versions write the same bytes.
 
 use crate::{Front, FrontConfig, HttpExchange, RouteClass, RouteCounts, Tenant};
 use exchange::{Clock, Exchange, FailureReason, FinalAnswer, TenantId};
@@ -20,25 +20,25 @@
         plans: vec![Plan::default()],
         ..Settings::default()
     };
-    let exchange: Arc<HttpExchange> = Exchange::new(settings, 1, Clock::start()).expect("usable settings");
+    let exchange: Arc<HttpExchange> = Exchange::new(settings, 1, Clock::start()).expect("valid settings");
     let table = RouteTable::load(&[Description { name: "loans.json", text: DESCRIPTION }]).expect("a table");
-    let lender = |name: &str, number: u64, plan: &str| Tenant {
+    let tenant = |name: &str, number: u64, plan: &str| Tenant {
         name: name.into(),
         id: TenantId(number),
         plan: 0,
         plan_name: plan.into(),
     };
-    let setup = FrontConfig {
+    let config = FrontConfig {
         classes: vec![RouteClass { class: 0, deadline: 2_500_000 }; table.routes().len()],
         routes: table,
         tenant_header: "x-lender".into(),
-        tenants: vec![lender("acme", 1, "gold"), lender("bank", 2, "basic")],
+        tenants: vec![tenant("acme", 1, "gold"), tenant("bank", 2, "basic")],
         tenant_gatekeepers: 1.0,
         max_body_bytes: 1024,
         max_connections: 8,
         client_timeout: Duration::from_secs(1),
     };
-    Front::new(exchange, setup)
+    Front::new(exchange, config)
 }
 
 #[test]
@@ -52,8 +52,8 @@
 #[test]
 fn counts_each_kind_of_final_answer() {
     let mut counts = RouteCounts::default();
-    let answer = Response { status: 200, head: Vec::new(), length: None, body: Vec::new() };
-    counts.count(&FinalAnswer::Served(answer));
+    let response = Response { status: 200, head: Vec::new(), length: None, body: Vec::new() };
+    counts.count(&FinalAnswer::Served(response));
     for _ in 0..2 {
         counts
             .count(&FinalAnswer::<Response>::Rejected { retry_after: 1, reason: FailureReason::NoCapacity });
--- a/crates/front_openapi/src/resolve.rs
+++ b/crates/front_openapi/src/resolve.rs
@@ -1,21 +1,21 @@
-//! The route and the tenant of a request.
+//! Resolving the route and the tenant of a request.
 
 use crate::problem::Problem;
 use crate::{Front, FrontConfig};
 use http::RequestHead;
 use openapi::RouteMatch;
 
-/// What is requested, and by whom.
+/// The route and the tenant of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Resolved {
     /// The number of the route.
     pub(crate) route: usize,
-    /// The place of the tenant in the configuration.
+    /// The tenant's index in the configuration.
     pub(crate) tenant: usize,
 }
 
 impl Front {
-    /// Finds the route and the tenant of a request; `bytes` holds its head.
+    /// Resolves the route and the tenant of a request whose head is in `bytes`.
     pub(crate) fn resolve(&self, bytes: &[u8], head: &RequestHead) -> Result<Resolved, Problem> {
         let route = find_route(&self.config, bytes, head)?;
         let tenant = find_tenant(&self.config, bytes, head)?;
@@ -44,11 +44,12 @@
     tenant.ok_or_else(|| Problem::new(403, "Forbidden", "this lender is not known here"))
 }
 
+/// Returns a part of the request line as text.
 fn ascii(part: &[u8]) -> Result<&str, Problem> {
     std::str::from_utf8(part).map_err(|_| Problem::malformed("the target is not ASCII"))
 }
 
-/// The target in origin form (path and query); clients may also send it with scheme and authority.
+/// Returns the target in origin form (path and query). Clients may send it in absolute form, with scheme and authority.
 pub(crate) fn request_target<'a>(bytes: &'a [u8], head: &RequestHead) -> Result<&'a [u8], Problem> {
     let target = &bytes[head.target.clone()];
     let has_scheme =
@@ -68,6 +69,7 @@
     }
 }
 
+/// Returns the path of a target in origin form.
 fn path_of(target: &[u8]) -> &[u8] {
     target.split(|&byte| byte == b'?').next().unwrap_or_default()
 }
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -1,55 +1,43 @@
-//! Serves the requests of one client connection, one after another.
+//! Serving the requests of one client connection, one after another.
 
 use crate::Front;
 use crate::client_connection::{ClientConnection, Phase};
-use crate::front::EVICTABLE_AFTER;
 use crate::problem::Problem;
+use crate::receive::{CompleteRequest, MAX_READ_BYTES};
 use crate::resolve::{Resolved, request_target};
 use exchange::FinalAnswer;
-use http::{BodyReader, Framing, Request, RequestHead, Response};
+use http::{Request, RequestHead, Response};
 use link::{Incoming, locked};
 use policy::Micros;
 use std::sync::Arc;
 
-/// Bytes requested of the operating system in one read.
-const READ_BYTES: usize = 16 * 1024;
-/// Bytes that a client may send ahead while a request of its is in flight.
+/// Bytes that a client may pipeline while a request is in flight. Beyond them, its connection is not read (backpressure).
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// An answer is sent this long before the client's deadline, for the granularity of timers.
+/// An answer is due this long before the client times out, in microseconds: for the timers' resolution.
 const DEADLINE_MARGIN: Micros = 10_000;
-/// No request has less time than this, however short its deadline.
+/// A request has at least this much time, in microseconds, however short its deadline.
 const MIN_TIME_LEFT: Micros = 1_000;
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Why a client connection serves no more requests.
-enum ConnectionEnd {
+pub(crate) enum ConnectionEnd {
     /// The client has disconnected.
     ClientGone,
-    /// It is between requests, and closes gracefully: a request that crosses the close is surely unread.
+    /// It is between requests and closes gracefully. A request that crosses the close is unread, so the client may retry it.
     BetweenRequests,
-    /// This is sent before it closes.
+    /// This response is sent before it closes.
     Problem(Problem),
 }
 
 /// Whether a client connection serves further requests.
-type Served = Result<(), ConnectionEnd>;
-
-/// A request that has arrived completely.
-struct CompleteRequest {
-    /// The bytes of its head.
-    bytes: Vec<u8>,
-    head: RequestHead,
-    body: Vec<u8>,
-    resolved: Result<Resolved, Problem>,
-}
+pub(crate) type ServeResult = Result<(), ConnectionEnd>;
 
 impl Front {
-    /// Serves requests until the client disconnects, or one request cannot be told from the next.
+    /// Serves requests until the client disconnects, or the end of a request cannot be determined.
     pub(crate) fn serve(&self, client: &Arc<ClientConnection>) {
         let mut buffer = Vec::new();
         let end = loop {
-            let served = self.receive(client, &mut buffer);
-            if let Err(end) = served.and_then(|request| self.answer(client, &mut buffer, request)) {
+            let received = self.receive(client, &mut buffer);
+            if let Err(end) = received.and_then(|request| self.answer(client, &mut buffer, request)) {
                 break end;
             }
         };
@@ -57,7 +45,7 @@
             ConnectionEnd::ClientGone => return,
             ConnectionEnd::BetweenRequests => {}
             ConnectionEnd::Problem(problem) => {
-                // A client that cannot be reached any more needs no answer.
+                // Fails where the client has disconnected and needs no response.
                 let _ = client.connection.send(&problem.encode(true, false));
             }
         }
@@ -65,92 +53,13 @@
         client.connection.close_gracefully();
     }
 
-    /// Waits for a complete request. Its route and tenant are resolved before its body is read.
-    fn receive(
-        &self,
-        client: &ClientConnection,
-        buffer: &mut Vec<u8>,
-    ) -> Result<CompleteRequest, ConnectionEnd> {
-        // What a client sent ahead before it disconnected is not begun.
-        if client.connection.is_peer_closed() {
-            return Err(ConnectionEnd::ClientGone);
-        }
-        let head = loop {
-            match http::parse_request_head(buffer)? {
-                Some(head) => break head,
-                None => self.read_more(client, buffer)?,
-            }
-        };
-        client.enter(Phase::Reading);
-        let bytes: Vec<u8> = buffer.drain(..head.length).collect();
-        let resolved = self.resolve(&bytes, &head);
-        if let (Err(problem), true) = (&resolved, head.framing != Framing::Empty) {
-            // The body that follows is not wanted: it ends with the connection.
-            return Err(ConnectionEnd::Problem(problem.clone()));
-        }
-        let body = self.receive_body(client, buffer, &head)?;
-        Ok(CompleteRequest { bytes, head, body, resolved })
-    }
-
-    fn receive_body(
-        &self,
-        client: &ClientConnection,
-        buffer: &mut Vec<u8>,
-        head: &RequestHead,
-    ) -> Result<Vec<u8>, ConnectionEnd> {
-        let mut body = BodyReader::new(head.framing, self.config.max_body_bytes)?;
-        let mut awaits_continue = head.expects_continue;
-        while !body.read_from(buffer)? {
-            if std::mem::take(&mut awaits_continue) {
-                // If it cannot be sent, the next read says so.
-                let _ = client.connection.send(CONTINUE);
-            }
-            self.read_more(client, buffer)?;
-        }
-        Ok(body.bytes)
-    }
-
-    /// Waits for more bytes of a request.
-    fn read_more(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> Served {
-        if buffer.is_empty() && client.phase().0 != Phase::Reading {
-            if self.is_draining() {
-                return Err(ConnectionEnd::BetweenRequests);
-            }
-            client.enter(Phase::Idle);
-        }
-        match client.connection.receive(buffer, READ_BYTES) {
-            // What came from a client that has disconnected since is not begun.
-            Ok(Incoming::Bytes(_)) if client.connection.is_peer_closed() => Err(ConnectionEnd::ClientGone),
-            Ok(Incoming::Bytes(_)) => {
-                client.enter(Phase::Reading);
-                Ok(())
-            }
-            Ok(Incoming::Woken) => self.check_overdue(client),
-            Ok(Incoming::End) | Err(_) => Err(ConnectionEnd::ClientGone),
-        }
-    }
-
-    /// Ends a connection that was woken because it is idle or stalled for too long.
-    fn check_overdue(&self, client: &ClientConnection) -> Served {
-        let (phase, since) = client.phase();
-        // Only here, where nothing is left to read, is it sure that no request has arrived unseen.
-        if client.take_close_if_idle() && client.idle_since(EVICTABLE_AFTER).is_some() {
-            return Err(ConnectionEnd::BetweenRequests);
-        }
-        if phase == Phase::Reading && since.elapsed() > self.config.client_timeout {
-            let problem = Problem::new(408, "Request Timeout", "the request came too slowly");
-            return Err(ConnectionEnd::Problem(problem));
-        }
-        Ok(())
-    }
-
-    /// Has a request answered, and sends the answer.
+    /// Obtains the answer to a request, and sends it.
     fn answer(
         &self,
         client: &Arc<ClientConnection>,
         buffer: &mut Vec<u8>,
         request: CompleteRequest,
-    ) -> Served {
+    ) -> ServeResult {
         let CompleteRequest { bytes, head, body, resolved } = request;
         let is_head = &bytes[head.method.clone()] == b"HEAD";
         client.enter(Phase::Waiting);
@@ -167,19 +76,20 @@
         self.send(client, &encode_answer(&answer, !keep_alive, is_head), keep_alive)
     }
 
-    fn send(&self, client: &ClientConnection, bytes: &[u8], keep_alive: bool) -> Served {
+    /// Sends an answer, and waits until the client has taken it or the connection is to close.
+    fn send(&self, client: &ClientConnection, bytes: &[u8], keep_alive: bool) -> ServeResult {
         client.connection.send(bytes).map_err(|_| ConnectionEnd::ClientGone)?;
         client.enter(Phase::Finishing);
         if !keep_alive {
             return Err(ConnectionEnd::BetweenRequests);
         }
-        // The next request is read when the client has taken this answer, so answers never pile up.
+        // The next request is read after the client has taken this answer, so at most one answer is buffered (backpressure).
         client.connection.flush_all().map_err(|_| ConnectionEnd::ClientGone)?;
         client.enter(Phase::Idle);
         Ok(())
     }
 
-    /// The request as the exchange gets it.
+    /// Converts a request for the exchange.
     fn exchange_request(
         &self,
         bytes: &[u8],
@@ -189,11 +99,11 @@
     ) -> Result<exchange::Request<Request>, ConnectionEnd> {
         let target = request_target(bytes, head).map_err(ConnectionEnd::Problem)?;
         let class = self.config.classes[route];
-        let who = &self.config.tenants[tenant];
+        let tenant_config = &self.config.tenants[tenant];
         Ok(exchange::Request {
             class: class.class,
-            plan: who.plan,
-            tenant: who.id,
+            plan: tenant_config.plan,
+            tenant: tenant_config.id,
             time_left: class.deadline.saturating_sub(DEADLINE_MARGIN).max(MIN_TIME_LEFT),
             tenant_gatekeepers: self.config.tenant_gatekeepers,
             units: self.config.routes.routes()[route].units,
@@ -220,7 +130,7 @@
                 client.connection.wait();
                 client.connection.is_closed()
             } else {
-                matches!(client.connection.receive(buffer, READ_BYTES), Ok(Incoming::End) | Err(_))
+                matches!(client.connection.receive(buffer, MAX_READ_BYTES), Ok(Incoming::End) | Err(_))
             };
             if is_gone || client.connection.is_peer_closed() {
                 self.exchange.client_gone(id);
@@ -230,9 +140,9 @@
     }
 }
 
-/// The bytes of a final answer.
+/// Encodes a final answer.
 fn encode_answer(answer: &FinalAnswer<Response>, close: bool, is_head: bool) -> Vec<u8> {
-    /// Room for the length and connection fields.
+    /// Capacity for the `Content-Length` and `Connection` fields.
     const FIELD_BYTES: usize = 64;
     match answer {
         FinalAnswer::Served(response) => {
