--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -92,7 +92,7 @@
     }
 
     /// Accepts connections until the listener is closed. Runs in a coroutine.
-    pub fn run(self: &Arc<Self>, listener: &Listener) {
+    pub fn accept_connections(self: &Arc<Self>, listener: &Listener) {
         while let Some(socket) = listener.accept() {
             // At the limit a new connection waits for evictions, and the backlog behind it. If it were closed, its client would only
             // reconnect.
@@ -163,7 +163,7 @@
     }
 
     /// Starts a graceful drain: closes every connection as soon as it is between requests.
-    pub fn close(&self) {
+    pub fn drain(&self) {
         self.is_draining.store(true, Ordering::Release);
         self.connections.wake_all();
     }
--- a/crates/handover/src/error/tests.rs
+++ b/crates/handover/src/error/tests.rs
@@ -1,9 +1,9 @@
-//! The texts that operators meet in the log.
+//! Error texts, which operators read in the log.
 
 use super::*;
 
 #[test]
-fn each_error_names_what_went_wrong() {
+fn an_error_names_its_cause_or_the_length() {
     let cause = postcard::Error::DeserializeUnexpectedEnd;
     for (error, text) in [
         (Error::Io(io::ErrorKind::UnexpectedEof.into()), "unexpected end of file".to_owned()),
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,12 +1,22 @@
-//! The protocol of a hot restart: how the process that serves (the predecessor) and the one that replaces it (the successor)
-//! talk to each other.
+//! The protocol of a hot restart between the serving process (the predecessor) and the one that replaces it (the successor).
 //!
-//! The successor connects to the [`UpgradeSocket`] of the predecessor. Both exchange [`Message`]s over that connection, each in
-//! one frame, some with a file descriptor; [`Peer`] is one end of it. While the predecessor still lives, the successor writes
-//! what it admits to an [`AdmissionJournal`], from which the predecessor can take over again.
+//! The successor connects to the predecessor's [`UpgradeSocket`]. Over this connection, of which [`Peer`] is one end, both exchange
+//! [`Message`]s. Each is one frame, and some carry a file descriptor:
 //!
-//! What the messages mean for a gatekeeper is decided by the binary. Whatever arrives is bounded and checked; a peer that sends
-//! anything else is disconnected.
+//! ```text
+//! successor                                predecessor
+//!     | ------------- Hello ------------------> |
+//!     | ------------- RequestState ------------> |  + read end of the admission journal
+//!     | <------------ State -------------------- |  + listening socket; admits nothing from here on
+//!     | <------------ ClientConnection --------- |  + client socket, once for each connection
+//!     | <--- SetEjected, EjectionApplied ------> |  while both are alive
+//! ```
+//!
+//! While the predecessor is alive, the successor writes its admissions to an [`AdmissionJournal`], from which the predecessor can
+//! take over again.
+//!
+//! This package bounds and checks what arrives, and disconnects a peer that sends anything else. The binary decides what the
+//! messages do.
 
 mod error;
 mod journal;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,14 +1,14 @@
 //! The messages of a hot restart.
 //!
-//! Their encoding is postcard's, which is positional: the order of variants and fields and the types of fields are the wire
-//! format. Names may change, anything else needs a new [`PROTOCOL_VERSION`].
+//! They are encoded with postcard, which is positional: the order of variants and fields and the types of fields are the wire
+//! format. Names may change; any other change needs a new [`PROTOCOL_VERSION`].
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the wire format. Processes with different versions do not take over from each other.
+/// Version of the wire format. A successor with another version is not given the state.
 pub const PROTOCOL_VERSION: u32 = 2;
 
-/// The number that the sender has given to a backend. Numbers differ between processes, ids do not.
+/// A backend's number at the sender. Numbers differ between processes, ids do not.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct BackendNumber {
     /// The sender's number.
@@ -25,9 +25,9 @@
         /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
     },
-    /// The successor is ready to serve and asks for the state. The read end of its admission journal comes with it.
+    /// The successor is ready to serve and requests the state. Carries the read end of its admission journal.
     RequestState,
-    /// The state of the predecessor, which admits nothing from here on. Its listening socket comes with it.
+    /// The state of the predecessor, which admits nothing from here on. Carries its listening socket.
     State {
         /// The policy's snapshot in its own encoding.
         policy_snapshot: Vec<u8>,
@@ -40,27 +40,27 @@
         /// Ids of the backends that operators have ejected.
         ejected: Vec<String>,
     },
-    /// A client connection between two requests. Its socket comes with it.
+    /// A client connection between two requests. Carries its socket.
     ClientConnection {
-        /// What was read of a request that is not yet complete.
+        /// The bytes that were read of an incomplete request.
         partial_request: Vec<u8>,
     },
-    /// An operator ejects a backend, or lets it be used again.
+    /// An operator ejects a backend or ends its ejection.
     SetEjected {
-        /// Returned in the reply.
+        /// Identifies the call in the reply.
         call: u64,
         /// The backend's id.
         id: String,
         /// True to eject it.
         ejected: bool,
-        /// The sender has the backend listed or ejected. Otherwise the receiver checks whether it has.
+        /// The sender has the backend in its endpoint list or among the ejected ones. Otherwise the receiver checks its own.
         known: bool,
     },
     /// The reply to [`Message::SetEjected`].
     EjectionApplied {
-        /// From the request.
+        /// The call that this replies to.
         call: u64,
-        /// Whether the receiver has applied it.
+        /// Whether the receiver has applied the change.
         applied: bool,
     },
 }
--- a/crates/handover/src/peer.rs
+++ b/crates/handover/src/peer.rs
@@ -1,4 +1,4 @@
-//! One end of the connection between the two processes: frames with descriptors over a Unix socket.
+//! One end of the connection between predecessor and successor: frames with file descriptors over a Unix socket.
 //!
 //! A frame is the length of its body (four bytes, little-endian) and the body, a [`Message`] in postcard's encoding.
 
@@ -17,18 +17,18 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Limit on the body of a frame, in bytes. A snapshot with 20,000 tenants takes 5 MB.
+/// Maximum bytes of a frame's body. A snapshot with 20,000 tenants takes 5 MB.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
-/// Bytes of the length in front of a body.
+/// Bytes of a frame's header, the length of its body.
 const HEADER_BYTES: usize = 4;
-/// A peer that neither takes nor sends a byte for this long in the middle of a frame counts as gone.
+/// A peer that makes no progress for this long within a frame has failed.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The connection to the other process.
 #[derive(Debug)]
 pub struct Peer {
     stream: UnixStream,
-    /// Held while a frame is written, so that frames of several threads do not mix.
+    /// Held while a frame is written, so that frames of several threads do not interleave.
     write_lock: Mutex<()>,
 }
 
@@ -37,30 +37,30 @@
         Self { stream, write_lock: Mutex::new(()) }
     }
 
-    /// Connects to the process that serves with this directory.
+    /// Connects to the process whose [`UpgradeSocket`] is in this directory.
     ///
     /// # Errors
     ///
-    /// No process listens there.
+    /// Fails where no process listens there.
     pub fn connect(directory: &Path) -> io::Result<Self> {
         UnixStream::connect(UpgradeSocket::path(directory)).map(Self::new)
     }
 
-    /// Two connected peers, for tests.
+    /// Creates two connected peers, for tests.
     ///
     /// # Errors
     ///
-    /// As `socketpair(2)`.
+    /// Fails as `socketpair(2)` does.
     pub fn pair() -> io::Result<(Self, Self)> {
         let (one, other) = UnixStream::pair()?;
         Ok((Self::new(one), Self::new(other)))
     }
 
-    /// Sends a message, with a descriptor where the message carries one.
+    /// Sends a message, with a file descriptor where the message carries one.
     ///
     /// # Errors
     ///
-    /// The peer is gone, or reads nothing for 3 s.
+    /// Fails where the peer has disconnected or reads nothing for 3 s.
     pub fn send(&self, message: &Message, descriptor: Option<BorrowedFd<'_>>) -> Result<(), Error> {
         let body = postcard::to_stdvec(message).map_err(Error::Encode)?;
         let header = (body.len() as u32).to_le_bytes();
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Sends the first bytes of a header, with a descriptor; returns how many were sent.
+    /// Sends the first bytes of a header with the descriptor, and returns how many bytes were sent.
     fn send_header(&self, header: &[u8], descriptor: Option<BorrowedFd<'_>>) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -86,11 +86,11 @@
         Ok(sent)
     }
 
-    /// Waits for the next message, at most for `timeout` where one is given. Only one thread at a time may call this.
+    /// Waits for the next message, for at most `timeout` if one is given. Only one thread at a time may call this.
     ///
     /// # Errors
     ///
-    /// The peer is gone, sends nothing in time, or sends what is no message.
+    /// Fails where the peer has disconnected, sends nothing in time, or sends a malformed frame.
     pub fn receive(&self, timeout: Option<Duration>) -> Result<(Message, Option<OwnedFd>), Error> {
         self.stream.set_read_timeout(timeout)?;
         let (header, descriptor) = self.receive_header()?;
@@ -108,7 +108,7 @@
         Ok((message, descriptor))
     }
 
-    /// The header of the next frame, and the descriptor that came with it.
+    /// Receives the header of the next frame and the descriptor that it carries.
     fn receive_header(&self) -> io::Result<([u8; HEADER_BYTES], Option<OwnedFd>)> {
         let (mut header, mut received, mut descriptor) = ([0; HEADER_BYTES], 0, None);
         while received < header.len() {
@@ -131,9 +131,9 @@
         Ok((header, descriptor))
     }
 
-    /// Closes the connection; a thread that waits for a message gets an error.
+    /// Closes the connection. A thread that waits in [`Peer::receive`] gets an error.
     pub fn close(&self) {
-        // Fails only where the peer is gone already.
+        // Fails only where the peer has disconnected already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/handover/src/upgrade_socket.rs
+++ b/crates/handover/src/upgrade_socket.rs
@@ -1,4 +1,4 @@
-//! The Unix socket at which the process that serves can be found.
+//! The Unix socket at which a successor finds the serving process.
 
 use crate::Peer;
 use std::io;
@@ -7,25 +7,25 @@
 
 const FILE_NAME: &str = "snowfield.sock";
 
-/// The listening socket in a directory that predecessor and successor share.
+/// The listening Unix socket, in a directory that predecessor and successor share.
 #[derive(Debug)]
 pub struct UpgradeSocket {
     listener: UnixListener,
 }
 
 impl UpgradeSocket {
-    /// The socket's path in this directory.
+    /// Returns the socket's path in this directory.
     pub fn path(directory: &Path) -> PathBuf {
         directory.join(FILE_NAME)
     }
 
-    /// Starts listening, and replaces the socket of the process that listened before.
+    /// Starts listening, and atomically replaces the socket of an earlier process.
     ///
     /// # Errors
     ///
-    /// The system has no Unix sockets, or the path cannot be used.
+    /// Fails where the path is unusable or the system has no Unix sockets.
     pub fn bind(directory: &Path) -> io::Result<Self> {
-        // Bound under another name and renamed, so that a successor finds a listener at any time.
+        // Bound under a temporary name and renamed, so that a successor finds a listener at any time.
         let temporary = directory.join(format!("{FILE_NAME}.{}", std::process::id()));
         // An earlier process with the same process id may have left the file behind.
         let _ = std::fs::remove_file(&temporary);
@@ -34,11 +34,11 @@
         Ok(Self { listener })
     }
 
-    /// Waits for a successor.
+    /// Waits for a successor to connect.
     ///
     /// # Errors
     ///
-    /// As `accept(2)`.
+    /// Fails as `accept(2)` does.
     pub fn accept(&self) -> io::Result<Peer> {
         self.listener.accept().map(|(stream, _)| Peer::new(stream))
     }
--- a/crates/handover/tests/wire_format.rs
+++ b/crates/handover/tests/wire_format.rs
@@ -1,32 +1,14 @@
-//! What two programs exchange during a hot restart, as version 0.1.0 sent it: later versions read it, and send the same bytes.
+//! The wire format of a hot restart, as version 0.1.0 wrote it: later versions read it, and write the same bytes.
 
+mod common;
+
+use common::SocketDirectory;
 use handover::{
     Admission, AdmissionJournal, BackendNumber, JournalEnd, Message, PROTOCOL_VERSION, Peer, UpgradeSocket,
     read_journal,
 };
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
-use std::path::PathBuf;
-use std::time::Duration;
-
-const LONG: Option<Duration> = Some(Duration::from_secs(20));
-
-/// A folder for the sockets of one test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(test: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("snowfield-wire-{test}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Self(path)
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
 
 fn backend(number: u32, id: &str) -> BackendNumber {
     BackendNumber { number, id: id.into() }
@@ -66,67 +48,61 @@
     ]
 }
 
-/// The frame that this version sends.
-fn sent(message: &Message) -> Vec<u8> {
-    let folder = Folder::new("sent");
-    let listener = UnixListener::bind(UpgradeSocket::path(&folder.0)).expect("a socket");
-    let peer = Peer::connect(&folder.0).expect("it listens");
-    peer.send(message, None).expect("it goes");
+/// Encodes a message as this version sends it.
+fn frame_of(message: &Message) -> Vec<u8> {
+    let directory = SocketDirectory::new("sent");
+    let listener = UnixListener::bind(UpgradeSocket::path(directory.path())).expect("a socket");
+    let peer = Peer::connect(directory.path()).expect("it listens");
+    peer.send(message, None).expect("it is sent");
     peer.close();
     let mut frame = Vec::new();
-    listener.accept().expect("a caller").0.read_to_end(&mut frame).expect("it comes");
+    let (mut receiver, _) = listener.accept().expect("a connection");
+    receiver.read_to_end(&mut frame).expect("a frame");
     frame
 }
 
-/// What this version makes of these bytes.
-fn received(folder: &Folder, bytes: &[u8]) -> Vec<Message> {
-    let socket = UpgradeSocket::bind(&folder.0).expect("a place");
-    let mut caller = UnixStream::connect(UpgradeSocket::path(&folder.0)).expect("it listens");
-    let peer = socket.accept().expect("a caller");
-    caller.write_all(bytes).expect("it takes them");
-    drop(caller);
-    std::iter::from_fn(|| peer.receive(LONG).ok()).map(|(message, _)| message).collect()
-}
-
 #[test]
 fn reads_each_message_of_version_0_1_0() {
-    let folder = Folder::new("reads");
+    let directory = SocketDirectory::new("reads");
     for (name, frame, message) in messages() {
-        assert_eq!(received(&folder, frame), [message], "{name}");
+        assert_eq!(directory.messages_from(frame), [message], "{name}");
     }
 }
 
 #[test]
 fn sends_each_message_as_version_0_1_0_did() {
     for (name, frame, message) in messages() {
-        assert_eq!(sent(&message), frame, "{name}");
+        assert_eq!(frame_of(&message), frame, "{name}");
     }
 }
 
 #[test]
-fn a_truncated_message_of_version_0_1_0_is_no_message() {
-    let folder = Folder::new("cut");
+fn rejects_a_truncated_message_of_version_0_1_0() {
+    let directory = SocketDirectory::new("truncated");
     for (name, frame, _) in messages() {
         for length in 0..frame.len() {
-            assert!(received(&folder, &frame[..length]).is_empty(), "{name} truncated to {length} bytes");
+            assert!(
+                directory.messages_from(&frame[..length]).is_empty(),
+                "{name} truncated to {length} bytes"
+            );
         }
     }
 }
 
 #[test]
-fn a_damaged_message_of_version_0_1_0_is_read_without_a_panic() {
-    let folder = Folder::new("damaged");
+fn a_damaged_message_of_version_0_1_0_is_never_read_as_the_original() {
+    let directory = SocketDirectory::new("damaged");
     for (_, frame, message) in messages() {
-        for at in 0..frame.len() {
+        for position in 0..frame.len() {
             let mut damaged = frame.to_vec();
-            damaged[at] ^= 0xff;
-            // Some bytes are part of a text or a number: then it is another message.
-            assert_ne!(received(&folder, &damaged).first(), Some(&message), "byte {at}");
+            damaged[position] ^= 0xff;
+            // A byte of a text or a number makes it another valid message.
+            assert_ne!(directory.messages_from(&damaged).first(), Some(&message), "byte {position}");
         }
     }
 }
 
-/// The journal of version 0.1.0: these entries.
+/// The [`entries`] as version 0.1.0 wrote them.
 const JOURNAL: &[u8] = include_bytes!("fixtures/admissions.journal");
 
 fn entries() -> Vec<Admission> {
@@ -141,14 +117,14 @@
     entries().iter().for_each(|entry| journal.append(entry));
     drop(journal);
     let mut bytes = Vec::new();
-    UnixStream::from(reader).read_to_end(&mut bytes).expect("it comes");
+    UnixStream::from(reader).read_to_end(&mut bytes).expect("a journal");
     assert_eq!(bytes, JOURNAL);
 }
 
-/// What this version reads of a journal, and whether it counts as complete.
-fn read(bytes: &[u8]) -> (Vec<Admission>, JournalEnd) {
+/// Reads the bytes of a journal.
+fn read_entries(bytes: &[u8]) -> (Vec<Admission>, JournalEnd) {
     let (mut writer, reader) = UnixStream::pair().expect("a pair");
-    writer.write_all(bytes).expect("there is room");
+    writer.write_all(bytes).expect("the socket takes them");
     drop(writer);
     let mut entries = Vec::new();
     let end = read_journal(reader.into(), |entry| entries.push(entry));
@@ -157,22 +133,22 @@
 
 #[test]
 fn reads_the_admission_journal_of_version_0_1_0() {
-    assert_eq!(read(JOURNAL), (entries(), JournalEnd::Complete));
+    assert_eq!(read_entries(JOURNAL), (entries(), JournalEnd::Complete));
 }
 
 #[test]
 fn a_truncated_or_damaged_admission_journal_is_known_to_be_incomplete() {
-    let size = JOURNAL.len() / entries().len();
-    for length in (0..JOURNAL.len()).filter(|length| length % size != 0) {
-        let complete = length / size;
+    let entry_bytes = JOURNAL.len() / entries().len();
+    for length in (0..JOURNAL.len()).filter(|length| length % entry_bytes != 0) {
+        let complete = length / entry_bytes;
         assert_eq!(
-            read(&JOURNAL[..length]),
+            read_entries(&JOURNAL[..length]),
             (entries()[..complete].to_vec(), JournalEnd::Incomplete),
             "{length} bytes"
         );
     }
-    // A number of gatekeepers below 1 makes no sense.
+    // A number of gatekeepers below 1 is out of range.
     let mut damaged = JOURNAL.to_vec();
     damaged[12..20].copy_from_slice(&0.5f64.to_le_bytes());
-    assert_eq!(read(&damaged), (entries()[1..].to_vec(), JournalEnd::Incomplete));
+    assert_eq!(read_entries(&damaged), (entries()[1..].to_vec(), JournalEnd::Incomplete));
 }
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -86,7 +86,7 @@
 
     fn close_connections(&self) {
         self.running.admin.set_ending();
-        self.running.front.close();
+        self.running.front.drain();
     }
 
     fn open_connections(&self) -> usize {
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -149,7 +149,7 @@
     admin.set_ready();
     tracing::info!("{}: serving on {}", config.name, listener.local_address()?);
     let (accepting, accepts_from) = (front.clone(), listener.clone());
-    spawn(move || accepting.run(&accepts_from));
+    spawn(move || accepting.accept_connections(&accepts_from));
     Ok(())
 }
 
