--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -73,7 +73,7 @@
 fn streamed_answer(buffer: &[u8]) -> Option<StreamedAnswer<AnswerBody>> {
     let (Element::Array(items @ 1..), value_start) = resp::element(buffer, 0).ok()?? else { return None };
     let (value_bytes, consumed) = resp::bulk_head(buffer, value_start).ok()??;
-    (value_bytes > resp::LARGEST_BULK).then(|| StreamedAnswer {
+    (value_bytes > resp::MAX_BULK_BYTES).then(|| StreamedAnswer {
         consumed,
         head: buffer[value_start..consumed].to_vec(),
         value_bytes,
--- /dev/null
+++ b/crates/resp/src/command.rs
@@ -0,0 +1,56 @@
+//! Commands: arrays of bulk strings.
+
+use crate::element::{Element, MAX_MESSAGE_BYTES, element};
+use crate::error::{Malformed, Step};
+use std::ops::Range;
+
+/// A command, by its ranges in the buffer.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Command {
+    /// The bytes of each argument. The first is the command's name.
+    pub arguments: Vec<Range<usize>>,
+    /// Where the command ends.
+    pub end: usize,
+}
+
+/// Parses the command that starts at `start`.
+///
+/// # Errors
+///
+/// Fails where it is not an array of bulk strings, is empty, or exceeds a limit.
+pub fn command(buffer: &[u8], start: usize) -> Step<Command> {
+    let Some((first, mut position)) = element(buffer, start)? else { return Ok(None) };
+    let Element::Array(count @ 1..) = first else {
+        return Err(Malformed("a command is an array of bulk strings"));
+    };
+    let mut arguments = Vec::with_capacity(count);
+    for _ in 0..count {
+        if position - start > MAX_MESSAGE_BYTES {
+            return Err(Malformed("a command is too large"));
+        }
+        match element(buffer, position)? {
+            Some((Element::Bulk(argument), next)) => {
+                arguments.push(argument);
+                position = next;
+            }
+            Some(_) => return Err(Malformed("a command is an array of bulk strings")),
+            None => return Ok(None),
+        }
+    }
+    Ok(Some(Command { arguments, end: position }))
+}
+
+/// Appends a bulk string.
+pub fn put_bulk(out: &mut Vec<u8>, bytes: &[u8]) {
+    out.extend_from_slice(format!("${}\r\n", bytes.len()).as_bytes());
+    out.extend_from_slice(bytes);
+    out.extend_from_slice(b"\r\n");
+}
+
+/// Appends a command of these arguments.
+pub fn put_command(out: &mut Vec<u8>, arguments: &[&[u8]]) {
+    out.extend_from_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    for argument in arguments {
+        put_bulk(out, argument);
+    }
+}
--- /dev/null
+++ b/crates/resp/src/query.rs
@@ -0,0 +1,57 @@
+//! Client commands that are forwarded with another deadline.
+
+use std::ops::Range;
+
+/// The name of the deadline in a list of values.
+const DEADLINE_NAME: &[u8] = b"d";
+
+/// A client's command as it was received, with the range of its deadline, which changes when it is forwarded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Query {
+    raw: Vec<u8>,
+    /// The argument that lists names and values.
+    list: Range<usize>,
+    /// The value of the deadline in the list.
+    deadline: Range<usize>,
+}
+
+impl Query {
+    /// Wraps the bytes of one command. `list` is the argument with names and values. Returns `None` where the list has no deadline
+    /// (`d`).
+    pub fn new(raw: Vec<u8>, list: Range<usize>) -> Option<Self> {
+        let is_deadline = |(name, _): &(Range<usize>, Range<usize>)| &raw[name.clone()] == DEADLINE_NAME;
+        let (_, deadline) = fields(&raw, list.clone()).find(is_deadline)?;
+        Some(Self { raw, list, deadline })
+    }
+
+    /// Appends the command with another deadline in milliseconds. All other bytes stay as they were received.
+    pub fn put(&self, deadline_ms: u64, out: &mut Vec<u8>) {
+        let deadline = deadline_ms.to_string();
+        // The list's bulk string starts at the `$` in front of its length.
+        let frame_start = self.raw[..self.list.start].iter().rposition(|&byte| byte == b'$').unwrap_or(0);
+        let length = self.list.len() - self.deadline.len() + deadline.len();
+        out.extend_from_slice(&self.raw[..frame_start]);
+        out.extend_from_slice(format!("${length}\r\n").as_bytes());
+        out.extend_from_slice(&self.raw[self.list.start..self.deadline.start]);
+        out.extend_from_slice(deadline.as_bytes());
+        out.extend_from_slice(&self.raw[self.deadline.end..]);
+    }
+}
+
+/// Iterates over a list such as `c=lookup,d=480`: the ranges of each name and its value.
+pub fn fields(buffer: &[u8], list: Range<usize>) -> impl Iterator<Item = (Range<usize>, Range<usize>)> + '_ {
+    let mut next_start = list.start;
+    std::iter::from_fn(move || {
+        while next_start < list.end {
+            let start = next_start;
+            let length = buffer[start..list.end].iter().position(|&byte| byte == b',');
+            let end = length.map_or(list.end, |length| start + length);
+            next_start = end + 1;
+            if let Some(name_length) = buffer[start..end].iter().position(|&byte| byte == b'=') {
+                let name_end = start + name_length;
+                return Some((start..name_end, name_end + 1..end));
+            }
+        }
+        None
+    })
+}
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -59,7 +59,7 @@
             connect_timeout: timeouts.connect,
             idle_timeout: timeouts.idle,
             max_connections: max_connections / ATTEMPT_SOCKETS_PART,
-            max_answer_bytes: resp::LARGEST_MESSAGE,
+            max_answer_bytes: resp::MAX_MESSAGE_BYTES,
             stream_budget_bytes: config.max_memory_bytes / STREAMS_PART,
         };
         let pools = BackendPools::new(protocol, limits);
