--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,25 +1,25 @@
-//! The body of a request as it arrives.
+//! Incremental reading of request bodies.
 
 use crate::chunked::ChunkedDecoder;
 use crate::error::HttpError;
 use crate::fields::Framing;
 
-/// Reads the body of a request as it arrives.
+/// Reads and decodes the body of a request as it arrives.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
     chunked: ChunkedDecoder,
     max_bytes: usize,
-    /// What has arrived so far, decoded.
+    /// The decoded bytes so far.
     pub bytes: Vec<u8>,
 }
 
 impl BodyReader {
-    /// A body of which nothing has arrived yet.
+    /// Creates a reader of a body of at most `max_bytes`.
     ///
     /// # Errors
     ///
-    /// Its stated length exceeds `max_bytes`.
+    /// Fails where the stated length exceeds `max_bytes`.
     pub fn new(framing: Framing, max_bytes: usize) -> Result<Self, HttpError> {
         if matches!(framing, Framing::Length(length) if length > max_bytes as u64) {
             return Err(HttpError::BodyTooLarge);
@@ -27,11 +27,11 @@
         Ok(Self { framing, chunked: ChunkedDecoder::default(), max_bytes, bytes: Vec::new() })
     }
 
-    /// Takes what belongs to the body off the front of the buffer, and returns whether the body is complete.
+    /// Removes the body's bytes from the front of the buffer, and returns whether the body is complete.
     ///
     /// # Errors
     ///
-    /// It is malformed or too large.
+    /// Fails where the body is malformed or too large.
     pub fn read_from(&mut self, buffer: &mut Vec<u8>) -> Result<bool, HttpError> {
         let is_complete = match self.framing {
             Framing::Empty => true,
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -2,9 +2,9 @@
 
 use crate::error::{HttpError, MalformedMessage};
 
-/// The longest line that states the size of a chunk, with its extensions.
+/// Maximum bytes of the line with a chunk's size and extensions.
 const MAX_SIZE_LINE_BYTES: usize = 1024;
-/// The longest line of the trailer section.
+/// Maximum bytes of a line of the trailer section.
 const MAX_TRAILER_LINE_BYTES: usize = 4096;
 const LINE_END: &[u8] = b"\r\n";
 
@@ -14,30 +14,32 @@
     state: ChunkedState,
 }
 
+/// What the decoder reads next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ChunkedState {
-    /// The size of the next chunk is next.
+    /// The size of a chunk.
     #[default]
     Size,
-    /// So many bytes of data are left.
+    /// This many bytes of data of a chunk.
     Data(u64),
-    /// The line's end after the data is next.
+    /// The CRLF behind a chunk's data.
     DataEnd,
-    /// The trailer section follows the last chunk.
+    /// The trailer section behind the last chunk.
     Trailer,
+    /// Nothing: the body has ended.
     Done,
 }
 
-/// What a step of the decoder has consumed; `None` where more bytes must arrive.
+/// The bytes that a step of the decoder has consumed; `None` where more must arrive.
 type Step = Result<Option<usize>, HttpError>;
 
 impl ChunkedDecoder {
-    /// Decodes from the start of `bytes`, appends the data to `out`, and returns how many bytes were consumed. It stops
-    /// early only where more bytes must arrive, or at the end of the body.
+    /// Decodes `bytes`, appends the data to `out`, and returns the number of bytes consumed. It consumes all that it can: the rest is
+    /// incomplete, or behind the end of the body.
     ///
     /// # Errors
     ///
-    /// The coding is malformed.
+    /// Fails where the coding is malformed.
     pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut consumed = 0;
         while !self.is_done() {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Skips a field of the trailer section; an empty line ends it.
+    /// Skips a line of the trailer section. An empty line ends the section.
     fn read_trailer_line(&mut self, rest: &[u8]) -> Step {
         let line_length = rest.windows(LINE_END.len()).position(|window| window == LINE_END);
         match line_length {
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,9 +1,9 @@
-//! Why bytes are no message that can be processed.
+//! Errors of parsing.
 
-/// Bytes that are no message that can be processed.
+/// Bytes that are not a message which can be processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// Not HTTP/1.1, or framed in an ambiguous way.
+    /// It is not HTTP/1.1, or its framing is ambiguous.
     #[error("{0}")]
     Malformed(#[from] MalformedMessage),
     /// The head exceeds a limit.
@@ -14,21 +14,21 @@
     BodyTooLarge,
 }
 
-/// What is malformed in a message.
+/// The part of a message that is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.text())]
 pub enum MalformedMessage {
-    /// It is no HTTP/1.1.
+    /// It is not HTTP/1.1.
     NotHttp11,
-    /// A header's name holds bytes that no name has.
+    /// A header's name holds invalid bytes.
     HeaderName,
-    /// A header's value holds bytes that no value has.
+    /// A header's value holds invalid bytes.
     HeaderValue,
     /// A request has no `Host`, or several.
     Host,
     /// There are several `Content-Length` fields.
     RepeatedContentLength,
-    /// `Content-Length` is no number.
+    /// `Content-Length` is not a number.
     InvalidContentLength,
     /// There are several `Transfer-Encoding` fields.
     RepeatedTransferEncoding,
@@ -38,9 +38,9 @@
     TransferEncodingInHttp10,
     /// Both `Content-Length` and `Transfer-Encoding` frame the body.
     ConflictingFraming,
-    /// The size of a chunk is no hexadecimal number.
+    /// The size of a chunk is not a hexadecimal number.
     ChunkSize,
-    /// The data of a chunk is not followed by a line's end.
+    /// The data of a chunk is not followed by CRLF.
     ChunkEnd,
     /// The trailer section is too long.
     TrailerTooLong,
@@ -51,7 +51,7 @@
 }
 
 impl MalformedMessage {
-    /// The text that clients and operators read.
+    /// Returns the text that clients and operators read.
     pub fn text(self) -> &'static str {
         match self {
             Self::NotHttp11 => "not HTTP/1.1",
--- a/crates/http/src/error/tests.rs
+++ b/crates/http/src/error/tests.rs
@@ -1,9 +1,9 @@
-//! The text of each variant, as clients read it in problem details.
+//! Error texts, which clients read in problem details.
 
 use super::*;
 
 #[test]
-fn an_http_error_says_what_is_malformed_or_too_large() {
+fn an_error_names_what_is_malformed_or_too_large() {
     use MalformedMessage::*;
     for (message, text) in [
         (NotHttp11, "not HTTP/1.1"),
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -1,15 +1,15 @@
-//! Header fields, and what they say of the body and of the connection.
+//! Header fields: lookup, the framing that they state, and their forwarding.
 
 use crate::error::{HttpError, MalformedMessage};
 use std::ops::Range;
 
-/// The most bytes of a head.
+/// Maximum bytes of a head.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// The most header fields of a head.
+/// Maximum header fields of a head.
 pub const MAX_HEADER_FIELDS: usize = 64;
-/// The most digits of a `Content-Length`: more would not fit 64 bits.
+/// Maximum digits of a `Content-Length`, so that it fits 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
-/// Fields that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop fields, which concern a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -25,13 +25,13 @@
 /// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// No body.
+    /// There is no body.
     Empty,
-    /// So many bytes.
+    /// It has this many bytes.
     Length(u64),
-    /// The chunked transfer coding.
+    /// It uses the chunked transfer coding.
     Chunked,
-    /// All until the connection ends; responses only.
+    /// It ends with the connection. Responses only.
     UntilEnd,
 }
 
@@ -44,12 +44,13 @@
     pub value: Range<usize>,
 }
 
-/// The range of a part of `buffer`.
+/// Returns the range in `buffer` of a slice of it.
 pub(crate) fn range_in(buffer: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - buffer.as_ptr() as usize;
     start..start + part.len()
 }
 
+/// Returns the ranges of the parsed headers, which borrow from `buffer`.
 pub(crate) fn field_ranges(buffer: &[u8], headers: &[httparse::Header<'_>]) -> Vec<HeaderField> {
     let field = |header: &httparse::Header<'_>| HeaderField {
         name: range_in(buffer, header.name.as_bytes()),
@@ -58,7 +59,7 @@
     headers.iter().map(field).collect()
 }
 
-/// The values of all fields of this name.
+/// Returns the values of all fields of this name, which is case-insensitive.
 pub fn header_values<'a>(
     buffer: &'a [u8],
     fields: &'a [HeaderField],
@@ -69,13 +70,13 @@
     fields.iter().filter(has_name).map(|field| &buffer[field.value.clone()])
 }
 
-/// Whether a comma-separated field lists this token.
+/// Whether the comma-separated fields of this name list a token.
 pub fn has_list_token(buffer: &[u8], fields: &[HeaderField], name: &str, token: &str) -> bool {
     let mut tokens = header_values(buffer, fields, name).flat_map(|value| value.split(|&byte| byte == b','));
     tokens.any(|listed| listed.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
 }
 
-/// The framing that the fields state; `None` where they state none.
+/// Returns the framing that the fields state, if any. Fails where it is ambiguous.
 pub(crate) fn stated_framing(buffer: &[u8], fields: &[HeaderField]) -> Result<Option<Framing>, HttpError> {
     let length =
         at_most_one(buffer, fields, "content-length").ok_or(MalformedMessage::RepeatedContentLength)?;
@@ -95,7 +96,7 @@
     }
 }
 
-/// The value of a field that may occur once; `None` where it occurs more often.
+/// Returns the value of a field that may occur once, if any. The outer `None` means that it is repeated.
 fn at_most_one<'a>(buffer: &'a [u8], fields: &'a [HeaderField], name: &'a str) -> Option<Option<&'a [u8]>> {
     let mut values = header_values(buffer, fields, name);
     let value = values.next();
@@ -104,12 +105,12 @@
 
 fn parse_length(digits: &[u8]) -> Option<u64> {
     let is_number = digits.len() <= MAX_LENGTH_DIGITS && digits.iter().all(u8::is_ascii_digit);
-    // Without any digit it does not parse.
+    // An empty string does not parse.
     std::str::from_utf8(digits).ok().filter(|_| is_number)?.parse().ok()
 }
 
-/// Appends the fields that go on to the next hop, as they were received. The framing of the body is written anew, so
-/// `Content-Length` is left out, and so is `Expect`, which is answered here.
+/// Appends the end-to-end fields as they were received, for the next hop. Omits `Content-Length`, since the body is framed anew, and
+/// `Expect`, which this hop answers.
 pub fn write_end_to_end_fields(buffer: &[u8], fields: &[HeaderField], out: &mut Vec<u8>) {
     for field in fields {
         let name = &buffer[field.name.clone()];
@@ -125,7 +126,7 @@
 fn is_end_to_end(buffer: &[u8], fields: &[HeaderField], name: &[u8]) -> bool {
     let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
     if is("host") {
-        // A client may not have the field removed that says whom a request is for, by listing it in `Connection`.
+        // A client must not be able to remove it by listing it in `Connection`.
         return true;
     }
     let is_listed = |name: &str| has_list_token(buffer, fields, "connection", name);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 framing on `httparse`: where heads and bodies end, and what is forwarded to the next hop.
+//! HTTP/1.1 message framing on `httparse`, and the forwarding of messages to the next hop.
 //!
-//! All parsers take a buffer as it was received so far, and return `None` where more bytes must arrive. A message that two
-//! readers could take in different ways is rejected (RFC 9112, section 11.2).
+//! Each parser takes the bytes that have arrived, and returns `None` where more must arrive. A message that two readers could frame
+//! differently is rejected, to prevent request smuggling (RFC 9112, section 11.2).
 
 mod body;
 mod chunked;
--- a/crates/http/src/percent_encoding.rs
+++ b/crates/http/src/percent_encoding.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-/// Percent-encodes what may not stand in a path segment or a query's value (RFC 3986, section 2.3).
+/// Percent-encodes all but the unreserved characters (RFC 3986, section 2.3), for a path segment or a query's value.
 pub fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests: the head as a client sends it, and the request as it is forwarded.
+//! Requests: parsing heads from clients, and encoding requests for backends.
 
 use crate::error::{HttpError, MalformedMessage};
 use crate::fields::{
@@ -7,25 +7,27 @@
 };
 use std::ops::Range;
 
-/// A gateway adds itself to each request that it forwards (RFC 9110, section 7.6.3).
+/// The field that each gateway adds to the requests that it forwards (RFC 9110, section 7.6.3).
 const VIA: &[u8] = b"Via: 1.1 snowfield\r\n";
+/// Capacity for the bytes that forwarding adds to a head.
+const ADDED_BYTES: usize = 64;
 /// Minor version of HTTP/1.1.
 const HTTP_1_1: u8 = 1;
 /// Minor version of HTTP/1.0.
 const HTTP_1_0: u8 = 0;
 
-/// The head of a request, by ranges in the buffer.
+/// The head of a request, by its ranges in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// The method.
     pub method: Range<usize>,
-    /// The target as it was received.
+    /// The target, in the form in which it was received.
     pub target: Range<usize>,
     /// The fields, in order.
     pub fields: Vec<HeaderField>,
     /// How the body ends.
     pub framing: Framing,
-    /// The connection may be used again.
+    /// The client keeps the connection open after the response.
     pub keep_alive: bool,
     /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
@@ -33,11 +35,11 @@
     pub length: usize,
 }
 
-/// Parses the head of a request; `None` where more bytes must arrive.
+/// Parses the head of a request. Returns `None` where more bytes must arrive.
 ///
 /// # Errors
 ///
-/// The bytes are no request, or one whose meaning two readers could take in different ways.
+/// Fails where the bytes are not a request, the head is too large, or its framing is ambiguous.
 pub fn parse_request_head(buffer: &[u8]) -> Result<Option<RequestHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut headers);
@@ -84,19 +86,19 @@
 /// A request as it is forwarded to a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The request line and the end-to-end fields, each with its line's end.
+    /// The request line and the end-to-end fields, each with its CRLF.
     pub head: Vec<u8>,
     /// The body, where the request had one.
     pub body: Option<Vec<u8>>,
-    /// The method is HEAD: the response has no body, whatever its fields say.
+    /// The method is HEAD: the response has no body, even if its fields state one.
     pub is_head: bool,
 }
 
 impl Request {
-    /// The request of this head and body, with `Via` added. `buffer` holds the head.
+    /// Builds the request to forward from a parsed head, whose ranges are in `buffer`. Adds `Via`.
     pub fn new(buffer: &[u8], head: &RequestHead, target: &[u8], body: Vec<u8>) -> Self {
         let method = &buffer[head.method.clone()];
-        let mut forwarded = Vec::with_capacity(head.length + 64);
+        let mut forwarded = Vec::with_capacity(head.length + ADDED_BYTES);
         for part in [method, b" ", target, b" HTTP/1.1\r\n"] {
             forwarded.extend_from_slice(part);
         }
@@ -106,7 +108,7 @@
         Self { head: forwarded, body, is_head: method == b"HEAD" }
     }
 
-    /// Appends the bytes of the request.
+    /// Appends the encoded request.
     pub fn encode(&self, out: &mut Vec<u8>) {
         out.extend_from_slice(&self.head);
         if let Some(body) = &self.body {
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses: the head as a backend sends it, and the response as it is forwarded.
+//! Responses: parsing them from backends, and encoding them for clients.
 
 use crate::chunked::ChunkedDecoder;
 use crate::error::{HttpError, MalformedMessage};
@@ -7,9 +7,13 @@
     stated_framing, write_end_to_end_fields,
 };
 
+/// Status codes below this are interim responses.
+const FIRST_FINAL_STATUS: u16 = 200;
 const SWITCHING_PROTOCOLS: u16 = 101;
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
+/// Capacity for the bytes that forwarding adds to a head.
+const ADDED_BYTES: usize = 32;
 /// Minor version of HTTP/1.1.
 const HTTP_1_1: u8 = 1;
 
@@ -18,30 +22,30 @@
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// The fields, in order, by ranges in the buffer.
+    /// The fields, in order, by their ranges in the buffer.
     pub fields: Vec<HeaderField>,
     /// How the body ends.
     pub framing: Framing,
-    /// The connection may be used again.
+    /// The backend keeps the connection open after the response.
     pub keep_alive: bool,
     /// Bytes of the head.
     pub length: usize,
 }
 
-/// The head of a final response, behind interim ones.
+/// The head of a final response behind any interim responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalResponseHead {
-    /// The head; its ranges count from `start`.
+    /// The head. Its ranges are relative to `start`.
     pub head: ResponseHead,
-    /// Where it begins in the buffer.
+    /// Where the head starts in the buffer.
     pub start: usize,
 }
 
-/// Parses the head of a response; `None` where more bytes must arrive. `to_head`: the request's method was HEAD.
+/// Parses the head of a response. Returns `None` where more bytes must arrive. `to_head` tells that the request's method was HEAD.
 ///
 /// # Errors
 ///
-/// The bytes are no response, or one whose end cannot be determined.
+/// Fails where the bytes are not a response, the head is too large, or its framing is ambiguous.
 pub fn parse_response_head(buffer: &[u8], to_head: bool) -> Result<Option<ResponseHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut response = httparse::Response::new(&mut headers);
@@ -61,19 +65,20 @@
     let fields = field_ranges(buffer, response.headers);
     let status = response.code.unwrap_or(0);
     let stated = stated_framing(buffer, &fields)?;
-    let has_no_body = to_head || status < 200 || status == NO_CONTENT || status == NOT_MODIFIED;
+    let has_no_body =
+        to_head || status < FIRST_FINAL_STATUS || status == NO_CONTENT || status == NOT_MODIFIED;
     let framing = if has_no_body { Framing::Empty } else { stated.unwrap_or(Framing::UntilEnd) };
     let closes = has_list_token(buffer, &fields, "connection", "close");
     let keep_alive = response.version == Some(HTTP_1_1) && !closes && framing != Framing::UntilEnd;
     Ok(ResponseHead { status, fields, framing, keep_alive, length })
 }
 
-/// Parses the head of the final response: interim responses (1xx) in front of it are skipped. `None` where more bytes must
+/// Parses the head of the final response, and skips the interim responses (1xx) in front of it. Returns `None` where more bytes must
 /// arrive.
 ///
 /// # Errors
 ///
-/// As [`parse_response_head`], and an upgrade that was not requested.
+/// Fails as [`parse_response_head`] does, and on an upgrade that was not requested.
 pub fn parse_final_response_head(
     buffer: &[u8],
     to_head: bool,
@@ -83,7 +88,7 @@
         let Some(head) = parse_response_head(&buffer[start..], to_head)? else { return Ok(None) };
         match head.status {
             SWITCHING_PROTOCOLS => return Err(MalformedMessage::UnrequestedUpgrade.into()),
-            100..200 => start += head.length,
+            100..FIRST_FINAL_STATUS => start += head.length,
             _ => return Ok(Some(FinalResponseHead { head, start })),
         }
     }
@@ -94,16 +99,16 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The status line and the end-to-end fields, each with its line's end.
+    /// The status line and the end-to-end fields, each with its CRLF.
     pub head: Vec<u8>,
-    /// The `Content-Length` to send; none where the status allows none.
+    /// The `Content-Length` to send, unless the status forbids it.
     pub length: Option<u64>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// Appends the bytes of the response.
+    /// Appends the encoded response. `close` announces the end of the connection.
     pub fn encode(&self, close: bool, out: &mut Vec<u8>) {
         out.extend_from_slice(&self.head);
         if let Some(length) = self.length {
@@ -122,24 +127,24 @@
 pub struct ParsedResponse {
     /// The response.
     pub response: Response,
-    /// Bytes of the buffer that it took, interim responses included.
+    /// Bytes of the buffer that the response and its interim responses occupy.
     pub consumed: usize,
-    /// The connection may be used again.
+    /// The backend keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
-/// The body of a response and the bytes that it took.
+/// A decoded body and the bytes of the buffer that it occupies.
 struct ParsedBody {
     body: Vec<u8>,
     consumed: usize,
 }
 
-/// Parses a complete response at the start of the buffer; `None` where more bytes must arrive. `to_head`: the request's method
-/// was HEAD. `is_end`: the connection has ended.
+/// Parses a complete response at the start of the buffer. Returns `None` where more bytes must arrive. `to_head` tells that the
+/// request's method was HEAD, `is_end` that the connection has ended.
 ///
 /// # Errors
 ///
-/// No valid response can arrive any more.
+/// Fails where the response is malformed or truncated.
 pub fn parse_response(
     buffer: &[u8],
     to_head: bool,
@@ -166,7 +171,7 @@
     }))
 }
 
-/// Parses a body; `None` where more bytes must arrive.
+/// Parses a body. Returns `None` where more bytes must arrive.
 fn parse_body(rest: &[u8], framing: Framing, is_end: bool) -> Result<Option<ParsedBody>, HttpError> {
     let raw = |bytes: &[u8]| ParsedBody { body: bytes.to_vec(), consumed: bytes.len() };
     Ok(match framing {
@@ -181,7 +186,7 @@
     })
 }
 
-/// The `Content-Length` to send. Where there is no body, the length that it would have, as the backend states it.
+/// Returns the `Content-Length` to send. A response without a body keeps the backend's, which states the length that it would have.
 fn length_to_send(message: &[u8], head: &ResponseHead, body: &[u8]) -> Option<u64> {
     match head.framing {
         Framing::Empty if head.status == NO_CONTENT => None,
@@ -193,12 +198,12 @@
     }
 }
 
-/// The status line and the end-to-end fields.
+/// Encodes the status line and the end-to-end fields.
 fn forwarded_head(message: &[u8], head: &ResponseHead) -> Vec<u8> {
     const VERSION: &[u8] = b"HTTP/1.1";
     let line_end = message.iter().position(|&byte| byte == b'\n').unwrap_or(message.len());
     let status_line = message[..line_end].trim_ascii_end();
-    let mut forwarded = Vec::with_capacity(head.length + 32);
+    let mut forwarded = Vec::with_capacity(head.length + ADDED_BYTES);
     forwarded.extend_from_slice(VERSION);
     forwarded.extend_from_slice(status_line.get(VERSION.len()..).unwrap_or_default());
     forwarded.extend_from_slice(b"\r\n");
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -15,11 +15,22 @@
     HTTP/1.1 204 No Content\r\n\r\n";
 const CHUNKS: &[u8] = b"5\r\nhello\r\nA;name=value\r\n0123456789\r\n0\r\nTrailer: x\r\nOther: y\r\n\r\nrest";
 
-type Requests = (Vec<(Vec<u8>, Vec<u8>)>, Option<HttpError>);
+/// What was parsed before the input ended or was malformed.
+#[derive(Debug, PartialEq, Eq)]
+struct Parsed<T> {
+    messages: Vec<T>,
+    error: Option<HttpError>,
+}
+
+#[derive(Debug, PartialEq, Eq)]
+struct ParsedRequest {
+    target: Vec<u8>,
+    body: Vec<u8>,
+}
 
-/// All requests as target and body, and the error at the end if there is one.
-fn requests(pieces: &[&[u8]]) -> Requests {
-    let (mut buffer, mut all, mut reading) = (Vec::new(), Vec::new(), None);
+/// Parses all requests of an input that arrives in pieces.
+fn parse_requests(pieces: &[&[u8]]) -> Parsed<ParsedRequest> {
+    let (mut buffer, mut messages, mut reading) = (Vec::new(), Vec::new(), None);
     for piece in pieces {
         buffer.extend_from_slice(piece);
         loop {
@@ -30,90 +41,103 @@
                         buffer.drain(..head.length);
                         match BodyReader::new(head.framing, 1000) {
                             Ok(body) => reading = Some((target, body)),
-                            Err(error) => return (all, Some(error)),
+                            Err(error) => return Parsed { messages, error: Some(error) },
                         }
                     }
                     Ok(None) => break,
-                    Err(error) => return (all, Some(error)),
+                    Err(error) => return Parsed { messages, error: Some(error) },
                 }
             }
             let Some((target, mut body)) = reading.take() else { break };
             match body.read_from(&mut buffer) {
-                Ok(true) => all.push((target, body.bytes)),
+                Ok(true) => messages.push(ParsedRequest { target, body: body.bytes }),
                 Ok(false) => {
                     reading = Some((target, body));
                     break;
                 }
-                Err(error) => return (all, Some(error)),
+                Err(error) => return Parsed { messages, error: Some(error) },
             }
         }
     }
-    (all, None)
+    Parsed { messages, error: None }
 }
 
-fn responses(pieces: &[&[u8]]) -> (Vec<(u16, Vec<u8>)>, Option<HttpError>) {
-    let (mut buffer, mut all) = (Vec::new(), Vec::new());
+/// Parses all responses of an input that arrives in pieces, as status and body.
+fn parse_responses(pieces: &[&[u8]]) -> Parsed<(u16, Vec<u8>)> {
+    let (mut buffer, mut messages) = (Vec::new(), Vec::new());
     for piece in pieces {
         buffer.extend_from_slice(piece);
         loop {
             match http::parse_response(&buffer, false, false) {
                 Ok(Some(parsed)) => {
-                    all.push((parsed.response.status, parsed.response.body));
+                    messages.push((parsed.response.status, parsed.response.body));
                     buffer.drain(..parsed.consumed);
                 }
                 Ok(None) => break,
-                Err(error) => return (all, Some(error)),
+                Err(error) => return Parsed { messages, error: Some(error) },
             }
         }
     }
-    (all, None)
+    Parsed { messages, error: None }
+}
+
+/// The state of a decoder after an input.
+#[derive(Debug, PartialEq, Eq)]
+struct Decoded {
+    data: Vec<u8>,
+    is_done: bool,
+    error: Option<HttpError>,
 }
 
-fn chunks(pieces: &[&[u8]]) -> (Result<(), HttpError>, Vec<u8>, bool) {
-    let (mut chunks, mut buffer, mut out) = (ChunkedDecoder::default(), Vec::new(), Vec::new());
+/// Decodes a chunked body that arrives in pieces.
+fn decode_chunks(pieces: &[&[u8]]) -> Decoded {
+    let (mut decoder, mut buffer, mut data) = (ChunkedDecoder::default(), Vec::new(), Vec::new());
     for piece in pieces {
         buffer.extend_from_slice(piece);
-        match chunks.decode(&buffer, &mut out) {
-            Ok(used) => drop(buffer.drain(..used)),
-            Err(error) => return (Err(error), out, false),
+        match decoder.decode(&buffer, &mut data) {
+            Ok(consumed) => drop(buffer.drain(..consumed)),
+            Err(error) => return Decoded { data, is_done: false, error: Some(error) },
         }
     }
-    (Ok(()), out, chunks.is_done())
+    Decoded { data, is_done: decoder.is_done(), error: None }
 }
 
 #[test]
-fn messages_are_the_same_however_they_are_split() {
-    let (complete, error) = requests(&[REQUESTS]);
-    assert_eq!(error, None);
-    let received: Vec<(&[u8], &[u8])> = complete.iter().map(|(t, b)| (&t[..], &b[..])).collect();
-    assert_eq!(received, [(&b"/a?b"[..], &b"abc"[..]), (b"/c", b"def"), (b"/d", b"")]);
-    parses_alike_however_split(REQUESTS, requests);
-    assert_eq!(responses(&[RESPONSES]).0, [(200, b"hi".to_vec()), (404, b"abc".to_vec()), (204, vec![])]);
-    parses_alike_however_split(RESPONSES, responses);
-    assert_eq!(chunks(&[CHUNKS]), (Ok(()), b"hello0123456789".to_vec(), true));
-    parses_alike_however_split(CHUNKS, chunks);
+fn parses_messages_alike_however_they_are_split() {
+    let request = |target: &str, body: &str| ParsedRequest { target: target.into(), body: body.into() };
+    let expected = vec![request("/a?b", "abc"), request("/c", "def"), request("/d", "")];
+    assert_eq!(parse_requests(&[REQUESTS]), Parsed { messages: expected, error: None });
+    parses_alike_however_split(REQUESTS, parse_requests);
+    assert_eq!(
+        parse_responses(&[RESPONSES]).messages,
+        [(200, b"hi".to_vec()), (404, b"abc".to_vec()), (204, vec![])]
+    );
+    parses_alike_however_split(RESPONSES, parse_responses);
+    let expected = Decoded { data: b"hello0123456789".to_vec(), is_done: true, error: None };
+    assert_eq!(decode_chunks(&[CHUNKS]), expected);
+    parses_alike_however_split(CHUNKS, decode_chunks);
 }
 
 #[test]
-fn rejects_garbage_without_a_panic() {
-    survives_garbage(REQUESTS, |pieces| drop(requests(pieces)));
-    survives_garbage(RESPONSES, |pieces| drop(responses(pieces)));
-    survives_garbage(CHUNKS, |pieces| drop(chunks(pieces)));
+fn survives_malformed_messages() {
+    survives_garbage(REQUESTS, |pieces| drop(parse_requests(pieces)));
+    survives_garbage(RESPONSES, |pieces| drop(parse_responses(pieces)));
+    survives_garbage(CHUNKS, |pieces| drop(decode_chunks(pieces)));
 }
 
 #[test]
-fn a_response_that_ends_with_its_connection_is_complete_only_then() {
+fn a_response_without_a_length_is_complete_when_its_connection_ends() {
     let bytes = b"HTTP/1.1 200 OK\r\n\r\nall of it";
     assert_eq!(http::parse_response(bytes, false, false), Ok(None));
     let ParsedResponse { response, consumed, keep_alive } =
         http::parse_response(bytes, false, true).unwrap().unwrap();
     assert_eq!((&response.body[..], consumed, keep_alive), (&b"all of it"[..], bytes.len(), false));
-    for cut in [&b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"[..], b"HTTP/1.1 200", b""] {
-        assert!(http::parse_response(cut, false, true).is_err(), "cut short: {cut:?}");
+    for truncated in [&b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"[..], b"HTTP/1.1 200", b""] {
+        assert!(http::parse_response(truncated, false, true).is_err(), "{truncated:?}");
     }
 }
 
-/// Guards the clients of discovery and Consul: an interim answer in front once counted as the answer.
+/// The clients of discovery and Consul once took an interim response for the final one.
 #[test]
 fn skips_interim_responses() {
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
