--- a/crates/known_failures/src/lib.rs
+++ b/crates/known_failures/src/lib.rs
@@ -1,8 +1,8 @@
-//! The verdict on a test run in which some tests are known to fail.
+//! Judges a test run in which some tests are known to fail.
 //!
-//! A test that fails for a real fault which cannot be mended yet may stand, if a line of `KNOWN-RED.txt` names it with its cause
-//! and its issue. The list must stay short and true, or it would hide what breaks: more than [`MAX_KNOWN_FAILURES`] lines, a test
-//! that passes, one that does not exist, and any other failure fail the run.
+//! A test that fails for a real fault may stay in the suite until the fault is fixed, if a line of `KNOWN-RED.txt` names it with its
+//! cause and its issue. The list must stay short and accurate, or it would hide regressions. So the run fails if the list has more
+//! than [`MAX_KNOWN_FAILURES`] lines, if a listed test passes or does not run, and if any other test fails.
 
 mod list;
 mod test_run;
--- a/crates/known_failures/src/list.rs
+++ b/crates/known_failures/src/list.rs
@@ -5,25 +5,25 @@
 #[cfg(test)]
 mod tests;
 
-/// The most tests that may be known to fail.
+/// Maximum number of tests that may be known to fail.
 pub const MAX_KNOWN_FAILURES: usize = 3;
 
-/// A list that cannot be used.
+/// An invalid list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// A line has not three parts.
+    /// A line does not have three parts.
     #[error("not of the form TARGET::TEST | CAUSE | ISSUE: {line}")]
     Form {
         /// The line.
         line: String,
     },
-    /// A part of a line says nothing, or the test is named without its target.
+    /// A part of a line is empty, or the test is named without its target.
     #[error("no target and test, no cause or no issue: {line}")]
     MissingPart {
         /// The line.
         line: String,
     },
-    /// A test stands twice.
+    /// A test is listed twice.
     #[error("listed twice: {test}")]
     Repeated {
         /// The test.
@@ -32,7 +32,7 @@
     /// There are too many lines.
     #[error("{count} tests are listed, {MAX_KNOWN_FAILURES} at most may be")]
     TooMany {
-        /// How many.
+        /// Number of lines.
         count: usize,
     },
 }
@@ -40,11 +40,11 @@
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownFailure {
-    /// The test: its target's name and its own, such as `endings::at_the_end`.
+    /// The test: its target's name and its own, such as `shutdown::drains_connections`.
     pub test: String,
     /// Why it fails.
     pub cause: String,
-    /// The issue that will mend it.
+    /// The issue under which it will be fixed.
     pub issue: String,
 }
 
@@ -67,11 +67,11 @@
     }
 }
 
-/// Reads a list: `TARGET::TEST | CAUSE | ISSUE` on each line that is not blank.
+/// Parses a list: `TARGET::TEST | CAUSE | ISSUE` on each line that is not blank.
 ///
 /// # Errors
 ///
-/// A line has another form or stands twice, or there are too many.
+/// Fails where a line has another form, a test is listed twice, or there are too many lines.
 pub fn parse_list(text: &str) -> Result<Vec<KnownFailure>, ListError> {
     let mut list: Vec<KnownFailure> = Vec::new();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
--- a/crates/known_failures/src/list/tests.rs
+++ b/crates/known_failures/src/list/tests.rs
@@ -1,11 +1,11 @@
-//! The texts of lists that cannot be used.
+//! Error texts of invalid lists.
 
 use super::*;
 
 #[test]
-fn a_rejected_list_is_told_what_is_wrong_with_it() {
+fn an_error_names_the_invalid_line_or_count() {
     let line = |test: &str| format!("{test} | a cause | issue 33\n");
-    let error = |list: &str| parse_list(list).expect_err("it cannot be used").to_string();
+    let error = |list: &str| parse_list(list).expect_err("it is invalid").to_string();
     assert_eq!(error("a::b | a cause\n"), "not of the form TARGET::TEST | CAUSE | ISSUE: a::b | a cause");
     let text = "no target and test, no cause or no issue: b | a cause | issue 33";
     assert_eq!(error(&line("b")), text);
--- a/crates/known_failures/src/main.rs
+++ b/crates/known_failures/src/main.rs
@@ -1,11 +1,11 @@
-//! `known_failures LIST COMMAND...`: runs a test command, passes on what it writes, and tells whether the run is good. A list that
-//! does not exist is an empty one.
+//! `known_failures LIST COMMAND...`: runs a test command, forwards its output, and exits with success if the run is good. A list that
+//! does not exist counts as empty.
 
 use known_failures::{KnownFailure, ListError, Problem, TestRun, parse_list};
 use std::io::{self, BufRead, BufReader, ErrorKind, PipeReader, Write};
 use std::process::{Child, Command, ExitCode};
 
-/// What keeps the program from a verdict.
+/// Why the run cannot be judged.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error("usage: known_failures LIST COMMAND...")]
@@ -28,24 +28,24 @@
     }
 }
 
-/// Starts the command. Both of its streams go through one pipe: which target runs is told on the one, how its tests end on the
-/// other.
+/// Starts the command with both of its output streams in one pipe. Cargo writes the names of targets to one stream, and the results
+/// of their tests to the other; the pipe keeps their order.
 fn start(program: String, arguments: impl Iterator<Item = String>) -> Result<(Child, PipeReader), Error> {
     let (output, writer) = io::pipe()?;
     let mut command = Command::new(&program);
     command.args(arguments).stderr(writer.try_clone()?).stdout(writer);
-    // The command holds the pipe's other end, which would keep the output from ending; it is dropped here.
+    // `command` holds the write end of the pipe. It is dropped on return, so that the output ends with the child.
     let child = command.spawn().map_err(|source| Error::Start { program, source })?;
     Ok((child, output))
 }
 
-/// Passes on all that the command writes, and follows it.
+/// Forwards the output of the command and parses it.
 fn follow(output: PipeReader) -> io::Result<TestRun> {
     let mut run = TestRun::default();
     let mut lines = BufReader::new(output);
     let mut line = Vec::new();
     while lines.read_until(b'\n', &mut line)? > 0 {
-        // Nobody may read it any more; the verdict counts all the same.
+        // A failure to forward does not change the verdict.
         let _ = io::stdout().write_all(&line);
         run.apply_line(&String::from_utf8_lossy(&line));
         line.clear();
@@ -53,7 +53,7 @@
     Ok(run)
 }
 
-/// What speaks against the run.
+/// Runs the command and returns the problems of the run.
 fn judge() -> Result<Vec<Problem>, Error> {
     let mut arguments = std::env::args().skip(1);
     let (Some(list), Some(program)) = (arguments.next(), arguments.next()) else {
--- a/crates/known_failures/src/test_run.rs
+++ b/crates/known_failures/src/test_run.rs
@@ -1,4 +1,4 @@
-//! What the test runner has written, and what speaks against the run.
+//! The results of a test run, from the output of the test runner, and the problems that fail it.
 
 use crate::list::KnownFailure;
 use std::collections::BTreeMap;
@@ -6,10 +6,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Something that speaks against a run.
+/// A reason to fail a run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// A test failed that is not listed.
+    /// A test that is not listed failed.
     #[error("{test} failed")]
     Failed {
         /// The test.
@@ -27,7 +27,7 @@
         /// The test.
         test: String,
     },
-    /// Several tests have the name of a listed one.
+    /// Several tests have the name of a listed one, or it ran more than once.
     #[error("{test} is the name of several tests")]
     Ambiguous {
         /// The test.
@@ -36,32 +36,32 @@
     /// A target was killed, or could not be built.
     #[error("the tests did not run to their end")]
     Incomplete,
-    /// No test ran at all.
+    /// No test ran.
     #[error("no test ran")]
     NoTests,
 }
 
-/// How often a test ended in which way.
+/// How often a test passed and failed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Results {
     passed: u32,
     failed: u32,
 }
 
-/// How tests ended, by what the test runner wrote.
+/// The results of a test run, parsed from the output of `cargo test`.
 #[derive(Debug, Default)]
 pub struct TestRun {
     /// The target whose tests are running.
     target: String,
     tests: BTreeMap<String, Results>,
-    /// Targets that said that they had failed.
+    /// Targets that reported failed tests.
     failed_targets: usize,
-    /// Failed targets by the runner's own count.
+    /// Failed targets by cargo's own count.
     counted_targets: usize,
 }
 
 impl TestRun {
-    /// Applies a line that the runner wrote.
+    /// Applies one line of the output.
     pub fn apply_line(&mut self, line: &str) {
         let line = line.trim();
         if let Some(binary) = line.strip_prefix("Running ").and_then(|rest| rest.rsplit('/').next()) {
@@ -90,14 +90,14 @@
         }
     }
 
-    /// What speaks against this run, given how the runner ended and which tests are known to fail; nothing where it is good.
+    /// Returns the problems of this run; none where it is good. `succeeded` tells that the runner exited with success.
     pub fn problems(&self, succeeded: bool, known_failures: &[KnownFailure]) -> Vec<Problem> {
         let is_known = |test: &str| known_failures.iter().any(|known| known.test == test);
         let failed = self.tests.iter().filter(|(test, results)| results.failed > 0 && !is_known(test));
         let mut problems: Vec<Problem> =
             failed.map(|(test, _)| Problem::Failed { test: test.clone() }).collect();
         problems.extend(known_failures.iter().filter_map(|known| self.problem_of_known(&known.test)));
-        // A target that was killed, or could not be built, names no test.
+        // A target that was killed or could not be built reports no failed test, but cargo counts it.
         let is_complete = self.counted_targets > 0 && self.counted_targets == self.failed_targets;
         if !succeeded && !is_complete {
             problems.push(Problem::Incomplete);
@@ -108,7 +108,7 @@
         problems
     }
 
-    /// Why a listed test may not stand; none where it ran once and failed.
+    /// Returns the problem of a listed test; `None` where it ran once and failed.
     fn problem_of_known(&self, test: &str) -> Option<Problem> {
         let Results { passed, failed } = self.tests.get(test).copied().unwrap_or_default();
         let test = test.to_owned();
@@ -121,7 +121,7 @@
     }
 }
 
-/// The name of a target by its file, such as `endings-cf30f7086c945f9e)`.
+/// Returns a target's name from its file name and the bracket behind it, such as `shutdown-cf30f7086c945f9e)`.
 fn target_name(binary: &str) -> &str {
     let binary_without_hash = binary.trim_end_matches(')').rsplit_once('-');
     binary_without_hash.map_or(binary, |(name, _)| name)
