--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -255,7 +255,7 @@
             SideEffect::Log(notice) => tracing::info!("{notice}"),
             SideEffect::LogClockOffset(offset) => {
                 tracing::warn!(
-                    offset_ms = offset / 1_000,
+                    offset_ms = offset.as_micros() / 1_000,
                     "clock offset found, shared counts use the fleet's clock"
                 );
             }
--- /dev/null
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -0,0 +1,248 @@
+//! The election of the timekeeper: the one process that places a stamp and advances it.
+//!
+//! A state machine without clock and randomness. [`Election::next_call`] says what the next counter call is for,
+//! [`Election::on_reply`] applies its reply and says how long to wait until the call after it.
+//!
+//! ```mermaid
+//! stateDiagram-v2
+//!     [*] --> Follower
+//!     Follower --> Follower: fresh stamp
+//!     Follower --> Candidate: no stamp
+//!     Follower --> Confirming: possibly stale stamp
+//!     Follower --> Adopted: stamp of an offset clock
+//!     Candidate --> Claiming: still no stamp
+//!     Claiming --> Timekeeper: own stamp placed
+//!     Claiming --> RollingBack: conflict
+//!     Confirming --> Follower: fresh stamp
+//!     Confirming --> TakingOver: no progress
+//!     Confirming --> Adopted: progress, or stamp of an offset clock
+//!     Adopted --> Follower: progress, fresh stamp
+//!     Adopted --> Confirming: progress, possibly stale stamp
+//!     Adopted --> Adopted: progress, stamp of an offset clock
+//!     Adopted --> TakingOver: 30 reads without progress
+//!     TakingOver --> Timekeeper: stamp advanced
+//!     TakingOver --> Claiming: stamp expired
+//!     TakingOver --> RollingBack: conflict
+//!     Timekeeper --> Timekeeper: stamp advanced
+//!     Timekeeper --> Claiming: stamp expired
+//!     Timekeeper --> RollingBack: conflict
+//!     RollingBack --> Follower: rolled back
+//! ```
+//!
+//! Not drawn: a candidate that reads a stamp does what a follower does. A read without a stamp leads to `Candidate`, and a read of
+//! several stamps to `Follower`, from each state that reads. A call that adds and may have been applied without a reply leads to
+//! `Follower`: the stamp is read before anything is added again. Any other failed call is repeated after a backoff.
+
+use super::offset::Freshness;
+use super::pacing::CallDelay;
+use super::stamp::{Stamp, StampTime, Ticks};
+use policy::Outcome;
+
+#[cfg(test)]
+mod tests;
+
+/// A process that adopted a stale stamp takes over as timekeeper after this many reads without progress. Processes with a better
+/// estimate take over sooner.
+const MAX_READS_WITHOUT_PROGRESS: u32 = 30;
+
+/// The part that this process has in the election.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    /// Reads the stamp now and then.
+    Follower,
+    /// Found no stamp, and reads once more before it claims the counter.
+    Candidate,
+    /// Places its own stamp with the next call.
+    Claiming {
+        /// The total of the counter, which holds no stamp.
+        residue: Ticks,
+    },
+    /// Found a possibly stale stamp, and reads it again.
+    Confirming {
+        /// The stamp that was read.
+        stamp: StampTime,
+    },
+    /// Adopted the time of a stamp, and reads until the stamp makes progress.
+    Adopted {
+        /// The stamp that was adopted.
+        stamp: StampTime,
+        /// How often it was read again and had not changed.
+        reads_without_progress: u32,
+    },
+    /// Found a stamp stale, and advances it with the next call.
+    TakingOver {
+        /// The stale stamp.
+        stamp: StampTime,
+    },
+    /// Advances the stamp.
+    Timekeeper {
+        /// The stamp after the last advance.
+        stamp: StampTime,
+    },
+    /// Found a conflict with another stamp, and withdraws what it added.
+    RollingBack {
+        /// The amount that was added.
+        amount: Ticks,
+    },
+}
+
+/// A call to the counter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Call {
+    /// Reads the stamp.
+    Read,
+    /// Places a stamp on a counter without one.
+    Place {
+        /// The time of the stamp.
+        time: StampTime,
+        /// The amount to add.
+        amount: Ticks,
+    },
+    /// Advances the stamp.
+    Advance {
+        /// The time of the stamp after it.
+        time: StampTime,
+        /// The amount to add.
+        amount: Ticks,
+    },
+    /// Withdraws what was added in a conflict.
+    RollBack {
+        /// The amount to add, the opposite of what was added.
+        amount: Ticks,
+    },
+}
+
+impl Call {
+    /// The amount that the call adds to the counter.
+    pub(super) fn amount(self) -> Ticks {
+        match self {
+            Self::Read => Ticks::ZERO,
+            Self::Place { amount, .. } | Self::Advance { amount, .. } | Self::RollBack { amount } => amount,
+        }
+    }
+}
+
+/// What a reply leads to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Step {
+    /// The next call is due after this delay.
+    Wait(CallDelay),
+    /// The stamp has the fleet's time: the offset estimate is to adopt it. A read follows that confirms the stamp.
+    AdoptStamp(StampTime),
+}
+
+/// This process's part in the election.
+#[derive(Debug)]
+pub(super) struct Election {
+    state: State,
+}
+
+impl Election {
+    pub(super) fn new() -> Self {
+        Self { state: State::Follower }
+    }
+
+    #[cfg(test)]
+    pub(super) fn is_timekeeper(&self) -> bool {
+        matches!(self.state, State::Timekeeper { .. })
+    }
+
+    /// The next call. `time`: the fleet's time by the present estimate.
+    pub(super) fn next_call(&self, time: StampTime) -> Call {
+        match self.state {
+            State::Follower | State::Candidate | State::Confirming { .. } | State::Adopted { .. } => {
+                Call::Read
+            }
+            State::Claiming { residue } => Call::Place { time, amount: time.placement_amount(residue) },
+            State::TakingOver { stamp } | State::Timekeeper { stamp } => {
+                Call::Advance { time, amount: time.advance_amount(stamp) }
+            }
+            State::RollingBack { amount } => Call::RollBack { amount: -amount },
+        }
+    }
+
+    /// Applies a failed call.
+    pub(super) fn on_failure(&mut self, call: Call, outcome: Outcome) -> CallDelay {
+        let may_have_added = call != Call::Read && !outcome.never_ran();
+        if may_have_added {
+            self.state = State::Follower;
+        }
+        CallDelay::Backoff
+    }
+
+    /// Applies the reply to a call. `freshness`: that of the stamp in the reply.
+    pub(super) fn on_reply(&mut self, call: Call, stamp: Stamp, freshness: Freshness) -> Step {
+        match call {
+            Call::Read => self.on_read(stamp, freshness),
+            Call::Place { time, amount } => Step::Wait(self.on_added(stamp, time, amount)),
+            Call::Advance { time, amount } => Step::Wait(self.on_advanced(stamp, time, amount)),
+            Call::RollBack { .. } => self.wait_as(State::Follower, CallDelay::Backoff),
+        }
+    }
+
+    fn on_read(&mut self, stamp: Stamp, freshness: Freshness) -> Step {
+        match (stamp.placed_count, self.state) {
+            (0, State::Candidate) => {
+                self.wait_as(State::Claiming { residue: stamp.total() }, CallDelay::None)
+            }
+            (0, _) => self.wait_as(State::Candidate, CallDelay::Vacancy),
+            (1, _) => self.on_single_stamp(stamp.time, freshness),
+            _ => self.wait_as(State::Follower, CallDelay::Backoff),
+        }
+    }
+
+    fn on_single_stamp(&mut self, stamp: StampTime, freshness: Freshness) -> Step {
+        match (self.state, freshness) {
+            (State::Adopted { stamp: adopted, reads_without_progress }, _) if adopted == stamp => {
+                self.on_read_without_progress(stamp, reads_without_progress + 1)
+            }
+            (_, Freshness::Fresh) => self.wait_as(State::Follower, CallDelay::FollowerRead),
+            (State::Confirming { stamp: earlier }, Freshness::PossiblyStale) if earlier == stamp => {
+                self.wait_as(State::TakingOver { stamp }, CallDelay::None)
+            }
+            (State::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
+                // If the timekeeper has died, the stamp is also stale. The next reads show that.
+                self.state = State::Adopted { stamp, reads_without_progress: 0 };
+                Step::AdoptStamp(stamp)
+            }
+            (_, Freshness::PossiblyStale) => {
+                self.wait_as(State::Confirming { stamp }, CallDelay::Confirmation)
+            }
+        }
+    }
+
+    fn on_read_without_progress(&mut self, stamp: StampTime, reads_without_progress: u32) -> Step {
+        if reads_without_progress < MAX_READS_WITHOUT_PROGRESS {
+            self.wait_as(State::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
+        } else {
+            self.wait_as(State::TakingOver { stamp }, CallDelay::None)
+        }
+    }
+
+    fn on_advanced(&mut self, found: Stamp, time: StampTime, amount: Ticks) -> CallDelay {
+        // The stamp had expired, or the counter has lost it: the counter holds nothing but the amount just added.
+        let has_expired = found.total() == amount;
+        if has_expired {
+            self.state = State::Claiming { residue: amount };
+            CallDelay::None
+        } else {
+            self.on_added(found, time, amount)
+        }
+    }
+
+    fn on_added(&mut self, found: Stamp, time: StampTime, amount: Ticks) -> CallDelay {
+        if found == Stamp::single(time) {
+            self.state = State::Timekeeper { stamp: time };
+            return CallDelay::Advance;
+        }
+        // Another process has added to the counter as well, and was first.
+        let has_added = amount != Ticks::ZERO;
+        self.state = if has_added { State::RollingBack { amount } } else { State::Follower };
+        CallDelay::None
+    }
+
+    fn wait_as(&mut self, state: State, delay: CallDelay) -> Step {
+        self.state = state;
+        Step::Wait(delay)
+    }
+}
--- /dev/null
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -0,0 +1,72 @@
+//! The pacing of counter calls: intervals, jitter and backoff.
+
+use policy::Micros;
+
+#[cfg(test)]
+mod tests;
+
+/// Interval at which the timekeeper advances the stamp.
+const ADVANCE_INTERVAL: Micros = 1_000_000;
+/// Mean interval at which a follower reads the stamp, and its increase per gatekeeper, which bounds the fleet's call rate.
+const READ_INTERVAL: Micros = 20_000_000;
+const READ_INTERVAL_PER_GATEKEEPER: Micros = 200_000;
+/// A stamp that its timekeeper still advances has changed after this time.
+const CONFIRMATION_INTERVAL: Micros = 1_200_000;
+/// Maximum jitter of a read that confirms a stamp.
+const CONFIRMATION_JITTER: Micros = 400_000;
+/// Maximum jitter before a counter without a stamp is read again.
+const VACANCY_JITTER: Micros = 1_000_000;
+/// Maximum backoff after a failed call or a conflict. The minimum is half of it.
+const MAX_BACKOFF: Micros = 1_000_000;
+/// The maximum jitter grows by its base value for each so many gatekeepers.
+const GATEKEEPERS_PER_JITTER_STEP: u64 = 50;
+
+/// Why a call has to wait.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallDelay {
+    /// The call is due at once.
+    None,
+    /// The timekeeper advances its stamp.
+    Advance,
+    /// A follower reads a stamp that was fresh.
+    FollowerRead,
+    /// A stamp is read again to see whether it has advanced.
+    Confirmation,
+    /// A counter without a stamp is read once more before a stamp is placed.
+    Vacancy,
+    /// A call failed, or there was a conflict.
+    Backoff,
+}
+
+/// Draws the delays between calls.
+#[derive(Debug)]
+pub(super) struct Pacing {
+    gatekeepers: u64,
+    random: fastrand::Rng,
+}
+
+impl Pacing {
+    pub(super) fn new(gatekeepers: u32, seed: u64) -> Self {
+        Self { gatekeepers: u64::from(gatekeepers), random: fastrand::Rng::with_seed(seed) }
+    }
+
+    /// The time until the next call.
+    pub(super) fn draw(&mut self, delay: CallDelay) -> Micros {
+        match delay {
+            CallDelay::None => 0,
+            CallDelay::Advance => ADVANCE_INTERVAL,
+            CallDelay::FollowerRead => {
+                let interval = READ_INTERVAL + READ_INTERVAL_PER_GATEKEEPER * self.gatekeepers;
+                interval / 2 + self.random.u64(..interval)
+            }
+            CallDelay::Confirmation => CONFIRMATION_INTERVAL + self.jitter(CONFIRMATION_JITTER),
+            CallDelay::Vacancy => self.jitter(VACANCY_JITTER),
+            CallDelay::Backoff => MAX_BACKOFF / 2 + self.jitter(MAX_BACKOFF / 2),
+        }
+    }
+
+    /// A random delay below `max`, which grows with the number of gatekeepers so that they do not call at once.
+    fn jitter(&mut self, max: Micros) -> Micros {
+        self.random.u64(..max * (1 + self.gatekeepers / GATEKEEPERS_PER_JITTER_STEP))
+    }
+}
--- /dev/null
+++ b/crates/exchange/src/fleet_clock/pacing/tests.rs
@@ -0,0 +1,39 @@
+//! The bounds of the delays.
+
+use super::*;
+
+const DRAWS: usize = 10_000;
+
+/// The smallest and the largest of many draws.
+fn range_of(gatekeepers: u32, delay: CallDelay) -> (Micros, Micros) {
+    let mut pacing = Pacing::new(gatekeepers, 1);
+    let draws: Vec<Micros> = (0..DRAWS).map(|_| pacing.draw(delay)).collect();
+    (*draws.iter().min().expect("draws"), *draws.iter().max().expect("draws"))
+}
+
+#[track_caller]
+fn assert_spans(gatekeepers: u32, delay: CallDelay, from: Micros, to: Micros) {
+    let (min, max) = range_of(gatekeepers, delay);
+    let hundredth = (to - from) / 100;
+    assert!(min >= from && min <= from + hundredth, "{delay:?} of {gatekeepers}: {min} us at least");
+    assert!(max <= to && max >= to - hundredth, "{delay:?} of {gatekeepers}: {max} us at most");
+}
+
+#[test]
+fn delays_of_a_small_fleet_span_their_intervals() {
+    assert_spans(4, CallDelay::None, 0, 0);
+    assert_spans(4, CallDelay::Advance, 1_000_000, 1_000_000);
+    assert_spans(4, CallDelay::FollowerRead, 10_400_000, 31_200_000);
+    assert_spans(4, CallDelay::Confirmation, 1_200_000, 1_600_000);
+    assert_spans(4, CallDelay::Vacancy, 0, 1_000_000);
+    assert_spans(4, CallDelay::Backoff, 500_000, 1_000_000);
+}
+
+#[test]
+fn jitter_and_read_interval_grow_with_the_fleet() {
+    assert_spans(300, CallDelay::Advance, 1_000_000, 1_000_000);
+    assert_spans(300, CallDelay::FollowerRead, 40_000_000, 120_000_000);
+    assert_spans(300, CallDelay::Confirmation, 1_200_000, 4_000_000);
+    assert_spans(300, CallDelay::Vacancy, 0, 7_000_000);
+    assert_spans(300, CallDelay::Backoff, 500_000, 4_000_000);
+}
--- /dev/null
+++ b/crates/exchange/src/fleet_clock/stamp/tests.rs
@@ -0,0 +1,53 @@
+//! The codec.
+
+use super::*;
+
+/// The stamp time at so many ticks since 1970.
+fn stamp_time(ticks: i64) -> StampTime {
+    StampTime::from_micros(ticks * TICK as i64)
+}
+
+#[test]
+fn a_placed_stamp_decodes_to_its_time_whatever_the_counter_held() {
+    for residue in [0, 7, -7, PERIOD - 1] {
+        let time = stamp_time(123_456);
+        let total = Ticks(residue + time.placement_amount(Ticks(residue)).0);
+        assert_eq!(Stamp::decode(total.as_units()), Stamp::single(time), "with a residue of {residue}");
+    }
+}
+
+#[test]
+fn an_advanced_stamp_decodes_to_the_later_time_also_around_the_end_of_the_period() {
+    for (from, to) in [(10, 20), (PERIOD - 4, PERIOD + 6)] {
+        let (from, to) = (stamp_time(from), stamp_time(to));
+        let total = PERIOD + from.0 + to.advance_amount(from).0;
+        assert_eq!(Stamp::decode(total as f64), Stamp::single(to));
+        assert_eq!(to.since(from), Ticks(10));
+        assert_eq!(from.since(to), Ticks(-10));
+    }
+}
+
+#[test]
+fn differences_go_the_shorter_way_around_the_period() {
+    let half = PERIOD / 2;
+    for (difference, expected) in [(0, 0), (half, half), (half + 1, 1 - half), (PERIOD, 0), (-1, -1)] {
+        assert_eq!(stamp_time(PERIOD + difference).since(stamp_time(PERIOD)), Ticks(expected));
+    }
+}
+
+#[test]
+fn each_placed_stamp_is_counted() {
+    for placed_count in 0..5 {
+        let stamp = Stamp::decode((placed_count * PERIOD + 42) as f64);
+        assert_eq!(stamp, Stamp { placed_count, time: stamp_time(42) });
+        assert_eq!(stamp.total(), Ticks(placed_count * PERIOD + 42));
+    }
+}
+
+#[test]
+fn a_total_that_is_not_finite_or_negative_counts_as_no_single_stamp_and_no_vacancy() {
+    for total in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, -1e300, 1e300] {
+        let placed_count = Stamp::decode(total).placed_count;
+        assert!(placed_count != 0 && placed_count != 1, "{total}: {placed_count}");
+    }
+}
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -1,5 +1,6 @@
-//! Fleets of estimates in simulated time, which share one count.
+//! Fleets of gatekeepers in simulated time, which share one counter.
 
+use super::stamp::{PERIOD, TICK};
 use super::*;
 
 const SECOND: Micros = 1_000_000;
@@ -8,14 +9,14 @@
 const START: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 const HOUR: i64 = 3_600 * SECOND as i64;
 
-/// The count of the stamp, which expires.
+/// The count that holds the stamp. It expires.
 #[derive(Default)]
 struct Counter {
     total: f64,
     expires_at: Timestamp,
-    /// Calls in all.
+    /// Total number of calls.
     calls: u64,
-    /// How calls end now.
+    /// The outcome of all calls; `None` for success.
     outcome: Option<Outcome>,
 }
 
@@ -27,7 +28,7 @@
             _ => {}
         }
         if now >= self.expires_at {
-            (self.total, self.expires_at) = (0.0, now + STAMP_LIFE);
+            (self.total, self.expires_at) = (0.0, now + STAMP_TTL);
         }
         self.total += amount;
         (self.outcome.unwrap_or(Outcome::Ok), self.total)
@@ -38,11 +39,30 @@
     clock: FleetClock,
     /// Microseconds that its wall clock was ahead when it started.
     ahead: i64,
-    reply: Option<(Timestamp, Outcome, f64)>,
+    reply: Option<Reply>,
+}
+
+impl Member {
+    /// Its estimate in microseconds.
+    fn offset(&self) -> i64 {
+        self.clock.offset().as_micros()
+    }
+
+    fn is_timekeeper(&self) -> bool {
+        self.clock.election.is_timekeeper()
+    }
+}
+
+/// The end of a counter call that its caller has not seen yet.
+struct Reply {
+    /// When it arrives, by the caller's clock.
+    arrives_at: Timestamp,
+    outcome: Outcome,
+    total: f64,
 }
 
 struct Fleet {
-    /// Gatekeepers by the settings.
+    /// Number of gatekeepers in the settings.
     size: u32,
     now: Timestamp,
     counter: Counter,
@@ -61,7 +81,7 @@
         }
     }
 
-    /// A member starts with its wall clock so far ahead.
+    /// Starts a member whose wall clock is `ahead` microseconds ahead.
     fn start(&mut self, ahead: i64) -> usize {
         let seed = self.members.len() as u64;
         let clock = FleetClock::new(self.size, seed, local(self.now, ahead));
@@ -69,37 +89,35 @@
         self.members.len() - 1
     }
 
-    /// So many members start on clocks that are right.
-    fn start_many(&mut self, count: usize) {
+    /// Starts `count` members on correct clocks.
+    fn start_on_correct_clocks(&mut self, count: usize) {
         for _ in 0..count {
             self.start(0);
         }
     }
 
-    /// A call takes 1 to 5 ms.
+    /// Runs the fleet in steps of 1 ms. A call takes 1 to 4 ms.
     fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
             for member in &mut self.members {
                 let now = local(self.now, member.ahead);
-                if let Some((at, outcome, total)) = member.reply
-                    && now >= at
-                {
-                    member.reply = None;
-                    member.clock.call_ended(now, outcome, total);
+                if let Some(reply) = member.reply.take_if(|reply| now >= reply.arrives_at) {
+                    member.clock.on_call_ended(now, reply.outcome, reply.total);
                 }
                 if let Some(amount) = member.clock.start_call(now) {
                     let (outcome, total) = self.counter.add(self.now, amount);
-                    member.reply = Some((now + STEP * self.random.u64(1..5), outcome, total));
+                    let arrives_at = now + STEP * self.random.u64(1..5);
+                    member.reply = Some(Reply { arrives_at, outcome, total });
                 }
             }
             self.now += STEP;
         }
     }
 
-    /// How far apart the members' times of the fleet are at most.
+    /// The largest difference between two members' estimates of the fleet's time.
     fn spread(&self) -> i64 {
-        let times = || self.members.iter().map(|member| member.ahead - member.clock.offset());
+        let times = || self.members.iter().map(|member| member.ahead - member.offset());
         times().max().unwrap_or(0) - times().min().unwrap_or(0)
     }
 }
@@ -109,18 +127,18 @@
     Timestamp::from_micros(local.expect("times are far from zero"))
 }
 
-/// What a difference between two members may be: the stamp is advanced once a second.
-const EXACT: i64 = 2 * SECOND as i64;
+/// Maximum difference between two members' estimates of the fleet's time.
+const TOLERANCE: i64 = 2 * SECOND as i64;
 
 #[test]
-fn clocks_that_are_right_are_not_changed() {
+fn correct_clocks_get_no_offset() {
     let mut fleet = Fleet::new();
     for ahead in [0, 3_000, -20_000, 150_000] {
         fleet.start(ahead);
     }
     fleet.run(300 * SECOND);
     for member in &fleet.members {
-        assert_eq!(member.clock.offset(), 0, "with a clock {} us ahead", member.ahead);
+        assert_eq!(member.offset(), 0, "with a clock {} us ahead", member.ahead);
     }
 }
 
@@ -128,145 +146,139 @@
 fn a_process_started_on_a_stepped_clock_learns_its_offset_within_two_seconds() {
     for ahead in [HOUR, -HOUR, 5 * SECOND as i64, -5 * SECOND as i64, 12 * HOUR, -12 * HOUR] {
         let mut fleet = Fleet::new();
-        fleet.start_many(3);
+        fleet.start_on_correct_clocks(3);
         fleet.run(20 * SECOND);
         fleet.start(ahead);
         fleet.run(2 * SECOND);
-        assert!(fleet.spread() <= EXACT, "{ahead} us ahead: {} us apart", fleet.spread());
+        assert!(fleet.spread() <= TOLERANCE, "{ahead} us ahead: {} us apart", fleet.spread());
         fleet.run(200 * SECOND);
-        assert!(fleet.spread() <= EXACT, "{ahead} us ahead: {} us apart later", fleet.spread());
+        assert!(fleet.spread() <= TOLERANCE, "{ahead} us ahead: {} us apart later", fleet.spread());
     }
 }
 
 #[test]
-fn a_large_step_is_known_with_the_first_reply() {
+fn a_large_offset_is_known_with_the_first_reply() {
     let mut fleet = Fleet::new();
     fleet.start(0);
     fleet.run(10 * SECOND);
     fleet.start(HOUR);
     fleet.run(10 * STEP);
-    assert!(fleet.spread() <= EXACT);
+    assert!(fleet.spread() <= TOLERANCE);
 }
 
 #[test]
-fn members_that_start_at_once_agree_whichever_of_them_are_stepped() {
+fn members_that_start_together_agree_whichever_of_their_clocks_are_stepped() {
     for offsets in [[HOUR, 0, 0, 0], [HOUR, HOUR, 0, 0], [-HOUR, HOUR, 0, 5_000_000], [HOUR; 4]] {
         let mut fleet = Fleet::new();
         for ahead in offsets {
             fleet.start(ahead);
         }
         fleet.run(5 * SECOND);
-        assert!(fleet.spread() <= EXACT, "{offsets:?}: {} us apart", fleet.spread());
+        assert!(fleet.spread() <= TOLERANCE, "{offsets:?}: {} us apart", fleet.spread());
         fleet.run(120 * SECOND);
-        assert!(fleet.spread() <= EXACT, "{offsets:?}: {} us apart later", fleet.spread());
+        assert!(fleet.spread() <= TOLERANCE, "{offsets:?}: {} us apart later", fleet.spread());
     }
 }
 
 #[test]
-fn another_one_goes_on_when_the_timekeeper_dies() {
+fn a_follower_takes_over_when_the_timekeeper_dies() {
     let mut fleet = Fleet::new();
-    fleet.start_many(4);
+    fleet.start_on_correct_clocks(4);
     fleet.run(10 * SECOND);
-    let is_timekeeper = |member: &Member| matches!(member.clock.role, Role::Timekeeper { .. });
-    assert_eq!(fleet.members.iter().filter(|member| is_timekeeper(member)).count(), 1);
-    fleet.members.retain(|member| !is_timekeeper(member));
+    assert_eq!(fleet.members.iter().filter(|member| member.is_timekeeper()).count(), 1);
+    fleet.members.retain(|member| !member.is_timekeeper());
     fleet.run(60 * SECOND);
-    assert_eq!(fleet.members.iter().filter(|member| is_timekeeper(member)).count(), 1);
-    assert!(
-        fleet.members.iter().all(|member| member.clock.offset() == 0),
-        "a stamp that stood still is no clock"
-    );
+    assert_eq!(fleet.members.iter().filter(|member| member.is_timekeeper()).count(), 1);
+    assert!(fleet.members.iter().all(|member| member.offset() == 0), "a stale stamp changes no offset");
     fleet.start(-HOUR);
     fleet.run(2 * SECOND);
-    assert!(fleet.spread() <= EXACT);
+    assert!(fleet.spread() <= TOLERANCE);
 }
 
 #[test]
-fn a_silent_or_failing_counter_changes_nothing_and_is_asked_again() {
+fn a_failing_counter_changes_no_offset_and_is_called_again() {
     for outcome in
         [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Timeout, Outcome::Reset, Outcome::Error]
     {
         let mut fleet = Fleet::new();
-        fleet.start_many(3);
+        fleet.start_on_correct_clocks(3);
         fleet.run(10 * SECOND);
         fleet.counter.outcome = Some(outcome);
         fleet.start(HOUR);
         fleet.run(15 * SECOND);
         fleet.counter.outcome = None;
         fleet.run(6 * SECOND);
-        assert!(fleet.spread() <= EXACT, "{outcome:?}: {} us apart", fleet.spread());
-        let right = fleet.members.iter().filter(|member| member.ahead == 0);
-        assert!(right.into_iter().all(|member| member.clock.offset() == 0), "{outcome:?}");
+        assert!(fleet.spread() <= TOLERANCE, "{outcome:?}: {} us apart", fleet.spread());
+        let mut on_correct_clocks = fleet.members.iter().filter(|member| member.ahead == 0);
+        assert!(on_correct_clocks.all(|member| member.offset() == 0), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_counter_that_lost_the_stamp_gets_it_again() {
+fn a_stamp_that_the_counter_lost_is_placed_again() {
     let mut fleet = Fleet::new();
-    fleet.start_many(3);
+    fleet.start_on_correct_clocks(3);
     fleet.run(10 * SECOND);
     fleet.counter.expires_at = Timestamp::ZERO;
     fleet.run(2 * SECOND);
-    assert_eq!(Stamp::of(fleet.counter.total).placed, 1);
+    assert_eq!(Stamp::decode(fleet.counter.total).placed_count, 1);
     fleet.start(HOUR);
     fleet.run(SECOND);
-    assert!(fleet.spread() <= EXACT);
+    assert!(fleet.spread() <= TOLERANCE);
 }
 
-/// The stamp repeats: the times around the end of its period are no different from others.
 #[test]
-fn the_end_of_a_period_of_the_stamp_is_no_step() {
-    let period = PERIOD as u64 * UNIT;
+fn the_wrap_around_of_the_stamp_changes_no_offset() {
+    let period = PERIOD as u64 * TICK;
     let mut fleet = Fleet::new();
     fleet.now = Timestamp::from_micros((START.as_micros() / period + 1) * period - 5 * SECOND);
-    fleet.start_many(3);
+    fleet.start_on_correct_clocks(3);
     fleet.run(4 * SECOND);
     fleet.start(HOUR);
     fleet.run(60 * SECOND);
-    assert!(fleet.spread() <= EXACT);
-    assert!(fleet.members[..3].iter().all(|member| member.clock.offset() == 0));
+    assert!(fleet.spread() <= TOLERANCE);
+    assert!(fleet.members[..3].iter().all(|member| member.offset() == 0));
 }
 
 #[test]
-fn a_fleet_makes_few_calls() {
+fn a_large_fleet_makes_few_calls() {
     let mut fleet = Fleet::new();
     fleet.size = 300;
-    fleet.start_many(300);
+    fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
     let before = fleet.counter.calls;
     fleet.run(60 * SECOND);
     let calls = fleet.counter.calls - before;
     assert!(calls < 60 * 20, "{calls} calls of 300 gatekeepers in a minute");
-    assert!(fleet.members.iter().all(|member| member.clock.offset() == 0));
+    assert!(fleet.members.iter().all(|member| member.offset() == 0));
 }
 
-/// Guards the counter after a mass restart: all that had started read a stamp that stood still, each wanted to advance it, and each
-/// took back what it had added.
+/// Guards the counter after a mass restart: once, all restarted processes read a stale stamp, each tried to take over, and each
+/// rolled back after the conflict.
 #[test]
-fn a_fleet_of_which_most_are_killed_at_once_makes_few_calls() {
+fn a_large_fleet_makes_few_calls_after_a_mass_restart() {
     let mut fleet = Fleet::new();
     fleet.size = 300;
-    fleet.start_many(300);
+    fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
     // The timekeeper is among those that are killed.
-    let is_timekeeper = |member: &Member| matches!(member.clock.role, Role::Timekeeper { .. });
-    fleet.members.sort_by_key(is_timekeeper);
+    fleet.members.sort_by_key(Member::is_timekeeper);
     fleet.members.truncate(90);
     fleet.run(5 * SECOND);
     let before = fleet.counter.calls;
-    fleet.start_many(210);
+    fleet.start_on_correct_clocks(210);
     fleet.run(10 * SECOND);
     let calls = fleet.counter.calls - before;
-    assert!(calls < 600, "{calls} calls of 210 gatekeepers that start at once");
-    assert!(fleet.members.iter().all(|member| member.clock.offset() == 0));
+    assert!(calls < 600, "{calls} calls of 210 gatekeepers that start together");
+    assert!(fleet.members.iter().all(|member| member.offset() == 0));
 }
 
 #[test]
-fn totals_that_are_no_stamps_are_ignored() {
+fn totals_without_a_valid_stamp_are_ignored() {
     for total in [f64::NAN, f64::INFINITY, -1.0, 2_345_678.0, 9.9e9, 1e300] {
         let mut clock = FleetClock::new(4, 1, START);
         assert_eq!(clock.start_call(START), Some(0.0));
-        clock.call_ended(START + STEP, Outcome::Ok, total);
-        assert_eq!(clock.offset(), 0, "{total}");
+        clock.on_call_ended(START + STEP, Outcome::Ok, total);
+        assert_eq!(clock.offset(), ClockOffset::default(), "{total}");
     }
 }
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter: the policy's, and those of the fleet's clock.
 
 use super::RequestTable;
-use crate::fleet_clock::{FleetClock, STAMP_LIFE, STAMP_NAME};
+use crate::fleet_clock::{FleetClock, STAMP_NAME, STAMP_TTL};
 use crate::ports::CounterCall;
 use crate::side_effect::SideEffect;
 use crate::timers::Timer;
@@ -63,14 +63,14 @@
 
     /// Whether the fleet's clock has been read, or need not be.
     pub(crate) fn has_read_fleet_clock(&self) -> bool {
-        self.fleet_clock.as_ref().is_none_or(FleetClock::had_reply)
+        self.fleet_clock.as_ref().is_none_or(FleetClock::has_replied)
     }
 
     /// Makes the call that is due, and sets the timer of the next one.
     pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
         let Some(clock) = &mut self.fleet_clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
-            (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_LIFE),
+            (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_TTL),
             (None, Some(at)) => self.timers.set(at, Timer::FleetClock),
             // The end of the call in flight sets it.
             (None, None) => {}
@@ -80,10 +80,10 @@
     fn fleet_clock_replied(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
         let Some(clock) = &mut self.fleet_clock else { return };
         let before = clock.offset();
-        clock.call_ended(now, outcome, total);
+        clock.on_call_ended(now, outcome, total);
         let offset = clock.offset();
         if offset != before {
-            self.policy.set_clock_offset(offset);
+            self.policy.set_clock_offset(offset.as_micros());
             self.side_effects.push_back(SideEffect::LogClockOffset(offset));
         }
         self.call_for_fleet_clock(now);
--- a/crates/exchange/src/request_table/tests.rs
+++ b/crates/exchange/src/request_table/tests.rs
@@ -79,7 +79,9 @@
             SideEffect::Answer(reply, answer) => reply(answer),
             SideEffect::CallCounter(call) => requested.push(format!("call {} add {}", call.id, call.units)),
             SideEffect::Log(notice) => requested.push(notice.to_string()),
-            SideEffect::LogClockOffset(offset) => requested.push(format!("clock ahead by {offset}")),
+            SideEffect::LogClockOffset(offset) => {
+                requested.push(format!("clock offset {}", offset.as_micros()))
+            }
         }
     }
     requested
--- a/crates/exchange/src/side_effect.rs
+++ b/crates/exchange/src/side_effect.rs
@@ -1,5 +1,6 @@
 //! What is to be done once the lock is released.
 
+use crate::fleet_clock::ClockOffset;
 use crate::ports::CounterCall;
 use crate::request::{Attempt, AttemptId, FinalAnswer, Reply};
 use policy::Notice;
@@ -13,6 +14,6 @@
     Answer(Reply<A>, FinalAnswer<A>),
     CallCounter(CounterCall),
     Log(Notice),
-    /// The clock was found to be so many microseconds ahead of the fleet's.
-    LogClockOffset(i64),
+    /// The estimate of the clock offset has changed.
+    LogClockOffset(ClockOffset),
 }
