--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange: entry points of both sides, and the order in which side effects are carried out.
+//! The exchange: entry points of both sides, and the order in which side effects are performed.
 
 use crate::clock::Clock;
 use crate::counts::{OutcomeCounts, Status};
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
 
-/// Where the client side and the backend side meet.
+/// Connects the client side with the backend side: takes requests from fronts, and makes attempts at backends by the policy.
 pub struct Exchange<Q, A> {
     clock: Clock,
     table: Mutex<RequestTable<Q, A>>,
@@ -23,11 +23,11 @@
 }
 
 impl<Q: Send + Sync + 'static, A: Send + 'static> Exchange<Q, A> {
-    /// An exchange without any backend yet.
+    /// Creates an exchange without backends.
     ///
     /// # Errors
     ///
-    /// The settings cannot be used.
+    /// The settings are not valid.
     pub fn new(settings: Settings, seed: u64, clock: Clock) -> Result<Arc<Self>, SettingsError> {
         let table = Mutex::new(RequestTable::new(settings, seed, clock.now())?);
         let (backends, counter, timer_waker) = (OnceLock::new(), OnceLock::new(), OnceLock::new());
@@ -43,23 +43,23 @@
         }
     }
 
-    /// The time, as the times of attempts are given.
+    /// The current time by the clock of [`Attempt::decided_at`](crate::Attempt::decided_at).
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Asks the counter for the fleet's time, and goes by that where this process's clock is off. To be called once the counter
-    /// client is set; without one there is nothing to ask.
+    /// Starts to estimate the clock offset from the fleet's clock, which the counter keeps; shared counts use the fleet's time. To
+    /// be called after [`Exchange::connect`]. Without a counter this has no effect.
     pub fn start_fleet_clock(&self) {
         self.drive(RequestTable::start_fleet_clock);
     }
 
-    /// Whether the counter has been asked for the fleet's time and has replied, or has failed to.
+    /// Whether the first read of the fleet's clock has ended, with success or without, or is not needed.
     pub fn has_read_fleet_clock(&self) -> bool {
         self.lock().has_read_fleet_clock()
     }
 
-    /// Sets what wakes the caller of [`Exchange::run_due_timers`] when a timer expires before the time that this returned last.
+    /// Sets the callback that wakes the timer thread when a timer expires before the time that [`Exchange::run_due_timers`] returned.
     pub fn set_timer_waker(&self, waker: Box<dyn Fn() + Send + Sync>) {
         // Already set: the first stays.
         let _ = self.timer_waker.set(waker);
@@ -72,18 +72,18 @@
         id
     }
 
-    /// The process will shut down: what is submitted from now on has its final answer within this time, however long its client
-    /// would wait.
+    /// Prepares a graceful shutdown: each request that is submitted from now on gets its final answer within this time, even if its
+    /// client would wait longer.
     pub fn answer_all_within(&self, time: Duration) {
         self.drive(|table, now| table.set_latest_deadline(now + time.as_micros() as Micros));
     }
 
-    /// How many answers are streaming.
+    /// The number of answers that are streaming.
     pub fn open_streams(&self) -> usize {
         self.lock().open_streams()
     }
 
-    /// The client of this request disconnected: it needs no answer, and its attempts are cancelled.
+    /// The client of a request has disconnected: the request needs no answer, and its attempts are cancelled.
     pub fn client_gone(&self, id: RequestId) {
         if seeded_faults::is_active("gone") {
             return;
@@ -91,138 +91,130 @@
         self.drive(|table, now| table.client_gone(now, id));
     }
 
-    /// An attempt ended. One that was cancelled, or has ended before, is ignored.
+    /// Reports the end of an attempt. One that was cancelled or has ended before is ignored.
     pub fn attempt_ended(&self, id: AttemptId, end: AttemptEnd<A>) {
         self.drive(|table, now| table.attempt_ended(now, id, end));
     }
 
-    /// A streaming answer ended. For the policy its attempt has ended long before.
+    /// Reports the end of a streaming answer. For the policy, its attempt ended when the answer began.
     pub fn stream_ended(&self, id: AttemptId, end: StreamEnd) {
         self.lock().stream_ended(id, end);
     }
 
-    /// A counter call ended. One that has timed out before is ignored.
+    /// Reports the end of a counter call. One that has timed out is ignored.
     pub fn counter_call_ended(&self, id: u64, outcome: Outcome, total: f64) {
         self.drive(|table, now| table.counter_call_ended(now, id, outcome, total));
     }
 
     /// Applies an update of the endpoint list.
     pub fn update_endpoints(&self, kind: ListKind, entries: Vec<BackendEntry>) {
-        self.drive(|table, now| {
-            table.note_endpoints(kind, &entries);
-            table.feed(now, Event::Endpoints { kind, entries });
-        });
+        self.drive(|table, now| table.update_endpoints(now, kind, entries));
     }
 
-    /// Operators eject a backend, or admit it again. When this returns, nothing new is decided for an ejected one; the backend side
-    /// must have been told before, lest it still carries out what was decided earlier.
+    /// Sets or clears the operators' ejection of a backend. When this returns, the policy selects an ejected backend no more. The
+    /// backend side must be notified first, so that it refuses attempts that were decided earlier.
     pub fn set_operator_ejection(&self, backend: BackendId, ejected: bool) {
         self.drive(|table, now| table.feed(now, Event::OperatorEjection { backend, ejected }));
     }
 
-    /// Continues with other settings, in which classes and plans have the numbers that they had.
+    /// Continues with other settings, in which classes and plans keep their numbers.
     ///
     /// # Errors
     ///
-    /// The settings cannot be used; nothing has changed.
+    /// The settings are not valid; nothing has changed.
     pub fn update_settings(&self, settings: Settings) -> Result<(), SettingsError> {
         self.lock().update_settings(settings)
     }
 
-    /// Hands what the policy knows to the successor of this process. Fronts must admit nothing any more.
+    /// The policy's state, for the successor of this process. Fronts must have stopped submitting requests.
     pub fn hand_over(&self) -> PolicySnapshot {
         self.lock().policy().hand_over()
     }
 
-    /// Continues where the predecessor of this process stopped.
+    /// Continues with the policy state of this process's predecessor.
     pub fn take_over(&self, snapshot: PolicySnapshot) {
         let now = self.clock.now();
         self.lock().policy().take_over(now, snapshot);
     }
 
-    /// Sets who is told of each request that is forwarded for the first time, before it is: a process that would go on should
-    /// this one die. `None` ends that.
+    /// Sets the listener that is called before each request is forwarded for the first time, so that another process can take over
+    /// if this one dies. `None` removes it.
     pub fn set_admission_listener(&self, listener: Option<AdmissionListener>) {
-        self.lock().admission_listener = listener;
+        self.lock().set_admission_listener(listener);
     }
 
-    /// The successor of this process has admitted this.
+    /// Applies an admission of this process's successor.
     pub fn mirror_admission(&self, admission: Admission) {
         let Admission { tenant, plan, tenant_gatekeepers, units } = admission;
         let now = self.clock.now();
         self.lock().policy().mirror_admission(now, tenant, plan as usize, tenant_gatekeepers, units);
     }
 
-    /// Goes on after the successor of this process ended. `knows_all_admissions`: all that it admitted was mirrored.
+    /// Continues after the successor of this process has ended. `knows_all_admissions`: all its admissions were mirrored.
     pub fn resume(&self, knows_all_admissions: bool) {
         self.lock().policy().resume(knows_all_admissions);
     }
 
-    /// A front rejected a request of this class by itself.
+    /// Counts a rejection by a front, of a request of this class that was not submitted.
     pub fn count_rejection(&self, class: u16) {
         self.lock().count_rejection(class);
     }
 
-    /// How requests ended, and a summary of the backends.
+    /// The outcomes of requests, and a summary of the backends.
     pub fn outcome_counts(&self) -> (OutcomeCounts, FleetSummary) {
         self.lock().outcome_counts()
     }
 
-    /// Runs the timers that have expired and returns how long until it is to be called again, if any timer is set. No timer runs
-    /// more than a tick of the policy late, and many run together.
+    /// Runs the expired timers. Returns the time until the next call, if any timer is set. Timers that expire within a tick of the
+    /// policy run together, so a timer runs up to a tick late.
     pub fn run_due_timers(&self) -> Option<Micros> {
         self.drive(RequestTable::run_due_timers);
         let mut table = self.lock();
-        let now = self.clock.now();
-        table.wakes_at = table.timers.next().map(|expires_at| expires_at.max(now + table.tick));
-        table.wakes_at.map(|wakes_at| wakes_at - now)
+        table.timers.schedule_wake_up(self.clock.now())
     }
 
-    /// Figures for the console.
+    /// Figures for the operators' console.
     pub fn status(&self) -> Status {
         self.lock().status()
     }
 
-    /// Requests without a final answer.
+    /// The number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
         self.lock().unanswered()
     }
 
     fn lock(&self) -> MutexGuard<'_, RequestTable<Q, A>> {
-        // A panic of the policy leaves the table half-changed. Going on could break a rule in silence.
+        // A panic of the policy leaves the table half-changed. To go on could violate an invariant unnoticed.
         self.table.lock().unwrap_or_else(|_| {
             eprintln!("fatal: a panic left the request table half-changed");
             std::process::abort()
         })
     }
 
-    /// Changes the table under its lock, then carries out the side effects. One caller at a time carries them out, in order, also
-    /// those that others add meanwhile: were two to do so, an attempt could be cancelled before it was started.
+    /// Changes the table under its lock, then performs the side effects without the lock. One caller at a time performs them, in
+    /// order, including those that other callers add meanwhile: with two callers, an attempt could be cancelled before it starts.
     fn drive(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Timestamp)) {
         let mut table = self.lock();
         change(&mut table, self.clock.now());
         self.wake_timers(&mut table);
-        if std::mem::replace(&mut table.is_performing, true) {
+        if !table.side_effects.begin_drain() {
             return;
         }
         let guard = AbortOnPanic;
-        while let Some(side_effect) = table.side_effects.pop_front() {
+        while let Some(side_effect) = table.side_effects.next() {
             drop(table);
             self.perform(side_effect);
             table = self.lock();
         }
-        table.is_performing = false;
         std::mem::forget(guard);
     }
 
-    /// Wakes the timer thread if a timer expires before it wakes by itself.
+    /// Wakes the timer thread if a timer expires before its scheduled wake-up.
     fn wake_timers(&self, table: &mut RequestTable<Q, A>) {
-        let Some(next) = table.timers.next() else { return };
-        if table.wakes_at.is_none_or(|wakes_at| next + table.tick < wakes_at) {
-            table.wakes_at = Some(next);
-            if let Some(wake) = self.timer_waker.get() {
-                wake();
-            }
+        if table.timers.take_early_wake_up()
+            && let Some(wake) = self.timer_waker.get()
+        {
+            wake();
         }
     }
 
@@ -263,7 +255,7 @@
     }
 }
 
-/// Dropped only by a panic while side effects are carried out: nobody would carry out any more.
+/// Dropped only by a panic while side effects are performed: after that, no caller would perform any.
 struct AbortOnPanic;
 
 impl Drop for AbortOnPanic {
--- a/crates/exchange/src/in_flight.rs
+++ b/crates/exchange/src/in_flight.rs
@@ -1,19 +1,24 @@
 //! A request in flight and its attempts.
 
-use crate::request::{Admission, Reply};
-use policy::{BackendId, Outcome, Timestamp};
+use crate::request::{Admission, AttemptId, Reply};
+use policy::{BackendId, Outcome, RequestId, Timestamp};
 use std::sync::Arc;
 
-/// One attempt in the table.
+/// An attempt of a request in flight.
 pub(crate) struct InFlightAttempt {
     pub(crate) backend: BackendId,
     pub(crate) sent_at: Timestamp,
-    pub(crate) is_open: bool,
-    /// How it ended.
+    /// `None` while the attempt is open.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// A request in the table.
+impl InFlightAttempt {
+    pub(crate) fn is_open(&self) -> bool {
+        self.outcome.is_none()
+    }
+}
+
+/// A request that has no final answer yet, or has open attempts.
 pub(crate) struct InFlightRequest<Q, A> {
     pub(crate) payload: Arc<Q>,
     /// Taken when the final answer is given or the client disconnects.
@@ -26,17 +31,23 @@
     pub(crate) service: u16,
     pub(crate) attempts: Vec<InFlightAttempt>,
     pub(crate) last_outcome: Option<Outcome>,
-    /// Its answer has begun and continues: it is counted when that ends.
+    /// The answer has begun and continues. The request is counted when the stream ends.
     pub(crate) is_streaming: bool,
 }
 
 impl<Q, A> InFlightRequest<Q, A> {
-    /// Whether it has its final answer, or needs none.
+    /// Whether the request has its final answer, or needs none.
     pub(crate) fn is_over(&self) -> bool {
         self.reply.is_none()
     }
 
     pub(crate) fn has_open_attempts(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.is_open)
+        self.attempts.iter().any(InFlightAttempt::is_open)
+    }
+
+    /// The open attempts. `id`: that of this request.
+    pub(crate) fn open_attempts(&self, id: RequestId) -> impl Iterator<Item = AttemptId> {
+        let open = self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_open());
+        open.map(move |(attempt, _)| AttemptId { request: id, attempt: attempt as u8 })
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,18 +1,22 @@
-//! Where the client side and the backend side meet.
+//! The exchange between clients and backends.
 //!
-//! [`Exchange`] owns the policy's state machine, the table of open requests, the timers and the calls to the quota counter. It knows
-//! no wire protocol and no socket: what a front forwards (`Q`) and what a backend answers (`A`) are opaque here. Everything that
-//! happens becomes one [`policy::Event`]; the side effects that follow are carried out after the lock is released, so that either
-//! side may call back at once.
+//! [`Exchange`] owns the policy's state machine, the table of requests in flight, the timers and the calls to the quota counter. It
+//! knows no wire protocol and no socket: what a front forwards (`Q`) and what a backend answers (`A`) are opaque here. Everything that
+//! happens becomes one [`policy::Event`]. The side effects that follow are performed after the lock is released, so that either side
+//! may call back at once.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `request` | what fronts submit, attempts, and final answers |
+//! | `request` | requests as fronts submit them, attempts, and final answers |
 //! | `ports` | the traits that the backend side and the counter client implement |
-//! | `exchange` | the entry points, and the order in which side effects are carried out |
+//! | `exchange` | the entry points, and the order in which side effects are performed |
 //! | `request_table` | the state behind the lock |
-//! | `fleet_clock` | by how much the clock is off the fleet's |
-//! | `counts` | counters for operators |
+//! | `in_flight` | a request in the table, and its attempts |
+//! | `side_effect` | what the table asks the exchange to do, and the queue of it |
+//! | `timers` | the queue of timers, and the wake-ups of the timer thread |
+//! | `fleet_clock` | the estimate of the clock offset from the fleet's clock |
+//! | `clock` | the process's clock |
+//! | `counts` | the figures that operators read |
 //! | `stream` | an answer that is passed on while it arrives |
 
 mod clock;
@@ -27,7 +31,7 @@
 mod stream;
 mod timers;
 
-pub use crate::clock::Clock;
+pub use crate::clock::{Clock, MAX_SCHEDULING_DELAY};
 pub use crate::counts::{AnswerCounts, BackendStatus, OutcomeCounts, Status};
 pub use crate::exchange::Exchange;
 pub use crate::ports::{Backends, CounterCall, QuotaCounter};
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -1,111 +1,111 @@
 //! The state behind the exchange's lock: the policy, the requests in flight, the counter calls in flight and the timers.
-
+//!
+//! | module | holds |
+//! | --- | --- |
+//! | `answers` | final answers: when a request is over, and why it failed |
+//! | `attempts` | attempts: start, end, cancellation |
+//! | `backends` | the backends of the endpoint list |
+//! | `counter_calls` | counter calls in flight, and the fleet's clock |
+//! | `repeat_guard` | the guard on repeated requests |
+//! | `statistics` | the figures that operators read |
+//! | `streams` | answers that are streaming |
+
+mod answers;
 mod attempts;
 mod backends;
 mod counter_calls;
 mod repeat_guard;
+mod statistics;
+mod streams;
 #[cfg(test)]
 mod tests;
 
-use crate::counts::{AnswerCounts, AnswerKind, OutcomeCounts, Status};
-use crate::fleet_clock::FleetClock;
+use crate::counts::{AnswerKind, OutcomeCounts, Status};
 use crate::in_flight::InFlightRequest;
-use crate::request::{Admission, AttemptId, FailureReason, FinalAnswer, Reply, Request};
-use crate::side_effect::SideEffect;
+use crate::request::{Admission, AttemptId, Reply, Request};
+use crate::side_effect::{SideEffect, SideEffects};
 use crate::timers::{Timer, Timers};
-use counter_calls::InFlightCall;
+use backends::KnownBackends;
+use counter_calls::{CounterCalls, SharedClock};
 use policy::{
-    Action, BackendId, Event, FleetSummary, Micros, Outcome, Policy, RequestId, Settings, SettingsError,
-    Timestamp,
+    Action, BackendEntry, Event, FleetSummary, ListKind, Outcome, Policy, RequestClass, RequestId, Settings,
+    SettingsError, Timestamp,
 };
-use repeat_guard::RepeatRule;
+use repeat_guard::RepeatRules;
+use statistics::Statistics;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
+use streams::OpenStreams;
 
-/// How many ticks before its deadline a request that is given up counts as out of time.
-const DEADLINE_TICKS: Micros = 4;
-/// One request in so many is treated wrongly by a build for the checkers of the fault-injection harness.
-const SEEDED_FAULT_PERIOD: u32 = 50;
-/// Bytes that such a build leaks with it.
-const SEEDED_FAULT_LEAK: usize = 32 << 20;
-
-/// Told of each admission before it is forwarded.
+/// Called with each admission before its request is forwarded.
 pub(crate) type AdmissionListener = Box<dyn Fn(Admission) + Send>;
 
 pub(crate) struct RequestTable<Q, A> {
     policy: Policy,
-    max_attempts: usize,
-    counter_timeout: Micros,
-    /// Timers that expire within this time of each other may run together: the tick of the policy.
-    pub(crate) tick: Micros,
-    /// When requests of each class may be sent once more.
-    repeat_rules: Vec<RepeatRule>,
-    /// The service of each class, and of each known backend.
-    class_services: Vec<u16>,
-    backend_services: HashMap<BackendId, u16>,
+    /// Events that wait for the policy. Applying an action may append some.
+    events: VecDeque<Event>,
+    /// Empty between two events: kept for its capacity.
+    actions: Vec<Action>,
     requests: HashMap<RequestId, InFlightRequest<Q, A>>,
     next_request: u32,
-    counter_calls: HashMap<u64, InFlightCall>,
-    /// Where tenants' counts are shared with other gatekeepers, once it is started.
-    fleet_clock: Option<FleetClock>,
-    /// Gatekeepers that share the counter; 1 without one.
-    counting_gatekeepers: u32,
-    seed: u64,
-    next_counter_call: u64,
-    status: Status,
-    counts: OutcomeCounts,
-    /// Classes of the requests whose answers are streaming, by the attempt that brings them.
-    streams: HashMap<AttemptId, u16>,
-    /// Set while another process could go on in the place of this one.
-    pub(crate) admission_listener: Option<AdmissionListener>,
-    pub(crate) side_effects: VecDeque<SideEffect<Q, A>>,
-    /// A caller is carrying out side effects.
-    pub(crate) is_performing: bool,
+    max_attempts: usize,
+    /// The service of each class.
+    class_services: Vec<u16>,
+    repeat_rules: RepeatRules,
     /// No request has a later deadline.
     latest_deadline: Timestamp,
-    events: VecDeque<Event>,
-    actions: Vec<Action>,
+    backends: KnownBackends,
+    streams: OpenStreams,
+    counter_calls: CounterCalls,
+    shared_clock: SharedClock,
+    statistics: Statistics,
+    /// Set while a successor process could take over.
+    admission_listener: Option<AdmissionListener>,
+    pub(crate) side_effects: SideEffects<Q, A>,
     pub(crate) timers: Timers,
-    /// When the thread that runs the timers wakes by itself.
-    pub(crate) wakes_at: Option<Timestamp>,
 }
 
 impl<Q, A> RequestTable<Q, A> {
     pub(crate) fn new(settings: Settings, seed: u64, now: Timestamp) -> Result<Self, SettingsError> {
-        let class_services: Vec<u16> = settings.classes.iter().map(|class| class.service).collect();
-        let classes = vec![AnswerCounts::default(); class_services.len()];
-        let counting_gatekeepers = if settings.shared_counter { settings.gatekeepers } else { 1 };
         Ok(Self {
-            repeat_rules: settings.classes.iter().map(RepeatRule::of).collect(),
-            class_services,
-            backend_services: HashMap::new(),
-            max_attempts: settings.max_attempts as usize,
-            counter_timeout: settings.counter_timeout,
-            tick: settings.tick,
-            policy: Policy::new(settings, seed, now)?,
+            events: VecDeque::new(),
+            actions: Vec::new(),
             requests: HashMap::new(),
             next_request: 0,
-            counter_calls: HashMap::new(),
-            fleet_clock: None,
-            counting_gatekeepers,
-            seed,
-            next_counter_call: 0,
-            status: Status::default(),
-            counts: OutcomeCounts { classes, ..OutcomeCounts::default() },
-            streams: HashMap::new(),
-            admission_listener: None,
-            side_effects: VecDeque::new(),
-            is_performing: false,
+            max_attempts: settings.max_attempts as usize,
+            class_services: services_of(&settings.classes),
+            repeat_rules: RepeatRules::of(&settings.classes),
             latest_deadline: Timestamp::MAX,
-            events: VecDeque::new(),
-            actions: Vec::new(),
-            timers: Timers::default(),
-            wakes_at: None,
+            backends: KnownBackends::default(),
+            streams: OpenStreams::default(),
+            counter_calls: CounterCalls::new(settings.counter_timeout),
+            shared_clock: SharedClock::new(&settings, seed),
+            statistics: Statistics::new(settings.classes.len()),
+            admission_listener: None,
+            side_effects: SideEffects::default(),
+            timers: Timers::new(settings.tick),
+            policy: Policy::new(settings, seed, now)?,
         })
     }
 
+    /// Continues with other settings. Classes keep their numbers.
+    pub(crate) fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
+        let (max_attempts, tick) = (settings.max_attempts as usize, settings.tick);
+        let counter_timeout = settings.counter_timeout;
+        let class_services = services_of(&settings.classes);
+        let repeat_rules = RepeatRules::of(&settings.classes);
+        self.policy.update_settings(settings)?;
+        self.repeat_rules.update(repeat_rules);
+        self.max_attempts = max_attempts;
+        self.counter_calls.set_timeout(counter_timeout);
+        self.timers.set_tick(tick);
+        self.statistics.add_classes(class_services.len());
+        self.class_services = class_services;
+        Ok(())
+    }
+
     pub(crate) fn submit(&mut self, now: Timestamp, request: Request<Q>, reply: Reply<A>) -> RequestId {
-        let id = self.free_id();
+        let id = self.unused_id();
         let Request { class, plan, tenant, tenant_gatekeepers, units, client_retry, .. } = request;
         let deadline = now.saturating_add(request.time_left).min(self.latest_deadline);
         let time_left = deadline.saturating_since(now);
@@ -121,7 +121,7 @@
             last_outcome: None,
             is_streaming: false,
         };
-        self.counts.pending += 1;
+        self.statistics.request_submitted();
         self.requests.insert(id, in_flight);
         self.timers.set(deadline, Timer::Deadline(id));
         let event =
@@ -130,7 +130,8 @@
         id
     }
 
-    fn free_id(&mut self) -> RequestId {
+    /// The next id that no request in flight has.
+    fn unused_id(&mut self) -> RequestId {
         while self.requests.contains_key(&RequestId(self.next_request)) {
             self.next_request = self.next_request.wrapping_add(1);
         }
@@ -139,12 +140,12 @@
         id
     }
 
-    /// What is taken from now on is over by then.
+    /// Limits the deadlines of the requests that are submitted from now on.
     pub(crate) fn set_latest_deadline(&mut self, deadline: Timestamp) {
         self.latest_deadline = deadline;
     }
 
-    /// Hands one event to the policy and carries out its actions; events that follow at once are handed over too.
+    /// Applies an event to the policy, its actions to the table, and then the events that these lead to.
     pub(crate) fn feed(&mut self, now: Timestamp, event: Event) {
         self.events.push_back(event);
         self.run_events(now);
@@ -169,155 +170,70 @@
             Action::Cancel { id, attempt } => {
                 self.cancel_attempt(now, AttemptId { request: id, attempt }, Outcome::Cancelled);
             }
-            Action::Reject { id, retry_after, reason } => {
-                self.counts.rejections[reason as usize] += 1;
-                let reason = self.failure_reason(now, id);
-                self.answer(id, FinalAnswer::Rejected { retry_after, reason });
-            }
-            Action::Fail { id } => {
-                let reason = self.failure_reason(now, id);
-                self.answer(id, FinalAnswer::Failed(reason));
-            }
+            Action::Reject { id, retry_after, reason } => self.reject(now, id, retry_after, reason),
+            Action::Fail { id } => self.fail(now, id),
             Action::Timer { after, token } => self.timers.set(now + after, Timer::Policy(token)),
             Action::CounterAdd { name, units, ttl } => self.call_quota_counter(now, name, units, ttl),
-            Action::Log(notice) => self.side_effects.push_back(SideEffect::Log(notice)),
+            Action::Log(notice) => self.side_effects.push(SideEffect::Log(notice)),
             // Discovery is watched from the start, and sites with active health checks are not served.
             Action::PollEndpoints | Action::HealthCheck { .. } => {}
         }
     }
 
-    /// Gives the one final answer, if none was given.
-    fn answer(&mut self, id: RequestId, answer: FinalAnswer<A>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(reply) = request.reply.take() else { return };
-        let (class, is_streaming) = (request.class, request.is_streaming);
-        let kind = AnswerKind::of(&answer);
-        self.status.answers.add(kind);
-        if !is_streaming {
-            self.counts.pending -= 1;
-            self.count(class, kind);
-        }
-        // Before the answer goes out: what is not written yet must not be forwarded after it.
-        self.withdraw_open_attempts(id);
-        let has_seeded_fault =
-            seeded_faults::ENABLED && id.0 % SEEDED_FAULT_PERIOD == SEEDED_FAULT_PERIOD - 1;
-        if has_seeded_fault && seeded_faults::is_active("holds") {
-            // Used by nothing else: without the black box the compiler leaves it out.
-            std::mem::forget(std::hint::black_box(vec![1u8; SEEDED_FAULT_LEAK]));
-        }
-        if !has_seeded_fault || !seeded_faults::is_active("answers") {
-            self.side_effects.push_back(SideEffect::Answer(reply, answer));
-        }
-        self.remove_if_over(id);
+    /// Applies an update of the endpoint list.
+    pub(crate) fn update_endpoints(&mut self, now: Timestamp, kind: ListKind, entries: Vec<BackendEntry>) {
+        self.backends.update(kind, &entries);
+        self.feed(now, Event::Endpoints { kind, entries });
     }
 
-    fn count(&mut self, class: u16, kind: AnswerKind) {
-        if let Some(counts) = self.counts.classes.get_mut(usize::from(class)) {
-            counts.add(kind);
+    pub(crate) fn run_due_timers(&mut self, now: Timestamp) {
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                Timer::Policy(token) => self.feed(now, Event::Timer { token }),
+                Timer::CounterCall(id) => self.counter_call_ended(now, id, Outcome::Timeout, 0.0),
+                Timer::Attempt(attempt) => self.attempt_timed_out(now, attempt),
+                Timer::WriteDeadline(attempt) => self.side_effects.push(SideEffect::EndUnwritten(attempt)),
+                Timer::Deadline(id) => self.deadline_expired(now, id),
+                Timer::FleetClock => self.call_for_fleet_clock(now),
+            }
         }
     }
 
-    /// A front rejected a request of this class by itself.
-    pub(crate) fn count_rejection(&mut self, class: u16) {
-        self.count(class, AnswerKind::Rejected);
-    }
-
-    pub(crate) fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
-        let (max_attempts, tick) = (settings.max_attempts as usize, settings.tick);
-        let counter_timeout = settings.counter_timeout;
-        let class_services: Vec<u16> = settings.classes.iter().map(|class| class.service).collect();
-        let repeat_rules: Vec<RepeatRule> = settings.classes.iter().map(RepeatRule::of).collect();
-        self.policy.update_settings(settings)?;
-        // Classes keep their numbers: those that the new settings lack stay as they were, for requests in flight.
-        let replaced = repeat_rules.len().min(self.repeat_rules.len());
-        self.repeat_rules.splice(..replaced, repeat_rules);
-        self.max_attempts = max_attempts;
-        self.counter_timeout = counter_timeout;
-        self.tick = tick;
-        let classes = self.counts.classes.len().max(class_services.len());
-        self.counts.classes.resize(classes, AnswerCounts::default());
-        self.class_services = class_services;
-        Ok(())
+    pub(crate) fn set_admission_listener(&mut self, listener: Option<AdmissionListener>) {
+        self.admission_listener = listener;
     }
 
     pub(crate) fn policy(&mut self) -> &mut Policy {
         &mut self.policy
     }
 
-    pub(crate) fn outcome_counts(&self) -> (OutcomeCounts, FleetSummary) {
-        (self.counts.clone(), self.policy.fleet_summary())
-    }
-
-    /// Why the policy gives a request up now.
-    fn failure_reason(&self, now: Timestamp, id: RequestId) -> FailureReason {
-        let Some(request) = self.requests.get(&id) else { return FailureReason::NoCapacity };
-        if now + DEADLINE_TICKS * self.tick >= request.deadline {
-            return FailureReason::DeadlineExceeded;
-        }
-        match request.last_outcome {
-            None if !self.has_ready_backend(request.service) => FailureReason::NoBackend,
-            None | Some(Outcome::Rejected | Outcome::NotStarted | Outcome::NotSent) => {
-                FailureReason::NoCapacity
-            }
-            Some(Outcome::ConnectFailed) => FailureReason::NoBackend,
-            Some(Outcome::Timeout) => FailureReason::DeadlineExceeded,
-            Some(Outcome::Ok | Outcome::Error | Outcome::Reset | Outcome::Cancelled) => {
-                FailureReason::BackendFailed
-            }
-        }
-    }
-
-    pub(crate) fn client_gone(&mut self, now: Timestamp, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_over()) else { return };
-        request.reply = None;
-        self.counts.pending -= 1;
-        self.feed(now, Event::ClientGone { id });
-        self.cancel_open_attempts(now, id, Outcome::Cancelled);
-        self.remove_if_over(id);
-    }
-
-    /// A request stays until it is over and all its attempts have ended, so that late outcomes find it.
-    fn remove_if_over(&mut self, id: RequestId) {
-        let request = self.requests.get(&id);
-        if request.is_some_and(|request| request.is_over() && !request.has_open_attempts()) {
-            self.requests.remove(&id);
-        }
-    }
-
-    pub(crate) fn run_due_timers(&mut self, now: Timestamp) {
-        while let Some(timer) = self.timers.pop(now) {
-            match timer {
-                Timer::Policy(token) => self.feed(now, Event::Timer { token }),
-                Timer::CounterCall(id) => self.counter_call_ended(now, id, Outcome::Timeout, 0.0),
-                Timer::Attempt(attempt) => {
-                    self.cancel_attempt(now, attempt, Outcome::Timeout);
-                    self.run_events(now);
-                    self.remove_if_over(attempt.request);
-                }
-                Timer::StartBy(attempt) => {
-                    self.side_effects.push_back(SideEffect::EndUnwritten(attempt));
-                }
-                Timer::Deadline(id) => self.deadline_expired(now, id),
-                Timer::FleetClock => self.call_for_fleet_clock(now),
-            }
-        }
+    /// Counts a rejection by a front, of a request that was not submitted.
+    pub(crate) fn count_rejection(&mut self, class: u16) {
+        self.statistics.count_answer(class, AnswerKind::Rejected);
     }
 
-    fn deadline_expired(&mut self, now: Timestamp, id: RequestId) {
-        self.cancel_open_attempts(now, id, Outcome::Timeout);
-        // The policy answers before this. Were it ever not to, the request still gets its answer.
-        if self.requests.get(&id).is_some_and(|request| !request.is_over()) {
-            self.answer(id, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
-            self.feed(now, Event::ClientGone { id });
-        }
-        self.remove_if_over(id);
+    pub(crate) fn outcome_counts(&self) -> (OutcomeCounts, FleetSummary) {
+        (self.statistics.outcomes().clone(), self.policy.fleet_summary())
     }
 
+    /// Requests without a final answer.
     pub(crate) fn unanswered(&self) -> usize {
         self.requests.values().filter(|request| !request.is_over()).count()
     }
 
     pub(crate) fn status(&self) -> Status {
-        Status { unanswered: self.unanswered(), ..self.status.clone() }
+        Status {
+            unanswered: self.unanswered(),
+            answers: self.statistics.answers(),
+            units_forwarded: self.statistics.units_forwarded(),
+            accounts: self.statistics.units_by_account().clone(),
+            counter_calls: self.counter_calls.total(),
+            backends: self.backends.statuses().clone(),
+        }
     }
 }
+
+/// The service of each class.
+fn services_of(classes: &[RequestClass]) -> Vec<u16> {
+    classes.iter().map(|class| class.service).collect()
+}
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -1,15 +1,14 @@
-//! Attempts of the requests in the table.
+//! Attempts of the requests in the table, and the answers that stream from them.
 
-use super::{RequestTable, repeat_guard};
-use crate::counts::{AnswerKind, BackendStatus};
+use super::RequestTable;
 use crate::in_flight::InFlightAttempt;
 use crate::request::{Attempt, AttemptEnd, AttemptId, FinalAnswer, StreamEnd};
 use crate::side_effect::SideEffect;
 use crate::timers::Timer;
-use policy::{BackendId, BackendState, Event, Micros, Outcome, RequestId, Timestamp};
+use policy::{BackendId, Event, Micros, Outcome, RequestId, Timestamp};
 
 impl<Q, A> RequestTable<Q, A> {
-    /// Starts an attempt, unless its request is over.
+    /// Starts an attempt. If its request is over, the attempt ends at once as not sent.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -22,59 +21,45 @@
         let attempt = AttemptId { request: id, attempt: request.attempts.len() as u8 };
         let is_exhausted = request.attempts.len() >= self.max_attempts;
         let is_pointless = request.is_over() || now >= request.deadline || is_exhausted;
-        let earlier = &request.attempts[..];
-        if !is_pointless && !earlier.is_empty() {
-            repeat_guard::check(now, id, &self.repeat_rules, request.class, earlier);
+        if !is_pointless && !request.attempts.is_empty() {
+            self.repeat_rules.check(now, id, request.class, &request.attempts);
         }
-        request.attempts.push(InFlightAttempt { backend, sent_at: now, is_open: true, outcome: None });
+        request.attempts.push(InFlightAttempt { backend, sent_at: now, outcome: None });
         if is_pointless {
             self.close_attempt(now, attempt, Outcome::NotSent, Vec::new());
-            self.remove_if_over(id);
+            self.remove_if_ended(id);
             return;
         }
-        let payload = request.payload.clone();
-        let mut time_left = request.deadline - now;
-        if attempt.attempt == 0 {
-            self.count_admission(id);
+        let is_first = attempt.attempt == 0;
+        if is_first {
+            self.statistics.count_units(request.account, request.admission.units);
+            if let Some(listener) = &self.admission_listener {
+                listener(request.admission);
+            }
         }
-        let idle = BackendStatus { state: BackendState::Ready, in_flight: 0 };
-        self.status.backends.entry(backend).or_insert(idle).in_flight += 1;
+        self.backends.attempt_started(backend);
+        let mut time_left = request.deadline - now;
         if timeout > 0 && timeout < time_left {
             time_left = timeout;
             self.timers.set(now + timeout, Timer::Attempt(attempt));
         }
         if max_start_delay < time_left {
-            self.timers.set(now + max_start_delay, Timer::StartBy(attempt));
+            self.timers.set(now + max_start_delay, Timer::WriteDeadline(attempt));
         }
+        let payload = request.payload.clone();
         let attempt = Attempt { id: attempt, backend, decided_at: now, time_left, max_start_delay, payload };
-        self.side_effects.push_back(SideEffect::Start(attempt));
+        self.side_effects.push(SideEffect::Start(attempt));
     }
 
-    /// Counts the units of a request that is forwarded for the first time, and tells the listener.
-    fn count_admission(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let units = request.admission.units;
-        self.status.units_forwarded += units;
-        if let Some(account) = request.account {
-            *self.status.accounts.entry(account).or_insert(0.0) += units;
-        }
-        if let Some(listener) = &self.admission_listener {
-            listener(request.admission);
-        }
-    }
-
-    /// Closes an attempt in the table and queues its end for the policy. Returns whether it was open.
+    /// Closes an attempt and queues its end for the policy. Returns whether the attempt was open.
     fn close_attempt(&mut self, now: Timestamp, id: AttemptId, outcome: Outcome, load: Vec<f32>) -> bool {
         let Some(request) = self.requests.get_mut(&id.request) else { return false };
         let is_over = request.is_over();
         let attempt = request.attempts.get_mut(usize::from(id.attempt));
-        let Some(attempt) = attempt.filter(|attempt| attempt.is_open) else { return false };
-        attempt.is_open = false;
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_open()) else { return false };
         attempt.outcome = Some(outcome);
         request.last_outcome = Some(outcome);
-        if let Some(backend) = self.status.backends.get_mut(&attempt.backend) {
-            backend.in_flight = backend.in_flight.saturating_sub(1);
-        }
+        self.backends.attempt_ended(attempt.backend);
         self.events.push_back(Event::AttemptEnded {
             id: id.request,
             attempt: id.attempt,
@@ -88,10 +73,10 @@
         true
     }
 
-    /// Ends an attempt from this side.
+    /// Ends an attempt with this outcome and has its connection cancel it.
     pub(super) fn cancel_attempt(&mut self, now: Timestamp, id: AttemptId, outcome: Outcome) {
         if self.close_attempt(now, id, outcome, Vec::new()) {
-            self.side_effects.push_back(SideEffect::Cancel(id));
+            self.side_effects.push(SideEffect::Cancel(id));
         }
     }
 
@@ -103,15 +88,13 @@
         self.run_events(now);
     }
 
-    pub(super) fn withdraw_open_attempts(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let open = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_open);
-        for (attempt, _) in open {
-            let attempt = AttemptId { request: id, attempt: attempt as u8 };
-            self.side_effects.push_back(SideEffect::Withdraw(attempt));
-        }
+    pub(super) fn attempt_timed_out(&mut self, now: Timestamp, id: AttemptId) {
+        self.cancel_attempt(now, id, Outcome::Timeout);
+        self.run_events(now);
+        self.remove_if_ended(id.request);
     }
 
+    /// Applies the end of an attempt. One that has ended before is ignored.
     pub(crate) fn attempt_ended(&mut self, now: Timestamp, id: AttemptId, end: AttemptEnd<A>) {
         if !self.close_attempt(now, id, end.outcome, end.load) {
             return;
@@ -123,27 +106,25 @@
             self.answer(id.request, FinalAnswer::Served(answer));
         }
         self.run_events(now);
-        self.remove_if_over(id.request);
+        self.remove_if_ended(id.request);
     }
 
     fn stream_started(&mut self, id: AttemptId) {
         let request = self.requests.get_mut(&id.request).filter(|request| !request.is_over());
         if let Some(request) = request {
             request.is_streaming = true;
-            self.streams.insert(id, request.class);
+            self.streams.open(id, request.class);
         }
     }
 
+    /// Applies the end of a streaming answer.
     pub(crate) fn stream_ended(&mut self, id: AttemptId, end: StreamEnd) {
-        // Nobody waited for it any more when it began.
-        let Some(class) = self.streams.remove(&id) else { return };
-        self.counts.pending -= 1;
-        if let Some(kind) = AnswerKind::of_stream(end) {
-            self.count(class, kind);
-        }
+        // The stream of a request that was over before it began is not open.
+        let Some(class) = self.streams.close(id) else { return };
+        self.statistics.stream_ended(class, end);
     }
 
     pub(crate) fn open_streams(&self) -> usize {
-        self.streams.len()
+        self.streams.count()
     }
 }
--- a/crates/exchange/src/request_table/backends.rs
+++ b/crates/exchange/src/request_table/backends.rs
@@ -1,29 +1,54 @@
-//! What the table knows of the backends.
+//! The backends of the endpoint list: state, service and attempts in flight.
 
-use super::RequestTable;
 use crate::counts::BackendStatus;
-use policy::{BackendEntry, BackendState, ListKind};
+use policy::{BackendEntry, BackendId, BackendState, ListKind};
+use std::collections::{BTreeMap, HashMap};
 
-impl<Q, A> RequestTable<Q, A> {
-    /// Whether a backend of a service takes work.
-    pub(super) fn has_ready_backend(&self, service: u16) -> bool {
-        self.status.backends.iter().any(|(id, backend)| {
-            backend.state == BackendState::Ready && self.backend_services.get(id) == Some(&service)
-        })
-    }
+#[cfg(test)]
+mod tests;
+
+/// The known backends. One that is off the list stays until its last attempt has ended.
+#[derive(Debug, Default)]
+pub(super) struct KnownBackends {
+    statuses: BTreeMap<BackendId, BackendStatus>,
+    services: HashMap<BackendId, u16>,
+}
 
-    /// Records states and services from an update of the endpoint list.
-    pub(crate) fn note_endpoints(&mut self, kind: ListKind, entries: &[BackendEntry]) {
-        let backends = &mut self.status.backends;
+impl KnownBackends {
+    /// Applies an update of the endpoint list.
+    pub(super) fn update(&mut self, kind: ListKind, entries: &[BackendEntry]) {
         if matches!(kind, ListKind::Cached | ListKind::Full) {
-            backends.values_mut().for_each(|backend| backend.state = BackendState::Gone);
+            self.statuses.values_mut().for_each(|backend| backend.state = BackendState::Gone);
         }
         for entry in entries {
             let idle = BackendStatus { state: entry.state, in_flight: 0 };
-            backends.entry(entry.id).or_insert(idle).state = entry.state;
-            self.backend_services.insert(entry.id, entry.service);
+            self.statuses.entry(entry.id).or_insert(idle).state = entry.state;
+            self.services.insert(entry.id, entry.service);
+        }
+        let is_known = |backend: &BackendStatus| backend.state != BackendState::Gone || backend.in_flight > 0;
+        self.statuses.retain(|_, backend| is_known(backend));
+        self.services.retain(|id, _| self.statuses.contains_key(id));
+    }
+
+    /// Whether any backend of a service is eligible.
+    pub(super) fn has_ready(&self, service: u16) -> bool {
+        self.statuses.iter().any(|(id, backend)| {
+            backend.state == BackendState::Ready && self.services.get(id) == Some(&service)
+        })
+    }
+
+    pub(super) fn attempt_started(&mut self, backend: BackendId) {
+        let idle = BackendStatus { state: BackendState::Ready, in_flight: 0 };
+        self.statuses.entry(backend).or_insert(idle).in_flight += 1;
+    }
+
+    pub(super) fn attempt_ended(&mut self, backend: BackendId) {
+        if let Some(backend) = self.statuses.get_mut(&backend) {
+            backend.in_flight = backend.in_flight.saturating_sub(1);
         }
-        backends.retain(|_, backend| backend.state != BackendState::Gone || backend.in_flight > 0);
-        self.backend_services.retain(|id, _| backends.contains_key(id));
+    }
+
+    pub(super) fn statuses(&self) -> &BTreeMap<BackendId, BackendStatus> {
+        &self.statuses
     }
 }
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -1,90 +1,157 @@
-//! Calls to the counter: the policy's, and those of the fleet's clock.
+//! Calls to the counter: those of the policy, and those of the fleet's clock.
 
 use super::RequestTable;
 use crate::fleet_clock::{FleetClock, STAMP_NAME, STAMP_TTL};
 use crate::ports::CounterCall;
 use crate::side_effect::SideEffect;
 use crate::timers::Timer;
-use policy::{Event, Micros, Outcome, Timestamp};
+use policy::{Event, Micros, Outcome, Settings, Timestamp};
+use std::collections::HashMap;
+
+#[cfg(test)]
+mod tests;
 
 /// What a call is for.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 enum Purpose {
     /// A tenant's count of this name.
     Quota {
         /// The name.
         name: u64,
     },
+    /// The stamp of the fleet's clock.
     FleetClock,
 }
 
 /// A counter call in flight.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct InFlightCall {
+struct InFlightCall {
     purpose: Purpose,
     started_at: Timestamp,
 }
 
+/// The counter calls in flight.
+#[derive(Debug)]
+pub(super) struct CounterCalls {
+    timeout: Micros,
+    in_flight: HashMap<u64, InFlightCall>,
+    next_id: u64,
+}
+
+impl CounterCalls {
+    pub(super) fn new(timeout: Micros) -> Self {
+        Self { timeout, in_flight: HashMap::new(), next_id: 0 }
+    }
+
+    /// Sets the timeout of the calls from now on.
+    pub(super) fn set_timeout(&mut self, timeout: Micros) {
+        self.timeout = timeout;
+    }
+
+    /// Calls made so far.
+    pub(super) fn total(&self) -> u64 {
+        self.next_id
+    }
+
+    /// Records a call and returns its id.
+    fn start(&mut self, now: Timestamp, purpose: Purpose) -> u64 {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.in_flight.insert(id, InFlightCall { purpose, started_at: now });
+        id
+    }
+
+    /// Removes a call; `None` if it has ended before.
+    fn end(&mut self, id: u64) -> Option<InFlightCall> {
+        self.in_flight.remove(&id)
+    }
+}
+
+/// The fleet's clock, where tenants' counts are shared with other gatekeepers.
+#[derive(Debug)]
+pub(super) struct SharedClock {
+    /// Gatekeepers that share the counter; 1 without a counter.
+    gatekeepers: u32,
+    seed: u64,
+    clock: Option<FleetClock>,
+}
+
+impl SharedClock {
+    /// A clock that is not started.
+    pub(super) fn new(settings: &Settings, seed: u64) -> Self {
+        let gatekeepers = if settings.shared_counter { settings.gatekeepers } else { 1 };
+        Self { gatekeepers, seed, clock: None }
+    }
+
+    /// Starts the clock. A gatekeeper that shares no counter with others needs none.
+    fn start(&mut self, now: Timestamp) {
+        if self.gatekeepers > 1 {
+            self.clock = Some(FleetClock::new(self.gatekeepers, self.seed, now));
+        }
+    }
+
+    /// Whether the clock has been read, or need not be.
+    fn is_read(&self) -> bool {
+        self.clock.as_ref().is_none_or(FleetClock::has_replied)
+    }
+}
+
 impl<Q, A> RequestTable<Q, A> {
     fn call_counter(&mut self, now: Timestamp, purpose: Purpose, units: f64, ttl: Micros) {
-        let id = self.next_counter_call;
-        self.next_counter_call += 1;
-        self.status.counter_calls += 1;
-        self.counter_calls.insert(id, InFlightCall { purpose, started_at: now });
-        self.timers.set(now + self.counter_timeout, Timer::CounterCall(id));
+        let id = self.counter_calls.start(now, purpose);
+        self.timers.set(now + self.counter_calls.timeout, Timer::CounterCall(id));
         let name = match purpose {
             Purpose::Quota { name } => name,
             Purpose::FleetClock => STAMP_NAME,
         };
-        self.side_effects.push_back(SideEffect::CallCounter(CounterCall { id, name, units, ttl }));
+        self.side_effects.push(SideEffect::CallCounter(CounterCall { id, name, units, ttl }));
     }
 
     pub(super) fn call_quota_counter(&mut self, now: Timestamp, name: u64, units: f64, ttl: Micros) {
         self.call_counter(now, Purpose::Quota { name }, units, ttl);
     }
 
+    /// Applies the end of a counter call. One that has ended before is ignored.
     pub(crate) fn counter_call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, total: f64) {
-        let Some(InFlightCall { purpose, started_at }) = self.counter_calls.remove(&id) else { return };
+        let Some(InFlightCall { purpose, started_at }) = self.counter_calls.end(id) else { return };
         match purpose {
             Purpose::Quota { name } => {
                 self.feed(now, Event::CounterReply { name, total, elapsed: now - started_at, outcome });
             }
-            Purpose::FleetClock => self.fleet_clock_replied(now, outcome, total),
+            Purpose::FleetClock => self.fleet_clock_call_ended(now, outcome, total),
         }
     }
 
-    /// Reads the fleet's clock from now on. Without other gatekeepers, or without a counter, there is none.
+    /// Starts the estimate of the clock offset from the fleet's clock.
     pub(crate) fn start_fleet_clock(&mut self, now: Timestamp) {
-        if self.counting_gatekeepers > 1 {
-            self.fleet_clock = Some(FleetClock::new(self.counting_gatekeepers, self.seed, now));
-            self.call_for_fleet_clock(now);
-        }
+        self.shared_clock.start(now);
+        self.call_for_fleet_clock(now);
     }
 
     /// Whether the fleet's clock has been read, or need not be.
     pub(crate) fn has_read_fleet_clock(&self) -> bool {
-        self.fleet_clock.as_ref().is_none_or(FleetClock::has_replied)
+        self.shared_clock.is_read()
     }
 
-    /// Makes the call that is due, and sets the timer of the next one.
+    /// Makes the call that is due, or sets the timer of the next one.
     pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
-        let Some(clock) = &mut self.fleet_clock else { return };
+        let Some(clock) = &mut self.shared_clock.clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
             (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_TTL),
-            (None, Some(at)) => self.timers.set(at, Timer::FleetClock),
+            (None, Some(next_call_at)) => self.timers.set(next_call_at, Timer::FleetClock),
             // The end of the call in flight sets it.
             (None, None) => {}
         }
     }
 
-    fn fleet_clock_replied(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
-        let Some(clock) = &mut self.fleet_clock else { return };
-        let before = clock.offset();
+    fn fleet_clock_call_ended(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
+        let Some(clock) = &mut self.shared_clock.clock else { return };
+        let previous = clock.offset();
         clock.on_call_ended(now, outcome, total);
         let offset = clock.offset();
-        if offset != before {
+        if offset != previous {
             self.policy.set_clock_offset(offset.as_micros());
-            self.side_effects.push_back(SideEffect::LogClockOffset(offset));
+            self.side_effects.push(SideEffect::LogClockOffset(offset));
         }
         self.call_for_fleet_clock(now);
     }
--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -1,26 +1,26 @@
-//! The guard on repeating: whether a request may be sent once more, from the outcomes of its attempts alone.
+//! The guard on repeated requests: whether a request may be sent once more, judged from the outcomes of its attempts alone.
 
+use crate::clock::MAX_SCHEDULING_DELAY;
 use crate::in_flight::InFlightAttempt;
 use invariants::Guard;
 use policy::{Idempotency, Micros, Outcome, RequestClass, RequestId, Timestamp};
 
-/// A gatekeeper may be held up for so long between this check and the write.
-const HOLD_UP: Micros = 150_000;
+#[cfg(test)]
+mod tests;
 
 /// When requests of a class may be sent once more.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum RepeatRule {
+enum RepeatRule {
     /// At any time.
     Always,
     /// Within this time of the first attempt that may have run.
     Within(Micros),
-    /// If all attempts before surely never ran.
+    /// If no earlier attempt can have run.
     IfNeverRan,
 }
 
 impl RepeatRule {
-    /// The rule of a class.
-    pub(super) fn of(class: &RequestClass) -> Self {
+    fn of(class: &RequestClass) -> Self {
         match class.idempotency {
             Idempotency::Idempotent => Self::Always,
             Idempotency::Keyed => Self::Within(class.idempotency_key_ttl),
@@ -28,30 +28,42 @@
         }
     }
 
-    /// Whether a further attempt keeps the rule.
+    /// Whether a further attempt is permitted.
     fn permits(self, now: Timestamp, earlier: &[InFlightAttempt]) -> bool {
         let may_have_run = |attempt: &&InFlightAttempt| !attempt.outcome.is_some_and(Outcome::never_ran);
         let Some(first) = earlier.iter().find(may_have_run) else { return true };
         match self {
             Self::Always => true,
-            Self::Within(window) => now + HOLD_UP <= first.sent_at + window,
+            Self::Within(window) => now + MAX_SCHEDULING_DELAY <= first.sent_at + window,
             Self::IfNeverRan => false,
         }
     }
 }
 
-/// Reports a further attempt that its class does not permit.
-pub(super) fn check(
-    now: Timestamp,
-    id: RequestId,
-    rules: &[RepeatRule],
-    class: u16,
-    earlier: &[InFlightAttempt],
-) {
-    let Some(rule) = rules.get(usize::from(class)) else { return };
-    invariants::check(
-        Guard::Repeating,
-        rule.permits(now, earlier),
-        format_args!("request {id} of class {class}, attempt {} by rule {rule:?}", earlier.len()),
-    );
+/// The rules of all classes, by number of the class.
+#[derive(Debug)]
+pub(super) struct RepeatRules {
+    rules: Vec<RepeatRule>,
+}
+
+impl RepeatRules {
+    pub(super) fn of(classes: &[RequestClass]) -> Self {
+        Self { rules: classes.iter().map(RepeatRule::of).collect() }
+    }
+
+    /// Replaces the rules of the classes that `newer` has. The others stay, for requests in flight.
+    pub(super) fn update(&mut self, newer: Self) {
+        let replaced = newer.rules.len().min(self.rules.len());
+        self.rules.splice(..replaced, newer.rules);
+    }
+
+    /// Reports a violation if the class does not permit a further attempt after the earlier ones.
+    pub(super) fn check(&self, now: Timestamp, id: RequestId, class: u16, earlier: &[InFlightAttempt]) {
+        let Some(rule) = self.rules.get(usize::from(class)) else { return };
+        invariants::check(
+            Guard::Repeating,
+            rule.permits(now, earlier),
+            format_args!("request {id} of class {class}, attempt {} by rule {rule:?}", earlier.len()),
+        );
+    }
 }
--- /dev/null
+++ b/crates/exchange/src/request_table/statistics.rs
@@ -0,0 +1,93 @@
+//! The figures that operators read.
+
+use crate::counts::{AnswerCounts, AnswerKind, OutcomeCounts};
+use crate::request::StreamEnd;
+use policy::RejectReason;
+use std::collections::BTreeMap;
+
+#[cfg(test)]
+mod tests;
+
+/// Counts of requests, answers and forwarded units.
+#[derive(Debug, Default)]
+pub(super) struct Statistics {
+    outcomes: OutcomeCounts,
+    answers: AnswerCounts,
+    units_forwarded: f64,
+    units_by_account: BTreeMap<u32, f64>,
+}
+
+impl Statistics {
+    /// Empty counts for this many classes.
+    pub(super) fn new(classes: usize) -> Self {
+        let classes = vec![AnswerCounts::default(); classes];
+        Self { outcomes: OutcomeCounts { classes, ..OutcomeCounts::default() }, ..Self::default() }
+    }
+
+    /// Adds counts for the classes of new settings. Those of classes that the settings lack stay.
+    pub(super) fn add_classes(&mut self, classes: usize) {
+        let classes = classes.max(self.outcomes.classes.len());
+        self.outcomes.classes.resize(classes, AnswerCounts::default());
+    }
+
+    pub(super) fn request_submitted(&mut self) {
+        self.outcomes.pending += 1;
+    }
+
+    /// A request has its final answer. One whose answer is streaming counts in its class when the stream ends.
+    pub(super) fn request_answered(&mut self, class: u16, kind: AnswerKind, is_streaming: bool) {
+        self.answers.add(kind);
+        if !is_streaming {
+            self.outcomes.pending -= 1;
+            self.count_answer(class, kind);
+        }
+    }
+
+    pub(super) fn stream_ended(&mut self, class: u16, end: StreamEnd) {
+        self.outcomes.pending -= 1;
+        if let Some(kind) = AnswerKind::of_stream(end) {
+            self.count_answer(class, kind);
+        }
+    }
+
+    /// The client of a request without a final answer has disconnected.
+    pub(super) fn client_disconnected(&mut self) {
+        self.outcomes.pending -= 1;
+    }
+
+    /// The policy has rejected a request.
+    pub(super) fn count_reject_reason(&mut self, reason: RejectReason) {
+        self.outcomes.rejections[reason as usize] += 1;
+    }
+
+    /// Counts an answer in its class.
+    pub(super) fn count_answer(&mut self, class: u16, kind: AnswerKind) {
+        if let Some(counts) = self.outcomes.classes.get_mut(usize::from(class)) {
+            counts.add(kind);
+        }
+    }
+
+    /// Counts the units of a request that is forwarded for the first time.
+    pub(super) fn count_units(&mut self, account: Option<u32>, units: f64) {
+        self.units_forwarded += units;
+        if let Some(account) = account {
+            *self.units_by_account.entry(account).or_insert(0.0) += units;
+        }
+    }
+
+    pub(super) fn outcomes(&self) -> &OutcomeCounts {
+        &self.outcomes
+    }
+
+    pub(super) fn answers(&self) -> AnswerCounts {
+        self.answers
+    }
+
+    pub(super) fn units_forwarded(&self) -> f64 {
+        self.units_forwarded
+    }
+
+    pub(super) fn units_by_account(&self) -> &BTreeMap<u32, f64> {
+        &self.units_by_account
+    }
+}
--- /dev/null
+++ b/crates/exchange/src/request_table/streams.rs
@@ -0,0 +1,25 @@
+//! Answers that are streaming.
+
+use crate::request::AttemptId;
+use std::collections::HashMap;
+
+/// The open streams, each with the class of its request.
+#[derive(Debug, Default)]
+pub(super) struct OpenStreams {
+    classes: HashMap<AttemptId, u16>,
+}
+
+impl OpenStreams {
+    pub(super) fn open(&mut self, attempt: AttemptId, class: u16) {
+        self.classes.insert(attempt, class);
+    }
+
+    /// Closes the stream of an attempt and returns the class of its request; `None` if it is not open.
+    pub(super) fn close(&mut self, attempt: AttemptId) -> Option<u16> {
+        self.classes.remove(&attempt)
+    }
+
+    pub(super) fn count(&self) -> usize {
+        self.classes.len()
+    }
+}
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -1,10 +1,13 @@
-//! Timers, earliest first.
+//! Timers, earliest first, and when the thread that runs them wakes.
 
 use crate::request::AttemptId;
-use policy::{RequestId, Timestamp};
+use policy::{Micros, RequestId, Timestamp};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
+#[cfg(test)]
+mod tests;
+
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
@@ -14,15 +17,15 @@
     Deadline(RequestId),
     /// The timeout of an attempt.
     Attempt(AttemptId),
-    /// When an attempt must have been written.
-    StartBy(AttemptId),
+    /// The latest moment at which an attempt may still be written.
+    WriteDeadline(AttemptId),
     /// The timeout of a counter call.
     CounterCall(u64),
     /// The next call of the fleet's clock.
     FleetClock,
 }
 
-/// A timer in the heap. Those that expire together come in the order in which they were set.
+/// A timer in the heap. Timers that expire at the same time run in the order in which they were set.
 #[derive(Debug)]
 struct Entry {
     expires_at: Timestamp,
@@ -57,26 +60,59 @@
 }
 
 /// A queue of timers.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<Entry>>,
     last_serial: u64,
+    /// Timers that expire within this time of each other may run together.
+    tick: Micros,
+    /// When the timer thread wakes by itself.
+    wakes_at: Option<Timestamp>,
 }
 
 impl Timers {
+    pub(crate) fn new(tick: Micros) -> Self {
+        Self { heap: BinaryHeap::new(), last_serial: 0, tick, wakes_at: None }
+    }
+
+    pub(crate) fn tick(&self) -> Micros {
+        self.tick
+    }
+
+    pub(crate) fn set_tick(&mut self, tick: Micros) {
+        self.tick = tick;
+    }
+
     pub(crate) fn set(&mut self, expires_at: Timestamp, timer: Timer) {
         self.last_serial += 1;
         self.heap.push(Reverse(Entry { expires_at, serial: self.last_serial, timer }));
     }
 
     /// When the first timer expires.
-    pub(crate) fn next(&self) -> Option<Timestamp> {
+    pub(crate) fn next_expiry(&self) -> Option<Timestamp> {
         self.heap.peek().map(|Reverse(entry)| entry.expires_at)
     }
 
     /// Takes the first timer if it has expired.
-    pub(crate) fn pop(&mut self, now: Timestamp) -> Option<Timer> {
-        self.next().filter(|&expires_at| expires_at <= now)?;
+    pub(crate) fn pop_expired(&mut self, now: Timestamp) -> Option<Timer> {
+        self.next_expiry().filter(|&expires_at| expires_at <= now)?;
         self.heap.pop().map(|Reverse(entry)| entry.timer)
     }
+
+    /// Schedules the next wake-up of the timer thread, at least a tick from now. Returns the time until then, if any timer is set.
+    pub(crate) fn schedule_wake_up(&mut self, now: Timestamp) -> Option<Micros> {
+        self.wakes_at = self.next_expiry().map(|expires_at| expires_at.max(now + self.tick));
+        self.wakes_at.map(|wakes_at| wakes_at - now)
+    }
+
+    /// Whether the timer thread must be woken because the first timer expires more than a tick before the scheduled wake-up.
+    /// The wake-up counts as scheduled for that timer from then on.
+    pub(crate) fn take_early_wake_up(&mut self) -> bool {
+        let Some(next) = self.next_expiry() else { return false };
+        let is_early = self.wakes_at.is_none_or(|wakes_at| next + self.tick < wakes_at);
+        if is_early {
+            self.wakes_at = Some(next);
+        }
+        is_early
+    }
 }
