--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counters for operators.
+//! The figures that operators read.
 
 use crate::request::{FinalAnswer, StreamEnd};
 use policy::{BackendId, BackendState, RejectReason};
@@ -32,7 +32,7 @@
         }
     }
 
-    /// None where the client disconnected.
+    /// The kind that a streamed answer counts as; `None` if its client disconnected.
     pub(crate) fn of_stream(end: StreamEnd) -> Option<Self> {
         match end {
             StreamEnd::Complete => Some(Self::Served),
@@ -52,12 +52,12 @@
     }
 }
 
-/// How requests ended.
+/// The outcomes of requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Requests taken and not yet ended.
+    /// Requests that are submitted and not over, or whose answers are streaming.
     pub pending: usize,
-    /// By number of the class.
+    /// Final answers by number of the class.
     pub classes: Vec<AnswerCounts>,
     /// Rejections by the policy, in the order of [`RejectReason::ALL`].
     pub rejections: [u64; RejectReason::ALL.len()],
@@ -66,25 +66,25 @@
 /// State and load of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendStatus {
-    /// Whether it takes work.
+    /// Whether it is eligible.
     pub state: BackendState,
     /// Attempts in flight.
     pub in_flight: usize,
 }
 
-/// Figures for the console.
+/// Figures for the operators' console.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Status {
     /// Requests without a final answer.
     pub unanswered: usize,
     /// Final answers so far.
     pub answers: AnswerCounts,
-    /// Units of the requests that were forwarded, once each.
+    /// Units of the forwarded requests. A request counts once, however many attempts it has.
     pub units_forwarded: f64,
-    /// Those units by account.
+    /// The same units by account.
     pub accounts: BTreeMap<u32, f64>,
     /// Calls made to the counter.
     pub counter_calls: u64,
-    /// By backend.
+    /// State and load of each backend.
     pub backends: BTreeMap<BackendId, BackendStatus>,
 }
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -3,24 +3,24 @@
 use policy::{BackendId, Micros, Outcome, RequestId, TenantId, Timestamp};
 use std::sync::Arc;
 
-/// What a front submits.
+/// A request as a front submits it.
 #[derive(Debug)]
 pub struct Request<Q> {
-    /// Number of its class in the settings.
+    /// The number of its class in the settings.
     pub class: u16,
-    /// Number of its tenant's plan in the settings.
+    /// The number of its tenant's plan in the settings.
     pub plan: u32,
     /// Its tenant.
     pub tenant: TenantId,
-    /// How long until it must have its final answer.
+    /// Time until it must have its final answer.
     pub time_left: Micros,
-    /// How many gatekeepers its tenant's requests come through.
+    /// The number of gatekeepers that its tenant's requests come through.
     pub tenant_gatekeepers: f64,
     /// Its cost in units of the quota.
     pub units: f64,
     /// The client marked it as a retry.
     pub client_retry: bool,
-    /// Where its units are counted in [`Status::accounts`](crate::Status::accounts) when it is first forwarded.
+    /// The account of [`Status::accounts`](crate::Status::accounts) that its units are added to when it is first forwarded.
     pub account: Option<u32>,
     /// What is forwarded to a backend.
     pub payload: Q,
@@ -31,22 +31,22 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Attempts count from 0.
+    /// The index of the attempt, from 0.
     pub attempt: u8,
 }
 
-/// An attempt to be made.
+/// An attempt that the backend side is to make.
 #[derive(Debug)]
 pub struct Attempt<Q> {
     /// Its id.
     pub id: AttemptId,
     /// The backend that the policy selected.
     pub backend: BackendId,
-    /// When it was decided, by [`Exchange::now`](crate::Exchange::now).
+    /// The time of the decision, by [`Exchange::now`](crate::Exchange::now).
     pub decided_at: Timestamp,
-    /// How long to wait for its answer, from then on.
+    /// Maximum time from the decision to the answer.
     pub time_left: Micros,
-    /// Nothing of it may be written later than this, from then on.
+    /// Maximum time from the decision to the write.
     pub max_start_delay: Micros,
     /// What is forwarded.
     pub payload: Arc<Q>,
@@ -59,9 +59,9 @@
     pub outcome: Outcome,
     /// The answer to pass back, with [`Outcome::Ok`].
     pub answer: Option<A>,
-    /// The load report, by the settings' columns; empty if none.
+    /// The load report, one value for each load metric of the settings; empty if there is none.
     pub load: Vec<f32>,
-    /// The answer has begun and continues: [`Exchange::stream_ended`](crate::Exchange::stream_ended) follows.
+    /// Whether the answer has begun and continues: [`Exchange::stream_ended`](crate::Exchange::stream_ended) follows.
     pub is_streaming: bool,
 }
 
@@ -75,11 +75,11 @@
 /// How a streamed answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// All of it was passed on.
+    /// The whole answer was passed on.
     Complete,
-    /// The backend broke it off.
+    /// The backend ended it before it was complete.
     Broken,
-    /// Its client disconnected.
+    /// The client disconnected.
     ClientGone,
 }
 
@@ -92,23 +92,23 @@
     NoBackend,
     /// A backend failed.
     BackendFailed,
-    /// Its time ran out.
+    /// The deadline passed.
     DeadlineExceeded,
 }
 
-/// The one answer that each request gets.
+/// The one final answer of a request.
 #[derive(Debug)]
 pub enum FinalAnswer<A> {
     /// A backend's answer.
     Served(A),
-    /// Rejected: a retry is harmless.
+    /// The request was rejected and has had no effect, so a retry is safe.
     Rejected {
         /// Retry-After; 0 for none.
         retry_after: Micros,
         /// The reason.
         reason: FailureReason,
     },
-    /// Failed, with no promise about its effect.
+    /// The request failed, and may have had an effect.
     Failed(FailureReason),
 }
 
@@ -119,7 +119,7 @@
     pub tenant: TenantId,
     /// The number of its plan.
     pub plan: u32,
-    /// Gatekeepers that its requests come through.
+    /// The number of gatekeepers that its requests come through.
     pub tenant_gatekeepers: f64,
     /// Units.
     pub units: f64,
--- a/crates/exchange/src/stream.rs
+++ b/crates/exchange/src/stream.rs
@@ -1,26 +1,30 @@
-//! An answer that is passed on while it arrives: a bounded window of bytes between a backend's connection and a client connection.
-//! Neither side waits in here; each is notified when it can continue.
+//! An answer that is passed on while it arrives: a bounded buffer between a backend's connection and a client connection. No call
+//! blocks; each side is notified when it can continue.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The most and the fewest bytes of one window: below that a step is not worth its cost.
-const LARGEST_WINDOW: usize = 64 * 1024;
-const SMALLEST_WINDOW: usize = 8 * 1024;
+#[cfg(test)]
+mod tests;
 
-/// Called when the other side has done something, possibly under a lock of the caller's. It must not block.
+/// Maximum bytes of one stream's window.
+const MAX_WINDOW: usize = 64 * 1024;
+/// Minimum bytes of one stream's window: a smaller one costs too many reads and writes.
+const MIN_WINDOW: usize = 8 * 1024;
+
+/// Called when the other side has made progress, possibly while the caller holds a lock. It must not block.
 pub type Notify = Box<dyn Fn() + Send + Sync>;
 
 /// The body of a served answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All bytes.
+    /// All bytes of it.
     Complete(Vec<u8>),
     /// The bytes as they arrive.
     Stream(StreamReader),
 }
 
-/// The bytes that all windows of a process may hold together.
+/// The buffer space that all streams of a process share.
 #[derive(Debug)]
 pub struct StreamBudget {
     bytes: usize,
@@ -28,18 +32,18 @@
 }
 
 impl StreamBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of this many bytes.
     pub fn new(bytes: usize) -> Arc<Self> {
         Arc::new(Self { bytes, open_streams: AtomicUsize::new(0) })
     }
 
-    /// Each stream's part of it in bytes.
+    /// The window of each stream in bytes.
     fn window(&self) -> usize {
         let streams = self.open_streams().max(1);
-        (self.bytes / streams).clamp(SMALLEST_WINDOW, LARGEST_WINDOW)
+        (self.bytes / streams).clamp(MIN_WINDOW, MAX_WINDOW)
     }
 
-    /// Streams that are open.
+    /// The number of open streams.
     pub fn open_streams(&self) -> usize {
         self.open_streams.load(Ordering::Relaxed)
     }
@@ -87,10 +91,10 @@
     }
 }
 
-/// The backend's end. Dropped before [`StreamWriter::finish`], the answer counts as broken off.
+/// The backend's end of a stream. If it is dropped before [`StreamWriter::finish`], the answer is broken.
 pub struct StreamWriter(Arc<Shared>);
 
-/// The front's end. Dropped, the writer is notified that nobody wants the rest.
+/// The front's end of a stream. If it is dropped, the writer is notified that the rest is not wanted.
 pub struct StreamReader(Arc<Shared>);
 
 impl std::fmt::Debug for StreamReader {
@@ -99,20 +103,20 @@
     }
 }
 
-/// What a reader gets.
+/// The result of a read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
     /// These bytes.
     Bytes(Vec<u8>),
-    /// None yet.
+    /// No bytes have arrived yet.
     Pending,
     /// The answer is complete.
     End,
-    /// No more arrives, and the answer is not complete.
+    /// The answer is not complete, and no more of it arrives.
     Broken,
 }
 
-/// Opens a stream. `notify_writer` is called when there is capacity again, or when nobody wants the rest.
+/// Opens a stream. `notify_writer` is called when there is capacity again, and when the reader is dropped.
 pub fn open_stream(budget: &Arc<StreamBudget>, notify_writer: Notify) -> (StreamWriter, StreamReader) {
     budget.open_streams.fetch_add(1, Ordering::Relaxed);
     let shared = Arc::new(Shared { state: Mutex::default(), budget: budget.clone(), notify_writer });
@@ -120,23 +124,23 @@
 }
 
 impl StreamWriter {
-    /// How many bytes may be written now.
+    /// The number of bytes that may be written now.
     pub fn capacity(&self) -> usize {
         self.0.budget.window().saturating_sub(self.0.lock().bytes.len())
     }
 
-    /// Whether nobody wants the rest.
+    /// Whether the reader was dropped, so that the rest is not wanted.
     pub fn reader_is_gone(&self) -> bool {
         self.0.lock().reader_is_gone
     }
 
-    /// Adds bytes, also beyond the window: the caller keeps to the capacity that it was told.
+    /// Appends bytes. The caller must keep to the capacity, which this does not check.
     pub fn write(&self, bytes: &[u8]) {
         self.0.lock().bytes.extend_from_slice(bytes);
         self.0.notify_reader();
     }
 
-    /// The answer is complete.
+    /// Completes the answer.
     pub fn finish(self) {
         self.0.lock().writer_end = Some(WriterEnd::Finished);
     }
@@ -150,12 +154,12 @@
 }
 
 impl StreamReader {
-    /// Sets who is notified when there are bytes, or the end.
+    /// Sets the callback for new bytes and for the end of the stream.
     pub fn notify_with(&self, notify: Notify) {
         self.0.lock().notify_reader = Some(notify.into());
     }
 
-    /// Takes what has arrived, at most so many bytes.
+    /// Takes up to `max_bytes` of what has arrived.
     pub fn read(&self, max_bytes: usize) -> ReadResult {
         let mut state = self.0.lock();
         if state.bytes.is_empty() {
@@ -185,6 +189,3 @@
         (self.0.notify_writer)();
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/exchange/src/stream/tests.rs
+++ b/crates/exchange/src/stream/tests.rs
@@ -1,63 +1,73 @@
-//! Streams between the two sides.
+//! Streams between a writer and a reader.
 
 use super::*;
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{Receiver, channel};
 
-fn open(budget: &Arc<StreamBudget>) -> (StreamWriter, StreamReader, std::sync::mpsc::Receiver<()>) {
-    let (tell, told) = channel();
-    let (write, read) = open_stream(
-        budget,
-        Box::new(move || {
-            let _ = tell.send(());
-        }),
-    );
-    (write, read, told)
+/// A callback, and the notifications that it sends.
+fn notifications() -> (Notify, Receiver<()>) {
+    let (sender, receiver) = channel();
+    let notify = move || {
+        let _ = sender.send(());
+    };
+    (Box::new(notify), receiver)
+}
+
+/// Both ends of a stream.
+struct Stream {
+    writer: StreamWriter,
+    reader: StreamReader,
+    writer_notifications: Receiver<()>,
+}
+
+fn open(budget: &Arc<StreamBudget>) -> Stream {
+    let (notify, writer_notifications) = notifications();
+    let (writer, reader) = open_stream(budget, notify);
+    Stream { writer, reader, writer_notifications }
 }
 
 #[test]
 fn bytes_come_out_as_they_went_in_and_then_the_end() {
     let budget = StreamBudget::new(1 << 20);
-    let (write, read, room) = open(&budget);
-    let (tell, bytes) = channel();
-    read.notify_with(Box::new(move || {
-        let _ = tell.send(());
-    }));
-    assert_eq!(read.read(9), ReadResult::Pending);
-    write.write(b"abcde");
-    bytes.try_recv().expect("the front is told");
-    assert_eq!(write.capacity(), LARGEST_WINDOW - 5);
-    assert_eq!(read.read(3), ReadResult::Bytes(b"abc".to_vec()));
-    room.try_recv().expect("the destination is told");
-    write.write(b"f");
-    write.finish();
-    assert_eq!(read.read(9), ReadResult::Bytes(b"def".to_vec()));
-    assert_eq!(read.read(9), ReadResult::End);
+    let Stream { writer, reader, writer_notifications } = open(&budget);
+    let (notify, reader_notifications) = notifications();
+    reader.notify_with(notify);
+    assert_eq!(reader.read(9), ReadResult::Pending);
+    writer.write(b"abcde");
+    reader_notifications.try_recv().expect("the reader is notified");
+    assert_eq!(writer.capacity(), MAX_WINDOW - 5);
+    assert_eq!(reader.read(3), ReadResult::Bytes(b"abc".to_vec()));
+    writer_notifications.try_recv().expect("the writer is notified");
+    writer.write(b"f");
+    writer.finish();
+    assert_eq!(reader.read(9), ReadResult::Bytes(b"def".to_vec()));
+    assert_eq!(reader.read(9), ReadResult::End);
 }
 
 #[test]
-fn what_breaks_off_is_told_after_its_bytes_and_who_leaves_is_heard() {
+fn a_dropped_writer_breaks_the_answer_after_its_bytes_and_a_dropped_reader_is_notified() {
     let budget = StreamBudget::new(1 << 20);
-    let (write, read, room) = open(&budget);
-    write.write(b"ab");
-    drop(write);
-    assert_eq!(read.read(9), ReadResult::Bytes(b"ab".to_vec()));
-    assert_eq!(read.read(9), ReadResult::Broken);
-    drop(read);
-    let (write, read, _) = open(&budget);
-    drop(read);
-    assert!(write.reader_is_gone());
-    room.try_recv().expect("the destination is told");
+    let Stream { writer, reader, writer_notifications } = open(&budget);
+    writer.write(b"ab");
+    drop(writer);
+    assert_eq!(reader.read(9), ReadResult::Bytes(b"ab".to_vec()));
+    assert_eq!(reader.read(9), ReadResult::Broken);
+    while writer_notifications.try_recv().is_ok() {}
+    drop(reader);
+    writer_notifications.try_recv().expect("the writer is notified");
+    let Stream { writer, reader, .. } = open(&budget);
+    drop(reader);
+    assert!(writer.reader_is_gone());
 }
 
 #[test]
-fn windows_share_the_budget_and_none_is_starved() {
-    let budget = StreamBudget::new(10 * SMALLEST_WINDOW);
+fn windows_share_the_budget_down_to_the_minimum() {
+    let budget = StreamBudget::new(10 * MIN_WINDOW);
     let one = open(&budget);
-    assert_eq!(one.0.capacity(), LARGEST_WINDOW);
+    assert_eq!(one.writer.capacity(), MAX_WINDOW);
     let many: Vec<_> = (0..4).map(|_| open(&budget)).collect();
-    assert_eq!(one.0.capacity(), 2 * SMALLEST_WINDOW);
+    assert_eq!(one.writer.capacity(), 2 * MIN_WINDOW);
     let more: Vec<_> = (0..400).map(|_| open(&budget)).collect();
-    assert!(more.iter().all(|s| s.0.capacity() == SMALLEST_WINDOW));
+    assert!(more.iter().all(|stream| stream.writer.capacity() == MIN_WINDOW));
     drop((many, more));
-    assert_eq!((budget.open_streams(), one.0.capacity()), (1, LARGEST_WINDOW));
+    assert_eq!((budget.open_streams(), one.writer.capacity()), (1, MAX_WINDOW));
 }
