--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -2,7 +2,7 @@
 
 use destination::BackendEndpoint;
 use handover::BackendNumber;
-use policy::{BackendEntry, BackendId, BackendState};
+use policy::{BackendEntry, BackendId, BackendState, Timestamp};
 use settings::platform::PlatformConfig;
 use settings::{Endpoint, EndpointList};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -53,7 +53,7 @@
             } else {
                 self.listed.insert(id);
             }
-            let started = endpoint.started_ms.saturating_mul(1000);
+            let started = Timestamp::from_micros(endpoint.started_ms.saturating_mul(1000));
             translated.endpoints.push(BackendEndpoint { id, address, state, started });
             translated.entries.push(BackendEntry {
                 id,
@@ -122,7 +122,11 @@
         "draining" => BackendState::Draining,
         "removed" => BackendState::Gone,
         other => {
-            tracing::warn!("discovery: {} has the unknown state {other:?}; taken as draining", endpoint.id);
+            tracing::warn!(
+                backend = endpoint.id,
+                state = other,
+                "unknown endpoint state, treated as draining"
+            );
             BackendState::Draining
         }
     }
@@ -134,8 +138,11 @@
         Ok(address) => Some(address),
         Err(_) if state == BackendState::Gone => Some(([127, 0, 0, 1], 0).into()),
         Err(_) => {
-            let (id, address) = (&endpoint.id, &endpoint.address);
-            tracing::warn!("discovery: {id} has no usable address {address:?}; left out");
+            tracing::warn!(
+                backend = endpoint.id,
+                address = endpoint.address,
+                "invalid entry, its address is not usable"
+            );
             None
         }
     }
