--- a/crates/quickstart/tests/quickstart.rs
+++ b/crates/quickstart/tests/quickstart.rs
@@ -60,10 +60,24 @@
 
     /// Sends SIGINT, as Ctrl-C does, and waits for the end.
     fn interrupt(mut self) -> ExitStatus {
-        let sent = Command::new("kill").args(["-INT", &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success());
+        self.signal("-INT");
         self.child.wait().expect("it was started")
     }
+
+    fn signal(&self, name: &str) {
+        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        assert!(sent.expect("kill runs").success());
+    }
+}
+
+/// A test that fails ends the gatekeeper too, which SIGKILL to the quickstart would not.
+impl Drop for Quickstart {
+    fn drop(&mut self) {
+        if matches!(self.child.try_wait(), Ok(None)) {
+            self.signal("-TERM");
+            let _ = self.child.wait();
+        }
+    }
 }
 
 #[test]
