--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -1,40 +1,43 @@
-//! Commands, as operators write them.
+//! Parsing of commands.
 
-/// Limit on a line in bytes, without its end. A backend's id takes a few bytes.
+/// Maximum length of a line in bytes, without its end. A command has one word and at most one backend id.
 pub const MAX_LINE_BYTES: usize = 512;
 
-/// The words of the commands.
+/// Word of [`Command::Ready`].
 const READY: &str = "readyz";
+/// Word of [`Command::Metrics`].
 const METRICS: &str = "telemetry";
+/// Word of [`Command::Eject`].
 const EJECT: &str = "exclude";
+/// Word of [`Command::Restore`].
 const RESTORE: &str = "include";
 
-/// One command.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `readyz`: whether this process can serve.
+    /// `readyz`: report whether this process accepts clients.
     Ready,
-    /// `telemetry`: the metrics.
+    /// `telemetry`: report the metrics.
     Metrics,
-    /// `exclude ID`: eject the backend with this id.
+    /// `exclude ID`: send no new attempt to the backend with this id.
     Eject(String),
     /// `include ID`: use the backend with this id again.
     Restore(String),
 }
 
-/// Why a line is no command. The text is sent to the operator.
+/// Why a line is not a valid command. The text is sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It is longer than [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("the line is too long")]
     LineTooLong,
-    /// It is not UTF-8.
+    /// The line is not UTF-8.
     #[error("the line is no text")]
     NotUtf8,
-    /// It holds no word.
+    /// The line has no word.
     #[error("an empty line")]
     Empty,
-    /// It holds more words than any command has.
+    /// The line has more words than any command.
     #[error("too many words")]
     TooManyWords,
     /// An id follows a command that takes none.
@@ -43,17 +46,17 @@
     /// No id follows a command that takes one.
     #[error("this call takes the id of a loan server")]
     MissingId,
-    /// The first word is no command.
+    /// The first word is not a command.
     #[error("unknown call; known are {READY}, {METRICS}, {EJECT} ID and {RESTORE} ID")]
     Unknown,
 }
 
 impl Command {
-    /// Parses a line, without its end.
+    /// Parses a line without its end.
     ///
     /// # Errors
     ///
-    /// The line is no command.
+    /// The line is not a valid command.
     pub fn parse(line: &[u8]) -> Result<Self, CommandError> {
         if line.len() > MAX_LINE_BYTES {
             return Err(CommandError::LineTooLong);
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,7 +1,7 @@
-//! The admin protocol: what operators may ask of a running gatekeeper, and how it answers.
+//! The admin protocol: the commands of operators to a running gatekeeper, and the replies.
 //!
-//! A [`Command`] is one line. A reply begins with `OK` or `ERR`; the reply to `telemetry` is the text form of [`Metrics`]. This
-//! package has neither sockets nor clocks, so that each form can be tested by itself.
+//! A [`Command`] is one line of text. A reply begins with `OK` or `ERR`; the reply to `telemetry` is the text form of
+//! [`Metrics`]. This package does no I/O and reads no clock, so that parsing and formatting can be tested alone.
 
 mod command;
 mod metrics;
--- a/crates/operator/src/metrics.rs
+++ b/crates/operator/src/metrics.rs
@@ -1,11 +1,14 @@
-//! Metrics in the text form that the operators' collectors read. The names of the series are fixed.
+//! Metrics, and their text form for the operators' collectors. The collectors rely on the names of the series.
 
 use std::fmt::Write;
 
-/// How requests of one class have ended.
+/// Prefix of the names of all series.
+const PREFIX: &str = "balancer_";
+
+/// Outcomes of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// The class.
+    /// The class's name.
     pub name: String,
     /// Requests that were served.
     pub completed: u64,
@@ -15,56 +18,62 @@
     pub failed: u64,
 }
 
-/// How many requests the policy has rejected for one reason.
+/// Number of requests that the policy has rejected for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectionCount {
-    /// The reason, as the series' label has it.
+    /// The reason: the value of the series' label.
     pub reason: &'static str,
-    /// Requests.
+    /// Number of requests.
     pub count: u64,
 }
 
-/// How often one of the rules that are checked while the process runs was violated.
+/// Number of violations that one guard of the package `invariants` has found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViolationCount {
-    /// The guard, as the series' label has it.
+    /// The guard: the value of the series' label.
     pub guard: &'static str,
-    /// Violations.
+    /// Number of violations.
     pub count: u64,
 }
 
-/// The metrics of one process. All counts are since its start.
+/// The metrics of one process. Counters start at 0 with the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Requests by class.
+    /// Outcomes of requests by class.
     pub classes: Vec<ClassMetrics>,
     /// Requests that the policy has rejected, by reason.
     pub rejections: Vec<RejectionCount>,
-    /// Attempts that were written completely to backends.
+    /// Attempts that were completely written to backends.
     pub attempts_written: u64,
-    /// Requests that have no final answer yet.
+    /// Requests without a final answer.
     pub pending: usize,
     /// Backends on the endpoint list.
     pub backends: usize,
-    /// Of these, the ones that get no requests at the moment.
+    /// Backends on the list that get no requests at the moment.
     pub backends_unavailable: usize,
-    /// Configuration files that were accepted at SIGHUP.
+    /// Successful reloads of the configuration.
     pub reloads: u64,
-    /// Configuration files that were rejected at SIGHUP.
+    /// Failed reloads of the configuration.
     pub reload_errors: u64,
-    /// What operators have ejected or restored is not on disk yet: a process that starts after this one would not know it.
+    /// Whether an operator's ejection or restoration is not on disk yet. A process that starts without a predecessor would not
+    /// know of it.
     pub ejections_pending: bool,
     /// Violations of invariants, by guard.
     pub violations: Vec<ViolationCount>,
 }
 
 impl Metrics {
-    /// The reply to `telemetry`: `OK`, a line for each series, and `END`.
+    /// Formats the reply to `telemetry`: `OK`, a line for each series, and `END`.
     pub fn to_text(&self) -> String {
         let mut text = String::from("OK\n");
-        self.write_classes(&mut text);
+        self.write_outcomes(&mut text);
         for RejectionCount { reason, count } in &self.rejections {
-            write_series(&mut text, "refusals_total", Some(("reason", reason)), *count);
+            write_labelled_series(
+                &mut text,
+                "refusals_total",
+                Label { name: "reason", value: reason },
+                *count,
+            );
         }
         for (name, value) in [
             ("upstream_requests_total", self.attempts_written),
@@ -75,36 +84,51 @@
             ("config_reload_errors_total", self.reload_errors),
             ("exclusions_unsaved", u64::from(self.ejections_pending)),
         ] {
-            write_series(&mut text, name, None, value);
+            write_series(&mut text, name, value);
         }
         for ViolationCount { guard, count } in &self.violations {
-            write_series(&mut text, "invariant_violations_total", Some(("guard", guard)), *count);
+            write_labelled_series(
+                &mut text,
+                "invariant_violations_total",
+                Label { name: "guard", value: guard },
+                *count,
+            );
         }
         text.push_str("END\n");
         text
     }
 
-    fn write_classes(&self, text: &mut String) {
-        for class in &self.classes {
-            write_series(text, "completed_total", Some(("lane", &class.name)), class.completed);
-        }
-        for class in &self.classes {
-            write_series(text, "rejected_total", Some(("lane", &class.name)), class.rejected);
-        }
-        for class in &self.classes {
-            write_series(text, "failed_total", Some(("lane", &class.name)), class.failed);
-        }
+    fn write_outcomes(&self, text: &mut String) {
+        let mut write = |name: &str, count: fn(&ClassMetrics) -> u64| {
+            for class in &self.classes {
+                write_labelled_series(text, name, Label { name: "lane", value: &class.name }, count(class));
+            }
+        };
+        write("completed_total", |class| class.completed);
+        write("rejected_total", |class| class.rejected);
+        write("failed_total", |class| class.failed);
     }
 }
 
-/// Appends the line of one series, with a label where it has one.
-fn write_series(text: &mut String, name: &str, label: Option<(&str, &str)>, value: u64) {
-    let label = label.map(|(key, value)| format!("{{{key}=\"{}\"}}", escape(value))).unwrap_or_default();
+/// The label of a series.
+struct Label<'a> {
+    name: &'a str,
+    value: &'a str,
+}
+
+/// Appends the line of a series without a label.
+fn write_series(text: &mut String, name: &str, value: u64) {
+    // Writing to a string cannot fail.
+    let _ = writeln!(text, "{PREFIX}{name} {value}");
+}
+
+/// Appends the line of a series with a label.
+fn write_labelled_series(text: &mut String, name: &str, label: Label<'_>, value: u64) {
     // Writing to a string cannot fail.
-    let _ = writeln!(text, "balancer_{name}{label} {value}");
+    let _ = writeln!(text, "{PREFIX}{name}{{{}=\"{}\"}} {value}", label.name, escape(label.value));
 }
 
-/// Escapes a label's value as the text form of metrics requires.
+/// Escapes a label's value as the Prometheus text format requires.
 fn escape(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/operator/src/reply.rs
+++ b/crates/operator/src/reply.rs
@@ -1,8 +1,8 @@
-//! Replies of one line.
+//! One-line replies.
 
 use std::fmt::Display;
 
-/// The reply to a command that was carried out, or failed for this reason.
+/// Formats the reply to a command that succeeded, or failed with this error.
 pub fn reply(result: Result<(), impl Display>) -> String {
     match result {
         Ok(()) => "OK\n".to_owned(),
