--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -1,35 +1,40 @@
-//! The admin listener: sockets and threads of its own, off the worker, so that a busy gatekeeper still answers within a second.
+//! The admin listener: reads operators' commands and sends the replies. It runs on separate threads, so that it answers within a
+//! second also while the worker is busy.
 
+use crate::endpoint_ids::EjectionChange;
 use link::locked;
 use operator::{Command, CommandError, MAX_LINE_BYTES, Metrics, reply};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
+use std::thread;
 use std::time::{Duration, Instant};
 
-/// Limit on clients at one time, each with a descriptor and a thread. At the limit the one that has waited longest without a
-/// complete line makes room.
+/// Limit on connected clients, each with a descriptor and a thread. At the limit a new client evicts the oldest one that has sent
+/// no complete line.
 pub const MAX_CLIENTS: usize = 12;
-/// A client that has sent no line by then is told so and disconnected: some connect and complete no command for 4 s.
+/// Time-out for a client's line. Some operators' tools connect and complete no command for 4 s.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A reply fits into the socket's buffer, unless the client does not read.
+/// Time-out for sending a reply. A reply fits into the socket's buffer unless the client does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client that sends more than its line may take to read the reply. Closed at once, the reply could be lost.
-const LINGER: Duration = Duration::from_millis(200);
+/// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection, and
+/// the reply could be lost.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause after `accept` has failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// Stack of a client's thread, in bytes.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Stack size of each thread in bytes.
 const STACK_BYTES: usize = 64 * 1024;
-/// Bytes of one read.
+/// Buffer size for reads in bytes.
 const READ_BYTES: usize = 256;
 
-/// Why a command was not carried out. The text is sent to the operator.
+/// Why a command failed. The text is sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
-    /// The process does not serve yet.
+    /// The process does not accept clients yet.
     #[error("starting")]
     Starting,
-    /// The process does not serve any more.
+    /// The process is shutting down.
     #[error("ending")]
     Ending,
     /// No backend with this id is listed or ejected.
@@ -37,7 +42,7 @@
     UnknownBackend,
 }
 
-/// Why no line was read. The text is sent to the client.
+/// Why a client's line was not read. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LineError {
     #[error("no line came")]
@@ -48,22 +53,22 @@
     Invalid(#[from] CommandError),
 }
 
-/// What carries out commands.
+/// Executes commands.
 pub trait AdminHandler: Send + Sync + 'static {
-    /// Whether this process can serve.
+    /// Checks whether this process accepts clients.
     ///
     /// # Errors
     ///
     /// [`AdminError::Starting`] or [`AdminError::Ending`].
     fn check_ready(&self) -> Result<(), AdminError>;
-    /// The metrics.
+    /// Collects the metrics.
     fn metrics(&self) -> Metrics;
-    /// Ejects a backend, or restores it. When this returns, nothing new is sent to one that is ejected.
+    /// Ejects or restores a backend. After an ejection has returned, no new attempt is sent to the backend.
     ///
     /// # Errors
     ///
     /// [`AdminError::UnknownBackend`].
-    fn set_ejected(&self, id: &str, ejected: bool) -> Result<(), AdminError>;
+    fn change_ejection(&self, id: &str, change: EjectionChange) -> Result<(), AdminError>;
 }
 
 /// A client that has sent no complete line yet.
@@ -74,9 +79,9 @@
 
 /// Clients that have sent no complete line yet, oldest first.
 #[derive(Clone, Default)]
-struct Waiting(Arc<Mutex<Vec<WaitingClient>>>);
+struct WaitingClients(Arc<Mutex<Vec<WaitingClient>>>);
 
-impl Waiting {
+impl WaitingClients {
     fn push(&self, number: u64, stream: Arc<TcpStream>) {
         locked(&self.0).push(WaitingClient { number, stream });
     }
@@ -85,97 +90,126 @@
         locked(&self.0).retain(|client| client.number != number);
     }
 
-    /// Disconnects the oldest; its thread ends by itself.
-    fn disconnect_oldest(&self) {
-        let mut waiting = locked(&self.0);
-        if !waiting.is_empty() {
-            // Fails only where the client is gone already.
-            let _ = waiting.remove(0).stream.shutdown(Shutdown::Both);
+    /// Disconnects the oldest client. Its thread then fails to read the line and ends.
+    fn evict_oldest(&self) {
+        let mut clients = locked(&self.0);
+        if !clients.is_empty() {
+            // Fails if the client has disconnected already.
+            let _ = clients.remove(0).stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// A running listener.
+/// Counts the connected clients.
+#[derive(Clone, Default)]
+struct ClientCounter(Arc<AtomicUsize>);
+
+/// A client that is counted until this is dropped.
+struct CountedClient(ClientCounter);
+
+impl ClientCounter {
+    fn count(&self) -> usize {
+        self.0.load(Ordering::Acquire)
+    }
+
+    fn add(&self) -> CountedClient {
+        self.0.fetch_add(1, Ordering::AcqRel);
+        CountedClient(self.clone())
+    }
+}
+
+impl Drop for CountedClient {
+    fn drop(&mut self) {
+        self.0.0.fetch_sub(1, Ordering::AcqRel);
+    }
+}
+
+/// A running admin listener.
 pub struct AdminListener {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Each client holds one reference, this listener and its thread one each.
-    clients: Arc<()>,
+    clients: ClientCounter,
 }
 
 impl AdminListener {
-    /// Listens at this address and answers clients until the process ends.
+    /// Listens on this address and serves clients until the process ends.
     ///
     /// # Errors
     ///
     /// The address cannot be listened on, or no thread can be started.
     pub fn start(address: SocketAddr, handler: Arc<impl AdminHandler>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
-        let clients = Arc::new(());
+        let clients = ClientCounter::default();
         let started = Self { address: listener.local_addr()?, clients: clients.clone() };
-        let thread = std::thread::Builder::new().name("operators".into()).stack_size(STACK_BYTES);
+        let thread = thread::Builder::new().name("operators".into()).stack_size(STACK_BYTES);
         thread.spawn(move || accept_clients(&listener, &handler, &clients))?;
         Ok(started)
     }
 
-    /// How many clients are connected.
+    /// Number of connected clients.
     pub fn client_count(&self) -> usize {
-        Arc::strong_count(&self.clients).saturating_sub(2)
+        self.clients.count()
     }
 }
 
-fn accept_clients(listener: &TcpListener, handler: &Arc<impl AdminHandler>, clients: &Arc<()>) {
-    let waiting = Waiting::default();
-    let mut number = 0;
-    loop {
-        let Ok((client, _)) = listener.accept() else {
-            // Out of descriptors, or the client has left again: both pass.
-            std::thread::sleep(ACCEPT_PAUSE);
-            continue;
-        };
-        // One reference is this thread's, one the listener's.
-        if Arc::strong_count(clients) > MAX_CLIENTS + 1 {
-            waiting.disconnect_oldest();
+fn accept_clients(listener: &TcpListener, handler: &Arc<impl AdminHandler>, clients: &ClientCounter) {
+    let waiting = WaitingClients::default();
+    for number in 0.. {
+        let client = Arc::new(accept(listener));
+        if clients.count() >= MAX_CLIENTS {
+            waiting.evict_oldest();
         }
-        number += 1;
-        let client = Arc::new(client);
         waiting.push(number, client.clone());
-        let (handler, still_waiting, reference) = (handler.clone(), waiting.clone(), clients.clone());
+        let counted = clients.add();
+        let (handler, still_waiting) = (handler.clone(), waiting.clone());
         let serve = move || {
             let line = read_line(&client);
             still_waiting.remove(number);
-            // Fails only where the client is gone.
-            let _ = send_reply(&client, &answer(&*handler, line));
-            drop(reference);
+            // Fails if the client has disconnected.
+            let _ = send_reply(&client, &execute(&*handler, line));
+            drop(counted);
         };
-        if std::thread::Builder::new().stack_size(STACK_BYTES).spawn(serve).is_err() {
+        if thread::Builder::new().stack_size(STACK_BYTES).spawn(serve).is_err() {
             waiting.remove(number);
         }
     }
 }
 
-fn answer(handler: &impl AdminHandler, line: Result<Vec<u8>, LineError>) -> String {
+/// Accepts the next client. Errors are transient: the process is out of descriptors, or the client has disconnected already.
+fn accept(listener: &TcpListener) -> TcpStream {
+    loop {
+        match listener.accept() {
+            Ok((client, _)) => return client,
+            Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
+        }
+    }
+}
+
+/// Executes the command of a line, and returns the reply.
+fn execute(handler: &impl AdminHandler, line: Result<Vec<u8>, LineError>) -> String {
     let command = line.and_then(|line| Ok(Command::parse(&line)?));
     match command {
         Ok(Command::Metrics) => handler.metrics().to_text(),
         Ok(Command::Ready) => reply(handler.check_ready()),
-        Ok(Command::Eject(id)) => reply(handler.set_ejected(&id, true)),
-        Ok(Command::Restore(id)) => reply(handler.set_ejected(&id, false)),
+        Ok(Command::Eject(id)) => reply(handler.change_ejection(&id, EjectionChange::Eject)),
+        Ok(Command::Restore(id)) => reply(handler.change_ejection(&id, EjectionChange::Restore)),
         Err(error) => reply(Err(error)),
     }
 }
 
-/// The first line that a client sends, without its end.
+/// Reads the first line that a client sends, without its end.
 fn read_line(mut client: &TcpStream) -> Result<Vec<u8>, LineError> {
-    let (started, mut line, mut piece) = (Instant::now(), Vec::new(), [0; READ_BYTES]);
+    let started = Instant::now();
+    let mut line = Vec::new();
+    let mut buffer = [0; READ_BYTES];
     loop {
-        let left = LINE_TIMEOUT.saturating_sub(started.elapsed());
-        if left.is_zero() || client.set_read_timeout(Some(left)).is_err() {
+        let time_left = LINE_TIMEOUT.saturating_sub(started.elapsed());
+        if time_left.is_zero() || client.set_read_timeout(Some(time_left)).is_err() {
             return Err(LineError::Missing);
         }
-        match client.read(&mut piece) {
+        match client.read(&mut buffer) {
             Ok(0) => return Err(LineError::Incomplete),
-            Ok(count) => line.extend_from_slice(&piece[..count]),
+            Ok(count) => line.extend_from_slice(&buffer[..count]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return Err(LineError::Missing),
         }
@@ -189,16 +223,16 @@
     }
 }
 
-/// Sends the reply and the end of the stream. What the client still sends is read for a moment.
+/// Sends the reply and closes the sending side, then discards input for up to [`LINGER_TIMEOUT`].
 fn send_reply(mut client: &TcpStream, reply: &str) -> std::io::Result<()> {
     client.set_write_timeout(Some(WRITE_TIMEOUT))?;
     client.write_all(reply.as_bytes())?;
     client.shutdown(Shutdown::Write)?;
     let started = Instant::now();
-    let mut rest = [0; READ_BYTES];
-    while let left @ 1.. = LINGER.saturating_sub(started.elapsed()).as_micros() {
-        client.set_read_timeout(Some(Duration::from_micros(left as u64)))?;
-        if client.read(&mut rest)? == 0 {
+    let mut discarded = [0; READ_BYTES];
+    while let time_left @ 1.. = LINGER_TIMEOUT.saturating_sub(started.elapsed()).as_micros() {
+        client.set_read_timeout(Some(Duration::from_micros(time_left as u64)))?;
+        if client.read(&mut discarded)? == 0 {
             break;
         }
     }
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -1,10 +1,9 @@
-//! The admin service: carries out operators' commands on the parts of the platform's gatekeeper, and applies ejections that
-//! come from the other process of a hot restart.
+//! The admin service: executes operators' commands, and applies ejections that come from the other process of a hot restart.
 
 use crate::admin_listener::{AdminError, AdminHandler};
 use crate::ejections_file;
 use crate::ejections_store::EjectionsStore;
-use crate::endpoint_ids::EndpointIds;
+use crate::endpoint_ids::{EjectionChange, EndpointIds, UnknownId};
 use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
 use handover::{Message, Peer};
@@ -15,14 +14,14 @@
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{Sender, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time-out of a call to the other process. The operator waits for 1 s in all.
+/// Time-out for a call to the other process. An operator waits for up to 1 s in all.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Where this process is in its life.
+/// Whether this process accepts clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
     #[default]
@@ -31,23 +30,56 @@
     Ending,
 }
 
-/// Names of all classes and plans so far, by number.
+/// Names of all classes and plans since the start, by number.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of the classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Of the plans.
+    /// Names of the plans.
     pub plans: Vec<String>,
 }
 
 /// Calls to the other process that wait for their reply.
 #[derive(Default)]
 struct PendingCalls {
-    last: u64,
+    last_call: u64,
     replies: HashMap<u64, Sender<bool>>,
 }
 
-/// The parts that commands act on, and what is counted outside them.
+/// A call to the other process.
+struct PendingCall {
+    /// The number of the call, which the reply returns.
+    call: u64,
+    /// Receives whether the other process has applied the change. Disconnected if the other process ends.
+    reply: Receiver<bool>,
+}
+
+impl PendingCalls {
+    fn start(&mut self) -> PendingCall {
+        let (sender, reply) = channel();
+        self.last_call += 1;
+        self.replies.insert(self.last_call, sender);
+        PendingCall { call: self.last_call, reply }
+    }
+
+    fn complete(&mut self, call: u64, applied: bool) {
+        if let Some(reply) = self.replies.remove(&call) {
+            // Fails if the call has timed out meanwhile.
+            let _ = reply.send(applied);
+        }
+    }
+
+    fn cancel(&mut self, call: u64) {
+        self.replies.remove(&call);
+    }
+
+    /// Fails all calls at once, since no reply will come.
+    fn cancel_all(&mut self) {
+        self.replies.clear();
+    }
+}
+
+/// Executes operators' commands.
 pub struct AdminService {
     exchange: Arc<RespExchange>,
     pools: Arc<BackendPools<RespProtocol>>,
@@ -64,7 +96,7 @@
 }
 
 impl AdminService {
-    /// A service that is not ready yet.
+    /// Creates a service that is not ready yet. `directory` is where it stores ejections.
     pub fn new(
         exchange: Arc<RespExchange>,
         pools: Arc<BackendPools<RespProtocol>>,
@@ -96,72 +128,65 @@
         locked(&self.names).clone()
     }
 
-    /// Applies the ejections that an earlier process has stored.
+    /// Applies the ejections that an earlier process stored. A damaged file is logged and ignored.
     pub fn restore_ejections(&self) {
         let Some(store) = &self.store else { return };
         match ejections_file::read(store.directory()) {
             Ok(ids) => {
                 for id in ids {
-                    self.apply_ejection(&id, true, true);
+                    self.apply_ejection(&id, EjectionChange::Eject, UnknownId::Register);
                 }
             }
             Err(error) => tracing::warn!("operators: the file of ejected backends is not used: {error}"),
         }
     }
 
-    /// Sets the other process of a hot restart; `None` once it is gone.
+    /// Sets the other process of a hot restart; `None` once that process has ended.
     pub fn set_peer(&self, peer: Option<Arc<Peer>>) {
         *locked(&self.peer) = peer;
-        // Nobody replies to these any more: dropped, they fail at once.
-        locked(&self.pending_calls).replies.clear();
+        locked(&self.pending_calls).cancel_all();
     }
 
-    /// Whether this process shuts down.
+    /// Whether this process is shutting down.
     pub fn is_ending(&self) -> bool {
         *locked(&self.phase) == Phase::Ending
     }
 
-    /// Handles a message of the other process about ejections; any other is ignored.
+    /// Handles a message of the other process about ejections; ignores any other message.
     pub fn handle_message(&self, peer: &Peer, message: Message) {
         match message {
             Message::SetEjected { call, id, ejected, known } => {
-                let applied = self.apply_ejection(&id, ejected, known);
-                // Where the peer is gone nobody waits for this.
+                let change = if ejected { EjectionChange::Eject } else { EjectionChange::Restore };
+                let unknown_id = if known { UnknownId::Register } else { UnknownId::Reject };
+                let applied = self.apply_ejection(&id, change, unknown_id);
+                // Fails if the other process has ended and waits for no reply.
                 let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
             Message::EjectionApplied { call, applied } => {
-                if let Some(waiting) = locked(&self.pending_calls).replies.remove(&call) {
-                    // It may have timed out.
-                    let _ = waiting.send(applied);
-                }
+                locked(&self.pending_calls).complete(call, applied);
             }
             _ => {}
         }
     }
 
-    /// Has the other process do the same; returns whether it has. `known`: this process has the backend.
-    fn forward_ejection(&self, peer: &Peer, id: &str, ejected: bool, known: bool) -> bool {
-        let (sender, reply) = channel();
-        let call = {
-            let mut pending = locked(&self.pending_calls);
-            pending.last += 1;
-            let call = pending.last;
-            pending.replies.insert(call, sender);
-            call
-        };
+    /// Has the other process apply a change, and returns whether it has. `known` tells it that this process has the backend.
+    fn forward_ejection(&self, peer: &Peer, id: &str, change: EjectionChange, known: bool) -> bool {
+        let PendingCall { call, reply } = locked(&self.pending_calls).start();
+        let ejected = change == EjectionChange::Eject;
         let message = Message::SetEjected { call, id: id.to_owned(), ejected, known };
         let applied = peer.send(&message, None).is_ok() && reply.recv_timeout(PEER_TIMEOUT).unwrap_or(false);
-        locked(&self.pending_calls).replies.remove(&call);
+        locked(&self.pending_calls).cancel(call);
         applied
     }
 
-    /// Ejects a backend here, or restores it; returns whether there is one with this id.
-    pub fn apply_ejection(&self, id: &str, ejected: bool, known: bool) -> bool {
-        // Locked throughout, so that two commands for one backend are applied in the same order everywhere.
+    /// Ejects or restores a backend in this process. Returns whether the change applies to this id.
+    pub fn apply_ejection(&self, id: &str, change: EjectionChange, unknown_id: UnknownId) -> bool {
+        // Locked throughout, so that two changes of one backend are applied in the same order everywhere.
         let mut endpoint_ids = locked(&self.endpoint_ids);
-        let Some(backend) = endpoint_ids.set_ejected(id, ejected, known) else { return false };
-        // The pools come first: what the policy decided before the ejection is refused there, and when it sends again after a
-        // restoration the pools are open.
+        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else { return false };
+        let ejected = change == EjectionChange::Eject;
+        // The pools come first: they reject attempts that the policy decided on before an ejection, and accept attempts before the
+        // policy decides on the first one after a restoration.
         self.pools.set_operator_ejection(backend, ejected);
         self.exchange.set_operator_ejection(backend, ejected);
         if let Some(store) = &self.store {
@@ -171,23 +196,24 @@
         true
     }
 
-    /// Clients are served from now on.
+    /// Reports this process as ready from now on.
     pub fn set_ready(&self) {
         *locked(&self.phase) = Phase::Ready;
     }
 
-    /// No new clients are served any more.
+    /// Reports this process as shutting down from now on.
     pub fn set_ending(&self) {
         *locked(&self.phase) = Phase::Ending;
     }
 
-    /// Counts a reload that was accepted or rejected.
+    /// Counts a reload of the configuration.
     pub fn count_reload(&self, accepted: bool) {
         let count = if accepted { &self.reloads } else { &self.reload_errors };
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests by class. A class that came back with other settings has another number, and counts under the same name.
+    /// Outcomes of requests by class name. A class that was removed and added again with other settings has
+    /// several numbers under one name.
     fn class_metrics(&self, outcomes: &exchange::OutcomeCounts) -> Vec<ClassMetrics> {
         let mut classes: Vec<ClassMetrics> = Vec::new();
         for (name, counts) in locked(&self.names).classes.iter().zip(&outcomes.classes) {
@@ -230,15 +256,15 @@
         }
     }
 
-    fn set_ejected(&self, id: &str, ejected: bool) -> Result<(), AdminError> {
-        let known = self.apply_ejection(id, ejected, false);
+    fn change_ejection(&self, id: &str, change: EjectionChange) -> Result<(), AdminError> {
+        let known_here = self.apply_ejection(id, change, UnknownId::Reject);
         let peer = locked(&self.peer).clone();
-        let known_to_peer = peer.is_some_and(|peer| self.forward_ejection(&peer, id, ejected, known));
-        // The lists of two processes may differ for a moment: a backend that one of them has binds both.
-        if known_to_peer && !known {
-            self.apply_ejection(id, ejected, true);
+        let known_to_peer = peer.is_some_and(|peer| self.forward_ejection(&peer, id, change, known_here));
+        // The endpoint lists of two processes may differ for a moment: a backend that one of them has binds both.
+        if known_to_peer && !known_here {
+            self.apply_ejection(id, change, UnknownId::Register);
         }
-        if known || known_to_peer { Ok(()) } else { Err(AdminError::UnknownBackend) }
+        if known_here || known_to_peer { Ok(()) } else { Err(AdminError::UnknownBackend) }
     }
 }
 
--- a/crates/snowfield/src/ejections_file.rs
+++ b/crates/snowfield/src/ejections_file.rs
@@ -1,33 +1,33 @@
-//! The file with the backends that operators have ejected, for a process that starts after this one without hearing from it.
+//! The file format of the backends that operators have ejected. A process that starts without a predecessor reads the file.
 
 use std::fs;
 use std::io::{self, ErrorKind, Read};
 use std::path::{Path, PathBuf};
 
 const FILE_NAME: &str = "snowfield.held";
-/// Start of the first line, before the number of ids. A file in another format is not read.
+/// Format name and version. The first line has it before the number of ids; each further line has an id.
 const FORMAT: &str = "snowfield held 1";
-/// Limit on the bytes that are read.
-const MAX_BYTES: u64 = 1 << 20;
+/// Maximum size of the file in bytes. The rest of a longer file is not read.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Why the file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EjectionsFileError {
-    /// It could not be read.
+    /// The file could not be read.
     #[error("{0}")]
     Read(#[from] io::Error),
-    /// It is cut within its first line.
+    /// The file is truncated within its first line.
     #[error("it has no first line")]
     NoFirstLine,
-    /// It was written in another format.
+    /// The file has another format or version.
     #[error("it is of another form")]
     UnknownFormat,
-    /// It is cut, or was altered.
+    /// The file is truncated or was altered.
     #[error("{found} of {expected} ids are there")]
     MissingIds {
-        /// Ids in the file.
+        /// Number of ids in the file.
         found: usize,
-        /// Ids that its first line names.
+        /// Number of ids that the first line states.
         expected: usize,
     },
 }
@@ -36,11 +36,11 @@
     directory.join(FILE_NAME)
 }
 
-/// Replaces the file with one that has these ids.
+/// Replaces the file atomically by one with these ids.
 ///
 /// # Errors
 ///
-/// The directory cannot be written; the file is unchanged then.
+/// The directory is not writable. The file is unchanged.
 pub fn write<'a>(directory: &Path, ids: impl Iterator<Item = &'a str>) -> io::Result<()> {
     let ids: Vec<&str> = ids.collect();
     let lines: String = ids.iter().map(|id| format!("{id}\n")).collect();
@@ -49,22 +49,23 @@
     fs::rename(&temporary, path(directory))
 }
 
-/// The ids in the file; none where there is no file.
+/// Reads the ids in the file; none if there is no file.
 ///
 /// # Errors
 ///
-/// The file cannot be used.
+/// The file cannot be read, or is damaged.
 pub fn read(directory: &Path) -> Result<Vec<String>, EjectionsFileError> {
     let mut text = String::new();
     match fs::File::open(path(directory)) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
-        file => file?.take(MAX_BYTES).read_to_string(&mut text)?,
+        file => file?.take(MAX_FILE_BYTES).read_to_string(&mut text)?,
     };
-    let (head, rest) = text.split_once('\n').ok_or(EjectionsFileError::NoFirstLine)?;
-    let expected = head.strip_prefix(FORMAT).and_then(|count| count.trim().parse::<usize>().ok());
+    let (first_line, rest) = text.split_once('\n').ok_or(EjectionsFileError::NoFirstLine)?;
+    let expected = first_line.strip_prefix(FORMAT).and_then(|count| count.trim().parse::<usize>().ok());
     let expected = expected.ok_or(EjectionsFileError::UnknownFormat)?;
     let ids: Vec<String> = rest.lines().map(str::to_owned).collect();
-    if ids.len() != expected || !rest.is_empty() && !rest.ends_with('\n') {
+    let is_truncated = !rest.is_empty() && !rest.ends_with('\n');
+    if ids.len() != expected || is_truncated {
         return Err(EjectionsFileError::MissingIds { found: ids.len(), expected });
     }
     Ok(ids)
--- a/crates/snowfield/src/ejections_store.rs
+++ b/crates/snowfield/src/ejections_store.rs
@@ -1,5 +1,6 @@
-//! Keeps the file of ejected backends true: a write that fails is tried again until it succeeds.
+//! Storage of the backends that operators have ejected. A failed write is retried with exponential backoff until it succeeds.
 
+use crate::backoff::ExponentialBackoff;
 use crate::ejections_file;
 use crate::endpoint_ids::EndpointIds;
 use link::locked;
@@ -9,36 +10,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// The first pause before a write is tried again, which doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Backoff before the first retry of a write.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Limit on the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The file of the backends that operators have ejected.
+/// Stores the ids of the ejected backends in a file.
 #[derive(Clone)]
 pub struct EjectionsStore {
     directory: PathBuf,
     endpoint_ids: Arc<Mutex<EndpointIds>>,
-    /// The file does not have what is in force.
+    /// Whether the file lacks a change that is in force.
     is_pending: Arc<AtomicBool>,
 }
 
 impl EjectionsStore {
-    /// A store in this directory.
+    /// Creates a store in this directory.
     pub fn new(directory: PathBuf, endpoint_ids: Arc<Mutex<EndpointIds>>) -> Self {
         Self { directory, endpoint_ids, is_pending: Arc::default() }
     }
 
-    /// Where the file is.
+    /// The directory of the file.
     pub fn directory(&self) -> &Path {
         &self.directory
     }
 
-    /// Whether what is in force is not in the file yet.
+    /// Whether the file lacks a change that is in force.
     pub fn is_pending(&self) -> bool {
         self.is_pending.load(Ordering::Acquire)
     }
 
-    /// Writes the file, now or as soon as the disk takes it. The caller holds the lock of the ids.
+    /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock of `endpoint_ids`.
     pub fn store(&self, endpoint_ids: &EndpointIds) {
         let Err(error) = ejections_file::write(&self.directory, endpoint_ids.ejected()) else { return };
         tracing::warn!("operators: the file of ejected backends could not be written: {error}; tried again");
@@ -49,11 +51,10 @@
     }
 
     fn write_until_stored(&self) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = ExponentialBackoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
-            thread::sleep(pause);
-            pause = (2 * pause).min(MAX_PAUSE);
-            // Under the lock, so that no later state is overwritten by an earlier one.
+            backoff.sleep();
+            // Under the lock, so that an earlier state never overwrites a later one.
             let endpoint_ids = locked(&self.endpoint_ids);
             if ejections_file::write(&self.directory, endpoint_ids.ejected()).is_ok() {
                 self.is_pending.store(false, Ordering::Release);
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -1,4 +1,5 @@
-//! The platform's endpoint list in the types of the policy and the pools, and which backends operators have ejected.
+//! Ids of the platform's backends: their numbers, the translation of endpoint lists into the types of the policy and the pools,
+//! and the backends that operators have ejected.
 
 use destination::BackendEndpoint;
 use handover::BackendNumber;
@@ -6,60 +7,83 @@
 use settings::platform::PlatformConfig;
 use settings::{Endpoint, EndpointList};
 use std::collections::{BTreeSet, HashMap, HashSet};
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Limit on ejected backends; each is kept until it is restored.
+/// Limit on ejected backends. Each stays ejected until an operator restores it.
 const MAX_EJECTED: usize = 4096;
+/// Numbers of backends start here.
+const FIRST_NUMBER: u32 = 1;
+/// Address of a removed backend whose entry has none. No attempt is sent to it.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A list in the types of the policy and of the connection pools.
+/// An operator's change of a backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EjectionChange {
+    /// Send no new attempt to the backend.
+    Eject,
+    /// Use the backend again.
+    Restore,
+}
+
+/// Whether an ejection applies to an id that this process has neither listed nor ejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UnknownId {
+    /// It does not: the operator may have mistyped the id.
+    Reject,
+    /// It does: another process has the backend.
+    Register,
+}
+
+/// An endpoint list in the types of the policy and of the connection pools.
 pub struct TranslatedList {
-    /// For the policy.
+    /// The policy's entries.
     pub entries: Vec<BackendEntry>,
-    /// For the pools.
+    /// The pools' endpoints.
     pub endpoints: Vec<BackendEndpoint>,
 }
 
-/// Numbers for the ids of backends. A number is kept for good: a backend that restarts is the same.
+/// Assigns numbers to the ids of backends. An id keeps its number for the life of the process, also if its backend restarts.
 #[derive(Debug, Default)]
 pub struct EndpointIds {
     numbers: HashMap<String, BackendId>,
     zones: Vec<String>,
     machine_types: Vec<String>,
-    /// The backends that are listed now.
+    /// The backends on the current endpoint list.
     listed: HashSet<BackendId>,
     /// Ids of the backends that operators have ejected.
     ejected: BTreeSet<String>,
 }
 
 impl EndpointIds {
-    /// Starts with the zones and machine types of the settings.
+    /// Starts with the zones and machine types of the configuration.
     pub fn new(config: &PlatformConfig) -> Self {
         let (zones, machine_types) = (config.zones.clone(), config.machine_types.clone());
         Self { zones, machine_types, ..Self::default() }
     }
 
-    /// Takes in a list and translates it. An entry that cannot be used is left out and logged.
+    /// Applies a list and translates it. An invalid entry is logged and skipped.
     pub fn translate(&mut self, list: EndpointList) -> TranslatedList {
         if list.complete {
             self.listed.clear();
         }
         let mut translated = TranslatedList { entries: Vec::new(), endpoints: Vec::new() };
         for endpoint in list.endpoints {
-            let state = state(&endpoint);
-            let Some(address) = address(&endpoint, state) else { continue };
-            let id = self.number_or_new(&endpoint.id);
+            let state = backend_state(&endpoint);
+            let Some(address) = backend_address(&endpoint, state) else { continue };
+            let id = self.number_or_assign(&endpoint.id);
             if state == BackendState::Gone {
                 self.listed.remove(&id);
             } else {
                 self.listed.insert(id);
             }
             let started = endpoint.started_ms.saturating_mul(1000);
+            let zone = index_or_push(&mut self.zones, endpoint.zone);
+            let machine_type = index_or_push(&mut self.machine_types, endpoint.machine_type);
             translated.endpoints.push(BackendEndpoint { id, address, state, started });
             translated.entries.push(BackendEntry {
                 id,
-                zone: position(&mut self.zones, endpoint.zone).min(u8::MAX.into()) as u8,
-                machine_type: position(&mut self.machine_types, endpoint.machine_type).min(u16::MAX.into())
-                    as u16,
+                zone: zone.min(u8::MAX.into()) as u8,
+                machine_type: machine_type.min(u16::MAX.into()) as u16,
                 cell: endpoint.cell,
                 service: 0,
                 state,
@@ -70,52 +94,62 @@
         translated
     }
 
-    fn number_or_new(&mut self, id: &str) -> BackendId {
+    fn number_or_assign(&mut self, id: &str) -> BackendId {
         if let Some(number) = self.number(id) {
             return number;
         }
-        let number = BackendId(self.numbers.len() as u32 + 1);
+        let number = BackendId(FIRST_NUMBER + self.numbers.len() as u32);
         self.numbers.insert(id.to_owned(), number);
         number
     }
 
-    /// Notes that operators eject a backend, or restore it, and returns its number. The id must be listed or ejected, unless it
-    /// is `known` to another process. `None` for an unknown id, or where too many are ejected.
-    pub fn set_ejected(&mut self, id: &str, ejected: bool, known: bool) -> Option<BackendId> {
-        let number = if known {
-            self.number_or_new(id)
-        } else {
-            let number = self.number(id);
-            number.filter(|number| self.listed.contains(number) || self.ejected.contains(id))?
+    /// Ejects or restores a backend, and returns its number. `None` if the id is unknown and `unknown_id` is
+    /// [`UnknownId::Reject`], or at the limit on ejected backends.
+    pub fn change_ejection(
+        &mut self,
+        id: &str,
+        change: EjectionChange,
+        unknown_id: UnknownId,
+    ) -> Option<BackendId> {
+        let number = match unknown_id {
+            UnknownId::Register => self.number_or_assign(id),
+            UnknownId::Reject => self.number(id).filter(|number| self.is_listed_or_ejected(id, *number))?,
         };
-        if !ejected {
-            self.ejected.remove(id);
-        } else if self.ejected.len() < MAX_EJECTED {
-            self.ejected.insert(id.to_owned());
-        } else if !self.ejected.contains(id) {
-            return None;
+        match change {
+            EjectionChange::Restore => {
+                self.ejected.remove(id);
+            }
+            EjectionChange::Eject if self.ejected.contains(id) => {}
+            EjectionChange::Eject if self.ejected.len() >= MAX_EJECTED => return None,
+            EjectionChange::Eject => {
+                self.ejected.insert(id.to_owned());
+            }
         }
         Some(number)
     }
 
+    fn is_listed_or_ejected(&self, id: &str, number: BackendId) -> bool {
+        self.listed.contains(&number) || self.ejected.contains(id)
+    }
+
     /// Ids of the backends that operators have ejected.
     pub fn ejected(&self) -> impl Iterator<Item = &str> {
         self.ejected.iter().map(String::as_str)
     }
 
-    /// The backends that are listed now.
+    /// The backends on the current endpoint list.
     pub fn listed(&self) -> Vec<BackendNumber> {
         let listed = self.numbers.iter().filter(|(_, number)| self.listed.contains(number));
         listed.map(|(id, number)| BackendNumber { number: number.0, id: id.clone() }).collect()
     }
 
-    /// The number of an id, if it has been listed or ejected.
+    /// The number of an id, if one was assigned.
     pub fn number(&self, id: &str) -> Option<BackendId> {
         self.numbers.get(id).copied()
     }
 }
 
-fn state(endpoint: &Endpoint) -> BackendState {
+fn backend_state(endpoint: &Endpoint) -> BackendState {
     match endpoint.state.as_str() {
         "up" => BackendState::Ready,
         "draining" if seeded_faults::is_active("drained") => BackendState::Ready,
@@ -128,11 +162,11 @@
     }
 }
 
-/// `None` where there is no usable address. One that is removed needs none.
-fn address(endpoint: &Endpoint, state: BackendState) -> Option<SocketAddr> {
+/// The address of an entry; `None` if it is invalid. A removed backend needs none.
+fn backend_address(endpoint: &Endpoint, state: BackendState) -> Option<SocketAddr> {
     match endpoint.address.parse() {
         Ok(address) => Some(address),
-        Err(_) if state == BackendState::Gone => Some(([127, 0, 0, 1], 0).into()),
+        Err(_) if state == BackendState::Gone => Some(NO_ADDRESS),
         Err(_) => {
             let (id, address) = (&endpoint.id, &endpoint.address);
             tracing::warn!("discovery: {id} has no usable address {address:?}; left out");
@@ -141,8 +175,8 @@
     }
 }
 
-/// The place of a name in a list to which it is added if need be.
-fn position(names: &mut Vec<String>, name: String) -> usize {
+/// The index of a name in a list. A new name is appended.
+fn index_or_push(names: &mut Vec<String>, name: String) -> usize {
     names.iter().position(|known| *known == name).unwrap_or_else(|| {
         names.push(name);
         names.len() - 1
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Hot restarts: this process takes over from its predecessor, and later gives way to its successor. `handover` has the
-//! messages, docs/design/operations.md the order of steps.
+//! Hot restarts: a process takes over from its predecessor at startup and hands over to its successor later. The package
+//! `handover` has the messages, docs/design/operations.md the order of steps.
 
 mod predecessor;
 mod successor;
@@ -8,40 +8,31 @@
 use crate::endpoint_ids::EndpointIds;
 use destination::{BackendPools, RespProtocol};
 use front_resp::{Front, RespExchange};
-use handover::{Message, PROTOCOL_VERSION, Peer};
-use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long the other process may take for its next step. A successor must be ready within 6 s.
-const STEP_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time-out for the next message of the other process. A successor must be ready within 6 s.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What is handed over.
+/// The parts of this process that a hot restart hands over or takes over.
 pub struct HotRestart {
-    /// Has the names and the phase, and handles ejections.
-    pub admin: Arc<AdminService>,
+    /// Has the names of classes and plans, and applies operators' ejections.
+    admin: Arc<AdminService>,
     /// Has the policy's state.
-    pub exchange: Arc<RespExchange>,
-    /// The connections to backends.
-    pub pools: Arc<BackendPools<RespProtocol>>,
-    /// Numbers of backends, and ejections.
-    pub endpoint_ids: Arc<Mutex<EndpointIds>>,
+    exchange: Arc<RespExchange>,
+    /// Has the connections to backends.
+    pools: Arc<BackendPools<RespProtocol>>,
+    /// Has the backends' numbers and the operators' ejections.
+    endpoint_ids: Arc<Mutex<EndpointIds>>,
     /// Has the client connections.
-    pub front: Arc<Front>,
-    /// Client connections on their way to the successor.
-    passing: AtomicUsize,
-}
-
-/// Connects to the process that serves with this directory, if there is one.
-pub fn connect(directory: &Path) -> Option<Arc<Peer>> {
-    let peer = Peer::connect(directory).ok()?;
-    peer.send(&Message::Hello { version: PROTOCOL_VERSION }, None).ok()?;
-    Some(Arc::new(peer))
+    front: Arc<Front>,
+    /// Client connections that have left the front and are not yet sent to the successor.
+    connections_in_transfer: AtomicUsize,
 }
 
 impl HotRestart {
-    /// Hands over, or takes over, these parts.
+    /// Creates the hot restart of these parts.
     pub fn new(
         admin: Arc<AdminService>,
         exchange: Arc<RespExchange>,
@@ -49,7 +40,8 @@
         endpoint_ids: Arc<Mutex<EndpointIds>>,
         front: Arc<Front>,
     ) -> Arc<Self> {
-        Arc::new(Self { admin, exchange, pools, endpoint_ids, front, passing: AtomicUsize::new(0) })
+        let connections_in_transfer = AtomicUsize::new(0);
+        Arc::new(Self { admin, exchange, pools, endpoint_ids, front, connections_in_transfer })
     }
 
     /// Whether a successor serves in place of this process.
@@ -57,13 +49,13 @@
         self.front.is_handing_over()
     }
 
-    /// Client connections on their way to the successor.
-    pub fn connections_passing(&self) -> usize {
-        self.passing.load(Ordering::Acquire)
+    /// Client connections that have left the front and are not yet sent to the successor.
+    pub fn connections_in_transfer(&self) -> usize {
+        self.connections_in_transfer.load(Ordering::Acquire)
     }
 }
 
-/// For each of these names its number in another list.
+/// For each of `names` its index in `other`.
 fn numbers_in(names: &[String], other: &[String]) -> Vec<Option<usize>> {
     names.iter().map(|name| other.iter().position(|known| known == name)).collect()
 }
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -1,6 +1,6 @@
-//! This process as the predecessor: it hands over to whoever asks for it, and takes over again if that process ends.
+//! This process as the predecessor: handing over to a successor, and resuming service if the successor ends.
 
-use super::{HotRestart, STEP_TIMEOUT};
+use super::{HotRestart, MESSAGE_TIMEOUT};
 use crate::error::Error;
 use exchange::{PolicySnapshot, TenantId};
 use front_resp::HandOverConnection;
@@ -15,29 +15,36 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
+use std::time::Duration;
 
-/// A client connection that is to be passed on.
-struct PassedConnection {
+/// Pause after `accept` has failed on the upgrade socket.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_secs(3);
+/// Time-out for a successor's request for the state, after its first message.
+const STATE_REQUEST_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
+
+/// A client connection on its way to the successor.
+struct ConnectionTransfer {
     socket: TcpStream,
+    /// Bytes that were read of a request that is not complete yet.
     partial_request: Vec<u8>,
 }
 
 impl HotRestart {
-    /// Starts serving successors at this socket, one after the other, until the process ends.
+    /// Starts a thread that serves successors at this socket, one at a time, until the process ends.
     pub fn serve_successors(self: &Arc<Self>, socket: UpgradeSocket, listener: &Arc<Listener>) {
         let (restart, listener) = (self.clone(), listener.clone());
         thread::spawn(move || {
             loop {
                 match socket.accept() {
                     Ok(peer) => restart.serve_successor(&Arc::new(peer), &listener),
-                    Err(_) => thread::sleep(STEP_TIMEOUT),
+                    Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
                 }
             }
         });
     }
 
     fn serve_successor(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) {
-        match peer.receive(Some(STEP_TIMEOUT)) {
+        match peer.receive(Some(MESSAGE_TIMEOUT)) {
             Ok((Message::Hello { version: PROTOCOL_VERSION }, _)) => {}
             Ok(_) => {
                 return tracing::info!(
@@ -47,8 +54,10 @@
             Err(_) => return,
         }
         self.admin.set_peer(Some(peer.clone()));
-        let (mut handed_over, mut journal) = (false, None);
-        while let Ok((message, descriptor)) = peer.receive((!handed_over).then_some(2 * STEP_TIMEOUT)) {
+        let mut handed_over = false;
+        let mut journal = None;
+        // After the hand-over the successor may be silent for as long as it runs.
+        while let Ok((message, descriptor)) = peer.receive((!handed_over).then_some(STATE_REQUEST_TIMEOUT)) {
             match message {
                 Message::RequestState if !handed_over => {
                     handed_over = true;
@@ -68,14 +77,14 @@
         }
     }
 
-    /// Starts mirroring the admissions of a successor, so that the token buckets here fill and empty as its do. The receiver
-    /// gets how the journal ended.
+    /// Starts mirroring the admissions of a successor, so that the token buckets here stay equal to the successor's. The receiver
+    /// gets the end of the journal.
     fn mirror_journal(self: &Arc<Self>, reader: OwnedFd) -> Receiver<JournalEnd> {
         let (sender, end) = channel();
         let restart = self.clone();
         thread::spawn(move || {
             let journal_end = read_journal(reader, |admission| restart.mirror(admission));
-            // Nobody waits where this process ends.
+            // Fails if the receiver has timed out, or was dropped in a shutdown.
             let _ = sender.send(journal_end);
         });
         end
@@ -90,14 +99,14 @@
         });
     }
 
-    /// Stops admitting requests, and sends the listener, the state and, as they come, the client connections.
+    /// Stops admitting requests, sends the listener and the state, and starts sending client connections.
     fn hand_over(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) -> Result<(), Error> {
         let (sender, connections) = channel();
         let restart = self.clone();
         let pass_on: Arc<HandOverConnection> = Arc::new(move |socket, partial_request| {
-            restart.passing.fetch_add(1, Ordering::AcqRel);
-            if sender.send(PassedConnection { socket, partial_request }).is_err() {
-                restart.passing.fetch_sub(1, Ordering::AcqRel);
+            restart.connections_in_transfer.fetch_add(1, Ordering::AcqRel);
+            if sender.send(ConnectionTransfer { socket, partial_request }).is_err() {
+                restart.connections_in_transfer.fetch_sub(1, Ordering::AcqRel);
             }
         });
         let snapshot = self.freeze(pass_on, listener)?;
@@ -108,7 +117,7 @@
         Ok(())
     }
 
-    /// Stops accepting and reading, and takes the policy's snapshot.
+    /// Stops accepting connections and reading requests, and takes the policy's snapshot.
     fn freeze(
         self: &Arc<Self>,
         pass_on: Arc<HandOverConnection>,
@@ -116,14 +125,15 @@
     ) -> Result<PolicySnapshot, Error> {
         let (sender, snapshot) = channel();
         let (restart, listener) = (self.clone(), listener.clone());
-        // On the worker, between two steps of any client connection: no request is admitted after the snapshot.
+        // On the worker thread, where it runs between two steps of any client connection: no request is admitted after the
+        // snapshot.
         spawn_with(link::LARGE_STACK, move || {
             listener.set_paused(true);
             restart.front.hand_over_connections(pass_on);
-            // Nobody waits for it where the process ends.
+            // Fails if the receiver has timed out.
             let _ = sender.send(restart.exchange.hand_over());
         });
-        snapshot.recv_timeout(STEP_TIMEOUT).map_err(|_| Error::StateTimeout)
+        snapshot.recv_timeout(MESSAGE_TIMEOUT).map_err(|_| Error::StateTimeout)
     }
 
     fn state_message(&self, snapshot: &PolicySnapshot) -> Result<Message, Error> {
@@ -138,14 +148,14 @@
         })
     }
 
-    /// Starts sending client connections to the successor as the front passes them on.
-    fn send_connections(self: &Arc<Self>, connections: Receiver<PassedConnection>, peer: Arc<Peer>) {
+    /// Starts a thread that sends client connections to the successor as the front releases them.
+    fn send_connections(self: &Arc<Self>, connections: Receiver<ConnectionTransfer>, peer: Arc<Peer>) {
         let restart = self.clone();
         thread::spawn(move || {
-            for PassedConnection { socket, partial_request } in connections {
+            for ConnectionTransfer { socket, partial_request } in connections {
                 let message = Message::ClientConnection { partial_request };
                 let sent = peer.send(&message, Some(socket.as_fd()));
-                restart.passing.fetch_sub(1, Ordering::AcqRel);
+                restart.connections_in_transfer.fetch_sub(1, Ordering::AcqRel);
                 if sent.is_err() {
                     return;
                 }
@@ -153,9 +163,10 @@
         });
     }
 
-    /// Serves again after the successor has ended.
+    /// Resumes service after the successor has ended.
     fn resume(&self, journal: Option<Receiver<JournalEnd>>, listener: &Listener) {
-        // All entries are there once the successor is gone; one that only hung up may still admit requests.
+        // Once the successor's process has ended, all its entries can be read. One that only closed its connection may still admit
+        // requests: then the end of the journal does not come in time.
         let journal_end = journal.and_then(|end| end.recv_timeout(JOURNAL_DRAIN_TIMEOUT).ok());
         let knows_all = journal_end == Some(JournalEnd::Complete);
         let buckets = if knows_all { "with what the other left" } else { "with empty token buckets" };
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -1,17 +1,19 @@
-//! This process as the successor: it takes over the listener, the state and the client connections.
+//! This process as the successor: taking over the listener, the state and the client connections of the predecessor.
 
-use super::{HotRestart, STEP_TIMEOUT, numbers_in};
+use super::{HotRestart, MESSAGE_TIMEOUT, numbers_in};
+use crate::endpoint_ids::{EjectionChange, UnknownId};
 use crate::error::Error;
 use exchange::{BackendId, PolicySnapshot};
-use handover::{Admission, AdmissionJournal, BackendNumber, Message, Peer};
+use handover::{Admission, AdmissionJournal, BackendNumber, Message, PROTOCOL_VERSION, Peer};
 use link::{Connection, Listener, locked};
 use std::collections::HashMap;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
+use std::path::Path;
 use std::sync::Arc;
 use std::thread;
 
-/// What a predecessor sends in [`Message::State`].
+/// A predecessor's [`Message::State`] with the listener that comes with it.
 struct PredecessorState {
     listener: Listener,
     policy_snapshot: Vec<u8>,
@@ -22,18 +24,26 @@
 }
 
 impl HotRestart {
-    /// Takes over from a predecessor. When this returns the predecessor admits nothing any more, and its listener is here.
+    /// Connects to the process that serves with this directory. `None` if there is none.
+    pub fn connect_to_predecessor(&self, directory: &Path) -> Option<Arc<Peer>> {
+        let predecessor = Arc::new(Peer::connect(directory).ok()?);
+        predecessor.send(&Message::Hello { version: PROTOCOL_VERSION }, None).ok()?;
+        self.admin.set_peer(Some(predecessor.clone()));
+        Some(predecessor)
+    }
+
+    /// Takes over from a predecessor and returns its listener. From then on the predecessor admits no request.
     ///
     /// # Errors
     ///
-    /// The predecessor did not hand over. The connection to it is closed then.
-    pub fn take_over(&self, predecessor: &Arc<Peer>) -> Result<Listener, Error> {
-        let taken = self.request_and_apply_state(predecessor);
-        if taken.is_err() {
+    /// The predecessor did not hand over. The connection to it is closed.
+    pub fn take_over(&self, predecessor: &Peer) -> Result<Listener, Error> {
+        let result = self.request_and_apply_state(predecessor);
+        if result.is_err() {
             predecessor.close();
             self.admin.set_peer(None);
         }
-        taken
+        result
     }
 
     fn request_and_apply_state(&self, predecessor: &Peer) -> Result<Listener, Error> {
@@ -42,18 +52,18 @@
         let (message, descriptor) = self.receive_state(predecessor)?;
         let state = PredecessorState::from_message(message, descriptor)?;
         for id in &state.ejected {
-            self.admin.apply_ejection(id, true, true);
+            self.admin.apply_ejection(id, EjectionChange::Eject, UnknownId::Register);
         }
-        // Whether or not the rest can be read: a journal that ends without entries says that nothing was admitted.
+        // Before the snapshot is decoded, which may fail: a journal that ends without entries says that nothing was admitted.
         self.write_journal(journal, &state.plans);
         self.apply_snapshot(&state);
         Ok(state.listener)
     }
 
-    /// The first message that is not about ejections.
+    /// Receives the reply to [`Message::RequestState`], and handles messages about ejections until then.
     fn receive_state(&self, predecessor: &Peer) -> Result<(Message, Option<OwnedFd>), Error> {
         loop {
-            match predecessor.receive(Some(STEP_TIMEOUT))? {
+            match predecessor.receive(Some(MESSAGE_TIMEOUT))? {
                 (message @ (Message::SetEjected { .. } | Message::EjectionApplied { .. }), _) => {
                     self.admin.handle_message(predecessor, message)
                 }
@@ -62,11 +72,11 @@
         }
     }
 
-    /// Journals what is admitted from now on, before it is forwarded, by the predecessor's numbers of plans.
+    /// Starts journaling each admission before its request is forwarded, with the predecessor's number of the plan.
     fn write_journal(&self, journal: AdmissionJournal, predecessor_plans: &[String]) {
         let plan_numbers = numbers_in(&self.admin.names().plans, predecessor_plans);
         self.exchange.set_admission_listener(Some(Box::new(move |admission: exchange::Admission| {
-            // A plan that the predecessor does not have has no quota there.
+            // The predecessor has no quota, and so no token bucket, for a plan that it does not know.
             if let Some(plan) = plan_numbers.get(admission.plan as usize).copied().flatten() {
                 journal.append(&Admission {
                     tenant: admission.tenant.0,
@@ -78,7 +88,7 @@
         })));
     }
 
-    /// Has the policy continue from the predecessor's snapshot, if that can be read.
+    /// Replaces the policy's state by the predecessor's snapshot. One that cannot be decoded is ignored.
     fn apply_snapshot(&self, state: &PredecessorState) {
         let snapshot: PolicySnapshot = match postcard::from_bytes(&state.policy_snapshot) {
             Ok(snapshot) => snapshot,
@@ -92,31 +102,31 @@
         let names = self.admin.names();
         let plans = numbers_in(&state.plans, &names.plans);
         let classes = numbers_in(&state.classes, &names.classes);
-        let backends = self.backend_numbers(&state.backends);
+        let backends = self.map_backend_numbers(&state.backends);
         self.exchange.take_over(snapshot.remap(&backends, &plans, &classes));
     }
 
-    /// For each of the predecessor's numbers the one here.
-    fn backend_numbers(&self, theirs: &[BackendNumber]) -> HashMap<BackendId, BackendId> {
+    /// Maps the predecessor's backend numbers to this process's. Backends that are unknown here are left out.
+    fn map_backend_numbers(&self, predecessor_numbers: &[BackendNumber]) -> HashMap<BackendId, BackendId> {
         let endpoint_ids = locked(&self.endpoint_ids);
-        let pair =
+        let number_pair =
             |backend: &BackendNumber| Some((BackendId(backend.number), endpoint_ids.number(&backend.id)?));
-        theirs.iter().filter_map(pair).collect()
+        predecessor_numbers.iter().filter_map(number_pair).collect()
     }
 
-    /// Starts taking the client connections that the predecessor passes on, until it ends.
+    /// Starts a thread that adopts the client connections of the predecessor until that process ends.
     pub fn follow_predecessor(self: &Arc<Self>, predecessor: Arc<Peer>) {
         let restart = self.clone();
         thread::spawn(move || {
-            let taken_over = restart.take_connections(&predecessor);
+            let taken_over = restart.adopt_connections(&predecessor);
             restart.admin.set_peer(None);
             restart.exchange.set_admission_listener(None);
             tracing::warn!("upgrade: the other program has ended; {taken_over} connections were taken over");
         });
     }
 
-    /// Returns how many connections were taken over when the predecessor ends.
-    fn take_connections(&self, predecessor: &Peer) -> usize {
+    /// Adopts client connections until the predecessor ends, and returns their number.
+    fn adopt_connections(&self, predecessor: &Peer) -> usize {
         let mut taken_over = 0;
         while let Ok((message, descriptor)) = predecessor.receive(None) {
             match (message, descriptor) {
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -1,12 +1,13 @@
-//! The gatekeeper: command line, start, signals and shutdown, hot restart, and the admin service.
+//! The gatekeeper's binary: command line, startup, signals and graceful shutdown, hot restart, and the admin service.
 //!
-//! [`platform`] is a gatekeeper on the platform, [`appliance`] one with the OpenAPI front; both wire the packages that do the
-//! work. Errors become text here and nowhere else.
+//! [`platform`] runs a gatekeeper on the platform, [`appliance`] one with the OpenAPI front. Both wire together the packages that
+//! do the work. [`error`] has the errors of all commands; `main` alone turns them into text and an exit code.
 
 mod admin_listener;
 mod admin_service;
 mod appliance;
 mod backends;
+mod backoff;
 mod checked_config;
 mod cluster_settings;
 mod command_line;
@@ -30,7 +31,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A build with seeded faults ends by itself after this where it is told to.
+/// Time after which a build with seeded faults exits, with the fault `exits` active.
 const SEEDED_EXIT_AFTER: Duration = Duration::from_secs(5);
 
 fn main() -> ExitCode {
@@ -61,7 +62,7 @@
     }
 }
 
-/// A build with seeded faults says so, and may end by itself; see the package `seeded_faults`.
+/// Announces a build with seeded faults on standard error, and starts the fault `exits`; see the package `seeded_faults`.
 fn start_seeded_faults() {
     if seeded_faults::ENABLED {
         eprintln!("snowfield: this build breaks a rule on purpose; it serves nobody");
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -1,49 +1,48 @@
-//! A gatekeeper on the platform: its configuration, the RESP2 front, discovery, the counter, the admin service and hot
-//! restarts.
+//! A gatekeeper on the platform: the RESP2 front, discovery, the counter, the admin service and hot restarts, wired together
+//! from one configuration file.
 
 mod config_file;
 mod core;
 mod reload;
+mod running;
 mod startup;
 
 use crate::error::Error;
 use crate::{log, signals};
+use running::Running;
 use settings::appliance::LogFormat;
-use startup::Running;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// Overrides the operators' address of the configuration.
+/// Environment variable that overrides the admin address of the configuration.
 const ADMIN_VARIABLE: &str = "BALANCER_OPERATOR";
 
-/// SIGKILL follows SIGTERM no sooner than after the longest deadline, of which no more than this counts ...
+/// SIGKILL follows SIGTERM no sooner than after the longest deadline plus [`KILL_MARGIN`]. Of the deadline at most this counts.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// ... and so much later.
+/// Time between the end of the longest deadline and SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// All that is accepted after SIGTERM is answered this long before SIGKILL: a busy worker may be late by that.
-const ANSWERED_BEFORE_KILL: Duration = Duration::from_millis(150);
-/// Nothing new is accepted for this long before that: what is accepted last should still be served, and most is within this.
-const LAST_ACCEPTED_BEFORE: Duration = Duration::from_millis(600);
+/// All accepted requests are answered this long before SIGKILL, since a busy worker may be late.
+const ANSWER_MARGIN: Duration = Duration::from_millis(150);
+/// New requests are accepted until this long before the last answer. Most requests are served within this time.
+const LAST_ACCEPT_MARGIN: Duration = Duration::from_millis(600);
 
-/// Reads the configuration, serves until a signal, and answers what was accepted.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// Says what is missing or cannot be used.
+/// The configuration is missing or invalid, or an address cannot be listened on.
 pub fn run() -> Result<(), Error> {
-    // Before all else: SIGHUP must not end the process, however early it comes.
+    // First, so that an early SIGHUP does not end the process.
     let signals = signals::catch()?;
     let path = std::env::var(CONFIG_VARIABLE).map_err(|_| Error::NoConfigFile)?;
     let path = PathBuf::from(path);
     let mut file = config_file::read_at_start(&path)?;
     log::init(LogFormat::Plain)?;
-    if let Ok(value) = std::env::var(ADMIN_VARIABLE) {
-        let address = value.parse();
-        file.config.admin =
-            Some(address.map_err(|_| Error::InvalidAddress { variable: ADMIN_VARIABLE, value })?);
+    if let Some(address) = admin_address_override()? {
+        file.config.admin = Some(address);
     }
     link::set_up();
     let running = startup::start(file, &path)?;
@@ -52,7 +51,16 @@
     Ok(())
 }
 
-/// What signals act on, and the file that SIGHUP reads.
+/// The admin address of the environment, if it is set there.
+fn admin_address_override() -> Result<Option<SocketAddr>, Error> {
+    let Ok(value) = std::env::var(ADMIN_VARIABLE) else { return Ok(None) };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(Error::InvalidAddress { variable: ADMIN_VARIABLE, value }),
+    }
+}
+
+/// The running parts that signals act on, and the file that SIGHUP reads.
 struct SignalHandler<'a> {
     running: &'a Running,
     path: &'a Path,
@@ -67,21 +75,21 @@
         self.running.admin.count_reload(reloaded.is_ok());
     }
 
-    /// For seconds clients may call a gatekeeper that is gone, so it serves for as long as it can answer before it is killed.
+    /// Clients may call a terminated gatekeeper for seconds, so it serves as long as it can still answer before SIGKILL. After a
+    /// hand-over the successor serves them.
     fn start_shutdown(&self) -> Duration {
         if self.running.hot_restart.has_handed_over() {
             return signals::OVERLAP;
         }
         let killed_after = self.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
-        let answered_within = killed_after.saturating_sub(ANSWERED_BEFORE_KILL);
-        self.running.hot_restart.exchange.answer_all_within(answered_within);
-        answered_within.saturating_sub(LAST_ACCEPTED_BEFORE).max(signals::OVERLAP)
+        let answered_within = killed_after.saturating_sub(ANSWER_MARGIN);
+        self.running.exchange.answer_all_within(answered_within);
+        answered_within.saturating_sub(LAST_ACCEPT_MARGIN).max(signals::OVERLAP)
     }
 
-    /// A large value may take its client seconds.
+    /// Also with a streamed value in flight, since its client may take seconds to read it.
     fn must_close(&self) -> bool {
-        let restart = &self.running.hot_restart;
-        restart.has_handed_over() || restart.exchange.open_streams() > 0
+        self.running.hot_restart.has_handed_over() || self.running.exchange.open_streams() > 0
     }
 
     fn close_connections(&self) {
@@ -90,14 +98,14 @@
     }
 
     fn open_connections(&self) -> usize {
-        self.running.front.open_connections() + self.running.hot_restart.connections_passing()
+        self.running.front.open_connections() + self.running.hot_restart.connections_in_transfer()
     }
 
     fn unanswered(&self) -> usize {
-        self.running.hot_restart.exchange.unanswered()
+        self.running.exchange.unanswered()
     }
 
     fn longest_deadline(&self) -> Duration {
-        Duration::from_micros(self.running.longest_deadline_us.load(Ordering::Relaxed))
+        self.running.longest_deadline.get()
     }
 }
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -1,9 +1,9 @@
-//! The configuration file, and what it says of requests and connections.
+//! The platform's configuration file: reading it, and deriving the request rules and time-outs from it.
 
 use crate::error::Error;
 use crate::start_retry::with_retries;
 use front_resp::{ClassRule, PlanRule, RequestRules};
-use policy::{Idempotency, Micros};
+use policy::Idempotency;
 use settings::platform::PlatformConfig;
 use settings::{KeySet, NumberedClass, Numbering};
 use std::fs::File;
@@ -11,52 +11,52 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Limit on the file, in bytes.
-const MAX_BYTES: u64 = 16 * 1024 * 1024;
+/// Maximum size of the file in bytes.
+const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A configuration file.
+/// A parsed configuration file.
 pub(super) struct ConfigFile {
-    /// What it says.
+    /// The configuration.
     pub(super) config: PlatformConfig,
-    /// Which keys it has.
+    /// The keys that the file sets. A reload must not lose any of them.
     pub(super) keys: KeySet,
 }
 
-/// Reads a file.
+/// Reads and parses a file.
 ///
 /// # Errors
 ///
-/// It cannot be read or used.
+/// The file cannot be read, is too long, or holds no valid configuration.
 pub(super) fn read(path: &Path) -> Result<ConfigFile, Error> {
     parse(path, read_bytes(path).map_err(Error::file(path))?)
 }
 
-/// The same at a start, which a file that cannot be opened for a moment must not end. A reload is not tried again: signals wait
-/// meanwhile.
+/// Like [`read`], but retries transient errors of the system, so that they do not end a start. A reload does not retry, since
+/// signals wait meanwhile.
 ///
 /// # Errors
 ///
-/// It cannot be read or used.
+/// As [`read`].
 pub(super) fn read_at_start(path: &Path) -> Result<ConfigFile, Error> {
     parse(path, with_retries(|| read_bytes(path)).map_err(Error::file(path))?)
 }
 
 fn read_bytes(path: &Path) -> io::Result<Vec<u8>> {
     let mut json = Vec::new();
-    File::open(path)?.take(MAX_BYTES + 1).read_to_end(&mut json)?;
+    File::open(path)?.take(MAX_FILE_BYTES + 1).read_to_end(&mut json)?;
     Ok(json)
 }
 
 fn parse(path: &Path, mut json: Vec<u8>) -> Result<ConfigFile, Error> {
-    if json.len() as u64 > MAX_BYTES {
-        return Err(Error::FileTooLong { path: path.to_owned(), limit: MAX_BYTES });
+    if json.len() as u64 > MAX_FILE_BYTES {
+        return Err(Error::FileTooLong { path: path.to_owned(), limit: MAX_FILE_BYTES });
     }
     let keys = KeySet::of(&mut json.clone()).map_err(Error::settings(path))?;
     let config = PlatformConfig::parse(&mut json).map_err(Error::settings(path))?;
     Ok(ConfigFile { config, keys })
 }
 
-/// What the front requires of requests.
+/// The rules by which the front checks requests.
 pub(super) fn request_rules(config: &PlatformConfig, numbering: &Numbering) -> RequestRules {
     let class_rule = |NumberedClass { number, name, class }: NumberedClass<'_>| ClassRule {
         name: name.to_owned(),
@@ -78,15 +78,15 @@
 /// Time-outs of connections to backends.
 #[derive(Clone, Copy)]
 pub(super) struct BackendTimeouts {
-    /// For connecting.
+    /// Connect time-out.
     pub(super) connect: Duration,
-    /// For an idle connection: half of what the backend grants, so that this side closes first.
+    /// Idle time-out: half of the backend's keep-alive time, so that this side closes first.
     pub(super) idle: Duration,
 }
 
 impl BackendTimeouts {
-    /// What the configuration says.
-    pub(super) fn of(config: &PlatformConfig) -> Self {
+    /// The time-outs of a configuration.
+    pub(super) fn from_config(config: &PlatformConfig) -> Self {
         Self {
             connect: Duration::from_micros(config.settings.connect_timeout),
             idle: Duration::from_micros(config.keepalive / 2),
@@ -94,7 +94,8 @@
     }
 }
 
-/// The longest deadline of all classes, in microseconds.
-pub(super) fn longest_deadline_us(config: &PlatformConfig) -> Micros {
-    config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
+/// The longest deadline of all classes.
+pub(super) fn longest_deadline(config: &PlatformConfig) -> Duration {
+    let deadlines = config.settings.classes.iter().map(|class| class.deadline);
+    Duration::from_micros(deadlines.max().unwrap_or(0))
 }
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -1,4 +1,4 @@
-//! The core of a gatekeeper on the platform: the request table with its backends, the counter and the endpoint list.
+//! The core of a gatekeeper on the platform: the exchange with its backend pools, counter client and endpoint list.
 
 use super::config_file::{self, BackendTimeouts};
 use crate::admin_listener::{AdminListener, MAX_CLIENTS};
@@ -19,19 +19,19 @@
 use std::sync::mpsc::{Receiver, sync_channel};
 use std::sync::{Arc, Mutex};
 
-/// Descriptors kept for operators who are yet to connect.
+/// Descriptors reserved for admin clients that are yet to connect.
 const SPARE_ADMIN_CLIENTS: usize = 4;
-/// The part of all connections for attempts is one in this many.
-const ATTEMPT_SOCKETS_PART: usize = 3;
-/// The part of all connections that is kept free of clients is one in this many.
-const RESERVED_FOR_ATTEMPTS_PART: usize = 6;
-/// The part of the memory that streamed values may hold together is one in this many.
-const STREAMS_PART: usize = 4;
+/// Backend connections may take up to `1 / ATTEMPT_SOCKETS_DIVISOR` of all connections.
+const ATTEMPT_SOCKETS_DIVISOR: usize = 3;
+/// At least `1 / RESERVED_FOR_ATTEMPTS_DIVISOR` of all connections is reserved for attempts.
+const RESERVED_FOR_ATTEMPTS_DIVISOR: usize = 6;
+/// Streamed values may hold up to `1 / STREAM_BUDGET_DIVISOR` of the memory together.
+const STREAM_BUDGET_DIVISOR: usize = 4;
 
-/// By how much a build with seeded faults raises the rates of plans.
+/// Factor by which a build with seeded faults raises the rates of plans.
 const SEEDED_RATE_FACTOR: f64 = 3.0;
 
-/// The request table with the two sides that it drives.
+/// The exchange with the parts that it drives.
 pub(super) struct Core {
     pub(super) exchange: Arc<RespExchange>,
     pub(super) pools: Arc<BackendPools<RespProtocol>>,
@@ -39,12 +39,20 @@
     pub(super) endpoint_ids: Arc<Mutex<EndpointIds>>,
 }
 
+/// A running watch on the endpoint list.
+pub(super) struct StartedWatch {
+    pub(super) watch: Arc<Watch>,
+    /// Receives one message, at the first event of the watch.
+    pub(super) first_event: Receiver<()>,
+}
+
 impl Core {
-    /// `max_connections`: of clients and backends together.
+    /// Creates the exchange, the pools and the counter client, and connects them. `max_connections` limits the connections to
+    /// clients and backends together.
     ///
     /// # Errors
     ///
-    /// The policy cannot work by the settings.
+    /// The policy rejects the settings.
     pub(super) fn new(
         config: &PlatformConfig,
         settings: Settings,
@@ -54,25 +62,25 @@
         let clock = Clock::start();
         let protocol = RespProtocol::new(&settings.load_metrics);
         let exchange = Exchange::new(settings, config.seed, clock)?;
-        let timeouts = BackendTimeouts::of(config);
+        let timeouts = BackendTimeouts::from_config(config);
         let limits = Limits {
             connect_timeout: timeouts.connect,
             idle_timeout: timeouts.idle,
-            max_connections: max_connections / ATTEMPT_SOCKETS_PART,
+            max_connections: max_connections / ATTEMPT_SOCKETS_DIVISOR,
             max_answer_bytes: resp::LARGEST_MESSAGE,
-            stream_budget_bytes: config.max_memory_bytes / STREAMS_PART,
+            stream_budget_bytes: config.max_memory_bytes / STREAM_BUDGET_DIVISOR,
         };
         let pools = BackendPools::new(protocol, limits);
         pools.set_exchange(exchange.clone());
         let counter = config.counter.map(|address| CounterClient::for_exchange(address, exchange.clone()));
-        let calls = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
-        exchange.connect(pools.clone(), calls);
+        let quota_counter = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
+        exchange.connect(pools.clone(), quota_counter);
         exchange.start_fleet_clock();
         let endpoint_ids = Arc::new(Mutex::new(EndpointIds::new(config)));
         Ok(Self { exchange, pools, counter, endpoint_ids })
     }
 
-    /// The admin service, with names for all classes and plans.
+    /// Creates the admin service with the names of all classes and plans. `directory` is where it stores operators' ejections.
     pub(super) fn create_admin_service(
         &self,
         numbering: &Numbering,
@@ -84,7 +92,7 @@
         admin
     }
 
-    /// Announces the list of the configuration, until discovery sends one.
+    /// Announces the endpoint list of the configuration, which holds until discovery sends one.
     pub(super) fn announce_cached_list(&self, config: &PlatformConfig) {
         let list = config.cached_list.clone();
         let revision = list.revision;
@@ -94,12 +102,12 @@
         self.exchange.update_endpoints(ListKind::Cached, entries);
     }
 
-    /// Starts the watch on the endpoint list. The receiver hears of its first event.
-    pub(super) fn start_watch(&self, config: &PlatformConfig) -> (Arc<Watch>, Receiver<()>) {
+    /// Starts the watch on the endpoint list.
+    pub(super) fn start_watch(&self, config: &PlatformConfig) -> StartedWatch {
         let watch = Watch::new(config.discovery);
         let (running, pools, exchange, endpoint_ids) =
             (watch.clone(), self.pools.clone(), self.exchange.clone(), self.endpoint_ids.clone());
-        let (sender, first_event) = sync_channel(1);
+        let (first_event_sender, first_event) = sync_channel(1);
         let revision = config.cached_list.revision;
         let backoff = PollBackoff::new(config.seed, config.settings.polls_endpoints);
         spawn_with(link::LARGE_STACK, move || {
@@ -110,15 +118,15 @@
                     pools.update_endpoints(kind, &endpoints);
                     exchange.update_endpoints(kind, entries);
                 }
-                // Only the first is waited for.
-                let _ = sender.try_send(());
+                // Fails for all events but the first, for which alone the start waits.
+                let _ = first_event_sender.try_send(());
             });
         });
-        (watch, first_event)
+        StartedWatch { watch, first_event }
     }
 
-    /// Attempts take few connections, clients hold on to many: a client connection may use any descriptor that no attempt uses,
-    /// but for some that stay free for attempts, and for operators.
+    /// Creates the front with its limit on client connections. Attempts take few connections and clients keep many open: a client
+    /// connection may use any descriptor that no attempt uses, except for a reserve for attempts and for admin clients.
     pub(super) fn create_front(
         &self,
         config: &PlatformConfig,
@@ -126,19 +134,21 @@
         max_connections: usize,
         admin_listener: Option<AdminListener>,
     ) -> Arc<Front> {
-        let (pools, reserved) = (self.pools.clone(), max_connections / RESERVED_FOR_ATTEMPTS_PART);
         let rules = config_file::request_rules(config, numbering);
-        Front::new(self.exchange.clone(), rules, config.max_memory_bytes, move || {
-            // Some operators always find a descriptor; the others wait until a client has released one.
-            let operators = admin_listener
+        let pools = self.pools.clone();
+        let min_reserved = max_connections / RESERVED_FOR_ATTEMPTS_DIVISOR;
+        let client_limit = move || {
+            let for_attempts = pools.open_connections() + min_reserved / RESERVED_FOR_ATTEMPTS_DIVISOR;
+            // A few admin clients find a descriptor at once; more have to wait until a client has released one.
+            let for_admin = admin_listener
                 .as_ref()
                 .map_or(0, |listener| (listener.client_count() + SPARE_ADMIN_CLIENTS).min(MAX_CLIENTS));
-            let attempts = reserved.max(pools.open_connections() + reserved / RESERVED_FOR_ATTEMPTS_PART);
-            max_connections.saturating_sub(attempts + operators)
-        })
+            max_connections.saturating_sub(min_reserved.max(for_attempts) + for_admin)
+        };
+        Front::new(self.exchange.clone(), rules, config.max_memory_bytes, client_limit)
     }
 
-    /// Starts the timer thread.
+    /// Starts the timer thread, which also closes idle and silent connections.
     pub(super) fn start_timers(&self, front: &Arc<Front>, watch: &Arc<Watch>) {
         let (pools, front, watch) = (self.pools.clone(), front.clone(), watch.clone());
         let counter = self.counter.clone();
@@ -153,7 +163,7 @@
     }
 }
 
-/// Settings that a build with seeded faults gets wrong on purpose.
+/// Applies the active seeded faults to the settings; see the package `seeded_faults`.
 fn with_seeded_faults(mut settings: Settings) -> Settings {
     if seeded_faults::is_active("repeats") {
         settings.classes.iter_mut().for_each(|class| class.idempotency = Idempotency::Idempotent);
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -1,55 +1,46 @@
-//! A new configuration at SIGHUP.
+//! Reloading the configuration at SIGHUP.
 
 use super::config_file::{self, BackendTimeouts, ConfigFile};
-use super::startup::Running;
+use super::running::{ConfigInForce, Running};
 use crate::admin_service::Names;
 use crate::error::Error;
 use settings::platform::PlatformConfig;
-use settings::{KeySet, Numbering};
 use std::path::Path;
-use std::sync::atomic::Ordering;
-
-/// The keys, classes and plans of the configuration in force.
-pub(super) struct InForce {
-    pub(super) keys: KeySet,
-    pub(super) numbering: Numbering,
-}
 
 impl Running {
-    /// Takes the file as it is now, all of it or nothing. Runs on a thread with enough stack to parse JSON, while the worker
-    /// continues to serve.
+    /// Reads the file again and applies it, completely or not at all. Call this on a thread with enough stack to parse JSON; the
+    /// worker continues to serve.
     ///
     /// # Errors
     ///
-    /// The file cannot be used; nothing has changed.
+    /// The file cannot be read or is invalid. The previous configuration stays in force.
     pub(super) fn reload(&self, path: &Path) -> Result<(), Error> {
         let ConfigFile { config, keys } = config_file::read(path)?;
-        let mut in_force = link::locked(&self.in_force);
+        let mut in_force = link::locked(&self.config_in_force);
         in_force.keys.check_included_in(&keys).map_err(Error::settings(path))?;
         let mut numbering = in_force.numbering.clone();
         let mut settings = numbering.update(&config).map_err(Error::settings(path))?;
         settings.shared_counter &= self.counter.is_some();
         let load_metrics = settings.load_metrics.clone();
-        let exchange = &self.hot_restart.exchange;
-        exchange
-            .update_settings(settings)
-            .map_err(|source| Error::PolicyOfFile { path: path.to_owned(), source })?;
-        // A class has its name before any of its requests can end, and is accepted last.
+        let policy_error = |source| Error::PolicyOfFile { path: path.to_owned(), source };
+        self.exchange.update_settings(settings).map_err(policy_error)?;
+        // The order matters: a class needs its name before the first of its requests can end, and the front accepts its requests
+        // only at the end.
         self.admin.set_names(Names { classes: numbering.class_names(), plans: numbering.plan_names() });
-        let timeouts = BackendTimeouts::of(&config);
-        self.hot_restart.pools.set_timeouts(timeouts.connect, timeouts.idle);
-        self.hot_restart.pools.protocol().set_columns(&load_metrics);
-        self.longest_deadline_us.fetch_max(config_file::longest_deadline_us(&config), Ordering::Relaxed);
+        let timeouts = BackendTimeouts::from_config(&config);
+        self.pools.set_timeouts(timeouts.connect, timeouts.idle);
+        self.pools.protocol().set_columns(&load_metrics);
+        self.longest_deadline.include(config_file::longest_deadline(&config));
         self.front.set_rules(config_file::request_rules(&config, &numbering));
         let names: Vec<&str> = numbering.classes().map(|class| class.name).collect();
         tracing::info!("reload: settings taken; classes {}", names.join(", "));
-        self.move_connections(&config);
-        *in_force = InForce { keys, numbering };
+        self.update_addresses(&config);
+        *in_force = ConfigInForce { keys, numbering };
         Ok(())
     }
 
     /// Connects to discovery and the counter at the addresses of a new configuration.
-    fn move_connections(&self, config: &PlatformConfig) {
+    fn update_addresses(&self, config: &PlatformConfig) {
         let discovery = if self.watch.set_address(config.discovery) { "moved to" } else { "stays at" };
         tracing::info!("reload: discovery {discovery} {}", config.discovery);
         match (&self.counter, config.counter) {
@@ -60,7 +51,7 @@
             (None, Some(address)) => {
                 tracing::info!("reload: a counter at {address} is used only after a restart")
             }
-            // A file without the counter's key was rejected before.
+            // Rejected above: the key set of a new file includes the counter's key.
             (_, None) => {}
         }
     }
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -1,62 +1,53 @@
-//! The start on the platform: each part is created, connected to the others, and started; a process that serves is taken over
-//! from.
+//! Startup on the platform: creates the parts of the gatekeeper, connects them and starts them, and takes over from a
+//! predecessor.
 
 use super::config_file::{self, ConfigFile};
-use super::core::Core;
-use super::reload::InForce;
+use super::core::{Core, StartedWatch};
+use super::running::{ConfigInForce, LongestDeadline, Running};
 use crate::admin_listener::AdminListener;
 use crate::admin_service::AdminService;
 use crate::error::Error;
-use crate::hot_restart::{self, HotRestart};
+use crate::hot_restart::HotRestart;
 use crate::start_retry::with_retries;
-use counter::CounterClient;
-use discovery::Watch;
-use front_resp::Front;
+use front_resp::{Front, RespExchange};
 use handover::{Peer, UpgradeSocket};
 use invariants::Guard;
 use link::{Listener, spawn};
 use settings::Numbering;
 use settings::platform::PlatformConfig;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::AtomicU64;
+use std::sync::mpsc::Receiver;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Descriptors kept for the listener, discovery, the counter with its lanes before and after a reload, the file that is read at
-/// a reload, `may`, the signals and the standard streams: 19 at the most.
+/// File descriptors reserved for the listener, discovery, the counter with its lanes before and after a reload, the file read at
+/// a reload, `may`, the signals and the standard streams: at most 19.
 const RESERVED_SOCKETS: usize = 20;
-/// Descriptors of the admin listener itself, where there is one, and of hot restarts.
+/// Further descriptors reserved for the admin listener and hot restarts, with an admin address configured.
 const ADMIN_SOCKETS: usize = 5;
-/// Connections to clients and backends that are always allowed.
+/// Minimum number of connections to clients and backends, however low the configured limit is.
 const MIN_SOCKETS: usize = 16;
-/// How long a process waits for its first list before it serves: the cached one may be old, and what the agent has counts as
-/// known from the first moment on.
-const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(500);
-/// A restarted process serves within this.
-const START_LIMIT: Duration = Duration::from_secs(10);
-/// How often a start looks whether the fleet's clock has been read.
-const FLEET_CLOCK_CHECK: Duration = Duration::from_millis(2);
-/// The directory that a process shares with its predecessor and successor.
+/// How long a start waits for the first endpoint list and the fleet's clock. The cached list may be old, and a change that the
+/// discovery agent already has counts as known from the first moment of serving.
+const SHARED_STATE_TIMEOUT: Duration = Duration::from_millis(500);
+/// A restarted process serves within this time.
+const MAX_START_DURATION: Duration = Duration::from_secs(10);
+/// How often a start checks whether the fleet's clock has been read.
+const FLEET_CLOCK_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Environment variable naming the directory that a process shares with its predecessor and successor.
 const SHARED_DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// The parts that signals act on.
-pub(super) struct Running {
-    pub(super) front: Arc<Front>,
-    pub(super) listener: Arc<Listener>,
-    pub(super) watch: Arc<Watch>,
-    pub(super) counter: Option<Arc<CounterClient>>,
-    pub(super) admin: Arc<AdminService>,
-    pub(super) hot_restart: Arc<HotRestart>,
-    pub(super) in_force: Mutex<InForce>,
-    /// Of all configurations so far: what was accepted under an earlier one may still be open.
-    pub(super) longest_deadline_us: AtomicU64,
+/// The listener for client connections, with the predecessor that it was taken over from.
+struct OpenedListener {
+    listener: Arc<Listener>,
+    predecessor: Option<Arc<Peer>>,
 }
 
-/// Starts serving by the file `path`.
+/// Starts serving with the configuration of the file `path`.
 ///
 /// # Errors
 ///
-/// An address cannot be listened on, or the policy cannot work by the settings.
+/// An address cannot be listened on, or the policy rejects the settings.
 pub(super) fn start(file: ConfigFile, path: &Path) -> Result<Running, Error> {
     let started = Instant::now();
     let ConfigFile { config, keys } = file;
@@ -68,45 +59,63 @@
     let admin = Arc::new(core.create_admin_service(&numbering, directory.clone()));
     let admin_listener = start_admin_listener(&config, &admin)?;
     core.announce_cached_list(&config);
-    let (watch, first_list) = core.start_watch(&config);
+    let StartedWatch { watch, first_event } = core.start_watch(&config);
     let front = core.create_front(&config, &numbering, max_connections, admin_listener);
     core.start_timers(&front, &watch);
     let Core { exchange, pools, counter, endpoint_ids } = core;
-    let hot_restart = HotRestart::new(admin.clone(), exchange, pools, endpoint_ids, front.clone());
-    let waits_until = Instant::now() + FIRST_LIST_TIMEOUT;
-    // An agent that does not answer has announced nothing: then the cached list has to do.
-    let _ = first_list.recv_timeout(FIRST_LIST_TIMEOUT);
-    // The same for the counter: then this process goes by its own clock until it answers.
-    while !hot_restart.exchange.has_read_fleet_clock() && Instant::now() < waits_until {
-        std::thread::sleep(FLEET_CLOCK_CHECK);
-    }
-    let (listener, predecessor) = open_listener(&hot_restart, directory.as_deref(), &config)?;
-    let listener = Arc::new(listener);
+    let hot_restart =
+        HotRestart::new(admin.clone(), exchange.clone(), pools.clone(), endpoint_ids, front.clone());
+    wait_for_shared_state(&first_event, &exchange);
+    let OpenedListener { listener, predecessor } =
+        open_listener(&hot_restart, &admin, directory.as_deref(), &config)?;
     if let Some(directory) = &directory {
         await_successors(&hot_restart, directory, &listener);
     }
     serve(&front, &admin, &listener, &config)?;
-    let took = started.elapsed();
-    invariants::check(
-        Guard::Starting,
-        took < START_LIMIT,
-        format_args!("it took {took:?} until this process served"),
-    );
+    check_start_duration(started.elapsed());
     if let Some(predecessor) = predecessor {
         hot_restart.follow_predecessor(predecessor);
     }
-    let in_force = Mutex::new(InForce { keys, numbering });
-    let longest_deadline_us = AtomicU64::new(config_file::longest_deadline_us(&config));
-    Ok(Running { front, listener, watch, counter, admin, hot_restart, in_force, longest_deadline_us })
+    Ok(Running {
+        exchange,
+        pools,
+        front,
+        listener,
+        watch,
+        counter,
+        admin,
+        hot_restart,
+        config_in_force: Mutex::new(ConfigInForce { keys, numbering }),
+        longest_deadline: LongestDeadline::new(config_file::longest_deadline(&config)),
+    })
+}
+
+/// Waits up to [`SHARED_STATE_TIMEOUT`] for the first endpoint list and the fleet's clock. An unreachable discovery agent leaves
+/// the cached list in force, an unreachable counter this process's own clock.
+fn wait_for_shared_state(first_event: &Receiver<()>, exchange: &RespExchange) {
+    let deadline = Instant::now() + SHARED_STATE_TIMEOUT;
+    // A time-out is no error, see above.
+    let _ = first_event.recv_timeout(SHARED_STATE_TIMEOUT);
+    while !exchange.has_read_fleet_clock() && Instant::now() < deadline {
+        std::thread::sleep(FLEET_CLOCK_POLL_INTERVAL);
+    }
 }
 
-/// Connections to clients and backends together.
+fn check_start_duration(elapsed: Duration) {
+    invariants::check(
+        Guard::Starting,
+        elapsed < MAX_START_DURATION,
+        format_args!("it took {elapsed:?} until this process served"),
+    );
+}
+
+/// Limit on connections to clients and backends together.
 fn max_connections(config: &PlatformConfig) -> usize {
     let reserved = RESERVED_SOCKETS + config.admin.map_or(0, |_| ADMIN_SOCKETS);
     config.max_sockets.saturating_sub(reserved).max(MIN_SOCKETS)
 }
 
-/// Only a process with an admin listener can be asked whether it is ready, and so be started beside another.
+/// The directory for hot restarts. Without an admin listener there is none: nobody could ask the successor whether it is ready.
 fn shared_directory(config: &PlatformConfig) -> Option<PathBuf> {
     config.admin.and_then(|_| std::env::var_os(SHARED_DIRECTORY_VARIABLE)).map(PathBuf::from)
 }
@@ -122,20 +131,22 @@
     Ok(Some(listener))
 }
 
-/// The listener of a predecessor, if there is one; otherwise a new one, with the ejections that an earlier process has stored.
+/// Takes over the listener of a predecessor. Without one, binds a new listener and restores the ejections that an earlier process
+/// stored.
 fn open_listener(
     hot_restart: &Arc<HotRestart>,
+    admin: &AdminService,
     directory: Option<&Path>,
     config: &PlatformConfig,
-) -> Result<(Listener, Option<Arc<Peer>>), Error> {
-    if let Some((listener, predecessor)) = directory.and_then(|directory| take_over(hot_restart, directory)) {
-        return Ok((listener, Some(predecessor)));
+) -> Result<OpenedListener, Error> {
+    if let Some(taken_over) = directory.and_then(|directory| take_over(hot_restart, directory)) {
+        return Ok(taken_over);
     }
-    hot_restart.admin.restore_ejections();
+    admin.restore_ejections();
     let address = config.listen;
     let listener =
         with_retries(|| Listener::bind(address)).map_err(|source| Error::Listen { address, source })?;
-    Ok((listener, None))
+    Ok(OpenedListener { listener: Arc::new(listener), predecessor: None })
 }
 
 /// Starts accepting client connections.
@@ -153,12 +164,11 @@
     Ok(())
 }
 
-/// Takes over from the process that serves with this directory, if there is one.
-fn take_over(hot_restart: &Arc<HotRestart>, directory: &Path) -> Option<(Listener, Arc<Peer>)> {
-    let predecessor = hot_restart::connect(directory)?;
-    hot_restart.admin.set_peer(Some(predecessor.clone()));
+/// Takes over from the process that serves with this directory. `None` without such a process, or if the hand-over fails.
+fn take_over(hot_restart: &Arc<HotRestart>, directory: &Path) -> Option<OpenedListener> {
+    let predecessor = hot_restart.connect_to_predecessor(directory)?;
     match hot_restart.take_over(&predecessor) {
-        Ok(listener) => Some((listener, predecessor)),
+        Ok(listener) => Some(OpenedListener { listener: Arc::new(listener), predecessor: Some(predecessor) }),
         Err(error) => {
             tracing::info!("upgrade: nothing was taken over ({error}); starting without it");
             None
@@ -166,7 +176,7 @@
     }
 }
 
-/// Hands over to whoever connects in this directory.
+/// Starts accepting successors in this directory. If the socket cannot be bound, a thread retries.
 fn await_successors(hot_restart: &Arc<HotRestart>, directory: &Path, listener: &Arc<Listener>) {
     match UpgradeSocket::bind(directory) {
         Ok(socket) => hot_restart.serve_successors(socket, listener),
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -1,54 +1,55 @@
-//! Signals: SIGHUP reloads the configuration while the program serves; SIGTERM and SIGINT start a graceful shutdown, which
-//! serves an overlap, closes client connections between requests, and answers what was accepted.
+//! Signal handling. SIGHUP reloads the configuration. SIGTERM and SIGINT start a graceful shutdown: the process serves for an
+//! overlap, closes client connections between requests, and answers all accepted requests.
 
 use crate::error::Error;
 use crate::start_retry::with_retries;
 use link::Listener;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
+use std::thread;
 use std::time::{Duration, Instant};
 
-/// New connections still arrive for up to 0.4 s after SIGTERM.
+/// Minimum time of service after SIGTERM. New connections arrive for up to 0.4 s after it.
 pub const OVERLAP: Duration = Duration::from_millis(500);
-/// For a busy machine, and for clients that still read their last answer.
-const DEADLINE_MARGIN: Duration = Duration::from_millis(300);
-/// How often the end of the overlap, and of the last requests, is checked.
-const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time beyond the longest deadline for a busy machine, and for clients that still read their last answer.
+const DRAIN_MARGIN: Duration = Duration::from_millis(300);
+/// How often a shutdown checks whether the overlap and the last requests are over.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What signals act on.
+/// The reactions of a gatekeeper to signals.
 pub trait SignalHandler {
-    /// SIGHUP: reads the configuration again. Runs on the caller's thread, off the worker.
+    /// Reloads the configuration, at SIGHUP. Runs on the caller's thread, off the worker.
     fn reload(&self);
-    /// SIGTERM or SIGINT has arrived. Returns for how long clients are still served as before.
+    /// Starts a shutdown, at SIGTERM or SIGINT. Returns the overlap, for which clients are still served.
     fn start_shutdown(&self) -> Duration {
         OVERLAP
     }
-    /// Whether connections must be closed now, before that time is over.
+    /// Whether to cut the overlap short, once [`OVERLAP`] is over.
     fn must_close(&self) -> bool {
         false
     }
-    /// Closes each client connection once it is between requests.
+    /// Starts closing client connections, each between two requests.
     fn close_connections(&self);
-    /// How many client connections are left.
+    /// Number of open client connections.
     fn open_connections(&self) -> usize;
-    /// How many requests have no final answer, where some may wait for longer than the longest deadline.
+    /// Number of requests without a final answer, if some may wait for longer than the longest deadline.
     fn unanswered(&self) -> usize {
         0
     }
-    /// No request can usually be unanswered for longer than this.
+    /// The longest deadline of all request classes.
     fn longest_deadline(&self) -> Duration;
 }
 
-/// Starts catching signals, so that one during the start is not lost, and a reload never ends the process.
+/// Installs the signal handlers, so that a signal during the start is not lost, and SIGHUP never ends the process.
 ///
 /// # Errors
 ///
-/// The system refuses a handler.
+/// The system cannot install a handler.
 pub fn catch() -> Result<Signals, Error> {
     with_retries(|| Signals::new([SIGTERM, SIGINT, SIGHUP])).map_err(Error::Signals)
 }
 
-/// Serves until a signal asks for the end, then shuts down gracefully. `listener` is closed after the overlap.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully. `listener` is closed after the overlap.
 pub fn serve_until_end(mut signals: Signals, listener: &Listener, handler: &impl SignalHandler) {
     for signal in signals.forever() {
         if signal != SIGHUP {
@@ -57,18 +58,29 @@
         }
         handler.reload();
     }
-    let (started, overlap) = (Instant::now(), handler.start_shutdown());
-    std::thread::sleep(OVERLAP.min(overlap));
-    while started.elapsed() < overlap && !handler.must_close() {
-        std::thread::sleep(CHECK_INTERVAL);
-    }
+    serve_overlap(handler);
     listener.close();
     handler.close_connections();
-    let (started, longest) = (Instant::now(), handler.longest_deadline() + DEADLINE_MARGIN);
-    // A client may wait for longer than its class's deadline: its answer is owed all the same.
-    let is_needed = || started.elapsed() < longest || handler.unanswered() > 0;
-    while handler.open_connections() > 0 && is_needed() {
-        std::thread::sleep(CHECK_INTERVAL);
-    }
+    drain(handler);
     tracing::info!("stopped with {} client connections open", handler.open_connections());
 }
+
+fn serve_overlap(handler: &impl SignalHandler) {
+    let started = Instant::now();
+    let overlap = handler.start_shutdown();
+    thread::sleep(OVERLAP.min(overlap));
+    while started.elapsed() < overlap && !handler.must_close() {
+        thread::sleep(POLL_INTERVAL);
+    }
+}
+
+/// Waits until all client connections are closed, or nothing is left to wait for: the longest deadline is over and all requests
+/// are answered. A client may wait for longer than its class's deadline.
+fn drain(handler: &impl SignalHandler) {
+    let started = Instant::now();
+    let timeout = handler.longest_deadline() + DRAIN_MARGIN;
+    let may_be_unanswered = || started.elapsed() < timeout || handler.unanswered() > 0;
+    while handler.open_connections() > 0 && may_be_unanswered() {
+        thread::sleep(POLL_INTERVAL);
+    }
+}
--- a/crates/snowfield/src/start_retry.rs
+++ b/crates/snowfield/src/start_retry.rs
@@ -1,37 +1,39 @@
-//! What a start needs of the system is tried again where it fails for a moment: a machine may lack descriptors, memory or an address
-//! while others end.
+//! Retries with exponential backoff for system calls during the start. They may fail for a moment, while other processes hold
+//! the last descriptors, the memory or the address.
 
+use crate::backoff::ExponentialBackoff;
+use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A start has 6 s, of which this is tried for the longest.
-const MAX_TIME: Duration = Duration::from_secs(4);
-/// The first pause, which doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(5);
-const MAX_PAUSE: Duration = Duration::from_millis(200);
+/// No retry starts later than this after the first attempt. The whole start has 6 s.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(4);
+/// Backoff before the first retry.
+const MIN_BACKOFF: Duration = Duration::from_millis(5);
+/// Limit on the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Does this until it succeeds, fails for good, or has failed for too long.
+/// Calls `attempt` until it succeeds, returns a permanent error, or has failed for up to 4 s.
 ///
 /// # Errors
 ///
-/// Returns the last error.
+/// The error of the last attempt.
 pub fn with_retries<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let (began, mut pause) = (Instant::now(), FIRST_PAUSE);
+    let started = Instant::now();
+    let mut backoff = ExponentialBackoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         match attempt() {
-            Err(error) if may_pass(&error) && began.elapsed() < MAX_TIME => {
-                std::thread::sleep(pause);
-                pause = (2 * pause).min(MAX_PAUSE);
+            Err(error) if is_transient(&error) && started.elapsed() < RETRY_TIMEOUT => {
+                backoff.sleep();
             }
             result => return result,
         }
     }
 }
 
-/// Whether an error may pass by itself. An address that is not this machine's or a file that is not there stays so.
-fn may_pass(error: &io::Error) -> bool {
-    use rustix::io::Errno;
-    let passing = [
+/// Whether a later attempt may succeed. An address of another machine or a missing file, for instance, are permanent errors.
+fn is_transient(error: &io::Error) -> bool {
+    let transient = [
         Errno::ADDRINUSE,
         Errno::AGAIN,
         Errno::INTR,
@@ -41,5 +43,5 @@
         Errno::NOBUFS,
         Errno::NOMEM,
     ];
-    error.raw_os_error().is_some_and(|code| passing.iter().any(|errno| errno.raw_os_error() == code))
+    error.raw_os_error().is_some_and(|code| transient.iter().any(|errno| errno.raw_os_error() == code))
 }
--- a/crates/snowfield/src/timer_thread.rs
+++ b/crates/snowfield/src/timer_thread.rs
@@ -1,14 +1,15 @@
-//! The thread that runs the timers.
+//! The thread that runs the exchange's timers and the periodic sweeps of idle connections.
 
 use exchange::Exchange;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often idle and silent connections are looked for.
+/// Interval of the sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Starts a thread that runs the timers of an exchange when they are due, and `sweep` at an interval, until the process ends.
+/// Starts a thread that runs the timers of an exchange when they are due, and `sweep` every [`SWEEP_INTERVAL`], until the process
+/// ends.
 ///
 /// This is a thread and not a coroutine: in `may` 0.3.51 a coroutine that was woken out of `park_timeout` and parks again may
 /// never be woken by the time-out. All deadlines depend on this loop.
@@ -16,21 +17,22 @@
     exchange: Arc<Exchange<Q, A>>,
     sweep: impl Fn() + Send + 'static,
 ) {
-    let driven = exchange.clone();
-    let timer_thread = thread::spawn(move || {
+    let timed_exchange = exchange.clone();
+    let handle = thread::spawn(move || {
         let mut last_sweep = Instant::now();
         loop {
-            let next_timer = driven.run_due_timers().map_or(SWEEP_INTERVAL, Duration::from_micros);
+            let until_next_timer =
+                timed_exchange.run_due_timers().map_or(SWEEP_INTERVAL, Duration::from_micros);
             if last_sweep.elapsed() >= SWEEP_INTERVAL {
                 sweep();
                 last_sweep = Instant::now();
             }
-            thread::park_timeout(next_timer.min(SWEEP_INTERVAL));
+            thread::park_timeout(until_next_timer.min(SWEEP_INTERVAL));
         }
     });
-    let timer_thread = timer_thread.thread().clone();
-    let woken = timer_thread.clone();
-    exchange.set_timer_waker(Box::new(move || woken.unpark()));
-    // A timer may have been set before the waker was.
+    let timer_thread = handle.thread().clone();
+    let waker = timer_thread.clone();
+    exchange.set_timer_waker(Box::new(move || waker.unpark()));
+    // A timer may have been set before the waker was installed.
     timer_thread.unpark();
 }
