--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -1,4 +1,4 @@
-//! The appliance: the OpenAPI front, Consul, the cluster and the live status.
+//! The appliance: a gatekeeper with the OpenAPI front, endpoint lists from Consul, the cluster and the live status.
 
 mod startup;
 mod status;
@@ -11,13 +11,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Serves until a signal.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// Says what cannot be used.
+/// A file is missing or invalid, or an address cannot be listened on.
 pub fn serve(path: &Path) -> Result<(), Error> {
-    // Before all else: SIGHUP must not end the process, however early it comes.
+    // First, so that an early SIGHUP does not end the process.
     let signals = signals::catch()?;
     let checked = CheckedConfig::read(path)?;
     log::init(checked.config.log_format)?;
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// What signals act on.
+/// The running parts that signals act on, and the file that SIGHUP reads.
 struct SignalHandler<'a> {
     running: &'a Running,
     longest_deadline: Duration,
@@ -39,7 +39,8 @@
 }
 
 impl signals::SignalHandler for SignalHandler<'_> {
-    /// Routes, tenants and plans are part of the decisions in progress: they change with a restart, which loses nothing.
+    /// Reloads the settings of the cluster. Routes, tenants and plans change with a restart only, since decisions on requests in
+    /// flight depend on them.
     fn reload(&self) {
         match &self.running.cluster {
             Some(cluster) => {
@@ -50,7 +51,7 @@
     }
 
     fn close_connections(&self) {
-        // First of all, so that the other instances take over while this one finishes.
+        // Before the front drains, so that other instances take over meanwhile.
         if let Some(registration) = &self.running.registration {
             registration.deregister();
         }
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -1,4 +1,4 @@
-//! The start of the appliance: each part is created, connected to the others, and started.
+//! Startup of the appliance: creates the parts of the gatekeeper, connects them and starts them.
 
 use super::status::StatusServer;
 use crate::backends::Backends;
@@ -25,10 +25,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Descriptors kept for listeners, Consul, the counter, `may` and the standard streams.
+/// File descriptors reserved for listeners, Consul, the counter, `may` and the standard streams.
 const RESERVED_SOCKETS: usize = 64;
 
-/// The parts that signals act on.
+/// The parts of a running gatekeeper that signals act on.
 pub(super) struct Running {
     pub(super) front: Arc<Front>,
     pub(super) listener: Arc<Listener>,
@@ -37,21 +37,21 @@
     pub(super) registration: Option<RegistrationHandle>,
 }
 
-/// The request table with the two sides that it drives.
+/// The exchange with the parts that it drives.
 struct Core {
     clock: Clock,
     exchange: Arc<HttpExchange>,
     pools: Arc<BackendPools<HttpProtocol>>,
     counter: Option<Arc<CounterClient>>,
-    /// When clients last had an answer of each backend.
-    answered: Arc<LastAnswers>,
+    /// The moment of each backend's last answer to a client.
+    last_answers: Arc<LastAnswers>,
 }
 
-/// Starts serving the file `path`.
+/// Starts serving with the configuration of the file `path`.
 ///
 /// # Errors
 ///
-/// Says which file or address cannot be used.
+/// A file named in the configuration is missing or invalid, or an address cannot be listened on.
 pub(super) fn start(
     checked: CheckedConfig,
     cluster_start: Option<ClusterStart>,
@@ -64,10 +64,10 @@
         plan_replication::start(&config, path, inputs.clone(), core.exchange.clone())?.map(Arc::new);
     let listener = listen(config.listen)?;
     let status_listener = config.status.map(listen).transpose()?;
-    let front = Front::new(core.exchange.clone(), front_setup(&config, routes, &inputs.classes));
+    let front = Front::new(core.exchange.clone(), front_config(&config, routes, &inputs.classes));
     let backends = Arc::new(Backends::new(core.clock, core.exchange.clone(), core.pools.clone(), &config));
     let cluster = cluster_start.map(|start| join_cluster(start, &backends)).transpose()?;
-    consul_watches::create(&backends, &config, path, &core.answered)?;
+    consul_watches::create(&backends, &config, path, &core.last_answers)?;
     start_timers(core, &backends, &front);
     if let Some(listener) = status_listener {
         let server = StatusServer {
@@ -94,21 +94,22 @@
         let settings = settings.map_err(Error::settings(path))?;
         let clock = Clock::start();
         let exchange: Arc<HttpExchange> = Exchange::new(settings, clock.now(), clock)?;
-        let answered = Arc::new(LastAnswers::default());
-        let noted = answered.clone();
-        let on_served = Box::new(move |backend: BackendId| noted.record(EndpointNumber(backend.0)));
+        let last_answers = Arc::new(LastAnswers::default());
+        let recorded_answers = last_answers.clone();
+        let on_served =
+            Box::new(move |backend: BackendId| recorded_answers.record(EndpointNumber(backend.0)));
         let pools = BackendPools::new(HttpProtocol { on_served: Some(on_served) }, pool_limits(config));
         pools.set_exchange(exchange.clone());
         let counter =
             config.quota.counter.map(|address| CounterClient::for_exchange(address, exchange.clone()));
-        let calls = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
-        exchange.connect(pools.clone(), calls);
+        let quota_counter = counter.clone().map(|client| client as Arc<dyn QuotaCounter>);
+        exchange.connect(pools.clone(), quota_counter);
         exchange.start_fleet_clock();
-        Ok(Self { clock, exchange, pools, counter, answered })
+        Ok(Self { clock, exchange, pools, counter, last_answers })
     }
 }
 
-/// Descriptors for clients and backends together.
+/// Limit on connections to clients and backends together.
 fn connection_sockets(config: &ApplianceConfig) -> usize {
     config.limits.max_sockets - RESERVED_SOCKETS
 }
@@ -119,7 +120,7 @@
         idle_timeout: Duration::from_millis(config.limits.idle_timeout_ms),
         max_connections: connection_sockets(config) / 2,
         max_answer_bytes: config.limits.max_response_bytes + http::MAX_HEAD_BYTES,
-        // Responses over HTTP are held completely.
+        // Responses over HTTP are buffered completely, never streamed.
         stream_budget_bytes: 0,
     }
 }
@@ -149,14 +150,15 @@
     with_retries(|| Listener::bind(address)).map(Arc::new).map_err(|source| Error::Listen { address, source })
 }
 
-/// The policy's class of a route.
+/// The pair of service and class of a route, which is a class of the policy.
 fn route_class(config: &ApplianceConfig, route: &Route) -> RouteClass {
     let names = config.service_names();
     let service = route.service.as_deref().and_then(|service| names.iter().position(|name| *name == service));
+    // Routes without a service have the default one, at index 0. Undefined names were rejected by the check of the file.
     RouteClass { service: service.unwrap_or(0) as u16, class: config.class_number(&route.class).unwrap_or(0) }
 }
 
-/// The policy's classes are all pairs of service and class that some route has.
+/// Collects the policy's inputs from the routes. The policy's classes are the pairs of service and class that some route has.
 fn policy_inputs(config: &ApplianceConfig, routes: &RouteTable) -> PolicyInputs {
     let classes: BTreeSet<RouteClass> =
         routes.routes().iter().map(|route| route_class(config, route)).collect();
@@ -166,14 +168,12 @@
     }
 }
 
-fn front_setup(config: &ApplianceConfig, routes: RouteTable, classes: &[RouteClass]) -> FrontConfig {
-    let class = |route: &Route| {
+fn front_config(config: &ApplianceConfig, routes: RouteTable, classes: &[RouteClass]) -> FrontConfig {
+    let front_class = |route: &Route| {
         let class = route_class(config, route);
         let number = classes.iter().position(|known| *known == class).unwrap_or(0);
-        front_openapi::RouteClass {
-            class: number as u16,
-            deadline: config.classes[class.class].deadline_ms * 1000,
-        }
+        let deadline = config.classes[class.class].deadline_ms * 1000;
+        front_openapi::RouteClass { class: number as u16, deadline }
     };
     let tenant = |tenant: &TenantConfig| Tenant {
         name: tenant.name.clone(),
@@ -182,7 +182,7 @@
         plan_name: tenant.plan.clone(),
     };
     FrontConfig {
-        classes: routes.routes().iter().map(class).collect(),
+        classes: routes.routes().iter().map(front_class).collect(),
         routes,
         tenant_header: config.tenant_header.clone(),
         tenants: config.tenants.iter().map(tenant).collect(),
--- a/crates/snowfield/src/appliance/status.rs
+++ b/crates/snowfield/src/appliance/status.rs
@@ -1,4 +1,4 @@
-//! The live status, as text over HTTP.
+//! The status server: reports the live status as plain text over HTTP.
 
 use crate::backends::Backends;
 use cluster::Cluster;
@@ -9,12 +9,12 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Between two looks whether a report has arrived.
-const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Looks for a report until it counts as missing: half a second.
-const MAX_REPORT_CHECKS: usize = 100;
+/// Interval of the checks whether a report of another thread has arrived.
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of checks until a report counts as missing: half a second in all.
+const MAX_REPORT_POLLS: usize = 100;
 
-/// What the status reports on.
+/// The parts that the status reports on.
 pub(super) struct StatusServer {
     pub(super) front: Arc<Front>,
     pub(super) backends: Arc<Backends>,
@@ -23,7 +23,7 @@
 }
 
 impl StatusServer {
-    /// Sends the status to whoever connects, until the listener is closed; runs in a coroutine.
+    /// Sends the status to each client until the listener is closed. Call this in a coroutine.
     pub(super) fn run(self, listener: &Listener) {
         let server = Arc::new(self);
         while let Some(client) = listener.accept() {
@@ -55,13 +55,13 @@
     }
 }
 
-/// A report of another thread. The worker does not block meanwhile.
+/// Waits for a report of another thread without blocking the worker. `None` after half a second.
 fn wait_for(report: &Receiver<String>) -> Option<String> {
-    for _ in 0..MAX_REPORT_CHECKS {
+    for _ in 0..MAX_REPORT_POLLS {
         if let Ok(report) = report.try_recv() {
             return Some(report);
         }
-        link::sleep(REPORT_CHECK_INTERVAL);
+        link::sleep(REPORT_POLL_INTERVAL);
     }
     None
 }
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,5 +1,5 @@
-//! The appliance's backends: the endpoint lists of all services and the results of health checks, merged into what the
-//! connection pools and the policy are told.
+//! The appliance's backends: merges the endpoint lists of all services with the results of health checks, and announces the
+//! result to the connection pools and the policy.
 
 use catalogue::{Endpoint, EndpointList, EndpointNumber};
 use cluster::{Backend, Cluster};
@@ -14,8 +14,8 @@
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, OnceLock};
 
-/// Backends that the status shows of each service.
-const MAX_SHOWN: usize = 200;
+/// Limit on the backends that the status shows for each service.
+const MAX_REPORTED: usize = 200;
 
 /// The backends of all services.
 pub struct Backends {
@@ -27,32 +27,32 @@
     watches: OnceLock<Vec<Arc<ServiceWatch>>>,
     /// Backends with attempts in flight, as of the last sweep.
     busy: Arc<Mutex<HashSet<u32>>>,
-    /// With more than one, backends are named with their service.
+    /// Names of the services. With more than one, a backend's name includes its service.
     services: Vec<String>,
 }
 
 #[derive(Default)]
 struct State {
-    /// By service; `None` until its first list.
-    views: Vec<Option<EndpointList>>,
+    /// The endpoint list of each service; `None` until the first one.
+    lists: Vec<Option<EndpointList>>,
     /// Names of the backends that health checks have ejected.
     ejected: BTreeSet<String>,
-    /// What was announced of each backend last, by number.
-    announced: HashMap<EndpointNumber, Announced>,
+    /// The last announcement of each backend.
+    announcements: HashMap<EndpointNumber, Announcement>,
 }
 
-/// What was announced of a backend.
+/// An announcement of one backend to the pools and the policy.
 #[derive(Clone, Copy)]
-struct Announced {
+struct Announcement {
     ready: bool,
-    /// When its list says that it began, which changes with each restart.
-    listed_since: Option<u64>,
-    /// When it counts as started.
+    /// Since when the backend is eligible by its endpoint list. Changes with each restart of the backend.
+    eligible_since: Option<u64>,
+    /// Start of the backend, from which its slow start counts.
     started: Micros,
 }
 
 impl Backends {
-    /// The backends of this configuration, without any list yet.
+    /// Starts with the services of this configuration, and no endpoint list.
     pub fn new(
         clock: Clock,
         exchange: Arc<HttpExchange>,
@@ -60,7 +60,7 @@
         config: &ApplianceConfig,
     ) -> Self {
         let services: Vec<String> = config.service_names().into_iter().map(str::to_owned).collect();
-        let state = State { views: services.iter().map(|_| None).collect(), ..State::default() };
+        let state = State { lists: services.iter().map(|_| None).collect(), ..State::default() };
         Self {
             clock,
             exchange,
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Sets the cluster that is told of the backends. The first one stays.
+    /// Sets the cluster, which gets the backends for its health checks. Only the first call has an effect.
     pub fn set_cluster(&self, cluster: Arc<Cluster>) {
         let _ = self.cluster.set(cluster);
     }
 
-    /// Sets the watches on the services, in their order. The first ones stay.
+    /// Sets the watches on the services, in the order of the services. Only the first call has an effect.
     pub fn set_watches(&self, watches: Vec<Arc<ServiceWatch>>) {
         let _ = self.watches.set(watches);
     }
@@ -101,7 +101,7 @@
         self.busy.clone()
     }
 
-    /// Ends holds that are over; to be called a few times a second.
+    /// Refreshes the set of busy backends, and advances the timers of the watches. Call this a few times a second.
     pub fn sweep(&self) {
         let status = self.exchange.status();
         let in_flight = status.backends.iter().filter(|(_, backend)| backend.in_flight > 0);
@@ -114,49 +114,60 @@
         if self.services.len() == 1 { id.to_owned() } else { format!("{}/{id}", self.services[service]) }
     }
 
-    /// Takes the new list of a service, by its number.
-    pub fn set_view(&self, service: usize, view: &EndpointList) {
+    /// Replaces the endpoint list of a service.
+    pub fn set_list(&self, service: usize, list: &EndpointList) {
         let backends = {
             let mut state = locked(&self.state);
-            state.views[service] = Some(view.clone());
+            state.lists[service] = Some(list.clone());
             self.announce(&mut state);
-            let backend = |(service, entry): (usize, &Endpoint)| Backend {
-                id: self.name(service, &entry.instance.id),
-                address: entry.instance.address,
-            };
-            entries(&state.views).map(backend).collect()
+            self.health_checked_backends(&state)
         };
         if let Some(cluster) = self.cluster.get() {
             cluster.set_backends(backends);
         }
     }
 
-    /// Takes the names of the backends that health checks have ejected.
+    /// The backends of all services, for the cluster's health checks.
+    fn health_checked_backends(&self, state: &State) -> Vec<Backend> {
+        let mut backends = Vec::new();
+        for (service, list) in state.lists.iter().enumerate() {
+            for endpoint in list.iter().flat_map(|list| &list.endpoints) {
+                let id = self.name(service, &endpoint.instance.id);
+                backends.push(Backend { id, address: endpoint.instance.address });
+            }
+        }
+        backends
+    }
+
+    /// Replaces the names of the backends that health checks have ejected.
     pub fn set_ejected(&self, ejected: &BTreeSet<String>) {
         let mut state = locked(&self.state);
         state.ejected.clone_from(ejected);
         self.announce(&mut state);
     }
 
-    /// Announces all lists with the results of health checks to the pools and the policy.
+    /// Announces the backends of all services to the pools and the policy.
     fn announce(&self, state: &mut State) {
-        if state.views.iter().all(Option::is_none) {
+        if state.lists.iter().all(Option::is_none) {
             return;
         }
         let now = self.clock.now();
-        let (mut policy_entries, mut endpoints, mut announced) = (Vec::new(), Vec::new(), HashMap::new());
-        for (service, view) in state.views.iter().enumerate() {
-            let Some(view) = view else { continue };
-            let mean_weight = mean_weight(view);
-            for entry in &view.endpoints {
-                let now_announced = self.next_announcement(state, service, entry, now);
-                announced.insert(entry.number, now_announced);
-                let Announced { ready, started, .. } = now_announced;
-                let id = BackendId(entry.number.0);
+        let mut policy_entries = Vec::new();
+        let mut pool_endpoints = Vec::new();
+        let mut announcements = HashMap::new();
+        for (service, list) in state.lists.iter().enumerate() {
+            let Some(list) = list else { continue };
+            let mean_weight = mean_weight(list);
+            for endpoint in &list.endpoints {
+                let announcement = self.next_announcement(state, service, endpoint, now);
+                announcements.insert(endpoint.number, announcement);
+                let Announcement { ready, started, .. } = announcement;
+                let id = BackendId(endpoint.number.0);
+                let address = endpoint.instance.address;
                 let state = if ready { BackendState::Ready } else { BackendState::Draining };
-                let size = if mean_weight > 0.0 { entry.instance.weight / mean_weight } else { 1.0 };
+                let size = if mean_weight > 0.0 { endpoint.instance.weight / mean_weight } else { 1.0 };
                 let service = service as u16;
-                endpoints.push(BackendEndpoint { id, address: entry.instance.address, state, started });
+                pool_endpoints.push(BackendEndpoint { id, address, state, started });
                 policy_entries.push(BackendEntry {
                     id,
                     state,
@@ -167,28 +178,36 @@
                 });
             }
         }
-        state.announced = announced;
-        self.pools.update_endpoints(ListKind::Full, &endpoints);
+        state.announcements = announcements;
+        self.pools.update_endpoints(ListKind::Full, &pool_endpoints);
         self.exchange.update_endpoints(ListKind::Full, policy_entries);
     }
 
-    /// What to announce of a backend now.
-    fn next_announcement(&self, state: &State, service: usize, entry: &Endpoint, now: Micros) -> Announced {
-        let takes_work = entry.eligible || seeded_faults::is_active("drained");
-        let ready = takes_work && !state.ejected.contains(&self.name(service, &entry.instance.id));
-        let stated = entry.instance.started_at.map(|ms| (ms * 1000).min(now));
-        let started = match state.announced.get(&entry.number) {
-            // It was ready all along, or is not yet: it counts as started when it did before.
-            Some(last) if last.listed_since == entry.eligible_since && (last.ready || !ready) => last.started,
-            // Health checks have let it back in, or its list counts it as restarted: it may be cold.
-            Some(_) => stated.unwrap_or(now),
-            None if entry.eligible_since.is_some() => stated.unwrap_or(now),
-            None => stated.unwrap_or(0),
+    /// The announcement of a backend after a new list or new results of health checks.
+    fn next_announcement(
+        &self,
+        state: &State,
+        service: usize,
+        entry: &Endpoint,
+        now: Micros,
+    ) -> Announcement {
+        let is_eligible = entry.eligible || seeded_faults::is_active("drained");
+        let ready = is_eligible && !state.ejected.contains(&self.name(service, &entry.instance.id));
+        let stated_start = entry.instance.started_at.map(|ms| (ms * 1000).min(now));
+        let started = match state.announcements.get(&entry.number) {
+            // Neither restarted nor recovered.
+            Some(last) if last.eligible_since == entry.eligible_since && (last.ready || !ready) => {
+                last.started
+            }
+            // Restarted by its list, or recovered by health checks: it may be cold.
+            Some(_) => stated_start.unwrap_or(now),
+            None if entry.eligible_since.is_some() => stated_start.unwrap_or(now),
+            None => stated_start.unwrap_or(0),
         };
-        Announced { ready, listed_since: entry.eligible_since, started }
+        Announcement { ready, eligible_since: entry.eligible_since, started }
     }
 
-    /// The report on requests and backends for the status.
+    /// The part of the status on requests and backends.
     pub fn report(&self) -> String {
         let status = self.exchange.status();
         let AnswerCounts { served, rejected, failed } = status.answers;
@@ -214,7 +233,7 @@
     ) {
         let WatchStatus { endpoints, origin } = watch.status();
         let _ = writeln!(report, "destinations of {}  from {origin}", watch.service());
-        for endpoint in endpoints.iter().take(MAX_SHOWN) {
+        for endpoint in endpoints.iter().take(MAX_REPORTED) {
             let backend = BackendId(endpoint.number.0);
             let in_flight = status.backends.get(&backend).map_or(0, |backend| backend.in_flight);
             let state = match (endpoint.eligible, ejected.contains(&self.name(service, &endpoint.id))) {
@@ -224,20 +243,15 @@
             };
             let _ = writeln!(report, "  {}  {state}  attempts out {in_flight}", endpoint.id);
         }
-        if endpoints.len() > MAX_SHOWN {
-            let _ = writeln!(report, "  and {} more", endpoints.len() - MAX_SHOWN);
+        if endpoints.len() > MAX_REPORTED {
+            let _ = writeln!(report, "  and {} more", endpoints.len() - MAX_REPORTED);
         }
     }
 }
 
-/// All entries with the number of their service.
-fn entries(views: &[Option<EndpointList>]) -> impl Iterator<Item = (usize, &Endpoint)> {
-    let listed = views.iter().enumerate().filter_map(|(service, view)| Some((service, view.as_ref()?)));
-    listed.flat_map(|(service, view)| view.endpoints.iter().map(move |entry| (service, entry)))
-}
-
-/// Sizes are relative to the mean weight: a service with weights of 100 throughout is like one with weights of 1.
-fn mean_weight(view: &EndpointList) -> f64 {
-    let working = || view.endpoints.iter().filter(|entry| entry.eligible);
-    working().map(|entry| entry.instance.weight).sum::<f64>() / working().count().max(1) as f64
+/// The mean weight of the eligible backends. A backend's size is relative to it: a service with weights of 100 throughout is like
+/// one with weights of 1.
+fn mean_weight(list: &EndpointList) -> f64 {
+    let eligible = || list.endpoints.iter().filter(|endpoint| endpoint.eligible);
+    eligible().map(|endpoint| endpoint.instance.weight).sum::<f64>() / eligible().count().max(1) as f64
 }
--- a/crates/snowfield/src/checked_config.rs
+++ b/crates/snowfield/src/checked_config.rs
@@ -1,29 +1,29 @@
-//! An appliance's file with the OpenAPI descriptions that it names, checked together.
+//! The appliance's configuration file, validated together with the OpenAPI descriptions that it names.
 
 use crate::error::Error;
 use openapi::{Description, Route, RouteTable};
 use settings::appliance::ApplianceConfig;
 use std::path::Path;
 
-/// A configuration and its routes, which fit together.
+/// A valid configuration with the routes of its descriptions.
 pub struct CheckedConfig {
-    /// The file.
+    /// The configuration.
     pub config: ApplianceConfig,
-    /// The routes of its descriptions.
+    /// The routes of the descriptions.
     pub routes: RouteTable,
 }
 
 impl CheckedConfig {
-    /// Reads a file and its descriptions, and checks all that can be checked without a connection.
+    /// Reads and validates a file with its descriptions. Opens no connection.
     ///
     /// # Errors
     ///
-    /// Says which file is missing or cannot be used, and why.
+    /// A file is missing or invalid, or a route does not fit the configuration.
     pub fn read(path: &Path) -> Result<Self, Error> {
-        let config = ApplianceConfig::parse(&read(path)?).map_err(Error::settings(path))?;
+        let config = ApplianceConfig::parse(&read_text(path)?).map_err(Error::settings(path))?;
         let mut texts = Vec::new();
         for name in &config.descriptions {
-            texts.push((name.display().to_string(), read(&directory(path).join(name))?));
+            texts.push((name.display().to_string(), read_text(&directory(path).join(name))?));
         }
         let descriptions: Vec<_> = texts.iter().map(|(name, text)| Description { name, text }).collect();
         let routes = RouteTable::load(&descriptions)?;
@@ -32,33 +32,38 @@
     }
 }
 
-/// The directory that the names in a file are relative to.
+/// The directory of a file. The names in the file are relative to it.
 pub fn directory(path: &Path) -> &Path {
     path.parent().unwrap_or(Path::new("."))
 }
 
-/// The text of a file.
+/// Reads a text file.
 ///
 /// # Errors
 ///
 /// [`Error::File`].
-pub fn read(path: &Path) -> Result<String, Error> {
+pub fn read_text(path: &Path) -> Result<String, Error> {
     std::fs::read_to_string(path).map_err(Error::file(path))
 }
 
+/// Checks that the configuration defines the class and service of a route, and that each plan can admit its requests.
 fn check_route(config: &ApplianceConfig, route: &Route) -> Result<(), Error> {
-    let name = || format!("{}: {} {}", route.source, route.method, route.path);
+    let route_name = || format!("{}: {} {}", route.source, route.method, route.path);
+    let undefined = |kind: &'static str, name: &str| {
+        Err(Error::UndefinedByRoute { route: route_name(), kind, name: name.to_owned() })
+    };
     if config.class_number(&route.class).is_none() {
-        return Err(Error::UndefinedByRoute { route: name(), kind: "class", name: route.class.clone() });
+        return undefined("class", &route.class);
     }
-    if let Some(service) =
-        route.service.as_deref().filter(|service| !config.service_names().contains(service))
+    if let Some(service) = route.service.as_deref()
+        && !config.service_names().contains(&service)
     {
-        return Err(Error::UndefinedByRoute { route: name(), kind: "service", name: service.to_owned() });
+        return undefined("service", service);
     }
     match config.plans.iter().find(|plan| plan.burst < route.units) {
         Some(plan) => {
-            Err(Error::RouteExceedsBurst { route: name(), units: route.units, plan: plan.name.clone() })
+            let plan = plan.name.clone();
+            Err(Error::RouteExceedsBurst { route: route_name(), units: route.units, plan })
         }
         None => Ok(()),
     }
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -1,6 +1,6 @@
-//! What the appliance's file says of the cluster, its periodic jobs and health checks, and what a reload takes from it.
+//! The settings of the cluster, its periodic jobs and health checks, from the appliance's configuration; and their reload.
 
-use crate::checked_config::{CheckedConfig, directory, read};
+use crate::checked_config::{CheckedConfig, directory, read_text};
 use crate::error::Error;
 use cluster::{Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use config_node::Node;
@@ -9,25 +9,26 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Limit on the runs of jobs at the same time.
+/// Limit on concurrent runs of periodic jobs.
 const MAX_CONCURRENT_RUNS: usize = 8;
-/// The name of an instance without a cluster.
+/// Name of an instance that has no cluster.
 const SINGLE_INSTANCE: &str = "alone";
 
-/// What a cluster is started with.
+/// The arguments of [`Cluster::start`].
 pub struct ClusterStart {
-    /// How the instance takes part.
+    /// The settings of this instance.
     pub settings: Settings,
-    /// The jobs at first.
+    /// The periodic jobs.
     pub jobs: Vec<HttpJob>,
 }
 
 impl ClusterStart {
-    /// What the file `path` says; `None` where it has neither a cluster nor jobs nor health checks.
+    /// Derives the arguments from the configuration file `path`. `None` if it has neither a cluster nor periodic jobs nor health
+    /// checks.
     ///
     /// # Errors
     ///
-    /// The key file cannot be read or used.
+    /// The key file cannot be read, or is invalid.
     pub fn from_config(config: &ApplianceConfig, path: &Path) -> Result<Option<Self>, Error> {
         if config.cluster.is_none() && config.health_check.is_none() && config.periodic_jobs.is_empty() {
             return Ok(None);
@@ -80,7 +81,8 @@
 }
 
 fn lease_store(config: &ApplianceConfig, cluster: &ClusterConfig, path: &Path) -> LeaseStore {
-    // A store of its own has its own token, or none; otherwise it is the Consul of the endpoint lists.
+    // Without an address for it the store is the Consul of the endpoint lists, whose token is the default. A separate store has
+    // its own token or none.
     let token_file = match (&cluster.store_token_file, cluster.store) {
         (Some(file), _) => Some(file),
         (None, None) => config.consul.token_file.as_ref(),
@@ -117,29 +119,31 @@
     jobs.iter().map(http_job).collect()
 }
 
-/// The keys of the key file that the file `path` names.
+/// Reads the key file that the configuration file `path` names.
 ///
 /// # Errors
 ///
-/// There is no table for the cluster, or the key file cannot be read or used. The text holds no key.
+/// There is no table for the cluster, or the key file cannot be read or is invalid. The error's text never contains a key.
 pub fn keyring(config: &ApplianceConfig, path: &Path) -> Result<Keyring, Error> {
     let Some(cluster) = &config.cluster else {
         return Err(Error::MissingTable { path: path.to_owned(), table: "cluster" });
     };
     let key_file = directory(path).join(&cluster.key_file);
-    let text = read(&key_file)?;
+    let text = read_text(&key_file)?;
     Keyring::parse(&text).map_err(|source| Error::Keyring { path: key_file, source })
 }
 
-/// What a reload has taken.
+/// The result of a reload.
 struct Reloaded {
+    /// Number of periodic jobs.
     jobs: usize,
+    /// Whether the configuration has a cluster, and so keys.
     keys: bool,
 }
 
-/// Takes jobs, keys and the clock's offset from the file again. A file that cannot be used changes nothing.
+/// Reloads periodic jobs, keys and the clock offset. An invalid file is logged and changes nothing.
 pub fn reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) {
-    match take(path, cluster, config_node) {
+    match try_reload(path, cluster, config_node) {
         Ok(Reloaded { jobs, keys: true }) => {
             tracing::info!("reload: {jobs} jobs and the cluster's keys taken; the rest needs a restart")
         }
@@ -150,7 +154,7 @@
     }
 }
 
-fn take(path: &Path, cluster: &Cluster, config_node: Option<&Node>) -> Result<Reloaded, Error> {
+fn try_reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) -> Result<Reloaded, Error> {
     let config = CheckedConfig::read(path)?.config;
     let keys = config.cluster.as_ref().map(|_| keyring(&config, path)).transpose()?;
     let jobs = http_jobs(&config.periodic_jobs);
--- a/crates/snowfield/src/command_line.rs
+++ b/crates/snowfield/src/command_line.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Shown with the help, and with every command line that is wrong.
+/// Usage text of the help and of command line errors.
 const USAGE: &str = "\
 snowfield               serve on the platform, by the file that BALANCER_CONFIG names
        snowfield serve FILE    serve the OpenAPI descriptions that FILE names
@@ -17,7 +17,7 @@
        snowfield watch FILE    show it again each second
        snowfield settings ...  change the plans that the gatekeepers agree on; \"snowfield settings help\" has more";
 
-/// All words of the command line.
+/// The parsed command line.
 #[derive(Debug, Parser)]
 #[command(name = "snowfield", version, about = "A gatekeeper that holds tenants to their quotas", override_usage = USAGE)]
 pub struct CommandLine {
@@ -25,10 +25,10 @@
     command: Option<Command>,
 }
 
-/// What is asked of the program.
+/// A command of the program.
 #[derive(Debug, PartialEq, Eq, Subcommand)]
 pub enum Command {
-    /// Serve on the platform: what the platform starts, without any word.
+    /// Serve on the platform. The platform starts the program without arguments.
     #[command(skip)]
     Platform,
     /// Serve the OpenAPI descriptions that FILE names
@@ -76,7 +76,7 @@
     },
 }
 
-/// What is asked of the replicated plans.
+/// A command on the replicated plans.
 #[derive(Debug, PartialEq, Eq, Subcommand)]
 pub enum SettingsCommand {
     /// Create the log of the replica that FILE is for, once in its life
@@ -109,11 +109,11 @@
 }
 
 impl CommandLine {
-    /// The command of this process. Help, version and wrong words are answered here.
+    /// Parses the command of this process. Prints help, version and errors itself.
     ///
     /// # Errors
     ///
-    /// The exit code where there is no command to run.
+    /// The exit code, if there is no command to run.
     pub fn parse() -> Result<Command, ExitCode> {
         match Self::try_parse() {
             Ok(line) => Ok(line.command.unwrap_or(Command::Platform)),
@@ -122,7 +122,7 @@
                 if answer.use_stderr() && !is_help {
                     eprint!("snowfield: ");
                 }
-                // Nobody reads: there is nobody to tell.
+                // Fails if the output is closed.
                 let _ = answer.print();
                 Err(ExitCode::from(u8::from(answer.use_stderr())))
             }
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -1,25 +1,28 @@
-//! The commands that show something on the terminal.
+//! The commands that print to the terminal: `check`, `routes`, `explain`, `status` and `watch`.
 
 use crate::checked_config::CheckedConfig;
 use crate::error::Error;
-use openapi::RouteMatch;
+use openapi::{Route, RouteMatch, RouteTable};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::Duration;
 use timing::ClassTiming;
 
+/// Time-out for connecting to the status address.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time-out for each read of the status.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which `watch` prints the status.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// Clears the terminal and moves to its upper left corner.
-const CLEAR: &str = "\x1b[2J\x1b[H";
+/// Control sequence that clears the terminal and moves the cursor to its upper left corner.
+const CLEAR_TERMINAL: &str = "\x1b[2J\x1b[H";
 
-/// Checks a file and prints what it holds.
+/// Checks a file with its descriptions, and prints a summary.
 ///
 /// # Errors
 ///
-/// Says what is missing or cannot be used.
+/// A file is missing or invalid.
 pub fn check(path: &Path) -> Result<(), Error> {
     let CheckedConfig { config, routes } = CheckedConfig::read(path)?;
     println!(
@@ -33,7 +36,7 @@
     Ok(())
 }
 
-/// Lists the routes.
+/// Prints the routes of a file's descriptions.
 ///
 /// # Errors
 ///
@@ -49,31 +52,34 @@
     Ok(())
 }
 
-/// Prints the times that hold for a request, where each comes from, and the course of its worst case.
+/// Prints the timing rules of a request, the source of each, and the timeline of its worst case.
 ///
 /// # Errors
 ///
-/// As [`check`], or no route takes the request.
+/// As [`check`], or no route matches the request.
 pub fn explain(path: &Path, method: &str, target: &str) -> Result<(), Error> {
     let checked = CheckedConfig::read(path)?;
-    let target_path = target.to_owned();
-    let number = match checked.routes.find(method, target) {
-        Ok(RouteMatch::Route(number)) => number,
-        Ok(RouteMatch::MethodNotAllowed(allowed)) => {
-            return Err(Error::WrongMethod { path: target_path, allowed: allowed.to_string() });
-        }
-        Ok(RouteMatch::NotFound) => return Err(Error::NoRoute { path: target_path }),
-        Err(_) => return Err(Error::InvalidPath { path: target_path }),
-    };
-    let route = &checked.routes.routes()[number];
+    let route = find_route(&checked.routes, method, target)?;
     println!("{} {}  class {}  from {}", route.method, route.path, route.class, route.source);
-    // Each route's class is one of the file's, or the check would have failed.
+    // There is one: the check has rejected routes with an undefined class.
     for timing in checked.config.timings().iter().filter(|timing| timing.class == route.class) {
         print_timing(timing);
     }
     Ok(())
 }
 
+fn find_route<'a>(routes: &'a RouteTable, method: &str, target: &str) -> Result<&'a Route, Error> {
+    let path = target.to_owned();
+    match routes.find(method, target) {
+        Ok(RouteMatch::Route(number)) => Ok(&routes.routes()[number]),
+        Ok(RouteMatch::MethodNotAllowed(allowed)) => {
+            Err(Error::WrongMethod { path, allowed: allowed.to_string() })
+        }
+        Ok(RouteMatch::NotFound) => Err(Error::NoRoute { path }),
+        Err(_) => Err(Error::InvalidPath { path }),
+    }
+}
+
 fn print_timing(timing: &ClassTiming) {
     let class = format!("class {:?}", timing.class);
     let stated = |value: Option<u64>, unit: &str, otherwise: String| match value {
@@ -98,24 +104,24 @@
     }
 }
 
-/// Prints the status of the program that serves a file.
+/// Prints the status of the gatekeeper that serves a file.
 ///
 /// # Errors
 ///
-/// The file names no status address, or nobody answers there.
+/// The file names no status address, or the address does not answer.
 pub fn status(path: &Path) -> Result<(), Error> {
     print!("{}", fetch_status(path)?);
     Ok(())
 }
 
-/// Prints the status again each second, until interrupted.
+/// Prints the status every [`WATCH_INTERVAL`] until interrupted.
 ///
 /// # Errors
 ///
 /// As [`status`].
 pub fn watch(path: &Path) -> Result<(), Error> {
     loop {
-        print!("{CLEAR}{}", fetch_status(path)?);
+        print!("{CLEAR_TERMINAL}{}", fetch_status(path)?);
         std::io::stdout().flush()?;
         std::thread::sleep(WATCH_INTERVAL);
     }
@@ -128,10 +134,10 @@
     Ok(response.split_once("\r\n\r\n").map_or("", |(_, body)| body).to_owned())
 }
 
-/// The whole response to a GET request.
+/// Sends a GET request and returns the whole response.
 fn get(address: SocketAddr) -> std::io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
-    stream.set_read_timeout(Some(STATUS_TIMEOUT))?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
     stream.write_all(format!("GET / HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())?;
     let mut response = String::new();
     stream.read_to_string(&mut response)?;
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -1,4 +1,4 @@
-//! Watches on the services that the appliance's file names, and the registration of this process.
+//! The appliance's watches on Consul services, and the registration of this process in Consul.
 
 use crate::backends::Backends;
 use crate::checked_config::directory;
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where Consul is, as the file `path` says.
-pub fn source(config: &appliance::ConsulConfig, path: &Path) -> ConsulConfig {
+/// Derives the Consul client's configuration from the file `path`.
+fn consul_config(config: &appliance::ConsulConfig, path: &Path) -> ConsulConfig {
     ConsulConfig {
         agents: std::iter::once(config.address).chain(config.further_agents.iter().copied()).collect(),
         token_file: config.token_file.as_ref().map(|name| directory(path).join(name)),
@@ -27,31 +27,31 @@
     }
 }
 
-/// Creates the watches on all services. What the cached list holds is announced at once.
+/// Creates the watches on all services, and announces the cached endpoint lists.
 ///
 /// # Errors
 ///
-/// The token file cannot be used.
+/// The token file is missing or invalid.
 pub fn create(
     backends: &Arc<Backends>,
     config: &ApplianceConfig,
     path: &Path,
     answered: &Arc<LastAnswers>,
 ) -> Result<(), Error> {
-    let source = source(&config.consul, path);
-    TokenFile::new(source.token_file.clone()).read().map_err(Error::ConsulToken)?;
+    let consul_config = consul_config(&config.consul, path);
+    TokenFile::new(consul_config.token_file.clone()).read().map_err(Error::ConsulToken)?;
     let cache = config.consul.cache_file.as_ref().map(|name| {
         let services = config.service_names().into_iter().map(str::to_owned);
         Arc::new(CacheFile::open(directory(path).join(name), config.consul.cache_max_age_s, services))
     });
-    let watches = watched(config).into_iter().enumerate().map(|(service, watched)| {
-        let (announced_to, busy) = (backends.clone(), backends.busy());
+    let watches = watch_configs(config).into_iter().enumerate().map(|(service, watch_config)| {
+        let (notified, busy) = (backends.clone(), backends.busy());
         ServiceWatch::new(
-            source.clone(),
-            watched,
+            consul_config.clone(),
+            watch_config,
             answered.clone(),
             cache.clone(),
-            Box::new(move |view| announced_to.set_view(service, view)),
+            Box::new(move |list| notified.set_list(service, list)),
             Box::new(move |number| locked(&busy).contains(&number.0)),
         )
     });
@@ -59,20 +59,21 @@
     Ok(())
 }
 
-/// The services to watch, each with backend numbers of its own.
-fn watched(config: &ApplianceConfig) -> Vec<WatchConfig> {
+/// The configuration of each watch. Each service has a separate range of backend numbers.
+fn watch_configs(config: &ApplianceConfig) -> Vec<WatchConfig> {
     let consul = &config.consul;
-    let first = (&consul.service, &consul.tag, &consul.filter);
+    let default_service = (&consul.service, &consul.tag, &consul.filter);
     let further = config.services.iter().map(|service| (&service.name, &service.tag, &service.filter));
-    let watched =
-        std::iter::once(first).chain(further).enumerate().map(|(number, (name, tag, filter))| WatchConfig {
+    let services = std::iter::once(default_service).chain(further).enumerate();
+    services
+        .map(|(index, (name, tag, filter))| WatchConfig {
             service: name.clone(),
             tag: tag.clone(),
             filter: filter.clone(),
             stability: stability(consul),
-            last_number: number as u32 * NUMBERS_PER_SERVICE,
-        });
-    watched.collect()
+            last_number: index as u32 * NUMBERS_PER_SERVICE,
+        })
+        .collect()
 }
 
 fn stability(config: &appliance::ConsulConfig) -> StabilityConfig {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Registers this process as the file `path` says.
+/// Registers this process in Consul as the configuration file `path` says.
 ///
 /// # Errors
 ///
@@ -106,5 +107,5 @@
         address: address.unwrap_or(config.listen),
         ttl: Duration::from_millis(*ttl_ms),
     };
-    consul::register(source(&config.consul, path), registration).map_err(Error::Registration)
+    consul::register(consul_config(&config.consul, path), registration).map_err(Error::Registration)
 }
--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -1,4 +1,4 @@
-//! Everything that can go wrong at the start, at a reload, in a hot restart or in a command.
+//! The errors of startup, reload, hot restart and the commands.
 
 use membership::authentication::KeyringError;
 use settings::SettingsError;
@@ -6,36 +6,36 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Exit code for all errors that have none of their own.
+/// Exit code of most errors.
 const FAILURE: u8 = 1;
-/// Exit code where another proposal was accepted instead.
+/// Exit code if another proposal was accepted instead.
 const CONFLICT: u8 = 3;
-/// Exit code where no majority of the replicas answers.
+/// Exit code if no majority of the replicas answers.
 const NO_MAJORITY: u8 = 4;
 
-/// Why something could not be done. The texts are for operators.
+/// An error of the program. The texts are for operators.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The signal handlers could not be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The platform's variable that names the configuration is not set.
+    /// The environment names no configuration file.
     #[error("BALANCER_CONFIG names no configuration file")]
     NoConfigFile,
-    /// A variable of the environment holds no address.
+    /// An environment variable is no valid address.
     #[error("{variable}: {value:?} is no address and port")]
     InvalidAddress {
-        /// The variable.
+        /// The variable's name.
         variable: &'static str,
-        /// What it holds.
+        /// The variable's value.
         value: String,
     },
-    /// A variable of the environment holds no form of log lines.
+    /// An environment variable is no log format.
     #[error("{variable}: {value:?} is neither \"plain\" nor \"json\"")]
     InvalidLogFormat {
-        /// The variable.
+        /// The variable's name.
         variable: &'static str,
-        /// What it holds.
+        /// The variable's value.
         value: String,
     },
     /// A file could not be read.
@@ -43,73 +43,73 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// A file is longer than any configuration.
+    /// A configuration file is too long.
     #[error("{}: it is too long, {limit} bytes are allowed", path.display())]
     FileTooLong {
         /// The file.
         path: PathBuf,
-        /// In bytes.
+        /// The maximum size in bytes.
         limit: u64,
     },
-    /// A configuration cannot be used.
+    /// A configuration is invalid.
     #[error("{}: {source}", path.display())]
     Settings {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: SettingsError,
     },
-    /// The policy cannot work by settings that were checked before.
+    /// The policy rejects settings that passed all other checks.
     #[error("{0}")]
     Policy(#[from] policy::SettingsError),
-    /// The same, of a file.
+    /// The policy rejects the settings of a file.
     #[error("{}: {source}", path.display())]
     PolicyOfFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: policy::SettingsError,
     },
-    /// An OpenAPI description cannot be used.
+    /// An OpenAPI description is invalid.
     #[error("{0}")]
     Description(#[from] openapi::LoadError),
-    /// A route names what the configuration does not define.
+    /// A route names a class or service that the configuration does not define.
     #[error("{route} has the {kind} {name:?}, which the file does not define")]
     UndefinedByRoute {
         /// Description, method and path.
         route: String,
-        /// What it names.
+        /// `class` or `service`.
         kind: &'static str,
-        /// Its name.
+        /// The undefined name.
         name: String,
     },
-    /// A route takes more units than a plan ever holds: its requests would be rejected forever.
+    /// A route takes more units than the burst of a plan, whose tenants' requests would always be rejected.
     #[error("{route} takes {units} units, more than the burst of plan {plan:?}")]
     RouteExceedsBurst {
         /// Description, method and path.
         route: String,
-        /// Of one request.
+        /// Units of one request.
         units: f64,
-        /// The plan.
+        /// The plan's name.
         plan: String,
     },
-    /// A file has no table that is needed.
+    /// A file lacks a required table.
     #[error("{}: it has no table [{table}]", path.display())]
     MissingTable {
         /// The file.
         path: PathBuf,
-        /// The table.
+        /// The table's name.
         table: &'static str,
     },
-    /// A key file holds no keys.
+    /// A key file is invalid.
     #[error("{}: {source}", path.display())]
     Keyring {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: KeyringError,
     },
     /// An address cannot be listened on.
@@ -117,27 +117,27 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The operators' address cannot be listened on.
+    /// The admin address cannot be listened on.
     #[error("operator {address}: {source}")]
     AdminListener {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The cluster could not be joined.
+    /// The cluster member could not be started.
     #[error("cluster: {0}")]
     Cluster(#[from] cluster::ClusterError),
-    /// A node of the replicated plans could not be started, or its log not be created.
+    /// The node for the replicated plans could not be started.
     #[error("agreed: {0}")]
     ConfigNode(#[from] config_node::Error),
     /// The log of a replica could not be created.
     #[error("{0}")]
     ReplicaLog(#[source] config_node::Error),
-    /// The ACL token of Consul cannot be used.
+    /// The file with the Consul ACL token is missing or invalid.
     #[error("consul: token_file: {0}")]
     ConsulToken(#[source] consul::TokenError),
     /// A watch on Consul could not be started.
@@ -146,13 +146,13 @@
     /// The registration could not be started.
     #[error("register: {0}")]
     Registration(#[source] io::Error),
-    /// The operating system refused something else.
+    /// Any other error of a system call.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The predecessor of a hot restart cannot be talked to.
+    /// The connection to the predecessor of a hot restart failed.
     #[error(transparent)]
     Handover(#[from] handover::Error),
-    /// The predecessor answered with another message than its state.
+    /// The predecessor's answer is not its state.
     #[error("it sent something else")]
     UnexpectedMessage,
     /// The predecessor's state came without its listener.
@@ -161,86 +161,86 @@
     /// The state of this process could not be collected in time.
     #[error("its state was not ready in time")]
     StateTimeout,
-    /// The policy's snapshot could not be encoded.
+    /// The snapshot of the policy could not be encoded.
     #[error("the snapshot of the policy cannot be encoded: {0}")]
     Snapshot(#[source] postcard::Error),
-    /// No route serves a path.
+    /// No route matches a path.
     #[error("{path}: no route")]
     NoRoute {
         /// The path.
         path: String,
     },
-    /// The path cannot be served at all.
+    /// A path is malformed.
     #[error("{path}: no path that is served")]
     InvalidPath {
         /// The path.
         path: String,
     },
-    /// The route takes other methods.
+    /// The route does not allow the method.
     #[error("{path} takes {allowed}")]
     WrongMethod {
         /// The path.
         path: String,
-        /// The methods.
+        /// The allowed methods.
         allowed: String,
     },
-    /// The file names no address at which the status could be asked for.
+    /// The file names no status address.
     #[error("{}: it names no status address", path.display())]
     NoStatusAddress {
         /// The file.
         path: PathBuf,
     },
-    /// Nobody answers at the status address.
+    /// The status address does not answer.
     #[error("{address}: {source}")]
     NoStatus {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// A log is to be created for an instance that is no replica.
+    /// A log cannot be created for an instance that is no replica.
     #[error("this instance is no voter")]
     NotAReplica,
-    /// A replica answered with a message that is no answer.
+    /// A replica answered with an unexpected message.
     #[error("an answer that is none")]
     UnexpectedAnswer,
-    /// A proposal is longer than a version may be.
+    /// A proposal exceeds the maximum size.
     #[error("it is too large")]
     ProposalTooLarge,
-    /// The replicas have rejected a proposal.
+    /// The replicas reject a proposal as invalid.
     #[error("{0}")]
     ProposalRejected(String),
-    /// Another version than the expected one is in force.
+    /// The version in force is not the expected one.
     #[error("version {version}, by {proposed_by}, is in force; nothing is changed")]
     VersionConflict {
         /// The version in force.
         version: u64,
-        /// Who proposed it.
+        /// The user who proposed it.
         proposed_by: String,
     },
-    /// Another version is on its way to be in force.
+    /// The rollout of another version is in progress.
     #[error("version {version}, by {proposed_by}, is proposed and not yet in force; nothing is changed")]
     RolloutInProgress {
         /// The proposed version.
         version: u64,
-        /// Who proposed it.
+        /// The user who proposed it.
         proposed_by: String,
     },
     /// No majority of the replicas answers.
     #[error("no majority of the voters answers ({last}); nothing is changed, or it is not known whether")]
     NoMajority {
-        /// What the last one did.
+        /// The failure of the last call.
         last: String,
     },
 }
 
 impl Error {
-    /// For `map_err` where a file could not be read.
+    /// Adds the path to an I/O error. For use with `map_err`.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::File { path: path.to_owned(), source }
     }
 
-    /// For `map_err` where a configuration cannot be used.
+    /// Adds the path to an error in a configuration. For use with `map_err`.
     pub fn settings(path: &Path) -> impl FnOnce(SettingsError) -> Self {
         move |source| Self::Settings { path: path.to_owned(), source }
     }
--- a/crates/snowfield/src/plan_replication.rs
+++ b/crates/snowfield/src/plan_replication.rs
@@ -1,4 +1,4 @@
-//! The replicated plans: how this instance takes part, and the plans that it enforces by each view.
+//! The replicated plans: starts this instance's node, and applies the plans of each new view to the policy.
 
 use crate::checked_config::directory;
 use crate::cluster_settings::keyring;
@@ -13,20 +13,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the policy's settings depend on beside the plans.
+/// The inputs of the policy's settings that come from the routes and not from the configuration.
 #[derive(Clone)]
 pub struct PolicyInputs {
-    /// Units of the largest request.
+    /// Units of the most expensive route.
     pub max_units: f64,
-    /// The policy's classes.
+    /// The policy's classes, by number.
     pub classes: Vec<RouteClass>,
 }
 
-/// Starts a node where the file `path` has the table for it.
+/// Starts a node if the configuration file `path` has the table for it.
 ///
 /// # Errors
 ///
-/// The key file cannot be used, or as [`Node::start`].
+/// The key file is missing or invalid, or as [`Node::start`].
 pub fn start(
     config: &ApplianceConfig,
     path: &Path,
@@ -34,36 +34,36 @@
     exchange: Arc<HttpExchange>,
 ) -> Result<Option<Node>, Error> {
     let Some(node_config) = node_config(config, path)? else { return Ok(None) };
-    let (validated_by, config) = (config.clone(), config.clone());
-    let validator = move |text: &str| match apply_version(&validated_by, text) {
+    let (validating_config, config) = (config.clone(), config.clone());
+    let validator = move |text: &str| match apply_version(&validating_config, text) {
         Ok(_) => Ok(()),
         Err(error) => Err(InvalidProposal(error.to_string())),
     };
     let listener = move |view: &ConfigView| {
-        if let Err(error) = enforce(&config, view, &inputs, &exchange) {
+        if let Err(error) = apply_view(&config, view, &inputs, &exchange) {
             tracing::warn!("agreed: a version cannot be used here ({error}); the previous plans stay");
         }
     };
     Ok(Some(Node::start(node_config, Box::new(validator), Box::new(listener))?))
 }
 
-/// What the file says; `None` where it has no such table.
+/// The node's configuration; `None` if the file has no table for it.
 fn node_config(config: &ApplianceConfig, path: &Path) -> Result<Option<NodeConfig>, Error> {
     let (Some(replication), Some(cluster)) = (&config.replication, &config.cluster) else { return Ok(None) };
-    let replica =
+    let replica_address =
         |replica: &ReplicaConfig| ReplicaAddress { name: replica.name.clone(), address: replica.address };
     Ok(Some(NodeConfig {
         name: cluster.name.clone(),
         listen: replication.listen,
-        replicas: replication.replicas.iter().map(replica).collect(),
+        replicas: replication.replicas.iter().map(replica_address).collect(),
         keys: keyring(config, path)?,
         log: directory(path).join(&replication.log),
         lease_duration: Duration::from_millis(replication.lease_duration_ms),
     }))
 }
 
-/// Has the policy work by the plans of a view.
-fn enforce(
+/// Updates the policy's settings with the plans of a view.
+fn apply_view(
     config: &ApplianceConfig,
     view: &ConfigView,
     inputs: &PolicyInputs,
@@ -77,14 +77,14 @@
     Ok(())
 }
 
-/// The plans to enforce: of a version that is proposed and the one in force the stricter figures, and without a lease a share
-/// of them.
+/// The plans to enforce. During a rollout these are the stricter figures of the version in force and the proposed one, and without
+/// a lease a share of them.
 fn enforced_plans(
     config: &ApplianceConfig,
     replication: &ReplicationConfig,
     view: &ConfigView,
 ) -> Vec<PlanConfig> {
-    // A version that every replica could use and this instance cannot is as good as unknown: the file's own plans count.
+    // A version that the replicas accepted may still be invalid for this instance's file, whose own plans then hold.
     let plans_of = |text: &str| apply_version(config, text).unwrap_or_else(|_| config.plans.clone());
     let in_force = match &view.in_force {
         Some(version) => plans_of(&version.text),
--- a/crates/snowfield/src/settings_command.rs
+++ b/crates/snowfield/src/settings_command.rs
@@ -1,8 +1,8 @@
-//! `snowfield settings`: what operators do with the replicated plans.
+//! `snowfield settings`: creates replica logs, and proposes, shows and compares versions of the replicated plans.
 
 mod replicas;
 
-use crate::checked_config::{CheckedConfig, directory, read};
+use crate::checked_config::{CheckedConfig, directory, read_text};
 use crate::command_line::SettingsCommand;
 use crate::error::Error;
 use config_node::{ProposalOutcome, ReplicaLog, Version, VersionTexts};
@@ -10,21 +10,22 @@
 use settings::appliance::{ApplianceConfig, PlanConfig, ReplicationConfig, apply_version};
 use std::path::Path;
 
-/// Carries out a command.
+/// Runs a command.
 ///
 /// # Errors
 ///
-/// Says what cannot be used, or why the replicas did not do it. [`Error::exit_code`] tells the cases apart.
+/// A file is missing or invalid, no majority of the replicas answers, or the replicas reject the proposal. The cases have
+/// different exit codes; see [`Error::exit_code`].
 pub fn run(command: &SettingsCommand) -> Result<(), Error> {
     match command {
-        SettingsCommand::Begin { file } => begin(file),
+        SettingsCommand::Begin { file } => create_log(file),
         SettingsCommand::Propose { file, rules, expect } => propose(file, rules, *expect),
         SettingsCommand::Show { file } => show(file),
         SettingsCommand::Diff { file, rules } => diff(file, rules),
     }
 }
 
-/// A configuration with the table for replication, and that table.
+/// Reads a configuration, which must have the table for replication.
 fn read_config(path: &Path) -> Result<(ApplianceConfig, ReplicationConfig), Error> {
     let config = CheckedConfig::read(path)?.config;
     match config.replication.clone() {
@@ -33,14 +34,20 @@
     }
 }
 
-/// The text of a version, and the plans that follow from it.
-fn read_rules(path: &Path, config: &ApplianceConfig) -> Result<(String, Vec<PlanConfig>), Error> {
-    let text = read(path)?;
+/// A file with plans.
+struct PlanFile {
+    text: String,
+    /// The configuration's plans with the changes of the file.
+    plans: Vec<PlanConfig>,
+}
+
+fn read_plan_file(path: &Path, config: &ApplianceConfig) -> Result<PlanFile, Error> {
+    let text = read_text(path)?;
     let plans = apply_version(config, &text).map_err(Error::settings(path))?;
-    Ok((text, plans))
+    Ok(PlanFile { text, plans })
 }
 
-fn begin(path: &Path) -> Result<(), Error> {
+fn create_log(path: &Path) -> Result<(), Error> {
     let (_, replication) = read_config(path)?;
     if replication.listen.is_none() {
         return Err(Error::NotAReplica);
@@ -53,7 +60,7 @@
 
 fn propose(path: &Path, rules: &Path, expected_version: Option<u64>) -> Result<(), Error> {
     let (config, replication) = read_config(path)?;
-    let (text, _) = read_rules(rules, &config)?;
+    let PlanFile { text, .. } = read_plan_file(rules, &config)?;
     let replicas = Replicas::new(&config, &replication, path)?;
     match replicas.propose(text, expected_version)? {
         ProposalOutcome::Accepted(version) => {
@@ -91,15 +98,16 @@
     println!("# version {number}, {state}, by {proposed_by}\n{}", text.trim_end());
 }
 
+/// Prints the figures that a file with plans would change.
 fn diff(path: &Path, rules: &Path) -> Result<(), Error> {
     let (config, replication) = read_config(path)?;
-    let (_, new) = read_rules(rules, &config)?;
+    let new_plans = read_plan_file(rules, &config)?.plans;
     let in_force = Replicas::new(&config, &replication, path)?.versions()?.in_force;
-    let old = match &in_force {
+    let old_plans = match &in_force {
         Some(version) => apply_version(&config, &version.text).map_err(Error::settings(path))?,
         None => config.plans.clone(),
     };
-    old.iter().zip(&new).for_each(|(old, new)| print_changes(old, new));
+    old_plans.iter().zip(&new_plans).for_each(|(old, new)| print_changes(old, new));
     Ok(())
 }
 
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -1,4 +1,4 @@
-//! Calls to the replicas that a file names, with that file's keys.
+//! A client of the replicas of the configuration.
 
 use crate::cluster_settings::keyring;
 use crate::error::Error;
@@ -10,27 +10,27 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// All replicas are tried for this long.
-const TOTAL_TIMEOUT: Duration = Duration::from_secs(10);
-/// One that has not answered within this is given up for the next.
+/// Time-out for a call to the leader, over all replicas and retries.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time-out for the answer of one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two rounds of all replicas.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Who proposes, where the environment names nobody.
+/// Pause before all replicas are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The proposer's name if the environment has none.
 const UNKNOWN_USER: &str = "somebody";
 
-/// The replicas, as a client sees them.
+/// The replicas, with the keys for authenticating messages.
 pub(super) struct Replicas<'a> {
     replicas: &'a [ReplicaConfig],
     keys: Keyring,
 }
 
 impl<'a> Replicas<'a> {
-    /// The replicas of the file `path`.
+    /// Creates a client of the replicas in the configuration file `path`.
     ///
     /// # Errors
     ///
-    /// The key file cannot be read or used.
+    /// The key file cannot be read, or is invalid.
     pub(super) fn new(
         config: &ApplianceConfig,
         replication: &'a ReplicationConfig,
@@ -39,18 +39,18 @@
         Ok(Self { replicas: &replication.replicas, keys: keyring(config, path)? })
     }
 
-    /// Proposes a version. It is accepted only if `expected_version` is in force, where one is given.
+    /// Proposes a version. With an `expected_version` it is accepted only if that version is in force.
     ///
     /// # Errors
     ///
-    /// No majority answers.
+    /// No leader answers in time.
     pub(super) fn propose(
         &self,
         text: String,
         expected_version: Option<u64>,
     ) -> Result<ProposalOutcome, Error> {
         let proposed_by = std::env::var("USER").unwrap_or_else(|_| UNKNOWN_USER.into());
-        // The same id in each attempt: a proposal whose answer was lost is accepted once.
+        // Retries have the same id, so that a proposal whose answer was lost is accepted once only.
         let id = ProposalId(unique_number());
         let message = Message::Propose(Proposal { id, proposed_by, expected_version, text });
         let is_answer =
@@ -61,11 +61,11 @@
         }
     }
 
-    /// The version in force and the proposed one.
+    /// Reads the version in force and the proposed one.
     ///
     /// # Errors
     ///
-    /// No majority answers.
+    /// No leader answers in time.
     pub(super) fn versions(&self) -> Result<VersionTexts, Error> {
         let id = RequestId(unique_number());
         let request = Message::LeaseRequest(LeaseRequest {
@@ -81,32 +81,31 @@
         }
     }
 
-    /// Sends a message to one replica after the other until one of them is the leader and answers.
+    /// Sends a message to one replica after the other until the leader answers.
     fn call_leader(&self, message: &Message, is_answer: impl Fn(&Message) -> bool) -> Result<Message, Error> {
-        let until = Instant::now() + TOTAL_TIMEOUT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let mut last = String::new();
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             for replica in self.replicas {
-                let is_any_answer = |answer: &Message| is_answer(answer) || is_redirect(answer);
-                match config_node::call(replica.address, &self.keys, message, REPLICA_TIMEOUT, is_any_answer)
-                {
+                let is_reply = |reply: &Message| is_answer(reply) || is_redirect(reply);
+                match config_node::call(replica.address, &self.keys, message, REPLICA_TIMEOUT, is_reply) {
                     Ok(answer) if is_answer(&answer) => return Ok(answer),
                     Ok(_) => last = format!("{} does not lead", replica.name),
                     Err(error) => last = format!("{}: {error}", replica.name),
                 }
             }
-            std::thread::sleep(RETRY_PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
         Err(Error::NoMajority { last })
     }
 }
 
-/// The answer of a replica that is not the leader.
+/// Whether a message is the answer of a replica that is not the leader.
 fn is_redirect(answer: &Message) -> bool {
     matches!(answer, Message::RedirectLeaseRequest { .. } | Message::RedirectProposal { .. })
 }
 
-/// A number that no other call has.
+/// A number that is unlikely to be used by any other call: it mixes the time with the process id.
 fn unique_number() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     now ^ u64::from(std::process::id()).rotate_left(40)
