--- a/crates/snowfield/tests/admin.rs
+++ b/crates/snowfield/tests/admin.rs
@@ -9,12 +9,12 @@
 
 #[test]
 fn the_admin_listener_answers_commands_and_rejects_others() {
-    let (site, admin) = site_with_admin("admin", &Shape::default());
-    assert_eq!(call(admin, "readyz"), "OK\n");
-    let text = call(admin, "telemetry");
+    let (site, admin) = site_with_admin("admin", &SiteOptions::default());
+    assert_eq!(admin_command(admin, "readyz"), "OK\n");
+    let text = admin_command(admin, "telemetry");
     assert!(text.starts_with("OK\n") && text.ends_with("\nEND\n"), "{text}");
     for bad in ["", "stop", "exclude", "exclude s-unknown", "include s-unknown", "readyz now"] {
-        let reply = call(admin, bad);
+        let reply = admin_command(admin, bad);
         assert!(reply.starts_with("ERR ") && reply.lines().count() == 1, "{bad:?}: {reply:?}");
     }
     // Several lines, an endless line and garbage get one reply each.
@@ -27,7 +27,7 @@
 /// Guards the 1 s in which a caller is answered: callers who complete no call must not keep others waiting.
 #[test]
 fn clients_that_complete_no_command_delay_nobody() {
-    let (site, admin) = site_with_admin("stuck", &Shape::default());
+    let (site, admin) = site_with_admin("stuck", &SiteOptions::default());
     let stuck: Vec<TcpStream> = (0..60)
         .map(|number| {
             let mut caller = TcpStream::connect(admin).expect("the admin listener accepts");
@@ -37,17 +37,17 @@
         })
         .collect();
     for _ in 0..20 {
-        let begun = std::time::Instant::now();
-        assert_eq!(call(admin, "readyz"), "OK\n");
-        assert!(begun.elapsed().as_millis() < 1000, "{:?}", begun.elapsed());
+        let started = std::time::Instant::now();
+        assert_eq!(admin_command(admin, "readyz"), "OK\n");
+        assert!(started.elapsed().as_millis() < 1000, "{:?}", started.elapsed());
     }
     drop((stuck, site));
 }
 
 #[test]
 fn a_bad_operator_address_is_rejected_at_the_start() {
-    let folder = TestDirectory::new("bad-admin");
-    let path = folder.write("config.json", &config(unused_address(), &Shape::default()));
+    let directory = TestDirectory::new("bad-admin");
+    let path = directory.write("config.json", &config(unused_address(), &SiteOptions::default()));
     let (good, text) = run(&[], &[("BALANCER_CONFIG", &path), ("BALANCER_OPERATOR", "9600")]);
     assert!(!good && text.contains("BALANCER_OPERATOR"), "{text}");
 }
@@ -55,18 +55,18 @@
 /// Guards the figures: each operation ends in exactly one of them, and each attempt that was written whole counts.
 #[test]
 fn metrics_agree_with_what_clients_and_backends_saw() {
-    let (at, seen) = backend(read_resp_command, |words| match words[2].as_bytes().last() {
+    let (address, events) = backend(read_resp_command, |words| match words[2].as_bytes().last() {
         Some(b'1') => Behaviour::Reply(b"-ERR failed\r\n".to_vec()),
         Some(b'2') => Behaviour::NoReply,
         _ => Behaviour::Reply(backend_reply(&words[2])),
     });
-    let shape = Shape { destinations: &[at], attempts: 1, ..Shape::default() };
-    let (site, admin) = site_with_admin("figures", &shape);
+    let options = SiteOptions { backends: &[address], attempts: 1, ..SiteOptions::default() };
+    let (site, admin) = site_with_admin("figures", &options);
     // One client at a time: as long as its request is open it is pending.
     let mut waits = Client::connect(site.listen);
     waits.send(&query(0xf2, 2400, 1));
-    next_request(&seen);
-    assert_eq!(metric(&call(admin, "telemetry"), "balancer_pending"), 1);
+    next_request(&events);
+    assert_eq!(read_metric(admin, "balancer_pending"), 1);
     drop(waits);
     let (mut served, mut refused, mut failed) = (0, 0, 0);
     let mut client = Client::connect(site.listen);
@@ -80,11 +80,11 @@
     }
     client.send(&resp_command(&["NONSENSE"]));
     assert!(client.reply().starts_with("-ERR"));
-    let text = call(admin, "telemetry");
+    let text = admin_command(admin, "telemetry");
     let of = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
     assert_eq!((of("completed"), of("rejected"), of("failed")), (served, refused, failed));
     assert_eq!(metric(&text, "balancer_pending"), 0, "who left is not pending");
-    assert_eq!(metric(&text, "balancer_upstream_requests_total"), 1 + all_requests(&seen).len() as u64);
+    assert_eq!(metric(&text, "balancer_upstream_requests_total"), 1 + all_requests(&events).len() as u64);
     assert!(served > 0 && refused > 0, "a mixed run: {served} {refused} {failed}");
     assert_eq!(metric(&text, "balancer_members"), 1);
 }
@@ -92,45 +92,46 @@
 /// Guards the ban: it holds whatever the list says, and ends with one call back however often it was called out.
 #[test]
 fn an_ejected_backend_gets_nothing_until_it_is_restored() {
-    let ((one, seen_one), (two, seen_two)) = (echo(), echo());
-    let (site, admin) = site_with_admin("out", &Shape { destinations: &[one, two], ..Shape::default() });
+    let ((one, events_one), (two, events_two)) = (echo_backend(), echo_backend());
+    let (site, admin) =
+        site_with_admin("out", &SiteOptions { backends: &[one, two], ..SiteOptions::default() });
     for _ in 0..2 {
-        assert_eq!(call(admin, "exclude s-0"), "OK\n");
+        assert_eq!(admin_command(admin, "exclude s-0"), "OK\n");
     }
-    assert_eq!(metric(&call(admin, "telemetry"), "balancer_members_unavailable"), 1);
+    assert_eq!(read_metric(admin, "balancer_members_unavailable"), 1);
     let mut number = 0;
     let mut ask = |site: &Site, times| {
         let mut client = Client::connect(site.listen);
         for _ in 0..times {
             number += 1;
-            client.send(&query_of_another_tenant(number));
+            client.send(&query_of_new_tenant(number));
             client.reply();
         }
     };
     ask(&site, 6);
     // A list in which it goes and comes back changes nothing.
     for (rev, state, members) in [(41, "removed", 1), (42, "up", 2)] {
-        site.watch.send(list(rev, false, &[host("s-0", one, state)])).expect("the agent writes");
-        while metric(&call(admin, "telemetry"), "balancer_members") != members {}
+        site.watch.send(list_delta(rev, &[endpoint("s-0", one, state)])).expect("the agent writes");
+        while read_metric(admin, "balancer_members") != members {}
         ask(&site, 6);
     }
-    assert_eq!(all_requests(&seen_one).len(), 0, "it is out");
-    assert!(!all_requests(&seen_two).is_empty());
-    assert_eq!(call(admin, "exclude s-1"), "OK\n");
+    assert_eq!(all_requests(&events_one).len(), 0, "it is out");
+    assert!(!all_requests(&events_two).is_empty());
+    assert_eq!(admin_command(admin, "exclude s-1"), "OK\n");
     let mut client = Client::connect(site.listen);
-    client.send(&query_of_another_tenant(1000));
+    client.send(&query_of_new_tenant(1000));
     assert!(client.reply().starts_with("-BUSY"), "with all out it is refused at once");
-    assert_eq!(call(admin, "include s-0"), "OK\n");
-    let begun = std::time::Instant::now();
-    while all_requests(&seen_one).is_empty() {
+    assert_eq!(admin_command(admin, "include s-0"), "OK\n");
+    let started = std::time::Instant::now();
+    while all_requests(&events_one).is_empty() {
         ask(&site, 1);
-        assert!(begun.elapsed() < TIMEOUT, "it is used again");
+        assert!(started.elapsed() < TIMEOUT, "it is used again");
     }
-    assert_eq!(all_requests(&seen_two).len(), 0, "the other one is still out");
+    assert_eq!(all_requests(&events_two).len(), 0, "the other one is still out");
     // One that has left the list can be called back, and is nobody's after that.
-    site.watch.send(list(43, false, &[host("s-1", two, "removed")])).expect("the agent writes");
-    while metric(&call(admin, "telemetry"), "balancer_members") != 1 {}
-    assert_eq!(call(admin, "include s-1"), "OK\n");
-    assert_eq!(call(admin, "include s-1"), "ERR no such loan server\n");
-    assert_eq!(call(admin, "exclude s-1"), "ERR no such loan server\n");
+    site.watch.send(list_delta(43, &[endpoint("s-1", two, "removed")])).expect("the agent writes");
+    while read_metric(admin, "balancer_members") != 1 {}
+    assert_eq!(admin_command(admin, "include s-1"), "OK\n");
+    assert_eq!(admin_command(admin, "include s-1"), "ERR no such loan server\n");
+    assert_eq!(admin_command(admin, "exclude s-1"), "ERR no such loan server\n");
 }
--- a/crates/snowfield/tests/common/admin.rs
+++ b/crates/snowfield/tests/common/admin.rs
@@ -3,65 +3,55 @@
 use super::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::mpsc::{Receiver, Sender, channel};
 
 /// Sends a command to an admin listener and returns the whole reply.
-pub fn call(admin: SocketAddr, line: &str) -> String {
+pub fn admin_command(admin: SocketAddr, line: &str) -> String {
     send_bytes(admin, format!("{line}\n").as_bytes())
 }
 
+/// Sends bytes to an admin listener and returns the whole reply.
 pub fn send_bytes(admin: SocketAddr, bytes: &[u8]) -> String {
-    let mut caller = TcpStream::connect(admin).expect("the admin listener accepts");
-    caller.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
-    caller.write_all(bytes).expect("the admin listener reads");
+    let mut client = TcpStream::connect(admin).expect("the admin listener accepts");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
+    client.write_all(bytes).expect("the admin listener reads");
     let mut reply = String::new();
-    caller.read_to_string(&mut reply).expect("a reply and an end");
+    client.read_to_string(&mut reply).expect("a reply and an end");
     reply
 }
 
 /// The metric of this name in a reply to `telemetry`.
 pub fn metric(text: &str, name: &str) -> u64 {
-    let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
-    line.unwrap_or_else(|| panic!("{name} in {text}")).parse().expect("a number")
+    let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    value.unwrap_or_else(|| panic!("{name} in {text}")).parse().expect("a number")
 }
 
-pub fn site_with_admin(test: &str, shape: &Shape<'_>) -> (Site, SocketAddr) {
-    let folder = TestDirectory::new(&format!("{test}-tmp"));
-    let tmp = folder.path().to_str().expect("a path in UTF-8");
-    let mut site = site_with(test, shape, &[("BALANCER_OPERATOR", "127.0.0.1:0"), ("TMPDIR", tmp)]);
-    site.shared = Some(folder);
-    let admin = site.admin.expect("operators are answered");
-    (site, admin)
+/// The current metric of this name.
+pub fn read_metric(admin: SocketAddr, name: &str) -> u64 {
+    metric(&admin_command(admin, "telemetry"), name)
 }
 
-/// A backend that replies to this request at a signal only, and does this with all others.
-pub fn holds(
-    number: u32,
-    others: fn(&[String]) -> Behaviour,
-) -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>, Sender<()>) {
-    let (release, word) = channel();
-    let word = std::sync::Mutex::new(Some(word));
-    let (at, seen) = backend(read_resp_command, move |words| {
-        if words[2] != id(number) {
-            return others(words);
-        }
-        let word = word.lock().expect("no stand-in panics").take().expect("one request");
-        Behaviour::ReplyAfter(word, backend_reply(&words[2]))
-    });
-    (at, seen, release)
+/// Starts a site with an admin listener, and returns its address as well.
+pub fn site_with_admin(test: &str, options: &SiteOptions<'_>) -> (Site, SocketAddr) {
+    let shared_directory = TestDirectory::new(&format!("{test}-tmp"));
+    let shared_path = shared_directory.path().to_str().expect("a path in UTF-8");
+    let variables = [("BALANCER_OPERATOR", "127.0.0.1:0"), ("TMPDIR", shared_path)];
+    let mut site = site_with_environment(test, options, &variables);
+    site.shared_directory = Some(shared_directory);
+    let admin = site.admin.expect("operators are answered");
+    (site, admin)
 }
 
-/// Starts the successor of a site's process, as an upgrade does, and waits until it is ready.
+/// Starts the successor of a site's process, and waits until it is ready.
 pub fn start_successor(site: &Site) -> (Program, SocketAddr) {
-    let path = site.folder.path().join("config.json");
-    let tmp = &site.shared.as_ref().expect("a directory that both share").path();
+    let config_path = site.directory.path().join("config.json");
+    let shared_directory = site.shared_directory.as_ref().expect("a directory that both share");
     let variables = [
-        ("BALANCER_CONFIG", path.to_str().expect("a path in UTF-8")),
+        ("BALANCER_CONFIG", config_path.to_str().expect("a path in UTF-8")),
         ("BALANCER_OPERATOR", "127.0.0.1:0"),
-        ("TMPDIR", tmp.to_str().expect("a path in UTF-8")),
+        ("TMPDIR", shared_directory.path().to_str().expect("a path in UTF-8")),
     ];
     let program = Program::start(&[], &variables);
-    let admin = program.logged("operators are answered on ").parse().expect("an address");
-    while call(admin, "readyz") != "OK\n" {}
+    let admin = admin_address(&program);
+    while admin_command(admin, "readyz") != "OK\n" {}
     (program, admin)
 }
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -2,10 +2,13 @@
 #![allow(dead_code, unused_imports)]
 
 pub mod admin;
+mod held_backend;
 mod site;
+pub mod soak;
 
 pub use fault_injection::test_directory::TestDirectory;
 pub use fault_injection::wire::{backend_reply, read_resp_command, resp_command};
+pub use held_backend::*;
 pub use site::*;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -1,52 +1,70 @@
-//! One gatekeeper of the platform with stand-ins around it.
+//! A gatekeeper of the platform with a stand-in for the discovery agent.
 
 use super::*;
 
-/// One gatekeeper with stand-ins around it.
+/// A running gatekeeper with its discovery agent.
 pub struct Site {
     pub program: Program,
+    /// The address for clients.
     pub listen: SocketAddr,
     pub agent: Agent,
-    /// The watch that the program opened first.
+    /// Sends lines to the first watch of the program.
     pub watch: Sender<String>,
-    pub folder: TestDirectory,
-    /// Where operators call, if they may.
+    /// The directory of the configuration file.
+    pub directory: TestDirectory,
+    /// The address of the admin listener, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The folder that programs of an upgrade share.
-    pub shared: Option<TestDirectory>,
+    /// The directory that predecessor and successor share in a hot restart.
+    pub shared_directory: Option<TestDirectory>,
 }
 
-pub struct Shape<'a> {
-    pub destinations: &'a [SocketAddr],
+/// The parts of the configuration that differ between tests.
+pub struct SiteOptions<'a> {
+    pub backends: &'a [SocketAddr],
     pub counter: Option<SocketAddr>,
     pub gatekeepers: u32,
+    /// Limit on the attempts of a request.
     pub attempts: u32,
+    /// Limit on the program's descriptors.
     pub sockets: u32,
 }
 
-impl Default for Shape<'_> {
+impl Default for SiteOptions<'_> {
     fn default() -> Self {
-        Self { destinations: &[], counter: None, gatekeepers: 1, attempts: 3, sockets: 1024 }
+        Self { backends: &[], counter: None, gatekeepers: 1, attempts: 3, sockets: 1024 }
     }
 }
 
-pub fn host(uid: &str, at: SocketAddr, state: &str) -> String {
+/// The version of the endpoint list in the configuration.
+const CONFIGURED_LIST_VERSION: u64 = 40;
+
+/// An entry of an endpoint list.
+pub fn endpoint(id: &str, address: SocketAddr, state: &str) -> String {
     format!(
-        r#"{{"uid":"{uid}","endpoint":"{at}","az":"z","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
+        r#"{{"uid":"{id}","endpoint":"{address}","az":"z","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-pub fn list(rev: u64, all: bool, hosts: &[String]) -> String {
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, hosts.join(","))
+/// An endpoint list that replaces the one before.
+pub fn full_list(version: u64, endpoints: &[String]) -> String {
+    format!(r#"{{"rev":{version},"all":true,"targets":[{}]}}"#, endpoints.join(","))
+}
+
+/// Changes of an endpoint list.
+pub fn list_delta(version: u64, endpoints: &[String]) -> String {
+    format!(r#"{{"rev":{version},"all":false,"targets":[{}]}}"#, endpoints.join(","))
 }
 
-pub fn hosts(destinations: &[SocketAddr]) -> Vec<String> {
-    destinations.iter().enumerate().map(|(i, at)| host(&format!("s-{i}"), *at, "up")).collect()
+/// Entries for these backends, with the ids `s-0`, `s-1` and so on.
+fn endpoints(backends: &[SocketAddr]) -> Vec<String> {
+    let entry = |(index, address): (usize, &SocketAddr)| endpoint(&format!("s-{index}"), *address, "up");
+    backends.iter().enumerate().map(entry).collect()
 }
 
-pub fn config(agent: SocketAddr, shape: &Shape<'_>) -> String {
-    let counter = shape.counter.map_or(String::new(), |at| format!(r#""counter":"{at}","#));
-    let known = list(40, true, &hosts(shape.destinations));
+/// The text of a configuration file.
+pub fn config(agent: SocketAddr, options: &SiteOptions<'_>) -> String {
+    let counter = options.counter.map_or(String::new(), |address| format!(r#""counter":"{address}","#));
+    let known = full_list(CONFIGURED_LIST_VERSION, &endpoints(options.backends));
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{agent}","seed":"8c1f30d27a5be964",{counter}
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},
@@ -57,64 +75,81 @@
         "contracts":[{{"name":"team","per-second":4.0,"depth":8.0}}],
         "report":{{"columns":["active","waiting","avg_ms"],"how":"inline"}},
         "specifics":{{"may-count":true,"count-wait-us":30000,"largest":8}}}}}}"#,
-        gatekeepers = shape.gatekeepers,
-        attempts = shape.attempts,
-        sockets = shape.sockets
+        gatekeepers = options.gatekeepers,
+        attempts = options.attempts,
+        sockets = options.sockets
     )
 }
 
-pub fn site(test: &str, shape: &Shape<'_>) -> Site {
-    site_with(test, shape, &[])
+/// Starts a site. `test` names its directory.
+pub fn site(test: &str, options: &SiteOptions<'_>) -> Site {
+    site_with_environment(test, options, &[])
 }
 
-/// The same with more in its environment.
-pub fn site_with(test: &str, shape: &Shape<'_>, variables: &[(&str, &str)]) -> Site {
-    start(test, shape, variables, |text| text)
+/// Starts a site whose program has further environment variables.
+pub fn site_with_environment(test: &str, options: &SiteOptions<'_>, variables: &[(&str, &str)]) -> Site {
+    start(test, options, variables, |text| text)
 }
 
-/// The same with another text of its configuration.
-pub fn site_of(test: &str, shape: &Shape<'_>, change: impl FnOnce(String) -> String) -> Site {
-    start(test, shape, &[], change)
+/// Starts a site whose configuration is changed by `change`.
+pub fn site_with_config(
+    test: &str,
+    options: &SiteOptions<'_>,
+    change: impl FnOnce(String) -> String,
+) -> Site {
+    start(test, options, &[], change)
 }
 
 fn start(
     test: &str,
-    shape: &Shape<'_>,
+    options: &SiteOptions<'_>,
     variables: &[(&str, &str)],
     change: impl FnOnce(String) -> String,
 ) -> Site {
-    let (agent, folder) = (agent(), TestDirectory::new(test));
-    let path = folder.write("config.json", &change(config(agent.address, shape)));
+    let (agent, directory) = (agent(), TestDirectory::new(test));
+    let path = directory.write("config.json", &change(config(agent.address, options)));
     let variables = [&[("BALANCER_CONFIG", path.as_str())], variables].concat();
     let program = Program::start(&[], &variables);
-    let operated = variables.iter().any(|(name, _)| *name == "BALANCER_OPERATOR");
-    let admin = operated.then(|| program.logged("operators are answered on ").parse().expect("an address"));
-    let listen = program.logged("serving on ").parse().expect("an address");
+    let has_admin = variables.iter().any(|(name, _)| *name == "BALANCER_OPERATOR");
+    let admin = has_admin.then(|| admin_address(&program));
+    let listen = listen_address(&program);
     let (_, watch) = next(&agent.watches);
-    Site { program, listen, agent, watch, folder, admin, shared: None }
+    Site { program, listen, agent, watch, directory, admin, shared_directory: None }
+}
+
+/// Waits until a program serves, and returns its address for clients.
+pub fn listen_address(program: &Program) -> SocketAddr {
+    program.logged("serving on ").parse().expect("an address")
+}
+
+/// Waits until a program has an admin listener, and returns its address.
+pub fn admin_address(program: &Program) -> SocketAddr {
+    program.logged("operators are answered on ").parse().expect("an address")
 }
 
-pub fn query(id: u32, wait_ms: u32, units: u32) -> Vec<u8> {
-    query_of(id, wait_ms, units, 1)
+/// A request of the default tenant, which comes through one gatekeeper.
+pub fn query(number: u32, time_left_ms: u32, units: u32) -> Vec<u8> {
+    query_through_gatekeepers(number, time_left_ms, units, 1)
 }
 
-/// A request of a customer that comes through so many gatekeepers.
-pub fn query_of(id: u32, wait_ms: u32, units: u32, spread: u32) -> Vec<u8> {
-    let fields = format!("c=lookup,t=team,d={wait_ms},units={units},spread={spread},first=0");
-    resp_command(&["SVC.QUERY", "00000000b4d65521", &format!("{id:016x}"), &fields])
+/// A request of the default tenant, whose requests come through this many gatekeepers.
+pub fn query_through_gatekeepers(number: u32, time_left_ms: u32, units: u32, gatekeepers: u32) -> Vec<u8> {
+    let fields = format!("c=lookup,t=team,d={time_left_ms},units={units},spread={gatekeepers},first=0");
+    resp_command(&["SVC.QUERY", "00000000b4d65521", &request_id(number), &fields])
 }
 
-/// A request of one unit by a customer of its own, so that no quota is in the way.
-pub fn query_of_another_tenant(id: u32) -> Vec<u8> {
+/// A request of one unit by a tenant that has no other request, so that no quota is exhausted.
+pub fn query_of_new_tenant(number: u32) -> Vec<u8> {
     let fields = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
-    resp_command(&["SVC.QUERY", &format!("{id:016x}"), &format!("{id:016x}"), fields])
+    resp_command(&["SVC.QUERY", &request_id(number), &request_id(number), fields])
 }
 
-/// A destination that serves each request with the id that it came with.
-pub fn echo() -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>) {
+/// A backend that replies to each request with its id.
+pub fn echo_backend() -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>) {
     backend(read_resp_command, |words| Behaviour::Reply(backend_reply(&words[2])))
 }
 
-pub fn id(number: u32) -> String {
+/// The id of the request with this number.
+pub fn request_id(number: u32) -> String {
     format!("{number:016x}")
 }
--- a/crates/snowfield/tests/connections.rs
+++ b/crates/snowfield/tests/connections.rs
@@ -8,11 +8,11 @@
 /// Guards heads that come slowly: a command may take a client 2 s.
 #[test]
 fn a_client_may_take_two_seconds_for_a_command() {
-    let (at, _seen) = echo();
-    let site = site("slow-head", &Shape { destinations: &[at], ..Shape::default() });
+    let (address, _events) = echo_backend();
+    let site = site("slow-head", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
-    let whole = query_of_another_tenant(1);
-    let begun = std::time::Instant::now();
+    let whole = query_of_new_tenant(1);
+    let started = std::time::Instant::now();
     client.send(&whole[..10]);
     client
         .reads
@@ -20,31 +20,31 @@
         .set_read_timeout(Some(std::time::Duration::from_millis(1_950)))
         .expect("it can be set");
     assert!(client.reads.read(&mut [0; 1]).is_err(), "nothing is said to half a command");
-    assert!(begun.elapsed().as_millis() < 2_200);
+    assert!(started.elapsed().as_millis() < 2_200);
     client.reads.get_ref().set_read_timeout(Some(TIMEOUT)).expect("it can be set");
     client.send(&whole[10..]);
-    assert_eq!(client.reply(), id(1));
+    assert_eq!(client.reply(), request_id(1));
 }
 
 /// Guards half the memory: connections that idle or stop half way hold little, and a real client is let in meanwhile.
 #[test]
 fn idle_connections_hold_little_memory() {
-    let (at, _seen) = echo();
-    let site = site("idle-memory", &Shape { destinations: &[at], ..Shape::default() });
+    let (address, _events) = echo_backend();
+    let site = site("idle-memory", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut first = Client::connect(site.listen);
-    first.send(&query_of_another_tenant(1));
-    assert_eq!(first.reply(), id(1));
+    first.send(&query_of_new_tenant(1));
+    assert_eq!(first.reply(), request_id(1));
     let before = site.program.memory_kb();
     let crowd: Vec<Client> = (0..600)
         .map(|number| {
             let mut client = Client::connect(site.listen);
-            client.send(&query_of_another_tenant(100)[..number % 90]);
+            client.send(&query_of_new_tenant(100)[..number % 90]);
             client
         })
         .collect();
     let mut client = Client::connect(site.listen);
-    client.send(&query_of_another_tenant(2));
-    assert_eq!(client.reply(), id(2));
+    client.send(&query_of_new_tenant(2));
+    assert_eq!(client.reply(), request_id(2));
     let each = (site.program.memory_kb().saturating_sub(before)) as f64 / crowd.len() as f64;
     println!("{each:.1} kB for each idle connection");
     assert!(each < 16.0, "{each} kB for each idle connection");
--- a/crates/snowfield/tests/deadlines.rs
+++ b/crates/snowfield/tests/deadlines.rs
@@ -33,7 +33,7 @@
 fn site_telling_times(test: &str) -> Site {
     let (backend_address, _) =
         backend(read_resp_command, |words| Behaviour::Reply(backend_reply(&time_left_ms(words).to_string())));
-    site(test, &Shape { destinations: &[backend_address], ..Shape::default() })
+    site(test, &SiteOptions { backends: &[backend_address], ..SiteOptions::default() })
 }
 
 /// Guards backends against work that nobody waits for: where a full table keeps connections at the listener, the time that a request
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -10,9 +10,9 @@
 /// their answers, 18 of 48 MiB, and 3 for what is on its way beside them.
 const MOST_KB: u64 = 21 * 1024;
 
-fn small_site(test: &str, destinations: &[std::net::SocketAddr]) -> Site {
-    let shape = Shape { destinations, sockets: 640, ..Shape::default() };
-    site_of(test, &shape, |text| {
+fn small_site(test: &str, backends: &[std::net::SocketAddr]) -> Site {
+    let options = SiteOptions { backends, sockets: 640, ..SiteOptions::default() };
+    site_with_config(test, &options, |text| {
         text.replace(r#""memory_mb":192"#, r#""memory_mb":48"#).replace("read_like", "non_idempotent")
     })
 }
@@ -20,7 +20,7 @@
 /// A request with a body of so many bytes, by a customer of its own.
 fn with_body(number: u32, body: usize) -> Vec<u8> {
     let fields = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
-    resp_command(&["SVC.SUBMIT", &id(number), &id(number), fields, &"x".repeat(body)])
+    resp_command(&["SVC.SUBMIT", &request_id(number), &request_id(number), fields, &"x".repeat(body)])
 }
 
 /// What a usual client hears, and what the process holds then.
@@ -45,14 +45,14 @@
 /// BackendEvent: 400 clients that stopped half way through a body of 64 kB had the program hold 45 MB of its 48.
 #[test]
 fn partial_requests_of_many_clients_stay_within_memory() {
-    let (at, _seen) = echo();
-    let site = small_site("half-flood", &[at]);
+    let (address, _events) = echo_backend();
+    let site = small_site("half-flood", &[address]);
     let (mut crowd, before) = crowd(&site, 400);
     for (client, number) in crowd.iter_mut().zip(1_000..) {
         let _ = client.writes.write_all(&with_body(number, 65_000)[..64_000]);
     }
     let (reply, held) = usual(&site, 1);
-    assert_eq!(reply, id(1), "others are served");
+    assert_eq!(reply, request_id(1), "others are served");
     assert!(held < before + MOST_KB, "{before} and then {held} KiB");
 }
 
@@ -60,22 +60,22 @@
 /// the longest kind. Beyond the bound further requests are told to come back.
 #[test]
 fn queued_answers_stay_within_memory() {
-    let (at, seen) = backend(read_resp_command, |words| match words[2] == id(1) {
+    let (address, events) = backend(read_resp_command, |words| match words[2] == request_id(1) {
         true => Behaviour::NoReply,
         false => Behaviour::Reply(backend_reply(&"v".repeat(60_000))),
     });
-    let site = small_site("in-line", &[at]);
+    let site = small_site("in-line", &[address]);
     let (mut crowd, before) = crowd(&site, 2);
-    all_requests(&seen);
+    all_requests(&events);
     let client = &mut crowd[0];
     client.send(&with_body(1, 10));
-    let (mut served, begun) = (0, Instant::now());
+    let (mut served, started) = (0, Instant::now());
     // Each is at its destination before the next one is sent, or is not sent on; the first has its answer after 2.4 s.
     for number in 2..700 {
         client.send(&with_body(number, 10));
-        let mut sent_on = std::iter::from_fn(|| seen.recv_timeout(Duration::from_millis(100)).ok());
+        let mut sent_on = std::iter::from_fn(|| events.recv_timeout(Duration::from_millis(100)).ok());
         served += u32::from(sent_on.any(|what| matches!(what, BackendEvent::Request(_))));
-        if begun.elapsed() > Duration::from_millis(2_000) {
+        if started.elapsed() > Duration::from_millis(2_000) {
             break;
         }
     }
@@ -87,15 +87,15 @@
 /// with a hundred such clients a usual one had no answer in time.
 #[test]
 fn unread_answers_stay_within_memory_and_others_are_served() {
-    let (at, _seen) = echo();
-    let site = small_site("unread-flood", &[at]);
+    let (address, _events) = echo_backend();
+    let site = small_site("unread-flood", &[address]);
     let (mut crowd, before) = crowd(&site, 100);
     let pings = resp_command(&["PING"]).repeat(400_000);
     for client in &mut crowd {
         let _ = client.writes.write_all(&pings);
     }
     let (reply, held) = usual(&site, 1);
-    assert_eq!(reply, id(1), "others are served");
+    assert_eq!(reply, request_id(1), "others are served");
     assert!(held < before + MOST_KB, "{before} and then {held} KiB");
 }
 
@@ -103,22 +103,22 @@
 /// the loan servers still get theirs, those who wait at the door cost no work, and all are served when it returns.
 #[test]
 fn idle_clients_take_no_descriptor_from_discovery_counter_and_backends() {
-    let (at, _seen) = echo();
+    let (address, _events) = echo_backend();
     let (counter, added) = counter(0.0);
-    let (agent, folder) = (unused_address(), TestDirectory::new("descriptors"));
-    let shape = Shape {
-        destinations: &[at],
+    let (agent, directory) = (unused_address(), TestDirectory::new("descriptors"));
+    let options = SiteOptions {
+        backends: &[address],
         counter: Some(counter),
         gatekeepers: 2,
         sockets: 96,
-        ..Shape::default()
+        ..SiteOptions::default()
     };
-    let path = folder.write("config.json", &config(agent, &shape));
+    let path = directory.write("config.json", &config(agent, &options));
     let program = Program::start_with(96, &[("BALANCER_CONFIG", &path)]);
-    let listen: std::net::SocketAddr = program.logged("serving on ").parse().expect("an address");
+    let listen = listen_address(&program);
     let usual = |number: u32| {
         let fields = "c=lookup,t=team,d=2400,units=1,spread=2,first=0";
-        resp_command(&["SVC.QUERY", &id(number), &id(number), fields])
+        resp_command(&["SVC.QUERY", &request_id(number), &request_id(number), fields])
     };
     // Each has used its connection and rests until the gatekeeper ends it; beyond the table they wait at the door.
     let mut crowd: Vec<Client> = (0..200).map(|_| Client::connect(listen)).collect();
@@ -139,7 +139,7 @@
         busy.push(client);
     }
     let replies: Vec<String> = busy.iter_mut().map(Client::reply).collect();
-    let served = replies.iter().zip(1..).filter(|(reply, number)| **reply == id(*number)).count();
+    let served = replies.iter().zip(1..).filter(|(reply, number)| **reply == request_id(*number)).count();
     assert_eq!(served, 40, "{replies:?}");
     next(&added);
     let (ticks, span) = (program.processor_ticks() - before.0, before.1.elapsed());
--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -10,7 +10,7 @@
 
 /// A value of this many bytes, no two neighbours alike.
 fn large(bytes: usize) -> Vec<u8> {
-    (0..bytes).map(|at| b'a' + (at % 23) as u8).collect()
+    (0..bytes).map(|index| b'a' + (index % 23) as u8).collect()
 }
 
 fn framed(value: &[u8], behind: &str) -> Vec<u8> {
@@ -53,8 +53,8 @@
     let (release, word) = channel();
     let word = std::sync::Mutex::new(word);
     let value = large(3_000_001);
-    let at = writes(move |words, out| {
-        if words[2] != id(1) {
+    let address = writes(move |words, out| {
+        if words[2] != request_id(1) {
             return out.write_all(&framed(words[2].as_bytes(), BEHIND));
         }
         let whole = framed(&value, BEHIND);
@@ -65,20 +65,21 @@
         }
         Ok(())
     });
-    let (site, admin) = site_with_admin("large", &Shape { destinations: &[at], ..Shape::default() });
+    let (site, admin) =
+        site_with_admin("large", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
-    client.send(&[query_of_another_tenant(1), query_of_another_tenant(2), resp_command(&["PING"])].concat());
+    client.send(&[query_of_new_tenant(1), query_of_new_tenant(2), resp_command(&["PING"])].concat());
     let mut first = [0; 40_000];
     client.reads.read_exact(&mut first).expect("the first bytes come before the last");
     assert!(first.starts_with(b"$3000001\r\nabcdef"));
-    assert_eq!(metric(&call(admin, "telemetry"), "balancer_pending"), 1, "it goes on");
+    assert_eq!(read_metric(admin, "balancer_pending"), 1, "it goes on");
     release.send(()).expect("the stand-in waits");
     let mut rest = vec![0; 3_000_001 + 12 - first.len()];
     client.reads.read_exact(&mut rest).expect("the rest");
     let whole = [&first[..], &rest].concat();
     assert!(whole[10..3_000_011] == large(3_000_001)[..] && whole.ends_with(b"\r\n"));
-    assert_eq!([client.reply(), client.reply()], [id(2), "+PONG".to_owned()]);
-    let text = call(admin, "telemetry");
+    assert_eq!([client.reply(), client.reply()], [request_id(2), "+PONG".to_owned()]);
+    let text = admin_command(admin, "telemetry");
     assert_eq!(metric(&text, "balancer_completed_total{lane=\"lookup\"}"), 2);
     assert_eq!(metric(&text, "balancer_pending"), 0);
 }
@@ -87,23 +88,24 @@
 #[test]
 fn clients_that_do_not_read_hold_little_memory_and_delay_nobody() {
     let value = large(4 << 20);
-    let at = writes(move |words, out| {
+    let address = writes(move |words, out| {
         let value = if words[2].starts_with("000000000000f") { words[2].as_bytes() } else { &value };
         out.write_all(&framed(value, BEHIND))
     });
-    let (site, admin) = site_with_admin("slow-clients", &Shape { destinations: &[at], ..Shape::default() });
+    let (site, admin) =
+        site_with_admin("slow-clients", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut slow: Vec<Client> = (1..=40)
         .map(|number| {
             let mut client = Client::connect(site.listen);
-            client.send(&query_of_another_tenant(number));
+            client.send(&query_of_new_tenant(number));
             client.reads.read_exact(&mut [0; 1]).expect("its value has begun");
             client
         })
         .collect();
     let mut other = Client::connect(site.listen);
     for number in 0..20 {
-        other.send(&query_of_another_tenant(0xf000 + number));
-        assert_eq!(other.reply(), id(0xf000 + number));
+        other.send(&query_of_new_tenant(0xf000 + number));
+        assert_eq!(other.reply(), request_id(0xf000 + number));
     }
     let kilobytes = site.program.memory_kb();
     assert!(kilobytes < 64 * 1024, "160 MB are under way, and {kilobytes} kB are held");
@@ -113,7 +115,7 @@
     let mut rest = vec![0; (4 << 20) + 11];
     last.reads.read_exact(&mut rest).expect("all of it");
     assert!(rest[..9] == *b"4194304\r\n" && rest[9..][..4 << 20] == large(4 << 20)[..]);
-    while metric(&call(admin, "telemetry"), "balancer_pending") > 0 {}
+    while read_metric(admin, "balancer_pending") > 0 {}
 }
 
 /// Guards clients against half a value taken for a whole one: where it breaks off, or what stands behind it is not sound, the
@@ -121,7 +123,7 @@
 #[test]
 fn a_broken_large_value_closes_the_connection() {
     let value = large(200_000);
-    let at = writes(move |words, out| {
+    let address = writes(move |words, out| {
         let whole = framed(&value, BEHIND);
         match words[2].as_str() {
             "0000000000000001" => {
@@ -136,19 +138,20 @@
             _ => out.write_all(&whole),
         }
     });
-    let (site, admin) = site_with_admin("spoilt-large", &Shape { destinations: &[at], ..Shape::default() });
+    let (site, admin) =
+        site_with_admin("spoilt-large", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     for number in 1..=3 {
         let mut client = Client::connect(site.listen);
-        client.send(&[query_of_another_tenant(number), resp_command(&["PING"])].concat());
+        client.send(&[query_of_new_tenant(number), resp_command(&["PING"])].concat());
         let mut got = Vec::new();
         // A reset is an end as well.
         let _ = client.reads.read_to_end(&mut got);
         assert!(got.len() < 200_011, "{number}: {} bytes of 200011", got.len());
     }
     let mut client = Client::connect(site.listen);
-    client.send(&query_of_another_tenant(4));
+    client.send(&query_of_new_tenant(4));
     assert_eq!(bulk(&mut client).expect("a whole one"), large(200_000));
-    let text = call(admin, "telemetry");
+    let text = admin_command(admin, "telemetry");
     let of = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
     assert_eq!((of("completed"), of("failed"), of("rejected")), (1, 3, 0));
 }
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use common::admin::{call, metric};
+use common::admin::{admin_command, read_metric};
+use common::soak::soak_program;
 use common::*;
 use fault_shim_control::{CONTROL_VARIABLE, Control, RATE_SCALE, Setting};
-use platform_soak::gatekeeper::{Gatekeeper, Program};
+use platform_soak::gatekeeper::Gatekeeper;
 use platform_soak::history::{History, Moment, RequestOutcome};
 use platform_soak::run::run;
 use platform_soak::schedule::{CallFaults, Planned, Schedule, Trouble};
 use platform_soak::settings::{Addresses, Settings};
 use platform_soak::stand_ins::{BackendMode, free_address};
-use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -21,11 +21,6 @@
 /// The first request is served this long after the machine connects again.
 const RECOVERY: Duration = Duration::from_millis(300);
 
-fn program() -> Program {
-    let shim = fault_shim_control::library_path().expect("cargo builds the preloaded library for this test");
-    Program { path: PathBuf::from(env!("CARGO_BIN_EXE_snowfield")), shim, seeded_fault: None }
-}
-
 /// When a gatekeeper first served a request of a tenant with plenty of quota that was sent after this moment.
 fn first_success(
     records: &platform_soak::history::Records,
@@ -53,7 +48,7 @@
     troubles.push(Trouble::Calls { first: 0, step: 1, faults: CallFaults::NoConnections });
     schedule.troubles = troubles.into_iter().map(|trouble| Planned { at, length, trouble }).collect();
     let directory = TestDirectory::new("connects-again");
-    let verdict = run(&schedule, &program(), directory.path()).expect("all programs start");
+    let verdict = run(&schedule, &soak_program(), directory.path()).expect("all programs start");
     let connects_again = verdict.records.started + at + length;
     for gatekeeper in 0..GATEKEEPERS {
         let first = first_success(&verdict.records, gatekeeper, connects_again);
@@ -67,8 +62,8 @@
     let (directory, history) = (TestDirectory::new(test), History::default());
     let settings = Settings::draw(&mut fastrand::Rng::with_seed(1), 1);
     let [listen, discovery, counter] = [(); 3].map(|()| free_address().expect("a free port"));
-    let gatekeeper =
-        Gatekeeper::new(0, listen, program(), directory.path(), &history).expect("a folder for its files");
+    let gatekeeper = Gatekeeper::new(0, listen, soak_program(), directory.path(), &history)
+        .expect("a folder for its files");
     let config = settings.config(0, Addresses { listen, discovery, counter });
     gatekeeper.write_config(&config).expect("a configuration");
     gatekeeper.control.set(Setting::FirstSocketFailures, failures).expect("the control block");
@@ -91,24 +86,24 @@
 /// and started anew used the backend again.
 #[test]
 fn an_ejection_is_stored_once_the_disk_takes_writes_again() {
-    let ((one, _), (two, _)) = (echo(), echo());
-    let folder = TestDirectory::new("unsaved-tmp");
-    let control = Control::create(&folder.path().join("faults")).expect("the control block");
-    let shim = program().shim;
+    let ((one, _), (two, _)) = (echo_backend(), echo_backend());
+    let directory = TestDirectory::new("unsaved-tmp");
+    let control = Control::create(&directory.path().join("faults")).expect("the control block");
+    let shim = soak_program().shim;
     let text = |path: &std::path::Path| path.to_str().expect("a path in UTF-8").to_owned();
-    let (tmp, shim, faults) = (text(folder.path()), text(&shim), text(control.path()));
+    let (shared_path, shim, faults) = (text(directory.path()), text(&shim), text(control.path()));
     let variables = [
         ("BALANCER_OPERATOR", "127.0.0.1:0"),
-        ("TMPDIR", tmp.as_str()),
+        ("TMPDIR", shared_path.as_str()),
         ("LD_PRELOAD", shim.as_str()),
         (CONTROL_VARIABLE, faults.as_str()),
     ];
-    let shape = Shape { destinations: &[one, two], ..Shape::default() };
-    let site = site_with("unsaved", &shape, &variables);
+    let options = SiteOptions { backends: &[one, two], ..SiteOptions::default() };
+    let site = site_with_environment("unsaved", &options, &variables);
     let admin = site.admin.expect("operators are answered");
-    let unsaved = || metric(&call(admin, "telemetry"), "balancer_exclusions_unsaved");
+    let unsaved = || read_metric(admin, "balancer_exclusions_unsaved");
     control.set(Setting::FileOpenFailure, RATE_SCALE).expect("the control block");
-    assert_eq!(call(admin, "exclude s-0"), "OK\n");
+    assert_eq!(admin_command(admin, "exclude s-0"), "OK\n");
     assert_eq!(unsaved(), 1, "the figures show that it is not on disk");
     control.clear_faults().expect("the control block");
     let began = std::time::Instant::now();
@@ -116,10 +111,9 @@
         assert!(began.elapsed() < TIMEOUT, "it is written again");
     }
     drop(site.program);
-    let path = site.folder.path().join("config.json");
-    let next =
-        common::Program::start(&[], &[&[("BALANCER_CONFIG", text(&path).as_str())], &variables[..]].concat());
+    let path = site.directory.path().join("config.json");
+    let next = Program::start(&[], &[&[("BALANCER_CONFIG", text(&path).as_str())], &variables[..]].concat());
     let admin = next.logged("operators are answered on ").parse().expect("an address");
-    while call(admin, "readyz") != "OK\n" {}
-    assert_eq!(metric(&call(admin, "telemetry"), "balancer_members_unavailable"), 1, "still ejected");
+    while admin_command(admin, "readyz") != "OK\n" {}
+    assert_eq!(read_metric(admin, "balancer_members_unavailable"), 1, "still ejected");
 }
--- a/crates/snowfield/tests/stepped_clocks.rs
+++ b/crates/snowfield/tests/stepped_clocks.rs
@@ -4,12 +4,11 @@
 mod common;
 
 use common::TestDirectory;
+use common::soak::soak_program;
 use platform_soak::checkers::Violation;
-use platform_soak::gatekeeper::Program;
 use platform_soak::run::run;
 use platform_soak::schedule::{Planned, RestartKind, Schedule, Trouble};
 use platform_soak::stand_ins::BackendMode;
-use std::path::PathBuf;
 use std::time::Duration;
 
 const GATEKEEPERS: usize = 4;
@@ -18,11 +17,6 @@
 const COLD: usize = 2;
 const HOUR_US: i64 = 3_600_000_000;
 
-fn program() -> Program {
-    let shim = fault_shim_control::library_path().expect("cargo builds the preloaded library for this test");
-    Program { path: PathBuf::from(env!("CARGO_BIN_EXE_snowfield")), shim, seeded_fault: None }
-}
-
 /// A schedule of these troubles alone: when each begins, in milliseconds.
 fn schedule(seed: u64, seconds: u64, troubles: &[(u64, Trouble)]) -> Schedule {
     let mut schedule = Schedule::draw(seed, GATEKEEPERS, Duration::from_secs(seconds));
@@ -38,7 +32,7 @@
 /// What breaks this rule in a schedule.
 fn violations_of(rule: &str, test: &str, schedule: &Schedule) -> Vec<Violation> {
     let directory = TestDirectory::new(test);
-    let verdict = run(schedule, &program(), directory.path()).expect("all programs start");
+    let verdict = run(schedule, &soak_program(), directory.path()).expect("all programs start");
     assert!(verdict.records.attempts.len() > 500, "clients were served: {}", verdict.records.attempts.len());
     verdict.violations.into_iter().filter(|violation| violation.rule == rule).collect()
 }
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -22,18 +22,18 @@
     )
 }
 
-fn folder(test: &str) -> TestDirectory {
-    let folder = TestDirectory::new(test);
-    folder.write("loans.json", LOANS);
-    folder
+fn directory(test: &str) -> TestDirectory {
+    let directory = TestDirectory::new(test);
+    directory.write("loans.json", LOANS);
+    directory
 }
 
 #[test]
 fn an_unusable_file_is_rejected_with_all_reasons_at_once() {
-    let folder = folder("timing-bad");
+    let directory = directory("timing-bad");
     let lookup = "attempts = 3\nattempt_ms = 900\ncopy_after_ms = 1500";
     let text = file(unused_address(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
-    let (good, said) = run(&["check", &folder.write("a.toml", &text)], &[]);
+    let (good, said) = run(&["check", &directory.write("a.toml", &text)], &[]);
     assert!(!good);
     for told in [
         "class \"lookup\": 3 attempts of 900 ms take up to 2700 ms, and the client gives up after 2500; state fewer",
@@ -48,9 +48,9 @@
 
 #[test]
 fn explain_shows_the_source_of_each_figure_and_the_worst_case() {
-    let folder = folder("timing-explain");
+    let directory = directory("timing-explain");
     let text = file(unused_address(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
-    let path = folder.write("a.toml", &text);
+    let path = directory.write("a.toml", &text);
     let (good, said) = run(&["explain", &path, "GET", "/loans/7"], &[]);
     assert!(good, "{said}");
     for told in [
@@ -72,8 +72,8 @@
 /// not is answered when its attempt is over.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
-    let (silent, seen) = backend(message, |_| Behaviour::NoReply);
-    let (good, _seen) =
+    let (silent, events) = backend(message, |_| Behaviour::NoReply);
+    let (good, _events) =
         backend(message, |_| Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec()));
     let consul = Consul::start();
     let set = |at: &[SocketAddr], index| {
@@ -82,30 +82,30 @@
         consul.set_service(index, "loan-server", services);
     };
     set(&[silent, good], 11);
-    let folder = folder("timing-kept");
+    let directory = directory("timing-kept");
     let timing = "attempts = 2\nattempt_ms = 300\ncopy_after_ms = 290";
     let text = file(consul.open().address, timing, "attempts = 1\nattempt_ms = 300");
-    let program = Program::start(&["serve", &folder.write("a.toml", &text)], &[]);
+    let program = Program::start(&["serve", &directory.write("a.toml", &text)], &[]);
     let listen: SocketAddr = program.logged("serving OpenAPI on ").parse().expect("an address");
     program.logged("2 of them take work");
     let ask = |method: &str| {
-        let begun = Instant::now();
+        let started = Instant::now();
         let request = format!(
             "{method} /loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 0\r\n\r\n"
         );
-        (Client::connect(listen).ask(&request).status(), begun.elapsed().as_millis())
+        (Client::connect(listen).ask(&request).status(), started.elapsed().as_millis())
     };
     let mut waited = 0;
     while waited == 0 {
         let (status, took) = ask("GET");
         assert_eq!(status, 200);
         assert!(took < 1_200, "at most one attempt of 300 ms comes before: {took} ms");
-        waited = seen.try_iter().filter(|s| matches!(s, BackendEvent::Request(_))).count();
+        waited = events.try_iter().filter(|s| matches!(s, BackendEvent::Request(_))).count();
     }
     // Refused meanwhile, where no place is free, it never ran.
-    let begun = Instant::now();
+    let started = Instant::now();
     let (mut lost, mut took) = (200, 0);
-    while lost < 500 && begun.elapsed() < TIMEOUT {
+    while lost < 500 && started.elapsed() < TIMEOUT {
         (lost, took) = ask("POST");
     }
     assert!(lost >= 500 && (300..1_200).contains(&took), "{lost} after {took} ms");
