--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -8,7 +8,7 @@
 use exchange::{AnswerCounts, Clock, Status};
 use front_openapi::HttpExchange;
 use link::locked;
-use policy::{BackendEntry, BackendId, BackendState, ListKind, Micros};
+use policy::{BackendEntry, BackendId, BackendState, ListKind, Timestamp};
 use settings::appliance::ApplianceConfig;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
@@ -48,7 +48,7 @@
     /// Since when the backend is eligible by its endpoint list. Changes with each restart of the backend.
     eligible_since: Option<u64>,
     /// Start of the backend, from which its slow start counts.
-    started: Micros,
+    started: Timestamp,
 }
 
 impl Backends {
@@ -189,11 +189,11 @@
         state: &State,
         service: usize,
         entry: &Endpoint,
-        now: Micros,
+        now: Timestamp,
     ) -> Announcement {
         let is_eligible = entry.eligible || seeded_faults::is_active("drained");
         let ready = is_eligible && !state.ejected.contains(&self.name(service, &entry.instance.id));
-        let stated_start = entry.instance.started_at.map(|ms| (ms * 1000).min(now));
+        let stated_start = entry.instance.started_at.map(|ms| Timestamp::from_micros(ms * 1000).min(now));
         let started = match state.announcements.get(&entry.number) {
             // Neither restarted nor recovered.
             Some(last) if last.eligible_since == entry.eligible_since && (last.ready || !ready) => {
@@ -202,7 +202,7 @@
             // Restarted by its list, or recovered by health checks: it may be cold.
             Some(_) => stated_start.unwrap_or(now),
             None if entry.eligible_since.is_some() => stated_start.unwrap_or(now),
-            None => stated_start.unwrap_or(0),
+            None => stated_start.unwrap_or(Timestamp::ZERO),
         };
         Announcement { ready, eligible_since: entry.eligible_since, started }
     }
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -3,7 +3,7 @@
 
 use destination::BackendEndpoint;
 use handover::BackendNumber;
-use policy::{BackendEntry, BackendId, BackendState};
+use policy::{BackendEntry, BackendId, BackendState, Timestamp};
 use settings::platform::PlatformConfig;
 use settings::{Endpoint, EndpointList};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -76,7 +76,7 @@
             } else {
                 self.listed.insert(id);
             }
-            let started = endpoint.started_ms.saturating_mul(1000);
+            let started = Timestamp::from_micros(endpoint.started_ms.saturating_mul(1000));
             let zone = index_or_push(&mut self.zones, endpoint.zone);
             let machine_type = index_or_push(&mut self.machine_types, endpoint.machine_type);
             translated.endpoints.push(BackendEndpoint { id, address, state, started });
@@ -156,7 +156,11 @@
         "draining" => BackendState::Draining,
         "removed" => BackendState::Gone,
         other => {
-            tracing::warn!("discovery: {} has the unknown state {other:?}; taken as draining", endpoint.id);
+            tracing::warn!(
+                backend = endpoint.id,
+                state = other,
+                "unknown endpoint state, treated as draining"
+            );
             BackendState::Draining
         }
     }
@@ -168,8 +172,11 @@
         Ok(address) => Some(address),
         Err(_) if state == BackendState::Gone => Some(NO_ADDRESS),
         Err(_) => {
-            let (id, address) = (&endpoint.id, &endpoint.address);
-            tracing::warn!("discovery: {id} has no usable address {address:?}; left out");
+            tracing::warn!(
+                backend = endpoint.id,
+                address = endpoint.address,
+                "invalid entry, its address is not usable"
+            );
             None
         }
     }
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -53,7 +53,7 @@
 pub fn serve_until_end(mut signals: Signals, listener: &Listener, handler: &impl SignalHandler) {
     for signal in signals.forever() {
         if signal != SIGHUP {
-            tracing::info!("signal {signal}: serving the overlap, then finishing");
+            tracing::info!(signal, "graceful shutdown started");
             break;
         }
         handler.reload();
@@ -62,7 +62,7 @@
     listener.close();
     handler.close_connections();
     drain(handler);
-    tracing::info!("stopped with {} client connections open", handler.open_connections());
+    tracing::info!(count = handler.open_connections(), "stopped with open client connections");
 }
 
 fn serve_overlap(handler: &impl SignalHandler) {
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -124,7 +124,7 @@
 
 /// Waits until a program has an admin listener, and returns its address.
 pub fn admin_address(program: &Program) -> SocketAddr {
-    program.logged("operators are answered on ").parse().expect("an address")
+    program.logged_field("admin listener open", "address").parse().expect("an address")
 }
 
 /// A request of the default tenant, which comes through one gatekeeper.
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -113,7 +113,7 @@
     drop(site.program);
     let path = site.directory.path().join("config.json");
     let next = Program::start(&[], &[&[("BALANCER_CONFIG", text(&path).as_str())], &variables[..]].concat());
-    let admin = next.logged("operators are answered on ").parse().expect("an address");
+    let admin = admin_address(&next);
     while admin_command(admin, "readyz") != "OK\n" {}
     assert_eq!(read_metric(admin, "balancer_members_unavailable"), 1, "still ejected");
 }
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -349,8 +349,8 @@
     let (_, watch) = next(&agent.watches);
     let changes = [endpoint("s-0", old, "leaving"), endpoint("s-new", new, "up")];
     watch.send(list_delta(41, &changes)).expect("the watch is open");
-    let first = program.line_of(&["unknown state", "serving on "]);
-    assert!(first.contains("unknown state"), "{first}");
+    let first = program.line_of(&["unknown endpoint state", "serving on "]);
+    assert!(first.contains("unknown endpoint state"), "{first}");
     let mut client = Client::connect(listen_address(&program));
     client.send(&query(1, 2400, 1));
     assert_eq!(client.reply(), request_id(1));
@@ -405,7 +405,7 @@
     let site = site("silent", &SiteOptions::default());
     let (request, _watch) = next(&site.agent.watches);
     assert_eq!(request, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1");
-    site.program.logged("the watch ended");
+    site.program.logged("discovery watch failed");
 }
 
 #[test]
@@ -419,7 +419,7 @@
     client.send(&query(1, 2500, 1));
     next_request(&events);
     site.program.terminate();
-    site.program.logged("signal 15");
+    site.program.logged("graceful shutdown started signal=15");
     // The overlap: sockets stay open and are served, and new ones are taken.
     for client in [&mut idle, &mut Client::connect(site.listen)] {
         client.send(&resp_command(&["PING"]));
@@ -447,7 +447,7 @@
     kept.send(&query(2, 2_400, 1));
     assert_eq!(kept.reply(), request_id(2));
     site.program.terminate();
-    site.program.logged("signal 15");
+    site.program.logged("graceful shutdown started signal=15");
     let started = std::time::Instant::now();
     // Its busy reply is the clock: no sooner than 1.2 s after the signal.
     let mut clock = Client::connect(site.listen);
@@ -483,14 +483,16 @@
 
     site.directory.write("config.json", "{");
     site.program.signal("-HUP");
-    site.program.logged("the old settings stay");
+    site.program.logged("previous configuration kept in force");
 
     let new_agent = agent();
     let moved = SiteOptions { counter: Some(new_counter), ..options };
     site.directory.write("config.json", &config(new_agent.address, &moved));
     site.program.signal("-HUP");
-    assert_eq!(site.program.logged("discovery moved to "), new_agent.address.to_string());
-    assert_eq!(site.program.logged("the counter moved to "), new_counter.to_string());
+    let discovery = format!(" address={} changed=true", new_agent.address);
+    assert_eq!(site.program.logged("discovery address reloaded"), discovery);
+    let counter = format!(" address={new_counter} changed=true");
+    assert_eq!(site.program.logged("quota counter address reloaded"), counter);
     let (request, watch) = next(&new_agent.watches);
     assert_eq!(request, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1", "from the version it has");
 
