--- /dev/null
+++ b/crates/front_resp/tests/connections.rs
@@ -0,0 +1,202 @@
+//! What clients see of a front on real sockets.
+
+use exchange::{Clock, Exchange};
+use front_resp::{ClassRule, Front, PlanRule, RequestRules, RespExchange};
+use link::{Connection, Listener};
+use policy::{Plan, RequestClass, Settings};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, mpsc};
+use std::time::{Duration, Instant};
+
+const MEMORY_BYTES: usize = 64 << 20;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Time in which an expected answer or close must come.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which the protocol owes the error to a command that is never complete.
+const INCOMPLETE_COMMAND_LIMIT: Duration = Duration::from_secs(3);
+
+const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
+const PONG: &[u8] = b"+PONG\r\n";
+
+/// A front that serves on loopback, without any backend.
+struct Fixture {
+    front: Arc<Front>,
+    address: SocketAddr,
+}
+
+impl Fixture {
+    fn start(max_connections: usize) -> Self {
+        link::set_up();
+        let settings = Settings {
+            classes: vec![RequestClass::default()],
+            plans: vec![Plan::default()],
+            ..Settings::default()
+        };
+        let exchange: Arc<RespExchange> = Exchange::new(settings, 1, Clock::start()).expect("valid settings");
+        let front = Front::new(exchange, rules(), MEMORY_BYTES, move || max_connections);
+        front.set_ready();
+        let listener = Listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
+        let address = listener.local_address().expect("an address");
+        let accepting = front.clone();
+        link::spawn(move || accepting.accept_connections(&listener));
+        let swept = Arc::downgrade(&front);
+        std::thread::spawn(move || {
+            while let Some(front) = swept.upgrade() {
+                front.sweep();
+                std::thread::sleep(SWEEP_INTERVAL);
+            }
+        });
+        Self { front, address }
+    }
+
+    fn connect(&self) -> TcpStream {
+        let client = TcpStream::connect(self.address).expect("it listens");
+        client.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("a valid timeout");
+        client
+    }
+
+    /// Connects a client whose connection has answered a `PING`.
+    fn connect_and_ping(&self) -> TcpStream {
+        let mut client = self.connect();
+        client.write_all(PING).expect("it is open");
+        assert_eq!(read_bytes(&mut client, PONG.len()), PONG);
+        client
+    }
+}
+
+fn rules() -> RequestRules {
+    RequestRules {
+        classes: vec![ClassRule { name: "lookup".into(), number: 0, is_idempotent: true, deadline_ms: 2500 }],
+        plans: vec![PlanRule { name: "team".into(), number: 0 }],
+        gatekeepers: 1,
+        max_units: None,
+    }
+}
+
+fn command(arguments: &[&str]) -> Vec<u8> {
+    let arguments: Vec<&[u8]> = arguments.iter().map(|argument| argument.as_bytes()).collect();
+    let mut bytes = Vec::new();
+    resp::put_command(&mut bytes, &arguments);
+    bytes
+}
+
+fn read_bytes(client: &mut TcpStream, count: usize) -> Vec<u8> {
+    let mut bytes = vec![0; count];
+    client.read_exact(&mut bytes).expect("an answer");
+    bytes
+}
+
+/// Reads until the front closes the connection.
+fn read_until_close(client: &mut TcpStream) -> String {
+    let mut text = String::new();
+    client.read_to_string(&mut text).expect("the connection is closed gracefully");
+    text
+}
+
+fn wait_until(is_reached: impl Fn() -> bool) {
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
+    while !is_reached() {
+        assert!(Instant::now() < deadline, "the state is not reached in time");
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+#[test]
+fn answers_pipelined_commands_in_their_order() {
+    let fixture = Fixture::start(8);
+    let mut client = fixture.connect();
+    let request = ["SVC.QUERY", "00000000b4d65521", "9b1f", "c=lookup,t=team,d=200,units=1"];
+    let input = [PING, &command(&["SELECT", "0"]), &command(&request), &command(&["GET"]), PING].concat();
+    client.write_all(&input).expect("it is open");
+    let expected = b"+PONG\r\n+OK\r\n-BUSY\r\n-ERR unknown command\r\n+PONG\r\n";
+    assert_eq!(
+        String::from_utf8_lossy(&read_bytes(&mut client, expected.len())),
+        String::from_utf8_lossy(expected)
+    );
+}
+
+#[test]
+fn closes_a_connection_behind_the_error_to_a_command_without_an_end() {
+    let fixture = Fixture::start(8);
+    let mut client = fixture.connect();
+    client.write_all(&[PING, b"no command\r\n", PING].concat()).expect("it is open");
+    assert_eq!(read_until_close(&mut client), "+PONG\r\n-ERR an unknown type of element\r\n");
+}
+
+#[test]
+fn answers_a_command_that_is_never_complete_with_an_error_in_time() {
+    let fixture = Fixture::start(8);
+    let mut client = fixture.connect();
+    let started_at = Instant::now();
+    client.write_all(&PING[..6]).expect("it is open");
+    assert_eq!(read_until_close(&mut client), "-ERR the command did not become whole\r\n");
+    assert!(started_at.elapsed() < INCOMPLETE_COMMAND_LIMIT, "{:?}", started_at.elapsed());
+}
+
+#[test]
+fn closes_a_connection_that_never_sends_a_command() {
+    let fixture = Fixture::start(8);
+    let mut silent = fixture.connect();
+    let _in_use = fixture.connect_and_ping();
+    assert_eq!(read_until_close(&mut silent), "");
+    assert_eq!(fixture.front.open_connections(), 1, "the other one stays open");
+}
+
+#[test]
+fn evicts_unused_connections_for_new_ones_at_the_limit() {
+    let fixture = Fixture::start(2);
+    let mut unused: Vec<TcpStream> = (0..2).map(|_| fixture.connect_and_ping()).collect();
+    fixture.connect_and_ping();
+    assert_eq!(read_until_close(&mut unused[0]), "", "the longest idle one is evicted");
+}
+
+#[test]
+fn a_drain_closes_connections_between_requests_and_completes_a_command_that_has_begun() {
+    let fixture = Fixture::start(8);
+    let mut idle = fixture.connect_and_ping();
+    let mut busy = fixture.connect_and_ping();
+    busy.write_all(&PING[..6]).expect("it is open");
+    // The front reads the first part before it drains.
+    std::thread::sleep(Duration::from_millis(100));
+    fixture.front.drain();
+    assert_eq!(read_until_close(&mut idle), "");
+    busy.write_all(&PING[6..]).expect("it is open");
+    assert_eq!(read_until_close(&mut busy), "+PONG\r\n");
+}
+
+#[test]
+fn hands_a_connection_over_with_its_incomplete_command_and_the_successor_answers_it() {
+    let predecessor = Fixture::start(8);
+    let mut client = predecessor.connect_and_ping();
+    client.write_all(&PING[..6]).expect("it is open");
+    // The front reads the first part before it hands over.
+    std::thread::sleep(Duration::from_millis(100));
+    let (sender, handed_over) = mpsc::channel();
+    predecessor.front.hand_over_connections(Arc::new(move |socket, incomplete| {
+        sender.send((socket, incomplete)).expect("the test waits");
+    }));
+    let (socket, incomplete) = handed_over.recv_timeout(ANSWER_TIMEOUT).expect("a connection");
+    assert_eq!(incomplete, &PING[..6]);
+    // The predecessor releases the connection right after the successor has its socket.
+    wait_until(|| predecessor.front.open_connections() == 0);
+
+    let successor = Fixture::start(8);
+    successor.front.adopt(Connection::new(socket).expect("it is watched"), incomplete);
+    client.write_all(&PING[6..]).expect("it is open");
+    assert_eq!(read_bytes(&mut client, PONG.len()), PONG);
+}
+
+#[test]
+fn serves_again_after_a_successor_has_failed() {
+    let fixture = Fixture::start(8);
+    let mut handed_over = fixture.connect_and_ping();
+    fixture.front.hand_over_connections(Arc::new(|socket, _| drop(socket)));
+    assert!(fixture.front.is_handing_over());
+    assert_eq!(read_until_close(&mut handed_over), "", "the successor has closed it");
+    let mut waiting = fixture.connect();
+    fixture.front.resume();
+    assert!(!fixture.front.is_handing_over());
+    waiting.write_all(PING).expect("it is open");
+    assert_eq!(read_bytes(&mut waiting, PONG.len()), PONG);
+}
