--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,38 +1,41 @@
-//! Rate-limited logging: one event of each kind a second, with the number of those suppressed in between.
+//! Rate-limited logging: at most one event of each kind per second, with the number of suppressed events.
 
+use periodic_jobs::MonotonicTime;
 use std::collections::HashMap;
+use std::time::Duration;
 
-/// Milliseconds between two logged events of a kind.
-const INTERVAL_MS: u64 = 1_000;
+/// The minimum time between two logged events of a kind.
+const INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct KindState {
-    next_ms: u64,
+    /// The moment from which the next event is logged.
+    next: MonotonicTime,
     suppressed: u64,
 }
 
 /// Permits one event of a kind to be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogPermit {
-    /// Events of the kind that were not logged since the last one that was; none if there were none.
+    /// The number of events of the kind suppressed since the last logged one. `None` if there were none.
     pub(crate) suppressed: Option<u64>,
 }
 
-/// Decides which events may be logged.
+/// Decides which events are logged.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
     kinds: HashMap<&'static str, KindState>,
 }
 
 impl LogLimiter {
-    /// Permits an event of this kind to be logged now, or returns `None` and counts it as suppressed.
-    pub(crate) fn permit(&mut self, kind: &'static str, now_ms: u64) -> Option<LogPermit> {
+    /// Permits an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
+    pub(crate) fn permit(&mut self, kind: &'static str, now: MonotonicTime) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
-        if now_ms < state.next_ms {
+        if now < state.next {
             state.suppressed += 1;
             return None;
         }
-        state.next_ms = now_ms + INTERVAL_MS;
+        state.next = now + INTERVAL;
         let suppressed = std::mem::take(&mut state.suppressed);
         Some(LogPermit { suppressed: (suppressed > 0).then_some(suppressed) })
     }
