--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -114,7 +114,7 @@
         locked(&client.state).record_request();
     }
 
-    /// Serves a connection in a coroutine of its own. `incomplete_since`: when the `incomplete` command of an adopted connection
+    /// Serves a connection in a new coroutine. `incomplete_since`: when the `incomplete` command of an adopted connection
     /// began.
     fn open(
         self: &Arc<Self>,
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -41,7 +41,7 @@
         if has_lingered || is_under_pressure && is_stuck {
             return Self::Close;
         }
-        let needs_look = state.is_late() || state.is_silent() || state.is_ending();
-        if needs_look { Self::Wake } else { Self::Keep }
+        let needs_wake = state.is_late() || state.is_silent() || state.is_ending();
+        if needs_wake { Self::Wake } else { Self::Keep }
     }
 }
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -78,10 +78,9 @@
 
 /// Returns the framing that the fields state, if any. Fails where it is ambiguous.
 pub(crate) fn stated_framing(buffer: &[u8], fields: &[HeaderField]) -> Result<Option<Framing>, HttpError> {
-    let length =
-        at_most_one(buffer, fields, "content-length").ok_or(MalformedMessage::RepeatedContentLength)?;
+    let length = single_value(buffer, fields, "content-length", MalformedMessage::RepeatedContentLength)?;
     let coding =
-        at_most_one(buffer, fields, "transfer-encoding").ok_or(MalformedMessage::RepeatedTransferEncoding)?;
+        single_value(buffer, fields, "transfer-encoding", MalformedMessage::RepeatedTransferEncoding)?;
     match (length, coding) {
         (Some(_), Some(_)) => Err(MalformedMessage::ConflictingFraming.into()),
         (None, Some(coding)) if coding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
@@ -96,11 +95,16 @@
     }
 }
 
-/// Returns the value of a field that may occur once, if any. The outer `None` means that it is repeated.
-fn at_most_one<'a>(buffer: &'a [u8], fields: &'a [HeaderField], name: &'a str) -> Option<Option<&'a [u8]>> {
+/// Returns the value of a field that may occur once, if it occurs. Fails with `if_repeated` where it occurs more often.
+fn single_value<'a>(
+    buffer: &'a [u8],
+    fields: &'a [HeaderField],
+    name: &'a str,
+    if_repeated: MalformedMessage,
+) -> Result<Option<&'a [u8]>, MalformedMessage> {
     let mut values = header_values(buffer, fields, name);
     let value = values.next();
-    values.next().is_none().then_some(value)
+    if values.next().is_none() { Ok(value) } else { Err(if_repeated) }
 }
 
 fn parse_length(digits: &[u8]) -> Option<u64> {
@@ -109,8 +113,8 @@
     std::str::from_utf8(digits).ok().filter(|_| is_number)?.parse().ok()
 }
 
-/// Appends the end-to-end fields as they were received, for the next hop. Omits `Content-Length`, since the body is framed anew, and
-/// `Expect`, which this hop answers.
+/// Appends the end-to-end fields as they were received, for the next hop. Omits `Content-Length`, since this hop frames the
+/// body itself, and `Expect`, which it answers.
 pub fn write_end_to_end_fields(buffer: &[u8], fields: &[HeaderField], out: &mut Vec<u8>) {
     for field in fields {
         let name = &buffer[field.name.clone()];
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -17,8 +17,8 @@
 
 /// Maximum bytes of one read.
 const MAX_READ: usize = 16 * 1024;
-/// Receive buffer that all connections share. Each copies out what has arrived, so a connection that waits for the rest of a
-/// command holds no more memory than the bytes that it received. One worker reads all connections, so the lock is uncontended.
+/// Receive buffer that all connections share. Each connection copies its bytes out, so that one with an incomplete command holds no
+/// more memory than that command takes. One worker reads all connections, so the lock is uncontended.
 static READ_BUFFER: Mutex<[u8; MAX_READ]> = Mutex::new([0; MAX_READ]);
 /// Maximum bytes that are read and discarded from a peer that still sends during a graceful close.
 const MAX_DISCARDED: usize = 256 * 1024;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Returns what can be returned without waiting, if anything.
+    /// Returns the next result if there is one already.
     fn receive_now(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Option<Incoming>> {
         let is_woken = self.read_state.take_wake();
         if !is_woken && self.read_state.is_drained() {
@@ -295,7 +295,7 @@
     /// stream. Only the connection's own coroutine calls this.
     ///
     /// Closing a socket with unread bytes resets the connection, and a reset can destroy an answer that the peer has not read. So up
-    /// to 256 KiB are read and discarded; beyond that, TCP flow control stops a peer that goes on sending. The owner bounds the
+    /// to 256 KiB are read and discarded; beyond that, TCP flow control stops a peer that keeps sending. The owner bounds the
     /// wait by calling [`Connection::close`].
     pub fn close_gracefully(&self) {
         if self.flush_all().is_ok() && self.stream.shutdown(Shutdown::Write).is_ok() {
--- a/crates/link/src/runtime.rs
+++ b/crates/link/src/runtime.rs
@@ -14,13 +14,13 @@
 pub fn set_up() {
     may::config()
         .set_workers(1)
-        .set_stack_size(words(STACK))
+        .set_stack_size(bytes_to_words(STACK))
         .set_pool_capacity(STACK_POOL_CAPACITY)
         .set_worker_pin(false);
 }
 
 /// Converts a size in bytes to machine words, the unit of `may`.
-fn words(bytes: usize) -> usize {
+fn bytes_to_words(bytes: usize) -> usize {
     bytes / size_of::<usize>()
 }
 
@@ -39,6 +39,6 @@
     // SAFETY: `may` requires that thread-local references do not cross a suspension point, and that stacks do not overflow. No
     // coroutine here keeps such a reference while it waits, and with one worker none ever migrates to another thread. Each stack
     // ends in a guard page and is far larger than its use: parsers do not recurse, and JSON is parsed on `LARGE_STACK`.
-    unsafe { Builder::new().stack_size(words(stack)).spawn(f) }
+    unsafe { Builder::new().stack_size(bytes_to_words(stack)).spawn(f) }
         .expect("the system allocates a coroutine's stack")
 }
