--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -8,6 +8,7 @@
 use exchange::RequestId;
 use invariants::Guard;
 use link::{Incoming, locked};
+use resp::Malformed;
 use std::collections::VecDeque;
 
 /// Why a connection ends.
@@ -25,6 +26,16 @@
     Error(&'static str),
 }
 
+/// Whether a connection goes on, or why it ends.
+pub(crate) type ServeResult = Result<(), ConnectionEnd>;
+
+impl From<Malformed> for ConnectionEnd {
+    /// The bytes behind a malformed command cannot be delimited any more.
+    fn from(Malformed(text): Malformed) -> Self {
+        Self::Error(text)
+    }
+}
+
 impl Front {
     /// Ends a connection whose commands are read no more, and cancels its requests in flight.
     pub(crate) fn end(&self, client: &ClientConnection, end: ConnectionEnd) {
@@ -46,12 +57,12 @@
     }
 
     /// Ends the connection if the front drains and no command is incomplete.
-    pub(crate) fn end_if_draining(&self, state: &mut ClientState) -> Option<ConnectionEnd> {
+    pub(crate) fn end_if_draining(&self, state: &mut ClientState) -> ServeResult {
         if !self.is_draining() || state.incomplete.is_pending() {
-            return None;
+            return Ok(());
         }
         state.end();
-        Some(ConnectionEnd::Shutdown)
+        Err(ConnectionEnd::Shutdown)
     }
 
     /// Waits until all commands are answered, then hands the connection over to the successor. Bytes that arrive meanwhile stay
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -2,7 +2,7 @@
 
 use crate::client::ClientConnection;
 use crate::client_state::ClientState;
-use crate::closing::ConnectionEnd;
+use crate::closing::{ConnectionEnd, ServeResult};
 use crate::front::Front;
 use crate::limits::{
     CAPACITY_CHECK_INTERVAL, ERROR_PENALTY, MAX_BURST, MAX_PIPELINED, MAX_READ_BYTES,
@@ -15,6 +15,10 @@
 
 /// The error to a command whose memory is needed for others.
 const COMMAND_SHED: &str = "no room for so long a command";
+/// The error to a command that has exceeded its time-out.
+const COMMAND_LATE: &str = "the command did not become whole";
+/// The error to a client that pipelines more than [`MAX_PIPELINED`] commands.
+const TOO_MANY_COMMANDS: &str = "too many commands at once";
 
 /// The commands that were dispatched from a buffer.
 struct Dispatched {
@@ -36,41 +40,43 @@
         // had accepted.
         let mut was_read = false;
         loop {
-            if self.is_handing_over() && self.hand_over(client, &mut buffer) {
-                return ConnectionEnd::HandedOver;
-            }
-            // Commands of a client that has disconnected since are not started.
-            if client.socket.is_peer_closed() {
-                return ConnectionEnd::ClientGone;
-            }
-            let dispatched = match self.dispatch_commands(client, &buffer) {
-                Ok(dispatched) => dispatched,
-                // The bytes that follow cannot be delimited any more.
-                Err(Malformed(text)) => return ConnectionEnd::Error(text),
-            };
-            buffer.drain(..dispatched.bytes);
-            if buffer.is_empty() && buffer.capacity() > MAX_RETAINED_BUFFER_BYTES {
-                buffer = Vec::new();
-            }
-            if let Some(end) = update_incomplete(client, buffer.len(), &dispatched) {
-                return end;
-            }
-            // Checked between reads too: a client that pipelines without a pause is never found between requests.
-            if was_read && let Some(end) = self.end_if_draining(&mut locked(&client.state)) {
+            let served = self.process(client, &mut buffer, was_read);
+            if let Err(end) = served.and_then(|()| self.receive(client, &mut buffer)) {
                 return end;
             }
             was_read = true;
-            yield_after(&dispatched);
-            self.wait_for_memory(client, buffer.len());
-            if locked(&client.state).incomplete.is_shed() {
-                return ConnectionEnd::Error(COMMAND_SHED);
-            }
-            if let Some(end) = self.receive(client, &mut buffer) {
-                return end;
-            }
         }
     }
 
+    /// Dispatches the commands in the buffer, and waits until the next read is due.
+    fn process(
+        self: &Arc<Self>,
+        client: &Arc<ClientConnection>,
+        buffer: &mut Vec<u8>,
+        was_read: bool,
+    ) -> ServeResult {
+        if self.is_handing_over() && self.hand_over(client, buffer) {
+            return Err(ConnectionEnd::HandedOver);
+        }
+        // Commands of a client that has disconnected since are not started.
+        if client.socket.is_peer_closed() {
+            return Err(ConnectionEnd::ClientGone);
+        }
+        let dispatched = self.dispatch_commands(client, buffer)?;
+        remove_front(buffer, dispatched.bytes);
+        update_incomplete(client, buffer.len(), &dispatched)?;
+        // Checked between reads too: a client that pipelines without a pause is never found between requests.
+        if was_read {
+            self.end_if_draining(&mut locked(&client.state))?;
+        }
+        yield_after(&dispatched);
+        self.wait_for_memory(client, buffer.len());
+        if locked(&client.state).incomplete.is_shed() {
+            return Err(ConnectionEnd::Error(COMMAND_SHED));
+        }
+        Ok(())
+    }
+
     /// Dispatches all complete commands of the buffer.
     fn dispatch_commands(
         self: &Arc<Self>,
@@ -105,50 +111,47 @@
         }
     }
 
-    /// Waits for bytes, or for a hand-over to begin. Returns the end of the connection if it has come.
-    fn receive(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> Option<ConnectionEnd> {
+    /// Waits for bytes, or for a hand-over to begin.
+    fn receive(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> ServeResult {
         loop {
             match client.socket.receive(buffer, MAX_READ_BYTES) {
-                Ok(Incoming::Bytes(_)) => return None,
-                Ok(Incoming::Woken) if self.is_handing_over() => return None,
+                Ok(Incoming::Bytes(_)) => return Ok(()),
+                Ok(Incoming::Woken) if self.is_handing_over() => return Ok(()),
                 // A wake is reported when nothing is left to read. Only here is it certain that no request has arrived unread.
-                Ok(Incoming::Woken) => {
-                    if let Some(end) = self.end_when_woken(client) {
-                        return Some(end);
-                    }
-                }
-                Ok(Incoming::End) | Err(_) => return Some(ConnectionEnd::ClientGone),
+                Ok(Incoming::Woken) => self.check_woken(client)?,
+                Ok(Incoming::End) | Err(_) => return Err(ConnectionEnd::ClientGone),
             }
         }
     }
 
-    /// Decides whether a connection that was woken ends.
-    fn end_when_woken(&self, client: &ClientConnection) -> Option<ConnectionEnd> {
+    /// Ends a connection that was woken because the front drains, its command is late or shed, or it is evicted or idle.
+    fn check_woken(&self, client: &ClientConnection) -> ServeResult {
         let mut state = locked(&client.state);
-        if let Some(end) = self.end_if_draining(&mut state) {
-            return Some(end);
-        }
+        self.end_if_draining(&mut state)?;
         if state.is_late() {
-            return Some(ConnectionEnd::Error("the command did not become whole"));
+            return Err(ConnectionEnd::Error(COMMAND_LATE));
         }
         if state.incomplete.is_shed() {
-            return Some(ConnectionEnd::Error(COMMAND_SHED));
+            return Err(ConnectionEnd::Error(COMMAND_SHED));
         }
         let is_idle = state.take_eviction() || state.is_silent();
-        (is_idle && client.socket.unsent() == 0).then_some(ConnectionEnd::Idle)
+        if is_idle && client.socket.unsent() == 0 { Err(ConnectionEnd::Idle) } else { Ok(()) }
     }
 }
 
-/// Updates the incomplete command after a read. Returns the end of a connection that pipelines too many commands.
-fn update_incomplete(
-    client: &ClientConnection,
-    bytes: usize,
-    dispatched: &Dispatched,
-) -> Option<ConnectionEnd> {
+/// Updates the incomplete command after a read. Ends a connection that pipelines too many commands.
+fn update_incomplete(client: &ClientConnection, bytes: usize, dispatched: &Dispatched) -> ServeResult {
     let mut state = locked(&client.state);
     state.incomplete.update(bytes, dispatched.bytes > 0);
-    let is_overfull = state.answers.len() > MAX_PIPELINED;
-    is_overfull.then_some(ConnectionEnd::Error("too many commands at once"))
+    if state.answers.len() > MAX_PIPELINED { Err(ConnectionEnd::Error(TOO_MANY_COMMANDS)) } else { Ok(()) }
+}
+
+/// Removes bytes from the front of a read buffer. Frees a large buffer that is empty then.
+fn remove_front(buffer: &mut Vec<u8>, bytes: usize) {
+    buffer.drain(..bytes);
+    if buffer.is_empty() && buffer.capacity() > MAX_RETAINED_BUFFER_BYTES {
+        *buffer = Vec::new();
+    }
 }
 
 /// Lets other connections run after an error or a burst of pipelined commands.
