--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is started with.
+//! The configuration of a node.
 
 use membership::authentication::Keyring;
 use replicated_config::ReplicaId;
@@ -6,50 +6,51 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A replica as the settings name it.
+/// A replica in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaAddress {
-    /// The name of its node.
+    /// The name of the replica's node.
     pub name: String,
-    /// Where this node reaches it.
+    /// The address at which this node reaches it.
     pub address: SocketAddr,
 }
 
-/// How a node takes part in the replicated configuration.
+/// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The node's name, unique among all nodes.
     pub name: String,
-    /// Where it accepts connections, if it is a replica.
+    /// The address at which a replica accepts connections. `None` if the node is no replica.
     pub listen: Option<SocketAddr>,
     /// The replicas, in the same order at every node.
     pub replicas: Vec<ReplicaAddress>,
     /// The keys that authenticate messages.
     pub keys: Keyring,
-    /// The file of a replica's log.
+    /// The file of the replica's log.
     pub log: PathBuf,
-    /// How long a lease lasts.
+    /// The validity of a lease.
     pub lease_duration: Duration,
 }
 
 impl NodeConfig {
-    /// This node's id as a replica, if it is one.
+    /// Returns this node's replica id, or `None` if it is no replica.
     pub(crate) fn replica_id(&self) -> Option<ReplicaId> {
         self.replicas.iter().position(|replica| replica.name == self.name).map(ReplicaId::from_index)
     }
 
-    /// The ids of all replicas.
+    /// Returns the ids of all replicas.
     pub(crate) fn replica_ids(&self) -> Vec<ReplicaId> {
         (0..self.replicas.len()).map(ReplicaId::from_index).collect()
     }
 
-    /// How long a lease lasts, in milliseconds.
+    /// Returns the validity of a lease in milliseconds.
     pub(crate) fn lease_duration_ms(&self) -> u64 {
         self.lease_duration.as_millis() as u64
     }
 }
 
-/// Why a proposed text is not valid. The proposer gets it as [`ProposalOutcome::Rejected`](crate::ProposalOutcome::Rejected).
+/// The reason why a proposed text is invalid. The proposer receives it in
+/// [`ProposalOutcome::Rejected`](crate::ProposalOutcome::Rejected).
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidProposal(pub String);
--- /dev/null
+++ b/crates/config_node/src/lease_requester.rs
@@ -0,0 +1,99 @@
+//! Requests leases for this node: when, from which replica, and what follows from the response.
+
+use replicated_config::{
+    ConfigVersion, LeaseClient, LeaseRequest, LeaseResponse, ReplicaId, RequestId, RolloutPhase,
+    VersionNumbers,
+};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Number of regular requests during the validity of a lease.
+const REQUESTS_PER_LEASE: u64 = 6;
+
+/// A lease request and the replica to send it to.
+pub(crate) struct OutgoingRequest {
+    pub(crate) to: ReplicaId,
+    pub(crate) request: LeaseRequest,
+}
+
+/// Requests and renews this node's lease.
+pub(crate) struct LeaseRequester {
+    /// This node's name, by which the leader knows the lease holder.
+    node_name: String,
+    replica_count: usize,
+    lease_duration_ms: u64,
+    client: LeaseClient,
+    next_request_ms: u64,
+}
+
+impl LeaseRequester {
+    /// Creates a requester without a lease. The first request is due at once.
+    pub(crate) fn new(node_name: String, replica_count: usize, lease_duration_ms: u64) -> Self {
+        let client = LeaseClient::new(lease_duration_ms, first_request_id());
+        Self { node_name, replica_count, lease_duration_ms, client, next_request_ms: 0 }
+    }
+
+    /// Returns when the next request is due.
+    pub(crate) fn next_request_ms(&self) -> u64 {
+        self.next_request_ms
+    }
+
+    /// Makes a request due at once instead of at the regular time.
+    pub(crate) fn request_at_once(&mut self, now_ms: u64) {
+        self.next_request_ms = now_ms;
+    }
+
+    /// Starts a request, and schedules the next one. `cached` are the versions whose texts this node has.
+    pub(crate) fn start_request(&mut self, now_ms: u64, cached: VersionNumbers) -> OutgoingRequest {
+        self.next_request_ms = now_ms + self.lease_duration_ms / REQUESTS_PER_LEASE;
+        let known_version = self.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
+        let addressed = self.client.start_request(now_ms, self.replica_count);
+        let request = LeaseRequest {
+            client: self.node_name.clone(),
+            id: addressed.id,
+            wants_lease: true,
+            known_version,
+            cached,
+        };
+        OutgoingRequest { to: addressed.replica, request }
+    }
+
+    /// Handles a redirect from a replica that is not the leader.
+    pub(crate) fn on_redirect(&mut self, now_ms: u64, request: RequestId, leader: Option<ReplicaId>) {
+        if self.client.on_redirect(request, leader) {
+            self.request_at_once(now_ms);
+        }
+    }
+
+    /// Handles a response. Returns the versions to enforce, or `None` if the response was not accepted.
+    pub(crate) fn on_response(&mut self, now_ms: u64, response: LeaseResponse) -> Option<VersionNumbers> {
+        let latest_before = self.client.latest();
+        if !self.client.on_response(response) {
+            return None;
+        }
+        if self.client.latest() != latest_before {
+            // The next request confirms to the leader that this node knows of the change.
+            self.request_at_once(now_ms);
+        }
+        Some(enforced_versions(response))
+    }
+
+    /// Returns when the lease expires or has expired.
+    pub(crate) fn expires_at_ms(&self) -> u64 {
+        self.client.expires_at_ms()
+    }
+}
+
+/// Returns the first request id of this incarnation. It is larger than any id of an earlier incarnation, unless the system clock
+/// was set back by more than the earlier incarnation's age.
+fn first_request_id() -> RequestId {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    RequestId(since_epoch.as_micros() as u64)
+}
+
+fn enforced_versions(response: LeaseResponse) -> VersionNumbers {
+    let latest = response.version;
+    match response.phase {
+        RolloutPhase::InForce => VersionNumbers { in_force: latest, proposed: ConfigVersion::NONE },
+        RolloutPhase::Proposed => VersionNumbers { in_force: latest.previous(), proposed: latest },
+    }
+}
--- a/crates/config_node/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -1,23 +1,32 @@
-//! A node of the replicated configuration: the driver of [`replicated_config`], which has the sockets, the disk and the clock.
+//! A node of the replicated configuration: drives the state machines of [`replicated_config`] with sockets, a disk and a clock.
 //!
-//! [`Node::start`] starts it. One thread owns the state machine ([`replicated_config::Replica`], if this node is a replica, and
-//! the node's lease). A replica's log is in [`ReplicaLog`]. Nodes exchange authenticated messages over TCP. All queues are
-//! bounded: a full queue drops the message, and its sender retransmits it. [`ConfigView`] is what the gatekeeper is to enforce.
+//! [`Node::start`] starts a node. One thread owns its state: the [`replicated_config::Replica`], if the node is one of the
+//! replicas, and the node's lease. A replica keeps its log in a [`ReplicaLog`]. Nodes exchange authenticated messages over TCP.
+//! All queues are bounded: a full queue drops the message, and its sender retransmits it. [`ConfigView`] tells the gatekeeper which
+//! versions to enforce.
 
+mod call;
+mod client_connections;
+mod clock;
 mod config;
 mod connection;
+mod connection_id;
 mod driver;
 mod error;
 mod event;
-mod frame;
+mod lease_requester;
+mod lease_watch;
+mod local_replica;
 mod message_io;
+mod message_queue;
 mod node;
+mod peers;
 mod replica_log;
 mod status;
 mod view;
 
+pub use call::call;
 pub use config::{InvalidProposal, NodeConfig, ProposalValidator, ReplicaAddress};
-pub use connection::call;
 pub use error::Error;
 pub use node::Node;
 pub use replica_log::ReplicaLog;
--- a/crates/config_node/src/message_io.rs
+++ b/crates/config_node/src/message_io.rs
@@ -1,4 +1,4 @@
-//! Messages on a stream: a length (four bytes, little-endian), then the authenticated message.
+//! Messages on a stream. Each one is preceded by its length (four bytes, little-endian) and authenticated.
 
 use crate::error::Error;
 use membership::authentication::{Keyring, OVERHEAD_BYTES};
@@ -6,10 +6,12 @@
 use std::io::{self, Read, Write};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Largest authenticated message.
+/// Bytes of the length in front of an authenticated message.
+const LENGTH_BYTES: usize = 4;
+/// Maximum size of an authenticated message.
 const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + OVERHEAD_BYTES;
 
-/// Keyring that can be replaced while connections use them.
+/// A keyring that can be replaced while connections use it.
 #[derive(Clone)]
 pub(crate) struct SharedKeys(Arc<Mutex<Keyring>>);
 
@@ -42,15 +44,15 @@
     Message::decode(encoded).map_err(Error::Message)
 }
 
-/// Reads the data of one frame.
+/// Reads the data of one frame of at most `max` bytes.
 fn read_frame(stream: &mut impl Read, max: usize) -> Result<Vec<u8>, Error> {
-    let mut length = [0; 4];
+    let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length)?;
     let bytes = u32::from_le_bytes(length) as usize;
     if bytes > max {
         return Err(Error::FrameTooLarge { bytes, max });
     }
-    // The buffer grows with what arrives, not with what was announced.
+    // The buffer grows with the received bytes, not with the announced length, which is not authenticated yet.
     let mut data = Vec::new();
     stream.take(bytes as u64).read_to_end(&mut data)?;
     if data.len() < bytes {
--- a/crates/config_node/src/node.rs
+++ b/crates/config_node/src/node.rs
@@ -1,35 +1,36 @@
 //! The handle of a running node.
 
+use crate::clock::Clock;
 use crate::config::{NodeConfig, ProposalValidator};
-use crate::connection;
+use crate::connection::{self, ConnectionContext};
 use crate::driver::Driver;
 use crate::error::Error;
 use crate::event::Event;
+use crate::lease_watch::watch_lease;
 use crate::message_io::SharedKeys;
-use crate::view::{SharedView, ViewListener, watch_lease};
+use crate::peers::Peers;
+use crate::view::{SharedView, ViewListener};
 use membership::authentication::Keyring;
-use replicated_config::Message;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::thread;
-use std::time::Instant;
 
-/// Events that may wait for the thread that owns the node's state.
+/// Maximum number of events that wait for the thread that owns the node's state.
 const MAX_QUEUED_EVENTS: usize = 1_024;
 
-/// A running node. It stops when the last handle and its connections are gone.
+/// A running node. It stops when its handle is dropped and its connections are closed.
 pub struct Node {
     events: SyncSender<Event>,
     keys: SharedKeys,
 }
 
 impl Node {
-    /// Starts a node. A replica whose log cannot be used logs a warning and takes part like any other node, without voting.
+    /// Starts a node. If a replica's log is unusable, the node logs a warning and runs without voting, like one that is no replica.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] or [`Error::Thread`].
+    /// Returns [`Error::Listen`] if the node cannot listen on its address, and [`Error::Thread`] if a thread cannot be started.
     pub fn start(
         config: NodeConfig,
         validator: ProposalValidator,
@@ -37,18 +38,18 @@
     ) -> Result<Self, Error> {
         let (events, inbox) = sync_channel(MAX_QUEUED_EVENTS);
         let keys = SharedKeys::new(config.keys.clone());
+        let context = ConnectionContext { keys: keys.clone(), events: events.clone() };
         if let Some(address) = config.listen {
-            let socket = TcpListener::bind(address).map_err(|source| Error::Listen { address, source })?;
-            connection::listen(socket, keys.clone(), events.clone()).map_err(Error::Thread)?;
+            listen(address, context.clone())?;
         }
-        let peers = open_peers(&config, &keys, &events)?;
-        let started = Instant::now();
+        let peers = Peers::start(&config, &context)?;
+        let clock = Clock::start();
         let view = Arc::new(SharedView::new(config.name.clone(), listener));
-        let driver = Driver::new(config, started, peers, validator, view.clone());
-        // Before anything is served: no version is known yet.
+        let driver = Driver::new(config, clock, peers, validator, view.clone());
+        // The gatekeeper learns that no version is known before it serves any request.
         view.announce();
         let watched = Arc::downgrade(&view);
-        spawn("agreed-lease", move || watch_lease(watched, started))?;
+        spawn("agreed-lease", move || watch_lease(watched, clock))?;
         spawn("agreed", move || driver.run(&inbox))?;
         Ok(Self { events, keys })
     }
@@ -58,7 +59,7 @@
         self.keys.replace(keys);
     }
 
-    /// Requests the status that the console shows. It arrives a moment later, or never.
+    /// Requests the status that the admin console shows. It arrives on the returned channel, or never if the node is overloaded.
     pub fn request_status(&self) -> Receiver<String> {
         let (reply, status) = sync_channel(1);
         let _ = self.events.try_send(Event::StatusRequested(reply));
@@ -66,23 +67,9 @@
     }
 }
 
-/// The queue of messages to each replica; none for this node itself.
-fn open_peers(
-    config: &NodeConfig,
-    keys: &SharedKeys,
-    events: &SyncSender<Event>,
-) -> Result<Vec<Option<SyncSender<Message>>>, Error> {
-    let mut peers = Vec::new();
-    for replica in &config.replicas {
-        let peer = if replica.name == config.name {
-            None
-        } else {
-            let queue = connection::open_peer(replica.address, keys.clone(), events.clone());
-            Some(queue.map_err(Error::Thread)?)
-        };
-        peers.push(peer);
-    }
-    Ok(peers)
+fn listen(address: SocketAddr, context: ConnectionContext) -> Result<(), Error> {
+    let socket = TcpListener::bind(address).map_err(|source| Error::Listen { address, source })?;
+    connection::listen(socket, context).map_err(Error::Thread)
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), Error> {
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -1,10 +1,13 @@
-//! A replica's log on disk: a file of frames with checksums, and a second file with the count of frames that were written.
+//! A replica's log on disk: a file of frames with checksums, and a second file with the number of frames that were written.
 //!
-//! A frame that was being written when the program was killed is discarded: nothing that depends on it was sent. Frames that were
-//! counted and are missing mean that the log cannot be used: the replica may have voted in a way that the log no longer shows.
+//! A frame that was being written when the process was killed is discarded: no message that depends on it was sent. If frames that
+//! were counted are missing, the log is unusable: the replica may have voted, and the log no longer shows how.
+
+mod atomic_file;
+mod frame;
+mod frame_count;
 
 use crate::error::Error;
-use crate::frame;
 use replicated_config::{DurableState, LogRecord};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -12,10 +15,6 @@
 
 /// A log is compacted when it is larger than this and than twice its size after the last compaction.
 const COMPACTION_BYTES: u64 = 4 << 20;
-/// Extension of the file that counts the frames.
-const COUNT_EXTENSION: &str = "count";
-/// Extension of a file that is being written and not yet renamed.
-const TEMPORARY_EXTENSION: &str = "new";
 
 /// An open log.
 #[derive(Debug)]
@@ -26,6 +25,7 @@
     bytes: u64,
     /// Size of the file when it was opened or last compacted.
     compacted_bytes: u64,
+    /// Number of frames in the file.
     frames: u64,
     state: DurableState,
 }
@@ -35,31 +35,24 @@
     ///
     /// # Errors
     ///
-    /// [`Error::LogExists`] where there is a log, or a frame count, at this path; [`Error::File`].
+    /// Returns [`Error::LogExists`] if a log or its frame count exists at this path, and [`Error::File`] if a file cannot be
+    /// written.
     pub fn create(path: &Path) -> Result<(), Error> {
-        if path.exists() || count_path(path).exists() {
+        if path.exists() || frame_count::path(path).exists() {
             return Err(Error::LogExists { path: path.to_owned() });
         }
-        let create = || {
-            path.parent().map_or(Ok(()), std::fs::create_dir_all)?;
-            write_file(path, frame::FORMAT)?;
-            write_count(path, 0)
-        };
-        create().map_err(|source| Error::File { path: path.to_owned(), source })
+        create_files(path).map_err(Error::file(path))
     }
 
     /// Opens a log and reads its state. Discards an unfinished frame at its end.
     ///
     /// # Errors
     ///
-    /// [`Error::File`] where there is none; [`Error::DamagedFrameCount`], [`Error::UnknownLogFormat`],
-    /// [`Error::MissingFrames`], [`Error::Records`] or [`Error::UnusableLog`] where it is cut or damaged.
+    /// Returns [`Error::File`] if the log does not exist, and [`Error::DamagedFrameCount`], [`Error::UnknownLogFormat`],
+    /// [`Error::MissingFrames`], [`Error::Records`] or [`Error::UnusableLog`] if it is truncated or damaged.
     pub fn open(path: &Path) -> Result<Self, Error> {
-        let read =
-            |path: &Path| std::fs::read(path).map_err(|source| Error::File { path: path.to_owned(), source });
-        let content = read(path)?;
-        let counted = decode_count(&read(&count_path(path))?)
-            .ok_or_else(|| Error::DamagedFrameCount { path: count_path(path) })?;
+        let content = std::fs::read(path).map_err(Error::file(path))?;
+        let counted = frame_count::read(path)?;
         let frames =
             frame::decode_all(&content).ok_or_else(|| Error::UnknownLogFormat { path: path.to_owned() })?;
         let found = frames.len() as u64;
@@ -67,23 +60,22 @@
             return Err(Error::MissingFrames { path: path.to_owned(), found, counted });
         }
         let state = replay(path, &frames)?;
-        let bytes = intact_bytes(&frames);
-        let file =
-            open_truncated(path, bytes).map_err(|source| Error::File { path: path.to_owned(), source })?;
+        let bytes = file_size(&frames);
+        let file = open_truncated(path, bytes).map_err(Error::file(path))?;
         Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frames: found, state })
     }
 
-    /// What the log's records add up to.
+    /// Returns the state that results from the log's records.
     pub fn state(&self) -> &DurableState {
         &self.state
     }
 
-    /// Appends these records. They are on disk when this returns.
+    /// Appends records. They are on disk when this returns.
     ///
     /// # Errors
     ///
-    /// [`Error::File`], [`Error::Records`] or [`Error::UnusableLog`]: what is on disk is not known. The log must not be used any
-    /// more until it is opened again.
+    /// Returns [`Error::File`], [`Error::Records`] or [`Error::UnusableLog`]. The content on disk is then unknown, and the log must
+    /// not be used until it is opened again.
     pub fn append(&mut self, records: Vec<LogRecord>) -> Result<(), Error> {
         if records.is_empty() {
             return Ok(());
@@ -91,7 +83,7 @@
         let data = postcard::to_stdvec(&records)
             .map_err(|source| Error::Records { path: self.path.clone(), source })?;
         apply_all(&self.path, &mut self.state, records)?;
-        self.append_frame(&data).map_err(|source| Error::File { path: self.path.clone(), source })
+        self.append_frame(&data).map_err(Error::file(&self.path))
     }
 
     fn append_frame(&mut self, data: &[u8]) -> io::Result<()> {
@@ -100,14 +92,14 @@
         self.file.sync_data()?;
         self.frames += 1;
         self.bytes += frame.len() as u64;
-        write_count(&self.path, self.frames)?;
+        frame_count::write(&self.path, self.frames)?;
         if self.bytes > COMPACTION_BYTES && self.bytes > 2 * self.compacted_bytes {
             self.compact()?;
         }
         Ok(())
     }
 
-    /// Replaces the file by one with a single frame that holds the present state.
+    /// Replaces the file by one with a single frame that holds the current state.
     fn compact(&mut self) -> io::Result<()> {
         let DurableState { hard_state, snapshot, entries } = self.state.clone();
         let records = vec![
@@ -116,10 +108,11 @@
             LogRecord::HardState(hard_state),
         ];
         let data = postcard::to_stdvec(&records).map_err(io::Error::other)?;
-        // The count comes first: one frame is no more than either file holds.
-        write_count(&self.path, 1)?;
+        // The count is written first. Both the old and the new file hold at least one frame, so the log is usable after a crash at
+        // any point.
+        frame_count::write(&self.path, 1)?;
         let content = [&frame::FORMAT[..], &frame::encode(0, &data)].concat();
-        write_file(&self.path, &content)?;
+        atomic_file::replace(&self.path, &content)?;
         self.file = OpenOptions::new().append(true).open(&self.path)?;
         self.frames = 1;
         self.bytes = content.len() as u64;
@@ -128,7 +121,14 @@
     }
 }
 
-/// The state after the records of all frames.
+/// Creates the files of an empty log, and their directory if needed.
+fn create_files(path: &Path) -> io::Result<()> {
+    path.parent().map_or(Ok(()), std::fs::create_dir_all)?;
+    atomic_file::replace(path, frame::FORMAT)?;
+    frame_count::write(path, 0)
+}
+
+/// Returns the state after the records of all frames.
 fn replay(path: &Path, frames: &[&[u8]]) -> Result<DurableState, Error> {
     let mut state = DurableState::default();
     for data in frames {
@@ -146,13 +146,13 @@
         .map_err(|source| Error::UnusableLog { path: path.to_owned(), source })
 }
 
-/// Size of a file with these frames.
-fn intact_bytes(frames: &[&[u8]]) -> u64 {
+/// Returns the size of a file with these frames.
+fn file_size(frames: &[&[u8]]) -> u64 {
     let frame_bytes = |data: &&[u8]| (frame::HEADER_BYTES + data.len()) as u64;
     frame::FORMAT.len() as u64 + frames.iter().map(frame_bytes).sum::<u64>()
 }
 
-/// Opens a file to append to it, cut off at this size.
+/// Opens a file to append to it, truncated to this size.
 fn open_truncated(path: &Path, bytes: u64) -> io::Result<File> {
     let file = OpenOptions::new().append(true).open(path)?;
     file.set_len(bytes)?;
@@ -160,35 +160,5 @@
     Ok(file)
 }
 
-fn count_path(log: &Path) -> PathBuf {
-    log.with_extension(COUNT_EXTENSION)
-}
-
-fn encode_count(frames: u64) -> Vec<u8> {
-    [&frame::FORMAT[..], &frame::encode(0, &frames.to_le_bytes())].concat()
-}
-
-fn decode_count(content: &[u8]) -> Option<u64> {
-    match frame::decode_all(content)?[..] {
-        [count] => Some(u64::from_le_bytes(count.try_into().ok()?)),
-        _ => None,
-    }
-}
-
-fn write_count(log: &Path, frames: u64) -> io::Result<()> {
-    write_file(&count_path(log), &encode_count(frames))
-}
-
-/// Replaces a file in one step.
-fn write_file(path: &Path, content: &[u8]) -> io::Result<()> {
-    let temporary = path.with_extension(TEMPORARY_EXTENSION);
-    let mut file = File::create(&temporary)?;
-    file.write_all(content)?;
-    file.sync_all()?;
-    std::fs::rename(&temporary, path)?;
-    // The rename is on disk only with the directory.
-    path.parent().map_or(Ok(()), |directory| File::open(directory)?.sync_all())
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/config_node/src/replica_log/atomic_file.rs
@@ -0,0 +1,19 @@
+//! Files that are replaced as a whole.
+
+use std::fs::File;
+use std::io::{self, Write};
+use std::path::Path;
+
+/// Extension of a file that is being written and not yet renamed.
+const TEMPORARY_EXTENSION: &str = "new";
+
+/// Replaces a file atomically. The new content is on disk when this returns.
+pub(super) fn replace(path: &Path, content: &[u8]) -> io::Result<()> {
+    let temporary = path.with_extension(TEMPORARY_EXTENSION);
+    let mut file = File::create(&temporary)?;
+    file.write_all(content)?;
+    file.sync_all()?;
+    std::fs::rename(&temporary, path)?;
+    // The rename is durable only once the directory is synchronized.
+    path.parent().map_or(Ok(()), |directory| File::open(directory)?.sync_all())
+}
--- /dev/null
+++ b/crates/config_node/src/replica_log/frame.rs
@@ -0,0 +1,57 @@
+//! Frames on disk: a length, a checksum and the data. The checksum also covers the frame's number, so that a misplaced frame is
+//! not taken for an intact one.
+
+/// The format, which the first bytes of each file state.
+pub(super) const FORMAT: &[u8; 8] = b"sf-log 1";
+/// Bytes of the length, little-endian.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of the checksum: a prefix of the BLAKE3 hash of the frame's number and its data.
+const CHECKSUM_BYTES: usize = 16;
+/// Bytes in front of a frame's data.
+pub(super) const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
+/// Maximum size of a frame's data: room for 64 texts of the maximum length.
+const MAX_DATA_BYTES: usize = 64 * replicated_config::MAX_TEXT_BYTES;
+
+fn checksum(number: u64, data: &[u8]) -> [u8; CHECKSUM_BYTES] {
+    let mut hasher = blake3::Hasher::new();
+    hasher.update(&number.to_le_bytes()).update(data);
+    let mut checksum = [0; CHECKSUM_BYTES];
+    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
+    checksum
+}
+
+/// Encodes the frame of this number, counted from 0 in its file.
+pub(super) fn encode(number: u64, data: &[u8]) -> Vec<u8> {
+    let length = (data.len() as u32).to_le_bytes();
+    [&length[..], &checksum(number, data), data].concat()
+}
+
+/// Returns the data of the intact frames at the beginning of a file, or `None` if the file has another format.
+pub(super) fn decode_all(file: &[u8]) -> Option<Vec<&[u8]>> {
+    let mut rest = file.strip_prefix(FORMAT)?;
+    let mut frames = Vec::new();
+    while let Some(frame) = split_frame(rest, frames.len() as u64) {
+        frames.push(frame.data);
+        rest = frame.rest;
+    }
+    Some(frames)
+}
+
+/// The first frame of some bytes.
+struct SplitFrame<'a> {
+    data: &'a [u8],
+    /// The bytes after the frame.
+    rest: &'a [u8],
+}
+
+/// Splits off the first frame, which must have this number. Returns `None` if it is not intact.
+fn split_frame(bytes: &[u8], number: u64) -> Option<SplitFrame<'_>> {
+    let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
+    let (length, expected_checksum) = header.split_first_chunk::<LENGTH_BYTES>()?;
+    let length = u32::from_le_bytes(*length) as usize;
+    if length > MAX_DATA_BYTES {
+        return None;
+    }
+    let (data, rest) = rest.split_at_checked(length)?;
+    (expected_checksum == checksum(number, data)).then_some(SplitFrame { data, rest })
+}
--- /dev/null
+++ b/crates/config_node/src/replica_log/frame_count.rs
@@ -0,0 +1,37 @@
+//! The number of frames that were written to a log, in a file of its own beside the log.
+
+use super::{atomic_file, frame};
+use crate::error::Error;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// Extension of the file that holds the count.
+const EXTENSION: &str = "count";
+
+/// Returns the path of the count of this log.
+pub(super) fn path(log: &Path) -> PathBuf {
+    log.with_extension(EXTENSION)
+}
+
+/// Reads the count of this log.
+pub(super) fn read(log: &Path) -> Result<u64, Error> {
+    let path = path(log);
+    let content = std::fs::read(&path).map_err(Error::file(&path))?;
+    decode(&content).ok_or(Error::DamagedFrameCount { path })
+}
+
+/// Replaces the count of this log.
+pub(super) fn write(log: &Path, frames: u64) -> io::Result<()> {
+    atomic_file::replace(&path(log), &encode(frames))
+}
+
+pub(super) fn encode(frames: u64) -> Vec<u8> {
+    [&frame::FORMAT[..], &frame::encode(0, &frames.to_le_bytes())].concat()
+}
+
+fn decode(content: &[u8]) -> Option<u64> {
+    match frame::decode_all(content)?[..] {
+        [count] => Some(u64::from_le_bytes(count.try_into().ok()?)),
+        _ => None,
+    }
+}
--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -67,13 +67,13 @@
         states.push((length(), log.state().clone()));
     }
     let content = std::fs::read(folder.log()).expect("a file");
-    let count = std::fs::read(count_path(&folder.log())).expect("a file");
+    let count = std::fs::read(frame_count::path(&folder.log())).expect("a file");
     // Killed while it wrote the fourth: three were counted.
-    let three = encode_count(3);
+    let three = frame_count::encode(3);
     for length in 0..=content.len() {
         for (counted, frames) in [(&count, 4), (&three, 3)] {
             std::fs::write(folder.log(), &content[..length]).expect("it is written");
-            std::fs::write(count_path(&folder.log()), counted).expect("it is written");
+            std::fs::write(frame_count::path(&folder.log()), counted).expect("it is written");
             let intact = states.iter().rposition(|state| state.0 <= length);
             let opened = ReplicaLog::open(&folder.log());
             match intact.filter(|intact| *intact >= frames) {
@@ -86,12 +86,12 @@
         let mut altered = content.clone();
         altered[position] ^= 0x10;
         std::fs::write(folder.log(), altered).expect("it is written");
-        std::fs::write(count_path(&folder.log()), &count).expect("it is written");
+        std::fs::write(frame_count::path(&folder.log()), &count).expect("it is written");
         assert!(ReplicaLog::open(&folder.log()).is_err(), "byte {position}");
     }
     std::fs::write(folder.log(), &content).expect("it is written");
     for length in 0..count.len() {
-        std::fs::write(count_path(&folder.log()), &count[..length]).expect("it is written");
+        std::fs::write(frame_count::path(&folder.log()), &count[..length]).expect("it is written");
         assert!(ReplicaLog::open(&folder.log()).is_err(), "count of {length} bytes");
     }
 }
@@ -118,7 +118,7 @@
     ReplicaLog::create(&log).expect("it is created");
     ReplicaLog::open(&log).and_then(|mut log| log.append(vec![hard_state(1, 2, 0)])).expect("it is written");
     let content = std::fs::read(&log).expect("a file");
-    let count = std::fs::read(count_path(&log)).expect("a file");
+    let count = std::fs::read(frame_count::path(&log)).expect("a file");
     std::fs::write(&log, &content[..content.len() - 1]).expect("it is written");
     let cut = ReplicaLog::open(&log);
     assert!(matches!(&cut, Err(Error::MissingFrames { found: 0, counted: 1, .. })), "{cut:?}");
@@ -133,9 +133,9 @@
     assert!(matches!(&opened[0], Error::Records { path, .. } if *path == log), "{opened:?}");
     assert!(matches!(&opened[1], Error::UnusableLog { path, .. } if *path == log), "{opened:?}");
     std::fs::write(&log, &content).expect("it is written");
-    std::fs::write(count_path(&log), &count[1..]).expect("it is written");
+    std::fs::write(frame_count::path(&log), &count[1..]).expect("it is written");
     let count = ReplicaLog::open(&log);
-    let damaged = |path: &PathBuf| *path == count_path(&log);
+    let damaged = |path: &PathBuf| *path == frame_count::path(&log);
     assert!(matches!(&count, Err(Error::DamagedFrameCount { path }) if damaged(path)), "{count:?}");
 }
 
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -1,4 +1,4 @@
-//! A node's status as the console shows it.
+//! A node's status as the admin console shows it.
 
 use replicated_config::{ConfigVersion, Progress};
 use std::fmt;
@@ -6,21 +6,22 @@
 /// A node's status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
-    /// The version in force; 0 for none.
+    /// The version in force; [`ConfigVersion::NONE`] before the first.
     pub(crate) version: ConfigVersion,
-    /// The proposed version; 0 for none.
+    /// The proposed version; [`ConfigVersion::NONE`] if none is proposed.
     pub(crate) proposed: ConfigVersion,
-    /// How long the lease still lasts.
+    /// Remaining validity of the lease.
     pub(crate) lease_ms: u64,
+    /// The status of the node's replica.
     pub(crate) replica: ReplicaStatus,
 }
 
 /// The status of a node's replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ReplicaStatus {
-    /// It votes. The leader is a node's name.
+    /// The replica votes. `leader` is the name of the leader's node.
     Voting { progress: Progress, leader: Option<String> },
-    /// Its log cannot be used: it does not vote.
+    /// The replica does not vote, because its log is unusable.
     WithoutLog,
     /// The node is no replica.
     NotAReplica,
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -1,32 +1,31 @@
-//! What the gatekeeper is to enforce, and until when. A thread of its own ends an expired lease: the thread that owns the node's
-//! state may be blocked for as long as its disk is, and the lease must expire all the same.
+//! The versions that the gatekeeper enforces, and whether its lease on them is valid.
 
 use replicated_config::{ConfigVersion, Version, VersionNumbers, VersionTexts};
-use std::sync::{Condvar, Mutex, MutexGuard, PoisonError, Weak};
-use std::time::{Duration, Instant};
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
 
-/// How often the thread that ends leases looks while none is about to expire.
+/// Maximum time between two checks of the lease's expiry.
 const WATCH_INTERVAL_MS: u64 = 500;
 
-/// Called with what the gatekeeper is to enforce, whenever that changes.
+/// Called with the new view whenever it changes.
 pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
 
-/// What a gatekeeper is to enforce.
+/// The versions that a gatekeeper enforces.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigView {
-    /// The version in force, once there is one.
+    /// The version in force; `None` before the first.
     pub in_force: Option<Version>,
-    /// The version that is proposed to follow it.
+    /// The proposed version, which is to follow the one in force.
     pub proposed: Option<Version>,
-    /// Whether the gatekeeper holds a lease on this. Without one it does not know what it has missed.
+    /// Whether the gatekeeper holds a valid lease. Without one there may be later versions that it does not know of.
     pub has_lease: bool,
 }
 
-/// The view, and what it is derived from.
-pub(crate) struct ViewState {
+/// The view and the state that it is derived from.
+struct ViewState {
     node_name: String,
     view: ConfigView,
-    /// What is known, with or without a lease.
+    /// The known versions, whether or not the lease is valid.
     texts: VersionTexts,
     lease_expires_at_ms: u64,
     listener: ViewListener,
@@ -38,7 +37,7 @@
         Self { node_name, view, texts, lease_expires_at_ms: 0, listener }
     }
 
-    /// Calls the listener with what to enforce, if that has changed.
+    /// Updates the view, and calls the listener if it has changed.
     fn publish(&mut self, now_ms: u64) {
         let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at_ms > 0;
         let VersionTexts { in_force, proposed } = self.texts.clone();
@@ -51,6 +50,15 @@
         }
     }
 
+    /// Returns the time until the lease's expiry is to be checked again.
+    fn time_until_check_ms(&self, now_ms: u64) -> u64 {
+        if self.view.has_lease {
+            self.lease_expires_at_ms.saturating_sub(now_ms).clamp(1, WATCH_INTERVAL_MS)
+        } else {
+            WATCH_INTERVAL_MS
+        }
+    }
+
     fn log(&self, view: &ConfigView) {
         let (version, proposed) = (version_number(&view.in_force).0, version_number(&view.proposed).0);
         let (leased, name) = (view.has_lease, &self.node_name);
@@ -70,12 +78,12 @@
     }
 }
 
-/// A version's number; 0 for none.
+/// Returns a version's number, or [`ConfigVersion::NONE`].
 pub(crate) fn version_number(version: &Option<Version>) -> ConfigVersion {
     version.as_ref().map_or(ConfigVersion::NONE, |version| version.number)
 }
 
-/// The view, shared with the thread that ends leases.
+/// The view, shared by the thread that owns the node's state and the thread that watches the lease.
 pub(crate) struct SharedView {
     state: Mutex<ViewState>,
     updated: Condvar,
@@ -90,18 +98,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls the listener with the present view, whether or not it has changed.
+    /// Calls the listener with the current view, whether or not it has changed.
     pub(crate) fn announce(&self) {
         let state = self.lock();
         (state.listener)(&state.view);
     }
 
-    /// The texts that are known, with or without a lease.
+    /// Returns the known versions, whether or not the lease is valid.
     pub(crate) fn texts(&self) -> VersionTexts {
         self.lock().texts.clone()
     }
 
-    /// The numbers of the versions whose texts are known.
+    /// Returns the numbers of the known versions.
     pub(crate) fn known_numbers(&self) -> VersionNumbers {
         let texts = &self.lock().texts;
         VersionNumbers {
@@ -110,7 +118,7 @@
         }
     }
 
-    /// Enforces the versions of these numbers from now on, with texts from `received` or from those that are known.
+    /// Enforces the versions of these numbers from now on. Their texts come from `received` or from the known versions.
     pub(crate) fn update(
         &self,
         now_ms: u64,
@@ -131,19 +139,12 @@
         state.publish(now_ms);
         self.updated.notify_all();
     }
-}
 
-/// Ends the lease when it expires, for as long as anybody can renew it. `started` is where the node's clock begins.
-pub(crate) fn watch_lease(view: Weak<SharedView>, started: Instant) {
-    while let Some(view) = view.upgrade() {
-        let now_ms = started.elapsed().as_millis() as u64;
-        let mut state = view.lock();
+    /// Updates the view, then waits until the lease may have expired or the versions are updated.
+    pub(crate) fn publish_and_wait(&self, now_ms: u64) {
+        let mut state = self.lock();
         state.publish(now_ms);
-        let wait_ms = if state.view.has_lease {
-            state.lease_expires_at_ms.saturating_sub(now_ms).clamp(1, WATCH_INTERVAL_MS)
-        } else {
-            WATCH_INTERVAL_MS
-        };
-        drop(view.updated.wait_timeout(state, Duration::from_millis(wait_ms)));
+        let timeout = Duration::from_millis(state.time_until_check_ms(now_ms));
+        drop(self.updated.wait_timeout(state, timeout));
     }
 }
