--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -1,6 +1,9 @@
-//! The log of a replica, and messages on a connection: the bytes in `fixtures/` were written by release 0.1 at commit 1461877.
-//! They are read, also where they are cut or damaged, and written byte for byte alike.
+//! Compatibility of replica logs and of messages on a connection with release 0.1. Commit 1461877 wrote the bytes in `fixtures/`.
+//! They must be read, or rejected if truncated or damaged, and written again byte for byte.
 
+mod common;
+
+use common::{TestDirectory, keys};
 use config_node::{
     ConfigVersion, Error, LeaseRequest, Message, Proposal, ProposalId, ProposalOutcome, ReplicaLog,
     RequestId, VersionNumbers,
@@ -12,45 +15,51 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Bytes of the file that counts the frames of the log.
+/// Size of the file that counts the frames of the log.
 const COUNT_BYTES: usize = 8 + 20 + 8;
-/// Bytes of the log without a frame.
+/// Size of a log without frames.
 const EMPTY_LOG_BYTES: usize = 8;
-/// Longer than anything here may take.
+/// Exceeds the duration of any call here.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Folder(PathBuf);
+/// A log in a directory of its own.
+struct LogDirectory(TestDirectory);
 
-impl Folder {
-    fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("config-node-fixture-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Self(path)
+impl LogDirectory {
+    fn new(test: &str) -> Self {
+        Self(TestDirectory::new(&format!("fixture-{test}")))
     }
+
     fn log(&self) -> PathBuf {
-        self.0.join("replica.log")
+        self.0.path().join("replica.log")
     }
-    fn count(&self) -> PathBuf {
-        self.0.join("replica.count")
+
+    fn frame_count(&self) -> PathBuf {
+        self.0.path().join("replica.count")
     }
-    fn write(&self, log: &[u8], count: &[u8]) {
-        std::fs::write(self.log(), log).expect("it is written");
-        std::fs::write(self.count(), count).expect("it is written");
+
+    fn write(&self, files: &LogFiles) {
+        std::fs::write(self.log(), &files.log).expect("the log is written");
+        std::fs::write(self.frame_count(), &files.frame_count).expect("the frame count is written");
     }
-    fn read(&self) -> (Vec<u8>, Vec<u8>) {
-        (std::fs::read(self.log()).expect("a log"), std::fs::read(self.count()).expect("a count"))
+
+    fn read(&self) -> LogFiles {
+        LogFiles {
+            log: std::fs::read(self.log()).expect("the log exists"),
+            frame_count: std::fs::read(self.frame_count()).expect("the frame count exists"),
+        }
     }
 }
 
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
+/// The contents of the two files of a log.
+struct LogFiles {
+    log: Vec<u8>,
+    frame_count: Vec<u8>,
 }
 
 fn fixture(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    std::fs::read(path).expect("the fixture is there")
+    std::fs::read(path).expect("the fixture exists")
 }
 
 fn entries(range: std::ops::RangeInclusive<u64>, term: u64, bytes: usize) -> LogRecord {
@@ -67,7 +76,7 @@
     LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state })
 }
 
-/// What each frame of the log holds.
+/// The records of each frame of the log.
 fn frames() -> Vec<Vec<LogRecord>> {
     vec![
         vec![hard_state(1, 2, 0), entries(1..=9, 1, 3)],
@@ -84,7 +93,7 @@
     let mut states = vec![DurableState::default()];
     for records in frames() {
         let mut state = states[states.len() - 1].clone();
-        records.into_iter().for_each(|record| state.apply(record).expect("records follow each other"));
+        records.into_iter().for_each(|record| state.apply(record).expect("records have no gap"));
         states.push(state);
     }
     states
@@ -92,19 +101,19 @@
 
 #[test]
 fn a_log_is_written_as_before() {
-    let folder = Folder::new("written");
-    ReplicaLog::create(&folder.log()).expect("it is created");
-    let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
-    let mut counts = folder.read().1;
+    let directory = LogDirectory::new("written");
+    ReplicaLog::create(&directory.log()).expect("the log is created");
+    let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
+    let mut counts = directory.read().frame_count;
     for records in frames() {
-        log.append(records).expect("it is written");
-        counts.extend(folder.read().1);
+        log.append(records).expect("the records are written");
+        counts.extend(directory.read().frame_count);
     }
-    assert_eq!(folder.read().0, fixture("replica.log"));
+    assert_eq!(directory.read().log, fixture("replica.log"));
     assert_eq!(counts, fixture("replica.counts"));
 }
 
-/// How long the log is after each number of frames, read from the frames' own lengths.
+/// The size of the log after each number of frames, from the lengths in the frames' headers.
 fn lengths(log: &[u8]) -> Vec<usize> {
     let mut lengths = vec![EMPTY_LOG_BYTES];
     while let Some(head) = log[lengths[lengths.len() - 1]..].first_chunk::<4>() {
@@ -114,20 +123,20 @@
 }
 
 #[test]
-fn a_log_is_read_also_where_it_is_cut_behind_what_counts() {
+fn a_log_with_an_unfinished_frame_at_its_end_is_read() {
     let (log, counts, states) = (fixture("replica.log"), fixture("replica.counts"), states());
-    let (lengths, folder) = (lengths(&log), Folder::new("cut"));
+    let (lengths, directory) = (lengths(&log), LogDirectory::new("cut"));
     assert_eq!((lengths.len(), lengths.last()), (states.len(), Some(&log.len())));
     for (counted, count) in counts.chunks(COUNT_BYTES).enumerate() {
         for cut in 0..=log.len() {
-            folder.write(&log[..cut], count);
+            directory.write(&LogFiles { log: log[..cut].to_vec(), frame_count: count.to_vec() });
             let intact = lengths.iter().rposition(|length| *length <= cut);
-            let opened = ReplicaLog::open(&folder.log());
+            let opened = ReplicaLog::open(&directory.log());
             match intact.filter(|frames| *frames >= counted) {
                 Some(frames) => {
-                    assert_eq!(opened.expect("all counted frames are there").state(), &states[frames]);
-                    // What was being written is cut off.
-                    assert_eq!(folder.read().0, &log[..lengths[frames]]);
+                    assert_eq!(opened.expect("all counted frames are intact").state(), &states[frames]);
+                    // The unfinished frame is discarded.
+                    assert_eq!(directory.read().log, &log[..lengths[frames]]);
                 }
                 None => assert!(opened.is_err(), "{cut} bytes, {counted} frames"),
             }
@@ -136,49 +145,47 @@
 }
 
 #[test]
-fn a_damaged_log_is_refused() {
-    let (log, counts, folder) = (fixture("replica.log"), fixture("replica.counts"), Folder::new("damaged"));
+fn a_damaged_log_is_rejected() {
+    let (log, counts, directory) =
+        (fixture("replica.log"), fixture("replica.counts"), LogDirectory::new("damaged"));
     let count = &counts[counts.len() - COUNT_BYTES..];
     for position in 0..log.len() {
         let mut altered = log.clone();
         altered[position] ^= 0x10;
-        folder.write(&altered, count);
-        assert!(ReplicaLog::open(&folder.log()).is_err(), "byte {position}");
+        directory.write(&LogFiles { log: altered, frame_count: count.to_vec() });
+        assert!(ReplicaLog::open(&directory.log()).is_err(), "byte {position}");
     }
     for position in 0..count.len() {
         let mut altered = count.to_vec();
         altered[position] ^= 0x10;
-        folder.write(&log, &altered);
-        assert!(ReplicaLog::open(&folder.log()).is_err(), "byte {position} of the count");
-        folder.write(&log, &count[..position]);
-        assert!(ReplicaLog::open(&folder.log()).is_err(), "{position} bytes of the count");
+        directory.write(&LogFiles { log: log.clone(), frame_count: altered });
+        assert!(ReplicaLog::open(&directory.log()).is_err(), "byte {position} of the count");
+        directory.write(&LogFiles { log: log.clone(), frame_count: count[..position].to_vec() });
+        assert!(ReplicaLog::open(&directory.log()).is_err(), "{position} bytes of the count");
     }
-    folder.write(&log, count);
-    assert_eq!(ReplicaLog::open(&folder.log()).expect("it is intact").state(), &states()[6]);
+    directory.write(&LogFiles { log, frame_count: count.to_vec() });
+    assert_eq!(ReplicaLog::open(&directory.log()).expect("the log is intact").state(), &states()[6]);
 }
 
-/// The log is compacted once it is large: its length after each write, and a hash of it with its count.
+/// Compares the size of the log after each write, and a hash of the log and its frame count.
 #[test]
 fn a_large_log_is_compacted_as_before() {
-    let folder = Folder::new("large");
-    ReplicaLog::create(&folder.log()).expect("it is created");
-    let mut log = ReplicaLog::open(&folder.log()).expect("it is intact");
+    let directory = LogDirectory::new("large");
+    ReplicaLog::create(&directory.log()).expect("the log is created");
+    let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
     let mut lengths = String::new();
     for index in 1..=30 {
-        log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)]).expect("it is written");
-        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("it is written");
-        let (content, count) = folder.read();
-        let hash = blake3::hash(&[&content[..], &count].concat()).to_hex();
+        log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)])
+            .expect("the records are written");
+        log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("the records are written");
+        let LogFiles { log: content, frame_count } = directory.read();
+        let hash = blake3::hash(&[&content[..], &frame_count].concat()).to_hex();
         lengths += &format!("{index} {} {hash}\n", content.len());
     }
     assert_eq!(lengths, String::from_utf8(fixture("large.txt")).expect("text"));
 }
 
-fn keys() -> Keyring {
-    Keyring::parse(&"ab".repeat(32)).expect("a key")
-}
-
-/// A request and its answer, as they are on a connection.
+/// A request and its answer.
 fn exchange() -> (Message, Message) {
     let id = ProposalId(300);
     let request = Message::Propose(Proposal {
@@ -192,42 +199,50 @@
     (request, Message::ProposalOutcome { proposal: id, outcome })
 }
 
-/// What a client sends, where it is answered with these bytes, and what it makes of them.
-fn call(answer: Vec<u8>, request: &Message, sent: usize) -> (Vec<u8>, Result<Message, Error>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+/// A call as the replica and the client see it.
+struct ObservedCall {
+    /// The bytes that the replica received.
+    received: Vec<u8>,
+    /// The result that the client got.
+    result: Result<Message, Error>,
+}
+
+/// Calls a replica that reads `request_bytes` bytes and then answers with `answer`.
+fn call(answer: Vec<u8>, request: &Message, request_bytes: usize) -> ObservedCall {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let server = std::thread::spawn(move || {
-        let mut stream: TcpStream = listener.accept().expect("a connection").0;
-        let mut bytes = vec![0; sent];
-        stream.read_exact(&mut bytes).expect("a request");
-        stream.write_all(&answer).expect("it is sent");
+        let mut stream: TcpStream = listener.accept().expect("the client connects").0;
+        let mut bytes = vec![0; request_bytes];
+        stream.read_exact(&mut bytes).expect("the request arrives");
+        stream.write_all(&answer).expect("the answer is sent");
         bytes
     });
-    let answered = config_node::call(address, &keys(), request, TIMEOUT, |_| true);
-    (server.join().expect("it was served"), answered)
+    let result = config_node::call(address, &keys(), request, TIMEOUT, |_| true);
+    ObservedCall { received: server.join().expect("the replica has answered"), result }
 }
 
 #[test]
 fn messages_on_a_connection_are_as_before() {
     let (request, answer) = exchange();
     let (request_frame, answer_frame) = (fixture("request.frame"), fixture("answer.frame"));
-    let (sent, answered) = call(answer_frame.clone(), &request, request_frame.len());
-    assert_eq!(sent, request_frame);
-    assert_eq!(answered.expect("it is answered"), answer);
+    let observed = call(answer_frame.clone(), &request, request_frame.len());
+    assert_eq!(observed.received, request_frame);
+    assert_eq!(observed.result.expect("the request is answered"), answer);
     for position in 0..answer_frame.len() {
-        let (_, cut) = call(answer_frame[..position].to_vec(), &request, request_frame.len());
-        assert!(cut.is_err(), "{position} bytes");
+        let truncated = call(answer_frame[..position].to_vec(), &request, request_frame.len());
+        assert!(truncated.result.is_err(), "{position} bytes");
         let mut altered = answer_frame.clone();
         altered[position] ^= 0x10;
-        let (_, damaged) = call(altered, &request, request_frame.len());
-        assert!(damaged.is_err(), "byte {position}");
+        let damaged = call(altered, &request, request_frame.len());
+        assert!(damaged.result.is_err(), "byte {position}");
     }
 }
 
 #[test]
-fn a_message_authenticated_with_another_key_is_not_accepted() {
+fn a_message_authenticated_with_another_key_is_rejected() {
     let (request, _) = exchange();
-    let other = Keyring::parse(&"cd".repeat(32)).expect("a key");
+    let other = Keyring::parse(&"cd".repeat(32)).expect("the key is valid");
     let message = Message::LeaseRequest(LeaseRequest {
         client: "m".into(),
         id: RequestId(1),
@@ -237,6 +252,6 @@
     });
     let authenticated = other.sign(&message.encode());
     let frame = [&(authenticated.len() as u32).to_le_bytes()[..], &authenticated].concat();
-    let (_, answered) = call(frame, &request, fixture("request.frame").len());
-    assert!(matches!(answered, Err(Error::Unauthenticated)), "{answered:?}");
+    let observed = call(frame, &request, fixture("request.frame").len());
+    assert!(matches!(observed.result, Err(Error::Unauthenticated)), "{:?}", observed.result);
 }
