--- a/crates/config_node/src/connection/accepted.rs
+++ b/crates/config_node/src/connection/accepted.rs
@@ -15,7 +15,7 @@
 /// Maximum number of open connections from other nodes.
 const MAX_CONNECTIONS: usize = 512;
 
-/// Starts the thread that accepts connections. Each connection is served by a thread of its own.
+/// Starts the thread that accepts connections. Each connection is served by a separate thread.
 pub(crate) fn listen(listener: TcpListener, context: ConnectionContext) -> io::Result<()> {
     let run = move || accept_all(&listener, &context);
     thread::Builder::new().name("agreed-listen".into()).spawn(run).map(drop)
--- a/crates/config_node/src/lease_watch.rs
+++ b/crates/config_node/src/lease_watch.rs
@@ -1,4 +1,4 @@
-//! Ends the lease in time. This runs in a thread of its own, because the thread that owns the node's state may be blocked by a slow
+//! Ends the lease in time. This runs in a separate thread, because the thread that owns the node's state may be blocked by a slow
 //! disk when the lease expires.
 
 use crate::clock::Clock;
--- a/crates/config_node/src/replica_log/frame.rs
+++ b/crates/config_node/src/replica_log/frame.rs
@@ -37,7 +37,7 @@
     Some(frames)
 }
 
-/// The first frame of some bytes.
+/// A frame that was split off the beginning of a file's remaining bytes.
 struct SplitFrame<'a> {
     data: &'a [u8],
     /// The bytes after the frame.
--- a/crates/config_node/src/replica_log/frame_count.rs
+++ b/crates/config_node/src/replica_log/frame_count.rs
@@ -1,4 +1,4 @@
-//! The number of frames that were written to a log, in a file of its own beside the log.
+//! The number of frames that were written to a log, in a second file beside the log.
 
 use super::{atomic_file, frame};
 use crate::error::Error;
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -45,7 +45,7 @@
 
     /// Starts a confirmation round for the waiting lease requests.
     pub(super) fn start_read_round(&mut self) {
-        // A leader knows the last committed entry only once it has committed an entry of its own term.
+        // A leader knows the last committed entry only once it has committed an entry of the current term.
         let may_read = self.leases.is_some() && self.raw_node.raft.commit_to_current_term();
         if may_read && self.reads.can_start() {
             let context = self.reads.start();
--- a/crates/snowfield/tests/replicated_config.rs
+++ b/crates/snowfield/tests/replicated_config.rs
@@ -47,7 +47,7 @@
 }
 
 /// Starts a gatekeeper with this file.
-fn start(file: &String) -> Program {
+fn start(file: &str) -> Program {
     Program::start(&["serve", file], &[])
 }
 
@@ -67,7 +67,7 @@
         assert!(!run(&["settings", "begin", file], &[]).0, "a log is created once");
     }
     assert!(!run(&["settings", "begin", &files[3]], &[]).0, "the fourth gatekeeper is no replica");
-    let mut programs: Vec<Program> = files.iter().map(start).collect();
+    let mut programs: Vec<Program> = files.iter().map(|file| start(file)).collect();
     for program in &programs {
         wait_for_version(program, IN_FORCE, 0);
     }
@@ -89,7 +89,7 @@
     assert_eq!(output.trim(), "plan basic: units_per_second 10 -> 5");
     // All gatekeepers are killed and restarted from their disks.
     drop(std::mem::take(&mut programs));
-    programs = files.iter().map(start).collect();
+    programs = files.iter().map(|file| start(file)).collect();
     for program in &programs {
         wait_for_version(program, IN_FORCE, 1);
     }
@@ -109,7 +109,7 @@
     for file in &files[..3] {
         assert!(run(&["settings", "begin", file], &[]).0);
     }
-    let mut programs: Vec<Program> = files.iter().map(start).collect();
+    let mut programs: Vec<Program> = files.iter().map(|file| start(file)).collect();
     wait_for_version(&programs[3], IN_FORCE, 0);
     drop(programs.remove(0));
     let log = directory.path().join("m0.log");
