--- a/crates/cluster/src/coordinator/notices.rs
+++ b/crates/cluster/src/coordinator/notices.rs
@@ -4,7 +4,7 @@
 use crate::log_limiter::LogPermit;
 use periodic_jobs::{ClockReading, Notice};
 
-/// The kind by which events of a notice are rate-limited.
+/// Returns the key under which the log events of a notice are rate-limited.
 fn kind(notice: &Notice) -> &'static str {
     match notice {
         Notice::StoreUnavailable { .. } => "store unavailable",
@@ -20,7 +20,7 @@
 
 impl Coordinator {
     pub(super) fn log_notice(&mut self, now: ClockReading, notice: &Notice) {
-        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind(notice), now.monotonic_ms) else {
+        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind(notice), now.monotonic) else {
             return;
         };
         match notice {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,13 +1,14 @@
 //! Events: what the driver tells the state machine.
 
-use crate::ids::{BackendId, Micros, RequestId, TenantId};
+use crate::ids::{BackendId, RequestId, TenantId};
+use crate::time::{Micros, Timestamp};
 
-/// Whether a backend takes work.
+/// Whether a backend is eligible for new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// Takes work.
+    /// Eligible.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes its requests in flight; nothing new may be sent.
     Draining,
     /// Withdrawn from the list.
     Gone,
@@ -24,14 +25,14 @@
     pub machine_type: u16,
     /// Its cell, see [`DedupScope::Cell`](crate::DedupScope::Cell).
     pub cell: u16,
-    /// Whether it takes work.
+    /// Whether it is eligible.
     pub state: BackendState,
     /// The service that it belongs to.
     pub service: u16,
     /// Its size relative to other backends.
     pub size: f64,
     /// Clock of its most recent start; 0 for long ago.
-    pub started: Micros,
+    pub started: Timestamp,
 }
 
 impl Default for BackendEntry {
@@ -45,7 +46,7 @@
             state: BackendState::Ready,
             service: 0,
             size: 1.0,
-            started: 0,
+            started: Timestamp::ZERO,
         }
     }
 }
