--- a/crates/config_node/src/client_connections.rs
+++ b/crates/config_node/src/client_connections.rs
@@ -41,3 +41,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -97,3 +97,6 @@
         RolloutPhase::Proposed => VersionNumbers { in_force: latest.previous(), proposed: latest },
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/replicated_config/src/replica/tick_clock.rs
+++ b/crates/replicated_config/src/replica/tick_clock.rs
@@ -28,3 +28,6 @@
         ticks.min(MAX_CATCH_UP_TICKS)
     }
 }
+
+#[cfg(test)]
+mod tests;
