--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -1,62 +1,49 @@
-//! How an attempt begins, and how it is cancelled.
+//! The start and the cancellation of attempts.
 
-use crate::checkout::Checkout;
-use crate::pooled_connection::{ActiveAttempt, PooledConnection};
-use crate::pools::{BackendPools, Carrier};
+use crate::pooled_connection::PooledConnection;
+use crate::pools::BackendPools;
+use crate::pools_state::{Assignment, Checkout, WritePermission};
 use crate::protocol::Protocol;
-use exchange::{Attempt, AttemptId, Backends};
+use exchange::{Attempt, AttemptId, Backends, MAX_SCHEDULING_DELAY};
 use invariants::Guard;
-use link::{ConnectError, Connection, locked, spawn};
+use link::{ConnectError, Connection, spawn};
 use policy::{Micros, Outcome};
-use std::io;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant};
-
-/// A gatekeeper may be held up for so long between reading its clock and writing.
-const HOLD_UP: Micros = 150_000;
-/// A change of the list may be so old that an attempt that was chosen before is only now to be written.
-const RECENT_CHANGE: Duration = Duration::from_millis(500);
-/// Microseconds by which a build with seeded faults passes on a deadline that is too late.
+use std::time::Instant;
+
+/// Microseconds that a build with seeded faults adds to the deadline that it passes on.
 const SEEDED_EXTRA_TIME: Micros = 400_000;
 /// Bytes that most requests fit in.
 const REQUEST_CAPACITY: usize = 512;
 
-/// What becomes of an attempt whose connection has been established, or not.
+/// Nothing of a request was written, and its connection carries no attempt.
+struct NothingWritten;
+
+/// What becomes of an attempt when its new connection is established.
 enum AfterConnect {
-    /// It is written.
-    Begin,
-    /// It ends like this.
+    /// The attempt is written.
+    Write,
+    /// The attempt ends with this outcome.
     Fail(Outcome),
-    /// Nobody wants it any more.
-    Unwanted,
+    /// The attempt was cancelled.
+    Cancelled,
 }
 
 impl<P: Protocol> Backends<P::Payload> for BackendPools<P> {
     fn start(&self, attempt: Attempt<P::Payload>) {
         loop {
-            match self.check_out(&attempt) {
+            let checkout = self.state().check_out(attempt.id, attempt.backend);
+            match checkout {
                 Some(Checkout::Idle(connection)) => {
-                    if is_late(&attempt, self.elapsed(&attempt)) {
-                        if self.remove_carrier(attempt.id) {
-                            self.check_in(&connection);
-                            self.attempt_failed(attempt.id, Outcome::NotStarted);
-                        }
-                        return;
-                    }
-                    if self.write(&connection, &attempt).is_ok() {
-                        return;
-                    }
-                    // It broke before anything was written, so the attempt never ran and another may carry it.
-                    connection.socket.close();
-                    if !self.remove_carrier(attempt.id) {
+                    if self.start_on_idle(&connection, &attempt).is_break() {
                         return;
                     }
                 }
                 Some(Checkout::New(address)) => {
                     if let Some(pools) = self.weak_self.upgrade() {
-                        spawn(move || pools.run_new_connection(attempt, address));
+                        spawn(move || pools.run_new_connection(&attempt, address));
                     }
                     return;
                 }
@@ -66,98 +53,90 @@
     }
 
     fn withdraw(&self, attempt: AttemptId) {
-        if self.remove_unwritten(attempt) {
-            self.attempt_failed(attempt, Outcome::Cancelled);
-        }
+        self.end_unwritten_with(attempt, Outcome::Cancelled);
     }
 
     fn end_unwritten(&self, attempt: AttemptId) {
-        if self.remove_unwritten(attempt) {
-            self.attempt_failed(attempt, Outcome::NotStarted);
-        }
+        self.end_unwritten_with(attempt, Outcome::NotStarted);
     }
 
     fn cancel(&self, attempt: AttemptId) {
-        let carrier = locked(&self.state).carriers.remove(&attempt);
-        if let Some(Carrier::On(connection)) = carrier {
-            *locked(&connection.attempt) = None;
-            connection.socket.close();
+        let assignment = self.state().unassign(attempt);
+        if let Some(Assignment::Connected(connection)) = assignment {
+            connection.abort();
         }
     }
 }
 
 impl<P: Protocol> BackendPools<P> {
-    /// Forgets what carries an attempt that is not written completely, and ends its connection if it has one: what is not complete
-    /// never runs. Returns whether there was such an attempt.
-    fn remove_unwritten(&self, attempt: AttemptId) -> bool {
-        let carrier = {
-            let mut state = locked(&self.state);
-            let is_unwritten = match state.carriers.get(&attempt) {
-                Some(Carrier::Connecting) => true,
-                Some(Carrier::On(connection)) => {
-                    let has_begun = locked(&connection.attempt).is_some();
-                    !has_begun || connection.socket.unsent() > 0
-                }
-                None => false,
-            };
-            if is_unwritten { state.carriers.remove(&attempt) } else { None }
-        };
-        if let Some(Carrier::On(connection)) = &carrier {
-            *locked(&connection.attempt) = None;
-            connection.socket.close();
+    /// Ends an attempt that is not written completely, and its connection if it has one: an incomplete request never runs.
+    fn end_unwritten_with(&self, attempt: AttemptId, outcome: Outcome) {
+        let assignment = self.state().unassign_unwritten(attempt);
+        let Some(assignment) = assignment else { return };
+        if let Assignment::Connected(connection) = assignment {
+            connection.abort();
         }
-        carrier.is_some()
+        self.attempt_failed(attempt, outcome);
     }
 
-    /// The guard on sending, right before the write: whether the attempt is wanted, in time, and at a backend that takes work at this
-    /// address. What has changed since the connection was chosen is refused here; a violation is reported where that was long ago.
-    fn may_send(&self, attempt: &Attempt<P::Payload>, address: SocketAddr, elapsed: Micros) -> bool {
-        let (is_wanted, takes_work, is_recent) = {
-            let state = locked(&self.state);
-            let pool = state.pools.get(&attempt.backend);
-            let is_recent = pool.is_some_and(|pool| pool.changed.elapsed() < RECENT_CHANGE);
-            let is_ejected = state.operator_ejections.contains(&attempt.backend);
-            let takes_work = state.takes_work(attempt.backend, address);
-            (state.carriers.contains_key(&attempt.id), takes_work, is_recent || is_ejected)
-        };
-        let AttemptId { request, attempt: number } = attempt.id;
-        invariants::check(
-            Guard::Sending,
-            (takes_work || is_recent) && elapsed < attempt.time_left + HOLD_UP,
-            format_args!(
-                "request {request}, attempt {number} at backend {}: takes work {takes_work}, {elapsed} of {} us",
-                attempt.backend, attempt.time_left
-            ),
-        );
-        is_wanted && takes_work
+    /// Starts an attempt on an idle connection. Continues with another connection if this one broke before anything was written.
+    fn start_on_idle(
+        &self,
+        connection: &Arc<PooledConnection<P::Payload>>,
+        attempt: &Attempt<P::Payload>,
+    ) -> ControlFlow<()> {
+        if is_late(attempt, self.elapsed(attempt)) {
+            if self.unassign(attempt.id) {
+                self.state().check_in(connection);
+                self.attempt_failed(attempt.id, Outcome::NotStarted);
+            }
+            return ControlFlow::Break(());
+        }
+        if self.write(connection, attempt).is_ok() {
+            return ControlFlow::Break(());
+        }
+        connection.socket.close();
+        let is_wanted = self.unassign(attempt.id);
+        if is_wanted { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
     }
 
-    /// Microseconds since an attempt was decided. Read anew before anything is written: the process may have been held up.
-    fn elapsed(&self, attempt: &Attempt<P::Payload>) -> Micros {
-        self.exchange().now().saturating_since(attempt.decided_at)
+    /// Establishes a connection, starts the attempt on it if it is still wanted, and serves the connection until it ends.
+    fn run_new_connection(&self, attempt: &Attempt<P::Payload>, address: SocketAddr) {
+        let (started_at, timeout) = (Instant::now(), self.timeouts().connect);
+        match Connection::connect(address, timeout) {
+            Ok(socket) => {
+                let is_slow = started_at.elapsed() > timeout;
+                let connection = Arc::new(PooledConnection::new(socket, attempt.backend, address));
+                self.start_on_new(&connection, attempt, is_slow);
+                self.serve(&connection);
+            }
+            Err(error) => self.connect_failed(attempt.id, &error),
+        }
     }
 
-    /// Establishes a connection, makes the attempt on it if it is still wanted, and serves the connection.
-    fn run_new_connection(&self, attempt: Attempt<P::Payload>, address: SocketAddr) {
-        let (begun, timeout) = (Instant::now(), self.timeouts().connect);
-        let socket = Connection::connect(address, timeout);
-        let connection =
-            socket.map(|socket| Arc::new(PooledConnection::new(socket, attempt.backend, address)));
-        let is_slow = begun.elapsed() > timeout;
-        let elapsed = self.elapsed(&attempt);
-        let next = self.after_connect(&attempt, connection.as_ref(), elapsed, is_slow);
-        let Ok(connection) = connection else {
-            locked(&self.state).open_connections -= 1;
-            if let AfterConnect::Fail(outcome) = next {
-                self.attempt_failed(attempt.id, outcome);
-            }
-            return;
+    fn connect_failed(&self, attempt: AttemptId, error: &ConnectError) {
+        let is_wanted = {
+            let mut state = self.state();
+            state.connect_failed();
+            state.unassign(attempt).is_some()
         };
-        match next {
-            AfterConnect::Begin => {
-                if self.write(&connection, &attempt).is_err() {
+        if is_wanted {
+            let outcome = if error.is_local() { Outcome::NotStarted } else { Outcome::ConnectFailed };
+            self.attempt_failed(attempt, outcome);
+        }
+    }
+
+    fn start_on_new(
+        &self,
+        connection: &Arc<PooledConnection<P::Payload>>,
+        attempt: &Attempt<P::Payload>,
+        is_slow: bool,
+    ) {
+        match self.after_connect(connection, attempt, is_slow) {
+            AfterConnect::Write => {
+                if self.write(connection, attempt).is_err() {
                     connection.socket.close();
-                    if self.remove_carrier(attempt.id) {
+                    if self.unassign(attempt.id) {
                         self.attempt_failed(attempt.id, Outcome::ConnectFailed);
                     }
                 }
@@ -166,65 +145,81 @@
                 self.attempt_failed(attempt.id, outcome);
                 connection.socket.close();
             }
-            AfterConnect::Unwanted => self.check_in(&connection),
+            AfterConnect::Cancelled => self.state().check_in(connection),
         }
-        self.serve(&connection);
     }
 
+    /// Decides what becomes of an attempt whose connection is established, and assigns the connection if the attempt is written.
     fn after_connect(
         &self,
+        connection: &Arc<PooledConnection<P::Payload>>,
         attempt: &Attempt<P::Payload>,
-        connection: Result<&Arc<PooledConnection<P::Payload>>, &ConnectError>,
-        elapsed: Micros,
         is_slow: bool,
     ) -> AfterConnect {
-        let mut state = locked(&self.state);
-        if state.carriers.remove(&attempt.id).is_none() {
-            return AfterConnect::Unwanted;
+        let elapsed = self.elapsed(attempt);
+        let mut state = self.state();
+        if state.unassign(attempt.id).is_none() {
+            return AfterConnect::Cancelled;
         }
-        let connection = match connection {
-            Ok(connection) => connection,
-            Err(error) if error.is_local() => return AfterConnect::Fail(Outcome::NotStarted),
-            Err(_) => return AfterConnect::Fail(Outcome::ConnectFailed),
-        };
-        // A backend that drains, went or moved while the connection was established gets nothing new.
-        if !state.takes_work(attempt.backend, connection.address) || is_late(attempt, elapsed) {
+        // The backend may have started to drain, gone or moved while the connection was established.
+        if !state.is_eligible(attempt.backend, connection.address) || is_late(attempt, elapsed) {
             return AfterConnect::Fail(Outcome::NotStarted);
         }
-        // The policy relies on it that what has not begun by then never will.
+        // The policy relies on it that an attempt without a connection by then never starts.
         if is_slow {
             return AfterConnect::Fail(Outcome::ConnectFailed);
         }
-        state.carriers.insert(attempt.id, Carrier::On(connection.clone()));
-        AfterConnect::Begin
+        state.assign(attempt.id, connection);
+        AfterConnect::Write
     }
 
-    /// Writes the request of an attempt. Where nothing could be written, the connection carries nothing.
+    /// Writes the request of an attempt.
     fn write(
         &self,
         connection: &PooledConnection<P::Payload>,
         attempt: &Attempt<P::Payload>,
-    ) -> io::Result<()> {
+    ) -> Result<(), NothingWritten> {
         let elapsed = self.elapsed(attempt);
-        if !self.may_send(attempt, connection.address, elapsed) {
-            return Err(io::ErrorKind::NotConnected.into());
+        if !self.may_write(attempt, connection.address, elapsed) {
+            return Err(NothingWritten);
         }
         let mut time_left = attempt.time_left.saturating_sub(elapsed);
         if seeded_faults::is_active("deadlines") {
             time_left += SEEDED_EXTRA_TIME;
         }
-        let mut bytes = Vec::with_capacity(REQUEST_CAPACITY);
-        self.protocol.encode(&attempt.payload, connection.address, time_left, &mut bytes);
-        // Held while the bytes go out, so that the reader finds either no attempt or one that was begun.
-        let mut active = locked(&connection.attempt);
-        let is_written = connection.socket.send(&bytes)?;
-        self.attempts_written.fetch_add(u64::from(is_written), Ordering::Relaxed);
-        *active = Some(ActiveAttempt { id: attempt.id, payload: attempt.payload.clone(), is_written });
-        Ok(())
+        let mut request = Vec::with_capacity(REQUEST_CAPACITY);
+        self.protocol.encode(&attempt.payload, connection.address, time_left, &mut request);
+        let on_written = || self.count_attempt_written();
+        connection
+            .write_attempt(attempt.id, &attempt.payload, &request, on_written)
+            .map_err(|_| NothingWritten)
+    }
+
+    /// The guard on sending, right before the write: whether the attempt is wanted, in time, and at an eligible backend. What has
+    /// changed since the decision is refused here. A violation is reported unless the change was recent.
+    fn may_write(&self, attempt: &Attempt<P::Payload>, address: SocketAddr, elapsed: Micros) -> bool {
+        let WritePermission { is_wanted, is_eligible, is_recently_changed } =
+            self.state().write_permission(attempt.id, attempt.backend, address);
+        let AttemptId { request, attempt: number } = attempt.id;
+        let is_in_time = elapsed < attempt.time_left + MAX_SCHEDULING_DELAY;
+        invariants::check(
+            Guard::Sending,
+            (is_eligible || is_recently_changed) && is_in_time,
+            format_args!(
+                "request {request}, attempt {number} at backend {}: eligible {is_eligible}, {elapsed} of {} us",
+                attempt.backend, attempt.time_left
+            ),
+        );
+        is_wanted && is_eligible
+    }
+
+    /// Microseconds since the decision to make an attempt. To be read anew before each write: the process may have been descheduled.
+    fn elapsed(&self, attempt: &Attempt<P::Payload>) -> Micros {
+        self.exchange().now().saturating_since(attempt.decided_at)
     }
 }
 
-/// Whether an attempt must not begin any more: it would be too late for its class, or for its client.
+/// Whether it is too late to write an attempt, by its class or by its client's deadline.
 fn is_late<Q>(attempt: &Attempt<Q>, elapsed: Micros) -> bool {
     elapsed >= attempt.max_start_delay || elapsed >= attempt.time_left
 }
--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -1,4 +1,4 @@
-//! Backends that speak HTTP/1.1.
+//! HTTP/1.1.
 
 use crate::{Parsed, Protocol};
 use ::http::{ParsedResponse, Request, Response};
@@ -12,8 +12,8 @@
 /// Called with each backend that has served an attempt.
 type OnServed = Box<dyn Fn(BackendId) + Send + Sync>;
 
-/// HTTP/1.1. An answer with a status of 500 or above is a failure of its backend: it may have run, and an idempotent request is
-/// retried elsewhere.
+/// HTTP/1.1. An answer with a status of 500 or above is a failure of its backend: the request may have run, and is retried at another
+/// backend if it is idempotent.
 #[derive(Default)]
 pub struct HttpProtocol {
     /// Called with each backend that has served an attempt.
@@ -36,11 +36,11 @@
 
     fn parse(&self, request: &Request, buffer: &[u8], is_end: bool) -> Parsed<Response> {
         match ::http::parse_response(buffer, request.is_head, is_end) {
-            Ok(Some(ParsedResponse { response: answer, consumed, keep_alive })) => {
-                let is_served = answer.status < SERVER_ERROR;
+            Ok(Some(ParsedResponse { response, consumed, keep_alive })) => {
+                let is_served = response.status < SERVER_ERROR;
                 let end = AttemptEnd {
                     outcome: if is_served { Outcome::Ok } else { Outcome::Error },
-                    answer: is_served.then_some(answer),
+                    answer: is_served.then_some(response),
                     load: Vec::new(),
                     is_streaming: false,
                 };
--- /dev/null
+++ b/crates/destination/src/pool.rs
@@ -0,0 +1,128 @@
+//! The pool of one backend: its endpoint and its idle connections.
+
+use crate::pooled_connection::PooledConnection;
+use policy::{BackendId, BackendState, Timestamp};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The endpoint of a backend, as discovery has it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct BackendEndpoint {
+    /// The backend.
+    pub id: BackendId,
+    /// The address that it listens on.
+    pub address: SocketAddr,
+    /// Whether it is eligible.
+    pub state: BackendState,
+    /// Its most recent start. Older connections are dead.
+    pub started: Timestamp,
+}
+
+struct IdleConnection<Q> {
+    connection: Arc<PooledConnection<Q>>,
+    since: Instant,
+}
+
+/// The pool of one backend.
+pub(crate) struct Pool<Q> {
+    endpoint: BackendEndpoint,
+    changed_at: Instant,
+    /// Ordered by time: the connection that became idle last is at the end.
+    idle: Vec<IdleConnection<Q>>,
+}
+
+impl<Q> Pool<Q> {
+    pub(crate) fn new(endpoint: BackendEndpoint) -> Self {
+        Self { endpoint, changed_at: Instant::now(), idle: Vec::new() }
+    }
+
+    pub(crate) fn address(&self) -> SocketAddr {
+        self.endpoint.address
+    }
+
+    pub(crate) fn state(&self) -> BackendState {
+        self.endpoint.state
+    }
+
+    /// Whether the backend is eligible at this address.
+    pub(crate) fn is_eligible_at(&self, address: SocketAddr) -> bool {
+        self.endpoint.state == BackendState::Ready && self.endpoint.address == address
+    }
+
+    /// Time since the endpoint changed.
+    pub(crate) fn time_since_change(&self) -> Duration {
+        self.changed_at.elapsed()
+    }
+
+    /// Applies a new version of the endpoint. Connections to an earlier address or process are closed.
+    pub(crate) fn update(&mut self, endpoint: &BackendEndpoint) {
+        if self.endpoint != *endpoint {
+            self.changed_at = Instant::now();
+        }
+        let has_moved =
+            self.endpoint.address != endpoint.address || self.endpoint.started != endpoint.started;
+        self.endpoint = endpoint.clone();
+        if has_moved {
+            self.close_idle();
+        }
+    }
+
+    /// Marks the backend as gone until an update lists it again.
+    pub(crate) fn mark_gone(&mut self) {
+        self.endpoint.state = BackendState::Gone;
+    }
+
+    pub(crate) fn put_idle(&mut self, connection: Arc<PooledConnection<Q>>) {
+        self.idle.push(IdleConnection { connection, since: Instant::now() });
+    }
+
+    /// Takes the connection that became idle last, among those that have been idle for `quiet_time`. A connection with unread bytes
+    /// has answered without a request, or has ended: it is closed.
+    pub(crate) fn take_idle(&mut self, quiet_time: Duration) -> Option<Arc<PooledConnection<Q>>> {
+        let now = Instant::now();
+        let is_quiet = |idle: &IdleConnection<_>| now.duration_since(idle.since) >= quiet_time;
+        loop {
+            let last = self.idle.partition_point(is_quiet).checked_sub(1)?;
+            let connection = self.idle.remove(last).connection;
+            if !connection.socket.is_closed() && !connection.socket.has_unread() {
+                return Some(connection);
+            }
+            connection.socket.close();
+        }
+    }
+
+    /// When the connection that has been idle longest became idle.
+    pub(crate) fn oldest_idle_since(&self) -> Option<Instant> {
+        self.idle.first().map(|idle| idle.since)
+    }
+
+    /// Closes the connection that has been idle longest.
+    pub(crate) fn close_oldest_idle(&mut self) {
+        if !self.idle.is_empty() {
+            self.idle.remove(0).connection.socket.close();
+        }
+    }
+
+    /// Forgets a connection that has ended.
+    pub(crate) fn remove_idle(&mut self, connection: &Arc<PooledConnection<Q>>) {
+        self.idle.retain(|idle| !Arc::ptr_eq(&idle.connection, connection));
+    }
+
+    pub(crate) fn close_idle(&mut self) {
+        for idle in self.idle.drain(..) {
+            idle.connection.socket.close();
+        }
+    }
+
+    /// Closes the connections that have been idle for `timeout`.
+    pub(crate) fn close_expired(&mut self, timeout: Duration, now: Instant) {
+        self.idle.retain(|idle| {
+            let is_fresh = now.duration_since(idle.since) < timeout;
+            if !is_fresh {
+                idle.connection.socket.close();
+            }
+            is_fresh
+        });
+    }
+}
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -1,33 +1,80 @@
-//! Connections.
+//! A connection of a pool, and the attempt on it.
 
 use exchange::AttemptId;
-use link::Connection;
+use link::{Connection, locked};
 use policy::BackendId;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Bytes of one read at most.
+/// Maximum bytes of one read.
 pub(crate) const MAX_READ: usize = 8 * 1024;
 
-/// A connection to a backend.
+/// A connection to a backend. It carries at most one attempt at a time.
 pub(crate) struct PooledConnection<Q> {
     pub(crate) socket: Connection,
     pub(crate) backend: BackendId,
     pub(crate) address: SocketAddr,
-    /// The attempt that it carries.
-    pub(crate) attempt: Mutex<Option<ActiveAttempt<Q>>>,
+    attempt: Mutex<Option<ActiveAttempt<Q>>>,
 }
 
 /// The attempt on a connection.
 pub(crate) struct ActiveAttempt<Q> {
     pub(crate) id: AttemptId,
     pub(crate) payload: Arc<Q>,
-    /// Its last byte is with the system.
-    pub(crate) is_written: bool,
+    /// Whether the kernel has taken its last byte.
+    is_written: bool,
 }
 
 impl<Q> PooledConnection<Q> {
     pub(crate) fn new(socket: Connection, backend: BackendId, address: SocketAddr) -> Self {
         Self { socket, backend, address, attempt: Mutex::new(None) }
     }
+
+    /// Writes the request of an attempt; what the kernel does not take is queued. `on_written` is called if the kernel has taken all of
+    /// it. With an error nothing was written, and the connection carries no attempt.
+    pub(crate) fn write_attempt(
+        &self,
+        id: AttemptId,
+        payload: &Arc<Q>,
+        request: &[u8],
+        on_written: impl FnOnce(),
+    ) -> io::Result<()> {
+        // Locked during the write, so that the reader finds either no attempt or one that was begun.
+        let mut attempt = locked(&self.attempt);
+        let is_written = self.socket.send(request)?;
+        if is_written {
+            on_written();
+        }
+        *attempt = Some(ActiveAttempt { id, payload: payload.clone(), is_written });
+        Ok(())
+    }
+
+    /// Whether the connection carries no attempt, or one with bytes that the kernel has not taken.
+    pub(crate) fn is_unwritten(&self) -> bool {
+        let has_attempt = locked(&self.attempt).is_some();
+        !has_attempt || self.socket.unsent() > 0
+    }
+
+    /// The attempt on the connection. `on_written` is called if the kernel has taken its last byte since the previous call.
+    pub(crate) fn active_attempt(&self, on_written: impl FnOnce()) -> Option<(AttemptId, Arc<Q>)> {
+        let mut attempt = locked(&self.attempt);
+        let attempt = attempt.as_mut()?;
+        if !attempt.is_written && self.socket.unsent() == 0 {
+            attempt.is_written = true;
+            on_written();
+        }
+        Some((attempt.id, attempt.payload.clone()))
+    }
+
+    /// Removes the attempt, if there is one.
+    pub(crate) fn take_attempt(&self) -> Option<ActiveAttempt<Q>> {
+        locked(&self.attempt).take()
+    }
+
+    /// Removes the attempt and closes the connection, which is the only way to cancel an attempt.
+    pub(crate) fn abort(&self) {
+        self.take_attempt();
+        self.socket.close();
+    }
 }
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -1,45 +1,31 @@
-//! The pools of all backends.
+//! The connections to all backends.
 
-use crate::pooled_connection::PooledConnection;
+use crate::pool::BackendEndpoint;
+use crate::pools_state::PoolsState;
 use crate::protocol::Protocol;
 use exchange::{AttemptEnd, AttemptId, Exchange, StreamBudget};
 use link::locked;
-use policy::{BackendId, BackendState, ListKind, Outcome, Timestamp};
-use std::collections::{HashMap, HashSet};
-use std::net::SocketAddr;
+use policy::{BackendId, ListKind, Outcome};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, OnceLock, Weak};
+use std::sync::{Arc, Mutex, MutexGuard, OnceLock, Weak};
 use std::time::{Duration, Instant};
 
-/// Bounds and timeouts of the pools.
+/// Limits and timeouts of the pools.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A connection that is not established by then has failed.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this, before its backend does so.
+    /// Maximum time for which a connection is idle. It must be below the backends' own timeout.
     pub idle_timeout: Duration,
-    /// Connections to all backends together.
+    /// Maximum number of connections to all backends together.
     pub max_connections: usize,
-    /// The most bytes of one answer that is buffered.
+    /// Maximum bytes of an answer that is buffered.
     pub max_answer_bytes: usize,
-    /// The bytes that all streamed answers may hold together.
+    /// Maximum bytes that all streamed answers buffer together.
     pub stream_budget_bytes: usize,
 }
 
-/// A backend as discovery tells of it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct BackendEndpoint {
-    /// The backend.
-    pub id: BackendId,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// Whether it takes work.
-    pub state: BackendState,
-    /// Its most recent start: connections from before are dead.
-    pub started: Timestamp,
-}
-
-/// Timeouts that new settings may change.
+/// The timeouts that new settings may change.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timeouts {
     pub(crate) connect: Duration,
@@ -53,101 +39,14 @@
     pub(crate) limits: Limits,
     timeouts: Mutex<Timeouts>,
     exchange: OnceLock<Arc<Exchange<P::Payload, P::Answer>>>,
-    pub(crate) state: Mutex<PoolsState<P::Payload>>,
-    /// Attempts whose last byte the system has taken.
-    pub(crate) attempts_written: AtomicU64,
+    state: Mutex<PoolsState<P::Payload>>,
+    attempts_written: AtomicU64,
     pub(crate) stream_budget: Arc<StreamBudget>,
 }
 
-pub(crate) struct PoolsState<Q> {
-    pub(crate) pools: HashMap<BackendId, Pool<Q>>,
-    pub(crate) carriers: HashMap<AttemptId, Carrier<Q>>,
-    /// Connections that are open or being established.
-    pub(crate) open_connections: usize,
-    /// Backends that operators have ejected, listed or not: they get nothing new.
-    pub(crate) operator_ejections: HashSet<BackendId>,
-    /// A successor takes this process's place: no connection is kept.
-    pub(crate) is_retired: bool,
-    /// Connections that bring streamed answers.
-    pub(crate) streaming: Vec<Weak<PooledConnection<Q>>>,
-}
-
-/// The pool of one backend.
-pub(crate) struct Pool<Q> {
-    pub(crate) endpoint: BackendEndpoint,
-    /// When its state or address changed last.
-    pub(crate) changed: Instant,
-    /// The one used last at the end.
-    pub(crate) idle: Vec<IdleConnection<Q>>,
-}
-
-pub(crate) struct IdleConnection<Q> {
-    pub(crate) connection: Arc<PooledConnection<Q>>,
-    pub(crate) since: Instant,
-}
-
-/// What carries an attempt.
-pub(crate) enum Carrier<Q> {
-    /// Its connection is being established.
-    Connecting,
-    /// It is on this connection.
-    On(Arc<PooledConnection<Q>>),
-}
-
-impl<Q> Pool<Q> {
-    pub(crate) fn close_idle(&mut self) {
-        for idle in self.idle.drain(..) {
-            idle.connection.socket.close();
-        }
-    }
-
-    fn close_idle_for(&mut self, timeout: Duration, now: Instant) {
-        self.idle.retain(|idle| {
-            let keep = now.duration_since(idle.since) < timeout;
-            if !keep {
-                idle.connection.socket.close();
-            }
-            keep
-        });
-    }
-
-    /// Whether the backend takes work at this address.
-    fn accepts(&self, address: SocketAddr) -> bool {
-        self.endpoint.state == BackendState::Ready && self.endpoint.address == address
-    }
-
-    fn update(&mut self, endpoint: &BackendEndpoint) {
-        if self.endpoint != *endpoint {
-            self.changed = Instant::now();
-        }
-        let has_moved =
-            self.endpoint.address != endpoint.address || self.endpoint.started != endpoint.started;
-        self.endpoint = endpoint.clone();
-        if has_moved {
-            self.close_idle();
-        }
-    }
-}
-
-impl<Q> PoolsState<Q> {
-    /// Whether a backend may be sent something new at this address.
-    pub(crate) fn takes_work(&self, backend: BackendId, address: SocketAddr) -> bool {
-        let accepts = self.pools.get(&backend).is_some_and(|pool| pool.accepts(address));
-        accepts && !self.operator_ejections.contains(&backend)
-    }
-}
-
 impl<P: Protocol> BackendPools<P> {
-    /// Pools without any backend yet.
+    /// Creates pools without backends.
     pub fn new(protocol: P, limits: Limits) -> Arc<Self> {
-        let state = PoolsState {
-            pools: HashMap::new(),
-            carriers: HashMap::new(),
-            open_connections: 0,
-            operator_ejections: HashSet::new(),
-            is_retired: false,
-            streaming: Vec::new(),
-        };
         let timeouts = Timeouts { connect: limits.connect_timeout, idle: limits.idle_timeout };
         Arc::new_cyclic(|weak_self| Self {
             weak_self: weak_self.clone(),
@@ -155,7 +54,7 @@
             limits,
             timeouts: Mutex::new(timeouts),
             exchange: OnceLock::new(),
-            state: Mutex::new(state),
+            state: Mutex::new(PoolsState::new(limits.max_connections)),
             attempts_written: AtomicU64::new(0),
             stream_budget: StreamBudget::new(limits.stream_budget_bytes),
         })
@@ -166,7 +65,7 @@
         &self.protocol
     }
 
-    /// Sets other timeouts, for connections that are established or swept from now on.
+    /// Sets the timeouts of connections that are established, or found idle, from now on.
     pub fn set_timeouts(&self, connect: Duration, idle: Duration) {
         *locked(&self.timeouts) = Timeouts { connect, idle };
     }
@@ -175,7 +74,7 @@
         *locked(&self.timeouts)
     }
 
-    /// Sets the exchange that is told how attempts end. A second call has no effect.
+    /// Sets the exchange that the ends of attempts are reported to. A second call has no effect.
     pub fn set_exchange(&self, exchange: Arc<Exchange<P::Payload, P::Answer>>) {
         // Already set: the first stays.
         let _ = self.exchange.set(exchange);
@@ -185,78 +84,54 @@
         self.exchange.get().expect("the exchange is set before any attempt")
     }
 
-    /// Tells the exchange that an attempt ended without an answer.
+    pub(crate) fn state(&self) -> MutexGuard<'_, PoolsState<P::Payload>> {
+        locked(&self.state)
+    }
+
+    /// Reports the end of an attempt without an answer to the exchange.
     pub(crate) fn attempt_failed(&self, attempt: AttemptId, outcome: Outcome) {
         self.exchange().attempt_ended(attempt, AttemptEnd::without_answer(outcome));
     }
 
-    /// Forgets what carries an attempt. Returns whether the attempt was still wanted.
-    pub(crate) fn remove_carrier(&self, attempt: AttemptId) -> bool {
-        locked(&self.state).carriers.remove(&attempt).is_some()
+    /// Removes the assignment of an attempt. Returns whether the attempt was still wanted.
+    pub(crate) fn unassign(&self, attempt: AttemptId) -> bool {
+        self.state().unassign(attempt).is_some()
     }
 
-    /// Applies an update of the endpoint list. This must come before the exchange gets it.
+    /// Applies an update of the endpoint list. To be called before the exchange gets the update.
     pub fn update_endpoints(&self, kind: ListKind, endpoints: &[BackendEndpoint]) {
-        let mut state = locked(&self.state);
-        if matches!(kind, ListKind::Cached | ListKind::Full) {
-            state.pools.values_mut().for_each(|pool| pool.endpoint.state = BackendState::Gone);
-        }
-        for endpoint in endpoints {
-            match state.pools.get_mut(&endpoint.id) {
-                Some(pool) => pool.update(endpoint),
-                None => {
-                    let pool = Pool { endpoint: endpoint.clone(), changed: Instant::now(), idle: Vec::new() };
-                    state.pools.insert(endpoint.id, pool);
-                }
-            }
-        }
-        let not_ready = |pool: &&mut Pool<_>| pool.endpoint.state != BackendState::Ready;
-        state.pools.values_mut().filter(not_ready).for_each(Pool::close_idle);
-        state.pools.retain(|_, pool| pool.endpoint.state != BackendState::Gone);
+        self.state().update_endpoints(kind, endpoints);
     }
 
-    /// Operators eject a backend, or admit it again. An ejected one gets nothing new from now on, also not what was decided before;
-    /// what it was sent goes on. This must come before the exchange is told.
+    /// Sets or clears the operators' ejection of a backend. Nothing is written to an ejected backend from now on, not even attempts
+    /// that were decided before; what is written already continues. To be called before the exchange is notified.
     pub fn set_operator_ejection(&self, backend: BackendId, ejected: bool) {
-        let mut state = locked(&self.state);
-        if ejected {
-            state.operator_ejections.insert(backend);
-        } else {
-            state.operator_ejections.remove(&backend);
-        }
-        // What is idle may be from before a restart.
-        if let Some(pool) = state.pools.get_mut(&backend) {
-            pool.close_idle();
-        }
+        self.state().set_operator_ejection(backend, ejected);
     }
 
-    /// Keeps no idle connection while a successor takes this process's place, or keeps them again.
+    /// Sets whether a successor takes over from this process. Until this is cleared, no idle connection is kept.
     pub fn set_retired(&self, retired: bool) {
-        let mut state = locked(&self.state);
-        state.is_retired = retired;
-        state.pools.values_mut().filter(|_| retired).for_each(Pool::close_idle);
+        self.state().set_retired(retired);
     }
 
-    /// Attempts that were written completely.
+    /// The number of attempts whose last byte the kernel has taken.
     pub fn attempts_written(&self) -> u64 {
         self.attempts_written.load(Ordering::Relaxed)
     }
 
-    /// Closes connections that have been idle for too long, and has each streamed answer look whether it still moves. To be called
+    pub(crate) fn count_attempt_written(&self) {
+        self.attempts_written.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Closes connections that have been idle for too long, and lets each streamed answer check for a stall. To be called
     /// periodically.
     pub fn sweep(&self) {
-        let (now, timeout) = (Instant::now(), self.timeouts().idle);
-        let mut state = locked(&self.state);
-        for pool in state.pools.values_mut() {
-            pool.close_idle_for(timeout, now);
-        }
-        let is_open = |connection: Arc<PooledConnection<_>>| !connection.socket.is_closed();
-        state.streaming.retain(|connection| connection.upgrade().is_some_and(is_open));
-        state.streaming.iter().filter_map(Weak::upgrade).for_each(|connection| connection.socket.wake());
+        let (now, idle_timeout) = (Instant::now(), self.timeouts().idle);
+        self.state().sweep(idle_timeout, now);
     }
 
-    /// Connections that are open or being established.
+    /// The number of connections that are open or being established.
     pub fn open_connections(&self) -> usize {
-        locked(&self.state).open_connections
+        self.state().open_connections()
     }
 }
--- a/crates/destination/src/protocol.rs
+++ b/crates/destination/src/protocol.rs
@@ -1,75 +1,75 @@
-//! What a wire protocol has to tell.
+//! The trait of the wire protocols that backends speak.
 
 use exchange::{AttemptEnd, StreamReader};
 use policy::{BackendId, Micros};
 use std::net::SocketAddr;
 
-/// What the bytes at hand are.
+/// The result of parsing the bytes that have arrived.
 #[derive(Debug)]
 pub enum Parsed<A> {
-    /// More must arrive.
+    /// More bytes must arrive.
     Incomplete,
     /// A complete answer.
     Complete {
-        /// The bytes that it took.
+        /// Its length in bytes.
         consumed: usize,
-        /// The connection may carry another attempt.
+        /// Whether the connection may carry another attempt.
         keep_alive: bool,
-        /// How the attempt ended.
+        /// The end of the attempt.
         end: AttemptEnd<A>,
     },
-    /// A large answer has begun: it is passed on while it arrives.
+    /// A large answer has begun. It is passed on while it arrives.
     Streamed(StreamedAnswer<A>),
-    /// No valid answer can come any more.
+    /// The bytes cannot become a valid answer.
     Malformed(&'static str),
 }
 
 /// A large answer that has begun.
 #[derive(Debug)]
 pub struct StreamedAnswer<A> {
-    /// The bytes before its value.
+    /// The number of bytes before its value.
     pub consumed: usize,
-    /// What the client gets before the value.
+    /// The bytes that the client gets before the value.
     pub head: Vec<u8>,
-    /// The bytes of the value.
+    /// The length of the value in bytes.
     pub value_bytes: usize,
-    /// The items that stand behind it.
+    /// The number of items behind the value.
     pub trailing_items: usize,
-    /// Makes the stream an answer.
+    /// Makes an answer of the stream.
     pub into_answer: fn(StreamReader) -> A,
 }
 
-/// What stands behind the value of a streamed answer.
+/// The bytes behind the value of a streamed answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamTail {
-    /// The bytes that it took.
+    /// Their number.
     pub consumed: usize,
-    /// What of them the client gets.
+    /// The part of them that the client gets.
     pub forwarded: &'static [u8],
 }
 
 /// A wire protocol of backends.
 pub trait Protocol: Send + Sync + 'static {
-    /// What fronts forward.
+    /// A request as fronts submit it.
     type Payload: Send + Sync + 'static;
-    /// What backends answer.
+    /// An answer of a backend.
     type Answer: Send + 'static;
 
-    /// Appends the request of an attempt whose answer is awaited for this long.
+    /// Appends the encoded request of an attempt. `time_left`: the time until its deadline, for protocols that propagate it.
     fn encode(&self, payload: &Self::Payload, to: SocketAddr, time_left: Micros, out: &mut Vec<u8>);
 
-    /// A backend has served an attempt. By default nothing is done.
+    /// Called when a backend has served an attempt. Does nothing by default.
     fn on_served(&self, _backend: BackendId) {}
 
-    /// Parses what stands behind the value of a streamed answer; `None` where more must arrive.
+    /// Parses the bytes behind the value of a streamed answer; `None` if more must arrive.
     ///
     /// # Errors
     ///
-    /// It is malformed, and so the value may be.
+    /// The bytes are malformed, so the length of the value may have been wrong.
     fn parse_tail(&self, _trailing_items: usize, _buffer: &[u8]) -> Result<Option<StreamTail>, &'static str> {
         Err("no streamed answers here")
     }
 
-    /// Parses an answer at the start of the buffer; `is_end` tells that no more bytes will come.
+    /// Parses an answer at the start of the buffer. `is_end`: no more bytes will arrive.
     fn parse(&self, payload: &Self::Payload, buffer: &[u8], is_end: bool) -> Parsed<Self::Answer>;
 }
--- a/crates/destination/src/read_answers.rs
+++ b/crates/destination/src/read_answers.rs
@@ -1,15 +1,14 @@
-//! Reading answers until a connection ends.
+//! The reading side of a connection: answers, until the connection ends.
 
 use crate::pooled_connection::{MAX_READ, PooledConnection};
 use crate::pools::BackendPools;
-use crate::protocol::{Parsed, Protocol};
+use crate::protocol::{Parsed, Protocol, StreamedAnswer};
 use exchange::{AttemptEnd, AttemptId};
-use link::{Incoming, locked};
+use link::Incoming;
 use policy::Outcome;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 
-/// A buffer larger than this is freed once its answer is complete.
+/// Maximum capacity of a buffer that is kept for the next answer.
 const MAX_KEPT_BUFFER: usize = 32 * 1024;
 
 impl<P: Protocol> BackendPools<P> {
@@ -20,12 +19,13 @@
         self.connection_ended(connection);
     }
 
-    /// Reads once. Returns whether the connection goes on.
+    /// Reads once, and handles an answer that has begun or is complete. Returns whether the connection continues.
     fn read_answer(&self, connection: &Arc<PooledConnection<P::Payload>>, buffer: &mut Vec<u8>) -> bool {
         let incoming = connection.socket.receive(buffer, MAX_READ);
         let is_end = !matches!(incoming, Ok(Incoming::Bytes(_) | Incoming::Woken));
-        // Without an attempt nothing was requested: the backend has closed, or speaks out of turn.
-        let Some((id, payload)) = self.active_attempt(connection) else { return false };
+        // Without an attempt, the backend has closed the connection or has answered without a request.
+        let attempt = connection.active_attempt(|| self.count_attempt_written());
+        let Some((id, payload)) = attempt else { return false };
         let parsed = match incoming {
             Err(_) => Parsed::Incomplete,
             Ok(_) => self.protocol.parse(&payload, buffer, is_end),
@@ -37,55 +37,27 @@
                 if buffer.capacity() > MAX_KEPT_BUFFER {
                     *buffer = Vec::new();
                 }
-                self.answered(connection, id, end, keep_alive && is_clean && !is_end);
+                self.answer_completed(connection, id, end, keep_alive && is_clean && !is_end);
                 true
             }
-            Parsed::Streamed(answer) => {
-                let is_wanted = self.remove_carrier(id);
-                *locked(&connection.attempt) = None;
-                if !is_wanted {
-                    return false;
-                }
-                buffer.drain(..answer.consumed);
-                let is_reusable = self.stream_answer(id, connection, buffer, &answer);
-                *buffer = Vec::new();
-                if is_reusable {
-                    self.protocol.on_served(connection.backend);
-                    self.check_in(connection);
-                }
-                is_reusable
-            }
+            Parsed::Streamed(answer) => self.answer_begun(connection, id, &answer, buffer),
             Parsed::Incomplete => !is_end && buffer.len() <= self.limits.max_answer_bytes,
             Parsed::Malformed(_) => false,
         }
     }
 
-    /// The attempt on a connection; counts it once its last byte is with the system.
-    fn active_attempt(
-        &self,
-        connection: &PooledConnection<P::Payload>,
-    ) -> Option<(AttemptId, Arc<P::Payload>)> {
-        let mut attempt = locked(&connection.attempt);
-        let active = attempt.as_mut()?;
-        if !active.is_written && connection.socket.unsent() == 0 {
-            active.is_written = true;
-            self.attempts_written.fetch_add(1, Ordering::Relaxed);
-        }
-        Some((active.id, active.payload.clone()))
-    }
-
-    /// A complete answer: the connection is returned to the pool or closed, then the exchange is told.
-    fn answered(
+    /// Ends an attempt whose answer is complete. The connection returns to its pool before the exchange is notified.
+    fn answer_completed(
         &self,
         connection: &Arc<PooledConnection<P::Payload>>,
         id: AttemptId,
         end: AttemptEnd<P::Answer>,
         is_reusable: bool,
     ) {
-        let is_wanted = self.remove_carrier(id);
-        *locked(&connection.attempt) = None;
+        let is_wanted = self.unassign(id);
+        connection.take_attempt();
         if is_wanted && is_reusable {
-            self.check_in(connection);
+            self.state().check_in(connection);
         } else {
             connection.socket.close();
         }
@@ -95,22 +67,38 @@
         self.exchange().attempt_ended(id, end);
     }
 
+    /// Streams an answer that has begun. Returns whether the connection continues.
+    fn answer_begun(
+        &self,
+        connection: &Arc<PooledConnection<P::Payload>>,
+        id: AttemptId,
+        answer: &StreamedAnswer<P::Answer>,
+        buffer: &mut Vec<u8>,
+    ) -> bool {
+        let is_wanted = self.unassign(id);
+        connection.take_attempt();
+        if !is_wanted {
+            return false;
+        }
+        buffer.drain(..answer.consumed);
+        let is_reusable = self.stream_answer(id, connection, buffer, answer);
+        *buffer = Vec::new();
+        if is_reusable {
+            self.protocol.on_served(connection.backend);
+            self.state().check_in(connection);
+        }
+        is_reusable
+    }
+
     fn connection_ended(&self, connection: &Arc<PooledConnection<P::Payload>>) {
-        // Broken before the request's last byte was written: it never ran. After that it may have.
+        // A request whose last byte was not written never ran. Any other may have run.
         let is_unsent = connection.socket.unsent() > 0;
         let outcome = if is_unsent { Outcome::ConnectFailed } else { Outcome::Reset };
         connection.socket.close();
-        {
-            let mut state = locked(&self.state);
-            state.open_connections -= 1;
-            if let Some(pool) = state.pools.get_mut(&connection.backend) {
-                pool.idle.retain(|idle| !Arc::ptr_eq(&idle.connection, connection));
-            }
-        }
-        // Closed before this, so an attempt that another thread began here meanwhile is not left without an end.
-        let attempt = locked(&connection.attempt).take();
-        if let Some(attempt) = attempt {
-            self.remove_carrier(attempt.id);
+        self.state().connection_ended(connection);
+        // Taken after the close, so that an attempt that another thread has just begun here gets its end as well.
+        if let Some(attempt) = connection.take_attempt() {
+            self.unassign(attempt.id);
             self.attempt_failed(attempt.id, outcome);
         }
     }
--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -1,4 +1,4 @@
-//! Backends that speak the platform's RESP2.
+//! The platform's RESP2.
 
 use crate::protocol::StreamTail;
 use crate::{Parsed, Protocol, StreamedAnswer};
@@ -10,10 +10,10 @@
 
 /// Index of the load report among the items of an answer.
 const LOAD_REPORT_ITEM: usize = 2;
-/// What ends a value.
+/// The end of a value.
 const LINE_END: &[u8] = b"\r\n";
 
-/// RESP2. The answer that is passed back is the value with its frame, unchanged.
+/// RESP2. The answer that is passed back is the value in its frame, unchanged.
 #[derive(Debug)]
 pub struct RespProtocol {
     /// The metrics of the settings' columns, in order.
@@ -63,13 +63,13 @@
     }
 }
 
-/// The end of a trailing item. A figure that cannot be read spoils nothing, but where the frames do not fit, the value may have
-/// been cut by a wrong length of its own.
+/// The end of a trailing item. An invalid number in it is ignored, but an invalid frame is an error: the value before it may have
+/// been cut by a wrong length.
 fn item_end(buffer: &[u8], start: usize) -> Result<Option<usize>, Malformed> {
     resp::message_end(buffer, start).or_else(|_| resp::integer_end(buffer, start))
 }
 
-/// A value that is too large to be buffered, if one has begun.
+/// An answer whose value is too large to be buffered, if the buffer starts with one.
 fn streamed_answer(buffer: &[u8]) -> Option<StreamedAnswer<AnswerBody>> {
     let (Element::Array(items @ 1..), value_start) = resp::element(buffer, 0).ok()?? else { return None };
     let (value_bytes, consumed) = resp::bulk_head(buffer, value_start).ok()??;
@@ -83,18 +83,17 @@
 }
 
 impl RespProtocol {
-    /// Load reports give values for these columns.
+    /// Creates a protocol whose load reports have these columns.
     pub fn new(columns: &[LoadMetric]) -> Self {
         Self { columns: Mutex::new(columns.into()) }
     }
 
-    /// Load reports give values for other columns from now on.
+    /// Sets the columns of the load reports from now on.
     pub fn set_columns(&self, columns: &[LoadMetric]) {
         *link::locked(&self.columns) = columns.into();
     }
 
-    /// The answer at the start of the buffer. It is parsed item by item, so that bytes from which no answer can come are found
-    /// before more of them are awaited.
+    /// The answer at the start of the buffer. It is parsed item by item, so that malformed bytes are found before more are awaited.
     fn complete_answer(&self, buffer: &[u8]) -> Result<Option<CompleteAnswer>, Malformed> {
         let Some((first, next)) = resp::element(buffer, 0)? else { return Ok(None) };
         match first {
@@ -135,7 +134,7 @@
         Ok(Some(CompleteAnswer { consumed, end }))
     }
 
-    /// The last word of an error may be a load report.
+    /// The end of an attempt that the backend answered with an error. The last word of the error may be a load report.
     fn error_answer(&self, text: &[u8]) -> AttemptEnd<AnswerBody> {
         let code = text.split(|&byte| byte == b' ').next().unwrap_or_default();
         let outcome = if code == b"BUSY" { Outcome::Rejected } else { Outcome::Error };
@@ -143,8 +142,8 @@
         AttemptEnd { load, ..AttemptEnd::without_answer(outcome) }
     }
 
-    /// The values of a load report such as `inflight=7,queue=2`, in the order of the settings' columns. What it does not tell, or
-    /// tells in no number, is unknown and no zero: a backend must not look idle for it. Empty where nothing is known.
+    /// The values of a load report such as `inflight=7,queue=2`, in the order of the settings' columns. A value that is missing or not
+    /// a number is NaN and not 0, so that the backend does not seem idle. Empty if no value is known.
     fn load(&self, report: &[u8]) -> Vec<f32> {
         let columns = link::locked(&self.columns).clone();
         let mut values = vec![f32::NAN; columns.len()];
@@ -161,7 +160,7 @@
     }
 }
 
-/// The names that load reports use.
+/// The metric that a load report has under this name.
 fn load_metric(name: &[u8]) -> Option<LoadMetric> {
     match name {
         b"inflight" | b"active" => Some(LoadMetric::InFlight),
--- a/crates/destination/src/streaming.rs
+++ b/crates/destination/src/streaming.rs
@@ -4,18 +4,18 @@
 use crate::pools::BackendPools;
 use crate::protocol::{Protocol, StreamedAnswer};
 use exchange::{AttemptEnd, AttemptId, StreamEnd, StreamWriter, open_stream};
-use link::{Incoming, locked};
+use link::Incoming;
 use policy::Outcome;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A streamed answer that does not move for this long has been forgotten by its backend or its client. Peers take seconds.
+/// A streamed answer without progress for this long is ended. Slow backends and clients take seconds.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// The most bytes that stand behind the value of a streamed answer.
+/// Maximum bytes behind the value of a streamed answer.
 const MAX_TAIL: usize = 64 * 1024;
 
 impl<P: Protocol> BackendPools<P> {
-    /// Passes a large answer on while it arrives, at the pace of its client. For the policy the attempt ends with the first bytes.
+    /// Passes a large answer on while it arrives, at the pace of its client. For the policy, the attempt ends with the first bytes.
     /// Returns whether the answer is complete and the connection can carry another attempt.
     pub(crate) fn stream_answer(
         &self,
@@ -31,7 +31,7 @@
             }
         };
         let (writer, reader) = open_stream(&self.stream_budget, Box::new(wake_connection));
-        locked(&self.state).streaming.push(Arc::downgrade(connection));
+        self.state().add_streaming(connection);
         writer.write(&streamed.head);
         let answer = Some((streamed.into_answer)(reader));
         let end = AttemptEnd { outcome: Outcome::Ok, answer, load: Vec::new(), is_streaming: true };
@@ -52,7 +52,8 @@
         is_complete && buffer.is_empty() && connection.socket.unsent() == 0
     }
 
-    /// Copies the bytes of a value, and then parses what stands behind it. Returns whether all was well-formed.
+    /// Copies the bytes of a value to the stream, then parses the items behind it. Returns whether the answer is complete and
+    /// well-formed.
     fn copy_value(
         &self,
         connection: &PooledConnection<P::Payload>,
@@ -60,14 +61,16 @@
         streamed: &StreamedAnswer<P::Answer>,
         writer: &StreamWriter,
     ) -> bool {
-        let (mut remaining, mut last_progress) = (streamed.value_bytes, Instant::now());
+        let mut remaining = streamed.value_bytes;
+        let mut last_progress = Instant::now();
         loop {
             if remaining > 0 {
                 let count = remaining.min(buffer.len()).min(writer.capacity());
                 if count > 0 {
                     writer.write(&buffer[..count]);
                     buffer.drain(..count);
-                    (remaining, last_progress) = (remaining - count, Instant::now());
+                    remaining -= count;
+                    last_progress = Instant::now();
                 }
             } else {
                 match self.protocol.parse_tail(streamed.trailing_items, buffer) {
@@ -92,7 +95,7 @@
     }
 }
 
-/// Waits until the client has taken some bytes, or more have arrived. Returns whether the connection goes on.
+/// Waits until the client has taken some bytes, or more have arrived. Returns whether the connection continues.
 fn wait_for_progress<Q>(
     connection: &PooledConnection<Q>,
     buffer: &mut Vec<u8>,
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -1,4 +1,4 @@
-//! What a destination's RESP2 answers mean.
+//! The outcomes of RESP2 answers.
 
 use destination::{Parsed, Protocol, RespProtocol};
 use exchange::AnswerBody;
@@ -6,7 +6,7 @@
 use policy::{LoadMetric, Outcome};
 use resp::Query;
 
-fn destination() -> RespProtocol {
+fn protocol() -> RespProtocol {
     RespProtocol::new(&[LoadMetric::InFlight, LoadMetric::Queued, LoadMetric::ServiceTimeMillis])
 }
 
@@ -14,52 +14,61 @@
     Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("it has a wait")
 }
 
-type End = (Outcome, Option<Vec<u8>>, Vec<f32>);
+/// A complete answer.
+#[derive(Debug, PartialEq)]
+struct Answer {
+    consumed: usize,
+    outcome: Outcome,
+    value: Option<Vec<u8>>,
+    load: Vec<f32>,
+}
 
-/// The end that the bytes tell and what they took; `Err` where none can come, `None` where more must.
-fn read(bytes: &[u8]) -> Option<Result<(usize, End), &'static str>> {
-    match destination().parse(&query(), bytes, false) {
+/// Parses the bytes as an answer: `Err` if they cannot become a complete one, `None` if more must arrive.
+fn parse(bytes: &[u8]) -> Option<Result<Answer, &'static str>> {
+    match protocol().parse(&query(), bytes, false) {
         Parsed::Incomplete => None,
-        Parsed::Complete { consumed: used, end, .. } => {
-            let answer = end.answer.map(|answer| match answer {
+        Parsed::Complete { consumed, end, .. } => {
+            let value = end.answer.map(|answer| match answer {
                 AnswerBody::Complete(bytes) => bytes,
-                AnswerBody::Stream(_) => panic!("a whole answer holds all its bytes"),
+                AnswerBody::Stream(_) => panic!("a complete answer holds all its bytes"),
             });
-            Some(Ok((used, (end.outcome, answer, end.load))))
+            Some(Ok(Answer { consumed, outcome: end.outcome, value, load: end.load }))
         }
-        Parsed::Streamed(_) => Some(Err("a long answer")),
+        Parsed::Streamed(_) => Some(Err("a streamed answer")),
         Parsed::Malformed(text) => Some(Err(text)),
     }
 }
 
-/// Guards the border between answers that are held and those that are passed on, and what stands behind the latter.
+/// Guards the limit between buffered and streamed answers, and the bytes behind the value of a streamed one.
 #[test]
-fn long_answers_begin_with_their_head_and_end_with_a_sound_tail() {
-    let begun = |text: &str| match destination().parse(&query(), text.as_bytes(), false) {
-        Parsed::Streamed(long) => Some((long.consumed, long.head, long.value_bytes, long.trailing_items)),
+fn streamed_answers_begin_with_their_head_and_end_with_a_valid_tail() {
+    let streamed = |text: &str| match protocol().parse(&query(), text.as_bytes(), false) {
+        Parsed::Streamed(answer) => {
+            Some((answer.consumed, answer.head, answer.value_bytes, answer.trailing_items))
+        }
         _ => None,
     };
-    assert_eq!(begun("*3\r\n$65537\r\nab"), Some((12, b"$65537\r\n".to_vec(), 65_537, 2)));
+    assert_eq!(streamed("*3\r\n$65537\r\nab"), Some((12, b"$65537\r\n".to_vec(), 65_537, 2)));
     for text in ["*3\r\n$65536\r\nab", "*3\r\n$65537", "*0\r\n", "*3\r\n$3000000000\r\n", "*3\r\n$-65537\r\n"]
     {
-        assert_eq!(begun(text), None, "{text:?}");
+        assert_eq!(streamed(text), None, "{text:?}");
     }
     let tail = |text: &[u8]| {
-        destination().parse_tail(2, text).map(|tail| tail.map(|tail| (tail.consumed, tail.forwarded)))
+        protocol().parse_tail(2, text).map(|tail| tail.map(|tail| (tail.consumed, tail.forwarded)))
     };
-    let whole = b"\r\n$-1\r\n$12\r\ninflight=7,q\r\n";
-    assert_eq!(tail(&[&whole[..], b"noise"].concat()), Ok(Some((whole.len(), &b"\r\n"[..]))));
-    (0..whole.len()).for_each(|cut| assert_eq!(tail(&whole[..cut]), Ok(None), "cut at {cut}"));
+    let complete = b"\r\n$-1\r\n$12\r\ninflight=7,q\r\n";
+    assert_eq!(tail(&[&complete[..], b"noise"].concat()), Ok(Some((complete.len(), &b"\r\n"[..]))));
+    (0..complete.len()).for_each(|cut| assert_eq!(tail(&complete[..cut]), Ok(None), "cut at {cut}"));
     assert!(tail(b"xy$-1\r\n$-1\r\n").is_err() && tail(b"\r\n$-1\r\n$x\r\n").is_err());
-    survives_garbage(whole, |pieces| {
-        let _ = destination().parse_tail(2, &pieces.concat());
+    survives_garbage(complete, |pieces| {
+        let _ = protocol().parse_tail(2, &pieces.concat());
     });
 }
 
 #[test]
 fn each_form_of_answer_has_its_outcome() {
     let load = vec![7.0, 2.0, 51.5];
-    for (bytes, outcome, answer, load) in [
+    for (bytes, outcome, value, load) in [
         (
             "*3\r\n$2\r\nhi\r\n$-1\r\n$33\r\ninflight=7,queue=2,latency_ms=51.5\r\n",
             Outcome::Ok,
@@ -80,16 +89,17 @@
         ("-BUSY inflight=7,queue=2,latency_ms=51.5\r\n", Outcome::Rejected, None, load),
         ("-BUSYNESS\r\n", Outcome::Error, None, vec![]),
     ] {
-        let got = read(bytes.as_bytes());
+        let parsed = parse(bytes.as_bytes());
         if bytes.contains("$33") {
-            // Its frame is a byte too short: no answer can come of it.
-            assert!(matches!(got, Some(Err(_))), "{bytes:?}: {got:?}");
+            // The frame is a byte too short.
+            assert!(matches!(parsed, Some(Err(_))), "{bytes:?}: {parsed:?}");
             continue;
         }
-        let answer = answer.map(|a| a.as_bytes().to_vec());
-        assert_eq!(got, Some(Ok((bytes.len(), (outcome, answer, load)))), "{bytes:?}");
+        let value = value.map(|value| value.as_bytes().to_vec());
+        let answer = Answer { consumed: bytes.len(), outcome, value, load };
+        assert_eq!(parsed, Some(Ok(answer)), "{bytes:?}");
     }
-    // The last ones are found before they are whole: no answer begins so.
+    // The last ones are incomplete, but no answer begins like them.
     for bytes in [
         "+OK\r\n",
         ":1\r\n",
@@ -100,43 +110,45 @@
         "*3\r\n*3\r\n",
         "*3\r\n:",
     ] {
-        assert!(matches!(read(bytes.as_bytes()), Some(Err(_))), "{bytes:?}");
+        assert!(matches!(parse(bytes.as_bytes()), Some(Err(_))), "{bytes:?}");
     }
 }
 
-/// Guards against a destination that looks idle since its report cannot be read: unknown is no zero. And the value in
-/// front of such a report is good: it is served.
+/// Guards against a backend that seems idle because its load report is invalid, and against the loss of the valid value before such
+/// a report.
 #[test]
-fn a_good_value_with_an_unreadable_report_is_served_and_its_load_is_unknown() {
+fn a_value_with_an_invalid_load_report_is_served_and_its_load_is_unknown() {
     for (report, known) in [
         ("$3\r\n=,=\r\n", ""),
         ("$18\r\ninflight=x,queue=-\r\n", ""),
         ("$20\r\ninflight=inf,queue=2\r\n", "[NaN, 2.0, NaN]"),
     ] {
-        let (used, (outcome, answer, load)) = read(format!("*3\r\n$2\r\nhi\r\n$-1\r\n{report}").as_bytes())
-            .expect("it is whole")
-            .expect("it is good");
-        assert_eq!((outcome, answer), (Outcome::Ok, Some(b"$2\r\nhi\r\n".to_vec())), "{report}");
-        assert_eq!(used, 17 + report.len());
-        assert_eq!(if load.is_empty() { String::new() } else { format!("{load:?}") }, known);
+        let bytes = format!("*3\r\n$2\r\nhi\r\n$-1\r\n{report}");
+        let answer = parse(bytes.as_bytes()).expect("it is complete").expect("it is valid");
+        assert_eq!((answer.outcome, answer.value), (Outcome::Ok, Some(b"$2\r\nhi\r\n".to_vec())), "{report}");
+        assert_eq!(answer.consumed, 17 + report.len());
+        let load = if answer.load.is_empty() { String::new() } else { format!("{:?}", answer.load) };
+        assert_eq!(load, known);
     }
     let bytes = b"*3\r\n$2\r\nhi\r\n:x\r\n$-1\r\n";
-    assert_eq!(read(bytes), Some(Ok((bytes.len(), (Outcome::Ok, Some(b"$2\r\nhi\r\n".to_vec()), vec![])))));
-    // A value that a wrong length cuts where it holds the end of a line: the rest gives it away.
-    assert!(matches!(read(b"*3\r\n$2\r\nhi\r\nthe rest\r\n$-1\r\n$-1\r\n"), Some(Err(_))));
+    let value = Some(b"$2\r\nhi\r\n".to_vec());
+    let answer = Answer { consumed: bytes.len(), outcome: Outcome::Ok, value, load: vec![] };
+    assert_eq!(parse(bytes), Some(Ok(answer)));
+    // A wrong length that ends at a line end within the value is found by the rest of the value.
+    assert!(matches!(parse(b"*3\r\n$2\r\nhi\r\nthe rest\r\n$-1\r\n$-1\r\n"), Some(Err(_))));
 }
 
 #[test]
-fn an_answer_is_the_same_however_it_is_cut_and_garbage_is_no_panic() {
+fn an_answer_is_the_same_however_it_is_split_and_garbage_causes_no_panic() {
     let bytes = b"*3\r\n$2\r\nhi\r\n*2\r\n$1\r\na\r\n:3\r\n$34\r\ninflight=7,queue=2,latency_ms=51.5\r\n";
     let first = |pieces: &[&[u8]]| {
         let mut buffer = Vec::new();
         pieces.iter().find_map(|piece| {
             buffer.extend_from_slice(piece);
-            read(&buffer)
+            parse(&buffer)
         })
     };
-    assert!(matches!(first(&[bytes]), Some(Ok((used, _))) if used == bytes.len()));
+    assert!(matches!(first(&[bytes]), Some(Ok(answer)) if answer.consumed == bytes.len()));
     parses_alike_however_split(bytes, first);
     survives_garbage(bytes, |pieces| drop(first(pieces)));
 }
