--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of one process, each isolated from the others.
+//! The policy instances of one process. A panic of one does not affect the others.
 
 use crate::settings;
 use crate::wire::{Record, Reply};
@@ -7,17 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// All instances, by the number of their gatekeeper.
+/// The running policy instances.
 #[derive(Default)]
 pub(crate) struct Host {
+    /// By the number of the gatekeeper.
     instances: BTreeMap<u32, Policy>,
-    /// What has been written to standard error, each line once.
+    /// The warnings that were written to standard error. Each is written once.
     warnings: BTreeSet<String>,
+    /// The actions of the current event: kept for its capacity.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Applies one record and adds what follows to the reply.
+    /// Applies one record and appends the resulting actions to the reply.
     pub(crate) fn apply(&mut self, now: Timestamp, record: Record, reply: &mut Reply) {
         match record {
             Record::Start { gatekeeper, seed, settings } => {
@@ -29,9 +31,10 @@
         }
     }
 
-    fn start(&mut self, now: Timestamp, gatekeeper: u32, seed: u64, text: &str, reply: &mut Reply) {
+    /// Starts an instance, in place of an earlier one of the same gatekeeper.
+    fn start(&mut self, now: Timestamp, gatekeeper: u32, seed: u64, settings: &str, reply: &mut Reply) {
         self.instances.remove(&gatekeeper);
-        let instance = settings::parse(text)
+        let instance = settings::parse(settings)
             .and_then(|settings| Policy::new(settings, seed, now).map_err(settings::ParseError::Invalid));
         match instance {
             Ok(instance) => drop(self.instances.insert(gatekeeper, instance)),
@@ -39,7 +42,7 @@
         }
     }
 
-    /// A panic ends the one instance and is reported.
+    /// Applies an event to an instance. A panic ends the instance and is reported.
     fn handle(&mut self, now: Timestamp, gatekeeper: u32, event: Event, reply: &mut Reply) {
         let Some(instance) = self.instances.get_mut(&gatekeeper) else {
             self.warn_once(format!("skipped an event for gateway {gatekeeper}, which is not running"));
@@ -50,7 +53,7 @@
         let handled = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, actions)));
         if let Err(panic) = handled {
             self.instances.remove(&gatekeeper);
-            reply.push_broken(gatekeeper, &panic_text(panic.as_ref()));
+            reply.push_broken(gatekeeper, &panic_message(panic.as_ref()));
             return;
         }
         for action in &self.actions {
@@ -58,16 +61,16 @@
         }
     }
 
-    fn warn_once(&mut self, text: String) {
-        if !self.warnings.contains(&text) {
-            eprintln!("snowfield-simhost: {text}");
-            self.warnings.insert(text);
+    fn warn_once(&mut self, warning: String) {
+        if !self.warnings.contains(&warning) {
+            eprintln!("snowfield-simhost: {warning}");
+            self.warnings.insert(warning);
         }
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
-    let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
-    let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-    format!("the decisions panicked: {}", text.unwrap_or_else(|| "no text".to_owned()))
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    let literal = panic.downcast_ref::<&str>().copied();
+    let formatted = || panic.downcast_ref::<String>().map(String::as_str);
+    format!("the decisions panicked: {}", literal.or_else(formatted).unwrap_or("no text"))
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts many instances of the policy on the simulator's wire: batches of events on standard input, replies on standard output.
+//! Hosts many instances of the policy for the simulator: batches of events on standard input, replies on standard output.
 
 #![forbid(unsafe_code)]
 
@@ -7,16 +7,15 @@
 mod wire;
 
 use host::Host;
-use policy::Timestamp;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 use wire::{EndpointLists, Reply, WireError, read_batch};
 
-/// Bytes of the input buffer.
+/// Capacity of the input buffer in bytes.
 const INPUT_BUFFER: usize = 1 << 16;
 
 fn main() -> ExitCode {
-    // The text of a panic is reported to the simulator; the default hook would add a backtrace.
+    // The message of a panic goes to the simulator. The default hook would add a backtrace on standard error.
     std::panic::set_hook(Box::new(|info| eprintln!("snowfield-simhost: {info}")));
     let input = io::BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
     match serve(input, io::stdout().lock()) {
@@ -30,12 +29,12 @@
 
 /// Answers batches until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
-    let mut lists = EndpointLists::new();
+    let mut lists = EndpointLists::default();
     let mut host = Host::default();
     while let Some(batch) = read_batch(&mut input)? {
         let mut reply = Reply::default();
         for record in batch.records(&mut lists)? {
-            host.apply(Timestamp::from_micros(batch.clock), record, &mut reply);
+            host.apply(batch.time, record, &mut reply);
         }
         output.write_all(&reply.into_bytes(batch.number))?;
         output.flush()?;
--- a/crates/simhost/src/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -1,55 +1,60 @@
-//! The wire's settings text, `path=value` lines, as the policy's [`Settings`].
+//! Parses the wire's settings text, lines of `path=value`, as the policy's [`Settings`].
 
-use policy::SettingsError;
-use policy::{DedupScope, Idempotency, LoadMetric, LoadReporting, Plan, RequestClass, Settings};
+use policy::{
+    DedupScope, Idempotency, LoadMetric, LoadReporting, Plan, RequestClass, Settings, SettingsError,
+};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Why settings cannot be used.
+#[cfg(test)]
+mod tests;
+
+/// An error of the settings text.
 #[derive(Debug, Error)]
 pub(crate) enum ParseError {
-    /// A setting is missing.
+    /// A required setting is missing.
     #[error("setting {0} is missing")]
     Missing(String),
-    /// A value cannot be read.
+    /// A value cannot be parsed.
     #[error("setting {key} has the unusable value {value}")]
     Unusable {
         /// The setting.
         key: String,
-        /// Its value.
+        /// The value.
         value: String,
     },
-    /// The policy does not accept them.
+    /// The policy rejects the settings.
     #[error(transparent)]
     Invalid(#[from] SettingsError),
 }
 
-/// The lines, by path.
+/// The values by path.
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
-    /// A setting that the policy needs.
+    /// A required setting.
     fn required<T: FromStr>(&self, key: &str) -> Result<T, ParseError> {
         let value = self.0.get(key).ok_or_else(|| ParseError::Missing(key.to_owned()))?;
         value.parse().map_err(|_| ParseError::Unusable { key: key.to_owned(), value: (*value).to_owned() })
     }
 
-    /// A setting that may be absent; one that is present must be usable.
+    /// A setting with a default. A value that is present must be valid.
     fn optional<T: FromStr>(&self, key: &str, default: T) -> Result<T, ParseError> {
         if self.0.contains_key(key) { self.required(key) } else { Ok(default) }
     }
 
+    /// The text of a setting; empty if it is absent.
     fn text(&self, key: &str) -> &'a str {
         self.0.get(key).copied().unwrap_or("")
     }
 }
 
-/// Reads `path=value` lines; unknown keys are skipped.
+/// Parses the settings. Unknown keys are skipped.
 pub(crate) fn parse(text: &str) -> Result<Settings, ParseError> {
     let pairs = Pairs(text.lines().filter_map(|line| line.split_once('=')).collect());
-    let classes = items(&pairs, "classes", class)?;
-    let plans = items(&pairs, "contracts", plan)?;
+    let classes = parse_list(&pairs, "classes", parse_class)?;
+    let plans = parse_list(&pairs, "contracts", parse_plan)?;
     let allows_retry_after = pairs.optional("bounds.retry-after", false)?;
     let settings = Settings {
         gatekeepers: pairs.required("balancers")?,
@@ -70,12 +75,8 @@
         connect_timeout: pairs.optional("bounds.connect-timeout-us", 250_000)?,
         polls_endpoints: pairs.text("discovery") == "ask",
         poll_interval: pairs.optional("contract.ask-every-us", 10_000_000)?,
-        load_reporting: match pairs.text("report.how") {
-            "inline" => LoadReporting::Inline,
-            "on_probe" => LoadReporting::OnHealthCheck,
-            _ => LoadReporting::Off,
-        },
-        load_metrics: pairs.text("report.columns").split(',').filter(|c| !c.is_empty()).map(column).collect(),
+        load_reporting: parse_load_reporting(pairs.text("report.how")),
+        load_metrics: parse_load_metrics(pairs.text("report.columns")),
         slow_start_share: pairs.optional("contract.cold-share", 1.0)?,
         slow_start_duration: pairs.optional("contract.cold-us", 0)?,
         overload_factor: pairs.optional("contract.overload-factor", 1.0)?,
@@ -92,36 +93,30 @@
     Ok(settings)
 }
 
-/// A list of objects, `name.count` long. The count is checked by its items, so it cannot ask for memory.
-fn items<T>(
+/// Parses the objects at `name.0`, `name.1` and so on; `name.count` is their number.
+fn parse_list<T>(
     pairs: &Pairs,
     name: &str,
-    read: fn(&Pairs, &str) -> Result<T, ParseError>,
+    parse_item: fn(&Pairs, &str) -> Result<T, ParseError>,
 ) -> Result<Vec<T>, ParseError> {
     let count: u32 = pairs.optional(&format!("{name}.count"), 0)?;
-    (0..count).map(|i| read(pairs, &format!("{name}.{i}"))).collect()
+    (0..count).map(|index| parse_item(pairs, &format!("{name}.{index}"))).collect()
+}
+
+fn parse_load_reporting(text: &str) -> LoadReporting {
+    match text {
+        "inline" => LoadReporting::Inline,
+        "on_probe" => LoadReporting::OnHealthCheck,
+        _ => LoadReporting::Off,
+    }
 }
 
-fn class(pairs: &Pairs, path: &str) -> Result<RequestClass, ParseError> {
-    let idempotency_key = format!("{path}.effect");
-    let dedup_scope_key = format!("{path}.group");
+fn parse_class(pairs: &Pairs, path: &str) -> Result<RequestClass, ParseError> {
     Ok(RequestClass {
         latency_objective: pairs.required(&format!("{path}.goal-time-us"))?,
         deadline: pairs.required(&format!("{path}.deadline-us"))?,
-        idempotency: match pairs.text(&idempotency_key) {
-            "read_like" => Idempotency::Idempotent,
-            "idempotency_key" => Idempotency::Keyed,
-            "non_idempotent" => Idempotency::NonIdempotent,
-            other => {
-                return Err(ParseError::Unusable { key: idempotency_key, value: format!("{other:?}") });
-            }
-        },
-        dedup_scope: match pairs.text(&dedup_scope_key) {
-            "all" => DedupScope::All,
-            "zone" => DedupScope::Zone,
-            // The narrowest group is the safe reading of anything else.
-            _ => DedupScope::Cell,
-        },
+        idempotency: parse_idempotency(pairs, &format!("{path}.effect"))?,
+        dedup_scope: parse_dedup_scope(pairs.text(&format!("{path}.group"))),
         idempotency_key_ttl: pairs.optional(&format!("{path}.key-ttl-us"), 0)?,
         priority_weight: pairs.optional(&format!("{path}.worth"), 1.0)?,
         streaming: pairs.optional(&format!("{path}.streaming"), false)?,
@@ -129,7 +124,25 @@
     })
 }
 
-fn plan(pairs: &Pairs, path: &str) -> Result<Plan, ParseError> {
+fn parse_idempotency(pairs: &Pairs, key: &str) -> Result<Idempotency, ParseError> {
+    match pairs.text(key) {
+        "read_like" => Ok(Idempotency::Idempotent),
+        "idempotency_key" => Ok(Idempotency::Keyed),
+        "non_idempotent" => Ok(Idempotency::NonIdempotent),
+        other => Err(ParseError::Unusable { key: key.to_owned(), value: format!("{other:?}") }),
+    }
+}
+
+/// Parses the scope in which backends recognize a repeated idempotency key. The narrowest scope is the safe default.
+fn parse_dedup_scope(text: &str) -> DedupScope {
+    match text {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::Cell,
+    }
+}
+
+fn parse_plan(pairs: &Pairs, path: &str) -> Result<Plan, ParseError> {
     Ok(Plan {
         rate: pairs.optional(&format!("{path}.per-second"), 0.0)?,
         burst: pairs.optional(&format!("{path}.depth"), 0.0)?,
@@ -142,7 +155,11 @@
     })
 }
 
-fn column(name: &str) -> LoadMetric {
+fn parse_load_metrics(text: &str) -> Vec<LoadMetric> {
+    text.split(',').filter(|name| !name.is_empty()).map(parse_load_metric).collect()
+}
+
+fn parse_load_metric(name: &str) -> LoadMetric {
     match name {
         "active" => LoadMetric::InFlight,
         "waiting" => LoadMetric::Queued,
@@ -152,6 +169,3 @@
         _ => LoadMetric::Other,
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/simhost/src/settings/tests.rs
+++ b/crates/simhost/src/settings/tests.rs
@@ -1,13 +1,13 @@
-//! Errors name the setting at fault.
+//! Valid settings, and errors that name the setting.
 
 use super::parse;
 
-const USABLE: &str = "balancers=2\nme=0\nclasses.count=1\nclasses.0.goal-time-us=500000\n\
+const VALID: &str = "balancers=2\nme=0\nclasses.count=1\nclasses.0.goal-time-us=500000\n\
                       classes.0.deadline-us=1000000\nclasses.0.effect=read_like\n";
 
 #[test]
-fn usable_settings_are_read() {
-    let settings = parse(USABLE).expect("usable");
+fn valid_settings_are_parsed() {
+    let settings = parse(VALID).expect("they are valid");
     assert_eq!((settings.gatekeepers, settings.classes.len()), (2, 1));
 }
 
@@ -19,8 +19,8 @@
         ("me=0", "me=2", "setting `me` must be below the number of gateways"),
         ("read_like", "other", "setting classes.0.effect has the unusable value \"other\""),
     ];
-    for (usable, unusable, text) in cases {
-        let error = parse(&USABLE.replace(usable, unusable)).expect_err(text);
+    for (valid, invalid, text) in cases {
+        let error = parse(&VALID.replace(valid, invalid)).expect_err(text);
         assert_eq!(error.to_string(), text);
     }
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,14 +1,26 @@
-//! The simulator's wire: batches of event records in, replies of action records out. Numbers are big-endian.
+//! The simulator's wire protocol: batches of event records in, replies of action records out. Numbers are big-endian.
+//!
+//! | module | holds |
+//! | --- | --- |
+//! | `batch` | batches: header, records and tail |
+//! | `record` | event records |
+//! | `endpoint_list` | the endpoint lists that records refer to |
+//! | `tail`, `bytes` | variable parts of a batch, and fields at fixed offsets |
+//! | `reply` | replies of action records |
+//! | `error` | the errors |
 
 mod batch;
 mod bytes;
+mod endpoint_list;
 mod error;
 mod record;
 mod reply;
+mod tail;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use batch::read_batch;
+pub(crate) use endpoint_list::EndpointLists;
 pub(crate) use error::WireError;
-pub(crate) use record::{EndpointLists, Record};
+pub(crate) use record::Record;
 pub(crate) use reply::Reply;
--- a/crates/simhost/src/wire/bytes.rs
+++ b/crates/simhost/src/wire/bytes.rs
@@ -1,17 +1,50 @@
-//! Numbers at fixed offsets of a record. The caller knows that they are inside.
+//! Fields at fixed offsets of a header, a record or a list entry.
 
-pub(super) fn u16_at(bytes: &[u8], offset: usize) -> u16 {
-    u16::from_be_bytes(bytes[offset..offset + 2].try_into().expect("two bytes"))
-}
+use policy::{BackendId, Micros, RequestId};
 
-pub(super) fn u32_at(bytes: &[u8], offset: usize) -> u32 {
-    u32::from_be_bytes(bytes[offset..offset + 4].try_into().expect("four bytes"))
-}
+/// The bytes of a header, a record or a list entry. All numbers are big-endian. An offset beyond the end is an error of the caller.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Fields<'a>(pub(super) &'a [u8]);
 
-pub(super) fn u64_at(bytes: &[u8], offset: usize) -> u64 {
-    u64::from_be_bytes(bytes[offset..offset + 8].try_into().expect("eight bytes"))
-}
+impl<'a> Fields<'a> {
+    pub(super) fn bytes(self, offset: usize, length: usize) -> &'a [u8] {
+        &self.0[offset..offset + length]
+    }
+
+    pub(super) fn u8(self, offset: usize) -> u8 {
+        self.0[offset]
+    }
+
+    pub(super) fn u16(self, offset: usize) -> u16 {
+        u16::from_be_bytes(self.array(offset))
+    }
+
+    pub(super) fn u32(self, offset: usize) -> u32 {
+        u32::from_be_bytes(self.array(offset))
+    }
+
+    pub(super) fn u64(self, offset: usize) -> u64 {
+        u64::from_be_bytes(self.array(offset))
+    }
+
+    pub(super) fn f32(self, offset: usize) -> f32 {
+        f32::from_be_bytes(self.array(offset))
+    }
+
+    /// A span of time of 32 bits.
+    pub(super) fn micros(self, offset: usize) -> Micros {
+        Micros::from(self.u32(offset))
+    }
+
+    pub(super) fn request_id(self, offset: usize) -> RequestId {
+        RequestId(self.u32(offset))
+    }
+
+    pub(super) fn backend_id(self, offset: usize) -> BackendId {
+        BackendId(self.u32(offset))
+    }
 
-pub(super) fn f32_at(bytes: &[u8], offset: usize) -> f32 {
-    f32::from_bits(u32_at(bytes, offset))
+    fn array<const LENGTH: usize>(self, offset: usize) -> [u8; LENGTH] {
+        self.bytes(offset, LENGTH).try_into().expect("a slice of this length")
+    }
 }
--- a/crates/simhost/src/wire/error.rs
+++ b/crates/simhost/src/wire/error.rs
@@ -1,9 +1,9 @@
-//! Errors of the wire.
+//! Errors of the wire protocol.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the input cannot be read on.
+/// An error after which the input cannot be read any further.
 #[derive(Debug, Error)]
 pub(crate) enum WireError {
     /// Reading or writing failed.
@@ -12,23 +12,23 @@
     /// The input ends inside a header.
     #[error("input ends after {bytes} bytes of a batch header")]
     TruncatedHeader {
-        /// Bytes that were there.
+        /// Bytes before the end.
         bytes: usize,
     },
-    /// The length does not even hold the header.
+    /// The batch's length is shorter than its header.
     #[error("batch {batch}: length {length} does not hold the header")]
     ShortLength {
-        /// Number of the batch.
+        /// The number of the batch.
         batch: u32,
         /// Its length.
         length: usize,
     },
-    /// The records do not fit in the length.
+    /// The records are longer than the batch.
     #[error("batch {batch}: {records} records do not fit in {length} bytes")]
     TooManyRecords {
-        /// Number of the batch.
+        /// The number of the batch.
         batch: u32,
-        /// Its records.
+        /// The number of its records.
         records: usize,
         /// Bytes behind its header.
         length: usize,
@@ -36,42 +36,42 @@
     /// The input ends inside a batch.
     #[error("batch {batch}: input ends after {bytes} of {length} bytes")]
     TruncatedBatch {
-        /// Number of the batch.
+        /// The number of the batch.
         batch: u32,
-        /// Bytes that were there.
+        /// Bytes before the end.
         bytes: usize,
         /// Bytes behind its header.
         length: usize,
     },
-    /// A record cannot be read.
+    /// A record is invalid.
     #[error("batch {batch}, record {record}: {source}")]
     Record {
-        /// Number of the batch.
+        /// The number of the batch.
         batch: u32,
-        /// Index of the record.
+        /// The index of the record.
         record: usize,
-        /// What is wrong with it.
+        /// The error of the record.
         source: RecordError,
     },
 }
 
-/// Why a record cannot be read.
+/// An error of a record.
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
-    /// It refers to bytes beyond the tail.
+    /// The record refers to bytes beyond the tail.
     #[error("offset {offset} with {items} items is beyond the tail of {tail} bytes")]
     BeyondTail {
-        /// Where they begin.
+        /// The offset that it refers to.
         offset: u32,
-        /// How many there are.
+        /// The number of items.
         items: u32,
-        /// Bytes of the tail.
+        /// The length of the tail in bytes.
         tail: usize,
     },
     /// The kind of a list is unknown.
     #[error("list form {0} is unknown")]
     UnknownListKind(u8),
-    /// The list was never given.
+    /// No list of this number was sent.
     #[error("list {0} was never given")]
     UnknownList(u8),
     /// The state of a backend is unknown.
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of action records.
+//! Replies: the action records of one batch.
 
 use policy::{Action, Micros};
 
@@ -29,53 +29,59 @@
 }
 
 impl Reply {
-    /// Adds one action of a gatekeeper.
+    /// Appends an action of a gatekeeper.
     pub(crate) fn push(&mut self, gatekeeper: u32, action: &Action) {
         match action {
             Action::Send { id, backend, timeout, .. } => {
                 let fields = [id.0.to_be_bytes(), signed_micros(*timeout), backend.0.to_be_bytes()];
-                self.record(code::SEND, gatekeeper, &fields.each_ref().map(|field| &field[..]));
+                self.push_record(code::SEND, gatekeeper, &fields.each_ref().map(|field| &field[..]));
             }
             Action::Cancel { id, attempt } => {
-                self.record(code::CANCEL, gatekeeper, &[&id.0.to_be_bytes(), &[*attempt]]);
+                self.push_record(code::CANCEL, gatekeeper, &[&id.0.to_be_bytes(), &[*attempt]]);
             }
             Action::Reject { id, retry_after, .. } => {
-                self.record(code::REJECT, gatekeeper, &[&id.0.to_be_bytes(), &micros(*retry_after)]);
+                self.push_record(code::REJECT, gatekeeper, &[&id.0.to_be_bytes(), &micros(*retry_after)]);
             }
-            Action::Fail { id } => self.record(code::FAIL, gatekeeper, &[&id.0.to_be_bytes()]),
+            Action::Fail { id } => self.push_record(code::FAIL, gatekeeper, &[&id.0.to_be_bytes()]),
             Action::Timer { after, token } => {
-                self.record(code::TIMER, gatekeeper, &[&micros(*after), &token.to_be_bytes()]);
+                self.push_record(code::TIMER, gatekeeper, &[&micros(*after), &token.to_be_bytes()]);
             }
             Action::HealthCheck { backend } => {
-                self.record(code::HEALTH_CHECK, gatekeeper, &[&backend.0.to_be_bytes()]);
+                self.push_record(code::HEALTH_CHECK, gatekeeper, &[&backend.0.to_be_bytes()]);
             }
             Action::CounterAdd { name, units, ttl } => {
                 let units = (*units as f32).to_be_bytes();
-                self.record(code::COUNTER_ADD, gatekeeper, &[&name.to_be_bytes(), &units, &micros(*ttl)]);
+                self.push_record(
+                    code::COUNTER_ADD,
+                    gatekeeper,
+                    &[&name.to_be_bytes(), &units, &micros(*ttl)],
+                );
             }
-            Action::PollEndpoints => self.record(code::POLL_ENDPOINTS, gatekeeper, &[&[1]]),
+            Action::PollEndpoints => self.push_record(code::POLL_ENDPOINTS, gatekeeper, &[&[1]]),
             Action::Log(notice) => self.push_log(gatekeeper, &notice.to_string()),
         }
     }
 
-    /// Adds a line for the log.
+    /// Appends a line for the simulator's log.
     pub(super) fn push_log(&mut self, gatekeeper: u32, text: &str) {
-        self.text(code::LOG, gatekeeper, text);
+        self.push_text(code::LOG, gatekeeper, text);
     }
 
-    /// Reports that a gatekeeper has failed.
+    /// Reports that the instance of a gatekeeper has failed.
     pub(crate) fn push_broken(&mut self, gatekeeper: u32, text: &str) {
-        self.text(code::BROKEN, gatekeeper, text);
+        self.push_text(code::BROKEN, gatekeeper, text);
     }
 
-    fn text(&mut self, code: u16, gatekeeper: u32, text: &str) {
+    /// Appends a record that refers to a text in the tail.
+    fn push_text(&mut self, code: u16, gatekeeper: u32, text: &str) {
         let offset = (self.tail.len() as u32).to_be_bytes();
         let length = (text.len() as u32).to_be_bytes();
-        self.record(code, gatekeeper, &[&offset, &length]);
+        self.push_record(code, gatekeeper, &[&offset, &length]);
         self.tail.extend_from_slice(text.as_bytes());
     }
 
-    fn record(&mut self, code: u16, gatekeeper: u32, fields: &[&[u8]]) {
+    /// Appends a record of consecutive fields. The rest of it is zero.
+    fn push_record(&mut self, code: u16, gatekeeper: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.extend_from_slice(&code.to_be_bytes());
         self.records.extend_from_slice(&gatekeeper.to_be_bytes());
@@ -86,7 +92,7 @@
         self.count += 1;
     }
 
-    /// The bytes that answer a batch.
+    /// Encodes the reply to the batch of this number.
     pub(crate) fn into_bytes(self, batch: u32) -> Vec<u8> {
         let length = (self.records.len() + self.tail.len()) as u32;
         let mut bytes = Vec::with_capacity(HEADER_BYTES + length as usize);
@@ -99,11 +105,12 @@
     }
 }
 
+/// A span of time of 32 bits. A longer one is cut to the maximum.
 fn micros(time: Micros) -> [u8; 4] {
     u32::try_from(time).unwrap_or(u32::MAX).to_be_bytes()
 }
 
-/// A timeout is signed on the wire.
+/// A span of time in a signed field of 32 bits. A longer one is cut to the maximum.
 fn signed_micros(time: Micros) -> [u8; 4] {
     (time.min(i32::MAX as u64) as u32).to_be_bytes()
 }
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -1,39 +1,43 @@
-//! Frames against the bytes of the wire page, and damaged frames.
+//! Frames against the bytes of the wire protocol's page, and damaged frames.
 
 use super::batch::read_batch;
+use super::endpoint_list::EndpointLists;
 use super::error::WireError;
-use super::record::{EVENT_BYTES, EndpointLists, Record};
+use super::record::{EVENT_BYTES, Record};
 use super::reply::Reply;
 use policy::{Action, BackendId, RejectReason, RequestId};
 
-/// One event record from its code and fields at their offsets.
+/// Encodes a record from its code and its fields at their offsets.
 fn record(code: u16, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut bytes = vec![0; EVENT_BYTES];
     bytes[..2].copy_from_slice(&code.to_be_bytes());
-    for (at, field) in fields {
-        bytes[*at..at + field.len()].copy_from_slice(field);
+    for (offset, field) in fields {
+        bytes[*offset..offset + field.len()].copy_from_slice(field);
     }
     bytes
 }
 
+/// Encodes batch 7.
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
-    let mut out = Vec::new();
-    out.extend_from_slice(&7u32.to_be_bytes());
-    out.extend_from_slice(&((12 + body.len() + tail.len()) as u32).to_be_bytes());
-    out.extend_from_slice(&8_412_250u64.to_be_bytes());
-    out.extend_from_slice(&(records.len() as u32).to_be_bytes());
-    out.extend_from_slice(&body);
-    out.extend_from_slice(tail);
-    out
+    let mut bytes = Vec::new();
+    bytes.extend_from_slice(&7u32.to_be_bytes());
+    bytes.extend_from_slice(&((12 + body.len() + tail.len()) as u32).to_be_bytes());
+    bytes.extend_from_slice(&8_412_250u64.to_be_bytes());
+    bytes.extend_from_slice(&(records.len() as u32).to_be_bytes());
+    bytes.extend_from_slice(&body);
+    bytes.extend_from_slice(tail);
+    bytes
 }
 
-fn read(bytes: &[u8]) -> Result<Vec<Record>, WireError> {
-    let mut lists = EndpointLists::new();
+/// Decodes the first batch.
+fn decode(bytes: &[u8]) -> Result<Vec<Record>, WireError> {
+    let mut lists = EndpointLists::default();
     read_batch(&mut &bytes[..])?.map_or(Ok(vec![]), |batch| batch.records(&mut lists))
 }
 
-fn sample() -> Vec<u8> {
+/// A batch with a record of each code, and one of an unknown code.
+fn sample_batch() -> Vec<u8> {
     let mut entry = vec![0x03, 0x12, 0x4a, 0x07, 1, 0, 2, 0, 5, 2];
     entry.extend_from_slice(&1.5f32.to_be_bytes());
     entry.extend_from_slice(&0x5d1420u64.to_be_bytes());
@@ -94,9 +98,10 @@
 }
 
 #[test]
-fn each_event_is_read_from_its_offsets() {
-    let text: Vec<String> = read(&sample()).unwrap().iter().map(|r| format!("{r:?}")).collect();
-    let wanted = [
+fn each_event_is_decoded_from_its_offsets() {
+    let text: Vec<String> =
+        decode(&sample_batch()).unwrap().iter().map(|record| format!("{record:?}")).collect();
+    let expected = [
         "Start { gatekeeper: 3, seed: 9, settings: \"me=1\" }",
         "Event { gatekeeper: 3, event: Endpoints { kind: Delta, entries: [BackendEntry { id: BackendId(51530247), zone: 1, \
          machine_type: 2, cell: 5, state: Draining, service: 0, size: 1.5, started: 6100000 }] } }",
@@ -113,14 +118,14 @@
         "Kill { gatekeeper: 3 }",
         "Unknown { code: 4242 }",
     ];
-    assert_eq!(text.len(), wanted.len());
-    for (text, wanted) in text.iter().zip(wanted) {
-        assert_eq!(text, wanted);
+    assert_eq!(text.len(), expected.len());
+    for (text, expected) in text.iter().zip(expected) {
+        assert_eq!(text, expected);
     }
 }
 
 #[test]
-fn actions_match_the_frames_of_the_wire_page() {
+fn actions_are_encoded_as_on_the_page_of_the_wire_protocol() {
     let mut reply = Reply::default();
     reply.push(
         3,
@@ -133,8 +138,8 @@
     );
     reply.push(3, &Action::Timer { after: 500_000, token: 77 });
     reply.push_log(5, "two servers known");
-    let hex: String = reply.into_bytes(12).iter().map(|b| format!("{b:02x}")).collect();
-    let wanted = concat!(
+    let hex: String = reply.into_bytes(12).iter().map(|byte| format!("{byte:02x}")).collect();
+    let expected = concat!(
         "0000000c",
         "00000003",
         "00000059",
@@ -143,7 +148,7 @@
         "03f200000005000000000000001100000000000000000000",
         "74776f2073657276657273206b6e6f776e",
     );
-    assert_eq!(hex, wanted);
+    assert_eq!(hex, expected);
     let mut reply = Reply::default();
     reply.push(3, &Action::CounterAdd { name: 0x0089_f690, units: 4.0, ttl: 3_000_000 });
     reply.push(
@@ -158,8 +163,8 @@
     reply.push(3, &Action::Cancel { id: RequestId(0x5d3a_91c4), attempt: 0 });
     reply.push(3, &Action::HealthCheck { backend: BackendId(0x2c90_11f2) });
     reply.push(3, &Action::PollEndpoints);
-    let hex: String = reply.into_bytes(0)[12..].iter().map(|b| format!("{b:02x}")).collect();
-    let wanted = concat!(
+    let hex: String = reply.into_bytes(0)[12..].iter().map(|byte| format!("{byte:02x}")).collect();
+    let expected = concat!(
         "0460000000030000000000",
         "89f69040800000002dc6c00000",
         "0438000000030e6f2b190003d09000000000000000000000",
@@ -168,38 +173,38 @@
         "0424000000032c9011f20000000000000000000000000000",
         "045600000003010000000000000000000000000000000000",
     );
-    assert_eq!(hex, wanted);
+    assert_eq!(hex, expected);
 }
 
 #[test]
-fn broken_framing_is_told_with_batch_and_record() {
-    let whole = sample();
-    for (bytes, part) in [(&whole[..10], "header"), (&whole[..100], "batch 7: input ends")] {
-        let error = read(bytes).unwrap_err().to_string();
-        assert!(error.contains(part), "{error}");
+fn errors_of_the_framing_name_batch_and_record() {
+    let valid = sample_batch();
+    for (bytes, expected) in [(&valid[..10], "header"), (&valid[..100], "batch 7: input ends")] {
+        let error = decode(bytes).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
     }
-    let mut count = whole.clone();
-    count[16] = 0xff;
-    assert!(read(&count).unwrap_err().to_string().contains("do not fit"));
-    let mut offset = whole.clone();
-    offset[20 + 14] = 0xff;
-    assert!(read(&offset).unwrap_err().to_string().contains("batch 7, record 0: offset"));
-    assert!(read(&[]).unwrap().is_empty());
+    let mut wrong_count = valid.clone();
+    wrong_count[16] = 0xff;
+    assert!(decode(&wrong_count).unwrap_err().to_string().contains("do not fit"));
+    let mut wrong_offset = valid.clone();
+    wrong_offset[20 + 14] = 0xff;
+    assert!(decode(&wrong_offset).unwrap_err().to_string().contains("batch 7, record 0: offset"));
+    assert!(decode(&[]).unwrap().is_empty());
 }
 
 #[test]
 fn mutated_frames_never_panic() {
     let mut rng = fastrand::Rng::with_seed(5);
-    let whole = sample();
+    let valid = sample_batch();
     let mut rejected = 0;
     for _ in 0..20_000 {
-        let mut bytes = whole.clone();
+        let mut bytes = valid.clone();
         for _ in 0..rng.usize(1..4) {
-            let at = rng.usize(0..bytes.len());
-            bytes[at] = rng.u8(..);
+            let offset = rng.usize(0..bytes.len());
+            bytes[offset] = rng.u8(..);
         }
         bytes.truncate(rng.usize(0..=bytes.len()).max(bytes.len() / 2));
-        rejected += usize::from(read(&bytes).is_err());
+        rejected += usize::from(decode(&bytes).is_err());
     }
-    assert!(rejected > 1000, "{rejected} of the mutations were noticed");
+    assert!(rejected > 1000, "{rejected} mutated frames were rejected");
 }
