--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -189,3 +189,6 @@
         names.len() - 1
     })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -4,8 +4,11 @@
 mod predecessor;
 mod successor;
 
+pub use successor::Predecessor;
+
 use crate::admin_service::AdminService;
 use crate::endpoint_ids::EndpointIds;
+use crate::operator_ejections::OperatorEjections;
 use destination::{BackendPools, RespProtocol};
 use front_resp::{Front, RespExchange};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,8 +20,10 @@
 
 /// The parts of this process that a hot restart hands over or takes over.
 pub struct HotRestart {
-    /// Has the names of classes and plans, and applies operators' ejections.
+    /// Has the names of classes and plans.
     admin: Arc<AdminService>,
+    /// Exchanges ejections with the other process.
+    ejections: Arc<OperatorEjections>,
     /// Has the policy's state.
     exchange: Arc<RespExchange>,
     /// Has the connections to backends.
@@ -35,13 +40,14 @@
     /// Creates the hot restart of these parts.
     pub fn new(
         admin: Arc<AdminService>,
+        ejections: Arc<OperatorEjections>,
         exchange: Arc<RespExchange>,
         pools: Arc<BackendPools<RespProtocol>>,
         endpoint_ids: Arc<Mutex<EndpointIds>>,
         front: Arc<Front>,
     ) -> Arc<Self> {
         let connections_in_transfer = AtomicUsize::new(0);
-        Arc::new(Self { admin, exchange, pools, endpoint_ids, front, connections_in_transfer })
+        Arc::new(Self { admin, ejections, exchange, pools, endpoint_ids, front, connections_in_transfer })
     }
 
     /// Whether a successor serves in place of this process.
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -2,6 +2,7 @@
 
 use super::{HotRestart, MESSAGE_TIMEOUT};
 use crate::error::Error;
+use crate::start_retry::with_retries;
 use exchange::{PolicySnapshot, TenantId};
 use front_resp::HandOverConnection;
 use handover::{
@@ -11,6 +12,7 @@
 use link::{Listener, locked, spawn_with};
 use std::net::TcpStream;
 use std::os::fd::{AsFd, OwnedFd};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::{Receiver, channel};
@@ -30,8 +32,23 @@
 }
 
 impl HotRestart {
+    /// Starts accepting successors in this directory. If the socket cannot be bound at once, a thread retries.
+    pub fn accept_successors(self: &Arc<Self>, directory: PathBuf, listener: &Arc<Listener>) {
+        match UpgradeSocket::bind(&directory) {
+            Ok(socket) => self.serve_successors(socket, listener),
+            Err(error) => {
+                tracing::warn!(%error, "hot restart socket not usable, retrying");
+                let (restart, listener) = (self.clone(), listener.clone());
+                thread::spawn(move || match with_retries(|| UpgradeSocket::bind(&directory)) {
+                    Ok(socket) => restart.serve_successors(socket, &listener),
+                    Err(error) => tracing::warn!(%error, "hot restart socket not usable"),
+                });
+            }
+        }
+    }
+
     /// Starts a thread that serves successors at this socket, one at a time, until the process ends.
-    pub fn serve_successors(self: &Arc<Self>, socket: UpgradeSocket, listener: &Arc<Listener>) {
+    fn serve_successors(self: &Arc<Self>, socket: UpgradeSocket, listener: &Arc<Listener>) {
         let (restart, listener) = (self.clone(), listener.clone());
         thread::spawn(move || {
             loop {
@@ -51,7 +68,7 @@
             }
             Err(_) => return,
         }
-        self.admin.set_peer(Some(peer.clone()));
+        self.ejections.set_peer(Some(peer.clone()));
         let mut handed_over = false;
         let mut journal = None;
         // After the hand-over the successor may be silent for as long as it runs.
@@ -65,11 +82,11 @@
                         break;
                     }
                 }
-                message => self.admin.handle_message(peer, message),
+                message => self.ejections.handle_message(peer, message),
             }
         }
         peer.close();
-        self.admin.set_peer(None);
+        self.ejections.set_peer(None);
         if handed_over && !self.admin.is_ending() {
             self.resume(journal, listener);
         }
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -1,7 +1,6 @@
 //! This process as the successor: taking over the listener, the state and the client connections of the predecessor.
 
 use super::{HotRestart, MESSAGE_TIMEOUT, numbers_in};
-use crate::endpoint_ids::{EjectionChange, UnknownId};
 use crate::error::Error;
 use exchange::{BackendId, PolicySnapshot};
 use handover::{Admission, AdmissionJournal, BackendNumber, Message, PROTOCOL_VERSION, Peer};
@@ -13,6 +12,14 @@
 use std::sync::Arc;
 use std::thread;
 
+/// A process that has handed over to this one.
+pub struct Predecessor {
+    /// The listener for clients.
+    pub listener: Listener,
+    /// The connection to the process.
+    pub peer: Arc<Peer>,
+}
+
 /// A predecessor's [`Message::State`] with the listener that comes with it.
 struct PredecessorState {
     listener: Listener,
@@ -24,26 +31,27 @@
 }
 
 impl HotRestart {
-    /// Connects to the process that serves with this directory. `None` if there is none.
-    pub fn connect_to_predecessor(&self, directory: &Path) -> Option<Arc<Peer>> {
-        let predecessor = Arc::new(Peer::connect(directory).ok()?);
-        predecessor.send(&Message::Hello { version: PROTOCOL_VERSION }, None).ok()?;
-        self.admin.set_peer(Some(predecessor.clone()));
-        Some(predecessor)
+    /// Takes over from the process that serves with this directory. From then on the predecessor admits no request. `None` without
+    /// such a process, or if it does not hand over.
+    pub fn take_over(&self, directory: &Path) -> Option<Predecessor> {
+        let peer = self.connect_to_predecessor(directory)?;
+        match self.request_and_apply_state(&peer) {
+            Ok(listener) => Some(Predecessor { listener, peer }),
+            Err(error) => {
+                peer.close();
+                self.ejections.set_peer(None);
+                tracing::info!(%error, "hot restart failed, starting without the state of the predecessor");
+                None
+            }
+        }
     }
 
-    /// Takes over from a predecessor and returns its listener. From then on the predecessor admits no request.
-    ///
-    /// # Errors
-    ///
-    /// The predecessor did not hand over. The connection to it is closed.
-    pub fn take_over(&self, predecessor: &Peer) -> Result<Listener, Error> {
-        let result = self.request_and_apply_state(predecessor);
-        if result.is_err() {
-            predecessor.close();
-            self.admin.set_peer(None);
-        }
-        result
+    /// Connects to the process that serves with this directory. `None` without such a process.
+    fn connect_to_predecessor(&self, directory: &Path) -> Option<Arc<Peer>> {
+        let peer = Arc::new(Peer::connect(directory).ok()?);
+        peer.send(&Message::Hello { version: PROTOCOL_VERSION }, None).ok()?;
+        self.ejections.set_peer(Some(peer.clone()));
+        Some(peer)
     }
 
     fn request_and_apply_state(&self, predecessor: &Peer) -> Result<Listener, Error> {
@@ -51,9 +59,7 @@
         predecessor.send(&Message::RequestState, Some(reader.as_fd()))?;
         let (message, descriptor) = self.receive_state(predecessor)?;
         let state = PredecessorState::from_message(message, descriptor)?;
-        for id in &state.ejected {
-            self.admin.apply_ejection(id, EjectionChange::Eject, UnknownId::Register);
-        }
+        self.ejections.adopt(&state.ejected);
         // Before the snapshot is decoded, which may fail: a journal that ends without entries says that nothing was admitted.
         self.write_journal(journal, &state.plans);
         self.apply_snapshot(&state);
@@ -65,7 +71,7 @@
         loop {
             match predecessor.receive(Some(MESSAGE_TIMEOUT))? {
                 (message @ (Message::SetEjected { .. } | Message::EjectionApplied { .. }), _) => {
-                    self.admin.handle_message(predecessor, message)
+                    self.ejections.handle_message(predecessor, message)
                 }
                 other => return Ok(other),
             }
@@ -113,31 +119,31 @@
     }
 
     /// Starts a thread that adopts the client connections of the predecessor until that process ends.
-    pub fn follow_predecessor(self: &Arc<Self>, predecessor: Arc<Peer>) {
+    pub fn adopt_connections_of(self: &Arc<Self>, predecessor: Arc<Peer>) {
         let restart = self.clone();
         thread::spawn(move || {
-            let taken_over = restart.adopt_connections(&predecessor);
-            restart.admin.set_peer(None);
+            let count = restart.adopt_connections(&predecessor);
+            restart.ejections.set_peer(None);
             restart.exchange.set_admission_listener(None);
-            tracing::warn!(count = taken_over, "predecessor exited, its connections were taken over");
+            tracing::warn!(count, "predecessor exited, its connections were taken over");
         });
     }
 
     /// Adopts client connections until the predecessor ends, and returns their number.
     fn adopt_connections(&self, predecessor: &Peer) -> usize {
-        let mut taken_over = 0;
+        let mut count = 0;
         while let Ok((message, descriptor)) = predecessor.receive(None) {
             match (message, descriptor) {
                 (Message::ClientConnection { partial_request }, Some(socket)) => {
                     if let Ok(connection) = Connection::new(TcpStream::from(socket)) {
                         self.front.adopt(connection, partial_request);
-                        taken_over += 1;
+                        count += 1;
                     }
                 }
-                (message, _) => self.admin.handle_message(predecessor, message),
+                (message, _) => self.ejections.handle_message(predecessor, message),
             }
         }
-        taken_over
+        count
     }
 }
 
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -19,6 +19,7 @@
 mod error;
 mod hot_restart;
 mod log;
+mod operator_ejections;
 mod plan_replication;
 mod platform;
 mod settings_command;
--- /dev/null
+++ b/crates/snowfield/src/operator_ejections/pending_calls.rs
@@ -0,0 +1,50 @@
+//! Calls to the other process of a hot restart that wait for their reply.
+
+use std::collections::HashMap;
+use std::sync::mpsc::{Receiver, Sender, channel};
+
+/// Calls that wait for their reply, by number.
+#[derive(Default)]
+pub(super) struct PendingCalls {
+    last_call: u64,
+    replies: HashMap<u64, Sender<bool>>,
+}
+
+/// A call to the other process.
+pub(super) struct PendingCall {
+    /// The number of the call, which the reply returns.
+    pub(super) call: u64,
+    /// Receives whether the other process has applied the change. Disconnected by [`PendingCalls::cancel_all`].
+    pub(super) reply: Receiver<bool>,
+}
+
+impl PendingCalls {
+    /// Starts a call with a new number.
+    pub(super) fn start(&mut self) -> PendingCall {
+        let (sender, reply) = channel();
+        self.last_call += 1;
+        self.replies.insert(self.last_call, sender);
+        PendingCall { call: self.last_call, reply }
+    }
+
+    /// Completes a call with the reply of the other process. Ignores a call that has timed out.
+    pub(super) fn complete(&mut self, call: u64, applied: bool) {
+        if let Some(reply) = self.replies.remove(&call) {
+            // Fails if the call is timing out.
+            let _ = reply.send(applied);
+        }
+    }
+
+    /// Removes a call that has completed or timed out.
+    pub(super) fn cancel(&mut self, call: u64) {
+        self.replies.remove(&call);
+    }
+
+    /// Fails all calls at once, since no reply will come.
+    pub(super) fn cancel_all(&mut self) {
+        self.replies.clear();
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -5,6 +5,7 @@
 use crate::admin_service::{AdminService, Names};
 use crate::endpoint_ids::{EndpointIds, TranslatedList};
 use crate::error::Error;
+use crate::operator_ejections::OperatorEjections;
 use crate::timer_thread;
 use counter::CounterClient;
 use destination::{BackendPools, Limits, RespProtocol};
@@ -80,16 +81,20 @@
         Ok(Self { exchange, pools, counter, endpoint_ids })
     }
 
-    /// Creates the admin service with the names of all classes and plans. `directory` is where it stores operators' ejections.
+    /// Creates the operators' ejections. They are stored in `directory`, or not at all.
+    pub(super) fn create_operator_ejections(&self, directory: Option<PathBuf>) -> OperatorEjections {
+        let (exchange, pools) = (self.exchange.clone(), self.pools.clone());
+        OperatorEjections::new(exchange, pools, self.endpoint_ids.clone(), directory)
+    }
+
+    /// Creates the admin service with the names of all classes and plans.
     pub(super) fn create_admin_service(
         &self,
         numbering: &Numbering,
-        directory: Option<PathBuf>,
+        ejections: Arc<OperatorEjections>,
     ) -> AdminService {
-        let (exchange, pools) = (self.exchange.clone(), self.pools.clone());
-        let admin = AdminService::new(exchange, pools, self.endpoint_ids.clone(), directory);
-        admin.set_names(Names { classes: numbering.class_names(), plans: numbering.plan_names() });
-        admin
+        let names = Names { classes: numbering.class_names(), plans: numbering.plan_names() };
+        AdminService::new(self.exchange.clone(), self.pools.clone(), ejections, names)
     }
 
     /// Announces the endpoint list of the configuration, which holds until discovery sends one.
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -7,10 +7,10 @@
 use crate::admin_listener::AdminListener;
 use crate::admin_service::AdminService;
 use crate::error::Error;
-use crate::hot_restart::HotRestart;
+use crate::hot_restart::{HotRestart, Predecessor};
+use crate::operator_ejections::OperatorEjections;
 use crate::start_retry::with_retries;
 use front_resp::{Front, RespExchange};
-use handover::{Peer, UpgradeSocket};
 use invariants::Guard;
 use link::{Listener, spawn};
 use settings::Numbering;
@@ -37,12 +37,6 @@
 /// Environment variable naming the directory that a process shares with its predecessor and successor.
 const SHARED_DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// The listener for client connections, with the predecessor that it was taken over from.
-struct OpenedListener {
-    listener: Arc<Listener>,
-    predecessor: Option<Arc<Peer>>,
-}
-
 /// Starts serving with the configuration of the file `path`.
 ///
 /// # Errors
@@ -56,25 +50,36 @@
     let max_connections = max_connections(&config);
     let core = Core::new(&config, settings, max_connections)?;
     let directory = shared_directory(&config);
-    let admin = Arc::new(core.create_admin_service(&numbering, directory.clone()));
+    let ejections = Arc::new(core.create_operator_ejections(directory.clone()));
+    let admin = Arc::new(core.create_admin_service(&numbering, ejections.clone()));
     let admin_listener = start_admin_listener(&config, &admin)?;
     core.announce_cached_list(&config);
     let StartedWatch { watch, first_event } = core.start_watch(&config);
     let front = core.create_front(&config, &numbering, max_connections, admin_listener);
     core.start_timers(&front, &watch);
     let Core { exchange, pools, counter, endpoint_ids } = core;
-    let hot_restart =
-        HotRestart::new(admin.clone(), exchange.clone(), pools.clone(), endpoint_ids, front.clone());
+    let hot_restart = HotRestart::new(
+        admin.clone(),
+        ejections.clone(),
+        exchange.clone(),
+        pools.clone(),
+        endpoint_ids,
+        front.clone(),
+    );
     wait_for_shared_state(&first_event, &exchange);
-    let OpenedListener { listener, predecessor } =
-        open_listener(&hot_restart, &admin, directory.as_deref(), &config)?;
-    if let Some(directory) = &directory {
-        await_successors(&hot_restart, directory, &listener);
+    let predecessor = directory.as_deref().and_then(|directory| hot_restart.take_over(directory));
+    let (listener, predecessor) = match predecessor {
+        Some(Predecessor { listener, peer }) => (listener, Some(peer)),
+        None => (bind_listener(&config, &ejections)?, None),
+    };
+    let listener = Arc::new(listener);
+    if let Some(directory) = directory {
+        hot_restart.accept_successors(directory, &listener);
     }
     serve(&front, &admin, &listener, &config)?;
     check_start_duration(started.elapsed());
     if let Some(predecessor) = predecessor {
-        hot_restart.follow_predecessor(predecessor);
+        hot_restart.adopt_connections_of(predecessor);
     }
     Ok(Running {
         exchange,
@@ -131,22 +136,11 @@
     Ok(Some(listener))
 }
 
-/// Takes over the listener of a predecessor. Without one, binds a new listener and restores the ejections that an earlier process
-/// stored.
-fn open_listener(
-    hot_restart: &Arc<HotRestart>,
-    admin: &AdminService,
-    directory: Option<&Path>,
-    config: &PlatformConfig,
-) -> Result<OpenedListener, Error> {
-    if let Some(taken_over) = directory.and_then(|directory| take_over(hot_restart, directory)) {
-        return Ok(taken_over);
-    }
-    admin.restore_ejections();
+/// Binds a new listener, and restores the ejections that an earlier process stored.
+fn bind_listener(config: &PlatformConfig, ejections: &OperatorEjections) -> Result<Listener, Error> {
+    ejections.restore();
     let address = config.listen;
-    let listener =
-        with_retries(|| Listener::bind(address)).map_err(|source| Error::Listen { address, source })?;
-    Ok(OpenedListener { listener: Arc::new(listener), predecessor: None })
+    with_retries(|| Listener::bind(address)).map_err(|source| Error::Listen { address, source })
 }
 
 /// Starts accepting client connections.
@@ -163,31 +157,3 @@
     spawn(move || accepting.run(&accepts_from));
     Ok(())
 }
-
-/// Takes over from the process that serves with this directory. `None` without such a process, or if the hand-over fails.
-fn take_over(hot_restart: &Arc<HotRestart>, directory: &Path) -> Option<OpenedListener> {
-    let predecessor = hot_restart.connect_to_predecessor(directory)?;
-    match hot_restart.take_over(&predecessor) {
-        Ok(listener) => Some(OpenedListener { listener: Arc::new(listener), predecessor: Some(predecessor) }),
-        Err(error) => {
-            tracing::info!(%error, "hot restart failed, starting without the state of the predecessor");
-            None
-        }
-    }
-}
-
-/// Starts accepting successors in this directory. If the socket cannot be bound, a thread retries.
-fn await_successors(hot_restart: &Arc<HotRestart>, directory: &Path, listener: &Arc<Listener>) {
-    match UpgradeSocket::bind(directory) {
-        Ok(socket) => hot_restart.serve_successors(socket, listener),
-        Err(error) => {
-            tracing::warn!(%error, "hot restart socket not usable, retrying");
-            let (hot_restart, listener) = (hot_restart.clone(), listener.clone());
-            let directory = directory.to_owned();
-            std::thread::spawn(move || match with_retries(|| UpgradeSocket::bind(&directory)) {
-                Ok(socket) => hot_restart.serve_successors(socket, &listener),
-                Err(error) => tracing::warn!(%error, "hot restart socket not usable"),
-            });
-        }
-    }
-}
