--- a/crates/snowfield/tests/admin.rs
+++ b/crates/snowfield/tests/admin.rs
@@ -17,21 +17,21 @@
         let reply = admin_command(admin, bad);
         assert!(reply.starts_with("ERR ") && reply.lines().count() == 1, "{bad:?}: {reply:?}");
     }
-    // Several lines, an endless line and garbage get one reply each.
+    // Several lines, a line without an end, and garbage get one reply each.
     assert_eq!(send_bytes(admin, b"readyz\nreadyz\nreadyz\n"), "OK\n");
     assert!(send_bytes(admin, &[b'x'; 600]).starts_with("ERR "));
     assert!(send_bytes(admin, b"\xff\xfe\n").starts_with("ERR "));
     drop(site);
 }
 
-/// Guards the 1 s in which a caller is answered: callers who complete no call must not keep others waiting.
+/// Clients that complete no command must not delay others, who are answered within 1 s.
 #[test]
 fn clients_that_complete_no_command_delay_nobody() {
     let (site, admin) = site_with_admin("stuck", &SiteOptions::default());
     let stuck: Vec<TcpStream> = (0..60)
         .map(|number| {
             let mut caller = TcpStream::connect(admin).expect("the admin listener accepts");
-            // Those whose place was taken may have been closed already.
+            // An evicted client may be disconnected already.
             let _ = caller.write_all(&b"telem"[..number % 6]);
             caller
         })
@@ -52,7 +52,7 @@
     assert!(!good && text.contains("BALANCER_OPERATOR"), "{text}");
 }
 
-/// Guards the figures: each operation ends in exactly one of them, and each attempt that was written whole counts.
+/// Each request counts in exactly one of the outcomes, and each completely written attempt counts.
 #[test]
 fn metrics_agree_with_what_clients_and_backends_saw() {
     let (address, events) = backend(read_resp_command, |words| match words[2].as_bytes().last() {
@@ -62,7 +62,7 @@
     });
     let options = SiteOptions { backends: &[address], attempts: 1, ..SiteOptions::default() };
     let (site, admin) = site_with_admin("figures", &options);
-    // One client at a time: as long as its request is open it is pending.
+    // A request in flight is pending.
     let mut waits = Client::connect(site.listen);
     waits.send(&query(0xf2, 2400, 1));
     next_request(&events);
@@ -83,13 +83,13 @@
     let text = admin_command(admin, "telemetry");
     let of = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
     assert_eq!((of("completed"), of("rejected"), of("failed")), (served, refused, failed));
-    assert_eq!(metric(&text, "balancer_pending"), 0, "who left is not pending");
+    assert_eq!(metric(&text, "balancer_pending"), 0, "a disconnected client is not pending");
     assert_eq!(metric(&text, "balancer_upstream_requests_total"), 1 + all_requests(&events).len() as u64);
     assert!(served > 0 && refused > 0, "a mixed run: {served} {refused} {failed}");
     assert_eq!(metric(&text, "balancer_members"), 1);
 }
 
-/// Guards the ban: it holds whatever the list says, and ends with one call back however often it was called out.
+/// An ejection holds whatever the endpoint list says, and ends with one restoration however often the backend was ejected.
 #[test]
 fn an_ejected_backend_gets_nothing_until_it_is_restored() {
     let ((one, events_one), (two, events_two)) = (echo_backend(), echo_backend());
@@ -109,26 +109,26 @@
         }
     };
     ask(&site, 6);
-    // A list in which it goes and comes back changes nothing.
+    // Removing the backend from the list and adding it again changes nothing.
     for (rev, state, members) in [(41, "removed", 1), (42, "up", 2)] {
         site.watch.send(list_delta(rev, &[endpoint("s-0", one, state)])).expect("the agent writes");
         while read_metric(admin, "balancer_members") != members {}
         ask(&site, 6);
     }
-    assert_eq!(all_requests(&events_one).len(), 0, "it is out");
+    assert_eq!(all_requests(&events_one).len(), 0, "it is ejected");
     assert!(!all_requests(&events_two).is_empty());
     assert_eq!(admin_command(admin, "exclude s-1"), "OK\n");
     let mut client = Client::connect(site.listen);
     client.send(&query_of_new_tenant(1000));
-    assert!(client.reply().starts_with("-BUSY"), "with all out it is refused at once");
+    assert!(client.reply().starts_with("-BUSY"), "with all backends ejected it is rejected at once");
     assert_eq!(admin_command(admin, "include s-0"), "OK\n");
     let started = std::time::Instant::now();
     while all_requests(&events_one).is_empty() {
         ask(&site, 1);
         assert!(started.elapsed() < TIMEOUT, "it is used again");
     }
-    assert_eq!(all_requests(&events_two).len(), 0, "the other one is still out");
-    // One that has left the list can be called back, and is nobody's after that.
+    assert_eq!(all_requests(&events_two).len(), 0, "the other one is still ejected");
+    // A backend that has left the list can be restored, and is unknown after that.
     site.watch.send(list_delta(43, &[endpoint("s-1", two, "removed")])).expect("the agent writes");
     while read_metric(admin, "balancer_members") != 1 {}
     assert_eq!(admin_command(admin, "include s-1"), "OK\n");
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -1,4 +1,4 @@
-//! Clients by the hundred that send much: a process that holds more than its limit is killed, and everybody's requests with it.
+//! Hundreds of clients that send a lot: a process that exceeds its memory limit is killed, and all requests in flight are lost.
 
 mod common;
 
@@ -6,9 +6,9 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// KiB; what a flood may add to what its clients' connections hold: the parts of the memory that a front gives to requests and
-/// their answers, 18 of 48 MiB, and 3 for what is on its way beside them.
-const MOST_KB: u64 = 21 * 1024;
+/// Memory in KiB that a flood may add to that of its clients' connections: the front's budgets for requests and replies, 18 of
+/// 48 MiB, and 3 MiB for data in transit.
+const MAX_FLOOD_KB: u64 = 21 * 1024;
 
 fn small_site(test: &str, backends: &[std::net::SocketAddr]) -> Site {
     let options = SiteOptions { backends, sockets: 640, ..SiteOptions::default() };
@@ -17,24 +17,24 @@
     })
 }
 
-/// A request with a body of so many bytes, by a customer of its own.
-fn with_body(number: u32, body: usize) -> Vec<u8> {
+/// A request with a body of this many bytes, by a tenant that has no other request.
+fn submit_with_body(number: u32, body: usize) -> Vec<u8> {
     let fields = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
     resp_command(&["SVC.SUBMIT", &request_id(number), &request_id(number), fields, &"x".repeat(body)])
 }
 
-/// What a usual client hears, and what the process holds then.
-fn usual(site: &Site, number: u32) -> (String, u64) {
+/// Sends a request of another client. Returns the reply, and the memory of the program after it.
+fn request_and_measure(site: &Site, number: u32) -> (String, u64) {
     let mut client = Client::connect(site.listen);
-    client.send(&with_body(number, 10));
+    client.send(&submit_with_body(number, 10));
     (client.reply(), site.program.memory_kb())
 }
 
-/// Clients that have each had a request answered, and what the process holds with them.
-fn crowd(site: &Site, many: u32) -> (Vec<Client>, u64) {
-    let crowd = (0..many).map(|number| {
+/// Connects clients that have each had a reply. Returns them, and the memory of the program with them.
+fn connect_served_clients(site: &Site, count: u32) -> (Vec<Client>, u64) {
+    let crowd = (0..count).map(|number| {
         let mut client = Client::connect(site.listen);
-        client.send(&with_body(0x10_0000 + number, 10));
+        client.send(&submit_with_body(0x10_0000 + number, 10));
         client.reply();
         client.writes.set_write_timeout(Some(Duration::from_millis(50))).expect("it can be set");
         client
@@ -42,22 +42,22 @@
     (crowd.collect(), site.program.memory_kb())
 }
 
-/// BackendEvent: 400 clients that stopped half way through a body of 64 kB had the program hold 45 MB of its 48.
+/// Regression: with 400 clients that stopped in the middle of a body of 64 kB, the program held 45 MB of its 48.
 #[test]
 fn partial_requests_of_many_clients_stay_within_memory() {
     let (address, _events) = echo_backend();
     let site = small_site("half-flood", &[address]);
-    let (mut crowd, before) = crowd(&site, 400);
+    let (mut crowd, before) = connect_served_clients(&site, 400);
     for (client, number) in crowd.iter_mut().zip(1_000..) {
-        let _ = client.writes.write_all(&with_body(number, 65_000)[..64_000]);
+        let _ = client.writes.write_all(&submit_with_body(number, 65_000)[..64_000]);
     }
-    let (reply, held) = usual(&site, 1);
+    let (reply, memory_kb) = request_and_measure(&site, 1);
     assert_eq!(reply, request_id(1), "others are served");
-    assert!(held < before + MOST_KB, "{before} and then {held} KiB");
+    assert!(memory_kb < before + MAX_FLOOD_KB, "{before} and then {memory_kb} KiB");
 }
 
-/// Answers that wait for their turn behind the first, which has none: one client alone could have 60 MB held, a thousand answers of
-/// the longest kind. Beyond the bound further requests are told to come back.
+/// Regression: replies that wait for the first reply of their connection once held up to 60 MB for one client, a thousand replies of
+/// maximum size. Beyond the limit further requests are rejected.
 #[test]
 fn queued_answers_stay_within_memory() {
     let (address, events) = backend(read_resp_command, |words| match words[2] == request_id(1) {
@@ -65,42 +65,41 @@
         false => Behaviour::Reply(backend_reply(&"v".repeat(60_000))),
     });
     let site = small_site("in-line", &[address]);
-    let (mut crowd, before) = crowd(&site, 2);
+    let (mut crowd, before) = connect_served_clients(&site, 2);
     all_requests(&events);
     let client = &mut crowd[0];
-    client.send(&with_body(1, 10));
+    client.send(&submit_with_body(1, 10));
     let (mut served, started) = (0, Instant::now());
-    // Each is at its destination before the next one is sent, or is not sent on; the first has its answer after 2.4 s.
+    // Each request is at its backend before the next one is sent, or is not forwarded; the first has its reply after 2.4 s.
     for number in 2..700 {
-        client.send(&with_body(number, 10));
-        let mut sent_on = std::iter::from_fn(|| events.recv_timeout(Duration::from_millis(100)).ok());
-        served += u32::from(sent_on.any(|what| matches!(what, BackendEvent::Request(_))));
+        client.send(&submit_with_body(number, 10));
+        let mut forwarded = std::iter::from_fn(|| events.recv_timeout(Duration::from_millis(100)).ok());
+        served += u32::from(forwarded.any(|what| matches!(what, BackendEvent::Request(_))));
         if started.elapsed() > Duration::from_millis(2_000) {
             break;
         }
     }
-    let held = site.program.memory_kb();
-    assert!(held < before + MOST_KB, "{before} and then {held} KiB with {served} answers");
+    let memory_kb = site.program.memory_kb();
+    assert!(memory_kb < before + MAX_FLOOD_KB, "{before} and then {memory_kb} KiB with {served} answers");
 }
 
-/// Guards others' turns as well: a client that always has hundreds of commands to read took so long for each of its turns that
-/// with a hundred such clients a usual one had no answer in time.
+/// Regression: with a hundred clients that each had hundreds of commands to read, another client got no reply in time.
 #[test]
 fn unread_answers_stay_within_memory_and_others_are_served() {
     let (address, _events) = echo_backend();
     let site = small_site("unread-flood", &[address]);
-    let (mut crowd, before) = crowd(&site, 100);
+    let (mut crowd, before) = connect_served_clients(&site, 100);
     let pings = resp_command(&["PING"]).repeat(400_000);
     for client in &mut crowd {
         let _ = client.writes.write_all(&pings);
     }
-    let (reply, held) = usual(&site, 1);
+    let (reply, memory_kb) = request_and_measure(&site, 1);
     assert_eq!(reply, request_id(1), "others are served");
-    assert!(held < before + MOST_KB, "{before} and then {held} KiB");
+    assert!(memory_kb < before + MAX_FLOOD_KB, "{before} and then {memory_kb} KiB");
 }
 
-/// Guards what is reserved: idle clients may take every descriptor that is left while discovery is down. Discovery, the counter and
-/// the loan servers still get theirs, those who wait at the door cost no work, and all are served when it returns.
+/// Idle clients may take all free descriptors while discovery is down. Discovery, the counter and the backends still get theirs,
+/// connections that wait in the backlog take no processor time, and discovery is connected once it is back.
 #[test]
 fn idle_clients_take_no_descriptor_from_discovery_counter_and_backends() {
     let (address, _events) = echo_backend();
@@ -120,7 +119,7 @@
         let fields = "c=lookup,t=team,d=2400,units=1,spread=2,first=0";
         resp_command(&["SVC.QUERY", &request_id(number), &request_id(number), fields])
     };
-    // Each has used its connection and rests until the gatekeeper ends it; beyond the table they wait at the door.
+    // Each sends a command and idles until the gatekeeper closes its connection. Connections beyond the table wait in the backlog.
     let mut crowd: Vec<Client> = (0..200).map(|_| Client::connect(listen)).collect();
     crowd.iter_mut().for_each(|client| client.send(&resp_command(&["PING"])));
     let mut answered = 0;
@@ -131,7 +130,7 @@
     }
     assert!(answered > 40, "a table full of them: {answered}");
     let before = (program.processor_ticks(), Instant::now());
-    // Many at once: each needs a connection to the loan server, and a lane to the counter.
+    // Each of these needs a connection to the backend, and all need one to the counter.
     let mut busy: Vec<Client> = Vec::new();
     for number in 1..=40 {
         let mut client = Client::connect(listen);
@@ -144,7 +143,7 @@
     next(&added);
     let (ticks, span) = (program.processor_ticks() - before.0, before.1.elapsed());
     assert!((ticks as u128) * 10 < span.as_millis() / 2 + 200, "{ticks} ticks in {span:?}");
-    // Discovery is back, and there is a descriptor for it.
+    // Discovery is back, and gets a descriptor.
     let back = std::net::TcpListener::bind(agent).expect("its port is free");
     let (mut watch, _) = back.accept().expect("a watch");
     let mut request = [0; 64];
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Hot restarts of the real program: what predecessor and successor hand over, and what is left where one of them dies.
+//! Hot restarts of the real program: the hand-over from predecessor to successor, and the failure of either.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::*;
 use std::time::Duration;
 
-/// Guards clients during an upgrade under load: no request may be reset, cut off or left unread.
+/// Under load no request may be reset, truncated or left unread during a hot restart.
 #[test]
 fn upgrades_under_load_lose_no_request() {
     use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -46,7 +46,7 @@
     assert!(number.into_inner() > 1200);
 }
 
-/// Guards the take-over: while a connection waits to be passed on it is not read, and the end of its client was not seen.
+/// Regression: a connection that waits for its transfer is not read, and the end of its client was not noticed.
 #[test]
 fn a_client_that_disconnects_before_its_connection_is_passed_on_cancels_its_request() {
     let HeldBackend { address, events, release: _release } = backend_holding_request(10, reply_with_id);
@@ -56,7 +56,7 @@
     waits.send(&query_of_new_tenant(10));
     next_request(&events);
     let (_next, _) = start_successor(&site);
-    // More than is read ahead, unread as well.
+    // More than the gatekeeper reads ahead.
     waits.send(&[b'x'; 100_000]);
     let started = std::time::Instant::now();
     drop(waits);
@@ -66,8 +66,8 @@
     }
 }
 
-/// Guards what stands between two programs: a request that is answered by the old one, half a request, an idle connection, and
-/// the stores, which must not be filled anew.
+/// A request in flight is answered by the predecessor; a partial request and an idle connection pass to the successor; the token
+/// buckets keep their level.
 #[test]
 fn the_successor_continues_from_the_predecessors_state() {
     let HeldBackend { address, events, release } = backend_holding_request(10, reply_with_id);
@@ -75,7 +75,7 @@
         site_with_admin("upgrade-state", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let (mut idle, mut half, mut waits) =
         (Client::connect(site.listen), Client::connect(site.listen), Client::connect(site.listen));
-    // The whole store of a customer is spent.
+    // This empties the tenant's token bucket.
     idle.send(&query(1, 2400, 8));
     assert_eq!(idle.reply(), request_id(1));
     let whole = query_of_new_tenant(2);
@@ -85,16 +85,20 @@
     next_request(&events);
     assert_eq!(admin_command(admin, "exclude s-unknown"), "ERR no such loan server\n");
     let (next, successor_admin) = start_successor(&site);
-    // What comes behind the open request is read by the next program, once the old one has answered.
+    // The successor reads the request behind the one in flight, once the predecessor has answered that one.
     waits.send(&query_of_new_tenant(3));
     half.send(&whole[40..]);
     assert_eq!(half.reply(), request_id(2));
     idle.send(&query(4, 2400, 8));
-    assert!(idle.reply().starts_with("-BUSY"), "the store is as empty as it was");
+    assert!(idle.reply().starts_with("-BUSY"), "the token bucket is as empty as it was");
     release.send(()).expect("the stand-in waits");
     assert_eq!([waits.reply(), waits.reply()], [request_id(10), request_id(3)]);
     let completed = |admin| read_metric(admin, "balancer_completed_total{lane=\"lookup\"}");
-    assert_eq!((completed(admin), completed(successor_admin)), (2, 2), "each counts what it ended");
+    assert_eq!(
+        (completed(admin), completed(successor_admin)),
+        (2, 2),
+        "each process counts the requests that it answered"
+    );
     let mut old = std::mem::replace(&mut site.program, next);
     old.terminate();
     assert_eq!(old.wait(), Some(0));
@@ -102,8 +106,8 @@
     assert_eq!(idle.reply(), request_id(5));
 }
 
-/// Guards clients that stop in the middle of a request: over an upgrade the next program gave it its whole time once more, 3.7 s in
-/// all, where 3 s are allowed (found by the soak test).
+/// Regression, found by the soak test: the successor restarted the time-out of a partial request, whose client got its error after
+/// 3.7 s, where 3 s are allowed.
 #[test]
 fn a_partial_request_has_its_error_in_time_over_an_upgrade() {
     let (address, _events) = echo_backend();
@@ -120,7 +124,7 @@
     assert!(stopped.elapsed() < Duration::from_secs(3), "{:?}", stopped.elapsed());
 }
 
-/// Guards the ban over an upgrade: a call to either program binds both, and holds outlive the program that was called.
+/// An operator's command to either process binds both, and ejections outlive the process that got the command.
 #[test]
 fn an_ejection_binds_both_processes_and_later_ones() {
     let ((one, events_one), (two, _events)) = (echo_backend(), echo_backend());
@@ -131,7 +135,7 @@
     let (next, successor_admin) = start_successor(&site);
     assert_eq!((unavailable(admin), unavailable(successor_admin)), (1, 1));
     assert_eq!(admin_command(successor_admin, "exclude s-1"), "OK\n");
-    assert_eq!(unavailable(admin), 2, "the old one hears of it before the yes");
+    assert_eq!(unavailable(admin), 2, "the predecessor applies it before the operator gets the reply");
     assert_eq!(admin_command(admin, "include s-1"), "OK\n");
     assert_eq!(unavailable(successor_admin), 1);
     let mut old = std::mem::replace(&mut site.program, next);
@@ -143,7 +147,7 @@
         assert_eq!(client.reply(), request_id(number));
     }
     assert_eq!(all_requests(&events_one).len(), 0);
-    // One that ended without a word has left a file.
+    // A killed process leaves a file with its ejections.
     site.program.signal("-KILL");
     site.program.wait();
     let (last, last_admin) = start_successor(&site);
@@ -153,8 +157,8 @@
     drop(last);
 }
 
-/// Guards against a new program that dies unheard: the one before it serves on with what the other has left, and neither
-/// fills a store twice nor forgets what is in it.
+/// If the successor dies, the predecessor resumes service with the token buckets as the successor left them, neither refilled nor
+/// emptied.
 #[test]
 fn a_predecessor_whose_successor_dies_serves_with_what_is_left() {
     let (address, _events) = echo_backend();
@@ -164,7 +168,7 @@
     client.send(&query(1, 2400, 1));
     assert_eq!(client.reply(), request_id(1));
     let (next, _) = start_successor(&site);
-    // A lender's store holds 8 units. The next program lets in 5 of the 7 that are left.
+    // A tenant's bucket holds 8 units. The successor admits 5 of the 7 that are left.
     let mut client = Client::connect(site.listen);
     client.send(&query(2, 2400, 5));
     assert_eq!(client.reply(), request_id(2));
@@ -179,7 +183,7 @@
     assert_eq!(admin_command(admin, "readyz"), "OK\n");
 }
 
-/// Guards a start beside a socket or a file that is of no use: it is passed over, and the program serves.
+/// A stale socket and a damaged ejections file do not prevent a start.
 #[test]
 fn damaged_files_of_an_earlier_process_are_ignored() {
     let (address, _events) = echo_backend();
@@ -198,7 +202,7 @@
     assert_eq!(client.reply(), request_id(1));
 }
 
-/// Guards the one that serves against a start that fails: a bad file, or an address that is taken.
+/// A start that fails, by an invalid file or an address in use, does not affect the serving process.
 #[test]
 fn a_failed_start_leaves_the_predecessor_serving() {
     let (address, _events) = echo_backend();
@@ -230,7 +234,7 @@
     assert_eq!(admin_command(admin, "readyz"), "OK\n");
 }
 
-/// Guards a second upgrade that comes before the first has ended, and an old program that is killed in the middle.
+/// A second hot restart begins before the first has ended, and a predecessor is killed in the middle.
 #[test]
 fn a_nested_upgrade_and_a_killed_predecessor_lose_no_request() {
     let (address, _events) = echo_backend();
@@ -249,14 +253,14 @@
     let (second, _) = start_successor(&site);
     let (third, admin) = start_successor(&site);
     ask_all(&mut clients);
-    // The first is killed, the second told to end, in any order.
+    // The first process is killed and the second terminated, in any order.
     site.program.signal("-KILL");
     second.terminate();
     ask_all(&mut clients);
     site.program = third;
     ask_all(&mut clients);
     let (fourth, _) = start_successor(&site);
-    // Every connection has been passed on before its old program is killed.
+    // Every connection has been transferred before its predecessor is killed.
     ask_all(&mut clients);
     site.program.signal("-KILL");
     fourth.logged("predecessor exited, its connections were taken over");
@@ -267,14 +271,14 @@
     drop((second, admin));
 }
 
-/// Guards holds where the program that serves could not give its own: the file has them.
+/// If the predecessor does not hand over its ejections, they come from the file.
 #[test]
 fn ejections_come_from_the_file_where_nothing_was_taken_over() {
     let (address, events) = echo_backend();
     let directory = TestDirectory::new("upgrade-refused");
     let place = directory.path().join("snowfield.sock");
     let listener = std::os::unix::net::UnixListener::bind(place).expect("a place of its own");
-    // It takes the call and hangs up.
+    // It accepts the connection and closes it.
     std::thread::spawn(move || listener.accept().map(drop));
     directory.write("snowfield.held", "snowfield held 1 1\ns-0\n");
     let shared_path = directory.path().to_str().expect("a path in UTF-8");
@@ -287,6 +291,6 @@
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2400, 1));
     assert!(client.reply().starts_with("-BUSY"));
-    assert_eq!(all_requests(&events).len(), 0, "it is still out");
+    assert_eq!(all_requests(&events).len(), 0, "it is still ejected");
     assert_eq!(admin_command(site.admin.expect("operators are answered"), "include s-0"), "OK\n");
 }
--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -8,19 +8,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
 
-/// A value of this many bytes, no two neighbours alike.
-fn large(bytes: usize) -> Vec<u8> {
+/// A value of this many bytes, in which no two neighbours are equal.
+fn large_value(bytes: usize) -> Vec<u8> {
     (0..bytes).map(|index| b'a' + (index % 23) as u8).collect()
 }
 
-fn framed(value: &[u8], behind: &str) -> Vec<u8> {
-    [format!("*3\r\n${}\r\n", value.len()).as_bytes(), value, b"\r\n", behind.as_bytes()].concat()
+fn reply_with_value(value: &[u8], tail: &str) -> Vec<u8> {
+    [format!("*3\r\n${}\r\n", value.len()).as_bytes(), value, b"\r\n", tail.as_bytes()].concat()
 }
 
-const BEHIND: &str = "$-1\r\n$34\r\ninflight=7,queue=2,latency_ms=51.0\r\n";
+/// The part of a reply behind the value: no error, and the load report.
+const REPLY_TAIL: &str = "$-1\r\n$34\r\ninflight=7,queue=2,latency_ms=51.0\r\n";
 
-/// A destination that answers each request by this, which is given its connection.
-fn writes(
+/// A backend whose replies are written by `answer`.
+fn backend_writing(
     answer: impl Fn(&[String], &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
 ) -> SocketAddr {
     listen(move |stream| {
@@ -35,7 +36,7 @@
 }
 
 /// Reads one bulk string.
-fn bulk(client: &mut Client) -> std::io::Result<Vec<u8>> {
+fn read_bulk_string(client: &mut Client) -> std::io::Result<Vec<u8>> {
     use std::io::BufRead;
     let mut head = String::new();
     client.reads.read_line(&mut head)?;
@@ -46,18 +47,18 @@
     Ok(value)
 }
 
-/// Guards large values: they go on unchanged whatever the pieces, their first bytes before the last have come, and what is
-/// pipelined behind them stays in order.
+/// A large value is forwarded unchanged however it is split, its first bytes before the last ones have arrived, and pipelined
+/// replies behind it stay in order.
 #[test]
 fn a_large_value_is_streamed() {
     let (release, word) = channel();
     let word = std::sync::Mutex::new(word);
-    let value = large(3_000_001);
-    let address = writes(move |words, out| {
+    let value = large_value(3_000_001);
+    let address = backend_writing(move |words, out| {
         if words[2] != request_id(1) {
-            return out.write_all(&framed(words[2].as_bytes(), BEHIND));
+            return out.write_all(&reply_with_value(words[2].as_bytes(), REPLY_TAIL));
         }
-        let whole = framed(&value, BEHIND);
+        let whole = reply_with_value(&value, REPLY_TAIL);
         out.write_all(&whole[..70_000])?;
         word.lock().expect("no stand-in panics").recv().expect("the test goes on");
         for piece in whole[70_000..].chunks(4_999) {
@@ -77,20 +78,20 @@
     let mut rest = vec![0; 3_000_001 + 12 - first.len()];
     client.reads.read_exact(&mut rest).expect("the rest");
     let whole = [&first[..], &rest].concat();
-    assert!(whole[10..3_000_011] == large(3_000_001)[..] && whole.ends_with(b"\r\n"));
+    assert!(whole[10..3_000_011] == large_value(3_000_001)[..] && whole.ends_with(b"\r\n"));
     assert_eq!([client.reply(), client.reply()], [request_id(2), "+PONG".to_owned()]);
     let text = admin_command(admin, "telemetry");
     assert_eq!(metric(&text, "balancer_completed_total{lane=\"lookup\"}"), 2);
     assert_eq!(metric(&text, "balancer_pending"), 0);
 }
 
-/// Guards memory: many large values at once, whose clients do not read, hold a window each, and others are served meanwhile.
+/// Large values whose clients do not read hold one window each, and others are served meanwhile.
 #[test]
 fn clients_that_do_not_read_hold_little_memory_and_delay_nobody() {
-    let value = large(4 << 20);
-    let address = writes(move |words, out| {
+    let value = large_value(4 << 20);
+    let address = backend_writing(move |words, out| {
         let value = if words[2].starts_with("000000000000f") { words[2].as_bytes() } else { &value };
-        out.write_all(&framed(value, BEHIND))
+        out.write_all(&reply_with_value(value, REPLY_TAIL))
     });
     let (site, admin) =
         site_with_admin("slow-clients", &SiteOptions { backends: &[address], ..SiteOptions::default() });
@@ -109,22 +110,22 @@
     }
     let kilobytes = site.program.memory_kb();
     assert!(kilobytes < 64 * 1024, "160 MB are under way, and {kilobytes} kB are held");
-    // Who leaves is no longer pending; who reads in the end has the whole value.
+    // A client that disconnects is no longer pending; one that reads late gets the whole value.
     let mut last = slow.pop().expect("there are 40");
     drop(slow);
     let mut rest = vec![0; (4 << 20) + 11];
     last.reads.read_exact(&mut rest).expect("all of it");
-    assert!(rest[..9] == *b"4194304\r\n" && rest[9..][..4 << 20] == large(4 << 20)[..]);
+    assert!(rest[..9] == *b"4194304\r\n" && rest[9..][..4 << 20] == large_value(4 << 20)[..]);
     while read_metric(admin, "balancer_pending") > 0 {}
 }
 
-/// Guards clients against half a value taken for a whole one: where it breaks off, or what stands behind it is not sound, the
-/// connection ends, and nothing follows on it.
+/// A truncated value must not pass for a complete one: if it breaks off, or the data behind it is malformed, the connection is
+/// closed, and nothing follows on it.
 #[test]
 fn a_broken_large_value_closes_the_connection() {
-    let value = large(200_000);
-    let address = writes(move |words, out| {
-        let whole = framed(&value, BEHIND);
+    let value = large_value(200_000);
+    let address = backend_writing(move |words, out| {
+        let whole = reply_with_value(&value, REPLY_TAIL);
         match words[2].as_str() {
             "0000000000000001" => {
                 out.write_all(&whole[..150_000])?;
@@ -134,7 +135,7 @@
                 let longer = [&whole[..200_011], b"longer than it says", &whole[200_011..]].concat();
                 out.write_all(&longer)
             }
-            "0000000000000003" => out.write_all(&framed(&value, "$-1\r\n$x\r\n")),
+            "0000000000000003" => out.write_all(&reply_with_value(&value, "$-1\r\n$x\r\n")),
             _ => out.write_all(&whole),
         }
     });
@@ -144,13 +145,13 @@
         let mut client = Client::connect(site.listen);
         client.send(&[query_of_new_tenant(number), resp_command(&["PING"])].concat());
         let mut got = Vec::new();
-        // A reset is an end as well.
+        // A reset ends the input as well.
         let _ = client.reads.read_to_end(&mut got);
         assert!(got.len() < 200_011, "{number}: {} bytes of 200011", got.len());
     }
     let mut client = Client::connect(site.listen);
     client.send(&query_of_new_tenant(4));
-    assert_eq!(bulk(&mut client).expect("a whole one"), large(200_000));
+    assert_eq!(read_bulk_string(&mut client).expect("a whole one"), large_value(200_000));
     let text = admin_command(admin, "telemetry");
     let of = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
     assert_eq!((of("completed"), of("failed"), of("rejected")), (1, 3, 0));
--- a/crates/snowfield/tests/log.rs
+++ b/crates/snowfield/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log's two forms, and a reader that goes away.
+//! The two formats of the log, and a reader that closes its end.
 
 mod common;
 
@@ -12,17 +12,17 @@
     [[plan]]\nname = \"basic\"\nunits_per_second = 10.0\nburst = 20.0\n\
     [[lender]]\nname = \"al-noor\"\nplan = \"basic\"\n";
 
-fn folder(test: &str) -> TestDirectory {
-    let folder = TestDirectory::new(test);
-    folder.write("loans.json", r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},"paths":{"/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}}}}"#);
-    folder
+fn directory_with_description(test: &str) -> TestDirectory {
+    let directory = TestDirectory::new(test);
+    directory.write("loans.json", r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},"paths":{"/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}}}}"#);
+    directory
 }
 
 #[test]
 fn the_environment_overrides_the_log_format_of_the_file() {
-    let folder = folder("log-forms");
-    let plain = folder.write("plain.toml", FILE);
-    let json = folder.write("json.toml", &format!("log = \"json\"\n{FILE}"));
+    let directory = directory_with_description("log-forms");
+    let plain = directory.write("plain.toml", FILE);
+    let json = directory.write("json.toml", &format!("log = \"json\"\n{FILE}"));
     for (file, variable, objects) in
         [(&plain, "", false), (&json, "", true), (&plain, "json", true), (&json, "plain", false)]
     {
@@ -36,11 +36,11 @@
     assert!(!fine && text.contains("SNOWFIELD_LOG"), "{text}");
 }
 
-/// Guards against `println!`, which panics where standard output is closed: that had ended the thread that wrote.
+/// Regression: `println!` panics if standard output is closed, which ended the thread that logged.
 #[test]
 fn a_closed_log_reader_does_not_stop_the_process() {
-    let folder = folder("log-closed");
-    let file = folder.write("a.toml", FILE);
+    let directory = directory_with_description("log-closed");
+    let file = directory.write("a.toml", FILE);
     let mut child = Command::new(env!("CARGO_BIN_EXE_snowfield"))
         .args(["serve", &file])
         .stdout(Stdio::piped())
@@ -54,7 +54,7 @@
         assert_ne!(log.read_line(&mut line).expect("a line"), 0, "it ended");
     }
     drop(log);
-    // Its end writes two lines that nobody takes.
+    // The shutdown logs two lines that cannot be written.
     let done = Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
     assert!(done.expect("kill runs").success());
     let out = child.wait_with_output().expect("it was started");
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the gatekeeper's own machine: calls of the system that fail for a moment are no fault of a backend, and end no start.
+//! Faults of the gatekeeper's machine: transient errors of system calls are no fault of a backend, and do not end a start.
 
 mod common;
 
@@ -18,7 +18,7 @@
 const GATEKEEPERS: usize = 4;
 /// Tenants from this one on have plenty of quota.
 const FIRST_WELL_PROVIDED_TENANT: usize = 3;
-/// The first request is served this long after the machine connects again.
+/// The first request is served at most this long after the machine can connect again.
 const RECOVERY: Duration = Duration::from_millis(300);
 
 /// When a gatekeeper first served a request of a tenant with plenty of quota that was sent after this moment.
@@ -36,8 +36,8 @@
     served.map(|request| request.ended).min()
 }
 
-/// Guards service after an outage of the machine itself: for 2 s every connect failed, which each backend was blamed for, so that
-/// requests were rejected for up to a second more.
+/// Regression: while every connect failed for 2 s, each backend was blamed for it, so that requests were rejected for up to a second
+/// after the recovery.
 #[test]
 fn backends_are_used_at_once_when_the_machine_connects_again() {
     let mut schedule = Schedule::draw(5, GATEKEEPERS, Duration::from_secs(8));
@@ -70,7 +70,7 @@
     (gatekeeper, directory)
 }
 
-/// Guards starts: one call of `socket` that failed for a moment ended the program with status 1.
+/// Regression: one transient error of `socket` ended the program with status 1.
 #[test]
 fn a_start_survives_sockets_that_cannot_be_opened_for_a_moment() {
     for failures in [1, 2, 5, 20] {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Guards what operators were told is done: the file could not be written once, was not tried again, and a gatekeeper that was killed
-/// and started anew used the backend again.
+/// Regression: a failed write of the ejections file was not retried, so that a gatekeeper that was killed and restarted used the
+/// backend again.
 #[test]
 fn an_ejection_is_stored_once_the_disk_takes_writes_again() {
     let ((one, _), (two, _)) = (echo_backend(), echo_backend());
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The program on the platform: started as `run` starts it, spoken to over sockets.
+//! The program on the platform, started as the platform starts it and tested over sockets.
 
 mod common;
 
@@ -54,8 +54,8 @@
     assert_eq!(client.reply(), request_id(1));
 }
 
-/// Guards the turn of an error: it once overtook the answers before it, and its close ended their operations. What comes
-/// behind it must not reset it away either, however much that is.
+/// Regression: an error reply once overtook the replies before it, and its close cancelled their requests. Input after the
+/// malformed command must not reset the connection either, however much it is.
 #[test]
 fn a_malformed_command_gets_its_error_in_turn_and_cancels_nothing_before_it() {
     let HeldBackend { address, events, release } = backend_holding_first_request();
@@ -70,10 +70,10 @@
     assert!(client.reply().starts_with("-ERR"));
     assert!(client.ended());
     sends.join().expect("the end reaches a client that only sends");
-    assert_eq!(all_requests(&events).len(), 0, "what came behind it is not looked at");
+    assert_eq!(all_requests(&events).len(), 0, "input after the malformed command is ignored");
 }
 
-/// Guards against clients that say nothing, or half a command: each has an error or the end in the protocol's 3 s.
+/// A client that sends nothing, or a part of a command, gets an error or a close within the protocol's 3 s.
 #[test]
 fn silent_and_incomplete_connections_are_closed() {
     let site = site("half", &SiteOptions::default());
@@ -84,7 +84,7 @@
     assert!(half.ended() && silent.ended());
 }
 
-/// Guards against clients that keep their connections for good: a full table once turned all others away.
+/// Regression: clients that kept their connections open once filled the table, and all others were rejected.
 #[test]
 fn idle_connections_make_room_for_new_ones() {
     let (address, _events) = echo_backend();
@@ -96,15 +96,15 @@
             client
         })
         .collect();
-    // More than the table holds: the later ones have their answer once the first have been idle for long enough. The
-    // quota is too small for all; an answer of either kind tells that the socket was taken.
+    // More than the table holds: the later ones get their reply once the first ones have been idle for long enough. The quota is
+    // too small for all; a rejection shows as well that the connection was accepted.
     for client in &mut kept {
         assert!(!client.reply().is_empty());
     }
 }
 
-/// Guards usual clients at a restart of another gatekeeper, when all come at once: the table must use the descriptors that
-/// attempts leave free, and sockets that brought nothing but errors must not fill it.
+/// At a restart of another gatekeeper all its clients connect at once: client connections must use the descriptors that attempts
+/// leave free, and connections that have sent nothing but errors must not exhaust them.
 #[test]
 fn free_descriptors_are_used_and_bad_clients_do_not_exhaust_them() {
     let site = site("table", &SiteOptions { sockets: 96, ..SiteOptions::default() });
@@ -114,9 +114,7 @@
     bad.iter_mut().skip(1).step_by(2).for_each(|client| client.send(&resp_command(&["PING"])));
     let mut usual: Vec<Client> = (0..40).map(|_| Client::connect(site.listen)).collect();
     usual.iter_mut().zip(1..).for_each(|(client, number)| client.send(&query(number, 2400, 1)));
-    usual
-        .iter_mut()
-        .for_each(|client| assert!(client.reply().starts_with("-BUSY"), "there is no destination"));
+    usual.iter_mut().for_each(|client| assert!(client.reply().starts_with("-BUSY"), "there is no backend"));
     assert!(
         started.elapsed().as_millis() < 1900,
         "no usual client had to wait for them: {:?}",
@@ -124,7 +122,7 @@
     );
 }
 
-/// Guards the others' share of the worker: a client that repeats an error is read again only after a pause.
+/// A client that repeats errors is read again only after a pause, so that others get their share of the worker.
 #[test]
 fn a_client_that_repeats_errors_is_slowed_down() {
     let site = site("repeats", &SiteOptions::default());
@@ -137,7 +135,7 @@
     assert!(started.elapsed().as_millis() >= 19 * 20, "{:?}", started.elapsed());
 }
 
-/// Guards against serving one client's request to another: an id stands for one open request.
+/// An id belongs to one request in flight, so that no client gets the reply to another client's request.
 #[test]
 fn a_duplicate_id_is_rejected_until_its_request_is_answered() {
     let HeldBackend { address, events, release } = backend_holding_first_request();
@@ -159,7 +157,7 @@
     let site = site("order", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(&[query(1, 2400, 1), query(2, 2400, 1), resp_command(&["PING"])].concat());
-    // Both are out before the first may be answered; the second one's answer then waits for its turn.
+    // Both are at the backend before the first is released; the second reply then waits for its turn.
     next_request(&events);
     next_request(&events);
     release.send(()).expect("the stand-in waits");
@@ -174,14 +172,14 @@
     let (address, events) = echo_backend();
     let site = site("quota", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
-    // A new customer may use the largest request's units, and 4 more in each second.
+    // A new tenant may use the units of the largest request, and 4 more in each second.
     client.send(&query(1, 2400, 8));
     assert_eq!(client.reply(), request_id(1));
     client.send(&query(2, 2400, 8));
     let reply = client.reply();
     let advice: u32 = reply.strip_prefix("-BUSY ").expect("a busy reply").parse().expect("milliseconds");
     assert!((1..=1000).contains(&advice), "within what clients honour: {advice}");
-    assert_eq!(all_requests(&events).len(), 1, "what is refused is not sent on");
+    assert_eq!(all_requests(&events).len(), 1, "a rejected request is not forwarded");
 }
 
 #[test]
@@ -210,12 +208,12 @@
     let started = std::time::Instant::now();
     client.send(&query(1, 400, 1));
     assert!(client.reply().starts_with("-BUSY"));
-    // The core's own tests hold it to the deadline; a machine under load may carry the answer late.
+    // The policy's unit tests check the deadline itself; on a busy machine the reply may be late.
     assert!(started.elapsed().as_millis() < 1500, "{:?}", started.elapsed());
 }
 
-/// Guards the outcomes: a break after the last byte may have run, a refused connection never ran; either way a class
-/// that is safe to repeat is tried elsewhere.
+/// A reset after the last byte may have run, a refused connection never ran: either way an idempotent request is retried at
+/// another backend.
 #[test]
 fn resets_and_refused_connections_are_retried_elsewhere() {
     let (breaks, broken) = backend(read_resp_command, |_| Behaviour::Close);
@@ -235,7 +233,7 @@
     assert_eq!(ids, once, "a break is no reason to send the same request there again");
 }
 
-/// Guards the rule that a reset after the write is told as one: the pool must not resend by itself.
+/// The pool must not resend a request by itself: a reset after the write is reported as one.
 #[test]
 fn a_pooled_connection_closed_by_its_backend_is_not_used() {
     let (tell, closed) = channel();
@@ -246,9 +244,9 @@
         let words = read_resp_command(&mut reads).expect("one request");
         events.lock().expect("no stand-in panics").push(words[2].clone());
         let _ = std::io::Write::write_all(&mut &stream, &backend_reply(&words[2]));
-        // One request on each connection, then the end.
+        // Serves one request on each connection, then closes its side.
         let _ = stream.shutdown(std::net::Shutdown::Write);
-        // The gatekeeper ends its side when it has seen that.
+        // Then the gatekeeper closes its side.
         let more = read_resp_command(&mut reads);
         let _ = tell.lock().expect("no stand-in panics").send(more);
     });
@@ -261,8 +259,7 @@
     }
 }
 
-/// Guards against a wrong value: bytes that follow an answer late were read as the answer to the next request, where the
-/// connection carried that at once.
+/// Regression: bytes that arrived late after a reply were read as the reply to the next request on the same connection.
 #[test]
 fn a_connection_rests_after_an_answer() {
     let (tell, connected) = channel();
@@ -283,16 +280,14 @@
     assert!(connected.try_iter().count() > 1, "a request right after an answer goes on another connection");
 }
 
-/// Guards against another request's value: a second copy that came some milliseconds late was read as the answer to the next one.
+/// Regression: a duplicate reply that arrived some milliseconds late was read as the reply to the next request.
 #[test]
 fn a_late_second_answer_is_dropped() {
     let address = listen(|stream| {
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(words) = read_resp_command(&mut reads) {
             let _ = (&stream).write_all(&backend_reply(&words[2]));
-            // Nothing is sent on this channel: it is the copy's delay.
-            let (_held, late) = channel::<()>();
-            let _ = late.recv_timeout(std::time::Duration::from_millis(10));
+            std::thread::sleep(std::time::Duration::from_millis(10));
             let _ = (&stream).write_all(&backend_reply(&words[2]));
         }
     });
@@ -328,7 +323,7 @@
     next_request(&old_events);
     let changes = [endpoint("s-0", old, "draining"), endpoint("s-new", new, "up")];
     site.watch.send(list_delta(41, &changes)).expect("the watch is open");
-    // It lets go of its idle connection once it has heard.
+    // The gatekeeper closes its idle connection once it has read the change.
     assert!(matches!(next(&old_events), BackendEvent::ConnectionClosed));
     client.send(&query(2, 2400, 1));
     assert_eq!(client.reply(), request_id(2));
@@ -336,8 +331,8 @@
     assert!(all_requests(&old_events).is_empty());
 }
 
-/// Guards the first moments of a new process: what the agent has counts as told from there on, and the list that it starts from
-/// may be of long ago. The state is one that it has to log, which tells when the list was read.
+/// A change that the agent already has counts as known from the first moment of serving, and the list of the configuration may be
+/// old. The unknown state is logged, which shows when the list was read.
 #[test]
 fn waits_for_the_first_list_before_serving() {
     let (old, old_events) = echo_backend();
@@ -357,7 +352,7 @@
     assert!(all_requests(&old_events).is_empty());
 }
 
-/// Guards starts while discovery is down: the agent says nothing, and the list that is known has to do.
+/// Without the discovery agent the list of the configuration is used.
 #[test]
 fn starts_without_the_discovery_agent() {
     let (address, _events) = echo_backend();
@@ -399,7 +394,7 @@
     assert_eq!(request, "GET /discovery/hosts?stream=1&index=47 HTTP/1.1");
 }
 
-/// Guards against a link that was cut: nothing is said there, not even the empty lines, and no end comes.
+/// A broken link brings no data, no heartbeat and no close.
 #[test]
 fn a_silent_watch_is_closed_and_resumes_at_the_last_version() {
     let site = site("silent", &SiteOptions::default());
@@ -420,7 +415,7 @@
     next_request(&events);
     site.program.terminate();
     site.program.logged("graceful shutdown started signal=15");
-    // The overlap: sockets stay open and are served, and new ones are taken.
+    // During the overlap open connections are served and new ones are accepted.
     for client in [&mut idle, &mut Client::connect(site.listen)] {
         client.send(&resp_command(&["PING"]));
         assert_eq!(client.reply(), "+PONG");
@@ -433,11 +428,11 @@
     assert!(all_requests(&events).is_empty(), "the request was sent once");
 }
 
-/// Guards planned restarts: a gatekeeper that ended half a second after SIGTERM left clients calling nobody for seconds. It is
-/// killed 3.2 s after SIGTERM here, and nothing that it takes may be unanswered then.
+/// Regression: a gatekeeper that exited half a second after SIGTERM left its clients without service for seconds. Here SIGKILL would
+/// follow 3.2 s after SIGTERM, and all accepted requests must be answered by then.
 #[test]
 fn after_sigterm_it_keeps_serving_and_answers_all_before_the_kill() {
-    // Odd ids are never answered.
+    // Requests with odd ids get no reply.
     let (address, _events) = backend(read_resp_command, |words| {
         let odd = words[2].ends_with(['1', '3', '5', '7', '9']);
         if odd { Behaviour::NoReply } else { Behaviour::Reply(backend_reply(&words[2])) }
@@ -449,7 +444,7 @@
     site.program.terminate();
     site.program.logged("graceful shutdown started signal=15");
     let started = std::time::Instant::now();
-    // Its busy reply is the clock: no sooner than 1.2 s after the signal.
+    // The rejection measures the time: it comes no sooner than 1.2 s after the signal.
     let mut clock = Client::connect(site.listen);
     clock.send(&query(1, 1_400, 1));
     assert!(clock.reply().starts_with("-BUSY"));
@@ -463,8 +458,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Guards reloads: SIGHUP once ended the program. Discovery and the counter move, what was taken is answered, a bad file
-/// changes nothing, and SIGTERM still ends it in good order.
+/// Regression: SIGHUP once ended the program. Discovery and the counter get new addresses, accepted requests are answered, an invalid
+/// file changes nothing, and SIGTERM still shuts the program down gracefully.
 #[test]
 fn sighup_moves_discovery_and_the_counter_and_a_bad_file_changes_nothing() {
     let HeldBackend { address, events, release } = backend_holding_first_request();
@@ -494,15 +489,15 @@
     let counter = format!(" address={new_counter} changed=true");
     assert_eq!(site.program.logged("quota counter address reloaded"), counter);
     let (request, watch) = next(&new_agent.watches);
-    assert_eq!(request, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1", "from the version it has");
+    assert_eq!(request, "GET /discovery/hosts?stream=1&index=40 HTTP/1.1", "from the last known version");
 
     release.send(()).expect("the stand-in waits");
-    assert_eq!(client.reply(), request_id(1), "taken before the reload");
+    assert_eq!(client.reply(), request_id(1), "accepted before the reload");
     client.send(&query_through_gatekeepers(2, 2500, 1, 2));
     assert_eq!(client.reply(), request_id(2));
     next(&new_added);
 
-    // The new agent is heard: its list replaces the old one.
+    // The list of the new agent replaces the old one.
     let (other, _) = backend(read_resp_command, |_| Behaviour::Reply(backend_reply("other")));
     watch.send(full_list(41, &[endpoint("s-9", other, "up")])).expect("the watch is open");
     for number in 3.. {
--- a/crates/snowfield/tests/policy_snapshot.rs
+++ b/crates/snowfield/tests/policy_snapshot.rs
@@ -1,5 +1,5 @@
-//! What the policy knows, as version 0.1.0 gave it to its successor: later versions read it, go on from it, and write the same
-//! bytes after the same events.
+//! Compatibility of the policy's snapshot with version 0.1.0: later versions read it, continue from it, and write the same bytes
+//! after the same events.
 
 use policy::{
     Action, BackendEntry, BackendId, Event, Idempotency, ListKind, Micros, Outcome, Plan, Policy,
@@ -7,7 +7,7 @@
 };
 use std::collections::HashMap;
 
-/// In postcard's form.
+/// The snapshot that version 0.1.0 hands over, encoded with postcard.
 const FIXTURE: &[u8] = include_bytes!("fixtures/policy-snapshot.postcard");
 const MS: Micros = 1_000;
 const START: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
@@ -51,7 +51,7 @@
     (1..=5).map(entry).collect()
 }
 
-/// A policy that knows the list.
+/// A policy with the endpoint list.
 fn policy(now: Timestamp) -> Policy {
     let mut policy = Policy::new(settings(), SEED, now).expect("the settings can be used");
     let event = Event::Endpoints { kind: ListKind::Full, entries: entries() };
@@ -59,7 +59,7 @@
     policy
 }
 
-/// The outcome of the attempt that this request makes at this backend.
+/// The outcome of a request's attempt at a backend.
 fn outcome(request: RequestId, backend: BackendId) -> Outcome {
     match (request.0 + backend.0) % 11 {
         0 => Outcome::Error,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Feeds an event and what follows from it at once: attempts end, and the counter answers.
+/// Applies an event and the events that follow from its actions: ends of attempts, and replies of the counter.
 fn feed(
     policy: &mut Policy,
     now: Timestamp,
@@ -116,8 +116,8 @@
     }
 }
 
-/// A policy after the same course of events each time, and the time then.
-fn course() -> (Policy, Timestamp) {
+/// A policy after a fixed sequence of events, and the time of the last one.
+fn policy_after_events() -> (Policy, Timestamp) {
     let mut policy = policy(START);
     let (mut now, mut attempts, mut total) = (START, HashMap::new(), 0.0);
     for id in 0..400 {
@@ -158,13 +158,13 @@
 
 #[test]
 fn writes_the_same_bytes_as_version_0_1_0_after_the_same_events() {
-    let (mut policy, _) = course();
+    let (mut policy, _) = policy_after_events();
     assert_eq!(encode(&policy.hand_over()), FIXTURE);
 }
 
 #[test]
 fn renumbers_the_snapshot_of_version_0_1_0_and_goes_on_from_it() {
-    let (_, now) = course();
+    let (_, now) = policy_after_events();
     let backends: HashMap<BackendId, BackendId> =
         (1..=5).map(|id| (BackendId(id), BackendId(6 - id))).collect();
     let plans = [Some(1), Some(0)];
@@ -176,13 +176,13 @@
     assert_eq!(encode(&successor.hand_over()), SUCCESSOR);
     let mut other = policy(now);
     other.take_over(now, renumbered);
-    assert_eq!(encode(&other.hand_over()), OTHER);
+    assert_eq!(encode(&other.hand_over()), RENUMBERED);
 }
 
-/// What a successor gives away that has taken over the fixture just then.
+/// The snapshot of a successor right after it has taken over the fixture.
 const SUCCESSOR: &[u8] = include_bytes!("fixtures/policy-snapshot-successor.postcard");
-/// The same with backends and plans of other numbers.
-const OTHER: &[u8] = include_bytes!("fixtures/policy-snapshot-renumbered.postcard");
+/// The same with renumbered backends and plans.
+const RENUMBERED: &[u8] = include_bytes!("fixtures/policy-snapshot-renumbered.postcard");
 
 #[test]
 fn a_truncated_snapshot_of_version_0_1_0_is_an_error() {
@@ -193,7 +193,7 @@
 
 #[test]
 fn a_damaged_snapshot_of_version_0_1_0_is_taken_over_without_a_panic() {
-    let (_, now) = course();
+    let (_, now) = policy_after_events();
     for at in 0..FIXTURE.len() {
         let mut damaged = FIXTURE.to_vec();
         damaged[at] ^= 0xff;
--- a/crates/snowfield/tests/reload.rs
+++ b/crates/snowfield/tests/reload.rs
@@ -1,12 +1,11 @@
-//! New settings at SIGHUP, in the real program.
+//! Reloading the configuration at SIGHUP, in the real program.
 
 mod common;
 
 use common::admin::*;
 use common::*;
 
-/// Guards operations under way: a class that vanishes is kept by those that came with it, a new one is let in, and a bad file
-/// changes nothing.
+/// Requests in flight keep a class that was removed, requests of a new class are accepted, and an invalid file changes nothing.
 #[test]
 fn new_settings_are_in_force_at_once_and_a_bad_file_changes_nothing() {
     let HeldBackend { address, events, release } =
@@ -35,9 +34,9 @@
         resp_command(&["SVC.SUBMIT", &format!("{number:016x}"), &request_id(number), list, "body"])
     };
     client.send(&submit(12));
-    assert_eq!(client.reply(), request_id(12), "the class that appeared is served");
+    assert_eq!(client.reply(), request_id(12), "the new class is served");
     client.send(&submit(20));
-    assert_eq!(client.reply(), "-ERR failed", "and never sent again where it may have run");
+    assert_eq!(client.reply(), "-ERR failed", "not retried, since it may have run");
     for bad in [
         "",
         &other[..other.len() / 2],
@@ -49,7 +48,7 @@
         assert_eq!(client.reply(), request_id(13));
     }
     release.send(()).expect("the stand-in waits");
-    assert_eq!(waits.reply(), request_id(10), "it keeps the class that it came with");
+    assert_eq!(waits.reply(), request_id(10), "it keeps the class of its admission");
     let text = admin_command(admin, "telemetry");
     let of = |name: &str, class: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"{class}\"}}"));
     assert_eq!((of("completed", "lookup"), of("completed", "notice"), of("failed", "notice")), (1, 5, 1));
--- a/crates/snowfield/tests/shutdown_and_cancellation.rs
+++ b/crates/snowfield/tests/shutdown_and_cancellation.rs
@@ -1,5 +1,5 @@
-//! The instants in which a connection or a program ends while something is still owed (docs/design/shutdown-and-cancellation.md). What must
-//! cross is made to: a stopped program reads nothing, so all that was done meanwhile is there at once when it goes on.
+//! Races between requests and the end of a connection or a process (docs/design/shutdown-and-cancellation.md). The tests force a
+//! race by suspending the program: it reads nothing, and finds all that was sent meanwhile at once when it continues.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Guards against work for nobody: a request and the end of its connection that come together were read one after the other,
-/// and the request was sent on in between. The same at once for many requests, behind errors that slow their reader down.
+/// Regression: of a request and the end of its connection that arrived together, the request was read first, and forwarded before
+/// the end was read. Also for many requests at once, behind errors that slow their reader down.
 #[test]
 fn requests_of_a_disconnected_client_are_not_started() {
     let (address, events) = echo_backend();
@@ -35,29 +35,29 @@
         .flat_map(|number| [resp_command(&["NONSENSE"]), query_of_new_tenant(number)].concat())
         .collect();
     many.send(&much);
-    // An end of its sending is no different from a close, and one that resets has gone as well.
+    // A client that closes its sending side, or resets the connection, has disconnected as well.
     let mut half = Client::connect(site.listen);
     half.send(&query_of_new_tenant(102));
     half.writes.shutdown(Shutdown::Write).expect("it is open");
     drop((known, new, many));
     site.program.signal("-CONT");
 
-    // What came later is served, so what came before has been read.
+    // Later requests are served, so all earlier input has been read.
     for number in 2..=9 {
         stays.send(&query_of_new_tenant(number));
         assert_eq!(stays.reply(), request_id(number));
     }
     let forwarded: Vec<_> = all_requests(&events).into_iter().map(|words| words[2].clone()).collect();
-    assert_eq!(forwarded, (2..=9).map(request_id).collect::<Vec<_>>(), "nothing for those who had gone");
+    assert_eq!(forwarded, (2..=9).map(request_id).collect::<Vec<_>>(), "no request of a disconnected client");
 }
 
-/// Guards against work for nobody behind an error: its socket was not read any more, and so its client's end was not seen.
+/// Regression: after an error the connection was not read any more, so that the end of its client was not noticed.
 #[test]
 fn a_client_that_disconnects_after_an_error_cancels_its_requests() {
     let (address, events) = backend(read_resp_command, |_| Behaviour::NoReply);
     let site = site("after-error", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
-    // More behind the error than is read of it.
+    // More input after the error than the gatekeeper reads.
     client.send(&[&query(1, 2_400, 1)[..], b"*x\r\n", &[b'x'; 100_000]].concat());
     next_request(&events);
     let started = Instant::now();
@@ -76,8 +76,8 @@
     Ended,
 }
 
-/// Guards planned restarts: a client that always has one more request on its way was never found between two, and had some
-/// unanswered when the program was killed. What is taken is answered; the rest is surely unread.
+/// Regression: a connection of a client that always had one more request on its way was never closed between two requests, and some
+/// requests were unanswered when the program was killed. Accepted requests are answered; the others are surely unread.
 #[test]
 fn at_shutdown_a_busy_connection_closes_after_its_answers() {
     let (tell, crossings) = channel();
@@ -92,7 +92,7 @@
     let reader = std::thread::spawn(move || {
         let mut line = String::new();
         while reads.read_line(&mut line).is_ok_and(|n| n > 0) {
-            // A value has a line before it that tells its length.
+            // The line before a value states its length.
             if !line.starts_with('$') {
                 let _ = tell.send(Crossing::Reply(line.clone()));
             }
@@ -105,7 +105,7 @@
     loop {
         match next(&crossings) {
             Crossing::Request(release) => {
-                // The next one is there before this one's answer.
+                // The next request is sent before this one's reply.
                 sent += u32::from(writes.write_all(&query_of_new_tenant(sent + 1)).is_ok());
                 release.send(()).expect("the stand-in waits");
             }
@@ -125,7 +125,7 @@
     assert_eq!(
         all_requests(&events).len() as u32,
         answered,
-        "what was read was answered, and nothing else sent on"
+        "all that was read was answered, and nothing else was forwarded"
     );
     assert!(sent > answered, "one crossed the close");
     drop(writes);
@@ -133,8 +133,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Guards the answer before a close: bytes that come in the instant of the close would reset the connection and take away
-/// what its client has not read yet.
+/// Bytes that arrive at the moment of a close must not reset the connection, which would discard replies that the client has not
+/// read yet.
 #[test]
 fn at_shutdown_bytes_that_cross_the_close_cost_no_answer() {
     let HeldBackend { address, events, release } = backend_holding_first_request();
@@ -147,7 +147,7 @@
     idle.send(&resp_command(&["PING"]));
     assert_eq!(idle.reply(), "+PONG");
     assert!(idle.ended(), "closing has begun");
-    // Taken by nobody: the socket ends with the answer that is owed.
+    // The gatekeeper does not read this: it closes the connection after the reply to the first request.
     let much = [query_of_new_tenant(2), vec![b'x'; 200_000]].concat();
     client.send(&much);
     release.send(()).expect("the stand-in waits");
@@ -157,11 +157,11 @@
     assert!(rest.is_empty());
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
-    assert!(all_requests(&events).is_empty(), "what came after the close had begun is surely unread");
+    assert!(all_requests(&events).is_empty(), "input after the start of the close is surely unread");
 }
 
-/// A listener that takes no more connections until it accepts: the system drops what would connect, and tries again after 1 s.
-fn crowded() -> (TcpListener, Vec<TcpStream>) {
+/// A listener with a full backlog: the system drops further connection attempts and retries them after 1 s.
+fn listener_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
     socket.listen(0).expect("it listens");
@@ -171,14 +171,14 @@
     (listener, std::iter::from_fn(fill).take(10).collect())
 }
 
-/// Whether a connection to there waits for its first answer (state 2 in the system's table).
+/// Whether a connection to this address is being established (state SYN_SENT, 2 in the system's table).
 fn is_connecting(to: SocketAddr) -> bool {
     let remote = format!(" 0100007F:{:04X} 02 ", to.port());
     std::fs::read_to_string("/proc/net/tcp").expect("the system's table").contains(&remote)
 }
 
-/// Guards the window of a key on the wire: a repeat was decided inside it and written when its connection came up, 0.2 s after it
-/// was over.
+/// Regression: a retry was decided on within the idempotency window, and written 0.2 s after its end, when its connection was
+/// established.
 #[test]
 fn a_keyed_retry_with_a_late_connection_is_not_written() {
     let (release, word) = channel::<()>();
@@ -187,19 +187,19 @@
         let _ = word.lock().expect("no stand-in panics").recv();
         Behaviour::Close
     });
-    let (late, filled) = crowded();
+    let (late, backlog) = listener_with_full_backlog();
     let site =
         site_with_config("keyed", &SiteOptions { backends: &[breaks], ..SiteOptions::default() }, |text| {
             text.replace(r#""effect":"read_like""#, r#""effect":"idempotency_key","key-ttl-us":800000"#)
                 .replace(r#""connect-timeout-us":250000"#, r#""connect-timeout-us":2000000"#)
-                // A connection that comes up for nobody is kept for others for half of this.
+                // An unused connection stays open for half of this.
                 .replace(r#""keepalive-us":30000000"#, r#""keepalive-us":4000000"#)
         });
     let mut client = Client::connect(site.listen);
     let fields = "c=lookup,t=team,d=2400,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0";
     client.send(&resp_command(&["SVC.SUBMIT", "00000000b4d65521", &request_id(1), fields, "body"]));
     next_request(&broken);
-    // The only place for a repeat; the state of the other is one that is logged, which tells when the list was read.
+    // The only backend for a retry. The unknown state of the other is logged, which shows when the list was read.
     let address = late.local_addr().expect("an address");
     let endpoints = [endpoint("s-late", address, "up"), endpoint("s-odd", unused_address(), "odd")];
     site.watch.send(list_delta(41, &endpoints)).expect("the watch is open");
@@ -209,9 +209,9 @@
     while !is_connecting(address) {
         assert!(started.elapsed() < TIMEOUT, "the repeat is tried");
     }
-    // All who stand in its way are let in, and so is the repeat's connection when the system tries it again.
+    // Accepts the connections in the backlog, and then the retry's connection when the system retries it.
     let mut connections: Vec<TcpStream> = Vec::new();
-    while connections.len() <= filled.len() {
+    while connections.len() <= backlog.len() {
         connections.push(late.accept().expect("a connection").0);
     }
     let mut repeat = connections.pop().expect("the last one");
@@ -221,8 +221,8 @@
     assert!(client.reply().starts_with('-'), "no attempt is left");
 }
 
-/// A loan server that answers each request with these bytes and then ends: in good order, or with a reset.
-fn breaks_off(bytes: &'static [u8], reset: bool) -> SocketAddr {
+/// A backend that replies to each request with these bytes and then closes the connection or resets it.
+fn backend_breaking_off(bytes: &'static [u8], reset: bool) -> SocketAddr {
     listen(move |stream| {
         let mut requests = BufReader::new(stream.try_clone().expect("a second handle"));
         if read_resp_command(&mut requests).is_some() {
@@ -234,7 +234,7 @@
     })
 }
 
-/// Guards against half an answer that passes for one: a line without its end, a value cut short, figures that are missing.
+/// A truncated reply must not pass for a complete one: a line without its end, a truncated value, a missing load report.
 #[test]
 fn a_partial_answer_counts_as_failed_however_it_breaks_off() {
     for bytes in [
@@ -246,23 +246,25 @@
     ] {
         for reset in [false, true] {
             let (good, events) = echo_backend();
-            let options =
-                SiteOptions { backends: &[breaks_off(bytes, reset), good], ..SiteOptions::default() };
+            let options = SiteOptions {
+                backends: &[backend_breaking_off(bytes, reset), good],
+                ..SiteOptions::default()
+            };
             let site = site("half-answer", &options);
             let mut client = Client::connect(site.listen);
             for number in 1..=4 {
                 client.send(&query_of_new_tenant(number));
                 assert_eq!(client.reply(), request_id(number), "{bytes:?}, reset {reset}");
             }
-            assert_eq!(all_requests(&events).len(), 4, "each was served by the other one");
+            assert_eq!(all_requests(&events).len(), 4, "each was served by the other backend");
         }
     }
 }
 
-/// Guards against an attempt for nobody while its connection is being made.
+/// An attempt must not be written after its client has disconnected during the connect.
 #[test]
 fn nothing_is_written_for_a_client_that_disconnected_during_connect() {
-    let (late, filled) = crowded();
+    let (late, backlog) = listener_with_full_backlog();
     let address = late.local_addr().expect("an address");
     let options = SiteOptions { backends: &[address], ..SiteOptions::default() };
     let site = site_with_config("left-connecting", &options, |text| {
@@ -275,12 +277,12 @@
         assert!(started.elapsed() < TIMEOUT, "it is tried");
     }
     drop(client);
-    // A usual client is answered: what came before it has been seen.
+    // Another client is answered, so all earlier input has been read.
     let mut other = Client::connect(site.listen);
     other.send(&resp_command(&["PING"]));
     assert_eq!(other.reply(), "+PONG");
     let mut connections: Vec<TcpStream> = Vec::new();
-    while connections.len() <= filled.len() {
+    while connections.len() <= backlog.len() {
         connections.push(late.accept().expect("a connection").0);
     }
     let mut made = connections.pop().expect("the last one");
@@ -289,7 +291,7 @@
     assert!(!matches!(read, Ok(1..)), "something was written: {read:?}");
 }
 
-/// Guards against an attempt for nobody after the call to the counter for which its request waited.
+/// An attempt must not be sent after its client has disconnected during a call to the counter.
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnected_during_a_counter_call() {
     let (tell, called) = channel();
@@ -321,13 +323,13 @@
     other.send(&resp_command(&["PING"]));
     assert_eq!(other.reply(), "+PONG");
     release.send(()).expect("the counter waits");
-    // A request of a lender that comes through one gatekeeper alone asks no counter.
+    // Requests of a tenant that comes through one gatekeeper need no counter.
     other.send(&query_of_new_tenant(2));
     assert_eq!(other.reply(), request_id(2));
-    assert_eq!(all_requests(&events).len(), 1, "only the other's");
+    assert_eq!(all_requests(&events).len(), 1, "the request of the other client alone");
 }
 
-/// Guards idle connections: a request that crosses their eviction is served whole or surely unread, and then sent once more.
+/// A request that arrives while its idle connection is being evicted is either served or surely unread.
 #[test]
 fn a_request_that_crosses_an_idle_close_is_served_or_unread() {
     let (address, events) = echo_backend();
@@ -338,7 +340,7 @@
         assert!(!client.reply().is_empty());
     }
     all_requests(&events);
-    // One that says nothing ends after 2 s: then all others have been idle for as long.
+    // A silent connection is closed after 2 s: then all others have been idle for as long.
     assert!(Client::connect(site.listen).ended());
     site.program.suspend();
     let newcomers: Vec<Client> = (0..100).map(|_| Client::connect(site.listen)).collect();
@@ -354,16 +356,20 @@
             _ => unread += 1,
         }
     }
-    let sent_on: HashSet<String> = all_requests(&events).into_iter().map(|words| words[2].clone()).collect();
+    let forwarded: HashSet<String> =
+        all_requests(&events).into_iter().map(|words| words[2].clone()).collect();
     assert_eq!(served.len() + unread, 50);
     for number in 1_000..1_050 {
         let answered = served.iter().any(|(n, _)| *n == number);
-        assert!(answered || !sent_on.contains(&request_id(number)), "{number} was sent on and has no answer");
+        assert!(
+            answered || !forwarded.contains(&request_id(number)),
+            "{number} was forwarded and has no reply"
+        );
     }
     drop(newcomers);
 }
 
-/// Guards starts while the counter is away: refused, or silent. What comes through one gatekeeper alone needs none.
+/// The program starts while the counter refuses connections or does not answer.
 #[test]
 fn starts_without_the_counter() {
     let (address, _events) = echo_backend();
@@ -384,7 +390,7 @@
     }
 }
 
-/// Guards clients that take their time: half a request when closing begins may become whole, and is answered.
+/// A request that is partly read when closing begins may still complete, and is answered.
 #[test]
 fn during_shutdown_a_partial_request_may_complete() {
     let (address, _events) = backend(read_resp_command, |words| match words[2] == request_id(1) {
@@ -397,7 +403,7 @@
     assert_eq!(idle.reply(), "+PONG");
     site.program.terminate();
     site.program.line("graceful shutdown started signal=15");
-    // The busy reply is the clock: half a request must not be old when closing begins 2.45 s after the signal.
+    // The rejection measures the time: the partial request must be recent when closing begins, 2.45 s after the signal.
     let mut clock = Client::connect(site.listen);
     clock.send(&query(1, 1_400, 1));
     assert!(clock.reply().starts_with("-BUSY"));
@@ -412,8 +418,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Guards requests whose clients wait longer than their class's deadline, as they may: at a shutdown the program ended after the
-/// longest deadline of the settings, with such a request unanswered.
+/// Regression: a client may wait for longer than its class's deadline, but the program exited after the longest deadline of the
+/// settings with such a request unanswered.
 #[test]
 fn at_shutdown_a_request_with_much_time_left_is_answered() {
     let (address, events) = backend(read_resp_command, |_| Behaviour::NoReply);
@@ -430,8 +436,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Guards new connections in the moment in which a listener closes: one that waited there with its request was accepted, and ended
-/// without a look at what it had sent.
+/// Regression: a connection that waited at the listener with its request when that closed was accepted, and closed without being
+/// read.
 #[test]
 fn at_shutdown_a_request_that_waited_at_the_listener_is_answered() {
     let (address, _events) = echo_backend();
@@ -441,7 +447,7 @@
     usual.send(&query_of_new_tenant(1));
     assert_eq!(usual.reply(), request_id(1));
     site.program.terminate();
-    // The listener closes 2.45 s after the signal: until then the program is held up, and what comes waits there.
+    // The listener closes 2.45 s after the signal. The program is suspended at that moment, and new connections wait in the backlog.
     std::thread::sleep(Duration::from_millis(2_300));
     site.program.suspend();
     let mut waiting: Vec<Client> = (0..6).map(|_| Client::connect(site.listen)).collect();
--- a/crates/snowfield/tests/stepped_clocks.rs
+++ b/crates/snowfield/tests/stepped_clocks.rs
@@ -1,5 +1,5 @@
-//! Wall clocks that are stepped: several gatekeepers with a shared counter, one of which starts an hour off. Deadlines, windows
-//! and quotas are spans of real time.
+//! Stepped wall clocks: several gatekeepers with a shared counter, of which some start with a clock that is an hour off. Deadlines,
+//! windows and quotas are spans of real time.
 
 mod common;
 
@@ -12,12 +12,13 @@
 use std::time::Duration;
 
 const GATEKEEPERS: usize = 4;
-/// Backends of the tests on slow start, and the one that restarts.
+/// Number of backends in the tests on slow start.
 const BACKENDS: usize = 6;
-const COLD: usize = 2;
+/// The backend that restarts.
+const COLD_BACKEND: usize = 2;
 const HOUR_US: i64 = 3_600_000_000;
 
-/// A schedule of these troubles alone: when each begins, in milliseconds.
+/// A schedule of these faults alone, each with its start in milliseconds.
 fn schedule(seed: u64, seconds: u64, troubles: &[(u64, Trouble)]) -> Schedule {
     let mut schedule = Schedule::draw(seed, GATEKEEPERS, Duration::from_secs(seconds));
     let planned = |&(at, trouble): &(u64, Trouble)| Planned {
@@ -29,7 +30,7 @@
     schedule
 }
 
-/// What breaks this rule in a schedule.
+/// Runs a schedule and returns the violations of one rule.
 fn violations_of(rule: &str, test: &str, schedule: &Schedule) -> Vec<Violation> {
     let directory = TestDirectory::new(test);
     let verdict = run(schedule, &soak_program(), directory.path()).expect("all programs start");
@@ -48,8 +49,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Guards quotas over all processes: the name of a count came from the wall clock at the start, so a gatekeeper that started an hour
-/// ahead shared its counts with nobody, and each lender got its quota twice.
+/// Regression: the name of a count was derived from the wall clock at the start, so that a gatekeeper that started an hour ahead did
+/// not share its counts, and each tenant got its quota twice.
 #[test]
 fn quotas_hold_with_gatekeepers_started_an_hour_ahead() {
     assert_quotas_hold("clock-ahead", [HOUR_US, HOUR_US / 2]);
@@ -60,14 +61,14 @@
     assert_quotas_hold("clock-behind", [-HOUR_US, -HOUR_US / 2]);
 }
 
-/// The same clients and restarts on clocks that are right: what the other tests are compared with.
+/// The same clients and restarts with correct clocks, as a comparison for the other tests.
 #[test]
 fn quotas_hold_with_gatekeepers_restarted_on_the_same_clock() {
     assert_quotas_hold("clock-same", [0, 0]);
 }
 
-/// Guards slow start: the age of a backend came from the wall clock, so a gatekeeper that started an hour ahead took a cold backend
-/// for a warm one.
+/// Regression: the age of a backend was derived from the wall clock, so that a gatekeeper that started an hour ahead took a cold
+/// backend for a warm one.
 #[test]
 fn a_cold_backend_is_spared_by_gatekeepers_started_an_hour_ahead() {
     assert_cold_backend_is_spared("cold-ahead", HOUR_US);
@@ -81,9 +82,9 @@
 fn assert_cold_backend_is_spared(test: &str, clock_offset_us: i64) {
     let mut troubles: Vec<(u64, Trouble)> =
         (0..GATEKEEPERS).map(|gatekeeper| (1_000, restart(gatekeeper, clock_offset_us))).collect();
-    troubles.push((5_000, Trouble::BackendRestart { backend: COLD }));
-    // All others are slow, so that the cold one attracts the work.
-    let others = (0..BACKENDS).filter(|&backend| backend != COLD);
+    troubles.push((5_000, Trouble::BackendRestart { backend: COLD_BACKEND }));
+    // All others are slow, so that the cold backend attracts requests.
+    let others = (0..BACKENDS).filter(|&backend| backend != COLD_BACKEND);
     let slow = others.map(|backend| (0, Trouble::Backend { backend, mode: BackendMode::Slow }));
     troubles.splice(0..0, slow);
     let mut schedule = schedule(11, 12, &troubles);
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -1,4 +1,4 @@
-//! Timing by class in the appliance's file: refused with all its reasons, explained, and honoured.
+//! Timing rules of classes in the appliance's file: validated, explained and enforced.
 
 mod common;
 
@@ -11,7 +11,7 @@
   "get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}},
   "post":{"x-snowfield-units":1,"x-snowfield-class":"notice","responses":{}}}}}"#;
 
-fn file(consul: SocketAddr, lookup: &str, notice: &str) -> String {
+fn config_text(consul: SocketAddr, lookup: &str, notice: &str) -> String {
     format!(
         "listen = \"127.0.0.1:0\"\ndescriptions = [\"loans.json\"]\nlender_header = \"X-Lender\"\n\
          [consul]\naddress = \"{consul}\"\nservice = \"loan-server\"\n[limits]\nconnect_ms = 50\n\
@@ -22,7 +22,7 @@
     )
 }
 
-fn directory(test: &str) -> TestDirectory {
+fn directory_with_description(test: &str) -> TestDirectory {
     let directory = TestDirectory::new(test);
     directory.write("loans.json", LOANS);
     directory
@@ -30,9 +30,9 @@
 
 #[test]
 fn an_unusable_file_is_rejected_with_all_reasons_at_once() {
-    let directory = directory("timing-bad");
+    let directory = directory_with_description("timing-bad");
     let lookup = "attempts = 3\nattempt_ms = 900\ncopy_after_ms = 1500";
-    let text = file(unused_address(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
+    let text = config_text(unused_address(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
     let (good, said) = run(&["check", &directory.write("a.toml", &text)], &[]);
     assert!(!good);
     for told in [
@@ -48,8 +48,8 @@
 
 #[test]
 fn explain_shows_the_source_of_each_figure_and_the_worst_case() {
-    let directory = directory("timing-explain");
-    let text = file(unused_address(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
+    let directory = directory_with_description("timing-explain");
+    let text = config_text(unused_address(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
     let path = directory.write("a.toml", &text);
     let (good, said) = run(&["explain", &path, "GET", "/loans/7"], &[]);
     assert!(good, "{said}");
@@ -68,8 +68,8 @@
     assert!(!good && said.contains("GET, POST"), "{said}");
 }
 
-/// Guards the figures themselves: a silent destination costs its attempt and no more, where that may be tried again; what may
-/// not is answered when its attempt is over.
+/// A backend that does not reply costs one attempt if the request may be retried; a request that may not is answered when its attempt
+/// times out.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
     let (silent, events) = backend(message, |_| Behaviour::NoReply);
@@ -82,9 +82,9 @@
         consul.set_service(index, "loan-server", services);
     };
     set(&[silent, good], 11);
-    let directory = directory("timing-kept");
+    let directory = directory_with_description("timing-kept");
     let timing = "attempts = 2\nattempt_ms = 300\ncopy_after_ms = 290";
-    let text = file(consul.open().address, timing, "attempts = 1\nattempt_ms = 300");
+    let text = config_text(consul.open().address, timing, "attempts = 1\nattempt_ms = 300");
     let program = Program::start(&["serve", &directory.write("a.toml", &text)], &[]);
     let listen: SocketAddr = program.logged("serving OpenAPI on ").parse().expect("an address");
     program.logged("eligible_count=2");
@@ -102,7 +102,7 @@
         assert!(took < 1_200, "at most one attempt of 300 ms comes before: {took} ms");
         waited = events.try_iter().filter(|s| matches!(s, BackendEvent::Request(_))).count();
     }
-    // Refused meanwhile, where no place is free, it never ran.
+    // A rejected request never ran: try again.
     let started = Instant::now();
     let (mut lost, mut took) = (200, 0);
     while lost < 500 && started.elapsed() < TIMEOUT {
