--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -1,8 +1,9 @@
-//! The text of the console. Operators read it: its words are those of docs/operate/periodic-jobs.md.
+//! The status text for operators. Its wording is documented in docs/operate/periodic-jobs.md.
 
 use super::{Coordinator, RunCounts};
+use crate::gossip_node::GossipNode;
 use health_check::{BackendHealth, HealthStatus};
-use membership::{MemberStatus, Membership};
+use membership::MemberStatus;
 use periodic_jobs::{ClockReading, JobStatus};
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -10,10 +11,10 @@
 impl Coordinator {
     pub(super) fn status(&self, now: ClockReading) -> String {
         let mut out = String::from("cluster\n");
-        match &self.membership {
-            Some(membership) => self.write_members(membership, &mut out),
+        match &self.gossip {
+            Some(gossip) => self.write_members(gossip, &mut out),
             None => {
-                let _ = writeln!(out, "  {}  alone", self.settings.instance);
+                let _ = writeln!(out, "  {}  alone", self.instance);
             }
         }
         self.write_jobs(now, &mut out);
@@ -21,8 +22,8 @@
         out
     }
 
-    fn write_members(&self, membership: &Membership, out: &mut String) {
-        let counts = membership.counts();
+    fn write_members(&self, gossip: &GossipNode, out: &mut String) {
+        let counts = gossip.counts();
         let _ = writeln!(
             out,
             "  gossip sent {} ({} bytes)  taken {}  wrong key {}  unusable {}  no room {}",
@@ -31,10 +32,10 @@
             counts.datagrams_accepted,
             counts.authentication_failures,
             counts.malformed,
-            counts.over_capacity + self.resources.dropped_datagrams.load(Ordering::Relaxed)
+            counts.over_capacity + self.dropped_datagrams.load(Ordering::Relaxed)
         );
-        let _ = writeln!(out, "  {}  this instance", self.settings.instance);
-        for MemberStatus { member, alive } in membership.members() {
+        let _ = writeln!(out, "  {}  this instance", self.instance);
+        for MemberStatus { member, alive } in gossip.members() {
             let state = if alive { "alive" } else { "down" };
             let _ =
                 writeln!(out, "  {}  {}  {state}  since {}", member.name, member.address, member.generation);
@@ -54,7 +55,7 @@
                 out,
                 "  {}  every {} ms  owner {}  {}  token here {}",
                 status.job.name,
-                status.job.period_ms,
+                status.job.period_ms(),
                 status.owner,
                 last_run(now, &status),
                 status.last_run_here
@@ -65,14 +66,14 @@
     fn write_health(&self, now: ClockReading, out: &mut String) {
         let Some(health) = &self.health else { return };
         out.push_str("probes\n");
-        for (id, BackendHealth { status, report_age_ms }) in health.health(now.monotonic_ms) {
+        for (id, BackendHealth { status, report_age }) in health.health(now.monotonic) {
             let status = match status {
                 HealthStatus::Unknown => "unknown, by its traffic alone",
                 HealthStatus::Healthy => "well",
                 HealthStatus::Ejected => "out",
                 HealthStatus::EjectionLimited => "fails, in use since too many are out",
             };
-            let age = report_age_ms.map_or("never probed".into(), |age_ms| format!("{age_ms} ms old"));
+            let age = report_age.map_or("never probed".into(), |age| format!("{} ms old", age.as_millis()));
             let _ = writeln!(out, "  {id}  {status}  {age}");
         }
     }
@@ -82,7 +83,7 @@
     match &status.last_run {
         Some(last) if last.holder.is_empty() => format!("begins after round {}", last.run),
         Some(last) => {
-            let age_ms = now.unix_ms.saturating_sub(last.run.scheduled_unix_ms());
+            let age_ms = now.unix.saturating_since(last.run.into()).as_millis();
             format!("last round {} by {}, {age_ms} ms ago", last.run, last.holder)
         }
         None => "no round seen".into(),
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -2,9 +2,9 @@
 
 use super::ServiceWatch;
 use crate::QueryError;
-use catalogue::{EligibilityReason, InvalidInstance, WatchEvent};
+use catalogue::{EligibilityReason, InvalidInstance, Timestamp, WatchEvent};
 
-/// Events about single instances that one change may log.
+/// Maximum number of log events about single instances for one change.
 const MAX_INSTANCE_LINES: usize = 8;
 
 impl ServiceWatch {
@@ -66,12 +66,12 @@
                 let reason = self.describe(*reason);
                 tracing::info!(service, backend = %id, eligible = false, reason, "endpoint not eligible");
             }
-            WatchEvent::SuddenLoss { vanished, of, retained } => {
-                let hold_seconds = self.config.stability.sudden_loss_hold / 1000;
+            WatchEvent::SuddenLoss { vanished, eligible_before, retained } => {
+                let hold_seconds = self.config.stability.sudden_loss_retention.as_secs();
                 tracing::info!(
                     service,
                     vanished,
-                    listed = of,
+                    listed = eligible_before,
                     retained,
                     hold_seconds,
                     "sudden loss of endpoints, those that still answer are retained"
@@ -83,9 +83,10 @@
         }
     }
 
-    /// Why an endpoint is eligible or not, as operators read it.
+    /// Describes for operators why an endpoint is eligible or not.
     pub(super) fn describe(&self, reason: EligibilityReason) -> String {
-        let seconds_left = |until: u64| until.saturating_sub(self.last_answers.now()).div_ceil(1000);
+        let seconds_left =
+            |until: Timestamp| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
         match reason {
             EligibilityReason::Listed => "it is listed".into(),
             EligibilityReason::Unhealthy(health) => format!("it is {}", health.name()),
--- /dev/null
+++ b/crates/periodic_jobs/tests/support/mod.rs
@@ -0,0 +1,22 @@
+//! The configuration and the clocks of a scheduler in tests.
+
+use periodic_jobs::{ClockReading, Config, MonotonicTime, UnixTime};
+use std::time::Duration;
+
+/// The configuration of an instance with two standbys.
+pub fn config(instance: &str, incarnation: u64) -> Config {
+    Config {
+        instance: instance.into(),
+        standbys: 2,
+        max_clock_skew: Duration::from_millis(100),
+        start_margin: Duration::from_millis(10),
+        store_retry_interval: Duration::from_millis(200),
+        session_renewal_interval: Duration::from_millis(3_000),
+        incarnation,
+    }
+}
+
+/// A moment on both clocks.
+pub fn clocks(unix_ms: u64, monotonic_ms: u64) -> ClockReading {
+    ClockReading { unix: UnixTime::from_millis(unix_ms), monotonic: MonotonicTime::from_millis(monotonic_ms) }
+}
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -46,7 +46,7 @@
 struct Announcement {
     ready: bool,
     /// Since when the backend is eligible by its endpoint list. Changes with each restart of the backend.
-    eligible_since: Option<u64>,
+    eligible_since: Option<catalogue::Timestamp>,
     /// Start of the backend, from which its slow start counts.
     started: Timestamp,
 }
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -9,7 +9,7 @@
 use crate::timer_thread;
 use counter::CounterClient;
 use destination::{BackendPools, Limits, RespProtocol};
-use discovery::{PollBackoff, Watch, WatchEvent};
+use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
 use exchange::{Clock, Exchange, QuotaCounter};
 use front_resp::{Front, RespExchange};
 use link::spawn_with;
@@ -68,7 +68,7 @@
             connect_timeout: timeouts.connect,
             idle_timeout: timeouts.idle,
             max_connections: max_connections / ATTEMPT_SOCKETS_DIVISOR,
-            max_answer_bytes: resp::LARGEST_MESSAGE,
+            max_answer_bytes: resp::MAX_MESSAGE_BYTES,
             stream_budget_bytes: config.max_memory_bytes / STREAM_BUDGET_DIVISOR,
         };
         let pools = BackendPools::new(protocol, limits);
@@ -119,7 +119,9 @@
             (watch.clone(), self.pools.clone(), self.exchange.clone(), self.endpoint_ids.clone());
         let (first_event_sender, first_event) = sync_channel(1);
         let revision = config.cached_list.revision;
-        let backoff = PollBackoff::new(config.seed, config.settings.polls_endpoints);
+        let agent_mode =
+            if config.settings.polls_endpoints { AgentMode::Polling } else { AgentMode::Notified };
+        let backoff = PollBackoff::new(config.seed, agent_mode);
         spawn_with(link::LARGE_STACK, move || {
             running.run(revision, backoff, |event| {
                 if let WatchEvent::EndpointList(list) = event {
