--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -13,8 +13,6 @@
 mod command_line;
 mod console;
 mod consul_watches;
-mod ejections_file;
-mod ejections_store;
 mod endpoint_ids;
 mod error;
 mod hot_restart;
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -1,10 +1,10 @@
 //! Operators' ejections of backends: applied in this process, stored for later processes, and forwarded to the other process of
 //! a hot restart.
 
+mod file;
 mod pending_calls;
+mod store;
 
-use crate::ejections_file;
-use crate::ejections_store::EjectionsStore;
 use crate::endpoint_ids::{EjectionChange, EndpointIds, UnknownId};
 use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
@@ -14,6 +14,7 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use store::EjectionsStore;
 
 /// Time-out for a call to the other process. An operator waits for up to 1 s in all.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
@@ -45,7 +46,7 @@
     /// Ejects the backends that an earlier process stored. A damaged file is logged and ignored.
     pub fn restore(&self) {
         let Some(store) = &self.store else { return };
-        match ejections_file::read(store.directory()) {
+        match store.read() {
             Ok(ids) => self.adopt(&ids),
             Err(error) => tracing::warn!(%error, "ejections file not usable"),
         }
--- a/crates/snowfield/src/ejections_file/tests.rs
+++ b/crates/snowfield/src/operator_ejections/file/tests.rs
@@ -50,7 +50,7 @@
 }
 
 /// As version 0.1.0 wrote it.
-const FIXTURE: &[u8] = include_bytes!("../../tests/fixtures/snowfield.held");
+const FIXTURE: &[u8] = include_bytes!("../../../tests/fixtures/snowfield.held");
 const IDS: [&str; 3] = ["s-1", "s-5be2a07c", "\u{e9}"];
 
 #[test]
--- a/crates/snowfield/src/ejections_store.rs
+++ b/crates/snowfield/src/operator_ejections/store.rs
@@ -1,10 +1,10 @@
 //! Storage of the backends that operators have ejected. A failed write is retried with exponential backoff until it succeeds.
 
+use super::file::{self, EjectionsFileError};
 use crate::backoff::ExponentialBackoff;
-use crate::ejections_file;
 use crate::endpoint_ids::EndpointIds;
 use link::locked;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -30,9 +30,13 @@
         Self { directory, endpoint_ids, is_pending: Arc::default() }
     }
 
-    /// The directory of the file.
-    pub fn directory(&self) -> &Path {
-        &self.directory
+    /// Reads the ids in the file; none if there is no file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, or is damaged.
+    pub fn read(&self) -> Result<Vec<String>, EjectionsFileError> {
+        file::read(&self.directory)
     }
 
     /// Whether the file lacks a change that is in force.
@@ -42,7 +46,7 @@
 
     /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock of `endpoint_ids`.
     pub fn store(&self, endpoint_ids: &EndpointIds) {
-        let Err(error) = ejections_file::write(&self.directory, endpoint_ids.ejected()) else { return };
+        let Err(error) = file::write(&self.directory, endpoint_ids.ejected()) else { return };
         tracing::warn!(%error, "ejections file write failed, retrying");
         if !self.is_pending.swap(true, Ordering::AcqRel) {
             let store = self.clone();
@@ -56,7 +60,7 @@
             backoff.sleep();
             // Under the lock, so that an earlier state never overwrites a later one.
             let endpoint_ids = locked(&self.endpoint_ids);
-            if ejections_file::write(&self.directory, endpoint_ids.ejected()).is_ok() {
+            if file::write(&self.directory, endpoint_ids.ejected()).is_ok() {
                 self.is_pending.store(false, Ordering::Release);
                 tracing::info!("ejections file written");
                 return;
