--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -24,6 +24,12 @@
 /// Time-out for a successor's request for the state, after its first message.
 const STATE_REQUEST_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
 
+/// A hand-over that a successor has requested.
+struct HandOver {
+    /// Receives the end of the successor's admission journal, if it came with the request.
+    journal: Option<Receiver<JournalEnd>>,
+}
+
 /// A client connection on its way to the successor.
 struct ConnectionTransfer {
     socket: TcpStream,
@@ -60,6 +66,7 @@
         });
     }
 
+    /// Serves one successor until its connection ends. If it has taken over by then, this process resumes service.
     fn serve_successor(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) {
         match peer.receive(Some(MESSAGE_TIMEOUT)) {
             Ok((Message::Hello { version: PROTOCOL_VERSION }, _)) => {}
@@ -69,27 +76,35 @@
             Err(_) => return,
         }
         self.ejections.set_peer(Some(peer.clone()));
-        let mut handed_over = false;
-        let mut journal = None;
-        // After the hand-over the successor may be silent for as long as it runs.
-        while let Ok((message, descriptor)) = peer.receive((!handed_over).then_some(STATE_REQUEST_TIMEOUT)) {
+        let hand_over = self.handle_messages(peer, listener);
+        peer.close();
+        self.ejections.set_peer(None);
+        if let Some(HandOver { journal }) = hand_over
+            && !self.admin.is_ending()
+        {
+            self.resume(journal, listener);
+        }
+    }
+
+    /// Handles the messages of a successor until its connection ends. Returns the hand-over, if the successor has requested it.
+    fn handle_messages(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) -> Option<HandOver> {
+        let mut hand_over = None;
+        loop {
+            // After the hand-over the successor may be silent for as long as it runs.
+            let timeout = hand_over.is_none().then_some(STATE_REQUEST_TIMEOUT);
+            let Ok((message, descriptor)) = peer.receive(timeout) else { return hand_over };
             match message {
-                Message::RequestState if !handed_over => {
-                    handed_over = true;
-                    journal = descriptor.map(|reader| self.mirror_journal(reader));
+                Message::RequestState if hand_over.is_none() => {
+                    let journal = descriptor.map(|reader| self.mirror_journal(reader));
+                    hand_over = Some(HandOver { journal });
                     if let Err(error) = self.hand_over(peer, listener) {
                         tracing::warn!(%error, "hand-over to the successor failed");
-                        break;
+                        return hand_over;
                     }
                 }
                 message => self.ejections.handle_message(peer, message),
             }
         }
-        peer.close();
-        self.ejections.set_peer(None);
-        if handed_over && !self.admin.is_ending() {
-            self.resume(journal, listener);
-        }
     }
 
     /// Starts mirroring the admissions of a successor, so that the token buckets here stay equal to the successor's. The receiver
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -1,6 +1,6 @@
 //! The log on standard output: plain lines (`message field=value ...`), or JSON lines with the machine's monotonic clock.
 //!
-//! A line that cannot be written is dropped: whoever reads the log may go away, the gatekeeper continues to serve.
+//! A line that cannot be written is dropped: the gatekeeper continues to serve after the reader of the log has closed its end.
 
 use crate::error::Error;
 use settings::appliance::LogFormat;
@@ -12,22 +12,24 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Overrides `log` of the appliance's file; on the platform nothing else names a format.
-const VARIABLE: &str = "SNOWFIELD_LOG";
+/// Environment variable that overrides the log format: the appliance's configuration has one, the platform's has none.
+const FORMAT_VARIABLE: &str = "SNOWFIELD_LOG";
 /// The name that `tracing` gives the field with the message.
 const MESSAGE_FIELD: &str = "message";
 
-/// Starts the log in the format that the environment names, otherwise in this one.
+/// Installs the log. The environment overrides the `configured` format.
 ///
 /// # Errors
 ///
-/// The environment names no format.
+/// The environment names an unknown format.
 pub fn init(configured: LogFormat) -> Result<(), Error> {
-    let format = match std::env::var(VARIABLE).as_deref() {
+    let format = match std::env::var(FORMAT_VARIABLE).as_deref() {
         Err(_) | Ok("") => configured,
         Ok("plain") => LogFormat::Plain,
         Ok("json") => LogFormat::Json,
-        Ok(other) => return Err(Error::InvalidLogFormat { variable: VARIABLE, value: other.to_owned() }),
+        Ok(other) => {
+            return Err(Error::InvalidLogFormat { variable: FORMAT_VARIABLE, value: other.to_owned() });
+        }
     };
     let subscriber = tracing_subscriber::fmt().log_internal_errors(false).with_ansi(false);
     match format {
