--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -1,7 +1,7 @@
 //! Selects the agent of the next blocking query: agents in order of preference, with failover, failback, and exponential backoff
 //! with jitter. Follows Consul's documented rules for blocking queries.
 
-use crate::Timestamp;
+use crate::MonotonicTime;
 use crate::time::whole_millis;
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     /// Whether the agent may answer from any server (a stale read) or only from the leader.
     pub allow_stale: bool,
     /// Earliest time to send it.
-    pub not_before: Timestamp,
+    pub not_before: MonotonicTime,
 }
 
 /// The outcome of a query.
@@ -81,15 +81,15 @@
     index: u64,
     /// Whether the next query must be answered by the leader.
     needs_leader: bool,
-    last_query_at: Timestamp,
-    selected_at: Timestamp,
+    last_query_at: MonotonicTime,
+    selected_at: MonotonicTime,
     jitter: Jitter,
 }
 
 #[derive(Clone, Debug, Default)]
 struct AgentState {
     consecutive_failures: u32,
-    backoff_until: Timestamp,
+    backoff_until: MonotonicTime,
 }
 
 impl AgentSelector {
@@ -101,8 +101,8 @@
             current: 0,
             index: 0,
             needs_leader: false,
-            last_query_at: Timestamp::ZERO,
-            selected_at: Timestamp::ZERO,
+            last_query_at: MonotonicTime::ZERO,
+            selected_at: MonotonicTime::ZERO,
             jitter: Jitter(seed | 1),
         }
     }
@@ -113,7 +113,7 @@
     }
 
     /// Decides the next query.
-    pub fn next_query(&mut self, now: Timestamp) -> Query {
+    pub fn next_query(&mut self, now: MonotonicTime) -> Query {
         if self.current > 0 && now >= self.selected_at + self.config.failback_after {
             // Failback: agents ahead in the order are queried again. One that fails is not queried for another interval.
             self.select(0, now);
@@ -133,7 +133,7 @@
     }
 
     /// Selects the first agent in order that is not in backoff, or else the one whose backoff ends first.
-    fn fail_over(&mut self, now: Timestamp) {
+    fn fail_over(&mut self, now: MonotonicTime) {
         let available_at = |&agent: &usize| (self.agents[agent].backoff_until.max(now), agent);
         let best = (0..self.agents.len()).min_by_key(available_at);
         if let Some(agent) = best.filter(|&agent| agent != self.current) {
@@ -142,14 +142,14 @@
     }
 
     /// Selects an agent. Its index starts at 0, because an index is only meaningful to the server that returned it.
-    fn select(&mut self, agent: usize, now: Timestamp) {
+    fn select(&mut self, agent: usize, now: MonotonicTime) {
         self.current = agent;
         self.index = 0;
         self.selected_at = now;
     }
 
     /// Records the outcome of a query, and returns whether its response may differ from the one before.
-    pub fn handle_outcome(&mut self, now: Timestamp, agent: usize, outcome: &QueryOutcome) -> Freshness {
+    pub fn handle_outcome(&mut self, now: MonotonicTime, agent: usize, outcome: &QueryOutcome) -> Freshness {
         if agent >= self.agents.len() {
             return Freshness::Unchanged;
         }
@@ -177,7 +177,7 @@
         if is_new { Freshness::New } else { Freshness::Unchanged }
     }
 
-    fn back_off(&mut self, now: Timestamp, agent: usize) {
+    fn back_off(&mut self, now: MonotonicTime, agent: usize) {
         self.index = 0;
         let state = &mut self.agents[agent];
         let backoff = self.config.backoff.after(state.consecutive_failures);
--- a/crates/catalogue/src/agent_selector/tests.rs
+++ b/crates/catalogue/src/agent_selector/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn at(millis: u64) -> Timestamp {
-    Timestamp::from_millis(millis)
+fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
 }
 
 fn selector(agent_count: usize) -> AgentSelector {
--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list in use, and the reason why each endpoint is eligible or not.
 
-use crate::{HealthStatus, Instance, Timestamp};
+use crate::{HealthStatus, Instance, MonotonicTime};
 
 /// Number of an endpoint. Each pair of id and address gets a new one, and numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -14,13 +14,13 @@
     /// Not eligible: its health checks report this status.
     Unhealthy(HealthStatus),
     /// Not eligible: it is flapping, and flap damping suppresses it until this moment.
-    Flapping(Timestamp),
+    Flapping(MonotonicTime),
     /// Not eligible: another eligible instance has the same address.
     DuplicateAddress,
     /// Not eligible: its weight is 0.
     ZeroWeight,
     /// Eligible: it vanished in a sudden loss, still answers clients, and is retained until this moment.
-    Retained(Timestamp),
+    Retained(MonotonicTime),
     /// Not eligible: it is no longer listed.
     Deregistered,
 }
@@ -44,7 +44,7 @@
     /// Why it is eligible or not.
     pub reason: EligibilityReason,
     /// When it last became eligible; `None` if it has been eligible since the first list.
-    pub eligible_since: Option<Timestamp>,
+    pub eligible_since: Option<MonotonicTime>,
 }
 
 /// The endpoints of a service that are listed or eligible.
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -5,7 +5,7 @@
 mod record;
 
 use crate::{
-    EligibilityReason, Endpoint, EndpointList, EndpointNumber, Instance, StabilityConfig, Timestamp,
+    EligibilityReason, Endpoint, EndpointList, EndpointNumber, Instance, MonotonicTime, StabilityConfig,
     WatchEvent,
 };
 use record::Record;
@@ -45,7 +45,7 @@
 }
 
 /// Returns when a client last got an answer from an endpoint, if ever.
-pub type LastAnswerAt<'a> = &'a dyn Fn(EndpointNumber) -> Option<Timestamp>;
+pub type LastAnswerAt<'a> = &'a dyn Fn(EndpointNumber) -> Option<MonotonicTime>;
 
 /// Returns whether any attempt is in flight at an endpoint.
 pub type HasAttempts<'a> = &'a dyn Fn(EndpointNumber) -> bool;
@@ -61,7 +61,7 @@
     /// Whether there was a list before, from Consul or from the cache file. Instances that appear later may need slow start.
     has_list: bool,
     /// When the loss of the retained endpoints is accepted.
-    loss_accepted_at: Option<Timestamp>,
+    loss_accepted_at: Option<MonotonicTime>,
     reported_counts: Option<ListCounts>,
 }
 
@@ -84,7 +84,7 @@
     /// Consul's first response is not checked for a sudden loss: the fleet may have changed while this process was down.
     pub fn restore(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         instances: Vec<Instance>,
         events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
@@ -97,7 +97,7 @@
     /// Applies a response of Consul.
     pub fn apply_response(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         instances: Vec<Instance>,
         last_answer_at: LastAnswerAt<'_>,
         events: &mut Vec<WatchEvent>,
@@ -112,7 +112,7 @@
     /// Applies the passage of time: flap suppressions and retentions may have ended.
     pub fn advance(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         has_attempts: HasAttempts<'_>,
         events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
@@ -122,7 +122,7 @@
     }
 
     /// When the next flap suppression or retention ends.
-    pub fn next_deadline(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn next_deadline(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let deadlines = self.records.values().filter_map(Record::deadline);
         deadlines.filter(|&deadline| deadline > now).min()
     }
@@ -135,7 +135,7 @@
     /// Records the instances of a response, and the departure of those that it no longer lists.
     fn record_response(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         instances: Vec<Instance>,
         last_answer_at: LastAnswerAt<'_>,
         events: &mut Vec<WatchEvent>,
@@ -160,7 +160,7 @@
         }
     }
 
-    fn record_listed(&mut self, now: Timestamp, instance: Instance) {
+    fn record_listed(&mut self, now: MonotonicTime, instance: Instance) {
         let is_first_list = !self.has_list;
         let last_number = &mut self.last_number;
         let record = self.records.entry(InstanceKey::of(&instance)).or_insert_with(|| {
@@ -199,13 +199,13 @@
     /// Retains the vanished endpoints that answered a client recently, and returns their number.
     fn retain_answering(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         vanished: &HashSet<InstanceKey>,
         last_answer_at: LastAnswerAt<'_>,
     ) -> usize {
         let until = now + self.config.sudden_loss_retention;
         self.loss_accepted_at = Some(until);
-        let is_recent = |at: Timestamp| now.saturating_since(at) <= self.config.recently_answered;
+        let is_recent = |at: MonotonicTime| now.saturating_since(at) <= self.config.recently_answered;
         let mut retained = 0;
         for key in vanished {
             let Some(record) = self.records.get_mut(key) else { continue };
@@ -218,7 +218,7 @@
     }
 
     /// Reports the loss of retained endpoints once their retention has ended.
-    fn accept_loss(&mut self, now: Timestamp, events: &mut Vec<WatchEvent>) {
+    fn accept_loss(&mut self, now: MonotonicTime, events: &mut Vec<WatchEvent>) {
         if self.loss_accepted_at.is_none_or(|at| now < at) {
             return;
         }
@@ -230,7 +230,7 @@
     }
 
     /// Decides which instances are eligible now, and returns the resulting list.
-    fn evaluate(&mut self, now: Timestamp, events: &mut Vec<WatchEvent>) -> EndpointList {
+    fn evaluate(&mut self, now: MonotonicTime, events: &mut Vec<WatchEvent>) -> EndpointList {
         let decisions = self.decide(now);
         let changes = self.apply_decisions(now, decisions);
         let list = self.list();
@@ -245,7 +245,7 @@
 
     /// Decides on all instances. Of those at one address, the one that is eligible already has precedence, then the one with the
     /// highest number, which replaced the others.
-    fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
+    fn decide(&mut self, now: MonotonicTime) -> Vec<Decision> {
         let mut records: Vec<(&InstanceKey, &mut Record)> = self.records.iter_mut().collect();
         records.sort_by_key(|(_, record)| (!record.is_eligible(), Reverse(record.number())));
         let mut taken_addresses = HashSet::new();
@@ -263,7 +263,7 @@
     }
 
     /// Applies decisions, and returns the changes in order of ids.
-    fn apply_decisions(&mut self, now: Timestamp, decisions: Vec<Decision>) -> Vec<WatchEvent> {
+    fn apply_decisions(&mut self, now: MonotonicTime, decisions: Vec<Decision>) -> Vec<WatchEvent> {
         // The start time of instances in the first list is unknown. Instances that appear later may need slow start.
         let eligible_since = self.has_list.then_some(now);
         let mut changed = Vec::new();
@@ -287,12 +287,12 @@
 
     /// Forgets instances that have left, except those with attempts in flight, which keep their numbers, and up to
     /// [`MAX_REMEMBERED`] that flapped, which keep their flap counts for a while.
-    fn forget_departed(&mut self, now: Timestamp, has_attempts: HasAttempts<'_>) {
+    fn forget_departed(&mut self, now: MonotonicTime, has_attempts: HasAttempts<'_>) {
         let has_departed = |record: &Record| !record.is_in_use() && !has_attempts(record.number());
         let config = &self.config;
         self.records.retain(|_, record| !has_departed(record) || record.is_remembered_for_flaps(now, config));
         let departed = self.records.iter().filter(|(_, record)| has_departed(record));
-        let longest_ago_first: BTreeMap<(Timestamp, EndpointNumber), InstanceKey> =
+        let longest_ago_first: BTreeMap<(MonotonicTime, EndpointNumber), InstanceKey> =
             departed.map(|(key, record)| ((record.left_at(), record.number()), key.clone())).collect();
         let excess = longest_ago_first.len().saturating_sub(MAX_REMEMBERED);
         for key in longest_ago_first.into_values().take(excess) {
--- a/crates/catalogue/src/endpoint_tracker/flap_damping.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping.rs
@@ -1,7 +1,7 @@
 //! Flap damping of one endpoint: an endpoint that repeatedly fails and recovers is suppressed for a growing time after each recovery.
 
 use crate::time::whole_millis;
-use crate::{StabilityConfig, Timestamp};
+use crate::{MonotonicTime, StabilityConfig};
 use std::time::Duration;
 
 /// Below this flap count a recovery is not suppressed: a single flap is a restart.
@@ -14,30 +14,30 @@
 pub(super) struct FlapDamping {
     /// Decayed number of flaps, as of `counted_at`.
     flaps: f64,
-    counted_at: Timestamp,
+    counted_at: MonotonicTime,
     /// Start of the present healthy period; `None` while unhealthy.
-    healthy_since: Option<Timestamp>,
+    healthy_since: Option<MonotonicTime>,
 }
 
 impl FlapDamping {
     /// Starts without flaps. `healthy_since` is set if the endpoint counts as healthy already.
-    pub(super) fn new(now: Timestamp, healthy_since: Option<Timestamp>) -> Self {
+    pub(super) fn new(now: MonotonicTime, healthy_since: Option<MonotonicTime>) -> Self {
         Self { flaps: 0.0, counted_at: now, healthy_since }
     }
 
     /// Records whether the endpoint is healthy now.
-    pub(super) fn update_health(&mut self, now: Timestamp, is_healthy: bool) {
+    pub(super) fn update_health(&mut self, now: MonotonicTime, is_healthy: bool) {
         self.healthy_since = is_healthy.then(|| self.healthy_since.unwrap_or(now));
     }
 
     /// Counts a flap: the endpoint ceased to be eligible.
-    pub(super) fn count_flap(&mut self, now: Timestamp, config: &StabilityConfig) {
+    pub(super) fn count_flap(&mut self, now: MonotonicTime, config: &StabilityConfig) {
         self.flaps = self.decayed_flaps(now, config) + 1.0;
         self.counted_at = now;
     }
 
     /// End of the suppression, which begins with the present healthy period.
-    pub(super) fn suppressed_until(&self, now: Timestamp, config: &StabilityConfig) -> Timestamp {
+    pub(super) fn suppressed_until(&self, now: MonotonicTime, config: &StabilityConfig) -> MonotonicTime {
         let healthy_since = self.healthy_since.unwrap_or(now);
         healthy_since + self.suppression(now.min(healthy_since), config)
     }
@@ -48,7 +48,7 @@
     }
 
     /// Suppression time of a recovery at `recovered_at`.
-    fn suppression(&self, recovered_at: Timestamp, config: &StabilityConfig) -> Duration {
+    fn suppression(&self, recovered_at: MonotonicTime, config: &StabilityConfig) -> Duration {
         let flaps = self.decayed_flaps(recovered_at, config);
         if flaps < FREE_FLAPS {
             return Duration::ZERO;
@@ -58,7 +58,7 @@
         Duration::from_millis(millis as u64).min(config.max_flap_suppression)
     }
 
-    fn decayed_flaps(&self, now: Timestamp, config: &StabilityConfig) -> f64 {
+    fn decayed_flaps(&self, now: MonotonicTime, config: &StabilityConfig) -> f64 {
         let elapsed = whole_millis(now.saturating_since(self.counted_at));
         let half_life = whole_millis(config.flap_half_life).max(1);
         self.flaps * 0.5f64.powf(elapsed as f64 / half_life as f64)
--- a/crates/catalogue/src/endpoint_tracker/flap_damping/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn at(seconds: u64) -> Timestamp {
-    Timestamp::from_millis(seconds * 1_000)
+fn at(seconds: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(seconds * 1_000)
 }
 
 /// Damping of an endpoint that flapped this often at second 0 and recovered at once.
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -1,7 +1,7 @@
 //! The history of one instance at one address.
 
 use super::flap_damping::FlapDamping;
-use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, StabilityConfig, Timestamp};
+use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, MonotonicTime, StabilityConfig};
 use std::net::SocketAddr;
 
 /// An instance that has left is remembered for its flaps for this many half-lives of the flap count.
@@ -16,12 +16,12 @@
     listed: bool,
     eligible: bool,
     reason: EligibilityReason,
-    eligible_since: Option<Timestamp>,
+    eligible_since: Option<MonotonicTime>,
     flap_damping: FlapDamping,
     /// End of its retention after a sudden loss.
-    retained_until: Option<Timestamp>,
+    retained_until: Option<MonotonicTime>,
     /// When it was first missing from a response.
-    left_at: Timestamp,
+    left_at: MonotonicTime,
 }
 
 impl Record {
@@ -30,7 +30,7 @@
     pub(super) fn new(
         number: EndpointNumber,
         instance: Instance,
-        now: Timestamp,
+        now: MonotonicTime,
         is_first_list: bool,
     ) -> Self {
         Self {
@@ -40,7 +40,7 @@
             eligible: false,
             reason: EligibilityReason::Deregistered,
             eligible_since: None,
-            flap_damping: FlapDamping::new(now, is_first_list.then_some(Timestamp::ZERO)),
+            flap_damping: FlapDamping::new(now, is_first_list.then_some(MonotonicTime::ZERO)),
             retained_until: None,
             left_at: now,
         }
@@ -66,7 +66,7 @@
         self.eligible
     }
 
-    pub(super) fn left_at(&self) -> Timestamp {
+    pub(super) fn left_at(&self) -> MonotonicTime {
         self.left_at
     }
 
@@ -80,18 +80,18 @@
         !self.listed && self.eligible && self.retained_until.is_none()
     }
 
-    pub(super) fn is_retention_over(&self, now: Timestamp) -> bool {
+    pub(super) fn is_retention_over(&self, now: MonotonicTime) -> bool {
         self.retained_until.is_some_and(|until| now >= until)
     }
 
     /// Whether it has flapped often enough to be remembered after it has left, and left recently enough.
-    pub(super) fn is_remembered_for_flaps(&self, now: Timestamp, config: &StabilityConfig) -> bool {
+    pub(super) fn is_remembered_for_flaps(&self, now: MonotonicTime, config: &StabilityConfig) -> bool {
         let remembered_until = self.left_at + config.flap_half_life * REMEMBERED_HALF_LIVES;
         self.flap_damping.has_repeated_flaps() && now < remembered_until
     }
 
     /// When its flap suppression or its retention ends.
-    pub(super) fn deadline(&self) -> Option<Timestamp> {
+    pub(super) fn deadline(&self) -> Option<MonotonicTime> {
         match self.reason {
             EligibilityReason::Flapping(until) | EligibilityReason::Retained(until) => Some(until),
             _ => None,
@@ -120,7 +120,7 @@
         self.retained_until = None;
     }
 
-    pub(super) fn retain_until(&mut self, until: Timestamp) {
+    pub(super) fn retain_until(&mut self, until: MonotonicTime) {
         self.retained_until = Some(until);
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Records when it left, if the present response is the first without it and it is not retained.
-    pub(super) fn record_departure(&mut self, now: Timestamp) {
+    pub(super) fn record_departure(&mut self, now: MonotonicTime) {
         let has_left_before = self.reason == EligibilityReason::Deregistered;
         if !self.listed && self.retained_until.is_none() && !has_left_before {
             self.left_at = now;
@@ -137,7 +137,7 @@
     }
 
     /// Records whether it is healthy now.
-    pub(super) fn update_health(&mut self, now: Timestamp, config: &StabilityConfig) {
+    pub(super) fn update_health(&mut self, now: MonotonicTime, config: &StabilityConfig) {
         let is_health_sufficient = self.instance.health <= config.minimum_health;
         let is_healthy = self.listed && is_health_sufficient && self.instance.weight > 0.0;
         self.flap_damping.update_health(now, is_healthy);
@@ -146,7 +146,7 @@
     /// Decides whether it is eligible now. `is_address_taken` tells that another eligible instance has its address.
     pub(super) fn decide(
         &self,
-        now: Timestamp,
+        now: MonotonicTime,
         config: &StabilityConfig,
         is_address_taken: bool,
     ) -> EligibilityReason {
@@ -176,10 +176,10 @@
     /// `eligible_since`.
     pub(super) fn apply(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         config: &StabilityConfig,
         reason: EligibilityReason,
-        eligible_since: Option<Timestamp>,
+        eligible_since: Option<MonotonicTime>,
     ) -> bool {
         let eligible = reason.is_eligible();
         let eligibility_changed = eligible != self.eligible;
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -9,8 +9,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-const fn at(millis: u64) -> Timestamp {
-    Timestamp::from_millis(millis)
+const fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
 }
 
 fn instance(i: u16) -> Instance {
@@ -30,11 +30,11 @@
 /// Feeds a tracker with responses, and collects its latest list and its events.
 struct Harness {
     tracker: EndpointTracker,
-    now: Timestamp,
+    now: MonotonicTime,
     list: EndpointList,
     events: Vec<WatchEvent>,
     /// When clients got their last answers.
-    last_answers: HashMap<EndpointNumber, Timestamp>,
+    last_answers: HashMap<EndpointNumber, MonotonicTime>,
 }
 
 impl Harness {
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -36,4 +36,4 @@
 pub use health_response::{HealthResponse, HealthStatus, Instance, InvalidInstance};
 pub use registration::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 pub use stability::StabilityConfig;
-pub use time::{Timestamp, UnixMillis};
+pub use time::{MonotonicTime, UnixMillis};
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -1,7 +1,7 @@
 //! This process's registration with its agent: registers, keeps the TTL check passing with heartbeats, registers again when the
 //! agent has lost the registration, and deregisters at shutdown.
 
-use crate::Timestamp;
+use crate::MonotonicTime;
 use std::time::Duration;
 
 /// Heartbeats per TTL, so that two may be lost in a row.
@@ -48,32 +48,32 @@
 pub struct Registration {
     ttl: Duration,
     is_registered: bool,
-    next_request_at: Timestamp,
+    next_request_at: MonotonicTime,
     consecutive_failures: u32,
 }
 
 impl Registration {
     /// Starts unregistered. The check expires `ttl` after the last heartbeat.
     pub fn new(ttl: Duration) -> Self {
-        Self { ttl, is_registered: false, next_request_at: Timestamp::ZERO, consecutive_failures: 0 }
+        Self { ttl, is_registered: false, next_request_at: MonotonicTime::ZERO, consecutive_failures: 0 }
     }
 
     /// The request that is due, if any.
-    pub fn next_request(&self, now: Timestamp) -> Option<RegistrationRequest> {
+    pub fn next_request(&self, now: MonotonicTime) -> Option<RegistrationRequest> {
         let request =
             if self.is_registered { RegistrationRequest::Heartbeat } else { RegistrationRequest::Register };
         (now >= self.next_request_at).then_some(request)
     }
 
     /// When the next request is due.
-    pub fn next_request_at(&self) -> Timestamp {
+    pub fn next_request_at(&self) -> MonotonicTime {
         self.next_request_at
     }
 
     /// Records the outcome of a request, and returns the change to log, if any.
     pub fn handle_outcome(
         &mut self,
-        now: Timestamp,
+        now: MonotonicTime,
         request: RegistrationRequest,
         outcome: RegistrationOutcome,
     ) -> Option<RegistrationChange> {
@@ -95,7 +95,7 @@
             }
             (RegistrationRequest::Deregister, RegistrationOutcome::Accepted) => {
                 self.is_registered = false;
-                self.next_request_at = Timestamp::NEVER;
+                self.next_request_at = MonotonicTime::NEVER;
             }
             (_, RegistrationOutcome::Failed | RegistrationOutcome::UnknownCheck) => self.back_off(now),
         }
@@ -106,7 +106,7 @@
         }
     }
 
-    fn back_off(&mut self, now: Timestamp) {
+    fn back_off(&mut self, now: MonotonicTime) {
         self.consecutive_failures += 1;
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let backoff = BASE_BACKOFF * 2u32.pow(doublings);
--- a/crates/catalogue/src/registration/tests.rs
+++ b/crates/catalogue/src/registration/tests.rs
@@ -4,8 +4,8 @@
 
 const TTL: Duration = Duration::from_secs(9);
 
-fn at(millis: u64) -> Timestamp {
-    Timestamp::from_millis(millis)
+fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
 }
 
 #[test]
--- a/crates/catalogue/src/time.rs
+++ b/crates/catalogue/src/time.rs
@@ -8,9 +8,9 @@
 
 /// A moment of a monotonic clock, with a resolution of one millisecond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Timestamp(u64);
+pub struct MonotonicTime(u64);
 
-impl Timestamp {
+impl MonotonicTime {
     /// The start of the clock.
     pub const ZERO: Self = Self(0);
     /// A moment that is never reached.
@@ -27,7 +27,7 @@
     }
 }
 
-impl Add<Duration> for Timestamp {
+impl Add<Duration> for MonotonicTime {
     type Output = Self;
 
     /// Fractions of a millisecond are dropped.
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -1,7 +1,7 @@
 //! The time of the last answer that each endpoint gave to a client.
 
 use crate::sync::locked;
-use catalogue::{EndpointNumber, Timestamp};
+use catalogue::{EndpointNumber, MonotonicTime};
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct LastAnswers {
     start: Instant,
-    times: Mutex<HashMap<EndpointNumber, Timestamp>>,
+    times: Mutex<HashMap<EndpointNumber, MonotonicTime>>,
 }
 
 impl Default for LastAnswers {
@@ -28,12 +28,12 @@
     }
 
     /// The present moment of the clock that all watches share.
-    pub(crate) fn now(&self) -> Timestamp {
-        Timestamp::ZERO + self.start.elapsed()
+    pub(crate) fn now(&self) -> MonotonicTime {
+        MonotonicTime::ZERO + self.start.elapsed()
     }
 
     /// When this endpoint last answered a client, if ever.
-    pub(crate) fn last_answer_at(&self, endpoint: EndpointNumber) -> Option<Timestamp> {
+    pub(crate) fn last_answer_at(&self, endpoint: EndpointNumber) -> Option<MonotonicTime> {
         locked(&self.times).get(&endpoint).copied()
     }
 
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -2,7 +2,7 @@
 
 use crate::http_agent::{TOKEN_HEADER, http_agent};
 use crate::{ConsulConfig, TokenFile};
-use catalogue::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest, Timestamp};
+use catalogue::{MonotonicTime, Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 use http::percent_encode;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -108,7 +108,7 @@
 
     fn run(&self, deregister_requests: &Receiver<DeregisterRequest>) {
         let start = Instant::now();
-        let now = || Timestamp::ZERO + start.elapsed();
+        let now = || MonotonicTime::ZERO + start.elapsed();
         let mut registration = Registration::new(self.ttl);
         loop {
             if let Some(request) = registration.next_request(now()) {
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -2,7 +2,7 @@
 
 use super::ServiceWatch;
 use crate::QueryError;
-use catalogue::{EligibilityReason, InvalidInstance, Timestamp, WatchEvent};
+use catalogue::{EligibilityReason, InvalidInstance, MonotonicTime, WatchEvent};
 
 /// Maximum number of log events about single instances for one change.
 const MAX_INSTANCE_LINES: usize = 8;
@@ -86,7 +86,7 @@
     /// Describes for operators why an endpoint is eligible or not.
     pub(super) fn describe(&self, reason: EligibilityReason) -> String {
         let seconds_left =
-            |until: Timestamp| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
+            |until: MonotonicTime| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
         match reason {
             EligibilityReason::Listed => "it is listed".into(),
             EligibilityReason::Unhealthy(health) => format!("it is {}", health.name()),
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,7 +1,7 @@
 //! The appliance's backends: the endpoint lists of all services and the results of health checks, merged into what the
 //! connection pools and the policy are told.
 
-use catalogue::{Endpoint, EndpointList, EndpointNumber, Timestamp};
+use catalogue::{Endpoint, EndpointList, EndpointNumber, MonotonicTime};
 use cluster::{Backend, Cluster};
 use consul::{ServiceWatch, WatchStatus};
 use destination::{BackendEndpoint, BackendPools, HttpProtocol};
@@ -46,7 +46,7 @@
 struct Announced {
     ready: bool,
     /// When its list says that it began, which changes with each restart.
-    listed_since: Option<Timestamp>,
+    listed_since: Option<MonotonicTime>,
     /// When it counts as started.
     started: Timestamp,
 }
