--- a/crates/timing/src/class_timing.rs
+++ b/crates/timing/src/class_timing.rs
@@ -1,43 +1,43 @@
-//! What a file states of the timing of one class.
+//! Timing of one class of requests, as configured.
 
-/// What is stated of one class. Times are milliseconds.
+/// Timing of one class of requests. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassTiming {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// A request that may have run may be sent again.
+    /// Whether requests are idempotent: one that may have been executed may be retried and hedged.
     pub idempotent: bool,
-    /// An answer is wanted by then.
+    /// Latency objective.
     pub latency_objective_ms: u64,
-    /// The client gives up then.
+    /// Deadline, after which the client gives up.
     pub deadline_ms: u64,
-    /// A connection that is not established by then has failed.
+    /// Time-out for connecting to a backend.
     pub connect_timeout_ms: u64,
-    /// The most attempts of any class.
+    /// Maximum number of attempts of a request of any class.
     pub attempt_limit: u32,
-    /// The most attempts of a request of this class, where it is stated.
+    /// Maximum number of attempts of a request of this class, if configured.
     pub max_attempts: Option<u32>,
-    /// How long one attempt may take, where it is stated; else until the client gives up.
+    /// Time-out of an attempt, if configured; otherwise an attempt lasts until the deadline.
     pub attempt_timeout_ms: Option<u64>,
-    /// A hedged request may be sent after this, where it is stated.
+    /// Delay of a hedged request, if configured.
     pub hedge_after_ms: Option<u64>,
 }
 
 impl ClassTiming {
-    /// The most attempts that a request may have.
+    /// Maximum number of attempts of a request: that of the class, or else that of any class.
     pub fn effective_max_attempts(&self) -> u32 {
         self.max_attempts.unwrap_or(self.attempt_limit)
     }
 
-    /// How long an attempt that is not the last can take before the next one, given the time-out of attempts.
+    /// Maximum duration of an attempt that is followed by a retry, given the time-out of attempts.
     ///
-    /// A request that may have run is not sent again where that does harm: then only an attempt whose connection is never
-    /// established can precede another.
+    /// A non-idempotent request is retried only if it was surely not executed. In the worst case its connection was not established
+    /// within the connect time-out.
     pub(crate) fn time_before_retry_ms(&self, attempt_timeout_ms: u64) -> u64 {
         if self.idempotent { attempt_timeout_ms } else { attempt_timeout_ms.min(self.connect_timeout_ms) }
     }
 
-    /// How long all attempts take in the worst case, given the time-out of each.
+    /// Duration of all attempts in the worst case, given the time-out of each.
     pub(crate) fn worst_case_ms(&self, attempt_timeout_ms: u64) -> u64 {
         let retries = u64::from(self.effective_max_attempts().saturating_sub(1));
         let before_last = self.time_before_retry_ms(attempt_timeout_ms).saturating_mul(retries);
--- a/crates/timing/src/lib.rs
+++ b/crates/timing/src/lib.rs
@@ -1,8 +1,8 @@
-//! The time-out and hedging rules of a class: whether what a file states can be kept, and the course of its worst case. No
-//! file, clock or socket is in here, so that every rule can be tested by itself.
+//! Rules for the time-outs and hedging of a class of requests, and the timeline of its worst case. The package uses no file, clock
+//! or socket, so that each rule can be tested alone.
 //!
-//! In the worst case each attempt is silent for all of its time, the establishment of its connection included. What a file
-//! promises must be over by then before the client gives up.
+//! In the worst case each attempt gets no response until its time-out, which includes connecting. All attempts must be over before
+//! the client's deadline.
 
 mod class_timing;
 mod rules;
--- a/crates/timing/src/rules.rs
+++ b/crates/timing/src/rules.rs
@@ -1,9 +1,9 @@
-//! The rules that a file must keep.
+//! The rules for the timing of a class.
 
 use crate::{ClassTiming, TimingRule, TimingViolation};
 
 impl ClassTiming {
-    /// All rules that are broken.
+    /// Checks all rules, and returns the violations.
     pub fn violations(&self) -> Vec<TimingViolation> {
         let mut violations = self.zero_values();
         violations.extend(self.objective_after_deadline());
@@ -26,18 +26,18 @@
     }
 
     fn zero_values(&self) -> Vec<TimingViolation> {
-        let stated = [
+        let configured = [
             ("wanted_ms", Some(self.latency_objective_ms)),
             ("deadline_ms", Some(self.deadline_ms)),
             ("attempts", self.max_attempts.map(u64::from)),
             ("attempt_ms", self.attempt_timeout_ms),
             ("copy_after_ms", self.hedge_after_ms),
         ];
-        let zeros = stated.iter().filter(|(_, value)| *value == Some(0));
-        let violation = |key: &str| {
+        let zeros = configured.iter().filter(|(_, value)| *value == Some(0));
+        let zero_value = |key: &str| {
             self.violation(TimingRule::ZeroValue, format!("{key} is 0"), "it must be above 0".into())
         };
-        zeros.map(|(key, _)| violation(key)).collect()
+        zeros.map(|(key, _)| zero_value(key)).collect()
     }
 
     fn objective_after_deadline(&self) -> Option<TimingViolation> {
--- a/crates/timing/src/rules/tests.rs
+++ b/crates/timing/src/rules/tests.rs
@@ -1,9 +1,9 @@
-//! Each rule by itself, and the worst case of classes that break none.
+//! Each rule alone, and the worst case of classes without violations.
 
 use super::*;
 use proptest::prelude::*;
 
-fn valid() -> ClassTiming {
+fn valid_class() -> ClassTiming {
     ClassTiming {
         class: "lookup".into(),
         idempotent: true,
@@ -17,56 +17,64 @@
     }
 }
 
-/// A class that breaks one rule, and the class as its remedy corrects it.
-type Case = (TimingRule, ClassTiming, ClassTiming);
+/// The rules that a class violates.
+fn violated_rules(class: &ClassTiming) -> Vec<TimingRule> {
+    class.violations().into_iter().map(|violation| violation.rule).collect()
+}
 
-fn assert_found_and_corrected(cases: &[Case]) {
-    for (rule, invalid, corrected) in cases {
-        let found: Vec<TimingRule> = invalid.violations().iter().map(|violation| violation.rule).collect();
-        assert_eq!(found, [*rule], "{invalid:?}");
-        assert_eq!(corrected.violations(), [], "{corrected:?}");
-    }
+/// Asserts that `invalid` violates only this rule, and that `corrected`, which follows the remedy, violates none.
+fn assert_violation(rule: TimingRule, invalid: &ClassTiming, corrected: &ClassTiming) {
+    assert_eq!(violated_rules(invalid), [rule], "{invalid:?}");
+    assert_eq!(corrected.violations(), [], "{corrected:?}");
 }
 
 #[test]
-fn a_valid_class_breaks_no_rule() {
-    assert_eq!(valid().violations(), []);
-    let unstated =
-        ClassTiming { max_attempts: None, attempt_timeout_ms: None, hedge_after_ms: None, ..valid() };
-    assert_eq!(unstated.violations(), []);
+fn a_valid_class_violates_no_rule() {
+    assert_eq!(valid_class().violations(), []);
+    let without_optional_values =
+        ClassTiming { max_attempts: None, attempt_timeout_ms: None, hedge_after_ms: None, ..valid_class() };
+    assert_eq!(without_optional_values.violations(), []);
 }
 
 #[test]
-fn each_violation_of_times_and_attempts_names_its_rule_and_its_remedy_corrects_it() {
-    let attempts = |count| ClassTiming { max_attempts: Some(count), ..valid() };
-    let timeout = |timeout| ClassTiming { attempt_timeout_ms: Some(timeout), ..valid() };
-    let objective = |objective| ClassTiming { latency_objective_ms: objective, ..valid() };
+fn a_violation_by_times_or_attempts_has_its_rule_and_the_remedy_corrects_it() {
+    let attempts = |count| ClassTiming { max_attempts: Some(count), ..valid_class() };
+    let timeout = |timeout| ClassTiming { attempt_timeout_ms: Some(timeout), ..valid_class() };
+    let objective = |objective| ClassTiming { latency_objective_ms: objective, ..valid_class() };
     let unhedged = |class| ClassTiming { hedge_after_ms: None, ..class };
     let non_idempotent = |class| ClassTiming { idempotent: false, ..unhedged(class) };
-    assert_found_and_corrected(&[
-        (TimingRule::ZeroValue, unhedged(attempts(0)), valid()),
-        (TimingRule::ZeroValue, unhedged(timeout(0)), valid()),
+    for (rule, invalid, corrected) in [
+        (TimingRule::ZeroValue, unhedged(attempts(0)), valid_class()),
+        (TimingRule::ZeroValue, unhedged(timeout(0)), valid_class()),
         (TimingRule::ObjectiveAfterDeadline, objective(2_501), objective(2_500)),
-        (TimingRule::TooManyAttempts, ClassTiming { max_attempts: Some(5), ..timeout(400) }, valid()),
+        (TimingRule::TooManyAttempts, ClassTiming { max_attempts: Some(5), ..timeout(400) }, valid_class()),
         (TimingRule::AttemptsExceedDeadline, timeout(834), timeout(833)),
-        (TimingRule::AttemptsExceedDeadline, ClassTiming { max_attempts: None, ..valid() }, valid()),
-        (TimingRule::AttemptsExceedDeadline, timeout(u64::MAX), valid()),
+        (
+            TimingRule::AttemptsExceedDeadline,
+            ClassTiming { max_attempts: None, ..valid_class() },
+            valid_class(),
+        ),
+        (TimingRule::AttemptsExceedDeadline, timeout(u64::MAX), valid_class()),
         (TimingRule::AttemptsExceedDeadline, non_idempotent(timeout(2_001)), non_idempotent(timeout(2_000))),
         (TimingRule::AttemptShorterThanConnect, timeout(250), timeout(251)),
-    ]);
+    ] {
+        assert_violation(rule, &invalid, &corrected);
+    }
 }
 
 #[test]
-fn each_violation_of_hedging_names_its_rule_and_its_remedy_corrects_it() {
-    let hedge = |after| ClassTiming { hedge_after_ms: Some(after), ..valid() };
+fn a_violation_by_hedging_has_its_rule_and_the_remedy_corrects_it() {
+    let hedge = |after| ClassTiming { hedge_after_ms: Some(after), ..valid_class() };
     let timeout_500 = |class| ClassTiming { attempt_timeout_ms: Some(500), ..class };
-    let attempts = |count| ClassTiming { max_attempts: Some(count), ..valid() };
-    assert_found_and_corrected(&[
-        (TimingRule::HedgeOfNonIdempotent, ClassTiming { idempotent: false, ..valid() }, valid()),
+    let attempts = |count| ClassTiming { max_attempts: Some(count), ..valid_class() };
+    for (rule, invalid, corrected) in [
+        (TimingRule::HedgeOfNonIdempotent, ClassTiming { idempotent: false, ..valid_class() }, valid_class()),
         (TimingRule::HedgeTooLate, hedge(600), hedge(599)),
         (TimingRule::HedgeNeverSent, timeout_500(hedge(500)), timeout_500(hedge(499))),
         (TimingRule::HedgeWithoutAttempt, attempts(1), attempts(2)),
-    ]);
+    ] {
+        assert_violation(rule, &invalid, &corrected);
+    }
 }
 
 #[test]
@@ -76,11 +84,10 @@
         latency_objective_ms: 3_000,
         attempt_timeout_ms: Some(100),
         hedge_after_ms: Some(3_000),
-        ..valid()
+        ..valid_class()
     };
-    let rules: Vec<TimingRule> = invalid.violations().into_iter().map(|f| f.rule).collect();
     assert_eq!(
-        rules,
+        violated_rules(&invalid),
         [
             TimingRule::ObjectiveAfterDeadline,
             TimingRule::AttemptShorterThanConnect,
@@ -115,11 +122,11 @@
         };
         let timeline = timing.worst_case_timeline();
         let end_ms = timeline.last().map_or(0, |entry| entry.at_ms);
-        let is_begin = |entry: &&crate::TimelineEntry| entry.event.ends_with("begins and is silent");
-        let begun = timeline.iter().filter(is_begin).count() as u32;
+        let is_start = |entry: &&crate::TimelineEntry| entry.event.ends_with("begins and is silent");
+        let attempts = timeline.iter().filter(is_start).count() as u32;
         if timing.violations().is_empty() {
             prop_assert!(end_ms <= deadline_ms, "{timing:?}: {timeline:?}");
-            prop_assert!(begun <= attempt_limit);
+            prop_assert!(attempts <= attempt_limit);
             prop_assert!(hedge_after_ms.is_none_or(|after| idempotent && after < latency_objective_ms));
         }
     }
--- a/crates/timing/src/timeline.rs
+++ b/crates/timing/src/timeline.rs
@@ -1,13 +1,13 @@
-//! The course of the worst case, as `snowfield explain` prints it.
+//! Timeline of the worst case, as `snowfield explain` prints it.
 
 use crate::ClassTiming;
 
-/// An event of the worst case.
+/// An event of the timeline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimelineEntry {
     /// Milliseconds after the request arrived.
     pub at_ms: u64,
-    /// What happens.
+    /// Description of the event.
     pub event: String,
 }
 
@@ -18,7 +18,7 @@
 }
 
 impl ClassTiming {
-    /// The course of the worst case, to its last event.
+    /// Returns the timeline of the worst case, in order of time.
     pub fn worst_case_timeline(&self) -> Vec<TimelineEntry> {
         let hedge_after = self.hedge_after_ms.filter(|_| self.idempotent);
         match self.attempt_timeout_ms {
@@ -27,16 +27,17 @@
         }
     }
 
-    /// Without a time-out an attempt that is silent lasts until the client gives up.
+    /// Timeline without a time-out of attempts: an attempt without a response lasts until the deadline.
     fn timeline_of_one_attempt(&self, hedge_after: Option<u64>) -> Vec<TimelineEntry> {
-        let begin = "attempt 1 begins and is silent; others follow only where one fails before";
-        let mut timeline = vec![TimelineEntry::new(0, begin)];
+        let start = "attempt 1 begins and is silent; others follow only where one fails before";
+        let mut timeline = vec![TimelineEntry::new(0, start)];
         timeline.extend(hedge_after.map(|after| TimelineEntry::new(after, "a second copy may be sent")));
         let end = "the client gives up, and has its answer just before";
         timeline.push(TimelineEntry::new(self.deadline_ms, end));
         timeline
     }
 
+    /// Timeline in which each attempt times out.
     fn timeline_of_attempts(&self, attempt_timeout: u64, hedge_after: Option<u64>) -> Vec<TimelineEntry> {
         let mut timeline = Vec::new();
         let mut now = 0;
@@ -47,12 +48,12 @@
                 let event = "a second copy may be sent in the place of a later attempt";
                 timeline.push(TimelineEntry::new(now + after, event));
             }
-            let (time, end) = if self.idempotent || attempt == attempts {
+            let (duration, end) = if self.idempotent || attempt == attempts {
                 (attempt_timeout, "is given up")
             } else {
                 (self.time_before_retry_ms(attempt_timeout), "has had no connection")
             };
-            now += time;
+            now += duration;
             timeline.push(TimelineEntry::new(now, format!("attempt {attempt} {end}")));
         }
         timeline.push(TimelineEntry::new(now, "the client has its answer"));
--- a/crates/timing/src/violation.rs
+++ b/crates/timing/src/violation.rs
@@ -1,38 +1,38 @@
-//! A rule that a file breaks, with a way to correct it.
+//! Violations of the rules, each with a remedy.
 
-/// A rule that a file can break.
+/// A rule for the timing of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TimingRule {
-    /// A time or a number is 0.
+    /// A time or a number of attempts is 0.
     ZeroValue,
-    /// The latency objective lies after the deadline.
+    /// The latency objective is longer than the deadline.
     ObjectiveAfterDeadline,
-    /// More attempts than any class may have.
+    /// The class has more attempts than the limit of all classes.
     TooManyAttempts,
-    /// The attempts do not fit before the client gives up.
+    /// In the worst case the attempts last longer than the deadline.
     AttemptsExceedDeadline,
-    /// An attempt ends before a connection can be established.
+    /// The time-out of an attempt is not longer than the connect time-out.
     AttemptShorterThanConnect,
-    /// A hedged request of what must not run twice.
+    /// Hedging is configured for non-idempotent requests.
     HedgeOfNonIdempotent,
-    /// A hedged request that cannot be answered in time.
+    /// A hedged request would be sent after the latency objective.
     HedgeTooLate,
-    /// A hedged request of an attempt that has timed out by then.
+    /// A hedged request would be sent after the time-out of the first attempt.
     HedgeNeverSent,
-    /// A hedged request where only one attempt is allowed.
+    /// Hedging is configured, but only one attempt is allowed.
     HedgeWithoutAttempt,
 }
 
-/// One broken rule. Its text is what `snowfield check` prints.
+/// A violation of a rule. `snowfield check` prints its text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("class {class:?}: {problem}; {remedy}")]
 pub struct TimingViolation {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// The rule.
+    /// The violated rule.
     pub rule: TimingRule,
-    /// What is wrong, with the values of the file.
+    /// Description of the violation, with the configured values.
     pub problem: String,
-    /// A way to correct it.
+    /// A change of the configuration that corrects it.
     pub remedy: String,
 }
--- a/crates/timing/tests/texts.rs
+++ b/crates/timing/tests/texts.rs
@@ -1,11 +1,11 @@
-//! The texts that `snowfield check` and `snowfield explain` print, as version 0.1.0 wrote them.
+//! Compatibility of the texts that `snowfield check` and `snowfield explain` print with those of version 0.1.0.
 
 use std::fmt::Write;
 use timing::ClassTiming;
 
 const TEXTS: &str = include_str!("fixtures/texts.txt");
 
-fn valid() -> ClassTiming {
+fn valid_class() -> ClassTiming {
     ClassTiming {
         class: "lookup".into(),
         idempotent: true,
@@ -19,44 +19,50 @@
     }
 }
 
-/// One class for each rule that a file can break, and some that break none.
+/// A class for each rule that violates it, and some classes without violations.
 fn classes() -> Vec<ClassTiming> {
     vec![
-        valid(),
-        ClassTiming { max_attempts: None, attempt_timeout_ms: None, hedge_after_ms: None, ..valid() },
-        ClassTiming { max_attempts: None, attempt_timeout_ms: None, ..valid() },
-        ClassTiming { idempotent: false, attempt_timeout_ms: Some(2_000), hedge_after_ms: None, ..valid() },
+        valid_class(),
+        ClassTiming { max_attempts: None, attempt_timeout_ms: None, hedge_after_ms: None, ..valid_class() },
+        ClassTiming { max_attempts: None, attempt_timeout_ms: None, ..valid_class() },
+        ClassTiming {
+            idempotent: false,
+            attempt_timeout_ms: Some(2_000),
+            hedge_after_ms: None,
+            ..valid_class()
+        },
         ClassTiming {
             latency_objective_ms: 0,
             deadline_ms: 0,
             max_attempts: Some(0),
             attempt_timeout_ms: Some(0),
             hedge_after_ms: Some(0),
-            ..valid()
+            ..valid_class()
         },
-        ClassTiming { latency_objective_ms: 2_501, ..valid() },
-        ClassTiming { max_attempts: Some(5), attempt_timeout_ms: Some(400), ..valid() },
-        ClassTiming { attempt_timeout_ms: Some(834), ..valid() },
-        ClassTiming { attempt_timeout_ms: Some(u64::MAX), hedge_after_ms: None, ..valid() },
-        ClassTiming { attempt_timeout_ms: Some(250), ..valid() },
-        ClassTiming { idempotent: false, ..valid() },
-        ClassTiming { hedge_after_ms: Some(600), ..valid() },
-        ClassTiming { hedge_after_ms: Some(500), attempt_timeout_ms: Some(500), ..valid() },
-        ClassTiming { max_attempts: Some(1), ..valid() },
+        ClassTiming { latency_objective_ms: 2_501, ..valid_class() },
+        ClassTiming { max_attempts: Some(5), attempt_timeout_ms: Some(400), ..valid_class() },
+        ClassTiming { attempt_timeout_ms: Some(834), ..valid_class() },
+        ClassTiming { attempt_timeout_ms: Some(u64::MAX), hedge_after_ms: None, ..valid_class() },
+        ClassTiming { attempt_timeout_ms: Some(250), ..valid_class() },
+        ClassTiming { idempotent: false, ..valid_class() },
+        ClassTiming { hedge_after_ms: Some(600), ..valid_class() },
+        ClassTiming { hedge_after_ms: Some(500), attempt_timeout_ms: Some(500), ..valid_class() },
+        ClassTiming { max_attempts: Some(1), ..valid_class() },
     ]
 }
 
-fn written() -> String {
+fn printed_texts() -> String {
     let mut text = String::new();
     for class in classes() {
         for violation in class.violations() {
-            writeln!(text, "{violation}").expect("a text");
+            writeln!(text, "{violation}").expect("writing to a string cannot fail");
         }
-        // The timeline of a class with violations is shown to nobody, and the largest times overflow in it.
+        // The program does not print the timeline of a class with violations, and the maximum time-out would overflow in it.
         let timeline =
             if class.attempt_timeout_ms == Some(u64::MAX) { Vec::new() } else { class.worst_case_timeline() };
         for entry in timeline {
-            writeln!(text, "  {:>6} ms  {}", entry.at_ms, entry.event).expect("a text");
+            writeln!(text, "  {:>6} ms  {}", entry.at_ms, entry.event)
+                .expect("writing to a string cannot fail");
         }
         text += "----\n";
     }
@@ -64,6 +70,6 @@
 }
 
 #[test]
-fn writes_the_texts_of_version_0_1_0() {
-    assert_eq!(written(), TEXTS);
+fn texts_are_those_of_version_0_1_0() {
+    assert_eq!(printed_texts(), TEXTS);
 }
