--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -1,4 +1,4 @@
-//! The appliance's configuration file: where it listens, its OpenAPI descriptions, tenants and plans, and Consul.
+//! The configuration file of the appliance, in TOML.
 
 mod classes;
 mod cluster;
@@ -24,62 +24,62 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Limit on services, each of which is watched by itself.
+/// Maximum number of services. Each has its own watch.
 const MAX_SERVICES: usize = 32;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// The message alone.
+    /// Text.
     #[default]
     Plain,
-    /// JSON, with the machine's monotonic clock.
+    /// JSON, with the time of the machine's monotonic clock.
     Json,
 }
 
-/// The file in the types that the program uses.
+/// Configuration of the appliance.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplianceConfig {
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where the console asks for the live status; on loopback only.
+    /// Address at which the console polls the live status, on the loopback interface.
     pub status: Option<SocketAddr>,
-    /// The form of log lines; `SNOWFIELD_LOG` overrides it.
+    /// Format of log lines. `SNOWFIELD_LOG` overrides it.
     #[serde(rename = "log", default)]
     pub log_format: LogFormat,
-    /// The OpenAPI descriptions, relative to the file's directory.
+    /// Paths of the OpenAPI descriptions, relative to the directory of this file.
     pub descriptions: Vec<PathBuf>,
-    /// The HTTP header that names the tenant.
+    /// HTTP header with the name of the tenant.
     #[serde(rename = "lender_header")]
     pub tenant_header: String,
-    /// Where the endpoint lists come from.
+    /// Consul, the source of the endpoint lists.
     pub consul: ConsulConfig,
-    /// How the quotas are shared with other gatekeepers.
+    /// Sharing of quotas with other gatekeepers.
     #[serde(default)]
     pub quota: QuotaConfig,
     /// Limits and time-outs.
     #[serde(default)]
     pub limits: LimitsConfig,
-    /// How backends warm up.
+    /// Slow start of backends.
     #[serde(rename = "fleet", default)]
     pub slow_start: SlowStartConfig,
-    /// Further services.
+    /// Services other than that of `consul`.
     #[serde(rename = "service", default)]
     pub services: Vec<ServiceConfig>,
     /// The registration of this process.
     #[serde(rename = "register")]
     pub registration: Option<RegistrationConfig>,
-    /// The instances that share periodic jobs.
+    /// Cluster of instances that share periodic jobs.
     pub cluster: Option<ClusterConfig>,
-    /// How plans are replicated among the gatekeepers.
+    /// Replication of plans among the gatekeepers.
     #[serde(rename = "agreed")]
     pub replication: Option<ReplicationConfig>,
     /// Active health checks of the backends.
     #[serde(rename = "probe")]
     pub health_check: Option<HealthCheckConfig>,
-    /// Periodic jobs that are HTTP calls.
+    /// Periodic jobs.
     #[serde(rename = "duty", default)]
     pub periodic_jobs: Vec<PeriodicJobConfig>,
     /// The classes of requests.
@@ -94,11 +94,11 @@
 }
 
 impl ApplianceConfig {
-    /// Reads the file and checks all that can be checked without other files.
+    /// Parses the file and validates everything that does not depend on other files.
     ///
     /// # Errors
     ///
-    /// Says what is missing or cannot be used.
+    /// Returns an error with the missing key or the invalid value.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let config: Self = toml::from_str(text)?;
         config.validate()?;
@@ -129,9 +129,8 @@
 
     fn validate_tenant_header(&self) -> Result<(), SettingsError> {
         let header = &self.tenant_header;
-        let valid = !header.is_empty()
-            && header.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_".contains(&byte));
-        if valid {
+        let is_header_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
+        if !header.is_empty() && header.bytes().all(is_header_byte) {
             Ok(())
         } else {
             Err(invalid("lender_header", format!("{header:?}"), "the name of a header"))
@@ -154,8 +153,8 @@
     }
 
     fn validate_timing(&self) -> Result<(), SettingsError> {
-        let findings: Vec<_> = self.timings().iter().flat_map(timing::ClassTiming::violations).collect();
-        if findings.is_empty() { Ok(()) } else { Err(SettingsError::Timing(findings)) }
+        let violations: Vec<_> = self.timings().iter().flat_map(timing::ClassTiming::violations).collect();
+        if violations.is_empty() { Ok(()) } else { Err(SettingsError::Timing(violations)) }
     }
 
     fn validate_services(&self) -> Result<(), SettingsError> {
@@ -171,23 +170,23 @@
         Ok(())
     }
 
-    /// Names of the services, the one under `consul` first.
+    /// Names of the services, that of `consul` first.
     pub fn service_names(&self) -> Vec<&str> {
         let further = self.services.iter().map(|service| service.name.as_str());
         std::iter::once(self.consul.service.as_str()).chain(further).collect()
     }
 
-    /// The stated times of each class.
+    /// Timing of each class.
     pub fn timings(&self) -> Vec<timing::ClassTiming> {
         self.classes.iter().map(|class| class.timing(&self.limits)).collect()
     }
 
-    /// The number of a class, by its place in the file.
+    /// Number of a class: its position in the file.
     pub fn class_number(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The number of a plan, by its place in the file.
+    /// Number of a plan: its position in the file.
     pub fn plan_number(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|plan| plan.name == name)
     }
--- a/crates/settings/src/appliance/classes.rs
+++ b/crates/settings/src/appliance/classes.rs
@@ -1,15 +1,15 @@
-//! The table `[[class]]`: classes of requests and their times.
+//! The table `[[class]]`: classes of requests and their timing.
 
 use super::LimitsConfig;
 use serde::Deserialize;
 
-/// What a repetition of a request may do.
+/// Effect of executing a request again.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatEffect {
-    /// Nothing: requests are idempotent, and may be retried and hedged.
+    /// None: requests are idempotent, and may be retried and hedged.
     Safe,
-    /// Harm: a request that may have been executed is never sent again.
+    /// Harmful: a request that may have been executed is never retried.
     Unsafe,
 }
 
@@ -17,22 +17,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
-    /// Its name in the descriptions.
+    /// Name of the class in the descriptions.
     pub name: String,
-    /// What a repetition may do.
+    /// Effect of executing a request again.
     pub repeat: RepeatEffect,
     /// Latency objective in milliseconds.
     #[serde(rename = "wanted_ms")]
     pub latency_objective_ms: u64,
-    /// Clients give up after this many milliseconds.
+    /// Deadline in milliseconds, after which clients give up.
     pub deadline_ms: u64,
-    /// Limit on the attempts of one request, if not `limits.route_steps`.
+    /// Maximum number of attempts of one request; `limits.route_steps` by default.
     #[serde(rename = "attempts")]
     pub max_attempts: Option<u32>,
-    /// Time-out of one attempt in milliseconds, connecting included; without it, until the client gives up.
+    /// Time-out of one attempt in milliseconds, including the time to connect. By default an attempt lasts until the deadline.
     #[serde(rename = "attempt_ms")]
     pub attempt_timeout_ms: Option<u64>,
-    /// A hedged request may be sent after this many milliseconds; without it, after a part of the latency objective.
+    /// Delay of a hedged request in milliseconds. By default it is a fraction of the latency objective.
     #[serde(rename = "copy_after_ms")]
     pub hedge_after_ms: Option<u64>,
     /// Priority weight of one unit.
@@ -45,7 +45,7 @@
 }
 
 impl ClassConfig {
-    /// The stated times, as their rules are checked.
+    /// The timing to which the timing rules apply.
     pub(super) fn timing(&self, limits: &LimitsConfig) -> timing::ClassTiming {
         timing::ClassTiming {
             class: self.name.clone(),
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -1,59 +1,60 @@
-//! The tables `[cluster]`, `[probe]` and `[[duty]]`: instances that share periodic jobs, and health checks.
+//! The tables `[cluster]`, `[probe]` and `[[duty]]`: cluster membership, health checks and periodic jobs.
 
 use crate::SettingsError;
 use crate::validation::{
-    PERIODS_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique, invalid,
+    PERIOD_RANGE_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique, invalid,
 };
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 const MAX_PREFIX_BYTES: usize = 128;
-/// ms; gossip rounds and time-outs of the lease store.
-const SHORT_SPANS_MS: std::ops::RangeInclusive<u64> = 10..=10_000;
+/// Allowed gossip intervals and time-outs of the lease store, in milliseconds.
+const INTERVAL_RANGE_MS: RangeInclusive<u64> = 10..=10_000;
 const MAX_CLOCK_SKEW_MS: u64 = 10_000;
-/// Each standby reads the lease store in each period.
+/// Maximum number of standbys. Each standby reads the lease store once per period.
 const MAX_STANDBYS: usize = 15;
 
-/// How this instance takes part in a cluster.
+/// Membership of this instance in a cluster.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterConfig {
-    /// Its name, which no other instance has.
+    /// Unique name of this instance.
     pub name: String,
-    /// Where it receives gossip (UDP).
+    /// UDP address at which it receives gossip.
     pub listen: SocketAddr,
-    /// Where the others reach it, if not at `listen`.
+    /// Address at which other instances reach it; `listen` by default.
     pub advertise: Option<SocketAddr>,
-    /// Where others may be found at first.
+    /// Addresses of seed members.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The file with the keys that authenticate gossip, relative to this file's directory.
+    /// File with the keys that authenticate gossip, relative to the directory of this file.
     pub key_file: PathBuf,
     /// Prefix of all keys in the lease store.
     #[serde(default = "default_prefix")]
     pub prefix: String,
-    /// The Consul that stores the leases, if not `consul.address`.
+    /// Address of the Consul agent that stores the leases; `consul.address` by default.
     pub store: Option<SocketAddr>,
-    /// The file with the ACL token for it, relative to this file's directory; without it, and without `store`, that of
-    /// `consul`.
+    /// File with the ACL token for the lease store, relative to the directory of this file. The token file of `consul` if neither this
+    /// nor `store` is configured.
     pub store_token_file: Option<PathBuf>,
-    /// Time-out of a call to it, in milliseconds.
+    /// Time-out of a call to the lease store, in milliseconds.
     #[serde(default = "default_store_timeout_ms")]
     pub store_timeout_ms: u64,
-    /// Members that stand by behind the first for a job.
+    /// Number of standby members per job, in addition to the first.
     #[serde(default = "default_standbys")]
     pub standbys: usize,
-    /// The most by which the clocks of two instances may differ, in milliseconds.
+    /// Maximum clock skew between two instances, in milliseconds.
     #[serde(rename = "skew_ms", default = "default_max_clock_skew_ms")]
     pub max_clock_skew_ms: u64,
-    /// Interval of gossip, in milliseconds.
+    /// Gossip interval in milliseconds.
     #[serde(rename = "gossip_ms", default = "default_gossip_interval_ms")]
     pub gossip_interval_ms: u64,
-    /// A suspected member counts as dead after this many milliseconds.
+    /// Time in milliseconds after which a suspected member counts as dead.
     #[serde(rename = "suspect_ms", default = "default_suspicion_timeout_ms")]
     pub suspicion_timeout_ms: u64,
-    /// Added to the wall clock, in milliseconds: for tests with clocks that differ.
+    /// Offset added to the wall clock in milliseconds, for tests of clock skew.
     #[serde(default)]
     pub clock_offset_ms: i64,
 }
@@ -92,19 +93,17 @@
             return Err(SettingsError::PortUnknown { key: "cluster.listen", remedy });
         }
         self.validate_prefix()?;
-        check_range("cluster.gossip_ms", self.gossip_interval_ms, SHORT_SPANS_MS)?;
+        check_range("cluster.gossip_ms", self.gossip_interval_ms, INTERVAL_RANGE_MS)?;
         check_minimum("cluster.suspect_ms", self.suspicion_timeout_ms, 2 * self.gossip_interval_ms)?;
-        check_range("cluster.store_timeout_ms", self.store_timeout_ms, SHORT_SPANS_MS)?;
+        check_range("cluster.store_timeout_ms", self.store_timeout_ms, INTERVAL_RANGE_MS)?;
         check_range("cluster.skew_ms", self.max_clock_skew_ms, 0..=MAX_CLOCK_SKEW_MS)?;
         check_range("cluster.standbys", self.standbys, 0..=MAX_STANDBYS)
     }
 
     fn validate_prefix(&self) -> Result<(), SettingsError> {
         let prefix = &self.prefix;
-        let valid = (1..=MAX_PREFIX_BYTES).contains(&prefix.len())
-            && !prefix.starts_with('/')
-            && !prefix.ends_with('/');
-        if valid {
+        let has_outer_slash = prefix.starts_with('/') || prefix.ends_with('/');
+        if (1..=MAX_PREFIX_BYTES).contains(&prefix.len()) && !has_outer_slash {
             return Ok(());
         }
         let requirement = format!("1 to {MAX_PREFIX_BYTES} bytes without a slash at either end");
@@ -116,21 +115,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
-    /// The path of the GET request.
+    /// Path of the GET request.
     pub path: String,
-    /// Milliseconds between two checks of a backend.
+    /// Interval between two checks of a backend, in milliseconds.
     #[serde(default = "default_health_check_period_ms")]
     pub period_ms: u64,
-    /// Milliseconds within which it must respond with 200 to 299.
+    /// Time in milliseconds within which a healthy backend responds with a status from 200 to 299.
     #[serde(default = "default_health_check_timeout_ms")]
     pub timeout_ms: u64,
-    /// Consecutive failures that make a backend unhealthy.
+    /// Number of consecutive failures after which a backend is unhealthy.
     #[serde(rename = "down_after", default = "default_threshold")]
     pub unhealthy_threshold: u32,
-    /// Consecutive successes that make it healthy again.
+    /// Number of consecutive successes after which it is healthy again.
     #[serde(rename = "up_after", default = "default_threshold")]
     pub healthy_threshold: u32,
-    /// Limit on the share of the backends that health checks may take out of use at once.
+    /// Maximum share of the backends that health checks may eject at the same time.
     #[serde(rename = "most_out", default = "default_max_ejected_share")]
     pub max_ejected_share: f64,
 }
@@ -156,7 +155,7 @@
         if !self.path.starts_with('/') || !is_printable(&self.path) {
             return Err(invalid("probe.path", format!("{:?}", self.path), "a path"));
         }
-        check_range("probe.period_ms", self.period_ms, PERIODS_MS)?;
+        check_range("probe.period_ms", self.period_ms, PERIOD_RANGE_MS)?;
         check_range("probe.timeout_ms", self.timeout_ms, 1..=self.period_ms)?;
         check_minimum("probe.down_after", self.unhealthy_threshold, 1)?;
         check_minimum("probe.up_after", self.healthy_threshold, 1)?;
@@ -168,17 +167,17 @@
     }
 }
 
-/// A periodic job that is an HTTP call.
+/// A periodic job, which is an HTTP call.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeriodicJobConfig {
-    /// Its name.
+    /// Name of the job.
     pub name: String,
-    /// It runs once in this many milliseconds.
+    /// Period in milliseconds.
     pub period_ms: u64,
-    /// The target of the POST request: `http://ADDRESS:PORT/PATH`.
+    /// URL of the POST request: `http://ADDRESS:PORT/PATH`.
     pub url: String,
-    /// Milliseconds within which the target must respond.
+    /// Time-out of the call in milliseconds.
     #[serde(default = "default_job_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -191,7 +190,7 @@
     fn validate(&self) -> Result<(), SettingsError> {
         check_identifier("duty.name", &self.name)?;
         let key = |name: &str| format!("duty {:?}: {name}", self.name);
-        check_range(key("period_ms"), self.period_ms, PERIODS_MS)?;
+        check_range(key("period_ms"), self.period_ms, PERIOD_RANGE_MS)?;
         check_minimum(key("timeout_ms"), self.timeout_ms, 1)?;
         if !self.has_loopback_target() || !is_printable(&self.url) {
             let requirement = "http://ADDRESS:PORT/PATH on loopback";
@@ -211,7 +210,7 @@
     text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Checks the three tables, by themselves and together.
+/// Validates the three tables, each alone and together.
 pub(super) fn validate(
     cluster: Option<&ClusterConfig>,
     health_check: Option<&HealthCheckConfig>,
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -1,82 +1,78 @@
-//! The tables `[consul]`, `[[service]]` and `[register]`: where the endpoint lists come from, and the registration of this
-//! process.
+//! The tables `[consul]`, `[[service]]` and `[register]`: the source of the endpoint lists, and the registration of this process.
 
 use crate::SettingsError;
 use crate::validation::{check_minimum, check_range, invalid};
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// ms; how long a blocking query may stay open, by Consul's own limit.
-const WAITS_MS: std::ops::RangeInclusive<u64> = 1..=600_000;
+/// Allowed waits of a blocking query in milliseconds. The maximum is Consul's.
+const WAIT_RANGE_MS: RangeInclusive<u64> = 1..=600_000;
 const MAX_FURTHER_AGENTS: usize = 8;
-/// ms
-const MAX_SUDDEN_LOSS_GRACE_MS: u64 = 600_000;
-/// ms
+const MAX_SUDDEN_LOSS_RETENTION_MS: u64 = 600_000;
 const MIN_TTL_MS: u64 = 1_000;
 
-/// Where the endpoint lists come from.
+/// Consul, the source of the endpoint lists.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConsulConfig {
-    /// The agent's HTTP API.
+    /// Address of the HTTP API of the first agent.
     pub address: SocketAddr,
-    /// Further agents, used in this order while the first does not answer.
+    /// Further agents for failover, in order of preference.
     #[serde(rename = "agents", default)]
     pub further_agents: Vec<SocketAddr>,
-    /// The service whose instances are the backends of routes that name none.
+    /// Name of the service of routes without their own service.
     pub service: String,
-    /// Only instances with this tag.
+    /// Restricts the list to instances with this tag.
     pub tag: Option<String>,
-    /// A filter expression of Consul.
+    /// Filter expression in Consul's syntax.
     pub filter: Option<String>,
-    /// The file with the ACL token, relative to this file's directory; read again when it changes.
+    /// File with the ACL token, relative to the directory of this file. It is read before each request.
     pub token_file: Option<PathBuf>,
     /// Datacentre, if not the agent's own.
     pub datacenter: Option<String>,
-    /// Namespace.
+    /// Namespace, if not the agent's own.
     pub namespace: Option<String>,
-    /// Partition.
+    /// Partition, if not the agent's own.
     pub partition: Option<String>,
-    /// Responses may come from a server that has heard from its leader within this many milliseconds; without it the leader is
-    /// asked.
+    /// Maximum staleness in milliseconds of stale reads. Without it all reads are consistent reads from the leader.
     #[serde(rename = "stale_ms")]
     pub max_stale_ms: Option<u64>,
-    /// How long a blocking query may stay open, in milliseconds.
+    /// Maximum duration of a blocking query in milliseconds.
     #[serde(default = "default_wait_ms")]
     pub wait_ms: u64,
-    /// The worst health with which a backend gets requests.
+    /// The worst health status of an eligible backend.
     #[serde(rename = "takes_work", default)]
     pub minimum_health: MinimumHealth,
-    /// The file that caches the last list, relative to this file's directory.
+    /// Cache file of the endpoint lists, relative to the directory of this file.
     #[serde(rename = "list_file")]
     pub cache_file: Option<PathBuf>,
-    /// An older cached list is not used, in seconds.
+    /// Maximum age in seconds of a cached list.
     #[serde(rename = "list_max_age_s", default = "default_cache_max_age_s")]
     pub cache_max_age_s: u64,
-    /// An instance that returns for the second time is held back for this many milliseconds, each further time for twice as
-    /// long ...
-    #[serde(rename = "flap_hold_ms", default = "default_flap_damping_ms")]
-    pub flap_damping_ms: u64,
-    /// ... up to this.
-    #[serde(rename = "flap_longest_ms", default = "default_max_flap_damping_ms")]
-    pub max_flap_damping_ms: u64,
-    /// Where this share of the list vanishes in one response, the loss is held back ...
+    /// Suppression time in milliseconds of an instance that recovers from its second recent flap. It doubles with each further flap.
+    #[serde(rename = "flap_hold_ms", default = "default_flap_suppression_ms")]
+    pub flap_suppression_ms: u64,
+    /// Upper bound of the suppression time in milliseconds.
+    #[serde(rename = "flap_longest_ms", default = "default_max_flap_suppression_ms")]
+    pub max_flap_suppression_ms: u64,
+    /// A response that drops at least this share of the list is a sudden loss.
     #[serde(rename = "sudden_share", default = "default_sudden_loss_share")]
     pub sudden_loss_share: f64,
-    /// ... for this many milliseconds, for those that still respond.
-    #[serde(rename = "sudden_hold_ms", default = "default_sudden_loss_grace_ms")]
-    pub sudden_loss_grace_ms: u64,
+    /// Time in milliseconds for which instances that still respond are retained after a sudden loss.
+    #[serde(rename = "sudden_hold_ms", default = "default_sudden_loss_retention_ms")]
+    pub sudden_loss_retention_ms: u64,
 }
 
-/// The worst health with which a backend gets requests.
+/// The worst health status of an eligible backend.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MinimumHealth {
-    /// All checks pass.
+    /// All checks are passing.
     #[default]
     Passing,
-    /// Checks may warn.
+    /// Checks may be in warning state.
     Warning,
 }
 
@@ -88,11 +84,11 @@
     86_400
 }
 
-fn default_flap_damping_ms() -> u64 {
+fn default_flap_suppression_ms() -> u64 {
     2_000
 }
 
-fn default_max_flap_damping_ms() -> u64 {
+fn default_max_flap_suppression_ms() -> u64 {
     60_000
 }
 
@@ -100,7 +96,7 @@
     0.5
 }
 
-fn default_sudden_loss_grace_ms() -> u64 {
+fn default_sudden_loss_retention_ms() -> u64 {
     15_000
 }
 
@@ -109,13 +105,13 @@
         if self.service.is_empty() {
             return Err(invalid("consul.service", "\"\"", "the name of a service"));
         }
-        check_range("consul.wait_ms", self.wait_ms, WAITS_MS)?;
+        check_range("consul.wait_ms", self.wait_ms, WAIT_RANGE_MS)?;
         self.validate_agents()?;
         if !(self.sudden_loss_share > 0.0 && self.sudden_loss_share <= 1.0) {
             return Err(invalid("consul.sudden_share", self.sudden_loss_share, "above 0 and at most 1"));
         }
-        check_minimum("consul.flap_longest_ms", self.max_flap_damping_ms, self.flap_damping_ms)?;
-        check_range("consul.sudden_hold_ms", self.sudden_loss_grace_ms, 0..=MAX_SUDDEN_LOSS_GRACE_MS)
+        check_minimum("consul.flap_longest_ms", self.max_flap_suppression_ms, self.flap_suppression_ms)?;
+        check_range("consul.sudden_hold_ms", self.sudden_loss_retention_ms, 0..=MAX_SUDDEN_LOSS_RETENTION_MS)
     }
 
     fn validate_agents(&self) -> Result<(), SettingsError> {
@@ -131,15 +127,15 @@
     }
 }
 
-/// A further service, for routes that name it.
+/// A service that routes may name.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Only instances with this tag.
+    /// Restricts the list to instances with this tag.
     pub tag: Option<String>,
-    /// A filter expression of Consul.
+    /// Filter expression in Consul's syntax.
     pub filter: Option<String>,
 }
 
@@ -147,13 +143,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegistrationConfig {
-    /// The service's name.
+    /// Name of the service.
     pub name: String,
-    /// The instance's id, which no other instance has.
+    /// Unique id of this instance.
     pub id: String,
-    /// Where clients reach it, if not at `listen`.
+    /// Address at which clients reach it; `listen` by default.
     pub address: Option<SocketAddr>,
-    /// Its check fails when it is not renewed for this many milliseconds.
+    /// Time in milliseconds after the last heartbeat at which its TTL check becomes critical.
     #[serde(default = "default_ttl_ms")]
     pub ttl_ms: u64,
 }
@@ -163,7 +159,7 @@
 }
 
 impl RegistrationConfig {
-    /// `listen`: where clients connect.
+    /// Validates the table. `listen` is the address at which clients connect.
     pub(super) fn validate(&self, listen: SocketAddr) -> Result<(), SettingsError> {
         for (key, value) in [("register.name", &self.name), ("register.id", &self.id)] {
             if value.is_empty() {
--- a/crates/settings/src/appliance/limits.rs
+++ b/crates/settings/src/appliance/limits.rs
@@ -4,25 +4,26 @@
 use crate::validation::{check_minimum, check_range};
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
-/// What the program itself needs, and some connections on both sides.
+/// Minimum of `limits.sockets`: the descriptors of the program itself, and some connections on both sides.
 const MIN_SOCKETS: usize = 128;
-const ATTEMPTS: std::ops::RangeInclusive<u32> = 1..=16;
+const MAX_ATTEMPTS_RANGE: RangeInclusive<u32> = 1..=16;
 
-/// How the quotas are shared.
+/// Sharing of quotas among gatekeepers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaConfig {
-    /// Gatekeepers that share the quotas.
+    /// Number of gatekeepers that share the quotas.
     pub gatekeepers: u32,
-    /// The number of this one, from 0.
+    /// Number of this gatekeeper, from 0.
     pub number: u32,
-    /// The quota counter; without one each gatekeeper keeps to an even share.
+    /// Address of the quota counter. Without one each gatekeeper grants an even share of each quota.
     pub counter: Option<SocketAddr>,
-    /// Time-out of a call to it, in milliseconds.
+    /// Time-out of a call to the counter, in milliseconds.
     #[serde(rename = "counter_wait_ms")]
     pub counter_timeout_ms: u64,
-    /// Limit on Retry-After, in milliseconds.
+    /// Maximum Retry-After in milliseconds.
     #[serde(rename = "longest_retry_after_ms")]
     pub max_retry_after_ms: u64,
 }
@@ -37,25 +38,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsConfig {
-    /// Limit on a request's body, in bytes.
+    /// Maximum size of a request body in bytes.
     #[serde(rename = "body_bytes")]
     pub max_body_bytes: usize,
-    /// Limit on a backend's response, in bytes.
+    /// Maximum size of a backend's response in bytes.
     #[serde(rename = "answer_bytes")]
     pub max_response_bytes: usize,
-    /// Limit on the connections of both sides together.
+    /// Maximum number of connections of both sides together.
     #[serde(rename = "sockets")]
     pub max_sockets: usize,
     /// Time-out for connecting to a backend, in milliseconds.
     #[serde(rename = "connect_ms")]
     pub connect_timeout_ms: u64,
-    /// An idle connection to a backend is closed after this many milliseconds.
+    /// Time in milliseconds after which an idle connection to a backend is closed.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: u64,
-    /// Limit on the attempts of one request.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "route_steps")]
     pub max_attempts: u32,
-    /// A client must have sent a complete request, or read its response, within this many milliseconds.
+    /// Time in milliseconds within which a client has to send a complete request, or to read its response.
     #[serde(rename = "patience_ms")]
     pub client_timeout_ms: u64,
 }
@@ -77,23 +78,23 @@
 impl LimitsConfig {
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         check_minimum("limits.sockets", self.max_sockets, MIN_SOCKETS)?;
-        check_range("limits.route_steps", self.max_attempts, ATTEMPTS)
+        check_range("limits.route_steps", self.max_attempts, MAX_ATTEMPTS_RANGE)
     }
 }
 
-/// How backends warm up after a start.
+/// Slow start of backends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlowStartConfig {
-    /// The share of its capacity that a backend has at first.
+    /// Share of its capacity that a backend has right after its start.
     #[serde(rename = "cold_share")]
     pub initial_share: f64,
-    /// It is warm after this many milliseconds; 0 for at once.
+    /// Duration of slow start in milliseconds; 0 for none.
     #[serde(rename = "cold_ms")]
     pub duration_ms: u64,
-    /// A backend that is sent more than this multiple of its capacity while it warms up ...
+    /// A backend in slow start collapses under a load of more than this multiple of its capacity ...
     pub overload_factor: f64,
-    /// ... for this many milliseconds collapses.
+    /// ... that lasts for this many milliseconds.
     #[serde(rename = "fall_ms")]
     pub collapse_after_ms: u64,
 }
--- a/crates/settings/src/appliance/plan_version.rs
+++ b/crates/settings/src/appliance/plan_version.rs
@@ -1,11 +1,11 @@
-//! A version of the plans that the gatekeepers agree on: its text, and the plans that follow from it.
+//! Versions of the replicated plans: parsing, and the plans that result from them.
 
 use super::{ApplianceConfig, PlanConfig};
 use crate::SettingsError;
 use crate::validation::check_unique;
 use serde::Deserialize;
 
-/// The text of a version.
+/// Schema of a version.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlanVersion {
@@ -13,14 +13,14 @@
     plans: Vec<PlanConfig>,
 }
 
-/// The policy wants rates above 0; one unit a day admits nobody.
+/// Minimum rate. The policy requires rates above 0, and one unit per day admits practically no requests.
 const MIN_RATE: f64 = 1.0 / 86_400.0;
 
-/// The plans of a version: those of the file, with the figures of this text where it has the plan.
+/// Applies a version: returns the plans of the file, of which those in the version are replaced.
 ///
 /// # Errors
 ///
-/// The text cannot be read, names a plan that the file lacks, or its figures cannot be used.
+/// Returns an error if the text is invalid, names a plan that the file does not define, or has invalid limits.
 pub fn apply_version(config: &ApplianceConfig, text: &str) -> Result<Vec<PlanConfig>, SettingsError> {
     let version: PlanVersion = toml::from_str(text)?;
     check_unique("plan", version.plans.iter().map(|plan| plan.name.as_str()))?;
@@ -39,7 +39,7 @@
     Ok(plans)
 }
 
-/// The smaller of each figure: what neither of the two versions contradicts. Both are of the same file.
+/// The stricter limit of each plan of two versions of the same file, so that both versions are respected.
 pub fn stricter(one: &[PlanConfig], other: &[PlanConfig]) -> Vec<PlanConfig> {
     one.iter().zip(other).map(|(one, other)| stricter_plan(one, other)).collect()
 }
@@ -55,12 +55,12 @@
     }
 }
 
-/// 0 stands for no ceiling.
+/// The lower of two ceilings, where 0 stands for none.
 fn stricter_ceiling(one: f64, other: f64) -> f64 {
     if one > 0.0 && other > 0.0 { one.min(other) } else { one.max(other) }
 }
 
-/// This share of each figure: what a gatekeeper grants that may not know the last version.
+/// The limits of plans scaled by `share`, for a gatekeeper without a lease, which may not know the last version.
 pub fn scaled(plans: &[PlanConfig], share: f64) -> Vec<PlanConfig> {
     let scale = |plan: &PlanConfig| PlanConfig {
         name: plan.name.clone(),
--- a/crates/settings/src/appliance/plans.rs
+++ b/crates/settings/src/appliance/plans.rs
@@ -1,19 +1,19 @@
-//! The tables `[[plan]]` and `[[lender]]`: what tenants may use.
+//! The tables `[[plan]]` and `[[lender]]`: plans and tenants.
 
 use crate::SettingsError;
 use serde::Deserialize;
 
-/// A plan.
+/// A plan: the limits of its tenants.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanConfig {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Units a second of each of its tenants.
+    /// Quota of each tenant in units per second.
     pub units_per_second: f64,
-    /// Units that a tenant may use at once.
+    /// Units that a tenant may use at once (depth of the token bucket).
     pub burst: f64,
-    /// Hard ceiling in units a second; 0 for none.
+    /// Hard ceiling in units per second; 0 for none.
     #[serde(default)]
     pub ceiling_per_second: f64,
     /// Units that the ceiling admits at once.
@@ -29,7 +29,7 @@
 }
 
 impl PlanConfig {
-    /// Whether it gives its tenants anything.
+    /// Checks that the plan admits requests.
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         if self.units_per_second > 0.0 && self.burst > 0.0 {
             return Ok(());
@@ -42,17 +42,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// Its name, as the header gives it.
+    /// Name of the tenant, as in the header.
     pub name: String,
-    /// The name of its plan.
+    /// Name of its plan.
     pub plan: String,
 }
 
-/// FNV-1a, 64 bits.
+/// Constants of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// The number of a tenant: a hash of its name, so that it is the same at every gatekeeper whatever the order of its file.
+/// Number of a tenant: a hash of its name, so that it does not depend on the order of tenants in the file of a gatekeeper.
 pub fn tenant_number(name: &str) -> u64 {
     name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- a/crates/settings/src/appliance/policy_settings.rs
+++ b/crates/settings/src/appliance/policy_settings.rs
@@ -1,30 +1,30 @@
-//! The file in the policy's types.
+//! Conversion of the file to the settings of the policy.
 
 use super::{ApplianceConfig, ClassConfig, PlanConfig, RepeatEffect};
 use crate::SettingsError;
 
-/// The policy's housekeeping interval in microseconds.
+/// Interval of the policy's housekeeping, in microseconds.
 const TICK_US: policy::Micros = 4_000;
-/// How long a draining backend may still be sent what was decided before, in microseconds.
+/// Time for which requests that were already assigned to a draining backend may still be forwarded to it, in microseconds.
 const DRAIN_GRACE_US: policy::Micros = 1_000_000;
-/// Factor on all plans of a build that breaks its ceilings on purpose.
+/// Factor by which the seeded fault `ceilings` raises the limits of plans.
 const SEEDED_FAULT_FACTOR: f64 = 4.0;
 
-/// A class of the policy: the requests of one class of the file to one service.
+/// A class of the policy: the requests of a configured class to one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteClass {
-    /// The service, by its place in [`ApplianceConfig::service_names`].
+    /// Index of the service in [`ApplianceConfig::service_names`].
     pub service: u16,
-    /// The class, by its place in [`ApplianceConfig::classes`].
+    /// Index of the class in [`ApplianceConfig::classes`].
     pub class: usize,
 }
 
 impl ApplianceConfig {
-    /// The policy's settings, where one request takes at most `max_units` and the policy's classes are these.
+    /// Converts to the settings of the policy with these classes, where one request takes at most `max_units`.
     ///
     /// # Errors
     ///
-    /// The policy cannot work by them.
+    /// Returns an error if the policy rejects the settings.
     pub fn policy_settings(
         &self,
         max_units: f64,
@@ -60,7 +60,7 @@
         Ok(settings)
     }
 
-    /// Whether the policy can work by the file, whatever routes there are.
+    /// Checks that the policy accepts the settings, independently of the routes.
     pub(super) fn check_policy(&self) -> Result<(), SettingsError> {
         let classes = (0..self.classes.len()).map(|class| RouteClass { service: 0, class });
         self.policy_settings(1.0, &classes.collect::<Vec<_>>()).map(drop)
--- a/crates/settings/src/appliance/replication.rs
+++ b/crates/settings/src/appliance/replication.rs
@@ -1,32 +1,33 @@
-//! The table `[agreed]`: how this instance takes part in the replication of plans.
+//! The table `[agreed]`: replication of plans.
 
 use super::ClusterConfig;
 use crate::SettingsError;
 use crate::validation::{check_loopback, check_range, check_unique, invalid};
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-const LEASE_DURATIONS_MS: std::ops::RangeInclusive<u64> = 500..=60_000;
-/// Numbers of replicas with a useful majority.
+const LEASE_DURATION_RANGE_MS: RangeInclusive<u64> = 500..=60_000;
+/// Allowed numbers of replicas: they tolerate one and two failures.
 const REPLICA_COUNTS: [usize; 2] = [3, 5];
 
-/// How this instance takes part in the replication of plans.
+/// Replication of plans by Raft.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicationConfig {
-    /// Where a replica accepts messages (TCP); other instances have none.
+    /// TCP address at which a replica accepts messages; `None` for instances that are not replicas.
     pub listen: Option<SocketAddr>,
-    /// The replicas, three or five, in the same order in all files.
+    /// Three or five replicas, in the same order in the files of all instances.
     #[serde(rename = "voters")]
     pub replicas: Vec<ReplicaConfig>,
-    /// The log of a replica, relative to this file's directory.
+    /// Log of a replica, relative to the directory of this file.
     #[serde(default = "default_log")]
     pub log: PathBuf,
-    /// Lease duration in milliseconds: after it no two gatekeepers act on versions that contradict each other.
+    /// Lease duration in milliseconds. After it, no two gatekeepers apply contradictory versions.
     #[serde(rename = "lease_ms", default = "default_lease_duration_ms")]
     pub lease_duration_ms: u64,
-    /// The share of each quota that this gatekeeper grants without a lease.
+    /// Share of each quota that this gatekeeper grants without a lease.
     #[serde(rename = "when_apart", default = "default_share_without_lease")]
     pub share_without_lease: f64,
 }
@@ -35,9 +36,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaConfig {
-    /// Its name, as its own file has it under `[cluster]`.
+    /// Name of the replica, as in the table `[cluster]` of its own file.
     pub name: String,
-    /// Where this instance reaches it.
+    /// Address at which this instance reaches it.
     pub address: SocketAddr,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl ReplicationConfig {
-    /// Checks the table against that of the cluster, which has this instance's name.
+    /// Validates the table together with that of the cluster, which has the name of this instance.
     pub(super) fn validate(&self, cluster: Option<&ClusterConfig>) -> Result<(), SettingsError> {
         let cluster = cluster.ok_or(SettingsError::ReplicationWithoutCluster)?;
         self.validate_replicas()?;
@@ -64,7 +65,7 @@
         if is_replica != self.listen.is_some() {
             return Err(SettingsError::ReplicaWithoutListener);
         }
-        check_range("agreed.lease_ms", self.lease_duration_ms, LEASE_DURATIONS_MS)?;
+        check_range("agreed.lease_ms", self.lease_duration_ms, LEASE_DURATION_RANGE_MS)?;
         check_range("agreed.when_apart", self.share_without_lease, 0.0..=1.0)
     }
 
@@ -74,8 +75,8 @@
             return Err(invalid("agreed.voters", format!("a list of {count}"), "a list of three or five"));
         }
         check_unique("voter", self.replicas.iter().map(|replica| replica.name.as_str()))?;
-        for (number, replica) in self.replicas.iter().enumerate() {
-            if self.replicas[..number].iter().any(|other| other.address == replica.address) {
+        for (position, replica) in self.replicas.iter().enumerate() {
+            if self.replicas[..position].iter().any(|other| other.address == replica.address) {
                 let name = replica.address.to_string();
                 return Err(SettingsError::Duplicate { kind: "voter address", name });
             }
--- a/crates/settings/src/endpoint_list.rs
+++ b/crates/settings/src/endpoint_list.rs
@@ -1,45 +1,45 @@
-//! The endpoint list in the form of the platform's discovery agent.
+//! The endpoint list in the format of the platform's discovery agent.
 
 use serde::Deserialize;
 
-/// A list of backends, complete or with the changes since the one before.
+/// A list of backends, either complete or with the changes since the previous list.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct EndpointList {
-    /// The list's version.
+    /// Version of the list.
     #[serde(rename = "rev", default)]
     pub revision: u64,
-    /// True for a complete list, false for changes.
+    /// Whether the list is complete. Otherwise it has only the changed endpoints.
     #[serde(rename = "all", default)]
     pub complete: bool,
-    /// The entries.
+    /// The endpoints.
     #[serde(rename = "targets", default)]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One backend.
+/// A backend.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Endpoint {
-    /// Its id, the same at every gatekeeper.
+    /// Id, the same at every gatekeeper.
     #[serde(rename = "uid")]
     pub id: String,
-    /// Address and port as this gatekeeper reaches it. An entry that is removed may have none.
+    /// Address and port at which this gatekeeper reaches it. May be empty for a removed backend.
     #[serde(rename = "endpoint", default)]
     pub address: String,
-    /// Its zone.
+    /// Zone.
     #[serde(rename = "az", default)]
     pub zone: String,
-    /// Its machine type.
+    /// Machine type.
     #[serde(rename = "model", default)]
     pub machine_type: String,
-    /// Its cell.
+    /// Cell.
     #[serde(rename = "pod_group", default)]
     pub cell: u16,
     /// `up`, `draining` or `removed`.
     pub state: String,
-    /// Its capacity relative to other backends.
+    /// Capacity relative to other backends.
     #[serde(rename = "capacity_hint", default = "one")]
     pub capacity: f64,
-    /// When it started, in Unix milliseconds; 0 for long ago.
+    /// Start time in Unix milliseconds; 0 if it started long ago.
     #[serde(rename = "boot_ms", default)]
     pub started_ms: u64,
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,132 +1,132 @@
-//! Why a configuration cannot be used.
+//! Errors of configurations.
 
 use crate::numbering::MAX_NUMBERED;
 use std::net::SocketAddr;
 
-/// Why a configuration cannot be used. The file's name is for the caller to add.
+/// Why a configuration is invalid. The caller adds the name of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is not the JSON that the platform's file consists of.
+    /// The text is not JSON with the schema of the platform's file.
     #[error("{0}")]
     Json(#[source] simd_json::Error),
-    /// The text is not the TOML that the appliance's file consists of.
+    /// The text is not TOML with the schema of the appliance's file.
     #[error("{0}")]
     Toml(#[source] Box<toml::de::Error>),
-    /// The JSON nests deeper than any configuration does.
+    /// The JSON is nested too deeply.
     #[error("it nests too deep")]
     NestedTooDeep,
-    /// A key that the file in force has is not in its replacement.
+    /// A key of the configuration in force is missing in its replacement.
     #[error("the key {key} is missing")]
     MissingKey {
-        /// With the keys above it.
+        /// Path of the key.
         key: String,
     },
-    /// A value that the key cannot have.
+    /// A key has an invalid value.
     #[error("{key} is {value}, but must be {requirement}")]
     InvalidValue {
-        /// With the name of its table or entry.
+        /// Key, with the name of its table or entry.
         key: String,
         /// As the file has it.
         value: String,
-        /// What is allowed.
+        /// Allowed values.
         requirement: String,
     },
-    /// An address that other machines could reach.
+    /// An address is reachable from other machines.
     #[error("{key}: {address} is not on loopback; {reason}")]
     NotOnLoopback {
-        /// With the name of its table.
+        /// Key, with the name of its table.
         key: &'static str,
         /// As the file has it.
         address: SocketAddr,
-        /// Why it must be.
+        /// Why it must be on the loopback interface.
         reason: &'static str,
     },
-    /// An address without a port, which is to be told to others.
+    /// An address that is announced to other processes has port 0.
     #[error("{key}: port 0 cannot be told to others; {remedy}")]
     PortUnknown {
-        /// With the name of its table.
+        /// Key, with the name of its table.
         key: &'static str,
-        /// What to write instead.
+        /// How to correct it.
         remedy: &'static str,
     },
-    /// A list that must not be empty.
+    /// A list is empty.
     #[error("{key}: at least one is needed")]
     EmptyList {
-        /// The list.
+        /// Key of the list.
         key: &'static str,
     },
-    /// An entry without a name.
+    /// An entry has no name.
     #[error("a {kind} has no name")]
     Unnamed {
-        /// What it is an entry of.
+        /// Kind of the entry.
         kind: &'static str,
     },
-    /// Two entries of a list with the same name.
+    /// Two entries of a list have the same name.
     #[error("{kind} {name:?} comes twice")]
     Duplicate {
-        /// What they are entries of.
+        /// Kind of the entries.
         kind: &'static str,
-        /// The name.
+        /// Their name.
         name: String,
     },
-    /// A tenant's plan that the file does not define.
+    /// The file does not define the plan of a tenant.
     #[error("lender {tenant:?} has the unknown plan {plan:?}")]
     UnknownPlan {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// The plan.
+        /// Name of the plan.
         plan: String,
     },
-    /// A plan of a proposed version that the file does not define.
+    /// The file does not define a plan of a proposed version.
     #[error("plan {plan:?} is none of the file's; a new one needs a restart")]
     PlanNotInFile {
-        /// The plan.
+        /// Name of the plan.
         plan: String,
     },
-    /// A plan that gives its tenants nothing.
+    /// A plan admits no requests.
     #[error("plan {plan:?} needs units_per_second and burst above 0")]
     EmptyPlan {
-        /// The plan.
+        /// Name of the plan.
         plan: String,
     },
-    /// A plan whose ceiling is below its quota.
+    /// The ceiling of a plan is below its quota.
     #[error("plan {plan:?} has its ceiling below its quota")]
     CeilingBelowQuota {
-        /// The plan.
+        /// Name of the plan.
         plan: String,
     },
-    /// The stated times of the classes contradict each other.
-    #[error("the timing of the classes cannot be kept:\n  {}", join(.0))]
+    /// The times of some classes violate the timing rules.
+    #[error("the timing of the classes cannot be kept:\n  {}", join_lines(.0))]
     Timing(Vec<timing::TimingViolation>),
-    /// A class of the platform's file whose effect is not known.
+    /// A class of the platform's file has an unknown effect.
     #[error("class {class}: unknown effect {effect:?}")]
     UnknownEffect {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// The effect.
+        /// The unknown effect.
         effect: String,
     },
-    /// Replication is configured for an instance that has no name and no key.
+    /// Replication is configured without `[cluster]`, which has the name and the key of the instance.
     #[error("agreed: it needs [cluster] for this instance's name and the key")]
     ReplicationWithoutCluster,
-    /// A replica without a listening address, or the other way round.
+    /// A replica has no listen address, or another instance has one.
     #[error("agreed: a voter needs listen, and only a voter has it")]
     ReplicaWithoutListener,
-    /// The lease store could not be asked twice within the shortest period of a job.
+    /// A lease request could not be retried within the shortest period of a job or health check.
     #[error(
         "cluster.store_timeout_ms is {timeout_ms}, more than half of the shortest period, {period_ms}: \
          a lease could not be asked for again in the same period"
     )]
     StoreTimeoutTooLong {
-        /// Of the lease store, in milliseconds.
+        /// Time-out of the lease store in milliseconds.
         timeout_ms: u64,
-        /// Of the most frequent job or health check, in milliseconds.
+        /// Shortest period of a job or health check in milliseconds.
         period_ms: u64,
     },
-    /// The files since the start have named more classes or plans than are kept.
+    /// The configurations since the start had too many different classes or plans.
     #[error("more than {MAX_NUMBERED} classes or plans since the start")]
     TooManyNumbers,
-    /// The policy cannot work by these settings.
+    /// The policy rejects the settings.
     #[error("{0}")]
     Policy(#[from] policy::SettingsError),
 }
@@ -143,8 +143,9 @@
     }
 }
 
-fn join(findings: &[timing::TimingViolation]) -> String {
-    findings.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n  ")
+/// The texts of the violations, one a line.
+fn join_lines(violations: &[timing::TimingViolation]) -> String {
+    violations.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n  ")
 }
 
 #[cfg(test)]
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -1,9 +1,9 @@
-//! The text of each variant, as operators read it.
+//! Texts of the errors, as operators read them.
 
 use super::*;
 use policy::Settings;
 
-fn finding() -> timing::TimingViolation {
+fn timing_violation() -> timing::TimingViolation {
     timing::TimingViolation {
         class: "lookup".into(),
         rule: timing::TimingRule::ZeroValue,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn each_error_names_the_key_and_the_value() {
+fn an_error_names_the_key_and_the_value() {
     let key = || "agreed.lease_ms".to_owned();
     let name = || "gold".to_owned();
     let address = ([10, 0, 0, 1], 80).into();
@@ -49,7 +49,7 @@
         (SettingsError::EmptyPlan { plan: name() }, "plan \"gold\" needs units_per_second and burst above 0"),
         (SettingsError::CeilingBelowQuota { plan: name() }, "plan \"gold\" has its ceiling below its quota"),
         (
-            SettingsError::Timing(vec![finding(), finding()]),
+            SettingsError::Timing(vec![timing_violation(), timing_violation()]),
             "the timing of the classes cannot be kept:\n  class \"lookup\": wanted_ms is 0; it must be above 0\n  \
              class \"lookup\": wanted_ms is 0; it must be above 0",
         ),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn each_error_of_several_tables_names_what_contradicts() {
+fn an_error_of_several_tables_names_the_contradiction() {
     let policy_error =
         Settings { gatekeepers: 0, ..Settings::default() }.validate().expect_err("no gatekeeper");
     let policy_text = policy_error.to_string();
@@ -86,10 +86,10 @@
 }
 
 #[test]
-fn an_error_of_a_reader_is_passed_on_with_its_place() {
-    let toml = toml::from_str::<toml::Table>("a = 1\nb =").expect_err("cut short");
+fn an_error_of_a_parser_keeps_its_position() {
+    let toml = toml::from_str::<toml::Table>("a = 1\nb =").expect_err("a truncated text");
     assert_eq!(SettingsError::from(toml.clone()).to_string(), toml.to_string());
     assert!(toml.to_string().contains("line 2"), "{toml}");
-    let json = || simd_json::to_owned_value(&mut b"{\"a\":".to_vec()).expect_err("cut short");
+    let json = || simd_json::to_owned_value(&mut b"{\"a\":".to_vec()).expect_err("a truncated text");
     assert_eq!(SettingsError::from(json()).to_string(), json().to_string());
 }
--- a/crates/settings/src/key_set.rs
+++ b/crates/settings/src/key_set.rs
@@ -1,4 +1,4 @@
-//! Which keys a file has: the file that replaces it must have them all.
+//! The set of keys of a configuration file. A file that replaces it must have all of them.
 
 use crate::SettingsError;
 use crate::json::check_nesting;
@@ -6,33 +6,32 @@
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-/// Keys below this depth are no settings.
+/// Keys nested more deeply than this are not compared.
 const MAX_DEPTH: usize = 8;
-/// The endpoint list, whose entries come and go.
+/// Key of the cached endpoint list. Its contents are not settings and change at run time.
 const ENDPOINT_LIST: &str = "known";
 
-/// The keys of a JSON file, each with those above it. The entries of a list are alike: a key counts where all of them have it.
-/// The endpoint list is not a setting.
+/// The keys of a JSON file, as paths from the root. Of the entries of a list, only their common keys count.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeySet(BTreeSet<String>);
 
 impl KeySet {
-    /// The keys of this file. The parser overwrites the bytes.
+    /// Collects the keys of a file. The parser overwrites the bytes.
     ///
     /// # Errors
     ///
-    /// The file is not JSON, or nests too deep.
+    /// Returns an error if the file is not JSON, or is nested too deeply.
     pub fn of(json: &mut [u8]) -> Result<Self, SettingsError> {
         check_nesting(json)?;
         let value = simd_json::to_owned_value(json)?;
         Ok(Self(keys(&value, 0)))
     }
 
-    /// Whether another file has all these keys.
+    /// Checks that another file has all these keys.
     ///
     /// # Errors
     ///
-    /// Names one that it has not.
+    /// Returns an error with the first missing key.
     pub fn check_included_in(&self, other: &Self) -> Result<(), SettingsError> {
         match self.0.difference(&other.0).next() {
             Some(key) => Err(SettingsError::MissingKey { key: key.clone() }),
@@ -41,6 +40,7 @@
     }
 }
 
+/// The keys of a value, as paths from it.
 fn keys(value: &OwnedValue, depth: usize) -> BTreeSet<String> {
     if let Some(object) = value.as_object() {
         return object.iter().flat_map(|(name, inner)| keys_below(name, inner, depth)).collect();
@@ -50,7 +50,7 @@
     entries.fold(first, |common, entry| common.intersection(&entry).cloned().collect())
 }
 
-/// A key, and those of its value.
+/// A key and the keys of its value, as paths.
 fn keys_below(name: &str, value: &OwnedValue, depth: usize) -> Vec<String> {
     let inner =
         if name == ENDPOINT_LIST || depth >= MAX_DEPTH { BTreeSet::new() } else { keys(value, depth + 1) };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,6 @@
-//! The configuration files: what they say, whether it can be used, and the policy's settings that follow from it.
+//! Configuration files: parsing, validation, and conversion to the settings of the policy.
 //!
-//! [`platform`] has the JSON file of a gatekeeper on the platform, [`appliance`] the TOML file of the appliance. Both become
-//! settings of the policy in the end.
+//! [`platform`] has the JSON file of a gatekeeper on the platform, and [`appliance`] the TOML file of the appliance.
 
 pub mod appliance;
 mod endpoint_list;
--- a/crates/settings/src/numbering.rs
+++ b/crates/settings/src/numbering.rs
@@ -1,25 +1,25 @@
-//! The numbers of classes and plans over all files that were in force: a number keeps its meaning for as long as the process
-//! lives, because requests in flight refer to it.
+//! Numbering of classes and plans across reloads. A number keeps its meaning for the lifetime of the process, because requests in
+//! flight refer to it.
 
 use crate::SettingsError;
 use crate::platform::PlatformConfig;
 use policy::{Plan, RequestClass, Settings};
 
-/// Limit on classes and on plans that are kept. Files that bring ever new ones are rejected.
+/// Maximum number of classes, and of plans, over all configurations since the start. It bounds the memory for repeated reloads.
 pub(crate) const MAX_NUMBERED: usize = 4096;
 
-/// A class of the file in force.
+/// A class of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NumberedClass<'a> {
     /// Its number.
     pub number: usize,
     /// Its name.
     pub name: &'a str,
-    /// What it says.
+    /// Its settings.
     pub class: &'a RequestClass,
 }
 
-/// A plan of the file in force.
+/// A plan of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NumberedPlan<'a> {
     /// Its number.
@@ -28,24 +28,31 @@
     pub name: &'a str,
 }
 
-/// All classes and plans so far, by number.
+/// A class or plan with its name.
+#[derive(Clone, Debug)]
+struct Named<T> {
+    name: String,
+    value: T,
+}
+
+/// All classes and plans since the start, by number.
 #[derive(Clone, Debug, Default)]
 pub struct Numbering {
-    classes: Vec<(String, RequestClass)>,
-    plans: Vec<(String, Plan)>,
-    /// Numbers of the classes in force.
+    classes: Vec<Named<RequestClass>>,
+    plans: Vec<Named<Plan>>,
+    /// Numbers of the classes in force, in their order in the file.
     current_classes: Vec<usize>,
-    /// Numbers of the plans in force.
+    /// Numbers of the plans in force, in their order in the file.
     current_plans: Vec<usize>,
 }
 
 impl Numbering {
-    /// Takes in a file. A class that is unchanged keeps its number, any other gets a new one; a plan keeps its number by its
-    /// name. Returns the file's settings with all classes and plans by number.
+    /// Applies a new configuration, and returns its settings with all classes and plans since the start, by number. An unchanged class
+    /// keeps its number, and a changed one gets a new number. A plan with a known name keeps its number.
     ///
     /// # Errors
     ///
-    /// There have been too many; nothing has changed then.
+    /// Returns an error if there were too many classes or plans since the start. The numbering is then unchanged.
     pub fn update(&mut self, config: &PlatformConfig) -> Result<Settings, SettingsError> {
         let (mut classes, mut plans) = (self.classes.clone(), self.plans.clone());
         let named = config.classes.iter().zip(&config.settings.classes);
@@ -57,8 +64,8 @@
         }
         *self = Self { classes, plans, current_classes, current_plans };
         Ok(Settings {
-            classes: self.classes.iter().map(|(_, class)| class.clone()).collect(),
-            plans: self.plans.iter().map(|(_, plan)| plan.clone()).collect(),
+            classes: self.classes.iter().map(|class| class.value.clone()).collect(),
+            plans: self.plans.iter().map(|plan| plan.value.clone()).collect(),
             ..config.settings.clone()
         })
     }
@@ -66,43 +73,43 @@
     /// The classes in force.
     pub fn classes(&self) -> impl Iterator<Item = NumberedClass<'_>> {
         self.current_classes.iter().map(|&number| {
-            let (name, class) = &self.classes[number];
+            let Named { name, value: class } = &self.classes[number];
             NumberedClass { number, name, class }
         })
     }
 
     /// The plans in force.
     pub fn plans(&self) -> impl Iterator<Item = NumberedPlan<'_>> {
-        self.current_plans.iter().map(|&number| NumberedPlan { number, name: &self.plans[number].0 })
+        self.current_plans.iter().map(|&number| NumberedPlan { number, name: &self.plans[number].name })
     }
 
     /// Names of all classes by number, in force or not.
     pub fn class_names(&self) -> Vec<String> {
-        self.classes.iter().map(|(name, _)| name.clone()).collect()
+        self.classes.iter().map(|class| class.name.clone()).collect()
     }
 
     /// Names of all plans by number, in force or not.
     pub fn plan_names(&self) -> Vec<String> {
-        self.plans.iter().map(|(name, _)| name.clone()).collect()
+        self.plans.iter().map(|plan| plan.name.clone()).collect()
     }
 }
 
-/// The number of this class, which may be new.
-fn number_class(classes: &mut Vec<(String, RequestClass)>, name: &str, class: &RequestClass) -> usize {
-    let unchanged = classes.iter().position(|(known, its)| known == name && its == class);
+/// Returns the number of a class, and adds it if it is new or has changed.
+fn number_class(classes: &mut Vec<Named<RequestClass>>, name: &str, class: &RequestClass) -> usize {
+    let unchanged = classes.iter().position(|known| known.name == name && known.value == *class);
     unchanged.unwrap_or_else(|| {
-        classes.push((name.to_owned(), class.clone()));
+        classes.push(Named { name: name.to_owned(), value: class.clone() });
         classes.len() - 1
     })
 }
 
-/// The number of this plan, which may be new; its figures are replaced.
-fn number_plan(plans: &mut Vec<(String, Plan)>, name: &str, plan: &Plan) -> usize {
-    let number = plans.iter().position(|(known, _)| known == name);
+/// Returns the number of a plan. Adds it if it is new, and replaces its settings otherwise.
+fn number_plan(plans: &mut Vec<Named<Plan>>, name: &str, plan: &Plan) -> usize {
+    let number = plans.iter().position(|known| known.name == name);
     let number = number.unwrap_or_else(|| {
-        plans.push((name.to_owned(), plan.clone()));
+        plans.push(Named { name: name.to_owned(), value: plan.clone() });
         plans.len() - 1
     });
-    plans[number].1 = plan.clone();
+    plans[number].value = plan.clone();
     number
 }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -8,35 +8,35 @@
 use crate::{EndpointList, SettingsError};
 use std::net::SocketAddr;
 
-/// Limit on `limits.memory_mb`, in MiB.
+/// Maximum of `limits.memory_mb`, in MiB.
 const MAX_MEMORY_MB: usize = 1 << 20;
 
-/// The configuration in the types that the program uses.
+/// Configuration of a gatekeeper on the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// The gatekeeper's name.
+    /// Name of the gatekeeper.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where operators connect, if they may.
+    /// Address of the admin listener, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of all random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Limit on the file descriptors of the process.
+    /// Maximum number of file descriptors of the process.
     pub max_sockets: usize,
-    /// Limit on the memory of the process, in bytes.
+    /// Maximum memory of the process in bytes.
     pub max_memory_bytes: usize,
-    /// The quota counter.
+    /// Address of the quota counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The endpoint list that this gatekeeper had last.
+    /// The last endpoint list of this gatekeeper.
     pub cached_list: EndpointList,
-    /// The policy's settings.
+    /// Settings of the policy.
     pub settings: policy::Settings,
-    /// The most units of one request, where they are stated.
+    /// Maximum number of units of one request, if configured.
     pub max_units: Option<f64>,
-    /// How long backends keep an idle connection open.
+    /// Time for which backends keep idle connections open.
     pub keepalive: policy::Micros,
     /// Names of the classes, by number.
     pub classes: Vec<String>,
@@ -49,24 +49,24 @@
 }
 
 impl PlatformConfig {
-    /// Reads the file. The parser overwrites the bytes.
+    /// Parses and validates the file. The parser overwrites the bytes.
     ///
     /// # Errors
     ///
-    /// Says what is missing or cannot be used.
+    /// Returns an error with the missing key or the invalid value.
     pub fn parse(json: &mut [u8]) -> Result<Self, SettingsError> {
         check_nesting(json)?;
         let file: file::File = simd_json::serde::from_slice(json)?;
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| invalid("seed", format!("{:?}", file.seed), "a hexadecimal number"))?;
-        let counter = file.counter.as_deref().map(|text| address("counter", text)).transpose()?;
-        let admin = file.operator.as_deref().map(|text| address("operator", text)).transpose()?;
+        let counter = file.counter.as_deref().map(|text| parse_address("counter", text)).transpose()?;
+        let admin = file.operator.as_deref().map(|text| parse_address("operator", text)).transpose()?;
         let settings = file.settings;
         check_unique("class", settings.classes.iter().map(|class| class.name.as_str()))?;
         check_unique("contract", settings.contracts.iter().map(|plan| plan.name.as_str()))?;
         Ok(Self {
-            listen: address("listen", &file.listen)?,
-            discovery: address("discovery", &file.discovery)?,
+            listen: parse_address("listen", &file.listen)?,
+            discovery: parse_address("discovery", &file.discovery)?,
             admin,
             name: file.name,
             seed,
@@ -85,6 +85,6 @@
     }
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, SettingsError> {
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, SettingsError> {
     text.parse().map_err(|_| invalid(key, format!("{text:?}"), "an address and port"))
 }
--- a/crates/settings/src/platform/file.rs
+++ b/crates/settings/src/platform/file.rs
@@ -1,4 +1,4 @@
-//! The file as it is written: the names of fields are its keys.
+//! Schema of `config.json`. The names of fields are the keys of the file.
 
 use crate::EndpointList;
 use serde::Deserialize;
@@ -190,7 +190,7 @@
     pub(super) cross_zone: f64,
 }
 
-/// A deadline or a number of attempts: a number above 0, also where it is written with a decimal point.
+/// Deserializes a deadline or a number of attempts: a number above 0, which may have a decimal point.
 fn above_zero<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
--- a/crates/settings/src/platform/policy_settings.rs
+++ b/crates/settings/src/platform/policy_settings.rs
@@ -1,13 +1,13 @@
-//! The file in the policy's types.
+//! Conversion of the file to the settings of the policy.
 
 use super::file::{Class, Plan, Settings};
 use crate::SettingsError;
 
-/// The policy counts the attempts of one request in a byte.
+/// Maximum number of attempts of one request. The policy counts them in a byte.
 const MAX_ATTEMPTS: u64 = 250;
 
 impl Settings {
-    /// The policy's settings. Without a counter's address no counter is called.
+    /// Converts to the settings of the policy. The shared counter is used only if its address is configured (`has_counter`).
     pub(super) fn into_policy(self, has_counter: bool) -> Result<policy::Settings, SettingsError> {
         let settings = policy::Settings {
             gatekeepers: self.balancers,
@@ -54,7 +54,7 @@
         let dedup_scope = match self.group.as_str() {
             "all" => policy::DedupScope::All,
             "zone" => policy::DedupScope::Zone,
-            // The narrowest group is the safe reading of anything else.
+            // An unknown group is treated as the narrowest one, which is always safe.
             _ => policy::DedupScope::Cell,
         };
         Ok(policy::RequestClass {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A column of load reports.
+/// The metric of a column of load reports.
 fn load_metric(name: &str) -> policy::LoadMetric {
     match name {
         "active" => policy::LoadMetric::InFlight,
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,16 +1,17 @@
-//! Checks that several tables share.
+//! Checks shared by several tables.
 
 use crate::SettingsError;
+use std::collections::HashSet;
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Limit on a name that becomes part of keys and log lines, in bytes.
+/// Maximum length in bytes of a name that is used in keys and log lines.
 const MAX_NAME_BYTES: usize = 64;
-/// ms; periods of jobs and health checks.
-pub(crate) const PERIODS_MS: RangeInclusive<u64> = 100..=86_400_000;
+/// Allowed periods of jobs and health checks, in milliseconds.
+pub(crate) const PERIOD_RANGE_MS: RangeInclusive<u64> = 100..=86_400_000;
 
-/// An error for a value that a key cannot have.
+/// Returns the error for an invalid value of a key.
 pub(crate) fn invalid(
     key: impl Into<String>,
     value: impl Display,
@@ -19,7 +20,7 @@
     SettingsError::InvalidValue { key: key.into(), value: value.to_string(), requirement: requirement.into() }
 }
 
-/// Whether a number lies within these bounds.
+/// Checks that a number is within a range.
 pub(crate) fn check_range<T: Copy + Display + PartialOrd>(
     key: impl Into<String>,
     value: T,
@@ -31,7 +32,7 @@
     Err(invalid(key, value, format!("{} to {}", range.start(), range.end())))
 }
 
-/// Whether a number is at least this.
+/// Checks that a number is at least `minimum`.
 pub(crate) fn check_minimum<T: Copy + Display + PartialOrd>(
     key: impl Into<String>,
     value: T,
@@ -40,20 +41,20 @@
     if value >= minimum { Ok(()) } else { Err(invalid(key, value, format!("{minimum} at least"))) }
 }
 
-/// Whether no name comes twice.
+/// Checks that names are unique.
 pub(crate) fn check_unique<'a>(
     kind: &'static str,
     names: impl IntoIterator<Item = &'a str>,
 ) -> Result<(), SettingsError> {
     let names: Vec<&str> = names.into_iter().collect();
-    let mut seen = std::collections::HashSet::new();
+    let mut seen = HashSet::new();
     match names.iter().find(|name| !seen.insert(**name)) {
         Some(name) => Err(SettingsError::Duplicate { kind, name: (*name).to_owned() }),
         None => Ok(()),
     }
 }
 
-/// Whether all entries have names, and none comes twice.
+/// Checks that names are unique and not empty.
 pub(crate) fn check_names<'a>(
     kind: &'static str,
     names: impl IntoIterator<Item = &'a str> + Clone,
@@ -62,7 +63,7 @@
     if names.into_iter().any(str::is_empty) { Err(SettingsError::Unnamed { kind }) } else { Ok(()) }
 }
 
-/// Whether a name may become part of keys and log lines.
+/// Checks that a name can be used in keys and log lines.
 pub(crate) fn check_identifier(key: impl Into<String>, name: &str) -> Result<(), SettingsError> {
     let valid = (1..=MAX_NAME_BYTES).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
@@ -72,7 +73,7 @@
     Err(invalid(key, format!("{name:?}"), format!("1 to {MAX_NAME_BYTES} letters, digits and any of -_.")))
 }
 
-/// Whether none of these addresses can be reached from other machines.
+/// Checks that all addresses are on the loopback interface.
 pub(crate) fn check_loopback(
     key: &'static str,
     addresses: impl IntoIterator<Item = SocketAddr>,
--- a/crates/settings/tests/appliance_checks.rs
+++ b/crates/settings/tests/appliance_checks.rs
@@ -1,4 +1,4 @@
-//! Each check of the appliance's file, and the text with which it names the key and the value.
+//! Validation of the appliance's file: each error names the key and the value.
 #![allow(clippy::too_many_lines)]
 
 use settings::appliance::ApplianceConfig;
@@ -73,7 +73,7 @@
 "#;
 
 #[test]
-fn each_check_names_the_key_and_the_value() {
+fn an_invalid_value_is_rejected_with_its_key_and_value() {
     assert!(ApplianceConfig::parse(FILE).is_ok());
     for (from, to, text) in [
         (
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn tables_that_need_another_table_say_so() {
+fn a_missing_table_is_named_by_the_table_that_needs_it() {
     let (before, rest) = FILE.split_once("[cluster]").expect("a cluster");
     let (_, after) = rest.split_once("[agreed]").expect("its end");
     let error = ApplianceConfig::parse(&format!("{before}[agreed]{after}")).expect_err("no cluster");
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn lists_are_limited() {
+fn lists_have_a_maximum_length() {
     let agents: Vec<String> = (2..=10).map(|host| format!("\"127.0.0.{host}:8500\"")).collect();
     let file = FILE.replace("agents = [\"127.0.0.2:8500\"]", &format!("agents = [{}]", agents.join(", ")));
     let error = ApplianceConfig::parse(&file).expect_err("too many agents");
--- a/crates/settings/tests/garbage.rs
+++ b/crates/settings/tests/garbage.rs
@@ -1,4 +1,4 @@
-//! What files say, and files that are rejected without a panic.
+//! Values of valid files, and rejection of invalid ones without a panic.
 
 use fuzz_inputs::survives_garbage;
 use settings::appliance::ApplianceConfig;
@@ -16,25 +16,34 @@
 "specifics":{"may-count":true,"count-wait-us":30000,"largest":8},"a-key-of-tomorrow":[1,{"x":null}]}}"#;
 
 #[test]
-fn the_values_that_are_used_are_read() {
+fn values_of_the_platform_file_are_parsed() {
     let config = PlatformConfig::parse(&mut CONFIG.as_bytes().to_vec()).unwrap();
     assert_eq!((config.name.as_str(), config.seed, config.max_sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 1024));
     assert_eq!(config.counter, Some(([127, 0, 0, 1], 6400).into()));
     assert_eq!((config.cached_list.revision, config.cached_list.endpoints[0].started_ms), (41, 5));
-    let s = &config.settings;
+    let settings = &config.settings;
     assert_eq!(
-        (s.gatekeepers, s.gatekeeper_index, s.tick, s.max_attempts, s.max_retry_after),
+        (
+            settings.gatekeepers,
+            settings.gatekeeper_index,
+            settings.tick,
+            settings.max_attempts,
+            settings.max_retry_after
+        ),
         (2, 1, 4000, 6, 1_000_000)
     );
-    assert_eq!((s.plans[0].ceiling_rate, s.plans[0].ceiling_burst, s.plans[0].burst), (10.0, 59.0, 32.0));
     assert_eq!(
-        (s.shared_counter, s.counter_timeout, s.max_cost, s.load_metrics.len()),
+        (settings.plans[0].ceiling_rate, settings.plans[0].ceiling_burst, settings.plans[0].burst),
+        (10.0, 59.0, 32.0)
+    );
+    assert_eq!(
+        (settings.shared_counter, settings.counter_timeout, settings.max_cost, settings.load_metrics.len()),
         (true, 30_000, 8.0, 3)
     );
 }
 
 #[test]
-fn without_a_counter_address_no_counter_is_called() {
+fn the_shared_counter_is_off_without_its_address() {
     let text = CONFIG.replace("\"counter\":\"127.0.0.1:6400\",", "");
     assert!(!PlatformConfig::parse(&mut text.into_bytes()).unwrap().settings.shared_counter);
 }
@@ -49,10 +58,10 @@
 }
 
 #[test]
-fn an_appliance_file_with_a_mistake_is_rejected_with_its_place() {
+fn an_invalid_appliance_file_is_rejected_with_the_cause() {
     let toml = include_str!("../../../deploy/openapi.toml");
     assert!(ApplianceConfig::parse(toml).is_ok());
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("127.0.0.1:8081", "0.0.0.0:8081", "loopback"),
         ("descriptions = [\"loans.openapi.json\"]", "descriptions = []", "descriptions"),
         ("X-Lender", "X Lender", "lender_header"),
@@ -65,7 +74,7 @@
         ("status =", "state =", "state"),
     ] {
         assert!(toml.contains(from), "{from}");
-        let error = ApplianceConfig::parse(&toml.replacen(from, to, 1)).expect_err(told).to_string();
-        assert!(error.contains(told), "{told}: {error}");
+        let error = ApplianceConfig::parse(&toml.replacen(from, to, 1)).expect_err(expected).to_string();
+        assert!(error.contains(expected), "{expected}: {error}");
     }
 }
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Files that replace others: which are rejected, and what the numbers of classes and plans mean over them.
+//! Reloads: rejection of invalid files, and numbers of classes and plans across files.
 
 use policy::Idempotency;
 use settings::platform::PlatformConfig;
@@ -16,7 +16,7 @@
     )
 }
 
-fn config(text: &str) -> Result<PlatformConfig, SettingsError> {
+fn parse_config(text: &str) -> Result<PlatformConfig, SettingsError> {
     PlatformConfig::parse(&mut text.as_bytes().to_vec())
 }
 
@@ -24,22 +24,23 @@
     KeySet::of(&mut text.as_bytes().to_vec())
 }
 
-/// Why a file does not replace the good one.
+/// Why a file is rejected as the replacement of a valid one.
 fn rejection(text: &str) -> Option<String> {
-    let good = keys(&file(CLASS)).expect("it is good");
-    let checked = keys(text).and_then(|other| good.check_included_in(&other)).and_then(|()| config(text));
+    let in_force = keys(&file(CLASS)).expect("a valid file");
+    let checked =
+        keys(text).and_then(|other| in_force.check_included_in(&other)).and_then(|()| parse_config(text));
     checked.err().map(|error| error.to_string())
 }
 
 #[test]
-fn a_bad_file_is_rejected_with_its_own_reason() {
+fn an_invalid_replacement_is_rejected_with_the_cause() {
     assert_eq!(rejection(&file(CLASS)), None);
     assert!(rejection("").is_some());
-    let whole = file(CLASS);
-    for cut in 0..whole.len() {
-        assert!(rejection(&whole[..cut]).is_some(), "cut at {cut}");
+    let valid = file(CLASS);
+    for length in 0..valid.len() {
+        assert!(rejection(&valid[..length]).is_some(), "truncated to {length} bytes");
     }
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("2500000", "0", "above 0"),
         ("2500000", "-5", "above 0"),
         ("2500000", "0.5", "above 0"),
@@ -59,47 +60,51 @@
         ("[{\"name\":\"lookup\"", "[{\"name\":\"lookup\"},{\"name\":\"lookup\"", ""),
         ("127.0.0.1:8500", "nowhere", "discovery"),
     ] {
-        assert!(whole.contains(from), "{from}");
-        let why =
-            rejection(&whole.replacen(from, to, 1)).unwrap_or_else(|| panic!("{from} -> {to} was taken"));
-        assert!(why.contains(told), "{from} -> {to}: {why}");
+        assert!(valid.contains(from), "{from}");
+        let error =
+            rejection(&valid.replacen(from, to, 1)).unwrap_or_else(|| panic!("{from} -> {to} was accepted"));
+        assert!(error.contains(expected), "{from} -> {to}: {error}");
     }
-    assert_eq!(rejection(&whole.replace("2500000", "2500000.0")), None, "a number above 0 all the same");
+    assert_eq!(rejection(&valid.replace("2500000", "2500000.0")), None, "a decimal point is allowed");
     assert_eq!(
         rejection(&file(CLASS).replace(r#"{"uid":"s","state":"up"}"#, "")),
         None,
-        "the list is no setting"
+        "the endpoint list is not a setting"
     );
 }
 
 #[test]
-fn numbers_keep_their_meaning() {
+fn numbers_of_classes_and_plans_keep_their_meaning_across_reloads() {
     let mut numbering = Numbering::default();
     let numbers = |numbering: &Numbering| {
         numbering.classes().map(|class| (class.number, class.name.to_owned())).collect::<Vec<_>>()
     };
-    numbering.update(&config(&file(CLASS)).expect("good")).expect("room");
+    numbering.update(&parse_config(&file(CLASS)).expect("a valid file")).expect("few classes and plans");
     assert_eq!(numbers(&numbering), [(0, "lookup".to_owned())]);
-    // It vanishes, and another appears.
+    // The class is removed, and another one is added.
     let other = CLASS.replace("lookup", "lookup-r2");
-    let settings = numbering.update(&config(&file(&other)).expect("good")).expect("room");
+    let settings =
+        numbering.update(&parse_config(&file(&other)).expect("a valid file")).expect("few classes and plans");
     assert_eq!(numbers(&numbering), [(1, "lookup-r2".to_owned())]);
-    assert_eq!(settings.classes.len(), 2, "what is under way keeps its class");
-    // It comes back stricter: another number; as it was: its own.
+    assert_eq!(settings.classes.len(), 2, "requests in flight keep their class");
+    // A changed class gets a new number, and an unchanged one its former number.
     let stricter = CLASS.replace("read_like", "non_idempotent");
-    let settings = numbering.update(&config(&file(&stricter)).expect("good")).expect("room");
+    let settings = numbering
+        .update(&parse_config(&file(&stricter)).expect("a valid file"))
+        .expect("few classes and plans");
     assert_eq!(numbers(&numbering), [(2, "lookup".to_owned())]);
     assert_eq!(
         (settings.classes[0].idempotency, settings.classes[2].idempotency),
         (Idempotency::Idempotent, Idempotency::NonIdempotent)
     );
-    numbering.update(&config(&file(CLASS)).expect("good")).expect("room");
+    numbering.update(&parse_config(&file(CLASS)).expect("a valid file")).expect("few classes and plans");
     assert_eq!(numbers(&numbering), [(0, "lookup".to_owned())]);
     assert_eq!(numbering.class_names(), ["lookup", "lookup-r2", "lookup"]);
-    // Plans in another order, one of them with other figures.
+    // Plans in another order, one of them with other limits.
     let text = file(CLASS).replace(r#""name":"standard","per-second":5.6"#, r#""name":"x","per-second":1.0"#);
     let text = text.replace("\"basic\"", "\"standard\"");
-    let settings = numbering.update(&config(&text).expect("good")).expect("room");
+    let settings =
+        numbering.update(&parse_config(&text).expect("a valid file")).expect("few classes and plans");
     assert_eq!(
         numbering.plans().map(|plan| (plan.number, plan.name)).collect::<Vec<_>>(),
         [(2, "x"), (0, "standard")]
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -82,10 +82,10 @@
             MinimumHealth::Passing => HealthStatus::Passing,
             MinimumHealth::Warning => HealthStatus::Warning,
         },
-        flap_suppression: Duration::from_millis(config.flap_damping_ms),
-        max_flap_suppression: Duration::from_millis(config.max_flap_damping_ms),
+        flap_suppression: Duration::from_millis(config.flap_suppression_ms),
+        max_flap_suppression: Duration::from_millis(config.max_flap_suppression_ms),
         sudden_loss_share: config.sudden_loss_share,
-        sudden_loss_retention: Duration::from_millis(config.sudden_loss_grace_ms),
+        sudden_loss_retention: Duration::from_millis(config.sudden_loss_retention_ms),
         ..StabilityConfig::default()
     }
 }
