--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -276,3 +276,6 @@
         write!(f, "{at:6.2} s, for {length:.2} s: {:?}", self.trouble)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform_soak/src/schedule/tests.rs
@@ -0,0 +1,77 @@
+//! The schedules are the same in every version, so that a failure comes back by its seed.
+
+use super::*;
+use crate::settings::Addresses;
+
+/// FNV-1a with 64 bits.
+fn digest(text: &str) -> u64 {
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+}
+
+/// Text of a planned fault that does not depend on the names of types and fields.
+fn canonical_text(planned: &Planned) -> String {
+    let kind = match planned.trouble {
+        Trouble::Restart { gatekeeper, kind, clock_offset_us } => {
+            format!("restart {gatekeeper} {kind:?} {clock_offset_us}")
+        }
+        Trouble::ClockStep { gatekeeper, clock_offset_us } => format!("clock {gatekeeper} {clock_offset_us}"),
+        Trouble::Reloads { gatekeeper, count } => format!("reloads {gatekeeper} {count}"),
+        Trouble::Suspensions { gatekeeper, count } => format!("suspensions {gatekeeper} {count}"),
+        Trouble::Calls { first, step, faults } => format!("calls {first} {step} {faults:?}"),
+        Trouble::Discovery { first, step, mode } => format!("discovery {first} {step} {mode:?}"),
+        Trouble::Counter { mode } => format!("counter {mode:?}"),
+        Trouble::Backend { backend, mode } => format!("backend {backend} {mode:?}"),
+        Trouble::Drain { backend } => format!("drain {backend}"),
+        Trouble::Removal { backend } => format!("removal {backend}"),
+        Trouble::BackendRestart { backend } => format!("backend restart {backend}"),
+        Trouble::Leaving => "leaving".to_owned(),
+        Trouble::PartialRequests => "partial".to_owned(),
+        Trouble::HurriedRequests => "hurried".to_owned(),
+        Trouble::IdleCrowd { gatekeeper } => format!("crowd {gatekeeper}"),
+    };
+    format!("{} {} {kind}\n", planned.at.as_nanos(), planned.length.as_nanos())
+}
+
+/// Text of a site's settings: the configuration file of a gatekeeper, and what does not stand in it.
+fn settings_text(settings: &Settings) -> String {
+    let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+    let config = settings.config(0, Addresses { listen: address, discovery: address, counter: address });
+    let tenants = settings.tenants.iter().map(|tenant| format!("{} {}\n", tenant.number, tenant.part));
+    format!("{config}\n{}\n{}", settings.backends, tenants.collect::<String>())
+}
+
+fn schedule_text(schedule: &Schedule) -> String {
+    let planned: String = schedule.troubles.iter().map(canonical_text).collect();
+    format!(
+        "{} {}\n{}{planned}",
+        schedule.seed,
+        schedule.length.as_nanos(),
+        settings_text(&schedule.settings)
+    )
+}
+
+fn digest_of_seeds(gatekeepers: usize, seconds: u64) -> u64 {
+    let length = Duration::from_secs(seconds);
+    let drawn = (1..=200).map(|seed| schedule_text(&Schedule::draw(seed, gatekeepers, length)));
+    digest(&drawn.collect::<String>())
+}
+
+#[test]
+fn a_seed_gives_the_schedule_that_it_always_gave() {
+    let digests =
+        [(24, 15), (24, 10), (6, 60)].map(|(gatekeepers, seconds)| digest_of_seeds(gatekeepers, seconds));
+    assert_eq!(digests, [0xa705_79f7_c4df_5e58, 0x872e_78e4_84f7_6dcf, 0x35f6_0744_28dc_a7a2]);
+}
+
+#[test]
+fn seeds_reach_each_kind_of_fault() {
+    let length = Duration::from_secs(60);
+    let drawn = (1..=100).flat_map(|seed| Schedule::draw(seed, 24, length).troubles);
+    let kinds: std::collections::BTreeSet<String> = drawn
+        .map(|planned| canonical_text(&planned))
+        .filter_map(|text| text.split(' ').nth(2).map(|kind| kind.trim().to_owned()))
+        .collect();
+    // `backend` stands for a backend's failures and its restarts.
+    assert_eq!(kinds.len(), 14, "{kinds:?}");
+}
