--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -230,6 +230,14 @@
     },
 }
 
+impl Observation {
+    /// Whether it is a log line whose message contains one of these texts.
+    pub fn is_log_line_with(&self, texts: &[&str]) -> bool {
+        let Self::LogLine { text: message, .. } = self else { return false };
+        texts.iter().any(|text| message.contains(text))
+    }
+}
+
 /// An observation and its time.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Record {
--- a/crates/fault_injection/src/history/tests.rs
+++ b/crates/fault_injection/src/history/tests.rs
@@ -1,6 +1,6 @@
-//! Reading a history that is damaged.
+//! Reading a history that is damaged, and log lines by their text.
 
-use super::read;
+use super::{Observation, read};
 
 #[test]
 fn a_line_that_holds_no_record_is_named() {
@@ -8,3 +8,17 @@
     let error = read(text).expect_err("no such kind").to_string();
     assert!(error.starts_with("line 2: unknown variant `unheard of`"), "{error}");
 }
+
+#[test]
+fn a_log_line_is_found_by_any_of_the_texts_that_builds_log() {
+    let line = |text: &str| Observation::LogLine {
+        process: "m0".into(),
+        text: text.into(),
+        fields: Default::default(),
+    };
+    let texts = ["lease confirmed after its response was lost", "holds, though the response was lost"];
+    assert!(line("lease confirmed after its response was lost").is_log_line_with(&texts));
+    assert!(line("duty-3: round 7 holds, though the response was lost").is_log_line_with(&texts));
+    assert!(!line("lease lost").is_log_line_with(&texts));
+    assert!(!Observation::ProcessStarted { process: texts[0].into() }.is_log_line_with(&texts));
+}
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -3,7 +3,7 @@
 
 use crate::Error;
 use crate::checkers::Violation;
-use crate::history::{Observation, Recorder};
+use crate::history::Recorder;
 use crate::process::Process;
 use crate::site::write_common_files;
 use crate::sync::lock;
@@ -159,9 +159,8 @@
     }
 }
 
-fn has_logged(recorder: &Recorder, wanted: &str) -> bool {
-    let is_wanted = |o: &Observation| matches!(o, Observation::LogLine { text, .. } if text.contains(wanted));
-    recorder.records_by_time().iter().any(|record| is_wanted(&record.observation))
+fn has_logged(recorder: &Recorder, text: &str) -> bool {
+    recorder.records_by_time().iter().any(|record| record.observation.is_log_line_with(&[text]))
 }
 
 #[cfg(test)]
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -1,7 +1,7 @@
 //! The platform's form is upgraded in service from the old build to the new one and back, several times.
 
 use crate::{Pair, run_and_report, schedule};
-use fault_injection::history::{Observation, Outcome, Record};
+use fault_injection::history::{Outcome, Record};
 use fault_injection::schedule::{Fault, FaultKind, Form, SiteOptions};
 use system_tests::{Error, Table};
 
@@ -22,10 +22,8 @@
 ];
 
 /// How often a line with one of these texts was logged.
-fn logged(history: &[Record], wanted: &[&str]) -> usize {
-    let contains_one = |line: &str| wanted.iter().any(|text| line.contains(text));
-    let is_wanted = |o: &Observation| matches!(o, Observation::LogLine { text, .. } if contains_one(text));
-    history.iter().filter(|record| is_wanted(&record.observation)).count()
+fn logged(history: &[Record], texts: &[&str]) -> usize {
+    history.iter().filter(|record| record.observation.is_log_line_with(texts)).count()
 }
 
 /// Returns how many requests there were.
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -20,8 +20,9 @@
 const TWO_PERIODS_S: f64 = 2.0 * JOB_PERIOD_MS as f64 / 1_000.0;
 /// The gatekeeper whose processor time is shown.
 const MEASURED: &str = "m1";
-/// What a gatekeeper logs that finds its lease in the store after a response was lost.
-const LEASE_RECOVERED: &str = "holds, though the response was lost";
+/// What a gatekeeper logs that finds its lease in the store after a response was lost; the last text is that of older builds.
+const LEASE_RECOVERED: [&str; 2] =
+    ["lease confirmed after its response was lost", "holds, though the response was lost"];
 
 /// A phase and when it was.
 struct TimedPhase {
@@ -151,7 +152,7 @@
         table.add("bytes of gossip a second, all instances, calm", gossip / CALM_S);
         let cpu_ms = self.cpu_ms(self.calm.to_us) - self.cpu_ms(self.calm.from_us);
         table.add("processor time of m1, calm", format!("{:.1}%", cpu_ms as f64 / (10 * CALM_S) as f64));
-        let is_recovery = |record: &&Record| matches!(&record.observation, Observation::LogLine { text, .. } if text.contains(LEASE_RECOVERED));
+        let is_recovery = |record: &&Record| record.observation.is_log_line_with(&LEASE_RECOVERED);
         let recovered = self.history.iter().filter(is_recovery).count();
         table.add("log lines on claims recovered", recovered);
     }
