--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -1,4 +1,4 @@
-//! The invariants. Each checker reads the records and names what breaks its rule.
+//! The invariants. Each checker reads the history and reports what breaks its rule.
 
 mod attempts;
 mod endpoints;
@@ -7,13 +7,13 @@
 mod requests;
 mod slow_start;
 
-use crate::history::{GatekeeperIndex, Moment, ProcessEvent, Records};
+use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
 use crate::settings::Settings;
 use std::fmt;
 use std::time::Duration;
 
-/// The longest time for which a gatekeeper may be held up between reading its clock and writing.
-pub(crate) const HOLD_UP: Duration = Duration::from_millis(150);
+/// Longest scheduling delay of a gatekeeper between reading its clock and writing (RULES.md).
+pub(crate) const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
 
 /// A broken invariant.
 #[derive(Clone, Debug)]
@@ -36,19 +36,19 @@
 }
 
 /// All broken invariants, in the order of time.
-pub fn check_all(records: &Records, settings: &Settings) -> Vec<Violation> {
+pub fn check_all(history: &History, settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
-    violations.extend(processes::check(records));
-    violations.extend(requests::check(records));
-    violations.extend(attempts::check(records, settings));
-    violations.extend(endpoints::check(records, settings));
-    violations.extend(quotas::check(records, settings));
-    violations.extend(slow_start::check(records, settings));
+    violations.extend(processes::check(history));
+    violations.extend(requests::check(history));
+    violations.extend(attempts::check(history, settings));
+    violations.extend(endpoints::check(history, settings));
+    violations.extend(quotas::check(history, settings));
+    violations.extend(slow_start::check(history, settings));
     violations.sort_by_key(|violation| violation.at);
     violations
 }
 
-impl Records {
+impl History {
     /// By how much the harness itself was late at most in this time: what it records may be as late.
     pub(crate) fn harness_delay(&self, from: Moment, to: Moment) -> Duration {
         let overlaps = |&&(at, delay): &&(Moment, Duration)| at >= from && at.saturating_sub(delay) <= to;
--- a/crates/platform_soak/src/checkers/attempts.rs
+++ b/crates/platform_soak/src/checkers/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: nothing for a client that has gone, no more time than it has left, and repeats only as the class permits.
 
-use super::{HOLD_UP, Violation};
-use crate::history::{AttemptOutcome, AttemptRecord, Moment, Records, RequestNumber, RequestRecord};
+use super::{MAX_SCHEDULING_DELAY, Violation};
+use crate::history::{AttemptOutcome, AttemptRecord, History, Moment, RequestNumber, RequestRecord};
 use crate::settings::{Effect, Settings};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 /// For the way over loopback and the stand-ins' threads.
 const TRANSPORT: Duration = Duration::from_millis(5);
 
-pub(super) fn check(records: &Records, settings: &Settings) -> Vec<Violation> {
+pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
     let requests: HashMap<RequestNumber, &RequestRecord> =
-        records.requests.iter().map(|request| (request.number, request)).collect();
+        history.requests.iter().map(|request| (request.number, request)).collect();
     let mut by_request: HashMap<RequestNumber, Vec<&AttemptRecord>> = HashMap::new();
-    for attempt in &records.attempts {
+    for attempt in &history.attempts {
         by_request.entry(attempt.request).or_default().push(attempt);
     }
     let mut violations = Vec::new();
@@ -24,13 +24,13 @@
         // A request whose record is missing was resent and lost with its gatekeeper.
         let Some(request) = requests.get(&number) else { continue };
         for attempt in &attempts {
-            violations.extend(check_client_left(records, request, attempt));
-            violations.extend(check_time_left(records, request, attempt));
+            violations.extend(check_client_left(history, request, attempt));
+            violations.extend(check_time_left(history, request, attempt));
         }
         let Some(class) = settings.classes.get(request.class) else { continue };
         // On a new connection the client sends the whole request again: then two processes may each have one attempt.
         if !request.was_resent {
-            violations.extend(check_repeats(records, class.effect, &attempts));
+            violations.extend(check_repeats(history, class.effect, &attempts));
             violations.extend(check_count(settings, &attempts));
         }
     }
@@ -47,24 +47,24 @@
 }
 
 fn check_client_left(
-    records: &Records,
+    history: &History,
     request: &RequestRecord,
     attempt: &AttemptRecord,
 ) -> Option<Violation> {
     let left = request.left?;
     let gatekeeper = attempt.request.gatekeeper();
     let slack = TRANSPORT
-        + records.harness_delay(left, attempt.arrived)
-        + records.suspended(gatekeeper, left, attempt.arrived);
+        + history.harness_delay(left, attempt.arrived)
+        + history.suspended(gatekeeper, left, attempt.arrived);
     let after = attempt.began.checked_sub(left)?;
     let text = format!("began {:.3} s after its client had closed", after.as_secs_f64());
     (after > GONE_LIMIT + slack).then(|| violation("nothing for a client that has gone", attempt, text))
 }
 
-fn check_time_left(records: &Records, request: &RequestRecord, attempt: &AttemptRecord) -> Option<Violation> {
+fn check_time_left(history: &History, request: &RequestRecord, attempt: &AttemptRecord) -> Option<Violation> {
     let ends = request.sent + request.time;
     let left = ends.saturating_sub(attempt.arrived);
-    let slack = HOLD_UP + TRANSPORT + records.harness_delay(request.sent, attempt.arrived);
+    let slack = MAX_SCHEDULING_DELAY + TRANSPORT + history.harness_delay(request.sent, attempt.arrived);
     let text = format!(
         "was told {} ms, and its client had {} ms left",
         attempt.time_left.as_millis(),
@@ -77,7 +77,7 @@
     attempt.outcome != AttemptOutcome::Rejected
 }
 
-fn check_repeats(records: &Records, effect: Effect, attempts: &[&AttemptRecord]) -> Vec<Violation> {
+fn check_repeats(history: &History, effect: Effect, attempts: &[&AttemptRecord]) -> Vec<Violation> {
     if effect == Effect::Idempotent {
         return Vec::new();
     }
@@ -85,7 +85,7 @@
     for (index, attempt) in attempts.iter().enumerate().skip(1) {
         let earlier = &attempts[..index];
         if let Some(first) = earlier.iter().find(|earlier| may_have_run(earlier)) {
-            violations.extend(check_repeat(records, effect, first, attempt));
+            violations.extend(check_repeat(history, effect, first, attempt));
         }
         let is_out =
             |earlier: &&&AttemptRecord| earlier.ended.is_none_or(|ended| ended > attempt.arrived + TRANSPORT);
@@ -97,7 +97,7 @@
 }
 
 fn check_repeat(
-    records: &Records,
+    history: &History,
     effect: Effect,
     first: &AttemptRecord,
     attempt: &AttemptRecord,
@@ -110,7 +110,7 @@
             Some(violation("an unsafe class is repeated only if it never ran", attempt, text))
         }
         Effect::Keyed { window } => {
-            let slack = TRANSPORT + records.harness_delay(first.began, attempt.arrived);
+            let slack = TRANSPORT + history.harness_delay(first.began, attempt.arrived);
             let text = format!("was repeated after {} of {} ms", after.as_millis(), window.as_millis());
             (after > window + slack).then(|| violation("the window of a key", attempt, text))
         }
@@ -124,9 +124,9 @@
 }
 
 /// The time of the first attempt of each request, in order.
-pub(super) fn first_arrivals(records: &Records) -> Vec<(Moment, RequestNumber)> {
+pub(super) fn first_arrivals(history: &History) -> Vec<(Moment, RequestNumber)> {
     let mut first: HashMap<RequestNumber, Moment> = HashMap::new();
-    for attempt in &records.attempts {
+    for attempt in &history.attempts {
         let at = first.entry(attempt.request).or_insert(attempt.arrived);
         *at = (*at).min(attempt.arrived);
     }
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -1,7 +1,7 @@
 //! No attempt begins at a backend that drains or is gone, once its gatekeeper counts as notified and the grace is over.
 
-use super::{HOLD_UP, Violation};
-use crate::history::{GatekeeperIndex, ListedState, Moment, ProcessEvent, Records};
+use super::{MAX_SCHEDULING_DELAY, Violation};
+use crate::history::{GatekeeperIndex, History, ListedState, Moment, ProcessEvent};
 use crate::settings::Settings;
 use std::time::Duration;
 
@@ -16,15 +16,16 @@
     to: Moment,
 }
 
-pub(super) fn check(records: &Records, settings: &Settings) -> Vec<Violation> {
+pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
     for gatekeeper in 0..settings.gatekeepers {
         let closed: Vec<Vec<Closed>> = (0..settings.backends)
-            .map(|backend| closed_times(records, settings, gatekeeper, backend))
+            .map(|backend| closed_times(history, settings, gatekeeper, backend))
             .collect();
-        let attempts = records.attempts.iter().filter(|a| a.request.gatekeeper() == gatekeeper);
+        let attempts = history.attempts.iter().filter(|a| a.request.gatekeeper() == gatekeeper);
         for attempt in attempts {
-            let slack = HOLD_UP + TRANSPORT + records.harness_delay(attempt.began, attempt.arrived);
+            let slack =
+                MAX_SCHEDULING_DELAY + TRANSPORT + history.harness_delay(attempt.began, attempt.arrived);
             let is_closed =
                 |closed: &&Closed| attempt.began > closed.from + slack && attempt.began < closed.to;
             if let Some(closed) = closed[attempt.backend].iter().find(is_closed) {
@@ -47,18 +48,18 @@
 
 /// When a backend takes no new work of a gatekeeper: from the grace behind the notification to the next change.
 fn closed_times(
-    records: &Records,
+    history: &History,
     settings: &Settings,
     gatekeeper: GatekeeperIndex,
     backend: usize,
 ) -> Vec<Closed> {
     let changes: Vec<_> =
-        records.list_changes.iter().enumerate().filter(|(_, change)| change.backend == backend).collect();
+        history.list_changes.iter().enumerate().filter(|(_, change)| change.backend == backend).collect();
     let mut closed = Vec::new();
     for (place, (number, change)) in changes.iter().enumerate() {
         let next = changes.get(place + 1).map_or(Moment::MAX, |(_, next)| next.at);
         if change.state != ListedState::Up {
-            let notified = notified_at(records, gatekeeper, *number, change.at);
+            let notified = notified_at(history, gatekeeper, *number, change.at);
             closed.push(Closed { from: notified + settings.drain_grace, to: next });
         }
     }
@@ -67,17 +68,17 @@
 
 /// When a gatekeeper counts as notified of a change: when its list was written, and 6 s after its agent had it and could be
 /// reached at the latest. A process that has started since counts as notified when it serves, or as the others.
-fn notified_at(records: &Records, gatekeeper: GatekeeperIndex, change: usize, changed_at: Moment) -> Moment {
-    let written = records
+fn notified_at(history: &History, gatekeeper: GatekeeperIndex, change: usize, changed_at: Moment) -> Moment {
+    let written = history
         .notifications
         .iter()
         .find(|notification| notification.gatekeeper == gatekeeper && notification.changes > change)
         .map(|notification| notification.at);
-    let at_the_latest = reachable_since(records, gatekeeper, changed_at) + NOTIFIED_AFTER;
+    let at_the_latest = reachable_since(history, gatekeeper, changed_at) + NOTIFIED_AFTER;
     let notified = written.map_or(at_the_latest, |written| written.min(at_the_latest));
     // What an ended process was notified of, its successor is at its start.
     let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Started { .. });
-    let restarted = records
+    let restarted = history
         .processes
         .iter()
         .any(|record| record.gatekeeper == gatekeeper && is_start(&record.event) && record.at > notified);
@@ -85,8 +86,8 @@
 }
 
 /// From when on, after this moment, the agent could be reached for good.
-fn reachable_since(records: &Records, gatekeeper: GatekeeperIndex, from: Moment) -> Moment {
-    let changes = records.agent_changes.iter().filter(|change| change.gatekeeper == gatekeeper);
+fn reachable_since(history: &History, gatekeeper: GatekeeperIndex, from: Moment) -> Moment {
+    let changes = history.discovery_changes.iter().filter(|change| change.gatekeeper == gatekeeper);
     let mut since = from;
     let mut is_reachable = true;
     for change in changes {
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -2,18 +2,18 @@
 //! invariant of its own.
 
 use super::Violation;
-use crate::history::{Moment, ProcessEvent, ProcessRecord, Records};
+use crate::history::{History, Moment, ProcessEvent, ProcessRecord};
 use std::time::Duration;
 
 /// A process serves within this.
 const START_LIMIT: Duration = Duration::from_secs(10);
 
-pub(super) fn check(records: &Records) -> Vec<Violation> {
+pub(super) fn check(history: &History) -> Vec<Violation> {
     let mut violations: Vec<Violation> = Vec::new();
-    for record in &records.processes {
+    for record in &history.processes {
         let found = match &record.event {
-            ProcessEvent::Exited { status } => exit(records, record, *status),
-            ProcessEvent::Started { .. } => slow_start_up(records, record),
+            ProcessEvent::Exited { status } => exit(history, record, *status),
+            ProcessEvent::Started { .. } => slow_start_up(history, record),
             ProcessEvent::Violation { line } => {
                 Some(("no invariant broken by its own account", line.clone()))
             }
@@ -30,14 +30,14 @@
     violations
 }
 
-fn same_process<'a>(records: &'a Records, of: &'a ProcessRecord) -> impl Iterator<Item = &'a ProcessRecord> {
+fn same_process<'a>(history: &'a History, of: &'a ProcessRecord) -> impl Iterator<Item = &'a ProcessRecord> {
     let is_same = |other: &&ProcessRecord| other.gatekeeper == of.gatekeeper && other.process == of.process;
-    records.processes.iter().filter(is_same)
+    history.processes.iter().filter(is_same)
 }
 
-fn exit(records: &Records, record: &ProcessRecord, status: Option<i32>) -> Option<(&'static str, String)> {
+fn exit(history: &History, record: &ProcessRecord, status: Option<i32>) -> Option<(&'static str, String)> {
     let has = |event: &ProcessEvent| {
-        same_process(records, record).any(|other| other.event == *event && other.at <= record.at)
+        same_process(history, record).any(|other| other.event == *event && other.at <= record.at)
     };
     if has(&ProcessEvent::Killed) {
         return None;
@@ -48,9 +48,9 @@
     (status != Some(0)).then(|| ("a clean exit", format!("process {} ended with {status:?}", record.process)))
 }
 
-fn slow_start_up(records: &Records, started: &ProcessRecord) -> Option<(&'static str, String)> {
+fn slow_start_up(history: &History, started: &ProcessRecord) -> Option<(&'static str, String)> {
     let at = |event: fn(&ProcessEvent) -> bool| -> Option<Moment> {
-        same_process(records, started).find(|other| event(&other.event)).map(|other| other.at)
+        same_process(history, started).find(|other| event(&other.event)).map(|other| other.at)
     };
     let ready = at(|event| *event == ProcessEvent::Ready);
     let asked_to_end = at(|event| matches!(event, ProcessEvent::Killed | ProcessEvent::Terminated));
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -2,7 +2,7 @@
 
 use super::Violation;
 use super::attempts::first_arrivals;
-use crate::history::{Moment, ProcessEvent, Records, RequestNumber};
+use crate::history::{History, Moment, ProcessEvent, RequestNumber};
 use crate::settings::{MAX_UNITS, Settings, Tenant};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,11 +23,11 @@
     units: f64,
 }
 
-pub(super) fn check(records: &Records, settings: &Settings) -> Vec<Violation> {
+pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
     let requests: HashMap<RequestNumber, (usize, f64)> =
-        records.requests.iter().map(|request| (request.number, (request.tenant, request.units))).collect();
+        history.requests.iter().map(|request| (request.number, (request.tenant, request.units))).collect();
     let mut uses: Vec<Vec<Use>> = settings.tenants.iter().map(|_| Vec::new()).collect();
-    for (at, number) in first_arrivals(records) {
+    for (at, number) in first_arrivals(history) {
         if let Some(&(tenant, units)) = requests.get(&number) {
             uses[tenant].push(Use { at, units });
         }
@@ -35,16 +35,16 @@
     let tenants = settings.tenants.iter().enumerate().zip(&uses);
     tenants
         .flat_map(|((index, tenant), uses)| {
-            let quota = check_quota(records, settings, index, tenant, uses);
-            quota.into_iter().chain(check_ceiling(records, index, tenant, uses))
+            let quota = check_quota(history, settings, index, tenant, uses);
+            quota.into_iter().chain(check_ceiling(history, index, tenant, uses))
         })
         .collect()
 }
 
 /// Processes that start in a window each have a local share of a second's quota, and of a request at least.
-fn allowance_of_starts(records: &Records, settings: &Settings, tenant: &Tenant, from: Moment) -> f64 {
+fn allowance_of_starts(history: &History, settings: &Settings, tenant: &Tenant, from: Moment) -> f64 {
     let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Ready);
-    let starts = records
+    let starts = history
         .processes
         .iter()
         .filter(|record| is_start(&record.event) && record.at + LEARNING > from && record.at < from + WINDOW);
@@ -54,14 +54,14 @@
 
 /// Each gatekeeper that loses the counter, or has it again, may have spent a request of its local share that the others learn of
 /// late or never (docs/design/quotas.md).
-fn allowance_of_counter_changes(records: &Records, from: Moment) -> f64 {
+fn allowance_of_counter_changes(history: &History, from: Moment) -> f64 {
     let is_near = |at: Moment| at + LEARNING > from && at < from + WINDOW;
-    let changes = records.counter_changes.iter().filter(|(at, _)| is_near(*at));
+    let changes = history.counter_changes.iter().filter(|(at, _)| is_near(*at));
     changes.map(|(_, gatekeepers)| *gatekeepers as f64 * MAX_UNITS).sum()
 }
 
 fn check_quota(
-    records: &Records,
+    history: &History,
     settings: &Settings,
     index: usize,
     tenant: &Tenant,
@@ -80,11 +80,11 @@
         if from < first || end == begin {
             continue;
         }
-        let outages = allowance_of_counter_changes(records, from);
+        let outages = allowance_of_counter_changes(history, from);
         let factor = if outages > 0.0 { RATE_FACTOR_IN_OUTAGES } else { RATE_FACTOR };
         let allowed = factor * tenant.rate * WINDOW.as_secs_f64()
             + tenant.burst
-            + allowance_of_starts(records, settings, tenant, from)
+            + allowance_of_starts(history, settings, tenant, from)
             + outages;
         if sum > allowed && worst.is_none_or(|(over, ..)| sum / allowed > over) {
             worst = Some((sum / allowed, from, sum));
@@ -104,7 +104,7 @@
 }
 
 /// No window of any length holds more than the ceiling: the bucket, filled at its rate, never runs below nothing.
-fn check_ceiling(records: &Records, index: usize, tenant: &Tenant, uses: &[Use]) -> Option<Violation> {
+fn check_ceiling(history: &History, index: usize, tenant: &Tenant, uses: &[Use]) -> Option<Violation> {
     if tenant.ceiling_rate <= 0.0 {
         return None;
     }
@@ -115,7 +115,7 @@
         let refilled = tenant.ceiling_rate * (taken.at - last).as_secs_f64();
         level = (level + refilled).min(tenant.ceiling_burst) - taken.units;
         last = taken.at;
-        let late = tenant.ceiling_rate * records.harness_delay(taken.at, taken.at).as_secs_f64();
+        let late = tenant.ceiling_rate * history.harness_delay(taken.at, taken.at).as_secs_f64();
         if level < -slack - late {
             return Some(Violation {
                 rule: "hard ceiling",
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Violation;
 use crate::client::ANSWER_GRACE;
-use crate::history::{Records, RequestOutcome, RequestRecord};
+use crate::history::{History, RequestOutcome, RequestRecord};
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 /// Around a kill its connections end.
 const KILL_MARGIN: Duration = Duration::from_millis(100);
 
-pub(super) fn check(records: &Records) -> Vec<Violation> {
-    let attempted: HashSet<_> = records.attempts.iter().map(|attempt| attempt.request).collect();
+pub(super) fn check(history: &History) -> Vec<Violation> {
+    let attempted: HashSet<_> = history.attempts.iter().map(|attempt| attempt.request).collect();
     let mut violations: Vec<Violation> = Vec::new();
-    for request in &records.requests {
+    for request in &history.requests {
         let was_attempted = attempted.contains(&request.number);
-        violations.extend(check_request(records, request, was_attempted));
+        violations.extend(check_request(history, request, was_attempted));
     }
-    violations.extend(check_partial_requests(records));
-    violations.extend(records.refusals.iter().map(|&(at, gatekeeper)| Violation {
+    violations.extend(check_partial_requests(history));
+    violations.extend(history.refusals.iter().map(|&(at, gatekeeper)| Violation {
         rule: "a gatekeeper that serves takes connections",
         at,
         gatekeeper: Some(gatekeeper),
@@ -28,7 +28,7 @@
     violations
 }
 
-fn check_request(records: &Records, request: &RequestRecord, was_attempted: bool) -> Option<Violation> {
+fn check_request(history: &History, request: &RequestRecord, was_attempted: bool) -> Option<Violation> {
     let gatekeeper = request.number.gatekeeper();
     let from = request.sent.saturating_sub(KILL_MARGIN);
     let to = request.ended + KILL_MARGIN;
@@ -41,7 +41,7 @@
             "was the first on its connection, which was closed without an answer"
         }
         RequestOutcome::Unanswered => {
-            let late = request.time + ANSWER_GRACE + records.harness_delay(request.sent, request.ended);
+            let late = request.time + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
             if request.ended.saturating_sub(request.sent) < late {
                 return None;
             }
@@ -49,7 +49,7 @@
         }
         _ => return None,
     };
-    if records.was_killed(gatekeeper, from, to) {
+    if history.was_killed(gatekeeper, from, to) {
         return None;
     }
     let resent = if request.was_resent { ", sent once more" } else { "" };
@@ -66,12 +66,12 @@
     })
 }
 
-fn check_partial_requests(records: &Records) -> impl Iterator<Item = Violation> {
-    records.partial_requests.iter().filter_map(|partial| {
+fn check_partial_requests(history: &History) -> impl Iterator<Item = Violation> {
+    history.partial_requests.iter().filter_map(|partial| {
         let gatekeeper = partial.gatekeeper;
         let ended = partial.ended.unwrap_or(partial.stopped + 2 * PARTIAL_LIMIT);
-        let slack = records.harness_delay(partial.stopped, ended)
-            + records.suspended(gatekeeper, partial.stopped, ended);
+        let slack = history.harness_delay(partial.stopped, ended)
+            + history.suspended(gatekeeper, partial.stopped, ended);
         let took = ended.saturating_sub(partial.stopped);
         (took > PARTIAL_LIMIT + slack).then(|| Violation {
             rule: "an error or a close for half a request",
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -1,23 +1,23 @@
 //! Slow start: what a backend gets that has just started, of all gatekeepers together.
 
 use super::Violation;
-use crate::history::{AttemptRecord, BackendIndex, ListedState, Moment, Records};
+use crate::history::{AttemptRecord, BackendIndex, History, ListedState, Moment};
 use crate::settings::Settings;
 use std::time::Duration;
 
-/// A gatekeeper counts as notified of a start this long after it at the latest; within this time all are, on a day without trouble
+/// A gatekeeper counts as notified of a start this long after it at the latest; within this time all are, on a day without fault
 /// at discovery.
 const NOTIFIED_WITHIN: Duration = Duration::from_millis(300);
 /// What a backend can take is judged by what the others get, and this much more: none is at its limit.
 const CAPACITY_FACTOR: f64 = 1.25;
 
-pub(super) fn check(records: &Records, settings: &Settings) -> Vec<Violation> {
-    let starts = records.list_changes.iter().filter(|change| change.has_started);
-    starts.filter_map(|change| check_start(records, settings, change.backend, change.at)).collect()
+pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
+    let starts = history.list_changes.iter().filter(|change| change.has_started);
+    starts.filter_map(|change| check_start(history, settings, change.backend, change.at)).collect()
 }
 
-fn attempts_in(records: &Records, from: Moment, to: Moment) -> impl Iterator<Item = &AttemptRecord> {
-    records.attempts.iter().filter(move |attempt| attempt.arrived >= from && attempt.arrived < to)
+fn attempts_in(history: &History, from: Moment, to: Moment) -> impl Iterator<Item = &AttemptRecord> {
+    history.attempts.iter().filter(move |attempt| attempt.arrived >= from && attempt.arrived < to)
 }
 
 /// The most that a budget of so many calls may be passed by chance.
@@ -26,7 +26,7 @@
 }
 
 fn check_start(
-    records: &Records,
+    history: &History,
     settings: &Settings,
     backend: BackendIndex,
     started: Moment,
@@ -38,11 +38,11 @@
         let to = from + window;
         let age = (to - started).as_secs_f64() / settings.cold_time.as_secs_f64();
         let warmth = settings.cold_share + (1.0 - settings.cold_share) * age.min(1.0);
-        let ready = ready_backends(records, settings, from, to);
-        let others: usize = attempts_in(records, from, to).filter(|a| ready.contains(&a.backend)).count();
+        let ready = ready_backends(history, settings, from, to);
+        let others: usize = attempts_in(history, from, to).filter(|a| ready.contains(&a.backend)).count();
         let capacity = CAPACITY_FACTOR * others as f64 / ready.len().max(1) as f64;
         let budget = settings.overload_factor * warmth * capacity;
-        let got = attempts_in(records, from, to).filter(|attempt| attempt.backend == backend).count();
+        let got = attempts_in(history, from, to).filter(|attempt| attempt.backend == backend).count();
         if ready.len() > 2 && got as f64 > budget + chance(budget) {
             return Some(Violation {
                 rule: "slow start",
@@ -61,23 +61,23 @@
 }
 
 /// Backends that are up and have been for long, in all of this time.
-fn ready_backends(records: &Records, settings: &Settings, from: Moment, to: Moment) -> Vec<BackendIndex> {
+fn ready_backends(history: &History, settings: &Settings, from: Moment, to: Moment) -> Vec<BackendIndex> {
     let is_ready = |backend: &BackendIndex| {
-        records.list_changes.iter().filter(|change| change.backend == *backend && change.at < to).all(
+        history.list_changes.iter().filter(|change| change.backend == *backend && change.at < to).all(
             |change| {
                 let is_long_ago = change.at + settings.cold_time < from;
                 change.state == ListedState::Up && (is_long_ago || !change.has_started)
                     || is_long_ago
                         && change.state != ListedState::Up
-                        && is_up_again(records, *backend, change.at, from)
+                        && is_up_again(history, *backend, change.at, from)
             },
         )
     };
     (0..settings.backends).filter(is_ready).collect()
 }
 
-fn is_up_again(records: &Records, backend: BackendIndex, after: Moment, by: Moment) -> bool {
-    let later = records
+fn is_up_again(history: &History, backend: BackendIndex, after: Moment, by: Moment) -> bool {
+    let later = history
         .list_changes
         .iter()
         .rfind(|change| change.backend == backend && change.at > after && change.at < by);
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: most send a request and wait for its answer; some leave early, never complete a request, or give it very little time.
 
 use crate::gatekeeper::Gatekeeper;
-use crate::history::{History, PartialRequest, RequestNumber, RequestOutcome, RequestRecord};
+use crate::history::{PartialRequest, Recorder, RequestNumber, RequestOutcome, RequestRecord};
 use crate::settings::{Effect, MAX_UNITS, Settings, plan_name};
 use fault_injection::wire;
 use std::io::{self, Read, Write};
@@ -49,8 +49,8 @@
     pub behaviour: Arc<Behaviour>,
     /// Serials of the gatekeeper's requests.
     pub serials: Arc<AtomicU32>,
-    /// Where it records.
-    pub history: History,
+    /// Where it history.
+    pub recorder: Recorder,
     /// Its draws.
     pub random: fastrand::Rng,
 }
@@ -129,7 +129,7 @@
             record.outcome,
             RequestOutcome::Served | RequestOutcome::Rejected | RequestOutcome::Failed
         );
-        self.history.record(|records| records.requests.push(record));
+        self.recorder.record(|history| history.requests.push(record));
         connection.answered += 1;
         goes_on.then_some(connection)
     }
@@ -193,8 +193,8 @@
             }
             Err(_) => {
                 if could_accept && self.gatekeeper.accepts_connections() {
-                    let refusal = (self.history.now(), self.gatekeeper.index);
-                    self.history.record(|records| records.refusals.push(refusal));
+                    let refusal = (self.recorder.now(), self.gatekeeper.index);
+                    self.recorder.record(|history| history.refusals.push(refusal));
                 }
                 std::thread::sleep(REFUSED_PAUSE);
                 None
@@ -211,13 +211,13 @@
     ) -> Option<RequestRecord> {
         connection.received.clear();
         connection.stream.write_all(&draft.bytes).ok()?;
-        let sent = self.history.now();
+        let sent = self.recorder.now();
         let (mut left, mut reply) = (None, Reply::Late);
         if let Some(time) = leaves_after {
             reply = connection.read_reply(Instant::now() + time);
             if matches!(reply, Reply::Late) {
                 let _ = connection.stream.shutdown(Shutdown::Both);
-                left = Some(self.history.now());
+                left = Some(self.recorder.now());
             }
         }
         if matches!(reply, Reply::Late) && left.is_none() {
@@ -241,7 +241,7 @@
             time,
             sent,
             left,
-            ended: self.history.now(),
+            ended: self.recorder.now(),
             outcome,
             is_first_on_connection: false,
             was_resent: false,
@@ -254,12 +254,12 @@
         if connection.stream.write_all(&draft.bytes[..length]).is_err() {
             return;
         }
-        let stopped = self.history.now();
+        let stopped = self.recorder.now();
         connection.received.clear();
         let reply = connection.read_reply(Instant::now() + PARTIAL_TIMEOUT);
-        let ended = (!matches!(reply, Reply::Late)).then(|| self.history.now());
+        let ended = (!matches!(reply, Reply::Late)).then(|| self.recorder.now());
         let partial = PartialRequest { gatekeeper: self.gatekeeper.index, stopped, ended };
-        self.history.record(|records| records.partial_requests.push(partial));
+        self.recorder.record(|history| history.partial_requests.push(partial));
     }
 }
 
--- a/crates/platform_soak/src/troubles.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -1,10 +1,10 @@
-//! Carrying out a schedule: each trouble begins at its time, in a thread of its own, and ends after its length.
+//! Injects the faults of a schedule, each in a thread of its own.
 
 use crate::history::ListedState;
-use crate::schedule::{CallFaults, Planned, RestartKind, Schedule, Trouble, suspension};
+use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule, suspension};
 use crate::settings::MAX_SOCKETS;
 use crate::site::Site;
-use crate::stand_ins::{AgentMode, BackendMode, CounterMode, spawn};
+use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode, spawn};
 use fault_shim_control::{RATE_SCALE, Setting};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a backend that restarts is away.
-const BACKEND_AWAY: Duration = Duration::from_millis(400);
-/// How long a gatekeeper that was killed is away.
-const CRASH_PAUSE: Duration = Duration::from_millis(150);
+/// Time for which a restarting backend is down.
+const BACKEND_DOWN_TIME: Duration = Duration::from_millis(400);
+/// Delay before a killed gatekeeper is restarted.
+const CRASH_DOWN_TIME: Duration = Duration::from_millis(150);
 /// Pause between two configurations in quick succession.
 const RELOAD_PAUSE: Duration = Duration::from_millis(60);
 /// Pause between two suspensions.
@@ -46,78 +46,78 @@
     }
 }
 
-/// Carries out a schedule and returns at its end, when all troubles are over.
-pub fn play(site: &Arc<Site>, schedule: &Schedule) {
-    let began = site.history.now();
-    site.history.record(|records| records.started = began);
+/// Injects all faults of a schedule at their times. Returns at the end of the schedule, once all faults are over.
+pub fn run(site: &Arc<Site>, schedule: &Schedule) {
+    let began = site.recorder.now();
+    site.recorder.record(|history| history.started = began);
     let mut running = Vec::new();
-    for &planned in &schedule.troubles {
-        thread::sleep((began + planned.at).saturating_sub(site.history.now()));
+    for &planned in &schedule.faults {
+        thread::sleep((began + planned.at).saturating_sub(site.recorder.now()));
         let site = site.clone();
-        running.extend(spawn(move || carry_out(&site, planned)));
+        running.extend(spawn(move || inject(&site, planned)));
     }
-    thread::sleep((began + schedule.length).saturating_sub(site.history.now()));
+    thread::sleep((began + schedule.length).saturating_sub(site.recorder.now()));
     running.into_iter().for_each(|thread| drop(thread.join()));
 }
 
-fn carry_out(site: &Site, planned: Planned) {
-    let Planned { length, trouble, .. } = planned;
-    match trouble {
-        Trouble::Restart { gatekeeper, kind, clock_offset_us } => {
+fn inject(site: &Site, planned: PlannedFault) {
+    let PlannedFault { length, fault, .. } = planned;
+    match fault {
+        Fault::Restart { gatekeeper, kind, clock_offset_us } => {
             restart(site, gatekeeper, kind, clock_offset_us);
         }
-        Trouble::ClockStep { gatekeeper, clock_offset_us } => {
+        Fault::ClockStep { gatekeeper, clock_offset_us } => {
             // The harness writes to its own file.
             let _ = site.gatekeepers[gatekeeper].control.set_clock_offset(clock_offset_us);
         }
-        Trouble::Reloads { gatekeeper, count } => {
+        Fault::Reloads { gatekeeper, count } => {
             for _ in 0..count {
                 site.gatekeepers[gatekeeper].reload();
                 thread::sleep(RELOAD_PAUSE);
             }
         }
-        Trouble::Suspensions { gatekeeper, count } => {
+        Fault::Suspensions { gatekeeper, count } => {
             for _ in 0..count {
                 site.gatekeepers[gatekeeper].suspend(suspension());
                 thread::sleep(SUSPENSION_PAUSE);
             }
         }
-        Trouble::Calls { first, step, faults } => call_faults(site, first, step, faults, length),
-        Trouble::Discovery { first, step, mode } => {
-            let agents = || site.agents.iter().skip(first).step_by(step);
-            agents().for_each(|agent| agent.set_mode(mode));
+        Fault::Calls { first, step, faults } => call_faults(site, first, step, faults, length),
+        Fault::Discovery { first, step, mode } => {
+            let selected = || site.discoveries.iter().skip(first).step_by(step);
+            selected().for_each(|discovery| discovery.set_mode(mode));
             thread::sleep(length);
-            agents().for_each(|agent| agent.set_mode(AgentMode::Healthy));
+            selected().for_each(|discovery| discovery.set_mode(DiscoveryMode::Healthy));
         }
-        Trouble::Counter { mode } => {
+        Fault::Counter { mode } => {
             site.counter.set_mode(mode);
             note_counter_change(site, site.gatekeepers.len());
             thread::sleep(length);
             site.counter.set_mode(CounterMode::Healthy);
             note_counter_change(site, site.gatekeepers.len());
         }
-        Trouble::Backend { backend, mode } => {
+        Fault::Backend { backend, mode } => {
             site.backends[backend].set_mode(mode);
             thread::sleep(length);
             site.backends[backend].set_mode(BackendMode::Healthy);
         }
-        Trouble::Drain { backend } => {
+        Fault::Drain { backend } => {
             change_for(site, backend, ListedState::Draining, length);
         }
-        Trouble::Removal { backend } => change_for(site, backend, ListedState::Removed, length),
-        Trouble::BackendRestart { backend } => restart_backend(site, backend),
-        Trouble::Leaving => badly_behaved(site, length, LEAVING_RATE, |behaviour| &behaviour.leaving),
-        Trouble::PartialRequests => {
+        Fault::Removal { backend } => change_for(site, backend, ListedState::Removed, length),
+        Fault::BackendRestart { backend } => restart_backend(site, backend),
+        Fault::Leaving => badly_behaved(site, length, LEAVING_RATE, |behaviour| &behaviour.leaving),
+        Fault::PartialRequests => {
             badly_behaved(site, length, PARTIAL_RATE, |behaviour| &behaviour.partial);
         }
-        Trouble::HurriedRequests => {
+        Fault::HurriedRequests => {
             badly_behaved(site, length, HURRIED_RATE, |behaviour| &behaviour.hurried);
         }
-        Trouble::IdleCrowd { gatekeeper } => crowd(site, gatekeeper, length),
+        Fault::IdleCrowd { gatekeeper } => crowd(site, gatekeeper, length),
     }
 }
 
-/// Gives a backend another state on the list, and then the one in which it takes work.
+/// Lists a backend in another state for a while, and then as up again.
 fn change_for(site: &Site, backend: usize, state: ListedState, length: Duration) {
     site.list.change(backend, state, false);
     thread::sleep(length);
@@ -127,14 +127,14 @@
 fn restart_backend(site: &Site, backend: usize) {
     site.list.change(backend, ListedState::Removed, false);
     site.backends[backend].set_mode(BackendMode::Refusing);
-    thread::sleep(BACKEND_AWAY);
+    thread::sleep(BACKEND_DOWN_TIME);
     site.backends[backend].set_mode(BackendMode::Healthy);
     site.list.change(backend, ListedState::Up, true);
 }
 
 fn crowd(site: &Site, gatekeeper: usize, length: Duration) {
     let address = site.gatekeepers[gatekeeper].address;
-    let connect = |_| TcpStream::connect_timeout(&address, BACKEND_AWAY).ok();
+    let connect = |_| TcpStream::connect_timeout(&address, BACKEND_DOWN_TIME).ok();
     let connections: Vec<TcpStream> = (0..MAX_SOCKETS).filter_map(connect).collect();
     thread::sleep(length);
     drop(connections);
@@ -144,7 +144,7 @@
     let (gatekeeper, kill_after) = (&site.gatekeepers[gatekeeper], site.kill_after());
     let restarted = match kind {
         RestartKind::Graceful => gatekeeper.restart(kill_after, clock_offset_us),
-        RestartKind::Crash => gatekeeper.crash(CRASH_PAUSE, clock_offset_us),
+        RestartKind::Crash => gatekeeper.crash(CRASH_DOWN_TIME, clock_offset_us),
         RestartKind::Upgrade => gatekeeper.upgrade(kill_after, clock_offset_us),
     };
     if let Err(error) = restarted {
@@ -179,8 +179,8 @@
 }
 
 fn note_counter_change(site: &Site, gatekeepers: usize) {
-    let change = (site.history.now(), gatekeepers);
-    site.history.record(|records| records.counter_changes.push(change));
+    let change = (site.recorder.now(), gatekeepers);
+    site.recorder.record(|history| history.counter_changes.push(change));
 }
 
 fn badly_behaved(
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -1,6 +1,6 @@
 //! One gatekeeper over all its processes: starts, signals, and what it writes.
 
-use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, ProcessRecord};
+use crate::history::{GatekeeperIndex, Moment, ProcessEvent, ProcessRecord, Recorder};
 use crate::lock;
 use crate::stand_ins::spawn;
 use fault_shim_control::{CONTROL_VARIABLE, Control};
@@ -57,7 +57,7 @@
     program: Program,
     config_path: PathBuf,
     directory: PathBuf,
-    history: History,
+    recorder: Recorder,
     processes: Mutex<Vec<Process>>,
     changed: Condvar,
     /// Held while a process takes the place of another: what replaces one waits for what replaces it already.
@@ -75,7 +75,7 @@
         address: SocketAddr,
         program: Program,
         directory: &Path,
-        history: &History,
+        recorder: &Recorder,
     ) -> io::Result<Arc<Self>> {
         let directory = directory.join(format!("n{index}"));
         std::fs::create_dir_all(&directory)?;
@@ -86,7 +86,7 @@
             program,
             config_path: directory.join("config.json"),
             directory,
-            history: history.clone(),
+            recorder: recorder.clone(),
             processes: Mutex::default(),
             changed: Condvar::new(),
             replacing: Mutex::default(),
@@ -103,8 +103,8 @@
     }
 
     fn record(&self, process: usize, event: ProcessEvent) {
-        let record = ProcessRecord { at: self.history.now(), gatekeeper: self.index, process, event };
-        self.history.record(|records| records.processes.push(record));
+        let record = ProcessRecord { at: self.recorder.now(), gatekeeper: self.index, process, event };
+        self.recorder.record(|history| history.processes.push(record));
     }
 
     /// Starts a process with its wall clock so far off.
@@ -162,7 +162,7 @@
 
     fn take_line(&self, number: usize, line: String) {
         if line.contains(READY_TEXT) {
-            let now = self.history.now();
+            let now = self.recorder.now();
             self.record(number, ProcessEvent::Ready);
             let mut processes = lock(&self.processes);
             processes[number].ready = Some(now);
@@ -217,7 +217,7 @@
     /// Sends SIGTERM to a process; returns whether it ended within this time, after which it is killed.
     fn terminate(&self, number: usize, time: Duration) -> bool {
         {
-            let now = self.history.now();
+            let now = self.recorder.now();
             let mut processes = lock(&self.processes);
             processes[number].terminated.get_or_insert(now);
         }
@@ -300,7 +300,7 @@
     /// Suspends the newest process for this time.
     pub fn suspend(&self, time: Duration) {
         let Some(number) = self.newest() else { return };
-        let from = self.history.now();
+        let from = self.recorder.now();
         self.signal(number, Signal::STOP);
         std::thread::sleep(time);
         self.signal(number, Signal::CONT);
@@ -319,7 +319,7 @@
 
     /// Whether clients may make new connections now.
     pub fn accepts_connections(&self) -> bool {
-        let now = self.history.now();
+        let now = self.recorder.now();
         lock(&self.processes).iter().any(|process| {
             let is_ending = process.terminated.is_some_and(|at| now >= at + CONNECTS_AFTER_TERMINATION);
             process.ready.is_some() && !process.killed && !process.exited && !is_ending
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -197,7 +197,7 @@
 
 /// A discovery agent became reachable, or not.
 #[derive(Clone, Copy, Debug)]
-pub struct AgentChange {
+pub struct DiscoveryChange {
     /// When.
     pub at: Moment,
     /// Whose agent.
@@ -230,7 +230,7 @@
 
 /// Everything that was recorded.
 #[derive(Clone, Debug, Default)]
-pub struct Records {
+pub struct History {
     /// When the schedule began: all processes served by then.
     pub started: Moment,
     /// Requests.
@@ -242,7 +242,7 @@
     /// The endpoint list.
     pub list_changes: Vec<ListChange>,
     /// Discovery agents.
-    pub agent_changes: Vec<AgentChange>,
+    pub discovery_changes: Vec<DiscoveryChange>,
     /// When so many gatekeepers lost the counter, or had it again.
     pub counter_changes: Vec<(Moment, usize)>,
     /// Lists that were written.
@@ -257,49 +257,49 @@
 
 /// A history that many threads record into.
 #[derive(Clone, Debug)]
-pub struct History {
+pub struct Recorder {
     start: Instant,
-    records: Arc<Mutex<Records>>,
+    history: Arc<Mutex<History>>,
 }
 
-impl Default for History {
+impl Default for Recorder {
     fn default() -> Self {
-        Self { start: Instant::now(), records: Arc::default() }
+        Self { start: Instant::now(), history: Arc::default() }
     }
 }
 
-impl History {
+impl Recorder {
     /// The time now.
     pub fn now(&self) -> Moment {
         self.start.elapsed()
     }
 
-    /// Changes the records.
-    pub fn record<R>(&self, change: impl FnOnce(&mut Records) -> R) -> R {
-        change(&mut lock(&self.records))
+    /// Changes the history.
+    pub fn record<R>(&self, change: impl FnOnce(&mut History) -> R) -> R {
+        change(&mut lock(&self.history))
     }
 
-    /// Records an attempt that came whole; returns its place.
+    /// History an attempt that came whole; returns its place.
     pub fn begin_attempt(&self, attempt: AttemptRecord) -> usize {
-        self.record(|records| {
-            records.attempts.push(attempt);
-            records.attempts.len() - 1
+        self.record(|history| {
+            history.attempts.push(attempt);
+            history.attempts.len() - 1
         })
     }
 
-    /// Records the end of an attempt.
+    /// History the end of an attempt.
     pub fn end_attempt(&self, place: usize, outcome: AttemptOutcome) {
         let now = self.now();
-        self.record(|records| {
-            if let Some(attempt) = records.attempts.get_mut(place) {
+        self.record(|history| {
+            if let Some(attempt) = history.attempts.get_mut(place) {
                 attempt.ended = Some(now);
                 attempt.outcome = outcome;
             }
         });
     }
 
-    /// A copy of all records.
-    pub fn snapshot(&self) -> Records {
-        lock(&self.records).clone()
+    /// A copy of all history.
+    pub fn snapshot(&self) -> History {
+        lock(&self.history).clone()
     }
 }
--- a/crates/platform_soak/src/main.rs
+++ b/crates/platform_soak/src/main.rs
@@ -1,11 +1,11 @@
-//! `proof-soak`: plays schedules of the platform path with overlapping troubles and judges them by invariants. It exits with 1 where
+//! `proof-soak`: runs schedules of the platform path with overlapping faults and judges them by invariants. It exits with 1 where
 //! one is broken, and with 2 where it cannot run.
 
 use clap::Parser;
 use fault_injection::test_directory::TestDirectory;
 use platform_soak::checkers::Violation;
 use platform_soak::gatekeeper::Program;
-use platform_soak::history::{ProcessEvent, Records, RequestOutcome};
+use platform_soak::history::{History, ProcessEvent, RequestOutcome};
 use platform_soak::run::run;
 use platform_soak::schedule::Schedule;
 use std::collections::BTreeMap;
@@ -18,10 +18,10 @@
 /// Status where the harness cannot run.
 const CANNOT_RUN: u8 = 2;
 
-/// Plays schedules of overlapping troubles on real gatekeepers of the platform path.
+/// Runs schedules of overlapping faults on real gatekeepers of the platform path.
 #[derive(Debug, Parser)]
 struct Options {
-    /// How many schedules are played.
+    /// Number of schedules.
     #[arg(long, default_value_t = 20)]
     schedules: u64,
     /// The seed of the first one; each next one has the next seed.
@@ -36,13 +36,13 @@
     /// The gatekeeper's binary; by default the one beside this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Plays with a build with seeded faults, with this one; it has to be named within the schedules.
+    /// Runs a build with seeded faults with this one enabled; the run fails unless a checker reports a violation.
     #[arg(long)]
     seeded_fault: Option<String>,
-    /// Plays the same sites and clients without any trouble.
-    #[arg(long)]
-    without_troubles: bool,
-    /// Prints the troubles of each schedule.
+    /// Runs the same sites and clients without any fault.
+    #[arg(long, alias = "without-troubles")]
+    without_faults: bool,
+    /// Prints the faults of each schedule.
     #[arg(long)]
     verbose: bool,
 }
@@ -56,20 +56,20 @@
     requests: usize,
     attempts: usize,
     processes: usize,
-    troubles: usize,
+    faults: usize,
     by_rule: BTreeMap<&'static str, usize>,
 }
 
 impl Totals {
-    fn add(&mut self, schedule: &Schedule, records: &Records, violations: &[Violation]) {
+    fn add(&mut self, schedule: &Schedule, history: &History, violations: &[Violation]) {
         self.schedules += 1;
         self.violations += violations.len();
         self.broken_schedules += usize::from(!violations.is_empty());
-        self.requests += records.requests.len();
-        self.attempts += records.attempts.len();
+        self.requests += history.requests.len();
+        self.attempts += history.attempts.len();
         let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Started { .. });
-        self.processes += records.processes.iter().filter(|record| is_start(&record.event)).count();
-        self.troubles += schedule.troubles.len();
+        self.processes += history.processes.iter().filter(|record| is_start(&record.event)).count();
+        self.faults += schedule.faults.len();
         for violation in violations {
             *self.by_rule.entry(violation.rule).or_default() += 1;
         }
@@ -83,26 +83,26 @@
     path.exists().then_some(Program { path, shim, seeded_fault: options.seeded_fault.clone() })
 }
 
-fn print_schedule(schedule: &Schedule, records: &Records, violations: &[Violation], is_verbose: bool) {
+fn print_schedule(schedule: &Schedule, history: &History, violations: &[Violation], is_verbose: bool) {
     let count = |outcome: RequestOutcome| {
-        records.requests.iter().filter(|request| request.outcome == outcome).count()
+        history.requests.iter().filter(|request| request.outcome == outcome).count()
     };
     println!(
         "seed {}: {} requests ({} served, {} rejected, {} failed, {} left), {} attempts, {} violations",
         schedule.seed,
-        records.requests.len(),
+        history.requests.len(),
         count(RequestOutcome::Served),
         count(RequestOutcome::Rejected),
         count(RequestOutcome::Failed),
         count(RequestOutcome::Left),
-        records.attempts.len(),
+        history.attempts.len(),
         violations.len()
     );
     if is_verbose || !violations.is_empty() {
-        schedule.troubles.iter().for_each(|planned| println!("    {planned}"));
+        schedule.faults.iter().for_each(|planned| println!("    {planned}"));
     }
     if is_verbose {
-        records.processes.iter().for_each(|record| println!("    {record:?}"));
+        history.processes.iter().for_each(|record| println!("    {record:?}"));
     }
     violations.iter().take(MAX_PRINTED).for_each(|violation| println!("  {violation}"));
     if violations.len() > MAX_PRINTED {
@@ -120,14 +120,14 @@
     for seed in options.seed..options.seed + options.schedules {
         let length = Duration::from_secs(options.seconds);
         let mut schedule = Schedule::draw(seed, options.gatekeepers, length);
-        if options.without_troubles {
-            schedule.troubles.clear();
+        if options.without_faults {
+            schedule.faults.clear();
         }
         let directory = TestDirectory::new(&format!("soak-{seed}"));
         match run(&schedule, &program, directory.path()) {
             Ok(verdict) => {
-                print_schedule(&schedule, &verdict.records, &verdict.violations, options.verbose);
-                totals.add(&schedule, &verdict.records, &verdict.violations);
+                print_schedule(&schedule, &verdict.history, &verdict.violations, options.verbose);
+                totals.add(&schedule, &verdict.history, &verdict.violations);
             }
             Err(error) => {
                 eprintln!("proof-soak: seed {seed}: {error}");
@@ -139,13 +139,13 @@
         println!("{count:6}  {rule}");
     }
     println!(
-        "proof soak: {} schedules, {} violations, in {} schedules; {} gatekeepers in each, {} processes, {} troubles, {} requests, {} attempts",
+        "proof soak: {} schedules, {} violations, in {} schedules; {} gatekeepers in each, {} processes, {} faults, {} requests, {} attempts",
         totals.schedules,
         totals.violations,
         totals.broken_schedules,
         options.gatekeepers,
         totals.processes,
-        totals.troubles,
+        totals.faults,
         totals.requests,
         totals.attempts
     );
--- a/crates/platform_soak/src/run.rs
+++ b/crates/platform_soak/src/run.rs
@@ -1,11 +1,11 @@
 //! One schedule, from its start to its verdict.
 
 use crate::checkers::{self, Violation};
+use crate::fault_runner;
 use crate::gatekeeper::Program;
-use crate::history::Records;
+use crate::history::History;
 use crate::schedule::Schedule;
 use crate::site::Site;
-use crate::troubles;
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 /// Open requests have ended by then.
 const SETTLING: Duration = Duration::from_millis(300);
 
-/// What a schedule has shown.
+/// Result of a schedule.
 #[derive(Debug)]
 pub struct Verdict {
-    /// Broken invariants.
+    /// Invariants that were broken.
     pub violations: Vec<Violation>,
     /// What happened.
-    pub records: Records,
+    pub history: History,
 }
 
-/// Plays a schedule and judges it. The files of its gatekeepers lie in this directory.
+/// Runs a schedule and checks its history. The gatekeepers' files are written to this directory.
 ///
 /// # Errors
 ///
@@ -31,10 +31,10 @@
 pub fn run(schedule: &Schedule, program: &Program, directory: &Path) -> io::Result<Verdict> {
     let site = Arc::new(Site::start(schedule.seed, schedule.settings.clone(), program, directory)?);
     site.start_clients()?;
-    troubles::play(&site, schedule);
+    fault_runner::run(&site, schedule);
     site.stop();
     std::thread::sleep(SETTLING);
-    let records = site.history.snapshot();
-    let violations = checkers::check_all(&records, &schedule.settings);
-    Ok(Verdict { violations, records })
+    let history = site.recorder.snapshot();
+    let violations = checkers::check_all(&history, &schedule.settings);
+    Ok(Verdict { violations, history })
 }
--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -1,20 +1,20 @@
-//! Schedules: which troubles begin when, drawn from the seed. Several overlap.
+//! Schedules: which faults begin when, drawn from the seed. Several overlap.
 
 use crate::history::{BackendIndex, GatekeeperIndex};
 use crate::settings::Settings;
-use crate::stand_ins::{AgentMode, BackendMode, CounterMode};
+use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
 use std::fmt;
 use std::time::Duration;
 
-/// Troubles of a schedule for each second of it.
-const TROUBLES_PER_SECOND: f64 = 1.6;
+/// Faults of a schedule for each second of it.
+const FAULTS_PER_SECOND: f64 = 1.6;
 /// Before this nothing happens, so that buckets and rates are known.
 const QUIET_START: Duration = Duration::from_millis(1_500);
-/// How long before the end the last trouble begins.
+/// How long before the end the last fault begins.
 const QUIET_END: Duration = Duration::from_millis(3_000);
 /// Steps of a wall clock, in seconds.
 const CLOCK_STEPS_S: [i64; 6] = [3_600, -3_600, 5, -5, 2, 40_000];
-/// How long a suspension is: a gatekeeper may be held up for 0.15 s.
+/// Length of a suspension. Gatekeepers are specified for scheduling delays of up to 0.15 s.
 const SUSPENSION: Duration = Duration::from_millis(140);
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
@@ -44,9 +44,9 @@
     Upgrade,
 }
 
-/// A trouble.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// A gatekeeper's process is replaced; the new one starts with its wall clock so far off.
     Restart {
         /// Of which gatekeeper.
@@ -70,7 +70,7 @@
         /// How many.
         count: u32,
     },
-    /// A gatekeeper is held up several times.
+    /// A gatekeeper is suspended several times.
     Suspensions {
         /// Which.
         gatekeeper: GatekeeperIndex,
@@ -86,14 +86,14 @@
         /// Which calls.
         faults: CallFaults,
     },
-    /// The agents of some gatekeepers fail.
+    /// The discovery agents of some gatekeepers fail.
     Discovery {
-        /// See [`Trouble::Calls`].
+        /// See [`Fault::Calls`].
         first: GatekeeperIndex,
-        /// See [`Trouble::Calls`].
+        /// See [`Fault::Calls`].
         step: usize,
         /// How.
-        mode: AgentMode,
+        mode: DiscoveryMode,
     },
     /// The counter fails.
     Counter {
@@ -107,12 +107,12 @@
         /// How.
         mode: BackendMode,
     },
-    /// A backend drains, and takes work again after the trouble.
+    /// A backend drains, and takes work again after the fault.
     Drain {
         /// Which.
         backend: BackendIndex,
     },
-    /// A backend leaves the list, and is back after the trouble without a restart.
+    /// A backend leaves the list, and is back after the fault without a restart.
     Removal {
         /// Which.
         backend: BackendIndex,
@@ -135,15 +135,15 @@
     },
 }
 
-/// A trouble with its time.
+/// A fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When it begins.
     pub at: Duration,
     /// How long it lasts.
     pub length: Duration,
     /// What it is.
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
 /// A schedule.
@@ -155,8 +155,8 @@
     pub length: Duration,
     /// The site.
     pub settings: Settings,
-    /// Its troubles in the order in which they begin.
-    pub troubles: Vec<Planned>,
+    /// Its faults in the order in which they begin.
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Schedule {
@@ -164,26 +164,26 @@
     pub fn draw(seed: u64, gatekeepers: usize, length: Duration) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let settings = Settings::draw(&mut random, gatekeepers);
-        let count = (length.as_secs_f64() * TROUBLES_PER_SECOND) as usize;
+        let count = (length.as_secs_f64() * FAULTS_PER_SECOND) as usize;
         let last = length.saturating_sub(QUIET_END).max(QUIET_START);
-        let mut troubles: Vec<Planned> = (0..count)
+        let mut faults: Vec<PlannedFault> = (0..count)
             .map(|_| {
                 let part = random.f64();
                 let at = QUIET_START + (last - QUIET_START).mul_f64(part);
-                let trouble = draw_trouble(&mut random, &settings);
-                Planned { at, length: draw_length(&mut random, trouble), trouble }
+                let fault = draw_fault(&mut random, &settings);
+                PlannedFault { at, length: draw_length(&mut random, fault), fault }
             })
             .collect();
-        troubles.sort_by_key(|planned| planned.at);
-        Self { seed, length, settings, troubles }
+        faults.sort_by_key(|planned| planned.at);
+        Self { seed, length, settings, faults }
     }
 }
 
-fn draw_length(random: &mut fastrand::Rng, trouble: Trouble) -> Duration {
-    let range = match trouble {
+fn draw_length(random: &mut fastrand::Rng, fault: Fault) -> Duration {
+    let range = match fault {
         // As long as the operators' page tells of: connects that fail for 2 s.
-        Trouble::Calls { faults: CallFaults::NoConnections, .. } => 500..2_000,
-        Trouble::Drain { .. } | Trouble::Removal { .. } => 3_000..6_000,
+        Fault::Calls { faults: CallFaults::NoConnections, .. } => 500..2_000,
+        Fault::Drain { .. } | Fault::Removal { .. } => 3_000..6_000,
         _ => 800..4_000,
     };
     Duration::from_millis(random.u64(range))
@@ -202,7 +202,7 @@
     CLOCK_STEPS_S[random.usize(..CLOCK_STEPS_S.len())] * MICROS_PER_SECOND
 }
 
-fn draw_trouble(random: &mut fastrand::Rng, settings: &Settings) -> Trouble {
+fn draw_fault(random: &mut fastrand::Rng, settings: &Settings) -> Fault {
     let gatekeeper = random.usize(..settings.gatekeepers);
     let backend = random.usize(..settings.backends);
     let step = random.usize(1..5);
@@ -210,11 +210,11 @@
         0..3 => {
             let kinds = [RestartKind::Graceful, RestartKind::Crash, RestartKind::Upgrade];
             let (kind, clock_offset_us) = (kinds[random.usize(..kinds.len())], draw_offset(random));
-            Trouble::Restart { gatekeeper, kind, clock_offset_us }
+            Fault::Restart { gatekeeper, kind, clock_offset_us }
         }
-        3 => Trouble::ClockStep { gatekeeper, clock_offset_us: draw_step(random) },
-        4 => Trouble::Reloads { gatekeeper, count: random.u32(2..10) },
-        5 => Trouble::Suspensions { gatekeeper, count: random.u32(1..5) },
+        3 => Fault::ClockStep { gatekeeper, clock_offset_us: draw_step(random) },
+        4 => Fault::Reloads { gatekeeper, count: random.u32(2..10) },
+        5 => Fault::Suspensions { gatekeeper, count: random.u32(1..5) },
         6 => {
             let faults = [
                 CallFaults::Sockets,
@@ -223,28 +223,28 @@
                 CallFaults::NoConnections,
                 CallFaults::Disk,
             ];
-            Trouble::Calls { first: gatekeeper, step, faults: faults[random.usize(..faults.len())] }
+            Fault::Calls { first: gatekeeper, step, faults: faults[random.usize(..faults.len())] }
         }
         7 => {
-            let modes = [AgentMode::Slow, AgentMode::Silent, AgentMode::Down];
-            Trouble::Discovery { first: gatekeeper, step, mode: modes[random.usize(..modes.len())] }
+            let modes = [DiscoveryMode::Slow, DiscoveryMode::Silent, DiscoveryMode::Down];
+            Fault::Discovery { first: gatekeeper, step, mode: modes[random.usize(..modes.len())] }
         }
         8 => {
             let modes =
                 [CounterMode::Slow, CounterMode::Silent, CounterMode::Rejecting, CounterMode::Resetting];
-            Trouble::Counter { mode: modes[random.usize(..modes.len())] }
+            Fault::Counter { mode: modes[random.usize(..modes.len())] }
         }
-        9 => Trouble::Drain { backend },
+        9 => Fault::Drain { backend },
         10 => match random.u32(..3) {
-            0 => Trouble::Removal { backend },
-            _ => Trouble::BackendRestart { backend },
+            0 => Fault::Removal { backend },
+            _ => Fault::BackendRestart { backend },
         },
-        11..13 => Trouble::Backend { backend, mode: draw_backend_mode(random) },
+        11..13 => Fault::Backend { backend, mode: draw_backend_mode(random) },
         _ => match random.u32(..4) {
-            0 => Trouble::Leaving,
-            1 => Trouble::PartialRequests,
-            2 => Trouble::HurriedRequests,
-            _ => Trouble::IdleCrowd { gatekeeper },
+            0 => Fault::Leaving,
+            1 => Fault::PartialRequests,
+            2 => Fault::HurriedRequests,
+            _ => Fault::IdleCrowd { gatekeeper },
         },
     }
 }
@@ -270,10 +270,10 @@
     SUSPENSION
 }
 
-impl fmt::Display for Planned {
+impl fmt::Display for PlannedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (at, length) = (self.at.as_secs_f64(), self.length.as_secs_f64());
-        write!(f, "{at:6.2} s, for {length:.2} s: {:?}", self.trouble)
+        write!(f, "{at:6.2} s, for {length:.2} s: {:?}", self.fault)
     }
 }
 
--- a/crates/platform_soak/src/schedule/tests.rs
+++ b/crates/platform_soak/src/schedule/tests.rs
@@ -10,25 +10,25 @@
 }
 
 /// Text of a planned fault that does not depend on the names of types and fields.
-fn canonical_text(planned: &Planned) -> String {
-    let kind = match planned.trouble {
-        Trouble::Restart { gatekeeper, kind, clock_offset_us } => {
+fn canonical_text(planned: &PlannedFault) -> String {
+    let kind = match planned.fault {
+        Fault::Restart { gatekeeper, kind, clock_offset_us } => {
             format!("restart {gatekeeper} {kind:?} {clock_offset_us}")
         }
-        Trouble::ClockStep { gatekeeper, clock_offset_us } => format!("clock {gatekeeper} {clock_offset_us}"),
-        Trouble::Reloads { gatekeeper, count } => format!("reloads {gatekeeper} {count}"),
-        Trouble::Suspensions { gatekeeper, count } => format!("suspensions {gatekeeper} {count}"),
-        Trouble::Calls { first, step, faults } => format!("calls {first} {step} {faults:?}"),
-        Trouble::Discovery { first, step, mode } => format!("discovery {first} {step} {mode:?}"),
-        Trouble::Counter { mode } => format!("counter {mode:?}"),
-        Trouble::Backend { backend, mode } => format!("backend {backend} {mode:?}"),
-        Trouble::Drain { backend } => format!("drain {backend}"),
-        Trouble::Removal { backend } => format!("removal {backend}"),
-        Trouble::BackendRestart { backend } => format!("backend restart {backend}"),
-        Trouble::Leaving => "leaving".to_owned(),
-        Trouble::PartialRequests => "partial".to_owned(),
-        Trouble::HurriedRequests => "hurried".to_owned(),
-        Trouble::IdleCrowd { gatekeeper } => format!("crowd {gatekeeper}"),
+        Fault::ClockStep { gatekeeper, clock_offset_us } => format!("clock {gatekeeper} {clock_offset_us}"),
+        Fault::Reloads { gatekeeper, count } => format!("reloads {gatekeeper} {count}"),
+        Fault::Suspensions { gatekeeper, count } => format!("suspensions {gatekeeper} {count}"),
+        Fault::Calls { first, step, faults } => format!("calls {first} {step} {faults:?}"),
+        Fault::Discovery { first, step, mode } => format!("discovery {first} {step} {mode:?}"),
+        Fault::Counter { mode } => format!("counter {mode:?}"),
+        Fault::Backend { backend, mode } => format!("backend {backend} {mode:?}"),
+        Fault::Drain { backend } => format!("drain {backend}"),
+        Fault::Removal { backend } => format!("removal {backend}"),
+        Fault::BackendRestart { backend } => format!("backend restart {backend}"),
+        Fault::Leaving => "leaving".to_owned(),
+        Fault::PartialRequests => "partial".to_owned(),
+        Fault::HurriedRequests => "hurried".to_owned(),
+        Fault::IdleCrowd { gatekeeper } => format!("crowd {gatekeeper}"),
     };
     format!("{} {} {kind}\n", planned.at.as_nanos(), planned.length.as_nanos())
 }
@@ -42,7 +42,7 @@
 }
 
 fn schedule_text(schedule: &Schedule) -> String {
-    let planned: String = schedule.troubles.iter().map(canonical_text).collect();
+    let planned: String = schedule.faults.iter().map(canonical_text).collect();
     format!(
         "{} {}\n{}{planned}",
         schedule.seed,
@@ -67,7 +67,7 @@
 #[test]
 fn seeds_reach_each_kind_of_fault() {
     let length = Duration::from_secs(60);
-    let drawn = (1..=100).flat_map(|seed| Schedule::draw(seed, 24, length).troubles);
+    let drawn = (1..=100).flat_map(|seed| Schedule::draw(seed, 24, length).faults);
     let kinds: std::collections::BTreeSet<String> = drawn
         .map(|planned| canonical_text(&planned))
         .filter_map(|text| text.split(' ').nth(2).map(|kind| kind.trim().to_owned()))
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -2,10 +2,10 @@
 
 use crate::client::{Behaviour, Client};
 use crate::gatekeeper::{Gatekeeper, Program};
-use crate::history::History;
+use crate::history::Recorder;
 use crate::lock;
 use crate::settings::{Addresses, Settings};
-use crate::stand_ins::{Agent, Backend, Counter, EndpointList, free_address, spawn};
+use crate::stand_ins::{Backend, Counter, Discovery, EndpointList, free_address, spawn};
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,12 +28,12 @@
     /// Its settings.
     pub settings: Arc<Settings>,
     /// What happens.
-    pub history: History,
+    pub recorder: Recorder,
     /// Its gatekeepers.
     pub gatekeepers: Vec<Arc<Gatekeeper>>,
-    /// Their discovery agents.
-    pub agents: Vec<Agent>,
-    /// The list that these tell.
+    /// Their discovery agents, in the same order.
+    pub discoveries: Vec<Discovery>,
+    /// The endpoint list that they serve.
     pub list: EndpointList,
     /// The counter.
     pub counter: Counter,
@@ -52,23 +52,23 @@
     ///
     /// Something cannot be started.
     pub fn start(seed: u64, settings: Settings, program: &Program, directory: &Path) -> io::Result<Self> {
-        let history = History::default();
-        start_heartbeat(&history)?;
+        let recorder = Recorder::default();
+        start_heartbeat(&recorder)?;
         let counter_address = free_address()?;
         let counter = Counter::start(counter_address)?;
         let mut backends = Vec::new();
         let mut backend_addresses: Vec<SocketAddr> = Vec::new();
         for index in 0..settings.backends {
             let address = free_address()?;
-            backends.push(Backend::start(address, index, &history)?);
+            backends.push(Backend::start(address, index, &recorder)?);
             backend_addresses.push(address);
         }
-        let list = EndpointList::new(&backend_addresses, &history);
-        let (mut gatekeepers, mut agents) = (Vec::new(), Vec::new());
+        let list = EndpointList::new(&backend_addresses, &recorder);
+        let (mut gatekeepers, mut discoveries) = (Vec::new(), Vec::new());
         for index in 0..settings.gatekeepers {
             let (listen, discovery) = (free_address()?, free_address()?);
-            agents.push(Agent::start(discovery, &list, index)?);
-            let gatekeeper = Gatekeeper::new(index, listen, program.clone(), directory, &history)?;
+            discoveries.push(Discovery::start(discovery, &list, index)?);
+            let gatekeeper = Gatekeeper::new(index, listen, program.clone(), directory, &recorder)?;
             let addresses = Addresses { listen, discovery, counter: counter_address };
             gatekeeper.write_config(&settings.config(index, addresses))?;
             gatekeeper.start(0)?;
@@ -79,9 +79,9 @@
         }
         Ok(Self {
             settings: Arc::new(settings),
-            history,
+            recorder,
             gatekeepers,
-            agents,
+            discoveries,
             list,
             counter,
             backends,
@@ -106,7 +106,7 @@
                     settings: self.settings.clone(),
                     behaviour: self.behaviour.clone(),
                     serials: serials.clone(),
-                    history: self.history.clone(),
+                    recorder: self.recorder.clone(),
                     random: fastrand::Rng::with_seed(seed),
                 };
                 lock(&self.clients).push(spawn(move || client.run())?);
@@ -139,9 +139,9 @@
     }
 }
 
-/// Records when this harness itself gets the processor late.
-fn start_heartbeat(history: &History) -> io::Result<()> {
-    let history = history.clone();
+/// History when this harness itself gets the processor late.
+fn start_heartbeat(recorder: &Recorder) -> io::Result<()> {
+    let recorder = recorder.clone();
     // It ends with the process: a schedule leaves nothing else behind.
     spawn(move || {
         loop {
@@ -149,8 +149,8 @@
             std::thread::sleep(HEARTBEAT);
             let delay = before.elapsed().saturating_sub(HEARTBEAT);
             if delay > NOTABLE_DELAY {
-                let at = history.now();
-                history.record(|records| records.delays.push((at, delay)));
+                let at = recorder.now();
+                recorder.record(|history| history.delays.push((at, delay)));
             }
         }
     })?;
--- a/crates/platform_soak/src/stand_ins.rs
+++ b/crates/platform_soak/src/stand_ins.rs
@@ -6,7 +6,7 @@
 
 pub use backend::{Backend, BackendMode};
 pub use counter::{Counter, CounterMode};
-pub use discovery::{Agent, AgentMode, EndpointList};
+pub use discovery::{Discovery, DiscoveryMode, EndpointList};
 
 use std::io::{self, Read};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,7 +1,7 @@
 //! A backend: it serves each request after a few milliseconds, and can be made to fail in the ways that backends do.
 
 use super::{reset, spawn, wait_for_end};
-use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, History, Moment, RequestNumber};
+use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, Moment, Recorder, RequestNumber};
 use crate::lock;
 use fault_injection::wire;
 use std::io::{self, BufRead, BufReader, Write};
@@ -57,7 +57,7 @@
     index: BackendIndex,
     mode: Mutex<BackendMode>,
     connections: Mutex<Vec<TcpStream>>,
-    history: History,
+    recorder: Recorder,
 }
 
 /// A backend. Clones are the same one.
@@ -77,9 +77,13 @@
     /// # Errors
     ///
     /// The address cannot be listened on.
-    pub fn start(address: SocketAddr, index: BackendIndex, history: &History) -> io::Result<Self> {
-        let shared =
-            Shared { index, mode: Mutex::default(), connections: Mutex::default(), history: history.clone() };
+    pub fn start(address: SocketAddr, index: BackendIndex, recorder: &Recorder) -> io::Result<Self> {
+        let shared = Shared {
+            index,
+            mode: Mutex::default(),
+            connections: Mutex::default(),
+            recorder: recorder.clone(),
+        };
         let backend = Self(Arc::new(shared));
         let listener = TcpListener::bind(address)?;
         let accepting = backend.clone();
@@ -138,7 +142,7 @@
     /// Serves a connection until it ends.
     fn serve(&self, stream: &TcpStream) -> io::Result<()> {
         let mut commands = BufReader::new(stream.try_clone()?);
-        let mut random = fastrand::Rng::with_seed(self.0.history.now().as_nanos() as u64);
+        let mut random = fastrand::Rng::with_seed(self.0.recorder.now().as_nanos() as u64);
         let mut served = 0;
         loop {
             if served > 0 && !self.wait_for_command(stream)? {
@@ -182,7 +186,7 @@
         if commands.fill_buf()?.is_empty() {
             return Ok(None);
         }
-        let began = self.0.history.now();
+        let began = self.0.recorder.now();
         let Some(words) = wire::read_resp_command(commands) else { return Ok(None) };
         let number = words.get(ID).and_then(|id| RequestNumber::parse(id));
         let time_left = words.get(VALUES).and_then(|values| milliseconds(values));
@@ -191,13 +195,13 @@
 
     /// Answers a request. Returns whether the connection goes on.
     fn answer(&self, stream: &TcpStream, received: Received, random: &mut fastrand::Rng) -> io::Result<bool> {
-        let history = &self.0.history;
+        let recorder = &self.0.recorder;
         let Received { number, began, time_left } = received;
-        let place = history.begin_attempt(AttemptRecord {
+        let place = recorder.begin_attempt(AttemptRecord {
             request: number,
             backend: self.0.index,
             began,
-            arrived: history.now(),
+            arrived: recorder.now(),
             time_left,
             ended: None,
             outcome: AttemptOutcome::Open,
@@ -208,11 +212,11 @@
         let is_other = random.bool();
         if mode == BackendMode::Hanging {
             wait_for_end(&mut stream.try_clone()?, LONGEST_WAIT);
-            history.end_attempt(place, AttemptOutcome::Closed);
+            recorder.end_attempt(place, AttemptOutcome::Closed);
             return Ok(false);
         }
         if has_ended(stream, work)? {
-            history.end_attempt(place, AttemptOutcome::Closed);
+            recorder.end_attempt(place, AttemptOutcome::Closed);
             return Ok(false);
         }
         let value = wire::backend_reply(&number.text());
@@ -229,7 +233,7 @@
             _ => (value, AttemptOutcome::Served),
         };
         // Before it is written: its gatekeeper may send the next one at once.
-        history.end_attempt(place, outcome);
+        recorder.end_attempt(place, outcome);
         (&mut &*stream).write_all(&bytes)?;
         Ok(outcome != AttemptOutcome::Closed)
     }
--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -27,7 +27,7 @@
     Slow,
     /// Not at all; what is added is added.
     Silent,
-    /// It turns every call away.
+    /// It rejects every call.
     Rejecting,
     /// It resets each connection after its call, which it has added.
     Resetting,
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery: the endpoint list that all agents share, and the agent of each gatekeeper.
+//! Discovery: one endpoint list, served to each gatekeeper by an agent of its own.
 
 use super::serve;
 use crate::history::{
-    AgentChange, BackendIndex, GatekeeperIndex, History, ListChange, ListedState, Notification,
+    BackendIndex, DiscoveryChange, GatekeeperIndex, ListChange, ListedState, Notification, Recorder,
 };
 use crate::lock;
 use fault_injection::wire;
@@ -13,14 +13,14 @@
 
 /// An empty line is sent on a watch on which nothing changes for so long.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a watch looks whether its agent fails.
+/// Interval at which a watch checks its mode.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How much later a slow agent answers.
+/// Delay of the answers of slow discovery.
 const SLOW_ANSWER: Duration = Duration::from_millis(600);
 
-/// How an agent answers.
+/// How discovery answers a gatekeeper.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum AgentMode {
+pub enum DiscoveryMode {
     /// At once.
     #[default]
     Healthy,
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct EndpointList {
     shared: Arc<(Mutex<List>, Condvar)>,
-    history: History,
+    recorder: Recorder,
 }
 
 /// What a watch is sent.
@@ -64,11 +64,11 @@
 
 impl EndpointList {
     /// Lists these backends, which were started long ago.
-    pub fn new(addresses: &[SocketAddr], history: &History) -> Self {
+    pub fn new(addresses: &[SocketAddr], recorder: &Recorder) -> Self {
         let endpoint =
             |&address: &SocketAddr| Endpoint { address, state: ListedState::Up, boot_ms: 0, revision: 1 };
         let list = List { revision: 1, endpoints: addresses.iter().map(endpoint).collect() };
-        Self { shared: Arc::new((Mutex::new(list), Condvar::new())), history: history.clone() }
+        Self { shared: Arc::new((Mutex::new(list), Condvar::new())), recorder: recorder.clone() }
     }
 
     /// Changes a backend's state. `has_started`: it has just started.
@@ -82,9 +82,9 @@
         if has_started {
             endpoint.boot_ms = unix_ms();
         }
-        let at = self.history.now();
+        let at = self.recorder.now();
         let change = ListChange { at, backend, state, has_started };
-        self.history.record(|records| records.list_changes.push(change));
+        self.recorder.record(|history| history.list_changes.push(change));
         self.shared.1.notify_all();
     }
 
@@ -124,57 +124,58 @@
     )
 }
 
-/// The agent of a gatekeeper. Clones are the same agent.
+/// The discovery agent of one gatekeeper. Clones share its mode.
 #[derive(Clone)]
-pub struct Agent {
+pub struct Discovery {
     list: EndpointList,
-    mode: Arc<Mutex<AgentMode>>,
+    mode: Arc<Mutex<DiscoveryMode>>,
     gatekeeper: GatekeeperIndex,
 }
 
-impl Agent {
+impl Discovery {
     /// Listens here for a gatekeeper.
     ///
     /// # Errors
     ///
     /// The address cannot be listened on.
     pub fn start(address: SocketAddr, list: &EndpointList, gatekeeper: GatekeeperIndex) -> io::Result<Self> {
-        let agent = Self { list: list.clone(), mode: Arc::default(), gatekeeper };
-        let served = agent.clone();
+        let discovery = Self { list: list.clone(), mode: Arc::default(), gatekeeper };
+        let served = discovery.clone();
         serve(address, move |stream| served.serve(stream))?;
-        Ok(agent)
+        Ok(discovery)
     }
 
     /// Answers like this from now on.
-    pub fn set_mode(&self, mode: AgentMode) {
+    pub fn set_mode(&self, mode: DiscoveryMode) {
         *lock(&self.mode) = mode;
-        let is_reachable = mode == AgentMode::Healthy;
-        let change = AgentChange { at: self.list.history.now(), gatekeeper: self.gatekeeper, is_reachable };
-        self.list.history.record(|records| records.agent_changes.push(change));
+        let is_reachable = mode == DiscoveryMode::Healthy;
+        let change =
+            DiscoveryChange { at: self.list.recorder.now(), gatekeeper: self.gatekeeper, is_reachable };
+        self.list.recorder.record(|history| history.discovery_changes.push(change));
     }
 
-    fn mode(&self) -> AgentMode {
+    fn mode(&self) -> DiscoveryMode {
         *lock(&self.mode)
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        if self.mode() == AgentMode::Down {
+        if self.mode() == DiscoveryMode::Down {
             return;
         }
         let _ = stream.set_nodelay(true);
         let Ok(read) = stream.try_clone() else { return };
         let Some(request) = wire::read_http_message(&mut BufReader::new(read)) else { return };
-        if self.mode() == AgentMode::Slow {
+        if self.mode() == DiscoveryMode::Slow {
             std::thread::sleep(SLOW_ANSWER);
         }
-        if self.mode() == AgentMode::Silent {
+        if self.mode() == DiscoveryMode::Silent {
             return super::wait_for_end(&mut stream, Duration::from_secs(30));
         }
         let _ = self.follow(&mut stream, index_of(request.target_or_status()));
         let _ = stream.shutdown(Shutdown::Both);
     }
 
-    /// Writes changes until the agent fails or the gatekeeper leaves.
+    /// Streams changes until discovery fails or the gatekeeper closes the connection.
     fn follow(&self, stream: &mut TcpStream, index: u64) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
         // The first answer is the whole list for who has none, and else what has changed.
@@ -187,12 +188,12 @@
                 drop(self.list.shared.1.wait_timeout_while(list, CHECK_INTERVAL, is_unchanged));
             }
             match self.mode() {
-                AgentMode::Down => return Ok(()),
-                AgentMode::Silent => {
+                DiscoveryMode::Down => return Ok(()),
+                DiscoveryMode::Silent => {
                     super::wait_for_end(stream, Duration::from_secs(30));
                     return Ok(());
                 }
-                AgentMode::Healthy | AgentMode::Slow => {}
+                DiscoveryMode::Healthy | DiscoveryMode::Slow => {}
             }
             if lock(&self.list.shared.0).revision != sent {
                 sent = self.send(stream, Some(sent))?;
@@ -204,16 +205,16 @@
         }
     }
 
-    /// Writes what has changed since a revision, and records that.
+    /// Sends the changes since a revision and records the notification.
     fn send(&self, stream: &mut TcpStream, since: Option<u64>) -> io::Result<u64> {
         let update = self.list.update(since);
-        let history = &self.list.history;
+        let recorder = &self.list.recorder;
         // What was changed by then is told with it: a revision is one change more.
         let changes = update.revision.saturating_sub(1) as usize;
-        let at = history.now();
+        let at = recorder.now();
         write_chunk(stream, &update.text)?;
         let notification = Notification { at, gatekeeper: self.gatekeeper, changes };
-        history.record(|records| records.notifications.push(notification));
+        recorder.record(|history| history.notifications.push(notification));
         Ok(update.revision)
     }
 }
