--- a/crates/fault_injection/src/process.rs
+++ b/crates/fault_injection/src/process.rs
@@ -1,24 +1,31 @@
 //! A real gatekeeper as a child process, with its log, its signals and its end.
 
+mod launch;
 mod log;
+mod observer;
+mod usage;
 
 #[cfg(test)]
 mod tests;
 
-pub use log::Log;
+pub use launch::{Launch, LogFormat};
+pub use log::{Log, LogLine};
+pub use observer::{ProcessExit, ProcessObserver};
+pub use usage::ResourceUsage;
 
-use crate::history::{Observation, Recorder};
+use crate::history::Recorder;
+use crate::thread::spawn;
 use crate::wait::STEP_TIMEOUT;
 use log::{Progress, spawn_reader};
+use observer::RecordingObserver;
 use rustix::process::{Pid, Signal, kill_process};
 use std::ffi::OsString;
-use std::io::BufReader;
+use std::io::{self, BufReader};
 use std::os::unix::process::ExitStatusExt;
-use std::path::{Path, PathBuf};
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::process::{Child, ExitStatus};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
 /// A graceful shutdown takes no longer: the longest deadline, 0.7 s, and a slow machine.
@@ -27,30 +34,12 @@
 const THROTTLED_RUN: Duration = Duration::from_millis(5);
 /// ... and is then suspended for this.
 const THROTTLED_PAUSE: Duration = Duration::from_millis(45);
-/// Linux counts processor time in ticks of so many ms here (proc(5)).
-const TICK_MS: u64 = 10;
-/// User and system time among the fields of `/proc/PID/stat` behind the name (fields 14 and 15 of proc(5)).
-const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
-
-/// The resources that a process uses at one moment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ResourceUsage {
-    /// Resident memory, kB.
-    pub memory_kb: u64,
-    /// Open descriptors.
-    pub descriptors: u64,
-    /// Threads.
-    pub threads: u64,
-    /// Processor time since its start, ms.
-    pub cpu_ms: u64,
-}
-
 /// A running gatekeeper. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
     /// The file name of its build.
-    build: OsString,
+    program: OsString,
     pid: Pid,
     progress: Arc<Progress>,
     /// The harness has asked for its end.
@@ -59,59 +48,62 @@
 }
 
 impl Process {
-    /// Starts a build. All that it writes goes into the history.
+    /// Starts a process. What it does goes into the history.
     ///
     /// # Errors
     ///
     /// It cannot be started.
-    pub fn start(
-        name: &str,
-        build: &Path,
-        arguments: &[&str],
-        variables: &[(&str, String)],
-        recorder: &Recorder,
-    ) -> std::io::Result<Self> {
-        let mut child = Command::new(build)
-            .args(arguments)
-            .env("SNOWFIELD_LOG", "json")
-            .envs(variables.iter().map(|(name, value)| (name, value)))
-            .stdin(Stdio::null())
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped())
-            .spawn()?;
+    pub fn start(launch: &Launch<'_>, recorder: &Recorder) -> io::Result<Self> {
+        let observer = RecordingObserver { process: launch.name.to_owned(), recorder: recorder.clone() };
+        Self::start_observed(launch, observer)
+    }
+
+    /// Starts a process and notifies the observer of what it does.
+    ///
+    /// # Errors
+    ///
+    /// It cannot be started.
+    pub fn start_observed(launch: &Launch<'_>, observer: impl ProcessObserver) -> io::Result<Self> {
+        let mut child = launch.command().spawn()?;
         let process = Self {
-            name: name.to_owned(),
-            build: build.file_name().unwrap_or_default().to_owned(),
+            name: launch.name.to_owned(),
+            program: launch.build.file_name().unwrap_or_default().to_owned(),
             pid: Pid::from_child(&child),
             progress: Arc::default(),
             end_requested: Arc::default(),
             throttled: Arc::default(),
         };
-        recorder.record(Observation::ProcessStarted { process: name.to_owned() });
+        let observer: Arc<dyn ProcessObserver> = Arc::new(observer);
+        observer.started();
         let mut readers = Vec::new();
         if let Some(out) = child.stdout.take() {
-            readers.push(spawn_reader(name, BufReader::new(out), recorder, &process.progress));
+            readers.push(spawn_reader(BufReader::new(out), &observer, &process.progress)?);
         }
         if let Some(out) = child.stderr.take() {
-            readers.push(spawn_reader(name, BufReader::new(out), recorder, &process.progress));
+            readers.push(spawn_reader(BufReader::new(out), &observer, &process.progress)?);
         }
-        process.spawn_waiter(child, readers, recorder.clone());
+        process.spawn_waiter(child, readers, observer)?;
         Ok(process)
     }
 
-    /// Waits for the end in a thread and records it.
-    fn spawn_waiter(&self, mut child: Child, readers: Vec<thread::JoinHandle<()>>, recorder: Recorder) {
+    /// Waits for the end in a thread and notifies the observer.
+    fn spawn_waiter(
+        &self,
+        mut child: Child,
+        readers: Vec<JoinHandle<()>>,
+        observer: Arc<dyn ProcessObserver>,
+    ) -> io::Result<()> {
         let (progress, end_requested) = (self.progress.clone(), self.end_requested.clone());
-        let process = self.name.clone();
-        thread::spawn(move || {
+        spawn(move || {
             let status = child.wait();
-            // What it wrote last is in the history before its end.
+            // All lines are observed before the end.
             readers.into_iter().for_each(|reader| drop(reader.join()));
             let exit_code = status.map_or(i32::MIN, exit_code);
             let requested = end_requested.load(Ordering::Relaxed);
-            recorder.record(Observation::ProcessExited { process, exit_code, requested });
+            observer.exited(ProcessExit { exit_code, requested });
             progress.end();
-        });
+        })?;
+        Ok(())
     }
 
     /// Its log, which can be waited on while others act on the process.
@@ -119,6 +111,16 @@
         Log::new(self.progress.clone())
     }
 
+    /// Waits for the end of the process. Returns whether it came in time.
+    pub fn wait_for_exit(&self, timeout: Duration) -> bool {
+        self.progress.wait_for_end(timeout)
+    }
+
+    /// Whether the process has ended.
+    pub fn has_exited(&self) -> bool {
+        self.progress.has_ended()
+    }
+
     /// Waits for the end of a process that was asked to shut down. One that does not is killed, and counts as one that
     /// ended unasked.
     pub fn wait_for_shutdown(&self) {
@@ -184,30 +186,7 @@
 
     /// The resources that it uses now; none where it has ended, or is not yet the program.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
-        self.progress.if_running(|| self.read_resource_usage())?
-    }
-
-    fn read_resource_usage(&self) -> Option<ResourceUsage> {
-        let folder = PathBuf::from(format!("/proc/{}", self.pid.as_raw_nonzero()));
-        // Just before it becomes the program it is a copy of the harness.
-        if std::fs::read_link(folder.join("exe")).ok()?.file_name()? != self.build {
-            return None;
-        }
-        let status = std::fs::read_to_string(folder.join("status")).ok()?;
-        let figure = |name: &str| -> Option<u64> {
-            status.lines().find_map(|l| l.strip_prefix(name))?.split_whitespace().next()?.parse().ok()
-        };
-        let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as u64;
-        let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
-        let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-        let ticks = |field: usize| fields.get(field)?.parse::<u64>().ok();
-        let [user, system] = CPU_TIME_FIELDS.map(ticks);
-        Some(ResourceUsage {
-            memory_kb: figure("VmRSS:")?,
-            descriptors,
-            threads: figure("Threads:")?,
-            cpu_ms: TICK_MS * (user? + system?),
-        })
+        self.progress.if_running(|| ResourceUsage::read(self.pid, &self.program))?
     }
 
     /// Its process id.
--- a/crates/fault_injection/src/process/log.rs
+++ b/crates/fault_injection/src/process/log.rs
@@ -1,12 +1,13 @@
 //! What a process has logged, and whether it has ended.
 
-use crate::history::{Observation, Recorder};
+use super::ProcessObserver;
 use crate::sync::lock;
+use crate::thread::spawn;
 use crate::wait::STEP_TIMEOUT;
 use serde_json::{Map, Value};
-use std::io::BufRead;
+use std::io::{self, BufRead};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
-use std::thread;
+use std::thread::JoinHandle;
 use std::time::Duration;
 
 #[derive(Debug, Default)]
@@ -49,7 +50,11 @@
         done.map_or_else(|e| e.into_inner().0, |(state, _)| state)
     }
 
-    /// Waits for the end of the process; tells whether it came in time.
+    pub(super) fn has_ended(&self) -> bool {
+        lock(&self.state).has_ended
+    }
+
+    /// Waits for the end of the process. Returns whether it came in time.
     pub(super) fn wait_for_end(&self, timeout: Duration) -> bool {
         self.wait_while(timeout, |state| !state.has_ended).has_ended
     }
@@ -69,42 +74,45 @@
         lock(&self.0.state).lines.iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Waits for a line that contains this text; tells whether one came before the end of the process and in time.
+    /// Waits up to [`STEP_TIMEOUT`] for a line that contains this text. Returns whether one came before the end of the process.
     pub fn wait_for(&self, text: &str) -> bool {
+        self.wait_for_within(text, STEP_TIMEOUT)
+    }
+
+    /// Waits up to `timeout` for a line that contains this text. Returns whether one came before the end of the process.
+    pub fn wait_for_within(&self, text: &str, timeout: Duration) -> bool {
         let contains = |state: &State| state.lines.iter().any(|line| line.contains(text));
-        let state = self.0.wait_while(STEP_TIMEOUT, |state| !state.has_ended && !contains(state));
+        let state = self.0.wait_while(timeout, |state| !state.has_ended && !contains(state));
         contains(&state)
     }
 }
 
 /// Reads the lines of a process in a thread, until its output ends.
 pub(super) fn spawn_reader(
-    process: &str,
     output: impl BufRead + Send + 'static,
-    recorder: &Recorder,
+    observer: &Arc<dyn ProcessObserver>,
     progress: &Arc<Progress>,
-) -> thread::JoinHandle<()> {
-    let (process, recorder, progress) = (process.to_owned(), recorder.clone(), progress.clone());
-    thread::spawn(move || {
+) -> io::Result<JoinHandle<()>> {
+    let (observer, progress) = (observer.clone(), progress.clone());
+    spawn(move || {
         for line in output.lines().map_while(Result::ok) {
-            let LogLine { at_us, text, fields } = LogLine::parse(line);
-            let observation = Observation::LogLine { process: process.clone(), text: text.clone(), fields };
-            match at_us {
-                Some(at_us) => recorder.record_at(at_us, observation),
-                None => recorder.record(observation),
-            }
+            let line = LogLine::parse(line);
+            let text = line.text.clone();
+            observer.logged(line);
             progress.push(text);
         }
     })
 }
 
-/// A line of the JSON log. What is none, as the panic of a program that gives up, is taken as it is.
-#[derive(Debug, PartialEq)]
-pub(super) struct LogLine {
-    /// Microseconds of the monotonic clock.
-    pub(super) at_us: Option<u64>,
-    pub(super) text: String,
-    pub(super) fields: Map<String, Value>,
+/// A line that a process wrote. Output that is not in the JSON format, as plain logs and panics, is kept as it is.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LogLine {
+    /// When it was logged, in microseconds of the monotonic clock; none outside the JSON format.
+    pub at_us: Option<u64>,
+    /// The message, or the line as it is.
+    pub text: String,
+    /// The fields of the JSON format.
+    pub fields: Map<String, Value>,
 }
 
 impl LogLine {
--- /dev/null
+++ b/crates/fault_injection/src/process/observer.rs
@@ -0,0 +1,55 @@
+//! Who is notified of what a process does.
+
+use super::LogLine;
+use crate::history::{Observation, Recorder};
+
+/// The end of a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProcessExit {
+    /// Its exit code, or the negative number of the signal that ended it.
+    pub exit_code: i32,
+    /// Whether the harness asked for it.
+    pub requested: bool,
+}
+
+/// Is notified of what a process does, by threads of the harness.
+pub trait ProcessObserver: Send + Sync + 'static {
+    /// The process was started. This comes before all else.
+    fn started(&self) {}
+
+    /// The process wrote a line.
+    fn logged(&self, line: LogLine);
+
+    /// The process has ended, and all its lines were observed. This comes last.
+    fn exited(&self, exit: ProcessExit);
+}
+
+/// Records what a process does in a history.
+pub(super) struct RecordingObserver {
+    pub(super) process: String,
+    pub(super) recorder: Recorder,
+}
+
+impl ProcessObserver for RecordingObserver {
+    fn started(&self) {
+        self.recorder.record(Observation::ProcessStarted { process: self.process.clone() });
+    }
+
+    fn logged(&self, line: LogLine) {
+        let LogLine { at_us, text, fields } = line;
+        let observation = Observation::LogLine { process: self.process.clone(), text, fields };
+        match at_us {
+            Some(at_us) => self.recorder.record_at(at_us, observation),
+            None => self.recorder.record(observation),
+        }
+    }
+
+    fn exited(&self, exit: ProcessExit) {
+        let ProcessExit { exit_code, requested } = exit;
+        self.recorder.record(Observation::ProcessExited {
+            process: self.process.clone(),
+            exit_code,
+            requested,
+        });
+    }
+}
--- a/crates/fault_injection/src/process/tests.rs
+++ b/crates/fault_injection/src/process/tests.rs
@@ -1,7 +1,10 @@
-//! Lines of the log.
+//! Lines of the log, and what an observer is notified of.
 
-use super::log::LogLine;
+use super::*;
+use crate::sync::lock;
 use serde_json::{Map, Value};
+use std::path::Path;
+use std::sync::Mutex;
 
 #[test]
 fn a_line_of_the_log_is_read_with_its_own_time_and_other_output_as_it_is() {
@@ -15,3 +18,95 @@
         assert_eq!(LogLine::parse(other.to_owned()), as_it_is);
     }
 }
+
+/// Notes all that it is notified of.
+#[derive(Clone, Default)]
+struct Notes(Arc<Mutex<Vec<String>>>);
+
+impl Notes {
+    fn add(&self, note: String) {
+        lock(&self.0).push(note);
+    }
+
+    fn all(&self) -> Vec<String> {
+        lock(&self.0).clone()
+    }
+}
+
+impl ProcessObserver for Notes {
+    fn started(&self) {
+        self.add("started".to_owned());
+    }
+
+    fn logged(&self, line: LogLine) {
+        self.add(line.text);
+    }
+
+    fn exited(&self, exit: ProcessExit) {
+        self.add(format!("exited with {}, requested: {}", exit.exit_code, exit.requested));
+    }
+}
+
+fn start_shell(script: &str, log_format: LogFormat, notes: &Notes) -> Process {
+    let (arguments, variables) = (["-c", script], [("GREETING", "hello".to_owned())]);
+    let launch = Launch {
+        arguments: &arguments,
+        variables: &variables,
+        log_format,
+        ..Launch::new("shell", Path::new("/bin/sh"))
+    };
+    Process::start_observed(&launch, notes.clone()).expect("the shell starts")
+}
+
+#[test]
+fn an_observer_is_notified_of_the_start_then_all_lines_then_the_end() {
+    let notes = Notes::default();
+    let process = start_shell("echo $GREETING; echo format $SNOWFIELD_LOG; exit 3", LogFormat::Json, &notes);
+    assert!(process.wait_for_exit(STEP_TIMEOUT) && process.has_exited());
+    assert_eq!(notes.all(), ["started", "hello", "format json", "exited with 3, requested: false"]);
+}
+
+#[test]
+fn a_plain_log_is_neither_asked_for_as_json_nor_parsed() {
+    let notes = Notes::default();
+    let process = start_shell("echo format ${SNOWFIELD_LOG:-plain}", LogFormat::Plain, &notes);
+    assert!(process.wait_for_exit(STEP_TIMEOUT));
+    assert_eq!(notes.all()[1], "format plain");
+}
+
+#[test]
+fn a_line_is_waited_for_until_the_process_ends_or_the_time_is_over() {
+    let notes = Notes::default();
+    let ended = start_shell("echo serving on 1", LogFormat::Plain, &notes);
+    assert!(ended.log().wait_for("serving on "));
+    assert!(!ended.log().wait_for("never logged"));
+    let running = start_shell("exec sleep 30", LogFormat::Plain, &notes);
+    assert!(!running.log().wait_for_within("never logged", Duration::from_millis(20)));
+    assert!(!running.has_exited());
+}
+
+#[test]
+fn a_process_that_is_shut_down_or_killed_ends_as_requested() {
+    let notes = Notes::default();
+    let process = start_shell("echo up; exec sleep 30", LogFormat::Plain, &notes);
+    assert!(process.log().wait_for("up"));
+    process.shut_down();
+    assert!(process.wait_for_exit(STEP_TIMEOUT));
+    assert_eq!(notes.all().last().map(String::as_str), Some("exited with -15, requested: true"));
+    let killed = Notes::default();
+    let process = start_shell("exec sleep 30", LogFormat::Plain, &killed);
+    process.kill();
+    assert_eq!(killed.all(), ["started", "exited with -9, requested: true"]);
+}
+
+#[test]
+fn a_suspended_process_writes_nothing_until_it_is_resumed() {
+    let notes = Notes::default();
+    let script = "echo up; i=0; while [ $i -lt 100 ]; do sleep 0.01; i=$((i + 1)); done; echo done";
+    let process = start_shell(script, LogFormat::Plain, &notes);
+    assert!(process.log().wait_for("up"));
+    process.suspend();
+    assert!(!process.log().wait_for_within("done", Duration::from_secs(2)));
+    process.resume();
+    assert!(process.log().wait_for("done"));
+}
--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -16,7 +16,7 @@
 use crate::history::{Observation, Recorder, now_us};
 use crate::load::{Client, ClientSettings, TENANTS};
 use crate::network::{Network, NodeId};
-use crate::process::Process;
+use crate::process::{Launch, Process};
 use crate::schedule::{Form, Schedule};
 use crate::stand_ins::{Backend, Counter, Discovery};
 use crate::sync::lock;
@@ -159,15 +159,18 @@
         state.count_start();
         let path = self.write_files(index, state)?;
         let build = self.builds.for_start(index, state.starts);
+        let launch = Launch::new(&member.name, build);
         let started = match self.schedule.form {
-            Form::Appliance => Process::start(&member.name, build, &["serve", &path], &[], &self.recorder),
+            Form::Appliance => {
+                Process::start(&Launch { arguments: &["serve", &path], ..launch }, &self.recorder)
+            }
             Form::Platform => {
                 let variables = [
                     ("BALANCER_CONFIG", path),
                     ("BALANCER_OPERATOR", self.addresses.admin(index, state.starts).to_string()),
                     ("TMPDIR", member.folder.join("tmp").display().to_string()),
                 ];
-                Process::start(&member.name, build, &[], &variables, &self.recorder)
+                Process::start(&Launch { variables: &variables, ..launch }, &self.recorder)
             }
         };
         started.map_err(Error::start(build))
--- a/crates/fault_injection/src/sync.rs
+++ b/crates/fault_injection/src/sync.rs
@@ -3,6 +3,6 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Locks, whether or not another holder has panicked.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -4,7 +4,7 @@
 use crate::Error;
 use crate::checkers::Violation;
 use crate::history::Recorder;
-use crate::process::Process;
+use crate::process::{Launch, Process};
 use crate::site::write_common_files;
 use crate::sync::lock;
 use crate::wait::{STEP_TIMEOUT, wait_until};
@@ -99,7 +99,8 @@
     fn start(&self, name: &str, settings: &Path, list: &Path, recorder: &Recorder) -> Result<Process, Error> {
         std::fs::write(settings, self.settings(list)).map_err(Error::file(settings))?;
         let arguments = ["serve", &settings.display().to_string()];
-        Process::start(name, self.build, &arguments, &[], recorder).map_err(Error::start(self.build))
+        let launch = Launch { arguments: &arguments, ..Launch::new(name, self.build) };
+        Process::start(&launch, recorder).map_err(Error::start(self.build))
     }
 
     /// The file as a gatekeeper writes it.
--- a/crates/fault_shim_control/src/lib.rs
+++ b/crates/fault_shim_control/src/lib.rs
@@ -8,6 +8,8 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
+/// The environment variable that names libraries to preload (ld.so(8)).
+pub const PRELOAD_VARIABLE: &str = "LD_PRELOAD";
 /// The environment variable that names the file to a process.
 pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
 /// Bytes of the file.
@@ -73,6 +75,14 @@
         &self.path
     }
 
+    /// The environment of a process that preloads the shim and reads this control block.
+    pub fn environment(&self, library: &Path) -> [(&'static str, String); 2] {
+        [
+            (PRELOAD_VARIABLE, library.display().to_string()),
+            (CONTROL_VARIABLE, self.path.display().to_string()),
+        ]
+    }
+
     /// Changes a setting.
     ///
     /// # Errors
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -12,7 +12,7 @@
     let mut violations: Vec<Violation> = Vec::new();
     for record in &history.processes {
         let found = match &record.event {
-            ProcessEvent::Exited { status } => exit(history, record, *status),
+            ProcessEvent::Exited { exit_code } => exit(history, record, *exit_code),
             ProcessEvent::Started { .. } => slow_start_up(history, record),
             ProcessEvent::Violation { line } => {
                 Some(("no invariant broken by its own account", line.clone()))
@@ -35,7 +35,7 @@
     history.processes.iter().filter(is_same)
 }
 
-fn exit(history: &History, record: &ProcessRecord, status: Option<i32>) -> Option<(&'static str, String)> {
+fn exit(history: &History, record: &ProcessRecord, exit_code: i32) -> Option<(&'static str, String)> {
     let has = |event: &ProcessEvent| {
         same_process(history, record).any(|other| other.event == *event && other.at <= record.at)
     };
@@ -43,9 +43,9 @@
         return None;
     }
     if !has(&ProcessEvent::Terminated) {
-        return Some(("no exit unasked", format!("process {} ended with {status:?}", record.process)));
+        return Some(("no exit unasked", format!("process {} ended with {exit_code}", record.process)));
     }
-    (status != Some(0)).then(|| ("a clean exit", format!("process {} ended with {status:?}", record.process)))
+    (exit_code != 0).then(|| ("a clean exit", format!("process {} ended with {exit_code}", record.process)))
 }
 
 fn slow_start_up(history: &History, started: &ProcessRecord) -> Option<(&'static str, String)> {
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -1,27 +1,27 @@
-//! One gatekeeper over all its processes: starts, signals, and what it writes.
+//! One gatekeeper over all its processes: which one serves, how one replaces another, and what of them is recorded.
 
 use crate::history::{GatekeeperIndex, Moment, ProcessEvent, ProcessRecord, Recorder};
-use crate::lock;
-use crate::stand_ins::spawn;
-use fault_shim_control::{CONTROL_VARIABLE, Control};
-use rustix::process::{Pid, Signal, kill_process};
-use std::io::{self, BufRead, BufReader, Read};
+use fault_injection::process::{Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver};
+use fault_injection::sync::lock;
+use fault_shim_control::Control;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 /// What a process logs once it serves.
 const READY_TEXT: &str = "serving on ";
-/// What it logs where an invariant is broken.
+/// What a process logs when one of its invariants is violated.
 const VIOLATION_TEXT: &str = "invariant violated";
-/// What it writes where it panics or ends by itself.
+/// What a process writes when it panics or gives up.
 const PANIC_TEXTS: [&str; 2] = ["panicked at", "fatal:"];
-/// Clients may make new connections for so long after SIGTERM.
+/// Time after SIGTERM in which a process still accepts new connections.
 const CONNECTS_AFTER_TERMINATION: Duration = Duration::from_millis(300);
-/// The longest wait for a process to serve.
+/// Maximum wait for a process to serve.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// The environment variable that enables a seeded fault in a build with the feature `weakened`.
+const SEEDED_FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
 
 /// The files that a gatekeeper's processes are started with.
 #[derive(Clone, Debug)]
@@ -34,15 +34,73 @@
     pub seeded_fault: Option<String>,
 }
 
-/// A process of a gatekeeper.
-#[derive(Debug)]
-struct Process {
-    number: usize,
-    pid: Pid,
+/// What is known of a process beside its log.
+#[derive(Clone, Copy, Debug, Default)]
+struct Lifecycle {
     ready: Option<Moment>,
     terminated: Option<Moment>,
     killed: bool,
-    exited: bool,
+}
+
+/// A process of a gatekeeper.
+#[derive(Debug)]
+struct Incarnation {
+    /// Which of the gatekeeper's processes, from 0.
+    number: usize,
+    process: Process,
+    lifecycle: Arc<Mutex<Lifecycle>>,
+}
+
+impl Incarnation {
+    /// Whether clients may make new connections to it.
+    fn accepts_connections(&self, now: Moment) -> bool {
+        let Lifecycle { ready, terminated, killed } = *lock(&self.lifecycle);
+        let is_ending = terminated.is_some_and(|at| now >= at + CONNECTS_AFTER_TERMINATION);
+        ready.is_some() && !killed && !is_ending && !self.process.has_exited()
+    }
+
+    /// Waits until it serves or has ended.
+    fn wait_until_ready(&self) {
+        self.process.log().wait_for_within(READY_TEXT, START_TIMEOUT);
+    }
+}
+
+/// Records what one process does.
+struct IncarnationObserver {
+    recorder: Recorder,
+    gatekeeper: GatekeeperIndex,
+    number: usize,
+    lifecycle: Arc<Mutex<Lifecycle>>,
+}
+
+impl IncarnationObserver {
+    fn record(&self, event: ProcessEvent) {
+        record_event(&self.recorder, self.gatekeeper, self.number, event);
+    }
+}
+
+impl ProcessObserver for IncarnationObserver {
+    fn logged(&self, line: LogLine) {
+        let line = line.text;
+        if line.contains(READY_TEXT) {
+            let now = self.recorder.now();
+            self.record(ProcessEvent::Ready);
+            lock(&self.lifecycle).ready = Some(now);
+        } else if line.contains(VIOLATION_TEXT) {
+            self.record(ProcessEvent::Violation { line });
+        } else if PANIC_TEXTS.iter().any(|text| line.contains(text)) {
+            self.record(ProcessEvent::Panicked { line });
+        }
+    }
+
+    fn exited(&self, exit: ProcessExit) {
+        self.record(ProcessEvent::Exited { exit_code: exit.exit_code });
+    }
+}
+
+fn record_event(recorder: &Recorder, gatekeeper: GatekeeperIndex, process: usize, event: ProcessEvent) {
+    let record = ProcessRecord { at: recorder.now(), gatekeeper, process, event };
+    recorder.record(|history| history.processes.push(record));
 }
 
 /// A gatekeeper.
@@ -58,9 +116,9 @@
     config_path: PathBuf,
     directory: PathBuf,
     recorder: Recorder,
-    processes: Mutex<Vec<Process>>,
-    changed: Condvar,
-    /// Held while a process takes the place of another: what replaces one waits for what replaces it already.
+    /// Its processes in the order of their starts.
+    incarnations: Mutex<Vec<Arc<Incarnation>>>,
+    /// Held while a process is replaced, so that replacements come one after another.
     replacing: Mutex<()>,
 }
 
@@ -87,8 +145,7 @@
             config_path: directory.join("config.json"),
             directory,
             recorder: recorder.clone(),
-            processes: Mutex::default(),
-            changed: Condvar::new(),
+            incarnations: Mutex::default(),
             replacing: Mutex::default(),
         }))
     }
@@ -102,145 +159,78 @@
         std::fs::write(&self.config_path, text)
     }
 
-    fn record(&self, process: usize, event: ProcessEvent) {
-        let record = ProcessRecord { at: self.recorder.now(), gatekeeper: self.index, process, event };
-        self.recorder.record(|history| history.processes.push(record));
+    fn record(&self, incarnation: &Incarnation, event: ProcessEvent) {
+        record_event(&self.recorder, self.index, incarnation.number, event);
     }
 
-    /// Starts a process with its wall clock so far off.
+    /// Starts a process whose wall clock is ahead by this offset.
     ///
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn start(self: &Arc<Self>, clock_offset_us: i64) -> io::Result<()> {
+    pub fn start(&self, clock_offset_us: i64) -> io::Result<()> {
         self.control.set_clock_offset(clock_offset_us)?;
-        let number = lock(&self.processes).len();
-        self.record(number, ProcessEvent::Started { clock_offset_us });
-        let mut command = Command::new(&self.program.path);
-        command
-            .env("BALANCER_CONFIG", &self.config_path)
-            .env("BALANCER_OPERATOR", "127.0.0.1:0")
-            .env("TMPDIR", &self.directory)
-            .env("LD_PRELOAD", &self.program.shim)
-            .env(CONTROL_VARIABLE, self.control.path())
-            .stdin(Stdio::null())
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped());
-        if let Some(fault) = &self.program.seeded_fault {
-            command.env("SNOWFIELD_WEAKENED", fault);
-        }
-        let mut child = command.spawn()?;
-        let pid = Pid::from_child(&child);
-        lock(&self.processes).push(Process {
+        let mut incarnations = lock(&self.incarnations);
+        let (number, lifecycle) = (incarnations.len(), Arc::default());
+        record_event(&self.recorder, self.index, number, ProcessEvent::Started { clock_offset_us });
+        let (name, variables) = (format!("n{}", self.index), self.environment());
+        let launch = Launch {
+            variables: &variables,
+            log_format: LogFormat::Plain,
+            ..Launch::new(&name, &self.program.path)
+        };
+        let observer = IncarnationObserver {
+            recorder: self.recorder.clone(),
+            gatekeeper: self.index,
             number,
-            pid,
-            ready: None,
-            terminated: None,
-            killed: false,
-            exited: false,
-        });
-        if let Some(output) = child.stdout.take() {
-            self.follow_output(number, output)?;
-        }
-        if let Some(output) = child.stderr.take() {
-            self.follow_output(number, output)?;
-        }
-        let gatekeeper = self.clone();
-        spawn(move || gatekeeper.wait_for_exit(number, child))?;
+            lifecycle: Arc::clone(&lifecycle),
+        };
+        let process = Process::start_observed(&launch, observer)?;
+        incarnations.push(Arc::new(Incarnation { number, process, lifecycle }));
         Ok(())
     }
 
-    fn follow_output(self: &Arc<Self>, number: usize, output: impl Read + Send + 'static) -> io::Result<()> {
-        let gatekeeper = self.clone();
-        spawn(move || {
-            for line in BufReader::new(output).lines().map_while(Result::ok) {
-                gatekeeper.take_line(number, line);
-            }
-        })?;
-        Ok(())
+    /// The variables that its processes are started with.
+    fn environment(&self) -> Vec<(&'static str, String)> {
+        let mut variables = vec![
+            ("BALANCER_CONFIG", self.config_path.display().to_string()),
+            ("BALANCER_OPERATOR", "127.0.0.1:0".to_owned()),
+            ("TMPDIR", self.directory.display().to_string()),
+        ];
+        variables.extend(self.control.environment(&self.program.shim));
+        variables.extend(self.program.seeded_fault.clone().map(|fault| (SEEDED_FAULT_VARIABLE, fault)));
+        variables
     }
 
-    fn take_line(&self, number: usize, line: String) {
-        if line.contains(READY_TEXT) {
-            let now = self.recorder.now();
-            self.record(number, ProcessEvent::Ready);
-            let mut processes = lock(&self.processes);
-            processes[number].ready = Some(now);
-            self.changed.notify_all();
-        } else if line.contains(VIOLATION_TEXT) {
-            self.record(number, ProcessEvent::Violation { line });
-        } else if PANIC_TEXTS.iter().any(|text| line.contains(text)) {
-            self.record(number, ProcessEvent::Panicked { line });
+    /// Waits until the newest process serves or has ended.
+    pub fn wait_until_ready(&self) {
+        if let Some(newest) = self.newest() {
+            newest.wait_until_ready();
         }
     }
 
-    fn wait_for_exit(&self, number: usize, mut child: Child) {
-        let status = child.wait().ok().and_then(|status| status.code());
-        lock(&self.processes)[number].exited = true;
-        self.record(number, ProcessEvent::Exited { status });
-        self.changed.notify_all();
+    fn newest(&self) -> Option<Arc<Incarnation>> {
+        lock(&self.incarnations).last().cloned()
     }
 
-    /// Waits until the newest process serves, or has ended. Returns whether it serves.
-    pub fn wait_until_ready(&self) -> bool {
-        let processes = lock(&self.processes);
-        let is_undecided = |processes: &mut Vec<Process>| {
-            processes.last().is_some_and(|process| process.ready.is_none() && !process.exited)
-        };
-        let waited = self.changed.wait_timeout_while(processes, START_TIMEOUT, is_undecided);
-        let (processes, _) = waited.unwrap_or_else(std::sync::PoisonError::into_inner);
-        processes.last().is_some_and(|process| process.ready.is_some() && !process.exited)
-    }
-
-    /// Waits until a process has ended, for so long at the most. Returns whether it has.
-    fn wait_until_exited(&self, number: usize, time: Duration) -> bool {
-        let processes = lock(&self.processes);
-        let runs = |processes: &mut Vec<Process>| !processes[number].exited;
-        let waited = self.changed.wait_timeout_while(processes, time, runs);
-        let (processes, _) = waited.unwrap_or_else(std::sync::PoisonError::into_inner);
-        processes[number].exited
-    }
-
-    /// The number of the newest process.
-    fn newest(&self) -> Option<usize> {
-        lock(&self.processes).len().checked_sub(1)
-    }
-
-    fn signal(&self, number: usize, signal: Signal) {
-        let pid = lock(&self.processes).get(number).filter(|process| !process.exited).map(|p| p.pid);
-        if let Some(pid) = pid {
-            // It may have ended just now.
-            let _ = kill_process(pid, signal);
-        }
-    }
-
-    /// Sends SIGTERM to a process; returns whether it ended within this time, after which it is killed.
-    fn terminate(&self, number: usize, time: Duration) -> bool {
-        {
-            let now = self.recorder.now();
-            let mut processes = lock(&self.processes);
-            processes[number].terminated.get_or_insert(now);
-        }
-        self.record(number, ProcessEvent::Terminated);
-        self.signal(number, Signal::TERM);
-        let has_exited = self.wait_until_exited(number, time);
-        if !has_exited {
-            self.kill_process(number);
+    /// Sends SIGTERM to a process, and SIGKILL after this time.
+    fn terminate(&self, incarnation: &Incarnation, kill_after: Duration) {
+        let now = self.recorder.now();
+        lock(&incarnation.lifecycle).terminated.get_or_insert(now);
+        self.record(incarnation, ProcessEvent::Terminated);
+        incarnation.process.shut_down();
+        if !incarnation.process.wait_for_exit(kill_after) {
+            self.kill(incarnation);
         }
-        has_exited
     }
 
-    fn kill_process(&self, number: usize) {
-        {
-            let mut processes = lock(&self.processes);
-            if processes[number].exited {
-                return;
-            }
-            processes[number].killed = true;
+    fn kill(&self, incarnation: &Incarnation) {
+        if incarnation.process.has_exited() {
+            return;
         }
-        self.record(number, ProcessEvent::Killed);
-        self.signal(number, Signal::KILL);
-        self.wait_until_exited(number, START_TIMEOUT);
+        lock(&incarnation.lifecycle).killed = true;
+        self.record(incarnation, ProcessEvent::Killed);
+        incarnation.process.kill();
     }
 
     /// Ends the newest process by SIGTERM, and by SIGKILL after this time, and starts another one.
@@ -248,10 +238,10 @@
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn restart(self: &Arc<Self>, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
+    pub fn restart(&self, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
         let _replacing = lock(&self.replacing);
-        if let Some(number) = self.newest() {
-            self.terminate(number, kill_after);
+        if let Some(newest) = self.newest() {
+            self.terminate(&newest, kill_after);
         }
         self.start(clock_offset_us)?;
         self.wait_until_ready();
@@ -263,10 +253,10 @@
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn crash(self: &Arc<Self>, pause: Duration, clock_offset_us: i64) -> io::Result<()> {
+    pub fn crash(&self, pause: Duration, clock_offset_us: i64) -> io::Result<()> {
         let _replacing = lock(&self.replacing);
-        if let Some(number) = self.newest() {
-            self.kill_process(number);
+        if let Some(newest) = self.newest() {
+            self.kill(&newest);
         }
         std::thread::sleep(pause);
         self.start(clock_offset_us)?;
@@ -274,55 +264,52 @@
         Ok(())
     }
 
-    /// Starts another process beside the newest one, which hands over to it and ends.
+    /// Starts a successor beside the newest process, which hands over to it and is then terminated.
     ///
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn upgrade(self: &Arc<Self>, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
+    pub fn upgrade(&self, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
         let _replacing = lock(&self.replacing);
         let predecessor = self.newest();
         self.start(clock_offset_us)?;
         self.wait_until_ready();
-        if let Some(number) = predecessor {
-            self.terminate(number, kill_after);
+        if let Some(predecessor) = predecessor {
+            self.terminate(&predecessor, kill_after);
         }
         Ok(())
     }
 
     /// Sends SIGHUP to the newest process.
     pub fn reload(&self) {
-        if let Some(number) = self.newest() {
-            self.signal(number, Signal::HUP);
+        if let Some(newest) = self.newest() {
+            newest.process.reload();
         }
     }
 
     /// Suspends the newest process for this time.
     pub fn suspend(&self, time: Duration) {
-        let Some(number) = self.newest() else { return };
+        let Some(newest) = self.newest() else { return };
         let from = self.recorder.now();
-        self.signal(number, Signal::STOP);
+        newest.process.suspend();
         std::thread::sleep(time);
-        self.signal(number, Signal::CONT);
-        self.record(number, ProcessEvent::Suspended { from });
+        newest.process.resume();
+        self.record(&newest, ProcessEvent::Suspended { from });
     }
 
-    /// Ends all processes: the newest by SIGTERM.
+    /// Ends all processes: the newest by SIGTERM, and by SIGKILL after this time.
     pub fn stop(&self, kill_after: Duration) {
         let _replacing = lock(&self.replacing);
-        if let Some(number) = self.newest() {
-            self.terminate(number, kill_after);
+        if let Some(newest) = self.newest() {
+            self.terminate(&newest, kill_after);
         }
-        let numbers: Vec<usize> = lock(&self.processes).iter().map(|process| process.number).collect();
-        numbers.into_iter().for_each(|number| self.kill_process(number));
+        let all = lock(&self.incarnations).clone();
+        all.iter().for_each(|incarnation| self.kill(incarnation));
     }
 
     /// Whether clients may make new connections now.
     pub fn accepts_connections(&self) -> bool {
         let now = self.recorder.now();
-        lock(&self.processes).iter().any(|process| {
-            let is_ending = process.terminated.is_some_and(|at| now >= at + CONNECTS_AFTER_TERMINATION);
-            process.ready.is_some() && !process.killed && !process.exited && !is_ending
-        })
+        lock(&self.incarnations).iter().any(|incarnation| incarnation.accepts_connections(now))
     }
 }
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,6 +1,6 @@
 //! What happened in a schedule, on one monotonic clock.
 
-use crate::lock;
+use fault_injection::sync::lock;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -138,8 +138,8 @@
     Killed,
     /// It ended.
     Exited {
-        /// Its status; none where a signal ended it.
-        status: Option<i32>,
+        /// Its exit code, or the negative number of the signal that ended it.
+        exit_code: i32,
     },
     /// It was suspended, and continued at this moment.
     Suspended {
--- a/crates/platform_soak/src/lib.rs
+++ b/crates/platform_soak/src/lib.rs
@@ -24,10 +24,3 @@
 pub mod settings;
 pub mod site;
 pub mod stand_ins;
-
-use std::sync::{Mutex, MutexGuard, PoisonError};
-
-/// Locks a mutex whose state no panic leaves half-changed.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -3,9 +3,10 @@
 use crate::client::{Behaviour, Client};
 use crate::gatekeeper::{Gatekeeper, Program};
 use crate::history::Recorder;
-use crate::lock;
 use crate::settings::{Addresses, Settings};
-use crate::stand_ins::{Backend, Counter, Discovery, EndpointList, free_address, spawn};
+use crate::stand_ins::{Backend, Counter, Discovery, EndpointList, free_address};
+use fault_injection::sync::lock;
+use fault_injection::thread::spawn;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/platform_soak/src/stand_ins.rs
+++ b/crates/platform_soak/src/stand_ins.rs
@@ -8,27 +8,16 @@
 pub use counter::{Counter, CounterMode};
 pub use discovery::{Discovery, DiscoveryMode, EndpointList};
 
+use fault_injection::thread::spawn;
 use std::io::{self, Read};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU16, Ordering};
-use std::thread;
 use std::time::Duration;
 
-/// Stack of a connection's thread: hundreds of them run.
-const STACK_BYTES: usize = 128 * 1024;
 /// The system gives ports above these to clients' sockets.
 const PORTS: std::ops::Range<u16> = 12_000..30_000;
 
-/// Runs this in a thread with a small stack.
-///
-/// # Errors
-///
-/// The system has no thread.
-pub fn spawn(run: impl FnOnce() + Send + 'static) -> io::Result<thread::JoinHandle<()>> {
-    thread::Builder::new().stack_size(STACK_BYTES).spawn(run)
-}
-
 /// An address on loopback at which nobody listens, and that nobody else is given: gatekeepers share their ports with whoever asks
 /// for that. Each process of a harness has a loopback address of its own.
 ///
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,8 +1,9 @@
 //! A backend: it serves each request after a few milliseconds, and can be made to fail in the ways that backends do.
 
-use super::{reset, spawn, wait_for_end};
+use super::{reset, wait_for_end};
 use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, Moment, Recorder, RequestNumber};
-use crate::lock;
+use fault_injection::sync::lock;
+use fault_injection::thread::spawn;
 use fault_injection::wire;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -1,7 +1,7 @@
 //! The quota counter.
 
 use super::serve;
-use crate::lock;
+use fault_injection::sync::lock;
 use fault_injection::wire;
 use std::collections::HashMap;
 use std::io::{self, BufReader, Write};
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -4,7 +4,7 @@
 use crate::history::{
     BackendIndex, DiscoveryChange, GatekeeperIndex, ListChange, ListedState, Notification, Recorder,
 };
-use crate::lock;
+use fault_injection::sync::lock;
 use fault_injection::wire;
 use std::io::{self, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
