--- /dev/null
+++ b/crates/fault_injection/src/connections.rs
@@ -0,0 +1,51 @@
+//! Connections of stand-ins and links: accepting them, and the ways to leave a peer without an answer.
+
+use crate::thread::spawn;
+use rustix::net::sockopt::set_socket_linger;
+use std::io::{self, ErrorKind, Read};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Accepts connections in a thread and serves each in a thread of its own.
+///
+/// # Errors
+///
+/// The address cannot be listened on.
+pub fn serve_connections(
+    address: SocketAddr,
+    serve: impl Fn(TcpStream) + Send + Sync + 'static,
+) -> io::Result<()> {
+    let listener = TcpListener::bind(address)?;
+    let serve = Arc::new(serve);
+    spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let _ = stream.set_nodelay(true);
+            let serve = serve.clone();
+            // Without a thread the connection is closed, as by an overloaded server.
+            let _ = spawn(move || serve(stream));
+        }
+    })?;
+    Ok(())
+}
+
+/// Reads and discards what arrives until the peer closes the connection.
+pub fn keep_silent(stream: &mut TcpStream) {
+    while stream.read(&mut [0; 512]).is_ok_and(|count| count > 0) {}
+}
+
+/// Like [`keep_silent`], but ends once nothing has arrived for `timeout`.
+pub fn keep_silent_for(stream: &mut TcpStream, timeout: Duration) {
+    let _ = stream.set_read_timeout(Some(timeout));
+    keep_silent(stream);
+}
+
+/// Makes the connection end with a reset instead of a close once all its handles are dropped or shut down.
+pub fn reset_on_close(stream: &TcpStream) {
+    let _ = set_socket_linger(stream, Some(Duration::ZERO));
+}
+
+/// Whether a read may be tried again: its timeout has elapsed, or a signal interrupted it.
+pub fn is_temporary(error: &io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
+}
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -9,6 +9,7 @@
 
 pub mod builds;
 pub mod checkers;
+pub mod connections;
 mod error;
 pub mod history;
 pub mod load;
--- a/crates/fault_injection/src/network/stream_link.rs
+++ b/crates/fault_injection/src/network/stream_link.rs
@@ -1,8 +1,9 @@
 //! Links for streams: each direction of a TCP connection is carried by a thread.
 
 use super::{Link, LinkQuality, Network, POLL_INTERVAL};
+use crate::connections::{is_temporary, reset_on_close};
 use crate::sync::lock;
-use std::io::{ErrorKind, Read, Write};
+use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError};
@@ -28,14 +29,14 @@
     /// Resets both ends. The resets go out when the second of the two directions has let go.
     fn reset(&self) {
         self.is_reset.store(true, Ordering::Release);
-        reset_on_close(&self.near);
-        reset_on_close(&self.far);
+        reset_and_wake(&self.near);
+        reset_and_wake(&self.far);
     }
 }
 
 /// When this socket is closed, its connection is reset; whoever waits to read from it wakes up.
-fn reset_on_close(stream: &TcpStream) {
-    let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
+fn reset_and_wake(stream: &TcpStream) {
+    reset_on_close(stream);
     // Only the reading half: the other one would tell an orderly end first.
     let _ = stream.shutdown(Shutdown::Read);
 }
@@ -66,11 +67,11 @@
     fn carry_connection(&self, link: Link, near: TcpStream, target: SocketAddr) {
         // The sender learns nothing of the far side while the link is cut.
         if !self.wait_until_open(link) {
-            return reset_on_close(&near);
+            return reset_and_wake(&near);
         }
         let Ok(far) = TcpStream::connect(target) else {
             lock(&self.0.refused).extend(near.peer_addr());
-            return reset_on_close(&near);
+            return reset_and_wake(&near);
         };
         let both = Arc::new(ConnectionEnds { near, far, is_reset: AtomicBool::new(false) });
         let (network, ends) = (self.clone(), both.clone());
@@ -120,7 +121,7 @@
             }
             let length = match read {
                 Ok(length) => length,
-                Err(e) if is_temporary(e.kind()) => continue,
+                Err(e) if is_temporary(&e) => continue,
                 Err(_) => {
                     // A reset on one side is one on the other, once the link carries.
                     self.wait_until_open(link);
@@ -159,10 +160,6 @@
     }
 }
 
-fn is_temporary(kind: ErrorKind) -> bool {
-    matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
-}
-
 /// Sleeps for the link's latency, and for retransmissions where the chunk is lost.
 fn delay_chunk(quality: &LinkQuality, length: usize, random: &mut fastrand::Rng) {
     let mut latency = quality.latency(length, random);
--- a/crates/fault_injection/src/site/setup.rs
+++ b/crates/fault_injection/src/site/setup.rs
@@ -238,7 +238,7 @@
         counter: SocketAddr,
         backends: HashMap<String, SocketAddr>,
     ) -> std::io::Result<String> {
-        let (_, endpoint_list) = self.discovery.list(&backends);
+        let endpoint_list = self.discovery.complete_list(&backends).text;
         let link = Link::new(self.nodes[DISCOVERY], NodeId(index));
         let route = WatchRoute { network: self.network.clone(), link };
         let (host, name) = (self.addresses.stand_ins(), &self.gatekeepers[index]);
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -1,19 +1,28 @@
 //! Stand-ins of what gatekeepers speak to, each of which can be made to fail. Consul's is a package of its own.
+//!
+//! [`QuotaCounter`], [`EndpointList`] and the handling of connections serve every site; [`Backend`], [`Counter`] and [`Discovery`]
+//! are those of this package's sites, where each gatekeeper reaches them over links of its own.
 
 mod backend;
 mod counter;
 mod discovery;
+mod endpoint_list;
 mod job_target;
+mod quota_counter;
 
 pub use backend::Backend;
 pub use counter::Counter;
 pub use discovery::{Discovery, WatchRoute};
+pub use endpoint_list::{
+    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedBackend, ListedChange, ListedState, write_watch_head,
+    write_watch_line,
+};
 pub use job_target::open_job_target;
+pub use quota_counter::{Addition, CounterFailure, QuotaCounter};
 
 use crate::network::Network;
 use crate::schedule::FailureMode;
 use crate::sync::lock;
-use std::io::Read;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -48,8 +57,3 @@
         serve(stream);
     })
 }
-
-/// Reads what comes and answers nothing, until the other side lets go.
-fn keep_silent(stream: &mut TcpStream) {
-    while stream.read(&mut [0; 512]).is_ok_and(|n| n > 0) {}
-}
--- a/crates/fault_injection/src/stand_ins/backend.rs
+++ b/crates/fault_injection/src/stand_ins/backend.rs
@@ -1,6 +1,7 @@
 //! A backend, which has an address of its own for each gatekeeper.
 
-use super::{FailureSwitch, SLOW_ANSWER, keep_silent, listen};
+use super::{FailureSwitch, SLOW_ANSWER, listen};
+use crate::connections::keep_silent;
 use crate::history::{Observation, Recorder, now_us};
 use crate::network::Network;
 use crate::schedule::{FailureMode, Form};
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -1,35 +1,20 @@
 //! Discovery: an agent for each gatekeeper, all with the same endpoint list.
 
+use super::endpoint_list::{
+    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedChange, ListedState, write_watch_head,
+    write_watch_line,
+};
 use super::listen;
 use crate::history::{Observation, Recorder};
 use crate::network::{Link, LinkQuality, Network};
-use crate::sync::lock;
 use crate::wire;
 use std::collections::HashMap;
-use std::io::{BufReader, Write};
+use std::io::{self, BufReader};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
-use std::sync::{Arc, Condvar, Mutex};
-use std::time::Duration;
 
-/// An empty line is sent on a watch on which nothing changes for so long.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// The revision of the list at the start.
 const FIRST_REVISION: u64 = 41;
 
-#[derive(Debug)]
-struct Endpoint {
-    name: String,
-    is_draining: bool,
-    /// When it started, Unix ms; 0 for long ago.
-    boot_ms: u64,
-}
-
-#[derive(Debug, Default)]
-struct EndpointList {
-    revision: u64,
-    endpoints: Vec<Endpoint>,
-}
-
 /// The link over which a gatekeeper is notified.
 #[derive(Clone)]
 pub struct WatchRoute {
@@ -40,42 +25,26 @@
 }
 
 /// Discovery. Clones share the list.
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug)]
 pub struct Discovery {
-    shared: Arc<(Mutex<EndpointList>, Condvar)>,
+    list: EndpointList,
 }
 
 impl Discovery {
-    /// One that lists these backends.
+    /// Discovery that lists these backends.
     pub fn new(names: &[String]) -> Self {
-        let endpoint = |name: &String| Endpoint { name: name.clone(), is_draining: false, boot_ms: 0 };
-        let endpoints = names.iter().map(endpoint).collect();
-        let list = EndpointList { revision: FIRST_REVISION, endpoints };
-        Self { shared: Arc::new((Mutex::new(list), Condvar::new())) }
+        Self { list: EndpointList::new(names.iter().cloned(), FIRST_REVISION) }
     }
 
-    /// Marks a backend as draining, or as healthy.
+    /// Marks a backend as draining, or as up.
     pub fn set_draining(&self, name: &str, is_draining: bool) {
-        let mut list = lock(&self.shared.0);
-        list.revision += 1;
-        let named = list.endpoints.iter_mut().filter(|endpoint| endpoint.name == name);
-        named.for_each(|endpoint| endpoint.is_draining = is_draining);
-        self.shared.1.notify_all();
+        let state = if is_draining { ListedState::Draining } else { ListedState::Up };
+        self.list.change(name, ListedChange { state, has_started: false }, || ());
     }
 
-    /// The list's revision, and its text for a gatekeeper that reaches backends at these addresses.
-    pub fn list(&self, addresses: &HashMap<String, SocketAddr>) -> (u64, String) {
-        let list = lock(&self.shared.0);
-        let endpoint = |endpoint: &Endpoint| {
-            let state = if endpoint.is_draining { "draining" } else { "up" };
-            let (name, boot_ms, address) = (&endpoint.name, endpoint.boot_ms, addresses.get(&endpoint.name)?);
-            Some(format!(
-                r#"{{"uid":"{name}","endpoint":"{address}","az":"z","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
-            ))
-        };
-        let endpoints: Vec<String> = list.endpoints.iter().filter_map(endpoint).collect();
-        let revision = list.revision;
-        (revision, format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, endpoints.join(",")))
+    /// The complete list for a gatekeeper that reaches backends at these addresses.
+    pub fn complete_list(&self, addresses: &HashMap<String, SocketAddr>) -> ListUpdate {
+        self.list.update(None, |name| addresses.get(name).copied())
     }
 
     /// Opens the agent of a gatekeeper, which reaches backends at these addresses.
@@ -94,48 +63,45 @@
         let (discovery, gatekeeper, recorder) = (self.clone(), gatekeeper.to_owned(), recorder.clone());
         let network = route.network.clone();
         listen(&network, host, move |stream| {
-            discovery.serve_watch(stream, &gatekeeper, &addresses, &route, &recorder);
+            let _ = discovery.serve_watch(&stream, &gatekeeper, &addresses, &route, &recorder);
+            let _ = stream.shutdown(Shutdown::Both);
         })
     }
 
+    /// Sends the complete list on each change until the connection ends.
     fn serve_watch(
         &self,
-        mut stream: TcpStream,
+        stream: &TcpStream,
         gatekeeper: &str,
         addresses: &HashMap<String, SocketAddr>,
         route: &WatchRoute,
         recorder: &Recorder,
-    ) {
-        let Ok(read) = stream.try_clone() else { return };
-        if wire::read_http_message(&mut BufReader::new(read)).is_none() {
-            return;
+    ) -> io::Result<()> {
+        let mut stream = stream.try_clone()?;
+        if wire::read_http_message(&mut BufReader::new(stream.try_clone()?)).is_none() {
+            return Ok(());
         }
-        let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        write_watch_head(&mut stream)?;
         let mut sent = 0;
         loop {
-            let (revision, list) = self.list(addresses);
-            let line = if revision == sent { String::new() } else { list };
+            let ListUpdate { revision, text } = self.complete_list(addresses);
+            let line = if revision == sent { "" } else { &text };
             // Only what surely arrives now counts as a notification.
             if revision != sent && route.network.quality(route.link) == LinkQuality::default() {
                 self.record_notifications(gatekeeper, recorder);
             }
-            if stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).is_err() {
-                let _ = stream.shutdown(Shutdown::Both);
-                return;
-            }
+            write_watch_line(&mut stream, line)?;
             sent = revision;
-            let is_unchanged = |list: &mut EndpointList| list.revision == sent;
-            let list = lock(&self.shared.0);
-            drop(self.shared.1.wait_timeout_while(list, HEARTBEAT_INTERVAL, is_unchanged));
+            self.list.wait_for_change(sent, HEARTBEAT_INTERVAL);
         }
     }
 
     fn record_notifications(&self, gatekeeper: &str, recorder: &Recorder) {
-        for endpoint in &lock(&self.shared.0).endpoints {
+        for backend in self.list.backends() {
             recorder.record(Observation::EndpointNotified {
                 gatekeeper: gatekeeper.to_owned(),
-                backend: endpoint.name.clone(),
-                accepts_requests: !endpoint.is_draining,
+                accepts_requests: backend.state == ListedState::Up,
+                backend: backend.id,
             });
         }
     }
--- /dev/null
+++ b/crates/fault_injection/src/stand_ins/endpoint_list.rs
@@ -0,0 +1,164 @@
+//! The endpoint list of discovery, and the form in which watches get it.
+
+use crate::sync::lock;
+use std::io::{self, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, Condvar, Mutex};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// A watch on which nothing changes gets an empty line at this interval.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Whether a backend is eligible for new requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListedState {
+    /// It is.
+    Up,
+    /// It finishes the requests that it has.
+    Draining,
+    /// It is off the list.
+    Removed,
+}
+
+impl ListedState {
+    /// The name on the wire.
+    fn name(self) -> &'static str {
+        match self {
+            Self::Up => "up",
+            Self::Draining => "draining",
+            Self::Removed => "removed",
+        }
+    }
+}
+
+/// A backend on the list.
+#[derive(Clone, Debug)]
+pub struct ListedBackend {
+    /// Its id.
+    pub id: String,
+    /// Its state.
+    pub state: ListedState,
+    /// Its last start in Unix milliseconds; 0 for long ago.
+    boot_ms: u64,
+    /// The revision of its last change.
+    revision: u64,
+}
+
+impl ListedBackend {
+    fn json(&self, address: SocketAddr) -> String {
+        let (id, state, boot_ms) = (&self.id, self.state.name(), self.boot_ms);
+        format!(
+            r#"{{"uid":"{id}","endpoint":"{address}","az":"z","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
+        )
+    }
+}
+
+/// A change of one backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ListedChange {
+    /// Its state from then on.
+    pub state: ListedState,
+    /// It has just started.
+    pub has_started: bool,
+}
+
+/// What a watch is sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ListUpdate {
+    /// The list's revision.
+    pub revision: u64,
+    /// The backends, as one line of JSON.
+    pub text: String,
+}
+
+#[derive(Debug)]
+struct List {
+    revision: u64,
+    backends: Vec<ListedBackend>,
+}
+
+/// The endpoint list. Clones share it.
+#[derive(Clone, Debug)]
+pub struct EndpointList {
+    shared: Arc<(Mutex<List>, Condvar)>,
+}
+
+impl EndpointList {
+    /// A list with this revision of backends that started long ago.
+    pub fn new(ids: impl IntoIterator<Item = String>, revision: u64) -> Self {
+        let backend = |id| ListedBackend { id, state: ListedState::Up, boot_ms: 0, revision };
+        let backends = ids.into_iter().map(backend).collect();
+        Self { shared: Arc::new((Mutex::new(List { revision, backends }), Condvar::new())) }
+    }
+
+    /// Changes the backend with this id and wakes all watches. `observe` is called before any watch can see the change.
+    pub fn change(&self, id: &str, change: ListedChange, observe: impl FnOnce()) {
+        let mut list = lock(&self.shared.0);
+        let revision = list.revision + 1;
+        let Some(backend) = list.backends.iter_mut().find(|backend| backend.id == id) else { return };
+        (backend.state, backend.revision) = (change.state, revision);
+        if change.has_started {
+            backend.boot_ms = unix_ms();
+        }
+        list.revision = revision;
+        observe();
+        self.shared.1.notify_all();
+    }
+
+    /// The revision of the last change.
+    pub fn revision(&self) -> u64 {
+        lock(&self.shared.0).revision
+    }
+
+    /// All backends, also removed ones.
+    pub fn backends(&self) -> Vec<ListedBackend> {
+        lock(&self.shared.0).backends.clone()
+    }
+
+    /// The backends that have changed after a revision, or without one all that are listed, for a gatekeeper that reaches them
+    /// at these addresses. Those without an address are left out.
+    pub fn update(&self, since: Option<u64>, address: impl Fn(&str) -> Option<SocketAddr>) -> ListUpdate {
+        let list = lock(&self.shared.0);
+        let is_wanted = |backend: &&ListedBackend| match since {
+            Some(revision) => backend.revision > revision,
+            None => backend.state != ListedState::Removed,
+        };
+        let wanted = list.backends.iter().filter(is_wanted);
+        let targets: Vec<String> =
+            wanted.filter_map(|backend| Some(backend.json(address(&backend.id)?))).collect();
+        let (revision, is_complete) = (list.revision, since.is_none());
+        let text = format!(r#"{{"rev":{revision},"all":{is_complete},"targets":[{}]}}"#, targets.join(","));
+        ListUpdate { revision, text }
+    }
+
+    /// Waits up to `timeout` until the list has another revision than this one.
+    pub fn wait_for_change(&self, revision: u64, timeout: Duration) {
+        let is_unchanged = |list: &mut List| list.revision == revision;
+        drop(self.shared.1.wait_timeout_while(lock(&self.shared.0), timeout, is_unchanged));
+    }
+}
+
+/// Writes the head of the answer to a watch; lines follow as chunks.
+///
+/// # Errors
+///
+/// The connection has ended.
+pub fn write_watch_head(stream: &mut TcpStream) -> io::Result<()> {
+    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+}
+
+/// Writes a line of a watch as a chunk.
+///
+/// # Errors
+///
+/// The connection has ended.
+pub fn write_watch_line(stream: &mut TcpStream, line: &str) -> io::Result<()> {
+    stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+}
+
+fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fault_injection/src/stand_ins/quota_counter.rs
@@ -0,0 +1,187 @@
+//! The quota counter: totals by name, each of which expires, behind RESP2.
+
+use crate::connections::{keep_silent, reset_on_close};
+use crate::sync::lock;
+use crate::wire;
+use std::collections::HashMap;
+use std::io::{BufReader, Write};
+use std::net::TcpStream;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Maximum lifetime of a total, ms.
+const MAX_LIFETIME_MS: u64 = 60_000;
+/// The reply to a call that is rejected.
+const REJECTION: &str = "-BUSY\r\n";
+
+/// How the counter fails.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CounterFailure {
+    /// It answers after this delay.
+    Slow(Duration),
+    /// It applies no call and answers none.
+    Silent,
+    /// It closes the connection on a call, which it does not apply.
+    Closed,
+    /// It rejects calls.
+    Rejecting,
+    /// It applies calls, and its answers are lost.
+    ResponseLost,
+    /// It applies a call and closes the connection within its answer.
+    ResponseTruncated,
+    /// It applies a call and resets the connection.
+    Resetting,
+}
+
+/// An amount that was added to a total.
+#[derive(Clone, Copy, Debug)]
+pub struct Addition<'a> {
+    /// The total's name.
+    pub name: &'a str,
+    /// The amount.
+    pub amount: f64,
+    /// The total after that, as it is answered.
+    pub total: f64,
+}
+
+/// What a call asks for.
+#[derive(Debug, PartialEq)]
+enum Call<'a> {
+    Ping,
+    /// Adds to a total, whose lifetime begins with its first amount.
+    Add {
+        name: &'a str,
+        amount: f64,
+        lifetime: Duration,
+    },
+    Unknown,
+}
+
+impl<'a> Call<'a> {
+    /// None where an argument cannot be read.
+    fn parse(arguments: &'a [String]) -> Option<Self> {
+        Some(match &arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+            ["PING"] => Self::Ping,
+            ["TALLY", name, amount, lifetime_ms] => {
+                let lifetime_ms: u64 = lifetime_ms.parse().ok()?;
+                let lifetime = Duration::from_millis(lifetime_ms.clamp(1, MAX_LIFETIME_MS));
+                Self::Add { name, amount: amount.parse().ok()?, lifetime }
+            }
+            _ => Self::Unknown,
+        })
+    }
+}
+
+/// What is done in response to a call.
+enum Response {
+    Send(String),
+    KeepSilent,
+    Close,
+}
+
+#[derive(Debug)]
+struct Total {
+    value: f64,
+    expires: Instant,
+}
+
+/// The quota counter. Clones share its totals.
+#[derive(Clone, Debug, Default)]
+pub struct QuotaCounter {
+    totals: Arc<Mutex<HashMap<String, Total>>>,
+    additions: Arc<AtomicU64>,
+}
+
+impl QuotaCounter {
+    /// Forgets all totals, as a counter does that restarts without its state.
+    pub fn clear(&self) {
+        lock(&self.totals).clear();
+    }
+
+    /// Calls so far that asked to add, applied or not.
+    pub fn calls(&self) -> u64 {
+        self.additions.load(Ordering::Relaxed)
+    }
+
+    /// Adds to a total and returns it as it is answered.
+    fn add(&self, name: &str, amount: f64, lifetime: Duration) -> f64 {
+        let (mut totals, now) = (lock(&self.totals), Instant::now());
+        let fresh = || Total { value: 0.0, expires: now + lifetime };
+        let total = totals.entry(name.to_owned()).or_insert_with(fresh);
+        if total.expires <= now {
+            *total = fresh();
+        }
+        total.value += amount;
+        seven_digits(total.value)
+    }
+
+    /// Serves the calls of one connection until it ends. Each call fails as `failure` says at its time; `observe` is called with
+    /// each addition.
+    pub fn serve(
+        &self,
+        mut stream: TcpStream,
+        failure: impl Fn() -> Option<CounterFailure>,
+        observe: impl Fn(Addition<'_>),
+    ) {
+        let Ok(read) = stream.try_clone() else { return };
+        let mut calls = BufReader::new(read);
+        while let Some(arguments) = wire::read_resp_command(&mut calls) {
+            let failure = failure();
+            let reply = match self.respond(&arguments, failure, &observe) {
+                Response::Send(reply) => reply,
+                Response::KeepSilent => return keep_silent(&mut stream),
+                Response::Close => return,
+            };
+            match failure {
+                // No later answer can follow: answers come in the order of their calls.
+                Some(CounterFailure::ResponseLost) => return keep_silent(&mut stream),
+                Some(CounterFailure::Resetting) => return reset_on_close(&stream),
+                Some(CounterFailure::ResponseTruncated) => {
+                    let _ = stream.write_all(&reply.as_bytes()[..reply.len() / 2]);
+                    return;
+                }
+                Some(CounterFailure::Slow(delay)) => thread::sleep(delay),
+                _ => {}
+            }
+            if stream.write_all(reply.as_bytes()).is_err() {
+                return;
+            }
+        }
+    }
+
+    fn respond(
+        &self,
+        arguments: &[String],
+        failure: Option<CounterFailure>,
+        observe: impl Fn(Addition<'_>),
+    ) -> Response {
+        let (name, amount, lifetime) = match Call::parse(arguments) {
+            Some(Call::Add { name, amount, lifetime }) => (name, amount, lifetime),
+            Some(Call::Ping) => return Response::Send("+PONG\r\n".to_owned()),
+            Some(Call::Unknown) => return Response::Send("-ERR no such call\r\n".to_owned()),
+            None => return Response::Close,
+        };
+        self.additions.fetch_add(1, Ordering::Relaxed);
+        match failure {
+            Some(CounterFailure::Silent) => Response::KeepSilent,
+            Some(CounterFailure::Closed) => Response::Close,
+            Some(CounterFailure::Rejecting) => Response::Send(REJECTION.to_owned()),
+            _ => {
+                let total = self.add(name, amount, lifetime);
+                observe(Addition { name, amount, total });
+                let total = total.to_string();
+                Response::Send(format!("${}\r\n{total}\r\n", total.len()))
+            }
+        }
+    }
+}
+
+/// A total as the protocol has it: exact to seven digits.
+fn seven_digits(total: f64) -> f64 {
+    format!("{total:.6e}").parse().unwrap_or(total)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -1,8 +1,9 @@
 //! No attempt begins at a backend that drains or is gone, once its gatekeeper counts as notified and the grace is over.
 
 use super::{MAX_SCHEDULING_DELAY, Violation};
-use crate::history::{GatekeeperIndex, History, ListedState, Moment, ProcessEvent};
+use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
 use crate::settings::Settings;
+use fault_injection::stand_ins::ListedState;
 use std::time::Duration;
 
 /// A change counts as notified this long after discovery had it and could be reached.
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: what a backend gets that has just started, of all gatekeepers together.
 
 use super::Violation;
-use crate::history::{AttemptRecord, BackendIndex, History, ListedState, Moment};
+use crate::history::{AttemptRecord, BackendIndex, History, Moment};
 use crate::settings::Settings;
+use fault_injection::stand_ins::ListedState;
 use std::time::Duration;
 
 /// A gatekeeper counts as notified of a start this long after it at the latest; within this time all are, on a day without fault
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -3,8 +3,9 @@
 use crate::gatekeeper::Gatekeeper;
 use crate::history::{PartialRequest, Recorder, RequestNumber, RequestOutcome, RequestRecord};
 use crate::settings::{Effect, MAX_UNITS, Settings, plan_name};
+use fault_injection::connections::is_temporary;
 use fault_injection::wire;
-use std::io::{self, Read, Write};
+use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -281,17 +282,13 @@
             match self.stream.read(&mut bytes) {
                 Ok(0) => return Reply::Closed,
                 Ok(count) => self.received.extend_from_slice(&bytes[..count]),
-                Err(error) if is_timeout(&error) => {}
+                Err(error) if is_temporary(&error) => {}
                 Err(_) => return Reply::Closed,
             }
         }
     }
 }
 
-fn is_timeout(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted)
-}
-
 /// The text of a reply that has come whole.
 fn complete_reply(received: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(received).ok()?;
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -1,10 +1,10 @@
 //! Injects the faults of a schedule, each in a thread of its own.
 
-use crate::history::ListedState;
 use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule, suspension};
 use crate::settings::MAX_SOCKETS;
 use crate::site::Site;
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
+use fault_injection::stand_ins::ListedState;
 use fault_injection::thread::spawn;
 use fault_shim_control::{RATE_SCALE, Setting};
 use std::net::TcpStream;
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,5 +1,6 @@
 //! What happened in a schedule, on one monotonic clock.
 
+use fault_injection::stand_ins::ListedState;
 use fault_injection::sync::lock;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -171,17 +172,6 @@
     pub event: ProcessEvent,
 }
 
-/// Whether a backend takes work.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedState {
-    /// It does.
-    Up,
-    /// It finishes what it has.
-    Draining,
-    /// It is off the list.
-    Removed,
-}
-
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -4,7 +4,7 @@
 use crate::gatekeeper::{Gatekeeper, Program};
 use crate::history::Recorder;
 use crate::settings::{Addresses, Settings};
-use crate::stand_ins::{Backend, Counter, Discovery, EndpointList, free_address};
+use crate::stand_ins::{Backend, Counter, Discovery, SharedList, free_address};
 use fault_injection::sync::lock;
 use fault_injection::thread::spawn;
 use std::io;
@@ -35,7 +35,7 @@
     /// Their discovery agents, in the same order.
     pub discoveries: Vec<Discovery>,
     /// The endpoint list that they serve.
-    pub list: EndpointList,
+    pub list: SharedList,
     /// The counter.
     pub counter: Counter,
     /// The backends.
@@ -64,7 +64,7 @@
             backends.push(Backend::start(address, index, &recorder)?);
             backend_addresses.push(address);
         }
-        let list = EndpointList::new(&backend_addresses, &recorder);
+        let list = SharedList::new(&backend_addresses, &recorder);
         let (mut gatekeepers, mut discoveries) = (Vec::new(), Vec::new());
         for index in 0..settings.gatekeepers {
             let (listen, discovery) = (free_address()?, free_address()?);
--- a/crates/platform_soak/src/stand_ins.rs
+++ b/crates/platform_soak/src/stand_ins.rs
@@ -6,14 +6,11 @@
 
 pub use backend::{Backend, BackendMode};
 pub use counter::{Counter, CounterMode};
-pub use discovery::{Discovery, DiscoveryMode, EndpointList};
+pub use discovery::{Discovery, DiscoveryMode, SharedList};
 
-use fault_injection::thread::spawn;
-use std::io::{self, Read};
-use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
-use std::sync::Arc;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
-use std::time::Duration;
 
 /// The system gives ports above these to clients' sockets.
 const PORTS: std::ops::Range<u16> = 12_000..30_000;
@@ -35,35 +32,3 @@
     });
     free.ok_or_else(|| io::Error::other("no free port"))
 }
-
-/// Accepts connections in a thread and serves each in a thread of its own.
-///
-/// # Errors
-///
-/// The address cannot be listened on.
-pub(crate) fn serve(
-    address: SocketAddr,
-    serve: impl Fn(TcpStream) + Send + Sync + 'static,
-) -> io::Result<()> {
-    let listener = TcpListener::bind(address)?;
-    let serve = Arc::new(serve);
-    spawn(move || {
-        for stream in listener.incoming().map_while(Result::ok) {
-            let serve = serve.clone();
-            // Where there is no thread the connection ends, as at a crowded machine.
-            let _ = spawn(move || serve(stream));
-        }
-    })?;
-    Ok(())
-}
-
-/// Reads and drops what comes until the other side ends, for so long at the most.
-pub(crate) fn wait_for_end(stream: &mut TcpStream, time: Duration) {
-    let _ = stream.set_read_timeout(Some(time));
-    while stream.read(&mut [0; 512]).is_ok_and(|count| count > 0) {}
-}
-
-/// Ends a connection with a reset.
-pub(crate) fn reset(stream: &TcpStream) {
-    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
-}
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,7 +1,7 @@
 //! A backend: it serves each request after a few milliseconds, and can be made to fail in the ways that backends do.
 
-use super::{reset, wait_for_end};
 use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, Moment, Recorder, RequestNumber};
+use fault_injection::connections::{is_temporary, keep_silent_for, reset_on_close};
 use fault_injection::sync::lock;
 use fault_injection::thread::spawn;
 use fault_injection::wire;
@@ -97,7 +97,7 @@
         *lock(&self.0.mode) = mode;
         if mode == BackendMode::Refusing {
             for connection in lock(&self.0.connections).drain(..) {
-                reset(&connection);
+                reset_on_close(&connection);
                 let _ = connection.shutdown(Shutdown::Both);
             }
         }
@@ -163,17 +163,17 @@
             stream.set_read_timeout(Some(SHORT_IDLE))?;
             match stream.peek(&mut [0]) {
                 Ok(count) => return Ok(count > 0),
-                Err(error) if is_timeout(&error) => {}
+                Err(error) if is_temporary(&error) => {}
                 Err(error) => return Err(error),
             }
             match self.mode() {
                 BackendMode::ClosingIdle => return Ok(false),
                 BackendMode::ResettingIdle => {
-                    reset(stream);
+                    reset_on_close(stream);
                     return Ok(false);
                 }
                 BackendMode::ForgettingIdle => {
-                    wait_for_end(&mut stream.try_clone()?, LONGEST_WAIT);
+                    keep_silent_for(&mut stream.try_clone()?, LONGEST_WAIT);
                     return Ok(false);
                 }
                 _ => {}
@@ -212,7 +212,7 @@
         let work = if mode == BackendMode::Slow { work + SLOW_WORK } else { work };
         let is_other = random.bool();
         if mode == BackendMode::Hanging {
-            wait_for_end(&mut stream.try_clone()?, LONGEST_WAIT);
+            keep_silent_for(&mut stream.try_clone()?, LONGEST_WAIT);
             recorder.end_attempt(place, AttemptOutcome::Closed);
             return Ok(false);
         }
@@ -225,7 +225,7 @@
             BackendMode::Failing => (b"-ERR failed\r\n".to_vec(), AttemptOutcome::Failed),
             BackendMode::Rejecting => (b"-BUSY\r\n".to_vec(), AttemptOutcome::Rejected),
             BackendMode::Resetting if is_other => {
-                reset(stream);
+                reset_on_close(stream);
                 (Vec::new(), AttemptOutcome::Closed)
             }
             BackendMode::Truncating if is_other => {
@@ -245,15 +245,11 @@
     stream.set_read_timeout(Some(time))?;
     match stream.peek(&mut [0]) {
         Ok(count) => Ok(count == 0),
-        Err(error) if is_timeout(&error) => Ok(false),
+        Err(error) if is_temporary(&error) => Ok(false),
         Err(_) => Ok(true),
     }
 }
 
-fn is_timeout(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
-}
-
 /// The time that a list of values gives as `d`.
 fn milliseconds(values: &str) -> Option<Duration> {
     let text = values.split(',').find_map(|value| value.strip_prefix("d="))?;
