--- a/crates/fault_injection/src/checkers.rs
+++ b/crates/fault_injection/src/checkers.rs
@@ -6,6 +6,9 @@
 mod fault_spans;
 mod processes;
 mod requests;
+pub mod rules;
+mod token_bucket;
+mod violation;
 
 #[cfg(test)]
 mod tests;
@@ -15,19 +18,12 @@
 pub use draining::draining;
 pub use processes::{repeated_runs, resource_use, unexpected_exits};
 pub use requests::{final_answers, outcomes};
+pub use token_bucket::TokenBucket;
+pub use violation::Violation;
 
 use crate::history::Record;
 use std::collections::BTreeMap;
 
-/// A rule that was broken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Violation {
-    /// The rule.
-    pub rule: &'static str,
-    /// What was observed.
-    pub text: String,
-}
-
 /// The hard ceiling of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ceiling {
--- a/crates/fault_injection/src/checkers/ceilings.rs
+++ b/crates/fault_injection/src/checkers/ceilings.rs
@@ -1,33 +1,32 @@
 //! Hard ceilings of tenants.
 
-use super::{Bounds, Ceiling, Violation};
+use super::rules::HARD_CEILING;
+use super::{Bounds, Ceiling, TokenBucket, Violation};
 use crate::history::{Observation, Record};
 use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 
-const RULE: &str = "hard ceiling";
 /// The slack of a ceiling, as a share of its burst.
 const BURST_SLACK: f64 = 0.1;
 
-/// A token bucket that is filled at the ceiling's rate. Its level is below 0 by what passed the ceiling.
-struct TokenBucket {
+/// The lowest level of a tenant's bucket, and when it had that.
+struct CeilingCheck {
     ceiling: Ceiling,
-    level: f64,
-    updated_us: u64,
+    bucket: TokenBucket,
     lowest_level: f64,
     lowest_us: u64,
 }
 
-impl TokenBucket {
-    fn full(ceiling: Ceiling, at_us: u64) -> Self {
-        Self { ceiling, level: ceiling.burst, updated_us: at_us, lowest_level: f64::MAX, lowest_us: 0 }
+impl CeilingCheck {
+    fn new(ceiling: Ceiling, at_us: u64) -> Self {
+        let bucket = TokenBucket::full(ceiling.units_per_second, ceiling.burst, Duration::from_micros(at_us));
+        Self { ceiling, bucket, lowest_level: f64::MAX, lowest_us: 0 }
     }
 
     fn take(&mut self, units: f64, at_us: u64) {
-        let refill = self.ceiling.units_per_second * (at_us - self.updated_us) as f64 / 1e6;
-        self.level = (self.level + refill).min(self.ceiling.burst) - units;
-        self.updated_us = at_us;
-        if self.level < self.lowest_level {
-            (self.lowest_level, self.lowest_us) = (self.level, at_us);
+        let level = self.bucket.take(units, Duration::from_micros(at_us));
+        if level < self.lowest_level {
+            (self.lowest_level, self.lowest_us) = (level, at_us);
         }
     }
 
@@ -45,22 +44,22 @@
     let is_degraded =
         history.iter().any(|r| matches!(r.observation, Observation::Fault { delays_attempts: true, .. }));
     let late_ms = bounds.tolerance_ms + if is_degraded { bounds.deadline_ms } else { 0 };
-    let violation = |(tenant, bucket): (&str, TokenBucket)| {
-        let slack = bucket.slack(late_ms);
+    let violation = |(tenant, check): (&str, CeilingCheck)| {
+        let slack = check.slack(late_ms);
         let text = || {
-            let ms = (bucket.lowest_us - begin_us) / 1_000;
-            let excess = -bucket.lowest_level;
+            let ms = (check.lowest_us - begin_us) / 1_000;
+            let excess = -check.lowest_level;
             format!("{tenant} is {excess:.1} units past its ceiling at {ms} ms, {slack:.1} allowed")
         };
-        (-bucket.lowest_level > slack).then(|| Violation { rule: RULE, text: text() })
+        (-check.lowest_level > slack).then(|| Violation::new(HARD_CEILING, text()))
     };
-    buckets(history, bounds).into_iter().filter_map(violation).collect()
+    ceiling_checks(history, bounds).into_iter().filter_map(violation).collect()
 }
 
-/// The bucket of each tenant that has a ceiling, after all first attempts.
-fn buckets<'a>(history: &'a [Record], bounds: &Bounds) -> BTreeMap<&'a str, TokenBucket> {
+/// Each tenant that has a ceiling, after all first attempts.
+fn ceiling_checks<'a>(history: &'a [Record], bounds: &Bounds) -> BTreeMap<&'a str, CeilingCheck> {
     let mut sent: HashMap<u64, (&str, f64)> = HashMap::new();
-    let mut buckets: BTreeMap<&str, TokenBucket> = BTreeMap::new();
+    let mut checks: BTreeMap<&str, CeilingCheck> = BTreeMap::new();
     for record in history {
         match &record.observation {
             Observation::RequestSent { request_id, tenant, units, .. } => {
@@ -70,12 +69,11 @@
                 // Only the first attempt counts.
                 let Some((tenant, units)) = sent.remove(request_id) else { continue };
                 let Some(ceiling) = bounds.ceilings.get(tenant) else { continue };
-                let bucket =
-                    buckets.entry(tenant).or_insert_with(|| TokenBucket::full(*ceiling, record.at_us));
-                bucket.take(units, record.at_us);
+                let check = checks.entry(tenant).or_insert_with(|| CeilingCheck::new(*ceiling, record.at_us));
+                check.take(units, record.at_us);
             }
             _ => {}
         }
     }
-    buckets
+    checks
 }
--- a/crates/fault_injection/src/checkers/convergence.rs
+++ b/crates/fault_injection/src/checkers/convergence.rs
@@ -15,7 +15,7 @@
 
 /// All agree again in time after the last fault.
 pub fn convergence(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
-    let violation = |text| Violation { rule: CONVERGENCE_RULE, text };
+    let violation = |text: String| Violation::new(CONVERGENCE_RULE, text);
     let is_loss =
         |r: &Record| matches!(&r.observation, Observation::Fault { kind, .. } if kind == COUNTER_LOSS);
     let limit_ms = if history.iter().any(is_loss) {
@@ -174,5 +174,5 @@
         return Vec::new();
     }
     let text = format!("{longest_ms} ms, {} allowed: {description}", bounds.contradiction_ms);
-    vec![Violation { rule: CONTRADICTION_RULE, text }]
+    vec![Violation::new(CONTRADICTION_RULE, text)]
 }
--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -1,13 +1,12 @@
 //! Backends that drain get nothing new.
 
 use super::fault_spans::{AffectedSpans, delayed_attempts};
+use super::rules::NOTHING_TO_INELIGIBLE;
 use super::{Bounds, Violation};
 use crate::history::{Observation, Record, Span};
 use serde_json::{Map, Value};
 use std::collections::HashMap;
 
-const RULE: &str = "nothing new to who takes no work";
-
 /// What a gatekeeper's log line says of a backend.
 struct LoggedState {
     backend: String,
@@ -79,7 +78,7 @@
             let text = format!(
                 "operation {request_id} reached {backend} from {gatekeeper} {late_ms} ms after it said so"
             );
-            self.violations.push(Violation { rule: RULE, text });
+            self.violations.push(Violation::new(NOTHING_TO_INELIGIBLE, text).by(gatekeeper));
         }
     }
 
--- a/crates/fault_injection/src/checkers/processes.rs
+++ b/crates/fault_injection/src/checkers/processes.rs
@@ -1,12 +1,11 @@
 //! What processes do: runs of periodic jobs, exits, and the resources that they use.
 
+use super::rules::{NO_UNREQUESTED_EXIT, rule_broken_by_exit};
 use super::{Bounds, Violation};
 use crate::history::{Observation, Record};
+use crate::process::{ExitRequest, KILLED};
 use std::collections::{HashMap, HashSet};
 
-/// The exit code of a process that was killed: the negative number of SIGKILL.
-const KILLED: i32 = -9;
-
 /// No run of a periodic job happens twice.
 pub fn repeated_runs(history: &[Record], _: &Bounds) -> Vec<Violation> {
     let mut ran: HashMap<(&str, u64), &str> = HashMap::new();
@@ -15,27 +14,36 @@
         let Observation::JobRan { job, run, instance } = &record.observation else { continue };
         if let Some(before) = ran.insert((job, *run), instance) {
             let text = format!("round {run} of {job} was run by {before} and by {instance}");
-            violations.push(Violation { rule: "no round twice", text });
+            violations.push(Violation::new("no round twice", text));
         }
     }
     violations
 }
 
-/// No process ends unless it is asked to, and one that is asked to shut down ends with 0.
+/// No process exits unless it is asked to, and one that is asked to shut down exits with 0.
 pub fn unexpected_exits(history: &[Record], _: &Bounds) -> Vec<Violation> {
-    let violation = |record: &Record| match &record.observation {
-        Observation::ProcessExited { process, exit_code, requested }
-            if !requested || (*exit_code != 0 && *exit_code != KILLED) =>
-        {
-            let last_line = last_log_line(history, process);
-            let text = format!("{process} ended with {exit_code}; its last line: {last_line}");
-            Some(Violation { rule: "no exit unasked", text })
-        }
-        _ => None,
+    let violation = |record: &Record| {
+        let Observation::ProcessExited { process, exit_code, requested } = &record.observation else {
+            return None;
+        };
+        rule_broken_by_exit(exit_request(*requested, *exit_code), *exit_code)?;
+        let last_line = last_log_line(history, process);
+        let text = format!("{process} ended with {exit_code}; its last line: {last_line}");
+        // Reports of this harness have one rule for both kinds of broken exits.
+        Some(Violation::new(NO_UNREQUESTED_EXIT, text).by(process))
     };
     history.iter().filter_map(violation).collect()
 }
 
+/// What a process that has exited was asked for. Only one that the harness has killed exits as killed on request.
+fn exit_request(requested: bool, exit_code: i32) -> ExitRequest {
+    match (requested, exit_code) {
+        (false, _) => ExitRequest::None,
+        (true, KILLED) => ExitRequest::Kill,
+        (true, _) => ExitRequest::ShutDown,
+    }
+}
+
 fn last_log_line<'a>(history: &'a [Record], wanted: &str) -> &'a str {
     let line = |record: &'a Record| match &record.observation {
         Observation::LogLine { process, text, .. } if process == wanted => Some(text.as_str()),
@@ -59,7 +67,7 @@
         if is_beyond && reported.insert(process) {
             let text =
                 format!("{process} holds {memory_kb} kB, {descriptors} descriptors and {threads} threads");
-            violations.push(Violation { rule: "bounded memory, descriptors and threads", text });
+            violations.push(Violation::new("bounded memory, descriptors and threads", text).by(process));
         }
     }
     violations
--- a/crates/fault_injection/src/checkers/requests.rs
+++ b/crates/fault_injection/src/checkers/requests.rs
@@ -1,12 +1,11 @@
 //! Each request has one final answer.
 
 use super::fault_spans::AffectedSpans;
+use super::rules::ONE_FINAL_ANSWER;
 use super::{Bounds, Violation};
 use crate::history::{Observation, Outcome, Record, Span};
 use std::collections::BTreeMap;
 
-const RULE: &str = "one final answer in time";
-
 /// A request without an end so far.
 struct OpenRequest<'a> {
     sent_us: u64,
@@ -23,7 +22,7 @@
 
 impl<'a> RequestChecker<'a> {
     fn violation(&mut self, text: String) {
-        self.violations.push(Violation { rule: RULE, text });
+        self.violations.push(Violation::new(ONE_FINAL_ANSWER, text));
     }
 
     /// Whether the request went through a gatekeeper while a fault affected it, or one came up before the request's end.
--- /dev/null
+++ b/crates/fault_injection/src/checkers/token_bucket.rs
@@ -0,0 +1,27 @@
+//! A token bucket that is charged after the fact.
+
+use std::time::Duration;
+
+/// A token bucket that is charged for what was admitted. Its level falls below 0 by what passed its rate and burst.
+#[derive(Clone, Copy, Debug)]
+pub struct TokenBucket {
+    units_per_second: f64,
+    burst: f64,
+    level: f64,
+    updated: Duration,
+}
+
+impl TokenBucket {
+    /// A bucket that is full at this time.
+    pub fn full(units_per_second: f64, burst: f64, at: Duration) -> Self {
+        Self { units_per_second, burst, level: burst, updated: at }
+    }
+
+    /// Refills the bucket up to this time, takes units from it, and returns its level. Times do not go back.
+    pub fn take(&mut self, units: f64, at: Duration) -> f64 {
+        let refill = self.units_per_second * (at - self.updated).as_secs_f64();
+        self.level = (self.level + refill).min(self.burst) - units;
+        self.updated = at;
+        self.level
+    }
+}
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -9,6 +9,7 @@
 
 pub mod builds;
 pub mod checkers;
+pub mod clock;
 pub mod connections;
 mod error;
 pub mod history;
--- a/crates/fault_injection/src/process.rs
+++ b/crates/fault_injection/src/process.rs
@@ -10,10 +10,11 @@
 
 pub use launch::{Launch, LogFormat};
 pub use log::{Log, LogLine};
-pub use observer::{ProcessExit, ProcessObserver};
+pub use observer::{ExitRequest, ProcessExit, ProcessObserver};
 pub use usage::ResourceUsage;
 
 use crate::history::Recorder;
+use crate::sync::lock;
 use crate::thread::spawn;
 use crate::wait::STEP_TIMEOUT;
 use log::{Progress, spawn_reader};
@@ -23,13 +24,15 @@
 use std::io::{self, BufReader};
 use std::os::unix::process::ExitStatusExt;
 use std::process::{Child, ExitStatus};
-use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
 /// A graceful shutdown takes no longer: the longest deadline, 0.7 s, and a slow machine.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
+/// The exit code of a process that was killed: the negative number of SIGKILL.
+pub const KILLED: i32 = -9;
 /// A throttled process runs for this ...
 const THROTTLED_RUN: Duration = Duration::from_millis(5);
 /// ... and is then suspended for this.
@@ -42,8 +45,7 @@
     program: OsString,
     pid: Pid,
     progress: Arc<Progress>,
-    /// The harness has asked for its end.
-    end_requested: Arc<AtomicBool>,
+    exit_request: Arc<Mutex<ExitRequest>>,
     throttled: Arc<AtomicBool>,
 }
 
@@ -70,7 +72,7 @@
             program: launch.build.file_name().unwrap_or_default().to_owned(),
             pid: Pid::from_child(&child),
             progress: Arc::default(),
-            end_requested: Arc::default(),
+            exit_request: Arc::default(),
             throttled: Arc::default(),
         };
         let observer: Arc<dyn ProcessObserver> = Arc::new(observer);
@@ -93,14 +95,14 @@
         readers: Vec<JoinHandle<()>>,
         observer: Arc<dyn ProcessObserver>,
     ) -> io::Result<()> {
-        let (progress, end_requested) = (self.progress.clone(), self.end_requested.clone());
+        let (progress, exit_request) = (self.progress.clone(), self.exit_request.clone());
         spawn(move || {
             let status = child.wait();
             // All lines are observed before the end.
             readers.into_iter().for_each(|reader| drop(reader.join()));
             let exit_code = status.map_or(i32::MIN, exit_code);
-            let requested = end_requested.load(Ordering::Relaxed);
-            observer.exited(ProcessExit { exit_code, requested });
+            let request = *lock(&exit_request);
+            observer.exited(ProcessExit { exit_code, request });
             progress.end();
         })?;
         Ok(())
@@ -125,7 +127,7 @@
     /// ended unasked.
     pub fn wait_for_shutdown(&self) {
         if !self.progress.wait_for_end(SHUTDOWN_TIMEOUT) {
-            self.end_requested.store(false, Ordering::Relaxed);
+            *lock(&self.exit_request) = ExitRequest::None;
             self.signal(Signal::KILL);
             self.progress.wait_for_end(STEP_TIMEOUT);
         }
@@ -139,14 +141,14 @@
 
     /// Kills it and waits for its end.
     pub fn kill(&self) {
-        self.end_requested.store(true, Ordering::Relaxed);
+        *lock(&self.exit_request) = ExitRequest::Kill;
         self.signal(Signal::KILL);
         self.progress.wait_for_end(STEP_TIMEOUT);
     }
 
     /// Asks for a graceful shutdown.
     pub fn shut_down(&self) {
-        self.end_requested.store(true, Ordering::Relaxed);
+        *lock(&self.exit_request) = ExitRequest::ShutDown;
         self.signal(Signal::TERM);
     }
 
--- a/crates/fault_injection/src/process/observer.rs
+++ b/crates/fault_injection/src/process/observer.rs
@@ -1,15 +1,38 @@
 //! Who is notified of what a process does.
 
-use super::LogLine;
+use super::{KILLED, LogLine};
 use crate::history::{Observation, Recorder};
 
+/// How the harness has asked a process to exit.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ExitRequest {
+    /// Not at all.
+    #[default]
+    None,
+    /// By SIGTERM.
+    ShutDown,
+    /// By SIGKILL.
+    Kill,
+}
+
 /// The end of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessExit {
     /// Its exit code, or the negative number of the signal that ended it.
     pub exit_code: i32,
-    /// Whether the harness asked for it.
-    pub requested: bool,
+    /// How the harness had asked for it.
+    pub request: ExitRequest,
+}
+
+impl ProcessExit {
+    /// Whether the harness asked for an exit of this kind: one that is asked to shut down and is killed by another was not.
+    pub fn is_requested(self) -> bool {
+        match self.request {
+            ExitRequest::None => false,
+            ExitRequest::ShutDown => self.exit_code != KILLED,
+            ExitRequest::Kill => true,
+        }
+    }
 }
 
 /// Is notified of what a process does, by threads of the harness.
@@ -45,11 +68,10 @@
     }
 
     fn exited(&self, exit: ProcessExit) {
-        let ProcessExit { exit_code, requested } = exit;
         self.recorder.record(Observation::ProcessExited {
             process: self.process.clone(),
-            exit_code,
-            requested,
+            exit_code: exit.exit_code,
+            requested: exit.is_requested(),
         });
     }
 }
--- a/crates/fault_injection/src/process/tests.rs
+++ b/crates/fault_injection/src/process/tests.rs
@@ -43,7 +43,7 @@
     }
 
     fn exited(&self, exit: ProcessExit) {
-        self.add(format!("exited with {}, requested: {}", exit.exit_code, exit.requested));
+        self.add(format!("exited with {}, requested: {}", exit.exit_code, exit.is_requested()));
     }
 }
 
@@ -110,3 +110,11 @@
     process.resume();
     assert!(process.log().wait_for("done"));
 }
+
+#[test]
+fn an_exit_by_another_ones_kill_is_not_requested() {
+    let is_requested = |request, exit_code| ProcessExit { exit_code, request }.is_requested();
+    assert!(is_requested(ExitRequest::Kill, KILLED) && is_requested(ExitRequest::Kill, 0));
+    assert!(is_requested(ExitRequest::ShutDown, 0) && is_requested(ExitRequest::ShutDown, 101));
+    assert!(!is_requested(ExitRequest::ShutDown, KILLED) && !is_requested(ExitRequest::None, 0));
+}
--- a/crates/fault_injection/src/runner.rs
+++ b/crates/fault_injection/src/runner.rs
@@ -6,6 +6,7 @@
 use crate::Error;
 use crate::builds::Builds;
 use crate::checkers::{self, Violation};
+use crate::clock::ScheduleClock;
 use crate::history::{Observation, Outcome, Record, Recorder, now_us};
 use crate::network::Traffic;
 use crate::schedule::{Fault, Schedule};
@@ -17,7 +18,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::{self, JoinHandle};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// All have this long to agree after the last fault; the bound of the rule is shorter.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(35);
@@ -49,16 +50,6 @@
     pub history: Vec<Record>,
 }
 
-/// The time since a schedule began.
-#[derive(Clone, Copy)]
-struct ScheduleClock(Instant);
-
-impl ScheduleClock {
-    fn sleep_until(self, ms: u64) {
-        thread::sleep(Duration::from_millis(ms).saturating_sub(self.0.elapsed()));
-    }
-}
-
 /// The faults of a schedule, once all are over.
 struct InjectedFaults {
     errors: Vec<Error>,
@@ -81,10 +72,10 @@
     let is_over = Arc::new(AtomicBool::new(false));
     let clients = site.start_load(&is_over);
     let sampler = start_sampler(&site, &is_over);
-    let clock = ScheduleClock(Instant::now());
+    let clock = ScheduleClock::start();
     let injected = inject_faults(&site, schedule, clock);
     let converged_after_ms = wait_for_convergence(&site, injected.last_end_us);
-    clock.sleep_until(schedule.length_ms);
+    clock.sleep_until(Duration::from_millis(schedule.length_ms));
     is_over.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| drop(client.join()));
     drop(sampler.join());
@@ -106,8 +97,9 @@
 fn inject_faults(site: &Site, schedule: &Schedule, clock: ScheduleClock) -> InjectedFaults {
     let last_end_us = AtomicU64::new(now_us());
     let inject = |index: usize, fault: &Fault| {
-        clock.sleep_until(fault.start_ms);
-        let wait_for_end = || clock.sleep_until(fault.start_ms + fault.duration_ms);
+        clock.sleep_until(Duration::from_millis(fault.start_ms));
+        let end = Duration::from_millis(fault.start_ms + fault.duration_ms);
+        let wait_for_end = || clock.sleep_until(end);
         let done = site.inject_fault(index, &fault.kind, &wait_for_end);
         last_end_us.fetch_max(now_us(), Ordering::Relaxed);
         done
@@ -146,7 +138,7 @@
     let traffic = site.network.traffic();
     let history = complete_history(&site.recorder);
     let mut violations = checkers::check(&history, &Site::bounds());
-    let failed = |error: &Error| Violation { rule: "a program comes back", text: error.to_string() };
+    let failed = |error: &Error| Violation::new("a program comes back", error.to_string());
     violations.extend(errors.iter().map(failed));
     let mut faults = BTreeMap::new();
     for record in &history {
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -126,7 +126,7 @@
                 let is_complete = length == complete.len();
                 if let Err(failure) = self.start_with(&complete[..length], is_complete) {
                     let text = format!("{length} of {} bytes: {failure}", complete.len());
-                    lock(&violations).push(Violation { rule: RULE, text });
+                    lock(&violations).push(Violation::new(RULE, text));
                 }
             }
         };
--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -7,32 +7,22 @@
 mod requests;
 mod slow_start;
 
-use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
+use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, gatekeeper_name};
 use crate::settings::Settings;
-use std::fmt;
+use fault_injection::checkers::Violation;
 use std::time::Duration;
 
 /// Longest scheduling delay of a gatekeeper between reading its clock and writing (RULES.md).
 pub(crate) const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
 
-/// A broken invariant.
-#[derive(Clone, Debug)]
-pub struct Violation {
-    /// The rule, in a few words that never change.
-    pub rule: &'static str,
-    /// When it was broken.
-    pub at: Moment,
-    /// By which gatekeeper, where that is known.
-    pub gatekeeper: Option<GatekeeperIndex>,
-    /// What happened, with ids.
-    pub text: String,
-}
-
-impl fmt::Display for Violation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let gatekeeper = self.gatekeeper.map_or(String::new(), |index| format!(" n{index}"));
-        write!(f, "{:7.3} s{gatekeeper}: {}: {}", self.at.as_secs_f64(), self.rule, self.text)
-    }
+/// A violation by this gatekeeper at this time.
+fn violation_by(
+    gatekeeper: GatekeeperIndex,
+    rule: &'static str,
+    at: Moment,
+    text: impl Into<String>,
+) -> Violation {
+    Violation::new(rule, text).at(at).by(gatekeeper_name(gatekeeper))
 }
 
 /// All broken invariants, in the order of time.
--- a/crates/platform_soak/src/checkers/attempts.rs
+++ b/crates/platform_soak/src/checkers/attempts.rs
@@ -1,8 +1,9 @@
 //! Attempts: nothing for a client that has gone, no more time than it has left, and repeats only as the class permits.
 
-use super::{MAX_SCHEDULING_DELAY, Violation};
+use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{AttemptOutcome, AttemptRecord, History, Moment, RequestNumber, RequestRecord};
 use crate::settings::{Effect, Settings};
+use fault_injection::checkers::Violation;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -38,12 +39,8 @@
 }
 
 fn violation(rule: &'static str, attempt: &AttemptRecord, text: String) -> Violation {
-    Violation {
-        rule,
-        at: attempt.arrived,
-        gatekeeper: Some(attempt.request.gatekeeper()),
-        text: format!("request {} at s-{:04} {text}", attempt.request.text(), attempt.backend),
-    }
+    let text = format!("request {} at s-{:04} {text}", attempt.request.text(), attempt.backend);
+    violation_by(attempt.request.gatekeeper(), rule, attempt.arrived, text)
 }
 
 fn check_client_left(
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -1,8 +1,10 @@
 //! No attempt begins at a backend that drains or is gone, once its gatekeeper counts as notified and the grace is over.
 
-use super::{MAX_SCHEDULING_DELAY, Violation};
+use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
 use crate::settings::Settings;
+use fault_injection::checkers::Violation;
+use fault_injection::checkers::rules::NOTHING_TO_INELIGIBLE;
 use fault_injection::stand_ins::ListedState;
 use std::time::Duration;
 
@@ -30,17 +32,13 @@
             let is_closed =
                 |closed: &&Closed| attempt.began > closed.from + slack && attempt.began < closed.to;
             if let Some(closed) = closed[attempt.backend].iter().find(is_closed) {
-                violations.push(Violation {
-                    rule: "nothing new to who takes no work",
-                    at: attempt.began,
-                    gatekeeper: Some(gatekeeper),
-                    text: format!(
-                        "request {} began at s-{:04} {:.3} s after the grace",
-                        attempt.request.text(),
-                        attempt.backend,
-                        (attempt.began - closed.from).as_secs_f64()
-                    ),
-                });
+                let text = format!(
+                    "request {} began at s-{:04} {:.3} s after the grace",
+                    attempt.request.text(),
+                    attempt.backend,
+                    (attempt.began - closed.from).as_secs_f64()
+                );
+                violations.push(violation_by(gatekeeper, NOTHING_TO_INELIGIBLE, attempt.began, text));
             }
         }
     }
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -1,8 +1,11 @@
 //! Processes: none ends unasked or panics, each ends with status 0 when it is told to, starts in time, and reports no broken
 //! invariant of its own.
 
-use super::Violation;
+use super::violation_by;
 use crate::history::{History, Moment, ProcessEvent, ProcessRecord};
+use fault_injection::checkers::Violation;
+use fault_injection::checkers::rules::rule_broken_by_exit;
+use fault_injection::process::ExitRequest;
 use std::time::Duration;
 
 /// A process serves within this.
@@ -12,7 +15,7 @@
     let mut violations: Vec<Violation> = Vec::new();
     for record in &history.processes {
         let found = match &record.event {
-            ProcessEvent::Exited { exit_code } => exit(history, record, *exit_code),
+            ProcessEvent::Exited { exit_code, request } => exit(record, *request, *exit_code),
             ProcessEvent::Started { .. } => slow_start_up(history, record),
             ProcessEvent::Violation { line } => {
                 Some(("no invariant broken by its own account", line.clone()))
@@ -20,12 +23,7 @@
             ProcessEvent::Panicked { line } => Some(("no panic", line.clone())),
             _ => None,
         };
-        violations.extend(found.map(|(rule, text)| Violation {
-            rule,
-            at: record.at,
-            gatekeeper: Some(record.gatekeeper),
-            text,
-        }));
+        violations.extend(found.map(|(rule, text)| violation_by(record.gatekeeper, rule, record.at, text)));
     }
     violations
 }
@@ -35,17 +33,9 @@
     history.processes.iter().filter(is_same)
 }
 
-fn exit(history: &History, record: &ProcessRecord, exit_code: i32) -> Option<(&'static str, String)> {
-    let has = |event: &ProcessEvent| {
-        same_process(history, record).any(|other| other.event == *event && other.at <= record.at)
-    };
-    if has(&ProcessEvent::Killed) {
-        return None;
-    }
-    if !has(&ProcessEvent::Terminated) {
-        return Some(("no exit unasked", format!("process {} ended with {exit_code}", record.process)));
-    }
-    (exit_code != 0).then(|| ("a clean exit", format!("process {} ended with {exit_code}", record.process)))
+fn exit(record: &ProcessRecord, request: ExitRequest, exit_code: i32) -> Option<(&'static str, String)> {
+    let rule = rule_broken_by_exit(request, exit_code)?;
+    Some((rule, format!("process {} ended with {exit_code}", record.process)))
 }
 
 fn slow_start_up(history: &History, started: &ProcessRecord) -> Option<(&'static str, String)> {
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -1,9 +1,10 @@
 //! Quotas and ceilings: what all gatekeepers together forward.
 
-use super::Violation;
 use super::attempts::first_arrivals;
 use crate::history::{History, Moment, ProcessEvent, RequestNumber};
 use crate::settings::{MAX_UNITS, Settings, Tenant};
+use fault_injection::checkers::rules::HARD_CEILING;
+use fault_injection::checkers::{TokenBucket, Violation};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -90,16 +91,14 @@
             worst = Some((sum / allowed, from, sum));
         }
     }
-    worst.map(|(over, from, sum)| Violation {
-        rule: "quotas of all processes together",
-        at: from,
-        gatekeeper: None,
-        text: format!(
+    worst.map(|(over, from, sum)| {
+        let text = format!(
             "tenant {index} got {sum:.0} units in {} s, {over:.2} times what its plan of {:.0} a second and {:.0} at once allows",
             WINDOW.as_secs(),
             tenant.rate,
             tenant.burst
-        ),
+        );
+        Violation::new("quotas of all processes together", text).at(from)
     })
 }
 
@@ -108,21 +107,13 @@
     if tenant.ceiling_rate <= 0.0 {
         return None;
     }
-    let mut last = uses.first()?.at;
-    let mut level = tenant.ceiling_burst;
-    let slack = tenant.ceiling_rate * CEILING_SLACK.as_secs_f64();
+    let mut bucket = TokenBucket::full(tenant.ceiling_rate, tenant.ceiling_burst, uses.first()?.at);
     for taken in uses {
-        let refilled = tenant.ceiling_rate * (taken.at - last).as_secs_f64();
-        level = (level + refilled).min(tenant.ceiling_burst) - taken.units;
-        last = taken.at;
-        let late = tenant.ceiling_rate * history.harness_delay(taken.at, taken.at).as_secs_f64();
-        if level < -slack - late {
-            return Some(Violation {
-                rule: "hard ceiling",
-                at: taken.at,
-                gatekeeper: None,
-                text: format!("tenant {index} was {:.1} units over its ceiling", -level),
-            });
+        let level = bucket.take(taken.units, taken.at);
+        let late = CEILING_SLACK + history.harness_delay(taken.at, taken.at);
+        if level < -tenant.ceiling_rate * late.as_secs_f64() {
+            let text = format!("tenant {index} was {:.1} units over its ceiling", -level);
+            return Some(Violation::new(HARD_CEILING, text).at(taken.at));
         }
     }
     None
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -1,11 +1,17 @@
 //! Exactly one final answer for each request, in time; an error or a close for what never becomes whole.
 
-use super::Violation;
+use super::violation_by;
 use crate::client::ANSWER_GRACE;
 use crate::history::{History, RequestOutcome, RequestRecord};
+use fault_injection::checkers::Violation;
+use fault_injection::checkers::rules::ONE_FINAL_ANSWER;
 use std::collections::HashSet;
 use std::time::Duration;
 
+/// A gatekeeper that serves accepts connections.
+const ACCEPTS_CONNECTIONS: &str = "a gatekeeper that serves takes connections";
+/// A request that never becomes complete gets an error or a close.
+const PARTIAL_REQUEST_ENDED: &str = "an error or a close for half a request";
 /// A request that never becomes whole has its error or close within this.
 const PARTIAL_LIMIT: Duration = Duration::from_millis(3_000);
 /// Around a kill its connections end.
@@ -19,11 +25,8 @@
         violations.extend(check_request(history, request, was_attempted));
     }
     violations.extend(check_partial_requests(history));
-    violations.extend(history.refusals.iter().map(|&(at, gatekeeper)| Violation {
-        rule: "a gatekeeper that serves takes connections",
-        at,
-        gatekeeper: Some(gatekeeper),
-        text: "a connection was refused".to_owned(),
+    violations.extend(history.refusals.iter().map(|&(at, gatekeeper)| {
+        violation_by(gatekeeper, ACCEPTS_CONNECTIONS, at, "a connection was refused")
     }));
     violations
 }
@@ -53,17 +56,13 @@
         return None;
     }
     let resent = if request.was_resent { ", sent once more" } else { "" };
-    Some(Violation {
-        rule: "one final answer in time",
-        at: request.sent,
-        gatekeeper: Some(gatekeeper),
-        text: format!(
-            "request {} of {} ms{resent} {text} ({:.3} s later)",
-            request.number.text(),
-            request.time.as_millis(),
-            request.ended.saturating_sub(request.sent).as_secs_f64()
-        ),
-    })
+    let text = format!(
+        "request {} of {} ms{resent} {text} ({:.3} s later)",
+        request.number.text(),
+        request.time.as_millis(),
+        request.ended.saturating_sub(request.sent).as_secs_f64()
+    );
+    Some(violation_by(gatekeeper, ONE_FINAL_ANSWER, request.sent, text))
 }
 
 fn check_partial_requests(history: &History) -> impl Iterator<Item = Violation> {
@@ -73,11 +72,8 @@
         let slack = history.harness_delay(partial.stopped, ended)
             + history.suspended(gatekeeper, partial.stopped, ended);
         let took = ended.saturating_sub(partial.stopped);
-        (took > PARTIAL_LIMIT + slack).then(|| Violation {
-            rule: "an error or a close for half a request",
-            at: partial.stopped,
-            gatekeeper: Some(gatekeeper),
-            text: format!("it took {:.3} s or more", took.as_secs_f64()),
-        })
+        let text = format!("it took {:.3} s or more", took.as_secs_f64());
+        (took > PARTIAL_LIMIT + slack)
+            .then(|| violation_by(gatekeeper, PARTIAL_REQUEST_ENDED, partial.stopped, text))
     })
 }
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: what a backend gets that has just started, of all gatekeepers together.
 
-use super::Violation;
 use crate::history::{AttemptRecord, BackendIndex, History, Moment};
 use crate::settings::Settings;
+use fault_injection::checkers::Violation;
 use fault_injection::stand_ins::ListedState;
 use std::time::Duration;
 
@@ -45,16 +45,12 @@
         let budget = settings.overload_factor * warmth * capacity;
         let got = attempts_in(history, from, to).filter(|attempt| attempt.backend == backend).count();
         if ready.len() > 2 && got as f64 > budget + chance(budget) {
-            return Some(Violation {
-                rule: "slow start",
-                at: from,
-                gatekeeper: None,
-                text: format!(
-                    "s-{backend:04} got {got} attempts in {:.1} s, {:.1} s after its start, of a budget of {budget:.1}",
-                    window.as_secs_f64(),
-                    (from - started).as_secs_f64()
-                ),
-            });
+            let text = format!(
+                "s-{backend:04} got {got} attempts in {:.1} s, {:.1} s after its start, of a budget of {budget:.1}",
+                window.as_secs_f64(),
+                (from - started).as_secs_f64()
+            );
+            return Some(Violation::new("slow start", text).at(from));
         }
         from += window / 4;
     }
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -49,15 +49,16 @@
 
 /// Injects all faults of a schedule at their times. Returns at the end of the schedule, once all faults are over.
 pub fn run(site: &Arc<Site>, schedule: &Schedule) {
-    let began = site.recorder.now();
+    let clock = site.recorder.clock();
+    let began = clock.now();
     site.recorder.record(|history| history.started = began);
     let mut running = Vec::new();
     for &planned in &schedule.faults {
-        thread::sleep((began + planned.at).saturating_sub(site.recorder.now()));
+        clock.sleep_until(began + planned.at);
         let site = site.clone();
         running.extend(spawn(move || inject(&site, planned)));
     }
-    thread::sleep((began + schedule.length).saturating_sub(site.recorder.now()));
+    clock.sleep_until(began + schedule.length);
     running.into_iter().for_each(|thread| drop(thread.join()));
 }
 
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -1,6 +1,6 @@
 //! One gatekeeper over all its processes: which one serves, how one replaces another, and what of them is recorded.
 
-use crate::history::{GatekeeperIndex, Moment, ProcessEvent, ProcessRecord, Recorder};
+use crate::history::{GatekeeperIndex, Moment, ProcessEvent, ProcessRecord, Recorder, gatekeeper_name};
 use fault_injection::process::{Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver};
 use fault_injection::sync::lock;
 use fault_shim_control::Control;
@@ -94,7 +94,7 @@
     }
 
     fn exited(&self, exit: ProcessExit) {
-        self.record(ProcessEvent::Exited { exit_code: exit.exit_code });
+        self.record(ProcessEvent::Exited { exit_code: exit.exit_code, request: exit.request });
     }
 }
 
@@ -135,7 +135,7 @@
         directory: &Path,
         recorder: &Recorder,
     ) -> io::Result<Arc<Self>> {
-        let directory = directory.join(format!("n{index}"));
+        let directory = directory.join(gatekeeper_name(index));
         std::fs::create_dir_all(&directory)?;
         Ok(Arc::new(Self {
             index,
@@ -173,7 +173,7 @@
         let mut incarnations = lock(&self.incarnations);
         let (number, lifecycle) = (incarnations.len(), Arc::default());
         record_event(&self.recorder, self.index, number, ProcessEvent::Started { clock_offset_us });
-        let (name, variables) = (format!("n{}", self.index), self.environment());
+        let (name, variables) = (gatekeeper_name(self.index), self.environment());
         let launch = Launch {
             variables: &variables,
             log_format: LogFormat::Plain,
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,9 +1,11 @@
 //! What happened in a schedule, on one monotonic clock.
 
+use fault_injection::clock::ScheduleClock;
+use fault_injection::process::ExitRequest;
 use fault_injection::stand_ins::ListedState;
 use fault_injection::sync::lock;
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Time since the schedule began.
 pub type Moment = Duration;
@@ -11,6 +13,11 @@
 /// Number of a gatekeeper, from 0.
 pub type GatekeeperIndex = usize;
 
+/// The name of a gatekeeper.
+pub(crate) fn gatekeeper_name(gatekeeper: GatekeeperIndex) -> String {
+    format!("n{gatekeeper}")
+}
+
 /// Number of a backend, from 0.
 pub type BackendIndex = usize;
 
@@ -141,6 +148,8 @@
     Exited {
         /// Its exit code, or the negative number of the signal that ended it.
         exit_code: i32,
+        /// How the harness had asked for it.
+        request: ExitRequest,
     },
     /// It was suspended, and continued at this moment.
     Suspended {
@@ -248,20 +257,25 @@
 /// A history that many threads record into.
 #[derive(Clone, Debug)]
 pub struct Recorder {
-    start: Instant,
+    clock: ScheduleClock,
     history: Arc<Mutex<History>>,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self { start: Instant::now(), history: Arc::default() }
+        Self { clock: ScheduleClock::start(), history: Arc::default() }
     }
 }
 
 impl Recorder {
     /// The time now.
     pub fn now(&self) -> Moment {
-        self.start.elapsed()
+        self.clock.now()
+    }
+
+    /// The clock of all times in the history.
+    pub fn clock(&self) -> ScheduleClock {
+        self.clock
     }
 
     /// Changes the history.
--- a/crates/platform_soak/src/run.rs
+++ b/crates/platform_soak/src/run.rs
@@ -1,11 +1,12 @@
 //! One schedule, from its start to its verdict.
 
-use crate::checkers::{self, Violation};
+use crate::checkers;
 use crate::fault_runner;
 use crate::gatekeeper::Program;
 use crate::history::History;
 use crate::schedule::Schedule;
 use crate::site::Site;
+use fault_injection::checkers::Violation;
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/platform_soak/src/settings.rs
+++ b/crates/platform_soak/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a site, drawn from the seed: classes, plans, windows and limits differ from schedule to schedule.
 
-use crate::history::GatekeeperIndex;
+use crate::history::{GatekeeperIndex, gatekeeper_name};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -134,7 +134,7 @@
                 "ceiling-rate": tenant.ceiling_rate, "ceiling-burst": tenant.ceiling_burst})
         });
         json!({
-            "name": format!("n{gatekeeper}"),
+            "name": gatekeeper_name(gatekeeper),
             "listen": addresses.listen.to_string(),
             "discovery": addresses.discovery.to_string(),
             "counter": addresses.counter.to_string(),
