--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -9,6 +9,8 @@
 
 pub mod builds;
 pub mod checkers;
+pub mod clock;
+pub mod connections;
 mod error;
 pub mod history;
 pub mod load;
@@ -18,8 +20,9 @@
 pub mod schedule;
 pub mod site;
 pub mod stand_ins;
-mod sync;
+pub mod sync;
 pub mod test_directory;
+pub mod thread;
 pub mod torn_writes;
 pub mod wait;
 pub mod wire;
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -3,8 +3,8 @@
 
 use crate::Error;
 use crate::checkers::Violation;
-use crate::history::{Observation, Recorder};
-use crate::process::Process;
+use crate::history::Recorder;
+use crate::process::{Launch, Process};
 use crate::site::write_common_files;
 use crate::sync::lock;
 use crate::wait::{STEP_TIMEOUT, wait_until};
@@ -99,7 +99,8 @@
     fn start(&self, name: &str, settings: &Path, list: &Path, recorder: &Recorder) -> Result<Process, Error> {
         std::fs::write(settings, self.settings(list)).map_err(Error::file(settings))?;
         let arguments = ["serve", &settings.display().to_string()];
-        Process::start(name, self.build, &arguments, &[], recorder).map_err(Error::start(self.build))
+        let launch = Launch { arguments: &arguments, ..Launch::new(name, self.build) };
+        Process::start(&launch, recorder).map_err(Error::start(self.build))
     }
 
     /// The file as a gatekeeper writes it.
@@ -125,7 +126,7 @@
                 let is_complete = length == complete.len();
                 if let Err(failure) = self.start_with(&complete[..length], is_complete) {
                     let text = format!("{length} of {} bytes: {failure}", complete.len());
-                    lock(&violations).push(Violation { rule: RULE, text });
+                    lock(&violations).push(Violation::new(RULE, text));
                 }
             }
         };
@@ -159,9 +160,8 @@
     }
 }
 
-fn has_logged(recorder: &Recorder, wanted: &str) -> bool {
-    let is_wanted = |o: &Observation| matches!(o, Observation::LogLine { text, .. } if text.contains(wanted));
-    recorder.records_by_time().iter().any(|record| is_wanted(&record.observation))
+fn has_logged(recorder: &Recorder, text: &str) -> bool {
+    recorder.records_by_time().iter().any(|record| record.observation.is_log_line_with(&[text]))
 }
 
 #[cfg(test)]
