--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -59,9 +59,9 @@
         ready.is_some() && !killed && !is_ending && !self.process.has_exited()
     }
 
-    /// Waits until it serves or has ended.
-    fn wait_until_ready(&self) {
-        self.process.log().wait_for_within(READY_TEXT, START_TIMEOUT);
+    /// Waits until it serves or has ended. Returns whether it serves.
+    fn wait_until_ready(&self) -> bool {
+        self.process.log().wait_for_within(READY_TEXT, START_TIMEOUT) && !self.process.has_exited()
     }
 }
 
@@ -202,11 +202,9 @@
         variables
     }
 
-    /// Waits until the newest process serves or has ended.
-    pub fn wait_until_ready(&self) {
-        if let Some(newest) = self.newest() {
-            newest.wait_until_ready();
-        }
+    /// Waits until the newest process serves or has ended. Returns whether it serves.
+    pub fn wait_until_ready(&self) -> bool {
+        self.newest().is_some_and(|newest| newest.wait_until_ready())
     }
 
     fn newest(&self) -> Option<Arc<Incarnation>> {
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -7,9 +7,9 @@
 use common::*;
 use fault_shim_control::{CONTROL_VARIABLE, Control, RATE_SCALE, Setting};
 use platform_soak::gatekeeper::Gatekeeper;
-use platform_soak::history::{History, Moment, RequestOutcome};
+use platform_soak::history::{History, Moment, Recorder, RequestOutcome};
 use platform_soak::run::run;
-use platform_soak::schedule::{CallFaults, Planned, Schedule, Trouble};
+use platform_soak::schedule::{CallFaults, Fault, PlannedFault, Schedule};
 use platform_soak::settings::{Addresses, Settings};
 use platform_soak::stand_ins::{BackendMode, free_address};
 use std::sync::Arc;
@@ -22,12 +22,8 @@
 const RECOVERY: Duration = Duration::from_millis(300);
 
 /// When a gatekeeper first served a request of a tenant with plenty of quota that was sent after this moment.
-fn first_success(
-    records: &platform_soak::history::Records,
-    gatekeeper: usize,
-    after: Moment,
-) -> Option<Moment> {
-    let of_this = records.requests.iter().filter(|request| request.number.gatekeeper() == gatekeeper);
+fn first_success(history: &History, gatekeeper: usize, after: Moment) -> Option<Moment> {
+    let of_this = history.requests.iter().filter(|request| request.number.gatekeeper() == gatekeeper);
     let served = of_this.filter(|request| {
         request.outcome == RequestOutcome::Served
             && request.sent > after
@@ -43,15 +39,15 @@
     let mut schedule = Schedule::draw(5, GATEKEEPERS, Duration::from_secs(8));
     let (at, length) = (Duration::from_millis(2_000), Duration::from_millis(2_000));
     // All backends close idle connections, and no gatekeeper can connect.
-    let closing = |backend| Trouble::Backend { backend, mode: BackendMode::ClosingIdle };
-    let mut troubles: Vec<Trouble> = (0..schedule.settings.backends).map(closing).collect();
-    troubles.push(Trouble::Calls { first: 0, step: 1, faults: CallFaults::NoConnections });
-    schedule.troubles = troubles.into_iter().map(|trouble| Planned { at, length, trouble }).collect();
+    let closing = |backend| Fault::Backend { backend, mode: BackendMode::ClosingIdle };
+    let mut faults: Vec<Fault> = (0..schedule.settings.backends).map(closing).collect();
+    faults.push(Fault::Calls { first: 0, step: 1, faults: CallFaults::NoConnections });
+    schedule.faults = faults.into_iter().map(|fault| PlannedFault { at, length, fault }).collect();
     let directory = TestDirectory::new("connects-again");
     let verdict = run(&schedule, &soak_program(), directory.path()).expect("all programs start");
-    let connects_again = verdict.records.started + at + length;
+    let connects_again = verdict.history.started + at + length;
     for gatekeeper in 0..GATEKEEPERS {
-        let first = first_success(&verdict.records, gatekeeper, connects_again);
+        let first = first_success(&verdict.history, gatekeeper, connects_again);
         let after = first.expect("it serves again") - connects_again;
         assert!(after <= RECOVERY, "n{gatekeeper} served {after:?} after the machine connected again");
     }
@@ -59,10 +55,10 @@
 
 /// A gatekeeper whose first calls of `socket` fail.
 fn gatekeeper_with_failing_sockets(test: &str, failures: u64) -> (Arc<Gatekeeper>, TestDirectory) {
-    let (directory, history) = (TestDirectory::new(test), History::default());
+    let (directory, recorder) = (TestDirectory::new(test), Recorder::default());
     let settings = Settings::draw(&mut fastrand::Rng::with_seed(1), 1);
     let [listen, discovery, counter] = [(); 3].map(|()| free_address().expect("a free port"));
-    let gatekeeper = Gatekeeper::new(0, listen, soak_program(), directory.path(), &history)
+    let gatekeeper = Gatekeeper::new(0, listen, soak_program(), directory.path(), &recorder)
         .expect("a folder for its files");
     let config = settings.config(0, Addresses { listen, discovery, counter });
     gatekeeper.write_config(&config).expect("a configuration");
--- a/crates/snowfield/tests/stepped_clocks.rs
+++ b/crates/snowfield/tests/stepped_clocks.rs
@@ -5,9 +5,9 @@
 
 use common::TestDirectory;
 use common::soak::soak_program;
-use platform_soak::checkers::Violation;
+use fault_injection::checkers::Violation;
 use platform_soak::run::run;
-use platform_soak::schedule::{Planned, RestartKind, Schedule, Trouble};
+use platform_soak::schedule::{Fault, PlannedFault, RestartKind, Schedule};
 use platform_soak::stand_ins::BackendMode;
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 const HOUR_US: i64 = 3_600_000_000;
 
 /// A schedule of these faults alone, each with its start in milliseconds.
-fn schedule(seed: u64, seconds: u64, troubles: &[(u64, Trouble)]) -> Schedule {
+fn schedule(seed: u64, seconds: u64, faults: &[(u64, Fault)]) -> Schedule {
     let mut schedule = Schedule::draw(seed, GATEKEEPERS, Duration::from_secs(seconds));
-    let planned = |&(at, trouble): &(u64, Trouble)| Planned {
+    let planned = |&(at, fault): &(u64, Fault)| PlannedFault {
         at: Duration::from_millis(at),
         length: Duration::from_secs(seconds),
-        trouble,
+        fault,
     };
-    schedule.troubles = troubles.iter().map(planned).collect();
+    schedule.faults = faults.iter().map(planned).collect();
     schedule
 }
 
@@ -34,18 +34,18 @@
 fn violations_of(rule: &str, test: &str, schedule: &Schedule) -> Vec<Violation> {
     let directory = TestDirectory::new(test);
     let verdict = run(schedule, &soak_program(), directory.path()).expect("all programs start");
-    assert!(verdict.records.attempts.len() > 500, "clients were served: {}", verdict.records.attempts.len());
+    assert!(verdict.history.attempts.len() > 500, "clients were served: {}", verdict.history.attempts.len());
     verdict.violations.into_iter().filter(|violation| violation.rule == rule).collect()
 }
 
-fn restart(gatekeeper: usize, clock_offset_us: i64) -> Trouble {
-    Trouble::Restart { gatekeeper, kind: RestartKind::Graceful, clock_offset_us }
+fn restart(gatekeeper: usize, clock_offset_us: i64) -> Fault {
+    Fault::Restart { gatekeeper, kind: RestartKind::Graceful, clock_offset_us }
 }
 
 fn assert_quotas_hold(test: &str, clock_offsets_us: [i64; 2]) {
-    let troubles: Vec<(u64, Trouble)> =
+    let faults: Vec<(u64, Fault)> =
         clock_offsets_us.iter().enumerate().map(|(index, &offset)| (1_500, restart(index, offset))).collect();
-    let found = violations_of("quotas of all processes together", test, &schedule(7, 12, &troubles));
+    let found = violations_of("quotas of all processes together", test, &schedule(7, 12, &faults));
     assert!(found.is_empty(), "{found:#?}");
 }
 
@@ -80,14 +80,14 @@
 }
 
 fn assert_cold_backend_is_spared(test: &str, clock_offset_us: i64) {
-    let mut troubles: Vec<(u64, Trouble)> =
+    let mut faults: Vec<(u64, Fault)> =
         (0..GATEKEEPERS).map(|gatekeeper| (1_000, restart(gatekeeper, clock_offset_us))).collect();
-    troubles.push((5_000, Trouble::BackendRestart { backend: COLD_BACKEND }));
+    faults.push((5_000, Fault::BackendRestart { backend: COLD_BACKEND }));
     // All others are slow, so that the cold backend attracts requests.
     let others = (0..BACKENDS).filter(|&backend| backend != COLD_BACKEND);
-    let slow = others.map(|backend| (0, Trouble::Backend { backend, mode: BackendMode::Slow }));
-    troubles.splice(0..0, slow);
-    let mut schedule = schedule(11, 12, &troubles);
+    let slow = others.map(|backend| (0, Fault::Backend { backend, mode: BackendMode::Slow }));
+    faults.splice(0..0, slow);
+    let mut schedule = schedule(11, 12, &faults);
     schedule.settings.backends = BACKENDS;
     schedule.settings.cold_share = 0.1;
     schedule.settings.cold_time = Duration::from_secs(12);
