--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -34,9 +34,15 @@
     LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state })
 }
 
+/// The state of a log, and the size of its file then.
+struct LoggedState {
+    bytes: usize,
+    state: DurableState,
+}
+
 #[test]
 fn a_reopened_log_holds_all_records_that_were_appended() {
-    let directory = TestDirectory::new("again");
+    let directory = TestDirectory::new("reopened");
     ReplicaLog::create(&directory.log()).expect("the log is created");
     assert!(
         matches!(ReplicaLog::create(&directory.log()), Err(Error::LogExists { .. })),
@@ -62,14 +68,14 @@
 
 #[test]
 fn a_log_truncated_at_any_byte_is_rejected_or_holds_all_counted_frames() {
-    let directory = TestDirectory::new("cut");
+    let directory = TestDirectory::new("truncated");
     ReplicaLog::create(&directory.log()).expect("the log is created");
     let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
     let length = || std::fs::read(directory.log()).expect("the file exists").len();
-    let mut states = vec![(length(), log.state().clone())];
+    let mut states = vec![LoggedState { bytes: length(), state: log.state().clone() }];
     for turn in 1..=4 {
         log.append(vec![hard_state(turn, 1, 0), entries(turn..=turn, turn, 5)]).expect("the file is written");
-        states.push((length(), log.state().clone()));
+        states.push(LoggedState { bytes: length(), state: log.state().clone() });
     }
     let content = std::fs::read(directory.log()).expect("the file exists");
     let count = std::fs::read(frame_count::path(&directory.log())).expect("the file exists");
@@ -79,10 +85,12 @@
         for (count, frames) in [(&count, 4), (&count_of_three, 3)] {
             std::fs::write(directory.log(), &content[..length]).expect("the file is written");
             std::fs::write(frame_count::path(&directory.log()), count).expect("the file is written");
-            let intact = states.iter().rposition(|state| state.0 <= length);
+            let intact = states.iter().rposition(|logged| logged.bytes <= length);
             let opened = ReplicaLog::open(&directory.log());
             match intact.filter(|intact| *intact >= frames) {
-                Some(n) => assert_eq!(opened.expect("all counted frames are intact").state(), &states[n].1),
+                Some(n) => {
+                    assert_eq!(opened.expect("all counted frames are intact").state(), &states[n].state)
+                }
                 None => assert!(opened.is_err(), "{length} bytes, {frames} frames"),
             }
         }
@@ -129,8 +137,8 @@
     let content = std::fs::read(&log).expect("the file exists");
     let count = std::fs::read(frame_count::path(&log)).expect("the file exists");
     std::fs::write(&log, &content[..content.len() - 1]).expect("the file is written");
-    let cut = ReplicaLog::open(&log);
-    assert!(matches!(&cut, Err(Error::MissingFrames { found: 0, counted: 1, .. })), "{cut:?}");
+    let truncated = ReplicaLog::open(&log);
+    assert!(matches!(&truncated, Err(Error::MissingFrames { found: 0, counted: 1, .. })), "{truncated:?}");
     std::fs::write(&log, "another file").expect("the file is written");
     let other = ReplicaLog::open(&log);
     assert!(matches!(&other, Err(Error::UnknownLogFormat { path }) if *path == log), "{other:?}");
