--- a/crates/counter/tests/client.rs
+++ b/crates/counter/tests/client.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_reset_after_a_call_and_a_refused_connection_have_different_outcomes() {
+fn a_call_before_a_reset_may_have_been_added_and_one_without_connection_was_not() {
     let (address, accepted) = start_counter();
     let (first, results) = start_client(address);
     first.call(call(1, 1.0));
--- a/crates/stand_in_consul/src/store.rs
+++ b/crates/stand_in_consul/src/store.rs
@@ -33,7 +33,7 @@
 }
 
 impl Entry {
-    fn is_held_by(&self, session: &str) -> bool {
+    fn is_locked_by(&self, session: &str) -> bool {
         self.session.as_deref() == Some(session)
     }
 }
@@ -141,8 +141,8 @@
     /// Ends a session. The keys that it holds are released or deleted, and cannot be locked until its lock delay is over.
     pub(crate) fn destroy_session(&mut self, now_ms: u64, id: &str) {
         let Some(session) = self.sessions.remove(id) else { return };
-        let held = self.keys.iter().filter(|(_, entry)| entry.is_held_by(id));
-        let keys: Vec<String> = held.map(|(key, _)| key.clone()).collect();
+        let locked = self.keys.iter().filter(|(_, entry)| entry.is_locked_by(id));
+        let keys: Vec<String> = locked.map(|(key, _)| key.clone()).collect();
         for key in keys {
             let index = self.next_index();
             if let Some(until) = session.lock_delay_until(now_ms) {
@@ -197,9 +197,9 @@
         }
         let holder = self.keys.get(key).and_then(|entry| entry.session.as_deref());
         let is_free = holder.is_none();
-        let is_held_by_other = holder.is_some_and(|holder| holder != session);
+        let is_locked_by_other = holder.is_some_and(|holder| holder != session);
         let is_delayed = self.lock_delays.get(key).is_some_and(|&until| until > now_ms);
-        if is_held_by_other || (is_free && is_delayed) {
+        if is_locked_by_other || (is_free && is_delayed) {
             return Ok(false);
         }
         let entry = self.set(key, value, flags);
@@ -210,11 +210,11 @@
 
     /// Writes and unlocks a key if this session holds its lock. Returns whether it did.
     pub(crate) fn release(&mut self, key: &str, value: Vec<u8>, flags: u64, session: &str) -> bool {
-        let is_held = self.keys.get(key).is_some_and(|entry| entry.is_held_by(session));
-        if is_held {
+        let is_locked = self.keys.get(key).is_some_and(|entry| entry.is_locked_by(session));
+        if is_locked {
             self.set(key, value, flags).session = None;
         }
-        is_held
+        is_locked
     }
 
     /// Deletes the selected keys.
--- a/crates/stand_in_consul/src/store/transaction.rs
+++ b/crates/stand_in_consul/src/store/transaction.rs
@@ -111,8 +111,8 @@
             }
             Operation::Get => check(entry.is_some(), OperationError::MissingKey),
             Operation::CheckSession(session) => {
-                let is_held = entry.is_some_and(|entry| entry.is_held_by(&session));
-                check(is_held, OperationError::SessionCheck)
+                let is_locked = entry.is_some_and(|entry| entry.is_locked_by(&session));
+                check(is_locked, OperationError::SessionCheck)
             }
             Operation::CheckIndex(index) => {
                 let matches = entry.is_some_and(|entry| entry.modify_index == index);
