--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The program under test and stand-ins for what it speaks to. Everything is synchronised by messages, never by sleep.
+//! The program under test, clients, and stand-ins for its backends, counter and discovery agent. They synchronise by messages.
 #![allow(dead_code, unused_imports)]
 
 pub mod admin;
@@ -20,15 +20,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longer than anything here may take: a test that waits this long has failed.
+/// Time-out of all waits: a test that waits this long fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for a message, or fails the test.
+/// Waits for the next message. Fails the test after [`TIMEOUT`].
 pub fn next<T>(from: &Receiver<T>) -> T {
     from.recv_timeout(TIMEOUT).expect("it came in time")
 }
 
-/// The program, killed at the end.
+/// A running program, which is killed when this is dropped.
 pub struct Program {
     child: Child,
     lines: Receiver<String>,
@@ -39,7 +39,7 @@
         Self::run(Command::new(env!("CARGO_BIN_EXE_snowfield")).args(arguments), variables)
     }
 
-    /// The same with so many descriptors and no more.
+    /// Starts the program with a limit on its descriptors.
     pub fn start_with(descriptors: u32, variables: &[(&str, &str)]) -> Self {
         let shell = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_snowfield"));
         Self::run(Command::new("sh").args(["-c", &shell]), variables)
@@ -51,18 +51,18 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let (told, lines) = channel();
+        let (sender, lines) = channel();
         let out = BufReader::new(child.stdout.take().expect("a pipe"));
-        std::thread::spawn(move || out.lines().map_while(Result::ok).all(|line| told.send(line).is_ok()));
+        std::thread::spawn(move || out.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok()));
         Self { child, lines }
     }
 
-    /// The first log line from now on that holds this text.
+    /// Waits for the next log line that contains this text.
     pub fn line(&self, text: &str) -> String {
         self.line_of(&[text])
     }
 
-    /// The first log line from now on that holds one of these texts.
+    /// Waits for the next log line that contains one of these texts.
     pub fn line_of(&self, texts: &[&str]) -> String {
         loop {
             let line = next(&self.lines);
@@ -72,12 +72,12 @@
         }
     }
 
-    /// The rest of it.
+    /// Waits for the next log line that contains this text, and returns the rest of the line behind it.
     pub fn logged(&self, text: &str) -> String {
         self.line(text).split_once(text).map_or(String::new(), |(_, rest)| rest.to_owned())
     }
 
-    /// The value of a field of the first event from now on that has this message.
+    /// Waits for the next log event with this message, and returns the value of one of its fields.
     pub fn logged_field(&self, message: &str, field: &str) -> String {
         let fields = self.logged(message);
         let value = fields.split(' ').find_map(|part| part.strip_prefix(field)?.strip_prefix('='));
@@ -93,7 +93,7 @@
         assert!(done.expect("kill runs").success());
     }
 
-    /// Suspends all its threads, and returns when they are: the signal alone takes effect after `kill` has returned.
+    /// Suspends the program, and waits until all its threads are suspended: the signal takes effect after `kill` has returned.
     pub fn suspend(&self) {
         self.signal("-STOP");
         while !self.is_suspended() {
@@ -101,24 +101,24 @@
         }
     }
 
-    /// Whether every thread is in the state T of `/proc`.
+    /// Whether all threads have the state T in `/proc`.
     fn is_suspended(&self) -> bool {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
         threads.flatten().all(|thread| {
             let stat = std::fs::read_to_string(thread.path().join("stat")).unwrap_or_default();
-            // The name of the thread, in parentheses, may hold anything.
+            // The name of the thread, in parentheses, may contain anything.
             stat.rsplit_once(") ").is_none_or(|(_, rest)| rest.starts_with('T'))
         })
     }
 
-    /// Memory that it holds now.
+    /// Resident memory in kB.
     pub fn memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a line for it");
         line.trim().trim_end_matches("kB").trim().parse().expect("a number")
     }
 
-    /// Its connections to there that are open, by the system's tables.
+    /// Number of the program's established connections to an address, by the system's tables.
     pub fn open_connections_to(&self, to: SocketAddr) -> usize {
         let sockets = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs");
         let links = sockets.flatten().filter_map(|fd| std::fs::read_link(fd.path()).ok());
@@ -132,15 +132,15 @@
             .count()
     }
 
-    /// Processor time that it has used, in ticks of the system's clock (10 ms).
+    /// Processor time that the program has used, in clock ticks of the system (10 ms).
     pub fn processor_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
-        // Behind the name, which stands in brackets: user and system time are the 12th and 13th.
+        // Behind the name, which is in parentheses: user and system time are the 12th and 13th fields.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         fields[11..13].iter().map(|f| f.parse::<u64>().expect("a number")).sum()
     }
 
-    /// The exit code.
+    /// Waits for the program to exit, and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().expect("it was started").code()
     }
@@ -153,7 +153,7 @@
     }
 }
 
-/// Runs the program to its end: whether it succeeded, and all that it wrote.
+/// Runs the program until it exits. Returns whether it succeeded, and its whole output.
 pub fn run(arguments: &[&str], variables: &[(&str, &str)]) -> (bool, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_snowfield"))
         .args(arguments)
@@ -178,8 +178,8 @@
     address
 }
 
-/// An address on which nobody listens. Its port is below those that the system gives to clients' sockets, or one of these
-/// may take it before the program does that is to listen there.
+/// An address without a listener. Its port is below the range of ephemeral ports, so that no client's socket takes it before the
+/// program listens there.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let from = std::process::id().wrapping_mul(64);
@@ -193,84 +193,85 @@
     (from.read_line(&mut text).ok()? > 0).then(|| text.trim_end().to_owned())
 }
 
-/// What a stand-in of a backend does with a request.
+/// The reaction of a backend to a request.
 pub enum Behaviour {
-    /// Sends this.
+    /// Sends this reply.
     Reply(Vec<u8>),
-    /// Waits for a signal, then sends this.
+    /// Waits for a message, then sends this reply.
     ReplyAfter(Receiver<()>, Vec<u8>),
     /// Closes the connection.
     Close,
-    /// Waits for the end of the connection.
+    /// Sends no reply, and waits until the connection is closed.
     NoReply,
 }
 
-/// What a stand-in has seen.
+/// An event at a backend.
 #[derive(Debug)]
 pub enum BackendEvent<T> {
     /// A request has arrived.
     Request(T),
-    /// A connection without an open request was closed.
+    /// A connection without a request in flight was closed.
     ConnectionClosed,
-    /// A connection was closed before its request was answered.
+    /// A connection was closed before the reply to its request.
     RequestAbandoned,
 }
 
-/// A stand-in of a backend: reads requests with `read`, does what `act` says, and reports what it has seen.
+/// A stand-in for a backend: reads requests with `read`, reacts as `act` says, and reports its events.
 pub fn backend<T: Clone + Send + 'static>(
     read: fn(&mut BufReader<TcpStream>) -> Option<T>,
     act: impl Fn(&T) -> Behaviour + Send + Sync + 'static,
 ) -> (SocketAddr, Receiver<BackendEvent<T>>) {
-    let (tell, seen) = channel();
-    let tell = Mutex::new(tell);
+    let (sender, events) = channel();
+    let sender = Mutex::new(sender);
     let address = listen(move |stream| {
-        let tell = tell.lock().expect("no stand-in panics").clone();
+        let sender = sender.lock().expect("no stand-in panics").clone();
         let mut answers = stream.try_clone().expect("a second handle");
         let mut requests = BufReader::new(stream);
         while let Some(request) = read(&mut requests) {
-            let _ = tell.send(BackendEvent::Request(request.clone()));
+            let _ = sender.send(BackendEvent::Request(request.clone()));
             match act(&request) {
                 Behaviour::Reply(bytes) => drop(answers.write_all(&bytes)),
-                Behaviour::ReplyAfter(word, bytes) => {
-                    let _ = word.recv();
+                Behaviour::ReplyAfter(released, bytes) => {
+                    let _ = released.recv();
                     let _ = answers.write_all(&bytes);
                 }
                 Behaviour::Close => return,
                 Behaviour::NoReply => {
                     let _ = read(&mut requests);
-                    let _ = tell.send(BackendEvent::RequestAbandoned);
+                    let _ = sender.send(BackendEvent::RequestAbandoned);
                     return;
                 }
             }
         }
-        let _ = tell.send(BackendEvent::ConnectionClosed);
+        let _ = sender.send(BackendEvent::ConnectionClosed);
     });
-    (address, seen)
+    (address, events)
 }
 
-/// The next request that a stand-in got.
-pub fn next_request<T>(seen: &Receiver<BackendEvent<T>>) -> T {
+/// Waits for the next request at a backend.
+pub fn next_request<T>(events: &Receiver<BackendEvent<T>>) -> T {
     loop {
-        if let BackendEvent::Request(request) = next(seen) {
+        if let BackendEvent::Request(request) = next(events) {
             return request;
         }
     }
 }
 
-/// Requests that a stand-in got so far.
-pub fn all_requests<T>(seen: &Receiver<BackendEvent<T>>) -> Vec<T> {
-    seen.try_iter()
+/// All further requests that have arrived at a backend so far.
+pub fn all_requests<T>(events: &Receiver<BackendEvent<T>>) -> Vec<T> {
+    events
+        .try_iter()
         .filter_map(|s| if let BackendEvent::Request(request) = s { Some(request) } else { None })
         .collect()
 }
 
-/// The name of the count that holds the fleet's time: no lender's.
+/// The name of the count with the fleet's clock, which belongs to no tenant.
 const FLEET_CLOCK: &str = "666c6565745f7473";
 
-/// A stand-in of the counter. Each name starts at `first`; tells each amount that was added to a lender's count.
+/// A stand-in for the counter. Each count starts at `first`. The receiver gets each amount that is added to a tenant's count.
 pub fn counter(first: f64) -> (SocketAddr, Receiver<(String, f64)>) {
-    let (tell, added) = channel();
-    let shared = Mutex::new((tell, HashMap::<String, f64>::new()));
+    let (sender, added) = channel();
+    let shared = Mutex::new((sender, HashMap::<String, f64>::new()));
     let address = listen(move |stream| {
         let mut answers = stream.try_clone().expect("a second handle");
         let mut calls = BufReader::new(stream);
@@ -296,7 +297,7 @@
     (address, added)
 }
 
-/// An HTTP message: its first line, its fields with names in small letters, and its body.
+/// An HTTP message: its first line, its fields with names in lower case, and its body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
     pub first: String,
@@ -381,28 +382,28 @@
         message(&mut self.reads).expect("an answer")
     }
 
-    /// Whether the program ends the connection with nothing more to say.
+    /// Waits for the next byte. Returns whether there is none, since the connection was closed or reset.
     pub fn ended(&mut self) -> bool {
         matches!(self.reads.read(&mut [0; 1]), Ok(0) | Err(_))
     }
 }
 
-/// A stand-in of the discovery agent: tells the index of each watch, and writes what it is given as chunks.
+/// A stand-in for the discovery agent: reports each watch, and sends the lines that it is given as chunks.
 pub struct Agent {
     pub address: SocketAddr,
-    /// For each watch its request line and where to send lines to it.
+    /// For each watch its request line, and the sender of lines to it.
     pub watches: Receiver<(String, Sender<String>)>,
 }
 
 pub fn agent() -> Agent {
-    let (tell, watches) = channel();
-    let tell = Mutex::new(tell);
+    let (sender, watches) = channel();
+    let sender = Mutex::new(sender);
     let address = listen(move |stream| {
         let mut writes = stream.try_clone().expect("a second handle");
         let mut reads = BufReader::new(stream);
         let Some(request) = message_head(&mut reads) else { return };
         let (send, lines) = channel::<String>();
-        if tell.lock().expect("no stand-in panics").send((request.first, send)).is_err() {
+        if sender.lock().expect("no stand-in panics").send((request.first, send)).is_err() {
             return;
         }
         let _ = writes.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -51,8 +51,8 @@
 /// replies behind it stay in order.
 #[test]
 fn a_large_value_is_streamed() {
-    let (release, word) = channel();
-    let word = std::sync::Mutex::new(word);
+    let (release, released) = channel();
+    let released = std::sync::Mutex::new(released);
     let value = large_value(3_000_001);
     let address = backend_writing(move |words, out| {
         if words[2] != request_id(1) {
@@ -60,7 +60,7 @@
         }
         let whole = reply_with_value(&value, REPLY_TAIL);
         out.write_all(&whole[..70_000])?;
-        word.lock().expect("no stand-in panics").recv().expect("the test goes on");
+        released.lock().expect("no stand-in panics").recv().expect("the test goes on");
         for piece in whole[70_000..].chunks(4_999) {
             out.write_all(piece)?;
         }
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -236,8 +236,8 @@
 /// The pool must not resend a request by itself: a reset after the write is reported as one.
 #[test]
 fn a_pooled_connection_closed_by_its_backend_is_not_used() {
-    let (tell, closed) = channel();
-    let tell = std::sync::Mutex::new(tell);
+    let (sender, closed) = channel();
+    let sender = std::sync::Mutex::new(sender);
     let events = std::sync::Mutex::new(Vec::new());
     let address = listen(move |stream| {
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
@@ -248,7 +248,7 @@
         let _ = stream.shutdown(std::net::Shutdown::Write);
         // Then the gatekeeper closes its side.
         let more = read_resp_command(&mut reads);
-        let _ = tell.lock().expect("no stand-in panics").send(more);
+        let _ = sender.lock().expect("no stand-in panics").send(more);
     });
     let site = site("stale", &SiteOptions { backends: &[address], attempts: 1, ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
@@ -262,10 +262,10 @@
 /// Regression: bytes that arrived late after a reply were read as the reply to the next request on the same connection.
 #[test]
 fn a_connection_rests_after_an_answer() {
-    let (tell, connected) = channel();
-    let tell = std::sync::Mutex::new(tell);
+    let (sender, connected) = channel();
+    let sender = std::sync::Mutex::new(sender);
     let address = listen(move |stream| {
-        let _ = tell.lock().expect("no stand-in panics").send(());
+        let _ = sender.lock().expect("no stand-in panics").send(());
         let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(words) = read_resp_command(&mut reads) {
             let _ = (&stream).write_all(&backend_reply(&words[2]));
@@ -514,7 +514,7 @@
 #[test]
 fn an_unusable_configuration_is_reported_and_ends_the_process() {
     let directory = TestDirectory::new("config");
-    for (text, told) in [
+    for (text, expected) in [
         ("{", "config.json"),
         (r#"{"name":"n0"}"#, "missing field"),
         (&config(unused_address(), &SiteOptions::default()).replace("127.0.0.1:0", "nowhere"), "listen"),
@@ -522,9 +522,9 @@
         (&config(unused_address(), &SiteOptions { gatekeepers: 0, ..SiteOptions::default() }), "gateways"),
     ] {
         let path = directory.write("config.json", text);
-        let (succeeded, said) = run(&[], &[("BALANCER_CONFIG", &path)]);
-        assert!(!succeeded && said.contains(told), "{told}: {said}");
+        let (succeeded, output) = run(&[], &[("BALANCER_CONFIG", &path)]);
+        assert!(!succeeded && output.contains(expected), "{expected}: {output}");
     }
-    let (succeeded, said) = run(&[], &[("BALANCER_CONFIG", "/nowhere/config.json")]);
-    assert!(!succeeded && said.contains("/nowhere/config.json"));
+    let (succeeded, output) = run(&[], &[("BALANCER_CONFIG", "/nowhere/config.json")]);
+    assert!(!succeeded && output.contains("/nowhere/config.json"));
 }
--- a/crates/snowfield/tests/shutdown_and_cancellation.rs
+++ b/crates/snowfield/tests/shutdown_and_cancellation.rs
@@ -80,12 +80,12 @@
 /// requests were unanswered when the program was killed. Accepted requests are answered; the others are surely unread.
 #[test]
 fn at_shutdown_a_busy_connection_closes_after_its_answers() {
-    let (tell, crossings) = channel();
-    let asks = Mutex::new(tell.clone());
+    let (sender, crossings) = channel();
+    let asks = Mutex::new(sender.clone());
     let (address, events) = backend(read_resp_command, move |words| {
-        let (release, word) = channel();
+        let (release, released) = channel();
         let _ = asks.lock().expect("no stand-in panics").send(Crossing::Request(release));
-        Behaviour::ReplyAfter(word, backend_reply(&words[2]))
+        Behaviour::ReplyAfter(released, backend_reply(&words[2]))
     });
     let mut site = site("never-idle", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let Client { mut writes, mut reads } = Client::connect(site.listen);
@@ -94,11 +94,11 @@
         while reads.read_line(&mut line).is_ok_and(|n| n > 0) {
             // The line before a value states its length.
             if !line.starts_with('$') {
-                let _ = tell.send(Crossing::Reply(line.clone()));
+                let _ = sender.send(Crossing::Reply(line.clone()));
             }
             line.clear();
         }
-        let _ = tell.send(Crossing::Ended);
+        let _ = sender.send(Crossing::Ended);
     });
     writes.write_all(&query_of_new_tenant(1)).expect("the program takes it");
     let (mut sent, mut answered, mut terminated) = (1, 0, None);
@@ -181,10 +181,10 @@
 /// established.
 #[test]
 fn a_keyed_retry_with_a_late_connection_is_not_written() {
-    let (release, word) = channel::<()>();
-    let word = Mutex::new(word);
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
     let (breaks, broken) = backend(read_resp_command, move |_| {
-        let _ = word.lock().expect("no stand-in panics").recv();
+        let _ = released.lock().expect("no stand-in panics").recv();
         Behaviour::Close
     });
     let (late, backlog) = listener_with_full_backlog();
@@ -294,14 +294,14 @@
 /// An attempt must not be sent after its client has disconnected during a call to the counter.
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnected_during_a_counter_call() {
-    let (tell, called) = channel();
-    let tell = Mutex::new(tell);
+    let (sender, called) = channel();
+    let sender = Mutex::new(sender);
     let counter = listen(move |stream| {
         let mut calls = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(call) = read_resp_command(&mut calls) {
-            let (release, word) = channel::<()>();
-            let _ = tell.lock().expect("no stand-in panics").send((call, release));
-            let _ = word.recv();
+            let (release, released) = channel::<()>();
+            let _ = sender.lock().expect("no stand-in panics").send((call, release));
+            let _ = released.recv();
             let _ = (&stream).write_all(b"$3\r\n0.5\r\n");
         }
     });
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -33,16 +33,16 @@
     let directory = directory_with_description("timing-bad");
     let lookup = "attempts = 3\nattempt_ms = 900\ncopy_after_ms = 1500";
     let text = config_text(unused_address(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
-    let (good, said) = run(&["check", &directory.write("a.toml", &text)], &[]);
+    let (good, output) = run(&["check", &directory.write("a.toml", &text)], &[]);
     assert!(!good);
-    for told in [
+    for expected in [
         "class \"lookup\": 3 attempts of 900 ms take up to 2700 ms, and the client gives up after 2500; state fewer",
         "class \"lookup\": a copy after 1500 ms comes when the answer is no longer wanted (1200 ms)",
         "class \"lookup\": a copy after 1500 ms never comes",
         "class \"notice\": an attempt of 40 ms ends before a connection may be made (50 ms)",
         "class \"notice\": a second copy of a request that must not run twice",
     ] {
-        assert!(said.contains(told), "{told:?} in {said}");
+        assert!(output.contains(expected), "{expected:?} in {output}");
     }
 }
 
@@ -51,21 +51,21 @@
     let directory = directory_with_description("timing-explain");
     let text = config_text(unused_address(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
     let path = directory.write("a.toml", &text);
-    let (good, said) = run(&["explain", &path, "GET", "/loans/7"], &[]);
-    assert!(good, "{said}");
-    for told in [
+    let (good, output) = run(&["explain", &path, "GET", "/loans/7"], &[]);
+    assert!(good, "{output}");
+    for expected in [
         "class lookup",
         "attempts       3, stated by class \"lookup\"",
         "     0 ms  attempt 1 begins and is silent",
         "   200 ms  a second copy may be sent",
         "  2400 ms  the client has its answer",
     ] {
-        assert!(said.contains(told), "{told:?} in {said}");
+        assert!(output.contains(expected), "{expected:?} in {output}");
     }
-    let (_, said) = run(&["explain", &path, "POST", "/loans/7"], &[]);
-    assert!(said.contains("from limits.route_steps") && said.contains("may run again  no"), "{said}");
-    let (good, said) = run(&["explain", &path, "PUT", "/loans/7"], &[]);
-    assert!(!good && said.contains("GET, POST"), "{said}");
+    let (_, output) = run(&["explain", &path, "POST", "/loans/7"], &[]);
+    assert!(output.contains("from limits.route_steps") && output.contains("may run again  no"), "{output}");
+    let (good, output) = run(&["explain", &path, "PUT", "/loans/7"], &[]);
+    assert!(!good && output.contains("GET, POST"), "{output}");
 }
 
 /// A backend that does not reply costs one attempt if the request may be retried; a request that may not is answered when its attempt
