--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,7 +1,7 @@
 //! The appliance's backends: merges the endpoint lists of all services with the results of health checks, and announces the
 //! result to the connection pools and the policy.
 
-use catalogue::{Endpoint, EndpointList, EndpointNumber};
+use catalogue::{Endpoint, EndpointList, EndpointNumber, MonotonicTime};
 use cluster::{Backend, Cluster};
 use consul::{ServiceWatch, WatchStatus};
 use destination::{BackendEndpoint, BackendPools, HttpProtocol};
@@ -46,7 +46,7 @@
 struct Announcement {
     ready: bool,
     /// Since when the backend is eligible by its endpoint list. Changes with each restart of the backend.
-    eligible_since: Option<catalogue::Timestamp>,
+    eligible_since: Option<MonotonicTime>,
     /// Start of the backend, from which its slow start counts.
     started: Timestamp,
 }
