--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -1,53 +1,46 @@
-//! The thread that owns the state: events in, tasks and datagrams out.
+//! The thread that owns the cluster state. It handles events and emits datagrams, store calls and runs.
 
-mod gossip;
-mod health;
 mod jobs;
 mod notices;
 mod status;
 
 use crate::clocks::Clocks;
 use crate::event::Event;
+use crate::gossip_node::{GossipChanges, GossipNode, ReceivedReport};
+use crate::health_monitor::{HealthMonitor, OnEjectionChange};
+use crate::job_table::JobTable;
 use crate::log_limiter::LogLimiter;
 use crate::run_executor::PendingRun;
-use crate::settings::{HttpJob, Settings};
-use crate::store_client::{StoreCall, StoreResponse};
+use crate::settings::{Backend, HttpJob, Settings};
+use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
-use health_check::HealthTracker;
-use job_lease::LocalStore;
-use membership::Membership;
-use periodic_jobs::{Action, ClockReading, Scheduler};
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::{SocketAddr, UdpSocket};
+use periodic_jobs::{ClockReading, MonotonicTime, Scheduler, StoreResponse};
+use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
 
-/// Called with the ids of the backends ejected by health checks, whenever these change.
-pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
-
-/// The longest time between two ticks, in milliseconds; reports that become stale are noticed within it.
-const MAX_TICK_INTERVAL_MS: u64 = 100;
-/// Events that are handled between two ticks, beyond the first.
+/// The maximum time between two ticks, which bounds the delay in detecting stale health reports.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The maximum number of events handled between two ticks, beyond the first.
 const MAX_EVENT_BATCH: usize = 256;
-/// Milliseconds after which datagrams are ignored in a build with the seeded fault `agreed`.
-const SEEDED_FAULT_AFTER_MS: u64 = 6_000;
+/// The moment from which datagrams are ignored in a build with the seeded fault `agreed`.
+const SEEDED_FAULT_AFTER: MonotonicTime = MonotonicTime::from_millis(6_000);
 
-/// What the coordinator works with.
+/// The clocks, the socket, the worker pools and the callback that the coordinator uses.
 pub(crate) struct Resources {
     pub(crate) clocks: Clocks,
-    /// Sends gossip; `None` without gossip.
-    pub(crate) socket: Option<Arc<UdpSocket>>,
-    /// Calls to the lease store; `None` where the leases are kept in the process.
-    pub(crate) store: Option<TaskQueue<StoreCall>>,
+    /// The socket for gossip. `None` without gossip.
+    pub(crate) gossip_socket: Option<Arc<UdpSocket>>,
+    pub(crate) store: StoreClient,
     pub(crate) runs: TaskQueue<PendingRun>,
-    /// Datagrams dropped since the event queue was full.
+    /// Datagrams dropped because the event queue was full.
     pub(crate) dropped_datagrams: Arc<AtomicU64>,
     pub(crate) on_ejection_change: OnEjectionChange,
 }
 
-/// Counts of runs since the start.
+/// The outcomes of runs since the start.
 #[derive(Debug, Default)]
 struct RunCounts {
     succeeded: u64,
@@ -56,50 +49,49 @@
     queue_full: u64,
 }
 
-/// The state of the cluster's part.
+/// The state of the cluster on this instance.
 pub(crate) struct Coordinator {
-    settings: Settings,
-    resources: Resources,
-    membership: Option<Membership>,
+    instance: String,
+    clocks: Clocks,
+    gossip: Option<GossipNode>,
     scheduler: Scheduler,
-    local_store: LocalStore,
-    health: Option<HealthTracker>,
-    backends: BTreeMap<String, SocketAddr>,
-    /// By the name of the job.
-    http_jobs: BTreeMap<String, HttpJob>,
-    ejected: BTreeSet<String>,
+    store: StoreClient,
+    jobs: JobTable,
+    runs: TaskQueue<PendingRun>,
     run_counts: RunCounts,
+    health: Option<HealthMonitor>,
+    dropped_datagrams: Arc<AtomicU64>,
     log_limiter: LogLimiter,
-    authentication_failures: u64,
-    duplicate_names: Vec<String>,
     left: bool,
 }
 
 impl Coordinator {
     pub(crate) fn new(settings: Settings, resources: Resources) -> Self {
-        let start_unix_ms = resources.clocks.now().unix_ms;
+        let Resources { clocks, gossip_socket, store, runs, dropped_datagrams, on_ejection_change } =
+            resources;
+        let start_unix_ms = clocks.now().unix.as_millis();
+        let scheduler = Scheduler::new(jobs::scheduler_config(&settings, start_unix_ms));
+        let gossip = settings.gossip.zip(gossip_socket);
+        let gossip = gossip
+            .map(|(gossip, socket)| GossipNode::new(&gossip, &settings.instance, start_unix_ms, socket));
+        let health_config = settings.health_checks.as_ref().map(|checks| checks.config.clone());
         Self {
-            scheduler: Scheduler::new(jobs::scheduler_config(&settings, start_unix_ms)),
-            membership: settings
-                .gossip
-                .as_ref()
-                .map(|gossip| gossip::join(gossip, &settings.instance, start_unix_ms)),
-            health: settings.health_checks.as_ref().map(|checks| HealthTracker::new(checks.config.clone())),
-            settings,
-            resources,
-            local_store: LocalStore::default(),
-            backends: BTreeMap::new(),
-            http_jobs: BTreeMap::new(),
-            ejected: BTreeSet::new(),
+            instance: settings.instance,
+            clocks,
+            gossip,
+            scheduler,
+            store,
+            jobs: JobTable::new(settings.health_checks),
+            runs,
             run_counts: RunCounts::default(),
+            health: health_config.map(|config| HealthMonitor::new(config, on_ejection_change)),
+            dropped_datagrams,
             log_limiter: LogLimiter::default(),
-            authentication_failures: 0,
-            duplicate_names: Vec::new(),
             left: false,
         }
     }
 
-    /// Handles events until all senders are gone.
+    /// Handles events until all senders are dropped.
     pub(crate) fn run(mut self, events: &Receiver<Event>, http_jobs: Vec<HttpJob>) {
         self.set_http_jobs(http_jobs);
         loop {
@@ -116,42 +108,42 @@
     }
 
     fn time_to_next_tick(&self) -> Duration {
-        let now = self.resources.clocks.now();
-        let jobs_ms = self.scheduler.next_tick_unix_ms().map(|due| due.saturating_sub(now.unix_ms));
-        let membership = self.membership.as_ref();
-        let gossip_ms = membership.map(|m| m.next_tick_ms().saturating_sub(now.monotonic_ms));
-        let due_ms = jobs_ms.into_iter().chain(gossip_ms).chain([MAX_TICK_INTERVAL_MS]).min();
-        Duration::from_millis(due_ms.unwrap_or(MAX_TICK_INTERVAL_MS))
+        let now = self.clocks.now();
+        let until_jobs = self.scheduler.next_tick().map(|due| due.saturating_since(now.unix));
+        let gossip_due = self.gossip.as_ref().map(GossipNode::next_tick);
+        let until_gossip = gossip_due.map(|due| due.saturating_since(now.monotonic));
+        until_jobs.into_iter().chain(until_gossip).fold(MAX_TICK_INTERVAL, Duration::min)
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due in gossip, jobs and health checks.
     fn tick(&mut self) {
-        let now = self.resources.clocks.now();
-        if let Some(membership) = &mut self.membership {
-            let mut outputs = Vec::new();
-            membership.tick(now.monotonic_ms, &mut outputs);
-            self.handle_membership_outputs(now, outputs);
+        let now = self.clocks.now();
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.tick(now.monotonic);
+            self.apply_gossip_changes(now, changes);
         }
         if !self.left {
             let mut actions = Vec::new();
             self.scheduler.tick(now, &mut actions);
-            self.apply_action(now, actions);
+            self.apply_actions(now, actions);
+        }
+        if let Some(health) = &mut self.health {
+            health.update_ejections(now.monotonic);
         }
-        self.update_ejections(now);
     }
 
     fn handle(&mut self, event: Event) {
-        let now = self.resources.clocks.now();
+        let now = self.clocks.now();
         match event {
             Event::DatagramReceived(_)
-                if seeded_faults::is_active("agreed") && now.monotonic_ms > SEEDED_FAULT_AFTER_MS => {}
+                if seeded_faults::is_active("agreed") && now.monotonic > SEEDED_FAULT_AFTER => {}
             Event::DatagramReceived(bytes) => self.handle_datagram(now, &bytes),
             Event::StoreResponded(response) => self.handle_store_response(now, response),
             Event::RunFinished(finished) => self.handle_finished_run(now, &finished),
             Event::HttpJobsChanged(jobs) => self.set_http_jobs(jobs),
             Event::KeyringChanged(keyring) => {
-                if let Some(membership) = &mut self.membership {
-                    membership.set_keyring(keyring);
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.set_keyring(keyring);
                 }
             }
             Event::BackendsChanged(backends) => self.set_backends(now, backends),
@@ -162,42 +154,55 @@
         }
     }
 
-    fn handle_store_response(&mut self, now: ClockReading, response: StoreResponse) {
-        let mut actions = Vec::new();
-        self.apply_store_response(now, response, &mut actions);
-        if !self.left {
-            self.apply_action(now, actions);
+    fn handle_datagram(&mut self, now: ClockReading, bytes: &[u8]) {
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.handle_datagram(now.monotonic, bytes);
+            self.apply_gossip_changes(now, changes);
         }
     }
 
-    fn apply_store_response(&mut self, now: ClockReading, response: StoreResponse, out: &mut Vec<Action>) {
-        match response {
-            StoreResponse::SessionOpened(result) => self.scheduler.session_opened(now, result, out),
-            StoreResponse::SessionRenewed(session, result) => {
-                self.scheduler.session_renewed(now, &session, result, out);
-            }
-            StoreResponse::LeasesRead { call, jobs, result } => {
-                self.scheduler.leases_read(now, call, &jobs, result, out);
-            }
-            StoreResponse::CompareAndSetDone { call, job, record, outcome } => {
-                self.scheduler.compare_and_set_done(now, call, &job, &record, outcome, out);
+    /// Passes received health reports and changed members on to the parts that use them.
+    fn apply_gossip_changes(&mut self, now: ClockReading, changes: GossipChanges) {
+        if let Some(health) = &mut self.health {
+            for ReceivedReport { backend_id, report } in changes.reports {
+                health.apply_report(&backend_id, report, now.monotonic);
             }
         }
+        if let Some(alive_names) = changes.alive_names {
+            self.scheduler.set_members(now, alive_names);
+        }
+    }
+
+    fn set_backends(&mut self, now: ClockReading, backends: Vec<Backend>) {
+        self.jobs.set_backends(backends);
+        let Some(health) = &mut self.health else { return };
+        health.set_backends(self.jobs.backend_ids());
+        if let Some(gossip) = &mut self.gossip {
+            gossip.retain_backends(|id| self.jobs.has_backend(id));
+        }
+        self.update_jobs(now);
+    }
+
+    fn handle_store_response(&mut self, now: ClockReading, response: StoreResponse) {
+        let mut actions = Vec::new();
+        self.scheduler.handle_store_response(now, response, &mut actions);
+        if !self.left {
+            self.apply_actions(now, actions);
+        }
     }
 
-    /// Leaves the gossip and ends the session; `done` is notified when both are done.
+    /// Leaves the cluster and ends the session, then notifies `done`.
     fn leave(&mut self, now: ClockReading, done: SyncSender<()>) {
         if std::mem::replace(&mut self.left, true) {
             return;
         }
-        if let Some(membership) = &mut self.membership {
-            let mut outputs = Vec::new();
-            membership.leave(now.monotonic_ms, &mut outputs);
-            self.handle_membership_outputs(now, outputs);
+        if let Some(gossip) = &mut self.gossip {
+            let changes = gossip.leave(now.monotonic);
+            self.apply_gossip_changes(now, changes);
         }
-        match (self.scheduler.session().cloned(), &self.resources.store) {
-            (Some(session), Some(store)) => drop(store.offer(StoreCall::EndSession(session, done))),
-            _ => drop(done.try_send(())),
+        match self.scheduler.session().cloned() {
+            Some(session) => self.store.end_session(session, done),
+            None => drop(done.try_send(())),
         }
     }
 }
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -1,56 +1,46 @@
 //! Processes: none ends unasked or panics, each ends with status 0 when it is told to, starts in time, and reports no broken
 //! invariant of its own.
 
-use super::Violation;
-use crate::history::{Moment, ProcessEvent, ProcessRecord, Records};
+use super::violation_by;
+use crate::history::{History, Moment, ProcessEvent, ProcessRecord};
+use fault_injection::checkers::Violation;
+use fault_injection::checkers::rules::rule_broken_by_exit;
+use fault_injection::process::ExitRequest;
 use std::time::Duration;
 
 /// A process serves within this.
 const START_LIMIT: Duration = Duration::from_secs(10);
 
-pub(super) fn check(records: &Records) -> Vec<Violation> {
+pub(super) fn check(history: &History) -> Vec<Violation> {
     let mut violations: Vec<Violation> = Vec::new();
-    for record in &records.processes {
+    for record in &history.processes {
         let found = match &record.event {
-            ProcessEvent::Exited { status } => exit(records, record, *status),
-            ProcessEvent::Started { .. } => slow_start_up(records, record),
+            ProcessEvent::Exited { exit_code, request } => exit(record, *request, *exit_code),
+            ProcessEvent::Started { .. } => slow_start_up(history, record),
             ProcessEvent::Violation { line } => {
                 Some(("no invariant broken by its own account", line.clone()))
             }
             ProcessEvent::Panicked { line } => Some(("no panic", line.clone())),
             _ => None,
         };
-        violations.extend(found.map(|(rule, text)| Violation {
-            rule,
-            at: record.at,
-            gatekeeper: Some(record.gatekeeper),
-            text,
-        }));
+        violations.extend(found.map(|(rule, text)| violation_by(record.gatekeeper, rule, record.at, text)));
     }
     violations
 }
 
-fn same_process<'a>(records: &'a Records, of: &'a ProcessRecord) -> impl Iterator<Item = &'a ProcessRecord> {
+fn same_process<'a>(history: &'a History, of: &'a ProcessRecord) -> impl Iterator<Item = &'a ProcessRecord> {
     let is_same = |other: &&ProcessRecord| other.gatekeeper == of.gatekeeper && other.process == of.process;
-    records.processes.iter().filter(is_same)
+    history.processes.iter().filter(is_same)
 }
 
-fn exit(records: &Records, record: &ProcessRecord, status: Option<i32>) -> Option<(&'static str, String)> {
-    let has = |event: &ProcessEvent| {
-        same_process(records, record).any(|other| other.event == *event && other.at <= record.at)
-    };
-    if has(&ProcessEvent::Killed) {
-        return None;
-    }
-    if !has(&ProcessEvent::Terminated) {
-        return Some(("no exit unasked", format!("process {} ended with {status:?}", record.process)));
-    }
-    (status != Some(0)).then(|| ("a clean exit", format!("process {} ended with {status:?}", record.process)))
+fn exit(record: &ProcessRecord, request: ExitRequest, exit_code: i32) -> Option<(&'static str, String)> {
+    let rule = rule_broken_by_exit(request, exit_code)?;
+    Some((rule, format!("process {} ended with {exit_code}", record.process)))
 }
 
-fn slow_start_up(records: &Records, started: &ProcessRecord) -> Option<(&'static str, String)> {
+fn slow_start_up(history: &History, started: &ProcessRecord) -> Option<(&'static str, String)> {
     let at = |event: fn(&ProcessEvent) -> bool| -> Option<Moment> {
-        same_process(records, started).find(|other| event(&other.event)).map(|other| other.at)
+        same_process(history, started).find(|other| event(&other.event)).map(|other| other.at)
     };
     let ready = at(|event| *event == ProcessEvent::Ready);
     let asked_to_end = at(|event| matches!(event, ProcessEvent::Killed | ProcessEvent::Terminated));
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,8 +1,11 @@
 //! What happened in a schedule, on one monotonic clock.
 
-use crate::lock;
+use fault_injection::clock::ScheduleClock;
+use fault_injection::process::ExitRequest;
+use fault_injection::stand_ins::ListedState;
+use fault_injection::sync::lock;
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Time since the schedule began.
 pub type Moment = Duration;
@@ -10,6 +13,11 @@
 /// Number of a gatekeeper, from 0.
 pub type GatekeeperIndex = usize;
 
+/// The name of a gatekeeper.
+pub(crate) fn gatekeeper_name(gatekeeper: GatekeeperIndex) -> String {
+    format!("n{gatekeeper}")
+}
+
 /// Number of a backend, from 0.
 pub type BackendIndex = usize;
 
@@ -138,8 +146,10 @@
     Killed,
     /// It ended.
     Exited {
-        /// Its status; none where a signal ended it.
-        status: Option<i32>,
+        /// Its exit code, or the negative number of the signal that ended it.
+        exit_code: i32,
+        /// How the harness had asked for it.
+        request: ExitRequest,
     },
     /// It was suspended, and continued at this moment.
     Suspended {
@@ -171,17 +181,6 @@
     pub event: ProcessEvent,
 }
 
-/// Whether a backend takes work.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedState {
-    /// It does.
-    Up,
-    /// It finishes what it has.
-    Draining,
-    /// It is off the list.
-    Removed,
-}
-
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
@@ -197,7 +196,7 @@
 
 /// A discovery agent became reachable, or not.
 #[derive(Clone, Copy, Debug)]
-pub struct AgentChange {
+pub struct DiscoveryChange {
     /// When.
     pub at: Moment,
     /// Whose agent.
@@ -230,7 +229,7 @@
 
 /// Everything that was recorded.
 #[derive(Clone, Debug, Default)]
-pub struct Records {
+pub struct History {
     /// When the schedule began: all processes served by then.
     pub started: Moment,
     /// Requests.
@@ -242,7 +241,7 @@
     /// The endpoint list.
     pub list_changes: Vec<ListChange>,
     /// Discovery agents.
-    pub agent_changes: Vec<AgentChange>,
+    pub discovery_changes: Vec<DiscoveryChange>,
     /// When so many gatekeepers lost the counter, or had it again.
     pub counter_changes: Vec<(Moment, usize)>,
     /// Lists that were written.
@@ -257,49 +256,54 @@
 
 /// A history that many threads record into.
 #[derive(Clone, Debug)]
-pub struct History {
-    start: Instant,
-    records: Arc<Mutex<Records>>,
+pub struct Recorder {
+    clock: ScheduleClock,
+    history: Arc<Mutex<History>>,
 }
 
-impl Default for History {
+impl Default for Recorder {
     fn default() -> Self {
-        Self { start: Instant::now(), records: Arc::default() }
+        Self { clock: ScheduleClock::start(), history: Arc::default() }
     }
 }
 
-impl History {
+impl Recorder {
     /// The time now.
     pub fn now(&self) -> Moment {
-        self.start.elapsed()
+        self.clock.now()
+    }
+
+    /// The clock of all times in the history.
+    pub fn clock(&self) -> ScheduleClock {
+        self.clock
     }
 
-    /// Changes the records.
-    pub fn record<R>(&self, change: impl FnOnce(&mut Records) -> R) -> R {
-        change(&mut lock(&self.records))
+    /// Changes the history.
+    pub fn record<R>(&self, change: impl FnOnce(&mut History) -> R) -> R {
+        change(&mut lock(&self.history))
     }
 
-    /// Records an attempt that came whole; returns its place.
+    /// History an attempt that came whole; returns its place.
     pub fn begin_attempt(&self, attempt: AttemptRecord) -> usize {
-        self.record(|records| {
-            records.attempts.push(attempt);
-            records.attempts.len() - 1
+        self.record(|history| {
+            history.attempts.push(attempt);
+            history.attempts.len() - 1
         })
     }
 
-    /// Records the end of an attempt.
+    /// History the end of an attempt.
     pub fn end_attempt(&self, place: usize, outcome: AttemptOutcome) {
         let now = self.now();
-        self.record(|records| {
-            if let Some(attempt) = records.attempts.get_mut(place) {
+        self.record(|history| {
+            if let Some(attempt) = history.attempts.get_mut(place) {
                 attempt.ended = Some(now);
                 attempt.outcome = outcome;
             }
         });
     }
 
-    /// A copy of all records.
-    pub fn snapshot(&self) -> Records {
-        lock(&self.records).clone()
+    /// A copy of all history.
+    pub fn snapshot(&self) -> History {
+        lock(&self.history).clone()
     }
 }
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,8 +1,9 @@
 //! A backend: it serves each request after a few milliseconds, and can be made to fail in the ways that backends do.
 
-use super::{reset, spawn, wait_for_end};
-use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, History, Moment, RequestNumber};
-use crate::lock;
+use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, Moment, Recorder, RequestNumber};
+use fault_injection::connections::{is_temporary, keep_silent_for, reset_on_close};
+use fault_injection::sync::lock;
+use fault_injection::thread::spawn;
 use fault_injection::wire;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -57,7 +58,7 @@
     index: BackendIndex,
     mode: Mutex<BackendMode>,
     connections: Mutex<Vec<TcpStream>>,
-    history: History,
+    recorder: Recorder,
 }
 
 /// A backend. Clones are the same one.
@@ -77,9 +78,13 @@
     /// # Errors
     ///
     /// The address cannot be listened on.
-    pub fn start(address: SocketAddr, index: BackendIndex, history: &History) -> io::Result<Self> {
-        let shared =
-            Shared { index, mode: Mutex::default(), connections: Mutex::default(), history: history.clone() };
+    pub fn start(address: SocketAddr, index: BackendIndex, recorder: &Recorder) -> io::Result<Self> {
+        let shared = Shared {
+            index,
+            mode: Mutex::default(),
+            connections: Mutex::default(),
+            recorder: recorder.clone(),
+        };
         let backend = Self(Arc::new(shared));
         let listener = TcpListener::bind(address)?;
         let accepting = backend.clone();
@@ -92,7 +97,7 @@
         *lock(&self.0.mode) = mode;
         if mode == BackendMode::Refusing {
             for connection in lock(&self.0.connections).drain(..) {
-                reset(&connection);
+                reset_on_close(&connection);
                 let _ = connection.shutdown(Shutdown::Both);
             }
         }
@@ -138,7 +143,7 @@
     /// Serves a connection until it ends.
     fn serve(&self, stream: &TcpStream) -> io::Result<()> {
         let mut commands = BufReader::new(stream.try_clone()?);
-        let mut random = fastrand::Rng::with_seed(self.0.history.now().as_nanos() as u64);
+        let mut random = fastrand::Rng::with_seed(self.0.recorder.now().as_nanos() as u64);
         let mut served = 0;
         loop {
             if served > 0 && !self.wait_for_command(stream)? {
@@ -158,17 +163,17 @@
             stream.set_read_timeout(Some(SHORT_IDLE))?;
             match stream.peek(&mut [0]) {
                 Ok(count) => return Ok(count > 0),
-                Err(error) if is_timeout(&error) => {}
+                Err(error) if is_temporary(&error) => {}
                 Err(error) => return Err(error),
             }
             match self.mode() {
                 BackendMode::ClosingIdle => return Ok(false),
                 BackendMode::ResettingIdle => {
-                    reset(stream);
+                    reset_on_close(stream);
                     return Ok(false);
                 }
                 BackendMode::ForgettingIdle => {
-                    wait_for_end(&mut stream.try_clone()?, LONGEST_WAIT);
+                    keep_silent_for(&mut stream.try_clone()?, LONGEST_WAIT);
                     return Ok(false);
                 }
                 _ => {}
@@ -182,7 +187,7 @@
         if commands.fill_buf()?.is_empty() {
             return Ok(None);
         }
-        let began = self.0.history.now();
+        let began = self.0.recorder.now();
         let Some(words) = wire::read_resp_command(commands) else { return Ok(None) };
         let number = words.get(ID).and_then(|id| RequestNumber::parse(id));
         let time_left = words.get(VALUES).and_then(|values| milliseconds(values));
@@ -191,13 +196,13 @@
 
     /// Answers a request. Returns whether the connection goes on.
     fn answer(&self, stream: &TcpStream, received: Received, random: &mut fastrand::Rng) -> io::Result<bool> {
-        let history = &self.0.history;
+        let recorder = &self.0.recorder;
         let Received { number, began, time_left } = received;
-        let place = history.begin_attempt(AttemptRecord {
+        let place = recorder.begin_attempt(AttemptRecord {
             request: number,
             backend: self.0.index,
             began,
-            arrived: history.now(),
+            arrived: recorder.now(),
             time_left,
             ended: None,
             outcome: AttemptOutcome::Open,
@@ -207,12 +212,12 @@
         let work = if mode == BackendMode::Slow { work + SLOW_WORK } else { work };
         let is_other = random.bool();
         if mode == BackendMode::Hanging {
-            wait_for_end(&mut stream.try_clone()?, LONGEST_WAIT);
-            history.end_attempt(place, AttemptOutcome::Closed);
+            keep_silent_for(&mut stream.try_clone()?, LONGEST_WAIT);
+            recorder.end_attempt(place, AttemptOutcome::Closed);
             return Ok(false);
         }
         if has_ended(stream, work)? {
-            history.end_attempt(place, AttemptOutcome::Closed);
+            recorder.end_attempt(place, AttemptOutcome::Closed);
             return Ok(false);
         }
         let value = wire::backend_reply(&number.text());
@@ -220,7 +225,7 @@
             BackendMode::Failing => (b"-ERR failed\r\n".to_vec(), AttemptOutcome::Failed),
             BackendMode::Rejecting => (b"-BUSY\r\n".to_vec(), AttemptOutcome::Rejected),
             BackendMode::Resetting if is_other => {
-                reset(stream);
+                reset_on_close(stream);
                 (Vec::new(), AttemptOutcome::Closed)
             }
             BackendMode::Truncating if is_other => {
@@ -229,7 +234,7 @@
             _ => (value, AttemptOutcome::Served),
         };
         // Before it is written: its gatekeeper may send the next one at once.
-        history.end_attempt(place, outcome);
+        recorder.end_attempt(place, outcome);
         (&mut &*stream).write_all(&bytes)?;
         Ok(outcome != AttemptOutcome::Closed)
     }
@@ -240,15 +245,11 @@
     stream.set_read_timeout(Some(time))?;
     match stream.peek(&mut [0]) {
         Ok(count) => Ok(count == 0),
-        Err(error) if is_timeout(&error) => Ok(false),
+        Err(error) if is_temporary(&error) => Ok(false),
         Err(_) => Ok(true),
     }
 }
 
-fn is_timeout(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
-}
-
 /// The time that a list of values gives as `d`.
 fn milliseconds(values: &str) -> Option<Duration> {
     let text = values.split(',').find_map(|value| value.strip_prefix("d="))?;
--- a/crates/replicated_config/src/raft_message.rs
+++ b/crates/replicated_config/src/raft_message.rs
@@ -1,11 +1,11 @@
-//! Raft's messages in an encoding of our own. Neither the library's encoding nor its parser meets bytes from the network.
+//! Raft messages in this crate's own encoding. Bytes from the network never reach the parser of the Raft library.
 
 use crate::ids::ReplicaId;
-use crate::log::{LogEntry, Snapshot};
+use crate::log::{LogEntry, LogIndex, Snapshot, Term};
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// The message types that replicas send each other; the library's other types stay inside a replica.
+/// The message types that replicas accept from each other. The library uses its other types only within a replica.
 const REPLICA_MESSAGE_TYPES: [MessageType; 10] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -19,28 +19,28 @@
     MessageType::MsgTimeoutNow,
 ];
 
-/// A message of the Raft library, field by field. The order of the fields is part of the encoding.
+/// A message of the Raft library. The order of the fields is part of the encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RaftMessage {
     message_type: u8,
     to: ReplicaId,
     from: ReplicaId,
-    term: u64,
-    log_term: u64,
-    index: u64,
-    commit: u64,
-    commit_term: u64,
+    term: Term,
+    log_term: Term,
+    index: LogIndex,
+    commit: LogIndex,
+    commit_term: Term,
     entries: Vec<LogEntry>,
     snapshot: Option<Snapshot>,
-    request_snapshot: u64,
+    request_snapshot: LogIndex,
     reject: bool,
-    reject_hint: u64,
+    reject_hint: LogIndex,
     context: Vec<u8>,
     priority: i64,
 }
 
 impl RaftMessage {
-    /// The replica that it is for.
+    /// Returns the recipient.
     pub fn to(&self) -> ReplicaId {
         self.to
     }
@@ -52,22 +52,22 @@
             message_type: message.get_msg_type() as u8,
             to: ReplicaId(message.to),
             from: ReplicaId(message.from),
-            term: message.term,
-            log_term: message.log_term,
-            index: message.index,
-            commit: message.commit,
-            commit_term: message.commit_term,
+            term: Term(message.term),
+            log_term: Term(message.log_term),
+            index: LogIndex(message.index),
+            commit: LogIndex(message.commit),
+            commit_term: Term(message.commit_term),
             entries: message.entries.iter().map(LogEntry::from_raft).collect(),
             snapshot: has_snapshot.then(|| Snapshot::from_raft(snapshot)),
-            request_snapshot: message.request_snapshot,
+            request_snapshot: LogIndex(message.request_snapshot),
             reject: message.reject,
-            reject_hint: message.reject_hint,
+            reject_hint: LogIndex(message.reject_hint),
             context: message.context.to_vec(),
             priority: message.priority,
         }
     }
 
-    /// The library's message, where this is one that a replica may send.
+    /// Converts to the library's message. Returns `None` if no configured replica may have sent it.
     pub(crate) fn into_raft(self, replicas: &[ReplicaId]) -> Option<eraftpb::Message> {
         let is_type = |known: &MessageType| *known as u8 == self.message_type;
         let message_type = REPLICA_MESSAGE_TYPES.into_iter().find(is_type)?;
@@ -77,15 +77,15 @@
         let mut message = eraftpb::Message {
             to: self.to.0,
             from: self.from.0,
-            term: self.term,
-            log_term: self.log_term,
-            index: self.index,
-            commit: self.commit,
-            commit_term: self.commit_term,
+            term: self.term.0,
+            log_term: self.log_term.0,
+            index: self.index.0,
+            commit: self.commit.0,
+            commit_term: self.commit_term.0,
             entries: self.entries.iter().map(LogEntry::to_raft).collect::<Vec<_>>().into(),
-            request_snapshot: self.request_snapshot,
+            request_snapshot: self.request_snapshot.0,
             reject: self.reject,
-            reject_hint: self.reject_hint,
+            reject_hint: self.reject_hint.0,
             context: self.context.into(),
             priority: self.priority,
             ..eraftpb::Message::default()
@@ -96,9 +96,13 @@
         Some(message)
     }
 
-    /// The library takes this for granted and would panic at a gap.
+    /// Returns whether the entries follow `index` without a gap. The library would panic at a gap.
     fn entries_are_consecutive(&self) -> bool {
         self.entries.is_empty()
-            || self.entries.iter().zip(self.index + 1..).all(|(entry, index)| entry.index == index)
+            || self
+                .entries
+                .iter()
+                .zip(self.index.0 + 1..)
+                .all(|(entry, index)| entry.index == LogIndex(index))
     }
 }
