--- a/crates/fault_injection/src/connections.rs
+++ b/crates/fault_injection/src/connections.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Accepts connections in a thread and serves each in a thread of its own.
+/// Accepts connections in a thread and serves each in a thread of its own. Returns the address that it listens on.
 ///
 /// # Errors
 ///
@@ -15,8 +15,9 @@
 pub fn serve_connections(
     address: SocketAddr,
     serve: impl Fn(TcpStream) + Send + Sync + 'static,
-) -> io::Result<()> {
+) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
+    let address = listener.local_addr()?;
     let serve = Arc::new(serve);
     spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -26,7 +27,7 @@
             let _ = spawn(move || serve(stream));
         }
     })?;
-    Ok(())
+    Ok(address)
 }
 
 /// Reads and discards what arrives until the peer closes the connection.
--- a/crates/fault_injection/src/history/recorder.rs
+++ b/crates/fault_injection/src/history/recorder.rs
@@ -1,7 +1,8 @@
 //! Collects observations from all threads.
 
 use super::{Observation, Record, now_us};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use crate::sync::lock;
+use std::sync::{Arc, Mutex, MutexGuard};
 
 /// Collects observations from all threads. Clones share one list.
 #[derive(Clone, Debug, Default)]
@@ -9,7 +10,7 @@
 
 impl Recorder {
     fn records(&self) -> MutexGuard<'_, Vec<Record>> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.0)
     }
 
     /// Records an observation with the present time.
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod checkers;
 pub mod clock;
 pub mod connections;
+pub mod digest;
 mod error;
 pub mod history;
 pub mod load;
--- a/crates/fault_injection/src/stand_ins/quota_counter/tests.rs
+++ b/crates/fault_injection/src/stand_ins/quota_counter/tests.rs
@@ -4,15 +4,15 @@
 use crate::connections::serve_connections;
 use std::cell::RefCell;
 use std::io::ErrorKind;
-use std::net::TcpListener;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A counter that fails in this way from the start, and a connection to it.
 fn connect(counter: &QuotaCounter, failure: Option<CounterFailure>) -> BufReader<TcpStream> {
-    let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let counter = counter.clone();
-    serve_connections(address, move |stream| counter.serve(stream, || failure, |_| ())).expect("it listens");
+    let any_port = ([127, 0, 0, 1], 0).into();
+    let serve = move |stream| counter.serve(stream, || failure, |_| ());
+    let address = serve_connections(any_port, serve).expect("it listens");
     let stream = TcpStream::connect(address).expect("it accepts");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     BufReader::new(stream)
--- a/crates/fault_injection/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -1,6 +1,7 @@
 //! The forms that are kept in files and the verdicts on them stay as they were: schedules, histories, and what checkers find.
 
 use fault_injection::checkers::{Bounds, Ceiling, ResourceLimits, check, longest_contradiction, outcomes};
+use fault_injection::digest::digest;
 use fault_injection::history::{read, write};
 use fault_injection::schedule::{Schedule, named_schedules};
 use std::collections::BTreeMap;
@@ -14,12 +15,6 @@
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// FNV-1a with 64 bits.
-fn digest(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
-}
-
 /// Bounds as a site has them, and some that nearly all is beyond.
 fn bounds() -> [Bounds; 2] {
     let ceiling = |units_per_second, burst, largest_request| {
--- a/crates/platform_soak/src/schedule/tests.rs
+++ b/crates/platform_soak/src/schedule/tests.rs
@@ -2,12 +2,7 @@
 
 use super::*;
 use crate::settings::Addresses;
-
-/// FNV-1a with 64 bits.
-fn digest(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
-}
+use fault_injection::digest::digest;
 
 /// Text of a planned fault that does not depend on the names of types and fields.
 fn canonical_text(planned: &PlannedFault) -> String {
--- a/crates/system_tests/src/bin/proof-faults/main.rs
+++ b/crates/system_tests/src/bin/proof-faults/main.rs
@@ -8,11 +8,12 @@
 use fault_injection::history;
 use fault_injection::runner::{RunResult, shrink};
 use fault_injection::schedule::{Schedule, named_schedules};
+use fault_injection::sync::lock;
 use fault_injection::torn_writes::{TornWrites, truncate_at_each_byte};
 use options::Options;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 use system_tests::{Error, Table, for_each_parallel, run_schedule, verdict};
 use totals::{Totals, print_violations};
 
@@ -98,7 +99,7 @@
         let totals = Mutex::new(Totals::default());
         for_each_parallel(schedules, self.options.parallel(), |number, schedule| {
             let done = self.run(number, schedule);
-            let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut totals = lock(&totals);
             match done {
                 Ok(result) => totals.add(schedule, &result),
                 Err(error) => {
--- a/crates/system_tests/src/bin/proof-periodic-jobs/schedules/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/schedules/tests.rs
@@ -1,12 +1,7 @@
 //! The phases are the same in every version.
 
 use super::*;
-
-/// FNV-1a with 64 bits.
-fn digest(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
-}
+use fault_injection::digest::digest;
 
 #[test]
 fn phases_are_those_that_they_always_were() {
--- a/crates/system_tests/src/bin/proof-platform-cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost.rs
@@ -2,9 +2,11 @@
 //! to a `snowfield`; without any, the one beside this program. They take turns, so that a machine that changes its pace
 //! changes it for all. The last is held to the first.
 
+use fault_injection::connections::serve_connections;
+use fault_injection::stand_ins::{write_watch_head, write_watch_line};
 use fault_injection::wire::{read_resp_command, resp_command};
 use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::thread;
@@ -31,19 +33,11 @@
 
 /// Listens at a free port and serves each connection in a thread.
 fn listen(serve: fn(TcpStream)) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
-    thread::spawn(move || {
-        for stream in listener.incoming().map_while(Result::ok) {
-            thread::spawn(move || serve(stream));
-        }
-    });
-    address
+    serve_connections(([127, 0, 0, 1], 0).into(), serve).expect("a free port")
 }
 
 /// A backend that answers each request at once with its id.
 fn serve_backend(stream: TcpStream) {
-    let _ = stream.set_nodelay(true);
     let mut answers = stream.try_clone().expect("a second handle");
     let mut requests = BufReader::new(stream);
     while let Some(arguments) = read_resp_command(&mut requests) {
@@ -57,8 +51,8 @@
 
 /// A discovery agent without news.
 fn serve_agent(mut stream: TcpStream) {
-    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    while stream.write_all(b"1\r\n\n\r\n").is_ok() {
+    let _ = write_watch_head(&mut stream);
+    while write_watch_line(&mut stream, "").is_ok() {
         thread::sleep(HEARTBEAT_INTERVAL);
     }
 }
@@ -116,7 +110,7 @@
     let folder = TestDirectory::new("platform-cost");
     let listen = free_ports(1)[0];
     let file = folder.write("config.json", &config(listen, agent, backends));
-    let gatekeeper = Gatekeeper::start_build(build, &[], &[("BALANCER_CONFIG", &file)]);
+    let gatekeeper = Gatekeeper::start_build(build, &[], &[("BALANCER_CONFIG", file)]);
     gatekeeper.wait_for_log("serving on ");
     let send_all = |first_client: u32, count: u32| -> u32 {
         let clients: Vec<_> = (0..CLIENTS)
@@ -129,7 +123,7 @@
     let served = send_all(CLIENTS, REQUESTS);
     let after = gatekeeper.usage();
     assert_eq!(served, CLIENTS * REQUESTS, "all are served");
-    let cpu_us = (after.cpu_s - before.cpu_s) * 1e6 / f64::from(served);
+    let cpu_us = (after.cpu_ms - before.cpu_ms) as f64 * 1e3 / f64::from(served);
     TurnCost { cpu_us, memory_kb: after.memory_kb }
 }
 
--- a/crates/system_tests/src/bin/proof-replicated-config/main.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/main.rs
@@ -5,10 +5,11 @@
 mod totals;
 
 use fault_injection::schedule::Schedule;
+use fault_injection::sync::lock;
 use schedules::{generated_schedule, named_schedules};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 use system_tests::{Table, for_each_parallel, release_build, run_schedule, verdict};
 use totals::Totals;
 
@@ -26,7 +27,7 @@
     let parallel = 2 * std::thread::available_parallelism().map_or(1, |cores| cores.get());
     for_each_parallel(&schedules, parallel, |index, schedule| {
         let result = run_schedule(schedule, &build, &format!("sf-agreed-{index}"));
-        let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut totals = lock(&totals);
         match result {
             Ok(result) => totals.add(schedule, &result),
             Err(error) => {
--- a/crates/system_tests/src/bin/proof-timing/backend.rs
+++ b/crates/system_tests/src/bin/proof-timing/backend.rs
@@ -1,9 +1,11 @@
 //! A backend that answers after a while, or never, and counts its requests.
 
+use fault_injection::connections::serve_connections;
+use fault_injection::sync::lock;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
 
@@ -40,22 +42,16 @@
 impl Backend {
     /// Starts a healthy backend.
     pub(crate) fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
         let latency = Mutex::new(Latency::Ms(QUICK_MS));
         let state = Arc::new(State { latency, requests: AtomicU64::new(0) });
         let shared = state.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                let state = shared.clone();
-                thread::spawn(move || serve(stream, &state));
-            }
-        });
+        let any_port = ([127, 0, 0, 1], 0).into();
+        let address = serve_connections(any_port, move |stream| serve(stream, &shared)).expect("a free port");
         Self { address, state }
     }
 
     pub(crate) fn set_latency(&self, latency: Latency) {
-        *self.state.latency.lock().unwrap_or_else(PoisonError::into_inner) = latency;
+        *lock(&self.state.latency) = latency;
     }
 
     /// Requests so far.
@@ -65,12 +61,11 @@
 }
 
 fn serve(stream: TcpStream, state: &State) {
-    let _ = stream.set_nodelay(true);
     let mut answers = stream.try_clone().expect("a second handle");
     let mut requests = BufReader::new(stream);
     while read_head(&mut requests) {
         let number = state.requests.fetch_add(1, Ordering::Relaxed);
-        let latency = *state.latency.lock().unwrap_or_else(PoisonError::into_inner);
+        let latency = *lock(&state.latency);
         let ms = match latency {
             // Until the gatekeeper hangs up.
             Latency::Never => return drop(requests.read(&mut [0])),
--- a/crates/system_tests/src/gatekeeper.rs
+++ b/crates/system_tests/src/gatekeeper.rs
@@ -1,34 +1,37 @@
 //! A real gatekeeper as a child process.
 
+use fault_injection::process::{
+    Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver, ResourceUsage,
+};
+use fault_injection::sync::lock;
 use fault_injection::wait::STEP_TIMEOUT;
-use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{Receiver, channel};
+use std::sync::Mutex;
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Instant;
 
-/// Among the fields of `/proc/PID/stat` behind the name (proc(5)): user and system time, in ticks.
-const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
-/// Among the same: resident memory, in pages.
-const RESIDENT_FIELD: usize = 21;
-const TICKS_PER_SECOND: f64 = 100.0;
-const PAGE_KB: u64 = 4;
-
-/// What a process has used.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ProcessUsage {
-    /// Processor time so far, s.
-    pub cpu_s: f64,
-    /// Resident memory now, kB.
-    pub memory_kb: u64,
-}
-
 /// A running gatekeeper. It is killed when this is dropped.
 pub struct Gatekeeper {
-    child: Child,
+    process: Process,
     lines: Receiver<String>,
 }
 
+/// Sends on each line of a process.
+struct LineSender(Mutex<Sender<String>>);
+
+impl ProcessObserver for LineSender {
+    fn logged(&self, line: LogLine) {
+        // The test may have stopped listening.
+        let _ = lock(&self.0).send(line.text);
+    }
+
+    fn exited(&self, exit: ProcessExit) {
+        if !exit.is_requested() {
+            eprintln!("the gatekeeper exited with {}", exit.exit_code);
+        }
+    }
+}
+
 /// The release build of the gatekeeper beside this program.
 ///
 /// # Panics
@@ -55,20 +58,12 @@
     /// # Panics
     ///
     /// It cannot be started.
-    pub fn start_build(build: &Path, arguments: &[&str], variables: &[(&str, &str)]) -> Self {
-        let mut child = Command::new(build)
-            .args(arguments)
-            .envs(variables.iter().copied())
-            .stdin(Stdio::null())
-            .stdout(Stdio::piped())
-            .spawn()
-            .expect("the program starts");
+    pub fn start_build(build: &Path, arguments: &[&str], variables: &[(&str, String)]) -> Self {
+        let launch =
+            Launch { arguments, variables, log_format: LogFormat::Plain, ..Launch::new("gatekeeper", build) };
         let (sender, lines) = channel();
-        let output = BufReader::new(child.stdout.take().expect("a pipe"));
-        std::thread::spawn(move || {
-            output.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok())
-        });
-        Self { child, lines }
+        let process = Process::start_observed(&launch, LineSender(Mutex::new(sender)));
+        Self { process: process.expect("the program starts"), lines }
     }
 
     /// Waits for a log line that contains this text and returns what follows the text.
@@ -78,28 +73,25 @@
     /// None comes.
     pub fn wait_for_log(&self, text: &str) -> String {
         let deadline = Instant::now() + STEP_TIMEOUT;
+        let mut last_line = String::new();
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            let line = self.lines.recv_timeout(left).unwrap_or_else(|_| panic!("no line holds {text:?}"));
+            let Ok(line) = self.lines.recv_timeout(left) else {
+                panic!("no line holds {text:?}; the last one: {last_line}");
+            };
             if let Some((_, rest)) = line.split_once(text) {
                 return rest.to_owned();
             }
+            last_line = line;
         }
     }
 
-    /// What it has used so far.
-    pub fn usage(&self) -> ProcessUsage {
-        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
-        let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let number = |field: usize| fields.get(field).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-        let ticks: u64 = CPU_TIME_FIELDS.map(number).iter().sum();
-        ProcessUsage { cpu_s: ticks as f64 / TICKS_PER_SECOND, memory_kb: number(RESIDENT_FIELD) * PAGE_KB }
-    }
-}
-
-impl Drop for Gatekeeper {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
+    /// The resources that it uses now.
+    ///
+    /// # Panics
+    ///
+    /// It has exited.
+    pub fn usage(&self) -> ResourceUsage {
+        self.process.resource_usage().expect("the gatekeeper runs")
     }
 }
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -14,7 +14,7 @@
 pub use error::Error;
 pub use fault_injection::test_directory::TestDirectory;
 pub use fault_injection::wait::STEP_TIMEOUT;
-pub use gatekeeper::{Gatekeeper, ProcessUsage, release_build};
+pub use gatekeeper::{Gatekeeper, release_build};
 pub use parallel::for_each_parallel;
 pub use ports::free_ports;
 pub use schedules::run_schedule;
