--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -39,13 +39,13 @@
 }
 
 impl History {
-    /// By how much the harness itself was late at most in this time: what it records may be as late.
+    /// Longest scheduling delay of the harness in this time. What it records may be late by as much.
     pub(crate) fn harness_delay(&self, from: Moment, to: Moment) -> Duration {
         let overlaps = |&&(at, delay): &&(Moment, Duration)| at >= from && at.saturating_sub(delay) <= to;
         self.delays.iter().filter(overlaps).map(|(_, delay)| *delay).max().unwrap_or_default()
     }
 
-    /// For how long a gatekeeper was suspended in this time.
+    /// Total time for which a gatekeeper was suspended in this time.
     pub(crate) fn suspended(&self, gatekeeper: GatekeeperIndex, from: Moment, to: Moment) -> Duration {
         let of_this = self.processes.iter().filter(|record| record.gatekeeper == gatekeeper);
         let suspended = of_this.filter_map(|record| match record.event {
--- a/crates/platform_soak/src/checkers/attempts.rs
+++ b/crates/platform_soak/src/checkers/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: nothing for a client that has gone, no more time than it has left, and repeats only as the class permits.
+//! Attempts: none for a client that has disconnected, none with a later deadline than its request, and retries only as the class permits.
 
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{AttemptOutcome, AttemptRecord, History, Moment, RequestNumber, RequestRecord};
@@ -7,9 +7,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// No attempt begins later than this after its client has closed.
+/// No attempt begins later than this after its client has closed its connection.
 const GONE_LIMIT: Duration = Duration::from_millis(100);
-/// For the way over loopback and the stand-ins' threads.
+/// Slack for loopback and the scheduling of the stand-ins' threads.
 const TRANSPORT: Duration = Duration::from_millis(5);
 
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
@@ -22,14 +22,14 @@
     let mut violations = Vec::new();
     for (number, mut attempts) in by_request {
         attempts.sort_by_key(|attempt| attempt.arrived);
-        // A request whose record is missing was resent and lost with its gatekeeper.
+        // A request without a record was resent and lost with its gatekeeper.
         let Some(request) = requests.get(&number) else { continue };
         for attempt in &attempts {
             violations.extend(check_client_left(history, request, attempt));
             violations.extend(check_time_left(history, request, attempt));
         }
         let Some(class) = settings.classes.get(request.class) else { continue };
-        // On a new connection the client sends the whole request again: then two processes may each have one attempt.
+        // A request that was resent may have one attempt each from two processes.
         if !request.was_resent {
             violations.extend(check_repeats(history, class.effect, &attempts));
             violations.extend(check_count(settings, &attempts));
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -1,4 +1,4 @@
-//! No attempt begins at a backend that drains or is gone, once its gatekeeper counts as notified and the grace is over.
+//! No attempt begins at a backend that is draining or removed, once its gatekeeper counts as notified and the grace is over.
 
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
@@ -8,12 +8,12 @@
 use fault_injection::stand_ins::ListedState;
 use std::time::Duration;
 
-/// A change counts as notified this long after discovery had it and could be reached.
+/// A gatekeeper counts as notified of a change this long after its discovery agent had it and was reachable.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// For the way over loopback and the stand-ins' threads.
+/// Slack for loopback and the scheduling of the stand-ins' threads.
 const TRANSPORT: Duration = Duration::from_millis(55);
 
-/// A time in which a backend takes no new work of one gatekeeper.
+/// A span in which a backend is not eligible for one gatekeeper.
 struct Closed {
     from: Moment,
     to: Moment,
@@ -45,7 +45,7 @@
     violations
 }
 
-/// When a backend takes no new work of a gatekeeper: from the grace behind the notification to the next change.
+/// Spans in which a backend is not eligible for a gatekeeper: from the grace after a notification to the next change.
 fn closed_times(
     history: &History,
     settings: &Settings,
@@ -65,8 +65,8 @@
     closed
 }
 
-/// When a gatekeeper counts as notified of a change: when its list was written, and 6 s after its agent had it and could be
-/// reached at the latest. A process that has started since counts as notified when it serves, or as the others.
+/// When a gatekeeper counts as notified of a change: when the list was sent, and at the latest [`NOTIFIED_AFTER`] after its agent
+/// had it and was reachable. If a process has started since, only the latter holds.
 fn notified_at(history: &History, gatekeeper: GatekeeperIndex, change: usize, changed_at: Moment) -> Moment {
     let written = history
         .notifications
@@ -75,7 +75,7 @@
         .map(|notification| notification.at);
     let at_the_latest = reachable_since(history, gatekeeper, changed_at) + NOTIFIED_AFTER;
     let notified = written.map_or(at_the_latest, |written| written.min(at_the_latest));
-    // What an ended process was notified of, its successor is at its start.
+    // A process that starts later is notified anew.
     let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Started { .. });
     let restarted = history
         .processes
@@ -84,7 +84,7 @@
     if restarted { notified.max(at_the_latest) } else { notified }
 }
 
-/// From when on, after this moment, the agent could be reached for good.
+/// When the agent became reachable for at least [`NOTIFIED_AFTER`], not before this moment.
 fn reachable_since(history: &History, gatekeeper: GatekeeperIndex, from: Moment) -> Moment {
     let changes = history.discovery_changes.iter().filter(|change| change.gatekeeper == gatekeeper);
     let mut since = from;
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -1,5 +1,5 @@
-//! Processes: none ends unasked or panics, each ends with status 0 when it is told to, starts in time, and reports no broken
-//! invariant of its own.
+//! Processes: none exits without a request or panics, each exits with 0 on SIGTERM, serves in time, and logs no violation of its own
+//! invariants.
 
 use super::violation_by;
 use crate::history::{History, Moment, ProcessEvent, ProcessRecord};
@@ -8,7 +8,7 @@
 use fault_injection::process::ExitRequest;
 use std::time::Duration;
 
-/// A process serves within this.
+/// Maximum time until a process serves.
 const START_LIMIT: Duration = Duration::from_secs(10);
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -8,17 +8,18 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Quotas are judged over so long, after a second in which all learn.
+/// Length of the windows over which quotas are checked.
 const WINDOW: Duration = Duration::from_secs(5);
+/// Time in which gatekeepers learn the rates after a start or an outage of the counter.
 const LEARNING: Duration = Duration::from_millis(1_000);
-/// Of its rate a tenant may get this much over a window.
+/// Multiple of its rate that a tenant may get over a window.
 const RATE_FACTOR: f64 = 1.1;
-/// The same while gatekeepers lose the counter and have it again: what they spend meanwhile is estimated (issue 10).
+/// The same around outages of the counter, in which gatekeepers estimate what the others admit (issue 10).
 const RATE_FACTOR_IN_OUTAGES: f64 = 1.5;
-/// The rule on ceilings is wider by what their rate gives in this time.
+/// The bound of a ceiling is wider by its rate over this time.
 const CEILING_SLACK: Duration = Duration::from_millis(150);
 
-/// What a tenant got, in the order of time.
+/// Units that were admitted for a tenant.
 struct Use {
     at: Moment,
     units: f64,
@@ -42,7 +43,7 @@
         .collect()
 }
 
-/// Processes that start in a window each have a local share of a second's quota, and of a request at least.
+/// Each process that starts around a window may admit its local share of one second's quota, and at least one request.
 fn allowance_of_starts(history: &History, settings: &Settings, tenant: &Tenant, from: Moment) -> f64 {
     let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Ready);
     let starts = history
@@ -53,8 +54,8 @@
     starts.count() as f64 * share
 }
 
-/// Each gatekeeper that loses the counter, or has it again, may have spent a request of its local share that the others learn of
-/// late or never (docs/design/quotas.md).
+/// Each gatekeeper that loses or regains the counter may have admitted one request that the others learn of late or never
+/// (docs/design/quotas.md).
 fn allowance_of_counter_changes(history: &History, from: Moment) -> f64 {
     let is_near = |at: Moment| at + LEARNING > from && at < from + WINDOW;
     let changes = history.counter_changes.iter().filter(|(at, _)| is_near(*at));
@@ -102,7 +103,7 @@
     })
 }
 
-/// No window of any length holds more than the ceiling: the bucket, filled at its rate, never runs below nothing.
+/// A token bucket with the ceiling's rate and burst is never overdrawn by more than the slack.
 fn check_ceiling(history: &History, index: usize, tenant: &Tenant, uses: &[Use]) -> Option<Violation> {
     if tenant.ceiling_rate <= 0.0 {
         return None;
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -1,4 +1,4 @@
-//! Exactly one final answer for each request, in time; an error or a close for what never becomes whole.
+//! Requests: exactly one final answer in time; an error or a close for one that is never completed.
 
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
@@ -12,9 +12,9 @@
 const ACCEPTS_CONNECTIONS: &str = "a gatekeeper that serves takes connections";
 /// A request that never becomes complete gets an error or a close.
 const PARTIAL_REQUEST_ENDED: &str = "an error or a close for half a request";
-/// A request that never becomes whole has its error or close within this.
+/// Maximum time until a request that is never completed gets an error or a close.
 const PARTIAL_LIMIT: Duration = Duration::from_millis(3_000);
-/// Around a kill its connections end.
+/// Connections may end this long before or after the record of a kill.
 const KILL_MARGIN: Duration = Duration::from_millis(100);
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a backend gets that has just started, of all gatekeepers together.
+//! Slow start: the attempts that a backend gets after its start, from all gatekeepers together.
 
 use crate::history::{AttemptRecord, BackendIndex, History, Moment};
 use crate::settings::Settings;
@@ -6,10 +6,9 @@
 use fault_injection::stand_ins::ListedState;
 use std::time::Duration;
 
-/// A gatekeeper counts as notified of a start this long after it at the latest; within this time all are, on a day without fault
-/// at discovery.
+/// Time after a start by which all gatekeepers are notified of it while discovery is healthy.
 const NOTIFIED_WITHIN: Duration = Duration::from_millis(300);
-/// What a backend can take is judged by what the others get, and this much more: none is at its limit.
+/// The capacity of a backend is estimated as this multiple of what the others get on average, as none is at its limit.
 const CAPACITY_FACTOR: f64 = 1.25;
 
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
@@ -21,7 +20,7 @@
     history.attempts.iter().filter(move |attempt| attempt.arrived >= from && attempt.arrived < to)
 }
 
-/// The most that a budget of so many calls may be passed by chance.
+/// Number of attempts by which a budget may be exceeded by chance.
 fn chance(budget: f64) -> f64 {
     if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
 }
@@ -57,7 +56,7 @@
     None
 }
 
-/// Backends that are up and have been for long, in all of this time.
+/// Backends that are warm and up throughout this time.
 fn ready_backends(history: &History, settings: &Settings, from: Moment, to: Moment) -> Vec<BackendIndex> {
     let is_ready = |backend: &BackendIndex| {
         history.list_changes.iter().filter(|change| change.backend == *backend && change.at < to).all(
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: most send a request and wait for its answer; some leave early, never complete a request, or give it very little time.
+//! Clients. Most send a request and wait for its answer; some disconnect early, never complete a request, or set a very short deadline.
 
 use crate::gatekeeper::Gatekeeper;
 use crate::history::{PartialRequest, Recorder, RequestNumber, RequestOutcome, RequestRecord};
@@ -11,30 +11,30 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// How much longer than its time a client waits before it counts a request as unanswered.
+/// Time after the deadline of a request until its client counts it as unanswered.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// Within this a request that never becomes whole is owed an error or a close.
+/// Maximum wait for an error or a close after an incomplete request.
 const PARTIAL_TIMEOUT: Duration = Duration::from_millis(3_600);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a connection that was refused.
+/// Pause after a refused connection.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
-/// The mean pause between two requests of a client, in milliseconds.
+/// Mean pause between two requests of a client, in milliseconds.
 const MEAN_PAUSE_MS: f64 = 55.0;
-/// One in so many requests comes on a new connection.
+/// One request in this many is sent on a new connection.
 const NEW_CONNECTION_PERIOD: u32 = 6;
-/// Very little time, in milliseconds.
+/// Deadlines of hurried requests, in milliseconds.
 const SHORT_TIMES_MS: std::ops::Range<u64> = 2..60;
-/// Rates are parts of so many requests.
+/// Rates are out of this many requests.
 const RATE_SCALE: u64 = 1_000;
 
-/// How badly clients behave now; parts of a thousand requests.
+/// Rates of misbehaviour of all clients, out of [`RATE_SCALE`] requests.
 #[derive(Debug, Default)]
 pub struct Behaviour {
-    /// Leave before the answer.
+    /// Rate of requests whose client disconnects before the answer.
     pub leaving: AtomicU64,
-    /// Never become whole.
+    /// Rate of requests that are never completed.
     pub partial: AtomicU64,
-    /// Come with very little time.
+    /// Rate of requests with a very short deadline.
     pub hurried: AtomicU64,
     /// The schedule is over.
     pub is_over: AtomicBool,
@@ -50,9 +50,9 @@
     pub behaviour: Arc<Behaviour>,
     /// Serials of the gatekeeper's requests.
     pub serials: Arc<AtomicU32>,
-    /// Where it history.
+    /// Records its requests.
     pub recorder: Recorder,
-    /// Its draws.
+    /// Its random numbers.
     pub random: fastrand::Rng,
 }
 
@@ -63,7 +63,7 @@
     answered: u32,
 }
 
-/// A request as it is drawn.
+/// A request that is drawn and not yet sent.
 struct Draft {
     number: RequestNumber,
     class: usize,
@@ -73,7 +73,7 @@
     bytes: Vec<u8>,
 }
 
-/// What was read.
+/// The outcome of waiting for a reply.
 enum Reply {
     Text(String),
     Closed,
@@ -99,7 +99,7 @@
         self.random.u64(..RATE_SCALE) < rate
     }
 
-    /// Sends one request; returns the connection if that goes on.
+    /// Sends one request. Returns the connection if it can be reused.
     fn send_one(&mut self, connection: Option<Connection>) -> Option<Connection> {
         let draft = self.draft();
         let mut connection = match connection {
@@ -116,7 +116,7 @@
         let mut record = self.exchange(&mut connection, &draft, leaves_after)?;
         record.is_first_on_connection = is_first;
         if record.outcome == RequestOutcome::Closed && !is_first {
-            // A resting connection ended as the request came: it is sent once more on a new one.
+            // The idle connection was closed as the request was sent, so it is sent again on a new one.
             if let Some(mut other) = self.connect()
                 && let Some(mut again) = self.exchange(&mut other, &draft, None)
             {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Sends a request and waits for its answer. None where the connection ended before all was written.
+    /// Sends a request and waits for its answer. None if the connection ended before the request was written.
     fn exchange(
         &self,
         connection: &mut Connection,
@@ -289,7 +289,7 @@
     }
 }
 
-/// The text of a reply that has come whole.
+/// The text of a complete reply.
 fn complete_reply(received: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(received).ok()?;
     let (line, rest) = text.split_once("\r\n")?;
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -21,7 +21,7 @@
 const RELOAD_PAUSE: Duration = Duration::from_millis(60);
 /// Pause between two suspensions.
 const SUSPENSION_PAUSE: Duration = Duration::from_millis(300);
-/// Parts of a thousand requests of badly behaved clients.
+/// Rates of badly behaved clients, out of 1,000 requests.
 const LEAVING_RATE: u64 = 350;
 const PARTIAL_RATE: u64 = 40;
 const HURRIED_RATE: u64 = 400;
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -23,14 +23,14 @@
 /// The environment variable that enables a seeded fault in a build with the feature `weakened`.
 const SEEDED_FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
 
-/// The files that a gatekeeper's processes are started with.
+/// The program that gatekeepers run.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The gatekeeper's binary.
+    /// The binary.
     pub path: PathBuf,
-    /// The preloaded library.
+    /// The fault shim, which is preloaded.
     pub shim: PathBuf,
-    /// The fault that a build with seeded faults has.
+    /// The seeded fault that is enabled in a build with the feature `weakened`.
     pub seeded_fault: Option<String>,
 }
 
@@ -106,11 +106,11 @@
 /// A gatekeeper.
 #[derive(Debug)]
 pub struct Gatekeeper {
-    /// Its number.
+    /// Its index.
     pub index: GatekeeperIndex,
     /// Where its clients connect.
     pub address: SocketAddr,
-    /// The faults of its processes.
+    /// The control block of the fault shim in its processes.
     pub control: Control,
     program: Program,
     config_path: PathBuf,
@@ -123,7 +123,7 @@
 }
 
 impl Gatekeeper {
-    /// A gatekeeper without a process yet. Its files lie in this directory.
+    /// A gatekeeper without a process. Its files are written to a subdirectory of `directory`.
     ///
     /// # Errors
     ///
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened in a schedule, on one monotonic clock.
+//! The history of a run: typed records of each kind, all timed by one monotonic clock.
 
 use fault_injection::clock::ScheduleClock;
 use fault_injection::process::ExitRequest;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time since the schedule began.
+/// Time since the recorder was created.
 pub type Moment = Duration;
 
 /// Number of a gatekeeper, from 0.
@@ -21,11 +21,11 @@
 /// Number of a backend, from 0.
 pub type BackendIndex = usize;
 
-/// A request's number, unique in a schedule. It tells the gatekeeper that it was sent to.
+/// A request's number, unique in a run. It includes the gatekeeper that the request was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestNumber(pub u64);
 
-/// Bits of a request's number below those that tell its gatekeeper.
+/// Bits of a request's number below those of its gatekeeper.
 const SERIAL_BITS: u32 = 32;
 
 impl RequestNumber {
@@ -39,12 +39,12 @@
         (self.0 >> SERIAL_BITS) as usize
     }
 
-    /// As it stands on the wire.
+    /// The request id on the wire.
     pub fn text(self) -> String {
         format!("{:016x}", self.0)
     }
 
-    /// From the wire.
+    /// Parses a request id.
     pub fn parse(text: &str) -> Option<Self> {
         u64::from_str_radix(text, 16).ok().map(Self)
     }
@@ -53,92 +53,92 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The value of a backend, for this request.
+    /// With a backend's value for this request.
     Served,
-    /// A value that no backend gave for it.
+    /// With a value that no backend gave for it.
     WrongValue,
-    /// `-BUSY`.
+    /// With a rejection (`-BUSY`).
     Rejected,
-    /// Any other error.
+    /// With another error.
     Failed,
-    /// The gatekeeper ended the connection without an answer.
+    /// The gatekeeper closed the connection without an answer.
     Closed,
-    /// No answer by half a second after its time.
+    /// No answer within [`crate::client::ANSWER_GRACE`] after its deadline.
     Unanswered,
     /// The client closed the connection before its answer.
     Left,
 }
 
-/// A request that was sent whole.
+/// A request that was sent completely.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Its number.
     pub number: RequestNumber,
-    /// Its class and tenant, by number in the settings.
+    /// Its class, by index in the settings.
     pub class: usize,
-    /// Its tenant.
+    /// Its tenant, by index in the settings.
     pub tenant: usize,
-    /// Its cost.
+    /// The units that it takes.
     pub units: f64,
-    /// For how long its client waits.
+    /// Its deadline, from when it was sent.
     pub time: Duration,
     /// When its last byte was written.
     pub sent: Moment,
-    /// When the client had closed its connection, if it left.
+    /// When the client closed its connection, if it did so before the answer.
     pub left: Option<Moment>,
     /// When it ended for the client.
     pub ended: Moment,
-    /// How.
+    /// How it ended.
     pub outcome: RequestOutcome,
-    /// It was the first on its connection.
+    /// Whether it was the first on its connection.
     pub is_first_on_connection: bool,
-    /// It was sent once more on a new connection, as a resting one had ended.
+    /// Whether it was sent again on a new connection because an idle one had been closed.
     pub was_resent: bool,
 }
 
 /// How an attempt ended at its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Not yet.
+    /// It is in flight.
     Open,
     /// Its value was written.
     Served,
-    /// An error was written: it may have run.
+    /// An error was written. The request may have run.
     Failed,
-    /// Rejected: it never ran.
+    /// A rejection was written. The request never ran.
     Rejected,
     /// The connection ended first.
     Closed,
 }
 
-/// An attempt that came whole to a backend.
+/// An attempt that arrived completely at a backend.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
     /// Its request.
     pub request: RequestNumber,
-    /// Its backend, and how often that had started.
+    /// The backend.
     pub backend: BackendIndex,
     /// When its first byte was read.
     pub began: Moment,
     /// When its last byte was read.
     pub arrived: Moment,
-    /// The time that it said its client has left.
+    /// The time left until the deadline, as stated in the attempt.
     pub time_left: Duration,
-    /// When it ended; none while it is out.
+    /// When it ended; none while it is in flight.
     pub ended: Option<Moment>,
     /// How it ended.
     pub outcome: AttemptOutcome,
 }
 
-/// What happened to a gatekeeper.
+/// What happened to a process of a gatekeeper.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProcessEvent {
-    /// A process was started, with the wall clock so many microseconds ahead.
+    /// It was started.
     Started {
-        /// The offset.
+        /// Offset of its wall clock in microseconds.
         clock_offset_us: i64,
     },
-    /// It serves.
+    /// It began to serve.
     Ready,
     /// SIGTERM was sent.
     Terminated,
@@ -151,17 +151,17 @@
         /// How the harness had asked for it.
         request: ExitRequest,
     },
-    /// It was suspended, and continued at this moment.
+    /// It was resumed after a suspension.
     Suspended {
-        /// Since when.
+        /// When it was suspended.
         from: Moment,
     },
-    /// It reported a broken invariant.
+    /// It logged a violation of one of its invariants.
     Violation {
         /// The log line.
         line: String,
     },
-    /// It wrote of a panic.
+    /// It panicked.
     Panicked {
         /// The log line.
         line: String,
@@ -171,63 +171,63 @@
 /// A process event with its time.
 #[derive(Clone, Debug)]
 pub struct ProcessRecord {
-    /// When.
+    /// When it happened.
     pub at: Moment,
-    /// Of which gatekeeper.
+    /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
-    /// Which of its processes, from 0.
+    /// The number of its process, from 0.
     pub process: usize,
-    /// What.
+    /// What happened.
     pub event: ProcessEvent,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// When discovery had it.
+    /// When the list changed.
     pub at: Moment,
-    /// Of which backend.
+    /// The backend that changed.
     pub backend: BackendIndex,
     /// Its state from then on.
     pub state: ListedState,
-    /// It had started just before.
+    /// Whether it had just started.
     pub has_started: bool,
 }
 
-/// A discovery agent became reachable, or not.
+/// A discovery agent became reachable or unreachable.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryChange {
-    /// When.
+    /// When it changed.
     pub at: Moment,
-    /// Whose agent.
+    /// The gatekeeper whose agent it is.
     pub gatekeeper: GatekeeperIndex,
     /// Whether it answers from then on.
     pub is_reachable: bool,
 }
 
-/// A list was written to a gatekeeper.
+/// A list update was sent to a gatekeeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
-    /// When.
+    /// When it was sent.
     pub at: Moment,
-    /// To which gatekeeper.
+    /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
-    /// How many changes of the list it included.
+    /// Number of changes of the list so far, all of which it includes.
     pub changes: usize,
 }
 
-/// A client that did not complete its request, and when its connection ended.
+/// A request that its client never completed.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialRequest {
-    /// To which gatekeeper.
+    /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
-    /// When it stopped sending.
+    /// When the client stopped sending.
     pub stopped: Moment,
-    /// When it had an error or a close; none if neither came in time.
+    /// When the client got an error or a close; none if neither came in time.
     pub ended: Option<Moment>,
 }
 
-/// Everything that was recorded.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// When the schedule began: all processes served by then.
@@ -242,19 +242,19 @@
     pub list_changes: Vec<ListChange>,
     /// Discovery agents.
     pub discovery_changes: Vec<DiscoveryChange>,
-    /// When so many gatekeepers lost the counter, or had it again.
+    /// When the counter became unreachable or reachable, and for how many gatekeepers.
     pub counter_changes: Vec<(Moment, usize)>,
     /// Lists that were written.
     pub notifications: Vec<Notification>,
-    /// Requests that never became whole.
+    /// Requests that were never completed.
     pub partial_requests: Vec<PartialRequest>,
     /// Refused connections to a gatekeeper.
     pub refusals: Vec<(Moment, GatekeeperIndex)>,
-    /// When this harness itself was late, and by how much.
+    /// Scheduling delays of the harness itself, at their ends.
     pub delays: Vec<(Moment, Duration)>,
 }
 
-/// A history that many threads record into.
+/// Collects a history from all threads. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     clock: ScheduleClock,
@@ -278,12 +278,12 @@
         self.clock
     }
 
-    /// Changes the history.
+    /// Adds to the history.
     pub fn record<R>(&self, change: impl FnOnce(&mut History) -> R) -> R {
         change(&mut lock(&self.history))
     }
 
-    /// History an attempt that came whole; returns its place.
+    /// Records an attempt that has arrived completely. Returns its index.
     pub fn begin_attempt(&self, attempt: AttemptRecord) -> usize {
         self.record(|history| {
             history.attempts.push(attempt);
@@ -291,7 +291,7 @@
         })
     }
 
-    /// History the end of an attempt.
+    /// Records the end of the attempt with this index.
     pub fn end_attempt(&self, place: usize, outcome: AttemptOutcome) {
         let now = self.now();
         self.record(|history| {
@@ -302,7 +302,7 @@
         });
     }
 
-    /// A copy of all history.
+    /// A copy of the history so far.
     pub fn snapshot(&self) -> History {
         lock(&self.history).clone()
     }
--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules: which faults begin when, drawn from the seed. Several overlap.
+//! Schedules of overlapping faults, drawn from a seed.
 
 use crate::history::{BackendIndex, GatekeeperIndex};
 use crate::settings::Settings;
@@ -6,11 +6,11 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Faults of a schedule for each second of it.
+/// Mean number of faults that begin in a second.
 const FAULTS_PER_SECOND: f64 = 1.6;
-/// Before this nothing happens, so that buckets and rates are known.
+/// Time before the first fault, in which token buckets and rate estimates settle.
 const QUIET_START: Duration = Duration::from_millis(1_500);
-/// How long before the end the last fault begins.
+/// Time between the begin of the last fault and the end of the schedule.
 const QUIET_END: Duration = Duration::from_millis(3_000);
 /// Steps of a wall clock, in seconds.
 const CLOCK_STEPS_S: [i64; 6] = [3_600, -3_600, 5, -5, 2, 40_000];
@@ -21,11 +21,11 @@
 /// Faults of a gatekeeper's system calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFaults {
-    /// `accept`, `socket` and `connect` fail at times.
+    /// Some calls of `accept`, `socket` and `connect` fail.
     Sockets,
-    /// Reads and writes take a part, and calls are interrupted.
+    /// Reads and writes are short, and some calls are interrupted.
     ShortTransfers,
-    /// Connections to others break at times.
+    /// Some outbound connections break.
     BrokenConnections,
     /// Every `connect` fails.
     NoConnections,
@@ -33,57 +33,57 @@
     Disk,
 }
 
-/// How a process ends whose place another one takes.
+/// How a gatekeeper's process is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartKind {
-    /// By SIGTERM.
+    /// It gets SIGTERM, and the next one starts after its exit.
     Graceful,
-    /// By SIGKILL.
+    /// It gets SIGKILL, and the next one starts after its exit.
     Crash,
-    /// The new one is started first, and the old one hands over.
+    /// Its successor is started first and takes over from it.
     Upgrade,
 }
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A gatekeeper's process is replaced; the new one starts with its wall clock so far off.
+    /// A gatekeeper's process is replaced by one with another wall clock offset.
     Restart {
-        /// Of which gatekeeper.
+        /// The gatekeeper.
         gatekeeper: GatekeeperIndex,
-        /// How the old one ends.
+        /// How the process is replaced.
         kind: RestartKind,
-        /// Microseconds that the clock is ahead.
+        /// Offset of the new process's wall clock in microseconds.
         clock_offset_us: i64,
     },
     /// The wall clock of a running process is stepped.
     ClockStep {
-        /// Whose.
+        /// The gatekeeper.
         gatekeeper: GatekeeperIndex,
-        /// Microseconds that it is ahead.
+        /// New offset of the wall clock in microseconds.
         clock_offset_us: i64,
     },
-    /// A gatekeeper gets new configurations in quick succession.
+    /// A gatekeeper reloads its configuration several times in quick succession.
     Reloads {
-        /// Which.
+        /// The gatekeeper.
         gatekeeper: GatekeeperIndex,
-        /// How many.
+        /// Number of reloads.
         count: u32,
     },
     /// A gatekeeper is suspended several times.
     Suspensions {
-        /// Which.
+        /// The gatekeeper.
         gatekeeper: GatekeeperIndex,
-        /// How often.
+        /// Number of suspensions.
         count: u32,
     },
     /// System calls of some gatekeepers fail.
     Calls {
-        /// The first of them; every so many-th follows.
+        /// The first affected gatekeeper; every `step`-th after it is affected too.
         first: GatekeeperIndex,
-        /// See `first`.
+        /// Distance between two affected gatekeepers.
         step: usize,
-        /// Which calls.
+        /// The calls that fail.
         faults: CallFaults,
     },
     /// The discovery agents of some gatekeepers fail.
@@ -92,75 +92,75 @@
         first: GatekeeperIndex,
         /// See [`Fault::Calls`].
         step: usize,
-        /// How.
+        /// How it fails.
         mode: DiscoveryMode,
     },
     /// The counter fails.
     Counter {
-        /// How.
+        /// How it fails.
         mode: CounterMode,
     },
     /// A backend fails.
     Backend {
-        /// Which.
+        /// The backend.
         backend: BackendIndex,
-        /// How.
+        /// How it fails.
         mode: BackendMode,
     },
-    /// A backend drains, and takes work again after the fault.
+    /// A backend is listed as draining, and as up again after the fault.
     Drain {
-        /// Which.
+        /// The backend.
         backend: BackendIndex,
     },
-    /// A backend leaves the list, and is back after the fault without a restart.
+    /// A backend is removed from the list, and listed again after the fault without a restart.
     Removal {
-        /// Which.
+        /// The backend.
         backend: BackendIndex,
     },
     /// A backend restarts.
     BackendRestart {
-        /// Which.
+        /// The backend.
         backend: BackendIndex,
     },
-    /// Clients leave early.
+    /// Clients disconnect before the answer.
     Leaving,
     /// Clients do not complete requests.
     PartialRequests,
-    /// Requests come with very little time.
+    /// Clients set very short deadlines.
     HurriedRequests,
-    /// Idle clients take a gatekeeper's descriptors.
+    /// Idle connections use up a gatekeeper's descriptors.
     IdleCrowd {
-        /// Whose.
+        /// The gatekeeper.
         gatekeeper: GatekeeperIndex,
     },
 }
 
-/// A fault with its time.
+/// A fault and when it is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// When it begins, from the begin of the schedule.
     pub at: Duration,
-    /// How long it lasts.
+    /// Its duration.
     pub length: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A schedule.
+/// The faults of one run, and the settings of its site.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     /// The seed that it is drawn from.
     pub seed: u64,
-    /// How long it lasts.
+    /// Its duration.
     pub length: Duration,
-    /// The site.
+    /// The settings of the site.
     pub settings: Settings,
-    /// Its faults in the order in which they begin.
+    /// Its faults in the order of their begins.
     pub faults: Vec<PlannedFault>,
 }
 
 impl Schedule {
-    /// The schedule of a seed.
+    /// Draws the schedule of a seed. The same seed always gives the same schedule.
     pub fn draw(seed: u64, gatekeepers: usize, length: Duration) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let settings = Settings::draw(&mut random, gatekeepers);
@@ -181,7 +181,7 @@
 
 fn draw_length(random: &mut fastrand::Rng, fault: Fault) -> Duration {
     let range = match fault {
-        // As long as the operators' page tells of: connects that fail for 2 s.
+        // The operators' page has connects that fail for 2 s.
         Fault::Calls { faults: CallFaults::NoConnections, .. } => 500..2_000,
         Fault::Drain { .. } | Fault::Removal { .. } => 3_000..6_000,
         _ => 800..4_000,
@@ -189,7 +189,7 @@
     Duration::from_millis(random.u64(range))
 }
 
-/// The offset of a wall clock: mostly none.
+/// Draws the offset of a wall clock, which is 0 in two of three cases.
 fn draw_offset(random: &mut fastrand::Rng) -> i64 {
     if random.u32(..3) > 0 {
         0
--- a/crates/platform_soak/src/settings.rs
+++ b/crates/platform_soak/src/settings.rs
@@ -5,17 +5,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a repeat of a class may do.
+/// Which retries the effect of a class permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated.
+    /// Any: requests are idempotent.
     Idempotent,
-    /// Nothing within the window of its key.
+    /// Those within the window of the idempotency key.
     Keyed {
         /// The window.
         window: Duration,
     },
-    /// It may be repeated only if it surely never ran.
+    /// Only those after an attempt that certainly never ran.
     Unsafe,
 }
 
@@ -24,7 +24,7 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// How long its clients usually wait.
+    /// The usual deadline of its requests.
     pub deadline: Duration,
     /// Its effect.
     pub effect: Effect,
@@ -37,46 +37,46 @@
     pub number: u64,
     /// Units a second.
     pub rate: f64,
-    /// Units that its bucket holds.
+    /// Burst in units.
     pub burst: f64,
-    /// Units a second that are never passed; 0 for none.
+    /// Hard ceiling in units a second; 0 for none.
     pub ceiling_rate: f64,
-    /// Units that the ceiling's bucket holds.
+    /// Burst of the hard ceiling in units.
     pub ceiling_burst: f64,
-    /// Its part of the requests.
+    /// Its share of the requests.
     pub part: f64,
 }
 
 /// The settings of a site.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many gatekeepers there are.
+    /// Number of gatekeepers.
     pub gatekeepers: usize,
-    /// How many backends.
+    /// Number of backends.
     pub backends: usize,
     /// The classes.
     pub classes: Vec<Class>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// How long attempts may still begin at a backend that is notified as draining.
+    /// Time in which attempts may still begin at a draining backend after the notification.
     pub drain_grace: Duration,
-    /// Slow start: the share at the start, and how long it takes.
+    /// Share of the load that a backend gets at the begin of its slow start.
     pub cold_share: f64,
-    /// See `cold_share`.
+    /// Duration of the slow start.
     pub cold_time: Duration,
-    /// A backend in slow start falls at so many times what it can take, over this time.
+    /// A backend in slow start is overloaded by this multiple of its capacity over `overload_time`.
     pub overload_factor: f64,
     /// See `overload_factor`.
     pub overload_time: Duration,
-    /// Time-out of connecting.
+    /// Timeout of a connect.
     pub connect_timeout: Duration,
-    /// Attempts of one request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Hedged requests are allowed.
+    /// Whether requests may be hedged.
     pub hedging: bool,
 }
 
-/// Addresses that a gatekeeper is told.
+/// Addresses in a gatekeeper's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// Where it listens.
@@ -87,7 +87,7 @@
     pub counter: SocketAddr,
 }
 
-/// Descriptors of a gatekeeper.
+/// Maximum number of sockets of a gatekeeper.
 pub const MAX_SOCKETS: usize = 512;
 /// Units of the largest request.
 pub const MAX_UNITS: f64 = 4.0;
@@ -97,7 +97,7 @@
 }
 
 impl Settings {
-    /// Settings for so many gatekeepers.
+    /// Draws the settings of a site with this number of gatekeepers.
     pub fn draw(random: &mut fastrand::Rng, gatekeepers: usize) -> Self {
         let deadline = |random: &mut fastrand::Rng| Duration::from_millis(random.u64(400..1_600));
         let window = Duration::from_millis(random.u64(400..2_000));
@@ -175,7 +175,7 @@
         "group": "all", "key-ttl-us": window_us, "worth": 1.0})
 }
 
-/// Two tenants press on their quotas, one on its hard ceiling; the others have plenty.
+/// Two tenants exceed their quotas, one its hard ceiling; the others stay below theirs.
 fn draw_tenants(random: &mut fastrand::Rng, gatekeepers: usize) -> Vec<Tenant> {
     let base = 0x0b4d_0000 + random.u64(..0x1000);
     let scale = gatekeepers as f64;
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -17,18 +17,18 @@
 
 /// Clients of each gatekeeper.
 const CLIENTS: usize = 4;
-/// SIGKILL follows SIGTERM no sooner than after the longest deadline and this.
+/// A process is killed if it has not exited within the longest deadline and this time after SIGTERM.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The heartbeat by which this harness notices that it runs late.
+/// Interval of the heartbeat that measures the harness's own scheduling delay.
 const HEARTBEAT: Duration = Duration::from_millis(5);
-/// A heartbeat that is later than this is recorded.
+/// Minimum scheduling delay that is recorded.
 const NOTABLE_DELAY: Duration = Duration::from_millis(15);
 
 /// The site of one schedule.
 pub struct Site {
     /// Its settings.
     pub settings: Arc<Settings>,
-    /// What happens.
+    /// Collects the history.
     pub recorder: Recorder,
     /// Its gatekeepers.
     pub gatekeepers: Vec<Arc<Gatekeeper>>,
@@ -116,13 +116,13 @@
         Ok(())
     }
 
-    /// After this from SIGTERM on a process may be killed.
+    /// Time after SIGTERM at which a process that has not exited is killed.
     pub fn kill_after(&self) -> Duration {
         let deadlines = self.settings.classes.iter().map(|class| class.deadline);
         deadlines.max().unwrap_or_default() + KILL_MARGIN
     }
 
-    /// Ends the clients, and then the gatekeepers.
+    /// Stops the clients, and then the gatekeepers.
     pub fn stop(&self) {
         self.behaviour.is_over.store(true, Ordering::Relaxed);
         for client in lock(&self.clients).drain(..) {
@@ -140,7 +140,7 @@
     }
 }
 
-/// History when this harness itself gets the processor late.
+/// Records the harness's own scheduling delays.
 fn start_heartbeat(recorder: &Recorder) -> io::Result<()> {
     let recorder = recorder.clone();
     // It ends with the process: a schedule leaves nothing else behind.
--- a/crates/platform_soak/src/stand_ins.rs
+++ b/crates/platform_soak/src/stand_ins.rs
@@ -12,11 +12,11 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The system gives ports above these to clients' sockets.
+/// Ports of listeners, below those that the system gives to clients' sockets.
 const PORTS: std::ops::Range<u16> = 12_000..30_000;
 
-/// An address on loopback at which nobody listens, and that nobody else is given: gatekeepers share their ports with whoever asks
-/// for that. Each process of a harness has a loopback address of its own.
+/// A loopback address without a listener. No other call and no other process of a harness gets the same one: gatekeepers set
+/// `SO_REUSEPORT`, so a bind does not fail where two share a port.
 ///
 /// # Errors
 ///
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,4 +1,4 @@
-//! A backend: it serves each request after a few milliseconds, and can be made to fail in the ways that backends do.
+//! A backend, which answers each request after a few milliseconds and can be made to fail in several ways.
 
 use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, Moment, Recorder, RequestNumber};
 use fault_injection::connections::{is_temporary, keep_silent_for, reset_on_close};
@@ -12,24 +12,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a request takes, in microseconds.
+/// Service time of a request, in microseconds.
 const WORK_US: Range<u64> = 2_000..9_000;
-/// How much longer it takes at a slow backend.
+/// Additional service time of a slow backend.
 const SLOW_WORK: Duration = Duration::from_millis(120);
-/// After how long an idle connection ends where the backend closes or forgets them.
+/// Time after which a connection counts as idle.
 const SHORT_IDLE: Duration = Duration::from_millis(60);
-/// How long a connection is kept that nobody ends.
+/// Maximum time for which a connection is kept without an answer.
 const LONGEST_WAIT: Duration = Duration::from_secs(30);
-/// How often a listener that refuses looks whether it may listen again.
+/// Interval at which the listener checks its mode and accepts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The place of the request's id and of its values in a command.
+/// Index of the request's id among the arguments of a command.
 const ID: usize = 2;
+/// Index of its values.
 const VALUES: usize = 3;
 
 /// How a backend behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendMode {
-    /// It serves.
+    /// It serves requests.
     #[default]
     Healthy,
     /// It serves late.
@@ -40,17 +41,17 @@
     Failing,
     /// It rejects.
     Rejecting,
-    /// It resets the connection of each other request while it runs.
+    /// It resets the connections of about half of the requests.
     Resetting,
-    /// It ends each other answer in its middle.
+    /// It closes the connections of about half of the requests within the answer.
     Truncating,
     /// It closes idle connections early.
     ClosingIdle,
     /// It resets idle connections early.
     ResettingIdle,
-    /// It forgets idle connections: what is written to them gets no answer.
+    /// It stops answering on idle connections.
     ForgettingIdle,
-    /// Its machine refuses connections, and resets those that were open.
+    /// Its host refuses connections and resets open ones.
     Refusing,
 }
 
@@ -65,7 +66,7 @@
 #[derive(Clone)]
 pub struct Backend(Arc<Shared>);
 
-/// A request as it came.
+/// A request that has arrived.
 struct Received {
     number: RequestNumber,
     began: Moment,
@@ -73,7 +74,7 @@
 }
 
 impl Backend {
-    /// Listens here.
+    /// Listens at this address.
     ///
     /// # Errors
     ///
@@ -92,7 +93,7 @@
         Ok(backend)
     }
 
-    /// Behaves like this from now on.
+    /// Changes how it behaves.
     pub fn set_mode(&self, mode: BackendMode) {
         *lock(&self.0.mode) = mode;
         if mode == BackendMode::Refusing {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Waits for the next command on an idle connection. Returns whether the connection goes on.
+    /// Waits for the next command on an idle connection. Returns whether the connection is kept.
     fn wait_for_command(&self, stream: &TcpStream) -> io::Result<bool> {
         loop {
             stream.set_read_timeout(Some(SHORT_IDLE))?;
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Reads one command; none where the connection ends first.
+    /// Reads one command; none if the connection ends first.
     fn read(&self, commands: &mut BufReader<TcpStream>, stream: &TcpStream) -> io::Result<Option<Received>> {
         stream.set_read_timeout(None)?;
         if commands.fill_buf()?.is_empty() {
@@ -194,7 +195,7 @@
         Ok(number.zip(time_left).map(|(number, time_left)| Received { number, began, time_left }))
     }
 
-    /// Answers a request. Returns whether the connection goes on.
+    /// Answers a request. Returns whether the connection is kept.
     fn answer(&self, stream: &TcpStream, received: Received, random: &mut fastrand::Rng) -> io::Result<bool> {
         let recorder = &self.0.recorder;
         let Received { number, began, time_left } = received;
@@ -233,14 +234,14 @@
             }
             _ => (value, AttemptOutcome::Served),
         };
-        // Before it is written: its gatekeeper may send the next one at once.
+        // Recorded before it is written, as the gatekeeper may send the next attempt at once.
         recorder.end_attempt(place, outcome);
         (&mut &*stream).write_all(&bytes)?;
         Ok(outcome != AttemptOutcome::Closed)
     }
 }
 
-/// Whether the other side ends its connection within this time.
+/// Whether the peer closes the connection within this time.
 fn has_ended(stream: &TcpStream, time: Duration) -> io::Result<bool> {
     stream.set_read_timeout(Some(time))?;
     match stream.peek(&mut [0]) {
@@ -250,7 +251,7 @@
     }
 }
 
-/// The time that a list of values gives as `d`.
+/// The value `d` of a list of values: the time until the deadline.
 fn milliseconds(values: &str) -> Option<Duration> {
     let text = values.split(',').find_map(|value| value.strip_prefix("d="))?;
     text.parse().ok().map(Duration::from_millis)
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -28,7 +28,7 @@
     /// At once.
     #[default]
     Healthy,
-    /// It begins its answers late.
+    /// It delays its answers.
     Slow,
     /// Open watches and new ones get nothing.
     Silent,
@@ -45,7 +45,7 @@
 }
 
 impl SharedList {
-    /// Lists these backends, which were started long ago.
+    /// A list of backends that started long ago.
     pub fn new(addresses: &[SocketAddr], recorder: &Recorder) -> Self {
         let ids = (0..addresses.len()).map(backend_id);
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Changes a backend's state. `has_started`: it has just started.
+    /// Changes a backend's state and records that. `has_started` tells whether the backend has just started.
     pub fn change(&self, backend: BackendIndex, state: ListedState, has_started: bool) {
         self.endpoints.change(&backend_id(backend), ListedChange { state, has_started }, || {
             let change = ListChange { at: self.recorder.now(), backend, state, has_started };
@@ -78,7 +78,7 @@
 }
 
 impl Discovery {
-    /// Listens here for a gatekeeper.
+    /// Listens at this address for a gatekeeper.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
         Ok(discovery)
     }
 
-    /// Answers like this from now on.
+    /// Changes how it answers.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         *lock(&self.mode) = mode;
         let is_reachable = mode == DiscoveryMode::Healthy;
@@ -159,7 +159,7 @@
     }
 }
 
-/// The index of a request for a watch.
+/// The index in the target of a watch request.
 fn index_of(target: &str) -> u64 {
     target.split_once("index=").and_then(|(_, index)| index.parse().ok()).unwrap_or(0)
 }
