--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -1,6 +1,6 @@
 //! Injects the faults of a schedule, each in a thread of its own.
 
-use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule, suspension};
+use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule};
 use crate::settings::MAX_SOCKETS;
 use crate::site::Site;
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
@@ -19,6 +19,8 @@
 const CRASH_DOWN_TIME: Duration = Duration::from_millis(150);
 /// Pause between two configurations in quick succession.
 const RELOAD_PAUSE: Duration = Duration::from_millis(60);
+/// Length of a suspension. Gatekeepers are specified for scheduling delays of up to 0.15 s.
+const SUSPENSION: Duration = Duration::from_millis(140);
 /// Pause between two suspensions.
 const SUSPENSION_PAUSE: Duration = Duration::from_millis(300);
 /// Rates of badly behaved clients, out of 1,000 requests.
@@ -80,7 +82,7 @@
         }
         Fault::Suspensions { gatekeeper, count } => {
             for _ in 0..count {
-                site.gatekeepers[gatekeeper].suspend(suspension());
+                site.gatekeepers[gatekeeper].suspend(SUSPENSION);
                 thread::sleep(SUSPENSION_PAUSE);
             }
         }
