--- a/crates/fault_injection/src/checkers/ceilings.rs
+++ b/crates/fault_injection/src/checkers/ceilings.rs
@@ -40,7 +40,7 @@
 /// No tenant passes its hard ceiling, counted where first attempts arrive, by more than the slack.
 pub fn hard_ceilings(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let begin_us = history.first().map_or(0, |record| record.at_us);
-    // An attempt under way is seen late by so much; over a degraded link for as long as its sender waits.
+    // How late an attempt may be recorded at its backend: over a degraded link up to the deadline.
     let is_degraded =
         history.iter().any(|r| matches!(r.observation, Observation::Fault { delays_attempts: true, .. }));
     let late_ms = bounds.tolerance_ms + if is_degraded { bounds.deadline_ms } else { 0 };
--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -82,8 +82,7 @@
         }
     }
 
-    /// A fault that ended after the backend began to drain excuses what comes while it lasts, and for as long after its end as
-    /// would be allowed anyway.
+    /// A fault that ended after the backend began to drain excuses attempts until the usual bounds after its end.
     fn is_excused(&self, gatekeeper: &str, since_us: u64, at_us: u64) -> bool {
         let bounds = self.bounds;
         let after_us = (bounds.drain_ms + bounds.tolerance_ms + bounds.deadline_ms) * 1_000;
--- a/crates/fault_injection/src/checkers/fault_spans.rs
+++ b/crates/fault_injection/src/checkers/fault_spans.rs
@@ -1,9 +1,9 @@
-//! When faults were on, and what they excuse.
+//! When faults were active, and which gatekeepers they affected.
 
 use crate::history::{Observation, Record, Span};
 use std::collections::HashMap;
 
-/// A fault from its begin to its end.
+/// The span in which a fault was active.
 #[derive(Clone, Debug)]
 pub(super) struct FaultSpan<'a> {
     pub(super) span: Span,
@@ -13,7 +13,7 @@
     pub(super) delays_attempts: bool,
 }
 
-/// All faults of a history. One that never ends lasts for ever.
+/// All faults of a history. One without an end is active for ever.
 pub(super) fn fault_spans(history: &[Record]) -> Vec<FaultSpan<'_>> {
     let mut open = HashMap::new();
     let mut all = Vec::new();
@@ -34,7 +34,7 @@
     all
 }
 
-/// When each gatekeeper's clients may miss an answer.
+/// The spans in which each gatekeeper's clients may miss answers.
 pub(super) struct AffectedSpans<'a>(HashMap<&'a str, Vec<Span>>);
 
 impl<'a> AffectedSpans<'a> {
--- a/crates/fault_injection/src/checkers/token_bucket.rs
+++ b/crates/fault_injection/src/checkers/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A token bucket that is charged for what was admitted. Its level falls below 0 by what passed its rate and burst.
+/// A token bucket that is charged for admitted units. A level below 0 is the excess over its rate and burst.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     units_per_second: f64,
--- a/crates/fault_injection/src/error.rs
+++ b/crates/fault_injection/src/error.rs
@@ -1,5 +1,4 @@
-//! What can go wrong in the harness itself. A rule that a gatekeeper breaks is no error, but a
-//! [`Violation`](crate::checkers::Violation).
+//! Errors of the harness itself. A rule that a gatekeeper breaks is not an error but a [`Violation`](crate::checkers::Violation).
 
 use crate::schedule::MAX_NODES;
 use std::io;
--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -17,10 +17,10 @@
     Failed,
     /// With the answer to another request.
     Foreign,
-    /// The connection ended, or nothing came for as long as the client waits.
+    /// The connection ended, or the client's timeout elapsed.
     #[serde(rename = "broken")]
     Unanswered,
-    /// Nobody accepted it: the connection did not come up, or was closed before the request was read.
+    /// The connection was not accepted, or was closed before the request was read.
     #[serde(rename = "untaken")]
     NotAccepted,
 }
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -1,11 +1,14 @@
-//! Fault injection: several real gatekeepers on loopback with faults between them, a history of what they did, and checkers of
-//! the rules.
+//! Fault injection: several real gatekeepers on loopback with faults between them, a history of each run, and checkers of the
+//! rules.
 //!
 //! [`site`] starts gatekeepers and the stand-ins around them; all that one node sends to another passes a link of [`network`].
 //! A [`schedule`] says which faults come when; the [`runner`] injects them under the steady load of [`load`] and judges the
 //! [`history`] by the pure functions of [`checkers`]. docs/design/faults.md has the reasons.
 //!
-//! The harness needs no privileges and stays on 127.0.0.0/8, where each site takes a network of its own.
+//! The parts that other harnesses share are [`process`], [`connections`], [`clock`], [`wire`], the core of [`stand_ins`], and
+//! [`checkers::rules`]; the package `platform_soak` builds sites of its own on them.
+//!
+//! The harness needs no privileges and stays on 127.0.0.0/8, where each site reserves a network.
 
 pub mod builds;
 pub mod checkers;
--- a/crates/fault_injection/src/load.rs
+++ b/crates/fault_injection/src/load.rs
@@ -19,7 +19,7 @@
     pub id: u64,
     /// Its plan.
     pub plan: &'static str,
-    /// A client waits so long between two requests for each gatekeeper of the site: with more gatekeepers each gets fewer.
+    /// Mean interval between two requests of the tenant at all gatekeepers together.
     pub request_interval: Duration,
 }
 
@@ -27,8 +27,8 @@
     Tenant { name, id, plan, request_interval: Duration::from_millis(interval_ms) }
 }
 
-/// The tenants: three that keep to their quotas, two far beyond them, and one whose quota is never in the way, for requests
-/// that tell whether all is well.
+/// The tenants: three that keep to their quotas, two far beyond them, and one whose quota is never exhausted, for requests
+/// that show whether a gatekeeper serves.
 pub const TENANTS: [Tenant; 6] = [
     tenant("calm-0", 10, "basic", 120),
     tenant("calm-1", 11, "basic", 120),
@@ -37,10 +37,10 @@
     tenant("greedy-1", 14, "standard", 12),
     tenant("free", 15, "free", 60),
 ];
-/// Of [`TENANTS`], the one whose quota is never in the way.
+/// The tenant of [`TENANTS`] whose quota is never exhausted.
 pub const UNLIMITED_TENANT: Tenant = TENANTS[5];
 
-/// Before a client calls again where nobody accepted its request.
+/// Time until a client retries after a request that was not accepted.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the clients of one gatekeeper: a thread for each tenant, until the load is over.
--- a/crates/fault_injection/src/load/client.rs
+++ b/crates/fault_injection/src/load/client.rs
@@ -11,16 +11,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A client gives up after this; an answer so late has broken its rule long before.
+/// Timeout of a client, far beyond the bound for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection that does not come up within this never does: the way to the gatekeeper is cut.
+/// Timeout of a connect. On loopback only a cut link takes longer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Every so many requests one is large.
+/// One request in this many is large.
 const LARGE_REQUEST_EVERY: u64 = 5;
 const LARGE_REQUEST_UNITS: f64 = 4.0;
 const SMALL_REQUEST_UNITS: f64 = 1.0;
 
-/// What all clients of a site share.
+/// Settings of all clients of a site.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
     /// The protocol that they speak.
--- a/crates/fault_injection/src/network.rs
+++ b/crates/fault_injection/src/network.rs
@@ -1,5 +1,4 @@
-//! Links between nodes. All that one node sends to another passes a link here, and each direction of each pair can be
-//! degraded alone.
+//! Links between nodes. All traffic between two nodes passes a link, and each direction of each pair can be degraded alone.
 
 mod backlog;
 mod datagram_link;
@@ -22,12 +21,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a thread that waits looks whether its link is closed or the network has ended.
+/// Interval at which a waiting thread checks whether its link is closed or the network is shut down.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A connection that comes up at all on loopback does so within this.
+/// Timeout of a connect on loopback.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What links have carried and dropped so far.
+/// Traffic counters of all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes carried.
@@ -65,13 +64,13 @@
     delayed: DelayQueue,
     /// The node that sends datagrams from an address.
     senders: Mutex<HashMap<SocketAddr, NodeId>>,
-    /// Clients whose connection nobody accepted behind the link.
+    /// Clients whose connection was refused behind the link.
     refused: Mutex<HashSet<SocketAddr>>,
     backlogs: Mutex<Vec<Arc<Backlog>>>,
     /// Connections that fill the backlog of a link that is cut, by where it listens and where they come from: one port may
     /// lead to several links. Each is kept until it is accepted, since a port that is free again may be a client's next.
     fillers: Mutex<HashMap<(SocketAddr, SocketAddr), TcpStream>>,
-    /// Where threads accept connections, to be woken at the end.
+    /// Addresses of accepting threads, which are woken by a connection at the shutdown.
     listening: Mutex<Vec<SocketAddr>>,
     counters: TrafficCounters,
     next_seed: AtomicU64,
@@ -131,7 +130,7 @@
         links.quality(link).cut || links.quality(link.reversed()).cut
     }
 
-    /// What links have carried and dropped so far.
+    /// The traffic so far.
     pub fn traffic(&self) -> Traffic {
         let counters = &self.0.counters;
         Traffic {
--- a/crates/fault_injection/src/network/backlog.rs
+++ b/crates/fault_injection/src/network/backlog.rs
@@ -11,7 +11,7 @@
 const HEALTHY_BACKLOG: i32 = 128;
 /// The backlog of a listener whose link is cut.
 const CUT_BACKLOG: i32 = 0;
-/// So many connections fill it: one more than the system keeps for a backlog of 0, and one that the listener still accepts.
+/// Number of connections that fill it: one more than the system queues for a backlog of 0, and some that the listener still accepts.
 const FILLERS: usize = 4;
 
 /// The backlog of the listener of a stream link.
--- a/crates/fault_injection/src/network/datagram_link.rs
+++ b/crates/fault_injection/src/network/datagram_link.rs
@@ -85,7 +85,7 @@
             let mut random = network.random();
             let mut buffer = [0; DATAGRAM_BUFFER];
             while !network.is_shut_down() {
-                // A datagram that nobody receives behind the link concerns no other one.
+                // An error reports an earlier datagram that had no receiver; later ones are not affected.
                 let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
                 let from = lock(&network.0.senders).get(&from).copied();
                 let quality = from.map(|from| network.quality(Link::new(from, to))).unwrap_or_default();
--- a/crates/fault_injection/src/network/link.rs
+++ b/crates/fault_injection/src/network/link.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// How long so many bytes are under way.
+    /// Latency of a chunk of this size.
     pub(super) fn latency(&self, bytes: usize, random: &mut fastrand::Rng) -> Duration {
         let transfer_s =
             if self.bytes_per_second > 0 { bytes as f64 / self.bytes_per_second as f64 } else { 0.0 };
--- a/crates/fault_injection/src/network/stream_link.rs
+++ b/crates/fault_injection/src/network/stream_link.rs
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// The most bytes read at once: a slow link is slow in steps of this.
+/// Maximum number of bytes that are read at once. A rate limit applies to each such chunk.
 const CHUNK: usize = 16 * 1024;
-/// A lost chunk comes again after this, and after its doubles, as in TCP (RFC 6298 has 1 s at first, systems 0.2 s).
+/// First retransmission timeout of a lost chunk; it doubles, as in TCP (RFC 6298 has 1 s, systems use 0.2 s).
 const RETRANSMIT_AFTER: Duration = Duration::from_millis(200);
-/// More loss than this would keep a chunk for ever.
+/// Upper bound of the loss rate, so that each chunk arrives.
 const MAX_LOSS: f64 = 0.9;
 
 /// Both ends of a connection that a link carries.
@@ -79,13 +79,13 @@
         self.carry_direction(link, &both.near, &both.far, &both);
     }
 
-    /// Whether nobody accepted the connection that came from this address behind its link: the system accepts each for the
-    /// link itself. The answer is given once.
+    /// Whether the connection from this address was refused behind its link. The system accepts it for the link itself. Returns
+    /// true once for each refusal.
     pub fn was_refused(&self, from: SocketAddr) -> bool {
         lock(&self.0.refused).remove(&from)
     }
 
-    /// Waits until the link carries again. False where it is closed or the network has ended.
+    /// Waits until the link is not cut. Returns false if it is closed or the network is shut down.
     fn wait_until_open(&self, link: Link) -> bool {
         let mut links = lock(&self.0.links);
         loop {
--- a/crates/fault_injection/src/process.rs
+++ b/crates/fault_injection/src/process.rs
@@ -29,19 +29,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A graceful shutdown takes no longer: the longest deadline, 0.7 s, and a slow machine.
+/// Maximum duration of a graceful shutdown: the longest deadline is 0.7 s, and the machine may be slow.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 /// The exit code of a process that was killed: the negative number of SIGKILL.
 pub const KILLED: i32 = -9;
-/// A throttled process runs for this ...
+/// Time for which a throttled process runs.
 const THROTTLED_RUN: Duration = Duration::from_millis(5);
-/// ... and is then suspended for this.
+/// Time for which it is then suspended.
 const THROTTLED_PAUSE: Duration = Duration::from_millis(45);
+
 /// A running gatekeeper. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
-    /// The file name of its build.
+    /// The file name of its program.
     program: OsString,
     pid: Pid,
     progress: Arc<Progress>,
@@ -50,7 +51,7 @@
 }
 
 impl Process {
-    /// Starts a process. What it does goes into the history.
+    /// Starts a process and records its start, log lines and exit.
     ///
     /// # Errors
     ///
@@ -60,7 +61,7 @@
         Self::start_observed(launch, observer)
     }
 
-    /// Starts a process and notifies the observer of what it does.
+    /// Starts a process and notifies the observer of its start, log lines and exit.
     ///
     /// # Errors
     ///
@@ -113,18 +114,18 @@
         Log::new(self.progress.clone())
     }
 
-    /// Waits for the end of the process. Returns whether it came in time.
+    /// Waits up to `timeout` for the exit of the process. Returns whether it has exited.
     pub fn wait_for_exit(&self, timeout: Duration) -> bool {
         self.progress.wait_for_end(timeout)
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_exited(&self) -> bool {
         self.progress.has_ended()
     }
 
-    /// Waits for the end of a process that was asked to shut down. One that does not is killed, and counts as one that
-    /// ended unasked.
+    /// Waits for the exit of a process that was asked to shut down. One that does not exit is killed, which counts as an exit
+    /// without a request.
     pub fn wait_for_shutdown(&self) {
         if !self.progress.wait_for_end(SHUTDOWN_TIMEOUT) {
             *lock(&self.exit_request) = ExitRequest::None;
@@ -162,7 +163,7 @@
         self.signal(Signal::STOP);
     }
 
-    /// It runs again, at full speed.
+    /// Resumes a suspended or throttled process.
     pub fn resume(&self) {
         self.throttled.store(false, Ordering::Relaxed);
         self.signal(Signal::CONT);
@@ -186,7 +187,7 @@
         });
     }
 
-    /// The resources that it uses now; none where it has ended, or is not yet the program.
+    /// The resources that it uses now; none if it has exited, or has not yet become the program.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         self.progress.if_running(|| ResourceUsage::read(self.pid, &self.program))?
     }
--- a/crates/fault_injection/src/process/launch.rs
+++ b/crates/fault_injection/src/process/launch.rs
@@ -1,4 +1,4 @@
-//! What a process is started with.
+//! Program, arguments and environment of a process.
 
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -6,14 +6,14 @@
 /// The format in which a gatekeeper writes its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line, with fields and the monotonic clock's time.
+    /// One JSON object a line, with fields and the time of the monotonic clock.
     #[default]
     Json,
     /// Plain text.
     Plain,
 }
 
-/// What a process is started with.
+/// Program, arguments and environment of a process.
 #[derive(Clone, Debug)]
 pub struct Launch<'a> {
     /// The process's name in the history.
--- a/crates/fault_injection/src/process/log.rs
+++ b/crates/fault_injection/src/process/log.rs
@@ -1,4 +1,4 @@
-//! What a process has logged, and whether it has ended.
+//! The log of a process, and waiting for its lines and its end.
 
 use super::ProcessObserver;
 use crate::sync::lock;
@@ -16,7 +16,7 @@
     has_ended: bool,
 }
 
-/// How far a process has come.
+/// The log lines of a process so far, and whether it has exited.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     state: Mutex<State>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What a process has logged.
+/// The log of a process. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Log(Arc<Progress>);
 
@@ -69,7 +69,7 @@
         Self(progress)
     }
 
-    /// How many lines so far contain this text.
+    /// Number of lines so far that contain this text.
     pub fn count(&self, text: &str) -> usize {
         lock(&self.0.state).lines.iter().filter(|line| line.contains(text)).count()
     }
--- a/crates/fault_injection/src/process/observer.rs
+++ b/crates/fault_injection/src/process/observer.rs
@@ -1,4 +1,4 @@
-//! Who is notified of what a process does.
+//! Notifications of the start, the log lines and the exit of a process.
 
 use super::{KILLED, LogLine};
 use crate::history::{Observation, Recorder};
@@ -35,7 +35,7 @@
     }
 }
 
-/// Is notified of what a process does, by threads of the harness.
+/// Is notified of the start, the log lines and the exit of a process, by threads of the harness.
 pub trait ProcessObserver: Send + Sync + 'static {
     /// The process was started. This comes before all else.
     fn started(&self) {}
@@ -47,7 +47,7 @@
     fn exited(&self, exit: ProcessExit);
 }
 
-/// Records what a process does in a history.
+/// Records the start, the log lines and the exit of a process.
 pub(super) struct RecordingObserver {
     pub(super) process: String,
     pub(super) recorder: Recorder,
--- a/crates/fault_injection/src/runner.rs
+++ b/crates/fault_injection/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule on a site and checks what was observed.
+//! Runs a schedule on a site and checks its history.
 
 #[cfg(test)]
 mod tests;
@@ -20,33 +20,33 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// All have this long to agree after the last fault; the bound of the rule is shorter.
+/// Maximum wait for all gatekeepers to agree after the last fault. The bound of the rule is shorter.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(35);
-/// All agree by then at the start.
+/// Maximum wait for all gatekeepers to agree at the start.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two looks at whether all agree. Each sends a request that counts to every gatekeeper: twelve that were asked fifty
-/// times a second spent the whole quota of the tenant that is to show whether there is capacity.
+/// Interval of the checks whether all gatekeepers agree. Each check sends a request to every gatekeeper; with 12 gatekeepers and 50
+/// checks a second these would use up the quota of the tenant that they are sent for.
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Between two records of the resources that gatekeepers use.
+/// Interval at which resource use is recorded.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// All ends of processes are recorded within this after a site was shut down.
+/// Maximum wait for the records of all exits after a site was shut down.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(2);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What came of a schedule.
+/// Result of a schedule.
 #[derive(Debug)]
 pub struct RunResult {
-    /// What was broken.
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
-    /// Faults by kind, those that were injected.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<String, u64>,
     /// Requests by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
     /// ms from the end of the last fault until all agreed.
     pub converged_after_ms: Option<u64>,
-    /// What links carried and dropped.
+    /// Traffic of all links.
     pub traffic: Traffic,
-    /// All that was observed.
+    /// The history of the run.
     pub history: Vec<Record>,
 }
 
--- a/crates/fault_injection/src/schedule.rs
+++ b/crates/fault_injection/src/schedule.rs
@@ -23,25 +23,25 @@
     /// The appliance: HTTP, Consul, gossip and shared periodic jobs.
     #[default]
     Appliance,
-    /// The platform's: RESP2, discovery, hot restarts; the instances do not talk to each other.
+    /// The platform: RESP2, discovery and hot restarts, without connections between gatekeepers.
     Platform,
 }
 
-/// What a site has beside gatekeepers and backends.
+/// Options of a site beside its gatekeepers and backends.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct SiteOptions {
     /// Periodic jobs of the appliances.
     #[serde(rename = "duties")]
     pub jobs: usize,
-    /// Members that step in behind the first for a job.
+    /// Members that may take over a job from the first one.
     pub standbys: usize,
     /// Consul agents of each gatekeeper.
     #[serde(rename = "agents")]
     pub consul_agents: usize,
-    /// Tenants send requests all the time.
+    /// Whether tenants send requests throughout.
     pub load: bool,
-    /// Appliances check the health of backends.
+    /// Whether appliances check the health of backends.
     #[serde(rename = "probes")]
     pub health_checks: bool,
     /// Replicas of the replicated configuration, the first gatekeepers; 0 for none.
@@ -71,15 +71,15 @@
     pub seed: u64,
     /// The form of the gatekeepers.
     pub form: Form,
-    /// How many gatekeepers.
+    /// Number of gatekeepers.
     #[serde(rename = "programs")]
     pub gatekeepers: usize,
-    /// How many backends.
+    /// Number of backends.
     #[serde(rename = "loans")]
     pub backends: usize,
-    /// The load goes on for so long; then all must agree again.
+    /// Duration of the load, after which all gatekeepers must agree again.
     pub length_ms: u64,
-    /// What else the site has.
+    /// Options of the site.
     #[serde(default, rename = "has", skip_serializing_if = "SiteOptions::is_default")]
     pub options: SiteOptions,
     /// The faults.
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// The text is no schedule, or one that cannot be played.
+    /// The text is not a schedule, or not one that can be run.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let schedule: Self = toml::from_str(text)?;
         let (gatekeepers, backends) = (schedule.gatekeepers, schedule.backends);
--- a/crates/fault_injection/src/schedule/fault.rs
+++ b/crates/fault_injection/src/schedule/fault.rs
@@ -123,7 +123,7 @@
         from: String,
         /// The other.
         to: String,
-        /// ms
+        /// Length of each period, ms.
         period_ms: u64,
     },
     /// Killed, and started again at the fault's end.
@@ -193,7 +193,7 @@
         /// The first job's number.
         #[serde(rename = "first")]
         first_job: usize,
-        /// How many.
+        /// The number of jobs.
         #[serde(rename = "count")]
         job_count: usize,
     },
@@ -211,13 +211,13 @@
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// How.
+        /// How they fail.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
     /// The quota counter fails.
     Counter {
-        /// How.
+        /// How they fail.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
@@ -227,7 +227,7 @@
         /// Backends.
         #[serde(rename = "who")]
         target: String,
-        /// How.
+        /// How they fail.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
@@ -242,19 +242,19 @@
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// How.
+        /// How they fail.
         #[serde(rename = "how")]
         fault: DiskFault,
     },
-    /// Hot restart: a successor is started beside it. The old process is told to shut down at the fault's end.
+    /// Hot restart: a successor is started, and its predecessor gets SIGTERM at the fault's end.
     Upgrade {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// The successor is killed so long after its start, and the old process goes on.
+        /// Time after its start at which the successor is killed, while its predecessor continues to serve.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         new_dies_after_us: Option<u64>,
-        /// The old process is killed so long after the successor's start.
+        /// Time after the successor's start at which its predecessor is killed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         old_dies_after_us: Option<u64>,
     },
@@ -300,16 +300,16 @@
     }
 }
 
-/// A fault and its time.
+/// A fault and when it is injected.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Fault {
-    /// It begins so long after all gatekeepers serve.
+    /// When it begins, from when all gatekeepers serve.
     #[serde(rename = "at_ms")]
     pub start_ms: u64,
-    /// It lasts so long.
+    /// Its duration.
     #[serde(rename = "for_ms")]
     pub duration_ms: u64,
-    /// What it is.
+    /// Its kind.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
--- a/crates/fault_injection/src/schedule/generator.rs
+++ b/crates/fault_injection/src/schedule/generator.rs
@@ -7,13 +7,13 @@
 const GATEKEEPERS: RangeInclusive<usize> = 5..=12;
 const BACKENDS: RangeInclusive<usize> = 4..=8;
 const FAULTS: RangeInclusive<usize> = 2..=5;
-/// Of so many generated schedules one is of the platform's form.
+/// One generated schedule in this many is of the platform's form.
 const PLATFORM_ONE_IN: u32 = 3;
-/// ms by which a generated clock is off, at most.
+/// Maximum offset of a generated clock, ms.
 const MAX_CLOCK_OFFSET_MS: i64 = 140;
 
 impl Schedule {
-    /// What follows from this seed: two to five faults of any kind within `length_ms`, which may overlap.
+    /// Draws two to five faults of any kind within `length_ms`, which may overlap.
     pub fn from_seed(seed: u64, length_ms: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let form = if random.u32(0..PLATFORM_ONE_IN) == 0 { Form::Platform } else { Form::Appliance };
--- a/crates/fault_injection/src/site/addresses.rs
+++ b/crates/fault_injection/src/site/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of a site: a network of its own within 127.0.0.0/8.
+//! The addresses of a site, in a network within 127.0.0.0/8 that no other site uses.
 
 use crate::history::now_us;
 use crate::schedule::MAX_NODES;
@@ -13,7 +13,7 @@
 const ADMIN_PORT: u16 = 9_600;
 /// The port that backends have in Consul's own record.
 const RECORDED_PORT: u16 = 6_379;
-/// Whoever listens here has the network.
+/// The site that listens at this port has reserved the network.
 const LOCK_PORT: u16 = 7_999;
 
 /// The third byte of addresses: gatekeepers have 1 to [`MAX_NODES`].
@@ -87,7 +87,7 @@
         SocketAddr::from((self.gatekeeper(gatekeeper), REPLICA_PORT))
     }
 
-    /// The admin address of a gatekeeper's process: each start has one of its own.
+    /// The admin address of a gatekeeper's process. Each start has another one.
     pub(super) fn admin(&self, gatekeeper: usize, start: u8) -> SocketAddr {
         SocketAddr::from((self.host(gatekeeper as u8 + 1, start.max(1)), ADMIN_PORT))
     }
--- a/crates/fault_injection/src/site/convergence.rs
+++ b/crates/fault_injection/src/site/convergence.rs
@@ -92,7 +92,7 @@
         call(self.addresses.admin(index, start), command)
     }
 
-    /// What an appliance shows at its status address; empty where nobody answers.
+    /// The status of an appliance; empty if it does not answer.
     pub fn status(&self, index: usize) -> String {
         let body = get_status(self.addresses.status(index)).map(|message| message.body);
         body.map_or(String::new(), |body| String::from_utf8_lossy(&body).into_owned())
--- a/crates/fault_injection/src/site/faults/processes.rs
+++ b/crates/fault_injection/src/site/faults/processes.rs
@@ -8,8 +8,8 @@
 use crate::site::member::MemberState;
 use crate::sync::lock;
 
-/// Whether a fault takes nobody's answer away: a graceful shutdown, a reload, a disk that cannot be written, or an upgrade in
-/// which nobody dies.
+/// Whether no client may miss an answer by a fault: a graceful shutdown, a reload, a disk that cannot be written, or an upgrade in
+/// which no process is killed.
 fn keeps_answers(kind: &FaultKind) -> bool {
     matches!(
         kind,
--- a/crates/fault_injection/src/site/member.rs
+++ b/crates/fault_injection/src/site/member.rs
@@ -14,7 +14,7 @@
 const SERVING: &str = "serving ";
 /// The gossip key with number 0.
 const FIRST_GOSSIP_KEY: u64 = 0x0a11;
-/// Starts are numbered from 1 to this, and then anew.
+/// Starts are numbered from 1 to this, and then from 1 again.
 const MAX_START_NUMBER: u8 = 250;
 
 /// The settings file of a gatekeeper.
@@ -44,7 +44,7 @@
     pub(super) successor: Option<Process>,
     /// Starts so far; each has an admin address of its own.
     pub(super) starts: u8,
-    /// By how much its wall clock is off.
+    /// The offset of its wall clock.
     pub(super) clock_offset_ms: i64,
     /// The name of another member, under which it runs.
     pub(super) assumed_name: Option<String>,
--- a/crates/fault_injection/src/site/setup.rs
+++ b/crates/fault_injection/src/site/setup.rs
@@ -221,7 +221,7 @@
     fn replicas(&self, index: usize) -> std::io::Result<ReplicaAddresses> {
         let count = self.schedule.options.replicas;
         let replica = |number: usize| -> std::io::Result<String> {
-            // A replica is reached at its own address by nobody but itself.
+            // Only the replica itself uses its own address; the others reach it over links.
             let own = self.addresses.replica(number);
             let address = if number == index { own } else { self.link(index, &format!("m{number}"), own)? };
             Ok(format!("{{ name = \"m{number}\", address = \"{address}\" }}"))
--- a/crates/fault_injection/src/stand_ins/backend.rs
+++ b/crates/fault_injection/src/stand_ins/backend.rs
@@ -1,4 +1,4 @@
-//! A backend, which has an address of its own for each gatekeeper.
+//! A backend, which listens at another address for each gatekeeper.
 
 use super::{FailureSwitch, SLOW_ANSWER, listen};
 use crate::connections::keep_silent;
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a request takes, us.
+/// Service time of a request, us.
 const WORK_US: Range<u64> = 3_000..9_000;
 
-/// A request, with the answers to it.
+/// A request and the possible answers to it.
 struct Request {
     /// None for a health check.
     request_id: Option<u64>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A backend, which has an address of its own for each gatekeeper.
+/// A backend, which listens at another address for each gatekeeper.
 #[derive(Clone, Debug)]
 pub struct Backend {
     /// Its name.
--- a/crates/fault_injection/src/stand_ins/quota_counter.rs
+++ b/crates/fault_injection/src/stand_ins/quota_counter.rs
@@ -46,7 +46,7 @@
     pub total: f64,
 }
 
-/// What a call asks for.
+/// A call as it was parsed.
 #[derive(Debug, PartialEq)]
 enum Call<'a> {
     Ping,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What is done in response to a call.
+/// The response to a call.
 enum Response {
     Send(String),
     KeepSilent,
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -31,12 +31,12 @@
 /// What a gatekeeper logs of a cached list that it uses.
 const LIST_USED: &str = "cached endpoint list in use";
 
-/// What came of it.
+/// Result of the starts.
 #[derive(Debug)]
 pub struct TornWrites {
-    /// Starts, one for each length and one with the complete file.
+    /// Number of starts, one for each length of the file.
     pub starts: usize,
-    /// Those that went wrong.
+    /// Starts that went wrong.
     pub violations: Vec<Violation>,
 }
 
@@ -138,7 +138,7 @@
         violations.into_inner().unwrap_or_default()
     }
 
-    /// Starts a gatekeeper with so much of the file. It has to serve, and to use the file only where it is complete.
+    /// Starts a gatekeeper with the first bytes of the file. It has to serve, and to use the file only if it is complete.
     fn start_with(&self, cached: &[u8], is_complete: bool) -> Result<(), StartFailure> {
         let path = |suffix: &str| -> PathBuf { self.folder.join(format!("cut-{}.{suffix}", cached.len())) };
         let (settings, list) = (path("toml"), path("list"));
