--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod history;
 pub mod load;
 pub mod network;
+pub mod ports;
 pub mod process;
 pub mod runner;
 pub mod schedule;
--- a/crates/system_tests/src/bin/proof-catalogue/main.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/main.rs
@@ -14,9 +14,9 @@
 
 const BACKENDS: usize = 12;
 const CLIENTS: usize = 6;
-/// Each kind of outage lasts so long, s.
+/// Duration of each outage, s.
 const OUTAGE_S: f64 = 30.0;
-/// Flaps, one a second.
+/// Number of flaps, one a second.
 const FLAPS: u32 = 60;
 
 fn schedule() -> Schedule {
--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -45,7 +45,7 @@
             let at_us = *at_us;
             match observation {
                 Observation::RequestSent { request_id, .. } => drop(sent.insert(*request_id)),
-                // What nobody accepted has no answer.
+                // A request that was not accepted has no answer.
                 Observation::RequestEnded { request_id, outcome }
                     if *outcome != Outcome::NotAccepted && sent.contains(request_id) =>
                 {
--- a/crates/system_tests/src/bin/proof-catalogue/sizes.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/sizes.rs
@@ -9,11 +9,13 @@
 
 /// Instances beside the backends.
 const SIZES: [usize; 3] = [0, 500, 5_000];
-/// Changes of one instance each, fifty a second.
+/// Number of changes, each of one instance.
 const CHANGES: usize = 150;
+/// Interval of the changes, s.
 const CHANGE_INTERVAL_S: f64 = 0.02;
-/// How often so many ids are replaced.
+/// Number of times that all ids are replaced.
 const REPLACEMENTS: usize = 50;
+/// Number of ids that are replaced each time.
 const REPLACED_IDS: usize = 2_000;
 
 /// The processor time and memory of the gatekeeper now.
--- a/crates/system_tests/src/bin/proof-catalogue/timeline.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/timeline.rs
@@ -1,10 +1,10 @@
-//! What was done and when, to be looked up in the history at the end.
+//! The steps of the scenario and their times, by which the history is evaluated at the end.
 
 use fault_injection::history::{Span, now_us};
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Lets so many seconds pass.
+/// Sleeps for this number of seconds. Returns the span.
 pub(crate) fn pause(seconds: f64) -> Span {
     let from_us = now_us();
     sleep(Duration::from_secs_f64(seconds));
@@ -44,7 +44,7 @@
     pub(crate) after_kb: u64,
 }
 
-/// What was done and when.
+/// The steps of the scenario and their times.
 #[derive(Default)]
 pub(crate) struct Timeline {
     pub(crate) calm: Span,
--- a/crates/system_tests/src/bin/proof-checkers.rs
+++ b/crates/system_tests/src/bin/proof-checkers.rs
@@ -1,5 +1,5 @@
-//! Whether the harness's checkers find what they are for: a build with seeded faults is run, one fault at a time, until the broken
-//! rule is named. `proof-checkers PROGRAM`.
+//! Tests the checkers of the harness: a build with seeded faults is run with one fault at a time until the broken rule is reported.
+//! `proof-checkers PROGRAM`.
 
 use fault_injection::schedule::{Fault, FaultKind, Form, Schedule};
 use std::path::Path;
@@ -22,11 +22,11 @@
     SeededFault { name: "holds", rule: "bounded memory, descriptors and threads" },
     SeededFault { name: "agreed", rule: "all agree again" },
 ];
-/// The variable by which a build is told its fault.
+/// The environment variable that enables a seeded fault.
 const FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
-/// A rule that is named later than this is not guarded.
+/// Maximum number of schedules until the broken rule is reported.
 const MAX_SCHEDULES: usize = 20;
-/// The release build runs so many of the same schedules.
+/// Number of the same schedules that the release build runs.
 const SOUND_SCHEDULES: usize = 3;
 const LENGTH_MS: u64 = 10_000;
 
--- a/crates/system_tests/src/bin/proof-compatibility/restarts.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/restarts.rs
@@ -7,14 +7,14 @@
 
 const GATEKEEPERS: usize = 5;
 const LENGTH_MS: u64 = 20_000;
-/// When all gatekeepers are killed, to start by the other build.
+/// When all gatekeepers are killed and restarted with the other build.
 const RESTARTS_MS: [u64; 2] = [6_000, 13_000];
-/// How long they stay dead.
-const DEAD_MS: u64 = 300;
-/// Consul goes so long before a restart ...
-const CONSUL_AWAY_BEFORE_MS: u64 = 100;
-/// ... and stays away for so long.
-const CONSUL_AWAY_MS: u64 = 3_000;
+/// Delay before killed gatekeepers are restarted.
+const DOWN_MS: u64 = 300;
+/// Time from the begin of an outage of Consul to a restart.
+const CONSUL_DOWN_BEFORE_MS: u64 = 100;
+/// Duration of an outage of Consul.
+const CONSUL_DOWN_MS: u64 = 3_000;
 
 /// Requests that were served between the end of a restart and Consul's return.
 fn served_from_cached_list(history: &[Record], restart: usize) -> usize {
@@ -38,9 +38,9 @@
     let mut faults =
         vec![propose(4_000, "m4", 16.0), propose(10_500, "m3", 12.0), propose(17_500, "m0", 18.0)];
     for at_ms in RESTARTS_MS {
-        faults.push(Fault::new(at_ms, DEAD_MS, FaultKind::Killed { target: "*".into() }));
+        faults.push(Fault::new(at_ms, DOWN_MS, FaultKind::Killed { target: "*".into() }));
         let silent = FaultKind::Consul { target: "*".into(), mode: FailureMode::Silent };
-        faults.push(Fault::new(at_ms - CONSUL_AWAY_BEFORE_MS, CONSUL_AWAY_MS, silent));
+        faults.push(Fault::new(at_ms - CONSUL_DOWN_BEFORE_MS, CONSUL_DOWN_MS, silent));
     }
     faults.sort_by_key(|fault| fault.start_ms);
     let options = SiteOptions { replicas: 3, ..SiteOptions::default() };
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -5,12 +5,12 @@
 use fault_injection::schedule::{Fault, FaultKind, Form, SiteOptions};
 use system_tests::{Error, Table};
 
-/// In-service upgrades of each gatekeeper, the first from the old build to the new one.
+/// Number of hot restarts of each gatekeeper, the first from the old build to the new one.
 const UPGRADES: u64 = 6;
 const GATEKEEPERS: usize = 2;
-/// Between two upgrades of a gatekeeper.
+/// Interval of the upgrades of a gatekeeper.
 const INTERVAL_MS: u64 = 2_000;
-/// The old process of an upgrade lives so long beside the successor that serves.
+/// Time for which the predecessor runs beside its successor.
 const SIDE_BY_SIDE_MS: u64 = 600;
 /// What a process logs that has handed its clients over to its successor; the last text is that of older builds.
 const HANDED_OVER: [&str; 2] = ["successor serves, draining", "another program serves now"];
--- a/crates/system_tests/src/bin/proof-faults/main.rs
+++ b/crates/system_tests/src/bin/proof-faults/main.rs
@@ -34,7 +34,7 @@
         Self { options, build }
     }
 
-    /// Runs one schedule in a folder of its own.
+    /// Runs one schedule in a folder that no other schedule uses.
     fn run(&self, number: usize, schedule: &Schedule) -> Result<RunResult, Error> {
         let result = run_schedule(schedule, &self.build, &format!("sf-rig-{number}"))?;
         if self.options.keep_all || !result.violations.is_empty() {
--- a/crates/system_tests/src/bin/proof-faults/totals.rs
+++ b/crates/system_tests/src/bin/proof-faults/totals.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use system_tests::{Table, percentile};
 
-/// At most so many violations of a schedule are printed.
+/// Maximum number of violations that are printed for a schedule.
 const MAX_PRINTED: usize = 5;
 
 /// Prints the first violations.
@@ -61,7 +61,7 @@
         self.length_s += schedule.length_ms as f64 / 1_000.0;
     }
 
-    /// Adds what was run, and what it came to.
+    /// Adds the schedules, faults and outcomes to the table.
     pub(crate) fn report_runs(&mut self, table: &mut Table, schedules: usize, parallel: usize) {
         self.convergence.sort_by(f64::total_cmp);
         let size = format!("{schedules}, {:.0} s in all, {parallel} at a time", self.length_s);
--- a/crates/system_tests/src/bin/proof-membership.rs
+++ b/crates/system_tests/src/bin/proof-membership.rs
@@ -9,15 +9,15 @@
 
 const SIZES: [usize; 4] = [24, 100, 300, 1_000];
 const DEFAULT_GOSSIP_PERIOD_MS: u64 = 200;
-/// Between two looks.
+/// Interval at which the simulation is checked.
 const STEP_MS: u64 = 100;
-/// The time without faults, before and while its bytes are counted.
+/// Duration of the stretch without faults, and of the one after it in which bytes are counted.
 const CALM_MS: u64 = 10_000;
-/// How long a member is suspended.
+/// Duration of a suspension.
 const SUSPENSION_MS: u64 = 60_000;
-/// Members of the largest cluster in which one is suspended: a minute of 1,000 takes ten.
+/// Size of the largest cluster in which a member is suspended. With 1,000 members a simulated minute takes ten.
 const MAX_WITH_SUSPENSION: usize = 300;
-/// Later than this is never.
+/// Times beyond this are shown as never.
 const NEVER_MS: u64 = 30_000;
 /// The share of pairs that may be in doubt where all are said to see all: what a lost datagram leaves is found by chance, later.
 const DOUBT: f64 = 1e-5;
--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
@@ -28,7 +28,7 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Lets time pass until so many instances see so many alive; how long that took, in ms.
+/// Advances the simulation until `instances` instances see as many alive. Returns how long that took, ms.
 fn advance_until_seen(simulation: &mut Simulation, instances: usize, timeout_ms: u64) -> u64 {
     let begin_ms = simulation.now_ms();
     while simulation.instances_seeing(instances) < instances && simulation.now_ms() - begin_ms < timeout_ms {
--- a/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
@@ -9,12 +9,12 @@
 use system_tests::{Error, Table};
 
 const LENGTH_MS: u64 = 18_000;
-/// By how much each instance's clock is ahead.
+/// Clock offset of each instance.
 const OFFSETS_MS: [i64; INSTANCES] =
     [0, MAX_CLOCK_SKEW_MS, MAX_CLOCK_SKEW_MS / 2, 0, MAX_CLOCK_SKEW_MS, 50, 250, 100];
-/// Those that are killed: their clocks are right.
+/// Instances that are killed. Their clocks have no offset.
 const KILLED: [&str; 2] = ["m0", "m3"];
-/// Jobs run without gaps from so long after clocks were set.
+/// Time after setting the clocks from which jobs run without gaps.
 const SETTLED_US: u64 = 3_000_000;
 /// The store's state is lost: the last job runs again within this, s.
 const RUNS_AGAIN_S: f64 = (2 * JOB_PERIOD_MS) as f64 / 1_000.0 + 2.0 * MAX_CLOCK_SKEW_MS as f64 / 1_000.0;
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -11,7 +11,7 @@
 const GENERATED_MS: u64 = 10_000;
 /// ... and begin later than this: not before there is a leader and the first leases are granted.
 const GENERATED_FROM_MS: u64 = 3_000;
-/// Of 256 generated schedules in so many the counter loses its state.
+/// Number of generated schedules out of 256 in which the counter loses its state.
 const COUNTER_LOSS_OF_256: u8 = 60;
 /// With more gatekeepers there are five replicas.
 const MAX_WITH_THREE_REPLICAS: usize = 8;
--- a/crates/system_tests/src/bin/proof-replicated-config/totals.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/totals.rs
@@ -11,7 +11,7 @@
 const REPORTED_CONTRADICTION_MS: u64 = 100;
 /// The schedule without faults.
 const AT_REST: &str = "at rest";
-/// At most so many violations of a schedule are printed.
+/// Maximum number of violations that are printed for a schedule.
 const MAX_PRINTED: usize = 4;
 
 /// When a version was accepted, and when the last gatekeeper that was notified of it in time acted on it alone.
--- a/crates/system_tests/src/bin/proof-timing/backend.rs
+++ b/crates/system_tests/src/bin/proof-timing/backend.rs
@@ -9,17 +9,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a healthy backend takes.
+/// Service time of a healthy backend.
 pub(crate) const QUICK_MS: u64 = 5;
-/// What a slow one takes.
+/// Service time of a slow backend.
 pub(crate) const SLOW_MS: u64 = 900;
-/// Of a backend that is slow sometimes, one request in so many is slow.
+/// A backend that is sometimes slow is slow for one request in this many.
 const SLOW_ONE_IN: u64 = 50;
 
-/// How long a backend takes.
+/// The service time of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Latency {
-    /// So many ms.
+    /// The same for each request, ms.
     Ms(u64),
     /// [`SLOW_MS`] for one request in fifty, and [`QUICK_MS`] for the others.
     SometimesSlow,
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -6,7 +6,7 @@
 
 const WANTED_MS: u64 = 600;
 const DEADLINE_MS: u64 = 2_500;
-/// Of each kind there are so many.
+/// Number of variants of each kind of bad settings.
 const VARIANTS: u64 = 9;
 
 /// Settings that cannot be kept.
--- a/crates/system_tests/src/error.rs
+++ b/crates/system_tests/src/error.rs
@@ -1,9 +1,9 @@
-//! What keeps a system test from its end.
+//! Errors that abort a system test.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What keeps a system test from its end.
+/// An error that aborts a system test.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The fault-injection harness fails.
