--- a/crates/destination/tests/pools.rs
+++ b/crates/destination/tests/pools.rs
@@ -57,7 +57,7 @@
             connect_timeout: Duration::from_millis(settings.connect_timeout / 1000),
             idle_timeout: TIMEOUT,
             max_connections: 100,
-            max_answer_bytes: resp::LARGEST_MESSAGE,
+            max_answer_bytes: resp::MAX_MESSAGE_BYTES,
             stream_budget_bytes: 1 << 20,
         };
         let exchange = Exchange::new(settings, 1, Clock::start()).expect("valid settings");
