--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -195,8 +195,8 @@
             .map_err(|_| NothingWritten)
     }
 
-    /// The guard on sending, right before the write: whether the attempt is wanted, in time, and at an eligible backend. What has
-    /// changed since the decision is refused here. A violation is reported unless the change was recent.
+    /// The guard on sending, right before the write: whether the attempt is wanted, in time, and at an eligible backend. A
+    /// change since the decision is refused here, and reported as a violation unless it was recent.
     fn may_write(&self, attempt: &Attempt<P::Payload>, address: SocketAddr, elapsed: Micros) -> bool {
         let WritePermission { is_wanted, is_eligible, is_recently_changed } =
             self.state().write_permission(attempt.id, attempt.backend, address);
@@ -213,7 +213,7 @@
         is_wanted && is_eligible
     }
 
-    /// Microseconds since the decision to make an attempt. To be read anew before each write: the process may have been descheduled.
+    /// Microseconds since the decision to make an attempt. To be read again before each write: the process may have been descheduled.
     fn elapsed(&self, attempt: &Attempt<P::Payload>) -> Micros {
         self.exchange().now().saturating_since(attempt.decided_at)
     }
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -104,7 +104,7 @@
     }
 
     /// Sets or clears the operators' ejection of a backend. Nothing is written to an ejected backend from now on, not even attempts
-    /// that were decided before; what is written already continues. To be called before the exchange is notified.
+    /// that were decided before; attempts that are written already continue. To be called before the exchange is notified.
     pub fn set_operator_ejection(&self, backend: BackendId, ejected: bool) {
         self.state().set_operator_ejection(backend, ejected);
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -197,7 +197,7 @@
         let mut table = self.lock();
         change(&mut table, self.clock.now());
         self.wake_timers(&mut table);
-        if !table.side_effects.begin_drain() {
+        if !table.side_effects.start_draining() {
             return;
         }
         let guard = AbortOnPanic;
--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -1,7 +1,7 @@
 //! The fleet's clock: estimates this process's clock offset from the clock that all gatekeepers share.
 //!
 //! Gatekeepers share a tenant's count by its name, which follows from the time. A process whose wall clock was wrong when it started
-//! would use a name of its own and count alone. The counter is what all gatekeepers reach, so it also keeps the fleet's time: an
+//! would use different names and count alone. All gatekeepers reach the counter, so the counter also keeps the fleet's time: an
 //! elected gatekeeper, the *timekeeper*, stores a stamp of its time in a count of a fixed name and advances the stamp each second.
 //! All others read the stamp when they start and at intervals after that, and estimate their offset from it.
 //!
@@ -24,7 +24,7 @@
 
 pub(crate) use offset::ClockOffset;
 
-use election::{Call, Election, Step};
+use election::{Call, Decision, Election};
 use offset::OffsetEstimate;
 use pacing::{CallDelay, Pacing};
 use policy::{Micros, Outcome, Timestamp};
@@ -47,7 +47,7 @@
 }
 
 impl FleetClock {
-    /// A clock without an offset. Its first call is due at once.
+    /// A clock without an offset. Its first call is due immediately.
     pub(crate) fn new(gatekeepers: u32, seed: u64, now: Timestamp) -> Self {
         Self {
             election: Election::new(),
@@ -98,8 +98,8 @@
     fn on_reply(&mut self, now: Timestamp, call: Call, stamp: Stamp) -> CallDelay {
         let freshness = self.estimate.freshness(now, stamp.time);
         match self.election.on_reply(call, stamp, freshness) {
-            Step::Wait(delay) => delay,
-            Step::AdoptStamp(time) => {
+            Decision::CallAfter(delay) => delay,
+            Decision::AdoptStamp(time) => {
                 self.estimate.adopt(now, time);
                 CallDelay::Confirmation
             }
--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -1,7 +1,7 @@
 //! The election of the timekeeper: the one process that places a stamp and advances it.
 //!
-//! A state machine without clock and randomness. [`Election::next_call`] says what the next counter call is for,
-//! [`Election::on_reply`] applies its reply and says how long to wait until the call after it.
+//! A state machine without clock and randomness. [`Election::next_call`] returns the next counter call, [`Election::on_reply`]
+//! applies its reply and returns the delay of the call after it.
 //!
 //! ```mermaid
 //! stateDiagram-v2
@@ -79,7 +79,7 @@
         /// The stamp after the last advance.
         stamp: StampTime,
     },
-    /// Found a conflict with another stamp, and withdraws what it added.
+    /// Found a conflict with another stamp, and rolls back its own addition.
     RollingBack {
         /// The amount that was added.
         amount: Ticks,
@@ -105,9 +105,9 @@
         /// The amount to add.
         amount: Ticks,
     },
-    /// Withdraws what was added in a conflict.
+    /// Rolls back an addition after a conflict.
     RollBack {
-        /// The amount to add, the opposite of what was added.
+        /// The amount to add: the negative of the earlier addition.
         amount: Ticks,
     },
 }
@@ -122,11 +122,11 @@
     }
 }
 
-/// What a reply leads to.
+/// The decision on a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
+pub(super) enum Decision {
     /// The next call is due after this delay.
-    Wait(CallDelay),
+    CallAfter(CallDelay),
     /// The stamp has the fleet's time: the offset estimate is to adopt it. A read follows that confirms the stamp.
     AdoptStamp(StampTime),
 }
@@ -171,51 +171,47 @@
     }
 
     /// Applies the reply to a call. `freshness`: that of the stamp in the reply.
-    pub(super) fn on_reply(&mut self, call: Call, stamp: Stamp, freshness: Freshness) -> Step {
+    pub(super) fn on_reply(&mut self, call: Call, stamp: Stamp, freshness: Freshness) -> Decision {
         match call {
             Call::Read => self.on_read(stamp, freshness),
-            Call::Place { time, amount } => Step::Wait(self.on_added(stamp, time, amount)),
-            Call::Advance { time, amount } => Step::Wait(self.on_advanced(stamp, time, amount)),
-            Call::RollBack { .. } => self.wait_as(State::Follower, CallDelay::Backoff),
+            Call::Place { time, amount } => Decision::CallAfter(self.on_added(stamp, time, amount)),
+            Call::Advance { time, amount } => Decision::CallAfter(self.on_advanced(stamp, time, amount)),
+            Call::RollBack { .. } => self.enter(State::Follower, CallDelay::Backoff),
         }
     }
 
-    fn on_read(&mut self, stamp: Stamp, freshness: Freshness) -> Step {
+    fn on_read(&mut self, stamp: Stamp, freshness: Freshness) -> Decision {
         match (stamp.placed_count, self.state) {
-            (0, State::Candidate) => {
-                self.wait_as(State::Claiming { residue: stamp.total() }, CallDelay::None)
-            }
-            (0, _) => self.wait_as(State::Candidate, CallDelay::Vacancy),
+            (0, State::Candidate) => self.enter(State::Claiming { residue: stamp.total() }, CallDelay::None),
+            (0, _) => self.enter(State::Candidate, CallDelay::Vacancy),
             (1, _) => self.on_single_stamp(stamp.time, freshness),
-            _ => self.wait_as(State::Follower, CallDelay::Backoff),
+            _ => self.enter(State::Follower, CallDelay::Backoff),
         }
     }
 
-    fn on_single_stamp(&mut self, stamp: StampTime, freshness: Freshness) -> Step {
+    fn on_single_stamp(&mut self, stamp: StampTime, freshness: Freshness) -> Decision {
         match (self.state, freshness) {
             (State::Adopted { stamp: adopted, reads_without_progress }, _) if adopted == stamp => {
                 self.on_read_without_progress(stamp, reads_without_progress + 1)
             }
-            (_, Freshness::Fresh) => self.wait_as(State::Follower, CallDelay::FollowerRead),
+            (_, Freshness::Fresh) => self.enter(State::Follower, CallDelay::FollowerRead),
             (State::Confirming { stamp: earlier }, Freshness::PossiblyStale) if earlier == stamp => {
-                self.wait_as(State::TakingOver { stamp }, CallDelay::None)
+                self.enter(State::TakingOver { stamp }, CallDelay::None)
             }
             (State::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
                 // If the timekeeper has died, the stamp is also stale. The next reads show that.
                 self.state = State::Adopted { stamp, reads_without_progress: 0 };
-                Step::AdoptStamp(stamp)
-            }
-            (_, Freshness::PossiblyStale) => {
-                self.wait_as(State::Confirming { stamp }, CallDelay::Confirmation)
+                Decision::AdoptStamp(stamp)
             }
+            (_, Freshness::PossiblyStale) => self.enter(State::Confirming { stamp }, CallDelay::Confirmation),
         }
     }
 
-    fn on_read_without_progress(&mut self, stamp: StampTime, reads_without_progress: u32) -> Step {
+    fn on_read_without_progress(&mut self, stamp: StampTime, reads_without_progress: u32) -> Decision {
         if reads_without_progress < MAX_READS_WITHOUT_PROGRESS {
-            self.wait_as(State::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
+            self.enter(State::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
         } else {
-            self.wait_as(State::TakingOver { stamp }, CallDelay::None)
+            self.enter(State::TakingOver { stamp }, CallDelay::None)
         }
     }
 
@@ -241,8 +237,8 @@
         CallDelay::None
     }
 
-    fn wait_as(&mut self, state: State, delay: CallDelay) -> Step {
+    fn enter(&mut self, state: State, delay: CallDelay) -> Decision {
         self.state = state;
-        Step::Wait(delay)
+        Decision::CallAfter(delay)
     }
 }
--- a/crates/exchange/src/fleet_clock/election/tests.rs
+++ b/crates/exchange/src/fleet_clock/election/tests.rs
@@ -3,7 +3,7 @@
 use super::super::stamp::TICK;
 use super::*;
 
-/// The stamp time at so many ticks since 1970.
+/// The stamp time of a time in ticks since 1970.
 fn stamp_time(ticks: i64) -> StampTime {
     StampTime::from_micros(ticks * TICK as i64)
 }
@@ -19,14 +19,14 @@
 
 /// Reads the stamp in this state.
 #[track_caller]
-fn read(election: &mut Election, stamp: Stamp, freshness: Freshness) -> Step {
+fn read(election: &mut Election, stamp: Stamp, freshness: Freshness) -> Decision {
     let call = election.next_call(stamp_time(0));
     assert_eq!(call, Call::Read);
     election.on_reply(call, stamp, freshness)
 }
 
 /// Makes the next call at this time, and applies the total that it leads to.
-fn call_and_reply(election: &mut Election, ticks: i64, reply: Stamp) -> Step {
+fn call_and_reply(election: &mut Election, ticks: i64, reply: Stamp) -> Decision {
     let call = election.next_call(stamp_time(ticks));
     election.on_reply(call, reply, Freshness::Fresh)
 }
@@ -38,10 +38,10 @@
 #[test]
 fn a_candidate_that_twice_found_no_stamp_places_one_and_becomes_the_timekeeper() {
     let mut election = Election::new();
-    assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Step::Wait(CallDelay::Vacancy));
+    assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Decision::CallAfter(CallDelay::Vacancy));
     assert_eq!(election.state, State::Candidate);
-    assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Step::Wait(CallDelay::None));
-    assert_eq!(call_and_reply(&mut election, 70, stamps(1, 70)), Step::Wait(CallDelay::Advance));
+    assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Decision::CallAfter(CallDelay::None));
+    assert_eq!(call_and_reply(&mut election, 70, stamps(1, 70)), Decision::CallAfter(CallDelay::Advance));
     assert_eq!(election.state, timekeeper(70));
     assert!(election.is_timekeeper());
 }
@@ -49,47 +49,56 @@
 #[test]
 fn a_candidate_that_finds_a_fresh_stamp_follows() {
     let mut election = in_state(State::Candidate);
-    assert_eq!(read(&mut election, stamps(1, 50), Freshness::Fresh), Step::Wait(CallDelay::FollowerRead));
+    assert_eq!(
+        read(&mut election, stamps(1, 50), Freshness::Fresh),
+        Decision::CallAfter(CallDelay::FollowerRead)
+    );
     assert_eq!(election.state, State::Follower);
 }
 
 #[test]
 fn a_conflict_while_claiming_rolls_the_own_stamp_back() {
     let mut election = in_state(State::Claiming { residue: Ticks::ZERO });
-    assert_eq!(call_and_reply(&mut election, 70, stamps(2, 140)), Step::Wait(CallDelay::None));
+    assert_eq!(call_and_reply(&mut election, 70, stamps(2, 140)), Decision::CallAfter(CallDelay::None));
     let call = election.next_call(stamp_time(80));
     assert_eq!(call, Call::RollBack { amount: -stamp_time(70).placement_amount(Ticks::ZERO) });
-    let step = election.on_reply(call, stamps(1, 70), Freshness::Fresh);
-    assert_eq!((step, election.state), (Step::Wait(CallDelay::Backoff), State::Follower));
+    let decision = election.on_reply(call, stamps(1, 70), Freshness::Fresh);
+    assert_eq!((decision, election.state), (Decision::CallAfter(CallDelay::Backoff), State::Follower));
 }
 
 #[test]
 fn a_possibly_stale_stamp_without_progress_is_taken_over() {
     let mut election = Election::new();
-    let step = read(&mut election, stamps(1, 50), Freshness::PossiblyStale);
-    assert_eq!(step, Step::Wait(CallDelay::Confirmation));
-    assert_eq!(read(&mut election, stamps(1, 50), Freshness::PossiblyStale), Step::Wait(CallDelay::None));
+    let decision = read(&mut election, stamps(1, 50), Freshness::PossiblyStale);
+    assert_eq!(decision, Decision::CallAfter(CallDelay::Confirmation));
+    assert_eq!(
+        read(&mut election, stamps(1, 50), Freshness::PossiblyStale),
+        Decision::CallAfter(CallDelay::None)
+    );
     assert_eq!(election.state, State::TakingOver { stamp: stamp_time(50) });
     assert_eq!(election.next_call(stamp_time(90)).amount(), Ticks(40));
-    assert_eq!(call_and_reply(&mut election, 90, stamps(1, 90)), Step::Wait(CallDelay::Advance));
+    assert_eq!(call_and_reply(&mut election, 90, stamps(1, 90)), Decision::CallAfter(CallDelay::Advance));
     assert_eq!(election.state, timekeeper(90));
 }
 
 #[test]
 fn a_possibly_stale_stamp_that_makes_progress_is_adopted() {
     let mut election = in_state(State::Confirming { stamp: stamp_time(50) });
-    let step = read(&mut election, stamps(1, 60), Freshness::PossiblyStale);
-    assert_eq!(step, Step::AdoptStamp(stamp_time(60)));
+    let decision = read(&mut election, stamps(1, 60), Freshness::PossiblyStale);
+    assert_eq!(decision, Decision::AdoptStamp(stamp_time(60)));
 }
 
 #[test]
 fn a_stamp_of_an_offset_clock_is_adopted_at_once_and_followed_after_progress() {
     let mut election = Election::new();
-    let step = read(&mut election, stamps(1, 50), Freshness::OffsetClock);
-    assert_eq!(step, Step::AdoptStamp(stamp_time(50)));
-    let step = read(&mut election, stamps(1, 50), Freshness::Fresh);
-    assert_eq!(step, Step::Wait(CallDelay::Confirmation), "no progress is not fresh");
-    assert_eq!(read(&mut election, stamps(1, 60), Freshness::Fresh), Step::Wait(CallDelay::FollowerRead));
+    let decision = read(&mut election, stamps(1, 50), Freshness::OffsetClock);
+    assert_eq!(decision, Decision::AdoptStamp(stamp_time(50)));
+    let decision = read(&mut election, stamps(1, 50), Freshness::Fresh);
+    assert_eq!(decision, Decision::CallAfter(CallDelay::Confirmation), "no progress is not fresh");
+    assert_eq!(
+        read(&mut election, stamps(1, 60), Freshness::Fresh),
+        Decision::CallAfter(CallDelay::FollowerRead)
+    );
     assert_eq!(election.state, State::Follower);
 }
 
@@ -97,10 +106,13 @@
 fn an_adopted_stamp_is_taken_over_after_thirty_reads_without_progress() {
     let mut election = in_state(State::Adopted { stamp: stamp_time(50), reads_without_progress: 0 });
     for _ in 1..30 {
-        let step = read(&mut election, stamps(1, 50), Freshness::PossiblyStale);
-        assert_eq!(step, Step::Wait(CallDelay::Confirmation));
+        let decision = read(&mut election, stamps(1, 50), Freshness::PossiblyStale);
+        assert_eq!(decision, Decision::CallAfter(CallDelay::Confirmation));
     }
-    assert_eq!(read(&mut election, stamps(1, 50), Freshness::PossiblyStale), Step::Wait(CallDelay::None));
+    assert_eq!(
+        read(&mut election, stamps(1, 50), Freshness::PossiblyStale),
+        Decision::CallAfter(CallDelay::None)
+    );
     assert_eq!(election.state, State::TakingOver { stamp: stamp_time(50) });
 }
 
@@ -109,8 +121,8 @@
     for (stamp, time) in [(50, 60), (999_995, 5)] {
         let mut election = in_state(timekeeper(stamp));
         let amount = election.next_call(stamp_time(time)).amount();
-        let step = call_and_reply(&mut election, time, Stamp::decode(amount.as_units()));
-        assert_eq!(step, Step::Wait(CallDelay::None));
+        let decision = call_and_reply(&mut election, time, Stamp::decode(amount.as_units()));
+        assert_eq!(decision, Decision::CallAfter(CallDelay::None));
         assert_eq!(election.state, State::Claiming { residue: amount });
     }
 }
@@ -118,7 +130,7 @@
 #[test]
 fn a_timekeeper_that_finds_another_stamp_rolls_back_what_it_added() {
     let mut election = in_state(timekeeper(50));
-    assert_eq!(call_and_reply(&mut election, 60, stamps(1, 75)), Step::Wait(CallDelay::None));
+    assert_eq!(call_and_reply(&mut election, 60, stamps(1, 75)), Decision::CallAfter(CallDelay::None));
     assert_eq!(election.state, State::RollingBack { amount: Ticks(10) });
 }
 
@@ -126,7 +138,10 @@
 fn a_reader_that_finds_several_stamps_backs_off_until_they_are_rolled_back() {
     for state in [State::Candidate, State::Confirming { stamp: stamp_time(5) }] {
         let mut election = in_state(state);
-        assert_eq!(read(&mut election, stamps(2, 100), Freshness::Fresh), Step::Wait(CallDelay::Backoff));
+        assert_eq!(
+            read(&mut election, stamps(2, 100), Freshness::Fresh),
+            Decision::CallAfter(CallDelay::Backoff)
+        );
         assert_eq!(election.state, State::Follower);
     }
 }
--- a/crates/exchange/src/fleet_clock/pacing.rs
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -18,17 +18,17 @@
 const VACANCY_JITTER: Micros = 1_000_000;
 /// Maximum backoff after a failed call or a conflict. The minimum is half of it.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// The maximum jitter grows by its base value for each so many gatekeepers.
-const GATEKEEPERS_PER_JITTER_STEP: u64 = 50;
+/// The maximum jitter grows by its base value for each group of this many gatekeepers.
+const GATEKEEPERS_PER_JITTER_GROUP: u64 = 50;
 
-/// Why a call has to wait.
+/// The reason for the delay of the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallDelay {
-    /// The call is due at once.
+    /// The call is due immediately.
     None,
-    /// The timekeeper advances its stamp.
+    /// The timekeeper advances the stamp at an interval.
     Advance,
-    /// A follower reads a stamp that was fresh.
+    /// A follower reads the stamp again after it was fresh.
     FollowerRead,
     /// A stamp is read again to see whether it has advanced.
     Confirmation,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// A random delay below `max`, which grows with the number of gatekeepers so that they do not call at once.
+    /// A random delay below `max`, which grows with the number of gatekeepers so that they do not call at the same time.
     fn jitter(&mut self, max: Micros) -> Micros {
-        self.random.u64(..max * (1 + self.gatekeepers / GATEKEEPERS_PER_JITTER_STEP))
+        self.random.u64(..max * (1 + self.gatekeepers / GATEKEEPERS_PER_JITTER_GROUP))
     }
 }
--- a/crates/exchange/src/fleet_clock/pacing/tests.rs
+++ b/crates/exchange/src/fleet_clock/pacing/tests.rs
@@ -4,7 +4,7 @@
 
 const DRAWS: usize = 10_000;
 
-/// The smallest and the largest of many draws.
+/// The minimum and the maximum of many draws.
 fn range_of(gatekeepers: u32, delay: CallDelay) -> (Micros, Micros) {
     let mut pacing = Pacing::new(gatekeepers, 1);
     let draws: Vec<Micros> = (0..DRAWS).map(|_| pacing.draw(delay)).collect();
--- a/crates/exchange/src/fleet_clock/stamp.rs
+++ b/crates/exchange/src/fleet_clock/stamp.rs
@@ -52,7 +52,7 @@
 pub(super) struct StampTime(i64);
 
 impl StampTime {
-    /// The stamp time at so many microseconds since 1970.
+    /// The stamp time of a time in microseconds since 1970.
     pub(super) fn from_micros(micros: i64) -> Self {
         Self((micros / TICK as i64).rem_euclid(PERIOD))
     }
--- a/crates/exchange/src/fleet_clock/stamp/tests.rs
+++ b/crates/exchange/src/fleet_clock/stamp/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The stamp time at so many ticks since 1970.
+/// The stamp time of a time in ticks since 1970.
 fn stamp_time(ticks: i64) -> StampTime {
     StampTime::from_micros(ticks * TICK as i64)
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Exchange`] owns the policy's state machine, the table of requests in flight, the timers and the calls to the quota counter. It
 //! knows no wire protocol and no socket: what a front forwards (`Q`) and what a backend answers (`A`) are opaque here. Everything that
 //! happens becomes one [`policy::Event`]. The side effects that follow are performed after the lock is released, so that either side
-//! may call back at once.
+//! may call back immediately.
 //!
 //! | module | holds |
 //! | --- | --- |
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -22,7 +22,7 @@
     pub client_retry: bool,
     /// The account of [`Status::accounts`](crate::Status::accounts) that its units are added to when it is first forwarded.
     pub account: Option<u32>,
-    /// What is forwarded to a backend.
+    /// The content that is forwarded to a backend.
     pub payload: Q,
 }
 
@@ -48,7 +48,7 @@
     pub time_left: Micros,
     /// Maximum time from the decision to the write.
     pub max_start_delay: Micros,
-    /// What is forwarded.
+    /// The content that is forwarded.
     pub payload: Arc<Q>,
 }
 
--- a/crates/exchange/src/request_table/answers.rs
+++ b/crates/exchange/src/request_table/answers.rs
@@ -38,7 +38,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(reply) = request.reply.take() else { return };
         self.statistics.request_answered(request.class, AnswerKind::of(&answer), request.is_streaming);
-        // Before the answer goes out: what is not written by now must not be forwarded after it.
+        // Before the answer is given: nothing of the request may be written after it.
         for attempt in request.open_attempts(id) {
             self.side_effects.push(SideEffect::Withdraw(attempt));
         }
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -8,7 +8,7 @@
 use policy::{BackendId, Event, Micros, Outcome, RequestId, Timestamp};
 
 impl<Q, A> RequestTable<Q, A> {
-    /// Starts an attempt. If its request is over, the attempt ends at once as not sent.
+    /// Starts an attempt. If its request is over, the attempt ends immediately as not sent.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
--- a/crates/exchange/src/side_effect.rs
+++ b/crates/exchange/src/side_effect.rs
@@ -43,12 +43,12 @@
         self.queue.push_back(side_effect);
     }
 
-    /// Makes the caller the one that drains the queue. Returns whether no other caller does so already.
-    pub(crate) fn begin_drain(&mut self) -> bool {
+    /// Makes the caller the one that drains the queue. Returns false if another caller drains it already.
+    pub(crate) fn start_draining(&mut self) -> bool {
         !std::mem::replace(&mut self.is_draining, true)
     }
 
-    /// Takes the next side effect. The drain ends when there is none.
+    /// Takes the next side effect. Draining ends when there is none.
     pub(crate) fn next(&mut self) -> Option<SideEffect<Q, A>> {
         let next = self.queue.pop_front();
         self.is_draining = next.is_some();
--- a/crates/exchange/src/stream.rs
+++ b/crates/exchange/src/stream.rs
@@ -159,7 +159,7 @@
         self.0.lock().notify_reader = Some(notify.into());
     }
 
-    /// Takes up to `max_bytes` of what has arrived.
+    /// Takes up to `max_bytes` bytes that have arrived.
     pub fn read(&self, max_bytes: usize) -> ReadResult {
         let mut state = self.0.lock();
         if state.bytes.is_empty() {
