--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -13,6 +13,13 @@
 /// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// A connection that was opened for a shard.
+struct OpenedConnection {
+    connection: Arc<CounterConnection>,
+    /// Calls that waited for it and could not be written.
+    unwritten: Vec<CounterCall>,
+}
+
 /// Client of one counter.
 pub struct CounterClient {
     /// Reference to itself for the coroutines that run connections.
@@ -73,16 +80,10 @@
         connections.iter().for_each(|connection| connection.close_if_silent());
     }
 
-    /// Opens the connection of a shard, writes the waiting calls, and reads answers until it ends.
+    /// Opens the connection of a shard with the waiting calls, and reads answers until it ends.
     fn run_connection(&self, shard: &Mutex<Shard>) {
-        let Some((connection, waiting)) = self.connect(shard) else { return };
-        for call in waiting {
-            match connection.write(&call) {
-                WriteResult::Written => {}
-                WriteResult::Failed => self.fail_to_connect(&call),
-                WriteResult::Retired => self.call(call),
-            }
-        }
+        let Some(OpenedConnection { connection, unwritten }) = self.connect(shard) else { return };
+        unwritten.iter().for_each(|call| self.fail_to_connect(call));
         // Every way in which reading ends closes the connection.
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
@@ -93,9 +94,8 @@
         }
     }
 
-    /// Connects a shard, and returns the connection and the calls that waited for it. If the counter is unreachable, these calls fail,
-    /// and it returns `None`.
-    fn connect(&self, shard: &Mutex<Shard>) -> Option<(Arc<CounterConnection>, Vec<CounterCall>)> {
+    /// Connects a shard and writes the calls that waited for it. If the counter is unreachable, these calls fail, and it returns `None`.
+    fn connect(&self, shard: &Mutex<Shard>) -> Option<OpenedConnection> {
         loop {
             let address = *locked(&self.address);
             let connection = Connection::connect(address, CONNECT_TIMEOUT);
@@ -111,8 +111,11 @@
                 return None;
             };
             let connection = Arc::new(CounterConnection::new(connection));
+            // Written before the shard has the connection: no later call may overtake them. Writing never waits.
+            let is_unwritten = |call: &CounterCall| !matches!(connection.write(call), WriteResult::Written);
+            let unwritten = waiting.into_iter().filter(is_unwritten).collect();
             shard.set_connection(connection.clone());
-            return Some((connection, waiting));
+            return Some(OpenedConnection { connection, unwritten });
         }
     }
 
