--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -7,6 +7,9 @@
 mod requests;
 mod slow_start;
 
+#[cfg(test)]
+mod tests;
+
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, gatekeeper_name};
 use crate::settings::Settings;
 use fault_injection::checkers::Violation;
