--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -10,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, gatekeeper_name};
+use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, SchedulingDelay, gatekeeper_name};
 use crate::settings::Settings;
 use fault_injection::checkers::Violation;
 use std::time::Duration;
@@ -44,8 +44,9 @@
 impl History {
     /// Longest scheduling delay of the harness in this time. What it records may be late by as much.
     pub(crate) fn harness_delay(&self, from: Moment, to: Moment) -> Duration {
-        let overlaps = |&&(at, delay): &&(Moment, Duration)| at >= from && at.saturating_sub(delay) <= to;
-        self.delays.iter().filter(overlaps).map(|(_, delay)| *delay).max().unwrap_or_default()
+        let overlaps =
+            |late: &&SchedulingDelay| late.ended >= from && late.ended.saturating_sub(late.delay) <= to;
+        self.delays.iter().filter(overlaps).map(|late| late.delay).max().unwrap_or_default()
     }
 
     /// Total time for which a gatekeeper was suspended in this time.
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -58,8 +58,8 @@
 /// (docs/design/quotas.md).
 fn allowance_of_counter_changes(history: &History, from: Moment) -> f64 {
     let is_near = |at: Moment| at + LEARNING > from && at < from + WINDOW;
-    let changes = history.counter_changes.iter().filter(|(at, _)| is_near(*at));
-    changes.map(|(_, gatekeepers)| *gatekeepers as f64 * MAX_UNITS).sum()
+    let changes = history.counter_changes.iter().filter(|change| is_near(change.at));
+    changes.map(|change| change.gatekeepers as f64 * MAX_UNITS).sum()
 }
 
 fn check_quota(
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -2,7 +2,7 @@
 
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
-use crate::history::{History, RequestOutcome, RequestRecord};
+use crate::history::{History, Refusal, RequestOutcome, RequestRecord};
 use fault_injection::checkers::Violation;
 use fault_injection::checkers::rules::ONE_FINAL_ANSWER;
 use std::collections::HashSet;
@@ -25,7 +25,7 @@
         violations.extend(check_request(history, request, was_attempted));
     }
     violations.extend(check_partial_requests(history));
-    violations.extend(history.refusals.iter().map(|&(at, gatekeeper)| {
+    violations.extend(history.refusals.iter().map(|&Refusal { at, gatekeeper }| {
         violation_by(gatekeeper, ACCEPTS_CONNECTIONS, at, "a connection was refused")
     }));
     violations
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::history::{
     AttemptOutcome, AttemptRecord, BackendIndex, ListChange, Notification, PartialRequest, ProcessRecord,
-    RequestNumber, RequestOutcome, RequestRecord,
+    RequestNumber, RequestOutcome, RequestRecord, SchedulingDelay,
 };
 use fault_injection::checkers::rules::{
     CLEAN_EXIT, HARD_CEILING, NO_UNREQUESTED_EXIT, NOTHING_TO_INELIGIBLE, ONE_FINAL_ANSWER,
@@ -133,7 +133,7 @@
     history.requests[0].ended = ms(1_900);
     assert_eq!(broken(&history), [ONE_FINAL_ANSWER]);
     // The harness itself may have been late.
-    history.delays.push((ms(1_200), ms(50)));
+    history.delays.push(SchedulingDelay { ended: ms(1_200), delay: ms(50) });
     assert_eq!(broken(&history), [""; 0]);
     history.delays.clear();
     history.processes.push(process(ms(1_500), ProcessEvent::Killed));
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients. Most send a request and wait for its answer; some disconnect early, never complete a request, or set a very short deadline.
 
 use crate::gatekeeper::Gatekeeper;
-use crate::history::{PartialRequest, Recorder, RequestNumber, RequestOutcome, RequestRecord};
+use crate::history::{PartialRequest, Recorder, Refusal, RequestNumber, RequestOutcome, RequestRecord};
 use crate::settings::{Effect, MAX_UNITS, Settings, plan_name};
 use fault_injection::connections::is_temporary;
 use fault_injection::wire;
@@ -194,7 +194,7 @@
             }
             Err(_) => {
                 if could_accept && self.gatekeeper.accepts_connections() {
-                    let refusal = (self.recorder.now(), self.gatekeeper.index);
+                    let refusal = Refusal { at: self.recorder.now(), gatekeeper: self.gatekeeper.index };
                     self.recorder.record(|history| history.refusals.push(refusal));
                 }
                 std::thread::sleep(REFUSED_PAUSE);
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -1,5 +1,6 @@
 //! Injects the faults of a schedule, each in a thread of its own.
 
+use crate::history::CounterChange;
 use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule};
 use crate::settings::MAX_SOCKETS;
 use crate::site::Site;
@@ -95,10 +96,10 @@
         }
         Fault::Counter { mode } => {
             site.counter.set_mode(mode);
-            note_counter_change(site, site.gatekeepers.len());
+            record_counter_change(site, site.gatekeepers.len());
             thread::sleep(length);
             site.counter.set_mode(CounterMode::Healthy);
-            note_counter_change(site, site.gatekeepers.len());
+            record_counter_change(site, site.gatekeepers.len());
         }
         Fault::Backend { backend, mode } => {
             site.backends[backend].set_mode(mode);
@@ -168,12 +169,12 @@
     let affected = site.gatekeepers.iter().skip(first).step_by(step).count();
     set(true);
     if cuts_off_the_counter(faults) {
-        note_counter_change(site, affected);
+        record_counter_change(site, affected);
     }
     thread::sleep(length);
     set(false);
     if cuts_off_the_counter(faults) {
-        note_counter_change(site, affected);
+        record_counter_change(site, affected);
     }
 }
 
@@ -182,8 +183,8 @@
     matches!(faults, CallFaults::Sockets | CallFaults::BrokenConnections | CallFaults::NoConnections)
 }
 
-fn note_counter_change(site: &Site, gatekeepers: usize) {
-    let change = (site.recorder.now(), gatekeepers);
+fn record_counter_change(site: &Site, gatekeepers: usize) {
+    let change = CounterChange { at: site.recorder.now(), gatekeepers };
     site.recorder.record(|history| history.counter_changes.push(change));
 }
 
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -227,6 +227,33 @@
     pub ended: Option<Moment>,
 }
 
+/// The counter became unreachable or reachable for some gatekeepers.
+#[derive(Clone, Copy, Debug)]
+pub struct CounterChange {
+    /// When it changed.
+    pub at: Moment,
+    /// Number of gatekeepers.
+    pub gatekeepers: usize,
+}
+
+/// A gatekeeper refused a connection.
+#[derive(Clone, Copy, Debug)]
+pub struct Refusal {
+    /// When the client noticed.
+    pub at: Moment,
+    /// The gatekeeper.
+    pub gatekeeper: GatekeeperIndex,
+}
+
+/// A thread of the harness ran late.
+#[derive(Clone, Copy, Debug)]
+pub struct SchedulingDelay {
+    /// When it ran.
+    pub ended: Moment,
+    /// How late that was.
+    pub delay: Duration,
+}
+
 /// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
@@ -242,16 +269,16 @@
     pub list_changes: Vec<ListChange>,
     /// Discovery agents.
     pub discovery_changes: Vec<DiscoveryChange>,
-    /// When the counter became unreachable or reachable, and for how many gatekeepers.
-    pub counter_changes: Vec<(Moment, usize)>,
+    /// Changes of the counter's reachability.
+    pub counter_changes: Vec<CounterChange>,
     /// Lists that were written.
     pub notifications: Vec<Notification>,
     /// Requests that were never completed.
     pub partial_requests: Vec<PartialRequest>,
     /// Refused connections to a gatekeeper.
-    pub refusals: Vec<(Moment, GatekeeperIndex)>,
-    /// Scheduling delays of the harness itself, at their ends.
-    pub delays: Vec<(Moment, Duration)>,
+    pub refusals: Vec<Refusal>,
+    /// Scheduling delays of the harness itself.
+    pub delays: Vec<SchedulingDelay>,
 }
 
 /// Collects a history from all threads. Clones share it.
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -2,7 +2,7 @@
 
 use crate::client::{Behaviour, Client};
 use crate::gatekeeper::{Gatekeeper, Program};
-use crate::history::Recorder;
+use crate::history::{Recorder, SchedulingDelay};
 use crate::settings::{Addresses, Settings};
 use crate::stand_ins::{Backend, Counter, Discovery, SharedList};
 use fault_injection::ports::free_address;
@@ -151,8 +151,8 @@
             std::thread::sleep(HEARTBEAT);
             let delay = before.elapsed().saturating_sub(HEARTBEAT);
             if delay > NOTABLE_DELAY {
-                let at = recorder.now();
-                recorder.record(|history| history.delays.push((at, delay)));
+                let ended = recorder.now();
+                recorder.record(|history| history.delays.push(SchedulingDelay { ended, delay }));
             }
         }
     })?;
