--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod client_connection;
 mod config;
+mod connection_end;
 mod front;
 mod problem;
 mod receive;
--- a/crates/front_openapi/src/receive.rs
+++ b/crates/front_openapi/src/receive.rs
@@ -2,10 +2,10 @@
 
 use crate::Front;
 use crate::client_connection::{ClientConnection, Phase};
+use crate::connection_end::{ConnectionEnd, ServeResult};
 use crate::front::MIN_IDLE_FOR_EVICTION;
 use crate::problem::Problem;
 use crate::resolve::Resolved;
-use crate::serve::{ConnectionEnd, ServeResult};
 use http::{BodyReader, Framing, RequestHead};
 use link::Incoming;
 
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -2,6 +2,7 @@
 
 use crate::Front;
 use crate::client_connection::{ClientConnection, Phase};
+use crate::connection_end::{ConnectionEnd, ServeResult};
 use crate::problem::Problem;
 use crate::receive::{CompleteRequest, MAX_READ_BYTES};
 use crate::resolve::{Resolved, request_target};
@@ -18,19 +19,6 @@
 /// A request has at least this much time, in microseconds, however short its deadline.
 const MIN_TIME_LEFT: Micros = 1_000;
 
-/// Why a client connection serves no more requests.
-pub(crate) enum ConnectionEnd {
-    /// The client has disconnected.
-    ClientGone,
-    /// It is between requests and closes gracefully. A request that crosses the close is unread, so the client may retry it.
-    BetweenRequests,
-    /// This response is sent before it closes.
-    Problem(Problem),
-}
-
-/// Whether a client connection serves further requests.
-pub(crate) type ServeResult = Result<(), ConnectionEnd>;
-
 impl Front {
     /// Serves requests until the client disconnects, or the end of a request cannot be determined.
     pub(crate) fn serve(&self, client: &Arc<ClientConnection>) {
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -4,7 +4,7 @@
 use crate::event::BackendEntry;
 use crate::outlier_detection::BackendHealth;
 use crate::slow_start::SlowStart;
-use crate::snapshot::StoredBackend;
+use crate::stored::StoredBackend;
 use crate::time::Timestamp;
 
 /// Bounds of a backend's size: a wrong figure must not attract all work, or none for good.
--- a/crates/policy/src/backend_latency.rs
+++ b/crates/policy/src/backend_latency.rs
@@ -1,6 +1,6 @@
 //! The latency of one backend relative to the mean of its class: an estimate that is forgotten as it ages, no decision.
 
-use crate::snapshot::StoredBackend;
+use crate::stored::StoredBackend;
 use crate::time::Timestamp;
 
 /// Relative latency up to which a backend counts as good.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //! and which work may use the last of it. Additive increase while answers are early, multiplicative decrease
 //! while they are late.
 
-use crate::snapshot::StoredPool;
+use crate::stored::StoredPool;
 use crate::time::{Micros, Timestamp};
 
 /// Mean latency as a part of the objective below which the limit grows. Latencies spread to three times their
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -1,11 +1,12 @@
 //! Calls to the shared quota counter: which are made, and what follows from their answers.
 
 use crate::action::Action;
+use crate::count_total::CountTotal;
 use crate::counter_health::Urgency;
 use crate::counter_sync::NEGLIGIBLE_UNITS;
 use crate::event::Outcome;
 use crate::ids::TenantId;
-use crate::shared_bucket::{CountName, CountTotal, CounterAnswer, CounterCall, EPOCH, FailedCall, refilled};
+use crate::shared_bucket::{CountName, CounterAnswer, CounterCall, EPOCH, FailedCall, refilled};
 use crate::state_machine::{Actions, Policy};
 
 impl Policy {
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -5,8 +5,8 @@
 use crate::ids::BackendId;
 use crate::settings::Settings;
 use crate::slow_start::{self, SlowStart};
-use crate::snapshot::BackendSnapshot;
 use crate::start_times::StartTimes;
+use crate::stored::BackendSnapshot;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -2,9 +2,8 @@
 //! concerned, and get a trial now and then.
 
 use crate::settings::Settings;
-use crate::snapshot::StoredBackend;
+use crate::stored::{StoredBackend, StoredClassHealth};
 use crate::time::{Micros, Timestamp};
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Part of its latency objective for which an attempt may be unanswered, with no answer of its backend since,
@@ -34,8 +33,8 @@
 }
 
 /// How one class fares at one backend.
-#[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub(crate) struct ClassHealth {
+#[derive(Clone, Copy, Debug)]
+struct ClassHealth {
     last_answer: Timestamp,
     /// Set while the backend is ejected for this class: the moment of the next trial.
     ejected_until: Option<Timestamp>,
@@ -46,10 +45,12 @@
         Self { last_answer: now, ejected_until: None }
     }
 
-    /// Changes all moments that are kept.
-    pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
-        change(&mut self.last_answer);
-        self.ejected_until.iter_mut().for_each(change);
+    fn store(self) -> StoredClassHealth {
+        StoredClassHealth { last_answer: self.last_answer, ejected_until: self.ejected_until }
+    }
+
+    fn restore(stored: StoredClassHealth) -> Self {
+        Self { last_answer: stored.last_answer, ejected_until: stored.ejected_until }
     }
 }
 
@@ -179,7 +180,7 @@
 
     pub(crate) fn store(&self, stored: &mut StoredBackend) {
         stored.last_answer = self.last_answer;
-        stored.classes.clone_from(&self.classes);
+        stored.classes = self.classes.iter().map(|class| class.store()).collect();
         stored.rejects_until.clone_from(&self.rejects_until);
         stored.connect_backoff_until = self.connect_backoff.until;
         stored.connect_backoff = self.connect_backoff.last;
@@ -190,7 +191,7 @@
             ConnectBackoff { until: stored.connect_backoff_until, last: stored.connect_backoff };
         Self {
             last_answer: stored.last_answer,
-            classes: stored.classes,
+            classes: stored.classes.into_iter().map(ClassHealth::restore).collect(),
             rejects_until: stored.rejects_until,
             connect_backoff,
         }
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -6,7 +6,7 @@
 use crate::hash::mix;
 use crate::ids::BackendId;
 use crate::settings::Settings;
-use crate::snapshot::StoredPool;
+use crate::stored::StoredPool;
 use crate::time::{Micros, SECOND, Timestamp};
 
 /// Gatekeepers that share a backend where there are many, and the fewest backends that one prefers: enough
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -6,12 +6,12 @@
 //! order, so an answer also tells the level just before the call: a write-off that was too large, because another gatekeeper had made
 //! it already, shows in its own answer and is taken back.
 
+use crate::count_total::{BucketView, CountTotal};
 use crate::hash::mix;
 use crate::ids::TenantId;
 use crate::settings::Plan;
-use crate::snapshot::StoredQuota;
+use crate::stored::StoredQuota;
 use crate::time::{Micros, SECOND, Timestamp};
-use serde::{Deserialize, Serialize};
 
 /// Microseconds for which the name of a count is used (the design's epoch). Totals are read as differences and buckets refill
 /// smoothly, so a long epoch only means fewer changes of name. A name lives for two epochs, 60 s at most.
@@ -83,26 +83,6 @@
     call_in_flight: Option<f64>,
 }
 
-/// What the total of a tenant's count says about its bucket.
-#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub(crate) enum BucketView {
-    /// The first total under a name: spend may have been reported under the name before.
-    #[default]
-    Fresh,
-    /// The level is exact.
-    Exact,
-    /// Spend went unreported, while the counter was silent or because it lost totals: only changes of the total count until the next
-    /// name.
-    Diverged,
-}
-
-/// A total of a named count.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct CountTotal {
-    pub(crate) name: u64,
-    pub(crate) total: f64,
-}
-
 /// How a call to the counter ended without a total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailedCall {
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much a backend that has just started is sent by this gatekeeper.
 
 use crate::settings::Settings;
-use crate::snapshot::StoredBackend;
+use crate::stored::StoredBackend;
 use crate::time::{SECOND, Timestamp};
 
 /// Standard deviations that are left free in what a backend in slow start is sent.
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -2,9 +2,6 @@
 //! admits nothing from then on, so that each bucket has one owner.
 
 mod clock_change;
-mod stored;
-
-pub(crate) use stored::{StoredBackend, StoredPool, StoredQuota};
 
 use crate::class_stats::ClassStats;
 use crate::counter_health::CounterHealth;
@@ -14,6 +11,7 @@
 use crate::retry_budget::RetryBudget;
 use crate::service_pool::ServicePool;
 use crate::state_machine::Policy;
+use crate::stored::{BackendSnapshot, StoredPool, StoredQuota};
 use crate::tenant_quota::TenantQuota;
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -34,14 +32,6 @@
     retry_budget: f64,
 }
 
-/// One backend since its most recent start.
-#[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct BackendSnapshot {
-    pub(crate) id: BackendId,
-    pub(crate) started: Timestamp,
-    pub(crate) state: StoredBackend,
-}
-
 impl PolicySnapshot {
     /// The same with the numbers of the successor: `backends` by the predecessor's number, `plans` and `classes` in the predecessor's
     /// order. Entries without a number there are left out.
--- a/crates/policy/src/snapshot/clock_change.rs
+++ b/crates/policy/src/snapshot/clock_change.rs
@@ -2,7 +2,7 @@
 //! starts kept in the moments, the successor would wait for it to pass: nothing would refill, and no pause would end.
 
 use super::PolicySnapshot;
-use super::stored::{StoredBackend, StoredPool, StoredQuota};
+use crate::stored::{StoredBackend, StoredClassHealth, StoredPool, StoredQuota};
 use crate::time::{Micros, Timestamp};
 
 /// Clocks that differ by no more microseconds are the same one: a snapshot takes moments to arrive.
@@ -36,7 +36,12 @@
         self.change(&mut backend.readmitted_at);
         self.change(&mut backend.connect_backoff_until);
         backend.rejects_until.values_mut().for_each(|time| self.change(time));
-        backend.classes.iter_mut().for_each(|class| class.change_times(|time| self.change(time)));
+        backend.classes.iter_mut().for_each(|class| self.change_class_health(class));
+    }
+
+    fn change_class_health(self, class: &mut StoredClassHealth) {
+        self.change(&mut class.last_answer);
+        class.ejected_until.iter_mut().for_each(|time| self.change(time));
     }
 
     fn change_pool(self, pool: &mut StoredPool) {
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -14,8 +14,7 @@
 use crate::settings::{Plan, Settings, SettingsError};
 use crate::tenant_quota::{CounterState, TenantQuota};
 use crate::time::{Micros, SECOND, Timestamp};
-use crate::timer_token::TOKEN_TICK;
-use crate::timers::TICK;
+use crate::timer_token::{TICK, TOKEN_TICK};
 use std::collections::BTreeMap;
 
 /// Actions in the order in which they are to be carried out.
--- a/crates/policy/src/snapshot/stored.rs
+++ b/crates/policy/src/stored.rs
@@ -1,9 +1,8 @@
 //! The stored form of the parts: plain data. The order of the fields is the form that processes exchange at a hot restart; it must
 //! not change.
 
+use crate::count_total::{BucketView, CountTotal};
 use crate::ids::{BackendId, RequestId};
-use crate::outlier_detection::ClassHealth;
-use crate::shared_bucket::{BucketView, CountTotal};
 use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -42,7 +41,7 @@
     pub(crate) relative_latency: f64,
     pub(crate) latency_updated_at: Timestamp,
     pub(crate) last_answer: Timestamp,
-    pub(crate) classes: Vec<ClassHealth>,
+    pub(crate) classes: Vec<StoredClassHealth>,
     pub(crate) rejects_until: BTreeMap<(usize, usize), Timestamp>,
     pub(crate) slow_start_tokens: f64,
     pub(crate) recent_sends: f64,
@@ -51,6 +50,21 @@
     pub(crate) connect_backoff: Micros,
 }
 
+/// One class at a backend, as outlier detection sees it.
+#[derive(Clone, Copy, Debug, Deserialize, Serialize)]
+pub(crate) struct StoredClassHealth {
+    pub(crate) last_answer: Timestamp,
+    pub(crate) ejected_until: Option<Timestamp>,
+}
+
+/// One backend since its most recent start.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub(crate) struct BackendSnapshot {
+    pub(crate) id: BackendId,
+    pub(crate) started: Timestamp,
+    pub(crate) state: StoredBackend,
+}
+
 /// A [`ServicePool`](crate::service_pool::ServicePool).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct StoredPool {
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -6,7 +6,7 @@
 use crate::request::Price;
 use crate::settings::{Plan, Settings};
 use crate::shared_bucket::SharedBucket;
-use crate::snapshot::StoredQuota;
+use crate::stored::StoredQuota;
 use crate::time::{Micros, Timestamp};
 
 /// Uncertain units that count, in standard deviations.
--- a/crates/policy/src/timer_token.rs
+++ b/crates/policy/src/timer_token.rs
@@ -1,6 +1,11 @@
 //! Tokens of timers: what a timer is for, in the value that comes back when it expires.
 
 use crate::ids::RequestId;
+use crate::time::Micros;
+
+/// Microseconds between two looks at unreported spend and silent backends. Short against every latency
+/// objective.
+pub(crate) const TICK: Micros = 20_000;
 
 /// A token holds its kind in the highest byte, the attempt from bit 32 on, and the request in the lowest 32 bits.
 pub(crate) const TOKEN_TICK: u64 = 0;
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -8,11 +8,8 @@
 use crate::state_machine::{Actions, Policy};
 use crate::tenant_quota::TenantQuota;
 use crate::time::Micros;
-use crate::timer_token::{TOKEN_TICK, TimerKind};
+use crate::timer_token::{TICK, TOKEN_TICK, TimerKind};
 
-/// Microseconds between two looks at unreported spend and silent backends. Short against every latency
-/// objective.
-pub(crate) const TICK: Micros = 20_000;
 /// Microseconds between two rounds of the work over all backends and tenants: too expensive for each tick of
 /// large fleets.
 const POOL_TICK: Micros = 200_000;
--- a/crates/replicated_config/src/error.rs
+++ b/crates/replicated_config/src/error.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::ReplicaId;
 use crate::limits::MAX_MESSAGE_BYTES;
-use crate::log::{LogIndex, Term};
+use crate::log_position::{LogIndex, Term};
 
 /// An error of the replicated configuration.
 #[derive(Debug, thiserror::Error)]
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -1,11 +1,8 @@
 //! A replica's durable state and the records that update it on disk.
 
-mod position;
-
-pub use position::{LogIndex, Term};
-
 use crate::error::Error;
 use crate::ids::ReplicaId;
+use crate::log_position::{LogIndex, Term};
 use serde::{Deserialize, Serialize};
 
 /// An entry of the Raft log, on disk and in messages.
--- a/crates/replicated_config/src/raft_message.rs
+++ b/crates/replicated_config/src/raft_message.rs
@@ -1,7 +1,8 @@
 //! Raft messages in this crate's own encoding. Bytes from the network never reach the parser of the Raft library.
 
 use crate::ids::ReplicaId;
-use crate::log::{LogEntry, LogIndex, Snapshot, Term};
+use crate::log::{LogEntry, Snapshot};
+use crate::log_position::{LogIndex, Term};
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
--- a/crates/replicated_config/src/raft_storage.rs
+++ b/crates/replicated_config/src/raft_storage.rs
@@ -2,7 +2,8 @@
 
 use crate::error::Error;
 use crate::ids::ReplicaId;
-use crate::log::{DurableState, HardState, LogEntry, LogIndex, LogRecord, Snapshot, Term};
+use crate::log::{DurableState, HardState, LogEntry, LogRecord, Snapshot};
+use crate::log_position::{LogIndex, Term};
 use raft::eraftpb::{self, ConfState};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use crate::lease::LeaseTable;
-use crate::log::Term;
+use crate::log_position::Term;
 use crate::message::{LeaseRequest, LeaseResponse, Message, VersionTexts};
 use crate::state::Command;
 use crate::version::{ConfigVersion, Version};
--- a/crates/replicated_config/src/replica/raft_config.rs
+++ b/crates/replicated_config/src/replica/raft_config.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::ReplicaId;
 use crate::limits::MAX_TEXT_BYTES;
-use crate::log::LogIndex;
+use crate::log_position::LogIndex;
 use raft::{Config, ReadOnlyOption};
 
 /// Ticks between two heartbeats of a leader.
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -2,7 +2,8 @@
 //! reads to answer.
 
 use super::Replica;
-use crate::log::{HardState, LogEntry, LogIndex, LogRecord, Snapshot, Term};
+use crate::log::{HardState, LogEntry, LogRecord, Snapshot};
+use crate::log_position::{LogIndex, Term};
 use crate::message::Message;
 use crate::raft_message::RaftMessage;
 use crate::state::Command;
