--- a/crates/fault_shim/src/clock.rs
+++ b/crates/fault_shim/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, stepped.
+//! Steps of the wall clock.
 
 use crate::control::setting;
 use crate::next::Next;
@@ -14,12 +14,12 @@
 type ClockGettime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
 type Gettimeofday = unsafe extern "C" fn(*mut timeval, *mut libc::c_void) -> c_int;
 
-/// Microseconds that the wall clock is ahead.
+/// The offset of the wall clock in microseconds.
 fn offset() -> i64 {
     setting(Setting::ClockOffset) as i64
 }
 
-/// The same time with the offset: whole seconds, and microseconds below one.
+/// Adds the offset to a time. Returns seconds and microseconds.
 fn stepped(seconds: i64, micros: i64) -> (i64, i64) {
     let sum = seconds * MICROS_PER_SECOND + micros + offset();
     (sum.div_euclid(MICROS_PER_SECOND), sum.rem_euclid(MICROS_PER_SECOND))
--- a/crates/fault_shim/src/control.rs
+++ b/crates/fault_shim/src/control.rs
@@ -1,4 +1,4 @@
-//! The control block as this process maps it, and the draw whether a call fails.
+//! The control block as this process maps it, and random failures by its rates.
 
 use fault_shim_control::{CONTROL_BYTES, CONTROL_VARIABLE, RATE_SCALE, Setting};
 use std::ffi::CString;
@@ -6,9 +6,9 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The mapped block; none where the process was started without one.
+/// The mapped block; none if the process was started without one.
 static BLOCK: OnceLock<Option<&'static [AtomicU64]>> = OnceLock::new();
-/// Advances with each draw.
+/// Number of draws so far.
 static DRAWS: AtomicU64 = AtomicU64::new(0);
 
 fn map_block() -> Option<&'static [AtomicU64]> {
@@ -45,13 +45,13 @@
     value ^ (value >> 31)
 }
 
-/// Whether a call with this rate fails.
-pub(crate) fn fails(rate: Setting) -> bool {
+/// Draws whether a call with this failure rate fails.
+pub(crate) fn should_fail(rate: Setting) -> bool {
     let rate = setting(rate);
     rate > 0 && draw() % RATE_SCALE < rate
 }
 
-/// Fails a call with one of these errors.
+/// Sets `errno` to one of these errors, drawn at random, and returns the -1 of a failed call.
 pub(crate) fn fail(errors: &[i32]) -> i32 {
     let error = errors[(draw() % errors.len() as u64) as usize];
     // SAFETY: the location is this thread's.
--- a/crates/fault_shim/src/files.rs
+++ b/crates/fault_shim/src/files.rs
@@ -1,7 +1,7 @@
-//! Files: a disk that takes nothing for a while.
+//! Files: opening, writing, syncing and renaming fail.
 
-use crate::control::{fail, fails};
-use crate::descriptors::{Kind, is, note};
+use crate::control::{fail, should_fail};
+use crate::descriptors::{Kind, has_kind, set_kind};
 use crate::next::Next;
 use fault_shim_control::Setting;
 use libc::{c_char, c_int, c_void, mode_t, size_t, ssize_t};
@@ -17,7 +17,7 @@
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 
-/// A full disk, and a broken one.
+/// Errors of a full and of a broken disk.
 const DISK_ERRORS: [i32; 2] = [libc::ENOSPC, libc::EIO];
 
 /// # Safety
@@ -26,12 +26,12 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let is_written = flags & libc::O_ACCMODE != libc::O_RDONLY;
-    if is_written && fails(Setting::FileOpenFailure) {
+    if is_written && should_fail(Setting::FileOpenFailure) {
         return fail(&DISK_ERRORS);
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
     let descriptor = unsafe { OPEN64.get::<Open>()(path, flags, mode) };
-    note(descriptor, if is_written { Kind::WrittenFile } else { Kind::Other });
+    set_kind(descriptor, if is_written { Kind::WrittenFile } else { Kind::Other });
     descriptor
 }
 
@@ -40,7 +40,7 @@
 /// As `write(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, length: size_t) -> ssize_t {
-    if is(descriptor, Kind::WrittenFile) && fails(Setting::FileWriteFailure) {
+    if has_kind(descriptor, Kind::WrittenFile) && should_fail(Setting::FileWriteFailure) {
         return fail(&DISK_ERRORS) as ssize_t;
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
@@ -52,7 +52,7 @@
 /// As `fsync(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
-    if fails(Setting::FileSyncFailure) {
+    if should_fail(Setting::FileSyncFailure) {
         return fail(&DISK_ERRORS);
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
@@ -64,7 +64,7 @@
 /// As `fdatasync(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
-    if fails(Setting::FileSyncFailure) {
+    if should_fail(Setting::FileSyncFailure) {
         return fail(&DISK_ERRORS);
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
@@ -76,7 +76,7 @@
 /// As `rename(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    if fails(Setting::FileRenameFailure) {
+    if should_fail(Setting::FileRenameFailure) {
         return fail(&DISK_ERRORS);
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
--- a/crates/fault_shim/src/lib.rs
+++ b/crates/fault_shim/src/lib.rs
@@ -1,7 +1,7 @@
 //! A library for `LD_PRELOAD` that makes system calls of a process under test fail as Linux documents, and steps its wall clock.
 //!
-//! What fails how often is read from the control block (package `fault_shim_control`) at each call. Without one, or with no fault
-//! set, every call goes through. Only what a gatekeeper calls is interposed: the functions that the standard library, `may` and
+//! Failure rates are read from the control block (package `fault_shim_control`) at each call. Without one, or with all rates 0,
+//! every call is passed on unchanged. Only functions that a gatekeeper calls are interposed: the functions that the standard library, `may` and
 //! `socket2` use for TCP sockets, waits, files and clocks.
 
 mod clock;
--- a/crates/fault_shim/src/next.rs
+++ b/crates/fault_shim/src/next.rs
@@ -1,4 +1,4 @@
-//! The functions that are interposed, as the C library has them.
+//! The C library's own definitions of the interposed functions.
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicPtr, Ordering};
--- a/crates/fault_shim/src/sockets.rs
+++ b/crates/fault_shim/src/sockets.rs
@@ -1,7 +1,7 @@
-//! Sockets: calls that fail for a moment, short transfers, interrupted calls, and connections that break.
+//! Sockets: temporary failures of calls, short transfers, interrupted calls, and broken connections.
 
-use crate::control::{draw, fail, fails, setting};
-use crate::descriptors::{Kind, is, note};
+use crate::control::{draw, fail, setting, should_fail};
+use crate::descriptors::{Kind, has_kind, set_kind};
 use crate::next::Next;
 use fault_shim_control::Setting;
 use libc::{c_int, c_void, epoll_event, size_t, sockaddr, sockaddr_in, socklen_t, ssize_t};
@@ -23,14 +23,14 @@
 type EpollWait = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
 type Close = unsafe extern "C" fn(c_int) -> c_int;
 
-/// What `socket(2)` and `accept(2)` document for a machine that lacks something for a moment.
+/// Errors that `socket(2)` and `accept(2)` document for a temporary lack of resources.
 const SOCKET_ERRORS: [i32; 4] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM];
 const ACCEPT_ERRORS: [i32; 6] =
     [libc::ECONNABORTED, libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR];
-/// What `connect(2)` and `tcp(7)` document where this machine, or its network, cannot connect now.
+/// Errors that `connect(2)` and `tcp(7)` document for a machine or network that cannot connect.
 const CONNECT_ERRORS: [i32; 5] =
     [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS, libc::EHOSTUNREACH, libc::ETIMEDOUT];
-/// What a read tells of a connection that the network has broken.
+/// Errors of a read on a connection that the network has broken.
 const BROKEN_ERRORS: [i32; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
 
 /// Calls of `socket` for TCP over IPv4.
@@ -43,13 +43,13 @@
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET {
         let is_early = SOCKETS.fetch_add(1, Ordering::Relaxed) < setting(Setting::FirstSocketFailures);
-        if is_early || fails(Setting::SocketFailure) {
+        if is_early || should_fail(Setting::SocketFailure) {
             return fail(&SOCKET_ERRORS);
         }
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
     let descriptor = unsafe { SOCKET.get::<Socket>()(domain, kind, protocol) };
-    note(descriptor, Kind::Other);
+    set_kind(descriptor, Kind::Other);
     descriptor
 }
 
@@ -75,9 +75,9 @@
     // SAFETY: the caller's address.
     let port = unsafe { port(address, length) };
     if port != 0 {
-        note(descriptor, Kind::Outbound);
+        set_kind(descriptor, Kind::Outbound);
         let only = setting(Setting::ConnectFailurePort);
-        if (only == 0 || only == u64::from(port)) && fails(Setting::ConnectFailure) {
+        if (only == 0 || only == u64::from(port)) && should_fail(Setting::ConnectFailure) {
             return fail(&CONNECT_ERRORS);
         }
     }
@@ -95,18 +95,22 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if fails(Setting::AcceptFailure) {
+    if should_fail(Setting::AcceptFailure) {
         return fail(&ACCEPT_ERRORS);
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
     let descriptor = unsafe { ACCEPT4.get::<Accept4>()(listener, address, length, flags) };
-    note(descriptor, Kind::Other);
+    set_kind(descriptor, Kind::Other);
     descriptor
 }
 
-/// How many bytes a transfer may take.
+/// The number of bytes that a transfer of this length takes.
 fn transfer_length(length: size_t) -> size_t {
-    if length > 1 && fails(Setting::ShortTransfer) { 1 + draw() as usize % (length - 1) } else { length }
+    if length > 1 && should_fail(Setting::ShortTransfer) {
+        1 + draw() as usize % (length - 1)
+    } else {
+        length
+    }
 }
 
 /// # Safety
@@ -114,10 +118,10 @@
 /// As `recv(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(descriptor: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if fails(Setting::Interruption) {
+    if should_fail(Setting::Interruption) {
         return fail(&[libc::EINTR]) as ssize_t;
     }
-    if is(descriptor, Kind::Outbound) && fails(Setting::BrokenConnection) {
+    if has_kind(descriptor, Kind::Outbound) && should_fail(Setting::BrokenConnection) {
         // SAFETY: a descriptor of the caller's.
         unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
         return fail(&BROKEN_ERRORS) as ssize_t;
@@ -136,7 +140,7 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if fails(Setting::Interruption) {
+    if should_fail(Setting::Interruption) {
         return fail(&[libc::EINTR]) as ssize_t;
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
@@ -153,7 +157,7 @@
     max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if fails(Setting::Interruption) {
+    if should_fail(Setting::Interruption) {
         return fail(&[libc::EINTR]);
     }
     // SAFETY: the type is the function's, and the arguments are the caller's.
@@ -165,7 +169,7 @@
 /// As `close(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    note(descriptor, Kind::Other);
+    set_kind(descriptor, Kind::Other);
     // SAFETY: the type is the function's, and the arguments are the caller's.
     unsafe { CLOSE.get::<Close>()(descriptor) }
 }
--- a/crates/fault_shim_control/src/lib.rs
+++ b/crates/fault_shim_control/src/lib.rs
@@ -14,40 +14,40 @@
 pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
 /// Bytes of the file.
 pub const CONTROL_BYTES: usize = 4096;
-/// Rates are parts of so many calls.
+/// Rates are out of this many calls.
 pub const RATE_SCALE: u64 = 10_000;
 /// The file name of the shared library, beside the programs or the tests that cargo has built.
 const LIBRARY_NAME: &str = "libfault_shim.so";
 
-/// What can be set. Rates are parts of [`RATE_SCALE`].
+/// The settings of a control block. Rates are out of [`RATE_SCALE`] calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Setting {
-    /// Microseconds that are added to the wall clock, as a signed number.
+    /// Offset of the wall clock in microseconds, as a signed number.
     ClockOffset = 0,
-    /// Rate at which `accept` fails for a moment.
+    /// Rate of temporary failures of `accept`.
     AcceptFailure,
-    /// Rate at which `socket` fails for a moment.
+    /// Rate of temporary failures of `socket`.
     SocketFailure,
-    /// Rate at which `connect` fails at once for a reason of this machine's.
+    /// Rate of immediate local failures of `connect`.
     ConnectFailure,
-    /// The port to which alone `connect` fails; 0 for all.
+    /// The only port to which `connect` fails; 0 for all ports.
     ConnectFailurePort,
-    /// Rate at which a wait, a read or a write is interrupted by a signal.
+    /// Rate of waits, reads and writes that are interrupted by a signal.
     Interruption,
-    /// Rate at which a read or a write on a socket takes a part only.
+    /// Rate of short reads and writes on sockets.
     ShortTransfer,
-    /// Rate at which a read finds an outbound connection broken.
+    /// Rate of reads that find an outbound connection broken.
     BrokenConnection,
-    /// Rate at which opening a file for writing fails.
+    /// Rate of failures to open a file for writing.
     FileOpenFailure,
-    /// Rate at which a write to a file fails.
+    /// Rate of failed writes to files.
     FileWriteFailure,
-    /// Rate at which a file's sync fails.
+    /// Rate of failed syncs of files.
     FileSyncFailure,
-    /// Rate at which a file cannot be renamed.
+    /// Rate of failed renames of files.
     FileRenameFailure,
-    /// The first so many calls of `socket` of a process fail.
+    /// Number of calls of `socket` that fail at the start of a process.
     FirstSocketFailures,
 }
 
@@ -70,7 +70,7 @@
         Ok(Self { path: path.to_owned(), file })
     }
 
-    /// Where the file is, for [`CONTROL_VARIABLE`].
+    /// The path of the file, for [`CONTROL_VARIABLE`].
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -93,7 +93,7 @@
         self.file.write_all_at(&value.to_ne_bytes(), offset as u64)
     }
 
-    /// Puts the wall clock so many microseconds ahead, or behind where it is negative.
+    /// Sets the offset of the wall clock in microseconds.
     ///
     /// # Errors
     ///
@@ -102,7 +102,7 @@
         self.set(Setting::ClockOffset, offset_us as u64)
     }
 
-    /// Ends all faults but the offset of the clock.
+    /// Resets all settings but the offset of the wall clock.
     ///
     /// # Errors
     ///
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -27,7 +27,7 @@
 /// Rates are out of this many requests.
 const RATE_SCALE: u64 = 1_000;
 
-/// Rates of misbehaviour of all clients, out of [`RATE_SCALE`] requests.
+/// Rates of misbehaviour of all clients, out of 1,000 requests.
 #[derive(Debug, Default)]
 pub struct Behaviour {
     /// Rate of requests whose client disconnects before the answer.
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -4,6 +4,7 @@
 use fault_injection::process::{Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver};
 use fault_injection::sync::lock;
 use fault_shim_control::Control;
+use seeded_faults::FAULT_VARIABLE;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,8 +21,6 @@
 const CONNECTS_AFTER_TERMINATION: Duration = Duration::from_millis(300);
 /// Maximum wait for a process to serve.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// The environment variable that enables a seeded fault in a build with the feature `weakened`.
-const SEEDED_FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
 
 /// The program that gatekeepers run.
 #[derive(Clone, Debug)]
@@ -198,7 +197,7 @@
             ("TMPDIR", self.directory.display().to_string()),
         ];
         variables.extend(self.control.environment(&self.program.shim));
-        variables.extend(self.program.seeded_fault.clone().map(|fault| (SEEDED_FAULT_VARIABLE, fault)));
+        variables.extend(self.program.seeded_fault.clone().map(|fault| (FAULT_VARIABLE, fault)));
         variables
     }
 
--- a/crates/seeded_faults/src/lib.rs
+++ b/crates/seeded_faults/src/lib.rs
@@ -1,12 +1,10 @@
-//! Seeded faults: rules that the gatekeeper breaks on purpose, so that the checkers of the fault-injection harness can be seen to
-//! find it.
+//! Seeded faults: rules that a gatekeeper breaks on purpose, to test that the checkers of the harnesses report it.
 //!
-//! Without the feature `on` no fault is active, which is known at build time, so that nothing is left of them. A build with it is
-//! never released: it says so when it starts, and has the fault that `SNOWFIELD_WEAKENED` names.
+//! Without the feature `on` no fault is active. This is known at build time, so the compiler removes them all. A build with the
+//! feature is never released: it prints a warning when it starts, and has the fault that [`FAULT_VARIABLE`] names.
 
-/// The variable that names the fault.
-#[cfg(feature = "on")]
-const VARIABLE: &str = "SNOWFIELD_WEAKENED";
+/// The environment variable that names the fault.
+pub const FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
 
 /// Whether this build may have seeded faults.
 pub const ENABLED: bool = cfg!(feature = "on");
@@ -15,7 +13,7 @@
 #[cfg(feature = "on")]
 pub fn is_active(fault: &str) -> bool {
     static ACTIVE: std::sync::OnceLock<String> = std::sync::OnceLock::new();
-    ACTIVE.get_or_init(|| std::env::var(VARIABLE).unwrap_or_default()) == fault
+    ACTIVE.get_or_init(|| std::env::var(FAULT_VARIABLE).unwrap_or_default()) == fault
 }
 
 /// Whether this fault is active in this process: never.
--- a/crates/seeded_faults/src/tests.rs
+++ b/crates/seeded_faults/src/tests.rs
@@ -1,4 +1,4 @@
-//! What a build answers.
+//! Which faults are active in a build.
 
 use super::*;
 
@@ -15,7 +15,7 @@
 #[test]
 fn just_the_fault_that_the_variable_names_is_active() {
     const { assert!(ENABLED) };
-    let named = std::env::var("SNOWFIELD_WEAKENED").unwrap_or_default();
+    let named = std::env::var(FAULT_VARIABLE).unwrap_or_default();
     assert!(is_active(&named));
     assert!(!is_active("no such fault"));
 }
--- a/crates/system_tests/src/bin/proof-checkers.rs
+++ b/crates/system_tests/src/bin/proof-checkers.rs
@@ -2,6 +2,7 @@
 //! `proof-checkers PROGRAM`.
 
 use fault_injection::schedule::{Fault, FaultKind, Form, Schedule};
+use seeded_faults::FAULT_VARIABLE;
 use std::path::Path;
 use std::process::{Command, ExitCode};
 use std::thread;
@@ -22,8 +23,6 @@
     SeededFault { name: "holds", rule: "bounded memory, descriptors and threads" },
     SeededFault { name: "agreed", rule: "all agree again" },
 ];
-/// The environment variable that enables a seeded fault.
-const FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
 /// Maximum number of schedules until the broken rule is reported.
 const MAX_SCHEDULES: usize = 20;
 /// Number of the same schedules that the release build runs.
