--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -7,7 +7,10 @@
 mod requests;
 mod slow_start;
 
-use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, gatekeeper_name};
+#[cfg(test)]
+mod tests;
+
+use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, SchedulingDelay, gatekeeper_name};
 use crate::settings::Settings;
 use fault_injection::checkers::Violation;
 use std::time::Duration;
@@ -39,13 +42,14 @@
 }
 
 impl History {
-    /// By how much the harness itself was late at most in this time: what it records may be as late.
+    /// Longest scheduling delay of the harness in this time. What it records may be late by as much.
     pub(crate) fn harness_delay(&self, from: Moment, to: Moment) -> Duration {
-        let overlaps = |&&(at, delay): &&(Moment, Duration)| at >= from && at.saturating_sub(delay) <= to;
-        self.delays.iter().filter(overlaps).map(|(_, delay)| *delay).max().unwrap_or_default()
+        let overlaps =
+            |late: &&SchedulingDelay| late.ended >= from && late.ended.saturating_sub(late.delay) <= to;
+        self.delays.iter().filter(overlaps).map(|late| late.delay).max().unwrap_or_default()
     }
 
-    /// For how long a gatekeeper was suspended in this time.
+    /// Total time for which a gatekeeper was suspended in this time.
     pub(crate) fn suspended(&self, gatekeeper: GatekeeperIndex, from: Moment, to: Moment) -> Duration {
         let of_this = self.processes.iter().filter(|record| record.gatekeeper == gatekeeper);
         let suspended = of_this.filter_map(|record| match record.event {
