--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -1,322 +1,425 @@
-//! A fleet of decision modules in simulated time: gatekeepers, backends with two cores and a line, and a counter.
+//! A discrete-event simulation of a fleet: gatekeepers, backends with two cores and a queue each, and a shared counter.
 //!
-//! Everything that happens is an entry in one queue by time, and chance comes from one seed, so a run is the same each
-//! time. Nothing here decides: it only counts what the gatekeepers do together.
+//! Events are processed in order of time, and all randomness comes from one seed, so a run can be repeated exactly. All decisions
+//! are the policy's; the simulation delivers events and records what the gatekeepers send.
 
 use super::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-/// Simulated happens to a gatekeeper, by its number.
+/// Delay of a call to the shared counter, until its total is read.
+const COUNTER_DELAY: Micros = 2 * MS;
+const CORES: usize = 2;
+const TENANTS: u32 = 50;
+
+/// An event of the simulation. `gatekeeper` is an index into [`Fleet::gatekeepers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Simulated {
-    Arrival(usize),
-    Timer(usize, u64),
-    Answer(usize, u32, u8),
-    TooLate(usize, u32, u8),
-    Count(usize, u64, u64),
+enum SimulatedEvent {
+    RequestArrives { gatekeeper: usize },
+    TimerExpires { gatekeeper: usize, token: u64 },
+    AttemptServed { gatekeeper: usize, id: u32, attempt: u8 },
+    AttemptTimesOut { gatekeeper: usize, id: u32, attempt: u8 },
+    CounterReplies { gatekeeper: usize, name: u64, added_units_bits: u64 },
+}
+
+/// An event in the queue. Events at the same moment are processed in the order in which they were scheduled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    at: Timestamp,
+    serial: u64,
+    event: SimulatedEvent,
 }
 
-/// A backend as it is.
+/// A simulated backend.
 #[derive(Clone, Debug)]
-pub struct Server {
-    /// When each core is free.
-    cores: [Micros; 2],
-    /// It takes requests and never answers.
+pub struct SimulatedBackend {
+    /// The moment at which each core has finished its queue.
+    core_free_at: [Timestamp; CORES],
+    /// It accepts requests and never answers.
     pub is_silent: bool,
-    /// Its start; 0 for long ago.
-    started: Micros,
+    /// Its most recent start; [`Timestamp::ZERO`] for long ago.
+    started: Timestamp,
 }
 
-/// Simulated a fleet is made of and what is asked of it.
-pub struct Shape {
+/// Size and load of a fleet.
+pub struct FleetParameters {
     pub gatekeepers: u32,
-    pub servers: u32,
+    pub backends: u32,
     /// Requests a second over all gatekeepers.
-    pub rate: f64,
-    /// us; mean work of a request.
-    pub work: f64,
-    /// One gatekeeper in ten is requested this many times what each of the others is.
+    pub request_rate: f64,
+    /// Mean service time of a request in microseconds.
+    pub mean_work: f64,
+    /// Every tenth gatekeeper receives this many times the traffic of each other one.
     pub busiest: f64,
-    /// A backend in slow start falls at so many times what it can do then.
-    pub overload: f64,
+    /// The setting of the same name: what a backend in slow start may be sent, relative to its capacity at that time.
+    pub overload_factor: f64,
     pub seed: u64,
 }
 
-/// A try that a gatekeeper was given.
-struct Submitted {
-    came: Micros,
-    deadline: Micros,
-    /// Backend, time of sending and whether it is over, by attempt.
-    attempts: Vec<(u32, Micros, bool)>,
-    over: bool,
+/// One attempt of a [`SubmittedRequest`].
+struct SimulatedAttempt {
+    backend: u32,
+    sent_at: Timestamp,
+    ended: bool,
+}
+
+/// A request that a gatekeeper received.
+struct SubmittedRequest {
+    arrived_at: Timestamp,
+    deadline: Timestamp,
+    attempts: Vec<SimulatedAttempt>,
+    /// It has its final answer.
+    answered: bool,
+}
+
+/// An attempt that a gatekeeper sent.
+#[derive(Clone, Copy, Debug)]
+pub struct SentAttempt {
+    pub at: Timestamp,
+    pub gatekeeper: usize,
+    pub backend: u32,
 }
 
-/// A fleet and what it did.
+/// How many requests came, and how they ended.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct RequestCounts {
+    pub arrived: usize,
+    /// Answered within the latency objective.
+    pub answered_in_time: usize,
+    pub rejected_or_failed: usize,
+}
+
+/// A time window that begins with an attempt sent to a backend in slow start.
+struct SlowStartWindow {
+    sent: f64,
+    /// How many attempts the overload rule allows in the window.
+    budget: f64,
+}
+
+/// The simulated fleet and what it did so far.
 pub struct Fleet {
-    pub now: Micros,
+    pub now: Timestamp,
     settings: Settings,
-    shape: Shape,
+    parameters: FleetParameters,
     gatekeepers: Vec<Policy>,
-    pub servers: HashMap<u32, Server>,
-    submitted: Vec<HashMap<u32, Submitted>>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Simulated)>>,
-    serial: u64,
-    next_id: u32,
+    pub backends: HashMap<u32, SimulatedBackend>,
+    /// The requests of each gatekeeper by id.
+    submitted: Vec<HashMap<u32, SubmittedRequest>>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    last_serial: u64,
+    next_request_id: u32,
     rng: fastrand::Rng,
-    counts: HashMap<u64, f64>,
-    /// All sends: time, gatekeeper, backend.
-    pub sends: Vec<(Micros, usize, u32)>,
-    /// Tries that came, that were answered in time, and that were rejected or failed.
-    pub tally: [usize; 3],
+    counter_totals: HashMap<u64, f64>,
+    pub sent_attempts: Vec<SentAttempt>,
+    pub counts: RequestCounts,
     recorder: Recorder,
 }
 
 impl Fleet {
-    pub fn new(shape: Shape) -> Self {
-        let class = RequestClass {
-            latency_objective: 1_500 * MS,
-            deadline: 6 * SECOND,
-            idempotency: Idempotency::Idempotent,
-            ..RequestClass::default()
+    pub fn new(parameters: FleetParameters) -> Self {
+        let now = at(1_000 * SECOND);
+        let backend = SimulatedBackend {
+            core_free_at: [Timestamp::ZERO; CORES],
+            is_silent: false,
+            started: Timestamp::ZERO,
         };
-        let settings = Settings {
-            gatekeepers: shape.gatekeepers,
-            classes: vec![class],
-            plans: vec![Plan::default()],
-            max_attempts: 6,
-            hedging: true,
-            slow_start_share: 0.16,
-            slow_start_duration: 17 * SECOND,
-            overload_factor: shape.overload,
-            overload_duration: 1_500 * MS,
-            shared_counter: true,
-            counter_timeout: 30 * MS,
-            max_cost: 8.0,
-            ..Settings::default()
-        };
-        let now = 1_000 * SECOND;
-        let server = Server { cores: [0; 2], is_silent: false, started: 0 };
         let mut fleet = Self {
             now,
+            settings: fleet_settings(&parameters),
             gatekeepers: Vec::new(),
-            servers: (1..=shape.servers).map(|id| (id, server.clone())).collect(),
-            submitted: (0..shape.gatekeepers).map(|_| HashMap::new()).collect(),
+            backends: (1..=parameters.backends).map(|id| (id, backend.clone())).collect(),
+            submitted: (0..parameters.gatekeepers).map(|_| HashMap::new()).collect(),
             queue: BinaryHeap::new(),
-            serial: 0,
-            next_id: 0,
-            rng: fastrand::Rng::with_seed(shape.seed),
-            counts: HashMap::new(),
-            sends: Vec::new(),
-            tally: [0; 3],
+            last_serial: 0,
+            next_request_id: 0,
+            rng: fastrand::Rng::with_seed(parameters.seed),
+            counter_totals: HashMap::new(),
+            sent_attempts: Vec::new(),
+            counts: RequestCounts::default(),
             recorder: Recorder::new(),
-            settings,
-            shape,
+            parameters,
         };
-        for me in 0..fleet.shape.gatekeepers {
-            let settings = Settings { gatekeeper_index: me, ..fleet.settings.clone() };
-            let seed = fleet.rng.u64(..);
-            fleet.gatekeepers.push(Policy::new(settings, seed, at(now)).expect("usable settings"));
-            let entries = fleet.list();
-            fleet.feed(me as usize, Event::Endpoints { kind: ListKind::Cached, entries });
-            let first = fleet.gap(me as usize);
-            fleet.at(now + first, Simulated::Arrival(me as usize));
+        for index in 0..fleet.parameters.gatekeepers {
+            fleet.start_gatekeeper(index);
         }
         fleet
     }
 
-    /// The whole list as it is.
-    fn list(&self) -> Vec<BackendEntry> {
-        let entry = |(&id, s): (&u32, &Server)| BackendEntry {
+    fn start_gatekeeper(&mut self, index: u32) {
+        let settings = Settings { gatekeeper_index: index, ..self.settings.clone() };
+        let seed = self.rng.u64(..);
+        self.gatekeepers.push(Policy::new(settings, seed, self.now).expect("usable settings"));
+        let gatekeeper = index as usize;
+        let entries = self.endpoint_list();
+        self.feed(gatekeeper, Event::Endpoints { kind: ListKind::Cached, entries });
+        let first_arrival = self.now + self.draw_interarrival_time(gatekeeper);
+        self.schedule(first_arrival, SimulatedEvent::RequestArrives { gatekeeper });
+    }
+
+    /// The complete endpoint list, in order of ids.
+    fn endpoint_list(&self) -> Vec<BackendEntry> {
+        let entry = |(&id, backend): (&u32, &SimulatedBackend)| BackendEntry {
             id: BackendId(id),
-            started: at(s.started),
+            started: backend.started,
             ..Default::default()
         };
-        let mut list: Vec<_> = self.servers.iter().map(entry).collect();
-        list.sort_by_key(|e| e.id);
-        list
+        let mut entries: Vec<_> = self.backends.iter().map(entry).collect();
+        entries.sort_by_key(|entry| entry.id);
+        entries
     }
 
-    /// Puts new backend in slow starts in the place of these, and tells every gatekeeper.
-    pub fn replace(&mut self, ids: &[u32]) -> Vec<u32> {
-        let next = self.servers.keys().max().copied().unwrap_or(0);
-        for (i, id) in ids.iter().enumerate() {
-            let mut server = self.servers.remove(id).expect("it is there");
-            (server.cores, server.started) = ([0; 2], self.now);
-            self.servers.insert(next + 1 + i as u32, server);
+    /// Replaces these backends by ones that start now, sends every gatekeeper the new list, and returns the new ids.
+    pub fn replace_backends(&mut self, ids: &[u32]) -> Vec<u32> {
+        let last_id = self.backends.keys().max().copied().unwrap_or(0);
+        let new_ids: Vec<u32> = (1..=ids.len() as u32).map(|offset| last_id + offset).collect();
+        for (id, &new_id) in ids.iter().zip(&new_ids) {
+            let mut backend = self.backends.remove(id).expect("the replaced backend is listed");
+            backend.core_free_at = [Timestamp::ZERO; CORES];
+            backend.started = self.now;
+            self.backends.insert(new_id, backend);
         }
-        for g in 0..self.gatekeepers.len() {
-            let entries = self.list();
-            self.feed(g, Event::Endpoints { kind: ListKind::Full, entries });
+        for gatekeeper in 0..self.gatekeepers.len() {
+            let entries = self.endpoint_list();
+            self.feed(gatekeeper, Event::Endpoints { kind: ListKind::Full, entries });
         }
-        (1..=ids.len() as u32).map(|i| next + i).collect()
+        new_ids
     }
 
-    /// The share of its capacity that a backend has: the slowest legal warm-up.
-    fn warmth(&self, s: &Server, now: Micros) -> f64 {
-        if s.started == 0 {
+    /// The share of its full capacity that a backend has at a moment: a linear slow start, the slowest that the rules allow.
+    fn capacity_share(&self, backend: &SimulatedBackend, now: Timestamp) -> f64 {
+        if backend.started == Timestamp::ZERO {
             return 1.0;
         }
-        let age = (now - s.started) as f64 / self.settings.slow_start_duration as f64;
-        (self.settings.slow_start_share + (1.0 - self.settings.slow_start_share) * age).min(1.0)
+        let progress = (now - backend.started) as f64 / self.settings.slow_start_duration as f64;
+        let initial_share = self.settings.slow_start_share;
+        (initial_share + (1.0 - initial_share) * progress).min(1.0)
     }
 
-    /// Simulated was sent to a backend in slow start in each window that begins with a send, and the rule's budget for that.
-    fn slow_start_windows(&self, id: u32) -> Vec<(f64, f64)> {
-        let (s, span) = (&self.servers[&id], self.settings.overload_duration);
-        let carries = 2.0 * SECOND as f64 / self.shape.work;
-        let times: Vec<Micros> = self.sends.iter().filter(|x| x.2 == id).map(|x| x.0).collect();
-        let cold = times.iter().enumerate().take_while(|&(_, &from)| self.warmth(s, from) < 1.0);
-        let window = |(i, &from): (usize, &Micros)| {
-            let sent = times[i..].iter().take_while(|&&t| t < from + span).count() as f64;
-            let part = self.settings.overload_factor * self.warmth(s, from);
-            (sent, part * carries * span as f64 / SECOND as f64)
+    /// The windows of length `overload_duration` that begin with each attempt sent to a backend in slow start.
+    fn slow_start_windows(&self, id: u32) -> Vec<SlowStartWindow> {
+        let backend = &self.backends[&id];
+        let length = self.settings.overload_duration;
+        let full_rate = 2.0 * SECOND as f64 / self.parameters.mean_work;
+        let sent_at: Vec<Timestamp> =
+            self.sent_attempts.iter().filter(|sent| sent.backend == id).map(|sent| sent.at).collect();
+        let window = |(first, &start): (usize, &Timestamp)| {
+            let sent = sent_at[first..].iter().take_while(|&&moment| moment < start + length).count() as f64;
+            let allowed_share = self.settings.overload_factor * self.capacity_share(backend, start);
+            SlowStartWindow { sent, budget: allowed_share * full_rate * length as f64 / SECOND as f64 }
         };
-        cold.map(window).collect()
+        sent_at
+            .iter()
+            .enumerate()
+            .take_while(|&(_, &start)| self.capacity_share(backend, start) < 1.0)
+            .map(window)
+            .collect()
     }
 
-    /// The largest part of the cold rule's budget that was sent to one backend in any of its windows.
+    /// The largest share of its slow start budget that a backend was sent in any window.
     pub fn slow_start_budget_used(&self, id: u32) -> f64 {
-        self.slow_start_windows(id).into_iter().map(|(sent, budget)| sent / budget).fold(0.0, f64::max)
+        self.slow_start_windows(id).into_iter().map(|window| window.sent / window.budget).fold(0.0, f64::max)
     }
 
-    /// How far what was sent to a backend in slow start went beyond the rule's budget of N in its worst window, in parts of what counts
-    /// as chance: 2 x root of N + 2.
+    /// By how much a backend was sent more than its slow start budget of N in its worst window, as a multiple of the tolerance
+    /// for random variation: 2 x sqrt(N) + 2.
     pub fn slow_start_excess(&self, id: u32) -> f64 {
-        let excess = |(sent, budget): (f64, f64)| (sent - budget) / (2.0 * budget.sqrt() + 2.0);
+        let excess =
+            |window: SlowStartWindow| (window.sent - window.budget) / (2.0 * window.budget.sqrt() + 2.0);
         self.slow_start_windows(id).into_iter().map(excess).fold(0.0, f64::max)
     }
 
-    /// How many backends a gatekeeper has sent to since a time, in the mean over gatekeepers.
-    pub fn backends_used(&self, since: Micros) -> f64 {
-        let pairs: HashSet<_> = self.sends.iter().filter(|x| x.0 >= since).map(|x| (x.1, x.2)).collect();
+    /// To how many backends a gatekeeper has sent since a moment, as the mean over gatekeepers.
+    pub fn backends_used(&self, since: Timestamp) -> f64 {
+        let pairs: HashSet<_> = self
+            .sent_attempts
+            .iter()
+            .filter(|sent| sent.at >= since)
+            .map(|sent| (sent.gatekeeper, sent.backend))
+            .collect();
         pairs.len() as f64 / self.gatekeepers.len() as f64
     }
 
-    pub fn run_until(&mut self, until: Micros) {
-        while let Some(&Reverse((at, _, what))) = self.queue.peek()
-            && at <= until
+    /// How many attempts were sent to any of these backends.
+    pub fn sent_to(&self, backends: &[u32]) -> usize {
+        self.sent_attempts.iter().filter(|sent| backends.contains(&sent.backend)).count()
+    }
+
+    /// Processes all events up to and including this moment.
+    pub fn run_until(&mut self, until: Timestamp) {
+        while let Some(&Reverse(next)) = self.queue.peek()
+            && next.at <= until
         {
             self.queue.pop();
-            self.now = at;
-            self.happen(what);
+            self.now = next.at;
+            self.process(next.event);
         }
         self.now = until;
     }
 
-    fn at(&mut self, at: Micros, what: Simulated) {
-        self.serial += 1;
-        self.queue.push(Reverse((at, self.serial, what)));
+    fn schedule(&mut self, at: Timestamp, event: SimulatedEvent) {
+        self.last_serial += 1;
+        self.queue.push(Reverse(ScheduledEvent { at, serial: self.last_serial, event }));
     }
 
-    fn gap(&mut self, gatekeeper: usize) -> Micros {
-        let weight = |gatekeeper: usize| if gatekeeper.is_multiple_of(10) { self.shape.busiest } else { 1.0 };
-        let all: f64 = (0..self.shape.gatekeepers as usize).map(weight).sum();
-        let mean = all / weight(gatekeeper) / self.shape.rate * SECOND as f64;
+    /// Draws the exponentially distributed time until the next request at a gatekeeper.
+    fn draw_interarrival_time(&mut self, gatekeeper: usize) -> Micros {
+        let weight = |index: usize| if index.is_multiple_of(10) { self.parameters.busiest } else { 1.0 };
+        let total_weight: f64 = (0..self.parameters.gatekeepers as usize).map(weight).sum();
+        let mean = total_weight / weight(gatekeeper) / self.parameters.request_rate * SECOND as f64;
         (-(1.0 - self.rng.f64()).ln() * mean) as Micros + 1
     }
 
-    fn happen(&mut self, what: Simulated) {
-        match what {
-            Simulated::Arrival(g) => {
-                let (id, deadline) = (self.next_id, self.now + self.settings.classes[0].deadline);
-                self.next_id += 1;
-                self.tally[0] += 1;
-                self.submitted[g]
-                    .insert(id, Submitted { came: self.now, deadline, attempts: Vec::new(), over: false });
-                let gap = self.gap(g);
-                self.at(self.now + gap, Simulated::Arrival(g));
-                self.feed(
-                    g,
-                    Event::Request {
-                        id: RequestId(id),
-                        class: 0,
-                        plan: 0,
-                        tenant: TenantId(u64::from(id % 50)),
-                        time_left: deadline - self.now,
-                        tenant_gatekeepers: 4.0,
-                        units: 1.0,
-                        client_retry: false,
-                    },
-                );
+    fn process(&mut self, event: SimulatedEvent) {
+        match event {
+            SimulatedEvent::RequestArrives { gatekeeper } => self.submit_request(gatekeeper),
+            SimulatedEvent::TimerExpires { gatekeeper, token } => {
+                self.feed(gatekeeper, Event::Timer { token })
+            }
+            SimulatedEvent::AttemptServed { gatekeeper, id, attempt } => {
+                self.end_attempt(gatekeeper, id, attempt, Outcome::Ok);
+            }
+            SimulatedEvent::AttemptTimesOut { gatekeeper, id, attempt } => {
+                self.end_attempt(gatekeeper, id, attempt, Outcome::Timeout);
             }
-            Simulated::Timer(g, token) => self.feed(g, Event::Timer { token }),
-            Simulated::Answer(g, id, attempt) => self.ended(g, id, attempt, Outcome::Ok),
-            Simulated::TooLate(g, id, attempt) => self.ended(g, id, attempt, Outcome::Timeout),
-            Simulated::Count(g, name, add) => {
-                let total = self.counts.entry(name).or_insert(0.0);
-                *total += f64::from_bits(add);
+            SimulatedEvent::CounterReplies { gatekeeper, name, added_units_bits } => {
+                let total = self.counter_totals.entry(name).or_insert(0.0);
+                *total += f64::from_bits(added_units_bits);
                 let total = *total;
-                self.feed(g, Event::CounterReply { name, total, elapsed: 2 * MS, outcome: Outcome::Ok });
+                let reply = Event::CounterReply { name, total, elapsed: COUNTER_DELAY, outcome: Outcome::Ok };
+                self.feed(gatekeeper, reply);
             }
         }
     }
 
-    fn ended(&mut self, g: usize, id: u32, attempt: u8, outcome: Outcome) {
-        let now = self.now;
-        let Some(t) = self.submitted[g].get_mut(&id) else { return };
-        let (backend, sent, ended) = &mut t.attempts[usize::from(attempt)];
-        if std::mem::replace(ended, true) {
+    fn submit_request(&mut self, gatekeeper: usize) {
+        let id = self.next_request_id;
+        let deadline = self.now + self.settings.classes[0].deadline;
+        self.next_request_id += 1;
+        self.counts.arrived += 1;
+        self.submitted[gatekeeper].insert(
+            id,
+            SubmittedRequest { arrived_at: self.now, deadline, attempts: Vec::new(), answered: false },
+        );
+        let next_arrival = self.now + self.draw_interarrival_time(gatekeeper);
+        self.schedule(next_arrival, SimulatedEvent::RequestArrives { gatekeeper });
+        self.feed(
+            gatekeeper,
+            Event::Request {
+                id: RequestId(id),
+                class: 0,
+                plan: 0,
+                tenant: TenantId(u64::from(id % TENANTS)),
+                time_left: deadline - self.now,
+                tenant_gatekeepers: 4.0,
+                units: 1.0,
+                client_retry: false,
+            },
+        );
+    }
+
+    fn end_attempt(&mut self, gatekeeper: usize, id: u32, attempt: u8, outcome: Outcome) {
+        let Some(request) = self.submitted[gatekeeper].get_mut(&id) else { return };
+        let ending = &mut request.attempts[usize::from(attempt)];
+        if std::mem::replace(&mut ending.ended, true) {
             return;
         }
-        let (backend, elapsed) = (*backend, now - *sent);
-        if outcome == Outcome::Ok && !std::mem::replace(&mut t.over, true) {
-            self.tally[1] += usize::from(now <= t.came + self.settings.classes[0].latency_objective);
+        let (backend, elapsed) = (BackendId(ending.backend), self.now - ending.sent_at);
+        if outcome == Outcome::Ok && !std::mem::replace(&mut request.answered, true) {
+            let objective = self.settings.classes[0].latency_objective;
+            self.counts.answered_in_time += usize::from(self.now <= request.arrived_at + objective);
         }
-        let settled = t.over;
-        let ended = Event::AttemptEnded {
+        let attempt_ended = Event::AttemptEnded {
             id: RequestId(id),
             attempt,
-            backend: BackendId(backend),
+            backend,
             outcome,
             elapsed,
             units: 0.0,
-            answered: settled,
+            answered: request.answered,
             load: vec![],
         };
-        self.feed(g, ended);
+        self.feed(gatekeeper, attempt_ended);
     }
 
-    fn feed(&mut self, g: usize, event: Event) {
+    fn feed(&mut self, gatekeeper: usize, event: Event) {
         let mut actions = Vec::new();
-        self.gatekeepers[g].handle(at(self.now), event, &mut actions);
+        self.gatekeepers[gatekeeper].handle(self.now, event, &mut actions);
         self.recorder.record(self.now, &actions);
         for action in actions {
-            match action {
-                Action::Send { id, backend, .. } => self.send(g, id.0, backend.0),
-                Action::Reject { id, .. } | Action::Fail { id } => {
-                    let t = self.submitted[g].get_mut(&id.0).expect("it was given");
-                    assert!(!std::mem::replace(&mut t.over, true), "answered twice");
-                    self.tally[2] += 1;
-                }
-                Action::Timer { after, token } => self.at(self.now + after, Simulated::Timer(g, token)),
-                Action::CounterAdd { name, units: add, .. } => {
-                    self.at(self.now + 2 * MS, Simulated::Count(g, name, add.to_bits()));
-                }
-                _ => {}
-            }
+            self.carry_out(gatekeeper, &action);
         }
     }
 
-    fn send(&mut self, g: usize, id: u32, backend: u32) {
-        let now = self.now;
-        self.sends.push((now, g, backend));
-        let t = self.submitted[g].get_mut(&id).expect("it was given");
-        let (attempt, deadline) = (t.attempts.len() as u8, t.deadline);
-        t.attempts.push((backend, now, false));
-        let work = -(1.0 - self.rng.f64()).ln() * self.shape.work;
-        let mut done = Micros::MAX;
-        if let Some(s) = self.servers.get(&backend).filter(|s| !s.is_silent) {
-            let took = (work / self.warmth(s, now)) as Micros;
-            let cores = &mut self.servers.get_mut(&backend).expect("it is there").cores;
-            let core = usize::from(cores[1] < cores[0]);
-            cores[core] = cores[core].max(now) + took;
-            done = cores[core];
+    fn carry_out(&mut self, gatekeeper: usize, action: &Action) {
+        match *action {
+            Action::Send { id, backend, .. } => self.send(gatekeeper, id.0, backend.0),
+            Action::Reject { id, .. } | Action::Fail { id } => {
+                let request = self.submitted[gatekeeper].get_mut(&id.0).expect("the request was submitted");
+                assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
+                self.counts.rejected_or_failed += 1;
+            }
+            Action::Timer { after, token } => {
+                self.schedule(self.now + after, SimulatedEvent::TimerExpires { gatekeeper, token });
+            }
+            Action::CounterAdd { name, units, .. } => {
+                let added_units_bits = units.to_bits();
+                let reply = SimulatedEvent::CounterReplies { gatekeeper, name, added_units_bits };
+                self.schedule(self.now + COUNTER_DELAY, reply);
+            }
+            _ => {}
         }
-        if done < deadline {
-            self.at(done, Simulated::Answer(g, id, attempt));
+    }
+
+    /// Sends an attempt, and schedules its answer or, if that would come too late, its time-out at the request's deadline.
+    fn send(&mut self, gatekeeper: usize, id: u32, backend: u32) {
+        self.sent_attempts.push(SentAttempt { at: self.now, gatekeeper, backend });
+        let request = self.submitted[gatekeeper].get_mut(&id).expect("the request was submitted");
+        let attempt = request.attempts.len() as u8;
+        let deadline = request.deadline;
+        request.attempts.push(SimulatedAttempt { backend, sent_at: self.now, ended: false });
+        let work = -(1.0 - self.rng.f64()).ln() * self.parameters.mean_work;
+        let served_at = self.enqueue(backend, work);
+        if served_at < deadline {
+            self.schedule(served_at, SimulatedEvent::AttemptServed { gatekeeper, id, attempt });
         } else {
-            self.at(deadline, Simulated::TooLate(g, id, attempt));
+            self.schedule(deadline, SimulatedEvent::AttemptTimesOut { gatekeeper, id, attempt });
         }
     }
+
+    /// Puts work into the queue of a backend's less busy core. Returns when it will be done: never at a backend that is silent or gone.
+    fn enqueue(&mut self, id: u32, work: f64) -> Timestamp {
+        let Some(backend) = self.backends.get(&id).filter(|backend| !backend.is_silent) else {
+            return Timestamp::MAX;
+        };
+        let service_time = (work / self.capacity_share(backend, self.now)) as Micros;
+        let core_free_at = &mut self.backends.get_mut(&id).expect("found above").core_free_at;
+        let core = usize::from(core_free_at[1] < core_free_at[0]);
+        core_free_at[core] = core_free_at[core].max(self.now) + service_time;
+        core_free_at[core]
+    }
+}
+
+/// The settings that all gatekeepers of a fleet share.
+fn fleet_settings(parameters: &FleetParameters) -> Settings {
+    let class = RequestClass {
+        latency_objective: 1_500 * MS,
+        deadline: 6 * SECOND,
+        idempotency: Idempotency::Idempotent,
+        ..RequestClass::default()
+    };
+    Settings {
+        gatekeepers: parameters.gatekeepers,
+        classes: vec![class],
+        plans: vec![Plan::default()],
+        max_attempts: 6,
+        hedging: true,
+        slow_start_share: 0.16,
+        slow_start_duration: 17 * SECOND,
+        overload_factor: parameters.overload_factor,
+        overload_duration: 1_500 * MS,
+        shared_counter: true,
+        counter_timeout: 30 * MS,
+        max_cost: 8.0,
+        ..Settings::default()
+    }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -67,7 +67,7 @@
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(at(self.now), event, &mut out);
-        self.recorder.record(self.now, &out);
+        self.recorder.record(at(self.now), &out);
         out
     }
 
--- a/crates/policy/tests/common/recorder.rs
+++ b/crates/policy/tests/common/recorder.rs
@@ -1,66 +1,69 @@
-//! A digest of all actions that a state machine gives in a test, compared with the recorded one.
+//! Compares a digest of all actions that a state machine returns in a test with a recorded one.
 //!
-//! The tests are deterministic: seeds and times are fixed. `tests/fixtures/actions.txt` has one line for each state machine of
-//! each test, written before the module was split: a change that is meant to move code only must leave it as it is. After an
-//! intended change of decisions `RECORD_ACTIONS=FILE cargo test` appends the new lines to a file.
+//! The tests are deterministic: seeds and times are fixed. `tests/fixtures/actions.txt` has a line for each state machine of each
+//! test: the test's name and the number of the recorder, the number of actions, and their digest. A refactoring must leave it as it
+//! is. After an intended change of decisions `RECORD_ACTIONS=FILE cargo test` appends the new lines to a file.
 
-use policy::{Action, Micros, Notice};
-use std::cell::RefCell;
+use policy::{Action, Notice, Timestamp};
+use std::cell::Cell;
 use std::collections::HashMap;
+use std::ffi::OsStr;
+use std::fs::OpenOptions;
 use std::io::Write;
 
 const RECORDED: &str = include_str!("../fixtures/actions.txt");
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 thread_local! {
-    /// How many recorders each test has made; with one thread for all tests they are counted together.
-    static MADE: RefCell<u32> = const { RefCell::new(0) };
+    /// How many recorders this thread has created. Each test has a thread of its own, unless all tests run on the main thread.
+    static CREATED: Cell<u32> = const { Cell::new(0) };
 }
 
-/// Digests actions in order. Compared when it is dropped.
+/// Digests the actions of one state machine in order. Dropping it compares the digest with the recorded one.
 #[derive(Debug)]
 pub struct Recorder {
+    /// The key of its line in the fixture.
     name: String,
-    actions: u64,
+    action_count: u64,
     hash: u64,
 }
 
 impl Recorder {
     pub fn new() -> Self {
-        let index = MADE.with_borrow_mut(|made| {
-            *made += 1;
-            *made
-        });
+        let index = CREATED.get() + 1;
+        CREATED.set(index);
         let thread = std::thread::current();
         let name = format!("{}#{index}", thread.name().unwrap_or("main"));
-        Self { name, actions: 0, hash: 0xcbf2_9ce4_8422_2325 }
+        Self { name, action_count: 0, hash: FNV_OFFSET_BASIS }
     }
 
-    pub fn record(&mut self, now: Micros, actions: &[Action]) {
+    pub fn record(&mut self, now: Timestamp, actions: &[Action]) {
         for action in actions {
-            self.actions += 1;
-            self.add(now);
-            for value in values_of(action) {
-                self.add(value);
+            self.action_count += 1;
+            self.hash_value(now.as_micros());
+            for value in stable_encoding(action) {
+                self.hash_value(value);
             }
         }
     }
 
-    /// FNV-1a over the bytes of one value.
-    fn add(&mut self, value: u64) {
+    /// Extends the FNV-1a hash by the bytes of one value.
+    fn hash_value(&mut self, value: u64) {
         for byte in value.to_le_bytes() {
-            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
     }
 }
 
-/// A stable form of an action, independent of names in the code.
-fn values_of(action: &Action) -> Vec<u64> {
+/// Encodes an action by numbers that do not depend on names in the code.
+fn stable_encoding(action: &Action) -> Vec<u64> {
     match *action {
         Action::Send { id, backend, timeout, max_start_delay } => {
             vec![0, u64::from(id.0), u64::from(backend.0), timeout, max_start_delay]
         }
         Action::Cancel { id, attempt } => vec![1, u64::from(id.0), u64::from(attempt)],
-        Action::Reject { id, retry_after, reason: why } => vec![2, u64::from(id.0), retry_after, why as u64],
+        Action::Reject { id, retry_after, reason } => vec![2, u64::from(id.0), retry_after, reason as u64],
         Action::Fail { id } => vec![3, u64::from(id.0)],
         Action::Timer { after, token } => vec![4, after, token],
         Action::HealthCheck { backend } => vec![5, u64::from(backend.0)],
@@ -75,19 +78,26 @@
         if std::thread::panicking() {
             return;
         }
-        let line = format!("{} {} {:016x}", self.name, self.actions, self.hash);
+        let line = format!("{} {} {:016x}", self.name, self.action_count, self.hash);
         if let Some(path) = std::env::var_os("RECORD_ACTIONS") {
-            let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
-            file.and_then(|mut file| file.write_all(format!("{line}\n").as_bytes()))
-                .expect("the line is written");
+            append_line(&path, &line);
             return;
         }
-        // One thread for all tests: their numbers are not those that were recorded.
+        // With all tests on the main thread the recorders have other names than the recorded ones.
         if self.name.starts_with("main#") {
             return;
         }
-        let recorded: HashMap<&str, &str> =
-            RECORDED.lines().filter_map(|l| Some((l.split(' ').next()?, l))).collect();
-        assert_eq!(recorded.get(self.name.as_str()), Some(&line.as_str()), "other actions than recorded");
+        assert_eq!(recorded_line(&self.name), Some(line.as_str()), "other actions than recorded");
     }
 }
+
+fn append_line(path: &OsStr, line: &str) {
+    let file = OpenOptions::new().create(true).append(true).open(path);
+    file.and_then(|mut file| file.write_all(format!("{line}\n").as_bytes())).expect("the line is written");
+}
+
+fn recorded_line(name: &str) -> Option<&'static str> {
+    let lines: HashMap<&str, &str> =
+        RECORDED.lines().filter_map(|line| Some((line.split(' ').next()?, line))).collect();
+    lines.get(name).copied()
+}
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -164,7 +164,7 @@
                 at
             }
         };
-        recorder.record(now, &out);
+        recorder.record(common::at(now), &out);
         for action in out {
             serial += 1;
             match action {
@@ -191,7 +191,7 @@
                         ended(id.0, 0, backend.0, Outcome::Ok),
                         &mut after,
                     );
-                    recorder.record(now, &after);
+                    recorder.record(common::at(now), &after);
                 }
                 Action::Reject { id, .. } if open.remove(&id.0).is_some() => {
                     exact.fill(&plan, now);
