--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -1,6 +1,7 @@
 //! Injects the faults of a schedule, each in a thread of its own.
 
-use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule, suspension};
+use crate::history::CounterChange;
+use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule};
 use crate::settings::MAX_SOCKETS;
 use crate::site::Site;
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
@@ -19,9 +20,11 @@
 const CRASH_DOWN_TIME: Duration = Duration::from_millis(150);
 /// Pause between two configurations in quick succession.
 const RELOAD_PAUSE: Duration = Duration::from_millis(60);
+/// Length of a suspension. Gatekeepers are specified for scheduling delays of up to 0.15 s.
+const SUSPENSION: Duration = Duration::from_millis(140);
 /// Pause between two suspensions.
 const SUSPENSION_PAUSE: Duration = Duration::from_millis(300);
-/// Parts of a thousand requests of badly behaved clients.
+/// Rates of badly behaved clients, out of 1,000 requests.
 const LEAVING_RATE: u64 = 350;
 const PARTIAL_RATE: u64 = 40;
 const HURRIED_RATE: u64 = 400;
@@ -80,7 +83,7 @@
         }
         Fault::Suspensions { gatekeeper, count } => {
             for _ in 0..count {
-                site.gatekeepers[gatekeeper].suspend(suspension());
+                site.gatekeepers[gatekeeper].suspend(SUSPENSION);
                 thread::sleep(SUSPENSION_PAUSE);
             }
         }
@@ -93,10 +96,10 @@
         }
         Fault::Counter { mode } => {
             site.counter.set_mode(mode);
-            note_counter_change(site, site.gatekeepers.len());
+            record_counter_change(site, site.gatekeepers.len());
             thread::sleep(length);
             site.counter.set_mode(CounterMode::Healthy);
-            note_counter_change(site, site.gatekeepers.len());
+            record_counter_change(site, site.gatekeepers.len());
         }
         Fault::Backend { backend, mode } => {
             site.backends[backend].set_mode(mode);
@@ -166,12 +169,12 @@
     let affected = site.gatekeepers.iter().skip(first).step_by(step).count();
     set(true);
     if cuts_off_the_counter(faults) {
-        note_counter_change(site, affected);
+        record_counter_change(site, affected);
     }
     thread::sleep(length);
     set(false);
     if cuts_off_the_counter(faults) {
-        note_counter_change(site, affected);
+        record_counter_change(site, affected);
     }
 }
 
@@ -180,8 +183,8 @@
     matches!(faults, CallFaults::Sockets | CallFaults::BrokenConnections | CallFaults::NoConnections)
 }
 
-fn note_counter_change(site: &Site, gatekeepers: usize) {
-    let change = (site.recorder.now(), gatekeepers);
+fn record_counter_change(site: &Site, gatekeepers: usize) {
+    let change = CounterChange { at: site.recorder.now(), gatekeepers };
     site.recorder.record(|history| history.counter_changes.push(change));
 }
 
