--- a/crates/fault_injection/tests/ports.rs
+++ b/crates/fault_injection/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Free addresses. In a process that starts no others: a child has its parent's sockets until it becomes its own program.
+//! Free addresses. In a process that starts no others: a child inherits the sockets of its parent until it executes its program.
 
 use fault_injection::ports::free_address;
 use std::collections::BTreeSet;
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -5,13 +5,14 @@
 use common::admin::{admin_command, read_metric};
 use common::soak::soak_program;
 use common::*;
+use fault_injection::ports::free_address;
 use fault_shim_control::{CONTROL_VARIABLE, Control, RATE_SCALE, Setting};
 use platform_soak::gatekeeper::Gatekeeper;
 use platform_soak::history::{History, Moment, Recorder, RequestOutcome};
 use platform_soak::run::run;
 use platform_soak::schedule::{CallFaults, Fault, PlannedFault, Schedule};
 use platform_soak::settings::{Addresses, Settings};
-use platform_soak::stand_ins::{BackendMode, free_address};
+use platform_soak::stand_ins::BackendMode;
 use std::sync::Arc;
 use std::time::Duration;
 
