--- a/crates/fault_injection/src/clock.rs
+++ b/crates/fault_harness/src/clock.rs
@@ -1,9 +1,14 @@
-//! The clock of a schedule.
+//! The clock of all histories, and that of a schedule.
 
-use crate::history::now_us;
 use std::thread;
 use std::time::Duration;
 
+/// Microseconds of the system's monotonic clock, which all processes of a machine share.
+pub fn now_us() -> u64 {
+    let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
+    time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
+}
+
 /// Measures the time since a schedule began, by the clock of all histories. Copies have the same begin.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleClock {
--- a/crates/fault_injection/src/process.rs
+++ b/crates/fault_harness/src/process.rs
@@ -13,12 +13,10 @@
 pub use observer::{ExitRequest, ProcessExit, ProcessObserver};
 pub use usage::ResourceUsage;
 
-use crate::history::Recorder;
 use crate::sync::lock;
 use crate::thread::spawn;
 use crate::wait::STEP_TIMEOUT;
 use log::{Progress, spawn_reader};
-use observer::RecordingObserver;
 use rustix::process::{Pid, Signal, kill_process};
 use std::ffi::OsString;
 use std::io::{self, BufReader};
@@ -51,16 +49,6 @@
 }
 
 impl Process {
-    /// Starts a process and records its start, log lines and exit.
-    ///
-    /// # Errors
-    ///
-    /// It cannot be started.
-    pub fn start(launch: &Launch<'_>, recorder: &Recorder) -> io::Result<Self> {
-        let observer = RecordingObserver { process: launch.name.to_owned(), recorder: recorder.clone() };
-        Self::start_observed(launch, observer)
-    }
-
     /// Starts a process and notifies the observer of its start, log lines and exit.
     ///
     /// # Errors
--- a/crates/fault_injection/src/process/observer.rs
+++ b/crates/fault_harness/src/process/observer.rs
@@ -1,7 +1,6 @@
 //! Notifications of the start, the log lines and the exit of a process.
 
 use super::{KILLED, LogLine};
-use crate::history::{Observation, Recorder};
 
 /// How the harness has asked a process to exit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,32 +45,3 @@
     /// The process has ended, and all its lines were observed. This comes last.
     fn exited(&self, exit: ProcessExit);
 }
-
-/// Records the start, the log lines and the exit of a process.
-pub(super) struct RecordingObserver {
-    pub(super) process: String,
-    pub(super) recorder: Recorder,
-}
-
-impl ProcessObserver for RecordingObserver {
-    fn started(&self) {
-        self.recorder.record(Observation::ProcessStarted { process: self.process.clone() });
-    }
-
-    fn logged(&self, line: LogLine) {
-        let LogLine { at_us, text, fields } = line;
-        let observation = Observation::LogLine { process: self.process.clone(), text, fields };
-        match at_us {
-            Some(at_us) => self.recorder.record_at(at_us, observation),
-            None => self.recorder.record(observation),
-        }
-    }
-
-    fn exited(&self, exit: ProcessExit) {
-        self.recorder.record(Observation::ProcessExited {
-            process: self.process.clone(),
-            exit_code: exit.exit_code,
-            requested: exit.is_requested(),
-        });
-    }
-}
--- /dev/null
+++ b/crates/fault_harness/src/stand_ins.rs
@@ -0,0 +1,10 @@
+//! Stand-ins of what gatekeepers speak to, each of which can be made to fail.
+
+mod endpoint_list;
+mod quota_counter;
+
+pub use endpoint_list::{
+    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedBackend, ListedChange, ListedState, write_watch_head,
+    write_watch_line,
+};
+pub use quota_counter::{Addition, CounterFailure, QuotaCounter};
--- a/crates/fault_injection/tests/ports.rs
+++ b/crates/fault_harness/tests/ports.rs
@@ -1,6 +1,6 @@
 //! Free addresses. In a process that starts no others: a child inherits the sockets of its parent until it executes its program.
 
-use fault_injection::ports::free_address;
+use fault_harness::ports::free_address;
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
--- a/crates/fault_injection/src/checkers.rs
+++ b/crates/fault_injection/src/checkers.rs
@@ -6,9 +6,6 @@
 mod fault_spans;
 mod processes;
 mod requests;
-pub mod rules;
-mod token_bucket;
-mod violation;
 
 #[cfg(test)]
 mod tests;
@@ -16,10 +13,11 @@
 pub use ceilings::hard_ceilings;
 pub use convergence::{Contradiction, contradicting_versions, convergence, longest_contradiction};
 pub use draining::draining;
+pub use fault_harness::rules;
+pub use fault_harness::token_bucket::TokenBucket;
+pub use fault_harness::violation::Violation;
 pub use processes::{repeated_runs, resource_use, unexpected_exits};
 pub use requests::{final_answers, outcomes};
-pub use token_bucket::TokenBucket;
-pub use violation::Violation;
 
 use crate::history::Record;
 use std::collections::BTreeMap;
--- a/crates/fault_injection/src/history.rs
+++ b/crates/fault_injection/src/history.rs
@@ -1,6 +1,7 @@
 //! The history of a run: one list of observations, all timed by one clock, and its file of JSON lines.
 
 mod observation;
+mod process_observer;
 mod recorder;
 mod span;
 
@@ -8,18 +9,15 @@
 mod tests;
 
 pub use observation::{Observation, Outcome, Record};
+pub(crate) use process_observer::RecordingObserver;
 pub use recorder::Recorder;
 pub use span::Span;
 
+pub use fault_harness::clock::now_us;
+
 use crate::Error;
 use std::io::{self, Write};
 
-/// Microseconds of the system's monotonic clock, which all processes of a machine share.
-pub fn now_us() -> u64 {
-    let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-    time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
-}
-
 /// Writes a history as JSON lines.
 ///
 /// # Errors
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -5,31 +5,23 @@
 //! A [`schedule`] says which faults come when; the [`runner`] injects them under the steady load of [`load`] and judges the
 //! [`history`] by the pure functions of [`checkers`]. docs/design/faults.md has the reasons.
 //!
-//! The parts that other harnesses share are [`process`], [`connections`], [`clock`], [`wire`], the core of [`stand_ins`], and
-//! [`checkers::rules`]; the package `platform_soak` builds sites of its own on them.
+//! Processes, the quota counter, the endpoint list, the clock and the rules that every site keeps are those of `fault_harness`.
 //!
 //! The harness needs no privileges and stays on 127.0.0.0/8, where each site reserves a network.
 
 pub mod builds;
 pub mod checkers;
-pub mod clock;
-pub mod connections;
-pub mod digest;
 mod error;
 pub mod history;
 pub mod load;
 pub mod network;
-pub mod ports;
-pub mod process;
 pub mod runner;
 pub mod schedule;
 pub mod site;
 pub mod stand_ins;
-pub mod sync;
-pub mod test_directory;
-pub mod thread;
 pub mod torn_writes;
-pub mod wait;
-pub mod wire;
 
 pub use error::Error;
+pub use fault_harness::{
+    clock, connections, digest, ports, process, sync, test_directory, thread, wait, wire,
+};
--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -13,7 +13,7 @@
 use crate::Error;
 use crate::builds::Builds;
 use crate::checkers::{Bounds, Ceiling, ResourceLimits};
-use crate::history::{Observation, Recorder, now_us};
+use crate::history::{Observation, Recorder, RecordingObserver, now_us};
 use crate::load::{Client, ClientSettings, TENANTS};
 use crate::network::{Network, NodeId};
 use crate::process::{Launch, Process};
@@ -160,9 +160,10 @@
         let path = self.write_files(index, state)?;
         let build = self.builds.for_start(index, state.starts);
         let launch = Launch::new(&member.name, build);
+        let observer = RecordingObserver::new(&member.name, &self.recorder);
         let started = match self.schedule.form {
             Form::Appliance => {
-                Process::start(&Launch { arguments: &["serve", &path], ..launch }, &self.recorder)
+                Process::start_observed(&Launch { arguments: &["serve", &path], ..launch }, observer)
             }
             Form::Platform => {
                 let variables = [
@@ -170,7 +171,7 @@
                     ("BALANCER_OPERATOR", self.addresses.admin(index, state.starts).to_string()),
                     ("TMPDIR", member.folder.join("tmp").display().to_string()),
                 ];
-                Process::start(&Launch { variables: &variables, ..launch }, &self.recorder)
+                Process::start_observed(&Launch { variables: &variables, ..launch }, observer)
             }
         };
         started.map_err(Error::start(build))
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -6,19 +6,16 @@
 mod backend;
 mod counter;
 mod discovery;
-mod endpoint_list;
 mod job_target;
-mod quota_counter;
 
 pub use backend::Backend;
 pub use counter::Counter;
 pub use discovery::{Discovery, WatchRoute};
-pub use endpoint_list::{
-    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedBackend, ListedChange, ListedState, write_watch_head,
-    write_watch_line,
+pub use fault_harness::stand_ins::{
+    Addition, CounterFailure, EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedBackend, ListedChange,
+    ListedState, QuotaCounter, write_watch_head, write_watch_line,
 };
 pub use job_target::open_job_target;
-pub use quota_counter::{Addition, CounterFailure, QuotaCounter};
 
 use crate::network::Network;
 use crate::schedule::FailureMode;
--- a/crates/fault_injection/src/stand_ins/counter.rs
+++ b/crates/fault_injection/src/stand_ins/counter.rs
@@ -1,7 +1,6 @@
 //! The quota counter as the gatekeepers of a site reach it, each at an address of its own.
 
-use super::quota_counter::{Addition, CounterFailure, QuotaCounter};
-use super::{FailureSwitch, SLOW_ANSWER, listen};
+use super::{Addition, CounterFailure, FailureSwitch, QuotaCounter, SLOW_ANSWER, listen};
 use crate::history::{Observation, Recorder};
 use crate::network::Network;
 use crate::schedule::FailureMode;
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -1,10 +1,9 @@
 //! Discovery: an agent for each gatekeeper, all with the same endpoint list.
 
-use super::endpoint_list::{
-    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedChange, ListedState, write_watch_head,
+use super::{
+    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedChange, ListedState, listen, write_watch_head,
     write_watch_line,
 };
-use super::listen;
 use crate::history::{Observation, Recorder};
 use crate::network::{Link, LinkQuality, Network};
 use crate::wire;
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -3,7 +3,7 @@
 
 use crate::Error;
 use crate::checkers::Violation;
-use crate::history::Recorder;
+use crate::history::{Recorder, RecordingObserver};
 use crate::process::{Launch, Process};
 use crate::site::write_common_files;
 use crate::sync::lock;
@@ -100,7 +100,8 @@
         std::fs::write(settings, self.settings(list)).map_err(Error::file(settings))?;
         let arguments = ["serve", &settings.display().to_string()];
         let launch = Launch { arguments: &arguments, ..Launch::new(name, self.build) };
-        Process::start(&launch, recorder).map_err(Error::start(self.build))
+        Process::start_observed(&launch, RecordingObserver::new(name, recorder))
+            .map_err(Error::start(self.build))
     }
 
     /// The file as a gatekeeper writes it.
