--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -12,7 +12,7 @@
 
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent, SchedulingDelay, gatekeeper_name};
 use crate::settings::Settings;
-use fault_injection::checkers::Violation;
+use fault_harness::violation::Violation;
 use std::time::Duration;
 
 /// Longest scheduling delay of a gatekeeper between reading its clock and writing (RULES.md).
--- a/crates/platform_soak/src/checkers/attempts.rs
+++ b/crates/platform_soak/src/checkers/attempts.rs
@@ -3,7 +3,7 @@
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{AttemptOutcome, AttemptRecord, History, Moment, RequestNumber, RequestRecord};
 use crate::settings::{Effect, Settings};
-use fault_injection::checkers::Violation;
+use fault_harness::violation::Violation;
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -3,9 +3,9 @@
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
 use crate::settings::Settings;
-use fault_injection::checkers::Violation;
-use fault_injection::checkers::rules::NOTHING_TO_INELIGIBLE;
-use fault_injection::stand_ins::ListedState;
+use fault_harness::rules::NOTHING_TO_INELIGIBLE;
+use fault_harness::stand_ins::ListedState;
+use fault_harness::violation::Violation;
 use std::time::Duration;
 
 /// A gatekeeper counts as notified of a change this long after its discovery agent had it and was reachable.
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -3,9 +3,9 @@
 
 use super::violation_by;
 use crate::history::{History, Moment, ProcessEvent, ProcessRecord};
-use fault_injection::checkers::Violation;
-use fault_injection::checkers::rules::rule_broken_by_exit;
-use fault_injection::process::ExitRequest;
+use fault_harness::process::ExitRequest;
+use fault_harness::rules::rule_broken_by_exit;
+use fault_harness::violation::Violation;
 use std::time::Duration;
 
 /// Maximum time until a process serves.
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -3,8 +3,8 @@
 use super::attempts::first_arrivals;
 use crate::history::{History, Moment, ProcessEvent, RequestNumber};
 use crate::settings::{MAX_UNITS, Settings, Tenant};
-use fault_injection::checkers::rules::HARD_CEILING;
-use fault_injection::checkers::{TokenBucket, Violation};
+use fault_harness::rules::HARD_CEILING;
+use fault_harness::{token_bucket::TokenBucket, violation::Violation};
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -3,8 +3,8 @@
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
 use crate::history::{History, Refusal, RequestOutcome, RequestRecord};
-use fault_injection::checkers::Violation;
-use fault_injection::checkers::rules::ONE_FINAL_ANSWER;
+use fault_harness::rules::ONE_FINAL_ANSWER;
+use fault_harness::violation::Violation;
 use std::collections::HashSet;
 use std::time::Duration;
 
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -2,8 +2,8 @@
 
 use crate::history::{AttemptRecord, BackendIndex, History, Moment};
 use crate::settings::Settings;
-use fault_injection::checkers::Violation;
-use fault_injection::stand_ins::ListedState;
+use fault_harness::stand_ins::ListedState;
+use fault_harness::violation::Violation;
 use std::time::Duration;
 
 /// Time after a start by which all gatekeepers are notified of it while discovery is healthy.
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -5,11 +5,11 @@
     AttemptOutcome, AttemptRecord, BackendIndex, ListChange, Notification, PartialRequest, ProcessRecord,
     RequestNumber, RequestOutcome, RequestRecord, SchedulingDelay,
 };
-use fault_injection::checkers::rules::{
+use fault_harness::process::ExitRequest;
+use fault_harness::rules::{
     CLEAN_EXIT, HARD_CEILING, NO_UNREQUESTED_EXIT, NOTHING_TO_INELIGIBLE, ONE_FINAL_ANSWER,
 };
-use fault_injection::process::ExitRequest;
-use fault_injection::stand_ins::ListedState;
+use fault_harness::stand_ins::ListedState;
 
 /// Indexes in [`Settings::classes`].
 const IDEMPOTENT: usize = 0;
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -3,8 +3,8 @@
 use crate::gatekeeper::Gatekeeper;
 use crate::history::{PartialRequest, Recorder, Refusal, RequestNumber, RequestOutcome, RequestRecord};
 use crate::settings::{Effect, MAX_UNITS, Settings, plan_name};
-use fault_injection::connections::is_temporary;
-use fault_injection::wire;
+use fault_harness::connections::is_temporary;
+use fault_harness::wire;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -1,8 +1,8 @@
 //! One gatekeeper over all its processes: which one serves, how one replaces another, and what of them is recorded.
 
 use crate::history::{GatekeeperIndex, Moment, ProcessEvent, ProcessRecord, Recorder, gatekeeper_name};
-use fault_injection::process::{Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver};
-use fault_injection::sync::lock;
+use fault_harness::process::{Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver};
+use fault_harness::sync::lock;
 use fault_shim_control::Control;
 use seeded_faults::FAULT_VARIABLE;
 use std::io;
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,9 +1,9 @@
 //! The history of a run: typed records of each kind, all timed by one monotonic clock.
 
-use fault_injection::clock::ScheduleClock;
-use fault_injection::process::ExitRequest;
-use fault_injection::stand_ins::ListedState;
-use fault_injection::sync::lock;
+use fault_harness::clock::ScheduleClock;
+use fault_harness::process::ExitRequest;
+use fault_harness::stand_ins::ListedState;
+use fault_harness::sync::lock;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
--- a/crates/platform_soak/src/main.rs
+++ b/crates/platform_soak/src/main.rs
@@ -2,8 +2,8 @@
 //! one is broken, and with 2 where it cannot run.
 
 use clap::Parser;
-use fault_injection::checkers::Violation;
-use fault_injection::test_directory::TestDirectory;
+use fault_harness::test_directory::TestDirectory;
+use fault_harness::violation::Violation;
 use platform_soak::gatekeeper::Program;
 use platform_soak::history::{History, ProcessEvent, RequestOutcome};
 use platform_soak::run::run;
--- a/crates/platform_soak/src/run.rs
+++ b/crates/platform_soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::history::History;
 use crate::schedule::Schedule;
 use crate::site::Site;
-use fault_injection::checkers::Violation;
+use fault_harness::violation::Violation;
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/platform_soak/src/schedule/tests.rs
+++ b/crates/platform_soak/src/schedule/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::settings::Addresses;
-use fault_injection::digest::digest;
+use fault_harness::digest::digest;
 
 /// Text of a planned fault that does not depend on the names of types and fields.
 fn canonical_text(planned: &PlannedFault) -> String {
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,10 +1,10 @@
 //! A backend, which answers each request after a few milliseconds and can be made to fail in several ways.
 
 use crate::history::{AttemptOutcome, AttemptRecord, BackendIndex, Moment, Recorder, RequestNumber};
-use fault_injection::connections::{is_temporary, keep_silent_for, reset_on_close};
-use fault_injection::sync::lock;
-use fault_injection::thread::spawn;
-use fault_injection::wire;
+use fault_harness::connections::{is_temporary, keep_silent_for, reset_on_close};
+use fault_harness::sync::lock;
+use fault_harness::thread::spawn;
+use fault_harness::wire;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::ops::Range;
--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -1,8 +1,8 @@
 //! The quota counter, which all gatekeepers share.
 
-use fault_injection::connections::serve_connections;
-use fault_injection::stand_ins::{CounterFailure, QuotaCounter};
-use fault_injection::sync::lock;
+use fault_harness::connections::serve_connections;
+use fault_harness::stand_ins::{CounterFailure, QuotaCounter};
+use fault_harness::sync::lock;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -1,12 +1,12 @@
 //! Discovery: one endpoint list, served to each gatekeeper by an agent of its own.
 
 use crate::history::{BackendIndex, DiscoveryChange, GatekeeperIndex, ListChange, Notification, Recorder};
-use fault_injection::connections::{keep_silent_for, serve_connections};
-use fault_injection::stand_ins::{
+use fault_harness::connections::{keep_silent_for, serve_connections};
+use fault_harness::stand_ins::{
     EndpointList, HEARTBEAT_INTERVAL, ListedChange, ListedState, write_watch_head, write_watch_line,
 };
-use fault_injection::sync::lock;
-use fault_injection::wire;
+use fault_harness::sync::lock;
+use fault_harness::wire;
 use std::collections::HashMap;
 use std::io::{self, BufReader};
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -6,8 +6,8 @@
 mod site;
 pub mod soak;
 
-pub use fault_injection::test_directory::TestDirectory;
-pub use fault_injection::wire::{backend_reply, read_resp_command, resp_command};
+pub use fault_harness::test_directory::TestDirectory;
+pub use fault_harness::wire::{backend_reply, read_resp_command, resp_command};
 pub use held_backend::*;
 pub use site::*;
 use std::collections::HashMap;
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -5,7 +5,7 @@
 use common::admin::{admin_command, read_metric};
 use common::soak::soak_program;
 use common::*;
-use fault_injection::ports::free_address;
+use fault_harness::ports::free_address;
 use fault_shim_control::{CONTROL_VARIABLE, Control, RATE_SCALE, Setting};
 use platform_soak::gatekeeper::Gatekeeper;
 use platform_soak::history::{History, Moment, Recorder, RequestOutcome};
--- a/crates/snowfield/tests/stepped_clocks.rs
+++ b/crates/snowfield/tests/stepped_clocks.rs
@@ -5,7 +5,7 @@
 
 use common::TestDirectory;
 use common::soak::soak_program;
-use fault_injection::checkers::Violation;
+use fault_harness::violation::Violation;
 use platform_soak::run::run;
 use platform_soak::schedule::{Fault, PlannedFault, RestartKind, Schedule};
 use platform_soak::stand_ins::BackendMode;
