--- a/crates/fault_harness/src/stand_ins/quota_counter.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter.rs
@@ -100,9 +100,9 @@
         lock(&self.totals).clear();
     }
 
-    /// Calls so far that asked to add, applied or not.
+    /// Number of handled calls that asked to add, applied or not.
     pub fn calls(&self) -> u64 {
-        self.additions.load(Ordering::Relaxed)
+        self.additions.load(Ordering::Acquire)
     }
 
     /// Adds to a total and returns it as it is answered.
@@ -163,8 +163,7 @@
             Some(Call::Unknown) => return Response::Send("-ERR no such call\r\n".to_owned()),
             None => return Response::Close,
         };
-        self.additions.fetch_add(1, Ordering::Relaxed);
-        match failure {
+        let response = match failure {
             Some(CounterFailure::Silent) => Response::KeepSilent,
             Some(CounterFailure::Closed) => Response::Close,
             Some(CounterFailure::Rejecting) => Response::Send(REJECTION.to_owned()),
@@ -174,7 +173,10 @@
                 let total = total.to_string();
                 Response::Send(format!("${}\r\n{total}\r\n", total.len()))
             }
-        }
+        };
+        // Counted last: who sees the count sees the call applied.
+        self.additions.fetch_add(1, Ordering::Release);
+        response
     }
 }
 
--- a/crates/fault_harness/src/stand_ins/quota_counter/tests.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter/tests.rs
@@ -2,10 +2,12 @@
 
 use super::*;
 use crate::connections::serve_connections;
+use crate::wait::wait_until;
 use std::cell::RefCell;
 use std::io::ErrorKind;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A counter that fails in this way from the start, and a connection to it.
 fn connect(counter: &QuotaCounter, failure: Option<CounterFailure>) -> BufReader<TcpStream> {
@@ -82,8 +84,9 @@
     for (failure, total) in [(CounterFailure::Silent, "1"), (CounterFailure::ResponseLost, "2")] {
         let counter = QuotaCounter::default();
         let mut connection = connect(&counter, Some(failure));
-        connection.get_ref().set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
         send(&mut connection, &["TALLY", "a", "1", "60000"]);
+        assert!(wait_until(TIMEOUT, POLL_INTERVAL, || counter.calls() == 1), "the call arrives");
+        connection.get_ref().set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
         let error = std::io::Read::read(&mut connection, &mut [0]).expect_err("nothing comes");
         assert!(matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{error}");
         assert_eq!(total_after(&counter, "1").as_deref(), Some(total), "{failure:?}");
