--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -6,7 +6,7 @@
 //! | [`process`] | a gatekeeper as a child process: its log, its signals, its exit |
 //! | [`stand_ins`] | the quota counter and the endpoint list |
 //! | [`connections`], [`wire`] | accepting and ending connections, and the messages on them |
-//! | [`clock`] | the clock of a schedule |
+//! | [`clock`], [`timeline`] | the clock of a schedule, and injecting its faults at their times |
 //! | [`rules`], [`violation`], [`token_bucket`] | the rules that every site is checked for |
 //! | [`ports`], [`test_directory`], [`digest`] | free addresses, scratch directories, digests of what must not change |
 //! | [`sync`], [`thread`], [`wait`] | locks, threads and waits |
@@ -23,6 +23,7 @@
 pub mod sync;
 pub mod test_directory;
 pub mod thread;
+pub mod timeline;
 pub mod token_bucket;
 pub mod violation;
 pub mod wait;
--- a/crates/fault_injection/src/runner.rs
+++ b/crates/fault_injection/src/runner.rs
@@ -12,6 +12,7 @@
 use crate::schedule::{Fault, Schedule};
 use crate::site::{Site, write_common_files};
 use crate::wait::wait_until;
+use fault_harness::timeline::inject_each;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -97,21 +98,15 @@
 fn inject_faults(site: &Site, schedule: &Schedule, clock: ScheduleClock) -> InjectedFaults {
     let last_end_us = AtomicU64::new(now_us());
     let inject = |index: usize, fault: &Fault| {
-        clock.sleep_until(Duration::from_millis(fault.start_ms));
         let end = Duration::from_millis(fault.start_ms + fault.duration_ms);
         let wait_for_end = || clock.sleep_until(end);
         let done = site.inject_fault(index, &fault.kind, &wait_for_end);
         last_end_us.fetch_max(now_us(), Ordering::Relaxed);
         done
     };
-    let errors = thread::scope(|scope| {
-        let inject = &inject;
-        let faults = schedule.faults.iter().enumerate();
-        let threads: Vec<_> =
-            faults.map(|(index, fault)| scope.spawn(move || inject(index, fault))).collect();
-        let results = threads.into_iter().map(|t| t.join().unwrap_or(Err(Error::FaultPanicked)));
-        results.filter_map(Result::err).collect()
-    });
+    let start = |fault: &Fault| Duration::from_millis(fault.start_ms);
+    let results = inject_each(clock, &schedule.faults, start, inject).into_iter();
+    let errors = results.filter_map(|result| result.unwrap_or(Err(Error::FaultPanicked)).err()).collect();
     InjectedFaults { errors, last_end_us: last_end_us.into_inner() }
 }
 
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -6,10 +6,9 @@
 use crate::site::Site;
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
 use fault_harness::stand_ins::ListedState;
-use fault_harness::thread::spawn;
+use fault_harness::timeline::inject_each;
 use fault_shim_control::{RATE_SCALE, Setting};
 use std::net::TcpStream;
-use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::Duration;
@@ -51,22 +50,17 @@
 }
 
 /// Injects all faults of a schedule at their times. Returns at the end of the schedule, once all faults are over.
-pub fn run(site: &Arc<Site>, schedule: &Schedule) {
+pub fn run(site: &Site, schedule: &Schedule) {
     let clock = site.recorder.clock();
     let began = clock.now();
     site.recorder.record(|history| history.started = began);
-    let mut running = Vec::new();
-    for &planned in &schedule.faults {
-        clock.sleep_until(began + planned.at);
-        let site = site.clone();
-        running.extend(spawn(move || inject(&site, planned)));
-    }
+    let start = |planned: &PlannedFault| began + planned.at;
+    inject_each(clock, &schedule.faults, start, |_, planned| inject(site, planned));
     clock.sleep_until(began + schedule.length);
-    running.into_iter().for_each(|thread| drop(thread.join()));
 }
 
-fn inject(site: &Site, planned: PlannedFault) {
-    let PlannedFault { length, fault, .. } = planned;
+fn inject(site: &Site, planned: &PlannedFault) {
+    let &PlannedFault { length, fault, .. } = planned;
     match fault {
         Fault::Restart { gatekeeper, kind, clock_offset_us } => {
             restart(site, gatekeeper, kind, clock_offset_us);
--- a/crates/platform_soak/src/run.rs
+++ b/crates/platform_soak/src/run.rs
@@ -9,7 +9,6 @@
 use fault_harness::violation::Violation;
 use std::io;
 use std::path::Path;
-use std::sync::Arc;
 use std::time::Duration;
 
 /// Open requests have ended by then.
@@ -30,7 +29,7 @@
 ///
 /// The site cannot be started.
 pub fn run(schedule: &Schedule, program: &Program, directory: &Path) -> io::Result<Verdict> {
-    let site = Arc::new(Site::start(schedule.seed, schedule.settings.clone(), program, directory)?);
+    let site = Site::start(schedule.seed, schedule.settings.clone(), program, directory)?;
     site.start_clients()?;
     fault_runner::run(&site, schedule);
     site.stop();
