--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -5,6 +5,7 @@
 //! | --- | --- |
 //! | [`process`] | a gatekeeper as a child process: its log, its signals, its exit |
 //! | [`stand_ins`] | the quota counter and the endpoint list |
+//! | [`client`], [`outcome`] | a client's connection, and how a request ended for its client |
 //! | [`connections`], [`wire`] | accepting and ending connections, and the messages on them |
 //! | [`clock`], [`timeline`] | the clock of a schedule, and injecting its faults at their times |
 //! | [`rules`], [`violation`], [`token_bucket`] | the rules that every site is checked for |
@@ -13,9 +14,11 @@
 //!
 //! A harness needs no privileges and stays on loopback.
 
+pub mod client;
 pub mod clock;
 pub mod connections;
 pub mod digest;
+pub mod outcome;
 pub mod ports;
 pub mod process;
 pub mod rules;
--- a/crates/fault_injection/src/history.rs
+++ b/crates/fault_injection/src/history.rs
@@ -8,7 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-pub use observation::{Observation, Outcome, Record};
+pub use fault_harness::outcome::Outcome;
+pub use observation::{Observation, Record};
 pub(crate) use process_observer::RecordingObserver;
 pub use recorder::Recorder;
 pub use span::Span;
--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -1,44 +1,10 @@
 //! What a history holds. The names in its file are older than those of the fields, and stay.
 
+use fault_harness::outcome::Outcome;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// How a request ended for its client.
-#[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
-#[serde(rename_all = "snake_case")]
-pub enum Outcome {
-    /// With a backend's answer.
-    Served,
-    /// Rejected by quota or for lack of capacity.
-    #[serde(rename = "refused")]
-    Rejected,
-    /// With a failure.
-    Failed,
-    /// With the answer to another request.
-    Foreign,
-    /// The connection ended, or the client's timeout elapsed.
-    #[serde(rename = "broken")]
-    Unanswered,
-    /// The connection was not accepted, or was closed before the request was read.
-    #[serde(rename = "untaken")]
-    NotAccepted,
-}
-
-impl Outcome {
-    /// The name in tables and in the history's file.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Served => "served",
-            Self::Rejected => "refused",
-            Self::Failed => "failed",
-            Self::Foreign => "foreign",
-            Self::Unanswered => "broken",
-            Self::NotAccepted => "untaken",
-        }
-    }
-}
-
 /// Something that was observed.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "what")]
--- a/crates/fault_injection/src/load/client.rs
+++ b/crates/fault_injection/src/load/client.rs
@@ -5,11 +5,11 @@
 use crate::network::Network;
 use crate::schedule::Form;
 use crate::wire;
-use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpStream};
+use fault_harness::client::{ClientConnection, Reply};
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Timeout of a client, far beyond the bound for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -47,7 +47,7 @@
     address: SocketAddr,
     network: Network,
     recorder: Recorder,
-    connection: Option<BufReader<TcpStream>>,
+    connection: Option<ClientConnection>,
 }
 
 impl Client {
@@ -94,32 +94,31 @@
         let on_reused_connection = self.connection.is_some();
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => match self.connect() {
+            None => match ClientConnection::open(self.address, CONNECT_TIMEOUT) {
                 Ok(connection) => connection,
                 Err(_) => return Ok(Outcome::NotAccepted),
             },
         };
-        let local_address = connection.get_ref().local_addr();
-        let sent = connection.get_mut().write_all(&self.request(request_id, tenant, units));
-        let outcome = sent.ok().and_then(|()| self.read_outcome(&mut connection, request_id));
-        match outcome {
-            Some(outcome) => {
+        let local_address = connection.local_address();
+        let reply = match connection.send(&self.request(request_id, tenant, units)) {
+            Ok(()) => self.read_outcome(&mut connection, request_id),
+            Err(_) => Reply::Closed,
+        };
+        match reply {
+            Reply::Complete(outcome) => {
                 self.connection = Some(connection);
                 Ok(outcome)
             }
-            None if local_address.is_ok_and(|address| self.network.was_refused(address)) => {
-                Ok(Outcome::NotAccepted)
+            Reply::Excess => Ok(Outcome::Foreign),
+            Reply::Closed | Reply::Late => {
+                if local_address.is_ok_and(|address| self.network.was_refused(address)) {
+                    return Ok(Outcome::NotAccepted);
+                }
+                Err(NoAnswer { on_reused_connection })
             }
-            None => Err(NoAnswer { on_reused_connection }),
         }
     }
 
-    fn connect(&self) -> std::io::Result<BufReader<TcpStream>> {
-        let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
-        let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(ANSWER_TIMEOUT)));
-        Ok(BufReader::new(stream))
-    }
-
     fn request(&self, request_id: u64, tenant: &Tenant, units: f64) -> Vec<u8> {
         match self.settings.form {
             Form::Appliance => {
@@ -139,25 +138,17 @@
         }
     }
 
-    fn read_outcome(&self, from: &mut BufReader<TcpStream>, request_id: u64) -> Option<Outcome> {
+    fn read_outcome(&self, connection: &mut ClientConnection, request_id: u64) -> Reply<Outcome> {
+        let deadline = Instant::now() + ANSWER_TIMEOUT;
         match self.settings.form {
             Form::Appliance => {
-                let message = wire::read_http_message(from)?;
-                Some(match message.target_or_status() {
-                    "200" if message.body == request_id.to_string().as_bytes() => Outcome::Served,
-                    "200" => Outcome::Foreign,
-                    "429" | "503" => Outcome::Rejected,
-                    _ => Outcome::Failed,
-                })
+                let response = connection.read_reply(deadline, |bytes| wire::read_http_message(bytes));
+                let id = request_id.to_string();
+                response.map(|it| Outcome::of_http_response(it.target_or_status(), &it.body, &id))
             }
             Form::Platform => {
-                let reply = wire::read_resp_reply(from)?;
-                Some(match &reply {
-                    text if text.starts_with("-BUSY") => Outcome::Rejected,
-                    text if text.starts_with('-') => Outcome::Failed,
-                    text if u64::from_str_radix(text, 16) == Ok(request_id) => Outcome::Served,
-                    _ => Outcome::Foreign,
-                })
+                let reply = connection.read_reply(deadline, |bytes| wire::read_resp_reply(bytes));
+                reply.map(|text| Outcome::of_resp_reply(&text, &format!("{request_id:016x}")))
             }
         }
     }
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -2,7 +2,8 @@
 
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
-use crate::history::{History, Refusal, RequestOutcome, RequestRecord};
+use crate::history::{History, Refusal, RequestRecord};
+use fault_harness::outcome::Outcome;
 use fault_harness::rules::ONE_FINAL_ANSWER;
 use fault_harness::violation::Violation;
 use std::collections::HashSet;
@@ -36,14 +37,12 @@
     let from = request.sent.saturating_sub(KILL_MARGIN);
     let to = request.ended + KILL_MARGIN;
     let text = match request.outcome {
-        RequestOutcome::WrongValue => "got a value that is not its own",
-        RequestOutcome::Closed if was_attempted => {
-            "was forwarded, and its connection closed without an answer"
-        }
-        RequestOutcome::Closed if request.is_first_on_connection => {
+        Outcome::Foreign => "got a value that is not its own",
+        Outcome::Closed if was_attempted => "was forwarded, and its connection closed without an answer",
+        Outcome::Closed if request.is_first_on_connection => {
             "was the first on its connection, which was closed without an answer"
         }
-        RequestOutcome::Unanswered => {
+        Outcome::Unanswered => {
             let late = request.time + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
             if request.ended.saturating_sub(request.sent) < late {
                 return None;
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -3,8 +3,9 @@
 use super::*;
 use crate::history::{
     AttemptOutcome, AttemptRecord, BackendIndex, ListChange, Notification, PartialRequest, ProcessRecord,
-    RequestNumber, RequestOutcome, RequestRecord, SchedulingDelay,
+    RequestNumber, RequestRecord, SchedulingDelay,
 };
+use fault_harness::outcome::Outcome;
 use fault_harness::process::ExitRequest;
 use fault_harness::rules::{
     CLEAN_EXIT, HARD_CEILING, NO_UNREQUESTED_EXIT, NOTHING_TO_INELIGIBLE, ONE_FINAL_ANSWER,
@@ -41,7 +42,7 @@
         sent,
         left: None,
         ended: sent + ms(20),
-        outcome: RequestOutcome::Served,
+        outcome: Outcome::Served,
         is_first_on_connection: false,
         was_resent: false,
     }
@@ -129,7 +130,7 @@
 #[test]
 fn a_request_has_an_answer_in_time_unless_its_gatekeeper_was_killed() {
     let mut history = good_history();
-    history.requests[0].outcome = RequestOutcome::Unanswered;
+    history.requests[0].outcome = Outcome::Unanswered;
     history.requests[0].ended = ms(1_900);
     assert_eq!(broken(&history), [ONE_FINAL_ANSWER]);
     // The harness itself may have been late.
@@ -139,7 +140,7 @@
     history.processes.push(process(ms(1_500), ProcessEvent::Killed));
     assert_eq!(broken(&history), [""; 0]);
     let mut wrong = good_history();
-    wrong.requests[0].outcome = RequestOutcome::WrongValue;
+    wrong.requests[0].outcome = Outcome::Foreign;
     assert_eq!(broken(&wrong), [ONE_FINAL_ANSWER]);
 }
 
@@ -157,7 +158,7 @@
     for (left, rules) in [(ms(950), vec![]), (ms(850), vec!["nothing for a client that has gone"])] {
         let mut history = good_history();
         (history.requests[0].sent, history.requests[0].left) = (ms(800), Some(left));
-        history.requests[0].outcome = RequestOutcome::Left;
+        history.requests[0].outcome = Outcome::Left;
         assert_eq!(broken(&history), rules, "{left:?}");
     }
 }
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -1,12 +1,11 @@
 //! Clients. Most send a request and wait for its answer; some disconnect early, never complete a request, or set a very short deadline.
 
 use crate::gatekeeper::Gatekeeper;
-use crate::history::{PartialRequest, Recorder, Refusal, RequestNumber, RequestOutcome, RequestRecord};
+use crate::history::{PartialRequest, Recorder, Refusal, RequestNumber, RequestRecord};
 use crate::settings::{Effect, MAX_UNITS, Settings, plan_name};
-use fault_harness::connections::is_temporary;
+use fault_harness::client::{ClientConnection, Reply};
+use fault_harness::outcome::Outcome;
 use fault_harness::wire;
-use std::io::{Read, Write};
-use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -58,8 +57,8 @@
 
 /// An open connection.
 struct Connection {
-    stream: TcpStream,
-    received: Vec<u8>,
+    link: ClientConnection,
+    /// Number of requests that were answered on it.
     answered: u32,
 }
 
@@ -73,13 +72,6 @@
     bytes: Vec<u8>,
 }
 
-/// The outcome of waiting for a reply.
-enum Reply {
-    Text(String),
-    Closed,
-    Late,
-}
-
 impl Client {
     /// Sends requests until the schedule is over.
     pub fn run(mut self) {
@@ -115,7 +107,7 @@
         let leaves_after = leaves_after.map(|part| draft.time.min(Duration::from_millis(250)).mul_f64(part));
         let mut record = self.exchange(&mut connection, &draft, leaves_after)?;
         record.is_first_on_connection = is_first;
-        if record.outcome == RequestOutcome::Closed && !is_first {
+        if record.outcome == Outcome::Closed && !is_first {
             // The idle connection was closed as the request was sent, so it is sent again on a new one.
             if let Some(mut other) = self.connect()
                 && let Some(mut again) = self.exchange(&mut other, &draft, None)
@@ -126,10 +118,7 @@
                 record = again;
             }
         }
-        let goes_on = matches!(
-            record.outcome,
-            RequestOutcome::Served | RequestOutcome::Rejected | RequestOutcome::Failed
-        );
+        let goes_on = matches!(record.outcome, Outcome::Served | Outcome::Rejected | Outcome::Failed);
         self.recorder.record(|history| history.requests.push(record));
         connection.answered += 1;
         goes_on.then_some(connection)
@@ -187,11 +176,8 @@
 
     fn connect(&self) -> Option<Connection> {
         let could_accept = self.gatekeeper.accepts_connections();
-        match TcpStream::connect_timeout(&self.gatekeeper.address, CONNECT_TIMEOUT) {
-            Ok(stream) => {
-                let _ = stream.set_nodelay(true);
-                Some(Connection { stream, received: Vec::new(), answered: 0 })
-            }
+        match ClientConnection::open(self.gatekeeper.address, CONNECT_TIMEOUT) {
+            Ok(link) => Some(Connection { link, answered: 0 }),
             Err(_) => {
                 if could_accept && self.gatekeeper.accepts_connections() {
                     let refusal = Refusal { at: self.recorder.now(), gatekeeper: self.gatekeeper.index };
@@ -210,28 +196,27 @@
         draft: &Draft,
         leaves_after: Option<Duration>,
     ) -> Option<RequestRecord> {
-        connection.received.clear();
-        connection.stream.write_all(&draft.bytes).ok()?;
+        let link = &mut connection.link;
+        link.send(&draft.bytes).ok()?;
         let sent = self.recorder.now();
-        let (mut left, mut reply) = (None, Reply::Late);
+        let mut left = None;
+        let mut reply = Reply::Late;
         if let Some(time) = leaves_after {
-            reply = connection.read_reply(Instant::now() + time);
-            if matches!(reply, Reply::Late) {
-                let _ = connection.stream.shutdown(Shutdown::Both);
+            reply = read_reply(link, time);
+            if reply == Reply::Late {
+                link.close();
                 left = Some(self.recorder.now());
             }
         }
-        if matches!(reply, Reply::Late) && left.is_none() {
-            reply = connection.read_reply(Instant::now() + draft.time + ANSWER_GRACE);
+        if reply == Reply::Late && left.is_none() {
+            reply = read_reply(link, draft.time + ANSWER_GRACE);
         }
-        let outcome = match (&reply, left) {
-            (_, Some(_)) => RequestOutcome::Left,
-            (Reply::Text(text), _) if *text == draft.number.text() => RequestOutcome::Served,
-            (Reply::Text(text), _) if text.starts_with("-BUSY") => RequestOutcome::Rejected,
-            (Reply::Text(text), _) if text.starts_with('-') => RequestOutcome::Failed,
-            (Reply::Text(_), _) => RequestOutcome::WrongValue,
-            (Reply::Closed, _) => RequestOutcome::Closed,
-            (Reply::Late, _) => RequestOutcome::Unanswered,
+        let outcome = match reply {
+            _ if left.is_some() => Outcome::Left,
+            Reply::Complete(text) => Outcome::of_resp_reply(&text, &draft.number.text()),
+            Reply::Excess => Outcome::Foreign,
+            Reply::Closed => Outcome::Closed,
+            Reply::Late => Outcome::Unanswered,
         };
         let &Draft { number, class, tenant, units, time, .. } = draft;
         Some(RequestRecord {
@@ -252,49 +237,18 @@
     /// Sends the start of a request and waits for an error or a close.
     fn send_part(&mut self, connection: &mut Connection, draft: &Draft) {
         let length = self.random.usize(1..draft.bytes.len());
-        if connection.stream.write_all(&draft.bytes[..length]).is_err() {
+        if connection.link.send(&draft.bytes[..length]).is_err() {
             return;
         }
         let stopped = self.recorder.now();
-        connection.received.clear();
-        let reply = connection.read_reply(Instant::now() + PARTIAL_TIMEOUT);
-        let ended = (!matches!(reply, Reply::Late)).then(|| self.recorder.now());
+        let reply = read_reply(&mut connection.link, PARTIAL_TIMEOUT);
+        let ended = (reply != Reply::Late).then(|| self.recorder.now());
         let partial = PartialRequest { gatekeeper: self.gatekeeper.index, stopped, ended };
         self.recorder.record(|history| history.partial_requests.push(partial));
     }
 }
 
-impl Connection {
-    /// Reads one reply: the text of a line, or the value of a bulk string.
-    fn read_reply(&mut self, by: Instant) -> Reply {
-        loop {
-            if let Some(text) = complete_reply(&self.received) {
-                return Reply::Text(text);
-            }
-            let left = by.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Reply::Late;
-            }
-            if self.stream.set_read_timeout(Some(left)).is_err() {
-                return Reply::Closed;
-            }
-            let mut bytes = [0; 1024];
-            match self.stream.read(&mut bytes) {
-                Ok(0) => return Reply::Closed,
-                Ok(count) => self.received.extend_from_slice(&bytes[..count]),
-                Err(error) if is_temporary(&error) => {}
-                Err(_) => return Reply::Closed,
-            }
-        }
-    }
-}
-
-/// The text of a complete reply.
-fn complete_reply(received: &[u8]) -> Option<String> {
-    let text = std::str::from_utf8(received).ok()?;
-    let (line, rest) = text.split_once("\r\n")?;
-    match line.strip_prefix('$') {
-        Some(_) => rest.strip_suffix("\r\n").map(str::to_owned),
-        None => Some(line.to_owned()),
-    }
+/// Waits for the reply to a request.
+fn read_reply(link: &mut ClientConnection, timeout: Duration) -> Reply<String> {
+    link.read_reply(Instant::now() + timeout, |bytes| wire::read_resp_reply(bytes))
 }
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,6 +1,7 @@
 //! The history of a run: typed records of each kind, all timed by one monotonic clock.
 
 use fault_harness::clock::ScheduleClock;
+use fault_harness::outcome::Outcome;
 use fault_harness::process::ExitRequest;
 use fault_harness::stand_ins::ListedState;
 use fault_harness::sync::lock;
@@ -50,25 +51,6 @@
     }
 }
 
-/// How a request ended for its client.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestOutcome {
-    /// With a backend's value for this request.
-    Served,
-    /// With a value that no backend gave for it.
-    WrongValue,
-    /// With a rejection (`-BUSY`).
-    Rejected,
-    /// With another error.
-    Failed,
-    /// The gatekeeper closed the connection without an answer.
-    Closed,
-    /// No answer within [`crate::client::ANSWER_GRACE`] after its deadline.
-    Unanswered,
-    /// The client closed the connection before its answer.
-    Left,
-}
-
 /// A request that was sent completely.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
@@ -89,7 +71,7 @@
     /// When it ended for the client.
     pub ended: Moment,
     /// How it ended.
-    pub outcome: RequestOutcome,
+    pub outcome: Outcome,
     /// Whether it was the first on its connection.
     pub is_first_on_connection: bool,
     /// Whether it was sent again on a new connection because an idle one had been closed.
--- a/crates/platform_soak/src/main.rs
+++ b/crates/platform_soak/src/main.rs
@@ -2,10 +2,11 @@
 //! one is broken, and with 2 where it cannot run.
 
 use clap::Parser;
+use fault_harness::outcome::Outcome;
 use fault_harness::test_directory::TestDirectory;
 use fault_harness::violation::Violation;
 use platform_soak::gatekeeper::Program;
-use platform_soak::history::{History, ProcessEvent, RequestOutcome};
+use platform_soak::history::{History, ProcessEvent};
 use platform_soak::run::run;
 use platform_soak::schedule::Schedule;
 use std::collections::BTreeMap;
@@ -84,17 +85,16 @@
 }
 
 fn print_schedule(schedule: &Schedule, history: &History, violations: &[Violation], is_verbose: bool) {
-    let count = |outcome: RequestOutcome| {
-        history.requests.iter().filter(|request| request.outcome == outcome).count()
-    };
+    let count =
+        |outcome: Outcome| history.requests.iter().filter(|request| request.outcome == outcome).count();
     println!(
         "seed {}: {} requests ({} served, {} rejected, {} failed, {} left), {} attempts, {} violations",
         schedule.seed,
         history.requests.len(),
-        count(RequestOutcome::Served),
-        count(RequestOutcome::Rejected),
-        count(RequestOutcome::Failed),
-        count(RequestOutcome::Left),
+        count(Outcome::Served),
+        count(Outcome::Rejected),
+        count(Outcome::Failed),
+        count(Outcome::Left),
         history.attempts.len(),
         violations.len()
     );
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -5,10 +5,11 @@
 use common::admin::{admin_command, read_metric};
 use common::soak::soak_program;
 use common::*;
+use fault_harness::outcome::Outcome;
 use fault_harness::ports::free_address;
 use fault_shim_control::{CONTROL_VARIABLE, Control, RATE_SCALE, Setting};
 use platform_soak::gatekeeper::Gatekeeper;
-use platform_soak::history::{History, Moment, Recorder, RequestOutcome};
+use platform_soak::history::{History, Moment, Recorder};
 use platform_soak::run::run;
 use platform_soak::schedule::{CallFaults, Fault, PlannedFault, Schedule};
 use platform_soak::settings::{Addresses, Settings};
@@ -26,7 +27,7 @@
 fn first_success(history: &History, gatekeeper: usize, after: Moment) -> Option<Moment> {
     let of_this = history.requests.iter().filter(|request| request.number.gatekeeper() == gatekeeper);
     let served = of_this.filter(|request| {
-        request.outcome == RequestOutcome::Served
+        request.outcome == Outcome::Served
             && request.sent > after
             && request.tenant >= FIRST_WELL_PROVIDED_TENANT
     });
