--- a/crates/fault_harness/src/stand_ins.rs
+++ b/crates/fault_harness/src/stand_ins.rs
@@ -1,8 +1,12 @@
 //! Stand-ins of what gatekeepers speak to, each of which can be made to fail.
 
+mod backend_server;
 mod endpoint_list;
 mod quota_counter;
 
+pub use backend_server::{
+    AnswerMode, Arrival, AttemptOutcome, BackendProtocol, BackendServer, BackendSite, IdleMode,
+};
 pub use endpoint_list::{
     EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedBackend, ListedChange, ListedState, write_watch_head,
     write_watch_line,
--- /dev/null
+++ b/crates/fault_harness/src/stand_ins/backend_server/tests.rs
@@ -0,0 +1,181 @@
+//! Requests over a real connection, with each way to answer and to treat an idle connection.
+
+use super::*;
+use crate::client::{ClientConnection, Reply};
+use crate::connections::serve_connections;
+use crate::sync::lock;
+use crate::wait::wait_until;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Longer than the work on a request, and shorter than any wait for a close.
+const SILENCE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const REQUEST: &[&str] = &["SVC.QUERY", "tenant", "00ff", "c=lookup,d=250,units=1"];
+
+/// A backend that notes its attempts.
+#[derive(Clone, Default)]
+struct Site {
+    answer: AnswerMode,
+    idle: IdleMode,
+    rejects_connections: bool,
+    /// Number of looks at an idle connection.
+    idle_checks: Arc<AtomicUsize>,
+    attempts: Arc<Mutex<Vec<(Arrival, AttemptOutcome)>>>,
+}
+
+impl Site {
+    fn answering(answer: AnswerMode) -> Self {
+        Self { answer, ..Self::default() }
+    }
+
+    fn outcomes(&self) -> Vec<AttemptOutcome> {
+        lock(&self.attempts).iter().map(|(_, outcome)| *outcome).collect()
+    }
+}
+
+impl BackendSite for Site {
+    type Attempt = usize;
+
+    fn accepts_requests(&self) -> bool {
+        !self.rejects_connections
+    }
+
+    fn idle_mode(&self) -> IdleMode {
+        self.idle_checks.fetch_add(1, Ordering::Relaxed);
+        self.idle
+    }
+
+    fn answer_mode(&self, _: &mut fastrand::Rng) -> AnswerMode {
+        self.answer
+    }
+
+    fn arrived(&self, arrival: Arrival) -> usize {
+        let mut attempts = lock(&self.attempts);
+        attempts.push((arrival, AttemptOutcome::Open));
+        attempts.len() - 1
+    }
+
+    fn ended(&self, attempt: &usize, outcome: AttemptOutcome) {
+        lock(&self.attempts)[*attempt].1 = outcome;
+    }
+}
+
+fn connect(protocol: BackendProtocol, site: &Site) -> ClientConnection {
+    let (server, site) = (BackendServer { protocol, clock: ScheduleClock::start() }, site.clone());
+    let any_port = ([127, 0, 0, 1], 0).into();
+    let address =
+        serve_connections(any_port, move |stream| server.serve(&stream, &site)).expect("it listens");
+    ClientConnection::open(address, TIMEOUT).expect("it accepts")
+}
+
+fn read_reply(connection: &mut ClientConnection, timeout: Duration) -> Reply<String> {
+    connection.read_reply(Instant::now() + timeout, |bytes| wire::read_resp_reply(bytes))
+}
+
+fn call(connection: &mut ClientConnection) -> Reply<String> {
+    connection.send(&wire::resp_command(REQUEST)).expect("it is sent");
+    read_reply(connection, TIMEOUT)
+}
+
+#[test]
+fn each_mode_answers_or_ends_the_connection() {
+    let complete = |text: &str| Reply::Complete(text.to_owned());
+    for (mode, reply, outcome) in [
+        (AnswerMode::Serve, complete("00ff"), AttemptOutcome::Served),
+        (AnswerMode::Slow(Duration::from_millis(1)), complete("00ff"), AttemptOutcome::Served),
+        (AnswerMode::Fail, complete("-ERR failed"), AttemptOutcome::Failed),
+        (AnswerMode::Reject, complete("-BUSY"), AttemptOutcome::Rejected),
+        (AnswerMode::Truncate, Reply::Closed, AttemptOutcome::Closed),
+        (AnswerMode::Close, Reply::Closed, AttemptOutcome::Closed),
+        (AnswerMode::Reset, Reply::Closed, AttemptOutcome::Closed),
+    ] {
+        let site = Site::answering(mode);
+        assert_eq!(call(&mut connect(BackendProtocol::Resp, &site)), reply, "{mode:?}");
+        assert_eq!(site.outcomes(), [outcome], "{mode:?}");
+    }
+}
+
+#[test]
+fn an_arrival_states_the_request_its_times_and_the_time_left() {
+    let site = Site::default();
+    let mut connection = connect(BackendProtocol::Resp, &site);
+    let command = wire::resp_command(REQUEST);
+    connection.send(&command[..5]).expect("it is sent");
+    std::thread::sleep(2 * SILENCE);
+    connection.send(&command[5..]).expect("it is sent");
+    assert_eq!(read_reply(&mut connection, TIMEOUT), Reply::Complete("00ff".to_owned()));
+    let arrival = lock(&site.attempts)[0].0.clone();
+    assert_eq!(arrival.request_id, "00ff");
+    assert_eq!(arrival.time_left, Some(Duration::from_millis(250)));
+    assert!(arrival.arrived - arrival.began >= SILENCE / 2, "{arrival:?}");
+}
+
+#[test]
+fn an_attempt_whose_client_closes_the_connection_ends() {
+    for mode in [AnswerMode::Slow(TIMEOUT), AnswerMode::Hang] {
+        let site = Site::answering(mode);
+        let mut connection = connect(BackendProtocol::Resp, &site);
+        connection.send(&wire::resp_command(REQUEST)).expect("it is sent");
+        let has_arrived = || site.outcomes() == [AttemptOutcome::Open];
+        assert!(wait_until(TIMEOUT, POLL_INTERVAL, has_arrived), "{mode:?}");
+        assert_eq!(read_reply(&mut connection, SILENCE), Reply::Late, "{mode:?}");
+        assert_eq!(site.outcomes(), [AttemptOutcome::Open], "{mode:?}");
+        connection.close();
+        let has_ended = || site.outcomes() == [AttemptOutcome::Closed];
+        assert!(wait_until(TIMEOUT, POLL_INTERVAL, has_ended), "{mode:?}");
+    }
+}
+
+/// A connection that was idle after an answer for long enough to be treated so.
+fn idle_connection(idle: IdleMode) -> ClientConnection {
+    let site = Site { idle, ..Site::default() };
+    let mut connection = connect(BackendProtocol::Resp, &site);
+    assert_eq!(call(&mut connection), Reply::Complete("00ff".to_owned()), "{idle:?}");
+    let is_idle = || site.idle_checks.load(Ordering::Relaxed) > 0;
+    assert!(wait_until(TIMEOUT, POLL_INTERVAL, is_idle), "{idle:?}");
+    connection
+}
+
+#[test]
+fn an_idle_connection_is_closed_or_reset() {
+    for idle in [IdleMode::Close, IdleMode::Reset] {
+        let mut connection = idle_connection(idle);
+        // Forgets the first answer; the connection may have ended.
+        let _ = connection.send(b"");
+        assert_eq!(read_reply(&mut connection, TIMEOUT), Reply::Closed, "{idle:?}");
+    }
+}
+
+#[test]
+fn an_idle_connection_is_kept_or_forgotten() {
+    assert_eq!(call(&mut idle_connection(IdleMode::Keep)), Reply::Complete("00ff".to_owned()));
+    let mut forgotten = idle_connection(IdleMode::Forget);
+    forgotten.send(&wire::resp_command(REQUEST)).expect("it is sent");
+    assert_eq!(read_reply(&mut forgotten, SILENCE), Reply::Late);
+}
+
+#[test]
+fn a_connection_may_be_closed_before_its_first_request() {
+    let site = Site { rejects_connections: true, ..Site::default() };
+    let mut connection = connect(BackendProtocol::Resp, &site);
+    assert_eq!(read_reply(&mut connection, TIMEOUT), Reply::Closed);
+}
+
+#[test]
+fn a_health_check_over_http_is_answered_and_is_no_attempt() {
+    let site = Site::default();
+    let mut connection = connect(BackendProtocol::Http, &site);
+    let mut body = |request: &[u8]| {
+        connection.send(request).expect("it is sent");
+        let response =
+            connection.read_reply(Instant::now() + TIMEOUT, |bytes| wire::read_http_message(bytes));
+        response.map(|message| message.body)
+    };
+    assert_eq!(body(b"GET /health HTTP/1.1\r\n\r\n"), Reply::Complete(Vec::new()));
+    assert_eq!(site.outcomes(), []);
+    assert_eq!(body(b"GET /loans HTTP/1.1\r\nX-Op: 7\r\n\r\n"), Reply::Complete(b"7".to_vec()));
+    assert_eq!(site.outcomes(), [AttemptOutcome::Served]);
+}
--- a/crates/fault_injection/src/stand_ins/backend.rs
+++ b/crates/fault_injection/src/stand_ins/backend.rs
@@ -1,48 +1,12 @@
 //! A backend, which listens at another address for each gatekeeper.
 
 use super::{FailureSwitch, SLOW_ANSWER, listen};
-use crate::connections::keep_silent;
-use crate::history::{Observation, Recorder, now_us};
+use crate::history::{Observation, Recorder};
 use crate::network::Network;
 use crate::schedule::{FailureMode, Form};
-use crate::wire;
-use std::io::{BufReader, Write};
-use std::net::{IpAddr, SocketAddr, TcpStream};
-use std::ops::Range;
-use std::thread;
-use std::time::Duration;
-
-/// Service time of a request, us.
-const WORK_US: Range<u64> = 3_000..9_000;
-
-/// A request and the possible answers to it.
-struct Request {
-    /// None for a health check.
-    request_id: Option<u64>,
-    success: Vec<u8>,
-    failure: Vec<u8>,
-}
-
-impl Request {
-    fn read(form: Form, from: &mut BufReader<TcpStream>) -> Option<Self> {
-        match form {
-            Form::Appliance => {
-                let message = wire::read_http_message(from)?;
-                let request_id = message.field("x-op").and_then(|id| id.parse::<u64>().ok());
-                let body = request_id.map_or(String::new(), |id| id.to_string());
-                let success = wire::http_message("HTTP/1.1 200 OK", &body);
-                Some(Self { request_id, success, failure: wire::http_message("HTTP/1.1 500 No", "") })
-            }
-            Form::Platform => {
-                let arguments = wire::read_resp_command(from)?;
-                let id = arguments.get(2)?;
-                let request_id = u64::from_str_radix(id, 16).ok();
-                let failure = b"-ERR failed\r\n".to_vec();
-                Some(Self { request_id, success: wire::backend_reply(id), failure })
-            }
-        }
-    }
-}
+use fault_harness::clock::ScheduleClock;
+use fault_harness::stand_ins::{AnswerMode, Arrival, BackendProtocol, BackendServer, BackendSite};
+use std::net::{IpAddr, SocketAddr};
 
 /// A backend, which listens at another address for each gatekeeper.
 #[derive(Clone, Debug)]
@@ -68,42 +32,54 @@
     ///
     /// There is no port.
     pub fn open(&self, network: &Network, host: IpAddr, gatekeeper: &str) -> std::io::Result<SocketAddr> {
-        let (backend, gatekeeper) = (self.clone(), gatekeeper.to_owned());
-        listen(network, host, move |stream| backend.serve(stream, &gatekeeper))
+        let protocol = match self.form {
+            Form::Appliance => BackendProtocol::Http,
+            Form::Platform => BackendProtocol::Resp,
+        };
+        let server = BackendServer { protocol, clock: ScheduleClock::start() };
+        let route = Route { backend: self.clone(), gatekeeper: gatekeeper.to_owned() };
+        listen(network, host, move |stream| server.serve(&stream, &route))
+    }
+}
+
+/// The connections from one gatekeeper to a backend.
+struct Route {
+    backend: Backend,
+    gatekeeper: String,
+}
+
+impl BackendSite for Route {
+    type Attempt = ();
+
+    fn accepts_requests(&self) -> bool {
+        self.backend.failure.mode() != Some(FailureMode::Closed)
+    }
+
+    fn answer_mode(&self, _: &mut fastrand::Rng) -> AnswerMode {
+        match self.backend.failure.mode() {
+            None => AnswerMode::Serve,
+            Some(FailureMode::Silent | FailureMode::ResponseLost) => AnswerMode::Hang,
+            Some(FailureMode::Error | FailureMode::RestartedEmpty) => AnswerMode::Fail,
+            Some(FailureMode::ResponseTruncated) => AnswerMode::Truncate,
+            Some(FailureMode::Slow) => AnswerMode::Slow(SLOW_ANSWER),
+            Some(FailureMode::Closed) => AnswerMode::Close,
+        }
     }
 
-    fn serve(&self, mut stream: TcpStream, gatekeeper: &str) {
-        let Ok(read) = stream.try_clone() else { return };
-        let mut requests = BufReader::new(read);
-        let mut random = fastrand::Rng::with_seed(now_us());
-        loop {
-            if self.failure.mode() == Some(FailureMode::Closed) {
-                return;
-            }
-            let Some(request) = Request::read(self.form, &mut requests) else { return };
-            let mode = self.failure.mode();
-            if let Some(request_id) = request.request_id {
-                let (backend, gatekeeper) = (self.name.clone(), gatekeeper.to_owned());
-                self.recorder.record(Observation::AttemptArrived { request_id, backend, gatekeeper });
-            }
-            thread::sleep(Duration::from_micros(random.u64(WORK_US)));
-            let answer = match mode {
-                Some(FailureMode::Silent | FailureMode::ResponseLost) => return keep_silent(&mut stream),
-                Some(FailureMode::Error | FailureMode::RestartedEmpty) => request.failure,
-                Some(FailureMode::ResponseTruncated) => {
-                    let _ = stream.write_all(&request.success[..request.success.len() / 2]);
-                    return;
-                }
-                Some(FailureMode::Slow) => {
-                    thread::sleep(SLOW_ANSWER);
-                    request.success
-                }
-                Some(FailureMode::Closed) => return,
-                None => request.success,
-            };
-            if stream.write_all(&answer).is_err() {
-                return;
-            }
+    fn arrived(&self, arrival: Arrival) {
+        let (backend, gatekeeper) = (self.backend.name.clone(), self.gatekeeper.clone());
+        if let Some(request_id) = self.parse_id(&arrival.request_id) {
+            self.backend.recorder.record(Observation::AttemptArrived { request_id, backend, gatekeeper });
+        }
+    }
+}
+
+impl Route {
+    /// The number of a request: decimal in HTTP, hexadecimal in RESP2.
+    fn parse_id(&self, text: &str) -> Option<u64> {
+        match self.backend.form {
+            Form::Appliance => text.parse().ok(),
+            Form::Platform => u64::from_str_radix(text, 16).ok(),
         }
     }
 }
--- a/crates/platform_soak/src/checkers/attempts.rs
+++ b/crates/platform_soak/src/checkers/attempts.rs
@@ -1,8 +1,9 @@
 //! Attempts: none for a client that has disconnected, none with a later deadline than its request, and retries only as the class permits.
 
 use super::{MAX_SCHEDULING_DELAY, violation_by};
-use crate::history::{AttemptOutcome, AttemptRecord, History, Moment, RequestNumber, RequestRecord};
+use crate::history::{AttemptRecord, History, Moment, RequestNumber, RequestRecord};
 use crate::settings::{Effect, Settings};
+use fault_harness::stand_ins::AttemptOutcome;
 use fault_harness::violation::Violation;
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 use crate::history::{
-    AttemptOutcome, AttemptRecord, BackendIndex, ListChange, Notification, PartialRequest, ProcessRecord,
-    RequestNumber, RequestRecord, SchedulingDelay,
+    AttemptRecord, BackendIndex, ListChange, Notification, PartialRequest, ProcessRecord, RequestNumber,
+    RequestRecord, SchedulingDelay,
 };
 use fault_harness::outcome::Outcome;
 use fault_harness::process::ExitRequest;
 use fault_harness::rules::{
     CLEAN_EXIT, HARD_CEILING, NO_UNREQUESTED_EXIT, NOTHING_TO_INELIGIBLE, ONE_FINAL_ANSWER,
 };
-use fault_harness::stand_ins::ListedState;
+use fault_harness::stand_ins::{AttemptOutcome, ListedState};
 
 /// Indexes in [`Settings::classes`].
 const IDEMPOTENT: usize = 0;
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -3,7 +3,7 @@
 use fault_harness::clock::ScheduleClock;
 use fault_harness::outcome::Outcome;
 use fault_harness::process::ExitRequest;
-use fault_harness::stand_ins::ListedState;
+use fault_harness::stand_ins::{Arrival, AttemptOutcome, ListedState};
 use fault_harness::sync::lock;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -30,6 +30,9 @@
 const SERIAL_BITS: u32 = 32;
 
 impl RequestNumber {
+    /// Stands for an id that no client has given.
+    pub const UNKNOWN: Self = Self(u64::MAX);
+
     /// The number of a gatekeeper's request with this serial.
     pub fn new(gatekeeper: GatekeeperIndex, serial: u32) -> Self {
         Self((gatekeeper as u64) << SERIAL_BITS | u64::from(serial))
@@ -78,20 +81,9 @@
     pub was_resent: bool,
 }
 
-/// How an attempt ended at its backend.
+/// The place of an attempt in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptOutcome {
-    /// It is in flight.
-    Open,
-    /// Its value was written.
-    Served,
-    /// An error was written. The request may have run.
-    Failed,
-    /// A rejection was written. The request never ran.
-    Rejected,
-    /// The connection ended first.
-    Closed,
-}
+pub struct AttemptIndex(usize);
 
 /// An attempt that arrived completely at a backend.
 #[derive(Clone, Debug)]
@@ -104,7 +96,7 @@
     pub began: Moment,
     /// When its last byte was read.
     pub arrived: Moment,
-    /// The time left until the deadline, as stated in the attempt.
+    /// The time left until the deadline, as stated in the attempt; the longest time if it states none.
     pub time_left: Duration,
     /// When it ended; none while it is in flight.
     pub ended: Option<Moment>,
@@ -292,19 +284,28 @@
         change(&mut lock(&self.history))
     }
 
-    /// Records an attempt that has arrived completely. Returns its index.
-    pub fn begin_attempt(&self, attempt: AttemptRecord) -> usize {
+    /// Records an attempt that has arrived at a backend.
+    pub fn begin_attempt(&self, backend: BackendIndex, arrival: Arrival) -> AttemptIndex {
+        let attempt = AttemptRecord {
+            request: RequestNumber::parse(&arrival.request_id).unwrap_or(RequestNumber::UNKNOWN),
+            backend,
+            began: arrival.began,
+            arrived: arrival.arrived,
+            time_left: arrival.time_left.unwrap_or(Duration::MAX),
+            ended: None,
+            outcome: AttemptOutcome::Open,
+        };
         self.record(|history| {
             history.attempts.push(attempt);
-            history.attempts.len() - 1
+            AttemptIndex(history.attempts.len() - 1)
         })
     }
 
-    /// Records the end of the attempt with this index.
-    pub fn end_attempt(&self, place: usize, outcome: AttemptOutcome) {
+    /// Records the end of an attempt.
+    pub fn end_attempt(&self, AttemptIndex(index): AttemptIndex, outcome: AttemptOutcome) {
         let now = self.now();
         self.record(|history| {
-            if let Some(attempt) = history.attempts.get_mut(place) {
+            if let Some(attempt) = history.attempts.get_mut(index) {
                 attempt.ended = Some(now);
                 attempt.outcome = outcome;
             }
