--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -4,7 +4,7 @@
 //! | module | what it holds |
 //! | --- | --- |
 //! | [`process`] | a gatekeeper as a child process: its log, its signals, its exit |
-//! | [`stand_ins`] | the backend, the quota counter and the endpoint list |
+//! | [`stand_ins`] | the backend, the quota counter, the endpoint list and its watch |
 //! | [`client`], [`outcome`] | a client's connection, and how a request ended for its client |
 //! | [`connections`], [`wire`] | accepting and ending connections, and the messages on them |
 //! | [`clock`], [`timeline`] | the clock of a schedule, and injecting its faults at their times |
--- a/crates/fault_harness/src/stand_ins.rs
+++ b/crates/fault_harness/src/stand_ins.rs
@@ -3,6 +3,7 @@
 mod backend_server;
 mod endpoint_list;
 mod quota_counter;
+mod watch_server;
 
 pub use backend_server::{
     AnswerMode, Arrival, AttemptOutcome, BackendProtocol, BackendServer, BackendSite, IdleMode,
@@ -12,3 +13,4 @@
     write_watch_line,
 };
 pub use quota_counter::{Addition, CounterFailure, QuotaCounter};
+pub use watch_server::{ChangeForm, WatchMode, WatchSite, serve_watch};
--- /dev/null
+++ b/crates/fault_harness/src/stand_ins/watch_server.rs
@@ -0,0 +1,132 @@
+//! The watch of a discovery agent: a stream of the endpoint list, its changes, and heartbeats.
+
+use super::endpoint_list::{
+    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, write_watch_head, write_watch_line,
+};
+use crate::connections::keep_silent;
+use crate::wire;
+use std::io::{self, BufReader};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+
+#[cfg(test)]
+mod tests;
+
+/// Interval at which a watch looks at its mode.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// How an agent answers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum WatchMode {
+    /// At once.
+    #[default]
+    Healthy,
+    /// A new watch gets its first answer after this time.
+    Slow(Duration),
+    /// Open watches and new ones get nothing.
+    Silent,
+    /// Open watches end, and new connections are closed.
+    Down,
+}
+
+/// What a watch gets on a change.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ChangeForm {
+    /// The complete list.
+    CompleteList,
+    /// The backends that have changed.
+    ChangedBackends,
+}
+
+/// What a site decides and records of the agent of one gatekeeper.
+pub trait WatchSite {
+    /// What is known of an update before it is written.
+    type Notice;
+
+    /// How the agent answers now.
+    fn mode(&self) -> WatchMode {
+        WatchMode::Healthy
+    }
+    /// The address at which the gatekeeper reaches a backend.
+    fn address(&self, backend: &str) -> Option<SocketAddr>;
+    /// An update is about to be written.
+    fn sending(&self, update: &ListUpdate) -> Self::Notice;
+    /// The update was written.
+    fn sent(&self, notice: Self::Notice);
+}
+
+/// Serves one watch until it ends.
+pub fn serve_watch(mut stream: TcpStream, list: &EndpointList, form: ChangeForm, site: &impl WatchSite) {
+    // An error is the end of the connection.
+    let _ = Watch { stream: &mut stream, list, form, site }.serve();
+    let _ = stream.shutdown(Shutdown::Both);
+}
+
+/// One open watch.
+struct Watch<'a, S> {
+    stream: &'a mut TcpStream,
+    list: &'a EndpointList,
+    form: ChangeForm,
+    site: &'a S,
+}
+
+impl<S: WatchSite> Watch<'_, S> {
+    fn serve(&mut self) -> io::Result<()> {
+        if self.site.mode() == WatchMode::Down {
+            return Ok(());
+        }
+        let mut received = BufReader::new(self.stream.try_clone()?);
+        let Some(request) = wire::read_http_message(&mut received) else { return Ok(()) };
+        if let WatchMode::Slow(delay) = self.site.mode() {
+            thread::sleep(delay);
+        }
+        if self.site.mode() == WatchMode::Silent {
+            keep_silent(self.stream);
+            return Ok(());
+        }
+        write_watch_head(self.stream)?;
+        // A gatekeeper without a list gets all of it first, and another one what has changed.
+        let known = index_of(request.target_or_status());
+        let sent = self.send((known > 0).then_some(known))?;
+        self.follow(sent)
+    }
+
+    /// Sends changes and heartbeats until the agent fails or the gatekeeper closes the connection.
+    fn follow(&mut self, mut sent_revision: u64) -> io::Result<()> {
+        let mut last_line = Instant::now();
+        loop {
+            self.list.wait_for_change(sent_revision, CHECK_INTERVAL);
+            match self.site.mode() {
+                WatchMode::Down => return Ok(()),
+                WatchMode::Silent => {
+                    keep_silent(self.stream);
+                    return Ok(());
+                }
+                WatchMode::Healthy | WatchMode::Slow(_) => {}
+            }
+            if self.list.revision() != sent_revision {
+                sent_revision = self.send(Some(sent_revision))?;
+                last_line = Instant::now();
+            } else if last_line.elapsed() >= HEARTBEAT_INTERVAL {
+                write_watch_line(self.stream, "")?;
+                last_line = Instant::now();
+            }
+        }
+    }
+
+    /// Sends what has changed since a revision. Returns the revision that the gatekeeper then has.
+    fn send(&mut self, since: Option<u64>) -> io::Result<u64> {
+        let since = since.filter(|_| self.form == ChangeForm::ChangedBackends);
+        let update = self.list.update(since, |backend| self.site.address(backend));
+        let notice = self.site.sending(&update);
+        write_watch_line(self.stream, &update.text)?;
+        self.site.sent(notice);
+        Ok(update.revision)
+    }
+}
+
+/// The index in the target of a watch request: the revision that the gatekeeper has, or 0.
+fn index_of(target: &str) -> u64 {
+    target.split_once("index=").and_then(|(_, index)| index.parse().ok()).unwrap_or(0)
+}
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -1,15 +1,11 @@
 //! Discovery: an agent for each gatekeeper, all with the same endpoint list.
 
-use super::{
-    EndpointList, HEARTBEAT_INTERVAL, ListUpdate, ListedChange, ListedState, listen, write_watch_head,
-    write_watch_line,
-};
-use crate::history::{Observation, Recorder};
+use super::{EndpointList, ListUpdate, ListedChange, ListedState, listen};
+use crate::history::{Observation, Recorder, now_us};
 use crate::network::{Link, LinkQuality, Network};
-use crate::wire;
+use fault_harness::stand_ins::{ChangeForm, WatchSite, serve_watch};
 use std::collections::HashMap;
-use std::io::{self, BufReader};
-use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
+use std::net::{IpAddr, SocketAddr};
 
 /// The revision of the list at the start.
 const FIRST_REVISION: u64 = 41;
@@ -59,49 +55,60 @@
         route: WatchRoute,
         recorder: &Recorder,
     ) -> std::io::Result<SocketAddr> {
-        let (discovery, gatekeeper, recorder) = (self.clone(), gatekeeper.to_owned(), recorder.clone());
         let network = route.network.clone();
+        let agent = Agent {
+            list: self.list.clone(),
+            gatekeeper: gatekeeper.to_owned(),
+            addresses,
+            route,
+            recorder: recorder.clone(),
+        };
         listen(&network, host, move |stream| {
-            let _ = discovery.serve_watch(&stream, &gatekeeper, &addresses, &route, &recorder);
-            let _ = stream.shutdown(Shutdown::Both);
+            serve_watch(stream, &agent.list, ChangeForm::CompleteList, &agent);
         })
     }
+}
 
-    /// Sends the complete list on each change until the connection ends.
-    fn serve_watch(
-        &self,
-        stream: &TcpStream,
-        gatekeeper: &str,
-        addresses: &HashMap<String, SocketAddr>,
-        route: &WatchRoute,
-        recorder: &Recorder,
-    ) -> io::Result<()> {
-        let mut stream = stream.try_clone()?;
-        if wire::read_http_message(&mut BufReader::new(stream.try_clone()?)).is_none() {
-            return Ok(());
-        }
-        write_watch_head(&mut stream)?;
-        let mut sent = 0;
-        loop {
-            let ListUpdate { revision, text } = self.complete_list(addresses);
-            let line = if revision == sent { "" } else { &text };
-            // Only what surely arrives now counts as a notification.
-            if revision != sent && route.network.quality(route.link) == LinkQuality::default() {
-                self.record_notifications(gatekeeper, recorder);
-            }
-            write_watch_line(&mut stream, line)?;
-            sent = revision;
-            self.list.wait_for_change(sent, HEARTBEAT_INTERVAL);
-        }
+/// The agent of one gatekeeper.
+struct Agent {
+    list: EndpointList,
+    gatekeeper: String,
+    /// Where the gatekeeper reaches backends.
+    addresses: HashMap<String, SocketAddr>,
+    route: WatchRoute,
+    recorder: Recorder,
+}
+
+/// An update that is about to be written.
+struct Notice {
+    at_us: u64,
+    /// The link is healthy, so that it surely arrives now.
+    arrives: bool,
+}
+
+impl WatchSite for Agent {
+    type Notice = Notice;
+
+    fn address(&self, backend: &str) -> Option<SocketAddr> {
+        self.addresses.get(backend).copied()
     }
 
-    fn record_notifications(&self, gatekeeper: &str, recorder: &Recorder) {
+    fn sending(&self, _: &ListUpdate) -> Notice {
+        let arrives = self.route.network.quality(self.route.link) == LinkQuality::default();
+        Notice { at_us: now_us(), arrives }
+    }
+
+    fn sent(&self, notice: Notice) {
+        if !notice.arrives {
+            return;
+        }
         for backend in self.list.backends() {
-            recorder.record(Observation::EndpointNotified {
-                gatekeeper: gatekeeper.to_owned(),
+            let notified = Observation::EndpointNotified {
+                gatekeeper: self.gatekeeper.clone(),
                 accepts_requests: backend.state == ListedState::Up,
                 backend: backend.id,
-            });
+            };
+            self.recorder.record_at(notice.at_us, notified);
         }
     }
 }
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -1,24 +1,21 @@
 //! Discovery: one endpoint list, served to each gatekeeper by an agent of its own.
 
-use crate::history::{BackendIndex, DiscoveryChange, GatekeeperIndex, ListChange, Notification, Recorder};
-use fault_harness::connections::{keep_silent_for, serve_connections};
+use crate::history::{
+    BackendIndex, DiscoveryChange, GatekeeperIndex, ListChange, Moment, Notification, Recorder,
+};
+use fault_harness::connections::serve_connections;
 use fault_harness::stand_ins::{
-    EndpointList, HEARTBEAT_INTERVAL, ListedChange, ListedState, write_watch_head, write_watch_line,
+    ChangeForm, EndpointList, ListUpdate, ListedChange, ListedState, WatchMode, WatchSite, serve_watch,
 };
 use fault_harness::sync::lock;
-use fault_harness::wire;
 use std::collections::HashMap;
-use std::io::{self, BufReader};
-use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::io;
+use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-/// Interval at which a watch checks its mode.
-const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Delay of the answers of slow discovery.
 const SLOW_ANSWER: Duration = Duration::from_millis(600);
-/// Maximum time for which a watch gets nothing before it ends.
-const MAX_SILENCE: Duration = Duration::from_secs(30);
 /// The revision of the list at the start.
 const FIRST_REVISION: u64 = 1;
 
@@ -86,7 +83,9 @@
     pub fn start(address: SocketAddr, list: &SharedList, gatekeeper: GatekeeperIndex) -> io::Result<Self> {
         let discovery = Self { list: list.clone(), mode: Arc::default(), gatekeeper };
         let served = discovery.clone();
-        serve_connections(address, move |stream| served.serve(stream))?;
+        serve_connections(address, move |stream| {
+            serve_watch(stream, &served.list.endpoints, ChangeForm::ChangedBackends, &served);
+        })?;
         Ok(discovery)
     }
 
@@ -98,68 +97,39 @@
             DiscoveryChange { at: self.list.recorder.now(), gatekeeper: self.gatekeeper, is_reachable };
         self.list.recorder.record(|history| history.discovery_changes.push(change));
     }
+}
 
-    fn mode(&self) -> DiscoveryMode {
-        *lock(&self.mode)
-    }
+/// An update that is about to be written.
+pub struct Notice {
+    at: Moment,
+    /// Number of changes of the list so far.
+    changes: usize,
+}
 
-    fn serve(&self, mut stream: TcpStream) {
-        if self.mode() == DiscoveryMode::Down {
-            return;
-        }
-        let Ok(read) = stream.try_clone() else { return };
-        let Some(request) = wire::read_http_message(&mut BufReader::new(read)) else { return };
-        if self.mode() == DiscoveryMode::Slow {
-            std::thread::sleep(SLOW_ANSWER);
-        }
-        if self.mode() == DiscoveryMode::Silent {
-            return keep_silent_for(&mut stream, MAX_SILENCE);
+impl WatchSite for Discovery {
+    type Notice = Notice;
+
+    fn mode(&self) -> WatchMode {
+        match *lock(&self.mode) {
+            DiscoveryMode::Healthy => WatchMode::Healthy,
+            DiscoveryMode::Slow => WatchMode::Slow(SLOW_ANSWER),
+            DiscoveryMode::Silent => WatchMode::Silent,
+            DiscoveryMode::Down => WatchMode::Down,
         }
-        let _ = self.follow(&mut stream, index_of(request.target_or_status()));
-        let _ = stream.shutdown(Shutdown::Both);
     }
 
-    /// Streams changes until discovery fails or the gatekeeper closes the connection.
-    fn follow(&self, stream: &mut TcpStream, index: u64) -> io::Result<()> {
-        write_watch_head(stream)?;
-        // A gatekeeper without a list gets all of it first, and another one what has changed.
-        let mut sent = self.send(stream, (index > 0).then_some(index))?;
-        let mut last_line = Instant::now();
-        loop {
-            self.list.endpoints.wait_for_change(sent, CHECK_INTERVAL);
-            match self.mode() {
-                DiscoveryMode::Down => return Ok(()),
-                DiscoveryMode::Silent => {
-                    keep_silent_for(stream, MAX_SILENCE);
-                    return Ok(());
-                }
-                DiscoveryMode::Healthy | DiscoveryMode::Slow => {}
-            }
-            if self.list.endpoints.revision() != sent {
-                sent = self.send(stream, Some(sent))?;
-                last_line = Instant::now();
-            } else if last_line.elapsed() >= HEARTBEAT_INTERVAL {
-                write_watch_line(stream, "")?;
-                last_line = Instant::now();
-            }
-        }
+    fn address(&self, backend: &str) -> Option<SocketAddr> {
+        self.list.addresses.get(backend).copied()
     }
 
-    /// Sends the changes since a revision and records the notification.
-    fn send(&self, stream: &mut TcpStream, since: Option<u64>) -> io::Result<u64> {
-        let update = self.list.endpoints.update(since, |id| self.list.addresses.get(id).copied());
-        let recorder = &self.list.recorder;
+    fn sending(&self, update: &ListUpdate) -> Notice {
         // Each change raises the revision by one; the update includes all of them so far.
         let changes = update.revision.saturating_sub(FIRST_REVISION) as usize;
-        let at = recorder.now();
-        write_watch_line(stream, &update.text)?;
-        let notification = Notification { at, gatekeeper: self.gatekeeper, changes };
-        recorder.record(|history| history.notifications.push(notification));
-        Ok(update.revision)
+        Notice { at: self.list.recorder.now(), changes }
     }
-}
 
-/// The index in the target of a watch request.
-fn index_of(target: &str) -> u64 {
-    target.split_once("index=").and_then(|(_, index)| index.parse().ok()).unwrap_or(0)
+    fn sent(&self, Notice { at, changes }: Notice) {
+        let notification = Notification { at, gatekeeper: self.gatekeeper, changes };
+        self.list.recorder.record(|history| history.notifications.push(notification));
+    }
 }
