--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`client`], [`outcome`] | a client's connection, and how a request ended for its client |
 //! | [`connections`], [`wire`] | accepting and ending connections, and the messages on them |
 //! | [`clock`], [`timeline`] | the clock of a schedule, and injecting its faults at their times |
-//! | [`rules`], [`violation`], [`token_bucket`] | the rules that every site is checked for |
+//! | [`rules`], [`violation`] | the rules that every site is checked for |
 //! | [`ports`], [`test_directory`], [`digest`] | free addresses, scratch directories, digests of what must not change |
 //! | [`sync`], [`thread`], [`wait`] | locks, threads and waits |
 //!
@@ -27,7 +27,6 @@
 pub mod test_directory;
 pub mod thread;
 pub mod timeline;
-pub mod token_bucket;
 pub mod violation;
 pub mod wait;
 pub mod wire;
--- a/crates/fault_harness/src/rules.rs
+++ b/crates/fault_harness/src/rules.rs
@@ -1,5 +1,18 @@
 //! The rules that every site is checked for. Reports and tests know them by these words.
 
+mod answers;
+mod ceilings;
+mod eligibility;
+mod token_bucket;
+
+#[cfg(test)]
+mod tests;
+
+pub use answers::{AnswerFault, answer_fault};
+pub use ceilings::{Admission, Excess, largest_excess};
+pub use eligibility::IneligibleSpan;
+pub use token_bucket::TokenBucket;
+
 use crate::process::ExitRequest;
 
 /// Each request has one final answer within its deadline.
--- a/crates/fault_harness/src/violation.rs
+++ b/crates/fault_harness/src/violation.rs
@@ -3,6 +3,9 @@
 use std::fmt;
 use std::time::Duration;
 
+#[cfg(test)]
+mod tests;
+
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
--- a/crates/fault_injection/src/checkers.rs
+++ b/crates/fault_injection/src/checkers.rs
@@ -14,7 +14,6 @@
 pub use convergence::{Contradiction, contradicting_versions, convergence, longest_contradiction};
 pub use draining::draining;
 pub use fault_harness::rules;
-pub use fault_harness::token_bucket::TokenBucket;
 pub use fault_harness::violation::Violation;
 pub use processes::{repeated_runs, resource_use, unexpected_exits};
 pub use requests::{final_answers, outcomes};
--- a/crates/fault_injection/src/checkers/requests.rs
+++ b/crates/fault_injection/src/checkers/requests.rs
@@ -1,10 +1,11 @@
 //! Each request has one final answer.
 
 use super::fault_spans::AffectedSpans;
-use super::rules::ONE_FINAL_ANSWER;
+use super::rules::{AnswerFault, ONE_FINAL_ANSWER, answer_fault};
 use super::{Bounds, Violation};
 use crate::history::{Observation, Outcome, Record, Span};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A request without an end so far.
 struct OpenRequest<'a> {
@@ -15,7 +16,8 @@
 /// Follows requests to their ends.
 struct RequestChecker<'a> {
     affected: AffectedSpans<'a>,
-    longest_us: u64,
+    /// Time within which an answer is due.
+    due: Duration,
     open: BTreeMap<u64, OpenRequest<'a>>,
     violations: Vec<Violation>,
 }
@@ -43,31 +45,31 @@
             }
             return;
         };
-        let took_us = end_us - request.sent_us;
-        let (gatekeeper, took_ms) = (request.gatekeeper, took_us / 1_000);
-        match outcome {
-            Outcome::Foreign => {
-                self.violation(format!("operation {request_id} got the answer of another, by {gatekeeper}"));
+        let took = Duration::from_micros(end_us - request.sent_us);
+        let Some(fault) = answer_fault(outcome, took, self.due) else { return };
+        // No fault excuses an answer that is not the request's own.
+        if fault != AnswerFault::Foreign && self.is_excused(&request, end_us) {
+            return;
+        }
+        let (gatekeeper, took_ms) = (request.gatekeeper, took.as_millis());
+        self.violation(match fault {
+            AnswerFault::Foreign => {
+                format!("operation {request_id} got the answer of another, by {gatekeeper}")
             }
-            Outcome::Unanswered if !self.is_excused(&request, end_us) => {
-                let text =
-                    format!("operation {request_id} has no answer from {gatekeeper} after {took_ms} ms");
-                self.violation(text);
+            AnswerFault::Closed | AnswerFault::Missing => {
+                format!("operation {request_id} has no answer from {gatekeeper} after {took_ms} ms")
             }
-            Outcome::Served | Outcome::Rejected | Outcome::Failed
-                if took_us > self.longest_us && !self.is_excused(&request, end_us) =>
-            {
-                let text = format!("operation {request_id} was answered by {gatekeeper} after {took_ms} ms");
-                self.violation(text);
+            AnswerFault::Late => {
+                format!("operation {request_id} was answered by {gatekeeper} after {took_ms} ms")
             }
-            _ => {}
-        }
+        });
     }
 
     /// Requests that are still open at the end of the history.
     fn finish(mut self, last_us: u64) -> Vec<Violation> {
         for (request_id, request) in std::mem::take(&mut self.open) {
-            if last_us - request.sent_us > self.longest_us && !self.is_excused(&request, last_us) {
+            let waited = Duration::from_micros(last_us - request.sent_us);
+            if waited > self.due && !self.is_excused(&request, last_us) {
                 let gatekeeper = request.gatekeeper;
                 self.violation(format!(
                     "operation {request_id} through {gatekeeper} never ended for its client"
@@ -82,7 +84,7 @@
 pub fn final_answers(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let mut checker = RequestChecker {
         affected: AffectedSpans::of(history),
-        longest_us: (bounds.deadline_ms + bounds.tolerance_ms) * 1_000,
+        due: Duration::from_millis(bounds.deadline_ms + bounds.tolerance_ms),
         open: BTreeMap::new(),
         violations: Vec::new(),
     };
--- a/crates/fault_injection/src/checkers/tests.rs
+++ b/crates/fault_injection/src/checkers/tests.rs
@@ -222,28 +222,3 @@
     ]);
     assert_eq!(longest_contradiction(&still).longest_ms, 20);
 }
-
-#[test]
-fn an_exit_breaks_a_rule_unless_it_was_requested_and_clean() {
-    use crate::process::ExitRequest;
-    use rules::{CLEAN_EXIT, NO_UNREQUESTED_EXIT, rule_broken_by_exit};
-    for (request, exit_code, rule) in [
-        (ExitRequest::None, 0, Some(NO_UNREQUESTED_EXIT)),
-        (ExitRequest::None, -9, Some(NO_UNREQUESTED_EXIT)),
-        (ExitRequest::ShutDown, 0, None),
-        (ExitRequest::ShutDown, 101, Some(CLEAN_EXIT)),
-        (ExitRequest::ShutDown, -15, Some(CLEAN_EXIT)),
-        (ExitRequest::Kill, -9, None),
-        (ExitRequest::Kill, 0, None),
-    ] {
-        assert_eq!(rule_broken_by_exit(request, exit_code), rule, "{request:?} {exit_code}");
-    }
-}
-
-#[test]
-fn a_violation_names_its_time_and_gatekeeper_where_they_are_known() {
-    let violation = Violation::new(rules::HARD_CEILING, "2 units over");
-    assert_eq!(violation.to_string(), "hard ceiling: 2 units over");
-    let known = violation.at(std::time::Duration::from_millis(1_250)).by("n3");
-    assert_eq!(known.to_string(), "  1.250 s n3: hard ceiling: 2 units over");
-}
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -3,7 +3,7 @@
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
 use crate::settings::Settings;
-use fault_harness::rules::NOTHING_TO_INELIGIBLE;
+use fault_harness::rules::{IneligibleSpan, NOTHING_TO_INELIGIBLE};
 use fault_harness::stand_ins::ListedState;
 use fault_harness::violation::Violation;
 use std::time::Duration;
@@ -13,30 +13,23 @@
 /// Slack for loopback and the scheduling of the stand-ins' threads.
 const TRANSPORT: Duration = Duration::from_millis(55);
 
-/// A span in which a backend is not eligible for one gatekeeper.
-struct Closed {
-    from: Moment,
-    to: Moment,
-}
-
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
     for gatekeeper in 0..settings.gatekeepers {
-        let closed: Vec<Vec<Closed>> = (0..settings.backends)
-            .map(|backend| closed_times(history, settings, gatekeeper, backend))
+        let spans: Vec<Vec<IneligibleSpan>> = (0..settings.backends)
+            .map(|backend| ineligible_spans(history, settings, gatekeeper, backend))
             .collect();
         let attempts = history.attempts.iter().filter(|a| a.request.gatekeeper() == gatekeeper);
         for attempt in attempts {
             let slack =
                 MAX_SCHEDULING_DELAY + TRANSPORT + history.harness_delay(attempt.began, attempt.arrived);
-            let is_closed =
-                |closed: &&Closed| attempt.began > closed.from + slack && attempt.began < closed.to;
-            if let Some(closed) = closed[attempt.backend].iter().find(is_closed) {
+            let lateness = |span: &IneligibleSpan| span.lateness(attempt.began, slack);
+            if let Some(lateness) = spans[attempt.backend].iter().find_map(lateness) {
                 let text = format!(
                     "request {} began at s-{:04} {:.3} s after the grace",
                     attempt.request.text(),
                     attempt.backend,
-                    (attempt.began - closed.from).as_secs_f64()
+                    lateness.as_secs_f64()
                 );
                 violations.push(violation_by(gatekeeper, NOTHING_TO_INELIGIBLE, attempt.began, text));
             }
@@ -46,23 +39,23 @@
 }
 
 /// Spans in which a backend is not eligible for a gatekeeper: from the grace after a notification to the next change.
-fn closed_times(
+fn ineligible_spans(
     history: &History,
     settings: &Settings,
     gatekeeper: GatekeeperIndex,
     backend: usize,
-) -> Vec<Closed> {
+) -> Vec<IneligibleSpan> {
     let changes: Vec<_> =
         history.list_changes.iter().enumerate().filter(|(_, change)| change.backend == backend).collect();
-    let mut closed = Vec::new();
+    let mut spans = Vec::new();
     for (place, (number, change)) in changes.iter().enumerate() {
         let next = changes.get(place + 1).map_or(Moment::MAX, |(_, next)| next.at);
         if change.state != ListedState::Up {
             let notified = notified_at(history, gatekeeper, *number, change.at);
-            closed.push(Closed { from: notified + settings.drain_grace, to: next });
+            spans.push(IneligibleSpan { from: notified + settings.drain_grace, to: next });
         }
     }
-    closed
+    spans
 }
 
 /// When a gatekeeper counts as notified of a change: when the list was sent, and at the latest [`NOTIFIED_AFTER`] after its agent
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -3,8 +3,8 @@
 use super::attempts::first_arrivals;
 use crate::history::{History, Moment, ProcessEvent, RequestNumber};
 use crate::settings::{MAX_UNITS, Settings, Tenant};
-use fault_harness::rules::HARD_CEILING;
-use fault_harness::{token_bucket::TokenBucket, violation::Violation};
+use fault_harness::rules::{Admission, HARD_CEILING, largest_excess};
+use fault_harness::violation::Violation;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -19,26 +19,20 @@
 /// The bound of a ceiling is wider by its rate over this time.
 const CEILING_SLACK: Duration = Duration::from_millis(150);
 
-/// Units that were admitted for a tenant.
-struct Use {
-    at: Moment,
-    units: f64,
-}
-
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
     let requests: HashMap<RequestNumber, (usize, f64)> =
         history.requests.iter().map(|request| (request.number, (request.tenant, request.units))).collect();
-    let mut uses: Vec<Vec<Use>> = settings.tenants.iter().map(|_| Vec::new()).collect();
+    let mut admissions: Vec<Vec<Admission>> = settings.tenants.iter().map(|_| Vec::new()).collect();
     for (at, number) in first_arrivals(history) {
         if let Some(&(tenant, units)) = requests.get(&number) {
-            uses[tenant].push(Use { at, units });
+            admissions[tenant].push(Admission { at, units });
         }
     }
-    let tenants = settings.tenants.iter().enumerate().zip(&uses);
+    let tenants = settings.tenants.iter().enumerate().zip(&admissions);
     tenants
-        .flat_map(|((index, tenant), uses)| {
-            let quota = check_quota(history, settings, index, tenant, uses);
-            quota.into_iter().chain(check_ceiling(history, index, tenant, uses))
+        .flat_map(|((index, tenant), admissions)| {
+            let quota = check_quota(history, settings, index, tenant, admissions);
+            quota.into_iter().chain(check_ceiling(history, index, tenant, admissions))
         })
         .collect()
 }
@@ -67,18 +61,18 @@
     settings: &Settings,
     index: usize,
     tenant: &Tenant,
-    uses: &[Use],
+    admissions: &[Admission],
 ) -> Option<Violation> {
-    let first = uses.first()?.at + LEARNING;
+    let first = admissions.first()?.at + LEARNING;
     let (mut sum, mut begin) = (0.0, 0);
     let mut worst: Option<(f64, Moment, f64)> = None;
-    for (end, use_at_end) in uses.iter().enumerate() {
-        sum += use_at_end.units;
-        while uses[begin].at + WINDOW < use_at_end.at {
-            sum -= uses[begin].units;
+    for (end, last) in admissions.iter().enumerate() {
+        sum += last.units;
+        while admissions[begin].at + WINDOW < last.at {
+            sum -= admissions[begin].units;
             begin += 1;
         }
-        let from = uses[begin].at;
+        let from = admissions[begin].at;
         if from < first || end == begin {
             continue;
         }
@@ -104,18 +98,20 @@
 }
 
 /// A token bucket with the ceiling's rate and burst is never overdrawn by more than the slack.
-fn check_ceiling(history: &History, index: usize, tenant: &Tenant, uses: &[Use]) -> Option<Violation> {
+fn check_ceiling(
+    history: &History,
+    index: usize,
+    tenant: &Tenant,
+    admissions: &[Admission],
+) -> Option<Violation> {
     if tenant.ceiling_rate <= 0.0 {
         return None;
     }
-    let mut bucket = TokenBucket::full(tenant.ceiling_rate, tenant.ceiling_burst, uses.first()?.at);
-    for taken in uses {
-        let level = bucket.take(taken.units, taken.at);
-        let late = CEILING_SLACK + history.harness_delay(taken.at, taken.at);
-        if level < -tenant.ceiling_rate * late.as_secs_f64() {
-            let text = format!("tenant {index} was {:.1} units over its ceiling", -level);
-            return Some(Violation::new(HARD_CEILING, text).at(taken.at));
-        }
-    }
-    None
+    let allowed = |at| {
+        let late = CEILING_SLACK + history.harness_delay(at, at);
+        tenant.ceiling_rate * late.as_secs_f64()
+    };
+    let excess = largest_excess(tenant.ceiling_rate, tenant.ceiling_burst, admissions, allowed)?;
+    let text = format!("tenant {index} was {:.1} units over its ceiling", excess.units);
+    Some(Violation::new(HARD_CEILING, text).at(excess.at))
 }
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -3,8 +3,7 @@
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
 use crate::history::{History, Refusal, RequestRecord};
-use fault_harness::outcome::Outcome;
-use fault_harness::rules::ONE_FINAL_ANSWER;
+use fault_harness::rules::{AnswerFault, ONE_FINAL_ANSWER, answer_fault};
 use fault_harness::violation::Violation;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -34,24 +33,22 @@
 
 fn check_request(history: &History, request: &RequestRecord, was_attempted: bool) -> Option<Violation> {
     let gatekeeper = request.number.gatekeeper();
-    let from = request.sent.saturating_sub(KILL_MARGIN);
-    let to = request.ended + KILL_MARGIN;
-    let text = match request.outcome {
-        Outcome::Foreign => "got a value that is not its own",
-        Outcome::Closed if was_attempted => "was forwarded, and its connection closed without an answer",
-        Outcome::Closed if request.is_first_on_connection => {
+    let took = request.ended.saturating_sub(request.sent);
+    let due = request.time + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
+    let text = match answer_fault(request.outcome, took, due)? {
+        AnswerFault::Foreign => "got a value that is not its own",
+        AnswerFault::Closed if was_attempted => "was forwarded, and its connection closed without an answer",
+        AnswerFault::Closed if request.is_first_on_connection => {
             "was the first on its connection, which was closed without an answer"
         }
-        Outcome::Unanswered => {
-            let late = request.time + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
-            if request.ended.saturating_sub(request.sent) < late {
-                return None;
-            }
-            "had no answer half a second after its time"
-        }
-        _ => return None,
+        // It was surely not read.
+        AnswerFault::Closed => return None,
+        // The client itself may have been late.
+        AnswerFault::Missing if took < due => return None,
+        AnswerFault::Missing | AnswerFault::Late => "had no answer half a second after its time",
     };
-    if history.was_killed(gatekeeper, from, to) {
+    let from = request.sent.saturating_sub(KILL_MARGIN);
+    if history.was_killed(gatekeeper, from, request.ended + KILL_MARGIN) {
         return None;
     }
     let resent = if request.was_resent { ", sent once more" } else { "" };
@@ -59,7 +56,7 @@
         "request {} of {} ms{resent} {text} ({:.3} s later)",
         request.number.text(),
         request.time.as_millis(),
-        request.ended.saturating_sub(request.sent).as_secs_f64()
+        took.as_secs_f64()
     );
     Some(violation_by(gatekeeper, ONE_FINAL_ANSWER, request.sent, text))
 }
