--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`stand_ins`] | the backend, the quota counter, the endpoint list and its watch |
 //! | [`client`], [`outcome`] | a client's connection, and how a request ended for its client |
 //! | [`connections`], [`wire`] | accepting and ending connections, and the messages on them |
-//! | [`clock`], [`timeline`] | the clock of a schedule, and injecting its faults at their times |
+//! | [`schedule`], [`clock`], [`timeline`] | faults with their times, the clock of a schedule, and injecting faults by it |
 //! | [`rules`], [`violation`] | the rules that every site is checked for |
 //! | [`ports`], [`test_directory`], [`digest`] | free addresses, scratch directories, digests of what must not change |
 //! | [`sync`], [`thread`], [`wait`] | locks, threads and waits |
@@ -22,6 +22,7 @@
 pub mod ports;
 pub mod process;
 pub mod rules;
+pub mod schedule;
 pub mod stand_ins;
 pub mod sync;
 pub mod test_directory;
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -1,7 +1,7 @@
 //! Injects the faults of a schedule, each in a thread of its own.
 
 use crate::history::CounterChange;
-use crate::schedule::{CallFaults, Fault, PlannedFault, RestartKind, Schedule};
+use crate::schedule::{CallFaults, Fault, FaultKind, RestartKind, Schedule};
 use crate::settings::MAX_SOCKETS;
 use crate::site::Site;
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
@@ -54,72 +54,72 @@
     let clock = site.recorder.clock();
     let began = clock.now();
     site.recorder.record(|history| history.started = began);
-    let start = |planned: &PlannedFault| began + planned.at;
-    inject_each(clock, &schedule.faults, start, |_, planned| inject(site, planned));
+    let start = |fault: &Fault| began + fault.start;
+    inject_each(clock, &schedule.faults, start, |_, fault| inject(site, fault));
     clock.sleep_until(began + schedule.length);
 }
 
-fn inject(site: &Site, planned: &PlannedFault) {
-    let &PlannedFault { length, fault, .. } = planned;
-    match fault {
-        Fault::Restart { gatekeeper, kind, clock_offset_us } => {
+fn inject(site: &Site, fault: &Fault) {
+    let &Fault { duration, kind, .. } = fault;
+    match kind {
+        FaultKind::Restart { gatekeeper, kind, clock_offset_us } => {
             restart(site, gatekeeper, kind, clock_offset_us);
         }
-        Fault::ClockStep { gatekeeper, clock_offset_us } => {
+        FaultKind::ClockStep { gatekeeper, clock_offset_us } => {
             // The harness writes to its own file.
             let _ = site.gatekeepers[gatekeeper].control.set_clock_offset(clock_offset_us);
         }
-        Fault::Reloads { gatekeeper, count } => {
+        FaultKind::Reloads { gatekeeper, count } => {
             for _ in 0..count {
                 site.gatekeepers[gatekeeper].reload();
                 thread::sleep(RELOAD_PAUSE);
             }
         }
-        Fault::Suspensions { gatekeeper, count } => {
+        FaultKind::Suspensions { gatekeeper, count } => {
             for _ in 0..count {
                 site.gatekeepers[gatekeeper].suspend(SUSPENSION);
                 thread::sleep(SUSPENSION_PAUSE);
             }
         }
-        Fault::Calls { first, step, faults } => call_faults(site, first, step, faults, length),
-        Fault::Discovery { first, step, mode } => {
+        FaultKind::Calls { first, step, faults } => call_faults(site, first, step, faults, duration),
+        FaultKind::Discovery { first, step, mode } => {
             let selected = || site.discoveries.iter().skip(first).step_by(step);
             selected().for_each(|discovery| discovery.set_mode(mode));
-            thread::sleep(length);
+            thread::sleep(duration);
             selected().for_each(|discovery| discovery.set_mode(DiscoveryMode::Healthy));
         }
-        Fault::Counter { mode } => {
+        FaultKind::Counter { mode } => {
             site.counter.set_mode(mode);
             record_counter_change(site, site.gatekeepers.len());
-            thread::sleep(length);
+            thread::sleep(duration);
             site.counter.set_mode(CounterMode::Healthy);
             record_counter_change(site, site.gatekeepers.len());
         }
-        Fault::Backend { backend, mode } => {
+        FaultKind::Backend { backend, mode } => {
             site.backends[backend].set_mode(mode);
-            thread::sleep(length);
+            thread::sleep(duration);
             site.backends[backend].set_mode(BackendMode::Healthy);
         }
-        Fault::Drain { backend } => {
-            change_for(site, backend, ListedState::Draining, length);
+        FaultKind::Drain { backend } => {
+            change_for(site, backend, ListedState::Draining, duration);
         }
-        Fault::Removal { backend } => change_for(site, backend, ListedState::Removed, length),
-        Fault::BackendRestart { backend } => restart_backend(site, backend),
-        Fault::Leaving => badly_behaved(site, length, LEAVING_RATE, |behaviour| &behaviour.leaving),
-        Fault::PartialRequests => {
-            badly_behaved(site, length, PARTIAL_RATE, |behaviour| &behaviour.partial);
+        FaultKind::Removal { backend } => change_for(site, backend, ListedState::Removed, duration),
+        FaultKind::BackendRestart { backend } => restart_backend(site, backend),
+        FaultKind::Leaving => badly_behaved(site, duration, LEAVING_RATE, |behaviour| &behaviour.leaving),
+        FaultKind::PartialRequests => {
+            badly_behaved(site, duration, PARTIAL_RATE, |behaviour| &behaviour.partial);
         }
-        Fault::HurriedRequests => {
-            badly_behaved(site, length, HURRIED_RATE, |behaviour| &behaviour.hurried);
+        FaultKind::HurriedRequests => {
+            badly_behaved(site, duration, HURRIED_RATE, |behaviour| &behaviour.hurried);
         }
-        Fault::IdleCrowd { gatekeeper } => crowd(site, gatekeeper, length),
+        FaultKind::IdleCrowd { gatekeeper } => crowd(site, gatekeeper, duration),
     }
 }
 
 /// Lists a backend in another state for a while, and then as up again.
-fn change_for(site: &Site, backend: usize, state: ListedState, length: Duration) {
+fn change_for(site: &Site, backend: usize, state: ListedState, duration: Duration) {
     site.list.change(backend, state, false);
-    thread::sleep(length);
+    thread::sleep(duration);
     site.list.change(backend, ListedState::Up, false);
 }
 
@@ -131,11 +131,11 @@
     site.list.change(backend, ListedState::Up, true);
 }
 
-fn crowd(site: &Site, gatekeeper: usize, length: Duration) {
+fn crowd(site: &Site, gatekeeper: usize, duration: Duration) {
     let address = site.gatekeepers[gatekeeper].address;
     let connect = |_| TcpStream::connect_timeout(&address, BACKEND_DOWN_TIME).ok();
     let connections: Vec<TcpStream> = (0..MAX_SOCKETS).filter_map(connect).collect();
-    thread::sleep(length);
+    thread::sleep(duration);
     drop(connections);
 }
 
@@ -151,7 +151,7 @@
     }
 }
 
-fn call_faults(site: &Site, first: usize, step: usize, faults: CallFaults, length: Duration) {
+fn call_faults(site: &Site, first: usize, step: usize, faults: CallFaults, duration: Duration) {
     let set = |is_active: bool| {
         for gatekeeper in site.gatekeepers.iter().skip(first).step_by(step) {
             for &(setting, rate) in settings_of(faults) {
@@ -165,7 +165,7 @@
     if cuts_off_the_counter(faults) {
         record_counter_change(site, affected);
     }
-    thread::sleep(length);
+    thread::sleep(duration);
     set(false);
     if cuts_off_the_counter(faults) {
         record_counter_change(site, affected);
@@ -184,11 +184,11 @@
 
 fn badly_behaved(
     site: &Site,
-    length: Duration,
+    duration: Duration,
     rate: u64,
     which: impl Fn(&crate::client::Behaviour) -> &std::sync::atomic::AtomicU64,
 ) {
     which(&site.behaviour).store(rate, Ordering::Relaxed);
-    thread::sleep(length);
+    thread::sleep(duration);
     which(&site.behaviour).store(0, Ordering::Relaxed);
 }
--- a/crates/platform_soak/src/main.rs
+++ b/crates/platform_soak/src/main.rs
@@ -8,7 +8,7 @@
 use platform_soak::gatekeeper::Program;
 use platform_soak::history::{History, ProcessEvent};
 use platform_soak::run::run;
-use platform_soak::schedule::Schedule;
+use platform_soak::schedule::{Fault, Schedule};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -99,7 +99,7 @@
         violations.len()
     );
     if is_verbose || !violations.is_empty() {
-        schedule.faults.iter().for_each(|planned| println!("    {planned}"));
+        schedule.faults.iter().for_each(print_fault);
     }
     if is_verbose {
         history.processes.iter().for_each(|record| println!("    {record:?}"));
@@ -110,6 +110,11 @@
     }
 }
 
+fn print_fault(fault: &Fault) {
+    let (start, duration) = (fault.start.as_secs_f64(), fault.duration.as_secs_f64());
+    println!("    {start:6.2} s, for {duration:.2} s: {:?}", fault.kind);
+}
+
 fn main() -> ExitCode {
     let options = Options::parse();
     let Some(program) = program(&options) else {
--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -6,11 +6,10 @@
 #[cfg(test)]
 mod tests;
 
-pub use fault::{CallFaults, Fault, RestartKind};
+pub use fault::{CallFaults, FaultKind, RestartKind};
 
 use crate::settings::Settings;
-use generator::{draw_fault, draw_length};
-use std::fmt;
+use generator::{draw_duration, draw_kind};
 use std::time::Duration;
 
 /// Mean number of faults that begin in a second.
@@ -21,15 +20,7 @@
 const QUIET_END: Duration = Duration::from_millis(3_000);
 
 /// A fault and when it is injected.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlannedFault {
-    /// When it begins, from the begin of the schedule.
-    pub at: Duration,
-    /// Its duration.
-    pub length: Duration,
-    /// The fault.
-    pub fault: Fault,
-}
+pub type Fault = fault_harness::schedule::Fault<FaultKind>;
 
 /// The faults of one run, and the settings of its site.
 #[derive(Clone, Debug)]
@@ -41,7 +32,7 @@
     /// The settings of the site.
     pub settings: Settings,
     /// Its faults in the order of their begins.
-    pub faults: Vec<PlannedFault>,
+    pub faults: Vec<Fault>,
 }
 
 impl Schedule {
@@ -51,22 +42,15 @@
         let settings = Settings::draw(&mut random, gatekeepers);
         let count = (length.as_secs_f64() * FAULTS_PER_SECOND) as usize;
         let last = length.saturating_sub(QUIET_END).max(QUIET_START);
-        let mut faults: Vec<PlannedFault> = (0..count)
+        let mut faults: Vec<Fault> = (0..count)
             .map(|_| {
                 let part = random.f64();
-                let at = QUIET_START + (last - QUIET_START).mul_f64(part);
-                let fault = draw_fault(&mut random, &settings);
-                PlannedFault { at, length: draw_length(&mut random, fault), fault }
+                let start = QUIET_START + (last - QUIET_START).mul_f64(part);
+                let kind = draw_kind(&mut random, &settings);
+                Fault::new(start, draw_duration(&mut random, kind), kind)
             })
             .collect();
-        faults.sort_by_key(|planned| planned.at);
+        faults.sort_by_key(|fault| fault.start);
         Self { seed, length, settings, faults }
     }
 }
-
-impl fmt::Display for PlannedFault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (at, length) = (self.at.as_secs_f64(), self.length.as_secs_f64());
-        write!(f, "{at:6.2} s, for {length:.2} s: {:?}", self.fault)
-    }
-}
--- a/crates/platform_soak/src/schedule/fault.rs
+++ b/crates/platform_soak/src/schedule/fault.rs
@@ -29,9 +29,9 @@
     Upgrade,
 }
 
-/// A fault.
+/// What a fault does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum FaultKind {
     /// A gatekeeper's process is replaced by one with another wall clock offset.
     Restart {
         /// The gatekeeper.
@@ -73,9 +73,9 @@
     },
     /// The discovery agents of some gatekeepers fail.
     Discovery {
-        /// See [`Fault::Calls`].
+        /// See [`FaultKind::Calls`].
         first: GatekeeperIndex,
-        /// See [`Fault::Calls`].
+        /// See [`FaultKind::Calls`].
         step: usize,
         /// How it fails.
         mode: DiscoveryMode,
--- a/crates/platform_soak/src/schedule/generator.rs
+++ b/crates/platform_soak/src/schedule/generator.rs
@@ -1,6 +1,6 @@
 //! Draws single faults. The order of the random draws is fixed: a seed must give the same schedule in every version.
 
-use super::{CallFaults, Fault, RestartKind};
+use super::{CallFaults, FaultKind, RestartKind};
 use crate::settings::Settings;
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
 use std::time::Duration;
@@ -9,11 +9,11 @@
 const CLOCK_STEPS_S: [i64; 6] = [3_600, -3_600, 5, -5, 2, 40_000];
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-pub(super) fn draw_length(random: &mut fastrand::Rng, fault: Fault) -> Duration {
-    let range = match fault {
+pub(super) fn draw_duration(random: &mut fastrand::Rng, kind: FaultKind) -> Duration {
+    let range = match kind {
         // The operators' page has connects that fail for 2 s.
-        Fault::Calls { faults: CallFaults::NoConnections, .. } => 500..2_000,
-        Fault::Drain { .. } | Fault::Removal { .. } => 3_000..6_000,
+        FaultKind::Calls { faults: CallFaults::NoConnections, .. } => 500..2_000,
+        FaultKind::Drain { .. } | FaultKind::Removal { .. } => 3_000..6_000,
         _ => 800..4_000,
     };
     Duration::from_millis(random.u64(range))
@@ -32,7 +32,7 @@
     CLOCK_STEPS_S[random.usize(..CLOCK_STEPS_S.len())] * MICROS_PER_SECOND
 }
 
-pub(super) fn draw_fault(random: &mut fastrand::Rng, settings: &Settings) -> Fault {
+pub(super) fn draw_kind(random: &mut fastrand::Rng, settings: &Settings) -> FaultKind {
     let gatekeeper = random.usize(..settings.gatekeepers);
     let backend = random.usize(..settings.backends);
     let step = random.usize(1..5);
@@ -40,11 +40,11 @@
         0..3 => {
             let kinds = [RestartKind::Graceful, RestartKind::Crash, RestartKind::Upgrade];
             let (kind, clock_offset_us) = (kinds[random.usize(..kinds.len())], draw_offset(random));
-            Fault::Restart { gatekeeper, kind, clock_offset_us }
+            FaultKind::Restart { gatekeeper, kind, clock_offset_us }
         }
-        3 => Fault::ClockStep { gatekeeper, clock_offset_us: draw_step(random) },
-        4 => Fault::Reloads { gatekeeper, count: random.u32(2..10) },
-        5 => Fault::Suspensions { gatekeeper, count: random.u32(1..5) },
+        3 => FaultKind::ClockStep { gatekeeper, clock_offset_us: draw_step(random) },
+        4 => FaultKind::Reloads { gatekeeper, count: random.u32(2..10) },
+        5 => FaultKind::Suspensions { gatekeeper, count: random.u32(1..5) },
         6 => {
             let faults = [
                 CallFaults::Sockets,
@@ -53,28 +53,28 @@
                 CallFaults::NoConnections,
                 CallFaults::Disk,
             ];
-            Fault::Calls { first: gatekeeper, step, faults: faults[random.usize(..faults.len())] }
+            FaultKind::Calls { first: gatekeeper, step, faults: faults[random.usize(..faults.len())] }
         }
         7 => {
             let modes = [DiscoveryMode::Slow, DiscoveryMode::Silent, DiscoveryMode::Down];
-            Fault::Discovery { first: gatekeeper, step, mode: modes[random.usize(..modes.len())] }
+            FaultKind::Discovery { first: gatekeeper, step, mode: modes[random.usize(..modes.len())] }
         }
         8 => {
             let modes =
                 [CounterMode::Slow, CounterMode::Silent, CounterMode::Rejecting, CounterMode::Resetting];
-            Fault::Counter { mode: modes[random.usize(..modes.len())] }
+            FaultKind::Counter { mode: modes[random.usize(..modes.len())] }
         }
-        9 => Fault::Drain { backend },
+        9 => FaultKind::Drain { backend },
         10 => match random.u32(..3) {
-            0 => Fault::Removal { backend },
-            _ => Fault::BackendRestart { backend },
+            0 => FaultKind::Removal { backend },
+            _ => FaultKind::BackendRestart { backend },
         },
-        11..13 => Fault::Backend { backend, mode: draw_backend_mode(random) },
+        11..13 => FaultKind::Backend { backend, mode: draw_backend_mode(random) },
         _ => match random.u32(..4) {
-            0 => Fault::Leaving,
-            1 => Fault::PartialRequests,
-            2 => Fault::HurriedRequests,
-            _ => Fault::IdleCrowd { gatekeeper },
+            0 => FaultKind::Leaving,
+            1 => FaultKind::PartialRequests,
+            2 => FaultKind::HurriedRequests,
+            _ => FaultKind::IdleCrowd { gatekeeper },
         },
     }
 }
--- a/crates/platform_soak/src/schedule/tests.rs
+++ b/crates/platform_soak/src/schedule/tests.rs
@@ -4,28 +4,30 @@
 use crate::settings::Addresses;
 use fault_harness::digest::digest;
 
-/// Text of a planned fault that does not depend on the names of types and fields.
-fn canonical_text(planned: &PlannedFault) -> String {
-    let kind = match planned.fault {
-        Fault::Restart { gatekeeper, kind, clock_offset_us } => {
+/// Text of a fault that does not depend on the names of types and fields.
+fn canonical_text(fault: &Fault) -> String {
+    let kind = match fault.kind {
+        FaultKind::Restart { gatekeeper, kind, clock_offset_us } => {
             format!("restart {gatekeeper} {kind:?} {clock_offset_us}")
         }
-        Fault::ClockStep { gatekeeper, clock_offset_us } => format!("clock {gatekeeper} {clock_offset_us}"),
-        Fault::Reloads { gatekeeper, count } => format!("reloads {gatekeeper} {count}"),
-        Fault::Suspensions { gatekeeper, count } => format!("suspensions {gatekeeper} {count}"),
-        Fault::Calls { first, step, faults } => format!("calls {first} {step} {faults:?}"),
-        Fault::Discovery { first, step, mode } => format!("discovery {first} {step} {mode:?}"),
-        Fault::Counter { mode } => format!("counter {mode:?}"),
-        Fault::Backend { backend, mode } => format!("backend {backend} {mode:?}"),
-        Fault::Drain { backend } => format!("drain {backend}"),
-        Fault::Removal { backend } => format!("removal {backend}"),
-        Fault::BackendRestart { backend } => format!("backend restart {backend}"),
-        Fault::Leaving => "leaving".to_owned(),
-        Fault::PartialRequests => "partial".to_owned(),
-        Fault::HurriedRequests => "hurried".to_owned(),
-        Fault::IdleCrowd { gatekeeper } => format!("crowd {gatekeeper}"),
+        FaultKind::ClockStep { gatekeeper, clock_offset_us } => {
+            format!("clock {gatekeeper} {clock_offset_us}")
+        }
+        FaultKind::Reloads { gatekeeper, count } => format!("reloads {gatekeeper} {count}"),
+        FaultKind::Suspensions { gatekeeper, count } => format!("suspensions {gatekeeper} {count}"),
+        FaultKind::Calls { first, step, faults } => format!("calls {first} {step} {faults:?}"),
+        FaultKind::Discovery { first, step, mode } => format!("discovery {first} {step} {mode:?}"),
+        FaultKind::Counter { mode } => format!("counter {mode:?}"),
+        FaultKind::Backend { backend, mode } => format!("backend {backend} {mode:?}"),
+        FaultKind::Drain { backend } => format!("drain {backend}"),
+        FaultKind::Removal { backend } => format!("removal {backend}"),
+        FaultKind::BackendRestart { backend } => format!("backend restart {backend}"),
+        FaultKind::Leaving => "leaving".to_owned(),
+        FaultKind::PartialRequests => "partial".to_owned(),
+        FaultKind::HurriedRequests => "hurried".to_owned(),
+        FaultKind::IdleCrowd { gatekeeper } => format!("crowd {gatekeeper}"),
     };
-    format!("{} {} {kind}\n", planned.at.as_nanos(), planned.length.as_nanos())
+    format!("{} {} {kind}\n", fault.start.as_nanos(), fault.duration.as_nanos())
 }
 
 /// Text of a site's settings: the configuration file of a gatekeeper, and what does not stand in it.
@@ -37,13 +39,8 @@
 }
 
 fn schedule_text(schedule: &Schedule) -> String {
-    let planned: String = schedule.faults.iter().map(canonical_text).collect();
-    format!(
-        "{} {}\n{}{planned}",
-        schedule.seed,
-        schedule.length.as_nanos(),
-        settings_text(&schedule.settings)
-    )
+    let faults: String = schedule.faults.iter().map(canonical_text).collect();
+    format!("{} {}\n{}{faults}", schedule.seed, schedule.length.as_nanos(), settings_text(&schedule.settings))
 }
 
 fn digest_of_seeds(gatekeepers: usize, seconds: u64) -> u64 {
@@ -64,7 +61,7 @@
     let length = Duration::from_secs(60);
     let drawn = (1..=100).flat_map(|seed| Schedule::draw(seed, 24, length).faults);
     let kinds: std::collections::BTreeSet<String> = drawn
-        .map(|planned| canonical_text(&planned))
+        .map(|fault| canonical_text(&fault))
         .filter_map(|text| text.split(' ').nth(2).map(|kind| kind.trim().to_owned()))
         .collect();
     // `backend` stands for a backend's failures and its restarts.
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -11,7 +11,7 @@
 use platform_soak::gatekeeper::Gatekeeper;
 use platform_soak::history::{History, Moment, Recorder};
 use platform_soak::run::run;
-use platform_soak::schedule::{CallFaults, Fault, PlannedFault, Schedule};
+use platform_soak::schedule::{CallFaults, Fault, FaultKind, Schedule};
 use platform_soak::settings::{Addresses, Settings};
 use platform_soak::stand_ins::BackendMode;
 use std::sync::Arc;
@@ -39,15 +39,15 @@
 #[test]
 fn backends_are_used_at_once_when_the_machine_connects_again() {
     let mut schedule = Schedule::draw(5, GATEKEEPERS, Duration::from_secs(8));
-    let (at, length) = (Duration::from_millis(2_000), Duration::from_millis(2_000));
+    let (start, duration) = (Duration::from_millis(2_000), Duration::from_millis(2_000));
     // All backends close idle connections, and no gatekeeper can connect.
-    let closing = |backend| Fault::Backend { backend, mode: BackendMode::ClosingIdle };
-    let mut faults: Vec<Fault> = (0..schedule.settings.backends).map(closing).collect();
-    faults.push(Fault::Calls { first: 0, step: 1, faults: CallFaults::NoConnections });
-    schedule.faults = faults.into_iter().map(|fault| PlannedFault { at, length, fault }).collect();
+    let closing = |backend| FaultKind::Backend { backend, mode: BackendMode::ClosingIdle };
+    let mut kinds: Vec<FaultKind> = (0..schedule.settings.backends).map(closing).collect();
+    kinds.push(FaultKind::Calls { first: 0, step: 1, faults: CallFaults::NoConnections });
+    schedule.faults = kinds.into_iter().map(|kind| Fault::new(start, duration, kind)).collect();
     let directory = TestDirectory::new("connects-again");
     let verdict = run(&schedule, &soak_program(), directory.path()).expect("all programs start");
-    let connects_again = verdict.history.started + at + length;
+    let connects_again = verdict.history.started + start + duration;
     for gatekeeper in 0..GATEKEEPERS {
         let first = first_success(&verdict.history, gatekeeper, connects_again);
         let after = first.expect("it serves again") - connects_again;
--- a/crates/snowfield/tests/stepped_clocks.rs
+++ b/crates/snowfield/tests/stepped_clocks.rs
@@ -7,7 +7,7 @@
 use common::soak::soak_program;
 use fault_harness::violation::Violation;
 use platform_soak::run::run;
-use platform_soak::schedule::{Fault, PlannedFault, RestartKind, Schedule};
+use platform_soak::schedule::{Fault, FaultKind, RestartKind, Schedule};
 use platform_soak::stand_ins::BackendMode;
 use std::time::Duration;
 
@@ -19,14 +19,11 @@
 const HOUR_US: i64 = 3_600_000_000;
 
 /// A schedule of these faults alone, each with its start in milliseconds.
-fn schedule(seed: u64, seconds: u64, faults: &[(u64, Fault)]) -> Schedule {
+fn schedule(seed: u64, seconds: u64, faults: &[(u64, FaultKind)]) -> Schedule {
     let mut schedule = Schedule::draw(seed, GATEKEEPERS, Duration::from_secs(seconds));
-    let planned = |&(at, fault): &(u64, Fault)| PlannedFault {
-        at: Duration::from_millis(at),
-        length: Duration::from_secs(seconds),
-        fault,
-    };
-    schedule.faults = faults.iter().map(planned).collect();
+    let duration = Duration::from_secs(seconds);
+    let fault = |&(start_ms, kind)| Fault::new(Duration::from_millis(start_ms), duration, kind);
+    schedule.faults = faults.iter().map(fault).collect();
     schedule
 }
 
@@ -38,12 +35,12 @@
     verdict.violations.into_iter().filter(|violation| violation.rule == rule).collect()
 }
 
-fn restart(gatekeeper: usize, clock_offset_us: i64) -> Fault {
-    Fault::Restart { gatekeeper, kind: RestartKind::Graceful, clock_offset_us }
+fn restart(gatekeeper: usize, clock_offset_us: i64) -> FaultKind {
+    FaultKind::Restart { gatekeeper, kind: RestartKind::Graceful, clock_offset_us }
 }
 
 fn assert_quotas_hold(test: &str, clock_offsets_us: [i64; 2]) {
-    let faults: Vec<(u64, Fault)> =
+    let faults: Vec<(u64, FaultKind)> =
         clock_offsets_us.iter().enumerate().map(|(index, &offset)| (1_500, restart(index, offset))).collect();
     let found = violations_of("quotas of all processes together", test, &schedule(7, 12, &faults));
     assert!(found.is_empty(), "{found:#?}");
@@ -80,12 +77,12 @@
 }
 
 fn assert_cold_backend_is_spared(test: &str, clock_offset_us: i64) {
-    let mut faults: Vec<(u64, Fault)> =
+    let mut faults: Vec<(u64, FaultKind)> =
         (0..GATEKEEPERS).map(|gatekeeper| (1_000, restart(gatekeeper, clock_offset_us))).collect();
-    faults.push((5_000, Fault::BackendRestart { backend: COLD_BACKEND }));
+    faults.push((5_000, FaultKind::BackendRestart { backend: COLD_BACKEND }));
     // All others are slow, so that the cold backend attracts requests.
     let others = (0..BACKENDS).filter(|&backend| backend != COLD_BACKEND);
-    let slow = others.map(|backend| (0, Fault::Backend { backend, mode: BackendMode::Slow }));
+    let slow = others.map(|backend| (0, FaultKind::Backend { backend, mode: BackendMode::Slow }));
     faults.splice(0..0, slow);
     let mut schedule = schedule(11, 12, &faults);
     schedule.settings.backends = BACKENDS;
