--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -42,11 +42,6 @@
     pub(crate) fn replica_ids(&self) -> Vec<ReplicaId> {
         (0..self.replicas.len()).map(ReplicaId::from_index).collect()
     }
-
-    /// Returns the validity of a lease in milliseconds.
-    pub(crate) fn lease_duration_ms(&self) -> u64 {
-        self.lease_duration.as_millis() as u64
-    }
 }
 
 /// The reason why a proposed text is invalid. The proposer receives it in
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -15,6 +15,7 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// Maximum time to wait for an event.
 const MAX_WAIT_MS: u64 = 1_000;
@@ -43,7 +44,7 @@
         view: Arc<SharedView>,
     ) -> Self {
         let lease_requester =
-            LeaseRequester::new(config.name.clone(), config.replicas.len(), config.lease_duration_ms());
+            LeaseRequester::new(config.name.clone(), config.replicas.len(), config.lease_duration);
         Self {
             clock,
             peers,
@@ -73,14 +74,15 @@
 
     /// Returns the time until the next timer is due.
     fn time_until_timer(&self) -> Duration {
-        let tick_due_ms = self.local.as_ref().map_or(u64::MAX, |local| local.replica().next_tick_ms());
+        let tick_due_ms =
+            self.local.as_ref().map_or(u64::MAX, |local| local.replica().next_tick_at().as_millis());
         let due_ms = self.lease_requester.next_request_ms().min(tick_due_ms);
         Duration::from_millis(due_ms.saturating_sub(self.clock.now_ms()).clamp(1, MAX_WAIT_MS))
     }
 
     fn run_timers(&mut self, now_ms: u64) {
         if let Some(local) = &mut self.local {
-            local.replica_mut().tick(now_ms);
+            local.replica_mut().tick(MonotonicTime::from_millis(now_ms));
         }
         self.process_ready();
         if now_ms >= self.lease_requester.next_request_ms() {
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -3,6 +3,7 @@
 use super::Driver;
 use crate::connection_id::ConnectionId;
 use replicated_config::{LeaseRequest, LeaseResponse, Message, Proposal, ProposalOutcome, VersionTexts};
+use timestamps::MonotonicTime;
 
 impl Driver {
     /// Handles a message. `connection` is set if the other node has opened the connection that the message came by.
@@ -11,7 +12,7 @@
         match message {
             Message::Raft(message) => {
                 if let Some(local) = &mut self.local {
-                    local.replica_mut().on_raft_message(now_ms, *message);
+                    local.replica_mut().on_raft_message(MonotonicTime::from_millis(now_ms), *message);
                 }
             }
             Message::LeaseRequest(request) => {
@@ -39,7 +40,7 @@
     pub(super) fn on_lease_request(&mut self, request: LeaseRequest) {
         let now_ms = self.clock.now_ms();
         match &mut self.local {
-            Some(local) => local.replica_mut().on_lease_request(now_ms, request),
+            Some(local) => local.replica_mut().on_lease_request(MonotonicTime::from_millis(now_ms), request),
             None => {
                 let redirect = Message::RedirectLeaseRequest { request: request.id, leader: None };
                 self.send_to_client(&request.client, redirect);
@@ -53,7 +54,9 @@
         let (proposer, id) = (connection.to_string(), proposal.id);
         let validity = (self.validator)(&proposal.text);
         match (&mut self.local, validity) {
-            (Some(local), Ok(())) => local.replica_mut().propose(now_ms, &proposer, proposal),
+            (Some(local), Ok(())) => {
+                local.replica_mut().propose(MonotonicTime::from_millis(now_ms), &proposer, proposal)
+            }
             (Some(_), Err(invalid)) => {
                 let outcome = ProposalOutcome::Rejected(invalid.to_string());
                 self.send_to_client(&proposer, Message::ProposalOutcome { proposal: id, outcome });
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -4,10 +4,11 @@
     ConfigVersion, LeaseClient, LeaseRequest, LeaseResponse, ReplicaId, RequestId, RolloutPhase,
     VersionNumbers,
 };
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use timestamps::{MonotonicTime, whole_millis};
 
 /// Number of regular requests during the validity of a lease.
-const REQUESTS_PER_LEASE: u64 = 6;
+const REQUESTS_PER_LEASE: u32 = 6;
 
 /// A lease request and the replica to send it to.
 pub(crate) struct OutgoingRequest {
@@ -20,16 +21,16 @@
     /// This node's name, by which the leader knows the lease holder.
     node_name: String,
     replica_count: usize,
-    lease_duration_ms: u64,
+    lease_duration: Duration,
     client: LeaseClient,
     next_request_ms: u64,
 }
 
 impl LeaseRequester {
     /// Creates a requester without a lease. The first request is due at once.
-    pub(crate) fn new(node_name: String, replica_count: usize, lease_duration_ms: u64) -> Self {
-        let client = LeaseClient::new(lease_duration_ms, first_request_id());
-        Self { node_name, replica_count, lease_duration_ms, client, next_request_ms: 0 }
+    pub(crate) fn new(node_name: String, replica_count: usize, lease_duration: Duration) -> Self {
+        let client = LeaseClient::new(lease_duration, first_request_id());
+        Self { node_name, replica_count, lease_duration, client, next_request_ms: 0 }
     }
 
     /// Returns when the next request is due.
@@ -44,9 +45,9 @@
 
     /// Starts a request, and schedules the next one. `cached` are the versions whose texts this node has.
     pub(crate) fn start_request(&mut self, now_ms: u64, cached: VersionNumbers) -> OutgoingRequest {
-        self.next_request_ms = now_ms + self.lease_duration_ms / REQUESTS_PER_LEASE;
+        self.next_request_ms = now_ms + whole_millis(self.lease_duration / REQUESTS_PER_LEASE);
         let known_version = self.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
-        let addressed = self.client.start_request(now_ms, self.replica_count);
+        let addressed = self.client.start_request(MonotonicTime::from_millis(now_ms), self.replica_count);
         let request = LeaseRequest {
             client: self.node_name.clone(),
             id: addressed.id,
@@ -79,7 +80,7 @@
 
     /// Returns when the lease expires or has expired.
     pub(crate) fn expires_at_ms(&self) -> u64 {
-        self.client.expires_at_ms()
+        self.client.expires_at().as_millis()
     }
 }
 
--- a/crates/config_node/src/lease_requester/tests.rs
+++ b/crates/config_node/src/lease_requester/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-const LEASE_DURATION_MS: u64 = 3_000;
+const LEASE_DURATION: Duration = Duration::from_secs(3);
 
 fn requester() -> LeaseRequester {
-    LeaseRequester::new("m1".into(), 3, LEASE_DURATION_MS)
+    LeaseRequester::new("m1".into(), 3, LEASE_DURATION)
 }
 
 fn response(request: RequestId, version: u64, phase: RolloutPhase) -> LeaseResponse {
--- a/crates/config_node/src/local_replica.rs
+++ b/crates/config_node/src/local_replica.rs
@@ -5,6 +5,7 @@
 use crate::error::Error;
 use crate::replica_log::ReplicaLog;
 use replicated_config::{Envelope, Ready, Replica, ReplicaId, Term};
+use timestamps::MonotonicTime;
 
 /// A replica whose output may be sent only after its records are on disk.
 pub(crate) struct LocalReplica {
@@ -39,8 +40,8 @@
             id,
             &config.replica_ids(),
             log.state().clone(),
-            config.lease_duration_ms(),
-            clock.now_ms(),
+            config.lease_duration,
+            MonotonicTime::from_millis(clock.now_ms()),
         );
         let replica = replica.map_err(|source| Error::UnusableLog { path: path.clone(), source })?;
         Ok(Self { id, replica, log, announced_term: Term::default() })
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -3,28 +3,30 @@
 use crate::ids::{ReplicaId, RequestId};
 use crate::message::LeaseResponse;
 use crate::version::LatestVersion;
+use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// A replica counts as unreachable if it has not answered within this fraction (one 15th) of the lease duration.
-const RESPONSE_TIMEOUT_DIVISOR: u64 = 15;
+const RESPONSE_TIMEOUT_DIVISOR: u32 = 15;
 
 /// A gatekeeper's lease on the latest version.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
     /// Validity of a lease, counted from the moment its request was sent.
-    lease_duration_ms: u64,
+    lease_duration: Duration,
     /// Index of the replica to ask next.
     target_index: usize,
     pending: Option<PendingRequest>,
     next_request: u64,
     latest: Option<LatestVersion>,
-    expires_at_ms: u64,
+    expires_at: MonotonicTime,
 }
 
 /// The request that waits for its response.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     id: RequestId,
-    sent_at_ms: u64,
+    sent_at: MonotonicTime,
 }
 
 /// A new request and the replica to send it to.
@@ -40,28 +42,28 @@
     /// Creates a client without a lease.
     ///
     /// `first_request` must be larger than any request id that an earlier incarnation of this client has used.
-    pub fn new(lease_duration_ms: u64, first_request: RequestId) -> Self {
+    pub fn new(lease_duration: Duration, first_request: RequestId) -> Self {
         Self {
-            lease_duration_ms,
+            lease_duration,
             target_index: 0,
             pending: None,
             next_request: first_request.0,
             latest: None,
-            expires_at_ms: 0,
+            expires_at: MonotonicTime::ZERO,
         }
     }
 
     /// Starts a new request, which replaces the pending one. If the pending request has timed out, the new one goes to the next
     /// replica, so that an unreachable replica is asked again only after all others.
-    pub fn start_request(&mut self, now_ms: u64, replica_count: usize) -> AddressedRequest {
-        let timeout_ms = self.lease_duration_ms / RESPONSE_TIMEOUT_DIVISOR;
-        if self.pending.is_some_and(|pending| now_ms >= pending.sent_at_ms + timeout_ms) {
+    pub fn start_request(&mut self, now: MonotonicTime, replica_count: usize) -> AddressedRequest {
+        let timeout = self.lease_duration / RESPONSE_TIMEOUT_DIVISOR;
+        if self.pending.is_some_and(|pending| now >= pending.sent_at + timeout) {
             self.target_index += 1;
         }
         self.target_index %= replica_count.max(1);
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.pending = Some(PendingRequest { id, sent_at_ms: now_ms });
+        self.pending = Some(PendingRequest { id, sent_at: now });
         AddressedRequest { id, replica: ReplicaId::from_index(self.target_index) }
     }
 
@@ -89,18 +91,18 @@
             return false;
         }
         self.latest = Some(latest);
-        self.expires_at_ms = self.expires_at_ms.max(pending.sent_at_ms + self.lease_duration_ms);
+        self.expires_at = self.expires_at.max(pending.sent_at + self.lease_duration);
         true
     }
 
     /// Returns the latest version while the lease is valid.
-    pub fn leased_version(&self, now_ms: u64) -> Option<LatestVersion> {
-        self.latest.filter(|_| now_ms < self.expires_at_ms)
+    pub fn leased_version(&self, now: MonotonicTime) -> Option<LatestVersion> {
+        self.latest.filter(|_| now < self.expires_at)
     }
 
     /// Returns when the lease expires or has expired.
-    pub fn expires_at_ms(&self) -> u64 {
-        self.expires_at_ms
+    pub fn expires_at(&self) -> MonotonicTime {
+        self.expires_at
     }
 
     /// Returns the latest known version, whether or not the lease is valid.
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -3,6 +3,8 @@
 use crate::ids::RequestId;
 use crate::version::ConfigVersion;
 use std::collections::BTreeMap;
+use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// Maximum number of lease holders that a leader remembers.
 const MAX_LEASE_HOLDERS: usize = 4_096;
@@ -10,9 +12,9 @@
 /// The leases that a leader has granted, and a bound on those that earlier leaders may have granted.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
-    lease_duration_ms: u64,
+    lease_duration: Duration,
     /// All leases of earlier leaders have expired at this moment.
-    earlier_leases_expire_at_ms: u64,
+    earlier_leases_expire_at: MonotonicTime,
     /// Leases by the holder's name.
     granted: BTreeMap<String, GrantedLease>,
 }
@@ -23,27 +25,27 @@
     /// The last request of the holder that was answered.
     request: RequestId,
     /// Upper bound of the lease's expiry at the holder.
-    expires_at_ms: u64,
+    expires_at: MonotonicTime,
     /// The latest version that the holder has confirmed to know.
     known_version: ConfigVersion,
 }
 
 impl GrantedLease {
-    fn is_valid(&self, now_ms: u64) -> bool {
-        now_ms < self.expires_at_ms
+    fn is_valid(&self, now: MonotonicTime) -> bool {
+        now < self.expires_at
     }
 
     /// Returns whether the holder may still act on a version before this one without knowing of it.
-    fn is_behind(&self, now_ms: u64, version: ConfigVersion) -> bool {
-        self.known_version < version && self.is_valid(now_ms)
+    fn is_behind(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
+        self.known_version < version && self.is_valid(now)
     }
 }
 
 impl LeaseTable {
     /// Creates the table of a replica that has just become the leader.
-    pub fn new(now_ms: u64, lease_duration_ms: u64) -> Self {
-        let earlier_leases_expire_at_ms = now_ms + lease_duration_ms;
-        Self { lease_duration_ms, earlier_leases_expire_at_ms, granted: BTreeMap::new() }
+    pub fn new(now: MonotonicTime, lease_duration: Duration) -> Self {
+        let earlier_leases_expire_at = now + lease_duration;
+        Self { lease_duration, earlier_leases_expire_at, granted: BTreeMap::new() }
     }
 
     /// Records a lease that is granted now. Returns false, and the request must not be answered, if the table is full or a later
@@ -53,46 +55,46 @@
     /// not count: the response may get lost while an earlier lease is still valid.
     pub fn grant(
         &mut self,
-        now_ms: u64,
+        now: MonotonicTime,
         holder: &str,
         request: RequestId,
         known_version: ConfigVersion,
     ) -> bool {
-        let is_newer = |lease: &GrantedLease| request < lease.request && lease.is_valid(now_ms);
+        let is_newer = |lease: &GrantedLease| request < lease.request && lease.is_valid(now);
         if self.granted.get(holder).is_some_and(is_newer) {
             return false;
         }
-        if !self.granted.contains_key(holder) && !self.has_capacity(now_ms) {
+        if !self.granted.contains_key(holder) && !self.has_capacity(now) {
             return false;
         }
         // The holder counts from the moment it sent the request, which is earlier than now.
-        let expires_at_ms = now_ms + self.lease_duration_ms;
-        self.granted.insert(holder.to_owned(), GrantedLease { request, expires_at_ms, known_version });
+        let expires_at = now + self.lease_duration;
+        self.granted.insert(holder.to_owned(), GrantedLease { request, expires_at, known_version });
         true
     }
 
     /// Returns whether one more holder can be remembered. Removes expired leases if the table is full.
-    fn has_capacity(&mut self, now_ms: u64) -> bool {
+    fn has_capacity(&mut self, now: MonotonicTime) -> bool {
         if self.granted.len() >= MAX_LEASE_HOLDERS {
-            self.granted.retain(|_, lease| lease.is_valid(now_ms));
+            self.granted.retain(|_, lease| lease.is_valid(now));
         }
         self.granted.len() < MAX_LEASE_HOLDERS
     }
 
     /// Returns whether no client can hold a lease on a version before this one any more.
-    pub fn may_activate(&self, now_ms: u64, version: ConfigVersion) -> bool {
-        now_ms >= self.earlier_leases_expire_at_ms
-            && !self.granted.values().any(|lease| lease.is_behind(now_ms, version))
+    pub fn may_activate(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
+        now >= self.earlier_leases_expire_at
+            && !self.granted.values().any(|lease| lease.is_behind(now, version))
     }
 
     /// Returns the clients that may hold a lease granted by this leader.
-    pub fn holders(&self, now_ms: u64) -> impl Iterator<Item = &str> {
-        self.holders_where(move |lease| lease.is_valid(now_ms))
+    pub fn holders(&self, now: MonotonicTime) -> impl Iterator<Item = &str> {
+        self.holders_where(move |lease| lease.is_valid(now))
     }
 
     /// Returns the clients that may still hold a lease on a version before this one.
-    pub fn holders_behind(&self, now_ms: u64, version: ConfigVersion) -> impl Iterator<Item = &str> {
-        self.holders_where(move |lease| lease.is_behind(now_ms, version))
+    pub fn holders_behind(&self, now: MonotonicTime, version: ConfigVersion) -> impl Iterator<Item = &str> {
+        self.holders_where(move |lease| lease.is_behind(now, version))
     }
 
     fn holders_where(&self, condition: impl Fn(&GrantedLease) -> bool) -> impl Iterator<Item = &str> {
--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -14,7 +14,7 @@
 //! - The caller writes the records of a [`Ready`] to disk before it sends any message of the same [`Ready`].
 //! - Two gatekeepers that hold leases enforce the same version, or one of them also enforces the proposed successor of that
 //!   version, taking the stricter value of each setting.
-//! - Times are milliseconds of the node's own monotonic clock. Clocks of different nodes are never compared.
+//! - Moments are those of the node's own monotonic clock. Clocks of different nodes are never compared.
 //! - Commands, logs, pending requests and recorded outcomes are bounded.
 
 mod error;
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -25,7 +25,9 @@
 use raft::RawNode;
 use raft_config::raft_config;
 use read_rounds::ReadRounds;
+use std::time::Duration;
 use tick_clock::TickClock;
+use timestamps::MonotonicTime;
 
 /// Maximum number of pending proposals, and likewise of waiting lease requests.
 const MAX_PENDING: usize = 4_096;
@@ -47,7 +49,7 @@
     id: ReplicaId,
     state: ConfigState,
     clock: TickClock,
-    lease_duration_ms: u64,
+    lease_duration: Duration,
     /// The granted leases; `None` unless this replica is the leader.
     leases: Option<LeaseTable>,
     /// Lease requests that wait for a quorum to confirm that this replica leads.
@@ -71,8 +73,8 @@
         id: ReplicaId,
         replicas: &[ReplicaId],
         durable: DurableState,
-        lease_duration_ms: u64,
-        now_ms: u64,
+        lease_duration: Duration,
+        now: MonotonicTime,
     ) -> Result<Self, Error> {
         let index_in_list = replicas.iter().position(|replica| *replica == id);
         let index_in_list =
@@ -89,15 +91,15 @@
             raw_node: RawNode::new(&config, storage, &logger)?,
             id,
             state,
-            clock: TickClock::new(now_ms),
-            lease_duration_ms,
+            clock: TickClock::new(now),
+            lease_duration,
             leases: None,
             reads: ReadRounds::default(),
             pending_proposals: PendingProposals::default(),
             last_activation: None,
             ready: Ready::default(),
         };
-        replica.advance(now_ms);
+        replica.advance(now);
         Ok(replica)
     }
 
@@ -128,53 +130,53 @@
     }
 
     /// Returns the clients that may still hold a lease on a version before the proposed one.
-    pub fn holders_behind(&self, now_ms: u64) -> Vec<String> {
+    pub fn holders_behind(&self, now: MonotonicTime) -> Vec<String> {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return Vec::new() };
-        leases.holders_behind(now_ms, proposed.number).map(str::to_owned).collect()
+        leases.holders_behind(now, proposed.number).map(str::to_owned).collect()
     }
 
     /// Returns when [`Replica::tick`] is due.
-    pub fn next_tick_ms(&self) -> u64 {
-        self.clock.next_tick_ms()
+    pub fn next_tick_at(&self) -> MonotonicTime {
+        self.clock.next_tick_at()
     }
 
     /// Advances the clock, which may start an election, a heartbeat or the activation of a version.
-    pub fn tick(&mut self, now_ms: u64) {
-        for _ in 0..self.clock.advance(now_ms) {
+    pub fn tick(&mut self, now: MonotonicTime) {
+        for _ in 0..self.clock.advance(now) {
             self.raw_node.tick();
         }
-        self.advance(now_ms);
+        self.advance(now);
     }
 
     /// Handles a message from another replica. Messages that are invalid or for another replica are dropped.
-    pub fn on_raft_message(&mut self, now_ms: u64, message: RaftMessage) {
+    pub fn on_raft_message(&mut self, now: MonotonicTime, message: RaftMessage) {
         let replicas = self.raw_node.store().replicas();
         let Some(message) = message.into_raft(replicas).filter(|message| message.to == self.id.0) else {
             return;
         };
         // Raft tolerates lost messages, so one that the library rejects is dropped.
         let _ = self.raw_node.step(message);
-        self.advance(now_ms);
+        self.advance(now);
     }
 
     /// Handles a client's lease request: redirects it, or answers it once a quorum has confirmed that this replica leads.
-    pub fn on_lease_request(&mut self, now_ms: u64, request: LeaseRequest) {
+    pub fn on_lease_request(&mut self, now: MonotonicTime, request: LeaseRequest) {
         if self.leases.is_none() {
             let redirect = Message::RedirectLeaseRequest { request: request.id, leader: self.other_leader() };
             self.ready.send_to_client(request.client, redirect);
             return;
         }
         self.reads.enqueue(request);
-        self.advance(now_ms);
+        self.advance(now);
     }
 
     /// Handles a client's proposal. The outcome or a redirect is sent to `proposer`.
-    pub fn propose(&mut self, now_ms: u64, proposer: &str, proposal: Proposal) {
+    pub fn propose(&mut self, now: MonotonicTime, proposer: &str, proposal: Proposal) {
         match self.immediate_reply(&proposal) {
             Some(reply) => self.ready.send_to_client(proposer.to_owned(), reply),
             None => self.append_proposal(proposer, proposal),
         }
-        self.advance(now_ms);
+        self.advance(now);
     }
 
     /// Returns the reply to a proposal that needs no entry in the log: a redirect, or an outcome that is known already.
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -7,6 +7,7 @@
 use crate::state::Command;
 use crate::version::{ConfigVersion, Version};
 use raft::StateRole;
+use timestamps::MonotonicTime;
 
 /// An activation command that was appended to the log: the version, and the term in which it was appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,23 +18,23 @@
 
 impl Replica {
     /// Handles a change of this replica's role.
-    pub(super) fn on_role(&mut self, now_ms: u64, role: StateRole) {
+    pub(super) fn on_role(&mut self, now: MonotonicTime, role: StateRole) {
         if role != StateRole::Leader {
             self.leases = None;
             self.reads.clear();
             // Proposers retry, and are redirected to the new leader.
             self.pending_proposals.clear();
         } else if self.leases.is_none() {
-            self.leases = Some(LeaseTable::new(now_ms, self.lease_duration_ms));
+            self.leases = Some(LeaseTable::new(now, self.lease_duration));
         }
     }
 
     /// Appends the command that puts the proposed version in force, as soon as no lease forbids it and at most once in a term.
     /// Returns whether it was appended.
-    pub(super) fn activate_proposed(&mut self, now_ms: u64) -> bool {
+    pub(super) fn activate_proposed(&mut self, now: MonotonicTime) -> bool {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return false };
         let activation = Activation { term: self.progress().term, version: proposed.number };
-        if self.last_activation == Some(activation) || !leases.may_activate(now_ms, activation.version) {
+        if self.last_activation == Some(activation) || !leases.may_activate(now, activation.version) {
             return false;
         }
         if !self.append_command(&Command::Activate(activation.version)) {
@@ -54,18 +55,18 @@
     }
 
     /// Answers the lease requests of a confirmed round, and starts the next round.
-    pub(super) fn finish_read_round(&mut self, now_ms: u64, context: Vec<u8>) {
+    pub(super) fn finish_read_round(&mut self, now: MonotonicTime, context: Vec<u8>) {
         for request in self.reads.finish(context) {
-            self.respond(now_ms, request);
+            self.respond(now, request);
         }
         self.start_read_round();
     }
 
     /// Answers a confirmed lease request, with the texts that its client lacks.
-    fn respond(&mut self, now_ms: u64, request: LeaseRequest) {
+    fn respond(&mut self, now: MonotonicTime, request: LeaseRequest) {
         let Some(leases) = &mut self.leases else { return };
         let LeaseRequest { client, id, wants_lease, known_version, cached } = request;
-        if wants_lease && !leases.grant(now_ms, &client, id, known_version) {
+        if wants_lease && !leases.grant(now, &client, id, known_version) {
             return;
         }
         let latest = self.state.latest();
@@ -78,9 +79,9 @@
     }
 
     /// Notifies lease holders of a change, so that they ask at once and not only with their next regular request.
-    pub(super) fn notify_lease_holders(&mut self, now_ms: u64) {
+    pub(super) fn notify_lease_holders(&mut self, now: MonotonicTime) {
         let Some(leases) = &self.leases else { return };
-        for holder in leases.holders(now_ms) {
+        for holder in leases.holders(now) {
             let message = Message::VersionChanged(self.state.latest_number());
             self.ready.send_to_client(holder.to_owned(), message);
         }
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -8,19 +8,20 @@
 use crate::raft_message::RaftMessage;
 use crate::state::Command;
 use raft::eraftpb;
+use timestamps::MonotonicTime;
 
 /// Number of entries at which the log is compacted.
 const MAX_RETAINED_ENTRIES: usize = 256;
 
 impl Replica {
     /// Processes all output that the last event has caused.
-    pub(super) fn advance(&mut self, now_ms: u64) {
+    pub(super) fn advance(&mut self, now: MonotonicTime) {
         self.start_read_round();
         loop {
             while self.raw_node.has_ready() {
-                self.process_raft_ready(now_ms);
+                self.process_raft_ready(now);
             }
-            if !self.activate_proposed(now_ms) {
+            if !self.activate_proposed(now) {
                 break;
             }
         }
@@ -28,34 +29,34 @@
     }
 
     /// Processes one `Ready` of the library in the order that the library requires.
-    fn process_raft_ready(&mut self, now_ms: u64) {
+    fn process_raft_ready(&mut self, now: MonotonicTime) {
         let mut ready = self.raw_node.ready();
         if let Some(soft_state) = ready.ss() {
-            self.on_role(now_ms, soft_state.raft_state);
+            self.on_role(now, soft_state.raft_state);
         }
         self.send_to_replicas(ready.take_messages());
         self.persist(&ready);
         let confirmed_reads = ready.take_read_states();
         let committed = ready.take_committed_entries();
         self.send_to_replicas(ready.take_persisted_messages());
-        self.apply_committed(now_ms, committed);
+        self.apply_committed(now, committed);
         let light_ready = self.raw_node.advance(ready);
-        self.process_light_ready(now_ms, light_ready);
+        self.process_light_ready(now, light_ready);
         self.raw_node.advance_apply();
         // All entries that were committed when a round started are applied by now, so the state is as new as each request.
         for read in confirmed_reads {
-            self.finish_read_round(now_ms, read.request_ctx);
+            self.finish_read_round(now, read.request_ctx);
         }
     }
 
     /// Processes the output that the library has once its records are persisted.
-    fn process_light_ready(&mut self, now_ms: u64, mut light_ready: raft::LightReady) {
+    fn process_light_ready(&mut self, now: MonotonicTime, mut light_ready: raft::LightReady) {
         if let Some(commit) = light_ready.commit_index() {
             let hard_state = self.raw_node.store().durable().hard_state;
             self.write(LogRecord::HardState(HardState { commit: LogIndex(commit), ..hard_state }));
         }
         self.send_to_replicas(light_ready.take_messages());
-        self.apply_committed(now_ms, light_ready.take_committed_entries());
+        self.apply_committed(now, light_ready.take_committed_entries());
     }
 
     /// Writes the library's snapshot, entries and hard state, in this order.
@@ -95,7 +96,7 @@
     }
 
     /// Applies committed entries, and notifies lease holders if the latest version or its phase has changed.
-    fn apply_committed(&mut self, now_ms: u64, committed: Vec<eraftpb::Entry>) {
+    fn apply_committed(&mut self, now: MonotonicTime, committed: Vec<eraftpb::Entry>) {
         let latest_before = self.state.latest();
         for entry in committed {
             // The first entry of each leader is empty. All replicas skip an entry that cannot be decoded.
@@ -103,7 +104,7 @@
             self.apply_command(command);
         }
         if self.state.latest() != latest_before {
-            self.notify_lease_holders(now_ms);
+            self.notify_lease_holders(now);
         }
     }
 
--- a/crates/replicated_config/src/replica/tests.rs
+++ b/crates/replicated_config/src/replica/tests.rs
@@ -3,7 +3,7 @@
 
 fn start(id: u64, durable: DurableState) -> Result<Replica, Error> {
     let replicas: Vec<ReplicaId> = (0..3).map(ReplicaId::from_index).collect();
-    Replica::new(ReplicaId(id), &replicas, durable, 3_000, 0)
+    Replica::new(ReplicaId(id), &replicas, durable, Duration::from_secs(3), MonotonicTime::ZERO)
 }
 
 fn durable(term: u64, commit: u64, entries: Vec<LogEntry>) -> DurableState {
--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -7,21 +7,24 @@
     ConfigVersion, LeaseClient, LeaseRequest, LeaseResponse, Message, ProposalId, ProposalOutcome, RequestId,
     RolloutPhase, VersionNumbers,
 };
-use simulation::{LEASE_DURATION_MS, REQUEST_INTERVAL_MS, ReceivedOutcome, Simulation, proposal};
+use simulation::{LEASE_DURATION, REQUEST_INTERVAL, ReceivedOutcome, Simulation, proposal, random_millis};
+use std::time::Duration;
+use timestamps::MonotonicTime;
 
 #[test]
 fn a_proposal_comes_into_force_on_all_clients_within_200_ms() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(seed, 3, 12);
         // A new leader waits until leases of an earlier leader have expired.
-        simulation.run_for(5_000);
-        let proposed = simulation.propose(11, 1, 2_000).expect("the outcome arrives");
+        simulation.run_for(Duration::from_secs(5));
+        let proposed = simulation.propose(11, 1, Duration::from_secs(2)).expect("the outcome arrives");
         assert_eq!(proposed.outcome, ProposalOutcome::Accepted(ConfigVersion(1)));
-        assert!(proposed.elapsed_ms < 100, "{} ms", proposed.elapsed_ms);
-        let elapsed_ms =
-            simulation.time_until_in_force(ConfigVersion(1), 5_000).expect("the version comes into force");
+        assert!(proposed.elapsed < Duration::from_millis(100), "{:?}", proposed.elapsed);
+        let elapsed = simulation
+            .time_until_in_force(ConfigVersion(1), Duration::from_secs(5))
+            .expect("the version comes into force");
         // The clients are notified, ask, and confirm the proposed version. The leader activates it and notifies them again.
-        assert!(elapsed_ms <= 200, "{elapsed_ms} ms");
+        assert!(elapsed <= Duration::from_millis(200), "{elapsed:?}");
         assert!(simulation.checked_leases > 10_000);
     }
 }
@@ -30,40 +33,46 @@
 fn after_the_leaders_crash_a_proposal_is_committed_within_three_seconds() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 3, 8);
-        simulation.run_for(3_500);
+        simulation.run_for(Duration::from_millis(3_500));
         let leader = simulation.leader().expect("there is a leader");
         simulation.crash(leader);
-        let proposed = simulation.propose(7, 1, 5_000).expect("the outcome arrives");
+        let proposed = simulation.propose(7, 1, Duration::from_secs(5)).expect("the outcome arrives");
         assert_eq!(proposed.outcome, ProposalOutcome::Accepted(ConfigVersion(1)), "seed {seed}");
-        assert!(proposed.elapsed_ms < 3_000, "seed {seed}: {} ms", proposed.elapsed_ms);
-        assert!(simulation.time_until_in_force(ConfigVersion(1), 8_000).is_some(), "seed {seed}");
+        assert!(proposed.elapsed < Duration::from_secs(3), "seed {seed}: {:?}", proposed.elapsed);
+        assert!(
+            simulation.time_until_in_force(ConfigVersion(1), Duration::from_secs(8)).is_some(),
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn a_stopped_lease_holder_delays_a_rollout_by_at_most_one_lease_and_resumes_without_a_lease() {
     let mut simulation = Simulation::new(3, 3, 6);
-    simulation.run_for(3_500);
-    simulation.propose(5, 1, 2_000).expect("the outcome arrives");
-    simulation.time_until_in_force(ConfigVersion(1), 5_000).expect("the version comes into force");
+    simulation.run_for(Duration::from_millis(3_500));
+    simulation.propose(5, 1, Duration::from_secs(2)).expect("the outcome arrives");
+    simulation
+        .time_until_in_force(ConfigVersion(1), Duration::from_secs(5))
+        .expect("the version comes into force");
     simulation.machines[4].stopped = true;
-    simulation.propose(5, 2, 2_000).expect("the outcome arrives");
-    let elapsed_ms =
-        simulation.time_until_in_force(ConfigVersion(2), 6_000).expect("the version comes into force");
-    assert!((1_500..=LEASE_DURATION_MS + 2 * REQUEST_INTERVAL_MS).contains(&elapsed_ms), "{elapsed_ms} ms");
+    simulation.propose(5, 2, Duration::from_secs(2)).expect("the outcome arrives");
+    let elapsed = simulation
+        .time_until_in_force(ConfigVersion(2), Duration::from_secs(6))
+        .expect("the version comes into force");
+    assert!((LEASE_DURATION / 2..=LEASE_DURATION + 2 * REQUEST_INTERVAL).contains(&elapsed), "{elapsed:?}");
     simulation.machines[4].stopped = false;
     let now = simulation.clock(4);
     assert_eq!(simulation.machines[4].client.leased_version(now), None);
-    assert!(simulation.time_until_in_force(ConfigVersion(2), 2_000).is_some());
+    assert!(simulation.time_until_in_force(ConfigVersion(2), Duration::from_secs(2)).is_some());
 }
 
 /// Guards against a read from the command line delaying the next rollout, like the lease of a client that never asks again.
 #[test]
 fn a_request_without_a_lease_delays_no_rollout() {
     let mut simulation = Simulation::new(4, 3, 6);
-    simulation.run_for(5_000);
+    simulation.run_for(Duration::from_secs(5));
     simulation.crash(5);
-    simulation.run_for(LEASE_DURATION_MS);
+    simulation.run_for(LEASE_DURATION);
     for to in 0..3 {
         let request = LeaseRequest {
             client: "5".into(),
@@ -74,42 +83,43 @@
         };
         simulation.send(4, to, &Message::LeaseRequest(request));
     }
-    simulation.run_for(100);
-    simulation.propose(4, 1, 2_000).expect("the outcome arrives");
-    let elapsed_ms =
-        simulation.time_until_in_force(ConfigVersion(1), 5_000).expect("the version comes into force");
-    assert!(elapsed_ms <= 200, "{elapsed_ms} ms");
+    simulation.run_for(Duration::from_millis(100));
+    simulation.propose(4, 1, Duration::from_secs(2)).expect("the outcome arrives");
+    let elapsed = simulation
+        .time_until_in_force(ConfigVersion(1), Duration::from_secs(5))
+        .expect("the version comes into force");
+    assert!(elapsed <= Duration::from_millis(200), "{elapsed:?}");
 }
 
 #[test]
 fn a_minority_commits_nothing_and_its_leases_expire() {
     let mut simulation = Simulation::new(5, 3, 6);
-    simulation.run_for(3_500);
+    simulation.run_for(Duration::from_millis(3_500));
     let leader = simulation.leader().expect("there is a leader");
     // The leader and a client are cut off from the others.
     simulation.partition = (0..6).map(|i| u8::from(i == leader || i == 5)).collect();
-    assert_eq!(simulation.propose(5, 1, 6_000), None);
+    assert_eq!(simulation.propose(5, 1, Duration::from_secs(6)), None);
     assert_eq!(simulation.machines[5].client.leased_version(simulation.clock(5)), None);
     // The majority commits a version, and the minority adopts it after the partition.
     let other = (0..3).find(|i| *i != leader).expect("there are three replicas");
     assert_eq!(
-        simulation.propose(other, 2, 3_000).map(|proposed| proposed.outcome),
+        simulation.propose(other, 2, Duration::from_secs(3)).map(|proposed| proposed.outcome),
         Some(ProposalOutcome::Accepted(ConfigVersion(1)))
     );
     simulation.partition = vec![0; 6];
-    assert!(simulation.time_until_in_force(ConfigVersion(1), 5_000).is_some());
+    assert!(simulation.time_until_in_force(ConfigVersion(1), Duration::from_secs(5)).is_some());
 }
 
 #[test]
 fn concurrent_proposals_are_serialized_while_a_lease_holder_is_stopped() {
     let mut simulation = Simulation::new(6, 5, 9);
-    simulation.run_for(3_500);
+    simulation.run_for(Duration::from_millis(3_500));
     simulation.machines[8].stopped = true;
     let mut accepted = 0;
     for id in 1..=5 {
-        let outcome = simulation.propose(7, id, 1_000).expect("the outcome arrives").outcome;
+        let outcome = simulation.propose(7, id, Duration::from_secs(1)).expect("the outcome arrives").outcome;
         accepted += usize::from(matches!(outcome, ProposalOutcome::Accepted(_)));
-        simulation.run_for(150);
+        simulation.run_for(Duration::from_millis(150));
     }
     // One rollout is open at a time. The other proposers learn which.
     let in_progress = |outcome: &ProposalOutcome| {
@@ -118,25 +128,25 @@
     assert!(accepted >= 1 && simulation.outcomes.iter().any(|received| in_progress(&received.outcome)));
     simulation.machines[8].stopped = false;
     let last = simulation.texts.keys().max().copied().expect("there are versions");
-    assert!(simulation.time_until_in_force(last, 8_000).is_some());
+    assert!(simulation.time_until_in_force(last, Duration::from_secs(8)).is_some());
 }
 
 #[test]
 fn a_retried_proposal_is_applied_once_across_a_leader_change() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(seed, 3, 5);
-        simulation.run_for(3_500);
+        simulation.run_for(Duration::from_millis(3_500));
         let leader = simulation.leader().expect("there is a leader");
         // The proposal reaches the leader, and its outcome is lost.
         let proposal = proposal(9, 4, "once".into());
         simulation.send(4, leader, &Message::Propose(proposal.clone()));
-        simulation.run_for(40);
+        simulation.run_for(Duration::from_millis(40));
         simulation.outcomes.clear();
         simulation.crash(leader);
-        simulation.run_for(2_500);
+        simulation.run_for(Duration::from_millis(2_500));
         let next = simulation.leader().expect("there is another leader");
         simulation.send(4, next, &Message::Propose(proposal));
-        simulation.run_for(100);
+        simulation.run_for(Duration::from_millis(100));
         assert_eq!(
             simulation.outcomes,
             [ReceivedOutcome {
@@ -169,7 +179,7 @@
     let mut simulation = Simulation::new(seed, replicas, replicas + 5);
     simulation.ignores_expiry = expiry == LeaseExpiry::Ignored;
     simulation.loss = if seed.is_multiple_of(2) { 0.1 } else { 0.0 };
-    simulation.run_for(3_500);
+    simulation.run_for(Duration::from_millis(3_500));
     for id in 1..=60 {
         inject_fault(&mut simulation);
         recover_some(&mut simulation);
@@ -178,16 +188,18 @@
         for to in 0..replicas {
             simulation.send(from, to, &Message::Propose(proposal.clone()));
         }
-        let ms = simulation.random.u64(50..900);
-        simulation.run_for(ms);
+        let pause =
+            random_millis(&mut simulation.random, Duration::from_millis(50)..Duration::from_millis(900));
+        simulation.run_for(pause);
     }
     recover_all(&mut simulation);
-    simulation.run_for(8_000);
+    simulation.run_for(Duration::from_secs(8));
     // After recovery one more proposal comes into force everywhere.
     let from = simulation.machines.len() - 1;
-    let outcome = simulation.propose(from, 1_000_000, 3_000).expect("the outcome arrives").outcome;
+    let outcome =
+        simulation.propose(from, 1_000_000, Duration::from_secs(3)).expect("the outcome arrives").outcome;
     let ProposalOutcome::Accepted(number) = outcome else { panic!("seed {seed}: {outcome:?}") };
-    assert!(simulation.time_until_in_force(number, 8_000).is_some(), "seed {seed}");
+    assert!(simulation.time_until_in_force(number, Duration::from_secs(8)).is_some(), "seed {seed}");
     // Version numbers have no gaps, so no committed version is lost.
     assert_eq!(
         simulation.texts.keys().copied().collect::<Vec<_>>(),
@@ -259,10 +271,10 @@
 
 #[test]
 fn a_response_to_an_earlier_incarnation_gives_no_lease() {
-    let mut client = LeaseClient::new(LEASE_DURATION_MS, RequestId(100));
-    client.start_request(0, 3);
+    let mut client = LeaseClient::new(LEASE_DURATION, RequestId(100));
+    client.start_request(MonotonicTime::ZERO, 3);
     let response =
         LeaseResponse { request: RequestId(99), version: ConfigVersion(1), phase: RolloutPhase::InForce };
     assert!(!client.on_response(response));
-    assert_eq!(client.leased_version(1), None);
+    assert_eq!(client.leased_version(MonotonicTime::from_millis(1)), None);
 }
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -6,15 +6,26 @@
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
+use std::ops::Range;
+use std::time::Duration;
+use timestamps::{MonotonicTime, whole_millis};
 
-pub const LEASE_DURATION_MS: u64 = 3_000;
+pub const LEASE_DURATION: Duration = Duration::from_secs(3);
 /// Time between two requests of a lease client.
-pub const REQUEST_INTERVAL_MS: u64 = 500;
+pub const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two steps of the simulation.
+const STEP: Duration = Duration::from_millis(1);
+/// Time between two attempts of a proposer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Clocks of machines are ahead of the simulation's clock by less than this.
+const MAX_CLOCK_OFFSET: Duration = Duration::from_secs(1_000);
+/// Messages take less time than this.
+const MAX_LATENCY: Duration = Duration::from_millis(8);
 
 /// A machine. Each one runs a lease client, and the first ones also run a replica.
 pub struct Machine {
     /// Offset of the machine's monotonic clock from the simulation's clock.
-    clock_offset_ms: u64,
+    clock_offset: Duration,
     /// False from a crash to the restart.
     pub alive: bool,
     /// Whether the process is suspended, as by SIGSTOP. It keeps its memory and misses all messages.
@@ -23,7 +34,7 @@
     /// The replica's state on disk, which survives a crash.
     disk: DurableState,
     pub client: LeaseClient,
-    next_request_ms: u64,
+    next_request_at: MonotonicTime,
     /// The versions whose texts the client has.
     cached: VersionNumbers,
 }
@@ -31,7 +42,7 @@
 /// A message that is being delivered. Ordered by arrival, then by the order of sending.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightMessage {
-    arrives_ms: u64,
+    arrives_at: MonotonicTime,
     serial: u64,
     from: usize,
     to: usize,
@@ -48,7 +59,7 @@
 /// The outcome of a proposal, and the time from the first attempt to its arrival.
 #[derive(Debug, PartialEq)]
 pub struct TimedOutcome {
-    pub elapsed_ms: u64,
+    pub elapsed: Duration,
     pub outcome: ProposalOutcome,
 }
 
@@ -61,7 +72,7 @@
 
 /// A cluster of machines in simulated time.
 pub struct Simulation {
-    now_ms: u64,
+    now: MonotonicTime,
     serial: u64,
     pub random: fastrand::Rng,
     pub machines: Vec<Machine>,
@@ -80,6 +91,11 @@
     pub ignores_expiry: bool,
 }
 
+/// Draws a number of whole milliseconds.
+pub fn random_millis(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
+    Duration::from_millis(random.u64(whole_millis(range.start)..whole_millis(range.end)))
+}
+
 fn in_force(number: ConfigVersion) -> LatestVersion {
     LatestVersion { number, phase: RolloutPhase::InForce }
 }
@@ -89,25 +105,32 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let replicas: Vec<ReplicaId> = (0..replica_count).map(ReplicaId::from_index).collect();
         let machine = |i: usize| {
-            let clock_offset_ms = random.u64(0..1_000_000);
+            let clock_offset = random_millis(&mut random, Duration::ZERO..MAX_CLOCK_OFFSET);
             let replica = replicas.get(i).map(|id| {
-                Replica::new(*id, &replicas, DurableState::default(), LEASE_DURATION_MS, clock_offset_ms)
-                    .expect("an empty log is valid")
+                Replica::new(
+                    *id,
+                    &replicas,
+                    DurableState::default(),
+                    LEASE_DURATION,
+                    MonotonicTime::ZERO + clock_offset,
+                )
+                .expect("an empty log is valid")
             });
             Machine {
-                clock_offset_ms,
+                clock_offset,
                 alive: true,
                 stopped: false,
                 replica,
                 disk: DurableState::default(),
-                client: LeaseClient::new(LEASE_DURATION_MS, RequestId(0)),
-                next_request_ms: random.u64(0..REQUEST_INTERVAL_MS),
+                client: LeaseClient::new(LEASE_DURATION, RequestId(0)),
+                next_request_at: MonotonicTime::ZERO
+                    + random_millis(&mut random, Duration::ZERO..REQUEST_INTERVAL),
                 cached: VersionNumbers::default(),
             }
         };
         let machines: Vec<Machine> = (0..machine_count).map(machine).collect();
         Self {
-            now_ms: 0,
+            now: MonotonicTime::ZERO,
             serial: 0,
             partition: vec![0; machines.len()],
             machines,
@@ -123,8 +146,8 @@
     }
 
     /// Returns the time on this machine's clock.
-    pub fn clock(&self, machine: usize) -> u64 {
-        self.now_ms + self.machines[machine].clock_offset_ms
+    pub fn clock(&self, machine: usize) -> MonotonicTime {
+        self.now + self.machines[machine].clock_offset
     }
 
     /// Sends a message, which may be delayed, lost or duplicated.
@@ -133,10 +156,10 @@
         for _ in 0..copies {
             if self.partition[from] == self.partition[to] && self.random.f64() >= self.loss {
                 self.serial += 1;
-                let arrives_ms = self.now_ms + self.random.u64(1..8);
+                let arrives_at = self.now + random_millis(&mut self.random, STEP..MAX_LATENCY);
                 let bytes = message.encode();
                 self.in_flight.push(Reverse(InFlightMessage {
-                    arrives_ms,
+                    arrives_at,
                     serial: self.serial,
                     from,
                     to,
@@ -197,7 +220,7 @@
                 if machine.client.on_response(response) {
                     // The next request confirms to the leader that this client knows of the change.
                     if machine.client.latest() != before {
-                        machine.next_request_ms = self.now_ms;
+                        machine.next_request_at = self.now;
                     }
                     let number = |version: &Option<Version>, cached| {
                         version.as_ref().map_or(cached, |version| version.number)
@@ -211,21 +234,21 @@
             Message::RedirectProposal { .. } => {}
             Message::RedirectLeaseRequest { request, leader } => {
                 if machine.client.on_redirect(request, leader) {
-                    machine.next_request_ms = self.now_ms;
+                    machine.next_request_at = self.now;
                 }
             }
             Message::ProposalOutcome { proposal, outcome } => {
                 self.outcomes.push(ReceivedOutcome { proposal, outcome })
             }
-            Message::VersionChanged(_) => machine.next_request_ms = self.now_ms,
+            Message::VersionChanged(_) => machine.next_request_at = self.now,
         }
         self.process_ready(to);
     }
 
     /// Advances by one millisecond.
     fn step(&mut self) {
-        self.now_ms += 1;
-        while self.in_flight.peek().is_some_and(|next| next.0.arrives_ms <= self.now_ms) {
+        self.now = self.now + STEP;
+        while self.in_flight.peek().is_some_and(|next| next.0.arrives_at <= self.now) {
             let Some(Reverse(InFlightMessage { from, to, bytes, .. })) = self.in_flight.pop() else { break };
             if self.machines[to].alive && !self.machines[to].stopped {
                 self.deliver(from, to, &bytes);
@@ -237,12 +260,12 @@
             }
             let now = self.clock(i);
             if let Some(replica) =
-                self.machines[i].replica.as_mut().filter(|replica| replica.next_tick_ms() <= now)
+                self.machines[i].replica.as_mut().filter(|replica| replica.next_tick_at() <= now)
             {
                 replica.tick(now);
                 self.process_ready(i);
             }
-            if self.now_ms >= self.machines[i].next_request_ms {
+            if self.now >= self.machines[i].next_request_at {
                 self.request_lease(i);
             }
         }
@@ -252,7 +275,7 @@
     fn request_lease(&mut self, i: usize) {
         let now = self.clock(i);
         let machine = &mut self.machines[i];
-        machine.next_request_ms = self.now_ms + REQUEST_INTERVAL_MS;
+        machine.next_request_at = self.now + REQUEST_INTERVAL;
         let known_version = machine.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
         let cached = machine.cached;
         let request = machine.client.start_request(now, self.replicas.len());
@@ -285,11 +308,18 @@
         let all: Vec<EnforcedVersions> = (0..self.machines.len()).filter_map(enforced).collect();
         self.checked_leases += all.len() as u64;
         let limit = all.iter().map(|versions| versions.highest).min().unwrap_or_default();
-        assert!(all.iter().all(|versions| versions.lowest <= limit), "at {} ms: {all:?}", self.now_ms);
+        assert!(
+            all.iter().all(|versions| versions.lowest <= limit),
+            "at {} ms: {all:?}",
+            self.now.as_millis()
+        );
     }
 
-    pub fn run_for(&mut self, ms: u64) {
-        (0..ms).for_each(|_| self.step());
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.step();
+        }
     }
 
     /// Crashes a machine: its memory is lost, and its disk is kept.
@@ -304,10 +334,10 @@
         let serial = self.serial;
         let machine = &mut self.machines[i];
         machine.alive = true;
-        machine.client = LeaseClient::new(LEASE_DURATION_MS, RequestId(serial));
+        machine.client = LeaseClient::new(LEASE_DURATION, RequestId(serial));
         machine.cached = VersionNumbers::default();
         if let Some(id) = self.replicas.get(i) {
-            let replica = Replica::new(*id, &self.replicas, machine.disk.clone(), LEASE_DURATION_MS, now);
+            let replica = Replica::new(*id, &self.replicas, machine.disk.clone(), LEASE_DURATION, now);
             machine.replica = Some(replica.expect("the log that the replica wrote is valid"));
         }
     }
@@ -321,34 +351,36 @@
         (0..self.replicas.len()).find(leads)
     }
 
-    /// Proposes a version from this machine to all replicas, with retries, until the outcome arrives. Returns `None` after `max_ms`.
-    pub fn propose(&mut self, from: usize, id: u64, max_ms: u64) -> Option<TimedOutcome> {
+    /// Proposes a version from this machine to all replicas, with retries, until the outcome arrives. Returns `None` after `timeout`.
+    pub fn propose(&mut self, from: usize, id: u64, timeout: Duration) -> Option<TimedOutcome> {
         let proposal = proposal(id, from, format!("text {id}"));
-        let started_ms = self.now_ms;
-        while self.now_ms - started_ms < max_ms {
-            if (self.now_ms - started_ms).is_multiple_of(100) {
+        let started = self.now;
+        let mut next_attempt = started;
+        while self.now < started + timeout {
+            if self.now >= next_attempt {
+                next_attempt = self.now + RETRY_INTERVAL;
                 for to in 0..self.replicas.len() {
                     self.send(from, to, &Message::Propose(proposal.clone()));
                 }
             }
             self.step();
             if let Some(received) = self.outcomes.iter().find(|received| received.proposal == proposal.id) {
-                let elapsed_ms = self.now_ms - started_ms;
-                return Some(TimedOutcome { elapsed_ms, outcome: received.outcome.clone() });
+                let elapsed = self.now.saturating_since(started);
+                return Some(TimedOutcome { elapsed, outcome: received.outcome.clone() });
             }
         }
         None
     }
 
-    /// Runs until all running machines hold leases on this version in force. Returns how long that took, or `None` after `max_ms`.
-    pub fn time_until_in_force(&mut self, version: ConfigVersion, max_ms: u64) -> Option<u64> {
-        let started_ms = self.now_ms;
-        while self.now_ms - started_ms < max_ms {
+    /// Runs until all running machines hold leases on this version in force. Returns how long that took, or `None` after `timeout`.
+    pub fn time_until_in_force(&mut self, version: ConfigVersion, timeout: Duration) -> Option<Duration> {
+        let started = self.now;
+        while self.now < started + timeout {
             self.step();
             let mut all =
                 (0..self.machines.len()).filter(|&i| self.machines[i].alive && !self.machines[i].stopped);
             if all.all(|i| self.machines[i].client.leased_version(self.clock(i)) == Some(in_force(version))) {
-                return Some(self.now_ms - started_ms);
+                return Some(self.now.saturating_since(started));
             }
         }
         None
--- a/crates/replicated_config/tests/transcript.rs
+++ b/crates/replicated_config/tests/transcript.rs
@@ -9,10 +9,12 @@
     ReplicaId, RequestId, VersionNumbers,
 };
 use std::collections::VecDeque;
+use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// Time between two ticks of a replica.
-const TICK_MS: u64 = 50;
-const LEASE_DURATION_MS: u64 = 500;
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const LEASE_DURATION: Duration = Duration::from_millis(500);
 const REPLICAS: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
 
 /// A message that is being delivered.
@@ -24,7 +26,7 @@
 
 /// Three replicas whose output is recorded.
 struct Cluster {
-    now_ms: u64,
+    now: MonotonicTime,
     replicas: Vec<Replica>,
     /// This replica neither receives messages nor reaches the others.
     cut_off: Option<ReplicaId>,
@@ -35,16 +37,16 @@
 impl Cluster {
     fn new() -> Self {
         let replica = |id: &ReplicaId| {
-            Replica::new(*id, &REPLICAS, DurableState::default(), LEASE_DURATION_MS, 0)
+            Replica::new(*id, &REPLICAS, DurableState::default(), LEASE_DURATION, MonotonicTime::ZERO)
                 .expect("an empty log is valid")
         };
         let replicas = REPLICAS.iter().map(replica).collect();
-        Self { now_ms: 0, replicas, cut_off: None, transcript: Some(String::new()) }
+        Self { now: MonotonicTime::ZERO, replicas, cut_off: None, transcript: Some(String::new()) }
     }
 
     fn record(&mut self, line: String) {
         if let Some(transcript) = &mut self.transcript {
-            transcript.push_str(&format!("{} {line}\n", self.now_ms));
+            transcript.push_str(&format!("{} {line}\n", self.now.as_millis()));
         }
     }
 
@@ -74,21 +76,21 @@
             if self.cut_off.is_some_and(|replica| [from, to].contains(&replica)) {
                 continue;
             }
-            let now_ms = self.now_ms;
+            let now = self.now;
             match Message::decode(&bytes) {
-                Ok(Message::Raft(message)) => self.replica(to).on_raft_message(now_ms, *message),
+                Ok(Message::Raft(message)) => self.replica(to).on_raft_message(now, *message),
                 other => panic!("not a message between replicas: {other:?}"),
             }
         }
     }
 
-    fn run_for(&mut self, ms: u64) {
-        let end = self.now_ms + ms;
-        while self.now_ms < end {
-            self.now_ms += TICK_MS;
+    fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.now = self.now + TICK_INTERVAL;
             for replica in REPLICAS {
-                let now_ms = self.now_ms;
-                self.replica(replica).tick(now_ms);
+                let now = self.now;
+                self.replica(replica).tick(now);
                 self.settle();
             }
         }
@@ -100,13 +102,13 @@
     }
 
     fn propose(&mut self, id: u64) {
-        let now_ms = self.now_ms;
-        self.leader().propose(now_ms, "proposer", proposal(id, &format!("p{id}"), &format!("text {id}")));
+        let now = self.now;
+        self.leader().propose(now, "proposer", proposal(id, &format!("p{id}"), &format!("text {id}")));
         self.settle();
     }
 
     fn request_lease(&mut self, id: u64, known_version: u64, cached: VersionNumbers) {
-        let now_ms = self.now_ms;
+        let now = self.now;
         let (client, id) = ("gatekeeper".into(), RequestId(id));
         let request = LeaseRequest {
             client,
@@ -115,7 +117,7 @@
             known_version: ConfigVersion(known_version),
             cached,
         };
-        self.leader().on_lease_request(now_ms, request);
+        self.leader().on_lease_request(now, request);
         self.settle();
     }
 
@@ -142,25 +144,29 @@
 fn replicas_write_and_send_the_recorded_transcript() {
     let mut cluster = Cluster::new();
     // The first replica is elected, and leads until leases of earlier leaders have expired.
-    cluster.run_for(1_500);
+    cluster.run_for(Duration::from_millis(1_500));
     cluster.request_lease(1, 0, VersionNumbers::default());
     cluster.propose(1);
     cluster.propose(2);
     cluster.request_lease(2, 1, VersionNumbers::default());
     cluster.request_lease(3, 1, VersionNumbers { in_force: ConfigVersion(1), proposed: ConfigVersion::NONE });
-    cluster.replica(ReplicaId(3)).propose(1_500, "proposer", proposal(3, "p", "t"));
+    cluster.replica(ReplicaId(3)).propose(
+        MonotonicTime::from_millis(1_500),
+        "proposer",
+        proposal(3, "p", "t"),
+    );
     cluster.settle();
     // The third replica misses entries that the others then compact.
     cluster.cut_off = Some(ReplicaId(3));
     let transcript = cluster.transcript.take();
     for id in 10..200 {
-        cluster.run_for(TICK_MS);
+        cluster.run_for(TICK_INTERVAL);
         cluster.propose(id);
     }
     cluster.transcript = transcript;
     cluster.record_progress();
     cluster.cut_off = None;
-    cluster.run_for(1_000);
+    cluster.run_for(Duration::from_secs(1));
     cluster.record_progress();
     let transcript = cluster.transcript.take().expect("the transcript was recorded");
     // Pre-vote, vote, append, heartbeat and snapshot messages and their responses.
