--- a/crates/config_node/src/clock.rs
+++ b/crates/config_node/src/clock.rs
@@ -1,8 +1,9 @@
 //! The node's monotonic clock.
 
 use std::time::Instant;
+use timestamps::MonotonicTime;
 
-/// Measures time in milliseconds since the node was started.
+/// A clock that starts when the node does.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     started: Instant,
@@ -14,7 +15,7 @@
         Self { started: Instant::now() }
     }
 
-    pub(crate) fn now_ms(self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+    pub(crate) fn now(self) -> MonotonicTime {
+        MonotonicTime::ZERO + self.started.elapsed()
     }
 }
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -17,8 +17,10 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
+/// Minimum time to wait for an event.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 /// Maximum time to wait for an event.
-const MAX_WAIT_MS: u64 = 1_000;
+const MAX_WAIT: Duration = Duration::from_secs(1);
 /// Maximum number of queued events to handle before the timers are checked again.
 const MAX_EVENT_BATCH: usize = 64;
 
@@ -60,7 +62,7 @@
     /// Handles events until all senders of events are gone.
     pub(crate) fn run(mut self, inbox: &Receiver<Event>) {
         loop {
-            self.run_timers(self.clock.now_ms());
+            self.run_timers(self.clock.now());
             match inbox.recv_timeout(self.time_until_timer()) {
                 Ok(event) => self.on_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -74,26 +76,26 @@
 
     /// Returns the time until the next timer is due.
     fn time_until_timer(&self) -> Duration {
-        let tick_due_ms =
-            self.local.as_ref().map_or(u64::MAX, |local| local.replica().next_tick_at().as_millis());
-        let due_ms = self.lease_requester.next_request_ms().min(tick_due_ms);
-        Duration::from_millis(due_ms.saturating_sub(self.clock.now_ms()).clamp(1, MAX_WAIT_MS))
+        let replica = self.local.as_ref().map(LocalReplica::replica);
+        let next_tick_at = replica.map_or(MonotonicTime::NEVER, Replica::next_tick_at);
+        let next_timer_at = self.lease_requester.next_request_at().min(next_tick_at);
+        next_timer_at.saturating_since(self.clock.now()).clamp(MIN_WAIT, MAX_WAIT)
     }
 
-    fn run_timers(&mut self, now_ms: u64) {
+    fn run_timers(&mut self, now: MonotonicTime) {
         if let Some(local) = &mut self.local {
-            local.replica_mut().tick(MonotonicTime::from_millis(now_ms));
+            local.replica_mut().tick(now);
         }
         self.process_ready();
-        if now_ms >= self.lease_requester.next_request_ms() {
-            self.request_lease(now_ms);
+        if now >= self.lease_requester.next_request_at() {
+            self.request_lease(now);
         }
     }
 
     /// Sends a lease request to a replica, which may be this node's own.
-    fn request_lease(&mut self, now_ms: u64) {
+    fn request_lease(&mut self, now: MonotonicTime) {
         let cached = self.view.known_numbers();
-        let OutgoingRequest { to, request } = self.lease_requester.start_request(now_ms, cached);
+        let OutgoingRequest { to, request } = self.lease_requester.start_request(now, cached);
         match self.peers.queue(to) {
             Some(queue) => queue.send(Message::LeaseRequest(request)),
             None => self.on_lease_request(request),
@@ -149,7 +151,7 @@
         Status {
             version: version_number(&texts.in_force),
             proposed: version_number(&texts.proposed),
-            lease_ms: self.lease_requester.expires_at_ms().saturating_sub(self.clock.now_ms()),
+            remaining_lease: self.lease_requester.expires_at().saturating_since(self.clock.now()),
             replica: self.replica_status(),
         }
     }
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -8,11 +8,11 @@
 impl Driver {
     /// Handles a message. `connection` is set if the other node has opened the connection that the message came by.
     pub(super) fn on_message(&mut self, connection: Option<ConnectionId>, message: Message) {
-        let now_ms = self.clock.now_ms();
+        let now = self.clock.now();
         match message {
             Message::Raft(message) => {
                 if let Some(local) = &mut self.local {
-                    local.replica_mut().on_raft_message(MonotonicTime::from_millis(now_ms), *message);
+                    local.replica_mut().on_raft_message(now, *message);
                 }
             }
             Message::LeaseRequest(request) => {
@@ -27,20 +27,20 @@
                     self.on_proposal(connection, proposal);
                 }
             }
-            Message::LeaseResponse(response, texts) => self.on_lease_response(now_ms, response, *texts),
+            Message::LeaseResponse(response, texts) => self.on_lease_response(now, response, *texts),
             Message::RedirectLeaseRequest { request, leader } => {
-                self.lease_requester.on_redirect(now_ms, request, leader);
+                self.lease_requester.on_redirect(now, request, leader);
             }
-            Message::VersionChanged(_) => self.lease_requester.request_at_once(now_ms),
+            Message::VersionChanged(_) => self.lease_requester.request_at_once(now),
             Message::ProposalOutcome { .. } | Message::RedirectProposal { .. } => {}
         }
     }
 
     /// Passes a lease request to the local replica. Without one, redirects the client.
     pub(super) fn on_lease_request(&mut self, request: LeaseRequest) {
-        let now_ms = self.clock.now_ms();
+        let now = self.clock.now();
         match &mut self.local {
-            Some(local) => local.replica_mut().on_lease_request(MonotonicTime::from_millis(now_ms), request),
+            Some(local) => local.replica_mut().on_lease_request(now, request),
             None => {
                 let redirect = Message::RedirectLeaseRequest { request: request.id, leader: None };
                 self.send_to_client(&request.client, redirect);
@@ -50,13 +50,11 @@
 
     /// Validates a proposal and passes it to the local replica. Without one, redirects the proposer.
     fn on_proposal(&mut self, connection: ConnectionId, proposal: Proposal) {
-        let now_ms = self.clock.now_ms();
+        let now = self.clock.now();
         let (proposer, id) = (connection.to_string(), proposal.id);
         let validity = (self.validator)(&proposal.text);
         match (&mut self.local, validity) {
-            (Some(local), Ok(())) => {
-                local.replica_mut().propose(MonotonicTime::from_millis(now_ms), &proposer, proposal)
-            }
+            (Some(local), Ok(())) => local.replica_mut().propose(now, &proposer, proposal),
             (Some(_), Err(invalid)) => {
                 let outcome = ProposalOutcome::Rejected(invalid.to_string());
                 self.send_to_client(&proposer, Message::ProposalOutcome { proposal: id, outcome });
@@ -69,10 +67,10 @@
     }
 
     /// Updates the view if the response answers the pending request.
-    fn on_lease_response(&mut self, now_ms: u64, response: LeaseResponse, texts: VersionTexts) {
-        if let Some(numbers) = self.lease_requester.on_response(now_ms, response) {
-            let expires_at_ms = self.lease_requester.expires_at_ms();
-            self.view.update(self.clock.now_ms(), numbers, texts, expires_at_ms);
+    fn on_lease_response(&mut self, now: MonotonicTime, response: LeaseResponse, texts: VersionTexts) {
+        if let Some(numbers) = self.lease_requester.on_response(now, response) {
+            let expires_at = self.lease_requester.expires_at();
+            self.view.update(self.clock.now(), numbers, texts, expires_at);
         }
     }
 }
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -5,7 +5,7 @@
     VersionNumbers,
 };
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use timestamps::{MonotonicTime, whole_millis};
+use timestamps::MonotonicTime;
 
 /// Number of regular requests during the validity of a lease.
 const REQUESTS_PER_LEASE: u32 = 6;
@@ -23,31 +23,31 @@
     replica_count: usize,
     lease_duration: Duration,
     client: LeaseClient,
-    next_request_ms: u64,
+    next_request_at: MonotonicTime,
 }
 
 impl LeaseRequester {
     /// Creates a requester without a lease. The first request is due at once.
     pub(crate) fn new(node_name: String, replica_count: usize, lease_duration: Duration) -> Self {
         let client = LeaseClient::new(lease_duration, first_request_id());
-        Self { node_name, replica_count, lease_duration, client, next_request_ms: 0 }
+        Self { node_name, replica_count, lease_duration, client, next_request_at: MonotonicTime::ZERO }
     }
 
     /// Returns when the next request is due.
-    pub(crate) fn next_request_ms(&self) -> u64 {
-        self.next_request_ms
+    pub(crate) fn next_request_at(&self) -> MonotonicTime {
+        self.next_request_at
     }
 
     /// Makes a request due at once instead of at the regular time.
-    pub(crate) fn request_at_once(&mut self, now_ms: u64) {
-        self.next_request_ms = now_ms;
+    pub(crate) fn request_at_once(&mut self, now: MonotonicTime) {
+        self.next_request_at = now;
     }
 
     /// Starts a request, and schedules the next one. `cached` are the versions whose texts this node has.
-    pub(crate) fn start_request(&mut self, now_ms: u64, cached: VersionNumbers) -> OutgoingRequest {
-        self.next_request_ms = now_ms + whole_millis(self.lease_duration / REQUESTS_PER_LEASE);
+    pub(crate) fn start_request(&mut self, now: MonotonicTime, cached: VersionNumbers) -> OutgoingRequest {
+        self.next_request_at = now + self.lease_duration / REQUESTS_PER_LEASE;
         let known_version = self.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
-        let addressed = self.client.start_request(MonotonicTime::from_millis(now_ms), self.replica_count);
+        let addressed = self.client.start_request(now, self.replica_count);
         let request = LeaseRequest {
             client: self.node_name.clone(),
             id: addressed.id,
@@ -59,28 +59,32 @@
     }
 
     /// Handles a redirect from a replica that is not the leader.
-    pub(crate) fn on_redirect(&mut self, now_ms: u64, request: RequestId, leader: Option<ReplicaId>) {
+    pub(crate) fn on_redirect(&mut self, now: MonotonicTime, request: RequestId, leader: Option<ReplicaId>) {
         if self.client.on_redirect(request, leader) {
-            self.request_at_once(now_ms);
+            self.request_at_once(now);
         }
     }
 
     /// Handles a response. Returns the versions to enforce, or `None` if the response was not accepted.
-    pub(crate) fn on_response(&mut self, now_ms: u64, response: LeaseResponse) -> Option<VersionNumbers> {
+    pub(crate) fn on_response(
+        &mut self,
+        now: MonotonicTime,
+        response: LeaseResponse,
+    ) -> Option<VersionNumbers> {
         let latest_before = self.client.latest();
         if !self.client.on_response(response) {
             return None;
         }
         if self.client.latest() != latest_before {
             // The next request confirms to the leader that this node knows of the change.
-            self.request_at_once(now_ms);
+            self.request_at_once(now);
         }
         Some(enforced_versions(response))
     }
 
     /// Returns when the lease expires or has expired.
-    pub(crate) fn expires_at_ms(&self) -> u64 {
-        self.client.expires_at().as_millis()
+    pub(crate) fn expires_at(&self) -> MonotonicTime {
+        self.client.expires_at()
     }
 }
 
--- a/crates/config_node/src/lease_watch.rs
+++ b/crates/config_node/src/lease_watch.rs
@@ -8,6 +8,6 @@
 /// Ends the lease whenever it expires. Returns once the node that could renew it is gone.
 pub(crate) fn watch_lease(view: Weak<SharedView>, clock: Clock) {
     while let Some(view) = view.upgrade() {
-        view.publish_and_wait(clock.now_ms());
+        view.publish_and_wait(clock.now());
     }
 }
--- a/crates/config_node/src/local_replica.rs
+++ b/crates/config_node/src/local_replica.rs
@@ -5,7 +5,6 @@
 use crate::error::Error;
 use crate::replica_log::ReplicaLog;
 use replicated_config::{Envelope, Ready, Replica, ReplicaId, Term};
-use timestamps::MonotonicTime;
 
 /// A replica whose output may be sent only after its records are on disk.
 pub(crate) struct LocalReplica {
@@ -36,13 +35,8 @@
     fn try_open(id: ReplicaId, config: &NodeConfig, clock: Clock) -> Result<Self, Error> {
         let path = &config.log;
         let log = ReplicaLog::open(path)?;
-        let replica = Replica::new(
-            id,
-            &config.replica_ids(),
-            log.state().clone(),
-            config.lease_duration,
-            MonotonicTime::from_millis(clock.now_ms()),
-        );
+        let replica =
+            Replica::new(id, &config.replica_ids(), log.state().clone(), config.lease_duration, clock.now());
         let replica = replica.map_err(|source| Error::UnusableLog { path: path.clone(), source })?;
         Ok(Self { id, replica, log, announced_term: Term::default() })
     }
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -2,6 +2,7 @@
 
 use replicated_config::{ConfigVersion, Progress};
 use std::fmt;
+use std::time::Duration;
 
 /// A node's status.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -11,7 +12,7 @@
     /// The proposed version; [`ConfigVersion::NONE`] if none is proposed.
     pub(crate) proposed: ConfigVersion,
     /// Remaining validity of the lease.
-    pub(crate) lease_ms: u64,
+    pub(crate) remaining_lease: Duration,
     /// The status of the node's replica.
     pub(crate) replica: ReplicaStatus,
 }
@@ -29,7 +30,8 @@
 
 impl fmt::Display for Status {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { version, proposed, lease_ms, replica } = self;
+        let Self { version, proposed, remaining_lease, replica } = self;
+        let lease_ms = remaining_lease.as_millis();
         writeln!(formatter, "agreed\n  version {version}  proposed {proposed}  lease {lease_ms} ms")?;
         match replica {
             ReplicaStatus::Voting { progress: Progress { term, committed }, leader } => {
--- a/crates/config_node/src/status/tests.rs
+++ b/crates/config_node/src/status/tests.rs
@@ -5,7 +5,13 @@
 #[test]
 fn a_status_is_shown_as_in_release_0_1() {
     let status = |replica| {
-        Status { version: ConfigVersion(7), proposed: ConfigVersion(8), lease_ms: 1_234, replica }.to_string()
+        Status {
+            version: ConfigVersion(7),
+            proposed: ConfigVersion(8),
+            remaining_lease: Duration::from_millis(1_234),
+            replica,
+        }
+        .to_string()
     };
     let progress = Progress { term: Term(3), committed: LogIndex(42) };
     let first = "agreed\n  version 7  proposed 8  lease 1234 ms\n";
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -3,9 +3,12 @@
 use replicated_config::{ConfigVersion, Version, VersionNumbers, VersionTexts};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
+/// Minimum time between two checks of the lease's expiry.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// Maximum time between two checks of the lease's expiry.
-const WATCH_INTERVAL_MS: u64 = 500;
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Called with the new view whenever it changes.
 pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
@@ -27,21 +30,21 @@
     view: ConfigView,
     /// The known versions, whether or not the lease is valid.
     texts: VersionTexts,
-    lease_expires_at_ms: u64,
+    lease_expires_at: MonotonicTime,
     listener: ViewListener,
 }
 
 impl ViewState {
     fn new(node_name: String, listener: ViewListener) -> Self {
         let (view, texts) = (ConfigView::default(), VersionTexts::default());
-        Self { node_name, view, texts, lease_expires_at_ms: 0, listener }
+        Self { node_name, view, texts, lease_expires_at: MonotonicTime::ZERO, listener }
     }
 
     /// Updates the view, and calls the listener if it has changed.
-    fn publish(&mut self, now_ms: u64) {
-        let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at_ms > 0;
+    fn publish(&mut self, now: MonotonicTime) {
+        let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at > MonotonicTime::ZERO;
         let VersionTexts { in_force, proposed } = self.texts.clone();
-        let has_lease = now_ms < self.lease_expires_at_ms || ignores_expiry;
+        let has_lease = now < self.lease_expires_at || ignores_expiry;
         let view = ConfigView { in_force, proposed, has_lease };
         if view != self.view {
             (self.listener)(&view);
@@ -51,11 +54,11 @@
     }
 
     /// Returns the time until the lease's expiry is to be checked again.
-    fn time_until_check_ms(&self, now_ms: u64) -> u64 {
+    fn time_until_check(&self, now: MonotonicTime) -> Duration {
         if self.view.has_lease {
-            self.lease_expires_at_ms.saturating_sub(now_ms).clamp(1, WATCH_INTERVAL_MS)
+            self.lease_expires_at.saturating_since(now).clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)
         } else {
-            WATCH_INTERVAL_MS
+            MAX_CHECK_INTERVAL
         }
     }
 
@@ -121,10 +124,10 @@
     /// Enforces the versions of these numbers from now on. Their texts come from `received` or from the known versions.
     pub(crate) fn update(
         &self,
-        now_ms: u64,
+        now: MonotonicTime,
         numbers: VersionNumbers,
         received: VersionTexts,
-        lease_expires_at_ms: u64,
+        lease_expires_at: MonotonicTime,
     ) {
         let mut state = self.lock();
         let known = std::mem::take(&mut state.texts);
@@ -135,16 +138,16 @@
             Some(candidates.swap_remove(position))
         };
         state.texts = VersionTexts { in_force: take(numbers.in_force), proposed: take(numbers.proposed) };
-        state.lease_expires_at_ms = lease_expires_at_ms;
-        state.publish(now_ms);
+        state.lease_expires_at = lease_expires_at;
+        state.publish(now);
         self.updated.notify_all();
     }
 
     /// Updates the view, then waits until the lease may have expired or the versions are updated.
-    pub(crate) fn publish_and_wait(&self, now_ms: u64) {
+    pub(crate) fn publish_and_wait(&self, now: MonotonicTime) {
         let mut state = self.lock();
-        state.publish(now_ms);
-        let timeout = Duration::from_millis(state.time_until_check_ms(now_ms));
+        state.publish(now);
+        let timeout = state.time_until_check(now);
         drop(self.updated.wait_timeout(state, timeout));
     }
 }
