--- a/crates/replicated_config/src/replica/read_rounds.rs
+++ b/crates/replicated_config/src/replica/read_rounds.rs
@@ -3,16 +3,40 @@
 
 use super::MAX_PENDING;
 use crate::message::LeaseRequest;
-use std::collections::BTreeMap;
+
+/// Identifies a confirmation round among those of one replica.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+struct RoundId(u64);
+
+impl RoundId {
+    fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+
+    /// Encodes the id as a context of the Raft library, which returns the context when the round is confirmed.
+    fn to_context(self) -> Vec<u8> {
+        self.0.to_be_bytes().to_vec()
+    }
+
+    /// Returns the id that a context encodes, or `None` if the context is not that of a round.
+    fn from_context(context: Vec<u8>) -> Option<Self> {
+        context.try_into().ok().map(|bytes| Self(u64::from_be_bytes(bytes)))
+    }
+}
+
+/// A round that a quorum has yet to confirm.
+struct OpenRound {
+    id: RoundId,
+    requests: Vec<LeaseRequest>,
+}
 
 /// Lease requests, grouped by the confirmation round that they wait for.
 #[derive(Default)]
 pub(super) struct ReadRounds {
     /// Requests that arrived since the last round started, at most one from each client.
     waiting: Vec<LeaseRequest>,
-    /// Requests of the open round, by the round's number.
-    open: BTreeMap<u64, Vec<LeaseRequest>>,
-    next_round: u64,
+    open: Option<OpenRound>,
+    next_id: RoundId,
 }
 
 impl ReadRounds {
@@ -29,26 +53,30 @@
 
     /// Returns whether requests wait and no round is open.
     pub(super) fn can_start(&self) -> bool {
-        !self.waiting.is_empty() && self.open.is_empty()
+        !self.waiting.is_empty() && self.open.is_none()
     }
 
     /// Starts a round for all waiting requests. Returns the context that identifies the round in the Raft library.
     pub(super) fn start(&mut self) -> Vec<u8> {
-        let round = self.next_round;
-        self.next_round += 1;
-        self.open.insert(round, std::mem::take(&mut self.waiting));
-        round.to_be_bytes().to_vec()
+        let id = self.next_id;
+        self.next_id = id.next();
+        self.open = Some(OpenRound { id, requests: std::mem::take(&mut self.waiting) });
+        id.to_context()
     }
 
-    /// Ends the round with this context and returns its requests.
+    /// Ends the open round if this is its context. Returns the round's requests, or none if the context is that of a dropped round.
     pub(super) fn finish(&mut self, context: Vec<u8>) -> Vec<LeaseRequest> {
-        let round = context.try_into().map_or(u64::MAX, u64::from_be_bytes);
-        self.open.remove(&round).unwrap_or_default()
+        let confirmed = RoundId::from_context(context);
+        let round = self.open.take_if(|round| Some(round.id) == confirmed);
+        round.map_or_else(Vec::new, |round| round.requests)
     }
 
     /// Drops all requests. Their clients retry.
     pub(super) fn clear(&mut self) {
-        self.open.clear();
+        self.open = None;
         self.waiting.clear();
     }
 }
+
+#[cfg(test)]
+mod tests;
