--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -17,6 +17,7 @@
 //! - Moments are those of the node's own monotonic clock. Clocks of different nodes are never compared.
 //! - Commands, logs, pending requests and recorded outcomes are bounded.
 
+mod encoding;
 mod error;
 mod ids;
 mod lease;
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -1,5 +1,6 @@
 //! Messages between nodes. The encoding is positional: it depends on the order of fields and variants, not on their names.
 
+use crate::encoding::encode;
 use crate::error::Error;
 use crate::ids::{ProposalId, ReplicaId, RequestId};
 use crate::limits::MAX_MESSAGE_BYTES;
@@ -93,8 +94,7 @@
 impl Message {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Encoding into a vector cannot fail for the types in a message.
-        postcard::to_stdvec(self).unwrap_or_default()
+        encode(self)
     }
 
     /// Decodes a message.
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -10,6 +10,7 @@
 
 pub use ready::{Envelope, Ready};
 
+use crate::encoding::encode;
 use crate::error::Error;
 use crate::ids::ReplicaId;
 use crate::lease::LeaseTable;
@@ -207,8 +208,7 @@
 
     /// Appends a command to the log. Returns false if the library does not accept it now.
     fn append_command(&mut self, command: &Command) -> bool {
-        let data = postcard::to_stdvec(command).unwrap_or_default();
-        self.raw_node.propose(Vec::new(), data).is_ok()
+        self.raw_node.propose(Vec::new(), encode(command)).is_ok()
     }
 
     /// Returns the output since the last call.
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -2,8 +2,9 @@
 //! reads to answer.
 
 use super::Replica;
+use crate::encoding::encode;
 use crate::log::{HardState, LogEntry, LogRecord, Snapshot};
-use crate::log_position::{LogIndex, Term};
+use crate::log_position::LogIndex;
 use crate::message::Message;
 use crate::raft_message::RaftMessage;
 use crate::state::Command;
@@ -11,7 +12,7 @@
 use timestamps::MonotonicTime;
 
 /// Number of entries at which the log is compacted.
-const MAX_RETAINED_ENTRIES: usize = 256;
+const COMPACTION_ENTRIES: usize = 256;
 
 impl Replica {
     /// Processes all output that the last event has caused.
@@ -126,13 +127,12 @@
     /// Replaces the applied entries by a snapshot once the log is long.
     fn compact_log(&mut self) {
         let durable = self.raw_node.store().durable();
-        let applied = LogIndex(self.raw_node.raft.raft_log.applied);
-        if durable.entries.len() < MAX_RETAINED_ENTRIES || applied <= durable.snapshot.index {
+        let index = LogIndex(self.raw_node.raft.raft_log.applied);
+        let is_long = durable.entries.len() >= COMPACTION_ENTRIES;
+        if !is_long || index <= durable.snapshot.index {
             return;
         }
-        let applied_entry = durable.entries.iter().find(|entry| entry.index == applied);
-        let term = applied_entry.map_or(Term::default(), |entry| entry.term);
-        let state = postcard::to_stdvec(&self.state).unwrap_or_default();
-        self.write(LogRecord::Snapshot(Snapshot { index: applied, term, state }));
+        let term = durable.term_at(index).unwrap_or_default();
+        self.write(LogRecord::Snapshot(Snapshot { index, term, state: encode(&self.state) }));
     }
 }
