--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -10,8 +10,8 @@
 use crate::local_replica::{LocalReplica, OutgoingMessages};
 use crate::peers::Peers;
 use crate::status::{ReplicaStatus, Status};
-use crate::view::{SharedView, version_number};
-use replicated_config::{Envelope, Message, Replica};
+use crate::view::SharedView;
+use replicated_config::{Envelope, Message, Replica, VersionNumbers};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
@@ -147,10 +147,10 @@
     }
 
     fn status(&self) -> Status {
-        let texts = self.view.texts();
+        let VersionNumbers { in_force, proposed } = self.view.known_numbers();
         Status {
-            version: version_number(&texts.in_force),
-            proposed: version_number(&texts.proposed),
+            in_force,
+            proposed,
             remaining_lease: self.lease_requester.expires_at().saturating_since(self.clock.now()),
             replica: self.replica_status(),
         }
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -46,7 +46,7 @@
     /// Starts a request, and schedules the next one. `cached` are the versions whose texts this node has.
     pub(crate) fn start_request(&mut self, now: MonotonicTime, cached: VersionNumbers) -> OutgoingRequest {
         self.next_request_at = now + self.lease_duration / REQUESTS_PER_LEASE;
-        let known_version = self.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
+        let known_version = self.client.known_version();
         let addressed = self.client.start_request(now, self.replica_count);
         let request = LeaseRequest {
             client: self.node_name.clone(),
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
     /// The version in force; [`ConfigVersion::NONE`] before the first.
-    pub(crate) version: ConfigVersion,
+    pub(crate) in_force: ConfigVersion,
     /// The proposed version; [`ConfigVersion::NONE`] if none is proposed.
     pub(crate) proposed: ConfigVersion,
     /// Remaining validity of the lease.
@@ -30,9 +30,9 @@
 
 impl fmt::Display for Status {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { version, proposed, remaining_lease, replica } = self;
+        let Self { in_force, proposed, remaining_lease, replica } = self;
         let lease_ms = remaining_lease.as_millis();
-        writeln!(formatter, "agreed\n  version {version}  proposed {proposed}  lease {lease_ms} ms")?;
+        writeln!(formatter, "agreed\n  version {in_force}  proposed {proposed}  lease {lease_ms} ms")?;
         match replica {
             ReplicaStatus::Voting { progress: Progress { term, committed }, leader } => {
                 let leader = leader.as_deref().unwrap_or("nobody");
--- a/crates/config_node/src/status/tests.rs
+++ b/crates/config_node/src/status/tests.rs
@@ -6,7 +6,7 @@
 fn a_status_is_shown_as_in_release_0_1() {
     let status = |replica| {
         Status {
-            version: ConfigVersion(7),
+            in_force: ConfigVersion(7),
             proposed: ConfigVersion(8),
             remaining_lease: Duration::from_millis(1_234),
             replica,
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -63,7 +63,8 @@
     }
 
     fn log(&self, view: &ConfigView) {
-        let (version, proposed) = (version_number(&view.in_force).0, version_number(&view.proposed).0);
+        let version = ConfigVersion::of(view.in_force.as_ref()).0;
+        let proposed = ConfigVersion::of(view.proposed.as_ref()).0;
         let (leased, name) = (view.has_lease, &self.node_name);
         match (leased, proposed) {
             (false, _) => {
@@ -81,11 +82,6 @@
     }
 }
 
-/// Returns a version's number, or [`ConfigVersion::NONE`].
-pub(crate) fn version_number(version: &Option<Version>) -> ConfigVersion {
-    version.as_ref().map_or(ConfigVersion::NONE, |version| version.number)
-}
-
 /// The view, shared by the thread that owns the node's state and the thread that watches the lease.
 pub(crate) struct SharedView {
     state: Mutex<ViewState>,
@@ -107,18 +103,9 @@
         (state.listener)(&state.view);
     }
 
-    /// Returns the known versions, whether or not the lease is valid.
-    pub(crate) fn texts(&self) -> VersionTexts {
-        self.lock().texts.clone()
-    }
-
-    /// Returns the numbers of the known versions.
+    /// Returns the numbers of the known versions, whether or not the lease is valid.
     pub(crate) fn known_numbers(&self) -> VersionNumbers {
-        let texts = &self.lock().texts;
-        VersionNumbers {
-            in_force: version_number(&texts.in_force),
-            proposed: version_number(&texts.proposed),
-        }
+        self.lock().texts.numbers()
     }
 
     /// Enforces the versions of these numbers from now on. Their texts come from `received` or from the known versions.
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{ReplicaId, RequestId};
 use crate::message::LeaseResponse;
-use crate::version::LatestVersion;
+use crate::version::{ConfigVersion, LatestVersion};
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
@@ -109,6 +109,12 @@
     pub fn latest(&self) -> Option<LatestVersion> {
         self.latest
     }
+
+    /// Returns the number of the latest known version, which each lease request states; [`ConfigVersion::NONE`] before the first
+    /// response.
+    pub fn known_version(&self) -> ConfigVersion {
+        self.latest.map_or(ConfigVersion::NONE, |latest| latest.number)
+    }
 }
 
 #[cfg(test)]
--- a/crates/replicated_config/src/lease/client/tests.rs
+++ b/crates/replicated_config/src/lease/client/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::version::{ConfigVersion, RolloutPhase};
+use crate::version::RolloutPhase;
 
 const LEASE_DURATION: Duration = Duration::from_secs(3);
 
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -91,6 +91,16 @@
     pub proposed: Option<Version>,
 }
 
+impl VersionTexts {
+    /// Returns the numbers of these versions.
+    pub fn numbers(&self) -> VersionNumbers {
+        VersionNumbers {
+            in_force: ConfigVersion::of(self.in_force.as_ref()),
+            proposed: ConfigVersion::of(self.proposed.as_ref()),
+        }
+    }
+}
+
 impl Message {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -101,8 +101,7 @@
 
     /// Returns the number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
     pub fn latest_number(&self) -> ConfigVersion {
-        let latest = self.proposed.as_ref().or(self.in_force());
-        latest.map_or(ConfigVersion::NONE, |version| version.number)
+        ConfigVersion::of(self.proposed().or(self.in_force()))
     }
 
     /// Returns the latest version and its phase. Before the first version the phase is [`RolloutPhase::InForce`].
@@ -147,7 +146,7 @@
             let proposed_by = open.proposed_by.clone();
             return ProposalOutcome::RolloutInProgress { version: open.number, proposed_by };
         }
-        let in_force = self.in_force().map_or(ConfigVersion::NONE, |version| version.number);
+        let in_force = ConfigVersion::of(self.in_force());
         if proposal.expected_version.is_some_and(|expected| expected != in_force) {
             let proposed_by = self.in_force().map_or_else(String::new, |version| version.proposed_by.clone());
             return ProposalOutcome::VersionConflict { in_force, proposed_by };
--- a/crates/replicated_config/src/version.rs
+++ b/crates/replicated_config/src/version.rs
@@ -12,6 +12,11 @@
     /// Stands for "no version" in messages. It precedes every version.
     pub const NONE: Self = Self(0);
 
+    /// Returns the number of a version, or [`ConfigVersion::NONE`] if there is no version.
+    pub fn of(version: Option<&Version>) -> Self {
+        version.map_or(Self::NONE, |version| version.number)
+    }
+
     /// Returns the number of the version that follows this one.
     #[must_use]
     pub fn next(self) -> Self {
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -276,8 +276,7 @@
         let now = self.clock(i);
         let machine = &mut self.machines[i];
         machine.next_request_at = self.now + REQUEST_INTERVAL;
-        let known_version = machine.client.latest().map_or(ConfigVersion::NONE, |latest| latest.number);
-        let cached = machine.cached;
+        let (known_version, cached) = (machine.client.known_version(), machine.cached);
         let request = machine.client.start_request(now, self.replicas.len());
         let message = Message::LeaseRequest(LeaseRequest {
             client: i.to_string(),
