--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -1,8 +1,8 @@
 //! Requests leases for this node: when, from which replica, and what follows from the response.
 
 use replicated_config::{
-    ConfigVersion, LeaseClient, LeaseRequest, LeaseResponse, ReplicaId, RequestId, RolloutPhase,
-    VersionNumbers,
+    ConfigVersion, LatestVersion, LeaseClient, LeaseRequest, LeaseResponse, ReplicaId, RequestId,
+    RolloutPhase, VersionNumbers,
 };
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use timestamps::MonotonicTime;
@@ -79,7 +79,7 @@
             // The next request confirms to the leader that this node knows of the change.
             self.request_at_once(now);
         }
-        Some(enforced_versions(response))
+        Some(enforced_versions(response.latest()))
     }
 
     /// Returns when the lease expires or has expired.
@@ -95,11 +95,12 @@
     RequestId(since_epoch.as_micros() as u64)
 }
 
-fn enforced_versions(response: LeaseResponse) -> VersionNumbers {
-    let latest = response.version;
-    match response.phase {
-        RolloutPhase::InForce => VersionNumbers { in_force: latest, proposed: ConfigVersion::NONE },
-        RolloutPhase::Proposed => VersionNumbers { in_force: latest.previous(), proposed: latest },
+/// Returns the versions that a holder of a lease on the latest version enforces.
+fn enforced_versions(latest: LatestVersion) -> VersionNumbers {
+    let LatestVersion { number, phase } = latest;
+    match phase {
+        RolloutPhase::InForce => VersionNumbers { in_force: number, proposed: ConfigVersion::NONE },
+        RolloutPhase::Proposed => VersionNumbers { in_force: number.previous(), proposed: number },
     }
 }
 
--- a/crates/replicated_config/src/ids.rs
+++ b/crates/replicated_config/src/ids.rs
@@ -8,7 +8,7 @@
 #[serde(transparent)]
 pub struct ReplicaId(pub u64);
 
-/// The number by which Raft says that there is no replica, such as no vote or no known leader.
+/// Raft's number for the absence of a replica: no vote, or no known leader.
 const NO_REPLICA: u64 = 0;
 
 impl ReplicaId {
@@ -17,7 +17,7 @@
         Self(index as u64 + 1)
     }
 
-    /// Returns the replica's index in the configured list, or `None` for 0, by which Raft says that there is no replica.
+    /// Returns the replica's index in the configured list, or `None` for 0, which Raft uses for the absence of a replica.
     pub fn index(self) -> Option<usize> {
         (self.0 as usize).checked_sub(1)
     }
@@ -42,6 +42,14 @@
 #[serde(transparent)]
 pub struct RequestId(pub u64);
 
+impl RequestId {
+    /// Returns the id of the request after this one.
+    #[must_use]
+    pub fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
+
 impl fmt::Display for RequestId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -17,7 +17,7 @@
     /// Index of the replica to ask next.
     target_index: usize,
     pending: Option<PendingRequest>,
-    next_request: u64,
+    next_id: RequestId,
     latest: Option<LatestVersion>,
     expires_at: MonotonicTime,
 }
@@ -47,7 +47,7 @@
             lease_duration,
             target_index: 0,
             pending: None,
-            next_request: first_request.0,
+            next_id: first_request,
             latest: None,
             expires_at: MonotonicTime::ZERO,
         }
@@ -57,12 +57,13 @@
     /// replica, so that an unreachable replica is asked again only after all others.
     pub fn start_request(&mut self, now: MonotonicTime, replica_count: usize) -> AddressedRequest {
         let timeout = self.lease_duration / RESPONSE_TIMEOUT_DIVISOR;
-        if self.pending.is_some_and(|pending| now >= pending.sent_at + timeout) {
+        let timed_out = self.pending.is_some_and(|pending| now >= pending.sent_at + timeout);
+        if timed_out {
             self.target_index += 1;
         }
         self.target_index %= replica_count.max(1);
-        let id = RequestId(self.next_request);
-        self.next_request += 1;
+        let id = self.next_id;
+        self.next_id = id.next();
         self.pending = Some(PendingRequest { id, sent_at: now });
         AddressedRequest { id, replica: ReplicaId::from_index(self.target_index) }
     }
@@ -73,10 +74,13 @@
         if self.pending.take_if(|pending| pending.id == request).is_none() {
             return false;
         }
-        let leader_index = leader.and_then(ReplicaId::index);
-        // If the leader is unknown, the next regular request goes to the next replica.
-        let leader_is_another = leader_index.is_some_and(|index| index != self.target_index);
-        self.target_index = leader_index.unwrap_or(self.target_index + 1);
+        let Some(leader_index) = leader.and_then(ReplicaId::index) else {
+            // The next regular request goes to the next replica.
+            self.target_index += 1;
+            return false;
+        };
+        let leader_is_another = leader_index != self.target_index;
+        self.target_index = leader_index;
         leader_is_another
     }
 
@@ -85,7 +89,7 @@
         let Some(pending) = self.pending.take_if(|pending| pending.id == response.request) else {
             return false;
         };
-        let latest = LatestVersion { number: response.version, phase: response.phase };
+        let latest = response.latest();
         // Reads are linearizable, so a correct response never goes back behind an earlier one.
         if self.latest.is_some_and(|known| known > latest) {
             return false;
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -48,8 +48,8 @@
         Self { lease_duration, earlier_leases_expire_at, granted: BTreeMap::new() }
     }
 
-    /// Records a lease that is granted now. Returns false, and the request must not be answered, if the table is full or a later
-    /// request of this holder has been answered.
+    /// Grants a lease. Returns false if the table is full or holds a valid lease for a later request of this holder. The leader
+    /// then does not answer the request.
     ///
     /// `known_version` is the latest version that the holder knew of when it sent the request. The version in the response does
     /// not count: the response may get lost while an earlier lease is still valid.
@@ -60,8 +60,8 @@
         request: RequestId,
         known_version: ConfigVersion,
     ) -> bool {
-        let is_newer = |lease: &GrantedLease| request < lease.request && lease.is_valid(now);
-        if self.granted.get(holder).is_some_and(is_newer) {
+        let is_for_later_request = |lease: &GrantedLease| request < lease.request && lease.is_valid(now);
+        if self.granted.get(holder).is_some_and(is_for_later_request) {
             return false;
         }
         if !self.granted.contains_key(holder) && !self.has_capacity(now) {
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -6,7 +6,7 @@
 use crate::limits::MAX_MESSAGE_BYTES;
 use crate::raft_message::RaftMessage;
 use crate::state::{Proposal, ProposalOutcome};
-use crate::version::{ConfigVersion, RolloutPhase, Version};
+use crate::version::{ConfigVersion, LatestVersion, RolloutPhase, Version};
 use serde::{Deserialize, Serialize};
 
 /// A message from one node to another.
@@ -91,6 +91,13 @@
     pub proposed: Option<Version>,
 }
 
+impl LeaseResponse {
+    /// Returns the latest version and its phase.
+    pub fn latest(&self) -> LatestVersion {
+        LatestVersion { number: self.version, phase: self.phase }
+    }
+}
+
 impl VersionTexts {
     /// Returns the numbers of these versions.
     pub fn numbers(&self) -> VersionNumbers {
