--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -15,7 +15,7 @@
 use crate::ids::ReplicaId;
 use crate::lease::LeaseTable;
 use crate::limits::MAX_TEXT_BYTES;
-use crate::log::DurableState;
+use crate::log::{DurableState, Snapshot};
 use crate::log_position::{LogIndex, Term};
 use crate::message::{LeaseRequest, Message};
 use crate::raft_message::RaftMessage;
@@ -77,13 +77,8 @@
         lease_duration: Duration,
         now: MonotonicTime,
     ) -> Result<Self, Error> {
-        let index_in_list = replicas.iter().position(|replica| *replica == id);
-        let index_in_list =
-            index_in_list.ok_or(Error::UnknownReplica { id, replica_count: replicas.len() })?;
-        let state = match &durable.snapshot.state[..] {
-            [] => ConfigState::default(),
-            encoded => postcard::from_bytes(encoded).map_err(Error::UnreadableSnapshot)?,
-        };
+        let index_in_list = position_of(id, replicas)?;
+        let state = decode_state(&durable.snapshot)?;
         durable.check_complete()?;
         let config = raft_config(id, index_in_list, durable.snapshot.index);
         let storage = LogStorage::new(durable, replicas.to_vec());
@@ -100,7 +95,7 @@
             last_activation: None,
             ready: Ready::default(),
         };
-        replica.advance(now);
+        replica.process_raft_output(now);
         Ok(replica)
     }
 
@@ -114,6 +109,11 @@
         ReplicaId::from_raft(self.raw_node.raft.leader_id)
     }
 
+    /// Returns whether this replica leads, as far as it knows.
+    fn is_leader(&self) -> bool {
+        self.leases.is_some()
+    }
+
     /// Returns the leader to redirect a client to, unless it is this replica itself.
     fn other_leader(&self) -> Option<ReplicaId> {
         self.leader().filter(|leader| *leader != self.id)
@@ -146,7 +146,7 @@
         for _ in 0..self.clock.advance(now) {
             self.raw_node.tick();
         }
-        self.advance(now);
+        self.process_raft_output(now);
     }
 
     /// Handles a message from another replica. Messages that are invalid or for another replica are dropped.
@@ -157,18 +157,18 @@
         };
         // Raft tolerates lost messages, so one that the library rejects is dropped.
         let _ = self.raw_node.step(message);
-        self.advance(now);
+        self.process_raft_output(now);
     }
 
     /// Handles a client's lease request: redirects it, or answers it once a quorum has confirmed that this replica leads.
     pub fn on_lease_request(&mut self, now: MonotonicTime, request: LeaseRequest) {
-        if self.leases.is_none() {
+        if !self.is_leader() {
             let redirect = Message::RedirectLeaseRequest { request: request.id, leader: self.other_leader() };
             self.ready.send_to_client(request.client, redirect);
             return;
         }
         self.reads.enqueue(request);
-        self.advance(now);
+        self.process_raft_output(now);
     }
 
     /// Handles a client's proposal. The outcome or a redirect is sent to `proposer`.
@@ -177,13 +177,13 @@
             Some(reply) => self.ready.send_to_client(proposer.to_owned(), reply),
             None => self.append_proposal(proposer, proposal),
         }
-        self.advance(now);
+        self.process_raft_output(now);
     }
 
     /// Returns the reply to a proposal that needs no entry in the log: a redirect, or an outcome that is known already.
     fn immediate_reply(&self, proposal: &Proposal) -> Option<Message> {
         let id = proposal.id;
-        if self.leases.is_none() {
+        if !self.is_leader() {
             return Some(Message::RedirectProposal { proposal: id, leader: self.other_leader() });
         }
         let outcome = if proposal.text.len() > MAX_TEXT_BYTES {
@@ -217,5 +217,19 @@
     }
 }
 
+/// Returns the index of a replica in the configured list.
+fn position_of(id: ReplicaId, replicas: &[ReplicaId]) -> Result<usize, Error> {
+    let position = replicas.iter().position(|replica| *replica == id);
+    position.ok_or(Error::UnknownReplica { id, replica_count: replicas.len() })
+}
+
+/// Returns the state that a snapshot holds, or the initial state if there is no snapshot yet.
+fn decode_state(snapshot: &Snapshot) -> Result<ConfigState, Error> {
+    if snapshot.state.is_empty() {
+        return Ok(ConfigState::default());
+    }
+    postcard::from_bytes(&snapshot.state).map_err(Error::UnreadableSnapshot)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! The leader's duties: it confirms reads, answers lease requests, and puts the proposed version in force.
+//! What a replica does while it leads: it confirms reads, answers lease requests, and puts the proposed version in force.
 
 use super::Replica;
 use crate::lease::LeaseTable;
@@ -18,17 +18,21 @@
 
 impl Replica {
     /// Handles a change of this replica's role.
-    pub(super) fn on_role(&mut self, now: MonotonicTime, role: StateRole) {
+    pub(super) fn on_role_change(&mut self, now: MonotonicTime, role: StateRole) {
         if role != StateRole::Leader {
-            self.leases = None;
-            self.reads.clear();
-            // Proposers retry, and are redirected to the new leader.
-            self.pending_proposals.clear();
-        } else if self.leases.is_none() {
+            self.step_down();
+        } else if !self.is_leader() {
             self.leases = Some(LeaseTable::new(now, self.lease_duration));
         }
     }
 
+    /// Drops the state of a leader. Clients and proposers retry, and are redirected to the new leader.
+    fn step_down(&mut self) {
+        self.leases = None;
+        self.reads.clear();
+        self.pending_proposals.clear();
+    }
+
     /// Appends the command that puts the proposed version in force, as soon as no lease forbids it and at most once in a term.
     /// Returns whether it was appended.
     pub(super) fn activate_proposed(&mut self, now: MonotonicTime) -> bool {
@@ -47,7 +51,7 @@
     /// Starts a confirmation round for the waiting lease requests.
     pub(super) fn start_read_round(&mut self) {
         // A leader knows the last committed entry only once it has committed an entry of the current term.
-        let may_read = self.leases.is_some() && self.raw_node.raft.commit_to_current_term();
+        let may_read = self.is_leader() && self.raw_node.raft.commit_to_current_term();
         if may_read && self.reads.can_start() {
             let context = self.reads.start();
             self.raw_node.read_index(context);
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -15,8 +15,8 @@
 const COMPACTION_ENTRIES: usize = 256;
 
 impl Replica {
-    /// Processes all output that the last event has caused.
-    pub(super) fn advance(&mut self, now: MonotonicTime) {
+    /// Starts what the last event has made possible, and processes the output of the library until there is none left.
+    pub(super) fn process_raft_output(&mut self, now: MonotonicTime) {
         self.start_read_round();
         loop {
             while self.raw_node.has_ready() {
@@ -33,7 +33,7 @@
     fn process_raft_ready(&mut self, now: MonotonicTime) {
         let mut ready = self.raw_node.ready();
         if let Some(soft_state) = ready.ss() {
-            self.on_role(now, soft_state.raft_state);
+            self.on_role_change(now, soft_state.raft_state);
         }
         self.send_to_replicas(ready.take_messages());
         self.persist(&ready);
--- a/crates/replicated_config/src/replica/tests.rs
+++ b/crates/replicated_config/src/replica/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::log::{HardState, LogEntry, Snapshot};
+use crate::log::{HardState, LogEntry};
 
 fn start(id: u64, durable: DurableState) -> Result<Replica, Error> {
     let replicas: Vec<ReplicaId> = (0..3).map(ReplicaId::from_index).collect();
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -146,12 +146,13 @@
             let proposed_by = open.proposed_by.clone();
             return ProposalOutcome::RolloutInProgress { version: open.number, proposed_by };
         }
-        let in_force = ConfigVersion::of(self.in_force());
-        if proposal.expected_version.is_some_and(|expected| expected != in_force) {
-            let proposed_by = self.in_force().map_or_else(String::new, |version| version.proposed_by.clone());
-            return ProposalOutcome::VersionConflict { in_force, proposed_by };
+        let none = Version::default();
+        let in_force = self.in_force().unwrap_or(&none);
+        if proposal.expected_version.is_some_and(|expected| expected != in_force.number) {
+            let proposed_by = in_force.proposed_by.clone();
+            return ProposalOutcome::VersionConflict { in_force: in_force.number, proposed_by };
         }
-        let number = in_force.next();
+        let number = in_force.number.next();
         let Proposal { proposed_by, text, .. } = proposal;
         self.proposed = Some(Version { number, proposed_by, text });
         ProposalOutcome::Accepted(number)
