--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -1,13 +1,17 @@
 //! Replicas and lease clients in simulated time. Messages are delayed, lost and duplicated, machines stop, crash and restart from
 //! their disks, and the network partitions. At each millisecond no two leases contradict, and no committed version is lost.
 
+mod machine;
+mod network;
 mod simulation;
 
+use machine::{LEASE_DURATION, REQUEST_INTERVAL, ReceivedOutcome, proposal};
+use network::random_millis;
 use replicated_config::{
     ConfigVersion, LeaseClient, LeaseRequest, LeaseResponse, Message, ProposalId, ProposalOutcome, RequestId,
     RolloutPhase, VersionNumbers,
 };
-use simulation::{LEASE_DURATION, REQUEST_INTERVAL, ReceivedOutcome, Simulation, proposal, random_millis};
+use simulation::Simulation;
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
@@ -35,7 +39,7 @@
         let mut simulation = Simulation::new(seed, 3, 8);
         simulation.run_for(Duration::from_millis(3_500));
         let leader = simulation.leader().expect("there is a leader");
-        simulation.crash(leader);
+        simulation.machines[leader].crash();
         let proposed = simulation.propose(7, 1, Duration::from_secs(5)).expect("the outcome arrives");
         assert_eq!(proposed.outcome, ProposalOutcome::Accepted(ConfigVersion(1)), "seed {seed}");
         assert!(proposed.elapsed < Duration::from_secs(3), "seed {seed}: {:?}", proposed.elapsed);
@@ -71,7 +75,7 @@
 fn a_request_without_a_lease_delays_no_rollout() {
     let mut simulation = Simulation::new(4, 3, 6);
     simulation.run_for(Duration::from_secs(5));
-    simulation.crash(5);
+    simulation.machines[5].crash();
     simulation.run_for(LEASE_DURATION);
     for to in 0..3 {
         let request = LeaseRequest {
@@ -97,7 +101,7 @@
     simulation.run_for(Duration::from_millis(3_500));
     let leader = simulation.leader().expect("there is a leader");
     // The leader and a client are cut off from the others.
-    simulation.partition = (0..6).map(|i| u8::from(i == leader || i == 5)).collect();
+    simulation.network.partition = (0..6).map(|i| u8::from(i == leader || i == 5)).collect();
     assert_eq!(simulation.propose(5, 1, Duration::from_secs(6)), None);
     assert_eq!(simulation.machines[5].client.leased_version(simulation.clock(5)), None);
     // The majority commits a version, and the minority adopts it after the partition.
@@ -106,7 +110,7 @@
         simulation.propose(other, 2, Duration::from_secs(3)).map(|proposed| proposed.outcome),
         Some(ProposalOutcome::Accepted(ConfigVersion(1)))
     );
-    simulation.partition = vec![0; 6];
+    simulation.network.heal();
     assert!(simulation.time_until_in_force(ConfigVersion(1), Duration::from_secs(5)).is_some());
 }
 
@@ -142,7 +146,7 @@
         simulation.send(4, leader, &Message::Propose(proposal.clone()));
         simulation.run_for(Duration::from_millis(40));
         simulation.outcomes.clear();
-        simulation.crash(leader);
+        simulation.machines[leader].crash();
         simulation.run_for(Duration::from_millis(2_500));
         let next = simulation.leader().expect("there is another leader");
         simulation.send(4, next, &Message::Propose(proposal));
@@ -178,7 +182,7 @@
     let replicas = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut simulation = Simulation::new(seed, replicas, replicas + 5);
     simulation.ignores_expiry = expiry == LeaseExpiry::Ignored;
-    simulation.loss = if seed.is_multiple_of(2) { 0.1 } else { 0.0 };
+    simulation.network.loss = if seed.is_multiple_of(2) { 0.1 } else { 0.0 };
     simulation.run_for(Duration::from_millis(3_500));
     for id in 1..=60 {
         inject_fault(&mut simulation);
@@ -212,14 +216,14 @@
     let machines = simulation.machines.len();
     let i = simulation.random.usize(0..machines);
     match simulation.random.u32(0..12) {
-        0 if simulation.machines[i].alive => simulation.crash(i),
+        0 if simulation.machines[i].alive => simulation.machines[i].crash(),
         1 if simulation.machines[i].alive => simulation.machines[i].stopped = true,
         2 => {
             let sides = simulation.random.u8(..);
-            simulation.partition = (0..machines).map(|i| sides >> (i % 8) & 1).collect();
+            simulation.network.partition = (0..machines).map(|i| sides >> (i % 8) & 1).collect();
         }
-        3 | 4 => simulation.partition = vec![0; machines],
-        5 => (0..simulation.replicas.len()).for_each(|i| simulation.crash(i)),
+        3 | 4 => simulation.network.heal(),
+        5 => (0..simulation.replicas.len()).for_each(|i| simulation.machines[i].crash()),
         _ => {}
     }
 }
@@ -236,8 +240,8 @@
 }
 
 fn recover_all(simulation: &mut Simulation) {
-    simulation.loss = 0.0;
-    simulation.partition = vec![0; simulation.machines.len()];
+    simulation.network.loss = 0.0;
+    simulation.network.heal();
     for i in 0..simulation.machines.len() {
         simulation.machines[i].stopped = false;
         if !simulation.machines[i].alive {
--- /dev/null
+++ b/crates/replicated_config/tests/simulation/network.rs
@@ -0,0 +1,86 @@
+//! The simulated network: messages are delayed, lost and duplicated, and partitions separate machines.
+
+use replicated_config::Message;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::ops::Range;
+use std::time::Duration;
+use timestamps::{MonotonicTime, whole_millis};
+
+/// Messages take at least this long.
+const MIN_LATENCY: Duration = Duration::from_millis(1);
+/// Messages take less time than this.
+const MAX_LATENCY: Duration = Duration::from_millis(8);
+
+/// A message that is being delivered. Ordered by arrival, then by the order of sending.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct InFlightMessage {
+    arrives_at: MonotonicTime,
+    serial: u64,
+    pub from: usize,
+    pub to: usize,
+    pub bytes: Vec<u8>,
+}
+
+/// The network between the machines.
+pub struct Network {
+    in_flight: BinaryHeap<Reverse<InFlightMessage>>,
+    /// Number of messages that were sent and not lost.
+    sent: u64,
+    /// The network segment of each machine. Machines of the same segment reach each other.
+    pub partition: Vec<u8>,
+    /// Probability that a message is lost. It is duplicated with half this probability.
+    pub loss: f64,
+}
+
+impl Network {
+    /// Creates a network without faults.
+    pub fn new(machine_count: usize) -> Self {
+        Self { in_flight: BinaryHeap::new(), sent: 0, partition: vec![0; machine_count], loss: 0.0 }
+    }
+
+    /// Returns the number of messages that were sent and not lost.
+    pub fn sent(&self) -> u64 {
+        self.sent
+    }
+
+    /// Ends all partitions.
+    pub fn heal(&mut self) {
+        self.partition.fill(0);
+    }
+
+    /// Sends a message, which may be delayed, lost or duplicated.
+    pub fn send(
+        &mut self,
+        now: MonotonicTime,
+        random: &mut fastrand::Rng,
+        from: usize,
+        to: usize,
+        message: &Message,
+    ) {
+        let copies = 1 + usize::from(random.f64() < self.loss / 2.0);
+        for _ in 0..copies {
+            if self.partition[from] == self.partition[to] && random.f64() >= self.loss {
+                self.sent += 1;
+                let arrives_at = now + random_millis(random, MIN_LATENCY..MAX_LATENCY);
+                let bytes = message.encode();
+                let message = InFlightMessage { arrives_at, serial: self.sent, from, to, bytes };
+                self.in_flight.push(Reverse(message));
+            }
+        }
+    }
+
+    /// Removes and returns the next message that has arrived by now.
+    pub fn receive(&mut self, now: MonotonicTime) -> Option<InFlightMessage> {
+        let next = self.in_flight.peek()?;
+        if next.0.arrives_at > now {
+            return None;
+        }
+        self.in_flight.pop().map(|Reverse(message)| message)
+    }
+}
+
+/// Draws a number of whole milliseconds.
+pub fn random_millis(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
+    Duration::from_millis(random.u64(whole_millis(range.start)..whole_millis(range.end)))
+}
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -1,60 +1,19 @@
-//! The simulated network, machines and clocks, and the checks that hold at each millisecond.
+//! A cluster in simulated time, and the checks that hold at each millisecond.
 
+use crate::machine::{Machine, ReceivedOutcome, proposal};
+use crate::network::{InFlightMessage, Network};
 use replicated_config::{
-    ConfigVersion, DurableState, Envelope, LatestVersion, LeaseClient, LeaseRequest, Message, Proposal,
-    ProposalId, ProposalOutcome, Replica, ReplicaId, RequestId, RolloutPhase, Version, VersionNumbers,
+    ConfigVersion, Envelope, LatestVersion, Message, ProposalOutcome, Replica, ReplicaId, RequestId,
+    RolloutPhase,
 };
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
-use std::ops::Range;
+use std::collections::BTreeMap;
 use std::time::Duration;
-use timestamps::{MonotonicTime, whole_millis};
+use timestamps::MonotonicTime;
 
-pub const LEASE_DURATION: Duration = Duration::from_secs(3);
-/// Time between two requests of a lease client.
-pub const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(1);
 /// Time between two attempts of a proposer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Clocks of machines are ahead of the simulation's clock by less than this.
-const MAX_CLOCK_OFFSET: Duration = Duration::from_secs(1_000);
-/// Messages take less time than this.
-const MAX_LATENCY: Duration = Duration::from_millis(8);
-
-/// A machine. Each one runs a lease client, and the first ones also run a replica.
-pub struct Machine {
-    /// Offset of the machine's monotonic clock from the simulation's clock.
-    clock_offset: Duration,
-    /// False from a crash to the restart.
-    pub alive: bool,
-    /// Whether the process is suspended, as by SIGSTOP. It keeps its memory and misses all messages.
-    pub stopped: bool,
-    replica: Option<Replica>,
-    /// The replica's state on disk, which survives a crash.
-    disk: DurableState,
-    pub client: LeaseClient,
-    next_request_at: MonotonicTime,
-    /// The versions whose texts the client has.
-    cached: VersionNumbers,
-}
-
-/// A message that is being delivered. Ordered by arrival, then by the order of sending.
-#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct InFlightMessage {
-    arrives_at: MonotonicTime,
-    serial: u64,
-    from: usize,
-    to: usize,
-    bytes: Vec<u8>,
-}
-
-/// An outcome that reached its proposer.
-#[derive(Debug, PartialEq)]
-pub struct ReceivedOutcome {
-    pub proposal: ProposalId,
-    pub outcome: ProposalOutcome,
-}
 
 /// The outcome of a proposal, and the time from the first attempt to its arrival.
 #[derive(Debug, PartialEq)]
@@ -73,15 +32,10 @@
 /// A cluster of machines in simulated time.
 pub struct Simulation {
     now: MonotonicTime,
-    serial: u64,
     pub random: fastrand::Rng,
     pub machines: Vec<Machine>,
     pub replicas: Vec<ReplicaId>,
-    in_flight: BinaryHeap<Reverse<InFlightMessage>>,
-    /// The network segment of each machine. Machines of the same segment reach each other.
-    pub partition: Vec<u8>,
-    /// Probability that a message is lost.
-    pub loss: f64,
+    pub network: Network,
     /// The text of each committed version when it was first seen.
     pub texts: BTreeMap<ConfigVersion, String>,
     pub outcomes: Vec<ReceivedOutcome>,
@@ -91,11 +45,6 @@
     pub ignores_expiry: bool,
 }
 
-/// Draws a number of whole milliseconds.
-pub fn random_millis(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
-    Duration::from_millis(random.u64(whole_millis(range.start)..whole_millis(range.end)))
-}
-
 fn in_force(number: ConfigVersion) -> LatestVersion {
     LatestVersion { number, phase: RolloutPhase::InForce }
 }
@@ -104,40 +53,14 @@
     pub fn new(seed: u64, replica_count: usize, machine_count: usize) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let replicas: Vec<ReplicaId> = (0..replica_count).map(ReplicaId::from_index).collect();
-        let machine = |i: usize| {
-            let clock_offset = random_millis(&mut random, Duration::ZERO..MAX_CLOCK_OFFSET);
-            let replica = replicas.get(i).map(|id| {
-                Replica::new(
-                    *id,
-                    &replicas,
-                    DurableState::default(),
-                    LEASE_DURATION,
-                    MonotonicTime::ZERO + clock_offset,
-                )
-                .expect("an empty log is valid")
-            });
-            Machine {
-                clock_offset,
-                alive: true,
-                stopped: false,
-                replica,
-                disk: DurableState::default(),
-                client: LeaseClient::new(LEASE_DURATION, RequestId(0)),
-                next_request_at: MonotonicTime::ZERO
-                    + random_millis(&mut random, Duration::ZERO..REQUEST_INTERVAL),
-                cached: VersionNumbers::default(),
-            }
-        };
-        let machines: Vec<Machine> = (0..machine_count).map(machine).collect();
+        let machines: Vec<Machine> =
+            (0..machine_count).map(|index| Machine::new(index, &replicas, &mut random)).collect();
         Self {
             now: MonotonicTime::ZERO,
-            serial: 0,
-            partition: vec![0; machines.len()],
+            network: Network::new(machine_count),
             machines,
             replicas,
-            in_flight: BinaryHeap::new(),
             random,
-            loss: 0.0,
             texts: BTreeMap::new(),
             outcomes: Vec::new(),
             checked_leases: 0,
@@ -147,26 +70,12 @@
 
     /// Returns the time on this machine's clock.
     pub fn clock(&self, machine: usize) -> MonotonicTime {
-        self.now + self.machines[machine].clock_offset
+        self.machines[machine].clock(self.now)
     }
 
     /// Sends a message, which may be delayed, lost or duplicated.
     pub fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let copies = 1 + usize::from(self.random.f64() < self.loss / 2.0);
-        for _ in 0..copies {
-            if self.partition[from] == self.partition[to] && self.random.f64() >= self.loss {
-                self.serial += 1;
-                let arrives_at = self.now + random_millis(&mut self.random, STEP..MAX_LATENCY);
-                let bytes = message.encode();
-                self.in_flight.push(Reverse(InFlightMessage {
-                    arrives_at,
-                    serial: self.serial,
-                    from,
-                    to,
-                    bytes,
-                }));
-            }
-        }
+        self.network.send(self.now, &mut self.random, from, to, message);
     }
 
     /// Writes the records that a replica has ready, then sends its messages.
@@ -183,128 +92,76 @@
             self.send(machine, to, &message);
         }
         if ready.state_changed {
-            let state = self.machines[machine]
-                .replica
-                .as_ref()
-                .map(|replica| replica.state().clone())
-                .unwrap_or_default();
-            for version in state.history().chain(state.proposed()) {
-                let first = self.texts.entry(version.number).or_insert_with(|| version.text.clone());
-                assert_eq!(*first, version.text, "version {} has changed", version.number);
-            }
+            self.check_texts(machine);
         }
     }
 
-    fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let now = self.clock(to);
-        let message = Message::decode(bytes).expect("a node has encoded it");
-        let machine = &mut self.machines[to];
-        match message {
-            Message::Raft(message) => {
-                if let Some(replica) = &mut machine.replica {
-                    replica.on_raft_message(now, *message);
-                }
-            }
-            Message::LeaseRequest(request) => {
-                if let Some(replica) = &mut machine.replica {
-                    replica.on_lease_request(now, request);
-                }
-            }
-            Message::Propose(proposal) => {
-                if let Some(replica) = &mut machine.replica {
-                    replica.propose(now, &from.to_string(), proposal);
-                }
-            }
-            Message::LeaseResponse(response, texts) => {
-                let before = machine.client.latest();
-                if machine.client.on_response(response) {
-                    // The next request confirms to the leader that this client knows of the change.
-                    if machine.client.latest() != before {
-                        machine.next_request_at = self.now;
-                    }
-                    let number = |version: &Option<Version>, cached| {
-                        version.as_ref().map_or(cached, |version| version.number)
-                    };
-                    machine.cached = VersionNumbers {
-                        in_force: number(&texts.in_force, machine.cached.in_force),
-                        proposed: number(&texts.proposed, machine.cached.proposed),
-                    };
-                }
-            }
-            Message::RedirectProposal { .. } => {}
-            Message::RedirectLeaseRequest { request, leader } => {
-                if machine.client.on_redirect(request, leader) {
-                    machine.next_request_at = self.now;
-                }
-            }
-            Message::ProposalOutcome { proposal, outcome } => {
-                self.outcomes.push(ReceivedOutcome { proposal, outcome })
-            }
-            Message::VersionChanged(_) => machine.next_request_at = self.now,
+    /// Checks that the versions of a replica have the texts with which they were first seen.
+    fn check_texts(&mut self, machine: usize) {
+        let Some(replica) = &self.machines[machine].replica else { return };
+        let state = replica.state();
+        for version in state.history().chain(state.proposed()) {
+            let first = self.texts.entry(version.number).or_insert_with(|| version.text.clone());
+            assert_eq!(*first, version.text, "version {} has changed", version.number);
         }
+    }
+
+    /// Passes a message that has arrived to its recipient.
+    fn deliver(&mut self, message: InFlightMessage) {
+        let InFlightMessage { from, to, bytes, .. } = message;
+        let message = Message::decode(&bytes).expect("a node has encoded it");
+        self.outcomes.extend(self.machines[to].on_message(self.now, from, message));
         self.process_ready(to);
     }
 
-    /// Advances by one millisecond.
+    /// Advances by one step.
     fn step(&mut self) {
         self.now = self.now + STEP;
-        while self.in_flight.peek().is_some_and(|next| next.0.arrives_at <= self.now) {
-            let Some(Reverse(InFlightMessage { from, to, bytes, .. })) = self.in_flight.pop() else { break };
-            if self.machines[to].alive && !self.machines[to].stopped {
-                self.deliver(from, to, &bytes);
+        while let Some(message) = self.network.receive(self.now) {
+            if self.machines[message.to].is_running() {
+                self.deliver(message);
             }
         }
         for i in 0..self.machines.len() {
-            if !self.machines[i].alive || self.machines[i].stopped {
-                continue;
-            }
-            let now = self.clock(i);
-            if let Some(replica) =
-                self.machines[i].replica.as_mut().filter(|replica| replica.next_tick_at() <= now)
-            {
-                replica.tick(now);
-                self.process_ready(i);
-            }
-            if self.now >= self.machines[i].next_request_at {
-                self.request_lease(i);
+            if self.machines[i].is_running() {
+                self.run_timers(i);
             }
         }
         self.check_leases();
     }
 
-    fn request_lease(&mut self, i: usize) {
-        let now = self.clock(i);
-        let machine = &mut self.machines[i];
-        machine.next_request_at = self.now + REQUEST_INTERVAL;
-        let (known_version, cached) = (machine.client.known_version(), machine.cached);
-        let request = machine.client.start_request(now, self.replicas.len());
-        let message = Message::LeaseRequest(LeaseRequest {
-            client: i.to_string(),
-            id: request.id,
-            wants_lease: true,
-            known_version,
-            cached,
-        });
-        self.send(i, request.replica.index().expect("a replica"), &message);
+    fn run_timers(&mut self, machine: usize) {
+        if self.machines[machine].tick(self.now) {
+            self.process_ready(machine);
+        }
+        if self.now >= self.machines[machine].next_request_at {
+            self.request_lease(machine);
+        }
+    }
+
+    fn request_lease(&mut self, machine: usize) {
+        let Envelope { to, message } = self.machines[machine].start_request(self.now, self.replicas.len());
+        self.send(machine, to.index().expect("a replica"), &message);
+    }
+
+    /// Returns the versions that a machine enforces, or `None` without a lease.
+    fn enforced_versions(&self, machine: &Machine) -> Option<EnforcedVersions> {
+        // A stopped machine enforces nothing, and reads its clock first when it resumes.
+        if !machine.is_running() {
+            return None;
+        }
+        let expired = machine.client.latest().filter(|_| self.ignores_expiry);
+        let latest = machine.client.leased_version(machine.clock(self.now)).or(expired);
+        latest.map(|LatestVersion { number, phase }| match phase {
+            RolloutPhase::InForce => EnforcedVersions { lowest: number, highest: number },
+            RolloutPhase::Proposed => EnforcedVersions { lowest: number.previous(), highest: number },
+        })
     }
 
     /// Checks that no two leases contradict: there is a version that all their holders enforce.
     fn check_leases(&mut self) {
-        let enforced = |i: usize| {
-            let machine = &self.machines[i];
-            let now = self.clock(i);
-            // A stopped machine enforces nothing, and reads its clock first when it resumes.
-            if !machine.alive || machine.stopped {
-                return None;
-            }
-            let expired = machine.client.latest().filter(|_| self.ignores_expiry);
-            let latest = machine.client.leased_version(now).or(expired);
-            latest.map(|LatestVersion { number, phase }| match phase {
-                RolloutPhase::InForce => EnforcedVersions { lowest: number, highest: number },
-                RolloutPhase::Proposed => EnforcedVersions { lowest: number.previous(), highest: number },
-            })
-        };
-        let all: Vec<EnforcedVersions> = (0..self.machines.len()).filter_map(enforced).collect();
+        let enforced = self.machines.iter().filter_map(|machine| self.enforced_versions(machine));
+        let all: Vec<EnforcedVersions> = enforced.collect();
         self.checked_leases += all.len() as u64;
         let limit = all.iter().map(|versions| versions.highest).min().unwrap_or_default();
         assert!(
@@ -321,24 +178,11 @@
         }
     }
 
-    /// Crashes a machine: its memory is lost, and its disk is kept.
-    pub fn crash(&mut self, machine: usize) {
-        self.machines[machine].alive = false;
-        self.machines[machine].replica = None;
-    }
-
     /// Restarts a crashed machine from its disk.
-    pub fn restart(&mut self, i: usize) {
-        let now = self.clock(i);
-        let serial = self.serial;
-        let machine = &mut self.machines[i];
-        machine.alive = true;
-        machine.client = LeaseClient::new(LEASE_DURATION, RequestId(serial));
-        machine.cached = VersionNumbers::default();
-        if let Some(id) = self.replicas.get(i) {
-            let replica = Replica::new(*id, &self.replicas, machine.disk.clone(), LEASE_DURATION, now);
-            machine.replica = Some(replica.expect("the log that the replica wrote is valid"));
-        }
+    pub fn restart(&mut self, machine: usize) {
+        // Greater than earlier request ids: all machines together send far more messages than this one has sent requests.
+        let first_request = RequestId(self.network.sent());
+        self.machines[machine].start(self.now, &self.replicas, first_request);
     }
 
     /// Returns the machine whose replica leads.
@@ -376,8 +220,7 @@
         let started = self.now;
         while self.now < started + timeout {
             self.step();
-            let mut all =
-                (0..self.machines.len()).filter(|&i| self.machines[i].alive && !self.machines[i].stopped);
+            let mut all = (0..self.machines.len()).filter(|&i| self.machines[i].is_running());
             if all.all(|i| self.machines[i].client.leased_version(self.clock(i)) == Some(in_force(version))) {
                 return Some(self.now.saturating_since(started));
             }
@@ -385,8 +228,3 @@
         None
     }
 }
-
-/// Creates a proposal of this machine.
-pub fn proposal(id: u64, from: usize, text: String) -> Proposal {
-    Proposal { id: ProposalId(id), proposed_by: from.to_string(), expected_version: None, text }
-}
