--- a/crates/config_node/src/connection/accepted.rs
+++ b/crates/config_node/src/connection/accepted.rs
@@ -35,16 +35,20 @@
         }
         let accepted =
             AcceptedConnection { connection, reader, writer: stream, messages, context: context.clone() };
-        open_connections.fetch_add(1, Ordering::Relaxed);
-        let open_connections = open_connections.clone();
-        let serve = move || {
-            accepted.serve();
-            open_connections.fetch_sub(1, Ordering::Relaxed);
-        };
-        let _ = thread::Builder::new().name("agreed-conn".into()).spawn(serve);
+        serve_in_thread(accepted, open_connections.clone());
     }
 }
 
+/// Serves a connection in a thread. Counts it as open until it ends.
+fn serve_in_thread(accepted: AcceptedConnection, open_connections: Arc<AtomicUsize>) {
+    open_connections.fetch_add(1, Ordering::Relaxed);
+    let serve = move || {
+        accepted.serve();
+        open_connections.fetch_sub(1, Ordering::Relaxed);
+    };
+    let _ = thread::Builder::new().name("agreed-conn".into()).spawn(serve);
+}
+
 /// A connection that another node has opened.
 struct AcceptedConnection {
     connection: ConnectionId,
--- a/crates/config_node/src/message_io.rs
+++ b/crates/config_node/src/message_io.rs
@@ -38,19 +38,19 @@
 
 /// Reads and verifies a message.
 pub(crate) fn read_message(stream: &mut impl Read, keys: &SharedKeys) -> Result<Message, Error> {
-    let frame = read_frame(stream, MAX_FRAME_BYTES)?;
+    let frame = read_frame(stream)?;
     let keys = keys.current();
     let encoded = keys.verify_frame(&frame).ok_or(Error::Unauthenticated)?;
     Message::decode(encoded).map_err(Error::Message)
 }
 
-/// Reads the data of one frame of at most `max` bytes.
-fn read_frame(stream: &mut impl Read, max: usize) -> Result<Vec<u8>, Error> {
+/// Reads the authenticated message in the next frame.
+fn read_frame(stream: &mut impl Read) -> Result<Vec<u8>, Error> {
     let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length)?;
     let bytes = u32::from_le_bytes(length) as usize;
-    if bytes > max {
-        return Err(Error::FrameTooLarge { bytes, max });
+    if bytes > MAX_FRAME_BYTES {
+        return Err(Error::FrameTooLarge { bytes, max: MAX_FRAME_BYTES });
     }
     // The buffer grows with the received bytes, not with the announced length, which is not authenticated yet.
     let mut data = Vec::new();
--- a/crates/replicated_config/src/raft_storage.rs
+++ b/crates/replicated_config/src/raft_storage.rs
@@ -108,12 +108,15 @@
             return Err(raft::Error::Store(StorageError::Compacted));
         }
         let max_bytes = max_size.into().unwrap_or(u64::MAX);
-        let mut bytes = 0;
+        let mut taken_bytes = 0;
         let requested = self.durable.entries.iter().skip((low - first) as usize).take((high - low) as usize);
         let fitting = requested.take_while(|entry| {
+            let entry_bytes = entry.data.len() as u64;
             // The library needs at least one entry, however large.
-            let fits = bytes == 0 || bytes + entry.data.len() as u64 <= max_bytes;
-            bytes += entry.data.len().max(1) as u64;
+            let is_first = taken_bytes == 0;
+            let fits = is_first || taken_bytes + entry_bytes <= max_bytes;
+            // An empty entry counts as one byte, so that only the first entry finds none taken.
+            taken_bytes += entry_bytes.max(1);
             fits
         });
         Ok(fitting.map(LogEntry::to_raft).collect())
