--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -82,6 +82,17 @@
     }
 }
 
+/// Returns the versions of these numbers from the received and the known ones. Versions of the same number are equal.
+fn select_texts(numbers: VersionNumbers, received: VersionTexts, known: VersionTexts) -> VersionTexts {
+    let candidates = [received.in_force, received.proposed, known.in_force, known.proposed];
+    let mut candidates: Vec<Version> = candidates.into_iter().flatten().collect();
+    let mut take = |number: ConfigVersion| {
+        let position = candidates.iter().position(|version| version.number == number)?;
+        Some(candidates.swap_remove(position))
+    };
+    VersionTexts { in_force: take(numbers.in_force), proposed: take(numbers.proposed) }
+}
+
 /// The view, shared by the thread that owns the node's state and the thread that watches the lease.
 pub(crate) struct SharedView {
     state: Mutex<ViewState>,
@@ -118,13 +129,7 @@
     ) {
         let mut state = self.lock();
         let known = std::mem::take(&mut state.texts);
-        let candidates = [received.in_force, received.proposed, known.in_force, known.proposed];
-        let mut candidates: Vec<Version> = candidates.into_iter().flatten().collect();
-        let mut take = |number: ConfigVersion| {
-            let position = candidates.iter().position(|version| version.number == number)?;
-            Some(candidates.swap_remove(position))
-        };
-        state.texts = VersionTexts { in_force: take(numbers.in_force), proposed: take(numbers.proposed) };
+        state.texts = select_texts(numbers, received, known);
         state.lease_expires_at = lease_expires_at;
         state.publish(now);
         self.updated.notify_all();
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -186,7 +186,13 @@
 }
 
 /// A request and its answer.
-fn exchange() -> (Message, Message) {
+struct Exchange {
+    request: Message,
+    answer: Message,
+}
+
+/// A proposal that is rejected because another one is open.
+fn exchange() -> Exchange {
     let id = ProposalId(300);
     let request = Message::Propose(Proposal {
         id,
@@ -196,7 +202,7 @@
     });
     let outcome =
         ProposalOutcome::RolloutInProgress { version: ConfigVersion(3), proposed_by: "other".into() };
-    (request, Message::ProposalOutcome { proposal: id, outcome })
+    Exchange { request, answer: Message::ProposalOutcome { proposal: id, outcome } }
 }
 
 /// A call as the replica and the client see it.
@@ -224,7 +230,7 @@
 
 #[test]
 fn messages_on_a_connection_are_as_before() {
-    let (request, answer) = exchange();
+    let Exchange { request, answer } = exchange();
     let (request_frame, answer_frame) = (fixture("request.frame"), fixture("answer.frame"));
     let observed = call(answer_frame.clone(), &request, request_frame.len());
     assert_eq!(observed.received, request_frame);
@@ -241,7 +247,7 @@
 
 #[test]
 fn a_message_authenticated_with_another_key_is_rejected() {
-    let (request, _) = exchange();
+    let request = exchange().request;
     let other = Keyring::parse(&"cd".repeat(32)).expect("the key is valid");
     let message = Message::LeaseRequest(LeaseRequest {
         client: "m".into(),
