--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -10,14 +10,17 @@
 use crate::local_replica::{LocalReplica, OutgoingMessages};
 use crate::peers::Peers;
 use crate::status::{ReplicaStatus, Status};
-use crate::view::{SharedView, version_number};
-use replicated_config::{Envelope, Message, Replica};
+use crate::view::SharedView;
+use replicated_config::{Envelope, Message, Replica, VersionNumbers};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
+/// Minimum time to wait for an event.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 /// Maximum time to wait for an event.
-const MAX_WAIT_MS: u64 = 1_000;
+const MAX_WAIT: Duration = Duration::from_secs(1);
 /// Maximum number of queued events to handle before the timers are checked again.
 const MAX_EVENT_BATCH: usize = 64;
 
@@ -43,7 +46,7 @@
         view: Arc<SharedView>,
     ) -> Self {
         let lease_requester =
-            LeaseRequester::new(config.name.clone(), config.replicas.len(), config.lease_duration_ms());
+            LeaseRequester::new(config.name.clone(), config.replicas.len(), config.lease_duration);
         Self {
             clock,
             peers,
@@ -59,7 +62,7 @@
     /// Handles events until all senders of events are gone.
     pub(crate) fn run(mut self, inbox: &Receiver<Event>) {
         loop {
-            self.run_timers(self.clock.now_ms());
+            self.run_timers(self.clock.now());
             match inbox.recv_timeout(self.time_until_timer()) {
                 Ok(event) => self.on_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -73,25 +76,26 @@
 
     /// Returns the time until the next timer is due.
     fn time_until_timer(&self) -> Duration {
-        let tick_due_ms = self.local.as_ref().map_or(u64::MAX, |local| local.replica().next_tick_ms());
-        let due_ms = self.lease_requester.next_request_ms().min(tick_due_ms);
-        Duration::from_millis(due_ms.saturating_sub(self.clock.now_ms()).clamp(1, MAX_WAIT_MS))
+        let replica = self.local.as_ref().map(LocalReplica::replica);
+        let next_tick_at = replica.map_or(MonotonicTime::NEVER, Replica::next_tick_at);
+        let next_timer_at = self.lease_requester.next_request_at().min(next_tick_at);
+        next_timer_at.saturating_since(self.clock.now()).clamp(MIN_WAIT, MAX_WAIT)
     }
 
-    fn run_timers(&mut self, now_ms: u64) {
+    fn run_timers(&mut self, now: MonotonicTime) {
         if let Some(local) = &mut self.local {
-            local.replica_mut().tick(now_ms);
+            local.replica_mut().tick(now);
         }
         self.process_ready();
-        if now_ms >= self.lease_requester.next_request_ms() {
-            self.request_lease(now_ms);
+        if now >= self.lease_requester.next_request_at() {
+            self.request_lease(now);
         }
     }
 
     /// Sends a lease request to a replica, which may be this node's own.
-    fn request_lease(&mut self, now_ms: u64) {
+    fn request_lease(&mut self, now: MonotonicTime) {
         let cached = self.view.known_numbers();
-        let OutgoingRequest { to, request } = self.lease_requester.start_request(now_ms, cached);
+        let OutgoingRequest { to, request } = self.lease_requester.start_request(now, cached);
         match self.peers.queue(to) {
             Some(queue) => queue.send(Message::LeaseRequest(request)),
             None => self.on_lease_request(request),
@@ -143,11 +147,11 @@
     }
 
     fn status(&self) -> Status {
-        let texts = self.view.texts();
+        let VersionNumbers { in_force, proposed } = self.view.known_numbers();
         Status {
-            version: version_number(&texts.in_force),
-            proposed: version_number(&texts.proposed),
-            lease_ms: self.lease_requester.expires_at_ms().saturating_sub(self.clock.now_ms()),
+            in_force,
+            proposed,
+            remaining_lease: self.lease_requester.expires_at().saturating_since(self.clock.now()),
             replica: self.replica_status(),
         }
     }
--- a/crates/config_node/src/local_replica.rs
+++ b/crates/config_node/src/local_replica.rs
@@ -35,13 +35,8 @@
     fn try_open(id: ReplicaId, config: &NodeConfig, clock: Clock) -> Result<Self, Error> {
         let path = &config.log;
         let log = ReplicaLog::open(path)?;
-        let replica = Replica::new(
-            id,
-            &config.replica_ids(),
-            log.state().clone(),
-            config.lease_duration_ms(),
-            clock.now_ms(),
-        );
+        let replica =
+            Replica::new(id, &config.replica_ids(), log.state().clone(), config.lease_duration, clock.now());
         let replica = replica.map_err(|source| Error::UnusableLog { path: path.clone(), source })?;
         Ok(Self { id, replica, log, announced_term: Term::default() })
     }
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -2,16 +2,17 @@
 
 use replicated_config::{ConfigVersion, Progress};
 use std::fmt;
+use std::time::Duration;
 
 /// A node's status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
     /// The version in force; [`ConfigVersion::NONE`] before the first.
-    pub(crate) version: ConfigVersion,
+    pub(crate) in_force: ConfigVersion,
     /// The proposed version; [`ConfigVersion::NONE`] if none is proposed.
     pub(crate) proposed: ConfigVersion,
     /// Remaining validity of the lease.
-    pub(crate) lease_ms: u64,
+    pub(crate) remaining_lease: Duration,
     /// The status of the node's replica.
     pub(crate) replica: ReplicaStatus,
 }
@@ -29,8 +30,9 @@
 
 impl fmt::Display for Status {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { version, proposed, lease_ms, replica } = self;
-        writeln!(formatter, "agreed\n  version {version}  proposed {proposed}  lease {lease_ms} ms")?;
+        let Self { in_force, proposed, remaining_lease, replica } = self;
+        let lease_ms = remaining_lease.as_millis();
+        writeln!(formatter, "agreed\n  version {in_force}  proposed {proposed}  lease {lease_ms} ms")?;
         match replica {
             ReplicaStatus::Voting { progress: Progress { term, committed }, leader } => {
                 let leader = leader.as_deref().unwrap_or("nobody");
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -1,11 +1,12 @@
 //! Messages between nodes. The encoding is positional: it depends on the order of fields and variants, not on their names.
 
+use crate::encoding::encode;
 use crate::error::Error;
 use crate::ids::{ProposalId, ReplicaId, RequestId};
 use crate::limits::MAX_MESSAGE_BYTES;
 use crate::raft_message::RaftMessage;
 use crate::state::{Proposal, ProposalOutcome};
-use crate::version::{ConfigVersion, RolloutPhase, Version};
+use crate::version::{ConfigVersion, LatestVersion, RolloutPhase, Version};
 use serde::{Deserialize, Serialize};
 
 /// A message from one node to another.
@@ -90,11 +91,27 @@
     pub proposed: Option<Version>,
 }
 
+impl LeaseResponse {
+    /// Returns the latest version and its phase.
+    pub fn latest(&self) -> LatestVersion {
+        LatestVersion { number: self.version, phase: self.phase }
+    }
+}
+
+impl VersionTexts {
+    /// Returns the numbers of these versions.
+    pub fn numbers(&self) -> VersionNumbers {
+        VersionNumbers {
+            in_force: ConfigVersion::of(self.in_force.as_ref()),
+            proposed: ConfigVersion::of(self.proposed.as_ref()),
+        }
+    }
+}
+
 impl Message {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Encoding into a vector cannot fail for the types in a message.
-        postcard::to_stdvec(self).unwrap_or_default()
+        encode(self)
     }
 
     /// Decodes a message.
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -2,25 +2,27 @@
 //! reads to answer.
 
 use super::Replica;
+use crate::encoding::encode;
 use crate::log::{HardState, LogEntry, LogRecord, Snapshot};
-use crate::log_position::{LogIndex, Term};
+use crate::log_position::LogIndex;
 use crate::message::Message;
 use crate::raft_message::RaftMessage;
 use crate::state::Command;
 use raft::eraftpb;
+use timestamps::MonotonicTime;
 
 /// Number of entries at which the log is compacted.
-const MAX_RETAINED_ENTRIES: usize = 256;
+const COMPACTION_ENTRIES: usize = 256;
 
 impl Replica {
-    /// Processes all output that the last event has caused.
-    pub(super) fn advance(&mut self, now_ms: u64) {
+    /// Starts what the last event has made possible, and processes the output of the library until there is none left.
+    pub(super) fn process_raft_output(&mut self, now: MonotonicTime) {
         self.start_read_round();
         loop {
             while self.raw_node.has_ready() {
-                self.process_raft_ready(now_ms);
+                self.process_raft_ready(now);
             }
-            if !self.activate_proposed(now_ms) {
+            if !self.activate_proposed(now) {
                 break;
             }
         }
@@ -28,34 +30,34 @@
     }
 
     /// Processes one `Ready` of the library in the order that the library requires.
-    fn process_raft_ready(&mut self, now_ms: u64) {
+    fn process_raft_ready(&mut self, now: MonotonicTime) {
         let mut ready = self.raw_node.ready();
         if let Some(soft_state) = ready.ss() {
-            self.on_role(now_ms, soft_state.raft_state);
+            self.on_role_change(now, soft_state.raft_state);
         }
         self.send_to_replicas(ready.take_messages());
         self.persist(&ready);
         let confirmed_reads = ready.take_read_states();
         let committed = ready.take_committed_entries();
         self.send_to_replicas(ready.take_persisted_messages());
-        self.apply_committed(now_ms, committed);
+        self.apply_committed(now, committed);
         let light_ready = self.raw_node.advance(ready);
-        self.process_light_ready(now_ms, light_ready);
+        self.process_light_ready(now, light_ready);
         self.raw_node.advance_apply();
         // All entries that were committed when a round started are applied by now, so the state is as new as each request.
         for read in confirmed_reads {
-            self.finish_read_round(now_ms, read.request_ctx);
+            self.finish_read_round(now, read.request_ctx);
         }
     }
 
     /// Processes the output that the library has once its records are persisted.
-    fn process_light_ready(&mut self, now_ms: u64, mut light_ready: raft::LightReady) {
+    fn process_light_ready(&mut self, now: MonotonicTime, mut light_ready: raft::LightReady) {
         if let Some(commit) = light_ready.commit_index() {
             let hard_state = self.raw_node.store().durable().hard_state;
             self.write(LogRecord::HardState(HardState { commit: LogIndex(commit), ..hard_state }));
         }
         self.send_to_replicas(light_ready.take_messages());
-        self.apply_committed(now_ms, light_ready.take_committed_entries());
+        self.apply_committed(now, light_ready.take_committed_entries());
     }
 
     /// Writes the library's snapshot, entries and hard state, in this order.
@@ -95,7 +97,7 @@
     }
 
     /// Applies committed entries, and notifies lease holders if the latest version or its phase has changed.
-    fn apply_committed(&mut self, now_ms: u64, committed: Vec<eraftpb::Entry>) {
+    fn apply_committed(&mut self, now: MonotonicTime, committed: Vec<eraftpb::Entry>) {
         let latest_before = self.state.latest();
         for entry in committed {
             // The first entry of each leader is empty. All replicas skip an entry that cannot be decoded.
@@ -103,7 +105,7 @@
             self.apply_command(command);
         }
         if self.state.latest() != latest_before {
-            self.notify_lease_holders(now_ms);
+            self.notify_lease_holders(now);
         }
     }
 
@@ -125,13 +127,12 @@
     /// Replaces the applied entries by a snapshot once the log is long.
     fn compact_log(&mut self) {
         let durable = self.raw_node.store().durable();
-        let applied = LogIndex(self.raw_node.raft.raft_log.applied);
-        if durable.entries.len() < MAX_RETAINED_ENTRIES || applied <= durable.snapshot.index {
+        let index = LogIndex(self.raw_node.raft.raft_log.applied);
+        let is_long = durable.entries.len() >= COMPACTION_ENTRIES;
+        if !is_long || index <= durable.snapshot.index {
             return;
         }
-        let applied_entry = durable.entries.iter().find(|entry| entry.index == applied);
-        let term = applied_entry.map_or(Term::default(), |entry| entry.term);
-        let state = postcard::to_stdvec(&self.state).unwrap_or_default();
-        self.write(LogRecord::Snapshot(Snapshot { index: applied, term, state }));
+        let term = durable.term_at(index).unwrap_or_default();
+        self.write(LogRecord::Snapshot(Snapshot { index, term, state: encode(&self.state) }));
     }
 }
