--- a/crates/cluster/src/clocks.rs
+++ b/crates/cluster/src/clocks.rs
@@ -1,9 +1,10 @@
 //! The clocks of this instance.
 
-use periodic_jobs::{ClockReading, MonotonicTime, UnixTime};
+use periodic_jobs::ClockReading;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use timestamps::{MonotonicTime, UnixTime};
 
 /// The Unix clock, with an offset for tests, and a monotonic clock that counts from the start.
 #[derive(Clone, Debug)]
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -14,12 +14,13 @@
 use crate::settings::{Backend, HttpJob, Settings};
 use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
-use periodic_jobs::{ClockReading, MonotonicTime, Scheduler, StoreResponse};
+use periodic_jobs::{ClockReading, Scheduler, StoreResponse};
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The maximum time between two ticks, which bounds the delay in detecting stale health reports.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -6,9 +6,9 @@
 use health_check::HealthReport;
 use membership::authentication::Keyring;
 use membership::{Counts, Member, MemberStatus, Membership, Output};
-use periodic_jobs::MonotonicTime;
 use std::net::UdpSocket;
 use std::sync::Arc;
+use timestamps::MonotonicTime;
 
 /// The maximum number of members.
 const MAX_MEMBERS: usize = 1_024;
--- a/crates/cluster/src/health_monitor.rs
+++ b/crates/cluster/src/health_monitor.rs
@@ -2,8 +2,8 @@
 
 use crate::run_executor::{FinishedRun, RunOutcome};
 use health_check::{BackendHealth, HealthReport, HealthStatus, HealthTracker};
-use periodic_jobs::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet};
+use timestamps::MonotonicTime;
 
 /// A callback that receives the ids of the backends ejected by health checks whenever the set changes.
 pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
--- a/crates/cluster/src/health_monitor/tests.rs
+++ b/crates/cluster/src/health_monitor/tests.rs
@@ -3,9 +3,10 @@
 use super::*;
 use crate::run_executor::RunTask;
 use job_lease::RunId;
-use periodic_jobs::{ClockReading, MonotonicTime, Run, UnixTime};
+use periodic_jobs::{ClockReading, Run};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
 
--- a/crates/cluster/src/job_table/tests.rs
+++ b/crates/cluster/src/job_table/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 use job_lease::RunId;
-use periodic_jobs::{ClockReading, MonotonicTime, UnixTime};
+use periodic_jobs::ClockReading;
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 fn http_job() -> HttpJob {
     HttpJob {
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,8 +1,8 @@
 //! Rate-limited logging: at most one event of each kind per second, with the number of suppressed events.
 
-use periodic_jobs::MonotonicTime;
 use std::collections::HashMap;
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The minimum time between two logged events of a kind.
 const INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -5,11 +5,12 @@
 use crate::network;
 use membership::authentication::Keyring;
 use membership::{Member, Membership, Output};
-use periodic_jobs::{Action, ClockReading, Config, Job, MonotonicTime, Scheduler, UnixTime};
+use periodic_jobs::{Action, ClockReading, Config, Job, Scheduler};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::VecDeque;
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// Unix milliseconds at the start of the simulation.
 pub(crate) const START_UNIX_MS: u64 = 1_800_000_000_000;
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
+use timestamps::UnixTime;
 
 /// A run of a job, identified by its scheduled time in Unix milliseconds. The id increases from run to run and serves as
 /// the fencing token.
@@ -16,6 +17,13 @@
     }
 }
 
+impl From<RunId> for UnixTime {
+    /// Returns the scheduled time of a run.
+    fn from(run: RunId) -> Self {
+        Self::from_millis(run.0)
+    }
+}
+
 impl fmt::Display for RunId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -1,10 +1,10 @@
 //! Jobs and their runs.
 
-use crate::clock::as_millis;
+use crate::ClockReading;
 use crate::rendezvous::JobHash;
-use crate::{ClockReading, UnixTime};
 use job_lease::RunId;
 use std::time::Duration;
+use timestamps::{UnixTime, whole_millis};
 
 /// A job that exactly one instance runs once per period.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -28,7 +28,7 @@
 
     /// Returns the period in milliseconds.
     pub fn period_ms(&self) -> u64 {
-        as_millis(self.period)
+        whole_millis(self.period)
     }
 
     /// Returns the run after the one whose period contains the scheduled time of `run`.
--- a/crates/periodic_jobs/src/lib.rs
+++ b/crates/periodic_jobs/src/lib.rs
@@ -25,7 +25,7 @@
 mod store_call;
 
 pub use action::{Action, Notice, ResetReason};
-pub use clock::{ClockReading, MonotonicTime, UnixTime};
+pub use clock::ClockReading;
 pub use config::Config;
 pub use job::{Job, Run};
 pub use scheduler::{JobStatus, LastRun, Scheduler};
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -9,13 +9,14 @@
 pub use job_state::{JobStatus, LastRun};
 
 use crate::rendezvous::{MemberHash, Members};
-use crate::{Action, ClockReading, Config, Job, Notice, ResetReason, StoreCall, UnixTime};
+use crate::{Action, ClockReading, Config, Job, Notice, ResetReason, StoreCall};
 use attempt_queue::AttemptQueue;
 use job_lease::Session;
 use job_state::{JobState, Phase};
 use std::collections::HashMap;
 use std::time::Duration;
 use store_connection::StoreConnection;
+use timestamps::UnixTime;
 
 /// The difference in progress between the two clocks, in milliseconds, beyond which the Unix clock counts as stepped.
 const MIN_CLOCK_STEP_MS: u64 = 250;
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -3,8 +3,9 @@
 use super::Scheduler;
 use super::job_state::{LastRun, Phase};
 use crate::rendezvous::stable_hash;
-use crate::{Action, ClockReading, Config, Notice, Run, StoreCall, UnixTime};
+use crate::{Action, ClockReading, Config, Notice, Run, StoreCall};
 use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, decide};
+use timestamps::UnixTime;
 
 impl Scheduler {
     /// Attempts the run of the current period. Adds the job to `reads` if its lease must be read first.
--- a/crates/periodic_jobs/src/scheduler/attempt_queue.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt_queue.rs
@@ -1,7 +1,7 @@
 //! The moments at which jobs are attempted next.
 
-use crate::UnixTime;
 use std::collections::{BTreeSet, HashMap};
+use timestamps::UnixTime;
 
 /// The next attempt of each job, at most one per job. Jobs are identified by their index in the scheduler.
 #[derive(Debug, Default)]
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -1,8 +1,9 @@
 //! The session with the lease store, and the availability of the store.
 
-use crate::{Action, CallId, ClockReading, MonotonicTime, Notice};
+use crate::{Action, CallId, ClockReading, Notice};
 use job_lease::{Session, StoreError};
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The number of consecutive failed calls after which the store is unavailable.
 const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -5,9 +5,10 @@
 
 use job_lease::{LeaseRecord, LocalStore};
 use periodic_jobs::rendezvous::{JobHash, MemberHash, Members, Ranking};
-use periodic_jobs::{Action, ClockReading, Job, Scheduler, StoreCall, UnixTime};
+use periodic_jobs::{Action, ClockReading, Job, Scheduler, StoreCall};
 use std::time::Duration;
 use support::{clocks, config};
+use timestamps::UnixTime;
 
 const RANKS: &str = include_str!("fixtures/order.txt");
 const ACTIONS: &str = include_str!("fixtures/course.txt");
--- a/crates/periodic_jobs/tests/clock.rs
+++ b/crates/periodic_jobs/tests/clock.rs
@@ -1,7 +1,8 @@
 //! Moments and the spans between them.
 
-use periodic_jobs::{ClockReading, MonotonicTime, UnixTime};
+use periodic_jobs::ClockReading;
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 #[test]
 fn a_span_moves_both_clocks_and_its_fraction_of_a_millisecond_is_dropped() {
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -6,10 +6,11 @@
     CompareAndSetOutcome, LeaseRecord, LocalStore, RunId, StoreError, StoreErrorCause, StoredLease,
 };
 use periodic_jobs::{
-    Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse, UnixTime,
+    Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse,
 };
 use std::time::Duration;
 use support::{clocks, config};
+use timestamps::UnixTime;
 
 const PERIOD_MS: u64 = 1_000;
 /// Milliseconds between two ticks of the simulated time.
--- a/crates/periodic_jobs/tests/support/mod.rs
+++ b/crates/periodic_jobs/tests/support/mod.rs
@@ -1,7 +1,8 @@
 //! The configuration and the clocks of a scheduler in tests.
 
-use periodic_jobs::{ClockReading, Config, MonotonicTime, UnixTime};
+use periodic_jobs::{ClockReading, Config};
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// The configuration of an instance with two standbys.
 pub fn config(instance: &str, incarnation: u64) -> Config {
