--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -1,9 +1,8 @@
 //! Selects the agent of the next blocking query: agents in order of preference, with failover, failback, and exponential backoff
 //! with jitter. Follows Consul's documented rules for blocking queries.
 
-use crate::MonotonicTime;
-use crate::time::whole_millis;
 use std::time::Duration;
+use timestamps::{MonotonicTime, whole_millis};
 
 /// The next query.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -3,24 +3,25 @@
 
 use crate::error::CachedListError;
 use crate::format::CACHE_VERSION;
-use crate::{Instance, UnixMillis};
+use crate::{Instance, stored_time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::time::Duration;
+use timestamps::UnixTime;
 
 /// The first word of the file.
 const MAGIC: &str = "snowfield-list";
 /// Maximum number of characters of an unknown version in an error text.
 const MAX_SHOWN_VERSION: usize = 16;
-/// Maximum accepted clock skew in milliseconds between the writer of a file and its reader.
-const MAX_CLOCK_SKEW_MS: UnixMillis = 60_000;
-const MILLIS_PER_SECOND: UnixMillis = 1_000;
+/// Maximum accepted clock skew between the writer of a file and its reader.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
 /// The endpoint lists of all services, as Consul last confirmed them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedList {
     /// When Consul last confirmed them.
-    #[serde(rename = "at")]
-    pub confirmed_at: UnixMillis,
+    #[serde(rename = "at", with = "stored_time")]
+    pub confirmed_at: UnixTime,
     /// The instances that were eligible, by service name.
     pub services: BTreeMap<String, Vec<Instance>>,
 }
@@ -46,13 +47,13 @@
     /// # Errors
     ///
     /// Returns an error if the file has another format, is damaged, is older than `max_age_seconds`, or is from the future.
-    pub fn decode(text: &[u8], now: UnixMillis, max_age_seconds: u64) -> Result<AgedList, CachedListError> {
+    pub fn decode(text: &[u8], now: UnixTime, max_age_seconds: u64) -> Result<AgedList, CachedListError> {
         let list = Self::parse(text)?;
-        if list.confirmed_at > now + MAX_CLOCK_SKEW_MS {
-            let ahead_seconds = (list.confirmed_at - now) / MILLIS_PER_SECOND;
+        if list.confirmed_at > now + MAX_CLOCK_SKEW {
+            let ahead_seconds = list.confirmed_at.saturating_since(now).as_secs();
             return Err(CachedListError::FromTheFuture { ahead_seconds });
         }
-        let age_seconds = now.saturating_sub(list.confirmed_at) / MILLIS_PER_SECOND;
+        let age_seconds = now.saturating_since(list.confirmed_at).as_secs();
         if age_seconds > max_age_seconds {
             return Err(CachedListError::TooOld { age_seconds });
         }
--- a/crates/catalogue/src/cached_list/tests.rs
+++ b/crates/catalogue/src/cached_list/tests.rs
@@ -3,6 +3,10 @@
 use super::*;
 use crate::HealthStatus;
 
+const fn at(unix_ms: u64) -> UnixTime {
+    UnixTime::from_millis(unix_ms)
+}
+
 fn sample_list() -> CachedList {
     let address = "127.0.0.1:80".parse().expect("an address");
     let instance = Instance {
@@ -10,15 +14,15 @@
         address,
         health: HealthStatus::Passing,
         weight: 2.5,
-        started_at: Some(7),
+        started_at: Some(at(7)),
     };
-    CachedList { confirmed_at: 1_000_000, services: BTreeMap::from([("loans".into(), vec![instance])]) }
+    CachedList { confirmed_at: at(1_000_000), services: BTreeMap::from([("loans".into(), vec![instance])]) }
 }
 
 #[test]
 fn reads_back_what_it_wrote_with_its_age() {
     assert_eq!(
-        CachedList::decode(sample_list().encode().as_bytes(), 1_042_000, 100),
+        CachedList::decode(sample_list().encode().as_bytes(), at(1_042_000), 100),
         Ok(AgedList { list: sample_list(), age_seconds: 42 })
     );
 }
@@ -28,19 +32,20 @@
     let text = sample_list().encode().into_bytes();
     for position in 0..text.len() {
         assert!(
-            CachedList::decode(&text[..position], 1_000_000, 100).is_err(),
+            CachedList::decode(&text[..position], at(1_000_000), 100).is_err(),
             "truncated to {position} bytes"
         );
         let mut altered = text.clone();
         altered[position] ^= 1;
-        assert!(CachedList::decode(&altered, 1_000_000, 100).is_err(), "byte {position} altered");
+        assert!(CachedList::decode(&altered, at(1_000_000), 100).is_err(), "byte {position} altered");
     }
 }
 
 #[test]
 fn says_why_a_file_is_rejected() {
     let text = sample_list().encode();
-    let rejection = |text: &str, now| CachedList::decode(text.as_bytes(), now, 100).expect_err("rejected");
+    let rejection =
+        |text: &str, now_ms| CachedList::decode(text.as_bytes(), at(now_ms), 100).expect_err("rejected");
     assert_eq!(rejection(&text, 1_200_000), CachedListError::TooOld { age_seconds: 200 });
     assert_eq!(rejection(&text, 100_000), CachedListError::FromTheFuture { ahead_seconds: 900 });
     assert_eq!(
--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -1,6 +1,7 @@
 //! The endpoint list in use, and the reason why each endpoint is eligible or not.
 
-use crate::{HealthStatus, Instance, MonotonicTime};
+use crate::{HealthStatus, Instance};
+use timestamps::MonotonicTime;
 
 /// Number of an endpoint. Each pair of id and address gets a new one, and numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -5,13 +5,13 @@
 mod record;
 
 use crate::{
-    EligibilityReason, Endpoint, EndpointList, EndpointNumber, Instance, MonotonicTime, StabilityConfig,
-    WatchEvent,
+    EligibilityReason, Endpoint, EndpointList, EndpointNumber, Instance, StabilityConfig, WatchEvent,
 };
 use record::Record;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
+use timestamps::MonotonicTime;
 
 /// Maximum number of remembered instances that have left, in addition to the present ones.
 const MAX_REMEMBERED: usize = 4_096;
--- a/crates/catalogue/src/endpoint_tracker/flap_damping.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping.rs
@@ -1,8 +1,8 @@
 //! Flap damping of one endpoint: an endpoint that repeatedly fails and recovers is suppressed for a growing time after each recovery.
 
-use crate::time::whole_millis;
-use crate::{MonotonicTime, StabilityConfig};
+use crate::StabilityConfig;
 use std::time::Duration;
+use timestamps::{MonotonicTime, whole_millis};
 
 /// Below this flap count a recovery is not suppressed: a single flap is a restart.
 const FREE_FLAPS: f64 = 1.5;
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -1,8 +1,9 @@
 //! The history of one instance at one address.
 
 use super::flap_damping::FlapDamping;
-use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, MonotonicTime, StabilityConfig};
+use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, StabilityConfig};
 use std::net::SocketAddr;
+use timestamps::MonotonicTime;
 
 /// An instance that has left is remembered for its flaps for this many half-lives of the flap count.
 const REMEMBERED_HALF_LIVES: u32 = 4;
--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -1,12 +1,13 @@
 //! One instance of a service: its address, health and weight.
 
 use super::wire::{Check, Entry, Service};
-use crate::UnixMillis;
 use crate::error::InstanceError;
 use crate::format::{CAPACITY_KEY, STARTED_KEY};
+use crate::stored_time;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
+use timestamps::UnixTime;
 
 const CAPACITY_RANGE: RangeInclusive<f64> = 0.01..=1_000.0;
 /// Consul's largest weight, 65535, times the largest capacity.
@@ -65,8 +66,8 @@
     /// Its weight for its health status (`Service.Weights`), times the capacity in its `Meta`.
     pub weight: f64,
     /// When it started, if its `Meta` has the start time.
-    #[serde(rename = "started")]
-    pub started_at: Option<UnixMillis>,
+    #[serde(rename = "started", default, with = "stored_time::optional")]
+    pub started_at: Option<UnixTime>,
 }
 
 impl Instance {
@@ -109,9 +110,10 @@
     capacity.ok_or_else(|| InstanceError::Capacity(text.clone()))
 }
 
-fn started_at_of(service: &Service) -> Result<Option<UnixMillis>, InstanceError> {
+fn started_at_of(service: &Service) -> Result<Option<UnixTime>, InstanceError> {
     let Some(text) = metadata(service, STARTED_KEY) else { return Ok(None) };
-    text.parse().map(Some).map_err(|_| InstanceError::Started(text.clone()))
+    let millis = text.parse().map_err(|_| InstanceError::Started(text.clone()))?;
+    Ok(Some(UnixTime::from_millis(millis)))
 }
 
 fn metadata<'a>(service: &'a Service, key: &str) -> Option<&'a String> {
--- a/crates/catalogue/src/health_response/tests.rs
+++ b/crates/catalogue/src/health_response/tests.rs
@@ -1,6 +1,7 @@
 //! Health status, weights and invalid entries of a response.
 
 use super::*;
+use timestamps::UnixTime;
 
 fn entry_json(id: &str, service: &str, checks: &[(&str, &str)]) -> String {
     let checks: Vec<String> =
@@ -38,7 +39,7 @@
     assert_eq!(parse_one(weights, &[("c", "warning")]).instances[0].weight, 1.0);
     let meta = r#""Port":80,"Weights":{"Passing":2,"Warning":1},"Meta":{"snowfield-capacity":"1.5","snowfield-started-ms":"17"}"#;
     let instance = &parse_one(meta, &[]).instances[0];
-    assert_eq!((instance.weight, instance.started_at), (3.0, Some(17)));
+    assert_eq!((instance.weight, instance.started_at), (3.0, Some(UnixTime::from_millis(17))));
     assert_eq!(parse_one(r#""Port":80"#, &[]).instances[0].weight, 1.0);
 }
 
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -25,7 +25,7 @@
 mod health_response;
 mod registration;
 mod stability;
-mod time;
+mod stored_time;
 
 pub use agent_selector::{AgentSelector, AgentSelectorConfig, Freshness, PollBackoff, Query, QueryOutcome};
 pub use cached_list::{AgedList, CachedList};
@@ -36,4 +36,3 @@
 pub use health_response::{HealthResponse, HealthStatus, Instance, InvalidInstance};
 pub use registration::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 pub use stability::StabilityConfig;
-pub use time::{MonotonicTime, UnixMillis};
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -1,8 +1,8 @@
 //! This process's registration with its agent: registers, keeps the TTL check passing with heartbeats, registers again when the
 //! agent has lost the registration, and deregisters at shutdown.
 
-use crate::MonotonicTime;
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// Heartbeats per TTL, so that two may be lost in a row.
 const HEARTBEATS_PER_TTL: u32 = 3;
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -2,19 +2,21 @@
 
 use catalogue::{AgedList, CachedList, CachedListError, HealthStatus, Instance};
 use std::collections::BTreeMap;
+use std::time::Duration;
+use timestamps::UnixTime;
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/loans.list");
-/// When Consul confirmed the list of the fixture, in Unix milliseconds.
-const CONFIRMED_AT: u64 = 1_700_000_000_000;
+/// When Consul confirmed the list of the fixture.
+const CONFIRMED_AT: UnixTime = UnixTime::from_millis(1_700_000_000_000);
 const MAX_AGE_SECONDS: u64 = 100;
 
 fn fixture_list() -> CachedList {
-    let instance = |id: &str, address: &str, health, weight, started_at| Instance {
+    let instance = |id: &str, address: &str, health, weight, started_ms: Option<u64>| Instance {
         id: id.into(),
         address: address.parse().expect("an address"),
         health,
         weight,
-        started_at,
+        started_at: started_ms.map(UnixTime::from_millis),
     };
     let loans = vec![
         instance("a/l0", "127.0.0.1:8500", HealthStatus::Passing, 1.0, None),
@@ -29,7 +31,7 @@
 
 #[test]
 fn reads_the_file_of_version_0_1_0() {
-    let read = CachedList::decode(FIXTURE, CONFIRMED_AT + 42_000, MAX_AGE_SECONDS);
+    let read = CachedList::decode(FIXTURE, CONFIRMED_AT + Duration::from_secs(42), MAX_AGE_SECONDS);
     assert_eq!(read, Ok(AgedList { list: fixture_list(), age_seconds: 42 }));
 }
 
@@ -50,7 +52,7 @@
             "byte {length} altered"
         );
     }
-    let late = CONFIRMED_AT + 200_000;
+    let late = CONFIRMED_AT + Duration::from_secs(200);
     assert_eq!(
         CachedList::decode(FIXTURE, late, MAX_AGE_SECONDS),
         Err(CachedListError::TooOld { age_seconds: 200 })
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -2,13 +2,14 @@
 
 use crate::error::CacheFileError;
 use crate::sync::locked;
-use catalogue::{AgedList, CachedList, Instance, MAX_FILE_BYTES, UnixMillis};
+use catalogue::{AgedList, CachedList, Instance, MAX_FILE_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use timestamps::UnixTime;
 
 /// Interval at which unchanged lists are written again, which renews their time of confirmation.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
@@ -107,8 +108,8 @@
     }
 }
 
-fn unix_time() -> UnixMillis {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as UnixMillis
+fn unix_time() -> UnixTime {
+    UnixTime::ZERO + SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
 /// Reads the list from the file; `None` if there is no file.
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -1,10 +1,11 @@
 //! The time of the last answer that each endpoint gave to a client.
 
 use crate::sync::locked;
-use catalogue::{EndpointNumber, MonotonicTime};
+use catalogue::EndpointNumber;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
+use timestamps::MonotonicTime;
 
 /// The time of the last answer to a client, by endpoint. The backend side records answers; the watches read them and use the same
 /// clock.
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -2,12 +2,13 @@
 
 use crate::http_agent::{TOKEN_HEADER, http_agent};
 use crate::{ConsulConfig, TokenFile};
-use catalogue::{MonotonicTime, Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
+use catalogue::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 use http::percent_encode;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::thread;
 use std::time::{Duration, Instant};
+use timestamps::MonotonicTime;
 
 /// Minimum wait between two checks for due requests.
 const MIN_WAIT: Duration = Duration::from_millis(1);
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -2,7 +2,8 @@
 
 use super::ServiceWatch;
 use crate::QueryError;
-use catalogue::{EligibilityReason, InvalidInstance, MonotonicTime, WatchEvent};
+use catalogue::{EligibilityReason, InvalidInstance, WatchEvent};
+use timestamps::MonotonicTime;
 
 /// Maximum number of log events about single instances for one change.
 const MAX_INSTANCE_LINES: usize = 8;
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,7 +1,7 @@
 //! The appliance's backends: merges the endpoint lists of all services with the results of health checks, and announces the
 //! result to the connection pools and the policy.
 
-use catalogue::{Endpoint, EndpointList, EndpointNumber, MonotonicTime};
+use catalogue::{Endpoint, EndpointList, EndpointNumber};
 use cluster::{Backend, Cluster};
 use consul::{ServiceWatch, WatchStatus};
 use destination::{BackendEndpoint, BackendPools, HttpProtocol};
@@ -13,6 +13,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, OnceLock};
+use timestamps::MonotonicTime;
 
 /// Limit on the backends that the status shows for each service.
 const MAX_REPORTED: usize = 200;
@@ -193,7 +194,8 @@
     ) -> Announcement {
         let is_eligible = entry.eligible || seeded_faults::is_active("drained");
         let ready = is_eligible && !state.ejected.contains(&self.name(service, &entry.instance.id));
-        let stated_start = entry.instance.started_at.map(|ms| Timestamp::from_micros(ms * 1000).min(now));
+        let stated_start =
+            entry.instance.started_at.map(|at| Timestamp::from_micros(at.as_millis() * 1000).min(now));
         let started = match state.announcements.get(&entry.number) {
             // Neither restarted nor recovered.
             Some(last) if last.eligible_since == entry.eligible_since && (last.ready || !ready) => {
