--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -31,8 +31,8 @@
 pub struct AgedList {
     /// The list.
     pub list: CachedList,
-    /// Its age in seconds when it was decoded.
-    pub age_seconds: u64,
+    /// Its age in whole seconds when it was decoded.
+    pub age: Duration,
 }
 
 impl CachedList {
@@ -46,18 +46,18 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file has another format, is damaged, is older than `max_age_seconds`, or is from the future.
-    pub fn decode(text: &[u8], now: UnixTime, max_age_seconds: u64) -> Result<AgedList, CachedListError> {
+    /// Returns an error if the file has another format, is damaged, is older than `max_age`, or is from the future.
+    pub fn decode(text: &[u8], now: UnixTime, max_age: Duration) -> Result<AgedList, CachedListError> {
         let list = Self::parse(text)?;
         if list.confirmed_at > now + MAX_CLOCK_SKEW {
-            let ahead_seconds = list.confirmed_at.saturating_since(now).as_secs();
-            return Err(CachedListError::FromTheFuture { ahead_seconds });
+            let ahead = list.confirmed_at.saturating_since(now);
+            return Err(CachedListError::FromTheFuture { ahead });
         }
-        let age_seconds = now.saturating_since(list.confirmed_at).as_secs();
-        if age_seconds > max_age_seconds {
-            return Err(CachedListError::TooOld { age_seconds });
+        let age = Duration::from_secs(now.saturating_since(list.confirmed_at).as_secs());
+        if age > max_age {
+            return Err(CachedListError::TooOld { age });
         }
-        Ok(AgedList { list, age_seconds })
+        Ok(AgedList { list, age })
     }
 
     fn parse(text: &[u8]) -> Result<Self, CachedListError> {
--- a/crates/catalogue/src/cached_list/tests.rs
+++ b/crates/catalogue/src/cached_list/tests.rs
@@ -3,6 +3,8 @@
 use super::*;
 use crate::HealthStatus;
 
+const MAX_AGE: Duration = Duration::from_secs(100);
+
 const fn at(unix_ms: u64) -> UnixTime {
     UnixTime::from_millis(unix_ms)
 }
@@ -22,8 +24,8 @@
 #[test]
 fn reads_back_what_it_wrote_with_its_age() {
     assert_eq!(
-        CachedList::decode(sample_list().encode().as_bytes(), at(1_042_000), 100),
-        Ok(AgedList { list: sample_list(), age_seconds: 42 })
+        CachedList::decode(sample_list().encode().as_bytes(), at(1_042_000), MAX_AGE),
+        Ok(AgedList { list: sample_list(), age: Duration::from_secs(42) })
     );
 }
 
@@ -32,12 +34,12 @@
     let text = sample_list().encode().into_bytes();
     for position in 0..text.len() {
         assert!(
-            CachedList::decode(&text[..position], at(1_000_000), 100).is_err(),
+            CachedList::decode(&text[..position], at(1_000_000), MAX_AGE).is_err(),
             "truncated to {position} bytes"
         );
         let mut altered = text.clone();
         altered[position] ^= 1;
-        assert!(CachedList::decode(&altered, at(1_000_000), 100).is_err(), "byte {position} altered");
+        assert!(CachedList::decode(&altered, at(1_000_000), MAX_AGE).is_err(), "byte {position} altered");
     }
 }
 
@@ -45,9 +47,9 @@
 fn says_why_a_file_is_rejected() {
     let text = sample_list().encode();
     let rejection =
-        |text: &str, now_ms| CachedList::decode(text.as_bytes(), at(now_ms), 100).expect_err("rejected");
-    assert_eq!(rejection(&text, 1_200_000), CachedListError::TooOld { age_seconds: 200 });
-    assert_eq!(rejection(&text, 100_000), CachedListError::FromTheFuture { ahead_seconds: 900 });
+        |text: &str, now_ms| CachedList::decode(text.as_bytes(), at(now_ms), MAX_AGE).expect_err("rejected");
+    assert_eq!(rejection(&text, 1_200_000), CachedListError::TooOld { age: Duration::from_secs(200) });
+    assert_eq!(rejection(&text, 100_000), CachedListError::FromTheFuture { ahead: Duration::from_secs(900) });
     assert_eq!(
         rejection(&text.replacen(" 1 ", " 2 ", 1), 1_000_000),
         CachedListError::UnknownVersion("2".into())
--- a/crates/catalogue/src/error.rs
+++ b/crates/catalogue/src/error.rs
@@ -1,6 +1,7 @@
 //! Errors of health responses, of the instances in them, and of the cache file.
 
 use crate::format::{CACHE_VERSION, CAPACITY_KEY, MAX_INSTANCES, STARTED_KEY};
+use std::time::Duration;
 
 /// Why a response is rejected. The endpoint list in use stays in force.
 #[derive(Debug, thiserror::Error)]
@@ -49,16 +50,16 @@
     #[error("it was cut short or altered")]
     Corrupt,
     /// The list is older than allowed.
-    #[error("it is {age_seconds} s old, more than allowed")]
+    #[error("it is {} s old, more than allowed", age.as_secs())]
     TooOld {
         /// Age of the list.
-        age_seconds: u64,
+        age: Duration,
     },
     /// The list is dated in the future: a clock was or is wrong.
-    #[error("it is from {ahead_seconds} s in the future")]
+    #[error("it is from {} s in the future", ahead.as_secs())]
     FromTheFuture {
-        /// Distance of its date from the present.
-        ahead_seconds: u64,
+        /// Time from the present to its date.
+        ahead: Duration,
     },
 }
 
--- a/crates/catalogue/src/error/tests.rs
+++ b/crates/catalogue/src/error/tests.rs
@@ -33,8 +33,11 @@
         (CachedListError::NotAListFile, "it is no list of snowfield's"),
         (CachedListError::UnknownVersion("2".into()), "its version is \"2\", and 1 is known"),
         (CachedListError::Corrupt, "it was cut short or altered"),
-        (CachedListError::TooOld { age_seconds: 200 }, "it is 200 s old, more than allowed"),
-        (CachedListError::FromTheFuture { ahead_seconds: 900 }, "it is from 900 s in the future"),
+        (CachedListError::TooOld { age: Duration::from_secs(200) }, "it is 200 s old, more than allowed"),
+        (
+            CachedListError::FromTheFuture { ahead: Duration::from_secs(900) },
+            "it is from 900 s in the future",
+        ),
     ] {
         assert_eq!(error.to_string(), text);
     }
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -8,7 +8,7 @@
 const FIXTURE: &[u8] = include_bytes!("fixtures/loans.list");
 /// When Consul confirmed the list of the fixture.
 const CONFIRMED_AT: UnixTime = UnixTime::from_millis(1_700_000_000_000);
-const MAX_AGE_SECONDS: u64 = 100;
+const MAX_AGE: Duration = Duration::from_secs(100);
 
 fn fixture_list() -> CachedList {
     let instance = |id: &str, address: &str, health, weight, started_ms: Option<u64>| Instance {
@@ -31,8 +31,8 @@
 
 #[test]
 fn reads_the_file_of_version_0_1_0() {
-    let read = CachedList::decode(FIXTURE, CONFIRMED_AT + Duration::from_secs(42), MAX_AGE_SECONDS);
-    assert_eq!(read, Ok(AgedList { list: fixture_list(), age_seconds: 42 }));
+    let read = CachedList::decode(FIXTURE, CONFIRMED_AT + Duration::from_secs(42), MAX_AGE);
+    assert_eq!(read, Ok(AgedList { list: fixture_list(), age: Duration::from_secs(42) }));
 }
 
 #[test]
@@ -43,18 +43,15 @@
 #[test]
 fn rejects_a_truncated_or_damaged_file_of_version_0_1_0() {
     for length in 0..FIXTURE.len() {
-        let read = CachedList::decode(&FIXTURE[..length], CONFIRMED_AT, MAX_AGE_SECONDS);
+        let read = CachedList::decode(&FIXTURE[..length], CONFIRMED_AT, MAX_AGE);
         assert!(read.is_err(), "truncated to {length} bytes");
         let mut damaged = FIXTURE.to_vec();
         damaged[length] ^= 1;
-        assert!(
-            CachedList::decode(&damaged, CONFIRMED_AT, MAX_AGE_SECONDS).is_err(),
-            "byte {length} altered"
-        );
+        assert!(CachedList::decode(&damaged, CONFIRMED_AT, MAX_AGE).is_err(), "byte {length} altered");
     }
     let late = CONFIRMED_AT + Duration::from_secs(200);
     assert_eq!(
-        CachedList::decode(FIXTURE, late, MAX_AGE_SECONDS),
-        Err(CachedListError::TooOld { age_seconds: 200 })
+        CachedList::decode(FIXTURE, late, MAX_AGE),
+        Err(CachedListError::TooOld { age: Duration::from_secs(200) })
     );
 }
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -32,8 +32,8 @@
 pub struct CachedInstances {
     /// The instances that were eligible.
     pub instances: Vec<Instance>,
-    /// Age of the list in seconds when it was read.
-    pub age_seconds: u64,
+    /// Age of the list in whole seconds when it was read.
+    pub age: Duration,
 }
 
 #[derive(Debug)]
@@ -62,8 +62,8 @@
 
 impl CacheFile {
     /// Reads the file at `path`, and prepares to write the lists of these services. An invalid file is logged and ignored.
-    pub fn open(path: PathBuf, max_age_seconds: u64, services: impl IntoIterator<Item = String>) -> Self {
-        let initial = read(&path, max_age_seconds).unwrap_or_else(|error| {
+    pub fn open(path: PathBuf, max_age: Duration, services: impl IntoIterator<Item = String>) -> Self {
+        let initial = read(&path, max_age).unwrap_or_else(|error| {
             tracing::warn!(path = %path.display(), %error, "endpoint cache not usable");
             None
         });
@@ -81,7 +81,7 @@
     pub fn cached(&self, service: &str) -> Option<CachedInstances> {
         let initial = self.initial.as_ref()?;
         let instances = initial.list.services.get(service)?.clone();
-        Some(CachedInstances { instances, age_seconds: initial.age_seconds })
+        Some(CachedInstances { instances, age: initial.age })
     }
 
     /// Stores the list of a service that Consul has just confirmed, and writes the file if a write is due.
@@ -113,7 +113,7 @@
 }
 
 /// Reads the list from the file; `None` if there is no file.
-fn read(path: &Path, max_age_seconds: u64) -> Result<Option<AgedList>, CacheFileError> {
+fn read(path: &Path, max_age: Duration) -> Result<Option<AgedList>, CacheFileError> {
     let file = match File::open(path) {
         Ok(file) => file,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -121,7 +121,7 @@
     };
     let mut bytes = Vec::new();
     file.take(MAX_FILE_BYTES as u64).read_to_end(&mut bytes)?;
-    Ok(Some(CachedList::decode(&bytes, unix_time(), max_age_seconds)?))
+    Ok(Some(CachedList::decode(&bytes, unix_time(), max_age)?))
 }
 
 /// Replaces a file atomically: a crash at any point leaves the old contents or the new ones.
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -5,7 +5,7 @@
 mod status;
 
 use crate::sync::locked;
-use crate::{CacheFile, ConsulConfig, LastAnswers, WatchConfig};
+use crate::{CacheFile, CachedInstances, ConsulConfig, LastAnswers, WatchConfig};
 use catalogue::{
     EndpointList, EndpointNumber, EndpointTracker, HealthResponse, Instance, InvalidInstance, WatchEvent,
 };
@@ -70,11 +70,11 @@
     fn restore_cached(&self) {
         let service = &self.config.service;
         let Some(cached) = self.cache.as_ref().and_then(|cache| cache.cached(service)) else { return };
-        let (instances, age) = (cached.instances, cached.age_seconds);
-        let count = instances.len();
-        tracing::info!(service, count, age_seconds = age, "cached endpoint list in use until Consul answers");
+        let CachedInstances { instances, age } = cached;
+        let (count, age_seconds) = (instances.len(), age.as_secs());
+        tracing::info!(service, count, age_seconds, "cached endpoint list in use until Consul answers");
         let mut state = locked(&self.state);
-        state.origin = format!("the list on disk, {age} s old at the start");
+        state.origin = format!("the list on disk, {age_seconds} s old at the start");
         let mut events = Vec::new();
         let list = state.tracker.restore(self.last_answers.now(), instances, &mut events);
         self.publish(&mut state, list, &events);
--- a/crates/consul/tests/cache_file.rs
+++ b/crates/consul/tests/cache_file.rs
@@ -3,8 +3,9 @@
 use catalogue::{HealthStatus, Instance};
 use consul::CacheFile;
 use std::path::PathBuf;
+use std::time::Duration;
 
-const MAX_AGE_SECONDS: u64 = 60;
+const MAX_AGE: Duration = Duration::from_secs(60);
 
 /// Path of a cache file in a temporary directory, which is removed on drop.
 struct TemporaryPath(PathBuf);
@@ -18,7 +19,7 @@
 
     fn open(&self, services: &[&str]) -> CacheFile {
         let services = services.iter().map(|&service| service.to_owned());
-        CacheFile::open(self.0.clone(), MAX_AGE_SECONDS, services)
+        CacheFile::open(self.0.clone(), MAX_AGE, services)
     }
 }
 
@@ -46,7 +47,7 @@
     cache.store("rates", Vec::new());
     let cached = path.open(&["loans", "rates"]).cached("loans").expect("the file was written");
     assert_eq!(cached.instances, instances());
-    assert!(cached.age_seconds <= 5, "{}", cached.age_seconds);
+    assert!(cached.age <= Duration::from_secs(5), "{:?}", cached.age);
     let files = std::fs::read_dir(path.0.parent().expect("a directory")).expect("the directory").count();
     assert_eq!(files, 1, "no temporary file is left");
 }
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -42,7 +42,8 @@
     TokenFile::new(consul_config.token_file.clone()).read().map_err(Error::ConsulToken)?;
     let cache = config.consul.cache_file.as_ref().map(|name| {
         let services = config.service_names().into_iter().map(str::to_owned);
-        Arc::new(CacheFile::open(directory(path).join(name), config.consul.cache_max_age_s, services))
+        let max_age = Duration::from_secs(config.consul.cache_max_age_s);
+        Arc::new(CacheFile::open(directory(path).join(name), max_age, services))
     });
     let watches = watch_configs(config).into_iter().enumerate().map(|(service, watch_config)| {
         let (notified, busy) = (backends.clone(), backends.busy());
