--- a/crates/consul/src/config.rs
+++ b/crates/consul/src/config.rs
@@ -18,8 +18,8 @@
     pub namespace: Option<String>,
     /// Partition, if not the agent's own.
     pub partition: Option<String>,
-    /// Maximum staleness in milliseconds of a stale read; `None` for consistent reads from the leader.
-    pub max_stale_ms: Option<u64>,
+    /// Maximum staleness of a stale read; `None` for consistent reads from the leader.
+    pub max_staleness: Option<Duration>,
     /// Maximum duration of a blocking query.
     pub blocking_wait: Duration,
 }
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -3,6 +3,7 @@
 use catalogue::{CachedListError, ResponseError};
 use std::io;
 use std::path::PathBuf;
+use std::time::Duration;
 
 /// Why a query has no usable response.
 #[derive(Debug, thiserror::Error)]
@@ -11,10 +12,10 @@
     #[error("the servers have no leader")]
     NoLeader,
     /// The server last heard from its leader too long ago.
-    #[error("the server heard from its leader {last_contact_ms} ms ago")]
+    #[error("the server heard from its leader {} ms ago", since_contact.as_millis())]
     Stale {
-        /// Milliseconds since the last contact.
-        last_contact_ms: u64,
+        /// Time since the last contact.
+        since_contact: Duration,
     },
     /// The agent responded with a status other than 200.
     #[error("status {0}")]
--- a/crates/consul/src/error/tests.rs
+++ b/crates/consul/src/error/tests.rs
@@ -8,7 +8,11 @@
     let response = ResponseError::TooManyInstances { count: 70_000 };
     for (error, text, is_stale) in [
         (QueryError::NoLeader, "the servers have no leader", true),
-        (QueryError::Stale { last_contact_ms: 900 }, "the server heard from its leader 900 ms ago", true),
+        (
+            QueryError::Stale { since_contact: Duration::from_millis(900) },
+            "the server heard from its leader 900 ms ago",
+            true,
+        ),
         (QueryError::Status(500), "status 500", false),
         (QueryError::Transport(ureq::Error::HostNotFound), "host not found", false),
         (QueryError::Response(response), "70000 instances, more than 65536", false),
--- a/crates/consul/src/health_client.rs
+++ b/crates/consul/src/health_client.rs
@@ -71,9 +71,9 @@
         if header(response, "x-consul-knownleader").eq_ignore_ascii_case("false") {
             return Err(QueryError::NoLeader);
         }
-        let last_contact_ms = number_in_header(response, "x-consul-lastcontact");
-        if query.allow_stale && self.config.max_stale_ms.is_some_and(|max| last_contact_ms > max) {
-            return Err(QueryError::Stale { last_contact_ms });
+        let since_contact = Duration::from_millis(number_in_header(response, "x-consul-lastcontact"));
+        if query.allow_stale && self.config.max_staleness.is_some_and(|max| since_contact > max) {
+            return Err(QueryError::Stale { since_contact });
         }
         Ok(())
     }
--- a/crates/consul/src/watch/log/tests.rs
+++ b/crates/consul/src/watch/log/tests.rs
@@ -13,7 +13,7 @@
         datacenter: None,
         namespace: None,
         partition: None,
-        max_stale_ms: None,
+        max_staleness: None,
         blocking_wait: Duration::from_secs(10),
     };
     let config = WatchConfig {
--- a/crates/consul/src/watch/poll_loop.rs
+++ b/crates/consul/src/watch/poll_loop.rs
@@ -32,7 +32,7 @@
             min_query_interval: MIN_QUERY_INTERVAL,
             backoff: BACKOFF,
             failback_after: FAILBACK_AFTER,
-            allow_stale: watch.consul.max_stale_ms.is_some(),
+            allow_stale: watch.consul.max_staleness.is_some(),
         };
         Self {
             watch,
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -54,7 +54,7 @@
         datacenter: None,
         namespace: None,
         partition: None,
-        max_stale_ms: None,
+        max_staleness: None,
         blocking_wait: Duration::from_millis(10_000),
     }
 }
@@ -94,7 +94,7 @@
         datacenter: Some("dc1".into()),
         namespace: Some("team a".into()),
         partition: Some("p/1".into()),
-        max_stale_ms: Some(500),
+        max_staleness: Some(Duration::from_millis(500)),
         ..consul_config(address)
     };
     let filter = Some(r#"Service.Meta.zone == "z1""#.to_owned());
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -22,7 +22,7 @@
         datacenter: config.datacenter.clone(),
         namespace: config.namespace.clone(),
         partition: config.partition.clone(),
-        max_stale_ms: config.max_stale_ms,
+        max_staleness: config.max_stale_ms.map(Duration::from_millis),
         blocking_wait: Duration::from_millis(config.wait_ms),
     }
 }
