--- a/crates/cluster/src/health_monitor.rs
+++ b/crates/cluster/src/health_monitor.rs
@@ -3,7 +3,7 @@
 use crate::run_executor::{FinishedRun, RunOutcome};
 use health_check::{BackendHealth, HealthReport, HealthStatus, HealthTracker};
 use std::collections::{BTreeMap, BTreeSet};
-use timestamps::MonotonicTime;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// A callback that receives the ids of the backends ejected by health checks whenever the set changes.
 pub type OnEjectionChange = Box<dyn Fn(&BTreeSet<String>) + Send>;
@@ -49,7 +49,7 @@
             return None;
         }
         let passed = outcome.is_success();
-        let scheduled_unix_ms = run.id.scheduled_unix_ms();
+        let scheduled_unix_ms = UnixTime::from(run.id).as_millis();
         let report = self.tracker.record_check(backend_id, scheduled_unix_ms, passed, now.as_millis())?;
         if report.has_changed() && report.failing {
             tracing::warn!(backend = backend_id, reason = %outcome.reason(), "health check failing");
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -16,8 +16,8 @@
 const THREADS: usize = 4;
 /// The size limit of a response.
 const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
-/// The TTL of the session in seconds, the minimum that Consul accepts.
-const SESSION_TTL_S: u64 = 10;
+/// The TTL of the session, the minimum that Consul accepts.
+const SESSION_TTL: Duration = Duration::from_secs(10);
 
 /// A task for the threads that call Consul.
 #[derive(Debug)]
@@ -154,7 +154,7 @@
 
     /// Opens a session and acquires its key.
     fn open_session(&self) -> Result<Session, StoreError> {
-        let created = self.send(&Request::create_session(&self.instance, SESSION_TTL_S))?;
+        let created = self.send(&Request::create_session(&self.instance, SESSION_TTL))?;
         let session = self.keys.created_session(&created)?;
         if self.send(&Request::acquire_session_key(&session, &self.instance))?.key_acquired()? {
             Ok(session)
--- a/crates/cluster_simulation/src/counts.rs
+++ b/crates/cluster_simulation/src/counts.rs
@@ -3,6 +3,7 @@
 use job_lease::RunId;
 use periodic_jobs::Run;
 use std::collections::HashMap;
+use timestamps::UnixTime;
 
 /// Counters since the start of the simulation.
 #[derive(Clone, Debug, Default)]
@@ -52,7 +53,7 @@
     /// Records the start of a run.
     pub(crate) fn record(&mut self, run: Run, period_ms: u64) {
         let gap = self.gaps.entry(run.job.clone()).or_insert(JobGap { last_run: run.id, longest: 0 });
-        let periods = periods_since(gap.last_run, run.id.scheduled_unix_ms(), period_ms);
+        let periods = periods_since(gap.last_run, UnixTime::from(run.id).as_millis(), period_ms);
         let missed = periods.saturating_sub(1);
         gap.longest = gap.longest.max(missed);
         gap.last_run = run.id;
@@ -81,5 +82,5 @@
 
 /// Returns the number of complete periods from a run to a moment.
 fn periods_since(run: RunId, unix_ms: u64, period_ms: u64) -> u64 {
-    unix_ms.saturating_sub(run.scheduled_unix_ms()) / period_ms
+    unix_ms.saturating_sub(UnixTime::from(run).as_millis()) / period_ms
 }
--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -12,6 +12,7 @@
 use crate::{LeaseRecord, Session};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
+use std::time::Duration;
 
 /// The folder of the job keys below the prefix.
 const JOBS_FOLDER: &str = "duties";
@@ -69,12 +70,15 @@
         Self::put(target, instance.to_owned())
     }
 
-    /// Creates a session that expires after `ttl_s` seconds without renewal. Consul then deletes its key. There is no lock
-    /// delay: compare-and-set makes runs exclusive, and a delay would only block a restarted instance. Parse the response
-    /// with [`LeaseKeys::created_session`].
-    pub fn create_session(instance: &str, ttl_s: u64) -> Self {
+    /// Creates a session that expires after `ttl` without renewal. Consul then deletes its key. Fractions of a second are
+    /// ignored. There is no lock delay: compare-and-set makes runs exclusive, and a delay would only block a restarted
+    /// instance. Parse the response with [`LeaseKeys::created_session`].
+    pub fn create_session(instance: &str, ttl: Duration) -> Self {
         let body = serde_json::json!({
-            "Name": format!("snowfield {instance}"), "TTL": format!("{ttl_s}s"), "LockDelay": "0s", "Behavior": "delete"
+            "Name": format!("snowfield {instance}"),
+            "TTL": format!("{}s", ttl.as_secs()),
+            "LockDelay": "0s",
+            "Behavior": "delete",
         });
         Self::put("/v1/session/create".into(), body.to_string())
     }
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -10,13 +10,6 @@
 #[serde(transparent)]
 pub struct RunId(pub u64);
 
-impl RunId {
-    /// Returns the scheduled time in Unix milliseconds.
-    pub fn scheduled_unix_ms(self) -> u64 {
-        self.0
-    }
-}
-
 impl From<RunId> for UnixTime {
     /// Returns the scheduled time of a run.
     fn from(run: RunId) -> Self {
@@ -24,6 +17,13 @@
     }
 }
 
+impl From<UnixTime> for RunId {
+    /// Returns the run with this scheduled time.
+    fn from(scheduled: UnixTime) -> Self {
+        Self(scheduled.as_millis())
+    }
+}
+
 impl fmt::Display for RunId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
--- a/crates/job_lease/tests/wire_format.rs
+++ b/crates/job_lease/tests/wire_format.rs
@@ -4,6 +4,7 @@
 use base64::engine::general_purpose::STANDARD;
 use job_lease::consul::{LeaseKeys, Request, Response};
 use job_lease::{CompareAndSetOutcome, LeaseRecord, RunId, Session};
+use std::time::Duration;
 
 /// The requests of the earlier build, each as a line with method and target and a line with the body.
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
@@ -39,7 +40,7 @@
 fn requests_to_consul_equal_those_of_the_earlier_build() {
     let (keys, session) = (keys(), session());
     let requests = [
-        Request::create_session("muscat-1", 10),
+        Request::create_session("muscat-1", Duration::from_secs(10)),
         Request::acquire_session_key(&session, "muscat-1"),
         Request::renew_session(&session),
         Request::destroy_session(&session),
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -174,7 +174,7 @@
             run = state.job.run_after(state.settled);
         }
         let stagger_ms = self.stagger_ms(&state.job);
-        let mut due_unix_ms = run.scheduled_unix_ms() + rank as u64 * stagger_ms;
+        let mut due_unix_ms = UnixTime::from(run).as_millis() + rank as u64 * stagger_ms;
         if rank > 0 {
             // Round up so that attempts close together share one read.
             let granularity_ms = (stagger_ms / 2).max(1);
