--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -55,7 +55,7 @@
                 out,
                 "  {}  every {} ms  owner {}  {}  token here {}",
                 status.job.name,
-                status.job.period_ms(),
+                status.job.period.as_millis(),
                 status.owner,
                 last_run(now, &status),
                 status.last_run_here
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -19,21 +19,16 @@
     /// Returns the run whose period contains this moment. The periods of different jobs start at different offsets, which
     /// spreads the load on the lease store.
     pub fn run_at(&self, moment: UnixTime) -> RunId {
-        let unix_ms = moment.as_millis();
-        let period_ms = self.period_ms().max(1);
-        let phase_ms = JobHash::of(&self.name).0 % period_ms;
-        let elapsed_ms = (unix_ms + self.period_ms() - phase_ms) % period_ms;
-        RunId(unix_ms.saturating_sub(elapsed_ms))
-    }
-
-    /// Returns the period in milliseconds.
-    pub fn period_ms(&self) -> u64 {
-        whole_millis(self.period)
+        let period_ms = whole_millis(self.period).max(1);
+        let offset_ms = JobHash::of(&self.name).0 % period_ms;
+        let elapsed_ms = (moment.as_millis() + period_ms - offset_ms) % period_ms;
+        moment.saturating_sub(Duration::from_millis(elapsed_ms)).into()
     }
 
     /// Returns the run after the one whose period contains the scheduled time of `run`.
     pub(crate) fn run_after(&self, run: RunId) -> RunId {
-        RunId(self.run_at(run.into()).0 + self.period_ms())
+        let start_of_period = UnixTime::from(self.run_at(run.into()));
+        (start_of_period + self.period).into()
     }
 }
 
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -11,15 +11,15 @@
 use crate::rendezvous::{MemberHash, Members};
 use crate::{Action, ClockReading, Config, Job, Notice, ResetReason, StoreCall};
 use attempt_queue::AttemptQueue;
-use job_lease::Session;
+use job_lease::{RunId, Session};
 use job_state::{JobState, Phase};
 use std::collections::HashMap;
 use std::time::Duration;
 use store_connection::StoreConnection;
-use timestamps::UnixTime;
+use timestamps::{UnixTime, whole_millis};
 
-/// The difference in progress between the two clocks, in milliseconds, beyond which the Unix clock counts as stepped.
-const MIN_CLOCK_STEP_MS: u64 = 250;
+/// The difference in progress between the two clocks beyond which the Unix clock counts as stepped.
+const MIN_CLOCK_STEP: Duration = Duration::from_millis(250);
 /// The percentage of a period over which the attempts of all ranks are spread. The rest remains for the run.
 const ATTEMPT_SPREAD_PERCENT: u64 = 60;
 
@@ -60,7 +60,7 @@
         self.index_by_name.clear();
         self.attempts.clear();
         for job in jobs {
-            if job.period_ms() == 0 || self.index_by_name.contains_key(&job.name) {
+            if whole_millis(job.period) == 0 || self.index_by_name.contains_key(&job.name) {
                 continue;
             }
             let mut state = before
@@ -141,15 +141,11 @@
 
     /// Detects a step of the Unix clock and schedules all attempts again.
     fn detect_clock_step(&mut self, now: ClockReading, out: &mut Vec<Action>) {
-        if let Some(before) = self.last_clock.replace(now) {
-            let unix_elapsed_ms = now.unix.as_millis() as i64 - before.unix.as_millis() as i64;
-            let monotonic_elapsed = now.monotonic.saturating_since(before.monotonic);
-            let monotonic_elapsed_ms = monotonic_elapsed.as_millis() as i64;
-            if unix_elapsed_ms.abs_diff(monotonic_elapsed_ms) > MIN_CLOCK_STEP_MS {
-                let by_ms = unix_elapsed_ms - monotonic_elapsed_ms;
-                out.push(Action::Notify(Notice::ClockStepped { by_ms }));
-                self.schedule_all(now);
-            }
+        let Some(before) = self.last_clock.replace(now) else { return };
+        let by_ms = now.unix_step_ms_since(before);
+        if Duration::from_millis(by_ms.unsigned_abs()) > MIN_CLOCK_STEP {
+            out.push(Action::Notify(Notice::ClockStepped { by_ms }));
+            self.schedule_all(now);
         }
     }
 
@@ -173,26 +169,34 @@
         if state.settled >= run {
             run = state.job.run_after(state.settled);
         }
-        let stagger_ms = self.stagger_ms(&state.job);
-        let mut due_unix_ms = UnixTime::from(run).as_millis() + rank as u64 * stagger_ms;
-        if rank > 0 {
-            // Round up so that attempts close together share one read.
-            let granularity_ms = (stagger_ms / 2).max(1);
-            due_unix_ms = due_unix_ms.div_ceil(granularity_ms) * granularity_ms;
-        }
-        self.attempts.schedule(index, UnixTime::from_millis(due_unix_ms).max(now.unix));
+        let due_at = self.attempt_due_at(&state.job, run, rank);
+        self.attempts.schedule(index, due_at.max(now.unix));
+    }
+
+    /// Returns when the instance with this rank attempts a run.
+    fn attempt_due_at(&self, job: &Job, run: RunId, rank: usize) -> UnixTime {
+        let scheduled = UnixTime::from(run);
+        if rank == 0 {
+            return scheduled;
+        }
+        let stagger_ms = whole_millis(self.stagger(job));
+        let due_unix_ms = scheduled.as_millis() + rank as u64 * stagger_ms;
+        // Round up so that attempts close together share one read.
+        let granularity_ms = (stagger_ms / 2).max(1);
+        UnixTime::from_millis(due_unix_ms.next_multiple_of(granularity_ms))
     }
 
     /// Schedules another attempt at the same run.
     fn retry_later(&mut self, index: usize, now: ClockReading) {
-        let stagger = Duration::from_millis(self.stagger_ms(&self.jobs[index].job));
+        let stagger = self.stagger(&self.jobs[index].job);
         self.attempts.schedule(index, now.unix + stagger);
     }
 
     /// Returns the delay between the attempts of two successive ranks. The last attempt leaves time for the run.
-    fn stagger_ms(&self, job: &Job) -> u64 {
+    fn stagger(&self, job: &Job) -> Duration {
         let ranks = self.config.standbys as u64 + 1;
-        (job.period_ms() * ATTEMPT_SPREAD_PERCENT / 100 / ranks).max(1)
+        let stagger_ms = whole_millis(job.period) * ATTEMPT_SPREAD_PERCENT / 100 / ranks;
+        Duration::from_millis(stagger_ms.max(1))
     }
 
     /// Discards the session and all cached leases, and schedules all attempts again.
