--- a/crates/discovery/src/poll_backoff/tests.rs
+++ b/crates/discovery/src/poll_backoff/tests.rs
@@ -2,11 +2,16 @@
 
 use super::*;
 use std::collections::{BTreeSet, VecDeque};
+use timestamps::MonotonicTime;
 
 /// Service time of a request in the discovery service.
-const SERVICE_TIME_MS: u64 = 60;
+const SERVICE_TIME: Duration = Duration::from_millis(60);
 /// Time-out of a request. The service spends the service time on timed-out requests too.
-const REQUEST_TIMEOUT_MS: u64 = 2_000;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Resolution of the simulated time.
+const STEP: Duration = Duration::from_millis(1);
+/// The simulation gives up after this time.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(60);
 /// Maximum length of the service's queue. Further requests are rejected at once.
 const MAX_QUEUE: usize = 90;
 const GATEKEEPERS: usize = 100;
@@ -14,8 +19,8 @@
 /// The result of a simulated recovery.
 #[derive(Debug)]
 struct Recovery {
-    /// When the last gatekeeper had its watch again; `None` if that took more than a minute.
-    completed_ms: Option<u64>,
+    /// Time until the last gatekeeper had its watch again; `None` if that took more than [`MAX_RECOVERY_TIME`].
+    time: Option<Duration>,
     /// Number of requests to the service.
     requests: usize,
 }
@@ -24,42 +29,43 @@
 /// `backoff` returns the backoff of a gatekeeper after a watch of this age.
 fn simulate_recovery(seed: u64, mut backoff: impl FnMut(usize, Duration) -> Duration) -> Recovery {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut due: BTreeSet<(u64, usize)> = (0..GATEKEEPERS)
-        .map(|gatekeeper| {
-            (backoff(gatekeeper, MIN_WORKING_AGE).as_millis() as u64 + random.u64(0..5), gatekeeper)
-        })
-        .collect();
-    let (mut queue, mut next_service_ms, mut recovered, mut requests) = (VecDeque::new(), 0, 0, 0);
-    for now in 0..60_000 {
-        while let Some(&(due_ms, gatekeeper)) = due.first()
-            && due_ms <= now
+    let mut first_request_at = |gatekeeper| {
+        let stagger = Duration::from_millis(random.u64(0..5));
+        MonotonicTime::ZERO + backoff(gatekeeper, MIN_WORKING_AGE) + stagger
+    };
+    let mut due: BTreeSet<(MonotonicTime, usize)> =
+        (0..GATEKEEPERS).map(|gatekeeper| (first_request_at(gatekeeper), gatekeeper)).collect();
+    let (mut queue, mut recovered, mut requests) = (VecDeque::new(), 0, 0);
+    let (mut now, mut next_service_at) = (MonotonicTime::ZERO, MonotonicTime::ZERO);
+    while now < MonotonicTime::ZERO + MAX_RECOVERY_TIME {
+        while let Some(&(due_at, gatekeeper)) = due.first()
+            && due_at <= now
         {
             due.pop_first();
             requests += 1;
             if queue.len() < MAX_QUEUE {
                 queue.push_back((now, gatekeeper));
             } else {
-                due.insert((now + 1 + backoff(gatekeeper, Duration::ZERO).as_millis() as u64, gatekeeper));
+                due.insert((now + STEP + backoff(gatekeeper, Duration::ZERO), gatekeeper));
             }
         }
-        if now >= next_service_ms
+        if now >= next_service_at
             && let Some((queued_at, gatekeeper)) = queue.pop_front()
         {
-            next_service_ms = now + SERVICE_TIME_MS;
-            if now - queued_at <= REQUEST_TIMEOUT_MS {
+            next_service_at = now + SERVICE_TIME;
+            if now.saturating_since(queued_at) <= REQUEST_TIMEOUT {
                 recovered += 1;
                 if recovered == GATEKEEPERS {
-                    return Recovery { completed_ms: Some(now), requests };
+                    return Recovery { time: Some(now.saturating_since(MonotonicTime::ZERO)), requests };
                 }
             } else {
-                let age = Duration::from_millis(REQUEST_TIMEOUT_MS);
-                let timed_out_ms = queued_at + REQUEST_TIMEOUT_MS;
-                let due_ms = timed_out_ms + backoff(gatekeeper, age).as_millis() as u64;
-                due.insert((due_ms.max(now), gatekeeper));
+                let due_at = queued_at + REQUEST_TIMEOUT + backoff(gatekeeper, REQUEST_TIMEOUT);
+                due.insert((due_at.max(now), gatekeeper));
             }
         }
+        now = now + STEP;
     }
-    Recovery { completed_ms: None, requests }
+    Recovery { time: None, requests }
 }
 
 /// With a fixed wait of 200 ms, no request was served in time any more after all watches had ended at once.
@@ -69,11 +75,14 @@
         let backoff = |gatekeeper| PollBackoff::new(seed << 8 | gatekeeper, AgentMode::Polling);
         let mut backoffs: Vec<PollBackoff> = (0..100).map(backoff).collect();
         let recovery = simulate_recovery(seed, |gatekeeper, age| backoffs[gatekeeper].next_backoff(age));
-        assert!(recovery.completed_ms.is_some_and(|ms| ms < 25_000), "seed {seed}: {recovery:?}");
+        assert!(
+            recovery.time.is_some_and(|time| time < Duration::from_secs(25)),
+            "seed {seed}: {recovery:?}"
+        );
         assert!(recovery.requests < 400, "seed {seed}: {recovery:?}");
     }
     let with_fixed_wait = simulate_recovery(1, |_, _| MAX_BACKOFF_AFTER_SUCCESS);
-    assert_eq!(with_fixed_wait.completed_ms, None, "the simulation no longer shows a retry storm");
+    assert_eq!(with_fixed_wait.time, None, "the simulation no longer shows a retry storm");
 }
 
 #[test]
