--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -111,8 +111,8 @@
         Request { method: Method::Get, target, body: String::new() }
     }
 
-    /// Writes a record if the job's key has this index and the session exists. Index 0 means that the key must not exist.
-    /// Parse the response with [`LeaseKeys::compare_and_set_outcome`].
+    /// Writes a record if the job's key has this index and the session exists. [`ABSENT_KEY_INDEX`](crate::ABSENT_KEY_INDEX)
+    /// means that the key must not exist. Parse the response with [`LeaseKeys::compare_and_set_outcome`].
     pub fn compare_and_set_request(
         &self,
         session: &Session,
--- a/crates/job_lease/src/lib.rs
+++ b/crates/job_lease/src/lib.rs
@@ -25,4 +25,4 @@
 pub use error::{StoreError, StoreErrorCause};
 pub use local::LocalStore;
 pub use record::{LeaseRecord, RunId, StoredLease};
-pub use store::{CompareAndSetOutcome, LeaseListing, ListedLease, Session};
+pub use store::{ABSENT_KEY_INDEX, CompareAndSetOutcome, LeaseListing, ListedLease, Session};
--- a/crates/job_lease/src/local.rs
+++ b/crates/job_lease/src/local.rs
@@ -1,7 +1,9 @@
 //! Leases in memory, for a single instance. They follow the same protocol as leases in Consul: after a restart the absent
 //! keys are seeded, so a run from before the restart is not repeated.
 
-use crate::{CompareAndSetOutcome, LeaseListing, LeaseRecord, ListedLease, Session, StoredLease};
+use crate::{
+    ABSENT_KEY_INDEX, CompareAndSetOutcome, LeaseListing, LeaseRecord, ListedLease, Session, StoredLease,
+};
 use std::collections::HashMap;
 
 /// The leases of one process.
@@ -23,14 +25,14 @@
         LeaseListing { leases: jobs.iter().map(listed).collect(), store_index: self.last_index }
     }
 
-    /// Writes a record if the job's key has this index. Index 0 means that the key must not exist.
+    /// Writes a record if the job's key has this index. [`ABSENT_KEY_INDEX`] means that the key must not exist.
     pub fn compare_and_set(
         &mut self,
         job: &str,
         record: LeaseRecord,
         expected_index: u64,
     ) -> CompareAndSetOutcome {
-        let current_index = self.leases.get(job).map_or(0, |lease| lease.modify_index);
+        let current_index = self.leases.get(job).map_or(ABSENT_KEY_INDEX, |lease| lease.modify_index);
         if current_index != expected_index {
             return CompareAndSetOutcome::Conflict;
         }
--- a/crates/job_lease/src/store.rs
+++ b/crates/job_lease/src/store.rs
@@ -2,6 +2,9 @@
 
 use crate::{StoreError, StoredLease};
 
+/// The index of a key that does not exist, as a compare-and-set expects it.
+pub const ABSENT_KEY_INDEX: u64 = 0;
+
 /// A session with the store. Writes bound to it fail after the session has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Session {
--- a/crates/periodic_jobs/src/store_call.rs
+++ b/crates/periodic_jobs/src/store_call.rs
@@ -29,7 +29,7 @@
         job: String,
         /// The record to write.
         record: LeaseRecord,
-        /// The index that the key must still have. 0 if the key must not exist.
+        /// The index that the key must still have, [`ABSENT_KEY_INDEX`](job_lease::ABSENT_KEY_INDEX) if it must not exist.
         expected_index: u64,
         /// The session that the write is bound to.
         session: Session,
