--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -4,7 +4,7 @@
 use super::job_state::{LastRun, Phase};
 use crate::rendezvous::stable_hash;
 use crate::{Action, ClockReading, Config, Notice, Run, StoreCall};
-use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, decide};
+use job_lease::{ABSENT_KEY_INDEX, AcquireRequest, Decision, LeaseRecord, RunId, decide};
 use timestamps::UnixTime;
 
 impl Scheduler {
@@ -24,11 +24,10 @@
             return;
         }
         let state = &self.jobs[index];
-        let uncertain = matches!(state.phase, Phase::Uncertain { .. });
         let is_owner = state.ranking.rank(self.local_member) == Some(0);
+        let is_lease_known = state.cached_lease.is_some() && !matches!(state.phase, Phase::Uncertain { .. });
         // The owner wrote the cached lease itself and can skip the read.
-        let may_skip_read = state.cached_lease.is_some() && !uncertain && is_owner;
-        if may_skip_read && !self.store.is_unavailable() {
+        if is_owner && is_lease_known && !self.store.is_unavailable() {
             self.continue_attempt(index, now, out);
         } else {
             reads.push(index);
@@ -54,9 +53,8 @@
             Phase::Uncertain { .. } if state.current_run == run => true,
             // The period of the uncertain run is over. Even if it was acquired, it may no longer start.
             Phase::Uncertain { .. } => {
-                state.phase = Phase::Idle;
                 state.settle_current_run();
-                state.cached_lease = None;
+                state.abandon_attempt();
                 self.schedule_next_run(index, now);
                 false
             }
@@ -105,7 +103,7 @@
                 out.push(Action::Notify(Notice::LeaseRecovered { job, run }));
                 self.start_run(index, now, out);
             }
-            Decision::Seed => self.write_record(index, now, request.seed_record(), 0, out),
+            Decision::Seed => self.write_record(index, now, request.seed_record(), ABSENT_KEY_INDEX, out),
             Decision::CompareAndSet { expected_index } => {
                 let record = request.lease_record(&self.config.instance);
                 self.write_record(index, now, record, expected_index, out);
@@ -161,18 +159,17 @@
         let state = &mut self.jobs[index];
         state.phase = Phase::Idle;
         state.settle_current_run();
-        let (job, id) = (state.job.name.clone(), state.current_run);
-        state.last_run = Some(LastRun { run: id, holder: self.config.instance.clone() });
-        let period_end = UnixTime::from(id) + state.job.period;
+        let (job, run) = (state.job.name.clone(), state.current_run);
+        state.last_run = Some(LastRun { run, holder: self.config.instance.clone() });
+        let period_end = UnixTime::from(run) + state.job.period;
         let deadline = period_end.saturating_sub(self.config.start_margin);
-        if id > state.last_run_here {
-            if now.unix < deadline {
-                state.last_run_here = id;
-                let deadline = now + deadline.saturating_since(now.unix);
-                out.push(Action::StartRun(Run { job, id, deadline }));
-            } else {
-                out.push(Action::Notify(Notice::AcquiredTooLate { job, run: id }));
-            }
+        let time_left = deadline.saturating_since(now.unix);
+        let has_started = run <= state.last_run_here;
+        if !has_started && time_left.is_zero() {
+            out.push(Action::Notify(Notice::AcquiredTooLate { job, run }));
+        } else if !has_started {
+            state.last_run_here = run;
+            out.push(Action::StartRun(Run { job, id: run, deadline: now + time_left }));
         }
         self.schedule_next_run(index, now);
     }
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -63,6 +63,11 @@
             Self::Idle | Self::Writing { .. } => false,
         }
     }
+
+    /// Returns whether the job awaits the response to this write.
+    pub(super) fn awaits_write(&self, call: CallId) -> bool {
+        matches!(self, Self::Writing { call: pending, .. } if *pending == call)
+    }
 }
 
 /// A job and its state.
@@ -114,6 +119,12 @@
         self.settled = self.settled.max(self.current_run);
     }
 
+    /// Ends the attempt and discards the cached lease. The next attempt reads it.
+    pub(super) fn abandon_attempt(&mut self) {
+        self.phase = Phase::Idle;
+        self.cached_lease = None;
+    }
+
     /// Updates the last run from the cached lease. Returns whether it has changed.
     pub(super) fn update_last_run(&mut self) -> bool {
         let Some(lease) = &self.cached_lease else { return false };
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -140,24 +140,21 @@
         out: &mut Vec<Action>,
     ) {
         let Some(&index) = self.index_by_name.get(job) else { return };
-        match self.jobs[index].phase {
-            Phase::Writing { call: pending, .. } if pending == call => {}
-            _ => return,
+        if !self.jobs[index].phase.awaits_write(call) {
+            return;
         }
         match outcome {
             CompareAndSetOutcome::Applied { modify_index } => {
-                self.jobs[index].cached_lease = Some(StoredLease { record: record.clone(), modify_index });
                 self.store.record_success(out);
-                self.record_written(index, now, record, out);
+                let lease = StoredLease { record: record.clone(), modify_index };
+                self.lease_written(index, now, lease, out);
             }
             CompareAndSetOutcome::Conflict => {
                 self.write_conflicted(index, now);
                 self.store.record_success(out);
             }
             CompareAndSetOutcome::SessionEnded => {
-                let state = &mut self.jobs[index];
-                state.cached_lease = None;
-                state.phase = Phase::Idle;
+                self.jobs[index].abandon_attempt();
                 self.store.record_success(out);
                 self.reset_store(now, ResetReason::SessionEnded, out);
             }
@@ -169,30 +166,25 @@
     }
 
     /// Starts the acquired run. After a seed, schedules the first run behind it.
-    fn record_written(
-        &mut self,
-        index: usize,
-        now: ClockReading,
-        record: &LeaseRecord,
-        out: &mut Vec<Action>,
-    ) {
-        if !record.is_seed() {
+    fn lease_written(&mut self, index: usize, now: ClockReading, lease: StoredLease, out: &mut Vec<Action>) {
+        let (run, is_seed) = (lease.record.run, lease.record.is_seed());
+        let state = &mut self.jobs[index];
+        state.cached_lease = Some(lease);
+        if !is_seed {
             self.start_run(index, now, out);
             return;
         }
-        let state = &mut self.jobs[index];
-        state.settled = record.run;
+        state.settled = run;
         state.phase = Phase::Idle;
         let job = state.job.name.clone();
-        out.push(Action::Notify(Notice::Seeded { job, run: record.run }));
+        out.push(Action::Notify(Notice::Seeded { job, run }));
         self.schedule_next_run(index, now);
     }
 
     /// Retries after another instance has changed the record, up to [`MAX_CONFLICTS`] times per run.
     fn write_conflicted(&mut self, index: usize, now: ClockReading) {
         let state = &mut self.jobs[index];
-        state.cached_lease = None;
-        state.phase = Phase::Idle;
+        state.abandon_attempt();
         state.conflicts += 1;
         if state.conflicts > MAX_CONFLICTS {
             state.settle_current_run();
@@ -203,17 +195,13 @@
     }
 
     fn write_failed(&mut self, index: usize, now: ClockReading, record: &LeaseRecord, error: &StoreError) {
-        let state = &mut self.jobs[index];
-        state.cached_lease = None;
+        self.jobs[index].abandon_attempt();
         match error {
             StoreError::OutcomeUnknown(_) if !record.is_seed() => {
-                state.phase = Phase::Uncertain { read: None };
+                self.jobs[index].phase = Phase::Uncertain { read: None };
                 self.attempts.schedule(index, now.unix);
             }
-            _ => {
-                state.phase = Phase::Idle;
-                self.retry_later(index, now);
-            }
+            _ => self.retry_later(index, now),
         }
     }
 }
