--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -1,6 +1,7 @@
 //! Selects the agent of the next blocking query: agents in order of preference, with failover, failback, and exponential backoff
 //! with jitter. Follows Consul's documented rules for blocking queries.
 
+use crate::ExponentialBackoff;
 use std::time::Duration;
 use timestamps::{MonotonicTime, whole_millis};
 
@@ -37,25 +38,6 @@
     Unchanged,
 }
 
-/// Bounds of the exponential backoff after failed queries.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PollBackoff {
-    /// Backoff after the first failure. It doubles with each further one.
-    pub initial: Duration,
-    /// Upper bound.
-    pub max: Duration,
-}
-
-impl PollBackoff {
-    /// Backoff after a failure that follows `earlier_failures` consecutive ones, without jitter.
-    fn after(self, earlier_failures: u32) -> Duration {
-        const MAX_DOUBLINGS: u32 = 16;
-        const MIN_BACKOFF: Duration = Duration::from_millis(1);
-        let doublings = earlier_failures.min(MAX_DOUBLINGS);
-        (self.initial * 2u32.pow(doublings)).min(self.max).max(MIN_BACKOFF)
-    }
-}
-
 /// Settings of an [`AgentSelector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSelectorConfig {
@@ -64,7 +46,7 @@
     /// Minimum time between two queries. It bounds the query rate while the list changes constantly.
     pub min_query_interval: Duration,
     /// Backoff of an agent that fails.
-    pub backoff: PollBackoff,
+    pub backoff: ExponentialBackoff,
     /// Time with another agent after which the first one is queried again.
     pub failback_after: Duration,
     /// Whether queries may be stale reads.
--- a/crates/catalogue/src/agent_selector/tests.rs
+++ b/crates/catalogue/src/agent_selector/tests.rs
@@ -1,4 +1,4 @@
-//! Failover, failback and backoff of selector.
+//! Failover, failback and backoff of the selector.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     let config = AgentSelectorConfig {
         agent_count,
         min_query_interval: Duration::from_millis(50),
-        backoff: PollBackoff { initial: Duration::from_millis(200), max: Duration::from_secs(5) },
+        backoff: ExponentialBackoff { initial: Duration::from_millis(200), max: Duration::from_secs(5) },
         failback_after: Duration::from_secs(30),
         allow_stale: true,
     };
--- /dev/null
+++ b/crates/catalogue/src/exponential_backoff.rs
@@ -0,0 +1,25 @@
+//! Exponential backoff after consecutive failures, without jitter.
+
+use std::time::Duration;
+
+/// Bounds of an exponential backoff.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ExponentialBackoff {
+    /// Backoff after the first failure. It doubles with each further one.
+    pub initial: Duration,
+    /// Upper bound.
+    pub max: Duration,
+}
+
+impl ExponentialBackoff {
+    /// Returns the backoff after a failure that follows `earlier_failures` consecutive ones, at least one millisecond.
+    pub(crate) fn after(self, earlier_failures: u32) -> Duration {
+        const MAX_DOUBLINGS: u32 = 16;
+        const MIN_BACKOFF: Duration = Duration::from_millis(1);
+        let doublings = earlier_failures.min(MAX_DOUBLINGS);
+        (self.initial * 2u32.pow(doublings)).min(self.max).max(MIN_BACKOFF)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -1,6 +1,7 @@
 //! This process's registration with its agent: registers, keeps the TTL check passing with heartbeats, registers again when the
 //! agent has lost the registration, and deregisters at shutdown.
 
+use crate::ExponentialBackoff;
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
@@ -8,9 +9,10 @@
 const HEARTBEATS_PER_TTL: u32 = 3;
 /// The backoff after a failed request is at most the TTL divided by this.
 const RETRIES_PER_TTL: u32 = 6;
-/// Base of the exponential backoff. The first failure doubles it, and so does each further one.
-const BASE_BACKOFF: Duration = Duration::from_millis(250);
-const MAX_DOUBLINGS: u32 = 6;
+/// Backoff after the first failed request.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Upper bound of the backoff, whatever the TTL.
+const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
 /// A request to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,10 +109,10 @@
     }
 
     fn back_off(&mut self, now: MonotonicTime) {
+        let max = MAX_BACKOFF.min(self.ttl / RETRIES_PER_TTL);
+        let backoff = ExponentialBackoff { initial: INITIAL_BACKOFF, max };
+        self.next_request_at = now + backoff.after(self.consecutive_failures);
         self.consecutive_failures += 1;
-        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
-        let backoff = BASE_BACKOFF * 2u32.pow(doublings);
-        self.next_request_at = now + backoff.min(self.ttl / RETRIES_PER_TTL);
     }
 }
 
--- a/crates/consul/src/watch/poll_loop.rs
+++ b/crates/consul/src/watch/poll_loop.rs
@@ -3,14 +3,15 @@
 use super::ServiceWatch;
 use crate::QueryError;
 use crate::health_client::{HealthClient, IndexedResponse};
-use catalogue::{AgentSelector, AgentSelectorConfig, Freshness, PollBackoff, Query, QueryOutcome};
+use catalogue::{AgentSelector, AgentSelectorConfig, ExponentialBackoff, Freshness, Query, QueryOutcome};
 use std::thread;
 use std::time::Duration;
 
 /// Minimum time between two queries. It bounds the query rate while the list changes constantly.
 const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(50);
 /// Backoff of an agent that fails.
-const BACKOFF: PollBackoff = PollBackoff { initial: Duration::from_millis(250), max: Duration::from_secs(5) };
+const BACKOFF: ExponentialBackoff =
+    ExponentialBackoff { initial: Duration::from_millis(250), max: Duration::from_secs(5) };
 /// Time with another agent after which the first one is queried again.
 const FAILBACK_AFTER: Duration = Duration::from_secs(15);
 
