--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -63,25 +63,32 @@
     fn parse(text: &[u8]) -> Result<Self, CachedListError> {
         let text = std::str::from_utf8(text).map_err(|_| CachedListError::NotAListFile)?;
         let (header, body) = text.split_once('\n').ok_or(CachedListError::NotAListFile)?;
-        let mut words = header.split(' ');
-        if words.next() != Some(MAGIC) {
-            return Err(CachedListError::NotAListFile);
-        }
-        match words.next() {
-            Some(CACHE_VERSION) => {}
-            other => {
-                let version = other.unwrap_or_default().chars().take(MAX_SHOWN_VERSION).collect();
-                return Err(CachedListError::UnknownVersion(version));
-            }
-        }
+        let stated_checksum = parse_header(header)?;
         let body = body.strip_suffix('\n').ok_or(CachedListError::Corrupt)?;
-        if words.next() != Some(checksum(body).as_str()) || words.next().is_some() {
+        if stated_checksum != checksum(body) {
             return Err(CachedListError::Corrupt);
         }
         serde_json::from_str(body).map_err(|_| CachedListError::Corrupt)
     }
 }
 
+/// Returns the checksum stated in the header line.
+fn parse_header(header: &str) -> Result<&str, CachedListError> {
+    let mut words = header.split(' ');
+    if words.next() != Some(MAGIC) {
+        return Err(CachedListError::NotAListFile);
+    }
+    let version = words.next().unwrap_or_default();
+    if version != CACHE_VERSION {
+        let shown = version.chars().take(MAX_SHOWN_VERSION).collect();
+        return Err(CachedListError::UnknownVersion(shown));
+    }
+    match (words.next(), words.next()) {
+        (Some(checksum), None) => Ok(checksum),
+        _ => Err(CachedListError::Corrupt),
+    }
+}
+
 fn checksum(body: &str) -> String {
     blake3::hash(body.as_bytes()).to_hex().to_string()
 }
