--- a/crates/consul/src/health_client.rs
+++ b/crates/consul/src/health_client.rs
@@ -1,14 +1,14 @@
 //! Client of the health API.
 
 use crate::error::QueryError;
-use crate::http_agent::{TOKEN_HEADER, http_agent};
+use crate::http_agent::{http_agent, with_timeout_and_token};
 use crate::{ConsulConfig, TokenFile, WatchConfig};
 use catalogue::{HealthResponse, Query};
 use http::percent_encode;
 use std::fmt::Write;
 use std::time::Duration;
 use ureq::Body;
-use ureq::http::Response;
+use ureq::http::{Response, StatusCode};
 
 /// Maximum size of a response body in bytes, after decompression.
 const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
@@ -17,6 +17,13 @@
 /// Consul adds a random jitter of up to the wait divided by this, so that blocking queries do not end at the same time.
 const WAIT_JITTER_DIVISOR: u32 = 16;
 
+/// The index on which the next blocking query waits.
+const INDEX_HEADER: &str = "x-consul-index";
+/// Whether the servers have a leader.
+const KNOWN_LEADER_HEADER: &str = "x-consul-knownleader";
+/// Milliseconds since the responding server last heard from the leader.
+const LAST_CONTACT_HEADER: &str = "x-consul-lastcontact";
+
 /// A valid response and its index (`X-Consul-Index`).
 pub(crate) struct IndexedResponse {
     pub(crate) index: u64,
@@ -39,10 +46,10 @@
     /// Queries the health of a service. Blocks until the agent responds or the query times out.
     pub(crate) fn health(&self, watch: &WatchConfig, query: &Query) -> Result<IndexedResponse, QueryError> {
         let mut response = self.send(watch, query)?;
-        if response.status() != 200 {
+        if response.status() != StatusCode::OK {
             return Err(QueryError::Status(response.status().as_u16()));
         }
-        let index = number_in_header(&response, "x-consul-index");
+        let index = number_in_header(&response, INDEX_HEADER);
         self.check_staleness(&response, query)?;
         let bytes = response.body_mut().with_config().limit(MAX_BODY_BYTES).read_to_vec()?;
         let body = HealthResponse::parse(&bytes)?;
@@ -53,10 +60,7 @@
         let address = self.config.agents[query.agent];
         let url = format!("http://{address}{}", request_target(&self.config, watch, query));
         let timeout = self.max_wait(query) + QUERY_TIMEOUT;
-        let mut request = self.agent.get(&url).config().timeout_global(Some(timeout)).build();
-        if let Some(token) = self.token.current() {
-            request = request.header(TOKEN_HEADER, token);
-        }
+        let request = with_timeout_and_token(self.agent.get(&url), timeout, &self.token);
         Ok(request.call()?)
     }
 
@@ -68,10 +72,10 @@
     }
 
     fn check_staleness(&self, response: &Response<Body>, query: &Query) -> Result<(), QueryError> {
-        if header(response, "x-consul-knownleader").eq_ignore_ascii_case("false") {
+        if header(response, KNOWN_LEADER_HEADER).eq_ignore_ascii_case("false") {
             return Err(QueryError::NoLeader);
         }
-        let since_contact = Duration::from_millis(number_in_header(response, "x-consul-lastcontact"));
+        let since_contact = Duration::from_millis(number_in_header(response, LAST_CONTACT_HEADER));
         if query.allow_stale && self.config.max_staleness.is_some_and(|max| since_contact > max) {
             return Err(QueryError::Stale { since_contact });
         }
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -1,6 +1,6 @@
 //! Registers this process as a service with its agent.
 
-use crate::http_agent::{TOKEN_HEADER, http_agent};
+use crate::http_agent::{http_agent, with_timeout_and_token};
 use crate::{ConsulConfig, TokenFile};
 use catalogue::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 use http::percent_encode;
@@ -9,6 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use timestamps::MonotonicTime;
+use ureq::http::StatusCode;
 
 /// Minimum wait between two checks for due requests.
 const MIN_WAIT: Duration = Duration::from_millis(1);
@@ -150,14 +151,13 @@
             RegistrationRequest::Deregister => (format!("/v1/agent/service/deregister/{id}"), ""),
         };
         let url = format!("http://{}{path}", self.address);
-        let mut request = self.agent.put(url).config().timeout_global(Some(REQUEST_TIMEOUT)).build();
-        if let Some(token) = self.token.current() {
-            request = request.header(TOKEN_HEADER, token);
-        }
-        match request.send(body.as_bytes()).map(|response| response.status().as_u16()) {
-            Ok(200) => RegistrationOutcome::Accepted,
+        let request = with_timeout_and_token(self.agent.put(url), REQUEST_TIMEOUT, &self.token);
+        match request.send(body.as_bytes()).map(|response| response.status()) {
+            Ok(StatusCode::OK) => RegistrationOutcome::Accepted,
             // Older agents respond with 500 for an unknown check.
-            Ok(404 | 500) => RegistrationOutcome::UnknownCheck,
+            Ok(StatusCode::NOT_FOUND | StatusCode::INTERNAL_SERVER_ERROR) => {
+                RegistrationOutcome::UnknownCheck
+            }
             _ => RegistrationOutcome::Failed,
         }
     }
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -37,20 +37,18 @@
     }
 
     pub(super) fn log_events(&self, events: &[WatchEvent]) {
-        let is_change = |event: &&WatchEvent| matches!(event, WatchEvent::EligibilityChanged { .. });
-        let mut instance_lines = 0;
+        let mut change_count: usize = 0;
         for event in events {
-            if is_change(&event) {
-                instance_lines += 1;
-            }
-            if !is_change(&event) || instance_lines <= MAX_INSTANCE_LINES {
+            let is_change = matches!(event, WatchEvent::EligibilityChanged { .. });
+            change_count += usize::from(is_change);
+            if !is_change || change_count <= MAX_INSTANCE_LINES {
                 self.log_event(event);
             }
         }
-        let more = events.iter().filter(is_change).count().saturating_sub(MAX_INSTANCE_LINES);
-        if more > 0 {
+        let count = change_count.saturating_sub(MAX_INSTANCE_LINES);
+        if count > 0 {
             let service = &self.config.service;
-            tracing::info!(service, count = more, "further eligibility changes not logged");
+            tracing::info!(service, count, "further eligibility changes not logged");
         }
     }
 
