--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -140,10 +140,11 @@
     /// Waits for the backoff, or until the agent's address changes.
     fn wait(&self, address: SocketAddr, backoff: Duration) {
         let end = Instant::now() + backoff;
-        while let left = end.saturating_duration_since(Instant::now())
-            && !left.is_zero()
-            && self.is_current(address)
-        {
+        while self.is_current(address) {
+            let left = end.saturating_duration_since(Instant::now());
+            if left.is_zero() {
+                return;
+            }
             link::sleep(left.min(ADDRESS_CHECK_INTERVAL));
         }
     }
@@ -163,23 +164,34 @@
                 Incoming::Bytes(_) | Incoming::Woken => {}
                 Incoming::End => return Err(WatchError::Closed),
             }
-            let had_head = response.has_head();
-            response.consume(&mut received)?;
-            if !had_head && response.has_head() {
-                self.extend_deadline();
-            }
-            while let Some(item) = response.next_item()? {
-                if let BodyItem::List(list) = item {
-                    session.on_list(list);
-                }
-                self.extend_deadline();
-            }
+            self.handle_received(&mut received, &mut response, session)?;
             if response.is_complete() {
                 return Err(WatchError::ResponseEnded);
             }
         }
     }
 
+    /// Reports the lists in received bytes. The head of the response and each item of its body are signs of life.
+    fn handle_received(
+        &self,
+        received: &mut Vec<u8>,
+        response: &mut Response,
+        session: &mut Session<impl Fn(WatchEvent)>,
+    ) -> Result<(), WatchError> {
+        let had_head = response.has_head();
+        response.consume(received)?;
+        if !had_head && response.has_head() {
+            self.extend_deadline();
+        }
+        while let Some(item) = response.next_item()? {
+            if let BodyItem::List(list) = item {
+                session.on_list(list);
+            }
+            self.extend_deadline();
+        }
+        Ok(())
+    }
+
     /// Connects to the agent, which must send the head of its response within `response_timeout`.
     fn connect(
         &self,
