--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -10,6 +10,7 @@
     EndpointList, EndpointNumber, EndpointTracker, HealthResponse, Instance, InvalidInstance, WatchEvent,
 };
 use poll_loop::PollLoop;
+use status::ListOrigin;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -40,8 +41,7 @@
     tracker: EndpointTracker,
     list: EndpointList,
     invalid: Vec<InvalidInstance>,
-    /// The source of the list, as the console shows it.
-    origin: String,
+    origin: ListOrigin,
     last_response: Option<Instant>,
 }
 
@@ -59,7 +59,7 @@
             tracker: EndpointTracker::new(config.stability.clone(), config.last_number),
             list: EndpointList::default(),
             invalid: Vec::new(),
-            origin: "no list yet".into(),
+            origin: ListOrigin::NoList,
             last_response: None,
         });
         let watch = Self { config, consul, last_answers, cache, state, on_list_change, has_attempts };
@@ -74,7 +74,7 @@
         let (count, age_seconds) = (instances.len(), age.as_secs());
         tracing::info!(service, count, age_seconds, "cached endpoint list in use until Consul answers");
         let mut state = locked(&self.state);
-        state.origin = format!("the list on disk, {age_seconds} s old at the start");
+        state.origin = ListOrigin::CacheFile { age };
         let mut events = Vec::new();
         let list = state.tracker.restore(self.last_answers.now(), instances, &mut events);
         self.publish(&mut state, list, &events);
@@ -94,7 +94,7 @@
     fn handle_response(&self, agent: usize, new_body: Option<HealthResponse>) {
         let mut state = locked(&self.state);
         state.last_response = Some(Instant::now());
-        state.origin = format!("agent {}", self.consul.agents[agent]);
+        state.origin = ListOrigin::Agent(self.consul.agents[agent]);
         if let Some(response) = new_body {
             self.apply(&mut state, response);
         }
--- a/crates/consul/src/watch/status.rs
+++ b/crates/consul/src/watch/status.rs
@@ -3,6 +3,32 @@
 use super::ServiceWatch;
 use crate::sync::locked;
 use catalogue::{EligibilityReason, Endpoint, EndpointNumber};
+use std::fmt;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// The source of the endpoint list in use.
+pub(super) enum ListOrigin {
+    /// There is no list yet.
+    NoList,
+    /// The cache file.
+    CacheFile {
+        /// Age of the list when it was read.
+        age: Duration,
+    },
+    /// This agent responded last.
+    Agent(SocketAddr),
+}
+
+impl fmt::Display for ListOrigin {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NoList => f.write_str("no list yet"),
+            Self::CacheFile { age } => write!(f, "the list on disk, {} s old at the start", age.as_secs()),
+            Self::Agent(address) => write!(f, "agent {address}"),
+        }
+    }
+}
 
 /// Status of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,11 +56,12 @@
     /// Returns the present status.
     pub fn status(&self) -> WatchStatus {
         let state = locked(&self.state);
-        let age = state
-            .last_response
-            .map_or(String::new(), |at| format!(", last answer {} s ago", at.elapsed().as_secs()));
         let endpoints = state.list.endpoints.iter().map(|endpoint| self.endpoint_status(endpoint)).collect();
-        WatchStatus { endpoints, origin: format!("{}{age}", state.origin) }
+        let mut origin = state.origin.to_string();
+        if let Some(last_response) = state.last_response {
+            origin += &format!(", last answer {} s ago", last_response.elapsed().as_secs());
+        }
+        WatchStatus { endpoints, origin }
     }
 
     fn endpoint_status(&self, endpoint: &Endpoint) -> EndpointStatus {
@@ -50,3 +77,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/consul/src/watch/status/tests.rs
@@ -0,0 +1,15 @@
+//! The source of a list, as the console shows it.
+
+use super::*;
+
+#[test]
+fn each_origin_has_its_text() {
+    let age = Duration::from_secs(42);
+    for (origin, text) in [
+        (ListOrigin::NoList, "no list yet"),
+        (ListOrigin::CacheFile { age }, "the list on disk, 42 s old at the start"),
+        (ListOrigin::Agent(([127, 0, 0, 1], 8500).into()), "agent 127.0.0.1:8500"),
+    ] {
+        assert_eq!(origin.to_string(), text);
+    }
+}
