--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -13,6 +13,10 @@
     MonotonicTime::from_millis(millis)
 }
 
+const fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
 fn instance(i: u16) -> Instance {
     Instance {
         id: format!("i{i}"),
@@ -45,14 +49,14 @@
         Self { tracker, now, list, events: Vec::new(), last_answers: HashMap::new() }
     }
 
-    fn respond_after(&mut self, millis: u64, instances: Vec<Instance>) {
-        self.now = self.now + Duration::from_millis(millis);
+    fn respond_after(&mut self, span: Duration, instances: Vec<Instance>) {
+        self.now = self.now + span;
         let last_answer_at = |number: EndpointNumber| self.last_answers.get(&number).copied();
         self.list = self.tracker.apply_response(self.now, instances, &last_answer_at, &mut self.events);
     }
 
-    fn advance_by(&mut self, millis: u64) {
-        let until = self.now + Duration::from_millis(millis);
+    fn advance_by(&mut self, span: Duration) {
+        let until = self.now + span;
         while self.now < until {
             self.now = self.tracker.next_deadline(self.now).unwrap_or(until).min(until);
             self.list = self.tracker.advance(self.now, &|_| false, &mut self.events);
@@ -74,7 +78,7 @@
 fn endpoints_marked_unhealthy_become_ineligible_at_once_whatever_their_number() {
     let mut harness = Harness::new((0..4).map(instance).collect());
     harness.respond_after(
-        10,
+        millis(10),
         vec![
             with_health(0, HealthStatus::Critical),
             with_health(1, HealthStatus::Maintenance),
@@ -106,8 +110,9 @@
 fn a_single_restart_is_not_suppressed_and_counts_as_a_start() {
     let mut harness = Harness::new((0..3).map(instance).collect());
     assert_eq!(harness.endpoint("i0").eligible_since, None, "eligible since the first list");
-    harness.respond_after(1_000, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
-    harness.respond_after(5_000, (0..3).map(instance).collect());
+    harness
+        .respond_after(millis(1_000), vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
+    harness.respond_after(millis(5_000), (0..3).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 3);
     assert_eq!(harness.endpoint("i0").eligible_since, Some(at(7_000)));
 }
@@ -120,8 +125,8 @@
     let mut eligible_before = 3;
     for second in 0..60 {
         let health = if second % 2 == 0 { HealthStatus::Critical } else { HealthStatus::Passing };
-        harness.respond_after(1_000, vec![with_health(0, health), instance(1), instance(2)]);
-        harness.advance_by(0);
+        harness.respond_after(millis(1_000), vec![with_health(0, health), instance(1), instance(2)]);
+        harness.advance_by(millis(0));
         traffic_moves += usize::from(harness.eligible_ids().len() != eligible_before);
         eligible_before = harness.eligible_ids().len();
     }
@@ -132,31 +137,39 @@
         harness.endpoint("i0")
     );
     // It stays healthy: it is eligible after its suppression, and its flap count has decayed after some minutes.
-    harness.advance_by(60_000);
+    harness.advance_by(millis(60_000));
     assert_eq!(harness.eligible_ids().len(), 3);
-    harness.advance_by(600_000);
-    harness.respond_after(1_000, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
-    harness.respond_after(1_000, (0..3).map(instance).collect());
+    harness.advance_by(millis(600_000));
+    harness
+        .respond_after(millis(1_000), vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
+    harness.respond_after(millis(1_000), (0..3).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 3);
 }
 
 #[test]
 fn suppression_times_grow_up_to_a_bound() {
     let mut harness = Harness::new((0..3).map(instance).collect());
-    let mut suppressions_ms = Vec::new();
+    let mut suppressions = Vec::new();
     for _ in 0..8 {
-        harness.respond_after(1, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
-        harness.respond_after(1, (0..3).map(instance).collect());
+        harness
+            .respond_after(millis(1), vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
+        harness.respond_after(millis(1), (0..3).map(instance).collect());
         let recovered_at = harness.now;
         while harness.eligible_ids().len() < 3 {
-            harness.advance_by(100);
+            harness.advance_by(millis(100));
         }
-        suppressions_ms.push(harness.now.saturating_since(recovered_at).as_millis());
+        suppressions.push(harness.now.saturating_since(recovered_at));
     }
-    assert_eq!(suppressions_ms[0], 0);
-    assert!(suppressions_ms.windows(2).all(|w| w[1] >= w[0] || w[0] > 30_000), "{suppressions_ms:?}");
-    assert!(suppressions_ms.iter().all(|&millis| millis <= 60_000), "{suppressions_ms:?}");
-    assert!(suppressions_ms[3] >= 4_000, "{suppressions_ms:?}");
+    assert_eq!(suppressions[0], Duration::ZERO);
+    assert!(
+        suppressions.windows(2).all(|w| w[1] >= w[0] || w[0] > Duration::from_secs(30)),
+        "{suppressions:?}"
+    );
+    assert!(
+        suppressions.iter().all(|&suppression| suppression <= Duration::from_secs(60)),
+        "{suppressions:?}"
+    );
+    assert!(suppressions[3] >= Duration::from_secs(4), "{suppressions:?}");
 }
 
 #[test]
@@ -165,15 +178,15 @@
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
     // The first two have failed: they have no recent answer.
     harness.last_answers.extend(numbers[2..].iter().map(|&n| (n, at(1_500))));
-    harness.respond_after(1_000, Vec::new());
+    harness.respond_after(millis(1_000), Vec::new());
     assert_eq!(harness.eligible_ids(), ["i2", "i3", "i4", "i5"]);
     assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, eligible_before: 6, retained: 4 });
     // A further response without them is part of the same loss.
-    harness.respond_after(5_000, Vec::new());
+    harness.respond_after(millis(5_000), Vec::new());
     assert_eq!(harness.eligible_ids().len(), 4);
-    harness.advance_by(9_000);
+    harness.advance_by(millis(9_000));
     assert_eq!(harness.eligible_ids().len(), 4);
-    harness.advance_by(2_000);
+    harness.advance_by(millis(2_000));
     assert_eq!(harness.eligible_ids().len(), 0);
     assert!(harness.events.contains(&WatchEvent::LossAccepted { count: 4 }), "{:?}", harness.events);
 }
@@ -183,10 +196,10 @@
     let mut harness = Harness::new((0..6).map(instance).collect());
     let before = harness.list.clone();
     harness.last_answers.extend(before.endpoints.iter().map(|e| (e.number, at(1_500))));
-    harness.respond_after(1_000, Vec::new());
-    harness.respond_after(4_000, (0..6).map(instance).collect());
+    harness.respond_after(millis(1_000), Vec::new());
+    harness.respond_after(millis(4_000), (0..6).map(instance).collect());
     assert_eq!(harness.list, before, "no restart is counted");
-    harness.advance_by(60_000);
+    harness.advance_by(millis(60_000));
     assert_eq!(harness.eligible_ids().len(), 6);
 }
 
@@ -195,7 +208,7 @@
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
     harness.last_answers.extend(numbers.iter().map(|&n| (n, at(1_900))));
-    harness.respond_after(1_000, (2..6).map(instance).collect());
+    harness.respond_after(millis(1_000), (2..6).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 4);
 }
 
@@ -203,11 +216,14 @@
 fn of_two_ids_at_one_address_one_is_eligible_and_a_replacement_takes_over() {
     let mut harness = Harness::new((0..3).map(instance).collect());
     let twin = Instance { id: "twin".into(), ..instance(0) };
-    harness.respond_after(10, vec![instance(0), instance(1), instance(2), twin.clone()]);
+    harness.respond_after(millis(10), vec![instance(0), instance(1), instance(2), twin.clone()]);
     assert_eq!(harness.eligible_ids(), ["i0", "i1", "i2"]);
     assert_eq!(harness.endpoint("twin").reason, EligibilityReason::DuplicateAddress);
     let before = harness.endpoint("i0").number;
-    harness.respond_after(10, vec![with_health(0, HealthStatus::Critical), instance(1), instance(2), twin]);
+    harness.respond_after(
+        millis(10),
+        vec![with_health(0, HealthStatus::Critical), instance(1), instance(2), twin],
+    );
     assert_eq!(harness.eligible_ids(), ["i1", "i2", "twin"]);
     assert_ne!(harness.endpoint("twin").number, before, "a new endpoint starts without history");
     assert!(harness.endpoint("twin").eligible_since.is_some(), "it may need slow start");
@@ -219,7 +235,7 @@
     let before = harness.endpoint("i0").number;
     harness.last_answers.extend(harness.list.endpoints.iter().map(|e| (e.number, at(1_001))));
     let moved = |i: u16| Instance { address: loopback(2_000 + i), ..instance(i) };
-    harness.respond_after(10, vec![moved(0), moved(1)]);
+    harness.respond_after(millis(10), vec![moved(0), moved(1)]);
     assert_eq!(
         harness.list.endpoints.len(),
         2,
@@ -262,7 +278,7 @@
 #[test]
 fn an_endpoint_with_attempts_in_flight_is_remembered() {
     let mut harness = Harness::new((0..6).map(instance).collect());
-    harness.respond_after(10, (1..6).map(instance).collect());
+    harness.respond_after(millis(10), (1..6).map(instance).collect());
     let tracked = harness.tracker.tracked_count();
     harness.tracker.advance(harness.now, &|_| true, &mut Vec::new());
     assert_eq!(harness.tracker.tracked_count(), tracked);
