--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -3,24 +3,25 @@
 
 use crate::error::CachedListError;
 use crate::format::CACHE_VERSION;
-use crate::{Instance, UnixMillis};
+use crate::{Instance, stored_time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::time::Duration;
+use timestamps::UnixTime;
 
 /// The first word of the file.
 const MAGIC: &str = "snowfield-list";
 /// Maximum number of characters of an unknown version in an error text.
 const MAX_SHOWN_VERSION: usize = 16;
-/// Maximum accepted clock skew in milliseconds between the writer of a file and its reader.
-const MAX_CLOCK_SKEW_MS: UnixMillis = 60_000;
-const MILLIS_PER_SECOND: UnixMillis = 1_000;
+/// Maximum accepted clock skew between the writer of a file and its reader.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
 /// The endpoint lists of all services, as Consul last confirmed them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedList {
     /// When Consul last confirmed them.
-    #[serde(rename = "at")]
-    pub confirmed_at: UnixMillis,
+    #[serde(rename = "at", with = "stored_time")]
+    pub confirmed_at: UnixTime,
     /// The instances that were eligible, by service name.
     pub services: BTreeMap<String, Vec<Instance>>,
 }
@@ -30,8 +31,8 @@
 pub struct AgedList {
     /// The list.
     pub list: CachedList,
-    /// Its age in seconds when it was decoded.
-    pub age_seconds: u64,
+    /// Its age in whole seconds when it was decoded.
+    pub age: Duration,
 }
 
 impl CachedList {
@@ -45,42 +46,49 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file has another format, is damaged, is older than `max_age_seconds`, or is from the future.
-    pub fn decode(text: &[u8], now: UnixMillis, max_age_seconds: u64) -> Result<AgedList, CachedListError> {
+    /// Returns an error if the file has another format, is damaged, is older than `max_age`, or is from the future.
+    pub fn decode(text: &[u8], now: UnixTime, max_age: Duration) -> Result<AgedList, CachedListError> {
         let list = Self::parse(text)?;
-        if list.confirmed_at > now + MAX_CLOCK_SKEW_MS {
-            let ahead_seconds = (list.confirmed_at - now) / MILLIS_PER_SECOND;
-            return Err(CachedListError::FromTheFuture { ahead_seconds });
+        if list.confirmed_at > now + MAX_CLOCK_SKEW {
+            let ahead = list.confirmed_at.saturating_since(now);
+            return Err(CachedListError::FromTheFuture { ahead });
         }
-        let age_seconds = now.saturating_sub(list.confirmed_at) / MILLIS_PER_SECOND;
-        if age_seconds > max_age_seconds {
-            return Err(CachedListError::TooOld { age_seconds });
+        let age = Duration::from_secs(now.saturating_since(list.confirmed_at).as_secs());
+        if age > max_age {
+            return Err(CachedListError::TooOld { age });
         }
-        Ok(AgedList { list, age_seconds })
+        Ok(AgedList { list, age })
     }
 
     fn parse(text: &[u8]) -> Result<Self, CachedListError> {
         let text = std::str::from_utf8(text).map_err(|_| CachedListError::NotAListFile)?;
         let (header, body) = text.split_once('\n').ok_or(CachedListError::NotAListFile)?;
-        let mut words = header.split(' ');
-        if words.next() != Some(MAGIC) {
-            return Err(CachedListError::NotAListFile);
-        }
-        match words.next() {
-            Some(CACHE_VERSION) => {}
-            other => {
-                let version = other.unwrap_or_default().chars().take(MAX_SHOWN_VERSION).collect();
-                return Err(CachedListError::UnknownVersion(version));
-            }
-        }
+        let stated_checksum = parse_header(header)?;
         let body = body.strip_suffix('\n').ok_or(CachedListError::Corrupt)?;
-        if words.next() != Some(checksum(body).as_str()) || words.next().is_some() {
+        if stated_checksum != checksum(body) {
             return Err(CachedListError::Corrupt);
         }
         serde_json::from_str(body).map_err(|_| CachedListError::Corrupt)
     }
 }
 
+/// Returns the checksum stated in the header line.
+fn parse_header(header: &str) -> Result<&str, CachedListError> {
+    let mut words = header.split(' ');
+    if words.next() != Some(MAGIC) {
+        return Err(CachedListError::NotAListFile);
+    }
+    let version = words.next().unwrap_or_default();
+    if version != CACHE_VERSION {
+        let shown = version.chars().take(MAX_SHOWN_VERSION).collect();
+        return Err(CachedListError::UnknownVersion(shown));
+    }
+    match (words.next(), words.next()) {
+        (Some(checksum), None) => Ok(checksum),
+        _ => Err(CachedListError::Corrupt),
+    }
+}
+
 fn checksum(body: &str) -> String {
     blake3::hash(body.as_bytes()).to_hex().to_string()
 }
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
+use timestamps::UnixTime;
 
 /// A run of a job, identified by its scheduled time in Unix milliseconds. The id increases from run to run and serves as
 /// the fencing token.
@@ -9,10 +10,17 @@
 #[serde(transparent)]
 pub struct RunId(pub u64);
 
-impl RunId {
-    /// Returns the scheduled time in Unix milliseconds.
-    pub fn scheduled_unix_ms(self) -> u64 {
-        self.0
+impl From<RunId> for UnixTime {
+    /// Returns the scheduled time of a run.
+    fn from(run: RunId) -> Self {
+        Self::from_millis(run.0)
+    }
+}
+
+impl From<UnixTime> for RunId {
+    /// Returns the run with this scheduled time.
+    fn from(scheduled: UnixTime) -> Self {
+        Self(scheduled.as_millis())
     }
 }
 
