--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -58,7 +58,7 @@
 
     /// Returns the moment at which [`GossipNode::tick`] must be called next.
     pub(crate) fn next_tick(&self) -> MonotonicTime {
-        MonotonicTime::from_millis(self.membership.next_tick_ms())
+        self.membership.next_tick()
     }
 
     /// Returns the counters of gossip.
@@ -84,14 +84,14 @@
     /// Runs the timers that are due.
     pub(crate) fn tick(&mut self, now: MonotonicTime) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.tick(now.as_millis(), &mut outputs);
+        self.membership.tick(now, &mut outputs);
         self.apply_outputs(now, outputs)
     }
 
     /// Handles a received datagram.
     pub(crate) fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8]) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.handle_datagram(now.as_millis(), bytes, &mut outputs);
+        self.membership.handle_datagram(now, bytes, &mut outputs);
         self.log_authentication_failures(now);
         self.apply_outputs(now, outputs)
     }
@@ -105,14 +105,14 @@
     ) -> GossipChanges {
         let version = report.scheduled_unix_ms;
         let mut outputs = Vec::new();
-        self.membership.broadcast(now.as_millis(), job, version, &report.encode(), &mut outputs);
+        self.membership.broadcast(now, job, version, &report.encode(), &mut outputs);
         self.apply_outputs(now, outputs)
     }
 
     /// Announces to the cluster that this instance leaves.
     pub(crate) fn leave(&mut self, now: MonotonicTime) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.leave(now.as_millis(), &mut outputs);
+        self.membership.leave(now, &mut outputs);
         self.apply_outputs(now, outputs)
     }
 
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -107,7 +107,7 @@
             Event::Tick { .. } if self.next_tick_ms > now.monotonic.as_millis() => return None,
             Event::Tick { .. } => self.tick(now, &mut effects),
             Event::Datagram { bytes, .. } => {
-                self.membership.handle_datagram(now.monotonic.as_millis(), &bytes, &mut effects.outputs);
+                self.membership.handle_datagram(now.monotonic, &bytes, &mut effects.outputs);
             }
             Event::StoreResponse { incarnation, response, .. } if incarnation == self.incarnation => {
                 self.scheduler.handle_store_response(now, response, &mut effects.actions);
@@ -121,7 +121,7 @@
     fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
         // No tick is pending. At the start of the simulation 0 would count as a pending tick.
         self.next_tick_ms = u64::MAX;
-        self.membership.tick(now.monotonic.as_millis(), &mut effects.outputs);
+        self.membership.tick(now.monotonic, &mut effects.outputs);
         // Without jobs the scheduler does not need the members.
         if std::mem::take(&mut self.members_changed) && self.has_jobs {
             self.scheduler.set_members(now, self.membership.alive_names());
@@ -133,8 +133,7 @@
     pub(crate) fn next_due_ms(&self, now: ClockReading) -> u64 {
         let to_monotonic = |due: UnixTime| now.monotonic + due.saturating_since(now.unix);
         let jobs_due = self.scheduler.next_tick().map(to_monotonic);
-        let jobs_due_ms = jobs_due.map_or(u64::MAX, MonotonicTime::as_millis);
-        self.membership.next_tick_ms().min(jobs_due_ms)
+        self.membership.next_tick().min(jobs_due.unwrap_or(MonotonicTime::NEVER)).as_millis()
     }
 }
 
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -14,10 +14,11 @@
 
 pub(crate) use message::{MAX_FAILURES_PER_MESSAGE, MemberFingerprint, Message};
 
-use crate::{Member, as_millis};
+use crate::Member;
 use failure_log::FailureLog;
 use foca::Timer;
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The factor by which probes and their timeouts are faster while dissemination is active.
 pub(crate) const PROBE_SPEEDUP: u32 = 4;
@@ -40,9 +41,9 @@
 /// The maximum number of replies per gossip period. Several members may send their digest to this one.
 const MAX_REPLIES_PER_PERIOD: u32 = 4;
 
-/// The failures known to this instance, and and the state of their dissemination.
+/// The failures known to this instance, and the state of their dissemination.
 ///
-/// `now_ms` is a reading of the driver's monotonic clock.
+/// `now` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
 pub(crate) struct BulkFailureDissemination {
     gossip_period: Duration,
@@ -51,9 +52,9 @@
     failures: FailureLog,
     /// The moment at which dissemination last became active. It stays set after [`MAX_ACTIVE_WINDOWS`], until there are few
     /// failures again.
-    active_since_ms: Option<u64>,
-    active_until_ms: u64,
-    next_poll_ms: u64,
+    active_since: Option<MonotonicTime>,
+    active_until: MonotonicTime,
+    next_poll: MonotonicTime,
     replies_in_period: u32,
 }
 
@@ -64,51 +65,51 @@
             gossip_period,
             activity_window: 2 * suspicion_timeout,
             failures: FailureLog::default(),
-            active_since_ms: None,
-            active_until_ms: 0,
-            next_poll_ms: 0,
+            active_since: None,
+            active_until: MonotonicTime::ZERO,
+            next_poll: MonotonicTime::ZERO,
             replies_in_period: 0,
         }
     }
 
     /// Returns whether dissemination is active.
-    pub(crate) fn is_active(&self, now_ms: u64) -> bool {
-        now_ms < self.active_until_ms
+    pub(crate) fn is_active(&self, now: MonotonicTime) -> bool {
+        now < self.active_until
     }
 
     /// Returns the moment at which [`BulkFailureDissemination::poll`] must be called next.
-    pub(crate) fn next_poll_ms(&self) -> u64 {
-        self.next_poll_ms
+    pub(crate) fn next_poll(&self) -> MonotonicTime {
+        self.next_poll
     }
 
     /// Records that a member has failed.
-    pub(crate) fn record_failure(&mut self, now_ms: u64, fingerprint: MemberFingerprint) {
-        self.failures.add(now_ms, fingerprint);
+    pub(crate) fn record_failure(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
+        self.failures.add(now, fingerprint);
     }
 
     /// Activates dissemination if there are many failures, at most once per gossip period. While it is active, returns the
     /// digest to send to a random member.
-    pub(crate) fn poll(&mut self, now_ms: u64, suspects: usize, alive: usize) -> Option<u64> {
-        if now_ms < self.next_poll_ms {
+    pub(crate) fn poll(&mut self, now: MonotonicTime, suspects: usize, alive: usize) -> Option<u64> {
+        if now < self.next_poll {
             return None;
         }
-        self.next_poll_ms = now_ms + as_millis(self.gossip_period);
+        self.next_poll = now + self.gossip_period;
         self.replies_in_period = 0;
-        self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window, now_ms);
-        let failures = suspects + self.failures.count_within(self.activity_window, now_ms);
+        self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window, now);
+        let failures = suspects + self.failures.count_within(self.activity_window, now);
         if failures >= MIN_FAILURES.max(alive / ALIVE_PER_FAILURE) {
-            self.extend_activity(now_ms);
-        } else if !self.is_active(now_ms) {
-            self.active_since_ms = None;
+            self.extend_activity(now);
+        } else if !self.is_active(now) {
+            self.active_since = None;
         }
-        self.is_active(now_ms).then_some(self.failures.digest())
+        self.is_active(now).then_some(self.failures.digest())
     }
 
     /// Handles another member's digest. Returns the messages of the reply, starting with the failure at `offset`. A random
     /// offset makes successive replies cover all failures when one reply cannot hold them.
-    pub(crate) fn reply_to_digest(&mut self, now_ms: u64, digest: u64, offset: usize) -> Vec<Message> {
+    pub(crate) fn reply_to_digest(&mut self, now: MonotonicTime, digest: u64, offset: usize) -> Vec<Message> {
         // The sender has evidence of a bulk failure that this instance may not have yet.
-        self.extend_activity(now_ms);
+        self.extend_activity(now);
         let at_reply_limit = self.replies_in_period >= MAX_REPLIES_PER_PERIOD;
         if digest == self.failures.digest() || self.failures.is_empty() || at_reply_limit {
             return Vec::new();
@@ -124,16 +125,16 @@
     }
 
     /// Keeps dissemination active for another activity window, up to the limit.
-    fn extend_activity(&mut self, now_ms: u64) {
-        let active_since_ms = *self.active_since_ms.get_or_insert(now_ms);
-        let limit_ms = active_since_ms.saturating_add(as_millis(MAX_ACTIVE_WINDOWS * self.activity_window));
-        self.active_until_ms = (now_ms + as_millis(self.activity_window)).min(limit_ms);
+    fn extend_activity(&mut self, now: MonotonicTime) {
+        let active_since = *self.active_since.get_or_insert(now);
+        let limit = active_since + MAX_ACTIVE_WINDOWS * self.activity_window;
+        self.active_until = (now + self.activity_window).min(limit);
     }
 
     /// Returns the delay of a SWIM timer, shorter than the requested one for probes while dissemination is active.
-    pub(crate) fn timer_delay(&self, now_ms: u64, delay: Duration, timer: &Timer<Member>) -> Duration {
+    pub(crate) fn timer_delay(&self, now: MonotonicTime, delay: Duration, timer: &Timer<Member>) -> Duration {
         let is_probe = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
-        if is_probe && self.is_active(now_ms) { (delay / PROBE_SPEEDUP).max(MIN_PROBE_DELAY) } else { delay }
+        if is_probe && self.is_active(now) { (delay / PROBE_SPEEDUP).max(MIN_PROBE_DELAY) } else { delay }
     }
 }
 
--- a/crates/membership/src/bulk_failure/failure_log.rs
+++ b/crates/membership/src/bulk_failure/failure_log.rs
@@ -1,9 +1,9 @@
 //! The failures that this instance has learned of recently.
 
 use super::MemberFingerprint;
-use crate::as_millis;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The maximum number of failures in the log.
 const MAX_FAILURES: usize = 4_096;
@@ -12,8 +12,8 @@
 #[derive(Debug, Default)]
 pub(super) struct FailureLog {
     /// The moment at which each failure was learned.
-    learned_at_ms: HashMap<MemberFingerprint, u64>,
-    /// The keys of `learned_at_ms`, oldest first.
+    learned_at: HashMap<MemberFingerprint, MonotonicTime>,
+    /// The keys of `learned_at`, oldest first.
     by_age: VecDeque<MemberFingerprint>,
     /// The exclusive or of all fingerprints.
     digest: u64,
@@ -21,29 +21,27 @@
 
 impl FailureLog {
     /// Adds a failure that is not in the log yet.
-    pub(super) fn add(&mut self, now_ms: u64, fingerprint: MemberFingerprint) {
-        if self.by_age.len() < MAX_FAILURES && self.learned_at_ms.insert(fingerprint, now_ms).is_none() {
+    pub(super) fn add(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
+        if self.by_age.len() < MAX_FAILURES && self.learned_at.insert(fingerprint, now).is_none() {
             self.by_age.push_back(fingerprint);
             self.digest ^= fingerprint.0;
         }
     }
 
     /// Removes the failures older than this.
-    pub(super) fn remove_older_than(&mut self, max_age: Duration, now_ms: u64) {
+    pub(super) fn remove_older_than(&mut self, max_age: Duration, now: MonotonicTime) {
         while let Some(oldest) = self.by_age.front()
-            && self.learned_at_ms[oldest] + as_millis(max_age) < now_ms
+            && self.learned_at[oldest] + max_age < now
         {
             self.digest ^= oldest.0;
-            self.learned_at_ms.remove(oldest);
+            self.learned_at.remove(oldest);
             self.by_age.pop_front();
         }
     }
 
     /// Returns the number of failures learned within the last `max_age`.
-    pub(super) fn count_within(&self, max_age: Duration, now_ms: u64) -> usize {
-        let is_recent = |fingerprint: &&MemberFingerprint| {
-            self.learned_at_ms[*fingerprint] + as_millis(max_age) >= now_ms
-        };
+    pub(super) fn count_within(&self, max_age: Duration, now: MonotonicTime) -> usize {
+        let is_recent = |fingerprint: &&MemberFingerprint| self.learned_at[*fingerprint] + max_age >= now;
         self.by_age.iter().rev().take_while(is_recent).count()
     }
 
--- a/crates/membership/src/bulk_failure/failure_log/tests.rs
+++ b/crates/membership/src/bulk_failure/failure_log/tests.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
+const START: MonotonicTime = MonotonicTime::ZERO;
 const MAX_AGE: Duration = Duration::from_millis(100);
 
 fn log_of(fingerprints: &[u64]) -> FailureLog {
     let mut log = FailureLog::default();
-    fingerprints.iter().for_each(|&fingerprint| log.add(0, MemberFingerprint(fingerprint)));
+    fingerprints.iter().for_each(|&fingerprint| log.add(START, MemberFingerprint(fingerprint)));
     log
 }
 
@@ -19,9 +20,10 @@
 #[test]
 fn old_failures_are_removed_from_the_log_and_its_digest() {
     let mut log = log_of(&[1, 2]);
-    log.add(500, MemberFingerprint(4));
-    assert_eq!((log.count_within(MAX_AGE, 550), log.count_within(6 * MAX_AGE, 550)), (1, 3));
-    log.remove_older_than(MAX_AGE, 550);
+    log.add(START + 5 * MAX_AGE, MemberFingerprint(4));
+    let now = START + Duration::from_millis(550);
+    assert_eq!((log.count_within(MAX_AGE, now), log.count_within(6 * MAX_AGE, now)), (1, 3));
+    log.remove_older_than(MAX_AGE, now);
     assert_eq!(log.digest(), log_of(&[4]).digest());
     assert_eq!(log.rotated(0).collect::<Vec<_>>(), [MemberFingerprint(4)]);
 }
@@ -35,6 +37,6 @@
 #[test]
 fn the_log_is_bounded() {
     let mut log = FailureLog::default();
-    (0..2 * MAX_FAILURES as u64).for_each(|fingerprint| log.add(0, MemberFingerprint(fingerprint)));
+    (0..2 * MAX_FAILURES as u64).for_each(|fingerprint| log.add(START, MemberFingerprint(fingerprint)));
     assert_eq!(log.rotated(0).count(), MAX_FAILURES);
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -27,10 +27,5 @@
 pub use membership::Membership;
 pub use output::{Counts, Output};
 
-/// Converts a span of time to milliseconds. Moments (`_ms`) are counted in them.
-fn as_millis(span: std::time::Duration) -> u64 {
-    span.as_millis() as u64
-}
-
 /// The size limit of a datagram, chosen to avoid IP fragmentation on common networks (RFC 8085, section 3.2).
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -4,13 +4,14 @@
 use crate::bulk_failure::{self, BulkFailureDissemination, MemberFingerprint};
 use crate::swim::{Swim, SwimEffects, TimerQueue};
 use crate::topics::{Broadcast, SharedTopics};
-use crate::{Config, Counts, MAX_DATAGRAM_BYTES, Member, MemberStatus, Output, as_millis};
+use crate::{Config, Counts, MAX_DATAGRAM_BYTES, Member, MemberStatus, Output};
 use foca::{Foca, PostcardCodec};
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashSet;
 use std::net::SocketAddr;
+use timestamps::MonotonicTime;
 
 /// The size limit of an encoded broadcast. Two broadcasts fit into one datagram.
 const MAX_BROADCAST_BYTES: usize = MAX_DATAGRAM_BYTES / 2;
@@ -19,7 +20,7 @@
 
 /// The members of the cluster as one instance sees them.
 ///
-/// `now_ms` is a reading of the driver's monotonic clock in milliseconds. Methods append their outputs to `out`.
+/// `now` is a reading of the driver's monotonic clock. Methods append their outputs to `out`.
 pub struct Membership {
     swim: Swim,
     topics: SharedTopics,
@@ -28,7 +29,7 @@
     bulk_failure: BulkFailureDissemination,
     rng: StdRng,
     timers: TimerQueue,
-    next_join_ms: u64,
+    next_join: MonotonicTime,
     counts: Counts,
     left: bool,
 }
@@ -51,7 +52,7 @@
             rng,
             config,
             timers: TimerQueue::default(),
-            next_join_ms: 0,
+            next_join: MonotonicTime::ZERO,
             counts: Counts::default(),
             left: false,
         }
@@ -115,47 +116,47 @@
     }
 
     /// Returns the moment at which [`Membership::tick`] must be called next.
-    pub fn next_tick_ms(&self) -> u64 {
-        let periodic_ms = self.next_join_ms.min(self.bulk_failure.next_poll_ms());
-        self.timers.next_due_ms().map_or(periodic_ms, |timer_ms| timer_ms.min(periodic_ms))
+    pub fn next_tick(&self) -> MonotonicTime {
+        let next_timer = self.timers.next_due().unwrap_or(MonotonicTime::NEVER);
+        next_timer.min(self.next_join).min(self.bulk_failure.next_poll())
     }
 
     /// Runs the timers that are due: joins, probes, gossip and bulk failure dissemination.
-    pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+    pub fn tick(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         if self.left {
             return;
         }
-        if now_ms >= self.next_join_ms {
-            self.join(now_ms, out);
+        if now >= self.next_join {
+            self.join(now, out);
         }
-        while let Some(timer) = self.timers.pop_due(now_ms) {
-            self.call_swim(now_ms, out, |swim, effects| swim.handle_timer(timer, effects));
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.call_swim(now, out, |swim, effects| swim.handle_timer(timer, effects));
         }
-        if now_ms >= self.bulk_failure.next_poll_ms() {
-            self.disseminate_bulk_failure(now_ms, out);
+        if now >= self.bulk_failure.next_poll() {
+            self.disseminate_bulk_failure(now, out);
         }
     }
 
     /// Announces this instance to the seed peers that it does not see alive. While other members are alive it does so less
     /// often, which still heals a partition that lasted longer than the retention of dead members.
-    fn join(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+    fn join(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let alone = self.swim.num_members() == 0;
         let periods = if alone { 1 } else { JOIN_PERIODS_WITH_MEMBERS };
-        self.next_join_ms = now_ms + as_millis(self.config.join_period * periods);
+        self.next_join = now + self.config.join_period * periods;
         let alive: Vec<SocketAddr> = self.alive_addresses().collect();
         for address in self.config.seed_peers.clone() {
             if address != self.config.local_member.address && !alive.contains(&address) {
                 let peer = Member { address, name: String::new(), generation: 0 };
-                self.call_swim(now_ms, out, |swim, effects| swim.announce(peer, effects));
+                self.call_swim(now, out, |swim, effects| swim.announce(peer, effects));
             }
         }
     }
 
     /// Sends the digest of the known failures to a random member while bulk failure dissemination is active.
-    fn disseminate_bulk_failure(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+    fn disseminate_bulk_failure(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let states = self.swim.iter_membership_state();
         let suspects = states.filter(|state| state.state() == foca::State::Suspect).count();
-        if let Some(digest) = self.bulk_failure.poll(now_ms, suspects, self.swim.num_members())
+        if let Some(digest) = self.bulk_failure.poll(now, suspects, self.swim.num_members())
             && let Some(to) = self.swim.iter_members().choose(&mut self.rng).map(|member| member.id().address)
         {
             let reply_to = self.config.local_member.address;
@@ -164,7 +165,7 @@
     }
 
     /// Handles a received datagram. Drops and counts it if it is not authentic or cannot be decoded.
-    pub fn handle_datagram(&mut self, now_ms: u64, bytes: &[u8], out: &mut Vec<Output>) {
+    pub fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8], out: &mut Vec<Output>) {
         if self.left {
             return;
         }
@@ -175,14 +176,14 @@
         match bulk_failure::Message::decode(payload) {
             Some(Ok(message)) => {
                 self.counts.datagrams_accepted += 1;
-                self.handle_bulk_failure(now_ms, message, out);
+                self.handle_bulk_failure(now, message, out);
             }
             Some(Err(_)) => self.counts.malformed += 1,
-            None => self.handle_swim_payload(now_ms, payload, out),
+            None => self.handle_swim_payload(now, payload, out),
         }
     }
 
-    fn handle_swim_payload(&mut self, now_ms: u64, payload: &[u8], out: &mut Vec<Output>) {
+    fn handle_swim_payload(&mut self, now: MonotonicTime, payload: &[u8], out: &mut Vec<Output>) {
         if self.swim.iter_membership_state().len() >= self.config.max_members {
             self.counts.over_capacity += 1;
             // foca adds each new sender to its members. At the limit, accept known senders only.
@@ -191,7 +192,7 @@
             }
         }
         self.counts.datagrams_accepted += 1;
-        self.call_swim(now_ms, out, |swim, effects| swim.handle_data(payload, effects));
+        self.call_swim(now, out, |swim, effects| swim.handle_data(payload, effects));
     }
 
     /// Returns whether a SWIM payload, which starts with its sender, comes from a known address.
@@ -201,11 +202,16 @@
         })
     }
 
-    fn handle_bulk_failure(&mut self, now_ms: u64, message: bulk_failure::Message, out: &mut Vec<Output>) {
+    fn handle_bulk_failure(
+        &mut self,
+        now: MonotonicTime,
+        message: bulk_failure::Message,
+        out: &mut Vec<Output>,
+    ) {
         match message {
             bulk_failure::Message::Digest { reply_to, digest } => {
                 let offset = self.rng.random_range(0..usize::MAX);
-                for reply in self.bulk_failure.reply_to_digest(now_ms, digest, offset) {
+                for reply in self.bulk_failure.reply_to_digest(now, digest, offset) {
                     self.send(reply_to, &reply.encode(), out);
                 }
             }
@@ -219,23 +225,28 @@
                     .map(|member| foca::Member::down(member.clone()))
                     .collect();
                 // `false`: no gossip updates. Bulk failure dissemination spreads these failures.
-                self.call_swim(now_ms, out, |swim, effects| {
-                    swim.apply_many(failed.into_iter(), false, effects)
-                });
+                self.call_swim(now, out, |swim, effects| swim.apply_many(failed.into_iter(), false, effects));
             }
         }
     }
 
     /// Broadcasts a new version of a topic. Ignores a version that is not newer than the known one, and a broadcast larger
     /// than half a datagram.
-    pub fn broadcast(&mut self, now_ms: u64, topic: &str, version: u64, body: &[u8], out: &mut Vec<Output>) {
+    pub fn broadcast(
+        &mut self,
+        now: MonotonicTime,
+        topic: &str,
+        version: u64,
+        body: &[u8],
+        out: &mut Vec<Output>,
+    ) {
         let broadcast = Broadcast { topic: topic.to_owned(), version, body: body.to_vec() };
         if let Ok(encoded) = postcard::to_stdvec(&broadcast)
             && encoded.len() < MAX_BROADCAST_BYTES
         {
-            self.call_swim(now_ms, out, |swim, _| swim.add_broadcast(&encoded).map(|_| ()));
+            self.call_swim(now, out, |swim, _| swim.add_broadcast(&encoded).map(|_| ()));
             // Send the first hop at once. Later hops are piggybacked on gossip.
-            self.call_swim(now_ms, out, |swim, effects| swim.broadcast(effects));
+            self.call_swim(now, out, |swim, effects| swim.broadcast(effects));
         }
     }
 
@@ -245,9 +256,9 @@
     }
 
     /// Announces to the cluster that this instance leaves. Later datagrams and ticks are ignored.
-    pub fn leave(&mut self, now_ms: u64, out: &mut Vec<Output>) {
+    pub fn leave(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         if !self.left {
-            self.call_swim(now_ms, out, |swim, effects| swim.leave_cluster(effects));
+            self.call_swim(now, out, |swim, effects| swim.leave_cluster(effects));
             self.left = true;
         }
     }
@@ -255,7 +266,7 @@
     /// Calls the state machine and applies its effects.
     fn call_swim(
         &mut self,
-        now_ms: u64,
+        now: MonotonicTime,
         out: &mut Vec<Output>,
         call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
     ) {
@@ -265,14 +276,14 @@
             self.counts.malformed += 1;
         }
         for request in effects.timers {
-            let delay = self.bulk_failure.timer_delay(now_ms, request.delay, &request.timer);
-            self.timers.schedule(now_ms + as_millis(delay), request.timer);
+            let delay = self.bulk_failure.timer_delay(now, request.delay, &request.timer);
+            self.timers.schedule(now + delay, request.timer);
         }
         for outgoing in effects.payloads {
             self.send(outgoing.to, &outgoing.payload, out);
         }
         for fingerprint in effects.failed {
-            self.bulk_failure.record_failure(now_ms, fingerprint);
+            self.bulk_failure.record_failure(now, fingerprint);
         }
         let received = self.topics.lock().take_received();
         for Broadcast { topic, version, body } in received {
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -9,6 +9,7 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The SWIM state machine.
 pub(crate) type Swim = Foca<Member, PostcardCodec, StdRng, SharedTopics>;
@@ -69,33 +70,33 @@
 
 impl TimerQueue {
     /// Schedules a timer for this moment.
-    pub(crate) fn schedule(&mut self, due_ms: u64, timer: Timer<Member>) {
+    pub(crate) fn schedule(&mut self, due: MonotonicTime, timer: Timer<Member>) {
         self.last_sequence += 1;
-        self.pending.push(PendingTimer { due_ms, sequence: self.last_sequence, timer });
+        self.pending.push(PendingTimer { due, sequence: self.last_sequence, timer });
     }
 
     /// Returns the moment at which the next timer is due.
-    pub(crate) fn next_due_ms(&self) -> Option<u64> {
-        self.pending.peek().map(|pending| pending.due_ms)
+    pub(crate) fn next_due(&self) -> Option<MonotonicTime> {
+        self.pending.peek().map(|pending| pending.due)
     }
 
     /// Removes the next timer that is due.
-    pub(crate) fn pop_due(&mut self, now_ms: u64) -> Option<Timer<Member>> {
-        let is_due = self.next_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
+    pub(crate) fn pop_due(&mut self, now: MonotonicTime) -> Option<Timer<Member>> {
+        let is_due = self.next_due().is_some_and(|due| due <= now);
         if is_due { self.pending.pop().map(|pending| pending.timer) } else { None }
     }
 }
 
 /// A pending timer. The greatest is due first, because `BinaryHeap` is a max-heap.
 struct PendingTimer {
-    due_ms: u64,
+    due: MonotonicTime,
     sequence: u64,
     timer: Timer<Member>,
 }
 
 impl PartialEq for PendingTimer {
     fn eq(&self, other: &Self) -> bool {
-        (self.due_ms, self.sequence) == (other.due_ms, other.sequence)
+        (self.due, self.sequence) == (other.due, other.sequence)
     }
 }
 
@@ -109,6 +110,6 @@
 
 impl Ord for PendingTimer {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.due_ms, other.sequence).cmp(&(self.due_ms, self.sequence))
+        (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
 }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -3,10 +3,12 @@
 mod support;
 
 use membership::{Config, Member, Membership, Output};
+use std::time::Duration;
 use support::{config, keyring, member_at};
+use timestamps::MonotonicTime;
 
-/// Milliseconds between two ticks of the simulated time.
-const TICK_MS: u64 = 10;
+/// The time between two ticks.
+const TICK: Duration = Duration::from_millis(10);
 
 /// A member with a key of 32 equal bytes.
 fn start_member(config: Config, key_byte: &str) -> Membership {
@@ -28,7 +30,7 @@
 
 /// Members that exchange datagrams without delay.
 struct Network {
-    now_ms: u64,
+    now: MonotonicTime,
     /// `None` for a dead member.
     members: Vec<Option<Membership>>,
     broadcasts: Vec<ReceivedBroadcast>,
@@ -37,13 +39,13 @@
 impl Network {
     fn new(count: usize) -> Self {
         let members = (0..count).map(|i| Some(start_member(config(i, 1), "ab"))).collect();
-        Self { now_ms: 0, members, broadcasts: Vec::new() }
+        Self { now: MonotonicTime::ZERO, members, broadcasts: Vec::new() }
     }
 
     /// A network whose members all know each other.
     fn converged(count: usize) -> Self {
         let mut network = Self::new(count);
-        network.advance(2_000, ALWAYS);
+        network.advance(Duration::from_secs(2), ALWAYS);
         network
     }
 
@@ -53,9 +55,9 @@
 
     /// Broadcasts from a member and delivers the first hop.
     fn broadcast(&mut self, from: usize, topic: &str, version: u64) {
-        let now_ms = self.now_ms;
+        let now = self.now;
         let mut out = Vec::new();
-        self.member(from).broadcast(now_ms, topic, version, b"down", &mut out);
+        self.member(from).broadcast(now, topic, version, b"down", &mut out);
         self.deliver(from, out, ALWAYS);
     }
 
@@ -70,7 +72,7 @@
                         && delivers(from, to)
                     {
                         let mut out = Vec::new();
-                        member.handle_datagram(self.now_ms, &bytes, &mut out);
+                        member.handle_datagram(self.now, &bytes, &mut out);
                         pending.extend(out.into_iter().map(|output| (to, output)));
                     }
                 }
@@ -82,13 +84,14 @@
         }
     }
 
-    fn advance(&mut self, span_ms: u64, delivers: Delivers) {
-        for _ in 0..span_ms / TICK_MS {
-            self.now_ms += TICK_MS;
+    fn advance(&mut self, span: Duration, delivers: Delivers) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now = self.now + TICK;
             for i in 0..self.members.len() {
                 let mut out = Vec::new();
                 if let Some(member) = &mut self.members[i] {
-                    member.tick(self.now_ms, &mut out);
+                    member.tick(self.now, &mut out);
                 }
                 self.deliver(i, out, delivers);
             }
@@ -112,28 +115,28 @@
     let mut network = Network::converged(6);
     network.assert_all_see(0..6, 6);
     network.members[5] = None;
-    network.advance(3_000, ALWAYS);
+    network.advance(Duration::from_secs(3), ALWAYS);
     assert_eq!(network.alive_at(0), 5);
     // A member that leaves is down at once, without suspicion.
     let mut out = Vec::new();
-    let now_ms = network.now_ms;
-    network.member(4).leave(now_ms, &mut out);
+    let now = network.now;
+    network.member(4).leave(now, &mut out);
     network.deliver(4, out, ALWAYS);
     network.members[4] = None;
-    network.advance(300, ALWAYS);
+    network.advance(Duration::from_millis(300), ALWAYS);
     network.assert_all_see(0..4, 4);
     // A member restarted under its name and address is alive at once, although the others remember it as dead.
     network.members[5] = Some(start_member(config(5, 2), "ab"));
-    network.advance(2_000, ALWAYS);
+    network.advance(Duration::from_secs(2), ALWAYS);
     assert_eq!(network.alive_at(0), 5);
 }
 
 #[test]
 fn a_partition_heals() {
     let mut network = Network::converged(6);
-    network.advance(4_000, PARTITIONED);
+    network.advance(Duration::from_secs(4), PARTITIONED);
     assert_eq!((network.alive_at(0), network.alive_at(5)), (3, 3));
-    network.advance(6_000, ALWAYS);
+    network.advance(Duration::from_secs(6), ALWAYS);
     network.assert_all_see(0..6, 6);
 }
 
@@ -143,7 +146,7 @@
     for (version, receivers) in [(7, 4), (3, 0), (7, 0), (8, 4)] {
         network.broadcasts.clear();
         network.broadcast(1, "d", version);
-        network.advance(1_000, ALWAYS);
+        network.advance(Duration::from_secs(1), ALWAYS);
         let received = network.broadcasts.iter().filter(|b| b.topic == "d" && b.version == version);
         assert_eq!(received.count(), receivers, "version {version}");
     }
@@ -152,18 +155,18 @@
 #[test]
 fn topics_are_bounded() {
     let mut network = Network::new(2);
-    network.advance(1_000, ALWAYS);
+    network.advance(Duration::from_secs(1), ALWAYS);
     for i in 0..20 {
         network.broadcast(0, &format!("d{i}"), 1);
     }
-    network.advance(1_000, ALWAYS);
+    network.advance(Duration::from_secs(1), ALWAYS);
     assert_eq!(network.broadcasts.len(), 8);
-    let now_ms = network.now_ms;
+    let now = network.now;
     let member = network.member(0);
     assert_eq!(member.counts().over_capacity, 12);
     member.retain_topics(|topic| topic == "d1");
     let mut out = Vec::new();
-    member.broadcast(now_ms, "e", 1, b"", &mut out);
+    member.broadcast(now, "e", 1, b"", &mut out);
     let sends = |output: &Output| matches!(output, Output::SendDatagram { .. });
     assert!(out.iter().any(sends), "there is capacity again");
 }
@@ -172,7 +175,7 @@
 fn a_member_with_another_key_is_ignored() {
     let mut network = Network::new(3);
     network.members[2] = Some(start_member(config(2, 1), "cd"));
-    network.advance(3_000, ALWAYS);
+    network.advance(Duration::from_secs(3), ALWAYS);
     assert_eq!((network.alive_at(0), network.alive_at(2)), (2, 1));
     assert!(network.member(0).counts().authentication_failures > 0);
 }
@@ -182,7 +185,7 @@
     let mut out = Vec::new();
     let keyring = keyring(&"ab".repeat(32));
     let mut member = start_member(config(0, 1), "ab");
-    start_member(config(1, 1), "ab").tick(0, &mut out);
+    start_member(config(1, 1), "ab").tick(MonotonicTime::ZERO, &mut out);
     let Some(Output::SendDatagram { bytes: announcement, .. }) = out.first().cloned() else {
         panic!("no announcement")
     };
@@ -191,8 +194,8 @@
     fuzz_inputs::survives_garbage(&payload, |pieces| {
         let garbage = pieces.concat();
         let mut out = Vec::new();
-        receiver.borrow_mut().handle_datagram(0, &garbage, &mut out);
-        receiver.borrow_mut().handle_datagram(0, &keyring.sign(&garbage), &mut out);
+        receiver.borrow_mut().handle_datagram(MonotonicTime::ZERO, &garbage, &mut out);
+        receiver.borrow_mut().handle_datagram(MonotonicTime::ZERO, &keyring.sign(&garbage), &mut out);
     });
     let counts = member.counts();
     assert!(counts.authentication_failures >= 512 && counts.malformed > 0, "{counts:?}");
@@ -206,7 +209,7 @@
     for delivers in [both_directions, one_direction] {
         let mut network = Network::converged(4);
         for _ in 0..50 {
-            network.advance(100, delivers);
+            network.advance(Duration::from_millis(100), delivers);
             network.assert_all_see(0..4, 4);
         }
     }
@@ -216,10 +219,10 @@
 fn a_member_paused_for_a_minute_is_back_in_seconds() {
     let mut network = Network::converged(6);
     let paused = network.members[3].take();
-    network.advance(60_000, ALWAYS);
+    network.advance(Duration::from_secs(60), ALWAYS);
     assert_eq!(network.alive_at(0), 5);
     network.members[3] = paused;
-    network.advance(2_000, ALWAYS);
+    network.advance(Duration::from_secs(2), ALWAYS);
     network.assert_all_see(0..6, 6);
 }
 
@@ -233,14 +236,14 @@
     let (old, new) = ("ab".repeat(32), "cd".repeat(32));
     // All members accept both keys before any signs with the new one. During the partition one side is a step ahead.
     set_keys(&mut network, 0..6, &format!("{old}\n{new}"));
-    network.advance(4_000, PARTITIONED);
+    network.advance(Duration::from_secs(4), PARTITIONED);
     set_keys(&mut network, 0..3, &format!("{new}\n{old}"));
-    network.advance(1_000, PARTITIONED);
-    network.advance(6_000, ALWAYS);
+    network.advance(Duration::from_secs(1), PARTITIONED);
+    network.advance(Duration::from_secs(6), ALWAYS);
     network.assert_all_see(0..6, 6);
     set_keys(&mut network, 3..6, &format!("{new}\n{old}"));
     set_keys(&mut network, 0..6, &new);
-    network.advance(4_000, ALWAYS);
+    network.advance(Duration::from_secs(4), ALWAYS);
     network.assert_all_see(0..6, 6);
     assert!(
         network.members.iter().flatten().all(|m| m.counts().authentication_failures == 0),
@@ -255,12 +258,12 @@
     let local_member = Member { name: "m1".into(), ..config(3, 1).local_member };
     let twin = Config { local_member, ..config(3, 1) };
     network.members[3] = Some(start_member(twin, "ab"));
-    network.advance(2_000, ALWAYS);
+    network.advance(Duration::from_secs(2), ALWAYS);
     for member in network.members.iter().flatten() {
         assert_eq!((member.alive_count(), member.duplicate_names()), (4, vec!["m1".to_owned()]));
     }
     network.members[3] = None;
-    network.advance(3_000, ALWAYS);
+    network.advance(Duration::from_secs(3), ALWAYS);
     assert!(network.members.iter().flatten().all(|m| m.duplicate_names().is_empty()));
 }
 
@@ -279,11 +282,11 @@
         random.set(next);
         next >> 33 & 0x3ff > 102
     };
-    network.advance(6_000, lossy);
+    network.advance(Duration::from_secs(6), lossy);
     (0..80).for_each(|i| network.members[i] = None);
     let all_know = |network: &Network| (80..160).all(|i| network.alive_at(i) == 80);
     let elapsed_tenths = (0..100).find(|_| {
-        network.advance(100, lossy);
+        network.advance(Duration::from_millis(100), lossy);
         all_know(&network)
     });
     assert!(elapsed_tenths.is_some_and(|tenths| tenths < 30), "{elapsed_tenths:?}");
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -10,11 +10,15 @@
 use membership::authentication::{Keyring, OVERHEAD_BYTES};
 use membership::{Member, Membership, Output};
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 use support::member_at;
+use timestamps::MonotonicTime;
 
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.txt");
 const SUMMARY: &str = include_str!("fixtures/course.txt");
 const MEMBERS: usize = 8;
+/// The time between two ticks.
+const TICK: Duration = Duration::from_millis(10);
 /// The first byte of the payloads of bulk failure dissemination. Those of SWIM begin with 0 or 1.
 const BULK_FAILURE: u8 = 0xFF;
 const FIRST_GENERATION: u64 = 1_800_000_000_000;
@@ -29,7 +33,7 @@
 
 /// Eight members that exchange datagrams without delay and in order. Records all datagrams.
 struct Network {
-    now_ms: u64,
+    now: MonotonicTime,
     members: Vec<Option<Membership>>,
     sent: Vec<Vec<u8>>,
     /// Members that receive no datagrams.
@@ -41,14 +45,14 @@
 impl Network {
     fn new() -> Self {
         let members = (0..MEMBERS).map(|i| Some(member(i))).collect();
-        Self { now_ms: 0, members, sent: Vec::new(), paused: Vec::new(), partitioned: false }
+        Self { now: MonotonicTime::ZERO, members, sent: Vec::new(), paused: Vec::new(), partitioned: false }
     }
 
-    fn call(&mut self, i: usize, action: impl FnOnce(&mut Membership, u64, &mut Vec<Output>)) {
+    fn call(&mut self, i: usize, action: impl FnOnce(&mut Membership, MonotonicTime, &mut Vec<Output>)) {
         let mut queue = VecDeque::new();
         let mut out = Vec::new();
         if let Some(member) = &mut self.members[i] {
-            action(member, self.now_ms, &mut out);
+            action(member, self.now, &mut out);
         }
         queue.extend(out.into_iter().map(|output| (i, output)));
         while let Some((from, output)) = queue.pop_front() {
@@ -60,15 +64,16 @@
                 && !lost
             {
                 let mut out = Vec::new();
-                member.handle_datagram(self.now_ms, &bytes, &mut out);
+                member.handle_datagram(self.now, &bytes, &mut out);
                 queue.extend(out.into_iter().map(|output| (to, output)));
             }
         }
     }
 
-    fn advance(&mut self, span_ms: u64) {
-        for _ in 0..span_ms / 10 {
-            self.now_ms += 10;
+    fn advance(&mut self, span: Duration) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now = self.now + TICK;
             for i in (0..MEMBERS).filter(|i| !self.paused.contains(i)).collect::<Vec<_>>() {
                 self.call(i, |member, now, out| member.tick(now, out));
             }
@@ -79,19 +84,19 @@
 /// The datagrams of a scenario in which each kind of message is sent.
 fn run_scenario() -> Vec<Vec<u8>> {
     let mut network = Network::new();
-    network.advance(1_000);
+    network.advance(Duration::from_secs(1));
     network.call(2, |member, now, out| member.broadcast(now, "probe/loans-1", 7, b"down", out));
     network.partitioned = true;
-    network.advance(2_000);
+    network.advance(Duration::from_secs(2));
     network.partitioned = false;
     network.paused = vec![3];
-    network.advance(2_000);
+    network.advance(Duration::from_secs(2));
     network.paused.clear();
-    network.advance(1_000);
+    network.advance(Duration::from_secs(1));
     (4..MEMBERS).for_each(|i| network.members[i] = None);
-    network.advance(2_000);
+    network.advance(Duration::from_secs(2));
     network.call(3, |member, now, out| member.leave(now, out));
-    network.advance(200);
+    network.advance(Duration::from_millis(200));
     network.sent
 }
 
@@ -182,14 +187,14 @@
     for (kind, datagram) in fixtures() {
         let mut receiver = member(0);
         let mut out = Vec::new();
-        receiver.handle_datagram(0, &datagram, &mut out);
+        receiver.handle_datagram(MonotonicTime::ZERO, &datagram, &mut out);
         let counts = receiver.counts();
         assert_eq!((counts.datagrams_accepted, counts.authentication_failures), (1, 0), "{kind}: {counts:?}");
         for i in 0..datagram.len() {
             let mut damaged = datagram.clone();
             damaged[i] ^= 0x40;
-            receiver.handle_datagram(0, &damaged, &mut out);
-            receiver.handle_datagram(0, &datagram[..i], &mut out);
+            receiver.handle_datagram(MonotonicTime::ZERO, &damaged, &mut out);
+            receiver.handle_datagram(MonotonicTime::ZERO, &datagram[..i], &mut out);
         }
         let counts = receiver.counts();
         assert_eq!(
@@ -199,7 +204,11 @@
         );
         // Authentic but truncated payloads must not panic.
         for i in OVERHEAD_BYTES..datagram.len() {
-            receiver.handle_datagram(0, &keyring().sign(&datagram[OVERHEAD_BYTES..i]), &mut out);
+            receiver.handle_datagram(
+                MonotonicTime::ZERO,
+                &keyring().sign(&datagram[OVERHEAD_BYTES..i]),
+                &mut out,
+            );
         }
     }
 }
