--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -103,7 +103,7 @@
         job: &str,
         report: &HealthReport,
     ) -> GossipChanges {
-        let version = report.scheduled_unix_ms;
+        let version = report.scheduled_at.as_millis();
         let mut outputs = Vec::new();
         self.membership.broadcast(now, job, version, &report.encode(), &mut outputs);
         self.apply_outputs(now, outputs)
--- a/crates/cluster/src/health_monitor.rs
+++ b/crates/cluster/src/health_monitor.rs
@@ -28,12 +28,12 @@
 
     /// Returns the health of each backend.
     pub(crate) fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
-        self.tracker.health(now.as_millis())
+        self.tracker.health(now)
     }
 
     /// Applies the report of another instance.
     pub(crate) fn apply_report(&mut self, backend_id: &str, report: HealthReport, now: MonotonicTime) {
-        self.tracker.apply_report(backend_id, report, now.as_millis());
+        self.tracker.apply_report(backend_id, report, now);
     }
 
     /// Records the result of a check made by this instance. Returns the report to disseminate, or `None` if the check was
@@ -49,8 +49,7 @@
             return None;
         }
         let passed = outcome.is_success();
-        let scheduled_unix_ms = run.id.scheduled_unix_ms();
-        let report = self.tracker.record_check(backend_id, scheduled_unix_ms, passed, now.as_millis())?;
+        let report = self.tracker.record_check(backend_id, run.id.into(), passed, now)?;
         if report.has_changed() && report.failing {
             tracing::warn!(backend = backend_id, reason = %outcome.reason(), "health check failing");
         } else if report.has_changed() && report.contrary_results == 0 && passed {
@@ -61,7 +60,7 @@
 
     /// Notifies the program if the set of ejected backends has changed.
     pub(crate) fn update_ejections(&mut self, now: MonotonicTime) {
-        let ejected: BTreeSet<String> = self.tracker.ejected(now.as_millis()).into_iter().collect();
+        let ejected: BTreeSet<String> = self.tracker.ejected(now).into_iter().collect();
         if ejected == self.ejected {
             return;
         }
@@ -71,7 +70,7 @@
     }
 
     fn log_ejections(&self, ejected: &BTreeSet<String>, now: MonotonicTime) {
-        let health = self.tracker.health(now.as_millis());
+        let health = self.tracker.health(now);
         tracing::info!(
             count = ejected.len(),
             listed = health.len(),
--- a/crates/health_check/src/report.rs
+++ b/crates/health_check/src/report.rs
@@ -2,49 +2,47 @@
 
 use crate::Config;
 use serde::{Deserialize, Serialize};
+use timestamps::UnixTime;
 
-/// The state of a backend after a check. Gossip carries it encoded with postcard: the order and the types of the fields are
-/// the wire format.
+/// The state of a backend after a check. Gossip carries it encoded with postcard: the order of the fields and their encodings
+/// are the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// The scheduled time of the check in Unix milliseconds. It orders the reports of a backend.
-    pub scheduled_unix_ms: u64,
+    /// The scheduled time of the check. It orders the reports of a backend.
+    #[serde(with = "unix_millis")]
+    pub scheduled_at: UnixTime,
     /// Whether the backend is failing.
     pub failing: bool,
     /// The number of consecutive results that contradict `failing`.
     pub contrary_results: u32,
-    /// The scheduled time of the check that last changed `failing`, in Unix milliseconds.
-    pub changed_unix_ms: u64,
+    /// The scheduled time of the check that last changed `failing`.
+    #[serde(with = "unix_millis")]
+    pub changed_at: UnixTime,
 }
 
 impl HealthReport {
     /// Returns the report after another check.
-    pub fn after_check(before: Option<&Self>, scheduled_unix_ms: u64, passed: bool, config: &Config) -> Self {
+    pub fn after_check(before: Option<&Self>, scheduled_at: UnixTime, passed: bool, config: &Config) -> Self {
         // A backend without checks starts as healthy, because its traffic may show that it is.
         let unchecked = Self {
-            scheduled_unix_ms: 0,
+            scheduled_at: UnixTime::ZERO,
             failing: false,
             contrary_results: 0,
-            changed_unix_ms: scheduled_unix_ms,
+            changed_at: scheduled_at,
         };
         let before = before.copied().unwrap_or(unchecked);
         let is_contrary = passed == before.failing;
         let contrary_results = if is_contrary { before.contrary_results.saturating_add(1) } else { 0 };
         let threshold = if before.failing { config.healthy_threshold } else { config.unhealthy_threshold };
         if contrary_results < threshold.max(1) {
-            return Self { scheduled_unix_ms, contrary_results, ..before };
-        }
-        Self {
-            scheduled_unix_ms,
-            failing: !before.failing,
-            contrary_results: 0,
-            changed_unix_ms: scheduled_unix_ms,
+            return Self { scheduled_at, contrary_results, ..before };
         }
+        Self { scheduled_at, failing: !before.failing, contrary_results: 0, changed_at: scheduled_at }
     }
 
     /// Returns whether this check has changed `failing`.
     pub fn has_changed(&self) -> bool {
-        self.changed_unix_ms == self.scheduled_unix_ms
+        self.changed_at == self.scheduled_at
     }
 
     /// Encodes the report for other instances.
@@ -57,3 +55,17 @@
         postcard::from_bytes(bytes).ok()
     }
 }
+
+/// Encodes a moment as its Unix milliseconds.
+mod unix_millis {
+    use serde::{Deserialize, Deserializer, Serialize, Serializer};
+    use timestamps::UnixTime;
+
+    pub(super) fn serialize<S: Serializer>(moment: &UnixTime, serializer: S) -> Result<S::Ok, S::Error> {
+        moment.as_millis().serialize(serializer)
+    }
+
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<UnixTime, D::Error> {
+        u64::deserialize(deserializer).map(UnixTime::from_millis)
+    }
+}
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -3,6 +3,7 @@
 use crate::{Config, HealthReport};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// The age in check periods beyond which a report is ignored.
 pub const STALE_AFTER_PERIODS: u32 = 3;
@@ -33,26 +34,25 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     report: HealthReport,
-    /// A moment on the driver's monotonic clock.
-    received_ms: u64,
+    received_at: MonotonicTime,
 }
 
 impl ReceivedReport {
-    fn age(&self, now_ms: u64) -> Duration {
-        Duration::from_millis(now_ms.saturating_sub(self.received_ms))
+    fn age(&self, now: MonotonicTime) -> Duration {
+        now.saturating_since(self.received_at)
     }
 }
 
 /// A failing backend, ordered by the time since which it has been failing.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FailingBackend {
-    since_unix_ms: u64,
+    since: UnixTime,
     id: String,
 }
 
 /// The newest report of each backend.
 ///
-/// `now_ms` is a reading of the driver's monotonic clock.
+/// `now` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
 pub struct HealthTracker {
     config: Config,
@@ -81,48 +81,48 @@
     pub fn record_check(
         &mut self,
         id: &str,
-        scheduled_unix_ms: u64,
+        scheduled_at: UnixTime,
         passed: bool,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Option<HealthReport> {
         let before = self.reports.get(id)?.map(|received| received.report);
-        if before.is_some_and(|before| before.scheduled_unix_ms >= scheduled_unix_ms) {
+        if before.is_some_and(|before| before.scheduled_at >= scheduled_at) {
             return None;
         }
-        let report = HealthReport::after_check(before.as_ref(), scheduled_unix_ms, passed, &self.config);
-        self.apply_report(id, report, now_ms).then_some(report)
+        let report = HealthReport::after_check(before.as_ref(), scheduled_at, passed, &self.config);
+        self.apply_report(id, report, now).then_some(report)
     }
 
     /// Applies a report if it is newer than the one stored. Returns whether it was.
-    pub fn apply_report(&mut self, id: &str, report: HealthReport, now_ms: u64) -> bool {
+    pub fn apply_report(&mut self, id: &str, report: HealthReport, now: MonotonicTime) -> bool {
         let Some(newest) = self.reports.get_mut(id) else { return false };
-        if newest.is_some_and(|newest| newest.report.scheduled_unix_ms >= report.scheduled_unix_ms) {
+        if newest.is_some_and(|newest| newest.report.scheduled_at >= report.scheduled_at) {
             return false;
         }
-        *newest = Some(ReceivedReport { report, received_ms: now_ms });
+        *newest = Some(ReceivedReport { report, received_at: now });
         true
     }
 
     /// Returns the health of each backend.
-    pub fn health(&self, now_ms: u64) -> BTreeMap<&str, BackendHealth> {
-        let ejected = self.ejected(now_ms);
+    pub fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
+        let ejected = self.ejected(now);
         let health = |(id, received): (&String, &Option<ReceivedReport>)| {
             let status = match received {
-                Some(received) if self.is_stale(received, now_ms) => HealthStatus::Unknown,
+                Some(received) if self.is_stale(received, now) => HealthStatus::Unknown,
                 Some(received) if !received.report.failing => HealthStatus::Healthy,
                 Some(_) if ejected.contains(id) => HealthStatus::Ejected,
                 Some(_) => HealthStatus::EjectionLimited,
                 None => HealthStatus::Unknown,
             };
-            let report_age = received.map(|received| received.age(now_ms));
+            let report_age = received.map(|received| received.age(now));
             BackendHealth { status, report_age }
         };
         self.reports.iter().map(|entry| (entry.0.as_str(), health(entry))).collect()
     }
 
     /// Returns the ids of the ejected backends, sorted.
-    pub fn ejected(&self, now_ms: u64) -> Vec<String> {
-        let mut failing = self.failing_backends(now_ms);
+    pub fn ejected(&self, now: MonotonicTime) -> Vec<String> {
+        let mut failing = self.failing_backends(now);
         failing.sort_unstable();
         failing.truncate(self.max_ejected());
         let mut ejected: Vec<String> = failing.into_iter().map(|backend| backend.id).collect();
@@ -135,17 +135,17 @@
         (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize
     }
 
-    fn failing_backends(&self, now_ms: u64) -> Vec<FailingBackend> {
+    fn failing_backends(&self, now: MonotonicTime) -> Vec<FailingBackend> {
         let failing = |(id, received): (&String, &Option<ReceivedReport>)| {
-            let is_failing = |r: &ReceivedReport| r.report.failing && !self.is_stale(r, now_ms);
+            let is_failing = |r: &ReceivedReport| r.report.failing && !self.is_stale(r, now);
             let received = received.filter(is_failing)?;
-            Some(FailingBackend { since_unix_ms: received.report.changed_unix_ms, id: id.clone() })
+            Some(FailingBackend { since: received.report.changed_at, id: id.clone() })
         };
         self.reports.iter().filter_map(failing).collect()
     }
 
-    fn is_stale(&self, received: &ReceivedReport, now_ms: u64) -> bool {
-        received.age(now_ms) > STALE_AFTER_PERIODS * self.config.period
+    fn is_stale(&self, received: &ReceivedReport, now: MonotonicTime) -> bool {
+        received.age(now) > STALE_AFTER_PERIODS * self.config.period
     }
 }
 
--- a/crates/health_check/tests/wire_format.rs
+++ b/crates/health_check/tests/wire_format.rs
@@ -1,30 +1,36 @@
 //! Wire compatibility with an earlier build: this build reads its reports and writes the same bytes.
 
 use health_check::HealthReport;
+use timestamps::UnixTime;
 
 /// One report per line: its fields, and its bytes in hexadecimal digits.
 const REPORTS: &str = include_str!("fixtures/reports.txt");
 
 fn reports() -> Vec<HealthReport> {
     vec![
-        HealthReport { scheduled_unix_ms: 0, failing: false, contrary_results: 0, changed_unix_ms: 0 },
         HealthReport {
-            scheduled_unix_ms: 1_800_000_000_123,
+            scheduled_at: UnixTime::ZERO,
+            failing: false,
+            contrary_results: 0,
+            changed_at: UnixTime::ZERO,
+        },
+        HealthReport {
+            scheduled_at: UnixTime::from_millis(1_800_000_000_123),
             failing: true,
             contrary_results: 1,
-            changed_unix_ms: 1_799_999_999_123,
+            changed_at: UnixTime::from_millis(1_799_999_999_123),
         },
         HealthReport {
-            scheduled_unix_ms: 1_800_000_002_123,
+            scheduled_at: UnixTime::from_millis(1_800_000_002_123),
             failing: false,
             contrary_results: 300,
-            changed_unix_ms: 5,
+            changed_at: UnixTime::from_millis(5),
         },
         HealthReport {
-            scheduled_unix_ms: u64::MAX,
+            scheduled_at: UnixTime::from_millis(u64::MAX),
             failing: true,
             contrary_results: u32::MAX,
-            changed_unix_ms: u64::MAX,
+            changed_at: UnixTime::from_millis(u64::MAX),
         },
     ]
 }
@@ -43,10 +49,10 @@
 fn fixture_line(report: &HealthReport) -> String {
     format!(
         "{} {} {} {} {}\n",
-        report.scheduled_unix_ms,
+        report.scheduled_at.as_millis(),
         report.failing,
         report.contrary_results,
-        report.changed_unix_ms,
+        report.changed_at.as_millis(),
         encode_hex(&report.encode())
     )
 }
