--- a/crates/cluster/src/clocks.rs
+++ b/crates/cluster/src/clocks.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
-use timestamps::{MonotonicTime, UnixTime};
+use timestamps::{MonotonicTime, UnixTime, whole_millis};
 
 /// The Unix clock, with an offset for tests, and a monotonic clock that counts from the start.
 #[derive(Clone, Debug)]
@@ -20,12 +20,12 @@
 
     /// Reads both clocks.
     pub(crate) fn now(&self) -> ClockReading {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let unix_ms = (unix.as_millis() as u64).saturating_add_signed(self.offset_ms.load(Ordering::Relaxed));
-        let monotonic_ms = self.start.elapsed().as_millis() as u64;
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let offset_ms = self.offset_ms.load(Ordering::Relaxed);
+        let unix_ms = whole_millis(since_epoch).saturating_add_signed(offset_ms);
         ClockReading {
             unix: UnixTime::from_millis(unix_ms),
-            monotonic: MonotonicTime::from_millis(monotonic_ms),
+            monotonic: MonotonicTime::ZERO + self.start.elapsed(),
         }
     }
 }
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -70,11 +70,11 @@
     pub(crate) fn new(settings: Settings, resources: Resources) -> Self {
         let Resources { clocks, gossip_socket, store, runs, dropped_datagrams, on_ejection_change } =
             resources;
-        let start_unix_ms = clocks.now().unix.as_millis();
-        let scheduler = Scheduler::new(jobs::scheduler_config(&settings, start_unix_ms));
+        let started_at = clocks.now().unix;
+        let scheduler = Scheduler::new(jobs::scheduler_config(&settings, started_at));
         let gossip = settings.gossip.zip(gossip_socket);
-        let gossip = gossip
-            .map(|(gossip, socket)| GossipNode::new(&gossip, &settings.instance, start_unix_ms, socket));
+        let gossip =
+            gossip.map(|(gossip, socket)| GossipNode::new(&gossip, &settings.instance, started_at, socket));
         let health_config = settings.health_checks.as_ref().map(|checks| checks.config.clone());
         Self {
             instance: settings.instance,
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -7,6 +7,7 @@
 use periodic_jobs::{Action, ClockReading, Config, Run, StoreCall};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
+use timestamps::UnixTime;
 
 /// The time between the deadline of a run and the end of its period.
 const START_MARGIN: Duration = Duration::from_millis(10);
@@ -16,7 +17,7 @@
 const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Returns the configuration of the scheduler of an instance that starts at this moment.
-pub(super) fn scheduler_config(settings: &Settings, start_unix_ms: u64) -> Config {
+pub(super) fn scheduler_config(settings: &Settings, started_at: UnixTime) -> Config {
     Config {
         instance: settings.instance.clone(),
         standbys: settings.standbys,
@@ -25,7 +26,7 @@
         store_retry_interval: STORE_RETRY_INTERVAL,
         session_renewal_interval: SESSION_RENEWAL_INTERVAL,
         // The random part distinguishes two starts in the same millisecond.
-        incarnation: start_unix_ms ^ rand::random::<u64>(),
+        incarnation: started_at.as_millis() ^ rand::random::<u64>(),
     }
 }
 
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -8,7 +8,7 @@
 use membership::{Counts, Member, MemberStatus, Membership, Output};
 use std::net::UdpSocket;
 use std::sync::Arc;
-use timestamps::MonotonicTime;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// The maximum number of members.
 const MAX_MEMBERS: usize = 1_024;
@@ -45,8 +45,8 @@
 
 impl GossipNode {
     /// Creates the node of an instance that starts at this moment.
-    pub(crate) fn new(gossip: &Gossip, instance: &str, start_unix_ms: u64, socket: Arc<UdpSocket>) -> Self {
-        let config = membership_config(gossip, instance, start_unix_ms);
+    pub(crate) fn new(gossip: &Gossip, instance: &str, started_at: UnixTime, socket: Arc<UdpSocket>) -> Self {
+        let config = membership_config(gossip, instance, started_at);
         Self {
             membership: Membership::new(config, gossip.keyring.clone()),
             socket,
@@ -168,9 +168,9 @@
     }
 }
 
-fn membership_config(gossip: &Gossip, instance: &str, start_unix_ms: u64) -> membership::Config {
+fn membership_config(gossip: &Gossip, instance: &str, started_at: UnixTime) -> membership::Config {
     let local_member =
-        Member { address: gossip.advertise, name: instance.to_owned(), generation: start_unix_ms };
+        Member { address: gossip.advertise, name: instance.to_owned(), generation: started_at.as_millis() };
     membership::Config {
         local_member,
         seed_peers: gossip.peers.clone(),
