--- a/crates/cluster_simulation/src/config.rs
+++ b/crates/cluster_simulation/src/config.rs
@@ -1,5 +1,7 @@
 //! The configuration of a simulation.
 
+use std::time::Duration;
+
 /// The size of the cluster and the behaviour of its network and clocks.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
@@ -7,16 +9,16 @@
     pub instances: usize,
     /// The number of periodic jobs.
     pub jobs: usize,
-    /// Milliseconds between two runs of a job.
-    pub period_ms: u64,
+    /// The time between two runs of a job. A whole number of milliseconds, at least one.
+    pub job_period: Duration,
     /// The number of members that attempt a run if the owner of the job does not.
     pub standbys: usize,
-    /// The maximum clock skew in milliseconds, both configured and simulated.
-    pub max_clock_skew_ms: u64,
+    /// The maximum clock skew, both configured and simulated.
+    pub max_clock_skew: Duration,
     /// The fraction of lost datagrams.
     pub datagram_loss: f64,
-    /// Milliseconds between two gossip rounds.
-    pub gossip_period_ms: u64,
+    /// The time between two gossip rounds.
+    pub gossip_period: Duration,
     /// The seed of the random number generator.
     pub rng_seed: u64,
 }
@@ -26,11 +28,11 @@
         Self {
             instances: 10,
             jobs: 100,
-            period_ms: 1_000,
+            job_period: Duration::from_secs(1),
             standbys: 3,
-            max_clock_skew_ms: 0,
+            max_clock_skew: Duration::ZERO,
             datagram_loss: 0.0,
-            gossip_period_ms: 100,
+            gossip_period: Duration::from_millis(100),
             rng_seed: 1,
         }
     }
--- a/crates/cluster_simulation/src/counts.rs
+++ b/crates/cluster_simulation/src/counts.rs
@@ -3,6 +3,8 @@
 use job_lease::RunId;
 use periodic_jobs::Run;
 use std::collections::HashMap;
+use std::time::Duration;
+use timestamps::{UnixTime, whole_millis};
 
 /// Counters since the start of the simulation.
 #[derive(Clone, Debug, Default)]
@@ -50,9 +52,9 @@
 
 impl RunLog {
     /// Records the start of a run.
-    pub(crate) fn record(&mut self, run: Run, period_ms: u64) {
+    pub(crate) fn record(&mut self, run: Run, period: Duration) {
         let gap = self.gaps.entry(run.job.clone()).or_insert(JobGap { last_run: run.id, longest: 0 });
-        let periods = periods_since(gap.last_run, run.id.scheduled_unix_ms(), period_ms);
+        let periods = periods_between(gap.last_run.into(), run.id.into(), period);
         let missed = periods.saturating_sub(1);
         gap.longest = gap.longest.max(missed);
         gap.last_run = run.id;
@@ -66,10 +68,10 @@
 
     /// Returns the maximum number of consecutive runs that a job has missed since the last reset. Returns `u64::MAX` for a job
     /// that has never run.
-    pub(crate) fn longest_gap(&self, job: &str, now_unix_ms: u64, period_ms: u64) -> u64 {
+    pub(crate) fn longest_gap(&self, job: &str, now: UnixTime, period: Duration) -> u64 {
         let Some(gap) = self.gaps.get(job) else { return u64::MAX };
         // The run of the current period may still start, and the one before may be late.
-        let missed = periods_since(gap.last_run, now_unix_ms, period_ms).saturating_sub(2);
+        let missed = periods_between(gap.last_run.into(), now, period).saturating_sub(2);
         gap.longest.max(missed)
     }
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// Returns the number of complete periods from a run to a moment.
-fn periods_since(run: RunId, unix_ms: u64, period_ms: u64) -> u64 {
-    unix_ms.saturating_sub(run.scheduled_unix_ms()) / period_ms
+/// Returns the number of complete periods between two moments.
+fn periods_between(earlier: UnixTime, later: UnixTime, period: Duration) -> u64 {
+    whole_millis(later.saturating_since(earlier)) / whole_millis(period)
 }
--- a/crates/cluster_simulation/src/event.rs
+++ b/crates/cluster_simulation/src/event.rs
@@ -3,6 +3,7 @@
 use periodic_jobs::{StoreCall, StoreResponse};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
+use timestamps::MonotonicTime;
 
 /// Identifies one start of an instance. Responses to an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,32 +33,32 @@
 /// The position of an event in the queue, ordered by due moment, then by sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
-    due_ms: u64,
+    due: MonotonicTime,
     sequence: u64,
 }
 
 /// An event that is due.
 pub(crate) struct DueEvent {
-    pub(crate) due_ms: u64,
+    pub(crate) due: MonotonicTime,
     pub(crate) event: Event,
 }
 
 impl EventQueue {
     /// Schedules an event for this moment.
-    pub(crate) fn schedule(&mut self, due_ms: u64, event: Event) {
+    pub(crate) fn schedule(&mut self, due: MonotonicTime, event: Event) {
         self.last_sequence += 1;
-        self.order.push(Reverse(QueuePosition { due_ms, sequence: self.last_sequence }));
+        self.order.push(Reverse(QueuePosition { due, sequence: self.last_sequence }));
         self.events.insert(self.last_sequence, event);
     }
 
     /// Removes the next event that is due at or before this moment.
-    pub(crate) fn pop_due(&mut self, until_ms: u64) -> Option<DueEvent> {
-        let &Reverse(QueuePosition { due_ms, sequence }) = self.order.peek()?;
-        if due_ms > until_ms {
+    pub(crate) fn pop_due(&mut self, until: MonotonicTime) -> Option<DueEvent> {
+        let &Reverse(QueuePosition { due, sequence }) = self.order.peek()?;
+        if due > until {
             return None;
         }
         self.order.pop();
         let event = self.events.remove(&sequence)?;
-        Some(DueEvent { due_ms, event })
+        Some(DueEvent { due, event })
     }
 }
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -10,10 +10,10 @@
 use rand::rngs::StdRng;
 use std::collections::VecDeque;
 use std::time::Duration;
-use timestamps::{MonotonicTime, UnixTime};
+use timestamps::{MonotonicTime, UnixTime, whole_millis};
 
-/// Unix milliseconds at the start of the simulation.
-pub(crate) const START_UNIX_MS: u64 = 1_800_000_000_000;
+/// The Unix time at the start of the simulation.
+const UNIX_START: UnixTime = UnixTime::from_millis(1_800_000_000_000);
 /// The number of instances through which the others join.
 const SEED_PEERS: usize = 3;
 /// The maximum number of events queued for a paused instance. Further events are dropped, as by a socket buffer.
@@ -22,6 +22,11 @@
 const KEY_BYTE: &str = "ab";
 const KEY_BYTES: usize = 32;
 
+/// Returns the Unix time of a moment of the simulation, without clock skew.
+pub(crate) fn unix_time(now: MonotonicTime) -> UnixTime {
+    UNIX_START + now.saturating_since(MonotonicTime::ZERO)
+}
+
 /// Returns the name of a simulated job.
 pub(crate) fn job_name(job: usize) -> String {
     format!("duty-{job}")
@@ -31,11 +36,11 @@
 pub(crate) struct Instance {
     pub(crate) membership: Membership,
     pub(crate) scheduler: Scheduler,
-    /// The offset of its Unix clock.
-    clock_offset_ms: i64,
+    /// The time by which its Unix clock is fast.
+    clock_offset: Duration,
     pub(crate) incarnation: Incarnation,
     /// The moment of its next tick.
-    pub(crate) next_tick_ms: u64,
+    pub(crate) next_tick: MonotonicTime,
     has_jobs: bool,
     paused: bool,
     /// Whether the members have changed since the last tick, which passes them to the scheduler.
@@ -53,24 +58,27 @@
 
 impl Instance {
     /// Starts an instance at this moment.
-    pub(crate) fn start(number: usize, now_ms: u64, config: &SimulationConfig, rng: &mut StdRng) -> Self {
-        let unix_ms = START_UNIX_MS + now_ms;
-        let skew_ms = config.max_clock_skew_ms;
-        let clock_offset_ms = if skew_ms == 0 { 0 } else { rng.random_range(0..=skew_ms) as i64 };
+    pub(crate) fn start(
+        number: usize,
+        now: MonotonicTime,
+        config: &SimulationConfig,
+        rng: &mut StdRng,
+    ) -> Self {
+        let clock_offset = random_clock_offset(config.max_clock_skew, rng);
         let membership = Membership::new(
-            membership_config(number, unix_ms, config, rng.random()),
+            membership_config(number, unix_time(now), config, rng.random()),
             Keyring::parse(&KEY_BYTE.repeat(KEY_BYTES)).expect("a constant key"),
         );
         let mut scheduler = Scheduler::new(scheduler_config(number, config, rng.random()));
-        let now = clock_reading(now_ms, clock_offset_ms);
-        let job = |job| Job { name: job_name(job), period: Duration::from_millis(config.period_ms) };
+        let now = clock_reading(now, clock_offset);
+        let job = |job| Job { name: job_name(job), period: config.job_period };
         scheduler.set_jobs(now, (0..config.jobs).map(job).collect());
         Self {
             membership,
             scheduler,
-            clock_offset_ms,
+            clock_offset,
             incarnation: Incarnation(rng.random()),
-            next_tick_ms: u64::MAX,
+            next_tick: MonotonicTime::NEVER,
             has_jobs: config.jobs > 0,
             paused: false,
             members_changed: false,
@@ -79,8 +87,8 @@
     }
 
     /// Reads the clocks of the instance at this moment.
-    pub(crate) fn clocks(&self, now_ms: u64) -> ClockReading {
-        clock_reading(now_ms, self.clock_offset_ms)
+    pub(crate) fn clocks(&self, now: MonotonicTime) -> ClockReading {
+        clock_reading(now, self.clock_offset)
     }
 
     /// Pauses the instance.
@@ -104,7 +112,7 @@
         }
         let mut effects = Effects::default();
         match event {
-            Event::Tick { .. } if self.next_tick_ms > now.monotonic.as_millis() => return None,
+            Event::Tick { .. } if self.next_tick > now.monotonic => return None,
             Event::Tick { .. } => self.tick(now, &mut effects),
             Event::Datagram { bytes, .. } => {
                 self.membership.handle_datagram(now.monotonic, &bytes, &mut effects.outputs);
@@ -119,8 +127,8 @@
     }
 
     fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
-        // No tick is pending. At the start of the simulation 0 would count as a pending tick.
-        self.next_tick_ms = u64::MAX;
+        // No tick is pending. `ZERO` would count as a pending tick at the start of the simulation.
+        self.next_tick = MonotonicTime::NEVER;
         self.membership.tick(now.monotonic, &mut effects.outputs);
         // Without jobs the scheduler does not need the members.
         if std::mem::take(&mut self.members_changed) && self.has_jobs {
@@ -130,31 +138,39 @@
     }
 
     /// Returns the moment at which the instance needs its next tick.
-    pub(crate) fn next_due_ms(&self, now: ClockReading) -> u64 {
+    pub(crate) fn next_due(&self, now: ClockReading) -> MonotonicTime {
         let to_monotonic = |due: UnixTime| now.monotonic + due.saturating_since(now.unix);
         let jobs_due = self.scheduler.next_tick().map(to_monotonic);
-        self.membership.next_tick().min(jobs_due.unwrap_or(MonotonicTime::NEVER)).as_millis()
+        self.membership.next_tick().min(jobs_due.unwrap_or(MonotonicTime::NEVER))
     }
 }
 
 /// Returns the clocks of an instance at a moment of the simulation.
-fn clock_reading(now_ms: u64, clock_offset_ms: i64) -> ClockReading {
-    let unix_ms = (START_UNIX_MS + now_ms).saturating_add_signed(clock_offset_ms);
-    ClockReading { unix: UnixTime::from_millis(unix_ms), monotonic: MonotonicTime::from_millis(now_ms) }
+fn clock_reading(now: MonotonicTime, clock_offset: Duration) -> ClockReading {
+    ClockReading { unix: unix_time(now) + clock_offset, monotonic: now }
+}
+
+/// Draws the offset of a clock, in whole milliseconds up to the maximum skew.
+fn random_clock_offset(max_clock_skew: Duration, rng: &mut StdRng) -> Duration {
+    // Without skew the generator is not advanced.
+    if max_clock_skew.is_zero() {
+        return Duration::ZERO;
+    }
+    Duration::from_millis(rng.random_range(0..=whole_millis(max_clock_skew)))
 }
 
 fn membership_config(
     number: usize,
-    start_unix_ms: u64,
+    started_at: UnixTime,
     config: &SimulationConfig,
     rng_seed: u64,
 ) -> membership::Config {
-    let gossip_period = Duration::from_millis(config.gossip_period_ms);
+    let gossip_period = config.gossip_period;
     membership::Config {
         local_member: Member {
             address: network::address(number),
             name: format!("m{number}"),
-            generation: start_unix_ms,
+            generation: started_at.as_millis(),
         },
         seed_peers: (0..config.instances.min(SEED_PEERS)).map(network::address).collect(),
         probe_period: gossip_period * 4,
@@ -172,7 +188,7 @@
     Config {
         instance: format!("m{number}"),
         standbys: config.standbys,
-        max_clock_skew: Duration::from_millis(config.max_clock_skew_ms),
+        max_clock_skew: config.max_clock_skew,
         start_margin: Duration::from_millis(10),
         store_retry_interval: Duration::from_millis(100),
         session_renewal_interval: Duration::from_secs(3),
--- a/crates/cluster_simulation/src/network.rs
+++ b/crates/cluster_simulation/src/network.rs
@@ -3,6 +3,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
 
 /// The maximum delay of a datagram in milliseconds.
 const MAX_DELAY_MS: u64 = 2;
@@ -51,10 +52,10 @@
     }
 
     /// Returns the delay of a datagram, or `None` if it is lost.
-    pub(crate) fn delay_ms(&self, from: usize, to: usize, rng: &mut StdRng) -> Option<u64> {
+    pub(crate) fn delay(&self, from: usize, to: usize, rng: &mut StdRng) -> Option<Duration> {
         let lost = rng.random_bool(self.loss);
-        let delay_ms = rng.random_range(0..=MAX_DELAY_MS);
+        let delay = Duration::from_millis(rng.random_range(0..=MAX_DELAY_MS));
         let connected = self.sides.get(to) == Some(&self.sides[from]);
-        (connected && !lost).then_some(delay_ms)
+        (connected && !lost).then_some(delay)
     }
 }
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -3,16 +3,20 @@
 use crate::SimulationConfig;
 use crate::counts::{Counts, RunLog};
 use crate::event::{DueEvent, Event, EventQueue, Incarnation};
-use crate::instance::{Effects, Instance, START_UNIX_MS, job_name};
+use crate::instance::{Effects, Instance, job_name, unix_time};
 use crate::network::{self, Network};
 use crate::store::{DelayedResponse, SimulatedStore, StoreFault};
 use membership::Output;
 use periodic_jobs::{Action, ClockReading, Notice, Run, StoreCall};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use std::time::Duration;
+use timestamps::MonotonicTime;
 
 /// The range of the delay of a call to the store in milliseconds.
 const CALL_DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
+/// The minimum time between two ticks of an instance.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The live members as one instance sees them.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +30,7 @@
 /// A cluster in simulated time. Instances are identified by their numbers, from 0.
 pub struct Simulation {
     config: SimulationConfig,
-    now_ms: u64,
+    now: MonotonicTime,
     events: EventQueue,
     /// `None` for a dead instance.
     instances: Vec<Option<Instance>>,
@@ -42,7 +46,7 @@
     /// Starts all instances at once.
     pub fn new(config: SimulationConfig) -> Self {
         let mut simulation = Self {
-            now_ms: 0,
+            now: MonotonicTime::ZERO,
             events: EventQueue::default(),
             instances: (0..config.instances).map(|_| None).collect(),
             rng: StdRng::seed_from_u64(config.rng_seed),
@@ -59,9 +63,9 @@
         simulation
     }
 
-    /// Returns the milliseconds since the start of the simulation.
-    pub fn now_ms(&self) -> u64 {
-        self.now_ms
+    /// Returns the moment that the simulation has reached. It starts at zero.
+    pub fn now(&self) -> MonotonicTime {
+        self.now
     }
 
     /// Returns the counters since the start.
@@ -77,9 +81,8 @@
     /// Returns the maximum number of consecutive runs that any job has missed since the last call. Returns `u64::MAX` if a job
     /// has never run.
     pub fn take_longest_gap(&mut self) -> u64 {
-        let (now_unix_ms, period_ms) = (START_UNIX_MS + self.now_ms, self.config.period_ms);
-        let gaps =
-            (0..self.config.jobs).map(|job| self.run_log.longest_gap(&job_name(job), now_unix_ms, period_ms));
+        let (now, period) = (unix_time(self.now), self.config.job_period);
+        let gaps = (0..self.config.jobs).map(|job| self.run_log.longest_gap(&job_name(job), now, period));
         let longest = gaps.max().unwrap_or(0);
         self.run_log.reset_gaps();
         longest
@@ -87,8 +90,8 @@
 
     /// Starts an instance, or restarts it with the same name and address.
     pub fn start(&mut self, instance: usize) {
-        self.instances[instance] = Some(Instance::start(instance, self.now_ms, &self.config, &mut self.rng));
-        self.schedule_tick(instance, self.now_ms);
+        self.instances[instance] = Some(Instance::start(instance, self.now, &self.config, &mut self.rng));
+        self.schedule_tick(instance, self.now);
     }
 
     /// Kills an instance.
@@ -107,9 +110,9 @@
     pub fn resume(&mut self, instance: usize) {
         let Some(paused) = &mut self.instances[instance] else { return };
         for event in paused.resume() {
-            self.events.schedule(self.now_ms, event);
+            self.events.schedule(self.now, event);
         }
-        self.schedule_tick(instance, self.now_ms);
+        self.schedule_tick(instance, self.now);
     }
 
     /// Sets the fault of the store.
@@ -177,21 +180,21 @@
         self.instances[instance].is_some()
     }
 
-    /// Advances the time and handles the events that become due.
-    pub fn advance(&mut self, span_ms: u64) {
-        let until_ms = self.now_ms + span_ms;
-        while let Some(DueEvent { due_ms, event }) = self.events.pop_due(until_ms) {
-            self.now_ms = due_ms;
+    /// Advances the time by whole milliseconds and handles the events that become due.
+    pub fn advance(&mut self, span: Duration) {
+        let until = self.now + span;
+        while let Some(DueEvent { due, event }) = self.events.pop_due(until) {
+            self.now = due;
             self.handle(event);
         }
-        self.now_ms = until_ms;
+        self.now = until;
     }
 
-    fn schedule_tick(&mut self, instance: usize, due_ms: u64) {
+    fn schedule_tick(&mut self, instance: usize, due: MonotonicTime) {
         let Some(state) = &mut self.instances[instance] else { return };
-        if due_ms < state.next_tick_ms || state.next_tick_ms < self.now_ms {
-            state.next_tick_ms = due_ms;
-            self.events.schedule(due_ms.max(self.now_ms), Event::Tick { instance });
+        if due < state.next_tick || state.next_tick < self.now {
+            state.next_tick = due;
+            self.events.schedule(due.max(self.now), Event::Tick { instance });
         }
     }
 
@@ -206,24 +209,24 @@
             | Event::StoreResponse { instance, .. } => instance,
         };
         let Some(Some(instance)) = self.instances.get_mut(number) else { return };
-        let now = instance.clocks(self.now_ms);
+        let now = instance.clocks(self.now);
         let Some(Effects { outputs, actions }) = instance.handle(event, now) else { return };
         let incarnation = instance.incarnation;
-        let due_ms = instance.next_due_ms(now);
+        let due = instance.next_due(now);
         for output in outputs {
             if let Output::SendDatagram { to, bytes } = output {
                 self.send(number, network::instance(to), bytes);
             }
         }
         self.apply_actions(number, incarnation, now, actions);
-        self.schedule_tick(number, due_ms.max(self.now_ms + 1));
+        self.schedule_tick(number, due.max(self.now + MIN_TICK_INTERVAL));
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         self.counts.datagrams += 1;
         self.counts.datagram_bytes += bytes.len() as u64;
-        if let Some(delay_ms) = self.network.delay_ms(from, to, &mut self.rng) {
-            self.events.schedule(self.now_ms + delay_ms, Event::Datagram { instance: to, bytes });
+        if let Some(delay) = self.network.delay(from, to, &mut self.rng) {
+            self.events.schedule(self.now + delay, Event::Datagram { instance: to, bytes });
         }
     }
 
@@ -244,15 +247,15 @@
     }
 
     fn send_store_call(&mut self, instance: usize, incarnation: Incarnation, call: StoreCall) {
-        let due_ms = self.now_ms + self.rng.random_range(CALL_DELAY_MS);
-        self.events.schedule(due_ms, Event::StoreCall { instance, incarnation, call });
+        let delay = Duration::from_millis(self.rng.random_range(CALL_DELAY_MS));
+        self.events.schedule(self.now + delay, Event::StoreCall { instance, incarnation, call });
     }
 
     fn start_run(&mut self, run: Run, now: ClockReading) {
         // The program checks the deadline again just before it acts.
         if run.may_start(now) {
             self.counts.runs += 1;
-            self.run_log.record(run, self.config.period_ms);
+            self.run_log.record(run, self.config.job_period);
         } else {
             self.counts.late_runs += 1;
         }
@@ -260,9 +263,9 @@
 
     fn handle_store_call(&mut self, instance: usize, incarnation: Incarnation, call: StoreCall) {
         let reachable = self.network.reaches_store(instance);
-        let DelayedResponse { delay_ms, response } = self.store.handle(call, reachable, &mut self.counts);
+        let DelayedResponse { delay, response } = self.store.handle(call, reachable, &mut self.counts);
         let event = Event::StoreResponse { instance, incarnation, response };
-        self.events.schedule(self.now_ms + delay_ms, event);
+        self.events.schedule(self.now + delay, event);
     }
 }
 
--- a/crates/cluster_simulation/src/store.rs
+++ b/crates/cluster_simulation/src/store.rs
@@ -3,11 +3,12 @@
 use crate::counts::Counts;
 use job_lease::{CompareAndSetOutcome, LeaseRecord, LocalStore, Session, StoreError, StoreErrorCause};
 use periodic_jobs::{StoreCall, StoreResponse};
+use std::time::Duration;
 
-/// The delay of a response in milliseconds.
-const RESPONSE_DELAY_MS: u64 = 2;
-/// The timeout of a call in milliseconds.
-const CALL_TIMEOUT_MS: u64 = 100;
+/// The delay of a response.
+const RESPONSE_DELAY: Duration = Duration::from_millis(2);
+/// The timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +27,7 @@
 
 /// A response and the time until it reaches the caller.
 pub(crate) struct DelayedResponse {
-    pub(crate) delay_ms: u64,
+    pub(crate) delay: Duration,
     pub(crate) response: StoreResponse,
 }
 
@@ -68,7 +69,7 @@
         counts: &mut Counts,
     ) -> DelayedResponse {
         if self.fault == StoreFault::Unresponsive || !reachable {
-            return DelayedResponse { delay_ms: CALL_TIMEOUT_MS, response: call.fail(no_response()) };
+            return DelayedResponse { delay: CALL_TIMEOUT, response: call.fail(no_response()) };
         }
         let response = match call {
             StoreCall::OpenSession => {
@@ -91,12 +92,12 @@
                 if self.takes_response_loss(applied) {
                     let outcome = CompareAndSetOutcome::Failed(no_response());
                     let response = StoreResponse::CompareAndSetDone { call, job, record, outcome };
-                    return DelayedResponse { delay_ms: CALL_TIMEOUT_MS, response };
+                    return DelayedResponse { delay: CALL_TIMEOUT, response };
                 }
                 StoreResponse::CompareAndSetDone { call, job, record, outcome }
             }
         };
-        DelayedResponse { delay_ms: RESPONSE_DELAY_MS, response }
+        DelayedResponse { delay: RESPONSE_DELAY, response }
     }
 
     fn session_exists(&self, session: &Session) -> bool {
--- a/crates/cluster_simulation/tests/course.rs
+++ b/crates/cluster_simulation/tests/course.rs
@@ -2,6 +2,7 @@
 //! versions of `foca` and `rand` in `Cargo.lock`.
 
 use cluster_simulation::{Simulation, SimulationConfig, StoreFault};
+use std::time::Duration;
 
 const COUNTERS: &str = include_str!("fixtures/course.txt");
 
@@ -29,38 +30,38 @@
             instances: 8,
             jobs: 32,
             standbys: 4,
-            period_ms: 1_000,
-            max_clock_skew_ms: 100,
+            job_period: Duration::from_secs(1),
+            max_clock_skew: Duration::from_millis(100),
             datagram_loss: 0.1,
             rng_seed: seed,
             ..SimulationConfig::default()
         };
         let mut simulation = Simulation::new(config);
-        simulation.advance(6_000);
+        simulation.advance(Duration::from_secs(6));
         text += &counter_line(&mut simulation, &format!("seed {seed}, started"));
         (0..4).for_each(|i| simulation.kill(i));
-        simulation.advance(6_000);
+        simulation.advance(Duration::from_secs(6));
         text += &counter_line(&mut simulation, "half killed");
         (0..4).for_each(|i| simulation.start(i));
         simulation.pause(5);
-        simulation.advance(4_000);
+        simulation.advance(Duration::from_secs(4));
         simulation.resume(5);
-        simulation.advance(3_000);
+        simulation.advance(Duration::from_secs(3));
         text += &counter_line(&mut simulation, "started again, one paused");
         simulation.partition(|i| u8::from(i < 4), [true, false]);
-        simulation.advance(5_000);
+        simulation.advance(Duration::from_secs(5));
         text += &counter_line(&mut simulation, "partitioned");
         simulation.partition(|_| 0, [true, true]);
         simulation.lose_responses(20);
-        simulation.advance(4_000);
+        simulation.advance(Duration::from_secs(4));
         text += &counter_line(&mut simulation, "healed, responses lost");
         simulation.set_store_fault(StoreFault::Unresponsive);
-        simulation.advance(3_000);
+        simulation.advance(Duration::from_secs(3));
         simulation.set_store_fault(StoreFault::ResponsesLost);
-        simulation.advance(2_000);
+        simulation.advance(Duration::from_secs(2));
         simulation.set_store_fault(StoreFault::None);
         simulation.restart_store_empty();
-        simulation.advance(5_000);
+        simulation.advance(Duration::from_secs(5));
         text += &counter_line(&mut simulation, "store emptied");
     }
     assert_eq!(text, COUNTERS);
--- a/crates/system_tests/src/bin/proof-membership.rs
+++ b/crates/system_tests/src/bin/proof-membership.rs
@@ -4,7 +4,7 @@
 
 use cluster_simulation::{Simulation, SimulationConfig};
 use std::process::ExitCode;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use system_tests::{Table, verdict};
 
 const SIZES: [usize; 4] = [24, 100, 300, 1_000];
@@ -55,7 +55,7 @@
             instances: members,
             jobs: 0,
             datagram_loss: 0.1,
-            gossip_period_ms,
+            gossip_period: Duration::from_millis(gossip_period_ms),
             rng_seed: 7,
             ..SimulationConfig::default()
         };
@@ -74,11 +74,11 @@
 
     /// Lets time pass until the condition holds; how long that took, in ms.
     fn advance_until(&mut self, condition: impl Fn(&Simulation) -> bool) -> u64 {
-        let begin_ms = self.simulation.now_ms();
-        while !condition(&self.simulation) && self.simulation.now_ms() - begin_ms < NEVER_MS {
-            self.simulation.advance(STEP_MS);
+        let begin_ms = self.simulation.now().as_millis();
+        while !condition(&self.simulation) && self.simulation.now().as_millis() - begin_ms < NEVER_MS {
+            self.simulation.advance(Duration::from_millis(STEP_MS));
         }
-        self.simulation.now_ms() - begin_ms
+        self.simulation.now().as_millis() - begin_ms
     }
 
     /// Lets time pass until all see all as they are.
@@ -94,9 +94,9 @@
 
     /// Bytes a second of each member without faults.
     fn calm_bytes(&mut self) -> f64 {
-        self.simulation.advance(CALM_MS);
+        self.simulation.advance(Duration::from_millis(CALM_MS));
         let before = self.bytes();
-        self.simulation.advance(CALM_MS);
+        self.simulation.advance(Duration::from_millis(CALM_MS));
         (self.bytes() - before) as f64 / (CALM_MS / 1_000 * self.members as u64) as f64
     }
 
@@ -121,7 +121,7 @@
             return "not tried".into();
         }
         self.simulation.pause(1);
-        self.simulation.advance(SUSPENSION_MS);
+        self.simulation.advance(Duration::from_millis(SUSPENSION_MS));
         self.simulation.resume(1);
         seconds(self.advance_until_all_agree())
     }
--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
@@ -4,14 +4,14 @@
 
 use cluster_simulation::{Simulation, SimulationConfig};
 use std::process::ExitCode;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use system_tests::{Table, verdict};
 
 /// 1,000 instances take more than ten minutes and are asked for by their number.
 const SIZES: [usize; 4] = [10, 30, 100, 300];
 const JOBS_PER_INSTANCE: usize = 10;
 /// The period of jobs.
-const PERIOD_MS: u64 = 5_000;
+const PERIOD: Duration = Duration::from_secs(5);
 const DEFAULT_GOSSIP_PERIOD_MS: u64 = 200;
 /// Between two looks.
 const STEP_MS: u64 = 100;
@@ -30,11 +30,13 @@
 
 /// Advances the simulation until `instances` instances see as many alive. Returns how long that took, ms.
 fn advance_until_seen(simulation: &mut Simulation, instances: usize, timeout_ms: u64) -> u64 {
-    let begin_ms = simulation.now_ms();
-    while simulation.instances_seeing(instances) < instances && simulation.now_ms() - begin_ms < timeout_ms {
-        simulation.advance(STEP_MS);
+    let begin_ms = simulation.now().as_millis();
+    while simulation.instances_seeing(instances) < instances
+        && simulation.now().as_millis() - begin_ms < timeout_ms
+    {
+        simulation.advance(Duration::from_millis(STEP_MS));
     }
-    simulation.now_ms() - begin_ms
+    simulation.now().as_millis() - begin_ms
 }
 
 /// What a cluster costs each second without faults.
@@ -50,11 +52,11 @@
 
 /// Lets two periods pass, and tells what the next two cost.
 fn calm_cost(simulation: &mut Simulation, instances: usize, bytes_before: u64) -> CalmCost {
-    simulation.advance(2 * PERIOD_MS);
+    simulation.advance(2 * PERIOD);
     simulation.take_longest_gap();
-    let (before, before_ms) = (simulation.counts(), simulation.now_ms());
-    simulation.advance(2 * PERIOD_MS);
-    let (after, took_s) = (simulation.counts(), (simulation.now_ms() - before_ms) as f64 / 1_000.0);
+    let (before, before_ms) = (simulation.counts(), simulation.now().as_millis());
+    simulation.advance(2 * PERIOD);
+    let (after, took_s) = (simulation.counts(), (simulation.now().as_millis() - before_ms) as f64 / 1_000.0);
     let memory_kb = resident_bytes().saturating_sub(bytes_before) as f64 / instances as f64 / 1024.0;
     let missed_runs = simulation.take_longest_gap();
     let rate = |after: u64, before: u64| (after - before) as f64 / took_s;
@@ -75,11 +77,11 @@
     let mut simulation = Simulation::new(SimulationConfig {
         instances,
         jobs,
-        period_ms: PERIOD_MS,
+        job_period: PERIOD,
         standbys: 4,
-        max_clock_skew_ms: 100,
+        max_clock_skew: Duration::from_millis(100),
         datagram_loss: 0.1,
-        gossip_period_ms,
+        gossip_period: Duration::from_millis(gossip_period_ms),
         rng_seed: 7,
     });
     let joined_ms = advance_until_seen(&mut simulation, instances, JOIN_TIMEOUT_MS);
@@ -93,7 +95,7 @@
         begin.elapsed().as_secs_f64()
     );
     let noticed_ms = advance_until_seen(&mut simulation, instances - instances / 2, NOTICE_TIMEOUT_MS);
-    simulation.advance(2 * PERIOD_MS);
+    simulation.advance(2 * PERIOD);
     let missed_after = simulation.take_longest_gap();
     let repeated = simulation.counts().repeated_runs;
     println!(
@@ -108,7 +110,7 @@
     );
     bounds.at_most(&format!("{instances}: rounds run twice"), repeated as f64, 0.0);
     bounds.at_most(&format!("{instances}: rounds missed in a row, calm"), missed_runs as f64, 1.0);
-    let writes_per_run = calm.writes / jobs as f64 * PERIOD_MS as f64 / 1000.0;
+    let writes_per_run = calm.writes / jobs as f64 * PERIOD.as_secs_f64();
     bounds.at_most(&format!("{instances}: claims a round"), writes_per_run, 1.2);
     repeated
 }
