--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -14,6 +14,7 @@
 mod gossip_receiver;
 mod handle;
 mod health_monitor;
+mod http_agent;
 mod job_names;
 mod job_table;
 mod log_limiter;
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -1,15 +1,23 @@
 //! The execution of runs: HTTP calls and health checks.
 
 use crate::clocks::Clocks;
-use crate::job_names;
 use crate::worker_pool::TaskQueue;
+use crate::{http_agent, job_names};
 use periodic_jobs::Run;
 use std::net::SocketAddr;
 use std::time::Duration;
-use ureq::{Agent, Body, http};
+use ureq::{Agent, Body, RequestBuilder, http};
 
 /// The size limit of a response.
 const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
+/// The request header with the name of the instance that executes the run.
+const INSTANCE_HEADER: &str = "Snowfield-By";
+/// The request header with the name of the job.
+const JOB_HEADER: &str = "Snowfield-Duty";
+/// The request header with the id of the run, which is the fencing token.
+const RUN_HEADER: &str = "Snowfield-Round";
+/// The request header with the deadline for the start of the run, in Unix milliseconds.
+const DEADLINE_HEADER: &str = "Snowfield-Before";
 
 /// The task of a run.
 #[derive(Clone, Debug)]
@@ -80,16 +88,11 @@
 }
 
 fn agent() -> Agent {
-    Agent::config_builder()
-        .http_status_as_error(false)
-        .max_redirects(0)
-        // Ignore proxy settings in environment variables.
-        .proxy(None)
+    http_agent::config_builder()
         // Do not reuse connections. On a connection that the target has just closed, an unsent request is
         // indistinguishable from one that the target may have executed.
         .max_idle_connections(0)
         .max_idle_connections_per_host(0)
-        .user_agent("snowfield")
         .build()
         .into()
 }
@@ -114,29 +117,23 @@
     }
 
     fn call(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
-        self.agent
-            .post(url)
-            .config()
-            .timeout_global(Some(timeout))
-            .build()
-            .header("Snowfield-By", &self.instance)
-            .header("Snowfield-Duty", job_names::configured_name(&run.job))
-            .header("Snowfield-Round", run.id.to_string())
-            .header("Snowfield-Before", run.deadline.unix.as_millis().to_string())
+        with_timeout(self.agent.post(url), timeout)
+            .header(INSTANCE_HEADER, &self.instance)
+            .header(JOB_HEADER, job_names::configured_name(&run.job))
+            .header(RUN_HEADER, run.id.to_string())
+            .header(DEADLINE_HEADER, run.deadline.unix.as_millis().to_string())
             .send_empty()
     }
 
     fn check(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
-        self.agent
-            .get(url)
-            .config()
-            .timeout_global(Some(timeout))
-            .build()
-            .header("Snowfield-Round", run.id.to_string())
-            .call()
+        with_timeout(self.agent.get(url), timeout).header(RUN_HEADER, run.id.to_string()).call()
     }
 }
 
+fn with_timeout<B>(request: RequestBuilder<B>, timeout: Duration) -> RequestBuilder<B> {
+    request.config().timeout_global(Some(timeout)).build()
+}
+
 /// Reads a response to its end and returns its status. A truncated or oversized response is an error.
 fn read_status(mut response: http::Response<Body>) -> Result<u16, ureq::Error> {
     response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec()?;
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -1,5 +1,6 @@
 //! The client of the lease store, in memory or in Consul.
 
+use crate::http_agent;
 use crate::settings::LeaseStore;
 use crate::worker_pool::TaskQueue;
 use consul::TokenFile;
@@ -100,15 +101,10 @@
 }
 
 fn agent(timeout: Duration) -> Agent {
-    Agent::config_builder()
+    http_agent::config_builder()
         .timeout_global(Some(timeout))
-        .http_status_as_error(false)
-        .max_redirects(0)
-        // Ignore proxy settings in environment variables.
-        .proxy(None)
         .max_idle_connections(THREADS)
         .max_idle_connections_per_host(THREADS)
-        .user_agent("snowfield")
         .build()
         .into()
 }
