--- /dev/null
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -0,0 +1,122 @@
+//! The calls of Consul's HTTP API for leases.
+
+use crate::http_agent;
+use consul::TokenFile;
+use job_lease::consul::{LeaseKeys, Method, Request, Response};
+use job_lease::{CompareAndSetOutcome, LeaseListing, Session, StoreError, StoreErrorCause};
+use periodic_jobs::{StoreCall, StoreResponse};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::time::Duration;
+use ureq::Agent;
+
+/// The size limit of a response.
+const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
+/// The TTL of the session in seconds, the minimum that Consul accepts.
+const SESSION_TTL_S: u64 = 10;
+
+/// Returns a client that keeps up to `max_idle_connections` connections open.
+pub(super) fn agent(timeout: Duration, max_idle_connections: usize) -> Agent {
+    http_agent::config_builder()
+        .timeout_global(Some(timeout))
+        .max_idle_connections(max_idle_connections)
+        .max_idle_connections_per_host(max_idle_connections)
+        .build()
+        .into()
+}
+
+/// Consul's HTTP API for leases.
+pub(super) struct ConsulApi {
+    pub(super) agent: Agent,
+    pub(super) address: SocketAddr,
+    pub(super) token: TokenFile,
+    pub(super) keys: LeaseKeys,
+    pub(super) instance: String,
+}
+
+impl ConsulApi {
+    /// Makes a call and waits for its response.
+    pub(super) fn call(&self, call: StoreCall) -> StoreResponse {
+        match call {
+            StoreCall::OpenSession => StoreResponse::SessionOpened(self.open_session()),
+            StoreCall::RenewSession(session) => {
+                let response = self.send(&Request::renew_session(&session));
+                let result = response.and_then(|response| response.session_exists());
+                StoreResponse::SessionRenewed { session, result }
+            }
+            StoreCall::ReadLeases { call, jobs } => {
+                let result = self.read(&jobs);
+                StoreResponse::LeasesRead { call, jobs, result }
+            }
+            StoreCall::CompareAndSet { call, job, record, expected_index, session } => {
+                let request = self.keys.compare_and_set_request(&session, &job, &record, expected_index);
+                let outcome = match self.send(&request) {
+                    Ok(response) => self.keys.compare_and_set_outcome(&response, &job),
+                    Err(error) => CompareAndSetOutcome::Failed(error),
+                };
+                StoreResponse::CompareAndSetDone { call, job, record, outcome }
+            }
+        }
+    }
+
+    pub(super) fn end_session(&self, session: &Session) {
+        // If the call fails, the session expires by its TTL.
+        let _ = self.send(&Request::destroy_session(session));
+    }
+
+    /// Opens a session and acquires its key.
+    fn open_session(&self) -> Result<Session, StoreError> {
+        let created = self.send(&Request::create_session(&self.instance, SESSION_TTL_S))?;
+        let session = self.keys.created_session(&created)?;
+        if self.send(&Request::acquire_session_key(&session, &self.instance))?.key_acquired()? {
+            Ok(session)
+        } else {
+            Err(StoreError::NotApplied(StoreErrorCause::SessionKeyHeld))
+        }
+    }
+
+    /// Reads the leases of these jobs. A single lease is read alone, several with a listing of all.
+    fn read(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
+        let single_job = if let [job] = jobs { Some(job.as_str()) } else { None };
+        let response = self.send(&self.keys.read_request(single_job))?;
+        let mut listing = self.keys.listing(&response, jobs)?;
+        if single_job.is_some() {
+            // A query for one key returns that key's index instead of the store's.
+            listing.store_index = 0;
+        }
+        Ok(listing)
+    }
+
+    fn send(&self, request: &Request) -> Result<Response, StoreError> {
+        let url = format!("http://{}{}", self.address, request.target);
+        let token = self.token.current().map(|token| ("X-Consul-Token", token));
+        let response = match request.method {
+            Method::Get => {
+                let get = self.agent.get(&url);
+                token.into_iter().fold(get, |get, (name, value)| get.header(name, value)).call()
+            }
+            Method::Put => {
+                let put = self.agent.put(&url);
+                let put = token.into_iter().fold(put, |put, (name, value)| put.header(name, value));
+                put.send(request.body.as_bytes())
+            }
+        };
+        let mut response = response.map_err(transport_error)?;
+        let index =
+            response.headers().get("x-consul-index").and_then(|value| value.to_str().ok()?.parse().ok());
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec();
+        let body = body.map_err(|e| StoreError::OutcomeUnknown(StoreErrorCause::Transport(Box::new(e))))?;
+        Ok(Response { status: response.status().as_u16(), index: index.unwrap_or(0), body })
+    }
+}
+
+/// Classifies an error of the HTTP client. Only a call that failed to connect was certainly not applied.
+fn transport_error(error: ureq::Error) -> StoreError {
+    let failed_to_connect = match &error {
+        ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => true,
+        ureq::Error::Io(e) => e.kind() == ErrorKind::ConnectionRefused,
+        _ => false,
+    };
+    let cause = StoreErrorCause::Transport(Box::new(error));
+    if failed_to_connect { StoreError::NotApplied(cause) } else { StoreError::OutcomeUnknown(cause) }
+}
