--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -11,7 +11,7 @@
 use crate::job_table::JobTable;
 use crate::log_limiter::LogLimiter;
 use crate::run_executor::PendingRun;
-use crate::settings::{Backend, HttpJob, Settings};
+use crate::settings::{Backend, HealthChecks, HttpJob, Settings};
 use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
 use periodic_jobs::{ClockReading, Scheduler, StoreResponse};
@@ -72,10 +72,11 @@
             resources;
         let started_at = clocks.now().unix;
         let scheduler = Scheduler::new(jobs::scheduler_config(&settings, started_at));
-        let gossip = settings.gossip.zip(gossip_socket);
-        let gossip =
-            gossip.map(|(gossip, socket)| GossipNode::new(&gossip, &settings.instance, started_at, socket));
-        let health_config = settings.health_checks.as_ref().map(|checks| checks.config.clone());
+        let gossip_node = |(gossip, socket)| GossipNode::new(&gossip, &settings.instance, started_at, socket);
+        let gossip = settings.gossip.zip(gossip_socket).map(gossip_node);
+        let health_monitor =
+            |checks: &HealthChecks| HealthMonitor::new(checks.config.clone(), on_ejection_change);
+        let health = settings.health_checks.as_ref().map(health_monitor);
         Self {
             instance: settings.instance,
             clocks,
@@ -85,7 +86,7 @@
             jobs: JobTable::new(settings.health_checks),
             runs,
             run_counts: RunCounts::default(),
-            health: health_config.map(|config| HealthMonitor::new(config, on_ejection_change)),
+            health,
             dropped_datagrams,
             log_limiter: LogLimiter::default(),
             left: false,
@@ -119,10 +120,7 @@
     /// Runs the timers that are due in gossip, jobs and health checks.
     fn tick(&mut self) {
         let now = self.clocks.now();
-        if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.tick(now.monotonic);
-            self.apply_gossip_changes(now, changes);
-        }
+        self.update_gossip(now, |gossip| gossip.tick(now.monotonic));
         if !self.left {
             let mut actions = Vec::new();
             self.scheduler.tick(now, &mut actions);
@@ -136,9 +134,10 @@
     fn handle(&mut self, event: Event) {
         let now = self.clocks.now();
         match event {
-            Event::DatagramReceived(_)
-                if seeded_faults::is_active("agreed") && now.monotonic > SEEDED_FAULT_AFTER => {}
-            Event::DatagramReceived(bytes) => self.handle_datagram(now, &bytes),
+            Event::DatagramReceived(_) if ignores_datagrams(now) => {}
+            Event::DatagramReceived(bytes) => {
+                self.update_gossip(now, |gossip| gossip.handle_datagram(now.monotonic, &bytes));
+            }
             Event::StoreResponded(response) => self.handle_store_response(now, response),
             Event::RunFinished(finished) => self.handle_finished_run(now, &finished),
             Event::HttpJobsChanged(jobs) => self.set_http_jobs(jobs),
@@ -155,15 +154,10 @@
         }
     }
 
-    fn handle_datagram(&mut self, now: ClockReading, bytes: &[u8]) {
-        if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.handle_datagram(now.monotonic, bytes);
-            self.apply_gossip_changes(now, changes);
-        }
-    }
-
-    /// Passes received health reports and changed members on to the parts that use them.
-    fn apply_gossip_changes(&mut self, now: ClockReading, changes: GossipChanges) {
+    /// Updates gossip, if there is any. Passes received health reports and changed members on to the parts that use them.
+    fn update_gossip(&mut self, now: ClockReading, update: impl FnOnce(&mut GossipNode) -> GossipChanges) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let changes = update(gossip);
         if let Some(health) = &mut self.health {
             for ReceivedReport { backend_id, report } in changes.reports {
                 health.apply_report(&backend_id, report, now.monotonic);
@@ -197,13 +191,15 @@
         if std::mem::replace(&mut self.left, true) {
             return;
         }
-        if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.leave(now.monotonic);
-            self.apply_gossip_changes(now, changes);
-        }
+        self.update_gossip(now, |gossip| gossip.leave(now.monotonic));
         match self.scheduler.session().cloned() {
             Some(session) => self.store.end_session(session, done),
             None => drop(done.try_send(())),
         }
     }
 }
+
+/// Returns whether the seeded fault `agreed` suppresses received datagrams at this moment.
+fn ignores_datagrams(now: ClockReading) -> bool {
+    seeded_faults::is_active("agreed") && now.monotonic > SEEDED_FAULT_AFTER
+}
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -100,10 +100,7 @@
         let Some(report) = health.record_check(backend_id, finished, now.monotonic) else {
             return;
         };
-        if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.broadcast_report(now.monotonic, &finished.run.job, &report);
-            self.apply_gossip_changes(now, changes);
-        }
+        self.update_gossip(now, |gossip| gossip.broadcast_report(now.monotonic, &finished.run.job, &report));
         if let Some(health) = &mut self.health {
             health.update_ejections(now.monotonic);
         }
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -83,17 +83,16 @@
 
     /// Runs the timers that are due.
     pub(crate) fn tick(&mut self, now: MonotonicTime) -> GossipChanges {
-        let mut outputs = Vec::new();
-        self.membership.tick(now, &mut outputs);
-        self.apply_outputs(now, outputs)
+        self.update_membership(now, |membership, outputs| membership.tick(now, outputs))
     }
 
     /// Handles a received datagram.
     pub(crate) fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8]) -> GossipChanges {
-        let mut outputs = Vec::new();
-        self.membership.handle_datagram(now, bytes, &mut outputs);
+        let changes = self.update_membership(now, |membership, outputs| {
+            membership.handle_datagram(now, bytes, outputs);
+        });
         self.log_authentication_failures(now);
-        self.apply_outputs(now, outputs)
+        changes
     }
 
     /// Disseminates a report of the health check with this job name.
@@ -104,15 +103,24 @@
         report: &HealthReport,
     ) -> GossipChanges {
         let version = report.scheduled_at.as_millis();
-        let mut outputs = Vec::new();
-        self.membership.broadcast(now, job, version, &report.encode(), &mut outputs);
-        self.apply_outputs(now, outputs)
+        self.update_membership(now, |membership, outputs| {
+            membership.broadcast(now, job, version, &report.encode(), outputs);
+        })
     }
 
     /// Announces to the cluster that this instance leaves.
     pub(crate) fn leave(&mut self, now: MonotonicTime) -> GossipChanges {
+        self.update_membership(now, |membership, outputs| membership.leave(now, outputs))
+    }
+
+    /// Updates the membership and applies its outputs.
+    fn update_membership(
+        &mut self,
+        now: MonotonicTime,
+        update: impl FnOnce(&mut Membership, &mut Vec<Output>),
+    ) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.leave(now, &mut outputs);
+        update(&mut self.membership, &mut outputs);
         self.apply_outputs(now, outputs)
     }
 
--- a/crates/cluster/src/store_client/consul_api.rs
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -8,12 +8,16 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
-use ureq::Agent;
+use ureq::{Agent, Body, RequestBuilder, http};
 
 /// The size limit of a response.
 const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
 /// The TTL of the session in seconds, the minimum that Consul accepts.
 const SESSION_TTL_S: u64 = 10;
+/// The request header with the ACL token.
+const TOKEN_HEADER: &str = "X-Consul-Token";
+/// The response header with the index of the store or of a key.
+const INDEX_HEADER: &str = "X-Consul-Index";
 
 /// Returns a client that keeps up to `max_idle_connections` connections open.
 pub(super) fn agent(timeout: Duration, max_idle_connections: usize) -> Agent {
@@ -87,29 +91,38 @@
         Ok(listing)
     }
 
+    /// Sends a request and reads the complete response.
     fn send(&self, request: &Request) -> Result<Response, StoreError> {
-        let url = format!("http://{}{}", self.address, request.target);
-        let token = self.token.current().map(|token| ("X-Consul-Token", token));
-        let response = match request.method {
-            Method::Get => {
-                let get = self.agent.get(&url);
-                token.into_iter().fold(get, |get, (name, value)| get.header(name, value)).call()
-            }
-            Method::Put => {
-                let put = self.agent.put(&url);
-                let put = token.into_iter().fold(put, |put, (name, value)| put.header(name, value));
-                put.send(request.body.as_bytes())
-            }
-        };
-        let mut response = response.map_err(transport_error)?;
-        let index =
-            response.headers().get("x-consul-index").and_then(|value| value.to_str().ok()?.parse().ok());
+        let mut response = self.send_request(request).map_err(transport_error)?;
         let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec();
         let body = body.map_err(|e| StoreError::OutcomeUnknown(StoreErrorCause::Transport(Box::new(e))))?;
-        Ok(Response { status: response.status().as_u16(), index: index.unwrap_or(0), body })
+        Ok(Response { status: response.status().as_u16(), index: consul_index(&response), body })
+    }
+
+    /// Sends a request and waits for the head of the response.
+    fn send_request(&self, request: &Request) -> Result<http::Response<Body>, ureq::Error> {
+        let url = format!("http://{}{}", self.address, request.target);
+        match request.method {
+            Method::Get => self.with_token(self.agent.get(url)).call(),
+            Method::Put => self.with_token(self.agent.put(url)).send(request.body.as_bytes()),
+        }
+    }
+
+    /// Adds the ACL token if there is one.
+    fn with_token<B>(&self, request: RequestBuilder<B>) -> RequestBuilder<B> {
+        match self.token.current() {
+            Some(token) => request.header(TOKEN_HEADER, token),
+            None => request,
+        }
     }
 }
 
+/// Returns the index of a response, or 0 if it has none.
+fn consul_index(response: &http::Response<Body>) -> u64 {
+    let value = response.headers().get(INDEX_HEADER);
+    value.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
+}
+
 /// Classifies an error of the HTTP client. Only a call that failed to connect was certainly not applied.
 fn transport_error(error: ureq::Error) -> StoreError {
     let failed_to_connect = match &error {
