--- a/crates/cluster/src/handle.rs
+++ b/crates/cluster/src/handle.rs
@@ -4,8 +4,10 @@
 use crate::coordinator::{Coordinator, Resources};
 use crate::event::Event;
 use crate::health_monitor::OnEjectionChange;
+use crate::run_executor::PendingRun;
 use crate::settings::{Backend, HttpJob, Settings};
 use crate::store_client::StoreClient;
+use crate::worker_pool::TaskQueue;
 use crate::{ClusterError, gossip_receiver, run_executor};
 use membership::authentication::Keyring;
 use std::net::UdpSocket;
@@ -48,15 +50,8 @@
         if let Some(socket) = &gossip_socket {
             gossip_receiver::start(socket.clone(), events.clone(), dropped_datagrams.clone());
         }
-        let responses = events.clone();
-        let store = StoreClient::start(&settings.lease_store, &settings.instance, move |response| {
-            let _ = responses.send(Event::StoreResponded(response));
-        });
-        let finished_runs = events.clone();
-        let threads = settings.max_concurrent_runs;
-        let runs = run_executor::start(&settings.instance, threads, clocks.clone(), move |finished| {
-            let _ = finished_runs.send(Event::RunFinished(finished));
-        });
+        let store = start_store(&settings, events.clone());
+        let runs = start_runs(&settings, clocks.clone(), events.clone());
         let resources =
             Resources { clocks, gossip_socket, store, runs, dropped_datagrams, on_ejection_change };
         let coordinator = Coordinator::new(settings, resources);
@@ -109,6 +104,21 @@
     }
 }
 
+/// Starts the client of the lease store. Its responses become events.
+fn start_store(settings: &Settings, events: SyncSender<Event>) -> StoreClient {
+    StoreClient::start(&settings.lease_store, &settings.instance, move |response| {
+        let _ = events.send(Event::StoreResponded(response));
+    })
+}
+
+/// Starts the threads that execute runs. Their outcomes become events.
+fn start_runs(settings: &Settings, clocks: Clocks, events: SyncSender<Event>) -> TaskQueue<PendingRun> {
+    run_executor::start(&settings.instance, settings.max_concurrent_runs, clocks, move |finished| {
+        let _ = events.send(Event::RunFinished(finished));
+    })
+}
+
+/// Binds the gossip socket. Returns `None` without gossip.
 fn bind_gossip(settings: &Settings) -> Result<Option<Arc<UdpSocket>>, ClusterError> {
     let Some(gossip) = &settings.gossip else { return Ok(None) };
     match UdpSocket::bind(gossip.listen) {
