--- a/crates/cluster/src/health_monitor.rs
+++ b/crates/cluster/src/health_monitor.rs
@@ -60,7 +60,7 @@
 
     /// Notifies the program if the set of ejected backends has changed.
     pub(crate) fn update_ejections(&mut self, now: MonotonicTime) {
-        let ejected: BTreeSet<String> = self.tracker.ejected(now).into_iter().collect();
+        let ejected = self.tracker.ejected(now);
         if ejected == self.ejected {
             return;
         }
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -1,7 +1,7 @@
 //! The health of all backends, derived from their newest reports.
 
 use crate::{Config, HealthReport};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use timestamps::{MonotonicTime, UnixTime};
 
@@ -106,28 +106,29 @@
     /// Returns the health of each backend.
     pub fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
         let ejected = self.ejected(now);
-        let health = |(id, received): (&String, &Option<ReceivedReport>)| {
-            let status = match received {
-                Some(received) if self.is_stale(received, now) => HealthStatus::Unknown,
-                Some(received) if !received.report.failing => HealthStatus::Healthy,
-                Some(_) if ejected.contains(id) => HealthStatus::Ejected,
-                Some(_) => HealthStatus::EjectionLimited,
-                None => HealthStatus::Unknown,
-            };
+        let mut health = BTreeMap::new();
+        for (id, received) in &self.reports {
+            let status = self.status(received.as_ref(), ejected.contains(id), now);
             let report_age = received.map(|received| received.age(now));
-            BackendHealth { status, report_age }
-        };
-        self.reports.iter().map(|entry| (entry.0.as_str(), health(entry))).collect()
+            health.insert(id.as_str(), BackendHealth { status, report_age });
+        }
+        health
     }
 
-    /// Returns the ids of the ejected backends, sorted.
-    pub fn ejected(&self, now: MonotonicTime) -> Vec<String> {
-        let mut failing = self.failing_backends(now);
-        failing.sort_unstable();
-        failing.truncate(self.max_ejected());
-        let mut ejected: Vec<String> = failing.into_iter().map(|backend| backend.id).collect();
-        ejected.sort_unstable();
-        ejected
+    fn status(&self, received: Option<&ReceivedReport>, ejected: bool, now: MonotonicTime) -> HealthStatus {
+        match received {
+            None => HealthStatus::Unknown,
+            Some(received) if self.is_stale(received, now) => HealthStatus::Unknown,
+            Some(received) if !received.report.failing => HealthStatus::Healthy,
+            Some(_) if ejected => HealthStatus::Ejected,
+            Some(_) => HealthStatus::EjectionLimited,
+        }
+    }
+
+    /// Returns the ids of the ejected backends: those that have failed longest, up to the limit.
+    pub fn ejected(&self, now: MonotonicTime) -> BTreeSet<String> {
+        let longest_failing = self.failing_backends(now).into_iter().take(self.max_ejected());
+        longest_failing.map(|backend| backend.id).collect()
     }
 
     /// Returns the maximum number of ejected backends. It is rounded down: a fraction of 0.5 allows one of three.
@@ -135,13 +136,18 @@
         (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize
     }
 
-    fn failing_backends(&self, now: MonotonicTime) -> Vec<FailingBackend> {
-        let failing = |(id, received): (&String, &Option<ReceivedReport>)| {
-            let is_failing = |r: &ReceivedReport| r.report.failing && !self.is_stale(r, now);
-            let received = received.filter(is_failing)?;
-            Some(FailingBackend { since: received.report.changed_at, id: id.clone() })
-        };
-        self.reports.iter().filter_map(failing).collect()
+    /// Returns the failing backends with a recent report, longest failing first.
+    fn failing_backends(&self, now: MonotonicTime) -> BTreeSet<FailingBackend> {
+        let mut failing = BTreeSet::new();
+        for (id, received) in &self.reports {
+            if let Some(received) = received
+                && received.report.failing
+                && !self.is_stale(received, now)
+            {
+                failing.insert(FailingBackend { since: received.report.changed_at, id: id.clone() });
+            }
+        }
+        failing
     }
 
     fn is_stale(&self, received: &ReceivedReport, now: MonotonicTime) -> bool {
--- a/crates/health_check/src/tracker/tests.rs
+++ b/crates/health_check/src/tracker/tests.rs
@@ -22,6 +22,10 @@
     tracker
 }
 
+fn ejected(tracker: &HealthTracker) -> Vec<String> {
+    tracker.ejected(at(0)).into_iter().collect()
+}
+
 fn status(tracker: &HealthTracker, id: &str, now: MonotonicTime) -> HealthStatus {
     tracker.health(now)[id].status
 }
@@ -71,11 +75,11 @@
     for i in 0..5 {
         tracker.apply_report(&format!("d{i}"), report(50, true, 40 - i), at(0));
     }
-    assert_eq!(tracker.ejected(at(0)), ["d3", "d4"]);
+    assert_eq!(ejected(&tracker), ["d3", "d4"]);
     assert_eq!(status(&tracker, "d0", at(0)), HealthStatus::EjectionLimited);
     // An ejected backend recovers, and the next in order is ejected instead.
     tracker.apply_report("d4", report(51, false, 51), at(0));
-    assert_eq!(tracker.ejected(at(0)), ["d2", "d3"]);
+    assert_eq!(ejected(&tracker), ["d2", "d3"]);
 }
 
 #[test]
@@ -92,7 +96,7 @@
     let mut tracker = tracker(4);
     tracker.apply_report("d0", report(1, true, 1), at(0));
     tracker.set_backends(["d0", "d9"].map(String::from));
-    assert_eq!(tracker.ejected(at(0)), ["d0"]);
+    assert_eq!(ejected(&tracker), ["d0"]);
     tracker.set_backends(["d9".to_owned()]);
     tracker.set_backends(["d0", "d9"].map(String::from));
     assert_eq!(status(&tracker, "d0", at(0)), HealthStatus::Unknown, "added again without a report");
