--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -216,20 +216,30 @@
                 }
             }
             bulk_failure::Message::FailedMembers(fingerprints) => {
-                let fingerprints: HashSet<MemberFingerprint> =
-                    fingerprints.into_iter().map(MemberFingerprint::from_bytes).collect();
-                let alive = self.swim.iter_members().map(|member| member.id());
-                let failed: Vec<foca::Member<Member>> = alive
-                    .chain([&self.config.local_member])
-                    .filter(|member| fingerprints.contains(&MemberFingerprint::of(member)))
-                    .map(|member| foca::Member::down(member.clone()))
-                    .collect();
-                // `false`: no gossip updates. Bulk failure dissemination spreads these failures.
-                self.call_swim(now, out, |swim, effects| swim.apply_many(failed.into_iter(), false, effects));
+                let fingerprints = fingerprints.into_iter().map(MemberFingerprint::from_bytes).collect();
+                self.apply_failures(now, &fingerprints, out);
             }
         }
     }
 
+    /// Declares the live members with these fingerprints dead. If this instance is among them, it rejoins.
+    fn apply_failures(
+        &mut self,
+        now: MonotonicTime,
+        fingerprints: &HashSet<MemberFingerprint>,
+        out: &mut Vec<Output>,
+    ) {
+        let others = self.swim.iter_members().map(|member| member.id());
+        let alive = others.chain([&self.config.local_member]);
+        let failed: Vec<foca::Member<Member>> = alive
+            .filter(|member| fingerprints.contains(&MemberFingerprint::of(member)))
+            .map(|member| foca::Member::down(member.clone()))
+            .collect();
+        // Bulk failure dissemination spreads these failures. Gossip need not carry an update about each.
+        let sends_updates = false;
+        self.call_swim(now, out, |swim, effects| swim.apply_many(failed.into_iter(), sends_updates, effects));
+    }
+
     /// Broadcasts a new version of a topic. Ignores a version that is not newer than the known one, and a broadcast larger
     /// than half a datagram.
     pub fn broadcast(
@@ -275,6 +285,11 @@
         if call(&mut self.swim, &mut effects).is_err() {
             self.counts.malformed += 1;
         }
+        self.apply_effects(now, effects, out);
+    }
+
+    /// Applies the effects of a call, and passes on the broadcasts received in it.
+    fn apply_effects(&mut self, now: MonotonicTime, effects: SwimEffects, out: &mut Vec<Output>) {
         for request in effects.timers {
             let delay = self.bulk_failure.timer_delay(now, request.delay, &request.timer);
             self.timers.schedule(now + delay, request.timer);
