--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -34,6 +34,7 @@
 
 /// A running instance: its membership, its scheduler and its clocks.
 pub(crate) struct Instance {
+    pub(crate) number: usize,
     pub(crate) membership: Membership,
     pub(crate) scheduler: Scheduler,
     /// The time by which its Unix clock is fast.
@@ -74,6 +75,7 @@
         let job = |job| Job { name: job_name(job), period: config.job_period };
         scheduler.set_jobs(now, (0..config.jobs).map(job).collect());
         Self {
+            number,
             membership,
             scheduler,
             clock_offset,
@@ -137,6 +139,11 @@
         self.scheduler.tick(now, &mut effects.actions);
     }
 
+    /// Returns the numbers of the instances that this one sees alive, excluding itself.
+    pub(crate) fn seen_alive(&self) -> impl Iterator<Item = usize> {
+        self.membership.alive_addresses().map(network::instance)
+    }
+
     /// Returns the moment at which the instance needs its next tick.
     pub(crate) fn next_due(&self, now: ClockReading) -> MonotonicTime {
         let to_monotonic = |due: UnixTime| now.monotonic + due.saturating_since(now.unix);
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -138,19 +138,18 @@
 
     /// Returns the number of instances that see exactly this many live members.
     pub fn instances_seeing(&self, members: usize) -> usize {
-        let instances = self.instances.iter().flatten();
-        instances.filter(|instance| instance.membership.alive_count() == members).count()
+        self.alive_instances().filter(|instance| instance.membership.alive_count() == members).count()
     }
 
     /// Returns the number of mistakes in all views. A mistake is a member seen alive that is dead or, by `may_see`,
     /// unreachable, or a reachable live member that is not seen alive.
     pub fn mistaken_views(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
-        let visible = |observer: usize, other: usize| self.is_alive(other) && may_see(observer, other);
-        let mistakes = |(observer, instance): (usize, &Instance)| {
-            let seen: Vec<usize> = seen_by(instance).collect();
-            let correct = seen.iter().filter(|&&other| visible(observer, other)).count();
-            let others = (0..self.instances.len()).filter(|&other| other != observer);
-            let expected = others.filter(|&other| visible(observer, other)).count();
+        let is_visible = |observer: usize, other: usize| self.is_alive(other) && may_see(observer, other);
+        let mistakes = |observer: &Instance| {
+            let seen: Vec<usize> = observer.seen_alive().collect();
+            let correct = seen.iter().filter(|&&other| is_visible(observer.number, other)).count();
+            let others = (0..self.instances.len()).filter(|&other| other != observer.number);
+            let expected = others.filter(|&other| is_visible(observer.number, other)).count();
             (seen.len() - correct) + (expected - correct)
         };
         self.alive_instances().map(mistakes).sum()
@@ -158,22 +157,24 @@
 
     /// Returns the number of members in all views that are seen alive but are dead or, by `may_see`, unreachable.
     pub fn falsely_alive(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
-        let mistakes = |(observer, instance): (usize, &Instance)| {
-            seen_by(instance).filter(|&other| !self.is_alive(other) || !may_see(observer, other)).count()
+        let mistakes = |observer: &Instance| {
+            let is_mistake = |&other: &usize| !self.is_alive(other) || !may_see(observer.number, other);
+            observer.seen_alive().filter(is_mistake).count()
         };
         self.alive_instances().map(mistakes).sum()
     }
 
     /// Returns the view of each live instance.
     pub fn views(&self) -> Vec<View> {
-        let view =
-            |(instance, state): (usize, &Instance)| View { instance, alive: state.membership.alive_names() };
+        let view = |instance: &Instance| View {
+            instance: instance.number,
+            alive: instance.membership.alive_names(),
+        };
         self.alive_instances().map(view).collect()
     }
 
-    fn alive_instances(&self) -> impl Iterator<Item = (usize, &Instance)> {
-        let instances = self.instances.iter().enumerate();
-        instances.filter_map(|(number, instance)| Some((number, instance.as_ref()?)))
+    fn alive_instances(&self) -> impl Iterator<Item = &Instance> {
+        self.instances.iter().flatten()
     }
 
     fn is_alive(&self, instance: usize) -> bool {
@@ -268,8 +269,3 @@
         self.events.schedule(self.now + delay, event);
     }
 }
-
-/// Returns the instances that this one sees alive, excluding itself.
-fn seen_by(instance: &Instance) -> impl Iterator<Item = usize> {
-    instance.membership.alive_addresses().map(network::instance)
-}
