--- a/crates/cluster_simulation/src/lib.rs
+++ b/crates/cluster_simulation/src/lib.rs
@@ -12,5 +12,6 @@
 
 pub use config::SimulationConfig;
 pub use counts::Counts;
+pub use network::StoreAccess;
 pub use simulation::{Simulation, View};
 pub use store::StoreFault;
--- a/crates/cluster_simulation/src/network.rs
+++ b/crates/cluster_simulation/src/network.rs
@@ -3,6 +3,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::net::{IpAddr, SocketAddr};
+use std::ops::Range;
 use std::time::Duration;
 
 /// The maximum delay of a datagram in milliseconds.
@@ -25,37 +26,64 @@
     }
 }
 
+/// The instances that reach the store during a partition.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StoreAccess {
+    /// All instances reach the store.
+    BothSides,
+    /// The separated instances do not reach the store, the others do.
+    OtherSide,
+}
+
+/// A partition of the network into two sides. Datagrams between the sides are lost.
+#[derive(Debug)]
+struct Partition {
+    /// The instances on one side. All others are on the other side.
+    separated: Range<usize>,
+    store_access: StoreAccess,
+}
+
 /// The connections between the instances, and from the instances to the store.
 #[derive(Debug)]
 pub(crate) struct Network {
     loss: f64,
-    /// The side of the partition, 0 or 1, of each instance. Datagrams between the sides are lost.
-    sides: Vec<u8>,
-    /// Whether the store is reachable from each side.
-    store_reachable: [bool; 2],
+    partition: Option<Partition>,
 }
 
 impl Network {
-    pub(crate) fn new(instances: usize, loss: f64) -> Self {
-        Self { loss, sides: vec![0; instances], store_reachable: [true; 2] }
+    pub(crate) fn new(loss: f64) -> Self {
+        Self { loss, partition: None }
     }
 
-    /// Partitions the network.
-    pub(crate) fn partition(&mut self, sides: Vec<u8>, store_reachable: [bool; 2]) {
-        self.sides = sides;
-        self.store_reachable = store_reachable;
+    /// Separates these instances from all others.
+    pub(crate) fn partition(&mut self, separated: Range<usize>, store_access: StoreAccess) {
+        self.partition = Some(Partition { separated, store_access });
+    }
+
+    /// Ends the partition.
+    pub(crate) fn heal(&mut self) {
+        self.partition = None;
     }
 
     /// Returns whether an instance reaches the store.
     pub(crate) fn reaches_store(&self, instance: usize) -> bool {
-        self.store_reachable[usize::from(self.sides[instance])]
+        let Some(Partition { separated, store_access }) = &self.partition else { return true };
+        match store_access {
+            StoreAccess::BothSides => true,
+            StoreAccess::OtherSide => !separated.contains(&instance),
+        }
+    }
+
+    /// Returns whether datagrams from one instance reach the other.
+    fn connects(&self, from: usize, to: usize) -> bool {
+        let Some(Partition { separated, .. }) = &self.partition else { return true };
+        separated.contains(&from) == separated.contains(&to)
     }
 
     /// Returns the delay of a datagram, or `None` if it is lost.
     pub(crate) fn delay(&self, from: usize, to: usize, rng: &mut StdRng) -> Option<Duration> {
         let lost = rng.random_bool(self.loss);
         let delay = Duration::from_millis(rng.random_range(0..=MAX_DELAY_MS));
-        let connected = self.sides.get(to) == Some(&self.sides[from]);
-        (connected && !lost).then_some(delay)
+        (self.connects(from, to) && !lost).then_some(delay)
     }
 }
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -4,17 +4,18 @@
 use crate::counts::{Counts, RunLog};
 use crate::event::{DueEvent, Event, EventQueue, Incarnation};
 use crate::instance::{Effects, Instance, job_name, unix_time};
-use crate::network::{self, Network};
+use crate::network::{self, Network, StoreAccess};
 use crate::store::{DelayedResponse, SimulatedStore, StoreFault};
 use membership::Output;
 use periodic_jobs::{Action, ClockReading, Notice, Run, StoreCall};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use std::ops::{Range, RangeInclusive};
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
 /// The range of the delay of a call to the store in milliseconds.
-const CALL_DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
+const CALL_DELAY_MS: RangeInclusive<u64> = 1..=3;
 /// The minimum time between two ticks of an instance.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 
@@ -51,7 +52,7 @@
             instances: (0..config.instances).map(|_| None).collect(),
             rng: StdRng::seed_from_u64(config.rng_seed),
             store: SimulatedStore::new(),
-            network: Network::new(config.instances, config.datagram_loss),
+            network: Network::new(config.datagram_loss),
             counts: Counts::default(),
             run_log: RunLog::default(),
             notices: Vec::new(),
@@ -130,10 +131,15 @@
         self.store.restart_empty();
     }
 
-    /// Partitions the network. `side` assigns each instance to side 0 or 1, and `store_reachable` tells from which sides the
-    /// store is reachable.
-    pub fn partition(&mut self, side: impl Fn(usize) -> u8, store_reachable: [bool; 2]) {
-        self.network.partition((0..self.config.instances).map(side).collect(), store_reachable);
+    /// Partitions the network: datagrams between the separated instances and all others are lost. Replaces an earlier
+    /// partition.
+    pub fn partition(&mut self, separated: Range<usize>, store_access: StoreAccess) {
+        self.network.partition(separated, store_access);
+    }
+
+    /// Ends the partition of the network.
+    pub fn heal(&mut self) {
+        self.network.heal();
     }
 
     /// Returns the number of instances that see exactly this many live members.
--- a/crates/cluster_simulation/tests/course.rs
+++ b/crates/cluster_simulation/tests/course.rs
@@ -1,7 +1,7 @@
 //! Regression test of whole simulations with fixed seeds: the counters equal those of an earlier build. They depend on the
 //! versions of `foca` and `rand` in `Cargo.lock`.
 
-use cluster_simulation::{Simulation, SimulationConfig, StoreFault};
+use cluster_simulation::{Simulation, SimulationConfig, StoreAccess, StoreFault};
 use std::time::Duration;
 
 const COUNTERS: &str = include_str!("fixtures/course.txt");
@@ -48,10 +48,10 @@
         simulation.resume(5);
         simulation.advance(Duration::from_secs(3));
         text += &counter_line(&mut simulation, "started again, one paused");
-        simulation.partition(|i| u8::from(i < 4), [true, false]);
+        simulation.partition(0..4, StoreAccess::OtherSide);
         simulation.advance(Duration::from_secs(5));
         text += &counter_line(&mut simulation, "partitioned");
-        simulation.partition(|_| 0, [true, true]);
+        simulation.heal();
         simulation.lose_responses(20);
         simulation.advance(Duration::from_secs(4));
         text += &counter_line(&mut simulation, "healed, responses lost");
--- a/crates/cluster_simulation/tests/faults.rs
+++ b/crates/cluster_simulation/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Faults in a simulated cluster. In each case no run starts twice, and no job misses two consecutive runs while the store is
 //! reachable.
 
-use cluster_simulation::{Simulation, SimulationConfig, StoreFault};
+use cluster_simulation::{Simulation, SimulationConfig, StoreAccess, StoreFault};
 use periodic_jobs::Notice;
 use std::time::Duration;
 
@@ -134,14 +134,14 @@
 fn a_partition_misses_no_two_runs_with_the_store_reachable_from_both_sides_or_one() {
     for seed in 1..=3 {
         let mut simulation = settled(config(seed));
-        simulation.partition(|i| u8::from(i < 4), [true, true]);
+        simulation.partition(0..4, StoreAccess::BothSides);
         simulation.advance(10 * JOB_PERIOD);
         assert_eq!(simulation.instances_seeing(4), 8);
         assert_runs(&mut simulation, 1, "both sides");
-        simulation.partition(|i| u8::from(i < 4), [true, false]);
+        simulation.partition(0..4, StoreAccess::OtherSide);
         simulation.advance(10 * JOB_PERIOD);
         assert_runs(&mut simulation, 1, "one side");
-        simulation.partition(|_| 0, [true, true]);
+        simulation.heal();
         simulation.advance(10 * JOB_PERIOD);
         assert_runs(&mut simulation, 1, "healed");
         assert_eq!(simulation.instances_seeing(8), 8);
--- a/crates/system_tests/src/bin/proof-membership.rs
+++ b/crates/system_tests/src/bin/proof-membership.rs
@@ -2,7 +2,7 @@
 //! death, the healing of a partition and the return of a member that was suspended take until all see the same, and what that
 //! costs. `proof-membership [MEMBERS [GOSSIP_PERIOD_MS]]`.
 
-use cluster_simulation::{Simulation, SimulationConfig};
+use cluster_simulation::{Simulation, SimulationConfig, StoreAccess};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 use system_tests::{Table, verdict};
@@ -104,11 +104,11 @@
     fn partition(&mut self) -> PartitionResult {
         let half = self.members / 2;
         let before = self.bytes();
-        self.simulation.partition(|i| u8::from(i < half), [true, true]);
+        self.simulation.partition(0..half, StoreAccess::BothSides);
         let same_side = move |i: usize, other: usize| (i < half) == (other < half);
         let noticed_ms = self.advance_until(|simulation| simulation.falsely_alive(same_side) == 0);
         self.log(&format!("apart {noticed_ms} ms"));
-        self.simulation.partition(|_| 0, [true, true]);
+        self.simulation.heal();
         let healed_ms = self.advance_until_all_agree();
         let bytes_per_member = (self.bytes() - before) / self.members as u64;
         self.log(&format!("healed {healed_ms} ms"));
