--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -21,6 +21,20 @@
 /// One byte of the gossip key in hexadecimal digits. All bytes of the key are equal.
 const KEY_BYTE: &str = "ab";
 const KEY_BYTES: usize = 32;
+/// Gossip periods between two probes, as in the package `cluster`.
+const PROBE_GOSSIP_PERIODS: u32 = 4;
+/// Gossip periods between two join attempts, as in the package `cluster`.
+const JOIN_GOSSIP_PERIODS: u32 = 10;
+/// Gossip periods of suspicion after which a member is declared dead.
+const SUSPICION_GOSSIP_PERIODS: u32 = 10;
+/// The maximum number of broadcast topics.
+const MAX_TOPICS: usize = 1_024;
+/// The time between the deadline of a run and the end of its period, as in the package `cluster`.
+const START_MARGIN: Duration = Duration::from_millis(10);
+/// The time between two calls while the lease store is unavailable, as in the package `cluster`.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The time between two renewals of the session, as in the package `cluster`.
+const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Returns the Unix time of a moment of the simulation, without clock skew.
 pub(crate) fn unix_time(now: MonotonicTime) -> UnixTime {
@@ -180,13 +194,13 @@
             generation: started_at.as_millis(),
         },
         seed_peers: (0..config.instances.min(SEED_PEERS)).map(network::address).collect(),
-        probe_period: gossip_period * 4,
+        probe_period: gossip_period * PROBE_GOSSIP_PERIODS,
         probe_timeout: gossip_period,
-        suspicion_timeout: gossip_period * 10,
+        suspicion_timeout: gossip_period * SUSPICION_GOSSIP_PERIODS,
         gossip_period,
-        join_period: gossip_period * 10,
+        join_period: gossip_period * JOIN_GOSSIP_PERIODS,
         max_members: 4 * config.instances,
-        max_topics: 1_024,
+        max_topics: MAX_TOPICS,
         rng_seed,
     }
 }
@@ -196,9 +210,9 @@
         instance: format!("m{number}"),
         standbys: config.standbys,
         max_clock_skew: config.max_clock_skew,
-        start_margin: Duration::from_millis(10),
-        store_retry_interval: Duration::from_millis(100),
-        session_renewal_interval: Duration::from_secs(3),
+        start_margin: START_MARGIN,
+        store_retry_interval: STORE_RETRY_INTERVAL,
+        session_renewal_interval: SESSION_RENEWAL_INTERVAL,
         incarnation,
     }
 }
