--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -10,7 +10,7 @@
 use crate::health_monitor::{HealthMonitor, OnEjectionChange};
 use crate::job_table::JobTable;
 use crate::log_limiter::LogLimiter;
-use crate::run_executor::PendingRun;
+use crate::run_executor::{PendingRun, RunOutcome};
 use crate::settings::{Backend, HealthChecks, HttpJob, Settings};
 use crate::store_client::StoreClient;
 use crate::worker_pool::TaskQueue;
@@ -50,6 +50,16 @@
     queue_full: u64,
 }
 
+impl RunCounts {
+    fn record(&mut self, outcome: &RunOutcome) {
+        match outcome {
+            RunOutcome::DeadlinePassed => self.deadline_passed += 1,
+            _ if outcome.is_success() => self.succeeded += 1,
+            _ => self.failed += 1,
+        }
+    }
+}
+
 /// The state of the cluster on this instance.
 pub(crate) struct Coordinator {
     instance: String,
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs: the scheduler's actions and the results of runs.
 
 use super::Coordinator;
-use crate::log_limiter::LogPermit;
+use crate::log_limiter::{LogKind, LogPermit};
 use crate::run_executor::{FinishedRun, PendingRun, RunOutcome, RunTask};
 use crate::settings::{HttpJob, Settings};
 use periodic_jobs::{Action, ClockReading, Config, Run, StoreCall};
@@ -69,7 +69,9 @@
         let Some(task) = self.jobs.task(&run) else { return };
         if let Err(PendingRun { run, .. }) = self.runs.offer(PendingRun { run, task }) {
             self.run_counts.queue_full += 1;
-            if let Some(LogPermit { suppressed }) = self.log_limiter.permit("queue full", now.monotonic) {
+            if let Some(LogPermit { suppressed }) =
+                self.log_limiter.permit(LogKind::RunQueueFull, now.monotonic)
+            {
                 tracing::info!(job = run.job, run = run.id.0, suppressed, "run missed, no worker was free");
             }
         }
@@ -77,20 +79,18 @@
 
     pub(super) fn handle_finished_run(&mut self, now: ClockReading, finished: &FinishedRun) {
         let FinishedRun { run, task, outcome } = finished;
-        match outcome {
-            RunOutcome::DeadlinePassed => self.run_counts.deadline_passed += 1,
-            _ if outcome.is_success() => self.run_counts.succeeded += 1,
-            _ => self.run_counts.failed += 1,
-        }
+        self.run_counts.record(outcome);
         match task {
             RunTask::HealthCheck { backend_id, .. } => self.handle_health_check(now, backend_id, finished),
             RunTask::HttpCall { .. } if outcome.is_success() => {}
-            RunTask::HttpCall { .. } => {
-                if let Some(LogPermit { suppressed }) = self.log_limiter.permit("call", now.monotonic) {
-                    let reason = outcome.reason();
-                    tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
-                }
-            }
+            RunTask::HttpCall { .. } => self.log_failed_run(now, run, outcome),
+        }
+    }
+
+    fn log_failed_run(&mut self, now: ClockReading, run: &Run, outcome: &RunOutcome) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::RunFailed, now.monotonic) {
+            let reason = outcome.reason();
+            tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
         }
     }
 
--- a/crates/cluster/src/coordinator/notices.rs
+++ b/crates/cluster/src/coordinator/notices.rs
@@ -1,28 +1,14 @@
 //! Log events of the scheduler's notices.
 
 use super::Coordinator;
-use crate::log_limiter::LogPermit;
+use crate::log_limiter::{LogKind, LogPermit};
 use periodic_jobs::{ClockReading, Notice};
-
-/// Returns the key under which the log events of a notice are rate-limited.
-fn kind(notice: &Notice) -> &'static str {
-    match notice {
-        Notice::StoreUnavailable { .. } => "store unavailable",
-        Notice::StoreAvailable => "store available",
-        Notice::StoreReset(_) => "store reset",
-        Notice::Seeded { .. } => "seeded",
-        Notice::AcquiredTooLate { .. } => "acquired too late",
-        Notice::LeaseRecovered { .. } => "lease recovered",
-        Notice::RecordAheadOfClock { .. } => "record ahead",
-        Notice::ClockStepped { .. } => "clock stepped",
-    }
-}
+use std::mem;
 
 impl Coordinator {
     pub(super) fn log_notice(&mut self, now: ClockReading, notice: &Notice) {
-        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind(notice), now.monotonic) else {
-            return;
-        };
+        let kind = LogKind::Notice(mem::discriminant(notice));
+        let Some(LogPermit { suppressed }) = self.log_limiter.permit(kind, now.monotonic) else { return };
         match notice {
             Notice::StoreUnavailable { reason } => {
                 tracing::warn!(error = %reason, suppressed, "lease store unreachable, no job runs");
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -1,7 +1,7 @@
 //! Gossip over UDP: the members of the cluster and the dissemination of health reports.
 
 use crate::job_names;
-use crate::log_limiter::{LogLimiter, LogPermit};
+use crate::log_limiter::{LogKind, LogLimiter, LogPermit};
 use crate::settings::Gossip;
 use health_check::HealthReport;
 use membership::authentication::Keyring;
@@ -153,13 +153,13 @@
             return;
         }
         self.authentication_failures = failures;
-        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("authentication", now) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::AuthenticationFailed, now) {
             tracing::warn!(count = failures, suppressed, "datagram dropped, message authentication failed");
         }
     }
 
     fn log_rejoin(&mut self, now: MonotonicTime) {
-        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("rejoined", now) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::Rejoined, now) {
             tracing::warn!(suppressed, "declared dead by other members, rejoined");
         }
     }
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -1,12 +1,25 @@
 //! Rate-limited logging: at most one event of each kind per second, with the number of suppressed events.
 
+use periodic_jobs::Notice;
 use std::collections::HashMap;
+use std::mem::Discriminant;
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
 /// The minimum time between two logged events of a kind.
 const INTERVAL: Duration = Duration::from_secs(1);
 
+/// A kind of log event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum LogKind {
+    AuthenticationFailed,
+    Rejoined,
+    RunFailed,
+    RunQueueFull,
+    /// A notice of the scheduler. Each variant of a notice is a kind of its own.
+    Notice(Discriminant<Notice>),
+}
+
 #[derive(Debug, Default)]
 struct KindState {
     /// The moment from which the next event is logged.
@@ -24,12 +37,12 @@
 /// Decides which events are logged.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
-    kinds: HashMap<&'static str, KindState>,
+    kinds: HashMap<LogKind, KindState>,
 }
 
 impl LogLimiter {
     /// Permits an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
-    pub(crate) fn permit(&mut self, kind: &'static str, now: MonotonicTime) -> Option<LogPermit> {
+    pub(crate) fn permit(&mut self, kind: LogKind, now: MonotonicTime) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
         if now < state.next {
             state.suppressed += 1;
--- a/crates/cluster/src/log_limiter/tests.rs
+++ b/crates/cluster/src/log_limiter/tests.rs
@@ -9,9 +9,12 @@
 #[test]
 fn one_event_of_each_kind_is_logged_per_second_and_the_others_are_counted() {
     let mut limiter = LogLimiter::default();
-    assert_eq!(limiter.permit("a", at(0)), Some(LogPermit { suppressed: None }));
-    assert_eq!((limiter.permit("a", at(10)), limiter.permit("a", at(999))), (None, None));
-    assert_eq!(limiter.permit("b", at(10)), Some(LogPermit { suppressed: None }));
-    assert_eq!(limiter.permit("a", at(1_000)), Some(LogPermit { suppressed: Some(2) }));
-    assert_eq!(limiter.permit("a", at(2_500)), Some(LogPermit { suppressed: None }));
+    assert_eq!(limiter.permit(LogKind::Rejoined, at(0)), Some(LogPermit { suppressed: None }));
+    assert_eq!(
+        (limiter.permit(LogKind::Rejoined, at(10)), limiter.permit(LogKind::Rejoined, at(999))),
+        (None, None)
+    );
+    assert_eq!(limiter.permit(LogKind::RunFailed, at(10)), Some(LogPermit { suppressed: None }));
+    assert_eq!(limiter.permit(LogKind::Rejoined, at(1_000)), Some(LogPermit { suppressed: Some(2) }));
+    assert_eq!(limiter.permit(LogKind::Rejoined, at(2_500)), Some(LogPermit { suppressed: None }));
 }
