--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -1,12 +1,13 @@
 //! Jobs: the scheduler's actions and the results of runs.
 
 use super::Coordinator;
-use crate::log_limiter::LogPermit;
+use crate::log_limiter::{LogKind, LogPermit};
 use crate::run_executor::{FinishedRun, PendingRun, RunOutcome, RunTask};
 use crate::settings::{HttpJob, Settings};
 use periodic_jobs::{Action, ClockReading, Config, Run, StoreCall};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
+use timestamps::UnixTime;
 
 /// The time between the deadline of a run and the end of its period.
 const START_MARGIN: Duration = Duration::from_millis(10);
@@ -16,7 +17,7 @@
 const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Returns the configuration of the scheduler of an instance that starts at this moment.
-pub(super) fn scheduler_config(settings: &Settings, start_unix_ms: u64) -> Config {
+pub(super) fn scheduler_config(settings: &Settings, started_at: UnixTime) -> Config {
     Config {
         instance: settings.instance.clone(),
         standbys: settings.standbys,
@@ -25,7 +26,7 @@
         store_retry_interval: STORE_RETRY_INTERVAL,
         session_renewal_interval: SESSION_RENEWAL_INTERVAL,
         // The random part distinguishes two starts in the same millisecond.
-        incarnation: start_unix_ms ^ rand::random::<u64>(),
+        incarnation: started_at.as_millis() ^ rand::random::<u64>(),
     }
 }
 
@@ -68,7 +69,9 @@
         let Some(task) = self.jobs.task(&run) else { return };
         if let Err(PendingRun { run, .. }) = self.runs.offer(PendingRun { run, task }) {
             self.run_counts.queue_full += 1;
-            if let Some(LogPermit { suppressed }) = self.log_limiter.permit("queue full", now.monotonic) {
+            if let Some(LogPermit { suppressed }) =
+                self.log_limiter.permit(LogKind::RunQueueFull, now.monotonic)
+            {
                 tracing::info!(job = run.job, run = run.id.0, suppressed, "run missed, no worker was free");
             }
         }
@@ -76,20 +79,18 @@
 
     pub(super) fn handle_finished_run(&mut self, now: ClockReading, finished: &FinishedRun) {
         let FinishedRun { run, task, outcome } = finished;
-        match outcome {
-            RunOutcome::DeadlinePassed => self.run_counts.deadline_passed += 1,
-            _ if outcome.is_success() => self.run_counts.succeeded += 1,
-            _ => self.run_counts.failed += 1,
-        }
+        self.run_counts.record(outcome);
         match task {
             RunTask::HealthCheck { backend_id, .. } => self.handle_health_check(now, backend_id, finished),
             RunTask::HttpCall { .. } if outcome.is_success() => {}
-            RunTask::HttpCall { .. } => {
-                if let Some(LogPermit { suppressed }) = self.log_limiter.permit("call", now.monotonic) {
-                    let reason = outcome.reason();
-                    tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
-                }
-            }
+            RunTask::HttpCall { .. } => self.log_failed_run(now, run, outcome),
+        }
+    }
+
+    fn log_failed_run(&mut self, now: ClockReading, run: &Run, outcome: &RunOutcome) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::RunFailed, now.monotonic) {
+            let reason = outcome.reason();
+            tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
         }
     }
 
@@ -99,10 +100,7 @@
         let Some(report) = health.record_check(backend_id, finished, now.monotonic) else {
             return;
         };
-        if let Some(gossip) = &mut self.gossip {
-            let changes = gossip.broadcast_report(now.monotonic, &finished.run.job, &report);
-            self.apply_gossip_changes(now, changes);
-        }
+        self.update_gossip(now, |gossip| gossip.broadcast_report(now.monotonic, &finished.run.job, &report));
         if let Some(health) = &mut self.health {
             health.update_ejections(now.monotonic);
         }
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -1,14 +1,14 @@
 //! Gossip over UDP: the members of the cluster and the dissemination of health reports.
 
 use crate::job_names;
-use crate::log_limiter::{LogLimiter, LogPermit};
+use crate::log_limiter::{LogKind, LogLimiter, LogPermit};
 use crate::settings::Gossip;
 use health_check::HealthReport;
 use membership::authentication::Keyring;
 use membership::{Counts, Member, MemberStatus, Membership, Output};
 use std::net::UdpSocket;
 use std::sync::Arc;
-use timestamps::MonotonicTime;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// The maximum number of members.
 const MAX_MEMBERS: usize = 1_024;
@@ -45,8 +45,8 @@
 
 impl GossipNode {
     /// Creates the node of an instance that starts at this moment.
-    pub(crate) fn new(gossip: &Gossip, instance: &str, start_unix_ms: u64, socket: Arc<UdpSocket>) -> Self {
-        let config = membership_config(gossip, instance, start_unix_ms);
+    pub(crate) fn new(gossip: &Gossip, instance: &str, started_at: UnixTime, socket: Arc<UdpSocket>) -> Self {
+        let config = membership_config(gossip, instance, started_at);
         Self {
             membership: Membership::new(config, gossip.keyring.clone()),
             socket,
@@ -58,7 +58,7 @@
 
     /// Returns the moment at which [`GossipNode::tick`] must be called next.
     pub(crate) fn next_tick(&self) -> MonotonicTime {
-        MonotonicTime::from_millis(self.membership.next_tick_ms())
+        self.membership.next_tick()
     }
 
     /// Returns the counters of gossip.
@@ -83,17 +83,16 @@
 
     /// Runs the timers that are due.
     pub(crate) fn tick(&mut self, now: MonotonicTime) -> GossipChanges {
-        let mut outputs = Vec::new();
-        self.membership.tick(now.as_millis(), &mut outputs);
-        self.apply_outputs(now, outputs)
+        self.update_membership(now, |membership, outputs| membership.tick(now, outputs))
     }
 
     /// Handles a received datagram.
     pub(crate) fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8]) -> GossipChanges {
-        let mut outputs = Vec::new();
-        self.membership.handle_datagram(now.as_millis(), bytes, &mut outputs);
+        let changes = self.update_membership(now, |membership, outputs| {
+            membership.handle_datagram(now, bytes, outputs);
+        });
         self.log_authentication_failures(now);
-        self.apply_outputs(now, outputs)
+        changes
     }
 
     /// Disseminates a report of the health check with this job name.
@@ -103,16 +102,25 @@
         job: &str,
         report: &HealthReport,
     ) -> GossipChanges {
-        let version = report.scheduled_unix_ms;
-        let mut outputs = Vec::new();
-        self.membership.broadcast(now.as_millis(), job, version, &report.encode(), &mut outputs);
-        self.apply_outputs(now, outputs)
+        let version = report.scheduled_at.as_millis();
+        self.update_membership(now, |membership, outputs| {
+            membership.broadcast(now, job, version, &report.encode(), outputs);
+        })
     }
 
     /// Announces to the cluster that this instance leaves.
     pub(crate) fn leave(&mut self, now: MonotonicTime) -> GossipChanges {
+        self.update_membership(now, |membership, outputs| membership.leave(now, outputs))
+    }
+
+    /// Updates the membership and applies its outputs.
+    fn update_membership(
+        &mut self,
+        now: MonotonicTime,
+        update: impl FnOnce(&mut Membership, &mut Vec<Output>),
+    ) -> GossipChanges {
         let mut outputs = Vec::new();
-        self.membership.leave(now.as_millis(), &mut outputs);
+        update(&mut self.membership, &mut outputs);
         self.apply_outputs(now, outputs)
     }
 
@@ -145,13 +153,13 @@
             return;
         }
         self.authentication_failures = failures;
-        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("authentication", now) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::AuthenticationFailed, now) {
             tracing::warn!(count = failures, suppressed, "datagram dropped, message authentication failed");
         }
     }
 
     fn log_rejoin(&mut self, now: MonotonicTime) {
-        if let Some(LogPermit { suppressed }) = self.log_limiter.permit("rejoined", now) {
+        if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::Rejoined, now) {
             tracing::warn!(suppressed, "declared dead by other members, rejoined");
         }
     }
@@ -168,9 +176,9 @@
     }
 }
 
-fn membership_config(gossip: &Gossip, instance: &str, start_unix_ms: u64) -> membership::Config {
+fn membership_config(gossip: &Gossip, instance: &str, started_at: UnixTime) -> membership::Config {
     let local_member =
-        Member { address: gossip.advertise, name: instance.to_owned(), generation: start_unix_ms };
+        Member { address: gossip.advertise, name: instance.to_owned(), generation: started_at.as_millis() };
     membership::Config {
         local_member,
         seed_peers: gossip.peers.clone(),
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -10,10 +10,10 @@
 use rand::rngs::StdRng;
 use std::collections::VecDeque;
 use std::time::Duration;
-use timestamps::{MonotonicTime, UnixTime};
+use timestamps::{MonotonicTime, UnixTime, whole_millis};
 
-/// Unix milliseconds at the start of the simulation.
-pub(crate) const START_UNIX_MS: u64 = 1_800_000_000_000;
+/// The Unix time at the start of the simulation.
+const UNIX_START: UnixTime = UnixTime::from_millis(1_800_000_000_000);
 /// The number of instances through which the others join.
 const SEED_PEERS: usize = 3;
 /// The maximum number of events queued for a paused instance. Further events are dropped, as by a socket buffer.
@@ -21,6 +21,25 @@
 /// One byte of the gossip key in hexadecimal digits. All bytes of the key are equal.
 const KEY_BYTE: &str = "ab";
 const KEY_BYTES: usize = 32;
+/// Gossip periods between two probes, as in the package `cluster`.
+const PROBE_GOSSIP_PERIODS: u32 = 4;
+/// Gossip periods between two join attempts, as in the package `cluster`.
+const JOIN_GOSSIP_PERIODS: u32 = 10;
+/// Gossip periods of suspicion after which a member is declared dead.
+const SUSPICION_GOSSIP_PERIODS: u32 = 10;
+/// The maximum number of broadcast topics.
+const MAX_TOPICS: usize = 1_024;
+/// The time between the deadline of a run and the end of its period, as in the package `cluster`.
+const START_MARGIN: Duration = Duration::from_millis(10);
+/// The time between two calls while the lease store is unavailable, as in the package `cluster`.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The time between two renewals of the session, as in the package `cluster`.
+const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
+
+/// Returns the Unix time of a moment of the simulation, without clock skew.
+pub(crate) fn unix_time(now: MonotonicTime) -> UnixTime {
+    UNIX_START + now.saturating_since(MonotonicTime::ZERO)
+}
 
 /// Returns the name of a simulated job.
 pub(crate) fn job_name(job: usize) -> String {
@@ -29,13 +48,14 @@
 
 /// A running instance: its membership, its scheduler and its clocks.
 pub(crate) struct Instance {
+    pub(crate) number: usize,
     pub(crate) membership: Membership,
     pub(crate) scheduler: Scheduler,
-    /// The offset of its Unix clock.
-    clock_offset_ms: i64,
+    /// The time by which its Unix clock is fast.
+    clock_offset: Duration,
     pub(crate) incarnation: Incarnation,
     /// The moment of its next tick.
-    pub(crate) next_tick_ms: u64,
+    pub(crate) next_tick: MonotonicTime,
     has_jobs: bool,
     paused: bool,
     /// Whether the members have changed since the last tick, which passes them to the scheduler.
@@ -53,24 +73,28 @@
 
 impl Instance {
     /// Starts an instance at this moment.
-    pub(crate) fn start(number: usize, now_ms: u64, config: &SimulationConfig, rng: &mut StdRng) -> Self {
-        let unix_ms = START_UNIX_MS + now_ms;
-        let skew_ms = config.max_clock_skew_ms;
-        let clock_offset_ms = if skew_ms == 0 { 0 } else { rng.random_range(0..=skew_ms) as i64 };
+    pub(crate) fn start(
+        number: usize,
+        now: MonotonicTime,
+        config: &SimulationConfig,
+        rng: &mut StdRng,
+    ) -> Self {
+        let clock_offset = random_clock_offset(config.max_clock_skew, rng);
         let membership = Membership::new(
-            membership_config(number, unix_ms, config, rng.random()),
+            membership_config(number, unix_time(now), config, rng.random()),
             Keyring::parse(&KEY_BYTE.repeat(KEY_BYTES)).expect("a constant key"),
         );
         let mut scheduler = Scheduler::new(scheduler_config(number, config, rng.random()));
-        let now = clock_reading(now_ms, clock_offset_ms);
-        let job = |job| Job { name: job_name(job), period: Duration::from_millis(config.period_ms) };
+        let now = clock_reading(now, clock_offset);
+        let job = |job| Job { name: job_name(job), period: config.job_period };
         scheduler.set_jobs(now, (0..config.jobs).map(job).collect());
         Self {
+            number,
             membership,
             scheduler,
-            clock_offset_ms,
+            clock_offset,
             incarnation: Incarnation(rng.random()),
-            next_tick_ms: u64::MAX,
+            next_tick: MonotonicTime::NEVER,
             has_jobs: config.jobs > 0,
             paused: false,
             members_changed: false,
@@ -79,8 +103,8 @@
     }
 
     /// Reads the clocks of the instance at this moment.
-    pub(crate) fn clocks(&self, now_ms: u64) -> ClockReading {
-        clock_reading(now_ms, self.clock_offset_ms)
+    pub(crate) fn clocks(&self, now: MonotonicTime) -> ClockReading {
+        clock_reading(now, self.clock_offset)
     }
 
     /// Pauses the instance.
@@ -104,10 +128,10 @@
         }
         let mut effects = Effects::default();
         match event {
-            Event::Tick { .. } if self.next_tick_ms > now.monotonic.as_millis() => return None,
+            Event::Tick { .. } if self.next_tick > now.monotonic => return None,
             Event::Tick { .. } => self.tick(now, &mut effects),
             Event::Datagram { bytes, .. } => {
-                self.membership.handle_datagram(now.monotonic.as_millis(), &bytes, &mut effects.outputs);
+                self.membership.handle_datagram(now.monotonic, &bytes, &mut effects.outputs);
             }
             Event::StoreResponse { incarnation, response, .. } if incarnation == self.incarnation => {
                 self.scheduler.handle_store_response(now, response, &mut effects.actions);
@@ -119,9 +143,9 @@
     }
 
     fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
-        // No tick is pending. At the start of the simulation 0 would count as a pending tick.
-        self.next_tick_ms = u64::MAX;
-        self.membership.tick(now.monotonic.as_millis(), &mut effects.outputs);
+        // No tick is pending. `ZERO` would count as a pending tick at the start of the simulation.
+        self.next_tick = MonotonicTime::NEVER;
+        self.membership.tick(now.monotonic, &mut effects.outputs);
         // Without jobs the scheduler does not need the members.
         if std::mem::take(&mut self.members_changed) && self.has_jobs {
             self.scheduler.set_members(now, self.membership.alive_names());
@@ -129,42 +153,54 @@
         self.scheduler.tick(now, &mut effects.actions);
     }
 
+    /// Returns the numbers of the instances that this one sees alive, excluding itself.
+    pub(crate) fn seen_alive(&self) -> impl Iterator<Item = usize> {
+        self.membership.alive_addresses().map(network::instance)
+    }
+
     /// Returns the moment at which the instance needs its next tick.
-    pub(crate) fn next_due_ms(&self, now: ClockReading) -> u64 {
+    pub(crate) fn next_due(&self, now: ClockReading) -> MonotonicTime {
         let to_monotonic = |due: UnixTime| now.monotonic + due.saturating_since(now.unix);
         let jobs_due = self.scheduler.next_tick().map(to_monotonic);
-        let jobs_due_ms = jobs_due.map_or(u64::MAX, MonotonicTime::as_millis);
-        self.membership.next_tick_ms().min(jobs_due_ms)
+        self.membership.next_tick().min(jobs_due.unwrap_or(MonotonicTime::NEVER))
     }
 }
 
 /// Returns the clocks of an instance at a moment of the simulation.
-fn clock_reading(now_ms: u64, clock_offset_ms: i64) -> ClockReading {
-    let unix_ms = (START_UNIX_MS + now_ms).saturating_add_signed(clock_offset_ms);
-    ClockReading { unix: UnixTime::from_millis(unix_ms), monotonic: MonotonicTime::from_millis(now_ms) }
+fn clock_reading(now: MonotonicTime, clock_offset: Duration) -> ClockReading {
+    ClockReading { unix: unix_time(now) + clock_offset, monotonic: now }
+}
+
+/// Draws the offset of a clock, in whole milliseconds up to the maximum skew.
+fn random_clock_offset(max_clock_skew: Duration, rng: &mut StdRng) -> Duration {
+    // Without skew the generator is not advanced.
+    if max_clock_skew.is_zero() {
+        return Duration::ZERO;
+    }
+    Duration::from_millis(rng.random_range(0..=whole_millis(max_clock_skew)))
 }
 
 fn membership_config(
     number: usize,
-    start_unix_ms: u64,
+    started_at: UnixTime,
     config: &SimulationConfig,
     rng_seed: u64,
 ) -> membership::Config {
-    let gossip_period = Duration::from_millis(config.gossip_period_ms);
+    let gossip_period = config.gossip_period;
     membership::Config {
         local_member: Member {
             address: network::address(number),
             name: format!("m{number}"),
-            generation: start_unix_ms,
+            generation: started_at.as_millis(),
         },
         seed_peers: (0..config.instances.min(SEED_PEERS)).map(network::address).collect(),
-        probe_period: gossip_period * 4,
+        probe_period: gossip_period * PROBE_GOSSIP_PERIODS,
         probe_timeout: gossip_period,
-        suspicion_timeout: gossip_period * 10,
+        suspicion_timeout: gossip_period * SUSPICION_GOSSIP_PERIODS,
         gossip_period,
-        join_period: gossip_period * 10,
+        join_period: gossip_period * JOIN_GOSSIP_PERIODS,
         max_members: 4 * config.instances,
-        max_topics: 1_024,
+        max_topics: MAX_TOPICS,
         rng_seed,
     }
 }
@@ -173,10 +209,10 @@
     Config {
         instance: format!("m{number}"),
         standbys: config.standbys,
-        max_clock_skew: Duration::from_millis(config.max_clock_skew_ms),
-        start_margin: Duration::from_millis(10),
-        store_retry_interval: Duration::from_millis(100),
-        session_renewal_interval: Duration::from_secs(3),
+        max_clock_skew: config.max_clock_skew,
+        start_margin: START_MARGIN,
+        store_retry_interval: STORE_RETRY_INTERVAL,
+        session_renewal_interval: SESSION_RENEWAL_INTERVAL,
         incarnation,
     }
 }
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -1,8 +1,9 @@
 //! The health of all backends, derived from their newest reports.
 
 use crate::{Config, HealthReport};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+use timestamps::{MonotonicTime, UnixTime};
 
 /// The age in check periods beyond which a report is ignored.
 pub const STALE_AFTER_PERIODS: u32 = 3;
@@ -33,26 +34,25 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     report: HealthReport,
-    /// A moment on the driver's monotonic clock.
-    received_ms: u64,
+    received_at: MonotonicTime,
 }
 
 impl ReceivedReport {
-    fn age(&self, now_ms: u64) -> Duration {
-        Duration::from_millis(now_ms.saturating_sub(self.received_ms))
+    fn age(&self, now: MonotonicTime) -> Duration {
+        now.saturating_since(self.received_at)
     }
 }
 
 /// A failing backend, ordered by the time since which it has been failing.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FailingBackend {
-    since_unix_ms: u64,
+    since: UnixTime,
     id: String,
 }
 
 /// The newest report of each backend.
 ///
-/// `now_ms` is a reading of the driver's monotonic clock.
+/// `now` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
 pub struct HealthTracker {
     config: Config,
@@ -81,53 +81,54 @@
     pub fn record_check(
         &mut self,
         id: &str,
-        scheduled_unix_ms: u64,
+        scheduled_at: UnixTime,
         passed: bool,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Option<HealthReport> {
         let before = self.reports.get(id)?.map(|received| received.report);
-        if before.is_some_and(|before| before.scheduled_unix_ms >= scheduled_unix_ms) {
+        if before.is_some_and(|before| before.scheduled_at >= scheduled_at) {
             return None;
         }
-        let report = HealthReport::after_check(before.as_ref(), scheduled_unix_ms, passed, &self.config);
-        self.apply_report(id, report, now_ms).then_some(report)
+        let report = HealthReport::after_check(before.as_ref(), scheduled_at, passed, &self.config);
+        self.apply_report(id, report, now).then_some(report)
     }
 
     /// Applies a report if it is newer than the one stored. Returns whether it was.
-    pub fn apply_report(&mut self, id: &str, report: HealthReport, now_ms: u64) -> bool {
+    pub fn apply_report(&mut self, id: &str, report: HealthReport, now: MonotonicTime) -> bool {
         let Some(newest) = self.reports.get_mut(id) else { return false };
-        if newest.is_some_and(|newest| newest.report.scheduled_unix_ms >= report.scheduled_unix_ms) {
+        if newest.is_some_and(|newest| newest.report.scheduled_at >= report.scheduled_at) {
             return false;
         }
-        *newest = Some(ReceivedReport { report, received_ms: now_ms });
+        *newest = Some(ReceivedReport { report, received_at: now });
         true
     }
 
     /// Returns the health of each backend.
-    pub fn health(&self, now_ms: u64) -> BTreeMap<&str, BackendHealth> {
-        let ejected = self.ejected(now_ms);
-        let health = |(id, received): (&String, &Option<ReceivedReport>)| {
-            let status = match received {
-                Some(received) if self.is_stale(received, now_ms) => HealthStatus::Unknown,
-                Some(received) if !received.report.failing => HealthStatus::Healthy,
-                Some(_) if ejected.contains(id) => HealthStatus::Ejected,
-                Some(_) => HealthStatus::EjectionLimited,
-                None => HealthStatus::Unknown,
-            };
-            let report_age = received.map(|received| received.age(now_ms));
-            BackendHealth { status, report_age }
-        };
-        self.reports.iter().map(|entry| (entry.0.as_str(), health(entry))).collect()
+    pub fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
+        let ejected = self.ejected(now);
+        let mut health = BTreeMap::new();
+        for (id, received) in &self.reports {
+            let status = self.status(received.as_ref(), ejected.contains(id), now);
+            let report_age = received.map(|received| received.age(now));
+            health.insert(id.as_str(), BackendHealth { status, report_age });
+        }
+        health
     }
 
-    /// Returns the ids of the ejected backends, sorted.
-    pub fn ejected(&self, now_ms: u64) -> Vec<String> {
-        let mut failing = self.failing_backends(now_ms);
-        failing.sort_unstable();
-        failing.truncate(self.max_ejected());
-        let mut ejected: Vec<String> = failing.into_iter().map(|backend| backend.id).collect();
-        ejected.sort_unstable();
-        ejected
+    fn status(&self, received: Option<&ReceivedReport>, ejected: bool, now: MonotonicTime) -> HealthStatus {
+        match received {
+            None => HealthStatus::Unknown,
+            Some(received) if self.is_stale(received, now) => HealthStatus::Unknown,
+            Some(received) if !received.report.failing => HealthStatus::Healthy,
+            Some(_) if ejected => HealthStatus::Ejected,
+            Some(_) => HealthStatus::EjectionLimited,
+        }
+    }
+
+    /// Returns the ids of the ejected backends: those that have failed longest, up to the limit.
+    pub fn ejected(&self, now: MonotonicTime) -> BTreeSet<String> {
+        let longest_failing = self.failing_backends(now).into_iter().take(self.max_ejected());
+        longest_failing.map(|backend| backend.id).collect()
     }
 
     /// Returns the maximum number of ejected backends. It is rounded down: a fraction of 0.5 allows one of three.
@@ -135,17 +136,22 @@
         (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize
     }
 
-    fn failing_backends(&self, now_ms: u64) -> Vec<FailingBackend> {
-        let failing = |(id, received): (&String, &Option<ReceivedReport>)| {
-            let is_failing = |r: &ReceivedReport| r.report.failing && !self.is_stale(r, now_ms);
-            let received = received.filter(is_failing)?;
-            Some(FailingBackend { since_unix_ms: received.report.changed_unix_ms, id: id.clone() })
-        };
-        self.reports.iter().filter_map(failing).collect()
+    /// Returns the failing backends with a recent report, longest failing first.
+    fn failing_backends(&self, now: MonotonicTime) -> BTreeSet<FailingBackend> {
+        let mut failing = BTreeSet::new();
+        for (id, received) in &self.reports {
+            if let Some(received) = received
+                && received.report.failing
+                && !self.is_stale(received, now)
+            {
+                failing.insert(FailingBackend { since: received.report.changed_at, id: id.clone() });
+            }
+        }
+        failing
     }
 
-    fn is_stale(&self, received: &ReceivedReport, now_ms: u64) -> bool {
-        received.age(now_ms) > STALE_AFTER_PERIODS * self.config.period
+    fn is_stale(&self, received: &ReceivedReport, now: MonotonicTime) -> bool {
+        received.age(now) > STALE_AFTER_PERIODS * self.config.period
     }
 }
 
