--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -47,11 +47,9 @@
     names.iter().map(job_table).collect()
 }
 
-/// Returns UDP addresses that were free a moment ago.
+/// Returns addresses that no other test gets, free over UDP too.
 fn free_udp_addresses(count: usize) -> Vec<SocketAddr> {
-    let bind = |_| UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let sockets: Vec<UdpSocket> = (0..count).map(bind).collect();
-    sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
+    (0..count).map(|_| unused_address()).collect()
 }
 
 /// A directory with the API description and the gossip key.
@@ -382,7 +380,7 @@
         (two_equal_jobs, "\"d\" comes twice"),
         (one_job.replace("300", "50"), "period_ms is 50, but must be 100"),
         (one_job.replace("http://", "https://"), "but must be http://"),
-        (one_job.replace("127.0.0.1", "192.0.2.1"), "on loopback"),
+        (one_job.replace(&address.ip().to_string(), "192.0.2.1"), "on loopback"),
         (HEALTH_CHECK_TABLE.replace("/health", "health"), "probe.path is \"health\""),
         (
             HEALTH_CHECK_TABLE.replace("timeout_ms = 80", "timeout_ms = 101"),
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -6,6 +6,7 @@
 mod site;
 pub mod soak;
 
+use fault_harness::ports::free_address;
 pub use fault_harness::test_directory::TestDirectory;
 pub use fault_harness::wire::{backend_reply, read_resp_command, resp_command};
 pub use held_backend::*;
@@ -178,14 +179,9 @@
     address
 }
 
-/// An address without a listener. Its port is below the range of ephemeral ports, so that no client's socket takes it before the
-/// program listens there.
+/// An address without a listener, which no other test gets.
 pub fn unused_address() -> SocketAddr {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let from = std::process::id().wrapping_mul(64);
-    let port = || 16_000 + (from.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % 16_000) as u16;
-    let free = std::iter::repeat_with(port).find_map(|port| TcpListener::bind(("127.0.0.1", port)).ok());
-    free.and_then(|l| l.local_addr().ok()).expect("a free port")
+    free_address().expect("a free port")
 }
 
 fn line(from: &mut impl BufRead) -> Option<String> {
