--- a/crates/system_tests/src/bin/proof-catalogue/main.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/main.rs
@@ -10,7 +10,7 @@
 use fault_injection::schedule::{Form, Schedule, SiteOptions};
 use fault_injection::site::{Site, write_common_files};
 use std::process::ExitCode;
-use system_tests::{Error, Table, release_build, verdict};
+use system_tests::{Error, Table, Verdict, release_build};
 
 const BACKENDS: usize = 12;
 const CLIENTS: usize = 6;
@@ -39,8 +39,8 @@
     }
 }
 
-/// Measures, and tells whether all bounds hold.
-fn run() -> Result<bool, Error> {
+/// Runs the scenario, prints the report and returns its verdict.
+fn run() -> Result<Verdict, Error> {
     let folder = std::env::temp_dir().join(format!("sf-catalogue-{}", std::process::id()));
     write_common_files(&folder)?;
     let site = Site::start(&schedule(), &release_build(), &folder)?;
@@ -49,15 +49,14 @@
     let _ = std::fs::remove_dir_all(&folder);
     let mut table = Table::default();
     let summary = report::report(&mut table, &timeline?, &site.recorder.records_by_time());
-    let all_hold = table.print();
-    println!("proof catalogue: {summary}, {}", verdict(all_hold));
-    Ok(all_hold)
+    let verdict = table.print();
+    println!("proof catalogue: {summary}, {verdict}");
+    Ok(verdict)
 }
 
 fn main() -> ExitCode {
     match run() {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
+        Ok(verdict) => verdict.into(),
         Err(error) => {
             eprintln!("proof catalogue: {error}");
             ExitCode::FAILURE
--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -46,7 +46,7 @@
         self.table.add("size", format!("{BACKENDS} loan servers, {CLIENTS} clients, {length:.0} s"));
         let rate = self.requests.served(self.timeline.calm).answers as f64 / self.timeline.calm.seconds();
         self.table.add("answers a second, calm", format!("{rate:.0}"));
-        self.table.at_least("served share, calm", self.calm_share, 0.999);
+        self.table.add_with_minimum("served share, calm", self.calm_share, 0.999);
     }
 
     /// Returns how long after a drain the last request came, at worst, s.
@@ -57,10 +57,10 @@
         let name = "last request come after the word of a drain, s: median of 20";
         self.table.add(name, format!("{:.4}", percentile(&lags, 0.5)));
         let worst = percentile(&lags, 1.0);
-        self.table.at_most("... worst, s", worst, 1.0);
+        self.table.add_with_maximum("... worst, s", worst, 1.0);
         let backend = format!("l{FAILOVER_BACKEND}");
         let failover = self.requests.last_arrival_after(&backend, self.timeline.failover);
-        self.table.at_most("... through the second agent, s", failover, 1.0);
+        self.table.add_with_maximum("... through the second agent, s", failover, 1.0);
         worst
     }
 
@@ -72,7 +72,7 @@
             let share = self.requests.served(outage.span).share;
             least = least.min(share);
             let name = format!("served share while Consul is {} and 2 of 12 die", outage.kind);
-            self.table.at_least(&name, share, self.calm_share - DEAD_IN_OUTAGE / BACKENDS as f64);
+            self.table.add_with_minimum(&name, share, self.calm_share - DEAD_IN_OUTAGE / BACKENDS as f64);
         }
         least
     }
@@ -84,9 +84,9 @@
                 + self.requests.logged(span, "endpoint not eligible: it is c");
             let each = changes as f64 / count as f64;
             let name = format!("{count} flapping each second for {FLAPS} s: turns of each");
-            self.table.at_most(&name, each, 8.0);
+            self.table.add_with_maximum(&name, each, 8.0);
             let share = self.requests.served(span).share;
-            self.table.at_least("... served share", share, self.calm_share - 0.01);
+            self.table.add_with_minimum("... served share", share, self.calm_share - 0.01);
         }
     }
 
@@ -97,11 +97,11 @@
             ("index going back", self.timeline.index_back),
         ] {
             let share = self.requests.served(span).share;
-            self.table.at_least(&format!("served share, {what}"), share, self.calm_share - 0.001);
+            self.table.add_with_minimum(&format!("served share, {what}"), share, self.calm_share - 0.001);
         }
         let replaced = self.requests.arrived("l0", self.timeline.replaced);
         let name = "requests at an address whose instance was replaced";
-        self.table.at_least(name, replaced as f64, 1.0);
+        self.table.add_with_minimum(name, replaced as f64, 1.0);
     }
 
     /// Returns how many requests weight 3 got for one of weight 1.
@@ -113,15 +113,15 @@
         let by_weight = [1, 2, 3].map(arrived);
         let ratio = by_weight[2] as f64 / (by_weight[0] as f64).max(1.0);
         self.table.add("requests by weight 1, 2, 3", format!("{by_weight:?}"));
-        self.table.at_least("weight 3 against 1", ratio, 2.4);
-        self.table.at_most("weight 3 against 1, at most", ratio, 3.6);
+        self.table.add_with_minimum("weight 3 against 1", ratio, 2.4);
+        self.table.add_with_maximum("weight 3 against 1, at most", ratio, 3.6);
         ratio
     }
 
     fn restarts(&mut self) {
         let restart = self.timeline.restart;
         let logged = self.requests.logged(restart, "cached endpoint list in use until Consul answers");
-        self.table.at_least("restart while Consul is silent: the log says so", logged as f64, 1.0);
+        self.table.add_with_minimum("restart while Consul is silent: the log says so", logged as f64, 1.0);
         let is_start = |record: &&Record| {
             record.at_us < restart.to_us && matches!(record.observation, Observation::ProcessStarted { .. })
         };
@@ -131,14 +131,14 @@
         let first = answers.clone().find(|a| a.at_us > started_us && a.outcome == Outcome::Served);
         let first_us = first.map(|answer| answer.at_us);
         let after = first_us.map_or(f64::INFINITY, |at_us| seconds(at_us - started_us));
-        self.table.at_most("... first served after, s", after, 2.0);
+        self.table.add_with_maximum("... first served after, s", after, 2.0);
         let from_disk = |from_us| self.requests.served(Span { from_us, ..restart }).share;
         let share = first_us.map_or(0.0, from_disk);
-        self.table.at_least("... served share from then on", share, 0.999);
+        self.table.add_with_minimum("... served share from then on", share, 0.999);
         let shown = self.timeline.status.contains("the list on disk");
-        self.table.at_least("... the status says so", f64::from(u8::from(shown)), 1.0);
+        self.table.add_condition("... the status says so", shown);
         let rejected = self.requests.logged(self.timeline.torn, "endpoint cache not usable");
-        self.table.at_least("half of a list file is refused", rejected as f64, 1.0);
+        self.table.add_with_minimum("half of a list file is refused", rejected as f64, 1.0);
     }
 
     fn rules(&mut self) {
@@ -146,7 +146,7 @@
             let violations = rule(self.history, &Site::bounds());
             let text =
                 violations.first().map_or("rules on answers and exits broken", |violation| &violation.text);
-            self.table.at_most(text, violations.len() as f64, 0.0);
+            self.table.add_with_maximum(text, violations.len() as f64, 0.0);
         }
     }
 
@@ -158,6 +158,6 @@
         let MemoryGrowth { before_kb, after_kb } = self.timeline.memory;
         let name = "memory before and after 100,000 replaced ids, kB";
         self.table.add(name, format!("{before_kb}, {after_kb}"));
-        self.table.at_most("... growth, kB", after_kb as f64 - before_kb as f64, 20_000.0);
+        self.table.add_with_maximum("... growth, kB", after_kb as f64 - before_kb as f64, 20_000.0);
     }
 }
--- a/crates/system_tests/src/bin/proof-checkers.rs
+++ b/crates/system_tests/src/bin/proof-checkers.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::{Command, ExitCode};
 use std::thread;
-use system_tests::{Table, release_build, run_schedule, verdict};
+use system_tests::{Table, release_build, run_schedule};
 
 /// A seeded fault, and the rule that has to name it.
 struct SeededFault {
@@ -89,18 +89,21 @@
     for (SeededFault { name, rule }, schedules) in SEEDED_FAULTS.iter().zip(&counts) {
         let schedules = schedules.map_or(f64::INFINITY, |count| count as f64);
         let name = format!("{name} broken: schedules until \"{rule}\" is named");
-        table.at_most(&name, schedules, MAX_SCHEDULES as f64);
+        table.add_with_maximum(&name, schedules, MAX_SCHEDULES as f64);
     }
     let named = counts.iter().flatten().count();
     let sound = violations_of_release_build();
-    table.at_most("rules named of the release build, in three of the same schedules", sound as f64, 0.0);
-    let all_hold = table.print();
+    table.add_with_maximum(
+        "rules named of the release build, in three of the same schedules",
+        sound as f64,
+        0.0,
+    );
+    let verdict = table.print();
     println!(
-        "proof checkers: {named} of {} broken rules named, {sound} of the release's, {}",
-        SEEDED_FAULTS.len(),
-        verdict(all_hold)
+        "proof checkers: {named} of {} broken rules named, {sound} of the release's, {verdict}",
+        SEEDED_FAULTS.len()
     );
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    verdict.into()
 }
 
 fn main() -> ExitCode {
--- a/crates/system_tests/src/bin/proof-compatibility/main.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/main.rs
@@ -19,7 +19,7 @@
 use fault_injection::schedule::{Fault, FaultKind, Form, Schedule, SiteOptions};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use system_tests::{Error, Table, accepted_version, release_build, run_schedule, verdict};
+use system_tests::{Error, Table, accepted_version, release_build, run_schedule};
 
 const USAGE: &str =
     "proof-compatibility OLD [NEW]: two builds of snowfield; NEW is the release build beside this program";
@@ -77,10 +77,8 @@
     let name = &schedule.name;
     let result = run_schedule(schedule, builds, "sf-compat")
         .map_err(|source| Error::Schedule { schedule: name.clone(), source })?;
-    for violation in &result.violations {
-        table.at_most(&format!("{name}: broken: {}: {}", violation.rule, violation.text), 1.0, 0.0);
-    }
-    table.at_most(&format!("{name}: rules broken"), result.violations.len() as f64, 0.0);
+    table.add_violations(&format!("{name}: "), &result.violations);
+    table.add_with_maximum(&format!("{name}: rules broken"), result.violations.len() as f64, 0.0);
     Ok(result)
 }
 
@@ -113,10 +111,10 @@
     };
     let mut table = Table::default();
     let done = run(&pair, &mut table);
-    let all_hold = table.print();
+    let verdict = table.print();
     match &done {
-        Ok(requests) => println!("proof compatibility: {requests} requests, {}", verdict(all_hold)),
+        Ok(requests) => println!("proof compatibility: {requests} requests, {verdict}"),
         Err(error) => println!("proof compatibility: {error}: OUT OF BOUNDS"),
     }
-    if all_hold && done.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if done.is_ok() { verdict.into() } else { ExitCode::FAILURE }
 }
--- a/crates/system_tests/src/bin/proof-compatibility/mixed.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/mixed.rs
@@ -67,16 +67,20 @@
     report_convergence(&result, "mixed", table);
     let runs = JobRuns::of(&result.history);
     let expected = JOBS as f64 * (LENGTH_MS - JOBS_RUN_FROM_MS) as f64 / JOB_PERIOD_MS as f64;
-    table.at_least("mixed: runs of periodic jobs", runs.count as f64, 0.95 * expected);
-    table.at_most("mixed: runs of a period that had run", runs.repeated as f64, 0.0);
+    table.add_with_minimum("mixed: runs of periodic jobs", runs.count as f64, 0.95 * expected);
+    table.add_with_maximum("mixed: runs of a period that had run", runs.repeated as f64, 0.0);
     let old = runs.on_old_build();
     let new = runs.instances.len() - old;
-    table.at_least("mixed: instances of the old build that ran jobs", old as f64, 1.0);
-    table.at_least("mixed: instances of the new build that ran jobs", new as f64, 1.0);
+    table.add_with_minimum("mixed: instances of the old build that ran jobs", old as f64, 1.0);
+    table.add_with_minimum("mixed: instances of the new build that ran jobs", new as f64, 1.0);
     let last = last_versions(&result.history);
     let reached = last.values().filter(|version| **version == LAST_VERSION).count();
     let versions = proposed_versions(&result.history);
     table.add("mixed: versions proposed, by each build", format!("{versions:?}"));
-    table.at_least("mixed: instances that act on the last version", reached as f64, GATEKEEPERS as f64);
+    table.add_with_minimum(
+        "mixed: instances that act on the last version",
+        reached as f64,
+        GATEKEEPERS as f64,
+    );
     Ok(result.outcomes.values().sum())
 }
--- a/crates/system_tests/src/bin/proof-compatibility/restarts.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/restarts.rs
@@ -49,11 +49,11 @@
     let versions = proposed_versions(&result.history);
     table.add("restarts: versions proposed, before, between and after", format!("{versions:?}"));
     let in_order = versions == [1, 2, 3];
-    table.at_least("restarts: replicas went on from the other build's logs", f64::from(in_order), 1.0);
+    table.add_condition("restarts: replicas went on from the other build's logs", in_order);
     for (restart, name) in ["old to new", "new to old"].into_iter().enumerate() {
         let served = served_from_cached_list(&result.history, restart);
         let name = format!("restarts: {name}: requests served from the cached list, Consul away");
-        table.at_least(&name, served as f64, 20.0);
+        table.add_with_minimum(&name, served as f64, 20.0);
     }
     report_convergence(&result, "restarts", table);
     Ok(result.outcomes.values().sum())
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -37,14 +37,14 @@
     let count = |outcome| result.outcomes.get(&outcome).copied().unwrap_or(0);
     let all: u64 = result.outcomes.values().sum();
     table.add("upgrades: requests", all);
-    table.at_least("upgrades: requests served", count(Outcome::Served) as f64, 500.0);
+    table.add_with_minimum("upgrades: requests served", count(Outcome::Served) as f64, 500.0);
     table.add("upgrades: requests rejected by quota", count(Outcome::Rejected));
     let lost = [Outcome::Unanswered, Outcome::NotAccepted, Outcome::Foreign, Outcome::Failed].map(count);
-    table.at_most("upgrades: requests lost or failed", lost.iter().sum::<u64>() as f64, 0.0);
+    table.add_with_maximum("upgrades: requests lost or failed", lost.iter().sum::<u64>() as f64, 0.0);
     let handed_over = logged(&result.history, &HANDED_OVER) as f64;
     let wanted = (UPGRADES as usize * GATEKEEPERS) as f64;
-    table.at_least("upgrades: in service, there and back", handed_over, wanted);
+    table.add_with_minimum("upgrades: in service, there and back", handed_over, wanted);
     let alone = logged(&result.history, &STARTED_ALONE);
-    table.at_most("upgrades: successors that took over nothing, or not all", alone as f64, 0.0);
+    table.add_with_maximum("upgrades: successors that took over nothing, or not all", alone as f64, 0.0);
     Ok(all)
 }
--- a/crates/system_tests/src/bin/proof-faults/main.rs
+++ b/crates/system_tests/src/bin/proof-faults/main.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Mutex;
-use system_tests::{Error, Table, for_each_parallel, run_schedule, verdict};
+use system_tests::{Error, Table, Verdict, for_each_parallel, run_schedule};
 use totals::{Totals, print_violations};
 
 /// The longest schedule of a short run.
@@ -117,17 +117,17 @@
     Schedule::parse(&text).map_err(|source| Error::ScheduleFile { path: path.to_owned(), source })
 }
 
-/// Does what the command line asks; tells whether all bounds hold.
-fn run(options: Options) -> Result<bool, Error> {
+/// Carries out the command line.
+fn run(options: Options) -> Result<Verdict, Error> {
     let runner = Runner::new(options);
     let options = &runner.options;
     if let Some(seed) = options.file.print {
         print!("{}", Schedule::from_seed(seed, options.length_ms()).to_toml());
-        return Ok(true);
+        return Ok(Verdict::WithinBounds);
     }
     if let Some(path) = &options.file.shrink {
         print!("{}", runner.shrink(&read_schedule(path)?)?.to_toml());
-        return Ok(true);
+        return Ok(Verdict::WithinBounds);
     }
     let schedules = runner.schedules()?;
     let mut totals = runner.run_all(&schedules);
@@ -140,12 +140,12 @@
     if let Some(TornWrites { starts, violations }) = &torn_writes {
         print_violations("file", violations);
         table.add("starts with the list file cut at each byte", starts);
-        table.at_most("... that went wrong", violations.len() as f64, 0.0);
+        table.add_with_maximum("... that went wrong", violations.len() as f64, 0.0);
     }
     totals.report_failures(&mut table);
-    let all_hold = table.print();
-    println!("proof faults: {}, {}", totals.summary(schedules.len()), verdict(all_hold));
-    Ok(all_hold)
+    let verdict = table.print();
+    println!("proof faults: {}, {verdict}", totals.summary(schedules.len()));
+    Ok(verdict)
 }
 
 fn main() -> ExitCode {
@@ -157,8 +157,7 @@
         }
     };
     match run(options) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
+        Ok(verdict) => verdict.into(),
         Err(error) => {
             eprintln!("{error}");
             ExitCode::FAILURE
--- a/crates/system_tests/src/bin/proof-faults/totals.rs
+++ b/crates/system_tests/src/bin/proof-faults/totals.rs
@@ -88,9 +88,9 @@
     /// Adds what must not be.
     pub(crate) fn report_failures(&self, table: &mut Table) {
         for (rule, count) in &self.rules {
-            table.at_most(&format!("broken: {rule}"), *count as f64, 0.0);
+            table.add_with_maximum(&format!("broken: {rule}"), *count as f64, 0.0);
         }
-        table.at_most("schedules that failed", self.failed.len() as f64, 0.0);
+        table.add_with_maximum("schedules that failed", self.failed.len() as f64, 0.0);
     }
 
     /// The last line's figures.
--- a/crates/system_tests/src/bin/proof-membership.rs
+++ b/crates/system_tests/src/bin/proof-membership.rs
@@ -5,7 +5,7 @@
 use cluster_simulation::{Simulation, SimulationConfig};
 use std::process::ExitCode;
 use std::time::Instant;
-use system_tests::{Table, verdict};
+use system_tests::Table;
 
 const SIZES: [usize; 4] = [24, 100, 300, 1_000];
 const DEFAULT_GOSSIP_PERIOD_MS: u64 = 200;
@@ -158,7 +158,7 @@
         cluster.took_s()
     );
     let name = format!("{members}: half die, all know, s");
-    bounds.at_most(&name, death.noticed_ms as f64 / 1_000.0, 10.0);
+    bounds.add_with_maximum(&name, death.noticed_ms as f64 / 1_000.0, 10.0);
 }
 
 fn main() -> ExitCode {
@@ -174,7 +174,7 @@
     let mut bounds = Table::default();
     sizes.into_iter().for_each(|members| measure(members, gossip_period_ms, &mut bounds));
     println!();
-    let all_hold = bounds.print();
-    println!("proof membership: {}", verdict(all_hold));
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let verdict = bounds.print();
+    println!("proof membership: {verdict}");
+    verdict.into()
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated.rs
@@ -5,7 +5,7 @@
 use cluster_simulation::{Simulation, SimulationConfig};
 use std::process::ExitCode;
 use std::time::Instant;
-use system_tests::{Table, verdict};
+use system_tests::Table;
 
 /// 1,000 instances take more than ten minutes and are asked for by their number.
 const SIZES: [usize; 4] = [10, 30, 100, 300];
@@ -106,10 +106,10 @@
         memory_kb * 1024.0 / jobs as f64,
         begin.elapsed().as_secs_f64()
     );
-    bounds.at_most(&format!("{instances}: rounds run twice"), repeated as f64, 0.0);
-    bounds.at_most(&format!("{instances}: rounds missed in a row, calm"), missed_runs as f64, 1.0);
+    bounds.add_with_maximum(&format!("{instances}: rounds run twice"), repeated as f64, 0.0);
+    bounds.add_with_maximum(&format!("{instances}: rounds missed in a row, calm"), missed_runs as f64, 1.0);
     let writes_per_run = calm.writes / jobs as f64 * PERIOD_MS as f64 / 1000.0;
-    bounds.at_most(&format!("{instances}: claims a round"), writes_per_run, 1.2);
+    bounds.add_with_maximum(&format!("{instances}: claims a round"), writes_per_run, 1.2);
     repeated
 }
 
@@ -128,11 +128,10 @@
     let repeated = sizes.iter().map(|&size| measure(size, gossip_period_ms, &mut bounds));
     let worst = repeated.max().unwrap_or(0);
     println!();
-    let all_hold = bounds.print();
+    let verdict = bounds.print();
     println!(
-        "proof duties-simulated: up to {} instances, {worst} doubles, {}",
-        sizes.last().copied().unwrap_or(0),
-        verdict(all_hold)
+        "proof duties-simulated: up to {} instances, {worst} doubles, {verdict}",
+        sizes.last().copied().unwrap_or(0)
     );
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    verdict.into()
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
@@ -39,10 +39,10 @@
     let jobs = usual_jobs();
     let set_us = span_of_faults(&result.history, &offset_indexes).from_us;
     let lost_us = span_of_faults(&result.history, &(loss_index..loss_index + 1)).to_us;
-    table.at_most("clocks 300 ms apart: rounds run twice", runs.repeated() as f64, 0.0);
+    table.add_with_maximum("clocks 300 ms apart: rounds run twice", runs.repeated() as f64, 0.0);
     let missed = runs.missed(&jobs, Span { from_us: set_us + SETTLED_US, to_us: lost_us });
-    table.at_most("... rounds missed in a row, two killed meanwhile", missed, 1.0);
+    table.add_with_maximum("... rounds missed in a row, two killed meanwhile", missed, 1.0);
     let again = runs.all_run_again_after(&jobs, lost_us);
-    table.at_most("... store emptied: the last duty runs again after, s", again, RUNS_AGAIN_S);
+    table.add_with_maximum("... store emptied: the last duty runs again after, s", again, RUNS_AGAIN_S);
     Ok(())
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/main.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/main.rs
@@ -9,14 +9,12 @@
 use fault_injection::runner::RunResult;
 use fault_injection::schedule::Schedule;
 use std::process::ExitCode;
-use system_tests::{Error, Table, release_build, run_schedule, verdict};
+use system_tests::{Error, Table, release_build, run_schedule};
 
 /// Runs a schedule on the release build and adds its violations to the table.
 fn run_and_report(schedule: &Schedule, table: &mut Table) -> Result<RunResult, Error> {
     let result = run_schedule(schedule, &release_build(), "sf-duties")?;
-    for violation in &result.violations {
-        table.at_most(&format!("broken: {}: {}", violation.rule, violation.text), 1.0, 0.0);
-    }
+    table.add_violations("", &result.violations);
     Ok(result)
 }
 
@@ -31,7 +29,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let all_hold = table.print();
-    println!("proof duties: {summary}, {}", verdict(all_hold));
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let verdict = table.print();
+    println!("proof duties: {summary}, {verdict}");
+    verdict.into()
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -73,9 +73,9 @@
         );
         table.add("size", size);
         let expected = JOBS as f64 * (LENGTH_MS - JOBS_RUN_FROM_MS) as f64 / JOB_PERIOD_MS as f64;
-        table.at_least("runs", self.runs.count() as f64, 0.9 * expected);
-        table.at_most("rounds run twice", self.runs.repeated() as f64, 0.0);
-        table.at_most("rounds missed in a row, calm", self.runs.missed(&self.jobs, self.calm), 1.0);
+        table.add_with_minimum("runs", self.runs.count() as f64, 0.9 * expected);
+        table.add_with_maximum("rounds run twice", self.runs.repeated() as f64, 0.0);
+        table.add_with_maximum("rounds missed in a row, calm", self.runs.missed(&self.jobs, self.calm), 1.0);
         let end_us = self.history.last().map_or(0, |record| record.at_us);
         for (i, phase) in self.phases.iter().enumerate() {
             let next_us = self.phases.get(i + 1).map_or(end_us, |next| next.span.from_us);
@@ -95,22 +95,26 @@
             STORE_SILENT => {
                 let silent = Span { from_us: from_us + 300_000, to_us: self.span_of(STORE_EMPTY).from_us };
                 let late = self.runs.within(silent).count();
-                table.at_most("runs while the store is silent (from 0.3 s on)", late as f64, 0.0);
+                table.add_with_maximum("runs while the store is silent (from 0.3 s on)", late as f64, 0.0);
             }
             STORE_EMPTY => {
                 let again = self.runs.all_run_again_after(&self.jobs, to_us);
-                table.at_most(
+                table.add_with_maximum(
                     "the store back empty: the last duty runs again after, s",
                     again,
                     TWO_PERIODS_S,
                 );
                 let later = Span { from_us: to_us + 1_000_000, to_us: next_us };
-                table.at_most("... rounds missed in a row later", self.runs.missed(&self.jobs, later), 1.0);
+                table.add_with_maximum(
+                    "... rounds missed in a row later",
+                    self.runs.missed(&self.jobs, later),
+                    1.0,
+                );
             }
             JOBS_CHANGED => self.report_changed_jobs(table, phase.span),
             name => {
                 let missed = self.runs.missed(&self.jobs, Span { from_us, to_us: next_us });
-                table.at_most(&format!("... {name}, and after"), missed, 1.0);
+                table.add_with_maximum(&format!("... {name}, and after"), missed, 1.0);
             }
         }
     }
@@ -119,9 +123,9 @@
         let jobs = changed_jobs();
         // All have reloaded within a second.
         let reloaded = Span { from_us: span.from_us + 1_500_000, to_us: span.to_us - 200_000 };
-        table.at_most("... duties changed by a reload", self.runs.missed(&jobs, reloaded), 1.0);
+        table.add_with_maximum("... duties changed by a reload", self.runs.missed(&jobs, reloaded), 1.0);
         let removed = self.runs.within(reloaded).filter(|run| !jobs.contains(run.job)).count();
-        table.at_most("runs of duties that the reload took away", removed as f64, 0.0);
+        table.add_with_maximum("runs of duties that the reload took away", removed as f64, 0.0);
     }
 
     /// How long others took to run the jobs of instances that died or left; returns the worst time, s.
@@ -130,11 +134,11 @@
         let calm_gap = self.runs.longest_gap(self.calm);
         table.add("longest gap between two runs of a duty, calm, s", format!("{calm_gap:.3}"));
         let gap = self.runs.longest_gap(Span { from_us: self.calm.from_us, to_us: killed.to_us });
-        table.at_most("... half killed at once, s", gap, TWO_PERIODS_S + 0.1);
+        table.add_with_maximum("... half killed at once, s", gap, TWO_PERIODS_S + 0.1);
         let times = self.runs.take_over_times(killed.from_us, &half().collect::<Vec<_>>());
         let worst = times.last().copied().unwrap_or(f64::INFINITY);
         table.add("time to take over when half die, median, s", format!("{:.3}", percentile(&times, 0.5)));
-        table.at_most("... worst, s", worst, TWO_PERIODS_S);
+        table.add_with_maximum("... worst, s", worst, TWO_PERIODS_S);
         let left = self.runs.take_over_times(self.span_of(ONE_LEAVES).from_us, &["m7".to_owned()]);
         let worst_left = left.last().copied().unwrap_or(0.0);
         table.add("time to take over when one leaves, worst, s", format!("{worst_left:.3}"));
--- a/crates/system_tests/src/bin/proof-platform-cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost.rs
@@ -11,9 +11,7 @@
 use std::process::ExitCode;
 use std::thread;
 use std::time::Duration;
-use system_tests::{
-    Gatekeeper, STEP_TIMEOUT, Table, TestDirectory, free_ports, percentile, release_build, verdict,
-};
+use system_tests::{Gatekeeper, STEP_TIMEOUT, Table, TestDirectory, free_ports, percentile, release_build};
 
 const CLIENTS: u32 = 8;
 /// Requests of one client in a turn.
@@ -171,11 +169,8 @@
         costs.iter_mut().enumerate().map(|(build, cost)| cost.report(&mut table, build)).collect();
     let last = medians[medians.len() - 1];
     let ratio = last / medians[0];
-    table.at_most("the last build against the first", ratio, MAX_RATIO);
-    let all_hold = table.print();
-    println!(
-        "proof platform-cost: {last:.1} us a request, {ratio:.2} of the first build, {}",
-        verdict(all_hold)
-    );
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    table.add_with_maximum("the last build against the first", ratio, MAX_RATIO);
+    let verdict = table.print();
+    println!("proof platform-cost: {last:.1} us a request, {ratio:.2} of the first build, {verdict}");
+    verdict.into()
 }
--- a/crates/system_tests/src/bin/proof-replicated-config/main.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/main.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Mutex;
-use system_tests::{Table, for_each_parallel, release_build, run_schedule, verdict};
+use system_tests::{Table, for_each_parallel, release_build, run_schedule};
 use totals::Totals;
 
 const DEFAULT_SCHEDULES: u64 = 200;
@@ -39,7 +39,7 @@
     let mut table = Table::default();
     let totals = totals.into_inner().unwrap_or_default();
     let summary = totals.report(&mut table, schedules.len());
-    let all_hold = table.print();
-    println!("proof agreed: {summary}, {}", verdict(all_hold));
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let verdict = table.print();
+    println!("proof agreed: {summary}, {verdict}");
+    verdict.into()
 }
--- a/crates/system_tests/src/bin/proof-replicated-config/totals.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/totals.rs
@@ -107,14 +107,14 @@
         for (code, count) in self.rejected.iter().filter(|(code, _)| **code != 0) {
             table.add(&format!("proposals that ended with code {code}"), count);
         }
-        table.at_most("two act on versions that contradict each other, longest, s", apart, 0.25);
+        table.add_with_maximum("two act on versions that contradict each other, longest, s", apart, 0.25);
         table.add("... 99th percentile of schedules, s", share(&self.contradictions, 0.99));
         table.add("at rest, until in force everywhere: median, s", share(&self.rollouts_at_rest, 0.5));
-        table.at_most("... worst, s", at_rest, 1.0);
-        table.at_least("... versions taken", self.rollouts_at_rest.len() as f64, 3.0);
+        table.add_with_maximum("... worst, s", at_rest, 1.0);
+        table.add_with_minimum("... versions taken", self.rollouts_at_rest.len() as f64, 3.0);
         table.add("under faults: median, s", share(&self.rollouts_under_faults, 0.5));
         table.add("... 99th percentile, s", share(&self.rollouts_under_faults, 0.99));
-        table.at_most("schedules that failed", self.failed.len() as f64, 0.0);
+        table.add_with_maximum("schedules that failed", self.failed.len() as f64, 0.0);
         format!(
             "{schedules} schedules, {} versions, {apart:.3} s apart at worst, {at_rest:.3} s to be in force at rest",
             self.accepted
--- a/crates/system_tests/src/bin/proof-timing/latencies.rs
+++ b/crates/system_tests/src/bin/proof-timing/latencies.rs
@@ -62,13 +62,13 @@
             if first == Latency::SometimesSlow {
                 tails_ms.push(percentile(&result.latencies_ms, 0.99));
             }
-            table.at_least(&format!("{name}, {class_name}: served share"), result.served, 0.95);
+            table.add_with_minimum(&format!("{name}, {class_name}: served share"), result.served, 0.95);
         }
     }
     println!();
     // The policy's share of further attempts is a tenth of what was admitted, and it begins with five.
-    table.at_most("attempts a request at the most", most_attempts, 1.15);
+    table.add_with_maximum("attempts a request at the most", most_attempts, 1.15);
     let name = "99th ms with three attempts against one, one answer in fifty slow";
-    table.at_most(name, tails_ms[2] / tails_ms[0], 0.5);
+    table.add_with_maximum(name, tails_ms[2] / tails_ms[0], 0.5);
     most_attempts
 }
--- a/crates/system_tests/src/bin/proof-timing/main.rs
+++ b/crates/system_tests/src/bin/proof-timing/main.rs
@@ -12,24 +12,26 @@
 
 use site::TestSite;
 use std::process::ExitCode;
-use system_tests::{Table, TestDirectory, verdict};
+use system_tests::{Table, TestDirectory};
 
 fn main() -> ExitCode {
     let (folder, mut table) = (TestDirectory::new("timing"), Table::default());
     folder.write("loans.json", settings::API_DESCRIPTION);
     let rejections = rejections::count(&folder);
     table.add("bad files", rejections.files);
-    table.at_least("... refused for their own reason", rejections.rejected as f64, rejections.files as f64);
+    table.add_with_minimum(
+        "... refused for their own reason",
+        rejections.rejected as f64,
+        rejections.files as f64,
+    );
     let site = TestSite::start(&folder);
     let deviation_ms = attempts::measure(&site);
-    table.at_most("an attempt ends off its time by, ms, at the most", deviation_ms, 10.0);
+    table.add_with_maximum("an attempt ends off its time by, ms, at the most", deviation_ms, 10.0);
     let most_attempts = latencies::measure(&site, &mut table);
-    let all_hold = table.print();
+    let verdict = table.print();
     println!(
-        "proof timing: {} of {} bad files refused, attempts off by {deviation_ms:.1} ms at most, {most_attempts:.3} attempts a request, {}",
-        rejections.rejected,
-        rejections.files,
-        verdict(all_hold)
+        "proof timing: {} of {} bad files refused, attempts off by {deviation_ms:.1} ms at most, {most_attempts:.3} attempts a request, {verdict}",
+        rejections.rejected, rejections.files
     );
-    if all_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    verdict.into()
 }
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -9,6 +9,7 @@
 mod ports;
 mod schedules;
 mod table;
+mod verdict;
 mod versions;
 
 pub use error::Error;
@@ -18,5 +19,6 @@
 pub use parallel::for_each_parallel;
 pub use ports::free_ports;
 pub use schedules::run_schedule;
-pub use table::{Table, percentile, seconds, verdict};
+pub use table::{Table, percentile, seconds};
+pub use verdict::Verdict;
 pub use versions::{SoleVersion, accepted_version, sole_version};
--- a/crates/system_tests/src/table.rs
+++ b/crates/system_tests/src/table.rs
@@ -3,6 +3,8 @@
 #[cfg(test)]
 mod tests;
 
+use crate::Verdict;
+use fault_injection::checkers::Violation;
 use std::fmt::Display;
 
 struct Row {
@@ -10,39 +12,55 @@
     figure: String,
     /// Empty for a figure without a bound.
     bound: String,
-    holds: bool,
+    is_within_bound: bool,
 }
 
-/// Rows of figures, some of them with bounds.
+/// A table of figures. A figure may have a bound.
 #[derive(Default)]
 pub struct Table {
     rows: Vec<Row>,
 }
 
 impl Table {
-    /// Adds a figure without a bound.
+    /// Adds a figure that has no bound.
     pub fn add(&mut self, name: &str, figure: impl Display) {
         self.push(name, figure.to_string(), String::new(), true);
     }
 
-    /// Adds a figure that must be at most this.
-    pub fn at_most(&mut self, name: &str, figure: f64, limit: f64) {
-        self.push(name, format_number(figure), format!("at most {}", format_number(limit)), figure <= limit);
+    /// Adds a figure that is out of bounds above `maximum`.
+    pub fn add_with_maximum(&mut self, name: &str, figure: f64, maximum: f64) {
+        let bound = format!("at most {}", format_number(maximum));
+        self.push(name, format_number(figure), bound, figure <= maximum);
     }
 
-    /// Adds a figure that must be at least this.
-    pub fn at_least(&mut self, name: &str, figure: f64, limit: f64) {
-        self.push(name, format_number(figure), format!("at least {}", format_number(limit)), figure >= limit);
+    /// Adds a figure that is out of bounds below `minimum`.
+    pub fn add_with_minimum(&mut self, name: &str, figure: f64, minimum: f64) {
+        let bound = format!("at least {}", format_number(minimum));
+        self.push(name, format_number(figure), bound, figure >= minimum);
     }
 
-    fn push(&mut self, name: &str, figure: String, bound: String, holds: bool) {
-        self.rows.push(Row { name: name.to_owned(), figure, bound, holds });
+    /// Adds a condition as a figure that is 1 where it holds and is out of bounds otherwise.
+    pub fn add_condition(&mut self, name: &str, holds: bool) {
+        self.add_with_minimum(name, f64::from(u8::from(holds)), 1.0);
     }
 
-    /// Prints it as Markdown; tells whether all bounds hold.
-    pub fn print(&self) -> bool {
+    /// Adds each violation as a row that is out of bounds. The name of each row starts with `prefix`.
+    pub fn add_violations(&mut self, prefix: &str, violations: &[Violation]) {
+        for violation in violations {
+            let name = format!("{prefix}broken: {}: {}", violation.rule, violation.text);
+            self.add_with_maximum(&name, 1.0, 0.0);
+        }
+    }
+
+    fn push(&mut self, name: &str, figure: String, bound: String, is_within_bound: bool) {
+        self.rows.push(Row { name: name.to_owned(), figure, bound, is_within_bound });
+    }
+
+    /// Prints the table as Markdown and returns the verdict on all its bounds.
+    pub fn print(&self) -> Verdict {
         print!("{}", self.markdown());
-        self.rows.iter().all(|row| row.holds)
+        let all_within_bounds = self.rows.iter().all(|row| row.is_within_bound);
+        if all_within_bounds { Verdict::WithinBounds } else { Verdict::OutOfBounds }
     }
 
     fn markdown(&self) -> String {
@@ -53,8 +71,8 @@
 
 impl Row {
     fn markdown(&self) -> String {
-        let Self { name, figure, bound, holds } = self;
-        let verdict = match (bound.is_empty(), holds) {
+        let Self { name, figure, bound, is_within_bound } = self;
+        let verdict = match (bound.is_empty(), is_within_bound) {
             (true, _) => "",
             (false, true) => "ok",
             (false, false) => "OUT OF BOUNDS",
@@ -63,16 +81,11 @@
     }
 }
 
-/// The last words of a system test: whether all bounds hold.
-pub fn verdict(all_hold: bool) -> &'static str {
-    if all_hold { "all within bounds" } else { "OUT OF BOUNDS" }
-}
-
 fn format_number(figure: f64) -> String {
     if figure.fract() == 0.0 && figure.abs() < 1e15 { format!("{figure:.0}") } else { format!("{figure:.3}") }
 }
 
-/// The value below which this share of the sorted figures lies.
+/// Returns the smallest of the sorted figures that at least this share of them do not exceed, or 0 if there are none.
 pub fn percentile(sorted: &[f64], share: f64) -> f64 {
     let rank = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1));
     sorted.get(rank - 1).copied().unwrap_or(0.0)
