--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -7,6 +7,10 @@
 use fault_injection::checkers::{final_answers, unexpected_exits};
 use fault_injection::history::{Observation, Outcome, Record, Span};
 use fault_injection::site::Site;
+use system_tests::gatekeeper_output::log_events::{
+    CACHE_NOT_USABLE, CACHED_LIST_IN_USE, ENDPOINT_ELIGIBLE, ENDPOINT_NOT_ELIGIBLE, REASON_CRITICAL,
+};
+use system_tests::gatekeeper_output::status_report;
 use system_tests::{Table, percentile, seconds};
 
 /// Backends that are really dead in an outage.
@@ -80,8 +84,8 @@
     fn flapping(&mut self) {
         for flapping in &self.timeline.flapping {
             let (count, span) = (flapping.backends, flapping.span);
-            let changes = self.requests.logged(span, "endpoint eligible")
-                + self.requests.logged(span, "endpoint not eligible: it is c");
+            let changes = self.requests.logged(span, ENDPOINT_ELIGIBLE)
+                + self.requests.logged_with_reason(span, ENDPOINT_NOT_ELIGIBLE, REASON_CRITICAL);
             let each = changes as f64 / count as f64;
             let name = format!("{count} flapping each second for {FLAPS} s: turns of each");
             self.table.add_with_maximum(&name, each, 8.0);
@@ -120,7 +124,7 @@
 
     fn restarts(&mut self) {
         let restart = self.timeline.restart;
-        let logged = self.requests.logged(restart, "cached endpoint list in use until Consul answers");
+        let logged = self.requests.logged(restart, CACHED_LIST_IN_USE);
         self.table.add_with_minimum("restart while Consul is silent: the log says so", logged as f64, 1.0);
         let is_start = |record: &&Record| {
             record.at_us < restart.to_us && matches!(record.observation, Observation::ProcessStarted { .. })
@@ -135,9 +139,9 @@
         let from_disk = |from_us| self.requests.served(Span { from_us, ..restart }).share;
         let share = first_us.map_or(0.0, from_disk);
         self.table.add_with_minimum("... served share from then on", share, 0.999);
-        let shown = self.timeline.status.contains("the list on disk");
+        let shown = self.timeline.status.contains(status_report::CACHED_LIST);
         self.table.add_condition("... the status says so", shown);
-        let rejected = self.requests.logged(self.timeline.torn, "endpoint cache not usable");
+        let rejected = self.requests.logged(self.timeline.torn, CACHE_NOT_USABLE);
         self.table.add_with_minimum("half of a list file is refused", rejected as f64, 1.0);
     }
 
--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -25,8 +25,9 @@
 
 struct LogLine {
     at_us: u64,
-    /// The message, and behind it the reason that the line states.
-    text: String,
+    message: String,
+    /// The field `reason`, or an empty string if the event has none.
+    reason: String,
 }
 
 /// What a history says of requests.
@@ -55,9 +56,8 @@
                     requests.arrivals.push(Arrival { at_us, backend: backend.clone() });
                 }
                 Observation::LogLine { text, fields, .. } => {
-                    let reason = fields.get("reason").and_then(Value::as_str);
-                    let text = reason.map_or_else(|| text.clone(), |reason| format!("{text}: {reason}"));
-                    requests.log.push(LogLine { at_us, text });
+                    let reason = fields.get("reason").and_then(Value::as_str).unwrap_or_default();
+                    requests.log.push(LogLine { at_us, message: text.clone(), reason: reason.to_owned() });
                 }
                 _ => {}
             }
@@ -89,10 +89,15 @@
         self.arrivals(backend, span).count()
     }
 
-    /// How many log lines in a span contain this text.
-    pub(crate) fn logged(&self, span: Span, text: &str) -> usize {
+    /// Returns the number of log events in a span whose message contains this text.
+    pub(crate) fn logged(&self, span: Span, message: &str) -> usize {
+        self.logged_with_reason(span, message, "")
+    }
+
+    /// Returns the number of log events in a span whose message and reason contain these texts.
+    pub(crate) fn logged_with_reason(&self, span: Span, message: &str, reason: &str) -> usize {
         let within = self.log.iter().filter(|line| line.at_us >= span.from_us && line.at_us < span.to_us);
-        within.filter(|line| line.text.contains(text)).count()
+        within.filter(|line| line.message.contains(message) && line.reason.contains(reason)).count()
     }
 }
 
--- a/crates/system_tests/src/bin/proof-catalogue/requests/tests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests/tests.rs
@@ -54,5 +54,6 @@
         (requests.logged(all, "endpoint not eligible"), requests.logged(all, "endpoint eligible")),
         (1, 0)
     );
-    assert_eq!(requests.logged(all, "endpoint not eligible: it is c"), 1);
+    assert_eq!(requests.logged_with_reason(all, "endpoint not eligible", "it is critical"), 1);
+    assert_eq!(requests.logged_with_reason(all, "endpoint not eligible", "its weight is 0"), 0);
 }
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -3,6 +3,7 @@
 use crate::{Pair, run_and_report, schedule};
 use fault_injection::history::{Outcome, Record};
 use fault_injection::schedule::{Fault, FaultKind, Form, SiteOptions};
+use system_tests::gatekeeper_output::log_events::{HANDED_OVER, STARTED_WITHOUT_STATE};
 use system_tests::{Error, Table};
 
 /// Number of hot restarts of each gatekeeper, the first from the old build to the new one.
@@ -12,14 +13,6 @@
 const INTERVAL_MS: u64 = 2_000;
 /// Time for which the predecessor runs beside its successor.
 const SIDE_BY_SIDE_MS: u64 = 600;
-/// What a process logs that has handed its clients over to its successor; the last text is that of older builds.
-const HANDED_OVER: [&str; 2] = ["successor serves, draining", "another program serves now"];
-/// What a successor logs that could take over nothing, or not all; the last text is that of older builds.
-const STARTED_ALONE: [&str; 3] = [
-    "starting without the state of the predecessor",
-    "not readable, starting without it",
-    "; starting without it",
-];
 
 /// How often a line with one of these texts was logged.
 fn logged(history: &[Record], texts: &[&str]) -> usize {
@@ -44,7 +37,7 @@
     let handed_over = logged(&result.history, &HANDED_OVER) as f64;
     let wanted = (UPGRADES as usize * GATEKEEPERS) as f64;
     table.add_with_minimum("upgrades: in service, there and back", handed_over, wanted);
-    let alone = logged(&result.history, &STARTED_ALONE);
+    let alone = logged(&result.history, &STARTED_WITHOUT_STATE);
     table.add_with_maximum("upgrades: successors that took over nothing, or not all", alone as f64, 0.0);
     Ok(all)
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -9,6 +9,7 @@
 use fault_injection::history::{Observation, Record, Span};
 use fault_injection::site::JOB_PERIOD_MS;
 use std::collections::BTreeSet;
+use system_tests::gatekeeper_output::log_events::LEASE_RECOVERED;
 use system_tests::{Error, Table, percentile};
 
 const LENGTH_MS: u64 = 92_000;
@@ -20,9 +21,6 @@
 const TWO_PERIODS_S: f64 = 2.0 * JOB_PERIOD_MS as f64 / 1_000.0;
 /// The gatekeeper whose processor time is shown.
 const MEASURED: &str = "m1";
-/// What a gatekeeper logs that finds its lease in the store after a response was lost; the last text is that of older builds.
-const LEASE_RECOVERED: [&str; 2] =
-    ["lease confirmed after its response was lost", "holds, though the response was lost"];
 
 /// A phase and when it was.
 struct TimedPhase {
--- a/crates/system_tests/src/bin/proof-platform-cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost.rs
@@ -11,6 +11,7 @@
 use std::process::ExitCode;
 use std::thread;
 use std::time::Duration;
+use system_tests::gatekeeper_output::log_events::SERVING;
 use system_tests::{Gatekeeper, STEP_TIMEOUT, Table, TestDirectory, free_ports, percentile, release_build};
 
 const CLIENTS: u32 = 8;
@@ -109,7 +110,7 @@
     let listen = free_ports(1)[0];
     let file = folder.write("config.json", &config(listen, agent, backends));
     let gatekeeper = Gatekeeper::start_build(build, &[], &[("BALANCER_CONFIG", file)]);
-    gatekeeper.wait_for_log("serving on ");
+    gatekeeper.wait_for_log(SERVING);
     let send_all = |first_client: u32, count: u32| -> u32 {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|i| thread::spawn(move || send_requests(listen, first_client + i, count)))
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -2,6 +2,7 @@
 
 use crate::settings::{Addresses, idempotent, settings};
 use std::process::Command;
+use system_tests::gatekeeper_output::settings_errors;
 use system_tests::{TestDirectory, free_ports, release_build};
 
 const WANTED_MS: u64 = 600;
@@ -27,24 +28,30 @@
     let mut all = Vec::new();
     let mut add = |settings, reason| all.push(BadClass { settings, reason });
     for i in 1..=VARIANTS {
-        add(usual(format!("attempts = 3\nattempt_ms = {}", 833 + i)), "take up to");
-        add(idempotent(WANTED_MS + i, WANTED_MS, ""), "is given up after");
-        add(usual(format!("attempts = {}", 4 + i)), "are more than limits.route_steps");
-        add(usual(format!("attempts = 2\nattempt_ms = {}", 5 * i)), "ends before a connection");
-        add(usual(format!("copy_after_ms = {}", 599 + i)), "no longer wanted");
+        add(
+            usual(format!("attempts = 3\nattempt_ms = {}", 833 + i)),
+            settings_errors::ATTEMPTS_EXCEED_DEADLINE,
+        );
+        add(idempotent(WANTED_MS + i, WANTED_MS, ""), settings_errors::OBJECTIVE_AFTER_DEADLINE);
+        add(usual(format!("attempts = {}", 4 + i)), settings_errors::TOO_MANY_ATTEMPTS);
+        add(
+            usual(format!("attempts = 2\nattempt_ms = {}", 5 * i)),
+            settings_errors::ATTEMPT_SHORTER_THAN_CONNECT,
+        );
+        add(usual(format!("copy_after_ms = {}", 599 + i)), settings_errors::HEDGE_TOO_LATE);
         let late_copy = format!("attempts = 3\nattempt_ms = 300\ncopy_after_ms = {}", 299 + i);
-        add(idempotent(900, DEADLINE_MS, &late_copy), "never comes");
-        add(usual(format!("attempts = 1\ncopy_after_ms = {i}")), "one is all there may be");
+        add(idempotent(900, DEADLINE_MS, &late_copy), settings_errors::HEDGE_NEVER_SENT);
+        add(usual(format!("attempts = 1\ncopy_after_ms = {i}")), settings_errors::HEDGE_WITHOUT_ATTEMPT);
         add(
             format!("repeat = \"unsafe\"\nwanted_ms = 600\ndeadline_ms = 2500\ncopy_after_ms = {i}"),
-            "must not run twice",
+            settings_errors::HEDGE_OF_NON_IDEMPOTENT,
         );
     }
     for zero in ["attempts", "attempt_ms", "copy_after_ms"] {
-        add(usual(format!("{zero} = 0")), "is 0");
+        add(usual(format!("{zero} = 0")), settings_errors::ZERO_VALUE);
     }
-    add(usual("attempts = -1".into()), "attempts");
-    add(usual("attempt = 300".into()), "attempt");
+    add(usual("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS);
+    add(usual("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT);
     all
 }
 
--- a/crates/system_tests/src/bin/proof-timing/site.rs
+++ b/crates/system_tests/src/bin/proof-timing/site.rs
@@ -9,6 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
+use system_tests::gatekeeper_output::log_events::ENDPOINT_LIST_CHANGED;
 use system_tests::{Gatekeeper, TestDirectory, free_ports};
 
 pub(crate) const BACKENDS: usize = 10;
@@ -67,7 +68,7 @@
         let addresses = Addresses { listen: ports[0], status: ports[1], consul };
         let path = self.folder.write("a.toml", &settings(addresses, class));
         let gatekeeper = Gatekeeper::start(&["serve", &path]);
-        gatekeeper.wait_for_log("endpoint list changed");
+        gatekeeper.wait_for_log(ENDPOINT_LIST_CHANGED);
         RunningGatekeeper { _gatekeeper: gatekeeper, address: ports[0] }
     }
 
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -5,6 +5,7 @@
 
 mod error;
 mod gatekeeper;
+pub mod gatekeeper_output;
 mod parallel;
 mod ports;
 mod schedules;
