--- a/crates/system_tests/src/bin/proof-platform-cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost.rs
@@ -12,7 +12,9 @@
 use std::thread;
 use std::time::Duration;
 use system_tests::gatekeeper_output::log_events::SERVING;
-use system_tests::{Gatekeeper, STEP_TIMEOUT, Table, TestDirectory, free_ports, percentile, release_build};
+use system_tests::{
+    Gatekeeper, STEP_TIMEOUT, Table, TestDirectory, free_addresses, percentile, release_build,
+};
 
 const CLIENTS: u32 = 8;
 /// Requests of one client in a turn.
@@ -107,7 +109,7 @@
 /// Starts a build and measures it.
 fn measure_turn(build: &Path, agent: SocketAddr, backends: &[SocketAddr]) -> TurnCost {
     let folder = TestDirectory::new("platform-cost");
-    let listen = free_ports(1)[0];
+    let listen = free_addresses(1)[0];
     let file = folder.write("config.json", &config(listen, agent, backends));
     let gatekeeper = Gatekeeper::start_build(build, &[], &[("BALANCER_CONFIG", file)]);
     gatekeeper.wait_for_log(SERVING);
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -3,7 +3,7 @@
 use crate::settings::{Addresses, idempotent, settings};
 use std::process::Command;
 use system_tests::gatekeeper_output::settings_errors;
-use system_tests::{TestDirectory, free_ports, release_build};
+use system_tests::{TestDirectory, free_addresses, release_build};
 
 const WANTED_MS: u64 = 600;
 const DEADLINE_MS: u64 = 2_500;
@@ -57,7 +57,7 @@
 
 /// Checks all files with the gatekeeper's own command.
 pub(crate) fn count(folder: &TestDirectory) -> Rejections {
-    let ports = free_ports(2);
+    let ports = free_addresses(2);
     let addresses = Addresses { listen: ports[0], status: ports[1], consul: ports[0] };
     let classes = bad_classes();
     let rejected = classes.iter().filter(|class| is_rejected(folder, addresses, class)).count();
--- a/crates/system_tests/src/bin/proof-timing/site.rs
+++ b/crates/system_tests/src/bin/proof-timing/site.rs
@@ -10,7 +10,7 @@
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
 use system_tests::gatekeeper_output::log_events::ENDPOINT_LIST_CHANGED;
-use system_tests::{Gatekeeper, TestDirectory, free_ports};
+use system_tests::{Gatekeeper, TestDirectory, free_addresses};
 
 pub(crate) const BACKENDS: usize = 10;
 const CLIENTS: usize = 8;
@@ -63,7 +63,7 @@
 
     /// Starts a gatekeeper with these settings of its class.
     pub(crate) fn start_gatekeeper(&self, class: &str) -> RunningGatekeeper {
-        let ports = free_ports(2);
+        let ports = free_addresses(2);
         let consul = self.consul.open().address;
         let addresses = Addresses { listen: ports[0], status: ports[1], consul };
         let path = self.folder.write("a.toml", &settings(addresses, class));
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -3,22 +3,24 @@
 //! Each program `proof-NAME` starts the release build that lies beside it, prints a table and a last line `proof NAME: ...`, and
 //! ends with 1 where a figure is out of bounds.
 
+mod addresses;
 mod error;
 mod gatekeeper;
 pub mod gatekeeper_output;
 mod parallel;
-mod ports;
+
 mod schedules;
 mod table;
 mod verdict;
 mod versions;
 
+pub use addresses::free_addresses;
 pub use error::Error;
 pub use fault_injection::test_directory::TestDirectory;
 pub use fault_injection::wait::STEP_TIMEOUT;
 pub use gatekeeper::{Gatekeeper, release_build};
 pub use parallel::for_each_parallel;
-pub use ports::free_ports;
+
 pub use schedules::run_schedule;
 pub use table::{Table, percentile, seconds};
 pub use verdict::Verdict;
