--- a/crates/system_tests/src/bin/proof-timing/backend.rs
+++ b/crates/system_tests/src/bin/proof-timing/backend.rs
@@ -1,4 +1,4 @@
-//! A backend that answers after a while, or never, and counts its requests.
+//! A backend with a configurable service time that counts its requests.
 
 use fault_injection::connections::serve_connections;
 use fault_injection::sync::lock;
@@ -9,31 +9,47 @@
 use std::thread;
 use std::time::Duration;
 
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+/// Length of the line that ends the head of a request.
+const EMPTY_LINE_LENGTH: usize = 2;
 /// Service time of a healthy backend.
-pub(crate) const QUICK_MS: u64 = 5;
+pub(crate) const HEALTHY: Duration = Duration::from_millis(5);
 /// Service time of a slow backend.
-pub(crate) const SLOW_MS: u64 = 900;
-/// A backend that is sometimes slow is slow for one request in this many.
-const SLOW_ONE_IN: u64 = 50;
+pub(crate) const SLOW: Duration = Duration::from_millis(900);
+/// A backend with [`ServiceTime::OccasionallySlow`] is slow for one request in this many.
+const REQUESTS_PER_SLOW_RESPONSE: u64 = 50;
 
 /// The service time of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Latency {
-    /// The same for each request, ms.
-    Ms(u64),
-    /// [`SLOW_MS`] for one request in fifty, and [`QUICK_MS`] for the others.
-    SometimesSlow,
-    /// It never answers.
+pub(crate) enum ServiceTime {
+    /// The same for each request.
+    Constant(Duration),
+    /// [`SLOW`] for one request in fifty, and [`HEALTHY`] for the others.
+    OccasionallySlow,
+    /// The backend reads requests and never responds.
     Never,
 }
 
+impl ServiceTime {
+    /// Returns the service time of the request with this number, or `None` if there will be no response.
+    fn of_request(self, number: u64) -> Option<Duration> {
+        let is_slow = number % REQUESTS_PER_SLOW_RESPONSE == REQUESTS_PER_SLOW_RESPONSE - 1;
+        match self {
+            Self::Constant(service_time) => Some(service_time),
+            Self::OccasionallySlow if is_slow => Some(SLOW),
+            Self::OccasionallySlow => Some(HEALTHY),
+            Self::Never => None,
+        }
+    }
+}
+
 #[derive(Debug)]
 struct State {
-    latency: Mutex<Latency>,
+    service_time: Mutex<ServiceTime>,
     requests: AtomicU64,
 }
 
-/// A backend.
+/// A backend that runs until the process ends.
 pub(crate) struct Backend {
     pub(crate) address: SocketAddr,
     state: Arc<State>,
@@ -42,48 +58,49 @@
 impl Backend {
     /// Starts a healthy backend.
     pub(crate) fn start() -> Self {
-        let latency = Mutex::new(Latency::Ms(QUICK_MS));
-        let state = Arc::new(State { latency, requests: AtomicU64::new(0) });
+        let service_time = Mutex::new(ServiceTime::Constant(HEALTHY));
+        let state = Arc::new(State { service_time, requests: AtomicU64::new(0) });
         let shared = state.clone();
         let any_port = ([127, 0, 0, 1], 0).into();
         let address = serve_connections(any_port, move |stream| serve(stream, &shared)).expect("a free port");
         Self { address, state }
     }
 
-    pub(crate) fn set_latency(&self, latency: Latency) {
-        *lock(&self.state.latency) = latency;
+    pub(crate) fn set_service_time(&self, service_time: ServiceTime) {
+        *lock(&self.state.service_time) = service_time;
     }
 
-    /// Requests so far.
+    /// Returns the number of requests received so far.
     pub(crate) fn requests(&self) -> u64 {
         self.state.requests.load(Ordering::Relaxed)
     }
 }
 
+/// Serves a connection until the gatekeeper closes it.
 fn serve(stream: TcpStream, state: &State) {
-    let mut answers = stream.try_clone().expect("a second handle");
+    let mut responses = stream.try_clone().expect("a second handle");
     let mut requests = BufReader::new(stream);
-    while read_head(&mut requests) {
+    while read_request(&mut requests) {
         let number = state.requests.fetch_add(1, Ordering::Relaxed);
-        let latency = *lock(&state.latency);
-        let ms = match latency {
-            // Until the gatekeeper hangs up.
-            Latency::Never => return drop(requests.read(&mut [0])),
-            Latency::SometimesSlow if number % SLOW_ONE_IN == SLOW_ONE_IN - 1 => SLOW_MS,
-            Latency::SometimesSlow => QUICK_MS,
-            Latency::Ms(ms) => ms,
+        let service_time = *lock(&state.service_time);
+        let Some(service_time) = service_time.of_request(number) else {
+            return wait_until_closed(&mut requests);
         };
-        thread::sleep(Duration::from_millis(ms));
-        if answers.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err() {
+        thread::sleep(service_time);
+        if responses.write_all(RESPONSE).is_err() {
             return;
         }
     }
 }
 
-/// Reads the head of a request without a body; tells whether one came.
-fn read_head(from: &mut impl BufRead) -> bool {
+fn wait_until_closed(connection: &mut impl Read) {
+    let _ = connection.read(&mut [0]);
+}
+
+/// Reads a request without a body. Returns whether there was one before the end of the connection.
+fn read_request(connection: &mut impl BufRead) -> bool {
     let mut line = String::new();
-    while from.read_line(&mut line).is_ok_and(|n| n > 2) {
+    while connection.read_line(&mut line).is_ok_and(|length| length > EMPTY_LINE_LENGTH) {
         line.clear();
     }
     !line.is_empty()
--- a/crates/system_tests/src/bin/proof-timing/latencies.rs
+++ b/crates/system_tests/src/bin/proof-timing/latencies.rs
@@ -1,74 +1,152 @@
-//! Latencies and load, by how slow backends are and by how attempts are set.
+//! Latencies and load under combinations of backend service times and settings of attempts.
 
-use crate::backend::{Latency, QUICK_MS, SLOW_MS};
-use crate::settings::idempotent;
+use crate::backend::{HEALTHY, SLOW, ServiceTime};
+use crate::settings::IdempotentClass;
 use crate::site::{BACKENDS, LoadResult, TestSite};
-use system_tests::{Table, percentile};
+use std::time::Duration;
+use system_tests::Table;
 
-/// What each backend takes where all are slow.
-const ALL_SLOW_MS: u64 = 150;
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(600);
+const DEADLINE: Duration = Duration::from_millis(2_500);
+/// Service time of each backend where all are slow.
+const ALL_SLOW: ServiceTime = ServiceTime::Constant(Duration::from_millis(150));
+/// Minimum share of requests that are served under each combination.
+const MIN_SERVED_SHARE: f64 = 0.95;
+/// The retry budget of the policy is a tenth of the admitted requests, and starts with five retries.
+const MAX_ATTEMPTS_PER_REQUEST: f64 = 1.15;
+/// Maximum 99th percentile of latencies with hedging, relative to that with one attempt, where backends are occasionally slow.
+const MAX_TAIL_RATIO: f64 = 0.5;
 
-/// How slow the backends are.
-struct Slowness {
+/// Service times of the backends.
+struct BackendProfile {
     name: &'static str,
-    first: Latency,
-    others: Latency,
+    first_backend: ServiceTime,
+    other_backends: ServiceTime,
 }
 
-const SLOWNESS: [Slowness; 3] = [
-    Slowness { name: "one of ten slow", first: Latency::Ms(SLOW_MS), others: Latency::Ms(QUICK_MS) },
-    Slowness {
-        name: "one answer in fifty slow",
-        first: Latency::SometimesSlow,
-        others: Latency::SometimesSlow,
+const OCCASIONALLY_SLOW: &str = "one answer in fifty slow";
+
+const BACKEND_PROFILES: [BackendProfile; 3] = [
+    BackendProfile {
+        name: "one of ten slow",
+        first_backend: ServiceTime::Constant(SLOW),
+        other_backends: ServiceTime::Constant(HEALTHY),
+    },
+    BackendProfile {
+        name: OCCASIONALLY_SLOW,
+        first_backend: ServiceTime::OccasionallySlow,
+        other_backends: ServiceTime::OccasionallySlow,
     },
-    Slowness { name: "all slow", first: Latency::Ms(ALL_SLOW_MS), others: Latency::Ms(ALL_SLOW_MS) },
+    BackendProfile { name: "all slow", first_backend: ALL_SLOW, other_backends: ALL_SLOW },
 ];
 
-/// How attempts are set: a name, and the settings.
-const CLASSES: [(&str, &str); 3] = [
-    ("one attempt", "attempts = 1"),
-    ("nothing stated", ""),
-    ("three of 200 ms, copies after 100 ms", "attempts = 3\nattempt_ms = 200\ncopy_after_ms = 100"),
+/// Settings of attempts of a class.
+struct AttemptSettings {
+    name: &'static str,
+    toml: &'static str,
+}
+
+const ONE_ATTEMPT: &str = "one attempt";
+const HEDGED: &str = "three of 200 ms, copies after 100 ms";
+
+const ATTEMPT_SETTINGS: [AttemptSettings; 3] = [
+    AttemptSettings { name: ONE_ATTEMPT, toml: "attempts = 1" },
+    AttemptSettings { name: "nothing stated", toml: "" },
+    AttemptSettings { name: HEDGED, toml: "attempts = 3\nattempt_ms = 200\ncopy_after_ms = 100" },
 ];
 
-fn print_row(slowness: &str, class: &str, result: &LoadResult) {
-    let at = |share| percentile(&result.latencies_ms, share);
-    println!(
-        "| {slowness} | {class} | {:.0} | {:.0} | {:.0} | {:.3} | {:.3} |",
-        at(0.5),
-        at(0.99),
-        at(0.999),
-        result.attempts,
-        result.served
-    );
+/// The load result of one combination.
+struct Measurement {
+    profile: &'static str,
+    settings: &'static str,
+    load: LoadResult,
+}
+
+/// The load results of all combinations.
+pub(crate) struct LatencyReport {
+    measurements: Vec<Measurement>,
 }
 
-/// Prints latencies, adds what must hold to the table, and returns the most attempts for each request.
-pub(crate) fn measure(site: &TestSite<'_>, table: &mut Table) -> f64 {
+/// Measures all combinations and prints a row for each.
+pub(crate) fn measure(site: &TestSite<'_>) -> LatencyReport {
     site.list_backends(12, BACKENDS);
     println!(
         "| destinations | attempts and copies | 50th ms | 99th ms | 99.9th ms | attempts a request | served |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let (mut most_attempts, mut tails_ms) = (0.0f64, Vec::new());
-    for Slowness { name, first, others } in SLOWNESS {
-        for (class_name, class) in CLASSES {
-            site.set_latencies(|i| if i == 0 { first } else { others });
-            let gatekeeper = site.start_gatekeeper(&idempotent(600, 2_500, class));
-            let result = site.load(gatekeeper.address);
-            print_row(name, class_name, &result);
-            most_attempts = most_attempts.max(result.attempts);
-            if first == Latency::SometimesSlow {
-                tails_ms.push(percentile(&result.latencies_ms, 0.99));
-            }
-            table.add_with_minimum(&format!("{name}, {class_name}: served share"), result.served, 0.95);
+    let mut measurements = Vec::new();
+    for profile in &BACKEND_PROFILES {
+        for settings in &ATTEMPT_SETTINGS {
+            let measurement = measure_combination(site, profile, settings);
+            measurement.print();
+            measurements.push(measurement);
         }
     }
     println!();
-    // The policy's share of further attempts is a tenth of what was admitted, and it begins with five.
-    table.add_with_maximum("attempts a request at the most", most_attempts, 1.15);
-    let name = "99th ms with three attempts against one, one answer in fifty slow";
-    table.add_with_maximum(name, tails_ms[2] / tails_ms[0], 0.5);
-    most_attempts
+    LatencyReport { measurements }
+}
+
+fn measure_combination(
+    site: &TestSite<'_>,
+    profile: &BackendProfile,
+    settings: &AttemptSettings,
+) -> Measurement {
+    site.set_service_times(
+        |backend| if backend == 0 { profile.first_backend } else { profile.other_backends },
+    );
+    let class = IdempotentClass {
+        latency_objective: LATENCY_OBJECTIVE,
+        deadline: DEADLINE,
+        further_settings: settings.toml.to_owned(),
+    };
+    let gatekeeper = site.start_gatekeeper(&class.to_toml());
+    let load = site.run_load(gatekeeper.address);
+    Measurement { profile: profile.name, settings: settings.name, load }
+}
+
+impl Measurement {
+    fn print(&self) {
+        let Self { profile, settings, load } = self;
+        println!(
+            "| {profile} | {settings} | {:.0} | {:.0} | {:.0} | {:.3} | {:.3} |",
+            load.latency_percentile_ms(0.5),
+            load.latency_percentile_ms(0.99),
+            load.latency_percentile_ms(0.999),
+            load.attempts_per_request,
+            load.served_share
+        );
+    }
+}
+
+impl LatencyReport {
+    /// Adds the figures that have bounds.
+    pub(crate) fn add_to(&self, table: &mut Table) {
+        for Measurement { profile, settings, load } in &self.measurements {
+            let name = format!("{profile}, {settings}: served share");
+            table.add_with_minimum(&name, load.served_share, MIN_SERVED_SHARE);
+        }
+        table.add_with_maximum(
+            "attempts a request at the most",
+            self.max_attempts_per_request(),
+            MAX_ATTEMPTS_PER_REQUEST,
+        );
+        let tail_ratio = self.occasionally_slow_tail_ms(HEDGED) / self.occasionally_slow_tail_ms(ONE_ATTEMPT);
+        let name = "99th ms with three attempts against one, one answer in fifty slow";
+        table.add_with_maximum(name, tail_ratio, MAX_TAIL_RATIO);
+    }
+
+    /// Returns the maximum over all combinations.
+    pub(crate) fn max_attempts_per_request(&self) -> f64 {
+        let attempts = self.measurements.iter().map(|measurement| measurement.load.attempts_per_request);
+        attempts.fold(0.0, f64::max)
+    }
+
+    /// Returns the 99th percentile of latencies under these settings where backends are occasionally slow.
+    fn occasionally_slow_tail_ms(&self, settings: &str) -> f64 {
+        let is_wanted = |measurement: &&Measurement| {
+            measurement.profile == OCCASIONALLY_SLOW && measurement.settings == settings
+        };
+        let measurement = self.measurements.iter().find(is_wanted).expect("each combination is measured");
+        measurement.load.latency_percentile_ms(0.99)
+    }
 }
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -1,76 +1,120 @@
-//! Settings of a class that cannot be kept, and the reason for which each is rejected.
+//! Settings of a class that contradict each other, and the reason for which each is rejected.
 
-use crate::settings::{Addresses, idempotent, settings};
+use crate::settings::{Addresses, IdempotentClass, config_file};
 use std::process::Command;
+use std::time::Duration;
 use system_tests::gatekeeper_output::settings_errors;
-use system_tests::{TestDirectory, free_addresses, release_build};
+use system_tests::{Table, TestDirectory, free_addresses, release_build};
 
-const WANTED_MS: u64 = 600;
+const LATENCY_OBJECTIVE_MS: u64 = 600;
 const DEADLINE_MS: u64 = 2_500;
-/// Number of variants of each kind of bad settings.
+/// Number of variants of each kind of invalid settings.
 const VARIANTS: u64 = 9;
 
-/// Settings that cannot be kept.
-struct BadClass {
-    settings: String,
-    /// What the message must say.
+/// Invalid settings of a class.
+struct InvalidClass {
+    toml: String,
+    /// A part of the error that names the violated rule.
     reason: &'static str,
 }
 
-/// How many files were rejected for their own reason.
+/// How many files with invalid settings were rejected for their own reason.
 pub(crate) struct Rejections {
     pub(crate) files: usize,
-    pub(crate) rejected: usize,
+    pub(crate) rejected_files: usize,
 }
 
-fn bad_classes() -> Vec<BadClass> {
-    let usual = |more: String| idempotent(WANTED_MS, DEADLINE_MS, &more);
-    let mut all = Vec::new();
-    let mut add = |settings, reason| all.push(BadClass { settings, reason });
-    for i in 1..=VARIANTS {
-        add(
-            usual(format!("attempts = 3\nattempt_ms = {}", 833 + i)),
-            settings_errors::ATTEMPTS_EXCEED_DEADLINE,
-        );
-        add(idempotent(WANTED_MS + i, WANTED_MS, ""), settings_errors::OBJECTIVE_AFTER_DEADLINE);
-        add(usual(format!("attempts = {}", 4 + i)), settings_errors::TOO_MANY_ATTEMPTS);
-        add(
-            usual(format!("attempts = 2\nattempt_ms = {}", 5 * i)),
-            settings_errors::ATTEMPT_SHORTER_THAN_CONNECT,
-        );
-        add(usual(format!("copy_after_ms = {}", 599 + i)), settings_errors::HEDGE_TOO_LATE);
-        let late_copy = format!("attempts = 3\nattempt_ms = 300\ncopy_after_ms = {}", 299 + i);
-        add(idempotent(900, DEADLINE_MS, &late_copy), settings_errors::HEDGE_NEVER_SENT);
-        add(usual(format!("attempts = 1\ncopy_after_ms = {i}")), settings_errors::HEDGE_WITHOUT_ATTEMPT);
-        add(
-            format!("repeat = \"unsafe\"\nwanted_ms = 600\ndeadline_ms = 2500\ncopy_after_ms = {i}"),
-            settings_errors::HEDGE_OF_NON_IDEMPOTENT,
-        );
+impl Rejections {
+    pub(crate) fn add_to(&self, table: &mut Table) {
+        table.add("bad files", self.files);
+        let (rejected, files) = (self.rejected_files as f64, self.files as f64);
+        table.add_with_minimum("... refused for their own reason", rejected, files);
     }
-    for zero in ["attempts", "attempt_ms", "copy_after_ms"] {
-        add(usual(format!("{zero} = 0")), settings_errors::ZERO_VALUE);
-    }
-    add(usual("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS);
-    add(usual("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT);
-    all
 }
 
-/// Checks all files with the gatekeeper's own command.
-pub(crate) fn count(folder: &TestDirectory) -> Rejections {
-    let ports = free_addresses(2);
-    let addresses = Addresses { listen: ports[0], status: ports[1], consul: ports[0] };
-    let classes = bad_classes();
-    let rejected = classes.iter().filter(|class| is_rejected(folder, addresses, class)).count();
-    Rejections { files: classes.len(), rejected }
+/// Runs `snowfield check` on a file with each of the invalid settings.
+pub(crate) fn check_invalid_settings(directory: &TestDirectory) -> Rejections {
+    let free = free_addresses(2);
+    let addresses = Addresses { listen: free[0], status: free[1], consul: free[0] };
+    let classes = invalid_classes();
+    let rejected = classes.iter().filter(|class| is_rejected(directory, addresses, class));
+    Rejections { rejected_files: rejected.count(), files: classes.len() }
 }
 
-fn is_rejected(folder: &TestDirectory, addresses: Addresses, class: &BadClass) -> bool {
-    let path = folder.write("bad.toml", &settings(addresses, &class.settings));
+fn is_rejected(directory: &TestDirectory, addresses: Addresses, class: &InvalidClass) -> bool {
+    let path = directory.write("bad.toml", &config_file(addresses, &class.toml));
     let output = Command::new(release_build()).args(["check", &path]).output().expect("the program runs");
-    let message = String::from_utf8_lossy(&output.stderr);
-    let is_rejected = !output.status.success() && message.contains(class.reason);
+    let error = String::from_utf8_lossy(&output.stderr);
+    let is_rejected = !output.status.success() && error.contains(class.reason);
     if !is_rejected {
-        println!("not refused for {:?}: {}: {message}", class.reason, class.settings);
+        println!("not refused for {:?}: {}: {error}", class.reason, class.toml);
     }
     is_rejected
 }
+
+fn invalid_classes() -> Vec<InvalidClass> {
+    (1..=VARIANTS).flat_map(invalid_timing).chain(zero_values()).chain(invalid_keys()).collect()
+}
+
+/// Returns one variant of each rule on the timing of a class.
+fn invalid_timing(variant: u64) -> [InvalidClass; 8] {
+    [
+        invalid(
+            usual_class(format!("attempts = 3\nattempt_ms = {}", 833 + variant)),
+            settings_errors::ATTEMPTS_EXCEED_DEADLINE,
+        ),
+        invalid(
+            class(LATENCY_OBJECTIVE_MS + variant, LATENCY_OBJECTIVE_MS, String::new()),
+            settings_errors::OBJECTIVE_AFTER_DEADLINE,
+        ),
+        invalid(usual_class(format!("attempts = {}", 4 + variant)), settings_errors::TOO_MANY_ATTEMPTS),
+        invalid(
+            usual_class(format!("attempts = 2\nattempt_ms = {}", 5 * variant)),
+            settings_errors::ATTEMPT_SHORTER_THAN_CONNECT,
+        ),
+        invalid(usual_class(format!("copy_after_ms = {}", 599 + variant)), settings_errors::HEDGE_TOO_LATE),
+        invalid(
+            class(
+                900,
+                DEADLINE_MS,
+                format!("attempts = 3\nattempt_ms = 300\ncopy_after_ms = {}", 299 + variant),
+            ),
+            settings_errors::HEDGE_NEVER_SENT,
+        ),
+        invalid(
+            usual_class(format!("attempts = 1\ncopy_after_ms = {variant}")),
+            settings_errors::HEDGE_WITHOUT_ATTEMPT,
+        ),
+        invalid(
+            format!("repeat = \"unsafe\"\nwanted_ms = 600\ndeadline_ms = 2500\ncopy_after_ms = {variant}"),
+            settings_errors::HEDGE_OF_NON_IDEMPOTENT,
+        ),
+    ]
+}
+
+fn zero_values() -> impl Iterator<Item = InvalidClass> {
+    ["attempts", "attempt_ms", "copy_after_ms"]
+        .into_iter()
+        .map(|key| invalid(usual_class(format!("{key} = 0")), settings_errors::ZERO_VALUE))
+}
+
+fn invalid_keys() -> [InvalidClass; 2] {
+    [
+        invalid(usual_class("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS),
+        invalid(usual_class("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT),
+    ]
+}
+
+fn invalid(toml: String, reason: &'static str) -> InvalidClass {
+    InvalidClass { toml, reason }
+}
+
+fn usual_class(further_settings: String) -> String {
+    class(LATENCY_OBJECTIVE_MS, DEADLINE_MS, further_settings)
+}
+
+fn class(latency_objective_ms: u64, deadline_ms: u64, further_settings: String) -> String {
+    let latency_objective = Duration::from_millis(latency_objective_ms);
+    let deadline = Duration::from_millis(deadline_ms);
+    IdempotentClass { latency_objective, deadline, further_settings }.to_toml()
+}
--- a/crates/system_tests/src/bin/proof-timing/site.rs
+++ b/crates/system_tests/src/bin/proof-timing/site.rs
@@ -1,8 +1,8 @@
-//! Backends, a catalogue of them, and gatekeepers of different settings.
+//! Backends, the Consul catalogue that lists them, and gatekeepers with different settings.
 
-use crate::backend::{Backend, Latency};
+use crate::backend::{Backend, ServiceTime};
 use crate::client::{Client, OK};
-use crate::settings::{Addresses, settings};
+use crate::settings::{Addresses, config_file};
 use stand_in_consul::{Consul, Service};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,107 +10,120 @@
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
 use system_tests::gatekeeper_output::log_events::ENDPOINT_LIST_CHANGED;
-use system_tests::{Gatekeeper, TestDirectory, free_addresses};
+use system_tests::{Gatekeeper, TestDirectory, free_addresses, milliseconds, percentile};
 
 pub(crate) const BACKENDS: usize = 10;
 const CLIENTS: usize = 8;
-/// How long the load of a measurement lasts.
 const LOAD_DURATION: Duration = Duration::from_secs(8);
-/// Between two requests of a client.
+/// Time from a response to the next request of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An answer of the load.
-struct Answer {
+/// The response to a request of the load.
+struct Response {
     status: u16,
-    latency_ms: f64,
+    latency: Duration,
 }
 
-/// What the load came to.
+/// Figures of a load.
 pub(crate) struct LoadResult {
-    /// Of requests that were served, ms, sorted.
-    pub(crate) latencies_ms: Vec<f64>,
-    /// The share that was served.
-    pub(crate) served: f64,
-    /// Attempts for each request.
-    pub(crate) attempts: f64,
+    /// Latencies of the served requests in milliseconds, sorted.
+    sorted_latencies_ms: Vec<f64>,
+    /// The share of the requests that were served.
+    pub(crate) served_share: f64,
+    pub(crate) attempts_per_request: f64,
 }
 
-/// Backends and their catalogue.
+impl LoadResult {
+    fn new(responses: &[Response], attempts: u64) -> Self {
+        let served = responses.iter().filter(|response| response.status == OK);
+        let mut latencies_ms: Vec<f64> = served.map(|response| milliseconds(response.latency)).collect();
+        latencies_ms.sort_by(f64::total_cmp);
+        let requests = responses.len() as f64;
+        Self {
+            served_share: latencies_ms.len() as f64 / requests,
+            attempts_per_request: attempts as f64 / requests,
+            sorted_latencies_ms: latencies_ms,
+        }
+    }
+
+    /// Returns a percentile of the latencies of served requests.
+    pub(crate) fn latency_percentile_ms(&self, share: f64) -> f64 {
+        percentile(&self.sorted_latencies_ms, share)
+    }
+}
+
+/// Backends and the catalogue that lists them.
 pub(crate) struct TestSite<'a> {
-    folder: &'a TestDirectory,
+    directory: &'a TestDirectory,
     consul: Consul,
     backends: Vec<Backend>,
 }
 
 /// A gatekeeper that runs until this is dropped.
 pub(crate) struct RunningGatekeeper {
-    _gatekeeper: Gatekeeper,
+    _process: Gatekeeper,
     pub(crate) address: SocketAddr,
 }
 
 impl<'a> TestSite<'a> {
-    pub(crate) fn start(folder: &'a TestDirectory) -> Self {
+    pub(crate) fn start(directory: &'a TestDirectory) -> Self {
         let backends = (0..BACKENDS).map(|_| Backend::start()).collect();
-        Self { folder, consul: Consul::start(), backends }
+        Self { directory, consul: Consul::start(), backends }
     }
 
-    /// Makes the catalogue list the first backends.
-    pub(crate) fn list_backends(&self, index: u64, count: usize) {
+    /// Makes the catalogue list the first `count` backends, from this index of the catalogue on.
+    pub(crate) fn list_backends(&self, catalogue_index: u64, count: usize) {
         let listed = self.backends[..count].iter().enumerate();
         let services = listed.map(|(i, backend)| Service::new(&format!("loans-{i}"), backend.address));
-        self.consul.set_service(index, "loan-server", services.collect());
+        self.consul.set_service(catalogue_index, "loan-server", services.collect());
     }
 
-    /// Starts a gatekeeper with these settings of its class.
-    pub(crate) fn start_gatekeeper(&self, class: &str) -> RunningGatekeeper {
-        let ports = free_addresses(2);
-        let consul = self.consul.open().address;
-        let addresses = Addresses { listen: ports[0], status: ports[1], consul };
-        let path = self.folder.write("a.toml", &settings(addresses, class));
-        let gatekeeper = Gatekeeper::start(&["serve", &path]);
-        gatekeeper.wait_for_log(ENDPOINT_LIST_CHANGED);
-        RunningGatekeeper { _gatekeeper: gatekeeper, address: ports[0] }
+    /// Starts a gatekeeper with these settings of its class, and waits until it knows the backends.
+    pub(crate) fn start_gatekeeper(&self, class_toml: &str) -> RunningGatekeeper {
+        let free = free_addresses(2);
+        let addresses = Addresses { listen: free[0], status: free[1], consul: self.consul.open().address };
+        let path = self.directory.write("a.toml", &config_file(addresses, class_toml));
+        let process = Gatekeeper::start(&["serve", &path]);
+        process.wait_for_log(ENDPOINT_LIST_CHANGED);
+        RunningGatekeeper { _process: process, address: addresses.listen }
     }
 
-    /// Sets the latency of each backend by its number.
-    pub(crate) fn set_latencies(&self, latency: impl Fn(usize) -> Latency) {
-        self.backends.iter().enumerate().for_each(|(i, backend)| backend.set_latency(latency(i)));
+    /// Sets the service time of each backend by its number.
+    pub(crate) fn set_service_times(&self, service_time: impl Fn(usize) -> ServiceTime) {
+        for (number, backend) in self.backends.iter().enumerate() {
+            backend.set_service_time(service_time(number));
+        }
     }
 
-    /// Requests that backends got so far.
-    pub(crate) fn backend_requests(&self) -> u64 {
+    /// Returns the number of attempts that have reached a backend so far.
+    pub(crate) fn attempts(&self) -> u64 {
         self.backends.iter().map(Backend::requests).sum()
     }
 
-    /// Puts load on a gatekeeper for a while.
-    pub(crate) fn load(&self, gatekeeper: SocketAddr) -> LoadResult {
-        let (before, is_over) = (self.backend_requests(), Arc::new(AtomicBool::new(false)));
+    /// Sends requests from all clients for [`LOAD_DURATION`].
+    pub(crate) fn run_load(&self, gatekeeper: SocketAddr) -> LoadResult {
+        let attempts_before = self.attempts();
+        let is_over = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..CLIENTS).map(|_| start_client(gatekeeper, is_over.clone())).collect();
         sleep(LOAD_DURATION);
         is_over.store(true, Ordering::Relaxed);
-        let answers: Vec<Answer> =
+        let responses: Vec<Response> =
             clients.into_iter().flat_map(|client| client.join().expect("no client fails")).collect();
-        let served = answers.iter().filter(|answer| answer.status == OK);
-        let mut latencies_ms: Vec<f64> = served.map(|answer| answer.latency_ms).collect();
-        latencies_ms.sort_by(f64::total_cmp);
-        let count = answers.len() as f64;
-        LoadResult {
-            served: latencies_ms.len() as f64 / count,
-            attempts: (self.backend_requests() - before) as f64 / count,
-            latencies_ms,
-        }
+        LoadResult::new(&responses, self.attempts() - attempts_before)
     }
 }
 
-fn start_client(gatekeeper: SocketAddr, is_over: Arc<AtomicBool>) -> JoinHandle<Vec<Answer>> {
+/// Starts a thread that sends requests until `is_over` is set.
+fn start_client(gatekeeper: SocketAddr, is_over: Arc<AtomicBool>) -> JoinHandle<Vec<Response>> {
     thread::spawn(move || {
-        let (mut client, mut answers) = (Client::connect(gatekeeper), Vec::new());
+        let mut client = Client::connect(gatekeeper);
+        let mut responses = Vec::new();
         while !is_over.load(Ordering::Relaxed) {
-            let begin = Instant::now();
+            let sent_at = Instant::now();
             let status = client.send_request();
-            answers.push(Answer { status, latency_ms: begin.elapsed().as_secs_f64() * 1e3 });
+            responses.push(Response { status, latency: sent_at.elapsed() });
             sleep(REQUEST_INTERVAL);
         }
-        answers
+        responses
     })
 }
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -22,6 +22,6 @@
 pub use parallel::for_each_parallel;
 
 pub use schedules::run_schedule;
-pub use table::{Table, percentile, seconds};
+pub use table::{Table, milliseconds, percentile, seconds};
 pub use verdict::Verdict;
 pub use versions::{SoleVersion, accepted_version, sole_version};
--- a/crates/system_tests/src/table.rs
+++ b/crates/system_tests/src/table.rs
@@ -6,6 +6,7 @@
 use crate::Verdict;
 use fault_injection::checkers::Violation;
 use std::fmt::Display;
+use std::time::Duration;
 
 struct Row {
     name: String,
@@ -95,3 +96,8 @@
 pub fn seconds(us: u64) -> f64 {
     us as f64 / 1e6
 }
+
+/// Converts a duration to milliseconds, as a figure of a table.
+pub fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
+}
