--- /dev/null
+++ b/crates/system_tests/src/bin/proof-membership/measurement.rs
@@ -0,0 +1,72 @@
+//! The measurement of a cluster of one size.
+
+use crate::cluster::{AGREEMENT_TIMEOUT, Cluster, MassDeathResult, PartitionResult};
+use std::time::Duration;
+use system_tests::Table;
+
+/// The head of the table of which [`Measurement::print_row`] prints a row.
+pub(crate) const TABLE_HEAD: &str = "| members | all see all, s | calm, bytes a s and member | half die: all know, s | bytes for each member by then | \
+    half apart: each side knows, s | healed: all see all, s | bytes for each member | stopped for a minute: back, s | \
+    took, s |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
+/// Maximum time until all survivors know that half of the members have died, s.
+const MAX_MASS_DEATH_DETECTION_S: f64 = 10.0;
+
+/// What a cluster of one size takes.
+pub(crate) struct Measurement {
+    members: usize,
+    joined_after: Duration,
+    calm_bytes_per_second: f64,
+    partition: PartitionResult,
+    /// How long a member that was suspended takes to be back; `None` if this was not measured.
+    back_after: Option<Duration>,
+    mass_death: MassDeathResult,
+    /// Real time of the measurement.
+    elapsed: Duration,
+}
+
+impl Measurement {
+    pub(crate) fn run(members: usize, gossip_period: Duration) -> Self {
+        let mut cluster = Cluster::start(members, gossip_period);
+        let joined_after = cluster.advance_until_agreement();
+        let calm_bytes_per_second = cluster.calm_bytes_per_second();
+        cluster.log(&format!("joined {} ms, calm {calm_bytes_per_second:.0}", joined_after.as_millis()));
+        let partition = cluster.partition();
+        let back_after = cluster.suspend_member();
+        cluster.log(&format!("back {}", optional_cell(back_after)));
+        let mass_death = cluster.kill_half();
+        let elapsed = cluster.elapsed();
+        Self { members, joined_after, calm_bytes_per_second, partition, back_after, mass_death, elapsed }
+    }
+
+    pub(crate) fn print_row(&self) {
+        println!(
+            "| {} | {} | {:.0} | {} | {} | {} | {} | {} | {} | {:.0} |",
+            self.members,
+            cell(self.joined_after),
+            self.calm_bytes_per_second,
+            cell(self.mass_death.detected_after),
+            self.mass_death.bytes_per_survivor,
+            cell(self.partition.detected_after),
+            cell(self.partition.healed_after),
+            self.partition.bytes_per_member,
+            optional_cell(self.back_after),
+            self.elapsed.as_secs_f64()
+        );
+    }
+
+    /// Adds the figure that has a bound.
+    pub(crate) fn add_to(&self, table: &mut Table) {
+        let name = format!("{}: half die, all know, s", self.members);
+        let detected_after_s = self.mass_death.detected_after.as_secs_f64();
+        table.add_with_maximum(&name, detected_after_s, MAX_MASS_DEATH_DETECTION_S);
+    }
+}
+
+/// Formats a time until agreement in seconds.
+fn cell(duration: Duration) -> String {
+    if duration >= AGREEMENT_TIMEOUT { "never".into() } else { format!("{:.1}", duration.as_secs_f64()) }
+}
+
+fn optional_cell(duration: Option<Duration>) -> String {
+    duration.map_or_else(|| "not tried".into(), cell)
+}
--- /dev/null
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated/main.rs
@@ -0,0 +1,37 @@
+//! The state machines of shared periodic jobs in simulated time: `proof-periodic-jobs-simulated [INSTANCES [GOSSIP_PERIOD_MS]]`.
+//!
+//! Clusters of 10 to 300 instances with ten jobs for each instance lose a tenth of all datagrams, and then half of their
+//! instances. Shows how the cost grows with the size.
+
+mod measurement;
+mod memory;
+
+use measurement::Measurement;
+use std::process::ExitCode;
+use system_tests::Table;
+use system_tests::simulation::SimulationArguments;
+
+/// A cluster of 1,000 instances takes more than ten minutes. It is measured only if the command line names its size.
+const SIZES: [usize; 4] = [10, 30, 100, 300];
+
+fn main() -> ExitCode {
+    let arguments = SimulationArguments::from_command_line();
+    let sizes = arguments.sizes(&SIZES);
+    println!("Gossip every {} ms.\n", arguments.gossip_period.as_millis());
+    println!("{}", measurement::TABLE_HEAD);
+    let mut table = Table::default();
+    let mut max_repeated_runs = 0;
+    for &instances in &sizes {
+        let measurement = Measurement::run(instances, arguments.gossip_period);
+        measurement.print_row();
+        measurement.add_to(&mut table);
+        max_repeated_runs = max_repeated_runs.max(measurement.repeated_runs);
+    }
+    println!();
+    let verdict = table.print();
+    println!(
+        "proof duties-simulated: up to {} instances, {max_repeated_runs} doubles, {verdict}",
+        sizes.last().copied().unwrap_or(0)
+    );
+    verdict.into()
+}
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -8,8 +8,8 @@
 mod gatekeeper;
 pub mod gatekeeper_output;
 mod parallel;
-
 mod schedules;
+pub mod simulation;
 mod table;
 mod verdict;
 mod versions;
@@ -20,7 +20,6 @@
 pub use fault_injection::wait::STEP_TIMEOUT;
 pub use gatekeeper::{Gatekeeper, release_build};
 pub use parallel::for_each_parallel;
-
 pub use schedules::run_schedule;
 pub use table::{Table, milliseconds, percentile, seconds};
 pub use verdict::Verdict;
--- /dev/null
+++ b/crates/system_tests/src/simulation.rs
@@ -0,0 +1,64 @@
+//! Clusters in simulated time, and the command line of the programs that measure them.
+
+use cluster_simulation::Simulation;
+use std::time::Duration;
+
+const DEFAULT_GOSSIP_PERIOD: Duration = Duration::from_millis(200);
+/// Simulated time between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The command line `[SIZE [GOSSIP_PERIOD_MS]]`. An argument that is no number counts as none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SimulationArguments {
+    /// The size of the only cluster, or `None` for the sizes that are usually measured.
+    pub size: Option<usize>,
+    /// Time between two gossip rounds. Large clusters gossip less often.
+    pub gossip_period: Duration,
+}
+
+impl SimulationArguments {
+    /// Parses the arguments of this process.
+    pub fn from_command_line() -> Self {
+        Self::parse(std::env::args().skip(1))
+    }
+
+    fn parse(mut arguments: impl Iterator<Item = String>) -> Self {
+        let size = arguments.next().and_then(|text| text.parse().ok());
+        let gossip_period_ms = arguments.next().and_then(|text| text.parse().ok());
+        let gossip_period = gossip_period_ms.map_or(DEFAULT_GOSSIP_PERIOD, Duration::from_millis);
+        Self { size, gossip_period }
+    }
+
+    /// Returns the sizes to measure.
+    pub fn sizes(&self, usual_sizes: &[usize]) -> Vec<usize> {
+        self.size.map_or(usual_sizes.to_vec(), |size| vec![size])
+    }
+}
+
+/// Returns the whole milliseconds of a duration, as the simulation takes them.
+pub fn whole_millis(duration: Duration) -> u64 {
+    duration.as_millis().try_into().unwrap_or(u64::MAX)
+}
+
+/// Advances the simulation by this much.
+pub fn advance(simulation: &mut Simulation, duration: Duration) {
+    simulation.advance(whole_millis(duration));
+}
+
+/// Advances the simulation until the condition holds, but not beyond the time-out. Returns how long that took in simulated time.
+pub fn advance_until(
+    simulation: &mut Simulation,
+    timeout: Duration,
+    condition: impl Fn(&Simulation) -> bool,
+) -> Duration {
+    let start_ms = simulation.now_ms();
+    let mut elapsed = Duration::ZERO;
+    while !condition(simulation) && elapsed < timeout {
+        advance(simulation, CHECK_INTERVAL);
+        elapsed = Duration::from_millis(simulation.now_ms() - start_ms);
+    }
+    elapsed
+}
+
+#[cfg(test)]
+mod tests;
