--- a/crates/system_tests/src/bin/proof-catalogue/main.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/main.rs
@@ -1,6 +1,10 @@
-//! The endpoint list through Consul's faults: one real gatekeeper with two Consul agents, and 12 backends under steady load. For
-//! each drain the time of the change and of the last request that came there.
+//! The endpoint list while Consul and its catalogue fail: one real gatekeeper with two Consul agents, and 12 backends under
+//! steady load.
+//!
+//! A scenario of about six minutes runs step by step and notes the time of each step. The report then evaluates the history of
+//! the site by these times: for each drain, how long after the change of the catalogue the last request reached the backend.
 
+mod load;
 mod report;
 mod requests;
 mod scenario;
@@ -13,29 +17,14 @@
 use system_tests::{Error, Table, Verdict, release_build};
 
 const BACKENDS: usize = 12;
-const CLIENTS: usize = 6;
-/// Duration of each outage, s.
-const OUTAGE_S: f64 = 30.0;
-/// Number of flaps, one a second.
-const FLAPS: u32 = 60;
 
-fn schedule() -> Schedule {
-    let options = SiteOptions {
-        jobs: 0,
-        consul_agents: 2,
-        load: false,
-        health_checks: false,
-        ..SiteOptions::default()
-    };
-    Schedule {
-        name: "catalogue".into(),
-        seed: 1,
-        form: Form::Appliance,
-        gatekeepers: 1,
-        backends: BACKENDS,
-        length_ms: 0,
-        options,
-        faults: Vec::new(),
+fn main() -> ExitCode {
+    match run() {
+        Ok(verdict) => verdict.into(),
+        Err(error) => {
+            eprintln!("proof catalogue: {error}");
+            ExitCode::FAILURE
+        }
     }
 }
 
@@ -54,12 +43,23 @@
     Ok(verdict)
 }
 
-fn main() -> ExitCode {
-    match run() {
-        Ok(verdict) => verdict.into(),
-        Err(error) => {
-            eprintln!("proof catalogue: {error}");
-            ExitCode::FAILURE
-        }
+/// Returns a schedule without faults: the scenario injects its faults itself.
+fn schedule() -> Schedule {
+    let options = SiteOptions {
+        jobs: 0,
+        consul_agents: 2,
+        load: false,
+        health_checks: false,
+        ..SiteOptions::default()
+    };
+    Schedule {
+        name: "catalogue".into(),
+        seed: 1,
+        form: Form::Appliance,
+        gatekeepers: 1,
+        backends: BACKENDS,
+        length_ms: 0,
+        options,
+        faults: Vec::new(),
     }
 }
--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -1,11 +1,12 @@
-//! What it came to.
+//! The report: the figures of each step of the scenario, with their bounds.
 
+use crate::BACKENDS;
+use crate::load::CLIENTS;
 use crate::requests::Requests;
-use crate::scenario::FAILOVER_BACKEND;
+use crate::scenario::{FAILOVER_BACKEND, FLAPS, weight};
 use crate::timeline::{Drain, MemoryGrowth, SizeCost, Timeline};
-use crate::{BACKENDS, CLIENTS, FLAPS};
 use fault_injection::checkers::{final_answers, unexpected_exits};
-use fault_injection::history::{Observation, Outcome, Record, Span};
+use fault_injection::history::{Observation, Record, Span};
 use fault_injection::site::Site;
 use system_tests::gatekeeper_output::log_events::{
     CACHE_NOT_USABLE, CACHED_LIST_IN_USE, ENDPOINT_ELIGIBLE, ENDPOINT_NOT_ELIGIBLE, REASON_CRITICAL,
@@ -13,155 +14,195 @@
 use system_tests::gatekeeper_output::status_report;
 use system_tests::{Table, percentile, seconds};
 
-/// Backends that are really dead in an outage.
+/// The number of backends that die in an outage.
 const DEAD_IN_OUTAGE: f64 = 2.0;
+/// Minimum share of requests that are served without faults.
+const MIN_CALM_SHARE: f64 = 0.999;
+/// Maximum time from a change of the catalogue to the last request at the drained backend, s.
+const MAX_DRAIN_LAG_S: f64 = 1.0;
+/// Maximum number of changes between eligible and not eligible for each flapping backend.
+const MAX_CHANGES_PER_FLAPPING_BACKEND: f64 = 8.0;
+/// Minimum and maximum number of requests to weight 3 for each request to weight 1.
+const WEIGHT_RATIO_BOUNDS: [f64; 2] = [2.4, 3.6];
+/// Maximum time from a restart to the first served request, s.
+const MAX_RESTART_S: f64 = 2.0;
+/// Maximum growth of memory over 100,000 replaced ids, kB.
+const MAX_MEMORY_GROWTH_KB: f64 = 20_000.0;
 
 struct Report<'a> {
     table: &'a mut Table,
     timeline: &'a Timeline,
     history: &'a [Record],
     requests: Requests,
-    /// The served share without faults.
+    /// The share of requests that are served without faults.
     calm_share: f64,
 }
 
-/// Fills the table and returns the last line's figures.
+/// Fills the table and returns the figures of the last line.
 pub(crate) fn report(table: &mut Table, timeline: &Timeline, history: &[Record]) -> String {
     let requests = Requests::of(history);
-    let calm_share = requests.served(timeline.calm).share;
+    let calm_share = requests.served_share(timeline.calm);
     let mut report = Report { table, timeline, history, requests, calm_share };
-    report.calm();
-    let worst_lag = report.drains();
-    let least_share = report.outages();
-    report.flapping();
-    report.damaged_answers();
-    let ratio = report.weights();
-    report.restarts();
-    report.rules();
-    report.sizes();
+    report.add_calm();
+    let max_drain_lag_s = report.add_drains();
+    let min_outage_share = report.add_outages();
+    report.add_flapping();
+    report.add_damaged_responses();
+    report.add_replaced_instance();
+    let weight_ratio = report.add_weights();
+    report.add_restart_with_cache();
+    report.add_restart_with_truncated_cache();
+    report.add_rules();
+    report.add_sizes();
+    report.add_memory_growth();
     format!(
-        "drains {worst_lag:.4} s at worst, weight 3:1 as {ratio:.2}, served {least_share:.4} at least in outages"
+        "drains {max_drain_lag_s:.4} s at worst, weight 3:1 as {weight_ratio:.2}, served {min_outage_share:.4} at least in outages"
     )
 }
 
 impl Report<'_> {
-    fn calm(&mut self) {
+    fn add_calm(&mut self) {
         let length = self.timeline.load.seconds();
         self.table.add("size", format!("{BACKENDS} loan servers, {CLIENTS} clients, {length:.0} s"));
-        let rate = self.requests.served(self.timeline.calm).answers as f64 / self.timeline.calm.seconds();
-        self.table.add("answers a second, calm", format!("{rate:.0}"));
-        self.table.add_with_minimum("served share, calm", self.calm_share, 0.999);
+        let calm = self.timeline.calm;
+        let responses_per_second = self.requests.responses(calm).all as f64 / calm.seconds();
+        self.table.add("answers a second, calm", format!("{responses_per_second:.0}"));
+        self.table.add_with_minimum("served share, calm", self.calm_share, MIN_CALM_SHARE);
     }
 
-    /// Returns how long after a drain the last request came, at worst, s.
-    fn drains(&mut self) -> f64 {
-        let lag = |drain: &Drain| self.requests.last_arrival_after(&drain.backend, drain.span);
-        let mut lags: Vec<f64> = self.timeline.drains.iter().map(lag).collect();
-        lags.sort_by(f64::total_cmp);
+    /// Returns the maximum time from a change of the catalogue to the last request at the drained backend, s.
+    fn add_drains(&mut self) -> f64 {
+        let lag_s =
+            |drain: &Drain| self.requests.last_arrival_after(&drain.backend, drain.span).as_secs_f64();
+        let mut lags_s: Vec<f64> = self.timeline.drains.iter().map(lag_s).collect();
+        lags_s.sort_by(f64::total_cmp);
         let name = "last request come after the word of a drain, s: median of 20";
-        self.table.add(name, format!("{:.4}", percentile(&lags, 0.5)));
-        let worst = percentile(&lags, 1.0);
-        self.table.add_with_maximum("... worst, s", worst, 1.0);
+        self.table.add(name, format!("{:.4}", percentile(&lags_s, 0.5)));
+        let max_lag_s = percentile(&lags_s, 1.0);
+        self.table.add_with_maximum("... worst, s", max_lag_s, MAX_DRAIN_LAG_S);
         let backend = format!("l{FAILOVER_BACKEND}");
-        let failover = self.requests.last_arrival_after(&backend, self.timeline.failover);
-        self.table.add_with_maximum("... through the second agent, s", failover, 1.0);
-        worst
+        let failover_lag = self.requests.last_arrival_after(&backend, self.timeline.failover);
+        let name = "... through the second agent, s";
+        self.table.add_with_maximum(name, failover_lag.as_secs_f64(), MAX_DRAIN_LAG_S);
+        max_lag_s
     }
 
-    /// Returns the least share that was served in an outage.
-    fn outages(&mut self) -> f64 {
-        let mut least: f64 = 1.0;
+    /// Returns the minimum share of requests that were served in an outage.
+    fn add_outages(&mut self) -> f64 {
+        // First attempts at the dead backends are retried at others.
+        let min_share = self.calm_share - DEAD_IN_OUTAGE / BACKENDS as f64;
+        let mut lowest_share: f64 = 1.0;
         for outage in &self.timeline.outages {
-            // What is tried at the dead ones is tried elsewhere.
-            let share = self.requests.served(outage.span).share;
-            least = least.min(share);
+            let share = self.requests.served_share(outage.span);
             let name = format!("served share while Consul is {} and 2 of 12 die", outage.kind);
-            self.table.add_with_minimum(&name, share, self.calm_share - DEAD_IN_OUTAGE / BACKENDS as f64);
+            self.table.add_with_minimum(&name, share, min_share);
+            lowest_share = lowest_share.min(share);
         }
-        least
+        lowest_share
     }
 
-    fn flapping(&mut self) {
+    fn add_flapping(&mut self) {
         for flapping in &self.timeline.flapping {
-            let (count, span) = (flapping.backends, flapping.span);
-            let changes = self.requests.logged(span, ENDPOINT_ELIGIBLE)
-                + self.requests.logged_with_reason(span, ENDPOINT_NOT_ELIGIBLE, REASON_CRITICAL);
-            let each = changes as f64 / count as f64;
-            let name = format!("{count} flapping each second for {FLAPS} s: turns of each");
-            self.table.add_with_maximum(&name, each, 8.0);
-            let share = self.requests.served(span).share;
+            let (backends, span) = (flapping.backends, flapping.span);
+            let admitted = self.requests.log_event_count(span, ENDPOINT_ELIGIBLE);
+            let drained =
+                self.requests.log_event_count_with_reason(span, ENDPOINT_NOT_ELIGIBLE, REASON_CRITICAL);
+            let changes_per_backend = (admitted + drained) as f64 / backends as f64;
+            let name = format!("{backends} flapping each second for {FLAPS} s: turns of each");
+            self.table.add_with_maximum(&name, changes_per_backend, MAX_CHANGES_PER_FLAPPING_BACKEND);
+            let share = self.requests.served_share(span);
             self.table.add_with_minimum("... served share", share, self.calm_share - 0.01);
         }
     }
 
-    fn damaged_answers(&mut self) {
-        for (what, span) in [
-            ("catalogue wiped for 3 s", self.timeline.wiped),
-            ("answers cut", self.timeline.truncated),
-            ("index going back", self.timeline.index_back),
+    fn add_damaged_responses(&mut self) {
+        let damaged = &self.timeline.damaged_responses;
+        for (name, span) in [
+            ("catalogue wiped for 3 s", damaged.wiped),
+            ("answers cut", damaged.truncated),
+            ("index going back", damaged.index_back),
         ] {
-            let share = self.requests.served(span).share;
-            self.table.add_with_minimum(&format!("served share, {what}"), share, self.calm_share - 0.001);
+            let share = self.requests.served_share(span);
+            self.table.add_with_minimum(&format!("served share, {name}"), share, self.calm_share - 0.001);
         }
-        let replaced = self.requests.arrived("l0", self.timeline.replaced);
+    }
+
+    fn add_replaced_instance(&mut self) {
+        let arrivals = self.requests.arrival_count("l0", self.timeline.replaced);
         let name = "requests at an address whose instance was replaced";
-        self.table.add_with_minimum(name, replaced as f64, 1.0);
+        self.table.add_with_minimum(name, arrivals as f64, 1.0);
     }
 
-    /// Returns how many requests weight 3 got for one of weight 1.
-    fn weights(&mut self) -> f64 {
-        let arrived = |weight: usize| -> usize {
-            let backends = (0..BACKENDS).filter(|i| i % 3 + 1 == weight);
-            backends.map(|i| self.requests.arrived(&format!("l{i}"), self.timeline.weighted)).sum()
+    /// Returns the number of requests to weight 3 for each request to weight 1.
+    fn add_weights(&mut self) -> f64 {
+        let arrivals = |wanted_weight: u32| -> usize {
+            let backends = (0..BACKENDS).filter(|&backend| weight(backend) == wanted_weight);
+            let names = backends.map(|backend| format!("l{backend}"));
+            names.map(|name| self.requests.arrival_count(&name, self.timeline.weighted)).sum()
         };
-        let by_weight = [1, 2, 3].map(arrived);
+        let by_weight = [1, 2, 3].map(arrivals);
         let ratio = by_weight[2] as f64 / (by_weight[0] as f64).max(1.0);
+        let [min_ratio, max_ratio] = WEIGHT_RATIO_BOUNDS;
         self.table.add("requests by weight 1, 2, 3", format!("{by_weight:?}"));
-        self.table.add_with_minimum("weight 3 against 1", ratio, 2.4);
-        self.table.add_with_maximum("weight 3 against 1, at most", ratio, 3.6);
+        self.table.add_with_minimum("weight 3 against 1", ratio, min_ratio);
+        self.table.add_with_maximum("weight 3 against 1, at most", ratio, max_ratio);
         ratio
     }
 
-    fn restarts(&mut self) {
-        let restart = self.timeline.restart;
-        let logged = self.requests.logged(restart, CACHED_LIST_IN_USE);
-        self.table.add_with_minimum("restart while Consul is silent: the log says so", logged as f64, 1.0);
+    fn add_restart_with_cache(&mut self) {
+        let restart = self.timeline.restarts.with_cache;
+        let logged = self.requests.log_event_count(restart, CACHED_LIST_IN_USE);
+        let name = "restart while Consul is silent: the log says so";
+        self.table.add_with_minimum(name, logged as f64, 1.0);
+
+        let started_us = self.last_process_start_us(restart);
+        let first_served_us = self.requests.first_served_after_us(started_us);
+        let first_served_s = first_served_us.map_or(f64::INFINITY, |at_us| seconds(at_us - started_us));
+        self.table.add_with_maximum("... first served after, s", first_served_s, MAX_RESTART_S);
+
+        let share_from = |from_us| self.requests.served_share(Span { from_us, ..restart });
+        let share = first_served_us.map_or(0.0, share_from);
+        self.table.add_with_minimum("... served share from then on", share, MIN_CALM_SHARE);
+
+        let is_reported = self.timeline.restarts.status_report.contains(status_report::CACHED_LIST);
+        self.table.add_condition("... the status says so", is_reported);
+    }
+
+    /// Returns when the last process before the end of a span was started.
+    fn last_process_start_us(&self, span: Span) -> u64 {
         let is_start = |record: &&Record| {
-            record.at_us < restart.to_us && matches!(record.observation, Observation::ProcessStarted { .. })
+            record.at_us < span.to_us && matches!(record.observation, Observation::ProcessStarted { .. })
         };
-        let start = self.history.iter().rev().find(is_start);
-        let started_us = start.map_or(restart.from_us, |record| record.at_us);
-        let answers = self.requests.answers.iter();
-        let first = answers.clone().find(|a| a.at_us > started_us && a.outcome == Outcome::Served);
-        let first_us = first.map(|answer| answer.at_us);
-        let after = first_us.map_or(f64::INFINITY, |at_us| seconds(at_us - started_us));
-        self.table.add_with_maximum("... first served after, s", after, 2.0);
-        let from_disk = |from_us| self.requests.served(Span { from_us, ..restart }).share;
-        let share = first_us.map_or(0.0, from_disk);
-        self.table.add_with_minimum("... served share from then on", share, 0.999);
-        let shown = self.timeline.status.contains(status_report::CACHED_LIST);
-        self.table.add_condition("... the status says so", shown);
-        let rejected = self.requests.logged(self.timeline.torn, CACHE_NOT_USABLE);
+        self.history.iter().rev().find(is_start).map_or(span.from_us, |record| record.at_us)
+    }
+
+    fn add_restart_with_truncated_cache(&mut self) {
+        let restart = self.timeline.restarts.with_truncated_cache;
+        let rejected = self.requests.log_event_count(restart, CACHE_NOT_USABLE);
         self.table.add_with_minimum("half of a list file is refused", rejected as f64, 1.0);
     }
 
-    fn rules(&mut self) {
+    fn add_rules(&mut self) {
         for rule in [final_answers, unexpected_exits] {
             let violations = rule(self.history, &Site::bounds());
-            let text =
-                violations.first().map_or("rules on answers and exits broken", |violation| &violation.text);
-            self.table.add_with_maximum(text, violations.len() as f64, 0.0);
+            let first_text = violations.first().map(|violation| violation.text.as_str());
+            let name = first_text.unwrap_or("rules on answers and exits broken");
+            self.table.add_with_maximum(name, violations.len() as f64, 0.0);
         }
     }
 
-    fn sizes(&mut self) {
+    fn add_sizes(&mut self) {
         for SizeCost { instances, cpu_share, memory_kb } in &self.timeline.sizes {
             let figures = format!("{:.1}% of a core, {memory_kb} kB", cpu_share * 100.0);
             self.table.add(&format!("{instances} instances, 50 changes a second"), figures);
         }
+    }
+
+    fn add_memory_growth(&mut self) {
         let MemoryGrowth { before_kb, after_kb } = self.timeline.memory;
         let name = "memory before and after 100,000 replaced ids, kB";
         self.table.add(name, format!("{before_kb}, {after_kb}"));
-        self.table.add_with_maximum("... growth, kB", after_kb as f64 - before_kb as f64, 20_000.0);
+        let growth_kb = after_kb as f64 - before_kb as f64;
+        self.table.add_with_maximum("... growth, kB", growth_kb, MAX_MEMORY_GROWTH_KB);
     }
 }
--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -1,21 +1,28 @@
-//! What a history says of requests.
+//! Responses, arrivals at backends and log events of a history.
 
 use fault_injection::history::{Observation, Outcome, Record, Span};
 use serde_json::Value;
 use std::collections::HashSet;
-use system_tests::seconds;
+use std::time::Duration;
 
-/// The share of answers that were a backend's, and how many answers there were.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct ServedShare {
-    pub(crate) share: f64,
-    pub(crate) answers: usize,
+/// Responses within a span.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ResponseCounts {
+    pub(crate) all: usize,
+    /// Those that came from a backend.
+    pub(crate) served: usize,
 }
 
-/// An answer.
-pub(crate) struct Answer {
-    pub(crate) at_us: u64,
-    pub(crate) outcome: Outcome,
+impl ResponseCounts {
+    /// Returns the share of responses that came from a backend, or 0 without responses.
+    pub(crate) fn served_share(self) -> f64 {
+        self.served as f64 / self.all.max(1) as f64
+    }
+}
+
+struct Response {
+    at_us: u64,
+    outcome: Outcome,
 }
 
 struct Arrival {
@@ -23,19 +30,19 @@
     backend: String,
 }
 
-struct LogLine {
+struct LogEvent {
     at_us: u64,
     message: String,
     /// The field `reason`, or an empty string if the event has none.
     reason: String,
 }
 
-/// What a history says of requests.
+/// Responses, arrivals at backends and log events of a history.
 #[derive(Default)]
 pub(crate) struct Requests {
-    pub(crate) answers: Vec<Answer>,
+    responses: Vec<Response>,
     arrivals: Vec<Arrival>,
-    log: Vec<LogLine>,
+    log_events: Vec<LogEvent>,
 }
 
 impl Requests {
@@ -46,18 +53,19 @@
             let at_us = *at_us;
             match observation {
                 Observation::RequestSent { request_id, .. } => drop(sent.insert(*request_id)),
-                // A request that was not accepted has no answer.
+                // A request that was not accepted has no response.
                 Observation::RequestEnded { request_id, outcome }
                     if *outcome != Outcome::NotAccepted && sent.contains(request_id) =>
                 {
-                    requests.answers.push(Answer { at_us, outcome: *outcome });
+                    requests.responses.push(Response { at_us, outcome: *outcome });
                 }
                 Observation::AttemptArrived { backend, .. } => {
                     requests.arrivals.push(Arrival { at_us, backend: backend.clone() });
                 }
                 Observation::LogLine { text, fields, .. } => {
                     let reason = fields.get("reason").and_then(Value::as_str).unwrap_or_default();
-                    requests.log.push(LogLine { at_us, message: text.clone(), reason: reason.to_owned() });
+                    let event = LogEvent { at_us, message: text.clone(), reason: reason.to_owned() };
+                    requests.log_events.push(event);
                 }
                 _ => {}
             }
@@ -65,41 +73,58 @@
         requests
     }
 
-    pub(crate) fn served(&self, span: Span) -> ServedShare {
-        let within = |answer: &&Answer| answer.at_us >= span.from_us && answer.at_us < span.to_us;
-        let answers = self.answers.iter().filter(within).count();
-        let served = self.answers.iter().filter(within).filter(|a| a.outcome == Outcome::Served).count();
-        ServedShare { share: served as f64 / answers.max(1) as f64, answers }
+    /// Counts the responses from the begin of a span until before its end.
+    pub(crate) fn responses(&self, span: Span) -> ResponseCounts {
+        let within = || self.responses.iter().filter(|response| is_within(response.at_us, span));
+        let served = within().filter(|response| response.outcome == Outcome::Served);
+        ResponseCounts { all: within().count(), served: served.count() }
+    }
+
+    /// Returns the share of responses within a span that came from a backend.
+    pub(crate) fn served_share(&self, span: Span) -> f64 {
+        self.responses(span).served_share()
+    }
+
+    /// Returns when the first response of a backend after this time came.
+    pub(crate) fn first_served_after_us(&self, at_us: u64) -> Option<u64> {
+        let is_first = |response: &&Response| response.at_us > at_us && response.outcome == Outcome::Served;
+        self.responses.iter().find(is_first).map(|response| response.at_us)
     }
 
-    /// Arrivals at a backend after the begin of a span and before its end, us.
-    fn arrivals(&self, backend: &str, span: Span) -> impl Iterator<Item = u64> {
+    /// Returns the times of arrivals at a backend after the begin of a span and before its end, us.
+    fn arrivals_us(&self, backend: &str, span: Span) -> impl Iterator<Item = u64> {
         let at_backend = self.arrivals.iter().filter(move |arrival| arrival.backend == backend);
         at_backend
             .map(|arrival| arrival.at_us)
             .filter(move |&at_us| at_us > span.from_us && at_us < span.to_us)
     }
 
-    /// How long after the begin of a span the last request of the span came to a backend, s.
-    pub(crate) fn last_arrival_after(&self, backend: &str, span: Span) -> f64 {
-        self.arrivals(backend, span).max().map_or(0.0, |last_us| seconds(last_us - span.from_us))
+    /// Returns the time from the begin of a span to the last arrival at a backend within it, or zero without arrivals.
+    pub(crate) fn last_arrival_after(&self, backend: &str, span: Span) -> Duration {
+        let last_us = self.arrivals_us(backend, span).max();
+        last_us.map_or(Duration::ZERO, |last_us| Duration::from_micros(last_us - span.from_us))
     }
 
-    pub(crate) fn arrived(&self, backend: &str, span: Span) -> usize {
-        self.arrivals(backend, span).count()
+    /// Counts the arrivals at a backend within a span.
+    pub(crate) fn arrival_count(&self, backend: &str, span: Span) -> usize {
+        self.arrivals_us(backend, span).count()
     }
 
-    /// Returns the number of log events in a span whose message contains this text.
-    pub(crate) fn logged(&self, span: Span, message: &str) -> usize {
-        self.logged_with_reason(span, message, "")
+    /// Counts the log events within a span whose message contains this text.
+    pub(crate) fn log_event_count(&self, span: Span, message: &str) -> usize {
+        self.log_event_count_with_reason(span, message, "")
     }
 
-    /// Returns the number of log events in a span whose message and reason contain these texts.
-    pub(crate) fn logged_with_reason(&self, span: Span, message: &str, reason: &str) -> usize {
-        let within = self.log.iter().filter(|line| line.at_us >= span.from_us && line.at_us < span.to_us);
-        within.filter(|line| line.message.contains(message) && line.reason.contains(reason)).count()
+    /// Counts the log events within a span whose message and reason contain these texts.
+    pub(crate) fn log_event_count_with_reason(&self, span: Span, message: &str, reason: &str) -> usize {
+        let within = self.log_events.iter().filter(|event| is_within(event.at_us, span));
+        within.filter(|event| event.message.contains(message) && event.reason.contains(reason)).count()
     }
 }
 
+fn is_within(at_us: u64, span: Span) -> bool {
+    (span.from_us..span.to_us).contains(&at_us)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/system_tests/src/bin/proof-catalogue/requests/tests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests/tests.rs
@@ -1,4 +1,4 @@
-//! Figures of a small history.
+//! Counts and times of a small history.
 
 use super::*;
 
@@ -36,24 +36,23 @@
         sent(230, 3),
         arrived(400_000, 3, "l0"),
         ended(500_000, 3, Outcome::Rejected),
-        // One that was never sent is no answer.
+        // The end of a request that was never sent is no response.
         ended(500_001, 9, Outcome::Served),
         record(500_002, line),
         arrived(600_000, 4, "l1"),
     ];
     let requests = Requests::of(&history);
     let all = Span { from_us: 100, to_us: 700_000 };
-    let served = requests.served(all);
-    assert_eq!((served.share, served.answers), (0.5, 2));
+    assert_eq!(requests.responses(all), ResponseCounts { all: 2, served: 1 });
+    assert_eq!(requests.served_share(all), 0.5);
     // The end of a span is not in it.
-    assert_eq!(requests.served(Span { from_us: 200, to_us: 500_000 }).answers, 1);
-    assert_eq!((requests.arrived("l0", all), requests.arrived("l1", all)), (2, 1));
-    assert_eq!(requests.last_arrival_after("l0", all), 0.3999);
-    assert_eq!(requests.last_arrival_after("l2", all), 0.0);
-    assert_eq!(
-        (requests.logged(all, "endpoint not eligible"), requests.logged(all, "endpoint eligible")),
-        (1, 0)
-    );
-    assert_eq!(requests.logged_with_reason(all, "endpoint not eligible", "it is critical"), 1);
-    assert_eq!(requests.logged_with_reason(all, "endpoint not eligible", "its weight is 0"), 0);
+    assert_eq!(requests.responses(Span { from_us: 200, to_us: 500_000 }).all, 1);
+    assert_eq!((requests.first_served_after_us(199), requests.first_served_after_us(200)), (Some(200), None));
+    assert_eq!((requests.arrival_count("l0", all), requests.arrival_count("l1", all)), (2, 1));
+    assert_eq!(requests.last_arrival_after("l0", all), Duration::from_micros(399_900));
+    assert_eq!(requests.last_arrival_after("l2", all), Duration::ZERO);
+    assert_eq!(requests.log_event_count(all, "endpoint not eligible"), 1);
+    assert_eq!(requests.log_event_count(all, "endpoint eligible"), 0);
+    let with_reason = |reason| requests.log_event_count_with_reason(all, "endpoint not eligible", reason);
+    assert_eq!((with_reason("it is critical"), with_reason("its weight is 0")), (1, 0));
 }
--- a/crates/system_tests/src/bin/proof-catalogue/scenario.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/scenario.rs
@@ -1,197 +1,253 @@
-//! What happens to the catalogue, step by step.
+//! The scenario: what happens to Consul, to its catalogue and to the gatekeeper, step by step.
 
-use crate::sizes;
-use crate::timeline::{Drain, Flapping, Outage, Timeline, pause};
-use crate::{BACKENDS, CLIENTS, FLAPS, OUTAGE_S};
+use crate::load::Load;
+use crate::timeline::{DamagedResponses, Drain, Flapping, Outage, Restarts, Timeline, pause};
+use crate::{BACKENDS, sizes};
 use fault_injection::history::{Span, now_us};
-use fault_injection::load::{Tenant, UNLIMITED_TENANT};
 use fault_injection::schedule::{DiskFault, FailureMode, FaultKind};
 use fault_injection::site::Site;
 use stand_in_consul::{CheckStatus, Fault, Service, Weights};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::thread::{self, JoinHandle, sleep};
+use std::thread;
 use std::time::Duration;
 use system_tests::Error;
 
-/// Between two requests of a client: together well below the quota of the tenant for whom they ask.
-const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 const DRAINS: usize = 20;
-const DRAIN_KINDS: [&str; 5] = ["critical", "maintenance", "node down", "warning", "gone"];
-/// The backend that is drained while the first agent is away.
+/// The backend that is drained while the first Consul agent is down.
 pub(crate) const FAILOVER_BACKEND: usize = 7;
+/// The duration of each outage of Consul.
+const OUTAGE: Duration = Duration::from_secs(30);
+/// The number of flaps, one a second.
+pub(crate) const FLAPS: u32 = 60;
+/// The backends that flap: first one, then a third of all.
+const FLAPPING_BACKENDS: [&[usize]; 2] = [&[8], &[8, 9, 10, 11]];
 /// The only gatekeeper.
 const GATEKEEPER: &str = "m0";
+/// An index of the catalogue below those that the gatekeeper has seen.
+const EARLIER_CATALOGUE_INDEX: u64 = 3;
+/// A replaced instance may get requests until the gatekeeper has seen the change.
+const REPLACEMENT_DELAY_US: u64 = 1_000_000;
+/// Length to which the cache file is truncated: about half of it.
+const TRUNCATED_CACHE_BYTES: u32 = 500;
 
-/// Runs all steps.
+const HALF_SECOND: Duration = Duration::from_millis(500);
+const ONE_SECOND: Duration = Duration::from_secs(1);
+const TWO_SECONDS: Duration = Duration::from_secs(2);
+const THREE_SECONDS: Duration = Duration::from_secs(3);
+const FOUR_SECONDS: Duration = Duration::from_secs(4);
+
+/// Runs all steps under load, and then measures large catalogues without load.
 pub(crate) fn run(site: &Arc<Site>) -> Result<Timeline, Error> {
-    let mut timeline = Timeline::default();
-    let is_over = Arc::new(AtomicBool::new(false));
-    let begin_us = now_us();
-    let clients: Vec<_> = (0..CLIENTS).map(|_| start_client(site, &is_over)).collect();
-    pause(2.0);
-    timeline.calm = pause(5.0);
-    drain_each_kind(site, &mut timeline);
-    // All are back for good before anything else; their holds for flaps run out.
-    pause(1.0);
-    consul_outages(site, &mut timeline);
-    first_agent_away(site, &mut timeline);
-    flapping(site, &mut timeline);
-    damaged_answers(site, &mut timeline);
-    replaced_and_weighted(site, &mut timeline);
-    restarts(site, &mut timeline)?;
-    timeline.load = Span::since(begin_us);
-    is_over.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| drop(client.join()));
-    sizes::measure(site, &mut timeline);
-    Ok(timeline)
-}
-
-fn start_client(site: &Site, is_over: &Arc<AtomicBool>) -> JoinHandle<()> {
-    let (mut client, is_over) = (site.client(0), is_over.clone());
-    let tenant = Tenant { request_interval: REQUEST_INTERVAL, ..UNLIMITED_TENANT };
-    thread::spawn(move || {
-        while !is_over.load(Ordering::Relaxed) {
-            client.send_request(&tenant);
-            sleep(REQUEST_INTERVAL);
-        }
+    let load = Load::start(site);
+    pause(TWO_SECONDS);
+    let calm = pause(Duration::from_secs(5));
+    let drains = drain_backends(site);
+    // The next step starts with all backends eligible and with no backend held down after a flap.
+    pause(ONE_SECOND);
+    let outages = consul_outages(site);
+    let failover = drain_with_first_agent_down(site);
+    let flapping = FLAPPING_BACKENDS.map(|backends| flap(site, backends)).into();
+    let damaged_responses = damaged_responses(site);
+    let replaced = replace_instance(site);
+    let weighted = set_weights(site);
+    let restarts = restart_without_consul(site)?;
+    let load = load.stop();
+    Ok(Timeline {
+        load,
+        calm,
+        drains,
+        outages,
+        failover,
+        flapping,
+        damaged_responses,
+        replaced,
+        weighted,
+        restarts,
+        sizes: sizes::cost_of_sizes(site),
+        memory: sizes::memory_growth(site),
     })
 }
 
-/// Both Consul agents fail like this.
-fn fail_consul(site: &Site, fault: Fault) {
-    site.consul_agents(0).iter().for_each(|agent| agent.fail(fault));
+/// How the catalogue tells that a backend drains.
+#[derive(Clone, Copy)]
+enum DrainKind {
+    CheckCritical,
+    Maintenance,
+    NodeDown,
+    CheckWarning,
+    Deregistered,
 }
 
-/// The catalogue with these backends failing.
-fn with_critical(site: &Site, backends: &[usize]) -> Vec<Service> {
-    let mut services = site.healthy_services();
-    backends.iter().for_each(|&i| services[i].status = CheckStatus::Critical);
-    services
-}
+impl DrainKind {
+    const ALL: [Self; 5] =
+        [Self::CheckCritical, Self::Maintenance, Self::NodeDown, Self::CheckWarning, Self::Deregistered];
 
-/// Drains of every kind, one after the other.
-fn drain_each_kind(site: &Site, timeline: &mut Timeline) {
-    for (turn, kind) in DRAIN_KINDS.iter().cycle().take(DRAINS).enumerate() {
-        let i = turn % BACKENDS;
-        let mut services = site.healthy_services();
-        let backend = services[i].id.clone();
-        match *kind {
-            "critical" => services[i].status = CheckStatus::Critical,
-            "maintenance" => services[i].in_maintenance = true,
-            "node down" => services[i].is_node_healthy = false,
-            "warning" => services[i].status = CheckStatus::Warning,
-            _ => drop(services.remove(i)),
+    fn apply(self, services: &mut Vec<Service>, backend: usize) {
+        match self {
+            Self::CheckCritical => services[backend].status = CheckStatus::Critical,
+            Self::Maintenance => services[backend].in_maintenance = true,
+            Self::NodeDown => services[backend].is_node_healthy = false,
+            Self::CheckWarning => services[backend].status = CheckStatus::Warning,
+            Self::Deregistered => drop(services.remove(backend)),
         }
-        let changed_us = site.set_services(services);
-        pause(0.5);
-        timeline.drains.push(Drain { backend, span: Span::since(changed_us) });
-        site.set_services(site.healthy_services());
-        pause(0.1);
     }
 }
 
-/// Outages of three kinds, in each of which two backends die for real.
-fn consul_outages(site: &Site, timeline: &mut Timeline) {
+/// Drains one backend after the other, in all ways by turns.
+fn drain_backends(site: &Site) -> Vec<Drain> {
+    let kinds = DrainKind::ALL.into_iter().cycle().take(DRAINS);
+    kinds.enumerate().map(|(turn, kind)| drain(site, turn % BACKENDS, kind)).collect()
+}
+
+fn drain(site: &Site, backend: usize, kind: DrainKind) -> Drain {
+    let mut services = site.healthy_services();
+    let name = services[backend].id.clone();
+    kind.apply(&mut services, backend);
+    let changed_us = site.set_services(services);
+    pause(HALF_SECOND);
+    let span = Span::since(changed_us);
+    site.set_services(site.healthy_services());
+    pause(Duration::from_millis(100));
+    Drain { backend: name, span }
+}
+
+/// Makes both Consul agents fail in three ways. Two other backends die in each outage.
+fn consul_outages(site: &Site) -> Vec<Outage> {
     let kinds =
         [("silent", Fault::Silent), ("refusing", Fault::Closed), ("answering 500", Fault::Status(500))];
-    for (turn, (kind, fault)) in kinds.into_iter().enumerate() {
+    let outages = kinds.into_iter().enumerate().map(|(turn, (kind, fault))| {
         fail_consul(site, fault);
-        pause(1.0);
-        let span = thread::scope(|scope| {
-            let dying = [2 * turn, 2 * turn + 1].map(|i| {
-                let dies = FaultKind::Backends { target: format!("l{i}"), mode: FailureMode::Closed };
-                scope.spawn(move || {
-                    site.inject_fault(0, &dies, &|| {
-                        pause(OUTAGE_S);
-                    })
+        pause(ONE_SECOND);
+        let span = outage_with_dead_backends(site, [2 * turn, 2 * turn + 1]);
+        fail_consul(site, Fault::None);
+        pause(Duration::from_secs(6));
+        Outage { kind, span }
+    });
+    outages.collect()
+}
+
+/// Waits for [`OUTAGE`] while these backends accept no connections.
+fn outage_with_dead_backends(site: &Site, backends: [usize; 2]) -> Span {
+    thread::scope(|scope| {
+        let dead = backends.map(|backend| {
+            let kind = FaultKind::Backends { target: format!("l{backend}"), mode: FailureMode::Closed };
+            scope.spawn(move || {
+                site.inject_fault(0, &kind, &|| {
+                    pause(OUTAGE);
                 })
-            });
-            let span = pause(OUTAGE_S);
-            dying.into_iter().for_each(|backend| drop(backend.join()));
-            span
+            })
         });
-        timeline.outages.push(Outage { kind, span });
-        fail_consul(site, Fault::None);
-        pause(6.0);
-    }
+        let span = pause(OUTAGE);
+        dead.into_iter().for_each(|backend| drop(backend.join()));
+        span
+    })
 }
 
-/// The first agent alone is away: the second is asked.
-fn first_agent_away(site: &Site, timeline: &mut Timeline) {
+/// Drains a backend while the first Consul agent alone is down, so that the gatekeeper polls the second one.
+fn drain_with_first_agent_down(site: &Site) -> Span {
     let first_agent = &site.consul_agents(0)[0];
     first_agent.fail(Fault::Closed);
-    pause(3.0);
+    pause(THREE_SECONDS);
     let changed_us = site.set_services(with_critical(site, &[FAILOVER_BACKEND]));
-    pause(1.5);
-    timeline.failover = Span::since(changed_us);
+    pause(Duration::from_millis(1_500));
+    let span = Span::since(changed_us);
     first_agent.fail(Fault::None);
     site.set_services(site.healthy_services());
-    pause(1.0);
-}
-
-/// A flap every second, of one backend and of a third of the fleet.
-fn flapping(site: &Site, timeline: &mut Timeline) {
-    for backends in [&[8][..], &[8, 9, 10, 11]] {
-        let from_us = now_us();
-        for second in 0..FLAPS {
-            let is_critical = second % 2 == 0;
-            let services = if is_critical { with_critical(site, backends) } else { site.healthy_services() };
-            site.set_services(services);
-            pause(1.0);
-        }
-        timeline.flapping.push(Flapping { backends: backends.len(), span: Span::since(from_us) });
-        site.set_services(site.healthy_services());
+    pause(ONE_SECOND);
+    span
+}
+
+/// Makes the health of these backends change each second.
+fn flap(site: &Site, backends: &[usize]) -> Flapping {
+    let from_us = now_us();
+    for second in 0..FLAPS {
+        let is_critical = second % 2 == 0;
+        let services = if is_critical { with_critical(site, backends) } else { site.healthy_services() };
+        site.set_services(services);
+        pause(ONE_SECOND);
     }
+    let span = Span::since(from_us);
+    site.set_services(site.healthy_services());
+    Flapping { backends: backends.len(), span }
 }
 
-/// The catalogue wiped and restored, responses truncated, and an index that goes back.
-fn damaged_answers(site: &Site, timeline: &mut Timeline) {
+fn damaged_responses(site: &Site) -> DamagedResponses {
     let wiped_us = site.set_services(Vec::new());
-    pause(3.0);
+    pause(THREE_SECONDS);
     site.set_services(site.healthy_services());
-    timeline.wiped = Span { from_us: wiped_us, to_us: pause(2.0).to_us };
+    let wiped = Span { from_us: wiped_us, to_us: pause(TWO_SECONDS).to_us };
 
     fail_consul(site, Fault::ResponseTruncated);
-    timeline.truncated = pause(2.0);
+    let truncated = pause(TWO_SECONDS);
     fail_consul(site, Fault::None);
-    site.set_catalogue_index(3);
+
+    site.set_catalogue_index(EARLIER_CATALOGUE_INDEX);
     site.set_services(site.healthy_services());
-    timeline.index_back = pause(2.0);
+    let index_back = pause(TWO_SECONDS);
+    DamagedResponses { wiped, truncated, index_back }
 }
 
-/// An instance replaced at the same address, and weights of 1 to 3.
-fn replaced_and_weighted(site: &Site, timeline: &mut Timeline) {
-    let mut services = site.healthy_services();
-    services[0].id = "l-new".into();
-    let changed_us = site.set_services(services.clone());
-    pause(2.0);
-    timeline.replaced = Span::since(changed_us + 1_000_000);
+/// Replaces the instance of the first backend by another one at the same address.
+fn replace_instance(site: &Site) -> Span {
+    let changed_us = site.set_services(with_replaced_instance(site));
+    pause(TWO_SECONDS);
+    Span::since(changed_us + REPLACEMENT_DELAY_US)
+}
 
-    for (i, service) in services.iter_mut().enumerate() {
-        service.weights = Weights { passing: i as u32 % 3 + 1, warning: 1 };
+/// Gives the backends weights from 1 to 3 by turns.
+fn set_weights(site: &Site) -> Span {
+    let mut services = with_replaced_instance(site);
+    for (backend, service) in services.iter_mut().enumerate() {
+        service.weights = Weights { passing: weight(backend), warning: 1 };
     }
     site.set_services(services);
-    pause(1.0);
-    timeline.weighted = pause(6.0);
+    pause(ONE_SECOND);
+    pause(Duration::from_secs(6))
+}
+
+/// Returns the weight of a backend in the step with weights.
+pub(crate) fn weight(backend: usize) -> u32 {
+    backend as u32 % 3 + 1
 }
 
-/// A restart while Consul is away, and one that finds half of the cached list.
-fn restarts(site: &Site, timeline: &mut Timeline) -> Result<(), Error> {
+/// Restarts the gatekeeper while Consul does not respond, first with its cache file and then with a truncated one.
+fn restart_without_consul(site: &Site) -> Result<Restarts, Error> {
     site.set_services(site.healthy_services());
-    pause(2.0);
+    pause(TWO_SECONDS);
     fail_consul(site, Fault::Silent);
-    pause(0.5);
+    pause(HALF_SECOND);
+
     let from_us = now_us();
     site.inject_fault(1, &FaultKind::ShutDown { target: GATEKEEPER.into() }, &|| ())?;
-    pause(4.0);
-    timeline.restart = Span::since(from_us);
-    timeline.status = site.status(0);
+    pause(FOUR_SECONDS);
+    let with_cache = Span::since(from_us);
+    let status_report = site.status(0);
+
     let from_us = now_us();
-    let torn = FaultKind::Disk { target: GATEKEEPER.into(), fault: DiskFault::Torn(500) };
-    site.inject_fault(2, &torn, &|| ())?;
-    timeline.torn = Span::since(from_us);
+    let truncated = DiskFault::Torn(TRUNCATED_CACHE_BYTES);
+    site.inject_fault(2, &FaultKind::Disk { target: GATEKEEPER.into(), fault: truncated }, &|| ())?;
+    let with_truncated_cache = Span::since(from_us);
+
     fail_consul(site, Fault::None);
-    pause(4.0);
-    Ok(())
+    pause(FOUR_SECONDS);
+    Ok(Restarts { with_cache, status_report, with_truncated_cache })
+}
+
+/// Makes both Consul agents fail in this way, or work again.
+fn fail_consul(site: &Site, fault: Fault) {
+    site.consul_agents(0).iter().for_each(|agent| agent.fail(fault));
+}
+
+/// Returns the catalogue with critical checks of these backends.
+fn with_critical(site: &Site, backends: &[usize]) -> Vec<Service> {
+    let mut services = site.healthy_services();
+    backends.iter().for_each(|&backend| services[backend].status = CheckStatus::Critical);
+    services
+}
+
+/// Returns the catalogue with another instance at the address of the first backend.
+fn with_replaced_instance(site: &Site) -> Vec<Service> {
+    let mut services = site.healthy_services();
+    services[0].id = "l-new".into();
+    services
 }
