--- a/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
@@ -1,12 +1,13 @@
-//! Clocks apart by as much as is stated: two instances are killed, and the store loses its state.
+//! Clocks that differ by as much as the configuration allows. Two instances are killed, and the lease store loses its state.
 
-use crate::job_runs::{JobRuns, span_of_faults};
+use crate::gaps::{all_run_again_after, max_missed_runs};
+use crate::phases::span_of_faults;
 use crate::run_and_report;
-use crate::schedules::{INSTANCES, MAX_CLOCK_SKEW_MS, schedule, usual_jobs};
+use crate::schedule::{INSTANCES, MAX_CLOCK_SKEW_MS, all_jobs, schedule};
 use fault_injection::history::Span;
 use fault_injection::schedule::{FailureMode, Fault, FaultKind};
 use fault_injection::site::JOB_PERIOD_MS;
-use system_tests::{Error, Table};
+use system_tests::{Error, JobRuns, Table, seconds_or_infinity};
 
 const LENGTH_MS: u64 = 18_000;
 /// Clock offset of each instance.
@@ -16,33 +17,50 @@
 const KILLED: [&str; 2] = ["m0", "m3"];
 /// Time after setting the clocks from which jobs run without gaps.
 const SETTLED_US: u64 = 3_000_000;
-/// The store's state is lost: the last job runs again within this, s.
-const RUNS_AGAIN_S: f64 = (2 * JOB_PERIOD_MS) as f64 / 1_000.0 + 2.0 * MAX_CLOCK_SKEW_MS as f64 / 1_000.0;
+/// Maximum time from the loss of the store's state until all jobs have run again, s.
+const MAX_RECOVERY_S: f64 = (2 * JOB_PERIOD_MS) as f64 / 1_000.0 + 2.0 * MAX_CLOCK_SKEW_MS as f64 / 1_000.0;
 
-fn clock_offset((instance, offset_ms): (usize, i64)) -> Fault {
-    let kind = FaultKind::ClockOffset { target: format!("m{instance}"), offset_ms, running: true };
-    Fault::new(500, 17_000, kind)
-}
-
-/// Runs the schedule and fills the table.
+/// Runs the schedule and adds its figures to the table.
 pub(crate) fn run(table: &mut Table) -> Result<(), Error> {
-    let offsets = OFFSETS_MS.into_iter().enumerate().filter(|(_, offset_ms)| *offset_ms != 0);
-    let mut faults: Vec<Fault> = offsets.map(clock_offset).collect();
+    let mut faults = clock_offsets();
     let offset_indexes = 0..faults.len();
-    let killed = |target: &str| Fault::new(8_000, 2_000, FaultKind::Killed { target: target.into() });
     faults.extend(KILLED.map(killed));
-    let loss_index = faults.len();
-    let loss = FaultKind::Consul { target: "*".into(), mode: FailureMode::RestartedEmpty };
-    faults.push(Fault::new(13_000, 10, loss));
+    let store_loss_index = faults.len();
+    faults.push(store_loss());
     let result = run_and_report(&schedule("duties, clocks apart", LENGTH_MS, faults), table)?;
+
     let runs = JobRuns::of(&result.history);
-    let jobs = usual_jobs();
-    let set_us = span_of_faults(&result.history, &offset_indexes).from_us;
-    let lost_us = span_of_faults(&result.history, &(loss_index..loss_index + 1)).to_us;
+    let jobs = all_jobs();
+    let offsets_set_us = span_of_faults(&result.history, offset_indexes).from_us;
+    let store_lost_us = span_of_faults(&result.history, store_loss_index..store_loss_index + 1).to_us;
     table.add_with_maximum("clocks 300 ms apart: rounds run twice", runs.repeated() as f64, 0.0);
-    let missed = runs.missed(&jobs, Span { from_us: set_us + SETTLED_US, to_us: lost_us });
+    let before_loss = Span { from_us: offsets_set_us + SETTLED_US, to_us: store_lost_us };
+    let missed = max_missed_runs(&runs, &jobs, before_loss);
     table.add_with_maximum("... rounds missed in a row, two killed meanwhile", missed, 1.0);
-    let again = runs.all_run_again_after(&jobs, lost_us);
-    table.add_with_maximum("... store emptied: the last duty runs again after, s", again, RUNS_AGAIN_S);
+    let recovery_s = seconds_or_infinity(all_run_again_after(&runs, &jobs, store_lost_us));
+    table.add_with_maximum(
+        "... store emptied: the last duty runs again after, s",
+        recovery_s,
+        MAX_RECOVERY_S,
+    );
     Ok(())
 }
+
+fn clock_offsets() -> Vec<Fault> {
+    let offsets = OFFSETS_MS.into_iter().enumerate().filter(|(_, offset_ms)| *offset_ms != 0);
+    offsets.map(|(instance, offset_ms)| clock_offset(instance, offset_ms)).collect()
+}
+
+fn clock_offset(instance: usize, offset_ms: i64) -> Fault {
+    let kind = FaultKind::ClockOffset { target: format!("m{instance}"), offset_ms, running: true };
+    Fault::new(500, 17_000, kind)
+}
+
+fn killed(target: &str) -> Fault {
+    Fault::new(8_000, 2_000, FaultKind::Killed { target: target.into() })
+}
+
+fn store_loss() -> Fault {
+    let kind = FaultKind::Consul { target: "*".into(), mode: FailureMode::RestartedEmpty };
+    Fault::new(13_000, 10, kind)
+}
--- a/crates/system_tests/src/bin/proof-periodic-jobs/main.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/main.rs
@@ -1,35 +1,43 @@
-//! Shared periodic jobs on real gatekeepers: 8 instances, 64 jobs every 500 ms, with kills, suspensions, partitions and outages of
-//! the lease store. The target takes every call, so a run that happened twice is seen twice.
+//! Shared periodic jobs on real gatekeepers: 8 instances with 64 jobs every 500 ms, under kills, suspensions, partitions and
+//! outages of the lease store.
+//!
+//! The target of the jobs accepts every call, so a run that happens twice is seen twice. A first schedule goes through all faults
+//! with clocks that agree, a second one with clocks that differ by as much as the configuration allows.
 
 mod clock_offsets;
-mod job_runs;
-mod schedules;
+mod gaps;
+mod phases;
+mod schedule;
 mod single_clock;
 
 use fault_injection::runner::RunResult;
 use fault_injection::schedule::Schedule;
 use std::process::ExitCode;
-use system_tests::{Error, Table, release_build, run_schedule};
-
-/// Runs a schedule on the release build and adds its violations to the table.
-fn run_and_report(schedule: &Schedule, table: &mut Table) -> Result<RunResult, Error> {
-    let result = run_schedule(schedule, &release_build(), "sf-duties")?;
-    table.add_violations("", &result.violations);
-    Ok(result)
-}
+use system_tests::{Error, Table, Verdict, release_build, run_schedule};
 
 fn main() -> ExitCode {
-    let mut table = Table::default();
-    let done =
-        single_clock::run(&mut table).and_then(|summary| clock_offsets::run(&mut table).map(|()| summary));
-    let summary = match done {
-        Ok(summary) => summary,
+    match run() {
+        Ok(verdict) => verdict.into(),
         Err(error) => {
             eprintln!("proof duties: {error}");
-            return ExitCode::FAILURE;
+            ExitCode::FAILURE
         }
-    };
+    }
+}
+
+/// Runs both schedules, prints the table and the last line, and returns the verdict.
+fn run() -> Result<Verdict, Error> {
+    let mut table = Table::default();
+    let summary = single_clock::run(&mut table)?;
+    clock_offsets::run(&mut table)?;
     let verdict = table.print();
     println!("proof duties: {summary}, {verdict}");
-    verdict.into()
+    Ok(verdict)
+}
+
+/// Runs a schedule on the release build and adds its violations to the table.
+fn run_and_report(schedule: &Schedule, table: &mut Table) -> Result<RunResult, Error> {
+    let result = run_schedule(schedule, &release_build(), "sf-duties")?;
+    table.add_violations("", &result.violations);
+    Ok(result)
 }
--- /dev/null
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/phases/tests.rs
@@ -0,0 +1,29 @@
+//! The phases are the same in every version, and their times are found in a history.
+
+use super::*;
+use crate::schedule::schedule;
+use fault_injection::digest::digest;
+
+#[test]
+fn phases_are_those_that_they_always_were() {
+    let faults = Phase::ALL.into_iter().flat_map(Phase::faults).collect();
+    assert_eq!(digest(&schedule("duties", 92_000, faults).to_toml()), 0x3e88_1a42_08bb_25c8);
+    let counts = Phase::ALL.map(|phase| phase.faults().len());
+    assert_eq!(counts, [4, 1, 2, 1, 1, 16, 20, 1, 1, 1]);
+}
+
+fn fault(at_ms: u64, index: usize, begins: bool) -> Record {
+    let (kind, affected) = ("killed".into(), Vec::new());
+    let observation = Observation::Fault { index, kind, begins, affected, delays_attempts: false };
+    Record { at_us: at_ms * 1_000, observation }
+}
+
+#[test]
+fn a_phase_lasts_from_its_first_fault_to_its_last() {
+    let history =
+        [fault(1_100, 0, true), fault(1_600, 1, true), fault(2_900, 0, false), fault(3_100, 1, false)];
+    let span = span_of_faults(&history, 0..2);
+    assert_eq!((span.from_us, span.to_us), (1_100_000, 3_100_000));
+    let span = span_of_faults(&history, 1..2);
+    assert_eq!((span.from_us, span.to_us), (1_600_000, 3_100_000));
+}
--- /dev/null
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/schedule.rs
@@ -0,0 +1,46 @@
+//! The site: instances and their jobs.
+
+use fault_injection::schedule::{Fault, Form, Schedule, SiteOptions};
+use std::collections::BTreeSet;
+use std::ops::Range;
+
+pub(crate) const INSTANCES: usize = 8;
+pub(crate) const JOBS: usize = 64;
+/// The maximum clock skew, as configured, ms.
+pub(crate) const MAX_CLOCK_SKEW_MS: i64 = 300;
+/// The number of the first job after the reload that changes the jobs.
+pub(crate) const FIRST_CHANGED_JOB: usize = 16;
+/// The number of jobs after this reload.
+pub(crate) const CHANGED_JOBS: usize = JOBS - 12;
+
+/// Returns a schedule of the appliance without load.
+pub(crate) fn schedule(name: &str, length_ms: u64, faults: Vec<Fault>) -> Schedule {
+    let options = SiteOptions { jobs: JOBS, standbys: INSTANCES - 1, load: false, ..SiteOptions::default() };
+    Schedule {
+        name: name.into(),
+        seed: 1,
+        form: Form::Appliance,
+        gatekeepers: INSTANCES,
+        backends: 1,
+        length_ms,
+        options,
+        faults,
+    }
+}
+
+/// Returns the names of the jobs before any reload.
+pub(crate) fn all_jobs() -> BTreeSet<String> {
+    job_names(0..JOBS)
+}
+
+/// Returns the names of the jobs after the reload that changes them.
+pub(crate) fn changed_jobs() -> BTreeSet<String> {
+    job_names(FIRST_CHANGED_JOB..FIRST_CHANGED_JOB + CHANGED_JOBS)
+}
+
+fn job_names(numbers: Range<usize>) -> BTreeSet<String> {
+    numbers.map(|number| format!("duty-{number}")).collect()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -1,193 +1,233 @@
 //! All phases, with clocks that agree.
 
-use crate::job_runs::{JobRuns, span_of_faults};
+use crate::gaps::{all_run_again_after, longest_gap, max_missed_runs, take_over_times};
+use crate::phases::{LEAVING_INSTANCE, Phase, every_other_instance, span_of_faults};
 use crate::run_and_report;
-use crate::schedules::{
-    HALF_KILLED, INSTANCES, JOBS, JOBS_CHANGED, ONE_LEAVES, Phase, STORE_EMPTY, STORE_SILENT, changed_jobs,
-    half, phases, schedule, usual_jobs,
-};
+use crate::schedule::{INSTANCES, JOBS, all_jobs, changed_jobs, schedule};
 use fault_injection::history::{Observation, Record, Span};
 use fault_injection::site::JOB_PERIOD_MS;
 use std::collections::BTreeSet;
 use system_tests::gatekeeper_output::log_events::LEASE_RECOVERED;
-use system_tests::{Error, Table, percentile};
+use system_tests::{Error, JobRuns, Table, percentile, seconds_or_infinity};
 
 const LENGTH_MS: u64 = 92_000;
-/// Runs are expected from then on.
+/// All jobs run from then on.
 const JOBS_RUN_FROM_MS: u64 = 12_000;
-/// The stretch without faults before the first one.
+/// Duration of the time without faults before the first phase, s.
 const CALM_S: u64 = 10;
-/// Two periods, s: by then a job runs again.
-const TWO_PERIODS_S: f64 = 2.0 * JOB_PERIOD_MS as f64 / 1_000.0;
+/// Minimum number of runs, as a share of those that are due.
+const MIN_RUN_SHARE: f64 = 0.9;
+/// Maximum number of runs that a job misses in a row.
+const MAX_MISSED_RUNS: f64 = 1.0;
+/// Maximum time until another instance runs a job, s.
+const MAX_TAKE_OVER_S: f64 = 2.0 * JOB_PERIOD_MS as f64 / 1_000.0;
+/// Maximum time between two runs of a job when half of the instances are killed, s.
+const MAX_GAP_S: f64 = MAX_TAKE_OVER_S + 0.1;
+/// A run that began before the store was silent may reach its target until then.
+const LAST_RUN_BEFORE_SILENCE_US: u64 = 300_000;
+/// All jobs run again this long after the store is back.
+const STORE_RECOVERY_US: u64 = 1_000_000;
+/// All instances have reloaded this long after the begin of the fault ...
+const RELOADED_AFTER_US: u64 = 1_500_000;
+/// ... and keep the changed jobs until this long before its end.
+const RELOADED_BEFORE_END_US: u64 = 200_000;
 /// The gatekeeper whose processor time is shown.
-const MEASURED: &str = "m1";
+const MEASURED_GATEKEEPER: &str = "m1";
+/// Requests of the lease store's clients in a traffic record.
+const LEASE_WRITES: &str = "PUT /v1/txn";
+const LEASE_READS: &str = "GET /v1/kv";
 
-/// A phase and when it was.
+/// Runs all phases, adds their figures to the table, and returns the figures of the last line.
+pub(crate) fn run(table: &mut Table) -> Result<String, Error> {
+    let faults = Phase::ALL.into_iter().flat_map(Phase::faults).collect();
+    let result = run_and_report(&schedule("duties", LENGTH_MS, faults), table)?;
+    Ok(Measurement::new(&result.history).report(table))
+}
+
+/// A phase and its time, from the begin of its first fault to the end of its last.
 struct TimedPhase {
-    name: &'static str,
+    phase: Phase,
     span: Span,
 }
 
-/// What is measured.
+/// The history of all phases.
 struct Measurement<'a> {
     history: &'a [Record],
     runs: JobRuns<'a>,
     jobs: BTreeSet<String>,
     phases: Vec<TimedPhase>,
+    /// The time without faults before the first phase.
     calm: Span,
 }
 
-/// Runs all phases, fills the table, and returns the last line's figures.
-pub(crate) fn run(table: &mut Table) -> Result<String, Error> {
-    let phases = phases();
-    let faults = phases.iter().flat_map(|phase| phase.faults.clone()).collect();
-    let result = run_and_report(&schedule("duties", LENGTH_MS, faults), table)?;
-    Ok(Measurement::new(&result.history, &phases).report(table))
-}
-
 impl<'a> Measurement<'a> {
-    fn new(history: &'a [Record], phases: &[Phase]) -> Self {
-        let mut next_index = 0;
-        let timed = phases.iter().map(|phase| {
-            let first = next_index;
-            next_index += phase.faults.len();
-            TimedPhase { name: phase.name, span: span_of_faults(history, &(first..next_index)) }
-        });
-        let phases: Vec<TimedPhase> = timed.collect();
-        let begin_us = phases[0].span.from_us;
-        let calm = Span { from_us: begin_us - CALM_S * 1_000_000, to_us: begin_us };
-        Self { history, runs: JobRuns::of(history), jobs: usual_jobs(), phases, calm }
+    fn new(history: &'a [Record]) -> Self {
+        let phases = timed_phases(history);
+        let first_fault_us = phases[0].span.from_us;
+        let calm = Span { from_us: first_fault_us - CALM_S * 1_000_000, to_us: first_fault_us };
+        Self { history, runs: JobRuns::of(history), jobs: all_jobs(), phases, calm }
     }
 
-    fn span_of(&self, name: &str) -> Span {
-        let phase = self.phases.iter().find(|phase| phase.name == name);
-        phase.map_or(Span::default(), |phase| phase.span)
+    fn span_of(&self, phase: Phase) -> Span {
+        let timed = self.phases.iter().find(|timed| timed.phase == phase);
+        timed.map_or(Span::default(), |timed| timed.span)
     }
 
     fn report(&self, table: &mut Table) -> String {
-        let size = format!(
-            "{INSTANCES} instances, {JOBS} duties, period {JOB_PERIOD_MS} ms, {} s",
-            LENGTH_MS / 1_000
-        );
+        self.add_runs(table);
+        self.add_phases(table);
+        let max_take_over_s = self.add_take_overs(table);
+        self.add_cost(table);
+        let (count, repeated) = (self.runs.count(), self.runs.repeated());
+        format!("{count} runs, {repeated} doubles, worst take-over {max_take_over_s:.3} s")
+    }
+
+    fn add_runs(&self, table: &mut Table) {
+        let length_s = LENGTH_MS / 1_000;
+        let size = format!("{INSTANCES} instances, {JOBS} duties, period {JOB_PERIOD_MS} ms, {length_s} s");
         table.add("size", size);
-        let expected = JOBS as f64 * (LENGTH_MS - JOBS_RUN_FROM_MS) as f64 / JOB_PERIOD_MS as f64;
-        table.add_with_minimum("runs", self.runs.count() as f64, 0.9 * expected);
+        let due_runs = JOBS as f64 * (LENGTH_MS - JOBS_RUN_FROM_MS) as f64 / JOB_PERIOD_MS as f64;
+        table.add_with_minimum("runs", self.runs.count() as f64, MIN_RUN_SHARE * due_runs);
         table.add_with_maximum("rounds run twice", self.runs.repeated() as f64, 0.0);
-        table.add_with_maximum("rounds missed in a row, calm", self.runs.missed(&self.jobs, self.calm), 1.0);
+        self.add_missed_runs(table, "rounds missed in a row, calm", self.calm);
+    }
+
+    fn add_missed_runs(&self, table: &mut Table, name: &str, span: Span) {
+        table.add_with_maximum(name, max_missed_runs(&self.runs, &self.jobs, span), MAX_MISSED_RUNS);
+    }
+
+    fn add_phases(&self, table: &mut Table) {
         let end_us = self.history.last().map_or(0, |record| record.at_us);
-        for (i, phase) in self.phases.iter().enumerate() {
-            let next_us = self.phases.get(i + 1).map_or(end_us, |next| next.span.from_us);
-            self.report_phase(table, phase, next_us);
+        for (index, timed) in self.phases.iter().enumerate() {
+            let next_us = self.phases.get(index + 1).map_or(end_us, |next| next.span.from_us);
+            self.add_phase(table, timed, next_us);
         }
-        let worst = self.report_take_overs(table);
-        self.report_cost(table);
-        let (count, repeated) = (self.runs.count(), self.runs.repeated());
-        format!("{count} runs, {repeated} doubles, worst take-over {worst:.3} s")
-    }
-
-    /// The bounds of a phase, up to the begin of the next.
-    fn report_phase(&self, table: &mut Table, phase: &TimedPhase, next_us: u64) {
-        let Span { from_us, to_us } = phase.span;
-        match phase.name {
-            // Nothing runs then, and then all begins anew.
-            STORE_SILENT => {
-                let silent = Span { from_us: from_us + 300_000, to_us: self.span_of(STORE_EMPTY).from_us };
-                let late = self.runs.within(silent).count();
-                table.add_with_maximum("runs while the store is silent (from 0.3 s on)", late as f64, 0.0);
-            }
-            STORE_EMPTY => {
-                let again = self.runs.all_run_again_after(&self.jobs, to_us);
-                table.add_with_maximum(
-                    "the store back empty: the last duty runs again after, s",
-                    again,
-                    TWO_PERIODS_S,
-                );
-                let later = Span { from_us: to_us + 1_000_000, to_us: next_us };
-                table.add_with_maximum(
-                    "... rounds missed in a row later",
-                    self.runs.missed(&self.jobs, later),
-                    1.0,
-                );
-            }
-            JOBS_CHANGED => self.report_changed_jobs(table, phase.span),
-            name => {
-                let missed = self.runs.missed(&self.jobs, Span { from_us, to_us: next_us });
-                table.add_with_maximum(&format!("... {name}, and after"), missed, 1.0);
+    }
+
+    /// Adds the figures of a phase, up to the begin of the next one.
+    fn add_phase(&self, table: &mut Table, TimedPhase { phase, span }: &TimedPhase, next_us: u64) {
+        match phase {
+            Phase::StoreSilent => self.add_runs_without_store(table, span.from_us),
+            Phase::StoreEmpty => self.add_store_recovery(table, span.to_us, next_us),
+            Phase::JobsChanged => self.add_changed_jobs(table, *span),
+            _ => {
+                let until_next = Span { from_us: span.from_us, to_us: next_us };
+                self.add_missed_runs(table, &format!("... {}, and after", phase.name()), until_next);
             }
         }
     }
 
-    fn report_changed_jobs(&self, table: &mut Table, span: Span) {
+    /// Without the lease store no job may run.
+    fn add_runs_without_store(&self, table: &mut Table, silent_us: u64) {
+        let to_us = self.span_of(Phase::StoreEmpty).from_us;
+        let silent = Span { from_us: silent_us + LAST_RUN_BEFORE_SILENCE_US, to_us };
+        let runs = self.runs.within(silent).count();
+        table.add_with_maximum("runs while the store is silent (from 0.3 s on)", runs as f64, 0.0);
+    }
+
+    /// With an empty lease store all jobs start again.
+    fn add_store_recovery(&self, table: &mut Table, back_us: u64, next_us: u64) {
+        let recovery_s = seconds_or_infinity(all_run_again_after(&self.runs, &self.jobs, back_us));
+        let name = "the store back empty: the last duty runs again after, s";
+        table.add_with_maximum(name, recovery_s, MAX_TAKE_OVER_S);
+        let recovered = Span { from_us: back_us + STORE_RECOVERY_US, to_us: next_us };
+        self.add_missed_runs(table, "... rounds missed in a row later", recovered);
+    }
+
+    fn add_changed_jobs(&self, table: &mut Table, span: Span) {
         let jobs = changed_jobs();
-        // All have reloaded within a second.
-        let reloaded = Span { from_us: span.from_us + 1_500_000, to_us: span.to_us - 200_000 };
-        table.add_with_maximum("... duties changed by a reload", self.runs.missed(&jobs, reloaded), 1.0);
-        let removed = self.runs.within(reloaded).filter(|run| !jobs.contains(run.job)).count();
+        let reloaded =
+            Span { from_us: span.from_us + RELOADED_AFTER_US, to_us: span.to_us - RELOADED_BEFORE_END_US };
+        let missed = max_missed_runs(&self.runs, &jobs, reloaded);
+        let name = format!("... {}", Phase::JobsChanged.name());
+        table.add_with_maximum(&name, missed, MAX_MISSED_RUNS);
+        let runs = self.runs.within(reloaded);
+        let removed = runs.iter().filter(|run| !jobs.contains(run.job)).count();
         table.add_with_maximum("runs of duties that the reload took away", removed as f64, 0.0);
     }
 
-    /// How long others took to run the jobs of instances that died or left; returns the worst time, s.
-    fn report_take_overs(&self, table: &mut Table) -> f64 {
-        let killed = self.span_of(HALF_KILLED);
-        let calm_gap = self.runs.longest_gap(self.calm);
-        table.add("longest gap between two runs of a duty, calm, s", format!("{calm_gap:.3}"));
-        let gap = self.runs.longest_gap(Span { from_us: self.calm.from_us, to_us: killed.to_us });
-        table.add_with_maximum("... half killed at once, s", gap, TWO_PERIODS_S + 0.1);
-        let times = self.runs.take_over_times(killed.from_us, &half().collect::<Vec<_>>());
-        let worst = times.last().copied().unwrap_or(f64::INFINITY);
-        table.add("time to take over when half die, median, s", format!("{:.3}", percentile(&times, 0.5)));
-        table.add_with_maximum("... worst, s", worst, TWO_PERIODS_S);
-        let left = self.runs.take_over_times(self.span_of(ONE_LEAVES).from_us, &["m7".to_owned()]);
-        let worst_left = left.last().copied().unwrap_or(0.0);
-        table.add("time to take over when one leaves, worst, s", format!("{worst_left:.3}"));
-        worst
-    }
-
-    /// What it costs in the calm stretch.
-    fn report_cost(&self, table: &mut Table) {
-        for (what, kind) in [("claims", "PUT /v1/txn"), ("reads of the claim store", "GET /v1/kv")] {
-            let requests =
-                self.consul_requests(self.calm.to_us, kind) - self.consul_requests(self.calm.from_us, kind);
-            table.add(&format!("{what} a second, calm"), format!("{:.0}", requests as f64 / CALM_S as f64));
+    /// Adds how long others take to run the jobs of instances that have died or left. Returns the maximum after deaths, s.
+    fn add_take_overs(&self, table: &mut Table) -> f64 {
+        let killed = self.span_of(Phase::HalfKilled);
+        let calm_gap_s = longest_gap(&self.runs, self.calm).as_secs_f64();
+        table.add("longest gap between two runs of a duty, calm, s", format!("{calm_gap_s:.3}"));
+        let with_deaths = Span { from_us: self.calm.from_us, to_us: killed.to_us };
+        let gap_s = longest_gap(&self.runs, with_deaths).as_secs_f64();
+        table.add_with_maximum("... half killed at once, s", gap_s, MAX_GAP_S);
+
+        let killed_instances: Vec<String> = every_other_instance().collect();
+        let times_s = self.sorted_take_over_times_s(killed.from_us, &killed_instances);
+        let median_s = percentile(&times_s, 0.5);
+        let max_s = times_s.last().copied().unwrap_or(f64::INFINITY);
+        table.add("time to take over when half die, median, s", format!("{median_s:.3}"));
+        table.add_with_maximum("... worst, s", max_s, MAX_TAKE_OVER_S);
+
+        let left_us = self.span_of(Phase::OneLeaves).from_us;
+        let times_s = self.sorted_take_over_times_s(left_us, &[LEAVING_INSTANCE.to_owned()]);
+        let max_after_leave_s = times_s.last().copied().unwrap_or(0.0);
+        table.add("time to take over when one leaves, worst, s", format!("{max_after_leave_s:.3}"));
+        max_s
+    }
+
+    fn sorted_take_over_times_s(&self, at_us: u64, gone_instances: &[String]) -> Vec<f64> {
+        let times = take_over_times(&self.runs, at_us, gone_instances);
+        times.into_iter().map(seconds_or_infinity).collect()
+    }
+
+    /// Adds the cost of the jobs without faults.
+    fn add_cost(&self, table: &mut Table) {
+        for (name, kind) in [("claims", LEASE_WRITES), ("reads of the claim store", LEASE_READS)] {
+            let requests = self.calm_increase(|observation| consul_requests(observation, kind));
+            let per_second = requests as f64 / CALM_S as f64;
+            table.add(&format!("{name} a second, calm"), format!("{per_second:.0}"));
         }
-        let gossip = self.gossip_bytes(self.calm.to_us) - self.gossip_bytes(self.calm.from_us);
-        table.add("bytes of gossip a second, all instances, calm", gossip / CALM_S);
-        let cpu_ms = self.cpu_ms(self.calm.to_us) - self.cpu_ms(self.calm.from_us);
+        let gossip_bytes = self.calm_increase(gossip_bytes);
+        table.add("bytes of gossip a second, all instances, calm", gossip_bytes / CALM_S);
+        let cpu_ms = self.calm_increase(cpu_ms);
         table.add("processor time of m1, calm", format!("{:.1}%", cpu_ms as f64 / (10 * CALM_S) as f64));
         let is_recovery = |record: &&Record| record.observation.is_log_line_with(&LEASE_RECOVERED);
-        let recovered = self.history.iter().filter(is_recovery).count();
-        table.add("log lines on claims recovered", recovered);
+        let recoveries = self.history.iter().filter(is_recovery).count();
+        table.add("log lines on claims recovered", recoveries);
     }
 
-    /// The last figure that a record up to a time gives; 0 where there is none.
-    fn last_figure(&self, at_us: u64, figure: impl Fn(&Observation) -> Option<u64>) -> u64 {
-        let mut before = self.history.iter().rev().filter(|record| record.at_us <= at_us);
-        before.find_map(|record| figure(&record.observation)).unwrap_or(0)
+    /// Returns by how much a counter grows in the time without faults.
+    fn calm_increase(&self, counter: impl Fn(&Observation) -> Option<u64>) -> u64 {
+        self.counter_at(self.calm.to_us, &counter) - self.counter_at(self.calm.from_us, &counter)
     }
 
-    /// Requests to Consul of this kind up to a time.
-    fn consul_requests(&self, at_us: u64, kind: &str) -> u64 {
-        self.last_figure(at_us, |observation| match observation {
-            Observation::Traffic { consul_requests, .. } => {
-                Some(consul_requests.get(kind).copied().unwrap_or(0))
-            }
-            _ => None,
-        })
+    /// Returns the last value of a counter up to a time, or 0 if there is none.
+    fn counter_at(&self, at_us: u64, counter: impl Fn(&Observation) -> Option<u64>) -> u64 {
+        let mut before = self.history.iter().rev().filter(|record| record.at_us <= at_us);
+        before.find_map(|record| counter(&record.observation)).unwrap_or(0)
     }
+}
 
-    /// Bytes of datagrams up to a time.
-    fn gossip_bytes(&self, at_us: u64) -> u64 {
-        self.last_figure(at_us, |observation| match observation {
-            Observation::Traffic { gossip_bytes, .. } => Some(*gossip_bytes),
-            _ => None,
-        })
-    }
+fn timed_phases(history: &[Record]) -> Vec<TimedPhase> {
+    let mut next_index = 0;
+    let timed = Phase::ALL.into_iter().map(|phase| {
+        let first_index = next_index;
+        next_index += phase.faults().len();
+        TimedPhase { phase, span: span_of_faults(history, first_index..next_index) }
+    });
+    timed.collect()
+}
+
+/// Returns the number of requests of a kind to Consul so far.
+fn consul_requests(observation: &Observation, kind: &str) -> Option<u64> {
+    let Observation::Traffic { consul_requests, .. } = observation else { return None };
+    Some(consul_requests.get(kind).copied().unwrap_or(0))
+}
+
+/// Returns the bytes of all datagrams so far.
+fn gossip_bytes(observation: &Observation) -> Option<u64> {
+    let Observation::Traffic { gossip_bytes, .. } = observation else { return None };
+    Some(*gossip_bytes)
+}
 
-    /// Processor time of the measured gatekeeper up to a time, ms.
-    fn cpu_ms(&self, at_us: u64) -> u64 {
-        self.last_figure(at_us, |observation| match observation {
-            Observation::ResourceUse { process, cpu_ms, .. } if process == MEASURED => Some(*cpu_ms),
-            _ => None,
-        })
+/// Returns the processor time of the measured gatekeeper so far, ms.
+fn cpu_ms(observation: &Observation) -> Option<u64> {
+    match observation {
+        Observation::ResourceUse { process, cpu_ms, .. } if process == MEASURED_GATEKEEPER => Some(*cpu_ms),
+        _ => None,
     }
 }
--- /dev/null
+++ b/crates/system_tests/src/job_runs.rs
@@ -0,0 +1,65 @@
+//! Runs of periodic jobs in a history.
+
+use fault_injection::history::{Observation, Record, Span};
+use std::collections::BTreeSet;
+
+/// A run of a job, as its target saw it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JobRun<'a> {
+    /// When it reached the target, in microseconds of the history.
+    pub at_us: u64,
+    /// The job.
+    pub job: &'a str,
+    /// The number of the run, which is the fencing token.
+    pub run: u64,
+    /// The instance that ran the job.
+    pub instance: &'a str,
+}
+
+/// Runs of periodic jobs in the order of their times.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct JobRuns<'a> {
+    runs: Vec<JobRun<'a>>,
+}
+
+impl<'a> JobRuns<'a> {
+    /// Returns all runs of a history.
+    pub fn of(history: &'a [Record]) -> Self {
+        Self { runs: history.iter().filter_map(job_run).collect() }
+    }
+
+    /// Returns the runs within a span, both of its ends included.
+    pub fn within(&self, span: Span) -> Self {
+        let is_within = |run: &&JobRun<'_>| run.at_us >= span.from_us && run.at_us <= span.to_us;
+        Self { runs: self.runs.iter().filter(is_within).copied().collect() }
+    }
+
+    /// Iterates over the runs.
+    pub fn iter(&self) -> impl DoubleEndedIterator<Item = &JobRun<'a>> {
+        self.runs.iter()
+    }
+
+    /// Returns the number of runs.
+    pub fn count(&self) -> usize {
+        self.runs.len()
+    }
+
+    /// Returns the number of runs that had already happened, by the same instance or by another one.
+    pub fn repeated(&self) -> usize {
+        let distinct: BTreeSet<(&str, u64)> = self.iter().map(|run| (run.job, run.run)).collect();
+        self.count() - distinct.len()
+    }
+
+    /// Returns the instances that ran jobs.
+    pub fn instances(&self) -> BTreeSet<&'a str> {
+        self.iter().map(|run| run.instance).collect()
+    }
+}
+
+fn job_run(record: &Record) -> Option<JobRun<'_>> {
+    let Observation::JobRan { job, run, instance } = &record.observation else { return None };
+    Some(JobRun { at_us: record.at_us, job, run: *run, instance })
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/system_tests/src/table.rs
+++ b/crates/system_tests/src/table.rs
@@ -97,6 +97,11 @@
     us as f64 / 1e6
 }
 
+/// Converts a duration to seconds, as a figure of a table. The time until something that never happened is infinite.
+pub fn seconds_or_infinity(duration: Option<Duration>) -> f64 {
+    duration.map_or(f64::INFINITY, |duration| duration.as_secs_f64())
+}
+
 /// Converts a duration to milliseconds, as a figure of a table.
 pub fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
