--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -1,8 +1,10 @@
-//! The platform's form is upgraded in service from the old build to the new one and back, several times.
+//! The platform form is upgraded by hot restarts from the old build to the new one and back, several times.
 
-use crate::{Pair, run_and_report, schedule};
+use crate::build_pair::BuildPair;
+use crate::schedules::{request_count, run_and_report, schedule};
 use fault_injection::history::{Outcome, Record};
-use fault_injection::schedule::{Fault, FaultKind, Form, SiteOptions};
+use fault_injection::runner::RunResult;
+use fault_injection::schedule::{Fault, FaultKind, Form, Schedule};
 use system_tests::gatekeeper_output::log_events::{HANDED_OVER, STARTED_WITHOUT_STATE};
 use system_tests::{Error, Table};
 
@@ -13,31 +15,48 @@
 const INTERVAL_MS: u64 = 2_000;
 /// Time for which the predecessor runs beside its successor.
 const SIDE_BY_SIDE_MS: u64 = 600;
+const MIN_SERVED: f64 = 500.0;
+/// Outcomes of requests that an upgrade must not cause.
+const LOSSES: [Outcome; 4] = [Outcome::Unanswered, Outcome::NotAccepted, Outcome::Foreign, Outcome::Failed];
 
-/// How often a line with one of these texts was logged.
-fn logged(history: &[Record], texts: &[&str]) -> usize {
-    history.iter().filter(|record| record.observation.is_log_line_with(texts)).count()
+/// Runs the schedule, adds its figures to the table, and returns the number of requests.
+pub(crate) fn run(builds: &BuildPair, table: &mut Table) -> Result<u64, Error> {
+    let result = run_and_report(&upgrade_schedule(), builds.alternating(), table)?;
+    add_requests(&result, table);
+    add_hand_overs(&result.history, table);
+    Ok(request_count(&result))
+}
+
+fn upgrade_schedule() -> Schedule {
+    let upgrade = |number| {
+        let kind =
+            FaultKind::Upgrade { target: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
+        Fault::new(number * INTERVAL_MS, SIDE_BY_SIDE_MS, kind)
+    };
+    Schedule {
+        faults: (1..=UPGRADES).map(upgrade).collect(),
+        ..schedule("upgrades", Form::Platform, GATEKEEPERS, INTERVAL_MS * (UPGRADES + 1))
+    }
 }
 
-/// Returns how many requests there were.
-pub(crate) fn run(pair: &Pair, table: &mut Table) -> Result<u64, Error> {
-    let kind = || FaultKind::Upgrade { target: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
-    let faults = (1..=UPGRADES).map(|n| Fault::new(n * INTERVAL_MS, SIDE_BY_SIDE_MS, kind())).collect();
-    let length_ms = INTERVAL_MS * (UPGRADES + 1);
-    let schedule =
-        schedule("upgrades", Form::Platform, GATEKEEPERS, length_ms, SiteOptions::default(), faults);
-    let result = run_and_report(&schedule, pair.alternating(), table)?;
-    let count = |outcome| result.outcomes.get(&outcome).copied().unwrap_or(0);
-    let all: u64 = result.outcomes.values().sum();
-    table.add("upgrades: requests", all);
-    table.add_with_minimum("upgrades: requests served", count(Outcome::Served) as f64, 500.0);
+fn add_requests(result: &RunResult, table: &mut Table) {
+    let count = |outcome: Outcome| result.outcomes.get(&outcome).copied().unwrap_or(0);
+    table.add("upgrades: requests", request_count(result));
+    table.add_with_minimum("upgrades: requests served", count(Outcome::Served) as f64, MIN_SERVED);
     table.add("upgrades: requests rejected by quota", count(Outcome::Rejected));
-    let lost = [Outcome::Unanswered, Outcome::NotAccepted, Outcome::Foreign, Outcome::Failed].map(count);
-    table.add_with_maximum("upgrades: requests lost or failed", lost.iter().sum::<u64>() as f64, 0.0);
-    let handed_over = logged(&result.history, &HANDED_OVER) as f64;
-    let wanted = (UPGRADES as usize * GATEKEEPERS) as f64;
-    table.add_with_minimum("upgrades: in service, there and back", handed_over, wanted);
-    let alone = logged(&result.history, &STARTED_WITHOUT_STATE);
-    table.add_with_maximum("upgrades: successors that took over nothing, or not all", alone as f64, 0.0);
-    Ok(all)
+    let lost: u64 = LOSSES.into_iter().map(count).sum();
+    table.add_with_maximum("upgrades: requests lost or failed", lost as f64, 0.0);
+}
+
+fn add_hand_overs(history: &[Record], table: &mut Table) {
+    let handed_over = log_event_count(history, &HANDED_OVER) as f64;
+    let upgrades = (UPGRADES as usize * GATEKEEPERS) as f64;
+    table.add_with_minimum("upgrades: in service, there and back", handed_over, upgrades);
+    let without_state = log_event_count(history, &STARTED_WITHOUT_STATE) as f64;
+    table.add_with_maximum("upgrades: successors that took over nothing, or not all", without_state, 0.0);
+}
+
+/// Counts the log events whose message contains one of these texts.
+fn log_event_count(history: &[Record], texts: &[&str]) -> usize {
+    history.iter().filter(|record| record.observation.is_log_line_with(texts)).count()
 }
