--- a/crates/system_tests/src/bin/proof-faults/options.rs
+++ b/crates/system_tests/src/bin/proof-faults/options.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! The command line. The comments of options are the texts of `--help`.
 
 use clap::{Args, Parser};
 use std::path::PathBuf;
-use system_tests::release_build;
+use system_tests::{default_parallelism, release_build};
 
-/// A shorter schedule has no room for faults.
+/// A schedule that is shorter has no time for faults.
 const MIN_LENGTH_MS: u64 = 2_000;
 
 /// Several gatekeepers under injected faults: schedules that follow from seeds, and those with a name.
@@ -18,20 +18,20 @@
     #[arg(long, value_name = "N", default_value_t = 200)]
     pub(crate) schedules: usize,
     /// The length of schedules that follow from seeds, ms
-    #[arg(long, value_name = "MS", default_value_t = 10_000)]
-    length: u64,
+    #[arg(long = "length", value_name = "MS", default_value_t = 10_000)]
+    requested_length_ms: u64,
     /// How many run at a time; twice the cores, if nothing is given
-    #[arg(long, value_name = "N")]
-    parallel: Option<usize>,
+    #[arg(long = "parallel", value_name = "N")]
+    requested_parallelism: Option<usize>,
     /// Another build of the gatekeeper
-    #[arg(long, value_name = "PROGRAM")]
-    build: Option<PathBuf>,
+    #[arg(long = "build", value_name = "PROGRAM")]
+    other_build: Option<PathBuf>,
     /// Where the schedules that fail are kept, with their histories
-    #[arg(long, value_name = "FOLDER")]
-    keep: Option<PathBuf>,
+    #[arg(long = "keep", value_name = "FOLDER")]
+    requested_output_folder: Option<PathBuf>,
     /// Keep the histories of those that hold too
-    #[arg(long)]
-    pub(crate) keep_all: bool,
+    #[arg(long = "keep-all")]
+    pub(crate) saves_all: bool,
     /// Only those with a name that take 10 s at most, for CI
     #[arg(long)]
     pub(crate) short: bool,
@@ -54,24 +54,25 @@
 }
 
 impl Options {
+    /// Returns the length of schedules from seeds.
     pub(crate) fn length_ms(&self) -> u64 {
-        self.length.max(MIN_LENGTH_MS)
+        self.requested_length_ms.max(MIN_LENGTH_MS)
     }
 
-    pub(crate) fn parallel(&self) -> usize {
-        // A site is a dozen processes that mostly wait.
-        let default = || 2 * std::thread::available_parallelism().map_or(1, |cores| cores.get());
-        self.parallel.unwrap_or_else(default).max(1)
+    /// Returns how many schedules run at a time.
+    pub(crate) fn parallelism(&self) -> usize {
+        self.requested_parallelism.unwrap_or_else(default_parallelism).max(1)
     }
 
-    /// The build that is tested.
+    /// Returns the build to test.
     pub(crate) fn build(&self) -> PathBuf {
-        self.build.clone().unwrap_or_else(release_build)
+        self.other_build.clone().unwrap_or_else(release_build)
     }
 
-    /// Where schedules and histories are kept.
-    pub(crate) fn keep_folder(&self) -> PathBuf {
-        self.keep.clone().unwrap_or_else(|| std::env::temp_dir().join("snowfield-proof-faults"))
+    /// Returns the folder for the schedules and histories of failures.
+    pub(crate) fn output_folder(&self) -> PathBuf {
+        let default = || std::env::temp_dir().join("snowfield-proof-faults");
+        self.requested_output_folder.clone().unwrap_or_else(default)
     }
 }
 
--- a/crates/system_tests/src/bin/proof-faults/options/tests.rs
+++ b/crates/system_tests/src/bin/proof-faults/options/tests.rs
@@ -10,8 +10,8 @@
 fn nothing_given_means_200_schedules_of_10_s() {
     let options = parse("").expect("options");
     assert_eq!((options.seed, options.schedules, options.length_ms()), (1, 200, 10_000));
-    assert!(!options.short && !options.keep_all && options.parallel() >= 1);
-    assert!(options.keep_folder().ends_with("snowfield-proof-faults"));
+    assert!(!options.short && !options.saves_all && options.parallelism() >= 1);
+    assert!(options.output_folder().ends_with("snowfield-proof-faults"));
 }
 
 #[test]
@@ -20,10 +20,10 @@
         parse("--seed 500 --schedules 50 --length 14000 --parallel 12 --build a/snowfield --keep k")
             .expect("options");
     assert_eq!((options.seed, options.schedules, options.length_ms()), (500, 50, 14_000));
-    assert_eq!((options.parallel(), options.build()), (12, PathBuf::from("a/snowfield")));
-    assert_eq!(options.keep_folder(), PathBuf::from("k"));
+    assert_eq!((options.parallelism(), options.build()), (12, PathBuf::from("a/snowfield")));
+    assert_eq!(options.output_folder(), PathBuf::from("k"));
     assert!(parse("--short").expect("options").short);
-    assert!(parse("--keep-all").expect("options").keep_all);
+    assert!(parse("--keep-all").expect("options").saves_all);
     let options = parse("--replay c.toml --schedules 5").expect("options");
     assert_eq!((options.file.replay, options.schedules), (Some(PathBuf::from("c.toml")), 5));
     assert_eq!(parse("--shrink c.toml").expect("options").file.shrink, Some(PathBuf::from("c.toml")));
@@ -33,7 +33,7 @@
 #[test]
 fn values_out_of_range_are_raised_and_the_last_one_counts() {
     let options = parse("--length 1 --parallel 0 --seed 3 --seed 4").expect("options");
-    assert_eq!((options.length_ms(), options.parallel(), options.seed), (2_000, 1, 4));
+    assert_eq!((options.length_ms(), options.parallelism(), options.seed), (2_000, 1, 4));
 }
 
 #[test]
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -1,28 +1,30 @@
-//! The schedules: hard cases by name, and generated faults with changes of settings in between.
+//! The schedules: hard cases by name, and generated faults with changes of the configuration in between.
 
 use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 
-/// The first replica stands for election first, so that as a rule it leads.
+/// The replica that leads as a rule, because it is the first to stand for election.
 const LEADER: &str = "m0";
-/// Mixed into a seed, so that the changes do not follow from the same draws as the faults.
+/// The name of the schedule without faults.
+pub(crate) const WITHOUT_FAULTS: &str = "at rest";
+/// Combined with the seed of a schedule, so that version changes and faults are drawn from different sequences.
 const CHANGES_SEED: u64 = 0xa9ee;
 const LENGTH_MS: u64 = 14_000;
-/// Generated faults are spread over so much of the schedule ...
-const GENERATED_MS: u64 = 10_000;
-/// ... and begin later than this: not before there is a leader and the first leases are granted.
-const GENERATED_FROM_MS: u64 = 3_000;
+/// Duration of the part of a schedule in which generated faults begin.
+const GENERATED_FAULTS_LENGTH_MS: u64 = 10_000;
+/// Begin of this part. By then there is a leader, and the first leases are granted.
+const GENERATED_FAULTS_START_MS: u64 = 3_000;
 /// Number of generated schedules out of 256 in which the counter loses its state.
 const COUNTER_LOSS_OF_256: u8 = 60;
-/// With more gatekeepers there are five replicas.
-const MAX_WITH_THREE_REPLICAS: usize = 8;
+/// Maximum number of gatekeepers with three replicas. Larger sites have five.
+const MAX_SIZE_WITH_THREE_REPLICAS: usize = 8;
 
-/// A change of settings, proposed at this gatekeeper.
-fn change(start_ms: u64, target: &str, units_per_second: f64) -> Fault {
+/// A new version of the configuration, proposed at this gatekeeper.
+fn version_proposed(start_ms: u64, target: &str, units_per_second: f64) -> Fault {
     Fault::new(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
 }
 
 fn schedule(name: &str, seed: u64, gatekeepers: usize, faults: Vec<Fault>) -> Schedule {
-    let replicas = if gatekeepers > MAX_WITH_THREE_REPLICAS { 5 } else { 3 };
+    let replicas = if gatekeepers > MAX_SIZE_WITH_THREE_REPLICAS { 5 } else { 3 };
     Schedule {
         name: name.into(),
         seed,
@@ -55,28 +57,37 @@
     FaultKind::ClockOffset { target: target.into(), offset_ms, running: true }
 }
 
-/// The hard cases.
+/// Returns the hard cases.
 pub(crate) fn named_schedules() -> Vec<Schedule> {
     [leader_faults(), partitions(), clocks_and_restarts()].concat()
 }
 
 fn leader_faults() -> Vec<Schedule> {
-    let in_a_change =
-        |kind| vec![change(4_500, "m4", 16.0), Fault::new(4_520, 3_000, kind), change(5_000, "m5", 12.0)];
+    let during_a_change = |kind| {
+        vec![
+            version_proposed(4_500, "m4", 16.0),
+            Fault::new(4_520, 3_000, kind),
+            version_proposed(5_000, "m5", 12.0),
+        ]
+    };
     vec![
         named(
-            "at rest",
-            vec![change(5_000, "m4", 16.0), change(7_000, "m5", 12.0), change(9_000, "m3", 18.0)],
+            WITHOUT_FAULTS,
+            vec![
+                version_proposed(5_000, "m4", 16.0),
+                version_proposed(7_000, "m5", 12.0),
+                version_proposed(9_000, "m3", 18.0),
+            ],
         ),
-        named("the leader killed in a change", in_a_change(killed(LEADER))),
-        named("the leader stopped in a change", in_a_change(suspended(LEADER))),
-        named("the leader cut off in a change", in_a_change(cut(LEADER, "*"))),
+        named("the leader killed in a change", during_a_change(killed(LEADER))),
+        named("the leader stopped in a change", during_a_change(suspended(LEADER))),
+        named("the leader cut off in a change", during_a_change(cut(LEADER, "*"))),
         named(
             "a stopped leader wakes after its successor changed settings",
             vec![
-                change(3_800, "m5", 19.0),
+                version_proposed(3_800, "m5", 19.0),
                 Fault::new(4_500, 5_000, suspended(LEADER)),
-                change(6_500, "m4", 12.0),
+                version_proposed(6_500, "m4", 12.0),
             ],
         ),
     ]
@@ -90,7 +101,7 @@
                 Fault::new(4_000, 5_000, cut("m0", "*")),
                 Fault::new(4_000, 5_000, cut("m3", "m1")),
                 Fault::new(4_000, 5_000, cut("m3", "m2")),
-                change(4_500, "m3", 12.0),
+                version_proposed(4_500, "m3", 12.0),
             ],
         ),
         named(
@@ -99,8 +110,8 @@
                 Fault::new(4_000, 4_000, cut("zone:a", "zone:b")),
                 Fault::new(4_000, 4_000, cut("zone:b", "zone:c")),
                 Fault::new(4_000, 4_000, cut("zone:a", "zone:c")),
-                change(4_600, "m3", 12.0),
-                change(9_000, "m4", 14.0),
+                version_proposed(4_600, "m3", 12.0),
+                version_proposed(9_000, "m4", 14.0),
             ],
         ),
     ]
@@ -108,35 +119,41 @@
 
 fn clocks_and_restarts() -> Vec<Schedule> {
     let all_killed = (0..6).map(|i| Fault::new(6_000, 300, killed(&format!("m{i}"))));
-    let five_changes = (0..5).map(|i| change(5_000 + 200 * i, &format!("m{}", i % 4), 11.0 + i as f64));
+    let five_versions =
+        (0..5).map(|i| version_proposed(5_000 + 200 * i, &format!("m{}", i % 4), 11.0 + i as f64));
     vec![
         named(
             "clocks set apart and back",
             vec![
                 Fault::new(3_500, 6_000, clock_offset("m0", -60_000)),
                 Fault::new(3_500, 3_000, clock_offset("m4", 60_000)),
-                change(5_000, "m5", 12.0),
-                change(8_000, "m3", 14.0),
+                version_proposed(5_000, "m5", 12.0),
+                version_proposed(8_000, "m3", 14.0),
             ],
         ),
         named(
             "all restarted at once from disks",
-            [change(4_000, "m4", 12.0)].into_iter().chain(all_killed).collect(),
+            [version_proposed(4_000, "m4", 12.0)].into_iter().chain(all_killed).collect(),
         ),
         named(
             "five changes within a second, one gatekeeper stopped through all",
-            five_changes.chain([Fault::new(4_800, 3_000, suspended("m5"))]).collect(),
+            five_versions.chain([Fault::new(4_800, 3_000, suspended("m5"))]).collect(),
         ),
     ]
 }
 
-/// Generated faults, with changes in between.
+/// Whether the appliance form has this kind of fault. It has no upgrades, and rejects the configuration file of a replica that has
+/// the name of another one.
+fn is_applicable(kind: &FaultKind) -> bool {
+    !matches!(kind, FaultKind::Upgrade { .. } | FaultKind::NameConflict { .. })
+}
+
+/// Returns the schedule of a seed: generated faults with version changes in between.
 pub(crate) fn generated_schedule(seed: u64) -> Schedule {
     let mut random = fastrand::Rng::with_seed(seed ^ CHANGES_SEED);
-    let Schedule { gatekeepers, mut faults, .. } = Schedule::from_seed(seed, GENERATED_MS);
-    // What the platform's form alone has is left out; a replica under another's name is rejected when its file is read.
-    faults.retain(|f| !matches!(f.kind, FaultKind::Upgrade { .. } | FaultKind::NameConflict { .. }));
-    faults.iter_mut().for_each(|fault| fault.start_ms += GENERATED_FROM_MS);
+    let Schedule { gatekeepers, mut faults, .. } = Schedule::from_seed(seed, GENERATED_FAULTS_LENGTH_MS);
+    faults.retain(|fault| is_applicable(&fault.kind));
+    faults.iter_mut().for_each(|fault| fault.start_ms += GENERATED_FAULTS_START_MS);
     if random.bool() {
         let start_ms = random.u64(3_500..6_000);
         let duration_ms = random.u64(500..4_000);
@@ -150,7 +167,7 @@
     for i in 0..3 {
         let target = format!("m{}", random.usize(0..gatekeepers));
         let start_ms = 4_000 + 1_500 * i + random.u64(0..900);
-        faults.push(change(start_ms, &target, random.u32(10..20).into()));
+        faults.push(version_proposed(start_ms, &target, random.u32(10..20).into()));
     }
     faults.sort_by_key(|fault| fault.start_ms);
     schedule(&format!("agreed, seed {seed}"), seed, gatekeepers, faults)
--- /dev/null
+++ b/crates/system_tests/src/distribution/tests.rs
@@ -0,0 +1,27 @@
+//! Percentiles of few figures.
+
+use super::*;
+
+#[test]
+fn a_percentile_is_one_of_the_figures() {
+    let distribution: Distribution = [3.0, 1.0, 4.0, 2.0].into_iter().collect();
+    assert_eq!([0.0, 0.5, 0.51, 1.0].map(|share| distribution.percentile(share)), [1.0, 2.0, 3.0, 4.0]);
+    assert_eq!(distribution.median(), 2.0);
+    assert_eq!((distribution.minimum(), distribution.maximum()), (Some(1.0), Some(4.0)));
+    assert_eq!(distribution.count(), 4);
+}
+
+#[test]
+fn percentiles_of_no_figures_are_0() {
+    let empty = Distribution::default();
+    assert_eq!((empty.percentile(0.5), empty.median()), (0.0, 0.0));
+    assert_eq!((empty.minimum(), empty.maximum()), (None, None));
+}
+
+#[test]
+fn figures_that_are_added_later_count_too() {
+    let mut distribution = Distribution::from_iter([2.0, f64::INFINITY]);
+    distribution.extend([1.0]);
+    assert_eq!(distribution.median(), 2.0);
+    assert_eq!(distribution.maximum(), Some(f64::INFINITY));
+}
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -4,6 +4,7 @@
 //! ends with 1 where a figure is out of bounds.
 
 mod addresses;
+mod distribution;
 mod error;
 mod gatekeeper;
 pub mod gatekeeper_output;
@@ -16,13 +17,14 @@
 mod versions;
 
 pub use addresses::free_addresses;
+pub use distribution::Distribution;
 pub use error::Error;
 pub use fault_injection::test_directory::TestDirectory;
 pub use fault_injection::wait::STEP_TIMEOUT;
 pub use gatekeeper::{Gatekeeper, release_build};
 pub use job_runs::{JobRun, JobRuns};
-pub use parallel::for_each_parallel;
-pub use schedules::run_schedule;
+pub use parallel::default_parallelism;
+pub use schedules::{ScheduleTotals, run_schedule, run_schedules};
 pub use table::{Table, milliseconds, percentile, seconds, seconds_or_infinity};
 pub use verdict::Verdict;
 pub use versions::{SoleVersion, accepted_version, sole_version};
--- a/crates/system_tests/src/schedules.rs
+++ b/crates/system_tests/src/schedules.rs
@@ -1,14 +1,18 @@
-//! Schedules of the fault-injection harness, each in a folder of its own.
+//! Running schedules of the fault-injection harness.
 
+use crate::Error;
+use crate::parallel::for_each_parallel;
 use fault_injection::builds::Builds;
 use fault_injection::runner::{self, RunResult};
 use fault_injection::schedule::Schedule;
+use fault_injection::sync::lock;
+use std::sync::Mutex;
 
 /// Runs a schedule in a temporary folder of this name, which is removed at the end.
 ///
 /// # Errors
 ///
-/// The site could not be started.
+/// Returns an error if the site could not be started.
 pub fn run_schedule(
     schedule: &Schedule,
     builds: impl Into<Builds>,
@@ -19,3 +23,34 @@
     let _ = std::fs::remove_dir_all(&folder);
     result
 }
+
+/// Figures of many schedules together.
+pub trait ScheduleTotals: Default + Send {
+    /// Adds the result of a schedule.
+    fn add(&mut self, schedule: &Schedule, result: &RunResult);
+
+    /// Adds a schedule that could not be run.
+    fn add_failure(&mut self, schedule: &Schedule);
+}
+
+/// Calls `run` with each schedule and its index, for up to `parallelism` schedules at a time, and returns the totals. Prints the
+/// error of a schedule that could not be run.
+pub fn run_schedules<T: ScheduleTotals>(
+    schedules: &[Schedule],
+    parallelism: usize,
+    run: impl Fn(usize, &Schedule) -> Result<RunResult, Error> + Sync,
+) -> T {
+    let totals = Mutex::new(T::default());
+    for_each_parallel(schedules, parallelism, |index, schedule| {
+        let result = run(index, schedule);
+        let mut totals = lock(&totals);
+        match result {
+            Ok(result) => totals.add(schedule, &result),
+            Err(error) => {
+                println!("{}: {error}", schedule.name);
+                totals.add_failure(schedule);
+            }
+        }
+    });
+    totals.into_inner().unwrap_or_default()
+}
