--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -8,11 +8,12 @@
 use fault_injection::checkers::{final_answers, unexpected_exits};
 use fault_injection::history::{Observation, Record, Span};
 use fault_injection::site::Site;
+use std::time::Duration;
 use system_tests::gatekeeper_output::log_events::{
     CACHE_NOT_USABLE, CACHED_LIST_IN_USE, ENDPOINT_ELIGIBLE, ENDPOINT_NOT_ELIGIBLE, REASON_CRITICAL,
 };
 use system_tests::gatekeeper_output::status_report;
-use system_tests::{Table, percentile, seconds};
+use system_tests::{Distribution, Table, seconds_or_infinity};
 
 /// The number of backends that die in an outage.
 const DEAD_IN_OUTAGE: f64 = 2.0;
@@ -74,11 +75,10 @@
     fn add_drains(&mut self) -> f64 {
         let lag_s =
             |drain: &Drain| self.requests.last_arrival_after(&drain.backend, drain.span).as_secs_f64();
-        let mut lags_s: Vec<f64> = self.timeline.drains.iter().map(lag_s).collect();
-        lags_s.sort_by(f64::total_cmp);
+        let lags_s: Distribution = self.timeline.drains.iter().map(lag_s).collect();
         let name = "last request come after the word of a drain, s: median of 20";
-        self.table.add(name, format!("{:.4}", percentile(&lags_s, 0.5)));
-        let max_lag_s = percentile(&lags_s, 1.0);
+        self.table.add(name, format!("{:.4}", lags_s.median()));
+        let max_lag_s = lags_s.percentile(1.0);
         self.table.add_with_maximum("... worst, s", max_lag_s, MAX_DRAIN_LAG_S);
         let backend = format!("l{FAILOVER_BACKEND}");
         let failover_lag = self.requests.last_arrival_after(&backend, self.timeline.failover);
@@ -157,8 +157,12 @@
 
         let started_us = self.last_process_start_us(restart);
         let first_served_us = self.requests.first_served_after_us(started_us);
-        let first_served_s = first_served_us.map_or(f64::INFINITY, |at_us| seconds(at_us - started_us));
-        self.table.add_with_maximum("... first served after, s", first_served_s, MAX_RESTART_S);
+        let first_served_after = first_served_us.map(|at_us| Duration::from_micros(at_us - started_us));
+        self.table.add_with_maximum(
+            "... first served after, s",
+            seconds_or_infinity(first_served_after),
+            MAX_RESTART_S,
+        );
 
         let share_from = |from_us| self.requests.served_share(Span { from_us, ..restart });
         let share = first_served_us.map_or(0.0, share_from);
--- a/crates/system_tests/src/bin/proof-catalogue/sizes.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/sizes.rs
@@ -71,7 +71,7 @@
     site.recorder.records_by_time().iter().rev().find_map(resource_use).unwrap_or_default()
 }
 
-/// Returns the catalogue with the backends and this many critical instances. Each generation of instances has ids of its own.
+/// Returns the catalogue with the backends and this many critical instances, whose ids differ between generations.
 fn with_instances(site: &Site, generation: usize, instances: usize) -> Vec<Service> {
     let mut services = site.healthy_services();
     services.extend((0..instances).map(|number| {
--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated/measurement.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated/measurement.rs
@@ -14,7 +14,7 @@
 const JOBS_PER_INSTANCE: usize = 10;
 /// The period of each job.
 const JOB_PERIOD: Duration = Duration::from_secs(5);
-const TWO_JOB_PERIODS: Duration = Duration::from_secs(10);
+const TWO_JOB_PERIODS: Duration = Duration::from_secs(2 * JOB_PERIOD.as_secs());
 /// Maximum time until all instances see each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(120);
 /// Maximum time until all survivors know that half of the instances have died.
--- a/crates/system_tests/src/bin/proof-periodic-jobs/gaps.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/gaps.rs
@@ -54,8 +54,8 @@
     Duration::from_micros(gaps_us.max().unwrap_or(0))
 }
 
-/// Returns, for each job whose last run before a time was on one of the instances that are gone, the time until its next run;
-/// `None` for a job that does not run again. The shortest time comes first and `None` last.
+/// Returns, for each job whose last run before a time was on one of the instances that are gone, the time until its next run, or
+/// `None` if it does not run again. The jobs are in the order of their names.
 pub(crate) fn take_over_times(
     runs: &JobRuns<'_>,
     at_us: u64,
@@ -67,10 +67,7 @@
     }
     let is_gone = |instance: &str| gone_instances.iter().any(|gone| gone == instance);
     let orphaned_jobs = last_instances.into_iter().filter(|(_, instance)| is_gone(instance));
-    let mut times: Vec<Option<Duration>> =
-        orphaned_jobs.map(|(job, _)| runs_again_after(runs, job, at_us)).collect();
-    times.sort_by_key(|time| time.unwrap_or(Duration::MAX));
-    times
+    orphaned_jobs.map(|(job, _)| runs_again_after(runs, job, at_us)).collect()
 }
 
 /// Returns the time from `at_us` until the last of these jobs has run again, or `None` if one of them does not.
--- a/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
@@ -50,7 +50,7 @@
     let runs = JobRuns::of(&history);
     assert_eq!(longest_gap(&runs, span_ms(1_000, 3_100)), Duration::from_millis(1_500));
     let millis = |ms| Some(Duration::from_millis(ms));
-    assert_eq!(take_over_times(&runs, 1_600_000, &["m0".to_owned()]), [millis(100), millis(1_410)]);
+    assert_eq!(take_over_times(&runs, 1_600_000, &["m0".to_owned()]), [millis(1_410), millis(100)]);
     assert_eq!(take_over_times(&runs, 1_600_000, &["m1".to_owned()]), []);
     assert_eq!(take_over_times(&runs, 2_000_000, &["m0".to_owned(), "m1".to_owned()]), [millis(1_010), None]);
     assert_eq!(all_run_again_after(&runs, &jobs(&["a", "b"]), 1_600_000), millis(1_410));
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -8,7 +8,7 @@
 use fault_injection::site::JOB_PERIOD_MS;
 use std::collections::BTreeSet;
 use system_tests::gatekeeper_output::log_events::LEASE_RECOVERED;
-use system_tests::{Error, JobRuns, Table, percentile, seconds_or_infinity};
+use system_tests::{Distribution, Error, JobRuns, Table, seconds_or_infinity};
 
 const LENGTH_MS: u64 = 92_000;
 /// All jobs run from then on.
@@ -156,20 +156,20 @@
         table.add_with_maximum("... half killed at once, s", gap_s, MAX_GAP_S);
 
         let killed_instances: Vec<String> = every_other_instance().collect();
-        let times_s = self.sorted_take_over_times_s(killed.from_us, &killed_instances);
-        let median_s = percentile(&times_s, 0.5);
-        let max_s = times_s.last().copied().unwrap_or(f64::INFINITY);
+        let times_s = self.take_over_times_s(killed.from_us, &killed_instances);
+        let median_s = times_s.median();
+        let max_s = times_s.maximum().unwrap_or(f64::INFINITY);
         table.add("time to take over when half die, median, s", format!("{median_s:.3}"));
         table.add_with_maximum("... worst, s", max_s, MAX_TAKE_OVER_S);
 
         let left_us = self.span_of(Phase::OneLeaves).from_us;
-        let times_s = self.sorted_take_over_times_s(left_us, &[LEAVING_INSTANCE.to_owned()]);
-        let max_after_leave_s = times_s.last().copied().unwrap_or(0.0);
+        let times_s = self.take_over_times_s(left_us, &[LEAVING_INSTANCE.to_owned()]);
+        let max_after_leave_s = times_s.maximum().unwrap_or(0.0);
         table.add("time to take over when one leaves, worst, s", format!("{max_after_leave_s:.3}"));
         max_s
     }
 
-    fn sorted_take_over_times_s(&self, at_us: u64, gone_instances: &[String]) -> Vec<f64> {
+    fn take_over_times_s(&self, at_us: u64, gone_instances: &[String]) -> Distribution {
         let times = take_over_times(&self.runs, at_us, gone_instances);
         times.into_iter().map(seconds_or_infinity).collect()
     }
--- a/crates/system_tests/src/bin/proof-platform-cost/turn.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/turn.rs
@@ -31,9 +31,9 @@
     let gatekeeper = Gatekeeper::start_build(build, &[], &[("BALANCER_CONFIG", file)]);
     gatekeeper.wait_for_log(SERVING);
     send_from_all_clients(listen, 0, WARM_UP_REQUESTS);
-    let before = gatekeeper.usage();
+    let before = gatekeeper.resource_usage();
     let served = send_from_all_clients(listen, CLIENTS, REQUESTS);
-    let after = gatekeeper.usage();
+    let after = gatekeeper.resource_usage();
     assert_eq!(served, CLIENTS * REQUESTS, "all are served");
     let cpu_us = (after.cpu_ms - before.cpu_ms) as f64 * 1e3;
     TurnCost { cpu_us_per_request: cpu_us / f64::from(served), memory_kb: after.memory_kb }
--- a/crates/system_tests/src/bin/proof-timing/latencies.rs
+++ b/crates/system_tests/src/bin/proof-timing/latencies.rs
@@ -109,9 +109,9 @@
         let Self { profile, settings, load } = self;
         println!(
             "| {profile} | {settings} | {:.0} | {:.0} | {:.0} | {:.3} | {:.3} |",
-            load.latency_percentile_ms(0.5),
-            load.latency_percentile_ms(0.99),
-            load.latency_percentile_ms(0.999),
+            load.latencies_ms.percentile(0.5),
+            load.latencies_ms.percentile(0.99),
+            load.latencies_ms.percentile(0.999),
             load.attempts_per_request,
             load.served_share
         );
@@ -147,6 +147,6 @@
             measurement.profile == OCCASIONALLY_SLOW && measurement.settings == settings
         };
         let measurement = self.measurements.iter().find(is_wanted).expect("each combination is measured");
-        measurement.load.latency_percentile_ms(0.99)
+        measurement.load.latencies_ms.percentile(0.99)
     }
 }
--- a/crates/system_tests/src/bin/proof-timing/site.rs
+++ b/crates/system_tests/src/bin/proof-timing/site.rs
@@ -10,7 +10,7 @@
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
 use system_tests::gatekeeper_output::log_events::ENDPOINT_LIST_CHANGED;
-use system_tests::{Gatekeeper, TestDirectory, free_addresses, milliseconds, percentile};
+use system_tests::{Distribution, Gatekeeper, TestDirectory, free_addresses, milliseconds};
 
 pub(crate) const BACKENDS: usize = 10;
 const CLIENTS: usize = 8;
@@ -26,8 +26,8 @@
 
 /// Figures of a load.
 pub(crate) struct LoadResult {
-    /// Latencies of the served requests in milliseconds, sorted.
-    sorted_latencies_ms: Vec<f64>,
+    /// Latencies of the requests that were served, ms.
+    pub(crate) latencies_ms: Distribution,
     /// The share of the requests that were served.
     pub(crate) served_share: f64,
     pub(crate) attempts_per_request: f64,
@@ -36,20 +36,14 @@
 impl LoadResult {
     fn new(responses: &[Response], attempts: u64) -> Self {
         let served = responses.iter().filter(|response| response.status == OK);
-        let mut latencies_ms: Vec<f64> = served.map(|response| milliseconds(response.latency)).collect();
-        latencies_ms.sort_by(f64::total_cmp);
+        let latencies_ms: Distribution = served.map(|response| milliseconds(response.latency)).collect();
         let requests = responses.len() as f64;
         Self {
-            served_share: latencies_ms.len() as f64 / requests,
+            served_share: latencies_ms.count() as f64 / requests,
             attempts_per_request: attempts as f64 / requests,
-            sorted_latencies_ms: latencies_ms,
+            latencies_ms,
         }
     }
-
-    /// Returns a percentile of the latencies of served requests.
-    pub(crate) fn latency_percentile_ms(&self, share: f64) -> f64 {
-        percentile(&self.sorted_latencies_ms, share)
-    }
 }
 
 /// Backends and the catalogue that lists them.
--- a/crates/system_tests/src/distribution.rs
+++ b/crates/system_tests/src/distribution.rs
@@ -19,11 +19,6 @@
         self.percentile(0.5)
     }
 
-    /// Returns the smallest figure, if there is one.
-    pub fn minimum(&self) -> Option<f64> {
-        self.sorted.first().copied()
-    }
-
     /// Returns the largest figure, if there is one.
     pub fn maximum(&self) -> Option<f64> {
         self.sorted.last().copied()
--- a/crates/system_tests/src/distribution/tests.rs
+++ b/crates/system_tests/src/distribution/tests.rs
@@ -6,8 +6,7 @@
 fn a_percentile_is_one_of_the_figures() {
     let distribution: Distribution = [3.0, 1.0, 4.0, 2.0].into_iter().collect();
     assert_eq!([0.0, 0.5, 0.51, 1.0].map(|share| distribution.percentile(share)), [1.0, 2.0, 3.0, 4.0]);
-    assert_eq!(distribution.median(), 2.0);
-    assert_eq!((distribution.minimum(), distribution.maximum()), (Some(1.0), Some(4.0)));
+    assert_eq!((distribution.median(), distribution.maximum()), (2.0, Some(4.0)));
     assert_eq!(distribution.count(), 4);
 }
 
@@ -15,7 +14,7 @@
 fn percentiles_of_no_figures_are_0() {
     let empty = Distribution::default();
     assert_eq!((empty.percentile(0.5), empty.median()), (0.0, 0.0));
-    assert_eq!((empty.minimum(), empty.maximum()), (None, None));
+    assert_eq!((empty.maximum(), empty.count()), (None, 0));
 }
 
 #[test]
--- a/crates/system_tests/src/error.rs
+++ b/crates/system_tests/src/error.rs
@@ -6,40 +6,40 @@
 /// An error that aborts a system test.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The fault-injection harness fails.
+    /// The fault-injection harness failed.
     #[error(transparent)]
     Harness(#[from] fault_injection::Error),
     /// A schedule could not be run.
     #[error("{schedule}: {source}")]
     Schedule {
-        /// Its name.
+        /// The name of the schedule.
         schedule: String,
-        /// Why.
+        /// The error of the harness.
         #[source]
         source: fault_injection::Error,
     },
-    /// A file holds no schedule.
+    /// A file does not contain a valid schedule.
     #[error("{}: {source}", path.display())]
     ScheduleFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error of the parser.
         #[source]
         source: fault_injection::Error,
     },
     /// A file or folder cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file or folder.
+        /// The path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         #[source]
         source: io::Error,
     },
 }
 
 impl Error {
-    /// Adds the path to an error of the file system.
+    /// Returns a function that adds the path to an error of the file system, for `map_err`.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.to_owned();
         move |source| Self::File { path, source }
--- a/crates/system_tests/src/error/tests.rs
+++ b/crates/system_tests/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The texts that whoever runs a system test may read.
+//! The texts of errors.
 
 use super::*;
 
--- a/crates/system_tests/src/gatekeeper.rs
+++ b/crates/system_tests/src/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! A real gatekeeper as a child process.
+//! A gatekeeper as a child process.
 
 use fault_injection::process::{
     Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver, ResourceUsage,
@@ -10,19 +10,21 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Instant;
 
-/// A running gatekeeper. It is killed when this is dropped.
+/// A running gatekeeper, which is killed when this is dropped.
 pub struct Gatekeeper {
     process: Process,
-    lines: Receiver<String>,
+    log_lines: Receiver<String>,
 }
 
-/// Sends on each line of a process.
-struct LineSender(Mutex<Sender<String>>);
+/// Forwards the log lines of a process to a channel.
+struct LogForwarder {
+    log_lines: Mutex<Sender<String>>,
+}
 
-impl ProcessObserver for LineSender {
+impl ProcessObserver for LogForwarder {
     fn logged(&self, line: LogLine) {
-        // The test may have stopped listening.
-        let _ = lock(&self.0).send(line.text);
+        // The receiver is gone while the process is being killed.
+        let _ = lock(&self.log_lines).send(line.text);
     }
 
     fn exited(&self, exit: ProcessExit) {
@@ -32,11 +34,11 @@
     }
 }
 
-/// The release build of the gatekeeper beside this program.
+/// Returns the path of the gatekeeper's release build beside this program.
 ///
 /// # Panics
 ///
-/// It is not there.
+/// Panics if there is none.
 pub fn release_build() -> PathBuf {
     let path = std::env::current_exe().expect("a path").with_file_name("snowfield");
     assert!(path.exists(), "{} is not built", path.display());
@@ -48,36 +50,37 @@
     ///
     /// # Panics
     ///
-    /// It cannot be started.
+    /// Panics if the process cannot be started.
     pub fn start(arguments: &[&str]) -> Self {
         Self::start_build(&release_build(), arguments, &[])
     }
 
-    /// Starts another build, with these variables in its environment.
+    /// Starts any build, with these arguments and environment variables.
     ///
     /// # Panics
     ///
-    /// It cannot be started.
+    /// Panics if the process cannot be started.
     pub fn start_build(build: &Path, arguments: &[&str], variables: &[(&str, String)]) -> Self {
         let launch =
             Launch { arguments, variables, log_format: LogFormat::Plain, ..Launch::new("gatekeeper", build) };
-        let (sender, lines) = channel();
-        let process = Process::start_observed(&launch, LineSender(Mutex::new(sender)));
-        Self { process: process.expect("the program starts"), lines }
+        let (sender, log_lines) = channel();
+        let forwarder = LogForwarder { log_lines: Mutex::new(sender) };
+        let process = Process::start_observed(&launch, forwarder).expect("the gatekeeper starts");
+        Self { process, log_lines }
     }
 
-    /// Waits for a log line that contains this text and returns what follows the text.
+    /// Waits for a log line that contains this text, and returns the part of the line after the text.
     ///
     /// # Panics
     ///
-    /// None comes.
+    /// Panics if there is no such line within [`STEP_TIMEOUT`].
     pub fn wait_for_log(&self, text: &str) -> String {
         let deadline = Instant::now() + STEP_TIMEOUT;
         let mut last_line = String::new();
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let Ok(line) = self.lines.recv_timeout(left) else {
-                panic!("no line holds {text:?}; the last one: {last_line}");
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            let Ok(line) = self.log_lines.recv_timeout(time_left) else {
+                panic!("no line contains {text:?}; the last one: {last_line}");
             };
             if let Some((_, rest)) = line.split_once(text) {
                 return rest.to_owned();
@@ -86,12 +89,12 @@
         }
     }
 
-    /// The resources that it uses now.
+    /// Returns the resources that the process uses now.
     ///
     /// # Panics
     ///
-    /// It has exited.
-    pub fn usage(&self) -> ResourceUsage {
+    /// Panics if the process has exited.
+    pub fn resource_usage(&self) -> ResourceUsage {
         self.process.resource_usage().expect("the gatekeeper runs")
     }
 }
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -1,7 +1,11 @@
-//! System tests: measurements that start real gatekeepers, most through the fault-injection harness.
+//! System tests: programs that measure real gatekeepers, most of them through the fault-injection harness.
 //!
-//! Each program `proof-NAME` starts the release build that lies beside it, prints a table and a last line `proof NAME: ...`, and
-//! ends with 1 where a figure is out of bounds.
+//! Each program `proof-NAME` starts the release build beside it, prints a table of figures and a last line `proof NAME: ...`, and
+//! exits with 1 if a figure is out of its bound. Two programs measure the state machines in simulated time instead.
+//!
+//! This library has what the programs share: [`Table`] and [`Verdict`] for their reports, [`Distribution`] for percentiles,
+//! [`run_schedules`] for schedules of faults, [`JobRuns`] and [`sole_version`] for histories, [`Gatekeeper`] for single processes,
+//! and [`gatekeeper_output`] for the texts that they look for.
 
 mod addresses;
 mod distribution;
@@ -25,6 +29,6 @@
 pub use job_runs::{JobRun, JobRuns};
 pub use parallel::default_parallelism;
 pub use schedules::{ScheduleTotals, run_schedule, run_schedules};
-pub use table::{Table, milliseconds, percentile, seconds, seconds_or_infinity};
+pub use table::{Table, milliseconds, seconds_or_infinity};
 pub use verdict::Verdict;
 pub use versions::{SoleVersion, accepted_version, sole_version};
--- a/crates/system_tests/src/table.rs
+++ b/crates/system_tests/src/table.rs
@@ -86,17 +86,6 @@
     if figure.fract() == 0.0 && figure.abs() < 1e15 { format!("{figure:.0}") } else { format!("{figure:.3}") }
 }
 
-/// Returns the smallest of the sorted figures that at least this share of them do not exceed, or 0 if there are none.
-pub fn percentile(sorted: &[f64], share: f64) -> f64 {
-    let rank = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1));
-    sorted.get(rank - 1).copied().unwrap_or(0.0)
-}
-
-/// Microseconds as seconds.
-pub fn seconds(us: u64) -> f64 {
-    us as f64 / 1e6
-}
-
 /// Converts a duration to seconds, as a figure of a table. The time until something that never happened is infinite.
 pub fn seconds_or_infinity(duration: Option<Duration>) -> f64 {
     duration.map_or(f64::INFINITY, |duration| duration.as_secs_f64())
--- a/crates/system_tests/src/table/tests.rs
+++ b/crates/system_tests/src/table/tests.rs
@@ -16,13 +16,6 @@
     assert_eq!(table.print(), Verdict::OutOfBounds);
 }
 
-#[test]
-fn a_percentile_is_one_of_the_figures() {
-    let sorted = [1.0, 2.0, 3.0, 4.0];
-    assert_eq!([0.0, 0.5, 0.51, 1.0].map(|share| percentile(&sorted, share)), [1.0, 2.0, 3.0, 4.0]);
-    assert_eq!(percentile(&[], 0.5), 0.0);
-}
-
 #[test]
 fn conditions_and_violations_are_rows_with_bounds() {
     let mut table = Table::default();
