--- a/crates/fault_harness/src/process.rs
+++ b/crates/fault_harness/src/process.rs
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// It cannot be started.
-    pub fn start_observed(launch: &Launch<'_>, observer: impl ProcessObserver) -> io::Result<Self> {
+    pub fn start(launch: &Launch<'_>, observer: impl ProcessObserver) -> io::Result<Self> {
         let mut child = launch.command().spawn()?;
         let process = Self {
             name: launch.name.to_owned(),
--- a/crates/fault_harness/src/process/tests.rs
+++ b/crates/fault_harness/src/process/tests.rs
@@ -55,7 +55,7 @@
         log_format,
         ..Launch::new("shell", Path::new("/bin/sh"))
     };
-    Process::start_observed(&launch, notes.clone()).expect("the shell starts")
+    Process::start(&launch, notes.clone()).expect("the shell starts")
 }
 
 #[test]
--- a/crates/fault_harness/src/schedule.rs
+++ b/crates/fault_harness/src/schedule.rs
@@ -26,6 +26,11 @@
         Self { start, duration, kind }
     }
 
+    /// The same from milliseconds, as schedules are written down.
+    pub fn from_millis(start_ms: u64, duration_ms: u64, kind: K) -> Self {
+        Self::new(Duration::from_millis(start_ms), Duration::from_millis(duration_ms), kind)
+    }
+
     /// When it ends.
     pub fn end(&self) -> Duration {
         self.start.saturating_add(self.duration)
--- a/crates/fault_injection/src/builds.rs
+++ b/crates/fault_injection/src/builds.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// The builds of a site. Both files of a pair must have the same name, by which [`crate::process`] knows its processes.
+/// The builds of a site. Both files of a pair must have the same name, by which [`fault_harness::process`] knows its processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Builds {
     /// One build for all gatekeepers.
--- a/crates/fault_injection/src/checkers/processes.rs
+++ b/crates/fault_injection/src/checkers/processes.rs
@@ -3,7 +3,7 @@
 use super::rules::{NO_UNREQUESTED_EXIT, rule_broken_by_exit};
 use super::{Bounds, Violation};
 use crate::history::{Observation, Record};
-use crate::process::{ExitRequest, KILLED};
+use fault_harness::process::{ExitRequest, KILLED};
 use std::collections::{HashMap, HashSet};
 
 /// No run of a periodic job happens twice.
--- a/crates/fault_injection/src/history/recorder.rs
+++ b/crates/fault_injection/src/history/recorder.rs
@@ -1,7 +1,7 @@
 //! Collects observations from all threads.
 
 use super::{Observation, Record, now_us};
-use crate::sync::lock;
+use fault_harness::sync::lock;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// Collects observations from all threads. Clones share one list.
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -22,6 +22,3 @@
 pub mod torn_writes;
 
 pub use error::Error;
-pub use fault_harness::{
-    clock, connections, digest, ports, process, sync, test_directory, thread, wait, wire,
-};
--- a/crates/fault_injection/src/network.rs
+++ b/crates/fault_injection/src/network.rs
@@ -10,9 +10,9 @@
 
 pub use link::{Link, LinkFault, LinkQuality, NodeId};
 
-use crate::sync::lock;
 use backlog::Backlog;
 use datagram_link::DelayQueue;
+use fault_harness::sync::lock;
 use link::LinkStates;
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/fault_injection/src/network/backlog.rs
+++ b/crates/fault_injection/src/network/backlog.rs
@@ -2,7 +2,7 @@
 //! filled with connections of the harness, so that the system drops the first packet of every further one.
 
 use super::{CONNECT_TIMEOUT, Link, Network};
-use crate::sync::lock;
+use fault_harness::sync::lock;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
--- a/crates/fault_injection/src/network/datagram_link.rs
+++ b/crates/fault_injection/src/network/datagram_link.rs
@@ -1,7 +1,7 @@
 //! Links for datagrams, and the queue of those that are delayed.
 
 use super::{Link, LinkQuality, Network, NodeId, POLL_INTERVAL};
-use crate::sync::lock;
+use fault_harness::sync::lock;
 use std::collections::BinaryHeap;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::Ordering;
--- a/crates/fault_injection/src/network/stream_link.rs
+++ b/crates/fault_injection/src/network/stream_link.rs
@@ -1,8 +1,8 @@
 //! Links for streams: each direction of a TCP connection is carried by a thread.
 
 use super::{Link, LinkQuality, Network, POLL_INTERVAL};
-use crate::connections::{is_temporary, reset_on_close};
-use crate::sync::lock;
+use fault_harness::connections::{is_temporary, reset_on_close};
+use fault_harness::sync::lock;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/fault_injection/src/runner.rs
+++ b/crates/fault_injection/src/runner.rs
@@ -6,13 +6,13 @@
 use crate::Error;
 use crate::builds::Builds;
 use crate::checkers::{self, Violation};
-use crate::clock::ScheduleClock;
 use crate::history::{Observation, Outcome, Record, Recorder, now_us};
 use crate::network::Traffic;
 use crate::schedule::{Fault, Schedule};
 use crate::site::{Site, write_common_files};
-use crate::wait::wait_until;
+use fault_harness::clock::ScheduleClock;
 use fault_harness::timeline::inject_each;
+use fault_harness::wait::wait_until;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -98,14 +98,12 @@
 fn inject_faults(site: &Site, schedule: &Schedule, clock: ScheduleClock) -> InjectedFaults {
     let last_end_us = AtomicU64::new(now_us());
     let inject = |index: usize, fault: &Fault| {
-        let end = Duration::from_millis(fault.start_ms + fault.duration_ms);
-        let wait_for_end = || clock.sleep_until(end);
+        let wait_for_end = || clock.sleep_until(fault.end());
         let done = site.inject_fault(index, &fault.kind, &wait_for_end);
         last_end_us.fetch_max(now_us(), Ordering::Relaxed);
         done
     };
-    let start = |fault: &Fault| Duration::from_millis(fault.start_ms);
-    let results = inject_each(clock, &schedule.faults, start, inject).into_iter();
+    let results = inject_each(clock, &schedule.faults, |fault| fault.start, inject).into_iter();
     let errors = results.filter_map(|result| result.unwrap_or(Err(Error::FaultPanicked)).err()).collect();
     InjectedFaults { errors, last_end_us: last_end_us.into_inner() }
 }
--- a/crates/fault_injection/src/schedule.rs
+++ b/crates/fault_injection/src/schedule.rs
@@ -12,6 +12,7 @@
 
 use crate::Error;
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 
 /// The most gatekeepers, and the most backends, of a site.
 pub const MAX_NODES: usize = 64;
@@ -99,8 +100,8 @@
         if [gatekeepers, backends].iter().any(|count| !(1..=MAX_NODES).contains(count)) {
             return Err(Error::SiteSize { gatekeepers, backends });
         }
-        match schedule.faults.iter().find(|fault| fault.end_ms() > schedule.length_ms) {
-            Some(late) => Err(Error::FaultEndsLate { start_ms: late.start_ms }),
+        match schedule.faults.iter().find(|fault| fault.end() > Duration::from_millis(schedule.length_ms)) {
+            Some(late) => Err(Error::FaultEndsLate { start_ms: late.start.as_millis() as u64 }),
             None => Ok(schedule),
         }
     }
@@ -114,9 +115,9 @@
         toml::to_string(self).expect("a schedule has a form in TOML")
     }
 
-    /// When the last fault ends, in ms.
-    pub fn last_fault_end_ms(&self) -> u64 {
-        self.faults.iter().map(Fault::end_ms).max().unwrap_or(0)
+    /// When the last fault ends.
+    pub fn last_fault_end(&self) -> Duration {
+        self.faults.iter().map(Fault::end).max().unwrap_or_default()
     }
 
     /// The same schedule without the fault at this index.
--- a/crates/fault_injection/src/schedule/fault.rs
+++ b/crates/fault_injection/src/schedule/fault.rs
@@ -300,28 +300,5 @@
     }
 }
 
-/// A fault and when it is injected.
-#[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Fault {
-    /// When it begins, from when all gatekeepers serve.
-    #[serde(rename = "at_ms")]
-    pub start_ms: u64,
-    /// Its duration.
-    #[serde(rename = "for_ms")]
-    pub duration_ms: u64,
-    /// Its kind.
-    #[serde(flatten)]
-    pub kind: FaultKind,
-}
-
-impl Fault {
-    /// A fault of this kind.
-    pub fn new(start_ms: u64, duration_ms: u64, kind: FaultKind) -> Self {
-        Self { start_ms, duration_ms, kind }
-    }
-
-    /// When it ends, in ms.
-    pub fn end_ms(&self) -> u64 {
-        self.start_ms.saturating_add(self.duration_ms)
-    }
-}
+/// A fault and when it is injected, from when all gatekeepers serve.
+pub type Fault = fault_harness::schedule::Fault<FaultKind>;
--- a/crates/fault_injection/src/schedule/generator.rs
+++ b/crates/fault_injection/src/schedule/generator.rs
@@ -22,7 +22,7 @@
         let mut generator = FaultGenerator { random, form, gatekeepers, backends };
         let count = generator.random.usize(FAULTS);
         let mut faults: Vec<Fault> = (0..count).map(|_| generator.fault(length_ms)).collect();
-        faults.sort_by_key(|fault| fault.start_ms);
+        faults.sort_by_key(|fault| fault.start);
         Self {
             name: format!("seed {seed}"),
             seed,
@@ -48,7 +48,7 @@
     fn fault(&mut self, length_ms: u64) -> Fault {
         let start_ms = self.random.u64(length_ms / 10..length_ms / 2);
         let duration_ms = self.random.u64(length_ms / 20..length_ms * 2 / 5);
-        Fault::new(start_ms, duration_ms, self.kind())
+        Fault::from_millis(start_ms, duration_ms, self.kind())
     }
 
     fn gatekeeper(&mut self) -> String {
--- a/crates/fault_injection/src/schedule/named.rs
+++ b/crates/fault_injection/src/schedule/named.rs
@@ -43,11 +43,11 @@
 
 fn cut(start_ms: u64, duration_ms: u64, from: &str, to: &str) -> Fault {
     let kind = FaultKind::Cut { from: from.to_owned(), to: to.to_owned(), one_way: false };
-    Fault::new(start_ms, duration_ms, kind)
+    Fault::from_millis(start_ms, duration_ms, kind)
 }
 
 fn killed(start_ms: u64, duration_ms: u64, target: &str) -> Fault {
-    Fault::new(start_ms, duration_ms, FaultKind::Killed { target: target.to_owned() })
+    Fault::from_millis(start_ms, duration_ms, FaultKind::Killed { target: target.to_owned() })
 }
 
 fn upgrade_of_m1(new_dies_after_us: Option<u64>, old_dies_after_us: Option<u64>) -> FaultKind {
@@ -70,7 +70,7 @@
             4,
             8_000,
             vec![
-                Fault::new(2_000, 3_000, upgrade_of_m1(None, None)),
+                Fault::from_millis(2_000, 3_000, upgrade_of_m1(None, None)),
                 cut(1_990, 2_500, "region:north", "region:south"),
             ],
         ),
@@ -78,13 +78,13 @@
             "the new program of an upgrade dies unheard",
             4,
             8_000,
-            vec![Fault::new(2_000, 2_000, upgrade_of_m1(dies, None))],
+            vec![Fault::from_millis(2_000, 2_000, upgrade_of_m1(dies, None))],
         ),
         platform(
             "the old program of an upgrade dies unheard",
             4,
             8_000,
-            vec![Fault::new(2_000, 2_000, upgrade_of_m1(None, dies))],
+            vec![Fault::from_millis(2_000, 2_000, upgrade_of_m1(None, dies))],
         ),
     ]
 }
@@ -92,7 +92,12 @@
 fn partial_failures() -> Vec<Schedule> {
     let throttled = FaultKind::Throttled { target: "m1".to_owned() };
     vec![
-        appliance("a slow member that others wait for", 6, 9_000, vec![Fault::new(2_000, 4_000, throttled)]),
+        appliance(
+            "a slow member that others wait for",
+            6,
+            9_000,
+            vec![Fault::from_millis(2_000, 4_000, throttled)],
+        ),
         appliance(
             "the counter reachable from one zone only",
             6,
@@ -114,9 +119,14 @@
     let flapping = FaultKind::Flapping { from: "m0".to_owned(), to: "*".to_owned(), period_ms: 1_000 };
     let one_way = FaultKind::Cut { from: "m0".to_owned(), to: "m1".to_owned(), one_way: true };
     vec![
-        appliance("a flapping link", 5, 60_000, vec![Fault::new(1_000, 56_000, flapping)]),
+        appliance("a flapping link", 5, 60_000, vec![Fault::from_millis(1_000, 56_000, flapping)]),
         appliance("two apart while a third reaches both", 5, 10_000, vec![cut(2_000, 6_000, "m0", "m1")]),
-        appliance("a link that works one way only", 5, 10_000, vec![Fault::new(2_000, 6_000, one_way)]),
+        appliance(
+            "a link that works one way only",
+            5,
+            10_000,
+            vec![Fault::from_millis(2_000, 6_000, one_way)],
+        ),
     ]
 }
 
@@ -133,14 +143,20 @@
             "keys changed while split",
             6,
             10_000,
-            vec![cut(2_000, 4_000, "region:north", "region:south"), Fault::new(2_500, 2_500, rotation)],
+            vec![
+                cut(2_000, 4_000, "region:north", "region:south"),
+                Fault::from_millis(2_500, 2_500, rotation),
+            ],
         ),
-        appliance("two members of one name", 5, 10_000, vec![Fault::new(2_000, 4_000, conflict)]),
+        appliance("two members of one name", 5, 10_000, vec![Fault::from_millis(2_000, 4_000, conflict)]),
         appliance(
             "a clock set back while it runs",
             5,
             10_000,
-            vec![Fault::new(2_000, 3_000, clock("m1", -140)), Fault::new(2_500, 3_000, clock("m2", 140))],
+            vec![
+                Fault::from_millis(2_000, 3_000, clock("m1", -140)),
+                Fault::from_millis(2_500, 3_000, clock("m2", 140)),
+            ],
         ),
     ]
 }
@@ -153,7 +169,7 @@
             "a member that was stopped for a minute",
             6,
             70_000,
-            vec![Fault::new(2_000, 60_000, suspended)],
+            vec![Fault::from_millis(2_000, 60_000, suspended)],
         ),
         appliance("half of 24 killed within a second", 24, 14_000, half),
     ]
@@ -168,7 +184,7 @@
             "the list file torn while Consul is silent",
             5,
             10_000,
-            vec![Fault::new(2_000, 4_000, silent), Fault::new(3_000, 300, torn)],
+            vec![Fault::from_millis(2_000, 4_000, silent), Fault::from_millis(3_000, 300, torn)],
         ),
     ]
 }
--- a/crates/fault_injection/src/schedule/tests.rs
+++ b/crates/fault_injection/src/schedule/tests.rs
@@ -42,7 +42,7 @@
     let text = format!("programs and loans must be 1 to 64, not 65 and {}", good.backends);
     assert_eq!(error(&large.to_toml()), text);
     let short = Schedule { length_ms: 1, faults: good.faults[..1].to_vec(), ..good.clone() };
-    let start_ms = good.faults[0].start_ms;
+    let start_ms = good.faults[0].start.as_millis();
     assert_eq!(error(&short.to_toml()), format!("a fault of {start_ms} ms ends after length_ms"));
     assert!(error("kind = 1").contains("unknown field `kind`"), "{}", error("kind = 1"));
 }
--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -16,11 +16,11 @@
 use crate::history::{Observation, Recorder, RecordingObserver, now_us};
 use crate::load::{Client, ClientSettings, TENANTS};
 use crate::network::{Network, NodeId};
-use crate::process::{Launch, Process};
 use crate::schedule::{Form, Schedule};
 use crate::stand_ins::{Backend, Counter, Discovery};
-use crate::sync::lock;
 use addresses::AddressPlan;
+use fault_harness::process::{Launch, Process};
+use fault_harness::sync::lock;
 use files::{SERVICE, STANDARD_PLAN};
 use member::{Member, MemberState};
 use selector::selects;
@@ -162,16 +162,14 @@
         let launch = Launch::new(&member.name, build);
         let observer = RecordingObserver::new(&member.name, &self.recorder);
         let started = match self.schedule.form {
-            Form::Appliance => {
-                Process::start_observed(&Launch { arguments: &["serve", &path], ..launch }, observer)
-            }
+            Form::Appliance => Process::start(&Launch { arguments: &["serve", &path], ..launch }, observer),
             Form::Platform => {
                 let variables = [
                     ("BALANCER_CONFIG", path),
                     ("BALANCER_OPERATOR", self.addresses.admin(index, state.starts).to_string()),
                     ("TMPDIR", member.folder.join("tmp").display().to_string()),
                 ];
-                Process::start_observed(&Launch { variables: &variables, ..launch }, observer)
+                Process::start(&Launch { variables: &variables, ..launch }, observer)
             }
         };
         started.map_err(Error::start(build))
--- a/crates/fault_injection/src/site/faults/configuration.rs
+++ b/crates/fault_injection/src/site/faults/configuration.rs
@@ -3,11 +3,11 @@
 use super::{ActiveFault, FaultScope};
 use crate::Error;
 use crate::history::Observation;
-use crate::process::Log;
 use crate::site::member::MemberState;
 use crate::site::{POLL_INTERVAL, Site};
-use crate::sync::lock;
-use crate::wait::wait_until;
+use fault_harness::process::Log;
+use fault_harness::sync::lock;
+use fault_harness::wait::wait_until;
 use std::time::Duration;
 
 /// What a gatekeeper logs once it has reloaded its settings, or rejected them; the last is that of older builds.
--- a/crates/fault_injection/src/site/faults/disk.rs
+++ b/crates/fault_injection/src/site/faults/disk.rs
@@ -2,10 +2,10 @@
 
 use super::ActiveFault;
 use crate::Error;
-use crate::process::Process;
 use crate::schedule::DiskFault;
 use crate::site::Site;
-use crate::sync::lock;
+use fault_harness::process::Process;
+use fault_harness::sync::lock;
 use std::os::unix::fs::symlink;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/fault_injection/src/site/faults/processes.rs
+++ b/crates/fault_injection/src/site/faults/processes.rs
@@ -2,11 +2,11 @@
 
 use super::{ActiveFault, FaultScope};
 use crate::Error;
-use crate::process::Process;
 use crate::schedule::{DiskFault, FaultKind};
 use crate::site::Site;
 use crate::site::member::MemberState;
-use crate::sync::lock;
+use fault_harness::process::Process;
+use fault_harness::sync::lock;
 
 /// Whether no client may miss an answer by a fault: a graceful shutdown, a reload, a disk that cannot be written, or an upgrade in
 /// which no process is killed.
--- a/crates/fault_injection/src/site/faults/upgrade.rs
+++ b/crates/fault_injection/src/site/faults/upgrade.rs
@@ -2,10 +2,10 @@
 
 use super::ActiveFault;
 use crate::Error;
-use crate::process::Process;
 use crate::site::{POLL_INTERVAL, Site};
-use crate::sync::lock;
-use crate::wait::{STEP_TIMEOUT, wait_until};
+use fault_harness::process::Process;
+use fault_harness::sync::lock;
+use fault_harness::wait::{STEP_TIMEOUT, wait_until};
 use std::thread;
 use std::time::Duration;
 
--- a/crates/fault_injection/src/site/member.rs
+++ b/crates/fault_injection/src/site/member.rs
@@ -2,8 +2,8 @@
 
 use super::files::MemberVariables;
 use crate::Error;
-use crate::process::{Log, Process};
-use crate::sync::lock;
+use fault_harness::process::{Log, Process};
+use fault_harness::sync::lock;
 use stand_in_consul::Listener;
 use std::net::SocketAddr;
 use std::ops::Range;
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -19,7 +19,7 @@
 
 use crate::network::Network;
 use crate::schedule::FailureMode;
-use crate::sync::lock;
+use fault_harness::sync::lock;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/fault_injection/src/stand_ins/job_target.rs
+++ b/crates/fault_injection/src/stand_ins/job_target.rs
@@ -3,7 +3,7 @@
 use super::listen;
 use crate::history::{Observation, Recorder};
 use crate::network::Network;
-use crate::wire;
+use fault_harness::wire;
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -4,10 +4,10 @@
 use crate::Error;
 use crate::checkers::Violation;
 use crate::history::{Recorder, RecordingObserver};
-use crate::process::{Launch, Process};
 use crate::site::write_common_files;
-use crate::sync::lock;
-use crate::wait::{STEP_TIMEOUT, wait_until};
+use fault_harness::process::{Launch, Process};
+use fault_harness::sync::lock;
+use fault_harness::wait::{STEP_TIMEOUT, wait_until};
 use stand_in_consul::{Consul, Fault, Service};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -100,8 +100,7 @@
         std::fs::write(settings, self.settings(list)).map_err(Error::file(settings))?;
         let arguments = ["serve", &settings.display().to_string()];
         let launch = Launch { arguments: &arguments, ..Launch::new(name, self.build) };
-        Process::start_observed(&launch, RecordingObserver::new(name, recorder))
-            .map_err(Error::start(self.build))
+        Process::start(&launch, RecordingObserver::new(name, recorder)).map_err(Error::start(self.build))
     }
 
     /// The file as a gatekeeper writes it.
--- a/crates/fault_injection/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -1,7 +1,7 @@
 //! The forms that are kept in files and the verdicts on them stay as they were: schedules, histories, and what checkers find.
 
+use fault_harness::digest::digest;
 use fault_injection::checkers::{Bounds, Ceiling, ResourceLimits, check, longest_contradiction, outcomes};
-use fault_injection::digest::digest;
 use fault_injection::history::{read, write};
 use fault_injection::schedule::{Schedule, named_schedules};
 use std::collections::BTreeMap;
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -184,7 +184,7 @@
             number,
             lifecycle: Arc::clone(&lifecycle),
         };
-        let process = Process::start_observed(&launch, observer)?;
+        let process = Process::start(&launch, observer)?;
         incarnations.push(Arc::new(Incarnation { number, process, lifecycle }));
         Ok(())
     }
--- a/crates/system_tests/src/addresses.rs
+++ b/crates/system_tests/src/addresses.rs
@@ -1,6 +1,6 @@
 //! Free addresses on loopback.
 
-use fault_injection::ports::free_address;
+use fault_harness::ports::free_address;
 use std::net::SocketAddr;
 
 /// Returns addresses on loopback whose ports are free now, for TCP and for UDP, and that no harness in another process uses.
--- a/crates/system_tests/src/bin/proof-checkers/schedules.rs
+++ b/crates/system_tests/src/bin/proof-checkers/schedules.rs
@@ -40,6 +40,6 @@
     let mut schedule = Schedule::from_seed(seed as u64, LENGTH_MS);
     schedule.form = Form::Appliance;
     schedule.faults.retain(|fault| !matches!(fault.kind, FaultKind::Upgrade { .. }));
-    schedule.faults.push(Fault::new(2_000, 4_000, FaultKind::Drained { target: "l1".into() }));
+    schedule.faults.push(Fault::from_millis(2_000, 4_000, FaultKind::Drained { target: "l1".into() }));
     schedule
 }
--- a/crates/system_tests/src/bin/proof-compatibility/restarts.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/restarts.rs
@@ -46,7 +46,7 @@
         version_proposed(17_500, "m0", 18.0),
     ];
     faults.extend(RESTARTS_MS.into_iter().flat_map(restart_without_consul));
-    faults.sort_by_key(|fault| fault.start_ms);
+    faults.sort_by_key(|fault| fault.start);
     Schedule {
         options: SiteOptions { replicas: 3, ..SiteOptions::default() },
         faults,
@@ -57,7 +57,10 @@
 fn restart_without_consul(at_ms: u64) -> [Fault; 2] {
     let killed = FaultKind::Killed { target: "*".into() };
     let silent = FaultKind::Consul { target: "*".into(), mode: FailureMode::Silent };
-    [Fault::new(at_ms, DOWN_MS, killed), Fault::new(at_ms - CONSUL_DOWN_BEFORE_MS, CONSUL_DOWN_MS, silent)]
+    [
+        Fault::from_millis(at_ms, DOWN_MS, killed),
+        Fault::from_millis(at_ms - CONSUL_DOWN_BEFORE_MS, CONSUL_DOWN_MS, silent),
+    ]
 }
 
 /// Returns the number of requests that were served between the end of a restart and Consul's return.
--- a/crates/system_tests/src/bin/proof-compatibility/schedules.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/schedules.rs
@@ -23,7 +23,7 @@
 
 /// A new version of the replicated configuration, proposed at a gatekeeper.
 pub(crate) fn version_proposed(start_ms: u64, target: &str, units_per_second: f64) -> Fault {
-    Fault::new(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
+    Fault::from_millis(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
 }
 
 /// Runs a schedule and adds its violations to the table.
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -31,7 +31,7 @@
     let upgrade = |number| {
         let kind =
             FaultKind::Upgrade { target: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
-        Fault::new(number * INTERVAL_MS, SIDE_BY_SIDE_MS, kind)
+        Fault::from_millis(number * INTERVAL_MS, SIDE_BY_SIDE_MS, kind)
     };
     Schedule {
         faults: (1..=UPGRADES).map(upgrade).collect(),
--- a/crates/system_tests/src/bin/proof-faults/totals.rs
+++ b/crates/system_tests/src/bin/proof-faults/totals.rs
@@ -1,6 +1,6 @@
 //! Figures of all schedules together.
 
-use fault_injection::checkers::Violation;
+use fault_harness::violation::Violation;
 use fault_injection::network::Traffic;
 use fault_injection::runner::RunResult;
 use fault_injection::schedule::Schedule;
--- a/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
@@ -53,14 +53,14 @@
 
 fn clock_offset(instance: usize, offset_ms: i64) -> Fault {
     let kind = FaultKind::ClockOffset { target: format!("m{instance}"), offset_ms, running: true };
-    Fault::new(500, 17_000, kind)
+    Fault::from_millis(500, 17_000, kind)
 }
 
 fn killed(target: &str) -> Fault {
-    Fault::new(8_000, 2_000, FaultKind::Killed { target: target.into() })
+    Fault::from_millis(8_000, 2_000, FaultKind::Killed { target: target.into() })
 }
 
 fn store_loss() -> Fault {
     let kind = FaultKind::Consul { target: "*".into(), mode: FailureMode::RestartedEmpty };
-    Fault::new(13_000, 10, kind)
+    Fault::from_millis(13_000, 10, kind)
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/phases.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/phases.rs
@@ -75,9 +75,13 @@
             Self::PartitionFromStore => partition_from_store(),
             Self::ResponsesLost => vec![consul("*", 69_000, 1_000, FailureMode::ResponseLost)],
             Self::OneLeaves => {
-                vec![Fault::new(74_000, 2_000, FaultKind::ShutDown { target: LEAVING_INSTANCE.into() })]
+                vec![Fault::from_millis(
+                    74_000,
+                    2_000,
+                    FaultKind::ShutDown { target: LEAVING_INSTANCE.into() },
+                )]
             }
-            Self::JobsChanged => vec![Fault::new(80_000, 5_000, jobs_changed())],
+            Self::JobsChanged => vec![Fault::from_millis(80_000, 5_000, jobs_changed())],
         }
     }
 }
@@ -100,15 +104,15 @@
 }
 
 fn killed(target: String) -> Fault {
-    Fault::new(14_000, 6_000, FaultKind::Killed { target })
+    Fault::from_millis(14_000, 6_000, FaultKind::Killed { target })
 }
 
 fn suspended(target: &str, start_ms: u64, duration_ms: u64) -> Fault {
-    Fault::new(start_ms, duration_ms, FaultKind::Suspended { target: target.into() })
+    Fault::from_millis(start_ms, duration_ms, FaultKind::Suspended { target: target.into() })
 }
 
 fn consul(target: &str, start_ms: u64, duration_ms: u64, mode: FailureMode) -> Fault {
-    Fault::new(start_ms, duration_ms, FaultKind::Consul { target: target.into(), mode })
+    Fault::from_millis(start_ms, duration_ms, FaultKind::Consul { target: target.into(), mode })
 }
 
 /// Cuts the first half of the instances off from the second.
@@ -116,7 +120,7 @@
     let cuts = first_half().flat_map(|from| {
         second_half().map(move |to| FaultKind::Cut { from: from.clone(), to, one_way: false })
     });
-    cuts.map(|cut| Fault::new(start_ms, duration_ms, cut)).collect()
+    cuts.map(|cut| Fault::from_millis(start_ms, duration_ms, cut)).collect()
 }
 
 /// Cuts the first half of the instances off from the second and from the lease store.
--- a/crates/system_tests/src/bin/proof-periodic-jobs/phases/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/phases/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::schedule::schedule;
-use fault_injection::digest::digest;
+use fault_harness::digest::digest;
 
 #[test]
 fn phases_are_those_that_they_always_were() {
--- a/crates/system_tests/src/bin/proof-platform-cost/client.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/client.rs
@@ -1,6 +1,6 @@
 //! A client that sends queries one after the other on one connection.
 
-use fault_injection::wire::resp_command;
+use fault_harness::wire::resp_command;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use system_tests::STEP_TIMEOUT;
--- a/crates/system_tests/src/bin/proof-platform-cost/stand_ins.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/stand_ins.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for the backends and for the discovery agent.
 
-use fault_injection::connections::serve_connections;
-use fault_injection::stand_ins::{write_watch_head, write_watch_line};
-use fault_injection::wire::read_resp_command;
+use fault_harness::connections::serve_connections;
+use fault_harness::stand_ins::{write_watch_head, write_watch_line};
+use fault_harness::wire::read_resp_command;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -1,6 +1,7 @@
 //! The schedules: hard cases by name, and generated faults with changes of the configuration in between.
 
 use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
+use std::time::Duration;
 
 /// The replica that leads as a rule, because it is the first to stand for election.
 const LEADER: &str = "m0";
@@ -12,7 +13,7 @@
 /// Duration of the part of a schedule in which generated faults begin.
 const GENERATED_FAULTS_LENGTH_MS: u64 = 10_000;
 /// Begin of this part. By then there is a leader, and the first leases are granted.
-const GENERATED_FAULTS_START_MS: u64 = 3_000;
+const GENERATED_FAULTS_START: Duration = Duration::from_secs(3);
 /// Number of generated schedules out of 256 in which the counter loses its state.
 const COUNTER_LOSS_OF_256: u8 = 60;
 /// Maximum number of gatekeepers with three replicas. Larger sites have five.
@@ -20,7 +21,7 @@
 
 /// A new version of the configuration, proposed at this gatekeeper.
 fn version_proposed(start_ms: u64, target: &str, units_per_second: f64) -> Fault {
-    Fault::new(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
+    Fault::from_millis(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
 }
 
 fn schedule(name: &str, seed: u64, gatekeepers: usize, faults: Vec<Fault>) -> Schedule {
@@ -66,7 +67,7 @@
     let during_a_change = |kind| {
         vec![
             version_proposed(4_500, "m4", 16.0),
-            Fault::new(4_520, 3_000, kind),
+            Fault::from_millis(4_520, 3_000, kind),
             version_proposed(5_000, "m5", 12.0),
         ]
     };
@@ -86,7 +87,7 @@
             "a stopped leader wakes after its successor changed settings",
             vec![
                 version_proposed(3_800, "m5", 19.0),
-                Fault::new(4_500, 5_000, suspended(LEADER)),
+                Fault::from_millis(4_500, 5_000, suspended(LEADER)),
                 version_proposed(6_500, "m4", 12.0),
             ],
         ),
@@ -98,18 +99,18 @@
         named(
             "a minority with the operator's terminal",
             vec![
-                Fault::new(4_000, 5_000, cut("m0", "*")),
-                Fault::new(4_000, 5_000, cut("m3", "m1")),
-                Fault::new(4_000, 5_000, cut("m3", "m2")),
+                Fault::from_millis(4_000, 5_000, cut("m0", "*")),
+                Fault::from_millis(4_000, 5_000, cut("m3", "m1")),
+                Fault::from_millis(4_000, 5_000, cut("m3", "m2")),
                 version_proposed(4_500, "m3", 12.0),
             ],
         ),
         named(
             "split in three",
             vec![
-                Fault::new(4_000, 4_000, cut("zone:a", "zone:b")),
-                Fault::new(4_000, 4_000, cut("zone:b", "zone:c")),
-                Fault::new(4_000, 4_000, cut("zone:a", "zone:c")),
+                Fault::from_millis(4_000, 4_000, cut("zone:a", "zone:b")),
+                Fault::from_millis(4_000, 4_000, cut("zone:b", "zone:c")),
+                Fault::from_millis(4_000, 4_000, cut("zone:a", "zone:c")),
                 version_proposed(4_600, "m3", 12.0),
                 version_proposed(9_000, "m4", 14.0),
             ],
@@ -118,15 +119,15 @@
 }
 
 fn clocks_and_restarts() -> Vec<Schedule> {
-    let all_killed = (0..6).map(|i| Fault::new(6_000, 300, killed(&format!("m{i}"))));
+    let all_killed = (0..6).map(|i| Fault::from_millis(6_000, 300, killed(&format!("m{i}"))));
     let five_versions =
         (0..5).map(|i| version_proposed(5_000 + 200 * i, &format!("m{}", i % 4), 11.0 + i as f64));
     vec![
         named(
             "clocks set apart and back",
             vec![
-                Fault::new(3_500, 6_000, clock_offset("m0", -60_000)),
-                Fault::new(3_500, 3_000, clock_offset("m4", 60_000)),
+                Fault::from_millis(3_500, 6_000, clock_offset("m0", -60_000)),
+                Fault::from_millis(3_500, 3_000, clock_offset("m4", 60_000)),
                 version_proposed(5_000, "m5", 12.0),
                 version_proposed(8_000, "m3", 14.0),
             ],
@@ -137,7 +138,7 @@
         ),
         named(
             "five changes within a second, one gatekeeper stopped through all",
-            five_versions.chain([Fault::new(4_800, 3_000, suspended("m5"))]).collect(),
+            five_versions.chain([Fault::from_millis(4_800, 3_000, suspended("m5"))]).collect(),
         ),
     ]
 }
@@ -153,23 +154,27 @@
     let mut random = fastrand::Rng::with_seed(seed ^ CHANGES_SEED);
     let Schedule { gatekeepers, mut faults, .. } = Schedule::from_seed(seed, GENERATED_FAULTS_LENGTH_MS);
     faults.retain(|fault| is_applicable(&fault.kind));
-    faults.iter_mut().for_each(|fault| fault.start_ms += GENERATED_FAULTS_START_MS);
+    faults.iter_mut().for_each(|fault| fault.start += GENERATED_FAULTS_START);
     if random.bool() {
         let start_ms = random.u64(3_500..6_000);
         let duration_ms = random.u64(500..4_000);
         let target = format!("m{}", random.usize(0..3));
         let kind = if random.bool() { killed(&target) } else { suspended(&target) };
-        faults.push(Fault::new(start_ms, duration_ms, kind));
+        faults.push(Fault::from_millis(start_ms, duration_ms, kind));
     }
     if random.u8(..) < COUNTER_LOSS_OF_256 {
-        faults.push(Fault::new(4_000, 2_000, FaultKind::Counter { mode: FailureMode::RestartedEmpty }));
+        faults.push(Fault::from_millis(
+            4_000,
+            2_000,
+            FaultKind::Counter { mode: FailureMode::RestartedEmpty },
+        ));
     }
     for i in 0..3 {
         let target = format!("m{}", random.usize(0..gatekeepers));
         let start_ms = 4_000 + 1_500 * i + random.u64(0..900);
         faults.push(version_proposed(start_ms, &target, random.u32(10..20).into()));
     }
-    faults.sort_by_key(|fault| fault.start_ms);
+    faults.sort_by_key(|fault| fault.start);
     schedule(&format!("agreed, seed {seed}"), seed, gatekeepers, faults)
 }
 
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules/tests.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules/tests.rs
@@ -1,7 +1,7 @@
 //! The schedules are the same in every version, so that a failure comes back by its seed.
 
 use super::*;
-use fault_injection::digest::digest;
+use fault_harness::digest::digest;
 
 fn digest_of(schedules: impl Iterator<Item = Schedule>) -> u64 {
     digest(&schedules.map(|schedule| schedule.to_toml()).collect::<String>())
--- a/crates/system_tests/src/bin/proof-timing/backend.rs
+++ b/crates/system_tests/src/bin/proof-timing/backend.rs
@@ -1,7 +1,7 @@
 //! A backend with a configurable service time that counts its requests.
 
-use fault_injection::connections::serve_connections;
-use fault_injection::sync::lock;
+use fault_harness::connections::serve_connections;
+use fault_harness::sync::lock;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/system_tests/src/gatekeeper.rs
+++ b/crates/system_tests/src/gatekeeper.rs
@@ -1,10 +1,10 @@
 //! A gatekeeper as a child process.
 
-use fault_injection::process::{
+use fault_harness::process::{
     Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver, ResourceUsage,
 };
-use fault_injection::sync::lock;
-use fault_injection::wait::STEP_TIMEOUT;
+use fault_harness::sync::lock;
+use fault_harness::wait::STEP_TIMEOUT;
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -65,7 +65,7 @@
             Launch { arguments, variables, log_format: LogFormat::Plain, ..Launch::new("gatekeeper", build) };
         let (sender, log_lines) = channel();
         let forwarder = LogForwarder { log_lines: Mutex::new(sender) };
-        let process = Process::start_observed(&launch, forwarder).expect("the gatekeeper starts");
+        let process = Process::start(&launch, forwarder).expect("the gatekeeper starts");
         Self { process, log_lines }
     }
 
--- a/crates/system_tests/src/schedules.rs
+++ b/crates/system_tests/src/schedules.rs
@@ -2,10 +2,10 @@
 
 use crate::Error;
 use crate::parallel::for_each_parallel;
+use fault_harness::sync::lock;
 use fault_injection::builds::Builds;
 use fault_injection::runner::{self, RunResult};
 use fault_injection::schedule::Schedule;
-use fault_injection::sync::lock;
 use std::sync::Mutex;
 
 /// Runs a schedule in a temporary folder of this name, which is removed at the end.
--- a/crates/system_tests/src/table.rs
+++ b/crates/system_tests/src/table.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use crate::Verdict;
-use fault_injection::checkers::Violation;
+use fault_harness::violation::Violation;
 use std::fmt::Display;
 use std::time::Duration;
 
