--- a/crates/destination/src/pool.rs
+++ b/crates/destination/src/pool.rs
@@ -73,7 +73,10 @@
         self.endpoint.state = BackendState::Gone;
     }
 
+    /// Adds a connection that has become idle. Bytes behind its answer have to arrive before it is reused, so none may wait for an
+    /// acknowledgement.
     pub(crate) fn put_idle(&mut self, connection: Arc<PooledConnection<Q>>) {
+        connection.socket.acknowledge();
         self.idle.push(IdleConnection { connection, since: Instant::now() });
     }
 
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -9,6 +9,7 @@
 use crate::tcp_info;
 use crate::timer::sleep;
 use may::net::TcpStream;
+use socket2::SockRef;
 use std::io::{self, ErrorKind, Read};
 use std::net::{self, Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -235,6 +236,13 @@
         self.read_state.is_peer_closed()
     }
 
+    /// Acknowledges the peer's bytes now instead of with the next write. The peer's system may hold back further bytes until then
+    /// (Nagle's algorithm).
+    pub fn acknowledge(&self) {
+        // A failure delays the acknowledgement alone.
+        let _ = SockRef::from(self.stream.inner()).set_quickack(true);
+    }
+
     /// Whether the socket holds unread bytes, an end of stream or an error. Reads nothing.
     pub fn has_unread(&self) -> bool {
         !matches!(self.stream.inner().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -317,6 +317,46 @@
     assert!(duplicates >= MIN_DUPLICATES, "{duplicates} duplicates were written");
 }
 
+/// Regression: the backend's system held back a duplicate until the answer before it was acknowledged (Nagle's algorithm), and the
+/// acknowledgement came with the next request. The duplicate then arrived as the reply to it.
+#[test]
+fn a_second_answer_that_waits_for_an_acknowledgement_is_dropped() {
+    /// Delay of a duplicate. A connection rests for 20 ms after an answer, and an acknowledgement waits for 40 ms.
+    const DELAY: Duration = Duration::from_millis(10);
+    /// A duplicate that a busy machine delays by more than this is not written: nothing tells it from the next reply.
+    const MAX_DELAY: Duration = Duration::from_millis(15);
+    /// Time between two requests, after which the connection is reused.
+    const PAUSE: Duration = Duration::from_millis(25);
+    const MIN_DUPLICATES: usize = 5;
+    let duplicates = Arc::new(AtomicUsize::new(0));
+    let written = duplicates.clone();
+    let address = listen(move |stream| {
+        let mut reads = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
+        let mut is_first = true;
+        while let Some(words) = read_resp_command(&mut reads) {
+            let answered = Instant::now();
+            let _ = (&stream).write_all(&backend_reply(&words[2]));
+            // The system acknowledges the first bytes of a connection at once.
+            if std::mem::take(&mut is_first) {
+                continue;
+            }
+            std::thread::sleep(DELAY);
+            if answered.elapsed() < MAX_DELAY && (&stream).write_all(&backend_reply(&words[2])).is_ok() {
+                written.fetch_add(1, Ordering::Relaxed);
+            }
+        }
+    });
+    let site = site("held-answer", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let mut client = Client::connect(site.listen);
+    for number in 1..=30 {
+        client.send(&query_of_new_tenant(number));
+        assert_eq!(client.reply(), request_id(number));
+        std::thread::sleep(PAUSE);
+    }
+    let duplicates = duplicates.load(Ordering::Relaxed);
+    assert!(duplicates >= MIN_DUPLICATES, "{duplicates} duplicates were written");
+}
+
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
     let (address, events) = backend(read_resp_command, |_| Behaviour::NoReply);
