--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: whether a request is forwarded, rejected, or waits for a fresh total of its tenant's count.
+//! Admission: decides whether a request is forwarded, rejected, or waits for the current total of its
+//! tenant's spend from the shared counter.
 
 use crate::action::{Action, RejectReason};
 use crate::concurrency_limit::Demand;
@@ -13,12 +14,12 @@
 use crate::time::{Micros, SECOND};
 use crate::timer_token::deadline_token;
 
-/// Part of a cap on attempts in flight that all gatekeepers together aim at. Attempts above the cap take
-/// capacity there too and earn nothing. With random arrivals, sends x P(below the cap) is largest near half
-/// of it.
-const IN_FLIGHT_PART: f64 = 0.55;
+/// Fraction of a cap on attempts in flight that all gatekeepers together aim for. An attempt above the cap
+/// uses backend capacity like any other but earns nothing. With random arrivals, the number of attempts sent
+/// multiplied by the probability of being below the cap is largest near half of the cap.
+const IN_FLIGHT_TARGET_FRACTION: f64 = 0.55;
 
-/// What became of a request that was decided.
+/// Result of an admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Decision {
     Forwarded,
@@ -26,8 +27,9 @@
 }
 
 impl Policy {
-    /// Decides at once where the bucket is certain. Where a fresh total could change the decision, as with
-    /// many gatekeepers it often could, the request waits for the one call that its tenant has in flight.
+    /// Decides at once if the level of the tenant's bucket is certain. If a current total could change the
+    /// decision, which is common with many gatekeepers, the request waits for the answer to the tenant's
+    /// counter call; a tenant has at most one call in flight.
     pub(crate) fn on_request(
         &mut self,
         id: RequestId,
@@ -45,8 +47,9 @@
         self.refilled_quota(tenant, request.plan, gatekeepers);
         let Some(quota) = self.tenants.get_mut(&tenant) else { return };
         let headroom = quota.headroom(request.price, counter, &self.settings, now);
-        // What looks affordable is reported as spent with the call, so that no other gatekeeper spends it
-        // meanwhile. A request without capacity is not: its units would be given back with a second call.
+        // The cost of a request that looks affordable is reported as spent with the call, so that no other
+        // gatekeeper spends these units meanwhile. Without capacity the cost is not reported, because the
+        // request will be rejected and returning the units would take a second call.
         let is_affordable = has_capacity && headroom.units >= 0.0;
         request.provisional_spend = if is_affordable { request.price.cost } else { 0.0 };
         quota.shared.spend(request.provisional_spend);
@@ -61,7 +64,8 @@
         out.push(Action::Timer { after: latest.max(1), token: deadline_token(id) });
     }
 
-    /// Under a ceiling, the largest cost of its class is reserved for a request until its cost is settled.
+    /// Sets the surcharge and the reservation of a request. Under a ceiling, a request with an estimated cost
+    /// reserves the largest cost of its class until its actual cost is known.
     fn set_price(&self, request: &mut Request) {
         let price = &mut request.price;
         let has_ceiling = self.settings.plans[request.plan].ceiling_rate > 0.0;
@@ -72,7 +76,8 @@
             price.cost * surcharge_factor(&self.settings, request.class, self.latency_ratio());
     }
 
-    /// Rejects a request that its bucket, its ceiling or the backends cannot take, and forwards it otherwise.
+    /// Rejects a request that exceeds its tenant's quota or ceiling or the capacity of the backends, and
+    /// forwards it otherwise.
     pub(crate) fn decide(&mut self, id: RequestId, out: &mut Actions) -> Decision {
         let Some(mut request) = self.requests.remove(&id) else { return Decision::Rejected };
         let tenant = request.tenant;
@@ -100,8 +105,8 @@
         Decision::Forwarded
     }
 
-    /// Why a request is rejected, if it is. Where the shared bucket is uncertain the local share decides, so
-    /// that gatekeepers do not all spend the same last units.
+    /// Returns why a request is rejected; `None` if it may be forwarded. While the level of the shared bucket
+    /// is uncertain, the local share decides, so that gatekeepers do not all spend the same last units.
     fn reject_reason(&self, quota: &TenantQuota, request: &Request) -> Option<RejectReason> {
         let plan = &self.settings.plans[request.plan];
         let headroom = quota.headroom(request.price, self.counter_state(), &self.settings, self.now);
@@ -120,24 +125,26 @@
         (!self.has_capacity(request)).then_some(RejectReason::NoCapacity)
     }
 
-    /// Whether a further attempt is likely below the cap on attempts in flight. A cap for each gatekeeper
-    /// would be many times the cap, so those of the others are estimated from their rate and the mean time of
-    /// an attempt. With no total to tell their rate, each gatekeeper has its even share, spaced out.
+    /// Whether one more attempt probably stays below the tenant's cap on attempts in flight. If each
+    /// gatekeeper applied the cap to its own attempts alone, the sum could be many times the cap. So the
+    /// attempts of the other gatekeepers are estimated from their spend rate and the mean duration of an
+    /// attempt. Without a total that shows their rate, each gatekeeper takes its even share: one attempt at a
+    /// time, with a minimum interval between admissions.
     fn may_add_in_flight(&self, quota: &TenantQuota, request: &Request, cap: f64) -> bool {
         let means = &self.pool_of(request.class).means;
-        let usable = IN_FLIGHT_PART * cap;
+        let target = IN_FLIGHT_TARGET_FRACTION * cap;
         let attempt_seconds = means.attempt_seconds();
         let in_flight = &quota.in_flight;
         if !quota.shared.is_synced() || self.counter.health.is_silent() {
             let is_spaced =
-                in_flight.idle_seconds(self.now) >= attempt_seconds * quota.gatekeepers() / usable;
+                in_flight.seconds_since_admission(self.now) >= attempt_seconds * quota.gatekeepers() / target;
             return in_flight.attempts() == 0 && is_spaced;
         }
         let others = quota.shared.others_rate() * attempt_seconds / means.cost().max(1.0);
-        f64::from(in_flight.attempts()) + others < usable
+        f64::from(in_flight.attempts()) + others < target
     }
 
-    /// Takes the units of a request at admission.
+    /// Charges an admitted request to its tenant's quota and schedules the report to the counter.
     fn charge(&mut self, request: &Request) {
         let (now, counter_is_silent) = (self.now, self.counter.health.is_silent());
         let service = self.service_of(request.class);
@@ -148,7 +155,8 @@
         self.counter.schedule(request.tenant, quota, request.price.cost, delay, now);
     }
 
-    /// The answer told the actual cost: the difference is charged or refunded, and the reservation ends.
+    /// Settles the cost of a request when its answer states the actual units: charges or refunds the
+    /// difference from the estimate and ends the reservation.
     pub(crate) fn settle(&mut self, id: RequestId, units: f64) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.settled) else { return };
         request.settled = true;
@@ -158,27 +166,29 @@
         if self.settings.estimated_costs && units.is_finite() && units > 0.0 {
             quota.settle(difference);
             self.class_stats[request.class].record_cost(units, self.settings.max_cost);
-            // A small difference: it goes with the next spend, or after a second.
+            // The difference is small: it is reported with the next spend, or after a second at the latest.
             self.counter.schedule(tenant, quota, difference, SECOND as Micros, self.now);
         }
     }
 
-    /// When the tenant's bucket and ceiling hold the cost and capacity is free, within what clients honour.
+    /// Microseconds after which the tenant's bucket and ceiling hold the cost and capacity is free: at least
+    /// a tick, at most the longest Retry-After that the settings allow.
     pub(crate) fn retry_after(&self, request: &Request) -> Micros {
         let (quota, plan) = (&self.tenants[&request.tenant], &self.settings.plans[request.plan]);
         let headroom = quota.headroom(request.price, self.counter_state(), &self.settings, self.now);
         let bucket = -headroom.units / plan.rate;
         let ceiling = quota.seconds_until_ceiling_covers(request.price.cost, plan);
-        // A retry finds capacity at any of the tenant's gatekeepers, so only the lag of late answers counts.
+        // A retry may find capacity at any of the tenant's gatekeepers, so only the delay of answers is
+        // counted.
         let pool = self.pool_of(request.class);
-        let lag = pool.concurrency.lateness() * pool.means.latency() / SECOND;
-        let capacity = if self.has_capacity(request) { 0.0 } else { lag };
+        let answer_delay = pool.concurrency.lateness() * pool.means.latency() / SECOND;
+        let capacity = if self.has_capacity(request) { 0.0 } else { answer_delay };
         let waits = [bucket, ceiling, capacity].into_iter().filter(|wait| wait.is_finite());
         let wait = (waits.fold(0.0, f64::max) * SECOND) as Micros;
         wait.max(self.settings.tick).min(self.settings.max_retry_after)
     }
 
-    /// Whether the concurrency limit of its service admits a request.
+    /// Whether the concurrency limit of the request's service admits the request.
     pub(crate) fn has_capacity(&self, request: &Request) -> bool {
         let pool = self.pool_of(request.class);
         let plan = &self.settings.plans[request.plan];
@@ -191,28 +201,29 @@
         pool.concurrency.admits(demand, self.now)
     }
 
-    /// Attempts in flight at the backends of a service, except those at ejected backends: they take nobody's
-    /// capacity.
+    /// Counts the attempts in flight at the backends of a service. Attempts at ejected backends are left out,
+    /// because they use no capacity that other requests could have; in panic mode ejections are ignored.
     fn attempts_in_flight(&self, service: usize) -> f64 {
         let in_panic_mode = self.pools[service].order.in_panic_mode();
-        let counts = |request: &Request, attempt: &Attempt| {
+        let uses_capacity = |request: &Request, attempt: &Attempt| {
             let backend = self.backends.get(attempt.backend);
-            let is_lost = backend.is_none_or(|b| b.health.ejected_until(request.class).is_some());
-            attempt.is_in_flight() && (in_panic_mode || !is_lost)
+            let is_ejected_or_gone = backend.is_none_or(|b| b.health.ejected_until(request.class).is_some());
+            attempt.is_in_flight() && (in_panic_mode || !is_ejected_or_gone)
         };
-        let in_flight = |request: &Request| request.attempts.iter().filter(|a| counts(request, a)).count();
+        let in_flight =
+            |request: &Request| request.attempts.iter().filter(|a| uses_capacity(request, a)).count();
         let is_served_here = |request: &&Request| self.service_of(request.class) == service;
         self.requests.values().filter(is_served_here).map(in_flight).sum::<usize>() as f64
     }
 
-    /// Selects a backend for a request.
+    /// Selects a backend for an attempt of a request; `None` if no backend is eligible.
     pub(crate) fn select_backend(&mut self, request: &Request) -> Option<BackendId> {
         let pool = &self.pools[usize::from(self.settings.classes[request.class].service)];
         let (settings, backends, now) = (&self.settings, &self.backends, self.now);
         LoadBalancer { settings, backends, pool, now }.select(request, &mut self.rng)
     }
 
-    /// Schedules a report of spend within a delay.
+    /// Schedules a report of a tenant's spend to the counter, due in `delay` microseconds at the latest.
     pub(crate) fn schedule_report(&mut self, tenant: TenantId, units: f64, delay: Micros) {
         if let Some(quota) = self.tenants.get_mut(&tenant) {
             self.counter.schedule(tenant, quota, units, delay, self.now);
--- a/crates/policy/src/count_total.rs
+++ b/crates/policy/src/count_total.rs
@@ -1,21 +1,22 @@
-//! A total of a tenant's count, and what it says about the tenant's bucket.
+//! The total of a tenant's count at the shared counter, and how the level of the tenant's bucket follows from
+//! it.
 
 use serde::{Deserialize, Serialize};
 
-/// What the total of a tenant's count says about its bucket.
+/// How the level of a tenant's bucket can be derived from the total of its count.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub(crate) enum BucketView {
-    /// The first total under a name: spend may have been reported under the name before.
+    /// The total is the first one read under its name: spend may have been reported under the name before.
     #[default]
     Fresh,
-    /// The level is exact.
+    /// The level follows exactly from the total.
     Exact,
-    /// Spend went unreported, while the counter was silent or because it lost totals: only changes of the total count until the next
-    /// name.
+    /// The total lacks some spend, because the counter was silent or lost totals. Only changes of the total
+    /// are used until the next name.
     Diverged,
 }
 
-/// A total of a named count.
+/// The total of a count, with the count's name.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct CountTotal {
     pub(crate) name: u64,
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the shared quota counter: which are made, and what follows from their answers.
+//! Calls to the shared quota counter: decides which calls are made, and applies their answers.
 
 use crate::action::Action;
 use crate::count_total::CountTotal;
@@ -10,8 +10,9 @@
 use crate::state_machine::{Actions, Policy};
 
 impl Policy {
-    /// Adds unreported spend to the tenant's count and reads its total: one call in flight for a tenant, rate
-    /// limited over all tenants. Returns whether a call is in flight.
+    /// Calls the counter, if needed and allowed, to add the tenant's unreported spend to its count and to
+    /// read the total. A tenant has at most one call in flight, and calls are rate limited over all tenants.
+    /// Returns whether a call is in flight.
     pub(crate) fn call_counter(&mut self, tenant: TenantId, urgency: Urgency, out: &mut Actions) -> bool {
         let now = self.now;
         let Some(quota) = self.tenants.get_mut(&tenant) else { return false };
@@ -52,8 +53,8 @@
             }
             _ => quota.shared.call_failed(added, FailedCall::PossiblyAdded),
         }
-        // The units were added, but the total could not be read. A request that waits still needs it.
-        let needs_total = outcome == Outcome::Error && self.is_awaited(tenant);
+        // The counter added the units, but its answer is unreadable. Waiting requests still need the total.
+        let needs_total = outcome == Outcome::Error && self.has_waiting_requests(tenant);
         if needs_total && self.call_counter(tenant, Urgency::Awaited, out) {
             return;
         }
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Whether a request waits for the total of this tenant.
-    fn is_awaited(&self, tenant: TenantId) -> bool {
+    /// Whether a request waits for the total of this tenant's count.
+    fn has_waiting_requests(&self, tenant: TenantId) -> bool {
         self.tenants.get(&tenant).is_some_and(|quota| !quota.waiting.is_empty())
     }
 
@@ -77,11 +78,11 @@
         let plan = &self.settings.plans[quota.plan];
         let current = CountName::of(tenant, plan.rate, fleet_time);
         let previous = CountName::of(tenant, plan.rate, fleet_time.saturating_sub(EPOCH));
-        // The name may have changed while the call was in flight.
+        // A new epoch, and with it a new name, may have begun while the call was in flight.
         let age = match total.name {
             name if name == current.name => current.age,
             name if name == previous.name => current.age + EPOCH,
-            // The rate or the clock has changed as well: no gatekeeper reads that count any more.
+            // The rate or the clock has changed: no gatekeeper reads that count any more.
             _ => return quota.shared.call_misdirected(added),
         };
         let answer = CounterAnswer {
@@ -89,7 +90,7 @@
             added,
             refilled: refilled(plan.rate, age),
             after_silence: self.counter.health.has_recovered_since(quota.shared.synced_at()),
-            lost_total_change: -2.0 * self.settings.max_cost - plan.burst,
+            loss_threshold: -2.0 * self.settings.max_cost - plan.burst,
             local_shares: quota.all_local_shares(),
         };
         quota.shared.apply_total(plan, answer, self.now);
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -6,51 +6,55 @@
 use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Minimum microseconds between two calls of one gatekeeper, and of all gatekeepers together before the
-/// counter's latency has told what it can take.
+/// Shortest interval between two calls of one gatekeeper, in microseconds. It is also the initial interval
+/// between the calls of all gatekeepers together, until the counter's latency shows what load it can take.
 const MIN_CALL_INTERVAL: f64 = 1_000.0;
-/// The longest interval, and the least pause between trials of a silent counter, in shortest intervals for
-/// each gatekeeper.
+/// Longest interval between two calls of one gatekeeper, and shortest pause between trial calls to a silent
+/// counter, as a multiple of [`MIN_CALL_INTERVAL`] times the number of gatekeepers.
 const MAX_INTERVAL_FACTOR: f64 = 10.0;
-/// Bounds of the tokens that a gatekeeper may save up: enough calls for one wait, without a flood.
-const CALL_TOKENS: (f64, f64) = (3.0, 8.0);
-/// Failed calls in a row from which the counter counts as silent, and for how many timeouts it must not have
-/// answered.
+/// Lower and upper bound of the call tokens that a gatekeeper may accumulate: enough for the calls of one
+/// timeout, but too few to flood the counter.
+const CALL_TOKEN_BOUNDS: (f64, f64) = (3.0, 8.0);
+/// Consecutive failed calls after which the counter counts as silent, provided that it has not answered for
+/// [`SILENT_AFTER_TIMEOUTS`].
 const SILENT_AFTER_FAILURES: u32 = 3;
+/// Time without an answer after which the counter may count as silent, in call timeouts.
 const SILENT_AFTER_TIMEOUTS: Micros = 4;
-/// Microseconds between trial calls to a silent counter: its return must not be met by a flood.
-const TRIAL_INTERVAL: Micros = 250_000;
-/// Part of the timeout of a call within which its answer counts as fast.
-const FAST_ANSWER_PART: f64 = 0.4;
-/// Factor on the interval after a failure.
+/// Shortest pause between trial calls to a silent counter, in microseconds: when the counter recovers, it
+/// must not be flooded with calls.
+const MIN_TRIAL_PAUSE: Micros = 250_000;
+/// Fraction of the call timeout within which an answer counts as fast.
+const FAST_ANSWER_FRACTION: f64 = 0.4;
+/// Factor by which a failed call lengthens the interval between calls.
 const BACKOFF_FACTOR: f64 = 1.5;
 
-/// How urgent a call is.
+/// Whether a call to the counter can be postponed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// A request waits for the total.
+    /// The call cannot be postponed: a request waits for the total, or a silent counter is tried.
     Awaited,
-    /// Spend is reported.
+    /// The call only reports spend and can be made later.
     Deferrable,
 }
 
-/// Health of the counter, and a token bucket of calls. The order of the fields is part of the form of a
-/// snapshot.
+/// Health of the counter, and a token bucket of calls. The encoding of snapshots depends on the order of the
+/// fields.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct CounterHealth {
-    /// Calls that failed in a row.
+    /// Consecutive failed calls.
     failures: u32,
     last_answer: Timestamp,
-    /// Since when it counts as silent.
+    /// When the counter became silent; `None` while it counts as available.
     silent_since: Option<Timestamp>,
     recovered_at: Timestamp,
-    /// When the next trial call is allowed while it is silent.
+    /// Earliest time of the next trial call while the counter is silent.
     next_trial: Timestamp,
-    /// Microseconds between two calls, and when that was last changed.
+    /// Microseconds in which one call token is earned.
     call_interval: f64,
     interval_changed_at: Timestamp,
-    /// Calls that may be made at once, and when they were last counted.
+    /// Calls that may be made at once.
     call_tokens: f64,
+    /// When earned tokens were last added.
     tokens_counted_at: Timestamp,
 }
 
@@ -69,7 +73,7 @@
         self.silent_since.is_some()
     }
 
-    /// Whether it was silent since this moment.
+    /// Whether the counter has recovered from silence after this moment.
     pub(crate) fn has_recovered_since(&self, moment: Timestamp) -> bool {
         moment < self.recovered_at
     }
@@ -78,12 +82,13 @@
         self.failures == 0
     }
 
-    /// Whether it is silent and a trial call is due.
+    /// Whether the counter is silent and a trial call is due.
     pub(crate) fn is_trial_due(&self, now: Timestamp) -> bool {
         self.is_silent() && now >= self.next_trial
     }
 
-    /// Takes a token for a call, if there is one. Deferrable calls leave one token to awaited ones.
+    /// Takes a token for a call and returns whether the call may be made. A deferrable call must leave one
+    /// token for awaited calls, and a silent counter is called only when a trial is due.
     pub(crate) fn take_call_token(
         &mut self,
         urgency: Urgency,
@@ -122,7 +127,7 @@
     ) -> Option<Notice> {
         match outcome {
             Outcome::Ok => self.record_answer(settings, elapsed, now),
-            // It answered, though the answer could not be read: it is neither slow nor silent.
+            // The counter answered, though the answer is unreadable: it is neither slow nor silent.
             Outcome::Error => {
                 (self.failures, self.last_answer) = (0, now);
                 None
@@ -138,7 +143,7 @@
             self.recovered_at = now;
         }
         let factor = 1.0 + now.seconds_since(self.interval_changed_at).min(1.0);
-        let is_fast = (elapsed as f64) < FAST_ANSWER_PART * settings.counter_timeout as f64;
+        let is_fast = (elapsed as f64) < FAST_ANSWER_FRACTION * settings.counter_timeout as f64;
         let interval = if is_fast { self.call_interval / factor } else { self.call_interval * factor };
         self.call_interval = interval.clamp(MIN_CALL_INTERVAL, max_interval(settings));
         self.interval_changed_at = now;
@@ -160,7 +165,8 @@
         Some(Notice::CounterSilent)
     }
 
-    /// Continues from a snapshot: no moment lies in the future.
+    /// Prepares a state from a snapshot for use: tokens are earned from `now` on, and the times of the last
+    /// answer and of the last change of the interval are at most `now`.
     pub(crate) fn restored(self, now: Timestamp) -> Self {
         Self {
             tokens_counted_at: now,
@@ -170,7 +176,7 @@
         }
     }
 
-    /// Changes all moments that are kept.
+    /// Applies `change` to every stored time.
     pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
         change(&mut self.last_answer);
         change(&mut self.recovered_at);
@@ -181,20 +187,21 @@
     }
 }
 
-/// The least time between two trial calls to a silent counter; as much is added at random.
+/// Shortest pause between two trial calls to a silent counter, in microseconds; the caller adds up to as much
+/// again at random.
 fn trial_pause(settings: &Settings) -> Micros {
     let shared = (MIN_CALL_INTERVAL * MAX_INTERVAL_FACTOR) as Micros * u64::from(settings.gatekeepers);
-    TRIAL_INTERVAL.max(shared)
+    MIN_TRIAL_PAUSE.max(shared)
 }
 
 fn max_interval(settings: &Settings) -> f64 {
     MIN_CALL_INTERVAL * MAX_INTERVAL_FACTOR * f64::from(settings.gatekeepers)
 }
 
-/// Calls that one gatekeeper may save up.
+/// Most call tokens that one gatekeeper may accumulate: its share of the calls that fit into one timeout.
 fn max_call_tokens(settings: &Settings) -> f64 {
     let calls = settings.counter_timeout as f64 / MIN_CALL_INTERVAL / f64::from(settings.gatekeepers);
-    calls.clamp(CALL_TOKENS.0, CALL_TOKENS.1)
+    calls.clamp(CALL_TOKEN_BOUNDS.0, CALL_TOKEN_BOUNDS.1)
 }
 
 #[cfg(test)]
--- a/crates/policy/src/counter_health/tests.rs
+++ b/crates/policy/src/counter_health/tests.rs
@@ -1,4 +1,4 @@
-//! Health and rate limit alone.
+//! Tests of the counter's health and of the rate limit of calls, without the state machine.
 
 use super::*;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_unreadable_answer_is_no_silence() {
+fn an_unreadable_answer_does_not_count_as_silence() {
     let mut health = CounterHealth::new(&settings(), 1, at(0));
     for ms in [100, 200, 300, 400, 500] {
         assert_eq!(health.record(&settings(), MS, Outcome::Error, at(ms)), None);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_silent_counter_gets_a_trial_call_once_in_a_while() {
+fn a_silent_counter_gets_trial_calls_with_pauses_between() {
     let mut health = CounterHealth::new(&settings(), 1, at(0));
     let mut rng = fastrand::Rng::with_seed(1);
     for ms in [60, 120, 180, 240] {
--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -1,5 +1,5 @@
-//! Synchronisation with the shared quota counter: which tenants have spend to report and when, and the calls
-//! in flight.
+//! Synchronisation with the shared quota counter: tracks which tenants have spend to report, when it is due,
+//! and the calls in flight.
 
 use crate::counter_health::CounterHealth;
 use crate::ids::TenantId;
@@ -7,12 +7,12 @@
 use crate::time::{Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum microseconds for which spend may go unreported while a bucket is well filled.
+/// Longest time in microseconds for which spend may stay unreported while the level of the bucket is high.
 pub(crate) const REPORT_DELAY: Micros = 500_000;
-/// Fewer units are not reported: totals have seven digits.
+/// Amounts of at most this many units are not reported, because totals have only seven significant digits.
 pub(crate) const NEGLIGIBLE_UNITS: f64 = 1e-3;
 
-/// What is to be reported, and what is on its way.
+/// The tenants with spend to report, the calls in flight, and the health of the counter.
 #[derive(Debug)]
 pub(crate) struct CounterSync {
     pub(crate) health: CounterHealth,
@@ -27,7 +27,8 @@
         Self { health, unreported: BTreeSet::new(), calls: BTreeMap::new() }
     }
 
-    /// Schedules a report of this many units within a delay.
+    /// Schedules a report of the tenant's spend, due in `delay` microseconds or earlier if one is due
+    /// already. A negligible number of units is not scheduled.
     pub(crate) fn schedule(
         &mut self,
         tenant: TenantId,
@@ -44,17 +45,17 @@
         quota.report_due = if is_first { due } else { quota.report_due.min(due) };
     }
 
-    /// A tenant taken over from another process has spend to report.
+    /// Adds a tenant that was restored from a snapshot and has spend to report.
     pub(crate) fn add_unreported(&mut self, tenant: TenantId) {
         self.unreported.insert(tenant);
     }
 
-    /// Tenants with unreported spend, in order from this one on and around.
+    /// Tenants with unreported spend in order of their ids, starting at `from` and wrapping around.
     pub(crate) fn unreported_from(&self, from: TenantId) -> impl Iterator<Item = TenantId> {
         self.unreported.range(from..).chain(self.unreported.range(..from)).copied()
     }
 
-    /// Another process reports from now on.
+    /// Forgets all tenants with unreported spend, because the hot-restart successor reports it.
     pub(crate) fn forget_unreported(&mut self) {
         self.unreported.clear();
     }
@@ -64,7 +65,7 @@
         self.calls.insert(name, tenant);
     }
 
-    /// The tenant whose call has ended; none if no call for this name is in flight.
+    /// Ends the call for a name and returns its tenant; `None` if no call for this name is in flight.
     pub(crate) fn call_ended(&mut self, name: u64) -> Option<TenantId> {
         self.calls.remove(&name)
     }
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -1,11 +1,12 @@
-//! The units of a quota that are left for a request, with their uncertainty.
+//! The units of a quota that are left after the price of a request, with their uncertainty.
 
-/// The headroom of a quota.
+/// Units left in a quota after the price of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Headroom {
-    /// Units that the bucket holds above the price of a request.
+    /// Units in the bucket minus the price of the request; negative if the bucket holds less than the price.
     pub(crate) units: f64,
-    /// Units by which that may be wrong because of unseen spend of others; negative if it is certain.
+    /// Units by which `units` may be wrong because of spend of other gatekeepers that is not known yet;
+    /// negative if `units` is certain.
     pub(crate) uncertainty: f64,
 }
 
@@ -14,7 +15,7 @@
         Self { units, uncertainty: -1.0 }
     }
 
-    /// Whether a fresh total could change the decision.
+    /// Whether a current total from the counter could change the decision.
     pub(crate) fn may_change(self) -> bool {
         self.uncertainty >= self.units.abs()
     }
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -1,10 +1,12 @@
-//! The level of a token bucket that several gatekeepers share, estimated from a count that only adds up: no decision.
+//! Estimates the level of a token bucket that several gatekeepers share, from a counter that only adds units
+//! and returns the total. Makes no decisions.
 //!
-//! All spend of every gatekeeper is added to the count of the epoch. What refills while the bucket is full overflows: it is written
-//! off in the count as well, by whichever gatekeeper calls next. So the level is always a burst plus what refilled since the epoch
-//! began, less the total, and a gatekeeper that has not called for long reads it exactly. The counter serves the calls for a name in
-//! order, so an answer also tells the level just before the call: a write-off that was too large, because another gatekeeper had made
-//! it already, shows in its own answer and is taken back.
+//! Every gatekeeper adds its spend to the tenant's count of the current epoch. Refill that arrives while the
+//! bucket is full overflows; whichever gatekeeper calls next writes it off by adding it to the count as well.
+//! The level is therefore always the burst plus the refill since the epoch began, minus the total, and a
+//! gatekeeper reads it exactly however long ago its last call was. The counter serves the calls for a name in
+//! order, so an answer also shows the level just before the call. If a write-off was too large, because
+//! another gatekeeper had already made it, the answer to the call shows the excess and it is taken back.
 
 use crate::count_total::{BucketView, CountTotal};
 use crate::hash::mix;
@@ -13,24 +15,29 @@
 use crate::stored::StoredQuota;
 use crate::time::{Micros, SECOND, Timestamp};
 
-/// Microseconds for which the name of a count is used (the design's epoch). Totals are read as differences and buckets refill
-/// smoothly, so a long epoch only means fewer changes of name. A name lives for two epochs, 60 s at most.
+/// Microseconds for which one name of a count is used. Totals are read as differences and buckets refill
+/// continuously, so a longer epoch only means fewer changes of name. The counter keeps a name for two epochs,
+/// 60 s at most.
 pub(crate) const EPOCH: Micros = 30_000_000;
-/// Seconds; memory of rates of spend. Spikes last seconds, so a division by recent spend has to follow within about one.
-const SPEND_MEMORY: f64 = 1.5;
-/// Part of a burst from which a write-off that is due is worth a call: others would read a level that is too high.
-const DUE_WRITE_OFF_PART: f64 = 0.25;
-/// Part of a burst that is written off at most on an estimate. Until it is taken back others read a level that is too low and
-/// reject. A write-off that is missing does no harm: the gatekeeper that calls next makes it.
-const ESTIMATED_WRITE_OFF_PART: f64 = 0.5;
-/// Part of a burst that a bucket may be in debt. Gatekeepers that start at once each write off all that refilled since the epoch
-/// began, and until all but one have taken that back the total shows a debt of many bursts: a gatekeeper that read it then would reject
-/// for as long as that takes to refill, and call no more. Spend beyond a bucket is real, and small.
-const MAX_DEBT_PART: f64 = 0.25;
-/// Shortest time in seconds over which a rate is learnt.
+/// Time constant of the estimated spend rates, in seconds. Traffic spikes last seconds, so a division of the
+/// bucket by recent spend has to follow within about one second.
+const SPEND_RATE_TIME_CONSTANT: f64 = 1.5;
+/// Fraction of the burst above which a pending write-off justifies a call of its own: until it is made, other
+/// gatekeepers would read too high a level.
+const DUE_WRITE_OFF_FRACTION: f64 = 0.25;
+/// Largest fraction of the burst that a call adds to its write-off on an estimate. Until an excess is taken
+/// back, other gatekeepers read too low a level and reject requests. A missing write-off does no harm: the
+/// gatekeeper that calls next makes it.
+const MAX_ESTIMATED_WRITE_OFF_FRACTION: f64 = 0.5;
+/// Largest debt of a bucket (a level below zero), as a fraction of the burst. Gatekeepers that start together
+/// each write off the whole refill since the epoch began, and until all but one have taken that back the
+/// total shows a debt of many bursts. A gatekeeper that believed it would reject requests for as long as the
+/// debt takes to refill, without calling again. Debt from real spend beyond the bucket is small.
+const MAX_DEBT_FRACTION: f64 = 0.25;
+/// Shortest interval in seconds over which a rate is computed.
 const MIN_RATE_SECONDS: f64 = 1e-3;
 
-/// An answer of the counter to one call.
+/// The counter's answer to one call, with what is needed to interpret it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterAnswer {
     pub(crate) total: CountTotal,
@@ -38,23 +45,24 @@
     pub(crate) added: f64,
     /// Units that refilled since the epoch of the name began.
     pub(crate) refilled: f64,
-    /// The counter was silent since the last answer.
+    /// Whether the counter was silent at some time since the last total was read.
     pub(crate) after_silence: bool,
-    /// The change of a total, below 0, from which the counter has lost spend.
-    pub(crate) lost_total_change: f64,
-    /// Units in the local shares of all gatekeepers, if all are as full as this gatekeeper's.
+    /// If other gatekeepers seem to have changed the total by less than this negative number of units, the
+    /// counter may have lost spend.
+    pub(crate) loss_threshold: f64,
+    /// Units in the local shares of all gatekeepers, assuming that each holds as much as this one.
     pub(crate) local_shares: f64,
 }
 
-/// A call that starts.
+/// Parameters of a call that is about to start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterCall {
     /// The name of the count.
     pub(crate) name: u64,
     /// Units that refilled since the epoch of the name began.
     pub(crate) refilled: f64,
-    /// The last call was answered. Else this one may be added whenever the counter is reached again, without an answer, so that
-    /// nothing is written off with it.
+    /// Whether the last call was answered. If not, this call may reach the counter late and be added without
+    /// an answer, so nothing is written off with it.
     pub(crate) last_call_answered: bool,
 }
 
@@ -63,19 +71,21 @@
 pub(crate) struct SharedBucket {
     /// Estimated units in the bucket.
     level: f64,
-    /// The level at the last total that was read, and own spend since.
+    /// The level computed from the last total that was read.
     synced_level: f64,
+    /// Units that this gatekeeper spent since it read the last total.
     spent_since_sync: f64,
     synced_at: Timestamp,
-    /// Own spend that is not reported to the counter yet.
+    /// Spend of this gatekeeper that is not reported to the counter yet.
     unreported: f64,
-    /// Units that overflowed the full bucket and are written off in the count, with the call in flight or the next one; negative:
-    /// written off too much.
+    /// Units that overflowed the full bucket and that the call in flight or the next one writes off in the
+    /// count; negative if an earlier call wrote off too much.
     written_off: f64,
-    /// What the last total says about the bucket.
+    /// How far the level can be derived from the last total.
     view: BucketView,
-    /// Units a second that other gatekeepers spend, and by which they raise the total.
+    /// Units a second that other gatekeepers spend.
     others_rate: f64,
+    /// Units a second by which other gatekeepers raise the total, including their write-offs.
     others_growth: f64,
     /// The total that was read last.
     last_total: Option<CountTotal>,
@@ -86,9 +96,9 @@
 /// How a call to the counter ended without a total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailedCall {
-    /// Nothing was added.
+    /// The counter added nothing.
     NotAdded,
-    /// It may have been added: reporting the units again could count them twice.
+    /// The counter may have added the units: reporting them again could count them twice.
     PossiblyAdded,
 }
 
@@ -129,32 +139,35 @@
         self.call_in_flight.is_some()
     }
 
-    /// Adds what refilled over this many seconds. The others go on spending unseen, but in the long run no more than what refills.
+    /// Adds the refill of this many seconds, minus the estimated spend of other gatekeepers, which in the
+    /// long run cannot exceed the refill.
     pub(crate) fn refill(&mut self, plan: &Plan, seconds: f64) {
         let others_rate = self.others_rate.min(plan.rate);
         self.level = (self.level + (plan.rate - others_rate) * seconds).min(plan.burst);
     }
 
-    /// The highest level that a fresh total could show.
+    /// The highest level that a current total could show: the level if no other gatekeeper has spent
+    /// anything.
     pub(crate) fn max_level(&self, plan: &Plan, now: Timestamp) -> f64 {
         self.synced_level + plan.rate * self.seconds_since_sync(now) - self.spent_since_sync
     }
 
-    /// Takes units, or gives them back if negative; they are to be reported to the counter.
+    /// Takes units, or returns them if negative; the next report to the counter includes them.
     pub(crate) fn spend(&mut self, units: f64) {
         self.level -= units;
         self.spent_since_sync += units;
         self.unreported += units;
     }
 
-    /// These units need not be reported by this gatekeeper.
-    pub(crate) fn forgo_report(&mut self, units: f64) {
+    /// Removes units from the next report, because this gatekeeper need not report them.
+    pub(crate) fn exclude_from_report(&mut self, units: f64) {
         self.unreported -= units;
     }
 
-    /// Units to report to the others: spend, an excess of write-offs, and write-offs that are due if they are large.
+    /// Units that are worth a report: the largest of the unreported spend, the excess of earlier write-offs,
+    /// and the pending write-off above the fraction of the burst that justifies a call.
     pub(crate) fn units_to_report(&self, plan: &Plan) -> f64 {
-        let due = self.written_off - DUE_WRITE_OFF_PART * plan.burst;
+        let due = self.written_off - DUE_WRITE_OFF_FRACTION * plan.burst;
         self.unreported.abs().max(-self.written_off).max(due)
     }
 
@@ -162,14 +175,16 @@
     pub(crate) fn start_call(&mut self, plan: &Plan, call: CounterCall, now: Timestamp) -> f64 {
         let known = self.last_total.filter(|known| known.name == call.name);
         if known.is_none() || !call.last_call_answered {
-            // It was due under the previous name, or is left to a gatekeeper whose call is answered.
+            // The pending write-off was due under the previous name, or is left to a gatekeeper whose calls
+            // are answered. An excess under the same name is still taken back.
             self.written_off = self.written_off.min(0.0) * f64::from(known.is_some());
         } else if self.written_off >= 0.0 {
             let growth = self.others_growth * (now - self.synced_at) as f64 / SECOND;
             let expected = known.map_or(call.refilled, |known| known.total + (self.written_off + growth));
-            self.written_off += (call.refilled - expected).clamp(0.0, ESTIMATED_WRITE_OFF_PART * plan.burst);
+            self.written_off +=
+                (call.refilled - expected).clamp(0.0, MAX_ESTIMATED_WRITE_OFF_FRACTION * plan.burst);
         }
-        // The wire carries single precision: the remainder stays unreported.
+        // The wire format has single precision: the rounding remainder stays unreported.
         self.written_off = f64::from(self.written_off as f32);
         let added = f64::from((self.unreported + self.written_off) as f32);
         self.unreported -= added - self.written_off;
@@ -177,12 +192,12 @@
         added
     }
 
-    /// Ends the call in flight and returns the units that it was to add; `None` if there was none.
+    /// Ends the call in flight and returns the units that it was sent to add; `None` if there was no call.
     pub(crate) fn take_call(&mut self) -> Option<f64> {
         self.call_in_flight.take()
     }
 
-    /// A call that was to add these units has ended without a total.
+    /// Records that a call sent to add these units ended without a total.
     pub(crate) fn call_failed(&mut self, added: f64, failure: FailedCall) {
         match failure {
             FailedCall::NotAdded => self.unreported += added - self.written_off,
@@ -190,7 +205,7 @@
         }
     }
 
-    /// The call added to a count that is no longer in use: its units are still to be reported.
+    /// Records that a call added its units to a count that is no longer in use: they must be reported again.
     pub(crate) fn call_misdirected(&mut self, added: f64) {
         self.unreported += added - self.written_off;
         self.written_off = 0.0;
@@ -199,34 +214,38 @@
     /// Updates the level from the answer to a call.
     pub(crate) fn apply_total(&mut self, plan: &Plan, answer: CounterAnswer, now: Timestamp) {
         let CounterAnswer { total: CountTotal { name, total }, added, refilled, .. } = answer;
-        let unseen = self.seconds_since_sync(now);
+        let seconds = self.seconds_since_sync(now);
         let before = self.last_total.filter(|known| known.name == name).map(|known| known.total);
         let others = total - added - before.unwrap_or(0.0);
         let reported = added - self.written_off;
-        // The highest level by own knowledge: with the debt that was read, in which own reservations were reported.
-        let own = self.synced_level + plan.rate * unseen - self.spent_since_sync;
-        // Just before the call it held a burst at most; under a new name, the most it held under the last one.
+        // The highest level that is possible by what this gatekeeper knows. It includes a debt that was read,
+        // because this gatekeeper's own reservations were reported in that total.
+        let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
+        // Just before the call the bucket held at most a burst or, while the name is new, at most the highest
+        // level that is known from before.
         let is_exact = before.is_some() && self.view != BucketView::Fresh;
         let max_level =
-            if is_exact { plan.burst } else { (own + reported + self.unreported).min(plan.burst) };
+            if is_exact { plan.burst } else { (known_max + reported + self.unreported).min(plan.burst) };
         let written_off = self.written_off.max(0.0);
         let level_before_call = plan.burst + refilled - (total - reported - written_off);
         self.written_off = (level_before_call - max_level).max(0.0) - written_off;
-        let min_level = -MAX_DEBT_PART * plan.burst;
+        let min_level = -MAX_DEBT_FRACTION * plan.burst;
         let shown = plan.burst + refilled - total - self.written_off;
         let left = shown.max(min_level) - self.unreported;
-        // A deeper debt is what others are still correcting: it tells nothing about their spend.
+        // A deeper debt consists of write-offs that others are still taking back, and tells nothing of their
+        // spend.
         if before.is_some() && shown >= min_level {
-            self.learn_rates((own.min(plan.burst) - left).max(0.0), others.max(0.0), unseen);
+            self.learn_rates((known_max.min(plan.burst) - left).max(0.0), others.max(0.0), seconds);
         }
         let has_lost_spend = self.is_synced() && self.has_lost_spend(plan, answer, others);
         self.view = self.next_view(has_lost_spend, before.is_some());
         self.level = if has_lost_spend {
-            // All local shares are assumed to be as full as this one, up to the highest possible level.
-            answer.local_shares.min(own).min(plan.burst) - self.unreported
+            // All local shares are assumed to hold as much as this one, up to the highest possible level.
+            answer.local_shares.min(known_max).min(plan.burst) - self.unreported
         } else if self.view == BucketView::Diverged {
-            // After a loss the others repeat write-offs that all had made before. That is no spend, and no deeper debt.
-            (own - others).max(min_level).min(left)
+            // After a loss, other gatekeepers repeat write-offs that all had made before. These are neither
+            // spend nor a deeper debt.
+            (known_max - others).max(min_level).min(left)
         } else {
             left
         };
@@ -236,13 +255,14 @@
         self.last_total = Some(CountTotal { name, total });
     }
 
-    /// Whether the counter has lost spend. One that did lost write-offs as well. Others that take back what they all wrote off at once
-    /// leave a full bucket, never a level above that.
+    /// Whether the counter has lost spend. A loss includes write-offs, so the total then shows a level well
+    /// above a full bucket. When other gatekeepers take back write-offs that all of them made at once, the
+    /// total drops too, but it shows a full bucket at most.
     fn has_lost_spend(&self, plan: &Plan, answer: CounterAnswer, others: f64) -> bool {
         let CounterAnswer { total: CountTotal { total, .. }, refilled, .. } = answer;
-        let has_total_dropped = others < answer.lost_total_change
+        let has_total_dropped = others < answer.loss_threshold
             && total < -others
-            && refilled - total > DUE_WRITE_OFF_PART * plan.burst;
+            && refilled - total > DUE_WRITE_OFF_FRACTION * plan.burst;
         answer.after_silence || has_total_dropped
     }
 
@@ -255,21 +275,21 @@
         }
     }
 
-    /// Updates the rates at which the others spend and raise the total.
+    /// Updates the rates at which other gatekeepers spend and raise the total.
     fn learn_rates(&mut self, spent: f64, raised: f64, seconds: f64) {
         let seconds = seconds.max(MIN_RATE_SECONDS);
-        let weight = 1.0 - (-seconds / SPEND_MEMORY).exp();
+        let weight = 1.0 - (-seconds / SPEND_RATE_TIME_CONSTANT).exp();
         self.others_rate += weight * (spent / seconds - self.others_rate);
         self.others_growth += weight * (raised / seconds - self.others_growth);
     }
 
-    /// Some spend is not known: the bucket counts as empty until a total is read.
+    /// Treats the bucket as empty until a total is read, because some spend is unknown.
     pub(crate) fn assume_empty(&mut self) {
         self.last_total = None;
         self.level = self.level.min(0.0);
     }
 
-    /// Another process reports the spend from now on.
+    /// Drops the unreported spend, because the hot-restart successor reports it.
     pub(crate) fn hand_over_report(&mut self) {
         self.unreported = 0.0;
     }
@@ -283,7 +303,7 @@
         stored.view = self.view;
         stored.others_rate = self.others_rate;
         stored.others_growth = self.others_growth;
-        // A call in flight adds to the total that was read last, whichever process gets its answer.
+        // The call in flight adds to the last total, whichever process receives the answer.
         let added = self.call_in_flight.unwrap_or(0.0);
         stored.last_total = self.last_total.map(|known| CountTotal { total: known.total + added, ..known });
         stored.written_off = if self.is_call_in_flight() { 0.0 } else { self.written_off };
@@ -307,31 +327,32 @@
     }
 }
 
-/// The name of a count, and its age.
+/// The name of a tenant's count in the shared counter, and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CountName {
     pub(crate) name: u64,
-    /// Microseconds since its epoch began.
+    /// Microseconds since the epoch of the name began.
     pub(crate) age: Micros,
 }
 
 impl CountName {
-    /// The name of a tenant's count, from tenant, rate and epoch alone, so that every gatekeeper finds the same. Each tenant has its own
-    /// phase, so that not all names change at once. The rate is part of the name because the refill follows from it: under another rate the
-    /// total would show a level that does not exist.
+    /// Derives the name from tenant, rate and epoch alone, so that every gatekeeper uses the same one. Epochs
+    /// begin at a different time for each tenant, so that not all names change at once. The rate is part of
+    /// the name because the refill is computed from it: with another rate, the total would show a wrong
+    /// level.
     pub(crate) fn of(tenant: TenantId, rate: f64, fleet_time: Timestamp) -> Self {
         let time = fleet_time.as_micros() + mix(tenant.0) % EPOCH;
         let name = mix(mix(tenant.0) ^ mix(rate.to_bits()) ^ (time / EPOCH));
         Self { name, age: time % EPOCH }
     }
 
-    /// Units that refilled since the epoch began.
+    /// Units that refilled since the epoch of the name began.
     pub(crate) fn refilled(self, rate: f64) -> f64 {
         refilled(rate, self.age)
     }
 }
 
-/// Units that refill at a rate in this many microseconds.
+/// Units that refill at a rate (in units a second) within `age` microseconds.
 pub(crate) fn refilled(rate: f64, age: Micros) -> f64 {
     rate * age as f64 / SECOND
 }
--- a/crates/policy/src/shared_bucket/tests.rs
+++ b/crates/policy/src/shared_bucket/tests.rs
@@ -1,4 +1,4 @@
-//! The estimate alone: gatekeepers that share a count.
+//! Tests of `SharedBucket` and `CountName` on their own, with simulated answers of the counter.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     Timestamp::from_micros(seconds * 1_000_000)
 }
 
-/// A call at this moment of the epoch, with its answer by a count that holds `total` and the amount added.
+/// Makes a call at `now`, adds its units to `total`, and applies the answer with the new total.
 fn sync(bucket: &mut SharedBucket, total: &mut f64, now: Timestamp) {
     let refilled = RATE * now.seconds_since(at(0));
     let call = CounterCall { name: 1, refilled, last_call_answered: true };
@@ -25,7 +25,7 @@
         added,
         refilled,
         after_silence: false,
-        lost_total_change: -BURST - 8.0,
+        loss_threshold: -BURST - 8.0,
         local_shares: BURST,
     };
     bucket.apply_total(&plan(), answer, now);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_name_follows_from_tenant_rate_and_epoch_and_tells_its_age() {
+fn a_count_name_depends_on_tenant_rate_and_epoch() {
     let name = |tenant, rate, seconds| CountName::of(TenantId(tenant), rate, at(seconds));
     let first = name(7, RATE, 1_000);
     assert_eq!(name(7, RATE, 1_000), first);
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -1,5 +1,5 @@
-//! The quota of one tenant: its shared bucket, this gatekeeper's own shares of bucket and ceiling, and what
-//! is reserved in them.
+//! The quota of one tenant: the bucket shared with other gatekeepers, this gatekeeper's local shares of
+//! bucket and ceiling, and the units reserved until costs are settled.
 
 use crate::headroom::Headroom;
 use crate::ids::RequestId;
@@ -9,46 +9,46 @@
 use crate::stored::StoredQuota;
 use crate::time::{Micros, Timestamp};
 
-/// Uncertain units that count, in standard deviations.
+/// Uncertainty of a bucket's level, in standard deviations of the spend of others since the last total.
 const UNCERTAINTY_DEVIATIONS: f64 = 2.0;
-/// Part of a bucket's level that the tenant's gatekeepers may leave unreported together.
-const UNREPORTED_PART: f64 = 0.5;
+/// Fraction of a bucket's level that the tenant's gatekeepers together may leave unreported.
+const MAX_UNREPORTED_FRACTION: f64 = 0.5;
 
 /// Whether the shared counter can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CounterState {
-    /// It answers.
+    /// The counter is configured and answers.
     Available,
-    /// There is none, or it does not answer: quotas are enforced by local shares.
+    /// No counter is configured, or it is silent: each gatekeeper enforces its local shares alone.
     Unavailable,
 }
 
 /// The quota of one tenant as this gatekeeper knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct TenantQuota {
-    /// Number of its plan.
+    /// Index of the tenant's plan in the settings.
     pub(crate) plan: usize,
-    /// How many gatekeepers its requests come through.
+    /// Number of gatekeepers that receive the tenant's requests.
     gatekeepers: f64,
     pub(crate) shared: SharedBucket,
-    /// Units in this gatekeeper's own share of the bucket.
+    /// Units left in this gatekeeper's share of the bucket, which it may spend without the counter.
     local_share: f64,
-    /// Units in this gatekeeper's share of the hard ceiling.
+    /// Units left in this gatekeeper's share of the hard ceiling's bucket.
     ceiling_level: f64,
-    /// Units charged above the cost while latency is high.
+    /// Units charged above the cost while latency is high, less what has refilled since.
     surcharge: f64,
-    /// Units reserved above the estimated costs until these are settled.
+    /// Units reserved above estimated costs until the actual costs are known.
     reserved: f64,
-    /// When the levels were last brought up to date.
+    /// When the levels were last refilled.
     refilled_at: Timestamp,
-    /// When unreported spend is to be reported.
+    /// When unreported spend must be reported to the counter.
     pub(crate) report_due: Timestamp,
-    /// Requests that wait for the call in flight.
+    /// Requests that wait for the answer to the counter call in flight.
     pub(crate) waiting: Vec<RequestId>,
     pub(crate) in_flight: InFlightCount,
 }
 
-/// Attempts of a tenant in flight here, and when the last request was admitted.
+/// A tenant's attempts in flight from this gatekeeper, and the time of its last admission.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightCount {
     attempts: u32,
@@ -60,8 +60,8 @@
         self.attempts
     }
 
-    /// Seconds since a request was admitted.
-    pub(crate) fn idle_seconds(&self, now: Timestamp) -> f64 {
+    /// Seconds since the tenant's last request was admitted.
+    pub(crate) fn seconds_since_admission(&self, now: Timestamp) -> f64 {
         now.seconds_since(self.last_admitted)
     }
 
@@ -75,18 +75,24 @@
 }
 
 impl TenantQuota {
-    /// The quota of a new tenant. `age`: seconds since this gatekeeper started.
-    pub(crate) fn new(settings: &Settings, plan: usize, gatekeepers: f64, age: f64, now: Timestamp) -> Self {
+    /// The quota of a new tenant. `uptime` is the time since this gatekeeper started, in seconds.
+    pub(crate) fn new(
+        settings: &Settings,
+        plan: usize,
+        gatekeepers: f64,
+        uptime: f64,
+        now: Timestamp,
+    ) -> Self {
         let quota = &settings.plans[plan];
         Self {
             plan,
             gatekeepers,
             shared: SharedBucket::full(quota, now),
-            // Its even share of a second's quota, but one request at least.
+            // An even share of one second's refill, and at least the cost of one request.
             local_share: (quota.rate / gatekeepers).max(settings.max_cost),
-            // Only what refilled since this gatekeeper's start: a restart must not refill the ceiling's
-            // bucket.
-            ceiling_level: (quota.ceiling_rate * age).min(quota.ceiling_burst) / gatekeepers,
+            // Holds only the refill since this gatekeeper started: a restart must not fill the ceiling's
+            // bucket again.
+            ceiling_level: (quota.ceiling_rate * uptime).min(quota.ceiling_burst) / gatekeepers,
             surcharge: 0.0,
             reserved: 0.0,
             refilled_at: now,
@@ -100,7 +106,8 @@
         self.gatekeepers
     }
 
-    /// Brings the levels up to now. `gatekeepers`: how many its requests come through now.
+    /// Refills all levels for the time since the last refill. `gatekeepers` is the current number of
+    /// gatekeepers that receive the tenant's requests.
     pub(crate) fn refill(&mut self, settings: &Settings, gatekeepers: f64, now: Timestamp) {
         self.gatekeepers = gatekeepers;
         let plan = &settings.plans[self.plan];
@@ -111,18 +118,18 @@
             (self.ceiling_level + plan.ceiling_rate / gatekeepers * seconds).min(ceiling_share);
         self.surcharge = (self.surcharge - plan.rate / gatekeepers * seconds).max(0.0);
         self.shared.refill(plan, seconds);
-        // The local share may be spent whatever the others do.
+        // The local share does not depend on the spend of other gatekeepers.
         let share = 1.0 / gatekeepers;
         let local_burst = (plan.burst * share).max(settings.max_cost);
         self.local_share = (self.local_share + plan.rate * share * seconds).min(local_burst);
     }
 
-    /// Units that must be available for a request to be admitted.
+    /// Units that must be in the bucket for a request to be admitted.
     fn required(&self, price: Price) -> f64 {
         self.reserved + self.surcharge + price.charged_cost + price.reserved
     }
 
-    /// The units that are left above the price of a request, and how certain that is.
+    /// The units left after paying the price of a request, with their uncertainty.
     pub(crate) fn headroom(
         &self,
         price: Price,
@@ -138,53 +145,54 @@
             return Headroom { units: self.local_share - required, uncertainty: f64::INFINITY };
         }
         let plan = &settings.plans[self.plan];
-        // No total can show more than this: where that is too little, none is read.
+        // No total can show a higher level: if this is too low, the rejection is certain without a call.
         let max_units = self.shared.max_level(plan, now) - required;
         if max_units < 0.0 {
             return Headroom::certain(max_units);
         }
-        let unseen = self.shared.seconds_since_sync(now);
+        let seconds = self.shared.seconds_since_sync(now);
         let others_rate = self.shared.others_rate().max(plan.rate * (1.0 - 2.0 / self.gatekeepers));
-        let deviation = (others_rate * unseen * settings.max_cost).sqrt();
+        let deviation = (others_rate * seconds * settings.max_cost).sqrt();
         Headroom { units: self.shared.level() - required, uncertainty: UNCERTAINTY_DEVIATIONS * deviation }
     }
 
-    /// Whether a price is more than this gatekeeper's own share of the bucket.
+    /// Whether a price exceeds what is left of this gatekeeper's share of the bucket.
     pub(crate) fn exceeds_local_share(&self, price: Price) -> bool {
         self.local_share < self.required(price)
     }
 
-    /// Whether a cost is more than this gatekeeper's share of the hard ceiling. Each gatekeeper owns the
-    /// ceiling's rate and burst over the number of the tenant's gatekeepers, debited by the reported units at
-    /// the first attempt and never refunded: all together keep below it whatever the counter or the others
-    /// do.
+    /// Whether a cost exceeds what is left of this gatekeeper's share of the hard ceiling. Each share has the
+    /// ceiling's rate and burst divided by the number of the tenant's gatekeepers. The cost known at
+    /// admission is debited and never refunded, so all gatekeepers together stay below the ceiling whatever
+    /// the counter or the other gatekeepers do.
     pub(crate) fn exceeds_ceiling(&self, cost: f64) -> bool {
         self.ceiling_level < cost
     }
 
-    /// Seconds until this gatekeeper's share of the ceiling covers the cost; negative if it does.
+    /// Seconds until this gatekeeper's share of the ceiling covers the cost; negative if it already does.
     pub(crate) fn seconds_until_ceiling_covers(&self, cost: f64, plan: &Plan) -> f64 {
         (cost - self.ceiling_level) / plan.ceiling_rate
     }
 
-    /// Takes the units at admission. The surcharge empties this gatekeeper's bucket only: the actual spend is
-    /// shared.
+    /// Charges the price of an admitted request. Only the cost is shared with other gatekeepers; the
+    /// surcharge reduces the headroom at this gatekeeper alone.
     pub(crate) fn charge(&mut self, price: Price, counter_is_silent: bool, now: Timestamp) {
         let cost = price.cost;
         self.in_flight.last_admitted = now;
         self.shared.spend(cost);
-        // Spent while the counter is silent: out of this gatekeeper's own share, so no other has to learn of
-        // it.
-        self.shared.forgo_report(if counter_is_silent { cost } else { 0.0 });
+        // Spend while the counter is silent comes out of this gatekeeper's local share, so other gatekeepers
+        // need not learn of it.
+        self.shared.exclude_from_report(if counter_is_silent { cost } else { 0.0 });
         self.local_share = (self.local_share - cost).max(-cost);
         self.ceiling_level -= cost;
         self.surcharge += price.charged_cost - cost;
         self.reserved += price.reserved;
     }
 
-    /// Whether others need not learn of each unit at once, since much is left.
+    /// Whether a report of spend may wait, because the level is high against the unreported spend of all the
+    /// tenant's gatekeepers, each assumed to have as much as this one.
     pub(crate) fn may_delay_report(&self) -> bool {
-        self.shared.unreported().abs() * self.gatekeepers < UNREPORTED_PART * self.shared.level()
+        self.shared.unreported().abs() * self.gatekeepers < MAX_UNREPORTED_FRACTION * self.shared.level()
     }
 
     /// Ends the reservation of a request whose cost is settled.
@@ -198,33 +206,37 @@
         self.local_share -= difference;
     }
 
-    /// Units in the local shares of all gatekeepers, if all are as full as this one.
+    /// Units in the local shares of all the tenant's gatekeepers, assuming that each holds as much as this
+    /// one.
     pub(crate) fn all_local_shares(&self) -> f64 {
         self.local_share * self.gatekeepers
     }
 
-    /// Whether no call or attempt is in flight, and its levels were not brought up to date for this long.
+    /// Whether no counter call or attempt is in flight and the levels were last refilled at least `span`
+    /// microseconds ago.
     pub(crate) fn is_idle_for(&self, span: Micros, now: Timestamp) -> bool {
         !self.shared.is_call_in_flight() && self.in_flight.attempts == 0 && now >= self.refilled_at + span
     }
 
-    /// Another process has admitted a request, and reports its spend.
+    /// Charges a request that the hot-restart successor admitted; the successor reports its spend to the
+    /// counter.
     pub(crate) fn mirror_admission(&mut self, units: f64, max_cost: f64) {
         self.shared.spend(units);
-        self.shared.forgo_report(units);
+        self.shared.exclude_from_report(units);
         self.local_share = (self.local_share - units).max(-max_cost);
         self.ceiling_level -= units;
     }
 
-    /// Some spend of another process is not known: all levels count as empty until they refill.
+    /// Treats all levels as empty until they refill, because some spend of the hot-restart successor is
+    /// unknown.
     pub(crate) fn assume_empty(&mut self) {
         self.shared.assume_empty();
         self.local_share = self.local_share.min(0.0);
         self.ceiling_level = self.ceiling_level.min(0.0);
     }
 
-    /// The state for a snapshot. Requests that wait for a total count as admitted: `provisional_spend` is
-    /// what was reported for them.
+    /// Returns the state for a snapshot. Requests that wait for a total are treated as admitted:
+    /// `provisional_spend` is the number of units that was reported for them.
     pub(crate) fn store(&self, provisional_spend: f64) -> StoredQuota {
         let mut stored = StoredQuota {
             plan: self.plan,
--- a/crates/policy/src/tenant_quota/tests.rs
+++ b/crates/policy/src/tenant_quota/tests.rs
@@ -1,4 +1,4 @@
-//! The quota of one tenant alone.
+//! Tests of `TenantQuota` on its own, without the state machine.
 
 use super::*;
 use crate::settings::RequestClass;
@@ -28,12 +28,12 @@
     let settings = settings();
     let mut quota = TenantQuota::new(&settings, 0, 2.0, 100.0, at(100));
     let headroom = quota.headroom(price(1.0), CounterState::Unavailable, &settings, at(100));
-    assert_eq!((headroom.units, headroom.is_uncertain()), (4.0, false), "half of the rate, less the price");
+    assert_eq!((headroom.units, headroom.is_uncertain()), (4.0, false), "half of the rate, minus the price");
     quota.charge(price(5.0), true, at(100));
     assert!(quota.exceeds_local_share(price(1.0)));
     quota.refill(&settings, 2.0, at(101));
     assert!(!quota.exceeds_local_share(price(1.0)));
-    assert_eq!(quota.shared.unreported(), 0.0, "no other has to learn of it");
+    assert_eq!(quota.shared.unreported(), 0.0, "spend from the local share is not reported");
 }
 
 #[test]
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_restart_does_not_fill_the_ceiling_anew() {
+fn a_restart_does_not_refill_the_ceiling() {
     let settings = settings();
     assert!(TenantQuota::new(&settings, 0, 1.0, 0.0, at(100)).exceeds_ceiling(0.1));
     assert!(!TenantQuota::new(&settings, 0, 1.0, 1.0, at(100)).exceeds_ceiling(12.0));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_quota_without_work_or_calls_is_idle_after_a_while() {
+fn a_quota_without_attempts_or_calls_becomes_idle() {
     let settings = settings();
     let mut quota = TenantQuota::new(&settings, 0, 2.0, 100.0, at(100));
     assert!(!quota.is_idle_for(10 * SECOND, at(109)) && quota.is_idle_for(10 * SECOND, at(110)));
