--- a/crates/policy/src/class_stats.rs
+++ b/crates/policy/src/class_stats.rs
@@ -1,20 +1,20 @@
-//! Estimates of each class of requests: latency and cost. No decision.
+//! Latency and cost estimates of each request class. Makes no decisions.
 
 use crate::settings::RequestClass;
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Part of the latency objective that is assumed as the mean latency before any answer.
+/// Mean latency that is assumed before the first answer, as a fraction of the latency objective.
 pub(crate) const INITIAL_LATENCY_PART: f64 = 0.2;
-/// Weight of one answer in the running mean of the latency.
+/// Weight of one answer in the moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.02;
 
-/// Estimates of one class. The order of the fields is part of the form of a snapshot.
+/// Estimates of one class. The encoding of snapshots depends on the order of the fields.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ClassStats {
     /// Mean latency in microseconds.
     mean_latency: f64,
-    /// The largest cost of a settled request in units.
+    /// The largest actual cost of a request in units, initially 1.
     largest_cost: f64,
 }
 
@@ -36,7 +36,7 @@
         self.largest_cost
     }
 
-    /// Records the actual cost of a request. No cost above `max_cost` is expected.
+    /// Records the actual cost of a request. A cost above `max_cost` counts as `max_cost`.
     pub(crate) fn record_cost(&mut self, units: f64, max_cost: f64) {
         self.largest_cost = self.largest_cost.max(units).min(max_cost);
     }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,34 +1,37 @@
 //! Concurrency limit: how many attempts this gatekeeper may have in flight at the backends of one service,
-//! and which work may use the last of it. Additive increase while answers are early, multiplicative decrease
-//! while they are late.
+//! and which requests may use the last free capacity. The limit has additive increase while answers are
+//! early, and multiplicative decrease while they are late.
 
 use crate::stored::StoredPool;
 use crate::time::{Micros, Timestamp};
 
-/// Mean latency as a part of the objective below which the limit grows. Latencies spread to three times their
-/// mean, so a mean of half the objective already means many late answers.
-const EARLY_PART: f64 = 0.3;
-/// Mean latency as a part of the objective above which the limit shrinks.
-const LATE_PART: f64 = 0.45;
+/// Mean latency, as a fraction of the objective, below which the limit grows. Latencies range up to three
+/// times their mean, so with a mean of half the objective many answers are already late.
+const EARLY_OBJECTIVE_PART: f64 = 0.3;
+/// Mean latency, as a fraction of the objective, above which the limit shrinks.
+const LATE_OBJECTIVE_PART: f64 = 0.45;
 /// Factor on the limit for each round of late answers.
 const DECREASE_FACTOR: f64 = 0.8;
-/// Attempts that all gatekeepers together may have in flight at a backend when all is well, and when its
-/// answers are late. Below the second a backend idles: what is late then is the work, not a queue.
+/// Attempts that all gatekeepers together may have in flight at a backend in normal operation.
 pub(crate) const MAX_PER_BACKEND: f64 = 8.0;
+/// Attempts that all gatekeepers together may have in flight at a backend while answers are late. With fewer
+/// a backend is partly idle, so that lateness is due to the work itself and not to a queue.
 const MIN_PER_BACKEND: f64 = 3.0;
-/// Share of the capacity that the work of least weight leaves to that of most weight when capacity runs
-/// short.
+/// Share of the limit that requests of the lowest weight leave to requests of the highest weight when
+/// capacity runs short.
 const RESERVED_SHARE: f64 = 0.5;
-/// Seconds; memory of latency over all backends, and bounds of the weight of one sample.
-const OBJECTIVE_PART_MEMORY: f64 = 1.0;
-const OBJECTIVE_PART_WEIGHTS: (f64, f64) = (0.01, 0.3);
+/// Averaging time in seconds of the mean latency over all backends.
+const AVERAGING_SECONDS: f64 = 1.0;
+/// Lower and upper bound of the weight of one sample in that mean.
+const SAMPLE_WEIGHT_BOUNDS: (f64, f64) = (0.01, 0.3);
 
 /// Bounds of the concurrency limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Capacity {
     /// This gatekeeper's even share of the capacity of all backends.
     pub(crate) even_share: f64,
-    /// The same with a margin for chance: with many gatekeepers the traffic of each is uneven.
+    /// The even share with a margin for random variation: with many gatekeepers, the traffic of each is
+    /// uneven.
     pub(crate) upper_bound: f64,
 }
 
@@ -47,20 +50,20 @@
 pub(crate) struct Demand {
     /// Attempts in flight now.
     pub(crate) in_flight: f64,
-    /// Weight of the request over the largest weight that a request can have.
+    /// Weight of the request divided by the largest weight that a request can have.
     pub(crate) relative_weight: f64,
     /// Mean latency of the service in microseconds.
     pub(crate) mean_latency: f64,
 }
 
-/// The limit of one service, and the latency that it follows.
+/// The concurrency limit of one service, and the mean latency that it depends on.
 #[derive(Clone, Debug)]
 pub(crate) struct ConcurrencyLimit {
     /// Attempts that may be in flight; 0 until the first backends are known.
     limit: f64,
     reduced_at: Timestamp,
     last_send: Timestamp,
-    /// Mean latency as a part of the objective.
+    /// Mean latency as a fraction of the latency objective.
     objective_part: f64,
     updated_at: Timestamp,
 }
@@ -71,19 +74,20 @@
             limit: 0.0,
             reduced_at: Timestamp::ZERO,
             last_send: Timestamp::ZERO,
-            objective_part: EARLY_PART,
+            objective_part: EARLY_OBJECTIVE_PART,
             updated_at: Timestamp::ZERO,
         }
     }
 
-    /// Fits the limit to other backends.
+    /// Adapts the limit to the capacity of a changed set of ready backends.
     pub(crate) fn fit_to(&mut self, capacity: Capacity) {
         let is_first = self.limit == 0.0;
         self.limit = if is_first { capacity.even_share } else { self.limit.min(capacity.upper_bound) };
     }
 
-    /// Whether the limit admits one more attempt. When capacity runs short, work of low weight leaves the
-    /// last of it to work of high weight. A limit below one attempt is kept by spacing attempts out.
+    /// Whether the limit admits one more attempt. When capacity runs short, requests of low weight leave the
+    /// rest to requests of high weight. A limit below one attempt is enforced by an interval between
+    /// attempts.
     pub(crate) fn admits(&self, demand: Demand, now: Timestamp) -> bool {
         let reserved = RESERVED_SHARE * (1.0 - demand.relative_weight);
         let since_send = (now - self.last_send) as f64;
@@ -96,12 +100,13 @@
         self.last_send = now;
     }
 
-    /// The last attempt took no capacity: the next one need not be spaced out.
+    /// Lets the next attempt follow without an interval, because the last one took no capacity.
     pub(crate) fn forget_last_send(&mut self) {
         self.last_send = Timestamp::ZERO;
     }
 
-    /// Adds a latency as a part of its objective. The limit shrinks once for each round of late answers.
+    /// Records a latency as a fraction of its objective. Only an attempt that was sent after the last
+    /// reduction can reduce the limit again, so it shrinks once for each round of late answers.
     pub(crate) fn record_latency(
         &mut self,
         objective_part: f64,
@@ -109,12 +114,12 @@
         capacity: Capacity,
         now: Timestamp,
     ) {
-        let since = now.seconds_since(self.updated_at) / OBJECTIVE_PART_MEMORY;
-        let weight = since.clamp(OBJECTIVE_PART_WEIGHTS.0, OBJECTIVE_PART_WEIGHTS.1);
+        let since = now.seconds_since(self.updated_at) / AVERAGING_SECONDS;
+        let weight = since.clamp(SAMPLE_WEIGHT_BOUNDS.0, SAMPLE_WEIGHT_BOUNDS.1);
         self.objective_part += weight * (objective_part.min(1.0) - self.objective_part);
         self.updated_at = now;
         let limit = self.limit;
-        if self.objective_part > LATE_PART && sent_at >= self.reduced_at {
+        if self.objective_part > LATE_OBJECTIVE_PART && sent_at >= self.reduced_at {
             let lower_bound = MIN_PER_BACKEND / MAX_PER_BACKEND * capacity.even_share;
             self.limit = (limit * DECREASE_FACTOR).max(lower_bound);
             self.reduced_at = now;
@@ -125,13 +130,13 @@
 
     /// Whether answers come early enough for the limit to grow.
     pub(crate) fn is_early(&self) -> bool {
-        self.objective_part < EARLY_PART
+        self.objective_part < EARLY_OBJECTIVE_PART
     }
 
-    /// By how much the mean latency is above the part of the objective that is early, as a part of the
-    /// objective.
+    /// By how much the mean latency exceeds the bound for early answers, as a fraction of the objective; 0
+    /// while answers are early.
     pub(crate) fn lateness(&self) -> f64 {
-        (self.objective_part - EARLY_PART).max(0.0)
+        (self.objective_part - EARLY_OBJECTIVE_PART).max(0.0)
     }
 
     pub(crate) fn store(&self, stored: &mut StoredPool) {
@@ -153,7 +158,7 @@
     }
 }
 
-/// Latency of an attempt as a part of its objective.
+/// Latency of an attempt as a fraction of its objective.
 pub(crate) fn objective_part(elapsed: Micros, latency_objective: Micros) -> f64 {
     elapsed as f64 / latency_objective as f64
 }
--- a/crates/policy/src/concurrency_limit/tests.rs
+++ b/crates/policy/src/concurrency_limit/tests.rs
@@ -1,4 +1,4 @@
-//! The limit alone.
+//! Tests of `ConcurrencyLimit` and `Capacity` without the state machine.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     Demand { in_flight, relative_weight, mean_latency: 100_000.0 }
 }
 
-/// The limit of one gatekeeper before ten backends.
+/// The limit and capacity of a single gatekeeper with ten backends.
 fn fitted() -> (ConcurrencyLimit, Capacity) {
     let capacity = Capacity::of(1, TEN_BACKENDS);
     let mut limit = ConcurrencyLimit::new();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_capacity_is_shared_evenly_with_a_margin_where_a_share_is_below_one_attempt() {
+fn capacity_is_shared_evenly_with_a_margin_if_a_share_is_below_one_attempt() {
     let alone = Capacity::of(1, TEN_BACKENDS);
     assert_eq!((alone.even_share, alone.upper_bound), (80.0, 80.0));
     let among_many = Capacity::of(80, TEN_BACKENDS);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn late_answers_shrink_the_limit_once_a_round_and_early_ones_let_it_grow() {
+fn late_answers_shrink_the_limit_once_per_round_and_early_answers_let_it_grow() {
     let (mut limit, capacity) = fitted();
     for _ in 0..50 {
         limit.record_latency(1.0, at(0), capacity, at(SECOND));
--- a/crates/policy/src/fleet_summary.rs
+++ b/crates/policy/src/fleet_summary.rs
@@ -1,20 +1,21 @@
-//! A summary of the backends for operators: a reading, no decision.
+//! A read-only summary of the backends for operators.
 
 use crate::backend::Backend;
 use crate::event::BackendState;
 use crate::state_machine::Policy;
 
-/// Backends on the list, and those of them that get no work now.
+/// Numbers of backends on the endpoint list, and of those among them that currently get no requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSummary {
-    /// On the list, ready or draining.
+    /// Backends on the list, ready or draining.
     pub listed: usize,
-    /// Of these: draining, ejected by an operator or as an outlier for every class, or in connect backoff.
+    /// Listed backends that are draining, ejected by an operator, ejected as an outlier for every class
+    /// (unless the pool is in panic mode), or in connect backoff.
     pub unavailable: usize,
 }
 
 impl Policy {
-    /// Counts the backends of all services.
+    /// Counts the listed and the unavailable backends over all services.
     pub fn fleet_summary(&self) -> FleetSummary {
         let listed = || self.backends.iter().filter(|backend| backend.entry.state != BackendState::Gone);
         FleetSummary {
--- a/crates/policy/src/hash.rs
+++ b/crates/policy/src/hash.rs
@@ -1,4 +1,4 @@
-//! Hashing.
+//! A hash function that gives the same values in every process and build.
 
 /// A well-mixed 64-bit hash (the finaliser of SplitMix64).
 pub(crate) fn mix(value: u64) -> u64 {
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,19 +1,20 @@
-//! Retry budget: admitted requests earn it, retries and hedged requests spend it, so that further attempts
-//! stay a small part of all attempts when many fail.
+//! Retry budget: admitted requests earn tokens, and retries and hedged requests spend them, so that further
+//! attempts stay a small fraction of all attempts when many fail.
 
 use crate::event::Outcome;
 
-/// Tokens that the budget holds at most.
+/// Most tokens that the budget can hold.
 const MAX_TOKENS: f64 = 10.0;
 /// Tokens that an admitted request adds.
 const EARNED_PER_REQUEST: f64 = 0.1;
-/// Cost of a hedged request. A failed attempt has to be made again and costs one token. A slow attempt mostly
-/// still answers, and its backend goes on working on it after it is cancelled.
+/// Cost of a hedged request in tokens. It is higher than the cost of a retry: a failed attempt has to be
+/// repeated, but a slow attempt usually still answers, and its backend goes on working on it even after it is
+/// cancelled.
 const HEDGE_COST: f64 = 5.0;
-/// Cost of a retry after an attempt that may have run.
+/// Cost in tokens of a retry after an attempt that may have run.
 const RETRY_COST: f64 = 1.0;
 
-/// A token bucket of further attempts.
+/// A token bucket that limits retries and hedged requests.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -25,7 +26,7 @@
         Self { tokens: MAX_TOKENS / 2.0 }
     }
 
-    /// A budget with the tokens of a snapshot; an empty one if they are no number.
+    /// A budget with the tokens from a snapshot; empty if their number is not finite.
     pub(crate) fn restore(tokens: f64) -> Self {
         Self { tokens: if tokens.is_finite() { tokens } else { 0.0 } }
     }
@@ -34,7 +35,7 @@
         self.tokens
     }
 
-    /// Adds what an admitted request earns.
+    /// Adds the tokens that an admitted request earns.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + EARNED_PER_REQUEST).min(MAX_TOKENS);
     }
@@ -42,12 +43,12 @@
     /// The cost of a retry after an attempt with this outcome.
     pub(crate) fn retry_cost(outcome: Outcome) -> f64 {
         match outcome {
-            // Each retry without a connection puts one more backend into connect backoff, which bounds the
-            // retries. An attempt that this gatekeeper could not start cost no backend anything, and counts
-            // against the request's limit of attempts.
+            // Each retry that gets no connection puts one more backend into connect backoff, which bounds
+            // such retries. An attempt that this gatekeeper could not start cost the backends nothing, and it
+            // counts against the request's limit of attempts.
             Outcome::ConnectFailed | Outcome::NotStarted => 0.0,
-            // An attempt that never ran is cheap to retry. When all backends reject work, retries must not
-            // multiply it.
+            // An attempt that never ran is cheap to retry, but not free: when all backends reject requests,
+            // retries must not multiply the load.
             _ if outcome.never_ran() => EARNED_PER_REQUEST,
             _ => RETRY_COST,
         }
--- a/crates/policy/src/retry_budget/tests.rs
+++ b/crates/policy/src/retry_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The budget alone.
+//! Tests of `RetryBudget` without the state machine.
 
 use super::*;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn tokens_of_a_snapshot_that_are_no_number_leave_an_empty_budget() {
+fn a_snapshot_without_a_finite_number_of_tokens_restores_an_empty_budget() {
     assert_eq!(RetryBudget::restore(f64::NAN).tokens(), 0.0);
     assert_eq!(RetryBudget::restore(3.5).tokens(), 3.5);
 }
--- a/crates/policy/src/surcharge/tests.rs
+++ b/crates/policy/src/surcharge/tests.rs
@@ -1,4 +1,4 @@
-//! The factor alone.
+//! Tests of the surcharge factor.
 
 use super::*;
 use crate::settings::RequestClass;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn classes_pay_in_the_order_of_their_weight_and_the_highest_never() {
+fn classes_of_lower_weight_pay_first_and_the_highest_pays_no_surcharge() {
     let settings = settings();
     let factors = |ratio| [0, 1, 2].map(|class| surcharge_factor(&settings, class, ratio));
     assert_eq!(factors(1.0), [1.0, 1.0, 1.0]);
@@ -19,5 +19,5 @@
 
 #[test]
 fn the_factor_is_bounded() {
-    assert_eq!(surcharge_factor(&settings(), 0, 0.0), 1.0 / SMALLEST_RATIO);
+    assert_eq!(surcharge_factor(&settings(), 0, 0.0), 1.0 / MIN_SURCHARGE_RATIO);
 }
