--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -3,18 +3,19 @@
 use crate::time::Micros;
 use thiserror::Error;
 
-/// What a second execution of a request may do.
+/// Whether the requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating is harmless.
+    /// Executing a request again is harmless.
     Idempotent,
-    /// Carries an idempotency key; backends of one [`DedupScope`] drop duplicates for a while.
+    /// Requests carry an idempotency key; backends of one [`DedupScope`] drop duplicates within
+    /// [`RequestClass::idempotency_key_ttl`].
     Keyed,
-    /// Must never execute twice.
+    /// A request must never be executed twice.
     NonIdempotent,
 }
 
-/// The backends that share their knowledge of idempotency keys.
+/// The group of backends that share idempotency keys: each drops duplicates of what another one received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every backend.
@@ -25,60 +26,60 @@
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests that share a deadline, a priority and rules for retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// An answer within this time earns the full weight.
     pub latency_objective: Micros,
-    /// The longest a client of this class waits.
+    /// Longest time that a client of this class waits for an answer.
     pub deadline: Micros,
-    /// What a second execution may do.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
     /// Which backends drop duplicates, for [`Idempotency::Keyed`].
     pub dedup_scope: DedupScope,
     /// How long duplicates are dropped after the first attempt that may have run.
     pub idempotency_key_ttl: Micros,
-    /// Weight of one unit against other classes.
+    /// Weight of one unit relative to other classes; finite and at least 0.
     pub priority_weight: f64,
-    /// Answers come as a stream.
+    /// Whether answers are streamed.
     pub streaming: bool,
-    /// The service that serves it; backends of other services never get its requests.
+    /// Number of the service that serves the class; backends of other services never get its requests.
     pub service: u16,
-    /// The most attempts of one request; 0 means [`Settings::max_attempts`].
+    /// Largest number of attempts of one request, if below [`Settings::max_attempts`]; 0 means that limit.
     pub max_attempts: u32,
-    /// An attempt is given up after this time; 0 means at the client's deadline.
+    /// Time after which an attempt is given up; 0 means at the client's deadline.
     pub attempt_timeout: Micros,
-    /// A hedged request is considered after this time; 0 means a part of the latency objective.
+    /// Time after which a hedged request is considered; 0 means after a fraction of the latency objective.
     pub hedge_after: Micros,
 }
 
 /// A plan: the quotas of each of its tenants, over all gatekeepers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second; 0 means no such quota.
+    /// Refill rate of a tenant's token bucket in units a second; 0 means no such quota.
     pub rate: f64,
     /// Capacity of a tenant's token bucket in units; it starts full.
     pub burst: f64,
-    /// The most attempts in flight at once; 0 means no such quota.
+    /// Largest number of a tenant's attempts in flight at once; 0 means no such quota.
     pub max_in_flight: u32,
-    /// Hard ceiling in units a second; 0 means none.
+    /// Rate of a tenant's hard ceiling in units a second; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// Capacity of the ceiling's token bucket in units.
     pub ceiling_burst: f64,
     /// Factor on the priority weight of the class.
     pub priority_factor: f64,
-    /// Part of the weight earned by a request forwarded beyond the quota.
+    /// Fraction of its weight that a request forwarded beyond the quota earns.
     pub beyond_quota_earns: f64,
-    /// Part of the weight lost by a request forwarded beyond the quota.
+    /// Fraction of its weight that a request forwarded beyond the quota loses.
     pub beyond_quota_costs: f64,
 }
 
-/// A value in a load report.
+/// Meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Requests in flight.
+    /// Number of requests in flight.
     InFlight,
-    /// Requests queued.
+    /// Number of queued requests.
     Queued,
     /// Share of the processor that is busy.
     Cpu,
@@ -93,74 +94,76 @@
 /// How load reports arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Not at all.
+    /// Backends report no load.
     Off,
-    /// With answers and health checks.
+    /// Backends report load with answers and with health checks.
     Inline,
-    /// With health checks only.
+    /// Backends report load with health checks only.
     OnHealthCheck,
 }
 
 /// Settings of one state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Gatekeepers in this tier.
+    /// Number of gatekeepers in this tier; at least 1.
     pub gatekeepers: u32,
     /// Number of this gatekeeper, from 0.
     pub gatekeeper_index: u32,
     /// Zone of this gatekeeper.
     pub zone: u8,
-    /// Shortest time between two deliveries of events.
+    /// Shortest time between two deliveries of events to the state machine.
     pub tick: Micros,
-    /// Request classes, by number.
+    /// Request classes; a request names its class by index.
     pub classes: Vec<RequestClass>,
-    /// Plans, by number.
+    /// Plans; a request names the plan of its tenant by index.
     pub plans: Vec<Plan>,
-    /// The most attempts of one request.
+    /// Largest number of attempts of one request; [`RequestClass::max_attempts`] may set a lower one.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Active health checks are allowed.
+    /// Whether active health checks are allowed.
     pub health_checks: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// The longest Retry-After that a rejection may carry; 0 means none.
+    /// Longest Retry-After that a rejection may carry; 0 means that rejections carry none.
     pub max_retry_after: Micros,
-    /// A connection that is not established within this time has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Micros,
-    /// The endpoint list has to be polled.
+    /// Whether the endpoint list has to be polled.
     pub polls_endpoints: bool,
-    /// Without a poll for this long, the list of that time counts as notified.
+    /// A gatekeeper that has not polled the endpoint list for this long counts as notified of the list as it
+    /// is then.
     pub poll_interval: Micros,
     /// How load reports arrive.
     pub load_reporting: LoadReporting,
-    /// The values of a load report, in order.
+    /// Meanings of the values in a load report, in their order.
     pub load_metrics: Vec<LoadMetric>,
-    /// Share of its capacity that a backend starts with, at least.
+    /// Least share of its full capacity with which a backend starts; above 0, at most 1.
     pub slow_start_share: f64,
-    /// A backend is warm after this time at most.
+    /// Longest time from the start of a backend until it has its full capacity.
     pub slow_start_duration: Micros,
-    /// A backend in slow start that gets more than this multiple of its present capacity ...
+    /// Multiple of its current capacity that a backend in slow start withstands. If it is sent more for
+    /// [`Settings::overload_duration`], it becomes overloaded and fails.
     pub overload_factor: f64,
-    /// ... for this time becomes overloaded and fails.
+    /// Time after which an excess over [`Settings::overload_factor`] makes a backend in slow start fail.
     pub overload_duration: Micros,
-    /// Work sent to a draining backend must end within this time.
+    /// Time within which requests at a draining backend must end.
     pub drain_grace: Micros,
-    /// A shared quota counter may be called.
+    /// Whether a shared quota counter may be called.
     pub shared_counter: bool,
-    /// A call to the counter is given up after this time.
+    /// Time after which a call to the counter is given up.
     pub counter_timeout: Micros,
-    /// The cost of a request is an estimate that its answer corrects.
+    /// Whether the cost of a request is an estimate that its answer corrects.
     pub estimated_costs: bool,
-    /// The largest cost of one request in units.
+    /// Largest cost of one request in units.
     pub max_cost: f64,
-    /// Price of an attempt that crosses zones, as a part of the weight of a request.
+    /// Cost of an attempt to a backend in another zone, as a fraction of the weight of the request.
     pub cross_zone_cost: f64,
-    /// Backends get work in proportion to their sizes.
+    /// Whether backends get requests in proportion to their sizes.
     pub weighted_backends: bool,
 }
 
-/// A setting that cannot be used.
+/// A setting with a value that is out of its range.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("setting `{setting}` {problem}")]
 pub struct SettingsError {
@@ -169,14 +172,14 @@
 }
 
 impl SettingsError {
-    /// The name of the setting at fault.
+    /// The invalid setting by the name that operators know, which may differ from the field name.
     pub fn setting(&self) -> &'static str {
         self.setting
     }
 }
 
 impl Default for RequestClass {
-    /// An idempotent class, answered within a second.
+    /// An idempotent class with a deadline of one second.
     fn default() -> Self {
         Self {
             latency_objective: 500_000,
@@ -222,12 +225,13 @@
             self.beyond_quota_costs,
         ]
         .into_iter()
-        .all(is_finite_and_positive_or_zero)
+        .all(is_finite_and_non_negative)
     }
 }
 
 impl Default for Settings {
-    /// One gatekeeper on its own: no counter, no health checks, no load reports, backends always warm, no class yet.
+    /// One gatekeeper on its own: no counter, no health checks, no load reports, backends always warm, no
+    /// class yet.
     fn default() -> Self {
         Self {
             gatekeepers: 1,
@@ -262,11 +266,11 @@
 }
 
 impl Settings {
-    /// Checks that a state machine can work by these settings.
+    /// Checks that every setting is within its range.
     ///
     /// # Errors
     ///
-    /// Returns the first setting that is out of its range.
+    /// Returns the first setting found to be out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_gatekeepers()?;
         self.validate_classes_and_plans()?;
@@ -282,11 +286,13 @@
     fn validate_classes_and_plans(&self) -> Result<(), SettingsError> {
         let classes = &self.classes;
         require(!classes.is_empty(), "classes", "must not be empty")?;
-        let timed = classes.iter().all(|class| class.latency_objective > 0 && class.deadline > 0);
-        require(timed, "classes", "need an aim and a deadline above 0")?;
-        let weighted = classes.iter().all(|class| is_finite_and_positive_or_zero(class.priority_weight));
-        require(weighted, "classes", "need a finite worth of at least 0")?;
-        require(self.plans.iter().all(Plan::is_valid), "plans", "need finite figures of at least 0")
+        let have_positive_times =
+            classes.iter().all(|class| class.latency_objective > 0 && class.deadline > 0);
+        require(have_positive_times, "classes", "must each have a goal time and a deadline above 0")?;
+        let have_valid_weights =
+            classes.iter().all(|class| is_finite_and_non_negative(class.priority_weight));
+        require(have_valid_weights, "classes", "must each have a finite worth of at least 0")?;
+        require(self.plans.iter().all(Plan::is_valid), "plans", "must have finite numbers of at least 0 only")
     }
 
     fn validate_limits(&self) -> Result<(), SettingsError> {
@@ -297,16 +303,16 @@
         require(factor.is_finite() && factor > 0.0, "overload_factor", "must be above 0")?;
         require(self.overload_duration > 0, "fall_span", "must be above 0")?;
         let costs = [self.max_cost, self.cross_zone_cost];
-        let usable = costs.into_iter().all(is_finite_and_positive_or_zero);
-        require(usable, "largest", "must be a finite figure of at least 0")
+        let are_valid_costs = costs.into_iter().all(is_finite_and_non_negative);
+        require(are_valid_costs, "largest", "must be a finite number of at least 0")
     }
 }
 
-/// The error text names settings as operators know them, not as the fields are named here.
+/// Returns an error unless `holds`. `setting` is the name that operators know, not the field name.
 fn require(holds: bool, setting: &'static str, problem: &'static str) -> Result<(), SettingsError> {
     if holds { Ok(()) } else { Err(SettingsError { setting, problem }) }
 }
 
-fn is_finite_and_positive_or_zero(value: f64) -> bool {
+fn is_finite_and_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/policy/src/settings_update.rs
+++ b/crates/policy/src/settings_update.rs
@@ -1,16 +1,16 @@
-//! A change of settings in service. Everything that is known is kept; no decision.
+//! Replaces the settings of a running state machine. Quotas, estimates and open requests are kept.
 
 use crate::event::{Event, ListKind};
 use crate::settings::{Settings, SettingsError};
 use crate::state_machine::Policy;
 
 impl Policy {
-    /// Continues with other settings. Classes and plans keep their numbers: those that the new settings lack stay as they were, for
-    /// requests in flight.
+    /// Replaces the settings. Classes and plans keep their numbers: those that the new settings lack stay as
+    /// they were, for requests in flight.
     ///
     /// # Errors
     ///
-    /// Returns what [`Settings::validate`] finds; nothing has changed then.
+    /// Returns the error of [`Settings::validate`]; the state machine is unchanged then.
     pub fn update_settings(&mut self, mut settings: Settings) -> Result<(), SettingsError> {
         let unknown_plan = self.settings.plans.len() - 1;
         let known_plans = &self.settings.plans[..unknown_plan];
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Orders the backends again by the settings in force.
+    /// Recomputes the order of the backends from the current settings.
     pub(crate) fn reorder_backends(&mut self) {
         let event = Event::Endpoints { kind: ListKind::Delta, entries: Vec::new() };
         self.handle(self.now, event, &mut Vec::new());
