--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what a tenant's quota, its hard ceiling and the capacity let through.
+//! Tests of admission by the tenant's quota, its hard ceiling, its cap on attempts in flight, and capacity.
 
 mod common;
 use common::*;
@@ -42,7 +42,7 @@
 
     // What seemed to overflow a full bucket was written off meanwhile, and has been taken back.
     let refund = total_before - total;
-    assert!((refund - (estimate - actual_cost)).abs() < 0.01, "{refund} of 3");
+    assert!((refund - (estimate - actual_cost)).abs() < 0.01, "{refund} of 3 units were refunded");
 }
 
 #[test]
@@ -61,7 +61,7 @@
     for step in 0..3_000u32 {
         let now = at(1 + u64::from(step) * STEP);
         ceiling_level = (ceiling_level + ceiling_rate * 0.005).min(ceiling_burst);
-        // All traffic comes to one gatekeeper for a while, then to the other. Both restart again and again.
+        // All traffic arrives at one gatekeeper for a while, then at the other. Both restart repeatedly.
         let busy = (step / STEPS_PER_GATEKEEPER % 2) as usize;
         if step % STEPS_PER_RESTART == STEPS_PER_RESTART - 1 {
             gatekeepers[busy] = Harness::start_at(now, settings.clone(), &backends(8));
@@ -77,8 +77,8 @@
     assert!(lowest_level < 38.0, "some requests are admitted");
 }
 
-/// With eight gatekeepers none alone may have more than its share in flight at a backend, even if all answers
-/// are quick.
+/// With eight gatekeepers, none may have more than its own share of attempts in flight at a backend, even if
+/// all answers are quick.
 #[test]
 fn the_concurrency_limit_recovers_after_backends_held_too_much() {
     let mut harness = Harness::new(Settings { gatekeepers: 8, ..unlimited_settings() }, &backends(1));
@@ -93,8 +93,9 @@
     assert_eq!(in_flight, 1);
 }
 
-/// Each of 300 gatekeepers receives 20 requests and nothing has been answered yet. One in flight from each at
-/// each of 100 backends would be 6,000 attempts; all together may have eight at a backend.
+/// Each of 300 gatekeepers receives 20 requests before any answer. If each might have an attempt in flight at
+/// every one of 100 backends, all 6,000 requests would be sent; all gatekeepers together may have eight
+/// attempts in flight at a backend.
 #[test]
 fn hundreds_of_gatekeepers_that_know_nothing_do_not_overload_backends_at_the_start() {
     let mut in_flight = 0;
@@ -109,7 +110,7 @@
     assert!(in_flight >= 300, "{in_flight}: every gatekeeper may have one in flight");
 }
 
-/// With twenty gatekeepers and a cap of 4, one attempt in flight for each would be five times the cap.
+/// With twenty gatekeepers and a cap of 4, one attempt in flight from each would be five times the cap.
 #[test]
 fn gatekeepers_without_coordination_keep_near_a_cap_on_attempts_in_flight() {
     struct InFlight {
@@ -136,7 +137,7 @@
             gatekeeper.now = now;
             gatekeeper.feed(served_after(SERVICE_TIME, ended.id, ended.backend));
         }
-        // A request at each step, at one gatekeeper after another in a mixed order.
+        // One request arrives at each step; the gatekeepers take turns in a mixed order.
         let index = (step as usize * 7 + step as usize / 20) % 20;
         gatekeepers[index].now = now;
         let request = RequestEvent { id: step, tenant_gatekeepers: 20.0, ..RequestEvent::default() };
@@ -152,8 +153,9 @@
     assert!(sent > 100, "{sent} sent");
 }
 
-/// Regression: each request rejected for lack of capacity was reported to the counter and taken back. A
-/// hundred gatekeepers made these two useless calls at once, just when the counter had the highest load.
+/// Regression: the cost of each request rejected for lack of capacity was reported to the counter and then
+/// taken back. A hundred gatekeepers made these two useless calls at the same time, just when the load on the
+/// counter was highest.
 #[test]
 fn a_request_without_capacity_costs_no_counter_call() {
     // The first moment at which a gatekeeper may call the counter depends on its index.
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-/// Delay of a call to the shared counter, until its total is read.
+/// Time from a call to the shared counter until its reply arrives.
 const COUNTER_DELAY: Micros = 2 * MS;
 const CORES: usize = 2;
 const TENANTS: u32 = 50;
@@ -37,9 +37,9 @@
 pub struct SimulatedBackend {
     /// The moment at which each core has finished its queue.
     core_free_at: [Timestamp; CORES],
-    /// It accepts requests and never answers.
+    /// Whether the backend accepts requests but never answers.
     pub is_silent: bool,
-    /// Its most recent start; [`Timestamp::ZERO`] for long ago.
+    /// Time of the most recent start; [`Timestamp::ZERO`] if that was long ago.
     started: Timestamp,
 }
 
@@ -51,10 +51,10 @@
     pub request_rate: f64,
     /// Mean service time of a request in microseconds.
     pub mean_work: f64,
-    /// Every tenth gatekeeper receives this many times the traffic of each other one.
-    pub busiest: f64,
-    /// The setting of the same name: what a backend in slow start may be sent, relative to its capacity at
-    /// that time.
+    /// Every tenth gatekeeper receives this many times the traffic of each of the others.
+    pub busy_traffic_factor: f64,
+    /// Value of [`Settings::overload_factor`]: what a backend in slow start may be sent, relative to its
+    /// capacity at that time.
     pub overload_factor: f64,
     pub seed: u64,
 }
@@ -71,7 +71,7 @@
     arrived_at: Timestamp,
     deadline: Timestamp,
     attempts: Vec<SimulatedAttempt>,
-    /// It has its final answer.
+    /// Whether the request has its final answer.
     answered: bool,
 }
 
@@ -83,7 +83,7 @@
     pub backend: u32,
 }
 
-/// How many requests came, and how they ended.
+/// Numbers of requests that arrived, and of those among them that ended in some way.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
     pub arrived: usize,
@@ -95,11 +95,11 @@
 /// A time window that begins with an attempt sent to a backend in slow start.
 struct SlowStartWindow {
     sent: f64,
-    /// How many attempts the overload rule allows in the window.
+    /// Number of attempts that the overload rule allows in the window.
     budget: f64,
 }
 
-/// The simulated fleet and what it did so far.
+/// A simulated fleet, with its event queue and a record of what it has done.
 pub struct Fleet {
     pub now: Timestamp,
     settings: Settings,
@@ -171,8 +171,8 @@
         entries
     }
 
-    /// Replaces these backends by ones that start now, sends every gatekeeper the new list, and returns the
-    /// new ids.
+    /// Replaces these backends by new ones that start now, sends every gatekeeper the new endpoint list, and
+    /// returns the new ids.
     pub fn replace_backends(&mut self, ids: &[u32]) -> Vec<u32> {
         let last_id = self.backends.keys().max().copied().unwrap_or(0);
         let new_ids: Vec<u32> = (1..=ids.len() as u32).map(|offset| last_id + offset).collect();
@@ -189,8 +189,8 @@
         new_ids
     }
 
-    /// The share of its full capacity that a backend has at a moment: a linear slow start, the slowest that
-    /// the rules allow.
+    /// The share of its full capacity that a backend has at `now`. It grows linearly, as slowly as the
+    /// settings allow.
     fn capacity_share(&self, backend: &SimulatedBackend, now: Timestamp) -> f64 {
         if backend.started == Timestamp::ZERO {
             return 1.0;
@@ -200,8 +200,8 @@
         (initial_share + (1.0 - initial_share) * progress).min(1.0)
     }
 
-    /// The windows of length `overload_duration` that begin with each attempt sent to a backend in slow
-    /// start.
+    /// One window of length `overload_duration` for each attempt sent to a backend in slow start, beginning
+    /// with that attempt.
     fn slow_start_windows(&self, id: u32) -> Vec<SlowStartWindow> {
         let backend = &self.backends[&id];
         let length = self.settings.overload_duration;
@@ -221,21 +221,22 @@
             .collect()
     }
 
-    /// The largest share of its slow start budget that a backend was sent in any window.
+    /// The largest number of attempts that a backend was sent in any window, relative to the window's budget.
     pub fn slow_start_budget_used(&self, id: u32) -> f64 {
         self.slow_start_windows(id).into_iter().map(|window| window.sent / window.budget).fold(0.0, f64::max)
     }
 
-    /// By how much a backend was sent more than its slow start budget of N in its worst window, as a multiple
-    /// of the tolerance for random variation: 2 x sqrt(N) + 2.
+    /// The largest number of attempts beyond the budget N that a backend was sent in any window, as a
+    /// multiple of the tolerance for random variation, 2 x sqrt(N) + 2.
     pub fn slow_start_excess(&self, id: u32) -> f64 {
         let excess =
             |window: SlowStartWindow| (window.sent - window.budget) / (2.0 * window.budget.sqrt() + 2.0);
         self.slow_start_windows(id).into_iter().map(excess).fold(0.0, f64::max)
     }
 
-    /// To how many backends a gatekeeper has sent since a moment, as the mean over gatekeepers.
-    pub fn backends_used(&self, since: Timestamp) -> f64 {
+    /// Number of backends that a gatekeeper has sent attempts to since a moment, as the mean over
+    /// gatekeepers.
+    pub fn mean_backends_used(&self, since: Timestamp) -> f64 {
         let pairs: HashSet<_> = self
             .sent_attempts
             .iter()
@@ -245,12 +246,12 @@
         pairs.len() as f64 / self.gatekeepers.len() as f64
     }
 
-    /// How many attempts were sent to any of these backends.
-    pub fn sent_to(&self, backends: &[u32]) -> usize {
+    /// Number of attempts sent to any of these backends.
+    pub fn attempts_sent_to(&self, backends: &[u32]) -> usize {
         self.sent_attempts.iter().filter(|sent| backends.contains(&sent.backend)).count()
     }
 
-    /// Processes all events up to and including this moment.
+    /// Processes all events up to and including `until`.
     pub fn run_until(&mut self, until: Timestamp) {
         while let Some(&Reverse(next)) = self.queue.peek()
             && next.at <= until
@@ -269,7 +270,8 @@
 
     /// Draws the exponentially distributed time until the next request at a gatekeeper.
     fn draw_interarrival_time(&mut self, gatekeeper: usize) -> Micros {
-        let weight = |index: usize| if index.is_multiple_of(10) { self.parameters.busiest } else { 1.0 };
+        let weight =
+            |index: usize| if index.is_multiple_of(10) { self.parameters.busy_traffic_factor } else { 1.0 };
         let total_weight: f64 = (0..self.parameters.gatekeepers as usize).map(weight).sum();
         let mean = total_weight / weight(gatekeeper) / self.parameters.request_rate * SECOND as f64;
         (-(1.0 - self.rng.f64()).ln() * mean) as Micros + 1
@@ -361,7 +363,7 @@
             Action::Send { id, backend, .. } => self.send(gatekeeper, id.0, backend.0),
             Action::Reject { id, .. } | Action::Fail { id } => {
                 let request = self.submitted[gatekeeper].get_mut(&id.0).expect("the request was submitted");
-                assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
+                assert!(!std::mem::replace(&mut request.answered, true), "request {id:?} was answered twice");
                 self.counts.rejected_or_failed += 1;
             }
             Action::Timer { after, token } => {
@@ -393,8 +395,8 @@
         }
     }
 
-    /// Puts work into the queue of a backend's less busy core. Returns when it will be done: never at a
-    /// backend that is silent or gone.
+    /// Adds work to the queue of a backend's less busy core. Returns the time at which it will be done:
+    /// [`Timestamp::MAX`] at a backend that is silent or removed.
     fn enqueue(&mut self, id: u32, work: f64) -> Timestamp {
         let Some(backend) = self.backends.get(&id).filter(|backend| !backend.is_silent) else {
             return Timestamp::MAX;
--- a/crates/policy/tests/counter_sync.rs
+++ b/crates/policy/tests/counter_sync.rs
@@ -1,4 +1,4 @@
-//! Synchronisation with the shared counter: totals, lost replies, silence and recovery.
+//! Tests of synchronisation with the shared counter: totals, lost replies, silence and recovery.
 
 mod common;
 use common::*;
@@ -20,7 +20,8 @@
 
     let name = first_call.name;
     let actions = first.feed(counter_reply(name, 4.0, Outcome::Ok));
-    let unused = counter_call(&actions).expect("what overflowed before the first use is written off").units;
+    let unused =
+        counter_call(&actions).expect("the overflow since the start of the epoch is written off").units;
     first.feed(counter_reply(name, 4.0 + unused, Outcome::Ok));
     second.feed(counter_reply(name, 8.0 + unused, Outcome::Ok));
     first.now += 10 * MS;
@@ -34,7 +35,8 @@
 
 #[test]
 fn a_gatekeeper_that_just_started_reads_the_level_and_not_a_full_bucket() {
-    // One gatekeeper uses a name first, and a heavy tenant spends its whole bucket through it.
+    // The first gatekeeper is the first to use the count's name, and the tenant spends its whole bucket
+    // there.
     let mut first = Harness::new(settings(), &backends(4));
     let mut total = 0.0;
     for id in 0..10 {
@@ -108,8 +110,8 @@
         id += 1;
     }
 
-    // It recovers without its totals. Another gatekeeper reports 10 s of spend at once, which has long been
-    // refilled.
+    // The counter recovers without its totals. Another gatekeeper reports 10 s of spend at once, which has
+    // been refilled long ago.
     harness.now += 2 * SECOND;
     let call = counter_call(&harness.request(900, 0, 0.5)).expect("a trial call");
     harness.feed(counter_reply(call.name, 60.0, Outcome::Ok));
@@ -133,12 +135,13 @@
         }
     }
 
-    // 10 s of a rate of 10, of which half is this gatekeeper's share: 50, and its share of the burst.
-    assert!((40..=80).contains(&sent), "{sent} units in 10 s");
+    // This gatekeeper's half of the rate of 10 units a second gives 50 units in 10 s, and its share of the
+    // burst adds to them.
+    assert!((40..=80).contains(&sent), "{sent} units were admitted in 10 s");
 }
 
-/// Regression: calls that ended without a reply may have been added and are not repeated. With nothing left
-/// to report no call was made again, and the recovery of the counter was never noticed.
+/// Regression: the units of calls that ended without a reply may have been added and are not reported again.
+/// With nothing left to report, no further call was made, and the counter's recovery was never noticed.
 #[test]
 fn a_silent_counter_is_tried_though_nothing_is_unreported() {
     let mut harness = Harness::new(settings(), &backends(4));
@@ -172,9 +175,9 @@
     assert!(actions.iter().any(|action| matches!(action, Action::Log(Notice::CounterRecovered))));
 }
 
-/// Regression: calls that reach the counter late are added though no reply comes. Each wrote off half a burst
-/// along with its spend. After a network partition of 5 s eight such calls added 3,200 units that nobody had
-/// spent, and all gatekeepers rejected the tenant for eight seconds.
+/// Regression: the units of calls that reach the counter late are added although no reply arrives. Each call
+/// wrote off half a burst along with its spend. After a network partition of 5 s, eight such calls added
+/// 3,200 units that nobody had spent, and all gatekeepers rejected the tenant for eight seconds.
 #[test]
 fn calls_that_may_be_added_late_write_nothing_off() {
     const FIRST_UNANSWERED: u32 = 30;
@@ -183,7 +186,7 @@
     let (mut spent, mut added_late, mut late_calls) = (0.0, 0.0, 0);
 
     for id in 0..100 {
-        // A unit in 0.3 s: the bucket is full, and most of the refill overflows.
+        // The tenant spends one unit in 0.3 s, so the bucket is full and most of the refill overflows.
         let mut actions = harness.tick_for(300 * MS);
         actions.extend(harness.feed(request(id, 0, 1.0)));
         while !actions.is_empty() {
@@ -212,10 +215,10 @@
     }
 
     assert!(late_calls > 10, "{late_calls} calls");
-    // The first call may still write off an estimate: half a burst of 20.
+    // The first unanswered call may still write off an estimate of at most half of the burst of 20.
     assert!(
         added_late <= spent + 10.0 + 1e-6,
-        "{added_late} units in {late_calls} calls for {spent} that were spent"
+        "{late_calls} late calls added {added_late} units, though only {spent} were spent"
     );
 }
 
@@ -231,7 +234,7 @@
         assert!(sent_backends(&actions).is_empty() && !is_rejected(&actions));
         harness.now += 200 * MS;
         actions = harness.feed(counter_reply(call.name, 0.0, Outcome::Error));
-        assert!(!has_notice(&actions), "it is not silent");
+        assert!(!has_notice(&actions), "the counter does not count as silent");
     }
 
     let call = counter_call(&actions).expect("the total is read again");
@@ -240,8 +243,8 @@
     assert!(is_rejected(&actions), "the readable total decides");
 }
 
-/// 300 gatekeepers have more tenants than the counter can serve. Once each has used its saved tokens, all
-/// together call about a thousand times a second and not once for each request.
+/// 300 gatekeepers have more tenants than the counter can serve. Once each has used its accumulated call
+/// tokens, all together make about a thousand calls a second instead of one for each request.
 #[test]
 fn hundreds_of_gatekeepers_share_the_capacity_of_the_counter() {
     let mut calls = 0;
@@ -260,7 +263,7 @@
         }
     }
 
-    // 2 s of 1,000 a second, and 8 saved tokens of each.
+    // 1,000 calls a second for 2 s, and 8 accumulated tokens of each gatekeeper.
     assert!(calls <= 2_000 + 8 * 300 + 300, "{calls} calls for 30,000 requests in 2 s");
     assert!(calls >= 2_000, "{calls} calls: the counter is not used to capacity");
 }
@@ -286,11 +289,15 @@
     let calls_of_few = calls_of_fleet(4);
 
     assert!((100..=550).contains(&calls_of_many), "{calls_of_many} calls at once by 366 gatekeepers");
-    assert!(calls_of_few >= 8, "a few gatekeepers use the capacity of the counter");
+    assert!(
+        calls_of_few >= 8,
+        "{calls_of_few} calls at once by 4 gatekeepers, which leave capacity of the counter unused"
+    );
 }
 
 /// Regression: the unused units of a tenant with little traffic accumulated in the shared count. Each of many
-/// gatekeepers that first saw the tenant read a full bucket there, however much had just been spent.
+/// gatekeepers that saw the tenant for the first time read a full bucket there, however much had just been
+/// spent.
 #[test]
 fn gatekeepers_that_first_see_a_tenant_read_no_more_than_a_bucket() {
     let gatekeeper = |index| {
@@ -307,28 +314,29 @@
         let request =
             |id, units| RequestEvent { units, tenant_gatekeepers: 50.0, ..request_of_tenant(tenant, id, 0) };
         let mut totals = HashMap::new();
-        let mut quiet = gatekeeper(0);
+        let mut low_traffic_gatekeeper = gatekeeper(0);
         for id in 0..12 {
-            quiet.now += SECOND;
-            let actions = quiet.feed(request(id, 1.0));
-            let sent = sent_backends(&quiet.answer_counter_calls(actions, &mut totals)).len();
+            low_traffic_gatekeeper.now += SECOND;
+            let actions = low_traffic_gatekeeper.feed(request(id, 1.0));
+            let sent =
+                sent_backends(&low_traffic_gatekeeper.answer_counter_calls(actions, &mut totals)).len();
             assert!(sent <= 1);
-            let actions = quiet.tick_for(100 * MS);
-            quiet.answer_counter_calls(actions, &mut totals);
-            quiet.end_attempt(id, 0, 1, Outcome::Ok);
+            let actions = low_traffic_gatekeeper.tick_for(100 * MS);
+            low_traffic_gatekeeper.answer_counter_calls(actions, &mut totals);
+            low_traffic_gatekeeper.end_attempt(id, 0, 1, Outcome::Ok);
         }
 
         let mut admitted = 0;
         for index in 1..50 {
             let mut harness = gatekeeper(index);
-            harness.now = quiet.now + 50 * MS;
+            harness.now = low_traffic_gatekeeper.now + 50 * MS;
             let actions = harness.feed(request(1, 4.0));
             admitted += sent_backends(&harness.answer_counter_calls(actions, &mut totals)).len();
         }
 
         assert!(
             (1..=10).contains(&admitted),
-            "tenant {tenant}: {admitted} times 4 units out of a bucket of 20"
+            "tenant {tenant}: {admitted} requests of 4 units admitted from a bucket of 20"
         );
     }
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Emergent behaviour of a hundred gatekeepers: each case is harmless at one gatekeeper and harmful in the
-//! sum.
+//! Tests of fleet-wide effects: behaviour that is harmless at one gatekeeper but harmful when many
+//! gatekeepers do the same.
 
 mod common;
 #[path = "common/fleet.rs"]
@@ -13,27 +13,27 @@
 /// Mean service time of a request in microseconds.
 const MEAN_WORK: f64 = 172.0 * MS as f64;
 
-/// What a number of warm backends with two cores each can serve, in requests a second.
+/// Capacity of this many warm backends with two cores each, in requests a second.
 fn capacity(backends: u32) -> f64 {
     f64::from(backends) * 2.0 * SECOND as f64 / MEAN_WORK
 }
 
-/// A hundred gatekeepers and 60 backends that serve 11.6 requests a second each, at this share of their
-/// capacity.
+/// A hundred gatekeepers and 60 backends that can serve 11.6 requests a second each. `load` is the request
+/// rate as a fraction of the capacity of all backends.
 fn fleet_of_hundred(load: f64, seed: u64) -> Fleet {
     Fleet::new(FleetParameters {
         gatekeepers: 100,
         backends: 60,
         request_rate: load * capacity(60),
         mean_work: MEAN_WORK,
-        busiest: 1.0,
+        busy_traffic_factor: 1.0,
         overload_factor: 4.0,
         seed,
     })
 }
 
-/// Regression: each gatekeeper held a connection to every backend, and knew each from one answer in ten
-/// seconds.
+/// Regression: each gatekeeper held a connection to every backend, and had only one answer in ten seconds
+/// from each to estimate its latency.
 #[test]
 fn each_gatekeeper_prefers_a_few_backends_and_all_backends_are_used() {
     for seed in 0..3 {
@@ -42,7 +42,7 @@
 
         fleet.run_until(start + 20 * SECOND);
 
-        let used = fleet.backends_used(start);
+        let used = fleet.mean_backends_used(start);
         assert!(used < 15.0, "seed {seed}: {used} backends for each gatekeeper");
         let mut sent_by_backend = BTreeMap::new();
         fleet.sent_attempts.iter().for_each(|sent| *sent_by_backend.entry(sent.backend).or_insert(0) += 1);
@@ -52,7 +52,8 @@
     }
 }
 
-/// A silent backend costs each gatekeeper its first request to it, so few gatekeepers may send to one.
+/// Each gatekeeper loses its first request to a silent backend, so few gatekeepers may send to any one
+/// backend.
 #[test]
 fn silent_backends_cost_few_gatekeepers_anything() {
     let silent: Vec<u32> = (1..=6).collect();
@@ -65,13 +66,13 @@
 
         fleet.run_until(start + 20 * SECOND);
 
-        let lost = fleet.sent_to(&silent);
+        let lost = fleet.attempts_sent_to(&silent);
         assert!(lost < 250, "seed {seed}: {lost} attempts sent to silent backends");
     }
 }
 
-/// Six in ten backends are replaced at once. What all gatekeepers send each new one stays within the overload
-/// rule, and is still enough to use its capacity.
+/// Six in ten backends are replaced at once. The attempts of all gatekeepers at each new backend stay within
+/// the overload rule, and are still enough to use its capacity.
 #[test]
 fn tens_of_backends_in_slow_start_are_used_and_never_overloaded() {
     for seed in 0..3 {
@@ -83,8 +84,8 @@
         fleet.run_until(start + 20 * SECOND);
 
         let worst = restarted.iter().map(|&id| fleet.slow_start_budget_used(id)).fold(0.0, f64::max);
-        assert!(worst < 1.0, "seed {seed}: {worst} of the budget in a window");
-        let sent = fleet.sent_to(&restarted);
+        assert!(worst < 1.0, "seed {seed}: a backend was sent {worst} of its budget in a window");
+        let sent = fleet.attempts_sent_to(&restarted);
         assert!(sent > 1_000, "seed {seed}: {sent} attempts sent to backends in slow start in 12 s");
     }
 }
@@ -101,7 +102,7 @@
                 backends,
                 request_rate: 0.8 * capacity(backends),
                 mean_work: MEAN_WORK,
-                busiest: 6.0,
+                busy_traffic_factor: 6.0,
                 overload_factor: 2.0,
                 seed,
             });
@@ -112,9 +113,13 @@
             fleet.run_until(start + 13 * SECOND);
 
             let worst = restarted.iter().map(|&id| fleet.slow_start_excess(id)).fold(0.0, f64::max);
-            // A quarter of the tolerance for random variation: more would show over days of many windows.
-            assert!(worst <= 0.25, "{case}: {worst} of the tolerance beyond the budget");
-            let sent = fleet.sent_to(&restarted);
+            // The bound is a quarter of the tolerance for random variation, because over days, with many more
+            // windows, the largest excess is larger.
+            assert!(
+                worst <= 0.25,
+                "{case}: a backend was sent {worst} of the tolerance more than its budget"
+            );
+            let sent = fleet.attempts_sent_to(&restarted);
             assert!(sent > 5 * backends as usize, "{case}: {sent} attempts sent to backends in slow start");
         }
     }
--- a/crates/policy/tests/input.rs
+++ b/crates/policy/tests/input.rs
@@ -1,4 +1,4 @@
-//! Invalid and extreme input and settings.
+//! Tests with invalid and extreme events and settings.
 
 mod common;
 use common::*;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn unusable_settings_are_named() {
+fn invalid_settings_are_reported_by_name() {
     let index_out_of_range = Settings { gatekeeper_index: 5, ..settings() };
     let no_classes = Settings { classes: vec![], ..settings() };
 
@@ -63,5 +63,5 @@
         sent += harness.serve_attempts(id, &actions);
     }
 
-    assert!(sent >= 25, "{sent} of 50 were sent");
+    assert!(sent >= 25, "{sent} of 50 requests were sent to a backend");
 }
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -1,5 +1,6 @@
-//! One tenant's bucket, spent through several gatekeepers that know of each other only by the shared counter:
-//! their estimates of its level against the exact level. All randomness comes from fixed seeds.
+//! Simulation of one tenant whose requests arrive at several gatekeepers, which learn of each other's spend
+//! only through the shared counter. Compares their decisions with the exact level of the tenant's bucket. All
+//! randomness comes from fixed seeds.
 
 mod common;
 use common::*;
@@ -19,20 +20,20 @@
     beyond_quota_costs: 1.0,
 };
 
-/// Requests cost 1 to 5 units.
+/// Mean cost of a request; costs are uniformly distributed from 1 to 5 units.
 const MEAN_UNITS: f64 = 3.0;
 /// One-way network delay of a counter call.
 const COUNTER_DELAY: Micros = 2 * MS;
-/// No pause within any run.
+/// An active span at least as long as any run, so that the tenant never pauses.
 const WITHOUT_PAUSES: Micros = 100 * SECOND;
 
-/// What a tenant does, and what happens to it meanwhile.
+/// Parameters of a run: the gatekeepers, the tenant's plan and traffic, and faults.
 #[derive(Clone)]
 struct Scenario {
     gatekeepers: u32,
     /// When all gatekeepers start.
     start: Timestamp,
-    /// Random addition to [`COUNTER_DELAY`].
+    /// Upper bound of the random addition to [`COUNTER_DELAY`].
     max_jitter: Micros,
     plan: Plan,
     seed: u64,
@@ -85,8 +86,8 @@
     event: SimulatedEvent,
 }
 
-/// The tenant's bucket as one gatekeeper that handled all requests would keep it, and how far the decisions
-/// deviated from it.
+/// The tenant's bucket as a single gatekeeper that handles all requests would keep it, with counts of how far
+/// the decisions deviate from it.
 #[derive(Default)]
 struct ExactBucket {
     level: f64,
@@ -131,7 +132,7 @@
 /// A run of a [`Scenario`].
 struct Simulation {
     scenario: Scenario,
-    /// The plan that is in force now.
+    /// The tenant's current plan.
     plan: Plan,
     settings: Settings,
     now: Timestamp,
@@ -143,7 +144,7 @@
     /// The units of requests that have no answer yet, by id.
     open_requests: HashMap<u32, f64>,
     last_request_id: u32,
-    /// The gatekeeper that most of the tenant's requests come through at present.
+    /// The gatekeeper at which most of the tenant's requests currently arrive.
     preferred_gatekeeper: usize,
     exact: ExactBucket,
     recorder: Recorder,
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Submits a request, unless the tenant pauses, and schedules the next one.
+    /// Submits a request, unless the tenant pauses, and schedules the arrival of the next one.
     fn submit_request(&mut self) {
         let mean_gap = MEAN_UNITS * 1e6 / self.scenario.demand;
         let gap = (mean_gap * -(1.0 - self.rng.f64()).ln()) as Micros;
@@ -272,7 +273,8 @@
         self.feed(gatekeeper, request.into());
     }
 
-    /// Most of a tenant's requests come through one gatekeeper, and which one it is changes.
+    /// Draws the gatekeeper for a request. Most of the tenant's requests arrive at one gatekeeper, which
+    /// changes at random.
     fn draw_gatekeeper(&mut self) -> usize {
         let count = self.gatekeepers.len();
         if self.rng.u8(..) < 4 {
@@ -322,7 +324,7 @@
                 let Some(units) = self.open_requests.remove(&id.0) else { return };
                 self.exact.refill(&self.plan, self.now);
                 self.exact.admit(units);
-                // Served at once. The actions are of no interest here.
+                // The attempt is served at once. Actions that follow from its end are not carried out.
                 self.handle(gatekeeper, attempt_ended(id.0, 0, backend.0, Outcome::Ok));
             }
             Action::Reject { id, .. } if self.open_requests.remove(&id.0).is_some() => {
@@ -335,8 +337,9 @@
 }
 
 /// Regression: each gatekeeper added up differences of totals. These included the refill while the bucket was
-/// full, so after a pause of ten seconds a gatekeeper took a bucket for full that others had just emptied. 2
-/// to 5 percent of the units were admitted beyond the quota, and the bucket was short afterwards.
+/// full, so a gatekeeper that had not called for ten seconds believed a bucket to be full that others had
+/// just emptied. 2 to 5 percent of the units were admitted beyond the quota, and the bucket held too little
+/// afterwards.
 #[test]
 fn a_total_tells_what_is_left_however_long_ago_the_last_one_was() {
     for seed in 0..6 {
@@ -347,7 +350,7 @@
 
             let exact = Simulation::run(Scenario { seed, demand, active_span, ..Scenario::default() });
 
-            // Each active span costs some precision, as gatekeepers notice it only after it has begun.
+            // Each active span costs some precision, because gatekeepers notice it only after it has begun.
             let max_share_beyond_quota = if active_span < WITHOUT_PAUSES { 0.09 } else { 0.016 };
             let beyond_quota = exact.share_beyond_quota();
             assert!(
@@ -364,11 +367,11 @@
     }
 }
 
-/// Regression: gatekeepers that start together all find a zero count in the middle of an epoch, and each
-/// writes off the refill since the start of the epoch. Until all but one have taken that back the total shows
-/// a debt of many bursts. A gatekeeper that read it rejected requests for as long as a refill of that debt
-/// takes, without reading the total again. Six gatekeepers rejected a tenant that used a tenth of its quota,
-/// some of them for half a minute.
+/// Regression: gatekeepers that start together in the middle of an epoch all read a total of zero, and each
+/// writes off the refill since the start of the epoch. Until all but one have taken that back, the total
+/// shows a debt of many bursts. A gatekeeper that read such a total rejected requests for as long as the debt
+/// took to refill, without reading the total again. Six gatekeepers rejected a tenant that used a tenth of
+/// its quota, some of them for half a minute.
 #[test]
 fn gatekeepers_that_start_at_once_do_not_starve_a_tenant() {
     for seed in 0..6 {
@@ -385,10 +388,10 @@
             });
 
             let rejected = exact.share_rejected_at_half();
-            // The worst shares with six and with ten gatekeepers: 0.145 and more with debts of any size;
-            // 0.009 and 0.069 with debts of at most a quarter burst; 0.009 and 0.056 if a larger debt also
-            // does not change the estimated rate of spend; 0.009 and 0.013 if others that take back their
-            // write-offs are not mistaken for a counter that lost its totals.
+            // Worst shares with six and with ten gatekeepers: 0.145 and more if debts of any size count;
+            // 0.009 and 0.069 if debts count up to a quarter of the burst; 0.009 and 0.056 if a larger debt
+            // also does not change the estimated rate of spend; 0.009 and 0.013 if, in addition, gatekeepers
+            // that take back their write-offs are not mistaken for a counter that lost its totals.
             assert!(
                 rejected < 0.02,
                 "seed {seed}, {gatekeepers} gatekeepers, {rate} units a second: {rejected:.3}"
@@ -398,9 +401,10 @@
 }
 
 /// Regression: a counter that lost its totals receives all write-offs once more, from each gatekeeper that
-/// calls before it has seen those of others. Two that did so at once took each other's write-offs for spend:
-/// a debt of ten bursts and more, which they let refill without reading the total again. Under injected
-/// faults two of twelve gatekeepers rejected a tenant that used a quarter of its quota for 36 s.
+/// calls before it has seen the write-offs of others. Two gatekeepers that did so at the same time mistook
+/// each other's write-offs for spend, that is, a debt of ten bursts and more, and waited for it to refill
+/// without reading the total again. Under injected faults, two of twelve gatekeepers rejected a tenant that
+/// used a quarter of its quota for 36 s.
 #[test]
 fn a_counter_that_comes_back_empty_starves_no_tenant() {
     for seed in 0..24 {
--- a/crates/policy/tests/time.rs
+++ b/crates/policy/tests/time.rs
@@ -1,4 +1,4 @@
-//! Arithmetic of timestamps and time spans.
+//! Tests of arithmetic on timestamps and time spans.
 
 use policy::Timestamp;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_span_between_two_moments_is_added_to_the_earlier_one() {
+fn timestamps_add_and_subtract_time_spans() {
     assert_eq!(at(5) + 7, at(12));
     assert_eq!(at(12) - at(5), 7);
     let mut moment = at(5);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn arithmetic_that_saturates_stays_within_the_range_of_the_clock() {
+fn saturating_arithmetic_stays_within_the_range_of_timestamps() {
     assert_eq!(at(5).saturating_since(at(9)), 0);
     assert_eq!((at(5).abs_diff(at(9)), at(9).abs_diff(at(5))), (4, 4));
     assert_eq!(Timestamp::MAX.saturating_add(1), Timestamp::MAX);
@@ -25,6 +25,6 @@
 }
 
 #[test]
-fn a_moment_is_printed_as_its_microseconds() {
+fn a_timestamp_is_printed_as_its_microseconds() {
     assert_eq!(format!("{:?}", at(42)), "42");
 }
