--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -53,7 +53,7 @@
         let is_affordable = has_capacity && headroom.units >= 0.0;
         request.provisional_spend = if is_affordable { request.price.cost } else { 0.0 };
         quota.shared.spend(request.provisional_spend);
-        let latest = (request.deadline - now).saturating_sub(2 * self.settings.tick);
+        let time_left = (request.deadline - now).saturating_sub(2 * self.settings.tick);
         self.requests.insert(id, request);
         let may_wait = has_capacity && headroom.may_change();
         if may_wait && self.call_counter(tenant, Urgency::Awaited, out) {
@@ -61,7 +61,7 @@
         } else if self.decide(id, out) == Decision::Rejected {
             return;
         }
-        out.push(Action::Timer { after: latest.max(1), token: deadline_token(id) });
+        out.push(Action::Timer { after: time_left.max(1), token: deadline_token(id) });
     }
 
     /// Sets the surcharge and the reservation of a request. Under a ceiling, a request with an estimated cost
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -19,8 +19,8 @@
 /// continuously, so a longer epoch only means fewer changes of name. The counter keeps a name for two epochs,
 /// 60 s at most.
 pub(crate) const EPOCH: Micros = 30_000_000;
-/// Time constant of the estimated spend rates, in seconds. Traffic spikes last seconds, so a division of the
-/// bucket by recent spend has to follow within about one second.
+/// Time constant of the estimated spend rates, in seconds. Traffic spikes last seconds, so the estimated
+/// division of the refill between this gatekeeper and the others has to follow within about one second.
 const SPEND_RATE_TIME_CONSTANT: f64 = 1.5;
 /// Fraction of the burst above which a pending write-off justifies a call of its own: until it is made, other
 /// gatekeepers would read too high a level.
@@ -126,7 +126,7 @@
         self.synced_at
     }
 
-    /// Seconds since a total was read.
+    /// Seconds since the last total was read, or since the bucket was created if none was.
     pub(crate) fn seconds_since_sync(&self, now: Timestamp) -> f64 {
         now.seconds_since(self.synced_at)
     }
@@ -215,39 +215,46 @@
     pub(crate) fn apply_total(&mut self, plan: &Plan, answer: CounterAnswer, now: Timestamp) {
         let CounterAnswer { total: CountTotal { name, total }, added, refilled, .. } = answer;
         let seconds = self.seconds_since_sync(now);
-        let before = self.last_total.filter(|known| known.name == name).map(|known| known.total);
-        let others = total - added - before.unwrap_or(0.0);
-        let reported = added - self.written_off;
+        let previous_total = self.last_total.filter(|known| known.name == name).map(|known| known.total);
+        let others_change = total - added - previous_total.unwrap_or(0.0);
+        let reported_spend = added - self.written_off;
         // The highest level that is possible by what this gatekeeper knows. It includes a debt that was read,
         // because this gatekeeper's own reservations were reported in that total.
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
         // Just before the call the bucket held at most a burst or, while the name is new, at most the highest
         // level that is known from before.
-        let is_exact = before.is_some() && self.view != BucketView::Fresh;
-        let max_level =
-            if is_exact { plan.burst } else { (known_max + reported + self.unreported).min(plan.burst) };
+        let is_exact = previous_total.is_some() && self.view != BucketView::Fresh;
+        let max_level = if is_exact {
+            plan.burst
+        } else {
+            (known_max + reported_spend + self.unreported).min(plan.burst)
+        };
         let written_off = self.written_off.max(0.0);
-        let level_before_call = plan.burst + refilled - (total - reported - written_off);
+        let level_before_call = plan.burst + refilled - (total - reported_spend - written_off);
         self.written_off = (level_before_call - max_level).max(0.0) - written_off;
         let min_level = -MAX_DEBT_FRACTION * plan.burst;
-        let shown = plan.burst + refilled - total - self.written_off;
-        let left = shown.max(min_level) - self.unreported;
+        let shown_level = plan.burst + refilled - total - self.written_off;
+        let available = shown_level.max(min_level) - self.unreported;
         // A deeper debt consists of write-offs that others are still taking back, and tells nothing of their
         // spend.
-        if before.is_some() && shown >= min_level {
-            self.learn_rates((known_max.min(plan.burst) - left).max(0.0), others.max(0.0), seconds);
+        if previous_total.is_some() && shown_level >= min_level {
+            self.learn_rates(
+                (known_max.min(plan.burst) - available).max(0.0),
+                others_change.max(0.0),
+                seconds,
+            );
         }
-        let has_lost_spend = self.is_synced() && self.has_lost_spend(plan, answer, others);
-        self.view = self.next_view(has_lost_spend, before.is_some());
+        let has_lost_spend = self.is_synced() && self.has_lost_spend(plan, answer, others_change);
+        self.view = self.next_view(has_lost_spend, previous_total.is_some());
         self.level = if has_lost_spend {
             // All local shares are assumed to hold as much as this one, up to the highest possible level.
             answer.local_shares.min(known_max).min(plan.burst) - self.unreported
         } else if self.view == BucketView::Diverged {
             // After a loss, other gatekeepers repeat write-offs that all had made before. These are neither
             // spend nor a deeper debt.
-            (known_max - others).max(min_level).min(left)
+            (known_max - others_change).max(min_level).min(available)
         } else {
-            left
+            available
         };
         self.synced_level = self.level;
         self.spent_since_sync = 0.0;
@@ -258,10 +265,10 @@
     /// Whether the counter has lost spend. A loss includes write-offs, so the total then shows a level well
     /// above a full bucket. When other gatekeepers take back write-offs that all of them made at once, the
     /// total drops too, but it shows a full bucket at most.
-    fn has_lost_spend(&self, plan: &Plan, answer: CounterAnswer, others: f64) -> bool {
+    fn has_lost_spend(&self, plan: &Plan, answer: CounterAnswer, others_change: f64) -> bool {
         let CounterAnswer { total: CountTotal { total, .. }, refilled, .. } = answer;
-        let has_total_dropped = others < answer.loss_threshold
-            && total < -others
+        let has_total_dropped = others_change < answer.loss_threshold
+            && total < -others_change
             && refilled - total > DUE_WRITE_OFF_FRACTION * plan.burst;
         answer.after_silence || has_total_dropped
     }
@@ -276,11 +283,11 @@
     }
 
     /// Updates the rates at which other gatekeepers spend and raise the total.
-    fn learn_rates(&mut self, spent: f64, raised: f64, seconds: f64) {
+    fn learn_rates(&mut self, spent: f64, total_growth: f64, seconds: f64) {
         let seconds = seconds.max(MIN_RATE_SECONDS);
         let weight = 1.0 - (-seconds / SPEND_RATE_TIME_CONSTANT).exp();
         self.others_rate += weight * (spent / seconds - self.others_rate);
-        self.others_growth += weight * (raised / seconds - self.others_growth);
+        self.others_growth += weight * (total_growth / seconds - self.others_growth);
     }
 
     /// Treats the bucket as empty until a total is read, because some spend is unknown.
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -83,16 +83,16 @@
         uptime: f64,
         now: Timestamp,
     ) -> Self {
-        let quota = &settings.plans[plan];
+        let limits = &settings.plans[plan];
         Self {
             plan,
             gatekeepers,
-            shared: SharedBucket::full(quota, now),
+            shared: SharedBucket::full(limits, now),
             // An even share of one second's refill, and at least the cost of one request.
-            local_share: (quota.rate / gatekeepers).max(settings.max_cost),
+            local_share: (limits.rate / gatekeepers).max(settings.max_cost),
             // Holds only the refill since this gatekeeper started: a restart must not fill the ceiling's
             // bucket again.
-            ceiling_level: (quota.ceiling_rate * uptime).min(quota.ceiling_burst) / gatekeepers,
+            ceiling_level: (limits.ceiling_rate * uptime).min(limits.ceiling_burst) / gatekeepers,
             surcharge: 0.0,
             reserved: 0.0,
             refilled_at: now,
--- a/crates/policy/tests/counter_sync.rs
+++ b/crates/policy/tests/counter_sync.rs
@@ -35,8 +35,7 @@
 
 #[test]
 fn a_gatekeeper_that_just_started_reads_the_level_and_not_a_full_bucket() {
-    // The first gatekeeper is the first to use the count's name, and the tenant spends its whole bucket
-    // there.
+    // One gatekeeper uses the count's name before the other, and the tenant spends its whole bucket there.
     let mut first = Harness::new(settings(), &backends(4));
     let mut total = 0.0;
     for id in 0..10 {
