--- a/crates/front_resp/src/answer_queue.rs
+++ b/crates/front_resp/src/answer_queue.rs
@@ -7,19 +7,19 @@
 
 /// The answer to one command.
 pub(crate) enum Slot {
-    /// It has not come yet. The id is known once the request is submitted.
+    /// The answer is outstanding. The id is set once the request is submitted.
     Waiting(Option<RequestId>),
-    /// It is complete and waits for its turn.
+    /// The answer is complete and waits until all earlier ones are written.
     Answered { bytes: Vec<u8>, _reservation: Reservation },
-    /// It is forwarded while it arrives.
+    /// The answer is forwarded while it arrives.
     Streaming(StreamReader),
 }
 
-/// The position of a command among all of its connection.
+/// Number of a command, counted from 0 in the order of arrival on its connection.
 pub(crate) type CommandNumber = u64;
 
-/// Commands that are not answered yet, in order. An answer is written when it is at the front (head-of-line blocking, as pipelining
-/// requires).
+/// Commands that are not answered yet, in order. An answer is written when it is at the front (head-of-line blocking, as
+/// pipelining requires).
 #[derive(Default)]
 pub(crate) struct AnswerQueue {
     /// The number of the command at the front.
@@ -28,11 +28,11 @@
     requests_in_flight: usize,
 }
 
-/// Answers whose turn has come.
+/// Answers that may be written now, since all earlier ones are written.
 #[derive(Debug, Default)]
 pub(crate) struct DueAnswers {
     pub(crate) bytes: Vec<u8>,
-    /// A streamed answer broke off behind these bytes.
+    /// Whether a streamed answer was cut off after these bytes.
     pub(crate) is_broken: bool,
 }
 
@@ -45,17 +45,17 @@
         self.slots.len()
     }
 
-    /// Requests that wait for their final answer.
+    /// Returns the number of requests that wait for their final answer.
     pub(crate) fn requests_in_flight(&self) -> usize {
         self.requests_in_flight
     }
 
-    /// Counts a request that is submitted.
+    /// Counts a submitted request as in flight.
     pub(crate) fn begin_request(&mut self) {
         self.requests_in_flight += 1;
     }
 
-    /// Counts the final answer to a request.
+    /// Counts a request as no longer in flight.
     pub(crate) fn finish_request(&mut self) {
         self.requests_in_flight -= 1;
     }
@@ -77,8 +77,8 @@
         std::mem::take(&mut self.slots)
     }
 
-    /// Takes the answers whose turn has come. `unsent` bytes wait for the socket already; while they exceed the chunk size, a
-    /// streamed answer is not read (backpressure).
+    /// Takes the answers that may be written now. `unsent` is the number of bytes that already wait for the socket; while it
+    /// reaches the chunk size, a streamed answer is not read (backpressure).
     pub(crate) fn take_due(&mut self, unsent: usize) -> DueAnswers {
         let mut due = DueAnswers::default();
         loop {
@@ -87,7 +87,7 @@
                     due.bytes = std::mem::take(bytes)
                 }
                 Some(Slot::Answered { bytes, .. }) => due.bytes.extend_from_slice(bytes),
-                // The stream is read again once the socket has taken its bytes.
+                // The stream is read again once the socket has taken the waiting bytes.
                 Some(Slot::Streaming(_)) if due.bytes.len() + unsent >= STREAM_CHUNK_BYTES => return due,
                 Some(Slot::Streaming(stream)) => match stream.read(STREAM_CHUNK_BYTES) {
                     ReadResult::Bytes(bytes) => {
--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -17,8 +17,8 @@
         Arc::new(Self { socket, state: Mutex::new(ClientState::new(incomplete, unread)) })
     }
 
-    /// Stores the answer to a command until its turn. An answer to a command that is no longer queued is dropped: the client has
-    /// disconnected.
+    /// Stores the answer to a command until all earlier answers are written. An answer to a command that is no longer queued is
+    /// dropped, since the connection has ended.
     pub(crate) fn set_answer(&self, command: CommandNumber, answer: Slot) {
         let mut state = locked(&self.state);
         let replaced = match state.answers.slot(command) {
@@ -26,7 +26,7 @@
             None => answer,
         };
         drop(state);
-        // Dropped after the lock is released: dropping a stream notifies the backend's side.
+        // Dropped after the lock is released: dropping a streamed answer notifies the backend's side.
         drop(replaced);
     }
 }
--- a/crates/front_resp/src/client_state.rs
+++ b/crates/front_resp/src/client_state.rs
@@ -1,4 +1,4 @@
-//! What is known of a client's connection between its commands.
+//! The activity of a client's connection, from which its time-outs follow.
 //!
 //! ```text
 //!            first byte              last byte
@@ -26,7 +26,7 @@
     pub(crate) answers: AnswerQueue,
     /// The command that is being read.
     pub(crate) incomplete: IncompleteCommand,
-    /// Bytes of answers that the client had not read at the last look.
+    /// Bytes of answers that the client had not read at the last check.
     pub(crate) unread: Reservation,
     /// When the answer queue last became empty.
     idle_since: Instant,
@@ -50,23 +50,23 @@
         }
     }
 
-    /// Notes that the client has sent a valid command other than a request.
+    /// Records that the client has sent a valid command other than a request.
     pub(crate) fn record_valid_command(&mut self) {
         self.had_valid_command = true;
     }
 
-    /// Notes that the client has sent a request.
+    /// Records that the client has sent a request.
     pub(crate) fn record_request(&mut self) {
         self.had_valid_command = true;
         self.had_request = true;
     }
 
-    /// Notes that the last answer was written.
+    /// Records that the last answer was written.
     pub(crate) fn record_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
-    /// Reads no more commands. The connection ends with the last answer.
+    /// Stops reading commands. The connection ends after the last answer.
     pub(crate) fn end(&mut self) {
         self.is_ending = true;
         self.incomplete.clear();
@@ -78,29 +78,29 @@
         self.is_ending
     }
 
-    /// Time that the client has had to read the last answer, once the connection has ended.
+    /// Time that the client has had to read the last answer of an ending connection; `None` before that answer is written.
     pub(crate) fn lingering_for(&self) -> Option<Duration> {
         (self.is_ending && self.answers.is_empty()).then(|| self.idle_since.elapsed())
     }
 
     /// Whether the incomplete command has exceeded its time-out.
-    pub(crate) fn is_late(&self) -> bool {
-        let is_first_late = !self.had_valid_command && self.idle_since.elapsed() >= FIRST_COMMAND_TIMEOUT;
-        self.incomplete.age().is_some_and(|age| age >= COMMAND_TIMEOUT || is_first_late)
+    pub(crate) fn is_command_overdue(&self) -> bool {
+        let is_first_overdue = !self.had_valid_command && self.idle_since.elapsed() >= FIRST_COMMAND_TIMEOUT;
+        self.incomplete.age().is_some_and(|age| age >= COMMAND_TIMEOUT || is_first_overdue)
     }
 
-    /// Time since the last request, if none is in flight and no command is incomplete.
+    /// Time since the last answer was written, if no command waits for its answer or is incomplete.
     fn idle_time(&self) -> Option<Duration> {
         (self.answers.is_empty() && !self.incomplete.is_pending()).then(|| self.idle_since.elapsed())
     }
 
-    /// Idle time of a connection that may be evicted: a new one after a shorter time than one that has sent a request.
+    /// Idle time of the connection, if it is long enough for an eviction: a shorter time suffices before the first request.
     pub(crate) fn evictable_for(&self) -> Option<Duration> {
         let timeout = if self.had_request { IDLE_TIMEOUT } else { UNUSED_TIMEOUT };
         self.idle_time().filter(|&idle| idle >= timeout)
     }
 
-    /// Whether the client has never sent a valid command and has exceeded the idle time-out.
+    /// Whether the connection has exceeded the idle time-out without ever receiving a valid command.
     pub(crate) fn is_silent(&self) -> bool {
         !self.had_valid_command && self.idle_time().is_some_and(|idle| idle >= IDLE_TIMEOUT)
     }
@@ -110,7 +110,7 @@
         self.is_eviction_requested = true;
     }
 
-    /// Takes the request for an eviction, and returns whether the connection is evicted.
+    /// Clears the eviction request, and returns whether there was one and the connection is still evictable.
     pub(crate) fn take_eviction(&mut self) -> bool {
         std::mem::take(&mut self.is_eviction_requested) && self.evictable_for().is_some()
     }
--- a/crates/front_resp/src/client_state/tests.rs
+++ b/crates/front_resp/src/client_state/tests.rs
@@ -1,4 +1,4 @@
-//! When a connection counts as idle, late, silent or lingering.
+//! When a connection counts as evictable, overdue, silent or lingering.
 
 use super::*;
 use crate::answer_queue::Slot;
@@ -12,7 +12,7 @@
 impl ClientState {
     /// Makes the connection look as if it became idle this long ago.
     pub(crate) fn backdate_idle(&mut self, idle: Duration) {
-        self.idle_since = ago(idle);
+        self.idle_since = instant_before_now(idle);
     }
 }
 
@@ -23,13 +23,13 @@
     state
 }
 
-fn ago(time: Duration) -> Instant {
-    Instant::now().checked_sub(time).expect("the machine has run for longer")
+fn instant_before_now(time: Duration) -> Instant {
+    Instant::now().checked_sub(time).expect("the machine has been up for longer")
 }
 
 fn answer_first_command(state: &mut ClientState) {
     let _reservation = Reservation::empty(&MemoryBudget::new(0));
-    *state.answers.slot(0).expect("it is queued") =
+    *state.answers.slot(0).expect("the first command is queued") =
         Slot::Answered { bytes: b"+OK\r\n".to_vec(), _reservation };
     assert_eq!(state.answers.take_due(0).bytes, b"+OK\r\n");
 }
@@ -59,16 +59,16 @@
 }
 
 #[test]
-fn an_eviction_request_is_dropped_where_the_connection_is_in_use_again() {
+fn an_eviction_request_is_dropped_if_the_connection_was_used_since() {
     let mut state = idle_for(IDLE_TIMEOUT);
     state.request_eviction();
     assert!(state.take_eviction());
-    assert!(!state.take_eviction(), "it is taken once");
+    assert!(!state.take_eviction(), "the request is taken once");
     state.request_eviction();
     state.record_idle();
     assert!(!state.take_eviction());
     state.backdate_idle(IDLE_TIMEOUT);
-    assert!(!state.take_eviction(), "the request does not outlive the look");
+    assert!(!state.take_eviction(), "the check has cleared the request");
 }
 
 #[test]
@@ -81,24 +81,24 @@
 }
 
 #[test]
-fn an_incomplete_command_is_late_after_its_timeout() {
+fn an_incomplete_command_is_overdue_after_its_timeout() {
     let mut state = new_connection();
-    state.incomplete.resume(Some(ago(COMMAND_TIMEOUT)));
-    assert!(state.is_late());
+    state.incomplete.resume(Some(instant_before_now(COMMAND_TIMEOUT)));
+    assert!(state.is_command_overdue());
     state.incomplete.update(1, false);
-    assert!(state.is_late(), "further bytes do not extend it");
+    assert!(state.is_command_overdue(), "further bytes do not extend the timeout");
     state.incomplete.update(1, true);
-    assert!(!state.is_late(), "these bytes begin the next command");
+    assert!(!state.is_command_overdue(), "these bytes begin the next command");
 }
 
 #[test]
-fn a_first_command_is_late_by_the_age_of_its_connection() {
+fn the_timeout_of_the_first_command_counts_from_the_start_of_the_connection() {
     let mut state = idle_for(FIRST_COMMAND_TIMEOUT);
-    assert!(!state.is_late(), "nothing has arrived");
+    assert!(!state.is_command_overdue(), "nothing has arrived");
     state.incomplete.update(1, false);
-    assert!(state.is_late());
+    assert!(state.is_command_overdue());
     state.record_valid_command();
-    assert!(!state.is_late());
+    assert!(!state.is_command_overdue());
 }
 
 #[test]
@@ -122,8 +122,8 @@
     state.incomplete.update(TYPICAL_REQUEST_BYTES, false);
     assert!(state.incomplete.sheddable_since().is_some());
     state.incomplete.shed();
-    assert_eq!(state.incomplete.sheddable_since(), None, "it is shed once");
+    assert_eq!(state.incomplete.sheddable_since(), None, "a command is shed once");
     assert!(state.incomplete.is_shed());
     state.incomplete.update(0, true);
-    assert!(!state.incomplete.is_shed(), "it became complete in time");
+    assert!(!state.incomplete.is_shed(), "the command is complete");
 }
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -1,4 +1,4 @@
-//! The ends of a connection: graceful drain, hand-over to a successor, and errors.
+//! How a connection ends: graceful drain, hand-over to a successor, and errors.
 
 use crate::answer_queue::Slot;
 use crate::client::ClientConnection;
@@ -22,27 +22,27 @@
     Shutdown,
     /// A successor continues with the connection.
     HandedOver,
-    /// This error is answered in its turn.
+    /// This error is answered after all earlier commands.
     Error(&'static str),
 }
 
-/// Whether a connection goes on, or why it ends.
+/// `Ok` while a connection is served further, otherwise the reason why it ends.
 pub(crate) type ServeResult = Result<(), ConnectionEnd>;
 
 impl From<Malformed> for ConnectionEnd {
-    /// The bytes behind a malformed command cannot be delimited any more.
+    /// A malformed command ends the connection, since the end of the command cannot be determined.
     fn from(Malformed(text): Malformed) -> Self {
         Self::Error(text)
     }
 }
 
 impl Front {
-    /// Ends a connection whose commands are read no more, and cancels its requests in flight.
+    /// Ends a connection from which no more commands are read, and cancels its requests that are still in flight.
     pub(crate) fn end(&self, client: &ClientConnection, end: ConnectionEnd) {
         match end {
             ConnectionEnd::Error(text) => self.end_with_error(client, text),
             ConnectionEnd::HandedOver => return,
-            ConnectionEnd::Shutdown => finish(client),
+            ConnectionEnd::Shutdown => close_after_answers(client),
             ConnectionEnd::Idle | ConnectionEnd::ClientGone => {}
         }
         let unanswered = locked(&client.state).answers.take_all();
@@ -66,7 +66,7 @@
     }
 
     /// Waits until all commands are answered, then hands the connection over to the successor. Bytes that arrive meanwhile stay
-    /// unread for the successor. Returns false where the front resumes or the client disconnects first.
+    /// unread for the successor. Returns false if the front resumes or the connection fails first.
     pub(crate) fn hand_over(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> bool {
         loop {
             let successor = locked(&self.successor).clone();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Answers an error behind all earlier commands, and closes the connection. Bytes that still arrive are ignored.
+    /// Answers an error after all earlier commands, and closes the connection. Bytes that still arrive are ignored.
     fn end_with_error(&self, client: &ClientConnection, text: &str) {
         let command = {
             let mut state = locked(&client.state);
@@ -91,13 +91,13 @@
             state.answers.push()
         };
         self.answer_error(client, command, text);
-        finish(client);
+        close_after_answers(client);
     }
 }
 
 /// Waits until all commands are answered, and closes the connection gracefully.
-fn finish(client: &ClientConnection) {
-    // Reads on for a while, to notice that the client disconnects. A client that sends without end is stopped by flow control.
+fn close_after_answers(client: &ClientConnection) {
+    // A few more reads notice whether the client disconnects. After them, TCP flow control stops a client that keeps sending.
     let mut unread = Vec::new();
     for _ in 0..MAX_READS_WHILE_ENDING {
         if locked(&client.state).answers.is_empty() {
@@ -119,14 +119,17 @@
 /// Checks the invariant that a client which is still connected has the answers to all its requests.
 fn check_unanswered(client: &ClientConnection, end: ConnectionEnd, unanswered: &VecDeque<Slot>) {
     let waiting = || unanswered.iter().filter(|slot| matches!(slot, Slot::Waiting(_)));
-    // A socket that this process has closed belongs to a client that read too slowly.
+    // This process has closed the socket itself if the client read too slowly.
     let is_gone = matches!(end, ConnectionEnd::ClientGone)
         || client.socket.is_peer_closed()
         || client.socket.is_closed();
     invariants::check(
         Guard::Closing,
         is_gone || waiting().next().is_none(),
-        format_args!("requests {:?} have no answer where a connection ends: {end:?}", request_ids(waiting())),
+        format_args!(
+            "requests {:?} are unanswered at the end of their connection: {end:?}",
+            request_ids(waiting())
+        ),
     );
 }
 
--- a/crates/front_resp/src/connection_table.rs
+++ b/crates/front_resp/src/connection_table.rs
@@ -8,7 +8,7 @@
 /// The reserve for new connections is the limit divided by this.
 const RESERVE_DIVISOR: usize = 4;
 
-/// The position of a connection among all that this front has opened.
+/// Number of a connection, counted from 1 in the order in which this front opened them.
 pub(crate) type ConnectionNumber = u64;
 
 /// The open client connections, oldest first.
@@ -24,7 +24,7 @@
 }
 
 impl ConnectionTable {
-    /// Creates an empty table. `max_connections` returns the limit of the moment.
+    /// Creates an empty table. `max_connections` returns the current limit.
     pub(crate) fn new(max_connections: impl Fn() -> usize + Send + Sync + 'static) -> Self {
         Self { max_connections: Box::new(max_connections), open: Mutex::default() }
     }
@@ -48,7 +48,7 @@
         locked(&self.open).by_number.len() >= (self.max_connections)()
     }
 
-    /// Returns how many of `open` connections occupy the reserve for new ones.
+    /// Returns how many connections must be evicted to restore the reserve for new ones, if `open` are open.
     pub(crate) fn excess(&self, open: usize) -> usize {
         let max_connections = (self.max_connections)();
         let target = max_connections - max_connections / RESERVE_DIVISOR;
@@ -61,7 +61,7 @@
         open.by_number.values().filter(|client| !client.socket.is_closed()).cloned().collect()
     }
 
-    /// Makes the reader of each connection look at its state.
+    /// Wakes the reader of each connection, which then checks the connection's state.
     pub(crate) fn wake_all(&self) {
         for client in self.clients() {
             client.socket.wake();
--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of commands: an answer at once, or a request to the exchange.
+//! Dispatch of commands: answers them at once, or submits a request to the exchange.
 
 use crate::answer_queue::{CommandNumber, Slot};
 use crate::client::ClientConnection;
@@ -14,43 +14,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request has at least this much time left, in microseconds.
-const MIN_TIME_LEFT: u64 = 1_000;
+/// Minimum remaining time of a submitted request.
+const MIN_TIME_LEFT_MICROS: u64 = 1_000;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
-/// A rejection without Retry-After.
+/// Reply to a rejected request that states no time for a retry.
 const REJECTION: &[u8] = b"-BUSY\r\n";
 
-/// What a command requests.
+/// How a command is handled.
 enum Command {
-    /// It is answered at once.
+    /// The command is answered at once with these bytes.
     Answer(&'static [u8]),
-    /// It is invalid.
+    /// The command is invalid and answered with this error text.
     Error(String),
-    /// It is a request to be forwarded.
+    /// The command is a request, to be submitted to the exchange.
     Submit(Submission),
 }
 
-/// A valid request, registered as open.
+/// A valid request whose id is registered as in use.
 struct Submission {
     request: Request<Query>,
     open: OpenRequest,
-    /// The bytes of the request.
+    /// Memory for the bytes of the request.
     reservation: Reservation,
 }
 
 impl Front {
-    /// Dispatches a command, and returns whether it is valid. `raw` is the command alone, and the ranges of its arguments lie in it.
+    /// Dispatches a command, and returns whether it is valid. `raw` holds the bytes of this command only, and `arguments` are
+    /// ranges in it.
     pub(crate) fn dispatch(
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
         raw: &[u8],
         arguments: &[Range<usize>],
     ) -> bool {
-        let (number, is_crowded) = {
+        let (number, is_overloaded) = {
             let mut state = locked(&client.state);
             let number = state.answers.push();
-            let has_too_many = state.answers.requests_in_flight() >= MAX_IN_FLIGHT;
-            (number, has_too_many || self.memory.complete.is_exceeded())
+            let has_max_in_flight = state.answers.requests_in_flight() >= MAX_IN_FLIGHT;
+            (number, has_max_in_flight || self.memory.complete.is_exceeded())
         };
         match self.parse_command(client, raw, arguments) {
             Command::Answer(bytes) => {
@@ -63,7 +64,7 @@
             }
             Command::Submit(submission) => {
                 locked(&client.state).record_request();
-                if is_crowded {
+                if is_overloaded {
                     self.exchange.count_rejection(submission.request.class);
                     self.answer(client, number, REJECTION.to_vec());
                 } else {
@@ -87,8 +88,8 @@
             Ok(valid) => valid,
             Err(error) => return Command::Error(error.to_string()),
         };
-        // The client's deadline runs from when it sent the request. The bytes may have waited while the connection table was full or
-        // this process was descheduled.
+        // The client's deadline runs from the moment it sent the request. The bytes may have waited while the connection table
+        // was full or this process was descheduled.
         let waited = client.socket.time_since_last_data().unwrap_or_default();
         valid.request.time_left = time_left_after(valid.request.time_left, waited);
         let Some(open) = self.open_requests.open(valid.id) else {
@@ -107,13 +108,13 @@
         invariants::check(
             Guard::Starting,
             self.is_ready(),
-            format_args!("a request was taken before this process served"),
+            format_args!("a request was submitted before the front was ready"),
         );
         locked(&client.state).answers.begin_request();
         let Submission { request, open, reservation } = submission;
         let (front, answered) = (self.clone(), client.clone());
         let reply = move |answer| {
-            // The id is free before the answer is written: the client may use it again then.
+            // Frees the id before the answer is written, since the client may reuse it as soon as it has the answer.
             drop(open);
             drop(reservation);
             locked(&answered.state).answers.finish_request();
@@ -129,15 +130,15 @@
     }
 }
 
-/// Deducts the time that a request has waited. A minimum remains, so that the request is answered at once.
+/// Deducts the time that a request has waited. Leaves a minimum, so that a request without time is still answered at once.
 fn time_left_after(time_left: u64, waited: Duration) -> u64 {
-    time_left.saturating_sub(waited.as_micros() as u64).max(MIN_TIME_LEFT)
+    time_left.saturating_sub(waited.as_micros() as u64).max(MIN_TIME_LEFT_MICROS)
 }
 
 fn encode(answer: FinalAnswer<AnswerBody>) -> Vec<u8> {
     match answer {
         FinalAnswer::Served(AnswerBody::Complete(value)) => value,
-        // Streams are forwarded by `Front::stream`.
+        // `Front::stream` forwards streamed answers, so none reaches this function.
         FinalAnswer::Served(AnswerBody::Stream(_)) => Vec::new(),
         FinalAnswer::Rejected { retry_after: 0, .. } => REJECTION.to_vec(),
         FinalAnswer::Rejected { retry_after, .. } => {
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: closing connections for the sake of others, at the limit of connections or of memory.
+//! Eviction: closes idle connections to make room for new ones, and sheds large commands to free memory.
 
 use crate::client::ClientConnection;
 use crate::connection_table::ConnectionTable;
@@ -11,21 +11,21 @@
 #[cfg(test)]
 mod tests;
 
-/// At the limit, a client has this part of the linger time-out to read its last answer.
+/// The linger time-out is divided by this while connections are evicted.
 const LINGER_DIVISOR: u32 = 4;
 
 /// A connection that may be evicted.
 struct Candidate {
     client: Arc<ClientConnection>,
-    reason: EvictableState,
+    state: EvictableState,
 }
 
-/// Why a connection may be evicted.
+/// The state of a connection that may be evicted.
 #[derive(Clone, Copy)]
 enum EvictableState {
-    /// It has ended, and its client has had this long to read the last answer.
+    /// The connection is ending, and its client has had this long to read the last answer.
     Lingering(Duration),
-    /// It has had no request in flight for this long.
+    /// The connection has had no request in flight for this long.
     Idle(Duration),
 }
 
@@ -36,7 +36,7 @@
             return;
         }
         let mut candidates: Vec<Candidate> = self.clients().into_iter().filter_map(Candidate::new).collect();
-        candidates.sort_by_key(|candidate| Reverse(candidate.reason.precedence()));
+        candidates.sort_by_key(|candidate| Reverse(candidate.state.precedence()));
         candidates.into_iter().take(count).for_each(Candidate::evict);
     }
 
@@ -56,17 +56,18 @@
 impl Candidate {
     /// Returns `None` for a connection in use.
     fn new(client: Arc<ClientConnection>) -> Option<Self> {
-        let reason = {
+        let evictable_state = {
             let state = locked(&client.state);
             let lingering = state.lingering_for().map(EvictableState::Lingering);
             lingering.or_else(|| state.evictable_for().map(EvictableState::Idle))
         };
-        reason.map(|reason| Self { client, reason })
+        evictable_state.map(|state| Self { client, state })
     }
 
-    /// Closes a connection that has lingered for long enough. Any other is closed by its reader, unless a request has arrived.
+    /// Closes a connection that has lingered for long enough. Otherwise asks its reader to close it, unless a request has
+    /// arrived.
     fn evict(self) {
-        match self.reason {
+        match self.state {
             EvictableState::Lingering(time) if time >= LINGER_TIMEOUT / LINGER_DIVISOR => {
                 self.client.socket.close()
             }
--- a/crates/front_resp/src/eviction/tests.rs
+++ b/crates/front_resp/src/eviction/tests.rs
@@ -6,7 +6,7 @@
 use link::Connection;
 use std::net::{TcpListener, TcpStream};
 
-/// A table of open connections, with their clients' ends.
+/// A connection table, and the client sides of its connections.
 struct Fixture {
     table: ConnectionTable,
     listener: TcpListener,
@@ -19,14 +19,14 @@
         Self { table: ConnectionTable::new(|| 8), listener, client_ends: Vec::new() }
     }
 
-    /// Opens a connection that has been idle for this long.
+    /// Opens a connection whose idle time is `idle`.
     fn open(&mut self, idle: Duration) -> Arc<ClientConnection> {
-        let address = self.listener.local_addr().expect("an address");
-        self.client_ends.push(TcpStream::connect(address).expect("it listens"));
-        let (stream, _) = self.listener.accept().expect("a connection");
+        let address = self.listener.local_addr().expect("the listener is bound");
+        self.client_ends.push(TcpStream::connect(address).expect("the listener accepts connections"));
+        let (stream, _) = self.listener.accept().expect("a connection is accepted");
         let budget = MemoryBudget::new(1 << 20);
         let client = ClientConnection::new(
-            Connection::new(stream).expect("it is watched"),
+            Connection::new(stream).expect("the socket is registered for events"),
             Reservation::empty(&budget),
             Reservation::empty(&budget),
         );
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -19,7 +19,7 @@
 /// The exchange of this front: RESP2 commands in, RESP2 values out.
 pub type RespExchange = Exchange<Query, AnswerBody>;
 
-/// Hands a client's connection over to another process, with the bytes of an incomplete command.
+/// Hands a client's connection over to another process, with the bytes that have arrived of an incomplete command.
 pub type HandOverConnection = dyn Fn(TcpStream, Vec<u8>) + Send + Sync;
 
 /// The front with all its client connections.
@@ -31,12 +31,12 @@
     pub(crate) open_requests: Arc<OpenRequests>,
     is_ready: AtomicBool,
     is_draining: AtomicBool,
-    /// During a hot restart: where connections go once they are between requests.
+    /// Set during a hot restart. Receives each connection as soon as it has no request in flight.
     pub(crate) successor: Mutex<Option<Arc<HandOverConnection>>>,
     is_handing_over: AtomicBool,
 }
 
-/// Byte budgets of all clients together.
+/// Byte budgets that all clients share.
 pub(crate) struct FrontMemory {
     /// Incomplete commands.
     pub(crate) incomplete: Arc<MemoryBudget>,
@@ -57,7 +57,7 @@
 }
 
 impl Front {
-    /// Creates a front in a process that may use `memory_bytes`. `max_connections` returns the limit of the moment.
+    /// Creates a front in a process that may use `memory_bytes`. `max_connections` returns the current limit of open connections.
     pub fn new(
         exchange: Arc<RespExchange>,
         rules: RequestRules,
@@ -82,7 +82,7 @@
         *locked(&self.rules) = Arc::new(rules);
     }
 
-    /// Answers `PING` with success from now on.
+    /// Marks the front as ready: `PING` is answered with `+PONG` instead of an error.
     pub fn set_ready(&self) {
         self.is_ready.store(true, Ordering::Release);
     }
@@ -94,29 +94,29 @@
     /// Accepts connections until the listener is closed. Runs in a coroutine.
     pub fn accept_connections(self: &Arc<Self>, listener: &Listener) {
         while let Some(socket) = listener.accept() {
-            // At the limit a new connection waits for evictions, and the backlog behind it. If it were closed, its client would only
-            // reconnect.
+            // At the limit a new connection waits until others are evicted, and later ones wait in the backlog. If it were
+            // closed, its client would only reconnect.
             while self.connections.is_full() {
                 self.connections.evict(1);
                 sleep(CAPACITY_CHECK_INTERVAL);
             }
-            self.open(socket, Vec::new(), None);
+            self.spawn_connection(socket, Vec::new(), None);
         }
     }
 
-    /// Continues with a connection that another process has served. Its client has sent requests, and the bytes of an `incomplete`
-    /// command if there are any.
+    /// Takes over a connection that another process has served. Its client counts as one that has sent a request. `incomplete`
+    /// holds the bytes that have arrived of an incomplete command, and is empty if there is none.
     pub fn adopt(self: &Arc<Self>, socket: Connection, incomplete: Vec<u8>) {
-        // The time-out of a command runs on from its last bytes, whichever process received them.
+        // The command's time-out counts from the arrival of its last bytes, whichever process received them.
         let waited = socket.time_since_last_data().unwrap_or_default();
         let incomplete_since = Instant::now().checked_sub(waited).filter(|_| !incomplete.is_empty());
-        let client = self.open(socket, incomplete, incomplete_since);
+        let client = self.spawn_connection(socket, incomplete, incomplete_since);
         locked(&client.state).record_request();
     }
 
-    /// Serves a connection in a new coroutine. `incomplete_since`: when the `incomplete` command of an adopted connection
-    /// began.
-    fn open(
+    /// Serves a connection in a new coroutine. For an adopted connection, `incomplete_since` is the start of the time-out of its
+    /// `incomplete` command.
+    fn spawn_connection(
         self: &Arc<Self>,
         socket: Connection,
         incomplete: Vec<u8>,
@@ -131,7 +131,7 @@
         locked(&client.state).incomplete.resume(incomplete_since);
         let number = self.connections.insert(client.clone());
         if self.is_draining() {
-            // The connection is read once and then ends.
+            // Makes the connection end after it is read once.
             client.socket.wake();
         }
         let (front, served) = (self.clone(), client.clone());
@@ -142,27 +142,27 @@
         client
     }
 
-    /// Admits no more requests, and hands each connection over to the successor once it is between requests. When this returns on
-    /// the worker, no command is half dispatched.
+    /// Stops admitting requests, and hands each connection over to the successor once it has no request in flight. If this is
+    /// called on the worker, no command is partially dispatched when it returns.
     pub fn hand_over_connections(&self, successor: Arc<HandOverConnection>) {
         *locked(&self.successor) = Some(successor);
         self.is_handing_over.store(true, Ordering::Release);
         self.connections.wake_all();
     }
 
-    /// Undoes [`Front::hand_over_connections`] for the connections that are still here: the successor has failed.
+    /// Reverts [`Front::hand_over_connections`] after the successor has failed: serves the connections that were not handed over.
     pub fn resume(&self) {
         self.is_handing_over.store(false, Ordering::Release);
         *locked(&self.successor) = None;
         self.connections.wake_all();
     }
 
-    /// Whether connections are handed over to a successor, and no requests are admitted.
+    /// Whether connections are being handed over to a successor. No requests are admitted meanwhile.
     pub fn is_handing_over(&self) -> bool {
         self.is_handing_over.load(Ordering::Acquire)
     }
 
-    /// Starts a graceful drain: closes every connection as soon as it is between requests.
+    /// Starts a graceful drain: closes every connection as soon as it has no request in flight.
     pub fn drain(&self) {
         self.is_draining.store(true, Ordering::Release);
         self.connections.wake_all();
--- a/crates/front_resp/src/incomplete_command.rs
+++ b/crates/front_resp/src/incomplete_command.rs
@@ -1,4 +1,4 @@
-//! A command of which a part has arrived.
+//! A partially received command.
 
 use crate::limits::TYPICAL_REQUEST_BYTES;
 use crate::memory::Reservation;
@@ -6,10 +6,10 @@
 
 /// The incomplete command at the end of a connection's input, if there is one.
 pub(crate) struct IncompleteCommand {
-    /// When its first byte arrived.
+    /// When its time-out started: at its first byte, or at its last bytes before a hand-over.
     since: Option<Instant>,
     reservation: Reservation,
-    /// It is answered with an error, since other clients need its memory.
+    /// Whether it is to be answered with an error to free its memory for other clients.
     is_shed: bool,
 }
 
@@ -19,22 +19,22 @@
         Self { since: None, reservation, is_shed: false }
     }
 
-    /// Continues with a command that began at another process.
+    /// Continues with a command that another process has begun to receive. `since` is when its time-out started.
     pub(crate) fn resume(&mut self, since: Option<Instant>) {
         self.since = since;
     }
 
-    /// Applies a read. `bytes` are left behind the complete commands; `has_progress` tells that there was one, so that they belong
-    /// to a command that has only just begun.
-    pub(crate) fn update(&mut self, bytes: usize, has_progress: bool) {
-        let since = self.since.filter(|_| !has_progress).unwrap_or_else(Instant::now);
+    /// Updates the state after a read. `bytes` is the number of bytes after the last complete command. If the read completed a
+    /// command (`has_completed`), these bytes belong to a new one, whose time-out starts now.
+    pub(crate) fn update(&mut self, bytes: usize, has_completed: bool) {
+        let since = self.since.filter(|_| !has_completed).unwrap_or_else(Instant::now);
         self.since = (bytes > 0).then_some(since);
         self.reservation.resize(bytes);
-        // A command that became complete in time is answered as any other.
+        // A command that is complete before it is shed is answered as usual.
         self.is_shed &= self.since.is_some();
     }
 
-    /// Forgets the command, as nothing more is read. Its bytes are freed with the read buffer.
+    /// Discards the command of a connection that is read no more. Its bytes are freed with the read buffer.
     pub(crate) fn clear(&mut self) {
         self.since = None;
         self.reservation.resize(0);
@@ -45,12 +45,12 @@
         self.since.is_some()
     }
 
-    /// Time since the first byte of the command.
+    /// Time since the command's time-out started; `None` if no command is incomplete.
     pub(crate) fn age(&self) -> Option<Duration> {
         self.since.map(|since| since.elapsed())
     }
 
-    /// When the command began, if it may be shed for memory: it is larger than typical ones, and not shed yet.
+    /// When the command began, if it may be shed: it is larger than typical ones, and not shed yet.
     pub(crate) fn sheddable_since(&self) -> Option<Instant> {
         let is_large = self.reservation.bytes() >= TYPICAL_REQUEST_BYTES;
         self.since.filter(|_| is_large && !self.is_shed)
--- a/crates/front_resp/src/lib.rs
+++ b/crates/front_resp/src/lib.rs
@@ -1,26 +1,26 @@
 //! The client side of the platform's RESP2 protocol: connections on which clients pipeline commands.
 //!
 //! The front parses a command, submits its request to the exchange, and writes the final answers in the order of the commands. It
-//! makes no admission decision itself. An invalid command is answered with an error in its turn. After a command that cannot be
-//! delimited, the front answers everything that came before it and closes the connection.
+//! makes no admission decision itself. It answers an invalid command with an error, in the order of the commands. If the end of a
+//! command cannot be determined, the front answers all earlier commands, then the error, and closes the connection.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | `front` | [`Front`]: accepting connections, graceful drain, hot restart |
 //! | `connection_table` | the open connections and their limit |
-//! | `eviction` | connections that are evicted at the limit or for memory |
-//! | `sweep` | time-outs that need no event |
+//! | `eviction` | freeing connections at their limit, and the memory of large commands |
+//! | `sweep` | time-outs that no socket event triggers |
 //! | `client` | one client's connection |
-//! | `client_state` | its activity: idle, in use, late, ending |
-//! | `incomplete_command` | a command of which a part has arrived |
+//! | `client_state` | the activity of a connection: idle, in use, overdue, ending |
+//! | `incomplete_command` | a partially received command |
 //! | `answer_queue` | pipelined commands in order, and their answers |
 //! | `reader` | reading commands until the connection ends |
-//! | `closing` | the ends of a connection: drain, hand-over, error |
-//! | `dispatch` | what a command requests, and its submission |
+//! | `closing` | how a connection ends: drain, hand-over, error |
+//! | `dispatch` | answering commands, and submitting requests to the exchange |
 //! | `writer` | writing answers in order |
 //! | `open_requests` | ids of the requests in flight |
 //! | `rules` | validation of requests |
-//! | `memory` | byte budgets of all clients together |
+//! | `memory` | byte budgets that all clients share |
 //! | `limits` | limits and time-outs of a connection |
 
 mod answer_queue;
--- a/crates/front_resp/src/limits.rs
+++ b/crates/front_resp/src/limits.rs
@@ -14,7 +14,7 @@
 pub(crate) const STREAM_CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes of answers that a client may leave unread before it is disconnected.
 pub(crate) const MAX_UNREAD_BYTES: usize = 256 * 1024;
-/// The same while all clients together exceed their budget of unread bytes.
+/// Replaces [`MAX_UNREAD_BYTES`] while all clients together exceed their budget of unread bytes.
 pub(crate) const MAX_UNREAD_BYTES_UNDER_PRESSURE: usize = 16 * 1024;
 /// The budget for incomplete commands is the process's memory divided by this.
 pub(crate) const INCOMPLETE_MEMORY_DIVISOR: usize = 8;
@@ -24,20 +24,20 @@
 pub(crate) const UNREAD_MEMORY_DIVISOR: usize = 8;
 /// An incomplete command of fewer bytes is never delayed or shed for memory. Typical requests are smaller.
 pub(crate) const TYPICAL_REQUEST_BYTES: usize = 16 * 1024;
-/// Commands that a client may pipeline in one read before other connections get a turn. Usual clients send one at a time.
+/// Commands that a client may pipeline in one read before its connection yields to others. Typical clients send one at a time.
 pub(crate) const MAX_BURST: usize = 16;
-/// Length of that turn.
-pub(crate) const TURN: Duration = Duration::from_millis(1);
-/// Idle time-out of the protocol: a connection without a request may be closed after it. One that never sent a valid command is
-/// closed then.
+/// Time for which a connection yields to others after a burst.
+pub(crate) const YIELD_TIME: Duration = Duration::from_millis(1);
+/// Idle time-out of the protocol: after it, a connection without a request in flight may be closed. One that has never received a
+/// valid command is always closed.
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A command must be complete this long after its first byte. The protocol grants 2 s for a head, and owes the error within 3 s; the
-/// interval between two sweeps comes on top.
+/// A command must be complete this long after its first byte. The protocol allows 2 s for the head of a command and requires the
+/// error within 3 s. The interval between two sweeps adds to this time.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_250);
-/// The same for a client's first command, counted from the connection's start.
+/// Time-out of a client's first command, counted from the start of the connection.
 pub(crate) const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// A connection that has sent no request may be evicted after this. Clients send their request as soon as they are connected.
-/// Misbehaving ones connect by the hundred and send nothing, or no more than `PING`.
+/// Misbehaving clients open hundreds of connections and send nothing, or only `PING`.
 pub(crate) const UNUSED_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time for a client to read the last answer of a connection that is being closed.
 pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
@@ -45,5 +45,6 @@
 pub(crate) const ERROR_PENALTY: Duration = Duration::from_millis(20);
 /// Interval between two checks for free capacity: in the connection table, or in a memory budget.
 pub(crate) const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// Reads from a connection that is ending, to notice that its client disconnects. TCP flow control stops a client that sends more.
+/// Maximum reads from an ending connection, which notice that its client disconnects. TCP flow control stops a client that sends
+/// more.
 pub(crate) const MAX_READS_WHILE_ENDING: usize = 8;
--- a/crates/front_resp/src/memory.rs
+++ b/crates/front_resp/src/memory.rs
@@ -1,4 +1,4 @@
-//! Byte budgets of all clients together: the system kills a process that exceeds its memory limit.
+//! Byte budgets that all clients share. They keep the process below its memory limit, beyond which the system kills it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -46,7 +46,7 @@
     /// Grows or shrinks the reservation to this many bytes. It never fails; owners check [`MemoryBudget::is_exceeded`].
     pub(crate) fn resize(&mut self, bytes: usize) {
         if bytes != self.bytes {
-            // The difference wraps where the reservation shrinks, and so does the sum.
+            // If the reservation shrinks, the difference wraps around, and adding it wraps the sum back to the smaller value.
             let difference = bytes.wrapping_sub(std::mem::replace(&mut self.bytes, bytes));
             self.budget.reserved_bytes.fetch_add(difference, Ordering::Relaxed);
         }
--- a/crates/front_resp/src/open_requests.rs
+++ b/crates/front_resp/src/open_requests.rs
@@ -1,4 +1,4 @@
-//! Ids of the requests in flight: an id that a client has in use is rejected.
+//! Ids of the requests in flight. A request whose id is in use is rejected.
 
 use link::locked;
 use std::collections::HashSet;
@@ -17,7 +17,7 @@
 }
 
 impl OpenRequests {
-    /// Registers a request; `None` where its id is in use.
+    /// Registers a request; `None` if its id is in use.
     pub(crate) fn open(self: &Arc<Self>, id: Vec<u8>) -> Option<OpenRequest> {
         let is_new = locked(&self.ids).insert(id.clone());
         is_new.then(|| OpenRequest { requests: self.clone(), id })
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -6,18 +6,18 @@
 use crate::front::Front;
 use crate::limits::{
     CAPACITY_CHECK_INTERVAL, ERROR_PENALTY, MAX_BURST, MAX_PIPELINED, MAX_READ_BYTES,
-    MAX_RETAINED_BUFFER_BYTES, TURN, TYPICAL_REQUEST_BYTES,
+    MAX_RETAINED_BUFFER_BYTES, TYPICAL_REQUEST_BYTES, YIELD_TIME,
 };
 use link::{Incoming, locked, sleep};
 use resp::Malformed;
 use std::ops::Range;
 use std::sync::Arc;
 
-/// The error to a command whose memory is needed for others.
+/// Error text for a command that is shed because other clients need its memory.
 const COMMAND_SHED: &str = "no room for so long a command";
-/// The error to a command that has exceeded its time-out.
-const COMMAND_LATE: &str = "the command did not become whole";
-/// The error to a client that pipelines more than [`MAX_PIPELINED`] commands.
+/// Error text for a command that has exceeded its time-out.
+const COMMAND_TIMED_OUT: &str = "the command did not become whole";
+/// Error text for a client that pipelines more than [`MAX_PIPELINED`] commands.
 const TOO_MANY_COMMANDS: &str = "too many commands at once";
 
 /// The commands that were dispatched from a buffer.
@@ -28,7 +28,7 @@
 }
 
 impl Front {
-    /// Serves a connection until it ends. `incomplete` was read by another process.
+    /// Serves a connection until it ends. `incomplete` holds the bytes that another process has read of an incomplete command.
     pub(crate) fn serve(self: &Arc<Self>, client: &Arc<ClientConnection>, incomplete: Vec<u8>) {
         let end = self.read_commands(client, incomplete);
         self.end(client, end);
@@ -36,8 +36,8 @@
 
     fn read_commands(self: &Arc<Self>, client: &Arc<ClientConnection>, incomplete: Vec<u8>) -> ConnectionEnd {
         let mut buffer = incomplete;
-        // During a drain, a new connection is read once before it ends: its client sent the request on a connection that this machine
-        // had accepted.
+        // During a drain, a new connection is read once before it ends, since its client may have sent a request as soon as the
+        // kernel accepted the connection.
         let mut was_read = false;
         loop {
             let served = self.process(client, &mut buffer, was_read);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Dispatches the commands in the buffer, and waits until the next read is due.
+    /// Dispatches the commands in the buffer. Delays the next read after an error or a burst, and while memory is short.
     fn process(
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
@@ -58,14 +58,14 @@
         if self.is_handing_over() && self.hand_over(client, buffer) {
             return Err(ConnectionEnd::HandedOver);
         }
-        // Commands of a client that has disconnected since are not started.
+        // Commands of a client that has disconnected are not dispatched.
         if client.socket.is_peer_closed() {
             return Err(ConnectionEnd::ClientGone);
         }
         let dispatched = self.dispatch_commands(client, buffer)?;
         remove_front(buffer, dispatched.bytes);
         update_incomplete(client, buffer.len(), &dispatched)?;
-        // Checked between reads too: a client that pipelines without a pause is never found between requests.
+        // Checked between reads too, since a client that pipelines without a pause never leaves the input empty.
         if was_read {
             self.end_if_draining(&mut locked(&client.state))?;
         }
@@ -98,14 +98,14 @@
         Ok(dispatched)
     }
 
-    /// Delays a large incomplete command while the budget for incomplete commands is exceeded.
+    /// Stops reading a large incomplete command while the budget for incomplete commands is exceeded.
     fn wait_for_memory(&self, client: &ClientConnection, incomplete_bytes: usize) {
         let budget = &self.memory.incomplete;
         if incomplete_bytes < TYPICAL_REQUEST_BYTES || !budget.is_exceeded() {
             return;
         }
         self.connections.shed_incomplete_command();
-        let may_wait = |state: &ClientState| !state.incomplete.is_shed() && !state.is_late();
+        let may_wait = |state: &ClientState| !state.incomplete.is_shed() && !state.is_command_overdue();
         while budget.is_exceeded() && may_wait(&locked(&client.state)) && !client.socket.is_closed() {
             sleep(CAPACITY_CHECK_INTERVAL);
         }
@@ -117,19 +117,19 @@
             match client.socket.receive(buffer, MAX_READ_BYTES) {
                 Ok(Incoming::Bytes(_)) => return Ok(()),
                 Ok(Incoming::Woken) if self.is_handing_over() => return Ok(()),
-                // A wake is reported when nothing is left to read. Only here is it certain that no request has arrived unread.
+                // A wake is reported only when nothing is left to read, so no request has arrived unread.
                 Ok(Incoming::Woken) => self.check_woken(client)?,
                 Ok(Incoming::End) | Err(_) => return Err(ConnectionEnd::ClientGone),
             }
         }
     }
 
-    /// Ends a connection that was woken because the front drains, its command is late or shed, or it is evicted or idle.
+    /// Ends a woken connection if the front drains, its command is overdue or shed, or the connection is evicted or silent.
     fn check_woken(&self, client: &ClientConnection) -> ServeResult {
         let mut state = locked(&client.state);
         self.end_if_draining(&mut state)?;
-        if state.is_late() {
-            return Err(ConnectionEnd::Error(COMMAND_LATE));
+        if state.is_command_overdue() {
+            return Err(ConnectionEnd::Error(COMMAND_TIMED_OUT));
         }
         if state.incomplete.is_shed() {
             return Err(ConnectionEnd::Error(COMMAND_SHED));
@@ -146,7 +146,7 @@
     if state.answers.len() > MAX_PIPELINED { Err(ConnectionEnd::Error(TOO_MANY_COMMANDS)) } else { Ok(()) }
 }
 
-/// Removes bytes from the front of a read buffer. Frees a large buffer that is empty then.
+/// Removes bytes from the front of a read buffer. Frees a large buffer that becomes empty.
 fn remove_front(buffer: &mut Vec<u8>, bytes: usize) {
     buffer.drain(..bytes);
     if buffer.is_empty() && buffer.capacity() > MAX_RETAINED_BUFFER_BYTES {
@@ -159,6 +159,6 @@
     if dispatched.has_errors {
         sleep(ERROR_PENALTY);
     } else if dispatched.commands > MAX_BURST {
-        sleep(TURN);
+        sleep(YIELD_TIME);
     }
 }
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -1,5 +1,5 @@
-//! Validation of requests. A valid request may be forwarded and charged to the tenant that it names, so each value is checked against
-//! the settings: a malformed amount or an impossible number of gatekeepers would corrupt that tenant's quota.
+//! Validation of requests. A valid request may be forwarded and charged to the tenant that it names, so each value is checked
+//! against the settings: a malformed amount or an impossible number of gatekeepers would corrupt that tenant's quota.
 
 use exchange::{Request, TenantId};
 use resp::Query;
@@ -9,12 +9,12 @@
 #[cfg(test)]
 mod tests;
 
-/// An answer is due this long before the client times out, in microseconds: for the network and the timers' resolution.
-const ANSWER_MARGIN: u64 = 10_000;
-/// A request has at least this much time left, in microseconds.
-const MIN_TIME_LEFT: u64 = 1_000;
+/// Time between the exchange's deadline and the client's, to cover network latency and timer resolution.
+const ANSWER_MARGIN_MICROS: u64 = 10_000;
+/// Minimum time that a request has, however short its client's deadline.
+const MIN_TIME_LEFT_MICROS: u64 = 1_000;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
-/// Tenant numbers are below this (the protocol).
+/// Exclusive upper bound of the tenant numbers in the protocol.
 const TENANT_LIMIT: u64 = 1 << 33;
 /// Hexadecimal digits of a tenant's number.
 const TENANT_DIGITS: usize = 16;
@@ -22,41 +22,41 @@
 const MAX_ID_BYTES: usize = 64;
 /// A client's deadline is at most this many times the deadline of its class.
 const MAX_DEADLINE_FACTOR: u64 = 4;
-/// Arguments of a command without a body, its name included: name, tenant, id and list of values.
+/// Number of arguments of a command without a body: command name, tenant, id and list of values.
 const ARGUMENT_COUNT: usize = 4;
 
 /// A request class as clients name it.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// Its name.
+    /// Name by which a request selects the class, in the value `c`.
     pub name: String,
-    /// Its number.
+    /// Number of the class in the policy's settings.
     pub number: u16,
-    /// Its requests are idempotent and sent as `SVC.QUERY`. Those of other classes are sent as `SVC.SUBMIT`.
+    /// Whether requests of the class are idempotent. Clients send these as `SVC.QUERY`, and all others as `SVC.SUBMIT`.
     pub is_idempotent: bool,
-    /// Its deadline in milliseconds.
+    /// Deadline of the class in milliseconds. It bounds the deadline that a client may state.
     pub deadline_ms: u64,
 }
 
 /// A plan as clients name it.
 #[derive(Clone, Debug)]
 pub struct PlanRule {
-    /// Its name.
+    /// Name by which a request selects the plan, in the value `t`.
     pub name: String,
-    /// Its number.
+    /// Number of the plan in the policy's settings.
     pub number: u32,
 }
 
 /// The settings that requests are checked against.
 #[derive(Clone, Debug)]
 pub struct RequestRules {
-    /// The request classes.
+    /// The request classes that clients may name.
     pub classes: Vec<ClassRule>,
-    /// The plans.
+    /// The plans that clients may name.
     pub plans: Vec<PlanRule>,
-    /// Number of gatekeepers in the fleet.
+    /// Number of gatekeepers in the fleet: the upper bound of `spread` and `first` in a request.
     pub gatekeepers: u64,
-    /// Maximum units of one request, where the settings limit them.
+    /// Maximum units of one request; `None` if the settings do not limit them.
     pub max_units: Option<f64>,
 }
 
@@ -66,9 +66,9 @@
     /// The protocol has no such command.
     #[error("unknown command")]
     UnknownCommand,
-    /// It has too few or too many arguments.
+    /// The command has too few or too many arguments.
     #[error("wrong number of words")]
-    WordCount,
+    ArgumentCount,
     /// The tenant is not a number in the protocol's range.
     #[error("no such customer")]
     Tenant,
@@ -81,9 +81,9 @@
     /// The class is not in the settings.
     #[error("no such class")]
     Class,
-    /// Requests of this class are sent with the other command.
+    /// Requests of this class must use the other command: `SVC.QUERY` or `SVC.SUBMIT`.
     #[error("the class has another command")]
-    OtherCommand,
+    WrongCommand,
     /// The plan is not in the settings.
     #[error("no such plan")]
     Plan,
@@ -121,7 +121,7 @@
 }
 
 impl RequestRules {
-    /// Validates a command as a request. `raw` is the command alone, and the ranges of its arguments lie in it.
+    /// Validates a command as a request. `raw` holds the bytes of this command only, and `arguments` are ranges in it.
     pub(crate) fn validate(
         &self,
         raw: &[u8],
@@ -133,10 +133,10 @@
             b"SVC.SUBMIT" => false,
             _ => return Err(InvalidRequest::UnknownCommand),
         };
-        // Only a submission has a body.
+        // Only `SVC.SUBMIT` may have a body.
         let max_arguments = if is_query { ARGUMENT_COUNT } else { ARGUMENT_COUNT + 1 };
         if !(ARGUMENT_COUNT..=max_arguments).contains(&arguments.len()) {
-            return Err(InvalidRequest::WordCount);
+            return Err(InvalidRequest::ArgumentCount);
         }
         let tenant = parse_tenant(argument(1)).ok_or(InvalidRequest::Tenant)?;
         let id = argument(2);
@@ -167,7 +167,7 @@
     fn class(&self, values: &Values<'_>, is_query: bool) -> Result<&ClassRule, InvalidRequest> {
         let class = self.classes.iter().find(|class| Some(class.name.as_str()) == values.class);
         let class = class.ok_or(InvalidRequest::Class)?;
-        if class.is_idempotent == is_query { Ok(class) } else { Err(InvalidRequest::OtherCommand) }
+        if class.is_idempotent == is_query { Ok(class) } else { Err(InvalidRequest::WrongCommand) }
     }
 
     fn plan(&self, values: &Values<'_>) -> Result<&PlanRule, InvalidRequest> {
@@ -182,7 +182,8 @@
         units.filter(in_range).ok_or(InvalidRequest::Units)
     }
 
-    /// Returns the number of gatekeepers that serve the tenant; 0 where the request does not name it, which the policy takes as all.
+    /// Returns the number of gatekeepers that serve the tenant; 0 if the request does not state it, which the policy treats as
+    /// all.
     fn tenant_gatekeepers(&self, values: &Values<'_>) -> Result<f64, InvalidRequest> {
         let in_range = |spread: &u64| (1..=self.gatekeepers).contains(spread);
         let spread = values.spread.map_or(Some(0), |text| parse_digits(text).filter(in_range));
@@ -195,7 +196,8 @@
 }
 
 impl<'a> Values<'a> {
-    /// Parses the known values. Returns `None` where one is repeated: two readers could take different ones.
+    /// Parses the known values. Returns `None` if one is repeated, since two parsers could choose different ones, or is not
+    /// UTF-8.
     fn parse(raw: &'a [u8], list: Range<usize>) -> Option<Self> {
         let mut values = Self::default();
         for (name, value) in resp::fields(raw, list) {
@@ -224,9 +226,9 @@
     }
 }
 
-/// The time that a request has in microseconds, by its client's deadline.
+/// Converts a client's deadline to the time that the request has at the exchange, in microseconds.
 fn time_left(deadline_ms: u64) -> u64 {
-    (deadline_ms * MICROS_PER_MILLISECOND).saturating_sub(ANSWER_MARGIN).max(MIN_TIME_LEFT)
+    (deadline_ms * MICROS_PER_MILLISECOND).saturating_sub(ANSWER_MARGIN_MICROS).max(MIN_TIME_LEFT_MICROS)
 }
 
 fn is_valid_id(id: &[u8]) -> bool {
--- a/crates/front_resp/src/rules/tests.rs
+++ b/crates/front_resp/src/rules/tests.rs
@@ -25,20 +25,20 @@
 fn validate(arguments: &[&str]) -> Result<Request<Query>, InvalidRequest> {
     let mut raw = Vec::new();
     resp::put_command(&mut raw, &arguments.iter().map(|argument| argument.as_bytes()).collect::<Vec<_>>());
-    let command = resp::command(&raw, 0).expect("a command").expect("a complete one");
+    let command = resp::command(&raw, 0).expect("valid RESP2").expect("a complete command");
     rules().validate(&raw, &command.arguments).map(|valid| valid.request)
 }
 
 #[test]
 fn accepts_each_command_of_the_protocol() {
-    let valid = validate(&["SVC.QUERY", "00000001ffffffff", "9b1f", VALID_VALUES]).expect("it is valid");
+    let valid = validate(&["SVC.QUERY", "00000001ffffffff", "9b1f", VALID_VALUES]).expect("a valid request");
     assert_eq!((valid.class, valid.plan, valid.tenant), (0, 0, TenantId(0x1_ffff_ffff)));
     assert_eq!((valid.units, valid.tenant_gatekeepers, valid.time_left), (2.0, 3.0, 470_000));
     let list = VALID_VALUES.replace("lookup", "notice");
     assert!(validate(&["SVC.SUBMIT", "00000000b4d65521", "1", &list, "body"]).is_ok());
 }
 
-/// A malformed amount would be charged to the tenant that the request names.
+/// Guards against quota charges of malformed amounts to the tenant that the request names.
 #[test]
 fn rejects_arguments_and_values_that_are_missing_or_out_of_range() {
     for arguments in [
@@ -68,7 +68,7 @@
     }
 }
 
-/// The texts are part of the wire format.
+/// Clients read these texts: they are part of the wire format.
 #[test]
 fn an_error_names_the_invalid_argument_or_value() {
     let list = |valid: &str, invalid: &str| VALID_VALUES.replace(valid, invalid);
@@ -88,7 +88,7 @@
         assert_eq!(validate(&arguments).expect_err(text).to_string(), text);
     }
     assert_eq!(
-        validate(&["SVC.QUERY", TENANT, "1"]).expect_err("too few").to_string(),
+        validate(&["SVC.QUERY", TENANT, "1"]).expect_err("too few arguments").to_string(),
         "wrong number of words"
     );
 }
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -1,4 +1,4 @@
-//! The periodic sweep: time-outs that no event of a connection triggers, and the reserve for new connections.
+//! The periodic sweep: enforces time-outs that no socket event triggers, and keeps a reserve for new connections.
 
 use crate::client::ClientConnection;
 use crate::front::Front;
@@ -8,14 +8,14 @@
 /// What a sweep does with a connection.
 enum SweepAction {
     Keep,
-    /// Its reader looks at the state and ends it where that is due.
+    /// Wakes the connection's reader, which checks the state and may end the connection.
     Wake,
     Close,
 }
 
 impl Front {
-    /// Closes connections that are silent, late, lingering, or too slow to read under memory pressure, and evicts idle ones to keep
-    /// a reserve for new connections. To be called a few times a second.
+    /// Closes connections that are silent, overdue, lingering, or too slow to read under memory pressure, and evicts idle ones to
+    /// keep a reserve for new connections. The caller runs it a few times a second.
     pub fn sweep(&self) {
         let clients = self.connections.clients();
         let is_under_pressure = self.memory.unread.is_exceeded();
@@ -31,17 +31,17 @@
 }
 
 impl SweepAction {
-    /// Decides on a connection, and updates its reservation of unread bytes.
+    /// Chooses the action for a connection, and updates its reservation of unread bytes.
     fn for_client(client: &ClientConnection, is_under_pressure: bool) -> Self {
         let mut state = locked(&client.state);
         let unread = client.socket.unsent();
-        let is_stuck = unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && unread >= state.unread.bytes();
+        let is_stalled = unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && unread >= state.unread.bytes();
         state.unread.resize(unread);
         let has_lingered = state.lingering_for().is_some_and(|time| time >= LINGER_TIMEOUT);
-        if has_lingered || is_under_pressure && is_stuck {
+        if has_lingered || is_under_pressure && is_stalled {
             return Self::Close;
         }
-        let needs_wake = state.is_late() || state.is_silent() || state.is_ending();
+        let needs_wake = state.is_command_overdue() || state.is_silent() || state.is_ending();
         if needs_wake { Self::Wake } else { Self::Keep }
     }
 }
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 
 impl Front {
-    /// Answers an error.
+    /// Answers a command with an error.
     pub(crate) fn answer_error(&self, client: &ClientConnection, command: CommandNumber, text: &str) {
         self.answer(client, command, format!("-ERR {text}\r\n").into_bytes());
     }
 
-    /// Stores a complete answer, and writes those whose turn has come.
+    /// Stores a complete answer, and writes all answers that may be written now.
     pub(crate) fn answer(&self, client: &ClientConnection, command: CommandNumber, bytes: Vec<u8>) {
         let _reservation = Reservation::new(&self.memory.complete, bytes.len());
         client.set_answer(command, Slot::Answered { bytes, _reservation });
@@ -43,12 +43,12 @@
         self.write(client);
     }
 
-    /// Writes the answers whose turn has come. Closes the connection of a client that leaves too much unread.
+    /// Writes the answers that may be written now. Closes the connection of a client that leaves too many bytes unread.
     fn write(&self, client: &ClientConnection) {
         let mut state = locked(&client.state);
         let due = state.answers.take_due(client.socket.unsent());
         if due.is_broken {
-            // The end of the connection tells the client that the value is truncated. Nothing may follow it.
+            // Closing the connection tells the client that the value is truncated, so nothing may be sent after it.
             let _ = client.socket.send(&due.bytes);
             drop(state);
             client.socket.close();
@@ -57,7 +57,7 @@
         if due.bytes.is_empty() && !state.answers.is_empty() || client.socket.is_closed() {
             return;
         }
-        // Sent under the lock, so that a later answer cannot overtake.
+        // Sent under the lock, so that a later answer cannot overtake this one.
         let sent = client.socket.send(&due.bytes);
         let unread = client.socket.unsent();
         let unread_before = state.unread.bytes();
@@ -69,8 +69,8 @@
         }
         drop(state);
         let is_under_pressure = self.memory.unread.is_exceeded();
-        let is_stuck = unread_before > 0 && unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && is_under_pressure;
-        if sent.is_err() || unread > MAX_UNREAD_BYTES || is_stuck {
+        let is_stalled = unread_before > 0 && unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && is_under_pressure;
+        if sent.is_err() || unread > MAX_UNREAD_BYTES || is_stalled {
             client.socket.close();
         } else if wakes_reader {
             client.socket.wake();
--- a/crates/front_resp/tests/connections.rs
+++ b/crates/front_resp/tests/connections.rs
@@ -1,4 +1,4 @@
-//! What clients see of a front on real sockets.
+//! The answers and closes that clients get from a front, on real sockets.
 
 use exchange::{Clock, Exchange};
 use front_resp::{ClassRule, Front, PlanRule, RequestRules, RespExchange};
@@ -11,9 +11,9 @@
 
 const MEMORY_BYTES: usize = 64 << 20;
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which an expected answer or close must come.
+/// Time limit for an expected answer or close.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after which the protocol owes the error to a command that is never complete.
+/// Time limit of the protocol for the error to a command that is never complete.
 const INCOMPLETE_COMMAND_LIMIT: Duration = Duration::from_secs(3);
 
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
@@ -36,8 +36,8 @@
         let exchange: Arc<RespExchange> = Exchange::new(settings, 1, Clock::start()).expect("valid settings");
         let front = Front::new(exchange, rules(), MEMORY_BYTES, move || max_connections);
         front.set_ready();
-        let listener = Listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
-        let address = listener.local_address().expect("an address");
+        let listener = Listener::bind("127.0.0.1:0".parse().expect("a valid address")).expect("a free port");
+        let address = listener.local_address().expect("the listener is bound");
         let accepting = front.clone();
         link::spawn(move || accepting.accept_connections(&listener));
         let swept = Arc::downgrade(&front);
@@ -51,7 +51,7 @@
     }
 
     fn connect(&self) -> TcpStream {
-        let client = TcpStream::connect(self.address).expect("it listens");
+        let client = TcpStream::connect(self.address).expect("the listener accepts connections");
         client.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("a valid timeout");
         client
     }
@@ -59,7 +59,7 @@
     /// Connects a client whose connection has answered a `PING`.
     fn connect_and_ping(&self) -> TcpStream {
         let mut client = self.connect();
-        client.write_all(PING).expect("it is open");
+        client.write_all(PING).expect("the connection is open");
         assert_eq!(read_bytes(&mut client, PONG.len()), PONG);
         client
     }
@@ -83,7 +83,7 @@
 
 fn read_bytes(client: &mut TcpStream, count: usize) -> Vec<u8> {
     let mut bytes = vec![0; count];
-    client.read_exact(&mut bytes).expect("an answer");
+    client.read_exact(&mut bytes).expect("an answer is received");
     bytes
 }
 
@@ -97,7 +97,7 @@
 fn wait_until(is_reached: impl Fn() -> bool) {
     let deadline = Instant::now() + ANSWER_TIMEOUT;
     while !is_reached() {
-        assert!(Instant::now() < deadline, "the state is not reached in time");
+        assert!(Instant::now() < deadline, "the expected state was not reached in time");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -108,7 +108,7 @@
     let mut client = fixture.connect();
     let request = ["SVC.QUERY", "00000000b4d65521", "9b1f", "c=lookup,t=team,d=200,units=1"];
     let input = [PING, &command(&["SELECT", "0"]), &command(&request), &command(&["GET"]), PING].concat();
-    client.write_all(&input).expect("it is open");
+    client.write_all(&input).expect("the connection is open");
     let expected = b"+PONG\r\n+OK\r\n-BUSY\r\n-ERR unknown command\r\n+PONG\r\n";
     assert_eq!(
         String::from_utf8_lossy(&read_bytes(&mut client, expected.len())),
@@ -117,10 +117,10 @@
 }
 
 #[test]
-fn closes_a_connection_behind_the_error_to_a_command_without_an_end() {
+fn closes_a_connection_after_the_error_to_a_malformed_command() {
     let fixture = Fixture::start(8);
     let mut client = fixture.connect();
-    client.write_all(&[PING, b"no command\r\n", PING].concat()).expect("it is open");
+    client.write_all(&[PING, b"no command\r\n", PING].concat()).expect("the connection is open");
     assert_eq!(read_until_close(&mut client), "+PONG\r\n-ERR an unknown type of element\r\n");
 }
 
@@ -129,7 +129,7 @@
     let fixture = Fixture::start(8);
     let mut client = fixture.connect();
     let started_at = Instant::now();
-    client.write_all(&PING[..6]).expect("it is open");
+    client.write_all(&PING[..6]).expect("the connection is open");
     assert_eq!(read_until_close(&mut client), "-ERR the command did not become whole\r\n");
     assert!(started_at.elapsed() < INCOMPLETE_COMMAND_LIMIT, "{:?}", started_at.elapsed());
 }
@@ -140,7 +140,7 @@
     let mut silent = fixture.connect();
     let _in_use = fixture.connect_and_ping();
     assert_eq!(read_until_close(&mut silent), "");
-    assert_eq!(fixture.front.open_connections(), 1, "the other one stays open");
+    assert_eq!(fixture.front.open_connections(), 1, "the connection that has sent a command stays open");
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let fixture = Fixture::start(2);
     let mut unused: Vec<TcpStream> = (0..2).map(|_| fixture.connect_and_ping()).collect();
     fixture.connect_and_ping();
-    assert_eq!(read_until_close(&mut unused[0]), "", "the longest idle one is evicted");
+    assert_eq!(read_until_close(&mut unused[0]), "", "the longest idle connection is evicted");
 }
 
 #[test]
@@ -156,12 +156,12 @@
     let fixture = Fixture::start(8);
     let mut idle = fixture.connect_and_ping();
     let mut busy = fixture.connect_and_ping();
-    busy.write_all(&PING[..6]).expect("it is open");
+    busy.write_all(&PING[..6]).expect("the connection is open");
     // The front reads the first part before it drains.
     std::thread::sleep(Duration::from_millis(100));
     fixture.front.drain();
     assert_eq!(read_until_close(&mut idle), "");
-    busy.write_all(&PING[6..]).expect("it is open");
+    busy.write_all(&PING[6..]).expect("the connection is open");
     assert_eq!(read_until_close(&mut busy), "+PONG\r\n");
 }
 
@@ -169,21 +169,22 @@
 fn hands_a_connection_over_with_its_incomplete_command_and_the_successor_answers_it() {
     let predecessor = Fixture::start(8);
     let mut client = predecessor.connect_and_ping();
-    client.write_all(&PING[..6]).expect("it is open");
+    client.write_all(&PING[..6]).expect("the connection is open");
     // The front reads the first part before it hands over.
     std::thread::sleep(Duration::from_millis(100));
     let (sender, handed_over) = mpsc::channel();
     predecessor.front.hand_over_connections(Arc::new(move |socket, incomplete| {
-        sender.send((socket, incomplete)).expect("the test waits");
+        sender.send((socket, incomplete)).expect("the test receives the connection");
     }));
-    let (socket, incomplete) = handed_over.recv_timeout(ANSWER_TIMEOUT).expect("a connection");
+    let (socket, incomplete) =
+        handed_over.recv_timeout(ANSWER_TIMEOUT).expect("the connection is handed over");
     assert_eq!(incomplete, &PING[..6]);
-    // The predecessor releases the connection right after the successor has its socket.
+    // The predecessor releases the connection right after it has passed on the socket.
     wait_until(|| predecessor.front.open_connections() == 0);
 
     let successor = Fixture::start(8);
-    successor.front.adopt(Connection::new(socket).expect("it is watched"), incomplete);
-    client.write_all(&PING[6..]).expect("it is open");
+    successor.front.adopt(Connection::new(socket).expect("the socket is registered for events"), incomplete);
+    client.write_all(&PING[6..]).expect("the connection is open");
     assert_eq!(read_bytes(&mut client, PONG.len()), PONG);
 }
 
@@ -193,10 +194,10 @@
     let mut handed_over = fixture.connect_and_ping();
     fixture.front.hand_over_connections(Arc::new(|socket, _| drop(socket)));
     assert!(fixture.front.is_handing_over());
-    assert_eq!(read_until_close(&mut handed_over), "", "the successor has closed it");
+    assert_eq!(read_until_close(&mut handed_over), "", "the successor has closed the connection");
     let mut waiting = fixture.connect();
     fixture.front.resume();
     assert!(!fixture.front.is_handing_over());
-    waiting.write_all(PING).expect("it is open");
+    waiting.write_all(PING).expect("the connection is open");
     assert_eq!(read_bytes(&mut waiting, PONG.len()), PONG);
 }
