--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,23 +1,23 @@
-//! Commands: arrays of bulk strings.
+//! Client commands, which RESP2 encodes as arrays of bulk strings.
 
 use crate::element::{Element, MAX_MESSAGE_BYTES, element};
 use crate::error::{Malformed, Step};
 use std::ops::Range;
 
-/// A command, by its ranges in the buffer.
+/// A parsed command. It refers to its arguments by their ranges in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The bytes of each argument. The first is the command's name.
+    /// The range of each argument's bytes. The first argument is the command's name.
     pub arguments: Vec<Range<usize>>,
-    /// Where the command ends.
+    /// Offset in the buffer of the first byte after the command.
     pub end: usize,
 }
 
-/// Parses the command that starts at `start`.
+/// Parses the command that starts at `start`. Returns `None` if more bytes must arrive.
 ///
 /// # Errors
 ///
-/// Fails where it is not an array of bulk strings, is empty, or exceeds a limit.
+/// Returns an error if the input is not an array of bulk strings, is empty, or exceeds a limit.
 pub fn command(buffer: &[u8], start: usize) -> Step<Command> {
     let Some((first, mut position)) = element(buffer, start)? else { return Ok(None) };
     let Element::Array(count @ 1..) = first else {
@@ -40,14 +40,14 @@
     Ok(Some(Command { arguments, end: position }))
 }
 
-/// Appends a bulk string.
+/// Appends `bytes` to `out`, encoded as a bulk string.
 pub fn put_bulk(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend_from_slice(format!("${}\r\n", bytes.len()).as_bytes());
     out.extend_from_slice(bytes);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a command of these arguments.
+/// Appends a command that consists of `arguments`, the command's name included.
 pub fn put_command(out: &mut Vec<u8>, arguments: &[&[u8]]) {
     out.extend_from_slice(format!("*{}\r\n", arguments.len()).as_bytes());
     for argument in arguments {
--- a/crates/resp/src/element.rs
+++ b/crates/resp/src/element.rs
@@ -1,4 +1,4 @@
-//! Parsing of single elements and of whole messages.
+//! Parsing of single RESP2 elements and of complete messages.
 
 use crate::error::{Malformed, Step};
 use std::ops::Range;
@@ -7,36 +7,37 @@
 pub const MAX_BULK_BYTES: usize = 64 * 1024;
 /// Maximum bytes of a bulk string that is streamed.
 pub const MAX_STREAMED_BULK_BYTES: usize = 8 * 1024 * 1024;
-/// Maximum items of one array, and elements of a message that are outstanding at a time.
+/// Maximum items of one array. Also the maximum number of elements of a message that are still to be parsed at any time.
 pub const MAX_ARRAY_ITEMS: usize = 64;
 /// Maximum bytes of one message.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// Maximum bytes of a line.
+/// Maximum bytes of a line, its line end included.
 const MAX_LINE_BYTES: usize = 1024;
 const LINE_END: &[u8] = b"\r\n";
 
-/// One element of a message, by its ranges in the buffer.
+/// One element of a message. It refers to its text or bytes by their range in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Element {
-    /// A simple string.
+    /// A simple string (`+`), without its line end.
     Simple(Range<usize>),
-    /// An error line.
+    /// An error (`-`), without its line end.
     Error(Range<usize>),
-    /// An integer.
+    /// An integer (`:`).
     Integer(i64),
-    /// The bytes of a bulk string.
+    /// The bytes of a bulk string (`$`).
     Bulk(Range<usize>),
     /// A null bulk string or a null array.
     Null,
-    /// An array of this many elements, which follow.
+    /// The head of an array (`*`). This many elements follow it.
     Array(usize),
 }
 
-/// Parses the element that starts at `start`, and returns it with the start of the next one.
+/// Parses the element that starts at `start`, and returns it with the offset of the next one. Returns `None` if more bytes must
+/// arrive.
 ///
 /// # Errors
 ///
-/// Fails where the bytes are not RESP2 or exceed a limit.
+/// Returns an error if the bytes are not RESP2 or exceed a limit.
 pub fn element(buffer: &[u8], start: usize) -> Step<(Element, usize)> {
     let Some(&kind) = buffer.get(start) else { return Ok(None) };
     if !b"+-:$*".contains(&kind) {
@@ -53,7 +54,7 @@
     Ok(Some((element, next)))
 }
 
-/// Parses a bulk string of this length whose bytes start at `start`.
+/// Parses a bulk string of `length` bytes that start at `start`.
 fn bulk(buffer: &[u8], length: i64, start: usize) -> Step<(Element, usize)> {
     if length == -1 {
         return Ok(Some((Element::Null, start)));
@@ -76,12 +77,12 @@
     count.map(Element::Array).ok_or(Malformed("an array's length is out of range"))
 }
 
-/// Parses the head of the bulk string that starts at `start`, whose bytes may still have to arrive. Returns its length and where its
-/// bytes start. Its limit is [`MAX_STREAMED_BULK_BYTES`].
+/// Parses the head of the bulk string that starts at `start`, before its bytes have to arrive. Returns its length, at most
+/// [`MAX_STREAMED_BULK_BYTES`], and the offset of its bytes.
 ///
 /// # Errors
 ///
-/// Fails where it is not a bulk string, or too long.
+/// Returns an error if the input is not a bulk string, or the string is too long.
 pub fn bulk_head(buffer: &[u8], start: usize) -> Step<(usize, usize)> {
     match buffer.get(start) {
         None => return Ok(None),
@@ -94,11 +95,11 @@
     Ok(Some((length.ok_or(Malformed("a bulk string's length is out of range"))?, next)))
 }
 
-/// Returns the end of the integer that starts at `start`, even if its digits are malformed.
+/// Returns the offset after the integer that starts at `start`. The digits are not validated.
 ///
 /// # Errors
 ///
-/// Fails where it is not an integer or its line exceeds a limit.
+/// Returns an error if the input is not an integer, or its line is malformed or too long.
 pub fn integer_end(buffer: &[u8], start: usize) -> Step<usize> {
     match buffer.get(start) {
         Some(b':') => Ok(line(buffer, start + 1)?.map(|(_, next)| next)),
@@ -107,11 +108,11 @@
     }
 }
 
-/// Returns the end of the message that starts at `start`, with all its nested arrays.
+/// Returns the offset after the message that starts at `start`, with all its nested arrays.
 ///
 /// # Errors
 ///
-/// Fails where the bytes are not RESP2 or exceed a limit.
+/// Returns an error if the bytes are not RESP2 or exceed a limit.
 pub fn message_end(buffer: &[u8], start: usize) -> Step<usize> {
     let (mut position, mut outstanding) = (start, 1usize);
     while outstanding > 0 {
@@ -131,7 +132,7 @@
     Ok(Some(position))
 }
 
-/// Parses a line. Returns its range without the line end, and where the next one starts.
+/// Parses the line that starts at `start`. Returns its range without the line end, and the offset of the next line.
 fn line(buffer: &[u8], start: usize) -> Step<(Range<usize>, usize)> {
     let rest = buffer.get(start..).unwrap_or_default();
     let window = &rest[..rest.len().min(MAX_LINE_BYTES)];
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,8 +1,9 @@
-//! The result of a parsing step.
+//! The error of malformed input, and the result type of the parsers.
 
 use std::fmt;
 
-/// Bytes that are not valid RESP2. The text says why.
+/// The input is not valid RESP2 or exceeds a limit. The text states the reason, and a front sends it to
+/// its client as an error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
@@ -14,5 +15,5 @@
 
 impl std::error::Error for Malformed {}
 
-/// The result of a parser: `None` where more bytes must arrive.
+/// The result of an incremental parser: `Ok(None)` if more bytes must arrive.
 pub type Step<T> = Result<Option<T>, Malformed>;
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,7 +1,7 @@
 //! An incremental RESP2 codec over byte slices.
 //!
-//! Each parser looks at the bytes that have arrived. It returns what is complete, `None` where more bytes must arrive, or an error
-//! where no further byte could make the input valid. Parsers return ranges of the buffer: they copy nothing and do not recurse.
+//! Each parser examines the bytes that have arrived. It returns a complete item, `None` if more bytes must arrive, or an error if
+//! no further bytes could make the input valid. Parsers return ranges of the buffer: they copy nothing and do not recurse.
 
 mod command;
 mod element;
--- a/crates/resp/src/query.rs
+++ b/crates/resp/src/query.rs
@@ -1,33 +1,34 @@
-//! Client commands that are forwarded with another deadline.
+//! Client commands that are forwarded to a backend with a different deadline.
 
 use std::ops::Range;
 
-/// The name of the deadline in a list of values.
+/// Name of the deadline in a command's list of names and values.
 const DEADLINE_NAME: &[u8] = b"d";
 
-/// A client's command as it was received, with the range of its deadline, which changes when it is forwarded.
+/// A client's command as it was received. Its deadline is replaced when it is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
     raw: Vec<u8>,
-    /// The argument that lists names and values.
+    /// Range of the argument that lists names and values.
     list: Range<usize>,
-    /// The value of the deadline in the list.
+    /// Range of the deadline's value in the list.
     deadline: Range<usize>,
 }
 
 impl Query {
-    /// Wraps the bytes of one command. `list` is the argument with names and values. Returns `None` where the list has no deadline
-    /// (`d`).
+    /// Wraps the bytes of one command. `list` is the range of the argument with names and values. Returns `None` if the list has
+    /// no deadline (`d`).
     pub fn new(raw: Vec<u8>, list: Range<usize>) -> Option<Self> {
         let is_deadline = |(name, _): &(Range<usize>, Range<usize>)| &raw[name.clone()] == DEADLINE_NAME;
         let (_, deadline) = fields(&raw, list.clone()).find(is_deadline)?;
         Some(Self { raw, list, deadline })
     }
 
-    /// Appends the command with another deadline in milliseconds. All other bytes stay as they were received.
+    /// Appends the command with the deadline replaced by `deadline_ms`, in milliseconds. All other bytes but the length of the
+    /// list stay as they were received.
     pub fn put(&self, deadline_ms: u64, out: &mut Vec<u8>) {
         let deadline = deadline_ms.to_string();
-        // The list's bulk string starts at the `$` in front of its length.
+        // The bulk string of the list starts at the `$` before its length.
         let frame_start = self.raw[..self.list.start].iter().rposition(|&byte| byte == b'$').unwrap_or(0);
         let length = self.list.len() - self.deadline.len() + deadline.len();
         out.extend_from_slice(&self.raw[..frame_start]);
@@ -38,7 +39,7 @@
     }
 }
 
-/// Iterates over a list such as `c=lookup,d=480`: the ranges of each name and its value.
+/// Iterates over a list such as `c=lookup,d=480`, and yields the ranges of each name and its value. Skips items without `=`.
 pub fn fields(buffer: &[u8], list: Range<usize>) -> impl Iterator<Item = (Range<usize>, Range<usize>)> + '_ {
     let mut next_start = list.start;
     std::iter::from_fn(move || {
--- a/crates/resp/tests/codec.rs
+++ b/crates/resp/tests/codec.rs
@@ -9,7 +9,7 @@
 const ANSWERS: &[u8] =
     b"*3\r\n$5\r\nva\r\nl\r\n*2\r\n:5\r\n+ok\r\n$-1\r\n-BUSY inflight=7\r\n*-1\r\n$0\r\n\r\n";
 
-/// What was parsed before the input ended or was malformed.
+/// The items that were parsed before the input ended or an error occurred.
 #[derive(Debug, PartialEq, Eq)]
 struct Parsed<T> {
     items: Vec<T>,
@@ -39,7 +39,7 @@
     Parsed { items, error: None }
 }
 
-/// Parses all messages of an input that arrives in pieces. The items are 0 and the end of each message.
+/// Parses all messages of an input that arrives in pieces. The items are 0 and the offset after each message.
 fn parse_message_ends(pieces: &[&[u8]]) -> Parsed<usize> {
     let (mut buffer, mut items) = (Vec::new(), vec![0]);
     for piece in pieces {
@@ -57,7 +57,7 @@
 
 #[test]
 fn parses_commands_and_answers_alike_however_they_are_split() {
-    // The list is one byte longer than its frame says, so that an error follows the first command, however the bytes are split.
+    // The last bulk string is one byte longer than its length states, so an error follows the first command for every split.
     let parsed = parse_commands(&[COMMANDS]);
     assert_eq!((parsed.items.len(), parsed.error.is_some()), (1, true));
     let valid = [&COMMANDS[..14], b"*2\r\n$1\r\na\r\n$0\r\n\r\n"].concat();
