--- a/crates/link/src/accept_state.rs
+++ b/crates/link/src/accept_state.rs
@@ -1,18 +1,18 @@
-//! Whether an accept loop accepts connections.
+//! The state of an accept loop.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// What an accept loop does.
+/// Whether an accept loop accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum AcceptState {
     /// Accepts connections.
     Open,
-    /// Accepts nothing for now.
+    /// Accepts no connections until it is resumed.
     Paused,
     /// Accepts the connections in the backlog, then ends.
     Closing,
-    /// Ends, and leaves the backlog to the other processes that accept at the socket.
+    /// Ends, and leaves the backlog to the other processes that accept on the socket.
     Abandoned,
 }
 
@@ -20,7 +20,7 @@
     const ALL: [Self; 4] = [Self::Open, Self::Paused, Self::Closing, Self::Abandoned];
 }
 
-/// An [`AcceptState`] that threads share.
+/// An [`AcceptState`] that several threads may read and set.
 #[derive(Debug)]
 pub(crate) struct SharedAcceptState(AtomicU8);
 
--- a/crates/link/src/connect_error.rs
+++ b/crates/link/src/connect_error.rs
@@ -1,17 +1,17 @@
-//! Failed connects, told apart by whether this machine or the other side is the cause.
+//! Errors of connecting, classified by whether this machine or the remote side is the cause.
 
 use std::io;
 use std::time::Duration;
 
-/// An error within this time came without a network round trip: the kernel failed the connect at once.
+/// Minimum duration of a network round trip. An error that comes sooner was raised by the local kernel.
 const MIN_NETWORK_ROUND_TRIP: Duration = Duration::from_millis(1);
 
-/// A failed connect.
+/// Why a connect failed.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// This machine could not try: it lacks a file descriptor, an ephemeral port, memory or a route.
+    /// This machine could not attempt the connect: it lacks a file descriptor, an ephemeral port, memory or a route.
     Local(io::Error),
-    /// The other side refused the connection or did not answer in time.
+    /// The remote side refused the connection or did not answer in time.
     Remote(io::Error),
 }
 
@@ -29,7 +29,7 @@
                 | libc::ENOBUFS
                 | libc::ENOMEM,
             ) => true,
-            // Either this machine has no route, or the other one does not answer.
+            // Either this machine has no route, or the remote one does not answer.
             Some(libc::EHOSTUNREACH | libc::ENETUNREACH | libc::ETIMEDOUT) => {
                 elapsed < MIN_NETWORK_ROUND_TRIP
             }
@@ -38,7 +38,7 @@
         if is_local { Self::Local(error) } else { Self::Remote(error) }
     }
 
-    /// Whether the cause is on this machine, so that the failure says nothing about the other side.
+    /// Whether the cause is on this machine, so that the failure says nothing about the remote side.
     pub fn is_local(&self) -> bool {
         matches!(self, Self::Local(_))
     }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,11 +1,11 @@
 //! TCP connections.
 
 use crate::connect_error::ConnectError;
-use crate::fairness::TURN;
+use crate::fairness::YIELD_TIME;
 use crate::lock::locked;
 use crate::read_state::ReadState;
 use crate::send_buffer::SendBuffer;
-use crate::socket::{Stream, Watched};
+use crate::socket::{RegisteredSocket, Stream};
 use crate::tcp_info;
 use crate::timer::sleep;
 use may::net::TcpStream;
@@ -17,12 +17,12 @@
 use std::time::{Duration, Instant};
 
 /// Maximum bytes of one read.
-const MAX_READ: usize = 16 * 1024;
-/// Receive buffer that all connections share. Each connection copies its bytes out, so that one with an incomplete command holds no
-/// more memory than that command takes. One worker reads all connections, so the lock is uncontended.
-static READ_BUFFER: Mutex<[u8; MAX_READ]> = Mutex::new([0; MAX_READ]);
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Receive buffer that all connections share. Each connection copies its bytes out, so one with an incomplete message holds no
+/// more memory than that message needs. One worker reads all connections, so the lock is uncontended.
+static READ_BUFFER: Mutex<[u8; MAX_READ_BYTES]> = Mutex::new([0; MAX_READ_BYTES]);
 /// Maximum bytes that are read and discarded from a peer that still sends during a graceful close.
-const MAX_DISCARDED: usize = 256 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 /// A TCP connection that one coroutine reads and any coroutine or thread may write to.
 pub struct Connection {
@@ -30,11 +30,11 @@
     read_state: ReadState,
     send_buffer: Mutex<SendBuffer>,
     is_closed: AtomicBool,
-    /// Called when the socket has taken all buffered bytes.
+    /// Called whenever the socket has taken all buffered bytes.
     on_flushed: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
-/// The result of a read.
+/// The result of [`Connection::receive`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incoming {
     /// This many bytes were read.
@@ -45,7 +45,7 @@
     Woken,
 }
 
-/// What a pass of non-blocking reads found.
+/// The result of reading until the socket would block or a limit is reached.
 struct Received {
     bytes: usize,
     is_end: bool,
@@ -58,14 +58,14 @@
 }
 
 impl Connection {
-    /// Connects to an address, or fails after `timeout`.
+    /// Connects to `address`, or fails after `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, as a local or a remote one.
-    pub fn connect(to: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
+    /// Returns the system's error, classified as local or remote.
+    pub fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
         let started_at = Instant::now();
-        let stream = TcpStream::connect_timeout(&to, timeout);
+        let stream = TcpStream::connect_timeout(&address, timeout);
         let stream = stream.map_err(|error| ConnectError::new(error, started_at.elapsed()))?;
         Ok(Self::from_stream(Stream::Outbound(stream)))
     }
@@ -74,14 +74,14 @@
     ///
     /// # Errors
     ///
-    /// Fails where the system cannot watch the socket for events.
+    /// Returns an error if the socket cannot be registered with the event loop.
     pub fn new(stream: net::TcpStream) -> io::Result<Self> {
-        Watched::new(stream).map(|stream| Self::from_stream(Stream::Inbound(stream)))
+        RegisteredSocket::new(stream).map(|stream| Self::from_stream(Stream::Inbound(stream)))
     }
 
     fn from_stream(stream: Stream) -> Self {
-        // Disables Nagle's algorithm, which delays small answers until the peer acknowledges earlier ones. A failure costs latency
-        // alone.
+        // Disables Nagle's algorithm, which delays small answers until the peer acknowledges earlier ones. A failure only costs
+        // latency.
         let _ = stream.inner().set_nodelay(true);
         Self {
             stream,
@@ -92,12 +92,12 @@
         }
     }
 
-    /// Writes as many bytes as the socket takes now, and buffers the rest for the connection's own coroutine to send. Never blocks.
-    /// Returns whether the socket has taken all bytes.
+    /// Writes as many bytes as the socket takes now, and buffers the rest for the connection's own coroutine to send. Never
+    /// blocks. Returns whether the socket has taken all bytes.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is broken or closed.
+    /// Returns an error if the connection is broken or closed.
     pub fn send(&self, bytes: &[u8]) -> io::Result<bool> {
         if self.is_closed() {
             return Err(ErrorKind::NotConnected.into());
@@ -112,10 +112,10 @@
         locked(&self.send_buffer).unsent()
     }
 
-    /// Sets the callback that the connection's own coroutine runs whenever the socket has taken all buffered bytes. Only the first
-    /// call has an effect.
+    /// Sets the callback that the connection's own coroutine runs whenever the socket has taken all buffered bytes. Only the
+    /// first call has an effect.
     pub fn on_flushed(&self, callback: impl Fn() + Send + Sync + 'static) {
-        // Fails where a callback is set already, which stays.
+        // Fails if a callback is set already, which is kept.
         let _ = self.on_flushed.set(Box::new(callback));
     }
 
@@ -126,7 +126,7 @@
         }
         send_buffer.flush(self.stream.inner())?;
         let is_flushed = send_buffer.is_empty();
-        // The callback may send.
+        // Released first, since the callback may send.
         drop(send_buffer);
         if is_flushed && let Some(callback) = self.on_flushed.get() {
             callback();
@@ -134,18 +134,18 @@
         Ok(())
     }
 
-    /// Waits for bytes and appends those that have arrived, at most `max_bytes` and 16 KiB. Sends buffered bytes meanwhile. Only the
-    /// connection's own coroutine calls this.
+    /// Waits for bytes and appends those that have arrived to `buffer`, at most `max_bytes` and at most 16 KiB. Sends buffered
+    /// bytes meanwhile. Only the connection's own coroutine calls this.
     ///
-    /// Bytes that have arrived are returned before [`Incoming::Woken`], so a caller that gets it knows that nothing is unread. An end
-    /// of stream right behind the bytes is known together with them ([`Connection::is_peer_closed`]).
+    /// Bytes that have arrived are returned before [`Incoming::Woken`], so a caller that gets it knows that nothing is unread. If
+    /// the end of stream follows the bytes directly, [`Connection::is_peer_closed`] is true as soon as they are returned.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is broken or closed.
+    /// Returns an error if the connection is broken or closed.
     pub fn receive(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Incoming> {
         if self.read_state.count_read() {
-            sleep(TURN);
+            sleep(YIELD_TIME);
         }
         loop {
             self.poll_events();
@@ -161,16 +161,16 @@
         }
     }
 
-    /// Returns the next result if there is one already.
+    /// Returns the next result without waiting; `None` if there is none yet.
     fn receive_now(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Option<Incoming>> {
         let is_woken = self.read_state.take_wake();
         if !is_woken && self.read_state.is_drained() {
             return Ok(None);
         }
         let received = self.read_available(buffer, max_bytes)?;
-        // Where the peer sent more than fits, its end of stream is known only after the worker has polled for events.
+        // If the peer sent more than fits, its end of stream is known only after the worker has polled for events.
         if received.bytes == max_bytes && self.read_state.take_first_poll() {
-            sleep(TURN);
+            sleep(YIELD_TIME);
             self.poll_events();
         }
         if received.bytes > 0 {
@@ -186,7 +186,7 @@
         Ok(is_woken.then_some(Incoming::Woken))
     }
 
-    /// Reads until the read would block or `max_bytes` have arrived. An error behind bytes is deferred to the next read.
+    /// Reads until the read would block or `max_bytes` have arrived. An error after some bytes is deferred to the next read.
     fn read_available(&self, buffer: &mut Vec<u8>, max_bytes: usize) -> io::Result<Received> {
         if let Some(kind) = self.read_state.take_deferred_error() {
             return Err(kind.into());
@@ -230,8 +230,8 @@
         self.read_state.apply_events(self.stream.wait_for_events());
     }
 
-    /// Whether the peer has shut down its sending side or reset the connection, as far as the system has reported it. Earlier bytes
-    /// may still be unread.
+    /// Whether the peer has shut down its sending side or reset the connection, as far as the system has reported it. Earlier
+    /// bytes may still be unread.
     pub fn is_peer_closed(&self) -> bool {
         self.read_state.is_peer_closed()
     }
@@ -239,17 +239,17 @@
     /// Acknowledges the peer's bytes now instead of with the next write. The peer's system may hold back further bytes until then
     /// (Nagle's algorithm).
     pub fn acknowledge(&self) {
-        // A failure delays the acknowledgement alone.
+        // A failure only delays the acknowledgement.
         let _ = SockRef::from(self.stream.inner()).set_quickack(true);
     }
 
-    /// Whether the socket holds unread bytes, an end of stream or an error. Reads nothing.
+    /// Whether the socket holds unread bytes, an end of stream or an error. Consumes nothing.
     pub fn has_unread(&self) -> bool {
         !matches!(self.stream.inner().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Returns how long ago the system received the peer's last bytes, where it tells. Bytes that are read now have waited at least
-    /// as long.
+    /// Returns the time since the system received the peer's last bytes; `None` if it is unknown. Bytes that are read now have
+    /// waited for at least this time.
     pub fn time_since_last_data(&self) -> Option<Duration> {
         tcp_info::time_since_last_data(self.stream.inner())
     }
@@ -271,7 +271,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the connection is broken or closed.
+    /// Returns an error if the connection is broken or closed.
     pub fn flush_all(&self) -> io::Result<()> {
         loop {
             if self.is_closed() {
@@ -289,7 +289,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the connection is broken or closed.
+    /// Returns an error if the connection is broken or closed.
     pub fn flush_and_wait(&self) -> io::Result<()> {
         if self.is_closed() {
             return Err(ErrorKind::NotConnected.into());
@@ -299,11 +299,11 @@
         Ok(())
     }
 
-    /// Closes the connection without losing its last answer: sends buffered bytes, half-closes, and waits for the peer's end of
-    /// stream. Only the connection's own coroutine calls this.
+    /// Closes the connection without losing its last answer: sends the buffered bytes, half-closes, and waits for the peer's end
+    /// of stream. Only the connection's own coroutine calls this.
     ///
-    /// Closing a socket with unread bytes resets the connection, and a reset can destroy an answer that the peer has not read. So up
-    /// to 256 KiB are read and discarded; beyond that, TCP flow control stops a peer that keeps sending. The owner bounds the
+    /// Closing a socket with unread bytes resets the connection, and a reset can destroy an answer that the peer has not read. So
+    /// up to 256 KiB are read and discarded; beyond that, TCP flow control stops a peer that keeps sending. The owner bounds the
     /// wait by calling [`Connection::close`].
     pub fn close_gracefully(&self) {
         if self.flush_all().is_ok() && self.stream.shutdown(Shutdown::Write).is_ok() {
@@ -314,21 +314,21 @@
 
     fn discard_until_end(&self) {
         let (mut unread, mut discarded) = (Vec::new(), 0);
-        while discarded < MAX_DISCARDED {
-            match self.receive(&mut unread, MAX_READ) {
+        while discarded < MAX_DISCARDED_BYTES {
+            match self.receive(&mut unread, MAX_READ_BYTES) {
                 Ok(Incoming::Bytes(count)) => discarded += count,
                 Ok(Incoming::Woken) => {}
                 Ok(Incoming::End) | Err(_) => break,
             }
             unread.clear();
         }
-        while discarded >= MAX_DISCARDED && self.flush_and_wait().is_ok() {}
+        while discarded >= MAX_DISCARDED_BYTES && self.flush_and_wait().is_ok() {}
     }
 
     /// Closes the connection at once and wakes its coroutine.
     pub fn close(&self) {
         if !self.is_closed.swap(true, Ordering::AcqRel) {
-            // Fails where the peer is gone already, and nothing is left to shut down.
+            // Fails if the peer has disconnected already, and nothing is left to shut down.
             let _ = self.stream.shutdown(Shutdown::Both);
             self.stream.waker().wakeup();
         }
@@ -343,7 +343,7 @@
         self.stream.inner().try_clone()
     }
 
-    /// Stops using the connection without shutting it down: another process continues with it.
+    /// Stops using the connection without shutting it down, since another process continues with it.
     pub fn release(&self) {
         self.is_closed.store(true, Ordering::Release);
     }
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -2,9 +2,9 @@
 
 use crate::accept_state::{AcceptState, SharedAcceptState};
 use crate::connection::Connection;
-use crate::fairness::{MAX_BURST, TURN};
+use crate::fairness::{MAX_BURST, YIELD_TIME};
 use crate::lock::locked;
-use crate::socket::Watched;
+use crate::socket::RegisteredSocket;
 use crate::timer::sleep;
 use may::io::WaitIo;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -14,15 +14,15 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Maximum length of the accept queue. Hundreds of clients reconnect at once when another gatekeeper has failed.
+/// Maximum length of the accept queue. Hundreds of clients reconnect at once when another gatekeeper fails.
 const BACKLOG: i32 = 1024;
 /// Backoff after an error of `accept(2)`, such as a lack of descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
 
-/// A listening socket whose accept loop can be paused and ended by other coroutines and threads.
+/// A listening socket. Other coroutines and threads may pause or end its accept loop.
 #[derive(Debug)]
 pub struct Listener {
-    socket: Watched<TcpListener>,
+    socket: RegisteredSocket<TcpListener>,
     state: SharedAcceptState,
     burst: Mutex<Burst>,
 }
@@ -39,11 +39,11 @@
         Self { accepted: 0, started_at: Instant::now() }
     }
 
-    /// Counts an accepted connection, and returns whether the burst is over and other coroutines get a turn.
+    /// Counts an accepted connection, and returns whether the burst has reached its maximum, so that the accept loop must yield.
     fn count_accept(&mut self) -> bool {
         self.accepted += 1;
         let is_over = self.accepted > MAX_BURST;
-        if is_over || self.started_at.elapsed() > TURN {
+        if is_over || self.started_at.elapsed() > YIELD_TIME {
             *self = Self::start();
         }
         is_over
@@ -65,13 +65,13 @@
         Self::inherit(socket.into())
     }
 
-    /// Accepts on a listening socket that another process has opened.
+    /// Wraps a listening socket that another process has opened.
     ///
     /// # Errors
     ///
-    /// Fails where the system cannot watch the socket for events.
+    /// Returns an error if the socket cannot be registered with the event loop.
     pub fn inherit(listener: TcpListener) -> io::Result<Self> {
-        let socket = Watched::new(listener)?;
+        let socket = RegisteredSocket::new(listener)?;
         let state = SharedAcceptState::new(AcceptState::Open);
         Ok(Self { socket, state, burst: Mutex::new(Burst::start()) })
     }
@@ -90,7 +90,8 @@
         self.socket.io().inner().as_fd()
     }
 
-    /// Waits for the next connection. Returns `None` once the listener is closed and its backlog is empty.
+    /// Waits for the next connection. Returns `None` once the listener is closed and its backlog is empty or left to other
+    /// processes.
     pub fn accept(&self) -> Option<Connection> {
         self.yield_after_burst();
         loop {
@@ -106,13 +107,14 @@
                 Ok(connection) => return Some(connection),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     if self.state.get() == AcceptState::Closing {
-                        // Refuses new connections from here on. Fails only where the socket is shut down already.
+                        // Refuses new connections from here on. Fails only if the socket is shut down already.
                         let _ = SockRef::from(self.socket.io().inner()).shutdown(Shutdown::Both);
                         return None;
                     }
                     self.socket.io().wait_io();
                 }
-                // Without free descriptors the loop cannot go on until connections are closed. Other errors concern one connection.
+                // Without free descriptors, nothing can be accepted until connections are closed. Other errors affect only one
+                // connection.
                 Err(_) => sleep(ACCEPT_BACKOFF),
             }
         }
@@ -122,17 +124,18 @@
     fn yield_after_burst(&self) {
         let is_over = locked(&self.burst).count_accept();
         if is_over {
-            sleep(TURN);
+            sleep(YIELD_TIME);
         }
     }
 
-    /// Pauses or resumes the accept loop. Connections stay in the backlog meanwhile, for other processes that accept at the socket.
+    /// Pauses or resumes the accept loop. While paused, connections stay in the backlog for other
+    /// processes that accept on the socket.
     pub fn set_paused(&self, paused: bool) {
         self.set_state(if paused { AcceptState::Paused } else { AcceptState::Open });
     }
 
-    /// Ends the accept loop after the connections in the backlog. A paused listener leaves its backlog to the other processes that
-    /// accept at the socket.
+    /// Ends the accept loop once the connections in the backlog are accepted. A paused listener leaves its backlog to the other
+    /// processes that accept on the socket.
     pub fn close(&self) {
         let is_paused = self.state.get() == AcceptState::Paused;
         self.set_state(if is_paused { AcceptState::Abandoned } else { AcceptState::Closing });
--- a/crates/link/src/lock.rs
+++ b/crates/link/src/lock.rs
@@ -2,9 +2,9 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks a mutex. No coroutine waits while it holds a lock, so this blocks for moments at most.
+/// Locks a mutex. No coroutine suspends while it holds a lock, so this blocks only briefly.
 ///
-/// Aborts the process where the lock is poisoned: a panic may have left the state behind it half-changed, and going on could break
+/// Aborts the process if the lock is poisoned: a panic may have left the protected state half-changed, and continuing could break
 /// an invariant silently. A gatekeeper that restarts recovers its state.
 pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|_| {
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -1,4 +1,4 @@
-//! The receiving side of a connection, apart from its socket.
+//! The state of a connection's receiving side, independent of its socket.
 
 use crate::fairness::MAX_BURST;
 use crate::lock::locked;
@@ -12,7 +12,7 @@
 /// EPOLLRDHUP in the event flags of `epoll(7)`: the peer shut down its sending side, or reset the connection.
 pub(crate) const PEER_CLOSED_EVENT: usize = 0x2000;
 
-/// Tracks what is known of a connection's receiving side.
+/// The state of a connection's receiving side.
 ///
 /// ```text
 ///                 read: would block
@@ -29,22 +29,22 @@
 ///   +-------------------------------------------+
 /// ```
 ///
-/// Beside it stands the wake flag: [`ReadState::wake`] sets it from any thread, and the reader takes it. A reader that finds bytes
-/// puts it back, so that the wake is reported once nothing is left to read.
+/// The wake flag is independent of these states: [`ReadState::wake`] sets it from any thread, and the reader takes it. A reader
+/// that finds bytes restores it, so that the wake is reported once nothing is left to read.
 ///
-/// All methods but `wake` and `is_peer_closed` are called by the connection's own coroutine alone. The flags other than the wake
-/// flag order no other memory, so they are relaxed.
+/// Only the connection's own coroutine calls the methods other than `wake` and `is_peer_closed`. The flags other than the wake
+/// flag do not synchronize other memory, so their accesses are relaxed.
 #[derive(Debug, Default)]
 pub(crate) struct ReadState {
     is_woken: AtomicBool,
     is_peer_closed: AtomicBool,
-    /// The last read would have blocked: only an event can bring more.
+    /// The last read would have blocked, so more bytes can only come with an event.
     is_drained: AtomicBool,
     /// The worker has polled for events at least once during this connection's life.
     was_polled: AtomicBool,
     /// Consecutive reads that did not have to wait.
     burst: AtomicU32,
-    /// An error that came behind bytes. The system reports it once, so it is kept for the next read.
+    /// An error that occurred after some bytes were read. The system reports it once, so it is kept for the next read.
     deferred_error: Mutex<Option<ErrorKind>>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes that a read would have blocked.
+    /// Records that a read would have blocked.
     pub(crate) fn set_drained(&self) {
         self.is_drained.store(true, Ordering::Relaxed);
     }
@@ -69,7 +69,7 @@
         self.is_drained.load(Ordering::Relaxed)
     }
 
-    /// Notes that a read returned the end of the stream or an error.
+    /// Records that the peer has shut down its sending side or reset the connection.
     pub(crate) fn set_peer_closed(&self) {
         self.is_peer_closed.store(true, Ordering::Relaxed);
     }
@@ -79,12 +79,12 @@
         self.is_peer_closed.load(Ordering::Relaxed)
     }
 
-    /// Keeps an error that came behind bytes for the next read.
+    /// Keeps an error that occurred after some bytes were read, for the next read.
     pub(crate) fn defer_error(&self, kind: ErrorKind) {
         *locked(&self.deferred_error) = Some(kind);
     }
 
-    /// Takes the error that an earlier read has deferred. Takes no lock while the peer is connected.
+    /// Takes the error that an earlier read has deferred. Acquires no lock while the peer is connected.
     pub(crate) fn take_deferred_error(&self) -> Option<ErrorKind> {
         if self.is_peer_closed() { locked(&self.deferred_error).take() } else { None }
     }
@@ -99,17 +99,17 @@
         self.is_woken.swap(false, Ordering::AcqRel)
     }
 
-    /// Puts back a wake flag that was taken, without losing one that was set since.
+    /// Restores a wake flag that was taken, without losing one that was set since.
     pub(crate) fn restore_wake(&self, was_woken: bool) {
         self.is_woken.fetch_or(was_woken, Ordering::AcqRel);
     }
 
-    /// Returns true once in a connection's life: the first time that its reader must let the worker poll for events.
+    /// Returns true only at its first call: the reader must then let the worker poll for events.
     pub(crate) fn take_first_poll(&self) -> bool {
         !self.was_polled.swap(true, Ordering::Relaxed)
     }
 
-    /// Counts a read, and returns whether the burst is over and other coroutines get a turn.
+    /// Counts a read, and returns whether the burst has reached its maximum, so that the reader must yield.
     pub(crate) fn count_read(&self) -> bool {
         let is_over = self.burst.fetch_add(1, Ordering::Relaxed) >= MAX_BURST;
         if is_over {
@@ -118,7 +118,7 @@
         is_over
     }
 
-    /// Starts a new burst, as the reader has waited or is about to.
+    /// Ends the burst, because the reader has waited or is about to wait.
     pub(crate) fn end_burst(&self) {
         self.burst.store(0, Ordering::Relaxed);
     }
--- a/crates/link/src/read_state/tests.rs
+++ b/crates/link/src/read_state/tests.rs
@@ -1,4 +1,4 @@
-//! Transitions of the read state.
+//! State transitions of a connection's receiving side.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     let state = ReadState::default();
     state.set_drained();
     state.apply_events(0);
-    assert!(state.is_drained(), "no event came");
+    assert!(state.is_drained(), "no event has occurred");
     state.apply_events(READABLE_EVENT);
     assert!(!state.is_drained());
     assert!(!state.is_peer_closed());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_error_behind_bytes_is_returned_once_by_the_next_read() {
+fn a_deferred_error_is_returned_once_by_the_next_read() {
     let state = ReadState::default();
     state.set_peer_closed();
     state.defer_error(ErrorKind::ConnectionReset);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_wake_is_taken_once_and_survives_being_put_back() {
+fn a_wake_is_taken_once_and_can_be_restored() {
     let state = ReadState::default();
     state.wake();
     assert!(state.take_wake());
@@ -45,18 +45,18 @@
     assert!(state.take_wake());
     state.wake();
     state.restore_wake(false);
-    assert!(state.take_wake(), "a wake that came meanwhile is kept");
+    assert!(state.take_wake(), "a wake that was set meanwhile is kept");
 }
 
 #[test]
 fn a_burst_ends_after_the_maximum_of_consecutive_reads() {
     let state = ReadState::default();
-    let reads_until_turn = || (1..).find(|_| state.count_read()).expect("it ends");
-    assert_eq!(reads_until_turn(), MAX_BURST + 1);
-    assert_eq!(reads_until_turn(), MAX_BURST + 1);
+    let reads_until_yield = || (1..).find(|_| state.count_read()).expect("a burst ends");
+    assert_eq!(reads_until_yield(), MAX_BURST + 1);
+    assert_eq!(reads_until_yield(), MAX_BURST + 1);
     state.count_read();
     state.end_burst();
-    assert_eq!(reads_until_turn(), MAX_BURST + 1, "a reader that waits starts a new burst");
+    assert_eq!(reads_until_yield(), MAX_BURST + 1, "a reader that waits starts a new burst");
 }
 
 #[test]
--- a/crates/link/src/runtime.rs
+++ b/crates/link/src/runtime.rs
@@ -2,15 +2,16 @@
 
 use may::coroutine::{Builder, JoinHandle};
 
-/// Stack of an ordinary coroutine in bytes. Only used pages take memory. The reserve beyond the program's own need is for formatting
-/// a panic message.
+/// Default stack size of a coroutine in bytes. Only pages that are touched take memory. The reserve beyond the program's own need
+/// is for formatting a panic message.
 pub const STACK: usize = 128 * 1024;
-/// Stack in bytes of a coroutine that parses JSON.
+/// Stack size in bytes of a coroutine that parses JSON, whose parser is recursive.
 pub const LARGE_STACK: usize = 1024 * 1024;
-/// Stacks that `may` keeps for reuse.
+/// Number of stacks that `may` keeps for reuse.
 const STACK_POOL_CAPACITY: usize = 64;
 
-/// Configures `may` with one worker. It is not pinned, since other programs may share its core.
+/// Configures `may` with one worker thread. The thread is not pinned to a core, since other programs may share the core. Call
+/// this before the first coroutine is spawned.
 pub fn set_up() {
     may::config()
         .set_workers(1)
@@ -29,11 +30,11 @@
     spawn_with(STACK, f)
 }
 
-/// Spawns a coroutine with this many bytes of stack.
+/// Spawns a coroutine with `stack` bytes of stack.
 ///
 /// # Panics
 ///
-/// Panics where the system cannot allocate the stack.
+/// Panics if the system cannot allocate the stack.
 #[allow(unsafe_code)]
 pub fn spawn_with<F: FnOnce() + Send + 'static>(stack: usize, f: F) -> JoinHandle<()> {
     // SAFETY: `may` requires that thread-local references do not cross a suspension point, and that stacks do not overflow. No
--- a/crates/link/src/send_buffer.rs
+++ b/crates/link/src/send_buffer.rs
@@ -7,12 +7,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct SendBuffer {
     bytes: Vec<u8>,
-    /// How many of `bytes` the socket has taken.
+    /// Number of `bytes`, from the front, that the socket has taken.
     sent: usize,
 }
 
 impl SendBuffer {
-    /// Writes as many bytes as the socket takes, behind those that are buffered already, and buffers the rest.
+    /// Writes as many bytes as the socket takes, after those that are buffered already, and buffers the rest.
     pub(crate) fn send(&mut self, stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
         let mut written = 0;
         if self.is_empty() {
@@ -36,13 +36,14 @@
         self.bytes.is_empty()
     }
 
-    /// Bytes that the socket has not taken.
+    /// Returns the number of bytes that the socket has not taken.
     pub(crate) fn unsent(&self) -> usize {
         self.bytes.len() - self.sent
     }
 }
 
-/// Writes without blocking until the socket takes no more. Adds the bytes that it took to `written`, also where it fails then.
+/// Writes without blocking until the socket takes no more. Adds the number of bytes that it took to `written`, even if a later
+/// write fails.
 fn write_available(mut stream: &TcpStream, bytes: &[u8], written: &mut usize) -> io::Result<()> {
     while *written < bytes.len() {
         match stream.write(&bytes[*written..]) {
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -8,33 +8,33 @@
 
 /// An accepted or inherited socket, registered with `may`'s event loop.
 #[derive(Debug)]
-pub(crate) struct Watched<T: AsRawFd>(Option<CoIo<T>>);
+pub(crate) struct RegisteredSocket<T: AsRawFd>(Option<CoIo<T>>);
 
-impl<T: AsRawFd> Watched<T> {
+impl<T: AsRawFd> RegisteredSocket<T> {
     pub(crate) fn new(socket: T) -> io::Result<Self> {
         CoIo::new(socket).map(|io| Self(Some(io))).map_err(|e| io::Error::other(e.to_string()))
     }
 
     pub(crate) fn io(&self) -> &CoIo<T> {
-        self.0.as_ref().expect("taken by drop alone")
+        self.0.as_ref().expect("only drop takes the socket")
     }
 }
 
-impl<T: AsRawFd> Drop for Watched<T> {
-    /// Deregisters the socket before it is closed. `CoIo` itself closes first and deregisters then. Where another process holds the
-    /// socket too, epoll would keep reporting events with a pointer to freed memory.
+impl<T: AsRawFd> Drop for RegisteredSocket<T> {
+    /// Deregisters the socket before it is closed. `CoIo` on its own closes it first. If another process holds the socket too,
+    /// epoll would then keep reporting its events with a pointer to freed memory.
     fn drop(&mut self) {
         drop(self.0.take().map(CoIo::into_inner));
     }
 }
 
-/// A connection's stream.
+/// The TCP stream of a connection.
 #[derive(Debug)]
 pub(crate) enum Stream {
     /// Connected by this process.
     Outbound(TcpStream),
     /// Accepted or inherited.
-    Inbound(Watched<net::TcpStream>),
+    Inbound(RegisteredSocket<net::TcpStream>),
 }
 
 impl Stream {
--- a/crates/link/src/tcp_info.rs
+++ b/crates/link/src/tcp_info.rs
@@ -1,13 +1,14 @@
-//! Statistics that the kernel keeps of a TCP connection (`TCP_INFO` in `tcp(7)`).
+//! Statistics of a TCP connection from the kernel (`TCP_INFO` in `tcp(7)`).
 
 use std::net::TcpStream;
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-/// A longer time is no queueing time of a request: its client has timed out long ago, or the kernel does not track the figure.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Maximum plausible queueing time of a request. After a longer time, its client has timed out long ago, or the kernel does not
+/// track the time.
+const MAX_QUEUEING_TIME: Duration = Duration::from_secs(60);
 
-/// Returns how long ago the last bytes arrived, where the kernel tells.
+/// Returns the time since the last bytes arrived; `None` if the kernel does not provide it.
 #[allow(unsafe_code)] // No safe wrapper of TCP_INFO is among the dependencies.
 pub(crate) fn time_since_last_data(stream: &TcpStream) -> Option<Duration> {
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
@@ -22,8 +23,8 @@
             &raw mut length,
         )
     };
-    // SAFETY: the struct holds plain integers alone and was zeroed.
+    // SAFETY: the struct holds only plain integers and was zeroed.
     let info = unsafe { info.assume_init() };
     let time = Duration::from_millis(info.tcpi_last_data_recv.into());
-    (result == 0 && time <= MAX_WAIT).then_some(time)
+    (result == 0 && time <= MAX_QUEUEING_TIME).then_some(time)
 }
--- a/crates/link/src/timer.rs
+++ b/crates/link/src/timer.rs
@@ -1,7 +1,7 @@
 //! Sleep for coroutines, with a timer thread.
 //!
-//! `may`'s own sleep resumes a coroutine on `may`'s timer thread, in parallel to the worker, and its parks with a timeout may never
-//! end. Here a coroutine parks without a timeout and the timer thread unparks it, so it resumes on the worker.
+//! `may`'s own sleep resumes a coroutine on `may`'s timer thread, in parallel to the worker, and its park with a timeout may
+//! never return. Here a coroutine parks without a timeout and the timer thread unparks it, so it resumes on the worker.
 
 use crate::lock::locked;
 use may::coroutine::{self, Coroutine};
@@ -10,7 +10,7 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// Sleeping coroutines, ordered by wake time and then by the order of their sleeps.
+/// Sleeping coroutines, ordered by wake time; those with equal times in the order in which they began to sleep.
 #[derive(Default)]
 struct Sleepers {
     last_serial: u64,
