--- a/crates/front_openapi/src/client_connection.rs
+++ b/crates/front_openapi/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its phase, and the answer that it waits for.
+//! One client's connection: its phase, and the outstanding answer.
 
 use exchange::FinalAnswer;
 use http::Response;
@@ -17,7 +17,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It is between requests.
+    /// The connection is between requests.
     Idle,
     /// A request is arriving.
     Reading,
@@ -27,7 +27,7 @@
     Finishing,
 }
 
-/// The phase of a connection and when it began.
+/// The current phase of a connection, and when it began.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CurrentPhase {
     pub(crate) phase: Phase,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Enters a phase. No effect where the connection is in it already.
+    /// Enters a phase. Has no effect if the connection is in this phase already.
     pub(crate) fn enter(&self, phase: Phase) {
         let mut current = locked(&self.phase);
         if current.phase != phase {
@@ -75,7 +75,7 @@
         *locked(&self.phase)
     }
 
-    /// Returns since when the connection is idle, if it has been for at least `min_idle`.
+    /// Returns when the connection became idle, if it has been idle for at least `min_idle`.
     pub(crate) fn idle_since(&self, min_idle: Duration) -> Option<Instant> {
         let CurrentPhase { phase, since } = self.phase();
         (phase == Phase::Idle && since.elapsed() >= min_idle).then_some(since)
@@ -87,7 +87,7 @@
         self.connection.wake();
     }
 
-    /// Takes the request of [`ClientConnection::request_close_if_idle`], and returns whether there was one.
+    /// Clears the request of [`ClientConnection::request_close_if_idle`], and returns whether there was one.
     pub(crate) fn take_close_request(&self) -> bool {
         self.is_close_requested.swap(false, Ordering::AcqRel)
     }
--- a/crates/front_openapi/src/config.rs
+++ b/crates/front_openapi/src/config.rs
@@ -8,20 +8,20 @@
 /// A tenant that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, as clients send it in the tenant header.
+    /// Name of the tenant, as clients send it in the tenant header.
     pub name: String,
-    /// Its number.
+    /// Identifies the tenant at the exchange.
     pub id: TenantId,
-    /// The number of its plan.
+    /// Number of the tenant's plan in the policy's settings.
     pub plan: u32,
-    /// The name of its plan.
+    /// Name of the tenant's plan, for the operator's report.
     pub plan_name: String,
 }
 
 /// The request class of a route, as the exchange knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteClass {
-    /// The number of the class.
+    /// Number of the class in the policy's settings.
     pub class: u16,
     /// Time until the client times out, in microseconds.
     pub deadline: Micros,
@@ -30,26 +30,26 @@
 /// The configuration of the front.
 #[derive(Clone, Debug)]
 pub struct FrontConfig {
-    /// The routes.
+    /// The routes of the OpenAPI descriptions, with their units.
     pub routes: RouteTable,
     /// The class of each route, indexed by the route's number.
     pub classes: Vec<RouteClass>,
-    /// The header that names the tenant.
+    /// Name of the header in which a client sends the tenant's name.
     pub tenant_header: String,
-    /// The tenants.
+    /// The tenants that may send requests. A request of any other is answered with 403.
     pub tenants: Vec<Tenant>,
     /// Number of gatekeepers that serve one tenant.
     pub tenant_gatekeepers: f64,
-    /// Maximum bytes of a request's body.
+    /// Maximum bytes of a request's body after decoding. A longer one is answered with 413.
     pub max_body_bytes: usize,
-    /// Maximum number of client connections.
+    /// Maximum number of client connections. At this limit, idle ones are evicted for new ones.
     pub max_connections: usize,
-    /// Time for a client to send a complete request, and to read an answer.
+    /// Time limit for a client to send a complete request, and to read an answer.
     pub client_timeout: Duration,
 }
 
 impl FrontConfig {
-    /// Returns the account in which the exchange sums up the units of a tenant on a route.
+    /// Returns the number of the account in which the exchange sums up the units of a tenant on a route.
     pub(crate) fn account(&self, route: usize, tenant: usize) -> u32 {
         (route * self.tenants.len() + tenant) as u32
     }
--- a/crates/front_openapi/src/connection_end.rs
+++ b/crates/front_openapi/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! Why a client connection ends.
+//! The reasons for which a client connection ends.
 
 use crate::problem::Problem;
 
@@ -6,11 +6,12 @@
 pub(crate) enum ConnectionEnd {
     /// The client has disconnected.
     ClientGone,
-    /// It is between requests and closes gracefully. A request that crosses the close is unread, so the client may retry it.
+    /// The connection is between requests and closes gracefully. A request that arrives during the close stays unread, so the
+    /// client may retry it.
     BetweenRequests,
-    /// This response is sent before it closes.
+    /// The connection closes after this response is sent.
     Problem(Problem),
 }
 
-/// Whether a client connection serves further requests.
+/// `Ok` while a client connection serves further requests, otherwise the reason why it ends.
 pub(crate) type ServeResult = Result<(), ConnectionEnd>;
--- a/crates/front_openapi/src/front.rs
+++ b/crates/front_openapi/src/front.rs
@@ -25,12 +25,12 @@
     pub(crate) config: FrontConfig,
     is_draining: AtomicBool,
     connections: Mutex<Vec<Weak<ClientConnection>>>,
-    /// Final answers by route, indexed by the route's number.
+    /// Numbers of final answers by route, indexed by the route's number.
     pub(crate) counts: Mutex<Vec<RouteCounts>>,
 }
 
 impl Front {
-    /// Creates a front that submits its requests to this exchange.
+    /// Creates a front that submits its requests to `exchange`.
     pub fn new(exchange: Arc<HttpExchange>, config: FrontConfig) -> Arc<Self> {
         let counts = Mutex::new(vec![RouteCounts::default(); config.routes.routes().len()]);
         let is_draining = AtomicBool::new(false);
@@ -40,7 +40,8 @@
     /// Accepts client connections until the listener is closed. Runs in a coroutine.
     pub fn accept_connections(self: &Arc<Self>, listener: &Listener) {
         while let Some(connection) = listener.accept() {
-            // At the limit a new connection waits for evictions. If it were closed, its client would only reconnect.
+            // At the limit a new connection waits until another one is evicted. If it were closed, its client would only
+            // reconnect.
             while self.is_full() {
                 self.evict_longest_idle();
                 sleep(EVICTION_INTERVAL);
@@ -70,14 +71,14 @@
         self.open_clients().len()
     }
 
-    /// Closes connections that have exceeded the idle time-out or the client time-out. To be called a few times a second.
+    /// Closes connections that have exceeded the idle time-out or the client time-out. The caller runs it a few times a second.
     pub fn close_overdue(&self) {
         let client_timeout = self.config.client_timeout;
         for client in self.open_clients() {
             let current = client.phase();
             match current.phase {
                 Phase::Idle if current.exceeds(IDLE_TIMEOUT) => client.request_close_if_idle(),
-                // Its coroutine wakes, checks the time-out and answers 408.
+                // The connection's coroutine wakes, checks the time-out and answers 408.
                 Phase::Reading if current.exceeds(client_timeout) => client.connection.wake(),
                 Phase::Finishing if current.exceeds(client_timeout) => client.connection.close(),
                 _ => {}
--- a/crates/front_openapi/src/lib.rs
+++ b/crates/front_openapi/src/lib.rs
@@ -1,8 +1,8 @@
 //! The HTTP/1.1 front, whose routes and costs come from OpenAPI descriptions.
 //!
 //! The method and path of a request select its route, and the route its units and request class. A configured header names the
-//! tenant; the tenant's plan comes from the configuration, never from the client. The exchange makes all admission decisions, as it
-//! does for every front.
+//! tenant; the tenant's plan comes from the configuration, never from the client. As for every front, the exchange makes all
+//! admission decisions.
 
 mod client_connection;
 mod config;
--- a/crates/front_openapi/src/problem.rs
+++ b/crates/front_openapi/src/problem.rs
@@ -12,7 +12,7 @@
     status: u16,
     title: &'static str,
     detail: String,
-    /// Additional header fields, each with its CRLF.
+    /// Additional header fields, each terminated by CRLF.
     fields: String,
 }
 
@@ -25,14 +25,14 @@
         Self::new(400, "Bad Request", detail)
     }
 
-    /// `allowed` lists the methods of the path, separated by commas.
+    /// The response to a method that the path does not have. `allowed` lists the path's methods, separated by commas.
     pub(crate) fn method_not_allowed(allowed: &str) -> Self {
         let mut problem = Self::new(405, "Method Not Allowed", "the path has other methods");
         problem.fields = format!("Allow: {allowed}\r\n");
         problem
     }
 
-    /// The response to a request that was rejected or failed. `retry_after` is 0 for none.
+    /// The response to a request that was rejected or failed. `retry_after` is in microseconds; 0 stands for no retry time.
     pub(crate) fn not_served(reason: FailureReason, retry_after: Micros) -> Self {
         match reason {
             FailureReason::NoCapacity => {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Adds `Retry-After` in whole seconds, rounded up, unless it is 0.
+    /// Adds the field `Retry-After` in whole seconds, rounded up, unless `retry_after` is 0.
     fn with_retry_after(mut self, retry_after: Micros) -> Self {
         if retry_after > 0 {
             self.fields = format!("Retry-After: {}\r\n", retry_after.div_ceil(MICROS_PER_SECOND));
@@ -56,7 +56,7 @@
         self
     }
 
-    /// Encodes the response. `close` announces the end of the connection. The response to a HEAD request has no body.
+    /// Encodes the response. `close` adds `Connection: close`. The response to a HEAD request (`is_head`) has no body.
     pub(crate) fn encode(&self, close: bool, is_head: bool) -> Vec<u8> {
         let Self { status, title, detail, fields } = self;
         let needs_escape = |character: char| character.is_control() || "\"\\".contains(character);
--- a/crates/front_openapi/src/problem/tests.rs
+++ b/crates/front_openapi/src/problem/tests.rs
@@ -1,4 +1,4 @@
-//! Error responses, as version 0.1.0 wrote them: later versions write the same bytes.
+//! Guards the bytes of error responses, which later versions write exactly as version 0.1.0 did.
 
 use super::*;
 
@@ -24,7 +24,7 @@
     ]
 }
 
-/// Each problem as it is encoded for each kind of connection and request.
+/// Encodes each problem for every combination of closing connection and HEAD request.
 fn encoded_problems() -> String {
     let mut text = String::new();
     for problem in all_problems() {
--- a/crates/front_openapi/src/receive.rs
+++ b/crates/front_openapi/src/receive.rs
@@ -15,7 +15,7 @@
 
 /// A request that has arrived completely.
 pub(crate) struct CompleteRequest {
-    /// The bytes of its head.
+    /// The bytes of the head.
     pub(crate) bytes: Vec<u8>,
     pub(crate) head: RequestHead,
     pub(crate) body: Vec<u8>,
@@ -29,7 +29,7 @@
         client: &ClientConnection,
         buffer: &mut Vec<u8>,
     ) -> Result<CompleteRequest, ConnectionEnd> {
-        // Requests that a client pipelined before it disconnected are not started.
+        // Requests that a client pipelined before it disconnected are not submitted.
         if client.connection.is_peer_closed() {
             return Err(ConnectionEnd::ClientGone);
         }
@@ -77,7 +77,7 @@
             client.enter(Phase::Idle);
         }
         match client.connection.receive(buffer, MAX_READ_BYTES) {
-            // Requests of a client that has disconnected since are not started.
+            // Requests of a client that has disconnected are not submitted.
             Ok(Incoming::Bytes(_)) if client.connection.is_peer_closed() => Err(ConnectionEnd::ClientGone),
             Ok(Incoming::Bytes(_)) => {
                 client.enter(Phase::Reading);
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Ends a connection that was woken because it is evicted, idle or stalled.
+    /// Ends a woken connection if its close was requested while it is idle, or if its request has exceeded the client time-out.
     fn check_timeouts(&self, client: &ClientConnection) -> ServeResult {
         let current = client.phase();
-        // A wake is reported when nothing is left to read. Only here is it certain that no request has arrived unread.
+        // A wake is reported only when nothing is left to read, so no request has arrived unread.
         if client.take_close_request() && client.idle_since(MIN_IDLE_FOR_EVICTION).is_some() {
             return Err(ConnectionEnd::BetweenRequests);
         }
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -10,11 +10,11 @@
 /// Counts of the final answers of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteCounts {
-    /// Served by a backend.
+    /// Requests that a backend has served.
     pub served: u64,
-    /// Rejected. The console shows them as `busy`.
+    /// Requests that were rejected. The console shows them as `busy`.
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed and may have had an effect.
     pub failed: u64,
 }
 
@@ -28,12 +28,12 @@
     }
 }
 
-/// Forwarded units by account, as the exchange counts them.
+/// Units of forwarded requests by account, as the exchange counts them.
 type UnitsByAccount = BTreeMap<u32, f64>;
 
 impl Front {
-    /// Returns a text with one line for each route and tenant. Units count once for each forwarded request, however many attempts it
-    /// took.
+    /// Returns a text with one line for each route and each tenant. The units of a forwarded request count once, however many
+    /// attempts it took.
     pub fn report(&self) -> String {
         let units = self.exchange.status().accounts;
         let mut report = String::from("routes\n");
@@ -68,7 +68,7 @@
 /// Sums up the units of the accounts that are included.
 fn sum_units(units: &UnitsByAccount, is_included: impl Fn(u32) -> bool) -> f64 {
     let included = units.iter().filter(|(account, _)| is_included(**account));
-    // `Iterator::sum` returns -0 for an empty iterator, which would be printed as such.
+    // `Iterator::sum` returns -0 for an empty iterator, which would be printed as `-0`.
     included.fold(0.0, |sum, (_, units)| sum + units)
 }
 
--- a/crates/front_openapi/src/report/tests.rs
+++ b/crates/front_openapi/src/report/tests.rs
@@ -1,4 +1,4 @@
-//! The report, as version 0.1.0 wrote it: later versions write the same bytes.
+//! Guards the bytes of the report, which later versions write exactly as version 0.1.0 did.
 
 use crate::{Front, FrontConfig, HttpExchange, RouteClass, RouteCounts, Tenant};
 use exchange::{Clock, Exchange, FailureReason, FinalAnswer, TenantId};
@@ -21,7 +21,8 @@
         ..Settings::default()
     };
     let exchange: Arc<HttpExchange> = Exchange::new(settings, 1, Clock::start()).expect("valid settings");
-    let table = RouteTable::load(&[Description { name: "loans.json", text: DESCRIPTION }]).expect("a table");
+    let table = RouteTable::load(&[Description { name: "loans.json", text: DESCRIPTION }])
+        .expect("a valid route table");
     let tenant = |name: &str, number: u64, plan: &str| Tenant {
         name: name.into(),
         id: TenantId(number),
--- a/crates/front_openapi/src/resolve.rs
+++ b/crates/front_openapi/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Resolving the route and the tenant of a request.
+//! Resolution of a request's route and tenant.
 
 use crate::problem::Problem;
 use crate::{Front, FrontConfig};
@@ -8,7 +8,7 @@
 /// The route and the tenant of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Resolved {
-    /// The number of the route.
+    /// The route's number in the route table.
     pub(crate) route: usize,
     /// The tenant's index in the configuration.
     pub(crate) tenant: usize,
@@ -44,12 +44,13 @@
     tenant.ok_or_else(|| Problem::new(403, "Forbidden", "this lender is not known here"))
 }
 
-/// Returns a part of the request line as text.
+/// Returns a part of the request line as text. Fails with 400 if it is not UTF-8.
 fn ascii(part: &[u8]) -> Result<&str, Problem> {
     std::str::from_utf8(part).map_err(|_| Problem::malformed("the target is not ASCII"))
 }
 
-/// Returns the target in origin form (path and query). Clients may send it in absolute form, with scheme and authority.
+/// Returns the request target in origin form (path and query). Clients may also send it in absolute form, with scheme and
+/// authority.
 pub(crate) fn request_target<'a>(bytes: &'a [u8], head: &RequestHead) -> Result<&'a [u8], Problem> {
     let target = &bytes[head.target.clone()];
     let has_scheme =
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -12,15 +12,16 @@
 use policy::Micros;
 use std::sync::Arc;
 
-/// Bytes that a client may pipeline while a request is in flight. Beyond them, its connection is not read (backpressure).
+/// Bytes that a client may pipeline while a request is in flight. Once they are buffered, its connection is not read
+/// (backpressure).
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// An answer is due this long before the client times out, in microseconds: for the timers' resolution.
-const DEADLINE_MARGIN: Micros = 10_000;
-/// A request has at least this much time, in microseconds, however short its deadline.
-const MIN_TIME_LEFT: Micros = 1_000;
+/// Time between the exchange's deadline and the client's time-out, to cover the resolution of timers.
+const DEADLINE_MARGIN_MICROS: Micros = 10_000;
+/// Minimum time that a request has, however short its deadline.
+const MIN_TIME_LEFT_MICROS: Micros = 1_000;
 
 impl Front {
-    /// Serves requests until the client disconnects, or the end of a request cannot be determined.
+    /// Serves requests until the client disconnects, the connection is to close, or the end of a request cannot be determined.
     pub(crate) fn serve(&self, client: &Arc<ClientConnection>) {
         let mut buffer = Vec::new();
         let end = loop {
@@ -33,7 +34,7 @@
             ConnectionEnd::ClientGone => return,
             ConnectionEnd::BetweenRequests => {}
             ConnectionEnd::Problem(problem) => {
-                // Fails where the client has disconnected and needs no response.
+                // Fails if the client has disconnected, and then needs no response.
                 let _ = client.connection.send(&problem.encode(true, false));
             }
         }
@@ -64,20 +65,20 @@
         self.send(client, &encode_answer(&answer, !keep_alive, is_head), keep_alive)
     }
 
-    /// Sends an answer, and waits until the client has taken it or the connection is to close.
+    /// Sends an answer. If the connection stays open, waits until the socket has taken the answer.
     fn send(&self, client: &ClientConnection, bytes: &[u8], keep_alive: bool) -> ServeResult {
         client.connection.send(bytes).map_err(|_| ConnectionEnd::ClientGone)?;
         client.enter(Phase::Finishing);
         if !keep_alive {
             return Err(ConnectionEnd::BetweenRequests);
         }
-        // The next request is read after the client has taken this answer, so at most one answer is buffered (backpressure).
+        // The next request is read after the socket has taken this answer, so at most one answer is buffered (backpressure).
         client.connection.flush_all().map_err(|_| ConnectionEnd::ClientGone)?;
         client.enter(Phase::Idle);
         Ok(())
     }
 
-    /// Converts a request for the exchange.
+    /// Builds the request that is submitted to the exchange.
     fn exchange_request(
         &self,
         bytes: &[u8],
@@ -92,7 +93,7 @@
             class: class.class,
             plan: tenant_config.plan,
             tenant: tenant_config.id,
-            time_left: class.deadline.saturating_sub(DEADLINE_MARGIN).max(MIN_TIME_LEFT),
+            time_left: class.deadline.saturating_sub(DEADLINE_MARGIN_MICROS).max(MIN_TIME_LEFT_MICROS),
             tenant_gatekeepers: self.config.tenant_gatekeepers,
             units: self.config.routes.routes()[route].units,
             client_retry: false,
@@ -128,7 +129,7 @@
     }
 }
 
-/// Encodes a final answer.
+/// Encodes a final answer as an HTTP response.
 fn encode_answer(answer: &FinalAnswer<Response>, close: bool, is_head: bool) -> Vec<u8> {
     /// Capacity for the `Content-Length` and `Connection` fields.
     const FIELD_BYTES: usize = 64;
