--- a/crates/json_stream/src/depth.rs
+++ b/crates/json_stream/src/depth.rs
@@ -1,6 +1,6 @@
 //! Nesting depth of JSON.
 
-/// Maximum nesting depth of arrays and objects. The JSON that the program reads needs six levels.
+/// Maximum nesting depth of arrays and objects. The JSON that the program reads is nested up to six levels deep.
 pub const MAX_DEPTH: usize = 64;
 
 /// Tracks the nesting depth over the bytes of a JSON text. Brackets in strings do not count.
@@ -44,7 +44,7 @@
     }
 }
 
-/// Whether a JSON text is nested more deeply than [`MAX_DEPTH`].
+/// Whether a JSON text is nested more deeply than [`MAX_DEPTH`]. The text need not be valid JSON.
 pub fn exceeds_max_depth(json: &[u8]) -> bool {
     let mut tracker = DepthTracker::default();
     json.iter().any(|&byte| {
--- a/crates/json_stream/src/object_stream.rs
+++ b/crates/json_stream/src/object_stream.rs
@@ -1,22 +1,22 @@
-//! A stream of JSON objects.
+//! Incremental splitting of a byte stream into JSON objects.
 
 use crate::depth::DepthTracker;
 use std::error::Error;
 use std::fmt;
 
-/// An item of a stream.
+/// An item of an [`ObjectStream`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// A complete object, which may span lines.
+    /// The text of a complete object, which may span several lines.
     Object(Vec<u8>),
-    /// The end of a line outside an object. An empty line is a heartbeat of the sender.
+    /// The end of a line outside an object. The sender sends empty lines as heartbeats.
     LineEnd,
 }
 
-/// Why a stream is invalid from some byte on.
+/// Why the rest of a stream cannot be split into objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// There is text outside an object.
+    /// The stream has text other than whitespace outside an object.
     NotAnObject,
     /// An object is nested more deeply than [`MAX_DEPTH`](crate::MAX_DEPTH).
     TooDeep,
@@ -42,7 +42,7 @@
     bytes: Vec<u8>,
     /// Position of the next byte to scan.
     position: usize,
-    /// Start of the present object.
+    /// Start of the current object.
     object_start: usize,
     depth: DepthTracker,
     max_object_bytes: usize,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The buffer to which the caller appends received bytes.
+    /// Returns the buffer to which the caller appends received bytes.
     pub fn input(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Discards the bytes of returned items. This happens once for all items of a read, not for each.
+    /// Discards the bytes of returned items. Runs once for all items of a read, so that the rest is moved only once.
     fn discard_returned(&mut self) {
         let returned = if self.is_inside_object() { self.object_start } else { self.position };
         self.bytes.drain(..returned);
--- a/crates/json_stream/tests/objects.rs
+++ b/crates/json_stream/tests/objects.rs
@@ -1,4 +1,4 @@
-//! Streams of objects: items, limits and invalid text.
+//! Splitting of object streams: items, limits and invalid text.
 
 use json_stream::{Item, MAX_DEPTH, ObjectStream, StreamError, exceeds_max_depth};
 
@@ -23,7 +23,7 @@
 const INDENTED: &str = "{\n  \"rev\": 43,\n  \"targets\": [\n    {\"uid\": \"s-}\\\"{\\\\\"}\n  ]\n}";
 
 #[test]
-fn objects_may_share_a_line_or_span_several_and_lines_between_them_are_reported() {
+fn splits_objects_that_share_or_span_lines_and_reports_line_ends_between_them() {
     let stream = format!("{{\"rev\":41}}\n\r\n{INDENTED}\r\n{{\"rev\":44}}{{\"rev\":45}}\n");
     let items = read_items(&[stream.as_bytes()]).expect("a valid stream");
     let line_end = || Item::LineEnd;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_incomplete_object_is_reported_until_it_is_complete() {
+fn is_inside_an_object_until_the_object_is_complete() {
     let mut stream = ObjectStream::new(64);
     stream.input().extend_from_slice(b"\n{\"rev\":1,\n\n");
     assert_eq!(stream.next_item(), Ok(Some(Item::LineEnd)));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_error_says_what_is_wrong() {
+fn an_error_text_states_the_violated_rule() {
     for (error, text) in [
         (StreamError::NotAnObject, "text that is no object"),
         (StreamError::TooDeep, "an object that nests too deep"),
