--- a/crates/front_openapi/src/client_connection.rs
+++ b/crates/front_openapi/src/client_connection.rs
@@ -64,7 +64,7 @@
     }
 
     /// Enters a phase. Has no effect if the connection is in this phase already.
-    pub(crate) fn enter(&self, phase: Phase) {
+    pub(crate) fn enter_phase(&self, phase: Phase) {
         let mut current = locked(&self.phase);
         if current.phase != phase {
             *current = CurrentPhase::start(phase);
--- a/crates/front_openapi/src/front.rs
+++ b/crates/front_openapi/src/front.rs
@@ -16,7 +16,7 @@
 /// Interval between two evictions at the limit of connections.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The exchange of this front: HTTP requests in, HTTP responses out.
+/// The exchange that the front uses. Its requests and answers are HTTP messages.
 pub type HttpExchange = Exchange<Request, Response>;
 
 /// The front with all its client connections.
--- a/crates/front_openapi/src/receive.rs
+++ b/crates/front_openapi/src/receive.rs
@@ -39,7 +39,7 @@
                 None => self.read_more(client, buffer)?,
             }
         };
-        client.enter(Phase::Reading);
+        client.enter_phase(Phase::Reading);
         let bytes: Vec<u8> = buffer.drain(..head.length).collect();
         let resolved = self.resolve(&bytes, &head);
         if let (Err(problem), true) = (&resolved, head.framing != Framing::Empty) {
@@ -74,13 +74,13 @@
             if self.is_draining() {
                 return Err(ConnectionEnd::BetweenRequests);
             }
-            client.enter(Phase::Idle);
+            client.enter_phase(Phase::Idle);
         }
         match client.connection.receive(buffer, MAX_READ_BYTES) {
             // Requests of a client that has disconnected are not submitted.
             Ok(Incoming::Bytes(_)) if client.connection.is_peer_closed() => Err(ConnectionEnd::ClientGone),
             Ok(Incoming::Bytes(_)) => {
-                client.enter(Phase::Reading);
+                client.enter_phase(Phase::Reading);
                 Ok(())
             }
             Ok(Incoming::Woken) => self.check_timeouts(client),
--- a/crates/front_openapi/src/resolve.rs
+++ b/crates/front_openapi/src/resolve.rs
@@ -26,7 +26,7 @@
 fn find_route(config: &FrontConfig, bytes: &[u8], head: &RequestHead) -> Result<usize, Problem> {
     let path = path_of(request_target(bytes, head)?);
     let method = &bytes[head.method.clone()];
-    let found = config.routes.find(ascii(method)?, ascii(path)?);
+    let found = config.routes.find(as_text(method)?, as_text(path)?);
     match found.map_err(|error| Problem::malformed(&error.to_string()))? {
         RouteMatch::Route(route) => Ok(route),
         RouteMatch::MethodNotAllowed(allowed) => Err(Problem::method_not_allowed(&allowed)),
@@ -45,7 +45,7 @@
 }
 
 /// Returns a part of the request line as text. Fails with 400 if it is not UTF-8.
-fn ascii(part: &[u8]) -> Result<&str, Problem> {
+fn as_text(part: &[u8]) -> Result<&str, Problem> {
     std::str::from_utf8(part).map_err(|_| Problem::malformed("the target is not ASCII"))
 }
 
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -26,7 +26,7 @@
         let mut buffer = Vec::new();
         let end = loop {
             let received = self.receive(client, &mut buffer);
-            if let Err(end) = received.and_then(|request| self.answer(client, &mut buffer, request)) {
+            if let Err(end) = received.and_then(|request| self.answer_request(client, &mut buffer, request)) {
                 break end;
             }
         };
@@ -38,12 +38,12 @@
                 let _ = client.connection.send(&problem.encode(true, false));
             }
         }
-        client.enter(Phase::Finishing);
+        client.enter_phase(Phase::Finishing);
         client.connection.close_gracefully();
     }
 
     /// Obtains the answer to a request, and sends it.
-    fn answer(
+    fn answer_request(
         &self,
         client: &Arc<ClientConnection>,
         buffer: &mut Vec<u8>,
@@ -51,7 +51,7 @@
     ) -> ServeResult {
         let CompleteRequest { bytes, head, body, resolved } = request;
         let is_head = &bytes[head.method.clone()] == b"HEAD";
-        client.enter(Phase::Waiting);
+        client.enter_phase(Phase::Waiting);
         let resolved = match resolved {
             Ok(resolved) => resolved,
             Err(problem) => {
@@ -59,7 +59,7 @@
             }
         };
         let request = self.exchange_request(&bytes, &head, body, resolved)?;
-        let answer = self.exchange(client, buffer, request)?;
+        let answer = self.await_answer(client, buffer, request)?;
         locked(&self.counts)[resolved.route].count(&answer);
         let keep_alive = head.keep_alive && !self.is_draining();
         self.send(client, &encode_answer(&answer, !keep_alive, is_head), keep_alive)
@@ -68,13 +68,13 @@
     /// Sends an answer. If the connection stays open, waits until the socket has taken the answer.
     fn send(&self, client: &ClientConnection, bytes: &[u8], keep_alive: bool) -> ServeResult {
         client.connection.send(bytes).map_err(|_| ConnectionEnd::ClientGone)?;
-        client.enter(Phase::Finishing);
+        client.enter_phase(Phase::Finishing);
         if !keep_alive {
             return Err(ConnectionEnd::BetweenRequests);
         }
         // The next request is read after the socket has taken this answer, so at most one answer is buffered (backpressure).
         client.connection.flush_all().map_err(|_| ConnectionEnd::ClientGone)?;
-        client.enter(Phase::Idle);
+        client.enter_phase(Phase::Idle);
         Ok(())
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Submits a request to the exchange and waits for its final answer, or for the client to disconnect.
-    fn exchange(
+    fn await_answer(
         &self,
         client: &Arc<ClientConnection>,
         buffer: &mut Vec<u8>,
--- a/crates/front_resp/src/answer_queue.rs
+++ b/crates/front_resp/src/answer_queue.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(crate) struct AnswerQueue {
     /// The number of the command at the front.
-    first: CommandNumber,
+    first_number: CommandNumber,
     slots: VecDeque<Slot>,
     requests_in_flight: usize,
 }
@@ -33,7 +33,7 @@
 pub(crate) struct DueAnswers {
     pub(crate) bytes: Vec<u8>,
     /// Whether a streamed answer was cut off after these bytes.
-    pub(crate) is_broken: bool,
+    pub(crate) is_truncated: bool,
 }
 
 impl AnswerQueue {
@@ -63,12 +63,12 @@
     /// Appends a command, and returns its number.
     pub(crate) fn push(&mut self) -> CommandNumber {
         self.slots.push_back(Slot::Waiting(None));
-        self.first + self.slots.len() as u64 - 1
+        self.first_number + self.slots.len() as u64 - 1
     }
 
     /// Returns the slot of a command; `None` once its answer is written or the connection has ended.
     pub(crate) fn slot(&mut self, command: CommandNumber) -> Option<&mut Slot> {
-        let index = command.checked_sub(self.first)?;
+        let index = command.checked_sub(self.first_number)?;
         self.slots.get_mut(index as usize)
     }
 
@@ -97,14 +97,14 @@
                     ReadResult::Pending => return due,
                     ReadResult::End => {}
                     ReadResult::Broken => {
-                        due.is_broken = true;
+                        due.is_truncated = true;
                         return due;
                     }
                 },
                 Some(Slot::Waiting(_)) | None => return due,
             }
             self.slots.pop_front();
-            self.first += 1;
+            self.first_number += 1;
         }
     }
 }
--- a/crates/front_resp/src/client_state.rs
+++ b/crates/front_resp/src/client_state.rs
@@ -40,7 +40,7 @@
     pub(crate) fn new(incomplete: Reservation, unread: Reservation) -> Self {
         Self {
             answers: AnswerQueue::default(),
-            incomplete: IncompleteCommand::none(incomplete),
+            incomplete: IncompleteCommand::new(incomplete),
             unread,
             idle_since: Instant::now(),
             had_valid_command: false,
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -38,7 +38,7 @@
 
 impl Front {
     /// Ends a connection from which no more commands are read, and cancels its requests that are still in flight.
-    pub(crate) fn end(&self, client: &ClientConnection, end: ConnectionEnd) {
+    pub(crate) fn end_connection(&self, client: &ClientConnection, end: ConnectionEnd) {
         match end {
             ConnectionEnd::Error(text) => self.end_with_error(client, text),
             ConnectionEnd::HandedOver => return,
--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -92,7 +92,7 @@
         // was full or this process was descheduled.
         let waited = client.socket.time_since_last_data().unwrap_or_default();
         valid.request.time_left = time_left_after(valid.request.time_left, waited);
-        let Some(open) = self.open_requests.open(valid.id) else {
+        let Some(open) = self.open_requests.register(valid.id) else {
             return Command::Error("the id is that of an open request".to_owned());
         };
         let reservation = Reservation::new(&self.memory.complete, raw.len());
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The linger time-out is divided by this while connections are evicted.
+/// At the connection limit, a lingering connection is closed after the linger time-out divided by this.
 const LINGER_DIVISOR: u32 = 4;
 
 /// A connection that may be evicted.
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The exchange of this front: RESP2 commands in, RESP2 values out.
+/// The exchange that the front uses. Its requests are RESP2 commands, and its answers are RESP2 values.
 pub type RespExchange = Exchange<Query, AnswerBody>;
 
 /// Hands a client's connection over to another process, with the bytes that have arrived of an incomplete command.
@@ -40,7 +40,7 @@
 pub(crate) struct FrontMemory {
     /// Incomplete commands.
     pub(crate) incomplete: Arc<MemoryBudget>,
-    /// Requests in flight, and answers that wait for their turn.
+    /// Requests in flight, and answers that wait for earlier ones.
     pub(crate) complete: Arc<MemoryBudget>,
     /// Answers that clients have not read.
     pub(crate) unread: Arc<MemoryBudget>,
@@ -131,7 +131,7 @@
         locked(&client.state).incomplete.resume(incomplete_since);
         let number = self.connections.insert(client.clone());
         if self.is_draining() {
-            // Makes the connection end after it is read once.
+            // The wake ends the connection after it has been read once.
             client.socket.wake();
         }
         let (front, served) = (self.clone(), client.clone());
--- a/crates/front_resp/src/incomplete_command.rs
+++ b/crates/front_resp/src/incomplete_command.rs
@@ -15,7 +15,7 @@
 
 impl IncompleteCommand {
     /// Starts without an incomplete command.
-    pub(crate) fn none(reservation: Reservation) -> Self {
+    pub(crate) fn new(reservation: Reservation) -> Self {
         Self { since: None, reservation, is_shed: false }
     }
 
@@ -34,7 +34,7 @@
         self.is_shed &= self.since.is_some();
     }
 
-    /// Discards the command of a connection that is read no more. Its bytes are freed with the read buffer.
+    /// Discards the command of a connection that is no longer read. Its bytes are freed with the read buffer.
     pub(crate) fn clear(&mut self) {
         self.since = None;
         self.reservation.resize(0);
--- a/crates/front_resp/src/limits.rs
+++ b/crates/front_resp/src/limits.rs
@@ -18,7 +18,7 @@
 pub(crate) const MAX_UNREAD_BYTES_UNDER_PRESSURE: usize = 16 * 1024;
 /// The budget for incomplete commands is the process's memory divided by this.
 pub(crate) const INCOMPLETE_MEMORY_DIVISOR: usize = 8;
-/// The budget for complete requests and for answers that wait for their turn is the process's memory divided by this.
+/// The budget for complete requests and for answers that wait for earlier ones is the process's memory divided by this.
 pub(crate) const COMPLETE_MEMORY_DIVISOR: usize = 4;
 /// The budget for answers that clients have not read is the process's memory divided by this.
 pub(crate) const UNREAD_MEMORY_DIVISOR: usize = 8;
@@ -42,9 +42,9 @@
 /// Time for a client to read the last answer of a connection that is being closed.
 pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause in reading from a connection after an error, so that a client that repeats it costs little work.
-pub(crate) const ERROR_PENALTY: Duration = Duration::from_millis(20);
+pub(crate) const ERROR_READ_DELAY: Duration = Duration::from_millis(20);
 /// Interval between two checks for free capacity: in the connection table, or in a memory budget.
 pub(crate) const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// Maximum reads from an ending connection, which notice that its client disconnects. TCP flow control stops a client that sends
-/// more.
+/// Maximum number of reads from an ending connection. They serve to notice that its client disconnects. TCP flow control stops a
+/// client that sends more.
 pub(crate) const MAX_READS_WHILE_ENDING: usize = 8;
--- a/crates/front_resp/src/open_requests.rs
+++ b/crates/front_resp/src/open_requests.rs
@@ -18,7 +18,7 @@
 
 impl OpenRequests {
     /// Registers a request; `None` if its id is in use.
-    pub(crate) fn open(self: &Arc<Self>, id: Vec<u8>) -> Option<OpenRequest> {
+    pub(crate) fn register(self: &Arc<Self>, id: Vec<u8>) -> Option<OpenRequest> {
         let is_new = locked(&self.ids).insert(id.clone());
         is_new.then(|| OpenRequest { requests: self.clone(), id })
     }
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -5,7 +5,7 @@
 use crate::closing::{ConnectionEnd, ServeResult};
 use crate::front::Front;
 use crate::limits::{
-    CAPACITY_CHECK_INTERVAL, ERROR_PENALTY, MAX_BURST, MAX_PIPELINED, MAX_READ_BYTES,
+    CAPACITY_CHECK_INTERVAL, ERROR_READ_DELAY, MAX_BURST, MAX_PIPELINED, MAX_READ_BYTES,
     MAX_RETAINED_BUFFER_BYTES, TYPICAL_REQUEST_BYTES, YIELD_TIME,
 };
 use link::{Incoming, locked, sleep};
@@ -31,7 +31,7 @@
     /// Serves a connection until it ends. `incomplete` holds the bytes that another process has read of an incomplete command.
     pub(crate) fn serve(self: &Arc<Self>, client: &Arc<ClientConnection>, incomplete: Vec<u8>) {
         let end = self.read_commands(client, incomplete);
-        self.end(client, end);
+        self.end_connection(client, end);
     }
 
     fn read_commands(self: &Arc<Self>, client: &Arc<ClientConnection>, incomplete: Vec<u8>) -> ConnectionEnd {
@@ -40,7 +40,7 @@
         // kernel accepted the connection.
         let mut was_read = false;
         loop {
-            let served = self.process(client, &mut buffer, was_read);
+            let served = self.process_buffer(client, &mut buffer, was_read);
             if let Err(end) = served.and_then(|()| self.receive(client, &mut buffer)) {
                 return end;
             }
@@ -49,7 +49,7 @@
     }
 
     /// Dispatches the commands in the buffer. Delays the next read after an error or a burst, and while memory is short.
-    fn process(
+    fn process_buffer(
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
         buffer: &mut Vec<u8>,
@@ -157,7 +157,7 @@
 /// Lets other connections run after an error or a burst of pipelined commands.
 fn yield_after(dispatched: &Dispatched) {
     if dispatched.has_errors {
-        sleep(ERROR_PENALTY);
+        sleep(ERROR_READ_DELAY);
     } else if dispatched.commands > MAX_BURST {
         sleep(YIELD_TIME);
     }
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -19,7 +19,7 @@
     pub(crate) fn answer(&self, client: &ClientConnection, command: CommandNumber, bytes: Vec<u8>) {
         let _reservation = Reservation::new(&self.memory.complete, bytes.len());
         client.set_answer(command, Slot::Answered { bytes, _reservation });
-        self.write(client);
+        self.write_due_answers(client);
     }
 
     /// Stores a streamed answer, and writes it as it arrives and the client reads.
@@ -33,21 +33,21 @@
             let (front, client) = (Arc::downgrade(self), Arc::downgrade(client));
             move || {
                 if let (Some(front), Some(client)) = (front.upgrade(), client.upgrade()) {
-                    front.write(&client);
+                    front.write_due_answers(&client);
                 }
             }
         };
         stream.notify_with(Box::new(write_more()));
         client.socket.on_flushed(write_more());
         client.set_answer(command, Slot::Streaming(stream));
-        self.write(client);
+        self.write_due_answers(client);
     }
 
     /// Writes the answers that may be written now. Closes the connection of a client that leaves too many bytes unread.
-    fn write(&self, client: &ClientConnection) {
+    fn write_due_answers(&self, client: &ClientConnection) {
         let mut state = locked(&client.state);
         let due = state.answers.take_due(client.socket.unsent());
-        if due.is_broken {
+        if due.is_truncated {
             // Closing the connection tells the client that the value is truncated, so nothing may be sent after it.
             let _ = client.socket.send(&due.bytes);
             drop(state);
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -10,7 +10,7 @@
 /// The field that each gateway adds to the requests that it forwards (RFC 9110, section 7.6.3).
 const VIA: &[u8] = b"Via: 1.1 snowfield\r\n";
 /// Capacity for the bytes that forwarding adds to a head.
-const ADDED_BYTES: usize = 64;
+const ADDED_HEAD_BYTES: usize = 64;
 /// Minor version of HTTP/1.1.
 const HTTP_1_1: u8 = 1;
 /// Minor version of HTTP/1.0.
@@ -99,7 +99,7 @@
     /// `Via`.
     pub fn new(buffer: &[u8], head: &RequestHead, target: &[u8], body: Vec<u8>) -> Self {
         let method = &buffer[head.method.clone()];
-        let mut forwarded = Vec::with_capacity(head.length + ADDED_BYTES);
+        let mut forwarded = Vec::with_capacity(head.length + ADDED_HEAD_BYTES);
         for part in [method, b" ", target, b" HTTP/1.1\r\n"] {
             forwarded.extend_from_slice(part);
         }
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -13,7 +13,7 @@
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 /// Capacity for the bytes that forwarding adds to a head.
-const ADDED_BYTES: usize = 32;
+const ADDED_HEAD_BYTES: usize = 32;
 /// Minor version of HTTP/1.1.
 const HTTP_1_1: u8 = 1;
 
@@ -41,17 +41,17 @@
     pub start: usize,
 }
 
-/// Parses the head of a response at the start of the buffer. Returns `None` if more bytes must arrive. `to_head` states whether
-/// the request's method was HEAD.
+/// Parses the head of a response at the start of the buffer. Returns `None` if more bytes must arrive. `is_head_request` states
+/// whether the request's method was HEAD.
 ///
 /// # Errors
 ///
 /// Returns an error if the bytes are not a response, the head is too large, or its framing is ambiguous.
-pub fn parse_response_head(buffer: &[u8], to_head: bool) -> Result<Option<ResponseHead>, HttpError> {
+pub fn parse_response_head(buffer: &[u8], is_head_request: bool) -> Result<Option<ResponseHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut response = httparse::Response::new(&mut headers);
     match response.parse(buffer)? {
-        httparse::Status::Complete(length) => read_head(buffer, &response, length, to_head).map(Some),
+        httparse::Status::Complete(length) => read_head(buffer, &response, length, is_head_request).map(Some),
         httparse::Status::Partial if buffer.len() <= MAX_HEAD_BYTES => Ok(None),
         httparse::Status::Partial => Err(HttpError::HeadTooLarge),
     }
@@ -61,13 +61,13 @@
     buffer: &[u8],
     response: &httparse::Response<'_, '_>,
     length: usize,
-    to_head: bool,
+    is_head_request: bool,
 ) -> Result<ResponseHead, HttpError> {
     let fields = field_ranges(buffer, response.headers);
     let status = response.code.unwrap_or(0);
     let stated = stated_framing(buffer, &fields)?;
     let has_no_body =
-        to_head || status < FIRST_FINAL_STATUS || status == NO_CONTENT || status == NOT_MODIFIED;
+        is_head_request || status < FIRST_FINAL_STATUS || status == NO_CONTENT || status == NOT_MODIFIED;
     let framing = if has_no_body { Framing::Empty } else { stated.unwrap_or(Framing::UntilEnd) };
     let closes = has_list_token(buffer, &fields, "connection", "close");
     let keep_alive = response.version == Some(HTTP_1_1) && !closes && framing != Framing::UntilEnd;
@@ -75,18 +75,18 @@
 }
 
 /// Parses the head of the final response, and skips the interim responses (1xx) before it. Returns `None` if more bytes must
-/// arrive. `to_head` states whether the request's method was HEAD.
+/// arrive. `is_head_request` states whether the request's method was HEAD.
 ///
 /// # Errors
 ///
 /// Returns the errors of [`parse_response_head`], and an error for a switch of protocols (101), which no request asks for.
 pub fn parse_final_response_head(
     buffer: &[u8],
-    to_head: bool,
+    is_head_request: bool,
 ) -> Result<Option<FinalResponseHead>, HttpError> {
     let mut start = 0;
     loop {
-        let Some(head) = parse_response_head(&buffer[start..], to_head)? else { return Ok(None) };
+        let Some(head) = parse_response_head(&buffer[start..], is_head_request)? else { return Ok(None) };
         match head.status {
             SWITCHING_PROTOCOLS => return Err(MalformedMessage::UnrequestedUpgrade.into()),
             100..FIRST_FINAL_STATUS => start += head.length,
@@ -140,23 +140,23 @@
     consumed: usize,
 }
 
-/// Parses a complete response at the start of the buffer. Returns `None` if more bytes must arrive. `to_head` states whether the
-/// request's method was HEAD, and `is_end` whether the connection has ended.
+/// Parses a complete response at the start of the buffer. Returns `None` if more bytes must arrive. `is_head_request` states
+/// whether the request's method was HEAD, and `has_ended` whether the connection has ended.
 ///
 /// # Errors
 ///
 /// Returns an error if the response is malformed or truncated.
 pub fn parse_response(
     buffer: &[u8],
-    to_head: bool,
-    is_end: bool,
+    is_head_request: bool,
+    has_ended: bool,
 ) -> Result<Option<ParsedResponse>, HttpError> {
-    let incomplete = || if is_end { Err(MalformedMessage::TruncatedResponse.into()) } else { Ok(None) };
-    let Some(FinalResponseHead { head, start }) = parse_final_response_head(buffer, to_head)? else {
+    let incomplete = || if has_ended { Err(MalformedMessage::TruncatedResponse.into()) } else { Ok(None) };
+    let Some(FinalResponseHead { head, start }) = parse_final_response_head(buffer, is_head_request)? else {
         return incomplete();
     };
     let message = &buffer[start..];
-    let Some(ParsedBody { body, consumed }) = parse_body(&message[head.length..], head.framing, is_end)?
+    let Some(ParsedBody { body, consumed }) = parse_body(&message[head.length..], head.framing, has_ended)?
     else {
         return incomplete();
     };
@@ -173,7 +173,7 @@
 }
 
 /// Parses a body. Returns `None` if more bytes must arrive.
-fn parse_body(rest: &[u8], framing: Framing, is_end: bool) -> Result<Option<ParsedBody>, HttpError> {
+fn parse_body(rest: &[u8], framing: Framing, has_ended: bool) -> Result<Option<ParsedBody>, HttpError> {
     let raw = |bytes: &[u8]| ParsedBody { body: bytes.to_vec(), consumed: bytes.len() };
     Ok(match framing {
         Framing::Empty => Some(raw(&[])),
@@ -183,7 +183,7 @@
             let consumed = decoder.decode(rest, &mut body)?;
             decoder.is_done().then_some(ParsedBody { body, consumed })
         }
-        Framing::UntilEnd => is_end.then(|| raw(rest)),
+        Framing::UntilEnd => has_ended.then(|| raw(rest)),
     })
 }
 
@@ -205,7 +205,7 @@
     const VERSION: &[u8] = b"HTTP/1.1";
     let line_end = message.iter().position(|&byte| byte == b'\n').unwrap_or(message.len());
     let status_line = message[..line_end].trim_ascii_end();
-    let mut forwarded = Vec::with_capacity(head.length + ADDED_BYTES);
+    let mut forwarded = Vec::with_capacity(head.length + ADDED_HEAD_BYTES);
     forwarded.extend_from_slice(VERSION);
     forwarded.extend_from_slice(status_line.get(VERSION.len()..).unwrap_or_default());
     forwarded.extend_from_slice(b"\r\n");
--- a/crates/link/src/timer.rs
+++ b/crates/link/src/timer.rs
@@ -42,14 +42,14 @@
 
 static TIMER_THREAD: OnceLock<TimerThread> = OnceLock::new();
 
-fn start() -> TimerThread {
+fn start_timer_thread() -> TimerThread {
     let sleepers = Arc::new(Mutex::new(Sleepers::default()));
     let shared = sleepers.clone();
-    let thread = thread::spawn(move || run(&shared));
+    let thread = thread::spawn(move || run_timer(&shared));
     TimerThread { sleepers, thread: thread.thread().clone() }
 }
 
-fn run(sleepers: &Mutex<Sleepers>) {
+fn run_timer(sleepers: &Mutex<Sleepers>) {
     loop {
         let next_wake = locked(sleepers).next_wake();
         match next_wake.map(|wakes_at| wakes_at.saturating_duration_since(Instant::now())) {
@@ -68,7 +68,7 @@
 /// Suspends the current coroutine for a duration, while others run.
 pub fn sleep(duration: Duration) {
     let wakes_at = Instant::now() + duration;
-    let timer = TIMER_THREAD.get_or_init(start);
+    let timer = TIMER_THREAD.get_or_init(start_timer_thread);
     locked(&timer.sleepers).insert(wakes_at, coroutine::current());
     timer.thread.unpark();
     while Instant::now() < wakes_at {
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,7 +1,7 @@
 //! Client commands, which RESP2 encodes as arrays of bulk strings.
 
 use crate::element::{Element, MAX_MESSAGE_BYTES, element};
-use crate::error::{Malformed, Step};
+use crate::error::{Malformed, ParseResult};
 use std::ops::Range;
 
 /// A parsed command. It refers to its arguments by their ranges in the buffer.
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// Returns an error if the input is not an array of bulk strings, is empty, or exceeds a limit.
-pub fn command(buffer: &[u8], start: usize) -> Step<Command> {
+pub fn command(buffer: &[u8], start: usize) -> ParseResult<Command> {
     let Some((first, mut position)) = element(buffer, start)? else { return Ok(None) };
     let Element::Array(count @ 1..) = first else {
         return Err(Malformed("a command is an array of bulk strings"));
--- a/crates/resp/src/element.rs
+++ b/crates/resp/src/element.rs
@@ -1,6 +1,6 @@
 //! Parsing of single RESP2 elements and of complete messages.
 
-use crate::error::{Malformed, Step};
+use crate::error::{Malformed, ParseResult};
 use std::ops::Range;
 
 /// Maximum bytes of a bulk string that is buffered completely.
@@ -38,24 +38,24 @@
 /// # Errors
 ///
 /// Returns an error if the bytes are not RESP2 or exceed a limit.
-pub fn element(buffer: &[u8], start: usize) -> Step<(Element, usize)> {
+pub fn element(buffer: &[u8], start: usize) -> ParseResult<(Element, usize)> {
     let Some(&kind) = buffer.get(start) else { return Ok(None) };
     if !b"+-:$*".contains(&kind) {
         return Err(Malformed("an unknown type of element"));
     }
-    let Some((text, next)) = line(buffer, start + 1)? else { return Ok(None) };
+    let Some((text, next)) = parse_line(buffer, start + 1)? else { return Ok(None) };
     let element = match kind {
         b'+' => Element::Simple(text),
         b'-' => Element::Error(text),
-        b':' => Element::Integer(number(&buffer[text])?),
-        b'$' => return bulk(buffer, number(&buffer[text])?, next),
-        _ => array(number(&buffer[text])?)?,
+        b':' => Element::Integer(parse_integer(&buffer[text])?),
+        b'$' => return parse_bulk(buffer, parse_integer(&buffer[text])?, next),
+        _ => parse_array_head(parse_integer(&buffer[text])?)?,
     };
     Ok(Some((element, next)))
 }
 
 /// Parses a bulk string of `length` bytes that start at `start`.
-fn bulk(buffer: &[u8], length: i64, start: usize) -> Step<(Element, usize)> {
+fn parse_bulk(buffer: &[u8], length: i64, start: usize) -> ParseResult<(Element, usize)> {
     if length == -1 {
         return Ok(Some((Element::Null, start)));
     }
@@ -69,7 +69,7 @@
     }
 }
 
-fn array(count: i64) -> Result<Element, Malformed> {
+fn parse_array_head(count: i64) -> Result<Element, Malformed> {
     if count == -1 {
         return Ok(Element::Null);
     }
@@ -77,20 +77,20 @@
     count.map(Element::Array).ok_or(Malformed("an array's length is out of range"))
 }
 
-/// Parses the head of the bulk string that starts at `start`, before its bytes have to arrive. Returns its length, at most
-/// [`MAX_STREAMED_BULK_BYTES`], and the offset of its bytes.
+/// Parses the head of the bulk string that starts at `start`. Returns the string's length, at most [`MAX_STREAMED_BULK_BYTES`],
+/// and the offset of its bytes, which need not have arrived.
 ///
 /// # Errors
 ///
 /// Returns an error if the input is not a bulk string, or the string is too long.
-pub fn bulk_head(buffer: &[u8], start: usize) -> Step<(usize, usize)> {
+pub fn bulk_head(buffer: &[u8], start: usize) -> ParseResult<(usize, usize)> {
     match buffer.get(start) {
         None => return Ok(None),
         Some(b'$') => {}
         Some(_) => return Err(Malformed("no bulk string")),
     }
-    let Some((text, next)) = line(buffer, start + 1)? else { return Ok(None) };
-    let length = usize::try_from(number(&buffer[text])?).ok();
+    let Some((text, next)) = parse_line(buffer, start + 1)? else { return Ok(None) };
+    let length = usize::try_from(parse_integer(&buffer[text])?).ok();
     let length = length.filter(|&length| length <= MAX_STREAMED_BULK_BYTES);
     Ok(Some((length.ok_or(Malformed("a bulk string's length is out of range"))?, next)))
 }
@@ -100,9 +100,9 @@
 /// # Errors
 ///
 /// Returns an error if the input is not an integer, or its line is malformed or too long.
-pub fn integer_end(buffer: &[u8], start: usize) -> Step<usize> {
+pub fn integer_end(buffer: &[u8], start: usize) -> ParseResult<usize> {
     match buffer.get(start) {
-        Some(b':') => Ok(line(buffer, start + 1)?.map(|(_, next)| next)),
+        Some(b':') => Ok(parse_line(buffer, start + 1)?.map(|(_, next)| next)),
         Some(_) => Err(Malformed("no integer")),
         None => Ok(None),
     }
@@ -113,7 +113,7 @@
 /// # Errors
 ///
 /// Returns an error if the bytes are not RESP2 or exceed a limit.
-pub fn message_end(buffer: &[u8], start: usize) -> Step<usize> {
+pub fn message_end(buffer: &[u8], start: usize) -> ParseResult<usize> {
     let (mut position, mut outstanding) = (start, 1usize);
     while outstanding > 0 {
         if position - start > MAX_MESSAGE_BYTES {
@@ -133,7 +133,7 @@
 }
 
 /// Parses the line that starts at `start`. Returns its range without the line end, and the offset of the next line.
-fn line(buffer: &[u8], start: usize) -> Step<(Range<usize>, usize)> {
+fn parse_line(buffer: &[u8], start: usize) -> ParseResult<(Range<usize>, usize)> {
     let rest = buffer.get(start..).unwrap_or_default();
     let window = &rest[..rest.len().min(MAX_LINE_BYTES)];
     match window.iter().position(|&byte| byte == b'\n') {
@@ -146,7 +146,7 @@
     }
 }
 
-fn number(digits: &[u8]) -> Result<i64, Malformed> {
+fn parse_integer(digits: &[u8]) -> Result<i64, Malformed> {
     let text = std::str::from_utf8(digits).map_err(|_| Malformed("a number holds other bytes"))?;
     text.parse().map_err(|_| Malformed("a number is malformed"))
 }
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -16,4 +16,4 @@
 impl std::error::Error for Malformed {}
 
 /// The result of an incremental parser: `Ok(None)` if more bytes must arrive.
-pub type Step<T> = Result<Option<T>, Malformed>;
+pub type ParseResult<T> = Result<Option<T>, Malformed>;
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -13,5 +13,5 @@
     Element, MAX_ARRAY_ITEMS, MAX_BULK_BYTES, MAX_MESSAGE_BYTES, MAX_STREAMED_BULK_BYTES, bulk_head, element,
     integer_end, message_end,
 };
-pub use error::{Malformed, Step};
+pub use error::{Malformed, ParseResult};
 pub use query::{Query, fields};
