--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Pauses or resumes the accept loop. While paused, connections stay in the backlog for other
-    /// processes that accept on the socket.
+    /// Pauses or resumes the accept loop. While it is paused, connections stay in the backlog for other processes that accept on
+    /// the socket.
     pub fn set_paused(&self, paused: bool) {
         self.set_state(if paused { AcceptState::Paused } else { AcceptState::Open });
     }
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// The input is not valid RESP2 or exceeds a limit. The text states the reason, and a front sends it to
-/// its client as an error reply.
+/// The input is not valid RESP2 or exceeds a limit. The text states the reason, and a front sends it to its
+/// client as an error reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
