--- a/crates/resp/src/element.rs
+++ b/crates/resp/src/element.rs
@@ -1,60 +1,61 @@
-//! Parsing of single elements and of whole messages.
+//! Parsing of single RESP2 elements and of complete messages.
 
-use crate::error::{Malformed, Step};
+use crate::error::{Malformed, ParseResult};
 use std::ops::Range;
 
 /// Maximum bytes of a bulk string that is buffered completely.
 pub const MAX_BULK_BYTES: usize = 64 * 1024;
 /// Maximum bytes of a bulk string that is streamed.
 pub const MAX_STREAMED_BULK_BYTES: usize = 8 * 1024 * 1024;
-/// Maximum items of one array, and elements of a message that are outstanding at a time.
+/// Maximum items of one array. Also the maximum number of elements of a message that are still to be parsed at any time.
 pub const MAX_ARRAY_ITEMS: usize = 64;
 /// Maximum bytes of one message.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// Maximum bytes of a line.
+/// Maximum bytes of a line, its line end included.
 const MAX_LINE_BYTES: usize = 1024;
 const LINE_END: &[u8] = b"\r\n";
 
-/// One element of a message, by its ranges in the buffer.
+/// One element of a message. It refers to its text or bytes by their range in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Element {
-    /// A simple string.
+    /// A simple string (`+`), without its line end.
     Simple(Range<usize>),
-    /// An error line.
+    /// An error (`-`), without its line end.
     Error(Range<usize>),
-    /// An integer.
+    /// An integer (`:`).
     Integer(i64),
-    /// The bytes of a bulk string.
+    /// The bytes of a bulk string (`$`).
     Bulk(Range<usize>),
     /// A null bulk string or a null array.
     Null,
-    /// An array of this many elements, which follow.
+    /// The head of an array (`*`). This many elements follow it.
     Array(usize),
 }
 
-/// Parses the element that starts at `start`, and returns it with the start of the next one.
+/// Parses the element that starts at `start`, and returns it with the offset of the next one. Returns `None` if more bytes must
+/// arrive.
 ///
 /// # Errors
 ///
-/// Fails where the bytes are not RESP2 or exceed a limit.
-pub fn element(buffer: &[u8], start: usize) -> Step<(Element, usize)> {
+/// Returns an error if the bytes are not RESP2 or exceed a limit.
+pub fn element(buffer: &[u8], start: usize) -> ParseResult<(Element, usize)> {
     let Some(&kind) = buffer.get(start) else { return Ok(None) };
     if !b"+-:$*".contains(&kind) {
         return Err(Malformed("an unknown type of element"));
     }
-    let Some((text, next)) = line(buffer, start + 1)? else { return Ok(None) };
+    let Some((text, next)) = parse_line(buffer, start + 1)? else { return Ok(None) };
     let element = match kind {
         b'+' => Element::Simple(text),
         b'-' => Element::Error(text),
-        b':' => Element::Integer(number(&buffer[text])?),
-        b'$' => return bulk(buffer, number(&buffer[text])?, next),
-        _ => array(number(&buffer[text])?)?,
+        b':' => Element::Integer(parse_integer(&buffer[text])?),
+        b'$' => return parse_bulk(buffer, parse_integer(&buffer[text])?, next),
+        _ => parse_array_head(parse_integer(&buffer[text])?)?,
     };
     Ok(Some((element, next)))
 }
 
-/// Parses a bulk string of this length whose bytes start at `start`.
-fn bulk(buffer: &[u8], length: i64, start: usize) -> Step<(Element, usize)> {
+/// Parses a bulk string of `length` bytes that start at `start`.
+fn parse_bulk(buffer: &[u8], length: i64, start: usize) -> ParseResult<(Element, usize)> {
     if length == -1 {
         return Ok(Some((Element::Null, start)));
     }
@@ -68,7 +69,7 @@
     }
 }
 
-fn array(count: i64) -> Result<Element, Malformed> {
+fn parse_array_head(count: i64) -> Result<Element, Malformed> {
     if count == -1 {
         return Ok(Element::Null);
     }
@@ -76,43 +77,43 @@
     count.map(Element::Array).ok_or(Malformed("an array's length is out of range"))
 }
 
-/// Parses the head of the bulk string that starts at `start`, whose bytes may still have to arrive. Returns its length and where its
-/// bytes start. Its limit is [`MAX_STREAMED_BULK_BYTES`].
+/// Parses the head of the bulk string that starts at `start`. Returns the string's length, at most [`MAX_STREAMED_BULK_BYTES`],
+/// and the offset of its bytes, which need not have arrived.
 ///
 /// # Errors
 ///
-/// Fails where it is not a bulk string, or too long.
-pub fn bulk_head(buffer: &[u8], start: usize) -> Step<(usize, usize)> {
+/// Returns an error if the input is not a bulk string, or the string is too long.
+pub fn bulk_head(buffer: &[u8], start: usize) -> ParseResult<(usize, usize)> {
     match buffer.get(start) {
         None => return Ok(None),
         Some(b'$') => {}
         Some(_) => return Err(Malformed("no bulk string")),
     }
-    let Some((text, next)) = line(buffer, start + 1)? else { return Ok(None) };
-    let length = usize::try_from(number(&buffer[text])?).ok();
+    let Some((text, next)) = parse_line(buffer, start + 1)? else { return Ok(None) };
+    let length = usize::try_from(parse_integer(&buffer[text])?).ok();
     let length = length.filter(|&length| length <= MAX_STREAMED_BULK_BYTES);
     Ok(Some((length.ok_or(Malformed("a bulk string's length is out of range"))?, next)))
 }
 
-/// Returns the end of the integer that starts at `start`, even if its digits are malformed.
+/// Returns the offset after the integer that starts at `start`. The digits are not validated.
 ///
 /// # Errors
 ///
-/// Fails where it is not an integer or its line exceeds a limit.
-pub fn integer_end(buffer: &[u8], start: usize) -> Step<usize> {
+/// Returns an error if the input is not an integer, or its line is malformed or too long.
+pub fn integer_end(buffer: &[u8], start: usize) -> ParseResult<usize> {
     match buffer.get(start) {
-        Some(b':') => Ok(line(buffer, start + 1)?.map(|(_, next)| next)),
+        Some(b':') => Ok(parse_line(buffer, start + 1)?.map(|(_, next)| next)),
         Some(_) => Err(Malformed("no integer")),
         None => Ok(None),
     }
 }
 
-/// Returns the end of the message that starts at `start`, with all its nested arrays.
+/// Returns the offset after the message that starts at `start`, with all its nested arrays.
 ///
 /// # Errors
 ///
-/// Fails where the bytes are not RESP2 or exceed a limit.
-pub fn message_end(buffer: &[u8], start: usize) -> Step<usize> {
+/// Returns an error if the bytes are not RESP2 or exceed a limit.
+pub fn message_end(buffer: &[u8], start: usize) -> ParseResult<usize> {
     let (mut position, mut outstanding) = (start, 1usize);
     while outstanding > 0 {
         if position - start > MAX_MESSAGE_BYTES {
@@ -131,8 +132,8 @@
     Ok(Some(position))
 }
 
-/// Parses a line. Returns its range without the line end, and where the next one starts.
-fn line(buffer: &[u8], start: usize) -> Step<(Range<usize>, usize)> {
+/// Parses the line that starts at `start`. Returns its range without the line end, and the offset of the next line.
+fn parse_line(buffer: &[u8], start: usize) -> ParseResult<(Range<usize>, usize)> {
     let rest = buffer.get(start..).unwrap_or_default();
     let window = &rest[..rest.len().min(MAX_LINE_BYTES)];
     match window.iter().position(|&byte| byte == b'\n') {
@@ -145,7 +146,7 @@
     }
 }
 
-fn number(digits: &[u8]) -> Result<i64, Malformed> {
+fn parse_integer(digits: &[u8]) -> Result<i64, Malformed> {
     let text = std::str::from_utf8(digits).map_err(|_| Malformed("a number holds other bytes"))?;
     text.parse().map_err(|_| Malformed("a number is malformed"))
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,7 +1,7 @@
 //! An incremental RESP2 codec over byte slices.
 //!
-//! Each parser looks at the bytes that have arrived. It returns what is complete, `None` where more bytes must arrive, or an error
-//! where no further byte could make the input valid. Parsers return ranges of the buffer: they copy nothing and do not recurse.
+//! Each parser examines the bytes that have arrived. It returns a complete item, `None` if more bytes must arrive, or an error if
+//! no further bytes could make the input valid. Parsers return ranges of the buffer: they copy nothing and do not recurse.
 
 mod command;
 mod element;
@@ -13,5 +13,5 @@
     Element, MAX_ARRAY_ITEMS, MAX_BULK_BYTES, MAX_MESSAGE_BYTES, MAX_STREAMED_BULK_BYTES, bulk_head, element,
     integer_end, message_end,
 };
-pub use error::{Malformed, Step};
+pub use error::{Malformed, ParseResult};
 pub use query::{Query, fields};
