--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions: what the state machine asks of the driver.
+//! Actions: the outputs of the state machine, which the driver carries out.
 
 use crate::ids::{BackendId, RequestId};
 use crate::time::Micros;
@@ -7,24 +7,26 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The shared token bucket is certainly empty.
+    /// The tenant's shared token bucket does not cover the cost, according to the shared counter.
     QuotaExhausted,
-    /// The shared bucket is uncertain or the counter is silent, and this gatekeeper's share of the quota is spent.
+    /// This gatekeeper's share of the tenant's quota is spent. It decides while the level of the shared
+    /// bucket is uncertain or the counter does not answer.
     LocalShareExhausted,
     /// The tenant has as many attempts in flight as its plan allows.
     TooManyInFlight,
-    /// This gatekeeper's share of the hard ceiling is spent.
+    /// This gatekeeper's share of the tenant's hard ceiling is spent.
     CeilingReached,
-    /// The capacity of the backends is in use.
+    /// The concurrency limit of the service is reached.
     NoCapacity,
-    /// No backend accepts it now: all are draining, ejected, in connect backoff or warming up.
+    /// No backend accepts the request now: there is none, or all are draining, ejected, in connect backoff,
+    /// at their limit of attempts in flight, or warming up.
     NoBackend,
-    /// It was admitted, and no attempt succeeded in time.
+    /// The request was admitted, but no attempt succeeded in time.
     AttemptsExhausted,
 }
 
 impl RejectReason {
-    /// All reasons, each at the index of its number.
+    /// All reasons, each at the index of its discriminant.
     pub const ALL: [Self; 7] = [
         Self::QuotaExhausted,
         Self::LocalShareExhausted,
@@ -35,7 +37,7 @@
         Self::AttemptsExhausted,
     ];
 
-    /// The name that operators read in counters; it never changes.
+    /// The stable name of the reason in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::QuotaExhausted => "quota",
@@ -49,10 +51,10 @@
     }
 }
 
-/// A change of state that operators are notified of.
+/// A state change that is logged for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Calls to the shared counter fail; quotas are enforced by local shares.
+    /// Calls to the shared counter fail, so quotas are enforced by local shares.
     CounterSilent,
     /// The shared counter has recovered.
     CounterRecovered,
@@ -67,65 +69,66 @@
     }
 }
 
-/// One action. Actions are to be carried out in order.
+/// One output of the state machine. The driver carries out actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Forward the request to a backend.
+    /// Forward a request to a backend as a new attempt. Attempts of a request are numbered from 0 in this
+    /// order.
     Send {
-        /// The request.
+        /// The request to forward.
         id: RequestId,
-        /// The backend.
+        /// The selected backend.
         backend: BackendId,
-        /// Give the attempt up after this time; 0 for the client's deadline.
+        /// Abandon the attempt after this time; 0 means at the client's deadline.
         timeout: Micros,
-        /// Do not write it if its connection is not established within this time: backends might no longer drop it as a
-        /// duplicate.
+        /// Do not write the attempt if no connection is established within this time. Written later, it might
+        /// reach its backend after idempotency keys have expired, and would not be dropped as a duplicate.
         max_start_delay: Micros,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request, from 0 in order of sending.
         attempt: u8,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Answer the client finally: the request is rejected, and the client can safely retry it.
     Reject {
-        /// The request.
+        /// The request to reject.
         id: RequestId,
-        /// Retry-After; 0 for none.
+        /// Retry-After for the client; 0 means none.
         retry_after: Micros,
-        /// The reason.
+        /// Why the request is rejected, for metrics.
         reason: RejectReason,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Answer the client finally: the request failed, and may or may not have been executed.
     Fail {
-        /// The request.
+        /// The request to fail.
         id: RequestId,
     },
-    /// Deliver a timer event later.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) later.
     Timer {
-        /// From now.
+        /// Time from now until the event.
         after: Micros,
-        /// Comes back with the event.
+        /// Returned with the event, to tell what the timer is for.
         token: u64,
     },
     /// Check the health of a backend.
     HealthCheck {
-        /// The backend.
+        /// The backend to check.
         backend: BackendId,
     },
-    /// Add to a named count of the shared counter and read its total.
+    /// Add to a count of the shared counter and read its total.
     CounterAdd {
-        /// The name of the count.
+        /// Name of the count; it is created if it does not exist.
         name: u64,
-        /// Units to add.
+        /// Units to add; may be negative.
         units: f64,
-        /// Expiry of a new name.
+        /// Time after which a count that this call creates expires.
         ttl: Micros,
     },
-    /// Poll the endpoint list.
+    /// Read the endpoint list and deliver it as an event.
     PollEndpoints,
-    /// Notify the operators.
+    /// Log a state change for operators.
     Log(Notice),
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the driver tells the state machine.
+//! Events: the inputs that the driver passes to the state machine.
 
 use crate::ids::{BackendId, RequestId, TenantId};
 use crate::time::{Micros, Timestamp};
@@ -6,37 +6,39 @@
 /// Whether a backend is eligible for new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// Eligible.
+    /// Eligible for new attempts.
     Ready,
-    /// Finishes its requests in flight; nothing new may be sent.
+    /// Finishes its requests in flight, and may not be sent new ones.
     Draining,
-    /// Withdrawn from the list.
+    /// Removed from the endpoint list.
     Gone,
 }
 
 /// One entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEntry {
-    /// The backend.
+    /// The number under which this gatekeeper knows the backend.
     pub id: BackendId,
-    /// Its zone.
+    /// Number of its zone, comparable with [`Settings::zone`](crate::Settings::zone).
     pub zone: u8,
-    /// Its machine type.
+    /// Number of its machine type; no decision depends on it.
     pub machine_type: u16,
-    /// Its cell, see [`DedupScope::Cell`](crate::DedupScope::Cell).
+    /// Number of its cell within its zone, see [`DedupScope::Cell`](crate::DedupScope::Cell).
     pub cell: u16,
-    /// Whether it is eligible.
+    /// Whether it is eligible for new attempts.
     pub state: BackendState,
-    /// The service that it belongs to.
+    /// Number of the service that it serves, see [`RequestClass::service`](crate::RequestClass::service).
     pub service: u16,
-    /// Its size relative to other backends.
+    /// Its capacity relative to other backends; 1 is usual. Values outside of 0.05 to 20 are clamped, and a
+    /// value that is not finite counts as 1.
     pub size: f64,
-    /// Clock of its most recent start; 0 for long ago.
+    /// Time of its most recent start, on the clock of the endpoint list; [`Timestamp::ZERO`] if it started
+    /// long ago.
     pub started: Timestamp,
 }
 
 impl Default for BackendEntry {
-    /// A backend of size 1 that has been ready for long.
+    /// A ready backend of size 1 that started long ago.
     fn default() -> Self {
         Self {
             id: BackendId(0),
@@ -51,141 +53,143 @@
     }
 }
 
-/// What an update of the endpoint list holds.
+/// Which entries an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The list as this gatekeeper last held it, possibly stale.
+    /// All entries of a list that this gatekeeper stored earlier; it may be stale.
     Cached,
-    /// The complete list.
+    /// All entries of the current list: backends that it lacks are gone.
     Full,
-    /// Changed entries only.
+    /// The changed entries only.
     Delta,
-    /// A poll failed; no entries.
+    /// No entries: a poll of the list failed.
     Failed,
 }
 
 /// How an attempt, a health check or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Served successfully.
     Ok,
     /// Answered with an error; it may have run.
     Error,
     /// Rejected before execution; it never ran.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; it may have run, or may still be running.
     Timeout,
-    /// No connection; it never ran.
+    /// The connection to the backend could not be established; it never ran.
     ConnectFailed,
-    /// This gatekeeper could not begin it, for want of a socket or of time: it never ran, and says nothing of its backend.
+    /// This gatekeeper could not start it, for lack of a socket or of time. It never ran, and the backend is
+    /// not at fault.
     NotStarted,
     /// The connection broke; it may have run.
     Reset,
-    /// Cancelled by this side; it may have run.
+    /// Cancelled by this gatekeeper; it may have run.
     Cancelled,
-    /// Not sent at all.
+    /// The driver discarded it, for example because its request was over; it never ran, and is not retried.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the backend never executed the attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotStarted | Self::NotSent)
     }
 }
 
-/// One event.
+/// One input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
     Endpoints {
-        /// What the update holds.
+        /// Which entries the update contains.
         kind: ListKind,
-        /// Its entries.
+        /// The entries; ignored if the kind is [`ListKind::Failed`].
         entries: Vec<BackendEntry>,
     },
-    /// An operator ejected a backend, or admitted it again.
+    /// An operator ejected a backend, or readmitted an ejected one.
     OperatorEjection {
-        /// The backend, on the list or not.
+        /// The backend; it need not be on the endpoint list.
         backend: BackendId,
-        /// It is ejected.
+        /// True to eject the backend, false to readmit it.
         ejected: bool,
     },
     /// A client's request arrived.
     Request {
-        /// The request.
+        /// Identifies the request until it has ended; a request with the number of an open one is ignored.
         id: RequestId,
-        /// Number of its class.
+        /// Number of its class in [`Settings::classes`](crate::Settings::classes).
         class: u16,
-        /// Number of its tenant's plan.
+        /// Number of its tenant's plan in [`Settings::plans`](crate::Settings::plans).
         plan: u32,
-        /// Its tenant.
+        /// The tenant whose quota it is charged to.
         tenant: TenantId,
-        /// How long until the client gives up.
+        /// Time until the client gives up.
         time_left: Micros,
-        /// How many gatekeepers this tenant's requests come through.
+        /// Number of gatekeepers that receive this tenant's requests.
         tenant_gatekeepers: f64,
-        /// Its cost in units, possibly an estimate.
+        /// Its cost in units; an estimate if [`Settings::estimated_costs`](crate::Settings::estimated_costs)
+        /// is set.
         units: f64,
-        /// The client marked it as a retry.
+        /// Whether the client marked it as a retry; no decision depends on it.
         client_retry: bool,
     },
-    /// The answer of an attempt began to stream.
+    /// The answer of an attempt began to stream: no further attempt is made.
     StreamStarted {
-        /// The request.
+        /// The request that is being answered.
         id: RequestId,
-        /// The attempt, numbered from 0 in order of sending.
+        /// Number of the attempt within its request, from 0 in order of sending.
         attempt: u8,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt, numbered from 0 in order of sending.
+        /// Number of the attempt within its request, from 0 in order of sending.
         attempt: u8,
-        /// Its backend.
+        /// The backend that the attempt was sent to.
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The actual cost in units, 0 if not told.
+        /// Actual cost in units; 0 if the answer did not state it.
         units: f64,
-        /// The request needs no further answer.
+        /// Whether the client has its answer, so that the request needs none of the state machine.
         answered: bool,
-        /// The load report, empty if none.
+        /// Values of the backend's load report; empty if there was none.
         load: Vec<f32>,
     },
-    /// The client disconnected or cancelled.
+    /// The client disconnected or cancelled its request.
     ClientGone {
-        /// The request.
+        /// The request, which needs no answer any more.
         id: RequestId,
     },
     /// A timer expired.
     Timer {
-        /// The value given with the timer.
+        /// The token of the [`Action::Timer`](crate::Action::Timer) that set the timer.
         token: u64,
     },
     /// A health check ended.
     HealthCheckEnded {
-        /// The backend.
+        /// The backend that was checked.
         backend: BackendId,
-        /// How it ended.
+        /// How the check ended.
         outcome: Outcome,
-        /// The load report, empty if none.
+        /// Values of the backend's load report; empty if there was none.
         load: Vec<f32>,
     },
-    /// A counter call ended.
+    /// A call to the shared counter ended.
     CounterReply {
-        /// The name of the count.
+        /// Name of the count, as in [`Action::CounterAdd`](crate::Action::CounterAdd).
         name: u64,
-        /// The total after the call, valid with [`Outcome::Ok`].
+        /// Total of the count after the call; valid only with [`Outcome::Ok`].
         total: f64,
-        /// The time since the call.
+        /// Duration of the call.
         elapsed: Micros,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
     },
-    /// Another gatekeeper sent a message; the decisions need none.
+    /// Another gatekeeper sent a message; the state machine ignores it.
     PeerMessage,
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,17 +1,17 @@
-//! Identifiers.
+//! Identifiers of requests, backends and tenants.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifies a request within one gatekeeper while it is open.
+/// Identifies an open request within one gatekeeper. The driver assigns it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestId(pub u32);
 
-/// Identifies a backend within one gatekeeper.
+/// Identifies a backend within one gatekeeper process. The driver assigns it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BackendId(pub u32);
 
-/// Identifies the tenant whose quota a request takes; the same at every gatekeeper.
+/// Identifies the tenant whose quota a request is charged to. It is the same at every gatekeeper.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TenantId(pub u64);
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,40 +1,43 @@
-//! The policy of a gatekeeper that holds tenants to their quotas before shared backends, as a state machine without I/O.
+//! Load balancing, retry and rate limiting decisions of a gatekeeper, as a state machine without I/O.
 //!
-//! A driver feeds [`Policy::handle`] with an [`Event`] for everything that happens and carries out the [`Action`]s that come back,
-//! in order. `Policy` holds the parts, hands each event to them, and puts their answers together:
+//! A gatekeeper is a proxy that enforces the quotas of tenants in front of shared backends.
+//!
+//! A driver passes an [`Event`] for everything that happens to [`Policy::handle`], and carries out the
+//! returned [`Action`]s in order. These modules of `Policy` handle the events and combine the results of the
+//! parts:
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `state_machine` | holds the parts and dispatches events |
-//! | `admission` | forwards a request, rejects it, or lets it wait for a fresh total |
-//! | `attempts` | sends attempts, retries and hedged requests, and gives the final answer |
-//! | `attempt_outcomes` | feeds the end of an attempt to the parts that learn from it |
+//! | `state_machine` | owns the parts and dispatches events |
+//! | `admission` | forwards a request, rejects it, or queues it until the counter replies |
+//! | `attempts` | sends attempts, retries and hedged requests, and gives up requests |
+//! | `attempt_outcomes` | updates health, latency estimates and the concurrency limit when an attempt ends |
 //! | `counter_calls` | calls the shared counter and applies its totals |
-//! | `pool_updates` | applies the endpoint list and operator ejections, and the periodic work over backends |
-//! | `timers` | runs what a timer is for, and the periodic work |
+//! | `pool_updates` | applies the endpoint list and operator ejections, and updates backends periodically |
+//! | `timers` | handles expired timers, and runs the periodic work |
 //!
-//! Each part owns its state behind a few methods, and is tested without the rest:
+//! Each part owns its state behind a few methods, and can be tested without the rest:
 //!
 //! | part | state |
 //! | --- | --- |
 //! | `tenant_quota` | the quota of one tenant: shares of bucket and ceiling, reservations, surcharge |
 //! | `shared_bucket` | the estimated level of a token bucket that several gatekeepers share |
 //! | `counter_sync` | which tenants have spend to report, and the counter calls in flight |
-//! | `counter_health` | whether the counter is silent, and the rate limit of calls to it |
-//! | `attempt_rules` | whether a further attempt keeps the promise of its class (no state) |
-//! | `retry_budget` | tokens of retries and hedged requests |
-//! | `endpoints` | the known backends and operator ejections |
-//! | `outlier_detection` | which backends are ejected, and when they get a trial |
-//! | `slow_start` | how much a backend that has just started is sent |
-//! | `backend_latency`, `class_stats`, `latency_trend` | latency estimates of a backend, of a class, and over all |
-//! | `service_pool` | the order of preference and running means of the backends of one service |
-//! | `concurrency_limit` | how many attempts may be in flight, and which work may use the last of the capacity |
+//! | `counter_health` | whether the counter answers, and the rate limit of calls to it |
+//! | `attempt_rules` | whether a retry or hedged request respects the idempotency of its class (no state) |
+//! | `retry_budget` | token bucket that limits retries and hedged requests |
+//! | `endpoints` | known backends and operator ejections |
+//! | `outlier_detection` | which backends are ejected, and when each gets its next trial request |
+//! | `slow_start` | rate limit of attempts to a backend that has just started |
+//! | `backend_latency`, `class_stats`, `latency_trend` | latency estimates by backend, by class and overall |
+//! | `service_pool` | preference order and running means of the backends of a service |
+//! | `concurrency_limit` | limit of attempts in flight, with a reserve for requests of high weight |
 //! | `selection` | which backend gets an attempt (no state) |
-//! | `surcharge` | what classes pay while latency is high (no state) |
+//! | `surcharge` | factor on the cost of a class while latency is high (no state) |
 //! | `start_times` | start times of backends, and the offset of this gatekeeper's clock |
 //!
-//! A *request* is what a client sends; an *attempt* is one forwarding of it to a *backend*; a *tenant* is whose quota it takes. A
-//! moment is a [`Timestamp`], a span of time is [`Micros`].
+//! A *request* comes from a client. An *attempt* forwards it to one *backend*. The quota of its *tenant* is
+//! charged for it. A [`Timestamp`] is a point in time, [`Micros`] a duration.
 //!
 //! # Examples
 //!
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,10 +1,11 @@
-//! An open request and its attempts.
+//! State of an open request and its attempts.
 
 use crate::event::Outcome;
 use crate::ids::{BackendId, TenantId};
 use crate::time::{Micros, Timestamp};
 
-/// An open request. It stays until all its attempts have ended, so that late outcomes find it.
+/// An open request. It is kept until all its attempts have ended, so that late outcomes can still be
+/// recorded.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
     pub(crate) class: usize,
@@ -12,42 +13,42 @@
     pub(crate) tenant: TenantId,
     pub(crate) deadline: Timestamp,
     pub(crate) attempts: Vec<Attempt>,
-    /// It has its final answer, or needs none.
+    /// Whether the client has its final answer, or has disconnected.
     pub(crate) answered: bool,
-    /// Its answer has begun to stream.
+    /// Whether its answer has begun to stream.
     pub(crate) streaming: bool,
     pub(crate) price: Price,
-    /// Units reported as spent while it waits for a total of the counter.
+    /// Units reported to the counter as spent while the request waits for the counter's reply.
     pub(crate) provisional_spend: f64,
-    /// The difference between the estimated and the actual cost has been charged.
+    /// Whether the difference between the estimated and the actual cost has been charged.
     pub(crate) settled: bool,
 }
 
-/// What a request takes from its tenant's quota, in units.
+/// The units that a request takes from its tenant's quota.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Price {
-    /// The cost, estimated until the answer tells the actual one.
+    /// The cost, possibly estimated.
     pub(crate) cost: f64,
     /// The cost with the surcharge.
     pub(crate) charged_cost: f64,
-    /// Reserved above the estimate until the cost is settled.
+    /// Units reserved in addition to the estimated cost, until the actual cost is settled.
     pub(crate) reserved: f64,
 }
 
-/// One attempt.
+/// One attempt of a request.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) backend: BackendId,
-    /// The backends that share idempotency keys with its backend.
+    /// Number of the group of backends that share idempotency keys with this one.
     pub(crate) dedup_group: u32,
     pub(crate) sent_at: Timestamp,
-    /// The connect deadline: at this moment the attempt has started, or never will.
+    /// By this time the attempt has a connection and was written, or it has failed and is never written.
     pub(crate) connect_deadline: Timestamp,
     /// `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// An attempt that ended.
+/// The result of an attempt that ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) class: usize,
@@ -63,7 +64,7 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// The earliest attempt that may have run.
+    /// The earliest attempt that the backend may have executed.
     pub(crate) fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,68 +1,70 @@
-//! Moments and spans of time.
+//! Points in time and durations, in microseconds.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 
-/// A span of time in microseconds.
+/// A duration in microseconds.
 pub type Micros = u64;
 
 /// Microseconds in a second.
 pub(crate) const SECOND: f64 = 1e6;
 
-/// A moment: a reading of the caller's clock in microseconds. Zero stands for long ago, or never, where a field says so.
+/// A point in time: a reading of the caller's clock in microseconds. Where a field documents it, zero means
+/// long ago or never.
 #[derive(Clone, Copy, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The earliest moment.
+    /// The earliest point in time.
     pub const ZERO: Self = Self(0);
-    /// A moment that never comes.
+    /// The latest point in time; it stands for never.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The moment at which the clock reads this many microseconds.
+    /// The time at which the clock reads this many microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// What the clock reads, in microseconds.
+    /// The reading of the clock in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span since an earlier moment; 0 if that lies in the future.
+    /// The duration since `earlier`; 0 if `earlier` is later than `self`.
     pub fn saturating_since(self, earlier: Self) -> Micros {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The span between two moments, whichever is earlier.
+    /// The duration between two points in time, in either order.
     pub fn abs_diff(self, other: Self) -> Micros {
         self.0.abs_diff(other.0)
     }
 
-    /// The span since an earlier moment in seconds.
+    /// The seconds since `earlier`.
     ///
     /// # Panics
     ///
-    /// `earlier` lies in the future.
+    /// Panics if `earlier` is later than `self` and overflow checks are on.
     pub(crate) fn seconds_since(self, earlier: Self) -> f64 {
         (self - earlier) as f64 / SECOND
     }
 
-    /// The moment after a span, or [`Timestamp::MAX`].
+    /// The time after a duration, or [`Timestamp::MAX`] on overflow.
     #[must_use]
     pub fn saturating_add(self, span: Micros) -> Self {
         Self(self.0.saturating_add(span))
     }
 
-    /// The moment before a span, or [`Timestamp::ZERO`].
+    /// The time before a duration, or [`Timestamp::ZERO`] on underflow.
     #[must_use]
     pub fn saturating_sub(self, span: Micros) -> Self {
         Self(self.0.saturating_sub(span))
     }
 
-    /// The moment after a span that may be negative, within the range of the clock.
+    /// The time after an offset that may be negative, clamped to the range from [`Timestamp::ZERO`] to
+    /// [`Timestamp::MAX`].
     #[must_use]
     pub fn saturating_add_signed(self, offset: i64) -> Self {
         Self(self.0.saturating_add_signed(offset))
