--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -1,7 +1,6 @@
-//! What is learnt from the end of an attempt: the health of its backend, the concurrency limit, and
-//! latencies.
+//! Updates the health of the backend, the concurrency limit and the latency estimates when an attempt ends.
 
-use crate::backend_latency::{BEST_LATENCY, Contact, WORST_LATENCY};
+use crate::backend_latency::{Contact, MAX_RELATIVE_LATENCY, MIN_RELATIVE_LATENCY};
 use crate::concurrency_limit::{Capacity, objective_part};
 use crate::event::Outcome;
 use crate::ids::BackendId;
@@ -11,20 +10,20 @@
 use crate::state_machine::Policy;
 use crate::time::Timestamp;
 
-/// Ratio of long-term to short-term latency below which samples do not feed the long-term estimates.
-const SLOW_RATIO: f64 = 2.0 * MIN_LATENCY_RATIO;
+/// Ratio of long-term to short-term latency below which samples are kept out of the long-term estimates.
+const SLOWDOWN_RATIO: f64 = 2.0 * MIN_LATENCY_RATIO;
 
 impl Policy {
-    /// Learns from the end of an attempt.
+    /// Records the outcome of an attempt in the estimates.
     pub(crate) fn record_outcome(&mut self, attempt: EndedAttempt) {
         let EndedAttempt { class, backend, sent_at, elapsed, outcome, .. } = attempt;
         if !self.record_backend_health(attempt) {
             return;
         }
         if outcome == Outcome::Reset {
-            // How early the connection broke says nothing of the backend's speed. Taken for fast it would
-            // attract all work.
-            self.record_relative_latency(class, backend, WORST_LATENCY);
+            // The time until a reset does not measure the speed of the backend. If it counted as a latency, a
+            // backend that resets connections at once would look the fastest and attract all requests.
+            self.record_relative_latency(class, backend, MAX_RELATIVE_LATENCY);
             return;
         }
         let service = self.service_of(class);
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Records an outcome at its backend. Returns whether the backend is known.
+    /// Records an outcome in the health of its backend. Returns false if the backend is unknown.
     fn record_backend_health(&mut self, attempt: EndedAttempt) -> bool {
         let EndedAttempt { class, plan, .. } = attempt;
         let now = self.now;
@@ -52,19 +51,19 @@
             Outcome::Rejected => backend.health.record_rejection(class, plan, now + pause),
             Outcome::ConnectFailed => {
                 backend.health.record_connect_failure(pause, now);
-                // The attempt took no capacity.
+                // The attempt took no capacity of the backends.
                 self.pools[service].concurrency.forget_last_send();
-                self.record_relative_latency(class, attempt.backend, WORST_LATENCY);
+                self.record_relative_latency(class, attempt.backend, MAX_RELATIVE_LATENCY);
             }
             Outcome::NotStarted => self.pools[service].concurrency.forget_last_send(),
-            Outcome::Ok => backend.health.record_served(class, now),
+            Outcome::Ok => backend.health.record_success(class, now),
             Outcome::Error => backend.health.record_error(class, now, next_trial),
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {}
         }
         true
     }
 
-    /// Records the latency of an attempt that ran.
+    /// Records the latency of an attempt that a backend executed.
     fn record_latency(&mut self, attempt: EndedAttempt) {
         let EndedAttempt { class, backend, elapsed, outcome, .. } = attempt;
         let service = self.service_of(class);
@@ -72,18 +71,18 @@
         pool.means.record_latency(elapsed);
         let is_early = pool.concurrency.is_early();
         let stats = &mut self.class_stats[class];
-        let relative = stats.relative_latency(elapsed).clamp(BEST_LATENCY, WORST_LATENCY);
-        let is_normal = self.latency_trend.add(relative, is_early, SLOW_RATIO, self.now);
+        let relative = stats.relative_latency(elapsed).clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
+        let is_long_term_sample = self.latency_trend.add(relative, is_early, SLOWDOWN_RATIO, self.now);
         if outcome == Outcome::Ok {
-            if is_normal {
+            if is_long_term_sample {
                 stats.record_latency(elapsed);
             }
-            pool.answers.record_answer();
+            pool.answer_rate.record_answer();
         }
         self.record_relative_latency(class, backend, relative);
     }
 
-    /// Records a backend's latency relative to the mean of its class.
+    /// Records a latency of a backend, relative to the mean of its class.
     pub(crate) fn record_relative_latency(&mut self, class: usize, backend: BackendId, relative: f64) {
         let service = self.service_of(class);
         let Some(backend) = self.backends.get_mut(backend) else { return };
@@ -92,7 +91,8 @@
         }
     }
 
-    /// Feeds a latency, as a part of its objective, to the concurrency limit of the service of a class.
+    /// Updates the concurrency limit of the service of a class with a latency, given as a fraction of the
+    /// latency objective.
     pub(crate) fn update_concurrency_limit(&mut self, class: usize, objective_part: f64, sent_at: Timestamp) {
         let service = self.service_of(class);
         let pool = &mut self.pools[service];
--- a/crates/policy/src/attempt_rules.rs
+++ b/crates/policy/src/attempt_rules.rs
@@ -1,18 +1,19 @@
-//! Rules on further attempts: whether a retry or a hedged request keeps the promise that nothing takes effect
-//! twice, and until when it has to start. They depend on the settings, the request and the backend alone.
+//! Rules on further attempts: whether a retry or a hedged request is safe, so that no request takes effect
+//! twice, and by when it has to start. They depend only on the settings, the request and the backend.
 
 use crate::event::BackendEntry;
 use crate::request::{Attempt, Request};
 use crate::settings::{DedupScope, Idempotency, RequestClass, Settings};
 use crate::time::{Micros, Timestamp};
 
-/// Part of the time in which backends drop duplicates that is left for the journey of a retry.
-const DEDUP_MARGIN: f64 = 0.15;
-/// Minimum margin in microseconds. The process may be descheduled for 0.15 s between reading the clock and
-/// writing.
+/// Fraction of the lifetime of an idempotency key that is reserved for the time a retry takes to reach its
+/// backend.
+const DEDUP_MARGIN_FRACTION: f64 = 0.15;
+/// Minimum of this margin in microseconds. The process may be descheduled for 0.15 s between reading the
+/// clock and writing the attempt.
 const MIN_DEDUP_MARGIN: Micros = 160_000;
 
-/// The rules by the settings in force, at one moment.
+/// The rules under the present settings, evaluated at the time `now`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptRules<'a> {
     settings: &'a Settings,
@@ -28,7 +29,7 @@
         &self.settings.classes[request.class]
     }
 
-    /// A number for the backends that share idempotency keys with this one.
+    /// Number of the group of backends that share idempotency keys with this one.
     pub(crate) fn dedup_group(self, class: usize, backend: &BackendEntry) -> u32 {
         let (zone, cell) = (u32::from(backend.zone), u32::from(backend.cell));
         match self.settings.classes[class].dedup_scope {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Whether a first or a further attempt at this backend is allowed.
+    /// Whether an attempt of the request may be sent to this backend, be it the first or a further one.
     pub(crate) fn may_attempt(self, request: &Request, backend: &BackendEntry) -> bool {
         let is_over = request.answered || request.streaming || self.now >= request.deadline;
         let is_second_in_flight = request.has_attempt_in_flight() && !self.settings.hedging;
@@ -56,34 +57,40 @@
 
     fn max_attempts(self, request: &Request) -> usize {
         let limit = self.settings.max_attempts;
-        let of_class = self.class_of(request).max_attempts;
-        let limit = if of_class > 0 { of_class.min(limit) } else { limit };
+        let class_limit = self.class_of(request).max_attempts;
+        let limit = if class_limit > 0 { class_limit.min(limit) } else { limit };
         limit as usize
     }
 
-    /// Whether backends that know the key still drop the duplicate, if the first attempt ran.
+    /// Whether this backend is certain to drop a repeated key as a duplicate, if the first attempt was
+    /// executed.
     fn may_repeat_key(self, request: &Request, backend: &BackendEntry, first: &Attempt) -> bool {
-        // An attempt in flight may not have a connection yet. It would reach its backend after this one.
+        // An attempt in flight that is still connecting could reach its backend after the new attempt.
         let has_started = |a: &Attempt| !a.is_in_flight() || self.now >= a.connect_deadline;
-        let in_time = self.now < self.start_deadline(request) && request.attempts.iter().all(has_started);
-        in_time && self.dedup_group(request.class, backend) == first.dedup_group
+        let is_in_time = self.now < self.start_deadline(request) && request.attempts.iter().all(has_started);
+        is_in_time && self.dedup_group(request.class, backend) == first.dedup_group
     }
 
-    /// The moment by which a further attempt has to start. Backends drop duplicates of a key for a while,
-    /// counted from the first attempt that may have run.
+    /// The time by which a further attempt has to start; [`Timestamp::MAX`] if there is no limit. Backends
+    /// drop duplicates of a key only for its lifetime, which is counted from the first attempt that may have
+    /// run.
     pub(crate) fn start_deadline(self, request: &Request) -> Timestamp {
         let class = self.class_of(request);
         let first = request.first_possible_run().filter(|_| class.idempotency == Idempotency::Keyed);
         let Some(first) = first else { return Timestamp::MAX };
-        let margin = ((class.idempotency_key_ttl as f64 * DEDUP_MARGIN) as Micros).max(MIN_DEDUP_MARGIN);
+        let margin =
+            ((class.idempotency_key_ttl as f64 * DEDUP_MARGIN_FRACTION) as Micros).max(MIN_DEDUP_MARGIN);
         first.sent_at.saturating_add(class.idempotency_key_ttl.saturating_sub(margin))
     }
 
-    /// Whether a rejection, which tells the client that a retry is harmless, would be true.
+    /// Whether the request may be rejected. A rejection tells the client that it can safely retry.
     pub(crate) fn may_reject(self, request: &Request) -> bool {
         let class = self.class_of(request);
-        let drops_all = class.idempotency == Idempotency::Keyed && class.dedup_scope == DedupScope::All;
-        class.idempotency == Idempotency::Idempotent || drops_all || request.first_possible_run().is_none()
+        let is_dropped_everywhere =
+            class.idempotency == Idempotency::Keyed && class.dedup_scope == DedupScope::All;
+        class.idempotency == Idempotency::Idempotent
+            || is_dropped_everywhere
+            || request.first_possible_run().is_none()
     }
 }
 
--- a/crates/policy/src/attempt_rules/tests.rs
+++ b/crates/policy/src/attempt_rules/tests.rs
@@ -1,4 +1,4 @@
-//! The rules alone: no state machine.
+//! Tests of the attempt rules without a state machine.
 
 use super::*;
 use crate::event::Outcome;
@@ -20,7 +20,7 @@
     Timestamp::from_micros(micros)
 }
 
-/// A request with one attempt sent at moment 0 to a backend of zone 0.
+/// A request with one attempt that was sent at time 0 to a backend in zone 0.
 fn request(outcome: Option<Outcome>) -> Request {
     let attempt = Attempt {
         backend: BackendId(1),
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn a_key_is_repeated_within_its_window_and_scope() {
+fn a_keyed_request_is_retried_only_within_the_lifetime_and_scope_of_its_key() {
     let settings = settings(Idempotency::Keyed);
     let failed = request(Some(Outcome::Error));
     let may_attempt_at = |now, zone| AttemptRules::new(&settings, now).may_attempt(&failed, &in_zone(zone));
-    // 15 % of the window of 2 s are left for the journey.
+    // 15 % of the key's lifetime of 2 s are reserved for the time until the retry reaches its backend.
     assert!(may_attempt_at(at(1_699 * MS), 0));
     assert!(!may_attempt_at(at(1_700 * MS), 0));
     assert!(!may_attempt_at(at(10 * MS), 1));
 }
 
 #[test]
-fn a_key_is_not_repeated_beside_an_attempt_that_may_still_connect() {
+fn a_keyed_request_is_not_repeated_while_an_earlier_attempt_may_still_connect() {
     let settings = settings(Idempotency::Keyed);
     let connecting = request(None);
     assert!(!AttemptRules::new(&settings, at(249 * MS)).may_attempt(&connecting, &in_zone(0)));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn nothing_is_sent_past_the_deadline_beyond_the_limit_or_after_the_answer() {
+fn no_attempt_is_allowed_after_the_deadline_the_attempt_limit_or_the_answer() {
     let settings = settings(Idempotency::Idempotent);
     let rules = AttemptRules::new(&settings, at(10 * MS));
     let failed = || request(Some(Outcome::Error));
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: sending, retries within what a class permits, hedged requests, and the final answer.
+//! Attempts: first attempts, retries and hedged requests, and the final answer when none succeeds.
 
 use crate::action::{Action, RejectReason};
 use crate::attempt_rules::AttemptRules;
-use crate::backend_latency::WORST_LATENCY;
+use crate::backend_latency::MAX_RELATIVE_LATENCY;
 use crate::event::Outcome;
 use crate::ids::{BackendId, RequestId};
 use crate::latency_trend::MIN_LATENCY_RATIO;
@@ -14,8 +14,8 @@
 use crate::time::Micros;
 use crate::timer_token::hedge_token;
 
-/// Part of the latency objective after which a hedged request is worth its work.
-const HEDGE_PART: f64 = 0.4;
+/// Default delay of a hedged request, as a fraction of the latency objective.
+const HEDGE_DELAY_FRACTION: f64 = 0.4;
 
 impl Policy {
     /// Sends an attempt of an open request to a backend.
@@ -43,7 +43,9 @@
         out.push(Action::Timer { after: hedge_delay(class), token: hedge_token(id, attempt) });
     }
 
-    /// Sends a hedged request beside a slow attempt, where the class and the budget allow one.
+    /// Sends a hedged request in addition to a slow attempt. It is sent only if the slow attempt is the
+    /// latest one, its backend has answered nothing since, the retry budget and the concurrency limit cover
+    /// it, the service is not overloaded, and the class allows a further attempt.
     pub(crate) fn hedge(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
         let Some(request) = self.requests.get(&id) else { return };
         let slow = request.attempts.get(attempt).filter(|attempt| attempt.is_in_flight());
@@ -51,9 +53,9 @@
         let is_latest = attempt + 1 == request.attempts.len();
         let class = request.class;
         let relative = self.class_stats[class].relative_latency(self.now - sent_at);
-        // Its answer will be late at best: known before it arrives.
+        // The attempt is already known to be slow. It is recorded as such before its answer arrives.
         self.update_concurrency_limit(class, 1.0, sent_at);
-        self.record_relative_latency(class, backend, relative.min(WORST_LATENCY));
+        self.record_relative_latency(class, backend, relative.min(MAX_RELATIVE_LATENCY));
         let is_answering = self.backends.get(backend).is_some_and(|b| b.health.has_answered_since(sent_at));
         let is_overloaded = self.latency_ratio() < MIN_LATENCY_RATIO;
         if is_answering || !is_latest || !self.retry_budget.covers_hedge() || is_overloaded {
@@ -65,20 +67,21 @@
         }
     }
 
-    /// Selects a backend for a hedged request, which is not made without capacity.
+    /// Selects a backend for a hedged request, if the concurrency limit admits one more attempt.
     fn select_for_hedge(&mut self, id: RequestId) -> Option<BackendId> {
         self.with_request_removed(id, |policy, request| {
             policy.has_capacity(request).then(|| policy.select_backend(request)).flatten()
         })
     }
 
-    /// Selects a backend for a retry, which replaces an attempt that has ended.
+    /// Selects a backend for a retry. It replaces an attempt that has ended, so the concurrency limit is not
+    /// checked.
     fn select_for_retry(&mut self, id: RequestId) -> Option<BackendId> {
         self.with_request_removed(id, Self::select_backend)
     }
 
-    /// Selects a backend for a request that is not among the open ones meanwhile: its own attempts do not
-    /// count.
+    /// Selects a backend while the request is removed from the open requests, so that its own attempts do not
+    /// count as load.
     fn with_request_removed(
         &mut self,
         id: RequestId,
@@ -112,11 +115,11 @@
         if outcome != Outcome::Ok && self.requests.get(&id).is_some_and(|request| !request.answered) {
             self.retry(id, outcome, out);
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// After a failed attempt: another one where that is safe, else the final answer once nothing is in
-    /// flight.
+    /// Retries after a failed attempt, if the budget and the class allow it. Otherwise gives the final answer
+    /// once no attempt is in flight.
     fn retry(&mut self, id: RequestId, outcome: Outcome, out: &mut Actions) {
         let cost = RetryBudget::retry_cost(outcome);
         let may_retry = outcome != Outcome::NotSent && self.retry_budget.covers(cost);
@@ -129,10 +132,10 @@
         }
     }
 
-    /// The one final answer that this gatekeeper gives itself.
+    /// Gives up an unanswered request: rejects it if the client can safely retry, and fails it otherwise.
     pub(crate) fn answer(&mut self, id: RequestId, out: &mut Actions) {
-        let open = self.requests.get(&id).filter(|request| !request.answered && !request.streaming);
-        let Some(request) = open else { return };
+        let unanswered = self.requests.get(&id).filter(|request| !request.answered && !request.streaming);
+        let Some(request) = unanswered else { return };
         let retry_after = self.retry_after(request);
         let may_reject = AttemptRules::new(&self.settings, self.now).may_reject(request);
         out.push(if may_reject {
@@ -143,14 +146,14 @@
         self.close(id);
     }
 
-    /// The request needs no further answer.
+    /// Marks a request as answered: it needs no further answer or attempt.
     pub(crate) fn close(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.answered = true);
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// A finished request stays until all its attempts have ended, so that late outcomes find it.
-    fn remove_if_over(&mut self, id: RequestId) {
+    /// Removes a request that is answered and has no attempt in flight.
+    fn remove_if_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.answered && !request.has_attempt_in_flight() {
             self.settle(id, 0.0);
@@ -159,8 +162,8 @@
     }
 }
 
-/// How long an attempt of a class may take before a hedged request is considered.
+/// Microseconds after the start of an attempt at which a hedged request is considered.
 fn hedge_delay(class: &RequestClass) -> Micros {
-    let default = (class.latency_objective as f64 * HEDGE_PART) as Micros;
+    let default = (class.latency_objective as f64 * HEDGE_DELAY_FRACTION) as Micros;
     if class.hedge_after > 0 { class.hedge_after } else { default }
 }
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend as this gatekeeper sees it: its entry in the endpoint list, and the parts that learn about it.
+//! State of one backend: its entry in the endpoint list, and this gatekeeper's estimates of it.
 
 use crate::backend_latency::BackendLatency;
 use crate::event::BackendEntry;
@@ -7,15 +7,15 @@
 use crate::stored::StoredBackend;
 use crate::time::Timestamp;
 
-/// Bounds of a backend's size: a wrong figure must not attract all work, or none for good.
+/// Bounds of a backend's size. A wrong value must not attract all requests to a backend, or keep all from it.
 const SIZE_BOUNDS: (f64, f64) = (0.05, 20.0);
-/// Seconds; memory of recent sends, used where work is distributed by size.
-const RECENT_SENDS_MEMORY: f64 = 1.0;
+/// Time constant in seconds of the decay of recent sends.
+const RECENT_SENDS_DECAY_SECONDS: f64 = 1.0;
 
-/// One backend.
+/// State of one backend.
 #[derive(Clone, Debug)]
 pub(crate) struct Backend {
-    /// Its entry in the endpoint list.
+    /// The latest entry in the endpoint list.
     pub(crate) entry: BackendEntry,
     pub(crate) load: BackendLoad,
     pub(crate) latency: BackendLatency,
@@ -24,24 +24,28 @@
 }
 
 impl Backend {
-    /// A new backend.
-    pub(crate) fn new(entry: BackendEntry, slow_start: SlowStart, now: Timestamp, classes: usize) -> Self {
+    pub(crate) fn new(
+        entry: BackendEntry,
+        slow_start: SlowStart,
+        now: Timestamp,
+        class_count: usize,
+    ) -> Self {
         Self {
             entry,
             load: BackendLoad::default(),
             latency: BackendLatency::new(now),
-            health: BackendHealth::new(now, classes),
+            health: BackendHealth::new(now, class_count),
             slow_start,
         }
     }
 
-    /// The same backend after a restart: estimates are reset, and attempts in flight still end.
+    /// The state of this backend after a restart. Estimates are reset; attempts in flight still count.
     pub(crate) fn restarted(&self, entry: BackendEntry, slow_start: SlowStart, now: Timestamp) -> Self {
-        let fresh = Self::new(entry, slow_start, now, self.health.classes());
+        let fresh = Self::new(entry, slow_start, now, self.health.class_count());
         Self { load: self.load.without_recent_sends(), ..fresh }
     }
 
-    /// Its size relative to others, within bounds.
+    /// Size relative to other backends, clamped to [`SIZE_BOUNDS`].
     pub(crate) fn size(&self) -> f64 {
         let (smallest, largest) = SIZE_BOUNDS;
         if self.entry.size.is_finite() { self.entry.size.clamp(smallest, largest) } else { 1.0 }
@@ -56,7 +60,8 @@
         stored
     }
 
-    /// Continues from a snapshot. The entry, the notified start and the attempts in flight are those of this gatekeeper.
+    /// Restores the estimates from a snapshot. The entry, the notified start and the attempts in flight
+    /// remain those of this gatekeeper.
     pub(crate) fn restore(&mut self, stored: StoredBackend, now: Timestamp) {
         self.load.restore(&stored);
         self.latency = BackendLatency::restore(&stored, now);
@@ -65,11 +70,11 @@
     }
 }
 
-/// Attempts of this gatekeeper in flight at a backend, and its recent sends.
+/// Attempts of this gatekeeper at one backend: those in flight, and those sent recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackendLoad {
     in_flight: u32,
-    /// Recent sends, decaying; used where work is distributed by size.
+    /// Exponentially decaying number of sends. It is used where requests are distributed by size.
     recent_sends: f64,
 }
 
@@ -91,9 +96,9 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Lets the memory of recent sends decay over this many seconds.
+    /// Decays the recent sends for this many seconds that have passed.
     pub(crate) fn decay(&mut self, seconds: f64) {
-        self.recent_sends *= (-seconds / RECENT_SENDS_MEMORY).exp();
+        self.recent_sends *= (-seconds / RECENT_SENDS_DECAY_SECONDS).exp();
     }
 
     fn without_recent_sends(&self) -> Self {
--- a/crates/policy/src/backend_latency.rs
+++ b/crates/policy/src/backend_latency.rs
@@ -1,31 +1,31 @@
-//! The latency of one backend relative to the mean of its class: an estimate that is forgotten as it ages, no decision.
+//! Estimates the latency of one backend relative to the mean of the class. The estimate decays as it ages.
 
 use crate::stored::StoredBackend;
 use crate::time::Timestamp;
 
-/// Relative latency up to which a backend counts as good.
-pub(crate) const GOOD_LATENCY: f64 = 1.5;
-/// Bounds of the relative latency that is recorded.
-pub(crate) const WORST_LATENCY: f64 = 20.0;
-pub(crate) const BEST_LATENCY: f64 = 0.05;
-/// Seconds; memory of a backend's relative latency.
-pub(crate) const LATENCY_MEMORY: f64 = 10.0;
-/// Part of the memory after which a contact counts as a first one.
+/// Relative latency below which a backend counts as good.
+pub(crate) const GOOD_RELATIVE_LATENCY: f64 = 1.5;
+/// Bounds of a recorded relative latency.
+pub(crate) const MAX_RELATIVE_LATENCY: f64 = 20.0;
+pub(crate) const MIN_RELATIVE_LATENCY: f64 = 0.05;
+/// Time constant in seconds of the decay of a backend's relative latency.
+pub(crate) const LATENCY_DECAY_SECONDS: f64 = 10.0;
+/// Minimum age of the estimate for a first contact, as a fraction of the time constant.
 const FIRST_CONTACT_AGE: f64 = 0.3;
-/// Weight of one sample, and what is added to it with the age of the estimate.
+/// Weight of one sample, and the weight that is added in proportion to the age of the estimate.
 const SAMPLE_WEIGHT: f64 = 0.1;
 const AGED_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Whether a sample tells something about backends that are not known.
+/// Whether a sample is representative of backends without a recent estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Contact {
-    /// Little was known of the backend.
+    /// The estimate of the backend was old and good.
     First,
-    /// Further contacts to a bad backend tell nothing about unknown ones.
+    /// The estimate was recent or bad. Such a sample says nothing about other backends.
     Further,
 }
 
-/// Relative latency and the moment of its last update.
+/// Estimate of the relative latency, and the time of its last update.
 #[derive(Clone, Debug)]
 pub(crate) struct BackendLatency {
     relative: f64,
@@ -37,18 +37,18 @@
         Self { relative: 1.0, updated_at: now }
     }
 
-    /// Expected latency over the mean of the class. What is forgotten is assumed to be as bad as first contacts lately were: while
-    /// many backends are bad, known good ones go first.
+    /// Expected latency relative to the mean of the class. As the estimate ages, it approaches the latency of
+    /// recent first contacts, so that backends known to be good are preferred while many others are slow.
     pub(crate) fn expected(&self, first_contact: f64, now: Timestamp) -> f64 {
-        let freshness = (-now.seconds_since(self.updated_at) / LATENCY_MEMORY).exp();
+        let freshness = (-now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).exp();
         let assumed = first_contact.max(1.0);
         assumed + (self.relative - assumed) * freshness
     }
 
-    /// Adds a sample.
+    /// Adds a sample of the relative latency.
     pub(crate) fn record(&mut self, relative: f64, now: Timestamp) -> Contact {
-        let age = (now.seconds_since(self.updated_at) / LATENCY_MEMORY).min(1.0);
-        let is_first = age > FIRST_CONTACT_AGE && self.relative < GOOD_LATENCY;
+        let age = (now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).min(1.0);
+        let is_first = age > FIRST_CONTACT_AGE && self.relative < GOOD_RELATIVE_LATENCY;
         let weight = SAMPLE_WEIGHT + AGED_SAMPLE_WEIGHT * age;
         self.relative += weight * (relative - self.relative);
         self.updated_at = now;
--- a/crates/policy/src/backend_latency/tests.rs
+++ b/crates/policy/src/backend_latency/tests.rs
@@ -1,4 +1,4 @@
-//! The estimate alone.
+//! Tests of the latency estimate of a single backend.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn samples_raise_the_expectation_and_age_lets_it_return_to_that_of_first_contacts() {
+fn slow_samples_raise_the_expected_latency_and_it_returns_to_that_of_first_contacts() {
     let mut latency = BackendLatency::new(at(0));
     for _ in 0..20 {
         latency.record(10.0, at(1));
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn only_a_contact_to_a_good_backend_after_a_while_is_a_first_one() {
+fn a_sample_is_a_first_contact_only_after_a_pause_and_if_the_backend_was_good() {
     let mut latency = BackendLatency::new(at(0));
     assert_eq!(latency.record(20.0, at(1)), Contact::Further);
-    assert_eq!(latency.record(1.0, at(9)), Contact::Further, "it was bad");
+    assert_eq!(latency.record(1.0, at(9)), Contact::Further, "the backend had a high latency");
     let mut good = BackendLatency::new(at(0));
     assert_eq!(good.record(1.0, at(9)), Contact::First);
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and operator ejections: which backends are known, and which of them are ready.
+//! Known backends: applies the endpoint list and operator ejections, and tells which backends are ready.
 
 use crate::backend::Backend;
 use crate::event::{BackendEntry, BackendState, ListKind};
@@ -10,21 +10,21 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All known backends.
+/// All backends on the endpoint list, and those that left it with attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Backends {
     known: BTreeMap<BackendId, Backend>,
-    /// Backends that operators have ejected, on the list or not.
+    /// Backends that operators have ejected; they need not be on the endpoint list.
     operator_ejections: BTreeSet<BackendId>,
     start_times: StartTimes,
 }
 
-/// What a change of the list needs beside the backends.
+/// Inputs of a change of the known backends, in addition to the change itself.
 #[derive(Debug)]
 pub(crate) struct ListContext<'a> {
     pub(crate) now: Timestamp,
-    /// The number of request classes.
-    pub(crate) classes: usize,
+    /// Number of request classes.
+    pub(crate) class_count: usize,
     pub(crate) rng: &'a mut fastrand::Rng,
 }
 
@@ -45,7 +45,7 @@
         self.known.values_mut()
     }
 
-    /// The backends of a service that may be sent work.
+    /// The backends of a service that are ready and not ejected by an operator.
     pub(crate) fn ready(&self, service: u16) -> impl Iterator<Item = &Backend> {
         let is_ready = move |backend: &&Backend| {
             let entry = &backend.entry;
@@ -68,14 +68,14 @@
         context: &mut ListContext<'_>,
     ) {
         if kind != ListKind::Delta {
-            // What a complete list leaves out is gone.
+            // Backends that a complete list lacks are gone.
             self.known.values_mut().for_each(|backend| backend.entry.state = BackendState::Gone);
         }
         for entry in entries {
             self.apply_entry(entry, context);
         }
         if kind != ListKind::Cached {
-            self.start_times.follow();
+            self.start_times.record_discovery_list();
         }
         self.known
             .retain(|_, backend| backend.entry.state != BackendState::Gone || backend.load.in_flight() > 0);
@@ -93,13 +93,13 @@
             }
             None if entry.state == BackendState::Gone => {}
             None => {
-                self.known.insert(entry.id, Backend::new(entry, slow_start, now, context.classes));
+                self.known.insert(entry.id, Backend::new(entry, slow_start, now, context.class_count));
             }
         }
     }
 
-    /// An operator ejects a backend, or admits it again: then it may have restarted unseen, and begins in
-    /// slow start.
+    /// Ejects a backend for an operator, or readmits it. A readmitted backend begins in slow start, because
+    /// it may have restarted unnoticed while it was ejected.
     pub(crate) fn set_operator_ejection(
         &mut self,
         id: BackendId,
@@ -114,19 +114,19 @@
         }
     }
 
-    /// The share of its capacity that a backend certainly has.
-    pub(crate) fn warmth(&self, backend: &Backend, settings: &Settings, now: Timestamp) -> f64 {
+    /// Lower bound of the fraction of its full capacity that a backend has, 1 once it is warm.
+    pub(crate) fn warm_fraction(&self, backend: &Backend, settings: &Settings, now: Timestamp) -> f64 {
         let slow_start = &backend.slow_start;
         let started = self.start_times.start_of(backend.entry.started, slow_start.notified_start(), now);
-        slow_start::warmth(settings, started.max(slow_start.readmitted_at()), now)
+        slow_start::warm_fraction(settings, started.max(slow_start.readmitted_at()), now)
     }
 
-    /// This gatekeeper's clock is ahead of the fleet's by this many microseconds.
+    /// Sets by how many microseconds this gatekeeper's clock is ahead of the fleet's clock.
     pub(crate) fn set_clock_offset(&mut self, offset: i64) {
         self.start_times.set_clock_offset(offset);
     }
 
-    /// The time by the fleet's clock.
+    /// The reading of the fleet's clock at the time `now` of this gatekeeper's clock.
     pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
         self.start_times.fleet_time(now)
     }
@@ -140,12 +140,12 @@
         stored.collect()
     }
 
-    /// Continues from a snapshot of a backend, if it is the same start of the same backend and the same
-    /// classes.
+    /// Restores a backend from a snapshot, if the backend has not restarted since and the number of classes
+    /// is the same.
     pub(crate) fn restore(&mut self, snapshot: BackendSnapshot, now: Timestamp) {
         let BackendSnapshot { id, started, state } = snapshot;
         let Some(backend) = self.known.get_mut(&id) else { return };
-        if backend.entry.started == started && state.classes.len() == backend.health.classes() {
+        if backend.entry.started == started && state.classes.len() == backend.health.class_count() {
             backend.restore(state, now);
         }
     }
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -1,27 +1,28 @@
-//! The ratio of long-term to short-term p95 latency: an estimate, no decision.
+//! Estimates the ratio of long-term to short-term p95 latency, which falls while latency is above its usual
+//! level.
 
 use crate::quantile::P2Quantile;
 use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Ratio of long-term to short-term p95 latency below which the backends are overloaded (the design).
+/// Ratio of long-term to short-term p95 latency below which the backends count as overloaded.
 pub(crate) const MIN_LATENCY_RATIO: f64 = 0.3;
-/// The quantile of both latency estimates (the design).
+/// The quantile of both latency estimates.
 const QUANTILE: f64 = 0.95;
-/// Samples and microseconds that make a short-term estimate.
+/// Minimum number of samples, and minimum microseconds, for one short-term estimate.
 const SHORT_TERM_SAMPLES: u64 = 20;
 const SHORT_TERM_DURATION: Micros = 1_000_000;
-/// Microseconds for which a short-term estimate is valid: a gatekeeper may see but a few answers a second.
+/// Microseconds for which a short-term estimate is valid. A gatekeeper may get only a few answers a second.
 const SHORT_TERM_EXPIRY: Micros = 10_000_000;
-/// Samples from which the long-term estimate is valid.
+/// Minimum number of samples for a valid long-term estimate.
 const LONG_TERM_SAMPLES: u64 = 100;
 
-/// Short- and long-term p95 latency. The order of the fields is part of the form of a snapshot.
+/// Short- and long-term p95 latency. Snapshots encode the fields by position, so their order must not change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct LatencyTrend {
     short_term: P2Quantile,
     short_term_since: Timestamp,
-    /// The last short-term estimate, and when it was made.
+    /// The last complete short-term estimate, and when it was completed.
     estimate: Option<(f64, Timestamp)>,
     long_term: P2Quantile,
 }
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Changes all times that are kept.
+    /// Applies `change` to all stored times.
     pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
         change(&mut self.short_term_since);
         if let Some((_, estimated_at)) = &mut self.estimate {
@@ -44,8 +45,9 @@
         }
     }
 
-    /// Adds a sample; returns whether it feeds the long-term estimate. A lasting slowdown, which is a ratio below `slow_ratio`,
-    /// must not become the new normal unless answers still meet their objective (`on_time`).
+    /// Adds a sample. Returns whether it was also added to the long-term estimate. A lasting slowdown, in
+    /// which the ratio is below `slow_ratio`, is kept out of the long-term estimate, unless answers still
+    /// meet their latency objective (`on_time`).
     pub(crate) fn add(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Timestamp) -> bool {
         self.short_term.add(sample);
         if self.short_term.count() >= SHORT_TERM_SAMPLES && now >= self.short_term_since + SHORT_TERM_DURATION
@@ -61,7 +63,7 @@
         true
     }
 
-    /// Long-term over short-term p95, 1 at most; none until both are valid.
+    /// Long-term over short-term p95 latency, at most 1; `None` unless both estimates are valid.
     pub(crate) fn ratio(&self, now: Timestamp) -> Option<f64> {
         let (short_term, estimated_at) = self.estimate?;
         let long_term = self.long_term.value().filter(|_| self.long_term.count() >= LONG_TERM_SAMPLES)?;
--- a/crates/policy/src/outlier_detection/tests.rs
+++ b/crates/policy/src/outlier_detection/tests.rs
@@ -1,4 +1,4 @@
-//! The health of one backend alone.
+//! Tests of the health of a single backend.
 
 use super::*;
 
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn a_backend_that_answers_one_class_is_ejected_for_the_other_alone() {
+fn a_backend_that_answers_one_class_is_ejected_only_for_the_other() {
     let mut health = health();
-    health.record_served(0, at(300));
+    health.record_success(0, at(300));
     assert!(health.eject_if_silent(1, at(200), at(900)));
     assert_eq!((health.ejected_until(0), health.ejected_until(1)), (None, Some(at(900))));
     assert!(!health.is_ejected());
@@ -34,16 +34,16 @@
     health.eject_if_silent(0, at(200), at(900));
     health.record_send(0, at(2_000));
     assert_eq!((health.ejected_until(0), health.ejected_until(1)), (Some(at(2_000)), Some(at(2_000))));
-    health.record_served(0, at(1_000));
+    health.record_success(0, at(1_000));
     assert_eq!((health.ejected_until(0), health.ejected_until(1)), (None, Some(at(2_000))));
 }
 
 #[test]
 fn the_class_that_was_answered_last_gets_the_trial() {
     let mut health = health();
-    health.record_served(1, at(300));
+    health.record_success(1, at(300));
     health.eject_if_silent(0, at(400), at(900));
-    assert!(health.wants_trial(1) && !health.wants_trial(0));
+    assert!(health.is_trial_class(1) && !health.is_trial_class(0));
 }
 
 #[test]
@@ -53,7 +53,7 @@
     assert!(health.is_in_connect_backoff(at(1_009)) && !health.is_in_connect_backoff(at(1_010)));
     health.record_connect_failure(10, at(2_000));
     assert!(health.is_in_connect_backoff(at(2_019)) && !health.is_in_connect_backoff(at(2_020)));
-    health.record_served(0, at(2_500));
+    health.record_success(0, at(2_500));
     health.record_connect_failure(10, at(3_000));
     assert!(!health.is_in_connect_backoff(at(3_010)));
 }
@@ -62,7 +62,7 @@
 fn a_rejection_pauses_its_class_and_plan_only() {
     let mut health = health();
     health.record_rejection(0, 3, at(500));
-    assert!(health.pauses_after_rejection(0, 3, at(499)));
-    assert!(!health.pauses_after_rejection(0, 3, at(500)));
-    assert!(!health.pauses_after_rejection(1, 3, at(499)) && !health.pauses_after_rejection(0, 2, at(499)));
+    assert!(health.is_in_rejection_pause(0, 3, at(499)));
+    assert!(!health.is_in_rejection_pause(0, 3, at(500)));
+    assert!(!health.is_in_rejection_pause(1, 3, at(499)) && !health.is_in_rejection_pause(0, 2, at(499)));
 }
--- a/crates/policy/src/pool_updates.rs
+++ b/crates/policy/src/pool_updates.rs
@@ -1,5 +1,4 @@
-//! Updates of the backends of a service: from the endpoint list, by operators, and the periodic work over
-//! them.
+//! Updates of the backends of each service: from the endpoint list, from operators, and periodically.
 
 use crate::concurrency_limit::Capacity;
 use crate::endpoints::ListContext;
@@ -11,20 +10,21 @@
 
 impl Policy {
     pub(crate) fn on_endpoints(&mut self, kind: ListKind, entries: Vec<BackendEntry>) {
-        let classes = self.settings.classes.len();
-        let mut context = ListContext { now: self.now, classes, rng: &mut self.rng };
+        let class_count = self.settings.classes.len();
+        let mut context = ListContext { now: self.now, class_count, rng: &mut self.rng };
         self.backends.apply_list(kind, entries, &mut context);
         self.order_pools();
     }
 
     pub(crate) fn on_operator_ejection(&mut self, id: BackendId, ejected: bool) {
-        let classes = self.settings.classes.len();
-        let mut context = ListContext { now: self.now, classes, rng: &mut self.rng };
+        let class_count = self.settings.classes.len();
+        let mut context = ListContext { now: self.now, class_count, rng: &mut self.rng };
         self.backends.set_operator_ejection(id, ejected, &mut context);
         self.on_endpoints(ListKind::Delta, Vec::new());
     }
 
-    /// Orders the ready backends of each service.
+    /// Sorts the ready backends of each service by preference, and adapts the concurrency limits to their
+    /// number.
     fn order_pools(&mut self) {
         for (service, pool) in self.pools.iter_mut().enumerate() {
             let ready = self.backends.ready(service as u16);
@@ -41,7 +41,7 @@
         self.pools[service].order.update_panic_mode(ejected);
     }
 
-    /// Periodic work over the backends of one service.
+    /// Runs the periodic updates of the backends of one service.
     pub(crate) fn update_pool(&mut self, service: usize) {
         let seconds = self.measure_answer_rate(service);
         for rank in 0..self.pools[service].order.ready().len() {
@@ -51,27 +51,31 @@
         self.update_panic_mode(service);
     }
 
-    /// Returns the seconds since the last measurement.
+    /// Updates the answer rate of a service. Returns the seconds since the previous update.
     fn measure_answer_rate(&mut self, service: usize) -> f64 {
         let (now, settings) = (self.now, &self.settings);
         let ready = self.backends.ready(service as u16);
-        let warmth: f64 = ready.map(|backend| self.backends.warmth(backend, settings, now)).sum();
+        let warm_fraction: f64 =
+            ready.map(|backend| self.backends.warm_fraction(backend, settings, now)).sum();
         let pool = &mut self.pools[service];
-        let seconds = pool.answers.seconds_since_measured(now);
-        pool.answers.measure(warmth, pool.means.latency(), settings.gatekeepers, now);
+        let seconds = pool.answer_rate.seconds_since_measured(now);
+        pool.answer_rate.measure(warm_fraction, pool.means.latency(), settings.gatekeepers, now);
         pool.means.forget_first_contacts(seconds);
         seconds
     }
 
-    /// Lets a backend earn slow-start tokens. Only gatekeepers that prefer it earn them, however far others
-    /// must go in their order.
+    /// Adds slow-start tokens to a backend, and decays its recent sends. Only gatekeepers that have the
+    /// backend in their subset earn tokens, even if other gatekeepers fall back to it.
     fn update_backend(&mut self, service: usize, id: BackendId, rank: usize, seconds: f64) {
         let (pool, settings) = (&self.pools[service], &self.settings);
         let Some(backend) = self.backends.get(id) else { return };
-        let warmth = self.backends.warmth(backend, settings, self.now);
-        let is_due = warmth < 1.0 && rank < pool.order.subset_size();
-        let share = SenderShare { subset_part: pool.order.subset_part(), warm_rate: pool.answers.assumed() };
-        let earned = if is_due { token_rate(settings, warmth, share) * seconds } else { 0.0 };
+        let warm_fraction = self.backends.warm_fraction(backend, settings, self.now);
+        let earns_tokens = warm_fraction < 1.0 && rank < pool.order.subset_size();
+        let share = SenderShare {
+            subset_fraction: pool.order.subset_fraction(),
+            warm_rate: pool.answer_rate.assumed_rate(),
+        };
+        let earned = if earns_tokens { token_rate(settings, warm_fraction, share) * seconds } else { 0.0 };
         if let Some(backend) = self.backends.get_mut(id) {
             backend.slow_start.earn(earned);
             backend.load.decay(seconds);
--- a/crates/policy/src/quantile.rs
+++ b/crates/policy/src/quantile.rs
@@ -1,8 +1,8 @@
-//! The P² estimator of one quantile in constant memory (Jain and Chlamtac, 1985).
+//! The P² algorithm, which estimates one quantile in constant memory (Jain and Chlamtac, 1985).
 
 use serde::{Deserialize, Serialize};
 
-/// Running estimate of one quantile from five markers; no sample is kept.
+/// Running estimate of one quantile. It keeps five markers, and no samples beyond the first five.
 ///
 /// # Examples
 ///
@@ -23,7 +23,7 @@
 }
 
 impl P2Quantile {
-    /// An empty estimator of `quantile`, which is clamped to between 0 and 1.
+    /// Creates an estimator without samples. `quantile` is clamped to the range from 0 to 1.
     pub fn new(quantile: f64) -> Self {
         let p = quantile.clamp(0.0, 1.0);
         Self {
@@ -35,27 +35,27 @@
         }
     }
 
-    /// The number of samples.
+    /// The number of samples added so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The estimate, or `None` before the first sample. Exact up to five samples.
+    /// The estimate, or `None` before the first sample. It is exact up to five samples.
     pub fn value(&self) -> Option<f64> {
         match self.count {
             0 => None,
             n @ 1..=5 => {
-                let mut seen = self.heights;
-                let seen = &mut seen[..n as usize];
-                seen.sort_by(f64::total_cmp);
+                let mut samples = self.heights;
+                let samples = &mut samples[..n as usize];
+                samples.sort_by(f64::total_cmp);
                 let rank = (self.quantile * (n - 1) as f64).round() as usize;
-                Some(seen[rank])
+                Some(samples[rank])
             }
             _ => Some(self.heights[2]),
         }
     }
 
-    /// Adds one sample; a value that is not finite is ignored.
+    /// Adds one sample. A value that is not finite is ignored.
     pub fn add(&mut self, sample: f64) {
         if !sample.is_finite() {
             return;
@@ -68,8 +68,8 @@
             }
             return;
         }
-        let cell = self.cell_of(sample);
-        for position in &mut self.positions[cell + 1..] {
+        let interval = self.marker_interval(sample);
+        for position in &mut self.positions[interval + 1..] {
             *position += 1.0;
         }
         let p = self.quantile;
@@ -82,8 +82,9 @@
         }
     }
 
-    /// The marker interval that holds `sample`; the extremes are extended to include it.
-    fn cell_of(&mut self, sample: f64) -> usize {
+    /// Index of the interval between markers that contains `sample`. The outer markers are moved to include
+    /// it.
+    fn marker_interval(&mut self, sample: f64) -> usize {
         if sample < self.heights[0] {
             self.heights[0] = sample;
             return 0;
@@ -95,7 +96,8 @@
         (1..4).rev().find(|&k| sample >= self.heights[k]).unwrap_or(0)
     }
 
-    /// Moves one inner marker a step towards its desired position.
+    /// Moves an inner marker by one position towards its desired position, and adjusts its height by the
+    /// parabolic formula, or by the linear one if the parabola would leave the order of heights.
     fn adjust(&mut self, i: usize) {
         let gap = self.desired[i] - self.positions[i];
         let right = self.positions[i + 1] - self.positions[i];
@@ -105,18 +107,19 @@
         }
         let d = gap.signum();
         let (h, n) = (&self.heights, &self.positions);
-        let rise = (h[i + 1] - h[i]) / (n[i + 1] - n[i]);
-        let fall = (h[i] - h[i - 1]) / (n[i] - n[i - 1]);
-        let curve =
-            h[i] + d / (n[i + 1] - n[i - 1]) * ((n[i] - n[i - 1] + d) * rise + (n[i + 1] - n[i] - d) * fall);
-        let next = if h[i - 1] < curve && curve < h[i + 1] {
-            curve
+        let right_slope = (h[i + 1] - h[i]) / (n[i + 1] - n[i]);
+        let left_slope = (h[i] - h[i - 1]) / (n[i] - n[i - 1]);
+        let parabolic = h[i]
+            + d / (n[i + 1] - n[i - 1])
+                * ((n[i] - n[i - 1] + d) * right_slope + (n[i + 1] - n[i] - d) * left_slope);
+        let new_height = if h[i - 1] < parabolic && parabolic < h[i + 1] {
+            parabolic
         } else if d > 0.0 {
-            h[i] + rise
+            h[i] + right_slope
         } else {
-            h[i] - fall
+            h[i] - left_slope
         };
-        self.heights[i] = next;
+        self.heights[i] = new_height;
         self.positions[i] += d;
     }
 }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,8 +1,8 @@
-//! Load balancing: which of the backends that accept a request gets it.
+//! Load balancing: selects the backend for an attempt among those that accept the request.
 
 use crate::attempt_rules::AttemptRules;
 use crate::backend::Backend;
-use crate::backend_latency::GOOD_LATENCY;
+use crate::backend_latency::GOOD_RELATIVE_LATENCY;
 use crate::concurrency_limit::MAX_PER_BACKEND;
 use crate::endpoints::Backends;
 use crate::event::BackendState;
@@ -12,19 +12,19 @@
 use crate::settings::Settings;
 use crate::time::Timestamp;
 
-/// Factor that turns the settings' price of crossing zones into expected wait.
+/// Factor that converts the settings' cost of crossing zones into an increase of the expected wait.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
 
-/// The backends that may get a request.
+/// The backends from which one is selected for a request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Candidates {
-    /// The trial of this backend is due.
+    /// This ejected backend is due for a trial, and gets the request.
     Trial(BackendId),
     /// Backends that accept the request, in this gatekeeper's order of preference.
     Accepting(Vec<BackendId>),
 }
 
-/// Selects a backend of one service at one moment.
+/// Selects a backend of one service at the time `now`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadBalancer<'a> {
     pub(crate) settings: &'a Settings,
@@ -34,67 +34,69 @@
 }
 
 impl LoadBalancer<'_> {
-    /// Selects the backend with the least expected wait among a random sample of good ones (power of d
-    /// choices): taking the very best would send all gatekeepers to one.
+    /// Selects the backend with the least expected wait in a random sample (power of d choices). If each
+    /// gatekeeper selected the best of all backends, all gatekeepers would send to the same one.
     pub(crate) fn select(self, request: &Request, rng: &mut fastrand::Rng) -> Option<BackendId> {
-        let draws = 2 + 2 * self.pool.order.ready().len() / self.settings.gatekeepers as usize;
+        let sample_size = 2 + 2 * self.pool.order.ready().len() / self.settings.gatekeepers as usize;
         match self.candidates(request) {
             Candidates::Trial(backend) => Some(backend),
-            Candidates::Accepting(candidates) => self.draw_best(candidates, draws, rng),
+            Candidates::Accepting(candidates) => self.select_from_sample(candidates, sample_size, rng),
         }
     }
 
-    /// Each gatekeeper keeps to the first few of its own order, and goes on past those that do not accept
-    /// work.
+    /// Collects backends in this gatekeeper's order of preference until the subset is full of backends with
+    /// good latency. Backends that do not accept the request are skipped.
     fn candidates(self, request: &Request) -> Candidates {
         let rules = AttemptRules::new(self.settings, self.now);
-        let (mut accepting, mut good) = (Vec::new(), 0);
+        let (mut accepting, mut good_count) = (Vec::new(), 0);
         for &id in self.pool.order.ready() {
             let Some(backend) = self.backends.get(id) else { continue };
             let may_attempt = || rules.may_attempt(request, &backend.entry);
             if request.was_sent_to(id) || !self.accepts(backend, request) || !may_attempt() {
                 continue;
             }
-            // By its latency it would get no trial until that is forgotten.
-            let is_trial = backend.health.wants_trial(request.class) && !self.pool.order.in_panic_mode();
+            // A trial ignores the latency estimate: it is high after failures, and by it the backend would
+            // not be selected until the estimate has decayed.
+            let is_trial = backend.health.is_trial_class(request.class) && !self.pool.order.in_panic_mode();
             if is_trial && request.attempts.is_empty() {
                 return Candidates::Trial(id);
             }
             accepting.push(id);
-            good += usize::from(self.is_good(backend));
-            if good >= self.pool.order.subset_size() {
+            good_count += usize::from(self.has_good_latency(backend));
+            if good_count >= self.pool.order.subset_size() {
                 break;
             }
         }
         Candidates::Accepting(accepting)
     }
 
-    /// Draws at random until this many good backends were drawn, and returns the drawn one with the least
-    /// expected wait.
-    fn draw_best(
+    /// Draws candidates at random until the sample holds `sample_size` backends with good latency, and
+    /// returns the drawn backend with the least expected wait.
+    fn select_from_sample(
         self,
         mut candidates: Vec<BackendId>,
-        draws: usize,
+        sample_size: usize,
         rng: &mut fastrand::Rng,
     ) -> Option<BackendId> {
-        let (mut best, mut good) = (None, 0);
-        while !candidates.is_empty() && good < draws {
+        let (mut best, mut good_count) = (None, 0);
+        while !candidates.is_empty() && good_count < sample_size {
             let id = candidates.swap_remove(rng.usize(..candidates.len()));
             let Some(backend) = self.backends.get(id) else { continue };
             let wait = self.expected_wait(backend);
             best = best.filter(|&(least, _)| least <= wait).or(Some((wait, id)));
-            good += usize::from(self.is_good(backend));
+            good_count += usize::from(self.has_good_latency(backend));
         }
         best.map(|(_, id)| id)
     }
 
-    /// Whether a backend accepts this request now: ready, not in backoff, not ejected, and with capacity.
+    /// Whether a backend accepts this request now. It is ready, has a token if it is in slow start, is not in
+    /// backoff, and has capacity. An ejected backend accepts a request only when its next trial is due.
     fn accepts(self, backend: &Backend, request: &Request) -> bool {
         let health = &backend.health;
-        let is_warming_up = self.backends.warmth(backend, self.settings, self.now) < 1.0;
+        let is_warming_up = self.backends.warm_fraction(backend, self.settings, self.now) < 1.0;
         let lacks_token = is_warming_up && !backend.slow_start.has_token();
         let is_in_backoff = health.is_in_connect_backoff(self.now)
-            || health.pauses_after_rejection(request.class, request.plan, self.now);
+            || health.is_in_rejection_pause(request.class, request.plan, self.now);
         if backend.entry.state != BackendState::Ready || lacks_token || is_in_backoff {
             return false;
         }
@@ -116,17 +118,18 @@
         backend.latency.expected(self.pool.means.first_contact_latency(), self.now)
     }
 
-    fn is_good(self, backend: &Backend) -> bool {
-        self.expected_latency(backend) < GOOD_LATENCY
+    fn has_good_latency(self, backend: &Backend) -> bool {
+        self.expected_latency(backend) < GOOD_RELATIVE_LATENCY
     }
 
-    /// Expected latency times the attempts in flight, times the settings' price of crossing zones.
+    /// Expected latency, multiplied by the load of the backend and by the cost of crossing zones.
     fn expected_wait(self, backend: &Backend) -> f64 {
         let is_same_zone = backend.entry.zone == self.settings.zone;
         let cross_zone = CROSS_ZONE_FACTOR * self.settings.cross_zone_cost;
         let cross_zone = if is_same_zone { 1.0 } else { 1.0 + cross_zone };
         let in_flight = f64::from(backend.load.in_flight());
-        // By size, recent sends count too: when little is in flight, sizes would not show.
+        // With uneven sizes, recent sends count too. At low load few attempts are in flight, and they alone
+        // would not distribute requests by size.
         let load = if self.pool.order.has_uneven_sizes() {
             (1.0 + in_flight / backend.size()) * (1.0 + backend.load.recent_sends() / backend.size())
         } else {
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -1,7 +1,7 @@
-//! The backends of one service together: their order, their concurrency limit, and running means over their
+//! State of all backends of one service: preference order, concurrency limit, and running means over their
 //! attempts.
 
-use crate::backend_latency::LATENCY_MEMORY;
+use crate::backend_latency::LATENCY_DECAY_SECONDS;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::hash::mix;
 use crate::ids::BackendId;
@@ -9,35 +9,35 @@
 use crate::stored::StoredPool;
 use crate::time::{Micros, SECOND, Timestamp};
 
-/// Gatekeepers that share a backend where there are many, and the fewest backends that one prefers: enough
-/// for a lost zone and a release at once. Fewer connections are held, and the same few backends are known
-/// better.
+/// Target number of gatekeepers that prefer the same backend in a large tier. With a subset of the backends,
+/// each gatekeeper holds fewer connections and has better estimates of its backends.
 const GATEKEEPERS_PER_BACKEND: f64 = 12.0;
-const MIN_SUBSET: usize = 8;
+/// Minimum size of the subset. It leaves enough backends when a zone fails during a release.
+const MIN_SUBSET_SIZE: usize = 8;
 /// Weight of one sample in the running means of latency, attempt time and cost.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Weight of one sample in the latency of first contacts.
+/// Weight of one sample in the running mean of the latency of first contacts.
 const FIRST_CONTACT_WEIGHT: f64 = 0.1;
-/// Weight of a second in the measured rate of answers.
+/// Weight of one second in the running mean of the answer rate.
 const RATE_WEIGHT: f64 = 0.2;
 
-/// The backends of one service.
+/// State of the backends of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServicePool {
     pub(crate) order: PreferenceOrder,
     pub(crate) concurrency: ConcurrencyLimit,
     pub(crate) means: PoolMeans,
-    pub(crate) answers: AnswerRate,
+    pub(crate) answer_rate: AnswerRate,
 }
 
 impl ServicePool {
-    /// A pool without backends. `latency` is assumed in microseconds until the first answers.
+    /// A pool without backends. `latency` is the initial mean latency in microseconds.
     pub(crate) fn new(latency: f64, now: Timestamp) -> Self {
         Self {
             order: PreferenceOrder::default(),
             concurrency: ConcurrencyLimit::new(),
             means: PoolMeans::new(latency),
-            answers: AnswerRate::new(now),
+            answer_rate: AnswerRate::new(now),
         }
     }
 
@@ -46,7 +46,7 @@
         self.order.store(&mut stored);
         self.concurrency.store(&mut stored);
         self.means.store(&mut stored);
-        self.answers.store(&mut stored);
+        self.answer_rate.store(&mut stored);
         stored
     }
 
@@ -54,7 +54,7 @@
         Self {
             concurrency: ConcurrencyLimit::restore(&stored, now),
             means: PoolMeans::restore(&stored),
-            answers: AnswerRate::restore(&stored, now),
+            answer_rate: AnswerRate::restore(&stored, now),
             order: PreferenceOrder::restore(stored),
         }
     }
@@ -64,11 +64,12 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PreferenceOrder {
     ready: Vec<BackendId>,
-    /// How many of the first it prefers.
+    /// Number of backends at the start of the order that this gatekeeper prefers: its subset.
     subset_size: usize,
-    /// Work goes by size, and sizes differ.
+    /// Whether requests are distributed by size, and sizes differ.
     has_uneven_sizes: bool,
-    /// Most are ejected at once: the cause is common, and ejections are ignored.
+    /// Whether ejections are ignored, because most backends are ejected at once and the cause is common to
+    /// them.
     in_panic_mode: bool,
 }
 
@@ -80,21 +81,22 @@
 }
 
 impl PreferenceOrder {
-    /// Orders the ready backends by a hash of their own for each gatekeeper.
+    /// Sorts the ready backends by a hash of gatekeeper and backend, so that subsets differ between
+    /// gatekeepers.
     pub(crate) fn set(&mut self, mut backends: Vec<SizedBackend>, settings: &Settings) {
         let seed = mix(u64::from(settings.gatekeeper_index));
         backends.sort_by_key(|backend| mix(seed ^ u64::from(backend.id.0)));
         self.ready = backends.iter().map(|backend| backend.id).collect();
         let share = (GATEKEEPERS_PER_BACKEND / f64::from(settings.gatekeepers)).min(1.0);
         let subset = self.ready.len() as f64 * share;
-        self.subset_size = (subset.ceil() as usize).max(MIN_SUBSET);
+        self.subset_size = (subset.ceil() as usize).max(MIN_SUBSET_SIZE);
         let mut sizes = backends.iter().map(|backend| backend.size);
         let first = sizes.next();
         let is_uneven = sizes.any(|size| Some(size) != first);
         self.has_uneven_sizes = settings.weighted_backends && is_uneven;
     }
 
-    /// Ready backends, the preferred ones first.
+    /// Ready backends in order of preference.
     pub(crate) fn ready(&self) -> &[BackendId] {
         &self.ready
     }
@@ -103,8 +105,8 @@
         self.subset_size
     }
 
-    /// Part of the ready backends that this gatekeeper prefers; above 1 where there are few.
-    pub(crate) fn subset_part(&self) -> f64 {
+    /// Subset size as a fraction of the ready backends; above 1 if there are fewer backends than that.
+    pub(crate) fn subset_fraction(&self) -> f64 {
         self.subset_size as f64 / self.ready.len().max(1) as f64
     }
 
@@ -116,7 +118,8 @@
         self.in_panic_mode
     }
 
-    /// Above the panic threshold, half of the ready backends, the cause of ejections is common to them.
+    /// Enters panic mode if more than half of the ready backends are ejected, and leaves it otherwise. The
+    /// cause of so many ejections is common to the backends.
     pub(crate) fn update_panic_mode(&mut self, ejected: usize) {
         self.in_panic_mode = ejected * 2 > self.ready.len();
     }
@@ -141,13 +144,13 @@
 /// Running means over the attempts of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolMeans {
-    /// Latency of attempts that ran, in microseconds.
+    /// Latency of attempts that were executed, in microseconds.
     latency: f64,
-    /// Microseconds for which an attempt is in flight, however it ends.
+    /// Duration of an attempt in microseconds, whether or not it was answered.
     attempt_time: f64,
     /// Cost of an admitted request in units.
     cost: f64,
-    /// Latency over the mean of its class at backends about which little was known.
+    /// Relative latency of first contacts, see [`Contact::First`](crate::backend_latency::Contact::First).
     first_contact_latency: f64,
 }
 
@@ -189,11 +192,11 @@
         self.first_contact_latency += FIRST_CONTACT_WEIGHT * (relative_latency - self.first_contact_latency);
     }
 
-    /// Lets bad first contacts be forgotten over this many seconds, or backends that were bad once would
-    /// never be tried again.
+    /// Lets the latency of first contacts return towards 1 over this many seconds. Without this decay,
+    /// backends without recent estimates would never be tried again once first contacts were slow.
     pub(crate) fn forget_first_contacts(&mut self, seconds: f64) {
-        let forgotten = (seconds / LATENCY_MEMORY).min(1.0);
-        self.first_contact_latency += (1.0 - self.first_contact_latency) * forgotten;
+        let decay = (seconds / LATENCY_DECAY_SECONDS).min(1.0);
+        self.first_contact_latency += (1.0 - self.first_contact_latency) * decay;
     }
 
     fn store(&self, stored: &mut StoredPool) {
@@ -213,11 +216,12 @@
     }
 }
 
-/// Answers a second that one warm backend gives this gatekeeper: the guide to what one in slow start can.
+/// Answers a second that this gatekeeper gets from one warm backend. The capacity of a backend in slow start
+/// is estimated from it.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerRate {
-    measured: f64,
-    assumed: f64,
+    measured_rate: f64,
+    assumed_rate: f64,
     /// Answers since the rate was last measured.
     answers: u64,
     measured_at: Timestamp,
@@ -225,16 +229,16 @@
 
 impl AnswerRate {
     fn new(now: Timestamp) -> Self {
-        Self { measured: 0.0, assumed: 0.0, answers: 0, measured_at: now }
+        Self { measured_rate: 0.0, assumed_rate: 0.0, answers: 0, measured_at: now }
     }
 
     pub(crate) fn measured_at(&self) -> Timestamp {
         self.measured_at
     }
 
-    /// The rate as measured, or as assumed where little is known.
-    pub(crate) fn assumed(&self) -> f64 {
-        self.assumed
+    /// The measured rate, or the minimum described at [`AnswerRate::measure`] if that is larger.
+    pub(crate) fn assumed_rate(&self) -> f64 {
+        self.assumed_rate
     }
 
     pub(crate) fn record_answer(&mut self) {
@@ -246,28 +250,34 @@
         now.seconds_since(self.measured_at)
     }
 
-    /// Measures the rate over the time since the last measurement. `warmth`: the sum over the ready backends.
-    /// With nothing known the rate is this gatekeeper's part of one request at a time.
-    pub(crate) fn measure(&mut self, warmth: f64, mean_latency: f64, gatekeepers: u32, now: Timestamp) {
+    /// Measures the rate since the last measurement. `warm_fraction` is the sum over the ready backends. The
+    /// assumed rate is at least this gatekeeper's share of a backend that serves one request at a time.
+    pub(crate) fn measure(
+        &mut self,
+        warm_fraction: f64,
+        mean_latency: f64,
+        gatekeepers: u32,
+        now: Timestamp,
+    ) {
         let seconds = self.seconds_since_measured(now);
-        let rate = self.answers as f64 / warmth.max(1.0) / seconds;
-        self.measured += (RATE_WEIGHT * seconds).min(1.0) * (rate - self.measured);
+        let rate = self.answers as f64 / warm_fraction.max(1.0) / seconds;
+        self.measured_rate += (RATE_WEIGHT * seconds).min(1.0) * (rate - self.measured_rate);
         (self.answers, self.measured_at) = (0, now);
         let one_at_a_time = SECOND / mean_latency / f64::from(gatekeepers);
-        self.assumed = self.measured.max(one_at_a_time);
+        self.assumed_rate = self.measured_rate.max(one_at_a_time);
     }
 
     fn store(&self, stored: &mut StoredPool) {
-        stored.measured_rate = self.measured;
-        stored.assumed_rate = self.assumed;
+        stored.measured_rate = self.measured_rate;
+        stored.assumed_rate = self.assumed_rate;
         stored.answers = self.answers;
         stored.measured_at = self.measured_at;
     }
 
     fn restore(stored: &StoredPool, now: Timestamp) -> Self {
         Self {
-            measured: stored.measured_rate,
-            assumed: stored.assumed_rate,
+            measured_rate: stored.measured_rate,
+            assumed_rate: stored.assumed_rate,
             answers: stored.answers,
             measured_at: stored.measured_at.min(now),
         }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,39 +1,41 @@
-//! Slow start: how much a backend that has just started is sent by this gatekeeper.
+//! Slow start: limits the rate of attempts that this gatekeeper sends to a backend that has just started.
 
 use crate::settings::Settings;
 use crate::stored::StoredBackend;
 use crate::time::{SECOND, Timestamp};
 
-/// Standard deviations that are left free in what a backend in slow start is sent.
+/// Safety margin below the attempts that overload a backend in slow start, in standard deviations.
 const RESERVED_DEVIATIONS: f64 = 2.0;
-/// Part of its budget that it gets at least.
-const MIN_BUDGET_PART: f64 = 0.25;
-/// Attempts that one gatekeeper may save up for a backend in slow start.
+/// Minimum rate after subtracting the safety margin, as a fraction of the rate without it.
+const MIN_BUDGET_FRACTION: f64 = 0.25;
+/// Maximum tokens that one gatekeeper may accumulate for a backend in slow start.
 const MAX_TOKENS: f64 = 2.0;
 
-/// Slow start of one backend: a token for each attempt that it may be sent while it is warming up.
+/// Token bucket of one backend. While the backend is warming up, each attempt needs a token.
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStart {
     tokens: f64,
-    /// When it started by this gatekeeper's clock, where that was notified of the start; else its entry
-    /// tells.
+    /// Start time on this gatekeeper's clock. It is known only if the gatekeeper was notified of the start;
+    /// otherwise the start in the endpoint list applies.
     notified_start: Option<Timestamp>,
-    /// When an operator admitted it again: it may have restarted while it was ejected.
+    /// When an operator readmitted the backend, which may have restarted while it was ejected;
+    /// [`Timestamp::ZERO`] if never.
     readmitted_at: Timestamp,
 }
 
 impl SlowStart {
-    /// `fraction` of a token, below 1: were it a whole one, every gatekeeper would use it at once.
+    /// Begins with `fraction` of a token, below 1. With a whole token, every gatekeeper would send an attempt
+    /// at once.
     pub(crate) fn new(fraction: f64, notified_start: Option<Timestamp>) -> Self {
         Self { tokens: fraction, notified_start, readmitted_at: Timestamp::ZERO }
     }
 
-    /// The same backend after a restart.
+    /// The state of this backend after a restart, where `fresh` is that of a new backend.
     pub(crate) fn restarted(&self, fresh: Self) -> Self {
         Self { readmitted_at: self.readmitted_at, ..fresh }
     }
 
-    /// The same backend when an operator admits it again.
+    /// The state of this backend after an operator readmits it, beginning with `fraction` of a token.
     pub(crate) fn readmitted(&self, fraction: f64, now: Timestamp) -> Self {
         Self { tokens: fraction, notified_start: self.notified_start, readmitted_at: now }
     }
@@ -50,7 +52,7 @@
         self.tokens >= 1.0
     }
 
-    /// Every attempt takes a token, also of a warm backend: it may start again.
+    /// Takes a token for an attempt, also while the backend is warm: it may restart.
     pub(crate) fn spend_token(&mut self) {
         self.tokens -= 1.0;
     }
@@ -70,9 +72,9 @@
     }
 }
 
-/// The share of its capacity that a backend certainly has: the slowest warm-up that the settings allow.
-/// `started` is [`Timestamp::ZERO`] for long ago.
-pub(crate) fn warmth(settings: &Settings, started: Timestamp, now: Timestamp) -> f64 {
+/// Lower bound of the fraction of its full capacity that a backend has, assuming the slowest warm-up that the
+/// settings allow. `started` is [`Timestamp::ZERO`] if the backend started long ago.
+pub(crate) fn warm_fraction(settings: &Settings, started: Timestamp, now: Timestamp) -> f64 {
     let (duration, share) = (settings.slow_start_duration, settings.slow_start_share);
     if started == Timestamp::ZERO || duration == 0 {
         return 1.0;
@@ -81,26 +83,26 @@
     (share + (1.0 - share) * age).min(1.0)
 }
 
-/// The gatekeepers that send to a backend.
+/// How many gatekeepers send to a backend, and how much it serves when warm.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SenderShare {
-    /// Part of the ready backends that each gatekeeper prefers.
-    pub(crate) subset_part: f64,
-    /// Answers a second that one warm backend gives this gatekeeper.
+    /// Fraction of the ready backends that each gatekeeper prefers; it may exceed 1.
+    pub(crate) subset_fraction: f64,
+    /// Answers a second that this gatekeeper gets from one warm backend.
     pub(crate) warm_rate: f64,
 }
 
-/// Attempts a second that this gatekeeper may add to a backend in slow start: its part of what overloads the
-/// backend, less a margin for chance, which grows with the number of gatekeepers that send without
-/// coordination.
-pub(crate) fn token_rate(settings: &Settings, warmth: f64, share: SenderShare) -> f64 {
+/// Tokens a second that this gatekeeper adds to a backend in slow start. It is the gatekeeper's share of the
+/// rate that overloads the backend, less a margin for random variation. The margin grows with the number of
+/// gatekeepers, which send without coordination.
+pub(crate) fn token_rate(settings: &Settings, warm_fraction: f64, share: SenderShare) -> f64 {
     let gatekeepers = f64::from(settings.gatekeepers);
     let seconds = settings.overload_duration as f64 / SECOND;
-    let factor = settings.overload_factor * warmth;
+    let factor = settings.overload_factor * warm_fraction;
     let budget = factor * share.warm_rate * gatekeepers * seconds;
-    let senders = gatekeepers * share.subset_part.min(1.0);
-    let chance = RESERVED_DEVIATIONS * budget.min(senders).sqrt();
-    (budget - chance).max(budget * MIN_BUDGET_PART) / senders / seconds
+    let senders = gatekeepers * share.subset_fraction.min(1.0);
+    let margin = RESERVED_DEVIATIONS * budget.min(senders).sqrt();
+    (budget - margin).max(budget * MIN_BUDGET_FRACTION) / senders / seconds
 }
 
 #[cfg(test)]
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! Slow start alone.
+//! Tests of slow start without a state machine.
 
 use super::*;
 
@@ -18,29 +18,32 @@
 }
 
 #[test]
-fn warmth_grows_from_the_share_at_the_start_to_the_whole() {
+fn warm_fraction_grows_from_the_initial_share_to_one() {
     let settings = settings(1);
-    let warmth_at = |now| warmth(&settings, at(100), now);
+    let warmth_at = |now| warm_fraction(&settings, at(100), now);
     assert_eq!(warmth_at(at(100)), 0.2);
     assert!((warmth_at(at(105)) - 0.6).abs() < 1e-9);
     assert_eq!(warmth_at(at(111)), 1.0);
-    assert_eq!(warmth(&settings, Timestamp::ZERO, at(100)), 1.0, "started long ago");
+    assert_eq!(warm_fraction(&settings, Timestamp::ZERO, at(100)), 1.0, "started long ago");
 }
 
 #[test]
-fn all_gatekeepers_together_stay_below_what_overloads_the_backend() {
+fn the_token_rates_of_all_gatekeepers_together_do_not_overload_the_backend() {
     for gatekeepers in [1, 4, 30, 300] {
         let settings = settings(gatekeepers);
         let warm_rate = 10.0 / f64::from(gatekeepers);
-        let share = SenderShare { subset_part: 1.0, warm_rate };
-        let together = token_rate(&settings, 0.5, share) * f64::from(gatekeepers);
-        // At half its warmth the backend is overloaded by twice half of the 10 a second that it does when warm.
-        assert!((2.0..10.0).contains(&together), "{gatekeepers}: {together}");
+        let share = SenderShare { subset_fraction: 1.0, warm_rate };
+        let total_rate = token_rate(&settings, 0.5, share) * f64::from(gatekeepers);
+        // The warm backend serves 10 a second. At half its capacity, twice half of that overloads it.
+        assert!(
+            (2.0..10.0).contains(&total_rate),
+            "{gatekeepers} gatekeepers add {total_rate} tokens a second"
+        );
     }
 }
 
 #[test]
-fn tokens_are_saved_up_to_two() {
+fn at_most_two_tokens_accumulate() {
     let mut slow_start = SlowStart::new(0.5, None);
     assert!(!slow_start.has_token());
     slow_start.earn(9.0);
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! The snapshot that one state machine hands to its successor at a hot restart: its memory as plain data, no decision. The predecessor
-//! admits nothing from then on, so that each bucket has one owner.
+//! The snapshot of a state machine, which the process hands to its successor at a hot restart.
+//!
+//! The predecessor admits no requests after the snapshot, so each bucket has one owner.
 
 mod clock_change;
 
@@ -17,7 +18,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// The memory of a state machine. The order of the fields is the serialized form.
+/// The state of a state machine as plain data. Fields are serialized by position, so their order must not
+/// change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PolicySnapshot {
     now: Timestamp,
@@ -27,14 +29,17 @@
     backends: Vec<BackendSnapshot>,
     latency_trend: LatencyTrend,
     class_stats: Vec<ClassStats>,
-    /// The pool of the first service: the platform has one.
+    /// The pool of the first service; the pools of other services are not handed over. The platform has one
+    /// service.
     pool: StoredPool,
     retry_budget: f64,
 }
 
 impl PolicySnapshot {
-    /// The same with the numbers of the successor: `backends` by the predecessor's number, `plans` and `classes` in the predecessor's
-    /// order. Entries without a number there are left out.
+    /// Converts the numbers of backends, plans and classes to those of the successor. `backends` maps each
+    /// number of the predecessor to that of the successor; `plans` and `classes` are indexed by the
+    /// predecessor's numbers. Backends and tenants whose backend or plan has no number at the successor are
+    /// dropped.
     #[must_use]
     pub fn remap(
         mut self,
@@ -52,7 +57,7 @@
             backend.id = number.unwrap_or_default();
             number.is_some()
         });
-        // Estimates of classes and backends are by class: with other classes they are void.
+        // Estimates of classes and backends are indexed by class, and are not usable with other classes.
         let has_same_classes = classes.iter().enumerate().all(|(index, class)| *class == Some(index));
         if !has_same_classes {
             self.class_stats.clear();
@@ -63,7 +68,8 @@
 }
 
 impl Policy {
-    /// Hands everything over: unreported spend goes along, and requests that wait for a total count as admitted.
+    /// Creates a snapshot for a successor. The successor takes over the unreported spend, and this state
+    /// machine no longer reports it. Requests that wait for a reply of the counter count as admitted.
     pub fn hand_over(&mut self) -> PolicySnapshot {
         let tenants =
             self.tenants.iter().map(|(&tenant, quota)| (tenant, quota.store(self.provisional_spend(tenant))));
@@ -83,14 +89,15 @@
         snapshot
     }
 
-    /// Units reported as spent for a tenant's requests that wait for a total.
+    /// Units reported as spent for requests of a tenant that wait for a reply of the counter.
     fn provisional_spend(&self, tenant: TenantId) -> f64 {
-        let waiting = self.requests.values().filter(|request| request.tenant == tenant);
-        waiting.map(|request| request.provisional_spend).sum()
+        let tenant_requests = self.requests.values().filter(|request| request.tenant == tenant);
+        tenant_requests.map(|request| request.provisional_spend).sum()
     }
 
-    /// Continues where the predecessor stopped. The endpoint list and operator ejections are this state machine's own. The clocks of
-    /// the two may differ: each reads the wall clock when it starts, and that may have been stepped in between.
+    /// Restores the state of the predecessor. The endpoint list and the operator ejections of this state
+    /// machine remain. The clocks of the two processes may differ: each process reads the wall clock when it
+    /// starts, and the wall clock may have been stepped in between.
     pub fn take_over(&mut self, now: Timestamp, mut snapshot: PolicySnapshot) {
         self.now = self.now.max(now);
         snapshot.change_clock(self.now);
@@ -112,10 +119,11 @@
         self.reorder_backends();
     }
 
-    /// A quota of a plan that is not known here is dropped.
+    /// Restores the quota of a tenant. A quota of an unknown plan or with an invalid number of gatekeepers is
+    /// dropped.
     fn take_over_quota(&mut self, tenant: TenantId, mut quota: StoredQuota) {
-        let has_gatekeepers = quota.gatekeepers.is_finite() && quota.gatekeepers >= 1.0;
-        if quota.plan >= self.settings.plans.len() || !has_gatekeepers {
+        let has_valid_gatekeepers = quota.gatekeepers.is_finite() && quota.gatekeepers >= 1.0;
+        if quota.plan >= self.settings.plans.len() || !has_valid_gatekeepers {
             return;
         }
         quota.sanitize(self.now);
@@ -125,8 +133,8 @@
         self.tenants.insert(tenant, TenantQuota::restore(quota));
     }
 
-    /// The successor has admitted a request: the quotas here follow, so that they can be taken back. The successor reports the spend
-    /// to the counter.
+    /// Charges a request that the successor admitted to the quotas here, so that they are right if the
+    /// predecessor takes over again. The successor reports the spend to the counter.
     pub fn mirror_admission(
         &mut self,
         now: Timestamp,
@@ -143,7 +151,8 @@
         self.refilled_quota(tenant, plan, gatekeepers).mirror_admission(units, max_cost);
     }
 
-    /// Continues after the successor exited without handing back. If some of its admissions are not known, every bucket starts empty.
+    /// Resumes after the successor exited without handing its state back. Unless all its admissions are
+    /// known, every bucket is assumed to be empty.
     pub fn resume(&mut self, knows_all_admissions: bool) {
         if knows_all_admissions {
             return;
--- a/crates/policy/src/snapshot/clock_change.rs
+++ b/crates/policy/src/snapshot/clock_change.rs
@@ -1,70 +1,74 @@
-//! The moments of a snapshot by another clock. Each of two processes reads the wall clock when it starts. Were a step between their
-//! starts kept in the moments, the successor would wait for it to pass: nothing would refill, and no pause would end.
+//! Converts the times of a snapshot to the clock of the successor.
+//!
+//! Each process reads the wall clock when it starts. If the wall clock was stepped between the two starts and
+//! the times were not converted, the successor would wait until the step has passed: no bucket would refill,
+//! and no pause would end.
 
 use super::PolicySnapshot;
 use crate::stored::{StoredBackend, StoredClassHealth, StoredPool, StoredQuota};
 use crate::time::{Micros, Timestamp};
 
-/// Clocks that differ by no more microseconds are the same one: a snapshot takes moments to arrive.
-const SAME_CLOCK: Micros = 200_000;
+/// Clocks that differ by at most this many microseconds count as the same. Part of the difference is the time
+/// that the snapshot takes to arrive.
+const SAME_CLOCK_TOLERANCE: Micros = 200_000;
 
-/// Turns moments of one clock into those of another.
+/// Converts times of one clock to another clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockChange {
-    /// Microseconds that the new clock is ahead.
+    /// Microseconds by which the new clock is ahead; negative if it is behind.
     ahead: i64,
 }
 
 impl ClockChange {
-    /// Changes a moment. [`Timestamp::ZERO`] stands for never.
-    fn change(self, time: &mut Timestamp) {
+    /// Converts one time. [`Timestamp::ZERO`] stands for never, and remains.
+    fn convert(self, time: &mut Timestamp) {
         if *time > Timestamp::ZERO {
             *time = time.saturating_add_signed(self.ahead).max(Timestamp::from_micros(1));
         }
     }
 
-    fn change_quota(self, quota: &mut StoredQuota) {
-        self.change(&mut quota.refilled_at);
-        self.change(&mut quota.synced_at);
-        self.change(&mut quota.report_due);
-        self.change(&mut quota.last_admitted);
+    fn convert_quota(self, quota: &mut StoredQuota) {
+        self.convert(&mut quota.refilled_at);
+        self.convert(&mut quota.synced_at);
+        self.convert(&mut quota.report_due);
+        self.convert(&mut quota.last_admitted);
     }
 
-    fn change_backend(self, backend: &mut StoredBackend) {
-        self.change(&mut backend.latency_updated_at);
-        self.change(&mut backend.last_answer);
-        self.change(&mut backend.readmitted_at);
-        self.change(&mut backend.connect_backoff_until);
-        backend.rejects_until.values_mut().for_each(|time| self.change(time));
-        backend.classes.iter_mut().for_each(|class| self.change_class_health(class));
+    fn convert_backend(self, backend: &mut StoredBackend) {
+        self.convert(&mut backend.latency_updated_at);
+        self.convert(&mut backend.last_answer);
+        self.convert(&mut backend.readmitted_at);
+        self.convert(&mut backend.connect_backoff_until);
+        backend.rejects_until.values_mut().for_each(|time| self.convert(time));
+        backend.classes.iter_mut().for_each(|class| self.convert_class_health(class));
     }
 
-    fn change_class_health(self, class: &mut StoredClassHealth) {
-        self.change(&mut class.last_answer);
-        class.ejected_until.iter_mut().for_each(|time| self.change(time));
+    fn convert_class_health(self, class: &mut StoredClassHealth) {
+        self.convert(&mut class.last_answer);
+        class.ejected_until.iter_mut().for_each(|time| self.convert(time));
     }
 
-    fn change_pool(self, pool: &mut StoredPool) {
-        self.change(&mut pool.limit_reduced_at);
-        self.change(&mut pool.last_send);
-        self.change(&mut pool.objective_part_updated_at);
-        self.change(&mut pool.measured_at);
+    fn convert_pool(self, pool: &mut StoredPool) {
+        self.convert(&mut pool.limit_reduced_at);
+        self.convert(&mut pool.last_send);
+        self.convert(&mut pool.objective_part_updated_at);
+        self.convert(&mut pool.measured_at);
     }
 }
 
 impl PolicySnapshot {
-    /// Changes all moments to the clock that reads `now`, unless that is the same one.
+    /// Converts all times to the clock that reads `now`, unless the clocks are the same.
     pub(super) fn change_clock(&mut self, now: Timestamp) {
-        if self.now.abs_diff(now) <= SAME_CLOCK {
+        if self.now.abs_diff(now) <= SAME_CLOCK_TOLERANCE {
             return;
         }
         let change = ClockChange { ahead: now.as_micros().wrapping_sub(self.now.as_micros()) as i64 };
-        change.change(&mut self.started_at);
-        self.tenants.iter_mut().for_each(|(_, quota)| change.change_quota(quota));
-        self.counter.change_times(|time| change.change(time));
-        self.backends.iter_mut().for_each(|backend| change.change_backend(&mut backend.state));
-        self.latency_trend.change_times(|time| change.change(time));
-        change.change_pool(&mut self.pool);
+        change.convert(&mut self.started_at);
+        self.tenants.iter_mut().for_each(|(_, quota)| change.convert_quota(quota));
+        self.counter.change_times(|time| change.convert(time));
+        self.backends.iter_mut().for_each(|backend| change.convert_backend(&mut backend.state));
+        self.latency_trend.change_times(|time| change.convert(time));
+        change.convert_pool(&mut self.pool);
         self.now = now;
     }
 }
--- a/crates/policy/src/start_times.rs
+++ b/crates/policy/src/start_times.rs
@@ -1,34 +1,40 @@
-//! Start times of backends, and the offset of this gatekeeper's clock: estimates, no decision.
+//! Estimates the start times of backends on this gatekeeper's clock.
 //!
-//! The endpoint list states starts on a clock that all machines read. A gatekeeper whose wall clock was wrong when it started reads
-//! another clock. Its evidence is:
+//! The endpoint list states start times on a clock that is common to all machines. If the wall clock of a
+//! gatekeeper was wrong when the process started, the gatekeeper reads another clock. It converts start times
+//! by this evidence:
 //!
-//! - A start of which it is notified while it follows the list is recent. By its own clock the backend started at most
-//!   [`MAX_NOTIFICATION_AGE`] before the notification, or at the notification if the stated start lies outside that range.
-//! - No backend starts in the future, so the clock is behind by at least the span that a stated start lies ahead.
-//! - The offset from the fleet's clock, as far as it is known ([`StartTimes::set_clock_offset`]). The fleet's clock may be the wrong
-//!   one. Of two clocks that disagree the one counts by which backends are younger, unless that puts a start into the future.
+//! - If the gatekeeper is notified of a start while it receives the list from discovery, the start is recent.
+//!   On the gatekeeper's clock it is at most [`MAX_NOTIFICATION_AGE`] before the notification. If the stated
+//!   start lies outside of that range, the time of the notification counts as the start.
+//! - No backend starts in the future. The gatekeeper's clock is therefore behind by at least the time by
+//!   which a stated start is ahead of it.
+//! - The offset from the fleet's clock, if it is known ([`StartTimes::set_clock_offset`]). The fleet's clock
+//!   itself may be wrong. If the two clocks disagree, the one that makes backends younger counts, unless it
+//!   puts a start into the future.
 
 use crate::event::BackendEntry;
 use crate::ids::BackendId;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Maximum age of a start in microseconds when this gatekeeper is notified of it: lists may be late, and a watch may have been lost.
+/// Maximum age in microseconds of a start at its notification. Lists may be late, and a watch of the list may
+/// have been interrupted.
 const MAX_NOTIFICATION_AGE: i64 = 60_000_000;
-/// Microseconds by which a stated start may lie in the future where all clocks are right.
-const TOLERANCE: i64 = 1_000_000;
-/// Maximum number of backends whose last start is remembered, also while they are off the list.
-const MAX_REMEMBERED: usize = 16_384;
+/// Microseconds by which a stated start may be in the future although all clocks are right.
+const FUTURE_START_TOLERANCE: i64 = 1_000_000;
+/// Maximum number of backends whose last start is stored, including backends that left the list.
+const MAX_KNOWN_STARTS: usize = 16_384;
 
-/// Known starts and the offset of the clock.
+/// Known start times, and what is known of the error of this gatekeeper's clock.
 #[derive(Debug, Default)]
 pub(crate) struct StartTimes {
-    /// Microseconds that this gatekeeper's clock is ahead of the fleet's.
+    /// Microseconds by which this gatekeeper's clock is ahead of the fleet's clock; 0 if unknown.
     clock_offset: i64,
-    /// A list has come from discovery: this gatekeeper is notified of starts from now on.
-    is_following: bool,
-    /// The least age of a start when it was first listed, by this gatekeeper's clock.
+    /// Whether a list from discovery has been applied, so that this gatekeeper is notified of later starts.
+    has_discovery_list: bool,
+    /// Minimum over all starts of the age at which a start was first listed, in microseconds on this
+    /// gatekeeper's clock; negative if a start was in the future.
     min_age: Option<i64>,
     known: BTreeMap<BackendId, KnownStart>,
 }
@@ -36,29 +42,30 @@
 /// The last known start of a backend.
 #[derive(Clone, Copy, Debug)]
 struct KnownStart {
-    /// As the list states it.
+    /// Start time as stated by the endpoint list.
     stated: Timestamp,
-    /// By this gatekeeper's clock, where it was notified.
+    /// Start time on this gatekeeper's clock; `None` if the gatekeeper was not notified of the start.
     notified: Option<Timestamp>,
 }
 
 impl StartTimes {
-    /// Sets by how many microseconds this gatekeeper's clock is ahead of the fleet's.
+    /// Sets by how many microseconds this gatekeeper's clock is ahead of the fleet's clock.
     pub(crate) fn set_clock_offset(&mut self, offset: i64) {
         self.clock_offset = offset;
     }
 
-    /// The time by the fleet's clock.
+    /// The reading of the fleet's clock at the time `now` of this gatekeeper's clock.
     pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
         now.saturating_add_signed(-self.clock_offset)
     }
 
-    /// A list from discovery has been applied.
-    pub(crate) fn follow(&mut self) {
-        self.is_following = true;
+    /// Records that a list from discovery, as opposed to a cached one, has been applied.
+    pub(crate) fn record_discovery_list(&mut self) {
+        self.has_discovery_list = true;
     }
 
-    /// Observes an entry of a list. Returns when the backend started by this gatekeeper's clock, if it was notified of the start.
+    /// Records the start that an entry of the list states. Returns the start time on this gatekeeper's clock,
+    /// or `None` if the gatekeeper was not notified of this start or the backend started long ago.
     pub(crate) fn observe(&mut self, entry: &BackendEntry, now: Timestamp) -> Option<Timestamp> {
         let stated = entry.started;
         if stated == Timestamp::ZERO {
@@ -68,28 +75,34 @@
             return known.notified;
         }
         let age = now.as_micros() as i64 - stated.as_micros() as i64;
-        let notified = self.is_following.then(|| self.notified_start(age, now));
+        let notified = self.has_discovery_list.then(|| self.notified_start(age, now));
         self.min_age = Some(self.min_age.map_or(age, |min| min.min(age)));
-        self.remember(entry.id, KnownStart { stated, notified });
+        self.store_start(entry.id, KnownStart { stated, notified });
         notified
     }
 
-    /// The start of a backend of which this gatekeeper is notified now. `age`: by its clock.
+    /// Start time, on this gatekeeper's clock, of a backend whose start is notified now. `age` is the age of
+    /// the stated start in microseconds on this gatekeeper's clock, before the error of the clock is
+    /// corrected.
     fn notified_start(&self, age: i64, now: Timestamp) -> Timestamp {
         let age = age - self.clock_error();
-        if (-TOLERANCE..=MAX_NOTIFICATION_AGE).contains(&age) { now.saturating_add_signed(-age) } else { now }
+        if (-FUTURE_START_TOLERANCE..=MAX_NOTIFICATION_AGE).contains(&age) {
+            now.saturating_add_signed(-age)
+        } else {
+            now
+        }
     }
 
-    fn remember(&mut self, backend: BackendId, start: KnownStart) {
-        if self.known.len() >= MAX_REMEMBERED && !self.known.contains_key(&backend) {
-            // Any entry: those on the list are observed again with the next complete list.
+    fn store_start(&mut self, backend: BackendId, start: KnownStart) {
+        if self.known.len() >= MAX_KNOWN_STARTS && !self.known.contains_key(&backend) {
+            // Any entry may be removed: backends on the list are observed again with the next complete list.
             self.known.pop_first();
         }
         self.known.insert(backend, start);
     }
 
-    /// When a backend started, by this gatekeeper's clock; [`Timestamp::ZERO`] for long ago. `stated`: as its entry states it.
-    /// `notified`: when this gatekeeper was notified of the start.
+    /// Start time of a backend on this gatekeeper's clock; [`Timestamp::ZERO`] if it started long ago.
+    /// `stated` is the start in its entry, `notified` the start that [`StartTimes::observe`] returned.
     pub(crate) fn start_of(
         &self,
         stated: Timestamp,
@@ -106,9 +119,9 @@
         }
     }
 
-    /// Microseconds that this gatekeeper's clock is ahead of the one that starts are stated on.
+    /// Microseconds by which this gatekeeper's clock is ahead of the clock of the stated starts.
     fn clock_error(&self) -> i64 {
-        let is_possible = |error: i64| self.min_age.is_none_or(|min| error <= min + TOLERANCE);
+        let is_possible = |error: i64| self.min_age.is_none_or(|min| error <= min + FUTURE_START_TOLERANCE);
         let (ahead, behind) = (self.clock_offset.max(0), self.clock_offset.min(0));
         match (is_possible(ahead), is_possible(behind)) {
             (true, _) => ahead,
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -1,4 +1,5 @@
-//! The state machine: the parts that it holds, and the entry point that hands each event to the module that decides.
+//! The state machine: its parts, and the entry point that dispatches each event to the module that handles
+//! it.
 
 use crate::action::Action;
 use crate::class_stats::{ClassStats, INITIAL_LATENCY_PART};
@@ -17,50 +18,49 @@
 use crate::timer_token::{TICK, TOKEN_TICK};
 use std::collections::BTreeMap;
 
-/// Actions in the order in which they are to be carried out.
+/// Actions, in the order in which the driver carries them out.
 pub(crate) type Actions = Vec<Action>;
 
-/// The policy of one gatekeeper. No clock, thread, I/O or global: the same events give the same actions.
-///
-/// It holds the parts, hands each event to them, and puts their answers together. Each part owns its state.
+/// The policy of one gatekeeper. It is deterministic: it has no clock, thread, I/O or global state, so the
+/// same settings, seed and events give the same actions.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Timestamp,
     pub(crate) started_at: Timestamp,
-    ticking: bool,
+    tick_started: bool,
     pub(crate) tenants: BTreeMap<TenantId, TenantQuota>,
     pub(crate) counter: CounterSync,
     pub(crate) backends: Backends,
-    /// The pool of each service, by its number. The quotas of a tenant are one over all of them.
+    /// The pool of each service, indexed by service number. A tenant's quota covers all services.
     pub(crate) pools: Vec<ServicePool>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) latency_trend: LatencyTrend,
-    /// By class.
+    /// Indexed by class.
     pub(crate) class_stats: Vec<ClassStats>,
-    /// The largest weight that a request can have.
+    /// The largest weight that a request can have, over all classes and plans.
     pub(crate) max_weight: f64,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) next_poll: Timestamp,
 }
 
 impl Policy {
-    /// A state machine that knows nothing but its settings.
+    /// Creates a state machine that knows no backends and no tenants yet. `seed` seeds its random choices.
     ///
     /// # Errors
     ///
-    /// Returns what [`Settings::validate`] finds.
+    /// Returns the error of [`Settings::validate`] if a setting is out of range.
     pub fn new(mut settings: Settings, seed: u64, now: Timestamp) -> Result<Self, SettingsError> {
         settings.validate()?;
         settings.max_cost = settings.max_cost.max(1.0);
-        // The last plan stands for any unknown one: no quota is known for it.
+        // The last plan stands for every plan number that is out of range, and has no quota.
         settings.plans.push(Plan::default());
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             now,
             started_at: now,
-            ticking: false,
+            tick_started: false,
             tenants: BTreeMap::new(),
             counter: CounterSync::new(CounterHealth::new(&settings, seed, now)),
             backends: Backends::default(),
@@ -75,11 +75,12 @@
         })
     }
 
-    /// Applies one event and appends the resulting actions in order.
+    /// Handles one event at the time `now`, and appends the resulting actions to `out` in order. A time
+    /// before that of an earlier event counts as that earlier time.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !self.ticking {
-            self.ticking = true;
+        if !self.tick_started {
+            self.tick_started = true;
             out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
         }
         match event {
@@ -88,7 +89,7 @@
             Event::OperatorEjection { backend, ejected } => self.on_operator_ejection(backend, ejected),
             Event::Request { id, class, plan, tenant, time_left, tenant_gatekeepers, units, .. } => {
                 let request = self.new_request(class, plan, tenant, time_left, units);
-                self.on_request(id, request, self.valid_gatekeepers(tenant_gatekeepers), out);
+                self.on_request(id, request, self.valid_gatekeeper_count(tenant_gatekeepers), out);
             }
             Event::StreamStarted { id, .. } => {
                 self.requests.entry(id).and_modify(|request| request.streaming = true);
@@ -113,13 +114,14 @@
         }
     }
 
-    /// This gatekeeper's clock was found to be ahead of the fleet's clock by this many microseconds. Moments given to
-    /// [`Policy::handle`] stay those of its own clock.
+    /// Sets by how many microseconds this gatekeeper's clock is ahead of the fleet's clock; negative if it is
+    /// behind. Times passed to [`Policy::handle`] remain readings of this gatekeeper's own clock.
     pub fn set_clock_offset(&mut self, offset: i64) {
         self.backends.set_clock_offset(offset);
     }
 
-    /// Invalid figures are replaced by what the settings allow.
+    /// Creates a request. A class or plan number that is out of range becomes the last one, and an invalid
+    /// cost the largest cost that the settings allow.
     fn new_request(&self, class: u16, plan: u32, tenant: TenantId, time_left: Micros, units: f64) -> Request {
         let cost = if units.is_finite() && units > 0.0 { units } else { self.settings.max_cost };
         Request {
@@ -132,13 +134,13 @@
         }
     }
 
-    fn valid_gatekeepers(&self, tenant_gatekeepers: f64) -> f64 {
-        let all = f64::from(self.settings.gatekeepers);
+    fn valid_gatekeeper_count(&self, tenant_gatekeepers: f64) -> f64 {
+        let tier_size = f64::from(self.settings.gatekeepers);
         let is_valid = tenant_gatekeepers.is_finite() && tenant_gatekeepers >= 1.0;
-        if is_valid { tenant_gatekeepers.min(all) } else { all }
+        if is_valid { tenant_gatekeepers.min(tier_size) } else { tier_size }
     }
 
-    /// The service that serves this class.
+    /// The number of the service that serves this class.
     pub(crate) fn service_of(&self, class: usize) -> usize {
         usize::from(self.settings.classes[class].service)
     }
@@ -148,18 +150,19 @@
         &self.pools[self.service_of(class)]
     }
 
-    /// Long-term over short-term p95 of latency over the mean of its class, 1 until both are valid.
+    /// Ratio of long-term to short-term p95 latency, each latency relative to the mean of its class. It is at
+    /// most 1, and 1 until both estimates are valid.
     pub(crate) fn latency_ratio(&self) -> f64 {
         self.latency_trend.ratio(self.now).unwrap_or(1.0)
     }
 
-    /// Whether the shared counter can be relied on.
+    /// Whether the shared counter is enabled and answers.
     pub(crate) fn counter_state(&self) -> CounterState {
         let is_available = self.settings.shared_counter && !self.counter.health.is_silent();
         if is_available { CounterState::Available } else { CounterState::Unavailable }
     }
 
-    /// Finds or creates a tenant's quota and brings it up to now.
+    /// Finds or creates a tenant's quota and refills it up to the present time.
     pub(crate) fn refilled_quota(
         &mut self,
         tenant: TenantId,
@@ -175,10 +178,10 @@
     }
 }
 
-/// One pool for each service that a class names.
+/// Creates a pool for each service number up to the largest that a class names.
 fn new_pools(settings: &Settings, now: Timestamp) -> Vec<ServicePool> {
-    let objective = settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(1);
-    let pool = ServicePool::new(objective as f64 * INITIAL_LATENCY_PART, now);
+    let largest_objective = settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(1);
+    let pool = ServicePool::new(largest_objective as f64 * INITIAL_LATENCY_PART, now);
     let last_service = settings.classes.iter().map(|class| class.service).max().unwrap_or(0);
     vec![pool; usize::from(last_service) + 1]
 }
--- a/crates/policy/src/stored.rs
+++ b/crates/policy/src/stored.rs
@@ -1,5 +1,5 @@
-//! The stored form of the parts: plain data. The order of the fields is the form that processes exchange at a hot restart; it must
-//! not change.
+//! Plain data forms of the parts, which processes exchange at a hot restart. Fields are serialized by
+//! position, so their order must not change.
 
 use crate::count_total::{BucketView, CountTotal};
 use crate::ids::{BackendId, RequestId};
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A [`TenantQuota`](crate::tenant_quota::TenantQuota).
+/// Stored form of a [`TenantQuota`](crate::tenant_quota::TenantQuota).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct StoredQuota {
     pub(crate) plan: usize,
@@ -34,7 +34,8 @@
     pub(crate) last_admitted: Timestamp,
 }
 
-/// A [`Backend`](crate::backend::Backend) without its entry, which each process has from its own list.
+/// Stored form of a [`Backend`](crate::backend::Backend) without its entry, which each process has from its
+/// own endpoint list.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct StoredBackend {
     pub(crate) in_flight: u32,
@@ -50,14 +51,14 @@
     pub(crate) connect_backoff: Micros,
 }
 
-/// One class at a backend, as outlier detection sees it.
+/// Stored health of a backend for one class.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub(crate) struct StoredClassHealth {
     pub(crate) last_answer: Timestamp,
     pub(crate) ejected_until: Option<Timestamp>,
 }
 
-/// One backend since its most recent start.
+/// Stored form of one backend, valid for the start that it states.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct BackendSnapshot {
     pub(crate) id: BackendId,
@@ -65,7 +66,7 @@
     pub(crate) state: StoredBackend,
 }
 
-/// A [`ServicePool`](crate::service_pool::ServicePool).
+/// Stored form of a [`ServicePool`](crate::service_pool::ServicePool).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct StoredPool {
     pub(crate) ready: Vec<BackendId>,
@@ -88,7 +89,7 @@
 }
 
 impl StoredQuota {
-    /// Replaces figures that are no numbers by 0, and moments in the future by now.
+    /// Replaces levels and other numbers that are not finite by 0, and times in the future by `now`.
     pub(crate) fn sanitize(&mut self, now: Timestamp) {
         for value in [
             &mut self.level,
--- a/crates/policy/src/timer_token.rs
+++ b/crates/policy/src/timer_token.rs
@@ -1,17 +1,18 @@
-//! Tokens of timers: what a timer is for, in the value that comes back when it expires.
+//! Timer tokens: values that tell what an expired timer is for.
 
 use crate::ids::RequestId;
 use crate::time::Micros;
 
-/// Microseconds between two looks at unreported spend and silent backends. Short against every latency
-/// objective.
+/// Microseconds between checks for unreported spend and silent backends. It is short compared with every
+/// latency objective.
 pub(crate) const TICK: Micros = 20_000;
 
-/// A token holds its kind in the highest byte, the attempt from bit 32 on, and the request in the lowest 32 bits.
+/// A token has its kind in the highest byte, the attempt number from bit 32, and the request in the lowest 32
+/// bits.
 pub(crate) const TOKEN_TICK: u64 = 0;
 const TOKEN_DEADLINE: u64 = 1 << 56;
 const TOKEN_HEDGE: u64 = 2 << 56;
-const TOKEN_KINDS: u64 = 0xff << 56;
+const TOKEN_KIND_MASK: u64 = 0xff << 56;
 const ATTEMPT_SHIFT: u32 = 32;
 
 pub(crate) fn deadline_token(id: RequestId) -> u64 {
@@ -27,17 +28,17 @@
 pub(crate) enum TimerKind {
     /// The periodic work.
     Tick,
-    /// A request has to be answered now.
+    /// The deadline of a request is near, and it has to be answered now.
     Deadline { request: RequestId },
-    /// An attempt is slow: a hedged request may be worth its work.
+    /// An attempt has no answer after its hedge delay: a hedged request is considered.
     Hedge { request: RequestId, attempt: usize },
 }
 
 impl TimerKind {
-    /// Unknown tokens read as the tick.
-    pub(crate) fn of(token: u64) -> Self {
+    /// Decodes a token. An unknown kind counts as the tick.
+    pub(crate) fn from_token(token: u64) -> Self {
         let request = RequestId(token as u32);
-        match token & TOKEN_KINDS {
+        match token & TOKEN_KIND_MASK {
             TOKEN_DEADLINE => Self::Deadline { request },
             TOKEN_HEDGE => Self::Hedge { request, attempt: usize::from((token >> ATTEMPT_SHIFT) as u8) },
             _ => Self::Tick,
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: what happens when one expires, and the periodic work.
+//! Handles expired timers, and runs the periodic work.
 
 use crate::action::Action;
 use crate::counter_health::Urgency;
@@ -10,16 +10,16 @@
 use crate::time::Micros;
 use crate::timer_token::{TICK, TOKEN_TICK, TimerKind};
 
-/// Microseconds between two rounds of the work over all backends and tenants: too expensive for each tick of
-/// large fleets.
-const POOL_TICK: Micros = 200_000;
-/// A tenant's quota is dropped after this many microseconds without a request: its names have expired and its
-/// bucket is full, so that nothing is lost with it.
-const IDLE_TIMEOUT: Micros = 3 * EPOCH;
+/// Microseconds between updates of all backends and tenants. With large fleets they are too expensive for
+/// each tick.
+const POOL_UPDATE_INTERVAL: Micros = 200_000;
+/// A tenant's quota is dropped after this many microseconds without a request. By then its counts have
+/// expired at the shared counter and its bucket is full, so no state is lost.
+const QUOTA_IDLE_TIMEOUT: Micros = 3 * EPOCH;
 
 impl Policy {
     pub(crate) fn on_timer(&mut self, token: u64, out: &mut Actions) {
-        match TimerKind::of(token) {
+        match TimerKind::from_token(token) {
             TimerKind::Deadline { request } => self.answer(request, out),
             TimerKind::Hedge { request, attempt } => self.hedge(request, attempt, out),
             TimerKind::Tick => self.on_tick(out),
@@ -28,17 +28,18 @@
 
     fn on_tick(&mut self, out: &mut Actions) {
         out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
-        // From anywhere in the order, so that a shortage of calls does not starve the same tenants.
-        let from = TenantId(self.rng.u64(..));
-        self.report_spend(from, out);
-        self.try_silent_counter(from, out);
+        // The tick starts at a random tenant, so that the rate limit of calls does not always starve the same
+        // ones.
+        let first_tenant = TenantId(self.rng.u64(..));
+        self.report_spend(first_tenant, out);
+        self.probe_silent_counter(first_tenant, out);
         self.eject_silent_backends();
-        if self.now >= self.pools[0].answers.measured_at() + POOL_TICK {
+        if self.now >= self.pools[0].answer_rate.measured_at() + POOL_UPDATE_INTERVAL {
             for service in 0..self.pools.len() {
                 self.update_pool(service);
             }
             let now = self.now;
-            self.tenants.retain(|_, quota| !quota.is_idle_for(IDLE_TIMEOUT, now));
+            self.tenants.retain(|_, quota| !quota.is_idle_for(QUOTA_IDLE_TIMEOUT, now));
         }
         if self.settings.polls_endpoints && self.now >= self.next_poll {
             self.next_poll = self.now + self.settings.poll_interval / 2;
@@ -46,16 +47,17 @@
         }
     }
 
-    fn report_spend(&mut self, from: TenantId, out: &mut Actions) {
+    fn report_spend(&mut self, first_tenant: TenantId, out: &mut Actions) {
         let is_due = |id: &TenantId| self.tenants.get(id).is_none_or(|quota| quota.report_due <= self.now);
-        for tenant in self.counter.unreported_from(from).filter(is_due).collect::<Vec<_>>() {
+        for tenant in self.counter.unreported_from(first_tenant).filter(is_due).collect::<Vec<_>>() {
             self.call_counter(tenant, Urgency::Deferrable, out);
         }
     }
 
-    /// While the counter is silent nothing is spent from the shared buckets, so there may be nothing to
-    /// report. Any tenant's total is read then, or the counter's recovery would never be noticed.
-    fn try_silent_counter(&mut self, from: TenantId, out: &mut Actions) {
+    /// Reads the total of any tenant while the counter does not answer. Nothing is spent from the shared
+    /// buckets then, so there may be no spend to report, and without this call the recovery of the counter
+    /// would go unnoticed.
+    fn probe_silent_counter(&mut self, first_tenant: TenantId, out: &mut Actions) {
         if !self.counter.health.is_trial_due(self.now) {
             return;
         }
@@ -63,13 +65,14 @@
             let has_rate = self.settings.plans[quota.plan].rate > 0.0;
             !quota.shared.is_call_in_flight() && quota.gatekeepers() > 1.0 && has_rate
         };
-        let mut tenants = self.tenants.range(from..).chain(self.tenants.range(..from));
+        let mut tenants = self.tenants.range(first_tenant..).chain(self.tenants.range(..first_tenant));
         if let Some((&tenant, _)) = tenants.find(|(_, quota)| may_call(quota)) {
             self.call_counter(tenant, Urgency::Awaited, out);
         }
     }
 
-    /// A silent backend is found by the age of its attempts in flight with no answer since.
+    /// Ejects backends that have attempts in flight for longer than the silence timeout and have sent no
+    /// answer since these were sent.
     fn eject_silent_backends(&mut self) {
         let (now, next_trial) = (self.now, self.now + ejection_time(&self.settings));
         let mut was_ejected = false;
@@ -81,7 +84,8 @@
                 }
             }
         }
-        // At once: until it is known that all are silent, nothing would be admitted.
+        // Panic mode is updated at once. If all backends are ejected, every request would be rejected until
+        // the next periodic update.
         if was_ejected {
             (0..self.pools.len()).for_each(|service| self.update_panic_mode(service));
         }
