--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Feeds a policy a few events and prints the resulting actions: `cargo run --example embed`.
+//! Passes a few events to a policy and prints the resulting actions: `cargo run --example embed`.
 
 use policy::{
     BackendEntry, BackendId, Event, ListKind, Micros, Outcome, Plan, Policy, RequestClass, RequestId,
@@ -8,7 +8,7 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// An event and when it occurs.
+/// An event and the time at which it occurs.
 struct TimedEvent {
     at: Timestamp,
     event: Event,
@@ -39,7 +39,7 @@
         answered: true,
         load: Vec::new(),
     };
-    let after = |span, event| TimedEvent { at: Timestamp::from_micros(span), event };
+    let after = |delay, event| TimedEvent { at: Timestamp::from_micros(delay), event };
     vec![
         after(0, Event::Endpoints { kind: ListKind::Full, entries }),
         after(MS, request(RequestId(1), 4.0)),
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: retries within what a class permits, hedged requests, deadlines and time-outs.
+//! Tests of attempts: retries that a class permits, hedged requests, deadlines and timeouts.
 
 mod common;
 use common::*;
@@ -8,10 +8,10 @@
 const KEYED: u16 = 1;
 const NON_IDEMPOTENT: u16 = 2;
 
-/// How long a process may be descheduled between reading its clock and writing.
+/// Longest time for which a process may be descheduled between reading its clock and writing an attempt.
 const SCHEDULING_DELAY: Micros = 150 * MS;
 
-/// The connect deadline of the attempt among these actions.
+/// The time within which the first attempt among these actions has to start.
 fn max_start_delay(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::Send { max_start_delay, .. } => Some(*max_start_delay),
@@ -19,7 +19,7 @@
     })
 }
 
-/// The Retry-After of the rejection among these actions.
+/// The Retry-After of the first rejection among these actions.
 fn retry_after(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -27,16 +27,17 @@
     })
 }
 
-/// The timer that expires after this span.
-fn timer_after(span: Micros, actions: &[Action]) -> Option<Event> {
+/// The event of the first timer among these actions that expires after this delay.
+fn timer_after(delay: Micros, actions: &[Action]) -> Option<Event> {
     actions.iter().find_map(|action| match *action {
-        Action::Timer { after, token } if after == span => Some(Event::Timer { token }),
+        Action::Timer { after, token } if after == delay => Some(Event::Timer { token }),
         _ => None,
     })
 }
 
-/// Regression: a merely slow attempt still answers, and the work of its hedged request is added to it.
-/// Hedging all slow attempts once took a sixth of the fleet's capacity and sustained overload.
+/// Regression: every slow attempt was hedged. An attempt at a backend that is merely slow still gets its
+/// answer, so the hedged request is additional work. These requests took a sixth of the fleet's capacity and
+/// kept it overloaded.
 #[test]
 fn a_slow_attempt_at_a_backend_that_answers_is_not_hedged() {
     for (backend_answers, expected_hedges) in [(true, 0), (false, 1)] {
@@ -69,7 +70,7 @@
             is_failed(&actions) && !is_rejected(&actions) && sent_backends(&actions).is_empty(),
             "{outcome:?}: {actions:?}"
         );
-        assert!(!is_failed(&at_deadline), "answered once");
+        assert!(!is_failed(&at_deadline), "{outcome:?}: the request was answered again at its deadline");
     }
 }
 
@@ -87,8 +88,9 @@
 #[test]
 fn an_attempt_that_never_ran_is_retried_elsewhere_at_once_and_charged_once() {
     let mut harness = Harness::new(settings(), &backends(4));
-    let call = counter_call(&harness.feed(request(1, NON_IDEMPOTENT, 1.0))).expect("the total is read");
-    // Another gatekeeper used the name first: there is nothing to write off.
+    let call =
+        counter_call(&harness.feed(request(1, NON_IDEMPOTENT, 1.0))).expect("the request calls the counter");
+    // The total shows that another gatekeeper added to the count first, so no units are written off.
     let first = sent_backends(&harness.feed(counter_reply(call.name, 5.0 + call.units, Outcome::Ok)));
 
     let retry = sent_backends(&harness.end_attempt(1, 0, first[0], Outcome::ConnectFailed));
@@ -96,7 +98,7 @@
 
     assert_eq!(retry.len(), 1);
     assert_ne!(retry, first);
-    assert_eq!(counter_call(&later), None, "no second charge");
+    assert_eq!(counter_call(&later), None, "the retry was charged again");
 }
 
 #[test]
@@ -143,13 +145,13 @@
     let settings = Settings { max_retry_after, ..settings_without_counter(1) };
     let request_of_own_tenant = |id: u32| request_of_tenant(u64::from(id), id, IDEMPOTENT);
 
-    // No other backend: rejected when the attempt ends, not near the deadline.
+    // Without another backend, the request is rejected when its attempt ends, and not near its deadline.
     let mut harness = Harness::new(settings.clone(), &backends(1));
     assert_eq!(sent_backends(&harness.feed(request(1, IDEMPOTENT, 1.0))), [1]);
     let actions = harness.end_attempt(1, 0, 1, Outcome::ConnectFailed);
     assert!(retry_after(&actions).is_some_and(|wait| wait > 0 && wait <= max_retry_after), "{actions:?}");
 
-    // The capacity is in use and answers are late: the Retry-After grows with the latency.
+    // While the capacity is in use and answers are late, the Retry-After grows with the latency.
     let mut harness = Harness::new(settings, &backends(1));
     let admitted: Vec<(u32, u32)> = (1..=20)
         .map(|id| (id, harness.feed(request_of_own_tenant(id))))
@@ -164,12 +166,15 @@
     let is_long = |wait: Micros| wait > 10 * common::settings().tick && wait <= max_retry_after;
     assert!(!waits.is_empty() && waits.iter().all(|&wait| is_long(wait)), "{waits:?}");
 
-    // An empty bucket: until it holds the units, 0.1 s for each.
+    // With an empty bucket, the Retry-After is the time until the bucket holds the units: 0.1 s for each.
     let settings = Settings { max_retry_after: 10 * SECOND, ..settings_without_counter(1) };
     let mut harness = Harness::new(settings, &backends(40));
     let answers: Vec<_> = (1..=30).map(|id| harness.feed(request(id, IDEMPOTENT, 1.0))).collect();
-    let wait = answers.iter().find_map(|actions| retry_after(actions)).expect("a bucket of 20 is empty");
-    assert!((50 * MS..=200 * MS).contains(&wait), "{wait}");
+    let wait = answers
+        .iter()
+        .find_map(|actions| retry_after(actions))
+        .expect("30 requests exceed a bucket of 20 units");
+    assert!((50 * MS..=200 * MS).contains(&wait), "the Retry-After is {wait} us");
 }
 
 #[test]
@@ -189,39 +194,39 @@
     let first = sent_backends(&actions)[0];
     assert_eq!(timeout(&actions), Some(attempt_timeout));
 
-    let timer = timer_after(hedge_after, &actions).expect("a timer for the hedged request");
+    let timer = timer_after(hedge_after, &actions).expect("the class's hedge delay sets a timer");
     harness.now += hedge_after;
     let hedged = sent_backends(&harness.feed(timer));
-    assert_eq!(hedged.len(), 1, "the hedged request is the second attempt");
+    assert_eq!(hedged.len(), 1, "no hedged request was sent after the hedge delay");
 
     let after_first = harness.end_attempt(1, 0, first, Outcome::Timeout);
-    assert_eq!(sent_backends(&after_first), [0; 0], "and the last that the class may have");
+    assert_eq!(sent_backends(&after_first), [0; 0], "more attempts than the class allows");
     let after_second = harness.end_attempt(1, 1, hedged[0], Outcome::Timeout);
-    assert!(is_rejected(&after_second), "so the request is answered at once");
+    assert!(is_rejected(&after_second), "no answer after the last attempt of the class");
 
     let other_class = harness.feed(request(2, KEYED, 1.0));
-    assert_eq!(timeout(&other_class), Some(0), "another class has the general settings");
+    assert_eq!(timeout(&other_class), Some(0), "another class got the attempt timeout");
 }
 
-/// Regression: a keyed retry was decided inside its window and started outside, when its connection was
-/// established late. And an attempt that still waited for its connection could start long after its hedged
-/// request.
+/// Regression: a keyed retry was decided within the lifetime of its key, but its connection was established
+/// so late that it started after the lifetime. Likewise, an attempt that was still connecting could start
+/// long after its hedged request.
 #[test]
 fn a_keyed_retry_has_to_begin_inside_its_window_and_only_what_has_begun_is_retried() {
     let hedge_after = 200 * MS;
     for connect_timeout in [100 * MS, 300 * MS] {
         let mut harness = Harness::new(Settings { connect_timeout, ..settings() }, &backends(8));
         let first = harness.request(1, KEYED, 1.0);
-        let first_delay = max_start_delay(&first).expect("it is sent");
-        assert!(first_delay > SECOND, "no attempt has run yet that it could duplicate");
+        let first_delay = max_start_delay(&first).expect("the first attempt is sent");
+        assert!(first_delay > SECOND, "the start of the first attempt is limited to {first_delay} us");
         harness.now += hedge_after;
 
-        let hedged = harness.feed(timer_after(hedge_after, &first).expect("a timer for the hedged request"));
+        let hedged = harness.feed(timer_after(hedge_after, &first).expect("the hedge delay sets a timer"));
 
-        // 340 ms of the window of 500 ms count from the first attempt, the rest is the margin for a
-        // scheduling delay. 200 ms are over.
+        // A key lives for 500 ms. 160 ms of them are the margin for a scheduling delay, so a repetition has
+        // to start within 340 ms of the first attempt. 200 ms have passed.
         let expected = (connect_timeout < hedge_after).then_some(140 * MS);
-        assert_eq!(max_start_delay(&hedged), expected, "connections within {connect_timeout} us");
+        assert_eq!(max_start_delay(&hedged), expected, "connect timeout of {connect_timeout} us");
     }
 
     let mut harness = Harness::new(settings(), &backends(8));
@@ -233,8 +238,8 @@
     assert_eq!(max_start_delay(&retry), Some(240 * MS));
 }
 
-/// Regression: the margin was 15 percent of the window. In a short window that is less than the scheduling
-/// delay.
+/// Regression: the margin before the end of a key's lifetime was 15 percent of the lifetime. For a short
+/// lifetime that is less than the scheduling delay.
 #[test]
 fn no_keyed_retry_is_decided_so_late_that_a_hold_up_ends_it_outside_its_window() {
     for window in [150 * MS, 300 * MS, 800 * MS, 3 * SECOND] {
@@ -250,7 +255,10 @@
             for action in actions {
                 if let Action::Send { max_start_delay, .. } = action {
                     let latest = elapsed + max_start_delay + SCHEDULING_DELAY;
-                    assert!(latest <= window, "{latest} us of a window of {window} us");
+                    assert!(
+                        latest <= window,
+                        "a retry after {elapsed} us may start after {latest} us, and the key lives for {window} us"
+                    );
                 }
             }
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,4 @@
-//! A test harness around one gatekeeper's state machine, builders of events, and queries on the returned
-//! actions.
+//! A test harness for the state machine of one gatekeeper, constructors of events, and queries on actions.
 #![allow(dead_code)]
 
 mod recorder;
@@ -15,7 +14,7 @@
 
 /// The tenant of [`request`].
 pub const TENANT: TenantId = TenantId(7);
-/// How many backends of [`backends`] share idempotency keys.
+/// Number of backends of [`backends`] that share idempotency keys.
 pub const BACKENDS_PER_CELL: u32 = 2;
 
 /// The interval at which the harness runs the periodic timer.
@@ -27,13 +26,13 @@
 const DEADLINE_TIMER_KIND: u64 = 1;
 const HEDGE_TIMER_KIND: u64 = 2;
 
-/// The moment at which clocks read this many microseconds.
+/// The time at which clocks read this many microseconds.
 pub fn at(micros: Micros) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
-/// Two gatekeepers, one plan of 10 units a second with a burst of 20, and a class of each idempotency: class
-/// 0 is idempotent, class 1 needs a key, class 2 is not idempotent.
+/// Settings with two gatekeepers, a plan of 10 units a second with a burst of 20, and three classes: class 0
+/// is idempotent, class 1 is keyed, class 2 is not idempotent.
 pub fn settings() -> Settings {
     let class = |idempotency| RequestClass {
         latency_objective: 500 * MS,
@@ -58,17 +57,17 @@
     }
 }
 
-/// The same settings with a plan that has no limits.
+/// [`settings`] with a plan that has no limits.
 pub fn unlimited_settings() -> Settings {
     Settings { plans: vec![Plan::default()], ..settings() }
 }
 
-/// The same settings for this many gatekeepers that have no shared counter.
+/// [`settings`] for this many gatekeepers without a shared counter.
 pub fn settings_without_counter(gatekeepers: u32) -> Settings {
     Settings { gatekeepers, shared_counter: false, ..settings() }
 }
 
-/// Backends `1..=count` that have been ready for long, [`BACKENDS_PER_CELL`] to a cell.
+/// Ready backends `1..=count` that started long ago, [`BACKENDS_PER_CELL`] to a cell.
 pub fn backends(count: u32) -> Vec<BackendEntry> {
     (1..=count)
         .map(|id| BackendEntry { id: BackendId(id), cell: cell_of(id) as u16, ..BackendEntry::default() })
@@ -80,25 +79,25 @@
     (backend - 1) / BACKENDS_PER_CELL
 }
 
-/// One gatekeeper, at a time that tests advance.
+/// One gatekeeper, and its clock, which tests advance.
 pub struct Harness {
     pub policy: Policy,
     pub now: Timestamp,
-    /// The totals of the shared counter that [`Harness::request`] asks.
+    /// The totals of the shared counter that [`Harness::request`] calls.
     counter_totals: HashMap<u64, f64>,
     recorder: Recorder,
 }
 
 impl Harness {
-    /// A gatekeeper that starts at the first moment of its clock.
+    /// A gatekeeper that starts when its clock reads 1 us.
     pub fn new(settings: Settings, backends: &[BackendEntry]) -> Self {
         Self::start_at(at(1), settings, backends)
     }
 
-    /// A gatekeeper that starts at this moment with a cached endpoint list.
+    /// A gatekeeper that starts at this time with a cached endpoint list.
     pub fn start_at(now: Timestamp, settings: Settings, backends: &[BackendEntry]) -> Self {
         let seed = 1 + u64::from(settings.gatekeeper_index);
-        let policy = Policy::new(settings, seed, now).expect("usable settings");
+        let policy = Policy::new(settings, seed, now).expect("the settings are valid");
         let mut harness = Self { policy, now, counter_totals: HashMap::new(), recorder: Recorder::new() };
         harness.feed(Event::Endpoints { kind: ListKind::Cached, entries: backends.to_vec() });
         harness
@@ -111,7 +110,7 @@
         actions
     }
 
-    /// Feeds a request. A counter that no other gatekeeper uses answers its calls at once.
+    /// Feeds a request. Its counter calls are answered at once, by a counter that no other gatekeeper uses.
     pub fn request(&mut self, id: u32, class: u16, units: f64) -> Vec<Action> {
         let actions = self.feed(request(id, class, units));
         let mut totals = std::mem::take(&mut self.counter_totals);
@@ -126,7 +125,8 @@
         self.serve_attempts(id, &actions) > 0
     }
 
-    /// Ends the first attempts of a request among these actions as served. Returns how many there are.
+    /// Ends the attempts of a request among these actions as served, as attempt number 0. Returns how many
+    /// there are.
     pub fn serve_attempts(&mut self, id: u32, actions: &[Action]) -> usize {
         let backends = sent_backends(actions);
         for &backend in &backends {
@@ -135,8 +135,8 @@
         backends.len()
     }
 
-    /// Adds each counter call among the actions, and those that follow, to the total of its name, and feeds
-    /// the reply. Returns all actions.
+    /// Answers each counter call among the actions, and each call that follows, from the totals by name.
+    /// Returns all actions.
     pub fn answer_counter_calls(
         &mut self,
         actions: Vec<Action>,
@@ -149,7 +149,7 @@
         })
     }
 
-    /// The same with one total for calls of every name.
+    /// Like [`Harness::answer_counter_calls`], with one total for the counts of all names.
     pub fn answer_counter_calls_from(&mut self, actions: Vec<Action>, total: &mut f64) -> Vec<Action> {
         self.answer_counter_calls_with(actions, |_, units| {
             *total += units;
@@ -157,7 +157,8 @@
         })
     }
 
-    /// The same with a function that returns the total of a name after units were added.
+    /// Like [`Harness::answer_counter_calls`], with a function that adds units to a count and returns its
+    /// total.
     fn answer_counter_calls_with(
         &mut self,
         mut actions: Vec<Action>,
@@ -173,7 +174,7 @@
         actions
     }
 
-    /// Ends an attempt after 50 ms; only [`Outcome::Ok`] answers the request.
+    /// Ends an attempt with an elapsed time of 50 ms. Only [`Outcome::Ok`] answers the request.
     pub fn end_attempt(&mut self, id: u32, attempt: u8, backend: u32, outcome: Outcome) -> Vec<Action> {
         self.feed(attempt_ended(id, attempt, backend, outcome))
     }
@@ -183,7 +184,7 @@
         self.feed(Event::Timer { token: PERIODIC_TIMER })
     }
 
-    /// Advances the time to this moment and runs the periodic work meanwhile.
+    /// Advances the clock to this time, and runs the periodic work meanwhile.
     pub fn tick_until(&mut self, until: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         while self.now < until {
@@ -193,13 +194,13 @@
         actions
     }
 
-    /// Advances the time by a span and runs the periodic work meanwhile.
-    pub fn tick_for(&mut self, span: Micros) -> Vec<Action> {
-        self.tick_until(self.now + span)
+    /// Advances the clock by a duration, and runs the periodic work meanwhile.
+    pub fn tick_for(&mut self, duration: Micros) -> Vec<Action> {
+        self.tick_until(self.now + duration)
     }
 }
 
-/// A request event, by default of one unit in class 0 for [`TENANT`] with a second left.
+/// A request event. By default it has one unit in class 0 for [`TENANT`], and a second until its deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestEvent {
     pub id: u32,
@@ -251,12 +252,12 @@
     RequestEvent { id, class, tenant: TenantId(tenant), ..RequestEvent::default() }
 }
 
-/// The end of an attempt 50 ms after it was sent; only [`Outcome::Ok`] answers the request.
+/// The end of an attempt 50 ms after it was sent. Only [`Outcome::Ok`] answers the request.
 pub fn attempt_ended(id: u32, attempt: u8, backend: u32, outcome: Outcome) -> Event {
     attempt_ended_after(50 * MS, id, attempt, backend, outcome)
 }
 
-/// The end of an attempt this long after it was sent; only [`Outcome::Ok`] answers the request.
+/// The end of an attempt `elapsed` microseconds after it was sent. Only [`Outcome::Ok`] answers the request.
 pub fn attempt_ended_after(elapsed: Micros, id: u32, attempt: u8, backend: u32, outcome: Outcome) -> Event {
     Event::AttemptEnded {
         id: RequestId(id),
@@ -270,7 +271,7 @@
     }
 }
 
-/// The first attempt of a request was served this long after it was sent.
+/// The first attempt of a request is served `elapsed` microseconds after it was sent.
 pub fn served_after(elapsed: Micros, id: u32, backend: u32) -> Event {
     attempt_ended_after(elapsed, id, 0, backend, Outcome::Ok)
 }
@@ -279,17 +280,17 @@
     Event::CounterReply { name, total, elapsed: MS, outcome }
 }
 
-/// The deadline of a request passed.
+/// The timer event for the deadline of a request.
 pub fn deadline_timer(id: u32) -> Event {
     Event::Timer { token: DEADLINE_TIMER_KIND << TIMER_KIND_SHIFT | u64::from(id) }
 }
 
-/// The time came to hedge a request.
+/// The timer event for the hedge delay of the first attempt of a request.
 pub fn hedge_timer(id: u32) -> Event {
     Event::Timer { token: HEDGE_TIMER_KIND << TIMER_KIND_SHIFT | u64::from(id) }
 }
 
-/// The backends that attempts were sent to, in order.
+/// The backends to which attempts are sent, in order.
 pub fn sent_backends(actions: &[Action]) -> Vec<u32> {
     let backend =
         |action: &Action| if let Action::Send { backend, .. } = action { Some(backend.0) } else { None };
@@ -304,7 +305,7 @@
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// An [`Action::CounterAdd`].
+/// A call to the shared counter, from an [`Action::CounterAdd`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
     pub name: u64,
--- a/crates/policy/tests/common/recorder.rs
+++ b/crates/policy/tests/common/recorder.rs
@@ -1,8 +1,8 @@
 //! Compares a digest of all actions that a state machine returns in a test with a recorded one.
 //!
-//! The tests are deterministic: seeds and times are fixed. `tests/fixtures/actions.txt` has a line for each
-//! state machine of each test: the test's name and the number of the recorder, the number of actions, and
-//! their digest. A refactoring must leave it as it is. After an intended change of decisions
+//! The tests are deterministic, with fixed seeds and times. `tests/fixtures/actions.txt` has a line for each
+//! state machine of each test: the name of the test with the number of the recorder, the number of actions,
+//! and their digest. A refactoring must not change this file. After an intended change of decisions,
 //! `RECORD_ACTIONS=FILE cargo test` appends the new lines to a file.
 
 use policy::{Action, Notice, Timestamp};
@@ -17,15 +17,16 @@
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 thread_local! {
-    /// How many recorders this thread has created. Each test has a thread of its own, unless all tests run on
-    /// the main thread.
+    /// Number of recorders that this thread has created. Each test has a thread of its own, unless all tests
+    /// run on the main thread.
     static CREATED: Cell<u32> = const { Cell::new(0) };
 }
 
-/// Digests the actions of one state machine in order. Dropping it compares the digest with the recorded one.
+/// Computes a digest of the actions of one state machine in order. On drop, it compares the digest with the
+/// recorded one.
 #[derive(Debug)]
 pub struct Recorder {
-    /// The key of its line in the fixture.
+    /// The key of the recorded line in the fixture.
     name: String,
     action_count: u64,
     hash: u64,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Extends the FNV-1a hash by the bytes of one value.
+    /// Adds the bytes of one value to the FNV-1a hash.
     fn hash_value(&mut self, value: u64) {
         for byte in value.to_le_bytes() {
             self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
@@ -58,7 +59,7 @@
     }
 }
 
-/// Encodes an action by numbers that do not depend on names in the code.
+/// Encodes an action as numbers that do not depend on names in the code.
 fn stable_encoding(action: &Action) -> Vec<u64> {
     match *action {
         Action::Send { id, backend, timeout, max_start_delay } => {
@@ -85,17 +86,22 @@
             append_line(&path, &line);
             return;
         }
-        // With all tests on the main thread the recorders have other names than the recorded ones.
+        // If all tests run on the main thread, the names of recorders differ from those in the fixture.
         if self.name.starts_with("main#") {
             return;
         }
-        assert_eq!(recorded_line(&self.name), Some(line.as_str()), "other actions than recorded");
+        assert_eq!(
+            recorded_line(&self.name),
+            Some(line.as_str()),
+            "the actions differ from the recorded ones"
+        );
     }
 }
 
 fn append_line(path: &OsStr, line: &str) {
     let file = OpenOptions::new().create(true).append(true).open(path);
-    file.and_then(|mut file| file.write_all(format!("{line}\n").as_bytes())).expect("the line is written");
+    file.and_then(|mut file| file.write_all(format!("{line}\n").as_bytes()))
+        .expect("the line is appended to the file of RECORD_ACTIONS");
 }
 
 fn recorded_line(name: &str) -> Option<&'static str> {
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, slow start and operator ejections.
+//! Tests of the endpoint list, slow start and operator ejections.
 
 mod common;
 use common::*;
@@ -13,7 +13,7 @@
     for id in 0..3 {
         assert_eq!(sent_backends(&harness.request(id, 0, 1.0)), [2]);
         let retry = harness.end_attempt(id, 0, 2, Outcome::ConnectFailed);
-        assert!(sent_backends(&retry).is_empty(), "a retry must not go there either");
+        assert!(sent_backends(&retry).is_empty(), "a retry went to a draining backend");
         harness.now += 200 * MS;
     }
 
@@ -23,8 +23,9 @@
     assert!(is_rejected(&actions) && sent_backends(&actions).is_empty());
 }
 
-/// However many gatekeepers have just started, together they send a backend in slow start no more than it can
-/// serve. The backends serve ten requests a second each when warm.
+/// Gatekeepers that have just started have not measured the capacity of the backends. Whatever their number,
+/// together they send a backend in slow start no more than it can serve. A warm backend serves ten requests a
+/// second.
 #[test]
 fn gatekeepers_that_know_nothing_do_not_overload_backends_in_slow_start() {
     for gatekeepers in [1u32, 10, 100, 300] {
@@ -52,7 +53,8 @@
             }
         }
 
-        // 2.5 times a fifth of ten a second for one second, and random variation.
+        // In one second a backend in slow start takes 2.5 times a fifth of ten requests. The bound of 9
+        // allows for random variation.
         assert!(
             sent.iter().all(|&count| count <= 9),
             "{gatekeepers} gatekeepers sent {sent:?} to backends in slow start in a second"
@@ -61,7 +63,7 @@
     }
 }
 
-/// An operator's ejection stands whatever the endpoint list says. A backend that is admitted again is in slow
+/// An operator ejection remains in force whatever the endpoint list says. A readmitted backend is in slow
 /// start.
 #[test]
 fn a_backend_that_an_operator_ejected_gets_nothing_until_it_is_admitted_again() {
@@ -91,11 +93,16 @@
     assert_eq!((summary.listed, summary.unavailable), (2, 1));
 
     harness.feed(operator_ejection(false));
-    assert_eq!(harness.policy.fleet_summary().unavailable, 0, "one admission undoes two ejections");
-    // The list says that it has been ready for long. If it counted as warm, it would get half of all requests
-    // at once.
+    assert_eq!(
+        harness.policy.fleet_summary().unavailable,
+        0,
+        "the backend is still ejected: one readmission must undo two ejections"
+    );
+    // According to the list, the backend started long ago. If it counted as warm, it would get half of all
+    // requests at once.
     harness.feed(Event::Endpoints { kind: ListKind::Full, entries: backends(2) });
-    // This attempt stays in flight at the other backend: a warm one would be the better choice.
+    // This attempt stays in flight at the other backend, so the readmitted one would be selected if it were
+    // warm.
     assert_eq!(sent_backends(&harness.request(1, 0, 0.1)), [2]);
     let mut sent_to_readmitted = |requests: u32| {
         let mut sent = 0;
@@ -108,7 +115,7 @@
         }
         sent
     };
-    let (at_first, later) = (sent_to_readmitted(50), sent_to_readmitted(500));
-    assert!(at_first <= 15, "it is in slow start: {at_first} of 50");
-    assert!(later > 0, "it gets requests again");
+    let (sent_at_first, sent_later) = (sent_to_readmitted(50), sent_to_readmitted(500));
+    assert!(sent_at_first <= 15, "{sent_at_first} of 50 requests went to a backend in slow start");
+    assert!(sent_later > 0, "the readmitted backend got no requests");
 }
--- a/crates/policy/tests/outlier_detection.rs
+++ b/crates/policy/tests/outlier_detection.rs
@@ -1,11 +1,11 @@
-//! Outlier detection and backend selection: silent, failing, slow and unreachable backends.
+//! Tests of outlier detection and backend selection: silent, failing, slow and unreachable backends.
 
 mod common;
 use common::*;
 use policy::*;
 
-/// Classes whose objective makes 50 ms the latency that is expected before any answer, so no backend looks
-/// faster than another.
+/// Classes with a latency objective of 250 ms. Their initial mean latency is 50 ms, the latency of the
+/// answers, so no backend looks faster than another.
 fn classes_with_short_objective() -> Vec<RequestClass> {
     settings()
         .classes
@@ -42,9 +42,9 @@
     assert!(sent_to_silent < 12, "{sent_to_silent} of 300 went to the silent backend");
 }
 
-/// Regression: after a network partition a backend's latency estimate was high, and it got no trial until the
-/// estimate had decayed. After a partition of 2.5 s up to three of six loan servers stayed unused for 10 to
-/// 22 s.
+/// Regression: after a network partition, the latency estimate of a backend was so high that the backend got
+/// no trial until the estimate had decayed. After a partition of 2.5 s, up to three of six loan servers were
+/// unused for 10 to 22 s.
 #[test]
 fn a_backend_that_was_cut_off_is_tried_soon_after() {
     struct InFlight {
@@ -77,8 +77,11 @@
         }
     }
 
-    let delay_ms = first_trial.map(|moment| (moment - partition_end) / MS);
-    assert!(delay_ms.is_some_and(|ms| ms < 1_000), "tried after {delay_ms:?} ms");
+    let delay_ms = first_trial.map(|time| (time - partition_end) / MS);
+    assert!(
+        delay_ms.is_some_and(|ms| ms < 1_000),
+        "the first trial came {delay_ms:?} ms after the partition"
+    );
     assert_eq!(harness.policy.fleet_summary().unavailable, 0);
 }
 
@@ -94,11 +97,14 @@
 
     let actions = harness.request(9, 0, 1.0);
 
-    assert!(!sent_backends(&actions).is_empty(), "a common cause must leave some backend to send to");
+    assert!(
+        !sent_backends(&actions).is_empty(),
+        "all backends were ejected at once, and none got the request"
+    );
 }
 
-/// Regression, seen at an upgrade: the only available backend was suspected, and all requests were rejected
-/// until the next periodic check, up to 0.2 s later.
+/// Regression: during an upgrade, the only available backend was ejected as silent. All requests were
+/// rejected until the next periodic update of panic mode, up to 0.2 s later.
 #[test]
 fn panic_mode_begins_with_the_last_backend_that_falls_silent() {
     for phase in 0..10 {
@@ -114,7 +120,10 @@
 
             let finds_no_backend =
                 |action: &Action| matches!(action, Action::Reject { reason: RejectReason::NoBackend, .. });
-            assert!(!actions.iter().any(finds_no_backend), "phase {phase}, request {id}");
+            assert!(
+                !actions.iter().any(finds_no_backend),
+                "phase {phase}: no backend was found for request {id}"
+            );
             for backend in sent_backends(&actions) {
                 harness.end_attempt(id, 0, backend, Outcome::NotSent);
             }
@@ -157,8 +166,11 @@
         }
     }
 
-    assert!(lost < 40, "{lost} of 200 were lost at the backend that does not answer their class");
-    assert!(served_by_faulty > 10, "{served_by_faulty} of 200 of the other class were served there");
+    assert!(lost < 40, "{lost} of 200 requests went to the backend that does not answer their class");
+    assert!(
+        served_by_faulty > 10,
+        "only {served_by_faulty} of 200 requests of the other class were served by that backend"
+    );
 }
 
 #[test]
@@ -192,8 +204,8 @@
     let rejected = (0..400).filter(|&id| first_attempt_goes_to_rejecting(id, REJECTED_PLAN)).count();
     let served = (1000..1400).filter(|&id| first_attempt_goes_to_rejecting(id, OTHER_PLAN)).count();
 
-    assert!(rejected <= 45, "{rejected} of 400 went where they are rejected");
-    assert!(served >= 20, "{served} of 400: the backend has capacity for the other plan");
+    assert!(rejected <= 45, "{rejected} of 400 requests went to the backend that rejects their plan");
+    assert!(served >= 20, "only {served} of 400 requests of the other plan went to that backend");
 }
 
 #[test]
@@ -224,14 +236,14 @@
         }
     }
 
-    // Backoff of 2 s, 4 s, 8 s, 16 s and 20 s in 33 s, for both classes together.
+    // In 33 s there are backoffs of 2 s, 4 s, 8 s, 16 s and 20 s, common to both classes.
     assert!(
         (1..=6).contains(&connect_failures),
         "{connect_failures} attempts at a backend that accepts no connection"
     );
-    assert!(served > 300, "{served} served");
+    assert!(served > 300, "only {served} requests were served");
 
-    // It recovers: it is selected while the other backend is busy, and an answer ends the backoff.
+    // The backend recovers. It is selected while the other backend is busy, and an answer resets the backoff.
     harness.now += 20 * SECOND;
     let mut sent_to_recovered = 0;
     for id in 1001..=1200 {
@@ -245,7 +257,7 @@
             }
         }
     }
-    assert!(sent_to_recovered > 50, "{sent_to_recovered} attempts at a backend that has recovered");
+    assert!(sent_to_recovered > 50, "only {sent_to_recovered} attempts at a backend that has recovered");
 }
 
 #[test]
@@ -264,11 +276,15 @@
         }
     }
 
-    // Two backends, backoff of 2 s, 4 s, 8 s and 16 s in 30 s, for both classes together.
-    assert!((2..=10).contains(&connect_failures), "{connect_failures} attempts");
+    // In 30 s each of the two backends has backoffs of 2 s, 4 s, 8 s and 16 s, common to both classes.
+    assert!(
+        (2..=10).contains(&connect_failures),
+        "{connect_failures} attempts at backends that accept no connection"
+    );
 }
 
-/// Of 40 backends all but ten answer at twelve times the usual latency.
+/// Ten of 40 backends are fast. The others answer with twelve times their latency, so first contacts with
+/// unknown backends are usually slow.
 #[test]
 fn while_first_contacts_go_badly_a_known_good_backend_is_selected() {
     const FAST_BACKENDS: u32 = 10;
@@ -290,14 +306,14 @@
         }
     }
 
-    assert!(sent > 150, "{sent} sent");
+    assert!(sent > 150, "only {sent} attempts were sent");
     assert!(
         sent_to_slow * 5 < sent,
-        "{sent_to_slow} of {sent} went to slow backends, three quarters of the fleet"
+        "{sent_to_slow} of {sent} attempts went to slow backends, three quarters of the fleet"
     );
 }
 
-/// A backend that resets every connection at once must not count as the fastest and attract all requests.
+/// A backend that resets each connection immediately must not count as the fastest and attract all requests.
 #[test]
 fn a_backend_that_resets_at_once_attracts_no_work() {
     const RESETTING: u32 = 1;
@@ -321,5 +337,5 @@
         harness.tick_for(10 * MS);
     }
 
-    assert!(resets < 20, "{resets} of 400 went to the backend that resets connections");
+    assert!(resets < 20, "{resets} of 400 requests had an attempt at the backend that resets connections");
 }
--- a/crates/policy/tests/services.rs
+++ b/crates/policy/tests/services.rs
@@ -1,4 +1,4 @@
-//! Several services behind one gatekeeper, and backends of different sizes.
+//! Tests of several services behind one gatekeeper, and of backends of different sizes.
 
 mod common;
 
@@ -6,14 +6,14 @@
 use policy::*;
 use std::collections::VecDeque;
 
-/// How many backends each service has in [`backends_of_two_services`].
+/// Number of backends of each service in [`backends_of_two_services`].
 const BACKENDS_PER_SERVICE: u32 = 4;
 
 fn single_gatekeeper_settings() -> Settings {
     Settings { hedging: false, ..settings_without_counter(1) }
 }
 
-/// Classes 0 and 1 belong to services 0 and 1.
+/// Settings with two classes: service 0 serves class 0, and service 1 serves class 1.
 fn two_service_settings() -> Settings {
     let mut settings = single_gatekeeper_settings();
     settings.classes.truncate(2);
@@ -22,12 +22,12 @@
     settings
 }
 
-/// The service of a backend of [`backends_of_two_services`].
+/// Number of the service of a backend of [`backends_of_two_services`].
 fn service_of(backend: u32) -> u16 {
     u16::from(backend > BACKENDS_PER_SERVICE)
 }
 
-/// Backends 1 to 4 belong to service 0, 5 to 8 to service 1.
+/// Backends 1 to 4 of service 0, and backends 5 to 8 of service 1.
 fn backends_of_two_services() -> Vec<BackendEntry> {
     backends(2 * BACKENDS_PER_SERVICE)
         .into_iter()
@@ -54,7 +54,7 @@
     }
 }
 
-/// The concurrency limit is one for each service: a common limit would reject requests to one service while
+/// Each service has a concurrency limit of its own. A common limit would reject requests to one service while
 /// the other is slow.
 #[test]
 fn an_overload_of_one_service_leaves_the_capacity_of_the_other() {
@@ -93,7 +93,7 @@
         admitted += harness.serve_attempts(id, &actions);
     }
 
-    assert_eq!(admitted, 10, "one bucket, however the requests are spread");
+    assert_eq!(admitted, 10, "the services do not share one bucket");
 }
 
 #[test]
@@ -109,7 +109,8 @@
     assert_eq!(sent_backends(&to_service_1).len(), 1);
 }
 
-/// How many of 3,000 attempts go to each backend, with this many of them in flight.
+/// Numbers of attempts at each backend, for 3,000 requests of which up to `max_in_flight` are in flight at
+/// once.
 fn attempts_by_backend(sizes: &[f64], weighted_backends: bool, max_in_flight: usize) -> Vec<f64> {
     let settings =
         Settings { weighted_backends, plans: vec![Plan::default()], ..single_gatekeeper_settings() };
@@ -155,5 +156,8 @@
     assert_eq!(by_unequal_sizes, attempts_by_backend(&[1.0; 3], false, 1));
     assert_eq!(attempts_by_backend(&[2.0; 3], true, 1), attempts_by_backend(&[1.0; 3], false, 1));
     let by_invalid_sizes = attempts_by_backend(&[f64::NAN, 1.0, 1e9], true, 1);
-    assert!(by_invalid_sizes.iter().all(|&count| count > 0.0), "every backend is used");
+    assert!(
+        by_invalid_sizes.iter().all(|&count| count > 0.0),
+        "a backend with an invalid size got no attempts"
+    );
 }
--- a/crates/policy/tests/stepped_clock.rs
+++ b/crates/policy/tests/stepped_clock.rs
@@ -1,5 +1,5 @@
-//! Gatekeepers whose wall clocks are off: counts are named by the fleet's time, a backend's start counts from
-//! its notification, and a snapshot is converted to the clock of the successor.
+//! Tests of gatekeepers with wrong wall clocks. Counts are named by the fleet's time, the start of a backend
+//! counts from its notification, and a snapshot is converted to the clock of the successor.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use std::collections::VecDeque;
 
 const HOUR: Micros = 3_600 * SECOND;
-/// A moment far from zero, as on a real wall clock.
+/// A time far from zero, as on a real wall clock.
 const NOW: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 /// The backend that is in slow start.
 const COLD: BackendId = BackendId(9);
 
-/// Slow start takes 10 s and begins at a tenth of the capacity.
+/// Settings with a slow start of 10 s that begins at a tenth of the capacity.
 fn slow_start_settings() -> Settings {
     Settings {
         slow_start_share: 0.1,
@@ -25,7 +25,8 @@
     }
 }
 
-/// How many of 400 requests in 4 s go to [`COLD`]. Some are always in flight, so that all backends are used.
+/// Sends 400 requests in 4 s and returns how many go to [`COLD`]. Up to eight are in flight, so that all
+/// backends are used.
 fn sent_to_cold(harness: &mut Harness) -> usize {
     const IN_FLIGHT: usize = 8;
     let (mut sent_to_cold, mut in_flight) = (0, VecDeque::new());
@@ -36,7 +37,7 @@
             in_flight.push_back((id, backend));
         }
         while in_flight.len() > IN_FLIGHT {
-            let (id, backend) = in_flight.pop_front().expect("it is not empty");
+            let (id, backend) = in_flight.pop_front().expect("there is an attempt in flight");
             harness.end_attempt(id, 0, backend, Outcome::Ok);
         }
     }
@@ -46,7 +47,7 @@
     sent_to_cold
 }
 
-/// An entry for [`COLD`] that says when it started by the fleet's clock.
+/// An entry for [`COLD`] with its start on the fleet's clock.
 fn cold_started(started: Timestamp) -> BackendEntry {
     BackendEntry { id: COLD, started, ..BackendEntry::default() }
 }
@@ -55,7 +56,7 @@
     harness.feed(Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] });
 }
 
-/// A gatekeeper whose clock is this far ahead, with a complete list of warm backends.
+/// A gatekeeper whose clock is ahead by this many microseconds, with a complete list of warm backends.
 fn gatekeeper_ahead(ahead: i64) -> Harness {
     let now = NOW.saturating_add_signed(ahead);
     let mut harness = Harness::start_at(now, slow_start_settings(), &backends(4));
@@ -73,14 +74,17 @@
         let mut harness = gatekeeper_ahead(ahead);
         notify(&mut harness, cold_started(NOW));
         let sent = sent_to_cold(&mut harness);
-        assert!(sent <= usual + 5, "{ahead} us ahead: {sent} of 400, {usual} with a clock that is right");
+        assert!(
+            sent <= usual + 5,
+            "clock {ahead} us ahead: {sent} of 400 requests went to the cold backend, {usual} with a right clock"
+        );
 
         // Slow start ends after its duration, not an hour later.
         harness.tick_for(10 * SECOND);
         let sent_when_warm = sent_to_cold(&mut harness);
         assert!(
             sent_when_warm > 2 * usual,
-            "{ahead} us ahead: {sent_when_warm} of 400 when it is warm, {usual} before"
+            "clock {ahead} us ahead: {sent_when_warm} of 400 requests went to the warm backend, {usual} while it was cold"
         );
     }
 }
@@ -95,7 +99,7 @@
     notify(&mut harness, cold_started(NOW + 30 * SECOND));
     let second = sent_to_cold(&mut harness);
 
-    assert!(second <= first + 10, "{first}, then {second}");
+    assert!(second <= first + 10, "{first} of 400 requests after the first start, {second} after the second");
 }
 
 #[test]
@@ -111,12 +115,12 @@
 
     assert!(
         sent_when_warm > 2 * sent_when_cold,
-        "{sent_when_warm} of 400, {sent_when_cold} when it was cold"
+        "{sent_when_warm} of 400 requests after the return, {sent_when_cold} while the backend was cold"
     );
 }
 
-/// A backend of the first complete list started at the moment that the fleet's clock says. A start in the
-/// future is impossible, and counts as recent.
+/// The start of a backend on the first complete list is read on the fleet's clock. A start in the future is
+/// impossible, and counts as recent.
 #[test]
 fn starts_of_the_first_list_go_by_the_fleets_clock() {
     let just_started = cold_started(NOW.saturating_sub(SECOND));
@@ -138,7 +142,10 @@
         (0, -hour, "right, and the fleet an hour ahead"),
     ] {
         let sent = sent_after_first_list(ahead, offset);
-        assert!(sent <= usual + 5, "{clock}: {sent} of 400, {usual} with clocks that are right");
+        assert!(
+            sent <= usual + 5,
+            "clock {clock}: {sent} of 400 requests went to the cold backend, {usual} with right clocks"
+        );
     }
 }
 
@@ -151,11 +158,16 @@
     for ahead in [HOUR as i64, -(HOUR as i64), 5 * SECOND as i64] {
         let mut harness = Harness::start_at(NOW.saturating_add_signed(ahead), settings(), &backends(4));
         harness.policy.set_clock_offset(ahead);
-        assert_eq!(call_name(&harness.request(1, 0, 1.0)), name, "{ahead} us ahead");
+        assert_eq!(
+            call_name(&harness.request(1, 0, 1.0)),
+            name,
+            "clock {ahead} us ahead: the count has another name"
+        );
     }
 }
 
-/// Spend that was added to a count that no other gatekeeper reads is reported again under the right name.
+/// Before the gatekeeper knows its clock offset, it adds spend to a count that no other gatekeeper reads.
+/// This spend is reported again under the right name.
 #[test]
 fn spend_told_under_the_wrong_name_is_told_again() {
     let mut harness = Harness::start_at(NOW + HOUR, settings(), &backends(4));
@@ -169,7 +181,7 @@
     assert!(repeated.is_some_and(|call| call.units >= 4.0), "{actions:?}");
 }
 
-/// Regression: a successor whose clock was an hour behind its predecessor's adopted the moments of the
+/// Regression: a successor whose clock was an hour behind that of its predecessor adopted the times of the
 /// snapshot unchanged, and no bucket refilled for an hour.
 #[test]
 fn a_successor_on_another_clock_goes_on_at_once() {
@@ -186,11 +198,17 @@
         let mut successor = Harness::start_at(now, settings.clone(), &backends(4));
         successor.policy.take_over(successor.now, predecessor.policy.hand_over());
         let admitted = admitted_of_100(&mut successor, 200);
-        assert_eq!(admitted, 0, "{ahead} us ahead: the bucket is as empty as it was");
+        assert_eq!(
+            admitted, 0,
+            "clock {ahead} us ahead: the successor admitted requests from an empty bucket"
+        );
 
-        // Two seconds refill 10 units of its local share.
+        // In two seconds, 10 units of the local share refill.
         successor.tick_for(2 * SECOND);
         let refilled = admitted_of_100(&mut successor, 400);
-        assert!((8..=11).contains(&refilled), "{ahead} us ahead: {refilled}");
+        assert!(
+            (8..=11).contains(&refilled),
+            "clock {ahead} us ahead: {refilled} requests admitted after the refill"
+        );
     }
 }
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -1,6 +1,6 @@
-//! Seeded random event streams at several gatekeepers, checked against the rules that hold whatever happens:
-//! each request has one answer in time, a request runs at most once unless a repetition is harmless, draining
-//! backends get nothing new, and no tenant exceeds its ceiling.
+//! Property tests: seeded random event streams at several gatekeepers are checked against invariants. Each
+//! request gets one answer in time, a request is executed at most once unless a repetition is harmless,
+//! draining backends get no new attempts, and no tenant exceeds its ceiling.
 
 mod common;
 use common::*;
@@ -17,7 +17,7 @@
 const KEYED: u16 = 1;
 const NON_IDEMPOTENT: u16 = 2;
 const KEY_TTL: Micros = 500 * MS;
-/// How late the final answer of a request may be.
+/// Longest time after the deadline at which a request may get its final answer.
 const DEADLINE_TOLERANCE: Micros = 8 * MS;
 
 struct Attempt {
@@ -43,7 +43,7 @@
 }
 
 impl Request {
-    /// Checks that another attempt is allowed beside the earlier ones.
+    /// Checks that a further attempt is allowed in addition to the earlier ones.
     fn check_further_attempt(&self, backend: u32, now: Timestamp) {
         for earlier in self.attempts.iter().filter(|attempt| attempt.may_have_run()) {
             assert_ne!(self.class, NON_IDEMPOTENT, "a non-idempotent request was sent twice");
@@ -55,7 +55,7 @@
     }
 }
 
-/// The final answer that a gatekeeper gives by itself.
+/// A final answer that the gatekeeper gives, and not a backend.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Answer {
     Rejected,
@@ -67,7 +67,7 @@
     token: u64,
 }
 
-/// The true level of each tenant's ceiling.
+/// Token buckets that hold the true level of each tenant's ceiling, over all gatekeepers.
 #[derive(Default)]
 struct Ceilings {
     levels: BTreeMap<u64, f64>,
@@ -83,17 +83,17 @@
     fn spend(&mut self, tenant: u64, units: f64) {
         let level = self.levels.entry(tenant).or_insert(CEILING_BURST);
         *level -= units;
-        assert!(*level >= 0.0, "the ceiling was exceeded");
+        assert!(*level >= 0.0, "tenant {tenant} exceeded its ceiling");
     }
 }
 
-/// One gatekeeper, and what an observer knows of its requests and backends.
+/// One gatekeeper, and a model of its requests, timers and backends to check its actions against.
 struct ObservedGatekeeper {
     harness: Harness,
     requests: BTreeMap<u32, Request>,
     timers: Vec<PendingTimer>,
     counter_calls: Vec<CounterCall>,
-    /// Whether a backend is eligible by the latest update; backends without an entry are.
+    /// Whether a backend is eligible according to the latest update; a backend without an entry is.
     eligible: BTreeMap<u32, bool>,
 }
 
@@ -144,10 +144,10 @@
     fn check_send(&mut self, id: RequestId, backend: u32, ceilings: &mut Ceilings) {
         let now = self.harness.now;
         let request = self.requests.get_mut(&id.0).expect("only submitted requests are sent");
-        assert!(!request.answered, "sent after the final answer");
+        assert!(!request.answered, "an attempt was sent after the final answer");
         assert!(
             self.eligible.get(&backend).copied().unwrap_or(true),
-            "sent to a backend that is not eligible"
+            "an attempt was sent to a backend that is not eligible"
         );
         request.check_further_attempt(backend, now);
         if request.attempts.is_empty() {
@@ -158,27 +158,33 @@
 
     fn check_answer(&mut self, id: RequestId, answer: Answer) {
         let request = self.requests.get_mut(&id.0).expect("only submitted requests are answered");
-        assert!(!request.answered, "answered twice");
+        assert!(!request.answered, "a request was answered twice");
         request.answered = true;
         let may_have_run = request.attempts.iter().any(Attempt::may_have_run);
         let is_not_idempotent = request.class != IDEMPOTENT;
-        let claims_not_run = answer == Answer::Rejected;
-        assert!(!(claims_not_run && may_have_run && is_not_idempotent), "rejected what may have run");
+        let claims_not_executed = answer == Answer::Rejected;
+        assert!(
+            !(claims_not_executed && may_have_run && is_not_idempotent),
+            "a request that may have been executed was rejected"
+        );
     }
 
     fn check_deadlines(&self) {
         for request in self.requests.values().filter(|request| !request.answered) {
-            assert!(self.harness.now <= request.deadline + DEADLINE_TOLERANCE, "no answer in time");
+            assert!(
+                self.harness.now <= request.deadline + DEADLINE_TOLERANCE,
+                "a request has no answer after its deadline"
+            );
         }
     }
 
-    /// Takes the tokens of all timers that have expired.
+    /// Removes the timers that have expired, and returns their tokens.
     fn take_expired_timers(&mut self) -> Vec<u64> {
         let now = self.harness.now;
         self.timers.extract_if(.., |timer| timer.expires_at <= now).map(|timer| timer.token).collect()
     }
 
-    /// All attempts in flight, by request and number.
+    /// All attempts in flight, as pairs of request and attempt number.
     fn attempts_in_flight(&self) -> Vec<(u32, usize)> {
         let attempts = self.requests.iter().flat_map(|(&id, request)| {
             request.attempts.iter().enumerate().map(move |(number, attempt)| (id, number, attempt))
@@ -199,7 +205,7 @@
     ceilings: Ceilings,
     next_request_id: u32,
     answered: u32,
-    /// The actions of each event as text.
+    /// The actions that followed each event, in debug format.
     log: Vec<String>,
 }
 
@@ -222,12 +228,16 @@
         for _ in 0..Self::STEPS {
             stream.step();
         }
-        assert!(stream.answered > 50, "too few requests were served to check anything: {}", stream.answered);
+        assert!(
+            stream.answered > 50,
+            "too few requests were served for a meaningful check: {}",
+            stream.answered
+        );
         stream.log
     }
 
-    /// Advances the time, restarts a gatekeeper or the counter at times, and feeds one gatekeeper its expired
-    /// timers and a random event.
+    /// Advances the time, occasionally restarts a gatekeeper or the counter, and feeds one gatekeeper its
+    /// expired timers and a random event.
     fn step(&mut self) {
         let elapsed = self.rng.u64(0..4) * MS;
         self.now += elapsed;
@@ -294,7 +304,10 @@
         }
         let (id, number) = in_flight[self.rng.usize(0..in_flight.len())];
         let outcome = OUTCOMES[self.rng.usize(0..OUTCOMES.len())];
-        let request = self.gatekeepers[index].requests.get_mut(&id).expect("it has an attempt in flight");
+        let request = self.gatekeepers[index]
+            .requests
+            .get_mut(&id)
+            .expect("requests with attempts in flight are known");
         let attempt = &mut request.attempts[number];
         attempt.outcome = Some(outcome);
         let backend = attempt.backend;
@@ -305,7 +318,8 @@
         self.feed(index, attempt_ended(id, number as u8, backend, outcome));
     }
 
-    /// Ends the oldest counter call. A call that timed out was added to the total, a rejected one was not.
+    /// Ends the oldest counter call. The units of a call that times out are added to the total, those of a
+    /// rejected call are not.
     fn answer_counter_call(&mut self, index: usize) {
         const OUTCOMES: [Outcome; 6] =
             [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected];
@@ -321,7 +335,8 @@
         self.feed(index, reply);
     }
 
-    /// A backend becomes ready, drains or leaves the list. It may have restarted.
+    /// Makes a random backend ready or draining, or removes it from the list. The backend may also have
+    /// restarted.
     fn change_endpoint(&mut self, index: usize) {
         const STATES: [BackendState; 3] = [BackendState::Ready, BackendState::Draining, BackendState::Gone];
         let id = self.rng.u32(1..BACKENDS + 1);
