--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -10,7 +10,7 @@
 
 /// An event and the time at which it occurs.
 struct TimedEvent {
-    at: Timestamp,
+    time: Timestamp,
     event: Event,
 }
 
@@ -39,7 +39,7 @@
         answered: true,
         load: Vec::new(),
     };
-    let after = |delay, event| TimedEvent { at: Timestamp::from_micros(delay), event };
+    let after = |delay, event| TimedEvent { time: Timestamp::from_micros(delay), event };
     vec![
         after(0, Event::Endpoints { kind: ListKind::Full, entries }),
         after(MS, request(RequestId(1), 4.0)),
@@ -58,9 +58,9 @@
     };
     let mut policy = Policy::new(settings, 42, Timestamp::ZERO)?;
     let mut actions = Vec::new();
-    for TimedEvent { at, event } in events() {
-        println!("{:>6} us  {event:?}", at.as_micros());
-        policy.handle(at, event, &mut actions);
+    for TimedEvent { time, event } in events() {
+        println!("{:>6} us  {event:?}", time.as_micros());
+        policy.handle(time, event, &mut actions);
         for action in actions.drain(..) {
             println!("           -> {action:?}");
         }
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -7,7 +7,7 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The tenant's shared token bucket does not cover the cost, according to the shared counter.
+    /// The level of the tenant's shared token bucket is certain, and does not cover the cost.
     QuotaExhausted,
     /// This gatekeeper's share of the tenant's quota is spent. It decides while the level of the shared
     /// bucket is uncertain or the counter does not answer.
@@ -92,7 +92,7 @@
         /// Number of the attempt within its request, from 0 in order of sending.
         attempt: u8,
     },
-    /// Answer the client finally: the request is rejected, and the client can safely retry it.
+    /// Give the client its final answer: the request is rejected, and a retry is safe.
     Reject {
         /// The request to reject.
         id: RequestId,
@@ -101,7 +101,7 @@
         /// Why the request is rejected, for metrics.
         reason: RejectReason,
     },
-    /// Answer the client finally: the request failed, and may or may not have been executed.
+    /// Give the client its final answer: the request failed, and may or may not have been executed.
     Fail {
         /// The request to fail.
         id: RequestId,
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -45,7 +45,7 @@
 
     /// Sends a hedged request in addition to a slow attempt. It is sent only if the slow attempt is the
     /// latest one, its backend has answered nothing since, the retry budget and the concurrency limit cover
-    /// it, the service is not overloaded, and the class allows a further attempt.
+    /// it, the latency trend shows no overload, and the class allows a further attempt.
     pub(crate) fn hedge(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
         let Some(request) = self.requests.get(&id) else { return };
         let slow = request.attempts.get(attempt).filter(|attempt| attempt.is_in_flight());
@@ -81,7 +81,7 @@
     }
 
     /// Selects a backend while the request is removed from the open requests, so that its own attempts do not
-    /// count as load.
+    /// count towards the concurrency limit.
     fn with_request_removed(
         &mut self,
         id: RequestId,
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -155,7 +155,7 @@
         elapsed: Micros,
         /// Actual cost in units; 0 if the answer did not state it.
         units: f64,
-        /// Whether the client has its answer, so that the request needs none of the state machine.
+        /// Whether the client already has its answer, so that the state machine gives none.
         answered: bool,
         /// Values of the backend's load report; empty if there was none.
         load: Vec<f32>,
--- a/crates/policy/src/quantile.rs
+++ b/crates/policy/src/quantile.rs
@@ -17,8 +17,12 @@
 pub struct P2Quantile {
     quantile: f64,
     count: u64,
+    /// Heights of the markers: the first five samples, then estimates of five quantiles, of which the third
+    /// is the result.
     heights: [f64; 5],
+    /// Positions of the markers among the sorted samples, from 1.
     positions: [f64; 5],
+    /// Positions that the markers would ideally have.
     desired: [f64; 5],
 }
 
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -29,7 +29,7 @@
 pub(crate) struct Price {
     /// The cost, possibly estimated.
     pub(crate) cost: f64,
-    /// The cost with the surcharge.
+    /// The cost including the surcharge.
     pub(crate) charged_cost: f64,
     /// Units reserved in addition to the estimated cost, until the actual cost is settled.
     pub(crate) reserved: f64,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Collects backends in this gatekeeper's order of preference until the subset is full of backends with
-    /// good latency. Backends that do not accept the request are skipped.
+    /// Collects the backends that accept the request in this gatekeeper's order of preference, until as many
+    /// of them as its subset has members have good latency.
     fn candidates(self, request: &Request) -> Candidates {
         let rules = AttemptRules::new(self.settings, self.now);
         let (mut accepting, mut good_count) = (Vec::new(), 0);
@@ -89,8 +89,9 @@
         best.map(|(_, id)| id)
     }
 
-    /// Whether a backend accepts this request now. It is ready, has a token if it is in slow start, is not in
-    /// backoff, and has capacity. An ejected backend accepts a request only when its next trial is due.
+    /// Whether a backend accepts this request now. It has to be ready, to have a token if it is in slow
+    /// start, and not to be in a backoff. An ejected backend accepts the request if its next trial is due,
+    /// any other if it has capacity. In panic mode ejections are ignored.
     fn accepts(self, backend: &Backend, request: &Request) -> bool {
         let health = &backend.health;
         let is_warming_up = self.backends.warm_fraction(backend, self.settings, self.now) < 1.0;
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -220,7 +220,9 @@
 /// is estimated from it.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerRate {
+    /// Running mean of the measured rate.
     measured_rate: f64,
+    /// The measured rate, raised to a minimum for a backend of which little is known.
     assumed_rate: f64,
     /// Answers since the rate was last measured.
     answers: u64,
@@ -236,7 +238,6 @@
         self.measured_at
     }
 
-    /// The measured rate, or the minimum described at [`AnswerRate::measure`] if that is larger.
     pub(crate) fn assumed_rate(&self) -> f64 {
         self.assumed_rate
     }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -38,8 +38,8 @@
 impl PolicySnapshot {
     /// Converts the numbers of backends, plans and classes to those of the successor. `backends` maps each
     /// number of the predecessor to that of the successor; `plans` and `classes` are indexed by the
-    /// predecessor's numbers. Backends and tenants whose backend or plan has no number at the successor are
-    /// dropped.
+    /// predecessor's numbers. Backends and quotas are dropped if their backend or plan has no number at the
+    /// successor. If the classes differ, the estimates of all classes and backends are dropped.
     #[must_use]
     pub fn remap(
         mut self,
--- a/crates/policy/src/snapshot/clock_change.rs
+++ b/crates/policy/src/snapshot/clock_change.rs
@@ -20,7 +20,7 @@
 }
 
 impl ClockChange {
-    /// Converts one time. [`Timestamp::ZERO`] stands for never, and remains.
+    /// Converts one time. [`Timestamp::ZERO`] stands for never, and is not changed.
     fn convert(self, time: &mut Timestamp) {
         if *time > Timestamp::ZERO {
             *time = time.saturating_add_signed(self.ahead).max(Timestamp::from_micros(1));
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -53,14 +53,14 @@
 
     /// The time after a duration, or [`Timestamp::MAX`] on overflow.
     #[must_use]
-    pub fn saturating_add(self, span: Micros) -> Self {
-        Self(self.0.saturating_add(span))
+    pub fn saturating_add(self, duration: Micros) -> Self {
+        Self(self.0.saturating_add(duration))
     }
 
     /// The time before a duration, or [`Timestamp::ZERO`] on underflow.
     #[must_use]
-    pub fn saturating_sub(self, span: Micros) -> Self {
-        Self(self.0.saturating_sub(span))
+    pub fn saturating_sub(self, duration: Micros) -> Self {
+        Self(self.0.saturating_sub(duration))
     }
 
     /// The time after an offset that may be negative, clamped to the range from [`Timestamp::ZERO`] to
@@ -74,14 +74,14 @@
 impl Add<Micros> for Timestamp {
     type Output = Self;
 
-    fn add(self, span: Micros) -> Self {
-        Self(self.0 + span)
+    fn add(self, duration: Micros) -> Self {
+        Self(self.0 + duration)
     }
 }
 
 impl AddAssign<Micros> for Timestamp {
-    fn add_assign(&mut self, span: Micros) {
-        *self = *self + span;
+    fn add_assign(&mut self, duration: Micros) {
+        *self = *self + duration;
     }
 }
 
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -242,10 +242,10 @@
 /// lifetime that is less than the scheduling delay.
 #[test]
 fn no_keyed_retry_is_decided_so_late_that_a_hold_up_ends_it_outside_its_window() {
-    for window in [150 * MS, 300 * MS, 800 * MS, 3 * SECOND] {
-        for elapsed in (0..window).step_by(50_000) {
+    for key_ttl in [150 * MS, 300 * MS, 800 * MS, 3 * SECOND] {
+        for elapsed in (0..key_ttl).step_by(50_000) {
             let mut settings = settings();
-            settings.classes[usize::from(KEYED)].idempotency_key_ttl = window;
+            settings.classes[usize::from(KEYED)].idempotency_key_ttl = key_ttl;
             let mut harness = Harness::new(settings, &backends(8));
             let backend = sent_backends(&harness.request(1, KEYED, 1.0))[0];
             harness.now += elapsed;
@@ -256,8 +256,8 @@
                 if let Action::Send { max_start_delay, .. } = action {
                     let latest = elapsed + max_start_delay + SCHEDULING_DELAY;
                     assert!(
-                        latest <= window,
-                        "a retry after {elapsed} us may start after {latest} us, and the key lives for {window} us"
+                        latest <= key_ttl,
+                        "a retry after {elapsed} us may start after {latest} us, and the key lives for {key_ttl} us"
                     );
                 }
             }
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -49,7 +49,10 @@
             assert_ne!(self.class, NON_IDEMPOTENT, "a non-idempotent request was sent twice");
             if self.class == KEYED {
                 assert_eq!(cell_of(earlier.backend), cell_of(backend), "a keyed request left its cell");
-                assert!(now <= earlier.sent_at + KEY_TTL, "a keyed request was retried after its window");
+                assert!(
+                    now <= earlier.sent_at + KEY_TTL,
+                    "a keyed request was retried after the lifetime of its key"
+                );
             }
         }
     }
