--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -20,10 +20,10 @@
 #[test]
 fn warm_fraction_grows_from_the_initial_share_to_one() {
     let settings = settings(1);
-    let warmth_at = |now| warm_fraction(&settings, at(100), now);
-    assert_eq!(warmth_at(at(100)), 0.2);
-    assert!((warmth_at(at(105)) - 0.6).abs() < 1e-9);
-    assert_eq!(warmth_at(at(111)), 1.0);
+    let warm_fraction_at = |now| warm_fraction(&settings, at(100), now);
+    assert_eq!(warm_fraction_at(at(100)), 0.2);
+    assert!((warm_fraction_at(at(105)) - 0.6).abs() < 1e-9);
+    assert_eq!(warm_fraction_at(at(111)), 1.0);
     assert_eq!(warm_fraction(&settings, Timestamp::ZERO, at(100)), 1.0, "started long ago");
 }
 
