--- a/crates/timestamps/src/lib.rs
+++ b/crates/timestamps/src/lib.rs
@@ -1,12 +1,12 @@
 //! Moments on a monotonic clock and on the Unix clock, in milliseconds. Spans of time are [`Duration`]s.
 //!
-//! The state machines above read no clock: their drivers pass the moment with each event. A moment of one clock cannot be
-//! compared with a moment of the other.
+//! State machines that use these types read no clock themselves: the caller passes the current moment with each event. The two
+//! clocks have separate types, so that a moment of one cannot be compared with a moment of the other.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// Defines a moment that is counted in milliseconds.
+/// Defines a type for moments that are counted in milliseconds since the start of a clock.
 macro_rules! define_moment {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -14,9 +14,9 @@
         pub struct $name(u64);
 
         impl $name {
-            /// The start of the clock.
+            /// The moment at which the clock reads 0.
             pub const ZERO: Self = Self(0);
-            /// A moment that is never reached.
+            /// A moment that is never reached; also the result of an addition that overflows.
             pub const NEVER: Self = Self(u64::MAX);
 
             /// Returns the moment at which the clock reads this many milliseconds.
@@ -34,7 +34,8 @@
                 Duration::from_millis(self.0.saturating_sub(earlier.0))
             }
 
-            /// Returns the moment this much earlier, but not before the start of the clock.
+            /// Returns the moment that is `span` earlier, in whole milliseconds, or [`Self::ZERO`] if that would be before the
+            /// start of the clock.
             pub fn saturating_sub(self, span: Duration) -> Self {
                 Self(self.0.saturating_sub(whole_millis(span)))
             }
@@ -43,7 +44,7 @@
         impl Add<Duration> for $name {
             type Output = Self;
 
-            /// Drops fractions of a millisecond. A sum beyond the range of the clock is [`Self::NEVER`].
+            /// Returns the moment that is `span` later, without fractions of a millisecond, or [`Self::NEVER`] on overflow.
             fn add(self, span: Duration) -> Self {
                 Self(self.0.saturating_add(whole_millis(span)))
             }
@@ -52,16 +53,16 @@
 }
 
 define_moment! {
-    /// A moment of Unix time. Its clock may be stepped.
+    /// A moment of Unix time, in milliseconds since 1970. An adjustment of the wall clock moves it forwards or backwards.
     UnixTime
 }
 
 define_moment! {
-    /// A moment on a monotonic clock, which no step of the wall clock moves.
+    /// A moment on a monotonic clock, which adjustments of the wall clock do not affect. Its zero point is up to the caller.
     MonotonicTime
 }
 
-/// Returns the whole milliseconds of a span.
+/// Returns a span in milliseconds, rounded down, and at most `u64::MAX`.
 pub fn whole_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/timestamps/tests/moments.rs
+++ b/crates/timestamps/tests/moments.rs
@@ -1,4 +1,4 @@
-//! Arithmetic of moments at the ends of their range.
+//! Arithmetic of moments, also at the ends of their range.
 
 use std::time::Duration;
 use timestamps::{MonotonicTime, UnixTime, whole_millis};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_span_beyond_the_range_counts_as_the_longest_one() {
+fn whole_milliseconds_are_rounded_down_and_saturate() {
     assert_eq!(whole_millis(Duration::from_micros(1_999)), 1);
     assert_eq!(whole_millis(Duration::MAX), u64::MAX);
 }
