--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,26 +1,27 @@
 //! Invariants that are checked while the gatekeeper runs. There is a [`Guard`] for each kind of step: sending, repeating, closing
-//! and starting. Right before the step it checks the rule independently of the state that led to the decision. A violation is
-//! counted and logged with its ids, and the step continues, since ending the process would lose more requests.
+//! and starting. Right before such a step, its guard checks the invariant without relying on the state that led to the decision.
+//! A violation is counted and logged with the ids involved, and the step continues, since ending the process would lose more
+//! requests.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The first violations of a guard, up to this number, are all logged.
-const MAX_LOGGED_EACH: u64 = 20;
-/// Of the further violations of a guard, one in this number is logged.
+/// The number of violations of a guard that are all logged, before sampling starts.
+const UNSAMPLED_VIOLATIONS: u64 = 20;
+/// One in this many violations of a guard is logged after the first [`UNSAMPLED_VIOLATIONS`].
 const LOG_SAMPLING_PERIOD: u64 = 100;
 
-/// A check before one kind of step.
+/// A check that runs before one kind of step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Guard {
-    /// An attempt is written to a backend.
+    /// Before an attempt is written to a backend: the backend is eligible, and the attempt is in time.
     Sending = 0,
-    /// An attempt at a request is retried.
+    /// Before a request is sent once more (a retry or a hedged attempt): its class permits that after its earlier attempts.
     Repeating,
-    /// A client's connection is closed.
+    /// Before the connection of a connected client is closed: all its requests have been answered.
     Closing,
-    /// The process starts to serve.
+    /// When the process starts to serve: it started in time, and took no request before.
     Starting,
 }
 
@@ -28,7 +29,7 @@
     /// All guards. The index of a guard is its discriminant.
     pub const ALL: [Self; 4] = [Self::Sending, Self::Repeating, Self::Closing, Self::Starting];
 
-    /// The name in metrics and logs. Operators' tools rely on it.
+    /// The name in metrics and logs, which operators' tools match.
     pub fn name(self) -> &'static str {
         match self {
             Self::Sending => "sending",
@@ -39,18 +40,18 @@
     }
 }
 
-/// Numbers of violations, by guard.
+/// Numbers of violations since the start of the process, indexed by the guard's discriminant.
 static VIOLATIONS: [AtomicU64; Guard::ALL.len()] = [const { AtomicU64::new(0) }; Guard::ALL.len()];
 
-/// Counts and logs a violation. `details` describes the step with its ids.
+/// Counts a violation and logs it, subject to sampling. `details` describes the step with the ids involved.
 pub fn violated(guard: Guard, details: fmt::Arguments<'_>) {
     let count = 1 + VIOLATIONS[guard as usize].fetch_add(1, Ordering::Relaxed);
-    if count <= MAX_LOGGED_EACH || count.is_multiple_of(LOG_SAMPLING_PERIOD) {
+    if count <= UNSAMPLED_VIOLATIONS || count.is_multiple_of(LOG_SAMPLING_PERIOD) {
         tracing::warn!(guard = guard.name(), count, %details, "invariant violated");
     }
 }
 
-/// Calls [`violated`] unless the rule `holds`.
+/// Reports a violation as [`violated`] does, unless the invariant `holds`.
 pub fn check(guard: Guard, holds: bool, details: fmt::Arguments<'_>) {
     if !holds {
         violated(guard, details);
--- a/crates/invariants/tests/counts.rs
+++ b/crates/invariants/tests/counts.rs
@@ -3,7 +3,7 @@
 use invariants::{Guard, check, violated, violations};
 
 #[test]
-fn violations_are_counted_by_guard_and_what_holds_is_none() {
+fn violations_are_counted_by_guard_and_an_invariant_that_holds_is_not_counted() {
     assert!(Guard::ALL.into_iter().all(|guard| violations(guard) == 0));
     check(Guard::Sending, true, format_args!("all is well"));
     check(Guard::Sending, false, format_args!("request {}", 7));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn guards_stand_at_their_numbers_and_have_names() {
+fn each_guard_is_listed_at_its_discriminant_and_has_a_name() {
     for (index, guard) in Guard::ALL.into_iter().enumerate() {
         assert_eq!(guard as usize, index);
         assert!(!guard.name().is_empty());
--- a/crates/seeded_faults/src/tests.rs
+++ b/crates/seeded_faults/src/tests.rs
@@ -4,7 +4,7 @@
 
 #[cfg(not(feature = "on"))]
 #[test]
-fn no_fault_is_active_in_a_usual_build() {
+fn no_fault_is_active_without_the_feature() {
     const { assert!(!ENABLED) };
     for fault in ["", "answers", "ceilings", "drained", "rounds", "exits", "holds", "agreed", "lease"] {
         assert!(!is_active(fault), "{fault}");
@@ -13,7 +13,7 @@
 
 #[cfg(feature = "on")]
 #[test]
-fn just_the_fault_that_the_variable_names_is_active() {
+fn only_the_fault_that_the_variable_names_is_active() {
     const { assert!(ENABLED) };
     let named = std::env::var(FAULT_VARIABLE).unwrap_or_default();
     assert!(is_active(&named));
