--- a/crates/timing/src/lib.rs
+++ b/crates/timing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Rules for the time-outs and hedging of a class of requests, and the timeline of its worst case. The package uses no file, clock
+//! Rules for the timeouts and hedging of a class of requests, and the timeline of its worst case. The package uses no file, clock
 //! or socket, so that each rule can be tested alone.
 //!
-//! In the worst case each attempt gets no response until its time-out, which includes connecting. All attempts must be over before
-//! the client's deadline.
+//! In the worst case no attempt gets a response before its timeout, which includes the time for connecting. All attempts must
+//! have ended by the client's deadline.
 
 mod class_timing;
 mod rules;
--- a/crates/timing/src/rules.rs
+++ b/crates/timing/src/rules.rs
@@ -1,9 +1,9 @@
-//! The rules for the timing of a class.
+//! Checks the timing of a class against each rule.
 
 use crate::{ClassTiming, TimingRule, TimingViolation};
 
 impl ClassTiming {
-    /// Checks all rules, and returns the violations.
+    /// Checks all rules and returns every violation, so that all can be corrected at once; empty if the timing is valid.
     pub fn violations(&self) -> Vec<TimingViolation> {
         let mut violations = self.zero_values();
         violations.extend(self.objective_after_deadline());
--- a/crates/timing/src/rules/tests.rs
+++ b/crates/timing/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule alone, and the worst case of classes without violations.
+//! Violations of each rule, and the worst case of classes without violations.
 
 use super::*;
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_violation_by_times_or_attempts_has_its_rule_and_the_remedy_corrects_it() {
+fn invalid_times_and_attempts_violate_their_rule_and_the_remedy_corrects_them() {
     let attempts = |count| ClassTiming { max_attempts: Some(count), ..valid_class() };
     let timeout = |timeout| ClassTiming { attempt_timeout_ms: Some(timeout), ..valid_class() };
     let objective = |objective| ClassTiming { latency_objective_ms: objective, ..valid_class() };
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_violation_by_hedging_has_its_rule_and_the_remedy_corrects_it() {
+fn invalid_hedging_violates_its_rule_and_the_remedy_corrects_it() {
     let hedge = |after| ClassTiming { hedge_after_ms: Some(after), ..valid_class() };
     let timeout_500 = |class| ClassTiming { attempt_timeout_ms: Some(500), ..class };
     let attempts = |count| ClassTiming { max_attempts: Some(count), ..valid_class() };
--- a/crates/timing/src/timeline.rs
+++ b/crates/timing/src/timeline.rs
@@ -1,13 +1,13 @@
-//! Timeline of the worst case, as `snowfield explain` prints it.
+//! Timeline of a request in the worst case, as `snowfield explain` prints it.
 
 use crate::ClassTiming;
 
-/// An event of the timeline.
+/// An event of the timeline, printed on a line of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimelineEntry {
     /// Milliseconds after the request arrived.
     pub at_ms: u64,
-    /// Description of the event.
+    /// Description of the event, for operators.
     pub event: String,
 }
 
@@ -18,7 +18,8 @@
 }
 
 impl ClassTiming {
-    /// Returns the timeline of the worst case, in order of time.
+    /// Returns the timeline of the worst case, in order of time. The class must have no violations: in an invalid class, the
+    /// hedged attempt may be listed before an earlier event, and the sum of extreme timeouts overflows.
     pub fn worst_case_timeline(&self) -> Vec<TimelineEntry> {
         let hedge_after = self.hedge_after_ms.filter(|_| self.idempotent);
         match self.attempt_timeout_ms {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Timeline without a time-out of attempts: an attempt without a response lasts until the deadline.
+    /// Timeline without a timeout of attempts: an attempt without a response lasts until the deadline.
     fn timeline_of_one_attempt(&self, hedge_after: Option<u64>) -> Vec<TimelineEntry> {
         let start = "attempt 1 begins and is silent; others follow only where one fails before";
         let mut timeline = vec![TimelineEntry::new(0, start)];
@@ -37,7 +38,7 @@
         timeline
     }
 
-    /// Timeline in which each attempt times out.
+    /// Timeline in which each attempt times out, or fails to connect where a non-idempotent request is retried.
     fn timeline_of_attempts(&self, attempt_timeout: u64, hedge_after: Option<u64>) -> Vec<TimelineEntry> {
         let mut timeline = Vec::new();
         let mut now = 0;
--- a/crates/timing/src/violation.rs
+++ b/crates/timing/src/violation.rs
@@ -1,25 +1,25 @@
-//! Violations of the rules, each with a remedy.
+//! Violations of the timing rules, each with a remedy.
 
-/// A rule for the timing of a class.
+/// A rule for the timing of a class. Each variant is named after the violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TimingRule {
-    /// A time or a number of attempts is 0.
+    /// A configured time or number of attempts is 0.
     ZeroValue,
     /// The latency objective is longer than the deadline.
     ObjectiveAfterDeadline,
-    /// The class has more attempts than the limit of all classes.
+    /// The class is configured with more attempts than the limit of all classes.
     TooManyAttempts,
     /// In the worst case the attempts last longer than the deadline.
     AttemptsExceedDeadline,
-    /// The time-out of an attempt is not longer than the connect time-out.
+    /// The timeout of an attempt is not longer than the connect timeout.
     AttemptShorterThanConnect,
     /// Hedging is configured for non-idempotent requests.
     HedgeOfNonIdempotent,
-    /// A hedged request would be sent after the latency objective.
+    /// A hedged attempt would be sent when the latency objective has passed.
     HedgeTooLate,
-    /// A hedged request would be sent after the time-out of the first attempt.
+    /// A hedged attempt would not be sent before the first attempt times out.
     HedgeNeverSent,
-    /// Hedging is configured, but only one attempt is allowed.
+    /// Hedging is configured, but fewer than two attempts are allowed.
     HedgeWithoutAttempt,
 }
 
@@ -33,6 +33,6 @@
     pub rule: TimingRule,
     /// Description of the violation, with the configured values.
     pub problem: String,
-    /// A change of the configuration that corrects it.
+    /// A change of the configuration that corrects the violation.
     pub remedy: String,
 }
--- a/crates/timing/tests/texts.rs
+++ b/crates/timing/tests/texts.rs
@@ -1,4 +1,5 @@
-//! Compatibility of the texts that `snowfield check` and `snowfield explain` print with those of version 0.1.0.
+//! Guards the compatibility of the texts that `snowfield check` and `snowfield explain` print with those of version 0.1.0, which
+//! operators' tools may match.
 
 use std::fmt::Write;
 use timing::ClassTiming;
@@ -19,7 +20,7 @@
     }
 }
 
-/// A class for each rule that violates it, and some classes without violations.
+/// Valid classes, and at least one class that violates each rule.
 fn classes() -> Vec<ClassTiming> {
     vec![
         valid_class(),
@@ -57,7 +58,7 @@
         for violation in class.violations() {
             writeln!(text, "{violation}").expect("writing to a string cannot fail");
         }
-        // The program does not print the timeline of a class with violations, and the maximum time-out would overflow in it.
+        // The program does not print the timeline of a class with violations. A timeout of `u64::MAX` would overflow in it.
         let timeline =
             if class.attempt_timeout_ms == Some(u64::MAX) { Vec::new() } else { class.worst_case_timeline() };
         for entry in timeline {
@@ -70,6 +71,6 @@
 }
 
 #[test]
-fn texts_are_those_of_version_0_1_0() {
+fn texts_are_the_same_as_in_version_0_1_0() {
     assert_eq!(printed_texts(), TEXTS);
 }
