--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -1,19 +1,20 @@
-//! The fleet's clock: estimates this process's clock offset from the clock that all gatekeepers share.
+//! The fleet's clock: a time that all gatekeepers share, and the estimate of this process's clock offset from it.
 //!
-//! Gatekeepers share a tenant's count by its name, which follows from the time. A process whose wall clock was wrong when it started
-//! would use different names and count alone. All gatekeepers reach the counter, so the counter also keeps the fleet's time: an
-//! elected gatekeeper, the *timekeeper*, stores a stamp of its time in a count of a fixed name and advances the stamp each second.
-//! All others read the stamp when they start and at intervals after that, and estimate their offset from it.
+//! Gatekeepers that add to a count of the same name share it. The name of a tenant's count is derived from the time, so a process
+//! whose wall clock was wrong when it started would use other names and share no count. All gatekeepers reach the counter, so the
+//! counter also keeps the fleet's time: an elected gatekeeper, the *timekeeper*, stores a stamp of its time in a count of a fixed
+//! name and advances the stamp each second. All others, the *followers*, read the stamp when they start and at intervals after
+//! that, and estimate their offset from it.
 //!
-//! Stamps wrap around, so offsets are known up to half a period, 13.8 h. The estimate is as exact as the stamp is recent: offsets
-//! of up to 2 s count as none.
+//! The time in a stamp wraps around, so an offset can be determined up to half a period, 13.8 h. The estimate is only as exact as
+//! the stamp is recent, so offsets of up to 2 s count as no offset.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
-//! | `stamp` | the codec: a stamp and the number of placed stamps in one total of the counter |
+//! | `stamp` | the codec: stores a stamp, and the number of stamps that were placed, in one total of the counter |
 //! | `election` | the state machine that elects the timekeeper, with a diagram of its states |
-//! | `offset` | the comparison of a stamp with this process's clock, and the offset |
-//! | `pacing` | intervals, jitter and backoff of the calls |
+//! | `offset` | the estimate of the clock offset, from the comparison of a stamp with this process's clock |
+//! | `pacing` | intervals, jitter and backoff of the counter calls |
 
 mod election;
 mod offset;
@@ -30,12 +31,12 @@
 use policy::{Micros, Outcome, Timestamp};
 use stamp::Stamp;
 
-/// The name of the count that holds the stamp.
+/// The name of the count that holds the stamp. All gatekeepers must use the same one.
 pub(crate) const STAMP_NAME: u64 = 0x666c_6565_745f_7473;
-/// Expiry of the stamp. A timekeeper whose stamp has expired places it again within a second.
+/// Time until the count that holds the stamp expires. A timekeeper whose stamp has expired places it again within a second.
 pub(crate) const STAMP_TTL: Micros = 60_000_000;
 
-/// The estimate of the clock offset, and the counter calls that it needs. A state machine without I/O.
+/// Estimates the clock offset and decides which counter calls that takes. A state machine without I/O.
 #[derive(Debug)]
 pub(crate) struct FleetClock {
     election: Election,
@@ -43,11 +44,11 @@
     pacing: Pacing,
     in_flight: Option<Call>,
     next_call_at: Timestamp,
-    has_replied: bool,
+    first_call_ended: bool,
 }
 
 impl FleetClock {
-    /// A clock without an offset. Its first call is due immediately.
+    /// Creates a clock with an offset of 0. Its first call is due immediately.
     pub(crate) fn new(gatekeepers: u32, seed: u64, now: Timestamp) -> Self {
         Self {
             election: Election::new(),
@@ -55,18 +56,18 @@
             pacing: Pacing::new(gatekeepers, seed),
             in_flight: None,
             next_call_at: now,
-            has_replied: false,
+            first_call_ended: false,
         }
     }
 
-    /// The present estimate.
+    /// The current estimate of the offset.
     pub(crate) fn offset(&self) -> ClockOffset {
         self.estimate.offset()
     }
 
-    /// Whether a call has ended, with success or without.
-    pub(crate) fn has_replied(&self) -> bool {
-        self.has_replied
+    /// Whether a call has ended, successfully or not.
+    pub(crate) fn first_call_ended(&self) -> bool {
+        self.first_call_ended
     }
 
     /// When the next call is due; `None` while a call is in flight.
@@ -74,7 +75,7 @@
         self.in_flight.is_none().then_some(self.next_call_at)
     }
 
-    /// Starts the call that is due and returns the amount that it adds to the count; `None` if no call is due.
+    /// Starts the next call and returns the amount that it adds to the count; `None` if no call is due.
     pub(crate) fn start_call(&mut self, now: Timestamp) -> Option<f64> {
         if self.in_flight.is_some() || now < self.next_call_at {
             return None;
@@ -84,10 +85,10 @@
         Some(call.amount().as_units())
     }
 
-    /// Applies the end of the call in flight. `total`: the count after the call, valid with [`Outcome::Ok`].
+    /// Applies the end of the call in flight. `total` is the count after the call, valid only with [`Outcome::Ok`].
     pub(crate) fn on_call_ended(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
         let Some(call) = self.in_flight.take() else { return };
-        self.has_replied = true;
+        self.first_call_ended = true;
         let delay = match outcome {
             Outcome::Ok => self.on_reply(now, call, Stamp::decode(total)),
             _ => self.election.on_failure(call, outcome),
--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -1,7 +1,8 @@
 //! The election of the timekeeper: the one process that places a stamp and advances it.
 //!
 //! A state machine without clock and randomness. [`Election::next_call`] returns the next counter call, [`Election::on_reply`]
-//! applies its reply and returns the delay of the call after it.
+//! applies its reply and decides how to continue. A stamp *makes progress* if its time has changed since it was last read, which
+//! shows that a timekeeper is alive.
 //!
 //! ```mermaid
 //! stateDiagram-v2
@@ -11,7 +12,7 @@
 //!     Follower --> Confirming: possibly stale stamp
 //!     Follower --> Adopted: stamp of an offset clock
 //!     Candidate --> Claiming: still no stamp
-//!     Claiming --> Timekeeper: own stamp placed
+//!     Claiming --> Timekeeper: stamp placed
 //!     Claiming --> RollingBack: conflict
 //!     Confirming --> Follower: fresh stamp
 //!     Confirming --> TakingOver: no progress
@@ -29,9 +30,10 @@
 //!     RollingBack --> Follower: rolled back
 //! ```
 //!
-//! Not drawn: a candidate that reads a stamp does what a follower does. A read without a stamp leads to `Candidate`, and a read of
-//! several stamps to `Follower`, from each state that reads. A call that adds and may have been applied without a reply leads to
-//! `Follower`: the stamp is read before anything is added again. Any other failed call is repeated after a backoff.
+//! The diagram leaves out these transitions: A candidate that reads a stamp proceeds as a follower does. From each state that
+//! reads, a read that finds no stamp leads to `Candidate`, and a read that finds several stamps leads to `Follower`. If a call
+//! that adds fails but may have been applied, `Follower` is next: the stamp is read before anything is added again. Any other
+//! failed call is repeated after a backoff.
 
 use super::offset::Freshness;
 use super::pacing::CallDelay;
@@ -41,20 +43,20 @@
 #[cfg(test)]
 mod tests;
 
-/// A process that adopted a stale stamp takes over as timekeeper after this many reads without progress. Processes with a better
-/// estimate take over sooner.
+/// A process that adopted a stamp takes over as timekeeper after this many reads without progress. Its estimate is off if the
+/// stamp was stale, so it waits longer than processes with a better estimate, which take over sooner.
 const MAX_READS_WITHOUT_PROGRESS: u32 = 30;
 
-/// The part that this process has in the election.
+/// The role of this process in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Reads the stamp now and then.
+    /// Reads the stamp at intervals.
     Follower,
-    /// Found no stamp, and reads once more before it claims the counter.
+    /// Found no stamp, and reads once more before it places its own.
     Candidate,
-    /// Places its own stamp with the next call.
+    /// Places its own stamp with the next call, as no other process has placed one.
     Claiming {
-        /// The total of the counter, which holds no stamp.
+        /// The total of the counter, which does not include a stamp.
         residue: Ticks,
     },
     /// Found a possibly stale stamp, and reads it again.
@@ -62,19 +64,19 @@
         /// The stamp that was read.
         stamp: StampTime,
     },
-    /// Adopted the time of a stamp, and reads until the stamp makes progress.
+    /// Adopted the time of a stamp, and reads the stamp until it makes progress.
     Adopted {
         /// The stamp that was adopted.
         stamp: StampTime,
-        /// How often it was read again and had not changed.
+        /// Number of later reads that found the stamp unchanged.
         reads_without_progress: u32,
     },
-    /// Found a stamp stale, and advances it with the next call.
+    /// Found that the stamp is stale, and advances it with the next call.
     TakingOver {
         /// The stale stamp.
         stamp: StampTime,
     },
-    /// Advances the stamp.
+    /// Is the timekeeper, and advances the stamp with each call.
     Timekeeper {
         /// The stamp after the last advance.
         stamp: StampTime,
@@ -93,14 +95,14 @@
     Read,
     /// Places a stamp on a counter without one.
     Place {
-        /// The time of the stamp.
+        /// The time of the new stamp.
         time: StampTime,
         /// The amount to add.
         amount: Ticks,
     },
-    /// Advances the stamp.
+    /// Advances the stamp to a later time.
     Advance {
-        /// The time of the stamp after it.
+        /// The time of the stamp after the call.
         time: StampTime,
         /// The amount to add.
         amount: Ticks,
@@ -125,13 +127,13 @@
 /// The decision on a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
-    /// The next call is due after this delay.
+    /// Make the next call after this delay.
     CallAfter(CallDelay),
-    /// The stamp has the fleet's time: the offset estimate is to adopt it. A read follows that confirms the stamp.
+    /// Correct the offset estimate by this stamp, which has the fleet's time, and then read the stamp again to confirm it.
     AdoptStamp(StampTime),
 }
 
-/// This process's part in the election.
+/// The state machine of one process in the election.
 #[derive(Debug)]
 pub(super) struct Election {
     state: State,
@@ -147,7 +149,7 @@
         matches!(self.state, State::Timekeeper { .. })
     }
 
-    /// The next call. `time`: the fleet's time by the present estimate.
+    /// Returns the next call. `time` is the fleet's time by the current estimate.
     pub(super) fn next_call(&self, time: StampTime) -> Call {
         match self.state {
             State::Follower | State::Candidate | State::Confirming { .. } | State::Adopted { .. } => {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Applies a failed call.
+    /// Applies a failed call and returns the delay of the next one.
     pub(super) fn on_failure(&mut self, call: Call, outcome: Outcome) -> CallDelay {
         let may_have_added = call != Call::Read && !outcome.never_ran();
         if may_have_added {
@@ -170,7 +172,7 @@
         CallDelay::Backoff
     }
 
-    /// Applies the reply to a call. `freshness`: that of the stamp in the reply.
+    /// Applies the reply to a call. `stamp` is the decoded total after the call, and `freshness` that of its stamp.
     pub(super) fn on_reply(&mut self, call: Call, stamp: Stamp, freshness: Freshness) -> Decision {
         match call {
             Call::Read => self.on_read(stamp, freshness),
@@ -199,7 +201,7 @@
                 self.enter(State::TakingOver { stamp }, CallDelay::None)
             }
             (State::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
-                // If the timekeeper has died, the stamp is also stale. The next reads show that.
+                // The stamp may also be stale, if its timekeeper has died. Later reads show whether it makes progress.
                 self.state = State::Adopted { stamp, reads_without_progress: 0 };
                 Decision::AdoptStamp(stamp)
             }
@@ -216,7 +218,7 @@
     }
 
     fn on_advanced(&mut self, found: Stamp, time: StampTime, amount: Ticks) -> CallDelay {
-        // The stamp had expired, or the counter has lost it: the counter holds nothing but the amount just added.
+        // If the counter holds only the amount just added, the stamp had expired or the counter had lost it.
         let has_expired = found.total() == amount;
         if has_expired {
             self.state = State::Claiming { residue: amount };
@@ -231,7 +233,7 @@
             self.state = State::Timekeeper { stamp: time };
             return CallDelay::Advance;
         }
-        // Another process has added to the counter as well, and was first.
+        // Another process has added to the counter first, so this process rolls back its own addition.
         let has_added = amount != Ticks::ZERO;
         self.state = if has_added { State::RollingBack { amount } } else { State::Follower };
         CallDelay::None
--- a/crates/exchange/src/fleet_clock/election/tests.rs
+++ b/crates/exchange/src/fleet_clock/election/tests.rs
@@ -1,14 +1,14 @@
-//! The transitions, one call at a time.
+//! Transitions of the election's state machine, one counter call at a time.
 
 use super::super::stamp::TICK;
 use super::*;
 
-/// The stamp time of a time in ticks since 1970.
+/// The stamp time that is this many ticks after 1970.
 fn stamp_time(ticks: i64) -> StampTime {
     StampTime::from_micros(ticks * TICK as i64)
 }
 
-/// A counter that holds stamps.
+/// The decoded total of a counter after `placed_count` stamps were placed.
 fn stamps(placed_count: i64, ticks: i64) -> Stamp {
     Stamp { placed_count, time: stamp_time(ticks) }
 }
@@ -17,7 +17,7 @@
     Election { state }
 }
 
-/// Reads the stamp in this state.
+/// Asserts that the next call is a read, and applies this reply to it.
 #[track_caller]
 fn read(election: &mut Election, stamp: Stamp, freshness: Freshness) -> Decision {
     let call = election.next_call(stamp_time(0));
@@ -25,7 +25,7 @@
     election.on_reply(call, stamp, freshness)
 }
 
-/// Makes the next call at this time, and applies the total that it leads to.
+/// Makes the next call at this time, and applies this reply to it.
 fn call_and_reply(election: &mut Election, ticks: i64, reply: Stamp) -> Decision {
     let call = election.next_call(stamp_time(ticks));
     election.on_reply(call, reply, Freshness::Fresh)
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_candidate_that_twice_found_no_stamp_places_one_and_becomes_the_timekeeper() {
+fn a_process_that_twice_found_no_stamp_places_one_and_becomes_the_timekeeper() {
     let mut election = Election::new();
     assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Decision::CallAfter(CallDelay::Vacancy));
     assert_eq!(election.state, State::Candidate);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_candidate_that_finds_a_fresh_stamp_follows() {
+fn a_candidate_that_finds_a_fresh_stamp_becomes_a_follower() {
     let mut election = in_state(State::Candidate);
     assert_eq!(
         read(&mut election, stamps(1, 50), Freshness::Fresh),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_conflict_while_claiming_rolls_the_own_stamp_back() {
+fn a_process_whose_stamp_conflicts_rolls_its_stamp_back() {
     let mut election = in_state(State::Claiming { residue: Ticks::ZERO });
     assert_eq!(call_and_reply(&mut election, 70, stamps(2, 140)), Decision::CallAfter(CallDelay::None));
     let call = election.next_call(stamp_time(80));
@@ -89,12 +89,16 @@
 }
 
 #[test]
-fn a_stamp_of_an_offset_clock_is_adopted_at_once_and_followed_after_progress() {
+fn a_stamp_of_an_offset_clock_is_adopted_at_once_and_followed_when_it_makes_progress() {
     let mut election = Election::new();
     let decision = read(&mut election, stamps(1, 50), Freshness::OffsetClock);
     assert_eq!(decision, Decision::AdoptStamp(stamp_time(50)));
     let decision = read(&mut election, stamps(1, 50), Freshness::Fresh);
-    assert_eq!(decision, Decision::CallAfter(CallDelay::Confirmation), "no progress is not fresh");
+    assert_eq!(
+        decision,
+        Decision::CallAfter(CallDelay::Confirmation),
+        "a stamp without progress is not fresh"
+    );
     assert_eq!(
         read(&mut election, stamps(1, 60), Freshness::Fresh),
         Decision::CallAfter(CallDelay::FollowerRead)
@@ -117,7 +121,7 @@
 }
 
 #[test]
-fn a_timekeeper_whose_stamp_expired_claims_the_counter_with_what_it_added() {
+fn a_timekeeper_whose_stamp_expired_places_another_on_what_it_added() {
     for (stamp, time) in [(50, 60), (999_995, 5)] {
         let mut election = in_state(timekeeper(stamp));
         let amount = election.next_call(stamp_time(time)).amount();
--- a/crates/exchange/src/fleet_clock/offset.rs
+++ b/crates/exchange/src/fleet_clock/offset.rs
@@ -1,4 +1,4 @@
-//! The clock offset estimate: compares a stamp with this process's clock.
+//! The estimate of the clock offset, from the comparison of a stamp with this process's clock.
 
 use super::stamp::{StampTime, Ticks};
 use policy::Timestamp;
@@ -7,14 +7,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Ages of a stamp that count as no offset. A stamp is advanced once a second, and clocks may differ by 0.5 s.
+/// Ages at which a stamp shows no offset. A stamp is advanced once a second, and clocks may differ by 0.5 s.
 const TOLERANCE: RangeInclusive<Ticks> = Ticks(-5)..=Ticks(20);
-/// Ages of a stamp that its timekeeper may have left behind: the counter expires a stamp after 60 s without an advance.
+/// Ages at which a stamp may be stale because its timekeeper has died. A stale stamp cannot be much older than 60 s, since the
+/// counter expires it.
 const POSSIBLY_STALE: RangeInclusive<Ticks> = Ticks(0)..=Ticks(620);
-/// The mean age of a stamp that is advanced once a second.
+/// The mean age at which a stamp that is advanced once a second is read.
 const MEAN_AGE: Ticks = Ticks(5);
 
-/// Microseconds by which this process's clock is ahead of the fleet's; negative where it is behind.
+/// The time by which this process's clock is ahead of the fleet's clock; negative if it is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ClockOffset(i64);
 
@@ -25,14 +26,14 @@
     }
 }
 
-/// What the age of a stamp says about it.
+/// The conclusion from the age of a stamp by this process's estimate of the fleet's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// It agrees with this process's estimate of the fleet's time.
+    /// The stamp agrees with the estimate.
     Fresh,
-    /// Its timekeeper has died, or its timekeeper's clock is behind the estimate.
+    /// The timekeeper has died, or its clock is behind the estimate.
     PossiblyStale,
-    /// It lies in the future, or is older than a stale stamp can be: the timekeeper's clock differs from the estimate.
+    /// The stamp lies in the future or is older than a stale stamp can be, so the timekeeper's clock differs from the estimate.
     OffsetClock,
 }
 
@@ -47,7 +48,7 @@
         self.offset
     }
 
-    /// The fleet's time by the present estimate.
+    /// The fleet's time by the current estimate.
     pub(super) fn fleet_time(&self, now: Timestamp) -> StampTime {
         StampTime::from_micros(now.as_micros() as i64 - self.offset.0)
     }
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Corrects the offset so that the stamp has the mean age.
+    /// Corrects the offset so that the stamp, which was read just now, has the mean age.
     pub(super) fn adopt(&mut self, now: Timestamp, stamp: StampTime) {
         let correction = self.fleet_time(now).since(stamp) - MEAN_AGE;
         self.offset.0 += correction.as_micros();
--- a/crates/exchange/src/fleet_clock/offset/tests.rs
+++ b/crates/exchange/src/fleet_clock/offset/tests.rs
@@ -1,4 +1,4 @@
-//! The comparison of a stamp with the clock.
+//! Freshness of stamps by age, and corrections of the offset.
 
 use super::*;
 use policy::Micros;
@@ -6,7 +6,7 @@
 const TICK: Micros = super::super::stamp::TICK;
 const NOW: Timestamp = Timestamp::from_micros(1_790_000_000_000_000);
 
-/// A stamp of a clock that is right, `age` ticks old.
+/// A stamp that is `age` ticks old at `NOW`.
 fn stamp_of_age(age: i64) -> StampTime {
     StampTime::from_micros(NOW.as_micros() as i64 - Ticks(age).as_micros())
 }
--- a/crates/exchange/src/fleet_clock/pacing.rs
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -7,18 +7,19 @@
 
 /// Interval at which the timekeeper advances the stamp.
 const ADVANCE_INTERVAL: Micros = 1_000_000;
-/// Mean interval at which a follower reads the stamp, and its increase per gatekeeper, which bounds the fleet's call rate.
+/// Base of the mean interval at which a follower reads the stamp.
 const READ_INTERVAL: Micros = 20_000_000;
+/// Increase of the mean read interval for each gatekeeper, which bounds the call rate of the fleet.
 const READ_INTERVAL_PER_GATEKEEPER: Micros = 200_000;
-/// A stamp that its timekeeper still advances has changed after this time.
+/// Minimum delay of a read that confirms a stamp. By then a timekeeper that is alive has advanced it.
 const CONFIRMATION_INTERVAL: Micros = 1_200_000;
-/// Maximum jitter of a read that confirms a stamp.
+/// Maximum jitter of a read that confirms a stamp, in a fleet of fewer than [`GATEKEEPERS_PER_JITTER_GROUP`].
 const CONFIRMATION_JITTER: Micros = 400_000;
-/// Maximum jitter before a counter without a stamp is read again.
+/// Maximum jitter before a counter without a stamp is read again, in a fleet of that size.
 const VACANCY_JITTER: Micros = 1_000_000;
-/// Maximum backoff after a failed call or a conflict. The minimum is half of it.
+/// Maximum backoff after a failed call or a conflict, in a fleet of that size. The minimum is half of it.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// The maximum jitter grows by its base value for each group of this many gatekeepers.
+/// For each further group of this many gatekeepers, the maximum jitter grows by its value in a small fleet.
 const GATEKEEPERS_PER_JITTER_GROUP: u64 = 50;
 
 /// The reason for the delay of the next call.
@@ -26,15 +27,15 @@
 pub(super) enum CallDelay {
     /// The call is due immediately.
     None,
-    /// The timekeeper advances the stamp at an interval.
+    /// The timekeeper advances the stamp again after a fixed interval.
     Advance,
-    /// A follower reads the stamp again after it was fresh.
+    /// A follower has read a fresh stamp, and reads it again after the read interval.
     FollowerRead,
-    /// A stamp is read again to see whether it has advanced.
+    /// A stamp is read again to see whether it makes progress.
     Confirmation,
     /// A counter without a stamp is read once more before a stamp is placed.
     Vacancy,
-    /// A call failed, or there was a conflict.
+    /// A call failed, or several processes had placed or advanced a stamp.
     Backoff,
 }
 
@@ -50,7 +51,7 @@
         Self { gatekeepers: u64::from(gatekeepers), random: fastrand::Rng::with_seed(seed) }
     }
 
-    /// The time until the next call.
+    /// Returns the time until the next call, at random where the delay has a range.
     pub(super) fn draw(&mut self, delay: CallDelay) -> Micros {
         match delay {
             CallDelay::None => 0,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A random delay below `max`, which grows with the number of gatekeepers so that they do not call at the same time.
+    /// A random delay below `max`, which is raised with the number of gatekeepers so that they do not call at the same time.
     fn jitter(&mut self, max: Micros) -> Micros {
         self.random.u64(..max * (1 + self.gatekeepers / GATEKEEPERS_PER_JITTER_GROUP))
     }
--- a/crates/exchange/src/fleet_clock/pacing/tests.rs
+++ b/crates/exchange/src/fleet_clock/pacing/tests.rs
@@ -1,22 +1,25 @@
-//! The bounds of the delays.
+//! The ranges from which delays are drawn.
 
 use super::*;
 
 const DRAWS: usize = 10_000;
 
-/// The minimum and the maximum of many draws.
+/// The minimum and the maximum of many drawn delays.
 fn range_of(gatekeepers: u32, delay: CallDelay) -> (Micros, Micros) {
     let mut pacing = Pacing::new(gatekeepers, 1);
     let draws: Vec<Micros> = (0..DRAWS).map(|_| pacing.draw(delay)).collect();
-    (*draws.iter().min().expect("draws"), *draws.iter().max().expect("draws"))
+    (*draws.iter().min().expect("at least one draw"), *draws.iter().max().expect("at least one draw"))
 }
 
 #[track_caller]
 fn assert_spans(gatekeepers: u32, delay: CallDelay, from: Micros, to: Micros) {
     let (min, max) = range_of(gatekeepers, delay);
     let hundredth = (to - from) / 100;
-    assert!(min >= from && min <= from + hundredth, "{delay:?} of {gatekeepers}: {min} us at least");
-    assert!(max <= to && max >= to - hundredth, "{delay:?} of {gatekeepers}: {max} us at most");
+    assert!(
+        min >= from && min <= from + hundredth,
+        "{delay:?} with {gatekeepers} gatekeepers: minimum {min} us"
+    );
+    assert!(max <= to && max >= to - hundredth, "{delay:?} with {gatekeepers} gatekeepers: maximum {max} us");
 }
 
 #[test]
--- a/crates/exchange/src/fleet_clock/stamp.rs
+++ b/crates/exchange/src/fleet_clock/stamp.rs
@@ -1,4 +1,4 @@
-//! The stamp codec: how the timekeeper's time and the number of placed stamps are stored in one total of the counter.
+//! The stamp codec: stores the timekeeper's time and the number of placed stamps in one total of the counter.
 //!
 //! A total has seven decimal digits. The highest digit counts the stamps that were placed, one for each timekeeper. The six lower
 //! digits hold the time in ticks of 0.1 s, which wrap around after 100,000 s.
@@ -11,7 +11,7 @@
 
 /// One tick of a stamp in microseconds.
 pub(super) const TICK: Micros = 100_000;
-/// Ticks after which a stamp's time wraps around. Placing a stamp adds this much to its time.
+/// Ticks after which a stamp's time wraps around. Placing a stamp adds its time and this number, which counts the stamp.
 pub(super) const PERIOD: i64 = 1_000_000;
 
 /// A signed number of ticks: a difference of two stamp times, or an amount in the counter.
@@ -25,7 +25,7 @@
         self.0 * TICK as i64
     }
 
-    /// The amount as the counter's protocol has it.
+    /// The amount as a counter call takes it.
     pub(super) fn as_units(self) -> f64 {
         self.0 as f64
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// A time as a stamp holds it: ticks since 1970, modulo [`PERIOD`].
+/// The time in a stamp: ticks since 1970, modulo [`PERIOD`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StampTime(i64);
 
@@ -57,45 +57,45 @@
         Self((micros / TICK as i64).rem_euclid(PERIOD))
     }
 
-    /// Ticks from `earlier` to this time, the shorter way around the period; negative where `earlier` is later.
+    /// Ticks from `earlier` to this time, the shorter way around the period; negative if `earlier` is later.
     pub(super) fn since(self, earlier: Self) -> Ticks {
         let ticks = (self.0 - earlier.0).rem_euclid(PERIOD);
         Ticks(if ticks > PERIOD / 2 { ticks - PERIOD } else { ticks })
     }
 
-    /// The amount that places a stamp of this time on a counter without one. `residue`: the counter's total.
+    /// The amount that places a stamp of this time on a counter without a stamp, whose total is `residue`.
     pub(super) fn placement_amount(self, residue: Ticks) -> Ticks {
         Ticks(PERIOD + self.0) - residue
     }
 
-    /// The amount that advances the stamp `from` to this time. It is negative where the time has wrapped around.
+    /// The amount that advances the stamp `from` to this time. It is negative if the time has wrapped around since.
     pub(super) fn advance_amount(self, from: Self) -> Ticks {
         Ticks(self.0 - from.0)
     }
 }
 
-/// A decoded total of the counter.
+/// A decoded total of the counter, with no stamp, one stamp, or several that conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Stamp {
-    /// The number of stamps that were placed: 0 without one, 2 or more after a conflict.
+    /// The number of stamps that were placed: 0 without a stamp, 2 or more after a conflict.
     pub(super) placed_count: i64,
-    /// The time. It has a meaning only where exactly one stamp was placed.
+    /// The time of the stamp, valid only if exactly one was placed.
     pub(super) time: StampTime,
 }
 
 impl Stamp {
-    /// Decodes a total. Totals that no stamp can have give a count other than 0 and 1.
+    /// Decodes a total. A total that cannot result from a stamp has a `placed_count` other than 0 and 1.
     pub(super) fn decode(total: f64) -> Self {
         let total = if total.is_finite() { total.round() as i64 } else { -1 };
         Self { placed_count: total.div_euclid(PERIOD), time: StampTime(total.rem_euclid(PERIOD)) }
     }
 
-    /// A counter that holds exactly one stamp, of this time.
+    /// The decoded total of a counter that holds exactly one stamp, of this time.
     pub(super) fn single(time: StampTime) -> Self {
         Self { placed_count: 1, time }
     }
 
-    /// The total that this was decoded from.
+    /// The total that this was decoded from, rounded to whole ticks.
     pub(super) fn total(self) -> Ticks {
         Ticks(self.placed_count * PERIOD + self.time.0)
     }
--- a/crates/exchange/src/fleet_clock/stamp/tests.rs
+++ b/crates/exchange/src/fleet_clock/stamp/tests.rs
@@ -1,8 +1,8 @@
-//! The codec.
+//! Encoding and decoding of stamps in a total of the counter.
 
 use super::*;
 
-/// The stamp time of a time in ticks since 1970.
+/// The stamp time that is this many ticks after 1970.
 fn stamp_time(ticks: i64) -> StampTime {
     StampTime::from_micros(ticks * TICK as i64)
 }
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_advanced_stamp_decodes_to_the_later_time_also_around_the_end_of_the_period() {
+fn an_advanced_stamp_decodes_to_the_later_time_even_after_it_wraps_around() {
     for (from, to) in [(10, 20), (PERIOD - 4, PERIOD + 6)] {
         let (from, to) = (stamp_time(from), stamp_time(to));
         let total = PERIOD + from.0 + to.advance_amount(from).0;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn differences_go_the_shorter_way_around_the_period() {
+fn a_difference_is_taken_the_shorter_way_around_the_period() {
     let half = PERIOD / 2;
     for (difference, expected) in [(0, 0), (half, half), (half + 1, 1 - half), (PERIOD, 0), (-1, -1)] {
         assert_eq!(stamp_time(PERIOD + difference).since(stamp_time(PERIOD)), Ticks(expected));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_total_that_is_not_finite_or_negative_counts_as_no_single_stamp_and_no_vacancy() {
+fn an_invalid_total_counts_neither_as_one_stamp_nor_as_none() {
     for total in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, -1e300, 1e300] {
         let placed_count = Stamp::decode(total).placed_count;
         assert!(placed_count != 0 && placed_count != 1, "{total}: {placed_count}");
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -1,22 +1,22 @@
-//! Fleets of gatekeepers in simulated time, which share one counter.
+//! Simulates fleets of gatekeepers that share one counter.
 
 use super::stamp::{PERIOD, TICK};
 use super::*;
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 1_000;
-/// A time far from zero, as on a real wall clock.
+/// A time far from zero, so that a clock can be hours behind.
 const START: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 const HOUR: i64 = 3_600 * SECOND as i64;
 
-/// The count that holds the stamp. It expires.
+/// The counter's total that holds the stamp. It expires after [`STAMP_TTL`].
 #[derive(Default)]
 struct Counter {
     total: f64,
     expires_at: Timestamp,
     /// Total number of calls.
     calls: u64,
-    /// The outcome of all calls; `None` for success.
+    /// The outcome of all calls; `None` if they succeed.
     outcome: Option<Outcome>,
 }
 
@@ -37,13 +37,13 @@
 
 struct Member {
     clock: FleetClock,
-    /// Microseconds that its wall clock was ahead when it started.
+    /// Microseconds by which its wall clock was ahead when it started.
     ahead: i64,
     reply: Option<Reply>,
 }
 
 impl Member {
-    /// Its estimate in microseconds.
+    /// The estimated offset in microseconds.
     fn offset(&self) -> i64 {
         self.clock.offset().as_micros()
     }
@@ -53,16 +53,16 @@
     }
 }
 
-/// The end of a counter call that its caller has not seen yet.
+/// The end of a counter call that its caller has not received yet.
 struct Reply {
-    /// When it arrives, by the caller's clock.
+    /// When the caller receives it, by the caller's clock.
     arrives_at: Timestamp,
     outcome: Outcome,
     total: f64,
 }
 
 struct Fleet {
-    /// Number of gatekeepers in the settings.
+    /// Number of gatekeepers that each member's settings state.
     size: u32,
     now: Timestamp,
     counter: Counter,
@@ -143,21 +143,25 @@
 }
 
 #[test]
-fn a_process_started_on_a_stepped_clock_learns_its_offset_within_two_seconds() {
+fn a_process_with_a_wrong_clock_learns_its_offset_within_two_seconds() {
     for ahead in [HOUR, -HOUR, 5 * SECOND as i64, -5 * SECOND as i64, 12 * HOUR, -12 * HOUR] {
         let mut fleet = Fleet::new();
         fleet.start_on_correct_clocks(3);
         fleet.run(20 * SECOND);
         fleet.start(ahead);
         fleet.run(2 * SECOND);
-        assert!(fleet.spread() <= TOLERANCE, "{ahead} us ahead: {} us apart", fleet.spread());
+        assert!(fleet.spread() <= TOLERANCE, "clock {ahead} us ahead: estimates {} us apart", fleet.spread());
         fleet.run(200 * SECOND);
-        assert!(fleet.spread() <= TOLERANCE, "{ahead} us ahead: {} us apart later", fleet.spread());
+        assert!(
+            fleet.spread() <= TOLERANCE,
+            "clock {ahead} us ahead: estimates {} us apart later",
+            fleet.spread()
+        );
     }
 }
 
 #[test]
-fn a_large_offset_is_known_with_the_first_reply() {
+fn a_large_offset_is_known_after_the_first_reply() {
     let mut fleet = Fleet::new();
     fleet.start(0);
     fleet.run(10 * SECOND);
@@ -167,16 +171,24 @@
 }
 
 #[test]
-fn members_that_start_together_agree_whichever_of_their_clocks_are_stepped() {
+fn members_that_start_together_agree_even_if_their_clocks_are_wrong() {
     for offsets in [[HOUR, 0, 0, 0], [HOUR, HOUR, 0, 0], [-HOUR, HOUR, 0, 5_000_000], [HOUR; 4]] {
         let mut fleet = Fleet::new();
         for ahead in offsets {
             fleet.start(ahead);
         }
         fleet.run(5 * SECOND);
-        assert!(fleet.spread() <= TOLERANCE, "{offsets:?}: {} us apart", fleet.spread());
+        assert!(
+            fleet.spread() <= TOLERANCE,
+            "clocks {offsets:?} us ahead: estimates {} us apart",
+            fleet.spread()
+        );
         fleet.run(120 * SECOND);
-        assert!(fleet.spread() <= TOLERANCE, "{offsets:?}: {} us apart later", fleet.spread());
+        assert!(
+            fleet.spread() <= TOLERANCE,
+            "clocks {offsets:?} us ahead: estimates {} us apart later",
+            fleet.spread()
+        );
     }
 }
 
@@ -208,9 +220,13 @@
         fleet.run(15 * SECOND);
         fleet.counter.outcome = None;
         fleet.run(6 * SECOND);
-        assert!(fleet.spread() <= TOLERANCE, "{outcome:?}: {} us apart", fleet.spread());
+        assert!(
+            fleet.spread() <= TOLERANCE,
+            "calls end with {outcome:?}: estimates {} us apart",
+            fleet.spread()
+        );
         let mut on_correct_clocks = fleet.members.iter().filter(|member| member.ahead == 0);
-        assert!(on_correct_clocks.all(|member| member.offset() == 0), "{outcome:?}");
+        assert!(on_correct_clocks.all(|member| member.offset() == 0), "calls end with {outcome:?}");
     }
 }
 
@@ -249,19 +265,19 @@
     let before = fleet.counter.calls;
     fleet.run(60 * SECOND);
     let calls = fleet.counter.calls - before;
-    assert!(calls < 60 * 20, "{calls} calls of 300 gatekeepers in a minute");
+    assert!(calls < 60 * 20, "300 gatekeepers make {calls} calls in a minute");
     assert!(fleet.members.iter().all(|member| member.offset() == 0));
 }
 
-/// Guards the counter after a mass restart: once, all restarted processes read a stale stamp, each tried to take over, and each
-/// rolled back after the conflict.
+/// Guards against a burst of counter calls after a mass restart: all restarted processes read a stale stamp, tried to take over
+/// and rolled back after the conflict.
 #[test]
 fn a_large_fleet_makes_few_calls_after_a_mass_restart() {
     let mut fleet = Fleet::new();
     fleet.size = 300;
     fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
-    // The timekeeper is among those that are killed.
+    // The timekeeper is last and so among the killed members.
     fleet.members.sort_by_key(Member::is_timekeeper);
     fleet.members.truncate(90);
     fleet.run(5 * SECOND);
@@ -269,7 +285,7 @@
     fleet.start_on_correct_clocks(210);
     fleet.run(10 * SECOND);
     let calls = fleet.counter.calls - before;
-    assert!(calls < 600, "{calls} calls of 210 gatekeepers that start together");
+    assert!(calls < 600, "{calls} calls after 210 gatekeepers start together");
     assert!(fleet.members.iter().all(|member| member.offset() == 0));
 }
 
@@ -279,6 +295,6 @@
         let mut clock = FleetClock::new(4, 1, START);
         assert_eq!(clock.start_call(START), Some(0.0));
         clock.on_call_ended(START + STEP, Outcome::Ok, total);
-        assert_eq!(clock.offset(), ClockOffset::default(), "{total}");
+        assert_eq!(clock.offset(), ClockOffset::default(), "total {total}");
     }
 }
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter: those of the policy, and those of the fleet's clock.
+//! Calls to the quota counter, by the policy and by the fleet's clock.
 
 use super::RequestTable;
 use crate::fleet_clock::{FleetClock, STAMP_NAME, STAMP_TTL};
@@ -11,15 +11,15 @@
 #[cfg(test)]
 mod tests;
 
-/// What a call is for.
+/// What a counter call is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Purpose {
-    /// A tenant's count of this name.
+    /// The policy adds to a tenant's count.
     Quota {
-        /// The name.
+        /// The name of the count.
         name: u64,
     },
-    /// The stamp of the fleet's clock.
+    /// The fleet's clock reads or changes its stamp.
     FleetClock,
 }
 
@@ -30,7 +30,7 @@
     started_at: Timestamp,
 }
 
-/// The counter calls in flight.
+/// The counter calls in flight, by id.
 #[derive(Debug)]
 pub(super) struct CounterCalls {
     timeout: Micros,
@@ -43,17 +43,17 @@
         Self { timeout, in_flight: HashMap::new(), next_id: 0 }
     }
 
-    /// Sets the timeout of the calls from now on.
+    /// Sets the timeout of calls that start from now on.
     pub(super) fn set_timeout(&mut self, timeout: Micros) {
         self.timeout = timeout;
     }
 
-    /// Calls made so far.
+    /// Number of calls made so far.
     pub(super) fn total(&self) -> u64 {
         self.next_id
     }
 
-    /// Records a call and returns its id.
+    /// Records the start of a call and returns its id.
     fn start(&mut self, now: Timestamp, purpose: Purpose) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
@@ -61,38 +61,39 @@
         id
     }
 
-    /// Removes a call; `None` if it has ended before.
+    /// Removes a call and returns it; `None` if it has already ended.
     fn end(&mut self, id: u64) -> Option<InFlightCall> {
         self.in_flight.remove(&id)
     }
 }
 
-/// The fleet's clock, where tenants' counts are shared with other gatekeepers.
+/// The fleet's clock. Only a gatekeeper that shares tenants' counts with others has one once this is started.
 #[derive(Debug)]
 pub(super) struct SharedClock {
-    /// Gatekeepers that share the counter; 1 without a counter.
+    /// Number of gatekeepers that share the counter; 1 without a shared counter.
     gatekeepers: u32,
     seed: u64,
+    /// `None` before the start, and in a gatekeeper that needs no fleet clock.
     clock: Option<FleetClock>,
 }
 
 impl SharedClock {
-    /// A clock that is not started.
+    /// Prepares the clock without starting it.
     pub(super) fn new(settings: &Settings, seed: u64) -> Self {
         let gatekeepers = if settings.shared_counter { settings.gatekeepers } else { 1 };
         Self { gatekeepers, seed, clock: None }
     }
 
-    /// Starts the clock. A gatekeeper that shares no counter with others needs none.
+    /// Starts the clock, unless this gatekeeper shares no counter with others.
     fn start(&mut self, now: Timestamp) {
         if self.gatekeepers > 1 {
             self.clock = Some(FleetClock::new(self.gatekeepers, self.seed, now));
         }
     }
 
-    /// Whether the clock has been read, or need not be.
+    /// Whether the first read of the clock has ended, successfully or not, or no clock was started.
     fn is_read(&self) -> bool {
-        self.clock.as_ref().is_none_or(FleetClock::has_replied)
+        self.clock.as_ref().is_none_or(FleetClock::first_call_ended)
     }
 }
 
@@ -111,7 +112,7 @@
         self.call_counter(now, Purpose::Quota { name }, units, ttl);
     }
 
-    /// Applies the end of a counter call. One that has ended before is ignored.
+    /// Applies the end of a counter call. The end of a call that has already ended, for example by its timeout, is ignored.
     pub(crate) fn counter_call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, total: f64) {
         let Some(InFlightCall { purpose, started_at }) = self.counter_calls.end(id) else { return };
         match purpose {
@@ -128,18 +129,18 @@
         self.call_for_fleet_clock(now);
     }
 
-    /// Whether the fleet's clock has been read, or need not be.
+    /// Whether the first read of the fleet's clock has succeeded or failed, or is not needed.
     pub(crate) fn has_read_fleet_clock(&self) -> bool {
         self.shared_clock.is_read()
     }
 
-    /// Makes the call that is due, or sets the timer of the next one.
+    /// Makes the fleet clock's next counter call if it is due, or sets a timer for it.
     pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
         let Some(clock) = &mut self.shared_clock.clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
             (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_TTL),
             (None, Some(next_call_at)) => self.timers.set(next_call_at, Timer::FleetClock),
-            // The end of the call in flight sets it.
+            // A call is in flight. The next one is scheduled when it ends.
             (None, None) => {}
         }
     }
--- a/crates/exchange/src/request_table/counter_calls/tests.rs
+++ b/crates/exchange/src/request_table/counter_calls/tests.rs
@@ -1,4 +1,4 @@
-//! The counter calls in flight, and when the fleet's clock is needed.
+//! Records of counter calls in flight, and which gatekeepers need the fleet's clock.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     let quota = calls.start(START, Purpose::Quota { name: 7 });
     let clock = calls.start(START + 5, Purpose::FleetClock);
     assert_ne!(quota, clock);
-    let ended = calls.end(clock).expect("it is in flight");
+    let ended = calls.end(clock).expect("the call is in flight");
     assert_eq!((ended.purpose, ended.started_at), (Purpose::FleetClock, START + 5));
     assert!(calls.end(clock).is_none());
     assert_eq!(calls.end(quota).map(|call| call.purpose), Some(Purpose::Quota { name: 7 }));
@@ -22,8 +22,12 @@
     for (gatekeepers, shared_counter, needs_clock) in [(1, true, false), (4, false, false), (4, true, true)] {
         let settings = Settings { gatekeepers, shared_counter, ..Settings::default() };
         let mut clock = SharedClock::new(&settings, 1);
-        assert!(clock.is_read(), "before the start");
+        assert!(clock.is_read(), "no clock to read before the start");
         clock.start(START);
-        assert_eq!(clock.is_read(), !needs_clock, "{gatekeepers} gatekeepers, counter {shared_counter}");
+        assert_eq!(
+            clock.is_read(),
+            !needs_clock,
+            "{gatekeepers} gatekeepers, shared counter: {shared_counter}"
+        );
     }
 }
