--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -1,13 +1,13 @@
 //! The state behind the exchange's lock: the policy, the requests in flight, the counter calls in flight and the timers.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
 //! | `answers` | final answers: when a request is over, and why it failed |
 //! | `attempts` | attempts: start, end, cancellation |
 //! | `backends` | the backends of the endpoint list |
 //! | `counter_calls` | counter calls in flight, and the fleet's clock |
-//! | `repeat_guard` | the guard on repeated requests |
-//! | `statistics` | the figures that operators read |
+//! | `repeat_guard` | the check on retries and hedged attempts |
+//! | `statistics` | counts for the operators' console and metrics |
 //! | `streams` | answers that are streaming |
 
 mod answers;
@@ -37,29 +37,29 @@
 use std::sync::Arc;
 use streams::OpenStreams;
 
-/// Called with each admission before its request is forwarded.
+/// The callback that gets each admission before the request is forwarded for the first time.
 pub(crate) type AdmissionListener = Box<dyn Fn(Admission) + Send>;
 
 pub(crate) struct RequestTable<Q, A> {
     policy: Policy,
-    /// Events that wait for the policy. Applying an action may append some.
+    /// Events that the policy has yet to handle. Applying an action may append events.
     events: VecDeque<Event>,
-    /// Empty between two events: kept for its capacity.
+    /// Buffer for the policy's actions, reused to avoid allocations. Empty between two events.
     actions: Vec<Action>,
     requests: HashMap<RequestId, InFlightRequest<Q, A>>,
     next_request: u32,
     max_attempts: usize,
-    /// The service of each class.
+    /// The service of each class, indexed by the number of the class.
     class_services: Vec<u16>,
     repeat_rules: RepeatRules,
-    /// No request has a later deadline.
+    /// Upper limit of the deadlines of requests submitted from now on; [`Timestamp::MAX`] unless the process is shutting down.
     latest_deadline: Timestamp,
     backends: KnownBackends,
     streams: OpenStreams,
     counter_calls: CounterCalls,
     shared_clock: SharedClock,
     statistics: Statistics,
-    /// Set while a successor process could take over.
+    /// Set during a hot restart, while the predecessor of this process could still resume.
     admission_listener: Option<AdmissionListener>,
     pub(crate) side_effects: SideEffects<Q, A>,
     pub(crate) timers: Timers,
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Continues with other settings. Classes keep their numbers.
+    /// Replaces the settings. Classes must have the same numbers in the new settings.
     pub(crate) fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let (max_attempts, tick) = (settings.max_attempts as usize, settings.tick);
         let counter_timeout = settings.counter_timeout;
@@ -130,7 +130,7 @@
         id
     }
 
-    /// The next id that no request in flight has.
+    /// Returns an id that no request in flight has.
     fn unused_id(&mut self) -> RequestId {
         while self.requests.contains_key(&RequestId(self.next_request)) {
             self.next_request = self.next_request.wrapping_add(1);
@@ -145,7 +145,7 @@
         self.latest_deadline = deadline;
     }
 
-    /// Applies an event to the policy, its actions to the table, and then the events that these lead to.
+    /// Passes an event to the policy and applies the resulting actions, and repeats this for the events that the actions queue.
     pub(crate) fn feed(&mut self, now: Timestamp, event: Event) {
         self.events.push_back(event);
         self.run_events(now);
@@ -175,7 +175,7 @@
             Action::Timer { after, token } => self.timers.set(now + after, Timer::Policy(token)),
             Action::CounterAdd { name, units, ttl } => self.call_quota_counter(now, name, units, ttl),
             Action::Log(notice) => self.side_effects.push(SideEffect::Log(notice)),
-            // Discovery is watched from the start, and sites with active health checks are not served.
+            // Discovery refreshes the endpoint list by itself, and the policy's active health checks are not supported here.
             Action::PollEndpoints | Action::HealthCheck { .. } => {}
         }
     }
@@ -207,7 +207,7 @@
         &mut self.policy
     }
 
-    /// Counts a rejection by a front, of a request that was not submitted.
+    /// Counts a request that a front rejected without submitting it.
     pub(crate) fn count_rejection(&mut self, class: u16) {
         self.statistics.count_answer(class, AnswerKind::Rejected);
     }
@@ -216,7 +216,7 @@
         (self.statistics.outcomes().clone(), self.policy.fleet_summary())
     }
 
-    /// Requests without a final answer.
+    /// Number of requests that wait for their final answer.
     pub(crate) fn unanswered(&self) -> usize {
         self.requests.values().filter(|request| !request.is_over()).count()
     }
@@ -233,7 +233,7 @@
     }
 }
 
-/// The service of each class.
+/// The service of each class, indexed by the number of the class.
 fn services_of(classes: &[RequestClass]) -> Vec<u16> {
     classes.iter().map(|class| class.service).collect()
 }
--- a/crates/exchange/src/request_table/answers.rs
+++ b/crates/exchange/src/request_table/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers: when a request is over, and why it failed.
+//! Final answers: when a request gets one or needs none any more, and why it failed.
 
 use super::RequestTable;
 use crate::counts::AnswerKind;
@@ -6,15 +6,15 @@
 use crate::side_effect::SideEffect;
 use policy::{Event, Micros, Outcome, RejectReason, RequestId, Timestamp};
 
-/// A request that the policy gives up at most this many ticks before its deadline has run out of time.
-const DEADLINE_TICKS: Micros = 4;
-/// A build with seeded faults, for the checkers of the fault-injection harness, treats one request in this many wrongly.
+/// A request that the policy rejects or fails within this many ticks of its deadline counts as one that exceeded its deadline.
+const DEADLINE_MARGIN_TICKS: Micros = 4;
+/// In a build with seeded faults, an active fault of this module affects one request in this many.
 const SEEDED_FAULT_PERIOD: u32 = 50;
-/// Bytes that the seeded fault `holds` leaks with each such request.
+/// Bytes that the seeded fault `holds` leaks for each affected request.
 const SEEDED_FAULT_LEAK: usize = 32 << 20;
 
 impl<Q, A> RequestTable<Q, A> {
-    /// The policy rejects a request.
+    /// Applies the policy's rejection of a request.
     pub(super) fn reject(
         &mut self,
         now: Timestamp,
@@ -27,18 +27,18 @@
         self.answer(id, FinalAnswer::Rejected { retry_after, reason });
     }
 
-    /// The policy fails a request.
+    /// Applies the policy's decision that a request has failed.
     pub(super) fn fail(&mut self, now: Timestamp, id: RequestId) {
         let reason = self.failure_reason(now, id);
         self.answer(id, FinalAnswer::Failed(reason));
     }
 
-    /// Gives a request its final answer, unless it is over.
+    /// Gives a request its final answer, unless it already has one or its client has disconnected.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer<A>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(reply) = request.reply.take() else { return };
         self.statistics.request_answered(request.class, AnswerKind::of(&answer), request.is_streaming);
-        // Before the answer is given: nothing of the request may be written after it.
+        // Withdrawals are queued before the answer, since nothing of the request may be written to a backend after its answer.
         for attempt in request.open_attempts(id) {
             self.side_effects.push(SideEffect::Withdraw(attempt));
         }
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Why the policy gives a request up now.
+    /// The reason, for the client, why the policy rejects or fails a request now.
     fn failure_reason(&self, now: Timestamp, id: RequestId) -> FailureReason {
         let Some(request) = self.requests.get(&id) else { return FailureReason::NoCapacity };
-        if now + DEADLINE_TICKS * self.timers.tick() >= request.deadline {
+        if now + DEADLINE_MARGIN_TICKS * self.timers.tick() >= request.deadline {
             return FailureReason::DeadlineExceeded;
         }
         match request.last_outcome {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The client of a request has disconnected: the request needs no answer.
+    /// Applies the disconnection of a request's client: the request needs no answer, and its attempts are cancelled.
     pub(crate) fn client_gone(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_over()) else { return };
         request.reply = None;
@@ -82,7 +82,7 @@
 
     pub(super) fn deadline_expired(&mut self, now: Timestamp, id: RequestId) {
         self.cancel_open_attempts(now, id, Outcome::Timeout);
-        // The policy answers before the deadline. If it ever did not, the request still gets its answer.
+        // The policy ends each request before its deadline. Should it fail to, the request still gets an answer.
         if self.requests.get(&id).is_some_and(|request| !request.is_over()) {
             self.answer(id, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
             self.feed(now, Event::ClientGone { id });
@@ -90,7 +90,7 @@
         self.remove_if_ended(id);
     }
 
-    /// Removes a request that is over and has no open attempt. Until then late outcomes of its attempts must find it.
+    /// Removes a request that is over and has no open attempts. It stays until then, since the ends of its attempts refer to it.
     pub(super) fn remove_if_ended(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.is_over() && !request.has_open_attempts()) {
@@ -99,11 +99,11 @@
     }
 }
 
-/// Whether a build with seeded faults loses the answer of this request. Such a build may leak memory as well.
+/// Whether the seeded fault `answers` drops the answer of this request. The seeded fault `holds` leaks memory here.
 fn loses_answer(id: RequestId) -> bool {
     let has_seeded_fault = seeded_faults::ENABLED && id.0 % SEEDED_FAULT_PERIOD == SEEDED_FAULT_PERIOD - 1;
     if has_seeded_fault && seeded_faults::is_active("holds") {
-        // Used by nothing else: without the black box the compiler leaves it out.
+        // Nothing uses the allocation, so the compiler would remove it without `black_box`.
         std::mem::forget(std::hint::black_box(vec![1u8; SEEDED_FAULT_LEAK]));
     }
     has_seeded_fault && seeded_faults::is_active("answers")
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of the requests in the table, and the answers that stream from them.
+//! Attempts of requests: their start, end and cancellation, and the streamed answers.
 
 use super::RequestTable;
 use crate::in_flight::InFlightAttempt;
@@ -8,7 +8,7 @@
 use policy::{BackendId, Event, Micros, Outcome, RequestId, Timestamp};
 
 impl<Q, A> RequestTable<Q, A> {
-    /// Starts an attempt. If its request is over, the attempt ends immediately as not sent.
+    /// Starts an attempt. If its request is over, past its deadline or without attempts left, the attempt ends as not sent.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -19,13 +19,13 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = AttemptId { request: id, attempt: request.attempts.len() as u8 };
-        let is_exhausted = request.attempts.len() >= self.max_attempts;
-        let is_pointless = request.is_over() || now >= request.deadline || is_exhausted;
-        if !is_pointless && !request.attempts.is_empty() {
+        let attempts_are_exhausted = request.attempts.len() >= self.max_attempts;
+        let must_not_be_sent = request.is_over() || now >= request.deadline || attempts_are_exhausted;
+        if !must_not_be_sent && !request.attempts.is_empty() {
             self.repeat_rules.check(now, id, request.class, &request.attempts);
         }
         request.attempts.push(InFlightAttempt { backend, sent_at: now, outcome: None });
-        if is_pointless {
+        if must_not_be_sent {
             self.close_attempt(now, attempt, Outcome::NotSent, Vec::new());
             self.remove_if_ended(id);
             return;
@@ -51,7 +51,7 @@
         self.side_effects.push(SideEffect::Start(attempt));
     }
 
-    /// Closes an attempt and queues its end for the policy. Returns whether the attempt was open.
+    /// Sets the outcome of an open attempt and queues the event for the policy. Returns whether the attempt was open.
     fn close_attempt(&mut self, now: Timestamp, id: AttemptId, outcome: Outcome, load: Vec<f32>) -> bool {
         let Some(request) = self.requests.get_mut(&id.request) else { return false };
         let is_over = request.is_over();
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Ends an attempt with this outcome and has its connection cancel it.
+    /// Ends an open attempt with this outcome, and has the backend side cancel it.
     pub(super) fn cancel_attempt(&mut self, now: Timestamp, id: AttemptId, outcome: Outcome) {
         if self.close_attempt(now, id, outcome, Vec::new()) {
             self.side_effects.push(SideEffect::Cancel(id));
@@ -94,7 +94,7 @@
         self.remove_if_ended(id.request);
     }
 
-    /// Applies the end of an attempt. One that has ended before is ignored.
+    /// Applies the end of an attempt. The end of an attempt that has already ended is ignored.
     pub(crate) fn attempt_ended(&mut self, now: Timestamp, id: AttemptId, end: AttemptEnd<A>) {
         if !self.close_attempt(now, id, end.outcome, end.load) {
             return;
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Applies the end of a streaming answer.
+    /// Applies the end of a streamed answer.
     pub(crate) fn stream_ended(&mut self, id: AttemptId, end: StreamEnd) {
-        // The stream of a request that was over before it began is not open.
+        // If the request was over when the answer began, the stream was not recorded as open.
         let Some(class) = self.streams.close(id) else { return };
         self.statistics.stream_ended(class, end);
     }
--- a/crates/exchange/src/request_table/backends.rs
+++ b/crates/exchange/src/request_table/backends.rs
@@ -1,4 +1,4 @@
-//! The backends of the endpoint list: state, service and attempts in flight.
+//! The backends of the endpoint list: their state, service and number of attempts in flight.
 
 use crate::counts::BackendStatus;
 use policy::{BackendEntry, BackendId, BackendState, ListKind};
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The known backends. One that is off the list stays until its last attempt has ended.
+/// The known backends. A backend that is removed from the list stays until the first update after its last attempt has ended.
 #[derive(Debug, Default)]
 pub(super) struct KnownBackends {
     statuses: BTreeMap<BackendId, BackendStatus>,
--- a/crates/exchange/src/request_table/backends/tests.rs
+++ b/crates/exchange/src/request_table/backends/tests.rs
@@ -1,4 +1,4 @@
-//! The directory of backends.
+//! Readiness of services, and removal of backends.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_service_is_ready_while_one_of_its_own_backends_is() {
+fn a_service_is_ready_while_one_of_its_own_backends_is_ready() {
     let mut backends = KnownBackends::default();
     let entries = [entry(1, 0, BackendState::Ready), entry(2, 1, BackendState::Draining)];
     backends.update(ListKind::Full, &entries);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_backend_off_the_list_stays_until_an_update_after_its_last_attempt() {
+fn a_removed_backend_stays_until_an_update_after_its_last_attempt() {
     let mut backends = KnownBackends::default();
     backends.update(ListKind::Full, &[entry(1, 0, BackendState::Ready)]);
     backends.attempt_started(BackendId(1));
--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -1,4 +1,5 @@
-//! The guard on repeated requests: whether a request may be sent once more, judged from the outcomes of its attempts alone.
+//! The guard on retries and hedged attempts: checks whether a request may be sent once more. It relies only on the outcomes of
+//! the earlier attempts, not on the policy's decision.
 
 use crate::clock::MAX_SCHEDULING_DELAY;
 use crate::in_flight::InFlightAttempt;
@@ -8,14 +9,14 @@
 #[cfg(test)]
 mod tests;
 
-/// When requests of a class may be sent once more.
+/// The condition under which a request of a class may be sent once more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RepeatRule {
-    /// At any time.
+    /// Always: the request is idempotent.
     Always,
-    /// Within this time of the first attempt that may have run.
+    /// Within this time of the first attempt that may have run, while backends still recognize its idempotency key.
     Within(Micros),
-    /// If no earlier attempt can have run.
+    /// Only if no earlier attempt can have run.
     IfNeverRan,
 }
 
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Whether a further attempt is permitted.
+    /// Whether a further attempt is permitted after the earlier ones. An open attempt may have run.
     fn permits(self, now: Timestamp, earlier: &[InFlightAttempt]) -> bool {
         let may_have_run = |attempt: &&InFlightAttempt| !attempt.outcome.is_some_and(Outcome::never_ran);
         let Some(first) = earlier.iter().find(may_have_run) else { return true };
@@ -40,7 +41,7 @@
     }
 }
 
-/// The rules of all classes, by number of the class.
+/// The rules of all classes, indexed by the number of the class.
 #[derive(Debug)]
 pub(super) struct RepeatRules {
     rules: Vec<RepeatRule>,
@@ -51,13 +52,13 @@
         Self { rules: classes.iter().map(RepeatRule::of).collect() }
     }
 
-    /// Replaces the rules of the classes that `newer` has. The others stay, for requests in flight.
+    /// Replaces the rules of the classes that `newer` has. The rules of removed classes stay for their requests in flight.
     pub(super) fn update(&mut self, newer: Self) {
         let replaced = newer.rules.len().min(self.rules.len());
         self.rules.splice(..replaced, newer.rules);
     }
 
-    /// Reports a violation if the class does not permit a further attempt after the earlier ones.
+    /// Reports a violation of the invariant if the class does not permit a further attempt after the earlier ones.
     pub(super) fn check(&self, now: Timestamp, id: RequestId, class: u16, earlier: &[InFlightAttempt]) {
         let Some(rule) = self.rules.get(usize::from(class)) else { return };
         invariants::check(
--- a/crates/exchange/src/request_table/repeat_guard/tests.rs
+++ b/crates/exchange/src/request_table/repeat_guard/tests.rs
@@ -1,4 +1,4 @@
-//! The rules for further attempts.
+//! Which rules permit a further attempt, and changes of the settings.
 
 use super::*;
 use policy::BackendId;
@@ -7,7 +7,7 @@
 const WINDOW: Micros = 500_000;
 const RULES: [RepeatRule; 3] = [RepeatRule::Always, RepeatRule::Within(WINDOW), RepeatRule::IfNeverRan];
 
-/// An attempt that was sent this long ago.
+/// An attempt that was sent `age` before [`NOW`].
 fn attempt(age: Micros, outcome: Option<Outcome>) -> InFlightAttempt {
     InFlightAttempt { backend: BackendId(1), sent_at: NOW.saturating_sub(age), outcome }
 }
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn attempts_that_never_ran_permit_another_one_by_each_rule() {
+fn after_attempts_that_never_ran_each_rule_permits_another_one() {
     let earlier = [attempt(2 * WINDOW, Some(Outcome::Rejected)), attempt(0, Some(Outcome::ConnectFailed))];
     assert_eq!(permitted(&earlier), [true; 3]);
 }
 
 #[test]
-fn an_attempt_that_may_have_run_permits_another_one_by_the_rule_of_the_class() {
+fn after_an_attempt_that_may_have_run_the_rule_decides_on_another_one() {
     for outcome in [None, Some(Outcome::Timeout), Some(Outcome::Reset), Some(Outcome::Error)] {
         assert_eq!(permitted(&[attempt(0, outcome)]), [true, true, false], "{outcome:?}");
     }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn classes_that_new_settings_lack_keep_their_rules() {
+fn classes_that_are_missing_in_new_settings_keep_their_rules() {
     let class = |idempotency| RequestClass { idempotency, ..RequestClass::default() };
     let older = [class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let mut rules = RepeatRules::of(&older);
--- a/crates/exchange/src/request_table/statistics.rs
+++ b/crates/exchange/src/request_table/statistics.rs
@@ -1,4 +1,4 @@
-//! The figures that operators read.
+//! Counts of requests, answers and units for the operators' console and metrics.
 
 use crate::counts::{AnswerCounts, AnswerKind, OutcomeCounts};
 use crate::request::StreamEnd;
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Counts of requests, answers and forwarded units.
+/// Counts since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Statistics {
     outcomes: OutcomeCounts,
@@ -18,13 +18,13 @@
 }
 
 impl Statistics {
-    /// Empty counts for this many classes.
+    /// Creates counts of 0 for this many classes.
     pub(super) fn new(classes: usize) -> Self {
         let classes = vec![AnswerCounts::default(); classes];
         Self { outcomes: OutcomeCounts { classes, ..OutcomeCounts::default() }, ..Self::default() }
     }
 
-    /// Adds counts for the classes of new settings. Those of classes that the settings lack stay.
+    /// Extends the counts to the number of classes in new settings. Counts of removed classes stay.
     pub(super) fn add_classes(&mut self, classes: usize) {
         let classes = classes.max(self.outcomes.classes.len());
         self.outcomes.classes.resize(classes, AnswerCounts::default());
@@ -34,7 +34,7 @@
         self.outcomes.pending += 1;
     }
 
-    /// A request has its final answer. One whose answer is streaming counts in its class when the stream ends.
+    /// Counts the final answer of a request. A streamed answer is counted in its class only when the stream ends.
     pub(super) fn request_answered(&mut self, class: u16, kind: AnswerKind, is_streaming: bool) {
         self.answers.add(kind);
         if !is_streaming {
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The client of a request without a final answer has disconnected.
+    /// Counts the end of a request whose client has disconnected before the final answer.
     pub(super) fn client_disconnected(&mut self) {
         self.outcomes.pending -= 1;
     }
 
-    /// The policy has rejected a request.
+    /// Counts a rejection by the policy.
     pub(super) fn count_reject_reason(&mut self, reason: RejectReason) {
         self.outcomes.rejections[reason as usize] += 1;
     }
--- a/crates/exchange/src/request_table/statistics/tests.rs
+++ b/crates/exchange/src/request_table/statistics/tests.rs
@@ -1,4 +1,4 @@
-//! The figures that operators read.
+//! Counts of streamed answers, of removed classes and of units.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn classes_that_new_settings_lack_keep_their_counts() {
+fn classes_that_are_missing_in_new_settings_keep_their_counts() {
     let mut statistics = Statistics::new(2);
     statistics.count_answer(1, AnswerKind::Failed);
     for classes in [1, 3] {
--- a/crates/exchange/src/request_table/streams.rs
+++ b/crates/exchange/src/request_table/streams.rs
@@ -1,9 +1,9 @@
-//! Answers that are streaming.
+//! Streamed answers that have not ended.
 
 use crate::request::AttemptId;
 use std::collections::HashMap;
 
-/// The open streams, each with the class of its request.
+/// The open streams by attempt, each with the class of its request.
 #[derive(Debug, Default)]
 pub(super) struct OpenStreams {
     classes: HashMap<AttemptId, u16>,
--- a/crates/exchange/src/request_table/tests.rs
+++ b/crates/exchange/src/request_table/tests.rs
@@ -1,4 +1,4 @@
-//! The whole table, with a clock that the tests set.
+//! The request table with its parts. The tests pass in the time and perform the side effects.
 
 use super::*;
 use crate::request::{AttemptEnd, FinalAnswer};
@@ -11,7 +11,7 @@
 
 type TestTable = RequestTable<&'static str, &'static str>;
 
-/// A table with these backends, without the side effects of their list.
+/// A table with these backends, whose side effects have been discarded.
 fn table(backends: &[u32]) -> TestTable {
     let settings = Settings {
         classes: vec![RequestClass {
@@ -34,7 +34,7 @@
     table
 }
 
-/// A request of a tenant that uses this gatekeeper alone, so that the counter is not called.
+/// Submits a request of a tenant that uses only this gatekeeper, so that the counter is not called.
 fn submit(table: &mut TestTable, now: Timestamp) -> (RequestId, Receiver<String>) {
     submit_through(table, now, 1.0)
 }
@@ -62,7 +62,8 @@
     (table.submit(now, request, Box::new(reply)), answers)
 }
 
-/// Performs the side effects as the exchange does. Returns a line for each one but the answers.
+/// Performs the side effects in order, as the exchange does. Gives answers to their requests, and returns a line for each other
+/// side effect.
 fn perform_side_effects(table: &mut TestTable) -> Vec<String> {
     let mut performed = Vec::new();
     while let Some(effect) = table.side_effects.next() {
@@ -94,7 +95,7 @@
     AttemptEnd { answer: Some(answer), ..AttemptEnd::without_answer(Outcome::Ok) }
 }
 
-/// Runs the timers, each when it expires.
+/// Runs all timers that expire up to `until`, each at its time.
 fn run_until(table: &mut TestTable, until: Timestamp) {
     while let Some(expires_at) = table.timers.next_expiry().filter(|&expires_at| expires_at <= until) {
         table.run_due_timers(expires_at);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_request_gets_one_answer_and_leaves_the_table_with_its_last_attempt() {
+fn a_request_gets_one_answer_and_is_removed_when_its_last_attempt_ends() {
     let mut table = table(&[5]);
     let (id, answers) = submit(&mut table, START);
     assert_eq!(perform_side_effects(&mut table), ["start 0 at 5"]);
@@ -115,9 +116,9 @@
     assert_eq!((status.units_forwarded, status.accounts), (1.0, BTreeMap::from([(3, 1.0)])));
 }
 
-/// Guards the deadline: a request whose backend does not answer must still get its answer.
+/// Guards against requests without an answer: a request whose backend does not answer must get its final answer in time.
 #[test]
-fn a_request_at_a_silent_backend_is_answered_before_the_deadline_and_its_attempt_cancelled_at_it() {
+fn at_a_silent_backend_a_request_is_answered_before_and_its_attempt_cancelled_at_the_deadline() {
     let mut table = table(&[5]);
     let (_, answers) = submit(&mut table, START);
     assert_eq!(perform_side_effects(&mut table), ["start 0 at 5"]);
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_has_its_attempts_cancelled_and_gets_nothing() {
+fn the_attempts_of_a_disconnected_client_are_cancelled_and_it_gets_no_answer() {
     let mut table = table(&[5]);
     let (id, answers) = submit(&mut table, START);
     perform_side_effects(&mut table);
@@ -150,55 +151,64 @@
 }
 
 #[test]
-fn an_attempt_that_never_ran_is_retried_elsewhere_and_units_are_counted_once() {
+fn an_attempt_that_never_ran_is_retried_at_another_backend_and_units_are_counted_once() {
     let mut table = table(&[5, 6]);
     let (id, answers) = submit(&mut table, START);
     let first = perform_side_effects(&mut table);
     table.attempt_ended(START + MS, attempt(id, 0), AttemptEnd::without_answer(Outcome::ConnectFailed));
     let second = perform_side_effects(&mut table);
     assert_eq!(second.len(), 1);
-    assert_ne!(first[0].rsplit(' ').next(), second[0].rsplit(' ').next(), "another backend");
+    assert_ne!(
+        first[0].rsplit(' ').next(),
+        second[0].rsplit(' ').next(),
+        "the retry goes to another backend"
+    );
     table.attempt_ended(START + 2 * MS, attempt(id, 1), served("value"));
     perform_side_effects(&mut table);
     assert_eq!(answers.try_iter().count(), 1);
     assert_eq!(table.status().units_forwarded, 1.0);
 }
 
-/// Guards the rule that nothing is forwarded after the final answer. A hedged attempt whose connection was still being established
-/// once was.
+/// Guards against forwarding a request after its final answer. It happened with a hedged attempt whose connection was still being
+/// established.
 #[test]
 fn an_attempt_that_is_not_written_is_withdrawn_before_the_final_answer() {
     let mut table = table(&[5, 6]);
     let (id, _answers) = submit(&mut table, START);
+    // The policy's hedge timer for attempt 0 of the request expires.
     table.feed(START + 240 * MS, Event::Timer { token: 2 << 56 | u64::from(id.0) });
-    assert_eq!(perform_side_effects(&mut table).len(), 2, "an attempt and a hedged one");
+    assert_eq!(perform_side_effects(&mut table).len(), 2, "the first attempt and a hedged one");
     table.attempt_ended(START + 250 * MS, attempt(id, 0), served("value"));
     let position = |is_wanted: fn(&SideEffect<_, _>) -> bool| {
-        table.side_effects.queued().position(is_wanted).expect("it is queued")
+        table.side_effects.queued().position(is_wanted).expect("the side effect is queued")
     };
     let withdrawal = position(|effect| matches!(effect, SideEffect::Withdraw(AttemptId { attempt: 1, .. })));
     assert!(withdrawal < position(|effect| matches!(effect, SideEffect::Answer(..))));
 }
 
-/// Guards against late counter replies: a call that timed out must not reach the policy twice.
+/// Guards against late counter replies: the end of a call that timed out must not reach the policy a second time.
 #[test]
 fn a_reply_to_a_counter_call_that_timed_out_is_ignored() {
     let mut table = table(&[5]);
     let (_, answers) = submit_through(&mut table, START, 2.0);
-    assert_eq!(perform_side_effects(&mut table), ["call 0 add 1"], "a new tenant waits for its total");
+    assert_eq!(
+        perform_side_effects(&mut table),
+        ["call 0 add 1"],
+        "the request of a new tenant waits for the total of its count"
+    );
     run_until(&mut table, START + 30 * MS);
     assert!(
         perform_side_effects(&mut table).contains(&"start 0 at 5".to_owned()),
-        "after the timeout the local share applies"
+        "after the timeout the local share of the quota applies"
     );
     let before = format!("{:?}", table.policy);
     table.counter_call_ended(START + 31 * MS, 0, Outcome::Ok, 1e6);
-    assert_eq!(format!("{:?}", table.policy), before, "the policy gets the timeout alone");
+    assert_eq!(format!("{:?}", table.policy), before, "the late reply does not reach the policy");
     assert!(perform_side_effects(&mut table).is_empty() && answers.try_recv().is_err());
 }
 
 #[test]
-fn each_failure_has_its_reason() {
+fn a_failure_states_its_reason() {
     let mut empty = table(&[]);
     let (_, answers) = submit(&mut empty, START);
     perform_side_effects(&mut empty);
@@ -220,7 +230,8 @@
     assert!(answers.try_recv().unwrap().contains("NoCapacity"));
 }
 
-/// Guards against a rejection for lack of capacity where a service has no backends and only another service has some.
+/// Guards against a wrong reason: a request of a service without backends was rejected for lack of capacity if another service
+/// had backends.
 #[test]
 fn a_request_of_a_service_without_backends_fails_for_lack_of_backends() {
     let class = RequestClass { latency_objective: 600 * MS, deadline: 2500 * MS, ..RequestClass::default() };
