--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clock.
+//! The process's clock, and the margin for delays between reading it and acting on it.
 
 use policy::{Micros, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -6,10 +6,11 @@
 /// Maximum time for which the process may be descheduled between reading its clock and writing to a connection.
 pub const MAX_SCHEDULING_DELAY: Micros = 150_000;
 
-/// Microseconds since 1970, monotonic after its start. The names of shared counts rely on similar readings at all gatekeepers.
+/// A clock that counts microseconds since 1970: one reading of the wall clock, continued by the monotonic clock. The names of
+/// counts that gatekeepers share are derived from the time, so the clocks of all gatekeepers must roughly agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    base: Timestamp,
+    start_time: Timestamp,
     start: Instant,
 }
 
@@ -17,12 +18,12 @@
     /// Starts a clock from one reading of the wall clock.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        let base = Timestamp::from_micros(since_epoch.map_or(0, |since| since.as_micros() as u64));
-        Self { base, start: Instant::now() }
+        let start_time = Timestamp::from_micros(since_epoch.map_or(0, |since| since.as_micros() as u64));
+        Self { start_time, start: Instant::now() }
     }
 
-    /// The current time.
+    /// The current time. Later adjustments of the wall clock do not affect it.
     pub fn now(&self) -> Timestamp {
-        self.base + self.start.elapsed().as_micros() as Micros
+        self.start_time + self.start.elapsed().as_micros() as Micros
     }
 }
--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -1,21 +1,21 @@
-//! The figures that operators read.
+//! Counts of requests and answers, and the load of backends, for the operators' console and metrics.
 
 use crate::request::{FinalAnswer, StreamEnd};
 use policy::{BackendId, BackendState, RejectReason};
 use std::collections::BTreeMap;
 
-/// Final answers by kind.
+/// Numbers of final answers since the start of the process, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// Answers of a backend.
+    /// Requests that were answered by a backend.
     pub served: u64,
-    /// Rejections.
+    /// Requests that were rejected without effect.
     pub rejected: u64,
-    /// Failures.
+    /// Requests that failed and may have had an effect.
     pub failed: u64,
 }
 
-/// The kind of a final answer.
+/// The kind of a final answer, for counting.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum AnswerKind {
     Served,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The kind that a streamed answer counts as; `None` if its client disconnected.
+    /// The kind that a streamed answer counts as when it ends; `None` if its client disconnected.
     pub(crate) fn of_stream(end: StreamEnd) -> Option<Self> {
         match end {
             StreamEnd::Complete => Some(Self::Served),
@@ -52,38 +52,38 @@
     }
 }
 
-/// The outcomes of requests.
+/// Outcomes of requests since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Requests that are submitted and not over, or whose answers are streaming.
+    /// Requests without a final answer, except those of disconnected clients, and requests whose answers are still streaming.
     pub pending: usize,
-    /// Final answers by number of the class.
+    /// Final answers, indexed by the number of the class. A streamed answer is counted when its stream ends.
     pub classes: Vec<AnswerCounts>,
-    /// Rejections by the policy, in the order of [`RejectReason::ALL`].
+    /// Rejections by the policy, indexed in the order of [`RejectReason::ALL`].
     pub rejections: [u64; RejectReason::ALL.len()],
 }
 
 /// State and load of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendStatus {
-    /// Whether it is eligible.
+    /// Its state by the endpoint list: whether it may be sent new requests.
     pub state: BackendState,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
 }
 
-/// Figures for the operators' console.
+/// Counts since the start of the process and the present load, for the operators' console.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Status {
-    /// Requests without a final answer.
+    /// Number of requests that wait for their final answer.
     pub unanswered: usize,
-    /// Final answers so far.
+    /// Final answers so far. A streamed answer is counted when it begins.
     pub answers: AnswerCounts,
-    /// Units of the forwarded requests. A request counts once, however many attempts it has.
+    /// Cost of the forwarded requests, in units of the quota. A request counts once, however many attempts it has.
     pub units_forwarded: f64,
-    /// The same units by account.
+    /// `units_forwarded` by account ([`Request::account`](crate::Request::account)), without requests that have no account.
     pub accounts: BTreeMap<u32, f64>,
-    /// Calls made to the counter.
+    /// Number of calls to the quota counter, including those that read the fleet's clock.
     pub counter_calls: u64,
     /// State and load of each backend.
     pub backends: BTreeMap<BackendId, BackendStatus>,
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange: entry points of both sides, and the order in which side effects are performed.
+//! The exchange: the calls for fronts and for the backend side, and the order in which side effects are performed.
 
 use crate::clock::Clock;
 use crate::counts::{OutcomeCounts, Status};
@@ -13,7 +13,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
 
-/// Connects the client side with the backend side: takes requests from fronts, and makes attempts at backends by the policy.
+/// Connects the client side with the backend side: accepts requests from fronts, and has attempts sent to backends as the policy
+/// decides.
 pub struct Exchange<Q, A> {
     clock: Clock,
     table: Mutex<RequestTable<Q, A>>,
@@ -23,7 +24,7 @@
 }
 
 impl<Q: Send + Sync + 'static, A: Send + 'static> Exchange<Q, A> {
-    /// Creates an exchange without backends.
+    /// Creates an exchange without backends. `seed` seeds the random choices of the policy and the fleet clock.
     ///
     /// # Errors
     ///
@@ -34,46 +35,49 @@
         Ok(Arc::new(Self { clock, table, backends, counter, timer_waker }))
     }
 
-    /// Sets the backend side and the counter client. A second call has no effect.
+    /// Sets the backend side and the client of the quota counter, if the gatekeeper uses one. What is already set stays.
     pub fn connect(&self, backends: Arc<dyn Backends<Q>>, counter: Option<Arc<dyn QuotaCounter>>) {
-        // Already set: the first stays.
+        // `set` fails if a value is already set. The first value stays.
         let _ = self.backends.set(backends);
         if let Some(counter) = counter {
             let _ = self.counter.set(counter);
         }
     }
 
-    /// The current time by the clock of [`Attempt::decided_at`](crate::Attempt::decided_at).
+    /// The current time, by the same clock as [`Attempt::decided_at`](crate::Attempt::decided_at).
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Starts to estimate the clock offset from the fleet's clock, which the counter keeps; shared counts use the fleet's time. To
-    /// be called after [`Exchange::connect`]. Without a counter this has no effect.
+    /// Starts to estimate the offset of this process's clock from the fleet's clock, a time that gatekeepers share through the
+    /// quota counter. From then on, the names of shared counts are derived from the fleet's time. Must be called after
+    /// [`Exchange::connect`]. Has no effect unless, by the settings, several gatekeepers share a counter.
     pub fn start_fleet_clock(&self) {
         self.drive(RequestTable::start_fleet_clock);
     }
 
-    /// Whether the first read of the fleet's clock has ended, with success or without, or is not needed.
+    /// Whether the first read of the fleet's clock has succeeded or failed, or is not needed.
     pub fn has_read_fleet_clock(&self) -> bool {
         self.lock().has_read_fleet_clock()
     }
 
-    /// Sets the callback that wakes the timer thread when a timer expires before the time that [`Exchange::run_due_timers`] returned.
+    /// Sets the callback that wakes the timer thread when a timer expires before the time that [`Exchange::run_due_timers`]
+    /// returned. A second call has no effect.
     pub fn set_timer_waker(&self, waker: Box<dyn Fn() + Send + Sync>) {
-        // Already set: the first stays.
+        // `set` fails if a value is already set. The first value stays.
         let _ = self.timer_waker.set(waker);
     }
 
-    /// Submits a request. `reply` is called once, possibly before this returns, unless the client disconnects.
+    /// Submits a request. `reply` is called once with the final answer, possibly before this returns, unless the client
+    /// disconnects.
     pub fn submit(&self, request: Request<Q>, reply: Reply<A>) -> RequestId {
         let mut id = RequestId(0);
         self.drive(|table, now| id = table.submit(now, request, reply));
         id
     }
 
-    /// Prepares a graceful shutdown: each request that is submitted from now on gets its final answer within this time, even if its
-    /// client would wait longer.
+    /// Prepares a graceful shutdown: each request that is submitted from now on gets its final answer within `time` of this call,
+    /// even if its own deadline is later.
     pub fn answer_all_within(&self, time: Duration) {
         self.drive(|table, now| table.set_latest_deadline(now + time.as_micros() as Micros));
     }
@@ -83,7 +87,7 @@
         self.lock().open_streams()
     }
 
-    /// The client of a request has disconnected: the request needs no answer, and its attempts are cancelled.
+    /// Reports that the client of a request has disconnected. The request needs no answer, and its attempts are cancelled.
     pub fn client_gone(&self, id: RequestId) {
         if seeded_faults::is_active("gone") {
             return;
@@ -91,17 +95,18 @@
         self.drive(|table, now| table.client_gone(now, id));
     }
 
-    /// Reports the end of an attempt. One that was cancelled or has ended before is ignored.
+    /// Reports the end of an attempt. The end of an attempt that was cancelled or has already ended is ignored.
     pub fn attempt_ended(&self, id: AttemptId, end: AttemptEnd<A>) {
         self.drive(|table, now| table.attempt_ended(now, id, end));
     }
 
-    /// Reports the end of a streaming answer. For the policy, its attempt ended when the answer began.
+    /// Reports the end of a streamed answer. For the policy, the attempt ended when the answer began.
     pub fn stream_ended(&self, id: AttemptId, end: StreamEnd) {
         self.lock().stream_ended(id, end);
     }
 
-    /// Reports the end of a counter call. One that has timed out is ignored.
+    /// Reports the end of a counter call. The end of a call that has timed out is ignored. `total` is the count after the call,
+    /// valid only with [`Outcome::Ok`].
     pub fn counter_call_ended(&self, id: u64, outcome: Outcome, total: f64) {
         self.drive(|table, now| table.counter_call_ended(now, id, outcome, total));
     }
@@ -111,88 +116,91 @@
         self.drive(|table, now| table.update_endpoints(now, kind, entries));
     }
 
-    /// Sets or clears the operators' ejection of a backend. When this returns, the policy selects an ejected backend no more. The
-    /// backend side must be notified first, so that it refuses attempts that were decided earlier.
+    /// Sets or clears the operators' ejection of a backend. Once this returns, the policy no longer selects an ejected backend.
+    /// The backend side must be notified before this call, so that it refuses attempts that were decided earlier.
     pub fn set_operator_ejection(&self, backend: BackendId, ejected: bool) {
         self.drive(|table, now| table.feed(now, Event::OperatorEjection { backend, ejected }));
     }
 
-    /// Continues with other settings, in which classes and plans keep their numbers.
+    /// Replaces the settings. Classes and plans must have the same numbers in the new settings.
     ///
     /// # Errors
     ///
-    /// The settings are not valid; nothing has changed.
+    /// The settings are not valid. The previous settings stay in effect.
     pub fn update_settings(&self, settings: Settings) -> Result<(), SettingsError> {
         self.lock().update_settings(settings)
     }
 
-    /// The policy's state, for the successor of this process. Fronts must have stopped submitting requests.
+    /// Returns the policy's state, for the process that succeeds this one in a hot restart. Fronts must have stopped submitting
+    /// requests.
     pub fn hand_over(&self) -> PolicySnapshot {
         self.lock().policy().hand_over()
     }
 
-    /// Continues with the policy state of this process's predecessor.
+    /// Applies the policy state of the process that preceded this one in a hot restart.
     pub fn take_over(&self, snapshot: PolicySnapshot) {
         let now = self.clock.now();
         self.lock().policy().take_over(now, snapshot);
     }
 
-    /// Sets the listener that is called before each request is forwarded for the first time, so that another process can take over
-    /// if this one dies. `None` removes it.
+    /// Sets the listener that is called before each request is forwarded for the first time, or removes it (`None`). With the
+    /// reported admissions, the predecessor of this process can resume if this process dies during a hot restart.
     pub fn set_admission_listener(&self, listener: Option<AdmissionListener>) {
         self.lock().set_admission_listener(listener);
     }
 
-    /// Applies an admission of this process's successor.
+    /// Charges an admission that the successor of this process reports to the tenant's quota here.
     pub fn mirror_admission(&self, admission: Admission) {
         let Admission { tenant, plan, tenant_gatekeepers, units } = admission;
         let now = self.clock.now();
         self.lock().policy().mirror_admission(now, tenant, plan as usize, tenant_gatekeepers, units);
     }
 
-    /// Continues after the successor of this process has ended. `knows_all_admissions`: all its admissions were mirrored.
+    /// Prepares the policy for serving again after the successor of this process has ended. `knows_all_admissions` tells whether
+    /// all its admissions were passed to [`Exchange::mirror_admission`]; if not, all token buckets start empty.
     pub fn resume(&self, knows_all_admissions: bool) {
         self.lock().policy().resume(knows_all_admissions);
     }
 
-    /// Counts a rejection by a front, of a request of this class that was not submitted.
+    /// Counts a request of this class that a front rejected without submitting it.
     pub fn count_rejection(&self, class: u16) {
         self.lock().count_rejection(class);
     }
 
-    /// The outcomes of requests, and a summary of the backends.
+    /// The outcomes of requests, and a summary of the backends' state, for metrics.
     pub fn outcome_counts(&self) -> (OutcomeCounts, FleetSummary) {
         self.lock().outcome_counts()
     }
 
-    /// Runs the expired timers. Returns the time until the next call, if any timer is set. Timers that expire within a tick of the
-    /// policy run together, so a timer runs up to a tick late.
+    /// Runs the expired timers. Returns the time after which to call this again, or `None` if no timer is set. Timers that expire
+    /// within one tick (a setting of the policy) run together, so a timer runs up to one tick late.
     pub fn run_due_timers(&self) -> Option<Micros> {
         self.drive(RequestTable::run_due_timers);
         let mut table = self.lock();
         table.timers.schedule_wake_up(self.clock.now())
     }
 
-    /// Figures for the operators' console.
+    /// Counts and the present load, for the operators' console.
     pub fn status(&self) -> Status {
         self.lock().status()
     }
 
-    /// The number of requests without a final answer.
+    /// The number of requests that wait for their final answer.
     pub fn unanswered(&self) -> usize {
         self.lock().unanswered()
     }
 
     fn lock(&self) -> MutexGuard<'_, RequestTable<Q, A>> {
-        // A panic of the policy leaves the table half-changed. To go on could violate an invariant unnoticed.
+        // The lock is poisoned: a panic left the table half-changed. Continuing could violate an invariant unnoticed.
         self.table.lock().unwrap_or_else(|_| {
             eprintln!("fatal: a panic left the request table half-changed");
             std::process::abort()
         })
     }
 
-    /// Changes the table under its lock, then performs the side effects without the lock. One caller at a time performs them, in
-    /// order, including those that other callers add meanwhile: with two callers, an attempt could be cancelled before it starts.
+    /// Changes the table under its lock, then performs the queued side effects without the lock. Only one caller at a time
+    /// performs them, in order, including those that other callers queue meanwhile: if two callers did, an attempt could be
+    /// cancelled before it starts.
     fn drive(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Timestamp)) {
         let mut table = self.lock();
         change(&mut table, self.clock.now());
@@ -255,7 +263,8 @@
     }
 }
 
-/// Dropped only by a panic while side effects are performed: after that, no caller would perform any.
+/// Aborts the process if performing a side effect panics. The queue would stay marked as being drained, so that no caller would
+/// perform any further side effect. Forgotten when the queue has been drained.
 struct AbortOnPanic;
 
 impl Drop for AbortOnPanic {
--- a/crates/exchange/src/in_flight.rs
+++ b/crates/exchange/src/in_flight.rs
@@ -27,16 +27,16 @@
     pub(crate) admission: Admission,
     pub(crate) account: Option<u32>,
     pub(crate) class: u16,
-    /// The service of its class.
+    /// The service that the class of the request belongs to.
     pub(crate) service: u16,
     pub(crate) attempts: Vec<InFlightAttempt>,
     pub(crate) last_outcome: Option<Outcome>,
-    /// The answer has begun and continues. The request is counted when the stream ends.
+    /// Whether the answer has begun and continues. The request is then counted in its class when the stream ends.
     pub(crate) is_streaming: bool,
 }
 
 impl<Q, A> InFlightRequest<Q, A> {
-    /// Whether the request has its final answer, or needs none.
+    /// Whether the request has its final answer, or needs none because its client has disconnected.
     pub(crate) fn is_over(&self) -> bool {
         self.reply.is_none()
     }
@@ -45,7 +45,7 @@
         self.attempts.iter().any(InFlightAttempt::is_open)
     }
 
-    /// The open attempts. `id`: that of this request.
+    /// Ids of the open attempts. `id` is the id of this request.
     pub(crate) fn open_attempts(&self, id: RequestId) -> impl Iterator<Item = AttemptId> {
         let open = self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_open());
         open.map(move |(attempt, _)| AttemptId { request: id, attempt: attempt as u8 })
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,23 +1,23 @@
 //! The exchange between clients and backends.
 //!
-//! [`Exchange`] owns the policy's state machine, the table of requests in flight, the timers and the calls to the quota counter. It
-//! knows no wire protocol and no socket: what a front forwards (`Q`) and what a backend answers (`A`) are opaque here. Everything that
-//! happens becomes one [`policy::Event`]. The side effects that follow are performed after the lock is released, so that either side
-//! may call back immediately.
+//! [`Exchange`] owns the policy's state machine, the table of requests in flight, the timers and the calls to the quota counter.
+//! It knows no wire protocol and no socket: the payload of a request (`Q`) and an answer (`A`) are opaque here. Each change that
+//! concerns the policy is passed to it as a [`policy::Event`]. The resulting side effects are performed after the lock is
+//! released, so that fronts and the backend side may call the exchange from within them.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
 //! | `request` | requests as fronts submit them, attempts, and final answers |
 //! | `ports` | the traits that the backend side and the counter client implement |
-//! | `exchange` | the entry points, and the order in which side effects are performed |
-//! | `request_table` | the state behind the lock |
+//! | `exchange` | the calls for fronts and for the backend side, and the order in which side effects are performed |
+//! | `request_table` | the state that the exchange's lock protects |
 //! | `in_flight` | a request in the table, and its attempts |
-//! | `side_effect` | what the table asks the exchange to do, and the queue of it |
+//! | `side_effect` | the queue of actions that the table asks the exchange to perform |
 //! | `timers` | the queue of timers, and the wake-ups of the timer thread |
 //! | `fleet_clock` | the estimate of the clock offset from the fleet's clock |
 //! | `clock` | the process's clock |
-//! | `counts` | the figures that operators read |
-//! | `stream` | an answer that is passed on while it arrives |
+//! | `counts` | counts of requests and answers for the operators' console and metrics |
+//! | `stream` | the buffer of an answer that is forwarded to the client while it arrives |
 
 mod clock;
 mod counts;
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -3,37 +3,37 @@
 use crate::request::{Attempt, AttemptId};
 use policy::Micros;
 
-/// The backend side. No call may block.
+/// The backend side, which sends attempts to backends. No method may block.
 pub trait Backends<Q>: Send + Sync {
     /// Starts an attempt. Its end is reported with [`Exchange::attempt_ended`](crate::Exchange::attempt_ended), possibly before
     /// this returns.
     fn start(&self, attempt: Attempt<Q>);
-    /// Cancels an attempt. Its end is not reported any more.
+    /// Cancels an attempt. Its end is no longer reported.
     fn cancel(&self, attempt: AttemptId);
-    /// Withdraws an attempt whose request has its final answer. An attempt that is not written completely ends with
-    /// [`Outcome::Cancelled`](policy::Outcome::Cancelled); any other continues.
+    /// Withdraws an attempt whose request has its final answer. If the attempt has not been written completely, it ends with
+    /// [`Outcome::Cancelled`](policy::Outcome::Cancelled); otherwise it continues.
     fn withdraw(&self, attempt: AttemptId);
-    /// Ends an attempt that may not be written any more ([`Attempt::max_start_delay`]). An attempt that is not written completely
-    /// ends with [`Outcome::NotStarted`](policy::Outcome::NotStarted); any other continues.
+    /// Ends an attempt that has reached [`Attempt::max_start_delay`]. If it has not been written completely, it ends with
+    /// [`Outcome::NotStarted`](policy::Outcome::NotStarted); otherwise it continues.
     fn end_unwritten(&self, attempt: AttemptId);
 }
 
 /// A call to the quota counter.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
-    /// The id for [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended).
+    /// Identifies the call in [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended).
     pub id: u64,
-    /// The name of the count.
+    /// The name of the count to add to.
     pub name: u64,
-    /// Units to add.
+    /// Amount to add: units of the quota, or ticks of the fleet clock's stamp. 0 only reads the count.
     pub units: f64,
-    /// Expiry of the count, if the call creates it.
+    /// Time until the count expires, if this call creates it. The counter keeps the expiry of an existing count.
     pub ttl: Micros,
 }
 
-/// The counter client. No call may block.
+/// The client of the quota counter. No method may block.
 pub trait QuotaCounter: Send + Sync {
-    /// Makes a call. Its end is reported with [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended), possibly
-    /// before this returns.
+    /// Makes a call to the counter. Its end is reported with
+    /// [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended), possibly before this returns.
     fn call(&self, call: CounterCall);
 }
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -10,15 +10,15 @@
     pub class: u16,
     /// The number of its tenant's plan in the settings.
     pub plan: u32,
-    /// Its tenant.
+    /// The tenant whose quota the request takes from.
     pub tenant: TenantId,
-    /// Time until it must have its final answer.
+    /// Time from the submission within which the request must get its final answer.
     pub time_left: Micros,
     /// The number of gatekeepers that its tenant's requests come through.
     pub tenant_gatekeepers: f64,
-    /// Its cost in units of the quota.
+    /// Cost of the request in units of the quota.
     pub units: f64,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
     /// The account of [`Status::accounts`](crate::Status::accounts) that its units are added to when it is first forwarded.
     pub account: Option<u32>,
@@ -29,37 +29,37 @@
 /// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The index of the attempt, from 0.
+    /// The index of the attempt among those of its request, from 0.
     pub attempt: u8,
 }
 
-/// An attempt that the backend side is to make.
+/// An attempt that the backend side must send.
 #[derive(Debug)]
 pub struct Attempt<Q> {
-    /// Its id.
+    /// Identifies the attempt in the calls between the exchange and the backend side.
     pub id: AttemptId,
     /// The backend that the policy selected.
     pub backend: BackendId,
-    /// The time of the decision, by [`Exchange::now`](crate::Exchange::now).
+    /// The time at which the policy decided on the attempt, by [`Exchange::now`](crate::Exchange::now).
     pub decided_at: Timestamp,
-    /// Maximum time from the decision to the answer.
+    /// Maximum time from `decided_at` until the answer.
     pub time_left: Micros,
-    /// Maximum time from the decision to the write.
+    /// Maximum time from `decided_at` until the attempt is written.
     pub max_start_delay: Micros,
-    /// The content that is forwarded.
+    /// The content that is forwarded to the backend.
     pub payload: Arc<Q>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd<A> {
-    /// The outcome.
+    /// The outcome that the policy is told.
     pub outcome: Outcome,
-    /// The answer to pass back, with [`Outcome::Ok`].
+    /// The answer to give to the client. Used only with [`Outcome::Ok`].
     pub answer: Option<A>,
-    /// The load report, one value for each load metric of the settings; empty if there is none.
+    /// The load that the backend reported, one value for each load metric of the settings; empty if it reported none.
     pub load: Vec<f32>,
     /// Whether the answer has begun and continues: [`Exchange::stream_ended`](crate::Exchange::stream_ended) follows.
     pub is_streaming: bool,
@@ -75,55 +75,55 @@
 /// How a streamed answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The whole answer was passed on.
+    /// The whole answer was forwarded to the client.
     Complete,
-    /// The backend ended it before it was complete.
+    /// The backend's answer ended before it was complete.
     Broken,
     /// The client disconnected.
     ClientGone,
 }
 
-/// Why a request was not served.
+/// Why a request was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Quota, ceiling or capacity do not allow it.
+    /// The quota, the ceiling or the capacity did not permit the request, or its last attempt was rejected or not sent.
     NoCapacity,
-    /// No backend was available.
+    /// No backend was eligible, or the last attempt could not connect.
     NoBackend,
-    /// A backend failed.
+    /// The last attempt may have run and failed, for example with an error or a broken connection.
     BackendFailed,
-    /// The deadline passed.
+    /// The deadline of the request, or the timeout of its last attempt, passed.
     DeadlineExceeded,
 }
 
-/// The one final answer of a request.
+/// The final answer of a request. Each request gets exactly one, unless its client disconnects before.
 #[derive(Debug)]
 pub enum FinalAnswer<A> {
-    /// A backend's answer.
+    /// The answer of a backend.
     Served(A),
     /// The request was rejected and has had no effect, so a retry is safe.
     Rejected {
-        /// Retry-After; 0 for none.
+        /// Time after which the client may retry (Retry-After); 0 if none is given.
         retry_after: Micros,
-        /// The reason.
+        /// Why the request was rejected.
         reason: FailureReason,
     },
-    /// The request failed, and may have had an effect.
+    /// The request failed for this reason, and may have had an effect.
     Failed(FailureReason),
 }
 
 /// What a request takes from its tenant's quota when it is first forwarded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// The tenant.
+    /// The tenant whose quota is charged.
     pub tenant: TenantId,
-    /// The number of its plan.
+    /// The number of the tenant's plan in the settings.
     pub plan: u32,
-    /// The number of gatekeepers that its requests come through.
+    /// The number of gatekeepers that the tenant's requests come through.
     pub tenant_gatekeepers: f64,
-    /// Units.
+    /// Cost of the request in units of the quota.
     pub units: f64,
 }
 
-/// Called with the final answer of a request.
+/// The callback that gets the final answer of a request.
 pub type Reply<A> = Box<dyn FnOnce(FinalAnswer<A>) + Send>;
--- a/crates/exchange/src/side_effect.rs
+++ b/crates/exchange/src/side_effect.rs
@@ -1,4 +1,4 @@
-//! What the table asks the exchange to do after it has released the lock.
+//! Side effects: actions that the request table queues under the lock, and that the exchange performs without it.
 
 use crate::fleet_clock::ClockOffset;
 use crate::ports::CounterCall;
@@ -6,15 +6,15 @@
 use policy::Notice;
 use std::collections::VecDeque;
 
-/// One side effect.
+/// An action that the exchange performs after it has released the table's lock.
 pub(crate) enum SideEffect<Q, A> {
     /// Starts an attempt.
     Start(Attempt<Q>),
     /// Cancels an attempt.
     Cancel(AttemptId),
-    /// Cancels an attempt of an answered request if nothing of it has been written.
+    /// Cancels an attempt of an answered request unless it has been written completely.
     Withdraw(AttemptId),
-    /// Ends an attempt that has not been written completely.
+    /// Ends an attempt that is too late to be written, unless it has been written completely.
     EndUnwritten(AttemptId),
     /// Gives a request its final answer.
     Answer(Reply<A>, FinalAnswer<A>),
@@ -26,7 +26,7 @@
     LogClockOffset(ClockOffset),
 }
 
-/// The side effects that wait to be performed, in order. At most one caller drains the queue at a time.
+/// The queue of side effects that are to be performed, in order. Only one caller drains it at a time.
 pub(crate) struct SideEffects<Q, A> {
     queue: VecDeque<SideEffect<Q, A>>,
     is_draining: bool,
@@ -43,12 +43,12 @@
         self.queue.push_back(side_effect);
     }
 
-    /// Makes the caller the one that drains the queue. Returns false if another caller drains it already.
+    /// Makes the caller the one that drains the queue. Returns false if another caller is already draining it.
     pub(crate) fn start_draining(&mut self) -> bool {
         !std::mem::replace(&mut self.is_draining, true)
     }
 
-    /// Takes the next side effect. Draining ends when there is none.
+    /// Removes and returns the next side effect. If there is none, draining has ended, and another caller may start it.
     pub(crate) fn next(&mut self) -> Option<SideEffect<Q, A>> {
         let next = self.queue.pop_front();
         self.is_draining = next.is_some();
--- a/crates/exchange/src/stream.rs
+++ b/crates/exchange/src/stream.rs
@@ -1,5 +1,5 @@
-//! An answer that is passed on while it arrives: a bounded buffer between a backend's connection and a client connection. No call
-//! blocks; each side is notified when it can continue.
+//! Streamed answers: a bounded buffer between a backend's connection and a client's connection forwards an answer while it
+//! arrives. No call blocks; each side is notified when it can continue.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -7,24 +7,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum bytes of one stream's window.
+/// Maximum size of a stream's window in bytes.
 const MAX_WINDOW: usize = 64 * 1024;
-/// Minimum bytes of one stream's window: a smaller one costs too many reads and writes.
+/// Minimum size of a stream's window in bytes. A smaller one would cost too many reads and writes.
 const MIN_WINDOW: usize = 8 * 1024;
 
-/// Called when the other side has made progress, possibly while the caller holds a lock. It must not block.
+/// The callback that is called when the other side has made progress, possibly under a lock of that side. It must not block.
 pub type Notify = Box<dyn Fn() + Send + Sync>;
 
 /// The body of a served answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All bytes of it.
+    /// The complete body.
     Complete(Vec<u8>),
-    /// The bytes as they arrive.
+    /// A body that is still arriving, read from this stream.
     Stream(StreamReader),
 }
 
-/// The buffer space that all streams of a process share.
+/// The buffer space that the streams of a process share. Each stream's window is an equal share of it, within limits.
 #[derive(Debug)]
 pub struct StreamBudget {
     bytes: usize,
@@ -32,18 +32,18 @@
 }
 
 impl StreamBudget {
-    /// Creates a budget of this many bytes.
+    /// Creates a budget of this many bytes. Many streams may exceed it, since each has a minimum window.
     pub fn new(bytes: usize) -> Arc<Self> {
         Arc::new(Self { bytes, open_streams: AtomicUsize::new(0) })
     }
 
-    /// The window of each stream in bytes.
+    /// The window of each stream in bytes: the maximum that is buffered.
     fn window(&self) -> usize {
         let streams = self.open_streams().max(1);
         (self.bytes / streams).clamp(MIN_WINDOW, MAX_WINDOW)
     }
 
-    /// The number of open streams.
+    /// The number of streams of which at least one end exists.
     pub fn open_streams(&self) -> usize {
         self.open_streams.load(Ordering::Relaxed)
     }
@@ -59,7 +59,7 @@
 #[derive(Default)]
 struct State {
     bytes: Vec<u8>,
-    /// Set once.
+    /// `None` while the writer exists.
     writer_end: Option<WriterEnd>,
     reader_is_gone: bool,
     notify_reader: Option<Arc<dyn Fn() + Send + Sync>>,
@@ -91,10 +91,10 @@
     }
 }
 
-/// The backend's end of a stream. If it is dropped before [`StreamWriter::finish`], the answer is broken.
+/// The backend's end of a stream. If it is dropped without [`StreamWriter::finish`], the reader gets [`ReadResult::Broken`].
 pub struct StreamWriter(Arc<Shared>);
 
-/// The front's end of a stream. If it is dropped, the writer is notified that the rest is not wanted.
+/// The front's end of a stream. If it is dropped, the writer is notified that the rest of the answer is not wanted.
 pub struct StreamReader(Arc<Shared>);
 
 impl std::fmt::Debug for StreamReader {
@@ -106,17 +106,17 @@
 /// The result of a read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// These bytes.
+    /// The next bytes of the answer.
     Bytes(Vec<u8>),
-    /// No bytes have arrived yet.
+    /// No bytes are available now, but more may arrive.
     Pending,
-    /// The answer is complete.
+    /// The answer is complete, and all of it has been read.
     End,
-    /// The answer is not complete, and no more of it arrives.
+    /// The answer ended before it was complete, and all bytes that arrived have been read.
     Broken,
 }
 
-/// Opens a stream. `notify_writer` is called when there is capacity again, and when the reader is dropped.
+/// Opens a stream. `notify_writer` is called when the reader has taken bytes, and when it is dropped.
 pub fn open_stream(budget: &Arc<StreamBudget>, notify_writer: Notify) -> (StreamWriter, StreamReader) {
     budget.open_streams.fetch_add(1, Ordering::Relaxed);
     let shared = Arc::new(Shared { state: Mutex::default(), budget: budget.clone(), notify_writer });
@@ -129,18 +129,18 @@
         self.0.budget.window().saturating_sub(self.0.lock().bytes.len())
     }
 
-    /// Whether the reader was dropped, so that the rest is not wanted.
+    /// Whether the reader was dropped, so that the rest of the answer is not wanted.
     pub fn reader_is_gone(&self) -> bool {
         self.0.lock().reader_is_gone
     }
 
-    /// Appends bytes. The caller must keep to the capacity, which this does not check.
+    /// Appends bytes. They must fit into [`StreamWriter::capacity`], which this does not check.
     pub fn write(&self, bytes: &[u8]) {
         self.0.lock().bytes.extend_from_slice(bytes);
         self.0.notify_reader();
     }
 
-    /// Completes the answer.
+    /// Marks the answer as complete.
     pub fn finish(self) {
         self.0.lock().writer_end = Some(WriterEnd::Finished);
     }
@@ -154,12 +154,12 @@
 }
 
 impl StreamReader {
-    /// Sets the callback for new bytes and for the end of the stream.
+    /// Sets the callback that is called when bytes arrive and when the writer is dropped.
     pub fn notify_with(&self, notify: Notify) {
         self.0.lock().notify_reader = Some(notify.into());
     }
 
-    /// Takes up to `max_bytes` bytes that have arrived.
+    /// Removes and returns up to `max_bytes` bytes that have arrived.
     pub fn read(&self, max_bytes: usize) -> ReadResult {
         let mut state = self.0.lock();
         if state.bytes.is_empty() {
--- a/crates/exchange/src/stream/tests.rs
+++ b/crates/exchange/src/stream/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::sync::mpsc::{Receiver, channel};
 
-/// A callback, and the notifications that it sends.
+/// A callback, and a channel that receives a message for each call of it.
 fn notifications() -> (Notify, Receiver<()>) {
     let (sender, receiver) = channel();
     let notify = move || {
@@ -12,7 +12,7 @@
     (Box::new(notify), receiver)
 }
 
-/// Both ends of a stream.
+/// Both ends of a stream, and the notifications of the writer.
 struct Stream {
     writer: StreamWriter,
     reader: StreamReader,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn bytes_come_out_as_they_went_in_and_then_the_end() {
+fn bytes_are_read_in_the_order_written_and_then_the_end() {
     let budget = StreamBudget::new(1 << 20);
     let Stream { writer, reader, writer_notifications } = open(&budget);
     let (notify, reader_notifications) = notifications();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_dropped_writer_breaks_the_answer_after_its_bytes_and_a_dropped_reader_is_notified() {
+fn a_dropped_writer_breaks_the_answer_after_its_bytes_and_a_dropped_reader_notifies_the_writer() {
     let budget = StreamBudget::new(1 << 20);
     let Stream { writer, reader, writer_notifications } = open(&budget);
     writer.write(b"ab");
@@ -62,12 +62,12 @@
 #[test]
 fn windows_share_the_budget_down_to_the_minimum() {
     let budget = StreamBudget::new(10 * MIN_WINDOW);
-    let one = open(&budget);
-    assert_eq!(one.writer.capacity(), MAX_WINDOW);
-    let many: Vec<_> = (0..4).map(|_| open(&budget)).collect();
-    assert_eq!(one.writer.capacity(), 2 * MIN_WINDOW);
-    let more: Vec<_> = (0..400).map(|_| open(&budget)).collect();
-    assert!(more.iter().all(|stream| stream.writer.capacity() == MIN_WINDOW));
-    drop((many, more));
-    assert_eq!((budget.open_streams(), one.writer.capacity()), (1, MAX_WINDOW));
+    let stream = open(&budget);
+    assert_eq!(stream.writer.capacity(), MAX_WINDOW);
+    let four_more: Vec<_> = (0..4).map(|_| open(&budget)).collect();
+    assert_eq!(stream.writer.capacity(), 2 * MIN_WINDOW);
+    let many_more: Vec<_> = (0..400).map(|_| open(&budget)).collect();
+    assert!(many_more.iter().all(|other| other.writer.capacity() == MIN_WINDOW));
+    drop((four_more, many_more));
+    assert_eq!((budget.open_streams(), stream.writer.capacity()), (1, MAX_WINDOW));
 }
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers, earliest first, and when the thread that runs them wakes.
+//! A queue of timers by expiry, and the scheduling of wake-ups of the timer thread.
 
 use crate::request::AttemptId;
 use policy::{Micros, RequestId, Timestamp};
@@ -8,20 +8,20 @@
 #[cfg(test)]
 mod tests;
 
-/// What a timer is for.
+/// What happens when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// A timer of the policy, with its token.
+    /// The policy gets a timer event with this token.
     Policy(u64),
-    /// The deadline of a request.
+    /// The deadline of a request passes.
     Deadline(RequestId),
-    /// The timeout of an attempt.
+    /// An attempt times out.
     Attempt(AttemptId),
-    /// The latest moment at which an attempt may still be written.
+    /// An attempt that has not been written may not be written any more.
     WriteDeadline(AttemptId),
-    /// The timeout of a counter call.
+    /// A counter call times out.
     CounterCall(u64),
-    /// The next call of the fleet's clock.
+    /// The next counter call of the fleet's clock is due.
     FleetClock,
 }
 
@@ -59,14 +59,14 @@
     }
 }
 
-/// A queue of timers.
+/// A queue of timers, earliest first.
 #[derive(Debug)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<Entry>>,
     last_serial: u64,
     /// Timers that expire within this time of each other may run together.
     tick: Micros,
-    /// When the timer thread wakes by itself.
+    /// The scheduled wake-up of the timer thread; `None` if it was scheduled without a timer, or not yet.
     wakes_at: Option<Timestamp>,
 }
 
@@ -93,20 +93,21 @@
         self.heap.peek().map(|Reverse(entry)| entry.expires_at)
     }
 
-    /// Takes the first timer if it has expired.
+    /// Removes and returns the first timer if it has expired.
     pub(crate) fn pop_expired(&mut self, now: Timestamp) -> Option<Timer> {
         self.next_expiry().filter(|&expires_at| expires_at <= now)?;
         self.heap.pop().map(|Reverse(entry)| entry.timer)
     }
 
-    /// Schedules the next wake-up of the timer thread, at least a tick from now. Returns the time until then, if any timer is set.
+    /// Schedules the next wake-up of the timer thread, at least a tick from now. Returns the time until then, or `None` if no
+    /// timer is set.
     pub(crate) fn schedule_wake_up(&mut self, now: Timestamp) -> Option<Micros> {
         self.wakes_at = self.next_expiry().map(|expires_at| expires_at.max(now + self.tick));
         self.wakes_at.map(|wakes_at| wakes_at - now)
     }
 
-    /// Whether the timer thread must be woken because the first timer expires more than a tick before the scheduled wake-up.
-    /// The wake-up counts as scheduled for that timer from then on.
+    /// Whether the timer thread must be woken because the first timer expires more than a tick before the scheduled wake-up. If
+    /// so, the expiry of that timer becomes the scheduled wake-up, so that the thread is woken only once.
     pub(crate) fn take_early_wake_up(&mut self) -> bool {
         let Some(next) = self.next_expiry() else { return false };
         let is_early = self.wakes_at.is_none_or(|wakes_at| next + self.tick < wakes_at);
