--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -10,20 +10,21 @@
 /// counts that gatekeepers share are derived from the time, so the clocks of all gatekeepers must roughly agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start_time: Timestamp,
-    start: Instant,
+    wall_time_at_start: Timestamp,
+    started_at: Instant,
 }
 
 impl Clock {
     /// Starts a clock from one reading of the wall clock.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        let start_time = Timestamp::from_micros(since_epoch.map_or(0, |since| since.as_micros() as u64));
-        Self { start_time, start: Instant::now() }
+        let wall_time_at_start =
+            Timestamp::from_micros(since_epoch.map_or(0, |since| since.as_micros() as u64));
+        Self { wall_time_at_start, started_at: Instant::now() }
     }
 
     /// The current time. Later adjustments of the wall clock do not affect it.
     pub fn now(&self) -> Timestamp {
-        self.start_time + self.start.elapsed().as_micros() as Micros
+        self.wall_time_at_start + self.started_at.elapsed().as_micros() as Micros
     }
 }
--- a/crates/exchange/src/fleet_clock/pacing.rs
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -13,13 +13,13 @@
 const READ_INTERVAL_PER_GATEKEEPER: Micros = 200_000;
 /// Minimum delay of a read that confirms a stamp. By then a timekeeper that is alive has advanced it.
 const CONFIRMATION_INTERVAL: Micros = 1_200_000;
-/// Maximum jitter of a read that confirms a stamp, in a fleet of fewer than [`GATEKEEPERS_PER_JITTER_GROUP`].
+/// Maximum jitter of a read that confirms a stamp, in a fleet of fewer than [`GATEKEEPERS_PER_JITTER_GROUP`] gatekeepers.
 const CONFIRMATION_JITTER: Micros = 400_000;
-/// Maximum jitter before a counter without a stamp is read again, in a fleet of that size.
+/// Maximum jitter before a counter without a stamp is read again, in a fleet as small.
 const VACANCY_JITTER: Micros = 1_000_000;
-/// Maximum backoff after a failed call or a conflict, in a fleet of that size. The minimum is half of it.
+/// Maximum backoff after a failed call or a conflict, in a fleet as small. The minimum is half of it.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// For each further group of this many gatekeepers, the maximum jitter grows by its value in a small fleet.
+/// The maximum jitter of a small fleet is added once more for each full group of this many gatekeepers.
 const GATEKEEPERS_PER_JITTER_GROUP: u64 = 50;
 
 /// The reason for the delay of the next call.
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// The fleet's clock. Only a gatekeeper that shares tenants' counts with others has one once this is started.
+/// The fleet's clock, for a gatekeeper that shares tenants' counts with others.
 #[derive(Debug)]
 pub(super) struct SharedClock {
     /// Number of gatekeepers that share the counter; 1 without a shared counter.
