--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -13,53 +13,53 @@
 /// Exit code if no majority of the replicas answers.
 const NO_MAJORITY: u8 = 4;
 
-/// An error of the program. The texts are for operators.
+/// An error of the program. Operators read the texts on standard error or in the log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The signal handlers could not be installed.
-    #[error("signals: {0}")]
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The environment names no configuration file.
     #[error("BALANCER_CONFIG names no configuration file")]
     NoConfigFile,
-    /// An environment variable is no valid address.
-    #[error("{variable}: {value:?} is no address and port")]
+    /// An environment variable does not hold an IP address with a port.
+    #[error("{variable}: {value:?} is not an IP address with a port")]
     InvalidAddress {
-        /// The variable's name.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// The variable's value.
+        /// Value of the environment variable.
         value: String,
     },
-    /// An environment variable is no log format.
+    /// An environment variable does not hold the name of a log format.
     #[error("{variable}: {value:?} is neither \"plain\" nor \"json\"")]
     InvalidLogFormat {
-        /// The variable's name.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// The variable's value.
+        /// Value of the environment variable.
         value: String,
     },
     /// A file could not be read.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the configuration, description, key or plan file.
         path: PathBuf,
-        /// The cause.
+        /// Error of opening or reading the file.
         source: io::Error,
     },
-    /// A configuration file is too long.
-    #[error("{}: it is too long, {limit} bytes are allowed", path.display())]
+    /// A configuration file exceeds the maximum size.
+    #[error("{}: the file is longer than the limit of {limit} bytes", path.display())]
     FileTooLong {
-        /// The file.
+        /// Path of the platform's configuration file.
         path: PathBuf,
-        /// The maximum size in bytes.
+        /// Maximum size in bytes.
         limit: u64,
     },
-    /// A configuration is invalid.
+    /// A setting or a plan is invalid.
     #[error("{}: {source}", path.display())]
     Settings {
-        /// The file.
+        /// Path of the configuration file or plan file.
         path: PathBuf,
-        /// The cause.
+        /// Names the invalid setting.
         source: SettingsError,
     },
     /// The policy rejects settings that passed all other checks.
@@ -68,9 +68,9 @@
     /// The policy rejects the settings of a file.
     #[error("{}: {source}", path.display())]
     PolicyOfFile {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// The cause.
+        /// Names the invalid setting.
         source: policy::SettingsError,
     },
     /// An OpenAPI description is invalid.
@@ -79,53 +79,53 @@
     /// A route names a class or service that the configuration does not define.
     #[error("{route} has the {kind} {name:?}, which the file does not define")]
     UndefinedByRoute {
-        /// Description, method and path.
+        /// Description, method and path of the route.
         route: String,
         /// `class` or `service`.
         kind: &'static str,
         /// The undefined name.
         name: String,
     },
-    /// A route takes more units than the burst of a plan, whose tenants' requests would always be rejected.
+    /// A route takes more units than the burst of a plan. All requests of the plan's tenants to it would be rejected.
     #[error("{route} takes {units} units, more than the burst of plan {plan:?}")]
     RouteExceedsBurst {
-        /// Description, method and path.
+        /// Description, method and path of the route.
         route: String,
         /// Units of one request.
         units: f64,
-        /// The plan's name.
+        /// Name of the first plan with a smaller burst.
         plan: String,
     },
-    /// A file lacks a required table.
-    #[error("{}: it has no table [{table}]", path.display())]
+    /// A configuration file lacks a table that the command or the instance requires.
+    #[error("{}: the table [{table}] is missing", path.display())]
     MissingTable {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// The table's name.
+        /// Name of the table, without brackets.
         table: &'static str,
     },
     /// A key file is invalid.
     #[error("{}: {source}", path.display())]
     Keyring {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// The cause.
+        /// What is wrong with the keys. The text never contains a key.
         source: KeyringError,
     },
-    /// An address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// The address for clients or for the status cannot be listened on.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The cause.
+        /// Error of binding the socket.
         source: io::Error,
     },
-    /// The admin address cannot be listened on.
-    #[error("operator {address}: {source}")]
+    /// The admin address cannot be listened on, or the listener's thread cannot be started.
+    #[error("cannot start the admin listener on {address}: {source}")]
     AdminListener {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The cause.
+        /// Error of binding the socket or of starting the thread.
         source: io::Error,
     },
     /// The cluster member could not be started.
@@ -140,75 +140,75 @@
     /// The file with the Consul ACL token is missing or invalid.
     #[error("consul: token_file: {0}")]
     ConsulToken(#[source] consul::TokenError),
-    /// A watch on Consul could not be started.
-    #[error("consul: {0}")]
+    /// No thread could be started for a watch on a Consul service.
+    #[error("cannot start a watch on a Consul service: {0}")]
     ConsulWatch(#[source] io::Error),
-    /// The registration could not be started.
-    #[error("register: {0}")]
+    /// No thread could be started for the registration of this process in Consul.
+    #[error("cannot start the registration in Consul: {0}")]
     Registration(#[source] io::Error),
-    /// Any other error of a system call.
+    /// An I/O error without further context.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection to the predecessor of a hot restart failed.
+    /// The connection to the other process of a hot restart failed, or a message is invalid.
     #[error(transparent)]
     Handover(#[from] handover::Error),
-    /// The predecessor's answer is not its state.
-    #[error("it sent something else")]
+    /// The predecessor replied to the request for its state with another message.
+    #[error("the predecessor replied with another message than its state")]
     UnexpectedMessage,
     /// The predecessor's state came without its listener.
-    #[error("it sent no listener")]
+    #[error("the predecessor sent its state without its listener")]
     NoListener,
-    /// The state of this process could not be collected in time.
-    #[error("its state was not ready in time")]
+    /// The worker did not take the snapshot of the policy in time.
+    #[error("the snapshot of the policy was not ready in time")]
     StateTimeout,
     /// The snapshot of the policy could not be encoded.
     #[error("the snapshot of the policy cannot be encoded: {0}")]
     Snapshot(#[source] postcard::Error),
     /// No route matches a path.
-    #[error("{path}: no route")]
+    #[error("no route matches {path}")]
     NoRoute {
-        /// The path.
+        /// Path of the explained request.
         path: String,
     },
-    /// A path is malformed.
-    #[error("{path}: no path that is served")]
+    /// A path is malformed, or backends may interpret it in different ways.
+    #[error("{path}: the path is invalid")]
     InvalidPath {
-        /// The path.
+        /// Path of the explained request.
         path: String,
     },
-    /// The route does not allow the method.
-    #[error("{path} takes {allowed}")]
+    /// Routes match the path, but none has the method.
+    #[error("{path} allows only {allowed}")]
     WrongMethod {
-        /// The path.
+        /// Path of the explained request.
         path: String,
-        /// The allowed methods.
+        /// Methods of the routes with this path, separated by commas.
         allowed: String,
     },
-    /// The file names no status address.
-    #[error("{}: it names no status address", path.display())]
+    /// The configuration has no status address to ask.
+    #[error("{}: no status address is configured", path.display())]
     NoStatusAddress {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
     },
-    /// The status address does not answer.
-    #[error("{address}: {source}")]
+    /// No gatekeeper answers at the status address.
+    #[error("cannot read the status from {address}: {source}")]
     NoStatus {
-        /// The address.
+        /// The configured status address.
         address: SocketAddr,
-        /// The cause.
+        /// Error of connecting, sending or receiving.
         source: io::Error,
     },
-    /// A log cannot be created for an instance that is no replica.
-    #[error("this instance is no voter")]
+    /// A log cannot be created for an instance that is not a replica.
+    #[error("this instance is not a voter, only a voter has a log")]
     NotAReplica,
     /// A replica answered with an unexpected message.
-    #[error("an answer that is none")]
+    #[error("a replica answered with an unexpected message")]
     UnexpectedAnswer,
-    /// A proposal exceeds the maximum size.
-    #[error("it is too large")]
+    /// The text of a proposal exceeds the maximum size.
+    #[error("the file with the proposed plans is too large")]
     ProposalTooLarge,
-    /// The replicas reject a proposal as invalid.
-    #[error("{0}")]
+    /// The replicas reject a proposal as invalid, for this reason.
+    #[error("the proposed plans are rejected: {0}")]
     ProposalRejected(String),
     /// The version in force is not the expected one.
     #[error("version {version}, by {proposed_by}, is in force; nothing is changed")]
@@ -226,21 +226,21 @@
         /// The user who proposed it.
         proposed_by: String,
     },
-    /// No majority of the replicas answers.
-    #[error("no majority of the voters answers ({last}); nothing is changed, or it is not known whether")]
+    /// No leader with a majority of the replicas answers.
+    #[error("no majority of the voters answers ({last_failure}); whether a proposal was accepted is unknown")]
     NoMajority {
-        /// The failure of the last call.
-        last: String,
+        /// Name of the last replica that was called, and why its answer could not be used.
+        last_failure: String,
     },
 }
 
 impl Error {
-    /// Adds the path to an I/O error. For use with `map_err`.
+    /// Returns the conversion of an I/O error on this file, for `map_err`.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::File { path: path.to_owned(), source }
     }
 
-    /// Adds the path to an error in a configuration. For use with `map_err`.
+    /// Returns the conversion of an invalid setting in this file, for `map_err`.
     pub fn settings(path: &Path) -> impl FnOnce(SettingsError) -> Self {
         move |source| Self::Settings { path: path.to_owned(), source }
     }
--- a/crates/snowfield/src/error/tests.rs
+++ b/crates/snowfield/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The texts that operators read, and the exit codes.
+//! Tests of the error texts and of the exit codes.
 
 use super::*;
 use std::io::ErrorKind;
@@ -7,11 +7,11 @@
     "/etc/snowfield/a.toml".into()
 }
 
-fn refused() -> io::Error {
+fn connection_refused() -> io::Error {
     ErrorKind::ConnectionRefused.into()
 }
 
-/// The text of each of these.
+/// Checks the text of each error.
 fn assert_texts<const N: usize>(errors: [(Error, &str); N]) {
     for (error, text) in errors {
         assert_eq!(error.to_string(), text);
@@ -19,38 +19,41 @@
 }
 
 #[test]
-fn each_error_of_a_file_names_the_file() {
-    let source = || ErrorKind::NotFound.into();
-    let settings = || SettingsError::EmptyList { key: "descriptions" };
-    let source_of_policy = policy::Settings { gatekeepers: 0, ..policy::Settings::default() };
-    let source_of_policy = source_of_policy.validate().expect_err("no gatekeeper");
-    let policy_text = format!("/etc/snowfield/a.toml: {source_of_policy}");
-    assert_eq!(Error::from(source_of_policy.clone()).to_string(), source_of_policy.to_string());
+fn each_file_error_names_the_file() {
+    let not_found = || ErrorKind::NotFound.into();
+    let empty_list = || SettingsError::EmptyList { key: "descriptions" };
+    let policy_error = policy::Settings { gatekeepers: 0, ..policy::Settings::default() };
+    let policy_error = policy_error.validate().expect_err("no gatekeeper");
+    let policy_text = format!("/etc/snowfield/a.toml: {policy_error}");
+    assert_eq!(Error::from(policy_error.clone()).to_string(), policy_error.to_string());
     let keyring = membership::authentication::Keyring::parse("").expect_err("no key");
     assert_texts([
         (Error::NoConfigFile, "BALANCER_CONFIG names no configuration file"),
-        (Error::File { path: path(), source: source() }, "/etc/snowfield/a.toml: entity not found"),
-        (Error::file(&path())(source()), "/etc/snowfield/a.toml: entity not found"),
+        (Error::File { path: path(), source: not_found() }, "/etc/snowfield/a.toml: entity not found"),
+        (Error::file(&path())(not_found()), "/etc/snowfield/a.toml: entity not found"),
         (
             Error::FileTooLong { path: path(), limit: 16 },
-            "/etc/snowfield/a.toml: it is too long, 16 bytes are allowed",
+            "/etc/snowfield/a.toml: the file is longer than the limit of 16 bytes",
         ),
-        (Error::settings(&path())(settings()), "/etc/snowfield/a.toml: descriptions: at least one is needed"),
-        (Error::PolicyOfFile { path: path(), source: source_of_policy }, policy_text.as_str()),
+        (
+            Error::settings(&path())(empty_list()),
+            "/etc/snowfield/a.toml: descriptions: at least one is needed",
+        ),
+        (Error::PolicyOfFile { path: path(), source: policy_error }, policy_text.as_str()),
         (
             Error::MissingTable { path: path(), table: "agreed" },
-            "/etc/snowfield/a.toml: it has no table [agreed]",
+            "/etc/snowfield/a.toml: the table [agreed] is missing",
         ),
         (
             Error::Keyring { path: path(), source: keyring },
             "/etc/snowfield/a.toml: it holds no key: a line of 64 hexadecimal digits is needed",
         ),
-        (Error::NoStatusAddress { path: path() }, "/etc/snowfield/a.toml: it names no status address"),
+        (Error::NoStatusAddress { path: path() }, "/etc/snowfield/a.toml: no status address is configured"),
     ]);
 }
 
 #[test]
-fn each_error_of_a_route_names_the_route() {
+fn each_route_error_names_the_route_or_path() {
     let route = || "loans.json: GET /loans".to_owned();
     assert_texts([
         (
@@ -61,9 +64,12 @@
             Error::RouteExceedsBurst { route: route(), units: 500.0, plan: "basic".into() },
             "loans.json: GET /loans takes 500 units, more than the burst of plan \"basic\"",
         ),
-        (Error::NoRoute { path: "/loans".into() }, "/loans: no route"),
-        (Error::InvalidPath { path: "loans".into() }, "loans: no path that is served"),
-        (Error::WrongMethod { path: "/loans".into(), allowed: "GET, POST".into() }, "/loans takes GET, POST"),
+        (Error::NoRoute { path: "/loans".into() }, "no route matches /loans"),
+        (Error::InvalidPath { path: "loans".into() }, "loans: the path is invalid"),
+        (
+            Error::WrongMethod { path: "/loans".into(), allowed: "GET, POST".into() },
+            "/loans allows only GET, POST",
+        ),
     ]);
     let error = openapi::RouteTable::load(&[openapi::Description { name: "loans.json", text: "[" }]);
     let error = error.expect_err("no description");
@@ -73,26 +79,32 @@
 }
 
 #[test]
-fn each_error_of_the_start_names_the_variable_or_address() {
+fn each_startup_error_names_what_failed() {
     let address = ([127, 0, 0, 1], 9600).into();
     assert_texts([
-        (Error::Signals(refused()), "signals: connection refused"),
+        (Error::Signals(connection_refused()), "cannot install the signal handlers: connection refused"),
         (
             Error::InvalidAddress { variable: "BALANCER_OPERATOR", value: "9600".into() },
-            "BALANCER_OPERATOR: \"9600\" is no address and port",
+            "BALANCER_OPERATOR: \"9600\" is not an IP address with a port",
         ),
         (
             Error::InvalidLogFormat { variable: "SNOWFIELD_LOG", value: "xml".into() },
             "SNOWFIELD_LOG: \"xml\" is neither \"plain\" nor \"json\"",
         ),
-        (Error::Listen { address, source: refused() }, "127.0.0.1:9600: connection refused"),
-        (Error::AdminListener { address, source: refused() }, "operator 127.0.0.1:9600: connection refused"),
         (
-            Error::from(config_node::Error::Listen { address, source: refused() }),
+            Error::Listen { address, source: connection_refused() },
+            "cannot listen on 127.0.0.1:9600: connection refused",
+        ),
+        (
+            Error::AdminListener { address, source: connection_refused() },
+            "cannot start the admin listener on 127.0.0.1:9600: connection refused",
+        ),
+        (
+            Error::from(config_node::Error::Listen { address, source: connection_refused() }),
             "agreed: cannot listen on 127.0.0.1:9600: connection refused",
         ),
         (
-            Error::from(cluster::ClusterError::BindGossip { address, source: refused() }),
+            Error::from(cluster::ClusterError::BindGossip { address, source: connection_refused() }),
             "cluster: gossip on 127.0.0.1:9600: connection refused",
         ),
         (
@@ -103,34 +115,47 @@
             Error::ConsulToken(consul::TokenError::NoToken { path: "token".into() }),
             "consul: token_file: token: it holds no token",
         ),
-        (Error::ConsulWatch(refused()), "consul: connection refused"),
-        (Error::Registration(refused()), "register: connection refused"),
-        (Error::NoStatus { address, source: refused() }, "127.0.0.1:9600: connection refused"),
-        (Error::from(refused()), "connection refused"),
+        (
+            Error::ConsulWatch(connection_refused()),
+            "cannot start a watch on a Consul service: connection refused",
+        ),
+        (
+            Error::Registration(connection_refused()),
+            "cannot start the registration in Consul: connection refused",
+        ),
+        (
+            Error::NoStatus { address, source: connection_refused() },
+            "cannot read the status from 127.0.0.1:9600: connection refused",
+        ),
+        (Error::from(connection_refused()), "connection refused"),
     ]);
 }
 
 #[test]
-fn each_error_of_a_hot_restart_says_what_the_other_process_did() {
-    let encoding = postcard::Error::SerializeBufferFull;
-    let encoding_text = format!("the snapshot of the policy cannot be encoded: {encoding}");
+fn each_hot_restart_error_says_what_failed() {
+    let encoding_error = postcard::Error::SerializeBufferFull;
+    let encoding_text = format!("the snapshot of the policy cannot be encoded: {encoding_error}");
     assert_texts([
-        (Error::from(handover::Error::Io(refused())), "connection refused"),
-        (Error::UnexpectedMessage, "it sent something else"),
-        (Error::NoListener, "it sent no listener"),
-        (Error::StateTimeout, "its state was not ready in time"),
-        (Error::Snapshot(encoding), encoding_text.as_str()),
+        (Error::from(handover::Error::Io(connection_refused())), "connection refused"),
+        (Error::UnexpectedMessage, "the predecessor replied with another message than its state"),
+        (Error::NoListener, "the predecessor sent its state without its listener"),
+        (Error::StateTimeout, "the snapshot of the policy was not ready in time"),
+        (Error::Snapshot(encoding_error), encoding_text.as_str()),
     ]);
 }
 
 #[test]
-fn each_outcome_of_the_settings_command_has_its_text_and_exit_code() {
+fn each_settings_command_error_has_its_text_and_exit_code() {
     let proposed_by = || "staff".to_owned();
     for (error, text, exit_code) in [
-        (Error::NotAReplica, "this instance is no voter", 1),
-        (Error::UnexpectedAnswer, "an answer that is none", 1),
-        (Error::ProposalTooLarge, "it is too large", 1),
-        (Error::ProposalRejected("plan \"gold\"".into()), "plan \"gold\"", 1),
+        (Error::NotAReplica, "this instance is not a voter, only a voter has a log", 1),
+        (Error::UnexpectedAnswer, "a replica answered with an unexpected message", 1),
+        (Error::ProposalTooLarge, "the file with the proposed plans is too large", 1),
+        (
+            Error::ProposalRejected("plan \"gold\"".into()),
+            "the proposed plans are rejected: plan \"gold\"",
+            1,
+        ),
         (
             Error::VersionConflict { version: 3, proposed_by: proposed_by() },
             "version 3, by staff, is in force; nothing is changed",
@@ -142,8 +167,8 @@
             3,
         ),
         (
-            Error::NoMajority { last: "m1 does not lead".into() },
-            "no majority of the voters answers (m1 does not lead); nothing is changed, or it is not known whether",
+            Error::NoMajority { last_failure: "m1 is not the leader".into() },
+            "no majority of the voters answers (m1 is not the leader); whether a proposal was accepted is unknown",
             4,
         ),
     ] {
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -1,4 +1,4 @@
-//! A client of the replicas of the configuration.
+//! A client of the replicas that agree on the plans.
 
 use crate::cluster_settings::keyring;
 use crate::error::Error;
@@ -17,10 +17,10 @@
 const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before all replicas are tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The proposer's name if the environment has none.
+/// Name of the proposer if the environment variable `USER` is not set.
 const UNKNOWN_USER: &str = "somebody";
 
-/// The replicas, with the keys for authenticating messages.
+/// The addresses of the replicas, with the keys that authenticate messages to and from them.
 pub(super) struct Replicas<'a> {
     replicas: &'a [ReplicaConfig],
     keys: Keyring,
@@ -52,7 +52,7 @@
     ) -> Result<ProposalOutcome, Error> {
         let proposed_by = std::env::var("USER").unwrap_or_else(|_| UNKNOWN_USER.into());
         // Retries have the same id, so that a proposal whose answer was lost is accepted once only.
-        let id = ProposalId(unique_number());
+        let id = ProposalId(unique_id());
         let expected_version = expected_version.map(ConfigVersion);
         let message = Message::Propose(Proposal { id, proposed_by, expected_version, text });
         let is_answer =
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Reads the version in force and the proposed one.
+    /// Reads the version in force, and the one that is proposed, if any.
     ///
     /// # Errors
     ///
     /// No leader answers in time.
     pub(super) fn versions(&self) -> Result<VersionTexts, Error> {
-        let id = RequestId(unique_number());
+        let id = RequestId(unique_id());
         let request = Message::LeaseRequest(LeaseRequest {
             client: format!("console-{id}"),
             id,
@@ -86,29 +86,29 @@
     /// Sends a message to one replica after the other until the leader answers.
     fn call_leader(&self, message: &Message, is_answer: impl Fn(&Message) -> bool) -> Result<Message, Error> {
         let deadline = Instant::now() + CALL_TIMEOUT;
-        let mut last = String::new();
+        let mut last_failure = String::new();
         while Instant::now() < deadline {
             for replica in self.replicas {
                 let is_reply = |reply: &Message| is_answer(reply) || is_redirect(reply);
                 match config_node::call(replica.address, &self.keys, message, REPLICA_TIMEOUT, is_reply) {
                     Ok(answer) if is_answer(&answer) => return Ok(answer),
-                    Ok(_) => last = format!("{} does not lead", replica.name),
-                    Err(error) => last = format!("{}: {error}", replica.name),
+                    Ok(_) => last_failure = format!("{} is not the leader", replica.name),
+                    Err(error) => last_failure = format!("{}: {error}", replica.name),
                 }
             }
             std::thread::sleep(RETRY_DELAY);
         }
-        Err(Error::NoMajority { last })
+        Err(Error::NoMajority { last_failure })
     }
 }
 
-/// Whether a message is the answer of a replica that is not the leader.
+/// Whether this is the answer of a replica that is not the leader.
 fn is_redirect(answer: &Message) -> bool {
     matches!(answer, Message::RedirectLeaseRequest { .. } | Message::RedirectProposal { .. })
 }
 
-/// A number that is unlikely to be used by any other call: it mixes the time with the process id.
-fn unique_number() -> u64 {
+/// Returns an id that no other call is likely to use. It combines the time with the process id.
+fn unique_id() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     now ^ u64::from(std::process::id()).rotate_left(40)
 }
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -220,7 +220,7 @@
     let taken = admin.to_string();
     for (file, admin_address, text_part) in [
         (bad.as_str(), "127.0.0.1:0", "bad.json"),
-        (good.to_str().expect("a path"), taken.as_str(), "operator"),
+        (good.to_str().expect("a path"), taken.as_str(), "admin listener"),
     ] {
         let (done, text) = run(
             &[],
