--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -14,12 +14,12 @@
 /// Limit on connected clients, each with a descriptor and a thread. At the limit a new client evicts the oldest one that has sent
 /// no complete line.
 pub const MAX_CLIENTS: usize = 12;
-/// Time-out for a client's line. Some operators' tools connect and complete no command for 4 s.
+/// Time-out for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time-out for sending a reply. A reply fits into the socket's buffer unless the client does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection, and
-/// the reply could be lost.
+/// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection,
+/// and the reply could be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause after `accept` has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
@@ -53,7 +53,7 @@
     Invalid(#[from] CommandError),
 }
 
-/// Executes commands.
+/// Executes the commands of operators.
 pub trait AdminHandler: Send + Sync + 'static {
     /// Checks whether this process accepts clients.
     ///
@@ -63,7 +63,7 @@
     fn check_ready(&self) -> Result<(), AdminError>;
     /// Collects the metrics.
     fn metrics(&self) -> Metrics;
-    /// Ejects or restores a backend. After an ejection has returned, no new attempt is sent to the backend.
+    /// Ejects or restores a backend. Once a call that ejects has returned, no new attempt is sent to the backend.
     ///
     /// # Errors
     ///
@@ -126,7 +126,7 @@
 
 /// A running admin listener.
 pub struct AdminListener {
-    /// The address that it listens on.
+    /// The bound address. The system assigns its port if the configured port is 0.
     pub address: SocketAddr,
     clients: ClientCounter,
 }
@@ -140,13 +140,13 @@
     pub fn start(address: SocketAddr, handler: Arc<impl AdminHandler>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let clients = ClientCounter::default();
-        let started = Self { address: listener.local_addr()?, clients: clients.clone() };
+        let admin_listener = Self { address: listener.local_addr()?, clients: clients.clone() };
         let thread = thread::Builder::new().name("operators".into()).stack_size(STACK_BYTES);
         thread.spawn(move || accept_clients(&listener, &handler, &clients))?;
-        Ok(started)
+        Ok(admin_listener)
     }
 
-    /// Number of connected clients.
+    /// Number of connected clients, each of which uses a file descriptor.
     pub fn client_count(&self) -> usize {
         self.clients.count()
     }
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -21,12 +21,12 @@
     Ending,
 }
 
-/// Names of all classes and plans since the start, by number.
+/// Names of all classes and plans since the start of the process. The numbers of removed ones are not reused.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
-    /// Names of the classes.
+pub struct PolicyNames {
+    /// Names of the classes; the index is the class number.
     pub classes: Vec<String>,
-    /// Names of the plans.
+    /// Names of the plans; the index is the plan number.
     pub plans: Vec<String>,
 }
 
@@ -35,7 +35,7 @@
     exchange: Arc<RespExchange>,
     pools: Arc<BackendPools<RespProtocol>>,
     ejections: Arc<OperatorEjections>,
-    names: Mutex<Names>,
+    names: Mutex<PolicyNames>,
     phase: Mutex<Phase>,
     reloads: AtomicU64,
     reload_errors: AtomicU64,
@@ -47,7 +47,7 @@
         exchange: Arc<RespExchange>,
         pools: Arc<BackendPools<RespProtocol>>,
         ejections: Arc<OperatorEjections>,
-        names: Names,
+        names: PolicyNames,
     ) -> Self {
         Self {
             exchange,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Sets the names of the classes and plans.
-    pub fn set_names(&self, names: Names) {
+    /// Replaces the names of the classes and plans, after a reload.
+    pub fn set_names(&self, names: PolicyNames) {
         *locked(&self.names) = names;
     }
 
-    /// Names of the classes and plans.
-    pub fn names(&self) -> Names {
+    /// Returns the names of the classes and plans.
+    pub fn names(&self) -> PolicyNames {
         locked(&self.names).clone()
     }
 
@@ -85,7 +85,7 @@
         *locked(&self.phase) = Phase::Ending;
     }
 
-    /// Counts a reload of the configuration.
+    /// Counts a reload of the configuration as accepted or as failed.
     pub fn count_reload(&self, accepted: bool) {
         let count = if accepted { &self.reloads } else { &self.reload_errors };
         count.fetch_add(1, Ordering::Relaxed);
@@ -136,7 +136,7 @@
     }
 
     fn change_ejection(&self, id: &str, change: EjectionChange) -> Result<(), AdminError> {
-        if self.ejections.change(id, change) { Ok(()) } else { Err(AdminError::UnknownBackend) }
+        if self.ejections.change_ejection(id, change) { Ok(()) } else { Err(AdminError::UnknownBackend) }
     }
 }
 
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -1,5 +1,5 @@
-//! Ids of the platform's backends: their numbers, the translation of endpoint lists into the types of the policy and the pools,
-//! and the backends that operators have ejected.
+//! Ids of the platform's backends: their numbers in this process, the translation of endpoint lists into the types of the policy
+//! and the pools, and the backends that operators have ejected.
 
 use destination::BackendEndpoint;
 use handover::BackendNumber;
@@ -11,12 +11,12 @@
 
 /// Limit on ejected backends. Each stays ejected until an operator restores it.
 const MAX_EJECTED: usize = 4096;
-/// Numbers of backends start here.
+/// Number of the first backend.
 const FIRST_NUMBER: u32 = 1;
 /// Address of a removed backend whose entry has none. No attempt is sent to it.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// An operator's change of a backend.
+/// What an operator changes about a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionChange {
     /// Send no new attempt to the backend.
@@ -25,20 +25,20 @@
     Restore,
 }
 
-/// Whether an ejection applies to an id that this process has neither listed nor ejected.
+/// How a change is handled for an id that this process has neither listed nor ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownId {
-    /// It does not: the operator may have mistyped the id.
+    /// The change is rejected: the operator may have mistyped the id.
     Reject,
-    /// It does: another process has the backend.
+    /// The id gets a number and the change applies: another process has the backend.
     Register,
 }
 
-/// An endpoint list in the types of the policy and of the connection pools.
+/// The valid entries of an endpoint list, in the types of the policy and of the connection pools.
 pub struct TranslatedList {
-    /// The policy's entries.
+    /// The entries for the policy.
     pub entries: Vec<BackendEntry>,
-    /// The pools' endpoints.
+    /// The entries for the connection pools, in the same order.
     pub endpoints: Vec<BackendEndpoint>,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl EndpointIds {
-    /// Starts with the zones and machine types of the configuration.
+    /// Starts with the zones and machine types of the configuration, and no id.
     pub fn new(config: &PlatformConfig) -> Self {
         let (zones, machine_types) = (config.zones.clone(), config.machine_types.clone());
         Self { zones, machine_types, ..Self::default() }
@@ -166,7 +166,7 @@
     }
 }
 
-/// The address of an entry; `None` if it is invalid. A removed backend needs none.
+/// Returns the address of an entry. `None` if it is invalid and the backend is not removed; a removed backend needs no address.
 fn backend_address(endpoint: &Endpoint, state: BackendState) -> Option<SocketAddr> {
     match endpoint.address.parse() {
         Ok(address) => Some(address),
@@ -182,7 +182,7 @@
     }
 }
 
-/// The index of a name in a list. A new name is appended.
+/// Returns the index of a name in a list. A new name is appended first.
 fn index_or_push(names: &mut Vec<String>, name: String) -> usize {
     names.iter().position(|known| *known == name).unwrap_or_else(|| {
         names.push(name);
--- a/crates/snowfield/src/endpoint_ids/tests.rs
+++ b/crates/snowfield/src/endpoint_ids/tests.rs
@@ -1,4 +1,4 @@
-//! Which changes of operators apply, and the limit on ejected backends.
+//! Tests of the changes that apply to listed, unlisted and unknown ids, and of the limit on ejected backends.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_ejection_applies_to_listed_backends_and_to_those_of_another_process() {
+fn an_ejection_applies_to_listed_backends_and_to_backends_of_another_process() {
     let mut ids = ids_with_listed("s-0");
     let mut eject = |id, unknown_id| ids.change_ejection(id, EjectionChange::Eject, unknown_id);
     assert_eq!(eject("s-0", UnknownId::Reject), Some(BackendId(1)));
@@ -22,7 +22,7 @@
 #[test]
 fn an_ejected_backend_that_left_the_list_can_be_restored_once() {
     let mut ids = ids_with_listed("s-0");
-    ids.change_ejection("s-0", EjectionChange::Eject, UnknownId::Reject).expect("it is listed");
+    ids.change_ejection("s-0", EjectionChange::Eject, UnknownId::Reject).expect("the backend is listed");
     ids.listed.clear();
     let mut restore = || ids.change_ejection("s-0", EjectionChange::Restore, UnknownId::Reject);
     assert_eq!(restore(), Some(BackendId(1)));
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -19,7 +19,7 @@
 /// Time-out for a call to the other process. An operator waits for up to 1 s in all.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Applies operators' ejections.
+/// Applies the ejections and restorations of operators.
 pub struct OperatorEjections {
     exchange: Arc<RespExchange>,
     pools: Arc<BackendPools<RespProtocol>>,
@@ -31,7 +31,7 @@
 }
 
 impl OperatorEjections {
-    /// Starts without any ejection. They are stored in `directory`, or not at all.
+    /// Starts without any ejection. Ejections are stored in `directory`; with `None` they are not stored.
     pub fn new(
         exchange: Arc<RespExchange>,
         pools: Arc<BackendPools<RespProtocol>>,
@@ -43,7 +43,7 @@
         Self { exchange, pools, endpoint_ids, store, peer, pending_calls }
     }
 
-    /// Ejects the backends that an earlier process stored. A damaged file is logged and ignored.
+    /// Ejects the backends in the file that an earlier process wrote. A damaged file is logged and ignored.
     pub fn restore(&self) {
         let Some(store) = &self.store else { return };
         match store.read() {
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Ejects the backends that an earlier process has ejected.
+    /// Ejects the backends with these ids, which an earlier process has ejected.
     pub fn adopt(&self, ids: &[String]) {
         for id in ids {
             self.apply(id, EjectionChange::Eject, UnknownId::Register);
         }
     }
 
-    /// Whether a change is not stored yet.
+    /// Whether the file lacks a change that is in force.
     pub fn is_store_pending(&self) -> bool {
         self.store.as_ref().is_some_and(EjectionsStore::is_pending)
     }
@@ -77,7 +77,7 @@
                 let change = if ejected { EjectionChange::Eject } else { EjectionChange::Restore };
                 let unknown_id = if known { UnknownId::Register } else { UnknownId::Reject };
                 let applied = self.apply(&id, change, unknown_id);
-                // Fails if the other process has ended and waits for no reply.
+                // Fails if the other process has ended.
                 let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
             Message::EjectionApplied { call, applied } => locked(&self.pending_calls).complete(call, applied),
@@ -85,20 +85,22 @@
         }
     }
 
-    /// Applies an operator's change in this process and in the other process of a hot restart. Returns whether one of them has the
-    /// backend.
-    pub fn change(&self, id: &str, change: EjectionChange) -> bool {
+    /// Applies an operator's change in this process and in the other process of a hot restart. Returns whether one of them has
+    /// the backend.
+    pub fn change_ejection(&self, id: &str, change: EjectionChange) -> bool {
         let known_here = self.apply(id, change, UnknownId::Reject);
         let peer = locked(&self.peer).clone();
         let known_to_peer = peer.is_some_and(|peer| self.forward(&peer, id, change, known_here));
-        // The endpoint lists of two processes may differ for a moment: a backend that one of them has binds both.
+        // The endpoint lists of the two processes may differ for a short time. A change of a backend that one process has applies
+        // in both.
         if known_to_peer && !known_here {
             self.apply(id, change, UnknownId::Register);
         }
         known_here || known_to_peer
     }
 
-    /// Has the other process apply a change, and returns whether it has. `known_here` tells it that this process has the backend.
+    /// Sends a change to the other process, and returns whether that process has applied it. `known_here` says that this process
+    /// has the backend.
     fn forward(&self, peer: &Peer, id: &str, change: EjectionChange, known_here: bool) -> bool {
         let PendingCall { call, reply } = locked(&self.pending_calls).start();
         let ejected = change == EjectionChange::Eject;
@@ -108,14 +110,14 @@
         applied
     }
 
-    /// Applies a change in this process. Returns whether the change applies to this id.
+    /// Applies a change in this process. Returns whether it was applied; see [`EndpointIds::change_ejection`].
     fn apply(&self, id: &str, change: EjectionChange, unknown_id: UnknownId) -> bool {
-        // Locked throughout, so that two changes of one backend are applied in the same order everywhere.
+        // Locked until the end, so that the pools, the policy and the file get two changes of one backend in the same order.
         let mut endpoint_ids = locked(&self.endpoint_ids);
         let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else { return false };
         let ejected = change == EjectionChange::Eject;
-        // The pools come first: they reject attempts that the policy decided on before an ejection, and accept attempts before the
-        // policy decides on the first one after a restoration.
+        // The pools come first: they reject attempts that the policy decided on before an ejection, and they accept attempts
+        // before the policy decides on the first one after a restoration.
         self.pools.set_operator_ejection(backend, ejected);
         self.exchange.set_operator_ejection(backend, ejected);
         if let Some(store) = &self.store {
--- a/crates/snowfield/src/operator_ejections/file.rs
+++ b/crates/snowfield/src/operator_ejections/file.rs
@@ -1,11 +1,11 @@
-//! The file format of the backends that operators have ejected. A process that starts without a predecessor reads the file.
+//! The file with the ids of the backends that operators have ejected. A process that starts without a predecessor reads it.
 
 use std::fs;
 use std::io::{self, ErrorKind, Read};
 use std::path::{Path, PathBuf};
 
 const FILE_NAME: &str = "snowfield.held";
-/// Format name and version. The first line has it before the number of ids; each further line has an id.
+/// Name and version of the format. The first line consists of them and the number of ids; each further line is an id.
 const FORMAT: &str = "snowfield held 1";
 /// Maximum size of the file in bytes. The rest of a longer file is not read.
 const MAX_FILE_BYTES: u64 = 1 << 20;
@@ -13,19 +13,19 @@
 /// Why the file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EjectionsFileError {
-    /// The file could not be read.
+    /// The file could not be read, or is not UTF-8.
     #[error("{0}")]
     Read(#[from] io::Error),
     /// The file is truncated within its first line.
-    #[error("it has no first line")]
+    #[error("the file has no complete first line")]
     NoFirstLine,
-    /// The file has another format or version.
-    #[error("it is of another form")]
+    /// The file has another format or version, or states no number of ids.
+    #[error("the first line names an unknown format or version")]
     UnknownFormat,
     /// The file is truncated or was altered.
-    #[error("{found} of {expected} ids are there")]
+    #[error("the file is truncated or altered: {found} of {expected} ids")]
     MissingIds {
-        /// Number of ids in the file.
+        /// Number of ids in the file. The last one may be truncated.
         found: usize,
         /// Number of ids that the first line states.
         expected: usize,
--- a/crates/snowfield/src/operator_ejections/pending_calls.rs
+++ b/crates/snowfield/src/operator_ejections/pending_calls.rs
@@ -1,18 +1,18 @@
-//! Calls to the other process of a hot restart that wait for their reply.
+//! The calls to the other process of a hot restart that wait for a reply.
 
 use std::collections::HashMap;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Calls that wait for their reply, by number.
+/// Calls without a reply yet, by call number.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     last_call: u64,
     replies: HashMap<u64, Sender<bool>>,
 }
 
-/// A call to the other process.
+/// A call to the other process that has started.
 pub(super) struct PendingCall {
-    /// The number of the call, which the reply returns.
+    /// Number of the call. The reply has the same number.
     pub(super) call: u64,
     /// Receives whether the other process has applied the change. Disconnected by [`PendingCalls::cancel_all`].
     pub(super) reply: Receiver<bool>,
--- a/crates/snowfield/src/operator_ejections/pending_calls/tests.rs
+++ b/crates/snowfield/src/operator_ejections/pending_calls/tests.rs
@@ -1,4 +1,4 @@
-//! The ends of a call: completed, timed out, or cancelled.
+//! Tests of the ways in which a call ends: completed, timed out, or cancelled.
 
 use super::*;
 use std::sync::mpsc::TryRecvError;
--- a/crates/snowfield/src/operator_ejections/store.rs
+++ b/crates/snowfield/src/operator_ejections/store.rs
@@ -15,7 +15,7 @@
 /// Limit on the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Stores the ids of the ejected backends in a file.
+/// Writes the ids of the ejected backends to a file.
 #[derive(Clone)]
 pub struct EjectionsStore {
     directory: PathBuf,
@@ -44,7 +44,7 @@
         self.is_pending.load(Ordering::Acquire)
     }
 
-    /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock of `endpoint_ids`.
+    /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock on the `endpoint_ids`.
     pub fn store(&self, endpoint_ids: &EndpointIds) {
         let Err(error) = file::write(&self.directory, endpoint_ids.ejected()) else { return };
         tracing::warn!(%error, "ejections file write failed, retrying");
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -2,7 +2,7 @@
 
 use super::config_file::{self, BackendTimeouts};
 use crate::admin_listener::{AdminListener, MAX_CLIENTS};
-use crate::admin_service::{AdminService, Names};
+use crate::admin_service::{AdminService, PolicyNames};
 use crate::endpoint_ids::{EndpointIds, TranslatedList};
 use crate::error::Error;
 use crate::operator_ejections::OperatorEjections;
@@ -43,7 +43,7 @@
 /// A running watch on the endpoint list.
 pub(super) struct StartedWatch {
     pub(super) watch: Arc<Watch>,
-    /// Receives one message, at the first event of the watch.
+    /// Receives a message at the first event of the watch, an endpoint list or a failure.
     pub(super) first_event: Receiver<()>,
 }
 
@@ -81,7 +81,7 @@
         Ok(Self { exchange, pools, counter, endpoint_ids })
     }
 
-    /// Creates the operators' ejections. They are stored in `directory`, or not at all.
+    /// Creates the operators' ejections. They are stored in `directory`; with `None` they are not stored.
     pub(super) fn create_operator_ejections(&self, directory: Option<PathBuf>) -> OperatorEjections {
         let (exchange, pools) = (self.exchange.clone(), self.pools.clone());
         OperatorEjections::new(exchange, pools, self.endpoint_ids.clone(), directory)
@@ -93,7 +93,7 @@
         numbering: &Numbering,
         ejections: Arc<OperatorEjections>,
     ) -> AdminService {
-        let names = Names { classes: numbering.class_names(), plans: numbering.plan_names() };
+        let names = PolicyNames { classes: numbering.class_names(), plans: numbering.plan_names() };
         AdminService::new(self.exchange.clone(), self.pools.clone(), ejections, names)
     }
 
@@ -115,7 +115,7 @@
     /// Starts the watch on the endpoint list.
     pub(super) fn start_watch(&self, config: &PlatformConfig) -> StartedWatch {
         let watch = Watch::new(config.discovery);
-        let (running, pools, exchange, endpoint_ids) =
+        let (running_watch, pools, exchange, endpoint_ids) =
             (watch.clone(), self.pools.clone(), self.exchange.clone(), self.endpoint_ids.clone());
         let (first_event_sender, first_event) = sync_channel(1);
         let revision = config.cached_list.revision;
@@ -123,14 +123,14 @@
             if config.settings.polls_endpoints { AgentMode::Polling } else { AgentMode::Notified };
         let backoff = PollBackoff::new(config.seed, agent_mode);
         spawn_with(link::LARGE_STACK, move || {
-            running.run(revision, backoff, |event| {
+            running_watch.run(revision, backoff, |event| {
                 if let WatchEvent::EndpointList(list) = event {
                     let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
                     let TranslatedList { entries, endpoints } = link::locked(&endpoint_ids).translate(list);
                     pools.update_endpoints(kind, &endpoints);
                     exchange.update_endpoints(kind, entries);
                 }
-                // Fails for all events but the first, for which alone the start waits.
+                // The start waits for the first event only. For a later one this fails if the channel is full or closed.
                 let _ = first_event_sender.try_send(());
             });
         });
@@ -150,12 +150,13 @@
         let pools = self.pools.clone();
         let min_reserved = max_connections / RESERVED_FOR_ATTEMPTS_DIVISOR;
         let client_limit = move || {
-            let for_attempts = pools.open_connections() + min_reserved / RESERVED_FOR_ATTEMPTS_DIVISOR;
-            // A few admin clients find a descriptor at once; more have to wait until a client has released one.
-            let for_admin = admin_listener
+            let reserved_for_attempts =
+                pools.open_connections() + min_reserved / RESERVED_FOR_ATTEMPTS_DIVISOR;
+            // A few admin clients find a descriptor at once. Further ones wait until a client connection has released one.
+            let reserved_for_admin = admin_listener
                 .as_ref()
                 .map_or(0, |listener| (listener.client_count() + SPARE_ADMIN_CLIENTS).min(MAX_CLIENTS));
-            max_connections.saturating_sub(min_reserved.max(for_attempts) + for_admin)
+            max_connections.saturating_sub(min_reserved.max(reserved_for_attempts) + reserved_for_admin)
         };
         Front::new(self.exchange.clone(), rules, config.max_memory_bytes, client_limit)
     }
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -2,7 +2,7 @@
 
 use super::config_file::{self, BackendTimeouts, ConfigFile};
 use super::running::{ConfigInForce, Running};
-use crate::admin_service::Names;
+use crate::admin_service::PolicyNames;
 use crate::error::Error;
 use settings::platform::PlatformConfig;
 use std::path::Path;
@@ -24,9 +24,9 @@
         let load_metrics = settings.load_metrics.clone();
         let policy_error = |source| Error::PolicyOfFile { path: path.to_owned(), source };
         self.exchange.update_settings(settings).map_err(policy_error)?;
-        // The order matters: a class needs its name before the first of its requests can end, and the front accepts its requests
-        // only at the end.
-        self.admin.set_names(Names { classes: numbering.class_names(), plans: numbering.plan_names() });
+        // The order matters: a new class needs its name before the first of its requests ends, and the front accepts its requests
+        // only once it has the new rules.
+        self.admin.set_names(PolicyNames { classes: numbering.class_names(), plans: numbering.plan_names() });
         let timeouts = BackendTimeouts::from_config(&config);
         self.pools.set_timeouts(timeouts.connect, timeouts.idle);
         self.pools.protocol().set_columns(&load_metrics);
@@ -51,7 +51,7 @@
             (None, Some(address)) => {
                 tracing::info!(%address, "quota counter not in use before a restart");
             }
-            // Rejected above: the key set of a new file includes the counter's key.
+            // Without an address there is no client either: a file that lacks the counter's key of the previous one was rejected.
             (_, None) => {}
         }
     }
