--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -1,5 +1,5 @@
 //! Hot restarts: a process takes over from its predecessor at startup and hands over to its successor later. The package
-//! `handover` has the messages, docs/design/operations.md the order of steps.
+//! `handover` defines the messages, and docs/design/operations.md describes the order of the steps.
 
 mod predecessor;
 mod successor;
@@ -15,29 +15,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time-out for the next message of the other process. A successor must be ready within 6 s.
+/// Time-out for the next message of the other process. A successor must be ready to serve within 6 s.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The parts of this process that a hot restart hands over or takes over.
 pub struct HotRestart {
-    /// Has the names of classes and plans.
+    /// Holds the names of classes and plans.
     admin: Arc<AdminService>,
     /// Exchanges ejections with the other process.
     ejections: Arc<OperatorEjections>,
-    /// Has the policy's state.
+    /// Holds the policy, whose state is handed over.
     exchange: Arc<RespExchange>,
-    /// Has the connections to backends.
+    /// Holds the connections to backends.
     pools: Arc<BackendPools<RespProtocol>>,
-    /// Has the backends' numbers and the operators' ejections.
+    /// Holds the backends' numbers and the operators' ejections.
     endpoint_ids: Arc<Mutex<EndpointIds>>,
-    /// Has the client connections.
+    /// Holds the client connections.
     front: Arc<Front>,
-    /// Client connections that have left the front and are not yet sent to the successor.
+    /// Number of client connections that have left the front and are not yet sent to the successor.
     connections_in_transfer: AtomicUsize,
 }
 
 impl HotRestart {
-    /// Creates the hot restart of these parts.
+    /// Creates the hot restart of a process with these parts.
     pub fn new(
         admin: Arc<AdminService>,
         ejections: Arc<OperatorEjections>,
@@ -55,13 +55,13 @@
         self.front.is_handing_over()
     }
 
-    /// Client connections that have left the front and are not yet sent to the successor.
+    /// Number of client connections that have left the front and are not yet sent to the successor.
     pub fn connections_in_transfer(&self) -> usize {
         self.connections_in_transfer.load(Ordering::Acquire)
     }
 }
 
-/// For each of `names` its index in `other`.
-fn numbers_in(names: &[String], other: &[String]) -> Vec<Option<usize>> {
+/// Returns the index of each of `names` in `other`; `None` for a name that is not in it.
+fn indices_in(names: &[String], other: &[String]) -> Vec<Option<usize>> {
     names.iter().map(|name| other.iter().position(|known| known == name)).collect()
 }
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -19,21 +19,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// Pause after `accept` has failed on the upgrade socket.
+/// Pause before the upgrade socket accepts again after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_secs(3);
-/// Time-out for a successor's request for the state, after its first message.
+/// Time-out from a successor's first message to its request for the state.
 const STATE_REQUEST_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
 
 /// A hand-over that a successor has requested.
 struct HandOver {
-    /// Receives the end of the successor's admission journal, if it came with the request.
+    /// Receives how the successor's admission journal has ended. `None` if the request came without a journal.
     journal: Option<Receiver<JournalEnd>>,
 }
 
-/// A client connection on its way to the successor.
+/// A client connection that is to be sent to the successor.
 struct ConnectionTransfer {
     socket: TcpStream,
-    /// Bytes that were read of a request that is not complete yet.
+    /// The bytes read so far of an incomplete request.
     partial_request: Vec<u8>,
 }
 
@@ -107,20 +107,20 @@
         }
     }
 
-    /// Starts mirroring the admissions of a successor, so that the token buckets here stay equal to the successor's. The receiver
-    /// gets the end of the journal.
+    /// Starts mirroring the admissions of a successor, so that the token buckets of this process stay equal to the
+    /// successor's. The receiver gets how the journal has ended.
     fn mirror_journal(self: &Arc<Self>, reader: OwnedFd) -> Receiver<JournalEnd> {
         let (sender, end) = channel();
         let restart = self.clone();
         thread::spawn(move || {
-            let journal_end = read_journal(reader, |admission| restart.mirror(admission));
+            let journal_end = read_journal(reader, |admission| restart.mirror_admission(admission));
             // Fails if the receiver has timed out, or was dropped in a shutdown.
             let _ = sender.send(journal_end);
         });
         end
     }
 
-    fn mirror(&self, admission: Admission) {
+    fn mirror_admission(&self, admission: Admission) {
         self.exchange.mirror_admission(exchange::Admission {
             tenant: TenantId(admission.tenant),
             plan: admission.plan,
@@ -133,13 +133,13 @@
     fn hand_over(self: &Arc<Self>, peer: &Arc<Peer>, listener: &Arc<Listener>) -> Result<(), Error> {
         let (sender, connections) = channel();
         let restart = self.clone();
-        let pass_on: Arc<HandOverConnection> = Arc::new(move |socket, partial_request| {
+        let send_to_successor: Arc<HandOverConnection> = Arc::new(move |socket, partial_request| {
             restart.connections_in_transfer.fetch_add(1, Ordering::AcqRel);
             if sender.send(ConnectionTransfer { socket, partial_request }).is_err() {
                 restart.connections_in_transfer.fetch_sub(1, Ordering::AcqRel);
             }
         });
-        let snapshot = self.freeze(pass_on, listener)?;
+        let snapshot = self.freeze(send_to_successor, listener)?;
         peer.send(&self.state_message(&snapshot)?, Some(listener.descriptor()))?;
         self.pools.set_retired(true);
         tracing::info!("successor serves, draining");
@@ -150,16 +150,16 @@
     /// Stops accepting connections and reading requests, and takes the policy's snapshot.
     fn freeze(
         self: &Arc<Self>,
-        pass_on: Arc<HandOverConnection>,
+        send_to_successor: Arc<HandOverConnection>,
         listener: &Arc<Listener>,
     ) -> Result<PolicySnapshot, Error> {
         let (sender, snapshot) = channel();
         let (restart, listener) = (self.clone(), listener.clone());
-        // On the worker thread, where it runs between two steps of any client connection: no request is admitted after the
-        // snapshot.
+        // This runs on the worker thread, never in the middle of a step of a client connection, so that no request is admitted
+        // after the snapshot.
         spawn_with(link::LARGE_STACK, move || {
             listener.set_paused(true);
-            restart.front.hand_over_connections(pass_on);
+            restart.front.hand_over_connections(send_to_successor);
             // Fails if the receiver has timed out.
             let _ = sender.send(restart.exchange.hand_over());
         });
@@ -195,12 +195,12 @@
 
     /// Resumes service after the successor has ended.
     fn resume(&self, journal: Option<Receiver<JournalEnd>>, listener: &Listener) {
-        // Once the successor's process has ended, all its entries can be read. One that only closed its connection may still admit
-        // requests: then the end of the journal does not come in time.
+        // Once the successor's process has ended, all entries of its journal can be read. A successor that has only closed its
+        // connection may still admit requests, and its journal does not end in time.
         let journal_end = journal.and_then(|end| end.recv_timeout(JOURNAL_DRAIN_TIMEOUT).ok());
-        let knows_all = journal_end == Some(JournalEnd::Complete);
-        tracing::warn!(token_buckets_kept = knows_all, "successor exited, serving resumed");
-        self.exchange.resume(knows_all);
+        let journal_is_complete = journal_end == Some(JournalEnd::Complete);
+        tracing::warn!(token_buckets_kept = journal_is_complete, "successor exited, serving resumed");
+        self.exchange.resume(journal_is_complete);
         self.pools.set_retired(false);
         self.front.resume();
         listener.set_paused(false);
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -1,6 +1,6 @@
 //! This process as the successor: taking over the listener, the state and the client connections of the predecessor.
 
-use super::{HotRestart, MESSAGE_TIMEOUT, numbers_in};
+use super::{HotRestart, MESSAGE_TIMEOUT, indices_in};
 use crate::error::Error;
 use exchange::{BackendId, PolicySnapshot};
 use handover::{Admission, AdmissionJournal, BackendNumber, Message, PROTOCOL_VERSION, Peer};
@@ -14,13 +14,13 @@
 
 /// A process that has handed over to this one.
 pub struct Predecessor {
-    /// The listener for clients.
+    /// The listener for clients, inherited from that process.
     pub listener: Listener,
-    /// The connection to the process.
+    /// The connection over which that process sends its client connections.
     pub peer: Arc<Peer>,
 }
 
-/// A predecessor's [`Message::State`] with the listener that comes with it.
+/// The content of a predecessor's [`Message::State`], with the listener that comes with the message.
 struct PredecessorState {
     listener: Listener,
     policy_snapshot: Vec<u8>,
@@ -31,8 +31,8 @@
 }
 
 impl HotRestart {
-    /// Takes over from the process that serves with this directory. From then on the predecessor admits no request. `None` without
-    /// such a process, or if it does not hand over.
+    /// Takes over from the process whose upgrade socket is in this directory. From then on the predecessor admits no request.
+    /// `None` without such a process, or if it does not hand over.
     pub fn take_over(&self, directory: &Path) -> Option<Predecessor> {
         let peer = self.connect_to_predecessor(directory)?;
         match self.request_and_apply_state(&peer) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Connects to the process that serves with this directory. `None` without such a process.
+    /// Connects to the process whose upgrade socket is in this directory. `None` without such a process.
     fn connect_to_predecessor(&self, directory: &Path) -> Option<Arc<Peer>> {
         let peer = Arc::new(Peer::connect(directory).ok()?);
         peer.send(&Message::Hello { version: PROTOCOL_VERSION }, None).ok()?;
@@ -60,7 +60,8 @@
         let (message, descriptor) = self.receive_state(predecessor)?;
         let state = PredecessorState::from_message(message, descriptor)?;
         self.ejections.adopt(&state.ejected);
-        // Before the snapshot is decoded, which may fail: a journal that ends without entries says that nothing was admitted.
+        // The journal starts before the snapshot is decoded, which may fail: without entries it would tell the predecessor that
+        // nothing was admitted.
         self.write_journal(journal, &state.plans);
         self.apply_snapshot(&state);
         Ok(state.listener)
@@ -80,7 +81,7 @@
 
     /// Starts journaling each admission before its request is forwarded, with the predecessor's number of the plan.
     fn write_journal(&self, journal: AdmissionJournal, predecessor_plans: &[String]) {
-        let plan_numbers = numbers_in(&self.admin.names().plans, predecessor_plans);
+        let plan_numbers = indices_in(&self.admin.names().plans, predecessor_plans);
         self.exchange.set_admission_listener(Some(Box::new(move |admission: exchange::Admission| {
             // The predecessor has no quota, and so no token bucket, for a plan that it does not know.
             if let Some(plan) = plan_numbers.get(admission.plan as usize).copied().flatten() {
@@ -94,7 +95,7 @@
         })));
     }
 
-    /// Replaces the policy's state by the predecessor's snapshot. One that cannot be decoded is ignored.
+    /// Replaces the policy's state by the predecessor's snapshot. A snapshot that cannot be decoded is logged and ignored.
     fn apply_snapshot(&self, state: &PredecessorState) {
         let snapshot: PolicySnapshot = match postcard::from_bytes(&state.policy_snapshot) {
             Ok(snapshot) => snapshot,
@@ -104,8 +105,8 @@
             }
         };
         let names = self.admin.names();
-        let plans = numbers_in(&state.plans, &names.plans);
-        let classes = numbers_in(&state.classes, &names.classes);
+        let plans = indices_in(&state.plans, &names.plans);
+        let classes = indices_in(&state.classes, &names.classes);
         let backends = self.map_backend_numbers(&state.backends);
         self.exchange.take_over(snapshot.remap(&backends, &plans, &classes));
     }
@@ -113,9 +114,9 @@
     /// Maps the predecessor's backend numbers to this process's. Backends that are unknown here are left out.
     fn map_backend_numbers(&self, predecessor_numbers: &[BackendNumber]) -> HashMap<BackendId, BackendId> {
         let endpoint_ids = locked(&self.endpoint_ids);
-        let number_pair =
+        let numbers_in_both =
             |backend: &BackendNumber| Some((BackendId(backend.number), endpoint_ids.number(&backend.id)?));
-        predecessor_numbers.iter().filter_map(number_pair).collect()
+        predecessor_numbers.iter().filter_map(numbers_in_both).collect()
     }
 
     /// Starts a thread that adopts the client connections of the predecessor until that process ends.
