--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -17,8 +17,8 @@
 ///
 /// A file is missing or invalid, or an address cannot be listened on.
 pub fn serve(path: &Path) -> Result<(), Error> {
-    // First, so that an early SIGHUP does not end the process.
-    let signals = signals::catch()?;
+    // The handlers are installed first, so that an early SIGHUP does not end the process.
+    let signals = signals::install_handlers()?;
     let checked = CheckedConfig::read(path)?;
     log::init(checked.config.log_format)?;
     link::set_up();
@@ -27,7 +27,7 @@
     let cluster_start = ClusterStart::from_config(&checked.config, path)?;
     let running = startup::start(checked, cluster_start, path)?;
     let handler = SignalHandler { running: &running, longest_deadline, path };
-    signals::serve_until_end(signals, &running.listener, &handler);
+    signals::serve_until_shutdown(signals, &running.listener, &handler);
     Ok(())
 }
 
@@ -51,7 +51,7 @@
     }
 
     fn close_connections(&self) {
-        // Before the front drains, so that other instances take over meanwhile.
+        // The instance leaves before the front drains, so that other instances take over meanwhile.
         if let Some(registration) = &self.running.registration {
             registration.deregister();
         }
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -43,7 +43,7 @@
     exchange: Arc<HttpExchange>,
     pools: Arc<BackendPools<HttpProtocol>>,
     counter: Option<Arc<CounterClient>>,
-    /// The moment of each backend's last answer to a client.
+    /// The time of each backend's last answer to a client.
     last_answers: Arc<LastAnswers>,
 }
 
@@ -80,8 +80,8 @@
     }
     tracing::info!("serving OpenAPI on {}", listener.local_address()?);
     backends.start_watches().map_err(Error::ConsulWatch)?;
-    let (accepting, accepts_from) = (front.clone(), listener.clone());
-    spawn(move || accepting.accept_connections(&accepts_from));
+    let (accepting_front, client_listener) = (front.clone(), listener.clone());
+    spawn(move || accepting_front.accept_connections(&client_listener));
     let registration = config.registration.as_ref();
     let registration =
         registration.map(|table| consul_watches::register(table, &config, path)).transpose()?;
@@ -110,7 +110,7 @@
 }
 
 /// Limit on connections to clients and backends together.
-fn connection_sockets(config: &ApplianceConfig) -> usize {
+fn max_connections(config: &ApplianceConfig) -> usize {
     config.limits.max_sockets - RESERVED_SOCKETS
 }
 
@@ -118,7 +118,7 @@
     Limits {
         connect_timeout: Duration::from_millis(config.limits.connect_timeout_ms),
         idle_timeout: Duration::from_millis(config.limits.idle_timeout_ms),
-        max_connections: connection_sockets(config) / 2,
+        max_connections: max_connections(config) / 2,
         max_answer_bytes: config.limits.max_response_bytes + http::MAX_HEAD_BYTES,
         // Responses over HTTP are buffered completely, never streamed.
         stream_budget_bytes: 0,
@@ -126,8 +126,9 @@
 }
 
 fn join_cluster(start: ClusterStart, backends: &Arc<Backends>) -> Result<Arc<Cluster>, Error> {
-    let notified = backends.clone();
-    let on_ejection_change = Box::new(move |ejected: &BTreeSet<String>| notified.set_ejected(ejected));
+    let notified_backends = backends.clone();
+    let on_ejection_change =
+        Box::new(move |ejected: &BTreeSet<String>| notified_backends.set_ejected(ejected));
     let cluster = Cluster::start(start.settings, start.jobs, on_ejection_change)?;
     backends.set_cluster(cluster.clone());
     Ok(cluster)
@@ -150,11 +151,11 @@
     with_retries(|| Listener::bind(address)).map(Arc::new).map_err(|source| Error::Listen { address, source })
 }
 
-/// The pair of service and class of a route, which is a class of the policy.
+/// Returns the service and the class of a route. Each such pair is a class of the policy.
 fn route_class(config: &ApplianceConfig, route: &Route) -> RouteClass {
     let names = config.service_names();
     let service = route.service.as_deref().and_then(|service| names.iter().position(|name| *name == service));
-    // Routes without a service have the default one, at index 0. Undefined names were rejected by the check of the file.
+    // A route without a service has the default service, at index 0. `CheckedConfig::read` has rejected undefined names.
     RouteClass { service: service.unwrap_or(0) as u16, class: config.class_number(&route.class).unwrap_or(0) }
 }
 
@@ -188,7 +189,7 @@
         tenants: config.tenants.iter().map(tenant).collect(),
         tenant_gatekeepers: f64::from(config.quota.gatekeepers),
         max_body_bytes: config.limits.max_body_bytes,
-        max_connections: connection_sockets(config) / 2,
+        max_connections: max_connections(config) / 2,
         client_timeout: Duration::from_millis(config.limits.client_timeout_ms),
     }
 }
--- a/crates/snowfield/src/appliance/status.rs
+++ b/crates/snowfield/src/appliance/status.rs
@@ -9,9 +9,9 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Interval of the checks whether a report of another thread has arrived.
+/// Interval between two checks whether another thread has sent its report.
 const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Number of checks until a report counts as missing: half a second in all.
+/// Number of checks after which a report counts as missing: half a second in total.
 const MAX_REPORT_POLLS: usize = 100;
 
 /// The parts that the status reports on.
@@ -45,9 +45,9 @@
     }
 
     fn report(&self) -> String {
-        let replication = self.config_node.as_ref().and_then(|node| wait_for(&node.request_status()));
+        let replication = self.config_node.as_ref().and_then(|node| wait_for_report(&node.request_status()));
         let cluster = self.cluster.as_ref().map(|cluster| {
-            let report = wait_for(&cluster.request_status());
+            let report = wait_for_report(&cluster.request_status());
             report.unwrap_or_else(|| "cluster\n  it does not answer\n".into())
         });
         let (cluster, replication) = (cluster.unwrap_or_default(), replication.unwrap_or_default());
@@ -56,7 +56,7 @@
 }
 
 /// Waits for a report of another thread without blocking the worker. `None` after half a second.
-fn wait_for(report: &Receiver<String>) -> Option<String> {
+fn wait_for_report(report: &Receiver<String>) -> Option<String> {
     for _ in 0..MAX_REPORT_POLLS {
         if let Ok(report) = report.try_recv() {
             return Some(report);
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -15,8 +15,8 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use timestamps::MonotonicTime;
 
-/// Limit on the backends that the status shows for each service.
-const MAX_REPORTED: usize = 200;
+/// Limit on the backends that the status lists for each service.
+const MAX_REPORTED_BACKENDS: usize = 200;
 
 /// The backends of all services.
 pub struct Backends {
@@ -26,9 +26,9 @@
     state: Mutex<State>,
     cluster: OnceLock<Arc<Cluster>>,
     watches: OnceLock<Vec<Arc<ServiceWatch>>>,
-    /// Backends with attempts in flight, as of the last sweep.
-    busy: Arc<Mutex<HashSet<u32>>>,
-    /// Names of the services. With more than one, a backend's name includes its service.
+    /// Numbers of the backends with attempts in flight, as of the last sweep.
+    busy_backends: Arc<Mutex<HashSet<u32>>>,
+    /// Names of the services. With more than one service, a backend's name includes that of its service.
     services: Vec<String>,
 }
 
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy)]
 struct Announcement {
     ready: bool,
-    /// Since when the backend is eligible by its endpoint list. Changes with each restart of the backend.
+    /// Time since which the endpoint list has the backend as eligible. Changes with each restart of the backend.
     eligible_since: Option<MonotonicTime>,
-    /// Start of the backend, from which its slow start counts.
+    /// Start of the backend, at which its slow start begins.
     started: Timestamp,
 }
 
@@ -69,7 +69,7 @@
             state: Mutex::new(state),
             cluster: OnceLock::new(),
             watches: OnceLock::new(),
-            busy: Arc::default(),
+            busy_backends: Arc::default(),
             services,
         }
     }
@@ -97,25 +97,25 @@
         self.watches.get().map_or(&[], Vec::as_slice)
     }
 
-    /// Backends with attempts in flight, as of the last sweep.
-    pub fn busy(&self) -> Arc<Mutex<HashSet<u32>>> {
-        self.busy.clone()
+    /// Returns the numbers of the backends with attempts in flight, as of the last sweep.
+    pub fn busy_backends(&self) -> Arc<Mutex<HashSet<u32>>> {
+        self.busy_backends.clone()
     }
 
     /// Refreshes the set of busy backends, and advances the timers of the watches. Call this a few times a second.
     pub fn sweep(&self) {
         let status = self.exchange.status();
         let in_flight = status.backends.iter().filter(|(_, backend)| backend.in_flight > 0);
-        *locked(&self.busy) = in_flight.map(|(id, _)| id.0).collect();
+        *locked(&self.busy_backends) = in_flight.map(|(id, _)| id.0).collect();
         self.watches().iter().for_each(|watch| watch.advance());
     }
 
-    /// A backend's name in logs, reports and health checks.
+    /// Returns a backend's name in logs, reports and health checks.
     fn name(&self, service: usize, id: &str) -> String {
         if self.services.len() == 1 { id.to_owned() } else { format!("{}/{id}", self.services[service]) }
     }
 
-    /// Replaces the endpoint list of a service.
+    /// Replaces the endpoint list of the service with this index, and announces the change.
     pub fn set_list(&self, service: usize, list: &EndpointList) {
         let backends = {
             let mut state = locked(&self.state);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The backends of all services, for the cluster's health checks.
+    /// Returns the backends of all services, which the cluster's health checks probe.
     fn health_checked_backends(&self, state: &State) -> Vec<Backend> {
         let mut backends = Vec::new();
         for (service, list) in state.lists.iter().enumerate() {
@@ -140,7 +140,7 @@
         backends
     }
 
-    /// Replaces the names of the backends that health checks have ejected.
+    /// Replaces the set of backends that health checks have ejected, and announces the change.
     pub fn set_ejected(&self, ejected: &BTreeSet<String>) {
         let mut state = locked(&self.state);
         state.ejected.clone_from(ejected);
@@ -184,7 +184,7 @@
         self.exchange.update_endpoints(ListKind::Full, policy_entries);
     }
 
-    /// The announcement of a backend after a new list or new results of health checks.
+    /// Returns the announcement of a backend after a new endpoint list or new results of health checks.
     fn next_announcement(
         &self,
         state: &State,
@@ -194,22 +194,22 @@
     ) -> Announcement {
         let is_eligible = entry.eligible || seeded_faults::is_active("drained");
         let ready = is_eligible && !state.ejected.contains(&self.name(service, &entry.instance.id));
-        let stated_start =
+        let reported_start =
             entry.instance.started_at.map(|at| Timestamp::from_micros(at.as_millis() * 1000).min(now));
         let started = match state.announcements.get(&entry.number) {
-            // Neither restarted nor recovered.
+            // The backend has neither restarted nor recovered.
             Some(last) if last.eligible_since == entry.eligible_since && (last.ready || !ready) => {
                 last.started
             }
-            // Restarted by its list, or recovered by health checks: it may be cold.
-            Some(_) => stated_start.unwrap_or(now),
-            None if entry.eligible_since.is_some() => stated_start.unwrap_or(now),
-            None => stated_start.unwrap_or(Timestamp::ZERO),
+            // The backend has restarted by its endpoint list or recovered by health checks, so that it may be cold.
+            Some(_) => reported_start.unwrap_or(now),
+            None if entry.eligible_since.is_some() => reported_start.unwrap_or(now),
+            None => reported_start.unwrap_or(Timestamp::ZERO),
         };
         Announcement { ready, eligible_since: entry.eligible_since, started }
     }
 
-    /// The part of the status on requests and backends.
+    /// Returns the part of the status that covers requests and backends.
     pub fn report(&self) -> String {
         let status = self.exchange.status();
         let AnswerCounts { served, rejected, failed } = status.answers;
@@ -235,7 +235,7 @@
     ) {
         let WatchStatus { endpoints, origin } = watch.status();
         let _ = writeln!(report, "destinations of {}  from {origin}", watch.service());
-        for endpoint in endpoints.iter().take(MAX_REPORTED) {
+        for endpoint in endpoints.iter().take(MAX_REPORTED_BACKENDS) {
             let backend = BackendId(endpoint.number.0);
             let in_flight = status.backends.get(&backend).map_or(0, |backend| backend.in_flight);
             let state = match (endpoint.eligible, ejected.contains(&self.name(service, &endpoint.id))) {
@@ -245,14 +245,14 @@
             };
             let _ = writeln!(report, "  {}  {state}  attempts out {in_flight}", endpoint.id);
         }
-        if endpoints.len() > MAX_REPORTED {
-            let _ = writeln!(report, "  and {} more", endpoints.len() - MAX_REPORTED);
+        if endpoints.len() > MAX_REPORTED_BACKENDS {
+            let _ = writeln!(report, "  and {} more", endpoints.len() - MAX_REPORTED_BACKENDS);
         }
     }
 }
 
-/// The mean weight of the eligible backends. A backend's size is relative to it: a service with weights of 100 throughout is like
-/// one with weights of 1.
+/// Returns the mean weight of the eligible backends. The size of a backend is its weight relative to the mean, so that weights of
+/// 100 throughout a service have the same effect as weights of 1.
 fn mean_weight(list: &EndpointList) -> f64 {
     let eligible = || list.endpoints.iter().filter(|endpoint| endpoint.eligible);
     eligible().map(|endpoint| endpoint.instance.weight).sum::<f64>() / eligible().count().max(1) as f64
--- a/crates/snowfield/src/backoff.rs
+++ b/crates/snowfield/src/backoff.rs
@@ -3,14 +3,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// A pause that doubles with each attempt, up to a limit.
+/// Blocks a thread for pauses, each twice as long as the one before, up to a limit.
 pub struct ExponentialBackoff {
     next: Duration,
     max: Duration,
 }
 
 impl ExponentialBackoff {
-    /// Starts with a pause of `min`; none is longer than `max`.
+    /// Creates a backoff whose first pause is `min` and whose longest is `max`.
     pub fn new(min: Duration, max: Duration) -> Self {
         Self { next: min, max }
     }
--- a/crates/snowfield/src/checked_config.rs
+++ b/crates/snowfield/src/checked_config.rs
@@ -7,14 +7,14 @@
 
 /// A valid configuration with the routes of its descriptions.
 pub struct CheckedConfig {
-    /// The configuration.
+    /// The settings of the configuration file.
     pub config: ApplianceConfig,
-    /// The routes of the descriptions.
+    /// The routes of all descriptions that the configuration names.
     pub routes: RouteTable,
 }
 
 impl CheckedConfig {
-    /// Reads and validates a file with its descriptions. Opens no connection.
+    /// Reads and validates a configuration file with its descriptions. Opens no connection.
     ///
     /// # Errors
     ///
@@ -32,12 +32,12 @@
     }
 }
 
-/// The directory of a file. The names in the file are relative to it.
+/// Returns the directory of a configuration file. The file names in the configuration are relative to it.
 pub fn directory(path: &Path) -> &Path {
     path.parent().unwrap_or(Path::new("."))
 }
 
-/// Reads a text file.
+/// Reads a whole file of UTF-8 text.
 ///
 /// # Errors
 ///
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -1,4 +1,5 @@
-//! The settings of the cluster, its periodic jobs and health checks, from the appliance's configuration; and their reload.
+//! Derives the settings of the cluster, its periodic jobs and its health checks from the appliance's configuration, and reloads
+//! them.
 
 use crate::checked_config::{CheckedConfig, directory, read_text};
 use crate::error::Error;
@@ -11,14 +12,14 @@
 
 /// Limit on concurrent runs of periodic jobs.
 const MAX_CONCURRENT_RUNS: usize = 8;
-/// Name of an instance that has no cluster.
+/// Name of an instance whose configuration has no cluster.
 const SINGLE_INSTANCE: &str = "alone";
 
 /// The arguments of [`Cluster::start`].
 pub struct ClusterStart {
-    /// The settings of this instance.
+    /// Settings of this instance as a member of a cluster, or as a single instance.
     pub settings: Settings,
-    /// The periodic jobs.
+    /// Periodic jobs; empty if none are configured.
     pub jobs: Vec<HttpJob>,
 }
 
@@ -35,14 +36,14 @@
         }
         let health_checks = config.health_check.as_ref().map(health_checks);
         let settings = match &config.cluster {
-            Some(cluster) => shared_settings(config, cluster, path, health_checks)?,
+            Some(cluster) => member_settings(config, cluster, path, health_checks)?,
             None => single_instance_settings(health_checks),
         };
         Ok(Some(Self { settings, jobs: http_jobs(&config.periodic_jobs) }))
     }
 }
 
-fn shared_settings(
+fn member_settings(
     config: &ApplianceConfig,
     cluster: &ClusterConfig,
     path: &Path,
@@ -81,8 +82,8 @@
 }
 
 fn lease_store(config: &ApplianceConfig, cluster: &ClusterConfig, path: &Path) -> LeaseStore {
-    // Without an address for it the store is the Consul of the endpoint lists, whose token is the default. A separate store has
-    // its own token or none.
+    // The store defaults to the Consul of the endpoint lists, and its token to the token for that Consul. A store at a configured
+    // address has its own token or none.
     let token_file = match (&cluster.store_token_file, cluster.store) {
         (Some(file), _) => Some(file),
         (None, None) => config.consul.token_file.as_ref(),
@@ -123,7 +124,7 @@
 ///
 /// # Errors
 ///
-/// There is no table for the cluster, or the key file cannot be read or is invalid. The error's text never contains a key.
+/// The table `cluster` is missing, or the key file cannot be read or is invalid. The error's text never contains a key.
 pub fn keyring(config: &ApplianceConfig, path: &Path) -> Result<Keyring, Error> {
     let Some(cluster) = &config.cluster else {
         return Err(Error::MissingTable { path: path.to_owned(), table: "cluster" });
@@ -137,7 +138,7 @@
 struct Reloaded {
     /// Number of periodic jobs.
     jobs: usize,
-    /// Whether the configuration has a cluster, and so keys.
+    /// Whether keys were reloaded: only a configuration with a cluster has keys.
     keys: bool,
 }
 
--- a/crates/snowfield/src/command_line.rs
+++ b/crates/snowfield/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The commands of the program and their arguments.
 
 use clap::error::ErrorKind;
 use clap::{Parser, Subcommand};
@@ -113,18 +113,18 @@
     ///
     /// # Errors
     ///
-    /// The exit code, if there is no command to run.
+    /// The exit code, if there is no command to run: 0 after help or version, 1 after an error.
     pub fn parse() -> Result<Command, ExitCode> {
         match Self::try_parse() {
             Ok(line) => Ok(line.command.unwrap_or(Command::Platform)),
-            Err(answer) => {
-                let is_help = answer.kind() == ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand;
-                if answer.use_stderr() && !is_help {
+            Err(error) => {
+                let is_help = error.kind() == ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand;
+                if error.use_stderr() && !is_help {
                     eprint!("snowfield: ");
                 }
-                // Fails if the output is closed.
-                let _ = answer.print();
-                Err(ExitCode::from(u8::from(answer.use_stderr())))
+                // Fails if the reader of the output has closed its end.
+                let _ = error.print();
+                Err(ExitCode::from(u8::from(error.use_stderr())))
             }
         }
     }
--- a/crates/snowfield/src/command_line/tests.rs
+++ b/crates/snowfield/src/command_line/tests.rs
@@ -1,16 +1,16 @@
-//! Which words mean what, and which mean nothing.
+//! Tests of the arguments that are accepted, and of those that are rejected.
 
 use super::*;
 
-fn parse(words: &[&str]) -> Result<CommandLine, clap::Error> {
-    CommandLine::try_parse_from([&["snowfield"], words].concat())
+fn parse(arguments: &[&str]) -> Result<CommandLine, clap::Error> {
+    CommandLine::try_parse_from([&["snowfield"], arguments].concat())
 }
 
 #[test]
-fn each_command_has_its_words() {
+fn parses_each_command() {
     let file = || PathBuf::from("a.toml");
-    let command = |words: &[&str]| parse(words).expect("a command").command;
-    assert!(command(&[]).is_none(), "the platform starts it without any word");
+    let command = |arguments: &[&str]| parse(arguments).expect("a command").command;
+    assert!(command(&[]).is_none(), "the platform passes no arguments");
     assert_eq!(command(&["serve", "a.toml"]), Some(Command::Serve { file: file() }));
     assert_eq!(command(&["check", "a.toml"]), Some(Command::Check { file: file() }));
     assert_eq!(command(&["routes", "a.toml"]), Some(Command::Routes { file: file() }));
@@ -18,7 +18,7 @@
     assert_eq!(command(&["explain", "a.toml", "GET", "/v1/loans/7"]), Some(explain));
     assert_eq!(command(&["status", "a.toml"]), Some(Command::Status { file: file() }));
     assert_eq!(command(&["watch", "a.toml"]), Some(Command::Watch { file: file() }));
-    let settings = |words: &[&str]| match command(&[&["settings"], words].concat()) {
+    let settings = |arguments: &[&str]| match command(&[&["settings"], arguments].concat()) {
         Some(Command::Settings { command }) => command,
         other => panic!("{other:?}"),
     };
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn help_and_version_are_no_errors_and_wrong_words_are() {
-    for words in [&["help"][..], &["--help"], &["-h"], &["--version"], &["-V"], &["settings", "help"]] {
-        assert!(!parse(words).expect_err("no command").use_stderr(), "{words:?}");
+fn help_and_version_go_to_stdout_and_errors_to_stderr() {
+    for arguments in [&["help"][..], &["--help"], &["-h"], &["--version"], &["-V"], &["settings", "help"]] {
+        assert!(!parse(arguments).expect_err("no command").use_stderr(), "{arguments:?}");
     }
     let version = concat!("snowfield ", env!("CARGO_PKG_VERSION"), "\n");
     assert_eq!(parse(&["--version"]).expect_err("no command").to_string(), version);
-    for words in [
+    for arguments in [
         &["nonsense"][..],
         &["serve"],
         &["serve", "a.toml", "b.toml"],
@@ -50,7 +50,7 @@
         &["settings", "begin"],
         &["settings", "propose", "a.toml", "r.toml", "--expect", "x"],
     ] {
-        assert!(parse(words).expect_err("no command").use_stderr(), "{words:?}");
+        assert!(parse(arguments).expect_err("no command").use_stderr(), "{arguments:?}");
     }
     let help = parse(&["help"]).expect_err("no command").to_string();
     for line in ["snowfield serve FILE ", "snowfield check FILE ", "snowfield watch FILE ", "BALANCER_CONFIG"]
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -18,7 +18,7 @@
 /// Control sequence that clears the terminal and moves the cursor to its upper left corner.
 const CLEAR_TERMINAL: &str = "\x1b[2J\x1b[H";
 
-/// Checks a file with its descriptions, and prints a summary.
+/// Checks a configuration file with its descriptions, and prints a summary.
 ///
 /// # Errors
 ///
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// Prints the routes of a file's descriptions.
+/// Prints the routes of the descriptions that a configuration file names.
 ///
 /// # Errors
 ///
@@ -61,7 +61,7 @@
     let checked = CheckedConfig::read(path)?;
     let route = find_route(&checked.routes, method, target)?;
     println!("{} {}  class {}  from {}", route.method, route.path, route.class, route.source);
-    // There is one: the check has rejected routes with an undefined class.
+    // The class is defined, since `CheckedConfig::read` rejects routes with an undefined class.
     for timing in checked.config.timings().iter().filter(|timing| timing.class == route.class) {
         print_timing(timing);
     }
@@ -82,21 +82,21 @@
 
 fn print_timing(timing: &ClassTiming) {
     let class = format!("class {:?}", timing.class);
-    let stated = |value: Option<u64>, unit: &str, otherwise: String| match value {
+    let value_or = |value: Option<u64>, unit: &str, default: String| match value {
         Some(value) => format!("{value}{unit}, stated by {class}"),
-        None => otherwise,
+        None => default,
     };
     let default_attempts = format!("{}, from limits.route_steps", timing.attempt_limit);
-    let hedge =
+    let default_hedge =
         if timing.idempotent { "when it is late for its class" } else { "never: it must not run twice" };
     println!("  wanted within  {} ms, stated by {class}", timing.latency_objective_ms);
     println!("  given up after {} ms, stated by {class}", timing.deadline_ms);
-    println!("  attempts       {}", stated(timing.max_attempts.map(u64::from), "", default_attempts));
+    println!("  attempts       {}", value_or(timing.max_attempts.map(u64::from), "", default_attempts));
     println!(
         "  each attempt   {}",
-        stated(timing.attempt_timeout_ms, " ms", "until the client gives up".into())
+        value_or(timing.attempt_timeout_ms, " ms", "until the client gives up".into())
     );
-    println!("  second copy    {}", stated(timing.hedge_after_ms, " ms", hedge.into()));
+    println!("  second copy    {}", value_or(timing.hedge_after_ms, " ms", default_hedge.into()));
     println!("  may run again  {}", if timing.idempotent { "yes" } else { "no" });
     println!("the worst case:");
     for moment in timing.worst_case_timeline() {
@@ -104,11 +104,11 @@
     }
 }
 
-/// Prints the status of the gatekeeper that serves a file.
+/// Prints the live status of the gatekeeper that serves with a configuration file.
 ///
 /// # Errors
 ///
-/// The file names no status address, or the address does not answer.
+/// The file is invalid or names no status address, or nothing answers at that address.
 pub fn status(path: &Path) -> Result<(), Error> {
     print!("{}", fetch_status(path)?);
     Ok(())
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Derives the Consul client's configuration from the file `path`.
+/// Derives the configuration of the Consul client. The token file is relative to the directory of the configuration file `path`.
 fn consul_config(config: &appliance::ConsulConfig, path: &Path) -> ConsulConfig {
     ConsulConfig {
         agents: std::iter::once(config.address).chain(config.further_agents.iter().copied()).collect(),
@@ -36,7 +36,7 @@
     backends: &Arc<Backends>,
     config: &ApplianceConfig,
     path: &Path,
-    answered: &Arc<LastAnswers>,
+    last_answers: &Arc<LastAnswers>,
 ) -> Result<(), Error> {
     let consul_config = consul_config(&config.consul, path);
     TokenFile::new(consul_config.token_file.clone()).read().map_err(Error::ConsulToken)?;
@@ -46,26 +46,27 @@
         Arc::new(CacheFile::open(directory(path).join(name), max_age, services))
     });
     let watches = watch_configs(config).into_iter().enumerate().map(|(service, watch_config)| {
-        let (notified, busy) = (backends.clone(), backends.busy());
+        let (notified_backends, busy_backends) = (backends.clone(), backends.busy_backends());
         ServiceWatch::new(
             consul_config.clone(),
             watch_config,
-            answered.clone(),
+            last_answers.clone(),
             cache.clone(),
-            Box::new(move |list| notified.set_list(service, list)),
-            Box::new(move |number| locked(&busy).contains(&number.0)),
+            Box::new(move |list| notified_backends.set_list(service, list)),
+            Box::new(move |number| locked(&busy_backends).contains(&number.0)),
         )
     });
     backends.set_watches(watches.collect());
     Ok(())
 }
 
-/// The configuration of each watch. Each service has a separate range of backend numbers.
+/// Returns the configuration of each watch. Each service has a separate range of backend numbers.
 fn watch_configs(config: &ApplianceConfig) -> Vec<WatchConfig> {
     let consul = &config.consul;
     let default_service = (&consul.service, &consul.tag, &consul.filter);
-    let further = config.services.iter().map(|service| (&service.name, &service.tag, &service.filter));
-    let services = std::iter::once(default_service).chain(further).enumerate();
+    let further_services =
+        config.services.iter().map(|service| (&service.name, &service.tag, &service.filter));
+    let services = std::iter::once(default_service).chain(further_services).enumerate();
     services
         .map(|(index, (name, tag, filter))| WatchConfig {
             service: name.clone(),
@@ -91,7 +92,7 @@
     }
 }
 
-/// Registers this process in Consul as the configuration file `path` says.
+/// Starts to register this process in Consul. The token file is relative to the directory of the configuration file `path`.
 ///
 /// # Errors
 ///
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -1,4 +1,5 @@
-//! The log on standard output: plain lines (`message field=value ...`), or JSON lines with the machine's monotonic clock.
+//! The log on standard output: plain lines (`message field=value ...`), or JSON lines with timestamps of the monotonic
+//! clock.
 //!
 //! A line that cannot be written is dropped: the gatekeeper continues to serve after the reader of the log has closed its end.
 
@@ -12,16 +13,17 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Environment variable that overrides the log format: the appliance's configuration has one, the platform's has none.
+/// Environment variable that overrides the log format. The platform's configuration has no setting for the format, the
+/// appliance's has one.
 const FORMAT_VARIABLE: &str = "SNOWFIELD_LOG";
 /// The name that `tracing` gives the field with the message.
 const MESSAGE_FIELD: &str = "message";
 
-/// Installs the log. The environment overrides the `configured` format.
+/// Installs the log. The environment variable `SNOWFIELD_LOG` overrides the `configured` format.
 ///
 /// # Errors
 ///
-/// The environment names an unknown format.
+/// The environment variable holds an unknown format.
 pub fn init(configured: LogFormat) -> Result<(), Error> {
     let format = match std::env::var(FORMAT_VARIABLE).as_deref() {
         Err(_) | Ok("") => configured,
@@ -94,7 +96,7 @@
         }
         self.result = match part {
             Part::Message => self.writer.write_str(value),
-            Part::Fields if is_plain(value) => write!(self.writer, " {field}={value}"),
+            Part::Fields if needs_no_quotes(value) => write!(self.writer, " {field}={value}"),
             Part::Fields => write!(self.writer, " {field}={value:?}"),
         };
     }
@@ -110,10 +112,10 @@
     }
 }
 
-/// Whether a value can be told from what follows it without quotes. Others are quoted, with line ends and quotes escaped.
-fn is_plain(value: &str) -> bool {
-    let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
-    !value.is_empty() && value.chars().all(is_plain)
+/// Whether the end of a value is recognizable without quotes. Other values are quoted, with line ends and quotes escaped.
+fn needs_no_quotes(value: &str) -> bool {
+    let is_plain_char = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
+    !value.is_empty() && value.chars().all(is_plain_char)
 }
 
 #[cfg(test)]
--- a/crates/snowfield/src/log/tests.rs
+++ b/crates/snowfield/src/log/tests.rs
@@ -1,14 +1,14 @@
-//! The plain form of a line.
+//! Tests of the plain format of log lines.
 
 use super::*;
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
-/// Collects what is logged.
+/// Collects the bytes that are written to the log.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Lines {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no panic").extend(bytes);
         Ok(bytes.len())
@@ -19,22 +19,22 @@
     }
 }
 
-/// What is logged by this function.
+/// Returns the text that a function logs.
 fn logged(log: impl FnOnce()) -> String {
-    let lines = Lines::default();
-    let writer = lines.clone();
+    let buffer = LogBuffer::default();
+    let writer = buffer.clone();
     let subscriber = tracing_subscriber::fmt()
         .with_ansi(false)
         .event_format(PlainLine)
         .with_writer(move || writer.clone())
         .finish();
     tracing::subscriber::with_default(subscriber, log);
-    let bytes = lines.0.lock().expect("no panic").clone();
-    String::from_utf8(bytes).expect("text")
+    let bytes = buffer.0.lock().expect("no panic").clone();
+    String::from_utf8(bytes).expect("text in UTF-8")
 }
 
 #[test]
-fn a_message_without_fields_is_written_as_it_is() {
+fn a_message_without_fields_is_written_unchanged() {
     assert_eq!(logged(|| tracing::info!("{}: serving on {}", "gk", 7)), "gk: serving on 7\n");
 }
 
--- a/crates/snowfield/src/main.rs
+++ b/crates/snowfield/src/main.rs
@@ -1,7 +1,7 @@
 //! The gatekeeper's binary: command line, startup, signals and graceful shutdown, hot restart, and the admin service.
 //!
 //! [`platform`] runs a gatekeeper on the platform, [`appliance`] one with the OpenAPI front. Both wire together the packages that
-//! do the work. [`error`] has the errors of all commands; `main` alone turns them into text and an exit code.
+//! do the work. [`error`] has the errors of all commands; only `main` turns them into text and an exit code.
 
 mod admin_listener;
 mod admin_service;
@@ -30,7 +30,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Time after which a build with seeded faults exits, with the fault `exits` active.
+/// Time from the start to the exit that the seeded fault `exits` causes.
 const SEEDED_EXIT_AFTER: Duration = Duration::from_secs(5);
 
 fn main() -> ExitCode {
--- a/crates/snowfield/src/plan_replication.rs
+++ b/crates/snowfield/src/plan_replication.rs
@@ -1,4 +1,5 @@
-//! The replicated plans: starts this instance's node, and applies the plans of each new view to the policy.
+//! The replicated plans: starts the node of this instance, and applies the plans of each new view of the replicated configuration
+//! to the policy.
 
 use crate::checked_config::directory;
 use crate::cluster_settings::keyring;
@@ -16,13 +17,13 @@
 /// The inputs of the policy's settings that come from the routes and not from the configuration.
 #[derive(Clone)]
 pub struct PolicyInputs {
-    /// Units of the most expensive route.
+    /// Units of one request to the most expensive route.
     pub max_units: f64,
     /// The policy's classes, by number.
     pub classes: Vec<RouteClass>,
 }
 
-/// Starts a node if the configuration file `path` has the table for it.
+/// Starts a node for the replicated plans if the configuration file `path` has the table `agreed`.
 ///
 /// # Errors
 ///
@@ -47,7 +48,7 @@
     Ok(Some(Node::start(node_config, Box::new(validator), Box::new(listener))?))
 }
 
-/// The node's configuration; `None` if the file has no table for it.
+/// Derives the node's configuration. `None` if the file lacks the table `agreed` or `cluster`.
 fn node_config(config: &ApplianceConfig, path: &Path) -> Result<Option<NodeConfig>, Error> {
     let (Some(replication), Some(cluster)) = (&config.replication, &config.cluster) else { return Ok(None) };
     let replica_address =
@@ -77,8 +78,8 @@
     Ok(())
 }
 
-/// The plans to enforce. During a rollout these are the stricter figures of the version in force and the proposed one, and without
-/// a lease a share of them.
+/// Returns the plans to enforce. During a rollout they have the stricter figures of the version in force and the proposed one.
+/// Without a lease they are scaled to a share of these figures.
 fn enforced_plans(
     config: &ApplianceConfig,
     replication: &ReplicationConfig,
@@ -90,11 +91,11 @@
         Some(version) => plans_of(&version.text),
         None => config.plans.clone(),
     };
-    let known = match &view.proposed {
+    let leased_plans = match &view.proposed {
         Some(proposed) => stricter(&in_force, &plans_of(&proposed.text)),
         None => in_force,
     };
-    if view.has_lease { known } else { scaled(&known, replication.share_without_lease) }
+    if view.has_lease { leased_plans } else { scaled(&leased_plans, replication.share_without_lease) }
 }
 
 #[cfg(test)]
--- a/crates/snowfield/src/plan_replication/tests.rs
+++ b/crates/snowfield/src/plan_replication/tests.rs
@@ -1,4 +1,4 @@
-//! Which plans a view enforces, and which versions and files are rejected.
+//! Tests of the plans that are enforced with a view, and of the versions and files that are rejected.
 
 use super::*;
 use config_node::{ConfigVersion, Version};
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn a_proposed_version_counts_by_the_stricter_figures_and_without_a_lease_a_share() {
-    let config = ApplianceConfig::parse(FILE).expect("the file can be used");
-    let replication = config.replication.clone().expect("the table is there");
+fn a_rollout_enforces_the_stricter_figures_and_a_missing_lease_a_share_of_them() {
+    let config = ApplianceConfig::parse(FILE).expect("the file is valid");
+    let replication = config.replication.clone().expect("the file has the table `agreed`");
     let rates = |view: &ConfigView| {
         let plans = enforced_plans(&config, &replication, view);
         (plans[0].units_per_second, plans[0].burst, plans[1].ceiling_per_second)
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn unusable_versions_and_files_are_rejected_by_name() {
-    let config = ApplianceConfig::parse(FILE).expect("the file can be used");
-    for (text, why) in [
+fn the_error_of_an_invalid_version_or_file_names_the_cause() {
+    let config = ApplianceConfig::parse(FILE).expect("the file is valid");
+    for (text, reason) in [
         ("[[plan]]\nname = \"z\"\nunits_per_second = 1.0\nburst = 1.0\n", "none of the file's"),
         ("[[plan]]\nname = \"a\"\nunits_per_second = 0.0\nburst = 1.0\n", "above 0"),
         (
@@ -49,14 +49,14 @@
         ("lender = 1", "lender"),
     ] {
         let error = apply_version(&config, text).expect_err(text).to_string();
-        assert!(error.contains(why), "{error}");
+        assert!(error.contains(reason), "{error}");
     }
-    for (from, to, why) in [
+    for (from, to, reason) in [
         ("[cluster]\nname = \"m0\"", "[cluster]\nname = \"m9\"", "only a voter"),
         ("{ name = \"m1\", address = \"127.0.0.1:7001\" }, ", "", "three or five"),
         ("when_apart = 0.25", "when_apart = 2.0", "when_apart"),
     ] {
         let error = ApplianceConfig::parse(&FILE.replace(from, to)).expect_err(to).to_string();
-        assert!(error.contains(why), "{error}");
+        assert!(error.contains(reason), "{error}");
     }
 }
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -20,9 +20,10 @@
 /// Environment variable that overrides the admin address of the configuration.
 const ADMIN_VARIABLE: &str = "BALANCER_OPERATOR";
 
-/// SIGKILL follows SIGTERM no sooner than after the longest deadline plus [`KILL_MARGIN`]. Of the deadline at most this counts.
+/// Limit on the longest deadline as counted here: SIGKILL follows SIGTERM no sooner than after the longest deadline, up to this
+/// limit, plus [`KILL_MARGIN`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time between the end of the longest deadline and SIGKILL.
+/// Minimum time from the end of the longest deadline to SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// All accepted requests are answered this long before SIGKILL, since a busy worker may be late.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
@@ -35,8 +36,8 @@
 ///
 /// The configuration is missing or invalid, or an address cannot be listened on.
 pub fn run() -> Result<(), Error> {
-    // First, so that an early SIGHUP does not end the process.
-    let signals = signals::catch()?;
+    // The handlers are installed first, so that an early SIGHUP does not end the process.
+    let signals = signals::install_handlers()?;
     let path = std::env::var(CONFIG_VARIABLE).map_err(|_| Error::NoConfigFile)?;
     let path = PathBuf::from(path);
     let mut file = config_file::read_at_start(&path)?;
@@ -47,11 +48,11 @@
     link::set_up();
     let running = startup::start(file, &path)?;
     let handler = SignalHandler { running: &running, path: &path };
-    signals::serve_until_end(signals, &running.listener, &handler);
+    signals::serve_until_shutdown(signals, &running.listener, &handler);
     Ok(())
 }
 
-/// The admin address of the environment, if it is set there.
+/// Reads the admin address in the environment. `None` if it is not set there.
 fn admin_address_override() -> Result<Option<SocketAddr>, Error> {
     let Ok(value) = std::env::var(ADMIN_VARIABLE) else { return Ok(None) };
     match value.parse() {
@@ -75,20 +76,20 @@
         self.running.admin.count_reload(reloaded.is_ok());
     }
 
-    /// Clients may call a terminated gatekeeper for seconds, so it serves as long as it can still answer before SIGKILL. After a
-    /// hand-over the successor serves them.
+    /// Clients may call a gatekeeper for seconds after SIGTERM, so it serves for as long as it can still answer before SIGKILL.
+    /// After a hand-over the successor serves its clients.
     fn start_shutdown(&self) -> Duration {
         if self.running.hot_restart.has_handed_over() {
             return signals::OVERLAP;
         }
-        let killed_after = self.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
-        let answered_within = killed_after.saturating_sub(ANSWER_MARGIN);
+        let earliest_kill = self.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
+        let answered_within = earliest_kill.saturating_sub(ANSWER_MARGIN);
         self.running.exchange.answer_all_within(answered_within);
         answered_within.saturating_sub(LAST_ACCEPT_MARGIN).max(signals::OVERLAP)
     }
 
-    /// Also with a streamed value in flight, since its client may take seconds to read it.
-    fn must_close(&self) -> bool {
+    /// The overlap also ends while a value is streamed, since its client may take seconds to read it.
+    fn must_end_overlap(&self) -> bool {
         self.running.hot_restart.has_handed_over() || self.running.exchange.open_streams() > 0
     }
 
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -16,9 +16,9 @@
 
 /// A parsed configuration file.
 pub(super) struct ConfigFile {
-    /// The configuration.
+    /// The settings of the file.
     pub(super) config: PlatformConfig,
-    /// The keys that the file sets. A reload must not lose any of them.
+    /// The keys that the file sets. A reload is rejected if its file lacks one of them.
     pub(super) keys: KeySet,
 }
 
@@ -31,8 +31,8 @@
     parse(path, read_bytes(path).map_err(Error::file(path))?)
 }
 
-/// Like [`read`], but retries transient errors of the system, so that they do not end a start. A reload does not retry, since
-/// signals wait meanwhile.
+/// Like [`read`], but retries transient errors of the system, so that they do not make a start fail. A reload does not retry,
+/// since further signals would have to wait.
 ///
 /// # Errors
 ///
@@ -78,9 +78,9 @@
 /// Time-outs of connections to backends.
 #[derive(Clone, Copy)]
 pub(super) struct BackendTimeouts {
-    /// Connect time-out.
+    /// Time-out for connecting.
     pub(super) connect: Duration,
-    /// Idle time-out: half of the backend's keep-alive time, so that this side closes first.
+    /// Time after which an idle connection is closed: half of the backend's keep-alive time, so that this side closes first.
     pub(super) idle: Duration,
 }
 
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -20,19 +20,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// File descriptors reserved for the listener, discovery, the counter with its lanes before and after a reload, the file read at
+/// File descriptors reserved for the listener, discovery, the counter's connections before and after a reload, the file read at
 /// a reload, `may`, the signals and the standard streams: at most 19.
 const RESERVED_SOCKETS: usize = 20;
 /// Further descriptors reserved for the admin listener and hot restarts, with an admin address configured.
 const ADMIN_SOCKETS: usize = 5;
 /// Minimum number of connections to clients and backends, however low the configured limit is.
 const MIN_SOCKETS: usize = 16;
-/// How long a start waits for the first endpoint list and the fleet's clock. The cached list may be old, and a change that the
-/// discovery agent already has counts as known from the first moment of serving.
+/// Time-out of a start for the first endpoint list and the fleet's clock. The cached list may be old, and a gatekeeper that
+/// serves is expected to know each change that its discovery agent already has.
 const SHARED_STATE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A restarted process serves within this time.
+/// Limit on the duration of a start. Exceeding it is a violated invariant.
 const MAX_START_DURATION: Duration = Duration::from_secs(10);
-/// How often a start checks whether the fleet's clock has been read.
+/// Interval at which a start checks whether the fleet's clock has been read.
 const FLEET_CLOCK_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Environment variable naming the directory that a process shares with its predecessor and successor.
 const SHARED_DIRECTORY_VARIABLE: &str = "TMPDIR";
@@ -99,7 +99,7 @@
 /// the cached list in force, an unreachable counter this process's own clock.
 fn wait_for_shared_state(first_event: &Receiver<()>, exchange: &RespExchange) {
     let deadline = Instant::now() + SHARED_STATE_TIMEOUT;
-    // A time-out is no error, see above.
+    // After a time-out the cached list stays in force.
     let _ = first_event.recv_timeout(SHARED_STATE_TIMEOUT);
     while !exchange.has_read_fleet_clock() && Instant::now() < deadline {
         std::thread::sleep(FLEET_CLOCK_POLL_INTERVAL);
@@ -110,7 +110,7 @@
     invariants::check(
         Guard::Starting,
         elapsed < MAX_START_DURATION,
-        format_args!("it took {elapsed:?} until this process served"),
+        format_args!("the start took {elapsed:?}"),
     );
 }
 
@@ -120,7 +120,8 @@
     config.max_sockets.saturating_sub(reserved).max(MIN_SOCKETS)
 }
 
-/// The directory for hot restarts. Without an admin listener there is none: nobody could ask the successor whether it is ready.
+/// The directory for hot restarts. Without an admin listener there is none, since nobody could ask the successor whether
+/// it is ready.
 fn shared_directory(config: &PlatformConfig) -> Option<PathBuf> {
     config.admin.and_then(|_| std::env::var_os(SHARED_DIRECTORY_VARIABLE)).map(PathBuf::from)
 }
@@ -153,7 +154,7 @@
     front.set_ready();
     admin.set_ready();
     tracing::info!("{}: serving on {}", config.name, listener.local_address()?);
-    let (accepting, accepts_from) = (front.clone(), listener.clone());
-    spawn(move || accepting.accept_connections(&accepts_from));
+    let (accepting_front, client_listener) = (front.clone(), listener.clone());
+    spawn(move || accepting_front.accept_connections(&client_listener));
     Ok(())
 }
--- a/crates/snowfield/src/settings_command.rs
+++ b/crates/snowfield/src/settings_command.rs
@@ -10,7 +10,7 @@
 use settings::appliance::{ApplianceConfig, PlanConfig, ReplicationConfig, apply_version};
 use std::path::Path;
 
-/// Runs a command.
+/// Runs a command on the replicated plans and prints its result.
 ///
 /// # Errors
 ///
@@ -25,7 +25,7 @@
     }
 }
 
-/// Reads a configuration, which must have the table for replication.
+/// Reads a configuration file, which must have the table `agreed`.
 fn read_config(path: &Path) -> Result<(ApplianceConfig, ReplicationConfig), Error> {
     let config = CheckedConfig::read(path)?.config;
     match config.replication.clone() {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A file with plans.
+/// A file with plans to propose or to compare.
 struct PlanFile {
     text: String,
     /// The configuration's plans with the changes of the file.
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -11,21 +11,21 @@
 
 /// Minimum time of service after SIGTERM. New connections arrive for up to 0.4 s after it.
 pub const OVERLAP: Duration = Duration::from_millis(500);
-/// Time beyond the longest deadline for a busy machine, and for clients that still read their last answer.
+/// Time that a drain may last beyond the longest deadline: the machine may be busy, and clients may still read their last answer.
 const DRAIN_MARGIN: Duration = Duration::from_millis(300);
-/// How often a shutdown checks whether the overlap and the last requests are over.
+/// Interval at which a shutdown checks whether the overlap must end and whether connections are still open.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The reactions of a gatekeeper to signals.
+/// The actions of a gatekeeper on signals.
 pub trait SignalHandler {
-    /// Reloads the configuration, at SIGHUP. Runs on the caller's thread, off the worker.
+    /// Reloads the configuration, at SIGHUP. Called on the thread of [`serve_until_shutdown`], not on the worker.
     fn reload(&self);
-    /// Starts a shutdown, at SIGTERM or SIGINT. Returns the overlap, for which clients are still served.
+    /// Starts a shutdown, at SIGTERM or SIGINT. Returns the overlap: the time for which clients are still served.
     fn start_shutdown(&self) -> Duration {
         OVERLAP
     }
-    /// Whether to cut the overlap short, once [`OVERLAP`] is over.
-    fn must_close(&self) -> bool {
+    /// Whether the overlap ends early. Checked once [`OVERLAP`] has passed.
+    fn must_end_overlap(&self) -> bool {
         false
     }
     /// Starts closing client connections, each between two requests.
@@ -45,12 +45,12 @@
 /// # Errors
 ///
 /// The system cannot install a handler.
-pub fn catch() -> Result<Signals, Error> {
+pub fn install_handlers() -> Result<Signals, Error> {
     with_retries(|| Signals::new([SIGTERM, SIGINT, SIGHUP])).map_err(Error::Signals)
 }
 
 /// Serves until SIGTERM or SIGINT, then shuts down gracefully. `listener` is closed after the overlap.
-pub fn serve_until_end(mut signals: Signals, listener: &Listener, handler: &impl SignalHandler) {
+pub fn serve_until_shutdown(mut signals: Signals, listener: &Listener, handler: &impl SignalHandler) {
     for signal in signals.forever() {
         if signal != SIGHUP {
             tracing::info!(signal, "graceful shutdown started");
@@ -69,13 +69,13 @@
     let started = Instant::now();
     let overlap = handler.start_shutdown();
     thread::sleep(OVERLAP.min(overlap));
-    while started.elapsed() < overlap && !handler.must_close() {
+    while started.elapsed() < overlap && !handler.must_end_overlap() {
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Waits until all client connections are closed, or nothing is left to wait for: the longest deadline is over and all requests
-/// are answered. A client may wait for longer than its class's deadline.
+/// Waits until all client connections are closed, or the longest deadline with [`DRAIN_MARGIN`] has passed and all requests are
+/// answered. A client may wait for longer than the deadline of its class.
 fn drain(handler: &impl SignalHandler) {
     let started = Instant::now();
     let timeout = handler.longest_deadline() + DRAIN_MARGIN;
--- a/crates/snowfield/src/start_retry.rs
+++ b/crates/snowfield/src/start_retry.rs
@@ -1,19 +1,19 @@
-//! Retries with exponential backoff for system calls during the start. They may fail for a moment, while other processes hold
-//! the last descriptors, the memory or the address.
+//! Retries with exponential backoff for system calls during the start. They may fail transiently, while other processes
+//! hold the last descriptors, the memory or the address.
 
 use crate::backoff::ExponentialBackoff;
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// No retry starts later than this after the first attempt. The whole start has 6 s.
+/// No retry starts later than this after the first attempt. The whole start must complete within 6 s.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Backoff before the first retry.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
 /// Limit on the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Calls `attempt` until it succeeds, returns a permanent error, or has failed for up to 4 s.
+/// Calls `attempt` until it succeeds, returns a permanent error, or [`RETRY_TIMEOUT`] is over.
 ///
 /// # Errors
 ///
@@ -31,7 +31,7 @@
     }
 }
 
-/// Whether a later attempt may succeed. An address of another machine or a missing file, for instance, are permanent errors.
+/// Whether a later attempt may succeed. A missing file or an address of another machine, for instance, is a permanent error.
 fn is_transient(error: &io::Error) -> bool {
     let transient = [
         Errno::ADDRINUSE,
