--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// A running admin listener.
+/// A running admin listener. Its threads run until the process ends.
 pub struct AdminListener {
     /// The bound address. The system assigns its port if the configured port is 0.
     pub address: SocketAddr,
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -30,7 +30,7 @@
     pub plans: Vec<String>,
 }
 
-/// Executes operators' commands.
+/// Holds what operators query and change: the metrics, the readiness of this process and the ejections.
 pub struct AdminService {
     exchange: Arc<RespExchange>,
     pools: Arc<BackendPools<RespProtocol>>,
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -18,7 +18,7 @@
 /// Limit on the backends that the status lists for each service.
 const MAX_REPORTED_BACKENDS: usize = 200;
 
-/// The backends of all services.
+/// Merges the endpoint lists and the results of health checks, and keeps the last announcement of each backend.
 pub struct Backends {
     clock: Clock,
     exchange: Arc<HttpExchange>,
@@ -38,7 +38,7 @@
     lists: Vec<Option<EndpointList>>,
     /// Names of the backends that health checks have ejected.
     ejected: BTreeSet<String>,
-    /// The last announcement of each backend.
+    /// The last announcement of each backend. Restarts and recoveries are detected by comparison with it.
     announcements: HashMap<EndpointNumber, Announcement>,
 }
 
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -134,7 +134,7 @@
     Keyring::parse(&text).map_err(|source| Error::Keyring { path: key_file, source })
 }
 
-/// The result of a reload.
+/// What a successful reload has applied, for the log.
 struct Reloaded {
     /// Number of periodic jobs.
     jobs: usize,
--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -213,17 +213,17 @@
     /// The version in force is not the expected one.
     #[error("version {version}, by {proposed_by}, is in force; nothing is changed")]
     VersionConflict {
-        /// The version in force.
+        /// Number of the version in force.
         version: u64,
-        /// The user who proposed it.
+        /// Name of the user who proposed it.
         proposed_by: String,
     },
     /// The rollout of another version is in progress.
     #[error("version {version}, by {proposed_by}, is proposed and not yet in force; nothing is changed")]
     RolloutInProgress {
-        /// The proposed version.
+        /// Number of the proposed version.
         version: u64,
-        /// The user who proposed it.
+        /// Name of the user who proposed it.
         proposed_by: String,
     },
     /// No leader with a majority of the replicas answers.
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -37,7 +37,7 @@
 }
 
 impl HotRestart {
-    /// Creates the hot restart of a process with these parts.
+    /// Creates a hot restart that hands over or takes over these parts.
     pub fn new(
         admin: Arc<AdminService>,
         ejections: Arc<OperatorEjections>,
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// A part of a plain line.
+/// A part of a plain line. The message is written before the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
     Message,
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -51,7 +51,7 @@
             (None, Some(address)) => {
                 tracing::info!(%address, "quota counter not in use before a restart");
             }
-            // Without an address there is no client either: a file that lacks the counter's key of the previous one was rejected.
+            // Without an address there is no client either, since a file that lacks a key of the previous one is rejected.
             (_, None) => {}
         }
     }
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -36,7 +36,7 @@
     fn unanswered(&self) -> usize {
         0
     }
-    /// The longest deadline of all request classes.
+    /// The longest deadline of all classes whose requests may be in flight.
     fn longest_deadline(&self) -> Duration;
 }
 
--- a/crates/snowfield/src/start_retry.rs
+++ b/crates/snowfield/src/start_retry.rs
@@ -13,7 +13,7 @@
 /// Limit on the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Calls `attempt` until it succeeds, returns a permanent error, or [`RETRY_TIMEOUT`] is over.
+/// Calls `attempt` until it succeeds or returns a permanent error, for up to [`RETRY_TIMEOUT`].
 ///
 /// # Errors
 ///
