--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -104,7 +104,7 @@
 #[derive(Clone, Default)]
 struct ClientCounter(Arc<AtomicUsize>);
 
-/// A client that is counted until this is dropped.
+/// Keeps a client counted until dropped.
 struct CountedClient(ClientCounter);
 
 impl ClientCounter {
--- a/crates/snowfield/src/operator_ejections/store.rs
+++ b/crates/snowfield/src/operator_ejections/store.rs
@@ -44,7 +44,7 @@
         self.is_pending.load(Ordering::Acquire)
     }
 
-    /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock on the `endpoint_ids`.
+    /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock on these ids.
     pub fn store(&self, endpoint_ids: &EndpointIds) {
         let Err(error) = file::write(&self.directory, endpoint_ids.ejected()) else { return };
         tracing::warn!(%error, "ejections file write failed, retrying");
@@ -58,7 +58,7 @@
         let mut backoff = ExponentialBackoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             backoff.sleep();
-            // Under the lock, so that an earlier state never overwrites a later one.
+            // The file is written under the lock, so that an earlier state never overwrites a later one.
             let endpoint_ids = locked(&self.endpoint_ids);
             if file::write(&self.directory, endpoint_ids.ejected()).is_ok() {
                 self.is_pending.store(false, Ordering::Release);
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -32,7 +32,7 @@
     fn close_connections(&self);
     /// Number of open client connections.
     fn open_connections(&self) -> usize;
-    /// Number of requests without a final answer, if some may wait for longer than the longest deadline.
+    /// Number of requests without a final answer, if some may wait for longer than the longest deadline. A drain waits for these.
     fn unanswered(&self) -> usize {
         0
     }
