--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The start and the cancellation of attempts.
+//! Starts and cancels attempts on the connections of the pools.
 
 use crate::pooled_connection::PooledConnection;
 use crate::pools::BackendPools;
@@ -13,15 +13,15 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Microseconds that a build with seeded faults adds to the deadline that it passes on.
-const SEEDED_EXTRA_TIME: Micros = 400_000;
-/// Bytes that most requests fit in.
+/// Microseconds that the seeded fault `deadlines` adds to the time left that the backend is told.
+const SEEDED_DEADLINE_EXTENSION: Micros = 400_000;
+/// Initial capacity in bytes of the buffer for an encoded request. Most requests fit in it.
 const REQUEST_CAPACITY: usize = 512;
 
-/// Nothing of a request was written, and its connection carries no attempt.
+/// The error of a write: nothing of the request was written, and the connection carries no attempt.
 struct NothingWritten;
 
-/// What becomes of an attempt when its new connection is established.
+/// How an attempt continues once its new connection is established.
 enum AfterConnect {
     /// The attempt is written.
     Write,
@@ -69,7 +69,8 @@
 }
 
 impl<P: Protocol> BackendPools<P> {
-    /// Ends an attempt that is not written completely, and its connection if it has one: an incomplete request never runs.
+    /// Ends an attempt whose request is not written completely, and closes its connection if it has one. A backend never runs an
+    /// incomplete request.
     fn end_unwritten_with(&self, attempt: AttemptId, outcome: Outcome) {
         let assignment = self.state().unassign_unwritten(attempt);
         let Some(assignment) = assignment else { return };
@@ -79,7 +80,8 @@
         self.attempt_failed(attempt, outcome);
     }
 
-    /// Starts an attempt on an idle connection. Continues with another connection if this one broke before anything was written.
+    /// Starts an attempt on an idle connection. Returns [`ControlFlow::Continue`] if nothing was written and the attempt is still
+    /// wanted, so that the caller tries another connection.
     fn start_on_idle(
         &self,
         connection: &Arc<PooledConnection<P::Payload>>,
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Decides what becomes of an attempt whose connection is established, and assigns the connection if the attempt is written.
+    /// Decides how an attempt continues after its connection was established, and assigns the connection to an attempt that will
+    /// be written.
     fn after_connect(
         &self,
         connection: &Arc<PooledConnection<P::Payload>>,
@@ -161,11 +164,11 @@
         if state.unassign(attempt.id).is_none() {
             return AfterConnect::Cancelled;
         }
-        // The backend may have started to drain, gone or moved while the connection was established.
+        // While the connection was established, the backend may have started to drain, left the list or changed its address.
         if !state.is_eligible(attempt.backend, connection.address) || is_late(attempt, elapsed) {
             return AfterConnect::Fail(Outcome::NotStarted);
         }
-        // The policy relies on it that an attempt without a connection by then never starts.
+        // The policy assumes that an attempt without a connection at the end of the connect timeout never starts.
         if is_slow {
             return AfterConnect::Fail(Outcome::ConnectFailed);
         }
@@ -185,7 +188,7 @@
         }
         let mut time_left = attempt.time_left.saturating_sub(elapsed);
         if seeded_faults::is_active("deadlines") {
-            time_left += SEEDED_EXTRA_TIME;
+            time_left += SEEDED_DEADLINE_EXTENSION;
         }
         let mut request = Vec::with_capacity(REQUEST_CAPACITY);
         self.protocol.encode(&attempt.payload, connection.address, time_left, &mut request);
@@ -195,8 +198,10 @@
             .map_err(|_| NothingWritten)
     }
 
-    /// The guard on sending, right before the write: whether the attempt is wanted, in time, and at an eligible backend. A
-    /// change since the decision is refused here, and reported as a violation unless it was recent.
+    /// Whether an attempt may be written: it is still wanted, and its backend is eligible. Called right before the write.
+    ///
+    /// Also checks the invariant of sending. It is violated if the attempt's deadline has passed by [`MAX_SCHEDULING_DELAY`] or
+    /// more, or if the backend is not eligible although it has neither changed recently nor been ejected by operators.
     fn may_write(&self, attempt: &Attempt<P::Payload>, address: SocketAddr, elapsed: Micros) -> bool {
         let WritePermission { is_wanted, is_eligible, is_recently_changed } =
             self.state().write_permission(attempt.id, attempt.backend, address);
@@ -213,7 +218,8 @@
         is_wanted && is_eligible
     }
 
-    /// Microseconds since the decision to make an attempt. To be read again before each write: the process may have been descheduled.
+    /// Microseconds since the decision to make an attempt. Each write reads it again, because the process may
+    /// have been descheduled.
     fn elapsed(&self, attempt: &Attempt<P::Payload>) -> Micros {
         self.exchange().now().saturating_since(attempt.decided_at)
     }
--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1.
+//! The HTTP/1.1 protocol of backends.
 
 use crate::{Parsed, Protocol};
 use ::http::{ParsedResponse, Request, Response};
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 
 /// The lowest status that counts as a failure of the backend.
-const SERVER_ERROR: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 /// Called with each backend that has served an attempt.
 type OnServed = Box<dyn Fn(BackendId) + Send + Sync>;
 
-/// HTTP/1.1. An answer with a status of 500 or above is a failure of its backend: the request may have run, and is retried at another
-/// backend if it is idempotent.
+/// HTTP/1.1. A response with a status of 500 or above counts as a failure of its backend: the request may have run, and is
+/// retried at another backend if it is idempotent.
 #[derive(Default)]
 pub struct HttpProtocol {
-    /// Called with each backend that has served an attempt.
+    /// Called with each backend that has served an attempt. Nothing is called if it is `None`.
     pub on_served: Option<OnServed>,
 }
 
@@ -37,7 +37,7 @@
     fn parse(&self, request: &Request, buffer: &[u8], is_end: bool) -> Parsed<Response> {
         match ::http::parse_response(buffer, request.is_head, is_end) {
             Ok(Some(ParsedResponse { response, consumed, keep_alive })) => {
-                let is_served = response.status < SERVER_ERROR;
+                let is_served = response.status < MIN_SERVER_ERROR_STATUS;
                 let end = AttemptEnd {
                     outcome: if is_served { Outcome::Ok } else { Outcome::Error },
                     answer: is_served.then_some(response),
@@ -48,7 +48,7 @@
             }
             Ok(None) => Parsed::Incomplete,
             Err(::http::HttpError::Malformed(message)) => Parsed::Malformed(message.text()),
-            Err(_) => Parsed::Malformed("an answer passes a limit"),
+            Err(_) => Parsed::Malformed("an HTTP response exceeds a size limit"),
         }
     }
 }
--- a/crates/destination/src/pool.rs
+++ b/crates/destination/src/pool.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The endpoint of a backend, as discovery has it.
+/// The endpoint of a backend, as the endpoint list states it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEndpoint {
-    /// The backend.
+    /// Identifies the backend in the policy and the exchange.
     pub id: BackendId,
-    /// The address that it listens on.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
-    /// Whether it is eligible.
+    /// Whether the backend is eligible for new attempts.
     pub state: BackendState,
-    /// Its most recent start. Older connections are dead.
+    /// The most recent start of the backend's process. Connections to an earlier process are dead.
     pub started: Timestamp,
 }
 
@@ -50,7 +50,7 @@
         self.endpoint.state == BackendState::Ready && self.endpoint.address == address
     }
 
-    /// Time since the endpoint changed.
+    /// Time since the endpoint last changed.
     pub(crate) fn time_since_change(&self) -> Duration {
         self.changed_at.elapsed()
     }
@@ -73,15 +73,15 @@
         self.endpoint.state = BackendState::Gone;
     }
 
-    /// Adds a connection that has become idle. Bytes behind its answer have to arrive before it is reused, so none may wait for an
-    /// acknowledgement.
+    /// Adds a connection that has become idle, and acknowledges its answer at once. The backend's system may hold back surplus
+    /// bytes after the answer until then, and they must arrive before the connection is reused.
     pub(crate) fn put_idle(&mut self, connection: Arc<PooledConnection<Q>>) {
         connection.socket.acknowledge();
         self.idle.push(IdleConnection { connection, since: Instant::now() });
     }
 
-    /// Takes the connection that became idle last, among those that have been idle for `quiet_time`. A connection with unread bytes
-    /// has answered without a request, or has ended: it is closed.
+    /// Takes the connection that became idle last, among those that have been idle for `quiet_time`. A connection with unread
+    /// bytes is closed: its backend has sent bytes without a request, or has closed the connection.
     pub(crate) fn take_idle(&mut self, quiet_time: Duration) -> Option<Arc<PooledConnection<Q>>> {
         let now = Instant::now();
         let is_quiet = |idle: &IdleConnection<_>| now.duration_since(idle.since) >= quiet_time;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection that has ended, if it was idle.
     pub(crate) fn remove_idle(&mut self, connection: &Arc<PooledConnection<Q>>) {
         self.idle.retain(|idle| !Arc::ptr_eq(&idle.connection, connection));
     }
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 
 /// Maximum bytes of one read.
-pub(crate) const MAX_READ: usize = 8 * 1024;
+pub(crate) const MAX_READ_BYTES: usize = 8 * 1024;
 
 /// A connection to a backend. It carries at most one attempt at a time.
 pub(crate) struct PooledConnection<Q> {
@@ -22,7 +22,7 @@
 pub(crate) struct ActiveAttempt<Q> {
     pub(crate) id: AttemptId,
     pub(crate) payload: Arc<Q>,
-    /// Whether the kernel has taken its last byte.
+    /// Whether the kernel has accepted the last byte of the request.
     is_written: bool,
 }
 
@@ -31,8 +31,8 @@
         Self { socket, backend, address, attempt: Mutex::new(None) }
     }
 
-    /// Writes the request of an attempt; what the kernel does not take is queued. `on_written` is called if the kernel has taken all of
-    /// it. With an error nothing was written, and the connection carries no attempt.
+    /// Writes the request of an attempt. Bytes that the kernel does not accept are queued; `on_written` is called if it has
+    /// accepted all of them. On an error nothing was written, and the connection carries no attempt.
     pub(crate) fn write_attempt(
         &self,
         id: AttemptId,
@@ -40,7 +40,7 @@
         request: &[u8],
         on_written: impl FnOnce(),
     ) -> io::Result<()> {
-        // Locked during the write, so that the reader finds either no attempt or one that was begun.
+        // Locked during the write, so that a reader of the answer waits here and then finds the attempt.
         let mut attempt = locked(&self.attempt);
         let is_written = self.socket.send(request)?;
         if is_written {
@@ -50,13 +50,14 @@
         Ok(())
     }
 
-    /// Whether the connection carries no attempt, or one with bytes that the kernel has not taken.
+    /// Whether the connection carries no attempt, or one whose request the kernel has not accepted completely.
     pub(crate) fn is_unwritten(&self) -> bool {
         let has_attempt = locked(&self.attempt).is_some();
         !has_attempt || self.socket.unsent() > 0
     }
 
-    /// The attempt on the connection. `on_written` is called if the kernel has taken its last byte since the previous call.
+    /// The attempt on the connection. `on_written` is called if the kernel has accepted the last byte of its request since the
+    /// write or the previous call.
     pub(crate) fn active_attempt(&self, on_written: impl FnOnce()) -> Option<(AttemptId, Arc<Q>)> {
         let mut attempt = locked(&self.attempt);
         let attempt = attempt.as_mut()?;
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -1,4 +1,4 @@
-//! The connections to all backends.
+//! The public interface of the connection pools.
 
 use crate::pool::BackendEndpoint;
 use crate::pools_state::PoolsState;
@@ -15,7 +15,7 @@
 pub struct Limits {
     /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// Maximum time for which a connection is idle. It must be below the backends' own timeout.
+    /// Maximum time for which a connection is idle. It must be below the backends' own idle timeout.
     pub idle_timeout: Duration,
     /// Maximum number of connections to all backends together.
     pub max_connections: usize,
@@ -32,7 +32,7 @@
     pub(crate) idle: Duration,
 }
 
-/// The connections to all backends.
+/// The connection pools of all backends, and the attempts on their connections.
 pub struct BackendPools<P: Protocol> {
     pub(crate) weak_self: Weak<Self>,
     pub(crate) protocol: P,
@@ -45,7 +45,7 @@
 }
 
 impl<P: Protocol> BackendPools<P> {
-    /// Creates pools without backends.
+    /// Creates pools without backends. [`BackendPools::set_exchange`] must follow before the first attempt.
     pub fn new(protocol: P, limits: Limits) -> Arc<Self> {
         let timeouts = Timeouts { connect: limits.connect_timeout, idle: limits.idle_timeout };
         Arc::new_cyclic(|weak_self| Self {
@@ -60,12 +60,12 @@
         })
     }
 
-    /// The protocol that the backends speak.
+    /// The wire protocol that all backends speak.
     pub fn protocol(&self) -> &P {
         &self.protocol
     }
 
-    /// Sets the timeouts of connections that are established, or found idle, from now on.
+    /// Sets the connect timeout of new connections, and the idle timeout of all connections.
     pub fn set_timeouts(&self, connect: Duration, idle: Duration) {
         *locked(&self.timeouts) = Timeouts { connect, idle };
     }
@@ -76,7 +76,7 @@
 
     /// Sets the exchange that the ends of attempts are reported to. A second call has no effect.
     pub fn set_exchange(&self, exchange: Arc<Exchange<P::Payload, P::Answer>>) {
-        // Already set: the first stays.
+        // Fails if an exchange is set already, which then stays.
         let _ = self.exchange.set(exchange);
     }
 
@@ -98,23 +98,24 @@
         self.state().unassign(attempt).is_some()
     }
 
-    /// Applies an update of the endpoint list. To be called before the exchange gets the update.
+    /// Applies an update of the endpoint list. The caller must call this before it passes the update to the exchange.
     pub fn update_endpoints(&self, kind: ListKind, endpoints: &[BackendEndpoint]) {
         self.state().update_endpoints(kind, endpoints);
     }
 
-    /// Sets or clears the operators' ejection of a backend. Nothing is written to an ejected backend from now on, not even attempts
-    /// that were decided before; attempts that are written already continue. To be called before the exchange is notified.
+    /// Sets or clears the operators' ejection of a backend. Nothing is written to an ejected backend from now on, not even
+    /// attempts that were decided before; attempts that are written already continue. The caller must call this before it
+    /// notifies the exchange.
     pub fn set_operator_ejection(&self, backend: BackendId, ejected: bool) {
         self.state().set_operator_ejection(backend, ejected);
     }
 
-    /// Sets whether a successor takes over from this process. Until this is cleared, no idle connection is kept.
+    /// Sets whether a successor takes over from this process. While it does, no idle connection is kept.
     pub fn set_retired(&self, retired: bool) {
         self.state().set_retired(retired);
     }
 
-    /// The number of attempts whose last byte the kernel has taken.
+    /// The number of attempts whose request was written completely, that is, whose last byte the kernel has accepted.
     pub fn attempts_written(&self) -> u64 {
         self.attempts_written.load(Ordering::Relaxed)
     }
@@ -123,8 +124,8 @@
         self.attempts_written.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Closes connections that have been idle for too long, and lets each streamed answer check for a stall. To be called
-    /// periodically.
+    /// Closes connections that have been idle for too long, and lets each streamed answer check for a stall. The caller runs
+    /// this periodically.
     pub fn sweep(&self) {
         let (now, idle_timeout) = (Instant::now(), self.timeouts().idle);
         self.state().sweep(idle_timeout, now);
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -9,18 +9,18 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 
-/// Time for which a connection is not reused after an answer. Bytes behind an answer, a duplicate or noise, would otherwise be read
-/// as the answer to the next request; they come some milliseconds late (the operators' page).
+/// Time for which a connection is not reused after an answer. Surplus bytes after an answer (a duplicate or garbage) may arrive
+/// some milliseconds late, as the operators' page states, and would otherwise be read as the answer to the next request.
 const QUIET_TIME: Duration = Duration::from_millis(20);
-/// The same once a quarter of all connections is open: at thousands of requests a second, each would otherwise need a connection of
-/// its own.
+/// Replaces [`QUIET_TIME`] while at least a quarter of the maximum number of connections is open: at thousands of requests a
+/// second, each request would otherwise need a connection of its own.
 const SHORT_QUIET_TIME: Duration = Duration::from_millis(5);
-/// The divisor of the connection limit from which on [`SHORT_QUIET_TIME`] applies.
+/// [`SHORT_QUIET_TIME`] applies from the connection limit divided by this.
 const SHORT_QUIET_TIME_DIVISOR: usize = 4;
-/// An attempt that was decided before a change of the endpoint may reach its write this long after the change.
-const RECENT_CHANGE: Duration = Duration::from_millis(500);
+/// Maximum time after a change of the endpoint in which an attempt that was decided before the change may reach its write.
+const RECENT_CHANGE_WINDOW: Duration = Duration::from_millis(500);
 
-/// The connection that an attempt is made on.
+/// The connection that was checked out for an attempt.
 pub(crate) enum Checkout<Q> {
     /// An idle connection.
     Idle(Arc<PooledConnection<Q>>),
@@ -43,7 +43,8 @@
     pub(crate) is_wanted: bool,
     /// The backend is eligible at the address of the connection.
     pub(crate) is_eligible: bool,
-    /// The backend's endpoint has changed just now, or the backend is ejected: the decision may be older than that.
+    /// The backend's endpoint changed within [`RECENT_CHANGE_WINDOW`], or operators have ejected the backend. The attempt may
+    /// have been decided before that.
     pub(crate) is_recently_changed: bool,
 }
 
@@ -53,11 +54,11 @@
     /// Connections that are open or being established.
     open_connections: usize,
     max_connections: usize,
-    /// Backends that operators have ejected, listed or not.
+    /// Backends that operators have ejected, whether or not the endpoint list has them.
     operator_ejections: HashSet<BackendId>,
-    /// A successor takes over from this process: no connection is kept.
+    /// Whether a successor takes over from this process. No idle connection is kept then.
     is_retired: bool,
-    /// Connections with a streaming answer.
+    /// Connections whose answers are being streamed.
     streaming: Vec<Weak<PooledConnection<Q>>>,
 }
 
@@ -78,7 +79,8 @@
         self.open_connections
     }
 
-    /// Assigns an idle connection to an attempt, or reserves a new one. `None` if neither is possible.
+    /// Assigns an idle connection to an attempt, or reserves a new one. `None` if the backend is unknown or ejected, or if the
+    /// maximum number of connections is reached and none is idle.
     pub(crate) fn check_out(&mut self, attempt: AttemptId, backend: BackendId) -> Option<Checkout<Q>> {
         if self.operator_ejections.contains(&backend) {
             return None;
@@ -91,7 +93,7 @@
             return Some(Checkout::Idle(connection));
         }
         if self.open_connections >= self.max_connections {
-            // Evicts an idle connection of another backend.
+            // Evicts the oldest idle connection of any backend.
             self.close_oldest_idle()?;
         }
         self.open_connections += 1;
@@ -104,7 +106,7 @@
         if has_many_connections { SHORT_QUIET_TIME } else { QUIET_TIME }
     }
 
-    /// Closes the connection of any pool that has been idle longest; `None` if no connection is idle.
+    /// Closes the connection that has been idle longest among all pools; `None` if no connection is idle.
     fn close_oldest_idle(&mut self) -> Option<()> {
         let pools = self.pools.values_mut();
         let idle_pools = pools.filter_map(|pool| pool.oldest_idle_since().map(|since| (since, pool)));
@@ -113,7 +115,8 @@
         Some(())
     }
 
-    /// Returns a connection to its pool, or closes it if its backend is not eligible at this address any more.
+    /// Returns a connection to its pool, or closes it if its backend is no longer eligible at this address or a successor takes
+    /// over.
     pub(crate) fn check_in(&mut self, connection: &Arc<PooledConnection<Q>>) {
         let is_retired = self.is_retired;
         let pool = self.pools.get_mut(&connection.backend);
@@ -155,7 +158,7 @@
         address: SocketAddr,
     ) -> WritePermission {
         let pool = self.pools.get(&backend);
-        let has_changed = pool.is_some_and(|pool| pool.time_since_change() < RECENT_CHANGE);
+        let has_changed = pool.is_some_and(|pool| pool.time_since_change() < RECENT_CHANGE_WINDOW);
         WritePermission {
             is_wanted: self.assignments.contains_key(&attempt),
             is_eligible: self.is_eligible(backend, address),
@@ -163,12 +166,12 @@
         }
     }
 
-    /// A connection could not be established.
+    /// Releases the reservation of a connection that could not be established.
     pub(crate) fn connect_failed(&mut self) {
         self.open_connections -= 1;
     }
 
-    /// An established connection has ended.
+    /// Releases an established connection that has ended.
     pub(crate) fn connection_ended(&mut self, connection: &Arc<PooledConnection<Q>>) {
         self.open_connections -= 1;
         if let Some(pool) = self.pools.get_mut(&connection.backend) {
@@ -176,7 +179,7 @@
         }
     }
 
-    /// An answer streams from this connection.
+    /// Registers a connection whose answer is streamed, so that [`PoolsState::sweep`] wakes it.
     pub(crate) fn add_streaming(&mut self, connection: &Arc<PooledConnection<Q>>) {
         self.streaming.push(Arc::downgrade(connection));
     }
--- a/crates/destination/src/protocol.rs
+++ b/crates/destination/src/protocol.rs
@@ -1,75 +1,76 @@
-//! The trait of the wire protocols that backends speak.
+//! [`Protocol`], the trait of the wire protocols that backends speak.
 
 use exchange::{AttemptEnd, StreamReader};
 use policy::{BackendId, Micros};
 use std::net::SocketAddr;
 
-/// The result of parsing the bytes that have arrived.
+/// The result of parsing the bytes of an answer that have arrived.
 #[derive(Debug)]
 pub enum Parsed<A> {
     /// More bytes must arrive.
     Incomplete,
     /// A complete answer.
     Complete {
-        /// Its length in bytes.
+        /// The length of the answer in bytes.
         consumed: usize,
         /// Whether the connection may carry another attempt.
         keep_alive: bool,
         /// The end of the attempt.
         end: AttemptEnd<A>,
     },
-    /// A large answer has begun. It is passed on while it arrives.
+    /// A large answer has begun. It is streamed to the client while it arrives.
     Streamed(StreamedAnswer<A>),
-    /// The bytes cannot become a valid answer.
+    /// The bytes cannot become a valid answer, for this reason.
     Malformed(&'static str),
 }
 
-/// A large answer that has begun.
+/// The start of a large answer, whose value is streamed to the client.
 #[derive(Debug)]
 pub struct StreamedAnswer<A> {
-    /// The number of bytes before its value.
+    /// The number of bytes before the value.
     pub consumed: usize,
     /// The bytes that the client gets before the value.
     pub head: Vec<u8>,
     /// The length of the value in bytes.
     pub value_bytes: usize,
-    /// The number of items behind the value.
+    /// The number of items after the value.
     pub trailing_items: usize,
-    /// Makes an answer of the stream.
+    /// Creates the answer from the reading end of the stream.
     pub into_answer: fn(StreamReader) -> A,
 }
 
-/// The bytes behind the value of a streamed answer.
+/// The bytes after the value of a streamed answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamTail {
-    /// Their number.
+    /// The number of these bytes.
     pub consumed: usize,
-    /// The part of them that the client gets.
+    /// The bytes that the client gets for them.
     pub forwarded: &'static [u8],
 }
 
 /// A wire protocol of backends.
 pub trait Protocol: Send + Sync + 'static {
-    /// A request as fronts submit it.
+    /// The content of a request, as fronts submit it.
     type Payload: Send + Sync + 'static;
     /// An answer of a backend.
     type Answer: Send + 'static;
 
-    /// Appends the encoded request of an attempt. `time_left`: the time until its deadline, for protocols that propagate it.
+    /// Appends the encoded request of an attempt to `out`. `time_left` is the time until its deadline, for protocols that
+    /// propagate it.
     fn encode(&self, payload: &Self::Payload, to: SocketAddr, time_left: Micros, out: &mut Vec<u8>);
 
     /// Called when a backend has served an attempt. Does nothing by default.
     fn on_served(&self, _backend: BackendId) {}
 
-    /// Parses the bytes behind the value of a streamed answer; `None` if more must arrive.
+    /// Parses the bytes after the value of a streamed answer; `None` if more must arrive.
     ///
     /// # Errors
     ///
     /// The bytes are malformed, so the length of the value may have been wrong.
     fn parse_tail(&self, _trailing_items: usize, _buffer: &[u8]) -> Result<Option<StreamTail>, &'static str> {
-        Err("no streamed answers here")
+        Err("the protocol has no streamed answers")
     }
 
-    /// Parses an answer at the start of the buffer. `is_end`: no more bytes will arrive.
+    /// Parses the answer at the start of the buffer. `is_end` says that no more bytes will arrive.
     fn parse(&self, payload: &Self::Payload, buffer: &[u8], is_end: bool) -> Parsed<Self::Answer>;
 }
--- a/crates/destination/src/read_answers.rs
+++ b/crates/destination/src/read_answers.rs
@@ -1,6 +1,6 @@
-//! The reading side of a connection: answers, until the connection ends.
+//! Reads the answers on a connection until it ends.
 
-use crate::pooled_connection::{MAX_READ, PooledConnection};
+use crate::pooled_connection::{MAX_READ_BYTES, PooledConnection};
 use crate::pools::BackendPools;
 use crate::protocol::{Parsed, Protocol, StreamedAnswer};
 use exchange::{AttemptEnd, AttemptId};
@@ -8,8 +8,8 @@
 use policy::Outcome;
 use std::sync::Arc;
 
-/// Maximum capacity of a buffer that is kept for the next answer.
-const MAX_KEPT_BUFFER: usize = 32 * 1024;
+/// Maximum capacity in bytes of a buffer that is kept for the next answer.
+const MAX_RETAINED_CAPACITY: usize = 32 * 1024;
 
 impl<P: Protocol> BackendPools<P> {
     /// Reads answers until the connection ends.
@@ -21,9 +21,9 @@
 
     /// Reads once, and handles an answer that has begun or is complete. Returns whether the connection continues.
     fn read_answer(&self, connection: &Arc<PooledConnection<P::Payload>>, buffer: &mut Vec<u8>) -> bool {
-        let incoming = connection.socket.receive(buffer, MAX_READ);
+        let incoming = connection.socket.receive(buffer, MAX_READ_BYTES);
         let is_end = !matches!(incoming, Ok(Incoming::Bytes(_) | Incoming::Woken));
-        // Without an attempt, the backend has closed the connection or has answered without a request.
+        // If there is no attempt, the backend has closed the idle connection or has sent bytes without a request.
         let attempt = connection.active_attempt(|| self.count_attempt_written());
         let Some((id, payload)) = attempt else { return false };
         let parsed = match incoming {
@@ -34,7 +34,7 @@
             Parsed::Complete { consumed, keep_alive, end } => {
                 let is_clean = consumed == buffer.len() && connection.socket.unsent() == 0;
                 buffer.clear();
-                if buffer.capacity() > MAX_KEPT_BUFFER {
+                if buffer.capacity() > MAX_RETAINED_CAPACITY {
                     *buffer = Vec::new();
                 }
                 self.answer_completed(connection, id, end, keep_alive && is_clean && !is_end);
@@ -91,12 +91,12 @@
     }
 
     fn connection_ended(&self, connection: &Arc<PooledConnection<P::Payload>>) {
-        // A request whose last byte was not written never ran. Any other may have run.
+        // The backend never ran a request whose last byte was not written. It may have run any other.
         let is_unsent = connection.socket.unsent() > 0;
         let outcome = if is_unsent { Outcome::ConnectFailed } else { Outcome::Reset };
         connection.socket.close();
         self.state().connection_ended(connection);
-        // Taken after the close, so that an attempt that another thread has just begun here gets its end as well.
+        // Taken after the close, so that an attempt that another thread has just written to this connection is ended as well.
         if let Some(attempt) = connection.take_attempt() {
             self.unassign(attempt.id);
             self.attempt_failed(attempt.id, outcome);
--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -1,4 +1,4 @@
-//! The platform's RESP2.
+//! RESP2 as the platform's backends speak it.
 
 use crate::protocol::StreamTail;
 use crate::{Parsed, Protocol, StreamedAnswer};
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Index of the load report among the items of an answer.
+/// Index of the load report among the items of an answer. Item 0 is the value.
 const LOAD_REPORT_ITEM: usize = 2;
-/// The end of a value.
+/// The terminator of a value.
 const LINE_END: &[u8] = b"\r\n";
 
-/// RESP2. The answer that is passed back is the value in its frame, unchanged.
+/// RESP2. The answer that the client gets is the value with its RESP2 framing, unchanged.
 #[derive(Debug)]
 pub struct RespProtocol {
-    /// The metrics of the settings' columns, in order.
+    /// The load metrics that the settings list as columns, in order.
     columns: Mutex<Arc<[LoadMetric]>>,
 }
 
@@ -37,7 +37,7 @@
     fn parse_tail(&self, trailing_items: usize, buffer: &[u8]) -> Result<Option<StreamTail>, &'static str> {
         let Some(line_end) = buffer.get(..LINE_END.len()) else { return Ok(None) };
         if line_end != LINE_END {
-            return Err("a value is longer than it says");
+            return Err("a value is longer than its length prefix");
         }
         let mut consumed = LINE_END.len();
         for _ in 0..trailing_items {
@@ -63,13 +63,13 @@
     }
 }
 
-/// The end of a trailing item. An invalid number in it is ignored, but an invalid frame is an error: the value before it may have
-/// been cut by a wrong length.
+/// The end of an item after the value. An invalid number in it is ignored, but an invalid frame is an error: the value before it
+/// may have been cut by a wrong length.
 fn item_end(buffer: &[u8], start: usize) -> Result<Option<usize>, Malformed> {
     resp::message_end(buffer, start).or_else(|_| resp::integer_end(buffer, start))
 }
 
-/// An answer whose value is too large to be buffered, if the buffer starts with one.
+/// The start of an answer whose value is too large to be buffered; `None` if the buffer does not begin with one.
 fn streamed_answer(buffer: &[u8]) -> Option<StreamedAnswer<AnswerBody>> {
     let (Element::Array(items @ 1..), value_start) = resp::element(buffer, 0).ok()?? else { return None };
     let (value_bytes, consumed) = resp::bulk_head(buffer, value_start).ok()??;
@@ -83,17 +83,18 @@
 }
 
 impl RespProtocol {
-    /// Creates a protocol whose load reports have these columns.
+    /// Creates a protocol that extracts these metrics from load reports, in this order.
     pub fn new(columns: &[LoadMetric]) -> Self {
         Self { columns: Mutex::new(columns.into()) }
     }
 
-    /// Sets the columns of the load reports from now on.
+    /// Sets the metrics that are extracted from later load reports, and their order.
     pub fn set_columns(&self, columns: &[LoadMetric]) {
         *link::locked(&self.columns) = columns.into();
     }
 
-    /// The answer at the start of the buffer. It is parsed item by item, so that malformed bytes are found before more are awaited.
+    /// The answer at the start of the buffer. It is parsed item by item, so that malformed bytes are found before more are
+    /// awaited.
     fn complete_answer(&self, buffer: &[u8]) -> Result<Option<CompleteAnswer>, Malformed> {
         let Some((first, next)) = resp::element(buffer, 0)? else { return Ok(None) };
         match first {
@@ -102,7 +103,7 @@
                 let end = self.error_answer(&buffer[text]);
                 Ok(Some(CompleteAnswer { consumed: next, end }))
             }
-            _ => Err(Malformed("an answer of an unknown form")),
+            _ => Err(Malformed("an answer is neither an array with items nor an error")),
         }
     }
 
@@ -113,11 +114,11 @@
         items: usize,
     ) -> Result<Option<CompleteAnswer>, Malformed> {
         if buffer.get(value_start).is_some_and(|&kind| kind != b'$') {
-            return Err(Malformed("an answer without a value"));
+            return Err(Malformed("the first item of an answer is not a bulk string"));
         }
         let value_end = match resp::element(buffer, value_start)? {
             Some((Element::Bulk(_), end)) => end,
-            Some(_) => return Err(Malformed("an answer without a value")),
+            Some(_) => return Err(Malformed("the first item of an answer is not a bulk string")),
             None => return Ok(None),
         };
         let (mut consumed, mut load) = (value_end, Vec::new());
@@ -125,7 +126,7 @@
             let Some(end) = item_end(buffer, consumed)? else { return Ok(None) };
             let element = resp::element(buffer, consumed);
             if let (LOAD_REPORT_ITEM, Ok(Some((Element::Bulk(report), _)))) = (item, element) {
-                load = self.load(&buffer[report]);
+                load = self.parse_load_report(&buffer[report]);
             }
             consumed = end;
         }
@@ -134,17 +135,18 @@
         Ok(Some(CompleteAnswer { consumed, end }))
     }
 
-    /// The end of an attempt that the backend answered with an error. The last word of the error may be a load report.
+    /// The end of an attempt that the backend answered with an error line. The last word of the line may be a load report.
     fn error_answer(&self, text: &[u8]) -> AttemptEnd<AnswerBody> {
         let code = text.split(|&byte| byte == b' ').next().unwrap_or_default();
         let outcome = if code == b"BUSY" { Outcome::Rejected } else { Outcome::Error };
-        let load = text.rsplit(|&byte| byte == b' ').next().map_or(Vec::new(), |last| self.load(last));
+        let load =
+            text.rsplit(|&byte| byte == b' ').next().map_or(Vec::new(), |last| self.parse_load_report(last));
         AttemptEnd { load, ..AttemptEnd::without_answer(outcome) }
     }
 
-    /// The values of a load report such as `inflight=7,queue=2`, in the order of the settings' columns. A value that is missing or not
-    /// a number is NaN and not 0, so that the backend does not seem idle. Empty if no value is known.
-    fn load(&self, report: &[u8]) -> Vec<f32> {
+    /// Parses the values of a load report such as `inflight=7,queue=2`, in the order of the settings' columns. A value that is
+    /// missing or not a number is NaN and not 0, so that the backend does not seem idle. Empty if no value is known.
+    fn parse_load_report(&self, report: &[u8]) -> Vec<f32> {
         let columns = link::locked(&self.columns).clone();
         let mut values = vec![f32::NAN; columns.len()];
         for (name, value) in resp::fields(report, 0..report.len()) {
@@ -160,7 +162,7 @@
     }
 }
 
-/// The metric that a load report has under this name.
+/// The load metric of a name in a load report; `None` if the name is unknown.
 fn load_metric(name: &[u8]) -> Option<LoadMetric> {
     match name {
         b"inflight" | b"active" => Some(LoadMetric::InFlight),
--- a/crates/destination/src/streaming.rs
+++ b/crates/destination/src/streaming.rs
@@ -1,6 +1,6 @@
-//! Answers that are passed on while they arrive.
+//! Streams large answers to the client while they arrive.
 
-use crate::pooled_connection::{MAX_READ, PooledConnection};
+use crate::pooled_connection::{MAX_READ_BYTES, PooledConnection};
 use crate::pools::BackendPools;
 use crate::protocol::{Protocol, StreamedAnswer};
 use exchange::{AttemptEnd, AttemptId, StreamEnd, StreamWriter, open_stream};
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A streamed answer without progress for this long is ended. Slow backends and clients take seconds.
+/// A streamed answer is ended after this time without progress. Slow backends and clients may pause for seconds.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// Maximum bytes behind the value of a streamed answer.
-const MAX_TAIL: usize = 64 * 1024;
+/// Maximum bytes after the value of a streamed answer.
+const MAX_TAIL_BYTES: usize = 64 * 1024;
 
 impl<P: Protocol> BackendPools<P> {
-    /// Passes a large answer on while it arrives, at the pace of its client. For the policy, the attempt ends with the first bytes.
-    /// Returns whether the answer is complete and the connection can carry another attempt.
+    /// Streams a large answer to its client while it arrives, at the client's pace. For the policy, the attempt ends with the
+    /// first bytes. Returns whether the answer is complete and the connection can carry another attempt.
     pub(crate) fn stream_answer(
         &self,
         id: AttemptId,
@@ -52,7 +52,7 @@
         is_complete && buffer.is_empty() && connection.socket.unsent() == 0
     }
 
-    /// Copies the bytes of a value to the stream, then parses the items behind it. Returns whether the answer is complete and
+    /// Copies the bytes of the value to the stream, then parses the items after it. Returns whether the answer is complete and
     /// well-formed.
     fn copy_value(
         &self,
@@ -84,7 +84,7 @@
                 }
             }
             let is_stalled = last_progress.elapsed() >= STALL_TIMEOUT;
-            if writer.reader_is_gone() || is_stalled || buffer.len() > MAX_TAIL + MAX_READ {
+            if writer.reader_is_gone() || is_stalled || buffer.len() > MAX_TAIL_BYTES + MAX_READ_BYTES {
                 return false;
             }
             let waits_for_client = remaining > 0 && !buffer.is_empty();
@@ -105,7 +105,7 @@
         connection.socket.wait();
         return !connection.socket.is_closed();
     }
-    match connection.socket.receive(buffer, MAX_READ) {
+    match connection.socket.receive(buffer, MAX_READ_BYTES) {
         Ok(Incoming::Bytes(_) | Incoming::Woken) => true,
         Ok(Incoming::End) | Err(_) => false,
     }
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// Guards against a backend that seems idle because its load report is invalid, and against the loss of the valid value before such
-/// a report.
+/// Guards against a backend that seems idle because its load report is invalid, and against the loss of the valid value before
+/// such a report.
 #[test]
 fn a_value_with_an_invalid_load_report_is_served_and_its_load_is_unknown() {
     for (report, known) in [
