--- a/crates/destination/tests/pools.rs
+++ b/crates/destination/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Attempts on real connections, to a backend that the tests script.
+//! Attempts on real connections to a backend whose answers the tests control.
 
 use destination::{BackendEndpoint, BackendPools, Limits, RespProtocol};
 use exchange::{
@@ -17,7 +17,7 @@
 
 /// Maximum time that a test waits for an event.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// A connection is reused only after it has been quiet for 20 ms.
+/// Longer than the 20 ms for which a connection must be quiet before it is reused.
 const REUSE_DELAY: Duration = Duration::from_millis(60);
 const REQUEST_TIMEOUT: Micros = 10_000_000;
 const BACKEND: BackendId = BackendId(1);
@@ -26,14 +26,14 @@
 type TestPools = BackendPools<RespProtocol>;
 type TestExchange = Exchange<Query, AnswerBody>;
 
-/// A gatekeeper with one backend.
+/// The exchange and the pools of a gatekeeper with one backend.
 struct Gatekeeper {
     exchange: Arc<TestExchange>,
     pools: Arc<TestPools>,
     backend: BackendEndpoint,
 }
 
-/// A request, and where its final answer arrives.
+/// A submitted request, and the channel of its final answer.
 struct Submitted {
     id: RequestId,
     answers: Receiver<FinalAnswer<AnswerBody>>,
@@ -84,7 +84,7 @@
             units: 1.0,
             client_retry: false,
             account: None,
-            payload: Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("it has a deadline"),
+            payload: Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("the query has a deadline"),
         };
         let reply = move |answer| {
             let _ = sender.send(answer);
@@ -95,15 +95,15 @@
 
 impl Submitted {
     fn answer(&self) -> FinalAnswer<AnswerBody> {
-        self.answers.recv_timeout(TIMEOUT).expect("an answer in time")
+        self.answers.recv_timeout(TIMEOUT).expect("a final answer arrives in time")
     }
 
-    /// The value of a buffered answer.
+    /// Waits for a served and buffered answer, and returns its value.
     #[track_caller]
     fn value(&self) -> Vec<u8> {
         match self.answer() {
             FinalAnswer::Served(AnswerBody::Complete(value)) => value,
-            other => panic!("{other:?}"),
+            other => panic!("expected a buffered answer, got {other:?}"),
         }
     }
 }
@@ -116,15 +116,15 @@
 
 fn accept(listener: &TcpListener) -> TcpStream {
     let (stream, _) = listener.accept().expect("a connection");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the read timeout is set");
     stream
 }
 
 /// Reads until a request has arrived.
 fn read_request(stream: &mut TcpStream) {
     let mut bytes = [0; 1024];
-    let count = stream.read(&mut bytes).expect("a request");
-    assert!(count > 0, "the connection is closed");
+    let count = stream.read(&mut bytes).expect("a request arrives");
+    assert!(count > 0, "the connection is closed before a request arrived");
 }
 
 /// Whether the gatekeeper closes the connection without another byte.
@@ -139,7 +139,7 @@
 fn wait_until(condition: impl Fn() -> bool) {
     let started_at = Instant::now();
     while !condition() {
-        assert!(started_at.elapsed() < TIMEOUT, "the condition is not met in time");
+        assert!(started_at.elapsed() < TIMEOUT, "the condition was not met in time");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -154,13 +154,13 @@
     let second = gatekeeper.submit();
     let mut other_connection = accept(&listener);
     read_request(&mut other_connection);
-    connection.write_all(ANSWER).expect("it is open");
+    connection.write_all(ANSWER).expect("the connection is open");
     assert_eq!(first.value(), b"$2\r\nhi\r\n");
     thread::sleep(REUSE_DELAY);
     let third = gatekeeper.submit();
     read_request(&mut connection);
     for (connection, request) in [(&mut connection, third), (&mut other_connection, second)] {
-        connection.write_all(ANSWER).expect("it is open");
+        connection.write_all(ANSWER).expect("the connection is open");
         assert_eq!(request.value(), b"$2\r\nhi\r\n");
     }
     assert_eq!((gatekeeper.pools.open_connections(), gatekeeper.pools.attempts_written()), (2, 3));
@@ -180,13 +180,13 @@
 }
 
 #[test]
-fn a_connection_with_bytes_behind_its_answer_is_closed() {
+fn a_connection_with_bytes_after_its_answer_is_closed() {
     let (listener, address) = listen();
     let gatekeeper = Gatekeeper::new(address);
     let request = gatekeeper.submit();
     let mut connection = accept(&listener);
     read_request(&mut connection);
-    connection.write_all(&[ANSWER, b"noise"].concat()).expect("it is open");
+    connection.write_all(&[ANSWER, b"noise"].concat()).expect("the connection is open");
     assert_eq!(request.value(), b"$2\r\nhi\r\n");
     assert!(is_closed(&mut connection));
     wait_until(|| gatekeeper.pools.open_connections() == 0);
@@ -199,14 +199,14 @@
     let request = gatekeeper.submit();
     let mut connection = accept(&listener);
     read_request(&mut connection);
-    connection.write_all(ANSWER).expect("it is open");
+    connection.write_all(ANSWER).expect("the connection is open");
     request.value();
     let draining = BackendEndpoint { state: BackendState::Draining, ..gatekeeper.backend.clone() };
     gatekeeper.pools.update_endpoints(ListKind::Delta, &[draining]);
     assert!(is_closed(&mut connection));
 }
 
-/// The policy has not been notified yet, as between the two calls of an ejection by operators.
+/// An ejection reaches the pools before the policy, which may select the backend in between.
 #[test]
 fn nothing_is_written_to_an_ejected_backend_that_the_policy_still_selects() {
     let (listener, address) = listen();
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_refused_connection_fails_the_attempt_and_frees_its_place() {
+fn a_refused_connection_fails_the_attempt_and_is_not_counted_as_open() {
     let (_listener, address) = listen();
     // Nothing listens on the port of an outgoing connection, and no other test can bind it.
     let outgoing = TcpStream::connect(address).expect("a connection");
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn an_idempotent_request_whose_connection_ends_is_rejected_for_its_backend() {
+fn an_idempotent_request_whose_connection_ends_is_rejected_as_backend_failed() {
     let (listener, address) = listen();
     let gatekeeper = Gatekeeper::new(address);
     let request = gatekeeper.submit();
@@ -257,10 +257,12 @@
     let backend = thread::spawn(move || {
         let head = format!("*2\r\n${VALUE_BYTES}\r\n");
         let answer = [head.as_bytes(), &vec![b'x'; VALUE_BYTES], b"\r\n$-1\r\n"].concat();
-        connection.write_all(&answer).expect("it is open");
+        connection.write_all(&answer).expect("the connection is open");
         connection
     });
-    let FinalAnswer::Served(AnswerBody::Stream(reader)) = request.answer() else { panic!("no stream") };
+    let FinalAnswer::Served(AnswerBody::Stream(reader)) = request.answer() else {
+        panic!("the answer is not streamed")
+    };
     let mut received = Vec::new();
     let started_at = Instant::now();
     loop {
@@ -268,13 +270,13 @@
             ReadResult::Bytes(bytes) => received.extend(bytes),
             ReadResult::Pending => thread::sleep(Duration::from_millis(1)),
             ReadResult::End => break,
-            ReadResult::Broken => panic!("broken after {} bytes", received.len()),
+            ReadResult::Broken => panic!("the stream broke after {} bytes", received.len()),
         }
-        assert!(started_at.elapsed() < TIMEOUT, "{} bytes in time", received.len());
+        assert!(started_at.elapsed() < TIMEOUT, "only {} bytes arrived in time", received.len());
     }
     let expected = [format!("${VALUE_BYTES}\r\n").as_bytes(), &vec![b'x'; VALUE_BYTES], b"\r\n"].concat();
     assert_eq!(received.len(), expected.len());
-    assert!(received == expected, "the bytes differ");
-    let _connection = backend.join().expect("no panic");
+    assert!(received == expected, "the streamed bytes differ from the answer");
+    let _connection = backend.join().expect("the backend thread did not panic");
     wait_until(|| gatekeeper.exchange.open_streams() == 0);
 }
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -1,4 +1,4 @@
-//! The outcomes of RESP2 answers.
+//! Parsing of RESP2 answers into outcomes, values and load reports.
 
 use destination::{Parsed, Protocol, RespProtocol};
 use exchange::AnswerBody;
@@ -11,7 +11,7 @@
 }
 
 fn query() -> Query {
-    Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("it has a wait")
+    Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("the query has a deadline")
 }
 
 /// A complete answer.
@@ -34,12 +34,12 @@
             });
             Some(Ok(Answer { consumed, outcome: end.outcome, value, load: end.load }))
         }
-        Parsed::Streamed(_) => Some(Err("a streamed answer")),
+        Parsed::Streamed(_) => Some(Err("a streamed answer instead of a complete one")),
         Parsed::Malformed(text) => Some(Err(text)),
     }
 }
 
-/// Guards the limit between buffered and streamed answers, and the bytes behind the value of a streamed one.
+/// Guards the size limit between buffered and streamed answers, and the parsing of the bytes after a streamed value.
 #[test]
 fn streamed_answers_begin_with_their_head_and_end_with_a_valid_tail() {
     let streamed = |text: &str| match protocol().parse(&query(), text.as_bytes(), false) {
@@ -91,7 +91,7 @@
     ] {
         let parsed = parse(bytes.as_bytes());
         if bytes.contains("$33") {
-            // The frame is a byte too short.
+            // The length prefix of the load report is one byte too small.
             assert!(matches!(parsed, Some(Err(_))), "{bytes:?}: {parsed:?}");
             continue;
         }
@@ -99,7 +99,7 @@
         let answer = Answer { consumed: bytes.len(), outcome, value, load };
         assert_eq!(parsed, Some(Ok(answer)), "{bytes:?}");
     }
-    // The last ones are incomplete, but no answer begins like them.
+    // The last three are incomplete, but cannot be the beginning of a valid answer.
     for bytes in [
         "+OK\r\n",
         ":1\r\n",
@@ -124,7 +124,7 @@
         ("$20\r\ninflight=inf,queue=2\r\n", "[NaN, 2.0, NaN]"),
     ] {
         let bytes = format!("*3\r\n$2\r\nhi\r\n$-1\r\n{report}");
-        let answer = parse(bytes.as_bytes()).expect("it is complete").expect("it is valid");
+        let answer = parse(bytes.as_bytes()).expect("the answer is complete").expect("the answer is valid");
         assert_eq!((answer.outcome, answer.value), (Outcome::Ok, Some(b"$2\r\nhi\r\n".to_vec())), "{report}");
         assert_eq!(answer.consumed, 17 + report.len());
         let load = if answer.load.is_empty() { String::new() } else { format!("{:?}", answer.load) };
@@ -134,7 +134,7 @@
     let value = Some(b"$2\r\nhi\r\n".to_vec());
     let answer = Answer { consumed: bytes.len(), outcome: Outcome::Ok, value, load: vec![] };
     assert_eq!(parse(bytes), Some(Ok(answer)));
-    // A wrong length that ends at a line end within the value is found by the rest of the value.
+    // If a wrong length ends at a line end within the value, the rest of the value is invalid as the next item.
     assert!(matches!(parse(b"*3\r\n$2\r\nhi\r\nthe rest\r\n$-1\r\n$-1\r\n"), Some(Err(_))));
 }
 
