--- a/crates/counter/src/call_result.rs
+++ b/crates/counter/src/call_result.rs
@@ -1,15 +1,16 @@
-//! Results of calls.
+//! Results of calls to the counter.
 
 use policy::Outcome;
 
 /// Result of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallResult {
-    /// Id of the call.
+    /// [`CounterCall::id`](exchange::CounterCall::id) of the call.
     pub id: u64,
-    /// Outcome of the call.
+    /// [`Outcome::Ok`] if the units were added. Nothing was added with [`Outcome::Rejected`] and [`Outcome::ConnectFailed`]; with
+    /// any other outcome, the units may have been added.
     pub outcome: Outcome,
-    /// Total of the count after the call; 0 unless the outcome is [`Outcome::Ok`].
+    /// Units in the count after the call; 0 unless the outcome is [`Outcome::Ok`].
     pub total: f64,
 }
 
@@ -22,7 +23,7 @@
         Self { id, outcome: Outcome::Ok, total }
     }
 
-    /// The result of a call without a total.
+    /// The result of a call that ended without a total.
     pub(crate) fn without_total(id: u64, outcome: Outcome) -> Self {
         Self { id, outcome, total: 0.0 }
     }
--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -10,20 +10,19 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
 
-/// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A connection that was opened for a shard.
 struct OpenedConnection {
     connection: Arc<CounterConnection>,
-    /// Calls that waited for it and could not be written.
+    /// Calls that waited for the connection and could not be written to it.
     unwritten: Vec<CounterCall>,
 }
 
-/// Client of one counter.
+/// Client of one counter. It connects on demand, and again after a connection has ended.
 pub struct CounterClient {
     /// Reference to itself for the coroutines that run connections.
-    this: Weak<Self>,
+    weak_self: Weak<Self>,
     address: Mutex<SocketAddr>,
     on_ended: OnCallEnded,
     shards: [Mutex<Shard>; SHARDS],
@@ -32,10 +31,10 @@
 }
 
 impl CounterClient {
-    /// Creates a client. It connects on its first call.
+    /// Creates a client that reports the result of each call to `on_ended`. It connects on its first call.
     pub fn new(address: SocketAddr, on_ended: OnCallEnded) -> Arc<Self> {
-        Arc::new_cyclic(|this| Self {
-            this: this.clone(),
+        Arc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             address: Mutex::new(address),
             on_ended,
             shards: Default::default(),
@@ -60,7 +59,8 @@
             return false;
         }
         for shard in &self.shards {
-            // Removed from its shard before it is retired: a call that finds it retired must find a shard without connection.
+            // Removed from its shard before it is retired: a call that the retired connection refuses tries the shard again,
+            // which must no longer have that connection.
             let Some(connection) = locked(shard).take_connection() else { continue };
             connection.retire();
             locked(&self.retired).push(Arc::downgrade(&connection));
@@ -69,7 +69,8 @@
         true
     }
 
-    /// Closes connections that have been silent for too long. The caller runs this several times a second.
+    /// Closes connections that have unanswered calls and have been silent for too long. The caller runs this several times a
+    /// second.
     pub fn close_silent_connections(&self) {
         let mut connections: Vec<_> = {
             let mut retired = locked(&self.retired);
@@ -83,8 +84,8 @@
     /// Opens the connection of a shard with the waiting calls, and reads answers until it ends.
     fn run_connection(&self, shard: &Mutex<Shard>) {
         let Some(OpenedConnection { connection, unwritten }) = self.connect(shard) else { return };
-        unwritten.iter().for_each(|call| self.fail_to_connect(call));
-        // Every way in which reading ends closes the connection.
+        unwritten.iter().for_each(|call| self.fail_unwritten(call));
+        // The connection is closed for any reason that ends the reading, so the error is not needed.
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
         locked(shard).remove_connection(&connection);
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Connects a shard and writes the calls that waited for it. If the counter is unreachable, these calls fail, and it returns `None`.
+    /// Connects a shard and writes the calls that waited for it. If the counter is unreachable, these calls fail, and the
+    /// result is `None`.
     fn connect(&self, shard: &Mutex<Shard>) -> Option<OpenedConnection> {
         loop {
             let address = *locked(&self.address);
@@ -107,11 +109,12 @@
             let waiting = shard.take_waiting();
             let Ok(connection) = connection else {
                 drop(shard);
-                waiting.iter().for_each(|call| self.fail_to_connect(call));
+                waiting.iter().for_each(|call| self.fail_unwritten(call));
                 return None;
             };
             let connection = Arc::new(CounterConnection::new(connection));
-            // Written before the shard has the connection: no later call may overtake them. Writing never waits.
+            // Written before the shard has the connection, so that no later call overtakes the waiting ones. A write never
+            // blocks.
             let is_unwritten = |call: &CounterCall| !matches!(connection.write(call), WriteResult::Written);
             let unwritten = waiting.into_iter().filter(is_unwritten).collect();
             shard.set_connection(connection.clone());
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Ends a call that was not written.
-    fn fail_to_connect(&self, call: &CounterCall) {
+    /// Reports that a call was not written, so that nothing was added.
+    fn fail_unwritten(&self, call: &CounterCall) {
         (self.on_ended)(CallResult::without_total(call.id, Outcome::ConnectFailed));
     }
 }
@@ -134,7 +137,7 @@
                 drop(state);
                 match connection.write(&call) {
                     WriteResult::Written => return,
-                    WriteResult::Failed => return self.fail_to_connect(&call),
+                    WriteResult::Failed => return self.fail_unwritten(&call),
                     WriteResult::Retired => continue,
                 }
             }
@@ -142,10 +145,10 @@
             drop(state);
             match queued {
                 Queued::Waiting => {}
-                Queued::Full => self.fail_to_connect(&call),
+                Queued::Full => self.fail_unwritten(&call),
                 Queued::MustConnect => {
-                    if let Some(this) = self.this.upgrade() {
-                        spawn(move || this.run_connection(&this.shards[shard::index_of(call.name)]));
+                    if let Some(client) = self.weak_self.upgrade() {
+                        spawn(move || client.run_connection(&client.shards[shard::index_of(call.name)]));
                     }
                 }
             }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -12,7 +12,8 @@
 
 /// Maximum number of unanswered calls on a connection, and of calls that wait until it is open.
 pub(crate) const MAX_PENDING_CALLS: usize = 256;
-/// A connection with unanswered calls counts as dead after this time without received bytes. A network partition sends no reset.
+/// A connection with unanswered calls counts as dead after this time without received bytes, since a network partition sends no
+/// reset.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time-out for the rest of an incomplete answer. Answers have a few bytes and arrive in one piece.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
@@ -26,10 +27,10 @@
     last_received: Mutex<Instant>,
 }
 
-/// Calls that were written and are not answered.
+/// Calls that were written and are not answered yet.
 #[derive(Default)]
 struct PendingCalls {
-    /// Their ids, oldest first.
+    /// Ids of the calls, oldest first.
     ids: VecDeque<u64>,
     /// When the first bytes of an incomplete answer arrived.
     incomplete_since: Option<Instant>,
@@ -60,8 +61,8 @@
         self.connection.close();
     }
 
-    /// Stops further calls from being written. The caller then calls [`CounterConnection::wake`], which ends the connection if it has
-    /// no unanswered calls.
+    /// Refuses all further calls. The caller must then call [`CounterConnection::wake`], which ends the connection if it has no
+    /// unanswered calls.
     pub(crate) fn retire(&self) {
         locked(&self.pending).retired = true;
     }
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Writes a call.
+    /// Writes a call without blocking.
     pub(crate) fn write(&self, call: &CounterCall) -> WriteResult {
         let bytes = protocol::encode(call);
         // The lock is held while the bytes are written, so that calls are queued in the order of writing.
@@ -103,7 +104,7 @@
 
     /// Reads answers until the connection ends.
     ///
-    /// Returns an error for an invalid answer. The outcome of the calls after it is unknown then.
+    /// Returns an error for an invalid answer. The outcome of the calls that are still unanswered is unknown then.
     pub(crate) fn read_answers(&self, on_ended: &OnCallEnded) -> Result<(), AnswerError> {
         let mut buffer = Vec::new();
         loop {
@@ -125,16 +126,16 @@
     fn match_answers(&self, buffer: &[u8], on_ended: &OnCallEnded) -> Result<usize, AnswerError> {
         let mut position = 0;
         loop {
-            // Malformed bytes are in place of the answer to the oldest call, so the counter has received that call.
+            // Malformed bytes arrive in place of the answer to the oldest call, so the counter has received that call.
             let element = resp::element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
             let Some((element, next)) = element else { return Ok(position) };
             let id = locked(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
                 Answer::Total(total) => on_ended(CallResult::ok(id, total)),
                 Answer::Rejected => on_ended(CallResult::without_total(id, Outcome::Rejected)),
-                Answer::Unreadable => {
+                Answer::Invalid => {
                     on_ended(CallResult::without_total(id, Outcome::Error));
-                    return Err(AnswerError::UnknownForm);
+                    return Err(AnswerError::InvalidAnswer);
                 }
             }
             position = next;
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Records since when there is an incomplete answer.
+    /// Updates since when an incomplete answer has been in the buffer.
     fn update_incomplete_since(&self, consumed: usize, has_incomplete: bool) {
         let mut pending = locked(&self.pending);
         // If an answer was completed, the remaining bytes belong to a later one.
--- a/crates/counter/src/error.rs
+++ b/crates/counter/src/error.rs
@@ -1,15 +1,15 @@
 //! Errors that end a connection to the counter.
 
-/// Why an answer is invalid.
+/// Why the bytes from the counter are not the answer to a call.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AnswerError {
     /// The bytes are not valid RESP2.
-    #[error("{0}")]
+    #[error("the counter's answer is not valid RESP2: {0}")]
     Malformed(#[from] resp::Malformed),
-    /// There is no unanswered call.
-    #[error("an answer to no call")]
+    /// An answer arrived without an unanswered call.
+    #[error("the counter sent an answer while no call was unanswered")]
     Unexpected,
     /// The answer is neither a total nor a rejection.
-    #[error("an answer of an unknown form")]
-    UnknownForm,
+    #[error("the counter's answer is neither a total nor a rejection")]
+    InvalidAnswer,
 }
--- a/crates/counter/src/protocol.rs
+++ b/crates/counter/src/protocol.rs
@@ -1,27 +1,27 @@
-//! Protocol of the counter: calls and answers in RESP2.
+//! Wire protocol of the counter: encodes calls and interprets answers, both in RESP2.
 
 use exchange::CounterCall;
 use resp::Element;
 
-/// The command that adds to a count and returns the total.
+/// The command that adds units to a count and returns the total.
 const COMMAND: &[u8] = b"TALLY";
-/// Accepted range for the retention of a new count, in milliseconds.
+/// Range that the counter accepts for the retention of a new count, in milliseconds.
 const RETENTION_RANGE_MS: std::ops::RangeInclusive<u64> = 1..=60_000;
 const MICROS_PER_MS: u64 = 1_000;
-/// Usual size of an encoded call.
+/// Initial capacity in bytes of the buffer for an encoded call. Most calls fit in it.
 const TYPICAL_CALL_BYTES: usize = 96;
-/// First words of the error lines that mean that nothing was added.
+/// First words of the error lines by which the counter says that nothing was added.
 const REJECTION_CODES: [&[u8]; 2] = [b"BUSY", b"ERR"];
 
 /// Meaning of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Answer {
-    /// The units were added, and this is the total.
+    /// The units were added, and the count now has this total.
     Total(f64),
     /// Nothing was added.
     Rejected,
-    /// The units count as added, but the total is not valid.
-    Unreadable,
+    /// The answer has no valid total. The units must be assumed to be added.
+    Invalid,
 }
 
 /// Encodes a call.
@@ -39,18 +39,18 @@
 /// Interprets the answer at this element of the buffer.
 pub(crate) fn interpret(buffer: &[u8], element: &Element) -> Answer {
     match element {
-        Element::Bulk(range) => total(&buffer[range.clone()]).map_or(Answer::Unreadable, Answer::Total),
+        Element::Bulk(range) => parse_total(&buffer[range.clone()]).map_or(Answer::Invalid, Answer::Total),
         Element::Error(range) if is_rejection(&buffer[range.clone()]) => Answer::Rejected,
-        _ => Answer::Unreadable,
+        _ => Answer::Invalid,
     }
 }
 
-fn total(text: &[u8]) -> Option<f64> {
+fn parse_total(text: &[u8]) -> Option<f64> {
     let total: f64 = std::str::from_utf8(text).ok()?.trim().parse().ok()?;
     total.is_finite().then_some(total)
 }
 
-/// Whether an error line means that nothing was added. The counter never sends any other error line.
+/// Whether an error line says that nothing was added. The counter sends no other error lines, so any other line is invalid.
 fn is_rejection(line: &[u8]) -> bool {
     line.split(|byte| *byte == b' ').next().is_some_and(|word| REJECTION_CODES.contains(&word))
 }
--- a/crates/counter/src/shard.rs
+++ b/crates/counter/src/shard.rs
@@ -1,11 +1,11 @@
-//! Shards: the calls of a client are spread over several independent connections by the name of the count.
+//! Shards: a client spreads its calls over several independent connections by the name of the count.
 
 use crate::connection::{CounterConnection, MAX_PENDING_CALLS};
 use exchange::CounterCall;
 use std::sync::Arc;
 
-/// Number of shards of a client, each with its own connection. All calls of a count use one shard, so that their answers arrive in
-/// order. A slow part of the counter causes head-of-line blocking only in the shards that call it.
+/// Number of shards of a client, each with its own connection. All calls of a count use one shard, so that their answers arrive
+/// in order. A slow part of the counter causes head-of-line blocking only in the shards that call it.
 pub(crate) const SHARDS: usize = 4;
 
 /// Connection of a shard, or the calls that wait until it is open.
@@ -25,9 +25,9 @@
 pub(crate) enum Queued {
     /// The call waits, and the connection is being opened already.
     Waiting,
-    /// The call is the first to wait: the caller must open the connection.
+    /// The call is the first to wait. The caller must open the connection.
     MustConnect,
-    /// The queue is full, and the call is not in it.
+    /// The queue is full, and the call was not added to it.
     Full,
 }
 
@@ -36,7 +36,7 @@
         self.connection.clone()
     }
 
-    /// The connection, unless it is closed.
+    /// The connection; `None` if there is none or it is closed.
     pub(crate) fn open_connection(&self) -> Option<Arc<CounterConnection>> {
         self.connection.clone().filter(|connection| !connection.is_closed())
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Removes the waiting calls from the queue, in order.
+    /// Ends the queueing, and returns the waiting calls in order.
     pub(crate) fn take_waiting(&mut self) -> Vec<CounterCall> {
         self.waiting.take().unwrap_or_default()
     }
--- a/crates/counter/tests/client.rs
+++ b/crates/counter/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against a stand-in of the counter, written from the protocol.
+//! The client against a stand-in for the counter, which implements the protocol independently of the client.
 
 use counter::{CallResult, CounterClient};
 use exchange::{CounterCall, QuotaCounter};
@@ -22,10 +22,10 @@
     fn read_call(&mut self) -> Vec<String> {
         let mut line = || {
             let mut text = String::new();
-            self.lines.read_line(&mut text).expect("a call");
+            self.lines.read_line(&mut text).expect("a call arrives");
             text.trim_end().to_owned()
         };
-        let count: usize = line()[1..].parse().expect("an array");
+        let count: usize = line()[1..].parse().expect("a call is an array");
         (0..count).map(|_| (line(), line()).1).collect()
     }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Starts a stand-in of the counter, and returns its address and the connections that it accepts.
+/// Starts a stand-in for the counter, and returns its address and the connections that it accepts.
 fn start_counter() -> (SocketAddr, Receiver<AcceptedConnection>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -69,7 +69,7 @@
 }
 
 fn next<T>(receiver: &Receiver<T>) -> T {
-    receiver.recv_timeout(TIMEOUT).expect("an item in time")
+    receiver.recv_timeout(TIMEOUT).expect("an item arrives in time")
 }
 
 #[test]
@@ -85,7 +85,7 @@
     counter.read_call();
     counter.send("$2\r\n-5\r\n-BUSY\r\n$3\r\n");
     assert_eq!(next(&results), result(1, Outcome::Ok, -5.0));
-    assert_eq!(next(&results), result(2, Outcome::Rejected, 0.0), "rejected: nothing was added");
+    assert_eq!(next(&results), result(2, Outcome::Rejected, 0.0), "a rejected call adds nothing");
     counter.send("1.5\r\n");
     assert_eq!(next(&results), result(3, Outcome::Ok, 1.5));
 }
@@ -100,7 +100,7 @@
     first.send("$1\r\n1\r\n");
     assert_eq!(next(&results).id, 1);
     drop(first);
-    // Until the client has seen the close, a call may still be written to the old connection and be reset, or fail.
+    // Until the client has noticed the close, a call may still be written to the old connection and end with a reset, or fail.
     for id in 2.. {
         client.call(call(id, 1.0));
         match accepted.recv_timeout(Duration::from_millis(50)) {
@@ -113,14 +113,14 @@
                 let ended = next(&results).outcome;
                 assert!(matches!(ended, Outcome::Reset | Outcome::ConnectFailed), "{ended:?}");
             }
-            Err(RecvTimeoutError::Disconnected) => panic!("the counter ended"),
+            Err(RecvTimeoutError::Disconnected) => panic!("the stand-in for the counter has ended"),
         }
     }
     assert_eq!(next(&results).outcome, Outcome::Ok);
 }
 
 #[test]
-fn a_call_before_a_reset_may_have_been_added_and_one_without_connection_was_not() {
+fn a_call_ends_with_reset_if_it_was_written_and_with_connect_failed_otherwise() {
     let (address, accepted) = start_counter();
     let (first, results) = start_client(address);
     first.call(call(1, 1.0));
@@ -154,8 +154,8 @@
     next(&accepted);
 }
 
-/// The first call counts as added, and the outcome of the calls after it is unknown. An error line that the counter never sends does
-/// not mean that nothing was added.
+/// The malformed answer ends the first call with an unknown total, and the outcome of later calls is unknown. An error line that
+/// the counter never sends does not mean that nothing was added.
 #[test]
 fn a_malformed_answer_counts_as_added_and_ends_the_connection() {
     for malformed in
@@ -177,7 +177,7 @@
     }
 }
 
-/// Calls after an answer that never completes must not wait until the connection counts as dead.
+/// An answer that never completes must not delay later calls until the connection counts as dead.
 #[test]
 fn an_incomplete_answer_does_not_delay_the_next_calls() {
     let (address, accepted) = start_counter();
@@ -217,7 +217,7 @@
     assert_eq!(
         first.lines.read_line(&mut rest).expect("the end of the connection"),
         0,
-        "the old connection ends without further calls: {rest}"
+        "the old connection must end without further calls: {rest}"
     );
 }
 
--- a/crates/counter/tests/fixtures.rs
+++ b/crates/counter/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the exchange with the quota counter. Release 0.1 at commit 1461877 wrote the bytes in `fixtures/calls.resp`. The
-//! bytes in `answers.resp` follow the counter's protocol.
+//! Compatibility of the wire format of the counter's calls and answers. Release 0.1 at commit 1461877 wrote the bytes in
+//! `fixtures/calls.resp`. The bytes in `answers.resp` follow the counter's protocol.
 
 use counter::{CallResult, CounterClient};
 use exchange::{CounterCall, QuotaCounter};
@@ -14,7 +14,7 @@
 const ANSWERS: &[u8] = include_bytes!("fixtures/answers.resp");
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a client of the counter at this listener, and returns it with the results of its calls.
+/// Starts a client whose counter is this listener, and returns it with the results of its calls.
 fn start_client(listener: &TcpListener) -> (Arc<CounterClient>, Receiver<CallResult>) {
     link::set_up();
     let (sender, results) = channel();
@@ -29,7 +29,7 @@
     (client, results)
 }
 
-/// Calls on one connection: the names of their counts belong to one shard.
+/// Calls that are all written to one connection, since the names of their counts belong to one shard.
 fn calls() -> Vec<CounterCall> {
     let arguments = [
         (0x0b, -2.5, 4_000_000),
@@ -45,7 +45,7 @@
 
 fn accept(listener: &TcpListener) -> TcpStream {
     let stream = listener.accept().expect("a connection").0;
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the read time-out is set");
     stream
 }
 
@@ -70,7 +70,7 @@
         stream.write_all(&ANSWERS[..split]).expect("the client receives");
         std::thread::sleep(Duration::from_millis(2));
         stream.write_all(&ANSWERS[split..]).expect("the client receives");
-        let next = || results.recv_timeout(TIMEOUT).expect("a result in time");
+        let next = || results.recv_timeout(TIMEOUT).expect("a result arrives in time");
         let received: Vec<CallResult> = (0..6).map(|_| next()).collect();
         let expected = [
             (1, Outcome::Ok, -5.0),
