--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -6,28 +6,28 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
     /// The connection to the agent failed.
-    #[error("{0}")]
+    #[error("the connection to the agent failed: {0}")]
     Connection(#[from] io::Error),
-    /// The configured address of the agent changed.
-    #[error("the agent has moved")]
+    /// The configured address of the agent changed while the watch was connecting.
+    #[error("the configured address of the agent changed")]
     AddressChanged,
-    /// The agent closed the connection.
-    #[error("the agent closed it")]
+    /// The agent closed the connection before its response was complete.
+    #[error("the agent closed the connection")]
     Closed,
     /// The agent responded with a status other than 200.
-    #[error("status {0}")]
+    #[error("the agent responded with status {0}")]
     Status(u16),
     /// The response is not valid HTTP.
-    #[error("{0}")]
+    #[error("the agent's response is not valid HTTP: {0}")]
     Http(#[from] http::HttpError),
     /// The body is not a sequence of JSON objects, or an object is too large or nested too deeply.
-    #[error("an unreadable list: {0}")]
+    #[error("the agent sent a malformed endpoint list: {0}")]
     MalformedList(#[from] json_stream::StreamError),
     /// An object does not have the schema of an endpoint list.
-    #[error("an unreadable list: {0}")]
+    #[error("the agent sent an invalid endpoint list: {0}")]
     InvalidList(#[from] simd_json::Error),
-    /// The response is complete. A watch has no regular end.
-    #[error("the answer ended")]
+    /// The response is complete, although the response to a watch should never end.
+    #[error("the agent ended its response")]
     ResponseEnded,
 }
 
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,7 +1,7 @@
-//! Client of the discovery agent: a watch over HTTP/1.1 that resumes from the version of its last list.
+//! Client of the discovery agent: a watch on the endpoint list over HTTP/1.1, which resumes from the version of its last list.
 //!
-//! [`Watch`] runs in a coroutine and reports each endpoint list as a [`WatchEvent`]. [`PollBackoff`] decides how long it waits
-//! before it requests the watch again after a failure.
+//! [`Watch`] runs in a coroutine and reports each endpoint list as a [`WatchEvent`]. [`PollBackoff`] determines how long it waits
+//! after a failure before it sends the next request.
 
 mod error;
 mod poll_backoff;
--- a/crates/discovery/src/poll_backoff.rs
+++ b/crates/discovery/src/poll_backoff.rs
@@ -1,20 +1,22 @@
-//! Exponential backoff with jitter between requests of a watch. It uses no clock and no socket, so that a test can run a hundred
-//! instances in simulated time.
+//! Exponential backoff with jitter between requests of a watch. It uses no clock and no socket, so that a test can simulate a
+//! hundred gatekeepers.
 //!
 //! All gatekeepers lose their watches at the same moment when the agents or the discovery service fail, and all start together
 //! after a release. The discovery service serves requests in order of arrival. Requests that wait too long time out. If they were
-//! retried at once, the queue would stay too long for any of them (a retry storm). Therefore each consecutive failure doubles the
-//! backoff, and jitter spreads the requests. A single watch that ends after it worked is requested again within
+//! retried at once, the queue would stay so long that every request timed out (a retry storm). Therefore each consecutive failure
+//! doubles the backoff, and jitter spreads the requests. A single watch that ends after it worked is requested again within
 //! [`MAX_BACKOFF_AFTER_SUCCESS`].
 //!
-//! An agent that is notified of changes has a bound: a gatekeeper must know a list 6 s after the agent has it and is reachable,
-//! whatever requests failed in between. In the worst case a silent watch is detected after [`SILENCE_TIMEOUT`], followed by a
-//! backoff, a request that times out, another backoff, and the request that succeeds: 3 + 0.57 + 1 + 0.57 s and two clock ticks.
+//! With an agent that is notified of changes, a gatekeeper must receive a list within 6 s after the agent has it and is
+//! reachable, regardless of the requests that failed before. In the worst case a silent watch is detected after
+//! [`SILENCE_TIMEOUT`], followed by a backoff, a request that times out, another backoff, and the request that succeeds:
+//! 3 + 0.57 + 1 + 0.57 s and two clock ticks.
 
 use std::time::Duration;
 
-/// Maximum time between two lines of a watch. The agent writes at least an empty line (a heartbeat) every 2 s, so a watch without one
-/// for this long is broken. Missed changes must be known 6 s after the last line, with one failed request in between.
+/// Maximum time between two lines of a watch. The agent writes at least an empty line (a heartbeat) every 2 s, so a watch without
+/// one for this long is broken. Missed changes must be received within 6 s after the last line, even if one request fails in
+/// between.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum backoff after a watch that worked.
 const MAX_BACKOFF_AFTER_SUCCESS: Duration = Duration::from_millis(200);
@@ -27,25 +29,26 @@
 const NOTIFIED_MAX_BACKOFF: Duration = Duration::from_millis(300);
 /// Time-out for the response of a notified agent. It responds at once with its present list, unless it is down.
 const NOTIFIED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch that ends sooner than this after its request counts as failed: the agent responds at once with its present list, and closes
-/// the connection when its own request to the discovery service fails.
+/// A watch that ends sooner than this after its request counts as failed: the agent responds at once with its present list, and
+/// closes the connection when its own request to the discovery service fails.
 const MIN_WORKING_AGE: Duration = Duration::from_secs(5);
-/// Maximum number of doublings of the backoff.
+/// Maximum exponent of the backoff, so that the shift cannot overflow. The bounds of the mean are reached long before.
 const MAX_DOUBLINGS: u32 = 16;
 /// Jitter: the backoff is uniformly distributed between 0.1 and 1.9 times the mean.
 const MIN_JITTER: f64 = 0.1;
+/// Difference between the largest and the smallest multiple of the mean.
 const JITTER_RANGE: f64 = 1.8;
 
 /// How the agent learns of changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentMode {
-    /// It polls a discovery service that all gatekeepers share.
+    /// The agent polls a discovery service that all gatekeepers share.
     Polling,
-    /// It is notified of each change.
+    /// The agent is notified of each change.
     Notified,
 }
 
-/// Backoff of the watch of one gatekeeper.
+/// Backoff between the requests of one gatekeeper's watch.
 #[derive(Debug)]
 pub struct PollBackoff {
     random: fastrand::Rng,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Time-out for the head of the agent's response.
+    /// Time-out for the head of the agent's response, counted from the established connection.
     pub fn response_timeout(&self) -> Duration {
         self.response_timeout
     }
--- a/crates/discovery/src/poll_backoff/tests.rs
+++ b/crates/discovery/src/poll_backoff/tests.rs
@@ -8,9 +8,9 @@
 const SERVICE_TIME: Duration = Duration::from_millis(60);
 /// Time-out of a request. The service spends the service time on timed-out requests too.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Resolution of the simulated time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(1);
-/// The simulation gives up after this time.
+/// The simulation ends without a recovery after this time.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(60);
 /// Maximum length of the service's queue. Further requests are rejected at once.
 const MAX_QUEUE: usize = 90;
@@ -26,7 +26,7 @@
 }
 
 /// Simulates a hundred gatekeepers whose watches end at the same moment, and a discovery service with a fixed service time.
-/// `backoff` returns the backoff of a gatekeeper after a watch of this age.
+/// `backoff` returns the backoff of a gatekeeper whose watch ended at this age.
 fn simulate_recovery(seed: u64, mut backoff: impl FnMut(usize, Duration) -> Duration) -> Recovery {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut first_request_at = |gatekeeper| {
@@ -68,7 +68,8 @@
     Recovery { time: None, requests }
 }
 
-/// With a fixed wait of 200 ms, no request was served in time any more after all watches had ended at once.
+/// Guards against a retry storm: with a fixed backoff of 200 ms, no request was served in time once all watches had ended at the
+/// same moment.
 #[test]
 fn a_hundred_gatekeepers_that_lose_their_watches_together_recover_without_a_retry_storm() {
     for seed in 0..20 {
@@ -81,8 +82,11 @@
         );
         assert!(recovery.requests < 400, "seed {seed}: {recovery:?}");
     }
-    let with_fixed_wait = simulate_recovery(1, |_, _| MAX_BACKOFF_AFTER_SUCCESS);
-    assert_eq!(with_fixed_wait.time, None, "the simulation no longer shows a retry storm");
+    let with_fixed_backoff = simulate_recovery(1, |_, _| MAX_BACKOFF_AFTER_SUCCESS);
+    assert_eq!(
+        with_fixed_backoff.time, None,
+        "a fixed backoff no longer causes a retry storm in the simulation"
+    );
 }
 
 #[test]
@@ -106,8 +110,8 @@
     assert_ne!(backoffs(1), backoffs(2));
 }
 
-/// A list must be known 6 s after the agent has it and is reachable, even if a watch has just fallen silent and one request gets no
-/// response. Clock ticks are 0.25 s apart.
+/// A list must be received within 6 s after the agent has it and is reachable, even if a watch has just fallen silent and one
+/// request gets no response. Clock ticks are 0.25 s apart.
 #[test]
 fn a_silent_watch_and_a_failed_request_stay_within_the_notification_bound() {
     for seed in 0..100 {
--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -5,18 +5,18 @@
 use json_stream::{Item, ObjectStream};
 use settings::EndpointList;
 
-/// Maximum size of a JSON object in bytes. It has room for some thousand endpoints.
+/// Maximum size of a JSON object in bytes. It has room for a list of a few thousand endpoints.
 const MAX_OBJECT_BYTES: usize = 4 * 1024 * 1024;
 const STATUS_OK: u16 = 200;
 
-/// A response that is being received.
+/// Parser state of a response that is being received.
 pub(crate) struct Response {
     head: Option<ResponseHead>,
     chunks: ChunkedDecoder,
     objects: ObjectStream,
 }
 
-/// An item of the body. Each item shows that the agent is alive.
+/// An item of the body. Each item proves that the agent is alive.
 pub(crate) enum BodyItem {
     /// An endpoint list.
     List(EndpointList),
@@ -39,7 +39,7 @@
         self.chunks.is_done()
     }
 
-    /// Consumes received bytes. A part that is not complete yet stays in `received`.
+    /// Parses received bytes and removes them from `received`. Bytes that cannot be parsed yet stay there.
     pub(crate) fn consume(&mut self, received: &mut Vec<u8>) -> Result<(), WatchError> {
         if self.head.is_none() {
             self.consume_head(received)?;
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// Returns the next complete item of the body.
+    /// Returns the next complete item of the body; `None` if more bytes must arrive.
     pub(crate) fn next_item(&mut self) -> Result<Option<BodyItem>, WatchError> {
         match self.objects.next_item()? {
             Some(Item::Object(mut object)) => {
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: reads the agent's response, detects silence, and requests the watch again when it has ended.
+//! The watch: reads the agent's response, detects silence, and sends a new request after the response has ended.
 
 use crate::error::WatchError;
 use crate::poll_backoff::{PollBackoff, SILENCE_TIMEOUT};
@@ -11,14 +11,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval at which a backoff checks whether the agent's address has changed.
+/// Interval at which the address of the agent is checked for a change during a backoff.
 const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of bytes of one read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// A watch on the discovery agent.
+/// A watch on the endpoint list of the discovery agent.
 pub struct Watch {
     agent: Mutex<Agent>,
 }
@@ -29,7 +28,7 @@
     connection: Option<AgentConnection>,
 }
 
-/// An open connection, and the deadline for the next sign of life of the agent.
+/// An open connection, and the deadline for the next activity of the agent.
 struct AgentConnection {
     connection: Arc<Connection>,
     deadline: Instant,
@@ -44,7 +43,7 @@
         Instant::now() > self.deadline
     }
 
-    /// Extends the deadline after a sign of life.
+    /// Extends the deadline after activity of the agent.
     fn extend_deadline(&mut self) {
         self.deadline = Instant::now() + SILENCE_TIMEOUT;
     }
@@ -55,15 +54,15 @@
 pub enum WatchEvent {
     /// The agent sent an endpoint list, either complete or with the changed endpoints only.
     EndpointList(EndpointList),
-    /// A request failed, or the watch ended: changes are not seen until the next list.
+    /// A request failed, or the watch ended. Changes are not reported until the next list.
     Lost,
 }
 
-/// State of a running watch that outlives a connection.
+/// State of a running watch that lasts over several connections.
 struct Session<Listener> {
-    /// Version of the last list.
+    /// Version of the last list that was received.
     version: u64,
-    /// Whether the end of the watch is logged, and no list has arrived since.
+    /// Whether the end of the watch was logged, and no list has arrived since.
     is_lost: bool,
     listener: Listener,
 }
@@ -94,13 +93,13 @@
         Arc::new(Self { agent: Mutex::new(Agent { address, connection: None }) })
     }
 
-    /// Continues at this address, from the version of the last list. Returns whether the address has changed.
+    /// Continues the watch at this address, from the version of the last list. Returns whether the address has changed.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let mut agent = locked(&self.agent);
         if std::mem::replace(&mut agent.address, address) == address {
             return false;
         }
-        // The old agent may never close the connection, and its lists must not be used any more.
+        // The old agent may never close the connection, and its lists must no longer be used.
         if let Some(connection) = agent.connection.take() {
             connection.close();
         }
@@ -116,7 +115,8 @@
         }
     }
 
-    /// Runs the watch until the process ends, starting after this version. Parsing JSON requires a coroutine with a large stack.
+    /// Runs the watch until the process ends, and requests the changes after this version first. The caller must be a coroutine
+    /// with a large stack, since parsing JSON recurses.
     pub fn run(&self, version: u64, mut backoff: PollBackoff, listener: impl Fn(WatchEvent)) {
         let mut session = Session { version, is_lost: false, listener };
         loop {
@@ -124,8 +124,8 @@
             let requested_at = Instant::now();
             let Err(error) = self.read_response(address, &mut session, backoff.response_timeout());
             locked(&self.agent).connection.take();
-            if !self.is_current(address) {
-                // A change of the address is not a failure: the new agent is requested at once.
+            if !self.is_current_address(address) {
+                // A change of the address is not a failure. The watch is requested from the new agent at once.
                 continue;
             }
             session.on_lost(&error);
@@ -133,14 +133,14 @@
         }
     }
 
-    fn is_current(&self, address: SocketAddr) -> bool {
+    fn is_current_address(&self, address: SocketAddr) -> bool {
         locked(&self.agent).address == address
     }
 
     /// Waits for the backoff, or until the agent's address changes.
     fn wait(&self, address: SocketAddr, backoff: Duration) {
         let end = Instant::now() + backoff;
-        while self.is_current(address) {
+        while self.is_current_address(address) {
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Reports the lists in received bytes. The head of the response and each item of its body are signs of life.
+    /// Reports the lists in received bytes. The head of the response and each item of its body count as activity.
     fn handle_received(
         &self,
         received: &mut Vec<u8>,
@@ -208,7 +208,7 @@
         Ok(connection)
     }
 
-    /// Extends the deadline for the next sign of life of the agent.
+    /// Extends the deadline for the next activity of the agent.
     fn extend_deadline(&self) {
         if let Some(connection) = &mut locked(&self.agent).connection {
             connection.extend_deadline();
@@ -216,7 +216,7 @@
     }
 }
 
-/// Encodes the request for all changes after this version.
+/// Encodes the request for a watch on all changes after this version.
 fn encode_request(address: SocketAddr, version: u64) -> String {
     format!("GET /discovery/hosts?stream=1&index={version} HTTP/1.1\r\nHost: {address}\r\n\r\n")
 }
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Compatibility of the exchange with the discovery agent. Release 0.1 at commit 1461877 wrote the bytes in
+//! Compatibility of the wire format of the agent's requests and responses. Release 0.1 at commit 1461877 wrote the bytes in
 //! `fixtures/request.http`, where `ADDRESS` stands for the agent's address. The bytes in `response.http` follow the agent's protocol.
 
 use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
@@ -13,7 +13,7 @@
 const RESPONSE: &[u8] = include_bytes!("fixtures/response.http");
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a watch on an agent at this listener, after version 18446744073709551615.
+/// Starts a watch whose agent is this listener. It requests the changes after version 18446744073709551615.
 fn start_watch(listener: &TcpListener) -> Receiver<WatchEvent> {
     link::set_up();
     let watch = Watch::new(listener.local_addr().expect("an address"));
@@ -30,14 +30,14 @@
 /// Accepts a connection and returns the request on it, with the connection.
 fn accept(listener: &TcpListener) -> (String, TcpStream) {
     let mut stream = listener.accept().expect("a connection").0;
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the read time-out is set");
     let mut request = Vec::new();
     while !request.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a request");
+        stream.read_exact(&mut byte).expect("a request arrives");
         request.push(byte[0]);
     }
-    (String::from_utf8(request).expect("text"), stream)
+    (String::from_utf8(request).expect("the request is UTF-8"), stream)
 }
 
 #[test]
@@ -49,7 +49,7 @@
 }
 
 fn next_list(events: &Receiver<WatchEvent>) -> EndpointList {
-    match events.recv_timeout(TIMEOUT).expect("an event in time") {
+    match events.recv_timeout(TIMEOUT).expect("an event arrives in time") {
         WatchEvent::EndpointList(list) => list,
         WatchEvent::Lost => panic!("the watch was lost"),
     }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch against a stand-in of the agent, written from the protocol.
+//! The watch against a stand-in for the agent, which implements the protocol independently of the watch.
 
 use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
 use settings::EndpointList;
@@ -10,11 +10,11 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bound for learning of a change after the agent has it.
+/// Maximum time until a gatekeeper receives a change that the agent has.
 const NOTIFICATION_BOUND: Duration = Duration::from_secs(6);
 
 fn next<T>(receiver: &Receiver<T>) -> T {
-    receiver.recv_timeout(TIMEOUT).expect("an item in time")
+    receiver.recv_timeout(TIMEOUT).expect("an item arrives in time")
 }
 
 /// A request of the watch, and the connection for the response.
@@ -37,7 +37,7 @@
     }
 }
 
-/// Starts an agent and returns its address and the requests that it receives.
+/// Starts a stand-in for the agent, and returns its address and the requests that it receives.
 fn start_agent() -> (SocketAddr, Receiver<Request>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -102,7 +102,8 @@
     assert_eq!(expect_list(next(&events)).revision, 42);
 }
 
-/// The JSON parser recurses: a deeply nested list once overflowed the stack, and the watch never recovered.
+/// Guards against a stack overflow in the recursive JSON parser: a deeply nested list once caused one, and the watch never
+/// recovered.
 #[test]
 fn a_malformed_list_ends_the_watch_which_is_then_requested_again() {
     let (address, requests) = start_agent();
@@ -110,9 +111,9 @@
     let deep = format!("{{\"rev\":41,\"x\":{}\n", "[".repeat(200_000) + &"]".repeat(200_000) + "}");
     for malformed in [deep.as_str(), "nonsense\n", "{\"rev\":\"x\"}\n", "{\"targets\":[{}]}\n"] {
         let mut request = next(&requests);
-        assert!(request.line.contains("index=40"), "from the version of the last list");
+        assert!(request.line.contains("index=40"), "the watch resumes from the version of the last list");
         request.send_head();
-        // The watch may close the connection before all is written.
+        // The watch may close the connection before the list is written completely.
         let _ = request.stream.write_all(format!("{:x}\r\n{malformed}\r\n", malformed.len()).as_bytes());
         assert!(matches!(next(&events), WatchEvent::Lost), "{:.20}", malformed);
     }
@@ -122,7 +123,7 @@
     assert_eq!(expect_list(next(&events)).revision, 43);
 }
 
-/// Changes must be known 6 s after the last line of the broken watch.
+/// Changes must be received within 6 s after the last line of the broken watch.
 #[test]
 fn a_watch_without_complete_lines_is_requested_again_within_the_notification_bound() {
     let (address, requests) = start_agent();
@@ -131,16 +132,16 @@
     request.send_head();
     let last_line_at = Instant::now();
     request.send_chunk("\n");
-    // Bytes that complete neither a line nor an object are no sign of life.
+    // Bytes that complete neither a line nor an object do not count as activity.
     let mut stream = request.stream.try_clone().expect("a second handle");
     request.send_chunk("{\"rev\":41,");
-    let chatter = std::thread::spawn(move || {
+    let writer = std::thread::spawn(move || {
         while last_line_at.elapsed() < TIMEOUT && stream.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::park_timeout(Duration::from_millis(100));
         }
     });
     assert!(matches!(next(&events), WatchEvent::Lost));
-    // One request without a response times out.
+    // The first request after that gets no response and times out.
     let unanswered = next(&requests);
     assert!(unanswered.line.contains("index=40"));
     let mut answered = next(&requests);
@@ -149,5 +150,5 @@
     assert!(matches!(next(&events), WatchEvent::Lost));
     assert_eq!(expect_list(next(&events)).revision, 42);
     assert!(last_line_at.elapsed() < NOTIFICATION_BOUND, "{:?}", last_line_at.elapsed());
-    chatter.join().expect("no panic");
+    writer.join().expect("the writing thread did not panic");
 }
