--- a/crates/handover/src/error.rs
+++ b/crates/handover/src/error.rs
@@ -3,23 +3,23 @@
 use crate::MAX_FRAME_BYTES;
 use std::io;
 
-/// Why a message could not be exchanged.
+/// Why a message could not be sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The connection failed, or its time-out passed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The peer announced a frame that exceeds [`MAX_FRAME_BYTES`].
-    #[error("a frame of {length} bytes is too long, {MAX_FRAME_BYTES} are allowed")]
+    #[error("the peer announced a frame of {length} bytes, at most {MAX_FRAME_BYTES} are allowed")]
     FrameTooLong {
         /// Announced length in bytes.
         length: usize,
     },
     /// A message could not be encoded.
-    #[error("a message cannot be encoded: {0}")]
+    #[error("a message to the peer cannot be encoded: {0}")]
     Encode(#[source] postcard::Error),
     /// A frame does not hold a message of this protocol.
-    #[error("a frame holds no known message: {0}")]
+    #[error("a frame from the peer holds no known message: {0}")]
     Decode(#[source] postcard::Error),
 }
 
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -2,8 +2,8 @@
 //! written before its request is forwarded, so that the predecessor can take over with complete quotas if the successor fails.
 //!
 //! Entries go through a socket, whose buffer outlives the writing process. Writes do not block, so a suspended predecessor cannot
-//! delay its successor. An entry that finds the buffer full is lost. A reader that finds many entries at once therefore reports the
-//! journal as incomplete.
+//! delay its successor. An entry that does not fit in the buffer is lost. A reader that finds many unread entries therefore
+//! reports the journal as incomplete.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::fd::OwnedFd;
@@ -12,22 +12,22 @@
 
 /// Bytes of an encoded entry.
 const ENTRY_BYTES: usize = 28;
-/// More unread entries than this may mean that some were lost. Linux' default socket buffer holds 270 entries of this size with the
-/// kernel's overhead.
+/// More unread entries than this may mean that some were lost. Linux' default socket buffer holds 270 entries of this size with
+/// the kernel's overhead.
 const MAX_UNREAD_ENTRIES: usize = 64;
-/// Valid numbers of gatekeepers.
+/// Accepted values of [`Admission::tenant_gatekeepers`].
 const VALID_GATEKEEPERS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
-/// Valid units of a request.
+/// Accepted values of [`Admission::units`].
 const VALID_UNITS: std::ops::RangeInclusive<f64> = 0.0..=1e9;
-/// Time for a reader to read the rest of a journal whose writer has ended.
+/// Time-out for reading the rest of a journal whose writer has ended. The caller of [`read_journal`] applies it.
 pub const JOURNAL_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One admitted request, as it is charged to its tenant's quota.
+/// An entry of the journal: one admitted request, as it is charged to its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
     /// The tenant's number.
     pub tenant: u64,
-    /// The plan's number in the reader's numbering.
+    /// The plan's number in the predecessor, which reads the journal.
     pub plan: u32,
     /// Number of gatekeepers that serve the tenant.
     pub tenant_gatekeepers: f64,
@@ -46,7 +46,7 @@
         bytes
     }
 
-    /// Decodes an entry. Returns `None` where there are too few bytes or a number is out of range.
+    /// Decodes an entry. Returns `None` if there are too few bytes or a number is out of range.
     fn decode(bytes: &[u8]) -> Option<Self> {
         let (tenant, rest) = bytes.split_first_chunk::<8>()?;
         let (plan, rest) = rest.split_first_chunk::<4>()?;
@@ -80,7 +80,7 @@
         Ok((Self(writer), reader.into()))
     }
 
-    /// Appends an entry. Never blocks; an entry that finds the socket full is lost.
+    /// Appends an entry. Never blocks; an entry that does not fit in the socket's buffer is lost.
     pub fn append(&self, admission: &Admission) {
         // The reader detects a possible loss by the number of unread entries.
         let _ = (&self.0).write(&admission.encode());
--- a/crates/handover/src/journal/tests.rs
+++ b/crates/handover/src/journal/tests.rs
@@ -1,4 +1,4 @@
-//! Which journals are read as complete.
+//! Reading of complete and incomplete journals.
 
 use super::*;
 
@@ -29,14 +29,14 @@
     drop(journal);
     let mut count = 0;
     assert_eq!(read_journal(reader, |_| count += 1), JournalEnd::Incomplete);
-    assert!(count < 100_000, "the socket's buffer is smaller");
+    assert!(count < 100_000, "the buffer of the socket must be too small for all entries");
 }
 
 #[test]
 fn invalid_and_partial_entries_make_a_journal_incomplete() {
     for bytes in [&[0xff; ENTRY_BYTES][..], &[0; ENTRY_BYTES / 2][..]] {
         let (journal, reader) = AdmissionJournal::open().expect("a pair");
-        (&journal.0).write_all(bytes).expect("the socket takes them");
+        (&journal.0).write_all(bytes).expect("the socket accepts the bytes");
         drop(journal);
         assert_eq!(read_journal(reader, |_| ()), JournalEnd::Incomplete);
     }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,13 +1,13 @@
 //! The protocol of a hot restart between the serving process (the predecessor) and the one that replaces it (the successor).
 //!
-//! The successor connects to the predecessor's [`UpgradeSocket`]. Over this connection, of which [`Peer`] is one end, both exchange
-//! [`Message`]s. Each is one frame, and some carry a file descriptor:
+//! The successor connects to the predecessor's [`UpgradeSocket`]. Over this connection, of which [`Peer`] is one end, both
+//! exchange [`Message`]s. Each is one frame, and some carry a file descriptor:
 //!
 //! ```text
 //! successor                                predecessor
 //!     | ------------- Hello ------------------> |
 //!     | ------------- RequestState ------------> |  + read end of the admission journal
-//!     | <------------ State -------------------- |  + listening socket; admits nothing from here on
+//!     | <------------ State -------------------- |  + listening socket; admits no more requests
 //!     | <------------ ClientConnection --------- |  + client socket, once for each connection
 //!     | <--- SetEjected, EjectionApplied ------> |  while both are alive
 //! ```
@@ -15,8 +15,8 @@
 //! While the predecessor is alive, the successor writes its admissions to an [`AdmissionJournal`], from which the predecessor can
 //! take over again.
 //!
-//! This package bounds and checks what arrives, and disconnects a peer that sends anything else. The binary decides what the
-//! messages do.
+//! This package limits the length of frames and rejects malformed ones. The binary disconnects a peer that sends such a frame,
+//! and decides what the messages do.
 
 mod error;
 mod journal;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -5,15 +5,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the wire format. A successor with another version is not given the state.
+/// Version of the wire format. The predecessor does not send its state to a successor with another version.
 pub const PROTOCOL_VERSION: u32 = 2;
 
-/// A backend's number at the sender. Numbers differ between processes, ids do not.
+/// The number that the sender uses for a backend. Numbers differ between processes, ids do not.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct BackendNumber {
-    /// The sender's number.
+    /// The backend's number in the sender's process.
     pub number: u32,
-    /// The backend's id.
+    /// The backend's id in the endpoint list.
     pub id: String,
 }
 
@@ -27,11 +27,11 @@
     },
     /// The successor is ready to serve and requests the state. Carries the read end of its admission journal.
     RequestState,
-    /// The state of the predecessor, which admits nothing from here on. Carries its listening socket.
+    /// The state of the predecessor, which admits no more requests once it has sent this. Carries its listening socket.
     State {
         /// The policy's snapshot in its own encoding.
         policy_snapshot: Vec<u8>,
-        /// The listed backends.
+        /// The backends on the predecessor's endpoint list.
         backends: Vec<BackendNumber>,
         /// Names of the plans, by number.
         plans: Vec<String>,
@@ -40,25 +40,26 @@
         /// Ids of the backends that operators have ejected.
         ejected: Vec<String>,
     },
-    /// A client connection between two requests. Carries its socket.
+    /// A client connection without an unanswered request. Carries its socket.
     ClientConnection {
-        /// The bytes that were read of an incomplete request.
+        /// The bytes of an incomplete request that the predecessor has read already; empty if there are none.
         partial_request: Vec<u8>,
     },
     /// An operator ejects a backend or ends its ejection.
     SetEjected {
-        /// Identifies the call in the reply.
+        /// Identifies this message in the reply.
         call: u64,
         /// The backend's id.
         id: String,
-        /// True to eject it.
+        /// True to eject the backend, false to end its ejection.
         ejected: bool,
-        /// The sender has the backend in its endpoint list or among the ejected ones. Otherwise the receiver checks its own.
+        /// Whether the sender has the backend in its endpoint list or among the ejected ones. If not, the receiver checks its
+        /// own.
         known: bool,
     },
     /// The reply to [`Message::SetEjected`].
     EjectionApplied {
-        /// The call that this replies to.
+        /// The `call` of the message that this replies to.
         call: u64,
         /// Whether the receiver has applied the change.
         applied: bool,
--- a/crates/handover/src/peer.rs
+++ b/crates/handover/src/peer.rs
@@ -1,4 +1,5 @@
-//! One end of the connection between predecessor and successor: frames with file descriptors over a Unix socket.
+//! One end of the connection between predecessor and successor: sends and receives frames with file descriptors over a Unix
+//! socket.
 //!
 //! A frame is the length of its body (four bytes, little-endian) and the body, a [`Message`] in postcard's encoding.
 
@@ -19,7 +20,7 @@
 
 /// Maximum bytes of a frame's body. A snapshot with 20,000 tenants takes 5 MB.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
-/// Bytes of a frame's header, the length of its body.
+/// Bytes of a frame's header, which holds the length of its body.
 const HEADER_BYTES: usize = 4;
 /// A peer that makes no progress for this long within a frame has failed.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
@@ -41,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where no process listens there.
+    /// Fails if no process listens there.
     pub fn connect(directory: &Path) -> io::Result<Self> {
         UnixStream::connect(UpgradeSocket::path(directory)).map(Self::new)
     }
@@ -52,19 +53,19 @@
     ///
     /// Fails as `socketpair(2)` does.
     pub fn pair() -> io::Result<(Self, Self)> {
-        let (one, other) = UnixStream::pair()?;
-        Ok((Self::new(one), Self::new(other)))
+        let (first, second) = UnixStream::pair()?;
+        Ok((Self::new(first), Self::new(second)))
     }
 
-    /// Sends a message, with a file descriptor where the message carries one.
+    /// Sends a message, with a file descriptor if the message carries one.
     ///
     /// # Errors
     ///
-    /// Fails where the peer has disconnected or reads nothing for 3 s.
+    /// Fails if the peer has disconnected or reads nothing for 3 s.
     pub fn send(&self, message: &Message, descriptor: Option<BorrowedFd<'_>>) -> Result<(), Error> {
         let body = postcard::to_stdvec(message).map_err(Error::Encode)?;
         let header = (body.len() as u32).to_le_bytes();
-        let _sending = self.write_lock.lock().unwrap_or_else(PoisonError::into_inner);
+        let _write_guard = self.write_lock.lock().unwrap_or_else(PoisonError::into_inner);
         self.stream.set_write_timeout(Some(FRAME_TIMEOUT))?;
         let sent = self.send_header(&header, descriptor)?;
         (&self.stream).write_all(&header[sent..])?;
@@ -90,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the peer has disconnected, sends nothing in time, or sends a malformed frame.
+    /// Fails if the peer has disconnected, sends nothing in time, or sends a malformed frame.
     pub fn receive(&self, timeout: Option<Duration>) -> Result<(Message, Option<OwnedFd>), Error> {
         self.stream.set_read_timeout(timeout)?;
         let (header, descriptor) = self.receive_header()?;
@@ -133,7 +134,7 @@
 
     /// Closes the connection. A thread that waits in [`Peer::receive`] gets an error.
     pub fn close(&self) {
-        // Fails only where the peer has disconnected already.
+        // Fails only if the peer has disconnected already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/handover/src/upgrade_socket.rs
+++ b/crates/handover/src/upgrade_socket.rs
@@ -1,4 +1,4 @@
-//! The Unix socket at which a successor finds the serving process.
+//! The Unix socket through which a successor connects to the serving process.
 
 use crate::Peer;
 use std::io;
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the path is unusable or the system has no Unix sockets.
+    /// Fails if the path is unusable or the system has no Unix sockets.
     pub fn bind(directory: &Path) -> io::Result<Self> {
         // Bound under a temporary name and renamed, so that a successor finds a listener at any time.
         let temporary = directory.join(format!("{FILE_NAME}.{}", std::process::id()));
--- a/crates/handover/tests/common/mod.rs
+++ b/crates/handover/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Time in which a message must arrive.
+/// Maximum time until a message must arrive.
 pub const RECEIVE_TIMEOUT: Option<Duration> = Some(Duration::from_secs(20));
 
 /// A directory for the sockets of one test, removed at its end.
@@ -23,10 +23,11 @@
         &self.0
     }
 
-    /// Sends bytes to a peer, and returns the messages that it received before it failed.
+    /// Sends bytes to a peer and disconnects. Returns the messages that the peer received before it failed.
     pub fn messages_from(&self, bytes: &[u8]) -> Vec<Message> {
         let socket = UpgradeSocket::bind(&self.0).expect("a socket");
-        let mut sender = UnixStream::connect(UpgradeSocket::path(&self.0)).expect("it listens");
+        let mut sender =
+            UnixStream::connect(UpgradeSocket::path(&self.0)).expect("the upgrade socket listens");
         let peer = socket.accept().expect("a connection");
         sender.write_all(bytes).expect("the bytes are sent");
         drop(sender);
--- a/crates/handover/tests/wire_format.rs
+++ b/crates/handover/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The wire format of a hot restart, as version 0.1.0 wrote it: later versions read it, and write the same bytes.
+//! Compatibility of the wire format of a hot restart: later versions read what version 0.1.0 wrote, and write the same bytes.
 
 mod common;
 
@@ -48,12 +48,12 @@
     ]
 }
 
-/// Encodes a message as this version sends it.
+/// The frame that this version sends for a message.
 fn frame_of(message: &Message) -> Vec<u8> {
     let directory = SocketDirectory::new("sent");
     let listener = UnixListener::bind(UpgradeSocket::path(directory.path())).expect("a socket");
-    let peer = Peer::connect(directory.path()).expect("it listens");
-    peer.send(message, None).expect("it is sent");
+    let peer = Peer::connect(directory.path()).expect("the upgrade socket listens");
+    peer.send(message, None).expect("the message is sent");
     peer.close();
     let mut frame = Vec::new();
     let (mut receiver, _) = listener.accept().expect("a connection");
@@ -96,8 +96,8 @@
         for position in 0..frame.len() {
             let mut damaged = frame.to_vec();
             damaged[position] ^= 0xff;
-            // A byte of a text or a number makes it another valid message.
-            assert_ne!(directory.messages_from(&damaged).first(), Some(&message), "byte {position}");
+            // A changed byte of a text or a number may yield another valid message, but not the original.
+            assert_ne!(directory.messages_from(&damaged).first(), Some(&message), "damaged byte {position}");
         }
     }
 }
@@ -121,10 +121,10 @@
     assert_eq!(bytes, JOURNAL);
 }
 
-/// Reads the bytes of a journal.
+/// Reads these bytes as a journal.
 fn read_entries(bytes: &[u8]) -> (Vec<Admission>, JournalEnd) {
     let (mut writer, reader) = UnixStream::pair().expect("a pair");
-    writer.write_all(bytes).expect("the socket takes them");
+    writer.write_all(bytes).expect("the socket accepts the bytes");
     drop(writer);
     let mut entries = Vec::new();
     let end = read_journal(reader.into(), |entry| entries.push(entry));
@@ -144,7 +144,7 @@
         assert_eq!(
             read_entries(&JOURNAL[..length]),
             (entries()[..complete].to_vec(), JournalEnd::Incomplete),
-            "{length} bytes"
+            "truncated to {length} bytes"
         );
     }
     // A number of gatekeepers below 1 is out of range.
