--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -1,15 +1,15 @@
-//! Parsing of commands.
+//! Parsing of the operators' commands.
 
-/// Maximum length of a line in bytes, without its end. A command has one word and at most one backend id.
+/// Maximum length of a line in bytes, without its line break. A command has one word and at most one backend id.
 pub const MAX_LINE_BYTES: usize = 512;
 
-/// Word of [`Command::Ready`].
+/// First word of [`Command::Ready`].
 const READY: &str = "readyz";
-/// Word of [`Command::Metrics`].
+/// First word of [`Command::Metrics`].
 const METRICS: &str = "telemetry";
-/// Word of [`Command::Eject`].
+/// First word of [`Command::Eject`].
 const EJECT: &str = "exclude";
-/// Word of [`Command::Restore`].
+/// First word of [`Command::Restore`].
 const RESTORE: &str = "include";
 
 /// An operator's command.
@@ -52,11 +52,11 @@
 }
 
 impl Command {
-    /// Parses a line without its end.
+    /// Parses a line without its line break. The words are separated by ASCII white space.
     ///
     /// # Errors
     ///
-    /// The line is not a valid command.
+    /// Fails if the line is not a valid command.
     pub fn parse(line: &[u8]) -> Result<Self, CommandError> {
         if line.len() > MAX_LINE_BYTES {
             return Err(CommandError::LineTooLong);
--- a/crates/operator/src/command/tests.rs
+++ b/crates/operator/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Which lines are commands, and what operators are told of the others.
+//! Parsing of valid command lines, and the error texts for invalid ones.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 
 #[test]
 fn each_rejected_line_has_its_own_text() {
-    let text = |line: &[u8]| Command::parse(line).expect_err("no command").to_string();
+    let text = |line: &[u8]| Command::parse(line).expect_err("the line is not a valid command").to_string();
     assert_eq!(text(&[b'x'; MAX_LINE_BYTES + 1]), "the line is too long");
     assert_eq!(text(b"exclude \xff"), "the line is no text");
     assert_eq!(text(b" "), "an empty line");
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,7 +1,8 @@
 //! The admin protocol: the commands of operators to a running gatekeeper, and the replies.
 //!
-//! A [`Command`] is one line of text. A reply begins with `OK` or `ERR`; the reply to `telemetry` is the text form of
-//! [`Metrics`]. This package does no I/O and reads no clock, so that parsing and formatting can be tested alone.
+//! A [`Command`] is one line of text. A reply begins with `OK` or `ERR`; the reply to `telemetry` is the text format of
+//! [`Metrics`]. This package does no I/O and reads no clock, so that parsing and formatting can be tested without a
+//! running gatekeeper.
 
 mod command;
 mod metrics;
--- a/crates/operator/src/metrics.rs
+++ b/crates/operator/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, and their text form for the operators' collectors. The collectors rely on the names of the series.
+//! Metrics, and their text format for the operators' collectors. The collectors rely on the names of the series.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 /// Outcomes of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// The class's name.
+    /// Name of the class: the value of the series' label `lane`.
     pub name: String,
     /// Requests that were served.
     pub completed: u64,
@@ -21,18 +21,18 @@
 /// Number of requests that the policy has rejected for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectionCount {
-    /// The reason: the value of the series' label.
+    /// Value of the series' label `reason`.
     pub reason: &'static str,
-    /// Number of requests.
+    /// Number of requests since the process started.
     pub count: u64,
 }
 
 /// Number of violations that one guard of the package `invariants` has found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViolationCount {
-    /// The guard: the value of the series' label.
+    /// Name of the guard: the value of the series' label `guard`.
     pub guard: &'static str,
-    /// Number of violations.
+    /// Number of violations since the process started.
     pub count: u64,
 }
 
@@ -55,8 +55,8 @@
     pub reloads: u64,
     /// Failed reloads of the configuration.
     pub reload_errors: u64,
-    /// Whether an operator's ejection or restoration is not on disk yet. A process that starts without a predecessor would not
-    /// know of it.
+    /// Whether an operator's ejection or restoration is not on disk yet. A process that starts without a predecessor would
+    /// not apply it.
     pub ejections_pending: bool,
     /// Violations of invariants, by guard.
     pub violations: Vec<ViolationCount>,
--- a/crates/operator/src/metrics/tests.rs
+++ b/crates/operator/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! The text form, line by line.
+//! The text format of the metrics, line by line.
 
 use super::*;
 
--- a/crates/operator/src/reply.rs
+++ b/crates/operator/src/reply.rs
@@ -1,8 +1,8 @@
-//! One-line replies.
+//! One-line replies to all commands but `telemetry`.
 
 use std::fmt::Display;
 
-/// Formats the reply to a command that succeeded, or failed with this error.
+/// Formats the one-line reply to a command: `OK`, or `ERR` and the error's text. The text must not contain a line break.
 pub fn reply(result: Result<(), impl Display>) -> String {
     match result {
         Ok(()) => "OK\n".to_owned(),
--- a/crates/operator/src/reply/tests.rs
+++ b/crates/operator/src/reply/tests.rs
@@ -1,4 +1,4 @@
-//! The form of a reply.
+//! The text format of replies.
 
 use super::*;
 
