--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Updates since when an incomplete answer has been in the buffer.
+    /// Updates the time since which an incomplete answer has been in the buffer.
     fn update_incomplete_since(&self, consumed: usize, has_incomplete: bool) {
         let mut pending = locked(&self.pending);
         // If an answer was completed, the remaining bytes belong to a later one.
--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -23,7 +23,7 @@
 
 /// How an attempt continues once its new connection is established.
 enum AfterConnect {
-    /// The attempt is written.
+    /// The request of the attempt is to be written.
     Write,
     /// The attempt ends with this outcome.
     Fail(Outcome),
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Decides how an attempt continues after its connection was established, and assigns the connection to an attempt that will
-    /// be written.
+    /// Decides how an attempt continues after its connection was established. Assigns the connection if the attempt is to be
+    /// written.
     fn after_connect(
         &self,
         connection: &Arc<PooledConnection<P::Payload>>,
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -218,7 +218,8 @@
         }
     }
 
-    /// Closes connections that have been idle for `idle_timeout`, and wakes those with a streaming answer.
+    /// Closes connections that have been idle for `idle_timeout`, and wakes those with a streamed answer to check for a
+    /// stall.
     pub(crate) fn sweep(&mut self, idle_timeout: Duration, now: Instant) {
         for pool in self.pools.values_mut() {
             pool.close_expired(idle_timeout, now);
--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -17,8 +17,8 @@
     /// The agent responded with a status other than 200.
     #[error("the agent responded with status {0}")]
     Status(u16),
-    /// The response is not valid HTTP.
-    #[error("the agent's response is not valid HTTP: {0}")]
+    /// The response is not valid HTTP, or its head exceeds a limit.
+    #[error("the agent's HTTP response cannot be parsed: {0}")]
     Http(#[from] http::HttpError),
     /// The body is not a sequence of JSON objects, or an object is too large or nested too deeply.
     #[error("the agent sent a malformed endpoint list: {0}")]
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// An event of a watch.
+/// What a watch reports to its listener.
 #[derive(Debug)]
 pub enum WatchEvent {
     /// The agent sent an endpoint list, either complete or with the changed endpoints only.
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -12,7 +12,7 @@
 
 /// Bytes of an encoded entry.
 const ENTRY_BYTES: usize = 28;
-/// More unread entries than this may mean that some were lost. Linux' default socket buffer holds 270 entries of this size with
+/// More unread entries than this may mean that some were lost. Linux's default socket buffer holds 270 entries of this size with
 /// the kernel's overhead.
 const MAX_UNREAD_ENTRIES: usize = 64;
 /// Accepted values of [`Admission::tenant_gatekeepers`].
