--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -18,7 +18,7 @@
 
 /// An item of the body. Each item proves that the agent is alive.
 pub(crate) enum BodyItem {
-    /// An endpoint list.
+    /// An endpoint list, either complete or with the changed endpoints only.
     List(EndpointList),
     /// The end of a line. Empty lines are the agent's heartbeats.
     LineEnd,
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -1,5 +1,6 @@
 //! Compatibility of the wire format of the agent's requests and responses. Release 0.1 at commit 1461877 wrote the bytes in
-//! `fixtures/request.http`, where `ADDRESS` stands for the agent's address. The bytes in `response.http` follow the agent's protocol.
+//! `fixtures/request.http`, where `ADDRESS` stands for the agent's address. The bytes in `response.http` follow the agent's
+//! protocol.
 
 use discovery::{AgentMode, PollBackoff, Watch, WatchEvent};
 use settings::EndpointList;
