--- a/crates/config_node/src/error.rs
+++ b/crates/config_node/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors when a node starts, with a replica's log, and on connections.
+//! Errors of starting a node, of reading and writing a replica's log, and of connections.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// An error of a node.
+/// A failure to start a node, to use a replica's log, or to exchange a message.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A log cannot be created because its file exists already.
@@ -14,83 +14,83 @@
         path: PathBuf,
     },
     /// A file cannot be read or written.
-    #[error("{}: {source}", .path.display())]
+    #[error("{}: cannot read or write the file: {source}", .path.display())]
     File {
-        /// The file.
+        /// The file that cannot be read or written.
         path: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
     /// The file that counts the log's frames is truncated or damaged.
-    #[error("{}: the count of the log's frames is cut or damaged", .path.display())]
+    #[error("{}: the frame count of the log is truncated or damaged", .path.display())]
     DamagedFrameCount {
-        /// The file of the count.
+        /// The file that holds the frame count.
         path: PathBuf,
     },
-    /// The file does not begin with the format of a log.
-    #[error("{}: it is no replica log of this format", .path.display())]
+    /// The file does not begin with the format identifier of a log.
+    #[error("{}: not a replica log in a supported format", .path.display())]
     UnknownLogFormat {
         /// The file of the log.
         path: PathBuf,
     },
     /// The log holds fewer intact frames than were written.
-    #[error("{}: {found} of {counted} frames are intact", .path.display())]
+    #[error("{}: only {intact} of {written} log frames are intact", .path.display())]
     MissingFrames {
         /// The file of the log.
         path: PathBuf,
-        /// Number of intact frames.
-        found: u64,
-        /// Number of frames that were written.
-        counted: u64,
+        /// Number of intact frames at the beginning of the file.
+        intact: u64,
+        /// Number of frames that were written, according to the frame count.
+        written: u64,
     },
     /// The records of a frame cannot be decoded or encoded.
-    #[error("{}: log records: {source}", .path.display())]
+    #[error("{}: cannot decode or encode log records: {source}", .path.display())]
     Records {
         /// The file of the log.
         path: PathBuf,
-        /// The cause.
+        /// The error of the encoding.
         source: postcard::Error,
     },
     /// The log's records do not form a state that a replica can resume from.
-    #[error("{}: {source}", .path.display())]
+    #[error("{}: a replica cannot run on this log: {source}", .path.display())]
     UnusableLog {
         /// The file of the log.
         path: PathBuf,
-        /// The cause.
+        /// The reason why the records are rejected.
         source: replicated_config::Error,
     },
     /// The node cannot listen on its address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddr,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
     /// A thread cannot be started.
     #[error("cannot start a thread: {0}")]
     Thread(#[source] io::Error),
     /// A connection failed or timed out.
-    #[error("{0}")]
+    #[error("the connection failed or timed out: {0}")]
     Connection(#[from] io::Error),
-    /// The other side announced a frame that is larger than any message.
+    /// The length field of a received frame exceeds the maximum size of an authenticated message.
     #[error("a frame of {bytes} bytes is larger than the limit of {max}")]
     FrameTooLarge {
-        /// The announced size.
+        /// Size in bytes that the frame's length field announces.
         bytes: usize,
-        /// The limit.
+        /// Maximum size in bytes.
         max: usize,
     },
     /// A frame is not authenticated by any key of this node.
     #[error("a message is not authenticated by any of this node's keys")]
     Unauthenticated,
-    /// An authenticated frame does not hold a message.
-    #[error("{0}")]
+    /// An authenticated frame does not hold a valid message.
+    #[error("an authenticated frame holds no valid message: {0}")]
     Message(#[source] replicated_config::Error),
 }
 
 impl Error {
-    /// Returns the conversion of an I/O error on this file.
+    /// Returns a function that converts an I/O error to [`Error::File`] with this path.
     pub(crate) fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         |source| Self::File { path: path.to_owned(), source }
     }
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -52,17 +52,17 @@
     /// [`Error::MissingFrames`], [`Error::Records`] or [`Error::UnusableLog`] if it is truncated or damaged.
     pub fn open(path: &Path) -> Result<Self, Error> {
         let content = std::fs::read(path).map_err(Error::file(path))?;
-        let counted = frame_count::read(path)?;
+        let written = frame_count::read(path)?;
         let frames =
             frame::decode_all(&content).ok_or_else(|| Error::UnknownLogFormat { path: path.to_owned() })?;
-        let found = frames.len() as u64;
-        if found < counted {
-            return Err(Error::MissingFrames { path: path.to_owned(), found, counted });
+        let intact = frames.len() as u64;
+        if intact < written {
+            return Err(Error::MissingFrames { path: path.to_owned(), intact, written });
         }
         let state = replay(path, &frames)?;
         let bytes = file_size(&frames);
         let file = open_truncated(path, bytes).map_err(Error::file(path))?;
-        Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frames: found, state })
+        Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frames: intact, state })
     }
 
     /// Returns the state that results from the log's records.
--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -138,7 +138,7 @@
     let count = std::fs::read(frame_count::path(&log)).expect("the file exists");
     std::fs::write(&log, &content[..content.len() - 1]).expect("the file is written");
     let truncated = ReplicaLog::open(&log);
-    assert!(matches!(&truncated, Err(Error::MissingFrames { found: 0, counted: 1, .. })), "{truncated:?}");
+    assert!(matches!(&truncated, Err(Error::MissingFrames { intact: 0, written: 1, .. })), "{truncated:?}");
     std::fs::write(&log, "another file").expect("the file is written");
     let other = ReplicaLog::open(&log);
     assert!(matches!(&other, Err(Error::UnknownLogFormat { path }) if *path == log), "{other:?}");
--- a/crates/replicated_config/src/error.rs
+++ b/crates/replicated_config/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors when a replica starts, its log is replayed, or a message is decoded.
+//! Errors of starting a replica, replaying its log and decoding a message.
 
 use crate::ids::ReplicaId;
 use crate::limits::MAX_MESSAGE_BYTES;
 use crate::log_position::{LogIndex, Term};
 
-/// An error of the replicated configuration.
+/// A failure to start a replica, replay its log or decode a message.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The node's id is not in the configured list of replicas.
-    #[error("replica {id} is none of the {replica_count} configured replicas")]
+    #[error("replica {id} is not one of the {replica_count} configured replicas")]
     UnknownReplica {
-        /// The node's id.
+        /// The id with which the node was started.
         id: ReplicaId,
         /// Number of configured replicas.
         replica_count: usize,
     },
     /// The state in the log's snapshot is damaged or has another format.
-    #[error("the state in the log's snapshot cannot be read: {0}")]
+    #[error("cannot decode the state in the log's snapshot: {0}")]
     UnreadableSnapshot(#[source] postcard::Error),
-    /// The log lacks entries that were committed according to its hard state.
-    #[error("the log ends at entry {last_index}, but entries up to {commit} were committed")]
+    /// The log lacks entries that are committed according to its hard state.
+    #[error("the log ends at entry {last_index}, but its hard state commits entries up to {commit}")]
     MissingCommittedEntries {
         /// Last committed entry according to the hard state.
         commit: LogIndex,
@@ -27,30 +27,30 @@
         last_index: LogIndex,
     },
     /// The log holds an entry of a later term than its hard state.
-    #[error("entry {index} of the log has term {entry_term}, but the recorded term is {term}")]
-    EntryOfUnknownTerm {
-        /// The entry's index.
+    #[error("log entry {index} has term {entry_term}, later than term {term} of the hard state")]
+    EntryFromLaterTerm {
+        /// Index of the entry with the later term.
         index: LogIndex,
-        /// The entry's term.
+        /// Term of that entry.
         entry_term: Term,
         /// The term of the hard state.
         term: Term,
     },
-    /// A record holds an entry that does not follow the entry before it.
-    #[error("entry {index} of the log does not follow the one before it, entry {previous}")]
+    /// A record holds an entry whose index is not one more than that of the entry before it.
+    #[error("the log has a gap: entry {index} comes right after entry {previous}")]
     LogGap {
-        /// The entry's index.
+        /// Index of the entry after the gap.
         index: LogIndex,
-        /// Index of the entry before it.
+        /// Index of the entry before the gap.
         previous: LogIndex,
     },
     /// The Raft library rejected the replica's configuration or log.
-    #[error("raft: {0}")]
+    #[error("the Raft library rejected the configuration or the log: {0}")]
     Raft(#[from] raft::Error),
     /// An encoded message is larger than [`MAX_MESSAGE_BYTES`].
     #[error("a message of {bytes} bytes is larger than the limit of {MAX_MESSAGE_BYTES}")]
     MessageTooLarge {
-        /// The message's size.
+        /// Size of the encoded message.
         bytes: usize,
     },
     /// The bytes do not encode a message.
--- a/crates/replicated_config/src/ids.rs
+++ b/crates/replicated_config/src/ids.rs
@@ -8,16 +8,16 @@
 #[serde(transparent)]
 pub struct ReplicaId(pub u64);
 
-/// Raft's number for the absence of a replica: no vote, or no known leader.
+/// The Raft library's id for "no replica": no vote was cast, or no leader is known.
 const NO_REPLICA: u64 = 0;
 
 impl ReplicaId {
-    /// Returns the id of the replica at this index of the configured list.
+    /// Returns the id of the replica at this index, counted from 0, in the configured list.
     pub fn from_index(index: usize) -> Self {
         Self(index as u64 + 1)
     }
 
-    /// Returns the replica's index in the configured list, or `None` for 0, which Raft uses for the absence of a replica.
+    /// Returns the replica's index in the configured list, or `None` for id 0, which Raft uses for "no replica".
     pub fn index(self) -> Option<usize> {
         (self.0 as usize).checked_sub(1)
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Serializes an optional replica as Raft does: as its number, 0 for none.
+/// Serializes an optional replica as Raft does: as its id, or 0 for `None`.
 pub(crate) mod zero_for_none {
     use super::ReplicaId;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/replicated_config/src/lease.rs
+++ b/crates/replicated_config/src/lease.rs
@@ -1,5 +1,5 @@
-//! Leases on the latest version. A lease limits how long a gatekeeper may act on the version that it knows, and tells the leader
-//! when it may put a proposed version in force.
+//! Leases on the latest version. A lease limits how long a gatekeeper may act on the version that it knows. The leader puts a
+//! proposed version in force only once every holder of a valid lease knows that version.
 
 mod client;
 mod table;
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -1,4 +1,4 @@
-//! A gatekeeper's lease: selects the replica to ask for the latest version, and tracks how long its response is valid.
+//! The gatekeeper's side of a lease: selects the replica to ask for the latest version, and tracks until when the lease is valid.
 
 use crate::ids::{ReplicaId, RequestId};
 use crate::message::LeaseResponse;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// A replica counts as unreachable if it has not answered within this fraction (one 15th) of the lease duration.
+/// A replica counts as unreachable if it has not answered within the lease duration divided by this number.
 const RESPONSE_TIMEOUT_DIVISOR: u32 = 15;
 
 /// A gatekeeper's lease on the latest version.
@@ -22,24 +22,24 @@
     expires_at: MonotonicTime,
 }
 
-/// The request that waits for its response.
+/// The newest request, until its response arrives.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     id: RequestId,
     sent_at: MonotonicTime,
 }
 
-/// A new request and the replica to send it to.
+/// The id of a new request and the replica to send the request to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
-    /// The request's id.
+    /// The id that the response repeats.
     pub id: RequestId,
-    /// The replica to send it to.
+    /// The replica to send the request to.
     pub replica: ReplicaId,
 }
 
 impl LeaseClient {
-    /// Creates a client without a lease.
+    /// Creates a client that holds no lease.
     ///
     /// `first_request` must be larger than any request id that an earlier incarnation of this client has used.
     pub fn new(lease_duration: Duration, first_request: RequestId) -> Self {
@@ -68,8 +68,8 @@
         AddressedRequest { id, replica: ReplicaId::from_index(self.target_index) }
     }
 
-    /// Handles a redirect from a replica that is not the leader. Returns whether it names another replica as the leader, which
-    /// the caller should ask at once.
+    /// Handles a redirect from a replica that is not the leader. Returns whether the redirect names another replica as the
+    /// leader. The caller should ask that replica at once.
     pub fn on_redirect(&mut self, request: RequestId, leader: Option<ReplicaId>) -> bool {
         if self.pending.take_if(|pending| pending.id == request).is_none() {
             return false;
@@ -79,18 +79,19 @@
             self.target_index += 1;
             return false;
         };
-        let leader_is_another = leader_index != self.target_index;
+        let names_another_replica = leader_index != self.target_index;
         self.target_index = leader_index;
-        leader_is_another
+        names_another_replica
     }
 
-    /// Handles a response. Returns whether it answers the pending request and was accepted.
+    /// Handles a response. Returns whether it was accepted: it answers the pending request, and its version is not older than the
+    /// latest known one.
     pub fn on_response(&mut self, response: LeaseResponse) -> bool {
         let Some(pending) = self.pending.take_if(|pending| pending.id == response.request) else {
             return false;
         };
         let latest = response.latest();
-        // Reads are linearizable, so a correct response never goes back behind an earlier one.
+        // Reads are linearizable, so a valid response is never older than one that was accepted before.
         if self.latest.is_some_and(|known| known > latest) {
             return false;
         }
@@ -99,12 +100,12 @@
         true
     }
 
-    /// Returns the latest version while the lease is valid.
+    /// Returns the latest known version while the lease is valid, and `None` without a valid lease.
     pub fn leased_version(&self, now: MonotonicTime) -> Option<LatestVersion> {
         self.latest.filter(|_| now < self.expires_at)
     }
 
-    /// Returns when the lease expires or has expired.
+    /// Returns when the lease expires or has expired; [`MonotonicTime::ZERO`] before the first lease.
     pub fn expires_at(&self) -> MonotonicTime {
         self.expires_at
     }
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -13,20 +13,20 @@
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     lease_duration: Duration,
-    /// All leases of earlier leaders have expired at this moment.
+    /// When the last lease that an earlier leader may have granted expires.
     earlier_leases_expire_at: MonotonicTime,
-    /// Leases by the holder's name.
+    /// The leases that this leader has granted, by the holder's name.
     granted: BTreeMap<String, GrantedLease>,
 }
 
 /// A lease that a client may hold.
 #[derive(Clone, Copy, Debug)]
 struct GrantedLease {
-    /// The last request of the holder that was answered.
+    /// The newest request of the holder for which a lease was granted.
     request: RequestId,
     /// Upper bound of the lease's expiry at the holder.
     expires_at: MonotonicTime,
-    /// The latest version that the holder has confirmed to know.
+    /// The latest version that the holder knew of, as its request states.
     known_version: ConfigVersion,
 }
 
@@ -35,7 +35,8 @@
         now < self.expires_at
     }
 
-    /// Returns whether the holder may still act on a version before this one without knowing of it.
+    /// Returns whether the holder may still act on an earlier version alone: the lease is valid, and the holder does not know of
+    /// `version`.
     fn is_behind(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
         self.known_version < version && self.is_valid(now)
     }
@@ -48,8 +49,8 @@
         Self { lease_duration, earlier_leases_expire_at, granted: BTreeMap::new() }
     }
 
-    /// Grants a lease. Returns false if the table is full or holds a valid lease for a later request of this holder. The leader
-    /// then does not answer the request.
+    /// Grants a lease. Returns false if the table is full or holds a valid lease for a later request of this holder. In
+    /// that case the leader must not answer the request.
     ///
     /// `known_version` is the latest version that the holder knew of when it sent the request. The version in the response does
     /// not count: the response may get lost while an earlier lease is still valid.
@@ -67,13 +68,13 @@
         if !self.granted.contains_key(holder) && !self.has_capacity(now) {
             return false;
         }
-        // The holder counts from the moment it sent the request, which is earlier than now.
+        // An upper bound: the holder counts the lease from when it sent the request, which is earlier than now.
         let expires_at = now + self.lease_duration;
         self.granted.insert(holder.to_owned(), GrantedLease { request, expires_at, known_version });
         true
     }
 
-    /// Returns whether one more holder can be remembered. Removes expired leases if the table is full.
+    /// Returns whether the table has space for one more holder. Removes expired leases if it is full.
     fn has_capacity(&mut self, now: MonotonicTime) -> bool {
         if self.granted.len() >= MAX_LEASE_HOLDERS {
             self.granted.retain(|_, lease| lease.is_valid(now));
@@ -81,23 +82,23 @@
         self.granted.len() < MAX_LEASE_HOLDERS
     }
 
-    /// Returns whether no client can hold a lease on a version before this one any more.
+    /// Returns whether this version may be put in force: no client can still hold a lease without knowing of the version.
     pub fn may_activate(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
         now >= self.earlier_leases_expire_at
             && !self.granted.values().any(|lease| lease.is_behind(now, version))
     }
 
-    /// Returns the clients that may hold a lease granted by this leader.
+    /// Returns the names of the clients that may hold a lease granted by this leader.
     pub fn holders(&self, now: MonotonicTime) -> impl Iterator<Item = &str> {
-        self.holders_where(move |lease| lease.is_valid(now))
+        self.holders_matching(move |lease| lease.is_valid(now))
     }
 
-    /// Returns the clients that may still hold a lease on a version before this one.
+    /// Returns the names of the clients that may still hold a lease without knowing of this version.
     pub fn holders_behind(&self, now: MonotonicTime, version: ConfigVersion) -> impl Iterator<Item = &str> {
-        self.holders_where(move |lease| lease.is_behind(now, version))
+        self.holders_matching(move |lease| lease.is_behind(now, version))
     }
 
-    fn holders_where(&self, condition: impl Fn(&GrantedLease) -> bool) -> impl Iterator<Item = &str> {
+    fn holders_matching(&self, condition: impl Fn(&GrantedLease) -> bool) -> impl Iterator<Item = &str> {
         self.granted.iter().filter(move |(_, lease)| condition(lease)).map(|(holder, _)| holder.as_str())
     }
 }
--- a/crates/replicated_config/src/lib.rs
+++ b/crates/replicated_config/src/lib.rs
@@ -1,11 +1,11 @@
-//! Replicated configuration without I/O: gatekeepers agree on versions of the settings through Raft, and hold leases that say
-//! until when they may act on the version that they know.
+//! Replicated configuration without I/O: gatekeepers agree on versions of the settings through Raft, and hold leases that
+//! limit how long they may act on the version that they know.
 //!
 //! - [`Replica`] is one of the three or five Raft replicas. It wraps the state machine of the crate `raft`, applies committed
 //!   commands to a [`ConfigState`], and grants leases while it is the leader.
 //! - [`ConfigState`] is the replicated state: the version in force, the proposed version, and the outcomes of recent proposals.
 //! - [`LeaseClient`] holds a gatekeeper's lease on the latest version. [`LeaseTable`] is the leader's record of granted leases.
-//! - [`Message`] is exchanged between nodes. [`DurableState`] is what a replica keeps on disk, and each [`LogRecord`] updates it.
+//! - [`Message`] is exchanged between nodes. [`DurableState`] is what a replica keeps on disk. Each [`LogRecord`] updates it.
 //!
 //! docs/design/replicated-config.md explains the protocol and its reasons.
 //!
@@ -14,7 +14,7 @@
 //! - The caller writes the records of a [`Ready`] to disk before it sends any message of the same [`Ready`].
 //! - Two gatekeepers that hold leases enforce the same version, or one of them also enforces the proposed successor of that
 //!   version, taking the stricter value of each setting.
-//! - Moments are those of the node's own monotonic clock. Clocks of different nodes are never compared.
+//! - All times are readings of the node's own monotonic clock. Clocks of different nodes are never compared.
 //! - Commands, logs, pending requests and recorded outcomes are bounded.
 
 mod encoding;
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -8,7 +8,7 @@
 /// An entry of the Raft log, on disk and in messages.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LogEntry {
-    /// The entry's position in the log.
+    /// The entry's position in the log, counted from 1.
     pub index: LogIndex,
     /// The term of the leader that appended the entry.
     pub term: Term,
@@ -16,26 +16,26 @@
     pub data: Vec<u8>,
 }
 
-/// The state after all entries up to an index. It replaces these entries.
+/// The replicated state after all entries up to an index. The snapshot replaces these entries in the log.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Snapshot {
-    /// The last entry that the snapshot includes.
+    /// Index of the last entry that the snapshot includes; 0 before the first snapshot.
     pub index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
     /// The encoded [`ConfigState`](crate::ConfigState). Empty before the first snapshot.
     pub state: Vec<u8>,
 }
 
-/// Raft's hard state.
+/// Raft's hard state: the values besides the log that a replica must keep across restarts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct HardState {
     /// The latest term that the replica knows of.
     pub term: Term,
-    /// The replica that it voted for in this term. Stored as a number, 0 for none.
+    /// The replica that this replica voted for in this term. Stored as an id, 0 for `None`.
     #[serde(with = "crate::ids::zero_for_none")]
     pub vote: Option<ReplicaId>,
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
 }
 
@@ -44,42 +44,43 @@
 /// The order of the variants is part of the format on disk.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum LogRecord {
-    /// Replaces the hard state.
+    /// Replaces the previous hard state.
     HardState(HardState),
-    /// Appends entries. Discards the earlier entries from the first appended index on.
+    /// Appends entries after discarding all existing entries from the first appended index on.
     Entries(Vec<LogEntry>),
-    /// Replaces all entries up to the snapshot's index. If the log has another entry, or none, at this index, all entries are
-    /// discarded.
+    /// Replaces all entries up to the snapshot's index. Discards the later entries too, unless the log's entry at this index has
+    /// the snapshot's term.
     Snapshot(Snapshot),
 }
 
 /// Everything that a replica keeps on disk.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct DurableState {
-    /// The last hard state.
+    /// The term, the vote and the commit index.
     pub hard_state: HardState,
-    /// The last snapshot.
+    /// The newest snapshot; its index is 0 before the first one.
     pub snapshot: Snapshot,
     /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
 impl DurableState {
-    /// Applies the next record. The state of a log on disk results from applying its records in order.
+    /// Applies the next record. Applying all records of a log on disk in order restores the log's state.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::LogGap`] if an entry does not follow the one before it: the log is incomplete.
+    /// Returns [`Error::LogGap`] if an entry's index is not one more than that of the entry before it: the log is
+    /// incomplete.
     pub fn apply(&mut self, record: LogRecord) -> Result<(), Error> {
         match record {
             LogRecord::HardState(hard_state) => self.hard_state = hard_state,
-            LogRecord::Snapshot(snapshot) => self.install(snapshot),
-            LogRecord::Entries(entries) => self.append(entries)?,
+            LogRecord::Snapshot(snapshot) => self.install_snapshot(snapshot),
+            LogRecord::Entries(entries) => self.append_entries(entries)?,
         }
         Ok(())
     }
 
-    fn install(&mut self, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
         let is_last_included =
             |entry: &LogEntry| entry.index == snapshot.index && entry.term == snapshot.term;
         let matches_log = self.entries.iter().any(is_last_included);
@@ -88,7 +89,7 @@
         self.snapshot = snapshot;
     }
 
-    fn append(&mut self, entries: Vec<LogEntry>) -> Result<(), Error> {
+    fn append_entries(&mut self, entries: Vec<LogEntry>) -> Result<(), Error> {
         let Some(first) = entries.first().map(|entry| entry.index) else { return Ok(()) };
         self.entries.retain(|entry| entry.index < first);
         for entry in entries {
@@ -101,12 +102,12 @@
         Ok(())
     }
 
-    /// Returns the index of the last entry.
+    /// Returns the index of the last entry, or of the snapshot if no entry follows it.
     pub fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// Returns the term of the entry at this index, if it is the last one in the snapshot or follows it.
+    /// Returns the term of the entry at this index, or `None` if the snapshot includes a later entry or the log ends before it.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -124,7 +125,7 @@
         }
         match self.entries.iter().find(|entry| entry.term > term) {
             Some(entry) => {
-                Err(Error::EntryOfUnknownTerm { index: entry.index, entry_term: entry.term, term })
+                Err(Error::EntryFromLaterTerm { index: entry.index, entry_term: entry.term, term })
             }
             None => Ok(()),
         }
--- a/crates/replicated_config/src/log_position.rs
+++ b/crates/replicated_config/src/log_position.rs
@@ -1,4 +1,4 @@
-//! Coordinates of an entry in the Raft log.
+//! The term and the index of an entry in the Raft log.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -14,20 +14,20 @@
 pub enum Message {
     /// A Raft message between replicas.
     Raft(Box<RaftMessage>),
-    /// A client asks the leader for the latest version.
+    /// A client asks the leader for the latest version, usually with a lease.
     LeaseRequest(LeaseRequest),
     /// The leader answers a lease request, with the texts that the client lacks.
     LeaseResponse(LeaseResponse, Box<VersionTexts>),
     /// A replica that is not the leader answers a lease request.
     RedirectLeaseRequest {
-        /// The redirected request.
+        /// The id of the redirected request.
         request: RequestId,
         /// The leader, if the replica knows one.
         leader: Option<ReplicaId>,
     },
     /// A replica that is not the leader answers a proposal.
     RedirectProposal {
-        /// The redirected proposal.
+        /// The id of the redirected proposal.
         proposal: ProposalId,
         /// The leader, if the replica knows one.
         leader: Option<ReplicaId>,
@@ -38,9 +38,9 @@
     Propose(Proposal),
     /// The leader answers a proposal.
     ProposalOutcome {
-        /// The answered proposal.
+        /// The id of the answered proposal.
         proposal: ProposalId,
-        /// The proposal's outcome.
+        /// Whether the proposal was accepted, or why it was not.
         outcome: ProposalOutcome,
     },
 }
@@ -48,15 +48,15 @@
 /// A client's request for the latest version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseRequest {
-    /// The client's name.
+    /// The client's name, under which the leader records the lease.
     pub client: String,
-    /// The client's id for this request.
+    /// The client's id for this request, which the response repeats.
     pub id: RequestId,
     /// Whether the client asks for a lease. A client that only reads, such as the command line, must not delay the next rollout.
     pub wants_lease: bool,
     /// The latest version that the client knew of when it sent the request.
     pub known_version: ConfigVersion,
-    /// The versions whose texts the client has.
+    /// The versions whose texts the client has. The response leaves them out.
     pub cached: VersionNumbers,
 }
 
@@ -71,23 +71,23 @@
 
 /// The leader's response to a [`LeaseRequest`].
 ///
-/// The leader sends it after a quorum has confirmed, later than the request arrived, that the sender still leads.
+/// The leader sends it only after a quorum has confirmed, in a round that started after the request arrived, that it still leads.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseResponse {
-    /// The answered request.
+    /// The id of the answered request.
     pub request: RequestId,
-    /// The latest version; [`ConfigVersion::NONE`] before the first.
+    /// The latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
     pub version: ConfigVersion,
-    /// The latest version's phase.
+    /// Whether the latest version is proposed or in force.
     pub phase: RolloutPhase,
 }
 
-/// The texts of the version in force and of the proposed version, without those that the recipient has.
+/// The version in force and the proposed version with their texts, without those that the recipient has.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionTexts {
-    /// The version in force.
+    /// The version in force; `None` if there is none or the recipient has it.
     pub in_force: Option<Version>,
-    /// The proposed version.
+    /// The proposed version; `None` if there is none or the recipient has it.
     pub proposed: Option<Version>,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl VersionTexts {
-    /// Returns the numbers of these versions.
+    /// Returns the numbers of these versions, [`ConfigVersion::NONE`] for one that is absent.
     pub fn numbers(&self) -> VersionNumbers {
         VersionNumbers {
             in_force: ConfigVersion::of(self.in_force.as_ref()),
@@ -109,12 +109,12 @@
 }
 
 impl Message {
-    /// Encodes the message.
+    /// Encodes the message, without authentication or a length prefix.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes a message.
+    /// Decodes a message that [`Message::encode`] has encoded.
     ///
     /// # Errors
     ///
--- a/crates/replicated_config/src/raft_message.rs
+++ b/crates/replicated_config/src/raft_message.rs
@@ -20,7 +20,7 @@
     MessageType::MsgTimeoutNow,
 ];
 
-/// A message of the Raft library. The order of the fields is part of the encoding.
+/// A message of the Raft library, with the library's fields. The order of the fields is part of the encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RaftMessage {
     message_type: u8,
@@ -41,7 +41,7 @@
 }
 
 impl RaftMessage {
-    /// Returns the recipient.
+    /// Returns the replica that the message is addressed to.
     pub fn to(&self) -> ReplicaId {
         self.to
     }
@@ -68,10 +68,11 @@
         }
     }
 
-    /// Converts to the library's message. Returns `None` if no configured replica may have sent it.
+    /// Converts to the library's message. Returns `None` if the type is not exchanged between replicas, the sender is not one of
+    /// `replicas`, or the entries have a gap.
     pub(crate) fn into_raft(self, replicas: &[ReplicaId]) -> Option<eraftpb::Message> {
-        let is_type = |known: &MessageType| *known as u8 == self.message_type;
-        let message_type = REPLICA_MESSAGE_TYPES.into_iter().find(is_type)?;
+        let has_type = |known: &MessageType| *known as u8 == self.message_type;
+        let message_type = REPLICA_MESSAGE_TYPES.into_iter().find(has_type)?;
         if !replicas.contains(&self.from) || !self.entries_are_consecutive() {
             return None;
         }
--- a/crates/replicated_config/src/raft_storage.rs
+++ b/crates/replicated_config/src/raft_storage.rs
@@ -1,4 +1,4 @@
-//! The replica's log as the Raft library reads it, and conversions between the log's types and those of the library.
+//! The storage from which the Raft library reads the replica's log, and conversions between this crate's and the library's types.
 
 use crate::error::Error;
 use crate::ids::ReplicaId;
@@ -63,7 +63,7 @@
     ConfState { voters: replicas.iter().map(|replica| replica.0).collect(), ..ConfState::default() }
 }
 
-/// The durable state in memory, from which the Raft library reads.
+/// A copy of the durable state in memory, which the Raft library reads as its storage.
 pub(crate) struct LogStorage {
     durable: DurableState,
     replicas: Vec<ReplicaId>,
@@ -84,7 +84,7 @@
         &self.replicas
     }
 
-    /// Applies a record that is also written to disk.
+    /// Applies a record that the caller also writes to disk.
     pub(crate) fn apply(&mut self, record: LogRecord) -> Result<(), Error> {
         self.durable.apply(record)
     }
@@ -112,10 +112,10 @@
         let requested = self.durable.entries.iter().skip((low - first) as usize).take((high - low) as usize);
         let fitting = requested.take_while(|entry| {
             let entry_bytes = entry.data.len() as u64;
-            // The library needs at least one entry, however large.
+            // The library needs at least one entry, even if it exceeds `max_bytes`.
             let is_first = taken_bytes == 0;
             let fits = is_first || taken_bytes + entry_bytes <= max_bytes;
-            // An empty entry counts as one byte, so that only the first entry finds none taken.
+            // An empty entry counts as one byte, so that `taken_bytes` is 0 only for the first entry.
             taken_bytes += entry_bytes.max(1);
             fits
         });
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -30,19 +30,19 @@
 use tick_clock::TickClock;
 use timestamps::MonotonicTime;
 
-/// Maximum number of pending proposals, and likewise of waiting lease requests.
+/// Maximum number of pending proposals, and separately of waiting lease requests.
 const MAX_PENDING: usize = 4_096;
 
 /// The progress of a replica's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The current term.
+    /// The latest term that the replica knows of.
     pub term: Term,
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub committed: LogIndex,
 }
 
-/// One of the replicas that keep the log.
+/// A Raft replica of the configuration.
 ///
 /// Each method that handles an event adds its output to a [`Ready`], which the caller takes with [`Replica::take_ready`].
 pub struct Replica {
@@ -56,7 +56,7 @@
     /// Lease requests that wait for a quorum to confirm that this replica leads.
     reads: ReadRounds,
     pending_proposals: PendingProposals,
-    /// The last activation command that this replica has appended.
+    /// The last activation command that this replica has appended; `None` if it has appended none since its start.
     last_activation: Option<Activation>,
     ready: Ready,
 }
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// Returns [`Error::UnknownReplica`] if `replicas` lacks `id`, and [`Error::UnreadableSnapshot`],
-    /// [`Error::MissingCommittedEntries`], [`Error::EntryOfUnknownTerm`] or [`Error::Raft`] if the durable state is damaged.
+    /// [`Error::MissingCommittedEntries`], [`Error::EntryFromLaterTerm`] or [`Error::Raft`] if the durable state is damaged.
     pub fn new(
         id: ReplicaId,
         replicas: &[ReplicaId],
@@ -99,27 +99,27 @@
         Ok(replica)
     }
 
-    /// Returns the committed state as far as this replica knows it.
+    /// Returns the state after all committed entries that this replica has applied.
     pub fn state(&self) -> &ConfigState {
         &self.state
     }
 
-    /// Returns the leader as far as this replica knows it.
+    /// Returns the leader that this replica knows, which may be the replica itself; `None` while it knows no leader.
     pub fn leader(&self) -> Option<ReplicaId> {
         ReplicaId::from_raft(self.raw_node.raft.leader_id)
     }
 
-    /// Returns whether this replica leads, as far as it knows.
+    /// Returns whether this replica believes that it is the leader.
     fn is_leader(&self) -> bool {
         self.leases.is_some()
     }
 
-    /// Returns the leader to redirect a client to, unless it is this replica itself.
+    /// Returns the leader to redirect a client to, or `None` if it is unknown or this replica itself.
     fn other_leader(&self) -> Option<ReplicaId> {
         self.leader().filter(|leader| *leader != self.id)
     }
 
-    /// Returns the current term and the last committed entry.
+    /// Returns the term and the index of the last committed entry, for status displays.
     pub fn progress(&self) -> Progress {
         let raft = &self.raw_node.raft;
         Progress { term: Term(raft.term), committed: LogIndex(raft.raft_log.committed) }
@@ -130,7 +130,8 @@
         self.raw_node.store().durable().entries.len()
     }
 
-    /// Returns the clients that may still hold a lease on a version before the proposed one.
+    /// Returns the names of the clients that may still hold a lease without knowing of the proposed version. Empty unless this
+    /// replica is the leader and a version is proposed.
     pub fn holders_behind(&self, now: MonotonicTime) -> Vec<String> {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return Vec::new() };
         leases.holders_behind(now, proposed.number).map(str::to_owned).collect()
@@ -171,7 +172,7 @@
         self.process_raft_output(now);
     }
 
-    /// Handles a client's proposal. The outcome or a redirect is sent to `proposer`.
+    /// Handles a client's proposal. The outcome or a redirect is sent to the client with the name `proposer`.
     pub fn propose(&mut self, now: MonotonicTime, proposer: &str, proposal: Proposal) {
         match self.immediate_reply(&proposal) {
             Some(reply) => self.ready.send_to_client(proposer.to_owned(), reply),
@@ -180,7 +181,7 @@
         self.process_raft_output(now);
     }
 
-    /// Returns the reply to a proposal that needs no entry in the log: a redirect, or an outcome that is known already.
+    /// Returns the reply to a proposal that needs no log entry: a redirect, a rejection, or the recorded outcome of a retry.
     fn immediate_reply(&self, proposal: &Proposal) -> Option<Message> {
         let id = proposal.id;
         if !self.is_leader() {
@@ -194,7 +195,7 @@
         Some(Message::ProposalOutcome { proposal: id, outcome })
     }
 
-    /// Appends a proposal to the log, unless it is pending already. A proposal beyond the limit is dropped; its proposer retries.
+    /// Appends a proposal to the log, unless it is pending already. Drops it if [`MAX_PENDING`] others are; its proposer retries.
     fn append_proposal(&mut self, proposer: &str, proposal: Proposal) {
         let id = proposal.id;
         let was_pending = self.pending_proposals.insert(id, proposer);
@@ -211,13 +212,13 @@
         self.raw_node.propose(Vec::new(), encode(command)).is_ok()
     }
 
-    /// Returns the output since the last call.
+    /// Returns the output since the last call, and removes it from the replica.
     pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.ready)
     }
 }
 
-/// Returns the index of a replica in the configured list.
+/// Returns the index, counted from 0, of a replica in the configured list.
 fn position_of(id: ReplicaId, replicas: &[ReplicaId]) -> Result<usize, Error> {
     let position = replicas.iter().position(|replica| *replica == id);
     position.ok_or(Error::UnknownReplica { id, replica_count: replicas.len() })
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -1,4 +1,5 @@
-//! What a replica does while it leads: it confirms reads, answers lease requests, and puts the proposed version in force.
+//! The part of a replica that runs only on the leader: confirms reads, answers lease requests, and puts the proposed version in
+//! force.
 
 use super::Replica;
 use crate::lease::LeaseTable;
@@ -17,7 +18,7 @@
 }
 
 impl Replica {
-    /// Handles a change of this replica's role.
+    /// Creates the lease table when this replica becomes the leader, and drops the leader's state when it no longer is.
     pub(super) fn on_role_change(&mut self, now: MonotonicTime, role: StateRole) {
         if role != StateRole::Leader {
             self.step_down();
@@ -26,15 +27,15 @@
         }
     }
 
-    /// Drops the state of a leader. Clients and proposers retry, and are redirected to the new leader.
+    /// Drops the leader's state. Clients and proposers retry, and are redirected to the new leader.
     fn step_down(&mut self) {
         self.leases = None;
         self.reads.clear();
         self.pending_proposals.clear();
     }
 
-    /// Appends the command that puts the proposed version in force, as soon as no lease forbids it and at most once in a term.
-    /// Returns whether it was appended.
+    /// Appends the command that puts the proposed version in force once no lease prevents it, at most once per term for
+    /// each version. Returns whether the command was appended.
     pub(super) fn activate_proposed(&mut self, now: MonotonicTime) -> bool {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return false };
         let activation = Activation { term: self.progress().term, version: proposed.number };
@@ -48,9 +49,9 @@
         true
     }
 
-    /// Starts a confirmation round for the waiting lease requests.
+    /// Starts a round in which a quorum confirms this leader, if lease requests wait and no round is open.
     pub(super) fn start_read_round(&mut self) {
-        // A leader knows the last committed entry only once it has committed an entry of the current term.
+        // A leader knows which entries are committed only once it has committed an entry of its own term.
         let may_read = self.is_leader() && self.raw_node.raft.commit_to_current_term();
         if may_read && self.reads.can_start() {
             let context = self.reads.start();
@@ -82,7 +83,7 @@
         self.ready.send_to_client(client, Message::LeaseResponse(response, Box::new(texts)));
     }
 
-    /// Notifies lease holders of a change, so that they ask at once and not only with their next regular request.
+    /// Notifies lease holders of a change, so that they request it at once instead of with their next regular request.
     pub(super) fn notify_lease_holders(&mut self, now: MonotonicTime) {
         let Some(leases) = &self.leases else { return };
         for holder in leases.holders(now) {
--- a/crates/replicated_config/src/replica/pending_proposals.rs
+++ b/crates/replicated_config/src/replica/pending_proposals.rs
@@ -4,7 +4,7 @@
 use crate::ids::ProposalId;
 use std::collections::HashMap;
 
-/// The names of waiting proposers, by proposal.
+/// The names of the proposers that wait for an outcome, by proposal.
 #[derive(Default)]
 pub(super) struct PendingProposals {
     proposers: HashMap<ProposalId, String>,
@@ -17,7 +17,7 @@
         self.proposers.insert(proposal, proposer.to_owned()).is_some()
     }
 
-    /// Returns whether more proposals are pending than the limit allows.
+    /// Returns whether more than [`MAX_PENDING`] proposals are pending.
     pub(super) fn exceeds_limit(&self) -> bool {
         self.proposers.len() > MAX_PENDING
     }
@@ -27,7 +27,7 @@
         self.proposers.remove(&proposal)
     }
 
-    /// Forgets all proposals. Their proposers retry.
+    /// Removes all proposals. Their proposers retry.
     pub(super) fn clear(&mut self) {
         self.proposers.clear();
     }
--- a/crates/replicated_config/src/replica/raft_config.rs
+++ b/crates/replicated_config/src/replica/raft_config.rs
@@ -5,19 +5,20 @@
 use crate::log_position::LogIndex;
 use raft::{Config, ReadOnlyOption};
 
-/// Ticks between two heartbeats of a leader.
+/// Interval between a leader's heartbeats in ticks.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a heartbeat after which the first replica stands for election.
+/// Election timeout of the first replica in ticks, counted from the last heartbeat.
 const ELECTION_TICKS: usize = 16;
-/// Additional election timeout of each further replica in ticks. It makes simultaneous elections rare without random numbers, so
-/// that a simulated run can be repeated.
+/// Difference between the election timeouts of successive replicas in ticks. It makes simultaneous elections rare without random
+/// numbers, so that a simulated run can be repeated.
 const ELECTION_STAGGER_TICKS: usize = 4;
 /// Maximum number of unanswered append messages to one replica.
 const MAX_INFLIGHT_APPENDS: usize = 16;
-/// Uncommitted entries hold at most as many bytes as this many texts of the maximum length.
+/// Maximum total size of the uncommitted entries, as a number of texts of the maximum length.
 const MAX_UNCOMMITTED_TEXTS: u64 = 8;
 
-/// Returns the configuration of the replica at this index of the configured list. `applied` is the last applied entry.
+/// Returns the configuration of the replica at this index of the configured list. `applied` is the index of the last
+/// applied entry.
 pub(super) fn raft_config(id: ReplicaId, index_in_list: usize, applied: LogIndex) -> Config {
     let election_ticks = ELECTION_TICKS + ELECTION_STAGGER_TICKS * index_in_list;
     Config {
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -11,11 +11,12 @@
 use raft::eraftpb;
 use timestamps::MonotonicTime;
 
-/// Number of entries at which the log is compacted.
+/// The log is compacted when it holds this many entries after its snapshot.
 const COMPACTION_ENTRIES: usize = 256;
 
 impl Replica {
-    /// Starts what the last event has made possible, and processes the output of the library until there is none left.
+    /// Starts a read round if possible, then processes the library's output and activates the proposed version until neither
+    /// yields further output. Compacts the log if it has become long.
     pub(super) fn process_raft_output(&mut self, now: MonotonicTime) {
         self.start_read_round();
         loop {
@@ -36,7 +37,7 @@
             self.on_role_change(now, soft_state.raft_state);
         }
         self.send_to_replicas(ready.take_messages());
-        self.persist(&ready);
+        self.queue_records(&ready);
         let confirmed_reads = ready.take_read_states();
         let committed = ready.take_committed_entries();
         self.send_to_replicas(ready.take_persisted_messages());
@@ -44,48 +45,50 @@
         let light_ready = self.raw_node.advance(ready);
         self.process_light_ready(now, light_ready);
         self.raw_node.advance_apply();
-        // All entries that were committed when a round started are applied by now, so the state is as new as each request.
+        // All entries that were committed when a round started are applied by now, so the answers reflect every version that was
+        // committed before the requests arrived.
         for read in confirmed_reads {
             self.finish_read_round(now, read.request_ctx);
         }
     }
 
-    /// Processes the output that the library has once its records are persisted.
+    /// Processes the output that the library yields after its records were persisted.
     fn process_light_ready(&mut self, now: MonotonicTime, mut light_ready: raft::LightReady) {
         if let Some(commit) = light_ready.commit_index() {
             let hard_state = self.raw_node.store().durable().hard_state;
-            self.write(LogRecord::HardState(HardState { commit: LogIndex(commit), ..hard_state }));
+            self.queue_record(LogRecord::HardState(HardState { commit: LogIndex(commit), ..hard_state }));
         }
         self.send_to_replicas(light_ready.take_messages());
         self.apply_committed(now, light_ready.take_committed_entries());
     }
 
-    /// Writes the library's snapshot, entries and hard state, in this order.
-    fn persist(&mut self, ready: &raft::Ready) {
+    /// Applies and queues the records for the library's snapshot, entries and hard state, in this order.
+    fn queue_records(&mut self, ready: &raft::Ready) {
         if !ready.snapshot().is_empty() {
             self.install_snapshot(Snapshot::from_raft(ready.snapshot()));
         }
         let entries: Vec<LogEntry> = ready.entries().iter().map(LogEntry::from_raft).collect();
         if !entries.is_empty() {
-            self.write(LogRecord::Entries(entries));
+            self.queue_record(LogRecord::Entries(entries));
         }
         if let Some(hard_state) = ready.hs() {
-            self.write(LogRecord::HardState(HardState::from_raft(hard_state)));
+            self.queue_record(LogRecord::HardState(HardState::from_raft(hard_state)));
         }
     }
 
-    /// Replaces the state by that of a leader's snapshot, and writes the snapshot.
+    /// Replaces the replicated state by that of a leader's snapshot, and queues the snapshot's record.
     fn install_snapshot(&mut self, snapshot: Snapshot) {
         if let Ok(state) = postcard::from_bytes(&snapshot.state) {
             self.state = state;
             self.ready.state_changed = true;
         }
-        self.write(LogRecord::Snapshot(snapshot));
+        self.queue_record(LogRecord::Snapshot(snapshot));
     }
 
-    fn write(&mut self, record: LogRecord) {
+    /// Applies a record to the storage, and queues it for the caller to write to disk.
+    fn queue_record(&mut self, record: LogRecord) {
         let applied = self.raw_node.mut_store().apply(record.clone());
-        debug_assert!(applied.is_ok(), "the library wrote a gap: {applied:?}");
+        debug_assert!(applied.is_ok(), "the Raft library's records leave a gap in the log: {applied:?}");
         self.ready.records.push(record);
     }
 
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Applies a command. If it is a proposal whose proposer waits here, sends the outcome.
+    /// Applies a command. If it is a proposal whose proposer waits for this replica's answer, sends the outcome.
     fn apply_command(&mut self, command: Command) {
         let proposal = match &command {
             Command::Propose(proposal) => Some(proposal.id),
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Replaces the applied entries by a snapshot once the log is long.
+    /// Replaces the applied entries by a snapshot if the log holds at least [`COMPACTION_ENTRIES`] entries.
     fn compact_log(&mut self) {
         let durable = self.raw_node.store().durable();
         let index = LogIndex(self.raw_node.raft.raft_log.applied);
@@ -133,6 +136,6 @@
             return;
         }
         let term = durable.term_at(index).unwrap_or_default();
-        self.write(LogRecord::Snapshot(Snapshot { index, term, state: encode(&self.state) }));
+        self.queue_record(LogRecord::Snapshot(Snapshot { index, term, state: encode(&self.state) }));
     }
 }
--- a/crates/replicated_config/src/replica/read_rounds.rs
+++ b/crates/replicated_config/src/replica/read_rounds.rs
@@ -1,10 +1,11 @@
-//! Linearizable reads. A lease request is answered after a quorum has confirmed, in a round that started after the request
-//! arrived, that this replica still leads. One round is open at a time. Requests that arrive meanwhile wait for the next round.
+//! Linearizable reads with Raft's ReadIndex protocol. A lease request is answered after a quorum has confirmed, in a round that
+//! started after the request arrived, that this replica still leads. One round is open at a time. Requests that arrive meanwhile
+//! wait for the next round.
 
 use super::MAX_PENDING;
 use crate::message::LeaseRequest;
 
-/// Identifies a confirmation round among those of one replica.
+/// Identifies a confirmation round of one replica.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct RoundId(u64);
 
@@ -18,7 +19,7 @@
         self.0.to_be_bytes().to_vec()
     }
 
-    /// Returns the id that a context encodes, or `None` if the context is not that of a round.
+    /// Decodes the id of a round from a context, or returns `None` if the context does not encode one.
     fn from_context(context: Vec<u8>) -> Option<Self> {
         context.try_into().ok().map(|bytes| Self(u64::from_be_bytes(bytes)))
     }
@@ -40,8 +41,9 @@
 }
 
 impl ReadRounds {
-    /// Adds a request to the next round. Only the newest request of a client is kept, whatever the order of arrival: the client
-    /// has given up on its earlier ones. At the limit the request is dropped, and its client retries.
+    /// Adds a request to the next round. Keeps only the newest request of each client, in whichever order they arrive, because
+    /// the client no longer accepts a response to an earlier one. Drops the request of a further client if [`MAX_PENDING`]
+    /// requests wait; that client retries.
     pub(super) fn enqueue(&mut self, request: LeaseRequest) {
         let has_capacity = self.waiting.len() < MAX_PENDING;
         match self.waiting.iter_mut().find(|other| other.client == request.client) {
@@ -64,14 +66,15 @@
         id.to_context()
     }
 
-    /// Ends the open round if this is its context. Returns the round's requests, or none if the context is that of a dropped round.
+    /// Ends the open round if this is its context, and returns its requests. Returns no request for any other context, such as
+    /// that of a dropped round.
     pub(super) fn finish(&mut self, context: Vec<u8>) -> Vec<LeaseRequest> {
         let confirmed = RoundId::from_context(context);
         let round = self.open.take_if(|round| Some(round.id) == confirmed);
         round.map_or_else(Vec::new, |round| round.requests)
     }
 
-    /// Drops all requests. Their clients retry.
+    /// Drops the open round and all waiting requests. Their clients retry.
     pub(super) fn clear(&mut self) {
         self.open = None;
         self.waiting.clear();
--- a/crates/replicated_config/src/replica/ready.rs
+++ b/crates/replicated_config/src/replica/ready.rs
@@ -7,13 +7,13 @@
 /// A message and its recipient.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope<Recipient> {
-    /// The recipient.
+    /// The id of the receiving replica, or the name of the receiving client.
     pub to: Recipient,
-    /// The message.
+    /// The message, not yet encoded or authenticated.
     pub message: Message,
 }
 
-/// Pending output of a replica. The caller handles the fields in their order.
+/// Pending output of a replica. The caller handles the fields in the order of their declaration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
     /// Records to write to disk before any message is sent. If writing fails, the caller drops the replica and sends nothing.
@@ -22,7 +22,7 @@
     pub to_replicas: Vec<Envelope<ReplicaId>>,
     /// Messages to clients, by client name.
     pub to_clients: Vec<Envelope<String>>,
-    /// Whether the committed state has changed.
+    /// Whether the replicated state has changed since the previous `Ready`.
     pub state_changed: bool,
 }
 
--- a/crates/replicated_config/src/replica/tests.rs
+++ b/crates/replicated_config/src/replica/tests.rs
@@ -33,7 +33,7 @@
     assert!(
         matches!(
             error,
-            Some(Error::EntryOfUnknownTerm { index: LogIndex(1), entry_term: Term(3), term: Term(2) })
+            Some(Error::EntryFromLaterTerm { index: LogIndex(1), entry_term: Term(3), term: Term(2) })
         ),
         "{error:?}"
     );
--- a/crates/replicated_config/src/replica/tick_clock.rs
+++ b/crates/replicated_config/src/replica/tick_clock.rs
@@ -1,14 +1,14 @@
-//! The clock of the Raft library, which counts ticks.
+//! Converts time to the ticks that the Raft library counts.
 
 use std::time::Duration;
 use timestamps::{MonotonicTime, whole_millis};
 
 /// Time between two ticks of the Raft library.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of ticks to catch up on after a pause. It suffices for a replica to stand for election.
+/// Maximum number of ticks to run after a pause. It exceeds each replica's election timeout.
 const MAX_CATCH_UP_TICKS: u64 = 64;
 
-/// Converts the node's clock into ticks.
+/// Counts the ticks that are due by the node's clock.
 pub(super) struct TickClock {
     last_tick_at: MonotonicTime,
 }
@@ -24,7 +24,7 @@
         self.last_tick_at + TICK_INTERVAL
     }
 
-    /// Advances the clock. Returns the number of ticks to run.
+    /// Advances the clock to `now`. Returns the number of ticks to run, at most [`MAX_CATCH_UP_TICKS`].
     pub(super) fn advance(&mut self, now: MonotonicTime) -> u64 {
         let interval_ms = whole_millis(TICK_INTERVAL);
         let ticks = whole_millis(now.saturating_since(self.last_tick_at)) / interval_ms;
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of activated versions whose texts are kept, including the version in force.
 const MAX_HISTORY: usize = 16;
-/// Maximum number of proposals whose outcomes are kept. A retry that arrives after that many other proposals counts as a new
+/// Maximum number of proposals whose outcomes are kept. A retry that arrives after this many other proposals is treated as a new
 /// proposal.
 const MAX_RECORDED_OUTCOMES: usize = 256;
 
@@ -18,7 +18,7 @@
 pub struct Proposal {
     /// The proposal's id. Retries repeat it, so that the proposal is applied at most once.
     pub id: ProposalId,
-    /// The user who proposes.
+    /// The name of the user who proposes the version.
     pub proposed_by: String,
     /// If set, the proposal is accepted only while this version is in force.
     pub expected_version: Option<ConfigVersion>,
@@ -29,17 +29,17 @@
 /// A command in the log. The order of the variants is part of its encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Command {
-    /// Propose a version.
+    /// Proposes a version.
     Propose(Proposal),
-    /// Put the proposed version of this number in force. The leader appends this command once no client holds a lease on the
-    /// previous version alone.
+    /// Puts the proposed version of this number in force. The leader appends this command once every client that holds a lease
+    /// knows of the version.
     Activate(ConfigVersion),
 }
 
 /// The outcome of a proposal. The order of the variants is part of its encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum ProposalOutcome {
-    /// The proposal was accepted as the version of this number.
+    /// The proposal was accepted, and became the version of this number.
     Accepted(ConfigVersion),
     /// The expected version is not in force.
     VersionConflict {
@@ -50,14 +50,14 @@
     },
     /// Another version is proposed and not yet in force.
     RolloutInProgress {
-        /// The proposed version.
+        /// The version whose rollout is in progress.
         version: ConfigVersion,
-        /// The user who proposed it.
+        /// The user who proposed that version.
         proposed_by: String,
     },
     /// The text is longer than [`MAX_TEXT_BYTES`].
     TooLarge,
-    /// The leader found the text invalid, for this reason. The proposal was not appended to the log.
+    /// The leader found the text invalid, for this reason, and did not append the proposal to the log.
     Rejected(String),
 }
 
@@ -79,17 +79,17 @@
 }
 
 impl ConfigState {
-    /// Returns the version in force.
+    /// Returns the version in force, or `None` before the first.
     pub fn in_force(&self) -> Option<&Version> {
         self.history.back()
     }
 
-    /// Returns the proposed version, which is to follow the version in force.
+    /// Returns the version that is proposed and not yet in force.
     pub fn proposed(&self) -> Option<&Version> {
         self.proposed.as_ref()
     }
 
-    /// Returns the kept versions, from the oldest to the one in force.
+    /// Returns the versions whose texts are kept, from the oldest to the one in force.
     pub fn history(&self) -> impl Iterator<Item = &Version> {
         self.history.iter()
     }
@@ -142,12 +142,12 @@
         if proposal.text.len() > MAX_TEXT_BYTES {
             return ProposalOutcome::TooLarge;
         }
-        if let Some(open) = &self.proposed {
-            let proposed_by = open.proposed_by.clone();
-            return ProposalOutcome::RolloutInProgress { version: open.number, proposed_by };
+        if let Some(proposed) = &self.proposed {
+            let proposed_by = proposed.proposed_by.clone();
+            return ProposalOutcome::RolloutInProgress { version: proposed.number, proposed_by };
         }
-        let none = Version::default();
-        let in_force = self.in_force().unwrap_or(&none);
+        let no_version = Version::default();
+        let in_force = self.in_force().unwrap_or(&no_version);
         if proposal.expected_version.is_some_and(|expected| expected != in_force.number) {
             let proposed_by = in_force.proposed_by.clone();
             return ProposalOutcome::VersionConflict { in_force: in_force.number, proposed_by };
@@ -158,7 +158,7 @@
         ProposalOutcome::Accepted(number)
     }
 
-    /// Puts the proposed version in force. Does nothing if another version, or none, is proposed.
+    /// Puts the proposed version in force. Does nothing unless the proposed version has this number.
     fn activate(&mut self, number: ConfigVersion) {
         let Some(version) = self.proposed.take_if(|version| version.number == number) else { return };
         self.history.push_back(version);
--- a/crates/replicated_config/src/state/tests.rs
+++ b/crates/replicated_config/src/state/tests.rs
@@ -10,21 +10,21 @@
 }
 
 #[test]
-fn of_two_concurrent_proposals_one_is_accepted_and_the_other_learns_which() {
+fn a_concurrent_proposal_is_rejected_and_names_the_accepted_version() {
     let mut state = ConfigState::default();
-    let by_first = || "p1".to_owned();
+    let first_proposer = || "p1".to_owned();
     assert_eq!(state.apply(propose(1, Some(0))), Some(ProposalOutcome::Accepted(ConfigVersion(1))));
     assert_eq!(
         state.apply(propose(2, Some(0))),
-        Some(ProposalOutcome::RolloutInProgress { version: ConfigVersion(1), proposed_by: by_first() })
+        Some(ProposalOutcome::RolloutInProgress { version: ConfigVersion(1), proposed_by: first_proposer() })
     );
     assert_eq!(state.apply(Command::Activate(ConfigVersion(1))), None);
     assert_eq!(
         state.apply(propose(3, Some(0))),
-        Some(ProposalOutcome::VersionConflict { in_force: ConfigVersion(1), proposed_by: by_first() })
+        Some(ProposalOutcome::VersionConflict { in_force: ConfigVersion(1), proposed_by: first_proposer() })
     );
     assert_eq!(state.apply(propose(4, Some(1))), Some(ProposalOutcome::Accepted(ConfigVersion(2))));
-    assert_eq!(state.apply(Command::Activate(ConfigVersion(7))), None, "no such proposal");
+    assert_eq!(state.apply(Command::Activate(ConfigVersion(7))), None, "version 7 is not proposed");
     assert_eq!(state.in_force().map(|version| version.number), Some(ConfigVersion(1)));
     assert_eq!(state.latest_number(), ConfigVersion(2));
 }
--- a/crates/replicated_config/src/version.rs
+++ b/crates/replicated_config/src/version.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a configuration version. The first version is 1 and each accepted proposal takes the next number.
+/// The number of a configuration version. The first version has number 1, and each accepted proposal gets the next number.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct ConfigVersion(pub u64);
@@ -39,11 +39,11 @@
 /// A version of the configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Version {
-    /// The version's number.
+    /// The version's number, counted from 1.
     pub number: ConfigVersion,
     /// The user who proposed the version.
     pub proposed_by: String,
-    /// The text of the configuration.
+    /// The text of the configuration, of at most [`MAX_TEXT_BYTES`](crate::MAX_TEXT_BYTES).
     pub text: String,
 }
 
@@ -64,6 +64,6 @@
 pub struct LatestVersion {
     /// The version's number; [`ConfigVersion::NONE`] before the first version.
     pub number: ConfigVersion,
-    /// The version's phase.
+    /// Whether the version is proposed or in force.
     pub phase: RolloutPhase,
 }
--- a/crates/replicated_config/tests/fixtures.rs
+++ b/crates/replicated_config/tests/fixtures.rs
@@ -1,9 +1,9 @@
-//! Compatibility of stored and exchanged data with release 0.1. Commit 1461877 wrote the bytes in `fixtures/`. They must be
-//! decoded, and encoded again byte for byte.
+//! Compatibility of stored and exchanged data with release 0.1. Commit 1461877 of that release wrote the bytes in `fixtures/`.
+//! The current code must decode them and encode them to the same bytes.
 
 mod fixture;
 
-use fixture::{hex, matches_fixture, named_bytes};
+use fixture::{assert_matches_fixture, hex, named_bytes};
 use replicated_config::{
     Command, ConfigState, ConfigVersion, DurableState, HardState, LeaseRequest, LeaseResponse, LogEntry,
     LogIndex, LogRecord, Message, Proposal, ProposalId, ProposalOutcome, ReplicaId, RequestId, RolloutPhase,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Lease requests, their responses and redirects.
+/// Returns lease requests, responses and redirects, each with its name in the fixture.
 fn lease_messages() -> Vec<(&'static str, Message)> {
     let request = |client: &str, id, wants_lease, known_version, cached| {
         Message::LeaseRequest(LeaseRequest {
@@ -53,7 +53,7 @@
     ]
 }
 
-/// Proposals, their redirects and outcomes.
+/// Returns proposals, redirects and outcomes, each with its name in the fixture.
 fn proposal_messages() -> Vec<(&'static str, Message)> {
     let propose = |id, proposed_by: &str, expected_version, text: &str| {
         let (proposed_by, text) = (proposed_by.into(), text.into());
@@ -82,12 +82,12 @@
     ]
 }
 
-/// One of each message except those between replicas, which `transcript.rs` covers.
+/// Covers each type of message except those between replicas, which `transcript.rs` covers.
 #[test]
-fn messages_are_read_and_written_as_before() {
+fn messages_are_encoded_and_decoded_as_in_release_0_1() {
     let messages = [lease_messages(), proposal_messages()].concat();
     let written: Vec<_> = messages.iter().map(|(name, message)| (*name, message.encode())).collect();
-    matches_fixture("messages.txt", &named_bytes(&written));
+    assert_matches_fixture("messages.txt", &named_bytes(&written));
     for ((name, message), (_, bytes)) in messages.into_iter().zip(written) {
         assert_eq!(Message::decode(&bytes).expect(name), message, "{name}");
         // A truncated message is an error.
@@ -95,9 +95,9 @@
     }
 }
 
-/// Replicas accept a request to stand for election at once (`MsgTimeoutNow`), though they never send one.
+/// Replicas accept `MsgTimeoutNow`, which asks a replica to start an election at once, although they never send it.
 #[test]
-fn a_timeout_now_message_is_read_and_written_as_before() {
+fn a_timeout_now_message_is_encoded_and_decoded_as_in_release_0_1() {
     let bytes = [0, 14, 2, 1, 5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
     let message = Message::decode(&bytes).expect("the bytes are a message");
     assert_eq!(hex(&message.encode()), hex(&bytes));
@@ -123,10 +123,10 @@
 }
 
 #[test]
-fn log_records_are_read_and_written_as_before() {
-    let bytes = |record: &LogRecord| postcard::to_stdvec(record).expect("it can be encoded");
+fn log_records_are_encoded_and_decoded_as_in_release_0_1() {
+    let bytes = |record: &LogRecord| postcard::to_stdvec(record).expect("the value can be encoded");
     let written: Vec<_> = records().iter().map(|(name, record)| (*name, bytes(record))).collect();
-    matches_fixture("records.txt", &named_bytes(&written));
+    assert_matches_fixture("records.txt", &named_bytes(&written));
     for ((name, record), (_, bytes)) in records().into_iter().zip(written) {
         assert_eq!(postcard::from_bytes(&bytes), Ok(record), "{name}");
         for n in 0..bytes.len() {
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn the_durable_state_is_read_and_written_as_before() {
+fn the_durable_state_is_encoded_and_decoded_as_in_release_0_1() {
     let mut state = DurableState::default();
     let snapshot = Snapshot { index: LogIndex(298), term: Term(2), state: vec![9] };
-    state.apply(LogRecord::Snapshot(snapshot)).expect("the record follows");
-    state.apply(LogRecord::Entries(vec![entry(299), entry(300)])).expect("the record follows");
-    state.apply(LogRecord::HardState(hard_state(1))).expect("the record follows");
-    let bytes = postcard::to_stdvec(&state).expect("it can be encoded");
-    matches_fixture("durable_state.txt", &named_bytes(&[("durable_state", bytes.clone())]));
+    state.apply(LogRecord::Snapshot(snapshot)).expect("the record leaves no gap");
+    state.apply(LogRecord::Entries(vec![entry(299), entry(300)])).expect("the record leaves no gap");
+    state.apply(LogRecord::HardState(hard_state(1))).expect("the record leaves no gap");
+    let bytes = postcard::to_stdvec(&state).expect("the value can be encoded");
+    assert_matches_fixture("durable_state.txt", &named_bytes(&[("durable_state", bytes.clone())]));
     assert_eq!(postcard::from_bytes(&bytes), Ok(state));
 }
 
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn log_commands_and_the_state_are_read_and_written_as_before() {
+fn log_commands_and_the_replicated_state_are_encoded_and_decoded_as_in_release_0_1() {
     let commands = [
         ("propose", propose(300, None)),
         ("in_progress", propose(301, Some(0))),
@@ -175,17 +175,17 @@
         expected_version: None,
         text: "x".repeat(256 * 1024 + 1),
     }));
-    let initial = postcard::to_stdvec(&ConfigState::default()).expect("it can be encoded");
+    let initial = postcard::to_stdvec(&ConfigState::default()).expect("the value can be encoded");
     let mut written = vec![("initial_state", initial)];
     for (name, command) in commands {
-        let bytes = postcard::to_stdvec(&command).expect("it can be encoded");
+        let bytes = postcard::to_stdvec(&command).expect("the value can be encoded");
         assert_eq!(postcard::from_bytes(&bytes), Ok(command.clone()), "{name}");
         written.push((name, bytes));
         state.apply(command);
     }
-    let bytes = postcard::to_stdvec(&state).expect("it can be encoded");
+    let bytes = postcard::to_stdvec(&state).expect("the value can be encoded");
     written.push(("state", bytes.clone()));
-    matches_fixture("state.txt", &named_bytes(&written));
+    assert_matches_fixture("state.txt", &named_bytes(&written));
     assert_eq!(postcard::from_bytes(&bytes), Ok(state));
     for n in 0..bytes.len() {
         assert!(postcard::from_bytes::<ConfigState>(&bytes[..n]).is_err(), "{n} bytes");
--- a/crates/replicated_config/tests/malformed_messages.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -1,4 +1,4 @@
-//! The message decoder with truncated and random bytes.
+//! The message decoder rejects truncated messages and survives random bytes.
 
 use replicated_config::{
     ConfigVersion, LeaseRequest, LeaseResponse, Message, Proposal, ProposalId, ReplicaId, RequestId,
--- a/crates/replicated_config/tests/simulation/machine.rs
+++ b/crates/replicated_config/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: its clock, its disk, and the processes that a crash or a stop affects.
+//! A simulated machine: its clock, its disk, and its lease client and replica, which can crash or be suspended.
 
 use crate::network::random_millis;
 use replicated_config::{
@@ -9,26 +9,26 @@
 use timestamps::MonotonicTime;
 
 pub const LEASE_DURATION: Duration = Duration::from_secs(3);
-/// Time between two requests of a lease client.
+/// Time between two regular requests of a lease client.
 pub const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Clocks of machines are ahead of the simulation's clock by less than this.
+/// Upper bound of the offset by which a machine's clock is ahead of the simulation's clock.
 const MAX_CLOCK_OFFSET: Duration = Duration::from_secs(1_000);
 
-/// An outcome that reached its proposer.
+/// The outcome of a proposal as its proposer received it.
 #[derive(Debug, PartialEq)]
 pub struct ReceivedOutcome {
     pub proposal: ProposalId,
     pub outcome: ProposalOutcome,
 }
 
-/// A machine. Each one runs a lease client, and the first ones also run a replica. The methods take the time of the simulation's
-/// clock.
+/// A machine. Each machine runs a lease client, and the first ones also run a replica. Times in arguments are those of the
+/// simulation's clock.
 pub struct Machine {
     /// The machine's index, which is also the name of its client.
     index: usize,
     /// Offset of the machine's monotonic clock from the simulation's clock.
     clock_offset: Duration,
-    /// False from a crash to the restart.
+    /// False between a crash and the restart.
     pub alive: bool,
     /// Whether the process is suspended, as by SIGSTOP. It keeps its memory and misses all messages.
     pub stopped: bool,
@@ -62,7 +62,7 @@
         machine
     }
 
-    /// Starts the machine's processes from its disk.
+    /// Starts the lease client, and the replica from its state on disk.
     pub fn start(&mut self, now: MonotonicTime, replicas: &[ReplicaId], first_request: RequestId) {
         self.alive = true;
         self.client = LeaseClient::new(LEASE_DURATION, first_request);
@@ -79,12 +79,12 @@
         self.replica = None;
     }
 
-    /// Returns whether the machine handles messages.
+    /// Returns whether the machine handles messages: it has neither crashed nor been stopped.
     pub fn is_running(&self) -> bool {
         self.alive && !self.stopped
     }
 
-    /// Returns the time on this machine's clock.
+    /// Converts a time of the simulation's clock to this machine's clock.
     pub fn clock(&self, now: MonotonicTime) -> MonotonicTime {
         now + self.clock_offset
     }
@@ -99,7 +99,7 @@
         true
     }
 
-    /// Starts a lease request.
+    /// Starts a lease request and schedules the next one. Returns the message and the replica to send it to.
     pub fn start_request(&mut self, now: MonotonicTime, replica_count: usize) -> Envelope<ReplicaId> {
         self.next_request_at = now + REQUEST_INTERVAL;
         let addressed = self.client.start_request(self.clock(now), replica_count);
@@ -113,7 +113,7 @@
         Envelope { to: addressed.replica, message }
     }
 
-    /// Handles a message from another machine. Returns the outcome if it answers a proposal.
+    /// Handles a message from another machine. Returns the outcome if the message answers a proposal.
     pub fn on_message(
         &mut self,
         now: MonotonicTime,
@@ -148,7 +148,7 @@
         None
     }
 
-    /// Records the versions of these texts, which the client has received.
+    /// Records that the client has received these texts.
     fn cache(&mut self, texts: &VersionTexts) {
         if let Some(version) = &texts.in_force {
             self.cached.in_force = version.number;
@@ -171,7 +171,7 @@
     }
 }
 
-/// Creates a proposal of this machine.
+/// Creates a proposal from this machine.
 pub fn proposal(id: u64, from: usize, text: String) -> Proposal {
     Proposal { id: ProposalId(id), proposed_by: from.to_string(), expected_version: None, text }
 }
--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -1,5 +1,6 @@
 //! Replicas and lease clients in simulated time. Messages are delayed, lost and duplicated, machines stop, crash and restart from
-//! their disks, and the network partitions. At each millisecond no two leases contradict, and no committed version is lost.
+//! their disks, and the network partitions. At each simulated millisecond no two leases may contradict each
+//! other, and no committed version may be lost.
 
 mod machine;
 mod network;
@@ -27,7 +28,7 @@
         let elapsed = simulation
             .time_until_in_force(ConfigVersion(1), Duration::from_secs(5))
             .expect("the version comes into force");
-        // The clients are notified, ask, and confirm the proposed version. The leader activates it and notifies them again.
+        // The clients are notified, request the proposed version, and confirm it. The leader activates it and notifies them.
         assert!(elapsed <= Duration::from_millis(200), "{elapsed:?}");
         assert!(simulation.checked_leases > 10_000);
     }
@@ -70,7 +71,8 @@
     assert!(simulation.time_until_in_force(ConfigVersion(2), Duration::from_secs(2)).is_some());
 }
 
-/// Guards against a read from the command line delaying the next rollout, like the lease of a client that never asks again.
+/// Guards against a read from the command line delaying the next rollout, as the lease of a client that sends no further request
+/// does.
 #[test]
 fn a_request_without_a_lease_delays_no_rollout() {
     let mut simulation = Simulation::new(4, 3, 6);
@@ -100,11 +102,11 @@
     let mut simulation = Simulation::new(5, 3, 6);
     simulation.run_for(Duration::from_millis(3_500));
     let leader = simulation.leader().expect("there is a leader");
-    // The leader and a client are cut off from the others.
+    // A partition separates the leader and one client from the others.
     simulation.network.partition = (0..6).map(|i| u8::from(i == leader || i == 5)).collect();
     assert_eq!(simulation.propose(5, 1, Duration::from_secs(6)), None);
     assert_eq!(simulation.machines[5].client.leased_version(simulation.clock(5)), None);
-    // The majority commits a version, and the minority adopts it after the partition.
+    // The majority commits a version, and the minority adopts it once the partition has ended.
     let other = (0..3).find(|i| *i != leader).expect("there are three replicas");
     assert_eq!(
         simulation.propose(other, 2, Duration::from_secs(3)).map(|proposed| proposed.outcome),
@@ -125,7 +127,7 @@
         accepted += usize::from(matches!(outcome, ProposalOutcome::Accepted(_)));
         simulation.run_for(Duration::from_millis(150));
     }
-    // One rollout is open at a time. The other proposers learn which.
+    // One rollout is in progress at a time. The outcomes of the other proposals name its version.
     let in_progress = |outcome: &ProposalOutcome| {
         matches!(outcome, ProposalOutcome::RolloutInProgress { version: ConfigVersion(1), .. })
     };
@@ -141,7 +143,7 @@
         let mut simulation = Simulation::new(seed, 3, 5);
         simulation.run_for(Duration::from_millis(3_500));
         let leader = simulation.leader().expect("there is a leader");
-        // The proposal reaches the leader, and its outcome is lost.
+        // The proposal reaches the leader, and its outcome is lost, so the proposer retries.
         let proposal = proposal(9, 4, "once".into());
         simulation.send(4, leader, &Message::Propose(proposal.clone()));
         simulation.run_for(Duration::from_millis(40));
@@ -170,7 +172,7 @@
     Ignored,
 }
 
-/// The extent of a run.
+/// The number of committed versions and of checked leases in a run.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct RunTotals {
     versions: usize,
@@ -186,7 +188,7 @@
     simulation.run_for(Duration::from_millis(3_500));
     for id in 1..=60 {
         inject_fault(&mut simulation);
-        recover_some(&mut simulation);
+        recover_some_machines(&mut simulation);
         let from = simulation.random.usize(0..simulation.machines.len());
         let proposal = proposal(id, from, format!("text {id}"));
         for to in 0..replicas {
@@ -196,9 +198,9 @@
             random_millis(&mut simulation.random, Duration::from_millis(50)..Duration::from_millis(900));
         simulation.run_for(pause);
     }
-    recover_all(&mut simulation);
+    recover_all_machines(&mut simulation);
     simulation.run_for(Duration::from_secs(8));
-    // After recovery one more proposal comes into force everywhere.
+    // After recovery another proposal comes into force on all machines.
     let from = simulation.machines.len() - 1;
     let outcome =
         simulation.propose(from, 1_000_000, Duration::from_secs(3)).expect("the outcome arrives").outcome;
@@ -228,7 +230,7 @@
     }
 }
 
-fn recover_some(simulation: &mut Simulation) {
+fn recover_some_machines(simulation: &mut Simulation) {
     for i in 0..simulation.machines.len() {
         if !simulation.machines[i].alive && simulation.random.u8(..) < 100 {
             simulation.restart(i);
@@ -239,7 +241,7 @@
     }
 }
 
-fn recover_all(simulation: &mut Simulation) {
+fn recover_all_machines(simulation: &mut Simulation) {
     simulation.network.loss = 0.0;
     simulation.network.heal();
     for i in 0..simulation.machines.len() {
@@ -251,7 +253,7 @@
 }
 
 #[test]
-fn under_any_faults_no_two_leases_contradict_and_no_committed_version_is_lost() {
+fn under_random_faults_no_two_leases_contradict_and_no_committed_version_is_lost() {
     let mut total = RunTotals::default();
     for seed in 0..24 {
         let run = run_with_faults(seed, LeaseExpiry::Respected);
@@ -262,10 +264,10 @@
 }
 
 #[test]
-fn the_check_finds_clients_that_act_on_an_expired_lease() {
-    let found =
+fn the_lease_check_detects_clients_that_act_on_an_expired_lease() {
+    let detected =
         (0..10).any(|seed| std::panic::catch_unwind(|| run_with_faults(seed, LeaseExpiry::Ignored)).is_err());
-    assert!(found);
+    assert!(detected);
 }
 
 #[test]
@@ -274,7 +276,7 @@
 }
 
 #[test]
-fn a_response_to_an_earlier_incarnation_gives_no_lease() {
+fn a_response_to_a_request_from_before_a_restart_gives_no_lease() {
     let mut client = LeaseClient::new(LEASE_DURATION, RequestId(100));
     client.start_request(MonotonicTime::ZERO, 3);
     let response =
--- a/crates/replicated_config/tests/simulation/network.rs
+++ b/crates/replicated_config/tests/simulation/network.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use timestamps::{MonotonicTime, whole_millis};
 
-/// Messages take at least this long.
+/// Minimum latency of a message.
 const MIN_LATENCY: Duration = Duration::from_millis(1);
-/// Messages take less time than this.
+/// Upper bound of the latency of a message, which always takes less time.
 const MAX_LATENCY: Duration = Duration::from_millis(8);
 
-/// A message that is being delivered. Ordered by arrival, then by the order of sending.
+/// A message that is being delivered. Messages are ordered by arrival time, then by the order in which they were sent.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InFlightMessage {
     arrives_at: MonotonicTime,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Removes and returns the next message that has arrived by now.
+    /// Removes and returns the next message that has arrived by `now`.
     pub fn receive(&mut self, now: MonotonicTime) -> Option<InFlightMessage> {
         let next = self.in_flight.peek()?;
         if next.0.arrives_at > now {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Draws a number of whole milliseconds.
+/// Draws a random duration in whole milliseconds from this range.
 pub fn random_millis(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
     Duration::from_millis(random.u64(whole_millis(range.start)..whole_millis(range.end)))
 }
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -1,4 +1,4 @@
-//! A cluster in simulated time, and the checks that hold at each millisecond.
+//! A cluster in simulated time, and the invariants that are checked at each simulated millisecond.
 
 use crate::machine::{Machine, ReceivedOutcome, proposal};
 use crate::network::{InFlightMessage, Network};
@@ -15,7 +15,7 @@
 /// Time between two attempts of a proposer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The outcome of a proposal, and the time from the first attempt to its arrival.
+/// The outcome of a proposal, and the time between the first attempt and the outcome's arrival.
 #[derive(Debug, PartialEq)]
 pub struct TimedOutcome {
     pub elapsed: Duration,
@@ -41,7 +41,7 @@
     pub outcomes: Vec<ReceivedOutcome>,
     /// Number of leases that were checked.
     pub checked_leases: u64,
-    /// Clients act on expired leases. Used to test that the check fails.
+    /// Whether clients act on expired leases. Used to test that the lease check detects this.
     pub ignores_expiry: bool,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the time on this machine's clock.
+    /// Returns the current time on this machine's clock.
     pub fn clock(&self, machine: usize) -> MonotonicTime {
         self.machines[machine].clock(self.now)
     }
@@ -78,17 +78,17 @@
         self.network.send(self.now, &mut self.random, from, to, message);
     }
 
-    /// Writes the records that a replica has ready, then sends its messages.
+    /// Writes a replica's pending records to disk, then sends its messages.
     fn process_ready(&mut self, machine: usize) {
         let Some(ready) = self.machines[machine].replica.as_mut().map(Replica::take_ready) else { return };
         for record in ready.records {
             self.machines[machine].disk.apply(record).expect("records have no gap");
         }
         for Envelope { to, message } in ready.to_replicas {
-            self.send(machine, to.index().expect("a replica"), &message);
+            self.send(machine, to.index().expect("the id is that of a replica"), &message);
         }
         for Envelope { to, message } in ready.to_clients {
-            let to = to.parse::<usize>().expect("a machine's number");
+            let to = to.parse::<usize>().expect("the client's name is a machine's index");
             self.send(machine, to, &message);
         }
         if ready.state_changed {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Checks that the versions of a replica have the texts with which they were first seen.
+    /// Checks that each version of a replica still has the text with which it was first seen.
     fn check_texts(&mut self, machine: usize) {
         let Some(replica) = &self.machines[machine].replica else { return };
         let state = replica.state();
@@ -109,7 +109,7 @@
     /// Passes a message that has arrived to its recipient.
     fn deliver(&mut self, message: InFlightMessage) {
         let InFlightMessage { from, to, bytes, .. } = message;
-        let message = Message::decode(&bytes).expect("a node has encoded it");
+        let message = Message::decode(&bytes).expect("a replica or client has encoded the message");
         self.outcomes.extend(self.machines[to].on_message(self.now, from, message));
         self.process_ready(to);
     }
@@ -141,7 +141,7 @@
 
     fn request_lease(&mut self, machine: usize) {
         let Envelope { to, message } = self.machines[machine].start_request(self.now, self.replicas.len());
-        self.send(machine, to.index().expect("a replica"), &message);
+        self.send(machine, to.index().expect("the id is that of a replica"), &message);
     }
 
     /// Returns the versions that a machine enforces, or `None` without a lease.
@@ -158,14 +158,14 @@
         })
     }
 
-    /// Checks that no two leases contradict: there is a version that all their holders enforce.
+    /// Checks that no two leases contradict each other: there is a version that all lease holders enforce.
     fn check_leases(&mut self) {
         let enforced = self.machines.iter().filter_map(|machine| self.enforced_versions(machine));
         let all: Vec<EnforcedVersions> = enforced.collect();
         self.checked_leases += all.len() as u64;
-        let limit = all.iter().map(|versions| versions.highest).min().unwrap_or_default();
+        let min_highest = all.iter().map(|versions| versions.highest).min().unwrap_or_default();
         assert!(
-            all.iter().all(|versions| versions.lowest <= limit),
+            all.iter().all(|versions| versions.lowest <= min_highest),
             "at {} ms: {all:?}",
             self.now.as_millis()
         );
@@ -180,12 +180,12 @@
 
     /// Restarts a crashed machine from its disk.
     pub fn restart(&mut self, machine: usize) {
-        // Greater than earlier request ids: all machines together send far more messages than this one has sent requests.
+        // Larger than all earlier request ids: all machines together send far more messages than this one has sent requests.
         let first_request = RequestId(self.network.sent());
         self.machines[machine].start(self.now, &self.replicas, first_request);
     }
 
-    /// Returns the machine whose replica leads.
+    /// Returns the first machine whose replica believes that it is the leader.
     pub fn leader(&self) -> Option<usize> {
         let leads = |i: &usize| {
             let replica = self.machines[*i].replica.as_ref();
@@ -194,7 +194,8 @@
         (0..self.replicas.len()).find(leads)
     }
 
-    /// Proposes a version from this machine to all replicas, with retries, until the outcome arrives. Returns `None` after `timeout`.
+    /// Proposes a version from this machine to all replicas, with retries, until the outcome arrives. Returns
+    /// `None` after `timeout`.
     pub fn propose(&mut self, from: usize, id: u64, timeout: Duration) -> Option<TimedOutcome> {
         let proposal = proposal(id, from, format!("text {id}"));
         let started = self.now;
@@ -215,7 +216,8 @@
         None
     }
 
-    /// Runs until all running machines hold leases on this version in force. Returns how long that took, or `None` after `timeout`.
+    /// Runs until all running machines hold leases on this version in force. Returns how long that took, or
+    /// `None` after `timeout`.
     pub fn time_until_in_force(&mut self, version: ConfigVersion, timeout: Duration) -> Option<Duration> {
         let started = self.now;
         while self.now < started + timeout {
--- a/crates/replicated_config/tests/transcript.rs
+++ b/crates/replicated_config/tests/transcript.rs
@@ -1,9 +1,9 @@
-//! Records and messages of three replicas in a fixed run: an election, a proposal, and a snapshot for a replica that was cut off.
-//! Release 0.1 wrote the transcript in `fixtures/` at commit 1461877.
+//! Compares the log records and messages of three replicas in a fixed run with a transcript that release 0.1 wrote at commit
+//! 1461877. The run has an election, proposals, and a snapshot for a replica that was isolated from the others.
 
 mod fixture;
 
-use fixture::{hex, matches_fixture};
+use fixture::{assert_matches_fixture, hex};
 use replicated_config::{
     ConfigVersion, DurableState, Envelope, LeaseRequest, Message, Progress, Proposal, ProposalId, Replica,
     ReplicaId, RequestId, VersionNumbers,
@@ -17,20 +17,20 @@
 const LEASE_DURATION: Duration = Duration::from_millis(500);
 const REPLICAS: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
 
-/// A message that is being delivered.
+/// A message between replicas that is not delivered yet.
 struct InFlightMessage {
     from: ReplicaId,
     to: ReplicaId,
     bytes: Vec<u8>,
 }
 
-/// Three replicas whose output is recorded.
+/// Three replicas whose output is recorded in a transcript.
 struct Cluster {
     now: MonotonicTime,
     replicas: Vec<Replica>,
-    /// This replica neither receives messages nor reaches the others.
-    cut_off: Option<ReplicaId>,
-    /// A line for each written or sent item; `None` while recording is paused.
+    /// The replica that neither receives messages from the others nor reaches them.
+    isolated_replica: Option<ReplicaId>,
+    /// A line for each batch of log records and each message; `None` while recording is paused.
     transcript: Option<String>,
 }
 
@@ -41,7 +41,7 @@
                 .expect("an empty log is valid")
         };
         let replicas = REPLICAS.iter().map(replica).collect();
-        Self { now: MonotonicTime::ZERO, replicas, cut_off: None, transcript: Some(String::new()) }
+        Self { now: MonotonicTime::ZERO, replicas, isolated_replica: None, transcript: Some(String::new()) }
     }
 
     fn record(&mut self, line: String) {
@@ -54,14 +54,14 @@
         &mut self.replicas[id.index().expect("the id is that of a replica")]
     }
 
-    /// Writes records and delivers messages until no replica has output left.
-    fn settle(&mut self) {
+    /// Records the output of all replicas and delivers their messages until no replica has output left.
+    fn deliver_all(&mut self) {
         let mut in_flight: VecDeque<InFlightMessage> = VecDeque::new();
         loop {
             for from in REPLICAS {
                 let ready = self.replica(from).take_ready();
                 if !ready.records.is_empty() {
-                    let bytes = postcard::to_stdvec(&ready.records).expect("they can be encoded");
+                    let bytes = postcard::to_stdvec(&ready.records).expect("the records can be encoded");
                     self.record(format!("{from} writes {}", hex(&bytes)));
                 }
                 for Envelope { to, message } in ready.to_replicas {
@@ -73,7 +73,7 @@
                 }
             }
             let Some(InFlightMessage { from, to, bytes }) = in_flight.pop_front() else { return };
-            if self.cut_off.is_some_and(|replica| [from, to].contains(&replica)) {
+            if self.isolated_replica.is_some_and(|replica| [from, to].contains(&replica)) {
                 continue;
             }
             let now = self.now;
@@ -91,7 +91,7 @@
             for replica in REPLICAS {
                 let now = self.now;
                 self.replica(replica).tick(now);
-                self.settle();
+                self.deliver_all();
             }
         }
     }
@@ -104,7 +104,7 @@
     fn propose(&mut self, id: u64) {
         let now = self.now;
         self.leader().propose(now, "proposer", proposal(id, &format!("p{id}"), &format!("text {id}")));
-        self.settle();
+        self.deliver_all();
     }
 
     fn request_lease(&mut self, id: u64, known_version: u64, cached: VersionNumbers) {
@@ -118,7 +118,7 @@
             cached,
         };
         self.leader().on_lease_request(now, request);
-        self.settle();
+        self.deliver_all();
     }
 
     /// Records the term, committed index and number of retained entries of each replica.
@@ -143,7 +143,7 @@
 #[test]
 fn replicas_write_and_send_the_recorded_transcript() {
     let mut cluster = Cluster::new();
-    // The first replica is elected, and leads until leases of earlier leaders have expired.
+    // The first replica is elected, and leads long enough for leases of earlier leaders to expire.
     cluster.run_for(Duration::from_millis(1_500));
     cluster.request_lease(1, 0, VersionNumbers::default());
     cluster.propose(1);
@@ -155,9 +155,9 @@
         "proposer",
         proposal(3, "p", "t"),
     );
-    cluster.settle();
-    // The third replica misses entries that the others then compact.
-    cluster.cut_off = Some(ReplicaId(3));
+    cluster.deliver_all();
+    // The third replica is isolated, and misses entries that the others then replace by a snapshot.
+    cluster.isolated_replica = Some(ReplicaId(3));
     let transcript = cluster.transcript.take();
     for id in 10..200 {
         cluster.run_for(TICK_INTERVAL);
@@ -165,14 +165,14 @@
     }
     cluster.transcript = transcript;
     cluster.record_progress();
-    cluster.cut_off = None;
+    cluster.isolated_replica = None;
     cluster.run_for(Duration::from_secs(1));
     cluster.record_progress();
     let transcript = cluster.transcript.take().expect("the transcript was recorded");
-    // Pre-vote, vote, append, heartbeat and snapshot messages and their responses.
+    // The types of pre-vote, vote, append, heartbeat and snapshot messages and their responses.
     for message_type in [17, 18, 5, 6, 3, 4, 8, 9, 7] {
         let message = format!(" 00{message_type:02x}");
         assert!(transcript.contains(&message), "no message of type {message_type}");
     }
-    matches_fixture("transcript.txt", &transcript);
+    assert_matches_fixture("transcript.txt", &transcript);
 }
