--- a/crates/config_node/src/call.rs
+++ b/crates/config_node/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to a replica from a process that is no node, such as the command line.
+//! Calls to a replica from a process that is not a node, such as the command line.
 
 use crate::error::Error;
 use crate::message_io::{SharedKeys, read_message, write_message};
@@ -7,11 +7,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Sends a message to a replica and returns the first answer that `is_answer` accepts.
+/// Sends a message to the replica at this address and returns the first answer that `is_answer` accepts. `timeout` limits the
+/// connection attempt and each read separately.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Connection`] if the connection fails or nothing arrives within `timeout`, and [`Error::Unauthenticated`],
+/// Returns [`Error::Connection`] if the connection fails or no bytes arrive within `timeout`, and [`Error::Unauthenticated`],
 /// [`Error::FrameTooLarge`] or [`Error::Message`] if the answer is not a message of a node with the same keys.
 pub fn call(
     address: SocketAddr,
--- a/crates/config_node/src/client_connections.rs
+++ b/crates/config_node/src/client_connections.rs
@@ -1,15 +1,15 @@
-//! Connections that other nodes have opened to this one, and the clients behind them.
+//! Connections that other nodes have opened to this one, and the clients that use them.
 
 use crate::connection_id::ConnectionId;
 use crate::message_queue::MessageQueue;
 use replicated_config::Message;
 use std::collections::HashMap;
 
-/// The open connections of clients.
+/// The open connections of clients, and the connection over which each client is reached.
 #[derive(Default)]
 pub(crate) struct ClientConnections {
     queues: HashMap<ConnectionId, MessageQueue>,
-    /// The connection of each client's last lease request, by the client's name.
+    /// The connection on which each client's last lease request arrived, by the client's name.
     routes: HashMap<String, ConnectionId>,
 }
 
@@ -24,12 +24,12 @@
         self.routes.retain(|_, route| *route != connection);
     }
 
-    /// Routes further messages to this client over this connection.
+    /// Sends all further messages to this client over this connection.
     pub(crate) fn set_route(&mut self, client: &str, connection: ConnectionId) {
         self.routes.insert(client.to_owned(), connection);
     }
 
-    /// Sends a message to a client, by the name of its node or of its connection. Drops the message if the client is not connected.
+    /// Sends a message to a client, named by its node or its connection. Drops the message if the client is not connected.
     pub(crate) fn send(&self, client: &str, message: Message) {
         let connection = if ConnectionId::is_client_name(client) {
             ConnectionId::from_client_name(client)
--- a/crates/config_node/src/client_connections/tests.rs
+++ b/crates/config_node/src/client_connections/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_message_takes_the_connection_of_the_clients_last_request() {
+fn a_message_is_sent_over_the_connection_of_the_clients_last_request() {
     let mut clients = ClientConnections::default();
     let (queue, first) = MessageQueue::new();
     clients.insert(ConnectionId(1), queue);
--- a/crates/config_node/src/clock.rs
+++ b/crates/config_node/src/clock.rs
@@ -3,14 +3,13 @@
 use std::time::Instant;
 use timestamps::MonotonicTime;
 
-/// A clock that starts when the node does.
+/// A clock that starts at 0 when the node starts.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// Starts a clock at 0.
     pub(crate) fn start() -> Self {
         Self { started: Instant::now() }
     }
--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -6,34 +6,34 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A replica in the settings.
+/// A configured replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaAddress {
-    /// The name of the replica's node.
+    /// The name of the node on which the replica runs.
     pub name: String,
-    /// The address at which this node reaches it.
+    /// The address to which this node connects to reach the replica.
     pub address: SocketAddr,
 }
 
-/// The configuration of a node.
+/// The settings with which a node is started.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The node's name, unique among all nodes.
+    /// The node's name, unique among all nodes. The node is a replica if `replicas` has this name.
     pub name: String,
-    /// The address at which a replica accepts connections. `None` if the node is no replica.
+    /// The address at which a replica accepts connections; `None` if the node is not a replica.
     pub listen: Option<SocketAddr>,
     /// The replicas, in the same order at every node.
     pub replicas: Vec<ReplicaAddress>,
-    /// The keys that authenticate messages.
+    /// The keys that authenticate messages between nodes.
     pub keys: Keyring,
-    /// The file of the replica's log.
+    /// The file of the replica's log. Unused if the node is not a replica.
     pub log: PathBuf,
-    /// The validity of a lease.
+    /// How long a lease is valid.
     pub lease_duration: Duration,
 }
 
 impl NodeConfig {
-    /// Returns this node's replica id, or `None` if it is no replica.
+    /// Returns this node's replica id, or `None` if it is not a replica.
     pub(crate) fn replica_id(&self) -> Option<ReplicaId> {
         self.replicas.iter().position(|replica| replica.name == self.name).map(ReplicaId::from_index)
     }
--- a/crates/config_node/src/connection.rs
+++ b/crates/config_node/src/connection.rs
@@ -15,19 +15,20 @@
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::time::Duration;
 
-/// Time-out for connecting, and for writing a message.
+/// Time-out for establishing a connection, and for each write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 /// A connection that carries no message for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The keys and the receiver of events, which all connections of a node share.
+/// The keys and the event channel that all connections of a node share.
 #[derive(Clone)]
 pub(crate) struct ConnectionContext {
     pub(crate) keys: SharedKeys,
     pub(crate) events: SyncSender<Event>,
 }
 
-/// Reads messages until the connection ends. `connection` is set if another node has opened the connection.
+/// Reads messages until the connection ends, fails or is idle for [`IDLE_TIMEOUT`]. `connection` is its id if another node has
+/// opened it.
 fn read_messages(mut stream: TcpStream, connection: Option<ConnectionId>, context: &ConnectionContext) {
     let _ = stream.set_read_timeout(Some(IDLE_TIMEOUT));
     while let Ok(message) = read_message(&mut stream, &context.keys) {
@@ -47,7 +48,8 @@
     }
 }
 
-/// Sets the options of a connection that is written to. The connection also works, more slowly, if an option cannot be set.
+/// Disables Nagle's algorithm and sets the write time-out. Errors are ignored: the connection works without these options, but
+/// more slowly.
 fn set_write_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
--- a/crates/config_node/src/connection/accepted.rs
+++ b/crates/config_node/src/connection/accepted.rs
@@ -21,7 +21,7 @@
     thread::Builder::new().name("agreed-listen".into()).spawn(run).map(drop)
 }
 
-/// Accepts connections until the listener fails or the node is gone. Closes connections beyond the limit.
+/// Accepts connections until the listener fails or the node has stopped. Closes connections beyond [`MAX_CONNECTIONS`].
 fn accept_all(listener: &TcpListener, context: &ConnectionContext) {
     let open_connections = Arc::new(AtomicUsize::new(0));
     let accepted = listener.incoming().map_while(Result::ok);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Serves a connection in a thread. Counts it as open until it ends.
+/// Serves a connection in a separate thread, and counts the connection as open until it ends.
 fn serve_in_thread(accepted: AcceptedConnection, open_connections: Arc<AtomicUsize>) {
     open_connections.fetch_add(1, Ordering::Relaxed);
     let serve = move || {
@@ -66,7 +66,7 @@
         let keys = context.keys.clone();
         let read = thread::spawn(move || {
             read_messages(reader, Some(connection), &context);
-            // The event drops the connection's queue, which ends the writer.
+            // The event makes the node drop the connection's queue, which ends `write_messages`.
             let _ = context.events.send(Event::Disconnected(connection));
         });
         write_messages(&mut writer, &messages, &keys);
--- a/crates/config_node/src/connection/outgoing.rs
+++ b/crates/config_node/src/connection/outgoing.rs
@@ -38,7 +38,7 @@
     context: &ConnectionContext,
 ) {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, WRITE_TIMEOUT) else {
-        // Messages that were queued while connecting are as outdated as the first one.
+        // The replica is unreachable. Messages that were queued during the attempt are as outdated as the first one.
         while messages.try_recv().is_ok() {}
         return;
     };
--- a/crates/config_node/src/connection_id.rs
+++ b/crates/config_node/src/connection_id.rs
@@ -1,8 +1,8 @@
-//! Identifies connections that other nodes have opened, also as names of the clients at their other ends.
+//! Ids of connections that other nodes have opened. An id also serves as the name of the client at the other end.
 
 use std::fmt;
 
-/// A connection that another node has opened.
+/// Identifies a connection that another node has opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
@@ -16,12 +16,12 @@
 }
 
 impl ConnectionId {
-    /// Returns whether a client name identifies a connection. Otherwise it is the name of a node.
+    /// Returns whether a client name identifies a connection. Any other client name is the name of a node.
     pub(crate) fn is_client_name(client: &str) -> bool {
         client.starts_with(CLIENT_NAME_PREFIX)
     }
 
-    /// Returns the connection that a client name identifies.
+    /// Returns the connection that a client name identifies, or `None` if the name is not that of a connection.
     pub(crate) fn from_client_name(client: &str) -> Option<Self> {
         client.strip_prefix(CLIENT_NAME_PREFIX)?.parse().ok().map(Self)
     }
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -29,8 +29,8 @@
     config: NodeConfig,
     clock: Clock,
     peers: Peers,
-    /// `None` if this node is no replica, or its log is unusable.
-    local: Option<LocalReplica>,
+    /// `None` if this node is not a replica, or the replica's log is unusable.
+    local_replica: Option<LocalReplica>,
     lease_requester: LeaseRequester,
     view: Arc<SharedView>,
     clients: ClientConnections,
@@ -50,7 +50,7 @@
         Self {
             clock,
             peers,
-            local: LocalReplica::open(&config, clock),
+            local_replica: LocalReplica::open(&config, clock),
             lease_requester,
             view,
             clients: ClientConnections::default(),
@@ -59,31 +59,31 @@
         }
     }
 
-    /// Handles events until all senders of events are gone.
-    pub(crate) fn run(mut self, inbox: &Receiver<Event>) {
+    /// Handles events until all senders of the event channel are dropped.
+    pub(crate) fn run(mut self, events: &Receiver<Event>) {
         loop {
             self.run_timers(self.clock.now());
-            match inbox.recv_timeout(self.time_until_timer()) {
+            match events.recv_timeout(self.time_until_timer()) {
                 Ok(event) => self.on_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            for event in inbox.try_iter().take(MAX_EVENT_BATCH) {
+            for event in events.try_iter().take(MAX_EVENT_BATCH) {
                 self.on_event(event);
             }
         }
     }
 
-    /// Returns the time until the next timer is due.
+    /// Returns the time until the next timer is due, clamped to [`MIN_WAIT`] and [`MAX_WAIT`].
     fn time_until_timer(&self) -> Duration {
-        let replica = self.local.as_ref().map(LocalReplica::replica);
+        let replica = self.local_replica.as_ref().map(LocalReplica::replica);
         let next_tick_at = replica.map_or(MonotonicTime::NEVER, Replica::next_tick_at);
         let next_timer_at = self.lease_requester.next_request_at().min(next_tick_at);
         next_timer_at.saturating_since(self.clock.now()).clamp(MIN_WAIT, MAX_WAIT)
     }
 
     fn run_timers(&mut self, now: MonotonicTime) {
-        if let Some(local) = &mut self.local {
+        if let Some(local) = &mut self.local_replica {
             local.replica_mut().tick(now);
         }
         self.process_ready();
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends a lease request to a replica, which may be this node's own.
+    /// Sends a lease request to a replica, which may be the one on this node.
     fn request_lease(&mut self, now: MonotonicTime) {
         let cached = self.view.known_numbers();
         let OutgoingRequest { to, request } = self.lease_requester.start_request(now, cached);
@@ -114,14 +114,14 @@
         self.process_ready();
     }
 
-    /// Writes the records that the local replica has ready, then sends its messages. A replica whose log cannot be written is dropped.
+    /// Writes the local replica's pending records, then sends its messages. Drops the replica if its log cannot be written.
     fn process_ready(&mut self) {
-        let Some(local) = &mut self.local else { return };
+        let Some(local) = &mut self.local_replica else { return };
         match local.write_ready() {
             Ok(messages) => self.send(messages),
             Err(error) => {
                 tracing::warn!(%error, "replica log write failed, this replica no longer votes");
-                self.local = None;
+                self.local_replica = None;
             }
         }
     }
@@ -158,12 +158,12 @@
 
     fn replica_status(&self) -> ReplicaStatus {
         let is_replica = self.config.replica_id().is_some();
-        match &self.local {
+        match &self.local_replica {
             Some(local) => ReplicaStatus::Voting {
                 progress: local.replica().progress(),
                 leader: self.leader_name(local.replica()),
             },
-            None if is_replica => ReplicaStatus::WithoutLog,
+            None if is_replica => ReplicaStatus::UnusableLog,
             None => ReplicaStatus::NotAReplica,
         }
     }
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -1,4 +1,4 @@
-//! Handles messages from other nodes and from this node's own replica.
+//! Handles messages from other nodes and from the replica on this node.
 
 use super::Driver;
 use crate::connection_id::ConnectionId;
@@ -6,12 +6,12 @@
 use timestamps::MonotonicTime;
 
 impl Driver {
-    /// Handles a message. `connection` is set if the other node has opened the connection that the message came by.
+    /// Handles a message. `connection` is the connection that the message arrived on, if another node has opened it.
     pub(super) fn on_message(&mut self, connection: Option<ConnectionId>, message: Message) {
         let now = self.clock.now();
         match message {
             Message::Raft(message) => {
-                if let Some(local) = &mut self.local {
+                if let Some(local) = &mut self.local_replica {
                     local.replica_mut().on_raft_message(now, *message);
                 }
             }
@@ -22,7 +22,7 @@
                 self.on_lease_request(request);
             }
             Message::Propose(proposal) => {
-                // Proposers always open a connection of their own.
+                // Proposers open a connection to this node, so a proposal without one is ignored.
                 if let Some(connection) = connection {
                     self.on_proposal(connection, proposal);
                 }
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Passes a lease request to the local replica. Without one, redirects the client.
+    /// Passes a lease request to the local replica. If there is none, answers with a redirect that names no leader.
     pub(super) fn on_lease_request(&mut self, request: LeaseRequest) {
         let now = self.clock.now();
-        match &mut self.local {
+        match &mut self.local_replica {
             Some(local) => local.replica_mut().on_lease_request(now, request),
             None => {
                 let redirect = Message::RedirectLeaseRequest { request: request.id, leader: None };
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Validates a proposal and passes it to the local replica. Without one, redirects the proposer.
+    /// Validates a proposal and passes it to the local replica. If there is none, answers with a redirect that names no leader.
     fn on_proposal(&mut self, connection: ConnectionId, proposal: Proposal) {
         let now = self.clock.now();
         let (proposer, id) = (connection.to_string(), proposal.id);
         let validity = (self.validator)(&proposal.text);
-        match (&mut self.local, validity) {
+        match (&mut self.local_replica, validity) {
             (Some(local), Ok(())) => local.replica_mut().propose(now, &proposer, proposal),
             (Some(_), Err(invalid)) => {
                 let outcome = ProposalOutcome::Rejected(invalid.to_string());
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Updates the view if the response answers the pending request.
+    /// Updates the view if the response is accepted.
     fn on_lease_response(&mut self, now: MonotonicTime, response: LeaseResponse, texts: VersionTexts) {
         if let Some(numbers) = self.lease_requester.on_response(now, response) {
             let expires_at = self.lease_requester.expires_at();
--- a/crates/config_node/src/event.rs
+++ b/crates/config_node/src/event.rs
@@ -1,4 +1,4 @@
-//! Events for the thread that owns a node's state.
+//! Events that other threads send to the thread that owns a node's state.
 
 use crate::connection_id::ConnectionId;
 use crate::message_queue::MessageQueue;
@@ -7,12 +7,12 @@
 
 /// An event for the thread that owns a node's state.
 pub(crate) enum Event {
-    /// Another node has opened a connection. Messages to that node go into the queue.
+    /// Another node has opened a connection. Messages for that node are put into `queue`.
     Connected { connection: ConnectionId, queue: MessageQueue },
     /// A connection that another node had opened is closed.
     Disconnected(ConnectionId),
-    /// A message arrived. `connection` is set if the other node has opened the connection, and `None` if this node has.
+    /// A message arrived. `connection` is `None` if this node has opened the connection that the message arrived on.
     Received { connection: Option<ConnectionId>, message: Message },
-    /// The admin console requests the status.
+    /// The admin console requests the status, which is sent to this channel.
     StatusRequested(SyncSender<String>),
 }
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -1,4 +1,4 @@
-//! Requests leases for this node: when, from which replica, and what follows from the response.
+//! Decides when this node requests a lease and from which replica, and derives the versions to enforce from the response.
 
 use replicated_config::{
     ConfigVersion, LatestVersion, LeaseClient, LeaseRequest, LeaseResponse, ReplicaId, RequestId,
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use timestamps::MonotonicTime;
 
-/// Number of regular requests during the validity of a lease.
+/// Number of regular requests per lease duration.
 const REQUESTS_PER_LEASE: u32 = 6;
 
 /// A lease request and the replica to send it to.
@@ -18,7 +18,7 @@
 
 /// Requests and renews this node's lease.
 pub(crate) struct LeaseRequester {
-    /// This node's name, by which the leader knows the lease holder.
+    /// This node's name, under which the leader records the lease.
     node_name: String,
     replica_count: usize,
     lease_duration: Duration,
@@ -27,7 +27,7 @@
 }
 
 impl LeaseRequester {
-    /// Creates a requester without a lease. The first request is due at once.
+    /// Creates a requester that holds no lease. The first request is due at once.
     pub(crate) fn new(node_name: String, replica_count: usize, lease_duration: Duration) -> Self {
         let client = LeaseClient::new(lease_duration, first_request_id());
         Self { node_name, replica_count, lease_duration, client, next_request_at: MonotonicTime::ZERO }
@@ -43,7 +43,7 @@
         self.next_request_at = now;
     }
 
-    /// Starts a request, and schedules the next one. `cached` are the versions whose texts this node has.
+    /// Starts a request, and schedules the next one. `cached` names the versions whose texts this node has.
     pub(crate) fn start_request(&mut self, now: MonotonicTime, cached: VersionNumbers) -> OutgoingRequest {
         self.next_request_at = now + self.lease_duration / REQUESTS_PER_LEASE;
         let known_version = self.client.known_version();
@@ -58,7 +58,7 @@
         OutgoingRequest { to: addressed.replica, request }
     }
 
-    /// Handles a redirect from a replica that is not the leader.
+    /// Handles a redirect from a replica that is not the leader. If it names another leader, a request is due at once.
     pub(crate) fn on_redirect(&mut self, now: MonotonicTime, request: RequestId, leader: Option<ReplicaId>) {
         if self.client.on_redirect(request, leader) {
             self.request_at_once(now);
@@ -82,14 +82,14 @@
         Some(enforced_versions(response.latest()))
     }
 
-    /// Returns when the lease expires or has expired.
+    /// Returns when the lease expires or has expired; [`MonotonicTime::ZERO`] before the first lease.
     pub(crate) fn expires_at(&self) -> MonotonicTime {
         self.client.expires_at()
     }
 }
 
-/// Returns the first request id of this incarnation. It is larger than any id of an earlier incarnation, unless the system clock
-/// was set back by more than the earlier incarnation's age.
+/// Returns the first request id of this process: the system time in microseconds. It is larger than any id of an earlier process
+/// of this node, unless the system clock was set back by more than the time since that process started.
 fn first_request_id() -> RequestId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     RequestId(since_epoch.as_micros() as u64)
--- a/crates/config_node/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Node::start`] starts a node. One thread owns its state: the [`replicated_config::Replica`], if the node is one of the
 //! replicas, and the node's lease. A replica keeps its log in a [`ReplicaLog`]. Nodes exchange authenticated messages over TCP.
-//! All queues are bounded: a full queue drops the message, and its sender retransmits it. [`ConfigView`] tells the gatekeeper which
-//! versions to enforce.
+//! Queues of messages are bounded: a full queue drops the message, and its sender retransmits it. [`ConfigView`] tells the
+//! gatekeeper which versions to enforce.
 
 mod call;
 mod client_connections;
--- a/crates/config_node/src/local_replica.rs
+++ b/crates/config_node/src/local_replica.rs
@@ -6,23 +6,24 @@
 use crate::replica_log::ReplicaLog;
 use replicated_config::{Envelope, Ready, Replica, ReplicaId, Term};
 
-/// A replica whose output may be sent only after its records are on disk.
+/// The replica of this node and its log. The replica's messages are released only once its records are on disk.
 pub(crate) struct LocalReplica {
     id: ReplicaId,
     replica: Replica,
     log: ReplicaLog,
-    /// The last term for which this replica has logged that it leads.
-    announced_term: Term,
+    /// The last term for which this replica has logged that it is the leader.
+    last_logged_term: Term,
 }
 
-/// Messages of a replica whose records are on disk.
+/// Messages of a replica that may be sent because the records they depend on are on disk.
 pub(crate) struct OutgoingMessages {
     pub(crate) to_replicas: Vec<Envelope<ReplicaId>>,
     pub(crate) to_clients: Vec<Envelope<String>>,
 }
 
 impl LocalReplica {
-    /// Opens this node's replica. Returns `None` if the node is no replica, or if its log is unusable, which is logged.
+    /// Opens this node's replica. Returns `None` if the node is not a replica. Logs a warning and returns `None` if the log is
+    /// unusable.
     pub(crate) fn open(config: &NodeConfig, clock: Clock) -> Option<Self> {
         let id = config.replica_id()?;
         Self::try_open(id, config, clock)
@@ -38,7 +39,7 @@
         let replica =
             Replica::new(id, &config.replica_ids(), log.state().clone(), config.lease_duration, clock.now());
         let replica = replica.map_err(|source| Error::UnusableLog { path: path.clone(), source })?;
-        Ok(Self { id, replica, log, announced_term: Term::default() })
+        Ok(Self { id, replica, log, last_logged_term: Term::default() })
     }
 
     pub(crate) fn replica(&self) -> &Replica {
@@ -49,11 +50,12 @@
         &mut self.replica
     }
 
-    /// Writes the records that the replica has ready, and returns its messages.
+    /// Writes the replica's pending records to its log, and returns its pending messages.
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`ReplicaLog::append`]. The caller must drop the replica: the content of its log is unknown.
+    /// Returns the errors of [`ReplicaLog::append`]. The caller must then drop the replica, because the content of its log is
+    /// unknown.
     pub(crate) fn write_ready(&mut self) -> Result<OutgoingMessages, Error> {
         let Ready { records, to_replicas, to_clients, .. } = self.replica.take_ready();
         self.log.append(records)?;
@@ -61,12 +63,12 @@
         Ok(OutgoingMessages { to_replicas, to_clients })
     }
 
-    /// Logs once per term that this replica leads.
+    /// Logs that this replica is the leader, once per term.
     fn log_leadership(&mut self) {
         let term = self.replica.progress().term;
         let leads = self.replica.leader() == Some(self.id);
-        if leads && term > self.announced_term {
-            self.announced_term = term;
+        if leads && term > self.last_logged_term {
+            self.last_logged_term = term;
             tracing::info!(term = term.0, "elected leader");
         }
     }
--- a/crates/config_node/src/message_io.rs
+++ b/crates/config_node/src/message_io.rs
@@ -1,4 +1,5 @@
-//! Messages on a stream. Each one is preceded by its length (four bytes, little-endian) and authenticated.
+//! Reads and writes messages on a stream. A frame is the length of an authenticated message (four bytes, little-endian), followed
+//! by that message.
 
 use crate::error::Error;
 use membership::authentication::{Keyring, OVERHEAD_BYTES};
@@ -6,12 +7,12 @@
 use std::io::{self, Read, Write};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Bytes of the length in front of an authenticated message.
+/// Size of the length field in front of an authenticated message, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Maximum size of an authenticated message.
+/// Maximum size of an authenticated message in bytes.
 const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + OVERHEAD_BYTES;
 
-/// A keyring that can be replaced while connections use it.
+/// The node's keyring, which can be replaced while connections use it.
 #[derive(Clone)]
 pub(crate) struct SharedKeys(Arc<Mutex<Keyring>>);
 
@@ -44,7 +45,7 @@
     Message::decode(encoded).map_err(Error::Message)
 }
 
-/// Reads the authenticated message in the next frame.
+/// Reads the next frame. Returns its message, which is not verified yet, with the authentication.
 fn read_frame(stream: &mut impl Read) -> Result<Vec<u8>, Error> {
     let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length)?;
--- a/crates/config_node/src/node.rs
+++ b/crates/config_node/src/node.rs
@@ -26,7 +26,7 @@
 }
 
 impl Node {
-    /// Starts a node. If a replica's log is unusable, the node logs a warning and runs without voting, like one that is no replica.
+    /// Starts a node. If its replica's log is unusable, the node logs a warning and runs like a node that is not a replica.
     ///
     /// # Errors
     ///
@@ -36,7 +36,7 @@
         validator: ProposalValidator,
         listener: ViewListener,
     ) -> Result<Self, Error> {
-        let (events, inbox) = sync_channel(MAX_QUEUED_EVENTS);
+        let (events, event_receiver) = sync_channel(MAX_QUEUED_EVENTS);
         let keys = SharedKeys::new(config.keys.clone());
         let context = ConnectionContext { keys: keys.clone(), events: events.clone() };
         if let Some(address) = config.listen {
@@ -46,20 +46,21 @@
         let clock = Clock::start();
         let view = Arc::new(SharedView::new(config.name.clone(), listener));
         let driver = Driver::new(config, clock, peers, validator, view.clone());
-        // The gatekeeper learns that no version is known before it serves any request.
-        view.announce();
-        let watched = Arc::downgrade(&view);
-        spawn("agreed-lease", move || watch_lease(watched, clock))?;
-        spawn("agreed", move || driver.run(&inbox))?;
+        // The gatekeeper must know that it has no version before it serves any request.
+        view.notify_listener();
+        let weak_view = Arc::downgrade(&view);
+        spawn("agreed-lease", move || watch_lease(weak_view, clock))?;
+        spawn("agreed", move || driver.run(&event_receiver))?;
         Ok(Self { events, keys })
     }
 
-    /// Replaces the keys that authenticate messages.
+    /// Replaces the keys that authenticate messages. Open connections use the new keys from the next message on.
     pub fn set_keys(&self, keys: Keyring) {
         self.keys.replace(keys);
     }
 
-    /// Requests the status that the admin console shows. It arrives on the returned channel, or never if the node is overloaded.
+    /// Requests the status that the admin console shows. The status arrives on the returned channel. If the
+    /// node's event queue is full, the channel closes without a status.
     pub fn request_status(&self) -> Receiver<String> {
         let (reply, status) = sync_channel(1);
         let _ = self.events.try_send(Event::StatusRequested(reply));
--- a/crates/config_node/src/peers.rs
+++ b/crates/config_node/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other replicas, as this node reaches them.
+//! The queues and threads through which this node sends messages to the other replicas.
 
 use crate::config::NodeConfig;
 use crate::connection::{self, ConnectionContext};
@@ -6,9 +6,9 @@
 use crate::message_queue::MessageQueue;
 use replicated_config::ReplicaId;
 
-/// Queues of messages to the replicas.
+/// The queues of messages to the other replicas.
 pub(crate) struct Peers {
-    /// In the order of the configured list; `None` for this node itself.
+    /// One queue per replica, in the order of the configured list; `None` for this node itself.
     queues: Vec<Option<MessageQueue>>,
 }
 
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -1,7 +1,7 @@
 //! A replica's log on disk: a file of frames with checksums, and a second file with the number of frames that were written.
 //!
-//! A frame that was being written when the process was killed is discarded: no message that depends on it was sent. If frames that
-//! were counted are missing, the log is unusable: the replica may have voted, and the log no longer shows how.
+//! A frame that was being written when the process was killed is discarded: no message that depends on it was sent. If frames
+//! that were counted are missing, the log is unusable: the replica may have cast a vote that the log no longer records.
 
 mod atomic_file;
 mod frame;
@@ -13,17 +13,17 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A log is compacted when it is larger than this and than twice its size after the last compaction.
+/// A log is compacted when it is larger than this number of bytes and more than twice as large as after the last compaction.
 const COMPACTION_BYTES: u64 = 4 << 20;
 
-/// An open log.
+/// A log that is open for appending.
 #[derive(Debug)]
 pub struct ReplicaLog {
     path: PathBuf,
     file: File,
-    /// Size of the file.
+    /// Size of the file in bytes.
     bytes: u64,
-    /// Size of the file when it was opened or last compacted.
+    /// Size of the file in bytes when it was opened or last compacted.
     compacted_bytes: u64,
     /// Number of frames in the file.
     frames: u64,
@@ -65,7 +65,7 @@
         Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frames: intact, state })
     }
 
-    /// Returns the state that results from the log's records.
+    /// Returns the durable state that results from applying the log's records in order.
     pub fn state(&self) -> &DurableState {
         &self.state
     }
@@ -74,8 +74,9 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::File`], [`Error::Records`] or [`Error::UnusableLog`]. The content on disk is then unknown, and the log must
-    /// not be used until it is opened again.
+    /// Returns [`Error::File`] if the records cannot be written, [`Error::Records`] if they cannot be encoded, and
+    /// [`Error::UnusableLog`] if they leave a gap in the log. The content on disk is then unknown, and the log must not be used
+    /// until it is opened again.
     pub fn append(&mut self, records: Vec<LogRecord>) -> Result<(), Error> {
         if records.is_empty() {
             return Ok(());
@@ -108,8 +109,8 @@
             LogRecord::HardState(hard_state),
         ];
         let data = postcard::to_stdvec(&records).map_err(io::Error::other)?;
-        // The count is written first. Both the old and the new file hold at least one frame, so the log is usable after a crash at
-        // any point.
+        // The count of 1 is written before the file is replaced. Both the old and the new file hold at least one frame, so the
+        // log is usable after a crash at any point.
         frame_count::write(&self.path, 1)?;
         let content = [&frame::FORMAT[..], &frame::encode(0, &data)].concat();
         atomic_file::replace(&self.path, &content)?;
@@ -128,7 +129,7 @@
     frame_count::write(path, 0)
 }
 
-/// Returns the state after the records of all frames.
+/// Returns the state that results from the records of all frames.
 fn replay(path: &Path, frames: &[&[u8]]) -> Result<DurableState, Error> {
     let mut state = DurableState::default();
     for data in frames {
@@ -146,13 +147,13 @@
         .map_err(|source| Error::UnusableLog { path: path.to_owned(), source })
 }
 
-/// Returns the size of a file with these frames.
+/// Returns the size in bytes of a file with these frames.
 fn file_size(frames: &[&[u8]]) -> u64 {
     let frame_bytes = |data: &&[u8]| (frame::HEADER_BYTES + data.len()) as u64;
     frame::FORMAT.len() as u64 + frames.iter().map(frame_bytes).sum::<u64>()
 }
 
-/// Opens a file to append to it, truncated to this size.
+/// Truncates a file to this size and opens it for appending.
 fn open_truncated(path: &Path, bytes: u64) -> io::Result<File> {
     let file = OpenOptions::new().append(true).open(path)?;
     file.set_len(bytes)?;
--- a/crates/config_node/src/replica_log/atomic_file.rs
+++ b/crates/config_node/src/replica_log/atomic_file.rs
@@ -1,10 +1,10 @@
-//! Files that are replaced as a whole.
+//! Atomic replacement of files.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Extension of a file that is being written and not yet renamed.
+/// Extension of the temporary file that holds the new content until it is renamed.
 const TEMPORARY_EXTENSION: &str = "new";
 
 /// Replaces a file atomically. The new content is on disk when this returns.
--- a/crates/config_node/src/replica_log/frame.rs
+++ b/crates/config_node/src/replica_log/frame.rs
@@ -1,15 +1,15 @@
 //! Frames on disk: a length, a checksum and the data. The checksum also covers the frame's number, so that a misplaced frame is
 //! not taken for an intact one.
 
-/// The format, which the first bytes of each file state.
+/// The format identifier at the beginning of each file.
 pub(super) const FORMAT: &[u8; 8] = b"sf-log 1";
-/// Bytes of the length, little-endian.
+/// Size of the length field, which is little-endian, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the checksum: a prefix of the BLAKE3 hash of the frame's number and its data.
+/// Size of the checksum in bytes. The checksum is a prefix of the BLAKE3 hash of the frame's number and its data.
 const CHECKSUM_BYTES: usize = 16;
-/// Bytes in front of a frame's data.
+/// Size of the header in front of a frame's data, in bytes.
 pub(super) const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
-/// Maximum size of a frame's data: room for 64 texts of the maximum length.
+/// Maximum size of a frame's data in bytes: 64 texts of the maximum length.
 const MAX_DATA_BYTES: usize = 64 * replicated_config::MAX_TEXT_BYTES;
 
 fn checksum(number: u64, data: &[u8]) -> [u8; CHECKSUM_BYTES] {
@@ -20,7 +20,7 @@
     checksum
 }
 
-/// Encodes the frame of this number, counted from 0 in its file.
+/// Encodes a frame. Frames are numbered from 0 in each file.
 pub(super) fn encode(number: u64, data: &[u8]) -> Vec<u8> {
     let length = (data.len() as u32).to_le_bytes();
     [&length[..], &checksum(number, data), data].concat()
@@ -44,7 +44,7 @@
     rest: &'a [u8],
 }
 
-/// Splits off the first frame, which must have this number. Returns `None` if it is not intact.
+/// Splits off the first frame. Returns `None` if it is truncated, damaged or not the frame of this number.
 fn split_frame(bytes: &[u8], number: u64) -> Option<SplitFrame<'_>> {
     let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
     let (length, expected_checksum) = header.split_first_chunk::<LENGTH_BYTES>()?;
--- a/crates/config_node/src/replica_log/frame_count.rs
+++ b/crates/config_node/src/replica_log/frame_count.rs
@@ -5,22 +5,22 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Extension of the file that holds the count.
+/// Extension of the file that holds the frame count.
 const EXTENSION: &str = "count";
 
-/// Returns the path of the count of this log.
+/// Returns the path of the file that holds the frame count of this log.
 pub(super) fn path(log: &Path) -> PathBuf {
     log.with_extension(EXTENSION)
 }
 
-/// Reads the count of this log.
+/// Reads the frame count of this log.
 pub(super) fn read(log: &Path) -> Result<u64, Error> {
     let path = path(log);
     let content = std::fs::read(&path).map_err(Error::file(&path))?;
     decode(&content).ok_or(Error::DamagedFrameCount { path })
 }
 
-/// Replaces the count of this log.
+/// Replaces the frame count of this log.
 pub(super) fn write(log: &Path, frames: u64) -> io::Result<()> {
     atomic_file::replace(&path(log), &encode(frames))
 }
--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -9,7 +9,7 @@
         Self(std::env::temp_dir().join(format!("config-node-{name}-{}", std::process::id())))
     }
 
-    fn log(&self) -> PathBuf {
+    fn log_path(&self) -> PathBuf {
         self.0.join("replica.log")
     }
 }
@@ -34,7 +34,7 @@
     LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state })
 }
 
-/// The state of a log, and the size of its file then.
+/// The state of a log after a number of frames, and the size of its file at that time.
 struct LoggedState {
     bytes: usize,
     state: DurableState,
@@ -43,10 +43,10 @@
 #[test]
 fn a_reopened_log_holds_all_records_that_were_appended() {
     let directory = TestDirectory::new("reopened");
-    ReplicaLog::create(&directory.log()).expect("the log is created");
+    ReplicaLog::create(&directory.log_path()).expect("the log is created");
     assert!(
-        matches!(ReplicaLog::create(&directory.log()), Err(Error::LogExists { .. })),
-        "a log is created once"
+        matches!(ReplicaLog::create(&directory.log_path()), Err(Error::LogExists { .. })),
+        "an existing log is not replaced"
     );
     let mut state = DurableState::default();
     let frames = [
@@ -58,35 +58,35 @@
         vec![entries(21..=22, 3, 3)],
     ];
     for records in frames {
-        let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
+        let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
         assert_eq!(log.state(), &state);
         log.append(records.clone()).expect("the file is written");
         records.into_iter().for_each(|record| state.apply(record).expect("records have no gap"));
     }
-    assert_eq!(ReplicaLog::open(&directory.log()).expect("the log is intact").state(), &state);
+    assert_eq!(ReplicaLog::open(&directory.log_path()).expect("the log is intact").state(), &state);
 }
 
 #[test]
 fn a_log_truncated_at_any_byte_is_rejected_or_holds_all_counted_frames() {
     let directory = TestDirectory::new("truncated");
-    ReplicaLog::create(&directory.log()).expect("the log is created");
-    let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
-    let length = || std::fs::read(directory.log()).expect("the file exists").len();
+    ReplicaLog::create(&directory.log_path()).expect("the log is created");
+    let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
+    let length = || std::fs::read(directory.log_path()).expect("the file exists").len();
     let mut states = vec![LoggedState { bytes: length(), state: log.state().clone() }];
     for turn in 1..=4 {
         log.append(vec![hard_state(turn, 1, 0), entries(turn..=turn, turn, 5)]).expect("the file is written");
         states.push(LoggedState { bytes: length(), state: log.state().clone() });
     }
-    let content = std::fs::read(directory.log()).expect("the file exists");
-    let count = std::fs::read(frame_count::path(&directory.log())).expect("the file exists");
+    let content = std::fs::read(directory.log_path()).expect("the file exists");
+    let count = std::fs::read(frame_count::path(&directory.log_path())).expect("the file exists");
     // The process was killed while it wrote the fourth frame, so three frames are counted.
     let count_of_three = frame_count::encode(3);
     for length in 0..=content.len() {
         for (count, frames) in [(&count, 4), (&count_of_three, 3)] {
-            std::fs::write(directory.log(), &content[..length]).expect("the file is written");
-            std::fs::write(frame_count::path(&directory.log()), count).expect("the file is written");
+            std::fs::write(directory.log_path(), &content[..length]).expect("the file is written");
+            std::fs::write(frame_count::path(&directory.log_path()), count).expect("the file is written");
             let intact = states.iter().rposition(|logged| logged.bytes <= length);
-            let opened = ReplicaLog::open(&directory.log());
+            let opened = ReplicaLog::open(&directory.log_path());
             match intact.filter(|intact| *intact >= frames) {
                 Some(n) => {
                     assert_eq!(opened.expect("all counted frames are intact").state(), &states[n].state)
@@ -98,36 +98,38 @@
     for position in 0..content.len() {
         let mut altered = content.clone();
         altered[position] ^= 0x10;
-        std::fs::write(directory.log(), altered).expect("the file is written");
-        std::fs::write(frame_count::path(&directory.log()), &count).expect("the file is written");
-        assert!(ReplicaLog::open(&directory.log()).is_err(), "byte {position}");
+        std::fs::write(directory.log_path(), altered).expect("the file is written");
+        std::fs::write(frame_count::path(&directory.log_path()), &count).expect("the file is written");
+        assert!(ReplicaLog::open(&directory.log_path()).is_err(), "byte {position}");
     }
-    std::fs::write(directory.log(), &content).expect("the file is written");
+    std::fs::write(directory.log_path(), &content).expect("the file is written");
     for length in 0..count.len() {
-        std::fs::write(frame_count::path(&directory.log()), &count[..length]).expect("the file is written");
-        assert!(ReplicaLog::open(&directory.log()).is_err(), "count of {length} bytes");
+        std::fs::write(frame_count::path(&directory.log_path()), &count[..length])
+            .expect("the file is written");
+        assert!(ReplicaLog::open(&directory.log_path()).is_err(), "count of {length} bytes");
     }
 }
 
 #[test]
 fn compaction_bounds_the_size_of_a_log() {
     let directory = TestDirectory::new("large");
-    ReplicaLog::create(&directory.log()).expect("the log is created");
-    let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
+    ReplicaLog::create(&directory.log_path()).expect("the log is created");
+    let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
     for index in 1..=40 {
         log.append(vec![entries(index..=index, 1, 200_000)]).expect("the file is written");
         log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("the file is written");
         assert!(
-            std::fs::metadata(directory.log()).expect("the file exists").len() < COMPACTION_BYTES + 400_000
+            std::fs::metadata(directory.log_path()).expect("the file exists").len()
+                < COMPACTION_BYTES + 400_000
         );
     }
-    assert_eq!(ReplicaLog::open(&directory.log()).expect("the log is intact").state(), log.state());
+    assert_eq!(ReplicaLog::open(&directory.log_path()).expect("the log is intact").state(), log.state());
 }
 
 #[test]
 fn each_error_on_damage_names_the_damaged_file() {
     let directory = TestDirectory::new("damage");
-    let log = directory.log();
+    let log = directory.log_path();
     let missing = ReplicaLog::open(&log);
     assert!(matches!(&missing, Err(Error::File { path, .. }) if *path == log), "{missing:?}");
     ReplicaLog::create(&log).expect("the log is created");
@@ -157,5 +159,5 @@
 }
 
 fn postcard_bytes(records: Vec<LogRecord>) -> Vec<u8> {
-    postcard::to_stdvec(&records).expect("they can be encoded")
+    postcard::to_stdvec(&records).expect("the records can be encoded")
 }
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -11,7 +11,7 @@
     pub(crate) in_force: ConfigVersion,
     /// The proposed version; [`ConfigVersion::NONE`] if none is proposed.
     pub(crate) proposed: ConfigVersion,
-    /// Remaining validity of the lease.
+    /// Time until the lease expires; zero without a valid lease.
     pub(crate) remaining_lease: Duration,
     /// The status of the node's replica.
     pub(crate) replica: ReplicaStatus,
@@ -23,8 +23,8 @@
     /// The replica votes. `leader` is the name of the leader's node.
     Voting { progress: Progress, leader: Option<String> },
     /// The replica does not vote, because its log is unusable.
-    WithoutLog,
-    /// The node is no replica.
+    UnusableLog,
+    /// The node is not a replica.
     NotAReplica,
 }
 
@@ -38,7 +38,7 @@
                 let leader = leader.as_deref().unwrap_or("nobody");
                 writeln!(formatter, "  voter  term {term}  entries {committed}  {leader} leads")
             }
-            ReplicaStatus::WithoutLog => {
+            ReplicaStatus::UnusableLog => {
                 writeln!(formatter, "  voter without a log: it does not vote")
             }
             ReplicaStatus::NotAReplica => Ok(()),
--- a/crates/config_node/src/status/tests.rs
+++ b/crates/config_node/src/status/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use replicated_config::{LogIndex, Term};
 
-/// Operators and their scripts read these lines.
+/// Guards against changes of the console's lines, which operators and their scripts read.
 #[test]
 fn a_status_is_shown_as_in_release_0_1() {
     let status = |replica| {
@@ -24,7 +24,7 @@
         format!("{first}  voter  term 3  entries 42  nobody leads\n")
     );
     assert_eq!(
-        status(ReplicaStatus::WithoutLog),
+        status(ReplicaStatus::UnusableLog),
         format!("{first}  voter without a log: it does not vote\n")
     );
     assert_eq!(status(ReplicaStatus::NotAReplica), first);
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -13,18 +13,18 @@
 /// Called with the new view whenever it changes.
 pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
 
-/// The versions that a gatekeeper enforces.
+/// The versions that a gatekeeper enforces, and whether it holds a lease on them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigView {
     /// The version in force; `None` before the first.
     pub in_force: Option<Version>,
-    /// The proposed version, which is to follow the one in force.
+    /// The proposed version, which will follow the one in force; `None` if none is proposed.
     pub proposed: Option<Version>,
     /// Whether the gatekeeper holds a valid lease. Without one there may be later versions that it does not know of.
     pub has_lease: bool,
 }
 
-/// The view and the state that it is derived from.
+/// The view, the state from which it is derived, and the listener to notify.
 struct ViewState {
     node_name: String,
     view: ConfigView,
@@ -40,7 +40,7 @@
         Self { node_name, view, texts, lease_expires_at: MonotonicTime::ZERO, listener }
     }
 
-    /// Updates the view, and calls the listener if it has changed.
+    /// Derives the view again, and calls the listener if the view has changed.
     fn publish(&mut self, now: MonotonicTime) {
         let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at > MonotonicTime::ZERO;
         let VersionTexts { in_force, proposed } = self.texts.clone();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the time until the lease's expiry is to be checked again.
+    /// Returns the time until the next check of the lease's expiry.
     fn time_until_check(&self, now: MonotonicTime) -> Duration {
         if self.view.has_lease {
             self.lease_expires_at.saturating_since(now).clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)
@@ -82,15 +82,15 @@
     }
 }
 
-/// Returns the versions of these numbers from the received and the known ones. Versions of the same number are equal.
+/// Selects the versions with these numbers from the received and the known ones. Versions with the same number are equal.
 fn select_texts(numbers: VersionNumbers, received: VersionTexts, known: VersionTexts) -> VersionTexts {
     let candidates = [received.in_force, received.proposed, known.in_force, known.proposed];
     let mut candidates: Vec<Version> = candidates.into_iter().flatten().collect();
-    let mut take = |number: ConfigVersion| {
+    let mut take_version = |number: ConfigVersion| {
         let position = candidates.iter().position(|version| version.number == number)?;
         Some(candidates.swap_remove(position))
     };
-    VersionTexts { in_force: take(numbers.in_force), proposed: take(numbers.proposed) }
+    VersionTexts { in_force: take_version(numbers.in_force), proposed: take_version(numbers.proposed) }
 }
 
 /// The view, shared by the thread that owns the node's state and the thread that watches the lease.
@@ -109,7 +109,7 @@
     }
 
     /// Calls the listener with the current view, whether or not it has changed.
-    pub(crate) fn announce(&self) {
+    pub(crate) fn notify_listener(&self) {
         let state = self.lock();
         (state.listener)(&state.view);
     }
@@ -119,7 +119,7 @@
         self.lock().texts.numbers()
     }
 
-    /// Enforces the versions of these numbers from now on. Their texts come from `received` or from the known versions.
+    /// Replaces the enforced versions by those with these numbers, whose texts are among `received` or the known versions.
     pub(crate) fn update(
         &self,
         now: MonotonicTime,
@@ -135,7 +135,7 @@
         self.updated.notify_all();
     }
 
-    /// Updates the view, then waits until the lease may have expired or the versions are updated.
+    /// Derives the view again, then waits until the lease may have expired or [`SharedView::update`] is called.
     pub(crate) fn publish_and_wait(&self, now: MonotonicTime) {
         let mut state = self.lock();
         state.publish(now);
--- a/crates/config_node/tests/common/mod.rs
+++ b/crates/config_node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of several tests.
+//! Test directories and keys that several test programs use.
 
 use membership::authentication::Keyring;
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
     }
 }
 
-/// The keys of all nodes.
+/// Returns the keys that all nodes and clients share.
 pub fn keys() -> Keyring {
     Keyring::parse(&"ab".repeat(32)).expect("the key is valid")
 }
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Compatibility of replica logs and of messages on a connection with release 0.1. Commit 1461877 wrote the bytes in `fixtures/`.
-//! They must be read, or rejected if truncated or damaged, and written again byte for byte.
+//! Compatibility of replica logs and of messages on a connection with release 0.1. Commit 1461877 of that release wrote the bytes
+//! in `fixtures/`. The current code must read them, write the same bytes, and reject them if they are truncated or damaged.
 
 mod common;
 
@@ -15,11 +15,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Size of the file that counts the frames of the log.
+/// Size in bytes of the file that holds the frame count: the format identifier, a frame's header and the count.
 const COUNT_BYTES: usize = 8 + 20 + 8;
-/// Size of a log without frames.
+/// Size in bytes of a log without frames, which holds only the format identifier.
 const EMPTY_LOG_BYTES: usize = 8;
-/// Exceeds the duration of any call here.
+/// Time-out for each call, longer than any call takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A log in a directory of its own.
@@ -30,23 +30,23 @@
         Self(TestDirectory::new(&format!("fixture-{test}")))
     }
 
-    fn log(&self) -> PathBuf {
+    fn log_path(&self) -> PathBuf {
         self.0.path().join("replica.log")
     }
 
-    fn frame_count(&self) -> PathBuf {
+    fn frame_count_path(&self) -> PathBuf {
         self.0.path().join("replica.count")
     }
 
     fn write(&self, files: &LogFiles) {
-        std::fs::write(self.log(), &files.log).expect("the log is written");
-        std::fs::write(self.frame_count(), &files.frame_count).expect("the frame count is written");
+        std::fs::write(self.log_path(), &files.log).expect("the log is written");
+        std::fs::write(self.frame_count_path(), &files.frame_count).expect("the frame count is written");
     }
 
     fn read(&self) -> LogFiles {
         LogFiles {
-            log: std::fs::read(self.log()).expect("the log exists"),
-            frame_count: std::fs::read(self.frame_count()).expect("the frame count exists"),
+            log: std::fs::read(self.log_path()).expect("the log exists"),
+            frame_count: std::fs::read(self.frame_count_path()).expect("the frame count exists"),
         }
     }
 }
@@ -76,7 +76,7 @@
     LogRecord::Snapshot(Snapshot { index: LogIndex(index), term: Term(term), state })
 }
 
-/// The records of each frame of the log.
+/// Returns the records in each frame of the log fixture.
 fn frames() -> Vec<Vec<LogRecord>> {
     vec![
         vec![hard_state(1, 2, 0), entries(1..=9, 1, 3)],
@@ -88,7 +88,7 @@
     ]
 }
 
-/// The state after each number of frames.
+/// Returns the state after each number of frames, from none to all frames of the log fixture.
 fn states() -> Vec<DurableState> {
     let mut states = vec![DurableState::default()];
     for records in frames() {
@@ -100,10 +100,10 @@
 }
 
 #[test]
-fn a_log_is_written_as_before() {
+fn a_log_is_written_as_in_release_0_1() {
     let directory = LogDirectory::new("written");
-    ReplicaLog::create(&directory.log()).expect("the log is created");
-    let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
+    ReplicaLog::create(&directory.log_path()).expect("the log is created");
+    let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
     let mut counts = directory.read().frame_count;
     for records in frames() {
         log.append(records).expect("the records are written");
@@ -113,8 +113,8 @@
     assert_eq!(counts, fixture("replica.counts"));
 }
 
-/// The size of the log after each number of frames, from the lengths in the frames' headers.
-fn lengths(log: &[u8]) -> Vec<usize> {
+/// Returns the size in bytes of the log after each number of frames, according to the length fields of the frames.
+fn log_sizes(log: &[u8]) -> Vec<usize> {
     let mut lengths = vec![EMPTY_LOG_BYTES];
     while let Some(head) = log[lengths[lengths.len() - 1]..].first_chunk::<4>() {
         lengths.push(lengths[lengths.len() - 1] + 20 + u32::from_le_bytes(*head) as usize);
@@ -125,20 +125,20 @@
 #[test]
 fn a_log_with_an_unfinished_frame_at_its_end_is_read() {
     let (log, counts, states) = (fixture("replica.log"), fixture("replica.counts"), states());
-    let (lengths, directory) = (lengths(&log), LogDirectory::new("cut"));
+    let (lengths, directory) = (log_sizes(&log), LogDirectory::new("cut"));
     assert_eq!((lengths.len(), lengths.last()), (states.len(), Some(&log.len())));
     for (counted, count) in counts.chunks(COUNT_BYTES).enumerate() {
-        for cut in 0..=log.len() {
-            directory.write(&LogFiles { log: log[..cut].to_vec(), frame_count: count.to_vec() });
-            let intact = lengths.iter().rposition(|length| *length <= cut);
-            let opened = ReplicaLog::open(&directory.log());
+        for kept_bytes in 0..=log.len() {
+            directory.write(&LogFiles { log: log[..kept_bytes].to_vec(), frame_count: count.to_vec() });
+            let intact = lengths.iter().rposition(|length| *length <= kept_bytes);
+            let opened = ReplicaLog::open(&directory.log_path());
             match intact.filter(|frames| *frames >= counted) {
                 Some(frames) => {
                     assert_eq!(opened.expect("all counted frames are intact").state(), &states[frames]);
                     // The unfinished frame is discarded.
                     assert_eq!(directory.read().log, &log[..lengths[frames]]);
                 }
-                None => assert!(opened.is_err(), "{cut} bytes, {counted} frames"),
+                None => assert!(opened.is_err(), "{kept_bytes} bytes, {counted} frames"),
             }
         }
     }
@@ -153,26 +153,26 @@
         let mut altered = log.clone();
         altered[position] ^= 0x10;
         directory.write(&LogFiles { log: altered, frame_count: count.to_vec() });
-        assert!(ReplicaLog::open(&directory.log()).is_err(), "byte {position}");
+        assert!(ReplicaLog::open(&directory.log_path()).is_err(), "byte {position}");
     }
     for position in 0..count.len() {
         let mut altered = count.to_vec();
         altered[position] ^= 0x10;
         directory.write(&LogFiles { log: log.clone(), frame_count: altered });
-        assert!(ReplicaLog::open(&directory.log()).is_err(), "byte {position} of the count");
+        assert!(ReplicaLog::open(&directory.log_path()).is_err(), "byte {position} of the count");
         directory.write(&LogFiles { log: log.clone(), frame_count: count[..position].to_vec() });
-        assert!(ReplicaLog::open(&directory.log()).is_err(), "{position} bytes of the count");
+        assert!(ReplicaLog::open(&directory.log_path()).is_err(), "{position} bytes of the count");
     }
     directory.write(&LogFiles { log, frame_count: count.to_vec() });
-    assert_eq!(ReplicaLog::open(&directory.log()).expect("the log is intact").state(), &states()[6]);
+    assert_eq!(ReplicaLog::open(&directory.log_path()).expect("the log is intact").state(), &states()[6]);
 }
 
-/// Compares the size of the log after each write, and a hash of the log and its frame count.
+/// Compares the size of the log, and a hash of the log and its frame count, after each pair of writes.
 #[test]
-fn a_large_log_is_compacted_as_before() {
+fn a_large_log_is_compacted_as_in_release_0_1() {
     let directory = LogDirectory::new("large");
-    ReplicaLog::create(&directory.log()).expect("the log is created");
-    let mut log = ReplicaLog::open(&directory.log()).expect("the log is intact");
+    ReplicaLog::create(&directory.log_path()).expect("the log is created");
+    let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
     let mut lengths = String::new();
     for index in 1..=30 {
         log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)])
@@ -182,7 +182,7 @@
         let hash = blake3::hash(&[&content[..], &frame_count].concat()).to_hex();
         lengths += &format!("{index} {} {hash}\n", content.len());
     }
-    assert_eq!(lengths, String::from_utf8(fixture("large.txt")).expect("text"));
+    assert_eq!(lengths, String::from_utf8(fixture("large.txt")).expect("the fixture is UTF-8"));
 }
 
 /// A request and its answer.
@@ -191,7 +191,7 @@
     answer: Message,
 }
 
-/// A proposal that is rejected because another one is open.
+/// Returns a proposal and its answer: it is rejected because another version's rollout is in progress.
 fn exchange() -> Exchange {
     let id = ProposalId(300);
     let request = Message::Propose(Proposal {
@@ -205,7 +205,7 @@
     Exchange { request, answer: Message::ProposalOutcome { proposal: id, outcome } }
 }
 
-/// A call as the replica and the client see it.
+/// A call as observed by the replica and by the client.
 struct ObservedCall {
     /// The bytes that the replica received.
     received: Vec<u8>,
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn messages_on_a_connection_are_as_before() {
+fn messages_on_a_connection_are_encoded_as_in_release_0_1() {
     let Exchange { request, answer } = exchange();
     let (request_frame, answer_frame) = (fixture("request.frame"), fixture("answer.frame"));
     let observed = call(answer_frame.clone(), &request, request_frame.len());
--- a/crates/config_node/tests/three_nodes.rs
+++ b/crates/config_node/tests/three_nodes.rs
@@ -13,14 +13,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// Exceeds the duration of any step here.
+/// Time-out for each step, longer than any step takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const LEASE_DURATION: Duration = Duration::from_millis(800);
 
 /// Three running nodes.
 struct Cluster {
     _nodes: Vec<Node>,
-    /// The views that each node publishes.
+    /// The views that each node publishes, by the index of its replica.
     views: Vec<Receiver<ConfigView>>,
     replicas: Vec<ReplicaAddress>,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Proposes a version to this replica and returns its answer.
+/// Proposes a version to this replica and returns the replica's answer.
 fn propose(to: &ReplicaAddress, id: u64) -> Result<Message, Error> {
     let proposal = Proposal {
         id: ProposalId(id),
@@ -96,7 +96,7 @@
     views.iter().for_each(|view| drop(wait_for(view, |view| view.has_lease)));
     let proposer = thread::spawn(move || propose(&replicas[1], 1));
     is_blocked.recv_timeout(TIMEOUT).expect("the proposal is validated");
-    // The thread stays blocked until the message below.
+    // The thread stays blocked until `unblock` sends a message.
     wait_for(&views[1], |view| !view.has_lease);
     unblock.send(()).expect("the validator waits");
     drop(proposer.join());
