--- a/crates/config_node/src/replica_log/tests.rs
+++ b/crates/config_node/src/replica_log/tests.rs
@@ -73,8 +73,12 @@
     let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
     let length = || std::fs::read(directory.log_path()).expect("the file exists").len();
     let mut states = vec![LoggedState { bytes: length(), state: log.state().clone() }];
-    for turn in 1..=4 {
-        log.append(vec![hard_state(turn, 1, 0), entries(turn..=turn, turn, 5)]).expect("the file is written");
+    for frame_number in 1..=4 {
+        log.append(vec![
+            hard_state(frame_number, 1, 0),
+            entries(frame_number..=frame_number, frame_number, 5),
+        ])
+        .expect("the file is written");
         states.push(LoggedState { bytes: length(), state: log.state().clone() });
     }
     let content = std::fs::read(directory.log_path()).expect("the file exists");
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -22,7 +22,7 @@
 /// Time-out for each call, longer than any call takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A log in a directory of its own.
+/// A temporary directory for the two files of a log.
 struct LogDirectory(TestDirectory);
 
 impl LogDirectory {
@@ -115,28 +115,28 @@
 
 /// Returns the size in bytes of the log after each number of frames, according to the length fields of the frames.
 fn log_sizes(log: &[u8]) -> Vec<usize> {
-    let mut lengths = vec![EMPTY_LOG_BYTES];
-    while let Some(head) = log[lengths[lengths.len() - 1]..].first_chunk::<4>() {
-        lengths.push(lengths[lengths.len() - 1] + 20 + u32::from_le_bytes(*head) as usize);
+    let mut sizes = vec![EMPTY_LOG_BYTES];
+    while let Some(length_field) = log[sizes[sizes.len() - 1]..].first_chunk::<4>() {
+        sizes.push(sizes[sizes.len() - 1] + 20 + u32::from_le_bytes(*length_field) as usize);
     }
-    lengths
+    sizes
 }
 
 #[test]
 fn a_log_with_an_unfinished_frame_at_its_end_is_read() {
     let (log, counts, states) = (fixture("replica.log"), fixture("replica.counts"), states());
-    let (lengths, directory) = (log_sizes(&log), LogDirectory::new("cut"));
-    assert_eq!((lengths.len(), lengths.last()), (states.len(), Some(&log.len())));
+    let (sizes, directory) = (log_sizes(&log), LogDirectory::new("cut"));
+    assert_eq!((sizes.len(), sizes.last()), (states.len(), Some(&log.len())));
     for (counted, count) in counts.chunks(COUNT_BYTES).enumerate() {
         for kept_bytes in 0..=log.len() {
             directory.write(&LogFiles { log: log[..kept_bytes].to_vec(), frame_count: count.to_vec() });
-            let intact = lengths.iter().rposition(|length| *length <= kept_bytes);
+            let intact = sizes.iter().rposition(|length| *length <= kept_bytes);
             let opened = ReplicaLog::open(&directory.log_path());
             match intact.filter(|frames| *frames >= counted) {
                 Some(frames) => {
                     assert_eq!(opened.expect("all counted frames are intact").state(), &states[frames]);
                     // The unfinished frame is discarded.
-                    assert_eq!(directory.read().log, &log[..lengths[frames]]);
+                    assert_eq!(directory.read().log, &log[..sizes[frames]]);
                 }
                 None => assert!(opened.is_err(), "{kept_bytes} bytes, {counted} frames"),
             }
@@ -173,16 +173,16 @@
     let directory = LogDirectory::new("large");
     ReplicaLog::create(&directory.log_path()).expect("the log is created");
     let mut log = ReplicaLog::open(&directory.log_path()).expect("the log is intact");
-    let mut lengths = String::new();
+    let mut actual_lines = String::new();
     for index in 1..=30 {
         log.append(vec![entries(index..=index, 1, 200_000), hard_state(1, 3, index)])
             .expect("the records are written");
         log.append(vec![snapshot(index, 1, vec![1; 1_000])]).expect("the records are written");
         let LogFiles { log: content, frame_count } = directory.read();
         let hash = blake3::hash(&[&content[..], &frame_count].concat()).to_hex();
-        lengths += &format!("{index} {} {hash}\n", content.len());
+        actual_lines += &format!("{index} {} {hash}\n", content.len());
     }
-    assert_eq!(lengths, String::from_utf8(fixture("large.txt")).expect("the fixture is UTF-8"));
+    assert_eq!(actual_lines, String::from_utf8(fixture("large.txt")).expect("the fixture is UTF-8"));
 }
 
 /// A request and its answer.
--- a/crates/replicated_config/src/error.rs
+++ b/crates/replicated_config/src/error.rs
@@ -21,9 +21,9 @@
     /// The log lacks entries that are committed according to its hard state.
     #[error("the log ends at entry {last_index}, but its hard state commits entries up to {commit}")]
     MissingCommittedEntries {
-        /// Last committed entry according to the hard state.
+        /// Index of the last committed entry according to the hard state.
         commit: LogIndex,
-        /// Last entry in the log.
+        /// Index of the last entry in the log.
         last_index: LogIndex,
     },
     /// The log holds an entry of a later term than its hard state.
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -12,7 +12,7 @@
 /// A gatekeeper's lease on the latest version.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
-    /// Validity of a lease, counted from the moment its request was sent.
+    /// How long a lease is valid after its request was sent.
     lease_duration: Duration,
     /// Index of the replica to ask next.
     target_index: usize,
@@ -41,7 +41,7 @@
 impl LeaseClient {
     /// Creates a client that holds no lease.
     ///
-    /// `first_request` must be larger than any request id that an earlier incarnation of this client has used.
+    /// `first_request` must be larger than any request id that this client used before a restart.
     pub fn new(lease_duration: Duration, first_request: RequestId) -> Self {
         Self {
             lease_duration,
