--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -9,21 +9,21 @@
 
 use crate::MAX_DATAGRAM_BYTES;
 
-/// Bytes that [`Keyring::sign`] adds to a payload.
+/// The number of bytes that [`Keyring::sign`] adds to a payload.
 pub const OVERHEAD_BYTES: usize = 1 + TAG_BYTES;
-/// The maximum number of keys in a keyring.
+/// The maximum number of keys in a keyring: a key rotation needs the old and the new one.
 pub const MAX_KEYS: usize = 2;
-/// The length of a message authentication code.
+/// The length of a message authentication code, which is a BLAKE3 hash.
 const TAG_BYTES: usize = 32;
 /// The length of a key.
 const KEY_BYTES: usize = 32;
 /// The first byte of each message, which identifies its format.
 const FORMAT_VERSION: u8 = 1;
 
-/// The keys of a cluster.
+/// The shared secret keys of a cluster.
 #[derive(Clone)]
 pub struct Keyring {
-    /// Never empty. The first key signs.
+    /// The keys, at least one. The first key signs.
     keys: Vec<[u8; KEY_BYTES]>,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The error of an unusable key file. Its text never contains a key.
+/// The reason why a key file is unusable. The error text never contains a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyringError {
     /// The file contains no key.
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the message that carries this payload with its authentication code.
+    /// Returns a message with the format version, the authentication code and the payload.
     pub fn sign(&self, payload: &[u8]) -> Vec<u8> {
         let mut message = Vec::with_capacity(OVERHEAD_BYTES + payload.len());
         message.push(FORMAT_VERSION);
@@ -92,8 +92,8 @@
         self.verify_frame(datagram)
     }
 
-    /// Returns the payload of a message of any length, if it was signed with one of the keys. It serves streams, whose
-    /// reader limits the length.
+    /// Returns the payload of a message of any length, if it was signed with one of the keys. It is meant for messages on a
+    /// stream, whose reader limits their length.
     pub fn verify_frame<'a>(&self, frame: &'a [u8]) -> Option<&'a [u8]> {
         let (&version, rest) = frame.split_first()?;
         let (tag, payload) = rest.split_first_chunk::<TAG_BYTES>()?;
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -1,4 +1,4 @@
-//! Key files, key rotation and the rejection of unauthentic messages.
+//! Tests of key files, key rotation and the rejection of messages that are not authentic.
 
 use super::*;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_error_names_what_is_wrong_with_the_file() {
+fn each_error_text_names_the_fault_in_the_key_file() {
     let texts = [
         (KeyringError::Empty, "it holds no key: a line of 64 hexadecimal digits is needed"),
         (KeyringError::TooManyKeys, "it holds more than 2 keys"),
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -4,10 +4,10 @@
 //! half of a large cluster fails: some dead members are not probed for many periods, and hundreds of updates compete for
 //! the space in each message. While many members are suspected or have just failed, this instance therefore probes
 //! [`PROBE_SPEEDUP`] times as fast, and sends a digest of its known failures to one random member per gossip period. A
-//! receiver whose digest differs replies with the failures it knows, eight bytes each. The failures spread epidemically,
-//! independent of other gossip traffic.
+//! receiver whose digest differs replies with the failures that it knows, eight bytes each. The failures spread epidemically
+//! and do not compete with other gossip.
 //!
-//! In normal operation none of this is sent.
+//! In normal operation none of these messages is sent.
 
 mod failure_log;
 mod message;
@@ -20,25 +20,26 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// The factor by which probes and their timeouts are faster while dissemination is active.
+/// The divisor of probe periods and probe timeouts while dissemination is active.
 pub(crate) const PROBE_SPEEDUP: u32 = 4;
-/// The minimum delay of a timer of a probe.
+/// The minimum delay of a probe timer that [`PROBE_SPEEDUP`] shortens.
 const MIN_PROBE_DELAY: Duration = Duration::from_millis(1);
-/// The minimum number of suspected and failed members that activates dissemination. Gossip alone is fast enough for fewer.
+/// The minimum number of suspected and failed members at which dissemination becomes active. For fewer members, gossip alone
+/// is fast enough.
 const MIN_FAILURES: usize = 3;
-/// One suspected or failed member per this many live members activates dissemination: two to three times the share that a
-/// datagram loss of 10% brings under suspicion. With one in eight, members knew that half of 1,000 were dead after 13 s
-/// instead of 7 s.
+/// Dissemination becomes active when there is one suspected or failed member for each group of this many live members. This
+/// share is two to three times the share of members that become suspected at a datagram loss of 10%. With a value of 8, all
+/// members learned only after 13 s, instead of 7 s, that half of 1,000 had failed.
 const ALIVE_PER_FAILURE: usize = 16;
-/// The maximum number of activity windows without a break, more than a bulk failure needs. Fast probes cause further
-/// suspicions where datagrams are lost, and these must not keep dissemination active forever.
+/// The maximum time for which dissemination stays active without a break, in activity windows. A bulk failure needs less.
+/// Where datagrams are lost, faster probes cause further suspicions, which must not keep dissemination active forever.
 const MAX_ACTIVE_WINDOWS: u32 = 5;
-/// The retention of a failure in activity windows. It exceeds [`MAX_ACTIVE_WINDOWS`], so digests do not differ because one
-/// member has already removed a failure.
+/// The time for which a failure is retained, in activity windows. It exceeds [`MAX_ACTIVE_WINDOWS`], so that digests do not
+/// differ merely because one member has already removed a failure.
 const FAILURE_RETENTION_WINDOWS: u32 = 10;
 /// The maximum number of messages in a reply to a digest.
 const MAX_MESSAGES_PER_REPLY: usize = 4;
-/// The maximum number of replies per gossip period. Several members may send their digest to this one.
+/// The maximum number of replies per gossip period, in which several members may send their digests to this one.
 const MAX_REPLIES_PER_PERIOD: u32 = 4;
 
 /// The failures known to this instance, and the state of their dissemination.
@@ -50,8 +51,8 @@
     /// The time for which dissemination stays active after the last evidence of a bulk failure.
     activity_window: Duration,
     failures: FailureLog,
-    /// The moment at which dissemination last became active. It stays set after [`MAX_ACTIVE_WINDOWS`], until there are few
-    /// failures again.
+    /// The moment at which dissemination last became active. It remains set when [`MAX_ACTIVE_WINDOWS`] have passed, and is
+    /// cleared once the failures are too few to activate dissemination.
     active_since: Option<MonotonicTime>,
     active_until: MonotonicTime,
     next_poll: MonotonicTime,
@@ -59,7 +60,7 @@
 }
 
 impl BulkFailureDissemination {
-    /// Creates an inactive instance for gossip with these periods.
+    /// Creates the state without failures, with dissemination inactive.
     pub(crate) fn new(gossip_period: Duration, suspicion_timeout: Duration) -> Self {
         Self {
             gossip_period,
@@ -87,8 +88,8 @@
         self.failures.add(now, fingerprint);
     }
 
-    /// Activates dissemination if there are many failures, at most once per gossip period. While it is active, returns the
-    /// digest to send to a random member.
+    /// Activates dissemination if enough of the members are suspected or have failed. While dissemination is active, returns
+    /// the digest to send to a random member, at most once per gossip period.
     pub(crate) fn poll(&mut self, now: MonotonicTime, suspects: usize, alive: usize) -> Option<u64> {
         if now < self.next_poll {
             return None;
@@ -124,14 +125,14 @@
             .collect()
     }
 
-    /// Keeps dissemination active for another activity window, up to the limit.
+    /// Keeps dissemination active for one activity window from now, but not beyond [`MAX_ACTIVE_WINDOWS`].
     fn extend_activity(&mut self, now: MonotonicTime) {
         let active_since = *self.active_since.get_or_insert(now);
         let limit = active_since + MAX_ACTIVE_WINDOWS * self.activity_window;
         self.active_until = (now + self.activity_window).min(limit);
     }
 
-    /// Returns the delay of a SWIM timer, shorter than the requested one for probes while dissemination is active.
+    /// Returns the delay of a SWIM timer: the requested delay, or a shorter one for probes while dissemination is active.
     pub(crate) fn timer_delay(&self, now: MonotonicTime, delay: Duration, timer: &Timer<Member>) -> Duration {
         let is_probe = matches!(timer, Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. });
         if is_probe && self.is_active(now) { (delay / PROBE_SPEEDUP).max(MIN_PROBE_DELAY) } else { delay }
--- a/crates/membership/src/bulk_failure/failure_log.rs
+++ b/crates/membership/src/bulk_failure/failure_log.rs
@@ -8,7 +8,7 @@
 /// The maximum number of failures in the log.
 const MAX_FAILURES: usize = 4_096;
 
-/// Recent failures in the order in which they were learned, with a digest that is the same for the same set of failures.
+/// Recent failures in the order in which they were learned, with a digest that depends only on the set of failures.
 #[derive(Debug, Default)]
 pub(super) struct FailureLog {
     /// The moment at which each failure was learned.
@@ -20,7 +20,7 @@
 }
 
 impl FailureLog {
-    /// Adds a failure that is not in the log yet.
+    /// Adds a failure, unless it is in the log already or the log is full.
     pub(super) fn add(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
         if self.by_age.len() < MAX_FAILURES && self.learned_at.insert(fingerprint, now).is_none() {
             self.by_age.push_back(fingerprint);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Removes the failures older than this.
+    /// Removes the failures learned more than `max_age` ago.
     pub(super) fn remove_older_than(&mut self, max_age: Duration, now: MonotonicTime) {
         while let Some(oldest) = self.by_age.front()
             && self.learned_at[oldest] + max_age < now
--- a/crates/membership/src/bulk_failure/failure_log/tests.rs
+++ b/crates/membership/src/bulk_failure/failure_log/tests.rs
@@ -1,4 +1,4 @@
-//! The digest, the retention and the order of failures.
+//! Tests of the digest, the retention and the order of failures.
 
 use super::*;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_digest_depends_on_the_set_of_failures_alone() {
+fn the_digest_depends_only_on_the_set_of_failures() {
     assert_eq!(log_of(&[1, 2, 4]).digest(), log_of(&[4, 4, 1, 2]).digest());
     assert_ne!(log_of(&[1, 2, 4]).digest(), log_of(&[1, 2]).digest());
 }
--- a/crates/membership/src/bulk_failure/message.rs
+++ b/crates/membership/src/bulk_failure/message.rs
@@ -4,10 +4,11 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The maximum number of fingerprints in a message. At eight bytes each they fit into a datagram with the header.
+/// The maximum number of fingerprints in a message. At eight bytes each, they fit into a datagram together with its header.
 pub(crate) const MAX_FAILURES_PER_MESSAGE: usize = 160;
-/// The first byte of these payloads. SWIM payloads start with the variant of an IP address, 0 or 1.
-const PAYLOAD_KIND: u8 = 0xFF;
+/// The first byte of the payloads of bulk failure dissemination. A SWIM payload starts with the variant of its sender's IP
+/// address, 0 or 1.
+const BULK_FAILURE_MARKER: u8 = 0xFF;
 
 /// The hash of a member's identity, its generation included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -35,23 +36,23 @@
 pub(crate) enum Message {
     /// The digest of the failures that the sender knows.
     Digest {
-        /// The address for the reply.
+        /// The gossip address of the sender, to which the receiver replies.
         reply_to: SocketAddr,
-        /// The exclusive or of the fingerprints of the recent failures.
+        /// The exclusive or of the fingerprints in the sender's failure log.
         digest: u64,
     },
-    /// Failed members, as encoded by [`MemberFingerprint::to_bytes`].
+    /// The fingerprints of failed members, each encoded by [`MemberFingerprint::to_bytes`].
     FailedMembers(Vec<[u8; 8]>),
 }
 
 impl Message {
     /// Encodes the message as the payload of a datagram.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![PAYLOAD_KIND]).unwrap_or_default()
+        postcard::to_extend(self, vec![BULK_FAILURE_MARKER]).unwrap_or_default()
     }
 
     /// Decodes a payload. Returns `None` for a SWIM payload and `Some(Err)` for a malformed message.
     pub(crate) fn decode(payload: &[u8]) -> Option<Result<Self, postcard::Error>> {
-        payload.strip_prefix(&[PAYLOAD_KIND]).map(postcard::from_bytes)
+        payload.strip_prefix(&[BULK_FAILURE_MARKER]).map(postcard::from_bytes)
     }
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -6,45 +6,45 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that receive a ping request after a direct probe has timed out.
+/// The number of members that receive a ping-req after a direct ping has timed out.
 const INDIRECT_PROBES: usize = 3;
-/// Transmissions of one update. The number is high because most transmissions after a bulk failure go to members that are
-/// dead but not yet detected.
+/// The number of times that an update is piggybacked. It is high because, after a bulk failure, most of these transmissions
+/// go to dead members that are not yet detected as dead.
 const MAX_TRANSMISSIONS: u8 = 30;
-/// Retention of a dead member, much longer than any delay of a datagram. A member that returns earlier has a greater
-/// generation and is accepted at once.
+/// The time for which a dead member is remembered, much longer than any delay of a datagram. A member that restarts within
+/// this time has a greater generation and is accepted at once.
 const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(600);
-/// Members that receive gossip in each gossip period.
+/// The number of members that receive gossip in each gossip period.
 const GOSSIP_FANOUT: usize = 3;
-/// Dead members that receive an announcement in each join period.
+/// The number of dead members that receive an announcement in each join period.
 const DEAD_ANNOUNCE_FANOUT: usize = 2;
-/// The minimum period of periodic messages.
+/// The lower limit of the periods of gossip and announcements.
 const MIN_PERIOD: Duration = Duration::from_millis(1);
-/// Join periods between two announcements to a live member.
+/// The time between two announcements to a random live member, in join periods.
 const ANNOUNCE_JOIN_PERIODS: u32 = 5;
 
 /// The configuration of a [`Membership`](crate::Membership).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The identity of this instance.
+    /// The identity under which this instance joins.
     pub local_member: Member,
-    /// Addresses through which to join the cluster.
+    /// The gossip addresses of members through which to join. The address of this instance may be among them.
     pub seed_peers: Vec<SocketAddr>,
-    /// The time between two probes. Each probes one member.
+    /// The time between two probes (SWIM's protocol period). Each probes one member.
     pub probe_period: Duration,
-    /// The time until an unanswered direct probe is followed by indirect probes.
+    /// The time after which an unanswered direct ping is followed by ping-reqs to other members.
     pub probe_timeout: Duration,
-    /// The time of suspicion after which a member is declared dead.
+    /// The time for which a member is suspected before it is declared dead.
     pub suspicion_timeout: Duration,
-    /// The time between two gossip messages to three random members each.
+    /// The time between two rounds of gossip, each to three random members.
     pub gossip_period: Duration,
     /// The time between two join attempts through the seed peers, and between two announcements to dead members.
     pub join_period: Duration,
-    /// The maximum number of members, dead ones in retention included.
+    /// The number of known members at which datagrams of unknown senders are dropped. Remembered dead members count too.
     pub max_members: usize,
-    /// The maximum number of broadcast topics.
+    /// The maximum number of broadcast topics. Broadcasts on further topics are dropped.
     pub max_topics: usize,
-    /// The seed of the random number generator.
+    /// The seed of the random number generator. Equal seeds and inputs give equal outputs.
     pub rng_seed: u64,
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 
 /// The identity of a member. Gossip carries it encoded with postcard: the order and the types of the fields are the wire
-/// format.
+/// format. SWIM's incarnation number, which refutes a suspicion, is not part of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The address that receives its gossip.
+    /// The UDP address at which the member receives gossip.
     pub address: SocketAddr,
-    /// Its name.
+    /// The name of the instance. It should be unique; see [`Membership::duplicate_names`](crate::Membership::duplicate_names).
     pub name: String,
     /// The generation, which increases at each start and each time others have declared the member dead.
     pub generation: u64,
@@ -35,8 +35,8 @@
 /// A known member and whether it is alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// The member.
+    /// The identity, with the greatest known generation.
     pub member: Member,
-    /// Whether the member is alive. A suspected member still is.
+    /// Whether the member is alive. A suspected member counts as alive.
     pub alive: bool,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 use timestamps::MonotonicTime;
 
-/// The size limit of an encoded broadcast. Two broadcasts fit into one datagram.
+/// The exclusive size limit of an encoded broadcast, half a datagram, so that one broadcast does not fill a datagram.
 const MAX_BROADCAST_BYTES: usize = MAX_DATAGRAM_BYTES / 2;
-/// Join periods between two join attempts while other members are alive.
+/// The time between two join attempts while other members are alive, in join periods.
 const JOIN_PERIODS_WITH_MEMBERS: u32 = 10;
 
-/// The members of the cluster as one instance sees them.
+/// One instance's view of the members of the cluster.
 ///
 /// `now` is a reading of the driver's monotonic clock. Methods append their outputs to `out`.
 pub struct Membership {
@@ -104,13 +104,13 @@
         members
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counters since this membership was created.
     pub fn counts(&self) -> Counts {
         let over_capacity = self.counts.over_capacity + self.topics.lock().over_capacity();
         Counts { over_capacity, ..self.counts }
     }
 
-    /// Replaces the keyring.
+    /// Replaces the keys that sign and verify datagrams.
     pub fn set_keyring(&mut self, keyring: Keyring) {
         self.keyring = keyring;
     }
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Announces this instance to the seed peers that it does not see alive. While other members are alive it does so less
-    /// often, which still heals a partition that lasted longer than the retention of dead members.
+    /// Announces this instance to the seed peers that are not among the live members. While other members are alive, the
+    /// announcements are less frequent. They still heal a partition that lasted longer than the retention of dead members.
     fn join(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let alone = self.swim.num_members() == 0;
         let periods = if alone { 1 } else { JOIN_PERIODS_WITH_MEMBERS };
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Handles a received datagram. Drops and counts it if it is not authentic or cannot be decoded.
+    /// Handles a received datagram. A datagram that is not authentic or cannot be decoded is dropped and counted.
     pub fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8], out: &mut Vec<Output>) {
         if self.left {
             return;
@@ -186,7 +186,7 @@
     fn handle_swim_payload(&mut self, now: MonotonicTime, payload: &[u8], out: &mut Vec<Output>) {
         if self.swim.iter_membership_state().len() >= self.config.max_members {
             self.counts.over_capacity += 1;
-            // foca adds each new sender to its members. At the limit, accept known senders only.
+            // foca adds each new sender to its members. At the limit, accept datagrams of known senders only.
             if !self.is_from_known_member(payload) {
                 return;
             }
@@ -235,13 +235,13 @@
             .filter(|member| fingerprints.contains(&MemberFingerprint::of(member)))
             .map(|member| foca::Member::down(member.clone()))
             .collect();
-        // Bulk failure dissemination spreads these failures. Gossip need not carry an update about each.
-        let sends_updates = false;
-        self.call_swim(now, out, |swim, effects| swim.apply_many(failed.into_iter(), sends_updates, effects));
+        // Bulk failure dissemination spreads these failures, so they need not be piggybacked on gossip as well.
+        let disseminate = false;
+        self.call_swim(now, out, |swim, effects| swim.apply_many(failed.into_iter(), disseminate, effects));
     }
 
-    /// Broadcasts a new version of a topic. Ignores a version that is not newer than the known one, and a broadcast larger
-    /// than half a datagram.
+    /// Broadcasts a new version on a topic. A version that is not newer than the known one is ignored, and so is a broadcast
+    /// that takes half a datagram or more.
     pub fn broadcast(
         &mut self,
         now: MonotonicTime,
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Removes the topics for which `keep` returns false.
+    /// Forgets the versions of the topics for which `keep` returns false, which makes room for new topics.
     pub fn retain_topics(&mut self, keep: impl Fn(&str) -> bool) {
         self.topics.lock().retain(keep);
     }
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Calls the state machine and applies its effects.
+    /// Calls the SWIM state machine and applies the effects.
     fn call_swim(
         &mut self,
         now: MonotonicTime,
@@ -281,14 +281,14 @@
         call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
     ) {
         let mut effects = SwimEffects::default();
-        // The error concerns this datagram alone. foca has applied its contents up to the error.
+        // An error concerns this call alone. foca has applied the contents of a datagram up to the error.
         if call(&mut self.swim, &mut effects).is_err() {
             self.counts.malformed += 1;
         }
         self.apply_effects(now, effects, out);
     }
 
-    /// Applies the effects of a call, and passes on the broadcasts received in it.
+    /// Applies the effects of a call: schedules timers, sends payloads, records failures and outputs received broadcasts.
     fn apply_effects(&mut self, now: MonotonicTime, effects: SwimEffects, out: &mut Vec<Output>) {
         for request in effects.timers {
             let delay = self.bulk_failure.timer_delay(now, request.delay, &request.timer);
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -7,42 +7,43 @@
 pub enum Output {
     /// Send a datagram.
     SendDatagram {
-        /// The receiver.
+        /// The gossip address of the receiving member.
         to: SocketAddr,
-        /// The authenticated datagram.
+        /// The payload with its authentication code, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) long.
         bytes: Vec<u8>,
     },
-    /// The set of live members has changed.
+    /// Another member joined, failed, left or changed its identity.
     MembersChanged,
-    /// A broadcast of another member was received, newer than the known version of its topic.
+    /// A broadcast of another member was received. Its version is newer than the known version of its topic.
     Broadcast {
-        /// The topic.
+        /// The name of the topic, chosen by the member that made the broadcast.
         topic: String,
-        /// The version.
+        /// The version, which orders the broadcasts on a topic.
         version: u64,
-        /// The content.
+        /// The content as passed to [`Membership::broadcast`](crate::Membership::broadcast).
         body: Vec<u8>,
     },
     /// Other members had declared this instance dead, and it has rejoined with a new generation.
     Rejoined {
-        /// The new generation.
+        /// The generation in this instance's new identity.
         generation: u64,
     },
 }
 
-/// Counters since the start.
+/// Counters since the creation of a [`Membership`](crate::Membership).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent.
+    /// Datagrams passed to the driver for sending, whether or not the network delivers them.
     pub datagrams_sent: u64,
-    /// Bytes sent in datagrams.
+    /// The total size of these datagrams, authentication codes included and UDP headers excluded.
     pub bytes_sent: u64,
-    /// Datagrams accepted.
+    /// Authentic datagrams that were processed. Includes SWIM messages that then turned out to be malformed.
     pub datagrams_accepted: u64,
-    /// Datagrams dropped because their authentication code was invalid.
+    /// Datagrams dropped because they were too large, in an unknown format or not signed with a key of the cluster.
     pub authentication_failures: u64,
-    /// Authentic datagrams that could not be decoded or applied.
+    /// Authentic datagrams that could not be decoded, and other calls that the SWIM state machine rejected.
     pub malformed: u64,
-    /// Members and topics dropped because a bound was reached.
+    /// SWIM messages received at the limit of members, those from known members included, and broadcasts dropped at the
+    /// limit of topics.
     pub over_capacity: u64,
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -14,7 +14,7 @@
 /// The SWIM state machine.
 pub(crate) type Swim = Foca<Member, PostcardCodec, StdRng, SharedTopics>;
 
-/// A payload to authenticate and send.
+/// A SWIM payload that is yet to be signed and sent.
 pub(crate) struct OutgoingPayload {
     pub(crate) to: SocketAddr,
     pub(crate) payload: Vec<u8>,
@@ -27,15 +27,15 @@
     pub(crate) timer: Timer<Member>,
 }
 
-/// The effects of one call of the state machine.
+/// The effects of one call to the state machine.
 #[derive(Default)]
 pub(crate) struct SwimEffects {
     pub(crate) payloads: Vec<OutgoingPayload>,
     pub(crate) timers: Vec<TimerRequest>,
     pub(crate) members_changed: bool,
-    /// Members declared dead.
+    /// Members that were declared dead during the call.
     pub(crate) failed: Vec<MemberFingerprint>,
-    /// The generation with which this instance has rejoined.
+    /// The new generation of this instance, if other members had declared it dead and it has rejoined.
     pub(crate) rejoined: Option<u64>,
 }
 
@@ -69,25 +69,25 @@
 }
 
 impl TimerQueue {
-    /// Schedules a timer for this moment.
+    /// Schedules a timer that fires at `due`.
     pub(crate) fn schedule(&mut self, due: MonotonicTime, timer: Timer<Member>) {
         self.last_sequence += 1;
         self.pending.push(PendingTimer { due, sequence: self.last_sequence, timer });
     }
 
-    /// Returns the moment at which the next timer is due.
+    /// Returns the moment at which the next timer is due, or `None` if no timer is pending.
     pub(crate) fn next_due(&self) -> Option<MonotonicTime> {
         self.pending.peek().map(|pending| pending.due)
     }
 
-    /// Removes the next timer that is due.
+    /// Removes and returns the next timer if it is due at `now`.
     pub(crate) fn pop_due(&mut self, now: MonotonicTime) -> Option<Timer<Member>> {
         let is_due = self.next_due().is_some_and(|due| due <= now);
         if is_due { self.pending.pop().map(|pending| pending.timer) } else { None }
     }
 }
 
-/// A pending timer. The greatest is due first, because `BinaryHeap` is a max-heap.
+/// A pending timer. `BinaryHeap` is a max-heap, so the order is reversed: the timer due first is the greatest.
 struct PendingTimer {
     due: MonotonicTime,
     sequence: u64,
--- a/crates/membership/src/topics.rs
+++ b/crates/membership/src/topics.rs
@@ -1,4 +1,4 @@
-//! Broadcast topics: the known version of each, and received broadcasts that await the driver.
+//! Broadcast topics: the known version of each topic, and received broadcasts that the driver has not taken yet.
 
 use crate::Member;
 use foca::{BroadcastHandler, Invalidates};
@@ -40,7 +40,8 @@
         self.over_capacity
     }
 
-    /// Records a version if it is newer than the known one and there is capacity for its topic. Returns whether it did.
+    /// Records a version if it is newer than the known one and there is capacity for its topic. Returns whether the version
+    /// was recorded.
     fn record(&mut self, topic: &str, version: u64) -> bool {
         let full = self.versions.len() >= self.max_topics;
         match self.versions.get_mut(topic) {
@@ -61,7 +62,7 @@
     }
 }
 
-/// The topics, shared by [`Membership`](crate::Membership) and the SWIM state machine, which owns its broadcast handler.
+/// The topics, shared by [`Membership`](crate::Membership) and by the broadcast handler that the SWIM state machine owns.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedTopics(Arc<Mutex<Topics>>);
 
@@ -104,7 +105,7 @@
             return Ok(None);
         }
         let key = BroadcastKey { topic: broadcast.topic.clone(), version: broadcast.version };
-        // A broadcast without a sender is this instance's own. The driver does not need it back.
+        // A broadcast without a sender was made by this instance itself, so the driver knows it already.
         if from.is_some() {
             topics.received.push(broadcast);
         }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! A few members in simulated time. The crate `cluster_simulation` tests larger clusters.
+//! Tests of a few members in simulated time. The crate `cluster_simulation` tests larger clusters.
 
 mod support;
 
@@ -10,7 +10,7 @@
 /// The time between two ticks.
 const TICK: Duration = Duration::from_millis(10);
 
-/// A member with a key of 32 equal bytes.
+/// Creates a member whose key consists of 32 equal bytes.
 fn start_member(config: Config, key_byte: &str) -> Membership {
     Membership::new(config, keyring(&key_byte.repeat(32)))
 }
@@ -25,13 +25,13 @@
 
 const ALWAYS: Delivers = &|_, _| true;
 
-/// Members 0 to 2 do not reach the others.
+/// No datagram passes between members 0 to 2 and the other members.
 const PARTITIONED: Delivers = &|from, to| (from < 3) == (to < 3);
 
-/// Members that exchange datagrams without delay.
+/// Members that exchange datagrams without delay, and the broadcasts that they received.
 struct Network {
     now: MonotonicTime,
-    /// `None` for a dead member.
+    /// The members by number. `None` for a dead member.
     members: Vec<Option<Membership>>,
     broadcasts: Vec<ReceivedBroadcast>,
 }
@@ -42,7 +42,7 @@
         Self { now: MonotonicTime::ZERO, members, broadcasts: Vec::new() }
     }
 
-    /// A network whose members all know each other.
+    /// Returns a network whose members all know each other.
     fn converged(count: usize) -> Self {
         let mut network = Self::new(count);
         network.advance(Duration::from_secs(2), ALWAYS);
@@ -61,7 +61,7 @@
         self.deliver(from, out, ALWAYS);
     }
 
-    /// Applies a member's outputs, and those that follow from them.
+    /// Applies a member's outputs, and the outputs that follow from delivered datagrams.
     fn deliver(&mut self, from: usize, out: Vec<Output>, delivers: Delivers) {
         let mut pending: Vec<(usize, Output)> = out.into_iter().map(|output| (from, output)).collect();
         while let Some((from, output)) = pending.pop() {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The number of members that this one sees alive.
+    /// Returns the number of members that this member considers alive. It is 0 for a dead member.
     fn alive_at(&self, number: usize) -> usize {
         self.members[number].as_ref().map_or(0, |member| member.alive_names().len())
     }
@@ -111,13 +111,13 @@
 }
 
 #[test]
-fn members_find_each_other_and_notice_who_dies_leaves_or_returns() {
+fn members_detect_each_others_joins_failures_leaves_and_restarts() {
     let mut network = Network::converged(6);
     network.assert_all_see(0..6, 6);
     network.members[5] = None;
     network.advance(Duration::from_secs(3), ALWAYS);
     assert_eq!(network.alive_at(0), 5);
-    // A member that leaves is down at once, without suspicion.
+    // A member that leaves is declared dead at once, without suspicion.
     let mut out = Vec::new();
     let now = network.now;
     network.member(4).leave(now, &mut out);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn broadcasts_reach_all_and_an_older_version_never_overtakes() {
+fn broadcasts_reach_all_members_and_older_or_equal_versions_are_ignored() {
     let mut network = Network::converged(5);
     for (version, receivers) in [(7, 4), (3, 0), (7, 0), (8, 4)] {
         network.broadcasts.clear();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn authentic_garbage_is_dropped() {
+fn garbage_with_or_without_a_valid_authentication_code_is_dropped() {
     let mut out = Vec::new();
     let keyring = keyring(&"ab".repeat(32));
     let mut member = start_member(config(0, 1), "ab");
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_member_that_a_third_one_reaches_is_not_declared_dead() {
+fn a_member_reachable_by_indirect_probes_is_not_declared_dead() {
     // Members 0 and 1 are disconnected in both directions, or in one. Members 2 and 3 reach both.
     let both_directions: Delivers = &|from, to| from.max(to) > 1;
     let one_direction: Delivers = &|from, to| (from, to) != (0, 1);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_member_paused_for_a_minute_is_back_in_seconds() {
+fn a_member_paused_for_a_minute_rejoins_within_two_seconds() {
     let mut network = Network::converged(6);
     let paused = network.members[3].take();
     network.advance(Duration::from_secs(60), ALWAYS);
@@ -227,14 +227,15 @@
 }
 
 #[test]
-fn keys_are_rotated_during_a_partition_and_all_agree_when_it_heals() {
+fn a_key_rotation_during_a_partition_rejects_no_datagram_and_the_partition_heals() {
     let mut network = Network::converged(6);
     let set_keys = |network: &mut Network, members: std::ops::Range<usize>, keys: &str| {
         let keyring = keyring(keys);
         network.members[members].iter_mut().flatten().for_each(|member| member.set_keyring(keyring.clone()));
     };
     let (old, new) = ("ab".repeat(32), "cd".repeat(32));
-    // All members accept both keys before any signs with the new one. During the partition one side is a step ahead.
+    // All members accept both keys before any member signs with the new one. During the partition, one side starts to sign
+    // with the new key while the other still signs with the old one.
     set_keys(&mut network, 0..6, &format!("{old}\n{new}"));
     network.advance(Duration::from_secs(4), PARTITIONED);
     set_keys(&mut network, 0..3, &format!("{new}\n{old}"));
@@ -252,12 +253,12 @@
 }
 
 #[test]
-fn two_members_with_one_name_count_twice_and_are_reported() {
+fn two_members_that_share_a_name_are_counted_separately_and_their_name_is_reported() {
     let mut network = Network::new(4);
     assert!(network.member(0).duplicate_names().is_empty());
     let local_member = Member { name: "m1".into(), ..config(3, 1).local_member };
-    let twin = Config { local_member, ..config(3, 1) };
-    network.members[3] = Some(start_member(twin, "ab"));
+    let duplicate = Config { local_member, ..config(3, 1) };
+    network.members[3] = Some(start_member(duplicate, "ab"));
     network.advance(Duration::from_secs(2), ALWAYS);
     for member in network.members.iter().flatten() {
         assert_eq!((member.alive_count(), member.duplicate_names()), (4, vec!["m1".to_owned()]));
@@ -267,15 +268,15 @@
     assert!(network.members.iter().flatten().all(|m| m.duplicate_names().is_empty()));
 }
 
-/// Guards bulk failure dissemination: with gossip updates alone, 80 failures of 160 members were not known to all after
-/// 40 s.
+/// Guards bulk failure dissemination. With piggybacked updates alone, some of the live members still did not know of all
+/// 80 failures among 160 members after 40 s.
 #[test]
 fn all_members_learn_within_three_seconds_that_half_of_160_have_failed() {
     let mut network = Network::new(0);
     let larger = |i| Config { max_members: 256, ..config(i, 1) };
     network.members = (0..160).map(|i| Some(start_member(larger(i), "ab"))).collect();
     let random = std::cell::Cell::new(0u64);
-    // One datagram in ten is lost, by a linear congruential generator.
+    // A linear congruential generator drops one datagram in ten.
     let lossy: Delivers = &|_, _| {
         let next =
             random.get().wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Members with short periods, for simulated time.
+//! Configurations of members with short periods, for tests in simulated time.
 
 use membership::authentication::Keyring;
 use membership::{Config, Member};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The port of member 0. The others follow it.
+/// The port of member 0. Member `n` has the port `FIRST_PORT + n`.
 const FIRST_PORT: u16 = 7_000;
 
 /// Parses a key file.
@@ -13,17 +13,17 @@
     Keyring::parse(text).expect("keys")
 }
 
-/// The gossip address of a member.
+/// Returns the gossip address of the member with this number.
 pub fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
 }
 
-/// The member at an address.
+/// Returns the number of the member with this gossip address.
 pub fn member_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
 
-/// The configuration of a member that joins through members 0 and 1.
+/// Returns the configuration of a member that joins through members 0 and 1.
 pub fn config(member: usize, generation: u64) -> Config {
     Config {
         local_member: Member { address: address(member), name: format!("m{member}"), generation },
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,8 +1,9 @@
-//! Wire compatibility with an earlier build: this build accepts its datagrams and writes the same bytes.
+//! Tests of wire compatibility: this build accepts the datagrams of an earlier build and writes the same bytes.
 //!
-//! `fixtures/datagrams.txt` holds the first datagram of each kind that the scenario below sends. `fixtures/course.txt` holds
-//! the number, the size and the hash of all of them. The scenario depends on the versions of `foca` and `rand` in
-//! `Cargo.lock`. If an update of these changes it, the datagrams of the earlier build must still be accepted.
+//! `fixtures/datagrams.txt` holds the first datagram of each kind that the earlier build sent in [`run_scenario`].
+//! `fixtures/course.txt` holds the number, the total size and the hash of all datagrams of the scenario. The scenario depends
+//! on the versions of `foca` and `rand` in `Cargo.lock`. An update of these may change the scenario, but the datagrams of the
+//! earlier build must still be accepted.
 
 mod support;
 
@@ -19,8 +20,8 @@
 const MEMBERS: usize = 8;
 /// The time between two ticks.
 const TICK: Duration = Duration::from_millis(10);
-/// The first byte of the payloads of bulk failure dissemination. Those of SWIM begin with 0 or 1.
-const BULK_FAILURE: u8 = 0xFF;
+/// The first byte of the payloads of bulk failure dissemination. SWIM payloads start with 0 or 1.
+const BULK_FAILURE_MARKER: u8 = 0xFF;
 const FIRST_GENERATION: u64 = 1_800_000_000_000;
 
 fn keyring() -> Keyring {
@@ -31,14 +32,14 @@
     Membership::new(support::config(number, FIRST_GENERATION + number as u64), keyring())
 }
 
-/// Eight members that exchange datagrams without delay and in order. Records all datagrams.
+/// Eight members that exchange datagrams without delay and in order, and a record of all datagrams sent.
 struct Network {
     now: MonotonicTime,
     members: Vec<Option<Membership>>,
     sent: Vec<Vec<u8>>,
-    /// Members that receive no datagrams.
+    /// The numbers of the members that neither tick nor receive datagrams.
     paused: Vec<usize>,
-    /// Datagrams between members 0 and 1 are lost.
+    /// Whether datagrams between members 0 and 1 are lost.
     partitioned: bool,
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// The datagrams of a scenario in which each kind of message is sent.
+/// Runs a scenario in which each kind of message is sent, and returns all datagrams in the order of sending.
 fn run_scenario() -> Vec<Vec<u8>> {
     let mut network = Network::new();
     network.advance(Duration::from_secs(1));
@@ -101,7 +102,7 @@
 }
 
 fn kind(payload: &[u8]) -> String {
-    if payload[0] == BULK_FAILURE {
+    if payload[0] == BULK_FAILURE_MARKER {
         return if payload[1] == 0 { "bulk-failure-digest" } else { "bulk-failure-list" }.into();
     }
     let header: Header<Member> = PostcardCodec.decode_header(payload).expect("a header");
@@ -132,7 +133,7 @@
         .collect()
 }
 
-/// The datagrams of the earlier build by kind.
+/// Returns the datagrams of the earlier build by kind.
 fn fixtures() -> BTreeMap<String, Vec<u8>> {
     let parse_line = |line: &str| {
         let (kind, hex) = line.split_once(' ').expect("a kind and its bytes");
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn each_datagram_of_the_earlier_build_is_authentic_and_authenticated_alike() {
+fn each_datagram_of_the_earlier_build_is_authentic_and_signing_its_payload_gives_the_same_bytes() {
     let fixtures = fixtures();
     assert_eq!(fixtures.len(), 13, "one of each kind");
     for (kind, datagram) in fixtures {
@@ -168,10 +169,10 @@
 }
 
 #[test]
-fn each_gossip_header_of_the_earlier_build_is_decoded_and_encoded_alike() {
+fn each_swim_header_of_the_earlier_build_decodes_and_encodes_to_the_same_bytes() {
     for (name, datagram) in fixtures() {
         let payload = &datagram[OVERHEAD_BYTES..];
-        if payload[0] == BULK_FAILURE {
+        if payload[0] == BULK_FAILURE_MARKER {
             continue;
         }
         assert_eq!(kind(payload), name);
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn each_datagram_of_the_earlier_build_is_accepted_and_a_damaged_one_is_not() {
+fn each_datagram_of_the_earlier_build_is_accepted_and_damaged_ones_are_rejected() {
     for (kind, datagram) in fixtures() {
         let mut receiver = member(0);
         let mut out = Vec::new();
