--- a/crates/health_check/src/report.rs
+++ b/crates/health_check/src/report.rs
@@ -1,29 +1,29 @@
-//! The report of a health check.
+//! The report of a health check, which instances exchange.
 
 use crate::Config;
 use serde::{Deserialize, Serialize};
 use timestamps::UnixTime;
 
-/// The state of a backend after a check. Gossip carries it encoded with postcard: the order of the fields and their encodings
-/// are the wire format.
+/// The state of a backend after a check. Gossip carries it encoded with postcard: the order of the fields and their
+/// encodings are the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// The scheduled time of the check. It orders the reports of a backend.
+    /// The time for which the check was scheduled. It orders the reports of a backend.
     #[serde(with = "unix_millis")]
     pub scheduled_at: UnixTime,
-    /// Whether the backend is failing.
+    /// Whether the backend counts as failing by the thresholds. The result of this check may differ.
     pub failing: bool,
     /// The number of consecutive results that contradict `failing`.
     pub contrary_results: u32,
-    /// The scheduled time of the check that last changed `failing`.
+    /// The scheduled time of the check that last changed `failing`, or of the first check if `failing` has never changed.
     #[serde(with = "unix_millis")]
     pub changed_at: UnixTime,
 }
 
 impl HealthReport {
-    /// Returns the report after another check.
+    /// Returns the report that follows `before` after another check. `before` is `None` for the first check of a backend.
     pub fn after_check(before: Option<&Self>, scheduled_at: UnixTime, passed: bool, config: &Config) -> Self {
-        // A backend without checks starts as healthy, because its traffic may show that it is.
+        // A backend starts as healthy before its first check, because its traffic may already show that it is.
         let unchecked = Self {
             scheduled_at: UnixTime::ZERO,
             failing: false,
@@ -40,12 +40,12 @@
         Self { scheduled_at, failing: !before.failing, contrary_results: 0, changed_at: scheduled_at }
     }
 
-    /// Returns whether this check has changed `failing`.
+    /// Returns whether this check has changed `failing`. Also true for the first report of a backend.
     pub fn has_changed(&self) -> bool {
         self.changed_at == self.scheduled_at
     }
 
-    /// Encodes the report for other instances.
+    /// Encodes the report as the body of a gossip broadcast.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Encodes a moment as its Unix milliseconds.
+/// Encodes a moment as the number of milliseconds since the Unix epoch.
 mod unix_millis {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use timestamps::UnixTime;
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -5,32 +5,32 @@
 use std::time::Duration;
 use timestamps::{MonotonicTime, UnixTime};
 
-/// The age in check periods beyond which a report is ignored.
+/// The number of check periods after which a received report is stale and ignored.
 pub const STALE_AFTER_PERIODS: u32 = 3;
 
-/// The status of a backend by its health checks.
+/// The status of a backend according to its health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// No recent report exists. The backend is judged by its traffic alone.
+    /// There is no report, or the newest one is stale. The backend is judged by its traffic alone.
     Unknown,
-    /// The backend passes its checks.
+    /// The newest report says that the backend is not failing.
     Healthy,
-    /// The backend fails its checks and gets no new requests.
+    /// The backend is failing and receives no new requests.
     Ejected,
-    /// The backend fails its checks, but the ejection limit is reached. It is judged by its traffic alone.
+    /// The backend is failing, but the ejection limit is reached. It is judged by its traffic alone.
     EjectionLimited,
 }
 
-/// The status of a backend and the age of its report.
+/// The status of a backend and the age of its newest report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendHealth {
-    /// The status.
+    /// The status that follows from the newest report and the ejection limit.
     pub status: HealthStatus,
-    /// The age of the newest report. `None` if there is no report.
+    /// The time since this instance received or made the newest report. `None` if there is no report.
     pub report_age: Option<Duration>,
 }
 
-/// A report and the moment at which this instance received it.
+/// A report and the moment at which this instance received or made it.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     report: HealthReport,
@@ -43,14 +43,14 @@
     }
 }
 
-/// A failing backend, ordered by the time since which it has been failing.
+/// A failing backend. The order is by the time since which it has been failing, then by id.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FailingBackend {
     since: UnixTime,
     id: String,
 }
 
-/// The newest report of each backend.
+/// Keeps the newest report of each backend and determines which backends are ejected.
 ///
 /// `now` is a reading of the driver's monotonic clock.
 #[derive(Debug)]
@@ -65,12 +65,12 @@
         Self { config, reports: BTreeMap::new() }
     }
 
-    /// Returns the configuration.
+    /// Returns the configuration given to [`HealthTracker::new`].
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Replaces the backends. Backends that remain keep their reports.
+    /// Replaces the set of backends. Backends in both the old and the new set keep their reports.
     pub fn set_backends(&mut self, ids: impl IntoIterator<Item = String>) {
         let mut before = std::mem::take(&mut self.reports);
         self.reports = ids.into_iter().map(|id| (id.clone(), before.remove(&id).flatten())).collect();
@@ -93,7 +93,7 @@
         self.apply_report(id, report, now).then_some(report)
     }
 
-    /// Applies a report if it is newer than the one stored. Returns whether it was.
+    /// Stores a report if its backend is known and it is newer than the stored one. Returns whether it was stored.
     pub fn apply_report(&mut self, id: &str, report: HealthReport, now: MonotonicTime) -> bool {
         let Some(newest) = self.reports.get_mut(id) else { return false };
         if newest.is_some_and(|newest| newest.report.scheduled_at >= report.scheduled_at) {
@@ -103,7 +103,7 @@
         true
     }
 
-    /// Returns the health of each backend.
+    /// Returns the health of each backend by id.
     pub fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
         let ejected = self.ejected(now);
         let mut health = BTreeMap::new();
@@ -125,18 +125,18 @@
         }
     }
 
-    /// Returns the ids of the ejected backends: those that have failed longest, up to the limit.
+    /// Returns the ids of the ejected backends: those that have been failing longest, up to the ejection limit.
     pub fn ejected(&self, now: MonotonicTime) -> BTreeSet<String> {
         let longest_failing = self.failing_backends(now).into_iter().take(self.max_ejected());
         longest_failing.map(|backend| backend.id).collect()
     }
 
-    /// Returns the maximum number of ejected backends. It is rounded down: a fraction of 0.5 allows one of three.
+    /// Returns the maximum number of ejected backends. It is rounded down: a fraction of 0.5 allows one of three backends.
     fn max_ejected(&self) -> usize {
         (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize
     }
 
-    /// Returns the failing backends with a recent report, longest failing first.
+    /// Returns the failing backends whose report is not stale, longest failing first.
     fn failing_backends(&self, now: MonotonicTime) -> BTreeSet<FailingBackend> {
         let mut failing = BTreeSet::new();
         for (id, received) in &self.reports {
--- a/crates/health_check/src/tracker/tests.rs
+++ b/crates/health_check/src/tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Thresholds, the order of reports and the ejection limit.
+//! Tests of the thresholds, the order of reports and the ejection limit.
 
 use super::*;
 use proptest::prelude::*;
@@ -48,7 +48,7 @@
     for (i, passed) in results.into_iter().enumerate() {
         let now = at(i as u64 * 1_000);
         let scheduled_at = UnixTime::from_millis(now.as_millis() + 1);
-        // The two instances take turns, and each receives the reports of the other.
+        // The two instances make the checks in turn, and each receives the reports of the other.
         let (checker, receiver) = if i % 2 == 0 { (&mut one, &mut other) } else { (&mut other, &mut one) };
         let report = checker.record_check("d0", scheduled_at, passed, now).expect("a newer check");
         let received = HealthReport::decode(&report.encode()).expect("a report");
@@ -70,20 +70,20 @@
 }
 
 #[test]
-fn at_most_the_fraction_is_ejected_and_the_longest_failing_stay_ejected() {
+fn at_most_the_fraction_is_ejected_and_the_longest_failing_backends_come_first() {
     let mut tracker = tracker(5);
     for i in 0..5 {
         tracker.apply_report(&format!("d{i}"), report(50, true, 40 - i), at(0));
     }
     assert_eq!(ejected(&tracker), ["d3", "d4"]);
     assert_eq!(status(&tracker, "d0", at(0)), HealthStatus::EjectionLimited);
-    // An ejected backend recovers, and the next in order is ejected instead.
+    // An ejected backend recovers, so the backend that has been failing longest among the others is ejected instead.
     tracker.apply_report("d4", report(51, false, 51), at(0));
     assert_eq!(ejected(&tracker), ["d2", "d3"]);
 }
 
 #[test]
-fn the_status_is_unknown_without_a_report_for_three_periods() {
+fn the_status_is_unknown_after_three_periods_without_a_report() {
     let mut tracker = tracker(4);
     tracker.apply_report("d0", report(1, true, 1), at(10_000));
     assert_eq!(status(&tracker, "d0", at(13_000)), HealthStatus::Ejected);
--- a/crates/health_check/tests/wire_format.rs
+++ b/crates/health_check/tests/wire_format.rs
@@ -1,9 +1,9 @@
-//! Wire compatibility with an earlier build: this build reads its reports and writes the same bytes.
+//! Tests of wire compatibility: this build decodes the reports of an earlier build and encodes them to the same bytes.
 
 use health_check::HealthReport;
 use timestamps::UnixTime;
 
-/// One report per line: its fields, and its bytes in hexadecimal digits.
+/// One report per line: its fields, and the bytes that the earlier build encoded, in hexadecimal digits.
 const REPORTS: &str = include_str!("fixtures/reports.txt");
 
 fn reports() -> Vec<HealthReport> {
--- a/crates/membership/src/bulk_failure/tests.rs
+++ b/crates/membership/src/bulk_failure/tests.rs
@@ -19,7 +19,7 @@
 fn many_suspected_or_failed_members_activate_dissemination_and_equal_failures_give_equal_digests() {
     let mut one = new_dissemination();
     assert_eq!(one.poll(at(0), 2, 6), None, "two suspected members are below the minimum");
-    assert_eq!(one.poll(at(100), 61, 1_000), None, "61 of 1,000 suspected members are below one in sixteen");
+    assert_eq!(one.poll(at(100), 61, 1_000), None, "61 of 1,000 may be due to datagram loss");
     assert_eq!(one.poll(at(200), 62, 1_000), Some(0));
     assert_eq!(one.poll(at(250), 500, 1_000), None, "at most one digest per gossip period");
     let mut two = new_dissemination();
