--- a/crates/cluster/src/clocks.rs
+++ b/crates/cluster/src/clocks.rs
@@ -6,7 +6,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use timestamps::{MonotonicTime, UnixTime, whole_millis};
 
-/// The Unix clock, with an offset for tests, and a monotonic clock that counts from the start.
+/// The Unix clock, with an offset for tests, and a monotonic clock that counts from the creation of this value.
 #[derive(Clone, Debug)]
 pub(crate) struct Clocks {
     start: Instant,
@@ -18,7 +18,7 @@
         Self { start: Instant::now(), offset_ms }
     }
 
-    /// Reads both clocks.
+    /// Reads both clocks. The offset applies to the Unix clock only.
     pub(crate) fn now(&self) -> ClockReading {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let offset_ms = self.offset_ms.load(Ordering::Relaxed);
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the cluster state. It handles events and emits datagrams, store calls and runs.
+//! The coordinator: the thread that owns the cluster state. It handles events, sends datagrams, calls the lease store and
+//! starts runs.
 
 mod jobs;
 mod notices;
@@ -22,26 +23,26 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// The maximum time between two ticks, which bounds the delay in detecting stale health reports.
+/// The maximum time between two ticks. It bounds the delay until a stale health report is detected.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// The maximum number of events handled between two ticks, beyond the first.
+/// The maximum number of events handled between two ticks, in addition to the first one.
 const MAX_EVENT_BATCH: usize = 256;
-/// The moment from which datagrams are ignored in a build with the seeded fault `agreed`.
+/// The monotonic time after which a build with the seeded fault `agreed` ignores received datagrams.
 const SEEDED_FAULT_AFTER: MonotonicTime = MonotonicTime::from_millis(6_000);
 
 /// The clocks, the socket, the worker pools and the callback that the coordinator uses.
 pub(crate) struct Resources {
     pub(crate) clocks: Clocks,
-    /// The socket for gossip. `None` without gossip.
+    /// The socket for gossip. `None` if gossip is not configured.
     pub(crate) gossip_socket: Option<Arc<UdpSocket>>,
     pub(crate) store: StoreClient,
     pub(crate) runs: TaskQueue<PendingRun>,
-    /// Datagrams dropped because the event queue was full.
+    /// The number of datagrams dropped because the event queue was full.
     pub(crate) dropped_datagrams: Arc<AtomicU64>,
     pub(crate) on_ejection_change: OnEjectionChange,
 }
 
-/// The outcomes of runs since the start.
+/// The number of runs by outcome since the coordinator was created.
 #[derive(Debug, Default)]
 struct RunCounts {
     succeeded: u64,
@@ -60,7 +61,7 @@
     }
 }
 
-/// The state of the cluster on this instance.
+/// The state of the cluster on this instance, and the resources to act on it.
 pub(crate) struct Coordinator {
     instance: String,
     clocks: Clocks,
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Updates gossip, if there is any. Passes received health reports and changed members on to the parts that use them.
+    /// Updates gossip, if it is configured. Passes received health reports to the health monitor and changed members to the
+    /// scheduler.
     fn update_gossip(&mut self, now: ClockReading, update: impl FnOnce(&mut GossipNode) -> GossipChanges) {
         let Some(gossip) = &mut self.gossip else { return };
         let changes = update(gossip);
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Leaves the cluster and ends the session, then notifies `done`.
+    /// Leaves the cluster and ends the lease store session, then notifies `done`. Later calls only drop `done`.
     fn leave(&mut self, now: ClockReading, done: SyncSender<()>) {
         if std::mem::replace(&mut self.left, true) {
             return;
@@ -209,7 +211,7 @@
     }
 }
 
-/// Returns whether the seeded fault `agreed` suppresses received datagrams at this moment.
+/// Returns whether the seeded fault `agreed` is active and received datagrams are ignored at `now`.
 fn ignores_datagrams(now: ClockReading) -> bool {
     seeded_faults::is_active("agreed") && now.monotonic > SEEDED_FAULT_AFTER
 }
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: the scheduler's actions and the results of runs.
+//! The part of the coordinator for jobs: applies the scheduler's actions and records the outcomes of runs.
 
 use super::Coordinator;
 use crate::log_limiter::{LogKind, LogPermit};
@@ -11,12 +11,12 @@
 
 /// The time between the deadline of a run and the end of its period.
 const START_MARGIN: Duration = Duration::from_millis(10);
-/// The time between two calls while the lease store is unavailable.
+/// The time between two calls to the lease store while it is unavailable.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The time between two renewals of the session.
+/// The time between two renewals of the lease store session.
 const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Returns the configuration of the scheduler of an instance that starts at this moment.
+/// Returns the scheduler's configuration for an instance that starts at `started_at`.
 pub(super) fn scheduler_config(settings: &Settings, started_at: UnixTime) -> Config {
     Config {
         instance: settings.instance.clone(),
@@ -25,7 +25,7 @@
         start_margin: START_MARGIN,
         store_retry_interval: STORE_RETRY_INTERVAL,
         session_renewal_interval: SESSION_RENEWAL_INTERVAL,
-        // The random part distinguishes two starts in the same millisecond.
+        // The random number distinguishes two starts in the same millisecond.
         incarnation: started_at.as_millis() ^ rand::random::<u64>(),
     }
 }
@@ -36,7 +36,7 @@
         self.update_jobs(self.clocks.now());
     }
 
-    /// Passes the jobs to the scheduler, and removes the leases of other jobs from memory.
+    /// Passes the current jobs to the scheduler, and removes the leases of other jobs from the store in memory.
     pub(super) fn update_jobs(&mut self, now: ClockReading) {
         let jobs = self.jobs.jobs();
         let names: BTreeSet<&str> = jobs.iter().map(|job| job.name.as_str()).collect();
@@ -44,7 +44,7 @@
         self.scheduler.set_jobs(now, jobs);
     }
 
-    /// Applies the scheduler's actions, and those that follow from them at once.
+    /// Applies the scheduler's actions, and the further actions that follow from immediate responses of the store.
     pub(super) fn apply_actions(&mut self, now: ClockReading, actions: Vec<Action>) {
         let mut pending: VecDeque<Action> = actions.into();
         while let Some(action) = pending.pop_front() {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Calls the store. Returns the actions that follow from a response that is available at once.
+    /// Calls the store. Returns the actions that follow if the response is available at once.
     fn call_store(&mut self, now: ClockReading, call: StoreCall) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(response) = self.store.call(call) {
--- a/crates/cluster/src/coordinator/notices.rs
+++ b/crates/cluster/src/coordinator/notices.rs
@@ -1,4 +1,4 @@
-//! Log events of the scheduler's notices.
+//! The part of the coordinator that logs the scheduler's notices.
 
 use super::Coordinator;
 use crate::log_limiter::{LogKind, LogPermit};
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -9,15 +9,15 @@
     /// The gossip address cannot be bound.
     #[error("gossip on {address}: {source}")]
     BindGossip {
-        /// The address.
+        /// The address from [`Gossip::listen`](crate::Gossip::listen).
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
     },
     /// A thread cannot be started.
-    #[error("thread {name}: {source}")]
+    #[error("cannot start thread {name}: {source}")]
     SpawnThread {
-        /// The name of the thread.
+        /// The name that the thread would have had.
         name: &'static str,
         /// The error of the operating system.
         source: io::Error,
--- a/crates/cluster/src/error/tests.rs
+++ b/crates/cluster/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The error texts.
+//! Tests of the error texts.
 
 use super::*;
 use std::error::Error;
@@ -9,7 +9,10 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 7946));
     let errors = [
         (ClusterError::BindGossip { address, source: source() }, "gossip on 127.0.0.1:7946: in use"),
-        (ClusterError::SpawnThread { name: "cluster", source: source() }, "thread cluster: in use"),
+        (
+            ClusterError::SpawnThread { name: "cluster", source: source() },
+            "cannot start thread cluster: in use",
+        ),
     ];
     for (error, text) in errors {
         assert_eq!(error.to_string(), text);
--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{SyncSender, TrySendError};
 
-/// An event for the coordinator.
+/// An input of the coordinator. It arrives through the bounded event queue.
 #[derive(Debug)]
 pub(crate) enum Event {
     DatagramReceived(Vec<u8>),
@@ -17,16 +17,16 @@
     KeyringChanged(Keyring),
     BackendsChanged(Vec<Backend>),
     StatusRequested(SyncSender<String>),
-    /// The sender is notified after the session has ended.
+    /// A request to leave the cluster. The sender is notified once the lease store session has ended.
     LeaveRequested(SyncSender<()>),
 }
 
 /// The result of [`offer_datagram`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OfferResult {
-    /// The datagram was queued. If the queue was full, it was dropped and counted, which gossip tolerates.
+    /// The datagram was queued, or it was dropped and counted because the queue was full. Gossip tolerates such losses.
     Handled,
-    /// The coordinator has ended.
+    /// The coordinator has ended, so no further datagrams will be handled.
     Disconnected,
 }
 
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -1,4 +1,4 @@
-//! Gossip over UDP: the members of the cluster and the dissemination of health reports.
+//! Gossip over UDP: tracks the members of the cluster and disseminates health reports.
 
 use crate::job_names;
 use crate::log_limiter::{LogKind, LogLimiter, LogPermit};
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use timestamps::{MonotonicTime, UnixTime};
 
-/// The maximum number of members.
+/// The maximum number of known members.
 const MAX_MEMBERS: usize = 1_024;
 /// The maximum number of broadcast topics, one per backend.
 const MAX_TOPICS: usize = 16_384;
-/// Gossip periods between two probes.
+/// The time between two probes, in gossip periods.
 const PROBE_GOSSIP_PERIODS: u32 = 4;
-/// Gossip periods between two join attempts.
+/// The time between two join attempts, in gossip periods.
 const JOIN_GOSSIP_PERIODS: u32 = 10;
 
 /// A health report received from another member.
@@ -26,25 +26,27 @@
     pub(crate) report: HealthReport,
 }
 
-/// The changes that follow from a gossip event.
+/// The changes that follow from a datagram, a tick or a call of [`GossipNode`].
 #[derive(Debug, Default)]
 pub(crate) struct GossipChanges {
     pub(crate) reports: Vec<ReceivedReport>,
-    /// The names of the live members if they have changed.
+    /// The names of the live members, including this instance. `None` if the live members have not changed.
     pub(crate) alive_names: Option<Vec<String>>,
 }
 
-/// This instance's membership and its socket.
+/// This instance's view of the cluster members, and the socket for gossip.
 pub(crate) struct GossipNode {
     membership: Membership,
     socket: Arc<UdpSocket>,
     log_limiter: LogLimiter,
+    /// The number of authentication failures that [`GossipNode::log_authentication_failures`] last saw.
     authentication_failures: u64,
+    /// The names that several live members shared when the members last changed.
     duplicate_names: Vec<String>,
 }
 
 impl GossipNode {
-    /// Creates the node of an instance that starts at this moment.
+    /// Creates the node of an instance that starts at `started_at`, which becomes the generation of its identity.
     pub(crate) fn new(gossip: &Gossip, instance: &str, started_at: UnixTime, socket: Arc<UdpSocket>) -> Self {
         let config = membership_config(gossip, instance, started_at);
         Self {
@@ -61,7 +63,7 @@
         self.membership.next_tick()
     }
 
-    /// Returns the counters of gossip.
+    /// Returns the counters of sent, received and dropped gossip.
     pub(crate) fn counts(&self) -> Counts {
         self.membership.counts()
     }
@@ -81,7 +83,7 @@
         self.membership.retain_topics(|topic| job_names::checked_backend(topic).is_some_and(&keep));
     }
 
-    /// Runs the timers that are due.
+    /// Runs the membership timers that are due.
     pub(crate) fn tick(&mut self, now: MonotonicTime) -> GossipChanges {
         self.update_membership(now, |membership, outputs| membership.tick(now, outputs))
     }
@@ -95,7 +97,7 @@
         changes
     }
 
-    /// Disseminates a report of the health check with this job name.
+    /// Broadcasts a report of the health check with this job name. The scheduled time of the check is the version.
     pub(crate) fn broadcast_report(
         &mut self,
         now: MonotonicTime,
@@ -170,7 +172,7 @@
         let duplicate_names = self.membership.duplicate_names();
         if duplicate_names != self.duplicate_names && !duplicate_names.is_empty() {
             let names = duplicate_names.join(" ");
-            tracing::warn!(names, "several members have one name");
+            tracing::warn!(names, "several live members share one name");
         }
         self.duplicate_names = duplicate_names;
     }
@@ -193,7 +195,7 @@
     }
 }
 
-/// Decodes a broadcast. Returns `None` for topics other than health checks, and for malformed reports.
+/// Decodes a broadcast. Returns `None` if the topic is not that of a health check or the report is malformed.
 fn decode_report(topic: &str, body: &[u8]) -> Option<ReceivedReport> {
     let backend_id = job_names::checked_backend(topic)?.to_owned();
     Some(ReceivedReport { backend_id, report: HealthReport::decode(body)? })
--- a/crates/cluster/src/handle.rs
+++ b/crates/cluster/src/handle.rs
@@ -1,4 +1,4 @@
-//! The program's handle to the cluster.
+//! The handle through which the program starts and controls the cluster.
 
 use crate::clocks::Clocks;
 use crate::coordinator::{Coordinator, Resources};
@@ -17,14 +17,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// The capacity of the coordinator's event queue.
+/// The maximum number of events in the coordinator's queue.
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
 /// The name of the coordinator's thread.
 const COORDINATOR_THREAD: &str = "cluster";
-/// The timeout of [`Cluster::leave`].
+/// The maximum time for which [`Cluster::leave`] waits until the lease store session has ended.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A handle to the coordinator thread.
+/// A handle to the coordinator thread. Dropping the handle does not stop the thread.
 #[derive(Debug)]
 pub struct Cluster {
     events: SyncSender<Event>,
@@ -32,7 +32,7 @@
 }
 
 impl Cluster {
-    /// Joins the cluster and starts the threads.
+    /// Starts the threads, which join the cluster. `on_ejection_change` is called on the coordinator's thread.
     ///
     /// # Errors
     ///
@@ -62,35 +62,36 @@
         Ok(Arc::new(Self { events, clock_offset_ms }))
     }
 
-    /// Replaces the HTTP jobs.
+    /// Replaces the HTTP jobs. Blocks while the event queue is full.
     pub fn set_http_jobs(&self, jobs: Vec<HttpJob>) {
         self.send(Event::HttpJobsChanged(jobs));
     }
 
-    /// Replaces the keys that authenticate gossip.
+    /// Replaces the keys that authenticate gossip. Blocks while the event queue is full.
     pub fn set_keyring(&self, keyring: Keyring) {
         self.send(Event::KeyringChanged(keyring));
     }
 
-    /// Sets the offset of the Unix clock, to test the effect of clock steps.
+    /// Sets the number of milliseconds added to the Unix clock, to test the effect of clock steps.
     pub fn set_clock_offset_ms(&self, offset_ms: i64) {
         self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 
-    /// Replaces the backends to check.
+    /// Replaces the backends to check. Blocks while the event queue is full.
     pub fn set_backends(&self, backends: Vec<Backend>) {
         self.send(Event::BackendsChanged(backends));
     }
 
-    /// Requests the status text, which arrives through the returned channel. A coroutine must poll the channel and not block
-    /// on it, because no text arrives if the coordinator is stuck.
+    /// Requests the status text, which arrives through the returned channel. No text arrives if the coordinator is stuck or
+    /// its event queue is full. A coroutine must therefore poll the channel instead of blocking on it.
     pub fn request_status(&self) -> Receiver<String> {
         let (sender, status) = sync_channel(1);
         let _ = self.events.try_send(Event::StatusRequested(sender));
         status
     }
 
-    /// Leaves the cluster and ends the session, so that the other members take over at once.
+    /// Leaves the cluster and ends the lease store session, so that the other members take over the jobs at once. Waits for
+    /// the end of the session, but at most one second.
     pub fn leave(&self) {
         let (sender, done) = sync_channel(1);
         if self.events.try_send(Event::LeaveRequested(sender)).is_ok() {
@@ -99,26 +100,26 @@
     }
 
     fn send(&self, event: Event) {
-        // This blocks while the queue is full. Datagrams never block; see `offer_datagram`.
+        // This blocks while the queue is full. The gossip receiver drops datagrams instead; see `offer_datagram`.
         let _ = self.events.send(event);
     }
 }
 
-/// Starts the client of the lease store. Its responses become events.
+/// Starts the client of the lease store. Responses of the store become events for the coordinator.
 fn start_store(settings: &Settings, events: SyncSender<Event>) -> StoreClient {
     StoreClient::start(&settings.lease_store, &settings.instance, move |response| {
         let _ = events.send(Event::StoreResponded(response));
     })
 }
 
-/// Starts the threads that execute runs. Their outcomes become events.
+/// Starts the threads that execute runs. Outcomes of runs become events for the coordinator.
 fn start_runs(settings: &Settings, clocks: Clocks, events: SyncSender<Event>) -> TaskQueue<PendingRun> {
     run_executor::start(&settings.instance, settings.max_concurrent_runs, clocks, move |finished| {
         let _ = events.send(Event::RunFinished(finished));
     })
 }
 
-/// Binds the gossip socket. Returns `None` without gossip.
+/// Binds the gossip socket. Returns `None` if the settings have no gossip.
 fn bind_gossip(settings: &Settings) -> Result<Option<Arc<UdpSocket>>, ClusterError> {
     let Some(gossip) = &settings.gossip else { return Ok(None) };
     match UdpSocket::bind(gossip.listen) {
--- a/crates/cluster/src/health_monitor.rs
+++ b/crates/cluster/src/health_monitor.rs
@@ -1,4 +1,4 @@
-//! The health of the backends and the notification of ejections.
+//! Tracks the health of the backends and notifies the program of ejections.
 
 use crate::run_executor::{FinishedRun, RunOutcome};
 use health_check::{BackendHealth, HealthReport, HealthStatus, HealthTracker};
@@ -21,12 +21,12 @@
         Self { tracker: HealthTracker::new(config), ejected: BTreeSet::new(), on_ejection_change }
     }
 
-    /// Replaces the backends. Backends that remain keep their reports.
+    /// Replaces the set of backends. Backends in both the old and the new set keep their reports.
     pub(crate) fn set_backends(&mut self, ids: impl IntoIterator<Item = String>) {
         self.tracker.set_backends(ids);
     }
 
-    /// Returns the health of each backend.
+    /// Returns the health of each backend by id.
     pub(crate) fn health(&self, now: MonotonicTime) -> BTreeMap<&str, BackendHealth> {
         self.tracker.health(now)
     }
--- a/crates/cluster/src/health_monitor/tests.rs
+++ b/crates/cluster/src/health_monitor/tests.rs
@@ -1,4 +1,4 @@
-//! The results of checks and the notification of ejections.
+//! Tests of the reports on finished checks and of the notification of ejections.
 
 use super::*;
 use crate::run_executor::RunTask;
@@ -10,7 +10,8 @@
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
 
-/// A monitor of two backends that ejects one after a failed check, and the sets that it notifies.
+/// Returns a monitor of two backends that ejects at most one, after a single failed check, and the channel that receives each
+/// changed set of ejected backends.
 fn monitor() -> (HealthMonitor, Receiver<BTreeSet<String>>) {
     let config = health_check::Config {
         period: Duration::from_millis(100),
--- a/crates/cluster/src/job_names.rs
+++ b/crates/cluster/src/job_names.rs
@@ -1,17 +1,17 @@
 //! The names of jobs in the lease store and of the broadcast topics of health reports. They must not change, because
 //! instances of all versions share them.
 
-/// The prefix of HTTP jobs.
+/// The prefix of the names of HTTP jobs.
 const HTTP_JOB_PREFIX: &str = "call/";
-/// The prefix of health checks, whose job names are also the topics of their reports.
+/// The prefix of the names of health checks, which are also the topics of their reports.
 const HEALTH_CHECK_PREFIX: &str = "probe/";
 
-/// Returns the job name of an HTTP job with this name in the settings.
+/// Returns the job name of the HTTP job that has this name in the settings.
 pub(crate) fn http_job(name: &str) -> String {
     format!("{HTTP_JOB_PREFIX}{name}")
 }
 
-/// Returns the name of an HTTP job in the settings.
+/// Returns the name that an HTTP job has in the settings.
 pub(crate) fn configured_name(job: &str) -> &str {
     job.strip_prefix(HTTP_JOB_PREFIX).unwrap_or(job)
 }
--- a/crates/cluster/src/job_table.rs
+++ b/crates/cluster/src/job_table.rs
@@ -1,4 +1,4 @@
-//! The configured jobs and their tasks.
+//! The configured jobs and the tasks of their runs.
 
 use crate::job_names;
 use crate::run_executor::RunTask;
@@ -18,7 +18,7 @@
 }
 
 impl JobTable {
-    /// Creates a table without jobs. Backends are checked only with `health_checks`.
+    /// Creates a table without jobs. Backends are checked only if there are settings for health checks.
     pub(crate) fn new(health_checks: Option<HealthChecks>) -> Self {
         Self { http_jobs: BTreeMap::new(), backends: BTreeMap::new(), health_checks }
     }
@@ -53,7 +53,7 @@
         http_jobs.chain(self.backends.keys().filter_map(health_check)).collect()
     }
 
-    /// Returns the task of a run. Returns `None` if its job or backend was removed.
+    /// Returns the task of a run, or `None` if its job or backend has been removed.
     pub(crate) fn task(&self, run: &Run) -> Option<RunTask> {
         if let Some(job) = self.http_jobs.get(&run.job) {
             return Some(RunTask::HttpCall { url: job.url.clone(), timeout: job.timeout });
--- a/crates/cluster/src/job_table/tests.rs
+++ b/crates/cluster/src/job_table/tests.rs
@@ -1,4 +1,4 @@
-//! The jobs of the table and the tasks of their runs.
+//! Tests of the jobs in the table and of the tasks of their runs.
 
 use super::*;
 use job_lease::RunId;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn backends_are_jobs_only_with_health_checks() {
+fn each_backend_has_a_job_only_with_health_checks() {
     let bell = Job { name: "call/bell".into(), period: Duration::from_secs(2) };
     let check = Job { name: "probe/a/loans-1".into(), period: Duration::from_millis(100) };
     assert_eq!(table(Some(health_checks())).jobs(), [bell.clone(), check]);
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,10 +1,10 @@
-//! The cluster of gatekeepers: drives the state machines `membership` (over UDP), `periodic_jobs` and `job_lease` (over
-//! Consul's HTTP API or in memory) and `health_check`, and executes the runs, which are HTTP calls and health checks.
+//! The cluster of gatekeepers. Drives the state machines `membership` (over UDP), `periodic_jobs` and `job_lease` (over
+//! Consul's HTTP API or in memory) and `health_check`, and executes the runs of jobs, which are HTTP calls and health checks.
 //!
 //! One thread, the coordinator, owns all state and handles events from one bounded queue. Another thread receives gossip.
 //! Two worker pools, one for store calls and one for runs, have separate bounded queues, so a slow target never delays a
-//! lease. None of this runs on the program's `may` worker. Without a `[cluster]` table in the settings there is no UDP
-//! socket, and without jobs and health checks none of these threads is started.
+//! lease. None of these threads is a worker of the `may` coroutine runtime, which serves requests. Without a `[cluster]`
+//! table in the settings there is no UDP socket, and without jobs and health checks none of these threads is started.
 
 mod clocks;
 mod coordinator;
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// The minimum time between two logged events of a kind.
+/// The minimum time between two logged events of one kind.
 const INTERVAL: Duration = Duration::from_secs(1);
 
 /// A kind of log event.
@@ -16,32 +16,32 @@
     Rejoined,
     RunFailed,
     RunQueueFull,
-    /// A notice of the scheduler. Each variant of a notice is a kind of its own.
+    /// A notice of the scheduler. Each variant of [`Notice`] is a kind of its own.
     Notice(Discriminant<Notice>),
 }
 
 #[derive(Debug, Default)]
 struct KindState {
-    /// The moment from which the next event is logged.
+    /// The earliest moment at which another event of the kind is logged.
     next: MonotonicTime,
     suppressed: u64,
 }
 
-/// Permits one event of a kind to be logged.
+/// The permission to log one event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogPermit {
     /// The number of events of the kind suppressed since the last logged one. `None` if there were none.
     pub(crate) suppressed: Option<u64>,
 }
 
-/// Decides which events are logged.
+/// Limits the rate of logged events per kind.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
     kinds: HashMap<LogKind, KindState>,
 }
 
 impl LogLimiter {
-    /// Permits an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
+    /// Asks to log an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
     pub(crate) fn permit(&mut self, kind: LogKind, now: MonotonicTime) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
         if now < state.next {
--- a/crates/cluster/src/log_limiter/tests.rs
+++ b/crates/cluster/src/log_limiter/tests.rs
@@ -1,4 +1,4 @@
-//! The limit per kind and the count of suppressed events.
+//! Tests of the rate limit per kind and of the count of suppressed events.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn one_event_of_each_kind_is_logged_per_second_and_the_others_are_counted() {
+fn one_event_of_each_kind_is_logged_per_second_and_suppressed_events_are_counted() {
     let mut limiter = LogLimiter::default();
     assert_eq!(limiter.permit(LogKind::Rejoined, at(0)), Some(LogPermit { suppressed: None }));
     assert_eq!(
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use ureq::{Agent, Body, RequestBuilder, http};
 
-/// The size limit of a response.
+/// The maximum size of a response body.
 const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 /// The request header with the name of the instance that executes the run.
 const INSTANCE_HEADER: &str = "Snowfield-By";
@@ -19,31 +19,31 @@
 /// The request header with the deadline for the start of the run, in Unix milliseconds.
 const DEADLINE_HEADER: &str = "Snowfield-Before";
 
-/// The task of a run.
+/// The work that a run does.
 #[derive(Clone, Debug)]
 pub(crate) enum RunTask {
     HttpCall { url: String, timeout: Duration },
     HealthCheck { backend_id: String, address: SocketAddr, path: String, timeout: Duration },
 }
 
-/// The result of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
-    /// The target responded with this status.
+    /// The target responded with this HTTP status.
     Status(u16),
-    /// The call failed with this error.
+    /// No complete response was received, because of this error.
     Failed(String),
     /// The run did not start because its deadline had passed. The process was paused or a clock was stepped.
     DeadlinePassed,
 }
 
 impl RunOutcome {
-    /// Returns whether the target accepted the run.
+    /// Returns whether the target responded with a status from 200 to 299.
     pub(crate) fn is_success(&self) -> bool {
         matches!(self, Self::Status(200..=299))
     }
 
-    /// Returns the reason of a failure for the log.
+    /// Describes the outcome for the log of failed runs.
     pub(crate) fn reason(&self) -> String {
         match self {
             Self::Status(status) => format!("status {status}"),
@@ -53,7 +53,7 @@
     }
 }
 
-/// A run that waits for a thread.
+/// A run that waits for a worker thread.
 #[derive(Debug)]
 pub(crate) struct PendingRun {
     pub(crate) run: Run,
@@ -68,7 +68,7 @@
     pub(crate) outcome: RunOutcome,
 }
 
-/// Starts the threads that execute runs and pass their outcomes to `on_finished`.
+/// Starts the worker threads that execute runs and pass the outcomes to `on_finished`.
 pub(crate) fn start(
     instance: &str,
     threads: usize,
@@ -77,7 +77,7 @@
 ) -> TaskQueue<PendingRun> {
     let executor = RunExecutor { agent: agent(), instance: instance.to_owned() };
     TaskQueue::start("job-runs", threads, move |PendingRun { run, task }: PendingRun| {
-        // Check the deadline last, because the process may have been paused since it acquired the lease.
+        // Check the deadline just before the run, because the process may have been paused since it acquired the lease.
         let outcome = if run.may_start(clocks.now()) {
             executor.execute(&run, &task)
         } else {
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -1,20 +1,20 @@
-//! The settings of an instance in the cluster.
+//! The settings of the cluster on one instance. The program reads them from its configuration files.
 
 use membership::authentication::Keyring;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The settings of this instance.
+/// All settings of the cluster on this instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The name of the instance.
+    /// The name of this instance, unique in the cluster. Gossip, leases and the `Snowfield-By` header carry it.
     pub instance: String,
-    /// Gossip. `None` for an instance without other members.
+    /// The settings of gossip. `None` for an instance that has no other members to find.
     pub gossip: Option<Gossip>,
-    /// The lease store.
+    /// The store that holds the leases of jobs.
     pub lease_store: LeaseStore,
-    /// The number of members that attempt a run if the owner of the job does not.
+    /// The number of members that attempt a run when the member that owns the job does not.
     pub standbys: usize,
     /// The maximum clock skew between two instances.
     pub max_clock_skew: Duration,
@@ -22,39 +22,39 @@
     pub clock_offset_ms: i64,
     /// The maximum number of concurrent runs.
     pub max_concurrent_runs: usize,
-    /// Health checks of the backends. `None` if they are disabled.
+    /// The settings of health checks. `None` if backends are not checked.
     pub health_checks: Option<HealthChecks>,
 }
 
 /// The settings of gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    /// The UDP address on which to receive gossip.
+    /// The UDP address to which the gossip socket is bound.
     pub listen: SocketAddr,
-    /// The address announced to the other members.
+    /// The UDP address that is announced to the other members and to which they send gossip.
     pub advertise: SocketAddr,
-    /// Addresses through which to join the cluster.
+    /// The gossip addresses of members through which to join the cluster. This instance's own address is skipped.
     pub peers: Vec<SocketAddr>,
     /// The keys that authenticate datagrams.
     pub keyring: Keyring,
-    /// The time between two gossip rounds.
+    /// The time between two rounds of gossip. Periods of probes and join attempts are multiples of it.
     pub period: Duration,
-    /// The time of suspicion after which a member is declared dead.
+    /// The time for which a member is suspected before it is declared dead.
     pub suspicion_timeout: Duration,
 }
 
 /// The store that holds the leases.
 #[derive(Clone, Debug)]
 pub enum LeaseStore {
-    /// Memory of this process, for a single instance.
+    /// The memory of this process. Suitable for a single instance only.
     Local,
     /// Consul's KV store.
     Consul {
-        /// The address of the HTTP API.
+        /// The address of the Consul agent's HTTP API.
         address: SocketAddr,
-        /// The prefix of all keys.
+        /// The prefix of all keys, without a trailing slash.
         prefix: String,
-        /// The timeout of a call.
+        /// The timeout of each call, the complete response included.
         timeout: Duration,
         /// The file with the ACL token, if required. The token must allow writes below `prefix`, and writing and reading
         /// sessions.
@@ -65,24 +65,24 @@
 /// The settings of health checks.
 #[derive(Clone, Debug)]
 pub struct HealthChecks {
-    /// The path to request.
+    /// The path of the GET request, with its leading slash.
     pub path: String,
-    /// The timeout for a response with a status from 200 to 299.
+    /// The maximum time until a complete response with a status from 200 to 299. A later or other response is a failed check.
     pub timeout: Duration,
     /// The period, the thresholds and the ejection limit.
     pub config: health_check::Config,
 }
 
-/// A periodic job that makes an HTTP call.
+/// A periodic job that makes an HTTP POST request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpJob {
-    /// The name of the job.
+    /// The name of the job, unique among the HTTP jobs. The `Snowfield-Duty` header carries it.
     pub name: String,
-    /// The time between two runs.
+    /// The time between two runs of the job in the whole cluster.
     pub period: Duration,
     /// The URL of the POST request.
     pub url: String,
-    /// The timeout of the call.
+    /// The timeout of the request, the complete response included.
     pub timeout: Duration,
 }
 
@@ -91,6 +91,6 @@
 pub struct Backend {
     /// The id of the backend, the same on all instances.
     pub id: String,
-    /// The address to check.
+    /// The address to which the health check connects.
     pub address: SocketAddr,
 }
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -1,4 +1,4 @@
-//! The client of the lease store, in memory or in Consul.
+//! The client of the lease store, which is in memory or in Consul.
 
 mod consul_api;
 
@@ -11,14 +11,14 @@
 use periodic_jobs::{StoreCall, StoreResponse};
 use std::sync::mpsc::SyncSender;
 
-/// The number of threads that call the store.
+/// The number of worker threads that call Consul.
 const THREADS: usize = 4;
 
-/// A task for the threads that call Consul.
+/// A task for a worker thread that calls Consul.
 #[derive(Debug)]
 enum StoreTask {
     Call(StoreCall),
-    /// Ends the session. `done` is notified afterwards.
+    /// End the session and then notify `done`, whether or not the call succeeds.
     EndSession {
         session: Session,
         done: SyncSender<()>,
@@ -28,18 +28,18 @@
 /// The client of the lease store.
 #[derive(Debug)]
 pub(crate) enum StoreClient {
-    /// Leases in memory.
+    /// Leases in the memory of this process.
     Local(LocalStore),
-    /// Leases in Consul, called from a worker pool.
+    /// Leases in Consul, which a worker pool calls.
     Consul(ConsulCalls),
 }
 
-/// The queue of calls to Consul.
+/// The task queue of the worker pool that calls Consul.
 #[derive(Debug)]
 pub(crate) struct ConsulCalls(TaskQueue<StoreTask>);
 
 impl StoreClient {
-    /// Creates the client. For Consul this starts the threads that make the calls and pass the responses to `on_response`.
+    /// Creates the client. For Consul, starts the worker threads that make the calls and pass the responses to `on_response`.
     pub(crate) fn start(
         store: &LeaseStore,
         instance: &str,
@@ -64,8 +64,8 @@
         })))
     }
 
-    /// Makes a call. Returns its response, or `None` if a thread will pass it on later. A call that finds the queue full
-    /// fails at once.
+    /// Makes a call. Returns its response, or `None` if a worker thread will pass the response to `on_response`. If the queue is
+    /// full, the call fails at once.
     pub(crate) fn call(&mut self, call: StoreCall) -> Option<StoreResponse> {
         match self {
             Self::Local(store) => Some(call.apply_to(store)),
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Ends a session and notifies `done`. If the queue is full, drops both: the session expires by its TTL.
+    /// Ends a session and notifies `done`. If the queue is full, the call is not made and `done` is dropped: the session expires
+    /// by its TTL.
     pub(crate) fn end_session(&self, session: Session, done: SyncSender<()>) {
         match self {
             Self::Local(_) => drop(done.try_send(())),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Removes the leases in memory for which `keep` returns false. Leases in Consul remain.
+    /// Removes the leases in memory of the jobs for which `keep` returns false. Leases in Consul remain.
     pub(crate) fn retain_local_jobs(&mut self, keep: impl Fn(&str) -> bool) {
         if let Self::Local(store) = self {
             store.retain_jobs(keep);
--- a/crates/cluster/src/store_client/consul_api.rs
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -1,4 +1,4 @@
-//! The calls of Consul's HTTP API for leases.
+//! Calls of Consul's HTTP API for leases and sessions.
 
 use crate::http_agent;
 use consul::TokenFile;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use ureq::{Agent, Body, RequestBuilder, http};
 
-/// The size limit of a response.
+/// The maximum size of a response body.
 const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
 /// The TTL of the session, the minimum that Consul accepts.
 const SESSION_TTL: Duration = Duration::from_secs(10);
 /// The request header with the ACL token.
 const TOKEN_HEADER: &str = "X-Consul-Token";
-/// The response header with the index of the store or of a key.
+/// The response header with the index of the store, or of the key if a single key was queried.
 const INDEX_HEADER: &str = "X-Consul-Index";
 
 /// Returns a client that keeps up to `max_idle_connections` connections open.
@@ -29,7 +29,7 @@
         .into()
 }
 
-/// Consul's HTTP API for leases.
+/// A client of Consul's HTTP API for leases and sessions.
 pub(super) struct ConsulApi {
     pub(super) agent: Agent,
     pub(super) address: SocketAddr,
@@ -68,7 +68,7 @@
         let _ = self.send(&Request::destroy_session(session));
     }
 
-    /// Opens a session and acquires its key.
+    /// Creates a session and acquires the session's own key.
     fn open_session(&self) -> Result<Session, StoreError> {
         let created = self.send(&Request::create_session(&self.instance, SESSION_TTL))?;
         let session = self.keys.created_session(&created)?;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reads the leases of these jobs. A single lease is read alone, several with a listing of all.
+    /// Reads the leases of these jobs. A single lease is read by its key, several leases by listing the leases of all jobs.
     fn read(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
         let single_job = if let [job] = jobs { Some(job.as_str()) } else { None };
         let response = self.send(&self.keys.read_request(single_job))?;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Adds the ACL token if there is one.
+    /// Adds the ACL token, if one is configured.
     fn with_token<B>(&self, request: RequestBuilder<B>) -> RequestBuilder<B> {
         match self.token.current() {
             Some(token) => request.header(TOKEN_HEADER, token),
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the index of a response, or 0 if it has none.
+/// Returns the index in the header of a response, or 0 if there is no valid index.
 fn consul_index(response: &http::Response<Body>) -> u64 {
     let value = response.headers().get(INDEX_HEADER);
     value.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
--- a/crates/cluster/src/worker_pool.rs
+++ b/crates/cluster/src/worker_pool.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// The maximum number of queued tasks.
+/// The maximum number of tasks in a queue.
 const QUEUE_CAPACITY: usize = 1_024;
 
 /// The queue of a worker pool. The threads end when all clones of the queue are dropped.
@@ -12,7 +12,7 @@
 pub(crate) struct TaskQueue<T>(SyncSender<T>);
 
 impl<T: Send + 'static> TaskQueue<T> {
-    /// Starts a pool whose threads have this name.
+    /// Starts a pool of threads with this name, which pass each queued task to `work`.
     pub(crate) fn start(name: &str, threads: usize, work: impl Fn(T) + Send + Sync + 'static) -> Self {
         let (sender, receiver) = sync_channel::<T>(QUEUE_CAPACITY);
         let (receiver, work) = (Arc::new(Mutex::new(receiver)), Arc::new(work));
@@ -32,7 +32,7 @@
 }
 
 impl<T> TaskQueue<T> {
-    /// Queues a task. Returns the task as an error if the queue is full.
+    /// Queues a task. Returns the task as an error if the queue is full or no thread is left.
     pub(crate) fn offer(&self, task: T) -> Result<(), T> {
         self.0.try_send(task).map_err(|error| match error {
             TrySendError::Full(task) | TrySendError::Disconnected(task) => task,
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Compatibility with an earlier build: the HTTP requests of runs and the status text. Numbers, which differ from run to run,
-//! are masked.
+//! Tests of compatibility with an earlier build: the HTTP requests of runs and the status text are the same. Numbers differ
+//! between executions of the test, so they are masked.
 
 use cluster::{Backend, Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use membership::authentication::Keyring;
@@ -12,7 +12,7 @@
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
 const STATUS: &str = include_str!("fixtures/status.txt");
 
-/// Starts a server that answers each request with 200 and passes on its head.
+/// Starts a server that answers each request with status 200 and sends the request's head to the returned channel.
 fn start_target() -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -33,7 +33,7 @@
     (address, received)
 }
 
-/// Replaces each number by N.
+/// Replaces each sequence of digits by one `N`.
 fn mask_numbers(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
@@ -52,7 +52,7 @@
     socket.local_addr().expect("an address")
 }
 
-/// The settings of an instance with leases in memory.
+/// Returns the settings of an instance with leases in memory.
 fn settings(
     instance: &str,
     listen: SocketAddr,
