--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 struct KindState {
     /// The earliest moment at which another event of the kind is logged.
-    next: MonotonicTime,
+    next_permit_at: MonotonicTime,
     suppressed: u64,
 }
 
@@ -44,11 +44,11 @@
     /// Asks to log an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
     pub(crate) fn permit(&mut self, kind: LogKind, now: MonotonicTime) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
-        if now < state.next {
+        if now < state.next_permit_at {
             state.suppressed += 1;
             return None;
         }
-        state.next = now + INTERVAL;
+        state.next_permit_at = now + INTERVAL;
         let suppressed = std::mem::take(&mut state.suppressed);
         Some(LogPermit { suppressed: (suppressed > 0).then_some(suppressed) })
     }
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -100,11 +100,11 @@
         timeout: Duration::from_secs(1),
     };
     let listen = free_udp_address();
-    let first = settings("muscat", listen, Vec::new(), Some(health_checks));
-    let cluster = Cluster::start(first, vec![job], Box::new(|_| {})).expect("a cluster");
+    let first_settings = settings("muscat", listen, Vec::new(), Some(health_checks));
+    let cluster = Cluster::start(first_settings, vec![job], Box::new(|_| {})).expect("a cluster");
     cluster.set_backends(vec![Backend { id: "loans".into(), address }]);
-    let second = settings("salalah", free_udp_address(), vec![listen], None);
-    let other = Cluster::start(second, Vec::new(), Box::new(|_| {})).expect("a cluster");
+    let second_settings = settings("salalah", free_udp_address(), vec![listen], None);
+    let second_cluster = Cluster::start(second_settings, Vec::new(), Box::new(|_| {})).expect("a cluster");
     let mut requests: Vec<String> = Vec::new();
     while requests.len() < 2 {
         let head = mask_numbers(&heads.recv_timeout(Duration::from_secs(10)).expect("a request"));
@@ -126,6 +126,6 @@
     let status = mask_numbers(&status);
     assert_eq!(requests, REQUESTS);
     assert_eq!(status, STATUS);
-    other.leave();
+    second_cluster.leave();
     cluster.leave();
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -60,14 +60,14 @@
             remove_down_after: Some(DEAD_MEMBER_RETENTION),
             max_packet_size: non_zero(MAX_DATAGRAM_BYTES - authentication::OVERHEAD_BYTES),
             notify_down_members: true,
-            periodic_announce: periodic(self.join_period * ANNOUNCE_JOIN_PERIODS, 1),
-            periodic_announce_to_down_members: periodic(self.join_period, DEAD_ANNOUNCE_FANOUT),
-            periodic_gossip: periodic(self.gossip_period, GOSSIP_FANOUT),
+            periodic_announce: periodic_params(self.join_period * ANNOUNCE_JOIN_PERIODS, 1),
+            periodic_announce_to_down_members: periodic_params(self.join_period, DEAD_ANNOUNCE_FANOUT),
+            periodic_gossip: periodic_params(self.gossip_period, GOSSIP_FANOUT),
         }
     }
 }
 
-fn periodic(period: Duration, members: usize) -> Option<foca::PeriodicParams> {
+fn periodic_params(period: Duration, members: usize) -> Option<foca::PeriodicParams> {
     let frequency = period.max(MIN_PERIOD);
     Some(foca::PeriodicParams { frequency, num_members: non_zero(members) })
 }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -8,7 +8,7 @@
 use timestamps::MonotonicTime;
 
 /// The time between two ticks.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Creates a member whose key consists of 32 equal bytes.
 fn start_member(config: Config, key_byte: &str) -> Membership {
@@ -21,12 +21,12 @@
 }
 
 /// Decides by sender and receiver whether a datagram is delivered.
-type Delivers<'a> = &'a dyn Fn(usize, usize) -> bool;
+type DeliveryFilter<'a> = &'a dyn Fn(usize, usize) -> bool;
 
-const ALWAYS: Delivers = &|_, _| true;
+const ALWAYS: DeliveryFilter = &|_, _| true;
 
 /// No datagram passes between members 0 to 2 and the other members.
-const PARTITIONED: Delivers = &|from, to| (from < 3) == (to < 3);
+const PARTITIONED: DeliveryFilter = &|from, to| (from < 3) == (to < 3);
 
 /// Members that exchange datagrams without delay, and the broadcasts that they received.
 struct Network {
@@ -62,7 +62,7 @@
     }
 
     /// Applies a member's outputs, and the outputs that follow from delivered datagrams.
-    fn deliver(&mut self, from: usize, out: Vec<Output>, delivers: Delivers) {
+    fn deliver(&mut self, from: usize, out: Vec<Output>, delivers: DeliveryFilter) {
         let mut pending: Vec<(usize, Output)> = out.into_iter().map(|output| (from, output)).collect();
         while let Some((from, output)) = pending.pop() {
             match output {
@@ -84,10 +84,10 @@
         }
     }
 
-    fn advance(&mut self, span: Duration, delivers: Delivers) {
+    fn advance(&mut self, span: Duration, delivers: DeliveryFilter) {
         let end = self.now + span;
         while self.now < end {
-            self.now = self.now + TICK;
+            self.now = self.now + TICK_INTERVAL;
             for i in 0..self.members.len() {
                 let mut out = Vec::new();
                 if let Some(member) = &mut self.members[i] {
@@ -167,8 +167,8 @@
     member.retain_topics(|topic| topic == "d1");
     let mut out = Vec::new();
     member.broadcast(now, "e", 1, b"", &mut out);
-    let sends = |output: &Output| matches!(output, Output::SendDatagram { .. });
-    assert!(out.iter().any(sends), "there is capacity again");
+    let is_datagram = |output: &Output| matches!(output, Output::SendDatagram { .. });
+    assert!(out.iter().any(is_datagram), "there is capacity again");
 }
 
 #[test]
@@ -204,8 +204,8 @@
 #[test]
 fn a_member_reachable_by_indirect_probes_is_not_declared_dead() {
     // Members 0 and 1 are disconnected in both directions, or in one. Members 2 and 3 reach both.
-    let both_directions: Delivers = &|from, to| from.max(to) > 1;
-    let one_direction: Delivers = &|from, to| (from, to) != (0, 1);
+    let both_directions: DeliveryFilter = &|from, to| from.max(to) > 1;
+    let one_direction: DeliveryFilter = &|from, to| (from, to) != (0, 1);
     for delivers in [both_directions, one_direction] {
         let mut network = Network::converged(4);
         for _ in 0..50 {
@@ -273,11 +273,11 @@
 #[test]
 fn all_members_learn_within_three_seconds_that_half_of_160_have_failed() {
     let mut network = Network::new(0);
-    let larger = |i| Config { max_members: 256, ..config(i, 1) };
-    network.members = (0..160).map(|i| Some(start_member(larger(i), "ab"))).collect();
+    let large_config = |i| Config { max_members: 256, ..config(i, 1) };
+    network.members = (0..160).map(|i| Some(start_member(large_config(i), "ab"))).collect();
     let random = std::cell::Cell::new(0u64);
     // A linear congruential generator drops one datagram in ten.
-    let lossy: Delivers = &|_, _| {
+    let lossy: DeliveryFilter = &|_, _| {
         let next =
             random.get().wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         random.set(next);
@@ -285,10 +285,10 @@
     };
     network.advance(Duration::from_secs(6), lossy);
     (0..80).for_each(|i| network.members[i] = None);
-    let all_know = |network: &Network| (80..160).all(|i| network.alive_at(i) == 80);
+    let all_know_the_failures = |network: &Network| (80..160).all(|i| network.alive_at(i) == 80);
     let elapsed_tenths = (0..100).find(|_| {
         network.advance(Duration::from_millis(100), lossy);
-        all_know(&network)
+        all_know_the_failures(&network)
     });
     assert!(elapsed_tenths.is_some_and(|tenths| tenths < 30), "{elapsed_tenths:?}");
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -16,10 +16,10 @@
 use timestamps::MonotonicTime;
 
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.txt");
-const SUMMARY: &str = include_str!("fixtures/course.txt");
+const SCENARIO_SUMMARY: &str = include_str!("fixtures/course.txt");
 const MEMBERS: usize = 8;
 /// The time between two ticks.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// The first byte of the payloads of bulk failure dissemination. SWIM payloads start with 0 or 1.
 const BULK_FAILURE_MARKER: u8 = 0xFF;
 const FIRST_GENERATION: u64 = 1_800_000_000_000;
@@ -74,7 +74,7 @@
     fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            self.now = self.now + TICK;
+            self.now = self.now + TICK_INTERVAL;
             for i in (0..MEMBERS).filter(|i| !self.paused.contains(i)).collect::<Vec<_>>() {
                 self.call(i, |member, now, out| member.tick(now, out));
             }
@@ -155,7 +155,7 @@
     let summary = format!("{} datagrams, {} bytes, BLAKE3 {}\n", sent.len(), all.len(), blake3::hash(&all));
     assert_eq!(first.len(), 13, "one of each kind");
     assert_eq!(datagrams, DATAGRAMS);
-    assert_eq!(summary, SUMMARY);
+    assert_eq!(summary, SCENARIO_SUMMARY);
 }
 
 #[test]
