--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use timestamps::{MonotonicTime, UnixTime};
 
-/// The maximum number of known members.
+/// The number of known members at which datagrams of unknown senders are dropped.
 const MAX_MEMBERS: usize = 1_024;
 /// The maximum number of broadcast topics, one per backend.
 const MAX_TOPICS: usize = 16_384;
