--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Compatibility with an earlier build: the HTTP requests of runs and the status text. Numbers, which differ from run to run,
-//! are masked.
+//! Tests of compatibility with an earlier build: the HTTP requests of runs and the status text are the same. Numbers differ
+//! between executions of the test, so they are masked.
 
 use cluster::{Backend, Cluster, Gossip, HealthChecks, HttpJob, LeaseStore, Settings};
 use membership::authentication::Keyring;
@@ -12,7 +12,7 @@
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
 const STATUS: &str = include_str!("fixtures/status.txt");
 
-/// Starts a server that answers each request with 200 and passes on its head.
+/// Starts a server that answers each request with status 200 and sends the request's head to the returned channel.
 fn start_target() -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -33,7 +33,7 @@
     (address, received)
 }
 
-/// Replaces each number by N.
+/// Replaces each sequence of digits by one `N`.
 fn mask_numbers(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
@@ -52,7 +52,7 @@
     socket.local_addr().expect("an address")
 }
 
-/// The settings of an instance with leases in memory.
+/// Returns the settings of an instance with leases in memory.
 fn settings(
     instance: &str,
     listen: SocketAddr,
@@ -100,11 +100,11 @@
         timeout: Duration::from_secs(1),
     };
     let listen = free_udp_address();
-    let first = settings("muscat", listen, Vec::new(), Some(health_checks));
-    let cluster = Cluster::start(first, vec![job], Box::new(|_| {})).expect("a cluster");
+    let first_settings = settings("muscat", listen, Vec::new(), Some(health_checks));
+    let cluster = Cluster::start(first_settings, vec![job], Box::new(|_| {})).expect("a cluster");
     cluster.set_backends(vec![Backend { id: "loans".into(), address }]);
-    let second = settings("salalah", free_udp_address(), vec![listen], None);
-    let other = Cluster::start(second, Vec::new(), Box::new(|_| {})).expect("a cluster");
+    let second_settings = settings("salalah", free_udp_address(), vec![listen], None);
+    let second_cluster = Cluster::start(second_settings, Vec::new(), Box::new(|_| {})).expect("a cluster");
     let mut requests: Vec<String> = Vec::new();
     while requests.len() < 2 {
         let head = mask_numbers(&heads.recv_timeout(Duration::from_secs(10)).expect("a request"));
@@ -126,6 +126,6 @@
     let status = mask_numbers(&status);
     assert_eq!(requests, REQUESTS);
     assert_eq!(status, STATUS);
-    other.leave();
+    second_cluster.leave();
     cluster.leave();
 }
