--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -1,4 +1,4 @@
-//! Leases in Consul's KV store: requests to the HTTP API for KV, sessions and transactions, and their responses.
+//! Leases in Consul's KV store: requests to Consul's HTTP API (KV store, sessions and transactions) and their responses.
 //!
 //! An instance creates a session and acquires one key with it, the session key. A compare-and-set is a transaction of two
 //! operations. `check-session` on the session key fails if the session has ended or the store has lost its data. `cas` on the
@@ -19,17 +19,17 @@
 /// The folder of the session keys below the prefix.
 const SESSIONS_FOLDER: &str = "holders";
 
-/// An HTTP method.
+/// An HTTP method of Consul's API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// `GET`.
+    /// `GET`, for reads.
     Get,
-    /// `PUT`.
+    /// `PUT`, for writes and for calls that concern a session.
     Put,
 }
 
 impl Method {
-    /// Returns the method's name on the wire.
+    /// Returns the method's name in the HTTP request line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
@@ -38,14 +38,14 @@
     }
 }
 
-/// A request to Consul.
+/// An HTTP request to Consul.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The percent-encoded path and query.
     pub target: String,
-    /// The body. Empty for a request without a body.
+    /// The request body: JSON or a plain value. Empty for a request without a body.
     pub body: String,
 }
 
@@ -54,25 +54,25 @@
         Self { method: Method::Put, target, body }
     }
 
-    /// Renews a session. Parse the response with [`Response::session_exists`].
+    /// Renews a session, so that its TTL starts again. Parse the response with [`Response::session_exists`].
     pub fn renew_session(session: &Session) -> Self {
         Self::put(format!("/v1/session/renew/{}", session.id), String::new())
     }
 
-    /// Ends a session.
+    /// Ends a session. Consul then deletes the session key.
     pub fn destroy_session(session: &Session) -> Self {
         Self::put(format!("/v1/session/destroy/{}", session.id), String::new())
     }
 
-    /// Acquires the session key. Parse the response with [`Response::key_acquired`].
+    /// Acquires the session key and stores the instance's name in it. Parse the response with [`Response::key_acquired`].
     pub fn acquire_session_key(session: &Session, instance: &str) -> Self {
         let target = format!("/v1/kv/{}?acquire={}", escape_path(&session.key), session.id);
         Self::put(target, instance.to_owned())
     }
 
-    /// Creates a session that expires after `ttl` without renewal. Consul then deletes its key. Fractions of a second are
-    /// ignored. There is no lock delay: compare-and-set makes runs exclusive, and a delay would only block a restarted
-    /// instance. Parse the response with [`LeaseKeys::created_session`].
+    /// Creates a session that expires after `ttl` without renewal. Consul then deletes the session key. Fractions of a second
+    /// of `ttl` are dropped. There is no lock delay: compare-and-set makes runs exclusive, and a delay would only block a
+    /// restarted instance. Parse the response with [`LeaseKeys::created_session`].
     pub fn create_session(instance: &str, ttl: Duration) -> Self {
         let body = serde_json::json!({
             "Name": format!("snowfield {instance}"),
@@ -84,7 +84,7 @@
     }
 }
 
-/// The keys of the leases in Consul's KV store.
+/// The layout of the keys of leases and sessions in Consul's KV store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseKeys {
     /// The prefix of all keys, without a trailing slash.
@@ -92,12 +92,12 @@
 }
 
 impl LeaseKeys {
-    /// Returns the key of a job.
+    /// Returns the key that holds the lease record of a job.
     pub fn job(&self, job: &str) -> String {
         format!("{}/{JOBS_FOLDER}/{job}", self.prefix)
     }
 
-    /// Returns the key that a session holds.
+    /// Returns the key that the session with this id holds.
     fn session(&self, id: &str) -> String {
         format!("{}/{SESSIONS_FOLDER}/{id}", self.prefix)
     }
@@ -111,8 +111,9 @@
         Request { method: Method::Get, target, body: String::new() }
     }
 
-    /// Writes a record if the job's key has this index and the session exists. [`ABSENT_KEY_INDEX`](crate::ABSENT_KEY_INDEX)
-    /// means that the key must not exist. Parse the response with [`LeaseKeys::compare_and_set_outcome`].
+    /// Writes a record if the job's key has the expected index and the session exists.
+    /// [`ABSENT_KEY_INDEX`](crate::ABSENT_KEY_INDEX) means that the key must not exist. Parse the response with
+    /// [`LeaseKeys::compare_and_set_outcome`].
     pub fn compare_and_set_request(
         &self,
         session: &Session,
@@ -130,7 +131,7 @@
     }
 }
 
-/// Percent-encodes the segments of a path.
+/// Percent-encodes each segment of a path and keeps the slashes.
 fn escape_path(path: &str) -> String {
     path.split('/').map(http::percent_encode).collect::<Vec<_>>().join("/")
 }
--- a/crates/job_lease/src/consul/response.rs
+++ b/crates/job_lease/src/consul/response.rs
@@ -1,4 +1,4 @@
-//! Parsers for Consul's responses.
+//! Parsers for the responses of Consul's HTTP API.
 
 use super::LeaseKeys;
 use crate::{
@@ -10,25 +10,25 @@
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// The size limit of a lease record in base64.
+/// The size limit of a lease record, encoded in base64.
 const MAX_RECORD_BYTES: usize = 1024;
-/// The length limit of a session's id.
+/// The length limit of a session id.
 const MAX_SESSION_ID_BYTES: usize = 64;
-/// The index of the `check-session` operation in a transaction.
+/// The position of the `check-session` operation in a transaction.
 const CHECK_SESSION_OPERATION: usize = 0;
 const HTTP_OK: u16 = 200;
 const HTTP_NOT_FOUND: u16 = 404;
 /// The status of a transaction that was rolled back.
 const HTTP_CONFLICT: u16 = 409;
 
-/// A response from Consul.
+/// An HTTP response from Consul.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The value of `X-Consul-Index`. 0 if the header is absent.
+    /// The value of the header `X-Consul-Index`. 0 if the header is absent.
     pub index: u64,
-    /// The body.
+    /// The complete response body.
     pub body: Vec<u8>,
 }
 
@@ -37,16 +37,16 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the response is not conclusive.
+    /// Returns an error if the status is not 200 or the body is not a JSON boolean.
     pub fn key_acquired(&self) -> Result<bool, StoreError> {
         self.parse()
     }
 
-    /// Returns whether the renewed session exists.
+    /// Returns whether the session to renew still exists.
     ///
     /// # Errors
     ///
-    /// Returns an error if the response is not conclusive.
+    /// Returns an error if the status is neither 200 nor 404.
     pub fn session_exists(&self) -> Result<bool, StoreError> {
         match self.status {
             HTTP_OK => Ok(true),
@@ -62,8 +62,8 @@
         serde_json::from_slice(&self.body).map_err(unreadable_response)
     }
 
-    /// Returns the error for an unexpected status. Consul sends a client error (4xx) before it applies anything. Any other
-    /// status may follow an applied write.
+    /// Returns the error for an unexpected status. Consul responds with a client error (4xx) only before it applies
+    /// anything. A response with any other status may follow an applied write.
     fn status_error(&self) -> StoreError {
         let cause = StoreErrorCause::Status(self.status);
         match self.status {
@@ -84,7 +84,7 @@
     id: String,
 }
 
-/// A key in the response to a read.
+/// A key and its value in the response to a read.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct KeyEntry {
@@ -94,18 +94,18 @@
 }
 
 impl KeyEntry {
-    fn lease(&self) -> Result<StoredLease, StoreError> {
+    fn stored_lease(&self) -> Result<StoredLease, StoreError> {
         let record = parse_record(self.value.as_deref().unwrap_or_default())
             .ok_or_else(|| StoreError::NotApplied(StoreErrorCause::ForeignValue { key: self.key.clone() }))?;
         Ok(StoredLease { record, modify_index: self.modify_index })
     }
 }
 
-fn parse_record(base64: &str) -> Option<LeaseRecord> {
-    if base64.len() > MAX_RECORD_BYTES {
+fn parse_record(encoded: &str) -> Option<LeaseRecord> {
+    if encoded.len() > MAX_RECORD_BYTES {
         return None;
     }
-    serde_json::from_slice(&STANDARD.decode(base64).ok()?).ok()
+    serde_json::from_slice(&STANDARD.decode(encoded).ok()?).ok()
 }
 
 /// The response to a transaction.
@@ -138,15 +138,15 @@
 }
 
 impl LeaseKeys {
-    /// Returns the created session with the key that it has to acquire.
+    /// Returns the created session, with the session key that it must acquire next.
     ///
     /// # Errors
     ///
     /// Returns an error if the response does not confirm a session, or if the session id cannot be used in a path.
     pub fn created_session(&self, response: &Response) -> Result<Session, StoreError> {
         let CreatedSession { id } = response.parse()?;
-        let is_plain = id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
-        if id.is_empty() || id.len() > MAX_SESSION_ID_BYTES || !is_plain {
+        let is_path_safe = id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
+        if id.is_empty() || id.len() > MAX_SESSION_ID_BYTES || !is_path_safe {
             return Err(StoreError::OutcomeUnknown(StoreErrorCause::UnusableSessionId { id }));
         }
         Ok(Session { key: self.session(&id), id })
@@ -156,22 +156,22 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the response is not conclusive, or if the value under a requested key is not a lease record. Such
-    /// a value must not be taken for an absent key and overwritten.
+    /// Returns an error if the status is neither 200 nor 404, if the body cannot be parsed, or if the value under a requested
+    /// key is not a lease record. Such a value must not be mistaken for an absent key and overwritten.
     pub fn listing(&self, response: &Response, jobs: &[String]) -> Result<LeaseListing, StoreError> {
-        let has_no_key = response.status == HTTP_NOT_FOUND;
-        let entries: Vec<KeyEntry> = if has_no_key { Vec::new() } else { response.parse()? };
+        let no_key_exists = response.status == HTTP_NOT_FOUND;
+        let entries: Vec<KeyEntry> = if no_key_exists { Vec::new() } else { response.parse()? };
         let folder = self.job("");
         let by_job: HashMap<&str, &KeyEntry> =
             entries.iter().filter_map(|entry| Some((entry.key.strip_prefix(&folder)?, entry))).collect();
         let leases = jobs.iter().map(|job| {
-            let lease = by_job.get(job.as_str()).map(|entry| entry.lease()).transpose()?;
+            let lease = by_job.get(job.as_str()).map(|entry| entry.stored_lease()).transpose()?;
             Ok(ListedLease { job: job.clone(), lease })
         });
         Ok(LeaseListing { leases: leases.collect::<Result<_, StoreError>>()?, store_index: response.index })
     }
 
-    /// Returns the outcome of a compare-and-set on a job's key.
+    /// Returns the outcome of a compare-and-set on a job's key from the response to its transaction.
     pub fn compare_and_set_outcome(&self, response: &Response, job: &str) -> CompareAndSetOutcome {
         if response.status != HTTP_OK && response.status != HTTP_CONFLICT {
             return CompareAndSetOutcome::Failed(response.status_error());
@@ -200,11 +200,12 @@
 
 /// Returns the outcome of a transaction that was rolled back.
 fn rolled_back_outcome(errors: &[TransactionError]) -> CompareAndSetOutcome {
-    // An ended session takes precedence over a conflict because it invalidates all cached leases.
+    // If both operations failed, the ended session takes precedence over the conflict because it invalidates all cached
+    // leases.
     if errors.iter().any(|error| error.op_index == CHECK_SESSION_OPERATION) {
         CompareAndSetOutcome::SessionEnded
     } else if errors.is_empty() {
-        CompareAndSetOutcome::Failed(StoreError::OutcomeUnknown(StoreErrorCause::ConflictWithoutReason))
+        CompareAndSetOutcome::Failed(StoreError::OutcomeUnknown(StoreErrorCause::RollbackWithoutError))
     } else {
         CompareAndSetOutcome::Conflict
     }
--- a/crates/job_lease/src/consul/tests.rs
+++ b/crates/job_lease/src/consul/tests.rs
@@ -1,4 +1,4 @@
-//! Requests, and complete, truncated and invalid responses.
+//! Requests to Consul, and the parsing of complete, truncated and invalid responses.
 
 use super::*;
 use crate::{CompareAndSetOutcome, RunId, StoreError};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_session_acquires_its_own_key_and_an_unusable_id_is_rejected() {
+fn a_session_acquires_its_own_key_and_an_id_unusable_in_a_path_is_rejected() {
     let keys = keys();
     let session = keys.created_session(&response(200, r#"{"ID":"11-ab"}"#)).expect("a session");
     assert_eq!(session.key, "snowfield/holders/11-ab");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn only_a_complete_response_gives_a_conclusive_outcome() {
+fn only_a_complete_response_or_a_rejection_states_the_outcome_of_a_write() {
     let keys = keys();
     let outcome = |status, body: &str| keys.compare_and_set_outcome(&response(status, body), "d");
     let applied = r#"{"Results":[{"KV":{"Key":"snowfield/holders/x","ModifyIndex":3}},
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_foreign_value_is_an_error_and_not_an_absent_key() {
+fn a_value_that_is_not_a_lease_record_is_an_error_and_not_an_absent_key() {
     let keys = keys();
     let value = STANDARD.encode(r#"{"round":5,"by":"a","id":2}"#);
     let body = format!(r#"[{{"Key":"snowfield/duties/d","ModifyIndex":7,"Value":"{value}"}}]"#);
--- a/crates/job_lease/src/decision/tests.rs
+++ b/crates/job_lease/src/decision/tests.rs
@@ -1,4 +1,4 @@
-//! Each decision of the protocol.
+//! The decision for each relation between the stored lease and the request.
 
 use super::*;
 
@@ -14,28 +14,32 @@
 }
 
 #[test]
-fn only_a_settled_earlier_run_is_replaced() {
+fn only_the_record_of_an_earlier_run_is_replaced() {
     assert_eq!(decide_on_stored(6, 9), Decision::CompareAndSet { expected_index: 46 });
     assert_eq!(decide_on_stored(7, 9), Decision::Settled);
     assert_eq!(
         decide_on_stored(8, 9),
         Decision::Settled,
-        "this instance's clock is behind, or it was paused"
+        "a later run is stored if this instance's clock is behind or it was paused"
     );
 }
 
 #[test]
-fn a_lease_whose_response_was_lost_is_recognized_but_not_one_from_before_a_restart() {
+fn an_instance_recognizes_its_own_lease_but_not_one_from_before_its_restart() {
     assert_eq!(decide_on_stored(7, 3), Decision::AlreadyHeld);
     assert_eq!(decide_on_stored(7, 4), Decision::Settled);
     assert_eq!(decide_on_stored(6, 3), Decision::CompareAndSet { expected_index: 46 });
 }
 
 #[test]
-fn an_absent_key_is_seeded_beyond_the_clock_skew_and_never_acquired() {
+fn an_absent_key_is_seeded_with_the_seed_run_and_not_acquired() {
     assert_eq!(decide(None, &REQUEST), Decision::Seed);
     let seed = LeaseRecord { run: RunId(8), holder: String::new(), lease_id: 0 };
     assert_eq!(REQUEST.seed_record(), seed);
-    let behind = AcquireRequest { seed_run: RunId(2), ..REQUEST };
-    assert_eq!(behind.seed_record().run, RunId(7), "never earlier than the run itself");
+    let request_after_seed_run = AcquireRequest { seed_run: RunId(2), ..REQUEST };
+    assert_eq!(
+        request_after_seed_run.seed_record().run,
+        RunId(7),
+        "the seed is never earlier than the requested run"
+    );
 }
--- a/crates/job_lease/src/error.rs
+++ b/crates/job_lease/src/error.rs
@@ -1,64 +1,64 @@
-//! Errors of store calls, by whether the call may have been applied.
+//! Errors of calls to the lease store, distinguished by whether the call may have been applied.
 
 use std::error::Error;
 
-/// A call to the store that failed.
+/// The error of a call to the lease store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The call was not applied. It was rejected or never sent.
     #[error("{0}")]
     NotApplied(#[source] StoreErrorCause),
     /// The call may have been applied, or may still be applied.
-    #[error("{0}; it may have been applied")]
+    #[error("{0}; the call may have been applied")]
     OutcomeUnknown(#[source] StoreErrorCause),
 }
 
 /// The cause of a [`StoreError`].
 #[derive(Debug, thiserror::Error)]
 pub enum StoreErrorCause {
-    /// The response has an unexpected status.
-    #[error("status {0}")]
+    /// The response has an unexpected HTTP status.
+    #[error("the store responded with the unexpected status {0}")]
     Status(u16),
     /// The response body is not the expected JSON.
-    #[error("a response that cannot be parsed: {0}")]
+    #[error("the response of the store cannot be parsed: {0}")]
     UnreadableResponse(#[source] serde_json::Error),
     /// The id of a created session cannot be used in a path.
-    #[error("a session with the unusable id {id:?}")]
+    #[error("the store created a session whose id {id:?} cannot be used in a path")]
     UnusableSessionId {
-        /// The session id.
+        /// The session id that the store assigned.
         id: String,
     },
     /// Another session holds the key of the new session.
-    #[error("the session's own key is held by another")]
+    #[error("the key of the new session is held by another session")]
     SessionKeyHeld,
     /// The value under a job's key is not a lease record. It is never overwritten.
-    #[error("key {key:?} holds no lease record")]
+    #[error("the value under the key {key:?} is not a lease record")]
     ForeignValue {
-        /// The key.
+        /// The full key of the job, with the prefix.
         key: String,
     },
     /// A transaction was rolled back, but the response lists no error.
-    #[error("a conflict without a reason")]
-    ConflictWithoutReason,
+    #[error("a transaction was rolled back, but the response lists no error")]
+    RollbackWithoutError,
     /// A transaction succeeded, but the response does not contain the job's key.
-    #[error("a success that does not name the key {key:?}")]
+    #[error("a transaction succeeded, but the response does not contain the key {key:?}")]
     KeyMissingInResponse {
-        /// The key.
+        /// The full key of the job, with the prefix.
         key: String,
     },
-    /// The HTTP call failed.
+    /// The HTTP client failed to send the request or to read the response.
     #[error("{0}")]
     Transport(#[source] Box<dyn Error + Send + Sync>),
     /// The call timed out.
-    #[error("no response")]
+    #[error("the store did not respond in time")]
     NoResponse,
     /// The call was not sent because the call queue is full.
-    #[error("too many calls are queued")]
+    #[error("the call was not sent because too many calls are queued")]
     QueueFull,
 }
 
 impl StoreError {
-    /// Returns the cause of the error.
+    /// Returns the cause, without whether the call may have been applied.
     pub fn cause(&self) -> &StoreErrorCause {
         let (Self::NotApplied(cause) | Self::OutcomeUnknown(cause)) = self;
         cause
--- a/crates/job_lease/src/error/tests.rs
+++ b/crates/job_lease/src/error/tests.rs
@@ -1,37 +1,55 @@
-//! The error texts that operators read in the log.
+//! The error messages that operators read in the log.
 
 use super::*;
 
 #[test]
-fn each_cause_has_its_text() {
+fn each_cause_has_its_message() {
     let unreadable = serde_json::from_str::<u8>("x").expect_err("no JSON");
-    let unreadable_text = format!("a response that cannot be parsed: {unreadable}");
+    let unreadable_message = format!("the response of the store cannot be parsed: {unreadable}");
     let key = || "snowfield/duties/d".to_owned();
-    let texts = [
-        (StoreErrorCause::Status(500), "status 500"),
-        (StoreErrorCause::UnreadableResponse(unreadable), unreadable_text.as_str()),
-        (StoreErrorCause::UnusableSessionId { id: "../x".into() }, "a session with the unusable id \"../x\""),
-        (StoreErrorCause::SessionKeyHeld, "the session's own key is held by another"),
-        (StoreErrorCause::ForeignValue { key: key() }, "key \"snowfield/duties/d\" holds no lease record"),
-        (StoreErrorCause::ConflictWithoutReason, "a conflict without a reason"),
+    let messages = [
+        (StoreErrorCause::Status(500), "the store responded with the unexpected status 500"),
+        (StoreErrorCause::UnreadableResponse(unreadable), unreadable_message.as_str()),
+        (
+            StoreErrorCause::UnusableSessionId { id: "../x".into() },
+            "the store created a session whose id \"../x\" cannot be used in a path",
+        ),
+        (StoreErrorCause::SessionKeyHeld, "the key of the new session is held by another session"),
+        (
+            StoreErrorCause::ForeignValue { key: key() },
+            "the value under the key \"snowfield/duties/d\" is not a lease record",
+        ),
+        (
+            StoreErrorCause::RollbackWithoutError,
+            "a transaction was rolled back, but the response lists no error",
+        ),
         (
             StoreErrorCause::KeyMissingInResponse { key: key() },
-            "a success that does not name the key \"snowfield/duties/d\"",
+            "a transaction succeeded, but the response does not contain the key \"snowfield/duties/d\"",
         ),
         (StoreErrorCause::Transport("connection reset".into()), "connection reset"),
-        (StoreErrorCause::NoResponse, "no response"),
-        (StoreErrorCause::QueueFull, "too many calls are queued"),
+        (StoreErrorCause::NoResponse, "the store did not respond in time"),
+        (StoreErrorCause::QueueFull, "the call was not sent because too many calls are queued"),
     ];
-    for (cause, text) in texts {
-        assert_eq!(cause.to_string(), text);
+    for (cause, message) in messages {
+        assert_eq!(cause.to_string(), message);
     }
 }
 
 #[test]
-fn an_error_with_unknown_outcome_says_so_and_keeps_its_cause() {
+fn the_message_of_an_unknown_outcome_names_the_cause_and_that_the_call_may_have_been_applied() {
     let error = StoreError::OutcomeUnknown(StoreErrorCause::Status(500));
-    assert_eq!(error.to_string(), "status 500; it may have been applied");
-    assert_eq!(error.cause().to_string(), "status 500");
-    assert_eq!(error.source().map(ToString::to_string), Some("status 500".to_owned()));
-    assert_eq!(StoreError::NotApplied(StoreErrorCause::QueueFull).to_string(), "too many calls are queued");
+    assert_eq!(
+        error.to_string(),
+        "the store responded with the unexpected status 500; the call may have been applied"
+    );
+    assert_eq!(error.cause().to_string(), "the store responded with the unexpected status 500");
+    assert_eq!(
+        error.source().map(ToString::to_string),
+        Some("the store responded with the unexpected status 500".to_owned())
+    );
+    assert_eq!(
+        StoreError::NotApplied(StoreErrorCause::QueueFull).to_string(),
+        "the call was not sent because too many calls are queued"
+    );
 }
--- a/crates/job_lease/src/local.rs
+++ b/crates/job_lease/src/local.rs
@@ -1,31 +1,33 @@
-//! Leases in memory, for a single instance. They follow the same protocol as leases in Consul: after a restart the absent
-//! keys are seeded, so a run from before the restart is not repeated.
+//! Leases in memory, for a single instance. They follow the same protocol as leases in Consul: after a restart all keys are
+//! absent and are seeded first, so no run from before the restart is repeated.
 
 use crate::{
     ABSENT_KEY_INDEX, CompareAndSetOutcome, LeaseListing, LeaseRecord, ListedLease, Session, StoredLease,
 };
 use std::collections::HashMap;
 
-/// The leases of one process.
+/// The leases of a single instance, lost when its process ends.
 #[derive(Debug, Default)]
 pub struct LocalStore {
+    /// The leases by job name.
     leases: HashMap<String, StoredLease>,
+    /// The index of the last write, 0 before the first.
     last_index: u64,
 }
 
 impl LocalStore {
-    /// Opens a session, which lasts as long as the process.
+    /// Opens a session. It lasts as long as the process and holds no key.
     pub fn open_session(&self) -> Session {
         Session { id: "local".into(), key: String::new() }
     }
 
-    /// Reads the leases of these jobs.
+    /// Returns the stored leases of these jobs.
     pub fn read(&self, jobs: &[String]) -> LeaseListing {
         let listed = |job: &String| ListedLease { job: job.clone(), lease: self.leases.get(job).cloned() };
         LeaseListing { leases: jobs.iter().map(listed).collect(), store_index: self.last_index }
     }
 
-    /// Writes a record if the job's key has this index. [`ABSENT_KEY_INDEX`] means that the key must not exist.
+    /// Writes a record if the job's key has the expected index. [`ABSENT_KEY_INDEX`] means that the key must not exist.
     pub fn compare_and_set(
         &mut self,
         job: &str,
@@ -42,7 +44,7 @@
         CompareAndSetOutcome::Applied { modify_index }
     }
 
-    /// Removes the jobs for which `keep` returns false.
+    /// Removes the leases of all jobs for whose name `keep` returns false.
     pub fn retain_jobs(&mut self, keep: impl Fn(&str) -> bool) {
         self.leases.retain(|job, _| keep(job));
     }
--- a/crates/job_lease/src/local/tests.rs
+++ b/crates/job_lease/src/local/tests.rs
@@ -1,4 +1,4 @@
-//! Compare-and-set on keys in memory.
+//! Compare-and-set on leases in memory.
 
 use super::*;
 use crate::RunId;
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -1,4 +1,4 @@
-//! The record under a job's key.
+//! The record stored under a job's key.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -30,40 +30,40 @@
     }
 }
 
-/// The lease id of a seed.
+/// The lease id that marks a seed.
 const SEED_LEASE_ID: u64 = 0;
 
-/// The value under a job's key: the last acquired run. It is stored as JSON with the names given by `rename`.
+/// The value under a job's key, which states the last settled run. It is stored as JSON with the names given by `rename`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The run. This run and all earlier ones are settled.
+    /// The acquired run, or the run of the seed. This run and all earlier ones are settled.
     #[serde(rename = "round")]
     pub run: RunId,
-    /// The lease holder's name. Empty for a seed.
+    /// The name of the instance that holds the lease. Empty for a seed.
     #[serde(rename = "by")]
     pub holder: String,
-    /// The id of the lease, unique also across restarts of an instance. 0 for a seed.
+    /// The id of the lease. A restarted instance uses a different one for the same run. 0 for a seed.
     #[serde(rename = "id")]
     pub lease_id: u64,
 }
 
 impl LeaseRecord {
-    /// Returns the record of a seed, which settles all runs up to this one without running them.
+    /// Returns a seed: a record that settles all runs up to and including this one without a lease holder.
     pub fn seed(run: RunId) -> Self {
         Self { run, holder: String::new(), lease_id: SEED_LEASE_ID }
     }
 
-    /// Returns whether the record is a seed.
+    /// Returns whether the record is a seed, so that no instance holds the lease.
     pub fn is_seed(&self) -> bool {
         self.lease_id == SEED_LEASE_ID
     }
 }
 
-/// A record read from the store.
+/// A lease record and the version of the key that holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredLease {
-    /// The record.
+    /// The record stored under the key.
     pub record: LeaseRecord,
-    /// The index of the key's last modification (Consul's `ModifyIndex`).
+    /// The store's index at the key's last modification (Consul's `ModifyIndex`).
     pub modify_index: u64,
 }
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -1,15 +1,17 @@
-//! Exhaustive model checking of the lease protocol: three instances with clock skew, pauses at any point, lost and late
-//! responses, late writes, and a store that loses its data. The model calls the program's own `job_lease::decide`. Each
-//! guard is also removed once, and the checker must then find a run that starts twice.
+//! Exhaustive model checking of the lease protocol with three instances. The model covers clock skew, instances that pause
+//! at any point, lost and late responses, writes that are applied after their timeout, and a store that loses its data. It
+//! calls the program's own `job_lease::decide`. A further test removes one guard of the protocol at a time, and the checker
+//! must then find a run that starts twice.
 
 use job_lease::{AcquireRequest, Decision, LeaseRecord, RunId, StoredLease, decide};
 use stateright::{Checker, Model, Property};
 
-/// Units of time in a period.
+/// The period of the job, in the model's units of time.
 const PERIOD: u64 = 2;
-/// The maximum clock skew between two instances, in units of time.
+/// The maximum clock skew between two instances, in the model's units of time.
 const MAX_CLOCK_SKEW: u64 = 1;
 
+/// The guard of the protocol that a model leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RemovedGuard {
     None,
@@ -19,22 +21,23 @@
     Session,
     /// An absent key is acquired without a seed.
     Seed,
-    /// A run starts after a lost response without reading its lease again.
+    /// After a lost response, an instance starts the run without reading the lease again.
     Reread,
 }
 
 struct LeaseModel {
     removed_guard: RemovedGuard,
-    /// The offset of each instance's clock.
+    /// The offset of each instance's clock from `State::time`.
     clock_offsets: [u64; 3],
-    /// The moment at which the time stops.
-    end: u64,
+    /// The value of `State::time` after which the clocks no longer advance.
+    end_time: u64,
     /// The maximum number of times the store loses its data.
     max_store_losses: u8,
     /// The maximum number of lost responses.
     max_response_losses: u8,
 }
 
+/// The progress of an instance's attempt at a run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
@@ -46,17 +49,18 @@
     Responded {
         acquired: bool,
     },
-    /// The response was lost or timed out.
+    /// The response was lost or timed out, so the outcome of the write is unknown.
     Uncertain,
-    /// The clock was checked and the run will start. The instance may pause in between.
+    /// The instance has checked the clock and will start the run. It may pause before the start.
     Starting(RunId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Instance {
     phase: Phase,
+    /// The run of the current or last attempt.
     run: RunId,
-    /// The store incarnation of its session.
+    /// The incarnation of the store in which the instance opened its session.
     session: u8,
     /// The last run that this instance has started.
     last_started: RunId,
@@ -64,9 +68,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
+    /// The time on a clock without offset.
     time: u64,
+    /// The stored lease. `None` if the key does not exist.
     stored: Option<StoredLease>,
     store_index: u64,
+    /// The number of times that the store has lost its data.
     store_incarnation: u8,
     lost_responses: u8,
     /// Timed-out writes that the store may still apply.
@@ -76,15 +83,16 @@
     started: Vec<RunId>,
 }
 
-/// A compare-and-set bound to a session.
+/// A compare-and-set that is bound to a session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Write {
+    /// The incarnation of the store in which the session was opened.
     session: u8,
     expected_index: u64,
     record: LeaseRecord,
 }
 
-/// A step of the model. The number is the index of an instance, for `ApplyLate` that of a late write.
+/// A step of the model. The number is the index of an instance, or that of a late write for `ApplyLate`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick,
@@ -105,7 +113,7 @@
         state.time + self.clock_offsets[instance]
     }
 
-    /// Returns the run of the current period by an instance's clock.
+    /// Returns the run whose period contains the current time of an instance's clock.
     fn current_run(&self, state: &State, instance: usize) -> RunId {
         RunId(self.clock(state, instance) / PERIOD)
     }
@@ -131,13 +139,13 @@
         applied
     }
 
-    /// An instance reads the lease. Returns `None` if it has no run to attempt.
+    /// Lets an instance read the lease. Returns `None` if it has no run to attempt.
     fn read(&self, state: &mut State, i: usize) -> Option<()> {
         let run = self.current_run(state, i);
         let stored = state.stored.clone();
         let instance = &mut state.instances[i];
         if instance.phase == Phase::Idle {
-            // Runs are attempted one at a time and never after they have started.
+            // An instance attempts one run at a time, and none that it has already started.
             if run <= instance.last_started {
                 return None;
             }
@@ -147,7 +155,7 @@
         Some(())
     }
 
-    /// An instance acts on the lease that it has read.
+    /// Lets an instance act on the lease that it has read: it sends a write, starts the run or gives it up.
     fn send(&self, state: &mut State, i: usize) -> Option<()> {
         let Phase::Read(stored) = state.instances[i].phase.clone() else { return None };
         let Instance { run, session, .. } = state.instances[i];
@@ -157,7 +165,7 @@
             Phase::Sent(Write { session, expected_index, record: request.lease_record("x") })
         };
         state.instances[i].phase = match decide(stored.as_ref(), &request) {
-            // By the instance's clock the run's period is over.
+            // The run's period is over by the instance's clock.
             _ if current_run != run => Phase::Idle,
             Decision::Settled => Phase::Idle,
             Decision::AlreadyHeld => Phase::Starting(run),
@@ -170,7 +178,7 @@
         Some(())
     }
 
-    /// The store applies the write of an instance and responds.
+    /// Lets the store apply the write of an instance and respond.
     fn apply_sent(&self, state: &mut State, i: usize) -> Option<()> {
         let Phase::Sent(write) = state.instances[i].phase.clone() else { return None };
         let acquired = self.apply(state, &write) && !write.record.is_seed();
@@ -178,7 +186,7 @@
         Some(())
     }
 
-    /// An instance stops waiting for its write, which the store may apply later.
+    /// Lets an instance stop waiting for the response to its write. The store may still apply the write later.
     fn time_out(&self, state: &mut State, i: usize) -> Option<()> {
         let Phase::Sent(write) = state.instances[i].phase.clone() else { return None };
         let run = write.record.run;
@@ -192,7 +200,7 @@
         Some(())
     }
 
-    /// An instance receives the response to its write.
+    /// Lets an instance receive the response to its write. It starts the run only if the run's period is not over.
     fn receive(&self, state: &mut State, i: usize) -> Option<()> {
         let Phase::Responded { acquired } = state.instances[i].phase else { return None };
         let run = state.instances[i].run;
@@ -203,21 +211,21 @@
 }
 
 impl State {
-    /// The store restarts without data.
+    /// Restarts the store without data.
     fn lose_store_data(&mut self) {
         self.store_incarnation += 1;
         self.stored = None;
-        // Indexes restart, so an old one may match again.
+        // The indexes start again at 0, so an index from before the loss may match again.
         self.store_index = 0;
     }
 
-    /// The response to the write of an instance is lost.
+    /// Loses the response to the write of an instance.
     fn lose_response(&mut self, i: usize) {
         self.lost_responses += 1;
         self.instances[i].phase = Phase::Uncertain;
     }
 
-    /// An instance starts its run.
+    /// Lets an instance start the run that it has acquired.
     fn start(&mut self, i: usize) -> Option<()> {
         let Phase::Starting(run) = self.instances[i].phase else { return None };
         self.instances[i].last_started = run;
@@ -234,7 +242,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let instance = Instance { phase: Phase::Idle, run: RunId(0), session: 0, last_started: RunId(0) };
-        // The key exists, and the run before the first one has started.
+        // The key exists, and another holder has acquired the run before the first one of the model.
         let record = LeaseRecord { run: RunId(0), holder: "x".into(), lease_id: 9 };
         vec![State {
             time: PERIOD,
@@ -249,7 +257,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.time < self.end {
+        if state.time < self.end_time {
             actions.push(Action::Tick);
         }
         if state.store_incarnation < self.max_store_losses {
@@ -258,7 +266,7 @@
         for (i, _) in state.late_writes.iter().enumerate() {
             actions.push(Action::ApplyLate(i));
         }
-        let may_lose = state.lost_responses < self.max_response_losses;
+        let may_lose_response = state.lost_responses < self.max_response_losses;
         for (i, instance) in state.instances.iter().enumerate() {
             let session_ended = instance.session != state.store_incarnation;
             match &instance.phase {
@@ -269,13 +277,13 @@
                 Phase::Read(_) => actions.push(Action::Send(i)),
                 Phase::Sent(_) => {
                     actions.push(Action::Apply(i));
-                    if may_lose {
+                    if may_lose_response {
                         actions.push(Action::TimeOut(i));
                     }
                 }
                 Phase::Responded { .. } => {
                     actions.push(Action::Receive(i));
-                    if may_lose {
+                    if may_lose_response {
                         actions.push(Action::LoseResponse(i));
                     }
                 }
@@ -284,8 +292,8 @@
         }
     }
 
-    fn next_state(&self, before: &State, action: Action) -> Option<State> {
-        let mut state = before.clone();
+    fn next_state(&self, current: &State, action: Action) -> Option<State> {
+        let mut state = current.clone();
         match action {
             Action::Tick => state.time += 1,
             Action::LoseStoreData => state.lose_store_data(),
@@ -312,8 +320,8 @@
             }),
             Property::sometimes(A_RUN_STARTS, |_, state: &State| !state.started.is_empty()),
             Property::sometimes(A_RUN_STARTS_AFTER_DATA_LOSS, |model: &LeaseModel, state: &State| {
-                let store_lost = state.store_incarnation > 0 && state.started.len() > 1;
-                model.max_store_losses == 0 || store_lost
+                let started_after_loss = state.store_incarnation > 0 && state.started.len() > 1;
+                model.max_store_losses == 0 || started_after_loss
             }),
         ]
     }
@@ -323,21 +331,22 @@
 const A_RUN_STARTS: &str = "a run starts";
 const A_RUN_STARTS_AFTER_DATA_LOSS: &str = "a run starts after the store has lost its data";
 
-/// The bounds of a check.
+/// The bounds of the state space that one check explores.
 #[derive(Clone, Copy)]
 struct Bounds {
     store_losses: u8,
     response_losses: u8,
-    end: u64,
+    end_time: u64,
 }
 
-const fn bounds(store_losses: u8, response_losses: u8, end: u64) -> Bounds {
-    Bounds { store_losses, response_losses, end }
+const fn bounds(store_losses: u8, response_losses: u8, end_time: u64) -> Bounds {
+    Bounds { store_losses, response_losses, end_time }
 }
 
 struct CheckResult {
-    /// Whether some run starts twice.
+    /// Whether the checker found a run that starts twice.
     run_starts_twice: bool,
+    /// The number of unique states explored.
     states: usize,
 }
 
@@ -345,7 +354,7 @@
     let model = LeaseModel {
         removed_guard,
         clock_offsets,
-        end: bounds.end,
+        end_time: bounds.end_time,
         max_store_losses: bounds.store_losses,
         max_response_losses: bounds.response_losses,
     };
@@ -362,7 +371,7 @@
 
 #[test]
 fn no_run_starts_twice_despite_lost_responses_late_writes_and_data_loss() {
-    // The bounds are small enough for every test run. The ignored test checks larger ones.
+    // These bounds are small enough for every run of the tests. The ignored test below checks larger ones.
     check_all(&[[0, 0, 0], [1, 0, 0]], &[bounds(0, 1, 4), bounds(1, 1, 4)]);
 }
 
@@ -377,17 +386,18 @@
     let mut states = 0;
     for offsets in clock_offsets {
         for &bounds in all_bounds {
-            let checked = check(RemovedGuard::None, *offsets, bounds);
+            let result = check(RemovedGuard::None, *offsets, bounds);
             let Bounds { store_losses, response_losses, .. } = bounds;
             assert!(
-                !checked.run_starts_twice,
-                "clocks {offsets:?}, {store_losses} data losses, {response_losses} lost responses"
+                !result.run_starts_twice,
+                "a run starts twice with the clock offsets {offsets:?}, up to {store_losses} data losses and up to \
+                 {response_losses} lost responses"
             );
-            states += checked.states;
+            states += result.states;
         }
     }
     println!("job leases: {states} states checked, three instances");
-    assert!(states > 10_000, "only {states} states");
+    assert!(states > 10_000, "only {states} states checked");
 }
 
 #[test]
--- a/crates/job_lease/tests/wire_format.rs
+++ b/crates/job_lease/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! Wire compatibility with an earlier build: this build writes the same requests and records, and reads those records.
+//! Wire compatibility with an earlier build, whose requests and records are in the fixtures: this build writes the same
+//! requests and records, and reads the earlier build's records.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -8,10 +9,10 @@
 
 /// The requests of the earlier build, each as a line with method and target and a line with the body.
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
-/// The stored values of a lease and of a seed.
+/// The records of a lease and of a seed as stored by the earlier build.
 const LEASE: &str = include_str!("fixtures/lease.json");
 const SEED: &str = include_str!("fixtures/seed.json");
-/// A job, and its key in the store.
+/// The name of a job, and the job's key in the store.
 const JOB: &str = "call/close-of-day";
 const JOB_KEY: &str = "snow field/duties/call/close-of-day";
 
@@ -63,11 +64,11 @@
 
 #[test]
 fn a_stored_record_is_listed_and_a_truncated_one_is_an_error() {
-    let names = [JOB.to_owned()];
+    let jobs = [JOB.to_owned()];
     let listing = |value: &str| {
         let value = STANDARD.encode(value);
         let body = format!(r#"[{{"Key":"{JOB_KEY}","ModifyIndex":7,"Value":"{value}"}}]"#).into_bytes();
-        keys().listing(&Response { status: 200, index: 9, body }, &names)
+        keys().listing(&Response { status: 200, index: 9, body }, &jobs)
     };
     for (stored, record) in [(LEASE, lease()), (SEED, seed())] {
         let found = listing(stored).expect("a listing");
