--- a/crates/periodic_jobs/src/action.rs
+++ b/crates/periodic_jobs/src/action.rs
@@ -1,73 +1,74 @@
-//! The actions and notices of a scheduler.
+//! The scheduler's outputs: actions for the driver, and notices for operators.
 
 use crate::{Run, StoreCall};
 use job_lease::RunId;
 use std::fmt;
 
-/// An action for the driver.
+/// An action that the scheduler's driver must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Call the lease store.
     CallStore(StoreCall),
-    /// Start a run.
+    /// Start a run whose lease this instance holds, if [`Run::may_start`] still allows it.
     StartRun(Run),
-    /// Log a notice.
+    /// Log a notice for operators.
     Notify(Notice),
 }
 
-/// An event of interest to operators.
+/// An event that the driver logs for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The store is unavailable. No run is acquired and none starts.
+    /// Successive calls to the lease store have failed. No run starts until the store has recovered.
     StoreUnavailable {
-        /// The error of the last call.
+        /// The cause of the last failure.
         reason: String,
     },
-    /// The store has recovered.
+    /// A call to the lease store has succeeded after [`Notice::StoreUnavailable`].
     StoreAvailable,
     /// All cached leases were discarded and are read again.
     StoreReset(ResetReason),
-    /// A job's key was absent and has been seeded. Runs up to this one do not start.
+    /// The key of a job was absent and has been seeded. Runs up to the seeded one do not start.
     Seeded {
         /// The name of the job.
         job: String,
-        /// The run.
+        /// The seeded run.
         run: RunId,
     },
-    /// A run was acquired after its deadline and did not start.
+    /// A run was acquired, but its deadline has passed. It does not start.
     AcquiredTooLate {
         /// The name of the job.
         job: String,
-        /// The run.
+        /// The acquired run.
         run: RunId,
     },
     /// The response to a compare-and-set was lost, and a read has confirmed the lease.
     LeaseRecovered {
         /// The name of the job.
         job: String,
-        /// The run.
+        /// The run of the confirmed lease.
         run: RunId,
     },
-    /// The stored run is later than any clock within the maximum skew allows. Some clock is wrong.
+    /// A lease record holds a run that no instance whose clock is within the maximum skew can have acquired or seeded. The clock
+    /// of some instance is wrong.
     RecordAheadOfClock {
         /// The name of the job.
         job: String,
-        /// The run.
+        /// The run in the lease record.
         run: RunId,
     },
-    /// The Unix clock was stepped relative to the monotonic clock.
+    /// The Unix clock was stepped: it advanced by more or less than the monotonic clock.
     ClockStepped {
         /// The size of the step in milliseconds, negative for a step backwards.
         by_ms: i64,
     },
 }
 
-/// The reason why the cached leases were discarded.
+/// The reason why the session and all cached leases were discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetReason {
-    /// The session has ended.
+    /// The session no longer exists in the store.
     SessionEnded,
-    /// The store's index has decreased, so the store has lost its data.
+    /// The store's index is lower than in an earlier response, so the store has lost its data.
     IndexDecreased,
 }
 
--- a/crates/periodic_jobs/src/clock.rs
+++ b/crates/periodic_jobs/src/clock.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use timestamps::{MonotonicTime, UnixTime, whole_millis};
 
-/// A moment on both clocks of an instance.
+/// A point in time, read on both clocks of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The moment on the Unix clock.
+    /// The time on the Unix clock. It may be stepped in either direction.
     pub unix: UnixTime,
-    /// The moment on the monotonic clock.
+    /// The time on the monotonic clock. It never decreases, and is comparable only within one process.
     pub monotonic: MonotonicTime,
 }
 
@@ -26,7 +26,7 @@
 impl Add<Duration> for ClockReading {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self { unix: self.unix + span, monotonic: self.monotonic + span }
+    fn add(self, duration: Duration) -> Self {
+        Self { unix: self.unix + duration, monotonic: self.monotonic + duration }
     }
 }
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their runs.
+//! Periodic jobs, and the runs of which they consist.
 
 use crate::ClockReading;
 use crate::rendezvous::JobHash;
@@ -6,23 +6,23 @@
 use std::time::Duration;
 use timestamps::{UnixTime, whole_millis};
 
-/// A job that exactly one instance runs once per period.
+/// A periodic job. In each period, at most one instance runs it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Job {
-    /// The name, the same on all instances.
+    /// The name, which must be the same on all instances.
     pub name: String,
-    /// The time between two runs. Fractions of a millisecond are ignored.
+    /// The time between the scheduled times of two runs. Fractions of a millisecond are ignored.
     pub period: Duration,
 }
 
 impl Job {
-    /// Returns the run whose period contains this moment. The periods of different jobs start at different offsets, which
+    /// Returns the run whose period contains this time. The periods of different jobs start at different offsets, which
     /// spreads the load on the lease store.
-    pub fn run_at(&self, moment: UnixTime) -> RunId {
+    pub fn run_at(&self, time: UnixTime) -> RunId {
         let period_ms = whole_millis(self.period).max(1);
         let offset_ms = JobHash::of(&self.name).0 % period_ms;
-        let elapsed_ms = (moment.as_millis() + period_ms - offset_ms) % period_ms;
-        moment.saturating_sub(Duration::from_millis(elapsed_ms)).into()
+        let elapsed_ms = (time.as_millis() + period_ms - offset_ms) % period_ms;
+        time.saturating_sub(Duration::from_millis(elapsed_ms)).into()
     }
 
     /// Returns the run after the one whose period contains the scheduled time of `run`.
@@ -32,14 +32,14 @@
     }
 }
 
-/// A run whose lease is held by this instance.
+/// A run that this instance has acquired and may start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// The name of the job.
     pub job: String,
-    /// The id of the run, which is also its fencing token.
+    /// The id of the run: its scheduled time, and its fencing token.
     pub id: RunId,
-    /// The run must start before this moment on both clocks.
+    /// The time before which the run must start, on both clocks.
     pub deadline: ClockReading,
 }
 
--- a/crates/periodic_jobs/src/lib.rs
+++ b/crates/periodic_jobs/src/lib.rs
@@ -2,19 +2,19 @@
 //!
 //! [`Scheduler`] is a state machine without I/O, clock or thread. Its inputs are the time, the live members and the responses
 //! of the lease store. Its outputs are calls to the lease store and runs to start. [`rendezvous`] ranks the live members for
-//! each job. The first, the owner, attempts a run at its scheduled time. The standbys follow one after the other, with
-//! enough distance to avoid conflicts and early enough to finish in the same period. The lease store alone decides which
-//! attempt succeeds (see the crate `job_lease`).
+//! each job. The member with rank 0, the owner, attempts a run at its scheduled time. The standbys with the next ranks attempt
+//! it one after the other, at intervals long enough to avoid conflicts and early enough to finish the run in the same period.
+//! The lease store alone decides which attempt succeeds (see the crate `job_lease`).
 //!
 //! A run is identified by its scheduled time in Unix milliseconds, so ids increase even if a job's period changes. The id is
-//! also the fencing token: a receiver that remembers the highest id can reject late and repeated runs.
+//! also the fencing token: a receiver that remembers the highest id it has seen can reject late and repeated runs.
 //!
 //! Invariants:
 //!
-//! - A run starts at most once, and only after its lease was confirmed.
-//! - A run carries its deadline on both clocks. The driver checks it again before it acts ([`Run::may_start`]), because the
-//!   process may be paused at any point.
-//! - Without a session nothing is written. While the store is unavailable, there is at most one call per retry interval.
+//! - A run starts at most once, and only after the store has confirmed its lease.
+//! - A run carries its deadline on the Unix clock and on the monotonic clock. The driver checks the deadline again right before
+//!   it starts the run ([`Run::may_start`]), because the process may be paused at any point.
+//! - Nothing is written without a session. While the store is unavailable, there is at most one call per retry interval.
 
 mod action;
 mod clock;
--- a/crates/periodic_jobs/src/rendezvous.rs
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -4,28 +4,28 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hashes a text to the same value in every build. Instances of different versions must agree on the ranking.
+/// Returns a hash that is the same in every build, because instances of different versions must agree on the ranking.
 pub(crate) fn stable_hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
 
-/// The hash of a job's name.
+/// The hash of a job's name, the same in every build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobHash(pub u64);
 
 impl JobHash {
-    /// Returns the hash of this name.
+    /// Returns the hash of the job with this name.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
 
-/// The hash of a member's name.
+/// The hash of a member's name, the same in every build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberHash(pub u64);
 
 impl MemberHash {
-    /// Returns the hash of this name.
+    /// Returns the hash of the member with this name.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name))
     }
@@ -37,12 +37,12 @@
     names: BTreeMap<MemberHash, String>,
 }
 
-/// The difference between two sets of members.
+/// The members that differ between two successive sets of live members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipChange {
-    /// Members that joined.
+    /// The members that are only in the later set.
     pub joined: Vec<MemberHash>,
-    /// Members that left.
+    /// The members that are only in the earlier set.
     pub left: Vec<MemberHash>,
 }
 
@@ -64,12 +64,12 @@
         self.names.is_empty()
     }
 
-    /// Returns the name with this hash.
+    /// Returns the name of a live member. `None` if no live member has this hash.
     pub fn name(&self, member: MemberHash) -> Option<&str> {
         self.names.get(&member).map(String::as_str)
     }
 
-    /// Replaces the members. Returns the difference.
+    /// Replaces the set of live members. Returns which members joined and left.
     pub fn replace(&mut self, names: impl IntoIterator<Item = String>) -> MembershipChange {
         let after: BTreeMap<MemberHash, String> =
             names.into_iter().map(|name| (MemberHash::of(&name), name)).collect();
@@ -80,7 +80,7 @@
     }
 }
 
-/// A member and its weight for one job. The greatest candidate has rank 0.
+/// A member and its weight for one job. The candidate that compares greatest has rank 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     weight: u64,
@@ -93,17 +93,17 @@
     }
 }
 
-/// The members with the highest ranks for one job.
+/// The members with the first ranks for one job, from rank 0.
 #[derive(Clone, Debug)]
 pub struct Ranking {
     job: JobHash,
     max_ranks: usize,
-    /// In the order of their ranks.
+    /// The ranked members in the order of their ranks, at most `max_ranks`.
     candidates: Vec<Candidate>,
 }
 
 impl Ranking {
-    /// Ranks all members for a job and keeps the first `max_ranks`.
+    /// Ranks all members for a job and keeps those with the first `max_ranks` ranks.
     pub fn new(job: JobHash, members: &Members, max_ranks: usize) -> Self {
         let mut ranking = Self { job, max_ranks, candidates: Vec::new() };
         ranking.rebuild(members);
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Applies a change that `members` already contains. Returns whether the ranking has changed. It is rebuilt only if one of
-    /// its members has left.
+    /// Updates the ranking after the live members have changed. `members` is the set after the change. Returns whether the
+    /// ranking has changed. The ranking is rebuilt only if a ranked member has left.
     pub fn update(&mut self, members: &Members, change: &MembershipChange) -> bool {
         let before = self.candidates.clone();
         if self.candidates.iter().any(|candidate| change.left.contains(&candidate.member)) {
@@ -140,12 +140,12 @@
         self.candidates != before
     }
 
-    /// Returns the rank of a member, from 0. Returns `None` beyond the maximum rank.
+    /// Returns the rank of a member. `None` if the member is not among the first `max_ranks`.
     pub fn rank(&self, member: MemberHash) -> Option<usize> {
         self.candidates.iter().position(|candidate| candidate.member == member)
     }
 
-    /// Returns the member with rank 0.
+    /// Returns the member with rank 0. `None` if there are no members.
     pub fn owner(&self) -> Option<MemberHash> {
         self.candidates.first().map(|candidate| candidate.member)
     }
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one instance.
+//! The scheduler of one instance: its inputs, and when it attempts which run.
 
 mod attempt;
 mod attempt_queue;
@@ -18,26 +18,28 @@
 use store_connection::StoreConnection;
 use timestamps::{UnixTime, whole_millis};
 
-/// The difference in progress between the two clocks beyond which the Unix clock counts as stepped.
+/// The difference between the progress of the Unix clock and that of the monotonic clock since the last reading, beyond which
+/// the Unix clock counts as stepped.
 const MIN_CLOCK_STEP: Duration = Duration::from_millis(250);
 /// The percentage of a period over which the attempts of all ranks are spread. The rest remains for the run.
 const ATTEMPT_SPREAD_PERCENT: u64 = 60;
 
-/// The scheduler of one instance. Methods append their actions to `out`.
+/// The scheduler of one instance. Its methods append the resulting actions to `actions`.
 #[derive(Debug)]
 pub struct Scheduler {
     config: Config,
     local_member: MemberHash,
     members: Members,
     jobs: Vec<JobState>,
+    /// The index in `jobs` by job name.
     index_by_name: HashMap<String, usize>,
     attempts: AttemptQueue,
     store: StoreConnection,
-    last_clock: Option<ClockReading>,
+    last_reading: Option<ClockReading>,
 }
 
 impl Scheduler {
-    /// Creates a scheduler without jobs whose only member is its own instance.
+    /// Creates a scheduler that has no jobs and whose only live member is this instance.
     pub fn new(config: Config) -> Self {
         let mut members = Members::default();
         members.replace([config.instance.clone()]);
@@ -49,13 +51,14 @@
             index_by_name: HashMap::new(),
             attempts: AttemptQueue::default(),
             store: StoreConnection::default(),
-            last_clock: None,
+            last_reading: None,
         }
     }
 
-    /// Replaces the jobs. Jobs that remain keep their state.
+    /// Replaces the jobs. A job whose name remains keeps its state. A job with a period below one millisecond, or with the
+    /// name of an earlier job in the list, is ignored.
     pub fn set_jobs(&mut self, now: ClockReading, jobs: Vec<Job>) {
-        let mut before: HashMap<String, JobState> =
+        let mut previous: HashMap<String, JobState> =
             std::mem::take(&mut self.jobs).into_iter().map(|state| (state.job.name.clone(), state)).collect();
         self.index_by_name.clear();
         self.attempts.clear();
@@ -63,7 +66,7 @@
             if whole_millis(job.period) == 0 || self.index_by_name.contains_key(&job.name) {
                 continue;
             }
-            let mut state = before
+            let mut state = previous
                 .remove(&job.name)
                 .unwrap_or_else(|| JobState::new(job.clone(), &self.members, self.config.standbys + 1));
             state.job = job;
@@ -73,107 +76,109 @@
         self.schedule_all(now);
     }
 
-    /// Replaces the live members. This instance is always one of them.
+    /// Replaces the live members. This instance is always one of them, even if `names` does not contain it.
     pub fn set_members(&mut self, now: ClockReading, names: impl IntoIterator<Item = String>) {
-        let local = self.config.instance.clone();
-        let change = self.members.replace(names.into_iter().chain([local]));
+        let local_name = self.config.instance.clone();
+        let change = self.members.replace(names.into_iter().chain([local_name]));
         if change.is_empty() {
             return;
         }
-        for index in 0..self.jobs.len() {
-            if self.jobs[index].ranking.update(&self.members, &change) {
-                self.schedule_next_run(index, now);
+        for job_index in 0..self.jobs.len() {
+            if self.jobs[job_index].ranking.update(&self.members, &change) {
+                self.schedule_next_run(job_index, now);
             }
         }
     }
 
-    /// Returns the moment at which [`Scheduler::tick`] must be called next.
+    /// Returns the time at which the next attempt is due, and [`Scheduler::tick`] must be called at the latest. `None` if no
+    /// attempt is scheduled.
     pub fn next_tick(&self) -> Option<UnixTime> {
         self.attempts.next_due()
     }
 
-    /// Returns the status of all jobs.
+    /// Returns the status of all jobs, in the order in which they were set.
     pub fn job_statuses(&self) -> Vec<JobStatus> {
         self.jobs.iter().map(|state| state.status(&self.members, self.local_member)).collect()
     }
 
-    /// Returns whether the lease store is unavailable.
+    /// Returns whether the lease store is unavailable: its last calls have failed.
     pub fn is_store_unavailable(&self) -> bool {
         self.store.is_unavailable()
     }
 
-    /// Returns the current session. The driver ends it on shutdown.
+    /// Returns the current session, which the driver must end on shutdown. `None` if no session is open.
     pub fn session(&self) -> Option<&Session> {
         self.store.session()
     }
 
-    /// Renews the session and attempts the runs that are due.
-    pub fn tick(&mut self, now: ClockReading, out: &mut Vec<Action>) {
-        self.detect_clock_step(now, out);
+    /// Renews the session if that is due, and attempts the runs that are due.
+    pub fn tick(&mut self, now: ClockReading, actions: &mut Vec<Action>) {
+        self.detect_clock_step(now, actions);
         if self.jobs.is_empty() {
             return;
         }
         if let Some(session) = self.store.start_renewal(now, self.config.session_renewal_interval) {
-            out.push(Action::CallStore(StoreCall::RenewSession(session)));
+            actions.push(Action::CallStore(StoreCall::RenewSession(session)));
         }
-        let mut reads = Vec::new();
-        while let Some(index) = self.attempts.pop_due(now.unix) {
-            self.attempt(index, now, &mut reads, out);
+        let mut jobs_to_read = Vec::new();
+        while let Some(job_index) = self.attempts.pop_due(now.unix) {
+            self.attempt(job_index, now, &mut jobs_to_read, actions);
         }
-        if !reads.is_empty() {
-            self.read_leases(&reads, out);
+        if !jobs_to_read.is_empty() {
+            self.read_leases(&jobs_to_read, actions);
         }
     }
 
     /// Reads the leases of these jobs with one call.
-    fn read_leases(&mut self, indexes: &[usize], out: &mut Vec<Action>) {
+    fn read_leases(&mut self, job_indexes: &[usize], actions: &mut Vec<Action>) {
         let call = self.store.next_call();
-        for &index in indexes {
-            let phase = &mut self.jobs[index].phase;
+        for &job_index in job_indexes {
+            let phase = &mut self.jobs[job_index].phase;
             *phase = match phase {
-                Phase::Uncertain { .. } => Phase::Uncertain { read: Some(call) },
+                Phase::Uncertain { .. } => Phase::Uncertain { pending_read: Some(call) },
                 _ => Phase::Reading(call),
             };
         }
-        let jobs = indexes.iter().map(|&index| self.jobs[index].job.name.clone()).collect();
-        out.push(Action::CallStore(StoreCall::ReadLeases { call, jobs }));
+        let jobs = job_indexes.iter().map(|&job_index| self.jobs[job_index].job.name.clone()).collect();
+        actions.push(Action::CallStore(StoreCall::ReadLeases { call, jobs }));
     }
 
-    /// Detects a step of the Unix clock and schedules all attempts again.
-    fn detect_clock_step(&mut self, now: ClockReading, out: &mut Vec<Action>) {
-        let Some(before) = self.last_clock.replace(now) else { return };
-        let by_ms = now.unix_step_ms_since(before);
+    /// Detects a step of the Unix clock since the last tick. After a step, schedules all attempts again.
+    fn detect_clock_step(&mut self, now: ClockReading, actions: &mut Vec<Action>) {
+        let Some(previous) = self.last_reading.replace(now) else { return };
+        let by_ms = now.unix_step_ms_since(previous);
         if Duration::from_millis(by_ms.unsigned_abs()) > MIN_CLOCK_STEP {
-            out.push(Action::Notify(Notice::ClockStepped { by_ms }));
+            actions.push(Action::Notify(Notice::ClockStepped { by_ms }));
             self.schedule_all(now);
         }
     }
 
     fn schedule_all(&mut self, now: ClockReading) {
-        for index in 0..self.jobs.len() {
-            self.schedule_next_run(index, now);
+        for job_index in 0..self.jobs.len() {
+            self.schedule_next_run(job_index, now);
         }
     }
 
-    /// Schedules a job's next attempt, delayed by this instance's rank, in the first run that is not settled.
-    fn schedule_next_run(&mut self, index: usize, now: ClockReading) {
-        let state = &self.jobs[index];
+    /// Schedules an idle job's next attempt, at the first run that is not settled. The attempt is delayed according to this
+    /// instance's rank.
+    fn schedule_next_run(&mut self, job_index: usize, now: ClockReading) {
+        let state = &self.jobs[job_index];
         if state.phase != Phase::Idle {
             return;
         }
         let Some(rank) = state.ranking.rank(self.local_member) else {
-            self.attempts.cancel(index);
+            self.attempts.cancel(job_index);
             return;
         };
         let mut run = state.job.run_at(now.unix);
-        if state.settled >= run {
-            run = state.job.run_after(state.settled);
+        if state.last_settled_run >= run {
+            run = state.job.run_after(state.last_settled_run);
         }
         let due_at = self.attempt_due_at(&state.job, run, rank);
-        self.attempts.schedule(index, due_at.max(now.unix));
+        self.attempts.schedule(job_index, due_at.max(now.unix));
     }
 
-    /// Returns when the instance with this rank attempts a run.
+    /// Returns the time at which the member with this rank attempts a run.
     fn attempt_due_at(&self, job: &Job, run: RunId, rank: usize) -> UnixTime {
         let scheduled = UnixTime::from(run);
         if rank == 0 {
@@ -181,40 +186,42 @@
         }
         let stagger_ms = whole_millis(self.stagger(job));
         let due_unix_ms = scheduled.as_millis() + rank as u64 * stagger_ms;
-        // Round up so that attempts close together share one read.
+        // The time is rounded up so that the attempts of several jobs that are due close together share one read.
         let granularity_ms = (stagger_ms / 2).max(1);
         UnixTime::from_millis(due_unix_ms.next_multiple_of(granularity_ms))
     }
 
-    /// Schedules another attempt at the same run.
-    fn retry_later(&mut self, index: usize, now: ClockReading) {
-        let stagger = self.stagger(&self.jobs[index].job);
-        self.attempts.schedule(index, now.unix + stagger);
+    /// Schedules another attempt at a job's current run, one stagger interval from now.
+    fn retry_later(&mut self, job_index: usize, now: ClockReading) {
+        let stagger = self.stagger(&self.jobs[job_index].job);
+        self.attempts.schedule(job_index, now.unix + stagger);
     }
 
-    /// Returns the delay between the attempts of two successive ranks. The last attempt leaves time for the run.
+    /// Returns the delay between the attempts of members with successive ranks. After the attempt of the last rank, enough of
+    /// the period remains for the run.
     fn stagger(&self, job: &Job) -> Duration {
         let ranks = self.config.standbys as u64 + 1;
         let stagger_ms = whole_millis(job.period) * ATTEMPT_SPREAD_PERCENT / 100 / ranks;
         Duration::from_millis(stagger_ms.max(1))
     }
 
-    /// Discards the session and all cached leases, and schedules all attempts again.
-    fn reset_store(&mut self, now: ClockReading, reason: ResetReason, out: &mut Vec<Action>) {
+    /// Discards the session and all cached leases, and schedules an attempt of every job of which this instance is owner or
+    /// standby.
+    fn reset_store(&mut self, now: ClockReading, reason: ResetReason, actions: &mut Vec<Action>) {
         if self.store.reset() {
-            out.push(Action::Notify(Notice::StoreReset(reason)));
+            actions.push(Action::Notify(Notice::StoreReset(reason)));
         }
-        for index in 0..self.jobs.len() {
-            let state = &mut self.jobs[index];
+        for job_index in 0..self.jobs.len() {
+            let state = &mut self.jobs[job_index];
             state.cached_lease = None;
-            // A lease that was being written may or may not be stored. A read resolves it.
+            // The pending write of a lease may or may not be applied. Reading the lease resolves its outcome.
             state.phase = match state.phase {
-                Phase::Writing { seed: false, .. } => Phase::Uncertain { read: None },
-                Phase::Uncertain { read } => Phase::Uncertain { read },
+                Phase::Writing { is_seed: false, .. } => Phase::Uncertain { pending_read: None },
+                Phase::Uncertain { pending_read } => Phase::Uncertain { pending_read },
                 _ => Phase::Idle,
             };
             if state.ranking.rank(self.local_member).is_some() {
-                self.attempts.schedule(index, now.unix);
+                self.attempts.schedule(job_index, now.unix);
             }
         }
     }
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -1,4 +1,4 @@
-//! The attempt at a run, from its due moment to the start of the run.
+//! The steps of an attempt at a run, from the time when it is due to the start of the run.
 
 use super::Scheduler;
 use super::job_state::{LastRun, Phase};
@@ -8,54 +8,55 @@
 use timestamps::UnixTime;
 
 impl Scheduler {
-    /// Attempts the run of the current period. Adds the job to `reads` if its lease must be read first.
+    /// Attempts a job's run of the current period. Adds the job to `jobs_to_read` if its lease must be read first.
     pub(super) fn attempt(
         &mut self,
-        index: usize,
+        job_index: usize,
         now: ClockReading,
-        reads: &mut Vec<usize>,
-        out: &mut Vec<Action>,
+        jobs_to_read: &mut Vec<usize>,
+        actions: &mut Vec<Action>,
     ) {
-        if !self.prepare_attempt(index, now) {
+        if !self.prepare_attempt(job_index, now) {
             return;
         }
-        if !self.is_store_ready(now, out) {
-            self.retry_later(index, now);
+        if !self.is_store_ready(now, actions) {
+            self.retry_later(job_index, now);
             return;
         }
-        let state = &self.jobs[index];
+        let state = &self.jobs[job_index];
         let is_owner = state.ranking.rank(self.local_member) == Some(0);
         let is_lease_known = state.cached_lease.is_some() && !matches!(state.phase, Phase::Uncertain { .. });
-        // The owner wrote the cached lease itself and can skip the read.
+        // The owner normally wrote the cached lease itself and skips the read. If the cached lease is outdated, the
+        // compare-and-set fails.
         if is_owner && is_lease_known && !self.store.is_unavailable() {
-            self.continue_attempt(index, now, out);
+            self.continue_attempt(job_index, now, actions);
         } else {
-            reads.push(index);
+            jobs_to_read.push(job_index);
         }
     }
 
-    /// Sets the current run of a job. Returns whether there is a run to attempt.
-    fn prepare_attempt(&mut self, index: usize, now: ClockReading) -> bool {
-        let state = &mut self.jobs[index];
+    /// Sets the current run of a job. Returns whether it is to be attempted now.
+    fn prepare_attempt(&mut self, job_index: usize, now: ClockReading) -> bool {
+        let state = &mut self.jobs[job_index];
         let run = state.job.run_at(now.unix);
         match state.phase {
             Phase::Idle => {
-                if state.settled >= run || state.ranking.rank(self.local_member).is_none() {
-                    self.schedule_next_run(index, now);
+                if state.last_settled_run >= run || state.ranking.rank(self.local_member).is_none() {
+                    self.schedule_next_run(job_index, now);
                     return false;
                 }
                 if state.current_run != run {
                     state.current_run = run;
-                    state.conflicts = 0;
+                    state.conflict_count = 0;
                 }
                 true
             }
             Phase::Uncertain { .. } if state.current_run == run => true,
-            // The period of the uncertain run is over. Even if it was acquired, it may no longer start.
+            // The period of the run with the uncertain lease is over. Even if the run was acquired, it may no longer start.
             Phase::Uncertain { .. } => {
                 state.settle_current_run();
                 state.abandon_attempt();
-                self.schedule_next_run(index, now);
+                self.schedule_next_run(job_index, now);
                 false
             }
             // The response to the pending call continues the attempt.
@@ -63,100 +64,114 @@
         }
     }
 
-    /// Returns whether there is a session and a call may be made. Opens a session if there is none.
-    fn is_store_ready(&mut self, now: ClockReading, out: &mut Vec<Action>) -> bool {
+    /// Returns whether there is a session and the store may be called. Opens a session if there is none.
+    fn is_store_ready(&mut self, now: ClockReading, actions: &mut Vec<Action>) -> bool {
         let retry_interval = self.config.store_retry_interval;
         if self.store.session().is_some() {
             return self.store.may_call(now, retry_interval);
         }
         if self.store.start_opening(now, retry_interval) {
-            out.push(Action::CallStore(StoreCall::OpenSession));
+            actions.push(Action::CallStore(StoreCall::OpenSession));
         }
         false
     }
 
-    fn acquire_request(&self, index: usize, now: ClockReading) -> AcquireRequest {
-        let state = &self.jobs[index];
+    fn acquire_request(&self, job_index: usize, now: ClockReading) -> AcquireRequest {
+        let state = &self.jobs[job_index];
         let Config { instance, incarnation, max_clock_skew, .. } = &self.config;
         let run = state.current_run;
-        // Never 0, which marks a seed, and different for each incarnation.
+        // The hash differs for each incarnation of an instance. Its lowest bit is set because the id 0 marks a seed.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
         let seed_run = state.job.run_at(now.unix + *max_clock_skew);
         AcquireRequest { run, lease_id, seed_run }
     }
 
-    /// Continues an attempt from the cached lease.
-    pub(super) fn continue_attempt(&mut self, index: usize, now: ClockReading, out: &mut Vec<Action>) {
-        let request = self.acquire_request(index, now);
-        let state = &mut self.jobs[index];
+    /// Continues a job's attempt with the step that follows from the cached lease.
+    pub(super) fn continue_attempt(
+        &mut self,
+        job_index: usize,
+        now: ClockReading,
+        actions: &mut Vec<Action>,
+    ) {
+        let request = self.acquire_request(job_index, now);
+        let state = &mut self.jobs[job_index];
         let last_run_changed = state.update_last_run();
         if state.job.run_at(now.unix) != request.run {
-            // The period of the run ended before the response arrived.
+            // The period of the run ended while the lease was being read.
             state.phase = Phase::Idle;
-            self.schedule_next_run(index, now);
+            self.schedule_next_run(job_index, now);
             return;
         }
         match decide(state.cached_lease.as_ref(), &request) {
-            Decision::Settled => self.accept_settled_run(index, now, last_run_changed, out),
+            Decision::Settled => self.accept_settled_run(job_index, now, last_run_changed, actions),
             Decision::AlreadyHeld => {
                 let (job, run) = (state.job.name.clone(), request.run);
-                out.push(Action::Notify(Notice::LeaseRecovered { job, run }));
-                self.start_run(index, now, out);
+                actions.push(Action::Notify(Notice::LeaseRecovered { job, run }));
+                self.start_run(job_index, now, actions);
+            }
+            Decision::Seed => {
+                self.write_record(job_index, now, request.seed_record(), ABSENT_KEY_INDEX, actions)
             }
-            Decision::Seed => self.write_record(index, now, request.seed_record(), ABSENT_KEY_INDEX, out),
             Decision::CompareAndSet { expected_index } => {
                 let record = request.lease_record(&self.config.instance);
-                self.write_record(index, now, record, expected_index, out);
+                self.write_record(job_index, now, record, expected_index, actions);
             }
         }
     }
 
-    /// Gives up the current run because the cached lease settles it.
+    /// Gives up a job's current run because the cached lease settles it.
     fn accept_settled_run(
         &mut self,
-        index: usize,
+        job_index: usize,
         now: ClockReading,
         last_run_changed: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let state = &mut self.jobs[index];
-        let settled = state.cached_lease.as_ref().map_or(RunId::default(), |lease| lease.record.run);
-        let latest = now.unix + state.job.period + 2 * self.config.max_clock_skew;
-        let ahead_of_clocks = UnixTime::from(settled) > latest;
+        let state = &mut self.jobs[job_index];
+        let settled_run = state.cached_lease.as_ref().map_or(RunId::default(), |lease| lease.record.run);
+        let latest_plausible = now.unix + state.job.period + 2 * self.config.max_clock_skew;
+        let ahead_of_clocks = UnixTime::from(settled_run) > latest_plausible;
         if ahead_of_clocks && last_run_changed {
             let job = state.job.name.clone();
-            out.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled }));
+            actions.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled_run }));
         }
-        // No clock within the maximum skew can have written such a record. Read it again in each run.
-        state.settled = if ahead_of_clocks { state.current_run } else { settled };
+        // No instance whose clock is within the maximum skew can have written a record ahead of all clocks. It settles only the
+        // current run, so the run of the next period is attempted again.
+        state.last_settled_run = if ahead_of_clocks { state.current_run } else { settled_run };
         state.phase = Phase::Idle;
-        self.schedule_next_run(index, now);
+        self.schedule_next_run(job_index, now);
     }
 
-    /// Writes a record by compare-and-set.
+    /// Writes a job's record by compare-and-set. Without a session, retries the attempt later.
     fn write_record(
         &mut self,
-        index: usize,
+        job_index: usize,
         now: ClockReading,
         record: LeaseRecord,
         expected_index: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(session) = self.store.session().cloned() else {
-            self.jobs[index].phase = Phase::Idle;
-            self.retry_later(index, now);
+            self.jobs[job_index].phase = Phase::Idle;
+            self.retry_later(job_index, now);
             return;
         };
         let call = self.store.next_call();
-        let state = &mut self.jobs[index];
-        state.phase = Phase::Writing { call, seed: record.is_seed() };
+        let state = &mut self.jobs[job_index];
+        state.phase = Phase::Writing { call, is_seed: record.is_seed() };
         let job = state.job.name.clone();
-        out.push(Action::CallStore(StoreCall::CompareAndSet { call, job, record, expected_index, session }));
+        actions.push(Action::CallStore(StoreCall::CompareAndSet {
+            call,
+            job,
+            record,
+            expected_index,
+            session,
+        }));
     }
 
-    /// Starts the current run, whose lease is confirmed, unless its deadline has passed.
-    pub(super) fn start_run(&mut self, index: usize, now: ClockReading, out: &mut Vec<Action>) {
-        let state = &mut self.jobs[index];
+    /// Starts a job's current run, whose lease is confirmed, unless the run has started before or its deadline has passed.
+    pub(super) fn start_run(&mut self, job_index: usize, now: ClockReading, actions: &mut Vec<Action>) {
+        let state = &mut self.jobs[job_index];
         state.phase = Phase::Idle;
         state.settle_current_run();
         let (job, run) = (state.job.name.clone(), state.current_run);
@@ -164,13 +179,13 @@
         let period_end = UnixTime::from(run) + state.job.period;
         let deadline = period_end.saturating_sub(self.config.start_margin);
         let time_left = deadline.saturating_since(now.unix);
-        let has_started = run <= state.last_run_here;
+        let has_started = run <= state.last_started_run;
         if !has_started && time_left.is_zero() {
-            out.push(Action::Notify(Notice::AcquiredTooLate { job, run }));
+            actions.push(Action::Notify(Notice::AcquiredTooLate { job, run }));
         } else if !has_started {
-            state.last_run_here = run;
-            out.push(Action::StartRun(Run { job, id: run, deadline: now + time_left }));
+            state.last_started_run = run;
+            actions.push(Action::StartRun(Run { job, id: run, deadline: now + time_left }));
         }
-        self.schedule_next_run(index, now);
+        self.schedule_next_run(job_index, now);
     }
 }
--- a/crates/periodic_jobs/src/scheduler/attempt_queue.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt_queue.rs
@@ -1,4 +1,4 @@
-//! The moments at which jobs are attempted next.
+//! The times at which the next runs of the jobs are attempted.
 
 use std::collections::{BTreeSet, HashMap};
 use timestamps::UnixTime;
@@ -7,11 +7,11 @@
 #[derive(Debug, Default)]
 pub(super) struct AttemptQueue {
     by_time: BTreeSet<DueAttempt>,
-    /// The due moment of each job in `by_time`.
-    due_at: HashMap<usize, UnixTime>,
+    /// The due time of each attempt in `by_time`, by the index of its job.
+    due_at_by_job: HashMap<usize, UnixTime>,
 }
 
-/// An attempt of a job, ordered by its due moment.
+/// The next attempt of a job. Attempts are ordered by their due times, then by their job indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueAttempt {
     due_at: UnixTime,
@@ -19,16 +19,16 @@
 }
 
 impl AttemptQueue {
-    /// Schedules the next attempt of a job in place of the one scheduled before.
+    /// Schedules the next attempt of a job. Replaces the job's scheduled attempt, if there is one.
     pub(super) fn schedule(&mut self, job_index: usize, due_at: UnixTime) {
         self.cancel(job_index);
-        self.due_at.insert(job_index, due_at);
+        self.due_at_by_job.insert(job_index, due_at);
         self.by_time.insert(DueAttempt { due_at, job_index });
     }
 
-    /// Cancels the next attempt of a job.
+    /// Cancels the next attempt of a job, if one is scheduled.
     pub(super) fn cancel(&mut self, job_index: usize) {
-        if let Some(due_at) = self.due_at.remove(&job_index) {
+        if let Some(due_at) = self.due_at_by_job.remove(&job_index) {
             self.by_time.remove(&DueAttempt { due_at, job_index });
         }
     }
@@ -36,21 +36,21 @@
     /// Cancels all attempts.
     pub(super) fn clear(&mut self) {
         self.by_time.clear();
-        self.due_at.clear();
+        self.due_at_by_job.clear();
     }
 
-    /// Returns the moment of the next attempt of any job.
+    /// Returns the due time of the earliest scheduled attempt.
     pub(super) fn next_due(&self) -> Option<UnixTime> {
         self.by_time.first().map(|attempt| attempt.due_at)
     }
 
-    /// Removes the next attempt that is due and returns the index of its job.
+    /// Removes the earliest attempt if it is due, and returns the index of its job.
     pub(super) fn pop_due(&mut self, now: UnixTime) -> Option<usize> {
         if self.next_due()? > now {
             return None;
         }
         let attempt = self.by_time.pop_first()?;
-        self.due_at.remove(&attempt.job_index);
+        self.due_at_by_job.remove(&attempt.job_index);
         Some(attempt.job_index)
     }
 }
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -1,30 +1,30 @@
-//! The state of one job in the scheduler.
+//! The scheduler's state of one job, and the part of it that operators see.
 
 use crate::rendezvous::{JobHash, MemberHash, Members, Ranking};
 use crate::{CallId, Job};
 use job_lease::{LeaseRecord, RunId, StoredLease};
 
-/// The status of a job.
+/// The status of a job, as seen by one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStatus {
-    /// The job.
+    /// The job's name and period.
     pub job: Job,
-    /// The name of the member with rank 0.
+    /// The name of the live member with rank 0, which attempts each run first.
     pub owner: String,
     /// The rank of this instance. `None` if it is neither owner nor standby.
     pub rank: Option<usize>,
-    /// The last acquired run known to this instance.
+    /// The run in the last lease record that this instance has seen. `None` if it has not seen any yet.
     pub last_run: Option<LastRun>,
     /// The last run that this instance started. 0 if there is none.
     pub last_run_here: RunId,
 }
 
-/// The last acquired run of a job, as known to this instance.
+/// The run in the last lease record that an instance has seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastRun {
-    /// The run.
+    /// The acquired run, or the run of a seed.
     pub run: RunId,
-    /// The lease holder's name. Empty for a seed.
+    /// The name of the instance that holds the lease. Empty for a seed.
     pub holder: String,
 }
 
@@ -34,23 +34,23 @@
     }
 }
 
-/// The progress of the attempt at a run.
+/// The call to the store that an attempt at a run waits for.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No call to the store is pending.
+    /// No read or write is pending.
     Idle,
-    /// The lease is being read.
+    /// The read with this id is pending.
     Reading(CallId),
-    /// A record is being written.
+    /// The write with this id is pending.
     Writing {
         call: CallId,
-        /// Whether the record is a seed.
-        seed: bool,
+        /// Whether the record to write is a seed.
+        is_seed: bool,
     },
-    /// The outcome of a write is unknown. The lease must be read next.
+    /// The outcome of a write is unknown. The lease must be read before the attempt continues.
     Uncertain {
-        /// The pending read.
-        read: Option<CallId>,
+        /// The id of the pending read. `None` if the read has not been requested yet.
+        pending_read: Option<CallId>,
     },
 }
 
@@ -59,7 +59,7 @@
     pub(super) fn awaits_read(&self, call: CallId) -> bool {
         match self {
             Self::Reading(pending) => *pending == call,
-            Self::Uncertain { read } => *read == Some(call),
+            Self::Uncertain { pending_read } => *pending_read == Some(call),
             Self::Idle | Self::Writing { .. } => false,
         }
     }
@@ -70,22 +70,24 @@
     }
 }
 
-/// A job and its state.
+/// A job, the ranking of members for it, and the progress of its attempts.
 #[derive(Debug)]
 pub(super) struct JobState {
     pub(super) job: Job,
     pub(super) ranking: Ranking,
     pub(super) phase: Phase,
-    /// The run of the current attempt.
+    /// The run of the current or last attempt.
     pub(super) current_run: RunId,
     /// The latest settled run. All earlier runs are settled too.
-    pub(super) settled: RunId,
-    /// The stored lease as last read or written.
+    pub(super) last_settled_run: RunId,
+    /// The stored lease as last read or written. `None` if it must be read or the key does not exist.
     pub(super) cached_lease: Option<StoredLease>,
+    /// The run in the last lease record that this instance has seen. Unlike `cached_lease`, it is kept after a reset.
     pub(super) last_run: Option<LastRun>,
-    pub(super) last_run_here: RunId,
-    /// The number of conflicting writes in the current run.
-    pub(super) conflicts: u8,
+    /// The last run that this instance started. 0 if there is none.
+    pub(super) last_started_run: RunId,
+    /// The number of the current run's writes that conflicted with a write of another instance.
+    pub(super) conflict_count: u8,
 }
 
 impl JobState {
@@ -95,11 +97,11 @@
             job,
             phase: Phase::Idle,
             current_run: RunId::default(),
-            settled: RunId::default(),
+            last_settled_run: RunId::default(),
             cached_lease: None,
             last_run: None,
-            last_run_here: RunId::default(),
-            conflicts: 0,
+            last_started_run: RunId::default(),
+            conflict_count: 0,
         }
     }
 
@@ -110,22 +112,22 @@
             owner: owner.unwrap_or_default().to_owned(),
             rank: self.ranking.rank(local_member),
             last_run: self.last_run.clone(),
-            last_run_here: self.last_run_here,
+            last_run_here: self.last_started_run,
         }
     }
 
-    /// Marks the current run as settled. This instance does not attempt it again.
+    /// Marks the current run as settled, so that this instance does not attempt it again.
     pub(super) fn settle_current_run(&mut self) {
-        self.settled = self.settled.max(self.current_run);
+        self.last_settled_run = self.last_settled_run.max(self.current_run);
     }
 
-    /// Ends the attempt and discards the cached lease. The next attempt reads it.
+    /// Ends the attempt and discards the cached lease, so that the next attempt reads the lease.
     pub(super) fn abandon_attempt(&mut self) {
         self.phase = Phase::Idle;
         self.cached_lease = None;
     }
 
-    /// Updates the last run from the cached lease. Returns whether it has changed.
+    /// Sets `last_run` from the cached lease. Returns whether it has changed.
     pub(super) fn update_last_run(&mut self) -> bool {
         let Some(lease) = &self.cached_lease else { return false };
         let last_run = Some(LastRun::from(&lease.record));
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -1,207 +1,221 @@
-//! The handling of responses of the lease store.
+//! Handlers for the responses of the lease store.
 
 use super::Scheduler;
 use super::job_state::Phase;
 use crate::{Action, CallId, ClockReading, Notice, ResetReason, StoreResponse};
 use job_lease::{CompareAndSetOutcome, LeaseListing, LeaseRecord, Session, StoreError, StoredLease};
 
-/// The number of conflicting writes after which a run is given up. Another instance is acquiring it.
-const MAX_CONFLICTS: u8 = 3;
+/// The maximum number of retries of a run after conflicting writes. After one more conflict the run is given up, because
+/// another instance is acquiring it.
+const MAX_CONFLICT_RETRIES: u8 = 3;
 
 impl Scheduler {
-    /// Handles the response to an [`Action::CallStore`].
+    /// Handles the response to a call that [`Action::CallStore`] requested.
     pub fn handle_store_response(
         &mut self,
         now: ClockReading,
         response: StoreResponse,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match response {
-            StoreResponse::SessionOpened(result) => self.session_opened(now, result, out),
+            StoreResponse::SessionOpened(result) => self.handle_session_opened(now, result, actions),
             StoreResponse::SessionRenewed { session, result } => {
-                self.session_renewed(now, &session, result, out);
+                self.handle_session_renewed(now, &session, result, actions);
             }
             StoreResponse::LeasesRead { call, jobs, result } => {
-                self.leases_read(now, call, &jobs, result, out);
+                self.handle_leases_read(now, call, &jobs, result, actions);
             }
             StoreResponse::CompareAndSetDone { call, job, record, outcome } => {
-                self.compare_and_set_done(now, call, &job, &record, outcome, out);
+                self.handle_compare_and_set_done(now, call, &job, &record, outcome, actions);
             }
         }
     }
 
-    fn session_opened(
+    fn handle_session_opened(
         &mut self,
         now: ClockReading,
-        response: Result<Session, StoreError>,
-        out: &mut Vec<Action>,
+        result: Result<Session, StoreError>,
+        actions: &mut Vec<Action>,
     ) {
         self.store.finish_opening();
-        match response {
+        match result {
             Ok(session) => {
-                self.store.opened(now, session);
-                self.store.record_success(out);
-                self.tick(now, out);
+                self.store.set_session(now, session);
+                self.store.record_success(actions);
+                self.tick(now, actions);
             }
-            Err(error) => self.store.record_failure(&error, out),
+            Err(error) => self.store.record_failure(&error, actions),
         }
     }
 
-    fn session_renewed(
+    fn handle_session_renewed(
         &mut self,
         now: ClockReading,
         session: &Session,
-        response: Result<bool, StoreError>,
-        out: &mut Vec<Action>,
+        result: Result<bool, StoreError>,
+        actions: &mut Vec<Action>,
     ) {
         if self.store.session() != Some(session) {
             return;
         }
-        match response {
+        match result {
             Ok(true) => self.store.finish_renewal(now.monotonic),
             Ok(false) => {
                 self.store.cancel_renewal();
-                self.reset_store(now, ResetReason::SessionEnded, out);
+                self.reset_store(now, ResetReason::SessionEnded, actions);
             }
             Err(error) => {
-                // Retry after a tenth of the interval. If the session ends before, the next write detects it.
+                // Renew again after a tenth of the interval. If the session ends before that, the next write detects it.
                 let elapsed = self.config.session_renewal_interval * 9 / 10;
                 self.store.finish_renewal(now.monotonic.saturating_sub(elapsed));
-                self.store.record_failure(&error, out);
+                self.store.record_failure(&error, actions);
             }
         }
     }
 
-    fn leases_read(
+    fn handle_leases_read(
         &mut self,
         now: ClockReading,
         call: CallId,
         jobs: &[String],
-        response: Result<LeaseListing, StoreError>,
-        out: &mut Vec<Action>,
+        result: Result<LeaseListing, StoreError>,
+        actions: &mut Vec<Action>,
     ) {
-        match response {
-            // The read was made before the last reset. Its result may be outdated.
+        match result {
+            // The read was requested before the last reset, so its result may be outdated.
             Ok(_) if !self.store.is_valid_call(call) => {}
             Ok(listing) => {
-                self.store.record_success(out);
+                self.store.record_success(actions);
                 if self.store.index_decreased(listing.store_index) {
-                    self.reset_store(now, ResetReason::IndexDecreased, out);
+                    self.reset_store(now, ResetReason::IndexDecreased, actions);
                 } else {
-                    self.apply_listing(now, call, listing, out);
+                    self.continue_after_read(now, call, listing, actions);
                 }
             }
             Err(error) => {
-                self.store.record_failure(&error, out);
+                self.store.record_failure(&error, actions);
                 self.retry_reads(now, call, jobs);
             }
         }
     }
 
-    fn apply_listing(
+    fn continue_after_read(
         &mut self,
         now: ClockReading,
         call: CallId,
         listing: LeaseListing,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         for listed in listing.leases {
-            if let Some(index) = self.awaiting_read(&listed.job, call) {
-                self.jobs[index].cached_lease = listed.lease;
-                self.continue_attempt(index, now, out);
+            if let Some(job_index) = self.job_awaiting_read(&listed.job, call) {
+                self.jobs[job_index].cached_lease = listed.lease;
+                self.continue_attempt(job_index, now, actions);
             }
         }
     }
 
     fn retry_reads(&mut self, now: ClockReading, call: CallId, jobs: &[String]) {
         for job in jobs {
-            if let Some(index) = self.awaiting_read(job, call) {
-                if let Phase::Reading(_) = self.jobs[index].phase {
-                    self.jobs[index].phase = Phase::Idle;
+            if let Some(job_index) = self.job_awaiting_read(job, call) {
+                if let Phase::Reading(_) = self.jobs[job_index].phase {
+                    self.jobs[job_index].phase = Phase::Idle;
                 }
-                self.retry_later(index, now);
+                self.retry_later(job_index, now);
             }
         }
     }
 
-    /// Returns the index of a job if it awaits the response to this read.
-    fn awaiting_read(&self, job: &str, call: CallId) -> Option<usize> {
-        let index = *self.index_by_name.get(job)?;
-        self.jobs[index].phase.awaits_read(call).then_some(index)
+    /// Returns the index of the job with this name if the job awaits the response to this read.
+    fn job_awaiting_read(&self, job: &str, call: CallId) -> Option<usize> {
+        let job_index = *self.index_by_name.get(job)?;
+        self.jobs[job_index].phase.awaits_read(call).then_some(job_index)
     }
 
-    fn compare_and_set_done(
+    fn handle_compare_and_set_done(
         &mut self,
         now: ClockReading,
         call: CallId,
         job: &str,
         record: &LeaseRecord,
         outcome: CompareAndSetOutcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(&index) = self.index_by_name.get(job) else { return };
-        if !self.jobs[index].phase.awaits_write(call) {
+        let Some(&job_index) = self.index_by_name.get(job) else { return };
+        if !self.jobs[job_index].phase.awaits_write(call) {
             return;
         }
         match outcome {
             CompareAndSetOutcome::Applied { modify_index } => {
-                self.store.record_success(out);
+                self.store.record_success(actions);
                 let lease = StoredLease { record: record.clone(), modify_index };
-                self.lease_written(index, now, lease, out);
+                self.handle_applied_write(job_index, now, lease, actions);
             }
             CompareAndSetOutcome::Conflict => {
-                self.write_conflicted(index, now);
-                self.store.record_success(out);
+                self.handle_write_conflict(job_index, now);
+                self.store.record_success(actions);
             }
             CompareAndSetOutcome::SessionEnded => {
-                self.jobs[index].abandon_attempt();
-                self.store.record_success(out);
-                self.reset_store(now, ResetReason::SessionEnded, out);
+                self.jobs[job_index].abandon_attempt();
+                self.store.record_success(actions);
+                self.reset_store(now, ResetReason::SessionEnded, actions);
             }
             CompareAndSetOutcome::Failed(error) => {
-                self.write_failed(index, now, record, &error);
-                self.store.record_failure(&error, out);
+                self.handle_failed_write(job_index, now, record, &error);
+                self.store.record_failure(&error, actions);
             }
         }
     }
 
-    /// Starts the acquired run. After a seed, schedules the first run behind it.
-    fn lease_written(&mut self, index: usize, now: ClockReading, lease: StoredLease, out: &mut Vec<Action>) {
+    /// Starts the acquired run. If the written record is a seed, schedules the first run after the seeded one instead.
+    fn handle_applied_write(
+        &mut self,
+        job_index: usize,
+        now: ClockReading,
+        lease: StoredLease,
+        actions: &mut Vec<Action>,
+    ) {
         let (run, is_seed) = (lease.record.run, lease.record.is_seed());
-        let state = &mut self.jobs[index];
+        let state = &mut self.jobs[job_index];
         state.cached_lease = Some(lease);
         if !is_seed {
-            self.start_run(index, now, out);
+            self.start_run(job_index, now, actions);
             return;
         }
-        state.settled = run;
+        state.last_settled_run = run;
         state.phase = Phase::Idle;
         let job = state.job.name.clone();
-        out.push(Action::Notify(Notice::Seeded { job, run }));
-        self.schedule_next_run(index, now);
+        actions.push(Action::Notify(Notice::Seeded { job, run }));
+        self.schedule_next_run(job_index, now);
     }
 
-    /// Retries after another instance has changed the record, up to [`MAX_CONFLICTS`] times per run.
-    fn write_conflicted(&mut self, index: usize, now: ClockReading) {
-        let state = &mut self.jobs[index];
+    /// Retries after another instance has changed the record, up to [`MAX_CONFLICT_RETRIES`] times per run.
+    fn handle_write_conflict(&mut self, job_index: usize, now: ClockReading) {
+        let state = &mut self.jobs[job_index];
         state.abandon_attempt();
-        state.conflicts += 1;
-        if state.conflicts > MAX_CONFLICTS {
+        state.conflict_count += 1;
+        if state.conflict_count > MAX_CONFLICT_RETRIES {
             state.settle_current_run();
-            self.schedule_next_run(index, now);
+            self.schedule_next_run(job_index, now);
         } else {
-            self.attempts.schedule(index, now.unix);
+            self.attempts.schedule(job_index, now.unix);
         }
     }
 
-    fn write_failed(&mut self, index: usize, now: ClockReading, record: &LeaseRecord, error: &StoreError) {
-        self.jobs[index].abandon_attempt();
+    /// Retries the attempt after a failed write. If the write may have acquired the run, the lease is read first.
+    fn handle_failed_write(
+        &mut self,
+        job_index: usize,
+        now: ClockReading,
+        record: &LeaseRecord,
+        error: &StoreError,
+    ) {
+        self.jobs[job_index].abandon_attempt();
         match error {
             StoreError::OutcomeUnknown(_) if !record.is_seed() => {
-                self.jobs[index].phase = Phase::Uncertain { read: None };
-                self.attempts.schedule(index, now.unix);
+                self.jobs[job_index].phase = Phase::Uncertain { pending_read: None };
+                self.attempts.schedule(job_index, now.unix);
             }
-            _ => self.retry_later(index, now),
+            _ => self.retry_later(job_index, now),
         }
     }
 }
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -1,29 +1,33 @@
-//! The session with the lease store, and the availability of the store.
+//! The session with the lease store, the availability of the store, and the limit on calls while it is unavailable.
 
 use crate::{Action, CallId, ClockReading, Notice};
 use job_lease::{Session, StoreError};
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// The number of consecutive failed calls after which the store is unavailable.
+/// The number of consecutive failed calls after which the store counts as unavailable.
 const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
 
-/// The session with the store and its availability.
+/// The state of the connection to the lease store.
 #[derive(Debug, Default)]
 pub(super) struct StoreConnection {
     session: Option<Session>,
-    opening: bool,
-    renewing: bool,
-    /// The moment of the last renewal.
+    /// Whether a call that opens a session is pending.
+    is_opening: bool,
+    /// Whether a call that renews the session is pending.
+    is_renewing: bool,
+    /// The time from which the interval until the next renewal counts.
     renewed_at: MonotonicTime,
+    /// The id of the last read or write.
     last_call: CallId,
-    /// Calls before this one were made before the last reset, and their results may be outdated.
+    /// The first id since the last reset. The results of calls with lower ids may be outdated.
     first_valid_call: CallId,
     consecutive_failures: u32,
-    unavailable: bool,
-    /// The moment of the last call made while the store was unavailable.
+    is_unavailable: bool,
+    /// The time of the last trial (a call that checks whether the unavailable store has recovered) or of the last call to open
+    /// a session.
     last_trial_at: MonotonicTime,
-    /// The highest index seen since the last reset.
+    /// The highest index of the store since the last reset. 0 if unknown.
     store_index: u64,
 }
 
@@ -33,7 +37,7 @@
     }
 
     pub(super) fn is_unavailable(&self) -> bool {
-        self.unavailable
+        self.is_unavailable
     }
 
     pub(super) fn next_call(&mut self) -> CallId {
@@ -41,27 +45,27 @@
         self.last_call
     }
 
-    /// Returns whether a call was made after the last reset.
+    /// Returns whether a call was requested after the last reset. The result of an earlier call may be outdated.
     pub(super) fn is_valid_call(&self, call: CallId) -> bool {
         call >= self.first_valid_call
     }
 
-    /// Returns whether to open a session now: none is being opened, and the store is available or due for a trial. Records
-    /// the call.
+    /// Returns whether to open a session now, and records the call if so. A session is opened if no such call is pending and
+    /// the store is available or a trial is due.
     pub(super) fn start_opening(&mut self, now: ClockReading, retry_interval: Duration) -> bool {
-        let may_call = !self.unavailable || self.trial_is_due(now, retry_interval);
-        if self.opening || !may_call {
+        let may_call = !self.is_unavailable || self.trial_is_due(now, retry_interval);
+        if self.is_opening || !may_call {
             return false;
         }
-        self.opening = true;
+        self.is_opening = true;
         self.last_trial_at = now.monotonic;
         true
     }
 
-    /// Returns whether a call may be made now, and records it. While the store is unavailable, one trial is allowed per retry
-    /// interval.
+    /// Returns whether the store may be called now, and records the call if it is a trial. While the store is unavailable,
+    /// one trial is allowed per retry interval.
     pub(super) fn may_call(&mut self, now: ClockReading, retry_interval: Duration) -> bool {
-        if !self.unavailable {
+        if !self.is_unavailable {
             return true;
         }
         if !self.trial_is_due(now, retry_interval) {
@@ -75,40 +79,41 @@
         now.monotonic >= self.last_trial_at + retry_interval
     }
 
-    /// Stores an opened session.
-    pub(super) fn opened(&mut self, now: ClockReading, session: Session) {
+    /// Sets the session that was opened.
+    pub(super) fn set_session(&mut self, now: ClockReading, session: Session) {
         self.session = Some(session);
-        self.renewing = false;
+        self.is_renewing = false;
         self.renewed_at = now.monotonic;
     }
 
-    /// Records the end of a call that opens a session.
+    /// Records that the call to open a session has ended, whether or not it succeeded.
     pub(super) fn finish_opening(&mut self) {
-        self.opening = false;
+        self.is_opening = false;
     }
 
-    /// Returns the session if it is due for renewal, and records the call.
+    /// Returns the session if it is due for renewal, and then records that its renewal is pending.
     pub(super) fn start_renewal(&mut self, now: ClockReading, interval: Duration) -> Option<Session> {
         let session = self.session.as_ref()?;
-        if self.renewing || now.monotonic < self.renewed_at + interval {
+        if self.is_renewing || now.monotonic < self.renewed_at + interval {
             return None;
         }
-        self.renewing = true;
+        self.is_renewing = true;
         Some(session.clone())
     }
 
-    /// Records the end of a renewal. The next one is due one interval after `renewed_at`.
+    /// Records that the call to renew the session has ended. The next renewal is due one interval after `renewed_at`.
     pub(super) fn finish_renewal(&mut self, renewed_at: MonotonicTime) {
-        self.renewing = false;
+        self.is_renewing = false;
         self.renewed_at = renewed_at;
     }
 
-    /// Records the end of a renewal whose session no longer exists.
+    /// Records that the call to renew the session has ended because the session no longer exists.
     pub(super) fn cancel_renewal(&mut self) {
-        self.renewing = false;
+        self.is_renewing = false;
     }
 
-    /// Records the store's index, 0 if unknown. Returns whether it has decreased.
+    /// Returns whether the store's index has decreased, and records the index if not. An index of 0 is unknown and has no
+    /// effect.
     pub(super) fn index_decreased(&mut self, store_index: u64) -> bool {
         if store_index > 0 && store_index < self.store_index {
             return true;
@@ -117,28 +122,29 @@
         false
     }
 
-    /// Discards the session and the index. Returns whether there was a session.
+    /// Discards the session and the index, and treats the results of earlier reads as outdated. Returns whether there was a
+    /// session.
     pub(super) fn reset(&mut self) -> bool {
         self.first_valid_call = CallId(self.last_call.0 + 1);
         self.store_index = 0;
         self.session.take().is_some()
     }
 
-    /// Records a successful call.
-    pub(super) fn record_success(&mut self, out: &mut Vec<Action>) {
+    /// Records a call with a conclusive response. Notifies operators if the store was unavailable.
+    pub(super) fn record_success(&mut self, actions: &mut Vec<Action>) {
         self.consecutive_failures = 0;
-        if std::mem::take(&mut self.unavailable) {
-            out.push(Action::Notify(Notice::StoreAvailable));
+        if std::mem::take(&mut self.is_unavailable) {
+            actions.push(Action::Notify(Notice::StoreAvailable));
         }
     }
 
-    /// Records a failed call.
-    pub(super) fn record_failure(&mut self, error: &StoreError, out: &mut Vec<Action>) {
+    /// Records a failed call. Notifies operators if the store becomes unavailable.
+    pub(super) fn record_failure(&mut self, error: &StoreError, actions: &mut Vec<Action>) {
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= FAILURES_UNTIL_UNAVAILABLE && !self.unavailable {
-            self.unavailable = true;
+        if self.consecutive_failures >= FAILURES_UNTIL_UNAVAILABLE && !self.is_unavailable {
+            self.is_unavailable = true;
             let reason = error.cause().to_string();
-            out.push(Action::Notify(Notice::StoreUnavailable { reason }));
+            actions.push(Action::Notify(Notice::StoreUnavailable { reason }));
         }
     }
 }
--- a/crates/periodic_jobs/src/store_call.rs
+++ b/crates/periodic_jobs/src/store_call.rs
@@ -2,7 +2,8 @@
 
 use job_lease::{CompareAndSetOutcome, LeaseListing, LeaseRecord, LocalStore, Session, StoreError};
 
-/// Identifies a call to the store. The response carries the same id.
+/// Identifies a read or write of leases. The scheduler assigns ids in increasing order, and the response to a call carries
+/// the call's id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -10,26 +11,27 @@
 /// [`Scheduler::handle_store_response`](crate::Scheduler::handle_store_response).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Open a session.
+    /// Open a session, to which all writes are bound.
     OpenSession,
-    /// Renew a session.
+    /// Renew a session before it expires.
     RenewSession(Session),
     /// Read the leases of these jobs.
     ReadLeases {
-        /// The id of the call.
+        /// The id of this call.
         call: CallId,
-        /// The names of the jobs.
+        /// The names of the jobs whose leases are read.
         jobs: Vec<String>,
     },
-    /// Acquire a run or seed a key by compare-and-set.
+    /// Acquire a run of a job, or seed the job's key, by compare-and-set.
     CompareAndSet {
-        /// The id of the call.
+        /// The id of this call.
         call: CallId,
         /// The name of the job.
         job: String,
-        /// The record to write.
+        /// The lease record to write.
         record: LeaseRecord,
-        /// The index that the key must still have, [`ABSENT_KEY_INDEX`](job_lease::ABSENT_KEY_INDEX) if it must not exist.
+        /// The index that the key must still have, or [`ABSENT_KEY_INDEX`](job_lease::ABSENT_KEY_INDEX) if the key must not
+        /// exist.
         expected_index: u64,
         /// The session that the write is bound to.
         session: Session,
@@ -43,7 +45,7 @@
     SessionOpened(Result<Session, StoreError>),
     /// The response to [`StoreCall::RenewSession`].
     SessionRenewed {
-        /// The session of the call.
+        /// The session that was to be renewed.
         session: Session,
         /// Whether the session still exists.
         result: Result<bool, StoreError>,
@@ -52,9 +54,9 @@
     LeasesRead {
         /// The id of the call.
         call: CallId,
-        /// The names of the jobs.
+        /// The names of the jobs of the call.
         jobs: Vec<String>,
-        /// The leases found.
+        /// The stored leases of these jobs.
         result: Result<LeaseListing, StoreError>,
     },
     /// The response to [`StoreCall::CompareAndSet`].
@@ -63,7 +65,7 @@
         call: CallId,
         /// The name of the job.
         job: String,
-        /// The record of the call.
+        /// The lease record of the call.
         record: LeaseRecord,
         /// Whether the record was written.
         outcome: CompareAndSetOutcome,
@@ -71,7 +73,7 @@
 }
 
 impl StoreCall {
-    /// Applies the call to a store in memory. Its sessions never end.
+    /// Applies the call to a store in memory, whose sessions never end, and returns the response.
     pub fn apply_to(self, store: &mut LocalStore) -> StoreResponse {
         match self {
             Self::OpenSession => StoreResponse::SessionOpened(Ok(store.open_session())),
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Returns the response of a call that failed.
+    /// Returns the response that reports that the call failed with this error.
     pub fn fail(self, error: StoreError) -> StoreResponse {
         match self {
             Self::OpenSession => StoreResponse::SessionOpened(Err(error)),
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! Compatibility with an earlier build: hashes, the ranking of members, the scheduled times of runs, and the calls to the
-//! store with their times. The fixtures were written by the earlier build.
+//! Compatibility with an earlier build, which wrote the fixtures. Instances of both builds must agree on the hashes, the ranking
+//! of members, the scheduled times of runs, and the scheduler's actions with their times.
 
 mod support;
 
@@ -7,17 +7,20 @@
 use periodic_jobs::rendezvous::{JobHash, MemberHash, Members, Ranking};
 use periodic_jobs::{Action, ClockReading, Job, Scheduler, StoreCall};
 use std::time::Duration;
-use support::{clocks, config};
+use support::{clock_reading, config};
 use timestamps::UnixTime;
 
+/// The expected lines of `rank_lines`.
 const RANKS: &str = include_str!("fixtures/order.txt");
+/// The expected lines of `action_lines`.
 const ACTIONS: &str = include_str!("fixtures/course.txt");
 
+/// The simulated time between two ticks.
 const TICK: Duration = Duration::from_millis(5);
 
 const JOBS: [&str; 4] = ["call/close-of-day", "probe/loans-1", "probe/eu/loans-2", "d"];
 
-/// Returns a line per job with its hash, the scheduled time of a run, and the ranks of all members.
+/// Returns one line per job with the job's hash, the scheduled time of a run, and the ranks of all members.
 fn rank_lines() -> String {
     let mut members = Members::default();
     members.replace((0..6).map(|i| format!("m{i}")));
@@ -32,12 +35,13 @@
     JOBS.iter().map(|name| rank_line(name)).collect()
 }
 
-/// Returns a line per action of the scheduler of one of two instances, with a store that responds at once.
+/// Runs the scheduler of one of two instances, with a store that responds at once. Returns one line per action of the
+/// scheduler with the time in Unix milliseconds.
 fn action_lines() -> String {
     let mut scheduler = Scheduler::new(config("m0", 11));
     let mut store = LocalStore::default();
     let mut lines = String::new();
-    let mut now = clocks(1_800_000_000_000, 5_000);
+    let mut now = clock_reading(1_800_000_000_000, 5_000);
     scheduler
         .set_jobs(now, JOBS.map(|name| Job { name: name.into(), period: Duration::from_secs(1) }).to_vec());
     scheduler.set_members(now, ["m1".to_owned()]);
@@ -58,7 +62,7 @@
     lines
 }
 
-/// Returns the text of an action in the fixture.
+/// Returns the fixture's text for an action.
 fn describe(action: &Action) -> String {
     match action {
         Action::CallStore(StoreCall::OpenSession) => "open".into(),
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one instance with a lease store in memory that responds at once.
+//! Tests of the scheduler of one instance, with simulated clocks and a lease store in memory that responds at once.
 
 mod support;
 
@@ -9,11 +9,12 @@
     Action, ClockReading, Job, Notice, ResetReason, Run, Scheduler, StoreCall, StoreResponse,
 };
 use std::time::Duration;
-use support::{clocks, config};
+use support::{clock_reading, config};
 use timestamps::UnixTime;
 
+/// The period of the jobs, unless a test sets another.
 const PERIOD: Duration = Duration::from_secs(1);
-/// Time between two ticks of the simulated time.
+/// The simulated time between two ticks of the scheduler.
 const TICK: Duration = Duration::from_millis(5);
 
 fn no_response() -> StoreError {
@@ -24,42 +25,42 @@
     Job { name: name.into(), period }
 }
 
-/// Returns the run that is scheduled this much later.
-fn run_after(run: RunId, span: Duration) -> RunId {
-    (UnixTime::from(run) + span).into()
+/// Returns the run that is scheduled this much later than `run`.
+fn run_later_by(run: RunId, delay: Duration) -> RunId {
+    (UnixTime::from(run) + delay).into()
 }
 
-/// An outcome that the store returns for a write in place of the real one.
+/// An outcome that the store returns for a write in place of the actual one.
 struct InjectedOutcome {
     outcome: CompareAndSetOutcome,
-    /// Whether the write is applied nevertheless.
-    applied: bool,
+    /// Whether the store applies the write, whatever the returned outcome is.
+    is_applied: bool,
 }
 
-/// The number of calls to the store.
+/// The numbers of reads and writes that the scheduler has requested from the store.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct CallCounts {
     reads: usize,
     writes: usize,
 }
 
-/// A scheduler and its lease store.
-struct TestBed {
+/// Drives a scheduler with its lease store, and records the started runs and the notices.
+struct Harness {
     scheduler: Scheduler,
     store: LocalStore,
     now: ClockReading,
     runs: Vec<Run>,
     notices: Vec<Notice>,
     calls: CallCounts,
-    /// For the next write.
-    injected: Option<InjectedOutcome>,
+    /// The outcome to inject into the next write.
+    injected_outcome: Option<InjectedOutcome>,
     store_unavailable: bool,
 }
 
-impl TestBed {
+impl Harness {
     fn new(jobs: &[&str]) -> Self {
         let mut scheduler = Scheduler::new(config("a", 1));
-        let now = clocks(1_000_000, 5_000);
+        let now = clock_reading(1_000_000, 5_000);
         scheduler.set_jobs(now, jobs.iter().map(|name| job(name, PERIOD)).collect());
         Self {
             scheduler,
@@ -68,22 +69,22 @@
             runs: Vec::new(),
             notices: Vec::new(),
             calls: CallCounts::default(),
-            injected: None,
+            injected_outcome: None,
             store_unavailable: false,
         }
     }
 
-    /// A test bed whose jobs are seeded and running.
-    fn settled(jobs: &[&str]) -> Self {
-        let mut bed = Self::new(jobs);
-        bed.advance(3 * PERIOD);
-        bed.runs.clear();
-        bed.notices.clear();
-        bed.calls = CallCounts::default();
-        bed
+    /// Returns a harness whose jobs are seeded and running, with empty records.
+    fn with_seeded_jobs(jobs: &[&str]) -> Self {
+        let mut harness = Self::new(jobs);
+        harness.advance(3 * PERIOD);
+        harness.runs.clear();
+        harness.notices.clear();
+        harness.calls = CallCounts::default();
+        harness
     }
 
-    /// Applies actions, and those that follow from them.
+    /// Carries out actions, and the further actions that follow from the store's responses.
     fn apply_actions(&mut self, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
@@ -108,7 +109,7 @@
             StoreCall::OpenSession | StoreCall::RenewSession(_) => {}
         }
         if matches!(call, StoreCall::CompareAndSet { .. })
-            && let Some(injected) = self.injected.take()
+            && let Some(injected) = self.injected_outcome.take()
         {
             return self.inject(call, injected);
         }
@@ -117,29 +118,30 @@
 
     /// Returns the response to a write with an injected outcome.
     fn inject(&mut self, call: StoreCall, injected: InjectedOutcome) -> StoreResponse {
-        if injected.applied {
+        if injected.is_applied {
             call.clone().apply_to(&mut self.store);
         }
         match call.fail(no_response()) {
             StoreResponse::CompareAndSetDone { call, job, record, .. } => {
                 StoreResponse::CompareAndSetDone { call, job, record, outcome: injected.outcome }
             }
-            response => panic!("{response:?} is no response to a write"),
+            response => panic!("{response:?} is not the response to a write"),
         }
     }
 
-    fn advance(&mut self, span: Duration) {
-        for _ in 0..span.as_millis() / TICK.as_millis() {
-            self.move_clocks(TICK);
-            let mut out = Vec::new();
-            self.scheduler.tick(self.now, &mut out);
-            self.apply_actions(out);
+    /// Lets the simulated time pass, with regular ticks of the scheduler.
+    fn advance(&mut self, duration: Duration) {
+        for _ in 0..duration.as_millis() / TICK.as_millis() {
+            self.advance_clocks(TICK);
+            let mut actions = Vec::new();
+            self.scheduler.tick(self.now, &mut actions);
+            self.apply_actions(actions);
         }
     }
 
-    /// Moves both clocks without a tick, as in a pause of the process.
-    fn move_clocks(&mut self, span: Duration) {
-        self.now = self.now + span;
+    /// Advances both clocks without a tick, as in a pause of the process.
+    fn advance_clocks(&mut self, duration: Duration) {
+        self.now = self.now + duration;
     }
 
     fn run_ids(&self) -> Vec<RunId> {
@@ -160,10 +162,10 @@
         self.store.read(&[job.into()]).leases[0].lease.clone().expect("a lease")
     }
 
-    /// Writes a lease of another instance that is this much later than the stored one.
-    fn acquire_elsewhere(&mut self, job: &str, later: Duration) {
+    /// Lets another instance acquire the run that is scheduled this much later than the stored one.
+    fn acquire_by_other_instance(&mut self, job: &str, delay: Duration) {
         let stored = self.stored_lease(job);
-        let run = run_after(stored.record.run, later);
+        let run = run_later_by(stored.record.run, delay);
         let record = LeaseRecord { run, holder: "b".into(), lease_id: 77 };
         self.store.compare_and_set(job, record, stored.modify_index);
     }
@@ -171,79 +173,79 @@
 
 #[test]
 fn a_single_instance_starts_each_run_once() {
-    let mut bed = TestBed::settled(&["d"]);
-    bed.advance(10 * PERIOD);
-    let ids = bed.run_ids();
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    harness.advance(10 * PERIOD);
+    let ids = harness.run_ids();
     assert_eq!(ids.len(), 10);
-    assert!(ids.windows(2).all(|pair| pair[1] == run_after(pair[0], PERIOD)), "{ids:?}");
-    assert_eq!(bed.notices, []);
+    assert!(ids.windows(2).all(|pair| pair[1] == run_later_by(pair[0], PERIOD)), "{ids:?}");
+    assert_eq!(harness.notices, []);
 }
 
 #[test]
 fn the_owner_acquires_each_run_with_one_call() {
-    let mut bed = TestBed::settled(&["d"]);
-    bed.advance(10 * PERIOD);
-    assert_eq!(bed.calls, CallCounts { reads: 0, writes: 10 });
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    harness.advance(10 * PERIOD);
+    assert_eq!(harness.calls, CallCounts { reads: 0, writes: 10 });
 }
 
 #[test]
 fn an_absent_key_is_seeded_and_its_run_does_not_start() {
-    let mut bed = TestBed::new(&["d"]);
-    bed.advance(PERIOD);
-    assert!(matches!(bed.notices[..], [Notice::Seeded { .. }]), "{:?}", bed.notices);
-    let Notice::Seeded { run: seed, .. } = bed.notices[0] else { unreachable!() };
-    bed.advance(2 * PERIOD);
-    assert!(bed.run_ids()[0] > seed);
+    let mut harness = Harness::new(&["d"]);
+    harness.advance(PERIOD);
+    assert!(matches!(harness.notices[..], [Notice::Seeded { .. }]), "{:?}", harness.notices);
+    let Notice::Seeded { run: seed, .. } = harness.notices[0] else { unreachable!() };
+    harness.advance(2 * PERIOD);
+    assert!(harness.run_ids()[0] > seed);
 }
 
 #[test]
-fn a_run_starts_once_if_the_response_to_its_applied_write_is_lost() {
-    let mut bed = TestBed::settled(&["d"]);
+fn a_run_starts_once_if_its_write_is_applied_but_the_response_is_lost() {
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
     let outcome = CompareAndSetOutcome::Failed(no_response());
-    bed.injected = Some(InjectedOutcome { outcome, applied: true });
-    bed.advance(2 * PERIOD);
-    assert_eq!(bed.run_ids().len(), 2);
-    assert!(matches!(bed.notices[..], [Notice::LeaseRecovered { .. }]), "{:?}", bed.notices);
+    harness.injected_outcome = Some(InjectedOutcome { outcome, is_applied: true });
+    harness.advance(2 * PERIOD);
+    assert_eq!(harness.run_ids().len(), 2);
+    assert!(matches!(harness.notices[..], [Notice::LeaseRecovered { .. }]), "{:?}", harness.notices);
 }
 
 #[test]
-fn a_write_that_was_lost_is_retried() {
-    let mut bed = TestBed::settled(&["d"]);
+fn a_write_that_is_lost_before_it_is_applied_is_retried() {
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
     let outcome = CompareAndSetOutcome::Failed(no_response());
-    bed.injected = Some(InjectedOutcome { outcome, applied: false });
-    bed.advance(2 * PERIOD);
-    assert_eq!(bed.run_ids().len(), 2);
+    harness.injected_outcome = Some(InjectedOutcome { outcome, is_applied: false });
+    harness.advance(2 * PERIOD);
+    assert_eq!(harness.run_ids().len(), 2);
 }
 
 #[test]
 fn a_run_acquired_after_its_deadline_does_not_start() {
-    let mut bed = TestBed::settled(&["d"]);
-    let mut out = Vec::new();
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    let mut actions = Vec::new();
     let is_write = |action: &Action| matches!(action, Action::CallStore(StoreCall::CompareAndSet { .. }));
-    while !out.iter().any(is_write) {
-        out.clear();
-        bed.move_clocks(TICK);
-        bed.scheduler.tick(bed.now, &mut out);
+    while !actions.iter().any(is_write) {
+        actions.clear();
+        harness.advance_clocks(TICK);
+        harness.scheduler.tick(harness.now, &mut actions);
     }
-    // The response arrives after a pause.
-    bed.move_clocks(4 * PERIOD);
-    bed.apply_actions(out);
-    assert!(bed.run_ids().is_empty(), "{:?}", bed.run_ids());
-    assert!(matches!(bed.notices[..], [Notice::AcquiredTooLate { .. }]), "{:?}", bed.notices);
-    let current_run = job("d", PERIOD).run_at(bed.now.unix);
-    bed.advance(PERIOD);
+    // The process pauses before it receives the response.
+    harness.advance_clocks(4 * PERIOD);
+    harness.apply_actions(actions);
+    assert!(harness.run_ids().is_empty(), "{:?}", harness.run_ids());
+    assert!(matches!(harness.notices[..], [Notice::AcquiredTooLate { .. }]), "{:?}", harness.notices);
+    let current_run = job("d", PERIOD).run_at(harness.now.unix);
+    harness.advance(PERIOD);
     assert_eq!(
-        bed.run_ids(),
-        [current_run, run_after(current_run, PERIOD)],
-        "continues with the current run"
+        harness.run_ids(),
+        [current_run, run_later_by(current_run, PERIOD)],
+        "the scheduler continues with the current run"
     );
 }
 
 #[test]
 fn a_run_may_not_start_if_its_deadline_has_passed_on_either_clock() {
-    let mut bed = TestBed::settled(&["d"]);
-    bed.advance(PERIOD);
-    let run = &bed.runs[0];
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    harness.advance(PERIOD);
+    let run = &harness.runs[0];
     let scheduled = UnixTime::from(run.id);
     let remaining = run.deadline.unix.saturating_since(scheduled);
     let start = ClockReading { unix: scheduled, monotonic: run.deadline.monotonic.saturating_sub(remaining) };
@@ -256,82 +258,91 @@
 
 #[test]
 fn while_the_store_is_unavailable_no_run_starts_and_calls_are_limited() {
-    let mut bed = TestBed::settled(&["d", "e", "f", "g"]);
-    bed.store_unavailable = true;
-    bed.advance(10 * PERIOD);
-    assert!(bed.run_ids().is_empty(), "{:?}", bed.run_ids());
-    let max_trials = 10 * PERIOD.as_millis() / config("a", 1).store_retry_interval.as_millis();
-    assert!(bed.calls.reads + bed.calls.writes <= max_trials as usize + 8, "{:?}", bed.calls);
-    let notices = bed.count_notices(|notice| matches!(notice, Notice::StoreUnavailable { .. }));
-    assert_eq!(notices, 1, "{:?}", bed.notices);
-    bed.store_unavailable = false;
-    bed.advance(2 * PERIOD);
-    assert!(bed.notices.contains(&Notice::StoreAvailable));
-    assert!(bed.run_ids().len() >= 4, "all jobs run again within two periods");
+    let mut harness = Harness::with_seeded_jobs(&["d", "e", "f", "g"]);
+    harness.store_unavailable = true;
+    harness.advance(10 * PERIOD);
+    assert!(harness.run_ids().is_empty(), "{:?}", harness.run_ids());
+    let max_trial_calls = 10 * PERIOD.as_millis() / config("a", 1).store_retry_interval.as_millis();
+    assert!(
+        harness.calls.reads + harness.calls.writes <= max_trial_calls as usize + 8,
+        "{:?}",
+        harness.calls
+    );
+    let notices = harness.count_notices(|notice| matches!(notice, Notice::StoreUnavailable { .. }));
+    assert_eq!(notices, 1, "{:?}", harness.notices);
+    harness.store_unavailable = false;
+    harness.advance(2 * PERIOD);
+    assert!(harness.notices.contains(&Notice::StoreAvailable));
+    assert!(harness.run_ids().len() >= 4, "all jobs run again within two periods");
 }
 
 #[test]
-fn a_store_that_lost_its_data_is_seeded_again() {
-    let mut bed = TestBed::settled(&["d"]);
-    bed.advance(PERIOD);
-    bed.store = LocalStore::default();
-    bed.injected = Some(InjectedOutcome { outcome: CompareAndSetOutcome::SessionEnded, applied: false });
-    bed.advance(3 * PERIOD);
-    assert!(bed.notices.contains(&Notice::StoreReset(ResetReason::SessionEnded)), "{:?}", bed.notices);
-    assert!(bed.count_notices(|notice| matches!(notice, Notice::Seeded { .. })) > 0);
-    assert!(bed.runs.len() >= 3, "{:?}", bed.runs);
-    bed.assert_run_ids_increase();
+fn a_job_is_seeded_again_after_the_store_has_lost_its_data() {
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    harness.advance(PERIOD);
+    harness.store = LocalStore::default();
+    harness.injected_outcome =
+        Some(InjectedOutcome { outcome: CompareAndSetOutcome::SessionEnded, is_applied: false });
+    harness.advance(3 * PERIOD);
+    assert!(
+        harness.notices.contains(&Notice::StoreReset(ResetReason::SessionEnded)),
+        "{:?}",
+        harness.notices
+    );
+    assert!(harness.count_notices(|notice| matches!(notice, Notice::Seeded { .. })) > 0);
+    assert!(harness.runs.len() >= 3, "{:?}", harness.runs);
+    harness.assert_run_ids_increase();
 }
 
 #[test]
 fn a_run_acquired_by_another_instance_does_not_start() {
-    let mut bed = TestBed::settled(&["d"]);
-    // Another instance with a different view of the members acquires every second run.
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    // Another instance, which has a different view of the live members, acquires every second run.
     for period in 0..10 {
         if period % 2 == 0 {
-            bed.acquire_elsewhere("d", PERIOD);
+            harness.acquire_by_other_instance("d", PERIOD);
         }
-        bed.advance(PERIOD);
+        harness.advance(PERIOD);
     }
-    assert_eq!(bed.run_ids().len(), 5);
-    assert_eq!(bed.scheduler.job_statuses()[0].last_run_here, *bed.run_ids().last().expect("a run"));
+    assert_eq!(harness.run_ids().len(), 5);
+    assert_eq!(harness.scheduler.job_statuses()[0].last_run_here, *harness.run_ids().last().expect("a run"));
 }
 
 #[test]
-fn a_record_ahead_of_all_clocks_is_reported_once_and_stops_only_its_job() {
-    let mut bed = TestBed::settled(&["d", "e"]);
-    bed.acquire_elsewhere("d", Duration::from_secs(3_600));
-    bed.advance(5 * PERIOD);
-    assert!(bed.runs.iter().all(|run| run.job == "e"), "{:?}", bed.runs);
-    assert_eq!(bed.count_notices(|notice| matches!(notice, Notice::RecordAheadOfClock { .. })), 1);
+fn a_record_ahead_of_all_clocks_is_reported_once_and_stops_only_the_job_it_belongs_to() {
+    let mut harness = Harness::with_seeded_jobs(&["d", "e"]);
+    harness.acquire_by_other_instance("d", Duration::from_secs(3_600));
+    harness.advance(5 * PERIOD);
+    assert!(harness.runs.iter().all(|run| run.job == "e"), "{:?}", harness.runs);
+    assert_eq!(harness.count_notices(|notice| matches!(notice, Notice::RecordAheadOfClock { .. })), 1);
 }
 
 #[test]
 fn run_ids_increase_when_the_period_of_a_job_changes() {
-    let mut bed = TestBed::settled(&["d"]);
-    bed.advance(2 * PERIOD);
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    harness.advance(2 * PERIOD);
     for period in [7 * PERIOD, Duration::from_millis(300)] {
-        bed.scheduler.set_jobs(bed.now, vec![job("d", period)]);
-        let before = bed.runs.len();
-        bed.advance(15 * PERIOD);
-        let count = bed.runs.len() - before;
+        harness.scheduler.set_jobs(harness.now, vec![job("d", period)]);
+        let runs_before = harness.runs.len();
+        harness.advance(15 * PERIOD);
+        let count = harness.runs.len() - runs_before;
         let periods = (15 * PERIOD).as_millis() / period.as_millis();
-        assert!(count >= periods as usize - 1, "{count} with a period of {period:?}");
+        assert!(count >= periods as usize - 1, "only {count} runs started with a period of {period:?}");
     }
-    bed.assert_run_ids_increase();
-    bed.scheduler.set_jobs(bed.now, Vec::new());
-    let before = bed.runs.len();
-    bed.advance(5 * PERIOD);
-    assert_eq!(bed.runs.len(), before, "a removed job does not run");
+    harness.assert_run_ids_increase();
+    harness.scheduler.set_jobs(harness.now, Vec::new());
+    let runs_before = harness.runs.len();
+    harness.advance(5 * PERIOD);
+    assert_eq!(harness.runs.len(), runs_before, "a removed job does not run");
 }
 
 #[test]
 fn a_clock_step_backwards_repeats_no_run() {
-    let mut bed = TestBed::settled(&["d"]);
-    bed.advance(3 * PERIOD);
-    bed.now.unix = bed.now.unix.saturating_sub(2 * PERIOD);
-    bed.advance(4 * PERIOD);
-    bed.assert_run_ids_increase();
+    let mut harness = Harness::with_seeded_jobs(&["d"]);
+    harness.advance(3 * PERIOD);
+    harness.now.unix = harness.now.unix.saturating_sub(2 * PERIOD);
+    harness.advance(4 * PERIOD);
+    harness.assert_run_ids_increase();
     let stepped_back = |notice: &Notice| matches!(notice, Notice::ClockStepped { by_ms } if *by_ms < 0);
-    assert!(bed.count_notices(stepped_back) > 0, "{:?}", bed.notices);
+    assert!(harness.count_notices(stepped_back) > 0, "{:?}", harness.notices);
 }
--- a/crates/periodic_jobs/tests/support/mod.rs
+++ b/crates/periodic_jobs/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! The configuration and the clocks of a scheduler in tests.
+//! Settings and clock readings for tests of the scheduler.
 
 use periodic_jobs::{ClockReading, Config};
 use std::time::Duration;
 use timestamps::{MonotonicTime, UnixTime};
 
-/// The configuration of an instance with two standbys.
+/// Returns the settings of an instance in a cluster where each job has two standbys.
 pub fn config(instance: &str, incarnation: u64) -> Config {
     Config {
         instance: instance.into(),
@@ -17,7 +17,7 @@
     }
 }
 
-/// A moment on both clocks.
-pub fn clocks(unix_ms: u64, monotonic_ms: u64) -> ClockReading {
+/// Returns a clock reading with these times in milliseconds.
+pub fn clock_reading(unix_ms: u64, monotonic_ms: u64) -> ClockReading {
     ClockReading { unix: UnixTime::from_millis(unix_ms), monotonic: MonotonicTime::from_millis(monotonic_ms) }
 }
