--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -25,6 +25,7 @@
     Reread,
 }
 
+/// Three instances that attempt the runs of one job, and the lease store.
 struct LeaseModel {
     removed_guard: RemovedGuard,
     /// The offset of each instance's clock from `State::time`.
@@ -63,7 +64,7 @@
     /// The incarnation of the store in which the instance opened its session.
     session: u8,
     /// The last run that this instance has started.
-    last_started: RunId,
+    last_started_run: RunId,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -80,7 +81,7 @@
     late_writes: Vec<Write>,
     instances: Vec<Instance>,
     /// The started runs, sorted.
-    started: Vec<RunId>,
+    started_runs: Vec<RunId>,
 }
 
 /// A compare-and-set that is bound to a session.
@@ -109,25 +110,25 @@
 }
 
 impl LeaseModel {
-    fn clock(&self, state: &State, instance: usize) -> u64 {
-        state.time + self.clock_offsets[instance]
+    fn clock_time(&self, state: &State, instance_index: usize) -> u64 {
+        state.time + self.clock_offsets[instance_index]
     }
 
     /// Returns the run whose period contains the current time of an instance's clock.
-    fn current_run(&self, state: &State, instance: usize) -> RunId {
-        RunId(self.clock(state, instance) / PERIOD)
+    fn current_run(&self, state: &State, instance_index: usize) -> RunId {
+        RunId(self.clock_time(state, instance_index) / PERIOD)
     }
 
-    fn request(&self, state: &State, instance: usize, run: RunId) -> AcquireRequest {
-        let seed_run = RunId((self.clock(state, instance) + MAX_CLOCK_SKEW) / PERIOD);
-        AcquireRequest { run, lease_id: instance as u64 + 1, seed_run }
+    fn acquire_request(&self, state: &State, instance_index: usize, run: RunId) -> AcquireRequest {
+        let seed_run = RunId((self.clock_time(state, instance_index) + MAX_CLOCK_SKEW) / PERIOD);
+        AcquireRequest { run, lease_id: instance_index as u64 + 1, seed_run }
     }
 
     /// Applies a compare-and-set in the store. Returns whether the record was written.
     fn apply(&self, state: &mut State, write: &Write) -> bool {
-        let index = state.stored.as_ref().map_or(0, |stored| stored.modify_index);
+        let current_index = state.stored.as_ref().map_or(0, |stored| stored.modify_index);
         let index_matches =
-            index == write.expected_index || self.removed_guard == RemovedGuard::CompareAndSet;
+            current_index == write.expected_index || self.removed_guard == RemovedGuard::CompareAndSet;
         let session_exists =
             write.session == state.store_incarnation || self.removed_guard == RemovedGuard::Session;
         let applied = index_matches && session_exists;
@@ -140,13 +141,13 @@
     }
 
     /// Lets an instance read the lease. Returns `None` if it has no run to attempt.
-    fn read(&self, state: &mut State, i: usize) -> Option<()> {
-        let run = self.current_run(state, i);
+    fn read(&self, state: &mut State, instance_index: usize) -> Option<()> {
+        let run = self.current_run(state, instance_index);
         let stored = state.stored.clone();
-        let instance = &mut state.instances[i];
+        let instance = &mut state.instances[instance_index];
         if instance.phase == Phase::Idle {
             // An instance attempts one run at a time, and none that it has already started.
-            if run <= instance.last_started {
+            if run <= instance.last_started_run {
                 return None;
             }
             instance.run = run;
@@ -156,15 +157,15 @@
     }
 
     /// Lets an instance act on the lease that it has read: it sends a write, starts the run or gives it up.
-    fn send(&self, state: &mut State, i: usize) -> Option<()> {
-        let Phase::Read(stored) = state.instances[i].phase.clone() else { return None };
-        let Instance { run, session, .. } = state.instances[i];
-        let current_run = self.current_run(state, i);
-        let request = self.request(state, i, run);
+    fn send(&self, state: &mut State, instance_index: usize) -> Option<()> {
+        let Phase::Read(stored) = state.instances[instance_index].phase.clone() else { return None };
+        let Instance { run, session, .. } = state.instances[instance_index];
+        let current_run = self.current_run(state, instance_index);
+        let request = self.acquire_request(state, instance_index, run);
         let acquire = |expected_index| {
             Phase::Sent(Write { session, expected_index, record: request.lease_record("x") })
         };
-        state.instances[i].phase = match decide(stored.as_ref(), &request) {
+        state.instances[instance_index].phase = match decide(stored.as_ref(), &request) {
             // The run's period is over by the instance's clock.
             _ if current_run != run => Phase::Idle,
             Decision::Settled => Phase::Idle,
@@ -179,21 +180,22 @@
     }
 
     /// Lets the store apply the write of an instance and respond.
-    fn apply_sent(&self, state: &mut State, i: usize) -> Option<()> {
-        let Phase::Sent(write) = state.instances[i].phase.clone() else { return None };
+    fn apply_sent(&self, state: &mut State, instance_index: usize) -> Option<()> {
+        let Phase::Sent(write) = state.instances[instance_index].phase.clone() else { return None };
         let acquired = self.apply(state, &write) && !write.record.is_seed();
-        state.instances[i].phase = Phase::Responded { acquired };
+        state.instances[instance_index].phase = Phase::Responded { acquired };
         Some(())
     }
 
     /// Lets an instance stop waiting for the response to its write. The store may still apply the write later.
-    fn time_out(&self, state: &mut State, i: usize) -> Option<()> {
-        let Phase::Sent(write) = state.instances[i].phase.clone() else { return None };
+    fn time_out(&self, state: &mut State, instance_index: usize) -> Option<()> {
+        let Phase::Sent(write) = state.instances[instance_index].phase.clone() else { return None };
         let run = write.record.run;
-        let in_time = self.current_run(state, i) == state.instances[i].run && !write.record.is_seed();
+        let in_time = self.current_run(state, instance_index) == state.instances[instance_index].run
+            && !write.record.is_seed();
         state.late_writes.push(write);
         state.lost_responses += 1;
-        state.instances[i].phase = match self.removed_guard {
+        state.instances[instance_index].phase = match self.removed_guard {
             RemovedGuard::Reread if in_time => Phase::Starting(run),
             _ => Phase::Uncertain,
         };
@@ -201,11 +203,12 @@
     }
 
     /// Lets an instance receive the response to its write. It starts the run only if the run's period is not over.
-    fn receive(&self, state: &mut State, i: usize) -> Option<()> {
-        let Phase::Responded { acquired } = state.instances[i].phase else { return None };
-        let run = state.instances[i].run;
-        let in_time = self.current_run(state, i) == run;
-        state.instances[i].phase = if acquired && in_time { Phase::Starting(run) } else { Phase::Idle };
+    fn receive(&self, state: &mut State, instance_index: usize) -> Option<()> {
+        let Phase::Responded { acquired } = state.instances[instance_index].phase else { return None };
+        let run = state.instances[instance_index].run;
+        let in_time = self.current_run(state, instance_index) == run;
+        state.instances[instance_index].phase =
+            if acquired && in_time { Phase::Starting(run) } else { Phase::Idle };
         Some(())
     }
 }
@@ -220,18 +223,18 @@
     }
 
     /// Loses the response to the write of an instance.
-    fn lose_response(&mut self, i: usize) {
+    fn lose_response(&mut self, instance_index: usize) {
         self.lost_responses += 1;
-        self.instances[i].phase = Phase::Uncertain;
+        self.instances[instance_index].phase = Phase::Uncertain;
     }
 
     /// Lets an instance start the run that it has acquired.
-    fn start(&mut self, i: usize) -> Option<()> {
-        let Phase::Starting(run) = self.instances[i].phase else { return None };
-        self.instances[i].last_started = run;
-        self.instances[i].phase = Phase::Idle;
-        self.started.push(run);
-        self.started.sort_unstable();
+    fn start(&mut self, instance_index: usize) -> Option<()> {
+        let Phase::Starting(run) = self.instances[instance_index].phase else { return None };
+        self.instances[instance_index].last_started_run = run;
+        self.instances[instance_index].phase = Phase::Idle;
+        self.started_runs.push(run);
+        self.started_runs.sort_unstable();
         Some(())
     }
 }
@@ -241,7 +244,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let instance = Instance { phase: Phase::Idle, run: RunId(0), session: 0, last_started: RunId(0) };
+        let instance = Instance { phase: Phase::Idle, run: RunId(0), session: 0, last_started_run: RunId(0) };
         // The key exists, and another holder has acquired the run before the first one of the model.
         let record = LeaseRecord { run: RunId(0), holder: "x".into(), lease_id: 9 };
         vec![State {
@@ -252,7 +255,7 @@
             lost_responses: 0,
             late_writes: Vec::new(),
             instances: vec![instance; 3],
-            started: Vec::new(),
+            started_runs: Vec::new(),
         }]
     }
 
@@ -316,11 +319,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(NO_RUN_TWICE, |_, state: &State| {
-                state.started.windows(2).all(|pair| pair[0] != pair[1])
+                state.started_runs.windows(2).all(|pair| pair[0] != pair[1])
             }),
-            Property::sometimes(A_RUN_STARTS, |_, state: &State| !state.started.is_empty()),
+            Property::sometimes(A_RUN_STARTS, |_, state: &State| !state.started_runs.is_empty()),
             Property::sometimes(A_RUN_STARTS_AFTER_DATA_LOSS, |model: &LeaseModel, state: &State| {
-                let started_after_loss = state.store_incarnation > 0 && state.started.len() > 1;
+                let started_after_loss = state.store_incarnation > 0 && state.started_runs.len() > 1;
                 model.max_store_losses == 0 || started_after_loss
             }),
         ]
--- a/crates/periodic_jobs/src/action.rs
+++ b/crates/periodic_jobs/src/action.rs
@@ -29,21 +29,21 @@
     StoreReset(ResetReason),
     /// The key of a job was absent and has been seeded. Runs up to the seeded one do not start.
     Seeded {
-        /// The name of the job.
+        /// The name of the job whose key was seeded.
         job: String,
         /// The seeded run.
         run: RunId,
     },
     /// A run was acquired, but its deadline has passed. It does not start.
     AcquiredTooLate {
-        /// The name of the job.
+        /// The name of the job whose run does not start.
         job: String,
         /// The acquired run.
         run: RunId,
     },
     /// The response to a compare-and-set was lost, and a read has confirmed the lease.
     LeaseRecovered {
-        /// The name of the job.
+        /// The name of the job whose lease was confirmed.
         job: String,
         /// The run of the confirmed lease.
         run: RunId,
@@ -51,7 +51,7 @@
     /// A lease record holds a run that no instance whose clock is within the maximum skew can have acquired or seeded. The clock
     /// of some instance is wrong.
     RecordAheadOfClock {
-        /// The name of the job.
+        /// The name of the job whose record is ahead.
         job: String,
         /// The run in the lease record.
         run: RunId,
--- a/crates/periodic_jobs/src/rendezvous.rs
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// The members with the first ranks for one job, from rank 0.
+/// The first members for one job, ordered by decreasing weight. A member's position is its rank.
 #[derive(Clone, Debug)]
 pub struct Ranking {
     job: JobHash,
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -35,7 +35,7 @@
     index_by_name: HashMap<String, usize>,
     attempts: AttemptQueue,
     store: StoreConnection,
-    last_reading: Option<ClockReading>,
+    last_clock_reading: Option<ClockReading>,
 }
 
 impl Scheduler {
@@ -51,7 +51,7 @@
             index_by_name: HashMap::new(),
             attempts: AttemptQueue::default(),
             store: StoreConnection::default(),
-            last_reading: None,
+            last_clock_reading: None,
         }
     }
 
@@ -145,7 +145,7 @@
 
     /// Detects a step of the Unix clock since the last tick. After a step, schedules all attempts again.
     fn detect_clock_step(&mut self, now: ClockReading, actions: &mut Vec<Action>) {
-        let Some(previous) = self.last_reading.replace(now) else { return };
+        let Some(previous) = self.last_clock_reading.replace(now) else { return };
         let by_ms = now.unix_step_ms_since(previous);
         if Duration::from_millis(by_ms.unsigned_abs()) > MIN_CLOCK_STEP {
             actions.push(Action::Notify(Notice::ClockStepped { by_ms }));
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -53,7 +53,7 @@
     /// Returns whether to open a session now, and records the call if so. A session is opened if no such call is pending and
     /// the store is available or a trial is due.
     pub(super) fn start_opening(&mut self, now: ClockReading, retry_interval: Duration) -> bool {
-        let may_call = !self.is_unavailable || self.trial_is_due(now, retry_interval);
+        let may_call = !self.is_unavailable || self.is_trial_due(now, retry_interval);
         if self.is_opening || !may_call {
             return false;
         }
@@ -68,14 +68,14 @@
         if !self.is_unavailable {
             return true;
         }
-        if !self.trial_is_due(now, retry_interval) {
+        if !self.is_trial_due(now, retry_interval) {
             return false;
         }
         self.last_trial_at = now.monotonic;
         true
     }
 
-    fn trial_is_due(&self, now: ClockReading, retry_interval: Duration) -> bool {
+    fn is_trial_due(&self, now: ClockReading, retry_interval: Duration) -> bool {
         now.monotonic >= self.last_trial_at + retry_interval
     }
 
--- a/crates/periodic_jobs/src/store_call.rs
+++ b/crates/periodic_jobs/src/store_call.rs
@@ -26,7 +26,7 @@
     CompareAndSet {
         /// The id of this call.
         call: CallId,
-        /// The name of the job.
+        /// The name of the job whose key is written.
         job: String,
         /// The lease record to write.
         record: LeaseRecord,
@@ -63,9 +63,9 @@
     CompareAndSetDone {
         /// The id of the call.
         call: CallId,
-        /// The name of the job.
+        /// The name of the job whose key was to be written.
         job: String,
-        /// The lease record of the call.
+        /// The lease record that was to be written.
         record: LeaseRecord,
         /// Whether the record was written.
         outcome: CompareAndSetOutcome,
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns a harness whose jobs are seeded and running, with empty records.
+    /// Returns a harness whose jobs are seeded and running. No runs, notices or calls are recorded yet.
     fn with_seeded_jobs(jobs: &[&str]) -> Self {
         let mut harness = Self::new(jobs);
         harness.advance(3 * PERIOD);
