--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -93,19 +93,19 @@
 
 impl LeaseKeys {
     /// Returns the key that holds the lease record of a job.
-    pub fn job(&self, job: &str) -> String {
+    pub fn job_key(&self, job: &str) -> String {
         format!("{}/{JOBS_FOLDER}/{job}", self.prefix)
     }
 
     /// Returns the key that the session with this id holds.
-    fn session(&self, id: &str) -> String {
+    fn session_key(&self, id: &str) -> String {
         format!("{}/{SESSIONS_FOLDER}/{id}", self.prefix)
     }
 
     /// Reads the lease of one job, or of all jobs if `job` is `None`. Parse the response with [`LeaseKeys::listing`].
     pub fn read_request(&self, job: Option<&str>) -> Request {
         let target = match job {
-            Some(job) => format!("/v1/kv/{}?consistent", escape_path(&self.job(job))),
+            Some(job) => format!("/v1/kv/{}?consistent", escape_path(&self.job_key(job))),
             None => format!("/v1/kv/{}/{JOBS_FOLDER}/?recurse&consistent", escape_path(&self.prefix)),
         };
         Request { method: Method::Get, target, body: String::new() }
@@ -125,7 +125,7 @@
         let verb = if seeded_faults::is_active("rounds") { "set" } else { "cas" };
         let body = serde_json::json!([
             {"KV": {"Verb": "check-session", "Key": session.key, "Session": session.id}},
-            {"KV": {"Verb": verb, "Key": self.job(job), "Value": value, "Index": expected_index}},
+            {"KV": {"Verb": verb, "Key": self.job_key(job), "Value": value, "Index": expected_index}},
         ]);
         Request::put("/v1/txn".into(), body.to_string())
     }
--- a/crates/job_lease/src/consul/response.rs
+++ b/crates/job_lease/src/consul/response.rs
@@ -149,7 +149,7 @@
         if id.is_empty() || id.len() > MAX_SESSION_ID_BYTES || !is_path_safe {
             return Err(StoreError::OutcomeUnknown(StoreErrorCause::UnusableSessionId { id }));
         }
-        Ok(Session { key: self.session(&id), id })
+        Ok(Session { key: self.session_key(&id), id })
     }
 
     /// Returns the leases of these jobs.
@@ -161,7 +161,7 @@
     pub fn listing(&self, response: &Response, jobs: &[String]) -> Result<LeaseListing, StoreError> {
         let no_key_exists = response.status == HTTP_NOT_FOUND;
         let entries: Vec<KeyEntry> = if no_key_exists { Vec::new() } else { response.parse()? };
-        let folder = self.job("");
+        let folder = self.job_key("");
         let by_job: HashMap<&str, &KeyEntry> =
             entries.iter().filter_map(|entry| Some((entry.key.strip_prefix(&folder)?, entry))).collect();
         let leases = jobs.iter().map(|job| {
@@ -184,7 +184,7 @@
         if response.status == HTTP_CONFLICT {
             return rolled_back_outcome(&errors);
         }
-        let key = self.job(job);
+        let key = self.job_key(job);
         let mut written =
             transaction.results.unwrap_or_default().into_iter().filter_map(|result| result.entry);
         match written.find(|entry| entry.key == key) {
