--- a/crates/catalogue/src/cached_list/tests.rs
+++ b/crates/catalogue/src/cached_list/tests.rs
@@ -5,8 +5,8 @@
 
 const MAX_AGE: Duration = Duration::from_secs(100);
 
-const fn at(unix_ms: u64) -> UnixTime {
-    UnixTime::from_millis(unix_ms)
+const fn unix_millis(millis: u64) -> UnixTime {
+    UnixTime::from_millis(millis)
 }
 
 fn sample_list() -> CachedList {
@@ -16,15 +16,18 @@
         address,
         health: HealthStatus::Passing,
         weight: 2.5,
-        started_at: Some(at(7)),
+        started_at: Some(unix_millis(7)),
     };
-    CachedList { confirmed_at: at(1_000_000), services: BTreeMap::from([("loans".into(), vec![instance])]) }
+    CachedList {
+        confirmed_at: unix_millis(1_000_000),
+        services: BTreeMap::from([("loans".into(), vec![instance])]),
+    }
 }
 
 #[test]
-fn reads_back_what_it_wrote_with_its_age() {
+fn decodes_an_encoded_list_and_its_age() {
     assert_eq!(
-        CachedList::decode(sample_list().encode().as_bytes(), at(1_042_000), MAX_AGE),
+        CachedList::decode(sample_list().encode().as_bytes(), unix_millis(1_042_000), MAX_AGE),
         Ok(AgedList { list: sample_list(), age: Duration::from_secs(42) })
     );
 }
@@ -34,26 +37,30 @@
     let text = sample_list().encode().into_bytes();
     for position in 0..text.len() {
         assert!(
-            CachedList::decode(&text[..position], at(1_000_000), MAX_AGE).is_err(),
+            CachedList::decode(&text[..position], unix_millis(1_000_000), MAX_AGE).is_err(),
             "truncated to {position} bytes"
         );
         let mut altered = text.clone();
         altered[position] ^= 1;
-        assert!(CachedList::decode(&altered, at(1_000_000), MAX_AGE).is_err(), "byte {position} altered");
+        assert!(
+            CachedList::decode(&altered, unix_millis(1_000_000), MAX_AGE).is_err(),
+            "byte {position} altered"
+        );
     }
 }
 
 #[test]
-fn says_why_a_file_is_rejected() {
+fn reports_why_a_file_is_rejected() {
     let text = sample_list().encode();
-    let rejection =
-        |text: &str, now_ms| CachedList::decode(text.as_bytes(), at(now_ms), MAX_AGE).expect_err("rejected");
+    let rejection = |text: &str, now_ms| {
+        CachedList::decode(text.as_bytes(), unix_millis(now_ms), MAX_AGE).expect_err("rejected")
+    };
     assert_eq!(rejection(&text, 1_200_000), CachedListError::TooOld { age: Duration::from_secs(200) });
-    assert_eq!(rejection(&text, 100_000), CachedListError::FromTheFuture { ahead: Duration::from_secs(900) });
+    assert_eq!(rejection(&text, 100_000), CachedListError::DatedInFuture { ahead: Duration::from_secs(900) });
     assert_eq!(
         rejection(&text.replacen(" 1 ", " 2 ", 1), 1_000_000),
-        CachedListError::UnknownVersion("2".into())
+        CachedListError::UnsupportedVersion("2".into())
     );
-    assert_eq!(rejection("{}\n", 1_000_000), CachedListError::NotAListFile);
+    assert_eq!(rejection("{}\n", 1_000_000), CachedListError::NotACacheFile);
     assert_eq!(rejection(&text[..text.len() - 9], 1_000_000), CachedListError::Corrupt);
 }
--- a/crates/catalogue/src/error.rs
+++ b/crates/catalogue/src/error.rs
@@ -3,37 +3,37 @@
 use crate::format::{CACHE_VERSION, CAPACITY_KEY, MAX_INSTANCES, STARTED_KEY};
 use std::time::Duration;
 
-/// Why a response is rejected. The endpoint list in use stays in force.
+/// Why a health response is rejected. The current endpoint list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
     /// The body is not JSON, or does not have the schema of the health API.
-    #[error("unreadable: {0}")]
+    #[error("the body is not a valid health response: {0}")]
     Unreadable(#[from] serde_json::Error),
     /// The response lists more than [`MAX_INSTANCES`] instances.
-    #[error("{count} instances, more than {MAX_INSTANCES}")]
+    #[error("the response lists {count} instances, more than the maximum of {MAX_INSTANCES}")]
     TooManyInstances {
         /// Number of instances in the response.
         count: usize,
     },
 }
 
-/// Why an instance is left out of the endpoint list. The other instances of the response are used.
+/// Why an instance of a health response is left out of the endpoint list. The other instances are used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InstanceError {
     /// The address is not an IP address. Host names are not resolved.
-    #[error("no usable address {0:?}")]
+    #[error("address {0:?} is not an IP address")]
     Address(String),
     /// The port is 0 or above 65535.
-    #[error("no usable port {0}")]
+    #[error("port {0} is not in the range 1 to 65535")]
     Port(u32),
-    /// The weight times the capacity is negative, too large, or not a number.
-    #[error("no usable weight {0}")]
+    /// The weight times the capacity is negative, above 65,535,000, or not a number.
+    #[error("weight {0} is negative, too large or not a number")]
     Weight(f64),
-    /// The capacity in the metadata is not a number, or is out of range.
-    #[error("{CAPACITY_KEY} is {0:?}, and not 0.01 to 1000")]
+    /// The capacity in the service metadata is not a number from 0.01 to 1000.
+    #[error("{CAPACITY_KEY} is {0:?}, not a number from 0.01 to 1000")]
     Capacity(String),
-    /// The start time in the metadata is not a number of milliseconds.
-    #[error("{STARTED_KEY} is {0:?}, and no time")]
+    /// The start time in the service metadata is not a whole number of Unix milliseconds.
+    #[error("{STARTED_KEY} is {0:?}, not a time in Unix milliseconds")]
     Started(String),
 }
 
@@ -41,24 +41,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CachedListError {
     /// The file does not start with the header of a cache file.
-    #[error("it is no list of snowfield's")]
-    NotAListFile,
-    /// This program does not support the version of the format.
-    #[error("its version is {0:?}, and {known} is known", known = CACHE_VERSION)]
-    UnknownVersion(String),
+    #[error("it is not an endpoint cache file")]
+    NotACacheFile,
+    /// The file has a format version that this program does not support. The text has at most its first 16 characters.
+    #[error("its format version is {0:?}, but only {known} is supported", known = CACHE_VERSION)]
+    UnsupportedVersion(String),
     /// The file is truncated or altered: its checksum does not match.
     #[error("it was cut short or altered")]
     Corrupt,
-    /// The list is older than allowed.
-    #[error("it is {} s old, more than allowed", age.as_secs())]
+    /// Consul confirmed the list longer ago than the configured maximum age.
+    #[error("its list is {} s old, more than the maximum age", age.as_secs())]
     TooOld {
-        /// Age of the list.
+        /// Time since Consul confirmed the list, in whole seconds.
         age: Duration,
     },
-    /// The list is dated in the future: a clock was or is wrong.
-    #[error("it is from {} s in the future", ahead.as_secs())]
-    FromTheFuture {
-        /// Time from the present to its date.
+    /// The list is dated more than the accepted clock skew in the future: the clock of its writer or of this host is wrong.
+    #[error("its list is dated {} s in the future", ahead.as_secs())]
+    DatedInFuture {
+        /// Time from now until the date of the list.
         ahead: Duration,
     },
 }
--- a/crates/catalogue/src/error/tests.rs
+++ b/crates/catalogue/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The text of each variant, as operators read it.
+//! The error text of each variant, as it appears in the log.
 
 use super::*;
 use std::error::Error;
@@ -6,22 +6,31 @@
 #[test]
 fn a_response_error_says_what_is_wrong_and_keeps_its_source() {
     let source = serde_json::from_str::<u8>("{").expect_err("no number");
-    let text = format!("unreadable: {source}");
+    let text = format!("the body is not a valid health response: {source}");
     let error = ResponseError::from(source);
     assert_eq!(error.to_string(), text);
     assert!(error.source().is_some());
     let error = ResponseError::TooManyInstances { count: 65_537 };
-    assert_eq!(error.to_string(), "65537 instances, more than 65536");
+    assert_eq!(error.to_string(), "the response lists 65537 instances, more than the maximum of 65536");
 }
 
 #[test]
 fn an_instance_error_names_the_value() {
     for (error, text) in [
-        (InstanceError::Address("loans.example.com".into()), "no usable address \"loans.example.com\""),
-        (InstanceError::Port(70_000), "no usable port 70000"),
-        (InstanceError::Weight(-1.0), "no usable weight -1"),
-        (InstanceError::Capacity("much".into()), "snowfield-capacity is \"much\", and not 0.01 to 1000"),
-        (InstanceError::Started("-1".into()), "snowfield-started-ms is \"-1\", and no time"),
+        (
+            InstanceError::Address("loans.example.com".into()),
+            "address \"loans.example.com\" is not an IP address",
+        ),
+        (InstanceError::Port(70_000), "port 70000 is not in the range 1 to 65535"),
+        (InstanceError::Weight(-1.0), "weight -1 is negative, too large or not a number"),
+        (
+            InstanceError::Capacity("much".into()),
+            "snowfield-capacity is \"much\", not a number from 0.01 to 1000",
+        ),
+        (
+            InstanceError::Started("-1".into()),
+            "snowfield-started-ms is \"-1\", not a time in Unix milliseconds",
+        ),
     ] {
         assert_eq!(error.to_string(), text);
     }
@@ -30,13 +39,19 @@
 #[test]
 fn a_cached_list_error_says_why_the_file_is_not_used() {
     for (error, text) in [
-        (CachedListError::NotAListFile, "it is no list of snowfield's"),
-        (CachedListError::UnknownVersion("2".into()), "its version is \"2\", and 1 is known"),
+        (CachedListError::NotACacheFile, "it is not an endpoint cache file"),
+        (
+            CachedListError::UnsupportedVersion("2".into()),
+            "its format version is \"2\", but only 1 is supported",
+        ),
         (CachedListError::Corrupt, "it was cut short or altered"),
-        (CachedListError::TooOld { age: Duration::from_secs(200) }, "it is 200 s old, more than allowed"),
         (
-            CachedListError::FromTheFuture { ahead: Duration::from_secs(900) },
-            "it is from 900 s in the future",
+            CachedListError::TooOld { age: Duration::from_secs(200) },
+            "its list is 200 s old, more than the maximum age",
+        ),
+        (
+            CachedListError::DatedInFuture { ahead: Duration::from_secs(900) },
+            "its list is dated 900 s in the future",
         ),
     ] {
         assert_eq!(error.to_string(), text);
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -1,4 +1,4 @@
-//! Compatibility of the cache file: this version reads the file of version 0.1.0 and writes the same bytes.
+//! Compatibility of the cache file with version 0.1.0: this version reads that version's file and writes the same bytes.
 
 use catalogue::{AgedList, CachedList, CachedListError, HealthStatus, Instance};
 use std::collections::BTreeMap;
