--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -1,59 +1,59 @@
-//! Selects the agent of the next blocking query: agents in order of preference, with failover, failback, and exponential backoff
-//! with jitter. Follows Consul's documented rules for blocking queries.
+//! Selects the Consul agent for the next blocking query: agents in order of preference, with failover, failback, and exponential
+//! backoff with jitter. The index is handled by Consul's documented rules for blocking queries.
 
 use crate::ExponentialBackoff;
 use std::time::Duration;
 use timestamps::{MonotonicTime, whole_millis};
 
-/// The next query.
+/// The blocking query to send next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
     /// Position of the agent in the configured order.
     pub agent: usize,
-    /// The index to block on. With 0 the agent returns the present list at once.
+    /// The index to block on: the agent holds the query until the list changes or the wait ends. With 0 it responds at once.
     pub index: u64,
     /// Whether the agent may answer from any server (a stale read) or only from the leader.
     pub allow_stale: bool,
-    /// Earliest time to send it.
+    /// Earliest time to send the query.
     pub not_before: MonotonicTime,
 }
 
-/// The outcome of a query.
+/// The outcome of a blocking query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// A usable response with this index (`X-Consul-Index`).
+    /// A valid response with this index (`X-Consul-Index`).
     Response(u64),
-    /// A response that is not used because the server has no leader, or last heard from it too long ago.
+    /// A response that is not used because the servers have no leader, or the responding server last heard from it too long ago.
     TooStale,
-    /// No usable response.
+    /// No response, an error status, or an invalid body.
     Failed,
 }
 
-/// Whether a response may differ from the one before.
+/// Whether the list in a response may differ from that in the previous response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// The index has changed, so the list may have changed.
     New,
-    /// The blocking query timed out without a change, or there was no usable response.
+    /// The index is unchanged because the blocking query timed out at the agent, or there was no usable response.
     Unchanged,
 }
 
 /// Settings of an [`AgentSelector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSelectorConfig {
-    /// Number of configured agents.
+    /// Number of configured agents; at least 1.
     pub agent_count: usize,
     /// Minimum time between two queries. It bounds the query rate while the list changes constantly.
     pub min_query_interval: Duration,
-    /// Backoff of an agent that fails.
+    /// Backoff after consecutive failed queries of one agent, before jitter.
     pub backoff: ExponentialBackoff,
-    /// Time with another agent after which the first one is queried again.
+    /// Time with a less preferred agent after which the first agent is queried again.
     pub failback_after: Duration,
-    /// Whether queries may be stale reads.
+    /// Whether queries may be stale reads, which any server may answer.
     pub allow_stale: bool,
 }
 
-/// Selects agents by the outcomes of their queries.
+/// Selects the agent for each query from the outcomes of earlier queries.
 #[derive(Clone, Debug)]
 pub struct AgentSelector {
     config: AgentSelectorConfig,
@@ -74,7 +74,7 @@
 }
 
 impl AgentSelector {
-    /// Starts with the first agent. `seed` determines the jitter; different seeds keep gatekeepers from polling in step.
+    /// Starts with the first agent. `seed` determines the jitter; gatekeepers with different seeds do not poll in step.
     pub fn new(config: AgentSelectorConfig, seed: u64) -> Self {
         Self {
             agents: vec![AgentState::default(); config.agent_count.max(1)],
@@ -88,15 +88,15 @@
         }
     }
 
-    /// Position of the selected agent.
+    /// Position of the selected agent in the configured order.
     pub fn current(&self) -> usize {
         self.current
     }
 
-    /// Decides the next query.
+    /// Selects the agent, and returns the next query to send.
     pub fn next_query(&mut self, now: MonotonicTime) -> Query {
         if self.current > 0 && now >= self.selected_at + self.config.failback_after {
-            // Failback: agents ahead in the order are queried again. One that fails is not queried for another interval.
+            // Failback: the first agent is queried again. If it fails, another agent is selected for the next interval.
             self.select(0, now);
         }
         if self.agents[self.current].backoff_until > now {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Selects the first agent in order that is not in backoff, or else the one whose backoff ends first.
+    /// Selects the first agent that is not in backoff, or the one whose backoff ends first if all are.
     fn fail_over(&mut self, now: MonotonicTime) {
         let available_at = |&agent: &usize| (self.agents[agent].backoff_until.max(now), agent);
         let best = (0..self.agents.len()).min_by_key(available_at);
@@ -122,14 +122,14 @@
         }
     }
 
-    /// Selects an agent. Its index starts at 0, because an index is only meaningful to the server that returned it.
+    /// Selects an agent, and resets the index to 0, because an index is only meaningful to the server that returned it.
     fn select(&mut self, agent: usize, now: MonotonicTime) {
         self.current = agent;
         self.index = 0;
         self.selected_at = now;
     }
 
-    /// Records the outcome of a query, and returns whether its response may differ from the one before.
+    /// Records the outcome of a query to an agent, and returns whether the list may have changed.
     pub fn handle_outcome(&mut self, now: MonotonicTime, agent: usize, outcome: &QueryOutcome) -> Freshness {
         if agent >= self.agents.len() {
             return Freshness::Unchanged;
@@ -137,7 +137,7 @@
         match outcome {
             QueryOutcome::Response(index) => self.handle_response(agent, *index),
             QueryOutcome::TooStale => {
-                // The next query is a consistent read. Without a leader it fails, and the next agent is selected.
+                // The next query must be answered by the leader. If there is none, it fails, and another agent is selected.
                 self.needs_leader = true;
                 self.back_off(now, agent);
                 Freshness::Unchanged
@@ -152,7 +152,7 @@
     fn handle_response(&mut self, agent: usize, index: u64) -> Freshness {
         self.agents[agent] = AgentState::default();
         let is_new = index != self.index || self.index == 0;
-        // Consul's documentation requires a reset to 0 when the index decreases or is not positive.
+        // Consul's documentation requires clients to reset the index to 0 when it decreases or is not positive.
         self.index = if index < self.index { 0 } else { index };
         self.needs_leader = false;
         if is_new { Freshness::New } else { Freshness::Unchanged }
@@ -166,7 +166,7 @@
         state.backoff_until = now + self.jitter.apply(backoff);
     }
 
-    /// Number of consecutive failures of an agent.
+    /// Number of consecutive failed queries of an agent; 0 for an unknown agent.
     pub fn consecutive_failures(&self, agent: usize) -> u32 {
         self.agents.get(agent).map_or(0, |state| state.consecutive_failures)
     }
@@ -177,13 +177,13 @@
 struct Jitter(u64);
 
 impl Jitter {
-    /// Draws a span between half of the backoff and the whole of it ("equal jitter").
+    /// Returns a random duration between half of the backoff and all of it ("equal jitter").
     fn apply(&mut self, backoff: Duration) -> Duration {
         let half = whole_millis(backoff) / 2;
-        Duration::from_millis(half + self.next() % (half + 1))
+        Duration::from_millis(half + self.next_random() % (half + 1))
     }
 
-    fn next(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -1,28 +1,29 @@
-//! The endpoint list in use, and the reason why each endpoint is eligible or not.
+//! The endpoint list of a service, with the reason why each endpoint is eligible or not.
 
 use crate::{HealthStatus, Instance};
 use timestamps::MonotonicTime;
 
-/// Number of an endpoint. Each pair of id and address gets a new one, and numbers are never reused.
+/// Number of an endpoint, which is one instance id at one address. Numbers are never reused: an instance that changes its
+/// address, or returns after its record was removed, gets a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointNumber(pub u32);
 
 /// Why an endpoint is eligible for requests, or is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EligibilityReason {
-    /// Eligible: it is listed, and its health status is good enough.
+    /// Eligible: Consul lists it with a sufficient health status.
     Listed,
     /// Not eligible: its health checks report this status.
     Unhealthy(HealthStatus),
-    /// Not eligible: it is flapping, and flap damping suppresses it until this moment.
+    /// Not eligible: it is listed as healthy, but has flapped, and flap damping suppresses it until this time.
     Flapping(MonotonicTime),
     /// Not eligible: another eligible instance has the same address.
     DuplicateAddress,
-    /// Not eligible: its weight is 0.
+    /// Not eligible: Consul lists it with weight 0.
     ZeroWeight,
-    /// Eligible: it vanished in a sudden loss, still answers clients, and is retained until this moment.
+    /// Eligible: it vanished in a sudden loss, answered a client shortly before, and is retained until this time.
     Retained(MonotonicTime),
-    /// Not eligible: it is no longer listed.
+    /// Not eligible: Consul no longer lists it.
     Deregistered,
 }
 
@@ -33,22 +34,22 @@
     }
 }
 
-/// An endpoint of a service.
+/// An instance of a service at one address, and whether it gets requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its number.
+    /// Identifies its pair of instance id and address in this process.
     pub number: EndpointNumber,
     /// The instance as Consul last listed it.
     pub instance: Instance,
-    /// Whether it gets new requests.
+    /// Whether it gets new requests; the same as `reason.is_eligible()`.
     pub eligible: bool,
-    /// Why it is eligible or not.
+    /// Why it is eligible, or why not.
     pub reason: EligibilityReason,
     /// When it last became eligible; `None` if it has been eligible since the first list.
     pub eligible_since: Option<MonotonicTime>,
 }
 
-/// The endpoints of a service that are listed or eligible.
+/// The endpoints of a service that Consul lists or that are eligible (retained).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
     /// The endpoints, in order of their numbers.
@@ -74,14 +75,14 @@
     },
     /// An endpoint became eligible, ceased to be eligible, or is now suppressed by flap damping.
     EligibilityChanged {
-        /// Id of the endpoint.
+        /// Node name and service id of its instance.
         id: String,
         /// Whether it is eligible now.
         eligible: bool,
-        /// Why.
+        /// Why it is eligible now, or why not.
         reason: EligibilityReason,
     },
-    /// One response dropped a large share of the eligible endpoints, none of them marked unhealthy.
+    /// One response no longer lists a large share of the eligible endpoints, although Consul did not report them as unhealthy.
     SuddenLoss {
         /// Number of endpoints that vanished.
         vanished: usize,
@@ -90,7 +91,7 @@
         /// Number of vanished endpoints that are retained.
         retained: usize,
     },
-    /// The retention after a sudden loss ended, and these endpoints did not reappear.
+    /// The retention after a sudden loss has ended, and some retained endpoints have not reappeared.
     LossAccepted {
         /// Number of endpoints that are no longer retained.
         count: usize,
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -1,5 +1,5 @@
-//! Turns the responses of Consul into the endpoint list in use: decides which instances are eligible, damps flapping, and retains
-//! endpoints that still answer after a sudden loss.
+//! Derives the endpoint list from Consul's responses: decides which instances are eligible, damps flapping, and retains endpoints
+//! that recently answered a client after a sudden loss.
 
 mod flap_damping;
 mod record;
@@ -13,12 +13,13 @@
 use std::net::SocketAddr;
 use timestamps::MonotonicTime;
 
-/// Maximum number of remembered instances that have left, in addition to the present ones.
-const MAX_REMEMBERED: usize = 4_096;
-/// A sudden loss has at least this many vanished endpoints, unless the only eligible one vanished: one may be a single host.
-const MIN_SUDDEN_LOSS: usize = 2;
+/// Maximum number of deregistered instances without attempts in flight whose records are kept for their flap counts.
+const MAX_REMEMBERED_INSTANCES: usize = 4_096;
+/// Minimum number of vanished endpoints in a sudden loss: a single one may be the failure of one host. The loss of the only
+/// eligible endpoint counts as well.
+const MIN_SUDDEN_LOSS_ENDPOINTS: usize = 2;
 
-/// An id at an address. Each key has its own number and history.
+/// An instance id at an address. Each key has its own endpoint number and history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct InstanceKey {
     id: String,
@@ -44,13 +45,13 @@
     eligible: usize,
 }
 
-/// Returns when a client last got an answer from an endpoint, if ever.
+/// Returns when an endpoint last answered a client; `None` if it never did.
 pub type LastAnswerAt<'a> = &'a dyn Fn(EndpointNumber) -> Option<MonotonicTime>;
 
-/// Returns whether any attempt is in flight at an endpoint.
+/// Returns whether an endpoint has attempts in flight. Its record is kept while it has.
 pub type HasAttempts<'a> = &'a dyn Fn(EndpointNumber) -> bool;
 
-/// The instances of one service and their histories.
+/// Tracks the instances of one service and their histories, and decides which endpoints are eligible.
 #[derive(Clone, Debug)]
 pub struct EndpointTracker {
     config: StabilityConfig,
@@ -58,9 +59,9 @@
     last_number: u32,
     /// Whether Consul has responded since the start.
     has_response: bool,
-    /// Whether there was a list before, from Consul or from the cache file. Instances that appear later may need slow start.
+    /// Whether there has been a list, from Consul or from the cache file. Instances that appear later may need slow start.
     has_list: bool,
-    /// When the loss of the retained endpoints is accepted.
+    /// End of the retention after a sudden loss; `None` if no retention is in progress.
     loss_accepted_at: Option<MonotonicTime>,
     reported_counts: Option<ListCounts>,
 }
@@ -79,9 +80,9 @@
         }
     }
 
-    /// Restores the cached list at a start. Its endpoints count as eligible since the first list.
+    /// Uses the cached list at the start of the process. Its endpoints get no `eligible_since`, like those of a first response.
     ///
-    /// Consul's first response is not checked for a sudden loss: the fleet may have changed while this process was down.
+    /// Consul's first response after it is not checked for a sudden loss: instances may have changed while this process was down.
     pub fn restore(
         &mut self,
         now: MonotonicTime,
@@ -94,7 +95,7 @@
         list
     }
 
-    /// Applies a response of Consul.
+    /// Applies the instances of a health response, and returns the new endpoint list.
     pub fn apply_response(
         &mut self,
         now: MonotonicTime,
@@ -109,7 +110,7 @@
         list
     }
 
-    /// Applies the passage of time: flap suppressions and retentions may have ended.
+    /// Ends the flap suppressions and retentions that have expired, removes old records, and returns the new endpoint list.
     pub fn advance(
         &mut self,
         now: MonotonicTime,
@@ -117,22 +118,22 @@
         events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
         self.accept_loss(now, events);
-        self.forget_departed(now, has_attempts);
+        self.remove_departed(now, has_attempts);
         self.evaluate(now, events)
     }
 
-    /// When the next flap suppression or retention ends.
+    /// When the next flap suppression or retention ends; `None` if there is none.
     pub fn next_deadline(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let deadlines = self.records.values().filter_map(Record::deadline);
         deadlines.filter(|&deadline| deadline > now).min()
     }
 
-    /// Number of instances with a record, including those that have left.
+    /// Number of records, including those of deregistered instances.
     pub fn tracked_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Records the instances of a response, and the departure of those that it no longer lists.
+    /// Records the instances of a response, and the deregistration of those that it no longer lists.
     fn record_response(
         &mut self,
         now: MonotonicTime,
@@ -146,8 +147,8 @@
         for instance in instances {
             self.record_listed(now, instance);
         }
-        let moved = self.moved();
-        let vanished = self.vanished(&moved);
+        let moved = self.moved_keys();
+        let vanished = self.vanished_keys(&moved);
         if self.is_sudden_loss(vanished.len(), eligible_before) {
             let retained = self.retain_answering(now, &vanished, last_answer_at);
             events.push(WatchEvent::SuddenLoss { vanished: vanished.len(), eligible_before, retained });
@@ -170,8 +171,8 @@
         record.set_listed(instance);
     }
 
-    /// Old addresses of instances whose id is now listed at another address. No loss has to be suspected there.
-    fn moved(&self) -> HashSet<InstanceKey> {
+    /// Returns the former keys of instances whose id is now listed at another address. They are not part of a sudden loss.
+    fn moved_keys(&self) -> HashSet<InstanceKey> {
         let listed = self.records.values().filter(|record| record.is_listed());
         let listed_ids: HashSet<&str> = listed.map(Record::id).collect();
         let has_moved =
@@ -179,8 +180,8 @@
         self.keys_where(has_moved)
     }
 
-    /// Eligible instances that the response has dropped without marking them unhealthy.
-    fn vanished(&self, moved: &HashSet<InstanceKey>) -> HashSet<InstanceKey> {
+    /// Returns the keys of eligible instances that the response no longer lists and that have not moved to another address.
+    fn vanished_keys(&self, moved: &HashSet<InstanceKey>) -> HashSet<InstanceKey> {
         self.keys_where(|key, record| record.has_vanished() && !moved.contains(key))
     }
 
@@ -191,12 +192,12 @@
 
     fn is_sudden_loss(&self, vanished: usize, eligible_before: usize) -> bool {
         let lost_the_only_endpoint = vanished == 1 && eligible_before == 1;
-        let is_more_than_one_host = vanished >= MIN_SUDDEN_LOSS || lost_the_only_endpoint;
+        let has_enough_vanished = vanished >= MIN_SUDDEN_LOSS_ENDPOINTS || lost_the_only_endpoint;
         let min_vanished = eligible_before as f64 * self.config.sudden_loss_share;
-        is_more_than_one_host && self.has_response && vanished as f64 >= min_vanished
+        has_enough_vanished && self.has_response && vanished as f64 >= min_vanished
     }
 
-    /// Retains the vanished endpoints that answered a client recently, and returns their number.
+    /// Retains the vanished endpoints that answered a client recently, and returns how many there are.
     fn retain_answering(
         &mut self,
         now: MonotonicTime,
@@ -205,7 +206,7 @@
     ) -> usize {
         let until = now + self.config.sudden_loss_retention;
         self.loss_accepted_at = Some(until);
-        let is_recent = |at: MonotonicTime| now.saturating_since(at) <= self.config.recently_answered;
+        let is_recent = |at: MonotonicTime| now.saturating_since(at) <= self.config.recent_answer_window;
         let mut retained = 0;
         for key in vanished {
             let Some(record) = self.records.get_mut(key) else { continue };
@@ -217,7 +218,7 @@
         retained
     }
 
-    /// Reports the loss of retained endpoints once their retention has ended.
+    /// Once the retention after a sudden loss has ended, reports the endpoints that did not reappear.
     fn accept_loss(&mut self, now: MonotonicTime, events: &mut Vec<WatchEvent>) {
         if self.loss_accepted_at.is_none_or(|at| now < at) {
             return;
@@ -243,8 +244,8 @@
         list
     }
 
-    /// Decides on all instances. Of those at one address, the one that is eligible already has precedence, then the one with the
-    /// highest number, which replaced the others.
+    /// Decides the eligibility of all instances. Of several at one address, the one that is already eligible takes precedence,
+    /// otherwise the one with the highest number, because it appeared last and replaces the others.
     fn decide(&mut self, now: MonotonicTime) -> Vec<Decision> {
         let mut records: Vec<(&InstanceKey, &mut Record)> = self.records.iter_mut().collect();
         records.sort_by_key(|(_, record)| (!record.is_eligible(), Reverse(record.number())));
@@ -262,9 +263,9 @@
         decisions
     }
 
-    /// Applies decisions, and returns the changes in order of ids.
+    /// Applies decisions, and returns the changes of eligibility in order of instance ids.
     fn apply_decisions(&mut self, now: MonotonicTime, decisions: Vec<Decision>) -> Vec<WatchEvent> {
-        // The start time of instances in the first list is unknown. Instances that appear later may need slow start.
+        // It is unknown when the instances of the first list started. Instances that appear later may need slow start.
         let eligible_since = self.has_list.then_some(now);
         let mut changed = Vec::new();
         for Decision { key, reason } in decisions {
@@ -279,23 +280,24 @@
     }
 
     fn list(&self) -> EndpointList {
-        let in_use = self.records.values().filter(|record| record.is_in_use());
-        let mut endpoints: Vec<Endpoint> = in_use.map(Record::endpoint).collect();
+        let listed_or_eligible = self.records.values().filter(|record| record.is_listed_or_eligible());
+        let mut endpoints: Vec<Endpoint> = listed_or_eligible.map(Record::endpoint).collect();
         endpoints.sort_by_key(|endpoint| endpoint.number);
         EndpointList { endpoints }
     }
 
-    /// Forgets instances that have left, except those with attempts in flight, which keep their numbers, and up to
-    /// [`MAX_REMEMBERED`] that flapped, which keep their flap counts for a while.
-    fn forget_departed(&mut self, now: MonotonicTime, has_attempts: HasAttempts<'_>) {
-        let has_departed = |record: &Record| !record.is_in_use() && !has_attempts(record.number());
+    /// Removes the records of deregistered instances. Those with attempts in flight stay, so that they keep their numbers. So do
+    /// up to [`MAX_REMEMBERED_INSTANCES`] that flapped repeatedly, so that they keep their flap counts for some half-lives.
+    fn remove_departed(&mut self, now: MonotonicTime, has_attempts: HasAttempts<'_>) {
+        let has_departed =
+            |record: &Record| !record.is_listed_or_eligible() && !has_attempts(record.number());
         let config = &self.config;
         self.records.retain(|_, record| !has_departed(record) || record.is_remembered_for_flaps(now, config));
         let departed = self.records.iter().filter(|(_, record)| has_departed(record));
-        let longest_ago_first: BTreeMap<(MonotonicTime, EndpointNumber), InstanceKey> =
+        let earliest_departed_first: BTreeMap<(MonotonicTime, EndpointNumber), InstanceKey> =
             departed.map(|(key, record)| ((record.left_at(), record.number()), key.clone())).collect();
-        let excess = longest_ago_first.len().saturating_sub(MAX_REMEMBERED);
-        for key in longest_ago_first.into_values().take(excess) {
+        let excess = earliest_departed_first.len().saturating_sub(MAX_REMEMBERED_INSTANCES);
+        for key in earliest_departed_first.into_values().take(excess) {
             self.records.remove(&key);
         }
     }
--- a/crates/catalogue/src/endpoint_tracker/flap_damping.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping.rs
@@ -1,56 +1,56 @@
-//! Flap damping of one endpoint: an endpoint that repeatedly fails and recovers is suppressed for a growing time after each recovery.
+//! Flap damping of one endpoint: after each recovery, an endpoint that fails repeatedly is suppressed for an increasing time.
 
 use crate::StabilityConfig;
 use std::time::Duration;
 use timestamps::{MonotonicTime, whole_millis};
 
-/// Below this flap count a recovery is not suppressed: a single flap is a restart.
-const FREE_FLAPS: f64 = 1.5;
-/// Maximum number of doublings of the suppression time, before its configured upper bound applies.
+/// Flap count from which a recovery is suppressed. A single flap stays below it, because an ordinary restart causes one.
+const SUPPRESSION_THRESHOLD: f64 = 1.5;
+/// Maximum number of doublings of the suppression time, applied before its configured upper bound.
 const MAX_DOUBLINGS: f64 = 32.0;
 
-/// Flap count with exponential decay, and the start of the present healthy period.
+/// Flap count with exponential decay, and the start of the current healthy period.
 #[derive(Clone, Debug)]
 pub(super) struct FlapDamping {
-    /// Decayed number of flaps, as of `counted_at`.
+    /// Decayed number of flaps at `counted_at`.
     flaps: f64,
     counted_at: MonotonicTime,
-    /// Start of the present healthy period; `None` while unhealthy.
+    /// Start of the current healthy period; `None` while the endpoint is unhealthy.
     healthy_since: Option<MonotonicTime>,
 }
 
 impl FlapDamping {
-    /// Starts without flaps. `healthy_since` is set if the endpoint counts as healthy already.
+    /// Starts without flaps. `healthy_since` is the start of the current healthy period, if the endpoint is already healthy.
     pub(super) fn new(now: MonotonicTime, healthy_since: Option<MonotonicTime>) -> Self {
         Self { flaps: 0.0, counted_at: now, healthy_since }
     }
 
-    /// Records whether the endpoint is healthy now.
+    /// Starts or ends a healthy period if the endpoint's health has changed.
     pub(super) fn update_health(&mut self, now: MonotonicTime, is_healthy: bool) {
         self.healthy_since = is_healthy.then(|| self.healthy_since.unwrap_or(now));
     }
 
-    /// Counts a flap: the endpoint ceased to be eligible.
+    /// Counts a flap, which is a change from eligible to not eligible.
     pub(super) fn count_flap(&mut self, now: MonotonicTime, config: &StabilityConfig) {
         self.flaps = self.decayed_flaps(now, config) + 1.0;
         self.counted_at = now;
     }
 
-    /// End of the suppression, which begins with the present healthy period.
+    /// Returns the end of the suppression, which begins with the current healthy period.
     pub(super) fn suppressed_until(&self, now: MonotonicTime, config: &StabilityConfig) -> MonotonicTime {
         let healthy_since = self.healthy_since.unwrap_or(now);
         healthy_since + self.suppression(now.min(healthy_since), config)
     }
 
-    /// Whether there were more flaps than a restart causes. The count is the one at the last flap, without decay since.
+    /// Whether there were more flaps than a restart causes. Uses the count at the last flap, without the decay since then.
     pub(super) fn has_repeated_flaps(&self) -> bool {
-        self.flaps > FREE_FLAPS
+        self.flaps > SUPPRESSION_THRESHOLD
     }
 
-    /// Suppression time of a recovery at `recovered_at`.
+    /// Returns the duration of the suppression after a recovery at `recovered_at`.
     fn suppression(&self, recovered_at: MonotonicTime, config: &StabilityConfig) -> Duration {
         let flaps = self.decayed_flaps(recovered_at, config);
-        if flaps < FREE_FLAPS {
+        if flaps < SUPPRESSION_THRESHOLD {
             return Duration::ZERO;
         }
         let doublings = (flaps - 1.0).min(MAX_DOUBLINGS).floor() - 1.0;
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -1,33 +1,33 @@
-//! The history of one instance at one address.
+//! State and history of one instance at one address.
 
 use super::flap_damping::FlapDamping;
 use crate::{EligibilityReason, Endpoint, EndpointNumber, Instance, StabilityConfig};
 use std::net::SocketAddr;
 use timestamps::MonotonicTime;
 
-/// An instance that has left is remembered for its flaps for this many half-lives of the flap count.
+/// Number of half-lives of the flap count for which the record of a deregistered instance that flapped is kept.
 const REMEMBERED_HALF_LIVES: u32 = 4;
 
-/// State of one instance at one address.
+/// The last listed state of an instance, its eligibility, and its flap history.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     number: EndpointNumber,
     instance: Instance,
-    /// Whether the last response lists it.
+    /// Whether the last health response lists the instance.
     listed: bool,
     eligible: bool,
     reason: EligibilityReason,
     eligible_since: Option<MonotonicTime>,
     flap_damping: FlapDamping,
-    /// End of its retention after a sudden loss.
+    /// End of the retention after a sudden loss; `None` if the endpoint is not retained.
     retained_until: Option<MonotonicTime>,
-    /// When it was first missing from a response.
+    /// When a health response last dropped the instance without a retention. Before that, when the record was created.
     left_at: MonotonicTime,
 }
 
 impl Record {
     /// Creates the record of an instance that is listed for the first time. An instance of the first list counts as healthy
-    /// since the start of the clock.
+    /// since time zero.
     pub(super) fn new(
         number: EndpointNumber,
         instance: Instance,
@@ -71,8 +71,8 @@
         self.left_at
     }
 
-    /// Whether it belongs to the endpoint list in use.
-    pub(super) fn is_in_use(&self) -> bool {
+    /// Whether the endpoint list contains it.
+    pub(super) fn is_listed_or_eligible(&self) -> bool {
         self.listed || self.eligible
     }
 
@@ -85,7 +85,7 @@
         self.retained_until.is_some_and(|until| now >= until)
     }
 
-    /// Whether it has flapped often enough to be remembered after it has left, and left recently enough.
+    /// Whether its record is kept after its deregistration, because it flapped repeatedly and was deregistered recently.
     pub(super) fn is_remembered_for_flaps(&self, now: MonotonicTime, config: &StabilityConfig) -> bool {
         let remembered_until = self.left_at + config.flap_half_life * REMEMBERED_HALF_LIVES;
         self.flap_damping.has_repeated_flaps() && now < remembered_until
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Marks it as unlisted until the present response lists it.
+    /// Marks it as unlisted before a response is applied.
     pub(super) fn set_unlisted(&mut self) {
         self.listed = false;
     }
 
-    /// Applies its entry in the present response.
+    /// Applies its entry in the response, which also ends a retention.
     pub(super) fn set_listed(&mut self, instance: Instance) {
         self.instance = instance;
         self.listed = true;
@@ -129,7 +129,7 @@
         self.retained_until = None;
     }
 
-    /// Records when it left, if the present response is the first without it and it is not retained.
+    /// Records the time of its deregistration, if the response is the first without it and it is not retained.
     pub(super) fn record_departure(&mut self, now: MonotonicTime) {
         let has_left_before = self.reason == EligibilityReason::Deregistered;
         if !self.listed && self.retained_until.is_none() && !has_left_before {
@@ -137,14 +137,14 @@
         }
     }
 
-    /// Records whether it is healthy now.
+    /// Updates the start of its healthy period for flap damping.
     pub(super) fn update_health(&mut self, now: MonotonicTime, config: &StabilityConfig) {
         let is_health_sufficient = self.instance.health <= config.minimum_health;
         let is_healthy = self.listed && is_health_sufficient && self.instance.weight > 0.0;
         self.flap_damping.update_health(now, is_healthy);
     }
 
-    /// Decides whether it is eligible now. `is_address_taken` tells that another eligible instance has its address.
+    /// Decides whether it is eligible now. With `is_address_taken`, another eligible instance has the same address.
     pub(super) fn decide(
         &self,
         now: MonotonicTime,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Applies a decision, and returns whether the change is logged. An instance that becomes eligible is so since
-    /// `eligible_since`.
+    /// Applies a decision, and returns whether the change is to be logged. If the instance becomes eligible, its time of becoming
+    /// eligible is set to `eligible_since`.
     pub(super) fn apply(
         &mut self,
         now: MonotonicTime,
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists over sequences of responses and the passage of time.
+//! Endpoint lists that result from sequences of health responses, flap suppressions and retentions.
 
 use super::*;
 use crate::HealthStatus;
@@ -9,7 +9,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-const fn at(millis: u64) -> MonotonicTime {
+const fn at_millis(millis: u64) -> MonotonicTime {
     MonotonicTime::from_millis(millis)
 }
 
@@ -31,20 +31,20 @@
     Instance { health, ..instance(i) }
 }
 
-/// Feeds a tracker with responses, and collects its latest list and its events.
+/// Applies responses to a tracker, and keeps its latest list and all its events.
 struct Harness {
     tracker: EndpointTracker,
     now: MonotonicTime,
     list: EndpointList,
     events: Vec<WatchEvent>,
-    /// When clients got their last answers.
+    /// When each endpoint last answered a client.
     last_answers: HashMap<EndpointNumber, MonotonicTime>,
 }
 
 impl Harness {
     fn new(first_response: Vec<Instance>) -> Self {
         let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-        let now = at(1_000);
+        let now = at_millis(1_000);
         let list = tracker.apply_response(now, first_response, &|_| None, &mut Vec::new());
         Self { tracker, now, list, events: Vec::new(), last_answers: HashMap::new() }
     }
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn endpoints_marked_unhealthy_become_ineligible_at_once_whatever_their_number() {
+fn any_number_of_endpoints_reported_unhealthy_become_ineligible_at_once() {
     let mut harness = Harness::new((0..4).map(instance).collect());
     harness.respond_after(
         millis(10),
@@ -98,7 +98,7 @@
         0,
     );
     let list = tracker.apply_response(
-        at(0),
+        at_millis(0),
         vec![instance(0), with_health(1, HealthStatus::Warning)],
         &|_| None,
         &mut Vec::new(),
@@ -114,29 +114,29 @@
         .respond_after(millis(1_000), vec![with_health(0, HealthStatus::Critical), instance(1), instance(2)]);
     harness.respond_after(millis(5_000), (0..3).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 3);
-    assert_eq!(harness.endpoint("i0").eligible_since, Some(at(7_000)));
+    assert_eq!(harness.endpoint("i0").eligible_since, Some(at_millis(7_000)));
 }
 
-/// Without damping, a flap every second for a minute would move traffic thirty times.
+/// Without flap damping, an endpoint whose health alternates every second would lose its traffic thirty times a minute.
 #[test]
-fn a_flap_every_second_moves_traffic_a_few_times_and_is_forgotten_later() {
+fn a_flapping_endpoint_changes_eligibility_a_few_times_and_its_flap_count_decays() {
     let mut harness = Harness::new((0..3).map(instance).collect());
-    let mut traffic_moves = 0;
+    let mut eligibility_changes = 0;
     let mut eligible_before = 3;
     for second in 0..60 {
         let health = if second % 2 == 0 { HealthStatus::Critical } else { HealthStatus::Passing };
         harness.respond_after(millis(1_000), vec![with_health(0, health), instance(1), instance(2)]);
         harness.advance_by(millis(0));
-        traffic_moves += usize::from(harness.eligible_ids().len() != eligible_before);
+        eligibility_changes += usize::from(harness.eligible_ids().len() != eligible_before);
         eligible_before = harness.eligible_ids().len();
     }
-    assert!((2..=6).contains(&traffic_moves), "{traffic_moves} moves");
+    assert!((2..=6).contains(&eligibility_changes), "{eligibility_changes} changes");
     assert!(
         matches!(harness.endpoint("i0").reason, EligibilityReason::Flapping(_)),
         "{:?}",
         harness.endpoint("i0")
     );
-    // It stays healthy: it is eligible after its suppression, and its flap count has decayed after some minutes.
+    // While it stays healthy, it becomes eligible after its suppression, and its flap count decays within some minutes.
     harness.advance_by(millis(60_000));
     assert_eq!(harness.eligible_ids().len(), 3);
     harness.advance_by(millis(600_000));
@@ -176,8 +176,8 @@
 fn a_sudden_loss_retains_endpoints_that_still_answer_and_is_accepted_later() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
-    // The first two have failed: they have no recent answer.
-    harness.last_answers.extend(numbers[2..].iter().map(|&n| (n, at(1_500))));
+    // The first two endpoints have no recent answer, like endpoints that have failed.
+    harness.last_answers.extend(numbers[2..].iter().map(|&n| (n, at_millis(1_500))));
     harness.respond_after(millis(1_000), Vec::new());
     assert_eq!(harness.eligible_ids(), ["i2", "i3", "i4", "i5"]);
     assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, eligible_before: 6, retained: 4 });
@@ -192,10 +192,10 @@
 }
 
 #[test]
-fn an_emptied_catalogue_that_is_restored_in_time_changes_nothing() {
+fn a_catalogue_emptied_and_restored_within_the_retention_leaves_the_list_unchanged() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let before = harness.list.clone();
-    harness.last_answers.extend(before.endpoints.iter().map(|e| (e.number, at(1_500))));
+    harness.last_answers.extend(before.endpoints.iter().map(|e| (e.number, at_millis(1_500))));
     harness.respond_after(millis(1_000), Vec::new());
     harness.respond_after(millis(4_000), (0..6).map(instance).collect());
     assert_eq!(harness.list, before, "no restart is counted");
@@ -207,7 +207,7 @@
 fn the_loss_of_a_small_share_is_accepted_at_once() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
-    harness.last_answers.extend(numbers.iter().map(|&n| (n, at(1_900))));
+    harness.last_answers.extend(numbers.iter().map(|&n| (n, at_millis(1_900))));
     harness.respond_after(millis(1_000), (2..6).map(instance).collect());
     assert_eq!(harness.eligible_ids().len(), 4);
 }
@@ -233,7 +233,7 @@
 fn an_instance_that_moves_gets_a_new_number_and_its_old_address_is_dropped_at_once() {
     let mut harness = Harness::new((0..2).map(instance).collect());
     let before = harness.endpoint("i0").number;
-    harness.last_answers.extend(harness.list.endpoints.iter().map(|e| (e.number, at(1_001))));
+    harness.last_answers.extend(harness.list.endpoints.iter().map(|e| (e.number, at_millis(1_001))));
     let moved = |i: u16| Instance { address: loopback(2_000 + i), ..instance(i) };
     harness.respond_after(millis(10), vec![moved(0), moved(1)]);
     assert_eq!(
@@ -248,10 +248,11 @@
 #[test]
 fn a_cached_list_is_used_until_the_first_response_replaces_it() {
     let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-    let list = tracker.restore(at(0), (0..6).map(instance).collect(), &mut Vec::new());
+    let list = tracker.restore(at_millis(0), (0..6).map(instance).collect(), &mut Vec::new());
     assert_eq!(list.eligible().filter(|endpoint| endpoint.eligible_since.is_none()).count(), 6);
-    // Consul's first response is not checked for a sudden loss: the fleet may have changed during the restart.
-    let list = tracker.apply_response(at(500), vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
+    // Consul's first response is not checked for a sudden loss: instances may have changed during the restart.
+    let list =
+        tracker.apply_response(at_millis(500), vec![instance(0), instance(9)], &|_| None, &mut Vec::new());
     let eligible: Vec<&str> = list.eligible().map(|endpoint| endpoint.instance.id.as_str()).collect();
     assert_eq!(eligible, ["i0", "i9"]);
 }
@@ -259,7 +260,7 @@
 #[test]
 fn memory_is_bounded_while_ids_are_replaced_constantly() {
     let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-    let (mut now, mut max_tracked, mut numbers) = (at(0), 0, HashSet::new());
+    let (mut now, mut max_tracked, mut numbers) = (at_millis(0), 0, HashSet::new());
     for turn in 0u32..10_000 {
         now = now + Duration::from_millis(100);
         let fleet = (0..12u32).map(|i| {
@@ -296,7 +297,7 @@
             (prop::collection::btree_map(0u16..10, (0u8..5, 0u16..12), 0..10), 0u64..5_000, any::<bool>()), 1..40)
     ) {
         let mut tracker = EndpointTracker::new(StabilityConfig::default(), 0);
-        let (mut now, mut last_answers) = (at(0), HashMap::new());
+        let (mut now, mut last_answers) = (at_millis(0), HashMap::new());
         for (listed, after_ms, answers) in responses {
             now = now + Duration::from_millis(after_ms);
             let healths = [HealthStatus::Passing, HealthStatus::Warning, HealthStatus::Critical, HealthStatus::Maintenance, HealthStatus::NodeDown];
--- a/crates/catalogue/src/exponential_backoff.rs
+++ b/crates/catalogue/src/exponential_backoff.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-/// Bounds of an exponential backoff.
+/// Initial and maximum delay of an exponential backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExponentialBackoff {
-    /// Backoff after the first failure. It doubles with each further one.
+    /// Backoff after the first failure. It doubles with each further consecutive failure.
     pub initial: Duration,
-    /// Upper bound.
+    /// Upper bound of the backoff. One below a millisecond has the effect of one millisecond.
     pub max: Duration,
 }
 
--- a/crates/catalogue/src/health_response.rs
+++ b/crates/catalogue/src/health_response.rs
@@ -1,7 +1,7 @@
-//! Parser of the response to `/v1/health/service/NAME`, after Consul's public documentation of the health API and of checks.
+//! Parser of the response to `/v1/health/service/NAME`, based on Consul's public documentation of the health API and of checks.
 //!
-//! A query without `passing` returns every registered instance with all its checks, a consistent view of registration and health.
-//! The catalogue API would add nothing to it.
+//! A query without the parameter `passing` returns every registered instance with all its checks, so one response is a consistent
+//! view of registration and health. The catalogue API is not queried, because it has no further information.
 
 mod instance;
 mod wire;
@@ -11,16 +11,16 @@
 
 pub use instance::{HealthStatus, Instance};
 
-/// The instances of a service, as one response lists them.
+/// The instances of a service in one response of the health API.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthResponse {
     /// Valid instances, sorted by id.
     pub instances: Vec<Instance>,
-    /// Entries that are left out of the list.
+    /// Entries that are not used, each with its error.
     pub invalid: Vec<InvalidInstance>,
 }
 
-/// An entry of a response that is no valid instance.
+/// An entry of a response that is not a valid instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidInstance {
     /// Node name and service id.
@@ -52,7 +52,7 @@
         Ok(response)
     }
 
-    /// Sorts by id and keeps one instance of each id, the one with the worst health status.
+    /// Sorts the instances by id, and keeps only the one with the worst health status of those with the same id.
     fn remove_duplicates(&mut self) {
         self.instances.sort_by(|a, b| a.id.cmp(&b.id));
         self.instances.dedup_by(|later, earlier| {
--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a service: its address, health and weight.
+//! One instance of a service: its address, health status, weight and start time.
 
 use super::wire::{Check, Entry, Service};
 use crate::error::InstanceError;
@@ -9,18 +9,20 @@
 use std::ops::RangeInclusive;
 use timestamps::UnixTime;
 
+/// Accepted values of the capacity in the service metadata.
 const CAPACITY_RANGE: RangeInclusive<f64> = 0.01..=1_000.0;
-/// Consul's largest weight, 65535, times the largest capacity.
+/// Accepted weights. The upper bound is Consul's largest weight, 65535, times the largest capacity.
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=65_535_000.0;
 
-/// Health status of an instance: the worst status among its own checks and its node's.
+/// Health status of an instance: the worst status among the checks of the service and those of its node. Variants are ordered
+/// from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HealthStatus {
     /// All checks are passing, or there are none.
     Passing,
-    /// A check is in warning state.
+    /// At least one check is in the warning state, and none is worse.
     Warning,
-    /// A check is critical.
+    /// At least one check is critical or has an unknown status.
     Critical,
     /// An operator has put the service or its node into maintenance mode.
     Maintenance,
@@ -29,7 +31,7 @@
 }
 
 impl HealthStatus {
-    /// Its name in log lines and on the console.
+    /// Text of the status in log lines and on the console.
     pub fn name(self) -> &'static str {
         match self {
             Self::Passing => "passing",
@@ -40,11 +42,11 @@
         }
     }
 
-    fn of(check: &Check) -> Self {
+    fn of_check(check: &Check) -> Self {
         match check.status.as_str() {
             "passing" => Self::Passing,
             "warning" => Self::Warning,
-            // Consul represents maintenance mode, and a failed node, as critical checks with reserved ids.
+            // Consul reports maintenance mode and a failed node as critical checks with reserved ids.
             _ if check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance:") => {
                 Self::Maintenance
             }
@@ -54,18 +56,18 @@
     }
 }
 
-/// One instance of a service.
+/// One registered instance of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Node name and service id, unique within a datacentre.
+    /// Node name and service id, separated by a slash; unique within a datacenter.
     pub id: String,
-    /// The address at which it listens.
+    /// IP address and port of the service. The address is the node's if the service has none.
     pub address: SocketAddr,
-    /// Its health status.
+    /// The worst status among the checks of the service and its node.
     pub health: HealthStatus,
-    /// Its weight for its health status (`Service.Weights`), times the capacity in its `Meta`.
+    /// The weight in `Service.Weights` for its health status, or 1 if absent, times the capacity in `Service.Meta`.
     pub weight: f64,
-    /// When it started, if its `Meta` has the start time.
+    /// When it started; `None` if `Service.Meta` has no start time.
     #[serde(rename = "started", default, with = "stored_time::optional")]
     pub started_at: Option<UnixTime>,
 }
@@ -73,7 +75,7 @@
 impl Instance {
     pub(super) fn from_entry(id: &str, entry: &Entry) -> Result<Self, InstanceError> {
         let checks = entry.checks.as_deref().unwrap_or_default();
-        let health = checks.iter().map(HealthStatus::of).max().unwrap_or(HealthStatus::Passing);
+        let health = checks.iter().map(HealthStatus::of_check).max().unwrap_or(HealthStatus::Passing);
         Ok(Self {
             id: id.to_owned(),
             address: address_of(entry)?,
@@ -84,7 +86,7 @@
     }
 }
 
-/// The service's address, or its node's address if the service has none. Host names are not resolved.
+/// Returns the service's address and port, or the node's address if the service has none. Host names are not resolved.
 fn address_of(entry: &Entry) -> Result<SocketAddr, InstanceError> {
     let Service { address, port, .. } = &entry.service;
     let text = if address.is_empty() { &entry.node.address } else { address };
--- a/crates/catalogue/src/health_response/tests.rs
+++ b/crates/catalogue/src/health_response/tests.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn of_two_instances_with_one_id_the_less_healthy_one_is_kept() {
+fn keeps_the_less_healthy_of_two_instances_with_the_same_id() {
     let entries =
         [entry_json("x", r#""Port":80"#, &[]), entry_json("x", r#""Port":81"#, &[("c", "critical")])];
     let response = HealthResponse::parse(format!("[{}]", entries.join(",")).as_bytes()).expect("a response");
--- a/crates/catalogue/src/health_response/wire.rs
+++ b/crates/catalogue/src/health_response/wire.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// One entry of the response: an instance, its node and their checks.
+/// One entry of the response: a service instance, its node, and the checks of both.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Entry {
@@ -16,7 +16,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Node {
-    /// Name of the node.
+    /// Node name (`Node.Node` in Consul's JSON).
     pub(super) node: String,
     #[serde(default)]
     pub(super) address: String,
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -10,10 +10,11 @@
 //! Invariants:
 //!
 //! - An invalid response never replaces a list.
-//! - An endpoint that Consul marks as unhealthy, or drops while most others stay, is not eligible from then on. The exception is a
-//!   sudden loss, a response that drops a large share of the list without marking it: endpoints that still answer clients are
-//!   then retained for a configured time.
-//! - Memory is bounded by the present instances and a fixed number of those that have left.
+//! - An endpoint becomes ineligible as soon as Consul reports it as unhealthy or no longer lists it. The exception is a sudden
+//!   loss, a response that drops a large share of the eligible endpoints without reporting them as unhealthy: those that
+//!   recently answered a client are then retained for a configured time.
+//! - Memory is bounded: the tracker keeps the listed and retained instances, those with attempts in flight, and a fixed maximum
+//!   number of deregistered ones.
 //! - No error text contains an ACL token.
 
 mod agent_selector;
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -1,20 +1,20 @@
-//! This process's registration with its agent: registers, keeps the TTL check passing with heartbeats, registers again when the
-//! agent has lost the registration, and deregisters at shutdown.
+//! State machine of this process's registration with its Consul agent. It registers the service, keeps the TTL check passing with
+//! heartbeats, registers again when the agent no longer knows the check, and deregisters at shutdown.
 
 use crate::ExponentialBackoff;
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// Heartbeats per TTL, so that two may be lost in a row.
+/// Heartbeats per TTL. Two consecutive heartbeats may be lost before the check expires.
 const HEARTBEATS_PER_TTL: u32 = 3;
-/// The backoff after a failed request is at most the TTL divided by this.
+/// The backoff after a failed request is at most the TTL divided by this number.
 const RETRIES_PER_TTL: u32 = 6;
 /// Backoff after the first failed request.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// Upper bound of the backoff, whatever the TTL.
+/// Upper bound of the backoff for a long TTL.
 const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
-/// A request to the agent.
+/// A request to the agent's service or check API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationRequest {
     /// `PUT /v1/agent/service/register`.
@@ -25,10 +25,10 @@
     Deregister,
 }
 
-/// The outcome of a request.
+/// The outcome of a registration request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// The agent responded with status 200.
+    /// The agent executed the request: status 200.
     Accepted,
     /// The agent does not know the check: status 404, or 500 from older agents.
     UnknownCheck,
@@ -36,16 +36,16 @@
     Failed,
 }
 
-/// A change of the registration that is logged.
+/// A change of the registration's state, reported for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationChange {
     /// The agent has accepted the registration.
     Registered,
-    /// The agent has lost the registration, or has removed it on request.
+    /// The agent no longer knows the registration: it has lost it, or has deregistered the service on request.
     Lost,
 }
 
-/// State of the registration, without I/O.
+/// State of the registration: decides which request is due next. The caller sends it and reports the outcome.
 #[derive(Clone, Debug)]
 pub struct Registration {
     ttl: Duration,
@@ -55,7 +55,7 @@
 }
 
 impl Registration {
-    /// Starts unregistered. The check expires `ttl` after the last heartbeat.
+    /// Starts unregistered, with a request due at once. The TTL check becomes critical `ttl` after the last heartbeat.
     pub fn new(ttl: Duration) -> Self {
         Self { ttl, is_registered: false, next_request_at: MonotonicTime::ZERO, consecutive_failures: 0 }
     }
@@ -67,7 +67,7 @@
         (now >= self.next_request_at).then_some(request)
     }
 
-    /// When the next request is due.
+    /// When the next request is due; never after a deregistration.
     pub fn next_request_at(&self) -> MonotonicTime {
         self.next_request_at
     }
@@ -84,7 +84,7 @@
             (RegistrationRequest::Register, RegistrationOutcome::Accepted) => {
                 self.is_registered = true;
                 self.consecutive_failures = 0;
-                // A new TTL check is critical until its first heartbeat.
+                // A new TTL check is critical until its first heartbeat, so the heartbeat is due at once.
                 self.next_request_at = now;
             }
             (RegistrationRequest::Heartbeat, RegistrationOutcome::Accepted) => {
--- a/crates/catalogue/src/stability.rs
+++ b/crates/catalogue/src/stability.rs
@@ -1,4 +1,4 @@
-//! Settings that damp sudden changes of an endpoint list.
+//! Settings that damp flapping and sudden losses in an endpoint list.
 
 use crate::HealthStatus;
 use std::time::Duration;
@@ -6,20 +6,22 @@
 /// Settings of flap damping and of retention after a sudden loss.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StabilityConfig {
-    /// The worst health status that is still eligible.
+    /// The worst health status with which an endpoint is still eligible.
     pub minimum_health: HealthStatus,
-    /// Suppression time of an endpoint that recovers from its second recent flap. It doubles with each further flap.
+    /// Time for which an endpoint stays ineligible after it recovers from its second recent flap. It doubles with each further
+    /// flap.
     pub flap_suppression: Duration,
     /// Upper bound of the suppression time.
     pub max_flap_suppression: Duration,
-    /// Half-life of an endpoint's flap count.
+    /// Half-life with which an endpoint's flap count decays.
     pub flap_half_life: Duration,
-    /// A single response that drops at least this share of the eligible endpoints, none of them marked unhealthy, is a sudden loss.
+    /// A response is a sudden loss if it no longer lists at least this share (0 to 1) of the eligible endpoints. Endpoints that
+    /// it lists as unhealthy do not count.
     pub sudden_loss_share: f64,
     /// Time for which endpoints are retained after a sudden loss.
     pub sudden_loss_retention: Duration,
-    /// Only endpoints that answered a client within this time before the loss are retained.
-    pub recently_answered: Duration,
+    /// Only endpoints that answered a client within this time before a sudden loss are retained.
+    pub recent_answer_window: Duration,
 }
 
 impl Default for StabilityConfig {
@@ -31,7 +33,7 @@
             flap_half_life: Duration::from_secs(60),
             sudden_loss_share: 0.5,
             sudden_loss_retention: Duration::from_secs(15),
-            recently_answered: Duration::from_secs(3),
+            recent_answer_window: Duration::from_secs(3),
         }
     }
 }
--- a/crates/catalogue/src/stored_time.rs
+++ b/crates/catalogue/src/stored_time.rs
@@ -1,25 +1,25 @@
-//! The stored form of a moment: a JSON number of Unix milliseconds.
+//! Serialization of a [`UnixTime`] in the cache file: a JSON number of Unix milliseconds.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use timestamps::UnixTime;
 
-pub(crate) fn serialize<S: Serializer>(moment: &UnixTime, serializer: S) -> Result<S::Ok, S::Error> {
-    moment.as_millis().serialize(serializer)
+pub(crate) fn serialize<S: Serializer>(time: &UnixTime, serializer: S) -> Result<S::Ok, S::Error> {
+    time.as_millis().serialize(serializer)
 }
 
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<UnixTime, D::Error> {
     u64::deserialize(deserializer).map(UnixTime::from_millis)
 }
 
-/// The stored form of a moment that may be absent: a number, or `null`.
+/// Serialization of an optional [`UnixTime`]: a number of Unix milliseconds, or `null`.
 pub(crate) mod optional {
     use super::{Deserialize, Deserializer, Serialize, Serializer, UnixTime};
 
     pub(crate) fn serialize<S: Serializer>(
-        moment: &Option<UnixTime>,
+        time: &Option<UnixTime>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        moment.map(UnixTime::as_millis).serialize(serializer)
+        time.map(UnixTime::as_millis).serialize(serializer)
     }
 
     pub(crate) fn deserialize<'de, D: Deserializer<'de>>(
--- a/crates/catalogue/src/stored_time/tests.rs
+++ b/crates/catalogue/src/stored_time/tests.rs
@@ -1,4 +1,4 @@
-//! Moments in stored instances.
+//! Start times in the stored form of an instance.
 
 use crate::Instance;
 use timestamps::UnixTime;
