--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -92,7 +92,7 @@
         retained: usize,
     },
     /// The retention after a sudden loss has ended, and some retained endpoints have not reappeared.
-    LossAccepted {
+    RetentionEnded {
         /// Number of endpoints that are no longer retained.
         count: usize,
     },
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -62,7 +62,7 @@
     /// Whether there has been a list, from Consul or from the cache file. Instances that appear later may need slow start.
     has_list: bool,
     /// End of the retention after a sudden loss; `None` if no retention is in progress.
-    loss_accepted_at: Option<MonotonicTime>,
+    retention_ends_at: Option<MonotonicTime>,
     reported_counts: Option<ListCounts>,
 }
 
@@ -75,7 +75,7 @@
             last_number,
             has_response: false,
             has_list: false,
-            loss_accepted_at: None,
+            retention_ends_at: None,
             reported_counts: None,
         }
     }
@@ -117,7 +117,7 @@
         has_attempts: HasAttempts<'_>,
         events: &mut Vec<WatchEvent>,
     ) -> EndpointList {
-        self.accept_loss(now, events);
+        self.end_retention(now, events);
         self.remove_departed(now, has_attempts);
         self.evaluate(now, events)
     }
@@ -205,7 +205,7 @@
         last_answer_at: LastAnswerAt<'_>,
     ) -> usize {
         let until = now + self.config.sudden_loss_retention;
-        self.loss_accepted_at = Some(until);
+        self.retention_ends_at = Some(until);
         let is_recent = |at: MonotonicTime| now.saturating_since(at) <= self.config.recent_answer_window;
         let mut retained = 0;
         for key in vanished {
@@ -219,14 +219,14 @@
     }
 
     /// Once the retention after a sudden loss has ended, reports the endpoints that did not reappear.
-    fn accept_loss(&mut self, now: MonotonicTime, events: &mut Vec<WatchEvent>) {
-        if self.loss_accepted_at.is_none_or(|at| now < at) {
+    fn end_retention(&mut self, now: MonotonicTime, events: &mut Vec<WatchEvent>) {
+        if self.retention_ends_at.is_none_or(|at| now < at) {
             return;
         }
-        self.loss_accepted_at = None;
+        self.retention_ends_at = None;
         let count = self.records.values().filter(|record| record.is_retention_over(now)).count();
         if count > 0 {
-            events.push(WatchEvent::LossAccepted { count });
+            events.push(WatchEvent::RetentionEnded { count });
         }
     }
 
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_sudden_loss_retains_endpoints_that_still_answer_and_is_accepted_later() {
+fn a_sudden_loss_retains_endpoints_that_still_answer_until_the_retention_ends() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
     // The first two endpoints have no recent answer, like endpoints that have failed.
@@ -188,7 +188,7 @@
     assert_eq!(harness.eligible_ids().len(), 4);
     harness.advance_by(millis(2_000));
     assert_eq!(harness.eligible_ids().len(), 0);
-    assert!(harness.events.contains(&WatchEvent::LossAccepted { count: 4 }), "{:?}", harness.events);
+    assert!(harness.events.contains(&WatchEvent::RetentionEnded { count: 4 }), "{:?}", harness.events);
 }
 
 #[test]
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn the_loss_of_a_small_share_is_accepted_at_once() {
+fn a_loss_of_a_small_share_of_the_endpoints_retains_none() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
     harness.last_answers.extend(numbers.iter().map(|&n| (n, at_millis(1_900))));
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -1,4 +1,4 @@
-//! The cache file with the last confirmed endpoint lists. Each write replaces it atomically.
+//! Reads and writes the cache file, which has the endpoint lists that Consul confirmed last. Each write replaces it atomically.
 
 use crate::error::CacheFileError;
 use crate::sync::locked;
@@ -11,46 +11,46 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use timestamps::UnixTime;
 
-/// Interval at which unchanged lists are written again, which renews their time of confirmation.
+/// Interval at which unchanged lists are written again, so that the file has a recent time of confirmation.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
-/// Minimum time between two writes of changing lists.
+/// Minimum time between two writes while lists change.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 type InstancesByService = BTreeMap<String, Vec<Instance>>;
 
-/// The cache file of all watched services.
+/// The cache file, which all watches share. Safe to use from several threads.
 #[derive(Debug)]
 pub struct CacheFile {
     path: PathBuf,
-    /// The list read at the start.
-    initial: Option<AgedList>,
+    /// The lists read at the start; `None` if there was no valid file.
+    initial_lists: Option<AgedList>,
     state: Mutex<State>,
 }
 
 /// The cached instances of one service, as read at the start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedInstances {
-    /// The instances that were eligible.
+    /// The instances that were eligible when Consul confirmed the list.
     pub instances: Vec<Instance>,
-    /// Age of the list in whole seconds when it was read.
+    /// Time from Consul's confirmation of the list to its reading, in whole seconds.
     pub age: Duration,
 }
 
 #[derive(Debug)]
 struct State {
     services: InstancesByService,
-    /// Services without a response since the start. The file is not written until this is empty.
-    awaited: BTreeSet<String>,
+    /// Services without a response since the start. The file is not written while there are any, so that no list gets lost.
+    services_without_response: BTreeSet<String>,
     written_at: Option<Instant>,
     written_services: InstancesByService,
-    /// Whether the last write failed. Only the first of consecutive failures is logged.
-    is_failing: bool,
+    /// Whether the last write failed. Of consecutive failures only the first is logged.
+    last_write_failed: bool,
 }
 
 impl State {
-    /// Whether all services have a response, and the file is to be written now.
+    /// Whether all services have a response and a write is due: the first one, a renewal, or one of changed lists.
     fn is_write_due(&self) -> bool {
-        if !self.awaited.is_empty() {
+        if !self.services_without_response.is_empty() {
             return false;
         }
         let Some(written_at) = self.written_at else { return true };
@@ -61,46 +61,47 @@
 }
 
 impl CacheFile {
-    /// Reads the file at `path`, and prepares to write the lists of these services. An invalid file is logged and ignored.
+    /// Reads the file at `path`. An invalid file is logged and ignored. The file is first written once a list of each of
+    /// `services` has been stored.
     pub fn open(path: PathBuf, max_age: Duration, services: impl IntoIterator<Item = String>) -> Self {
-        let initial = read(&path, max_age).unwrap_or_else(|error| {
+        let initial_lists = read(&path, max_age).unwrap_or_else(|error| {
             tracing::warn!(path = %path.display(), %error, "endpoint cache not usable");
             None
         });
         let state = State {
             services: BTreeMap::new(),
-            awaited: services.into_iter().collect(),
+            services_without_response: services.into_iter().collect(),
             written_at: None,
             written_services: BTreeMap::new(),
-            is_failing: false,
+            last_write_failed: false,
         };
-        Self { path, initial, state: Mutex::new(state) }
+        Self { path, initial_lists, state: Mutex::new(state) }
     }
 
-    /// Returns the instances of a service that were read at the start.
+    /// Returns the instances of a service that were read at the start; `None` if the file was missing, invalid or without them.
     pub fn cached(&self, service: &str) -> Option<CachedInstances> {
-        let initial = self.initial.as_ref()?;
-        let instances = initial.list.services.get(service)?.clone();
-        Some(CachedInstances { instances, age: initial.age })
+        let initial_lists = self.initial_lists.as_ref()?;
+        let instances = initial_lists.list.services.get(service)?.clone();
+        Some(CachedInstances { instances, age: initial_lists.age })
     }
 
     /// Stores the list of a service that Consul has just confirmed, and writes the file if a write is due.
     pub fn store(&self, service: &str, instances: Vec<Instance>) {
         let mut state = locked(&self.state);
         state.services.insert(service.to_owned(), instances);
-        state.awaited.remove(service);
+        state.services_without_response.remove(service);
         if !state.is_write_due() {
             return;
         }
         let list = CachedList { confirmed_at: unix_time(), services: state.services.clone() };
         match replace(&self.path, &list.encode()) {
             Ok(()) => {
-                state.is_failing = false;
+                state.last_write_failed = false;
                 state.written_services = list.services;
             }
-            Err(error) if !state.is_failing => {
+            Err(error) if !state.last_write_failed => {
                 tracing::warn!(path = %self.path.display(), %error, "endpoint cache write failed");
-                state.is_failing = true;
+                state.last_write_failed = true;
             }
             Err(_) => {}
         }
@@ -112,7 +113,7 @@
     UnixTime::ZERO + SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Reads the list from the file; `None` if there is no file.
+/// Reads the lists from the file; `None` if there is no file.
 fn read(path: &Path, max_age: Duration) -> Result<Option<AgedList>, CacheFileError> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -124,12 +125,12 @@
     Ok(Some(CachedList::decode(&bytes, unix_time(), max_age)?))
 }
 
-/// Replaces a file atomically: a crash at any point leaves the old contents or the new ones.
+/// Replaces a file atomically: after a crash at any point, the file has either the old or the new contents.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let temporary = path.with_extension(format!("{}.new", std::process::id()));
     let result = write_and_rename(&temporary, path, text);
     if result.is_err() {
-        // The temporary file may not exist, and a failure to remove it has no other remedy.
+        // The temporary file may not exist. If it cannot be removed, nothing else can be done about it.
         let _ = fs::remove_file(&temporary);
     }
     result
--- a/crates/consul/src/config.rs
+++ b/crates/consul/src/config.rs
@@ -5,35 +5,35 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Addresses of the Consul agents, and how they are queried.
+/// Addresses of the Consul agents, and parameters of all queries to them.
 #[derive(Clone, Debug)]
 pub struct ConsulConfig {
-    /// Agents in order of preference; at least one.
+    /// HTTP addresses of the agents in order of preference; at least one. The first one gets the registration.
     pub agents: Vec<SocketAddr>,
-    /// File with the ACL token, read before each request.
+    /// File with the ACL token, read before each request; `None` for requests without a token.
     pub token_file: Option<PathBuf>,
-    /// Datacentre, if not the agent's own.
+    /// Datacenter to query; `None` for the agent's own.
     pub datacenter: Option<String>,
-    /// Namespace, if not the agent's own.
+    /// Namespace to query; `None` for the agent's own.
     pub namespace: Option<String>,
-    /// Partition, if not the agent's own.
+    /// Admin partition to query; `None` for the agent's own.
     pub partition: Option<String>,
-    /// Maximum staleness of a stale read; `None` for consistent reads from the leader.
+    /// Maximum time since the responding server's last contact with the leader. `None` for reads from the leader.
     pub max_staleness: Option<Duration>,
-    /// Maximum duration of a blocking query.
+    /// Maximum duration of a blocking query (`wait`), to which Consul adds a jitter.
     pub blocking_wait: Duration,
 }
 
 /// Settings of the watch on one service.
 #[derive(Clone, Debug)]
 pub struct WatchConfig {
-    /// Name of the service.
+    /// Name of the service in Consul.
     pub service: String,
     /// Restricts the watch to instances with this tag.
     pub tag: Option<String>,
-    /// Filter expression in Consul's syntax.
+    /// Restricts the watch by a filter expression in Consul's syntax.
     pub filter: Option<String>,
-    /// Damping of sudden changes.
+    /// Settings of flap damping and of retention after a sudden loss.
     pub stability: StabilityConfig,
     /// The first endpoint gets the number after this one.
     pub last_number: u32,
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -5,22 +5,22 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a query has no usable response.
+/// Why a health query has no usable response. The previous endpoint list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The servers have no leader.
+    /// The Consul servers have no leader, so the data may be out of date.
     #[error("the servers have no leader")]
     NoLeader,
-    /// The server last heard from its leader too long ago.
-    #[error("the server heard from its leader {} ms ago", since_contact.as_millis())]
+    /// The responding server last heard from the leader longer ago than the maximum staleness.
+    #[error("the responding server last heard from its leader {} ms ago", since_contact.as_millis())]
     Stale {
-        /// Time since the last contact.
+        /// Time since the server's last contact with the leader.
         since_contact: Duration,
     },
     /// The agent responded with a status other than 200.
-    #[error("status {0}")]
+    #[error("the agent responded with status {0}")]
     Status(u16),
-    /// The connection to the agent failed.
+    /// The HTTP exchange failed: no connection, a time-out, or a malformed or too large response.
     #[error("{0}")]
     Transport(#[from] ureq::Error),
     /// The body is not a valid response of the health API.
@@ -29,27 +29,27 @@
 }
 
 impl QueryError {
-    /// Whether the agent responded with data that is too stale to be used.
+    /// Whether the agent responded, but its data is too stale to be used.
     pub fn is_stale(&self) -> bool {
         matches!(self, Self::NoLeader | Self::Stale { .. })
     }
 }
 
-/// Why a token file is invalid.
+/// Why no token can be read from a token file.
 #[derive(Debug, thiserror::Error)]
 pub enum TokenError {
-    /// The file cannot be read.
+    /// The file is missing or cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the token file.
         path: PathBuf,
-        /// The I/O error.
+        /// Why reading failed.
         source: io::Error,
     },
     /// The file is empty, too long, or contains whitespace or other characters that are invalid in a token.
     #[error("{}: it holds no token", path.display())]
     NoToken {
-        /// The file.
+        /// Path of the token file.
         path: PathBuf,
     },
 }
@@ -57,10 +57,10 @@
 /// Why a cache file is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum CacheFileError {
-    /// The file cannot be read.
+    /// The file exists but cannot be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// The contents are invalid.
+    /// The contents are invalid, too old, or dated in the future.
     #[error("{0}")]
     Rejected(#[from] CachedListError),
 }
--- a/crates/consul/src/error/tests.rs
+++ b/crates/consul/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The text of each variant, as operators read it.
+//! The error text of each variant, as it appears in the log.
 
 use super::*;
 use std::error::Error;
@@ -10,12 +10,16 @@
         (QueryError::NoLeader, "the servers have no leader", true),
         (
             QueryError::Stale { since_contact: Duration::from_millis(900) },
-            "the server heard from its leader 900 ms ago",
+            "the responding server last heard from its leader 900 ms ago",
             true,
         ),
-        (QueryError::Status(500), "status 500", false),
+        (QueryError::Status(500), "the agent responded with status 500", false),
         (QueryError::Transport(ureq::Error::HostNotFound), "host not found", false),
-        (QueryError::Response(response), "70000 instances, more than 65536", false),
+        (
+            QueryError::Response(response),
+            "the response lists 70000 instances, more than the maximum of 65536",
+            false,
+        ),
     ] {
         assert_eq!((error.to_string().as_str(), error.is_stale()), (text, is_stale));
     }
--- a/crates/consul/src/health_client.rs
+++ b/crates/consul/src/health_client.rs
@@ -1,7 +1,7 @@
-//! Client of the health API.
+//! Client of Consul's health API: sends blocking queries for the instances of a service.
 
 use crate::error::QueryError;
-use crate::http_agent::{http_agent, with_timeout_and_token};
+use crate::http_agent::{new_http_client, with_timeout_and_token};
 use crate::{ConsulConfig, TokenFile, WatchConfig};
 use catalogue::{HealthResponse, Query};
 use http::percent_encode;
@@ -12,39 +12,44 @@
 
 /// Maximum size of a response body in bytes, after decompression.
 const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
-/// Time-out of a query beyond the wait of the blocking query. It covers the round trip and an agent under load.
+/// Time-out of a query in addition to the wait of a blocking query. It allows for the round trip and for an agent under load.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Consul adds a random jitter of up to the wait divided by this, so that blocking queries do not end at the same time.
+/// Consul extends the wait by a random jitter of up to the wait divided by this number, so that blocking queries end at different
+/// times.
 const WAIT_JITTER_DIVISOR: u32 = 16;
 
-/// The index on which the next blocking query waits.
+/// Response header with the index for the next blocking query.
 const INDEX_HEADER: &str = "x-consul-index";
-/// Whether the servers have a leader.
+/// Response header that tells whether the servers have a leader.
 const KNOWN_LEADER_HEADER: &str = "x-consul-knownleader";
-/// Milliseconds since the responding server last heard from the leader.
+/// Response header with the milliseconds since the responding server last heard from the leader.
 const LAST_CONTACT_HEADER: &str = "x-consul-lastcontact";
 
-/// A valid response and its index (`X-Consul-Index`).
+/// A valid health response and its index (`X-Consul-Index`).
 pub(crate) struct IndexedResponse {
     pub(crate) index: u64,
     pub(crate) body: HealthResponse,
 }
 
-/// Sends queries to the configured agents.
+/// Sends health queries to the configured agents.
 pub(crate) struct HealthClient {
     config: ConsulConfig,
-    agent: ureq::Agent,
+    http_client: ureq::Agent,
     token: TokenFile,
 }
 
 impl HealthClient {
     pub(crate) fn new(config: &ConsulConfig) -> Self {
         let token = TokenFile::new(config.token_file.clone());
-        Self { config: config.clone(), agent: http_agent(), token }
+        Self { config: config.clone(), http_client: new_http_client(), token }
     }
 
-    /// Queries the health of a service. Blocks until the agent responds or the query times out.
-    pub(crate) fn health(&self, watch: &WatchConfig, query: &Query) -> Result<IndexedResponse, QueryError> {
+    /// Queries the instances of a service with their health. Blocks until the agent responds or the query times out.
+    pub(crate) fn query_health(
+        &self,
+        watch: &WatchConfig,
+        query: &Query,
+    ) -> Result<IndexedResponse, QueryError> {
         let mut response = self.send(watch, query)?;
         if response.status() != StatusCode::OK {
             return Err(QueryError::Status(response.status().as_u16()));
@@ -60,11 +65,11 @@
         let address = self.config.agents[query.agent];
         let url = format!("http://{address}{}", request_target(&self.config, watch, query));
         let timeout = self.max_wait(query) + QUERY_TIMEOUT;
-        let request = with_timeout_and_token(self.agent.get(&url), timeout, &self.token);
+        let request = with_timeout_and_token(self.http_client.get(&url), timeout, &self.token);
         Ok(request.call()?)
     }
 
-    /// Maximum time for which the agent may hold the query open.
+    /// Maximum time for which the agent may hold the query before it responds.
     fn max_wait(&self, query: &Query) -> Duration {
         let wait = self.config.blocking_wait;
         let is_blocking = query.index > 0;
@@ -87,12 +92,12 @@
     response.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
-/// The number in a header, or 0 if the header is missing or invalid.
+/// Returns the number in a header, or 0 if the header is missing or invalid.
 fn number_in_header(response: &Response<Body>, name: &str) -> u64 {
     header(response, name).trim().parse().unwrap_or(0)
 }
 
-/// Path and query string of a query.
+/// Returns the request target of a health query: the path and the query string.
 fn request_target(config: &ConsulConfig, watch: &WatchConfig, query: &Query) -> String {
     let mut target = format!("/v1/health/service/{}", percent_encode(&watch.service));
     let mut separator = '?';
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -1,4 +1,4 @@
-//! The time of the last answer that each endpoint gave to a client.
+//! When each endpoint last answered a client. Endpoints with a recent answer are retained after a sudden loss.
 
 use crate::sync::locked;
 use catalogue::EndpointNumber;
@@ -7,38 +7,38 @@
 use std::time::Instant;
 use timestamps::MonotonicTime;
 
-/// The time of the last answer to a client, by endpoint. The backend side records answers; the watches read them and use the same
-/// clock.
+/// The time of the last answer to a client, by endpoint. The code that exchanges requests with backends records answers; the
+/// watches read them, and use the same clock.
 #[derive(Debug)]
 pub struct LastAnswers {
-    start: Instant,
+    clock_start: Instant,
     times: Mutex<HashMap<EndpointNumber, MonotonicTime>>,
 }
 
 impl Default for LastAnswers {
     fn default() -> Self {
-        Self { start: Instant::now(), times: Mutex::default() }
+        Self { clock_start: Instant::now(), times: Mutex::default() }
     }
 }
 
 impl LastAnswers {
-    /// Records that this endpoint has just answered a client.
+    /// Records that an endpoint has just answered a client.
     pub fn record(&self, endpoint: EndpointNumber) {
         let now = self.now();
         locked(&self.times).insert(endpoint, now);
     }
 
-    /// The present moment of the clock that all watches share.
+    /// The current time of the clock that all watches share.
     pub(crate) fn now(&self) -> MonotonicTime {
-        MonotonicTime::ZERO + self.start.elapsed()
+        MonotonicTime::ZERO + self.clock_start.elapsed()
     }
 
-    /// When this endpoint last answered a client, if ever.
+    /// When an endpoint last answered a client; `None` if it never did, or was forgotten.
     pub(crate) fn last_answer_at(&self, endpoint: EndpointNumber) -> Option<MonotonicTime> {
         locked(&self.times).get(&endpoint).copied()
     }
 
-    /// Forgets the endpoints for which `is_kept` returns false.
+    /// Removes the times of the endpoints for which `is_kept` returns false.
     pub(crate) fn retain(&self, is_kept: impl Fn(EndpointNumber) -> bool) {
         locked(&self.times).retain(|&endpoint, _| is_kept(endpoint));
     }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,6 +1,7 @@
 //! Client of Consul's HTTP API, with one thread for each watched service and one for the registration of this process.
 //!
-//! The package `catalogue` interprets the responses. This package has the HTTP calls, the token file, the cache file and the log.
+//! The package `catalogue` interprets the responses. This package makes the HTTP calls, reads the token file, maintains the cache
+//! file, and logs changes.
 //!
 //! No code of this package blocks the `may` worker threads. Connections are kept alive between queries (`ureq`), and compressed
 //! bodies are accepted.
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -1,6 +1,6 @@
-//! Registers this process as a service with its agent.
+//! Registers this process as a service with its Consul agent, in a thread of its own.
 
-use crate::http_agent::{http_agent, with_timeout_and_token};
+use crate::http_agent::{new_http_client, with_timeout_and_token};
 use crate::{ConsulConfig, TokenFile};
 use catalogue::{Registration, RegistrationChange, RegistrationOutcome, RegistrationRequest};
 use http::percent_encode;
@@ -11,34 +11,34 @@
 use timestamps::MonotonicTime;
 use ureq::http::StatusCode;
 
-/// Minimum wait between two checks for due requests.
+/// Minimum wait between two iterations of the registration loop.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum delay of the shutdown by deregistration.
+/// Maximum time for which a shutdown waits for the deregistration.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Consul removes a registration whose check has been critical for this long.
 const DEREGISTER_CRITICAL_AFTER: &str = "10m";
 
-/// A request to deregister, with the channel for its acknowledgement.
+/// A request to the registration thread to deregister. `done` acknowledges it.
 struct DeregisterRequest {
     done: SyncSender<()>,
 }
 
-/// The service that is registered.
+/// The service instance to register.
 #[derive(Clone, Debug)]
 pub struct RegistrationConfig {
-    /// Name of the service.
+    /// Name of the service in Consul.
     pub name: String,
-    /// Id of this instance.
+    /// Service id of this instance, unique on its agent.
     pub id: String,
-    /// The address at which clients reach it.
+    /// The address at which clients reach this instance.
     pub address: SocketAddr,
     /// Time after the last heartbeat at which its TTL check becomes critical.
     pub ttl: Duration,
 }
 
 impl RegistrationConfig {
-    /// Body of the registration request.
+    /// Returns the JSON body of the registration request.
     fn body(&self) -> String {
         let body = serde_json::json!({
             "ID": self.id,
@@ -54,18 +54,18 @@
     }
 }
 
-/// Handle of the thread that keeps a registration alive.
+/// Handle of the thread that keeps a service registered. When it is dropped, the thread ends without deregistering.
 #[derive(Debug)]
 pub struct RegistrationHandle {
     deregister_requests: SyncSender<DeregisterRequest>,
 }
 
 impl RegistrationHandle {
-    /// Deregisters, and waits up to one second for the agent's response.
+    /// Deregisters the service, and waits up to one second for the agent's response.
     pub fn deregister(&self) {
         let (done, acknowledgement) = sync_channel(1);
         if self.deregister_requests.try_send(DeregisterRequest { done }).is_ok() {
-            // After a time-out the TTL check expires, and Consul removes the registration.
+            // After a time-out nothing more is done: the TTL check expires, and Consul removes the registration later.
             let _ = acknowledgement.recv_timeout(DEREGISTER_TIMEOUT);
         }
     }
@@ -86,10 +86,10 @@
     Ok(RegistrationHandle { deregister_requests })
 }
 
-/// Sends the requests of one registration.
+/// Sends the registration, the heartbeats and the deregistration of one service instance.
 struct Registrar {
-    agent: ureq::Agent,
-    address: SocketAddr,
+    http_client: ureq::Agent,
+    agent_address: SocketAddr,
     token: TokenFile,
     id: String,
     body: String,
@@ -99,8 +99,8 @@
 impl Registrar {
     fn new(consul: &ConsulConfig, registration: RegistrationConfig) -> Self {
         Self {
-            agent: http_agent(),
-            address: consul.agents[0],
+            http_client: new_http_client(),
+            agent_address: consul.agents[0],
             token: TokenFile::new(consul.token_file.clone()),
             body: registration.body(),
             id: registration.id,
@@ -122,7 +122,7 @@
                 Ok(DeregisterRequest { done }) => {
                     self.send(RegistrationRequest::Deregister);
                     tracing::info!(id = self.id, "service deregistered");
-                    // The requester may have timed out.
+                    // The sender of the request may have stopped waiting.
                     let _ = done.send(());
                     return;
                 }
@@ -150,11 +150,11 @@
             RegistrationRequest::Heartbeat => (format!("/v1/agent/check/pass/service:{id}"), ""),
             RegistrationRequest::Deregister => (format!("/v1/agent/service/deregister/{id}"), ""),
         };
-        let url = format!("http://{}{path}", self.address);
-        let request = with_timeout_and_token(self.agent.put(url), REQUEST_TIMEOUT, &self.token);
+        let url = format!("http://{}{path}", self.agent_address);
+        let request = with_timeout_and_token(self.http_client.put(url), REQUEST_TIMEOUT, &self.token);
         match request.send(body.as_bytes()).map(|response| response.status()) {
             Ok(StatusCode::OK) => RegistrationOutcome::Accepted,
-            // Older agents respond with 500 for an unknown check.
+            // Older agents respond to a heartbeat for an unknown check with 500.
             Ok(StatusCode::NOT_FOUND | StatusCode::INTERNAL_SERVER_ERROR) => {
                 RegistrationOutcome::UnknownCheck
             }
--- a/crates/consul/src/token_file/tests.rs
+++ b/crates/consul/src/token_file/tests.rs
@@ -1,4 +1,4 @@
-//! Token files that change or become invalid.
+//! Token files that are replaced, become invalid or are removed.
 
 use super::*;
 
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on one service: keeps its endpoint list up to date, and publishes each change.
+//! The watch on one service: polls Consul, keeps the service's endpoint list up to date, and publishes each change.
 
 mod log;
 mod poll_loop;
@@ -18,18 +18,18 @@
 
 pub use status::{EndpointStatus, WatchStatus};
 
-/// Size of the range of endpoint numbers reserved for each service.
+/// Size of the range of endpoint numbers that is reserved for each service, so that numbers differ between services.
 pub const NUMBERS_PER_SERVICE: u32 = 1 << 26;
 
-/// Called with each list that differs from the one before.
+/// Called with each list that differs from the previous one, while the watch is locked.
 pub type OnListChange = Box<dyn Fn(&EndpointList) + Send + Sync>;
-/// Returns whether any attempt is in flight at an endpoint.
+/// Returns whether an endpoint has attempts in flight.
 pub type HasAttempts = Box<dyn Fn(EndpointNumber) -> bool + Send + Sync>;
 
-/// A watch on one service.
+/// A watch on one service, with its current endpoint list. Shared between its poll thread and the caller.
 pub struct ServiceWatch {
     config: WatchConfig,
-    consul: ConsulConfig,
+    consul_config: ConsulConfig,
     last_answers: Arc<LastAnswers>,
     cache: Option<Arc<CacheFile>>,
     state: Mutex<State>,
@@ -46,9 +46,9 @@
 }
 
 impl ServiceWatch {
-    /// Creates a watch with the list of the cache file, if there is one. `on_list_change` then gets it before this returns.
+    /// Creates a watch with the cached list, if there is one. In that case `on_list_change` gets the list before this returns.
     pub fn new(
-        consul: ConsulConfig,
+        consul_config: ConsulConfig,
         config: WatchConfig,
         last_answers: Arc<LastAnswers>,
         cache: Option<Arc<CacheFile>>,
@@ -62,7 +62,7 @@
             origin: ListOrigin::NoList,
             last_response: None,
         });
-        let watch = Self { config, consul, last_answers, cache, state, on_list_change, has_attempts };
+        let watch = Self { config, consul_config, last_answers, cache, state, on_list_change, has_attempts };
         watch.restore_cached();
         Arc::new(watch)
     }
@@ -80,7 +80,7 @@
         self.publish(&mut state, list, &events);
     }
 
-    /// Starts a thread that polls until the process ends.
+    /// Starts the thread that polls Consul until the process ends.
     ///
     /// # Errors
     ///
@@ -90,11 +90,12 @@
         thread::Builder::new().name("consul".into()).spawn(move || PollLoop::new(&watch).run()).map(|_| ())
     }
 
-    /// Applies a response of an agent, with its body if it is new, and stores the confirmed list in the cache file.
+    /// Applies a response of an agent, and stores the confirmed list in the cache file. `new_body` is `None` if the index has not
+    /// changed.
     fn handle_response(&self, agent: usize, new_body: Option<HealthResponse>) {
         let mut state = locked(&self.state);
         state.last_response = Some(Instant::now());
-        state.origin = ListOrigin::Agent(self.consul.agents[agent]);
+        state.origin = ListOrigin::Agent(self.consul_config.agents[agent]);
         if let Some(response) = new_body {
             self.apply(&mut state, response);
         }
@@ -118,7 +119,7 @@
         self.publish(state, list, &events);
     }
 
-    /// Applies the passage of time. The caller runs it about twice a second.
+    /// Ends the flap suppressions and retentions that have expired. The caller runs this about twice a second.
     pub fn advance(&self) {
         let mut state = locked(&self.state);
         let now = self.last_answers.now();
@@ -127,9 +128,9 @@
         self.publish(&mut state, list, &events);
     }
 
-    /// Publishes a changed list and logs events. The caller holds the lock, so that lists are published in order.
+    /// Publishes the list if it has changed, and logs events. The caller holds the lock, so that lists are published in order.
     fn publish(&self, state: &mut State, list: EndpointList, events: &[WatchEvent]) {
-        // The list is published first: an operator or script may act on the log line.
+        // The list is published before the log is written, because an operator or a script may act on the log line.
         if list != state.list {
             state.list = list;
             (self.on_list_change)(&state.list);
@@ -138,7 +139,7 @@
         self.log_events(events);
     }
 
-    /// Forgets the last answers of endpoints of this service that are no longer in the list.
+    /// Removes the times of last answers of this service's endpoints that are no longer in the list.
     fn forget_last_answers(&self, list: &EndpointList) {
         let listed: HashSet<EndpointNumber> = list.endpoints.iter().map(|endpoint| endpoint.number).collect();
         let last_number = self.config.last_number;
@@ -148,7 +149,7 @@
         self.last_answers.retain(|endpoint| !is_own(endpoint) || listed.contains(&endpoint));
     }
 
-    /// Name of the service.
+    /// Name of the watched service in Consul.
     pub fn service(&self) -> &str {
         &self.config.service
     }
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -1,26 +1,26 @@
-//! The log events of a watch. docs/ONCALL.md explains each.
+//! Log events of a watch. Each message is explained in docs/ONCALL.md.
 
 use super::ServiceWatch;
 use crate::QueryError;
 use catalogue::{EligibilityReason, InvalidInstance, WatchEvent};
 use timestamps::MonotonicTime;
 
-/// Maximum number of log events about single instances for one change.
-const MAX_INSTANCE_LINES: usize = 8;
+/// Maximum number of log events about single instances for one response or list change.
+const MAX_INSTANCE_EVENTS: usize = 8;
 
 impl ServiceWatch {
     pub(super) fn log_agent_selected(&self, agent: usize) {
-        let (service, agent) = (&self.config.service, self.consul.agents[agent]);
+        let (service, agent) = (&self.config.service, self.consul_config.agents[agent]);
         tracing::info!(service, %agent, "agent selected");
     }
 
     pub(super) fn log_agent_recovered(&self, agent: usize) {
-        let (service, agent) = (&self.config.service, self.consul.agents[agent]);
+        let (service, agent) = (&self.config.service, self.consul_config.agents[agent]);
         tracing::info!(service, %agent, "agent recovered");
     }
 
     pub(super) fn log_agent_failed(&self, agent: usize, error: &QueryError) {
-        let (service, agent) = (&self.config.service, self.consul.agents[agent]);
+        let (service, agent) = (&self.config.service, self.consul_config.agents[agent]);
         tracing::warn!(service, %agent, %error, "agent unreachable, previous list kept in force");
     }
 
@@ -31,8 +31,8 @@
 
     pub(super) fn log_invalid(&self, invalid: &[InvalidInstance]) {
         let service = &self.config.service;
-        for InvalidInstance { id, error } in invalid.iter().take(MAX_INSTANCE_LINES) {
-            tracing::warn!(service, backend = %id, %error, "invalid entry");
+        for InvalidInstance { id, error } in invalid.iter().take(MAX_INSTANCE_EVENTS) {
+            tracing::warn!(service, backend = %id, %error, "invalid instance in health response ignored");
         }
     }
 
@@ -41,11 +41,11 @@
         for event in events {
             let is_change = matches!(event, WatchEvent::EligibilityChanged { .. });
             change_count += usize::from(is_change);
-            if !is_change || change_count <= MAX_INSTANCE_LINES {
+            if !is_change || change_count <= MAX_INSTANCE_EVENTS {
                 self.log_event(event);
             }
         }
-        let count = change_count.saturating_sub(MAX_INSTANCE_LINES);
+        let count = change_count.saturating_sub(MAX_INSTANCE_EVENTS);
         if count > 0 {
             let service = &self.config.service;
             tracing::info!(service, count, "further eligibility changes not logged");
@@ -62,7 +62,7 @@
                 service, backend = %id, eligible = true, "endpoint eligible"
             ),
             WatchEvent::EligibilityChanged { id, eligible: false, reason } => {
-                let reason = self.describe(*reason);
+                let reason = self.describe_reason(*reason);
                 tracing::info!(service, backend = %id, eligible = false, reason, "endpoint not eligible");
             }
             WatchEvent::SuddenLoss { vanished, eligible_before, retained } => {
@@ -76,14 +76,14 @@
                     "sudden loss of endpoints, those that still answer are retained"
                 );
             }
-            WatchEvent::LossAccepted { count } => {
-                tracing::info!(service, count, "removal of endpoints accepted");
+            WatchEvent::RetentionEnded { count } => {
+                tracing::info!(service, count, "retention after a sudden loss ended, endpoints removed");
             }
         }
     }
 
-    /// Describes for operators why an endpoint is eligible or not.
-    pub(super) fn describe(&self, reason: EligibilityReason) -> String {
+    /// Returns the text for operators on why an endpoint is eligible or not. It appears in the log and on the console.
+    pub(super) fn describe_reason(&self, reason: EligibilityReason) -> String {
         let seconds_left =
             |until: MonotonicTime| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
         match reason {
--- a/crates/consul/src/watch/log/tests.rs
+++ b/crates/consul/src/watch/log/tests.rs
@@ -30,7 +30,7 @@
 #[test]
 fn describes_each_reason_in_words_and_whole_seconds() {
     let watch = watch();
-    // Slightly less than two seconds remain, which are rounded up.
+    // When the text is made, slightly less than two seconds remain, and they are rounded up.
     let until = watch.last_answers.now() + Duration::from_secs(2);
     for (reason, text) in [
         (EligibilityReason::Listed, "it is listed"),
@@ -43,7 +43,7 @@
         (EligibilityReason::Retained(until), "it vanished with many, and is retained for 2 s"),
         (EligibilityReason::Deregistered, "it is no longer listed"),
     ] {
-        assert_eq!(watch.describe(reason), text);
+        assert_eq!(watch.describe_reason(reason), text);
     }
     assert_eq!(watch.status().origin, "no list yet");
 }
--- a/crates/consul/src/watch/poll_loop.rs
+++ b/crates/consul/src/watch/poll_loop.rs
@@ -1,4 +1,4 @@
-//! The poll loop of a watch: sends one blocking query after the other, and hands the results to the watch.
+//! The poll loop of a watch: sends one blocking query after another, and passes the results to the watch.
 
 use super::ServiceWatch;
 use crate::QueryError;
@@ -7,44 +7,44 @@
 use std::thread;
 use std::time::Duration;
 
-/// Minimum time between two queries. It bounds the query rate while the list changes constantly.
+/// Minimum time between two queries, which bounds the query rate while the list changes constantly.
 const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(50);
-/// Backoff of an agent that fails.
+/// Backoff after consecutive failed queries of one agent.
 const BACKOFF: ExponentialBackoff =
     ExponentialBackoff { initial: Duration::from_millis(250), max: Duration::from_secs(5) };
-/// Time with another agent after which the first one is queried again.
+/// Time with a less preferred agent after which the first agent is queried again.
 const FAILBACK_AFTER: Duration = Duration::from_secs(15);
 
-/// Polls the agents on behalf of one watch.
+/// Sends the blocking queries of one watch.
 pub(super) struct PollLoop<'a> {
     watch: &'a ServiceWatch,
     agents: AgentSelector,
     client: HealthClient,
-    /// The agent of the last query.
+    /// Position of the agent that got the last query.
     last_agent: usize,
-    /// Whether no agent has responded since a failed query.
+    /// Whether a query has failed and no agent has sent a valid response since.
     is_failing: bool,
 }
 
 impl<'a> PollLoop<'a> {
     pub(super) fn new(watch: &'a ServiceWatch) -> Self {
         let config = AgentSelectorConfig {
-            agent_count: watch.consul.agents.len(),
+            agent_count: watch.consul_config.agents.len(),
             min_query_interval: MIN_QUERY_INTERVAL,
             backoff: BACKOFF,
             failback_after: FAILBACK_AFTER,
-            allow_stale: watch.consul.max_staleness.is_some(),
+            allow_stale: watch.consul_config.max_staleness.is_some(),
         };
         Self {
             watch,
             agents: AgentSelector::new(config, rand::random()),
-            client: HealthClient::new(&watch.consul),
+            client: HealthClient::new(&watch.consul_config),
             last_agent: 0,
             is_failing: false,
         }
     }
 
-    /// Polls until the process ends.
+    /// Sends queries until the process ends.
     pub(super) fn run(&mut self) {
         loop {
             self.poll();
@@ -59,7 +59,7 @@
             self.last_agent = query.agent;
         }
         thread::sleep(query.not_before.saturating_since(now));
-        match self.client.health(&self.watch.config, &query) {
+        match self.client.query_health(&self.watch.config, &query) {
             Ok(response) => self.handle_response(&query, response),
             Err(error) => self.handle_error(&query, &error),
         }
--- a/crates/consul/src/watch/status.rs
+++ b/crates/consul/src/watch/status.rs
@@ -1,4 +1,4 @@
-//! Status of a watch for the console.
+//! Status of a watch and of its endpoints, for the console.
 
 use super::ServiceWatch;
 use crate::sync::locked;
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The source of the endpoint list in use.
+/// The source of the current endpoint list.
 pub(super) enum ListOrigin {
-    /// There is no list yet.
+    /// No agent has responded yet, and there was no cached list.
     NoList,
-    /// The cache file.
+    /// The cache file; no agent has responded since the start.
     CacheFile {
-        /// Age of the list when it was read.
+        /// Age of the list when it was read, in whole seconds.
         age: Duration,
     },
-    /// This agent responded last.
+    /// The agent at this address, which responded last.
     Agent(SocketAddr),
 }
 
@@ -30,30 +30,30 @@
     }
 }
 
-/// Status of a watch.
+/// The endpoints of a watched service and the source of its list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchStatus {
-    /// Status of its endpoints, in order of their numbers.
+    /// Status of the listed and retained endpoints, in order of their numbers.
     pub endpoints: Vec<EndpointStatus>,
-    /// The source of the list and the age of the last response.
+    /// Text with the source of the list and the age of the last response, if there is one.
     pub origin: String,
 }
 
-/// Status of an endpoint.
+/// Status of an endpoint, as the console shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointStatus {
-    /// Its id.
+    /// Node name and service id of its instance.
     pub id: String,
-    /// Its number.
+    /// Identifies the endpoint in this process.
     pub number: EndpointNumber,
-    /// Its health status, or the reason why it is not eligible.
+    /// Its health status if it is listed and eligible, or else the reason why it is retained or not eligible.
     pub description: String,
     /// Whether it gets new requests.
     pub eligible: bool,
 }
 
 impl ServiceWatch {
-    /// Returns the present status.
+    /// Returns the current status.
     pub fn status(&self) -> WatchStatus {
         let state = locked(&self.state);
         let endpoints = state.list.endpoints.iter().map(|endpoint| self.endpoint_status(endpoint)).collect();
@@ -67,7 +67,7 @@
     fn endpoint_status(&self, endpoint: &Endpoint) -> EndpointStatus {
         let description = match endpoint.reason {
             EligibilityReason::Listed => endpoint.instance.health.name().to_owned(),
-            other => self.describe(other),
+            other => self.describe_reason(other),
         };
         EndpointStatus {
             id: endpoint.instance.id.clone(),
--- a/crates/consul/src/watch/status/tests.rs
+++ b/crates/consul/src/watch/status/tests.rs
@@ -1,4 +1,4 @@
-//! The source of a list, as the console shows it.
+//! Text of each source of an endpoint list on the console.
 
 use super::*;
 
--- a/crates/consul/tests/cache_file.rs
+++ b/crates/consul/tests/cache_file.rs
@@ -1,4 +1,4 @@
-//! Writing of the cache file, and reading it at the next start.
+//! Writes the cache file and reads it at the next start, also after damage.
 
 use catalogue::{HealthStatus, Instance};
 use consul::CacheFile;
@@ -26,7 +26,7 @@
 impl Drop for TemporaryPath {
     fn drop(&mut self) {
         let directory = self.0.parent().expect("a directory");
-        // A directory that cannot be removed does no harm.
+        // A directory that cannot be removed does not affect the tests.
         let _ = std::fs::remove_dir_all(directory);
     }
 }
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Compatibility of the requests to Consul's agent: this version sends the same bytes as version 0.1.0.
+//! Compatibility of the requests to a Consul agent with version 0.1.0: this version sends the same bytes.
 
 use catalogue::StabilityConfig;
 use consul::{ConsulConfig, LastAnswers, RegistrationConfig, ServiceWatch, WatchConfig};
@@ -12,7 +12,7 @@
 const WATCH_WITH_ALL_OPTIONS: &str = include_str!("fixtures/watch_all_options.http");
 const REGISTRATION: &str = include_str!("fixtures/registration.http");
 
-/// Reads the head and the body of one request.
+/// Reads the head and the body of one request; `None` if the connection ends first.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut received = Vec::new();
     let mut piece = [0; 4096];
@@ -30,7 +30,8 @@
     }
 }
 
-/// Starts an agent that answers the requests of one connection in order. It returns the received bytes, with its port replaced.
+/// Starts a fake agent that sends `responses` to the requests of one connection in order. Its thread returns the received bytes,
+/// with the agent's port replaced by `PORT`.
 fn start_agent(responses: Vec<&'static str>) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -115,7 +116,7 @@
         ttl: Duration::from_millis(10_000),
     };
     let registered = consul::register(consul_config(address), registration).expect("a thread");
-    // After the registration and the first heartbeat, and before the second heartbeat.
+    // By then the registration and the first heartbeat have been sent, and the second heartbeat is not due yet.
     std::thread::sleep(Duration::from_millis(500));
     registered.deregister();
     assert_eq!(received.join().expect("the requests"), REGISTRATION);
