--- a/crates/catalogue/src/agent_selector/tests.rs
+++ b/crates/catalogue/src/agent_selector/tests.rs
@@ -27,7 +27,7 @@
         queries += 1;
         assert_eq!(selector.handle_outcome(now, 0, &QueryOutcome::Response(queries)), Freshness::New);
     }
-    assert!((190..=201).contains(&queries), "{queries}");
+    assert!((190..=201).contains(&queries), "{queries} queries in 10 s");
 }
 
 #[test]
@@ -53,7 +53,7 @@
     selector.handle_outcome(at_millis(100), 0, &QueryOutcome::Failed);
     let query = selector.next_query(at_millis(100));
     assert_eq!((query.agent, query.index), (1, 0));
-    assert!(query.not_before <= at_millis(150), "without backoff");
+    assert!(query.not_before <= at_millis(150), "the other agent is queried without backoff");
     // Both agents fail: each query goes to the agent whose backoff ends first, at a decreasing rate.
     let (mut now, mut waits) = (at_millis(100), Vec::new());
     for _ in 0..20 {
--- a/crates/catalogue/src/cached_list/tests.rs
+++ b/crates/catalogue/src/cached_list/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn sample_list() -> CachedList {
-    let address = "127.0.0.1:80".parse().expect("an address");
+    let address = "127.0.0.1:80".parse().expect("a valid address");
     let instance = Instance {
         id: "n/x".into(),
         address,
@@ -53,7 +53,7 @@
 fn reports_why_a_file_is_rejected() {
     let text = sample_list().encode();
     let rejection = |text: &str, now_ms| {
-        CachedList::decode(text.as_bytes(), unix_millis(now_ms), MAX_AGE).expect_err("rejected")
+        CachedList::decode(text.as_bytes(), unix_millis(now_ms), MAX_AGE).expect_err("the file is rejected")
     };
     assert_eq!(rejection(&text, 1_200_000), CachedListError::TooOld { age: Duration::from_secs(200) });
     assert_eq!(rejection(&text, 100_000), CachedListError::DatedInFuture { ahead: Duration::from_secs(900) });
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -198,7 +198,7 @@
     harness.last_answers.extend(before.endpoints.iter().map(|e| (e.number, at_millis(1_500))));
     harness.respond_after(millis(1_000), Vec::new());
     harness.respond_after(millis(4_000), (0..6).map(instance).collect());
-    assert_eq!(harness.list, before, "no restart is counted");
+    assert_eq!(harness.list, before, "no endpoint has become eligible anew");
     harness.advance_by(millis(60_000));
     assert_eq!(harness.eligible_ids().len(), 6);
 }
@@ -273,7 +273,7 @@
         max_tracked = max_tracked.max(tracker.tracked_count());
     }
     assert!(numbers.len() > 9_000, "{} numbers", numbers.len());
-    assert!(max_tracked <= 12 + 2, "{max_tracked} remembered");
+    assert!(max_tracked <= 12 + 2, "{max_tracked} records");
 }
 
 #[test]
--- a/crates/catalogue/src/error/tests.rs
+++ b/crates/catalogue/src/error/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_response_error_says_what_is_wrong_and_keeps_its_source() {
-    let source = serde_json::from_str::<u8>("{").expect_err("no number");
+    let source = serde_json::from_str::<u8>("{").expect_err("invalid JSON");
     let text = format!("the body is not a valid health response: {source}");
     let error = ResponseError::from(source);
     assert_eq!(error.to_string(), text);
--- a/crates/catalogue/src/exponential_backoff/tests.rs
+++ b/crates/catalogue/src/exponential_backoff/tests.rs
@@ -8,7 +8,11 @@
     for (earlier_failures, millis) in
         [(0, 500), (1, 1_000), (2, 2_000), (5, 16_000), (6, 16_000), (u32::MAX, 16_000)]
     {
-        assert_eq!(backoff.after(earlier_failures), Duration::from_millis(millis), "{earlier_failures}");
+        assert_eq!(
+            backoff.after(earlier_failures),
+            Duration::from_millis(millis),
+            "{earlier_failures} earlier failures"
+        );
     }
 }
 
--- a/crates/catalogue/src/health_response/tests.rs
+++ b/crates/catalogue/src/health_response/tests.rs
@@ -13,7 +13,8 @@
 }
 
 fn parse_one(service: &str, checks: &[(&str, &str)]) -> HealthResponse {
-    HealthResponse::parse(format!("[{}]", entry_json("x", service, checks)).as_bytes()).expect("a response")
+    HealthResponse::parse(format!("[{}]", entry_json("x", service, checks)).as_bytes())
+        .expect("a valid response")
 }
 
 #[test]
@@ -54,7 +55,8 @@
         entry_json("time", r#""Port":80,"Meta":{"snowfield-started-ms":"-1"}"#, &[]),
         entry_json("weight", r#""Port":80,"Weights":{"Passing":-1,"Warning":1}"#, &[]),
     ];
-    let response = HealthResponse::parse(format!("[{}]", entries.join(",")).as_bytes()).expect("a response");
+    let response =
+        HealthResponse::parse(format!("[{}]", entries.join(",")).as_bytes()).expect("a valid response");
     assert_eq!(response.instances.len(), 1);
     let names: Vec<&str> = response.invalid.iter().map(|instance| instance.id.as_str()).collect();
     assert_eq!(names, ["n/name", "n/port", "n/large", "n/meta", "n/time", "n/weight"]);
@@ -64,7 +66,8 @@
 fn keeps_the_less_healthy_of_two_instances_with_the_same_id() {
     let entries =
         [entry_json("x", r#""Port":80"#, &[]), entry_json("x", r#""Port":81"#, &[("c", "critical")])];
-    let response = HealthResponse::parse(format!("[{}]", entries.join(",")).as_bytes()).expect("a response");
+    let response =
+        HealthResponse::parse(format!("[{}]", entries.join(",")).as_bytes()).expect("a valid response");
     assert_eq!(response.instances.len(), 1);
     assert_eq!(response.instances[0].health, HealthStatus::Critical);
 }
@@ -76,7 +79,7 @@
         entry_json("x", r#""Port":80,"Weights":{"Passing":3,"Warning":1}"#, &[("c", "passing")])
     );
     for end in 0..body.len() {
-        assert!(HealthResponse::parse(&body.as_bytes()[..end]).is_err(), "{end}");
+        assert!(HealthResponse::parse(&body.as_bytes()[..end]).is_err(), "truncated to {end} bytes");
     }
     fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| drop(HealthResponse::parse(&pieces.concat())));
 }
--- a/crates/catalogue/src/registration/tests.rs
+++ b/crates/catalogue/src/registration/tests.rs
@@ -54,5 +54,5 @@
             assert_eq!(registration.handle_outcome(now, request, RegistrationOutcome::Failed), None);
         }
     }
-    assert!((4..=12).contains(&requests), "{requests}");
+    assert!((4..=12).contains(&requests), "{requests} requests within the TTL");
 }
--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -13,7 +13,7 @@
 fn fixture_list() -> CachedList {
     let instance = |id: &str, address: &str, health, weight, started_ms: Option<u64>| Instance {
         id: id.into(),
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         health,
         weight,
         started_at: started_ms.map(UnixTime::from_millis),
--- a/crates/consul/tests/cache_file.rs
+++ b/crates/consul/tests/cache_file.rs
@@ -13,7 +13,7 @@
 impl TemporaryPath {
     fn new(name: &str) -> Self {
         let directory = std::env::temp_dir().join(format!("snowfield-cache-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&directory).expect("a directory");
+        std::fs::create_dir_all(&directory).expect("the directory is created");
         Self(directory.join("endpoints.list"))
     }
 
@@ -25,14 +25,14 @@
 
 impl Drop for TemporaryPath {
     fn drop(&mut self) {
-        let directory = self.0.parent().expect("a directory");
+        let directory = self.0.parent().expect("the file has a parent directory");
         // A directory that cannot be removed does not affect the tests.
         let _ = std::fs::remove_dir_all(directory);
     }
 }
 
 fn instances() -> Vec<Instance> {
-    let address = "127.0.0.1:80".parse().expect("an address");
+    let address = "127.0.0.1:80".parse().expect("a valid address");
     let health = HealthStatus::Passing;
     vec![Instance { id: "n/x".into(), address, health, weight: 1.0, started_at: None }]
 }
@@ -48,7 +48,9 @@
     let cached = path.open(&["loans", "rates"]).cached("loans").expect("the file was written");
     assert_eq!(cached.instances, instances());
     assert!(cached.age <= Duration::from_secs(5), "{:?}", cached.age);
-    let files = std::fs::read_dir(path.0.parent().expect("a directory")).expect("the directory").count();
+    let files = std::fs::read_dir(path.0.parent().expect("the file has a parent directory"))
+        .expect("the directory is readable")
+        .count();
     assert_eq!(files, 1, "no temporary file is left");
 }
 
@@ -58,7 +60,7 @@
     path.open(&["loans"]).store("loans", instances());
     let mut bytes = std::fs::read(&path.0).expect("the file was written");
     bytes.truncate(bytes.len() / 2);
-    std::fs::write(&path.0, bytes).expect("the file is damaged");
+    std::fs::write(&path.0, bytes).expect("the truncated file is written");
     let cache = path.open(&["loans"]);
     assert_eq!(cache.cached("loans"), None);
     cache.store("loans", instances());
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -17,10 +17,10 @@
     let mut received = Vec::new();
     let mut piece = [0; 4096];
     loop {
-        let text = String::from_utf8(received.clone()).expect("a request is text");
+        let text = String::from_utf8(received.clone()).expect("the request is UTF-8");
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
-            let length: usize = length.map_or(0, |digits| digits.parse().expect("a length"));
+            let length: usize = length.map_or(0, |digits| digits.parse().expect("a numeric content length"));
             if body.len() >= length {
                 return Some(text);
             }
@@ -33,13 +33,13 @@
 /// Starts a fake agent that sends `responses` to the requests of one connection in order. Its thread returns the received bytes,
 /// with the agent's port replaced by `PORT`.
 fn start_agent(responses: Vec<&'static str>) -> (SocketAddr, JoinHandle<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is bound");
+    let address = listener.local_addr().expect("the listener has an address");
     let run = move || {
         let mut received = String::new();
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("a connection is accepted");
         for response in responses {
-            received += &read_request(&mut stream).expect("a request");
+            received += &read_request(&mut stream).expect("a request is received");
             received += "\n----\n";
             stream.write_all(response.as_bytes()).expect("the response is sent");
         }
@@ -63,7 +63,7 @@
 fn start_watch(consul: ConsulConfig, config: WatchConfig) {
     let last_answers = Arc::new(LastAnswers::default());
     let watch = ServiceWatch::new(consul, config, last_answers, None, Box::new(|_| {}), Box::new(|_| false));
-    watch.start().expect("a thread");
+    watch.start().expect("the thread is started");
 }
 
 fn watch_config(service: &str) -> WatchConfig {
@@ -82,7 +82,7 @@
 fn watches_send_the_requests_of_version_0_1_0() {
     let (address, received) = start_agent(vec![EMPTY_LIST, EMPTY_LIST]);
     start_watch(consul_config(address), watch_config("loan-server"));
-    assert_eq!(received.join().expect("the requests"), WATCH);
+    assert_eq!(received.join().expect("the agent received all requests"), WATCH);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     };
     let filter = Some(r#"Service.Meta.zone == "z1""#.to_owned());
     start_watch(consul, WatchConfig { tag: Some("v2".into()), filter, ..watch_config("loan server/é") });
-    let received = received.join().expect("the requests");
+    let received = received.join().expect("the agent received all requests");
     std::fs::remove_file(&token_file).expect("the token file exists");
     assert_eq!(received, WATCH_WITH_ALL_OPTIONS);
 }
@@ -112,12 +112,12 @@
     let registration = RegistrationConfig {
         name: "gatekeeper".into(),
         id: "gate keeper-1".into(),
-        address: "10.1.2.3:8443".parse().expect("an address"),
+        address: "10.1.2.3:8443".parse().expect("a valid address"),
         ttl: Duration::from_millis(10_000),
     };
-    let registered = consul::register(consul_config(address), registration).expect("a thread");
+    let registered = consul::register(consul_config(address), registration).expect("the thread is started");
     // By then the registration and the first heartbeat have been sent, and the second heartbeat is not due yet.
     std::thread::sleep(Duration::from_millis(500));
     registered.deregister();
-    assert_eq!(received.join().expect("the requests"), REGISTRATION);
+    assert_eq!(received.join().expect("the agent received all requests"), REGISTRATION);
 }
