--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file has another format, is damaged, is older than `max_age`, or is from the future.
+    /// Returns an error if the file has another format, is damaged, is older than `max_age`, or is dated in the future.
     pub fn decode(text: &[u8], now: UnixTime, max_age: Duration) -> Result<AgedList, CachedListError> {
         let list = Self::parse(text)?;
         if list.confirmed_at > now + MAX_CLOCK_SKEW {
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -48,7 +48,7 @@
 /// Returns when an endpoint last answered a client; `None` if it never did.
 pub type LastAnswerAt<'a> = &'a dyn Fn(EndpointNumber) -> Option<MonotonicTime>;
 
-/// Returns whether an endpoint has attempts in flight. Its record is kept while it has.
+/// Returns whether an endpoint has attempts in flight. The record of such an endpoint is kept.
 pub type HasAttempts<'a> = &'a dyn Fn(EndpointNumber) -> bool;
 
 /// Tracks the instances of one service and their histories, and decides which endpoints are eligible.
