--- a/crates/catalogue/tests/cached_list.rs
+++ b/crates/catalogue/tests/cached_list.rs
@@ -1,4 +1,4 @@
-//! Compatibility of the cache file: this version reads the file of version 0.1.0 and writes the same bytes.
+//! Compatibility of the cache file with version 0.1.0: this version reads that version's file and writes the same bytes.
 
 use catalogue::{AgedList, CachedList, CachedListError, HealthStatus, Instance};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 fn fixture_list() -> CachedList {
     let instance = |id: &str, address: &str, health, weight, started_ms: Option<u64>| Instance {
         id: id.into(),
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         health,
         weight,
         started_at: started_ms.map(UnixTime::from_millis),
