--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -24,17 +24,17 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Maximum number of services. Each has its own watch.
+/// Maximum number of services. Each has its own watch in Consul.
 const MAX_SERVICES: usize = 32;
 
 /// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Text.
+    /// Human-readable text.
     #[default]
     Plain,
-    /// JSON, with the time of the machine's monotonic clock.
+    /// One JSON object per line, with the time of the machine's monotonic clock.
     Json,
 }
 
@@ -59,7 +59,7 @@
     /// Sharing of quotas with other gatekeepers.
     #[serde(default)]
     pub quota: QuotaConfig,
-    /// Limits and time-outs.
+    /// Limits and timeouts.
     #[serde(default)]
     pub limits: LimitsConfig,
     /// Slow start of backends.
@@ -68,27 +68,27 @@
     /// Services other than that of `consul`.
     #[serde(rename = "service", default)]
     pub services: Vec<ServiceConfig>,
-    /// The registration of this process.
+    /// Registration of this process in Consul; `None` if it is not registered.
     #[serde(rename = "register")]
     pub registration: Option<RegistrationConfig>,
-    /// Cluster of instances that share periodic jobs.
+    /// Cluster of instances that share health checks and periodic jobs; `None` for a single instance.
     pub cluster: Option<ClusterConfig>,
-    /// Replication of plans among the gatekeepers.
+    /// Replication of plans among the gatekeepers; `None` if the plans come from this file only.
     #[serde(rename = "agreed")]
     pub replication: Option<ReplicationConfig>,
-    /// Active health checks of the backends.
+    /// Active health checks of the backends; `None` if there are none.
     #[serde(rename = "probe")]
     pub health_check: Option<HealthCheckConfig>,
-    /// Periodic jobs.
+    /// HTTP calls that are made periodically.
     #[serde(rename = "duty", default)]
     pub periodic_jobs: Vec<PeriodicJobConfig>,
-    /// The classes of requests.
+    /// The classes of requests, to which the OpenAPI descriptions refer by name.
     #[serde(rename = "class")]
     pub classes: Vec<ClassConfig>,
-    /// The plans.
+    /// The plans, which set the limits of tenants.
     #[serde(rename = "plan")]
     pub plans: Vec<PlanConfig>,
-    /// The tenants.
+    /// The tenants, at least one.
     #[serde(rename = "lender")]
     pub tenants: Vec<TenantConfig>,
 }
@@ -133,7 +133,7 @@
         if !header.is_empty() && header.bytes().all(is_header_byte) {
             Ok(())
         } else {
-            Err(invalid("lender_header", format!("{header:?}"), "the name of a header"))
+            Err(invalid("lender_header", format!("{header:?}"), "a header name of letters, digits, - and _"))
         }
     }
 
@@ -176,7 +176,7 @@
         std::iter::once(self.consul.service.as_str()).chain(further).collect()
     }
 
-    /// Timing of each class.
+    /// Timing of each class, in the order of the file.
     pub fn timings(&self) -> Vec<timing::ClassTiming> {
         self.classes.iter().map(|class| class.timing(&self.limits)).collect()
     }
--- a/crates/settings/src/appliance/classes.rs
+++ b/crates/settings/src/appliance/classes.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatEffect {
-    /// None: requests are idempotent, and may be retried and hedged.
+    /// No effect: requests are idempotent, and may be retried and hedged.
     Safe,
-    /// Harmful: a request that may have been executed is never retried.
+    /// A harmful effect: a request that may have been executed is never retried.
     Unsafe,
 }
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
-    /// Name of the class in the descriptions.
+    /// Name of the class, as in the OpenAPI descriptions.
     pub name: String,
     /// Effect of executing a request again.
     pub repeat: RepeatEffect,
@@ -29,7 +29,7 @@
     /// Maximum number of attempts of one request; `limits.route_steps` by default.
     #[serde(rename = "attempts")]
     pub max_attempts: Option<u32>,
-    /// Time-out of one attempt in milliseconds, including the time to connect. By default an attempt lasts until the deadline.
+    /// Timeout of one attempt in milliseconds, including the time to connect. By default an attempt may last until the deadline.
     #[serde(rename = "attempt_ms")]
     pub attempt_timeout_ms: Option<u64>,
     /// Delay of a hedged request in milliseconds. By default it is a fraction of the latency objective.
@@ -45,7 +45,7 @@
 }
 
 impl ClassConfig {
-    /// The timing to which the timing rules apply.
+    /// The values of the class that the timing rules check.
     pub(super) fn timing(&self, limits: &LimitsConfig) -> timing::ClassTiming {
         timing::ClassTiming {
             class: self.name.clone(),
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 
 const MAX_PREFIX_BYTES: usize = 128;
-/// Allowed gossip intervals and time-outs of the lease store, in milliseconds.
+/// Allowed gossip intervals and timeouts of the lease store, in milliseconds.
 const INTERVAL_RANGE_MS: RangeInclusive<u64> = 10..=10_000;
 const MAX_CLOCK_SKEW_MS: u64 = 10_000;
 /// Maximum number of standbys. Each standby reads the lease store once per period.
@@ -34,15 +34,15 @@
     /// Prefix of all keys in the lease store.
     #[serde(default = "default_prefix")]
     pub prefix: String,
-    /// Address of the Consul agent that stores the leases; `consul.address` by default.
+    /// Address of the Consul agent whose key-value store has the leases; `consul.address` by default.
     pub store: Option<SocketAddr>,
-    /// File with the ACL token for the lease store, relative to the directory of this file. The token file of `consul` if neither this
-    /// nor `store` is configured.
+    /// File with the ACL token for the lease store, relative to the directory of this file. If neither this nor `store` is
+    /// configured, the token file of `consul` is used.
     pub store_token_file: Option<PathBuf>,
-    /// Time-out of a call to the lease store, in milliseconds.
+    /// Timeout of a call to the lease store, in milliseconds.
     #[serde(default = "default_store_timeout_ms")]
     pub store_timeout_ms: u64,
-    /// Number of standby members per job, in addition to the first.
+    /// Number of standby instances per periodic job, in addition to its owner.
     #[serde(default = "default_standbys")]
     pub standbys: usize,
     /// Maximum clock skew between two instances, in milliseconds.
@@ -87,10 +87,10 @@
     fn validate(&self) -> Result<(), SettingsError> {
         check_identifier("cluster.name", &self.name)?;
         let addresses = self.peers.iter().copied().chain([self.listen]).chain(self.advertise);
-        check_loopback("cluster", addresses, "gossip is authenticated, but what it says can be read")?;
+        check_loopback("cluster", addresses, "gossip is authenticated, but not encrypted")?;
         if self.advertise.unwrap_or(self.listen).port() == 0 {
-            let remedy = "name a port that the others can know";
-            return Err(SettingsError::PortUnknown { key: "cluster.listen", remedy });
+            let remedy = "set a fixed port";
+            return Err(SettingsError::PortZero { key: "cluster.listen", remedy });
         }
         self.validate_prefix()?;
         check_range("cluster.gossip_ms", self.gossip_interval_ms, INTERVAL_RANGE_MS)?;
@@ -153,7 +153,11 @@
 impl HealthCheckConfig {
     fn validate(&self) -> Result<(), SettingsError> {
         if !self.path.starts_with('/') || !is_printable(&self.path) {
-            return Err(invalid("probe.path", format!("{:?}", self.path), "a path"));
+            return Err(invalid(
+                "probe.path",
+                format!("{:?}", self.path),
+                "a path that begins with a slash, of printable ASCII characters",
+            ));
         }
         check_range("probe.period_ms", self.period_ms, PERIOD_RANGE_MS)?;
         check_range("probe.timeout_ms", self.timeout_ms, 1..=self.period_ms)?;
@@ -167,7 +171,7 @@
     }
 }
 
-/// A periodic job, which is an HTTP call.
+/// A periodic job: an HTTP POST request to a service on this machine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeriodicJobConfig {
@@ -177,7 +181,7 @@
     pub period_ms: u64,
     /// URL of the POST request: `http://ADDRESS:PORT/PATH`.
     pub url: String,
-    /// Time-out of the call in milliseconds.
+    /// Timeout of the call in milliseconds.
     #[serde(default = "default_job_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -210,7 +214,7 @@
     text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Validates the three tables, each alone and together.
+/// Validates each of the three tables, and the lease store's timeout against the shortest period.
 pub(super) fn validate(
     cluster: Option<&ClusterConfig>,
     health_check: Option<&HealthCheckConfig>,
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -7,7 +7,7 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// Allowed waits of a blocking query in milliseconds. The maximum is Consul's.
+/// Allowed wait times of a blocking query in milliseconds. Consul itself limits them to 10 minutes.
 const WAIT_RANGE_MS: RangeInclusive<u64> = 1..=600_000;
 const MAX_FURTHER_AGENTS: usize = 8;
 const MAX_SUDDEN_LOSS_RETENTION_MS: u64 = 600_000;
@@ -22,21 +22,21 @@
     /// Further agents for failover, in order of preference.
     #[serde(rename = "agents", default)]
     pub further_agents: Vec<SocketAddr>,
-    /// Name of the service of routes without their own service.
+    /// Name of the service that serves all routes without a service of their own.
     pub service: String,
     /// Restricts the list to instances with this tag.
     pub tag: Option<String>,
     /// Filter expression in Consul's syntax.
     pub filter: Option<String>,
-    /// File with the ACL token, relative to the directory of this file. It is read before each request.
+    /// File with the ACL token, relative to the directory of this file. It is read before each request to Consul.
     pub token_file: Option<PathBuf>,
-    /// Datacentre, if not the agent's own.
+    /// Datacenter of the service; the agent's own by default.
     pub datacenter: Option<String>,
-    /// Namespace, if not the agent's own.
+    /// Namespace of the service; the agent's own by default.
     pub namespace: Option<String>,
-    /// Partition, if not the agent's own.
+    /// Admin partition of the service; the agent's own by default.
     pub partition: Option<String>,
-    /// Maximum staleness in milliseconds of stale reads. Without it all reads are consistent reads from the leader.
+    /// Maximum staleness of stale reads in milliseconds. If absent, all reads are consistent reads from the leader.
     #[serde(rename = "stale_ms")]
     pub max_stale_ms: Option<u64>,
     /// Maximum duration of a blocking query in milliseconds.
@@ -51,7 +51,8 @@
     /// Maximum age in seconds of a cached list.
     #[serde(rename = "list_max_age_s", default = "default_cache_max_age_s")]
     pub cache_max_age_s: u64,
-    /// Suppression time in milliseconds of an instance that recovers from its second recent flap. It doubles with each further flap.
+    /// Time in milliseconds for which an instance is suppressed after it recovers from its second recent flap. It doubles with
+    /// each further flap.
     #[serde(rename = "flap_hold_ms", default = "default_flap_suppression_ms")]
     pub flap_suppression_ms: u64,
     /// Upper bound of the suppression time in milliseconds.
@@ -60,7 +61,7 @@
     /// A response that drops at least this share of the list is a sudden loss.
     #[serde(rename = "sudden_share", default = "default_sudden_loss_share")]
     pub sudden_loss_share: f64,
-    /// Time in milliseconds for which instances that still respond are retained after a sudden loss.
+    /// Time in milliseconds for which instances that still respond are kept in the list after a sudden loss.
     #[serde(rename = "sudden_hold_ms", default = "default_sudden_loss_retention_ms")]
     pub sudden_loss_retention_ms: u64,
 }
@@ -69,10 +70,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MinimumHealth {
-    /// All checks are passing.
+    /// All health checks of an eligible backend are passing.
     #[default]
     Passing,
-    /// Checks may be in warning state.
+    /// Health checks of an eligible backend are passing or in warning state.
     Warning,
 }
 
@@ -127,11 +128,11 @@
     }
 }
 
-/// A service that routes may name.
+/// A service to which routes may refer by name.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// Name of the service.
+    /// Name of the service in Consul.
     pub name: String,
     /// Restricts the list to instances with this tag.
     pub tag: Option<String>,
@@ -139,17 +140,17 @@
     pub filter: Option<String>,
 }
 
-/// The registration of this process with the first agent.
+/// The registration of this process with the first Consul agent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegistrationConfig {
-    /// Name of the service.
+    /// Name of the service under which this process is registered.
     pub name: String,
     /// Unique id of this instance.
     pub id: String,
-    /// Address at which clients reach it; `listen` by default.
+    /// Address at which clients reach this instance; `listen` by default.
     pub address: Option<SocketAddr>,
-    /// Time in milliseconds after the last heartbeat at which its TTL check becomes critical.
+    /// Time in milliseconds after the last heartbeat at which the TTL check of this instance becomes critical.
     #[serde(default = "default_ttl_ms")]
     pub ttl_ms: u64,
 }
@@ -163,13 +164,13 @@
     pub(super) fn validate(&self, listen: SocketAddr) -> Result<(), SettingsError> {
         for (key, value) in [("register.name", &self.name), ("register.id", &self.id)] {
             if value.is_empty() {
-                return Err(invalid(key, "\"\"", "a name"));
+                return Err(invalid(key, "\"\"", "a name that is not empty"));
             }
         }
         check_minimum("register.ttl_ms", self.ttl_ms, MIN_TTL_MS)?;
         if self.address.unwrap_or(listen).port() == 0 {
-            let remedy = "name register.address, or a port in listen";
-            return Err(SettingsError::PortUnknown { key: "register", remedy });
+            let remedy = "set register.address, or a port in listen";
+            return Err(SettingsError::PortZero { key: "register", remedy });
         }
         Ok(())
     }
--- a/crates/settings/src/appliance/limits.rs
+++ b/crates/settings/src/appliance/limits.rs
@@ -1,4 +1,4 @@
-//! The tables `[quota]`, `[limits]` and `[fleet]`.
+//! The tables `[quota]`, `[limits]` and `[fleet]`: sharing of quotas, limits and timeouts, and slow start.
 
 use crate::SettingsError;
 use crate::validation::{check_minimum, check_range};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Minimum of `limits.sockets`: the descriptors of the program itself, and some connections on both sides.
+/// Minimum of `limits.sockets`: enough for the descriptors of the program itself and some connections on both sides.
 const MIN_SOCKETS: usize = 128;
 const MAX_ATTEMPTS_RANGE: RangeInclusive<u32> = 1..=16;
 
@@ -20,10 +20,10 @@
     pub number: u32,
     /// Address of the quota counter. Without one each gatekeeper grants an even share of each quota.
     pub counter: Option<SocketAddr>,
-    /// Time-out of a call to the counter, in milliseconds.
+    /// Timeout of a call to the counter, in milliseconds.
     #[serde(rename = "counter_wait_ms")]
     pub counter_timeout_ms: u64,
-    /// Maximum Retry-After in milliseconds.
+    /// Maximum Retry-After of a rejection in milliseconds.
     #[serde(rename = "longest_retry_after_ms")]
     pub max_retry_after_ms: u64,
 }
@@ -34,7 +34,7 @@
     }
 }
 
-/// Limits and time-outs.
+/// Limits and timeouts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsConfig {
@@ -44,10 +44,10 @@
     /// Maximum size of a backend's response in bytes.
     #[serde(rename = "answer_bytes")]
     pub max_response_bytes: usize,
-    /// Maximum number of connections of both sides together.
+    /// Maximum number of connections to clients and backends together.
     #[serde(rename = "sockets")]
     pub max_sockets: usize,
-    /// Time-out for connecting to a backend, in milliseconds.
+    /// Timeout for connecting to a backend, in milliseconds.
     #[serde(rename = "connect_ms")]
     pub connect_timeout_ms: u64,
     /// Time in milliseconds after which an idle connection to a backend is closed.
@@ -92,9 +92,9 @@
     /// Duration of slow start in milliseconds; 0 for none.
     #[serde(rename = "cold_ms")]
     pub duration_ms: u64,
-    /// A backend in slow start collapses under a load of more than this multiple of its capacity ...
+    /// Load at which a backend in slow start becomes overloaded, as a multiple of its current capacity.
     pub overload_factor: f64,
-    /// ... that lasts for this many milliseconds.
+    /// Time in milliseconds after which a backend in slow start fails under a load above `overload_factor`.
     #[serde(rename = "fall_ms")]
     pub collapse_after_ms: u64,
 }
--- a/crates/settings/src/appliance/plan_version.rs
+++ b/crates/settings/src/appliance/plan_version.rs
@@ -1,11 +1,11 @@
-//! Versions of the replicated plans: parsing, and the plans that result from them.
+//! Versions of the replicated plans: parsing a version, and computing the plans in force from it.
 
 use super::{ApplianceConfig, PlanConfig};
 use crate::SettingsError;
 use crate::validation::check_unique;
 use serde::Deserialize;
 
-/// Schema of a version.
+/// Schema of a version of the replicated plans.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlanVersion {
@@ -16,7 +16,7 @@
 /// Minimum rate. The policy requires rates above 0, and one unit per day admits practically no requests.
 const MIN_RATE: f64 = 1.0 / 86_400.0;
 
-/// Applies a version: returns the plans of the file, of which those in the version are replaced.
+/// Applies a version: returns the plans of the file, with those that the version contains replaced.
 ///
 /// # Errors
 ///
@@ -39,7 +39,7 @@
     Ok(plans)
 }
 
-/// The stricter limit of each plan of two versions of the same file, so that both versions are respected.
+/// The plans with the stricter limits of two versions of the same file, so that neither version is exceeded.
 pub fn stricter(one: &[PlanConfig], other: &[PlanConfig]) -> Vec<PlanConfig> {
     one.iter().zip(other).map(|(one, other)| stricter_plan(one, other)).collect()
 }
@@ -55,12 +55,12 @@
     }
 }
 
-/// The lower of two ceilings, where 0 stands for none.
+/// The lower of two ceilings, where 0 means no ceiling.
 fn stricter_ceiling(one: f64, other: f64) -> f64 {
     if one > 0.0 && other > 0.0 { one.min(other) } else { one.max(other) }
 }
 
-/// The limits of plans scaled by `share`, for a gatekeeper without a lease, which may not know the last version.
+/// The plans with their limits scaled by `share`, for a gatekeeper without a lease, which may not know the latest version.
 pub fn scaled(plans: &[PlanConfig], share: f64) -> Vec<PlanConfig> {
     let scale = |plan: &PlanConfig| PlanConfig {
         name: plan.name.clone(),
--- a/crates/settings/src/appliance/plans.rs
+++ b/crates/settings/src/appliance/plans.rs
@@ -11,15 +11,15 @@
     pub name: String,
     /// Quota of each tenant in units per second.
     pub units_per_second: f64,
-    /// Units that a tenant may use at once (depth of the token bucket).
+    /// Units that a tenant may use at once: the capacity of its token bucket.
     pub burst: f64,
     /// Hard ceiling in units per second; 0 for none.
     #[serde(default)]
     pub ceiling_per_second: f64,
-    /// Units that the ceiling admits at once.
+    /// Units that the ceiling admits at once: the capacity of its token bucket.
     #[serde(default)]
     pub ceiling_burst: f64,
-    /// Factor on the priority weight.
+    /// Factor on the priority weight of the class.
     #[serde(default = "one")]
     pub price: f64,
 }
@@ -38,11 +38,11 @@
     }
 }
 
-/// A tenant.
+/// A tenant and the plan that limits it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// Name of the tenant, as in the header.
+    /// Name of the tenant, as in the HTTP header `lender_header`.
     pub name: String,
     /// Name of its plan.
     pub plan: String,
--- a/crates/settings/src/appliance/policy_settings.rs
+++ b/crates/settings/src/appliance/policy_settings.rs
@@ -1,4 +1,4 @@
-//! Conversion of the file to the settings of the policy.
+//! Conversion of the appliance's file to the settings of the policy.
 
 use super::{ApplianceConfig, ClassConfig, PlanConfig, RepeatEffect};
 use crate::SettingsError;
@@ -8,9 +8,9 @@
 /// Time for which requests that were already assigned to a draining backend may still be forwarded to it, in microseconds.
 const DRAIN_GRACE_US: policy::Micros = 1_000_000;
 /// Factor by which the seeded fault `ceilings` raises the limits of plans.
-const SEEDED_FAULT_FACTOR: f64 = 4.0;
+const SEEDED_LIMIT_FACTOR: f64 = 4.0;
 
-/// A class of the policy: the requests of a configured class to one service.
+/// A class of the policy: a configured class combined with the service that serves the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteClass {
     /// Index of the service in [`ApplianceConfig::service_names`].
@@ -20,7 +20,7 @@
 }
 
 impl ApplianceConfig {
-    /// Converts to the settings of the policy with these classes, where one request takes at most `max_units`.
+    /// Converts to the settings of the policy with these classes, where one request costs at most `max_units`.
     ///
     /// # Errors
     ///
@@ -89,7 +89,7 @@
 
 impl PlanConfig {
     fn to_policy(&self) -> policy::Plan {
-        let factor = if seeded_faults::is_active("ceilings") { SEEDED_FAULT_FACTOR } else { 1.0 };
+        let factor = if seeded_faults::is_active("ceilings") { SEEDED_LIMIT_FACTOR } else { 1.0 };
         policy::Plan {
             rate: self.units_per_second * factor,
             burst: self.burst * factor,
--- a/crates/settings/src/appliance/replication.rs
+++ b/crates/settings/src/appliance/replication.rs
@@ -9,10 +9,10 @@
 use std::path::PathBuf;
 
 const LEASE_DURATION_RANGE_MS: RangeInclusive<u64> = 500..=60_000;
-/// Allowed numbers of replicas: they tolerate one and two failures.
+/// Allowed numbers of replicas, which tolerate one and two failures.
 const REPLICA_COUNTS: [usize; 2] = [3, 5];
 
-/// Replication of plans by Raft.
+/// Replication of plans among gatekeepers by Raft.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicationConfig {
@@ -21,10 +21,10 @@
     /// Three or five replicas, in the same order in the files of all instances.
     #[serde(rename = "voters")]
     pub replicas: Vec<ReplicaConfig>,
-    /// Log of a replica, relative to the directory of this file.
+    /// File with the Raft log of a replica, relative to the directory of this file.
     #[serde(default = "default_log")]
     pub log: PathBuf,
-    /// Lease duration in milliseconds. After it, no two gatekeepers apply contradictory versions.
+    /// Lease duration in milliseconds. Once it has passed, no two gatekeepers apply contradictory versions.
     #[serde(rename = "lease_ms", default = "default_lease_duration_ms")]
     pub lease_duration_ms: u64,
     /// Share of each quota that this gatekeeper grants without a lease.
@@ -32,7 +32,7 @@
     pub share_without_lease: f64,
 }
 
-/// A replica.
+/// A member of the Raft group that replicates the plans.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaConfig {
@@ -55,15 +55,15 @@
 }
 
 impl ReplicationConfig {
-    /// Validates the table together with that of the cluster, which has the name of this instance.
+    /// Validates the table. The name of this instance comes from the table `[cluster]`.
     pub(super) fn validate(&self, cluster: Option<&ClusterConfig>) -> Result<(), SettingsError> {
         let cluster = cluster.ok_or(SettingsError::ReplicationWithoutCluster)?;
         self.validate_replicas()?;
         let addresses = self.replicas.iter().map(|replica| replica.address).chain(self.listen);
-        check_loopback("agreed", addresses, "messages are authenticated, but can be read")?;
+        check_loopback("agreed", addresses, "messages are authenticated, but not encrypted")?;
         let is_replica = self.replicas.iter().any(|replica| replica.name == cluster.name);
         if is_replica != self.listen.is_some() {
-            return Err(SettingsError::ReplicaWithoutListener);
+            return Err(SettingsError::ReplicaListenerMismatch);
         }
         check_range("agreed.lease_ms", self.lease_duration_ms, LEASE_DURATION_RANGE_MS)?;
         check_range("agreed.when_apart", self.share_without_lease, 0.0..=1.0)
--- a/crates/settings/src/endpoint_list.rs
+++ b/crates/settings/src/endpoint_list.rs
@@ -5,36 +5,36 @@
 /// A list of backends, either complete or with the changes since the previous list.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct EndpointList {
-    /// Version of the list.
+    /// Version of the list, from the discovery agent; 0 if absent.
     #[serde(rename = "rev", default)]
     pub revision: u64,
-    /// Whether the list is complete. Otherwise it has only the changed endpoints.
+    /// True for a complete list, false for one with only the endpoints that changed since the previous list.
     #[serde(rename = "all", default)]
     pub complete: bool,
-    /// The endpoints.
+    /// The endpoints: all of them, or only the changed ones.
     #[serde(rename = "targets", default)]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A backend.
+/// An entry of the list: one backend.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Endpoint {
-    /// Id, the same at every gatekeeper.
+    /// Id of the backend, the same at every gatekeeper.
     #[serde(rename = "uid")]
     pub id: String,
-    /// Address and port at which this gatekeeper reaches it. May be empty for a removed backend.
+    /// Address and port at which this gatekeeper reaches the backend. May be empty for a removed backend.
     #[serde(rename = "endpoint", default)]
     pub address: String,
-    /// Zone.
+    /// Name of the availability zone; empty if absent.
     #[serde(rename = "az", default)]
     pub zone: String,
-    /// Machine type.
+    /// Name of the machine type; empty if absent.
     #[serde(rename = "model", default)]
     pub machine_type: String,
-    /// Cell.
+    /// Number of the cell: a group of backends within which idempotency keys are recognized.
     #[serde(rename = "pod_group", default)]
     pub cell: u16,
-    /// `up`, `draining` or `removed`.
+    /// State: `up`, `draining` or `removed`.
     pub state: String,
     /// Capacity relative to other backends.
     #[serde(rename = "capacity_hint", default = "one")]
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,6 +1,6 @@
-//! Errors of configurations.
+//! Errors of configuration files.
 
-use crate::numbering::MAX_NUMBERED;
+use crate::numbering::MAX_CLASSES_OR_PLANS;
 use std::net::SocketAddr;
 
 /// Why a configuration is invalid. The caller adds the name of the file.
@@ -13,12 +13,12 @@
     #[error("{0}")]
     Toml(#[source] Box<toml::de::Error>),
     /// The JSON is nested too deeply.
-    #[error("it nests too deep")]
+    #[error("the JSON is nested too deeply")]
     NestedTooDeep,
-    /// A key of the configuration in force is missing in its replacement.
+    /// The configuration in force has a key that is missing in the new file.
     #[error("the key {key} is missing")]
     MissingKey {
-        /// Path of the key.
+        /// Dotted path of the missing key.
         key: String,
     },
     /// A key has an invalid value.
@@ -26,7 +26,7 @@
     InvalidValue {
         /// Key, with the name of its table or entry.
         key: String,
-        /// As the file has it.
+        /// Value in the file.
         value: String,
         /// Allowed values.
         requirement: String,
@@ -36,17 +36,17 @@
     NotOnLoopback {
         /// Key, with the name of its table.
         key: &'static str,
-        /// As the file has it.
+        /// Address in the file.
         address: SocketAddr,
         /// Why it must be on the loopback interface.
         reason: &'static str,
     },
     /// An address that is announced to other processes has port 0.
     #[error("{key}: port 0 cannot be told to others; {remedy}")]
-    PortUnknown {
+    PortZero {
         /// Key, with the name of its table.
         key: &'static str,
-        /// How to correct it.
+        /// Change to the file that corrects the error.
         remedy: &'static str,
     },
     /// A list is empty.
@@ -58,18 +58,18 @@
     /// An entry has no name.
     #[error("a {kind} has no name")]
     Unnamed {
-        /// Kind of the entry.
+        /// Key or kind of the entry, for example `plan`.
         kind: &'static str,
     },
     /// Two entries of a list have the same name.
     #[error("{kind} {name:?} comes twice")]
     Duplicate {
-        /// Kind of the entries.
+        /// Key or kind of the entries, for example `plan`.
         kind: &'static str,
-        /// Their name.
+        /// Name that occurs twice.
         name: String,
     },
-    /// The file does not define the plan of a tenant.
+    /// A tenant has a plan that the file does not define.
     #[error("lender {tenant:?} has the unknown plan {plan:?}")]
     UnknownPlan {
         /// Name of the tenant.
@@ -77,7 +77,7 @@
         /// Name of the plan.
         plan: String,
     },
-    /// The file does not define a plan of a proposed version.
+    /// A version of the replicated plans has a plan that the file does not define.
     #[error("plan {plan:?} is none of the file's; a new one needs a restart")]
     PlanNotInFile {
         /// Name of the plan.
@@ -96,7 +96,7 @@
         plan: String,
     },
     /// The times of some classes violate the timing rules.
-    #[error("the timing of the classes cannot be kept:\n  {}", join_lines(.0))]
+    #[error("the timing of the classes is invalid:\n  {}", join_lines(.0))]
     Timing(Vec<timing::TimingViolation>),
     /// A class of the platform's file has an unknown effect.
     #[error("class {class}: unknown effect {effect:?}")]
@@ -106,26 +106,26 @@
         /// The unknown effect.
         effect: String,
     },
-    /// Replication is configured without `[cluster]`, which has the name and the key of the instance.
-    #[error("agreed: it needs [cluster] for this instance's name and the key")]
+    /// `[agreed]` is present without `[cluster]`, which has the name of this instance and the key file for replication.
+    #[error("agreed: the table [cluster] is missing, which has this instance's name and key")]
     ReplicationWithoutCluster,
-    /// A replica has no listen address, or another instance has one.
-    #[error("agreed: a voter needs listen, and only a voter has it")]
-    ReplicaWithoutListener,
+    /// A replica has no `agreed.listen`, or an instance that is not a replica has one.
+    #[error("agreed: listen must be set if this instance is a voter, and only then")]
+    ReplicaListenerMismatch,
     /// A lease request could not be retried within the shortest period of a job or health check.
     #[error(
         "cluster.store_timeout_ms is {timeout_ms}, more than half of the shortest period, {period_ms}: \
-         a lease could not be asked for again in the same period"
+         a failed lease request could not be retried in the same period"
     )]
     StoreTimeoutTooLong {
-        /// Time-out of the lease store in milliseconds.
+        /// Timeout of the lease store in milliseconds.
         timeout_ms: u64,
         /// Shortest period of a job or health check in milliseconds.
         period_ms: u64,
     },
-    /// The configurations since the start had too many different classes or plans.
-    #[error("more than {MAX_NUMBERED} classes or plans since the start")]
-    TooManyNumbers,
+    /// All configurations since the process started have too many different classes or plans together.
+    #[error("more than {MAX_CLASSES_OR_PLANS} different classes or plans since the process started")]
+    TooManyClassesOrPlans,
     /// The policy rejects the settings.
     #[error("{0}")]
     Policy(#[from] policy::SettingsError),
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! Texts of the errors, as operators read them.
+//! Texts of the errors that operators read.
 
 use super::*;
 use policy::Settings;
@@ -18,7 +18,7 @@
     let name = || "gold".to_owned();
     let address = ([10, 0, 0, 1], 80).into();
     for (error, text) in [
-        (SettingsError::NestedTooDeep, "it nests too deep"),
+        (SettingsError::NestedTooDeep, "the JSON is nested too deeply"),
         (
             SettingsError::MissingKey { key: "settings.classes.name".into() },
             "the key settings.classes.name is missing",
@@ -32,8 +32,8 @@
             "status: 10.0.0.1:80 is not on loopback; it has no access control",
         ),
         (
-            SettingsError::PortUnknown { key: "cluster.listen", remedy: "name one" },
-            "cluster.listen: port 0 cannot be told to others; name one",
+            SettingsError::PortZero { key: "cluster.listen", remedy: "set one" },
+            "cluster.listen: port 0 cannot be told to others; set one",
         ),
         (SettingsError::EmptyList { key: "descriptions" }, "descriptions: at least one is needed"),
         (SettingsError::Unnamed { kind: "plan" }, "a plan has no name"),
@@ -50,7 +50,7 @@
         (SettingsError::CeilingBelowQuota { plan: name() }, "plan \"gold\" has its ceiling below its quota"),
         (
             SettingsError::Timing(vec![timing_violation(), timing_violation()]),
-            "the timing of the classes cannot be kept:\n  class \"lookup\": wanted_ms is 0; it must be above 0\n  \
+            "the timing of the classes is invalid:\n  class \"lookup\": wanted_ms is 0; it must be above 0\n  \
              class \"lookup\": wanted_ms is 0; it must be above 0",
         ),
         (
@@ -63,22 +63,28 @@
 }
 
 #[test]
-fn an_error_of_several_tables_names_the_contradiction() {
+fn an_error_of_several_settings_names_the_conflict() {
     let policy_error =
         Settings { gatekeepers: 0, ..Settings::default() }.validate().expect_err("no gatekeeper");
     let policy_text = policy_error.to_string();
     for (error, text) in [
         (
             SettingsError::ReplicationWithoutCluster,
-            "agreed: it needs [cluster] for this instance's name and the key",
+            "agreed: the table [cluster] is missing, which has this instance's name and key",
+        ),
+        (
+            SettingsError::ReplicaListenerMismatch,
+            "agreed: listen must be set if this instance is a voter, and only then",
         ),
-        (SettingsError::ReplicaWithoutListener, "agreed: a voter needs listen, and only a voter has it"),
         (
             SettingsError::StoreTimeoutTooLong { timeout_ms: 200, period_ms: 300 },
             "cluster.store_timeout_ms is 200, more than half of the shortest period, 300: \
-             a lease could not be asked for again in the same period",
+             a failed lease request could not be retried in the same period",
+        ),
+        (
+            SettingsError::TooManyClassesOrPlans,
+            "more than 4096 different classes or plans since the process started",
         ),
-        (SettingsError::TooManyNumbers, "more than 4096 classes or plans since the start"),
         (SettingsError::Policy(policy_error), policy_text.as_str()),
     ] {
         assert_eq!(error.to_string(), text);
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,4 +1,4 @@
-//! Check of JSON before parsing.
+//! Check of the nesting depth of JSON before parsing.
 
 use crate::SettingsError;
 
--- a/crates/settings/src/key_set.rs
+++ b/crates/settings/src/key_set.rs
@@ -1,4 +1,4 @@
-//! The set of keys of a configuration file. A file that replaces it must have all of them.
+//! The set of keys of a configuration file. On a reload, the new file must have all keys of the old one.
 
 use crate::SettingsError;
 use crate::json::check_nesting;
@@ -6,12 +6,12 @@
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-/// Keys nested more deeply than this are not compared.
-const MAX_DEPTH: usize = 8;
+/// Maximum nesting depth of the compared keys.
+const MAX_KEY_DEPTH: usize = 8;
 /// Key of the cached endpoint list. Its contents are not settings and change at run time.
 const ENDPOINT_LIST: &str = "known";
 
-/// The keys of a JSON file, as paths from the root. Of the entries of a list, only their common keys count.
+/// The keys of a JSON file, as dotted paths from the root. Of the entries of a list, only their common keys are included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeySet(BTreeSet<String>);
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The keys of a value, as paths from it.
+/// The keys inside a value, as dotted paths relative to it.
 fn keys(value: &OwnedValue, depth: usize) -> BTreeSet<String> {
     if let Some(object) = value.as_object() {
         return object.iter().flat_map(|(name, inner)| keys_below(name, inner, depth)).collect();
@@ -50,10 +50,13 @@
     entries.fold(first, |common, entry| common.intersection(&entry).cloned().collect())
 }
 
-/// A key and the keys of its value, as paths.
+/// A key and the keys inside its value, as dotted paths.
 fn keys_below(name: &str, value: &OwnedValue, depth: usize) -> Vec<String> {
-    let inner =
-        if name == ENDPOINT_LIST || depth >= MAX_DEPTH { BTreeSet::new() } else { keys(value, depth + 1) };
+    let inner = if name == ENDPOINT_LIST || depth >= MAX_KEY_DEPTH {
+        BTreeSet::new()
+    } else {
+        keys(value, depth + 1)
+    };
     let inner = inner.into_iter().map(|key| format!("{name}.{key}"));
     inner.chain([name.to_owned()]).collect()
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Configuration files: parsing, validation, and conversion to the settings of the policy.
 //!
-//! [`platform`] has the JSON file of a gatekeeper on the platform, and [`appliance`] the TOML file of the appliance.
+//! [`platform`] parses the JSON file of a gatekeeper on the platform, and [`appliance`] the TOML file of the appliance.
 
 pub mod appliance;
 mod endpoint_list;
--- a/crates/settings/src/numbering.rs
+++ b/crates/settings/src/numbering.rs
@@ -5,37 +5,37 @@
 use crate::platform::PlatformConfig;
 use policy::{Plan, RequestClass, Settings};
 
-/// Maximum number of classes, and of plans, over all configurations since the start. It bounds the memory for repeated reloads.
-pub(crate) const MAX_NUMBERED: usize = 4096;
+/// Maximum number of classes, and of plans, over all configurations since the process started. It bounds the memory for repeated
+/// reloads.
+pub(crate) const MAX_CLASSES_OR_PLANS: usize = 4096;
 
 /// A class of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NumberedClass<'a> {
-    /// Its number.
+    /// Index in the classes of the policy's settings. It never changes while the process runs.
     pub number: usize,
-    /// Its name.
+    /// Name in the configuration file.
     pub name: &'a str,
-    /// Its settings.
+    /// Settings in force.
     pub class: &'a RequestClass,
 }
 
 /// A plan of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NumberedPlan<'a> {
-    /// Its number.
+    /// Index in the plans of the policy's settings. It never changes while the process runs.
     pub number: usize,
-    /// Its name.
+    /// Name in the configuration file.
     pub name: &'a str,
 }
 
-/// A class or plan with its name.
 #[derive(Clone, Debug)]
 struct Named<T> {
     name: String,
     value: T,
 }
 
-/// All classes and plans since the start, by number.
+/// All classes and plans since the process started, by number.
 #[derive(Clone, Debug, Default)]
 pub struct Numbering {
     classes: Vec<Named<RequestClass>>,
@@ -47,20 +47,20 @@
 }
 
 impl Numbering {
-    /// Applies a new configuration, and returns its settings with all classes and plans since the start, by number. An unchanged class
-    /// keeps its number, and a changed one gets a new number. A plan with a known name keeps its number.
+    /// Applies a new configuration, and returns its settings with all classes and plans since the process started, by number. An
+    /// unchanged class keeps its number, and a changed one gets a new number. A plan with a known name keeps its number.
     ///
     /// # Errors
     ///
-    /// Returns an error if there were too many classes or plans since the start. The numbering is then unchanged.
+    /// Returns an error if there were too many classes or plans since the process started. The numbering is then unchanged.
     pub fn update(&mut self, config: &PlatformConfig) -> Result<Settings, SettingsError> {
         let (mut classes, mut plans) = (self.classes.clone(), self.plans.clone());
         let named = config.classes.iter().zip(&config.settings.classes);
         let current_classes = named.map(|(name, class)| number_class(&mut classes, name, class)).collect();
         let named = config.plans.iter().zip(&config.settings.plans);
         let current_plans = named.map(|(name, plan)| number_plan(&mut plans, name, plan)).collect();
-        if classes.len() > MAX_NUMBERED || plans.len() > MAX_NUMBERED {
-            return Err(SettingsError::TooManyNumbers);
+        if classes.len() > MAX_CLASSES_OR_PLANS || plans.len() > MAX_CLASSES_OR_PLANS {
+            return Err(SettingsError::TooManyClassesOrPlans);
         }
         *self = Self { classes, plans, current_classes, current_plans };
         Ok(Settings {
@@ -83,12 +83,12 @@
         self.current_plans.iter().map(|&number| NumberedPlan { number, name: &self.plans[number].name })
     }
 
-    /// Names of all classes by number, in force or not.
+    /// Names of all classes since the process started, by number.
     pub fn class_names(&self) -> Vec<String> {
         self.classes.iter().map(|class| class.name.clone()).collect()
     }
 
-    /// Names of all plans by number, in force or not.
+    /// Names of all plans since the process started, by number.
     pub fn plan_names(&self) -> Vec<String> {
         self.plans.iter().map(|plan| plan.name.clone()).collect()
     }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -14,7 +14,7 @@
 /// Configuration of a gatekeeper on the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// Name of the gatekeeper.
+    /// Name of the gatekeeper on the platform.
     pub name: String,
     /// Address at which clients connect.
     pub listen: SocketAddr,
@@ -22,7 +22,7 @@
     pub admin: Option<SocketAddr>,
     /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Maximum number of file descriptors of the process.
     pub max_sockets: usize,
@@ -30,9 +30,9 @@
     pub max_memory_bytes: usize,
     /// Address of the quota counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The last endpoint list of this gatekeeper.
+    /// The last endpoint list of this gatekeeper; empty if the file has none.
     pub cached_list: EndpointList,
-    /// Settings of the policy.
+    /// Settings of the policy that follow from the file.
     pub settings: policy::Settings,
     /// Maximum number of units of one request, if configured.
     pub max_units: Option<f64>,
@@ -42,9 +42,9 @@
     pub classes: Vec<String>,
     /// Names of the plans, by number.
     pub plans: Vec<String>,
-    /// Names of the zones, by number.
+    /// Names of the zones (`localities`), by number.
     pub zones: Vec<String>,
-    /// Names of the machine types, by number.
+    /// Names of the machine types (`kinds`), by number.
     pub machine_types: Vec<String>,
 }
 
@@ -86,5 +86,5 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, SettingsError> {
-    text.parse().map_err(|_| invalid(key, format!("{text:?}"), "an address and port"))
+    text.parse().map_err(|_| invalid(key, format!("{text:?}"), "an IP address and port"))
 }
--- a/crates/settings/src/platform/file.rs
+++ b/crates/settings/src/platform/file.rs
@@ -190,7 +190,7 @@
     pub(super) cross_zone: f64,
 }
 
-/// Deserializes a deadline or a number of attempts: a number above 0, which may have a decimal point.
+/// Deserializes a deadline or a number of attempts: a number from 1 to below 10^15. Its fraction is cut off.
 fn above_zero<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -201,7 +201,7 @@
     let error = |text: String| Err(serde::de::Error::custom(text));
     match Value::deserialize(deserializer)? {
         Value::Number(value) if (1.0..1e15).contains(&value) => Ok(value as u64),
-        Value::Number(value) => error(format!("{value} is no number above 0")),
-        Value::Other(_) => error("a deadline or max-attempts is no number above 0".into()),
+        Value::Number(value) => error(format!("{value} is not a number from 1 to below 1e15")),
+        Value::Other(_) => error("a deadline or max-attempts is not a number".into()),
     }
 }
--- a/crates/settings/src/platform/policy_settings.rs
+++ b/crates/settings/src/platform/policy_settings.rs
@@ -1,9 +1,9 @@
-//! Conversion of the file to the settings of the policy.
+//! Conversion of `config.json` to the settings of the policy.
 
 use super::file::{Class, Plan, Settings};
 use crate::SettingsError;
 
-/// Maximum number of attempts of one request. The policy counts them in a byte.
+/// Maximum number of attempts of one request. The policy counts attempts in one byte.
 const MAX_ATTEMPTS: u64 = 250;
 
 impl Settings {
@@ -54,7 +54,8 @@
         let dedup_scope = match self.group.as_str() {
             "all" => policy::DedupScope::All,
             "zone" => policy::DedupScope::Zone,
-            // An unknown group is treated as the narrowest one, which is always safe.
+            // An unknown group is treated as the narrowest scope, which is always safe: a retry never goes to a backend that does
+            // not recognize the idempotency key.
             _ => policy::DedupScope::Cell,
         };
         Ok(policy::RequestClass {
@@ -93,7 +94,7 @@
     }
 }
 
-/// The metric of a column of load reports.
+/// The load metric that a column of a load report contains.
 fn load_metric(name: &str) -> policy::LoadMetric {
     match name {
         "active" => policy::LoadMetric::InFlight,
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks shared by several tables.
+//! Checks shared by several tables of the configuration files.
 
 use crate::SettingsError;
 use std::collections::HashSet;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Maximum length in bytes of a name that is used in keys and log lines.
+/// Maximum length in bytes of a name that is used in keys of the lease store and in log lines.
 const MAX_NAME_BYTES: usize = 64;
 /// Allowed periods of jobs and health checks, in milliseconds.
 pub(crate) const PERIOD_RANGE_MS: RangeInclusive<u64> = 100..=86_400_000;
@@ -63,7 +63,7 @@
     if names.into_iter().any(str::is_empty) { Err(SettingsError::Unnamed { kind }) } else { Ok(()) }
 }
 
-/// Checks that a name can be used in keys and log lines.
+/// Checks that a name can be used in keys of the lease store and in log lines.
 pub(crate) fn check_identifier(key: impl Into<String>, name: &str) -> Result<(), SettingsError> {
     let valid = (1..=MAX_NAME_BYTES).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
--- a/crates/settings/tests/appliance_checks.rs
+++ b/crates/settings/tests/appliance_checks.rs
@@ -82,7 +82,11 @@
             "status: 10.0.0.1:8081 is not on loopback; the status has no access control",
         ),
         ("[\"loans.json\"]", "[]", "descriptions: at least one is needed"),
-        ("\"X-Lender\"", "\"\"", "lender_header is \"\", but must be the name of a header"),
+        (
+            "\"X-Lender\"",
+            "\"\"",
+            "lender_header is \"\", but must be a header name of letters, digits, - and _",
+        ),
         (
             "service = \"loan-server\"",
             "service = \"\"",
@@ -111,13 +115,17 @@
         ),
         ("name = \"rate-server\"", "name = \"loan-server\"", "service \"loan-server\" comes twice"),
         ("name = \"rate-server\"", "name = \"\"", "a service has no name"),
-        ("name = \"gatekeeper\"", "name = \"\"", "register.name is \"\", but must be a name"),
-        ("id = \"gatekeeper-0\"", "id = \"\"", "register.id is \"\", but must be a name"),
+        (
+            "name = \"gatekeeper\"",
+            "name = \"\"",
+            "register.name is \"\", but must be a name that is not empty",
+        ),
+        ("id = \"gatekeeper-0\"", "id = \"\"", "register.id is \"\", but must be a name that is not empty"),
         ("ttl_ms = 10000", "ttl_ms = 999", "register.ttl_ms is 999, but must be 1000 at least"),
         (
             "listen = \"127.0.0.1:8080\"",
             "listen = \"127.0.0.1:0\"",
-            "register: port 0 cannot be told to others; name register.address, or a port in listen",
+            "register: port 0 cannot be told to others; set register.address, or a port in listen",
         ),
         ("sockets = 1024", "sockets = 127", "limits.sockets is 127, but must be 128 at least"),
         ("route_steps = 3", "route_steps = 17", "limits.route_steps is 17, but must be 1 to 16"),
@@ -129,12 +137,12 @@
         (
             "peers = [\"127.0.0.2:7946\"]",
             "peers = [\"10.0.0.2:7946\"]",
-            "cluster: 10.0.0.2:7946 is not on loopback; gossip is authenticated, but what it says can be read",
+            "cluster: 10.0.0.2:7946 is not on loopback; gossip is authenticated, but not encrypted",
         ),
         (
             "listen = \"127.0.0.1:7946\"",
             "listen = \"127.0.0.1:0\"",
-            "cluster.listen: port 0 cannot be told to others; name a port that the others can know",
+            "cluster.listen: port 0 cannot be told to others; set a fixed port",
         ),
         (
             "prefix = \"snowfield\"",
@@ -150,7 +158,7 @@
             "store_timeout_ms = 200",
             "store_timeout_ms = 501",
             "cluster.store_timeout_ms is 501, more than half of the shortest period, 1000: \
-             a lease could not be asked for again in the same period",
+             a failed lease request could not be retried in the same period",
         ),
         ("standbys = 3", "standbys = 16", "cluster.standbys is 16, but must be 0 to 15"),
         ("skew_ms = 300", "skew_ms = 10001", "cluster.skew_ms is 10001, but must be 0 to 10000"),
@@ -168,10 +176,18 @@
         (
             "127.0.0.1:7002",
             "10.0.0.1:7002",
-            "agreed: 10.0.0.1:7002 is not on loopback; messages are authenticated, but can be read",
+            "agreed: 10.0.0.1:7002 is not on loopback; messages are authenticated, but not encrypted",
+        ),
+        (
+            "{ name = \"m0\"",
+            "{ name = \"m9\"",
+            "agreed: listen must be set if this instance is a voter, and only then",
+        ),
+        (
+            "path = \"/health\"",
+            "path = \"health\"",
+            "probe.path is \"health\", but must be a path that begins with a slash, of printable ASCII characters",
         ),
-        ("{ name = \"m0\"", "{ name = \"m9\"", "agreed: a voter needs listen, and only a voter has it"),
-        ("path = \"/health\"", "path = \"health\"", "probe.path is \"health\", but must be a path"),
         ("period_ms = 2000", "period_ms = 99", "probe.period_ms is 99, but must be 100 to 86400000"),
         ("timeout_ms = 500", "timeout_ms = 2001", "probe.timeout_ms is 2001, but must be 1 to 2000"),
         ("down_after = 2", "down_after = 0", "probe.down_after is 0, but must be 1 at least"),
@@ -204,7 +220,7 @@
         (
             "wanted_ms = 300",
             "wanted_ms = 0",
-            "the timing of the classes cannot be kept:\n  class \"lookup\": wanted_ms is 0; it must be above 0",
+            "the timing of the classes is invalid:\n  class \"lookup\": wanted_ms is 0; it must be above 0",
         ),
     ] {
         assert!(FILE.contains(from), "{from}");
@@ -214,11 +230,14 @@
 }
 
 #[test]
-fn a_missing_table_is_named_by_the_table_that_needs_it() {
+fn a_missing_table_or_an_empty_list_of_tables_is_rejected() {
     let (before, rest) = FILE.split_once("[cluster]").expect("a cluster");
     let (_, after) = rest.split_once("[agreed]").expect("its end");
     let error = ApplianceConfig::parse(&format!("{before}[agreed]{after}")).expect_err("no cluster");
-    assert_eq!(error.to_string(), "agreed: it needs [cluster] for this instance's name and the key");
+    assert_eq!(
+        error.to_string(),
+        "agreed: the table [cluster] is missing, which has this instance's name and key"
+    );
     let without_tenants = FILE.split_once("[[lender]]").expect("a tenant").0;
     // An empty list of tables has to be written as a value, above all tables.
     let error = ApplianceConfig::parse(&format!("lender = []{without_tenants}")).expect_err("no tenant");
--- a/crates/settings/tests/garbage.rs
+++ b/crates/settings/tests/garbage.rs
@@ -1,4 +1,4 @@
-//! Values of valid files, and rejection of invalid ones without a panic.
+//! Both configuration files: values of valid files, and rejection of invalid or random bytes without a panic.
 
 use fuzz_inputs::survives_garbage;
 use settings::appliance::ApplianceConfig;
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -41,15 +41,15 @@
         assert!(rejection(&valid[..length]).is_some(), "truncated to {length} bytes");
     }
     for (from, to, expected) in [
-        ("2500000", "0", "above 0"),
-        ("2500000", "-5", "above 0"),
-        ("2500000", "0.5", "above 0"),
-        ("2500000", "\"soon\"", "above 0"),
-        ("2500000", "null", "above 0"),
+        ("2500000", "0", "0 is not a number from 1 to"),
+        ("2500000", "-5", "-5 is not a number from 1 to"),
+        ("2500000", "0.5", "0.5 is not a number from 1 to"),
+        ("2500000", "\"soon\"", "max-attempts is not a number"),
+        ("2500000", "null", "max-attempts is not a number"),
         ("2500000", "1e400", ""),
-        ("\"max-attempts\":6", "\"max-attempts\":0", "above 0"),
-        ("\"max-attempts\":6", "\"max-attempts\":\"six\"", "above 0"),
-        ("\"max-attempts\":6", "\"max-attempts\":[6]", "above 0"),
+        ("\"max-attempts\":6", "\"max-attempts\":0", "0 is not a number from 1 to"),
+        ("\"max-attempts\":6", "\"max-attempts\":\"six\"", "max-attempts is not a number"),
+        ("\"max-attempts\":6", "\"max-attempts\":[6]", "max-attempts is not a number"),
         ("\"max-attempts\":6", "\"most\":6", "max-attempts"),
         ("\"deadline-us\":2500000,", "", "deadline-us"),
         ("\"counter\":\"127.0.0.1:6400\",", "", "counter"),
