--- a/crates/openapi/src/description.rs
+++ b/crates/openapi/src/description.rs
@@ -1,4 +1,4 @@
-//! Reads one description: its version, its paths and their operations.
+//! Reads one OpenAPI description: its version, its paths and their operations.
 
 use crate::Route;
 use crate::error::DescriptionError;
@@ -9,17 +9,17 @@
 
 /// Prefixes of the supported OpenAPI versions.
 const SUPPORTED_VERSIONS: [&str; 3] = ["3.0.", "3.1.", "3.2."];
-/// Keys of a path item that are supported methods.
+/// Keys of a path item that stand for supported methods.
 const SUPPORTED_METHODS: [&str; 8] = ["get", "put", "post", "delete", "options", "head", "patch", "query"];
-/// Keys of a path item that are not methods.
+/// Keys of a path item that do not stand for methods.
 const NON_METHOD_KEYS: [&str; 5] = ["$ref", "summary", "description", "servers", "parameters"];
 
-/// A description and its name.
+/// The text of an OpenAPI description, with a name for error texts.
 #[derive(Clone, Copy, Debug)]
 pub struct Description<'a> {
     /// Name of the description in error texts, for example its file name.
     pub name: &'a str,
-    /// Text in JSON or YAML.
+    /// OpenAPI description in JSON or YAML.
     pub text: &'a str,
 }
 
--- a/crates/openapi/src/extensions.rs
+++ b/crates/openapi/src/extensions.rs
@@ -4,10 +4,10 @@
 use crate::node::Node;
 
 const PREFIX: &str = "x-snowfield-";
-/// Keys of the extensions of an operation, and of a default.
+/// Names of the extensions of an operation without their prefix, which are also the keys of `x-snowfield-default`.
 const KEYS: [&str; 3] = ["units", "class", "service"];
 
-/// Values of the extensions at one location.
+/// Values of the extensions at one location; `None` for an extension that is absent there.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Extensions {
     pub(crate) units: Option<f64>,
@@ -23,7 +23,7 @@
         Self::read(get, location)
     }
 
-    /// Reads the `x-snowfield-default` of a path or a description.
+    /// Reads the `x-snowfield-default` of a path or a description. Without one, all values are `None`.
     pub(crate) fn default_of(node: &Node, location: &str) -> Result<Self, DescriptionError> {
         let Some(default) = node.get("x-snowfield-default") else { return Ok(Self::default()) };
         let location = format!("x-snowfield-default of {location}");
@@ -55,7 +55,7 @@
     }
 }
 
-/// Rejects unknown extensions, so that a misspelled one is not ignored.
+/// Rejects extensions other than `known`, so that a misspelled one is not ignored.
 pub(crate) fn reject_unknown(node: &Node, location: &str, known: &[&str]) -> Result<(), DescriptionError> {
     for (key, _) in node.entries() {
         if key.strip_prefix(PREFIX).is_some_and(|name| !known.contains(&name)) {
--- a/crates/openapi/src/lib.rs
+++ b/crates/openapi/src/lib.rs
@@ -10,8 +10,8 @@
 //! | `x-snowfield-default` | the description or a path | an object with any of `units`, `class` and `service`, for operations without their own |
 //!
 //! The most specific value applies: the operation's own, then the default of its path, then the default of the description. An
-//! operation without units or without a class is an error that names it, and so is any other `x-snowfield-` extension. A
-//! description that cannot be served exactly as written is rejected.
+//! operation without units or without a class is an error that names the operation, and so is any other `x-snowfield-` extension.
+//! A description that cannot be served exactly as written is rejected.
 //!
 //! "Operation" is OpenAPI's term for a method of a path.
 
--- a/crates/openapi/src/node.rs
+++ b/crates/openapi/src/node.rs
@@ -15,7 +15,7 @@
 }
 
 impl Node {
-    /// The value of a key, if this is a map with that key.
+    /// The value of a key; `None` if this is not a map or has no such key.
     pub(crate) fn get(&self, key: &str) -> Option<&Node> {
         self.entries().iter().find(|(name, _)| name == key).map(|(_, value)| value)
     }
@@ -30,12 +30,12 @@
         if let Self::List(items) = self { items } else { &[] }
     }
 
-    /// The text, if this is text.
+    /// The text; `None` for another value.
     pub(crate) fn text(&self) -> Option<&str> {
         if let Self::Text(text) = self { Some(text) } else { None }
     }
 
-    /// The value at a JSON pointer (RFC 6901).
+    /// The value at a JSON pointer (RFC 6901); `None` if there is no such value.
     pub(crate) fn follow_pointer(&self, pointer: &str) -> Option<&Node> {
         pointer.split('/').skip(1).try_fold(self, |node, token| {
             let token = token.replace("~1", "/").replace("~0", "~");
@@ -102,7 +102,7 @@
                 Node::Text(text) => text,
                 Node::Number(number) => number.to_string(),
                 Node::Bool(value) => value.to_string(),
-                _ => return Err(M::Error::custom("a key is neither text nor a number")),
+                _ => return Err(M::Error::custom("a key is not text, a number or a boolean")),
             };
             if entries.iter().any(|(name, _)| *name == key) {
                 return Err(M::Error::custom(format!("the key {key:?} comes twice")));
--- a/crates/openapi/src/reference.rs
+++ b/crates/openapi/src/reference.rs
@@ -3,17 +3,17 @@
 use crate::error::DescriptionError;
 use crate::node::Node;
 
-/// Maximum number of references that follow each other.
-const MAX_REFERENCES: usize = 16;
-/// Keys that an object with a reference may have.
+/// Maximum number of references that are followed from one path item. It also detects circular references.
+const MAX_REFERENCE_DEPTH: usize = 16;
+/// Keys that an object with a reference may have, including the reference itself.
 const ALLOWED_KEYS: [&str; 3] = ["$ref", "summary", "description"];
 
-/// Follows the references of a path item, and returns its object.
+/// Follows the references of a path item, and returns the path item object to which they lead.
 pub(crate) fn resolve_path_item<'a>(
     root: &'a Node,
     mut item: &'a Node,
 ) -> Result<&'a Node, DescriptionError> {
-    for _ in 0..MAX_REFERENCES {
+    for _ in 0..MAX_REFERENCE_DEPTH {
         let Some(reference) = item.get("$ref") else {
             let is_object = matches!(item, Node::Map(_));
             return if is_object { Ok(item) } else { Err(DescriptionError::NotAPathItem) };
--- a/crates/openapi/src/route_table.rs
+++ b/crates/openapi/src/route_table.rs
@@ -7,19 +7,19 @@
 /// A route: one operation at one base path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Method in upper case.
+    /// HTTP method in upper case.
     pub method: String,
     /// Path template, with the base path of the server.
     pub path: String,
-    /// `operationId`, if the operation has one.
+    /// `operationId` of the operation; `None` if it has none.
     pub name: Option<String>,
-    /// Units that a request takes from the quota.
+    /// Units that a request takes from the quota of its tenant, above 0.
     pub units: f64,
     /// Name of the class of requests.
     pub class: String,
-    /// Name of the service; `None` for the configured one.
+    /// Name of the service that serves the route; `None` for the configured one.
     pub service: Option<String>,
-    /// Name of the description.
+    /// Name of the description that defines the route.
     pub source: String,
 }
 
@@ -28,7 +28,7 @@
 pub enum RouteMatch {
     /// The route with this index in [`RouteTable::routes`].
     Route(usize),
-    /// The path has only these methods, separated by commas.
+    /// The path has routes for other methods only: their names, separated by commas.
     MethodNotAllowed(String),
     /// No path template matches.
     NotFound,
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a description cannot be served, an operation has no units or no class, or two operations have the same or
-    /// ambiguous routes.
+    /// Returns an error if a description cannot be served, an operation has no units or no class, or two operations have the same
+    /// or ambiguous routes.
     pub fn load(descriptions: &[Description<'_>]) -> Result<Self, LoadError> {
         let mut table = Self::default();
         for description in descriptions {
@@ -65,12 +65,12 @@
         Ok(table)
     }
 
-    /// The routes in the order of the descriptions.
+    /// All routes, in the order of the descriptions and of the operations in them.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// Finds the route of a request. `path` is the path of its target, without the query.
+    /// Finds the route of a request. `path` is the path of the request target, without the query.
     ///
     /// # Errors
     ///
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Rejects two templates that one request could match, neither of which is at least as specific in every segment.
+    /// Rejects two templates that one request could match if neither is at least as specific as the other in every segment.
     fn reject_ambiguous(&self) -> Result<(), LoadError> {
         for (position, path) in self.paths.iter().enumerate() {
             let is_ambiguous = |other: &&Path| path.template.overlap(&other.template) == Overlap::Ambiguous;
--- a/crates/openapi/src/servers.rs
+++ b/crates/openapi/src/servers.rs
@@ -1,12 +1,12 @@
-//! Base paths of servers.
+//! Base paths of servers: the paths of their URLs, which are prepended to the paths of a description.
 
 use crate::error::DescriptionError;
 use crate::node::Node;
 
 /// Maximum number of URLs to which the variables of one server may expand.
-const MAX_BASE_PATHS: usize = 64;
+const MAX_EXPANDED_URLS: usize = 64;
 
-/// Returns the distinct base paths of a list of servers, without trailing slashes.
+/// Returns the distinct base paths of a list of servers, without trailing slashes. Without servers, the only base path is empty.
 pub(crate) fn base_paths(servers: Option<&Node>) -> Result<Vec<String>, DescriptionError> {
     let mut bases = Vec::new();
     for server in servers.map_or(&[][..], Node::items) {
@@ -37,7 +37,7 @@
     if path.starts_with('/') || path.is_empty() { path.to_owned() } else { format!("/{path}") }
 }
 
-/// Expands a server URL with every value of its variables: all values of `enum`, or else the default.
+/// Expands a server URL with every value of its variables: the values of `enum` if it is present, or else the default.
 fn expand_variables(url: &str, variables: Option<&Node>) -> Result<Vec<String>, DescriptionError> {
     let mut urls = vec![url.to_owned()];
     for (name, variable) in variables.map_or(&[][..], Node::entries) {
@@ -53,7 +53,7 @@
             values.iter().map(|value| url.replace(&placeholder, value)).collect()
         };
         urls = urls.iter().flat_map(expand).collect();
-        if urls.len() > MAX_BASE_PATHS {
+        if urls.len() > MAX_EXPANDED_URLS {
             return Err(DescriptionError::TooManyBasePaths);
         }
     }
--- a/crates/openapi/src/template.rs
+++ b/crates/openapi/src/template.rs
@@ -5,7 +5,7 @@
 /// A segment of a template.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Segment {
-    /// Matches these bytes.
+    /// Matches a segment with exactly these bytes, after percent-decoding.
     Literal(Vec<u8>),
     /// Matches any segment that is not empty.
     Parameter,
@@ -34,7 +34,7 @@
         segments.split('/').map(Segment::parse).collect::<Result<_, _>>().map(Self)
     }
 
-    /// Whether the decoded segments of a request path match.
+    /// Whether the decoded segments of a request path match this template.
     pub(crate) fn matches(&self, segments: &[Vec<u8>]) -> bool {
         let is_same_length = self.0.len() == segments.len();
         is_same_length && self.0.iter().zip(segments).all(|(segment, bytes)| segment.matches(bytes))
@@ -54,7 +54,7 @@
         for pair in self.0.iter().zip(&other.0) {
             match pair {
                 (Segment::Literal(a), Segment::Literal(b)) if a != b => return Overlap::Disjoint,
-                // A parameter matches no empty segment.
+                // A parameter does not match an empty segment, so no request matches both templates.
                 (Segment::Literal(text), Segment::Parameter)
                 | (Segment::Parameter, Segment::Literal(text))
                     if text.is_empty() =>
@@ -99,7 +99,7 @@
     }
 }
 
-/// Splits a request path into percent-decoded segments, so that every encoding of a path finds its route.
+/// Splits a request path into percent-decoded segments, so that the route is found whatever characters of the path are encoded.
 pub(crate) fn decode_path(path: &str) -> Result<Vec<Vec<u8>>, PathError> {
     let segments = path.strip_prefix('/').ok_or(PathError::NoLeadingSlash)?;
     segments.split('/').map(decode_segment).collect()
--- a/crates/openapi/tests/load.rs
+++ b/crates/openapi/tests/load.rs
@@ -12,7 +12,7 @@
     RouteTable::load(&descriptions).map_err(|error| error.to_string())
 }
 
-/// A description with these paths, and other members before them.
+/// A description with the members `paths` of its object `paths`, and the members `head` before that object.
 fn description(head: &str, paths: &str) -> String {
     format!(r#"{{"openapi":"3.1.0",{head}"paths":{{{paths}}}}}"#)
 }
@@ -20,7 +20,7 @@
 const DEFAULTS: &str = r#""x-snowfield-default":{"units":1,"class":"c"},"#;
 
 /// Method and path of each route.
-fn names(table: &RouteTable) -> Vec<String> {
+fn methods_and_paths(table: &RouteTable) -> Vec<String> {
     table.routes().iter().map(|route| format!("{} {}", route.method, route.path)).collect()
 }
 
@@ -32,7 +32,7 @@
            "/b":{"x-snowfield-default":{"units":2},"get":{},"put":{"x-snowfield-class":"near"}}"#,
     );
     let table = load(&[&text]).unwrap();
-    assert_eq!(names(&table), ["GET /a", "PUT /a", "GET /b", "PUT /b"]);
+    assert_eq!(methods_and_paths(&table), ["GET /a", "PUT /a", "GET /b", "PUT /b"]);
     let costs: Vec<(f64, &str)> =
         table.routes().iter().map(|route| (route.units, route.class.as_str())).collect();
     assert_eq!(costs, [(1.0, "far"), (5.0, "far"), (2.0, "far"), (2.0, "near")]);
@@ -61,19 +61,19 @@
         let table =
             load(&[&description(&format!(r#"{DEFAULTS}"servers":{servers},"#), r#""/a":{"get":{}}"#)])
                 .unwrap();
-        assert_eq!(names(&table), expected, "{servers}");
+        assert_eq!(methods_and_paths(&table), expected, "{servers}");
     }
     // The list of the operation has precedence over that of the path, and that over the list of the description.
     let paths = r#""/a":{"servers":[{"url":"/p"}],"get":{},"put":{"servers":[{"url":"/o"}]}}"#;
     let table = load(&[&description(&format!(r#"{DEFAULTS}"servers":[{{"url":"/v1"}}],"#), paths)]).unwrap();
-    assert_eq!(names(&table), ["GET /p/a", "PUT /o/a"]);
+    assert_eq!(methods_and_paths(&table), ["GET /p/a", "PUT /o/a"]);
 }
 
 #[test]
 fn follows_local_references() {
     let head = format!(r##"{DEFAULTS}"components":{{"pathItems":{{"it~em":{{"get":{{}}}}}}}},"##);
     let table = load(&[&description(&head, r##""/a":{"$ref":"#/components/pathItems/it~0em"}"##)]).unwrap();
-    assert_eq!(names(&table), ["GET /a"]);
+    assert_eq!(methods_and_paths(&table), ["GET /a"]);
 }
 
 #[test]
@@ -128,34 +128,34 @@
 }
 
 #[test]
-fn rejects_what_cannot_be_served_and_names_its_location() {
+fn rejects_an_unsupported_description_and_names_the_location() {
     let operation = r#""/a":{"get":{}}"#;
     for (text, error_text) in [
+        (description("", r#""/a":{"get":{"operationId":"balance"}}"#), "\"balance\" (GET /a) has no units"),
+        (description(r#""x-snowfield-default":{"class":"c"},"#, operation), "GET /a has no units"),
+        (description(r#""x-snowfield-default":{"units":1},"#, operation), "GET /a has no class"),
         (
-            description("", r#""/a":{"get":{"operationId":"balance"}}"#),
-            "\"balance\" (GET /a) states no units",
+            description(r#""x-snowfield-default":{},"#, operation),
+            "is not an object with units, class or service",
         ),
-        (description(r#""x-snowfield-default":{"class":"c"},"#, operation), "GET /a states no units"),
-        (description(r#""x-snowfield-default":{"units":1},"#, operation), "GET /a states no class"),
-        (description(r#""x-snowfield-default":{},"#, operation), "states nothing"),
-        (description(r#""x-snowfield-default":{"unit":1},"#, operation), "\"unit\""),
+        (description(r#""x-snowfield-default":{"unit":1},"#, operation), "unknown key \"unit\""),
         (description(DEFAULTS, r#""/a":{"get":{"x-snowfield-unit":3}}"#), "x-snowfield-unit"),
         (description(DEFAULTS, r#""/a":{"get":{"x-snowfield-units":0}}"#), "above 0"),
         (description(DEFAULTS, r#""/a":{"get":{"x-snowfield-units":"1"}}"#), "above 0"),
-        (description(DEFAULTS, r#""/a":{"get":{"x-snowfield-class":""}}"#), "no name"),
-        (description(DEFAULTS, r#""/a":{"trace":{}}"#), "\"trace\""),
+        (description(DEFAULTS, r#""/a":{"get":{"x-snowfield-class":""}}"#), "must be text that is not empty"),
+        (description(DEFAULTS, r#""/a":{"trace":{}}"#), "\"trace\" is not a supported method"),
         (description(DEFAULTS, r#""/a":{"get":{},"get":{}}"#), "comes twice"),
         (description(DEFAULTS, r#""/a.{format}":{"get":{}}"#), "mixes"),
         (description(DEFAULTS, r#""/a/../b":{"get":{}}"#), "dot segment"),
         (description(DEFAULTS, r#""a":{"get":{}}"#), "slash"),
         (description(DEFAULTS, r#""/a?x=1":{"get":{}}"#), "query"),
         (description(DEFAULTS, r#""/a":{"$ref":"other.json#/a"}"#), "not local"),
-        (description(DEFAULTS, r##""/a":{"$ref":"#/nowhere"}"##), "nowhere"),
-        (description(DEFAULTS, r##""/a":{"$ref":"#/paths/~1a"}"##), "circle"),
+        (description(DEFAULTS, r##""/a":{"$ref":"#/nowhere"}"##), "\"#/nowhere\" points to a missing object"),
+        (description(DEFAULTS, r##""/a":{"$ref":"#/paths/~1a"}"##), "circular"),
         (description(DEFAULTS, r##""/a":{"$ref":"#/paths/~1b","get":{}},"/b":{"get":{}}"##), "undefined"),
         (
             description(&format!(r#"{DEFAULTS}"servers":[{{"url":"/{{v}}"}}],"#), operation),
-            "cannot be served",
+            "undefined variable",
         ),
         (description(DEFAULTS, ""), "no operation"),
         (description(DEFAULTS, operation).replace("3.1.0", "2.0"), "version"),
