--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! The policy instances of one process. A panic of one does not affect the others.
+//! The policy instances of one process. A panic of one instance does not affect the others.
 
 use crate::settings;
 use crate::wire::{Record, Reply};
@@ -10,11 +10,11 @@
 /// The running policy instances.
 #[derive(Default)]
 pub(crate) struct Host {
-    /// By the number of the gatekeeper.
+    /// The instances by the number of their gatekeeper.
     instances: BTreeMap<u32, Policy>,
-    /// The warnings that were written to standard error. Each is written once.
+    /// The warnings that were written to standard error, so that each is written only once.
     warnings: BTreeSet<String>,
-    /// The actions of the current event: kept for its capacity.
+    /// The actions of the current event. The buffer is reused for all events.
     actions: Vec<Action>,
 }
 
@@ -27,25 +27,28 @@
             }
             Record::Kill { gatekeeper } => drop(self.instances.remove(&gatekeeper)),
             Record::Event { gatekeeper, event } => self.handle(now, gatekeeper, event, reply),
-            Record::Unknown { code } => self.warn_once(format!("skipped records of unknown code {code}")),
+            Record::Unknown { code } => {
+                self.warn_once(format!("skipped records with the unknown code {code}"))
+            }
         }
     }
 
     /// Starts an instance, in place of an earlier one of the same gatekeeper.
     fn start(&mut self, now: Timestamp, gatekeeper: u32, seed: u64, settings: &str, reply: &mut Reply) {
         self.instances.remove(&gatekeeper);
-        let instance = settings::parse(settings)
-            .and_then(|settings| Policy::new(settings, seed, now).map_err(settings::ParseError::Invalid));
+        let instance = settings::parse(settings).and_then(|settings| {
+            Policy::new(settings, seed, now).map_err(settings::ParseError::RejectedByPolicy)
+        });
         match instance {
             Ok(instance) => drop(self.instances.insert(gatekeeper, instance)),
-            Err(error) => reply.push_broken(gatekeeper, &error.to_string()),
+            Err(error) => reply.push_failure(gatekeeper, &error.to_string()),
         }
     }
 
-    /// Applies an event to an instance. A panic ends the instance and is reported.
+    /// Applies an event to an instance. A panic ends the instance and is reported to the simulator.
     fn handle(&mut self, now: Timestamp, gatekeeper: u32, event: Event, reply: &mut Reply) {
         let Some(instance) = self.instances.get_mut(&gatekeeper) else {
-            self.warn_once(format!("skipped an event for gateway {gatekeeper}, which is not running"));
+            self.warn_once(format!("skipped an event for gatekeeper {gatekeeper}, which is not running"));
             return;
         };
         let actions = &mut self.actions;
@@ -53,7 +56,7 @@
         let handled = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, actions)));
         if let Err(panic) = handled {
             self.instances.remove(&gatekeeper);
-            reply.push_broken(gatekeeper, &panic_message(panic.as_ref()));
+            reply.push_failure(gatekeeper, &panic_message(panic.as_ref()));
             return;
         }
         for action in &self.actions {
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -12,12 +12,12 @@
 use wire::{EndpointLists, Reply, WireError, read_batch};
 
 /// Capacity of the input buffer in bytes.
-const INPUT_BUFFER: usize = 1 << 16;
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
-    // The message of a panic goes to the simulator. The default hook would add a backtrace on standard error.
+    // The simulator receives the message of a panic in a reply. The default hook would also write a backtrace to standard error.
     std::panic::set_hook(Box::new(|info| eprintln!("snowfield-simhost: {info}")));
-    let input = io::BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     match serve(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Reads batches and writes a reply to each, until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
     let mut lists = EndpointLists::default();
     let mut host = Host::default();
--- a/crates/simhost/src/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -1,4 +1,4 @@
-//! Parses the wire's settings text, lines of `path=value`, as the policy's [`Settings`].
+//! Parses the settings text of a start record, which has lines of `path=value`, into the policy's [`Settings`].
 
 use policy::{
     DedupScope, Idempotency, LoadMetric, LoadReporting, Plan, RequestClass, Settings, SettingsError,
@@ -15,31 +15,33 @@
 pub(crate) enum ParseError {
     /// A required setting is missing.
     #[error("setting {0} is missing")]
-    Missing(String),
+    MissingSetting(String),
     /// A value cannot be parsed.
     #[error("setting {key} has the unusable value {value}")]
-    Unusable {
-        /// The setting.
+    InvalidValue {
+        /// Path of the setting.
         key: String,
-        /// The value.
+        /// Value in the text.
         value: String,
     },
     /// The policy rejects the settings.
     #[error(transparent)]
-    Invalid(#[from] SettingsError),
+    RejectedByPolicy(#[from] SettingsError),
 }
 
-/// The values by path.
-struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+/// The values of the settings text by path.
+struct SettingValues<'a>(BTreeMap<&'a str, &'a str>);
 
-impl<'a> Pairs<'a> {
-    /// A required setting.
+impl<'a> SettingValues<'a> {
+    /// The value of a required setting.
     fn required<T: FromStr>(&self, key: &str) -> Result<T, ParseError> {
-        let value = self.0.get(key).ok_or_else(|| ParseError::Missing(key.to_owned()))?;
-        value.parse().map_err(|_| ParseError::Unusable { key: key.to_owned(), value: (*value).to_owned() })
+        let value = self.0.get(key).ok_or_else(|| ParseError::MissingSetting(key.to_owned()))?;
+        value
+            .parse()
+            .map_err(|_| ParseError::InvalidValue { key: key.to_owned(), value: (*value).to_owned() })
     }
 
-    /// A setting with a default. A value that is present must be valid.
+    /// The value of a setting, or its default if it is absent. A value that is present must be valid.
     fn optional<T: FromStr>(&self, key: &str, default: T) -> Result<T, ParseError> {
         if self.0.contains_key(key) { self.required(key) } else { Ok(default) }
     }
@@ -50,57 +52,57 @@
     }
 }
 
-/// Parses the settings. Unknown keys are skipped.
+/// Parses and validates the settings. Unknown settings are skipped.
 pub(crate) fn parse(text: &str) -> Result<Settings, ParseError> {
-    let pairs = Pairs(text.lines().filter_map(|line| line.split_once('=')).collect());
-    let classes = parse_list(&pairs, "classes", parse_class)?;
-    let plans = parse_list(&pairs, "contracts", parse_plan)?;
-    let allows_retry_after = pairs.optional("bounds.retry-after", false)?;
+    let values = SettingValues(text.lines().filter_map(|line| line.split_once('=')).collect());
+    let classes = parse_list(&values, "classes", parse_class)?;
+    let plans = parse_list(&values, "contracts", parse_plan)?;
+    let allows_retry_after = values.optional("bounds.retry-after", false)?;
     let settings = Settings {
-        gatekeepers: pairs.required("balancers")?,
-        gatekeeper_index: pairs.required("me")?,
-        zone: pairs.optional("zone", 0)?,
-        tick: pairs.optional("tick-us", 1000)?,
+        gatekeepers: values.required("balancers")?,
+        gatekeeper_index: values.required("me")?,
+        zone: values.optional("zone", 0)?,
+        tick: values.optional("tick-us", 1000)?,
         classes,
         plans,
-        max_attempts: pairs.optional("bounds.max-attempts", 1)?,
-        hedging: pairs.optional("bounds.second-copies", false)?,
-        health_checks: pairs.optional("bounds.probing", false)?,
-        cancellation: pairs.optional("bounds.cancel", false)?,
+        max_attempts: values.optional("bounds.max-attempts", 1)?,
+        hedging: values.optional("bounds.second-copies", false)?,
+        health_checks: values.optional("bounds.probing", false)?,
+        cancellation: values.optional("bounds.cancel", false)?,
         max_retry_after: if allows_retry_after {
-            pairs.optional("bounds.max-retry-after-us", 0)?
+            values.optional("bounds.max-retry-after-us", 0)?
         } else {
             0
         },
-        connect_timeout: pairs.optional("bounds.connect-timeout-us", 250_000)?,
-        polls_endpoints: pairs.text("discovery") == "ask",
-        poll_interval: pairs.optional("contract.ask-every-us", 10_000_000)?,
-        load_reporting: parse_load_reporting(pairs.text("report.how")),
-        load_metrics: parse_load_metrics(pairs.text("report.columns")),
-        slow_start_share: pairs.optional("contract.cold-share", 1.0)?,
-        slow_start_duration: pairs.optional("contract.cold-us", 0)?,
-        overload_factor: pairs.optional("contract.overload-factor", 1.0)?,
-        overload_duration: pairs.optional("contract.fall-us", 1_000_000)?,
-        drain_grace: pairs.optional("contract.drain-grace-us", 0)?,
-        shared_counter: pairs.optional("specifics.may-count", false)?,
-        counter_timeout: pairs.optional("specifics.count-wait-us", 50_000)?,
-        estimated_costs: pairs.optional("specifics.settles", false)?,
-        max_cost: pairs.optional("specifics.largest", 1.0)?,
-        cross_zone_cost: pairs.optional("costs.cross-zone", 0.0)?,
+        connect_timeout: values.optional("bounds.connect-timeout-us", 250_000)?,
+        polls_endpoints: values.text("discovery") == "ask",
+        poll_interval: values.optional("contract.ask-every-us", 10_000_000)?,
+        load_reporting: parse_load_reporting(values.text("report.how")),
+        load_metrics: parse_load_metrics(values.text("report.columns")),
+        slow_start_share: values.optional("contract.cold-share", 1.0)?,
+        slow_start_duration: values.optional("contract.cold-us", 0)?,
+        overload_factor: values.optional("contract.overload-factor", 1.0)?,
+        overload_duration: values.optional("contract.fall-us", 1_000_000)?,
+        drain_grace: values.optional("contract.drain-grace-us", 0)?,
+        shared_counter: values.optional("specifics.may-count", false)?,
+        counter_timeout: values.optional("specifics.count-wait-us", 50_000)?,
+        estimated_costs: values.optional("specifics.settles", false)?,
+        max_cost: values.optional("specifics.largest", 1.0)?,
+        cross_zone_cost: values.optional("costs.cross-zone", 0.0)?,
         weighted_backends: false,
     };
     settings.validate()?;
     Ok(settings)
 }
 
-/// Parses the objects at `name.0`, `name.1` and so on; `name.count` is their number.
+/// Parses the items of a list, whose paths begin with `name.0`, `name.1` and so on; `name.count` is their number.
 fn parse_list<T>(
-    pairs: &Pairs,
+    values: &SettingValues,
     name: &str,
-    parse_item: fn(&Pairs, &str) -> Result<T, ParseError>,
+    parse_item: fn(&SettingValues, &str) -> Result<T, ParseError>,
 ) -> Result<Vec<T>, ParseError> {
-    let count: u32 = pairs.optional(&format!("{name}.count"), 0)?;
-    (0..count).map(|index| parse_item(pairs, &format!("{name}.{index}"))).collect()
+    let count: u32 = values.optional(&format!("{name}.count"), 0)?;
+    (0..count).map(|index| parse_item(values, &format!("{name}.{index}"))).collect()
 }
 
 fn parse_load_reporting(text: &str) -> LoadReporting {
@@ -111,29 +113,30 @@
     }
 }
 
-fn parse_class(pairs: &Pairs, path: &str) -> Result<RequestClass, ParseError> {
+fn parse_class(values: &SettingValues, path: &str) -> Result<RequestClass, ParseError> {
     Ok(RequestClass {
-        latency_objective: pairs.required(&format!("{path}.goal-time-us"))?,
-        deadline: pairs.required(&format!("{path}.deadline-us"))?,
-        idempotency: parse_idempotency(pairs, &format!("{path}.effect"))?,
-        dedup_scope: parse_dedup_scope(pairs.text(&format!("{path}.group"))),
-        idempotency_key_ttl: pairs.optional(&format!("{path}.key-ttl-us"), 0)?,
-        priority_weight: pairs.optional(&format!("{path}.worth"), 1.0)?,
-        streaming: pairs.optional(&format!("{path}.streaming"), false)?,
+        latency_objective: values.required(&format!("{path}.goal-time-us"))?,
+        deadline: values.required(&format!("{path}.deadline-us"))?,
+        idempotency: parse_idempotency(values, &format!("{path}.effect"))?,
+        dedup_scope: parse_dedup_scope(values.text(&format!("{path}.group"))),
+        idempotency_key_ttl: values.optional(&format!("{path}.key-ttl-us"), 0)?,
+        priority_weight: values.optional(&format!("{path}.worth"), 1.0)?,
+        streaming: values.optional(&format!("{path}.streaming"), false)?,
         ..RequestClass::default()
     })
 }
 
-fn parse_idempotency(pairs: &Pairs, key: &str) -> Result<Idempotency, ParseError> {
-    match pairs.text(key) {
+fn parse_idempotency(values: &SettingValues, key: &str) -> Result<Idempotency, ParseError> {
+    match values.text(key) {
         "read_like" => Ok(Idempotency::Idempotent),
         "idempotency_key" => Ok(Idempotency::Keyed),
         "non_idempotent" => Ok(Idempotency::NonIdempotent),
-        other => Err(ParseError::Unusable { key: key.to_owned(), value: format!("{other:?}") }),
+        other => Err(ParseError::InvalidValue { key: key.to_owned(), value: format!("{other:?}") }),
     }
 }
 
-/// Parses the scope in which backends recognize a repeated idempotency key. The narrowest scope is the safe default.
+/// Parses the scope in which backends recognize a repeated idempotency key. An unknown or absent scope is treated as the
+/// narrowest one, which is always safe.
 fn parse_dedup_scope(text: &str) -> DedupScope {
     match text {
         "all" => DedupScope::All,
@@ -142,16 +145,16 @@
     }
 }
 
-fn parse_plan(pairs: &Pairs, path: &str) -> Result<Plan, ParseError> {
+fn parse_plan(values: &SettingValues, path: &str) -> Result<Plan, ParseError> {
     Ok(Plan {
-        rate: pairs.optional(&format!("{path}.per-second"), 0.0)?,
-        burst: pairs.optional(&format!("{path}.depth"), 0.0)?,
-        max_in_flight: pairs.optional(&format!("{path}.concurrency"), 0)?,
-        ceiling_rate: pairs.optional(&format!("{path}.ceiling-rate"), 0.0)?,
-        ceiling_burst: pairs.optional(&format!("{path}.ceiling-burst"), 0.0)?,
-        priority_factor: pairs.optional(&format!("{path}.price"), 1.0)?,
-        beyond_quota_earns: pairs.optional(&format!("{path}.beyond-earns"), 0.0)?,
-        beyond_quota_costs: pairs.optional(&format!("{path}.excess-cost"), 0.0)?,
+        rate: values.optional(&format!("{path}.per-second"), 0.0)?,
+        burst: values.optional(&format!("{path}.depth"), 0.0)?,
+        max_in_flight: values.optional(&format!("{path}.concurrency"), 0)?,
+        ceiling_rate: values.optional(&format!("{path}.ceiling-rate"), 0.0)?,
+        ceiling_burst: values.optional(&format!("{path}.ceiling-burst"), 0.0)?,
+        priority_factor: values.optional(&format!("{path}.price"), 1.0)?,
+        beyond_quota_earns: values.optional(&format!("{path}.beyond-earns"), 0.0)?,
+        beyond_quota_costs: values.optional(&format!("{path}.excess-cost"), 0.0)?,
     })
 }
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,13 +1,14 @@
 //! The simulator's wire protocol: batches of event records in, replies of action records out. Numbers are big-endian.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | `batch` | batches: header, records and tail |
 //! | `record` | event records |
 //! | `endpoint_list` | the endpoint lists that records refer to |
-//! | `tail`, `bytes` | variable parts of a batch, and fields at fixed offsets |
+//! | `tail` | the texts and lists behind the records of a batch |
+//! | `bytes` | fields at fixed offsets |
 //! | `reply` | replies of action records |
-//! | `error` | the errors |
+//! | `error` | errors of batches and records |
 
 mod batch;
 mod bytes;
--- a/crates/simhost/src/wire/batch.rs
+++ b/crates/simhost/src/wire/batch.rs
@@ -1,4 +1,4 @@
-//! Batches of records.
+//! Batches of event records: a header, the records and a tail.
 
 use super::bytes::Fields;
 use super::endpoint_list::EndpointLists;
@@ -8,17 +8,18 @@
 use policy::Timestamp;
 use std::io::Read;
 
-/// Bytes of a batch's header, and of the part of it that the batch's length includes.
+/// Length of a batch's header in bytes.
 const HEADER_BYTES: usize = 20;
+/// Bytes of the header that the length field of a batch includes: all behind that field.
 const COUNTED_HEADER_BYTES: usize = 12;
 
 /// A batch whose records are not decoded yet.
 pub(crate) struct Batch {
     pub(crate) number: u32,
-    /// The simulator's time.
+    /// Time on the simulator's clock, at which all events of the batch occur.
     pub(crate) time: Timestamp,
     record_count: usize,
-    /// The records, and behind them the tail.
+    /// The bytes of the records, followed by the tail.
     body: Vec<u8>,
 }
 
@@ -43,7 +44,7 @@
     if records.checked_mul(EVENT_BYTES).is_none_or(|bytes| bytes > length) {
         return Err(WireError::TooManyRecords { batch, records, length });
     }
-    // Grows with the bytes that arrive, so that a wrong length cannot allocate memory.
+    // The buffer grows with the bytes that arrive, so that a wrong length field cannot cause a large allocation.
     let mut body = Vec::new();
     input.by_ref().take(length as u64).read_to_end(&mut body)?;
     if body.len() < length {
--- a/crates/simhost/src/wire/bytes.rs
+++ b/crates/simhost/src/wire/bytes.rs
@@ -2,7 +2,8 @@
 
 use policy::{BackendId, Micros, RequestId};
 
-/// The bytes of a header, a record or a list entry. All numbers are big-endian. An offset beyond the end is an error of the caller.
+/// The bytes of a header, a record or a list entry. All numbers are big-endian. An offset beyond the end causes a panic, so the
+/// caller has to check the length.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fields<'a>(pub(super) &'a [u8]);
 
@@ -31,7 +32,7 @@
         f32::from_be_bytes(self.array(offset))
     }
 
-    /// A span of time of 32 bits.
+    /// A duration in microseconds, which the wire has in 32 bits.
     pub(super) fn micros(self, offset: usize) -> Micros {
         Micros::from(self.u32(offset))
     }
@@ -45,6 +46,6 @@
     }
 
     fn array<const LENGTH: usize>(self, offset: usize) -> [u8; LENGTH] {
-        self.bytes(offset, LENGTH).try_into().expect("a slice of this length")
+        self.bytes(offset, LENGTH).try_into().expect("the slice has LENGTH bytes")
     }
 }
--- a/crates/simhost/src/wire/endpoint_list.rs
+++ b/crates/simhost/src/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists. A list is sent once with a number, and later records refer to the number.
+//! Endpoint lists. A list is sent once with a number, and later records refer to it by this number.
 
 use super::bytes::Fields;
 use super::error::RecordError;
@@ -6,7 +6,7 @@
 use policy::{BackendEntry, BackendState, Timestamp};
 use std::collections::BTreeMap;
 
-/// Bytes of a list entry.
+/// Length of a list entry in bytes.
 const ENTRY_BYTES: usize = 22;
 
 /// The endpoint lists that were sent so far, by number.
@@ -16,7 +16,7 @@
 }
 
 impl EndpointLists {
-    /// Decodes and stores the list of a list record.
+    /// Decodes the list of a list record, and stores it in place of an earlier list with the same number.
     pub(super) fn store(&mut self, record: Fields, tail: Tail) -> Result<(), RecordError> {
         let entries = tail.slice(record.u32(3), record.u32(7), ENTRY_BYTES)?;
         let entries = entries.chunks_exact(ENTRY_BYTES).map(|entry| decode_entry(Fields(entry)));
--- a/crates/simhost/src/wire/error.rs
+++ b/crates/simhost/src/wire/error.rs
@@ -1,9 +1,9 @@
-//! Errors of the wire protocol.
+//! Errors of the wire protocol, with the batch and the record in which they occur.
 
 use std::io;
 use thiserror::Error;
 
-/// An error after which the input cannot be read any further.
+/// An error of the input or output, after which the process exits.
 #[derive(Debug, Error)]
 pub(crate) enum WireError {
     /// Reading or writing failed.
@@ -12,15 +12,15 @@
     /// The input ends inside a header.
     #[error("input ends after {bytes} bytes of a batch header")]
     TruncatedHeader {
-        /// Bytes before the end.
+        /// Bytes read before the input ended.
         bytes: usize,
     },
-    /// The batch's length is shorter than its header.
-    #[error("batch {batch}: length {length} does not hold the header")]
+    /// The length of a batch is shorter than its header.
+    #[error("batch {batch}: length {length} is shorter than the header")]
     ShortLength {
         /// The number of the batch.
         batch: u32,
-        /// Its length.
+        /// The value of its length field.
         length: usize,
     },
     /// The records are longer than the batch.
@@ -30,7 +30,7 @@
         batch: u32,
         /// The number of its records.
         records: usize,
-        /// Bytes behind its header.
+        /// Bytes behind its header according to its length field.
         length: usize,
     },
     /// The input ends inside a batch.
@@ -38,9 +38,9 @@
     TruncatedBatch {
         /// The number of the batch.
         batch: u32,
-        /// Bytes before the end.
+        /// Bytes behind its header that were read before the input ended.
         bytes: usize,
-        /// Bytes behind its header.
+        /// Bytes behind its header according to its length field.
         length: usize,
     },
     /// A record is invalid.
@@ -48,20 +48,20 @@
     Record {
         /// The number of the batch.
         batch: u32,
-        /// The index of the record.
+        /// The index of the record in the batch, from 0.
         record: usize,
         /// The error of the record.
         source: RecordError,
     },
 }
 
-/// An error of a record.
+/// Why a record cannot be decoded.
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
     /// The record refers to bytes beyond the tail.
     #[error("offset {offset} with {items} items is beyond the tail of {tail} bytes")]
     BeyondTail {
-        /// The offset that it refers to.
+        /// Start of the items in the tail, in bytes.
         offset: u32,
         /// The number of items.
         items: u32,
@@ -69,12 +69,12 @@
         tail: usize,
     },
     /// The kind of a list is unknown.
-    #[error("list form {0} is unknown")]
+    #[error("list kind {0} is unknown")]
     UnknownListKind(u8),
     /// No list of this number was sent.
-    #[error("list {0} was never given")]
+    #[error("list {0} was never sent")]
     UnknownList(u8),
     /// The state of a backend is unknown.
-    #[error("backend status {0} is unknown")]
+    #[error("backend state {0} is unknown")]
     UnknownBackendState(u8),
 }
--- a/crates/simhost/src/wire/record.rs
+++ b/crates/simhost/src/wire/record.rs
@@ -1,4 +1,4 @@
-//! Event records.
+//! Event records: decoding of one record at fixed offsets.
 
 use super::bytes::Fields;
 use super::endpoint_list::EndpointLists;
@@ -6,15 +6,16 @@
 use super::tail::Tail;
 use policy::{Event, ListKind, Outcome, TenantId};
 
-/// Bytes of an event record.
+/// Length of an event record in bytes.
 pub(super) const EVENT_BYTES: usize = 48;
-/// Maximum number of values in a load report, and the bytes of one.
+/// Maximum number of values in a load report.
 const MAX_LOAD_VALUES: usize = 4;
+/// Length of a value of a load report in bytes.
 const LOAD_VALUE_BYTES: usize = 4;
-/// The bit of a request's flags that marks a client's retry.
+/// Bit of a request's flags that marks the request as a retry by the client.
 const CLIENT_RETRY_FLAG: u16 = 2;
 
-/// Codes of records.
+/// Codes of event records on the wire.
 mod code {
     pub(super) const START: u16 = 1000;
     pub(super) const ENDPOINTS: u16 = 1010;
@@ -33,17 +34,17 @@
 /// A decoded record.
 #[derive(Debug)]
 pub(crate) enum Record {
-    /// A gatekeeper starts with this seed and these settings.
+    /// A gatekeeper starts. The settings are in the text format of [`crate::settings`].
     Start { gatekeeper: u32, seed: u64, settings: String },
     /// A gatekeeper is killed.
     Kill { gatekeeper: u32 },
     /// An event of a gatekeeper.
     Event { gatekeeper: u32, event: Event },
-    /// A record of a code that this version does not know.
+    /// A record with a code that this version does not know.
     Unknown { code: u16 },
 }
 
-/// Decodes one record. A list record is stored in `lists` and gives `None`.
+/// Decodes one record. Returns `None` for a list record, whose list is stored in `lists`.
 pub(super) fn decode(
     record: Fields,
     tail: Tail,
@@ -143,7 +144,7 @@
     }
 }
 
-/// Decodes an outcome code. An unknown code proves nothing about the attempt, so it counts as a timeout.
+/// Decodes an outcome code. An unknown code does not tell whether the backend executed the attempt, so it counts as a timeout.
 fn decode_outcome(code: u16) -> Outcome {
     match code {
         100 => Outcome::Ok,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Decodes a load report: the number of values, then the values.
+/// Decodes the load report at an offset: one byte with the number of values, then the values.
 fn decode_load(record: Fields, offset: usize) -> Vec<f32> {
     let count = usize::from(record.u8(offset)).min(MAX_LOAD_VALUES);
     let values = record.bytes(offset + 1, LOAD_VALUE_BYTES * count).chunks_exact(LOAD_VALUE_BYTES);
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -1,14 +1,15 @@
-//! Replies: the action records of one batch.
+//! Replies: the action records that result from one batch, and their texts.
 
 use policy::{Action, Micros};
 
-/// Bytes of an action record, and of a reply's header.
+/// Length of an action record in bytes.
 const ACTION_BYTES: usize = 24;
+/// Length of a reply's header in bytes.
 const HEADER_BYTES: usize = 12;
 
-/// Codes of records.
+/// Codes of action records on the wire.
 mod code {
-    pub(super) const BROKEN: u16 = 1000;
+    pub(super) const FAILURE: u16 = 1000;
     pub(super) const LOG: u16 = 1010;
     pub(super) const SEND: u16 = 1040;
     pub(super) const CANCEL: u16 = 1050;
@@ -67,9 +68,9 @@
         self.push_text(code::LOG, gatekeeper, text);
     }
 
-    /// Reports that the instance of a gatekeeper has failed.
-    pub(crate) fn push_broken(&mut self, gatekeeper: u32, text: &str) {
-        self.push_text(code::BROKEN, gatekeeper, text);
+    /// Appends a report that the instance of a gatekeeper has failed or could not start, with the cause.
+    pub(crate) fn push_failure(&mut self, gatekeeper: u32, text: &str) {
+        self.push_text(code::FAILURE, gatekeeper, text);
     }
 
     /// Appends a record that refers to a text in the tail.
@@ -80,7 +81,7 @@
         self.tail.extend_from_slice(text.as_bytes());
     }
 
-    /// Appends a record of consecutive fields. The rest of it is zero.
+    /// Appends a record with consecutive fields. The rest of the record is filled with zeros.
     fn push_record(&mut self, code: u16, gatekeeper: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.extend_from_slice(&code.to_be_bytes());
@@ -92,7 +93,7 @@
         self.count += 1;
     }
 
-    /// Encodes the reply to the batch of this number.
+    /// Encodes the reply to the batch with this number.
     pub(crate) fn into_bytes(self, batch: u32) -> Vec<u8> {
         let length = (self.records.len() + self.tail.len()) as u32;
         let mut bytes = Vec::with_capacity(HEADER_BYTES + length as usize);
@@ -105,12 +106,12 @@
     }
 }
 
-/// A span of time of 32 bits. A longer one is cut to the maximum.
+/// Encodes a duration in microseconds in 32 bits. A longer duration is limited to the maximum.
 fn micros(time: Micros) -> [u8; 4] {
     u32::try_from(time).unwrap_or(u32::MAX).to_be_bytes()
 }
 
-/// A span of time in a signed field of 32 bits. A longer one is cut to the maximum.
+/// Encodes a duration in microseconds in a signed field of 32 bits. A longer duration is limited to the maximum.
 fn signed_micros(time: Micros) -> [u8; 4] {
     (time.min(i32::MAX as u64) as u32).to_be_bytes()
 }
--- a/crates/simhost/src/wire/tail.rs
+++ b/crates/simhost/src/wire/tail.rs
@@ -7,7 +7,7 @@
 pub(super) struct Tail<'a>(pub(super) &'a [u8]);
 
 impl<'a> Tail<'a> {
-    /// The bytes of `items` items of `item_bytes` each, from an offset on.
+    /// The bytes of `items` items of `item_bytes` each, from `offset` on.
     pub(super) fn slice(self, offset: u32, items: u32, item_bytes: usize) -> Result<&'a [u8], RecordError> {
         let start = offset as usize;
         let length = (items as usize).checked_mul(item_bytes);
@@ -16,7 +16,7 @@
         end.and_then(|end| self.0.get(start..end)).ok_or(beyond_tail)
     }
 
-    /// The text of a record. Invalid UTF-8 is replaced.
+    /// The text at an offset. Invalid UTF-8 is replaced by replacement characters.
     pub(super) fn text(self, offset: u32, length: u32) -> Result<String, RecordError> {
         Ok(String::from_utf8_lossy(self.slice(offset, length, 1)?).into_owned())
     }
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Frames against the bytes of the wire protocol's page, and damaged frames.
+//! Batches and replies compared with the bytes of the wire protocol, and rejection of invalid batches.
 
 use super::batch::read_batch;
 use super::endpoint_list::EndpointLists;
@@ -17,7 +17,7 @@
     bytes
 }
 
-/// Encodes batch 7.
+/// Encodes a batch with the number 7.
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
     let mut bytes = Vec::new();
@@ -30,13 +30,13 @@
     bytes
 }
 
-/// Decodes the first batch.
+/// Decodes the records of the first batch; none if the input is empty.
 fn decode(bytes: &[u8]) -> Result<Vec<Record>, WireError> {
     let mut lists = EndpointLists::default();
     read_batch(&mut &bytes[..])?.map_or(Ok(vec![]), |batch| batch.records(&mut lists))
 }
 
-/// A batch with a record of each code, and one of an unknown code.
+/// A batch with a record of each code, apart from that of peer messages, and one of an unknown code.
 fn sample_batch() -> Vec<u8> {
     let mut entry = vec![0x03, 0x12, 0x4a, 0x07, 1, 0, 2, 0, 5, 2];
     entry.extend_from_slice(&1.5f32.to_be_bytes());
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn actions_are_encoded_as_on_the_page_of_the_wire_protocol() {
+fn actions_are_encoded_as_the_wire_protocol_defines() {
     let mut reply = Reply::default();
     reply.push(
         3,
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn errors_of_the_framing_name_batch_and_record() {
+fn errors_name_the_batch_and_the_record() {
     let valid = sample_batch();
     for (bytes, expected) in [(&valid[..10], "header"), (&valid[..100], "batch 7: input ends")] {
         let error = decode(bytes).unwrap_err().to_string();
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn mutated_frames_never_panic() {
+fn mutated_batches_never_panic() {
     let mut rng = fastrand::Rng::with_seed(5);
     let valid = sample_batch();
     let mut rejected = 0;
@@ -206,5 +206,5 @@
         bytes.truncate(rng.usize(0..=bytes.len()).max(bytes.len() / 2));
         rejected += usize::from(decode(&bytes).is_err());
     }
-    assert!(rejected > 1000, "{rejected} mutated frames were rejected");
+    assert!(rejected > 1000, "only {rejected} mutated batches were rejected");
 }
