--- a/crates/openapi/src/error.rs
+++ b/crates/openapi/src/error.rs
@@ -60,7 +60,7 @@
         source: Box<DescriptionError>,
     },
     /// An `x-snowfield-` extension is unknown at this location.
-    #[error("{location} has {key}, which is not an extension for this place")]
+    #[error("{location} has {key}, which is not allowed there")]
     UnknownExtension {
         /// Location in the description.
         location: String,
--- a/crates/openapi/src/error/tests.rs
+++ b/crates/openapi/src/error/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!(text(NoOperations), "it has no operation");
     assert_eq!(
         text(UnknownExtension { location: location(), key: "x-snowfield-unit".into() }),
-        "operation GET /a has x-snowfield-unit, which is not an extension for this place"
+        "operation GET /a has x-snowfield-unit, which is not allowed there"
     );
     assert_eq!(
         text(UnknownDefault { location: location(), key: "unit".into() }),
--- a/crates/settings/src/platform/file.rs
+++ b/crates/settings/src/platform/file.rs
@@ -1,4 +1,5 @@
-//! Schema of `config.json`. The names of fields are the keys of the file.
+//! Schema of `config.json`. The names of fields are the keys of the file, with hyphens in the tables below `settings`. The module
+//! `policy_settings` converts them to the names of the policy.
 
 use crate::EndpointList;
 use serde::Deserialize;
@@ -8,11 +9,13 @@
     pub(super) name: String,
     pub(super) listen: String,
     pub(super) discovery: String,
+    /// A hexadecimal number.
     pub(super) seed: String,
     #[serde(default)]
     pub(super) limits: Limits,
     pub(super) counter: Option<String>,
     pub(super) operator: Option<String>,
+    /// The endpoint list that was cached last.
     #[serde(default)]
     pub(super) known: EndpointList,
     pub(super) settings: Settings,
@@ -34,7 +37,9 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct Settings {
+    /// Number of gatekeepers.
     pub(super) balancers: u32,
+    /// Index of this gatekeeper, from 0.
     pub(super) me: u32,
     #[serde(default)]
     pub(super) zone: u8,
@@ -109,6 +114,7 @@
     pub(super) excess_cost: f64,
 }
 
+/// Limits on attempts, and the means that the policy may use: hedging, health checks, cancellation and Retry-After.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct Bounds {
@@ -138,6 +144,7 @@
     }
 }
 
+/// Polling of the endpoint list, and the behaviour of backends: slow start, overload and draining.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct Contract {
@@ -162,12 +169,15 @@
     }
 }
 
+/// Use of the shared quota counter, and the costs of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct Specifics {
     pub(super) may_count: bool,
     pub(super) count_wait_us: u64,
+    /// Whether the cost of a request is an estimate that its response corrects.
     pub(super) settles: bool,
+    /// Maximum cost of one request in units.
     pub(super) largest: Option<f64>,
 }
 
@@ -177,6 +187,7 @@
     }
 }
 
+/// How backends report their load, and the columns of their reports.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(super) struct Report {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -41,7 +41,7 @@
         });
         match instance {
             Ok(instance) => drop(self.instances.insert(gatekeeper, instance)),
-            Err(error) => reply.push_failure(gatekeeper, &error.to_string()),
+            Err(error) => reply.push_instance_failure(gatekeeper, &error.to_string()),
         }
     }
 
@@ -56,7 +56,7 @@
         let handled = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, actions)));
         if let Err(panic) = handled {
             self.instances.remove(&gatekeeper);
-            reply.push_failure(gatekeeper, &panic_message(panic.as_ref()));
+            reply.push_instance_failure(gatekeeper, &panic_message(panic.as_ref()));
             return;
         }
         for action in &self.actions {
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -9,7 +9,7 @@
 
 /// Codes of action records on the wire.
 mod code {
-    pub(super) const FAILURE: u16 = 1000;
+    pub(super) const INSTANCE_FAILURE: u16 = 1000;
     pub(super) const LOG: u16 = 1010;
     pub(super) const SEND: u16 = 1040;
     pub(super) const CANCEL: u16 = 1050;
@@ -69,8 +69,8 @@
     }
 
     /// Appends a report that the instance of a gatekeeper has failed or could not start, with the cause.
-    pub(crate) fn push_failure(&mut self, gatekeeper: u32, text: &str) {
-        self.push_text(code::FAILURE, gatekeeper, text);
+    pub(crate) fn push_instance_failure(&mut self, gatekeeper: u32, text: &str) {
+        self.push_text(code::INSTANCE_FAILURE, gatekeeper, text);
     }
 
     /// Appends a record that refers to a text in the tail.
