--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -110,7 +110,7 @@
     #[error("agreed: the table [cluster] is missing, which has this instance's name and key")]
     ReplicationWithoutCluster,
     /// A replica has no `agreed.listen`, or an instance that is not a replica has one.
-    #[error("agreed: listen must be set if this instance is a voter, and only then")]
+    #[error("agreed: a voter needs listen, and only a voter has it")]
     ReplicaListenerMismatch,
     /// A lease request could not be retried within the shortest period of a job or health check.
     #[error(
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -72,10 +72,7 @@
             SettingsError::ReplicationWithoutCluster,
             "agreed: the table [cluster] is missing, which has this instance's name and key",
         ),
-        (
-            SettingsError::ReplicaListenerMismatch,
-            "agreed: listen must be set if this instance is a voter, and only then",
-        ),
+        (SettingsError::ReplicaListenerMismatch, "agreed: a voter needs listen, and only a voter has it"),
         (
             SettingsError::StoreTimeoutTooLong { timeout_ms: 200, period_ms: 300 },
             "cluster.store_timeout_ms is 200, more than half of the shortest period, 300: \
--- a/crates/settings/tests/appliance_checks.rs
+++ b/crates/settings/tests/appliance_checks.rs
@@ -178,11 +178,7 @@
             "10.0.0.1:7002",
             "agreed: 10.0.0.1:7002 is not on loopback; messages are authenticated, but not encrypted",
         ),
-        (
-            "{ name = \"m0\"",
-            "{ name = \"m9\"",
-            "agreed: listen must be set if this instance is a voter, and only then",
-        ),
+        ("{ name = \"m0\"", "{ name = \"m9\"", "agreed: a voter needs listen, and only a voter has it"),
         (
             "path = \"/health\"",
             "path = \"health\"",
