--- a/crates/settings/src/platform/file.rs
+++ b/crates/settings/src/platform/file.rs
@@ -1,4 +1,5 @@
-//! Schema of `config.json`. The names of fields are the keys of the file.
+//! Schema of `config.json`. The names of fields are the keys of the file, with hyphens in the tables below `settings`. The module
+//! `policy_settings` converts them to the names of the policy.
 
 use crate::EndpointList;
 use serde::Deserialize;
@@ -8,11 +9,13 @@
     pub(super) name: String,
     pub(super) listen: String,
     pub(super) discovery: String,
+    /// A hexadecimal number.
     pub(super) seed: String,
     #[serde(default)]
     pub(super) limits: Limits,
     pub(super) counter: Option<String>,
     pub(super) operator: Option<String>,
+    /// The endpoint list that was cached last.
     #[serde(default)]
     pub(super) known: EndpointList,
     pub(super) settings: Settings,
@@ -34,7 +37,9 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct Settings {
+    /// Number of gatekeepers.
     pub(super) balancers: u32,
+    /// Index of this gatekeeper, from 0.
     pub(super) me: u32,
     #[serde(default)]
     pub(super) zone: u8,
@@ -109,6 +114,7 @@
     pub(super) excess_cost: f64,
 }
 
+/// Limits on attempts, and the means that the policy may use: hedging, health checks, cancellation and Retry-After.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct Bounds {
@@ -138,6 +144,7 @@
     }
 }
 
+/// Polling of the endpoint list, and the behaviour of backends: slow start, overload and draining.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct Contract {
@@ -162,12 +169,15 @@
     }
 }
 
+/// Use of the shared quota counter, and the costs of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct Specifics {
     pub(super) may_count: bool,
     pub(super) count_wait_us: u64,
+    /// Whether the cost of a request is an estimate that its response corrects.
     pub(super) settles: bool,
+    /// Maximum cost of one request in units.
     pub(super) largest: Option<f64>,
 }
 
@@ -177,6 +187,7 @@
     }
 }
 
+/// How backends report their load, and the columns of their reports.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(super) struct Report {
@@ -190,7 +201,7 @@
     pub(super) cross_zone: f64,
 }
 
-/// Deserializes a deadline or a number of attempts: a number above 0, which may have a decimal point.
+/// Deserializes a deadline or a number of attempts: a number from 1 to below 10^15. Its fraction is cut off.
 fn above_zero<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -201,7 +212,7 @@
     let error = |text: String| Err(serde::de::Error::custom(text));
     match Value::deserialize(deserializer)? {
         Value::Number(value) if (1.0..1e15).contains(&value) => Ok(value as u64),
-        Value::Number(value) => error(format!("{value} is no number above 0")),
-        Value::Other(_) => error("a deadline or max-attempts is no number above 0".into()),
+        Value::Number(value) => error(format!("{value} is not a number from 1 to below 1e15")),
+        Value::Other(_) => error("a deadline or max-attempts is not a number".into()),
     }
 }
