--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -1,4 +1,4 @@
-//! The invariants. Each checker reads the history and reports what breaks its rule.
+//! Invariant checkers. Each checker reads the history of a run and reports the violations of its rules.
 
 mod attempts;
 mod endpoints;
@@ -15,10 +15,10 @@
 use fault_harness::violation::Violation;
 use std::time::Duration;
 
-/// Longest scheduling delay of a gatekeeper between reading its clock and writing (RULES.md).
+/// Longest scheduling delay that a gatekeeper may have between reading its clock and writing to a socket (RULES.md).
 pub(crate) const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
 
-/// A violation by this gatekeeper at this time.
+/// Creates a violation that is attributed to one gatekeeper.
 fn violation_by(
     gatekeeper: GatekeeperIndex,
     rule: &'static str,
@@ -28,7 +28,7 @@
     Violation::new(rule, text).at(at).by(gatekeeper_name(gatekeeper))
 }
 
-/// All broken invariants, in the order of time.
+/// Runs all checkers. Returns the violations in the order of time.
 pub fn check_all(history: &History, settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
     violations.extend(processes::check(history));
@@ -42,26 +42,28 @@
 }
 
 impl History {
-    /// Longest scheduling delay of the harness in this time. What it records may be late by as much.
+    /// Longest scheduling delay of the harness that overlaps the interval from `from` to `to`. The times that it records there
+    /// may be late by this much.
     pub(crate) fn harness_delay(&self, from: Moment, to: Moment) -> Duration {
-        let overlaps =
-            |late: &&SchedulingDelay| late.ended >= from && late.ended.saturating_sub(late.delay) <= to;
-        self.delays.iter().filter(overlaps).map(|late| late.delay).max().unwrap_or_default()
+        let overlaps = |record: &&SchedulingDelay| {
+            record.ended >= from && record.ended.saturating_sub(record.delay) <= to
+        };
+        self.delays.iter().filter(overlaps).map(|record| record.delay).max().unwrap_or_default()
     }
 
-    /// Total time for which a gatekeeper was suspended in this time.
-    pub(crate) fn suspended(&self, gatekeeper: GatekeeperIndex, from: Moment, to: Moment) -> Duration {
-        let of_this = self.processes.iter().filter(|record| record.gatekeeper == gatekeeper);
-        let suspended = of_this.filter_map(|record| match record.event {
-            ProcessEvent::Suspended { from: since } => {
-                Some(record.at.min(to).saturating_sub(since.max(from)))
+    /// Total time between `from` and `to` for which processes of a gatekeeper were suspended.
+    pub(crate) fn suspended_time(&self, gatekeeper: GatekeeperIndex, from: Moment, to: Moment) -> Duration {
+        let of_gatekeeper = self.processes.iter().filter(|record| record.gatekeeper == gatekeeper);
+        let suspended = of_gatekeeper.filter_map(|record| match record.event {
+            ProcessEvent::Suspended { from: suspended_at } => {
+                Some(record.at.min(to).saturating_sub(suspended_at.max(from)))
             }
             _ => None,
         });
         suspended.sum()
     }
 
-    /// Whether a process of a gatekeeper was killed in this time.
+    /// Whether a process of a gatekeeper was killed between `from` and `to`.
     pub(crate) fn was_killed(&self, gatekeeper: GatekeeperIndex, from: Moment, to: Moment) -> bool {
         self.processes.iter().any(|record| {
             let is_kill = record.event == ProcessEvent::Killed;
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -1,4 +1,5 @@
-//! No attempt begins at a backend that is draining or removed, once its gatekeeper counts as notified and the grace is over.
+//! Checks that no attempt begins at a draining or removed backend once its gatekeeper counts as notified and the drain grace has
+//! passed.
 
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
@@ -8,9 +9,10 @@
 use fault_harness::violation::Violation;
 use std::time::Duration;
 
-/// A gatekeeper counts as notified of a change this long after its discovery agent had it and was reachable.
+/// A gatekeeper counts as notified of a change at the latest after its discovery agent has been reachable, with the change, for
+/// this long.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// Slack for loopback and the scheduling of the stand-ins' threads.
+/// Slack for loopback transport and the scheduling of the stand-ins' threads.
 const TRANSPORT: Duration = Duration::from_millis(55);
 
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
@@ -26,8 +28,8 @@
             let lateness = |span: &IneligibleSpan| span.lateness(attempt.began, slack);
             if let Some(lateness) = spans[attempt.backend].iter().find_map(lateness) {
                 let text = format!(
-                    "request {} began at s-{:04} {:.3} s after the grace",
-                    attempt.request.text(),
+                    "request {} began at s-{:04} {:.3} s after the drain grace",
+                    attempt.request.request_id(),
                     attempt.backend,
                     lateness.as_secs_f64()
                 );
@@ -38,7 +40,8 @@
     violations
 }
 
-/// Spans in which a backend is not eligible for a gatekeeper: from the grace after a notification to the next change.
+/// Spans in which a backend is not eligible for a gatekeeper: each begins when the drain grace after a notification ends, and
+/// lasts until the next change of the backend.
 fn ineligible_spans(
     history: &History,
     settings: &Settings,
@@ -48,8 +51,8 @@
     let changes: Vec<_> =
         history.list_changes.iter().enumerate().filter(|(_, change)| change.backend == backend).collect();
     let mut spans = Vec::new();
-    for (place, (number, change)) in changes.iter().enumerate() {
-        let next = changes.get(place + 1).map_or(Moment::MAX, |(_, next)| next.at);
+    for (position, (number, change)) in changes.iter().enumerate() {
+        let next = changes.get(position + 1).map_or(Moment::MAX, |(_, next)| next.at);
         if change.state != ListedState::Up {
             let notified = notified_at(history, gatekeeper, *number, change.at);
             spans.push(IneligibleSpan { from: notified + settings.drain_grace, to: next });
@@ -58,26 +61,27 @@
     spans
 }
 
-/// When a gatekeeper counts as notified of a change: when the list was sent, and at the latest [`NOTIFIED_AFTER`] after its agent
-/// had it and was reachable. If a process has started since, only the latter holds.
+/// When a gatekeeper counts as notified of a change: when the list was sent to it, and at the latest after its agent has been
+/// reachable with the change for [`NOTIFIED_AFTER`]. If a process has started since the list was sent, the second time counts.
 fn notified_at(history: &History, gatekeeper: GatekeeperIndex, change: usize, changed_at: Moment) -> Moment {
-    let written = history
+    let sent = history
         .notifications
         .iter()
         .find(|notification| notification.gatekeeper == gatekeeper && notification.changes > change)
         .map(|notification| notification.at);
-    let at_the_latest = reachable_since(history, gatekeeper, changed_at) + NOTIFIED_AFTER;
-    let notified = written.map_or(at_the_latest, |written| written.min(at_the_latest));
-    // A process that starts later is notified anew.
+    let latest = reachable_since(history, gatekeeper, changed_at) + NOTIFIED_AFTER;
+    let notified = sent.map_or(latest, |sent| sent.min(latest));
+    // A process that starts later has to get the list again.
     let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Started { .. });
     let restarted = history
         .processes
         .iter()
         .any(|record| record.gatekeeper == gatekeeper && is_start(&record.event) && record.at > notified);
-    if restarted { notified.max(at_the_latest) } else { notified }
+    if restarted { notified.max(latest) } else { notified }
 }
 
-/// When the agent became reachable for at least [`NOTIFIED_AFTER`], not before this moment.
+/// The first moment, not before `from`, from which the agent of a gatekeeper is reachable for at least [`NOTIFIED_AFTER`]. A
+/// moment far in the future if there is none.
 fn reachable_since(history: &History, gatekeeper: GatekeeperIndex, from: Moment) -> Moment {
     let changes = history.discovery_changes.iter().filter(|change| change.gatekeeper == gatekeeper);
     let mut since = from;
@@ -88,7 +92,7 @@
         } else if change.is_reachable && !is_reachable {
             (since, is_reachable) = (change.at, true);
         } else if !change.is_reachable {
-            // An outage that begins within the time starts it anew.
+            // An outage that begins within `NOTIFIED_AFTER` restarts the wait.
             is_reachable = change.at > since + NOTIFIED_AFTER;
         }
     }
--- a/crates/platform_soak/src/checkers/processes.rs
+++ b/crates/platform_soak/src/checkers/processes.rs
@@ -1,5 +1,5 @@
-//! Processes: none exits without a request or panics, each exits with 0 on SIGTERM, serves in time, and logs no violation of its own
-//! invariants.
+//! Checks processes: none panics or exits without a request, each serves in time and exits with code 0 on SIGTERM, and none logs
+//! a violation of its own invariants.
 
 use super::violation_by;
 use crate::history::{History, Moment, ProcessEvent, ProcessRecord};
@@ -8,15 +8,15 @@
 use fault_harness::violation::Violation;
 use std::time::Duration;
 
-/// Maximum time until a process serves.
+/// Maximum time from the start of a process until it serves.
 const START_LIMIT: Duration = Duration::from_secs(10);
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
     let mut violations: Vec<Violation> = Vec::new();
     for record in &history.processes {
         let found = match &record.event {
-            ProcessEvent::Exited { exit_code, request } => exit(record, *request, *exit_code),
-            ProcessEvent::Started { .. } => slow_start_up(history, record),
+            ProcessEvent::Exited { exit_code, request } => check_exit(record, *request, *exit_code),
+            ProcessEvent::Started { .. } => check_start_time(history, record),
             ProcessEvent::Violation { line } => {
                 Some(("no invariant broken by its own account", line.clone()))
             }
@@ -33,21 +33,27 @@
     history.processes.iter().filter(is_same)
 }
 
-fn exit(record: &ProcessRecord, request: ExitRequest, exit_code: i32) -> Option<(&'static str, String)> {
+fn check_exit(
+    record: &ProcessRecord,
+    request: ExitRequest,
+    exit_code: i32,
+) -> Option<(&'static str, String)> {
     let rule = rule_broken_by_exit(request, exit_code)?;
-    Some((rule, format!("process {} ended with {exit_code}", record.process)))
+    Some((rule, format!("process {} exited with code {exit_code}", record.process)))
 }
 
-fn slow_start_up(history: &History, started: &ProcessRecord) -> Option<(&'static str, String)> {
-    let at = |event: fn(&ProcessEvent) -> bool| -> Option<Moment> {
+fn check_start_time(history: &History, started: &ProcessRecord) -> Option<(&'static str, String)> {
+    let time_of = |event: fn(&ProcessEvent) -> bool| -> Option<Moment> {
         same_process(history, started).find(|other| event(&other.event)).map(|other| other.at)
     };
-    let ready = at(|event| *event == ProcessEvent::Ready);
-    let asked_to_end = at(|event| matches!(event, ProcessEvent::Killed | ProcessEvent::Terminated));
-    let took = match (ready, asked_to_end) {
+    let ready = time_of(|event| *event == ProcessEvent::Ready);
+    let exit_requested = time_of(|event| matches!(event, ProcessEvent::Killed | ProcessEvent::Terminated));
+    let took = match (ready, exit_requested) {
         (Some(ready), _) => ready - started.at,
-        (None, Some(ended)) => ended - started.at,
+        (None, Some(requested)) => requested - started.at,
         (None, None) => Duration::MAX,
     };
-    (took > START_LIMIT).then(|| ("ready in time", format!("process {} was not ready", started.process)))
+    (took > START_LIMIT).then(|| {
+        ("ready in time", format!("process {} did not serve within the start limit", started.process))
+    })
 }
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas and ceilings: what all gatekeepers together forward.
+//! Checks quotas and hard ceilings against the units that all gatekeepers together forward for each tenant.
 
 use super::attempts::first_arrivals;
 use crate::history::{History, Moment, ProcessEvent, RequestNumber};
@@ -10,13 +10,14 @@
 
 /// Length of the windows over which quotas are checked.
 const WINDOW: Duration = Duration::from_secs(5);
-/// Time in which gatekeepers learn the rates after a start or an outage of the counter.
-const LEARNING: Duration = Duration::from_millis(1_000);
-/// Multiple of its rate that a tenant may get over a window.
+/// Time that gatekeepers need to learn the tenants' rates after a start or an outage of the counter.
+const RATE_LEARNING_TIME: Duration = Duration::from_millis(1_000);
+/// Multiple of its rate that a tenant may get in a window.
 const RATE_FACTOR: f64 = 1.1;
-/// The same around outages of the counter, in which gatekeepers estimate what the others admit (issue 10).
+/// Multiple of its rate that a tenant may get in a window around an outage of the counter, while each gatekeeper estimates how
+/// much the others admit (issue 10).
 const RATE_FACTOR_IN_OUTAGES: f64 = 1.5;
-/// The bound of a ceiling is wider by its rate over this time.
+/// A tenant may exceed its ceiling by the units that its ceiling rate gives in this time.
 const CEILING_SLACK: Duration = Duration::from_millis(150);
 
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
@@ -37,21 +38,21 @@
         .collect()
 }
 
-/// Each process that starts around a window may admit its local share of one second's quota, and at least one request.
-fn allowance_of_starts(history: &History, settings: &Settings, tenant: &Tenant, from: Moment) -> f64 {
+/// Units allowed for processes that start around a window: each may admit its local share of one second's quota, and at least one
+/// request.
+fn start_allowance(history: &History, settings: &Settings, tenant: &Tenant, from: Moment) -> f64 {
     let is_start = |event: &ProcessEvent| matches!(event, ProcessEvent::Ready);
-    let starts = history
-        .processes
-        .iter()
-        .filter(|record| is_start(&record.event) && record.at + LEARNING > from && record.at < from + WINDOW);
+    let starts = history.processes.iter().filter(|record| {
+        is_start(&record.event) && record.at + RATE_LEARNING_TIME > from && record.at < from + WINDOW
+    });
     let share = (tenant.rate / settings.gatekeepers as f64).max(MAX_UNITS);
     starts.count() as f64 * share
 }
 
-/// Each gatekeeper that loses or regains the counter may have admitted one request that the others learn of late or never
-/// (docs/design/quotas.md).
-fn allowance_of_counter_changes(history: &History, from: Moment) -> f64 {
-    let is_near = |at: Moment| at + LEARNING > from && at < from + WINDOW;
+/// Units allowed for outages of the counter around a window: each gatekeeper that loses or regains the counter may have admitted
+/// one request that the others learn of late or never (docs/design/quotas.md).
+fn outage_allowance(history: &History, from: Moment) -> f64 {
+    let is_near = |at: Moment| at + RATE_LEARNING_TIME > from && at < from + WINDOW;
     let changes = history.counter_changes.iter().filter(|change| is_near(change.at));
     changes.map(|change| change.gatekeepers as f64 * MAX_UNITS).sum()
 }
@@ -63,7 +64,7 @@
     tenant: &Tenant,
     admissions: &[Admission],
 ) -> Option<Violation> {
-    let first = admissions.first()?.at + LEARNING;
+    let first_checked = admissions.first()?.at + RATE_LEARNING_TIME;
     let (mut sum, mut begin) = (0.0, 0);
     let mut worst: Option<(f64, Moment, f64)> = None;
     for (end, last) in admissions.iter().enumerate() {
@@ -73,22 +74,22 @@
             begin += 1;
         }
         let from = admissions[begin].at;
-        if from < first || end == begin {
+        if from < first_checked || end == begin {
             continue;
         }
-        let outages = allowance_of_counter_changes(history, from);
+        let outages = outage_allowance(history, from);
         let factor = if outages > 0.0 { RATE_FACTOR_IN_OUTAGES } else { RATE_FACTOR };
         let allowed = factor * tenant.rate * WINDOW.as_secs_f64()
             + tenant.burst
-            + allowance_of_starts(history, settings, tenant, from)
+            + start_allowance(history, settings, tenant, from)
             + outages;
-        if sum > allowed && worst.is_none_or(|(over, ..)| sum / allowed > over) {
+        if sum > allowed && worst.is_none_or(|(ratio, ..)| sum / allowed > ratio) {
             worst = Some((sum / allowed, from, sum));
         }
     }
-    worst.map(|(over, from, sum)| {
+    worst.map(|(ratio, from, sum)| {
         let text = format!(
-            "tenant {index} got {sum:.0} units in {} s, {over:.2} times what its plan of {:.0} a second and {:.0} at once allows",
+            "tenant {index} got {sum:.0} units in {} s, {ratio:.2} times the units that its plan with a rate of {:.0} a second and a burst of {:.0} allows",
             WINDOW.as_secs(),
             tenant.rate,
             tenant.burst
@@ -97,7 +98,7 @@
     })
 }
 
-/// A token bucket with the ceiling's rate and burst is never overdrawn by more than the slack.
+/// Checks that a token bucket with the ceiling's rate and burst is never overdrawn by more than the slack.
 fn check_ceiling(
     history: &History,
     index: usize,
@@ -108,8 +109,8 @@
         return None;
     }
     let allowed = |at| {
-        let late = CEILING_SLACK + history.harness_delay(at, at);
-        tenant.ceiling_rate * late.as_secs_f64()
+        let slack = CEILING_SLACK + history.harness_delay(at, at);
+        tenant.ceiling_rate * slack.as_secs_f64()
     };
     let excess = largest_excess(tenant.ceiling_rate, tenant.ceiling_burst, admissions, allowed)?;
     let text = format!("tenant {index} was {:.1} units over its ceiling", excess.units);
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: exactly one final answer in time; an error or a close for one that is never completed.
+//! Checks requests: each gets exactly one final answer in time, and one that its client never completes gets an error or a close.
 
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
@@ -8,13 +8,13 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// A gatekeeper that serves accepts connections.
+/// A gatekeeper accepts connections while it serves.
 const ACCEPTS_CONNECTIONS: &str = "a gatekeeper that serves takes connections";
-/// A request that never becomes complete gets an error or a close.
+/// A request that its client never completes gets an error or a close.
 const PARTIAL_REQUEST_ENDED: &str = "an error or a close for half a request";
-/// Maximum time until a request that is never completed gets an error or a close.
+/// Maximum time until a request that its client never completes gets an error or a close.
 const PARTIAL_LIMIT: Duration = Duration::from_millis(3_000);
-/// Connections may end this long before or after the record of a kill.
+/// A connection that a kill ends may end this long before or after the record of the kill.
 const KILL_MARGIN: Duration = Duration::from_millis(100);
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
@@ -34,28 +34,28 @@
 fn check_request(history: &History, request: &RequestRecord, was_attempted: bool) -> Option<Violation> {
     let gatekeeper = request.number.gatekeeper();
     let took = request.ended.saturating_sub(request.sent);
-    let due = request.time + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
+    let due = request.deadline + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
     let text = match answer_fault(request.outcome, took, due)? {
-        AnswerFault::Foreign => "got a value that is not its own",
+        AnswerFault::Foreign => "got the answer to another request",
         AnswerFault::Closed if was_attempted => "was forwarded, and its connection closed without an answer",
         AnswerFault::Closed if request.is_first_on_connection => {
             "was the first on its connection, which was closed without an answer"
         }
-        // It was surely not read.
+        // The gatekeeper closed an idle connection before it read the request.
         AnswerFault::Closed => return None,
-        // The client itself may have been late.
+        // A delayed client may have stopped waiting before the answer was due.
         AnswerFault::Missing if took < due => return None,
-        AnswerFault::Missing | AnswerFault::Late => "had no answer half a second after its time",
+        AnswerFault::Missing | AnswerFault::Late => "had no answer by its deadline and half a second more",
     };
     let from = request.sent.saturating_sub(KILL_MARGIN);
     if history.was_killed(gatekeeper, from, request.ended + KILL_MARGIN) {
         return None;
     }
-    let resent = if request.was_resent { ", sent once more" } else { "" };
+    let resent = if request.was_resent { ", sent again on a new connection," } else { "" };
     let text = format!(
-        "request {} of {} ms{resent} {text} ({:.3} s later)",
-        request.number.text(),
-        request.time.as_millis(),
+        "request {} with a deadline of {} ms{resent} {text} ({:.3} s after it was sent)",
+        request.number.request_id(),
+        request.deadline.as_millis(),
         took.as_secs_f64()
     );
     Some(violation_by(gatekeeper, ONE_FINAL_ANSWER, request.sent, text))
@@ -66,9 +66,9 @@
         let gatekeeper = partial.gatekeeper;
         let ended = partial.ended.unwrap_or(partial.stopped + 2 * PARTIAL_LIMIT);
         let slack = history.harness_delay(partial.stopped, ended)
-            + history.suspended(gatekeeper, partial.stopped, ended);
+            + history.suspended_time(gatekeeper, partial.stopped, ended);
         let took = ended.saturating_sub(partial.stopped);
-        let text = format!("it took {:.3} s or more", took.as_secs_f64());
+        let text = format!("an incomplete request got neither for {:.3} s or more", took.as_secs_f64());
         (took > PARTIAL_LIMIT + slack)
             .then(|| violation_by(gatekeeper, PARTIAL_REQUEST_ENDED, partial.stopped, text))
     })
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the attempts that a backend gets after its start, from all gatekeepers together.
+//! Checks slow start: the number of attempts that a backend gets after its start, from all gatekeepers together.
 
 use crate::history::{AttemptRecord, BackendIndex, History, Moment};
 use crate::settings::Settings;
@@ -6,9 +6,10 @@
 use fault_harness::violation::Violation;
 use std::time::Duration;
 
-/// Time after a start by which all gatekeepers are notified of it while discovery is healthy.
+/// Time within which all gatekeepers are notified of a backend's start while discovery is healthy.
 const NOTIFIED_WITHIN: Duration = Duration::from_millis(300);
-/// The capacity of a backend is estimated as this multiple of what the others get on average, as none is at its limit.
+/// The capacity of a backend is estimated as this multiple of the attempts that the others get on average, as none is at its
+/// limit.
 const CAPACITY_FACTOR: f64 = 1.25;
 
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
@@ -20,8 +21,8 @@
     history.attempts.iter().filter(move |attempt| attempt.arrived >= from && attempt.arrived < to)
 }
 
-/// Number of attempts by which a budget may be exceeded by chance.
-fn chance(budget: f64) -> f64 {
+/// Number of attempts by which random variation may exceed a budget. The variation of a count grows with its square root.
+fn random_margin(budget: f64) -> f64 {
     if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
 }
 
@@ -37,15 +38,17 @@
     while from + window <= last {
         let to = from + window;
         let age = (to - started).as_secs_f64() / settings.cold_time.as_secs_f64();
-        let warmth = settings.cold_share + (1.0 - settings.cold_share) * age.min(1.0);
+        let load_share = settings.cold_share + (1.0 - settings.cold_share) * age.min(1.0);
         let ready = ready_backends(history, settings, from, to);
-        let others: usize = attempts_in(history, from, to).filter(|a| ready.contains(&a.backend)).count();
-        let capacity = CAPACITY_FACTOR * others as f64 / ready.len().max(1) as f64;
-        let budget = settings.overload_factor * warmth * capacity;
-        let got = attempts_in(history, from, to).filter(|attempt| attempt.backend == backend).count();
-        if ready.len() > 2 && got as f64 > budget + chance(budget) {
+        let ready_attempts: usize =
+            attempts_in(history, from, to).filter(|a| ready.contains(&a.backend)).count();
+        let capacity = CAPACITY_FACTOR * ready_attempts as f64 / ready.len().max(1) as f64;
+        let budget = settings.overload_factor * load_share * capacity;
+        let cold_attempts =
+            attempts_in(history, from, to).filter(|attempt| attempt.backend == backend).count();
+        if ready.len() > 2 && cold_attempts as f64 > budget + random_margin(budget) {
             let text = format!(
-                "s-{backend:04} got {got} attempts in {:.1} s, {:.1} s after its start, of a budget of {budget:.1}",
+                "s-{backend:04} got {cold_attempts} attempts in {:.1} s, {:.1} s after its start, with a budget of {budget:.1}",
                 window.as_secs_f64(),
                 (from - started).as_secs_f64()
             );
@@ -56,7 +59,7 @@
     None
 }
 
-/// Backends that are warm and up throughout this time.
+/// Backends that are listed as up and have finished their slow start from `from` to `to`.
 fn ready_backends(history: &History, settings: &Settings, from: Moment, to: Moment) -> Vec<BackendIndex> {
     let is_ready = |backend: &BackendIndex| {
         history.list_changes.iter().filter(|change| change.backend == *backend && change.at < to).all(
@@ -72,6 +75,7 @@
     (0..settings.backends).filter(is_ready).collect()
 }
 
+/// Whether a later change, before `by`, lists the backend as up.
 fn is_up_again(history: &History, backend: BackendIndex, after: Moment, by: Moment) -> bool {
     let later = history
         .list_changes
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -1,4 +1,4 @@
-//! For each rule a small history that keeps it and one that breaks it, and only it.
+//! Tests each rule with a small history that keeps it, and with one that breaks this rule and no other.
 
 use super::*;
 use crate::history::{
@@ -38,9 +38,9 @@
         class: IDEMPOTENT,
         tenant: UNLIMITED,
         units: 1.0,
-        time: ms(400),
+        deadline: ms(400),
         sent,
-        left: None,
+        disconnected: None,
         ended: sent + ms(20),
         outcome: Outcome::Served,
         is_first_on_connection: false,
@@ -73,8 +73,8 @@
     ListChange { at, backend, state, has_started: false }
 }
 
-/// One process that serves, one request and its attempt.
-fn good_history() -> History {
+/// A history that keeps all rules: one process that serves, one request and its attempt.
+fn valid_history() -> History {
     let processes = vec![
         process(ms(0), ProcessEvent::Started { clock_offset_us: 0 }),
         process(ms(50), ProcessEvent::Ready),
@@ -88,26 +88,26 @@
 }
 
 /// The rules that a history breaks.
-fn broken(history: &History) -> Vec<&'static str> {
+fn broken_rules(history: &History) -> Vec<&'static str> {
     check_all(history, &settings()).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn a_good_history_breaks_nothing() {
-    assert_eq!(check_all(&good_history(), &settings()), []);
+fn a_valid_history_breaks_no_rule() {
+    assert_eq!(check_all(&valid_history(), &settings()), []);
 }
 
 #[test]
-fn an_exit_has_to_be_requested_and_clean() {
+fn an_exit_must_be_requested_and_clean() {
     for (event, rules) in [
         (exited(ExitRequest::None, 0), vec![NO_UNREQUESTED_EXIT]),
         (exited(ExitRequest::ShutDown, 101), vec![CLEAN_EXIT]),
         (exited(ExitRequest::ShutDown, 0), vec![]),
         (exited(ExitRequest::Kill, -9), vec![]),
     ] {
-        let mut history = good_history();
+        let mut history = valid_history();
         history.processes.push(process(ms(2_000), event.clone()));
-        assert_eq!(broken(&history), rules, "{event:?}");
+        assert_eq!(broken_rules(&history), rules, "{event:?}");
     }
 }
 
@@ -118,105 +118,105 @@
         (ProcessEvent::Violation { line: line() }, "no invariant broken by its own account"),
         (ProcessEvent::Panicked { line: line() }, "no panic"),
     ] {
-        let mut history = good_history();
+        let mut history = valid_history();
         history.processes.push(process(ms(2_000), event));
-        assert_eq!(broken(&history), [rule]);
+        assert_eq!(broken_rules(&history), [rule]);
     }
-    let mut never_ready = good_history();
+    let mut never_ready = valid_history();
     never_ready.processes.truncate(1);
-    assert_eq!(broken(&never_ready), ["ready in time"]);
+    assert_eq!(broken_rules(&never_ready), ["ready in time"]);
 }
 
 #[test]
 fn a_request_has_an_answer_in_time_unless_its_gatekeeper_was_killed() {
-    let mut history = good_history();
+    let mut history = valid_history();
     history.requests[0].outcome = Outcome::Unanswered;
     history.requests[0].ended = ms(1_900);
-    assert_eq!(broken(&history), [ONE_FINAL_ANSWER]);
-    // The harness itself may have been late.
+    assert_eq!(broken_rules(&history), [ONE_FINAL_ANSWER]);
+    // The harness itself may have recorded the end late.
     history.delays.push(SchedulingDelay { ended: ms(1_200), delay: ms(50) });
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(broken_rules(&history), [""; 0]);
     history.delays.clear();
     history.processes.push(process(ms(1_500), ProcessEvent::Killed));
-    assert_eq!(broken(&history), [""; 0]);
-    let mut wrong = good_history();
+    assert_eq!(broken_rules(&history), [""; 0]);
+    let mut wrong = valid_history();
     wrong.requests[0].outcome = Outcome::Foreign;
-    assert_eq!(broken(&wrong), [ONE_FINAL_ANSWER]);
+    assert_eq!(broken_rules(&wrong), [ONE_FINAL_ANSWER]);
 }
 
 #[test]
 fn an_incomplete_request_gets_an_error_or_a_close() {
     for (ended, is_broken) in [(Some(ms(2_500)), false), (Some(ms(4_500)), true), (None, true)] {
-        let mut history = good_history();
+        let mut history = valid_history();
         history.partial_requests.push(PartialRequest { gatekeeper: 0, stopped: ms(1_000), ended });
-        assert_eq!(broken(&history).len(), usize::from(is_broken), "{ended:?}");
+        assert_eq!(broken_rules(&history).len(), usize::from(is_broken), "{ended:?}");
     }
 }
 
 #[test]
 fn no_attempt_begins_for_a_client_that_has_disconnected() {
-    for (left, rules) in [(ms(950), vec![]), (ms(850), vec!["nothing for a client that has gone"])] {
-        let mut history = good_history();
-        (history.requests[0].sent, history.requests[0].left) = (ms(800), Some(left));
+    for (disconnected, rules) in [(ms(950), vec![]), (ms(850), vec!["nothing for a client that has gone"])] {
+        let mut history = valid_history();
+        (history.requests[0].sent, history.requests[0].disconnected) = (ms(800), Some(disconnected));
         history.requests[0].outcome = Outcome::Left;
-        assert_eq!(broken(&history), rules, "{left:?}");
+        assert_eq!(broken_rules(&history), rules, "{disconnected:?}");
     }
 }
 
 #[test]
-fn an_attempt_states_no_more_time_than_its_client_has_left() {
-    let mut history = good_history();
+fn an_attempt_states_no_later_deadline_than_its_request() {
+    let mut history = valid_history();
     history.attempts[0].time_left = ms(560);
-    assert_eq!(broken(&history), ["the deadline passed on"]);
+    assert_eq!(broken_rules(&history), ["the deadline passed on"]);
     history.attempts[0].time_left = ms(550);
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(broken_rules(&history), [""; 0]);
 }
 
 #[test]
 fn an_unsafe_request_is_retried_only_if_it_never_ran() {
-    let mut history = good_history();
+    let mut history = valid_history();
     history.requests[0].class = UNSAFE;
     history.attempts.push(attempt(0, ms(1_010)));
-    assert_eq!(broken(&history), ["an unsafe class is repeated only if it never ran"]);
+    assert_eq!(broken_rules(&history), ["an unsafe class is repeated only if it never ran"]);
     history.attempts[0].outcome = AttemptOutcome::Rejected;
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(broken_rules(&history), [""; 0]);
     history.attempts[0].ended = None;
-    assert_eq!(broken(&history), ["never two attempts out"]);
+    assert_eq!(broken_rules(&history), ["never two attempts out"]);
 }
 
 #[test]
 fn a_request_has_no_more_attempts_than_the_settings_allow() {
-    let mut history = good_history();
+    let mut history = valid_history();
     let more = 1..=u64::from(settings().max_attempts);
     history.attempts.extend(more.map(|retry| attempt(0, ms(1_001 + 10 * retry))));
-    assert_eq!(broken(&history), ["the number of attempts"]);
+    assert_eq!(broken_rules(&history), ["the number of attempts"]);
     history.attempts.pop();
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(broken_rules(&history), [""; 0]);
 }
 
 #[test]
 fn no_attempt_begins_at_a_removed_backend_after_the_grace() {
-    let mut history = good_history();
+    let mut history = valid_history();
     history.list_changes.push(list_change(ms(500), 0, ListedState::Removed));
     history.notifications.push(Notification { at: ms(510), gatekeeper: 0, changes: 1 });
     let bound = ms(510) + settings().drain_grace + MAX_SCHEDULING_DELAY + ms(55);
     for (late, rules) in [(ms(0), vec![]), (ms(1), vec![NOTHING_TO_INELIGIBLE])] {
         history.requests[0].sent = bound;
         history.attempts = vec![attempt(0, bound + late)];
-        assert_eq!(broken(&history), rules, "{late:?}");
+        assert_eq!(broken_rules(&history), rules, "{late:?}");
     }
 }
 
 #[test]
-fn a_tenant_does_not_pass_its_hard_ceiling() {
+fn a_tenant_does_not_exceed_its_hard_ceiling() {
     let tenant = settings().tenants[WITH_CEILING].clone();
     let slack = tenant.ceiling_rate * 0.15;
     for (units, rules) in [
         (tenant.ceiling_burst + slack - 0.1, vec![]),
         (tenant.ceiling_burst + slack + 0.1, vec![HARD_CEILING]),
     ] {
-        let mut history = good_history();
+        let mut history = valid_history();
         (history.requests[0].tenant, history.requests[0].units) = (WITH_CEILING, units);
-        assert_eq!(broken(&history), rules, "{units}");
+        assert_eq!(broken_rules(&history), rules, "{units}");
     }
 }
--- a/crates/platform_soak/src/fault_runner.rs
+++ b/crates/platform_soak/src/fault_runner.rs
@@ -13,21 +13,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time for which a restarting backend is down.
+/// Time for which a restarting backend refuses connections.
 const BACKEND_DOWN_TIME: Duration = Duration::from_millis(400);
 /// Delay before a killed gatekeeper is restarted.
 const CRASH_DOWN_TIME: Duration = Duration::from_millis(150);
-/// Pause between two configurations in quick succession.
+/// Pause between two reloads in quick succession.
 const RELOAD_PAUSE: Duration = Duration::from_millis(60);
-/// Length of a suspension. Gatekeepers are specified for scheduling delays of up to 0.15 s.
+/// Duration of a suspension. Gatekeepers are specified for scheduling delays of up to 0.15 s.
 const SUSPENSION: Duration = Duration::from_millis(140);
 /// Pause between two suspensions.
 const SUSPENSION_PAUSE: Duration = Duration::from_millis(300);
-/// Rates of badly behaved clients, out of 1,000 requests.
-const LEAVING_RATE: u64 = 350;
+/// Rates of client misbehaviour during a fault, out of 1,000 requests.
+const DISCONNECT_RATE: u64 = 350;
 const PARTIAL_RATE: u64 = 40;
-const HURRIED_RATE: u64 = 400;
-/// Settings of the preloaded library for each kind of fault.
+const SHORT_DEADLINE_RATE: u64 = 400;
+/// Settings of the preloaded library for each of the [`CallFaults`], with failure rates out of [`RATE_SCALE`] calls.
 const SOCKET_FAULTS: [(Setting, u64); 3] =
     [(Setting::AcceptFailure, 1_500), (Setting::SocketFailure, 500), (Setting::ConnectFailure, 500)];
 const TRANSFER_FAULTS: [(Setting, u64); 2] = [(Setting::ShortTransfer, 3_000), (Setting::Interruption, 500)];
@@ -39,7 +39,7 @@
     (Setting::FileRenameFailure, 5_000),
 ];
 
-fn settings_of(faults: CallFaults) -> &'static [(Setting, u64)] {
+fn shim_settings(faults: CallFaults) -> &'static [(Setting, u64)] {
     match faults {
         CallFaults::Sockets => &SOCKET_FAULTS,
         CallFaults::ShortTransfers => &TRANSFER_FAULTS,
@@ -66,7 +66,7 @@
             restart(site, gatekeeper, kind, clock_offset_us);
         }
         FaultKind::ClockStep { gatekeeper, clock_offset_us } => {
-            // The harness writes to its own file.
+            // Only the harness writes to the control block, so a failed write is not expected.
             let _ = site.gatekeepers[gatekeeper].control.set_clock_offset(clock_offset_us);
         }
         FaultKind::Reloads { gatekeeper, count } => {
@@ -81,7 +81,7 @@
                 thread::sleep(SUSPENSION_PAUSE);
             }
         }
-        FaultKind::Calls { first, step, faults } => call_faults(site, first, step, faults, duration),
+        FaultKind::Calls { first, step, faults } => hold_call_faults(site, first, step, faults, duration),
         FaultKind::Discovery { first, step, mode } => {
             let selected = || site.discoveries.iter().skip(first).step_by(step);
             selected().for_each(|discovery| discovery.set_mode(mode));
@@ -101,28 +101,31 @@
             site.backends[backend].set_mode(BackendMode::Healthy);
         }
         FaultKind::Drain { backend } => {
-            change_for(site, backend, ListedState::Draining, duration);
+            hold_listed_state(site, backend, ListedState::Draining, duration);
         }
-        FaultKind::Removal { backend } => change_for(site, backend, ListedState::Removed, duration),
+        FaultKind::Removal { backend } => hold_listed_state(site, backend, ListedState::Removed, duration),
         FaultKind::BackendRestart { backend } => restart_backend(site, backend),
-        FaultKind::Leaving => badly_behaved(site, duration, LEAVING_RATE, |behaviour| &behaviour.leaving),
+        FaultKind::Leaving => {
+            hold_misbehaviour(site, duration, DISCONNECT_RATE, |behaviour| &behaviour.disconnecting)
+        }
         FaultKind::PartialRequests => {
-            badly_behaved(site, duration, PARTIAL_RATE, |behaviour| &behaviour.partial);
+            hold_misbehaviour(site, duration, PARTIAL_RATE, |behaviour| &behaviour.partial);
         }
         FaultKind::HurriedRequests => {
-            badly_behaved(site, duration, HURRIED_RATE, |behaviour| &behaviour.hurried);
+            hold_misbehaviour(site, duration, SHORT_DEADLINE_RATE, |behaviour| &behaviour.short_deadlines);
         }
-        FaultKind::IdleCrowd { gatekeeper } => crowd(site, gatekeeper, duration),
+        FaultKind::IdleCrowd { gatekeeper } => hold_idle_connections(site, gatekeeper, duration),
     }
 }
 
 /// Lists a backend in another state for a while, and then as up again.
-fn change_for(site: &Site, backend: usize, state: ListedState, duration: Duration) {
+fn hold_listed_state(site: &Site, backend: usize, state: ListedState, duration: Duration) {
     site.list.change(backend, state, false);
     thread::sleep(duration);
     site.list.change(backend, ListedState::Up, false);
 }
 
+/// Removes a backend from the list, takes it down and up again, and lists it as just started.
 fn restart_backend(site: &Site, backend: usize) {
     site.list.change(backend, ListedState::Removed, false);
     site.backends[backend].set_mode(BackendMode::Refusing);
@@ -131,7 +134,8 @@
     site.list.change(backend, ListedState::Up, true);
 }
 
-fn crowd(site: &Site, gatekeeper: usize, duration: Duration) {
+/// Opens as many idle connections as a gatekeeper may have sockets, and closes them at the end of the fault.
+fn hold_idle_connections(site: &Site, gatekeeper: usize, duration: Duration) {
     let address = site.gatekeepers[gatekeeper].address;
     let connect = |_| TcpStream::connect_timeout(&address, BACKEND_DOWN_TIME).ok();
     let connections: Vec<TcpStream> = (0..MAX_SOCKETS).filter_map(connect).collect();
@@ -139,6 +143,7 @@
     drop(connections);
 }
 
+/// Replaces the process of a gatekeeper.
 fn restart(site: &Site, gatekeeper: usize, kind: RestartKind, clock_offset_us: i64) {
     let (gatekeeper, kill_after) = (&site.gatekeepers[gatekeeper], site.kill_after());
     let restarted = match kind {
@@ -151,29 +156,30 @@
     }
 }
 
-fn call_faults(site: &Site, first: usize, step: usize, faults: CallFaults, duration: Duration) {
+/// Injects faults into the system calls of some gatekeepers.
+fn hold_call_faults(site: &Site, first: usize, step: usize, faults: CallFaults, duration: Duration) {
     let set = |is_active: bool| {
         for gatekeeper in site.gatekeepers.iter().skip(first).step_by(step) {
-            for &(setting, rate) in settings_of(faults) {
-                // The harness writes to its own file.
+            for &(setting, rate) in shim_settings(faults) {
+                // Only the harness writes to the control block, so a failed write is not expected.
                 let _ = gatekeeper.control.set(setting, if is_active { rate } else { 0 });
             }
         }
     };
     let affected = site.gatekeepers.iter().skip(first).step_by(step).count();
     set(true);
-    if cuts_off_the_counter(faults) {
+    if affects_counter_calls(faults) {
         record_counter_change(site, affected);
     }
     thread::sleep(duration);
     set(false);
-    if cuts_off_the_counter(faults) {
+    if affects_counter_calls(faults) {
         record_counter_change(site, affected);
     }
 }
 
-/// Whether calls to the counter fail with these faults.
-fn cuts_off_the_counter(faults: CallFaults) -> bool {
+/// Whether calls to the quota counter may fail under these faults.
+fn affects_counter_calls(faults: CallFaults) -> bool {
     matches!(faults, CallFaults::Sockets | CallFaults::BrokenConnections | CallFaults::NoConnections)
 }
 
@@ -182,13 +188,14 @@
     site.recorder.record(|history| history.counter_changes.push(change));
 }
 
-fn badly_behaved(
+/// Makes clients misbehave at a rate until the end of the fault.
+fn hold_misbehaviour(
     site: &Site,
     duration: Duration,
     rate: u64,
-    which: impl Fn(&crate::client::Behaviour) -> &std::sync::atomic::AtomicU64,
+    rate_of: impl Fn(&crate::client::Behaviour) -> &std::sync::atomic::AtomicU64,
 ) {
-    which(&site.behaviour).store(rate, Ordering::Relaxed);
+    rate_of(&site.behaviour).store(rate, Ordering::Relaxed);
     thread::sleep(duration);
-    which(&site.behaviour).store(0, Ordering::Relaxed);
+    rate_of(&site.behaviour).store(0, Ordering::Relaxed);
 }
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! One gatekeeper over all its processes: which one serves, how one replaces another, and what of them is recorded.
+//! A gatekeeper and the processes that run it one after another: starting, replacing and ending them, and recording their events.
 
 use crate::history::{GatekeeperIndex, Moment, ProcessEvent, ProcessRecord, Recorder, gatekeeper_name};
 use fault_harness::process::{Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver};
@@ -11,60 +11,60 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a process logs once it serves.
+/// Start of the message that a process logs once it serves.
 const READY_TEXT: &str = "serving on ";
-/// What a process logs when one of its invariants is violated.
+/// Text that a process logs when one of its invariants is violated.
 const VIOLATION_TEXT: &str = "invariant violated";
-/// What a process writes when it panics or gives up.
+/// Texts that a process writes when it panics or ends on a fatal error.
 const PANIC_TEXTS: [&str; 2] = ["panicked at", "fatal:"];
-/// Time after SIGTERM in which a process still accepts new connections.
-const CONNECTS_AFTER_TERMINATION: Duration = Duration::from_millis(300);
+/// Time after SIGTERM for which a process still accepts new connections.
+const ACCEPTS_AFTER_TERMINATION: Duration = Duration::from_millis(300);
 /// Maximum wait for a process to serve.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The program that gatekeepers run.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The binary.
+    /// Path of the gatekeeper's binary.
     pub path: PathBuf,
-    /// The fault shim, which is preloaded.
+    /// Path of the fault shim, a library that is preloaded into each process.
     pub shim: PathBuf,
     /// The seeded fault that is enabled in a build with the feature `weakened`.
     pub seeded_fault: Option<String>,
 }
 
-/// What is known of a process beside its log.
+/// State of a process as far as the harness has seen or caused it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lifecycle {
     ready: Option<Moment>,
     terminated: Option<Moment>,
-    killed: bool,
+    was_killed: bool,
 }
 
-/// A process of a gatekeeper.
+/// One of the processes that run a gatekeeper one after another.
 #[derive(Debug)]
 struct Incarnation {
-    /// Which of the gatekeeper's processes, from 0.
+    /// Number among the gatekeeper's processes, from 0.
     number: usize,
     process: Process,
     lifecycle: Arc<Mutex<Lifecycle>>,
 }
 
 impl Incarnation {
-    /// Whether clients may make new connections to it.
+    /// Whether it should accept new connections from clients.
     fn accepts_connections(&self, now: Moment) -> bool {
-        let Lifecycle { ready, terminated, killed } = *lock(&self.lifecycle);
-        let is_ending = terminated.is_some_and(|at| now >= at + CONNECTS_AFTER_TERMINATION);
-        ready.is_some() && !killed && !is_ending && !self.process.has_exited()
+        let Lifecycle { ready, terminated, was_killed } = *lock(&self.lifecycle);
+        let is_ending = terminated.is_some_and(|at| now >= at + ACCEPTS_AFTER_TERMINATION);
+        ready.is_some() && !was_killed && !is_ending && !self.process.has_exited()
     }
 
-    /// Waits until it serves or has ended. Returns whether it serves.
+    /// Waits until the process serves or has exited. Returns whether it serves.
     fn wait_until_ready(&self) -> bool {
         self.process.log().wait_for_within(READY_TEXT, START_TIMEOUT) && !self.process.has_exited()
     }
 }
 
-/// Records what one process does.
+/// Records the events of one process.
 struct IncarnationObserver {
     recorder: Recorder,
     gatekeeper: GatekeeperIndex,
@@ -102,10 +102,10 @@
     recorder.record(|history| history.processes.push(record));
 }
 
-/// A gatekeeper.
+/// A gatekeeper with all processes that have run it.
 #[derive(Debug)]
 pub struct Gatekeeper {
-    /// Its index.
+    /// Its number in the site, from 0.
     pub index: GatekeeperIndex,
     /// Where its clients connect.
     pub address: SocketAddr,
@@ -115,14 +115,14 @@
     config_path: PathBuf,
     directory: PathBuf,
     recorder: Recorder,
-    /// Its processes in the order of their starts.
+    /// All its processes so far, in the order of their starts.
     incarnations: Mutex<Vec<Arc<Incarnation>>>,
-    /// Held while a process is replaced, so that replacements come one after another.
-    replacing: Mutex<()>,
+    /// Held while a process is replaced, so that replacements do not overlap.
+    replacement_lock: Mutex<()>,
 }
 
 impl Gatekeeper {
-    /// A gatekeeper without a process. Its files are written to a subdirectory of `directory`.
+    /// Creates a gatekeeper without a process. Its files are written to a subdirectory of `directory`.
     ///
     /// # Errors
     ///
@@ -145,7 +145,7 @@
             directory,
             recorder: recorder.clone(),
             incarnations: Mutex::default(),
-            replacing: Mutex::default(),
+            replacement_lock: Mutex::default(),
         }))
     }
 
@@ -162,7 +162,7 @@
         record_event(&self.recorder, self.index, incarnation.number, event);
     }
 
-    /// Starts a process whose wall clock is ahead by this offset.
+    /// Starts a process whose wall clock is ahead by `clock_offset_us` microseconds.
     ///
     /// # Errors
     ///
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// The variables that its processes are started with.
+    /// The environment variables of its processes.
     fn environment(&self) -> Vec<(&'static str, String)> {
         let mut variables = vec![
             ("BALANCER_CONFIG", self.config_path.display().to_string()),
@@ -201,7 +201,7 @@
         variables
     }
 
-    /// Waits until the newest process serves or has ended. Returns whether it serves.
+    /// Waits until the newest process serves or has exited. Returns whether it serves.
     pub fn wait_until_ready(&self) -> bool {
         self.newest().is_some_and(|newest| newest.wait_until_ready())
     }
@@ -210,7 +210,7 @@
         lock(&self.incarnations).last().cloned()
     }
 
-    /// Sends SIGTERM to a process, and SIGKILL after this time.
+    /// Sends SIGTERM to a process, and SIGKILL if it has not exited after `kill_after`.
     fn terminate(&self, incarnation: &Incarnation, kill_after: Duration) {
         let now = self.recorder.now();
         lock(&incarnation.lifecycle).terminated.get_or_insert(now);
@@ -225,18 +225,18 @@
         if incarnation.process.has_exited() {
             return;
         }
-        lock(&incarnation.lifecycle).killed = true;
+        lock(&incarnation.lifecycle).was_killed = true;
         self.record(incarnation, ProcessEvent::Killed);
         incarnation.process.kill();
     }
 
-    /// Ends the newest process by SIGTERM, and by SIGKILL after this time, and starts another one.
+    /// Ends the newest process by SIGTERM, or by SIGKILL after `kill_after`, and starts another one.
     ///
     /// # Errors
     ///
     /// The program cannot be started.
     pub fn restart(&self, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
-        let _replacing = lock(&self.replacing);
+        let _guard = lock(&self.replacement_lock);
         if let Some(newest) = self.newest() {
             self.terminate(&newest, kill_after);
         }
@@ -251,7 +251,7 @@
     ///
     /// The program cannot be started.
     pub fn crash(&self, pause: Duration, clock_offset_us: i64) -> io::Result<()> {
-        let _replacing = lock(&self.replacing);
+        let _guard = lock(&self.replacement_lock);
         if let Some(newest) = self.newest() {
             self.kill(&newest);
         }
@@ -261,13 +261,13 @@
         Ok(())
     }
 
-    /// Starts a successor beside the newest process, which hands over to it and is then terminated.
+    /// Starts a successor beside the newest process, waits until it serves, and then terminates the predecessor.
     ///
     /// # Errors
     ///
     /// The program cannot be started.
     pub fn upgrade(&self, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
-        let _replacing = lock(&self.replacing);
+        let _guard = lock(&self.replacement_lock);
         let predecessor = self.newest();
         self.start(clock_offset_us)?;
         self.wait_until_ready();
@@ -277,14 +277,14 @@
         Ok(())
     }
 
-    /// Sends SIGHUP to the newest process.
+    /// Makes the newest process reload its configuration, by SIGHUP.
     pub fn reload(&self) {
         if let Some(newest) = self.newest() {
             newest.process.reload();
         }
     }
 
-    /// Suspends the newest process for this time.
+    /// Suspends the newest process for `time`.
     pub fn suspend(&self, time: Duration) {
         let Some(newest) = self.newest() else { return };
         let from = self.recorder.now();
@@ -294,9 +294,9 @@
         self.record(&newest, ProcessEvent::Suspended { from });
     }
 
-    /// Ends all processes: the newest by SIGTERM, and by SIGKILL after this time.
+    /// Ends all processes: the newest by SIGTERM, or by SIGKILL after `kill_after`, and then the others by SIGKILL.
     pub fn stop(&self, kill_after: Duration) {
-        let _replacing = lock(&self.replacing);
+        let _guard = lock(&self.replacement_lock);
         if let Some(newest) = self.newest() {
             self.terminate(&newest, kill_after);
         }
@@ -304,7 +304,7 @@
         all.iter().for_each(|incarnation| self.kill(incarnation));
     }
 
-    /// Whether clients may make new connections now.
+    /// Whether one of the processes should accept new connections now.
     pub fn accepts_connections(&self) -> bool {
         let now = self.recorder.now();
         lock(&self.incarnations).iter().any(|incarnation| incarnation.accepts_connections(now))
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: typed records of each kind, all timed by one monotonic clock.
+//! The history of a run: a typed record for each kind of event, all timed by one monotonic clock.
 
 use fault_harness::clock::ScheduleClock;
 use fault_harness::outcome::Outcome;
@@ -8,13 +8,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time since the recorder was created.
+/// Time since the recorder of the run was created.
 pub type Moment = Duration;
 
 /// Number of a gatekeeper, from 0.
 pub type GatekeeperIndex = usize;
 
-/// The name of a gatekeeper.
+/// The name of a gatekeeper in its configuration and in violations.
 pub(crate) fn gatekeeper_name(gatekeeper: GatekeeperIndex) -> String {
     format!("n{gatekeeper}")
 }
@@ -30,81 +30,81 @@
 const SERIAL_BITS: u32 = 32;
 
 impl RequestNumber {
-    /// Stands for an id that no client has given.
+    /// Replaces a request id that cannot be parsed.
     pub const UNKNOWN: Self = Self(u64::MAX);
 
-    /// The number of a gatekeeper's request with this serial.
+    /// Combines a gatekeeper with the serial number of a request that is sent to it.
     pub fn new(gatekeeper: GatekeeperIndex, serial: u32) -> Self {
         Self((gatekeeper as u64) << SERIAL_BITS | u64::from(serial))
     }
 
-    /// The gatekeeper that it was sent to.
+    /// The gatekeeper that the request was sent to.
     pub fn gatekeeper(self) -> GatekeeperIndex {
         (self.0 >> SERIAL_BITS) as usize
     }
 
-    /// The request id on the wire.
-    pub fn text(self) -> String {
+    /// The request id on the wire: 16 hexadecimal digits.
+    pub fn request_id(self) -> String {
         format!("{:016x}", self.0)
     }
 
-    /// Parses a request id.
+    /// Parses a request id as it stands on the wire; none if it is not hexadecimal.
     pub fn parse(text: &str) -> Option<Self> {
         u64::from_str_radix(text, 16).ok().map(Self)
     }
 }
 
-/// A request that was sent completely.
+/// A request that its client has sent completely.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its number.
+    /// Identifies the request in the run.
     pub number: RequestNumber,
-    /// Its class, by index in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Its tenant, by index in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: usize,
-    /// The units that it takes.
+    /// The units that it takes from its tenant's quota.
     pub units: f64,
-    /// Its deadline, from when it was sent.
-    pub time: Duration,
+    /// Its deadline, as time from `sent`.
+    pub deadline: Duration,
     /// When its last byte was written.
     pub sent: Moment,
     /// When the client closed its connection, if it did so before the answer.
-    pub left: Option<Moment>,
-    /// When it ended for the client.
+    pub disconnected: Option<Moment>,
+    /// When the client got its answer, closed the connection or stopped waiting.
     pub ended: Moment,
-    /// How it ended.
+    /// How it ended for the client.
     pub outcome: Outcome,
-    /// Whether it was the first on its connection.
+    /// Whether it was the first request on its connection.
     pub is_first_on_connection: bool,
-    /// Whether it was sent again on a new connection because an idle one had been closed.
+    /// Whether the client sent it again on a new connection because the gatekeeper had closed an idle one.
     pub was_resent: bool,
 }
 
-/// The place of an attempt in the history.
+/// Position of an attempt in [`History::attempts`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptIndex(usize);
 
-/// An attempt that arrived completely at a backend.
+/// An attempt that a backend has received completely.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// Its request.
+    /// The request that it belongs to; [`RequestNumber::UNKNOWN`] if its id cannot be parsed.
     pub request: RequestNumber,
-    /// The backend.
+    /// The backend that received it.
     pub backend: BackendIndex,
     /// When its first byte was read.
     pub began: Moment,
     /// When its last byte was read.
     pub arrived: Moment,
-    /// The time left until the deadline, as stated in the attempt; the longest time if it states none.
+    /// The time left until the deadline, as stated in the attempt; [`Duration::MAX`] if it states none.
     pub time_left: Duration,
     /// When it ended; none while it is in flight.
     pub ended: Option<Moment>,
-    /// How it ended.
+    /// How it ended at the backend.
     pub outcome: AttemptOutcome,
 }
 
-/// What happened to a process of a gatekeeper.
+/// An event in the life of a gatekeeper's process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProcessEvent {
     /// It was started.
@@ -112,17 +112,17 @@
         /// Offset of its wall clock in microseconds.
         clock_offset_us: i64,
     },
-    /// It began to serve.
+    /// It logged that it serves.
     Ready,
     /// SIGTERM was sent.
     Terminated,
     /// SIGKILL was sent.
     Killed,
-    /// It ended.
+    /// It exited.
     Exited {
         /// Its exit code, or the negative number of the signal that ended it.
         exit_code: i32,
-        /// How the harness had asked for it.
+        /// How the harness had asked the process to exit.
         request: ExitRequest,
     },
     /// It was resumed after a suspension.
@@ -149,9 +149,9 @@
     pub at: Moment,
     /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
-    /// The number of its process, from 0.
+    /// Number of the process among those of its gatekeeper, from 0.
     pub process: usize,
-    /// What happened.
+    /// The event.
     pub event: ProcessEvent,
 }
 
@@ -164,11 +164,11 @@
     pub backend: BackendIndex,
     /// Its state from then on.
     pub state: ListedState,
-    /// Whether it had just started.
+    /// Whether the backend had just started.
     pub has_started: bool,
 }
 
-/// A discovery agent became reachable or unreachable.
+/// A change of a discovery agent's reachability.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryChange {
     /// When it changed.
@@ -179,83 +179,83 @@
     pub is_reachable: bool,
 }
 
-/// A list update was sent to a gatekeeper.
+/// A list update that was sent to a gatekeeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
     /// When it was sent.
     pub at: Moment,
     /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
-    /// Number of changes of the list so far, all of which it includes.
+    /// Number of changes of the list so far. The update includes all of them.
     pub changes: usize,
 }
 
-/// A request that its client never completed.
+/// A request of which the client sent only the start.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialRequest {
     /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
     /// When the client stopped sending.
     pub stopped: Moment,
-    /// When the client got an error or a close; none if neither came in time.
+    /// When the client got an error or a close; none if neither came while it waited.
     pub ended: Option<Moment>,
 }
 
-/// The counter became unreachable or reachable for some gatekeepers.
+/// A change of the quota counter's reachability for some gatekeepers.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterChange {
     /// When it changed.
     pub at: Moment,
-    /// Number of gatekeepers.
+    /// Number of affected gatekeepers.
     pub gatekeepers: usize,
 }
 
-/// A gatekeeper refused a connection.
+/// A connection that a gatekeeper refused while it should have accepted it.
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
-    /// When the client noticed.
+    /// When the client's connect failed.
     pub at: Moment,
     /// The gatekeeper.
     pub gatekeeper: GatekeeperIndex,
 }
 
-/// A thread of the harness ran late.
+/// A measured scheduling delay of the harness itself.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulingDelay {
-    /// When it ran.
+    /// When the delayed thread ran.
     pub ended: Moment,
-    /// How late that was.
+    /// How late the thread ran.
     pub delay: Duration,
 }
 
 /// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// When the schedule began: all processes served by then.
+    /// When the schedule began, after all gatekeepers served.
     pub started: Moment,
-    /// Requests.
+    /// Requests that clients sent completely.
     pub requests: Vec<RequestRecord>,
-    /// Attempts.
+    /// Attempts that backends received.
     pub attempts: Vec<AttemptRecord>,
-    /// Processes.
+    /// Events of the gatekeepers' processes.
     pub processes: Vec<ProcessRecord>,
-    /// The endpoint list.
+    /// Changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
-    /// Discovery agents.
+    /// Changes of the discovery agents' reachability.
     pub discovery_changes: Vec<DiscoveryChange>,
     /// Changes of the counter's reachability.
     pub counter_changes: Vec<CounterChange>,
-    /// Lists that were written.
+    /// List updates that were sent to gatekeepers.
     pub notifications: Vec<Notification>,
-    /// Requests that were never completed.
+    /// Requests that their clients never completed.
     pub partial_requests: Vec<PartialRequest>,
-    /// Refused connections to a gatekeeper.
+    /// Connections that gatekeepers refused.
     pub refusals: Vec<Refusal>,
     /// Scheduling delays of the harness itself.
     pub delays: Vec<SchedulingDelay>,
 }
 
-/// Collects a history from all threads. Clones share it.
+/// Collects the history of a run from all threads. Clones share one history.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     clock: ScheduleClock,
@@ -269,22 +269,22 @@
 }
 
 impl Recorder {
-    /// The time now.
+    /// The time since the recorder was created.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// The clock of all times in the history.
+    /// The clock by which the history is timed.
     pub fn clock(&self) -> ScheduleClock {
         self.clock
     }
 
-    /// Adds to the history.
+    /// Changes the history under its lock.
     pub fn record<R>(&self, change: impl FnOnce(&mut History) -> R) -> R {
         change(&mut lock(&self.history))
     }
 
-    /// Records an attempt that has arrived at a backend.
+    /// Records an attempt that has arrived completely at a backend.
     pub fn begin_attempt(&self, backend: BackendIndex, arrival: Arrival) -> AttemptIndex {
         let attempt = AttemptRecord {
             request: RequestNumber::parse(&arrival.request_id).unwrap_or(RequestNumber::UNKNOWN),
--- a/crates/platform_soak/src/lib.rs
+++ b/crates/platform_soak/src/lib.rs
@@ -1,17 +1,18 @@
 //! Soak test of the platform path: a few dozen real gatekeepers (`run`, RESP2) on loopback with stand-ins for clients, backends,
-//! discovery and the quota counter, and faults that overlap in time. A recorder collects the history, which checkers then judge by
-//! invariants.
+//! discovery and the quota counter, and faults that overlap in time. A recorder collects the history of a run, and checkers
+//! compare it with the invariants.
 //!
-//! | module | what it holds |
+//! | module | content |
 //! | --- | --- |
 //! | `settings` | the settings of a site, drawn from the seed |
-//! | `schedule` | which faults begin when, drawn from the seed |
+//! | `schedule` | the faults of a run and their times, drawn from the seed |
 //! | `site` | the processes and stand-ins of one schedule |
-//! | `gatekeeper` | one gatekeeper over all its processes |
-//! | `stand_ins` | backends, discovery, the counter |
-//! | `client` | clients, well and badly behaved |
-//! | `fault_runner` | injecting the faults of a schedule |
-//! | `history` | what happened |
+//! | `gatekeeper` | a gatekeeper and the processes that run it one after another |
+//! | `stand_ins` | backends, discovery and the quota counter |
+//! | `client` | clients, which can misbehave |
+//! | `fault_runner` | injects the faults of a schedule |
+//! | `run` | runs one schedule and checks its history |
+//! | `history` | records of all events of a run |
 //! | `checkers` | the invariants |
 
 pub mod checkers;
--- a/crates/platform_soak/src/main.rs
+++ b/crates/platform_soak/src/main.rs
@@ -1,5 +1,5 @@
-//! `proof-soak`: runs schedules of the platform path with overlapping faults and judges them by invariants. It exits with 1 where
-//! one is broken, and with 2 where it cannot run.
+//! `proof-soak`: runs schedules of overlapping faults on the platform path and checks the invariants. Exits with 1 if an
+//! invariant is violated, and with 2 if the harness cannot run.
 
 use clap::Parser;
 use fault_harness::outcome::Outcome;
@@ -14,41 +14,41 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Violations of one schedule that are printed.
+/// Maximum number of violations that are printed for one schedule.
 const MAX_PRINTED: usize = 12;
-/// Status where the harness cannot run.
-const CANNOT_RUN: u8 = 2;
+/// Exit code if the harness cannot run.
+const EXIT_CANNOT_RUN: u8 = 2;
 
 /// Runs schedules of overlapping faults on real gatekeepers of the platform path.
 #[derive(Debug, Parser)]
 struct Options {
-    /// Number of schedules.
+    /// Number of schedules to run.
     #[arg(long, default_value_t = 20)]
     schedules: u64,
-    /// The seed of the first one; each next one has the next seed.
+    /// Seed of the first schedule; each following schedule has the next higher seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Gatekeepers of each schedule.
+    /// Number of gatekeepers in each schedule.
     #[arg(long, default_value_t = 24)]
     gatekeepers: usize,
     /// Length of a schedule in seconds.
     #[arg(long, default_value_t = 15)]
     seconds: u64,
-    /// The gatekeeper's binary; by default the one beside this program.
+    /// Path of the gatekeeper's binary; by default `snowfield` in the directory of this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Runs a build with seeded faults with this one enabled; the run fails unless a checker reports a violation.
+    /// Name of the seeded fault to enable in a build that has them; the run fails unless a checker reports a violation.
     #[arg(long)]
     seeded_fault: Option<String>,
-    /// Runs the same sites and clients without any fault.
+    /// Runs the same sites and clients without injecting faults.
     #[arg(long, alias = "without-troubles")]
     without_faults: bool,
-    /// Prints the faults of each schedule.
+    /// Prints the faults and the process events of each schedule, also of those without violations.
     #[arg(long)]
     verbose: bool,
 }
 
-/// What all schedules have shown.
+/// Counts over all schedules of a run.
 #[derive(Default)]
 struct Totals {
     schedules: usize,
@@ -77,9 +77,10 @@
     }
 }
 
-fn program(options: &Options) -> Option<Program> {
-    let beside = std::env::current_exe().ok()?.with_file_name("snowfield");
-    let path = options.program.clone().unwrap_or(beside);
+/// The program to run; none if the gatekeeper or the preloaded library is not built.
+fn find_program(options: &Options) -> Option<Program> {
+    let default_path = std::env::current_exe().ok()?.with_file_name("snowfield");
+    let path = options.program.clone().unwrap_or(default_path);
     let shim = fault_shim_control::library_path()?;
     path.exists().then_some(Program { path, shim, seeded_fault: options.seeded_fault.clone() })
 }
@@ -117,9 +118,9 @@
 
 fn main() -> ExitCode {
     let options = Options::parse();
-    let Some(program) = program(&options) else {
+    let Some(program) = find_program(&options) else {
         eprintln!("proof-soak: the gatekeeper or the preloaded library is not built");
-        return ExitCode::from(CANNOT_RUN);
+        return ExitCode::from(EXIT_CANNOT_RUN);
     };
     let mut totals = Totals::default();
     for seed in options.seed..options.seed + options.schedules {
@@ -136,7 +137,7 @@
             }
             Err(error) => {
                 eprintln!("proof-soak: seed {seed}: {error}");
-                return ExitCode::from(CANNOT_RUN);
+                return ExitCode::from(EXIT_CANNOT_RUN);
             }
         }
     }
@@ -154,7 +155,7 @@
         totals.requests,
         totals.attempts
     );
-    let is_named = options.seeded_fault.is_some() && totals.violations > 0;
-    let is_sound = options.seeded_fault.is_none() && totals.violations == 0;
-    if is_named || is_sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let is_fault_detected = options.seeded_fault.is_some() && totals.violations > 0;
+    let has_no_violation = options.seeded_fault.is_none() && totals.violations == 0;
+    if is_fault_detected || has_no_violation { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/platform_soak/src/run.rs
+++ b/crates/platform_soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One schedule, from its start to its verdict.
+//! Runs one schedule and checks its history.
 
 use crate::checkers;
 use crate::fault_runner;
@@ -11,19 +11,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Open requests have ended by then.
-const SETTLING: Duration = Duration::from_millis(300);
+/// Time after the end of the site until the history is read, in which the stand-ins record the end of open attempts.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// Result of a schedule.
+/// Result of running a schedule.
 #[derive(Debug)]
 pub struct Verdict {
-    /// Invariants that were broken.
+    /// Violations that the checkers have found; empty if all invariants hold.
     pub violations: Vec<Violation>,
-    /// What happened.
+    /// The history that was checked.
     pub history: History,
 }
 
-/// Runs a schedule and checks its history. The gatekeepers' files are written to this directory.
+/// Runs a schedule and checks its history. The gatekeepers' files are written to `directory`.
 ///
 /// # Errors
 ///
@@ -33,7 +33,7 @@
     site.start_clients()?;
     fault_runner::run(&site, schedule);
     site.stop();
-    std::thread::sleep(SETTLING);
+    std::thread::sleep(SETTLE_TIME);
     let history = site.recorder.snapshot();
     let violations = checkers::check_all(&history, &schedule.settings);
     Ok(Verdict { violations, history })
--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -12,26 +12,26 @@
 use generator::{draw_duration, draw_kind};
 use std::time::Duration;
 
-/// Mean number of faults that begin in a second.
+/// Number of faults for each second of a schedule's length.
 const FAULTS_PER_SECOND: f64 = 1.6;
 /// Time before the first fault, in which token buckets and rate estimates settle.
 const QUIET_START: Duration = Duration::from_millis(1_500);
-/// Time between the begin of the last fault and the end of the schedule.
+/// Minimum time between the start of the last fault and the end of the schedule.
 const QUIET_END: Duration = Duration::from_millis(3_000);
 
-/// A fault and when it is injected.
+/// A fault of the soak test, with its start and its duration.
 pub type Fault = fault_harness::schedule::Fault<FaultKind>;
 
 /// The faults of one run, and the settings of its site.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// The seed that it is drawn from.
+    /// The seed that the schedule is drawn from.
     pub seed: u64,
-    /// Its duration.
+    /// Minimum time from its start to its end. Faults that last longer extend it.
     pub length: Duration,
     /// The settings of the site.
     pub settings: Settings,
-    /// Its faults in the order of their begins.
+    /// Its faults in the order of their starts.
     pub faults: Vec<Fault>,
 }
 
@@ -44,8 +44,8 @@
         let last = length.saturating_sub(QUIET_END).max(QUIET_START);
         let mut faults: Vec<Fault> = (0..count)
             .map(|_| {
-                let part = random.f64();
-                let start = QUIET_START + (last - QUIET_START).mul_f64(part);
+                let fraction = random.f64();
+                let start = QUIET_START + (last - QUIET_START).mul_f64(fraction);
                 let kind = draw_kind(&mut random, &settings);
                 Fault::new(start, draw_duration(&mut random, kind), kind)
             })
--- a/crates/platform_soak/src/schedule/fault.rs
+++ b/crates/platform_soak/src/schedule/fault.rs
@@ -1,9 +1,9 @@
-//! The faults that a schedule may hold.
+//! The kinds of faults that a schedule can contain.
 
 use crate::history::{BackendIndex, GatekeeperIndex};
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
 
-/// Faults of a gatekeeper's system calls.
+/// Faults of a gatekeeper's system calls, which the preloaded library injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFaults {
     /// Some calls of `accept`, `socket` and `connect` fail.
@@ -18,18 +18,18 @@
     Disk,
 }
 
-/// How a gatekeeper's process is replaced.
+/// How a process of a gatekeeper is replaced by the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartKind {
-    /// It gets SIGTERM, and the next one starts after its exit.
+    /// It gets SIGTERM, and the next process starts after its exit.
     Graceful,
-    /// It gets SIGKILL, and the next one starts after its exit.
+    /// It gets SIGKILL, and the next process starts after its exit and a pause.
     Crash,
-    /// Its successor is started first and takes over from it.
+    /// Its successor starts first and takes over from it (hot restart).
     Upgrade,
 }
 
-/// What a fault does.
+/// What a fault affects, and how.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// A gatekeeper's process is replaced by one with another wall clock offset.
@@ -73,23 +73,23 @@
     },
     /// The discovery agents of some gatekeepers fail.
     Discovery {
-        /// See [`FaultKind::Calls`].
+        /// The first affected gatekeeper, as in [`FaultKind::Calls`].
         first: GatekeeperIndex,
-        /// See [`FaultKind::Calls`].
+        /// Distance between two affected gatekeepers.
         step: usize,
-        /// How it fails.
+        /// How the agents fail.
         mode: DiscoveryMode,
     },
-    /// The counter fails.
+    /// The quota counter fails for all gatekeepers.
     Counter {
-        /// How it fails.
+        /// How the counter fails.
         mode: CounterMode,
     },
     /// A backend fails.
     Backend {
         /// The backend.
         backend: BackendIndex,
-        /// How it fails.
+        /// How the backend fails.
         mode: BackendMode,
     },
     /// A backend is listed as draining, and as up again after the fault.
@@ -102,7 +102,7 @@
         /// The backend.
         backend: BackendIndex,
     },
-    /// A backend restarts.
+    /// A backend restarts: it is off the list and refuses connections for a while.
     BackendRestart {
         /// The backend.
         backend: BackendIndex,
@@ -113,7 +113,7 @@
     PartialRequests,
     /// Clients set very short deadlines.
     HurriedRequests,
-    /// Idle connections use up a gatekeeper's descriptors.
+    /// Clients open idle connections up to the maximum number of a gatekeeper's sockets.
     IdleCrowd {
         /// The gatekeeper.
         gatekeeper: GatekeeperIndex,
--- a/crates/platform_soak/src/schedule/generator.rs
+++ b/crates/platform_soak/src/schedule/generator.rs
@@ -5,8 +5,8 @@
 use crate::stand_ins::{BackendMode, CounterMode, DiscoveryMode};
 use std::time::Duration;
 
-/// Steps of a wall clock, in seconds.
-const CLOCK_STEPS_S: [i64; 6] = [3_600, -3_600, 5, -5, 2, 40_000];
+/// Offsets to which a wall clock is set, in seconds.
+const CLOCK_OFFSETS_S: [i64; 6] = [3_600, -3_600, 5, -5, 2, 40_000];
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
 pub(super) fn draw_duration(random: &mut fastrand::Rng, kind: FaultKind) -> Duration {
@@ -19,17 +19,18 @@
     Duration::from_millis(random.u64(range))
 }
 
-/// Draws the offset of a wall clock, which is 0 in two of three cases.
-fn draw_offset(random: &mut fastrand::Rng) -> i64 {
+/// Draws the wall clock offset of a new process in microseconds. It is 0 in two of three cases.
+fn draw_start_offset(random: &mut fastrand::Rng) -> i64 {
     if random.u32(..3) > 0 {
         0
     } else {
-        CLOCK_STEPS_S[random.usize(..CLOCK_STEPS_S.len())] * MICROS_PER_SECOND
+        CLOCK_OFFSETS_S[random.usize(..CLOCK_OFFSETS_S.len())] * MICROS_PER_SECOND
     }
 }
 
-fn draw_step(random: &mut fastrand::Rng) -> i64 {
-    CLOCK_STEPS_S[random.usize(..CLOCK_STEPS_S.len())] * MICROS_PER_SECOND
+/// Draws the wall clock offset to which a running process is stepped, in microseconds.
+fn draw_stepped_offset(random: &mut fastrand::Rng) -> i64 {
+    CLOCK_OFFSETS_S[random.usize(..CLOCK_OFFSETS_S.len())] * MICROS_PER_SECOND
 }
 
 pub(super) fn draw_kind(random: &mut fastrand::Rng, settings: &Settings) -> FaultKind {
@@ -39,10 +40,10 @@
     match random.u32(..15) {
         0..3 => {
             let kinds = [RestartKind::Graceful, RestartKind::Crash, RestartKind::Upgrade];
-            let (kind, clock_offset_us) = (kinds[random.usize(..kinds.len())], draw_offset(random));
+            let (kind, clock_offset_us) = (kinds[random.usize(..kinds.len())], draw_start_offset(random));
             FaultKind::Restart { gatekeeper, kind, clock_offset_us }
         }
-        3 => FaultKind::ClockStep { gatekeeper, clock_offset_us: draw_step(random) },
+        3 => FaultKind::ClockStep { gatekeeper, clock_offset_us: draw_stepped_offset(random) },
         4 => FaultKind::Reloads { gatekeeper, count: random.u32(2..10) },
         5 => FaultKind::Suspensions { gatekeeper, count: random.u32(1..5) },
         6 => {
--- a/crates/platform_soak/src/settings.rs
+++ b/crates/platform_soak/src/settings.rs
@@ -1,32 +1,32 @@
-//! The settings of a site, drawn from the seed: classes, plans, windows and limits differ from schedule to schedule.
+//! The settings of a site, drawn from the seed: classes, plans, time windows and limits differ from schedule to schedule.
 
 use crate::history::{GatekeeperIndex, gatekeeper_name};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which retries the effect of a class permits.
+/// The effect of a class's requests, which determines the retries that are permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Any: requests are idempotent.
+    /// Requests are idempotent: any retry is permitted.
     Idempotent,
-    /// Those within the window of the idempotency key.
+    /// Requests have an idempotency key: retries are permitted within its window.
     Keyed {
-        /// The window.
+        /// Time for which backends recognize the key, from the start of the first attempt.
         window: Duration,
     },
-    /// Only those after an attempt that certainly never ran.
+    /// A retry is permitted only if all earlier attempts certainly never ran.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Its name in the configuration and on the wire.
     pub name: String,
-    /// The usual deadline of its requests.
+    /// The usual deadline of its requests, from when they are sent.
     pub deadline: Duration,
-    /// Its effect.
+    /// Effect of its requests.
     pub effect: Effect,
 }
 
@@ -35,16 +35,16 @@
 pub struct Tenant {
     /// Its number on the wire.
     pub number: u64,
-    /// Units a second.
+    /// Quota of its plan in units a second.
     pub rate: f64,
-    /// Burst in units.
+    /// Burst of its plan in units.
     pub burst: f64,
     /// Hard ceiling in units a second; 0 for none.
     pub ceiling_rate: f64,
     /// Burst of the hard ceiling in units.
     pub ceiling_burst: f64,
-    /// Its share of the requests.
-    pub part: f64,
+    /// Its share of the requests that clients send, from 0 to 1.
+    pub request_share: f64,
 }
 
 /// The settings of a site.
@@ -54,45 +54,46 @@
     pub gatekeepers: usize,
     /// Number of backends.
     pub backends: usize,
-    /// The classes.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants.
+    /// The tenants, each with a plan of its own.
     pub tenants: Vec<Tenant>,
-    /// Time in which attempts may still begin at a draining backend after the notification.
+    /// Time after a notification in which attempts may still begin at a draining or removed backend.
     pub drain_grace: Duration,
-    /// Share of the load that a backend gets at the begin of its slow start.
+    /// Share of its full load that a backend gets at the beginning of its slow start.
     pub cold_share: f64,
     /// Duration of the slow start.
     pub cold_time: Duration,
-    /// A backend in slow start is overloaded by this multiple of its capacity over `overload_time`.
+    /// A backend in slow start is overloaded if it gets this multiple of its capacity over `overload_time`.
     pub overload_factor: f64,
-    /// See `overload_factor`.
+    /// Time over which `overload_factor` applies.
     pub overload_time: Duration,
-    /// Timeout of a connect.
+    /// Timeout of a gatekeeper's connect to a backend.
     pub connect_timeout: Duration,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Whether requests may be hedged.
+    /// Whether gatekeepers may hedge requests: send a second attempt while the first is in flight.
     pub hedging: bool,
 }
 
 /// Addresses in a gatekeeper's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Where it listens.
+    /// Where the gatekeeper listens.
     pub listen: SocketAddr,
-    /// Its discovery agent.
+    /// Where its discovery agent listens.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// Where the quota counter listens.
     pub counter: SocketAddr,
 }
 
 /// Maximum number of sockets of a gatekeeper.
 pub const MAX_SOCKETS: usize = 512;
-/// Units of the largest request.
+/// Maximum number of units of a request.
 pub const MAX_UNITS: f64 = 4.0;
 
-fn between(random: &mut fastrand::Rng, from: f64, to: f64) -> f64 {
+/// Draws a number from a uniform distribution.
+fn uniform(random: &mut fastrand::Rng, from: f64, to: f64) -> f64 {
     from + random.f64() * (to - from)
 }
 
@@ -115,9 +116,9 @@
             classes,
             tenants: draw_tenants(random, gatekeepers),
             drain_grace: Duration::from_millis(random.u64(300..1_200)),
-            cold_share: between(random, 0.1, 0.3),
+            cold_share: uniform(random, 0.1, 0.3),
             cold_time: Duration::from_millis(random.u64(6_000..12_000)),
-            overload_factor: between(random, 1.5, 4.0),
+            overload_factor: uniform(random, 1.5, 4.0),
             overload_time: Duration::from_millis(random.u64(800..1_600)),
             connect_timeout: Duration::from_millis(random.u64(150..400)),
             max_attempts: random.u32(2..5),
@@ -127,7 +128,7 @@
 
     /// The configuration file of a gatekeeper.
     pub fn config(&self, gatekeeper: GatekeeperIndex, addresses: Addresses) -> String {
-        let us = |time: Duration| time.as_micros() as u64;
+        let micros = |time: Duration| time.as_micros() as u64;
         let classes: Vec<Value> = self.classes.iter().map(class_json).collect();
         let plans = self.tenants.iter().enumerate().map(|(index, tenant)| {
             json!({"name": plan_name(index), "per-second": tenant.rate, "depth": tenant.burst,
@@ -144,12 +145,12 @@
             "settings": {
                 "balancers": self.gatekeepers, "me": gatekeeper, "tick-us": 4000, "zone": 0,
                 "localities": ["z"], "kinds": ["m"], "discovery": "told",
-                "bounds": {"cancel": true, "connect-timeout-us": us(self.connect_timeout), "keepalive-us": 20_000_000,
+                "bounds": {"cancel": true, "connect-timeout-us": micros(self.connect_timeout), "keepalive-us": 20_000_000,
                     "max-attempts": self.max_attempts, "max-retry-after-us": 1_000_000, "retry-after": true,
                     "second-copies": self.hedging},
-                "contract": {"cold-share": self.cold_share, "cold-us": us(self.cold_time),
-                    "overload-factor": self.overload_factor, "fall-us": us(self.overload_time),
-                    "drain-grace-us": us(self.drain_grace)},
+                "contract": {"cold-share": self.cold_share, "cold-us": micros(self.cold_time),
+                    "overload-factor": self.overload_factor, "fall-us": micros(self.overload_time),
+                    "drain-grace-us": micros(self.drain_grace)},
                 "classes": classes,
                 "contracts": plans.collect::<Vec<_>>(),
                 "specifics": {"may-count": true, "count-wait-us": 30_000, "largest": MAX_UNITS},
@@ -159,7 +160,7 @@
     }
 }
 
-/// The name of a tenant's plan.
+/// The name of the plan of the tenant with this index.
 pub fn plan_name(tenant: usize) -> String {
     format!("plan{tenant}")
 }
@@ -175,23 +176,24 @@
         "group": "all", "key-ttl-us": window_us, "worth": 1.0})
 }
 
-/// Two tenants exceed their quotas, one its hard ceiling; the others stay below theirs.
+/// Draws the tenants. At the clients' request rates two tenants exceed their quotas and one its hard ceiling; the others stay
+/// below their quotas.
 fn draw_tenants(random: &mut fastrand::Rng, gatekeepers: usize) -> Vec<Tenant> {
     let base = 0x0b4d_0000 + random.u64(..0x1000);
     let scale = gatekeepers as f64;
-    let tenant = |index: u64, rate: f64, burst: f64, ceiling: f64, part: f64| Tenant {
+    let tenant = |index: u64, rate: f64, burst: f64, ceiling: f64, request_share: f64| Tenant {
         number: base + index,
         rate,
         burst,
         ceiling_rate: ceiling,
         ceiling_burst: ceiling,
-        part,
+        request_share,
     };
-    let pressing = between(random, 2.0, 4.0) * scale;
+    let base_rate = uniform(random, 2.0, 4.0) * scale;
     let mut tenants = vec![
-        tenant(0, pressing, pressing, 0.0, 0.25),
-        tenant(1, pressing * 0.7, pressing, 0.0, 0.2),
-        tenant(2, pressing * 3.0, pressing, pressing * 1.2, 0.1),
+        tenant(0, base_rate, base_rate, 0.0, 0.25),
+        tenant(1, base_rate * 0.7, base_rate, 0.0, 0.2),
+        tenant(2, base_rate * 3.0, base_rate, base_rate * 1.2, 0.1),
     ];
     tenants.extend((3..9).map(|index| tenant(index, 40.0 * scale, 40.0 * scale, 0.0, 0.075)));
     tenants
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -16,46 +16,46 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Clients of each gatekeeper.
-const CLIENTS: usize = 4;
-/// A process is killed if it has not exited within the longest deadline and this time after SIGTERM.
+/// Number of clients of each gatekeeper.
+const CLIENTS_PER_GATEKEEPER: usize = 4;
+/// A process is killed if, after SIGTERM, it has not exited within the longest deadline of a class plus this time.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Interval of the heartbeat that measures the harness's own scheduling delay.
-const HEARTBEAT: Duration = Duration::from_millis(5);
+/// Sleep time of the thread that measures the harness's own scheduling delay.
+const DELAY_PROBE_INTERVAL: Duration = Duration::from_millis(5);
 /// Minimum scheduling delay that is recorded.
-const NOTABLE_DELAY: Duration = Duration::from_millis(15);
+const MIN_RECORDED_DELAY: Duration = Duration::from_millis(15);
 
-/// The site of one schedule.
+/// The gatekeepers of one schedule with their stand-ins and clients.
 pub struct Site {
-    /// Its settings.
+    /// The settings that the site runs with.
     pub settings: Arc<Settings>,
-    /// Collects the history.
+    /// Collects the history of the run.
     pub recorder: Recorder,
-    /// Its gatekeepers.
+    /// The gatekeepers by index.
     pub gatekeepers: Vec<Arc<Gatekeeper>>,
-    /// Their discovery agents, in the same order.
+    /// The gatekeepers' discovery agents, in the same order.
     pub discoveries: Vec<Discovery>,
-    /// The endpoint list that they serve.
+    /// The endpoint list that the discovery agents serve.
     pub list: SharedList,
-    /// The counter.
+    /// The quota counter, which all gatekeepers share.
     pub counter: Counter,
-    /// The backends.
+    /// The backends by index.
     pub backends: Vec<Backend>,
-    /// How clients behave.
+    /// Rates of the clients' misbehaviour.
     pub behaviour: Arc<Behaviour>,
     clients: Mutex<Vec<JoinHandle<()>>>,
     seed: u64,
 }
 
 impl Site {
-    /// Starts all stand-ins and all gatekeepers, and waits until these serve.
+    /// Starts all stand-ins and all gatekeepers, and waits until the gatekeepers serve.
     ///
     /// # Errors
     ///
-    /// Something cannot be started.
+    /// A stand-in or a gatekeeper cannot be started, or its files cannot be written.
     pub fn start(seed: u64, settings: Settings, program: &Program, directory: &Path) -> io::Result<Self> {
         let recorder = Recorder::default();
-        start_heartbeat(&recorder)?;
+        start_delay_probe(&recorder)?;
         let counter_address = free_address()?;
         let counter = Counter::start(counter_address)?;
         let mut backends = Vec::new();
@@ -93,16 +93,16 @@
         })
     }
 
-    /// Starts the clients.
+    /// Starts the clients of all gatekeepers, each in a thread.
     ///
     /// # Errors
     ///
-    /// The system has no threads.
+    /// A thread cannot be created.
     pub fn start_clients(&self) -> io::Result<()> {
         for gatekeeper in &self.gatekeepers {
             let serials = Arc::new(AtomicU32::new(0));
-            for number in 0..CLIENTS {
-                let seed = self.seed ^ ((gatekeeper.index * CLIENTS + number) as u64) << 8;
+            for number in 0..CLIENTS_PER_GATEKEEPER {
+                let seed = self.seed ^ ((gatekeeper.index * CLIENTS_PER_GATEKEEPER + number) as u64) << 8;
                 let client = Client {
                     gatekeeper: gatekeeper.clone(),
                     settings: self.settings.clone(),
@@ -127,30 +127,30 @@
     pub fn stop(&self) {
         self.behaviour.is_over.store(true, Ordering::Relaxed);
         for client in lock(&self.clients).drain(..) {
-            // One that panicked has recorded nothing wrong.
+            // A client that has panicked recorded its earlier requests correctly.
             let _ = client.join();
         }
         let kill_after = self.kill_after();
-        let ending: Vec<_> = self
+        let stop_threads: Vec<_> = self
             .gatekeepers
             .iter()
             .cloned()
             .map(|gatekeeper| std::thread::spawn(move || gatekeeper.stop(kill_after)))
             .collect();
-        ending.into_iter().for_each(|thread| drop(thread.join()));
+        stop_threads.into_iter().for_each(|thread| drop(thread.join()));
     }
 }
 
-/// Records the harness's own scheduling delays.
-fn start_heartbeat(recorder: &Recorder) -> io::Result<()> {
+/// Starts a thread that measures and records the harness's own scheduling delays.
+fn start_delay_probe(recorder: &Recorder) -> io::Result<()> {
     let recorder = recorder.clone();
-    // It ends with the process: a schedule leaves nothing else behind.
+    // The thread runs until the process of the harness exits.
     spawn(move || {
         loop {
             let before = Instant::now();
-            std::thread::sleep(HEARTBEAT);
-            let delay = before.elapsed().saturating_sub(HEARTBEAT);
-            if delay > NOTABLE_DELAY {
+            std::thread::sleep(DELAY_PROBE_INTERVAL);
+            let delay = before.elapsed().saturating_sub(DELAY_PROBE_INTERVAL);
+            if delay > MIN_RECORDED_DELAY {
                 let ended = recorder.now();
                 recorder.record(|history| history.delays.push(SchedulingDelay { ended, delay }));
             }
--- a/crates/platform_soak/src/stand_ins.rs
+++ b/crates/platform_soak/src/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of what gatekeepers speak to, each of which can be made to fail.
+//! Stand-ins for the peers of gatekeepers: backends, discovery agents and the quota counter. Each can be made to fail.
 
 mod backend;
 mod counter;
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -1,4 +1,4 @@
-//! A backend, which answers each request after a few milliseconds and can be made to fail in several ways.
+//! A backend that answers each request after a few milliseconds and can be made to fail in several ways.
 
 use crate::history::{AttemptIndex, BackendIndex, Recorder};
 use fault_harness::connections::reset_on_close;
@@ -15,7 +15,7 @@
 
 /// Additional service time of a slow backend.
 const SLOW_WORK: Duration = Duration::from_millis(120);
-/// Interval at which the listener checks its mode and accepts.
+/// Interval at which the accepting thread checks the mode and the listener.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How a backend behaves.
@@ -24,47 +24,47 @@
     /// It serves requests.
     #[default]
     Healthy,
-    /// It serves late.
+    /// It serves with an additional delay.
     Slow,
     /// It never answers.
     Hanging,
-    /// It answers with an error.
+    /// It answers requests with an error.
     Failing,
-    /// It rejects.
+    /// It rejects requests without running them.
     Rejecting,
     /// It resets the connections of about half of the requests.
     Resetting,
-    /// It closes the connections of about half of the requests within the answer.
+    /// It closes the connections of about half of the requests in the middle of the answer.
     Truncating,
-    /// It closes idle connections early.
+    /// It closes connections after a short idle time.
     ClosingIdle,
-    /// It resets idle connections early.
+    /// It resets connections after a short idle time.
     ResettingIdle,
-    /// It stops answering on idle connections.
+    /// It stops answering on connections after a short idle time, and keeps them open.
     ForgettingIdle,
     /// Its host refuses connections and resets open ones.
     Refusing,
 }
 
-struct Shared {
+struct BackendState {
     index: BackendIndex,
     mode: Mutex<BackendMode>,
     connections: Mutex<Vec<TcpStream>>,
     recorder: Recorder,
 }
 
-/// A backend. Clones are the same one.
+/// Handle of a backend. Clones refer to the same backend.
 #[derive(Clone)]
-pub struct Backend(Arc<Shared>);
+pub struct Backend(Arc<BackendState>);
 
 impl Backend {
-    /// Listens at this address.
+    /// Starts a backend that listens at `address`.
     ///
     /// # Errors
     ///
     /// The address cannot be listened on.
     pub fn start(address: SocketAddr, index: BackendIndex, recorder: &Recorder) -> io::Result<Self> {
-        let shared = Shared {
+        let shared = BackendState {
             index,
             mode: Mutex::default(),
             connections: Mutex::default(),
@@ -72,12 +72,12 @@
         };
         let backend = Self(Arc::new(shared));
         let listener = TcpListener::bind(address)?;
-        let accepting = backend.clone();
-        spawn(move || accepting.accept(listener, address))?;
+        let acceptor = backend.clone();
+        spawn(move || acceptor.accept(listener, address))?;
         Ok(backend)
     }
 
-    /// Changes how it behaves.
+    /// Changes how the backend behaves. [`BackendMode::Refusing`] also resets all open connections.
     pub fn set_mode(&self, mode: BackendMode) {
         *lock(&self.0.mode) = mode;
         if mode == BackendMode::Refusing {
@@ -92,6 +92,7 @@
         *lock(&self.0.mode)
     }
 
+    /// Accepts connections until the process exits. Closes the listener while the backend refuses connections.
     fn accept(&self, listener: TcpListener, address: SocketAddr) {
         let mut listener = Some(listener);
         if let Some(listener) = &listener {
@@ -105,13 +106,13 @@
                 listener.iter().for_each(|listener| drop(listener.set_nonblocking(true)));
             }
             match listener.as_ref().map(TcpListener::accept) {
-                Some(Ok((stream, _))) => self.open(stream),
+                Some(Ok((stream, _))) => self.serve_connection(stream),
                 _ => thread::sleep(CHECK_INTERVAL),
             }
         }
     }
 
-    fn open(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
         let Ok(handle) = stream.try_clone() else { return };
@@ -122,7 +123,8 @@
             let peer = stream.peer_addr().ok();
             server.serve(&stream, &backend);
             let _ = stream.shutdown(Shutdown::Both);
-            lock(&backend.0.connections).retain(|other| other.peer_addr().is_ok_and(|at| Some(at) != peer));
+            lock(&backend.0.connections)
+                .retain(|other| other.peer_addr().is_ok_and(|address| Some(address) != peer));
         });
     }
 }
--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -1,4 +1,4 @@
-//! The quota counter, which all gatekeepers share.
+//! The quota counter that all gatekeepers share.
 
 use fault_harness::connections::serve_connections;
 use fault_harness::stand_ins::{CounterFailure, QuotaCounter};
@@ -8,22 +8,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Delay of the answers of a slow counter.
+/// Delay of each answer of a slow counter.
 const SLOW_ANSWER: Duration = Duration::from_millis(25);
 
-/// How the counter answers.
+/// How the quota counter answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CounterMode {
-    /// At once.
+    /// It answers at once.
     #[default]
     Healthy,
-    /// Late.
+    /// It answers with a delay.
     Slow,
-    /// Not at all, though it applies the calls.
+    /// It applies calls and never answers.
     Silent,
-    /// It rejects every call.
+    /// It rejects calls without applying them.
     Rejecting,
-    /// It applies a call and resets the connection.
+    /// It applies a call and then resets the connection.
     Resetting,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The quota counter. Clones share its totals and its mode.
+/// Handle of the quota counter. Clones share its totals and its mode.
 #[derive(Clone, Default)]
 pub struct Counter {
     core: QuotaCounter,
@@ -47,7 +47,7 @@
 }
 
 impl Counter {
-    /// Listens at this address.
+    /// Starts a quota counter that listens at `address`.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
         Ok(counter)
     }
 
-    /// Changes how it answers.
+    /// Changes how the counter answers.
     pub fn set_mode(&self, mode: CounterMode) {
         *lock(&self.mode) = mode;
     }
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one endpoint list, served to each gatekeeper by an agent of its own.
+//! Discovery: one endpoint list, which each gatekeeper gets from a discovery agent of its own.
 
 use crate::history::{
     BackendIndex, DiscoveryChange, GatekeeperIndex, ListChange, Moment, Notification, Recorder,
@@ -14,26 +14,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Delay of the answers of slow discovery.
+/// Delay of the first answer of a slow discovery agent to a watch.
 const SLOW_ANSWER: Duration = Duration::from_millis(600);
-/// The revision of the list at the start.
+/// Revision of the list before its first change.
 const FIRST_REVISION: u64 = 1;
 
-/// How discovery answers a gatekeeper.
+/// How a discovery agent answers its gatekeeper.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// At once.
+    /// It answers at once.
     #[default]
     Healthy,
-    /// It delays its answers.
+    /// It delays its first answer to a new watch.
     Slow,
-    /// Open watches and new ones get nothing.
+    /// It sends nothing on open and new watches.
     Silent,
-    /// Open watches end, and new connections are closed.
+    /// It closes open watches and new connections.
     Down,
 }
 
-/// The endpoint list of all gatekeepers, whose changes are recorded. Clones share it.
+/// The endpoint list of all gatekeepers, which records its changes. Clones share one list.
 #[derive(Clone)]
 pub struct SharedList {
     endpoints: EndpointList,
@@ -42,7 +42,7 @@
 }
 
 impl SharedList {
-    /// A list of backends that started long ago.
+    /// Creates a list of backends at these addresses, all of which are up and past their slow start.
     pub fn new(addresses: &[SocketAddr], recorder: &Recorder) -> Self {
         let ids = (0..addresses.len()).map(backend_id);
         Self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Changes a backend's state and records that. `has_started` tells whether the backend has just started.
+    /// Changes the listed state of a backend and records the change. `has_started` tells whether the backend has just started.
     pub fn change(&self, backend: BackendIndex, state: ListedState, has_started: bool) {
         self.endpoints.change(&backend_id(backend), ListedChange { state, has_started }, || {
             let change = ListChange { at: self.recorder.now(), backend, state, has_started };
@@ -61,7 +61,7 @@
     }
 }
 
-/// The id of a backend.
+/// The id of a backend in the endpoint list and in violations.
 pub(crate) fn backend_id(backend: BackendIndex) -> String {
     format!("s-{backend:04}")
 }
@@ -75,7 +75,7 @@
 }
 
 impl Discovery {
-    /// Listens at this address for a gatekeeper.
+    /// Starts the agent of a gatekeeper, which listens at `address`.
     ///
     /// # Errors
     ///
@@ -89,7 +89,7 @@
         Ok(discovery)
     }
 
-    /// Changes how it answers.
+    /// Changes how the agent answers, and records whether it counts as reachable.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         *lock(&self.mode) = mode;
         let is_reachable = mode == DiscoveryMode::Healthy;
@@ -99,10 +99,10 @@
     }
 }
 
-/// An update that is about to be written.
+/// A list update that is about to be written to a gatekeeper.
 pub struct Notice {
     at: Moment,
-    /// Number of changes of the list so far.
+    /// Number of changes of the list that the update includes.
     changes: usize,
 }
 
@@ -123,7 +123,7 @@
     }
 
     fn sending(&self, update: &ListUpdate) -> Notice {
-        // Each change raises the revision by one; the update includes all of them so far.
+        // Each change raises the revision by one, and an update includes all changes so far.
         let changes = update.revision.saturating_sub(FIRST_REVISION) as usize;
         Notice { at: self.list.recorder.now(), changes }
     }
