--- a/crates/fault_harness/src/client.rs
+++ b/crates/fault_harness/src/client.rs
@@ -11,18 +11,18 @@
 /// The result of waiting for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply<T> {
-    /// A reply has come.
+    /// One complete reply has arrived.
     Complete(T),
-    /// More than one reply has come.
+    /// More bytes than one complete reply have arrived.
     Excess,
     /// The gatekeeper has closed or reset the connection.
     Closed,
-    /// No complete reply has come in time.
+    /// No complete reply has arrived by the deadline.
     Late,
 }
 
 impl<T> Reply<T> {
-    /// Converts the reply if it is complete.
+    /// Converts the value of a complete reply. The other results stay as they are.
     pub fn map<U>(self, convert: impl FnOnce(T) -> U) -> Reply<U> {
         match self {
             Self::Complete(reply) => Reply::Complete(convert(reply)),
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct ClientConnection {
     stream: TcpStream,
-    /// Bytes of the present request's reply.
+    /// Bytes received since the current request was sent.
     received: Vec<u8>,
 }
 
@@ -46,23 +46,23 @@
     ///
     /// # Errors
     ///
-    /// The connection is refused or is not established in time.
+    /// The connection is refused or is not established within `timeout`.
     pub fn open(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&address, timeout)?;
         stream.set_nodelay(true)?;
         Ok(Self { stream, received: Vec::new() })
     }
 
-    /// The address of this end.
+    /// The local address of the connection.
     ///
     /// # Errors
     ///
-    /// The system does not know it.
+    /// The operating system does not report the address.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.stream.local_addr()
     }
 
-    /// Sends a request, or the start of one.
+    /// Sends a request, or the start of one. Discards what has been received for earlier requests.
     ///
     /// # Errors
     ///
@@ -72,8 +72,8 @@
         self.stream.write_all(bytes)
     }
 
-    /// Waits until `deadline` for the reply, which `parse` takes from the bytes received so far. May be called again after
-    /// [`Reply::Late`].
+    /// Waits until `deadline` for a reply. `parse` takes a complete reply from the front of the received bytes, or returns none.
+    /// May be called again after [`Reply::Late`].
     pub fn read_reply<T>(&mut self, deadline: Instant, parse: impl Fn(&mut &[u8]) -> Option<T>) -> Reply<T> {
         loop {
             let mut unread = self.received.as_slice();
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Closes both directions, as a client does that gives up.
+    /// Closes both directions of the connection, like a client that stops waiting.
     pub fn close(&self) {
-        // A connection that has ended is closed.
+        // The shutdown fails only if the connection has already ended.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/fault_harness/src/connections.rs
+++ b/crates/fault_harness/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of stand-ins and links: accepting them, and the ways to leave a peer without an answer.
+//! Accepts the connections of stand-ins and links, and ends them or stays silent on them.
 
 use crate::thread::spawn;
 use rustix::net::sockopt::set_socket_linger;
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Accepts connections in a thread and serves each in a thread of its own. Returns the address that it listens on.
+/// Listens at `address`, accepts connections in a thread, and serves each in a thread of its own. Returns the address of the
+/// listener, which differs from `address` if that has port 0.
 ///
 /// # Errors
 ///
@@ -23,7 +24,7 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let _ = stream.set_nodelay(true);
             let serve = serve.clone();
-            // Without a thread the connection is closed, as by an overloaded server.
+            // If no thread can be created, the connection is closed, as an overloaded server would do.
             let _ = spawn(move || serve(stream));
         }
     })?;
@@ -35,13 +36,13 @@
     while stream.read(&mut [0; 512]).is_ok_and(|count| count > 0) {}
 }
 
-/// Like [`keep_silent`], but ends once nothing has arrived for `timeout`.
+/// Like [`keep_silent`], but returns once nothing has arrived for `timeout`.
 pub fn keep_silent_for(stream: &mut TcpStream, timeout: Duration) {
     let _ = stream.set_read_timeout(Some(timeout));
     keep_silent(stream);
 }
 
-/// Makes the connection end with a reset instead of a close once all its handles are dropped or shut down.
+/// Makes the connection end with a reset (RST) instead of an orderly close once all its handles are dropped or shut down.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -1,18 +1,18 @@
-//! What every fault-injection harness shares. The packages `fault_injection` (sites of appliances and platforms whose links can
-//! fail) and `platform_soak` (large sites of the platform path) build their sites, faults and histories on it.
+//! Shared parts of the fault-injection harnesses. The packages `fault_injection` (sites of appliances and platforms whose links
+//! can fail) and `platform_soak` (large sites of the platform path) build their sites, faults and histories on this package.
 //!
-//! | module | what it holds |
+//! | module | content |
 //! | --- | --- |
 //! | [`process`] | a gatekeeper as a child process: its log, its signals, its exit |
-//! | [`stand_ins`] | the backend, the quota counter, the endpoint list and its watch |
+//! | [`stand_ins`] | stand-ins for backends, the quota counter, and discovery with its endpoint list |
 //! | [`client`], [`outcome`] | a client's connection, and how a request ended for its client |
-//! | [`connections`], [`wire`] | accepting and ending connections, and the messages on them |
-//! | [`schedule`], [`clock`], [`timeline`] | faults with their times, the clock of a schedule, and injecting faults by it |
-//! | [`rules`], [`violation`] | the rules that every site is checked for |
-//! | [`ports`], [`test_directory`], [`digest`] | free addresses, scratch directories, digests of what must not change |
-//! | [`sync`], [`thread`], [`wait`] | locks, threads and waits |
+//! | [`connections`], [`wire`] | accepting and ending connections, and the messages that are sent on them |
+//! | [`schedule`], [`clock`], [`timeline`] | faults with their times, the clock of a schedule, and injecting faults at their times |
+//! | [`rules`], [`violation`] | the rules that every site must keep, and their violations |
+//! | [`ports`], [`test_directory`], [`digest`] | free addresses, scratch directories, digests of texts that must not change |
+//! | [`sync`], [`thread`], [`wait`] | locks, threads, and waiting for conditions |
 //!
-//! A harness needs no privileges and stays on loopback.
+//! A harness needs no privileges and uses only loopback addresses.
 
 pub mod client;
 pub mod clock;
--- a/crates/fault_harness/src/outcome.rs
+++ b/crates/fault_harness/src/outcome.rs
@@ -5,20 +5,21 @@
 #[cfg(test)]
 mod tests;
 
-/// How a request ended for its client. The names in files are older than those of the variants, and stay.
+/// How a request ended for its client. Stored histories have older names for some variants, which serde and [`Outcome::name`]
+/// keep.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// With a backend's answer.
+    /// The client got a backend's answer.
     Served,
-    /// Rejected by quota or for lack of capacity.
+    /// The client got a rejection, because of a quota or for lack of capacity.
     #[serde(rename = "refused")]
     Rejected,
-    /// With a failure.
+    /// The client got an error.
     Failed,
-    /// With an answer that no backend gave to it.
+    /// The client got an answer that no backend gave to this request.
     Foreign,
-    /// The client's timeout elapsed. In histories of `fault_injection` also: the connection ended.
+    /// The client's timeout elapsed without an answer. In histories of `fault_injection` also: the connection ended.
     #[serde(rename = "broken")]
     Unanswered,
     /// The connection was not accepted, or was closed before the request was read.
@@ -31,7 +32,7 @@
 }
 
 impl Outcome {
-    /// The name in tables and in a history's file.
+    /// The name in tables and in stored histories.
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The outcome of a request that got this RESP2 reply. Backends answer with the request's id.
+    /// The outcome of a request that got this RESP2 reply. Backends answer a request with its id.
     pub fn of_resp_reply(reply: &str, request_id: &str) -> Self {
         match reply {
             text if text.starts_with("-BUSY") => Self::Rejected,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The outcome of a request that got this HTTP status and body. Backends answer with the request's id.
+    /// The outcome of a request that got this HTTP status and body. Backends answer a request with its id.
     pub fn of_http_response(status: &str, body: &[u8], request_id: &str) -> Self {
         match status {
             "200" if body == request_id.as_bytes() => Self::Served,
--- a/crates/fault_harness/src/outcome/tests.rs
+++ b/crates/fault_harness/src/outcome/tests.rs
@@ -1,9 +1,9 @@
-//! Outcomes of replies, and their names in files.
+//! Tests the outcomes of replies and responses, and the names of outcomes in stored histories.
 
 use super::*;
 
 #[test]
-fn a_reply_is_the_requests_own_value_a_rejection_or_a_failure() {
+fn a_resp_reply_is_served_foreign_rejected_or_failed() {
     let outcome = |reply| Outcome::of_resp_reply(reply, "00000000000000ff");
     assert_eq!(outcome("00000000000000ff"), Outcome::Served);
     assert_eq!(outcome("00000000000000fe"), Outcome::Foreign);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_response_is_the_requests_own_body_a_rejection_or_a_failure() {
+fn an_http_response_is_served_foreign_rejected_or_failed() {
     let outcome = |status, body| Outcome::of_http_response(status, body, "7");
     assert_eq!(outcome("200", b"7"), Outcome::Served);
     assert_eq!(outcome("200", b"8"), Outcome::Foreign);
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn the_name_of_an_outcome_is_the_one_in_files() {
+fn the_name_of_an_outcome_is_its_name_in_stored_histories() {
     for name in ["served", "refused", "failed", "foreign", "broken", "untaken", "closed", "left"] {
-        let outcome: Outcome = serde_json::from_value(name.into()).expect("an outcome");
+        let outcome: Outcome = serde_json::from_value(name.into()).expect("the name of an outcome");
         assert_eq!(outcome.name(), name);
     }
 }
--- a/crates/fault_harness/src/ports/tests.rs
+++ b/crates/fault_harness/src/ports/tests.rs
@@ -1,31 +1,31 @@
-//! Which addresses count as free.
+//! Tests which addresses count as free.
 
 use super::*;
 use std::net::{TcpListener, UdpSocket};
 use std::process::Command;
 use std::sync::atomic::AtomicUsize;
 
-/// Threads that fork children while addresses are drawn, and how many children each forks.
+/// Number of threads that fork children while addresses are allocated, and number of children that each forks.
 const FORKING_THREADS: usize = 4;
-const CHILDREN: usize = 150;
+const CHILDREN_PER_THREAD: usize = 150;
 
 #[test]
 fn an_address_that_is_bound_is_not_free() {
-    let listener = TcpListener::bind((host(), 0)).expect("a free port");
-    assert!(!is_free(host(), listener.local_addr().expect("an address").port()));
-    let socket = UdpSocket::bind((host(), 0)).expect("a free port");
-    assert!(!is_free(host(), socket.local_addr().expect("an address").port()));
+    let listener = TcpListener::bind((process_host(), 0)).expect("a free port");
+    assert!(!is_free(process_host(), listener.local_addr().expect("an address").port()));
+    let socket = UdpSocket::bind((process_host(), 0)).expect("a free port");
+    assert!(!is_free(process_host(), socket.local_addr().expect("an address").port()));
     let wildcard = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).expect("a free port");
-    assert!(!is_free(host(), wildcard.local_addr().expect("an address").port()));
+    assert!(!is_free(process_host(), wildcard.local_addr().expect("an address").port()));
 }
 
-/// Regression: the check bound the address, and a child that another thread forked at that moment inherited the socket, so that the
-/// address was still in use when a stand-in listened on it.
+/// Regression: the check bound the address, and a child that another thread forked at that moment inherited the socket, so that
+/// the address was still in use when a stand-in listened on it.
 #[test]
 fn an_address_is_free_at_once_while_other_threads_fork() {
     let running = AtomicUsize::new(FORKING_THREADS);
     let fork_children = || {
-        for _ in 0..CHILDREN {
+        for _ in 0..CHILDREN_PER_THREAD {
             Command::new("true").status().expect("a child");
         }
         running.fetch_sub(1, Ordering::Relaxed);
--- a/crates/fault_harness/src/process.rs
+++ b/crates/fault_harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A real gatekeeper as a child process, with its log, its signals and its end.
+//! Runs a real gatekeeper as a child process: its log, its signals, its resources and its exit.
 
 mod launch;
 mod log;
@@ -27,20 +27,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Maximum duration of a graceful shutdown: the longest deadline is 0.7 s, and the machine may be slow.
+/// Maximum duration of a graceful shutdown: the longest deadline of a request is 0.7 s, and the machine may be slow.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 /// The exit code of a process that was killed: the negative number of SIGKILL.
 pub const KILLED: i32 = -9;
-/// Time for which a throttled process runs.
+/// Time for which a throttled process runs between two suspensions.
 const THROTTLED_RUN: Duration = Duration::from_millis(5);
-/// Time for which it is then suspended.
-const THROTTLED_PAUSE: Duration = Duration::from_millis(45);
+/// Duration of each suspension of a throttled process.
+const THROTTLED_SUSPENSION: Duration = Duration::from_millis(45);
 
 /// A running gatekeeper. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
-    /// The file name of its program.
+    /// File name of the program that it runs.
     program: OsString,
     pid: Pid,
     progress: Arc<Progress>,
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// It cannot be started.
+    /// The program cannot be started, or a thread for its output or its exit cannot be created.
     pub fn start(launch: &Launch<'_>, observer: impl ProcessObserver) -> io::Result<Self> {
         let mut child = launch.command().spawn()?;
         let process = Self {
@@ -67,17 +67,17 @@
         let observer: Arc<dyn ProcessObserver> = Arc::new(observer);
         observer.started();
         let mut readers = Vec::new();
-        if let Some(out) = child.stdout.take() {
-            readers.push(spawn_reader(BufReader::new(out), &observer, &process.progress)?);
+        if let Some(output) = child.stdout.take() {
+            readers.push(spawn_reader(BufReader::new(output), &observer, &process.progress)?);
         }
-        if let Some(out) = child.stderr.take() {
-            readers.push(spawn_reader(BufReader::new(out), &observer, &process.progress)?);
+        if let Some(output) = child.stderr.take() {
+            readers.push(spawn_reader(BufReader::new(output), &observer, &process.progress)?);
         }
         process.spawn_waiter(child, readers, observer)?;
         Ok(process)
     }
 
-    /// Waits for the end in a thread and notifies the observer.
+    /// Waits for the exit of the process in a thread and notifies the observer.
     fn spawn_waiter(
         &self,
         mut child: Child,
@@ -87,7 +87,7 @@
         let (progress, exit_request) = (self.progress.clone(), self.exit_request.clone());
         spawn(move || {
             let status = child.wait();
-            // All lines are observed before the end.
+            // The observer gets all lines before the exit.
             readers.into_iter().for_each(|reader| drop(reader.join()));
             let exit_code = status.map_or(i32::MIN, exit_code);
             let request = *lock(&exit_request);
@@ -97,28 +97,28 @@
         Ok(())
     }
 
-    /// Its log, which can be waited on while others act on the process.
+    /// Returns a handle of the log, on which a caller can wait while others act on the process.
     pub fn log(&self) -> Log {
         Log::new(self.progress.clone())
     }
 
     /// Waits up to `timeout` for the exit of the process. Returns whether it has exited.
     pub fn wait_for_exit(&self, timeout: Duration) -> bool {
-        self.progress.wait_for_end(timeout)
+        self.progress.wait_for_exit(timeout)
     }
 
     /// Whether the process has exited.
     pub fn has_exited(&self) -> bool {
-        self.progress.has_ended()
+        self.progress.has_exited()
     }
 
-    /// Waits for the exit of a process that was asked to shut down. One that does not exit is killed, which counts as an exit
-    /// without a request.
+    /// Waits for the exit of a process that was asked to shut down. A process that does not exit in time is killed, which counts
+    /// as an exit without a request.
     pub fn wait_for_shutdown(&self) {
-        if !self.progress.wait_for_end(SHUTDOWN_TIMEOUT) {
+        if !self.progress.wait_for_exit(SHUTDOWN_TIMEOUT) {
             *lock(&self.exit_request) = ExitRequest::None;
             self.signal(Signal::KILL);
-            self.progress.wait_for_end(STEP_TIMEOUT);
+            self.progress.wait_for_exit(STEP_TIMEOUT);
         }
     }
 
@@ -128,25 +128,25 @@
         });
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&self) {
         *lock(&self.exit_request) = ExitRequest::Kill;
         self.signal(Signal::KILL);
-        self.progress.wait_for_end(STEP_TIMEOUT);
+        self.progress.wait_for_exit(STEP_TIMEOUT);
     }
 
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown by SIGTERM.
     pub fn shut_down(&self) {
         *lock(&self.exit_request) = ExitRequest::ShutDown;
         self.signal(Signal::TERM);
     }
 
-    /// Asks it to reload its settings.
+    /// Requests a reload of the settings by SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Suspends it until [`Process::resume`].
+    /// Suspends the process until [`Process::resume`].
     pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
@@ -157,7 +157,7 @@
         self.signal(Signal::CONT);
     }
 
-    /// Suspends it nine tenths of the time until [`Process::resume`].
+    /// Suspends the process for nine tenths of the time until [`Process::resume`].
     pub fn throttle(&self) {
         if self.throttled.swap(true, Ordering::Relaxed) {
             return;
@@ -166,7 +166,7 @@
         thread::spawn(move || {
             let send = |signal| progress.if_running(|| kill_process(pid, signal).is_ok()).unwrap_or(false);
             while throttled.load(Ordering::Relaxed) && send(Signal::STOP) {
-                thread::sleep(THROTTLED_PAUSE);
+                thread::sleep(THROTTLED_SUSPENSION);
                 if !send(Signal::CONT) {
                     return;
                 }
@@ -175,17 +175,17 @@
         });
     }
 
-    /// The resources that it uses now; none if it has exited, or has not yet become the program.
+    /// The resources that the process uses now; none if it has exited or has not executed its program yet.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         self.progress.if_running(|| ResourceUsage::read(self.pid, &self.program))?
     }
 
-    /// Its process id.
+    /// The process id, which the system may reuse after the exit.
     pub fn pid(&self) -> i32 {
         self.pid.as_raw_nonzero().get()
     }
 
-    /// Its name.
+    /// The name of the process in histories.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -198,7 +198,7 @@
     }
 }
 
-/// The exit code, or the negative number of the signal that ended it.
+/// The exit code, or the negative number of the signal that ended the process.
 fn exit_code(status: ExitStatus) -> i32 {
     status.code().unwrap_or_else(|| -status.signal().unwrap_or(0))
 }
--- a/crates/fault_harness/src/process/launch.rs
+++ b/crates/fault_harness/src/process/launch.rs
@@ -1,4 +1,4 @@
-//! Program, arguments and environment of a process.
+//! How a gatekeeper process is started.
 
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -6,7 +6,7 @@
 /// The format in which a gatekeeper writes its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line, with fields and the time of the monotonic clock.
+    /// One JSON object per line, with fields and the time of the monotonic clock.
     #[default]
     Json,
     /// Plain text.
@@ -16,20 +16,20 @@
 /// Program, arguments and environment of a process.
 #[derive(Clone, Debug)]
 pub struct Launch<'a> {
-    /// The process's name in the history.
+    /// Name of the process in the history.
     pub name: &'a str,
-    /// The program.
+    /// Path of the program.
     pub build: &'a Path,
-    /// Its arguments.
+    /// Arguments of the program.
     pub arguments: &'a [&'a str],
-    /// Variables that are added to its environment.
+    /// Environment variables that are added to those of the harness.
     pub variables: &'a [(&'a str, String)],
-    /// The format of its log.
+    /// Format in which the process writes its log.
     pub log_format: LogFormat,
 }
 
 impl<'a> Launch<'a> {
-    /// A build without arguments that logs in JSON.
+    /// Launches `build` without arguments or additional variables, with a log in JSON.
     pub fn new(name: &'a str, build: &'a Path) -> Self {
         Self { name, build, arguments: &[], variables: &[], log_format: LogFormat::default() }
     }
--- a/crates/fault_harness/src/process/log.rs
+++ b/crates/fault_harness/src/process/log.rs
@@ -1,4 +1,4 @@
-//! The log of a process, and waiting for its lines and its end.
+//! Reads the log of a process, and waits for log lines and for the exit.
 
 use super::ProcessObserver;
 use crate::sync::lock;
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 struct State {
     lines: Vec<String>,
-    has_ended: bool,
+    has_exited: bool,
 }
 
 /// The log lines of a process so far, and whether it has exited.
@@ -30,15 +30,15 @@
     }
 
     pub(super) fn end(&self) {
-        lock(&self.state).has_ended = true;
+        lock(&self.state).has_exited = true;
         self.changed.notify_all();
     }
 
-    /// Acts on the process unless it has ended: its id may be another's once its end was waited for, and is not before this
-    /// returns.
+    /// Acts on the process unless its exit has been recorded, because afterwards its id may belong to another process. The lock
+    /// is held meanwhile, so the exit is not recorded before `act` returns.
     pub(super) fn if_running<T>(&self, act: impl FnOnce() -> T) -> Option<T> {
         let state = lock(&self.state);
-        (!state.has_ended).then(act)
+        (!state.has_exited).then(act)
     }
 
     fn wait_while(
@@ -46,21 +46,21 @@
         timeout: Duration,
         condition: impl FnMut(&mut State) -> bool,
     ) -> MutexGuard<'_, State> {
-        let done = self.changed.wait_timeout_while(lock(&self.state), timeout, condition);
-        done.map_or_else(|e| e.into_inner().0, |(state, _)| state)
+        let result = self.changed.wait_timeout_while(lock(&self.state), timeout, condition);
+        result.map_or_else(|e| e.into_inner().0, |(state, _)| state)
     }
 
-    pub(super) fn has_ended(&self) -> bool {
-        lock(&self.state).has_ended
+    pub(super) fn has_exited(&self) -> bool {
+        lock(&self.state).has_exited
     }
 
-    /// Waits for the end of the process. Returns whether it came in time.
-    pub(super) fn wait_for_end(&self, timeout: Duration) -> bool {
-        self.wait_while(timeout, |state| !state.has_ended).has_ended
+    /// Waits up to `timeout` for the exit of the process. Returns whether it has exited.
+    pub(super) fn wait_for_exit(&self, timeout: Duration) -> bool {
+        self.wait_while(timeout, |state| !state.has_exited).has_exited
     }
 }
 
-/// The log of a process. Clones share it.
+/// Handle of the log of a process. Clones share one log.
 #[derive(Clone, Debug)]
 pub struct Log(Arc<Progress>);
 
@@ -69,25 +69,25 @@
         Self(progress)
     }
 
-    /// Number of lines so far that contain this text.
+    /// Number of lines so far that contain `text`.
     pub fn count(&self, text: &str) -> usize {
         lock(&self.0.state).lines.iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Waits up to [`STEP_TIMEOUT`] for a line that contains this text. Returns whether one came before the end of the process.
+    /// Waits up to [`STEP_TIMEOUT`] for a line that contains `text`. Returns whether there was one before the process exited.
     pub fn wait_for(&self, text: &str) -> bool {
         self.wait_for_within(text, STEP_TIMEOUT)
     }
 
-    /// Waits up to `timeout` for a line that contains this text. Returns whether one came before the end of the process.
+    /// Waits up to `timeout` for a line that contains `text`. Returns whether there was one before the process exited.
     pub fn wait_for_within(&self, text: &str, timeout: Duration) -> bool {
         let contains = |state: &State| state.lines.iter().any(|line| line.contains(text));
-        let state = self.0.wait_while(timeout, |state| !state.has_ended && !contains(state));
+        let state = self.0.wait_while(timeout, |state| !state.has_exited && !contains(state));
         contains(&state)
     }
 }
 
-/// Reads the lines of a process in a thread, until its output ends.
+/// Reads the output of a process line by line in a thread until it ends.
 pub(super) fn spawn_reader(
     output: impl BufRead + Send + 'static,
     observer: &Arc<dyn ProcessObserver>,
@@ -104,14 +104,14 @@
     })
 }
 
-/// A line that a process wrote. Output that is not in the JSON format, as plain logs and panics, is kept as it is.
+/// A line that a process wrote. A line that is not in the JSON format, such as a plain log line or a panic, is kept unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// When it was logged, in microseconds of the monotonic clock; none outside the JSON format.
+    /// When the line was logged, in microseconds of the monotonic clock; none if the line is not in the JSON format.
     pub at_us: Option<u64>,
-    /// The message, or the line as it is.
+    /// The message of a JSON line; otherwise the whole line.
     pub text: String,
-    /// The fields of the JSON format.
+    /// The fields of a JSON line beside time, level, target and message; otherwise empty.
     pub fields: Map<String, Value>,
 }
 
--- a/crates/fault_harness/src/process/observer.rs
+++ b/crates/fault_harness/src/process/observer.rs
@@ -5,7 +5,7 @@
 /// How the harness has asked a process to exit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ExitRequest {
-    /// Not at all.
+    /// The harness has not asked for an exit.
     #[default]
     None,
     /// By SIGTERM.
@@ -14,17 +14,18 @@
     Kill,
 }
 
-/// The end of a process.
+/// How a process has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessExit {
-    /// Its exit code, or the negative number of the signal that ended it.
+    /// Exit code, or the negative number of the signal that ended the process.
     pub exit_code: i32,
-    /// How the harness had asked for it.
+    /// How the harness had asked for the exit.
     pub request: ExitRequest,
 }
 
 impl ProcessExit {
-    /// Whether the harness asked for an exit of this kind: one that is asked to shut down and is killed by another was not.
+    /// Whether the harness asked for an exit of this kind. It did not if it only asked for a shutdown and SIGKILL from elsewhere
+    /// ended the process.
     pub fn is_requested(self) -> bool {
         match self.request {
             ExitRequest::None => false,
@@ -34,14 +35,14 @@
     }
 }
 
-/// Is notified of the start, the log lines and the exit of a process, by threads of the harness.
+/// Receives the start, the log lines and the exit of a process. Threads of the harness call the methods.
 pub trait ProcessObserver: Send + Sync + 'static {
-    /// The process was started. This comes before all else.
+    /// The process was started. Called before all other methods.
     fn started(&self) {}
 
-    /// The process wrote a line.
+    /// The process wrote a line to its standard output or standard error.
     fn logged(&self, line: LogLine);
 
-    /// The process has ended, and all its lines were observed. This comes last.
+    /// The process has exited. Called last, after [`ProcessObserver::logged`] for all lines.
     fn exited(&self, exit: ProcessExit);
 }
--- a/crates/fault_harness/src/process/tests.rs
+++ b/crates/fault_harness/src/process/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of the log, and what an observer is notified of.
+//! Tests the parsing of log lines, waiting for them, and the notifications of an observer.
 
 use super::*;
 use crate::sync::lock;
@@ -7,25 +7,25 @@
 use std::sync::Mutex;
 
 #[test]
-fn a_line_of_the_log_is_read_with_its_own_time_and_other_output_as_it_is() {
+fn a_json_line_is_parsed_with_its_own_time_and_other_output_is_kept_unchanged() {
     let line = r#"{"timestamp":"17","level":"INFO","message":"consul: a takes work","server":"a","takes_work":true,"target":"consul"}"#;
     let parsed = LogLine::parse(line.to_owned());
     assert_eq!((parsed.at_us, parsed.text.as_str()), (Some(17), "consul: a takes work"));
     assert_eq!(parsed.fields.len(), 2);
     assert_eq!(parsed.fields["takes_work"], Value::Bool(true));
     for other in ["fatal: a panic", "[1]", "{\"timestamp\":"] {
-        let as_it_is = LogLine { at_us: None, text: other.to_owned(), fields: Map::new() };
-        assert_eq!(LogLine::parse(other.to_owned()), as_it_is);
+        let unchanged = LogLine { at_us: None, text: other.to_owned(), fields: Map::new() };
+        assert_eq!(LogLine::parse(other.to_owned()), unchanged);
     }
 }
 
-/// Notes all that it is notified of.
+/// Records all notifications as text.
 #[derive(Clone, Default)]
-struct Notes(Arc<Mutex<Vec<String>>>);
+struct RecordingObserver(Arc<Mutex<Vec<String>>>);
 
-impl Notes {
-    fn add(&self, note: String) {
-        lock(&self.0).push(note);
+impl RecordingObserver {
+    fn add(&self, notification: String) {
+        lock(&self.0).push(notification);
     }
 
     fn all(&self) -> Vec<String> {
@@ -33,7 +33,7 @@
     }
 }
 
-impl ProcessObserver for Notes {
+impl ProcessObserver for RecordingObserver {
     fn started(&self) {
         self.add("started".to_owned());
     }
@@ -47,7 +47,7 @@
     }
 }
 
-fn start_shell(script: &str, log_format: LogFormat, notes: &Notes) -> Process {
+fn start_shell(script: &str, log_format: LogFormat, observer: &RecordingObserver) -> Process {
     let (arguments, variables) = (["-c", script], [("GREETING", "hello".to_owned())]);
     let launch = Launch {
         arguments: &arguments,
@@ -55,45 +55,46 @@
         log_format,
         ..Launch::new("shell", Path::new("/bin/sh"))
     };
-    Process::start(&launch, notes.clone()).expect("the shell starts")
+    Process::start(&launch, observer.clone()).expect("the shell starts")
 }
 
 #[test]
-fn an_observer_is_notified_of_the_start_then_all_lines_then_the_end() {
-    let notes = Notes::default();
-    let process = start_shell("echo $GREETING; echo format $SNOWFIELD_LOG; exit 3", LogFormat::Json, &notes);
+fn an_observer_is_notified_of_the_start_then_all_lines_then_the_exit() {
+    let observer = RecordingObserver::default();
+    let process =
+        start_shell("echo $GREETING; echo format $SNOWFIELD_LOG; exit 3", LogFormat::Json, &observer);
     assert!(process.wait_for_exit(STEP_TIMEOUT) && process.has_exited());
-    assert_eq!(notes.all(), ["started", "hello", "format json", "exited with 3, requested: false"]);
+    assert_eq!(observer.all(), ["started", "hello", "format json", "exited with 3, requested: false"]);
 }
 
 #[test]
-fn a_plain_log_is_neither_asked_for_as_json_nor_parsed() {
-    let notes = Notes::default();
-    let process = start_shell("echo format ${SNOWFIELD_LOG:-plain}", LogFormat::Plain, &notes);
+fn a_plain_log_is_neither_requested_as_json_nor_parsed() {
+    let observer = RecordingObserver::default();
+    let process = start_shell("echo format ${SNOWFIELD_LOG:-plain}", LogFormat::Plain, &observer);
     assert!(process.wait_for_exit(STEP_TIMEOUT));
-    assert_eq!(notes.all()[1], "format plain");
+    assert_eq!(observer.all()[1], "format plain");
 }
 
 #[test]
-fn a_line_is_waited_for_until_the_process_ends_or_the_time_is_over() {
-    let notes = Notes::default();
-    let ended = start_shell("echo serving on 1", LogFormat::Plain, &notes);
-    assert!(ended.log().wait_for("serving on "));
-    assert!(!ended.log().wait_for("never logged"));
-    let running = start_shell("exec sleep 30", LogFormat::Plain, &notes);
+fn waiting_for_a_line_stops_at_the_exit_of_the_process_or_at_the_timeout() {
+    let observer = RecordingObserver::default();
+    let exited = start_shell("echo serving on 1", LogFormat::Plain, &observer);
+    assert!(exited.log().wait_for("serving on "));
+    assert!(!exited.log().wait_for("never logged"));
+    let running = start_shell("exec sleep 30", LogFormat::Plain, &observer);
     assert!(!running.log().wait_for_within("never logged", Duration::from_millis(20)));
     assert!(!running.has_exited());
 }
 
 #[test]
-fn a_process_that_is_shut_down_or_killed_ends_as_requested() {
-    let notes = Notes::default();
-    let process = start_shell("echo up; exec sleep 30", LogFormat::Plain, &notes);
+fn the_exit_of_a_process_that_is_shut_down_or_killed_is_requested() {
+    let observer = RecordingObserver::default();
+    let process = start_shell("echo up; exec sleep 30", LogFormat::Plain, &observer);
     assert!(process.log().wait_for("up"));
     process.shut_down();
     assert!(process.wait_for_exit(STEP_TIMEOUT));
-    assert_eq!(notes.all().last().map(String::as_str), Some("exited with -15, requested: true"));
-    let killed = Notes::default();
+    assert_eq!(observer.all().last().map(String::as_str), Some("exited with -15, requested: true"));
+    let killed = RecordingObserver::default();
     let process = start_shell("exec sleep 30", LogFormat::Plain, &killed);
     process.kill();
     assert_eq!(killed.all(), ["started", "exited with -9, requested: true"]);
@@ -101,9 +102,9 @@
 
 #[test]
 fn a_suspended_process_writes_nothing_until_it_is_resumed() {
-    let notes = Notes::default();
+    let observer = RecordingObserver::default();
     let script = "echo up; i=0; while [ $i -lt 100 ]; do sleep 0.01; i=$((i + 1)); done; echo done";
-    let process = start_shell(script, LogFormat::Plain, &notes);
+    let process = start_shell(script, LogFormat::Plain, &observer);
     assert!(process.log().wait_for("up"));
     process.suspend();
     assert!(!process.log().wait_for_within("done", Duration::from_secs(2)));
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn an_exit_by_another_ones_kill_is_not_requested() {
+fn an_exit_by_a_kill_from_elsewhere_is_not_requested() {
     let is_requested = |request, exit_code| ProcessExit { exit_code, request }.is_requested();
     assert!(is_requested(ExitRequest::Kill, KILLED) && is_requested(ExitRequest::Kill, 0));
     assert!(is_requested(ExitRequest::ShutDown, 0) && is_requested(ExitRequest::ShutDown, 101));
--- a/crates/fault_harness/src/rules/answers.rs
+++ b/crates/fault_harness/src/rules/answers.rs
@@ -1,23 +1,24 @@
-//! Each request has one final answer, its own, and in time.
+//! Checks that each request gets one final answer, which is its own and in time.
 
 use crate::outcome::Outcome;
 use std::time::Duration;
 
-/// What is wrong with the end of a request.
+/// What is wrong with the way a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// It got an answer that is not its own.
+    /// The client got an answer that does not belong to its request.
     Foreign,
-    /// The gatekeeper closed its connection without an answer.
+    /// The gatekeeper closed the client's connection without an answer.
     Closed,
-    /// It got no answer while its client waited.
+    /// The client got no answer while it waited.
     Missing,
-    /// Its answer came later than it was due.
+    /// The client got the answer after it was due.
     Late,
 }
 
-/// What is wrong with a request that ended like this after `took`, where its answer was due within `due`. A fault may still be
-/// excused: an answer may be missing if its gatekeeper was killed, and a request may be closed unread.
+/// Returns what is wrong with a request that ended with `outcome` after `took`, if its answer was due within `due`. The caller
+/// may still excuse a fault: an answer may be missing if the gatekeeper was killed, and a gatekeeper may close a connection
+/// before it has read the request.
 pub fn answer_fault(outcome: Outcome, took: Duration, due: Duration) -> Option<AnswerFault> {
     match outcome {
         Outcome::Foreign => Some(AnswerFault::Foreign),
--- a/crates/fault_harness/src/rules/ceilings.rs
+++ b/crates/fault_harness/src/rules/ceilings.rs
@@ -1,30 +1,31 @@
-//! No tenant passes its hard ceiling.
+//! Checks that no tenant exceeds its hard ceiling.
 
 use super::TokenBucket;
 use std::time::Duration;
 
-/// Units that were admitted for a tenant: those of a request, at its first attempt.
+/// Units that were admitted for a tenant: those of one request, counted at its first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// When the attempt arrived.
+    /// When the first attempt arrived at its backend.
     pub at: Duration,
     /// The units that the request takes.
     pub units: f64,
 }
 
-/// The units by which a tenant had passed its ceiling.
+/// The units by which a tenant exceeded its ceiling at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess {
-    /// When.
+    /// When the admission that caused the excess arrived.
     pub at: Duration,
-    /// The units beyond rate and burst.
+    /// Units beyond the rate and the burst of the ceiling.
     pub units: f64,
-    /// The units that were allowed beyond them.
+    /// Units beyond rate and burst that are tolerated at this time.
     pub allowed: f64,
 }
 
-/// The largest excess of a tenant's admissions, in the order of time, over what a full token bucket with this rate and burst and
-/// `allowed` beyond it permit. None if all are permitted.
+/// Finds the largest excess of a tenant's admissions, which are in the order of time, over a token bucket with this rate and
+/// burst that is full at the first admission. An excess of up to `allowed` units at its time is tolerated. None if all admissions
+/// are permitted.
 pub fn largest_excess(
     units_per_second: f64,
     burst: f64,
@@ -36,8 +37,8 @@
     for admission in admissions {
         let level = bucket.take(admission.units, admission.at);
         let excess = Excess { at: admission.at, units: -level, allowed: allowed(admission.at) };
-        let beyond = |excess: &Excess| excess.units - excess.allowed;
-        if beyond(&excess) > largest.as_ref().map_or(0.0, beyond) {
+        let untolerated = |excess: &Excess| excess.units - excess.allowed;
+        if untolerated(&excess) > largest.as_ref().map_or(0.0, untolerated) {
             largest = Some(excess);
         }
     }
--- a/crates/fault_harness/src/rules/tests.rs
+++ b/crates/fault_harness/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! For each rule what keeps it and what breaks it.
+//! Tests each rule with cases that keep it and cases that break it.
 
 use super::*;
 use crate::outcome::Outcome;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_answer_has_to_be_the_requests_own_and_in_time() {
+fn an_answer_must_belong_to_the_request_and_arrive_in_time() {
     for (outcome, took, fault) in [
         (Outcome::Served, DUE, None),
         (Outcome::Rejected, DUE, None),
@@ -31,8 +31,8 @@
 #[test]
 fn admissions_may_use_up_the_burst_and_the_rate() {
     let at = |at_ms, units| Admission { at: ms(at_ms), units };
-    let kept = [at(1_000, 10.0), at(1_500, 5.0), at(9_000, 10.0)];
-    assert_eq!(largest_excess(10.0, 10.0, &kept, |_| 0.0), None);
+    let permitted = [at(1_000, 10.0), at(1_500, 5.0), at(9_000, 10.0)];
+    assert_eq!(largest_excess(10.0, 10.0, &permitted, |_| 0.0), None);
     assert_eq!(largest_excess(10.0, 10.0, &[], |_| 0.0), None);
 }
 
@@ -43,13 +43,13 @@
     let excess = largest_excess(10.0, 10.0, &broken, |_| 1.0);
     assert_eq!(excess, Some(Excess { at: ms(0), units: 3.0, allowed: 1.0 }));
     assert_eq!(largest_excess(10.0, 10.0, &broken, |_| 3.0), None);
-    // What is allowed may change with time.
+    // The tolerated excess may change with time.
     let allowed = |at| if at == Duration::ZERO { 3.0 } else { -5.0 };
     assert_eq!(largest_excess(10.0, 10.0, &broken, allowed).map(|excess| excess.at), Some(ms(1_000)));
 }
 
 #[test]
-fn an_attempt_is_late_between_the_grace_and_the_end_of_the_span() {
+fn an_attempt_is_late_after_the_grace_period_and_before_the_end_of_the_span() {
     let span = IneligibleSpan { from: ms(1_000), to: ms(5_000) };
     for (attempt, lateness) in [
         (ms(900), None),
--- a/crates/fault_harness/src/rules/token_bucket.rs
+++ b/crates/fault_harness/src/rules/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket that is charged after the fact.
+//! A token bucket that checkers charge with units that were already admitted.
 
 use std::time::Duration;
 
@@ -12,12 +12,13 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is full at this time.
+    /// Creates a bucket that is full at time `at`.
     pub fn full(units_per_second: f64, burst: f64, at: Duration) -> Self {
         Self { units_per_second, burst, level: burst, updated: at }
     }
 
-    /// Refills the bucket up to this time, takes units from it, and returns its level. Times do not go back.
+    /// Refills the bucket up to time `at`, takes units from it, and returns its level. Must not be called with an earlier time
+    /// than before.
     pub fn take(&mut self, units: f64, at: Duration) -> f64 {
         let refill = self.units_per_second * (at - self.updated).as_secs_f64();
         self.level = (self.level + refill).min(self.burst) - units;
--- a/crates/fault_harness/src/schedule.rs
+++ b/crates/fault_harness/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a schedule.
+//! A fault of a schedule and its stored form.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -6,38 +6,39 @@
 #[cfg(test)]
 mod tests;
 
-/// A fault and when it is injected. `K` is what a harness can do. In files the times are milliseconds.
+/// A fault and when it is injected. `K` is the type of the harness's kinds of faults. Stored schedules have the times in
+/// milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Fault<K> {
-    /// When it begins, from the begin of the schedule.
+    /// When the fault begins, from the start of the schedule.
     #[serde(rename = "at_ms", with = "milliseconds")]
     pub start: Duration,
-    /// For how long it is held.
+    /// How long the fault lasts.
     #[serde(rename = "for_ms", with = "milliseconds")]
     pub duration: Duration,
-    /// Its kind.
+    /// What the fault affects, and how.
     #[serde(flatten)]
     pub kind: K,
 }
 
 impl<K> Fault<K> {
-    /// A fault of this kind.
+    /// Creates a fault of this kind.
     pub fn new(start: Duration, duration: Duration, kind: K) -> Self {
         Self { start, duration, kind }
     }
 
-    /// The same from milliseconds, as schedules are written down.
+    /// Creates a fault from times in milliseconds, as in stored schedules.
     pub fn from_millis(start_ms: u64, duration_ms: u64, kind: K) -> Self {
         Self::new(Duration::from_millis(start_ms), Duration::from_millis(duration_ms), kind)
     }
 
-    /// When it ends.
+    /// When the fault ends, from the start of the schedule.
     pub fn end(&self) -> Duration {
         self.start.saturating_add(self.duration)
     }
 }
 
-/// Spans of time as whole milliseconds.
+/// Serializes a duration as whole milliseconds.
 mod milliseconds {
     use serde::{Deserialize, Deserializer, Serializer};
     use std::time::Duration;
--- a/crates/fault_harness/src/stand_ins.rs
+++ b/crates/fault_harness/src/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of what gatekeepers speak to, each of which can be made to fail.
+//! Stand-ins for the peers of gatekeepers: backends, the quota counter and discovery agents. Each can be made to fail.
 
 mod backend_server;
 mod endpoint_list;
--- a/crates/fault_harness/src/stand_ins/backend_server.rs
+++ b/crates/fault_harness/src/stand_ins/backend_server.rs
@@ -1,4 +1,5 @@
-//! The backend: it reads requests, works on each for a few milliseconds, and answers or fails as its site says.
+//! The server of a stand-in backend: it reads requests, spends a few milliseconds on each, and answers or fails as its site
+//! decides.
 
 use crate::clock::ScheduleClock;
 use crate::connections::{is_temporary, keep_silent, reset_on_close};
@@ -11,43 +12,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Service time of a request, in microseconds.
-const WORK_US: Range<u64> = 2_000..9_000;
+/// Range of the service time of a request, in microseconds.
+const SERVICE_TIME_US: Range<u64> = 2_000..9_000;
 /// Time without a request after which a connection counts as idle.
-const SHORT_IDLE: Duration = Duration::from_millis(60);
-/// Index of the request's id among the arguments of a command.
-const REQUEST_ID: usize = 2;
-/// Index of the request's fields.
-const FIELDS: usize = 3;
+const IDLE_THRESHOLD: Duration = Duration::from_millis(60);
+/// Index of the request's id among the arguments of a RESP2 command.
+const REQUEST_ID_INDEX: usize = 2;
+/// Index of the request's fields among the arguments of a RESP2 command.
+const FIELDS_INDEX: usize = 3;
 
 /// The protocol that a backend speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendProtocol {
-    /// HTTP/1.1, with the request's id in a header.
+    /// HTTP/1.1, with the request's id in the header `X-Op`.
     Http,
-    /// RESP2.
+    /// RESP2, with the request's id among the arguments of the command.
     Resp,
 }
 
 /// How a backend answers one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerMode {
-    /// With its value.
+    /// It answers with the request's value.
     #[default]
     Serve,
-    /// With its value, after this additional time.
+    /// It answers with the request's value after this additional time.
     Slow(Duration),
-    /// With an error. The request may have run.
+    /// It answers with an error. The request may have run.
     Fail,
-    /// With a rejection. The request never ran.
+    /// It answers with a rejection. The request never ran.
     Reject,
-    /// With the first half of its value and a close.
+    /// It sends the first half of the answer and closes the connection.
     Truncate,
-    /// Not at all: it closes the connection.
+    /// It closes the connection without an answer.
     Close,
-    /// Not at all: it resets the connection.
+    /// It resets the connection without an answer.
     Reset,
-    /// Not at all: the connection stays open.
+    /// It never answers and keeps the connection open.
     Hang,
 }
 
@@ -61,60 +62,61 @@
     Close,
     /// It resets the connection.
     Reset,
-    /// It answers nothing more on the connection.
+    /// It keeps the connection open and never answers on it again.
     Forget,
 }
 
 /// How an attempt ended at its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It is in flight.
+    /// The attempt is in flight.
     Open,
-    /// Its value was written.
+    /// The request's value was written.
     Served,
     /// An error was written. The request may have run.
     Failed,
     /// A rejection was written. The request never ran.
     Rejected,
-    /// The connection ended first.
+    /// The connection ended without a complete answer.
     Closed,
 }
 
-/// An attempt that has arrived completely.
+/// An attempt that a backend has received completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request's id, as text.
+    /// The request's id as it stands on the wire.
     pub request_id: String,
-    /// When the first byte was read, on the clock of the server.
+    /// When the first byte was read, by the clock of the server.
     pub began: Duration,
-    /// When the last byte was read.
+    /// When the last byte was read, by the clock of the server.
     pub arrived: Duration,
-    /// The time left until the deadline, if the attempt states it.
+    /// The time left until the deadline; none if the attempt does not state it.
     pub time_left: Option<Duration>,
 }
 
-/// What a site decides and records of one backend.
+/// The part of a site that decides how one backend behaves and records its attempts.
 pub trait BackendSite {
-    /// Identifies an attempt from its arrival to its end.
+    /// Identifies an attempt between the calls of `arrived` and `ended`.
     type Attempt;
 
-    /// Whether a connection may bring another request; otherwise it is closed.
+    /// Whether the backend reads another request on a connection. If not, the connection is closed.
     fn accepts_requests(&self) -> bool {
         true
     }
-    /// What becomes of idle connections now.
+    /// What the backend does with a connection that is idle now.
     fn idle_mode(&self) -> IdleMode {
         IdleMode::Keep
     }
-    /// How a request that has arrived now is answered.
+    /// How the backend answers a request that has arrived now.
     fn answer_mode(&self, random: &mut fastrand::Rng) -> AnswerMode;
-    /// An attempt has arrived. Health checks are none.
+    /// An attempt has arrived. Not called for health checks.
     fn arrived(&self, arrival: Arrival) -> Self::Attempt;
-    /// An attempt ends. Called before the answer is written, as the gatekeeper may send the next attempt at once.
+    /// An attempt ends. Called before the answer is written, because the gatekeeper may send the next attempt as soon as it reads
+    /// the answer.
     fn ended(&self, _attempt: &Self::Attempt, _outcome: AttemptOutcome) {}
 }
 
-/// A request, and the answers to it.
+/// A request and the bytes of the possible answers to it.
 struct Request {
     /// None for a health check.
     arrival: Option<Arrival>,
@@ -123,26 +125,26 @@
     rejection: Vec<u8>,
 }
 
-/// Whether a connection is kept after an answer.
+/// Whether a connection goes on to the next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum After {
-    Keep,
+enum NextStep {
+    Continue,
     End,
 }
 
-/// The server of a backend's connections.
+/// Serves the connections of one backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendServer {
-    /// The protocol that it speaks.
+    /// The protocol of the connections.
     pub protocol: BackendProtocol,
-    /// Times arrivals.
+    /// The clock that times the arrivals of attempts.
     pub clock: ScheduleClock,
 }
 
 impl BackendServer {
     /// Serves a connection until it ends.
     pub fn serve(&self, stream: &TcpStream, site: &impl BackendSite) {
-        // An error is the end of the connection.
+        // An error only means that the connection has ended.
         let _ = self.serve_requests(stream, site);
     }
 
@@ -152,12 +154,12 @@
         let mut is_first = true;
         while site.accepts_requests() {
             let is_idle = !is_first && received.buffer().is_empty();
-            if is_idle && wait_for_request(stream, site)? == After::End {
+            if is_idle && wait_for_request(stream, site)? == NextStep::End {
                 break;
             }
             is_first = false;
             let Some(request) = self.read(&mut received, stream)? else { break };
-            if answer(stream, request, &mut random, site)? == After::End {
+            if answer(stream, request, &mut random, site)? == NextStep::End {
                 break;
             }
         }
@@ -193,8 +195,8 @@
 
     fn read_resp(&self, received: &mut BufReader<TcpStream>, began: Duration) -> Option<Request> {
         let arguments = wire::read_resp_command(received)?;
-        let request_id = arguments.get(REQUEST_ID)?.clone();
-        let time_left = arguments.get(FIELDS).and_then(|fields| time_left(fields));
+        let request_id = arguments.get(REQUEST_ID_INDEX)?.clone();
+        let time_left = arguments.get(FIELDS_INDEX).and_then(|fields| time_left(fields));
         let success = wire::backend_reply(&request_id);
         Some(Request {
             arrival: Some(Arrival { request_id, began, arrived: self.clock.now(), time_left }),
@@ -205,13 +207,13 @@
     }
 }
 
-/// Waits for the next request on a connection. Ends an idle connection as the site says.
-fn wait_for_request(stream: &TcpStream, site: &impl BackendSite) -> io::Result<After> {
-    stream.set_read_timeout(Some(SHORT_IDLE))?;
+/// Waits for the next request on a connection. Treats an idle connection as the site decides.
+fn wait_for_request(stream: &TcpStream, site: &impl BackendSite) -> io::Result<NextStep> {
+    stream.set_read_timeout(Some(IDLE_THRESHOLD))?;
     loop {
         match stream.peek(&mut [0]) {
-            Ok(0) => return Ok(After::End),
-            Ok(_) => return Ok(After::Keep),
+            Ok(0) => return Ok(NextStep::End),
+            Ok(_) => return Ok(NextStep::Continue),
             Err(error) if is_temporary(&error) => {}
             Err(error) => return Err(error),
         }
@@ -221,30 +223,30 @@
             IdleMode::Reset => reset_on_close(stream),
             IdleMode::Forget => hang(stream)?,
         }
-        return Ok(After::End);
+        return Ok(NextStep::End);
     }
 }
 
-/// Works on a request and answers it as the site says.
+/// Spends the service time on a request and answers it as the site decides.
 fn answer(
     stream: &TcpStream,
     request: Request,
     random: &mut fastrand::Rng,
     site: &impl BackendSite,
-) -> io::Result<After> {
+) -> io::Result<NextStep> {
     let attempt = request.arrival.map(|arrival| site.arrived(arrival));
     let end = |outcome| attempt.iter().for_each(|attempt| site.ended(attempt, outcome));
     let mode = site.answer_mode(random);
     if mode == AnswerMode::Hang {
         hang(stream)?;
         end(AttemptOutcome::Closed);
-        return Ok(After::End);
+        return Ok(NextStep::End);
     }
-    let work = Duration::from_micros(random.u64(WORK_US));
+    let service_time = Duration::from_micros(random.u64(SERVICE_TIME_US));
     let delay = if let AnswerMode::Slow(delay) = mode { delay } else { Duration::ZERO };
-    if is_closed_within(stream, work + delay)? {
+    if is_closed_within(stream, service_time + delay)? {
         end(AttemptOutcome::Closed);
-        return Ok(After::End);
+        return Ok(NextStep::End);
     }
     let (bytes, outcome) = match mode {
         AnswerMode::Serve | AnswerMode::Slow(_) => (request.success.as_slice(), AttemptOutcome::Served),
@@ -258,17 +260,17 @@
     }
     end(outcome);
     (&mut &*stream).write_all(bytes)?;
-    Ok(if outcome == AttemptOutcome::Closed { After::End } else { After::Keep })
+    Ok(if outcome == AttemptOutcome::Closed { NextStep::End } else { NextStep::Continue })
 }
 
-/// Answers nothing until the peer closes the connection.
+/// Stays silent until the peer closes the connection.
 fn hang(stream: &TcpStream) -> io::Result<()> {
     stream.set_read_timeout(None)?;
     keep_silent(&mut stream.try_clone()?);
     Ok(())
 }
 
-/// Whether the peer closes the connection within this time.
+/// Whether the peer closes the connection within `time`. Returns early if the peer sends more bytes.
 fn is_closed_within(stream: &TcpStream, time: Duration) -> io::Result<bool> {
     stream.set_read_timeout(Some(time))?;
     match stream.peek(&mut [0]) {
@@ -278,7 +280,7 @@
     }
 }
 
-/// The value `d` of a request's fields: the time until the deadline.
+/// The time until the deadline: the value of the field `d`, in milliseconds.
 fn time_left(fields: &str) -> Option<Duration> {
     let text = fields.split(',').find_map(|field| field.strip_prefix("d="))?;
     text.parse().ok().map(Duration::from_millis)
--- a/crates/fault_harness/src/stand_ins/backend_server/tests.rs
+++ b/crates/fault_harness/src/stand_ins/backend_server/tests.rs
@@ -1,4 +1,4 @@
-//! Requests over a real connection, with each way to answer and to treat an idle connection.
+//! Tests each way to answer requests and to treat idle connections, over real connections.
 
 use super::*;
 use crate::client::{ClientConnection, Reply};
@@ -10,18 +10,18 @@
 use std::time::Instant;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Longer than the work on a request, and shorter than any wait for a close.
+/// Longer than the service time of a request, and shorter than any wait for a close.
 const SILENCE: Duration = Duration::from_millis(200);
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 const REQUEST: &[&str] = &["SVC.QUERY", "tenant", "00ff", "c=lookup,d=250,units=1"];
 
-/// A backend that notes its attempts.
+/// A site that records the attempts of its backend.
 #[derive(Clone, Default)]
 struct Site {
     answer: AnswerMode,
     idle: IdleMode,
     rejects_connections: bool,
-    /// Number of looks at an idle connection.
+    /// Number of calls of `idle_mode`.
     idle_checks: Arc<AtomicUsize>,
     attempts: Arc<Mutex<Vec<(Arrival, AttemptOutcome)>>>,
 }
@@ -67,8 +67,8 @@
     let (server, site) = (BackendServer { protocol, clock: ScheduleClock::start() }, site.clone());
     let any_port = ([127, 0, 0, 1], 0).into();
     let address =
-        serve_connections(any_port, move |stream| server.serve(&stream, &site)).expect("it listens");
-    ClientConnection::open(address, TIMEOUT).expect("it accepts")
+        serve_connections(any_port, move |stream| server.serve(&stream, &site)).expect("the server listens");
+    ClientConnection::open(address, TIMEOUT).expect("the server accepts the connection")
 }
 
 fn read_reply(connection: &mut ClientConnection, timeout: Duration) -> Reply<String> {
@@ -76,7 +76,7 @@
 }
 
 fn call(connection: &mut ClientConnection) -> Reply<String> {
-    connection.send(&wire::resp_command(REQUEST)).expect("it is sent");
+    connection.send(&wire::resp_command(REQUEST)).expect("the bytes are sent");
     read_reply(connection, TIMEOUT)
 }
 
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn an_arrival_states_the_request_its_times_and_the_time_left() {
+fn an_arrival_has_the_requests_id_its_times_and_the_time_left() {
     let site = Site::default();
     let mut connection = connect(BackendProtocol::Resp, &site);
     let command = wire::resp_command(REQUEST);
-    connection.send(&command[..5]).expect("it is sent");
+    connection.send(&command[..5]).expect("the bytes are sent");
     std::thread::sleep(2 * SILENCE);
-    connection.send(&command[5..]).expect("it is sent");
+    connection.send(&command[5..]).expect("the bytes are sent");
     assert_eq!(read_reply(&mut connection, TIMEOUT), Reply::Complete("00ff".to_owned()));
     let arrival = lock(&site.attempts)[0].0.clone();
     assert_eq!(arrival.request_id, "00ff");
@@ -118,7 +118,7 @@
     for mode in [AnswerMode::Slow(TIMEOUT), AnswerMode::Hang] {
         let site = Site::answering(mode);
         let mut connection = connect(BackendProtocol::Resp, &site);
-        connection.send(&wire::resp_command(REQUEST)).expect("it is sent");
+        connection.send(&wire::resp_command(REQUEST)).expect("the bytes are sent");
         let has_arrived = || site.outcomes() == [AttemptOutcome::Open];
         assert!(wait_until(TIMEOUT, POLL_INTERVAL, has_arrived), "{mode:?}");
         assert_eq!(read_reply(&mut connection, SILENCE), Reply::Late, "{mode:?}");
@@ -129,7 +129,7 @@
     }
 }
 
-/// A connection that was idle after an answer for long enough to be treated so.
+/// Returns a connection that has been idle after an answer for long enough to be treated as idle.
 fn idle_connection(idle: IdleMode) -> ClientConnection {
     let site = Site { idle, ..Site::default() };
     let mut connection = connect(BackendProtocol::Resp, &site);
@@ -143,18 +143,18 @@
 fn an_idle_connection_is_closed_or_reset() {
     for idle in [IdleMode::Close, IdleMode::Reset] {
         let mut connection = idle_connection(idle);
-        // Forgets the first answer; the connection may have ended.
+        // Discards the first answer. The send fails if the connection has already ended.
         let _ = connection.send(b"");
         assert_eq!(read_reply(&mut connection, TIMEOUT), Reply::Closed, "{idle:?}");
     }
 }
 
 #[test]
-fn an_idle_connection_is_kept_or_forgotten() {
+fn an_idle_connection_is_kept_or_never_answered_again() {
     assert_eq!(call(&mut idle_connection(IdleMode::Keep)), Reply::Complete("00ff".to_owned()));
-    let mut forgotten = idle_connection(IdleMode::Forget);
-    forgotten.send(&wire::resp_command(REQUEST)).expect("it is sent");
-    assert_eq!(read_reply(&mut forgotten, SILENCE), Reply::Late);
+    let mut unanswered = idle_connection(IdleMode::Forget);
+    unanswered.send(&wire::resp_command(REQUEST)).expect("the bytes are sent");
+    assert_eq!(read_reply(&mut unanswered, SILENCE), Reply::Late);
 }
 
 #[test]
@@ -165,11 +165,11 @@
 }
 
 #[test]
-fn a_health_check_over_http_is_answered_and_is_no_attempt() {
+fn an_http_health_check_is_answered_and_not_recorded_as_an_attempt() {
     let site = Site::default();
     let mut connection = connect(BackendProtocol::Http, &site);
     let mut body = |request: &[u8]| {
-        connection.send(request).expect("it is sent");
+        connection.send(request).expect("the bytes are sent");
         let response =
             connection.read_reply(Instant::now() + TIMEOUT, |bytes| wire::read_http_message(bytes));
         response.map(|message| message.body)
--- a/crates/fault_harness/src/stand_ins/endpoint_list.rs
+++ b/crates/fault_harness/src/stand_ins/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of discovery, and the form in which watches get it.
+//! The endpoint list of the discovery stand-ins, and its form on the wire of a watch.
 
 use crate::sync::lock;
 use std::io::{self, Write};
@@ -6,17 +6,17 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A watch on which nothing changes gets an empty line at this interval.
+/// Interval at which a watch without changes gets an empty line.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Whether a backend is eligible for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It is.
+    /// It is eligible.
     Up,
-    /// It finishes the requests that it has.
+    /// It gets no new requests and finishes those that it has.
     Draining,
-    /// It is off the list.
+    /// It is not on the list any more.
     Removed,
 }
 
@@ -31,16 +31,16 @@
     }
 }
 
-/// A backend on the list.
+/// A backend on the list, also after its removal.
 #[derive(Clone, Debug)]
 pub struct ListedBackend {
-    /// Its id.
+    /// Identifies the backend on the list.
     pub id: String,
-    /// Its state.
+    /// Whether it is eligible since its last change.
     pub state: ListedState,
-    /// Its last start in Unix milliseconds; 0 for long ago.
+    /// When it last started, in Unix milliseconds; 0 if that is long ago.
     boot_ms: u64,
-    /// The revision of its last change.
+    /// The list's revision with its last change.
     revision: u64,
 }
 
@@ -58,16 +58,16 @@
 pub struct ListedChange {
     /// Its state from then on.
     pub state: ListedState,
-    /// It has just started.
+    /// Whether the backend has just started.
     pub has_started: bool,
 }
 
-/// What a watch is sent.
+/// An update that a watch is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// The list's revision.
+    /// Revision of the list that the update brings the gatekeeper to.
     pub revision: u64,
-    /// The backends, as one line of JSON.
+    /// The revision and the backends as one line of JSON.
     pub text: String,
 }
 
@@ -77,21 +77,22 @@
     backends: Vec<ListedBackend>,
 }
 
-/// The endpoint list. Clones share it.
+/// Handle of the endpoint list. Clones share one list.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     shared: Arc<(Mutex<List>, Condvar)>,
 }
 
 impl EndpointList {
-    /// A list with this revision of backends that started long ago.
+    /// Creates a list with this revision of backends that are up and started long ago.
     pub fn new(ids: impl IntoIterator<Item = String>, revision: u64) -> Self {
         let backend = |id| ListedBackend { id, state: ListedState::Up, boot_ms: 0, revision };
         let backends = ids.into_iter().map(backend).collect();
         Self { shared: Arc::new((Mutex::new(List { revision, backends }), Condvar::new())) }
     }
 
-    /// Changes the backend with this id and wakes all watches. `observe` is called before any watch can see the change.
+    /// Changes the backend with this id, if there is one, and wakes all watches. `observe` is called before any watch can see the
+    /// change.
     pub fn change(&self, id: &str, change: ListedChange, observe: impl FnOnce()) {
         let mut list = lock(&self.shared.0);
         let revision = list.revision + 1;
@@ -105,40 +106,40 @@
         self.shared.1.notify_all();
     }
 
-    /// The revision of the last change.
+    /// The current revision. Each change raises it by one.
     pub fn revision(&self) -> u64 {
         lock(&self.shared.0).revision
     }
 
-    /// All backends, also removed ones.
+    /// All backends, including removed ones.
     pub fn backends(&self) -> Vec<ListedBackend> {
         lock(&self.shared.0).backends.clone()
     }
 
-    /// The backends that have changed after a revision, or without one all that are listed, for a gatekeeper that reaches them
-    /// at these addresses. Those without an address are left out.
+    /// Creates an update for a gatekeeper that reaches the backends at these addresses. It has the backends that have changed
+    /// after revision `since`, or all listed backends if that is none. Backends without an address are left out.
     pub fn update(&self, since: Option<u64>, address: impl Fn(&str) -> Option<SocketAddr>) -> ListUpdate {
         let list = lock(&self.shared.0);
-        let is_wanted = |backend: &&ListedBackend| match since {
+        let is_included = |backend: &&ListedBackend| match since {
             Some(revision) => backend.revision > revision,
             None => backend.state != ListedState::Removed,
         };
-        let wanted = list.backends.iter().filter(is_wanted);
+        let included = list.backends.iter().filter(is_included);
         let targets: Vec<String> =
-            wanted.filter_map(|backend| Some(backend.json(address(&backend.id)?))).collect();
+            included.filter_map(|backend| Some(backend.json(address(&backend.id)?))).collect();
         let (revision, is_complete) = (list.revision, since.is_none());
         let text = format!(r#"{{"rev":{revision},"all":{is_complete},"targets":[{}]}}"#, targets.join(","));
         ListUpdate { revision, text }
     }
 
-    /// Waits up to `timeout` until the list has another revision than this one.
+    /// Waits up to `timeout` until the revision of the list differs from `revision`.
     pub fn wait_for_change(&self, revision: u64, timeout: Duration) {
         let is_unchanged = |list: &mut List| list.revision == revision;
         drop(self.shared.1.wait_timeout_while(lock(&self.shared.0), timeout, is_unchanged));
     }
 }
 
-/// Writes the head of the answer to a watch; lines follow as chunks.
+/// Writes the head of the HTTP response to a watch. The lines of the watch follow as chunks.
 ///
 /// # Errors
 ///
@@ -147,7 +148,7 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-/// Writes a line of a watch as a chunk.
+/// Writes a line of a watch as one chunk of the HTTP response.
 ///
 /// # Errors
 ///
--- a/crates/fault_harness/src/stand_ins/endpoint_list/tests.rs
+++ b/crates/fault_harness/src/stand_ins/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! What watches get of a list that changes.
+//! Tests the updates that watches get when the list changes.
 
 use super::*;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_complete_list_has_all_that_are_not_removed() {
+fn a_complete_list_has_all_backends_that_are_not_removed() {
     let list = list();
     list.change("l0", REMOVED, || ());
     let text = format!(r#"{{"rev":42,"all":true,"targets":[{}]}}"#, json("l1", 7_001, "up"));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_update_has_only_what_changed_since_also_removals() {
+fn an_update_has_only_the_backends_that_changed_including_removed_ones() {
     let list = list();
     list.change("l0", REMOVED, || ());
     list.change("l1", DRAINING, || ());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_start_is_listed_with_its_time() {
+fn the_start_time_of_a_backend_is_listed() {
     let list = list();
     let before = unix_ms();
     list.change("l0", ListedChange { state: ListedState::Up, has_started: true }, || ());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_watch_wakes_on_a_change_and_sees_what_was_observed_before() {
+fn a_change_wakes_a_watch_after_it_was_observed() {
     let list = list();
     list.wait_for_change(41, Duration::from_millis(1));
     let observed = Arc::new(Mutex::new(false));
--- a/crates/fault_harness/src/stand_ins/quota_counter.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter.rs
@@ -1,4 +1,4 @@
-//! The quota counter: totals by name, each of which expires, behind RESP2.
+//! The quota counter stand-in: a RESP2 server that keeps named totals, each of which expires.
 
 use crate::connections::{keep_silent, reset_on_close};
 use crate::sync::lock;
@@ -16,20 +16,20 @@
 /// The reply to a call that is rejected.
 const REJECTION: &str = "-BUSY\r\n";
 
-/// How the counter fails.
+/// How the counter fails to answer a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterFailure {
     /// It answers after this delay.
     Slow(Duration),
-    /// It applies no call and answers none.
+    /// It neither applies nor answers calls, and keeps the connection open.
     Silent,
-    /// It closes the connection on a call, which it does not apply.
+    /// It closes the connection on a call, without applying the call.
     Closed,
-    /// It rejects calls.
+    /// It rejects calls without applying them.
     Rejecting,
-    /// It applies calls, and its answers are lost.
+    /// It applies a call and never answers on this connection again.
     ResponseLost,
-    /// It applies a call and closes the connection within its answer.
+    /// It applies a call and closes the connection in the middle of the answer.
     ResponseTruncated,
     /// It applies a call and resets the connection.
     Resetting,
@@ -38,19 +38,19 @@
 /// An amount that was added to a total.
 #[derive(Clone, Copy, Debug)]
 pub struct Addition<'a> {
-    /// The total's name.
+    /// Name of the total.
     pub name: &'a str,
-    /// The amount.
+    /// The amount that was added.
     pub amount: f64,
-    /// The total after that, as it is answered.
+    /// The total after the addition, as it is sent in the answer.
     pub total: f64,
 }
 
-/// A call as it was parsed.
+/// A parsed call.
 #[derive(Debug, PartialEq)]
 enum Call<'a> {
     Ping,
-    /// Adds to a total, whose lifetime begins with its first amount.
+    /// Adds to a total. The lifetime of a total begins with its first amount.
     Add {
         name: &'a str,
         amount: f64,
@@ -60,7 +60,7 @@
 }
 
 impl<'a> Call<'a> {
-    /// None where an argument cannot be read.
+    /// Parses a call; none if an argument is malformed.
     fn parse(arguments: &'a [String]) -> Option<Self> {
         Some(match &arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
             ["PING"] => Self::Ping,
@@ -74,7 +74,7 @@
     }
 }
 
-/// The response to a call.
+/// What the counter does in response to a call.
 enum Response {
     Send(String),
     KeepSilent,
@@ -87,7 +87,7 @@
     expires: Instant,
 }
 
-/// The quota counter. Clones share its totals.
+/// Handle of the quota counter. Clones share its totals.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCounter {
     totals: Arc<Mutex<HashMap<String, Total>>>,
@@ -95,30 +95,30 @@
 }
 
 impl QuotaCounter {
-    /// Forgets all totals, as a counter does that restarts without its state.
+    /// Deletes all totals, like a counter that restarts without stored state.
     pub fn clear(&self) {
         lock(&self.totals).clear();
     }
 
-    /// Number of handled calls that asked to add, applied or not.
+    /// Number of handled calls that add to a total, whether they were applied or failed.
     pub fn calls(&self) -> u64 {
         self.additions.load(Ordering::Acquire)
     }
 
-    /// Adds to a total and returns it as it is answered.
+    /// Adds to a total and returns the total as it is sent in the answer.
     fn add(&self, name: &str, amount: f64, lifetime: Duration) -> f64 {
         let (mut totals, now) = (lock(&self.totals), Instant::now());
-        let fresh = || Total { value: 0.0, expires: now + lifetime };
-        let total = totals.entry(name.to_owned()).or_insert_with(fresh);
+        let new_total = || Total { value: 0.0, expires: now + lifetime };
+        let total = totals.entry(name.to_owned()).or_insert_with(new_total);
         if total.expires <= now {
-            *total = fresh();
+            *total = new_total();
         }
         total.value += amount;
-        seven_digits(total.value)
+        round_to_seven_digits(total.value)
     }
 
-    /// Serves the calls of one connection until it ends. Each call fails as `failure` says at its time; `observe` is called with
-    /// each addition.
+    /// Serves the calls of one connection until it ends. `failure` is asked for each call how it fails, and `observe` is called
+    /// with each addition.
     pub fn serve(
         &self,
         mut stream: TcpStream,
@@ -135,7 +135,7 @@
                 Response::Close => return,
             };
             match failure {
-                // No later answer can follow: answers come in the order of their calls.
+                // No later call can be answered either, as answers have the order of their calls.
                 Some(CounterFailure::ResponseLost) => return keep_silent(&mut stream),
                 Some(CounterFailure::Resetting) => return reset_on_close(&stream),
                 Some(CounterFailure::ResponseTruncated) => {
@@ -174,14 +174,14 @@
                 Response::Send(format!("${}\r\n{total}\r\n", total.len()))
             }
         };
-        // Counted last: who sees the count sees the call applied.
+        // The call is counted last, so that a caller that sees the count also sees the call applied.
         self.additions.fetch_add(1, Ordering::Release);
         response
     }
 }
 
-/// A total as the protocol has it: exact to seven digits.
-fn seven_digits(total: f64) -> f64 {
+/// Rounds a total to seven significant digits, as the protocol sends it.
+fn round_to_seven_digits(total: f64) -> f64 {
     format!("{total:.6e}").parse().unwrap_or(total)
 }
 
--- a/crates/fault_harness/src/stand_ins/quota_counter/tests.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter/tests.rs
@@ -1,4 +1,4 @@
-//! Calls over a real connection, with each failure.
+//! Tests calls over real connections with each kind of failure.
 
 use super::*;
 use crate::connections::serve_connections;
@@ -9,19 +9,19 @@
 const TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A counter that fails in this way from the start, and a connection to it.
+/// Serves the counter, which fails in this way from the start, and connects to it.
 fn connect(counter: &QuotaCounter, failure: Option<CounterFailure>) -> BufReader<TcpStream> {
     let counter = counter.clone();
     let any_port = ([127, 0, 0, 1], 0).into();
     let serve = move |stream| counter.serve(stream, || failure, |_| ());
-    let address = serve_connections(any_port, serve).expect("it listens");
-    let stream = TcpStream::connect(address).expect("it accepts");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    let address = serve_connections(any_port, serve).expect("the server listens");
+    let stream = TcpStream::connect(address).expect("the server accepts the connection");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the read timeout is set");
     BufReader::new(stream)
 }
 
 fn send(connection: &mut BufReader<TcpStream>, arguments: &[&str]) {
-    connection.get_mut().write_all(&wire::resp_command(arguments)).expect("it is sent");
+    connection.get_mut().write_all(&wire::resp_command(arguments)).expect("the bytes are sent");
 }
 
 fn call(connection: &mut BufReader<TcpStream>, arguments: &[&str]) -> Option<String> {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn other_calls_are_answered_and_malformed_ones_close_the_connection() {
+fn unknown_calls_are_answered_and_malformed_ones_close_the_connection() {
     let counter = QuotaCounter::default();
     let mut connection = connect(&counter, None);
     assert_eq!(call(&mut connection, &["PING"]).as_deref(), Some("+PONG"));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_failure_applies_the_call_or_leaves_it() {
+fn a_failing_call_is_applied_or_not_as_its_failure_defines() {
     for (failure, answer, is_applied) in [
         (CounterFailure::Slow(Duration::from_millis(1)), Some("1"), true),
         (CounterFailure::Rejecting, Some("-BUSY"), false),
@@ -80,14 +80,17 @@
 }
 
 #[test]
-fn a_silent_counter_keeps_the_connection_open() {
+fn a_counter_that_does_not_answer_keeps_the_connection_open() {
     for (failure, total) in [(CounterFailure::Silent, "1"), (CounterFailure::ResponseLost, "2")] {
         let counter = QuotaCounter::default();
         let mut connection = connect(&counter, Some(failure));
         send(&mut connection, &["TALLY", "a", "1", "60000"]);
         assert!(wait_until(TIMEOUT, POLL_INTERVAL, || counter.calls() == 1), "the call arrives");
-        connection.get_ref().set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
-        let error = std::io::Read::read(&mut connection, &mut [0]).expect_err("nothing comes");
+        connection
+            .get_ref()
+            .set_read_timeout(Some(Duration::from_millis(50)))
+            .expect("the read timeout is set");
+        let error = std::io::Read::read(&mut connection, &mut [0]).expect_err("no bytes arrive");
         assert!(matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{error}");
         assert_eq!(total_after(&counter, "1").as_deref(), Some(total), "{failure:?}");
     }
--- a/crates/fault_harness/src/stand_ins/watch_server.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server.rs
@@ -1,4 +1,4 @@
-//! The watch of a discovery agent: a stream of the endpoint list, its changes, and heartbeats.
+//! The watch of a discovery agent: an HTTP response that streams the endpoint list, its changes, and heartbeats.
 
 use super::endpoint_list::{
     EndpointList, HEARTBEAT_INTERVAL, ListUpdate, write_watch_head, write_watch_line,
@@ -13,52 +13,52 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval at which a watch looks at its mode.
+/// Interval at which a watch checks the mode of its agent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How an agent answers.
+/// How a discovery agent answers watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WatchMode {
-    /// At once.
+    /// It answers at once.
     #[default]
     Healthy,
-    /// A new watch gets its first answer after this time.
+    /// It answers a new watch after this time. Open watches are not delayed.
     Slow(Duration),
-    /// Open watches and new ones get nothing.
+    /// It sends nothing on open and new watches.
     Silent,
-    /// Open watches end, and new connections are closed.
+    /// It closes open watches and new connections.
     Down,
 }
 
-/// What a watch gets on a change.
+/// What a watch is sent on a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeForm {
     /// The complete list.
     CompleteList,
-    /// The backends that have changed.
+    /// Only the backends that have changed.
     ChangedBackends,
 }
 
-/// What a site decides and records of the agent of one gatekeeper.
+/// The part of a site that decides how the agent of one gatekeeper behaves and records its updates.
 pub trait WatchSite {
-    /// What is known of an update before it is written.
+    /// What the site notes of an update before it is written, to record it afterwards.
     type Notice;
 
     /// How the agent answers now.
     fn mode(&self) -> WatchMode {
         WatchMode::Healthy
     }
-    /// The address at which the gatekeeper reaches a backend.
+    /// The address at which the gatekeeper reaches a backend; none if it cannot reach it.
     fn address(&self, backend: &str) -> Option<SocketAddr>;
     /// An update is about to be written.
     fn sending(&self, update: &ListUpdate) -> Self::Notice;
-    /// The update was written.
+    /// The update was written completely.
     fn sent(&self, notice: Self::Notice);
 }
 
 /// Serves one watch until it ends.
 pub fn serve_watch(mut stream: TcpStream, list: &EndpointList, form: ChangeForm, site: &impl WatchSite) {
-    // An error is the end of the connection.
+    // An error only means that the connection has ended.
     let _ = Watch { stream: &mut stream, list, form, site }.serve();
     let _ = stream.shutdown(Shutdown::Both);
 }
@@ -86,10 +86,10 @@
             return Ok(());
         }
         write_watch_head(self.stream)?;
-        // A gatekeeper without a list gets all of it first, and another one what has changed.
-        let known = index_of(request.target_or_status());
-        let sent = self.send((known > 0).then_some(known))?;
-        self.follow(sent)
+        // A gatekeeper without a list gets the complete list first. One that has a list gets what has changed since its revision.
+        let known_revision = requested_index(request.target_or_status());
+        let sent_revision = self.send((known_revision > 0).then_some(known_revision))?;
+        self.follow(sent_revision)
     }
 
     /// Sends changes and heartbeats until the agent fails or the gatekeeper closes the connection.
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Sends what has changed since a revision. Returns the revision that the gatekeeper then has.
+    /// Sends an update with the changes since a revision, or the complete list. Returns the revision that the gatekeeper then
+    /// has.
     fn send(&mut self, since: Option<u64>) -> io::Result<u64> {
         let since = since.filter(|_| self.form == ChangeForm::ChangedBackends);
         let update = self.list.update(since, |backend| self.site.address(backend));
@@ -126,7 +127,7 @@
     }
 }
 
-/// The index in the target of a watch request: the revision that the gatekeeper has, or 0.
-fn index_of(target: &str) -> u64 {
+/// The parameter `index` in the target of a watch request: the revision of the list that the gatekeeper has, or 0 if it has none.
+fn requested_index(target: &str) -> u64 {
     target.split_once("index=").and_then(|(_, index)| index.parse().ok()).unwrap_or(0)
 }
--- a/crates/fault_harness/src/test_directory.rs
+++ b/crates/fault_harness/src/test_directory.rs
@@ -1,37 +1,37 @@
-//! Directories for the files of a test.
+//! Temporary directories for the files of tests.
 
 use std::path::{Path, PathBuf};
 
-/// A directory for the files of a test. It is removed when this is dropped.
+/// A temporary directory for the files of a test. It is removed with its files when this is dropped.
 #[derive(Debug)]
 pub struct TestDirectory(PathBuf);
 
 impl TestDirectory {
-    /// Creates a directory that no other test of this process has.
+    /// Creates a directory for the test of this name. The name must be unique among the tests of a process.
     ///
     /// # Panics
     ///
-    /// It cannot be created.
+    /// The directory cannot be created.
     pub fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("snowfield-{test}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder for files");
+        std::fs::create_dir_all(&path).expect("the test directory is created");
         Self(path)
     }
 
-    /// Its path.
+    /// The path of the directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// Writes a file and returns its path.
+    /// Writes a file in the directory and returns its path.
     ///
     /// # Panics
     ///
-    /// It cannot be written, or its path is not UTF-8.
+    /// The file cannot be written, or its path is not UTF-8.
     pub fn write(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("a file is written");
-        path.to_str().expect("a path in UTF-8").to_owned()
+        std::fs::write(&path, text).expect("the file is written");
+        path.to_str().expect("the path is UTF-8").to_owned()
     }
 }
 
--- a/crates/fault_harness/src/thread.rs
+++ b/crates/fault_harness/src/thread.rs
@@ -1,16 +1,16 @@
-//! Threads of the harness, of which one site runs hundreds.
+//! Threads with small stacks, as one site of a harness runs hundreds of threads.
 
 use std::io;
 use std::thread::{Builder, JoinHandle};
 
-/// Stack of a thread that serves one connection or follows one process.
+/// Stack size of a thread that serves one connection or observes one process.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// Runs this in a thread with a small stack.
+/// Runs a closure in a new thread with a small stack.
 ///
 /// # Errors
 ///
-/// The system has no thread.
+/// The system cannot create a thread.
 pub fn spawn(run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
     Builder::new().stack_size(STACK_BYTES).spawn(run)
 }
--- a/crates/fault_harness/src/timeline/tests.rs
+++ b/crates/fault_harness/src/timeline/tests.rs
@@ -1,11 +1,11 @@
-//! The times at which faults are injected, and what becomes of their results.
+//! Tests the times at which faults are injected, and their results.
 
 use super::*;
 
 const STEP: Duration = Duration::from_millis(30);
 
 #[test]
-fn faults_begin_at_their_times_and_may_overlap() {
+fn faults_begin_no_earlier_than_their_times_and_may_overlap() {
     let clock = ScheduleClock::start();
     let begins = inject_each(
         clock,
@@ -17,7 +17,7 @@
             began
         },
     );
-    assert!(clock.now() < STEP * 12, "they overlap");
+    assert!(clock.now() < STEP * 12, "the faults overlap");
     let begins: Vec<Duration> = begins.into_iter().flatten().collect();
     assert!(begins[0] >= STEP * 2 && begins[2] >= STEP, "{begins:?}");
     assert_eq!(begins.len(), 3);
--- a/crates/fault_harness/src/violation.rs
+++ b/crates/fault_harness/src/violation.rs
@@ -1,4 +1,4 @@
-//! A rule that was broken.
+//! Violations of rules, as checkers report them.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,31 +6,31 @@
 #[cfg(test)]
 mod tests;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule, in words that never change.
+    /// Text that identifies the rule in reports and tests. It never changes.
     pub rule: &'static str,
-    /// When it was broken, since the begin of the schedule; none where that is not known.
+    /// When the rule was broken, since the start of the history's clock; none if that is not known.
     pub at: Option<Duration>,
-    /// The gatekeeper that broke it; none where it is not one alone.
+    /// The gatekeeper that broke the rule; none if it was not one gatekeeper alone.
     pub gatekeeper: Option<String>,
-    /// What was observed.
+    /// What was observed, in words for the report.
     pub text: String,
 }
 
 impl Violation {
-    /// A violation of this rule, at no certain time.
+    /// Creates a violation of a rule without a time or a gatekeeper.
     pub fn new(rule: &'static str, text: impl Into<String>) -> Self {
         Self { rule, at: None, gatekeeper: None, text: text.into() }
     }
 
-    /// Adds when the rule was broken.
+    /// Sets the time when the rule was broken.
     pub fn at(self, at: Duration) -> Self {
         Self { at: Some(at), ..self }
     }
 
-    /// Adds the gatekeeper that broke the rule.
+    /// Sets the gatekeeper that broke the rule.
     pub fn by(self, gatekeeper: impl Into<String>) -> Self {
         Self { gatekeeper: Some(gatekeeper.into()), ..self }
     }
--- a/crates/fault_harness/src/wait.rs
+++ b/crates/fault_harness/src/wait.rs
@@ -1,12 +1,12 @@
-//! Waiting for a condition that nobody notifies.
+//! Waits for a condition by polling, where no notification exists.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than any step of a gatekeeper may take.
+/// Timeout for a step of a gatekeeper, longer than any step may take.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until the condition holds and checks it once an interval. Tells whether it held in time.
+/// Waits up to `timeout` until `condition` holds, and checks it every `interval`. Returns whether it held in time.
 pub fn wait_until(timeout: Duration, interval: Duration, condition: impl Fn() -> bool) -> bool {
     let deadline = Instant::now() + timeout;
     while !condition() {
--- a/crates/fault_harness/src/wire.rs
+++ b/crates/fault_harness/src/wire.rs
@@ -1,8 +1,8 @@
-//! Just enough of HTTP/1.1 and RESP2 for clients and stand-ins that behave well.
+//! A minimal codec of HTTP/1.1 and RESP2 for clients and stand-ins. It expects peers that follow the protocols.
 
 use std::io::BufRead;
 
-/// What follows the value in a backend's RESP2 reply: its load report.
+/// The load report that follows the value in a backend's RESP2 reply.
 const LOAD_REPORT: &str = "inflight=7,queue=2,latency_ms=51.0";
 
 fn read_line(from: &mut impl BufRead) -> Option<String> {
@@ -13,27 +13,27 @@
 /// An HTTP message.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
-    /// The request line or the status line.
+    /// The request line of a request, or the status line of a response, without the line end.
     pub first_line: String,
-    /// Names in lower case, and values.
+    /// Header fields: names in lower case, and values.
     fields: Vec<(String, String)>,
-    /// The body, of the length that the head states.
+    /// The body, with the length that `Content-Length` states; empty without that field.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The value of a field.
+    /// The value of the header field with this name in lower case; none if the message does not have it.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// The second word of the first line: a target or a status.
+    /// The second word of the first line: the target of a request, or the status code of a response.
     pub fn target_or_status(&self) -> &str {
         self.first_line.split(' ').nth(1).unwrap_or_default()
     }
 }
 
-/// Reads one HTTP message; none where the connection ends first.
+/// Reads one HTTP message; none if the connection ends first or the length of the body is malformed.
 pub fn read_http_message(from: &mut impl BufRead) -> Option<HttpMessage> {
     let mut message = HttpMessage { first_line: read_line(from)?, ..HttpMessage::default() };
     loop {
@@ -47,7 +47,7 @@
     Some(message)
 }
 
-/// An HTTP message with this first line and body.
+/// Encodes an HTTP message with this first line and body.
 pub fn http_message(first_line: &str, body: &str) -> Vec<u8> {
     format!("{first_line}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
@@ -60,7 +60,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Reads one RESP2 command; none where the connection ends first, or what comes is no command.
+/// Reads one RESP2 command; none if the connection ends first or the bytes are no command.
 pub fn read_resp_command(from: &mut impl BufRead) -> Option<Vec<String>> {
     let count: usize = read_line(from)?.strip_prefix('*')?.parse().ok()?;
     let mut argument = || {
@@ -70,21 +70,22 @@
     (0..count).map(|_| argument()).collect()
 }
 
-/// One RESP2 command.
+/// Encodes a RESP2 command: an array of bulk strings.
 pub fn resp_command(arguments: &[&str]) -> Vec<u8> {
     let items: String = arguments.iter().map(|a| format!("${}\r\n{a}\r\n", a.len())).collect();
     format!("*{}\r\n{items}", arguments.len()).into_bytes()
 }
 
-/// Reads a RESP2 reply: the text of a line, or the first value of a bulk string or an array.
+/// Reads a RESP2 reply: the value of a bulk string, the first value of an array, or the whole line of any other type. None if the
+/// connection ends first or the bytes are no reply.
 pub fn read_resp_reply(from: &mut impl BufRead) -> Option<String> {
     let first = read_line(from)?;
     match first.split_at_checked(1)? {
         ("$", length) => read_bulk_string(from, length),
         ("*", count) => {
-            let all: Vec<Option<String>> =
+            let items: Vec<Option<String>> =
                 (0..count.parse::<usize>().ok()?).map(|_| read_array_item(from)).collect();
-            all.into_iter().collect::<Option<Vec<_>>>()?.into_iter().next()
+            items.into_iter().collect::<Option<Vec<_>>>()?.into_iter().next()
         }
         _ => Some(first),
     }
@@ -95,7 +96,7 @@
     if is_null { read_line(from) } else { read_resp_reply(from) }
 }
 
-/// A backend's RESP2 reply with this value, and its load report.
+/// Encodes a backend's RESP2 reply with this value and a fixed load report.
 pub fn backend_reply(value: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n${}\r\n{LOAD_REPORT}\r\n", value.len(), LOAD_REPORT.len())
         .into_bytes()
--- a/crates/fault_harness/src/wire/tests.rs
+++ b/crates/fault_harness/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages as clients and stand-ins read and write them.
+//! Tests that messages are read as they were written.
 
 use super::*;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_message_that_ends_early_is_none() {
+fn an_incomplete_message_is_none() {
     let message = http_message("HTTP/1.1 200 OK", "body");
     assert!((0..message.len()).all(|length| read_http_message(&mut &message[..length]).is_none()));
     let command = resp_command(&["SVC.QUERY", "", "id"]);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_reply_is_its_line_or_its_first_value() {
+fn a_reply_is_read_as_its_line_or_its_first_value() {
     let reply = |bytes: &[u8]| read_resp_reply(&mut &bytes[..]);
     assert_eq!(reply(b"-BUSY 5\r\n").as_deref(), Some("-BUSY 5"));
     assert_eq!(reply(b"$2\r\nid\r\n").as_deref(), Some("id"));
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -36,7 +36,7 @@
     let took = request.ended.saturating_sub(request.sent);
     let due = request.deadline + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
     let text = match answer_fault(request.outcome, took, due)? {
-        AnswerFault::Foreign => "got the answer to another request",
+        AnswerFault::Foreign => "got an answer that does not belong to it",
         AnswerFault::Closed if was_attempted => "was forwarded, and its connection closed without an answer",
         AnswerFault::Closed if request.is_first_on_connection => {
             "was the first on its connection, which was closed without an answer"
