--- a/crates/fault_harness/src/client.rs
+++ b/crates/fault_harness/src/client.rs
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// The connection has ended.
+    /// The connection has been closed or reset.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.received.clear();
         self.stream.write_all(bytes)
--- a/crates/fault_harness/src/process/observer.rs
+++ b/crates/fault_harness/src/process/observer.rs
@@ -8,9 +8,9 @@
     /// The harness has not asked for an exit.
     #[default]
     None,
-    /// By SIGTERM.
+    /// The harness has asked for a graceful shutdown by SIGTERM.
     ShutDown,
-    /// By SIGKILL.
+    /// The harness has sent SIGKILL.
     Kill,
 }
 
--- a/crates/fault_harness/src/stand_ins/endpoint_list.rs
+++ b/crates/fault_harness/src/stand_ins/endpoint_list.rs
@@ -21,7 +21,7 @@
 }
 
 impl ListedState {
-    /// The name on the wire.
+    /// The name of the state on the wire.
     fn name(self) -> &'static str {
         match self {
             Self::Up => "up",
@@ -56,7 +56,7 @@
 /// A change of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedChange {
-    /// Its state from then on.
+    /// State of the backend after the change.
     pub state: ListedState,
     /// Whether the backend has just started.
     pub has_started: bool,
--- a/crates/fault_harness/src/stand_ins/quota_counter.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter.rs
@@ -117,8 +117,8 @@
         round_to_seven_digits(total.value)
     }
 
-    /// Serves the calls of one connection until it ends. `failure` is asked for each call how it fails, and `observe` is called
-    /// with each addition.
+    /// Serves the calls of one connection until it ends. `failure` is called for each call and returns how the call
+    /// fails, or none; `observe` is called with each addition.
     pub fn serve(
         &self,
         mut stream: TcpStream,
--- a/crates/fault_harness/src/stand_ins/watch_server.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server.rs
@@ -63,7 +63,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// One open watch.
+/// A watch that a gatekeeper has open.
 struct Watch<'a, S> {
     stream: &'a mut TcpStream,
     list: &'a EndpointList,
--- a/crates/fault_harness/src/wire.rs
+++ b/crates/fault_harness/src/wire.rs
@@ -10,7 +10,7 @@
     (from.read_line(&mut text).ok()? > 0 && text.ends_with('\n')).then(|| text.trim_end().to_owned())
 }
 
-/// An HTTP message.
+/// An HTTP/1.1 request or response.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     /// The request line of a request, or the status line of a response, without the line end.
--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -15,7 +15,7 @@
 use fault_harness::violation::Violation;
 use std::time::Duration;
 
-/// Longest scheduling delay that a gatekeeper may have between reading its clock and writing to a socket (RULES.md).
+/// Longest scheduling delay that a gatekeeper may have between reading its clock and writing a message (RULES.md).
 pub(crate) const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
 
 /// Creates a violation that is attributed to one gatekeeper.
--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -75,7 +75,7 @@
     (0..settings.backends).filter(is_ready).collect()
 }
 
-/// Whether a later change, before `by`, lists the backend as up.
+/// Whether the last change of the backend between `after` and `by` lists it as up.
 fn is_up_again(history: &History, backend: BackendIndex, after: Moment, by: Moment) -> bool {
     let later = history
         .list_changes
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -19,10 +19,10 @@
 const PANIC_TEXTS: [&str; 2] = ["panicked at", "fatal:"];
 /// Time after SIGTERM for which a process still accepts new connections.
 const ACCEPTS_AFTER_TERMINATION: Duration = Duration::from_millis(300);
-/// Maximum wait for a process to serve.
+/// Maximum time that the harness waits until a process serves.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The program that gatekeepers run.
+/// The program of all gatekeepers, with the fault shim and an optional seeded fault.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// Path of the gatekeeper's binary.
@@ -109,7 +109,7 @@
     pub index: GatekeeperIndex,
     /// Where its clients connect.
     pub address: SocketAddr,
-    /// The control block of the fault shim in its processes.
+    /// The control block by which the harness sets the faults of the shim in this gatekeeper's processes.
     pub control: Control,
     program: Program,
     config_path: PathBuf,
@@ -149,7 +149,7 @@
         }))
     }
 
-    /// Writes its configuration file.
+    /// Writes the configuration file that its processes read.
     ///
     /// # Errors
     ///
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// The gatekeeper's program cannot be started.
     pub fn start(&self, clock_offset_us: i64) -> io::Result<()> {
         self.control.set_clock_offset(clock_offset_us)?;
         let mut incarnations = lock(&self.incarnations);
@@ -234,7 +234,7 @@
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// The gatekeeper's program cannot be started.
     pub fn restart(&self, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
         let _guard = lock(&self.replacement_lock);
         if let Some(newest) = self.newest() {
@@ -249,7 +249,7 @@
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// The gatekeeper's program cannot be started.
     pub fn crash(&self, pause: Duration, clock_offset_us: i64) -> io::Result<()> {
         let _guard = lock(&self.replacement_lock);
         if let Some(newest) = self.newest() {
@@ -265,7 +265,7 @@
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// The gatekeeper's program cannot be started.
     pub fn upgrade(&self, kill_after: Duration, clock_offset_us: i64) -> io::Result<()> {
         let _guard = lock(&self.replacement_lock);
         let predecessor = self.newest();
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestNumber(pub u64);
 
-/// Bits of a request's number below those of its gatekeeper.
+/// Number of low bits in a request's number that hold the serial number; the bits above them hold the gatekeeper.
 const SERIAL_BITS: u32 = 32;
 
 impl RequestNumber {
@@ -120,7 +120,7 @@
     Killed,
     /// It exited.
     Exited {
-        /// Its exit code, or the negative number of the signal that ended it.
+        /// Exit code, or the negative number of the signal that ended the process.
         exit_code: i32,
         /// How the harness had asked the process to exit.
         request: ExitRequest,
@@ -147,11 +147,11 @@
 pub struct ProcessRecord {
     /// When it happened.
     pub at: Moment,
-    /// The gatekeeper.
+    /// The gatekeeper that the process runs.
     pub gatekeeper: GatekeeperIndex,
     /// Number of the process among those of its gatekeeper, from 0.
     pub process: usize,
-    /// The event.
+    /// What happened to the process.
     pub event: ProcessEvent,
 }
 
@@ -162,7 +162,7 @@
     pub at: Moment,
     /// The backend that changed.
     pub backend: BackendIndex,
-    /// Its state from then on.
+    /// State of the backend after the change.
     pub state: ListedState,
     /// Whether the backend had just started.
     pub has_started: bool,
@@ -173,9 +173,9 @@
 pub struct DiscoveryChange {
     /// When it changed.
     pub at: Moment,
-    /// The gatekeeper whose agent it is.
+    /// The gatekeeper that the agent serves.
     pub gatekeeper: GatekeeperIndex,
-    /// Whether it answers from then on.
+    /// Whether the agent answers after the change.
     pub is_reachable: bool,
 }
 
@@ -184,7 +184,7 @@
 pub struct Notification {
     /// When it was sent.
     pub at: Moment,
-    /// The gatekeeper.
+    /// The gatekeeper that the update was sent to.
     pub gatekeeper: GatekeeperIndex,
     /// Number of changes of the list so far. The update includes all of them.
     pub changes: usize,
@@ -193,7 +193,7 @@
 /// A request of which the client sent only the start.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialRequest {
-    /// The gatekeeper.
+    /// The gatekeeper that the start of the request was sent to.
     pub gatekeeper: GatekeeperIndex,
     /// When the client stopped sending.
     pub stopped: Moment,
@@ -215,7 +215,7 @@
 pub struct Refusal {
     /// When the client's connect failed.
     pub at: Moment,
-    /// The gatekeeper.
+    /// The gatekeeper that refused it.
     pub gatekeeper: GatekeeperIndex,
 }
 
@@ -301,7 +301,7 @@
         })
     }
 
-    /// Records the end of an attempt.
+    /// Records the end of an attempt and its outcome.
     pub fn end_attempt(&self, AttemptIndex(index): AttemptIndex, outcome: AttemptOutcome) {
         let now = self.now();
         self.record(|history| {
--- a/crates/platform_soak/src/lib.rs
+++ b/crates/platform_soak/src/lib.rs
@@ -13,7 +13,7 @@
 //! | `fault_runner` | injects the faults of a schedule |
 //! | `run` | runs one schedule and checks its history |
 //! | `history` | records of all events of a run |
-//! | `checkers` | the invariants |
+//! | `checkers` | checks the history against the invariants |
 
 pub mod checkers;
 pub mod client;
--- a/crates/platform_soak/src/schedule/generator.rs
+++ b/crates/platform_soak/src/schedule/generator.rs
@@ -11,7 +11,7 @@
 
 pub(super) fn draw_duration(random: &mut fastrand::Rng, kind: FaultKind) -> Duration {
     let range = match kind {
-        // The operators' page has connects that fail for 2 s.
+        // The operators' list of faults has connects that fail for 2 s.
         FaultKind::Calls { faults: CallFaults::NoConnections, .. } => 500..2_000,
         FaultKind::Drain { .. } | FaultKind::Removal { .. } => 3_000..6_000,
         _ => 800..4_000,
--- a/crates/platform_soak/src/settings.rs
+++ b/crates/platform_soak/src/settings.rs
@@ -26,20 +26,20 @@
     pub name: String,
     /// The usual deadline of its requests, from when they are sent.
     pub deadline: Duration,
-    /// Effect of its requests.
+    /// The effect of its requests, which determines their retries.
     pub effect: Effect,
 }
 
 /// A tenant with a plan of its own.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its number on the wire.
+    /// Its id on the wire, which clients send in hexadecimal.
     pub number: u64,
     /// Quota of its plan in units a second.
     pub rate: f64,
     /// Burst of its plan in units.
     pub burst: f64,
-    /// Hard ceiling in units a second; 0 for none.
+    /// Rate of the hard ceiling in units a second; 0 if the plan has no hard ceiling.
     pub ceiling_rate: f64,
     /// Burst of the hard ceiling in units.
     pub ceiling_burst: f64,
@@ -62,7 +62,7 @@
     pub drain_grace: Duration,
     /// Share of its full load that a backend gets at the beginning of its slow start.
     pub cold_share: f64,
-    /// Duration of the slow start.
+    /// Duration of a backend's slow start.
     pub cold_time: Duration,
     /// A backend in slow start is overloaded if it gets this multiple of its capacity over `overload_time`.
     pub overload_factor: f64,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The configuration file of a gatekeeper.
+    /// The text of a gatekeeper's configuration file, in JSON.
     pub fn config(&self, gatekeeper: GatekeeperIndex, addresses: Addresses) -> String {
         let micros = |time: Duration| time.as_micros() as u64;
         let classes: Vec<Value> = self.classes.iter().map(class_json).collect();
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of one schedule.
+//! Starts and stops the processes, stand-ins and clients of one schedule.
 
 use crate::client::{Behaviour, Client};
 use crate::gatekeeper::{Gatekeeper, Program};
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -42,7 +42,7 @@
     ResettingIdle,
     /// It stops answering on connections after a short idle time, and keeps them open.
     ForgettingIdle,
-    /// Its host refuses connections and resets open ones.
+    /// It refuses new connections and resets open ones, like a host without the backend's process.
     Refusing,
 }
 
--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -42,7 +42,7 @@
 /// Handle of the quota counter. Clones share its totals and its mode.
 #[derive(Clone, Default)]
 pub struct Counter {
-    core: QuotaCounter,
+    quota_counter: QuotaCounter,
     mode: Arc<Mutex<CounterMode>>,
 }
 
@@ -56,7 +56,7 @@
         let counter = Self::default();
         let served = counter.clone();
         serve_connections(address, move |stream| {
-            served.core.serve(stream, || lock(&served.mode).failure(), |_| ());
+            served.quota_counter.serve(stream, || lock(&served.mode).failure(), |_| ());
         })?;
         Ok(counter)
     }
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -100,14 +100,14 @@
 }
 
 /// A list update that is about to be written to a gatekeeper.
-pub struct Notice {
+pub struct PendingNotification {
     at: Moment,
     /// Number of changes of the list that the update includes.
     changes: usize,
 }
 
 impl WatchSite for Discovery {
-    type Notice = Notice;
+    type Notice = PendingNotification;
 
     fn mode(&self) -> WatchMode {
         match *lock(&self.mode) {
@@ -122,13 +122,13 @@
         self.list.addresses.get(backend).copied()
     }
 
-    fn sending(&self, update: &ListUpdate) -> Notice {
+    fn sending(&self, update: &ListUpdate) -> PendingNotification {
         // Each change raises the revision by one, and an update includes all changes so far.
         let changes = update.revision.saturating_sub(FIRST_REVISION) as usize;
-        Notice { at: self.list.recorder.now(), changes }
+        PendingNotification { at: self.list.recorder.now(), changes }
     }
 
-    fn sent(&self, Notice { at, changes }: Notice) {
+    fn sent(&self, PendingNotification { at, changes }: PendingNotification) {
         let notification = Notification { at, gatekeeper: self.gatekeeper, changes };
         self.list.recorder.record(|history| history.notifications.push(notification));
     }
