--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`stand_ins`] | stand-ins for backends, the quota counter, and discovery with its endpoint list |
 //! | [`client`], [`outcome`] | a client's connection, and how a request ended for its client |
 //! | [`connections`], [`wire`] | accepting and ending connections, and the messages that are sent on them |
-//! | [`schedule`], [`clock`], [`timeline`] | faults with their times, the clock of a schedule, and injecting faults at their times |
+//! | [`schedule`], [`clock`], [`timeline`] | faults and their times, the clock of a schedule, and the injection of faults |
 //! | [`rules`], [`violation`] | the rules that every site must keep, and their violations |
 //! | [`ports`], [`test_directory`], [`digest`] | free addresses, scratch directories, digests of texts that must not change |
 //! | [`sync`], [`thread`], [`wait`] | locks, threads, and waiting for conditions |
