--- a/crates/fault_harness/src/stand_ins/watch_server/tests.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server/tests.rs
@@ -4,10 +4,12 @@
 use super::*;
 use crate::connections::serve_connections;
 use crate::sync::lock;
+use crate::wait::wait_until;
 use std::io::{BufRead, Write};
 use std::sync::{Arc, Mutex};
 
 const TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 const FIRST_REVISION: u64 = 7;
 
 /// An agent whose list has three backends, two of which have an address.
@@ -114,6 +116,8 @@
     let list = next_update(&mut watch).expect("a list");
     assert!(list.contains(r#""rev":8,"all":true"#), "{list}");
     assert_eq!(ids(&list), ["a", "b"]);
+    // The agent records a revision only after it has written the line, so the line can arrive first.
+    wait_until(TIMEOUT, POLL_INTERVAL, || lock(&agent.sent_revisions).len() >= 2);
     assert_eq!(*lock(&agent.sent_revisions), [FIRST_REVISION, FIRST_REVISION + 1]);
 }
 
