--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -1,4 +1,4 @@
-//! The quota counter, which all gatekeepers share.
+//! The quota counter that all gatekeepers share.
 
 use fault_harness::connections::serve_connections;
 use fault_harness::stand_ins::{CounterFailure, QuotaCounter};
@@ -8,22 +8,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Delay of the answers of a slow counter.
+/// Delay of each answer of a slow counter.
 const SLOW_ANSWER: Duration = Duration::from_millis(25);
 
-/// How the counter answers.
+/// How the quota counter answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CounterMode {
-    /// At once.
+    /// It answers at once.
     #[default]
     Healthy,
-    /// Late.
+    /// It answers with a delay.
     Slow,
-    /// Not at all, though it applies the calls.
+    /// It applies calls and never answers.
     Silent,
-    /// It rejects every call.
+    /// It rejects calls without applying them.
     Rejecting,
-    /// It applies a call and resets the connection.
+    /// It applies a call and then resets the connection.
     Resetting,
 }
 
@@ -39,15 +39,15 @@
     }
 }
 
-/// The quota counter. Clones share its totals and its mode.
+/// Handle of the quota counter. Clones share its totals and its mode.
 #[derive(Clone, Default)]
 pub struct Counter {
-    core: QuotaCounter,
+    quota_counter: QuotaCounter,
     mode: Arc<Mutex<CounterMode>>,
 }
 
 impl Counter {
-    /// Listens at this address.
+    /// Starts a quota counter that listens at `address`.
     ///
     /// # Errors
     ///
@@ -56,12 +56,12 @@
         let counter = Self::default();
         let served = counter.clone();
         serve_connections(address, move |stream| {
-            served.core.serve(stream, || lock(&served.mode).failure(), |_| ());
+            served.quota_counter.serve(stream, || lock(&served.mode).failure(), |_| ());
         })?;
         Ok(counter)
     }
 
-    /// Changes how it answers.
+    /// Changes how the counter answers.
     pub fn set_mode(&self, mode: CounterMode) {
         *lock(&self.mode) = mode;
     }
