--- a/crates/fault_injection/src/checkers.rs
+++ b/crates/fault_injection/src/checkers.rs
@@ -1,4 +1,4 @@
-//! The rules, as pure functions over a history. What excuses what is in docs/design/faults.md.
+//! Checkers of the rules, as pure functions over a history. docs/design/faults.md lists which fault permits which deviation.
 
 mod ceilings;
 mod convergence;
@@ -24,47 +24,47 @@
 /// The hard ceiling of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ceiling {
-    /// Units a second.
+    /// Sustained rate in units per second.
     pub units_per_second: f64,
-    /// Units at once.
+    /// Maximum number of units at once.
     pub burst: f64,
     /// Units of the largest request.
     pub largest_request: f64,
 }
 
-/// What a gatekeeper may use.
+/// Maximum resources of a gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Resident memory, kB.
+    /// Resident memory in kB.
     pub memory_kb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
-/// The figures that the rules go by.
+/// The limits that the rules enforce.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// A request has its final answer within this ...
+    /// Time in ms within which a request must have its final answer.
     pub deadline_ms: u64,
-    /// ... and this, for a machine that does other things beside it.
+    /// Additional time in ms that the rules allow for delays of a busy machine.
     pub tolerance_ms: u64,
-    /// Hard ceilings by tenant.
+    /// Hard ceilings by tenant name; other tenants have none.
     pub ceilings: BTreeMap<String, Ceiling>,
-    /// Nothing new reaches a backend later than this after a gatekeeper knows that it drains.
+    /// Maximum time in ms for which attempts still arrive after a gatekeeper learns that the backend drains.
     pub drain_ms: u64,
-    /// All agree again within this after the last fault ...
+    /// Time in ms after the last fault within which all gatekeepers must agree again.
     pub convergence_ms: u64,
-    /// ... or within this, where the counter restarted without its state: quotas are exact again in its next epoch.
+    /// The same limit if the counter restarted with empty state: quotas are exact again only in its next epoch.
     pub convergence_after_counter_loss_ms: u64,
-    /// Two act on versions that contradict each other for no longer than this.
+    /// Maximum time in ms for which two gatekeepers may act on contradicting versions of the configuration.
     pub contradiction_ms: u64,
-    /// What each gatekeeper may use.
+    /// Maximum resources of each gatekeeper.
     pub resources: ResourceLimits,
 }
 
-/// A rule: what breaks it in a history.
+/// Checks one rule: returns its violations in a history.
 type Rule = fn(&[Record], &Bounds) -> Vec<Violation>;
 
 const RULES: [Rule; 8] = [
@@ -78,7 +78,7 @@
     contradicting_versions,
 ];
 
-/// All that is broken in a history.
+/// Checks all rules and returns their violations.
 pub fn check(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     RULES.iter().flat_map(|rule| rule(history, bounds)).collect()
 }
--- a/crates/fault_injection/src/checkers/ceilings.rs
+++ b/crates/fault_injection/src/checkers/ceilings.rs
@@ -1,4 +1,4 @@
-//! Hard ceilings of tenants.
+//! Checks the hard ceilings of tenants.
 
 use super::rules::{Admission, Excess, HARD_CEILING, largest_excess};
 use super::{Bounds, Ceiling, Violation};
@@ -9,7 +9,8 @@
 /// The slack of a ceiling, as a share of its burst.
 const BURST_SLACK: f64 = 0.1;
 
-/// No tenant passes its hard ceiling, counted where first attempts arrive, by more than the slack.
+/// Checks that no tenant exceeds its hard ceiling by more than the slack. A request counts when its first attempt arrives at a
+/// backend.
 pub fn hard_ceilings(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let start = history.first().map_or(Duration::ZERO, |record| Duration::from_micros(record.at_us));
     let late_ms = attempts_late_ms(history, bounds);
@@ -26,31 +27,31 @@
     violations.collect()
 }
 
-/// How late an attempt may be recorded at its backend: over a degraded link up to the deadline.
+/// Maximum delay in ms until an attempt is recorded at its backend. Over a degraded link it may arrive up to the deadline later.
 fn attempts_late_ms(history: &[Record], bounds: &Bounds) -> u64 {
     let is_degraded =
         history.iter().any(|r| matches!(r.observation, Observation::Fault { delays_attempts: true, .. }));
     bounds.tolerance_ms + if is_degraded { bounds.deadline_ms } else { 0 }
 }
 
-/// The units that may pass a ceiling, where attempts are seen late by up to this.
+/// Units by which a ceiling may be exceeded if attempts are recorded up to `late_ms` late.
 fn slack(ceiling: &Ceiling, late_ms: u64) -> f64 {
     let &Ceiling { units_per_second, burst, largest_request } = ceiling;
     (BURST_SLACK * burst).max(largest_request) + units_per_second * late_ms as f64 / 1_000.0
 }
 
-/// First attempts of each tenant that has a ceiling.
+/// The first attempts of the requests of each tenant that has a ceiling.
 fn admissions_by_tenant<'a>(history: &'a [Record], bounds: &Bounds) -> BTreeMap<&'a str, Vec<Admission>> {
-    let mut sent: HashMap<u64, (&str, f64)> = HashMap::new();
+    let mut unattempted: HashMap<u64, (&str, f64)> = HashMap::new();
     let mut admissions: BTreeMap<&str, Vec<Admission>> = BTreeMap::new();
     for record in history {
         match &record.observation {
             Observation::RequestSent { request_id, tenant, units, .. } => {
-                sent.insert(*request_id, (tenant, *units));
+                unattempted.insert(*request_id, (tenant, *units));
             }
             Observation::AttemptArrived { request_id, .. } => {
-                // Only the first attempt counts.
-                let Some((tenant, units)) = sent.remove(request_id) else { continue };
+                // Later attempts of the request find no entry and are not counted.
+                let Some((tenant, units)) = unattempted.remove(request_id) else { continue };
                 if bounds.ceilings.contains_key(tenant) {
                     let at = Duration::from_micros(record.at_us);
                     admissions.entry(tenant).or_default().push(Admission { at, units });
--- a/crates/fault_injection/src/checkers/convergence.rs
+++ b/crates/fault_injection/src/checkers/convergence.rs
@@ -1,4 +1,4 @@
-//! Gatekeepers agree: again after faults, and at any time on versions of the configuration.
+//! Checks that gatekeepers agree: on everything after the last fault, and on the version of the configuration at any time.
 
 use super::fault_spans::{FaultSpan, fault_spans};
 use super::{Bounds, Violation};
@@ -8,17 +8,17 @@
 
 const CONVERGENCE_RULE: &str = "all agree again";
 const CONTRADICTION_RULE: &str = "no two contradict each other";
-/// The kind of a fault by which the counter loses its state.
+/// Name of the fault kind by which the counter loses its state.
 const COUNTER_LOSS: &str = "counter empty";
-/// The kind of a fault that suspends a process.
+/// Name of the fault kind that suspends a process.
 const SUSPENDED: &str = "stopped";
 
-/// All agree again in time after the last fault.
+/// Checks that all gatekeepers agree again in time after the last fault.
 pub fn convergence(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let violation = |text: String| Violation::new(CONVERGENCE_RULE, text);
-    let is_loss =
+    let is_counter_loss =
         |r: &Record| matches!(&r.observation, Observation::Fault { kind, .. } if kind == COUNTER_LOSS);
-    let limit_ms = if history.iter().any(is_loss) {
+    let limit_ms = if history.iter().any(is_counter_loss) {
         bounds.convergence_after_counter_loss_ms
     } else {
         bounds.convergence_ms
@@ -40,13 +40,13 @@
 /// The versions that a gatekeeper acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ActiveVersions {
-    /// The one in force.
+    /// The version in force.
     in_force: u64,
-    /// The newest that it has accepted: the proposed one where there is one, and otherwise the one in force.
+    /// The newest version that it has accepted: the proposed version if there is one, otherwise the version in force.
     newest: u64,
 }
 
-/// What a log line says of a gatekeeper's versions.
+/// The state of a gatekeeper's versions as its log line reports it.
 struct LoggedVersions {
     versions: ActiveVersions,
     has_lease: bool,
@@ -62,27 +62,27 @@
     }
 }
 
-/// The longest time for which two gatekeepers acted on versions that contradict each other.
+/// The longest_description time for which two gatekeepers acted on versions that contradict each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contradiction {
-    /// How long, ms; 0 where there was none.
+    /// Duration in ms; 0 if there was no contradiction.
     pub longest_ms: u64,
-    /// Which two, and on which versions.
+    /// The two gatekeepers and their versions; empty if there was no contradiction.
     pub description: String,
 }
 
-/// Follows the versions that gatekeepers act on.
+/// Tracks the versions that gatekeepers act on, and the longest_description contradiction between them.
 struct VersionTracker<'a> {
     suspensions: Vec<FaultSpan<'a>>,
     active: BTreeMap<&'a str, ActiveVersions>,
-    /// The present contradiction: since when, us, and which.
-    open: Option<(u64, String)>,
+    /// The current contradiction: its start in us, and its description.
+    current: Option<(u64, String)>,
     longest_us: u64,
-    longest: String,
+    longest_description: String,
 }
 
 impl<'a> VersionTracker<'a> {
-    /// Applies a record; tells whether it may have changed who acts on what.
+    /// Applies a record. Returns whether it may have changed which gatekeeper acts on which version.
     fn apply(&mut self, record: &'a Record) -> bool {
         match &record.observation {
             Observation::LogLine { process, fields, .. } => {
@@ -105,12 +105,13 @@
 
     fn is_suspended(&self, process: &str, at_us: u64) -> bool {
         self.suspensions.iter().any(|fault| {
-            let is_on = fault.span.from_us <= at_us && at_us < fault.span.to_us;
-            is_on && fault.affected.iter().any(|name| name == process)
+            let is_active = fault.span.from_us <= at_us && at_us < fault.span.to_us;
+            is_active && fault.affected.iter().any(|name| name == process)
         })
     }
 
-    /// The gatekeeper that is furthest behind and the one that is furthest ahead, where they contradict each other.
+    /// Describes the gatekeepers that are furthest behind and furthest ahead, if they contradict each other: the version in force
+    /// at one is newer than any version that the other has accepted.
     fn contradiction(&self, at_us: u64) -> Option<String> {
         let running: Vec<(&str, ActiveVersions)> = self
             .active
@@ -128,33 +129,33 @@
 
     fn update(&mut self, at_us: u64) {
         match self.contradiction(at_us) {
-            Some(text) if self.open.is_none() => self.open = Some((at_us, text)),
+            Some(text) if self.current.is_none() => self.current = Some((at_us, text)),
             Some(_) => {}
             None => self.close(at_us),
         }
     }
 
     fn close(&mut self, at_us: u64) {
-        if let Some((since_us, text)) = self.open.take()
+        if let Some((since_us, text)) = self.current.take()
             && at_us - since_us > self.longest_us
         {
-            (self.longest_us, self.longest) = (at_us - since_us, text);
+            (self.longest_us, self.longest_description) = (at_us - since_us, text);
         }
     }
 }
 
-/// How long two gatekeepers acted on versions that contradict each other, at the longest in one stretch; and which.
+/// Finds the longest_description uninterrupted contradiction between the versions that two gatekeepers acted on.
 ///
-/// A gatekeeper's own log lines tell when it began to act on what, with its own clock's time; one that is suspended acts on
-/// nothing.
+/// The log lines of a gatekeeper state, with the time of its own clock, from when on it acts on which version. A gatekeeper that
+/// is suspended or has no lease acts on no version.
 pub fn longest_contradiction(history: &[Record]) -> Contradiction {
     let suspensions = fault_spans(history).into_iter().filter(|fault| fault.kind == SUSPENDED).collect();
     let mut tracker = VersionTracker {
         suspensions,
         active: BTreeMap::new(),
-        open: None,
+        current: None,
         longest_us: 0,
-        longest: String::new(),
+        longest_description: String::new(),
     };
     for record in history {
         if tracker.apply(record) {
@@ -164,10 +165,10 @@
     if let Some(last) = history.last() {
         tracker.close(last.at_us);
     }
-    Contradiction { longest_ms: tracker.longest_us / 1_000, description: tracker.longest }
+    Contradiction { longest_ms: tracker.longest_us / 1_000, description: tracker.longest_description }
 }
 
-/// No two gatekeepers act for longer than the bound on versions that contradict each other.
+/// Checks that no two gatekeepers act on contradicting versions for longer than the bound.
 pub fn contradicting_versions(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let Contradiction { longest_ms, description } = longest_contradiction(history);
     if longest_ms <= bounds.contradiction_ms {
--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -1,4 +1,4 @@
-//! Backends that drain get nothing new.
+//! Checks that draining backends receive no new attempts.
 
 use super::fault_spans::{AffectedSpans, delayed_attempts};
 use super::rules::{IneligibleSpan, NOTHING_TO_INELIGIBLE};
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a gatekeeper's log line says of a backend.
+/// The state of a backend as a gatekeeper's log line reports it.
 struct LoggedState {
     backend: String,
     accepts_requests: bool,
@@ -16,26 +16,26 @@
 
 impl LoggedState {
     fn of(fields: &Map<String, Value>) -> Option<Self> {
-        // The second name is that of older builds.
+        // Older builds log the field under the second name.
         let field = |name: &str, older_name: &str| fields.get(name).or_else(|| fields.get(older_name));
         let (Value::String(id), Value::Bool(accepts_requests)) =
             (field("backend", "server")?, field("eligible", "takes_work")?)
         else {
             return None;
         };
-        // An id is logged with its node in front.
+        // The log has the form `node/id`.
         let backend = id.rsplit('/').next().unwrap_or(id).to_owned();
         Some(Self { backend, accepts_requests: *accepts_requests })
     }
 }
 
-/// A gatekeeper and a backend.
+/// Names of a gatekeeper and of a backend.
 type Pair<'a> = (&'a str, String);
 
-/// When each gatekeeper knew which backends not to be eligible.
+/// The spans in which each gatekeeper knew that a backend was not eligible.
 #[derive(Default)]
 struct IneligibleSpans<'a> {
-    /// Since when, for spans that have not ended.
+    /// Start of each span that has not ended.
     open: HashMap<Pair<'a>, Duration>,
     ended: HashMap<Pair<'a>, Vec<IneligibleSpan>>,
 }
@@ -50,29 +50,29 @@
     }
 
     fn observe(&mut self, record: &'a Record) {
-        let at = Duration::from_micros(record.at_us);
+        let time = Duration::from_micros(record.at_us);
         match &record.observation {
             Observation::LogLine { process, fields, .. } => {
                 let Some(state) = LoggedState::of(fields) else { return };
                 let pair = (process.as_str(), state.backend);
-                // The gatekeeper's own word counts anew each time.
-                self.end(pair.clone(), at);
+                // Unlike a notification, each log line starts a new span.
+                self.end(pair.clone(), time);
                 if !state.accepts_requests {
-                    self.open.insert(pair, at);
+                    self.open.insert(pair, time);
                 }
             }
             Observation::EndpointNotified { gatekeeper, backend, accepts_requests } => {
                 let pair = (gatekeeper.as_str(), backend.clone());
                 if *accepts_requests {
-                    self.end(pair, at);
+                    self.end(pair, time);
                 } else {
-                    self.open.entry(pair).or_insert(at);
+                    self.open.entry(pair).or_insert(time);
                 }
             }
             Observation::ProcessStarted { process } => {
                 let pairs: Vec<Pair<'_>> =
                     self.open.keys().filter(|(gatekeeper, _)| gatekeeper == process).cloned().collect();
-                pairs.into_iter().for_each(|pair| self.end(pair, at));
+                pairs.into_iter().for_each(|pair| self.end(pair, time));
             }
             _ => {}
         }
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The span in which an attempt was late by more than the grace.
-    fn broken_by(
+    /// The span in which the attempt arrived after the grace period, and by how much it was late.
+    fn violated_span(
         &self,
         pair: &Pair<'a>,
         attempt: Duration,
@@ -96,15 +96,15 @@
     }
 }
 
-/// The faults that excuse attempts at ineligible backends.
-struct Excuses<'a> {
+/// The faults that permit late attempts time ineligible backends.
+struct PermittingFaults<'a> {
     affected: AffectedSpans<'a>,
     delayed: Vec<Span>,
-    /// Faults excuse attempts for this long after their end.
+    /// Faults permit late attempts until this long after their end.
     after_us: u64,
 }
 
-impl<'a> Excuses<'a> {
+impl<'a> PermittingFaults<'a> {
     fn of(history: &'a [Record], bounds: &Bounds) -> Self {
         Self {
             affected: AffectedSpans::of(history),
@@ -113,8 +113,9 @@
         }
     }
 
-    /// A fault that ended after the backend became ineligible excuses attempts until the usual bounds after its end.
-    fn excuse(&self, gatekeeper: &str, since: Duration, at_us: u64) -> bool {
+    /// Whether a fault permits an attempt time `at_us` to a backend that is ineligible since `since`. A fault does if it ended after
+    /// the backend became ineligible, until the sum of the usual bounds has passed after its end.
+    fn permit_late_attempt(&self, gatekeeper: &str, since: Duration, at_us: u64) -> bool {
         let since_us = since.as_micros() as u64;
         let mut faults = self.affected.of_gatekeeper(gatekeeper).iter().chain(&self.delayed);
         faults.any(|fault| {
@@ -124,11 +125,11 @@
     }
 }
 
-/// Nothing new reaches a backend later than the bound after a gatekeeper's own log says that it drains, or after the gatekeeper
-/// was notified. A notification while a fault affects the gatekeeper may be read later.
+/// Checks that no attempt reaches a backend later than the bound after the gatekeeper logged that the backend drains, or was
+/// notified of that. A gatekeeper that a fault affects may read a notification later.
 pub fn draining(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let spans = IneligibleSpans::of(history);
-    let excuses = Excuses::of(history, bounds);
+    let faults = PermittingFaults::of(history, bounds);
     let grace = Duration::from_millis(bounds.drain_ms + bounds.tolerance_ms);
     let mut violations = Vec::new();
     for record in history {
@@ -136,9 +137,9 @@
             continue;
         };
         let pair = (gatekeeper.as_str(), backend.clone());
-        let at = Duration::from_micros(record.at_us);
-        let Some((span, lateness)) = spans.broken_by(&pair, at, grace) else { continue };
-        if !excuses.excuse(gatekeeper, span.from, record.at_us) {
+        let time = Duration::from_micros(record.at_us);
+        let Some((span, lateness)) = spans.violated_span(&pair, time, grace) else { continue };
+        if !faults.permit_late_attempt(gatekeeper, span.from, record.at_us) {
             let late_ms = lateness.as_millis();
             let text = format!(
                 "operation {request_id} reached {backend} from {gatekeeper} {late_ms} ms after it said so"
--- a/crates/fault_injection/src/checkers/fault_spans.rs
+++ b/crates/fault_injection/src/checkers/fault_spans.rs
@@ -1,4 +1,4 @@
-//! When faults were active, and which gatekeepers they affected.
+//! The spans in which faults were active, and the gatekeepers that they affected.
 
 use crate::history::{Observation, Record, Span};
 use std::collections::HashMap;
@@ -8,14 +8,14 @@
 pub(super) struct FaultSpan<'a> {
     pub(super) span: Span,
     pub(super) kind: &'a str,
-    /// Gatekeepers whose clients may miss an answer.
+    /// Gatekeepers whose clients may miss answers.
     pub(super) affected: &'a [String],
     pub(super) delays_attempts: bool,
 }
 
-/// All faults of a history. One without an end is active for ever.
+/// All faults of a history. A fault without a recorded end stays active until the end of the history.
 pub(super) fn fault_spans(history: &[Record]) -> Vec<FaultSpan<'_>> {
-    let mut open = HashMap::new();
+    let mut active = HashMap::new();
     let mut all = Vec::new();
     for record in history {
         let Observation::Fault { index, kind, begins, affected, delays_attempts } = &record.observation
@@ -24,13 +24,13 @@
         };
         if *begins {
             let span = Span { from_us: record.at_us, to_us: u64::MAX };
-            open.insert(*index, FaultSpan { span, kind, affected, delays_attempts: *delays_attempts });
-        } else if let Some(mut fault) = open.remove(index) {
+            active.insert(*index, FaultSpan { span, kind, affected, delays_attempts: *delays_attempts });
+        } else if let Some(mut fault) = active.remove(index) {
             fault.span.to_us = record.at_us;
             all.push(fault);
         }
     }
-    all.extend(open.into_values());
+    all.extend(active.into_values());
     all
 }
 
@@ -50,7 +50,7 @@
         self.0.get(name).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a fault affected the gatekeeper at some time of this span, its ends included.
+    /// Whether a fault affected the gatekeeper at any time of this span, including its ends.
     pub(super) fn overlap(&self, gatekeeper: &str, span: Span) -> bool {
         self.of_gatekeeper(gatekeeper)
             .iter()
@@ -58,7 +58,7 @@
     }
 }
 
-/// When attempts may arrive late at backends.
+/// The spans in which attempts may arrive late at backends.
 pub(super) fn delayed_attempts(history: &[Record]) -> Vec<Span> {
     fault_spans(history).into_iter().filter(|fault| fault.delays_attempts).map(|fault| fault.span).collect()
 }
--- a/crates/fault_injection/src/checkers/requests.rs
+++ b/crates/fault_injection/src/checkers/requests.rs
@@ -1,4 +1,4 @@
-//! Each request has one final answer.
+//! Checks that each request has exactly one final answer.
 
 use super::fault_spans::AffectedSpans;
 use super::rules::{AnswerFault, ONE_FINAL_ANSWER, answer_fault};
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A request without an end so far.
+/// A request that has not ended.
 struct OpenRequest<'a> {
     sent_us: u64,
     gatekeeper: &'a str,
 }
 
-/// Follows requests to their ends.
+/// Tracks requests from their start to their end.
 struct RequestChecker<'a> {
     affected: AffectedSpans<'a>,
-    /// Time within which an answer is due.
-    due: Duration,
+    /// Time within which a request must be answered.
+    time_limit: Duration,
     open: BTreeMap<u64, OpenRequest<'a>>,
     violations: Vec<Violation>,
 }
@@ -27,8 +27,8 @@
         self.violations.push(Violation::new(ONE_FINAL_ANSWER, text));
     }
 
-    /// Whether the request went through a gatekeeper while a fault affected it, or one came up before the request's end.
-    fn is_excused(&self, request: &OpenRequest<'_>, end_us: u64) -> bool {
+    /// Whether a fault affected the request's gatekeeper at any time between the start and the end of the request.
+    fn was_affected_by_fault(&self, request: &OpenRequest<'_>, end_us: u64) -> bool {
         self.affected.overlap(request.gatekeeper, Span { from_us: request.sent_us, to_us: end_us })
     }
 
@@ -46,9 +46,9 @@
             return;
         };
         let took = Duration::from_micros(end_us - request.sent_us);
-        let Some(fault) = answer_fault(outcome, took, self.due) else { return };
-        // No fault excuses an answer that is not the request's own.
-        if fault != AnswerFault::Foreign && self.is_excused(&request, end_us) {
+        let Some(fault) = answer_fault(outcome, took, self.time_limit) else { return };
+        // No fault permits the answer to another request.
+        if fault != AnswerFault::Foreign && self.was_affected_by_fault(&request, end_us) {
             return;
         }
         let (gatekeeper, took_ms) = (request.gatekeeper, took.as_millis());
@@ -65,11 +65,11 @@
         });
     }
 
-    /// Requests that are still open at the end of the history.
+    /// Checks the requests that are still open at the end of the history, and returns all violations.
     fn finish(mut self, last_us: u64) -> Vec<Violation> {
         for (request_id, request) in std::mem::take(&mut self.open) {
             let waited = Duration::from_micros(last_us - request.sent_us);
-            if waited > self.due && !self.is_excused(&request, last_us) {
+            if waited > self.time_limit && !self.was_affected_by_fault(&request, last_us) {
                 let gatekeeper = request.gatekeeper;
                 self.violation(format!(
                     "operation {request_id} through {gatekeeper} never ended for its client"
@@ -80,11 +80,11 @@
     }
 }
 
-/// Each request that a gatekeeper accepted has one final answer, its own, and in time.
+/// Checks that each request that a gatekeeper accepted gets exactly one final answer, its own, in time.
 pub fn final_answers(history: &[Record], bounds: &Bounds) -> Vec<Violation> {
     let mut checker = RequestChecker {
         affected: AffectedSpans::of(history),
-        due: Duration::from_millis(bounds.deadline_ms + bounds.tolerance_ms),
+        time_limit: Duration::from_millis(bounds.deadline_ms + bounds.tolerance_ms),
         open: BTreeMap::new(),
         violations: Vec::new(),
     };
@@ -102,7 +102,7 @@
     checker.finish(history.last().map_or(0, |record| record.at_us))
 }
 
-/// Requests by their outcome: figures for a table, no rule.
+/// Counts requests by outcome, for reports.
 pub fn outcomes(history: &[Record]) -> BTreeMap<Outcome, u64> {
     let mut counts = BTreeMap::new();
     for record in history {
--- a/crates/fault_injection/src/checkers/tests.rs
+++ b/crates/fault_injection/src/checkers/tests.rs
@@ -1,4 +1,4 @@
-//! For each rule histories that keep it and histories that break it.
+//! For each rule, histories that comply with it and histories that violate it.
 
 use super::*;
 use crate::history::{Observation, Outcome};
@@ -19,7 +19,7 @@
     }
 }
 
-/// A history from times in ms.
+/// Builds a history from observations with their times in ms.
 fn history(list: &[(u64, Observation)]) -> Vec<Record> {
     list.iter()
         .map(|(ms, observation)| Record { at_us: ms * 1_000, observation: observation.clone() })
@@ -40,16 +40,16 @@
 }
 
 fn fault(begins: bool, affected: &[&str]) -> Observation {
-    let affected = affected.iter().map(|h| (*h).to_owned()).collect();
+    let affected = affected.iter().map(|name| (*name).to_owned()).collect();
     Observation::Fault { index: 0, kind: "killed".into(), begins, affected, delays_attempts: false }
 }
 
-/// What m0 logs of l0.
+/// The log line in which m0 reports the state of l0.
 fn logs_state(accepts_requests: bool) -> Observation {
     logs_state_as(["backend", "eligible"], accepts_requests)
 }
 
-/// The same with these names of fields.
+/// The same log line with these field names.
 fn logs_state_as([backend, eligible]: [&str; 2], accepts_requests: bool) -> Observation {
     let fields = [(backend, Value::from("a/l0")), (eligible, Value::from(accepts_requests))];
     let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_good_history_breaks_nothing() {
+fn a_compliant_history_has_no_violations() {
     let good = history(&[
         (0, Observation::ProcessStarted { process: "m0".into() }),
         (1, sent(1, "m0")),
@@ -92,18 +92,19 @@
     ]);
     assert_eq!(check(&good, &bounds()), []);
     let mut text = Vec::new();
-    crate::history::write(&good, &mut text).expect("it is written");
-    let read = crate::history::read(&String::from_utf8_lossy(&text)).expect("it is read");
+    crate::history::write(&good, &mut text).expect("the history is written");
+    let read = crate::history::read(&String::from_utf8_lossy(&text)).expect("the history is read");
     assert_eq!(read, good);
 }
 
-/// For each rule a history that breaks it, and only it.
+/// For each rule, histories that violate this rule and no other.
 #[test]
-fn each_checker_finds_what_it_is_for() {
-    let agreed = (20_000, Observation::Converged { after_ms: Some(1), divergence: String::new() });
+fn each_checker_finds_the_violations_of_its_rule() {
+    let converged = (20_000, Observation::Converged { after_ms: Some(1), divergence: String::new() });
     let ran = |by: &str| Observation::JobRan { job: "d".into(), run: 7, instance: by.into() };
-    let crowd: Vec<(u64, Observation)> =
-        (0..60).flat_map(|op| [(op, sent(op, "m0")), (op, arrived(op))]).collect();
+    let beyond_ceiling: Vec<(u64, Observation)> = (0..60)
+        .flat_map(|request_id| [(request_id, sent(request_id, "m0")), (request_id, arrived(request_id))])
+        .collect();
     let cases: Vec<(&str, Vec<(u64, Observation)>)> = vec![
         ("one final answer in time", vec![(1, sent(1, "m0")), (9, ended(1, Outcome::Unanswered))]),
         ("one final answer in time", vec![(1, sent(1, "m0")), (1_900, ended(1, Outcome::Served))]),
@@ -114,13 +115,13 @@
             vec![(1, sent(1, "m0")), (2, ended(1, Outcome::Served)), (3, ended(1, Outcome::Served))],
         ),
         (
-            // The fault hit another one.
+            // The fault affects another gatekeeper.
             "one final answer in time",
             vec![(0, fault(true, &["m1"])), (1, sent(1, "m0")), (9, ended(1, Outcome::Unanswered))],
         ),
-        ("hard ceiling", crowd),
+        ("hard ceiling", beyond_ceiling),
         ("nothing new to who takes no work", vec![(1, logs_state(false)), (1_500, arrived(9))]),
-        // The names of an older build.
+        // The field names of an older build.
         (
             "nothing new to who takes no work",
             vec![(1, logs_state_as(["server", "takes_work"], false)), (1_500, arrived(9))],
@@ -153,72 +154,79 @@
         ),
     ];
     for (rule, list) in cases {
-        let ends: Vec<(u64, Observation)> = match rule {
-            // What this rule is not about has its end.
-            "hard ceiling" => (0..60).map(|op| (100, ended(op, Outcome::Served))).collect(),
+        let request_ends: Vec<(u64, Observation)> = match rule {
+            // The requests end in time, so that no other rule is violated.
+            "hard ceiling" => (0..60).map(|request_id| (100, ended(request_id, Outcome::Served))).collect(),
             _ => Vec::new(),
         };
-        let found = check(&history(&[&list[..], &ends, std::slice::from_ref(&agreed)].concat()), &bounds());
+        let found = check(
+            &history(&[&list[..], &request_ends, std::slice::from_ref(&converged)].concat()),
+            &bounds(),
+        );
         assert!(!found.is_empty() && found.iter().all(|v| v.rule == rule), "{rule}: {found:?}");
     }
 }
 
 #[test]
-fn a_ceiling_counts_first_attempts_and_fills_with_time() {
-    // 40 at once and 20 a second: four a tick of 200 ms, each with a second attempt.
+fn a_ceiling_counts_first_attempts_only_and_refills_over_time() {
+    // The ceiling allows 40 units at_ms once and 20 a second: four requests every 200 ms, each with a second attempt, keep to it.
     let mut list = Vec::new();
-    for op in 0..200 {
-        let at = op / 4 * 200;
-        list.extend([(at, sent(op, "m0")), (at, arrived(op)), (at, arrived(op))]);
+    for request_id in 0..200 {
+        let at_ms = request_id / 4 * 200;
+        list.extend([
+            (at_ms, sent(request_id, "m0")),
+            (at_ms, arrived(request_id)),
+            (at_ms, arrived(request_id)),
+        ]);
     }
     assert_eq!(hard_ceilings(&history(&list), &bounds()), []);
 }
 
-fn logs_versions(who: &str, version: u64, proposed: u64, leased: bool) -> Observation {
+fn logs_versions(process: &str, version: u64, proposed: u64, leased: bool) -> Observation {
     let fields =
         [("version", version.into()), ("proposed", proposed.into()), ("leased", Value::from(leased))];
     let fields = fields.map(|(name, value)| (name.to_owned(), value)).into_iter().collect();
-    Observation::LogLine { process: who.into(), text: String::new(), fields }
+    Observation::LogLine { process: process.into(), text: String::new(), fields }
 }
 
 #[test]
-fn versions_contradict_each_other_from_when_to_when() {
-    let fine = history(&[
+fn measures_the_longest_contradiction_between_versions() {
+    let compatible = history(&[
         (0, logs_versions("a", 1, 0, true)),
         (0, logs_versions("b", 1, 0, true)),
         (100, logs_versions("a", 1, 2, true)),
         (200, logs_versions("b", 1, 2, true)),
         (300, logs_versions("a", 2, 0, true)),
-        // Without a lease it acts on no version.
+        // Without a lease, a gatekeeper acts on no version.
         (400, logs_versions("b", 1, 2, false)),
         (500, logs_versions("a", 2, 3, true)),
         (600, logs_versions("a", 3, 0, true)),
         (700, logs_versions("b", 3, 0, true)),
     ]);
-    assert_eq!(longest_contradiction(&fine).longest_ms, 0);
-    let bad = history(&[
+    assert_eq!(longest_contradiction(&compatible).longest_ms, 0);
+    let contradicting = history(&[
         (0, logs_versions("a", 1, 0, true)),
         (0, logs_versions("b", 1, 0, true)),
         (100, logs_versions("a", 2, 0, true)),
         (5_100, logs_versions("b", 2, 0, true)),
     ]);
-    assert_eq!(longest_contradiction(&bad).longest_ms, 5_000);
-    assert_eq!(contradicting_versions(&bad, &bounds()).len(), 1);
-    // One that is suspended acts on nothing.
-    let stopped = |begins| Observation::Fault {
+    assert_eq!(longest_contradiction(&contradicting).longest_ms, 5_000);
+    assert_eq!(contradicting_versions(&contradicting, &bounds()).len(), 1);
+    // A suspended gatekeeper acts on no version.
+    let suspended = |begins| Observation::Fault {
         index: 0,
         kind: "stopped".into(),
         begins,
         affected: vec!["b".into()],
         delays_attempts: false,
     };
-    let still = history(&[
+    let during_suspension = history(&[
         (0, logs_versions("a", 1, 0, true)),
         (0, logs_versions("b", 1, 0, true)),
-        (50, stopped(true)),
+        (50, suspended(true)),
         (100, logs_versions("a", 2, 0, true)),
-        (5_000, stopped(false)),
+        (5_000, suspended(false)),
         (5_020, logs_versions("b", 1, 0, false)),
     ]);
-    assert_eq!(longest_contradiction(&still).longest_ms, 20);
+    assert_eq!(longest_contradiction(&during_suspension).longest_ms, 20);
 }
--- a/crates/fault_injection/src/history.rs
+++ b/crates/fault_injection/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: one list of observations, all timed by one clock, and its file of JSON lines.
+//! The history of a run: one list of observations with times of one clock, stored as JSON lines.
 
 mod observation;
 mod process_observer;
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// It cannot be written.
+/// The writer fails.
 pub fn write(records: &[Record], to: &mut impl Write) -> io::Result<()> {
     for record in records {
         serde_json::to_writer(&mut *to, record)?;
@@ -32,11 +32,11 @@
     Ok(())
 }
 
-/// Reads what [`write()`] has written.
+/// Reads the JSON lines that [`write()`] writes.
 ///
 /// # Errors
 ///
-/// A line holds no record.
+/// A line is not a valid record; the error has its number.
 pub fn read(text: &str) -> Result<Vec<Record>, Error> {
     let record = |(index, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|source| Error::HistoryLine { line: index + 1, source })
--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -1,11 +1,11 @@
-//! What a history holds. The names in its file are older than those of the fields, and stay.
+//! The records of a history. `serde(rename)` keeps the names that stored histories use, which differ from the fields' names.
 
 use fault_harness::outcome::Outcome;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// Something that was observed.
+/// An event, or a sample of resource use or traffic.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "what")]
 pub enum Observation {
@@ -15,29 +15,29 @@
         /// The request.
         #[serde(rename = "op")]
         request_id: u64,
-        /// The tenant whose quota it takes.
+        /// The tenant whose quota the request uses.
         #[serde(rename = "lender")]
         tenant: String,
-        /// The units that it takes.
+        /// Units that the request costs.
         units: f64,
-        /// The gatekeeper that it went to.
+        /// The gatekeeper that it was sent to.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
-    /// A request ended for its client.
+    /// A request ended: its client received an answer or gave up.
     #[serde(rename = "ended")]
     RequestEnded {
         /// The request.
         #[serde(rename = "op")]
         request_id: u64,
-        /// How.
+        /// How it ended.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
-    /// An attempt arrived complete at a backend.
+    /// A backend received a complete attempt.
     #[serde(rename = "arrived")]
     AttemptArrived {
-        /// The request.
+        /// The request that the attempt belongs to.
         #[serde(rename = "op")]
         request_id: u64,
         /// The backend.
@@ -50,13 +50,13 @@
     /// The quota counter applied a call.
     #[serde(rename = "counted")]
     CounterAdded {
-        /// The counter's name.
+        /// The name of the counter.
         #[serde(rename = "name")]
         counter: String,
-        /// What was added.
+        /// The amount added.
         #[serde(rename = "add")]
         amount: f64,
-        /// The total after that.
+        /// The total after the addition.
         total: f64,
         /// The gatekeeper that called.
         #[serde(rename = "via")]
@@ -68,7 +68,7 @@
         /// The job.
         #[serde(rename = "duty")]
         job: String,
-        /// The run's number, which is the fencing token.
+        /// The number of the run, which serves as its fencing token.
         #[serde(rename = "round")]
         run: u64,
         /// The instance that called.
@@ -78,41 +78,41 @@
     /// A process was started.
     #[serde(rename = "started")]
     ProcessStarted {
-        /// Its name.
+        /// Name of the process; in a site, that of its gatekeeper.
         #[serde(rename = "who")]
         process: String,
     },
-    /// A process has ended.
+    /// A process has exited.
     #[serde(rename = "exited")]
     ProcessExited {
-        /// Its name.
+        /// Name of the process; in a site, that of its gatekeeper.
         #[serde(rename = "who")]
         process: String,
-        /// Its exit code, or the negative number of the signal that ended it.
+        /// Exit code, or the negated number of the signal that terminated the process.
         #[serde(rename = "code")]
         exit_code: i32,
-        /// The harness asked for it.
+        /// Whether the harness requested the exit.
         #[serde(rename = "told")]
         requested: bool,
     },
     /// A fault begins or ends.
     #[serde(rename = "fault")]
     Fault {
-        /// Its index in the schedule.
+        /// Index of the fault in the schedule.
         #[serde(rename = "number")]
         index: usize,
-        /// Its kind.
+        /// Name of its kind, as [`FaultKind::name`](crate::schedule::FaultKind::name) returns it.
         kind: String,
-        /// It begins.
+        /// True at the begin of the fault, false at its end.
         begins: bool,
-        /// Gatekeepers whose clients may miss an answer meanwhile.
+        /// Gatekeepers whose clients may miss answers during the fault.
         #[serde(rename = "hits")]
         affected: Vec<String>,
-        /// Attempts may arrive late at backends meanwhile.
+        /// Whether attempts may arrive late at backends during the fault.
         #[serde(rename = "late")]
         delays_attempts: bool,
     },
-    /// A gatekeeper was notified of a backend, over a healthy link.
+    /// Discovery notified a gatekeeper of a backend's state over a healthy link.
     #[serde(rename = "told")]
     EndpointNotified {
         /// The gatekeeper.
@@ -121,20 +121,20 @@
         /// The backend.
         #[serde(rename = "server")]
         backend: String,
-        /// It accepts new requests.
+        /// Whether the backend accepts new requests.
         #[serde(rename = "takes_work")]
         accepts_requests: bool,
     },
-    /// An operator's proposal of a version has ended.
+    /// An operator's command that proposes a version of the configuration has finished.
     #[serde(rename = "proposed")]
     VersionProposed {
         /// The gatekeeper from whose folder it was proposed.
         #[serde(rename = "who")]
         gatekeeper: String,
-        /// The command's exit code: 0 where the version is in force.
+        /// Exit code of the command: 0 if the version is in force, -1 if a signal terminated the command.
         #[serde(rename = "code")]
         exit_code: i32,
-        /// What the command printed.
+        /// Standard output and standard error of the command.
         #[serde(rename = "said")]
         output: String,
     },
@@ -146,7 +146,7 @@
         process: String,
         /// The message.
         text: String,
-        /// Its fields.
+        /// The fields of the log event; empty for a plain line.
         #[serde(default, skip_serializing_if = "Map::is_empty")]
         fields: Map<String, Value>,
     },
@@ -167,30 +167,30 @@
         /// Processor time since its start, ms.
         cpu_ms: u64,
     },
-    /// What stand-ins and links have handled so far.
+    /// Totals since the start of the site of what stand-ins and links have handled.
     #[serde(rename = "carried")]
     Traffic {
         /// Requests to Consul, by method and kind.
         #[serde(rename = "consul")]
         consul_requests: BTreeMap<String, u64>,
-        /// Bytes of datagrams.
+        /// Bytes of datagrams that the links carried.
         #[serde(rename = "gossip")]
         gossip_bytes: u64,
     },
-    /// After the last fault: what still differs from an agreed state is not what it was at the last look.
+    /// After the last fault: a check of convergence found other differences than the check before it.
     #[serde(rename = "apart")]
     DivergenceChanged {
-        /// What differs.
+        /// The remaining differences, in words.
         #[serde(rename = "text")]
         divergence: String,
     },
-    /// The wait for agreement after the last fault is over.
+    /// The wait for convergence after the last fault has ended.
     #[serde(rename = "agreed")]
     Converged {
-        /// ms from the end of the last fault; none where not all agreed in the time given.
+        /// ms from the end of the last fault; absent if the gatekeepers did not converge before the timeout.
         #[serde(rename = "after")]
         after_ms: Option<u64>,
-        /// What differed last.
+        /// The differences at the last check; empty if the gatekeepers converged.
         #[serde(rename = "apart")]
         divergence: String,
     },
@@ -207,10 +207,10 @@
 /// An observation and its time.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Record {
-    /// Microseconds of [`super::now_us`].
+    /// Microseconds of the clock of [`super::now_us`].
     #[serde(rename = "at")]
     pub at_us: u64,
-    /// What was observed.
+    /// The observation.
     #[serde(flatten)]
     pub observation: Observation,
 }
--- a/crates/fault_injection/src/history/process_observer.rs
+++ b/crates/fault_injection/src/history/process_observer.rs
@@ -1,4 +1,4 @@
-//! Records what processes do.
+//! Connects the observer interface of `fault_harness` to the history.
 
 use super::{Observation, Recorder};
 use fault_harness::process::{LogLine, ProcessExit, ProcessObserver};
--- a/crates/fault_injection/src/history/span.rs
+++ b/crates/fault_injection/src/history/span.rs
@@ -1,23 +1,23 @@
-//! Spans of a history.
+//! Spans of time in a history.
 
 use super::now_us;
 
-/// A span of a history's time, us.
+/// A span of a history's time, in microseconds of the clock of [`now_us`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
-    /// Its begin.
+    /// The begin of the span.
     pub from_us: u64,
-    /// Its end.
+    /// The end of the span; `u64::MAX` if it is open.
     pub to_us: u64,
 }
 
 impl Span {
-    /// From a time until now.
+    /// The span from this time until now.
     pub fn since(from_us: u64) -> Self {
         Self { from_us, to_us: now_us() }
     }
 
-    /// How long it is, s.
+    /// The length of the span in seconds.
     pub fn seconds(self) -> f64 {
         (self.to_us - self.from_us) as f64 / 1e6
     }
--- a/crates/fault_injection/src/history/tests.rs
+++ b/crates/fault_injection/src/history/tests.rs
@@ -1,16 +1,16 @@
-//! Reading a history that is damaged, and log lines by their text.
+//! Reading a damaged history, and finding log lines by their text.
 
 use super::{Observation, read};
 
 #[test]
-fn a_line_that_holds_no_record_is_named() {
+fn an_invalid_line_is_reported_with_its_number() {
     let text = "{\"at\":1,\"what\":\"started\",\"who\":\"m0\"}\n{\"at\":2,\"what\":\"unheard of\"}\n";
     let error = read(text).expect_err("no such kind").to_string();
     assert!(error.starts_with("line 2: unknown variant `unheard of`"), "{error}");
 }
 
 #[test]
-fn a_log_line_is_found_by_any_of_the_texts_that_builds_log() {
+fn finds_a_log_line_by_any_of_several_texts() {
     let line = |text: &str| Observation::LogLine {
         process: "m0".into(),
         text: text.into(),
