--- a/crates/fault_injection/src/builds.rs
+++ b/crates/fault_injection/src/builds.rs
@@ -1,20 +1,21 @@
-//! Which build of the gatekeeper runs where: one for all, or two that have to work together.
+//! Assigns builds to gatekeepers: one build for all, or two builds that must be compatible with each other.
 
 use std::path::{Path, PathBuf};
 
-/// The builds of a site. Both files of a pair must have the same name, by which [`fault_harness::process`] knows its processes.
+/// The builds that the gatekeepers of a site run. Both files of a pair must have the same file name, since
+/// [`fault_harness::process`] recognises its processes by it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Builds {
     /// One build for all gatekeepers.
     One(PathBuf),
     /// Gatekeepers with an even number run the first build, the others the second.
     ByGatekeeper(PathBuf, PathBuf),
-    /// Each gatekeeper's first start runs the first build, its next start the second, and so on in turn.
+    /// Each gatekeeper alternates with each start: the first build at its first start, the second at its next one, and so on.
     Alternating(PathBuf, PathBuf),
 }
 
 impl Builds {
-    /// The build of a gatekeeper, numbered from 0, for a start, numbered from 1.
+    /// The build that a gatekeeper (numbered from 0) runs at a start (numbered from 1).
     pub fn for_start(&self, gatekeeper: usize, start: u8) -> &Path {
         match self {
             Self::One(build) => build,
--- a/crates/fault_injection/src/error.rs
+++ b/crates/fault_injection/src/error.rs
@@ -4,33 +4,33 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// An error of the harness.
+/// Why the harness could not read its input or run a schedule.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A line of a history file holds no record.
+    /// A line of a history file is not a valid record.
     #[error("line {line}: {source}")]
     HistoryLine {
-        /// The line's number, from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The parse error.
         #[source]
         source: serde_json::Error,
     },
-    /// A file is no schedule.
+    /// The text is not a schedule in TOML.
     #[error(transparent)]
     ScheduleSyntax(#[from] toml::de::Error),
-    /// Too few or too many gatekeepers or backends.
+    /// A schedule asks for too few or too many gatekeepers or backends.
     #[error("programs and loans must be 1 to {MAX_NODES}, not {gatekeepers} and {backends}")]
     SiteSize {
-        /// Gatekeepers asked for.
+        /// Requested number of gatekeepers.
         gatekeepers: usize,
-        /// Backends asked for.
+        /// Requested number of backends.
         backends: usize,
     },
-    /// A fault ends after its schedule does.
-    #[error("a fault of {start_ms} ms ends after length_ms")]
+    /// A fault ends after the end of its schedule.
+    #[error("the fault that begins at {start_ms} ms ends after length_ms")]
     FaultEndsLate {
-        /// When it begins.
+        /// When the fault begins, in ms from the start of the schedule.
         start_ms: u64,
     },
     /// A file or folder cannot be read, written or moved.
@@ -38,65 +38,65 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         #[source]
         source: io::Error,
     },
-    /// A build of the gatekeeper cannot be run.
+    /// A gatekeeper or one of its commands cannot be started.
     #[error("{}: {source}", build.display())]
     Start {
-        /// The build.
+        /// The executable.
         build: PathBuf,
-        /// Why.
+        /// The error of the start.
         #[source]
         source: io::Error,
     },
-    /// An address or a port cannot be had.
+    /// No free network or port is available, or an address cannot be listened on.
     #[error("{0}")]
     Address(#[from] io::Error),
-    /// The replicated configuration could not be created; this is what the command printed.
-    #[error("{output}")]
+    /// The command that creates the replicated configuration failed.
+    #[error("cannot create the replicated configuration: {output}")]
     ConfigurationNotCreated {
-        /// What the command printed.
+        /// Standard output and standard error of the command.
         output: String,
     },
-    /// A gatekeeper that was started at the begin does not serve.
+    /// A gatekeeper does not serve in time after the start of the site.
     #[error("{gatekeeper} does not serve")]
     NotServing {
-        /// Which.
+        /// Name of the gatekeeper.
         gatekeeper: String,
     },
-    /// A gatekeeper that was started again does not serve.
+    /// A gatekeeper does not serve in time after a restart.
     #[error("{gatekeeper} does not serve again")]
     NotServingAgain {
-        /// Which.
+        /// Name of the gatekeeper.
         gatekeeper: String,
     },
-    /// The successor of an upgrade is not ready in time.
+    /// The successor of an upgrade does not become ready in time.
     #[error("the new program of an upgrade is not ready")]
     SuccessorNotReady,
     /// The successor of an upgrade does not serve once its predecessor has shut down.
     #[error("the new program of an upgrade does not serve")]
     SuccessorNotServing,
-    /// The thread that injects a fault has panicked.
-    #[error("a fault panicked")]
+    /// The thread that injects a fault panicked.
+    #[error("the thread that injects a fault panicked")]
     FaultPanicked,
-    /// The gatekeeper that is to write the cached endpoint list never received one.
-    #[error("the first program never had a list")]
+    /// The gatekeeper that has to write the cached endpoint list received no list.
+    #[error("the first gatekeeper received no endpoint list")]
     NoEndpointList,
-    /// The gatekeeper that is to write the cached endpoint list wrote none.
-    #[error("the first program kept no list")]
+    /// The gatekeeper that has to write the cached endpoint list wrote no file.
+    #[error("the first gatekeeper wrote no cached endpoint list")]
     NoCachedList,
 }
 
 impl Error {
-    /// Adds the path to an error of the file system.
+    /// Returns a function that adds the path to an error of the file system.
     pub(crate) fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.to_owned();
         move |source| Self::File { path, source }
     }
 
-    /// Adds the build to an error of its start.
+    /// Returns a function that adds the build to an error of its start.
     pub(crate) fn start(build: &Path) -> impl FnOnce(io::Error) -> Self {
         let build = build.to_owned();
         move |source| Self::Start { build, source }
--- a/crates/fault_injection/src/error/tests.rs
+++ b/crates/fault_injection/src/error/tests.rs
@@ -1,23 +1,26 @@
-//! The texts that whoever runs the harness may read.
+//! The texts that the errors of the harness print.
 
 use super::*;
 
 #[test]
-fn errors_name_what_went_wrong() {
-    let missing = || io::Error::from(io::ErrorKind::NotFound);
+fn errors_state_what_failed() {
+    let not_found = || io::Error::from(io::ErrorKind::NotFound);
     let gatekeeper = || "m1".to_owned();
     let cases = [
-        (Error::file(Path::new("a/b.toml"))(missing()), "a/b.toml: entity not found"),
-        (Error::start(Path::new("old/snowfield"))(missing()), "old/snowfield: entity not found"),
+        (Error::file(Path::new("a/b.toml"))(not_found()), "a/b.toml: entity not found"),
+        (Error::start(Path::new("old/snowfield"))(not_found()), "old/snowfield: entity not found"),
         (Error::from(io::Error::other("no free addresses")), "no free addresses"),
-        (Error::ConfigurationNotCreated { output: "exists already".to_owned() }, "exists already"),
+        (
+            Error::ConfigurationNotCreated { output: "exists already".to_owned() },
+            "cannot create the replicated configuration: exists already",
+        ),
         (Error::NotServing { gatekeeper: gatekeeper() }, "m1 does not serve"),
         (Error::NotServingAgain { gatekeeper: gatekeeper() }, "m1 does not serve again"),
         (Error::SuccessorNotReady, "the new program of an upgrade is not ready"),
         (Error::SuccessorNotServing, "the new program of an upgrade does not serve"),
-        (Error::FaultPanicked, "a fault panicked"),
-        (Error::NoEndpointList, "the first program never had a list"),
-        (Error::NoCachedList, "the first program kept no list"),
+        (Error::FaultPanicked, "the thread that injects a fault panicked"),
+        (Error::NoEndpointList, "the first gatekeeper received no endpoint list"),
+        (Error::NoCachedList, "the first gatekeeper wrote no cached endpoint list"),
     ];
     for (error, text) in cases {
         assert_eq!(error.to_string(), text);
--- a/crates/fault_injection/src/lib.rs
+++ b/crates/fault_injection/src/lib.rs
@@ -1,13 +1,14 @@
-//! Fault injection: several real gatekeepers on loopback with faults between them, a history of each run, and checkers of the
-//! rules.
+//! Fault injection: runs several real gatekeepers on loopback, injects faults between them, records a history of each run, and
+//! checks the history against the rules.
 //!
-//! [`site`] starts gatekeepers and the stand-ins around them; all that one node sends to another passes a link of [`network`].
-//! A [`schedule`] says which faults come when; the [`runner`] injects them under the steady load of [`load`] and judges the
-//! [`history`] by the pure functions of [`checkers`]. docs/design/faults.md has the reasons.
+//! [`site`] starts the gatekeepers and the stand-ins around them; all traffic between nodes passes through the links of
+//! [`network`]. A [`schedule`] lists the faults and their times; the [`runner`] injects them under the steady load of [`load`]
+//! and checks the [`history`] with the pure functions of [`checkers`]. docs/design/faults.md explains the design.
 //!
-//! Processes, the quota counter, the endpoint list, the clock and the rules that every site keeps are those of `fault_harness`.
+//! Process control, the quota counter, the endpoint list, the clock and the rules that all harnesses share come from
+//! `fault_harness`.
 //!
-//! The harness needs no privileges and stays on 127.0.0.0/8, where each site reserves a network.
+//! The harness needs no privileges and uses only 127.0.0.0/8, where each site reserves a network of its own.
 
 pub mod builds;
 pub mod checkers;
--- a/crates/fault_injection/src/schedule.rs
+++ b/crates/fault_injection/src/schedule.rs
@@ -1,4 +1,4 @@
-//! A schedule of faults: a file that people read and edit, or what follows from a seed.
+//! Schedules of faults, which are read from TOML files or generated from a seed.
 
 mod fault;
 mod generator;
@@ -14,10 +14,10 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The most gatekeepers, and the most backends, of a site.
+/// Maximum number of gatekeepers of a site, and of its backends.
 pub const MAX_NODES: usize = 64;
 
-/// The form in which gatekeepers run.
+/// The deployment form of the gatekeepers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Form {
@@ -28,24 +28,24 @@
     Platform,
 }
 
-/// Options of a site beside its gatekeepers and backends.
+/// Options of a site other than the number of gatekeepers and backends.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct SiteOptions {
-    /// Periodic jobs of the appliances.
+    /// Number of periodic jobs that the appliances share.
     #[serde(rename = "duties")]
     pub jobs: usize,
-    /// Members that may take over a job from the first one.
+    /// Number of standby members for each job (the setting `cluster.standbys`).
     pub standbys: usize,
-    /// Consul agents of each gatekeeper.
+    /// Number of Consul agents of each gatekeeper; 0 counts as 1.
     #[serde(rename = "agents")]
     pub consul_agents: usize,
-    /// Whether tenants send requests throughout.
+    /// Whether clients send requests during the run.
     pub load: bool,
     /// Whether appliances check the health of backends.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// Replicas of the replicated configuration, the first gatekeepers; 0 for none.
+    /// Number of replicas of the replicated configuration, which the first gatekeepers run; 0 disables it.
     #[serde(rename = "voters")]
     pub replicas: usize,
 }
@@ -66,11 +66,11 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// Its name.
+    /// Name in reports; `seed N` for a generated schedule.
     pub name: String,
-    /// Seeds all that is random in the harness.
+    /// Seed of the random numbers of links and clients.
     pub seed: u64,
-    /// The form of the gatekeepers.
+    /// Deployment form of all gatekeepers.
     pub form: Form,
     /// Number of gatekeepers.
     #[serde(rename = "programs")]
@@ -78,22 +78,22 @@
     /// Number of backends.
     #[serde(rename = "loans")]
     pub backends: usize,
-    /// Duration of the load, after which all gatekeepers must agree again.
+    /// Minimum duration of the load in ms; every fault ends within it.
     pub length_ms: u64,
-    /// Options of the site.
+    /// Options of the site; the defaults if the file has none.
     #[serde(default, rename = "has", skip_serializing_if = "SiteOptions::is_default")]
     pub options: SiteOptions,
-    /// The faults.
+    /// The faults to inject, which may overlap.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
 impl Schedule {
-    /// Reads a file.
+    /// Parses a schedule in TOML and checks its limits.
     ///
     /// # Errors
     ///
-    /// The text is not a schedule, or not one that can be run.
+    /// The text is not a schedule, the site is too small or too large, or a fault ends after `length_ms`.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let schedule: Self = toml::from_str(text)?;
         let (gatekeepers, backends) = (schedule.gatekeepers, schedule.backends);
@@ -106,25 +106,25 @@
         }
     }
 
-    /// The file's text.
+    /// The schedule in TOML, as [`Schedule::parse`] reads it.
     ///
     /// # Panics
     ///
-    /// Never: each field has a form in TOML.
+    /// Never: every field can be written as TOML.
     pub fn to_toml(&self) -> String {
-        toml::to_string(self).expect("a schedule has a form in TOML")
+        toml::to_string(self).expect("every field of a schedule can be written as TOML")
     }
 
-    /// When the last fault ends.
+    /// Time from the start of the schedule to the end of the last fault; zero without faults.
     pub fn last_fault_end(&self) -> Duration {
         self.faults.iter().map(Fault::end).max().unwrap_or_default()
     }
 
-    /// The same schedule without the fault at this index.
+    /// A copy of the schedule without the fault at this index.
     #[must_use]
     pub fn without_fault(&self, index: usize) -> Self {
-        let mut smaller = self.clone();
-        smaller.faults.remove(index);
-        smaller
+        let mut reduced = self.clone();
+        reduced.faults.remove(index);
+        reduced
     }
 }
--- a/crates/fault_injection/src/schedule/fault.rs
+++ b/crates/fault_injection/src/schedule/fault.rs
@@ -1,12 +1,13 @@
-//! The faults that a schedule may hold. The names in its file are older than those of the fields, and stay.
+//! The kinds of faults in a schedule. `serde(rename)` keeps the names that stored schedules use, which differ from the
+//! fields' names.
 
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in fails.
+/// How the stand-in of Consul, of the quota counter or of a backend fails.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureMode {
-    /// It takes requests and never answers; nothing is applied.
+    /// It accepts requests and never answers; nothing is applied.
     Silent,
     /// It answers after 0.2 s.
     Slow,
@@ -15,12 +16,12 @@
     /// It applies requests and never answers.
     #[serde(rename = "lost")]
     ResponseLost,
-    /// It applies requests, and its answers end in the middle.
+    /// It applies requests, and truncates its answers.
     #[serde(rename = "cut")]
     ResponseTruncated,
-    /// It closes connections at once.
+    /// It closes each connection immediately.
     Closed,
-    /// It restarts without any state when the fault begins.
+    /// It restarts with empty state when the fault begins.
     #[serde(rename = "empty")]
     RestartedEmpty,
 }
@@ -37,7 +38,7 @@
         Self::RestartedEmpty,
     ];
 
-    /// The name in tables and files.
+    /// The name in reports and in schedule files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -51,73 +52,74 @@
     }
 }
 
-/// What is done to the file of the cached endpoint list.
+/// How the file or folder of the cached endpoint list is damaged.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum DiskFault {
     /// Its gatekeeper is killed, the file is truncated to this per mille of its bytes, and the gatekeeper starts again.
     Torn(u32),
-    /// Nothing can be written beside it.
+    /// New files in its folder cannot be written, as on a full disk.
     Full,
-    /// Its folder is gone.
+    /// Its folder is missing.
     Lost,
-    /// Its folder takes no new file.
+    /// No file can be created in its folder.
     ReadOnly,
 }
 
-/// A fault.
+/// The kind of a fault, with its parameters.
 ///
-/// `from`, `to` and `target` name a node (`m0`, `l0`, `consul`), a zone (`zone:a`), a region (`region:north`) or all (`*`).
+/// `from`, `to` and `target` select nodes: by name (`m0`, `l0`, `consul`), by zone (`zone:a`), by region (`region:north`), or
+/// all of them (`*`).
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Nothing passes from one side to the other, nor back unless it is `one_way`.
+    /// Nothing passes from one side to the other, and nothing back unless the cut is `one_way`.
     Cut {
         /// One side.
         from: String,
         /// The other.
         to: String,
-        /// Only in that direction.
+        /// Whether only the direction from `from` to `to` is cut.
         #[serde(default)]
         one_way: bool,
     },
-    /// Connections between the two sides are reset, and new ones too.
+    /// Connections between the two sides are reset, open ones as well as new ones.
     Closed {
         /// One side.
         from: String,
         /// The other.
         to: String,
     },
-    /// What passes between the two sides, both ways, is damaged or delayed.
+    /// Traffic between the two sides is damaged or delayed in both directions.
     #[serde(rename = "spoilt")]
     Degraded {
         /// One side.
         from: String,
         /// The other.
         to: String,
-        /// The share of chunks of streams in whose middle the connection is reset.
+        /// Share of the chunks of a stream within which the connection is reset.
         #[serde(default)]
         reset: f64,
-        /// The share of datagrams that are lost, and of chunks that come late.
+        /// Share of datagrams that are lost, and of chunks of streams that are delayed by retransmission.
         #[serde(default)]
         loss: f64,
-        /// The share of datagrams that are duplicated.
+        /// Share of datagrams that are duplicated.
         #[serde(default, rename = "repeat")]
         duplicate: f64,
-        /// The share of datagrams that are overtaken by later ones.
+        /// Share of datagrams that are held back so that later ones overtake them.
         #[serde(default)]
         reorder: f64,
-        /// Latency of everything.
+        /// Latency in ms of each chunk and datagram.
         #[serde(default)]
         delay_ms: u64,
-        /// Random additional latency, at most.
+        /// Maximum random additional latency in ms.
         #[serde(default)]
         jitter_ms: u64,
-        /// Bytes a second; 0 means no bound.
+        /// Rate limit in bytes per second; 0 means unlimited.
         #[serde(default)]
         bytes_per_s: u64,
     },
-    /// A cut that comes and goes: on for a period, off for a period.
+    /// A cut that alternates: active for a period, healed for a period.
     Flapping {
         /// One side.
         from: String,
@@ -126,78 +128,78 @@
         /// Length of each period, ms.
         period_ms: u64,
     },
-    /// Killed, and started again at the fault's end.
+    /// Gatekeepers are killed, and restarted at the fault's end.
     Killed {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
-    /// Shut down gracefully, and started again at the fault's end.
+    /// Gatekeepers shut down gracefully, and are restarted at the fault's end.
     #[serde(rename = "ended")]
     ShutDown {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
-    /// Suspended, and resumed at the fault's end.
+    /// Gatekeepers are suspended, and resumed at the fault's end.
     #[serde(rename = "stopped")]
     Suspended {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
-    /// Suspended nine tenths of the time.
+    /// Gatekeepers are suspended nine tenths of the time.
     #[serde(rename = "slowed")]
     Throttled {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
-    /// Restarted with a wall clock that is off, and with the right one again at the fault's end.
+    /// Gatekeepers are restarted with an offset of the wall clock, and without it at the fault's end.
     #[serde(rename = "clock")]
     ClockOffset {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// Milliseconds ahead, or behind where below 0.
+        /// Offset in ms; positive if the clock is ahead.
         #[serde(rename = "ms")]
         offset_ms: i64,
-        /// The clock is set by a reload instead of a restart.
+        /// Whether the offset is set by a reload instead of a restart.
         #[serde(default)]
         running: bool,
     },
-    /// The gossip key is rotated in all: first both keys are valid, then the target signs with the new one, at the fault's
-    /// end the others too, and then the old one is removed.
+    /// The gossip key is rotated in all gatekeepers. First both keys become valid everywhere, then the target signs with the
+    /// new key; at the fault's end the others sign with it too, and the old key is removed.
     #[serde(rename = "keys")]
     KeyRotation {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
-    /// An operator proposes a rate for the plan `basic` from the folder of this gatekeeper.
+    /// An operator proposes a new rate for the plan `basic`, with the settings of this gatekeeper.
     #[serde(rename = "propose")]
     VersionProposed {
         /// A gatekeeper.
         #[serde(rename = "who")]
         target: String,
-        /// Units a second.
+        /// Proposed rate in units per second.
         #[serde(rename = "rate")]
         units_per_second: f64,
     },
-    /// A reload gives them other periodic jobs, named by number; the usual ones again at the fault's end.
+    /// A reload replaces the periodic jobs of gatekeepers by others, given by number; the fault's end restores the usual jobs.
     #[serde(rename = "duties")]
     JobsChanged {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// The first job's number.
+        /// Number of the first job.
         #[serde(rename = "first")]
         first_job: usize,
-        /// The number of jobs.
+        /// Number of consecutive jobs.
         #[serde(rename = "count")]
         job_count: usize,
     },
-    /// Restarted under the name of another member that runs beside it; under its own again at the fault's end.
+    /// Gatekeepers are restarted under the name of another running member, and under their own at the fault's end.
     #[serde(rename = "renamed")]
     NameConflict {
         /// Gatekeepers.
@@ -217,7 +219,7 @@
     },
     /// The quota counter fails.
     Counter {
-        /// How they fail.
+        /// How it fails.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
@@ -231,18 +233,18 @@
         #[serde(rename = "how")]
         mode: FailureMode,
     },
-    /// The catalogue marks these backends as failing; healthy again at the fault's end.
+    /// The catalogue and discovery list these backends as not accepting requests, and as healthy again at the fault's end.
     Drained {
         /// Backends.
         #[serde(rename = "who")]
         target: String,
     },
-    /// The file of the cached endpoint list is damaged, or cannot be written.
+    /// The file of the cached endpoint list is truncated, or cannot be written.
     Disk {
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// How they fail.
+        /// How the file or its folder is damaged.
         #[serde(rename = "how")]
         fault: DiskFault,
     },
@@ -251,17 +253,17 @@
         /// Gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// Time after its start at which the successor is killed, while its predecessor continues to serve.
+        /// Microseconds from the successor's start until it is killed, while its predecessor continues to serve.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         new_dies_after_us: Option<u64>,
-        /// Time after the successor's start at which its predecessor is killed.
+        /// Microseconds from the successor's start until its predecessor is killed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         old_dies_after_us: Option<u64>,
     },
 }
 
 impl FaultKind {
-    /// Its name in tables.
+    /// The name of the kind in reports and histories.
     pub fn name(&self) -> String {
         let name = match self {
             Self::Consul { mode, .. } => return format!("consul {}", mode.name()),
@@ -300,5 +302,5 @@
     }
 }
 
-/// A fault and when it is injected, from when all gatekeepers serve.
+/// A fault with its start and end, counted from the time at which all gatekeepers agree for the first time.
 pub type Fault = fault_harness::schedule::Fault<FaultKind>;
--- a/crates/fault_injection/src/schedule/generator.rs
+++ b/crates/fault_injection/src/schedule/generator.rs
@@ -1,5 +1,5 @@
-//! Generates a schedule from a seed. The order of the random draws is part of the form: a seed must give the same schedule in
-//! every version.
+//! Generates a schedule from a seed. A seed must give the same schedule in every version, so the order of the random draws must
+//! not change.
 
 use super::{DiskFault, FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 use std::ops::RangeInclusive;
@@ -7,13 +7,13 @@
 const GATEKEEPERS: RangeInclusive<usize> = 5..=12;
 const BACKENDS: RangeInclusive<usize> = 4..=8;
 const FAULTS: RangeInclusive<usize> = 2..=5;
-/// One generated schedule in this many is of the platform's form.
+/// One in this many generated schedules is for gatekeepers of the platform.
 const PLATFORM_ONE_IN: u32 = 3;
 /// Maximum offset of a generated clock, ms.
 const MAX_CLOCK_OFFSET_MS: i64 = 140;
 
 impl Schedule {
-    /// Draws two to five faults of any kind within `length_ms`, which may overlap.
+    /// Generates a site and two to five faults of any kind within `length_ms`, which may overlap.
     pub fn from_seed(seed: u64, length_ms: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let form = if random.u32(0..PLATFORM_ONE_IN) == 0 { Form::Platform } else { Form::Appliance };
@@ -59,7 +59,7 @@
         format!("l{}", self.random.usize(0..self.backends))
     }
 
-    /// A gatekeeper, a zone or all.
+    /// Selects one gatekeeper, a zone, or all nodes.
     fn gatekeepers(&mut self) -> String {
         match self.random.u32(0..8) {
             0 => format!("zone:{}", ["a", "b", "c"][self.random.usize(0..3)]),
@@ -68,19 +68,19 @@
         }
     }
 
-    /// The two sides of a link that some node uses.
+    /// The two sides of a faulty link: gatekeepers and a node that they exchange traffic with, or two zones or regions.
     fn sides(&mut self) -> (String, String) {
-        let appliance = self.form == Form::Appliance;
+        let is_appliance = self.form == Form::Appliance;
         let from = self.gatekeepers();
         let to = match self.random.u32(0..8) {
-            0 if appliance => "consul".into(),
+            0 if is_appliance => "consul".into(),
             0 => "discovery".into(),
             1 => "counter".into(),
             2 => self.backend(),
             3 => "load".into(),
             4 => return ("zone:a".into(), "zone:b".into()),
             5 => return ("region:north".into(), "region:south".into()),
-            _ if appliance => self.gatekeeper(),
+            _ if is_appliance => self.gatekeeper(),
             _ => self.backend(),
         };
         (from, to)
@@ -118,7 +118,7 @@
         }
     }
 
-    /// One property of a link is degraded.
+    /// A link of which one property is degraded.
     fn degraded_link(&mut self) -> FaultKind {
         let (from, to) = self.sides();
         let property = self.random.u32(0..6);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A fault of what only appliances have.
+    /// A fault that only appliances can have: of the clock, the gossip key, the member name or Consul.
     fn appliance_fault(&mut self) -> FaultKind {
         match self.random.u32(0..8) {
             0..3 => {
@@ -161,7 +161,8 @@
         FaultKind::Disk { target: self.gatekeeper(), fault }
     }
 
-    /// A hand-over lasts a few milliseconds: a process that dies is to die before it, in it, or after it.
+    /// An upgrade, in which either process may be killed. The hand-over lasts a few milliseconds; the time of the kill is drawn so
+    /// that it falls before, within or after the hand-over.
     fn upgrade(&mut self) -> FaultKind {
         let target = self.gatekeeper();
         let dies_after_us =
--- a/crates/fault_injection/src/schedule/named.rs
+++ b/crates/fault_injection/src/schedule/named.rs
@@ -1,21 +1,21 @@
-//! The schedules that have a name of their own: cases that are known to be hard.
+//! Named schedules: combinations of faults that are known to be difficult.
 
 use super::{DiskFault, FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 
 const SEED: u64 = 1;
 const BACKENDS: usize = 6;
 
-/// All schedules with a name.
+/// All named schedules.
 pub fn named_schedules() -> Vec<Schedule> {
     [
-        half_killed(),
+        half_of_gatekeepers_killed(),
         interrupted_upgrades(),
         partial_failures(),
         rolling_restarts(),
         broken_links(),
         changed_identities(),
-        large_outages(),
-        regional_outages(),
+        long_or_large_outages(),
+        region_and_file_faults(),
     ]
     .concat()
 }
@@ -54,7 +54,7 @@
     FaultKind::Upgrade { target: "m1".to_owned(), new_dies_after_us, old_dies_after_us }
 }
 
-fn half_killed() -> Vec<Schedule> {
+fn half_of_gatekeepers_killed() -> Vec<Schedule> {
     let half = vec![killed(2_000, 3_000, "m0"), killed(2_300, 3_000, "m2"), killed(2_600, 3_000, "m4")];
     vec![
         appliance("half killed within a second", 6, 9_000, half.clone()),
@@ -63,7 +63,7 @@
 }
 
 fn interrupted_upgrades() -> Vec<Schedule> {
-    let dies = Some(400_000);
+    let dies_after_us = Some(400_000);
     vec![
         platform(
             "a split in the middle of an upgrade",
@@ -78,13 +78,13 @@
             "the new program of an upgrade dies unheard",
             4,
             8_000,
-            vec![Fault::from_millis(2_000, 2_000, upgrade_of_m1(dies, None))],
+            vec![Fault::from_millis(2_000, 2_000, upgrade_of_m1(dies_after_us, None))],
         ),
         platform(
             "the old program of an upgrade dies unheard",
             4,
             8_000,
-            vec![Fault::from_millis(2_000, 2_000, upgrade_of_m1(None, dies))],
+            vec![Fault::from_millis(2_000, 2_000, upgrade_of_m1(None, dies_after_us))],
         ),
     ]
 }
@@ -161,7 +161,7 @@
     ]
 }
 
-fn large_outages() -> Vec<Schedule> {
+fn long_or_large_outages() -> Vec<Schedule> {
     let suspended = FaultKind::Suspended { target: "m1".to_owned() };
     let half = (0..12).map(|i| killed(3_000 + 80 * i, 4_000, &format!("m{}", 2 * i))).collect();
     vec![
@@ -175,7 +175,7 @@
     ]
 }
 
-fn regional_outages() -> Vec<Schedule> {
+fn region_and_file_faults() -> Vec<Schedule> {
     let silent = FaultKind::Consul { target: "m1".to_owned(), mode: FailureMode::Silent };
     let torn = FaultKind::Disk { target: "m1".to_owned(), fault: DiskFault::Torn(500) };
     vec![
