--- a/crates/fault_injection/src/checkers/convergence.rs
+++ b/crates/fault_injection/src/checkers/convergence.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// The longest_description time for which two gatekeepers acted on versions that contradict each other.
+/// The longest time for which two gatekeepers acted on versions that contradict each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contradiction {
     /// Duration in ms; 0 if there was no contradiction.
@@ -71,7 +71,7 @@
     pub description: String,
 }
 
-/// Tracks the versions that gatekeepers act on, and the longest_description contradiction between them.
+/// Tracks the versions that gatekeepers act on, and the longest contradiction between them.
 struct VersionTracker<'a> {
     suspensions: Vec<FaultSpan<'a>>,
     active: BTreeMap<&'a str, ActiveVersions>,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Finds the longest_description uninterrupted contradiction between the versions that two gatekeepers acted on.
+/// Finds the longest uninterrupted contradiction between the versions that two gatekeepers acted on.
 ///
 /// The log lines of a gatekeeper state, with the time of its own clock, from when on it acts on which version. A gatekeeper that
 /// is suspended or has no lease acts on no version.
--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The faults that permit late attempts time ineligible backends.
+/// The faults that permit late attempts at ineligible backends.
 struct PermittingFaults<'a> {
     affected: AffectedSpans<'a>,
     delayed: Vec<Span>,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Whether a fault permits an attempt time `at_us` to a backend that is ineligible since `since`. A fault does if it ended after
-    /// the backend became ineligible, until the sum of the usual bounds has passed after its end.
+    /// Whether a fault permits an attempt at `at_us` to a backend that is ineligible since `since`. A fault that ended after the
+    /// backend became ineligible does, until the sum of the usual bounds has passed after its end.
     fn permit_late_attempt(&self, gatekeeper: &str, since: Duration, at_us: u64) -> bool {
         let since_us = since.as_micros() as u64;
         let mut faults = self.affected.of_gatekeeper(gatekeeper).iter().chain(&self.delayed);
--- a/crates/fault_injection/src/network.rs
+++ b/crates/fault_injection/src/network.rs
@@ -1,4 +1,5 @@
-//! Links between nodes. All traffic between two nodes passes a link, and each direction of each pair can be degraded alone.
+//! Links between nodes. All traffic between two nodes passes through a link, and each direction of each pair of nodes can be
+//! degraded separately.
 
 mod backlog;
 mod datagram_link;
@@ -29,11 +30,11 @@
 /// Traffic counters of all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes carried.
+    /// Bytes of streams and datagrams that the links carried.
     pub bytes: u64,
-    /// Datagrams dropped.
+    /// Datagrams that were dropped by a cut, by loss or by a full queue.
     pub dropped_datagrams: u64,
-    /// Connections reset in the middle of a chunk.
+    /// Connections that were reset within a chunk.
     pub resets: u64,
 }
 
@@ -48,13 +49,13 @@
 #[derive(Debug, Default)]
 struct TrafficCounters {
     bytes: AtomicU64,
-    /// Of these, bytes of datagrams.
+    /// The part of `bytes` that datagrams make up.
     datagram_bytes: AtomicU64,
     dropped_datagrams: AtomicU64,
     resets: AtomicU64,
 }
 
-/// All links of a site. Clones share them.
+/// All links of a site. Clones share the links.
 #[derive(Clone)]
 pub struct Network(Arc<Shared>);
 
@@ -64,13 +65,13 @@
     delayed: DelayQueue,
     /// The node that sends datagrams from an address.
     senders: Mutex<HashMap<SocketAddr, NodeId>>,
-    /// Clients whose connection was refused behind the link.
+    /// Addresses of clients whose connection was accepted by a link and then refused by the link's target.
     refused: Mutex<HashSet<SocketAddr>>,
     backlogs: Mutex<Vec<Arc<Backlog>>>,
-    /// Connections that fill the backlog of a link that is cut, by where it listens and where they come from: one port may
-    /// lead to several links. Each is kept until it is accepted, since a port that is free again may be a client's next.
+    /// Connections that fill the backlog of a cut link, by the link's listen address and their own local address, since several
+    /// links may be reached from the same port. Each is kept open until it is accepted, so that no client can get its port.
     fillers: Mutex<HashMap<(SocketAddr, SocketAddr), TcpStream>>,
-    /// Addresses of accepting threads, which are woken by a connection at the shutdown.
+    /// Listen addresses of the accepting threads; at the shutdown, a connection to each address wakes its thread.
     listening: Mutex<Vec<SocketAddr>>,
     counters: TrafficCounters,
     next_seed: AtomicU64,
@@ -78,7 +79,7 @@
 }
 
 impl Network {
-    /// A network whose links are all healthy. What is random in it begins with this seed.
+    /// A network whose links are all healthy. The random numbers of its links are seeded with `seed` and the numbers after it.
     pub fn new(seed: u64) -> Self {
         let network = Self(Arc::new(Shared {
             links: Mutex::default(),
@@ -102,13 +103,13 @@
         fastrand::Rng::with_seed(self.0.next_seed.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Degrades these links until [`Network::heal`] is called with the same id.
+    /// Degrades these links until [`Network::heal`] is called with the same fault id.
     pub fn inject(&self, fault_id: u64, faults: Vec<LinkFault>) {
         lock(&self.0.links).inject(fault_id, faults);
         self.notify_links_changed();
     }
 
-    /// Ends this fault.
+    /// Ends the fault with this id; the links keep the effects of other faults.
     pub fn heal(&self, fault_id: u64) {
         lock(&self.0.links).heal(fault_id);
         self.notify_links_changed();
@@ -119,18 +120,18 @@
         self.update_backlogs();
     }
 
-    /// The present quality of a link.
+    /// The current quality of a link, with all faults on it combined.
     pub fn quality(&self, link: Link) -> LinkQuality {
         lock(&self.0.links).quality(link)
     }
 
-    /// Whether nothing passes one way or the other, so that no connection comes up.
+    /// Whether the link is cut in at least one direction, so that no connection can be established.
     fn is_cut(&self, link: Link) -> bool {
         let links = lock(&self.0.links);
         links.quality(link).cut || links.quality(link.reversed()).cut
     }
 
-    /// The traffic so far.
+    /// Traffic of all links since the start.
     pub fn traffic(&self) -> Traffic {
         let counters = &self.0.counters;
         Traffic {
@@ -140,12 +141,12 @@
         }
     }
 
-    /// Bytes of datagrams carried so far.
+    /// Bytes of datagrams that the links have carried since the start.
     pub fn datagram_bytes(&self) -> u64 {
         self.0.counters.datagram_bytes.load(Ordering::Relaxed)
     }
 
-    /// Ends all links for good.
+    /// Shuts all links and listeners down for good.
     pub fn shut_down(&self) {
         self.0.shut_down.store(true, Ordering::Relaxed);
         let wake = |address| drop(TcpStream::connect_timeout(&address, CONNECT_TIMEOUT));
@@ -158,7 +159,7 @@
         self.0.shut_down.load(Ordering::Relaxed)
     }
 
-    /// Listens at an address and serves each connection in a thread, until the network ends.
+    /// Listens at an address and serves each connection in a thread, until the network is shut down.
     ///
     /// # Errors
     ///
@@ -178,7 +179,7 @@
         Ok(address)
     }
 
-    /// Accepts connections in a thread; those of a link wait while it is cut.
+    /// Accepts connections in a thread. While the given link is cut, accepted connections wait.
     fn accept(&self, listener: TcpListener, link: Option<Link>, handle: impl Fn(TcpStream) + Send + 'static) {
         let Ok(address) = listener.local_addr() else { return };
         lock(&self.0.listening).push(address);
@@ -198,7 +199,7 @@
         });
     }
 
-    /// Waits while the condition holds, until the network ends.
+    /// Waits while the condition holds and the network is not shut down.
     fn wait_while(&self, condition: impl Fn() -> bool) {
         while condition() && !self.is_shut_down() {
             let links = lock(&self.0.links);
--- a/crates/fault_injection/src/network/backlog.rs
+++ b/crates/fault_injection/src/network/backlog.rs
@@ -1,5 +1,5 @@
-//! Connections that hang while their link is cut, as they do where packets vanish: the backlog of the link's listener is
-//! filled with connections of the harness, so that the system drops the first packet of every further one.
+//! Lets connection attempts hang while their link is cut, as if packets were lost. The harness fills the backlog of the link's
+//! listener with connections of its own, so that the system drops the SYN of every further connection.
 
 use super::{CONNECT_TIMEOUT, Link, Network};
 use fault_harness::sync::lock;
@@ -7,11 +7,12 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The backlog of a listener of a healthy link: what the standard library asks for.
+/// The backlog of a listener of a healthy link, as the standard library requests it.
 const HEALTHY_BACKLOG: i32 = 128;
 /// The backlog of a listener whose link is cut.
 const CUT_BACKLOG: i32 = 0;
-/// Number of connections that fill it: one more than the system queues for a backlog of 0, and some that the listener still accepts.
+/// Number of connections that fill the backlog of a cut link: one more than the system queues for a backlog of 0, and spare ones
+/// for those that the listener still accepts.
 const FILLERS: usize = 4;
 
 /// The backlog of the listener of a stream link.
@@ -24,7 +25,7 @@
 }
 
 impl Network {
-    pub(super) fn watch_backlog(&self, link: Link, listener: &TcpListener) -> std::io::Result<()> {
+    pub(super) fn register_backlog(&self, link: Link, listener: &TcpListener) -> std::io::Result<()> {
         let address = listener.local_addr()?;
         let backlog = Backlog { link, address, listener: listener.try_clone()?, is_full: Mutex::default() };
         lock(&self.0.backlogs).push(Arc::new(backlog));
@@ -43,7 +44,7 @@
 
     fn fill_or_empty(&self, backlog: &Backlog) {
         let mut is_full = lock(&backlog.is_full);
-        // Whichever of several changes comes here last leaves it as the link is.
+        // Threads of several changes may run in any order: the last one leaves the backlog in the state of the link.
         while self.is_cut(backlog.link) != *is_full && !self.is_shut_down() {
             *is_full = !*is_full;
             let size = if *is_full { CUT_BACKLOG } else { HEALTHY_BACKLOG };
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Whether a connection accepted at this address only filled its backlog.
+    /// Whether a connection that was accepted at this address is one of those that fill its backlog.
     pub(super) fn is_filler(&self, address: SocketAddr, stream: &TcpStream) -> bool {
         let from = stream.peer_addr().ok();
         from.and_then(|from| lock(&self.0.fillers).remove(&(address, from))).is_some()
--- a/crates/fault_injection/src/network/datagram_link.rs
+++ b/crates/fault_injection/src/network/datagram_link.rs
@@ -1,4 +1,4 @@
-//! Links for datagrams, and the queue of those that are delayed.
+//! Links for datagrams, and the queue of delayed datagrams.
 
 use super::{Link, LinkQuality, Network, NodeId, POLL_INTERVAL};
 use fault_harness::sync::lock;
@@ -9,18 +9,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The most delayed datagrams; further ones are dropped.
+/// Maximum number of delayed datagrams; further ones are dropped.
 const MAX_DELAYED: usize = 65_536;
 /// Larger than any datagram that gatekeepers send.
 const DATAGRAM_BUFFER: usize = 2048;
-/// A datagram that is overtaken comes this much later, and by the link's latency once more.
+/// A reordered datagram is delayed by this, by the link's delay and by its maximum jitter, in addition to its usual latency.
 const REORDER_DELAY: Duration = Duration::from_millis(5);
 
-/// A datagram that is under way.
+/// A datagram that waits for its delivery.
 struct DelayedDatagram {
     due: Instant,
-    /// Orders datagrams that are due at the same time.
-    number: u64,
+    /// Sequence number that orders datagrams with the same due time.
+    sequence_number: u64,
     bytes: Vec<u8>,
     from: Arc<UdpSocket>,
     to: SocketAddr,
@@ -28,7 +28,7 @@
 
 impl PartialEq for DelayedDatagram {
     fn eq(&self, other: &Self) -> bool {
-        (self.due, self.number) == (other.due, other.number)
+        (self.due, self.sequence_number) == (other.due, other.sequence_number)
     }
 }
 
@@ -41,13 +41,13 @@
 }
 
 impl Ord for DelayedDatagram {
-    /// The one that is due first is the greatest, and so on top of a heap.
+    /// Reversed, so that the datagram that is due first is on top of the heap.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.due, other.number).cmp(&(self.due, self.number))
+        (other.due, other.sequence_number).cmp(&(self.due, self.sequence_number))
     }
 }
 
-/// Datagrams that are under way.
+/// The datagrams that wait for their delivery.
 #[derive(Default)]
 pub(super) struct DelayQueue {
     heap: Mutex<BinaryHeap<DelayedDatagram>>,
@@ -61,12 +61,13 @@
 }
 
 impl Network {
-    /// Datagrams from this address are this node's.
+    /// Registers the address from which a node sends datagrams.
     pub fn register_sender(&self, node: NodeId, address: SocketAddr) {
         lock(&self.0.senders).insert(address, node);
     }
 
-    /// A link for datagrams to a node that receives them at `target`. Returns the address at which the others reach it.
+    /// Opens a link for datagrams to a node that receives them at `target`. Returns the address of the link, at which the other
+    /// nodes reach it.
     ///
     /// # Errors
     ///
@@ -85,7 +86,7 @@
             let mut random = network.random();
             let mut buffer = [0; DATAGRAM_BUFFER];
             while !network.is_shut_down() {
-                // An error reports an earlier datagram that had no receiver; later ones are not affected.
+                // An error is a timeout, or reports that an earlier datagram had no receiver; later ones are not affected.
                 let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
                 let from = lock(&network.0.senders).get(&from).copied();
                 let quality = from.map(|from| network.quality(Link::new(from, to))).unwrap_or_default();
@@ -130,12 +131,12 @@
             self.0.counters.dropped_datagrams.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        let number = self.0.next_seed.fetch_add(1, Ordering::Relaxed);
-        heap.push(DelayedDatagram { due: Instant::now() + latency, number, bytes, from, to });
+        let sequence_number = self.0.next_seed.fetch_add(1, Ordering::Relaxed);
+        heap.push(DelayedDatagram { due: Instant::now() + latency, sequence_number, bytes, from, to });
         self.0.delayed.changed.notify_one();
     }
 
-    /// Delivers delayed datagrams when they are due, until the network ends.
+    /// Delivers delayed datagrams when they are due, until the network is shut down.
     pub(super) fn deliver_delayed(&self) {
         let queue = &self.0.delayed;
         let mut heap = lock(&queue.heap);
--- a/crates/fault_injection/src/network/link.rs
+++ b/crates/fault_injection/src/network/link.rs
@@ -1,71 +1,71 @@
-//! Nodes, the links between them, and how good each link is.
+//! Nodes, the links between them, and the quality of each link.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A node of the network, by number.
+/// A node of the network, by its index in the site: gatekeepers first, then backends, then the other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub usize);
 
-/// One direction between two nodes.
+/// One direction of the traffic between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Link {
-    /// The sender.
+    /// The node that sends.
     pub from: NodeId,
-    /// The receiver.
+    /// The node that receives.
     pub to: NodeId,
 }
 
 impl Link {
-    /// The link between these nodes.
+    /// The link from one node to another.
     pub fn new(from: NodeId, to: NodeId) -> Self {
         Self { from, to }
     }
 
-    /// The other direction.
+    /// The opposite direction.
     #[must_use]
     pub fn reversed(self) -> Self {
         Self { from: self.to, to: self.from }
     }
 }
 
-/// The quality of a link. The default is a healthy one.
+/// The quality of a link. The default is a healthy link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkQuality {
-    /// Nothing passes, and no end is told.
+    /// Nothing passes, not even the end or reset of a connection.
     pub cut: bool,
-    /// New connections are reset at once, and open ones were.
+    /// Open connections are reset, and new ones are reset at once.
     pub closed: bool,
-    /// Of a stream: the share of chunks in whose middle the connection is reset.
+    /// Share of the chunks of a stream within which the connection is reset.
     pub reset: f64,
-    /// The share of datagrams that are lost, and of chunks that come late.
+    /// Share of datagrams that are lost, and of chunks of streams that are delayed by retransmission.
     pub loss: f64,
-    /// The share of datagrams that are duplicated.
+    /// Share of datagrams that are duplicated.
     pub duplicate: f64,
-    /// The share of datagrams that are overtaken by later ones.
+    /// Share of datagrams that are held back so that later ones overtake them.
     pub reorder: f64,
-    /// Latency.
+    /// Latency of each chunk and datagram.
     pub delay: Duration,
-    /// Random additional latency, at most.
+    /// Maximum random additional latency.
     pub jitter: Duration,
-    /// Bytes a second; 0 means no bound.
+    /// Rate limit; 0 means unlimited.
     pub bytes_per_second: u64,
 }
 
 impl LinkQuality {
-    /// A link on which nothing passes.
+    /// The quality of a link on which nothing passes.
     pub fn cut() -> Self {
         Self { cut: true, ..Self::default() }
     }
 
-    /// A link whose connections are reset.
+    /// The quality of a link whose connections are reset.
     pub fn closed() -> Self {
         Self { closed: true, ..Self::default() }
     }
 
-    /// Both qualities at once.
+    /// The quality of a link on which two faults act at once.
     #[must_use]
-    pub fn and(self, other: Self) -> Self {
+    pub fn combined_with(self, other: Self) -> Self {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Self {
             cut: self.cut || other.cut,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Latency of a chunk of this size.
+    /// Latency of a chunk or datagram of this size, with random jitter and the time of its transfer.
     pub(super) fn latency(&self, bytes: usize, random: &mut fastrand::Rng) -> Duration {
         let transfer_s =
             if self.bytes_per_second > 0 { bytes as f64 / self.bytes_per_second as f64 } else { 0.0 };
@@ -91,21 +91,21 @@
     }
 }
 
-/// A link that a fault degrades, and how.
+/// A link that a fault degrades, and its quality meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFault {
-    /// The link.
+    /// The degraded link.
     pub link: Link,
-    /// How it is while the fault lasts.
+    /// The quality of the link while the fault lasts; combined with that of other faults.
     pub quality: LinkQuality,
 }
 
 /// The state of all links.
 #[derive(Debug, Default)]
 pub(super) struct LinkStates {
-    /// By id of a fault that is on: the links that it degrades.
+    /// The links that each active fault degrades, by fault id.
     faults: HashMap<u64, Vec<LinkFault>>,
-    /// The sum of all faults on a link; healthy links are not in here.
+    /// The combined quality of each degraded link; healthy links have no entry.
     qualities: HashMap<Link, LinkQuality>,
 }
 
@@ -116,19 +116,19 @@
 
     pub(super) fn inject(&mut self, fault_id: u64, faults: Vec<LinkFault>) {
         self.faults.insert(fault_id, faults);
-        self.sum_up();
+        self.recompute_qualities();
     }
 
     pub(super) fn heal(&mut self, fault_id: u64) {
         self.faults.remove(&fault_id);
-        self.sum_up();
+        self.recompute_qualities();
     }
 
-    fn sum_up(&mut self) {
+    fn recompute_qualities(&mut self) {
         self.qualities.clear();
         for LinkFault { link, quality } in self.faults.values().flatten() {
-            let sum = self.qualities.entry(*link).or_default();
-            *sum = sum.and(*quality);
+            let combined = self.qualities.entry(*link).or_default();
+            *combined = combined.combined_with(*quality);
         }
     }
 }
--- a/crates/fault_injection/src/network/stream_link.rs
+++ b/crates/fault_injection/src/network/stream_link.rs
@@ -1,4 +1,4 @@
-//! Links for streams: each direction of a TCP connection is carried by a thread.
+//! Links for TCP connections; a thread carries each direction of a connection.
 
 use super::{Link, LinkQuality, Network, POLL_INTERVAL};
 use fault_harness::connections::{is_temporary, reset_on_close};
@@ -10,39 +10,40 @@
 use std::thread;
 use std::time::Duration;
 
-/// Maximum number of bytes that are read at once. A rate limit applies to each such chunk.
+/// Maximum number of bytes that are read at once. The rate limit and the latency apply to each such chunk.
 const CHUNK: usize = 16 * 1024;
-/// First retransmission timeout of a lost chunk; it doubles, as in TCP (RFC 6298 has 1 s, systems use 0.2 s).
+/// First retransmission timeout of a lost chunk. As in TCP, it doubles with each loss (RFC 6298 has 1 s, systems use 0.2 s).
 const RETRANSMIT_AFTER: Duration = Duration::from_millis(200);
-/// Upper bound of the loss rate, so that each chunk arrives.
+/// Upper bound of the loss rate, so that each chunk arrives eventually.
 const MAX_LOSS: f64 = 0.9;
 
-/// Both ends of a connection that a link carries.
+/// The two sockets of a connection that a link carries: the one that it accepted, and the one to its target.
 struct ConnectionEnds {
-    near: TcpStream,
-    far: TcpStream,
-    /// An end that is read from here on is not the other side's own.
+    inbound: TcpStream,
+    outbound: TcpStream,
+    /// The link has reset the connection: an end of stream that is read from now on does not come from the peer.
     is_reset: AtomicBool,
 }
 
 impl ConnectionEnds {
-    /// Resets both ends. The resets go out when the second of the two directions has let go.
+    /// Resets both sockets. The resets are sent when the threads of both directions have dropped the sockets.
     fn reset(&self) {
         self.is_reset.store(true, Ordering::Release);
-        reset_and_wake(&self.near);
-        reset_and_wake(&self.far);
+        reset_and_wake(&self.inbound);
+        reset_and_wake(&self.outbound);
     }
 }
 
-/// When this socket is closed, its connection is reset; whoever waits to read from it wakes up.
+/// Lets the closing of this socket reset its connection, and wakes a thread that waits to read from it.
 fn reset_and_wake(stream: &TcpStream) {
     reset_on_close(stream);
-    // Only the reading half: the other one would tell an orderly end first.
+    // Shutting the writing half down would send a regular end of stream before the reset.
     let _ = stream.shutdown(Shutdown::Read);
 }
 
 impl Network {
-    /// A link for streams: its sender connects to `listen_at` and reaches what listens at `target`, which is the receiver's.
+    /// Opens a link for TCP connections: the sender connects to `listen_at`, and the link connects to the receiver at `target`.
+    /// Returns the address at which the link listens.
     ///
     /// # Errors
     ///
@@ -55,32 +56,39 @@
     ) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(listen_at)?;
         let address = listener.local_addr()?;
-        self.watch_backlog(link, &listener)?;
+        self.register_backlog(link, &listener)?;
         let network = self.clone();
-        self.accept(listener, Some(link), move |near| {
+        self.accept(listener, Some(link), move |inbound| {
             let network = network.clone();
-            thread::spawn(move || network.carry_connection(link, near, target));
+            thread::spawn(move || network.carry_connection(link, inbound, target));
         });
         Ok(address)
     }
 
-    fn carry_connection(&self, link: Link, near: TcpStream, target: SocketAddr) {
-        // The sender learns nothing of the far side while the link is cut.
+    fn carry_connection(&self, link: Link, inbound: TcpStream, target: SocketAddr) {
+        // While the link is cut, the sender must not learn whether the target accepts the connection.
         if !self.wait_until_open(link) {
-            return reset_and_wake(&near);
+            return reset_and_wake(&inbound);
         }
-        let Ok(far) = TcpStream::connect(target) else {
-            lock(&self.0.refused).extend(near.peer_addr());
-            return reset_and_wake(&near);
+        let Ok(outbound) = TcpStream::connect(target) else {
+            lock(&self.0.refused).extend(inbound.peer_addr());
+            return reset_and_wake(&inbound);
         };
-        let both = Arc::new(ConnectionEnds { near, far, is_reset: AtomicBool::new(false) });
-        let (network, ends) = (self.clone(), both.clone());
-        thread::spawn(move || network.carry_direction(link.reversed(), &ends.far, &ends.near, &ends));
-        self.carry_direction(link, &both.near, &both.far, &both);
+        let ends = Arc::new(ConnectionEnds { inbound, outbound, is_reset: AtomicBool::new(false) });
+        let (network, reverse_ends) = (self.clone(), ends.clone());
+        thread::spawn(move || {
+            network.carry_direction(
+                link.reversed(),
+                &reverse_ends.outbound,
+                &reverse_ends.inbound,
+                &reverse_ends,
+            )
+        });
+        self.carry_direction(link, &ends.inbound, &ends.outbound, &ends);
     }
 
-    /// Whether the connection from this address was refused behind its link. The system accepts it for the link itself. Returns
-    /// true once for each refusal.
+    /// Whether the target of a link refused the connection from this address, which the link itself had accepted. Returns true
+    /// once for each refusal.
     pub fn was_refused(&self, from: SocketAddr) -> bool {
         lock(&self.0.refused).remove(&from)
     }
@@ -100,42 +108,42 @@
         }
     }
 
-    /// Carries one direction of a connection until it ends.
+    /// Carries one direction of a connection until the direction ends or the connection is reset.
     fn carry_direction(
         &self,
         link: Link,
         mut source: &TcpStream,
         mut sink: &TcpStream,
-        both: &ConnectionEnds,
+        ends: &ConnectionEnds,
     ) {
         let _ = (source.set_nodelay(true), sink.set_nodelay(true));
-        // A link that is closed or has ended is noticed while nothing is sent on it.
+        // With a timeout, a closed link or a shutdown is noticed even if nothing is sent.
         let _ = source.set_read_timeout(Some(POLL_INTERVAL));
         let mut random = self.random();
         let mut chunk = vec![0; CHUNK];
         loop {
             let read = source.read(&mut chunk);
             let quality = self.quality(link);
-            if quality.closed || self.is_shut_down() || both.is_reset.load(Ordering::Acquire) {
-                return both.reset();
+            if quality.closed || self.is_shut_down() || ends.is_reset.load(Ordering::Acquire) {
+                return ends.reset();
             }
             let length = match read {
                 Ok(length) => length,
                 Err(e) if is_temporary(&e) => continue,
                 Err(_) => {
-                    // A reset on one side is one on the other, once the link carries.
+                    // A reset by one side is passed on to the other once the link is not cut.
                     self.wait_until_open(link);
-                    return both.reset();
+                    return ends.reset();
                 }
             };
             if length > 0 && random.f64() < quality.reset {
                 let _ = sink.write_all(&chunk[..length / 2]);
                 self.0.counters.resets.fetch_add(1, Ordering::Relaxed);
-                return both.reset();
+                return ends.reset();
             }
             delay_chunk(&quality, length, &mut random);
-            if !self.wait_out_cut(link, source, length) {
-                return both.reset();
+            if !self.hold_while_cut(link, source, length) {
+                return ends.reset();
             }
             self.0.counters.bytes.fetch_add(length as u64, Ordering::Relaxed);
             if length == 0 {
@@ -143,24 +151,24 @@
                 return;
             }
             if sink.write_all(&chunk[..length]).is_err() {
-                return both.reset();
+                return ends.reset();
             }
         }
     }
 
-    /// Holds a chunk while the link is cut. False where it is not to be delivered any more.
-    fn wait_out_cut(&self, link: Link, source: &TcpStream, length: usize) -> bool {
+    /// Holds a chunk while the link is cut. Returns false if the chunk must not be delivered any more.
+    fn hold_while_cut(&self, link: Link, source: &TcpStream, length: usize) -> bool {
         let was_cut = self.quality(link).cut;
         if !self.wait_until_open(link) {
             return false;
         }
-        // A sender that has let go meanwhile is not heard any more.
-        let has_gone = was_cut && length > 0 && source.peek(&mut [0]).is_ok_and(|n| n == 0);
-        !has_gone
+        // What a sender wrote before it closed the connection during the cut is not delivered.
+        let sender_has_closed = was_cut && length > 0 && source.peek(&mut [0]).is_ok_and(|n| n == 0);
+        !sender_has_closed
     }
 }
 
-/// Sleeps for the link's latency, and for retransmissions where the chunk is lost.
+/// Sleeps for the link's latency, and for the retransmissions of a chunk that is lost.
 fn delay_chunk(quality: &LinkQuality, length: usize, random: &mut fastrand::Rng) {
     let mut latency = quality.latency(length, random);
     let mut retransmit_after = RETRANSMIT_AFTER;
--- a/crates/fault_injection/src/schedule/generator.rs
+++ b/crates/fault_injection/src/schedule/generator.rs
@@ -161,8 +161,8 @@
         FaultKind::Disk { target: self.gatekeeper(), fault }
     }
 
-    /// An upgrade, in which either process may be killed. The hand-over lasts a few milliseconds; the time of the kill is drawn so
-    /// that it falls before, within or after the hand-over.
+    /// An upgrade in which either process may be killed. The hand-over lasts a few milliseconds; the drawn time of the kill falls
+    /// before, within or after it.
     fn upgrade(&mut self) -> FaultKind {
         let target = self.gatekeeper();
         let dies_after_us =
--- a/crates/fault_injection/src/schedule/tests.rs
+++ b/crates/fault_injection/src/schedule/tests.rs
@@ -19,8 +19,8 @@
 fn seeds_reach_each_kind_of_fault() {
     let schedules = (0..2_000).map(|seed| Schedule::from_seed(seed, 10_000));
     let all: BTreeSet<String> = schedules.flat_map(|s| s.faults).map(|fault| fault.kind.name()).collect();
-    // Six degradations of links, cuts, flapping links, process faults, three stand-ins with seven failure modes each, disk faults, and
-    // upgrades.
+    // Six degradations of links, cuts, flapping links, process faults, three stand-ins with seven failure modes each, disk
+    // faults, and upgrades.
     assert!(all.len() >= 40, "{all:?}");
 }
 
