--- a/crates/fault_injection/src/load.rs
+++ b/crates/fault_injection/src/load.rs
@@ -1,4 +1,4 @@
-//! A steady load of several tenants, each of whose requests is followed to its end.
+//! A steady load of several tenants. The clients follow each request to its end and record it.
 
 mod client;
 
@@ -10,16 +10,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A tenant as a client names it.
+/// A tenant as clients send it.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Its name, as the header gives it.
+    /// Name in the header of HTTP requests and in histories.
     pub name: &'static str,
-    /// Its id, which the platform's clients send.
+    /// Id in RESP2 commands to gatekeepers of the platform.
     pub id: u64,
-    /// Its plan.
+    /// Name of its plan.
     pub plan: &'static str,
-    /// Mean interval between two requests of the tenant at all gatekeepers together.
+    /// Mean interval between two requests of the tenant, counting the requests to all gatekeepers.
     pub request_interval: Duration,
 }
 
@@ -27,8 +27,8 @@
     Tenant { name, id, plan, request_interval: Duration::from_millis(interval_ms) }
 }
 
-/// The tenants: three that keep to their quotas, two far beyond them, and one whose quota is never exhausted, for requests
-/// that show whether a gatekeeper serves.
+/// The tenants: three that stay within their quotas, two that far exceed them, and one whose quota is never exhausted. The
+/// last one is used for requests that check whether a gatekeeper serves.
 pub const TENANTS: [Tenant; 6] = [
     tenant("calm-0", 10, "basic", 120),
     tenant("calm-1", 11, "basic", 120),
@@ -40,7 +40,7 @@
 /// The tenant of [`TENANTS`] whose quota is never exhausted.
 pub const UNLIMITED_TENANT: Tenant = TENANTS[5];
 
-/// Time until a client retries after a request that was not accepted.
+/// Time until a client sends its next request after one that was not accepted.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the clients of one gatekeeper: a thread for each tenant, until the load is over.
--- a/crates/fault_injection/src/load/client.rs
+++ b/crates/fault_injection/src/load/client.rs
@@ -1,4 +1,4 @@
-//! A client of one gatekeeper.
+//! A client that sends requests to one gatekeeper and records their outcomes.
 
 use super::Tenant;
 use crate::history::{Observation, Outcome, Recorder};
@@ -11,11 +11,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Timeout of a client, far beyond the bound for an answer.
+/// Time for which a client waits for an answer, much longer than the checked bound for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Timeout of a connect. On loopback only a cut link takes longer.
+/// Timeout of a connect. On loopback, only a connect over a cut link takes longer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// One request in this many is large.
+/// One in this many requests is large.
 const LARGE_REQUEST_EVERY: u64 = 5;
 const LARGE_REQUEST_UNITS: f64 = 4.0;
 const SMALL_REQUEST_UNITS: f64 = 1.0;
@@ -23,24 +23,24 @@
 /// Settings of all clients of a site.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// The protocol that they speak.
+    /// Deployment form of the gatekeepers, which determines the protocol.
     pub form: Form,
-    /// How long a request may take, ms.
+    /// Deadline of a request in ms.
     pub deadline_ms: u64,
-    /// How many gatekeepers share the tenants.
+    /// Number of gatekeepers that share each tenant's load.
     pub gatekeepers: usize,
-    /// The next request's id.
+    /// Id of the next request; unique in the site.
     pub next_request_id: Arc<AtomicU64>,
 }
 
-/// An attempt that got no answer.
+/// The client received no answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct NoAnswer {
-    /// It went over a connection that earlier requests had used, and which may have been closed before it arrived.
+    /// The attempt used a connection of earlier requests, which may have been closed before the attempt arrived.
     on_reused_connection: bool,
 }
 
-/// A client of one gatekeeper, with one connection that it reuses.
+/// A client of one gatekeeper. It reuses one connection.
 pub struct Client {
     settings: ClientSettings,
     gatekeeper: String,
@@ -51,7 +51,7 @@
 }
 
 impl Client {
-    /// A client of the gatekeeper at this address.
+    /// Creates a client of the gatekeeper at this address, without a connection.
     pub fn new(
         settings: &ClientSettings,
         gatekeeper: &str,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends one request and follows it to its end.
+    /// Sends one request, waits for its outcome, and records both.
     pub fn send_request(&mut self, tenant: &Tenant) -> Outcome {
         let request_id = self.settings.next_request_id.fetch_add(1, Ordering::Relaxed);
         let is_large = request_id.is_multiple_of(LARGE_REQUEST_EVERY);
@@ -81,7 +81,7 @@
             gatekeeper: self.gatekeeper.clone(),
         });
         let mut outcome = self.attempt(request_id, tenant, units);
-        // What crosses the end of a reused connection is sent once more, on a new one.
+        // The gatekeeper may have closed the reused connection before the request arrived: it is sent once more, on a new one.
         if outcome == Err(NoAnswer { on_reused_connection: true }) {
             outcome = self.attempt(request_id, tenant, units);
         }
--- a/crates/fault_injection/src/network/tests.rs
+++ b/crates/fault_injection/src/network/tests.rs
@@ -1,4 +1,4 @@
-//! Links that are cut, closed, lossy and healed again.
+//! Links that are cut, closed, degraded and healed.
 
 use super::*;
 use std::io::{ErrorKind, Read, Write};
@@ -6,7 +6,7 @@
 
 const SENDER: NodeId = NodeId(0);
 const RECEIVER: NodeId = NodeId(1);
-const THERE: Link = Link { from: SENDER, to: RECEIVER };
+const FORWARD: Link = Link { from: SENDER, to: RECEIVER };
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn free_address() -> SocketAddr {
@@ -17,7 +17,7 @@
     vec![LinkFault { link, quality }]
 }
 
-/// An echo of streams behind a link from the sender to the receiver.
+/// Starts an echo server behind a link from the sender to the receiver. Returns the address of the link.
 fn echo(network: &Network) -> SocketAddr {
     let listener = TcpListener::bind(free_address()).expect("a free port");
     let target = listener.local_addr().expect("an address");
@@ -33,12 +33,12 @@
             });
         }
     });
-    network.stream_link(THERE, free_address(), target).expect("a free port")
+    network.stream_link(FORWARD, free_address(), target).expect("a free port")
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the link listens");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
     stream
 }
 
@@ -50,50 +50,50 @@
 }
 
 #[test]
-fn a_cut_link_holds_what_is_sent_until_it_heals() {
+fn a_cut_link_holds_data_until_it_heals() {
     let network = Network::new(1);
     let mut stream = connect(echo(&network));
     assert_eq!(exchange(&mut stream, b"one").expect("an echo"), b"one");
-    // One way only: what goes there passes, what comes back does not.
-    network.inject(1, fault(THERE.reversed(), LinkQuality::cut()));
-    stream.write_all(b"two").expect("it is taken");
-    stream.set_read_timeout(Some(Duration::from_millis(400))).expect("a time-out can be set");
-    assert!(stream.read(&mut [0; 3]).is_err(), "nothing comes back");
+    // Only the direction back to the sender is cut.
+    network.inject(1, fault(FORWARD.reversed(), LinkQuality::cut()));
+    stream.write_all(b"two").expect("the forward direction accepts data");
+    stream.set_read_timeout(Some(Duration::from_millis(400))).expect("a timeout can be set");
+    assert!(stream.read(&mut [0; 3]).is_err(), "the cut direction delivers nothing");
     network.heal(1);
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
     let mut echoed = [0; 3];
-    stream.read_exact(&mut echoed).expect("it comes late");
+    stream.read_exact(&mut echoed).expect("the echo arrives after the link has healed");
     assert_eq!(&echoed, b"two");
 }
 
 #[test]
-fn a_closed_link_resets_and_a_degraded_one_ends_in_the_middle() {
+fn closed_and_degraded_links_reset_connections() {
     let network = Network::new(2);
     let address = echo(&network);
     let mut stream = connect(address);
     exchange(&mut stream, b"one").expect("an echo");
-    network.inject(1, fault(THERE, LinkQuality { reset: 1.0, ..LinkQuality::default() }));
-    let error = exchange(&mut stream, b"four").expect_err("it ends");
+    network.inject(1, fault(FORWARD, LinkQuality { reset: 1.0, ..LinkQuality::default() }));
+    let error = exchange(&mut stream, b"four").expect_err("the connection is reset");
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
     assert_eq!(network.traffic().resets, 1);
     network.heal(1);
     let mut stream = connect(address);
     exchange(&mut stream, b"one").expect("an echo");
-    network.inject(2, fault(THERE, LinkQuality::closed()));
+    network.inject(2, fault(FORWARD, LinkQuality::closed()));
     assert!(exchange(&mut stream, b"five").is_err());
     assert!(exchange(&mut connect(address), b"six").is_err());
 }
 
 #[test]
-fn no_connection_comes_up_on_a_cut_link_and_the_next_does_when_it_heals() {
+fn connects_hang_on_a_cut_link_and_succeed_after_it_heals() {
     let network = Network::new(5);
     let address = echo(&network);
     exchange(&mut connect(address), b"one").expect("an echo");
-    for link in [THERE, THERE.reversed()] {
+    for link in [FORWARD, FORWARD.reversed()] {
         network.inject(1, fault(link, LinkQuality::cut()));
-        let comes_up = || TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).is_ok();
-        // The first few fill what the system keeps.
-        assert!((0..1_000).any(|_| !comes_up()), "they hang");
+        let connects = || TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).is_ok();
+        // A connect may still succeed before the backlog is full.
+        assert!((0..1_000).any(|_| !connects()), "a connect hangs");
         network.heal(1);
         let echoes = |_| {
             let stream = TcpStream::connect_timeout(&address, Duration::from_secs(5));
@@ -104,11 +104,11 @@
 }
 
 #[test]
-fn datagrams_are_told_apart_by_their_sender() {
+fn the_sender_of_a_datagram_determines_its_link() {
     let network = Network::new(3);
     let open = || {
         let socket = UdpSocket::bind(free_address()).expect("a free port");
-        socket.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
+        socket.set_read_timeout(Some(TIMEOUT)).expect("a timeout can be set");
         socket
     };
     let (a, b, c) = (open(), open(), open());
@@ -120,22 +120,22 @@
     network.inject(1, fault(Link::new(node_a, node_c), LinkQuality::cut()));
     let duplicated = LinkQuality { duplicate: 1.0, ..LinkQuality::default() };
     network.inject(2, fault(Link::new(node_b, node_c), duplicated));
-    a.send_to(b"from a", to).expect("it is sent");
-    b.send_to(b"from b", to).expect("it is sent");
+    a.send_to(b"from a", to).expect("the datagram is sent");
+    b.send_to(b"from b", to).expect("the datagram is sent");
     let mut buffer = [0; 16];
     for _ in 0..2 {
-        let n = c.recv(&mut buffer).expect("it comes, twice");
+        let n = c.recv(&mut buffer).expect("the datagram arrives twice");
         assert_eq!(&buffer[..n], b"from b");
     }
     network.heal(1);
-    a.send_to(b"from a", to).expect("it is sent");
-    let n = c.recv(&mut buffer).expect("it comes");
+    a.send_to(b"from a", to).expect("the datagram is sent");
+    let n = c.recv(&mut buffer).expect("the datagram arrives");
     assert_eq!(&buffer[..n], b"from a");
     assert_eq!(network.traffic().dropped_datagrams, 1, "one was dropped");
 }
 
 #[test]
-fn faults_on_one_link_add_up_and_end_alone() {
+fn faults_on_one_link_combine_and_end_independently() {
     let network = Network::new(4);
     let slow = LinkQuality {
         delay: Duration::from_millis(5),
@@ -143,13 +143,13 @@
         bytes_per_second: 100,
         ..LinkQuality::default()
     };
-    network.inject(1, fault(THERE, slow));
-    network.inject(2, fault(THERE, LinkQuality { cut: true, loss: 0.5, bytes_per_second: 50, ..slow }));
-    let both = network.quality(THERE);
+    network.inject(1, fault(FORWARD, slow));
+    network.inject(2, fault(FORWARD, LinkQuality { cut: true, loss: 0.5, bytes_per_second: 50, ..slow }));
+    let both = network.quality(FORWARD);
     assert_eq!((both.cut, both.loss, both.bytes_per_second), (true, 0.75, 50));
     assert_eq!(both.delay, Duration::from_millis(10));
     network.heal(2);
-    assert_eq!(network.quality(THERE), slow);
+    assert_eq!(network.quality(FORWARD), slow);
     network.heal(1);
-    assert_eq!(network.quality(THERE), LinkQuality::default());
+    assert_eq!(network.quality(FORWARD), LinkQuality::default());
 }
--- a/crates/fault_injection/src/runner.rs
+++ b/crates/fault_injection/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule on a site and checks its history.
+//! Runs a schedule on a site and checks the history of the run.
 
 #[cfg(test)]
 mod tests;
@@ -21,37 +21,37 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Maximum wait for all gatekeepers to agree after the last fault. The bound of the rule is shorter.
+/// Maximum wait for all gatekeepers to agree after the last fault. It is longer than the bound that the rule checks.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(35);
 /// Maximum wait for all gatekeepers to agree at the start.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval of the checks whether all gatekeepers agree. Each check sends a request to every gatekeeper; with 12 gatekeepers and 50
-/// checks a second these would use up the quota of the tenant that they are sent for.
+/// Interval of the checks whether all gatekeepers agree. Each check sends a request to every gatekeeper; with 12 gatekeepers
+/// and 50 checks a second these requests would exhaust the quota of their tenant.
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval at which resource use is recorded.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum wait for the records of all exits after a site was shut down.
+/// Maximum wait for the records of all process exits after the shutdown of a site.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(2);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Result of a schedule.
+/// Result of running a schedule.
 #[derive(Debug)]
 pub struct RunResult {
-    /// The rules that were broken.
+    /// Violations of the rules, and faults that could not be injected.
     pub violations: Vec<Violation>,
-    /// Number of injected faults by kind.
+    /// Number of injected faults by name of their kind.
     pub faults: BTreeMap<String, u64>,
-    /// Requests by outcome.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// ms from the end of the last fault until all agreed.
+    /// Time in ms from the end of the last fault until all gatekeepers agreed; absent if they did not.
     pub converged_after_ms: Option<u64>,
-    /// Traffic of all links.
+    /// Total traffic of all links.
     pub traffic: Traffic,
     /// The history of the run.
     pub history: Vec<Record>,
 }
 
-/// The faults of a schedule, once all are over.
+/// Result of injecting the faults of a schedule, after the end of all of them.
 struct InjectedFaults {
     errors: Vec<Error>,
     last_end_us: u64,
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// The site could not be started. A fault that could not be injected is a violation.
+/// The site could not be started. A fault that cannot be injected is reported as a violation instead.
 pub fn run(schedule: &Schedule, builds: impl Into<Builds>, folder: &Path) -> Result<RunResult, Error> {
     write_common_files(folder)?;
     let site = Site::start(schedule, builds, folder)?;
@@ -83,7 +83,7 @@
     Ok(finish(&site, &injected.errors, converged_after_ms))
 }
 
-/// Records the resources that gatekeepers use, until the load is over.
+/// Records the resource use of gatekeepers in a thread until the load is over.
 fn start_sampler(site: &Arc<Site>, is_over: &Arc<AtomicBool>) -> JoinHandle<()> {
     let (site, is_over) = (site.clone(), is_over.clone());
     thread::spawn(move || {
@@ -94,28 +94,28 @@
     })
 }
 
-/// Injects each fault in a thread and waits until all are over.
+/// Injects each fault in a thread of its own and waits until all faults have ended.
 fn inject_faults(site: &Site, schedule: &Schedule, clock: ScheduleClock) -> InjectedFaults {
     let last_end_us = AtomicU64::new(now_us());
     let inject = |index: usize, fault: &Fault| {
         let wait_for_end = || clock.sleep_until(fault.end());
-        let done = site.inject_fault(index, &fault.kind, &wait_for_end);
+        let result = site.inject_fault(index, &fault.kind, &wait_for_end);
         last_end_us.fetch_max(now_us(), Ordering::Relaxed);
-        done
+        result
     };
     let results = inject_each(clock, &schedule.faults, |fault| fault.start, inject).into_iter();
     let errors = results.filter_map(|result| result.unwrap_or(Err(Error::FaultPanicked)).err()).collect();
     InjectedFaults { errors, last_end_us: last_end_us.into_inner() }
 }
 
-/// Waits until all agree; ms from the end of the last fault until then.
+/// Waits until all gatekeepers agree. Returns the time in ms from the end of the last fault, or `None` after the timeout.
 fn wait_for_convergence(site: &Site, last_end_us: u64) -> Option<u64> {
     let divergence = RefCell::new(String::new());
     let has_converged = || {
-        let present = site.divergence();
-        let agrees = present.is_empty();
-        if divergence.replace(present.clone()) != present && !agrees {
-            site.recorder.record(Observation::DivergenceChanged { divergence: present });
+        let current = site.divergence();
+        let agrees = current.is_empty();
+        if divergence.replace(current.clone()) != current && !agrees {
+            site.recorder.record(Observation::DivergenceChanged { divergence: current });
         }
         agrees
     };
@@ -131,8 +131,8 @@
     let traffic = site.network.traffic();
     let history = complete_history(&site.recorder);
     let mut violations = checkers::check(&history, &Site::bounds());
-    let failed = |error: &Error| Violation::new("a program comes back", error.to_string());
-    violations.extend(errors.iter().map(failed));
+    let violation = |error: &Error| Violation::new("a program comes back", error.to_string());
+    violations.extend(errors.iter().map(violation));
     let mut faults = BTreeMap::new();
     for record in &history {
         if let Observation::Fault { kind, begins: true, .. } = &record.observation {
@@ -143,9 +143,9 @@
     RunResult { violations, faults, outcomes, converged_after_ms, traffic, history }
 }
 
-/// The history, once the last ends of processes are in it.
+/// Waits until the exits of all processes are recorded, and returns the history.
 fn complete_history(recorder: &Recorder) -> Vec<Record> {
-    let all_ended = || {
+    let all_exited = || {
         let records = recorder.records_by_time();
         let count =
             |wanted: fn(&Observation) -> bool| records.iter().filter(|r| wanted(&r.observation)).count();
@@ -153,15 +153,15 @@
         let exited = count(|observation| matches!(observation, Observation::ProcessExited { .. }));
         started == exited
     };
-    wait_until(EXIT_TIMEOUT, EXIT_POLL_INTERVAL, all_ended);
+    wait_until(EXIT_TIMEOUT, EXIT_POLL_INTERVAL, all_exited);
     recorder.records_by_time()
 }
 
-/// Leaves faults out one at a time for as long as what is left still fails; returns the smallest schedule that does.
+/// Removes faults one at a time as long as the remaining schedule still fails. Returns the smallest failing schedule.
 ///
 /// # Errors
 ///
-/// Those of `fails`.
+/// The errors that `fails` returns.
 pub fn shrink<E>(
     schedule: &Schedule,
     mut fails: impl FnMut(&Schedule) -> Result<bool, E>,
@@ -169,9 +169,9 @@
     let mut smallest = schedule.clone();
     let mut index = 0;
     while index < smallest.faults.len() {
-        let smaller = smallest.without_fault(index);
-        if fails(&smaller)? {
-            smallest = smaller;
+        let reduced = smallest.without_fault(index);
+        if fails(&reduced)? {
+            smallest = reduced;
         } else {
             index += 1;
         }
--- a/crates/fault_injection/src/runner/tests.rs
+++ b/crates/fault_injection/src/runner/tests.rs
@@ -1,15 +1,15 @@
-//! Shrinking a schedule that fails.
+//! Shrinking a failing schedule.
 
 use super::*;
 use crate::schedule::FaultKind;
 
 #[test]
-fn a_failing_schedule_is_made_as_small_as_what_fails() {
+fn a_failing_schedule_shrinks_to_the_fault_that_makes_it_fail() {
     let generated = (0..).map(|seed| Schedule::from_seed(seed, 10_000));
-    let kills = |s: &Schedule| s.faults.iter().any(|f| matches!(f.kind, FaultKind::Killed { .. }));
-    let mut large = generated.filter(|s| s.faults.len() > 3 && kills(s));
-    let schedule = large.next().expect("there is one");
-    let small = shrink(&schedule, |s| Ok::<_, Error>(kills(s))).expect("nothing fails in it");
-    assert_eq!(small.faults.len(), 1);
-    assert!(kills(&small));
+    let has_kill = |s: &Schedule| s.faults.iter().any(|f| matches!(f.kind, FaultKind::Killed { .. }));
+    let mut candidates = generated.filter(|s| s.faults.len() > 3 && has_kill(s));
+    let schedule = candidates.next().expect("a generated schedule has four faults, one of them a kill");
+    let shrunk = shrink(&schedule, |s| Ok::<_, Error>(has_kill(s))).expect("the predicate returns no error");
+    assert_eq!(shrunk.faults.len(), 1);
+    assert!(has_kill(&shrunk));
 }
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -1,7 +1,8 @@
-//! Stand-ins of what gatekeepers speak to, each of which can be made to fail. Consul's is a package of its own.
+//! Stand-ins for the services that gatekeepers connect to. Each can be made to fail. The stand-in for Consul is a package of its
+//! own.
 //!
-//! [`QuotaCounter`], [`EndpointList`] and the handling of connections serve every site; [`Backend`], [`Counter`] and [`Discovery`]
-//! are those of this package's sites, where each gatekeeper reaches them over links of its own.
+//! [`QuotaCounter`], [`EndpointList`] and the handling of connections are shared by all harnesses. [`Backend`], [`Counter`] and
+//! [`Discovery`] adapt them to the sites of this package, where each gatekeeper reaches them over links of its own.
 
 mod backend;
 mod counter;
@@ -24,26 +25,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How much later a slow stand-in answers.
+/// Additional time until a slow stand-in answers.
 const SLOW_ANSWER: Duration = Duration::from_millis(200);
 
-/// Whether and how a stand-in fails now. Clones share it.
+/// The current failure mode of a stand-in. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct FailureSwitch(Arc<Mutex<Option<FailureMode>>>);
 
 impl FailureSwitch {
-    /// How it fails; none where it is healthy.
+    /// The current failure mode; `None` if the stand-in is healthy.
     pub fn mode(&self) -> Option<FailureMode> {
         *lock(&self.0)
     }
 
-    /// Makes it fail like this, or be healthy.
+    /// Sets the failure mode; `None` makes the stand-in healthy.
     pub fn set(&self, mode: Option<FailureMode>) {
         *lock(&self.0) = mode;
     }
 }
 
-/// Listens at a free port of this host and serves each connection in a thread, until the network ends.
+/// Listens at a free port of this host and serves each connection in a thread, until the network is shut down.
 fn listen(
     network: &Network,
     host: IpAddr,
--- a/crates/fault_injection/src/stand_ins/backend.rs
+++ b/crates/fault_injection/src/stand_ins/backend.rs
@@ -1,4 +1,4 @@
-//! A backend, which listens at another address for each gatekeeper.
+//! The stand-in for a backend.
 
 use super::{FailureSwitch, SLOW_ANSWER, listen};
 use crate::history::{Observation, Recorder};
@@ -8,29 +8,29 @@
 use fault_harness::stand_ins::{AnswerMode, Arrival, BackendProtocol, BackendServer, BackendSite};
 use std::net::{IpAddr, SocketAddr};
 
-/// A backend, which listens at another address for each gatekeeper.
+/// A stand-in for a backend. It listens at a separate address for each gatekeeper, to know which one sends an attempt.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its name.
+    /// Name in the catalogue and in histories.
     pub name: String,
-    /// How it fails.
+    /// Makes the backend fail.
     pub failure: FailureSwitch,
     form: Form,
     recorder: Recorder,
 }
 
 impl Backend {
-    /// A healthy backend.
+    /// Creates a healthy backend that records the attempts that arrive.
     pub fn new(name: &str, form: Form, recorder: &Recorder) -> Self {
         let failure = FailureSwitch::default();
         Self { name: name.to_owned(), failure, form, recorder: recorder.clone() }
     }
 
-    /// Listens for a gatekeeper.
+    /// Listens at a free port for the connections of one gatekeeper.
     ///
     /// # Errors
     ///
-    /// There is no port.
+    /// No port is free.
     pub fn open(&self, network: &Network, host: IpAddr, gatekeeper: &str) -> std::io::Result<SocketAddr> {
         let protocol = match self.form {
             Form::Appliance => BackendProtocol::Http,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The connections from one gatekeeper to a backend.
+/// Handles the connections from one gatekeeper to a backend.
 struct Route {
     backend: Backend,
     gatekeeper: String,
@@ -75,7 +75,7 @@
 }
 
 impl Route {
-    /// The number of a request: decimal in HTTP, hexadecimal in RESP2.
+    /// Parses the id of a request, which is decimal in HTTP and hexadecimal in RESP2.
     fn parse_id(&self, text: &str) -> Option<u64> {
         match self.backend.form {
             Form::Appliance => text.parse().ok(),
--- a/crates/fault_injection/src/stand_ins/counter.rs
+++ b/crates/fault_injection/src/stand_ins/counter.rs
@@ -1,4 +1,4 @@
-//! The quota counter as the gatekeepers of a site reach it, each at an address of its own.
+//! The stand-in for the quota counter, which each gatekeeper reaches at an address of its own.
 
 use super::{Addition, CounterFailure, FailureSwitch, QuotaCounter, SLOW_ANSWER, listen};
 use crate::history::{Observation, Recorder};
@@ -6,20 +6,20 @@
 use crate::schedule::FailureMode;
 use std::net::{IpAddr, SocketAddr};
 
-/// The quota counter of a site. Clones share their totals.
+/// The quota counter of a site. Clones share the totals.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     core: QuotaCounter,
-    /// How it fails.
+    /// Makes the counter fail.
     pub failure: FailureSwitch,
 }
 
 impl Counter {
-    /// Listens for a gatekeeper.
+    /// Listens at a free port for the connections of one gatekeeper.
     ///
     /// # Errors
     ///
-    /// There is no port.
+    /// No port is free.
     pub fn open(
         &self,
         network: &Network,
@@ -37,18 +37,18 @@
         })
     }
 
-    /// Forgets all totals, as a counter does that restarts without its state.
+    /// Clears all totals, like a counter that restarts without its state.
     pub fn clear(&self) {
         self.core.clear();
     }
 
-    /// Calls so far.
+    /// Number of calls since the start.
     pub fn calls(&self) -> u64 {
         self.core.calls()
     }
 }
 
-/// How the counter fails in this mode. One that has restarted empty answers.
+/// The failure of the counter in this mode. A counter that restarted with empty state answers normally.
 fn counter_failure(mode: FailureMode) -> Option<CounterFailure> {
     match mode {
         FailureMode::Silent => Some(CounterFailure::Silent),
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: an agent for each gatekeeper, all with the same endpoint list.
+//! The stand-in for discovery: an agent for each gatekeeper; all agents serve the same endpoint list.
 
 use super::{EndpointList, ListUpdate, ListedChange, ListedState, listen};
 use crate::history::{Observation, Recorder, now_us};
@@ -7,26 +7,26 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// The revision of the list at the start.
+/// Revision of the endpoint list at the start.
 const FIRST_REVISION: u64 = 41;
 
-/// The link over which a gatekeeper is notified.
+/// The link over which a gatekeeper receives notifications.
 #[derive(Clone)]
 pub struct WatchRoute {
-    /// The network.
+    /// The network of the link.
     pub network: Network,
-    /// From discovery to the gatekeeper.
+    /// The link from discovery to the gatekeeper.
     pub link: Link,
 }
 
-/// Discovery. Clones share the list.
+/// Serves an endpoint list to gatekeepers of the platform. Clones share the list.
 #[derive(Clone, Debug)]
 pub struct Discovery {
     list: EndpointList,
 }
 
 impl Discovery {
-    /// Discovery that lists these backends.
+    /// Creates an endpoint list with these backends, all of them up.
     pub fn new(names: &[String]) -> Self {
         Self { list: EndpointList::new(names.iter().cloned(), FIRST_REVISION) }
     }
@@ -37,16 +37,16 @@
         self.list.change(name, ListedChange { state, has_started: false }, || ());
     }
 
-    /// The complete list for a gatekeeper that reaches backends at these addresses.
+    /// The complete endpoint list for a gatekeeper that reaches the backends at these addresses.
     pub fn complete_list(&self, addresses: &HashMap<String, SocketAddr>) -> ListUpdate {
         self.list.update(None, |name| addresses.get(name).copied())
     }
 
-    /// Opens the agent of a gatekeeper, which reaches backends at these addresses.
+    /// Opens the agent of a gatekeeper that reaches the backends at these addresses.
     ///
     /// # Errors
     ///
-    /// There is no port.
+    /// No port is free.
     pub fn open(
         &self,
         host: IpAddr,
@@ -73,16 +73,16 @@
 struct Agent {
     list: EndpointList,
     gatekeeper: String,
-    /// Where the gatekeeper reaches backends.
+    /// The addresses at which the gatekeeper reaches the backends, by backend name.
     addresses: HashMap<String, SocketAddr>,
     route: WatchRoute,
     recorder: Recorder,
 }
 
-/// An update that is about to be written.
+/// A notification that is about to be written.
 struct Notice {
     at_us: u64,
-    /// The link is healthy, so that it surely arrives now.
+    /// Whether the link is healthy, so that the notification is certain to arrive now.
     arrives: bool,
 }
 
--- a/crates/fault_injection/src/stand_ins/job_target.rs
+++ b/crates/fault_injection/src/stand_ins/job_target.rs
@@ -1,4 +1,4 @@
-//! The target of periodic jobs.
+//! The stand-in for the HTTP endpoint that periodic jobs call.
 
 use super::listen;
 use crate::history::{Observation, Recorder};
@@ -7,11 +7,11 @@
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, SocketAddr};
 
-/// Opens a target of periodic jobs. It takes every call, so that a run that happens twice is seen twice.
+/// Opens a target for periodic jobs. It accepts every call, so that a run that happens twice is recorded twice.
 ///
 /// # Errors
 ///
-/// There is no port.
+/// No port is free.
 pub fn open_job_target(network: &Network, host: IpAddr, recorder: &Recorder) -> std::io::Result<SocketAddr> {
     let recorder = recorder.clone();
     listen(network, host, move |mut stream| {
--- a/crates/fault_injection/src/torn_writes.rs
+++ b/crates/fault_injection/src/torn_writes.rs
@@ -1,5 +1,5 @@
-//! A gatekeeper killed at each byte of the file that it writes: the cached endpoint list, truncated to so many bytes, is found
-//! at a start while Consul does not answer.
+//! Simulates a gatekeeper that is killed at any byte while it writes its cached endpoint list. For each length, a gatekeeper
+//! starts with the list truncated to that length while Consul answers with errors.
 
 use crate::Error;
 use crate::checkers::Violation;
@@ -22,49 +22,49 @@
 const FIRST_BACKEND_PORT: u16 = 7_000;
 const FILE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a gatekeeper logs that has received an endpoint list.
+/// Logged when a gatekeeper receives an endpoint list.
 const LIST_RECEIVED: &str = "endpoint list changed";
-/// What a gatekeeper logs once it serves.
+/// Logged when a gatekeeper begins to serve.
 const SERVING: &str = "serving OpenAPI";
-/// What a gatekeeper logs of a cached list that it rejects.
+/// Logged when a gatekeeper rejects its cached list.
 const LIST_REJECTED: &str = "endpoint cache not usable";
-/// What a gatekeeper logs of a cached list that it uses.
+/// Logged when a gatekeeper uses its cached list.
 const LIST_USED: &str = "cached endpoint list in use";
 
-/// Result of the starts.
+/// Result of the starts with truncated files.
 #[derive(Debug)]
 pub struct TornWrites {
     /// Number of starts, one for each length of the file.
     pub starts: usize,
-    /// Starts that went wrong.
+    /// One violation for each start that failed, or that used or rejected the list wrongly.
     pub violations: Vec<Violation>,
 }
 
-/// How a start with a truncated file goes wrong.
+/// Why a start with a truncated file violates the rule.
 #[derive(Debug, thiserror::Error)]
 enum StartFailure {
     #[error(transparent)]
     Harness(#[from] Error),
-    #[error("it does not serve")]
+    #[error("the gatekeeper does not serve")]
     NotServing,
-    #[error("it says both that it uses the file and that it does not")]
+    #[error("the log says both that the cached list is used and that it is rejected")]
     Ambiguous,
-    #[error("used: {used}, refused: {rejected}")]
+    #[error("cached list used: {used}, rejected: {rejected}")]
     WrongUse { used: bool, rejected: bool },
 }
 
-/// Where the starts happen.
+/// The build, the folder and the Consul agent of the starts.
 struct TornWriteTest<'a> {
     build: &'a Path,
     folder: &'a Path,
     consul: SocketAddr,
 }
 
-/// Starts a gatekeeper for each length of the file, several at a time.
+/// Starts a gatekeeper for each possible length of the cached list, `parallel` of them at a time.
 ///
 /// # Errors
 ///
-/// The file could not be had, or the gatekeeper that writes it not be started.
+/// The common files cannot be written, or the gatekeeper that writes the complete list does not start or write it.
 pub fn truncate_at_each_byte(build: &Path, folder: &Path, parallel: usize) -> Result<TornWrites, Error> {
     write_common_files(folder)?;
     let consul = Consul::start();
@@ -95,7 +95,7 @@
         )
     }
 
-    /// Starts a gatekeeper whose cached list is this file.
+    /// Starts a gatekeeper that caches its endpoint list in the file `list`.
     fn start(&self, name: &str, settings: &Path, list: &Path, recorder: &Recorder) -> Result<Process, Error> {
         std::fs::write(settings, self.settings(list)).map_err(Error::file(settings))?;
         let arguments = ["serve", &settings.display().to_string()];
@@ -103,7 +103,7 @@
         Process::start(&launch, RecordingObserver::new(name, recorder)).map_err(Error::start(self.build))
     }
 
-    /// The file as a gatekeeper writes it.
+    /// Lets a gatekeeper write the complete cached list, and returns its bytes.
     fn list_written_by_a_gatekeeper(&self) -> Result<Vec<u8>, Error> {
         let (settings, list) = (self.folder.join("first.toml"), self.folder.join("first.list"));
         let process = self.start("first", &settings, &list, &Recorder::default())?;
@@ -138,7 +138,7 @@
         violations.into_inner().unwrap_or_default()
     }
 
-    /// Starts a gatekeeper with the first bytes of the file. It has to serve, and to use the file only if it is complete.
+    /// Starts a gatekeeper with a cached list of these bytes. It must serve, and must use the list if and only if it is complete.
     fn start_with(&self, cached: &[u8], is_complete: bool) -> Result<(), StartFailure> {
         let path = |suffix: &str| -> PathBuf { self.folder.join(format!("cut-{}.{suffix}", cached.len())) };
         let (settings, list) = (path("toml"), path("list"));
