--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -1,4 +1,4 @@
-//! Gatekeepers, stand-ins and links of one site.
+//! A site: gatekeepers, and the stand-ins and links around them.
 
 mod addresses;
 mod convergence;
@@ -33,23 +33,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// The node of all clients.
+/// Name of the node that stands for all clients.
 const LOAD: &str = "load";
-/// Between two looks at whether a gatekeeper is ready.
+/// Interval of the checks whether a gatekeeper is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Units of the load's largest request.
+/// Units of the largest request of the load.
 const LARGEST_REQUEST: f64 = 4.0;
 
-/// Gatekeepers, stand-ins and links.
+/// Running gatekeepers with their stand-ins and links, on a network of loopback addresses of their own.
 pub struct Site {
     schedule: Schedule,
     builds: Builds,
     addresses: AddressPlan,
-    /// What is observed.
+    /// Collects the history of the site.
     pub recorder: Recorder,
-    /// The links.
+    /// The links between all nodes of the site.
     pub network: Network,
-    /// Gatekeepers come first, then backends.
+    /// Node ids by name. Gatekeepers come first, then backends.
     nodes: HashMap<String, NodeId>,
     members: Vec<Member>,
     backends: Vec<Backend>,
@@ -58,26 +58,26 @@
     discovery: Discovery,
     client_settings: ClientSettings,
     catalogue_index: AtomicU64,
-    /// The backends as the catalogue lists them while all are healthy.
+    /// The entries of the backends in the catalogue while all are healthy.
     services: Vec<Service>,
     /// The number of the gossip key; locked while the key is rotated.
     gossip_key: Mutex<u64>,
     folder: PathBuf,
 }
 
-/// A command of the gatekeeper's program that has run to its end.
+/// Result of a command that the gatekeeper's executable has run.
 struct CommandResult {
     exit_code: i32,
-    /// All that it wrote.
+    /// Standard output followed by standard error, trimmed.
     output: String,
 }
 
 impl Site {
-    /// Sets up a site and starts its gatekeepers; they serve when this returns.
+    /// Sets up a site and starts its gatekeepers. All of them serve when this returns.
     ///
     /// # Errors
     ///
-    /// An address cannot be had, a file not be written, or a gatekeeper does not serve.
+    /// No addresses are free, a file cannot be written, or a gatekeeper does not start or serve.
     pub fn start(schedule: &Schedule, builds: impl Into<Builds>, folder: &Path) -> Result<Arc<Self>, Error> {
         let site = setup::set_up(schedule, builds.into(), folder)?;
         for index in 0..schedule.options.replicas {
@@ -92,14 +92,14 @@
         }
     }
 
-    /// Writes the first version of the replicated configuration for a replica.
+    /// Creates the first version of the replicated configuration in the files of a replica.
     fn create_configuration(&self, index: usize) -> Result<(), Error> {
         let path = self.write_files(index, &MemberState::default())?;
         let CommandResult { exit_code, output } = self.run_command(index, &["settings", "begin", &path])?;
         if exit_code == 0 { Ok(()) } else { Err(Error::ConfigurationNotCreated { output }) }
     }
 
-    /// The figures that the rules go by here.
+    /// The limits that the checkers apply to the histories of a site.
     pub fn bounds() -> Bounds {
         let ceiling = Ceiling {
             units_per_second: STANDARD_PLAN.ceiling_per_second,
@@ -114,13 +114,13 @@
             drain_ms: 1_000,
             convergence_ms: 10_000,
             convergence_after_counter_loss_ms: 32_000,
-            // Leases last 3 s. With them two contradict each other for no longer than a thread takes to be woken.
+            // Leases last 3 s. With leases, a contradiction lasts no longer than it takes to wake a thread.
             contradiction_ms: 250,
             resources: ResourceLimits { memory_kb: 64 * 1024, descriptors: 1_024, threads: 96 },
         }
     }
 
-    /// Starts the clients of all gatekeepers, unless the schedule is without load.
+    /// Starts the clients of all gatekeepers, unless the schedule disables the load.
     pub fn start_load(&self, is_over: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<()>> {
         if !self.schedule.options.load {
             return Vec::new();
@@ -133,7 +133,7 @@
         (0..gatekeepers).flat_map(start).collect()
     }
 
-    /// Records the resources that each gatekeeper uses, and what stand-ins and links have handled.
+    /// Records the resource use of each gatekeeper process, and the traffic to Consul and of gossip.
     pub fn record_resource_use(&self) {
         for member in &self.members {
             let state = lock(&member.state);
@@ -153,7 +153,7 @@
         self.recorder.record(Observation::Traffic { consul_requests, gossip_bytes });
     }
 
-    /// Starts a process of a gatekeeper, beside the present one if there is one.
+    /// Starts a process of a gatekeeper, in addition to its current process if it has one.
     fn spawn(&self, index: usize, state: &mut MemberState) -> Result<Process, Error> {
         let member = &self.members[index];
         state.count_start();
@@ -179,13 +179,15 @@
         self.members[index].write_files(state, self.schedule.options.jobs)
     }
 
-    /// Runs a command of the build that the gatekeeper was last started with.
+    /// Runs a command with the build that the gatekeeper was last started with.
     fn run_command(&self, index: usize, arguments: &[&str]) -> Result<CommandResult, Error> {
         let start = lock(&self.members[index].state).starts.max(1);
         let build = self.builds.for_start(index, start);
-        let done = std::process::Command::new(build).args(arguments).output().map_err(Error::start(build))?;
-        let output = String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).trim().to_owned();
-        Ok(CommandResult { exit_code: done.status.code().unwrap_or(-1), output })
+        let completed =
+            std::process::Command::new(build).args(arguments).output().map_err(Error::start(build))?;
+        let output =
+            String::from_utf8_lossy(&[completed.stdout, completed.stderr].concat()).trim().to_owned();
+        Ok(CommandResult { exit_code: completed.status.code().unwrap_or(-1), output })
     }
 
     fn start_member(&self, index: usize) -> Result<(), Error> {
@@ -195,7 +197,7 @@
         Ok(())
     }
 
-    /// A client of this gatekeeper.
+    /// Creates a client of this gatekeeper.
     pub fn client(&self, index: usize) -> Client {
         let member = &self.members[index];
         let address = member.client_address;
@@ -207,12 +209,12 @@
         &self.members[index].consul_agents
     }
 
-    /// The backends as the catalogue lists them while all are healthy.
+    /// The entries of the backends in the catalogue while all are healthy.
     pub fn healthy_services(&self) -> Vec<Service> {
         self.services.clone()
     }
 
-    /// Makes the catalogue list these from now on; returns the time, us.
+    /// Replaces the entries of the catalogue, under its next index. Returns the time of the change in us.
     pub fn set_services(&self, services: Vec<Service>) -> u64 {
         let index = self.catalogue_index.fetch_add(1, Ordering::Relaxed) + 1;
         let at_us = now_us();
@@ -220,12 +222,12 @@
         at_us
     }
 
-    /// The catalogue's index goes on from here, which may be one that it had before.
+    /// Sets the index of the catalogue, which continues from there. It may be an index that the catalogue had before.
     pub fn set_catalogue_index(&self, index: u64) {
         self.catalogue_index.store(index, Ordering::Relaxed);
     }
 
-    /// Indexes of the gatekeepers that a fault names.
+    /// Indexes of the gatekeepers that a selector includes.
     fn selected_members(&self, selector: &str) -> Vec<usize> {
         (0..self.members.len()).filter(|&i| selects(selector, &self.members[i].name)).collect()
     }
@@ -234,12 +236,12 @@
         self.backends.iter().filter(|backend| selects(selector, &backend.name)).collect()
     }
 
-    /// Acts on the running processes of these members.
+    /// Calls a function for the running process of each of these members.
     fn for_each_process(&self, members: &[usize], act: impl Fn(&Process)) {
         members.iter().for_each(|&i| lock(&self.members[i].state).process.iter().for_each(&act));
     }
 
-    /// Asks all gatekeepers to shut down, waits for that, and removes the site's folder.
+    /// Shuts all gatekeepers down, waits for their exit, stops the stand-ins and links, and removes the site's folder.
     pub fn shut_down(&self) {
         let all: Vec<usize> = (0..self.members.len()).collect();
         self.for_each_process(&all, Process::shut_down);
@@ -252,7 +254,7 @@
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 
-    /// Calls of the counter so far.
+    /// Number of calls of the quota counter since the start.
     pub fn counter_calls(&self) -> u64 {
         self.counter.calls()
     }
--- a/crates/fault_injection/src/site/addresses.rs
+++ b/crates/fault_injection/src/site/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of a site, in a network within 127.0.0.0/8 that no other site uses.
+//! The addresses of a site, which are in a network within 127.0.0.0/8 that no other site uses.
 
 use crate::history::now_us;
 use crate::schedule::MAX_NODES;
@@ -11,34 +11,34 @@
 /// The port at which replicas of the replicated configuration receive messages.
 const REPLICA_PORT: u16 = 7_947;
 const ADMIN_PORT: u16 = 9_600;
-/// The port that backends have in Consul's own record.
-const RECORDED_PORT: u16 = 6_379;
-/// The site that listens at this port has reserved the network.
+/// Port of the backends in the catalogue of Consul.
+const CATALOGUE_PORT: u16 = 6_379;
+/// A site reserves its network by listening at this port.
 const LOCK_PORT: u16 = 7_999;
 
-/// The third byte of addresses: gatekeepers have 1 to [`MAX_NODES`].
-const STAND_INS: u8 = 200;
-const LINKS: u8 = 201;
-const RECORDED: u8 = 202;
+/// Third byte of the addresses of stand-ins. Gatekeepers have 1 to [`MAX_NODES`].
+const STAND_IN_GROUP: u8 = 200;
+const LINK_GROUP: u8 = 201;
+const CATALOGUE_GROUP: u8 = 202;
 
-/// The addresses of a site.
+/// Assigns addresses to the nodes of a site.
 pub(super) struct AddressPlan {
-    /// The second byte of all addresses.
+    /// Second byte of all addresses of the site.
     network: u8,
-    /// Held so that no other site takes the same addresses.
+    /// Kept open so that no other site reserves the network.
     _lock: TcpListener,
 }
 
 impl AddressPlan {
-    /// Reserves a network that no other site of this machine has.
+    /// Reserves a network that no other site on this machine uses.
     pub(super) fn reserve() -> std::io::Result<Self> {
         let first = now_us() as u8;
         for i in 0..=255u8 {
             let network = first.wrapping_add(i).max(2);
             let lock_address = (Ipv4Addr::new(127, network, 0, 1), LOCK_PORT);
             let Ok(lock) = TcpListener::bind(lock_address) else { continue };
-            // Gatekeepers outlive a harness that was killed, and share their port with whoever is started at their address:
-            // their answers once were taken for those of the new ones.
+            // Gatekeepers of a killed harness may still run and share their port with new gatekeepers at the same address: their
+            // answers were once mistaken for those of the new gatekeepers.
             let is_in_use = (1..=MAX_NODES as u8)
                 .any(|i| TcpListener::bind((Ipv4Addr::new(127, network, i, 1), CLIENT_PORT)).is_err());
             if !is_in_use {
@@ -54,17 +54,17 @@
 
     /// The host of all stand-ins.
     pub(super) fn stand_ins(&self) -> IpAddr {
-        IpAddr::V4(self.host(STAND_INS, 1))
+        IpAddr::V4(self.host(STAND_IN_GROUP, 1))
     }
 
-    /// Where links listen, each at a free port.
+    /// Address for a link to listen at, with a free port.
     pub(super) fn link(&self) -> SocketAddr {
-        SocketAddr::from((self.host(LINKS, 1), 0))
+        SocketAddr::from((self.host(LINK_GROUP, 1), 0))
     }
 
-    /// The address of a backend in Consul's own record. Each gatekeeper is shown another.
-    pub(super) fn recorded_backend(&self, index: usize) -> SocketAddr {
-        SocketAddr::from((self.host(RECORDED, index as u8 + 1), RECORDED_PORT))
+    /// The address of a backend in the catalogue of Consul. The agents of each gatekeeper translate it to the address of a link.
+    pub(super) fn catalogue_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::from((self.host(CATALOGUE_GROUP, index as u8 + 1), CATALOGUE_PORT))
     }
 
     fn gatekeeper(&self, index: usize) -> Ipv4Addr {
@@ -87,7 +87,7 @@
         SocketAddr::from((self.gatekeeper(gatekeeper), REPLICA_PORT))
     }
 
-    /// The admin address of a gatekeeper's process. Each start has another one.
+    /// The admin address of a gatekeeper's process, which differs for each start.
     pub(super) fn admin(&self, gatekeeper: usize, start: u8) -> SocketAddr {
         SocketAddr::from((self.host(gatekeeper as u8 + 1, start.max(1)), ADMIN_PORT))
     }
--- a/crates/fault_injection/src/site/convergence.rs
+++ b/crates/fault_injection/src/site/convergence.rs
@@ -1,4 +1,4 @@
-//! Whether all gatekeepers of a site agree, and what still differs.
+//! Checks whether all gatekeepers of a site agree, and describes what still differs.
 
 use super::Site;
 use crate::history::Outcome;
@@ -11,17 +11,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// The node that the stand-in of Consul names for all backends.
+/// The Consul node under which the stand-in for Consul lists all backends.
 const CONSUL_NODE: &str = "a";
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Site {
-    /// What still differs between the gatekeepers, in words; empty where all agree.
+    /// Describes what still differs between the gatekeepers; empty if all agree and serve.
     pub fn divergence(&self) -> String {
         let parts: Vec<String> = thread::scope(|scope| {
-            let looks: Vec<_> =
+            let checks: Vec<_> =
                 (0..self.members.len()).map(|i| scope.spawn(move || self.divergence_of(i))).collect();
-            looks.into_iter().map(|look| look.join().unwrap_or_default()).collect()
+            checks.into_iter().map(|check| check.join().unwrap_or_default()).collect()
         });
         parts.into_iter().filter(|part| !part.is_empty()).collect::<Vec<_>>().join("; ")
     }
@@ -35,7 +35,7 @@
         if let Some(missing) = missing {
             return format!("{}: {missing}", member.name);
         }
-        // A client that was never there before.
+        // A new client must be served too.
         let mut client = self.client(index);
         let tenant = Tenant { request_interval: Duration::ZERO, ..UNLIMITED_TENANT };
         match client.send_request(&tenant) {
@@ -44,22 +44,24 @@
         }
     }
 
-    /// What a gatekeeper of the platform does not know of.
+    /// Describes what the telemetry of a gatekeeper of the platform lacks; `None` if it knows all backends, and all are available.
     fn missing_in_telemetry(&self, index: usize) -> Option<String> {
         let text = self.admin_call(index, "telemetry").unwrap_or_default();
-        let figure =
+        let gauge =
             |name: &str| text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse::<usize>().ok());
-        match (figure("balancer_members "), figure("balancer_members_unavailable ")) {
-            (Some(all), Some(0)) if all == self.backends.len() => None,
-            (Some(all), Some(out)) => Some(format!("{all} loan servers, {out} out")),
-            _ => Some("its door does not answer".into()),
+        match (gauge("balancer_members "), gauge("balancer_members_unavailable ")) {
+            (Some(total), Some(0)) if total == self.backends.len() => None,
+            (Some(total), Some(unavailable)) => {
+                Some(format!("{total} backends, {unavailable} of them unavailable"))
+            }
+            _ => Some("its admin address does not answer".into()),
         }
     }
 
-    /// What an appliance's status page does not show as it should be.
+    /// Describes what an appliance's status page lacks; `None` if it shows all members, all backends and the lease store as healthy.
     fn missing_in_status(&self, status: &str) -> Option<String> {
         if status.is_empty() {
-            return Some("no status".into());
+            return Some("its status page does not answer".into());
         }
         let entry = |name: &str| {
             status.lines().find_map(|line| {
@@ -78,21 +80,21 @@
                 return Some(format!("{} is {}", backend.name, shown.unwrap_or("unknown".into())));
             }
         }
-        (!status.contains("claim store answers")).then(|| "its claim store is away".into())
+        (!status.contains("claim store answers")).then(|| "its lease store does not answer".into())
     }
 
-    /// Whether the process that was started last says that it is ready.
+    /// Whether the process that was started last reports that it is ready.
     pub(super) fn is_ready(&self, index: usize) -> bool {
         self.admin_call(index, "readyz").is_some_and(|reply| reply == "OK\n")
     }
 
-    /// An operator's call to the process that was started last, and its complete reply.
+    /// Sends an operator's command to the process that was started last, and returns its complete reply.
     fn admin_call(&self, index: usize, command: &str) -> Option<String> {
         let start = lock(&self.members[index].state).starts;
         call(self.addresses.admin(index, start), command)
     }
 
-    /// The status of an appliance; empty if it does not answer.
+    /// The status page of an appliance; empty if it does not answer.
     pub fn status(&self, index: usize) -> String {
         let body = get_status(self.addresses.status(index)).map(|message| message.body);
         body.map_or(String::new(), |body| String::from_utf8_lossy(&body).into_owned())
--- a/crates/fault_injection/src/site/faults.rs
+++ b/crates/fault_injection/src/site/faults.rs
@@ -1,4 +1,4 @@
-//! Injects each kind of fault into a site, from its begin to its end.
+//! Injects faults into a site: begins each fault, holds it, and ends it.
 
 mod configuration;
 mod disk;
@@ -17,28 +17,29 @@
 /// A fault that is being injected.
 #[derive(Clone, Copy)]
 struct ActiveFault<'a> {
-    /// Its index in the schedule.
+    /// Index of the fault in the schedule.
     index: usize,
     kind: &'a FaultKind,
-    /// Returns when the fault is to end.
+    /// Blocks until the fault has to end.
     wait_for_end: &'a dyn Fn(),
 }
 
-/// What a fault excuses.
+/// The deviations from the rules that a fault permits.
 #[derive(Clone, Debug, Default)]
 struct FaultScope {
-    /// Gatekeepers whose clients may miss an answer.
+    /// Gatekeepers whose clients may miss answers.
     affected: Vec<String>,
-    /// Attempts may arrive late at backends.
+    /// Whether attempts may arrive late at backends.
     delays_attempts: bool,
 }
 
 impl Site {
-    /// Begins a fault, holds it until `wait_for_end` returns, and ends it. False where other faults have its gatekeepers.
+    /// Begins a fault, holds it until `wait_for_end` returns, and ends it. Returns false if nothing was injected, because the
+    /// fault selects no gatekeeper without another active fault.
     ///
     /// # Errors
     ///
-    /// A file cannot be written, or a gatekeeper does not come back.
+    /// A file cannot be written, or a gatekeeper does not serve again after the fault.
     pub fn inject_fault(
         &self,
         index: usize,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Records the begin and the end of a fault around the action that brings it about.
+    /// Records the begin of a fault, runs the action that injects and ends it, and records the end.
     fn record_fault(
         &self,
         fault: &ActiveFault<'_>,
@@ -100,8 +101,8 @@
             });
         };
         record(true);
-        let done = action();
+        let result = action();
         record(false);
-        done.map(|()| true)
+        result.map(|()| true)
     }
 }
--- a/crates/fault_injection/src/site/faults/disk.rs
+++ b/crates/fault_injection/src/site/faults/disk.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const FILE_NAME: &str = "loans.list";
-/// How often the file that a gatekeeper is about to write is made unwritable.
+/// Interval at which the next temporary file of a gatekeeper is made unwritable.
 const BLOCK_INTERVAL: Duration = Duration::from_millis(5);
 const PER_MILLE: usize = 1_000;
 
@@ -52,17 +52,18 @@
         std::fs::write(&file, &bytes[..length]).map_err(Error::file(&file))
     }
 
-    /// Moves the folder aside, and, if it is to be read-only, puts one in its place that takes no file from anybody.
+    /// Moves the folder of the list away until the fault ends. For a read-only folder, a link to `/proc` replaces it, where no
+    /// user can create a file.
     fn without_folder(
         &self,
         fault: &ActiveFault<'_>,
         members: &[usize],
         is_read_only: bool,
     ) -> Result<(), Error> {
-        let aside = |i: usize| self.members[i].folder.join("list.aside");
+        let moved_folder = |i: usize| self.members[i].folder.join("list.aside");
         for &i in members {
             let folder = self.list_folder(i);
-            std::fs::rename(&folder, aside(i)).map_err(Error::file(&folder))?;
+            std::fs::rename(&folder, moved_folder(i)).map_err(Error::file(&folder))?;
             if is_read_only {
                 symlink("/proc", &folder).map_err(Error::file(&folder))?;
             }
@@ -73,12 +74,12 @@
             if is_read_only {
                 std::fs::remove_file(&folder).map_err(Error::file(&folder))?;
             }
-            std::fs::rename(aside(i), &folder).map_err(Error::file(&folder))?;
+            std::fs::rename(moved_folder(i), &folder).map_err(Error::file(&folder))?;
         }
         Ok(())
     }
 
-    /// What gatekeepers write beside their list goes where nothing can be written, until the fault ends.
+    /// Until the fault ends, links the temporary files of the list to `/dev/full`, so that writing them fails.
     fn with_full_disk(&self, fault: &ActiveFault<'_>, members: &[usize]) {
         let is_over = AtomicBool::new(false);
         thread::scope(|scope| {
@@ -96,7 +97,7 @@
     fn block_new_list(&self, member: usize) {
         let pid = lock(&self.members[member].state).process.as_ref().map(Process::pid);
         if let Some(pid) = pid {
-            // It exists already where the gatekeeper has not written since.
+            // An error means that the link exists already, since the gatekeeper has not written its list in between.
             let _ = symlink("/dev/full", self.list_folder(member).join(format!("loans.{pid}.new")));
         }
     }
--- a/crates/fault_injection/src/site/faults/links.rs
+++ b/crates/fault_injection/src/site/faults/links.rs
@@ -1,4 +1,4 @@
-//! Faults of links.
+//! Faults of links: cuts, closed and degraded links, and flapping.
 
 use super::{ActiveFault, FaultScope};
 use crate::Error;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// The quality that a degraded link has.
+/// The quality of a link under a [`FaultKind::Degraded`]; healthy for any other kind.
 pub(super) fn degraded_quality(kind: &FaultKind) -> LinkQuality {
     let FaultKind::Degraded { reset, loss, duplicate, reorder, delay_ms, jitter_ms, bytes_per_s, .. } = kind
     else {
@@ -40,19 +40,19 @@
         links.filter(|link| link.from != link.to).collect()
     }
 
-    /// The same, and those back.
+    /// All links between the two sides, in both directions.
     pub(super) fn links_both_ways(&self, from: &str, to: &str) -> Vec<Link> {
-        let there = self.links_one_way(from, to);
-        there.into_iter().flat_map(|link| [link, link.reversed()]).collect()
+        let forward = self.links_one_way(from, to);
+        forward.into_iter().flat_map(|link| [link, link.reversed()]).collect()
     }
 
-    /// The nodes on one side of a fault. Clients are in no zone, so that they are cut off only by name.
+    /// The nodes on one side of a fault. The node of the clients must be selected by its name: `*` does not include it.
     fn selected_nodes(&self, selector: &str) -> Vec<NodeId> {
         let selected = self.nodes.iter().filter(|(name, _)| selects(selector, name));
         selected.filter(|(name, _)| selector == LOAD || *name != LOAD).map(|(_, node)| *node).collect()
     }
 
-    /// What faults on these links excuse.
+    /// The deviations that faults on these links permit.
     fn link_scope(&self, links: &[Link]) -> FaultScope {
         let load = self.nodes[LOAD];
         let mut scope = FaultScope::default();
@@ -76,7 +76,7 @@
         (first..first + self.backends.len()).contains(&node.0)
     }
 
-    /// Degrades links for as long as the fault lasts.
+    /// Degrades links until the fault ends.
     pub(super) fn degrade_links(
         &self,
         fault: &ActiveFault<'_>,
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Cuts links for a period, heals them for a period, and so on for as long as the fault lasts.
+    /// Cuts and heals links in turn, each for a period, until the fault ends.
     pub(super) fn flap_links(
         &self,
         fault: &ActiveFault<'_>,
--- a/crates/fault_injection/src/site/faults/processes.rs
+++ b/crates/fault_injection/src/site/faults/processes.rs
@@ -8,9 +8,9 @@
 use fault_harness::process::Process;
 use fault_harness::sync::lock;
 
-/// Whether no client may miss an answer by a fault: a graceful shutdown, a reload, a disk that cannot be written, or an upgrade in
-/// which no process is killed.
-fn keeps_answers(kind: &FaultKind) -> bool {
+/// Whether clients must get all their answers in spite of the fault: a graceful shutdown, a reload, a disk that cannot be
+/// written, or an upgrade in which no process is killed.
+fn preserves_answers(kind: &FaultKind) -> bool {
     matches!(
         kind,
         FaultKind::ShutDown { .. }
@@ -22,7 +22,7 @@
 }
 
 impl Site {
-    /// Injects a fault into those of the selected members that no other fault has. False where there is none.
+    /// Injects a fault into the selected members on which no other fault is active. Returns false if there is no such member.
     pub(super) fn fault_members(&self, fault: &ActiveFault<'_>, target: &str) -> Result<bool, Error> {
         let selected = self.selected_members(target).into_iter();
         let members: Vec<usize> = selected
@@ -32,12 +32,12 @@
             return Ok(false);
         }
         let mut scope = FaultScope::default();
-        if !keeps_answers(fault.kind) {
+        if !preserves_answers(fault.kind) {
             scope.affected = members.iter().map(|&i| self.members[i].name.clone()).collect();
         }
-        let done = self.record_fault(fault, &scope, || self.fault_processes(fault, &members));
+        let result = self.record_fault(fault, &scope, || self.fault_processes(fault, &members));
         members.iter().for_each(|&i| lock(&self.members[i].state).has_fault = false);
-        done
+        result
     }
 
     fn fault_processes(&self, fault: &ActiveFault<'_>, members: &[usize]) -> Result<(), Error> {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Kills these members, changes how they run, and starts them again.
+    /// Kills these members, changes their state, and starts them again.
     fn restart_with(&self, members: &[usize], change: impl Fn(&mut MemberState)) -> Result<(), Error> {
         self.for_each_process(members, Process::kill);
         members.iter().for_each(|&i| change(&mut lock(&self.members[i].state)));
--- a/crates/fault_injection/src/site/faults/stand_ins.rs
+++ b/crates/fault_injection/src/site/faults/stand_ins.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How much later a slow Consul answers.
+/// Additional time until a slow Consul answers.
 const SLOW_ANSWER: Duration = Duration::from_millis(200);
 
 fn consul_fault(mode: FailureMode) -> ConsulFault {
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Marks backends in the catalogue and in discovery's list.
+    /// Marks backends as draining, or as up, in the catalogue and in discovery's list.
     fn set_draining(&self, target: &str, is_draining: bool) {
         let names: Vec<String> = self.selected_backends(target).iter().map(|b| b.name.clone()).collect();
         names.iter().for_each(|name| self.discovery.set_draining(name, is_draining));
--- a/crates/fault_injection/src/site/faults/upgrade.rs
+++ b/crates/fault_injection/src/site/faults/upgrade.rs
@@ -18,14 +18,14 @@
         old_dies_after_us: Option<u64>,
     ) -> Result<(), Error> {
         members.iter().try_for_each(|&i| self.start_successor(i))?;
-        if let Some(us) = new_dies_after_us {
-            thread::sleep(Duration::from_micros(us));
+        if let Some(delay_us) = new_dies_after_us {
+            thread::sleep(Duration::from_micros(delay_us));
             members.iter().for_each(|&i| self.kill_successor(i));
             (fault.wait_for_end)();
             return Ok(());
         }
-        if let Some(us) = old_dies_after_us {
-            thread::sleep(Duration::from_micros(us));
+        if let Some(delay_us) = old_dies_after_us {
+            thread::sleep(Duration::from_micros(delay_us));
             self.for_each_process(members, Process::kill);
         } else if !members.iter().all(|&i| self.wait_until_ready(i)) {
             return Err(Error::SuccessorNotReady);
@@ -50,7 +50,7 @@
 
     fn kill_successor(&self, index: usize) {
         let mut state = lock(&self.members[index].state);
-        // The admin address of the old process is the one to call again.
+        // Admin calls go to the address of the last counted start, which must be that of the old process again.
         state.starts -= 1;
         drop(state.successor.take());
     }
--- a/crates/fault_injection/src/site/files.rs
+++ b/crates/fault_injection/src/site/files.rs
@@ -1,4 +1,4 @@
-//! The files with which gatekeepers are started.
+//! The settings files and other files of gatekeepers.
 
 use crate::Error;
 use crate::load::{TENANTS, Tenant};
@@ -11,27 +11,27 @@
 
 /// The service under which Consul lists the backends.
 pub(super) const SERVICE: &str = "loan-server";
-/// The load's requests are given up after this.
+/// Deadline of the requests of the load in ms.
 pub const REQUEST_DEADLINE_MS: u64 = 1_000;
-/// The period of an appliance's periodic jobs.
+/// Period of the periodic jobs of an appliance in ms.
 pub const JOB_PERIOD_MS: u64 = 500;
 
-/// In the template of an appliance's settings: replaced by the wall clock's offset in ms.
+/// Placeholder in the template of an appliance's settings for the offset of the wall clock in ms.
 const CLOCK_OFFSET: &str = "CLOCK";
-/// Replaced by the member's name.
+/// Placeholder for the name of the member.
 const MEMBER_NAME: &str = "NAME";
-/// Replaced by the periodic jobs.
+/// Placeholder for the periodic jobs.
 const JOBS: &str = "DUTIES";
 
 const HEALTH_CHECK: &str = "[probe]\npath = \"/health\"\nperiod_ms = 1000\ntimeout_ms = 300\n";
 
-/// A plan of tenants.
+/// A plan of the tenants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Plan {
     pub(super) name: &'static str,
     units_per_second: f64,
     burst: f64,
-    /// 0 for no ceiling.
+    /// 0 means no ceiling.
     pub(super) ceiling_per_second: f64,
     pub(super) ceiling_burst: f64,
 }
@@ -61,24 +61,24 @@
     }
 }
 
-/// Where an appliance listens for gossip, and where members reach each other.
+/// The gossip addresses of an appliance and of its peers.
 #[derive(Clone, Copy)]
 pub(super) struct GossipAddresses<'a> {
     pub(super) listen: SocketAddr,
     pub(super) advertise: SocketAddr,
-    /// All advertised addresses, as a list in TOML.
+    /// The advertised addresses of all members, as the elements of a TOML array.
     pub(super) peers: &'a str,
 }
 
-/// The replicas of the replicated configuration, as one member sees them.
+/// The addresses of the replicas of the replicated configuration, as one member reaches them.
 pub(super) struct ReplicaAddresses {
-    /// Where the member listens as a replica, if it is one.
+    /// The address at which the member listens as a replica; absent if it is not a replica.
     pub(super) listen: Option<SocketAddr>,
-    /// Tables in TOML.
+    /// Inline TOML tables, one for each replica.
     pub(super) replicas: Vec<String>,
 }
 
-/// What goes into an appliance's settings.
+/// The values in an appliance's settings.
 pub(super) struct ApplianceSettings<'a> {
     pub(super) number: usize,
     pub(super) gatekeepers: usize,
@@ -86,14 +86,14 @@
     pub(super) listen: SocketAddr,
     pub(super) status: SocketAddr,
     pub(super) counter: SocketAddr,
-    /// The first is asked first.
+    /// In the order in which the appliance tries them.
     pub(super) consul_agents: &'a [SocketAddr],
     pub(super) gossip: GossipAddresses<'a>,
     pub(super) replicas: ReplicaAddresses,
 }
 
 impl ApplianceSettings<'_> {
-    /// The template of the file.
+    /// The settings file with placeholders for what changes while a site runs.
     pub(super) fn template(&self) -> String {
         let tenant = |t: Tenant| format!("[[lender]]\nname = \"{}\"\nplan = \"{}\"\n", t.name, t.plan);
         let (consul, agents) = (self.consul_agents[0], &self.consul_agents[1..]);
@@ -123,7 +123,7 @@
 }
 
 impl ReplicaAddresses {
-    /// The table; empty where there are no replicas.
+    /// The table `agreed` of the settings; empty if there are no replicas.
     fn toml(&self) -> String {
         if self.replicas.is_empty() {
             return String::new();
@@ -133,19 +133,19 @@
     }
 }
 
-/// What goes into the configuration of a gatekeeper of the platform.
+/// The values in the configuration of a gatekeeper of the platform.
 pub(super) struct PlatformSettings<'a> {
     pub(super) number: usize,
     pub(super) gatekeepers: usize,
     pub(super) listen: SocketAddr,
     pub(super) discovery: SocketAddr,
     pub(super) counter: SocketAddr,
-    /// The endpoint list that it starts with, in JSON.
+    /// The endpoint list at the start, in JSON.
     pub(super) endpoint_list: &'a str,
 }
 
 impl PlatformSettings<'_> {
-    /// The file's text.
+    /// The text of the configuration file.
     pub(super) fn text(&self) -> String {
         let Self { number, gatekeepers, listen, discovery, counter, endpoint_list } = self;
         format!(
@@ -164,7 +164,7 @@
     }
 }
 
-/// What changes in an appliance's settings while a site runs.
+/// The values in an appliance's settings that change while a site runs.
 pub(super) struct MemberVariables<'a> {
     pub(super) name: &'a str,
     pub(super) clock_offset_ms: i64,
@@ -173,7 +173,7 @@
 }
 
 impl MemberVariables<'_> {
-    /// Fills a template.
+    /// Replaces the placeholders of a template.
     pub(super) fn fill(&self, template: &str) -> String {
         let target = self.job_target;
         let job = |number: usize| {
@@ -192,7 +192,7 @@
   "/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}},
   "/loans/history":{"get":{"x-snowfield-units":4,"x-snowfield-class":"lookup","responses":{}}}}}"#;
 
-/// Writes the files that the settings of all gatekeepers name.
+/// Writes the files that the settings of all appliances refer to.
 ///
 /// # Errors
 ///
--- a/crates/fault_injection/src/site/files/tests.rs
+++ b/crates/fault_injection/src/site/files/tests.rs
@@ -1,4 +1,4 @@
-//! The settings files that gatekeepers are started with.
+//! The settings files of gatekeepers.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn settings_files_are_written_byte_for_byte_alike() {
+fn settings_files_match_the_stored_files() {
     let options = SiteOptions { consul_agents: 2, ..SiteOptions::default() };
     let appliance = ApplianceSettings {
         number: 1,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_replica_listens_and_a_client_of_the_replicas_does_not() {
+fn only_a_replica_has_a_listen_address() {
     let replicas = || vec!["{ name = \"m0\" }".to_owned(), "{ name = \"m1\" }".to_owned()];
     let listen = Some(address(1, 7_947));
     let replica = ReplicaAddresses { listen, replicas: replicas() };
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_template_is_filled_with_what_changes() {
+fn fills_the_placeholders_of_a_template() {
     let variables =
         MemberVariables { name: "m1", clock_offset_ms: -140, jobs: 3..4, job_target: address(201, 40_004) };
     let text = variables.fill("name = \"NAME\"\nclock_offset_ms = CLOCK\nDUTIES");
--- a/crates/fault_injection/src/site/member.rs
+++ b/crates/fault_injection/src/site/member.rs
@@ -1,4 +1,4 @@
-//! One gatekeeper of a site: its folder, its settings and its processes.
+//! One gatekeeper of a site, with its folder, settings and processes.
 
 use super::files::MemberVariables;
 use crate::Error;
@@ -10,11 +10,11 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-/// What a gatekeeper logs once it serves.
+/// Logged when a gatekeeper begins to serve.
 const SERVING: &str = "serving ";
-/// The gossip key with number 0.
+/// Value of the gossip key with number 0; the other keys follow it.
 const FIRST_GOSSIP_KEY: u64 = 0x0a11;
-/// Starts are numbered from 1 to this, and then from 1 again.
+/// Starts are numbered from 1 up to this number, then from 1 again.
 const MAX_START_NUMBER: u8 = 250;
 
 /// The settings file of a gatekeeper.
@@ -26,33 +26,33 @@
 /// One gatekeeper of a site.
 pub(super) struct Member {
     pub(super) name: String,
-    /// Where its clients reach it.
+    /// The address of the link over which clients reach it.
     pub(super) client_address: SocketAddr,
     pub(super) folder: PathBuf,
     pub(super) settings: SettingsFile,
     pub(super) consul_agents: Vec<Listener>,
-    /// Where it reaches the target of periodic jobs.
+    /// The address of the link over which it reaches the target of periodic jobs.
     pub(super) job_target: SocketAddr,
     pub(super) state: Mutex<MemberState>,
 }
 
-/// What changes while a site runs.
+/// The state of a member that changes while a site runs.
 #[derive(Default)]
 pub(super) struct MemberState {
     pub(super) process: Option<Process>,
-    /// Started beside it, to take its place.
+    /// The process that replaces it in an upgrade.
     pub(super) successor: Option<Process>,
-    /// Starts so far; each has an admin address of its own.
+    /// Number of the last start; 0 before the first one. Each start has an admin address of its own.
     pub(super) starts: u8,
-    /// The offset of its wall clock.
+    /// Offset of its wall clock in ms.
     pub(super) clock_offset_ms: i64,
-    /// The name of another member, under which it runs.
+    /// The name of another member under which it runs; absent if it runs under its own.
     pub(super) assumed_name: Option<String>,
-    /// Other periodic jobs than the usual ones.
+    /// Numbers of its periodic jobs, if they differ from the usual ones.
     pub(super) jobs: Option<Range<usize>>,
-    /// The numbers of the gossip keys in its key file, the one that signs first. None stands for the first key alone.
+    /// Numbers of the gossip keys in its key file; the first one signs. Empty means key 0 alone.
     pub(super) gossip_keys: Vec<u64>,
-    /// A fault has it: others leave it alone.
+    /// Whether a fault is active on it, so that other faults skip it.
     pub(super) has_fault: bool,
 }
 
@@ -68,7 +68,7 @@
         self.folder.join(self.settings.file_name)
     }
 
-    /// Writes its files as it is to run now, and returns the path of its settings.
+    /// Writes its settings and its key file for this state, and returns the path of the settings.
     pub(super) fn write_files(&self, state: &MemberState, usual_jobs: usize) -> Result<String, Error> {
         let variables = MemberVariables {
             name: state.assumed_name.as_ref().unwrap_or(&self.name),
@@ -90,9 +90,9 @@
         lock(&self.state).process.as_ref().map(Process::log)
     }
 
-    /// Waits until its process says that it serves.
+    /// Waits until its process logs that it serves. Returns false after a timeout or without a process.
     pub(super) fn wait_until_serving(&self) -> bool {
-        // The lock is released meanwhile: a fault may end the process.
+        // The state is not locked during the wait, since a fault may end the process.
         self.log().is_some_and(|log| log.wait_for(SERVING))
     }
 }
--- a/crates/fault_injection/src/site/selector.rs
+++ b/crates/fault_injection/src/site/selector.rs
@@ -1,9 +1,9 @@
-//! Which nodes a fault names.
+//! Selectors: the names of nodes, zones and regions in faults.
 
-/// The zones, in which gatekeepers and backends are by turns.
+/// The zones, to which gatekeepers and backends are assigned in turn by their number.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// The zone of a node, if it is in one: the load is in none, and stand-ins without a number are in the first.
+/// The zone of a node. The node of the clients is in no zone, and stand-ins without a number are in the first one.
 fn zone(node: &str) -> Option<&'static str> {
     let number = |prefix: char| node.strip_prefix(prefix)?.parse::<usize>().ok();
     match number('m').or_else(|| number('l')) {
--- a/crates/fault_injection/src/site/selector/tests.rs
+++ b/crates/fault_injection/src/site/selector/tests.rs
@@ -1,4 +1,4 @@
-//! Selectors of nodes.
+//! Selection of nodes by name, zone and region.
 
 use super::selects;
 
--- a/crates/fault_injection/src/site/setup.rs
+++ b/crates/fault_injection/src/site/setup.rs
@@ -1,4 +1,4 @@
-//! Sets up a site: addresses, stand-ins, links and the members' files.
+//! Sets up a site: its addresses, stand-ins, links, and the files of its members.
 
 use super::addresses::AddressPlan;
 use super::files::{
@@ -24,10 +24,10 @@
 const COUNTER: &str = "counter";
 const DISCOVERY: &str = "discovery";
 const JOB_TARGET: &str = "target";
-/// The catalogue's index at the start.
+/// Index of the catalogue at the start.
 const FIRST_CATALOGUE_INDEX: u64 = 11;
 
-/// What stands before the first member is made.
+/// The parts of a site that exist before its first member is created.
 struct Setup<'a> {
     schedule: &'a Schedule,
     folder: &'a Path,
@@ -42,7 +42,7 @@
     counter: Counter,
     discovery: Discovery,
     job_target: SocketAddr,
-    /// The gossip address of each gatekeeper as the others reach it.
+    /// The advertised gossip address of each gatekeeper, which is that of the link to it.
     advertised: Vec<SocketAddr>,
 }
 
@@ -50,7 +50,7 @@
     (0..count).map(|i| format!("{prefix}{i}")).collect()
 }
 
-/// Sets up a site. Its gatekeepers are not started.
+/// Sets up a site without starting its gatekeepers.
 pub(super) fn set_up(schedule: &Schedule, builds: Builds, folder: &Path) -> Result<Site, Error> {
     let setup = Setup::new(schedule, folder)?;
     let members = (0..setup.gatekeepers.len()).map(|i| setup.member(i)).collect::<Result<Vec<_>, _>>()?;
@@ -91,7 +91,7 @@
         let nodes = all.enumerate().map(|(i, name)| (name, NodeId(i))).collect();
         let job_target = open_job_target(&network, addresses.stand_ins(), &recorder)?;
         let consul = Consul::start();
-        let service = |(i, name): (usize, &String)| Service::new(name, addresses.recorded_backend(i));
+        let service = |(i, name): (usize, &String)| Service::new(name, addresses.catalogue_address(i));
         let services: Vec<Service> = backends.iter().enumerate().map(service).collect();
         consul.set_service(FIRST_CATALOGUE_INDEX, SERVICE, services.clone());
         let advertised = (0..gatekeepers.len())
@@ -118,7 +118,7 @@
         })
     }
 
-    /// A link from a gatekeeper to another node, which listens at `target`.
+    /// Opens a link from a gatekeeper to another node, which listens at `target`.
     fn link(&self, gatekeeper: usize, to: &str, target: SocketAddr) -> std::io::Result<SocketAddr> {
         let link = Link::new(NodeId(gatekeeper), self.nodes[to]);
         self.network.stream_link(link, self.addresses.link(), target)
@@ -150,7 +150,8 @@
         })
     }
 
-    /// Opens all backends for a gatekeeper; its Consul agents show them at the addresses of their links.
+    /// Opens a link from a gatekeeper to each backend. The Consul agents of the gatekeeper list the backends at the addresses of
+    /// these links.
     fn backend_links(
         &self,
         index: usize,
@@ -160,8 +161,8 @@
         for (number, backend) in self.backends.iter().enumerate() {
             let target = backend.open(&self.network, self.addresses.stand_ins(), &self.gatekeepers[index])?;
             let link = self.link(index, &backend.name, target)?;
-            let recorded = self.addresses.recorded_backend(number);
-            agents.iter().for_each(|agent| agent.translate(recorded, link));
+            let listed_address = self.addresses.catalogue_address(number);
+            agents.iter().for_each(|agent| agent.translate(listed_address, link));
             links.insert(backend.name.clone(), link);
         }
         Ok(links)
@@ -221,7 +222,7 @@
     fn replicas(&self, index: usize) -> std::io::Result<ReplicaAddresses> {
         let count = self.schedule.options.replicas;
         let replica = |number: usize| -> std::io::Result<String> {
-            // Only the replica itself uses its own address; the others reach it over links.
+            // The replica itself uses its listen address; the other members reach it over links.
             let own = self.addresses.replica(number);
             let address = if number == index { own } else { self.link(index, &format!("m{number}"), own)? };
             Ok(format!("{{ name = \"m{number}\", address = \"{address}\" }}"))
--- a/crates/fault_injection/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -1,4 +1,5 @@
-//! The forms that are kept in files and the verdicts on them stay as they were: schedules, histories, and what checkers find.
+//! Guards the stored files: generated and named schedules, the format of histories, and the violations that the checkers find in
+//! stored histories must not change.
 
 use fault_harness::digest::digest;
 use fault_injection::checkers::{Bounds, Ceiling, ResourceLimits, check, longest_contradiction, outcomes};
@@ -15,7 +16,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// Bounds as a site has them, and some that nearly all is beyond.
+/// The bounds of a site, and bounds so narrow that nearly everything violates them.
 fn bounds() -> [Bounds; 2] {
     let ceiling = |units_per_second, burst, largest_request| {
         let ceiling = Ceiling { units_per_second, burst, largest_request };
@@ -45,18 +46,19 @@
 }
 
 #[test]
-fn a_seed_gives_the_schedule_that_it_always_gave() {
-    let drawn: String = (0..24).map(|seed| Schedule::from_seed(seed, 10_000).to_toml() + "\n").collect();
-    assert_eq!(drawn, fixture("drawn.toml"));
+fn seeds_give_the_stored_schedules() {
+    let generated: String = (0..24).map(|seed| Schedule::from_seed(seed, 10_000).to_toml() + "\n").collect();
+    assert_eq!(generated, fixture("drawn.toml"));
     let digests = [2_000, 10_000, 60_000].map(|length_ms| {
-        let drawn: String = (0..3_000).map(|seed| Schedule::from_seed(seed, length_ms).to_toml()).collect();
-        format!("{length_ms} {:016x}\n", digest(&drawn))
+        let generated: String =
+            (0..3_000).map(|seed| Schedule::from_seed(seed, length_ms).to_toml()).collect();
+        format!("{length_ms} {:016x}\n", digest(&generated))
     });
     assert_eq!(digests.concat(), fixture("drawn.digests"));
 }
 
 #[test]
-fn named_schedules_are_those_that_they_always_were() {
+fn named_schedules_match_the_stored_ones() {
     let all: String = named_schedules().iter().map(|schedule| schedule.to_toml() + "\n").collect();
     assert_eq!(all, fixture("named.toml"));
 }
@@ -67,7 +69,7 @@
         let text = fixture(&format!("history-{i}.jsonl"));
         let history = read(&text).expect("a history");
         let mut written = Vec::new();
-        write(&history, &mut written).expect("it is written");
+        write(&history, &mut written).expect("the history is written");
         assert_eq!(String::from_utf8_lossy(&written), text, "history {i}");
     }
 }
@@ -81,7 +83,7 @@
 }
 
 #[test]
-fn checkers_come_to_the_verdicts_that_they_always_came_to() {
+fn checkers_report_the_stored_violations() {
     let mut verdicts = String::new();
     for i in 0..HISTORIES {
         let history = read(&fixture(&format!("history-{i}.jsonl"))).expect("a history");
