--- a/crates/fault_injection/src/site/convergence.rs
+++ b/crates/fault_injection/src/site/convergence.rs
@@ -44,21 +44,19 @@
         }
     }
 
-    /// Describes what the telemetry of a gatekeeper of the platform lacks; `None` if it knows all backends, and all are available.
+    /// Describes what the telemetry of a gatekeeper of the platform lacks; `None` if all backends are known and available.
     fn missing_in_telemetry(&self, index: usize) -> Option<String> {
         let text = self.admin_call(index, "telemetry").unwrap_or_default();
         let gauge =
             |name: &str| text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse::<usize>().ok());
         match (gauge("balancer_members "), gauge("balancer_members_unavailable ")) {
             (Some(total), Some(0)) if total == self.backends.len() => None,
-            (Some(total), Some(unavailable)) => {
-                Some(format!("{total} backends, {unavailable} of them unavailable"))
-            }
+            (Some(total), Some(unavailable)) => Some(format!("{total} backends, {unavailable} unavailable")),
             _ => Some("its admin address does not answer".into()),
         }
     }
 
-    /// Describes what an appliance's status page lacks; `None` if it shows all members, all backends and the lease store as healthy.
+    /// Describes what an appliance's status page lacks; `None` if all members, all backends and the lease store are healthy.
     fn missing_in_status(&self, status: &str) -> Option<String> {
         if status.is_empty() {
             return Some("its status page does not answer".into());
--- a/crates/fault_injection/src/site/faults/configuration.rs
+++ b/crates/fault_injection/src/site/faults/configuration.rs
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// Rotates the gossip key in all members without an interruption of gossip. The target signs with the new key first, the other
-    /// members at the fault's end.
+    /// Rotates the gossip key in all members without an interruption of gossip. The target signs with the new key first, the
+    /// others at the fault's end.
     pub(super) fn rotate_gossip_key(&self, fault: &ActiveFault<'_>, target: &str) -> Result<bool, Error> {
         let first_members = self.selected_members(target);
         self.record_fault(fault, &FaultScope::default(), || {
--- a/crates/fault_shim/src/descriptors.rs
+++ b/crates/fault_shim/src/descriptors.rs
@@ -1,8 +1,8 @@
-//! Kinds of the process's descriptors: outbound connections, and files that it writes.
+//! Records which file descriptors of the process are outbound connections or files opened for writing.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Descriptors from this on have no recorded kind.
+/// Number of descriptors whose kind is recorded; higher descriptors count as no kind.
 const MAX_DESCRIPTORS: usize = 65_536;
 
 /// The kind of a descriptor.
@@ -11,23 +11,23 @@
 pub(crate) enum Kind {
     /// Any other descriptor.
     Other = 0,
-    /// A connection that this process has made.
+    /// A connection that this process opened.
     Outbound = 1,
-    /// A file that is written.
+    /// A file that is open for writing.
     WrittenFile = 2,
 }
 
 static KINDS: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
-/// Records the kind of a descriptor.
+/// Records the kind of a descriptor. Invalid descriptors are ignored.
 pub(crate) fn set_kind(descriptor: i32, kind: Kind) {
-    if let Some(known) = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index)) {
-        known.store(kind as u8, Ordering::Relaxed);
+    if let Some(recorded_kind) = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index)) {
+        recorded_kind.store(kind as u8, Ordering::Relaxed);
     }
 }
 
 /// Whether a descriptor is of this kind.
 pub(crate) fn has_kind(descriptor: i32, kind: Kind) -> bool {
-    let known = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index));
-    known.is_some_and(|known| known.load(Ordering::Relaxed) == kind as u8)
+    let recorded_kind = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index));
+    recorded_kind.is_some_and(|recorded_kind| recorded_kind.load(Ordering::Relaxed) == kind as u8)
 }
--- a/crates/fault_shim_control/src/lib.rs
+++ b/crates/fault_shim_control/src/lib.rs
@@ -1,29 +1,30 @@
 //! The control block of the preloaded fault shim: a small file that the harness writes and that each process under test maps.
 //!
-//! It is an array of 64-bit numbers, one for each [`Setting`]. The harness may change it at any time; a process sees the change at
-//! its next call. This package holds no interposed function, so that a harness may link it.
+//! The file is an array of 64-bit numbers in native byte order, one for each [`Setting`]. The harness may change it at any time;
+//! a process applies the change from its next call on. This package contains no interposed functions, so that a harness can link
+//! it.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// The environment variable that names libraries to preload (ld.so(8)).
+/// The environment variable that lists the libraries to preload (`ld.so(8)`).
 pub const PRELOAD_VARIABLE: &str = "LD_PRELOAD";
-/// The environment variable that names the file to a process.
+/// The environment variable with the path of the control block, which the shim reads.
 pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
-/// Bytes of the file.
+/// Size of the control block in bytes.
 pub const CONTROL_BYTES: usize = 4096;
-/// Rates are out of this many calls.
+/// Denominator of the failure rates: a call with this rate always fails.
 pub const RATE_SCALE: u64 = 10_000;
-/// The file name of the shared library, beside the programs or the tests that cargo has built.
+/// File name of the shared library as cargo builds it.
 const LIBRARY_NAME: &str = "libfault_shim.so";
 
-/// The settings of a control block. Rates are out of [`RATE_SCALE`] calls.
+/// The settings of a control block, all 0 at first. A rate is the number of failing calls among [`RATE_SCALE`] calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Setting {
-    /// Offset of the wall clock in microseconds, as a signed number.
+    /// Offset of the wall clock in microseconds, as an `i64`.
     ClockOffset = 0,
     /// Rate of temporary failures of `accept`.
     AcceptFailure,
@@ -33,7 +34,7 @@
     ConnectFailure,
     /// The only port to which `connect` fails; 0 for all ports.
     ConnectFailurePort,
-    /// Rate of waits, reads and writes that are interrupted by a signal.
+    /// Rate of waits, and of reads and writes on sockets, that fail with `EINTR`.
     Interruption,
     /// Rate of short reads and writes on sockets.
     ShortTransfer,
@@ -47,11 +48,11 @@
     FileSyncFailure,
     /// Rate of failed renames of files.
     FileRenameFailure,
-    /// Number of calls of `socket` that fail at the start of a process.
+    /// Number of calls of `socket` for IPv4 that fail at the start of a process.
     FirstSocketFailures,
 }
 
-/// The control block of one process, or of several that share it.
+/// The file of a control block, which one or several processes map.
 #[derive(Debug)]
 pub struct Control {
     path: PathBuf,
@@ -59,7 +60,7 @@
 }
 
 impl Control {
-    /// Creates the file, with no fault set.
+    /// Creates the file with all settings 0, so that no fault is injected.
     ///
     /// # Errors
     ///
@@ -75,7 +76,7 @@
         &self.path
     }
 
-    /// The environment of a process that preloads the shim and reads this control block.
+    /// The environment variables that make a process preload the shim from this path and map this control block.
     pub fn environment(&self, library: &Path) -> [(&'static str, String); 2] {
         [
             (PRELOAD_VARIABLE, library.display().to_string()),
@@ -83,7 +84,7 @@
         ]
     }
 
-    /// Changes a setting.
+    /// Changes a setting, also for running processes.
     ///
     /// # Errors
     ///
@@ -102,7 +103,7 @@
         self.set(Setting::ClockOffset, offset_us as u64)
     }
 
-    /// Resets all settings but the offset of the wall clock.
+    /// Resets all settings except the offset of the wall clock to 0.
     ///
     /// # Errors
     ///
@@ -113,7 +114,8 @@
     }
 }
 
-/// The shared library, beside the program that calls this, or in the directory above where cargo puts what tests depend on.
+/// Path of the shared library, which cargo puts in the directory of the calling program or, for tests, in its parent directory.
+/// `None` if the library has not been built.
 pub fn library_path() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
     let directories =
--- a/crates/fuzz_inputs/src/lib.rs
+++ b/crates/fuzz_inputs/src/lib.rs
@@ -1,4 +1,5 @@
-//! Deterministic fuzz inputs for the tests of parsers: random splits of valid messages, and malformed messages, from a fixed seed.
+//! Deterministic fuzz inputs for the tests of parsers, generated from a fixed seed: random splits of valid messages, and
+//! malformed messages.
 //!
 //! A parser under test is a closure. It receives an input in pieces, in order, and returns everything that it parsed.
 
@@ -11,18 +12,18 @@
 
 /// Number of random inputs of each kind.
 const CASES: u32 = 256;
-/// A fixed seed: each run tests the same inputs, so a failure is reproducible.
+/// The seed is fixed, so that each run tests the same inputs and a failure is reproducible.
 const SEED: [u8; 32] = [42; 32];
-/// Number of positions at which a message is split.
+/// Range of the number of positions at which a message is split.
 const SPLITS: Range<usize> = 0..8;
-/// Length of a random input in bytes.
+/// Range of the length of a random input in bytes.
 const GARBAGE_BYTES: Range<usize> = 0..256;
-/// Number of bytes that are replaced in a valid message.
+/// Range of the number of bytes that are replaced in a valid message.
 const REPLACED_BYTES: Range<usize> = 1..6;
-/// A message with replaced bytes is split at the replaced positions divided by this.
+/// A message with replaced bytes is split at the drawn positions of the replacements, divided by this.
 const SPLIT_DIVISOR: usize = 7;
 
-/// Runs a test on [`CASES`] inputs of a strategy.
+/// Runs a test on [`CASES`] inputs that a strategy generates. Panics if the test fails.
 fn for_each_input<S: Strategy>(inputs: &S, test: impl Fn(S::Value)) {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
@@ -35,17 +36,17 @@
 
 /// Splits bytes at these positions, each taken modulo their length plus one.
 fn split<'a>(bytes: &'a [u8], positions: &[usize]) -> Vec<&'a [u8]> {
-    let within = positions.iter().map(|position| position % (bytes.len() + 1));
-    let mut bounds: Vec<usize> = within.chain([0, bytes.len()]).collect();
+    let offsets = positions.iter().map(|position| position % (bytes.len() + 1));
+    let mut bounds: Vec<usize> = offsets.chain([0, bytes.len()]).collect();
     bounds.sort_unstable();
     bounds.windows(2).map(|bound| &bytes[bound[0]..bound[1]]).collect()
 }
 
-/// Asserts that the parser returns the same for these bytes, however they are split.
+/// Asserts that the parser returns the same result for these bytes, regardless of how they are split.
 ///
 /// # Panics
 ///
-/// Panics where a split changes the result.
+/// Panics if a split changes the result.
 pub fn parses_alike_however_split<R: PartialEq + Debug>(bytes: &[u8], parse: impl Fn(&[&[u8]]) -> R) {
     let unsplit = parse(&[bytes]);
     for_each_input(&vec(any::<usize>(), SPLITS), |positions| {
@@ -55,11 +56,11 @@
     assert_eq!(parse(&single_bytes), unsplit, "byte by byte");
 }
 
-/// Asserts that the parser returns without a panic for random bytes, and for a valid input with some bytes replaced.
+/// Asserts that the parser does not panic on random bytes, or on a valid input with some bytes replaced.
 ///
 /// # Panics
 ///
-/// Panics where the parser does.
+/// Panics if the parser panics, or if `valid` is empty.
 pub fn survives_garbage(valid: &[u8], parse: impl Fn(&[&[u8]])) {
     for_each_input(&vec(any::<u8>(), GARBAGE_BYTES), |garbage| parse(&[&garbage]));
     for_each_input(&vec((any::<usize>(), any::<u8>()), REPLACED_BYTES), |replacements| {
--- a/crates/fuzz_inputs/tests/inputs.rs
+++ b/crates/fuzz_inputs/tests/inputs.rs
@@ -1,4 +1,5 @@
-//! The inputs are the same in each run and version, so that failures are reproducible; and faulty parsers are found.
+//! Checks that the inputs are the same in each run and version, so that failures are reproducible, and that faulty parsers are
+//! found.
 
 use fuzz_inputs::{parses_alike_however_split, survives_garbage};
 use std::cell::RefCell;
@@ -7,13 +8,13 @@
 const BYTES: &[u8] = b"a first line\r\nand a second, longer one\r\n";
 
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Ends each piece in the hash.
+/// Byte that is hashed after each piece, so that different splits have different digests.
 const PIECE_END: u8 = 0xff;
 
 /// A digest of all inputs of a test.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Digest {
-    /// 64-bit FNV-1a over all pieces, from 0.
+    /// 64-bit FNV-1a hash of all pieces, with 0 as the initial value.
     hash: u64,
     inputs: usize,
 }
