--- a/crates/fault_injection/src/checkers/tests.rs
+++ b/crates/fault_injection/src/checkers/tests.rs
@@ -102,9 +102,8 @@
 fn each_checker_finds_the_violations_of_its_rule() {
     let converged = (20_000, Observation::Converged { after_ms: Some(1), divergence: String::new() });
     let ran = |by: &str| Observation::JobRan { job: "d".into(), run: 7, instance: by.into() };
-    let beyond_ceiling: Vec<(u64, Observation)> = (0..60)
-        .flat_map(|request_id| [(request_id, sent(request_id, "m0")), (request_id, arrived(request_id))])
-        .collect();
+    let beyond_ceiling: Vec<(u64, Observation)> =
+        (0..60).flat_map(|id| [(id, sent(id, "m0")), (id, arrived(id))]).collect();
     let cases: Vec<(&str, Vec<(u64, Observation)>)> = vec![
         ("one final answer in time", vec![(1, sent(1, "m0")), (9, ended(1, Outcome::Unanswered))]),
         ("one final answer in time", vec![(1, sent(1, "m0")), (1_900, ended(1, Outcome::Served))]),
@@ -154,15 +153,13 @@
         ),
     ];
     for (rule, list) in cases {
-        let request_ends: Vec<(u64, Observation)> = match rule {
+        let ends: Vec<(u64, Observation)> = match rule {
             // The requests end in time, so that no other rule is violated.
-            "hard ceiling" => (0..60).map(|request_id| (100, ended(request_id, Outcome::Served))).collect(),
+            "hard ceiling" => (0..60).map(|id| (100, ended(id, Outcome::Served))).collect(),
             _ => Vec::new(),
         };
-        let found = check(
-            &history(&[&list[..], &request_ends, std::slice::from_ref(&converged)].concat()),
-            &bounds(),
-        );
+        let found =
+            check(&history(&[&list[..], &ends, std::slice::from_ref(&converged)].concat()), &bounds());
         assert!(!found.is_empty() && found.iter().all(|v| v.rule == rule), "{rule}: {found:?}");
     }
 }
--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -9,48 +9,48 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "what")]
 pub enum Observation {
-    /// A client wrote a complete request.
+    /// A client sends a request; recorded just before the request is written.
     #[serde(rename = "asked")]
     RequestSent {
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "op")]
         request_id: u64,
-        /// The tenant whose quota the request uses.
+        /// Name of the tenant whose quota the request uses.
         #[serde(rename = "lender")]
         tenant: String,
         /// Units that the request costs.
         units: f64,
-        /// The gatekeeper that it was sent to.
+        /// Name of the gatekeeper that it was sent to.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
     /// A request ended: its client received an answer or gave up.
     #[serde(rename = "ended")]
     RequestEnded {
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "op")]
         request_id: u64,
-        /// How it ended.
+        /// Outcome of the request for its client.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
     /// A backend received a complete attempt.
     #[serde(rename = "arrived")]
     AttemptArrived {
-        /// The request that the attempt belongs to.
+        /// Id of the request that the attempt belongs to.
         #[serde(rename = "op")]
         request_id: u64,
-        /// The backend.
+        /// Name of the backend.
         #[serde(rename = "server")]
         backend: String,
-        /// The gatekeeper that sent it.
+        /// Name of the gatekeeper that sent it.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
     /// The quota counter applied a call.
     #[serde(rename = "counted")]
     CounterAdded {
-        /// The name of the counter.
+        /// Name of the counter.
         #[serde(rename = "name")]
         counter: String,
         /// The amount added.
@@ -58,20 +58,20 @@
         amount: f64,
         /// The total after the addition.
         total: f64,
-        /// The gatekeeper that called.
+        /// Name of the gatekeeper that called.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
     /// The target of a periodic job was called.
     #[serde(rename = "ran")]
     JobRan {
-        /// The job.
+        /// Name of the job.
         #[serde(rename = "duty")]
         job: String,
         /// The number of the run, which serves as its fencing token.
         #[serde(rename = "round")]
         run: u64,
-        /// The instance that called.
+        /// Name of the instance that called the target.
         #[serde(rename = "by")]
         instance: String,
     },
@@ -115,10 +115,10 @@
     /// Discovery notified a gatekeeper of a backend's state over a healthy link.
     #[serde(rename = "told")]
     EndpointNotified {
-        /// The gatekeeper.
+        /// Name of the gatekeeper.
         #[serde(rename = "who")]
         gatekeeper: String,
-        /// The backend.
+        /// Name of the backend.
         #[serde(rename = "server")]
         backend: String,
         /// Whether the backend accepts new requests.
@@ -128,7 +128,7 @@
     /// An operator's command that proposes a version of the configuration has finished.
     #[serde(rename = "proposed")]
     VersionProposed {
-        /// The gatekeeper from whose folder it was proposed.
+        /// Name of the gatekeeper whose settings the command used.
         #[serde(rename = "who")]
         gatekeeper: String,
         /// Exit code of the command: 0 if the version is in force, -1 if a signal terminated the command.
@@ -141,10 +141,10 @@
     /// A log line of a process.
     #[serde(rename = "line")]
     LogLine {
-        /// The process.
+        /// Name of the process.
         #[serde(rename = "who")]
         process: String,
-        /// The message.
+        /// Message of the log event.
         text: String,
         /// The fields of the log event; empty for a plain line.
         #[serde(default, skip_serializing_if = "Map::is_empty")]
@@ -153,18 +153,18 @@
     /// The resources that a process uses.
     #[serde(rename = "holds")]
     ResourceUse {
-        /// The process.
+        /// Name of the process.
         #[serde(rename = "who")]
         process: String,
-        /// Resident memory, kB.
+        /// Resident memory in kB.
         #[serde(rename = "kb")]
         memory_kb: u64,
-        /// Open descriptors.
+        /// Number of open file descriptors.
         #[serde(rename = "files")]
         descriptors: u64,
-        /// Threads.
+        /// Number of threads.
         threads: u64,
-        /// Processor time since its start, ms.
+        /// Processor time since the start of the process, in ms.
         cpu_ms: u64,
     },
     /// Totals since the start of the site of what stand-ins and links have handled.
--- a/crates/fault_injection/src/schedule/fault.rs
+++ b/crates/fault_injection/src/schedule/fault.rs
@@ -75,9 +75,9 @@
 pub enum FaultKind {
     /// Nothing passes from one side to the other, and nothing back unless the cut is `one_way`.
     Cut {
-        /// One side.
+        /// Selector of the nodes on one side.
         from: String,
-        /// The other.
+        /// Selector of the nodes on the other side.
         to: String,
         /// Whether only the direction from `from` to `to` is cut.
         #[serde(default)]
@@ -85,17 +85,17 @@
     },
     /// Connections between the two sides are reset, open ones as well as new ones.
     Closed {
-        /// One side.
+        /// Selector of the nodes on one side.
         from: String,
-        /// The other.
+        /// Selector of the nodes on the other side.
         to: String,
     },
     /// Traffic between the two sides is damaged or delayed in both directions.
     #[serde(rename = "spoilt")]
     Degraded {
-        /// One side.
+        /// Selector of the nodes on one side.
         from: String,
-        /// The other.
+        /// Selector of the nodes on the other side.
         to: String,
         /// Share of the chunks of a stream within which the connection is reset.
         #[serde(default)]
@@ -121,44 +121,44 @@
     },
     /// A cut that alternates: active for a period, healed for a period.
     Flapping {
-        /// One side.
+        /// Selector of the nodes on one side.
         from: String,
-        /// The other.
+        /// Selector of the nodes on the other side.
         to: String,
-        /// Length of each period, ms.
+        /// Length of each period in ms.
         period_ms: u64,
     },
     /// Gatekeepers are killed, and restarted at the fault's end.
     Killed {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
     /// Gatekeepers shut down gracefully, and are restarted at the fault's end.
     #[serde(rename = "ended")]
     ShutDown {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
     /// Gatekeepers are suspended, and resumed at the fault's end.
     #[serde(rename = "stopped")]
     Suspended {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
     /// Gatekeepers are suspended nine tenths of the time.
     #[serde(rename = "slowed")]
     Throttled {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
     },
     /// Gatekeepers are restarted with an offset of the wall clock, and without it at the fault's end.
     #[serde(rename = "clock")]
     ClockOffset {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
         /// Offset in ms; positive if the clock is ahead.
@@ -172,14 +172,14 @@
     /// new key; at the fault's end the others sign with it too, and the old key is removed.
     #[serde(rename = "keys")]
     KeyRotation {
-        /// Gatekeepers.
+        /// Selector of the gatekeepers that sign with the new key first.
         #[serde(rename = "who")]
         target: String,
     },
-    /// An operator proposes a new rate for the plan `basic`, with the settings of this gatekeeper.
+    /// An operator proposes a new rate for the plan `basic`, with the settings of a gatekeeper.
     #[serde(rename = "propose")]
     VersionProposed {
-        /// A gatekeeper.
+        /// Selector of the gatekeepers that propose the rate.
         #[serde(rename = "who")]
         target: String,
         /// Proposed rate in units per second.
@@ -189,7 +189,7 @@
     /// A reload replaces the periodic jobs of gatekeepers by others, given by number; the fault's end restores the usual jobs.
     #[serde(rename = "duties")]
     JobsChanged {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
         /// Number of the first job.
@@ -202,46 +202,46 @@
     /// Gatekeepers are restarted under the name of another running member, and under their own at the fault's end.
     #[serde(rename = "renamed")]
     NameConflict {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// The other member's name.
+        /// Name of the other member.
         name: String,
     },
-    /// The Consul agents of these gatekeepers fail.
+    /// The Consul agents of the selected gatekeepers fail.
     Consul {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
-        /// How they fail.
+        /// Failure mode of all selected stand-ins.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
     /// The quota counter fails.
     Counter {
-        /// How it fails.
+        /// Failure mode of the counter.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
-    /// These backends fail.
+    /// The selected backends fail.
     #[serde(rename = "loans")]
     Backends {
-        /// Backends.
+        /// Selector of the affected backends.
         #[serde(rename = "who")]
         target: String,
-        /// How they fail.
+        /// Failure mode of all selected stand-ins.
         #[serde(rename = "how")]
         mode: FailureMode,
     },
-    /// The catalogue and discovery list these backends as not accepting requests, and as healthy again at the fault's end.
+    /// The catalogue and discovery list the selected backends as not accepting requests, and as healthy again at the fault's end.
     Drained {
-        /// Backends.
+        /// Selector of the affected backends.
         #[serde(rename = "who")]
         target: String,
     },
     /// The file of the cached endpoint list is truncated, or cannot be written.
     Disk {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
         /// How the file or its folder is damaged.
@@ -250,7 +250,7 @@
     },
     /// Hot restart: a successor is started, and its predecessor gets SIGTERM at the fault's end.
     Upgrade {
-        /// Gatekeepers.
+        /// Selector of the affected gatekeepers.
         #[serde(rename = "who")]
         target: String,
         /// Microseconds from the successor's start until it is killed, while its predecessor continues to serve.
