--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -138,9 +138,9 @@
     directory.write("loans.json", LOANS);
     let file = directory.write("openapi.toml", &config_text(consul.address, unused_address(), options));
     let program = Program::start(&["serve", &file], &[]);
-    let listen = program.logged("serving OpenAPI on ").parse().expect("an address");
+    let listen = program.wait_for_log("serving OpenAPI on ").parse().expect("a valid socket address");
     let site = Site { program, listen, consul, queries, file, _directory: directory };
-    site.program.logged("endpoint list changed");
+    site.program.wait_for_log("endpoint list changed");
     site
 }
 
@@ -152,14 +152,14 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes()
 }
 
-fn echo_backend() -> (SocketAddr, Receiver<BackendEvent<Message>>) {
-    backend(message, |request| Behaviour::Reply(ok_response(&request.first)))
+fn start_echo_backend() -> (SocketAddr, Receiver<BackendEvent<Message>>) {
+    start_backend(read_message, |request| Behaviour::Reply(ok_response(&request.first_line)))
 }
 
 #[test]
 fn counted_units_match_the_description_exactly() {
-    let (at, seen) = echo_backend();
-    let (counter, added) = counter(0.5);
+    let (at, seen) = start_echo_backend();
+    let (counter, added) = start_counter(0.5);
     let quota = format!("gatekeepers = 2\ncounter = \"{counter}\"");
     // Refilled units of a full bucket are subtracted in the same count. With this plan they are negligible.
     let plan = "units_per_second = 0.0001\nburst = 1000.0";
@@ -174,15 +174,15 @@
         ("/v1/loans/7/schedule", 2.5, 4),
     ] {
         for _ in 0..times {
-            assert_eq!(client.ask(&get_request(path)).status(), 200, "{path}");
+            assert_eq!(client.request(&get_request(path)).status(), 200, "{path}");
             expected_units += units;
         }
     }
     let notice = "POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 2\r\n\r\nhi";
-    assert_eq!(client.ask(notice).status(), 200);
+    assert_eq!(client.request(notice).status(), 200);
     expected_units += 2.0;
     // A request that is not forwarded is not counted.
-    assert_eq!(client.ask(&get_request("/v1/nothing")).status(), 404);
+    assert_eq!(client.request(&get_request("/v1/nothing")).status(), 404);
     assert_eq!(all_requests(&seen).len(), 13);
     let (succeeded, status) = run(&["status", &site.file], &[]);
     assert!(succeeded, "{status}");
@@ -199,7 +199,7 @@
     }
     let mut counted_units = 0.0;
     while counted_units < expected_units {
-        counted_units += next(&added).1;
+        counted_units += receive(&added).1;
     }
     assert!(
         (counted_units - expected_units).abs() < 0.01,
@@ -211,20 +211,20 @@
 
 #[test]
 fn a_tenant_beyond_its_quota_gets_retry_after_and_others_are_served() {
-    let (at, seen) = echo_backend();
+    let (at, seen) = start_echo_backend();
     let plan = "units_per_second = 0.5\nburst = 4.0";
     let site = start_site("quota", &SiteOptions { backends: &[at], plan, ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     // A new tenant may use the units of the largest request: 3.
-    assert_eq!(client.ask(&get_request("/v1/loans/all")).status(), 200);
-    let rejection = client.ask(&get_request("/v1/loans/all"));
+    assert_eq!(client.request(&get_request("/v1/loans/all")).status(), 200);
+    let rejection = client.request(&get_request("/v1/loans/all"));
     assert_eq!(
         (rejection.status(), rejection.field("content-type")),
         (429, Some("application/problem+json"))
     );
     let wait: u64 = rejection.field("retry-after").expect("advice").parse().expect("seconds");
     assert!((1..=6).contains(&wait), "3 units refill in 6 s: {wait}");
-    assert_eq!(client.ask(&get_request("/v1/loans/all").replace("al-noor", "sohar")).status(), 200);
+    assert_eq!(client.request(&get_request("/v1/loans/all").replace("al-noor", "sohar")).status(), 200);
     assert_eq!(all_requests(&seen).len(), 2);
 }
 
@@ -232,19 +232,19 @@
 fn forwards_body_and_end_to_end_headers_unchanged_and_drops_hop_by_hop_ones() {
     let answer = "HTTP/1.1 203 Fine Enough\r\nX-One: a b\r\nSet-Cookie: x=1\r\nSet-Cookie: y=2\r\nKeep-Alive: timeout=5\r\n\
                   Connection: X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n";
-    let (at, seen) = backend(message, move |_| Behaviour::Reply(answer.as_bytes().to_vec()));
+    let (at, seen) = start_backend(read_message, move |_| Behaviour::Reply(answer.as_bytes().to_vec()));
     let site = start_site("unchanged", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
-    let got = client.ask(
+    let got = client.request(
         "POST /v1/loans/7?q=%20x&y HTTP/1.1\r\nHost: api.example.com\r\nX-Lender: al-noor\r\nX-Mixed-Case: Kept  As Is\r\n\
          TE: trailers\r\nConnection: close-not, X-Mine\r\nX-Mine: 1\r\nUpgrade: h2c\r\nTransfer-Encoding: chunked\r\n\r\n\
          4\r\n\0\x01\r\n\r\n0\r\n\r\n",
     );
-    assert_eq!((got.first.as_str(), got.text().as_str()), ("HTTP/1.1 203 Fine Enough", "abcde"));
+    assert_eq!((got.first_line.as_str(), got.text().as_str()), ("HTTP/1.1 203 Fine Enough", "abcde"));
     let names: Vec<&str> = got.fields.iter().map(|(n, _)| n.as_str()).collect();
     assert_eq!(names, ["x-one", "set-cookie", "set-cookie", "content-length"]);
     let sent = next_request(&seen);
-    assert_eq!(sent.first, "POST /v1/loans/7?q=%20x&y HTTP/1.1");
+    assert_eq!(sent.first_line, "POST /v1/loans/7?q=%20x&y HTTP/1.1");
     assert_eq!(sent.body, b"\0\x01\r\n");
     assert_eq!(sent.field("x-mixed-case"), Some("Kept  As Is"));
     assert_eq!(sent.field("host"), Some("api.example.com"));
@@ -255,9 +255,9 @@
 
 #[test]
 fn invalid_requests_get_their_status() {
-    let (at, seen) = echo_backend();
+    let (at, seen) = start_echo_backend();
     let site = start_site("statuses", &SiteOptions { backends: &[at], ..SiteOptions::default() });
-    let ask = |request: &str| Client::connect(site.listen).ask(request);
+    let ask = |request: &str| Client::connect(site.listen).request(request);
     let fields = "Host: a\r\nX-Lender: al-noor\r\n";
     for (request, status) in [
         (get_request("/v1/loans"), 404),
@@ -305,42 +305,43 @@
 
 #[test]
 fn backend_failures_get_their_statuses() {
-    let (broken, _seen) =
-        backend(message, |_| Behaviour::Reply(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()));
+    let (broken, _seen) = start_backend(read_message, |_| {
+        Behaviour::Reply(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec())
+    });
     let failing = start_site("failing", &SiteOptions { backends: &[broken], ..SiteOptions::default() });
-    assert_eq!(Client::connect(failing.listen).ask(&get_request("/v1/loans/7")).status(), 502);
+    assert_eq!(Client::connect(failing.listen).request(&get_request("/v1/loans/7")).status(), 502);
 
     let empty = start_site("empty", &SiteOptions::default());
-    assert_eq!(Client::connect(empty.listen).ask(&get_request("/v1/loans/7")).status(), 503);
+    assert_eq!(Client::connect(empty.listen).request(&get_request("/v1/loans/7")).status(), 503);
     let refusing =
         start_site("refusing", &SiteOptions { backends: &[unused_address()], ..SiteOptions::default() });
-    assert_eq!(Client::connect(refusing.listen).ask(&get_request("/v1/loans/7")).status(), 503);
+    assert_eq!(Client::connect(refusing.listen).request(&get_request("/v1/loans/7")).status(), 503);
 
-    let (silent, _seen) = backend(message, |_| Behaviour::NoReply);
+    let (silent, _seen) = start_backend(read_message, |_| Behaviour::NoReply);
     let late =
         start_site("late", &SiteOptions { backends: &[silent], deadline_ms: 400, ..SiteOptions::default() });
     let started_at = std::time::Instant::now();
-    assert_eq!(Client::connect(late.listen).ask(&get_request("/v1/loans/7")).status(), 504);
+    assert_eq!(Client::connect(late.listen).request(&get_request("/v1/loans/7")).status(), 504);
     // The policy's tests check the exact deadline. On a machine under load the response may arrive later.
     assert!(started_at.elapsed().as_millis() < 1500, "{:?}", started_at.elapsed());
 }
 
 #[test]
 fn only_idempotent_classes_are_retried() {
-    let (first, first_seen) = backend(message, |_| Behaviour::Close);
-    let (second, second_seen) = backend(message, |_| Behaviour::Close);
+    let (first, first_seen) = start_backend(read_message, |_| Behaviour::Close);
+    let (second, second_seen) = start_backend(read_message, |_| Behaviour::Close);
     let site = start_site("repeat", &SiteOptions { backends: &[first, second], ..SiteOptions::default() });
     let count = || all_requests(&first_seen).len() + all_requests(&second_seen).len();
     let notice = "POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(Client::connect(site.listen).ask(notice).status(), 502);
+    assert_eq!(Client::connect(site.listen).request(notice).status(), 502);
     assert_eq!(count(), 1, "it may have been executed");
-    assert_eq!(Client::connect(site.listen).ask(&get_request("/v1/loans/7")).status(), 502);
+    assert_eq!(Client::connect(site.listen).request(&get_request("/v1/loans/7")).status(), 502);
     assert_eq!(count(), 2, "once at each backend");
 }
 
 #[test]
 fn keeps_connections_alive_and_answers_pipelined_requests_in_order() {
-    let (at, _seen) = echo_backend();
+    let (at, _seen) = start_echo_backend();
     let site = start_site("keep", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(
@@ -350,20 +351,22 @@
             + &get_request("/v1/loans/3"))
             .as_bytes(),
     );
-    let statuses = [client.answer(), client.answer(), client.answer(), client.answer()];
+    let statuses =
+        [client.read_response(), client.read_response(), client.read_response(), client.read_response()];
     assert_eq!(statuses[0].text(), "GET /v1/loans/1 HTTP/1.1");
     assert_eq!(statuses[1].text(), "GET /v1/loans/2 HTTP/1.1");
     assert_eq!(statuses[2].status(), 404);
     assert_eq!(statuses[3].text(), "GET /v1/loans/3 HTTP/1.1");
-    let last = client.ask(&get_request("/v1/loans/4").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+    let last =
+        client.request(&get_request("/v1/loans/4").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     assert_eq!((last.status(), last.field("connection")), (200, Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 #[test]
 fn a_client_that_waits_for_100_continue_gets_it_and_head_has_no_body() {
-    let (at, seen) = backend(message, |request| {
-        let head = request.first.starts_with("HEAD");
+    let (at, seen) = start_backend(read_message, |request| {
+        let head = request.first_line.starts_with("HEAD");
         Behaviour::Reply(if head {
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_vec()
         } else {
@@ -373,38 +376,38 @@
     let site = start_site("continue", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(b"POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    assert_eq!(message_head(&mut client.reads).expect("an interim answer").status(), 100);
-    assert_eq!(client.ask("hi").text(), "hello");
+    assert_eq!(read_message_head(&mut client.reader).expect("an interim answer").status(), 100);
+    assert_eq!(client.request("hi").text(), "hello");
     assert_eq!(next_request(&seen).body, b"hi");
     client.send(get_request("/v1/loans/7").replace("GET", "HEAD").as_bytes());
-    let head = message_head(&mut client.reads).expect("an answer");
+    let head = read_message_head(&mut client.reader).expect("an answer");
     assert_eq!((head.status(), head.field("content-length")), (200, Some("5")));
-    assert_eq!(client.ask(&get_request("/v1/loans/7")).text(), "hello");
+    assert_eq!(client.request(&get_request("/v1/loans/7")).text(), "hello");
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    let (at, seen) = backend(message, |_| Behaviour::NoReply);
+    let (at, seen) = start_backend(read_message, |_| Behaviour::NoReply);
     let site = start_site("leaves", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(get_request("/v1/loans/7").as_bytes());
     next_request(&seen);
     drop(client);
-    assert!(matches!(next(&seen), BackendEvent::RequestAbandoned));
+    assert!(matches!(receive(&seen), BackendEvent::RequestAbandoned));
 }
 
 /// Clients must not occupy sockets by sending a request byte by byte, or not at all.
 #[test]
 fn a_slow_request_gets_408_and_idle_connections_stay() {
-    let (at, _seen) = echo_backend();
+    let (at, _seen) = start_echo_backend();
     let site =
         start_site("slow", &SiteOptions { backends: &[at], patience_ms: 200, ..SiteOptions::default() });
     let mut idle = Client::connect(site.listen);
-    assert_eq!(idle.ask(&get_request("/v1/loans/7")).status(), 200);
+    assert_eq!(idle.request(&get_request("/v1/loans/7")).status(), 200);
     let mut slow = Client::connect(site.listen);
     slow.send(b"GET /v1/loans/7 HTTP/1.1\r\nHost:");
-    assert_eq!(slow.answer().status(), 408);
-    assert_eq!(idle.ask(&get_request("/v1/loans/7")).status(), 200);
+    assert_eq!(slow.read_response().status(), 408);
+    assert_eq!(idle.request(&get_request("/v1/loans/7")).status(), 200);
 }
 
 /// Clients that never close their connections must not keep out new ones, as a full table did once.
@@ -415,17 +418,17 @@
     clients.iter_mut().for_each(|client| client.send(get_request("/v1/nothing").as_bytes()));
     // There are more clients than the table has room for: later ones are answered once the first are idle for long enough.
     for client in &mut clients {
-        assert_eq!(client.answer().status(), 404);
+        assert_eq!(client.read_response().status(), 404);
     }
 }
 
 #[test]
 fn critical_and_deregistered_instances_drain_and_new_ones_serve() {
-    let (old, old_seen) = echo_backend();
-    let (new, new_seen) = echo_backend();
+    let (old, old_seen) = start_echo_backend();
+    let (new, new_seen) = start_echo_backend();
     let consul = "sudden_hold_ms = 300";
     let site = start_site("consul", &SiteOptions { backends: &[old], consul, ..SiteOptions::default() });
-    let ask = || Client::connect(site.listen).ask(&get_request("/v1/loans/7")).status();
+    let ask = || Client::connect(site.listen).request(&get_request("/v1/loans/7")).status();
     assert_eq!(ask(), 200);
     next_request(&old_seen);
     site.consul.update_instances(11, |instances| {
@@ -433,37 +436,37 @@
         instances.push(service("loans-new", new));
     });
     // The idle connection is closed after the change is known. The new backend appears with the change or shortly after.
-    assert!(matches!(next(&old_seen), BackendEvent::ConnectionClosed));
-    site.program.logged("endpoint list changed service=loan-server listed=2 eligible_count=1");
+    assert!(matches!(receive(&old_seen), BackendEvent::ConnectionClosed));
+    site.program.wait_for_log("endpoint list changed service=loan-server listed=2 eligible_count=1");
     assert_eq!(ask(), 200);
     next_request(&new_seen);
     site.consul.update_instances(12, |instances| drop(instances.remove(0)));
-    site.program.logged("endpoint list changed service=loan-server listed=1 eligible_count=1");
+    site.program.wait_for_log("endpoint list changed service=loan-server listed=1 eligible_count=1");
     assert_eq!(ask(), 200);
     assert!(all_requests(&old_seen).is_empty(), "the critical instance got no further request");
     site.consul.update_instances(13, Vec::clear);
-    site.program.logged("endpoint list changed service=loan-server listed=0 eligible_count=0");
+    site.program.wait_for_log("endpoint list changed service=loan-server listed=0 eligible_count=0");
     assert_eq!(ask(), 503);
 }
 
 #[test]
 fn an_outage_of_consul_keeps_the_last_list_and_a_lower_index_resets_the_watch() {
-    let (at, _seen) = echo_backend();
-    let (new, new_seen) = echo_backend();
+    let (at, _seen) = start_echo_backend();
+    let (new, new_seen) = start_echo_backend();
     let consul = "sudden_hold_ms = 300";
     let site = start_site("outage", &SiteOptions { backends: &[at], consul, ..SiteOptions::default() });
-    let ask = || Client::connect(site.listen).ask(&get_request("/v1/loans/7")).status();
+    let ask = || Client::connect(site.listen).request(&get_request("/v1/loans/7")).status();
     // The first query has no index, and the second one blocks on the returned index.
-    let first = [next(&site.queries), next(&site.queries)];
+    let first = [receive(&site.queries), receive(&site.queries)];
     let path = "GET /v1/health/service/loan-server";
     assert_eq!(first, [path.to_owned(), format!("{path}?index=10&wait=10000ms")]);
     site.consul.listener.fail(Fault::Status(500));
-    site.program.logged("previous list kept in force");
+    site.program.wait_for_log("previous list kept in force");
     assert_eq!(ask(), 200);
     // Consul is restored from a snapshot: the index has decreased, and the list has another instance.
     site.consul.update_instances(5, |instances| *instances = vec![service("loans-new", new)]);
     site.consul.listener.fail(Fault::None);
-    site.program.logged("endpoint list changed service=loan-server listed=1 eligible_count=1");
+    site.program.wait_for_log("endpoint list changed service=loan-server listed=1 eligible_count=1");
     while all_requests(&new_seen).is_empty() {
         assert_eq!(ask(), 200);
     }
@@ -471,24 +474,24 @@
 
 #[test]
 fn a_query_without_index_follows_an_index_that_decreased() {
-    let (at, _seen) = echo_backend();
+    let (at, _seen) = start_echo_backend();
     let site = start_site("backwards", &SiteOptions { backends: &[at], ..SiteOptions::default() });
-    (0..2).for_each(|_| drop(next(&site.queries)));
+    (0..2).for_each(|_| drop(receive(&site.queries)));
     site.consul.update_instances(3, |_| {});
     // One query without an index, then one that waits on the new index.
-    let targets = [next(&site.queries), next(&site.queries)];
+    let targets = [receive(&site.queries), receive(&site.queries)];
     assert!(!targets[0].contains("index=") && targets[1].contains("index=3&"), "{targets:?}");
 }
 
 /// SIGHUP reloads the platform's front. Here it must be ignored.
 #[test]
 fn sighup_does_not_end_the_program() {
-    let (at, _seen) = echo_backend();
+    let (at, _seen) = start_echo_backend();
     let mut site = start_site("hangup", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     site.program.signal("-HUP");
-    site.program.logged("reload ignored, changes need a restart");
-    assert_eq!(client.ask(&get_request("/v1/loans/7")).status(), 200);
+    site.program.wait_for_log("reload ignored, changes need a restart");
+    assert_eq!(client.request(&get_request("/v1/loans/7")).status(), 200);
     site.program.terminate();
     assert_eq!(site.program.wait(), Some(0));
 }
@@ -555,9 +558,9 @@
 #[test]
 fn a_response_without_a_length_that_is_reset_counts_as_failed() {
     for (reset, is_complete) in [(false, true), (true, false)] {
-        let backend = listen(move |stream| {
-            let mut requests = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-            if message(&mut requests).is_some() {
+        let backend = start_listener(move |stream| {
+            let mut requests = std::io::BufReader::new(stream.try_clone().expect("the socket can be cloned"));
+            if read_message(&mut requests).is_some() {
                 let _ = std::io::Write::write_all(
                     &mut &stream,
                     b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf",
@@ -569,7 +572,7 @@
             }
         });
         let site = start_site("no-length", &SiteOptions { backends: &[backend], ..SiteOptions::default() });
-        let got = Client::connect(site.listen).ask(&get_request("/v1/loans/7"));
+        let got = Client::connect(site.listen).request(&get_request("/v1/loans/7"));
         assert_eq!((got.status(), got.text() == "half"), (if is_complete { 200 } else { 502 }, is_complete));
     }
 }
@@ -577,12 +580,12 @@
 /// No attempt starts for requests of clients that have disconnected, including pipelined ones.
 #[test]
 fn a_request_of_a_disconnected_client_is_not_started() {
-    let (at, seen) = echo_backend();
+    let (at, seen) = start_echo_backend();
     let site = start_site("gone", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut connected = Client::connect(site.listen);
-    assert_eq!(connected.ask(&get_request("/v1/loans/1")).status(), 200);
+    assert_eq!(connected.request(&get_request("/v1/loans/1")).status(), 200);
     let mut disconnecting = Client::connect(site.listen);
-    assert_eq!(disconnecting.ask(&get_request("/v1/loans/2")).status(), 200);
+    assert_eq!(disconnecting.request(&get_request("/v1/loans/2")).status(), 200);
     all_requests(&seen);
     site.program.suspend();
     disconnecting.send(&[get_request("/v1/loans/gone"), get_request("/v1/loans/gone")].concat().into_bytes());
@@ -591,7 +594,7 @@
     drop((disconnecting, new));
     site.program.signal("-CONT");
     for _ in 0..5 {
-        assert_eq!(connected.ask(&get_request("/v1/loans/3")).status(), 200);
+        assert_eq!(connected.request(&get_request("/v1/loans/3")).status(), 200);
     }
     let targets: Vec<String> =
         all_requests(&seen).iter().map(|request| request.target().to_owned()).collect();
@@ -603,23 +606,23 @@
 fn during_shutdown_no_request_after_the_last_response_is_accepted() {
     let (release, released) = std::sync::mpsc::channel();
     let released = std::sync::Mutex::new(Some(released));
-    let (at, seen) = backend(message, move |request| {
-        let released = released.lock().expect("no stand-in panics").take().expect("one request");
-        Behaviour::ReplyAfter(released, ok_response(&request.first))
+    let (at, seen) = start_backend(read_message, move |request| {
+        let released = released.lock().expect("the lock is not poisoned").take().expect("one request");
+        Behaviour::ReplyAfter(released, ok_response(&request.first_line))
     });
     let mut site = start_site("ends", &SiteOptions { backends: &[at], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(get_request("/v1/loans/1").as_bytes());
     next_request(&seen);
     let mut idle = Client::connect(site.listen);
-    assert_eq!(idle.ask(&get_request("/v1/nothing")).status(), 404);
+    assert_eq!(idle.request(&get_request("/v1/nothing")).status(), 404);
     site.program.terminate();
-    assert!(idle.ended(), "shutdown has started");
+    assert!(idle.is_closed(), "shutdown has started");
     client.send(&[get_request("/v1/loans/2").into_bytes(), vec![b'x'; 300_000]].concat());
-    release.send(()).expect("the stand-in waits");
-    assert_eq!(client.answer().status(), 200);
+    release.send(()).expect("the stand-in waits for the release");
+    assert_eq!(client.read_response().status(), 200);
     let mut rest = Vec::new();
-    std::io::Read::read_to_end(&mut client.reads, &mut rest).expect("an end and no reset");
+    std::io::Read::read_to_end(&mut client.reader, &mut rest).expect("an end and no reset");
     assert!(rest.is_empty());
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -31,23 +31,26 @@
     directory
 }
 
-fn ok_backend() -> (SocketAddr, Receiver<BackendEvent<Message>>) {
-    backend(message, |_| Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()))
+fn start_ok_backend() -> (SocketAddr, Receiver<BackendEvent<Message>>) {
+    start_backend(read_message, |_| {
+        Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
+    })
 }
 
 fn get(gatekeeper: SocketAddr, path: &str) -> Message {
-    Client::connect(gatekeeper).ask(&format!("GET {path} HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n"))
+    Client::connect(gatekeeper)
+        .request(&format!("GET {path} HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n"))
 }
 
 fn serving_address(program: &Program) -> SocketAddr {
-    program.logged("serving OpenAPI on ").parse().expect("an address")
+    program.wait_for_log("serving OpenAPI on ").parse().expect("a valid socket address")
 }
 
 /// Each service has its own endpoint list. A tenant has one quota for all services.
 #[test]
 fn routes_go_to_their_service_and_share_one_quota() {
-    let (loans, loans_seen) = ok_backend();
-    let (papers, papers_seen) = ok_backend();
+    let (loans, loans_seen) = start_ok_backend();
+    let (papers, papers_seen) = start_ok_backend();
     let consul = Consul::start();
     consul.set_service(11, "loan-server", vec![Service::new("l", loans)]);
     consul.set_service(11, "paper-server", vec![Service::new("p", papers)]);
@@ -57,8 +60,8 @@
     let path = directory.write("a.toml", &config_text(&address, "", "units_per_second = 9.0\nburst = 9.0"));
     let program = Program::start(&["serve", &path], &[]);
     let listen = serving_address(&program);
-    program.logged("eligible_count=1");
-    program.logged("eligible_count=1");
+    program.wait_for_log("eligible_count=1");
+    program.wait_for_log("eligible_count=1");
     assert_eq!(get(listen, "/loans").status(), 200);
     assert_eq!(get(listen, "/papers").status(), 200);
     assert_eq!((all_requests(&loans_seen).len(), all_requests(&papers_seen).len()), (1, 1));
@@ -71,7 +74,7 @@
         "paper-server",
         vec![Service::new("p", papers).with_status(CheckStatus::Critical)],
     );
-    program.logged("endpoint list changed service=paper-server listed=1 eligible_count=0");
+    program.wait_for_log("endpoint list changed service=paper-server listed=1 eligible_count=0");
     let deadline = Instant::now() + TIMEOUT;
     loop {
         // 503 without an eligible instance; 429 while the quota is used up, which is checked first.
@@ -100,8 +103,8 @@
 
 #[test]
 fn fails_over_to_another_agent_with_the_token() {
-    let (old, _old_seen) = ok_backend();
-    let (new, new_seen) = ok_backend();
+    let (old, _old_seen) = start_ok_backend();
+    let (new, new_seen) = start_ok_backend();
     let consul = Consul::start();
     consul.update(|state| (state.token, state.compresses) = (Some("secret-1".into()), true));
     consul.set_service(11, "loan-server", vec![Service::new("l", old)]);
@@ -118,25 +121,25 @@
         &[],
     );
     let listen = serving_address(&program);
-    program.logged("endpoint list changed service=loan-server listed=1 eligible_count=1");
+    program.wait_for_log("endpoint list changed service=loan-server listed=1 eligible_count=1");
     first.fail(Fault::Closed);
-    program.logged(&format!("agent selected service=loan-server agent={}", second.address));
+    program.wait_for_log(&format!("agent selected service=loan-server agent={}", second.address));
     consul.set_service(12, "loan-server", vec![Service::new("l2", new)]);
-    program.logged("endpoint eligible service=loan-server backend=a/l2");
+    program.wait_for_log("endpoint eligible service=loan-server backend=a/l2");
     while all_requests(&new_seen).is_empty() {
         assert_eq!(get(listen, "/loans").status(), 200);
     }
     // The token changes in Consul and in the file, without a restart.
     consul.update(|state| state.token = Some("secret-2".into()));
-    assert!(program.logged("agent unreachable, previous list kept in force").contains("status 403"));
+    assert!(program.wait_for_log("agent unreachable, previous list kept in force").contains("status 403"));
     directory.write("token", "secret-2\n");
-    program.logged("agent recovered");
+    program.wait_for_log("agent recovered");
     // A response without a leader is not used.
     consul.update(|state| state.leaderless = true);
     consul.set_service(13, "loan-server", Vec::new());
     assert!(
         program
-            .logged("watch failed, previous list kept in force")
+            .wait_for_log("watch failed, previous list kept in force")
             .contains("error=\"the servers have no leader")
     );
     assert_eq!(get(listen, "/loans").status(), 200);
@@ -144,7 +147,7 @@
 
 #[test]
 fn a_restart_during_an_outage_serves_from_the_cached_list_and_rejects_an_altered_one() {
-    let (at, _seen) = ok_backend();
+    let (at, _seen) = start_ok_backend();
     let consul = Consul::start();
     consul.set_service(11, "loan-server", vec![Service::new("l", at)]);
     consul.set_service(11, "paper-server", vec![Service::new("p", at)]);
@@ -153,8 +156,8 @@
     let path = directory.write("a.toml", &config_text(&consul_settings, "", UNLIMITED_PLAN));
     let list = directory.path().join("list");
     let mut program = Program::start(&["serve", &path], &[]);
-    program.logged("eligible_count=1");
-    program.logged("eligible_count=1");
+    program.wait_for_log("eligible_count=1");
+    program.wait_for_log("eligible_count=1");
     let deadline = Instant::now() + TIMEOUT;
     while !std::fs::read_to_string(&list).is_ok_and(|text| text.contains("a/l") && text.contains("a/p")) {
         assert!(Instant::now() < deadline, "the cache file is not written");
@@ -164,8 +167,9 @@
     assert_eq!(program.wait(), Some(0));
     listener.fail(Fault::Silent);
     let mut program = Program::start(&["serve", &path], &[]);
-    program
-        .logged("cached endpoint list in use until Consul answers service=loan-server count=1 age_seconds=");
+    program.wait_for_log(
+        "cached endpoint list in use until Consul answers service=loan-server count=1 age_seconds=",
+    );
     let listen = serving_address(&program);
     assert_eq!(get(listen, "/loans").status(), 200);
     assert_eq!(get(listen, "/papers").status(), 200);
@@ -174,11 +178,11 @@
     let text = std::fs::read_to_string(&list).expect("the cache file");
     std::fs::write(&list, text.replace("a/l", "a/m")).expect("the cache file is altered");
     let program = Program::start(&["serve", &path], &[]);
-    assert!(program.logged("endpoint cache not usable").contains("it was cut short or altered"));
+    assert!(program.wait_for_log("endpoint cache not usable").contains("it was cut short or altered"));
     let listen = serving_address(&program);
     assert_eq!(get(listen, "/loans").status(), 503);
     listener.fail(Fault::None);
-    program.logged("endpoint list changed service=loan-server listed=1 eligible_count=1");
+    program.wait_for_log("endpoint list changed service=loan-server listed=1 eligible_count=1");
     assert_eq!(get(listen, "/loans").status(), 200);
 }
 
@@ -187,7 +191,7 @@
     // Each request takes two milliseconds, which is long compared with scheduling delays. Without that, the same weights gave
     // one fifth or one ninth of the traffic.
     let slow_backend = || {
-        backend(message, |_| {
+        start_backend(read_message, |_| {
             std::thread::sleep(Duration::from_millis(2));
             Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
         })
@@ -209,10 +213,10 @@
         &[],
     );
     let listen = serving_address(&program);
-    program.logged("endpoint list changed service=loan-server listed=3 eligible_count=3");
+    program.wait_for_log("endpoint list changed service=loan-server listed=3 eligible_count=3");
     let mut client = Client::connect(listen);
     for _ in 0..600 {
-        let answer = client.ask("GET /loans HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n");
+        let answer = client.request("GET /loans HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n");
         assert_eq!(answer.status(), 200);
     }
     let counts = backends.map(|backend| all_requests(&backend.1).len() as f64);
@@ -232,7 +236,7 @@
         "[register]\nname = \"gatekeeper\"\nid = \"gk-1\"\naddress = \"127.0.0.1:9999\"\nttl_ms = 1000";
     let path = directory.write("a.toml", &config_text(&address, register, UNLIMITED_PLAN));
     let mut program = Program::start(&["serve", &path], &[]);
-    program.logged("service registered id=gk-1");
+    program.wait_for_log("service registered id=gk-1");
     let registration = || consul.update(|state| state.registrations.get("gk-1").cloned());
     let deadline = Instant::now() + TIMEOUT;
     while registration().is_none_or(|registration| registration.passed_checks < 3) {
@@ -242,10 +246,10 @@
     let registered = registration().expect("a registration");
     assert_eq!((registered.name.as_str(), registered.port), ("gatekeeper", 9999));
     consul.update(|state| state.registrations.clear());
-    program.logged("service registration lost, registering again id=gk-1");
-    program.logged("service registered id=gk-1");
+    program.wait_for_log("service registration lost, registering again id=gk-1");
+    program.wait_for_log("service registered id=gk-1");
     program.terminate();
-    program.logged("service deregistered id=gk-1");
+    program.wait_for_log("service deregistered id=gk-1");
     assert_eq!(program.wait(), Some(0));
     assert_eq!(registration(), None);
 }
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -75,7 +75,7 @@
     fn start() -> Self {
         let healthy = Arc::new(AtomicBool::new(true));
         let is_healthy = healthy.clone();
-        let (address, events) = backend(message, move |request| {
+        let (address, events) = start_backend(read_message, move |request| {
             if request.target() == "/health" && !is_healthy.load(Ordering::Relaxed) {
                 Behaviour::Reply(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_vec())
             } else {
@@ -113,7 +113,7 @@
 /// Requests a loan. Returns the status of the response.
 fn request_loan(address: SocketAddr) -> u16 {
     let request = "GET /loans HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\n\r\n";
-    Client::connect(address).ask(request).status()
+    Client::connect(address).request(request).status()
 }
 
 const HEALTH_CHECK_TABLE: &str =
@@ -128,8 +128,9 @@
     let directory = test_directory("probes");
     let path = directory.write("a.toml", &settings_file(consul.open().address, HEALTH_CHECK_TABLE));
     let program = Program::start(&["serve", &path], &[]);
-    let listen: SocketAddr = program.logged("serving OpenAPI on ").parse().expect("an address");
-    program.logged("eligible_count=3");
+    let listen: SocketAddr =
+        program.wait_for_log("serving OpenAPI on ").parse().expect("a valid socket address");
+    program.wait_for_log("eligible_count=3");
     // Several concurrent clients, so that all backends get requests.
     let stop = Arc::new(AtomicBool::new(false));
     let start_client = |_| {
@@ -143,8 +144,8 @@
     let clients: Vec<_> = (0..6).map(start_client).collect();
     servers.iter().for_each(LoanServer::wait_for_loan_request);
     servers[1].set_healthy(false);
-    program.logged("health check failing backend=a/loans-1 reason=\"status 503\"");
-    program.logged("ejected backends changed count=1 listed=3 backends=a/loans-1");
+    program.wait_for_log("health check failing backend=a/loans-1 reason=\"status 503\"");
+    program.wait_for_log("ejected backends changed count=1 listed=3 backends=a/loans-1");
     let ejected_at = Instant::now();
     while ejected_at.elapsed() < Duration::from_secs(1) {
         servers[0].wait_for_loan_request();
@@ -154,11 +155,11 @@
     assert_eq!(servers[1].take_loan_requests(), 0, "ejected");
     // A second backend fails. The limit is one of three, so it stays in use.
     servers[0].set_healthy(false);
-    program.logged("health check failing backend=a/loans-0");
+    program.wait_for_log("health check failing backend=a/loans-0");
     servers[0].take_loan_requests();
     servers[0].wait_for_loan_request();
     servers[1].set_healthy(true);
-    program.logged("health check recovered backend=a/loans-1");
+    program.wait_for_log("health check recovered backend=a/loans-1");
     servers[1].wait_for_loan_request();
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("all requests succeeded"));
@@ -187,7 +188,7 @@
 #[test]
 fn each_run_starts_once_despite_a_killed_instance_a_pause_and_data_loss_of_the_store() {
     const PERIOD_MS: u64 = 300;
-    let (target, events) = backend(message, |_| ok_reply());
+    let (target, events) = start_backend(read_message, |_| ok_reply());
     let consul = Consul::start();
     let gossip_addresses = free_udp_addresses(3);
     let directory = test_directory("duties");
@@ -201,7 +202,7 @@
     };
     let mut programs: Vec<Program> = (0..3).map(start).collect();
     for program in &programs {
-        program.logged("members alive count=3 names=\"m0 m1 m2\"");
+        program.wait_for_log("members alive count=3 names=\"m0 m1 m2\"");
     }
     let mut all_starts = Starts::new();
     let mut wait_for_runs_of_each_job = |count: usize| {
@@ -232,17 +233,17 @@
     wait_for_runs_of_each_job(3);
     // The store becomes unresponsive and restarts without data.
     store_listeners.iter().for_each(|listener| listener.fail(Fault::Silent));
-    programs[0].logged("lease store unreachable, no job runs");
+    programs[0].wait_for_log("lease store unreachable, no job runs");
     consul.restart_empty();
     store_listeners.iter().for_each(|listener| listener.fail(Fault::None));
-    programs[0].logged("leases invalidated, reading them again");
+    programs[0].wait_for_log("leases invalidated, reading them again");
     wait_for_runs_of_each_job(4);
     // Responses to applied writes are lost.
     store_listeners.iter().for_each(|listener| listener.fail_writes(Fault::ResponseLost, 4));
     wait_for_runs_of_each_job(3);
     // One instance leaves, and the other takes over all jobs.
     programs[1].terminate();
-    programs[0].logged("members alive count=1 names=m1");
+    programs[0].wait_for_log("members alive count=1 names=m1");
     wait_for_runs_of_each_job(2);
     assert_eq!(programs[1].wait(), Some(0));
     let repeated: Vec<_> = all_starts.iter().filter(|(_, instances)| instances.len() > 1).collect();
@@ -266,21 +267,21 @@
     };
     let programs: Vec<Program> = (0..3).map(start).collect();
     for program in &programs {
-        program.logged("members alive count=3");
+        program.wait_for_log("members alive count=3");
     }
     servers[0].set_healthy(false);
     for program in &programs {
-        program.logged("ejected backends changed count=1 listed=3 backends=a/loans-0");
+        program.wait_for_log("ejected backends changed count=1 listed=3 backends=a/loans-0");
     }
     servers[0].set_healthy(true);
     for program in &programs {
-        program.logged("ejected backends changed count=0 listed=3");
+        program.wait_for_log("ejected backends changed count=0 listed=3");
     }
 }
 
 #[test]
 fn a_reload_applies_jobs_and_keys_and_an_invalid_file_changes_nothing() {
-    let (target, events) = backend(message, |_| ok_reply());
+    let (target, events) = start_backend(read_message, |_| ok_reply());
     let consul = Consul::start();
     let gossip_addresses = free_udp_addresses(2);
     let directory = test_directory("reload");
@@ -295,13 +296,13 @@
     assert_eq!(next_request(&events).field("snowfield-duty"), Some("old"));
     write_jobs(&["new", "new"]);
     program.signal("-HUP");
-    let error = program.logged("reload failed, previous configuration kept in force");
+    let error = program.wait_for_log("reload failed, previous configuration kept in force");
     assert!(error.contains("\\\"new\\\" comes twice"), "{error}");
     write_jobs(&["new"]);
     // A rotation in progress: this instance signs with the new key and accepts both.
     directory.write("cluster.key", &format!("{}\n{KEY}\n", "ab".repeat(32)));
     program.signal("-HUP");
-    program.logged("configuration reloaded, other changes need a restart jobs=1 keys=true");
+    program.wait_for_log("configuration reloaded, other changes need a restart jobs=1 keys=true");
     while next_request(&events).field("snowfield-duty") != Some("new") {}
     // Another instance with the old key alone rejects the datagrams of this one.
     directory.write("old.key", KEY);
@@ -309,7 +310,7 @@
         cluster_table("m1", gossip_addresses[1], &gossip_addresses).replace("cluster.key", "old.key");
     let file = settings_file(store, &cluster);
     let other = Program::start(&["serve", &directory.write("m1.toml", &file)], &[]);
-    other.logged("datagram dropped, message authentication failed");
+    other.wait_for_log("datagram dropped, message authentication failed");
     let (succeeded, status) = run(&["status", &write_jobs(&["new"])], &[]);
     assert!(!succeeded, "the status address changes only with a restart: {status}");
     program.terminate();
@@ -319,7 +320,7 @@
 #[test]
 fn the_status_shows_members_jobs_and_health() {
     let servers = [LoanServer::start()];
-    let (target, events) = backend(message, |_| ok_reply());
+    let (target, events) = start_backend(read_message, |_| ok_reply());
     let consul = Consul::start();
     consul.set_service(11, "loan-server", services(&servers));
     let directory = test_directory("status");
@@ -328,7 +329,7 @@
     let tables = cluster_table("m0", free_udp_addresses(1)[0], &[]) + &health_checks + &jobs;
     let path = directory.write("m0.toml", &settings_file(consul.open().address, &tables));
     let program = Program::start(&["serve", &path], &[]);
-    program.logged("serving OpenAPI on ");
+    program.wait_for_log("serving OpenAPI on ");
     next_request(&events);
     while next_request(&servers[0].events).target() != "/health" {}
     let deadline = Instant::now() + TIMEOUT;
@@ -400,7 +401,7 @@
 /// Guards installations with ACLs: calls to the lease store carry the token, and a changed token applies without a restart.
 #[test]
 fn lease_calls_use_the_current_token() {
-    let (target, events) = backend(message, |_| ok_reply());
+    let (target, events) = start_backend(read_message, |_| ok_reply());
     let (store, catalogue) = (Consul::start(), Consul::start());
     store.update(|state| state.token = Some("secret-1".into()));
     let directory = test_directory("claim-token");
@@ -411,8 +412,8 @@
     let tables = cluster + &job_tables(&["nightly".into()], target, 200);
     let path = directory.write("a.toml", &settings_file(catalogue.open().address, &tables));
     let program = Program::start(&["serve", &path], &[]);
-    program.logged("serving OpenAPI on ");
-    program.logged("403");
+    program.wait_for_log("serving OpenAPI on ");
+    program.wait_for_log("403");
     assert_eq!(all_requests(&events).len(), 0, "no lease, no run");
     directory.write("claims.token", "secret-1\n");
     next_request(&events);
--- a/crates/snowfield/tests/common/admin.rs
+++ b/crates/snowfield/tests/common/admin.rs
@@ -1,4 +1,4 @@
-//! A gatekeeper with an admin listener, as operators use it.
+//! Gatekeepers with an admin listener, its commands and metrics.
 
 use super::*;
 use std::io::{Read, Write};
@@ -11,40 +11,41 @@
 
 /// Sends bytes to an admin listener and returns the whole reply.
 pub fn send_bytes(admin: SocketAddr, bytes: &[u8]) -> String {
-    let mut client = TcpStream::connect(admin).expect("the admin listener accepts");
-    client.set_read_timeout(Some(TIMEOUT)).expect("a time-out can be set");
-    client.write_all(bytes).expect("the admin listener reads");
+    let mut client = TcpStream::connect(admin).expect("the admin listener accepts connections");
+    client.set_read_timeout(Some(TIMEOUT)).expect("the time-out can be set");
+    client.write_all(bytes).expect("the admin listener reads the bytes");
     let mut reply = String::new();
-    client.read_to_string(&mut reply).expect("a reply and an end");
+    client.read_to_string(&mut reply).expect("the admin listener replies and closes the connection");
     reply
 }
 
-/// The metric of this name in a reply to `telemetry`.
+/// The value of the metric with this name in a reply to `telemetry`.
 pub fn metric(text: &str, name: &str) -> u64 {
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    value.unwrap_or_else(|| panic!("{name} in {text}")).parse().expect("a number")
+    value.unwrap_or_else(|| panic!("no metric {name} in {text}")).parse().expect("the metric is a number")
 }
 
-/// The current metric of this name.
+/// The current value of the metric with this name.
 pub fn read_metric(admin: SocketAddr, name: &str) -> u64 {
     metric(&admin_command(admin, "telemetry"), name)
 }
 
-/// Starts a site with an admin listener, and returns its address as well.
-pub fn site_with_admin(test: &str, options: &SiteOptions<'_>) -> (Site, SocketAddr) {
+/// Starts a site with an admin listener, and also returns the address of that listener.
+pub fn start_site_with_admin(test: &str, options: &SiteOptions<'_>) -> (Site, SocketAddr) {
     let shared_directory = TestDirectory::new(&format!("{test}-tmp"));
     let shared_path = shared_directory.path().to_str().expect("a path in UTF-8");
     let variables = [("BALANCER_OPERATOR", "127.0.0.1:0"), ("TMPDIR", shared_path)];
-    let mut site = site_with_environment(test, options, &variables);
+    let mut site = start_site_with_environment(test, options, &variables);
     site.shared_directory = Some(shared_directory);
-    let admin = site.admin.expect("operators are answered");
+    let admin = site.admin.expect("the site has an admin listener");
     (site, admin)
 }
 
-/// Starts the successor of a site's process, and waits until it is ready.
+/// Starts the successor of a site's process, and waits until it is ready. Also returns the address of its admin listener.
 pub fn start_successor(site: &Site) -> (Program, SocketAddr) {
     let config_path = site.directory.path().join("config.json");
-    let shared_directory = site.shared_directory.as_ref().expect("a directory that both share");
+    let shared_directory =
+        site.shared_directory.as_ref().expect("predecessor and successor share a directory");
     let variables = [
         ("BALANCER_CONFIG", config_path.to_str().expect("a path in UTF-8")),
         ("BALANCER_OPERATOR", "127.0.0.1:0"),
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A running gatekeeper with its discovery agent.
+/// A running gatekeeper with a stand-in for its discovery agent.
 pub struct Site {
     pub program: Program,
     /// The address for clients.
@@ -20,12 +20,15 @@
 
 /// The parts of the configuration that differ between tests.
 pub struct SiteOptions<'a> {
+    /// The addresses in the configured endpoint list.
     pub backends: &'a [SocketAddr],
+    /// The address of the quota counter, if there is one.
     pub counter: Option<SocketAddr>,
+    /// Number of gatekeepers in the fleet.
     pub gatekeepers: u32,
     /// Limit on the attempts of a request.
     pub attempts: u32,
-    /// Limit on the program's descriptors.
+    /// Limit on the program's sockets, `limits.sockets` of the configuration.
     pub sockets: u32,
 }
 
@@ -45,12 +48,12 @@
     )
 }
 
-/// An endpoint list that replaces the one before.
+/// An endpoint list that replaces the previous one.
 pub fn full_list(version: u64, endpoints: &[String]) -> String {
     format!(r#"{{"rev":{version},"all":true,"targets":[{}]}}"#, endpoints.join(","))
 }
 
-/// Changes of an endpoint list.
+/// A message with changed entries of the endpoint list.
 pub fn list_delta(version: u64, endpoints: &[String]) -> String {
     format!(r#"{{"rev":{version},"all":false,"targets":[{}]}}"#, endpoints.join(","))
 }
@@ -62,7 +65,7 @@
 }
 
 /// The text of a configuration file.
-pub fn config(agent: SocketAddr, options: &SiteOptions<'_>) -> String {
+pub fn config_text(agent: SocketAddr, options: &SiteOptions<'_>) -> String {
     let counter = options.counter.map_or(String::new(), |address| format!(r#""counter":"{address}","#));
     let known = full_list(CONFIGURED_LIST_VERSION, &endpoints(options.backends));
     format!(
@@ -81,50 +84,54 @@
     )
 }
 
-/// Starts a site. `test` names its directory.
-pub fn site(test: &str, options: &SiteOptions<'_>) -> Site {
-    site_with_environment(test, options, &[])
+/// Starts a site and waits until it serves. `test` names its directory.
+pub fn start_site(test: &str, options: &SiteOptions<'_>) -> Site {
+    start_site_with_environment(test, options, &[])
 }
 
 /// Starts a site whose program has further environment variables.
-pub fn site_with_environment(test: &str, options: &SiteOptions<'_>, variables: &[(&str, &str)]) -> Site {
-    start(test, options, variables, |text| text)
+pub fn start_site_with_environment(
+    test: &str,
+    options: &SiteOptions<'_>,
+    variables: &[(&str, &str)],
+) -> Site {
+    start_site_with(test, options, variables, |text| text)
 }
 
 /// Starts a site whose configuration is changed by `change`.
-pub fn site_with_config(
+pub fn start_site_with_config(
     test: &str,
     options: &SiteOptions<'_>,
     change: impl FnOnce(String) -> String,
 ) -> Site {
-    start(test, options, &[], change)
+    start_site_with(test, options, &[], change)
 }
 
-fn start(
+fn start_site_with(
     test: &str,
     options: &SiteOptions<'_>,
     variables: &[(&str, &str)],
     change: impl FnOnce(String) -> String,
 ) -> Site {
-    let (agent, directory) = (agent(), TestDirectory::new(test));
-    let path = directory.write("config.json", &change(config(agent.address, options)));
+    let (agent, directory) = (start_agent(), TestDirectory::new(test));
+    let path = directory.write("config.json", &change(config_text(agent.address, options)));
     let variables = [&[("BALANCER_CONFIG", path.as_str())], variables].concat();
     let program = Program::start(&[], &variables);
     let has_admin = variables.iter().any(|(name, _)| *name == "BALANCER_OPERATOR");
     let admin = has_admin.then(|| admin_address(&program));
     let listen = listen_address(&program);
-    let (_, watch) = next(&agent.watches);
+    let (_, watch) = receive(&agent.watches);
     Site { program, listen, agent, watch, directory, admin, shared_directory: None }
 }
 
 /// Waits until a program serves, and returns its address for clients.
 pub fn listen_address(program: &Program) -> SocketAddr {
-    program.logged("serving on ").parse().expect("an address")
+    program.wait_for_log("serving on ").parse().expect("a valid socket address")
 }
 
 /// Waits until a program has an admin listener, and returns its address.
 pub fn admin_address(program: &Program) -> SocketAddr {
-    program.logged_field("admin listener open", "address").parse().expect("an address")
+    program.wait_for_log_field("admin listener open", "address").parse().expect("a valid socket address")
 }
 
 /// A request of the default tenant, which comes through one gatekeeper.
@@ -132,7 +139,7 @@
     query_through_gatekeepers(number, time_left_ms, units, 1)
 }
 
-/// A request of the default tenant, whose requests come through this many gatekeepers.
+/// A request of the default tenant, whose requests come through this number of gatekeepers.
 pub fn query_through_gatekeepers(number: u32, time_left_ms: u32, units: u32, gatekeepers: u32) -> Vec<u8> {
     let fields = format!("c=lookup,t=team,d={time_left_ms},units={units},spread={gatekeepers},first=0");
     resp_command(&["SVC.QUERY", "00000000b4d65521", &request_id(number), &fields])
@@ -144,9 +151,9 @@
     resp_command(&["SVC.QUERY", &request_id(number), &request_id(number), fields])
 }
 
-/// A backend that replies to each request with its id.
-pub fn echo_backend() -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>) {
-    backend(read_resp_command, |words| Behaviour::Reply(backend_reply(&words[2])))
+/// Starts a backend that replies to each request with its id.
+pub fn start_echo_backend() -> (SocketAddr, Receiver<BackendEvent<Vec<String>>>) {
+    start_backend(read_resp_command, |words| Behaviour::Reply(backend_reply(&words[2])))
 }
 
 /// The id of the request with this number.
--- a/crates/snowfield/tests/common/soak.rs
+++ b/crates/snowfield/tests/common/soak.rs
@@ -1,4 +1,4 @@
-//! The gatekeeper as the soak test's harness runs it.
+//! The gatekeeper as a program for the harness of the soak test.
 
 use platform_soak::gatekeeper::Program;
 use std::path::PathBuf;
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -12,7 +12,7 @@
 
 fn small_site(test: &str, backends: &[std::net::SocketAddr]) -> Site {
     let options = SiteOptions { backends, sockets: 640, ..SiteOptions::default() };
-    site_with_config(test, &options, |text| {
+    start_site_with_config(test, &options, |text| {
         text.replace(r#""memory_mb":192"#, r#""memory_mb":48"#).replace("read_like", "non_idempotent")
     })
 }
@@ -27,7 +27,7 @@
 fn request_and_measure(site: &Site, number: u32) -> (String, u64) {
     let mut client = Client::connect(site.listen);
     client.send(&submit_with_body(number, 10));
-    (client.reply(), site.program.memory_kb())
+    (client.read_reply(), site.program.memory_kb())
 }
 
 /// Connects clients that have each had a reply. Returns them, and the memory of the program with them.
@@ -35,8 +35,8 @@
     let crowd = (0..count).map(|number| {
         let mut client = Client::connect(site.listen);
         client.send(&submit_with_body(0x10_0000 + number, 10));
-        client.reply();
-        client.writes.set_write_timeout(Some(Duration::from_millis(50))).expect("it can be set");
+        client.read_reply();
+        client.writer.set_write_timeout(Some(Duration::from_millis(50))).expect("it can be set");
         client
     });
     (crowd.collect(), site.program.memory_kb())
@@ -45,11 +45,11 @@
 /// Regression: with 400 clients that stopped in the middle of a body of 64 kB, the program held 45 MB of its 48.
 #[test]
 fn partial_requests_of_many_clients_stay_within_memory() {
-    let (address, _events) = echo_backend();
+    let (address, _events) = start_echo_backend();
     let site = small_site("half-flood", &[address]);
     let (mut crowd, before) = connect_served_clients(&site, 400);
     for (client, number) in crowd.iter_mut().zip(1_000..) {
-        let _ = client.writes.write_all(&submit_with_body(number, 65_000)[..64_000]);
+        let _ = client.writer.write_all(&submit_with_body(number, 65_000)[..64_000]);
     }
     let (reply, memory_kb) = request_and_measure(&site, 1);
     assert_eq!(reply, request_id(1), "others are served");
@@ -60,7 +60,7 @@
 /// maximum size. Beyond the limit further requests are rejected.
 #[test]
 fn queued_answers_stay_within_memory() {
-    let (address, events) = backend(read_resp_command, |words| match words[2] == request_id(1) {
+    let (address, events) = start_backend(read_resp_command, |words| match words[2] == request_id(1) {
         true => Behaviour::NoReply,
         false => Behaviour::Reply(backend_reply(&"v".repeat(60_000))),
     });
@@ -86,12 +86,12 @@
 /// Regression: with a hundred clients that each had hundreds of commands to read, another client got no reply in time.
 #[test]
 fn unread_answers_stay_within_memory_and_others_are_served() {
-    let (address, _events) = echo_backend();
+    let (address, _events) = start_echo_backend();
     let site = small_site("unread-flood", &[address]);
     let (mut crowd, before) = connect_served_clients(&site, 100);
     let pings = resp_command(&["PING"]).repeat(400_000);
     for client in &mut crowd {
-        let _ = client.writes.write_all(&pings);
+        let _ = client.writer.write_all(&pings);
     }
     let (reply, memory_kb) = request_and_measure(&site, 1);
     assert_eq!(reply, request_id(1), "others are served");
@@ -102,8 +102,8 @@
 /// connections that wait in the backlog take no processor time, and discovery is connected once it is back.
 #[test]
 fn idle_clients_take_no_descriptor_from_discovery_counter_and_backends() {
-    let (address, _events) = echo_backend();
-    let (counter, added) = counter(0.0);
+    let (address, _events) = start_echo_backend();
+    let (counter, added) = start_counter(0.0);
     let (agent, directory) = (unused_address(), TestDirectory::new("descriptors"));
     let options = SiteOptions {
         backends: &[address],
@@ -112,8 +112,8 @@
         sockets: 96,
         ..SiteOptions::default()
     };
-    let path = directory.write("config.json", &config(agent, &options));
-    let program = Program::start_with(96, &[("BALANCER_CONFIG", &path)]);
+    let path = directory.write("config.json", &config_text(agent, &options));
+    let program = Program::start_with_descriptor_limit(96, &[("BALANCER_CONFIG", &path)]);
     let listen = listen_address(&program);
     let usual = |number: u32| {
         let fields = "c=lookup,t=team,d=2400,units=1,spread=2,first=0";
@@ -124,9 +124,9 @@
     crowd.iter_mut().for_each(|client| client.send(&resp_command(&["PING"])));
     let mut answered = 0;
     for client in &mut crowd {
-        client.writes.set_read_timeout(Some(Duration::from_millis(50))).expect("it can be set");
+        client.writer.set_read_timeout(Some(Duration::from_millis(50))).expect("it can be set");
         let mut first = [0];
-        answered += u32::from(std::io::Read::read(&mut client.writes, &mut first).is_ok_and(|n| n == 1));
+        answered += u32::from(std::io::Read::read(&mut client.writer, &mut first).is_ok_and(|n| n == 1));
     }
     assert!(answered > 40, "a table full of them: {answered}");
     let before = (program.processor_ticks(), Instant::now());
@@ -137,10 +137,10 @@
         client.send(&usual(number));
         busy.push(client);
     }
-    let replies: Vec<String> = busy.iter_mut().map(Client::reply).collect();
+    let replies: Vec<String> = busy.iter_mut().map(Client::read_reply).collect();
     let served = replies.iter().zip(1..).filter(|(reply, number)| **reply == request_id(*number)).count();
     assert_eq!(served, 40, "{replies:?}");
-    next(&added);
+    receive(&added);
     let (ticks, span) = (program.processor_ticks() - before.0, before.1.elapsed());
     assert!((ticks as u128) * 10 < span.as_millis() / 2 + 200, "{ticks} ticks in {span:?}");
     // Discovery is back, and gets a descriptor.
--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -24,8 +24,8 @@
 fn backend_writing(
     answer: impl Fn(&[String], &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
 ) -> SocketAddr {
-    listen(move |stream| {
-        let mut out = stream.try_clone().expect("a second handle");
+    start_listener(move |stream| {
+        let mut out = stream.try_clone().expect("the socket can be cloned");
         let mut requests = std::io::BufReader::new(stream);
         while let Some(words) = read_resp_command(&mut requests) {
             if answer(&words, &mut out).is_err() {
@@ -39,10 +39,10 @@
 fn read_bulk_string(client: &mut Client) -> std::io::Result<Vec<u8>> {
     use std::io::BufRead;
     let mut head = String::new();
-    client.reads.read_line(&mut head)?;
+    client.reader.read_line(&mut head)?;
     let length: usize = head.trim().strip_prefix('$').expect("a bulk string").parse().expect("a length");
     let mut value = vec![0; length + 2];
-    client.reads.read_exact(&mut value)?;
+    client.reader.read_exact(&mut value)?;
     assert_eq!(value.split_off(length), b"\r\n");
     Ok(value)
 }
@@ -60,26 +60,26 @@
         }
         let whole = reply_with_value(&value, REPLY_TAIL);
         out.write_all(&whole[..70_000])?;
-        released.lock().expect("no stand-in panics").recv().expect("the test goes on");
+        released.lock().expect("the lock is not poisoned").recv().expect("the test goes on");
         for piece in whole[70_000..].chunks(4_999) {
             out.write_all(piece)?;
         }
         Ok(())
     });
     let (site, admin) =
-        site_with_admin("large", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+        start_site_with_admin("large", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(&[query_of_new_tenant(1), query_of_new_tenant(2), resp_command(&["PING"])].concat());
     let mut first = [0; 40_000];
-    client.reads.read_exact(&mut first).expect("the first bytes come before the last");
+    client.reader.read_exact(&mut first).expect("the first bytes come before the last");
     assert!(first.starts_with(b"$3000001\r\nabcdef"));
     assert_eq!(read_metric(admin, "balancer_pending"), 1, "it goes on");
-    release.send(()).expect("the stand-in waits");
+    release.send(()).expect("the stand-in waits for the release");
     let mut rest = vec![0; 3_000_001 + 12 - first.len()];
-    client.reads.read_exact(&mut rest).expect("the rest");
+    client.reader.read_exact(&mut rest).expect("the rest");
     let whole = [&first[..], &rest].concat();
     assert!(whole[10..3_000_011] == large_value(3_000_001)[..] && whole.ends_with(b"\r\n"));
-    assert_eq!([client.reply(), client.reply()], [request_id(2), "+PONG".to_owned()]);
+    assert_eq!([client.read_reply(), client.read_reply()], [request_id(2), "+PONG".to_owned()]);
     let text = admin_command(admin, "telemetry");
     assert_eq!(metric(&text, "balancer_completed_total{lane=\"lookup\"}"), 2);
     assert_eq!(metric(&text, "balancer_pending"), 0);
@@ -93,20 +93,22 @@
         let value = if words[2].starts_with("000000000000f") { words[2].as_bytes() } else { &value };
         out.write_all(&reply_with_value(value, REPLY_TAIL))
     });
-    let (site, admin) =
-        site_with_admin("slow-clients", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let (site, admin) = start_site_with_admin(
+        "slow-clients",
+        &SiteOptions { backends: &[address], ..SiteOptions::default() },
+    );
     let mut slow: Vec<Client> = (1..=40)
         .map(|number| {
             let mut client = Client::connect(site.listen);
             client.send(&query_of_new_tenant(number));
-            client.reads.read_exact(&mut [0; 1]).expect("its value has begun");
+            client.reader.read_exact(&mut [0; 1]).expect("its value has begun");
             client
         })
         .collect();
     let mut other = Client::connect(site.listen);
     for number in 0..20 {
         other.send(&query_of_new_tenant(0xf000 + number));
-        assert_eq!(other.reply(), request_id(0xf000 + number));
+        assert_eq!(other.read_reply(), request_id(0xf000 + number));
     }
     let kilobytes = site.program.memory_kb();
     assert!(kilobytes < 64 * 1024, "160 MB are under way, and {kilobytes} kB are held");
@@ -114,7 +116,7 @@
     let mut last = slow.pop().expect("there are 40");
     drop(slow);
     let mut rest = vec![0; (4 << 20) + 11];
-    last.reads.read_exact(&mut rest).expect("all of it");
+    last.reader.read_exact(&mut rest).expect("all of it");
     assert!(rest[..9] == *b"4194304\r\n" && rest[9..][..4 << 20] == large_value(4 << 20)[..]);
     while read_metric(admin, "balancer_pending") > 0 {}
 }
@@ -139,14 +141,16 @@
             _ => out.write_all(&whole),
         }
     });
-    let (site, admin) =
-        site_with_admin("spoilt-large", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let (site, admin) = start_site_with_admin(
+        "spoilt-large",
+        &SiteOptions { backends: &[address], ..SiteOptions::default() },
+    );
     for number in 1..=3 {
         let mut client = Client::connect(site.listen);
         client.send(&[query_of_new_tenant(number), resp_command(&["PING"])].concat());
         let mut got = Vec::new();
         // A reset ends the input as well.
-        let _ = client.reads.read_to_end(&mut got);
+        let _ = client.reader.read_to_end(&mut got);
         assert!(got.len() < 200_011, "{number}: {} bytes of 200011", got.len());
     }
     let mut client = Client::connect(site.listen);
--- a/crates/snowfield/tests/log.rs
+++ b/crates/snowfield/tests/log.rs
@@ -27,7 +27,7 @@
         [(&plain, "", false), (&json, "", true), (&plain, "json", true), (&json, "plain", false)]
     {
         let program = Program::start(&["serve", file], &[("SNOWFIELD_LOG", variable)]);
-        let line = program.line("serving OpenAPI on ");
+        let line = program.wait_for_line("serving OpenAPI on ");
         assert_eq!(line.starts_with("{\"timestamp\":\""), objects, "{file} {variable}: {line}");
         assert!(objects || line.starts_with("serving OpenAPI on 127.0.0.1:"), "{line}");
         assert!(!objects || line.contains("\"message\":\"serving OpenAPI on 127.0.0.1:"), "{line}");
@@ -47,7 +47,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut log = BufReader::new(child.stdout.take().expect("a pipe"));
+    let mut log = BufReader::new(child.stdout.take().expect("standard output is piped"));
     let mut line = String::new();
     while !line.contains("serving OpenAPI") {
         line.clear();
@@ -57,6 +57,6 @@
     // The shutdown logs two lines that cannot be written.
     let done = Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
     assert!(done.expect("kill runs").success());
-    let out = child.wait_with_output().expect("it was started");
+    let out = child.wait_with_output().expect("the program was started");
     assert_eq!((out.status.code(), String::from_utf8_lossy(&out.stderr).as_ref()), (Some(0), ""));
 }
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -64,7 +64,7 @@
         .expect("a folder for its files");
     let config = settings.config(0, Addresses { listen, discovery, counter });
     gatekeeper.write_config(&config).expect("a configuration");
-    gatekeeper.control.set(Setting::FirstSocketFailures, failures).expect("the control block");
+    gatekeeper.control.set(Setting::FirstSocketFailures, failures).expect("the control block is writable");
     (gatekeeper, directory)
 }
 
@@ -84,9 +84,9 @@
 /// backend again.
 #[test]
 fn an_ejection_is_stored_once_the_disk_takes_writes_again() {
-    let ((one, _), (two, _)) = (echo_backend(), echo_backend());
+    let ((one, _), (two, _)) = (start_echo_backend(), start_echo_backend());
     let directory = TestDirectory::new("unsaved-tmp");
-    let control = Control::create(&directory.path().join("faults")).expect("the control block");
+    let control = Control::create(&directory.path().join("faults")).expect("the control block is writable");
     let shim = soak_program().shim;
     let text = |path: &std::path::Path| path.to_str().expect("a path in UTF-8").to_owned();
     let (shared_path, shim, faults) = (text(directory.path()), text(&shim), text(control.path()));
@@ -97,13 +97,13 @@
         (CONTROL_VARIABLE, faults.as_str()),
     ];
     let options = SiteOptions { backends: &[one, two], ..SiteOptions::default() };
-    let site = site_with_environment("unsaved", &options, &variables);
-    let admin = site.admin.expect("operators are answered");
+    let site = start_site_with_environment("unsaved", &options, &variables);
+    let admin = site.admin.expect("the site has an admin listener");
     let unsaved = || read_metric(admin, "balancer_exclusions_unsaved");
-    control.set(Setting::FileOpenFailure, RATE_SCALE).expect("the control block");
+    control.set(Setting::FileOpenFailure, RATE_SCALE).expect("the control block is writable");
     assert_eq!(admin_command(admin, "exclude s-0"), "OK\n");
     assert_eq!(unsaved(), 1, "the figures show that it is not on disk");
-    control.clear_faults().expect("the control block");
+    control.clear_faults().expect("the control block is writable");
     let began = std::time::Instant::now();
     while unsaved() == 1 {
         assert!(began.elapsed() < TIMEOUT, "it is written again");
--- a/crates/snowfield/tests/replicated_config.rs
+++ b/crates/snowfield/tests/replicated_config.rs
@@ -15,7 +15,7 @@
 
 /// Waits until a program logs this message about a version.
 fn wait_for_version(program: &Program, message: &str, version: u64) {
-    while program.logged_field(message, "version") != version.to_string() {}
+    while program.wait_for_log_field(message, "version") != version.to_string() {}
 }
 
 /// Writes the configuration files of three replicas and of a fourth gatekeeper. Their ports were free a moment ago.
@@ -116,7 +116,7 @@
     let bytes = std::fs::read(&log).expect("the log exists");
     std::fs::write(&log, &bytes[..bytes.len() - 1]).expect("the log is truncated");
     let restarted = start(&files[0]);
-    restarted.logged("replica log not usable, this replica does not vote");
+    restarted.wait_for_log("replica log not usable, this replica does not vote");
     wait_for_version(&restarted, IN_FORCE, 0);
     let rules =
         directory.write("rules.toml", "[[plan]]\nname = \"basic\"\nunits_per_second = 9.0\nburst = 40.0\n");
--- a/crates/snowfield/tests/shutdown_and_cancellation.rs
+++ b/crates/snowfield/tests/shutdown_and_cancellation.rs
@@ -1,5 +1,5 @@
-//! Races between requests and the end of a connection or a process (docs/design/shutdown-and-cancellation.md). The tests force a
-//! race by suspending the program: it reads nothing, and finds all that was sent meanwhile at once when it continues.
+//! Races between requests and the end of a connection or a process (docs/design/shutdown-and-cancellation.md). Most tests force a
+//! race by suspending the program: it reads nothing meanwhile, and finds all the input at once when it resumes.
 
 mod common;
 
@@ -12,133 +12,140 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Regression: of a request and the end of its connection that arrived together, the request was read first, and forwarded before
-/// the end was read. Also for many requests at once, behind errors that slow their reader down.
+/// Regression: when a request and the end of its connection arrived together, the request was forwarded before the end was read.
+/// The same must hold for many pipelined requests, with errors between them that make the gatekeeper read more slowly.
 #[test]
 fn requests_of_a_disconnected_client_are_not_started() {
-    let (address, events) = echo_backend();
-    let site = site("gone", &SiteOptions { backends: &[address], ..SiteOptions::default() });
-    let mut stays = Client::connect(site.listen);
-    stays.send(&query_of_new_tenant(1));
-    assert_eq!(stays.reply(), request_id(1));
+    let (address, events) = start_echo_backend();
+    let site = start_site("gone", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let mut connected = Client::connect(site.listen);
+    connected.send(&query_of_new_tenant(1));
+    assert_eq!(connected.read_reply(), request_id(1));
     next_request(&events);
-    let mut known = Client::connect(site.listen);
-    known.send(&resp_command(&["PING"]));
-    assert_eq!(known.reply(), "+PONG");
+    let mut disconnecting = Client::connect(site.listen);
+    disconnecting.send(&resp_command(&["PING"]));
+    assert_eq!(disconnecting.read_reply(), "+PONG");
 
     site.program.suspend();
-    known.send(&query_of_new_tenant(100));
+    disconnecting.send(&query_of_new_tenant(100));
     let mut new = Client::connect(site.listen);
     new.send(&query_of_new_tenant(101));
-    let mut many = Client::connect(site.listen);
-    let much: Vec<u8> = (200..400)
+    let mut pipelining = Client::connect(site.listen);
+    let pipelined: Vec<u8> = (200..400)
         .flat_map(|number| [resp_command(&["NONSENSE"]), query_of_new_tenant(number)].concat())
         .collect();
-    many.send(&much);
+    pipelining.send(&pipelined);
     // A client that closes its sending side, or resets the connection, has disconnected as well.
-    let mut half = Client::connect(site.listen);
-    half.send(&query_of_new_tenant(102));
-    half.writes.shutdown(Shutdown::Write).expect("it is open");
-    drop((known, new, many));
+    let mut half_closed = Client::connect(site.listen);
+    half_closed.send(&query_of_new_tenant(102));
+    half_closed.writer.shutdown(Shutdown::Write).expect("the connection is open");
+    drop((disconnecting, new, pipelining));
     site.program.signal("-CONT");
 
     // Later requests are served, so all earlier input has been read.
     for number in 2..=9 {
-        stays.send(&query_of_new_tenant(number));
-        assert_eq!(stays.reply(), request_id(number));
+        connected.send(&query_of_new_tenant(number));
+        assert_eq!(connected.read_reply(), request_id(number));
     }
     let forwarded: Vec<_> = all_requests(&events).into_iter().map(|words| words[2].clone()).collect();
-    assert_eq!(forwarded, (2..=9).map(request_id).collect::<Vec<_>>(), "no request of a disconnected client");
+    assert_eq!(
+        forwarded,
+        (2..=9).map(request_id).collect::<Vec<_>>(),
+        "no request of a disconnected client is forwarded"
+    );
 }
 
-/// Regression: after an error the connection was not read any more, so that the end of its client was not noticed.
+/// Regression: after a malformed command the connection was not read any more, so that its close by the client went unnoticed.
 #[test]
 fn a_client_that_disconnects_after_an_error_cancels_its_requests() {
-    let (address, events) = backend(read_resp_command, |_| Behaviour::NoReply);
-    let site = site("after-error", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let (address, events) = start_backend(read_resp_command, |_| Behaviour::NoReply);
+    let site = start_site("after-error", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     // More input after the error than the gatekeeper reads.
     client.send(&[&query(1, 2_400, 1)[..], b"*x\r\n", &[b'x'; 100_000]].concat());
     next_request(&events);
     let started = Instant::now();
     drop(client);
-    assert!(matches!(next(&events), BackendEvent::RequestAbandoned));
-    assert!(started.elapsed().as_millis() < 1_000, "long before its deadline: {:?}", started.elapsed());
+    assert!(matches!(receive(&events), BackendEvent::RequestAbandoned));
+    assert!(
+        started.elapsed().as_millis() < 1_000,
+        "the request is cancelled long before its deadline: {:?}",
+        started.elapsed()
+    );
 }
 
-/// An event of the next test.
-enum Crossing {
+/// An event of [`at_shutdown_a_busy_connection_closes_after_its_replies`].
+enum ConnectionEvent {
     /// A request has arrived at the backend, which replies when it is released.
     Request(Sender<()>),
     /// The client has read a reply.
     Reply(String),
     /// The client has read the end of its connection.
-    Ended,
+    Closed,
 }
 
-/// Regression: a connection of a client that always had one more request on its way was never closed between two requests, and some
-/// requests were unanswered when the program was killed. Accepted requests are answered; the others are surely unread.
+/// Regression: a connection whose client always had another request on its way was never closed between two requests, and some
+/// requests were unanswered when the program was killed. Accepted requests must be answered, and the others must not be read.
 #[test]
-fn at_shutdown_a_busy_connection_closes_after_its_answers() {
-    let (sender, crossings) = channel();
-    let asks = Mutex::new(sender.clone());
-    let (address, events) = backend(read_resp_command, move |words| {
+fn at_shutdown_a_busy_connection_closes_after_its_replies() {
+    let (sender, connection_events) = channel();
+    let request_sender = Mutex::new(sender.clone());
+    let (address, events) = start_backend(read_resp_command, move |words| {
         let (release, released) = channel();
-        let _ = asks.lock().expect("no stand-in panics").send(Crossing::Request(release));
+        let _ =
+            request_sender.lock().expect("the lock is not poisoned").send(ConnectionEvent::Request(release));
         Behaviour::ReplyAfter(released, backend_reply(&words[2]))
     });
-    let mut site = site("never-idle", &SiteOptions { backends: &[address], ..SiteOptions::default() });
-    let Client { mut writes, mut reads } = Client::connect(site.listen);
-    let reader = std::thread::spawn(move || {
+    let mut site = start_site("never-idle", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let Client { mut writer, mut reader } = Client::connect(site.listen);
+    let reader_thread = std::thread::spawn(move || {
         let mut line = String::new();
-        while reads.read_line(&mut line).is_ok_and(|n| n > 0) {
-            // The line before a value states its length.
+        while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
+            // The line before a value has its length.
             if !line.starts_with('$') {
-                let _ = sender.send(Crossing::Reply(line.clone()));
+                let _ = sender.send(ConnectionEvent::Reply(line.clone()));
             }
             line.clear();
         }
-        let _ = sender.send(Crossing::Ended);
+        let _ = sender.send(ConnectionEvent::Closed);
     });
-    writes.write_all(&query_of_new_tenant(1)).expect("the program takes it");
+    writer.write_all(&query_of_new_tenant(1)).expect("the program reads the bytes");
     let (mut sent, mut answered, mut terminated) = (1, 0, None);
     loop {
-        match next(&crossings) {
-            Crossing::Request(release) => {
-                // The next request is sent before this one's reply.
-                sent += u32::from(writes.write_all(&query_of_new_tenant(sent + 1)).is_ok());
-                release.send(()).expect("the stand-in waits");
+        match receive(&connection_events) {
+            ConnectionEvent::Request(release) => {
+                // The next request is sent before the reply to this one.
+                sent += u32::from(writer.write_all(&query_of_new_tenant(sent + 1)).is_ok());
+                release.send(()).expect("the stand-in waits for the release");
             }
-            Crossing::Reply(reply) => {
+            ConnectionEvent::Reply(reply) => {
                 answered += 1;
                 assert_eq!(reply, format!("{}\r\n", request_id(answered)));
             }
-            Crossing::Ended => break,
+            ConnectionEvent::Closed => break,
         }
         if answered == 20 && terminated.is_none() {
             site.program.terminate();
             terminated = Some(Instant::now());
         }
     }
-    let ended = terminated.expect("it served until then").elapsed();
-    assert!(ended.as_millis() < 3_000, "before it may be killed, 3.2 s after the signal: {ended:?}");
-    assert_eq!(
-        all_requests(&events).len() as u32,
-        answered,
-        "all that was read was answered, and nothing else was forwarded"
+    let time_to_close = terminated.expect("20 requests were answered").elapsed();
+    assert!(
+        time_to_close.as_millis() < 3_000,
+        "the connection closes before SIGKILL is due, 3.2 s after SIGTERM: {time_to_close:?}"
     );
-    assert!(sent > answered, "one crossed the close");
-    drop(writes);
-    reader.join().expect("no panic");
+    assert_eq!(all_requests(&events).len() as u32, answered, "exactly the answered requests were forwarded");
+    assert!(sent > answered, "a request was sent while the connection was being closed");
+    drop(writer);
+    reader_thread.join().expect("the reader does not panic");
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Bytes that arrive at the moment of a close must not reset the connection, which would discard replies that the client has not
-/// read yet.
+/// Bytes that arrive while a connection is being closed must not reset it: a reset discards replies that the client has not read yet.
 #[test]
-fn at_shutdown_bytes_that_cross_the_close_cost_no_answer() {
-    let HeldBackend { address, events, release } = backend_holding_first_request();
-    let mut site = site("crossing", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+fn at_shutdown_input_that_arrives_during_the_close_does_not_discard_replies() {
+    let HeldBackend { address, events, release } = start_backend_holding_first_request();
+    let mut site = start_site("crossing", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     // Closing begins 2.45 s after the signal. The request must still have time left by then, also on a busy machine.
     client.send(&query(1, 4_000, 1));
@@ -146,98 +153,104 @@
     site.program.terminate();
     let mut idle = Client::connect(site.listen);
     idle.send(&resp_command(&["PING"]));
-    assert_eq!(idle.reply(), "+PONG");
-    assert!(idle.ended(), "closing has begun");
+    assert_eq!(idle.read_reply(), "+PONG");
+    assert!(idle.is_closed(), "the program has begun to close connections");
     // The gatekeeper does not read this: it closes the connection after the reply to the first request.
-    let much = [query_of_new_tenant(2), vec![b'x'; 200_000]].concat();
-    client.send(&much);
-    release.send(()).expect("the stand-in waits");
-    assert_eq!(client.reply(), request_id(1));
+    let unread_input = [query_of_new_tenant(2), vec![b'x'; 200_000]].concat();
+    client.send(&unread_input);
+    release.send(()).expect("the stand-in waits for the release");
+    assert_eq!(client.read_reply(), request_id(1));
     let mut rest = Vec::new();
-    client.reads.read_to_end(&mut rest).expect("an end and no reset");
+    client.reader.read_to_end(&mut rest).expect("the connection is closed without a reset");
     assert!(rest.is_empty());
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
-    assert!(all_requests(&events).is_empty(), "input after the start of the close is surely unread");
+    assert!(all_requests(&events).is_empty(), "input after the start of the close is not forwarded");
 }
 
 /// A listener with a full backlog: the system drops further connection attempts and retries them after 1 s.
 fn listener_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be opened");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-    socket.listen(0).expect("it listens");
+    socket.listen(0).expect("the socket listens");
     let listener = TcpListener::from(socket);
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("a valid socket address");
     let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
     (listener, std::iter::from_fn(fill).take(10).collect())
 }
 
-/// Whether a connection to this address is being established (state SYN_SENT, 2 in the system's table).
-fn is_connecting(to: SocketAddr) -> bool {
-    let remote = format!(" 0100007F:{:04X} 02 ", to.port());
-    std::fs::read_to_string("/proc/net/tcp").expect("the system's table").contains(&remote)
+/// Whether a connection to this loopback address is being established (state SYN_SENT, 02 in `/proc/net/tcp`).
+fn is_connecting(address: SocketAddr) -> bool {
+    let remote = format!(" 0100007F:{:04X} 02 ", address.port());
+    std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable").contains(&remote)
 }
 
-/// Regression: a retry was decided on within the idempotency window, and written 0.2 s after its end, when its connection was
-/// established.
+/// Regression: a retry was decided within the validity of its idempotency key, but written 0.2 s after the end of that time, because
+/// its connection was established only then.
 #[test]
-fn a_keyed_retry_with_a_late_connection_is_not_written() {
+fn a_retry_whose_idempotency_key_expires_during_connect_is_not_written() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let (breaks, broken) = backend(read_resp_command, move |_| {
-        let _ = released.lock().expect("no stand-in panics").recv();
+    let (closing, closing_events) = start_backend(read_resp_command, move |_| {
+        let _ = released.lock().expect("the lock is not poisoned").recv();
         Behaviour::Close
     });
-    let (late, backlog) = listener_with_full_backlog();
-    let site =
-        site_with_config("keyed", &SiteOptions { backends: &[breaks], ..SiteOptions::default() }, |text| {
+    let (listener, backlog) = listener_with_full_backlog();
+    let site = start_site_with_config(
+        "keyed",
+        &SiteOptions { backends: &[closing], ..SiteOptions::default() },
+        |text| {
             text.replace(r#""effect":"read_like""#, r#""effect":"idempotency_key","key-ttl-us":800000"#)
                 .replace(r#""connect-timeout-us":250000"#, r#""connect-timeout-us":2000000"#)
-                // An unused connection stays open for half of this.
+                // An unused connection stays open for half of this keep-alive time.
                 .replace(r#""keepalive-us":30000000"#, r#""keepalive-us":4000000"#)
-        });
+        },
+    );
     let mut client = Client::connect(site.listen);
     let fields = "c=lookup,t=team,d=2400,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0";
     client.send(&resp_command(&["SVC.SUBMIT", "00000000b4d65521", &request_id(1), fields, "body"]));
-    next_request(&broken);
-    // The only backend for a retry. The unknown state of the other is logged, which shows when the list was read.
-    let address = late.local_addr().expect("an address");
+    next_request(&closing_events);
+    // s-late is the only backend for a retry. The unknown state of s-odd is logged, which shows that the list was read.
+    let address = listener.local_addr().expect("a valid socket address");
     let endpoints = [endpoint("s-late", address, "up"), endpoint("s-odd", unused_address(), "odd")];
     site.watch.send(list_delta(41, &endpoints)).expect("the watch is open");
-    site.program.line("unknown endpoint state");
-    release.send(()).expect("the stand-in waits");
+    site.program.wait_for_line("unknown endpoint state");
+    release.send(()).expect("the stand-in waits for the release");
     let started = Instant::now();
     while !is_connecting(address) {
-        assert!(started.elapsed() < TIMEOUT, "the repeat is tried");
+        assert!(started.elapsed() < TIMEOUT, "the gatekeeper connects for the retry");
     }
     // Accepts the connections in the backlog, and then the retry's connection when the system retries it.
     let mut connections: Vec<TcpStream> = Vec::new();
     while connections.len() <= backlog.len() {
-        connections.push(late.accept().expect("a connection").0);
+        connections.push(listener.accept().expect("a connection").0);
     }
-    let mut repeat = connections.pop().expect("the last one");
+    let mut retry = connections.pop().expect("there is a connection");
     let mut written = Vec::new();
-    repeat.read_to_end(&mut written).expect("it ends");
-    assert!(written.is_empty(), "written too late: {}", String::from_utf8_lossy(&written));
-    assert!(client.reply().starts_with('-'), "no attempt is left");
+    retry.read_to_end(&mut written).expect("the gatekeeper closes the connection");
+    assert!(written.is_empty(), "the retry was written too late: {}", String::from_utf8_lossy(&written));
+    assert!(client.read_reply().starts_with('-'), "the client gets an error reply");
 }
 
-/// A backend that replies to each request with these bytes and then closes the connection or resets it.
-fn backend_breaking_off(bytes: &'static [u8], reset: bool) -> SocketAddr {
-    listen(move |stream| {
-        let mut requests = BufReader::new(stream.try_clone().expect("a second handle"));
+/// Starts a backend that replies to the request on each connection with these bytes, and then closes or resets the connection.
+fn start_backend_breaking_off(bytes: &'static [u8], reset: bool) -> SocketAddr {
+    start_listener(move |stream| {
+        let mut requests = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
         if read_resp_command(&mut requests).is_some() {
             let _ = (&stream).write_all(bytes);
             if reset {
-                SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can be set");
+                SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("the linger option can be set");
             }
         }
     })
 }
 
-/// A truncated reply must not pass for a complete one: a line without its end, a truncated value, a missing load report.
+/// A truncated reply must not pass for a complete one. The cases are a line without its line end, a truncated value and a missing
+/// load report, each with a close and with a reset.
 #[test]
-fn a_partial_answer_counts_as_failed_however_it_breaks_off() {
+fn a_truncated_reply_counts_as_a_failed_attempt() {
     for bytes in [
         &b"-ERR fai"[..],
         b"-BUSY",
@@ -246,18 +259,18 @@
         b"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r",
     ] {
         for reset in [false, true] {
-            let (good, events) = echo_backend();
+            let (good, events) = start_echo_backend();
             let options = SiteOptions {
-                backends: &[backend_breaking_off(bytes, reset), good],
+                backends: &[start_backend_breaking_off(bytes, reset), good],
                 ..SiteOptions::default()
             };
-            let site = site("half-answer", &options);
+            let site = start_site("half-answer", &options);
             let mut client = Client::connect(site.listen);
             for number in 1..=4 {
                 client.send(&query_of_new_tenant(number));
-                assert_eq!(client.reply(), request_id(number), "{bytes:?}, reset {reset}");
+                assert_eq!(client.read_reply(), request_id(number), "{bytes:?}, reset {reset}");
             }
-            assert_eq!(all_requests(&events).len(), 4, "each was served by the other backend");
+            assert_eq!(all_requests(&events).len(), 4, "the other backend served each request");
         }
     }
 }
@@ -265,31 +278,31 @@
 /// An attempt must not be written after its client has disconnected during the connect.
 #[test]
 fn nothing_is_written_for_a_client_that_disconnected_during_connect() {
-    let (late, backlog) = listener_with_full_backlog();
-    let address = late.local_addr().expect("an address");
+    let (listener, backlog) = listener_with_full_backlog();
+    let address = listener.local_addr().expect("a valid socket address");
     let options = SiteOptions { backends: &[address], ..SiteOptions::default() };
-    let site = site_with_config("left-connecting", &options, |text| {
+    let site = start_site_with_config("left-connecting", &options, |text| {
         text.replace(r#""connect-timeout-us":250000"#, r#""connect-timeout-us":2000000"#)
     });
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2_400, 1));
     let started = Instant::now();
     while !is_connecting(address) {
-        assert!(started.elapsed() < TIMEOUT, "it is tried");
+        assert!(started.elapsed() < TIMEOUT, "the gatekeeper connects for the attempt");
     }
     drop(client);
     // Another client is answered, so all earlier input has been read.
     let mut other = Client::connect(site.listen);
     other.send(&resp_command(&["PING"]));
-    assert_eq!(other.reply(), "+PONG");
+    assert_eq!(other.read_reply(), "+PONG");
     let mut connections: Vec<TcpStream> = Vec::new();
     while connections.len() <= backlog.len() {
-        connections.push(late.accept().expect("a connection").0);
+        connections.push(listener.accept().expect("a connection").0);
     }
-    let mut made = connections.pop().expect("the last one");
-    made.set_read_timeout(Some(Duration::from_millis(300))).expect("it can be set");
-    let read = made.read(&mut [0; 64]);
-    assert!(!matches!(read, Ok(1..)), "something was written: {read:?}");
+    let mut connection = connections.pop().expect("there is a connection");
+    connection.set_read_timeout(Some(Duration::from_millis(300))).expect("the time-out can be set");
+    let read = connection.read(&mut [0; 64]);
+    assert!(!matches!(read, Ok(1..)), "the attempt was written: {read:?}");
 }
 
 /// An attempt must not be sent after its client has disconnected during a call to the counter.
@@ -297,84 +310,85 @@
 fn nothing_is_sent_for_a_client_that_disconnected_during_a_counter_call() {
     let (sender, called) = channel();
     let sender = Mutex::new(sender);
-    let counter = listen(move |stream| {
-        let mut calls = BufReader::new(stream.try_clone().expect("a second handle"));
+    let counter = start_listener(move |stream| {
+        let mut calls = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
         while let Some(call) = read_resp_command(&mut calls) {
             let (release, released) = channel::<()>();
-            let _ = sender.lock().expect("no stand-in panics").send((call, release));
+            let _ = sender.lock().expect("the lock is not poisoned").send((call, release));
             let _ = released.recv();
             let _ = (&stream).write_all(b"$3\r\n0.5\r\n");
         }
     });
-    let (address, events) = echo_backend();
+    let (address, events) = start_echo_backend();
     let options = SiteOptions {
         backends: &[address],
         counter: Some(counter),
         gatekeepers: 2,
         ..SiteOptions::default()
     };
-    let site = site_with_config("left-counter", &options, |text| {
+    let site = start_site_with_config("left-counter", &options, |text| {
         text.replace(r#""count-wait-us":30000"#, r#""count-wait-us":1500000"#)
     });
     let mut client = Client::connect(site.listen);
     client.send(&query_through_gatekeepers(1, 2_400, 1, 2));
-    let (_, release) = next(&called);
+    let (_, release) = receive(&called);
     drop(client);
     let mut other = Client::connect(site.listen);
     other.send(&resp_command(&["PING"]));
-    assert_eq!(other.reply(), "+PONG");
-    release.send(()).expect("the counter waits");
-    // Requests of a tenant that comes through one gatekeeper need no counter.
+    assert_eq!(other.read_reply(), "+PONG");
+    release.send(()).expect("the counter waits for the release");
+    // Requests of a tenant that uses one gatekeeper need no call to the counter.
     other.send(&query_of_new_tenant(2));
-    assert_eq!(other.reply(), request_id(2));
-    assert_eq!(all_requests(&events).len(), 1, "the request of the other client alone");
+    assert_eq!(other.read_reply(), request_id(2));
+    assert_eq!(all_requests(&events).len(), 1, "only the request of the other client is forwarded");
 }
 
-/// A request that arrives while its idle connection is being evicted is either served or surely unread.
+/// A request that arrives while its idle connection is being closed for new clients is either answered or not forwarded.
 #[test]
-fn a_request_that_crosses_an_idle_close_is_served_or_unread() {
-    let (address, events) = echo_backend();
-    let site = site("evicted", &SiteOptions { backends: &[address], sockets: 96, ..SiteOptions::default() });
+fn a_request_that_arrives_during_an_idle_close_is_answered_or_not_forwarded() {
+    let (address, events) = start_echo_backend();
+    let site =
+        start_site("evicted", &SiteOptions { backends: &[address], sockets: 96, ..SiteOptions::default() });
     let mut idle: Vec<Client> = (1..=50).map(|_| Client::connect(site.listen)).collect();
     for (client, number) in idle.iter_mut().zip(1..) {
         client.send(&query_of_new_tenant(number));
-        assert!(!client.reply().is_empty());
+        assert!(!client.read_reply().is_empty());
     }
     all_requests(&events);
-    // A silent connection is closed after 2 s: then all others have been idle for as long.
-    assert!(Client::connect(site.listen).ended());
+    // A connection without input is closed after 2 s. By then all others have been idle for as long.
+    assert!(Client::connect(site.listen).is_closed());
     site.program.suspend();
-    let newcomers: Vec<Client> = (0..100).map(|_| Client::connect(site.listen)).collect();
+    let new_clients: Vec<Client> = (0..100).map(|_| Client::connect(site.listen)).collect();
     for (client, number) in idle.iter_mut().zip(1_000..) {
         client.send(&query_of_new_tenant(number));
     }
     site.program.signal("-CONT");
-    let (mut served, mut unread) = (Vec::new(), 0);
+    let (mut answered, mut unanswered) = (Vec::new(), 0);
     for (client, number) in idle.iter_mut().zip(1_000..) {
         let mut line = String::new();
-        match client.reads.read_line(&mut line) {
-            Ok(1..) => served.push((number, line)),
-            _ => unread += 1,
+        match client.reader.read_line(&mut line) {
+            Ok(1..) => answered.push((number, line)),
+            _ => unanswered += 1,
         }
     }
     let forwarded: HashSet<String> =
         all_requests(&events).into_iter().map(|words| words[2].clone()).collect();
-    assert_eq!(served.len() + unread, 50);
+    assert_eq!(answered.len() + unanswered, 50);
     for number in 1_000..1_050 {
-        let answered = served.iter().any(|(n, _)| *n == number);
+        let has_reply = answered.iter().any(|(n, _)| *n == number);
         assert!(
-            answered || !forwarded.contains(&request_id(number)),
-            "{number} was forwarded and has no reply"
+            has_reply || !forwarded.contains(&request_id(number)),
+            "request {number} was forwarded and has no reply"
         );
     }
-    drop(newcomers);
+    drop(new_clients);
 }
 
-/// The program starts while the counter refuses connections or does not answer.
+/// The program starts and serves while the counter refuses connections or does not answer.
 #[test]
 fn starts_without_the_counter() {
-    let (address, _events) = echo_backend();
-    let silent = listen(|mut stream| while stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
+    let (address, _events) = start_echo_backend();
+    let silent = start_listener(|mut stream| while stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
     for counter in [unused_address(), silent] {
         let options = SiteOptions {
             backends: &[address],
@@ -383,70 +397,70 @@
             ..SiteOptions::default()
         };
         let started = Instant::now();
-        let site = site("no-counter", &options);
+        let site = start_site("no-counter", &options);
         let mut client = Client::connect(site.listen);
         client.send(&query_through_gatekeepers(1, 2_400, 1, 2));
-        assert_eq!(client.reply(), request_id(1));
+        assert_eq!(client.read_reply(), request_id(1));
         assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
     }
 }
 
-/// A request that is partly read when closing begins may still complete, and is answered.
+/// A request that is partly read when closing begins may still be completed, and is then answered.
 #[test]
-fn during_shutdown_a_partial_request_may_complete() {
-    let (address, _events) = backend(read_resp_command, |words| match words[2] == request_id(1) {
+fn at_shutdown_a_partial_request_may_be_completed() {
+    let (address, _events) = start_backend(read_resp_command, |words| match words[2] == request_id(1) {
         true => Behaviour::NoReply,
         false => Behaviour::Reply(backend_reply(&words[2])),
     });
-    let mut site = site("half-at-end", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let mut site = start_site("half-at-end", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut idle = Client::connect(site.listen);
     idle.send(&resp_command(&["PING"]));
-    assert_eq!(idle.reply(), "+PONG");
+    assert_eq!(idle.read_reply(), "+PONG");
     site.program.terminate();
-    site.program.line("graceful shutdown started signal=15");
-    // The rejection measures the time: the partial request must be recent when closing begins, 2.45 s after the signal.
-    let mut clock = Client::connect(site.listen);
-    clock.send(&query(1, 1_400, 1));
-    assert!(clock.reply().starts_with("-BUSY"));
-    let mut half = Client::connect(site.listen);
+    site.program.wait_for_line("graceful shutdown started signal=15");
+    // The wait for this rejection delays the test: the partial request must be recent when closing begins, 2.45 s after the signal.
+    let mut delayed = Client::connect(site.listen);
+    delayed.send(&query(1, 1_400, 1));
+    assert!(delayed.read_reply().starts_with("-BUSY"));
+    let mut partial = Client::connect(site.listen);
     let whole = query_of_new_tenant(2);
-    half.send(&whole[..40]);
-    assert!(idle.ended(), "closing has begun");
-    half.send(&whole[40..]);
-    assert_eq!(half.reply(), request_id(2));
-    assert!(half.ended());
-    drop((half, clock, idle));
+    partial.send(&whole[..40]);
+    assert!(idle.is_closed(), "the program has begun to close connections");
+    partial.send(&whole[40..]);
+    assert_eq!(partial.read_reply(), request_id(2));
+    assert!(partial.is_closed());
+    drop((partial, delayed, idle));
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Regression: a client may wait for longer than its class's deadline, but the program exited after the longest deadline of the
-/// settings with such a request unanswered.
+/// Regression: the program exited after the longest deadline in the settings, although a client may wait for longer than the deadline
+/// of its class. The request of such a client was left unanswered.
 #[test]
-fn at_shutdown_a_request_with_much_time_left_is_answered() {
-    let (address, events) = backend(read_resp_command, |_| Behaviour::NoReply);
+fn at_shutdown_a_request_beyond_the_deadline_of_its_class_is_answered() {
+    let (address, events) = start_backend(read_resp_command, |_| Behaviour::NoReply);
     let options = SiteOptions { backends: &[address], attempts: 1, ..SiteOptions::default() };
-    let mut site = site_with_config("much-time", &options, |text| {
+    let mut site = start_site_with_config("much-time", &options, |text| {
         text.replace(r#""deadline-us":2500000"#, r#""deadline-us":600000"#)
     });
     let mut client = Client::connect(site.listen);
     client.send(&query(1, 2_400, 1));
     next_request(&events);
     site.program.terminate();
-    assert!(client.reply().starts_with('-'), "a final answer, whatever it is");
+    assert!(client.read_reply().starts_with('-'), "the request gets a final error reply");
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Regression: a connection that waited at the listener with its request when that closed was accepted, and closed without being
+/// Regression: a connection that was in the backlog with its request when the listener closed was accepted, and closed without being
 /// read.
 #[test]
-fn at_shutdown_a_request_that_waited_at_the_listener_is_answered() {
-    let (address, _events) = echo_backend();
+fn at_shutdown_a_request_in_the_listener_backlog_is_answered() {
+    let (address, _events) = start_echo_backend();
     let mut site =
-        site("waited-at-listener", &SiteOptions { backends: &[address], ..SiteOptions::default() });
-    let mut usual = Client::connect(site.listen);
-    usual.send(&query_of_new_tenant(1));
-    assert_eq!(usual.reply(), request_id(1));
+        start_site("waited-at-listener", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let mut connected = Client::connect(site.listen);
+    connected.send(&query_of_new_tenant(1));
+    assert_eq!(connected.read_reply(), request_id(1));
     site.program.terminate();
     // The listener closes 2.45 s after the signal. The program is suspended at that moment, and new connections wait in the backlog.
     std::thread::sleep(Duration::from_millis(2_300));
@@ -458,8 +472,8 @@
     std::thread::sleep(Duration::from_millis(300));
     site.program.signal("-CONT");
     for (client, number) in waiting.iter_mut().zip(100..) {
-        assert_eq!(client.reply(), request_id(number));
+        assert_eq!(client.read_reply(), request_id(number));
     }
-    drop((usual, waiting));
+    drop((connected, waiting));
     assert_eq!(site.program.wait(), Some(0));
 }
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -72,9 +72,10 @@
 /// times out.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
-    let (silent, events) = backend(message, |_| Behaviour::NoReply);
-    let (good, _events) =
-        backend(message, |_| Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec()));
+    let (silent, events) = start_backend(read_message, |_| Behaviour::NoReply);
+    let (good, _events) = start_backend(read_message, |_| {
+        Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec())
+    });
     let consul = Consul::start();
     let set = |at: &[SocketAddr], index| {
         let services =
@@ -86,14 +87,15 @@
     let timing = "attempts = 2\nattempt_ms = 300\ncopy_after_ms = 290";
     let text = config_text(consul.open().address, timing, "attempts = 1\nattempt_ms = 300");
     let program = Program::start(&["serve", &directory.write("a.toml", &text)], &[]);
-    let listen: SocketAddr = program.logged("serving OpenAPI on ").parse().expect("an address");
-    program.logged("eligible_count=2");
+    let listen: SocketAddr =
+        program.wait_for_log("serving OpenAPI on ").parse().expect("a valid socket address");
+    program.wait_for_log("eligible_count=2");
     let ask = |method: &str| {
         let started = Instant::now();
         let request = format!(
             "{method} /loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 0\r\n\r\n"
         );
-        (Client::connect(listen).ask(&request).status(), started.elapsed().as_millis())
+        (Client::connect(listen).request(&request).status(), started.elapsed().as_millis())
     };
     let mut waited = 0;
     while waited == 0 {
