--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -8,27 +8,28 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
 
-/// A value of this many bytes, in which no two neighbours are equal.
+/// A value of this length, in which no two adjacent bytes are equal.
 fn large_value(bytes: usize) -> Vec<u8> {
     (0..bytes).map(|index| b'a' + (index % 23) as u8).collect()
 }
 
+/// A reply with this value and the bytes after it.
 fn reply_with_value(value: &[u8], tail: &str) -> Vec<u8> {
     [format!("*3\r\n${}\r\n", value.len()).as_bytes(), value, b"\r\n", tail.as_bytes()].concat()
 }
 
-/// The part of a reply behind the value: no error, and the load report.
+/// The part of a reply after the value: a null error, and the load report.
 const REPLY_TAIL: &str = "$-1\r\n$34\r\ninflight=7,queue=2,latency_ms=51.0\r\n";
 
-/// A backend whose replies are written by `answer`.
-fn backend_writing(
-    answer: impl Fn(&[String], &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
+/// Starts a backend whose replies are written by `write_reply`. The connection closes when that fails.
+fn start_backend_writing(
+    write_reply: impl Fn(&[String], &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
 ) -> SocketAddr {
     start_listener(move |stream| {
-        let mut out = stream.try_clone().expect("the socket can be cloned");
+        let mut writer = stream.try_clone().expect("the socket can be cloned");
         let mut requests = std::io::BufReader::new(stream);
         while let Some(words) = read_resp_command(&mut requests) {
-            if answer(&words, &mut out).is_err() {
+            if write_reply(&words, &mut writer).is_err() {
                 return;
             }
         }
@@ -47,22 +48,22 @@
     Ok(value)
 }
 
-/// A large value is forwarded unchanged however it is split, its first bytes before the last ones have arrived, and pipelined
-/// replies behind it stay in order.
+/// A large value is forwarded unchanged however it is split. Its first bytes are forwarded before the last ones have arrived, and
+/// pipelined replies after it stay in order.
 #[test]
-fn a_large_value_is_streamed() {
+fn a_large_value_is_forwarded_while_it_arrives() {
     let (release, released) = channel();
     let released = std::sync::Mutex::new(released);
     let value = large_value(3_000_001);
-    let address = backend_writing(move |words, out| {
+    let address = start_backend_writing(move |words, writer| {
         if words[2] != request_id(1) {
-            return out.write_all(&reply_with_value(words[2].as_bytes(), REPLY_TAIL));
+            return writer.write_all(&reply_with_value(words[2].as_bytes(), REPLY_TAIL));
         }
-        let whole = reply_with_value(&value, REPLY_TAIL);
-        out.write_all(&whole[..70_000])?;
-        released.lock().expect("the lock is not poisoned").recv().expect("the test goes on");
-        for piece in whole[70_000..].chunks(4_999) {
-            out.write_all(piece)?;
+        let reply = reply_with_value(&value, REPLY_TAIL);
+        writer.write_all(&reply[..70_000])?;
+        released.lock().expect("the lock is not poisoned").recv().expect("the test releases the reply");
+        for piece in reply[70_000..].chunks(4_999) {
+            writer.write_all(piece)?;
         }
         Ok(())
     });
@@ -71,37 +72,37 @@
     let mut client = Client::connect(site.listen);
     client.send(&[query_of_new_tenant(1), query_of_new_tenant(2), resp_command(&["PING"])].concat());
     let mut first = [0; 40_000];
-    client.reader.read_exact(&mut first).expect("the first bytes come before the last");
+    client.reader.read_exact(&mut first).expect("the first bytes are forwarded before the last ones arrive");
     assert!(first.starts_with(b"$3000001\r\nabcdef"));
-    assert_eq!(read_metric(admin, "balancer_pending"), 1, "it goes on");
+    assert_eq!(read_metric(admin, "balancer_pending"), 1, "the request is still pending");
     release.send(()).expect("the stand-in waits for the release");
     let mut rest = vec![0; 3_000_001 + 12 - first.len()];
-    client.reader.read_exact(&mut rest).expect("the rest");
-    let whole = [&first[..], &rest].concat();
-    assert!(whole[10..3_000_011] == large_value(3_000_001)[..] && whole.ends_with(b"\r\n"));
+    client.reader.read_exact(&mut rest).expect("the rest of the value arrives");
+    let reply = [&first[..], &rest].concat();
+    assert!(reply[10..3_000_011] == large_value(3_000_001)[..] && reply.ends_with(b"\r\n"));
     assert_eq!([client.read_reply(), client.read_reply()], [request_id(2), "+PONG".to_owned()]);
     let text = admin_command(admin, "telemetry");
     assert_eq!(metric(&text, "balancer_completed_total{lane=\"lookup\"}"), 2);
     assert_eq!(metric(&text, "balancer_pending"), 0);
 }
 
-/// Large values whose clients do not read hold one window each, and others are served meanwhile.
+/// A large value whose client does not read takes the memory of one window, and other clients are served meanwhile.
 #[test]
-fn clients_that_do_not_read_hold_little_memory_and_delay_nobody() {
+fn clients_that_do_not_read_take_little_memory_and_do_not_delay_others() {
     let value = large_value(4 << 20);
-    let address = backend_writing(move |words, out| {
+    let address = start_backend_writing(move |words, writer| {
         let value = if words[2].starts_with("000000000000f") { words[2].as_bytes() } else { &value };
-        out.write_all(&reply_with_value(value, REPLY_TAIL))
+        writer.write_all(&reply_with_value(value, REPLY_TAIL))
     });
     let (site, admin) = start_site_with_admin(
         "slow-clients",
         &SiteOptions { backends: &[address], ..SiteOptions::default() },
     );
-    let mut slow: Vec<Client> = (1..=40)
+    let mut slow_clients: Vec<Client> = (1..=40)
         .map(|number| {
             let mut client = Client::connect(site.listen);
             client.send(&query_of_new_tenant(number));
-            client.reader.read_exact(&mut [0; 1]).expect("its value has begun");
+            client.reader.read_exact(&mut [0; 1]).expect("the value begins to arrive");
             client
         })
         .collect();
@@ -111,34 +112,34 @@
         assert_eq!(other.read_reply(), request_id(0xf000 + number));
     }
     let kilobytes = site.program.memory_kb();
-    assert!(kilobytes < 64 * 1024, "160 MB are under way, and {kilobytes} kB are held");
+    assert!(kilobytes < 64 * 1024, "the program holds {kilobytes} kB while values of 160 MB are in transit");
     // A client that disconnects is no longer pending; one that reads late gets the whole value.
-    let mut last = slow.pop().expect("there are 40");
-    drop(slow);
+    let mut late_reader = slow_clients.pop().expect("there are 40 clients");
+    drop(slow_clients);
     let mut rest = vec![0; (4 << 20) + 11];
-    last.reader.read_exact(&mut rest).expect("all of it");
+    late_reader.reader.read_exact(&mut rest).expect("the whole value arrives");
     assert!(rest[..9] == *b"4194304\r\n" && rest[9..][..4 << 20] == large_value(4 << 20)[..]);
     while read_metric(admin, "balancer_pending") > 0 {}
 }
 
-/// A truncated value must not pass for a complete one: if it breaks off, or the data behind it is malformed, the connection is
-/// closed, and nothing follows on it.
+/// A truncated value must not pass for a complete one: if it breaks off, or the data after it is malformed, the connection is closed
+/// and nothing follows on it.
 #[test]
-fn a_broken_large_value_closes_the_connection() {
+fn a_truncated_or_malformed_large_value_closes_the_connection() {
     let value = large_value(200_000);
-    let address = backend_writing(move |words, out| {
-        let whole = reply_with_value(&value, REPLY_TAIL);
+    let address = start_backend_writing(move |words, writer| {
+        let reply = reply_with_value(&value, REPLY_TAIL);
         match words[2].as_str() {
             "0000000000000001" => {
-                out.write_all(&whole[..150_000])?;
+                writer.write_all(&reply[..150_000])?;
                 Err(std::io::ErrorKind::Other.into())
             }
             "0000000000000002" => {
-                let longer = [&whole[..200_011], b"longer than it says", &whole[200_011..]].concat();
-                out.write_all(&longer)
+                let longer_reply = [&reply[..200_011], b"longer than it says", &reply[200_011..]].concat();
+                writer.write_all(&longer_reply)
             }
-            "0000000000000003" => out.write_all(&reply_with_value(&value, "$-1\r\n$x\r\n")),
-            _ => out.write_all(&whole),
+            "0000000000000003" => writer.write_all(&reply_with_value(&value, "$-1\r\n$x\r\n")),
+            _ => writer.write_all(&reply),
         }
     });
     let (site, admin) = start_site_with_admin(
@@ -148,15 +149,15 @@
     for number in 1..=3 {
         let mut client = Client::connect(site.listen);
         client.send(&[query_of_new_tenant(number), resp_command(&["PING"])].concat());
-        let mut got = Vec::new();
+        let mut received = Vec::new();
         // A reset ends the input as well.
-        let _ = client.reader.read_to_end(&mut got);
-        assert!(got.len() < 200_011, "{number}: {} bytes of 200011", got.len());
+        let _ = client.reader.read_to_end(&mut received);
+        assert!(received.len() < 200_011, "request {number}: {} of 200011 bytes arrived", received.len());
     }
     let mut client = Client::connect(site.listen);
     client.send(&query_of_new_tenant(4));
-    assert_eq!(read_bulk_string(&mut client).expect("a whole one"), large_value(200_000));
+    assert_eq!(read_bulk_string(&mut client).expect("a complete value arrives"), large_value(200_000));
     let text = admin_command(admin, "telemetry");
-    let of = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
-    assert_eq!((of("completed"), of("failed"), of("rejected")), (1, 3, 0));
+    let total = |name: &str| metric(&text, &format!("balancer_{name}_total{{lane=\"lookup\"}}"));
+    assert_eq!((total("completed"), total("failed"), total("rejected")), (1, 3, 0));
 }
