--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -1,5 +1,4 @@
-//! The OpenAPI front in the real program, with stand-ins for Consul, the counter and the backends, written from their public
-//! specifications.
+//! The OpenAPI front in the real program. The stand-ins for Consul, the counter and the backends follow their public specifications.
 
 mod common;
 
@@ -11,23 +10,24 @@
 /// A stand-in for Consul with the instances of one service.
 struct ConsulStandIn {
     address: SocketAddr,
-    shared: stand_in_consul::Consul,
+    consul: stand_in_consul::Consul,
     listener: Listener,
 }
 
 impl ConsulStandIn {
-    /// Starts a stand-in, and also returns the method and target of each query.
+    /// Starts a stand-in with these instances. The receiver gets the method and target of each query.
     fn start(instances: &[SocketAddr]) -> (Self, Receiver<String>) {
-        let shared = stand_in_consul::Consul::start();
-        let queries = shared.log_requests();
+        let consul = stand_in_consul::Consul::start();
+        let queries = consul.log_requests();
         let instance = |(i, address): (usize, &SocketAddr)| service(&format!("loans-{i}"), *address);
-        shared.set_service(10, "loan-server", instances.iter().enumerate().map(instance).collect());
-        let listener = shared.open();
-        (Self { address: listener.address, shared, listener }, queries)
+        consul.set_service(10, "loan-server", instances.iter().enumerate().map(instance).collect());
+        let listener = consul.open();
+        (Self { address: listener.address, consul, listener }, queries)
     }
 
+    /// Changes the instances, and sets the index of the list.
     fn update_instances(&self, index: u64, change: impl FnOnce(&mut Vec<Service>)) {
-        self.shared.update(|state| {
+        self.consul.update(|state| {
             change(state.services.entry("loan-server".into()).or_default());
             state.services_index = index;
         });
@@ -53,13 +53,17 @@
   }
 }"##;
 
+/// The parts of the settings that differ between tests.
 struct SiteOptions<'a> {
     backends: &'a [SocketAddr],
+    /// The lines of the `[quota]` table.
     quota: String,
+    /// The quota of the plan, as lines of its table.
     plan: &'a str,
     deadline_ms: u32,
     patience_ms: u32,
     sockets: u32,
+    /// Further lines of the `[consul]` table.
     consul: &'a str,
 }
 
@@ -82,7 +86,7 @@
     listen: SocketAddr,
     consul: ConsulStandIn,
     queries: Receiver<String>,
-    file: String,
+    settings_file: String,
     _directory: TestDirectory,
 }
 
@@ -96,7 +100,7 @@
 [consul]
 address = "{consul}"
 service = "loan-server"
-{more}
+{consul_lines}
 [quota]
 {quota}
 [limits]
@@ -124,7 +128,7 @@
 plan = "basic"
 "#,
         quota = options.quota,
-        more = options.consul,
+        consul_lines = options.consul,
         deadline = options.deadline_ms,
         patience = options.patience_ms,
         sockets = options.sockets,
@@ -136,10 +140,11 @@
     let (consul, queries) = ConsulStandIn::start(options.backends);
     let directory = TestDirectory::new(test);
     directory.write("loans.json", LOANS);
-    let file = directory.write("openapi.toml", &config_text(consul.address, unused_address(), options));
-    let program = Program::start(&["serve", &file], &[]);
+    let settings_file =
+        directory.write("openapi.toml", &config_text(consul.address, unused_address(), options));
+    let program = Program::start(&["serve", &settings_file], &[]);
     let listen = program.wait_for_log("serving OpenAPI on ").parse().expect("a valid socket address");
-    let site = Site { program, listen, consul, queries, file, _directory: directory };
+    let site = Site { program, listen, consul, queries, settings_file, _directory: directory };
     site.program.wait_for_log("endpoint list changed");
     site
 }
@@ -157,14 +162,14 @@
 }
 
 #[test]
-fn counted_units_match_the_description_exactly() {
-    let (at, seen) = start_echo_backend();
-    let (counter, added) = start_counter(0.5);
+fn the_units_of_each_route_are_counted_as_the_description_states() {
+    let (address, events) = start_echo_backend();
+    let (counter, added_units) = start_counter(0.5);
     let quota = format!("gatekeepers = 2\ncounter = \"{counter}\"");
-    // Refilled units of a full bucket are subtracted in the same count. With this plan they are negligible.
+    // The same count also subtracts the units that refill the bucket. With this plan they are negligible.
     let plan = "units_per_second = 0.0001\nburst = 1000.0";
     let mut site =
-        start_site("units", &SiteOptions { backends: &[at], quota, plan, ..SiteOptions::default() });
+        start_site("units", &SiteOptions { backends: &[address], quota, plan, ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     let mut expected_units = 0.0;
     for (path, units, times) in [
@@ -183,8 +188,8 @@
     expected_units += 2.0;
     // A request that is not forwarded is not counted.
     assert_eq!(client.request(&get_request("/v1/nothing")).status(), 404);
-    assert_eq!(all_requests(&seen).len(), 13);
-    let (succeeded, status) = run(&["status", &site.file], &[]);
+    assert_eq!(all_requests(&events).len(), 13);
+    let (succeeded, status) = run(&["status", &site.settings_file], &[]);
     assert!(succeeded, "{status}");
     for line in [
         "GET     /v1/loans/{loan}  cost 1  served 5  busy 0  failed 0  units 5",
@@ -199,7 +204,7 @@
     }
     let mut counted_units = 0.0;
     while counted_units < expected_units {
-        counted_units += receive(&added).1;
+        counted_units += receive(&added_units).1;
     }
     assert!(
         (counted_units - expected_units).abs() < 0.01,
@@ -210,10 +215,10 @@
 }
 
 #[test]
-fn a_tenant_beyond_its_quota_gets_retry_after_and_others_are_served() {
-    let (at, seen) = start_echo_backend();
+fn a_tenant_that_exceeds_its_quota_gets_retry_after_and_others_are_served() {
+    let (address, events) = start_echo_backend();
     let plan = "units_per_second = 0.5\nburst = 4.0";
-    let site = start_site("quota", &SiteOptions { backends: &[at], plan, ..SiteOptions::default() });
+    let site = start_site("quota", &SiteOptions { backends: &[address], plan, ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     // A new tenant may use the units of the largest request: 3.
     assert_eq!(client.request(&get_request("/v1/loans/all")).status(), 200);
@@ -222,42 +227,50 @@
         (rejection.status(), rejection.field("content-type")),
         (429, Some("application/problem+json"))
     );
-    let wait: u64 = rejection.field("retry-after").expect("advice").parse().expect("seconds");
-    assert!((1..=6).contains(&wait), "3 units refill in 6 s: {wait}");
+    let retry_after: u64 = rejection
+        .field("retry-after")
+        .expect("the rejection has a retry-after field")
+        .parse()
+        .expect("retry-after is a number of seconds");
+    assert!((1..=6).contains(&retry_after), "3 units refill in 6 s: {retry_after}");
     assert_eq!(client.request(&get_request("/v1/loans/all").replace("al-noor", "sohar")).status(), 200);
-    assert_eq!(all_requests(&seen).len(), 2);
+    assert_eq!(all_requests(&events).len(), 2);
 }
 
 #[test]
 fn forwards_body_and_end_to_end_headers_unchanged_and_drops_hop_by_hop_ones() {
-    let answer = "HTTP/1.1 203 Fine Enough\r\nX-One: a b\r\nSet-Cookie: x=1\r\nSet-Cookie: y=2\r\nKeep-Alive: timeout=5\r\n\
+    let response_bytes = "HTTP/1.1 203 Fine Enough\r\nX-One: a b\r\nSet-Cookie: x=1\r\nSet-Cookie: y=2\r\nKeep-Alive: timeout=5\r\n\
                   Connection: X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n";
-    let (at, seen) = start_backend(read_message, move |_| Behaviour::Reply(answer.as_bytes().to_vec()));
-    let site = start_site("unchanged", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+    let (address, events) =
+        start_backend(read_message, move |_| Behaviour::Reply(response_bytes.as_bytes().to_vec()));
+    let site = start_site("unchanged", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
-    let got = client.request(
+    let response = client.request(
         "POST /v1/loans/7?q=%20x&y HTTP/1.1\r\nHost: api.example.com\r\nX-Lender: al-noor\r\nX-Mixed-Case: Kept  As Is\r\n\
          TE: trailers\r\nConnection: close-not, X-Mine\r\nX-Mine: 1\r\nUpgrade: h2c\r\nTransfer-Encoding: chunked\r\n\r\n\
          4\r\n\0\x01\r\n\r\n0\r\n\r\n",
     );
-    assert_eq!((got.first_line.as_str(), got.text().as_str()), ("HTTP/1.1 203 Fine Enough", "abcde"));
-    let names: Vec<&str> = got.fields.iter().map(|(n, _)| n.as_str()).collect();
+    assert_eq!(
+        (response.first_line.as_str(), response.text().as_str()),
+        ("HTTP/1.1 203 Fine Enough", "abcde")
+    );
+    let names: Vec<&str> = response.fields.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["x-one", "set-cookie", "set-cookie", "content-length"]);
-    let sent = next_request(&seen);
-    assert_eq!(sent.first_line, "POST /v1/loans/7?q=%20x&y HTTP/1.1");
-    assert_eq!(sent.body, b"\0\x01\r\n");
-    assert_eq!(sent.field("x-mixed-case"), Some("Kept  As Is"));
-    assert_eq!(sent.field("host"), Some("api.example.com"));
-    for gone in ["te", "connection", "x-mine", "upgrade", "transfer-encoding"] {
-        assert_eq!(sent.field(gone), None, "{gone}");
+    let forwarded = next_request(&events);
+    assert_eq!(forwarded.first_line, "POST /v1/loans/7?q=%20x&y HTTP/1.1");
+    assert_eq!(forwarded.body, b"\0\x01\r\n");
+    assert_eq!(forwarded.field("x-mixed-case"), Some("Kept  As Is"));
+    assert_eq!(forwarded.field("host"), Some("api.example.com"));
+    for dropped in ["te", "connection", "x-mine", "upgrade", "transfer-encoding"] {
+        assert_eq!(forwarded.field(dropped), None, "{dropped}");
     }
 }
 
 #[test]
-fn invalid_requests_get_their_status() {
-    let (at, seen) = start_echo_backend();
-    let site = start_site("statuses", &SiteOptions { backends: &[at], ..SiteOptions::default() });
-    let ask = |request: &str| Client::connect(site.listen).request(request);
+fn each_invalid_request_gets_its_status() {
+    let (address, events) = start_echo_backend();
+    let site = start_site("statuses", &SiteOptions { backends: &[address], ..SiteOptions::default() });
+    let send_request = |request: &str| Client::connect(site.listen).request(request);
     let fields = "Host: a\r\nX-Lender: al-noor\r\n";
     for (request, status) in [
         (get_request("/v1/loans"), 404),
@@ -292,23 +305,24 @@
         (format!("GET /v1/loans/7 HTTP/1.1\r\n{fields}X-Long: {}\r\n\r\n", "x".repeat(40_000)), 431),
         (format!("GET /v1/loans/7 HTTP/1.1\r\n{fields}{}\r\n", "X-Many: 1\r\n".repeat(100)), 431),
     ] {
-        let got = ask(&request);
-        assert_eq!(got.status(), status, "{}", &request[..request.len().min(200)]);
+        let response = send_request(&request);
+        assert_eq!(response.status(), status, "{}", &request[..request.len().min(200)]);
     }
-    let wrong = ask(&format!("DELETE /v1/loans/7 HTTP/1.1\r\n{fields}\r\n"));
-    assert_eq!(wrong.field("allow"), Some("GET, HEAD, POST"));
-    // More specific paths have precedence, with their methods.
-    let wrong = ask(&format!("POST /v1/loans/all HTTP/1.1\r\n{fields}\r\n"));
-    assert_eq!((wrong.status(), wrong.field("allow")), (405, Some("GET")));
-    assert!(all_requests(&seen).is_empty(), "no request was forwarded");
+    let response = send_request(&format!("DELETE /v1/loans/7 HTTP/1.1\r\n{fields}\r\n"));
+    assert_eq!(response.field("allow"), Some("GET, HEAD, POST"));
+    // A more specific path has precedence, also for the allowed methods.
+    let response = send_request(&format!("POST /v1/loans/all HTTP/1.1\r\n{fields}\r\n"));
+    assert_eq!((response.status(), response.field("allow")), (405, Some("GET")));
+    assert!(all_requests(&events).is_empty(), "no request was forwarded");
 }
 
 #[test]
-fn backend_failures_get_their_statuses() {
-    let (broken, _seen) = start_backend(read_message, |_| {
+fn each_backend_failure_gets_its_status() {
+    let (failing_backend, _events) = start_backend(read_message, |_| {
         Behaviour::Reply(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec())
     });
-    let failing = start_site("failing", &SiteOptions { backends: &[broken], ..SiteOptions::default() });
+    let failing =
+        start_site("failing", &SiteOptions { backends: &[failing_backend], ..SiteOptions::default() });
     assert_eq!(Client::connect(failing.listen).request(&get_request("/v1/loans/7")).status(), 502);
 
     let empty = start_site("empty", &SiteOptions::default());
@@ -317,32 +331,32 @@
         start_site("refusing", &SiteOptions { backends: &[unused_address()], ..SiteOptions::default() });
     assert_eq!(Client::connect(refusing.listen).request(&get_request("/v1/loans/7")).status(), 503);
 
-    let (silent, _seen) = start_backend(read_message, |_| Behaviour::NoReply);
+    let (silent, _events) = start_backend(read_message, |_| Behaviour::NoReply);
     let late =
         start_site("late", &SiteOptions { backends: &[silent], deadline_ms: 400, ..SiteOptions::default() });
     let started_at = std::time::Instant::now();
     assert_eq!(Client::connect(late.listen).request(&get_request("/v1/loans/7")).status(), 504);
-    // The policy's tests check the exact deadline. On a machine under load the response may arrive later.
+    // The policy's tests check the exact deadline. On a machine under load the response may be late.
     assert!(started_at.elapsed().as_millis() < 1500, "{:?}", started_at.elapsed());
 }
 
 #[test]
 fn only_idempotent_classes_are_retried() {
-    let (first, first_seen) = start_backend(read_message, |_| Behaviour::Close);
-    let (second, second_seen) = start_backend(read_message, |_| Behaviour::Close);
+    let (first, first_events) = start_backend(read_message, |_| Behaviour::Close);
+    let (second, second_events) = start_backend(read_message, |_| Behaviour::Close);
     let site = start_site("repeat", &SiteOptions { backends: &[first, second], ..SiteOptions::default() });
-    let count = || all_requests(&first_seen).len() + all_requests(&second_seen).len();
+    let request_count = || all_requests(&first_events).len() + all_requests(&second_events).len();
     let notice = "POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(Client::connect(site.listen).request(notice).status(), 502);
-    assert_eq!(count(), 1, "it may have been executed");
+    assert_eq!(request_count(), 1, "a request that may have run is not retried");
     assert_eq!(Client::connect(site.listen).request(&get_request("/v1/loans/7")).status(), 502);
-    assert_eq!(count(), 2, "once at each backend");
+    assert_eq!(request_count(), 2, "one attempt at each backend");
 }
 
 #[test]
-fn keeps_connections_alive_and_answers_pipelined_requests_in_order() {
-    let (at, _seen) = start_echo_backend();
-    let site = start_site("keep", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+fn connections_are_kept_alive_and_pipelined_requests_are_answered_in_order() {
+    let (address, _events) = start_echo_backend();
+    let site = start_site("keep", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(
         (get_request("/v1/loans/1")
@@ -351,12 +365,12 @@
             + &get_request("/v1/loans/3"))
             .as_bytes(),
     );
-    let statuses =
+    let responses =
         [client.read_response(), client.read_response(), client.read_response(), client.read_response()];
-    assert_eq!(statuses[0].text(), "GET /v1/loans/1 HTTP/1.1");
-    assert_eq!(statuses[1].text(), "GET /v1/loans/2 HTTP/1.1");
-    assert_eq!(statuses[2].status(), 404);
-    assert_eq!(statuses[3].text(), "GET /v1/loans/3 HTTP/1.1");
+    assert_eq!(responses[0].text(), "GET /v1/loans/1 HTTP/1.1");
+    assert_eq!(responses[1].text(), "GET /v1/loans/2 HTTP/1.1");
+    assert_eq!(responses[2].status(), 404);
+    assert_eq!(responses[3].text(), "GET /v1/loans/3 HTTP/1.1");
     let last =
         client.request(&get_request("/v1/loans/4").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     assert_eq!((last.status(), last.field("connection")), (200, Some("close")));
@@ -364,44 +378,44 @@
 }
 
 #[test]
-fn a_client_that_waits_for_100_continue_gets_it_and_head_has_no_body() {
-    let (at, seen) = start_backend(read_message, |request| {
-        let head = request.first_line.starts_with("HEAD");
-        Behaviour::Reply(if head {
+fn a_client_that_expects_100_continue_gets_it_and_a_head_response_has_no_body() {
+    let (address, events) = start_backend(read_message, |request| {
+        let is_head = request.first_line.starts_with("HEAD");
+        Behaviour::Reply(if is_head {
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_vec()
         } else {
             ok_response("hello")
         })
     });
-    let site = start_site("continue", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+    let site = start_site("continue", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(b"POST /v1/loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    assert_eq!(read_message_head(&mut client.reader).expect("an interim answer").status(), 100);
+    assert_eq!(read_message_head(&mut client.reader).expect("an interim response arrives").status(), 100);
     assert_eq!(client.request("hi").text(), "hello");
-    assert_eq!(next_request(&seen).body, b"hi");
+    assert_eq!(next_request(&events).body, b"hi");
     client.send(get_request("/v1/loans/7").replace("GET", "HEAD").as_bytes());
-    let head = read_message_head(&mut client.reader).expect("an answer");
+    let head = read_message_head(&mut client.reader).expect("a response arrives");
     assert_eq!((head.status(), head.field("content-length")), (200, Some("5")));
     assert_eq!(client.request(&get_request("/v1/loans/7")).text(), "hello");
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    let (at, seen) = start_backend(read_message, |_| Behaviour::NoReply);
-    let site = start_site("leaves", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+    let (address, events) = start_backend(read_message, |_| Behaviour::NoReply);
+    let site = start_site("leaves", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(get_request("/v1/loans/7").as_bytes());
-    next_request(&seen);
+    next_request(&events);
     drop(client);
-    assert!(matches!(receive(&seen), BackendEvent::RequestAbandoned));
+    assert!(matches!(receive(&events), BackendEvent::RequestAbandoned));
 }
 
-/// Clients must not occupy sockets by sending a request byte by byte, or not at all.
+/// Clients must not occupy sockets by sending a request byte by byte or only in part.
 #[test]
-fn a_slow_request_gets_408_and_idle_connections_stay() {
-    let (at, _seen) = start_echo_backend();
+fn an_incomplete_request_gets_408_and_idle_connections_stay_open() {
+    let (address, _events) = start_echo_backend();
     let site =
-        start_site("slow", &SiteOptions { backends: &[at], patience_ms: 200, ..SiteOptions::default() });
+        start_site("slow", &SiteOptions { backends: &[address], patience_ms: 200, ..SiteOptions::default() });
     let mut idle = Client::connect(site.listen);
     assert_eq!(idle.request(&get_request("/v1/loans/7")).status(), 200);
     let mut slow = Client::connect(site.listen);
@@ -410,72 +424,72 @@
     assert_eq!(idle.request(&get_request("/v1/loans/7")).status(), 200);
 }
 
-/// Clients that never close their connections must not keep out new ones, as a full table did once.
+/// Regression: clients that never closed their connections filled the connection table and kept out new ones.
 #[test]
-fn idle_connections_make_room_for_new_ones() {
+fn idle_connections_are_closed_to_admit_new_clients() {
     let site = start_site("room", &SiteOptions { sockets: 128, ..SiteOptions::default() });
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(site.listen)).collect();
     clients.iter_mut().for_each(|client| client.send(get_request("/v1/nothing").as_bytes()));
-    // There are more clients than the table has room for: later ones are answered once the first are idle for long enough.
+    // There are more clients than the table holds: later ones are answered once the first ones have been idle for long enough.
     for client in &mut clients {
         assert_eq!(client.read_response().status(), 404);
     }
 }
 
 #[test]
-fn critical_and_deregistered_instances_drain_and_new_ones_serve() {
-    let (old, old_seen) = start_echo_backend();
-    let (new, new_seen) = start_echo_backend();
+fn critical_and_deregistered_instances_are_drained_and_new_ones_serve() {
+    let (old, old_events) = start_echo_backend();
+    let (new, new_events) = start_echo_backend();
     let consul = "sudden_hold_ms = 300";
     let site = start_site("consul", &SiteOptions { backends: &[old], consul, ..SiteOptions::default() });
-    let ask = || Client::connect(site.listen).request(&get_request("/v1/loans/7")).status();
-    assert_eq!(ask(), 200);
-    next_request(&old_seen);
+    let request_status = || Client::connect(site.listen).request(&get_request("/v1/loans/7")).status();
+    assert_eq!(request_status(), 200);
+    next_request(&old_events);
     site.consul.update_instances(11, |instances| {
         instances[0].status = CheckStatus::Critical;
         instances.push(service("loans-new", new));
     });
-    // The idle connection is closed after the change is known. The new backend appears with the change or shortly after.
-    assert!(matches!(receive(&old_seen), BackendEvent::ConnectionClosed));
+    // The idle connection is closed once the change is known. The new backend becomes eligible with the change or shortly after.
+    assert!(matches!(receive(&old_events), BackendEvent::ConnectionClosed));
     site.program.wait_for_log("endpoint list changed service=loan-server listed=2 eligible_count=1");
-    assert_eq!(ask(), 200);
-    next_request(&new_seen);
+    assert_eq!(request_status(), 200);
+    next_request(&new_events);
     site.consul.update_instances(12, |instances| drop(instances.remove(0)));
     site.program.wait_for_log("endpoint list changed service=loan-server listed=1 eligible_count=1");
-    assert_eq!(ask(), 200);
-    assert!(all_requests(&old_seen).is_empty(), "the critical instance got no further request");
+    assert_eq!(request_status(), 200);
+    assert!(all_requests(&old_events).is_empty(), "the critical instance got no further request");
     site.consul.update_instances(13, Vec::clear);
     site.program.wait_for_log("endpoint list changed service=loan-server listed=0 eligible_count=0");
-    assert_eq!(ask(), 503);
+    assert_eq!(request_status(), 503);
 }
 
 #[test]
 fn an_outage_of_consul_keeps_the_last_list_and_a_lower_index_resets_the_watch() {
-    let (at, _seen) = start_echo_backend();
-    let (new, new_seen) = start_echo_backend();
+    let (address, _events) = start_echo_backend();
+    let (new, new_events) = start_echo_backend();
     let consul = "sudden_hold_ms = 300";
-    let site = start_site("outage", &SiteOptions { backends: &[at], consul, ..SiteOptions::default() });
-    let ask = || Client::connect(site.listen).request(&get_request("/v1/loans/7")).status();
+    let site = start_site("outage", &SiteOptions { backends: &[address], consul, ..SiteOptions::default() });
+    let request_status = || Client::connect(site.listen).request(&get_request("/v1/loans/7")).status();
     // The first query has no index, and the second one blocks on the returned index.
-    let first = [receive(&site.queries), receive(&site.queries)];
+    let first_queries = [receive(&site.queries), receive(&site.queries)];
     let path = "GET /v1/health/service/loan-server";
-    assert_eq!(first, [path.to_owned(), format!("{path}?index=10&wait=10000ms")]);
+    assert_eq!(first_queries, [path.to_owned(), format!("{path}?index=10&wait=10000ms")]);
     site.consul.listener.fail(Fault::Status(500));
     site.program.wait_for_log("previous list kept in force");
-    assert_eq!(ask(), 200);
-    // Consul is restored from a snapshot: the index has decreased, and the list has another instance.
+    assert_eq!(request_status(), 200);
+    // Consul has been restored from a snapshot: the index has decreased, and the list has another instance.
     site.consul.update_instances(5, |instances| *instances = vec![service("loans-new", new)]);
     site.consul.listener.fail(Fault::None);
     site.program.wait_for_log("endpoint list changed service=loan-server listed=1 eligible_count=1");
-    while all_requests(&new_seen).is_empty() {
-        assert_eq!(ask(), 200);
+    while all_requests(&new_events).is_empty() {
+        assert_eq!(request_status(), 200);
     }
 }
 
 #[test]
-fn a_query_without_index_follows_an_index_that_decreased() {
-    let (at, _seen) = start_echo_backend();
-    let site = start_site("backwards", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+fn the_watch_sends_a_query_without_an_index_after_the_index_decreased() {
+    let (address, _events) = start_echo_backend();
+    let site = start_site("backwards", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     (0..2).for_each(|_| drop(receive(&site.queries)));
     site.consul.update_instances(3, |_| {});
     // One query without an index, then one that waits on the new index.
@@ -483,11 +497,12 @@
     assert!(!targets[0].contains("index=") && targets[1].contains("index=3&"), "{targets:?}");
 }
 
-/// SIGHUP reloads the platform's front. Here it must be ignored.
+/// SIGHUP reloads the configuration of the RESP2 front. With the OpenAPI front and no cluster there is nothing to reload, and the signal
+/// must be ignored.
 #[test]
-fn sighup_does_not_end_the_program() {
-    let (at, _seen) = start_echo_backend();
-    let mut site = start_site("hangup", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+fn sighup_without_a_cluster_is_ignored() {
+    let (address, _events) = start_echo_backend();
+    let mut site = start_site("hangup", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     site.program.signal("-HUP");
     site.program.wait_for_log("reload ignored, changes need a restart");
@@ -514,12 +529,12 @@
     let (succeeded, output) = check(&[&LOANS
         .replace(r#""operationId": "schedule", "x-snowfield-units": 2.5"#, r#""operationId": "schedule""#)]);
     assert!(!succeeded && output.contains("\"schedule\"") && output.contains("d0.json"), "{output}");
-    // Two descriptions with the same route, apart from the name of a parameter. The error names both.
-    let other = LOANS.replace("{loan}", "{number}").replace("/loans/all", "/loans/every");
-    let (succeeded, output) = check(&[LOANS, &other]);
+    // Two descriptions with the same route except for the name of a parameter. The error names both.
+    let same_routes = LOANS.replace("{loan}", "{number}").replace("/loans/all", "/loans/every");
+    let (succeeded, output) = check(&[LOANS, &same_routes]);
     assert!(!succeeded && output.contains("d0.json") && output.contains("d1.json"), "{output}");
     assert!(output.contains("/v1/loans/{loan}") && output.contains("/v1/loans/{number}"), "{output}");
-    // An unknown class, and a cost that no plan admits.
+    // An unknown class, and a number of units that no plan admits.
     let (succeeded, output) = check(&[&LOANS
         .replace("\"notice\"}", "\"other\"}")
         .replace("-class\": \"notice\"", "-class\": \"other\"")]);
@@ -527,7 +542,7 @@
     let (succeeded, output) =
         check(&[&LOANS.replace("\"x-snowfield-units\": 3", "\"x-snowfield-units\": 500")]);
     assert!(!succeeded && output.contains("500 units"), "{output}");
-    // An invalid configuration file.
+    // A settings file with an unknown plan.
     let text = config_text(unused_address(), unused_address(), &SiteOptions::default())
         .replace("plan = \"basic\"", "plan = \"gold\"");
     let (succeeded, output) = run(&["serve", &directory.write("openapi.toml", &text)], &[]);
@@ -554,9 +569,9 @@
     assert!(!succeeded && output.contains("snowfield serve FILE"), "{output}");
 }
 
-/// A response without a length ends with its connection, but a reset does not complete it.
+/// A response without a length is complete when its connection is closed, but not when the connection is reset.
 #[test]
-fn a_response_without_a_length_that_is_reset_counts_as_failed() {
+fn a_response_without_a_length_counts_as_failed_after_a_reset() {
     for (reset, is_complete) in [(false, true), (true, false)] {
         let backend = start_listener(move |stream| {
             let mut requests = std::io::BufReader::new(stream.try_clone().expect("the socket can be cloned"));
@@ -567,53 +582,59 @@
                 );
                 if reset {
                     let no_linger = Some(std::time::Duration::ZERO);
-                    socket2::SockRef::from(&stream).set_linger(no_linger).expect("the option is set");
+                    socket2::SockRef::from(&stream)
+                        .set_linger(no_linger)
+                        .expect("the linger option can be set");
                 }
             }
         });
         let site = start_site("no-length", &SiteOptions { backends: &[backend], ..SiteOptions::default() });
-        let got = Client::connect(site.listen).request(&get_request("/v1/loans/7"));
-        assert_eq!((got.status(), got.text() == "half"), (if is_complete { 200 } else { 502 }, is_complete));
+        let response = Client::connect(site.listen).request(&get_request("/v1/loans/7"));
+        assert_eq!(
+            (response.status(), response.text() == "half"),
+            (if is_complete { 200 } else { 502 }, is_complete)
+        );
     }
 }
 
-/// No attempt starts for requests of clients that have disconnected, including pipelined ones.
+/// No attempt starts for a request whose client has disconnected before it is read, also if it is pipelined.
 #[test]
 fn a_request_of_a_disconnected_client_is_not_started() {
-    let (at, seen) = start_echo_backend();
-    let site = start_site("gone", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+    let (address, events) = start_echo_backend();
+    let site = start_site("gone", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut connected = Client::connect(site.listen);
     assert_eq!(connected.request(&get_request("/v1/loans/1")).status(), 200);
     let mut disconnecting = Client::connect(site.listen);
     assert_eq!(disconnecting.request(&get_request("/v1/loans/2")).status(), 200);
-    all_requests(&seen);
+    all_requests(&events);
     site.program.suspend();
     disconnecting.send(&[get_request("/v1/loans/gone"), get_request("/v1/loans/gone")].concat().into_bytes());
-    let mut new = Client::connect(site.listen);
-    new.send(get_request("/v1/loans/gone").as_bytes());
-    drop((disconnecting, new));
+    let mut disconnected = Client::connect(site.listen);
+    disconnected.send(get_request("/v1/loans/gone").as_bytes());
+    drop((disconnecting, disconnected));
     site.program.signal("-CONT");
     for _ in 0..5 {
         assert_eq!(connected.request(&get_request("/v1/loans/3")).status(), 200);
     }
     let targets: Vec<String> =
-        all_requests(&seen).iter().map(|request| request.target().to_owned()).collect();
+        all_requests(&events).iter().map(|request| request.target().to_owned()).collect();
     assert_eq!(targets, ["/v1/loans/3"; 5]);
 }
 
-/// The last response is sent. Requests after it are surely unread, so that their client may send them again.
+/// The response to the request in flight is sent. Requests after it are not read, so that their client may safely send them again.
 #[test]
-fn during_shutdown_no_request_after_the_last_response_is_accepted() {
+fn at_shutdown_no_request_after_the_last_response_is_accepted() {
     let (release, released) = std::sync::mpsc::channel();
     let released = std::sync::Mutex::new(Some(released));
-    let (at, seen) = start_backend(read_message, move |request| {
-        let released = released.lock().expect("the lock is not poisoned").take().expect("one request");
+    let (address, events) = start_backend(read_message, move |request| {
+        let released =
+            released.lock().expect("the lock is not poisoned").take().expect("the backend gets one request");
         Behaviour::ReplyAfter(released, ok_response(&request.first_line))
     });
-    let mut site = start_site("ends", &SiteOptions { backends: &[at], ..SiteOptions::default() });
+    let mut site = start_site("ends", &SiteOptions { backends: &[address], ..SiteOptions::default() });
     let mut client = Client::connect(site.listen);
     client.send(get_request("/v1/loans/1").as_bytes());
-    next_request(&seen);
+    next_request(&events);
     let mut idle = Client::connect(site.listen);
     assert_eq!(idle.request(&get_request("/v1/nothing")).status(), 404);
     site.program.terminate();
@@ -622,9 +643,10 @@
     release.send(()).expect("the stand-in waits for the release");
     assert_eq!(client.read_response().status(), 200);
     let mut rest = Vec::new();
-    std::io::Read::read_to_end(&mut client.reader, &mut rest).expect("an end and no reset");
+    std::io::Read::read_to_end(&mut client.reader, &mut rest)
+        .expect("the connection is closed without a reset");
     assert!(rest.is_empty());
     drop(client);
     assert_eq!(site.program.wait(), Some(0));
-    assert!(all_requests(&seen).is_empty(), "the request after it is surely unread");
+    assert!(all_requests(&events).is_empty(), "the request after the last response is not forwarded");
 }
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -17,7 +17,7 @@
 const LOANS: &str = r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},
   "paths":{"/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}}}}"#;
 
-/// The settings file of a program, with these further tables.
+/// The text of a settings file with these further tables.
 fn settings_file(consul: SocketAddr, further_tables: &str) -> String {
     format!(
         "listen = \"127.0.0.1:0\"\nstatus = \"{}\"\ndescriptions = [\"loans.json\"]\nlender_header = \"X-Lender\"\n\
@@ -47,7 +47,7 @@
     names.iter().map(job_table).collect()
 }
 
-/// Returns addresses that no other test gets, free over UDP too.
+/// Addresses for UDP sockets that no other test gets.
 fn free_udp_addresses(count: usize) -> Vec<SocketAddr> {
     (0..count).map(|_| unused_address()).collect()
 }
@@ -98,7 +98,7 @@
     fn wait_for_loan_request(&self) {
         let deadline = Instant::now() + TIMEOUT;
         while self.take_loan_requests() == 0 {
-            assert!(Instant::now() < deadline, "{} gets no request", self.address);
+            assert!(Instant::now() < deadline, "backend {} gets no request", self.address);
             std::thread::yield_now();
         }
     }
@@ -119,9 +119,9 @@
 const HEALTH_CHECK_TABLE: &str =
     "[probe]\npath = \"/health\"\nperiod_ms = 100\ntimeout_ms = 80\ndown_after = 2\nmost_out = 0.34\n";
 
-/// Guards the limit on the delay of an ejection: no new requests later than 1 s after the status is logged.
+/// Guards the limit on the delay of an ejection: the backend gets no new requests later than 1 s after the ejection is logged.
 #[test]
-fn an_unhealthy_backend_gets_no_requests_and_at_most_the_fraction_is_ejected() {
+fn an_unhealthy_backend_gets_no_requests_and_ejections_are_limited_to_a_fraction() {
     let servers: Vec<LoanServer> = (0..3).map(|_| LoanServer::start()).collect();
     let consul = Consul::start();
     consul.set_service(11, "loan-server", services(&servers));
@@ -152,8 +152,8 @@
     }
     servers[1].take_loan_requests();
     (0..20).for_each(|_| servers[2].wait_for_loan_request());
-    assert_eq!(servers[1].take_loan_requests(), 0, "ejected");
-    // A second backend fails. The limit is one of three, so it stays in use.
+    assert_eq!(servers[1].take_loan_requests(), 0, "an ejected backend gets no requests");
+    // A second backend fails. At most one of three may be ejected, so this one stays in use.
     servers[0].set_healthy(false);
     program.wait_for_log("health check failing backend=a/loans-0");
     servers[0].take_loan_requests();
@@ -172,21 +172,21 @@
     id: u64,
 }
 
-/// The names of the instances that started each run.
+/// For each run, the names of the instances that started it.
 type Starts = BTreeMap<Run, Vec<String>>;
 
 /// Adds the runs that the target has received since the last call.
 fn collect_runs(events: &Receiver<BackendEvent<Message>>, starts: &mut Starts) {
     for request in all_requests(events) {
-        let field = |name: &str| request.field(name).expect("the field").to_owned();
-        let id = field("snowfield-round").parse().expect("a number");
+        let field = |name: &str| request.field(name).expect("a job request has the field").to_owned();
+        let id = field("snowfield-round").parse().expect("the id of a run is a number");
         let run = Run { job: field("snowfield-duty"), id };
         starts.entry(run).or_default().push(field("snowfield-by"));
     }
 }
 
 #[test]
-fn each_run_starts_once_despite_a_killed_instance_a_pause_and_data_loss_of_the_store() {
+fn each_run_starts_once_despite_killed_and_paused_instances_and_data_loss_of_the_store() {
     const PERIOD_MS: u64 = 300;
     let (target, events) = start_backend(read_message, |_| ok_reply());
     let consul = Consul::start();
@@ -210,11 +210,11 @@
         let mut starts = Starts::new();
         let runs_of = |starts: &Starts, name: &String| starts.keys().filter(|run| run.job == *name).count();
         while names.iter().any(|name| runs_of(&starts, name) < count) {
-            assert!(Instant::now() < deadline, "{count} runs in time: {starts:?}");
-            if let Ok(first) = events.recv_timeout(TIMEOUT) {
-                let (sender, first_event) = std::sync::mpsc::channel();
-                sender.send(first).expect("the receiver exists");
-                collect_runs(&first_event, &mut starts);
+            assert!(Instant::now() < deadline, "each job has {count} runs in time: {starts:?}");
+            if let Ok(event) = events.recv_timeout(TIMEOUT) {
+                let (sender, received_event) = std::sync::mpsc::channel();
+                sender.send(event).expect("the receiver exists");
+                collect_runs(&received_event, &mut starts);
                 collect_runs(&events, &mut starts);
             }
         }
@@ -238,7 +238,7 @@
     store_listeners.iter().for_each(|listener| listener.fail(Fault::None));
     programs[0].wait_for_log("leases invalidated, reading them again");
     wait_for_runs_of_each_job(4);
-    // Responses to applied writes are lost.
+    // Responses to writes that were applied are lost.
     store_listeners.iter().for_each(|listener| listener.fail_writes(Fault::ResponseLost, 4));
     wait_for_runs_of_each_job(3);
     // One instance leaves, and the other takes over all jobs.
@@ -248,11 +248,11 @@
     assert_eq!(programs[1].wait(), Some(0));
     let repeated: Vec<_> = all_starts.iter().filter(|(_, instances)| instances.len() > 1).collect();
     assert!(repeated.is_empty(), "{repeated:?}");
-    assert!(all_starts.len() > 12 * 20, "{} runs", all_starts.len());
+    assert!(all_starts.len() > 12 * 20, "only {} runs", all_starts.len());
 }
 
 #[test]
-fn health_status_reaches_the_instances_that_do_not_check() {
+fn the_health_status_reaches_instances_that_do_not_check_the_backend() {
     let servers: Vec<LoanServer> = (0..3).map(|_| LoanServer::start()).collect();
     let consul = Consul::start();
     consul.set_service(11, "loan-server", services(&servers));
@@ -299,12 +299,12 @@
     let error = program.wait_for_log("reload failed, previous configuration kept in force");
     assert!(error.contains("\\\"new\\\" comes twice"), "{error}");
     write_jobs(&["new"]);
-    // A rotation in progress: this instance signs with the new key and accepts both.
+    // A key rotation in progress: this instance signs with the new key and accepts both keys.
     directory.write("cluster.key", &format!("{}\n{KEY}\n", "ab".repeat(32)));
     program.signal("-HUP");
     program.wait_for_log("configuration reloaded, other changes need a restart jobs=1 keys=true");
     while next_request(&events).field("snowfield-duty") != Some("new") {}
-    // Another instance with the old key alone rejects the datagrams of this one.
+    // Another instance that only has the old key rejects the datagrams of this one.
     directory.write("old.key", KEY);
     let cluster =
         cluster_table("m1", gossip_addresses[1], &gossip_addresses).replace("cluster.key", "old.key");
@@ -312,7 +312,7 @@
     let other = Program::start(&["serve", &directory.write("m1.toml", &file)], &[]);
     other.wait_for_log("datagram dropped, message authentication failed");
     let (succeeded, status) = run(&["status", &write_jobs(&["new"])], &[]);
-    assert!(!succeeded, "the status address changes only with a restart: {status}");
+    assert!(!succeeded, "the status address of the changed file applies only after a restart: {status}");
     program.terminate();
     assert_eq!(program.wait(), Some(0));
 }
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn an_unusable_file_is_rejected_with_its_reason() {
+fn an_invalid_settings_file_is_rejected_with_the_reason() {
     let directory = test_directory("refused");
     let address = unused_address();
     let cluster = cluster_table("m0", address, &[address]);
@@ -391,16 +391,16 @@
         (HEALTH_CHECK_TABLE.replace("0.34", "1.0"), "may never take out all"),
         (HEALTH_CHECK_TABLE.replace("0.34", "nan"), "may never take out all"),
     ] {
-        // `serve` also checks the files that the settings refer to. It must exit without a signal.
+        // Unlike `check`, `serve` also reads the files that the settings refer to. It must exit by itself.
         let (succeeded, output) =
             run(&["serve", &directory.write("a.toml", &settings_file(address, &tables))], &[]);
         assert!(!succeeded && output.contains(reason), "{reason}: {output}");
     }
 }
 
-/// Guards installations with ACLs: calls to the lease store carry the token, and a changed token applies without a restart.
+/// With ACLs in the lease store, calls must carry the token, and a changed token must apply without a restart.
 #[test]
-fn lease_calls_use_the_current_token() {
+fn calls_to_the_lease_store_use_the_current_token() {
     let (target, events) = start_backend(read_message, |_| ok_reply());
     let (store, catalogue) = (Consul::start(), Consul::start());
     store.update(|state| state.token = Some("secret-1".into()));
@@ -414,7 +414,7 @@
     let program = Program::start(&["serve", &path], &[]);
     program.wait_for_log("serving OpenAPI on ");
     program.wait_for_log("403");
-    assert_eq!(all_requests(&events).len(), 0, "no lease, no run");
+    assert_eq!(all_requests(&events).len(), 0, "no job runs without a lease");
     directory.write("claims.token", "secret-1\n");
     next_request(&events);
     store.update(|state| state.token = Some("secret-2".into()));
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -23,7 +23,7 @@
     let (before, after) = forwarded[3].split_once(",d=").expect("the field d keeps its place");
     let (time_left, after) = after.split_once(',').expect("the fields after d are kept");
     assert_eq!((before, after), ("c=lookup,t=team", "units=2,spread=1,first=0"));
-    let time_left: u32 = time_left.parse().expect("milliseconds");
+    let time_left: u32 = time_left.parse().expect("the time left is in milliseconds");
     assert!((1..480).contains(&time_left), "the time that the gatekeeper waits for the reply: {time_left}");
 }
 
@@ -183,7 +183,8 @@
     assert_eq!(client.read_reply(), request_id(1));
     client.send(&query(2, 2400, 8));
     let reply = client.read_reply();
-    let retry_after: u32 = reply.strip_prefix("-BUSY ").expect("a busy reply").parse().expect("milliseconds");
+    let retry_after: u32 =
+        reply.strip_prefix("-BUSY ").expect("a -BUSY reply").parse().expect("the delay is in milliseconds");
     assert!((1..=1000).contains(&retry_after), "a delay that clients honour: {retry_after}");
     assert_eq!(all_requests(&events).len(), 1, "a rejected request is not forwarded");
 }
--- a/crates/snowfield/tests/policy_snapshot.rs
+++ b/crates/snowfield/tests/policy_snapshot.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the policy's snapshot with version 0.1.0: later versions read it, continue from it, and write the same bytes
-//! after the same events.
+//! Compatibility of the policy's snapshot with version 0.1.0: later versions read that version's snapshot, continue from it, and write the
+//! same bytes after the same events.
 
 use policy::{
     Action, BackendEntry, BackendId, Event, Idempotency, ListKind, Micros, Outcome, Plan, Policy,
@@ -51,15 +51,15 @@
     (1..=5).map(entry).collect()
 }
 
-/// A policy with the endpoint list.
-fn policy(now: Timestamp) -> Policy {
-    let mut policy = Policy::new(settings(), SEED, now).expect("the settings can be used");
+/// A policy that has received the endpoint list.
+fn policy_with_endpoints(now: Timestamp) -> Policy {
+    let mut policy = Policy::new(settings(), SEED, now).expect("the settings are valid");
     let event = Event::Endpoints { kind: ListKind::Full, entries: entries() };
     policy.handle(now, event, &mut Vec::new());
     policy
 }
 
-/// The outcome of a request's attempt at a backend.
+/// The outcome of a request's attempt at a backend, fixed by their ids.
 fn outcome(request: RequestId, backend: BackendId) -> Outcome {
     match (request.0 + backend.0) % 11 {
         0 => Outcome::Error,
@@ -71,7 +71,7 @@
 }
 
 /// Applies an event and the events that follow from its actions: ends of attempts, and replies of the counter.
-fn feed(
+fn apply_event(
     policy: &mut Policy,
     now: Timestamp,
     event: Event,
@@ -85,9 +85,9 @@
         for action in actions {
             match action {
                 Action::Send { id, backend, .. } => {
-                    let next = attempts.entry(id).or_default();
-                    let (attempt, outcome) = (*next, outcome(id, backend));
-                    *next += 1;
+                    let next_attempt = attempts.entry(id).or_default();
+                    let (attempt, outcome) = (*next_attempt, outcome(id, backend));
+                    *next_attempt += 1;
                     let (answered, load) = (outcome == Outcome::Ok, Vec::new());
                     let elapsed = (20 + Micros::from(id.0 % 7) * 10) * MS;
                     events.push(Event::AttemptEnded {
@@ -118,7 +118,7 @@
 
 /// A policy after a fixed sequence of events, and the time of the last one.
 fn policy_after_events() -> (Policy, Timestamp) {
-    let mut policy = policy(START);
+    let mut policy = policy_with_endpoints(START);
     let (mut now, mut attempts, mut total) = (START, HashMap::new(), 0.0);
     for id in 0..400 {
         now += 13 * MS;
@@ -136,8 +136,8 @@
             units,
             client_retry,
         };
-        feed(&mut policy, now, event, &mut attempts, &mut total);
-        feed(&mut policy, now, Event::Timer { token: 0 }, &mut attempts, &mut total);
+        apply_event(&mut policy, now, event, &mut attempts, &mut total);
+        apply_event(&mut policy, now, Event::Timer { token: 0 }, &mut attempts, &mut total);
     }
     (policy, now)
 }
@@ -147,12 +147,12 @@
 }
 
 fn encode(snapshot: &PolicySnapshot) -> Vec<u8> {
-    postcard::to_stdvec(snapshot).expect("a snapshot has a form")
+    postcard::to_stdvec(snapshot).expect("a snapshot can be encoded")
 }
 
 #[test]
 fn reads_the_snapshot_of_version_0_1_0_and_writes_the_same_bytes() {
-    let snapshot = decode(FIXTURE).expect("it can be read");
+    let snapshot = decode(FIXTURE).expect("the fixture can be decoded");
     assert_eq!(encode(&snapshot), FIXTURE);
 }
 
@@ -163,25 +163,25 @@
 }
 
 #[test]
-fn renumbers_the_snapshot_of_version_0_1_0_and_goes_on_from_it() {
+fn renumbers_the_snapshot_of_version_0_1_0_and_continues_from_it() {
     let (_, now) = policy_after_events();
     let backends: HashMap<BackendId, BackendId> =
         (1..=5).map(|id| (BackendId(id), BackendId(6 - id))).collect();
     let plans = [Some(1), Some(0)];
     let classes = [Some(0), Some(1), Some(2)];
-    let renumbered = decode(FIXTURE).expect("it can be read").remap(&backends, &plans, &classes);
+    let renumbered = decode(FIXTURE).expect("the fixture can be decoded").remap(&backends, &plans, &classes);
     assert_ne!(encode(&renumbered), FIXTURE);
-    let mut successor = policy(now);
-    successor.take_over(now, decode(FIXTURE).expect("it can be read"));
+    let mut successor = policy_with_endpoints(now);
+    successor.take_over(now, decode(FIXTURE).expect("the fixture can be decoded"));
     assert_eq!(encode(&successor.hand_over()), SUCCESSOR);
-    let mut other = policy(now);
-    other.take_over(now, renumbered);
-    assert_eq!(encode(&other.hand_over()), RENUMBERED);
+    let mut renumbered_successor = policy_with_endpoints(now);
+    renumbered_successor.take_over(now, renumbered);
+    assert_eq!(encode(&renumbered_successor.hand_over()), RENUMBERED);
 }
 
 /// The snapshot of a successor right after it has taken over the fixture.
 const SUCCESSOR: &[u8] = include_bytes!("fixtures/policy-snapshot-successor.postcard");
-/// The same with renumbered backends and plans.
+/// The snapshot of a successor right after it has taken over the fixture with renumbered backends and plans.
 const RENUMBERED: &[u8] = include_bytes!("fixtures/policy-snapshot-renumbered.postcard");
 
 #[test]
@@ -194,13 +194,13 @@
 #[test]
 fn a_damaged_snapshot_of_version_0_1_0_is_taken_over_without_a_panic() {
     let (_, now) = policy_after_events();
-    for at in 0..FIXTURE.len() {
+    for index in 0..FIXTURE.len() {
         let mut damaged = FIXTURE.to_vec();
-        damaged[at] ^= 0xff;
+        damaged[index] ^= 0xff;
         if let Ok(snapshot) = decode(&damaged) {
-            let mut successor = policy(now);
+            let mut successor = policy_with_endpoints(now);
             successor.take_over(now, snapshot);
-            feed(&mut successor, now, Event::Timer { token: 0 }, &mut HashMap::new(), &mut 0.0);
+            apply_event(&mut successor, now, Event::Timer { token: 0 }, &mut HashMap::new(), &mut 0.0);
         }
     }
 }
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -1,4 +1,4 @@
-//! Timing rules of classes in the appliance's file: validated, explained and enforced.
+//! Timing rules of classes in the settings file of the OpenAPI front: validated, explained and enforced.
 
 mod common;
 
@@ -11,6 +11,7 @@
   "get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}},
   "post":{"x-snowfield-units":1,"x-snowfield-class":"notice","responses":{}}}}}"#;
 
+/// The text of a settings file with these further lines for the classes `lookup` and `notice`.
 fn config_text(consul: SocketAddr, lookup: &str, notice: &str) -> String {
     format!(
         "listen = \"127.0.0.1:0\"\ndescriptions = [\"loans.json\"]\nlender_header = \"X-Lender\"\n\
@@ -29,12 +30,12 @@
 }
 
 #[test]
-fn an_unusable_file_is_rejected_with_all_reasons_at_once() {
+fn an_invalid_settings_file_is_rejected_with_all_reasons() {
     let directory = directory_with_description("timing-bad");
     let lookup = "attempts = 3\nattempt_ms = 900\ncopy_after_ms = 1500";
     let text = config_text(unused_address(), lookup, "attempt_ms = 40\ncopy_after_ms = 30");
-    let (good, output) = run(&["check", &directory.write("a.toml", &text)], &[]);
-    assert!(!good);
+    let (succeeded, output) = run(&["check", &directory.write("a.toml", &text)], &[]);
+    assert!(!succeeded);
     for expected in [
         "class \"lookup\": 3 attempts of 900 ms take up to 2700 ms, and the client gives up after 2500; state fewer",
         "class \"lookup\": a copy after 1500 ms comes when the answer is no longer wanted (1200 ms)",
@@ -42,17 +43,17 @@
         "class \"notice\": an attempt of 40 ms ends before a connection may be made (50 ms)",
         "class \"notice\": a second copy of a request that must not run twice",
     ] {
-        assert!(output.contains(expected), "{expected:?} in {output}");
+        assert!(output.contains(expected), "no {expected:?} in {output}");
     }
 }
 
 #[test]
-fn explain_shows_the_source_of_each_figure_and_the_worst_case() {
+fn explain_shows_the_source_of_each_value_and_the_worst_case() {
     let directory = directory_with_description("timing-explain");
     let text = config_text(unused_address(), "attempts = 3\nattempt_ms = 800\ncopy_after_ms = 200", "");
     let path = directory.write("a.toml", &text);
-    let (good, output) = run(&["explain", &path, "GET", "/loans/7"], &[]);
-    assert!(good, "{output}");
+    let (succeeded, output) = run(&["explain", &path, "GET", "/loans/7"], &[]);
+    assert!(succeeded, "{output}");
     for expected in [
         "class lookup",
         "attempts       3, stated by class \"lookup\"",
@@ -60,55 +61,59 @@
         "   200 ms  a second copy may be sent",
         "  2400 ms  the client has its answer",
     ] {
-        assert!(output.contains(expected), "{expected:?} in {output}");
+        assert!(output.contains(expected), "no {expected:?} in {output}");
     }
     let (_, output) = run(&["explain", &path, "POST", "/loans/7"], &[]);
     assert!(output.contains("from limits.route_steps") && output.contains("may run again  no"), "{output}");
-    let (good, output) = run(&["explain", &path, "PUT", "/loans/7"], &[]);
-    assert!(!good && output.contains("GET, POST"), "{output}");
+    let (succeeded, output) = run(&["explain", &path, "PUT", "/loans/7"], &[]);
+    assert!(!succeeded && output.contains("GET, POST"), "{output}");
 }
 
-/// A backend that does not reply costs one attempt if the request may be retried; a request that may not is answered when its attempt
-/// times out.
+/// If a backend does not reply, the attempt ends at its time-out. An idempotent request is then retried, and any other request is answered
+/// with an error.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
     let (silent, events) = start_backend(read_message, |_| Behaviour::NoReply);
-    let (good, _events) = start_backend(read_message, |_| {
+    let (replying, _events) = start_backend(read_message, |_| {
         Behaviour::Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_vec())
     });
     let consul = Consul::start();
-    let set = |at: &[SocketAddr], index| {
-        let services =
-            at.iter().enumerate().map(|(i, at)| Service::new(&format!("loans-{i}"), *at)).collect();
+    let set_instances = |addresses: &[SocketAddr], index| {
+        let services = addresses
+            .iter()
+            .enumerate()
+            .map(|(i, address)| Service::new(&format!("loans-{i}"), *address))
+            .collect();
         consul.set_service(index, "loan-server", services);
     };
-    set(&[silent, good], 11);
+    set_instances(&[silent, replying], 11);
     let directory = directory_with_description("timing-kept");
-    let timing = "attempts = 2\nattempt_ms = 300\ncopy_after_ms = 290";
-    let text = config_text(consul.open().address, timing, "attempts = 1\nattempt_ms = 300");
+    let lookup_timing = "attempts = 2\nattempt_ms = 300\ncopy_after_ms = 290";
+    let text = config_text(consul.open().address, lookup_timing, "attempts = 1\nattempt_ms = 300");
     let program = Program::start(&["serve", &directory.write("a.toml", &text)], &[]);
     let listen: SocketAddr =
         program.wait_for_log("serving OpenAPI on ").parse().expect("a valid socket address");
     program.wait_for_log("eligible_count=2");
-    let ask = |method: &str| {
+    let send_request = |method: &str| {
         let started = Instant::now();
         let request = format!(
             "{method} /loans/7 HTTP/1.1\r\nHost: a\r\nX-Lender: al-noor\r\nContent-Length: 0\r\n\r\n"
         );
         (Client::connect(listen).request(&request).status(), started.elapsed().as_millis())
     };
-    let mut waited = 0;
-    while waited == 0 {
-        let (status, took) = ask("GET");
+    let mut silent_attempts = 0;
+    while silent_attempts == 0 {
+        let (status, took) = send_request("GET");
         assert_eq!(status, 200);
-        assert!(took < 1_200, "at most one attempt of 300 ms comes before: {took} ms");
-        waited = events.try_iter().filter(|s| matches!(s, BackendEvent::Request(_))).count();
+        assert!(took < 1_200, "at most one attempt of 300 ms precedes the response: {took} ms");
+        silent_attempts = events.try_iter().filter(|event| matches!(event, BackendEvent::Request(_))).count();
     }
-    // A rejected request never ran: try again.
+    // A rejected request has not run and can be sent again, and some requests reach the backend that replies. Requests are sent until
+    // one gets a server error.
     let started = Instant::now();
-    let (mut lost, mut took) = (200, 0);
-    while lost < 500 && started.elapsed() < TIMEOUT {
-        (lost, took) = ask("POST");
+    let (mut status, mut took) = (200, 0);
+    while status < 500 && started.elapsed() < TIMEOUT {
+        (status, took) = send_request("POST");
     }
-    assert!(lost >= 500 && (300..1_200).contains(&took), "{lost} after {took} ms");
+    assert!(status >= 500 && (300..1_200).contains(&took), "status {status} after {took} ms");
 }
