--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -1,4 +1,5 @@
-//! The OpenAPI front in the real program. The stand-ins for Consul, the counter and the backends follow their public specifications.
+//! The OpenAPI front in the real program. The stand-ins for Consul, the counter and the backends follow their public
+//! specifications.
 
 mod common;
 
@@ -497,8 +498,8 @@
     assert!(!targets[0].contains("index=") && targets[1].contains("index=3&"), "{targets:?}");
 }
 
-/// SIGHUP reloads the configuration of the RESP2 front. With the OpenAPI front and no cluster there is nothing to reload, and the signal
-/// must be ignored.
+/// SIGHUP reloads the configuration of the RESP2 front. With the OpenAPI front and no cluster there is nothing to reload, and the
+/// signal must be ignored.
 #[test]
 fn sighup_without_a_cluster_is_ignored() {
     let (address, _events) = start_echo_backend();
@@ -621,7 +622,8 @@
     assert_eq!(targets, ["/v1/loans/3"; 5]);
 }
 
-/// The response to the request in flight is sent. Requests after it are not read, so that their client may safely send them again.
+/// The response to the request in flight is sent. Requests after it are not read, so that their client may safely send them
+/// again.
 #[test]
 fn at_shutdown_no_request_after_the_last_response_is_accepted() {
     let (release, released) = std::sync::mpsc::channel();
--- a/crates/snowfield/tests/catalogue.rs
+++ b/crates/snowfield/tests/catalogue.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists during faults of Consul in the real program, and several services of one gatekeeper. `make proof-catalogue` tests the
-//! faults at length.
+//! Endpoint lists during faults of Consul in the real program, and several services of one gatekeeper. `make proof-catalogue`
+//! tests the faults at length.
 
 mod common;
 
--- a/crates/snowfield/tests/cluster.rs
+++ b/crates/snowfield/tests/cluster.rs
@@ -391,7 +391,7 @@
         (HEALTH_CHECK_TABLE.replace("0.34", "1.0"), "may never take out all"),
         (HEALTH_CHECK_TABLE.replace("0.34", "nan"), "may never take out all"),
     ] {
-        // Unlike `check`, `serve` also reads the files that the settings refer to. It must exit by itself.
+        // `serve` also checks the files that the settings refer to. It must exit without a signal.
         let (succeeded, output) =
             run(&["serve", &directory.write("a.toml", &settings_file(address, &tables))], &[]);
         assert!(!succeeded && output.contains(reason), "{reason}: {output}");
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -219,7 +219,8 @@
     RequestAbandoned,
 }
 
-/// Starts a stand-in for a backend: it reads requests with `read`, reacts to each by the result of `react`, and reports its events.
+/// Starts a stand-in for a backend: it reads requests with `read`, reacts to each by the result of `react`, and reports its
+/// events.
 pub fn start_backend<T: Clone + Send + 'static>(
     read: fn(&mut BufReader<TcpStream>) -> Option<T>,
     react: impl Fn(&T) -> Behaviour + Send + Sync + 'static,
--- a/crates/snowfield/tests/deadlines.rs
+++ b/crates/snowfield/tests/deadlines.rs
@@ -1,5 +1,5 @@
-//! Deadline propagation: a request states the time that its client has left to the backend. The time that the request waited in a socket
-//! before it was read is subtracted.
+//! Deadline propagation: a request states the time that its client has left to the backend. The time that the request waited in a
+//! socket before it was read is subtracted.
 
 mod common;
 
@@ -38,8 +38,8 @@
     start_site(test, &SiteOptions { backends: &[backend_address], ..SiteOptions::default() })
 }
 
-/// Regression: while the connection table is full, connections wait in the backlog. The time that a request had waited there, up to half
-/// a second in the soak test, was not subtracted.
+/// Regression: while the connection table is full, connections wait in the backlog. The time that a request had waited there, up
+/// to half a second in the soak test, was not subtracted.
 #[test]
 fn the_wait_in_the_backlog_is_subtracted_from_the_propagated_time() {
     let site = start_site_replying_with_time_left("wait-at-listener");
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Memory and descriptors under floods from hundreds of clients: a process that exceeds its memory limit is killed, and all its requests
-//! in flight are lost.
+//! Memory and descriptors under floods from hundreds of clients: a process that exceeds its memory limit is killed, and all its
+//! requests in flight are lost.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Memory in KiB that a flood may add to that of its clients' connections: 18 of the 48 MiB for the front's budgets of requests and
-/// replies, and 3 MiB for data in transit.
+/// Memory in KiB that a flood may add to that of its clients' connections: 18 of the 48 MiB for the front's budgets of requests
+/// and replies, and 3 MiB for data in transit.
 const MAX_FLOOD_KB: u64 = 21 * 1024;
 
 /// Starts a site with 48 MiB of memory, 640 sockets and requests that are not retried.
@@ -61,8 +61,8 @@
     );
 }
 
-/// Regression: replies that wait for an earlier reply of their connection took up to 60 MB for one client, which is a thousand replies of
-/// maximum size. Beyond the limit further requests must be rejected.
+/// Regression: replies that wait for an earlier reply of their connection took up to 60 MB for one client, which is a thousand
+/// replies of maximum size. Beyond the limit further requests must be rejected.
 #[test]
 fn queued_replies_stay_within_the_memory_limit() {
     let (address, events) = start_backend(read_resp_command, |words| match words[2] == request_id(1) {
@@ -75,7 +75,8 @@
     let client = &mut clients[0];
     client.send(&submit_with_body(1, 10));
     let (mut forwarded_count, started) = (0, Instant::now());
-    // Each request is at its backend before the next one is sent, or is not forwarded. The first request gets its reply after 2.4 s.
+    // Each request is at its backend before the next one is sent, or is not forwarded. The first request gets its reply
+    // after 2.4 s.
     for number in 2..700 {
         client.send(&submit_with_body(number, 10));
         let mut forwarded = std::iter::from_fn(|| events.recv_timeout(Duration::from_millis(100)).ok());
@@ -109,8 +110,8 @@
     );
 }
 
-/// Idle clients may take all free descriptors while discovery is down. The program must still connect to the counter and the backends,
-/// and to discovery once that is back. Connections that wait in the backlog must take no processor time.
+/// Idle clients may take all free descriptors while discovery is down. The program must still connect to the counter and the
+/// backends, and to discovery once that is back. Connections that wait in the backlog must take no processor time.
 #[test]
 fn idle_clients_take_no_descriptors_from_discovery_counter_and_backends() {
     let (address, _events) = start_echo_backend();
@@ -130,7 +131,8 @@
         let fields = "c=lookup,t=team,d=2400,units=1,spread=2,first=0";
         resp_command(&["SVC.QUERY", &request_id(number), &request_id(number), fields])
     };
-    // Each client sends a command and idles until the gatekeeper closes its connection. Connections beyond the table wait in the backlog.
+    // Each client sends a command and idles until the gatekeeper closes its connection. Connections beyond the table wait in the
+    // backlog.
     let mut idle_clients: Vec<Client> = (0..200).map(|_| Client::connect(listen)).collect();
     idle_clients.iter_mut().for_each(|client| client.send(&resp_command(&["PING"])));
     let mut answered = 0;
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -48,7 +48,8 @@
     assert!(number.into_inner() > 1200);
 }
 
-/// Regression: a connection that waits for its transfer to the successor is not read, so that its close by the client went unnoticed.
+/// Regression: a connection that waits for its transfer to the successor is not read, so that its close by the client went
+/// unnoticed.
 #[test]
 fn a_client_that_disconnects_before_its_connection_is_transferred_cancels_its_request() {
     let HeldBackend { address, events, release: _release } = start_backend_holding_request(10, reply_with_id);
@@ -70,8 +71,8 @@
     }
 }
 
-/// The predecessor answers its requests in flight. Partial requests and idle connections pass to the successor, and the token buckets
-/// keep their level.
+/// The predecessor answers its requests in flight. Partial requests and idle connections pass to the successor, and the token
+/// buckets keep their level.
 #[test]
 fn the_successor_continues_from_the_predecessors_state() {
     let HeldBackend { address, events, release } = start_backend_holding_request(10, reply_with_id);
@@ -112,8 +113,8 @@
     assert_eq!(idle.read_reply(), request_id(5));
 }
 
-/// Regression, found by the soak test: the successor restarted the time-out of a partial request. Its client got the error after 3.7 s,
-/// where 3 s are allowed.
+/// Regression, found by the soak test: the successor restarted the time-out of a partial request. Its client got the error after
+/// 3.7 s, where 3 s are allowed.
 #[test]
 fn a_hot_restart_does_not_extend_the_timeout_of_a_partial_request() {
     let (address, _events) = start_echo_backend();
--- a/crates/snowfield/tests/large_values.rs
+++ b/crates/snowfield/tests/large_values.rs
@@ -122,8 +122,8 @@
     while read_metric(admin, "balancer_pending") > 0 {}
 }
 
-/// A truncated value must not pass for a complete one: if it breaks off, or the data after it is malformed, the connection is closed
-/// and nothing follows on it.
+/// A truncated value must not pass for a complete one: if it breaks off, or the data after it is malformed, the connection is
+/// closed and nothing follows on it.
 #[test]
 fn a_truncated_or_malformed_large_value_closes_the_connection() {
     let value = large_value(200_000);
--- a/crates/snowfield/tests/machine_faults.rs
+++ b/crates/snowfield/tests/machine_faults.rs
@@ -34,8 +34,8 @@
     served.map(|request| request.ended).min()
 }
 
-/// Regression: while every connect failed for 2 s, the failures counted against each backend, so that requests were rejected for up to
-/// a second after the recovery.
+/// Regression: while every connect failed for 2 s, the failures counted against each backend, so that requests were rejected for
+/// up to a second after the recovery.
 #[test]
 fn backends_are_used_at_once_when_the_machine_connects_again() {
     let mut schedule = Schedule::draw(5, GATEKEEPERS, Duration::from_secs(8));
@@ -83,8 +83,8 @@
     }
 }
 
-/// Regression: a failed write of the ejections file was not retried, so that a gatekeeper used the ejected backend again after it was
-/// killed and restarted.
+/// Regression: a failed write of the ejections file was not retried, so that a gatekeeper used the ejected backend again after it
+/// was killed and restarted.
 #[test]
 fn an_ejection_is_stored_once_the_disk_is_writable_again() {
     let ((one, _), (two, _)) = (start_echo_backend(), start_echo_backend());
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -76,7 +76,8 @@
     assert_eq!(all_requests(&events).len(), 0, "no request after the malformed command is forwarded");
 }
 
-/// A client that sends nothing gets a close, and one that sends a part of a command gets an error, within the 3 s of the protocol.
+/// A client that sends nothing gets a close, and one that sends a part of a command gets an error, within the
+/// 3 s of the protocol.
 #[test]
 fn silent_and_incomplete_connections_are_closed() {
     let site = start_site("half", &SiteOptions::default());
@@ -240,7 +241,7 @@
     assert_eq!(ids, distinct_ids, "no request is retried at the backend that closed its connection");
 }
 
-/// The connection pool must not send a request again by itself: a reset after the write ends the attempt.
+/// The connection pool must not send a request again by itself: a reset after the write must be reported as a reset.
 #[test]
 fn a_pooled_connection_closed_by_its_backend_is_not_used() {
     let (sender, closed) = channel();
@@ -326,7 +327,8 @@
 /// acknowledgement came with the next request. The duplicate was then read as the reply to that request.
 #[test]
 fn a_duplicate_reply_held_back_until_an_acknowledgement_is_dropped() {
-    /// Delay of a duplicate. A connection is not reused for 20 ms after a reply, and the system delays an acknowledgement by 40 ms.
+    /// Delay of a duplicate. A connection is not reused for 20 ms after a reply, and the system delays an acknowledgement by
+    /// 40 ms.
     const DELAY: Duration = Duration::from_millis(10);
     /// A duplicate that a busy machine delays by more than this is not written, since it could not be told from the next reply.
     const MAX_DELAY: Duration = Duration::from_millis(15);
@@ -395,8 +397,8 @@
     assert!(all_requests(&old_events).is_empty());
 }
 
-/// Changes that the discovery agent already has must apply to the first request, since the list of the configuration may be old. The
-/// unknown state "leaving" is logged, which shows when the list of the agent was read.
+/// Changes that the discovery agent already has must apply to the first request, since the list of the configuration may be old.
+/// The unknown state "leaving" is logged, which shows when the list of the agent was read.
 #[test]
 fn reads_the_first_list_of_the_agent_before_serving() {
     let (old, old_events) = start_echo_backend();
@@ -494,8 +496,8 @@
     assert!(all_requests(&events).is_empty(), "the request is forwarded once");
 }
 
-/// Regression: a gatekeeper that exited half a second after SIGTERM left its clients without service for seconds. The platform sends
-/// SIGKILL 3.2 s after SIGTERM, and all accepted requests must be answered by then.
+/// Regression: a gatekeeper that exited half a second after SIGTERM left its clients without service for seconds. The platform
+/// sends SIGKILL 3.2 s after SIGTERM, and all accepted requests must be answered by then.
 #[test]
 fn after_sigterm_the_program_keeps_serving_and_answers_all_requests_before_sigkill() {
     // Requests with odd ids get no reply.
@@ -527,8 +529,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Regression: SIGHUP ended the program. It must apply new addresses of discovery and the counter while accepted requests are answered.
-/// An invalid file must change nothing, and SIGTERM must still shut the program down gracefully.
+/// Regression: SIGHUP ended the program. It must apply new addresses of discovery and the counter while accepted requests are
+/// answered. An invalid file must change nothing, and SIGTERM must still shut the program down gracefully.
 #[test]
 fn sighup_applies_new_discovery_and_counter_addresses_and_an_invalid_file_changes_nothing() {
     let HeldBackend { address, events, release } = start_backend_holding_first_request();
--- a/crates/snowfield/tests/policy_snapshot.rs
+++ b/crates/snowfield/tests/policy_snapshot.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the policy's snapshot with version 0.1.0: later versions read that version's snapshot, continue from it, and write the
-//! same bytes after the same events.
+//! Compatibility of the policy's snapshot with version 0.1.0: later versions read that version's snapshot, continue from it, and
+//! write the same bytes after the same events.
 
 use policy::{
     Action, BackendEntry, BackendId, Event, Idempotency, ListKind, Micros, Outcome, Plan, Policy,
--- a/crates/snowfield/tests/reload.rs
+++ b/crates/snowfield/tests/reload.rs
@@ -5,7 +5,8 @@
 use common::admin::*;
 use common::*;
 
-/// A request in flight keeps its class when that is removed, requests of a new class are accepted, and an invalid file changes nothing.
+/// A request in flight keeps its class when that is removed, requests of a new class are accepted, and an invalid file changes
+/// nothing.
 #[test]
 fn a_reload_replaces_the_classes_at_once_and_an_invalid_file_changes_nothing() {
     let HeldBackend { address, events, release } =
--- a/crates/snowfield/tests/shutdown_and_cancellation.rs
+++ b/crates/snowfield/tests/shutdown_and_cancellation.rs
@@ -141,7 +141,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Bytes that arrive while a connection is being closed must not reset it: a reset discards replies that the client has not read yet.
+/// Bytes that arrive while a connection is being closed must not reset it: a reset discards replies that the client has not read
+/// yet.
 #[test]
 fn at_shutdown_input_that_arrives_during_the_close_does_not_discard_replies() {
     let HeldBackend { address, events, release } = start_backend_holding_first_request();
@@ -185,8 +186,8 @@
     std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable").contains(&remote)
 }
 
-/// Regression: a retry was decided within the validity of its idempotency key, but written 0.2 s after the end of that time, because
-/// its connection was established only then.
+/// Regression: a retry was decided within the validity of its idempotency key, but written 0.2 s after the end of that time,
+/// because its connection was established only then.
 #[test]
 fn a_retry_whose_idempotency_key_expires_during_connect_is_not_written() {
     let (release, released) = channel::<()>();
@@ -418,7 +419,8 @@
     assert_eq!(idle.read_reply(), "+PONG");
     site.program.terminate();
     site.program.wait_for_line("graceful shutdown started signal=15");
-    // The wait for this rejection delays the test: the partial request must be recent when closing begins, 2.45 s after the signal.
+    // The wait for this rejection delays the test: the partial request must be recent when closing begins, 2.45 s after the
+    // signal.
     let mut delayed = Client::connect(site.listen);
     delayed.send(&query(1, 1_400, 1));
     assert!(delayed.read_reply().starts_with("-BUSY"));
@@ -433,8 +435,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Regression: the program exited after the longest deadline in the settings, although a client may wait for longer than the deadline
-/// of its class. The request of such a client was left unanswered.
+/// Regression: the program exited after the longest deadline in the settings, although a client may wait for longer than the
+/// deadline of its class. The request of such a client was left unanswered.
 #[test]
 fn at_shutdown_a_request_beyond_the_deadline_of_its_class_is_answered() {
     let (address, events) = start_backend(read_resp_command, |_| Behaviour::NoReply);
@@ -451,8 +453,8 @@
     assert_eq!(site.program.wait(), Some(0));
 }
 
-/// Regression: a connection that was in the backlog with its request when the listener closed was accepted, and closed without being
-/// read.
+/// Regression: a connection that was in the backlog with its request when the listener closed was accepted, and closed without
+/// being read.
 #[test]
 fn at_shutdown_a_request_in_the_listener_backlog_is_answered() {
     let (address, _events) = start_echo_backend();
@@ -462,7 +464,8 @@
     connected.send(&query_of_new_tenant(1));
     assert_eq!(connected.read_reply(), request_id(1));
     site.program.terminate();
-    // The listener closes 2.45 s after the signal. The program is suspended at that moment, and new connections wait in the backlog.
+    // The listener closes 2.45 s after the signal. The program is suspended at that moment, and new connections wait in the
+    // backlog.
     std::thread::sleep(Duration::from_millis(2_300));
     site.program.suspend();
     let mut waiting: Vec<Client> = (0..6).map(|_| Client::connect(site.listen)).collect();
--- a/crates/snowfield/tests/stepped_clocks.rs
+++ b/crates/snowfield/tests/stepped_clocks.rs
@@ -1,5 +1,5 @@
-//! Stepped wall clocks: several gatekeepers share a counter, and some of them start with a clock that is an hour or half an hour off.
-//! Deadlines, windows and quotas must still be spans of real time.
+//! Stepped wall clocks: several gatekeepers share a counter, and some of them start with a clock that is an hour or half an hour
+//! off. Deadlines, windows and quotas must still be spans of real time.
 
 mod common;
 
@@ -50,8 +50,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Regression: the name of a count was derived from the wall clock at the start. A gatekeeper that started an hour ahead therefore did
-/// not share the counts of the others, and each tenant got its quota twice.
+/// Regression: the name of a count was derived from the wall clock at the start. A gatekeeper that started an hour ahead
+/// therefore did not share the counts of the others, and each tenant got its quota twice.
 #[test]
 fn quotas_hold_with_gatekeepers_started_an_hour_ahead() {
     assert_quotas_hold("clock-ahead", [HOUR_US, HOUR_US / 2]);
@@ -68,8 +68,8 @@
     assert_quotas_hold("clock-same", [0, 0]);
 }
 
-/// Regression: the age of a backend was derived from the wall clock, so that a gatekeeper that started an hour ahead treated a cold
-/// backend as a warm one.
+/// Regression: the age of a backend was derived from the wall clock, so that a gatekeeper that started an hour ahead treated a
+/// cold backend as a warm one.
 #[test]
 fn slow_start_protects_a_cold_backend_from_gatekeepers_started_an_hour_ahead() {
     assert_slow_start_holds("cold-ahead", HOUR_US);
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -69,8 +69,8 @@
     assert!(!succeeded && output.contains("GET, POST"), "{output}");
 }
 
-/// If a backend does not reply, the attempt ends at its time-out. An idempotent request is then retried, and any other request is answered
-/// with an error.
+/// If a backend does not reply, the attempt ends at its time-out. An idempotent request is then retried, and any other request is
+/// answered with an error.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
     let (silent, events) = start_backend(read_message, |_| Behaviour::NoReply);
@@ -108,8 +108,8 @@
         assert!(took < 1_200, "at most one attempt of 300 ms precedes the response: {took} ms");
         silent_attempts = events.try_iter().filter(|event| matches!(event, BackendEvent::Request(_))).count();
     }
-    // A rejected request has not run and can be sent again, and some requests reach the backend that replies. Requests are sent until
-    // one gets a server error.
+    // A rejected request has not run and can be sent again, and some requests reach the backend that replies. Requests are sent
+    // until one gets a server error.
     let started = Instant::now();
     let (mut status, mut took) = (200, 0);
     while status < 500 && started.elapsed() < TIMEOUT {
