--- a/crates/system_tests/src/error.rs
+++ b/crates/system_tests/src/error.rs
@@ -9,7 +9,7 @@
     /// The fault-injection harness failed.
     #[error(transparent)]
     Harness(#[from] fault_injection::Error),
-    /// A schedule could not be run.
+    /// The harness could not run a schedule.
     #[error("{schedule}: {source}")]
     Schedule {
         /// The name of the schedule.
@@ -39,7 +39,7 @@
 }
 
 impl Error {
-    /// Returns a function that adds the path to an error of the file system, for `map_err`.
+    /// Returns a function for `map_err` that adds this path to an I/O error.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.to_owned();
         move |source| Self::File { path, source }
--- a/crates/system_tests/src/error/tests.rs
+++ b/crates/system_tests/src/error/tests.rs
@@ -1,4 +1,4 @@
-//! The texts of errors.
+//! Texts of errors.
 
 use super::*;
 
--- a/crates/system_tests/src/gatekeeper.rs
+++ b/crates/system_tests/src/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! A gatekeeper as a child process.
+//! A single gatekeeper that runs as a child process.
 
 use fault_harness::process::{
     Launch, LogFormat, LogLine, Process, ProcessExit, ProcessObserver, ResourceUsage,
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Instant;
 
-/// A running gatekeeper, which is killed when this is dropped.
+/// A running gatekeeper. Dropping this value kills the process.
 pub struct Gatekeeper {
     process: Process,
     log_lines: Receiver<String>,
@@ -23,7 +23,7 @@
 
 impl ProcessObserver for LogForwarder {
     fn logged(&self, line: LogLine) {
-        // The receiver is gone while the process is being killed.
+        // Fails only while `Gatekeeper` is dropped: the receiver is then gone, and the line is no longer needed.
         let _ = lock(&self.log_lines).send(line.text);
     }
 
@@ -34,19 +34,19 @@
     }
 }
 
-/// Returns the path of the gatekeeper's release build beside this program.
+/// Returns the path of the gatekeeper build in the folder of this program.
 ///
 /// # Panics
 ///
-/// Panics if there is none.
+/// Panics if there is no such build.
 pub fn release_build() -> PathBuf {
-    let path = std::env::current_exe().expect("a path").with_file_name("snowfield");
+    let path = std::env::current_exe().expect("the path of this program").with_file_name("snowfield");
     assert!(path.exists(), "{} is not built", path.display());
     path
 }
 
 impl Gatekeeper {
-    /// Starts the release build with these arguments.
+    /// Starts the build that [`release_build`] returns, with these arguments.
     ///
     /// # Panics
     ///
@@ -55,7 +55,7 @@
         Self::start_build(&release_build(), arguments, &[])
     }
 
-    /// Starts any build, with these arguments and environment variables.
+    /// Starts the given build with these arguments and environment variables.
     ///
     /// # Panics
     ///
@@ -65,7 +65,7 @@
             Launch { arguments, variables, log_format: LogFormat::Plain, ..Launch::new("gatekeeper", build) };
         let (sender, log_lines) = channel();
         let forwarder = LogForwarder { log_lines: Mutex::new(sender) };
-        let process = Process::start(&launch, forwarder).expect("the gatekeeper starts");
+        let process = Process::start(&launch, forwarder).expect("starting the gatekeeper");
         Self { process, log_lines }
     }
 
@@ -80,7 +80,7 @@
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
             let Ok(line) = self.log_lines.recv_timeout(time_left) else {
-                panic!("no line contains {text:?}; the last one: {last_line}");
+                panic!("no log line contains {text:?}; the last line was: {last_line}");
             };
             if let Some((_, rest)) = line.split_once(text) {
                 return rest.to_owned();
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Returns the resources that the process uses now.
+    /// Returns the current resource usage of the process.
     ///
     /// # Panics
     ///
     /// Panics if the process has exited.
     pub fn resource_usage(&self) -> ResourceUsage {
-        self.process.resource_usage().expect("the gatekeeper runs")
+        self.process.resource_usage().expect("resource usage of a running gatekeeper")
     }
 }
--- a/crates/system_tests/src/gatekeeper_output.rs
+++ b/crates/system_tests/src/gatekeeper_output.rs
@@ -1,8 +1,8 @@
-//! Texts of the gatekeeper that the programs look for: in its log, in its status report and in the errors of `snowfield check`.
+//! Texts that the programs search for in the gatekeeper's log, in its status report and in the errors of `snowfield check`.
 //!
-//! Whoever changes a text of the gatekeeper changes it here too. A check that counts the log events with an old text would count
-//! none, and an upper bound on them would then always hold. Where builds of different ages run together, a constant holds the texts
-//! of all of them, the newest first.
+//! When a text changes in the gatekeeper, it must change here too. Otherwise a check that counts log events with that text counts
+//! none, and an upper bound on the count always holds. A program that also runs older builds needs the texts of all of them: such
+//! a constant is an array with the newest text first.
 
 pub mod log_events;
 pub mod settings_errors;
--- a/crates/system_tests/src/gatekeeper_output/settings_errors.rs
+++ b/crates/system_tests/src/gatekeeper_output/settings_errors.rs
@@ -1,5 +1,5 @@
-//! Errors with which `snowfield check` rejects the timing of a class. Each constant is the part of the error that no other rule
-//! has.
+//! Errors with which `snowfield check` rejects the timing of a class. Each constant is a part of the error text that identifies
+//! the violated rule.
 
 /// `timing`, `TimingRule::ZeroValue`.
 pub const ZERO_VALUE: &str = "is 0";
@@ -31,5 +31,5 @@
 /// `settings`: the value of the key `attempts` does not parse.
 pub const INVALID_ATTEMPTS: &str = "attempts";
 
-/// `settings`: the class has a key `attempt`, which is unknown.
+/// `settings`: the class has the unknown key `attempt`.
 pub const UNKNOWN_KEY_ATTEMPT: &str = "attempt";
--- a/crates/system_tests/src/gatekeeper_output/status_report.rs
+++ b/crates/system_tests/src/gatekeeper_output/status_report.rs
@@ -1,4 +1,4 @@
 //! Texts of the status report.
 
-/// `consul::watch`: the endpoint list in use is that of the cache file. The age of the file follows.
+/// `consul::watch`: the endpoint list in use comes from the cache file. The age of the file follows the text.
 pub const CACHED_LIST: &str = "the list on disk";
--- a/crates/system_tests/src/job_runs/tests.rs
+++ b/crates/system_tests/src/job_runs/tests.rs
@@ -1,4 +1,4 @@
-//! Runs of a small history.
+//! Job runs of a small history.
 
 use super::*;
 
@@ -7,14 +7,14 @@
     Record { at_us, observation }
 }
 
-/// The second run of job a happens twice.
+/// Run 2 of job a happens twice, on two instances.
 fn history() -> [Record; 5] {
     let started = Record { at_us: 5, observation: Observation::ProcessStarted { process: "m0".into() } };
     [started, ran(10, "a", 1, "m0"), ran(20, "b", 2, "m1"), ran(30, "a", 2, "m0"), ran(40, "a", 2, "m2")]
 }
 
 #[test]
-fn a_run_that_happens_again_is_repeated_whichever_instance_runs_it() {
+fn a_second_execution_of_a_run_is_repeated_even_on_another_instance() {
     let history = history();
     let runs = JobRuns::of(&history);
     assert_eq!((runs.count(), runs.repeated()), (4, 1));
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -1,11 +1,12 @@
 //! System tests: programs that measure real gatekeepers, most of them through the fault-injection harness.
 //!
-//! Each program `proof-NAME` starts the release build beside it, prints a table of figures and a last line `proof NAME: ...`, and
-//! exits with 1 if a figure is out of its bound. Two programs measure the state machines in simulated time instead.
+//! Each program `proof-NAME` starts the release build in its own folder, prints a table of figures and a last line
+//! `proof ...: ...` with the verdict, and exits with 1 if a figure is out of its bound. Two programs measure the state machines
+//! in simulated time instead.
 //!
-//! This library has what the programs share: [`Table`] and [`Verdict`] for their reports, [`Distribution`] for percentiles,
+//! This library holds the code that the programs share: [`Table`] and [`Verdict`] for their reports, [`Distribution`] for percentiles,
 //! [`run_schedules`] for schedules of faults, [`JobRuns`] and [`sole_version`] for histories, [`Gatekeeper`] for single processes,
-//! and [`gatekeeper_output`] for the texts that they look for.
+//! and [`gatekeeper_output`] for the texts that the programs search for.
 
 mod addresses;
 mod distribution;
--- a/crates/system_tests/src/parallel.rs
+++ b/crates/system_tests/src/parallel.rs
@@ -1,15 +1,16 @@
-//! Running several jobs at a time.
+//! Processing several items in parallel.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Returns how many schedules run at a time: twice the number of cores, as a site is a dozen processes that mostly wait.
+/// Returns how many schedules run in parallel by default: twice the number of cores, since a site consists of about a dozen
+/// processes that are idle most of the time.
 pub fn default_parallelism() -> usize {
     2 * std::thread::available_parallelism().map_or(1, |cores| cores.get())
 }
 
-/// Calls `work` with each item and its index, for up to `parallelism` items at a time, in their order. Raises the limit on open
-/// descriptors, since a site of twelve gatekeepers takes some thousand.
+/// Calls `work` with the index of each item and the item, starting them in order and running up to `parallelism` at a time.
+/// Raises the limit on open file descriptors first, since a site of twelve gatekeepers uses a few thousand.
 pub(crate) fn for_each_parallel<T: Sync>(items: &[T], parallelism: usize, work: impl Fn(usize, &T) + Sync) {
     raise_descriptor_limit();
     let next_index = AtomicUsize::new(0);
--- a/crates/system_tests/src/schedules.rs
+++ b/crates/system_tests/src/schedules.rs
@@ -8,7 +8,7 @@
 use fault_injection::schedule::Schedule;
 use std::sync::Mutex;
 
-/// Runs a schedule in a temporary folder of this name, which is removed at the end.
+/// Runs a schedule in a temporary folder whose name starts with `folder_name`, and removes the folder at the end.
 ///
 /// # Errors
 ///
@@ -24,17 +24,17 @@
     result
 }
 
-/// Figures of many schedules together.
+/// Totals that are accumulated over the results of many schedules.
 pub trait ScheduleTotals: Default + Send {
-    /// Adds the result of a schedule.
+    /// Adds the result of a schedule that ran to its end.
     fn add(&mut self, schedule: &Schedule, result: &RunResult);
 
-    /// Adds a schedule that could not be run.
+    /// Counts a schedule as failed. [`run_schedules`] calls this for each schedule that could not be run.
     fn add_failure(&mut self, schedule: &Schedule);
 }
 
-/// Calls `run` with each schedule and its index, for up to `parallelism` schedules at a time, and returns the totals. Prints the
-/// error of a schedule that could not be run.
+/// Calls `run` with the index of each schedule and the schedule, up to `parallelism` of them at a time, and returns the totals.
+/// Prints the error of each schedule that could not be run.
 pub fn run_schedules<T: ScheduleTotals>(
     schedules: &[Schedule],
     parallelism: usize,
--- a/crates/system_tests/src/simulation.rs
+++ b/crates/system_tests/src/simulation.rs
@@ -7,12 +7,12 @@
 /// Simulated time between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The command line `[SIZE [GOSSIP_PERIOD_MS]]`. An argument that is no number counts as none.
+/// The command line `[SIZE [GOSSIP_PERIOD_MS]]`. An argument that is not a number is treated as absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SimulationArguments {
-    /// The size of the only cluster, or `None` for the sizes that are usually measured.
+    /// The size of the only cluster to measure, or `None` for the default sizes of the program.
     pub size: Option<usize>,
-    /// Time between two gossip rounds. Large clusters gossip less often.
+    /// Time between two gossip rounds. Large clusters are measured with a longer one.
     pub gossip_period: Duration,
 }
 
@@ -29,13 +29,13 @@
         Self { size, gossip_period }
     }
 
-    /// Returns the sizes to measure.
-    pub fn sizes(&self, usual_sizes: &[usize]) -> Vec<usize> {
-        self.size.map_or(usual_sizes.to_vec(), |size| vec![size])
+    /// Returns the cluster sizes to measure: the one from the command line, or else `default_sizes`.
+    pub fn sizes(&self, default_sizes: &[usize]) -> Vec<usize> {
+        self.size.map_or(default_sizes.to_vec(), |size| vec![size])
     }
 }
 
-/// Advances the simulation until the condition holds, but not beyond the time-out. Returns how long that took in simulated time.
+/// Advances the simulation until the condition holds or the timeout elapses. Returns the simulated time that this took.
 pub fn advance_until(
     simulation: &mut Simulation,
     timeout: Duration,
--- a/crates/system_tests/src/simulation/tests.rs
+++ b/crates/system_tests/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! The command line, and simulated time.
+//! Parsing of the command line, and advancing simulated time.
 
 use super::*;
 use cluster_simulation::SimulationConfig;
@@ -8,14 +8,14 @@
 }
 
 #[test]
-fn without_arguments_the_usual_sizes_are_measured() {
+fn without_arguments_the_default_sizes_are_measured() {
     let arguments = parse("");
     assert_eq!(arguments.sizes(&[10, 30]), [10, 30]);
     assert_eq!(arguments.gossip_period, Duration::from_millis(200));
 }
 
 #[test]
-fn a_size_and_a_gossip_period_are_taken_and_other_texts_ignored() {
+fn size_and_gossip_period_are_parsed_and_other_texts_ignored() {
     let arguments = parse("1000 300");
     assert_eq!(arguments.sizes(&[10, 30]), [1_000]);
     assert_eq!(arguments.gossip_period, Duration::from_millis(300));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn time_advances_until_the_condition_holds_or_the_time_out_elapses() {
+fn time_advances_until_the_condition_holds_or_the_timeout_elapses() {
     let config = SimulationConfig { instances: 2, jobs: 1, ..SimulationConfig::default() };
     let mut simulation = Simulation::new(config);
     let timeout = Duration::from_millis(500);
--- a/crates/system_tests/src/table.rs
+++ b/crates/system_tests/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables of figures with bounds.
+//! Tables of measured figures and their bounds.
 
 #[cfg(test)]
 mod tests;
@@ -16,7 +16,7 @@
     is_within_bound: bool,
 }
 
-/// A table of figures. A figure may have a bound.
+/// A table of measured figures, each with or without a bound.
 #[derive(Default)]
 pub struct Table {
     rows: Vec<Row>,
@@ -40,7 +40,7 @@
         self.push(name, format_number(figure), bound, figure >= minimum);
     }
 
-    /// Adds a condition as a figure that is 1 where it holds and is out of bounds otherwise.
+    /// Adds a condition as a figure: 1 if the condition holds; 0, which is out of bounds, if it does not.
     pub fn add_condition(&mut self, name: &str, holds: bool) {
         self.add_with_minimum(name, f64::from(u8::from(holds)), 1.0);
     }
@@ -86,12 +86,12 @@
     if figure.fract() == 0.0 && figure.abs() < 1e15 { format!("{figure:.0}") } else { format!("{figure:.3}") }
 }
 
-/// Converts a duration to seconds, as a figure of a table. The time until something that never happened is infinite.
+/// Converts a duration to seconds for a table. `None` stands for an event that never happened and becomes infinity.
 pub fn seconds_or_infinity(duration: Option<Duration>) -> f64 {
     duration.map_or(f64::INFINITY, |duration| duration.as_secs_f64())
 }
 
-/// Converts a duration to milliseconds, as a figure of a table.
+/// Converts a duration to milliseconds for a table.
 pub fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
--- a/crates/system_tests/src/table/tests.rs
+++ b/crates/system_tests/src/table/tests.rs
@@ -1,9 +1,9 @@
-//! Rows with and without bounds.
+//! Table rows with and without bounds.
 
 use super::*;
 
 #[test]
-fn a_table_shows_figures_bounds_and_what_is_out_of_them() {
+fn a_table_marks_figures_that_are_out_of_bounds() {
     let mut table = Table::default();
     table.add("size", "3 gatekeepers");
     table.add_with_maximum("lag, s", 0.25, 1.0);
--- a/crates/system_tests/src/verdict.rs
+++ b/crates/system_tests/src/verdict.rs
@@ -1,9 +1,9 @@
-//! The verdict of a system test.
+//! The overall result of a system test.
 
 use std::fmt::{self, Display, Formatter};
 use std::process::ExitCode;
 
-/// Whether all figures of a system test are within their bounds. Displays as the end of the test's last line.
+/// Whether all figures of a system test are within their bounds. Its display text ends the last line that the test prints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Each figure is within its bound.
