--- a/crates/system_tests/src/bin/proof-checkers/child.rs
+++ b/crates/system_tests/src/bin/proof-checkers/child.rs
@@ -1,4 +1,5 @@
-//! One seeded fault in a child process. The gatekeepers inherit from its environment the name of the fault.
+//! Runs one seeded fault in a child process. The name of the fault is in the environment of the child, from which its gatekeepers
+//! inherit it.
 
 use crate::schedules::schedules_until_reported;
 use crate::seeded_fault::{SEEDED_FAULTS, SeededFault};
@@ -6,7 +7,8 @@
 use std::path::Path;
 use std::process::{Command, ExitCode};
 
-/// Runs a seeded fault in a child process. Returns how many schedules it took until its rule was reported.
+/// Runs a seeded fault in a child process. Returns the number of schedules that ran until the rule that the fault breaks was
+/// reported, or `None` if it was not reported or the child failed.
 pub(crate) fn run(build: &str, fault: &SeededFault) -> Option<usize> {
     let program = std::env::current_exe().ok()?;
     let output =
@@ -14,7 +16,8 @@
     String::from_utf8_lossy(&output.stdout).lines().last()?.parse().ok()
 }
 
-/// The child process: prints how many schedules it took until the rule of the fault was reported.
+/// The main function of the child process. Prints the number of schedules that ran until the rule that the fault breaks was
+/// reported.
 pub(crate) fn main(build: &Path, fault_name: &str) -> ExitCode {
     let fault = SEEDED_FAULTS.iter().find(|fault| fault.name == fault_name);
     let rule = fault.map_or("", |fault| fault.rule);
--- a/crates/system_tests/src/bin/proof-checkers/main.rs
+++ b/crates/system_tests/src/bin/proof-checkers/main.rs
@@ -1,7 +1,7 @@
 //! Tests the checkers of the fault-injection harness: `proof-checkers PROGRAM`.
 //!
-//! `PROGRAM` is a build with seeded faults. It runs schedules with one seeded fault at a time, until the checker of the rule that
-//! the fault breaks reports it. The release build runs some of the same schedules and must break no rule.
+//! `PROGRAM` is a build with seeded faults. For each seeded fault, schedules run with this fault alone until a checker reports
+//! the rule that the fault breaks. The release build runs some of the same schedules and must break no rule.
 
 mod child;
 mod schedules;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Tests all checkers, and prints the table and the last line.
+/// Tests all checkers and prints the table and the last line.
 fn test_checkers(build: &str) -> ExitCode {
     let schedules_until_reported = run_seeded_faults(build);
     let release_violations = violations_of_release_build();
@@ -48,8 +48,8 @@
     verdict.into()
 }
 
-/// Runs all seeded faults at a time. Returns for each how many schedules it took until its rule was reported, or `None` if it
-/// was not.
+/// Runs all seeded faults in parallel. Returns for each fault the number of schedules that ran until its rule was reported, or
+/// `None` if it was not reported.
 fn run_seeded_faults(build: &str) -> Vec<Option<usize>> {
     thread::scope(|scope| {
         let children = SEEDED_FAULTS.map(|fault| scope.spawn(move || child::run(build, &fault)));
--- a/crates/system_tests/src/bin/proof-checkers/schedules.rs
+++ b/crates/system_tests/src/bin/proof-checkers/schedules.rs
@@ -1,16 +1,17 @@
-//! The schedules that builds with and without seeded faults run.
+//! Schedules that run on the build with seeded faults and on the release build.
 
 use fault_injection::schedule::{Fault, FaultKind, Form, Schedule};
 use std::path::Path;
 use system_tests::{release_build, run_schedule};
 
-/// Maximum number of schedules until the broken rule is reported.
+/// Maximum number of schedules that run until the broken rule is reported.
 pub(crate) const MAX_SCHEDULES: usize = 20;
-/// Number of the same schedules that the release build runs.
+/// Number of schedules, from the first on, that also run on the release build.
 const RELEASE_SCHEDULES: usize = 3;
 const LENGTH_MS: u64 = 10_000;
 
-/// Runs one schedule after the other until a checker reports that this rule is broken. Returns how many schedules it took.
+/// Runs up to [`MAX_SCHEDULES`] schedules, one after the other, until a checker reports a violation of this rule. Returns the
+/// number of schedules that ran, or `None` if none of them led to the violation.
 pub(crate) fn schedules_until_reported(build: &Path, rule: &str) -> Option<usize> {
     (1..=MAX_SCHEDULES).find(|&seed| is_reported(build, rule, seed))
 }
@@ -25,7 +26,7 @@
     }
 }
 
-/// Returns the number of rules that the release build breaks in the first of the schedules. One that cannot be run counts as one.
+/// Returns the number of violations in the first schedules on the release build. A schedule that cannot be run counts as one.
 pub(crate) fn violations_of_release_build() -> usize {
     let build = release_build();
     let violations = |seed| {
@@ -35,7 +36,8 @@
     (1..=RELEASE_SCHEDULES).map(violations).sum()
 }
 
-/// Returns the schedule of a seed with a drained backend, in the appliance form, which alone has periodic jobs and a catalogue.
+/// Returns the schedule of a seed for the appliance form, since only this form has periodic jobs and a catalogue, and adds a
+/// drained backend.
 fn schedule(seed: usize) -> Schedule {
     let mut schedule = Schedule::from_seed(seed as u64, LENGTH_MS);
     schedule.form = Form::Appliance;
--- a/crates/system_tests/src/bin/proof-checkers/seeded_fault.rs
+++ b/crates/system_tests/src/bin/proof-checkers/seeded_fault.rs
@@ -1,11 +1,11 @@
-//! The seeded faults, each with the rule that it breaks.
+//! The seeded faults and the rule that each of them breaks.
 
-/// A seeded fault.
+/// A deliberate fault in a test build of the gatekeeper.
 #[derive(Clone, Copy)]
 pub(crate) struct SeededFault {
-    /// The name that the gatekeeper reads from its environment.
+    /// The name by which the environment variable of the gatekeeper selects the fault.
     pub(crate) name: &'static str,
-    /// The rule that its checker has to report.
+    /// The rule that the fault breaks and that a checker has to report.
     pub(crate) rule: &'static str,
 }
 
--- a/crates/system_tests/src/bin/proof-faults/main.rs
+++ b/crates/system_tests/src/bin/proof-faults/main.rs
@@ -1,5 +1,6 @@
-//! Several real gatekeepers under injected faults: schedules from seeds and by name, several at a time, each judged by the
-//! checkers of the harness. Then a gatekeeper starts with its endpoint cache truncated at each byte.
+//! Runs several real gatekeepers under injected faults. The schedules are generated from seeds or have a name, several run in
+//! parallel, and the checkers of the harness evaluate each one. Afterwards a gatekeeper is started with its endpoint cache
+//! truncated at each byte.
 
 mod options;
 mod runner;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Prints a schedule, shrinks one or runs all, as the options tell.
+/// Prints a schedule, shrinks a schedule or runs all schedules, depending on the options.
 fn run(options: Options) -> Result<Verdict, Error> {
     let runner = Runner::new(options);
     let options = runner.options();
@@ -46,7 +47,7 @@
     run_schedules(&runner)
 }
 
-/// Runs the schedules that the options name, prints the table and the last line, and returns the verdict.
+/// Runs the schedules that the options select, prints the table and the last line, and returns the verdict.
 fn run_schedules(runner: &Runner) -> Result<Verdict, Error> {
     let options = runner.options();
     let schedules = runner.schedules()?;
--- a/crates/system_tests/src/bin/proof-faults/options/tests.rs
+++ b/crates/system_tests/src/bin/proof-faults/options/tests.rs
@@ -1,4 +1,4 @@
-//! The command line as the Makefile and the pages have it.
+//! The options that the Makefile and the documentation use.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn nothing_given_means_200_schedules_of_10_s() {
+fn the_defaults_are_200_schedules_of_10_s() {
     let options = parse("").expect("options");
     assert_eq!((options.seed, options.schedules, options.length_ms()), (1, 200, 10_000));
     assert!(!options.short && !options.saves_all && options.parallelism() >= 1);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_option_of_the_pages_is_taken() {
+fn every_documented_option_is_accepted() {
     let options =
         parse("--seed 500 --schedules 50 --length 14000 --parallel 12 --build a/snowfield --keep k")
             .expect("options");
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn values_out_of_range_are_raised_and_the_last_one_counts() {
+fn values_below_the_minimum_are_raised_and_the_last_of_repeated_options_wins() {
     let options = parse("--length 1 --parallel 0 --seed 3 --seed 4").expect("options");
     assert_eq!((options.length_ms(), options.parallelism(), options.seed), (2_000, 1, 4));
 }
 
 #[test]
-fn what_is_no_option_is_rejected() {
+fn invalid_arguments_are_rejected() {
     for wrong in ["--seed", "--seed x", "--what 1", "7"] {
         assert!(parse(wrong).is_err(), "{wrong}");
     }
--- a/crates/system_tests/src/bin/proof-faults/runner.rs
+++ b/crates/system_tests/src/bin/proof-faults/runner.rs
@@ -1,4 +1,4 @@
-//! Running the schedules that the options name.
+//! Running and shrinking the schedules that the options select.
 
 use crate::options::Options;
 use crate::totals::Totals;
@@ -12,12 +12,13 @@
 use std::path::{Path, PathBuf};
 use system_tests::{Error, run_schedule, run_schedules};
 
-/// Length of the longest schedule with `--short`.
+/// Maximum length of the schedules that run with `--short`.
 const MAX_SHORT_LENGTH_MS: u64 = 10_000;
-/// Number of runs of each part of a schedule that is shrunk, so that a part that fails one time in three counts as failing.
+/// Maximum number of runs of each part of a schedule while it is shrunk, so that a part that fails in one of three runs counts as
+/// failing.
 const SHRINK_RUNS: usize = 3;
 
-/// Runs schedules on one build, and saves the schedules and histories of failures.
+/// Runs schedules on one build and saves failed schedules with their histories.
 pub(crate) struct Runner {
     options: Options,
     build: PathBuf,
@@ -33,7 +34,7 @@
         &self.options
     }
 
-    /// Returns the schedules that the options name.
+    /// Returns the schedules that the options select.
     pub(crate) fn schedules(&self) -> Result<Vec<Schedule>, Error> {
         let options = &self.options;
         if let Some(path) = &options.file.replay {
@@ -44,19 +45,19 @@
             schedules.retain(|schedule| schedule.length_ms <= MAX_SHORT_LENGTH_MS);
             return Ok(schedules);
         }
-        // The long ones start first, so that none of them runs alone at the end.
+        // Long schedules start first, so that none of them runs alone at the end.
         schedules.sort_by_key(|schedule| Reverse(schedule.length_ms));
         let seeds = (0..options.schedules as u64).map(|index| options.seed + index);
         schedules.extend(seeds.map(|seed| Schedule::from_seed(seed, options.length_ms())));
         Ok(schedules)
     }
 
-    /// Runs several schedules at a time.
+    /// Runs the schedules, several in parallel.
     pub(crate) fn run_all(&self, schedules: &[Schedule]) -> Totals {
         run_schedules(schedules, self.options.parallelism(), |index, schedule| self.run(index, schedule))
     }
 
-    /// Runs a schedule in a folder that no schedule with another index uses.
+    /// Runs a schedule in a folder whose name contains this index, so that parallel schedules use different folders.
     fn run(&self, index: usize, schedule: &Schedule) -> Result<RunResult, Error> {
         let result = run_schedule(schedule, &self.build, &format!("sf-rig-{index}"))?;
         if self.options.saves_all || !result.violations.is_empty() {
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Starts a gatekeeper with its endpoint cache truncated at each byte.
+    /// Starts a gatekeeper once for each byte at which its endpoint cache can be truncated.
     pub(crate) fn truncate_endpoint_cache(&self) -> Result<TornWrites, Error> {
         let folder = std::env::temp_dir().join(format!("sf-torn-{}", std::process::id()));
         let result = truncate_at_each_byte(&self.build, &folder, self.options.parallelism());
--- a/crates/system_tests/src/bin/proof-faults/totals.rs
+++ b/crates/system_tests/src/bin/proof-faults/totals.rs
@@ -1,4 +1,4 @@
-//! Figures of all schedules together.
+//! Totals over all schedules.
 
 use fault_harness::violation::Violation;
 use fault_injection::network::Traffic;
@@ -8,32 +8,32 @@
 use system_tests::{Distribution, ScheduleTotals, Table};
 
 /// Maximum number of violations that are printed for a schedule.
-const MAX_PRINTED: usize = 5;
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Prints the first violations of a schedule.
+/// Prints the first [`MAX_PRINTED_VIOLATIONS`] violations of a schedule and the number of the others.
 pub(crate) fn print_violations(name: &str, violations: &[Violation]) {
-    for violation in violations.iter().take(MAX_PRINTED) {
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("{name}: {}: {}", violation.rule, violation.text);
     }
-    if violations.len() > MAX_PRINTED {
-        println!("{name}: and {} more", violations.len() - MAX_PRINTED);
+    if violations.len() > MAX_PRINTED_VIOLATIONS {
+        println!("{name}: and {} more", violations.len() - MAX_PRINTED_VIOLATIONS);
     }
 }
 
-/// Figures of all schedules together.
+/// Totals over all schedules.
 #[derive(Default)]
 pub(crate) struct Totals {
     faults: BTreeMap<String, u64>,
-    /// Requests by the name of their outcome.
+    /// Number of requests by the name of their outcome.
     outcomes: BTreeMap<&'static str, u64>,
-    /// Time from the last fault until all gatekeepers agreed, s.
+    /// Time from the end of the last fault until all gatekeepers agreed, s.
     convergence_s: Distribution,
     traffic: Traffic,
-    /// Violations by rule.
+    /// Number of violations by rule.
     violations: BTreeMap<&'static str, u64>,
     /// Number of schedules that broke a rule or could not be run.
     failed_schedules: usize,
-    /// Length of all schedules together, s.
+    /// Total length of all schedules that ran, s.
     length_s: f64,
 }
 
@@ -77,14 +77,15 @@
         table.add("megabytes carried by links", bytes / 1_000_000);
         let dropped = format!("{dropped_datagrams}, {resets}");
         table.add("datagrams dropped, connections reset in the middle", dropped);
-        // The checkers judge the convergence of each schedule: 10 s, or an epoch of a counter that lost its state.
+        // These rows have no bound because the checkers already limit the convergence time of each schedule: to 10 s, or to an
+        // epoch of the counter after it lost its state.
         for (name, share) in [("median", 0.5), ("99th percentile", 0.99), ("worst", 1.0)] {
             let figure = format!("{:.2}", self.convergence_s.percentile(share));
             table.add(&format!("until all agree again, {name}, s"), figure);
         }
     }
 
-    /// Adds the figures that must be 0.
+    /// Adds the numbers of violations and of failed schedules, which must be 0.
     pub(crate) fn add_failures_to(&self, table: &mut Table) {
         for (rule, count) in &self.violations {
             table.add_with_maximum(&format!("broken: {rule}"), *count as f64, 0.0);
@@ -92,7 +93,7 @@
         table.add_with_maximum("schedules that failed", self.failed_schedules as f64, 0.0);
     }
 
-    /// Returns the figures of the last line.
+    /// Returns the totals for the last line of the output.
     pub(crate) fn summary(&self, schedules: usize) -> String {
         let faults: u64 = self.faults.values().sum();
         let requests: u64 = self.outcomes.values().sum();
--- a/crates/system_tests/src/bin/proof-membership/main.rs
+++ b/crates/system_tests/src/bin/proof-membership/main.rs
@@ -1,8 +1,9 @@
-//! Membership alone in simulated time, with a tenth of all datagrams lost, in clusters of up to 1,000 members:
-//! `proof-membership [MEMBERS [GOSSIP_PERIOD_MS]]`.
+//! Measures the membership protocol alone in simulated time, in clusters of up to 1,000 members that lose a tenth of all
+//! datagrams: `proof-membership [MEMBERS [GOSSIP_PERIOD_MS]]`.
 //!
-//! Measures how long it takes until all members have the same view, and how many bytes it costs, after the start of all members
-//! at once, a partition and its end, the suspension of a member, and the death of half of the members.
+//! The figures are the time until all members have the same view, and the bytes that are sent until then, after each of these
+//! events: the start of all members at once, a partition and its end, the suspension of a member, and the death of half of the
+//! members.
 
 mod cluster;
 mod measurement;
--- a/crates/system_tests/src/bin/proof-membership/measurement.rs
+++ b/crates/system_tests/src/bin/proof-membership/measurement.rs
@@ -1,26 +1,26 @@
-//! The measurement of a cluster of one size.
+//! Measurement of a cluster of one size.
 
 use crate::cluster::{AGREEMENT_TIMEOUT, Cluster, MassDeathResult, PartitionResult};
 use std::time::Duration;
 use system_tests::Table;
 
-/// The head of the table of which [`Measurement::print_row`] prints a row.
+/// Head of the table whose rows [`Measurement::print_row`] prints.
 pub(crate) const TABLE_HEAD: &str = "| members | all see all, s | calm, bytes a s and member | half die: all know, s | bytes for each member by then | \
     half apart: each side knows, s | healed: all see all, s | bytes for each member | stopped for a minute: back, s | \
     took, s |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
-/// Maximum time until all survivors know that half of the members have died, s.
+/// Maximum time from the death of half of the members until all survivors know of it, s.
 const MAX_MASS_DEATH_DETECTION_S: f64 = 10.0;
 
-/// What a cluster of one size takes.
+/// Times and traffic of a cluster of one size.
 pub(crate) struct Measurement {
     members: usize,
     joined_after: Duration,
-    calm_bytes_per_second: f64,
+    fault_free_bytes_per_second: f64,
     partition: PartitionResult,
-    /// How long a member that was suspended takes to be back; `None` if this was not measured.
-    back_after: Option<Duration>,
+    /// Time from the end of the suspension of a member until all members agree; `None` if this was not measured.
+    rejoined_after: Option<Duration>,
     mass_death: MassDeathResult,
-    /// Real time of the measurement.
+    /// Real time that the measurement took.
     elapsed: Duration,
 }
 
@@ -28,14 +28,25 @@
     pub(crate) fn run(members: usize, gossip_period: Duration) -> Self {
         let mut cluster = Cluster::start(members, gossip_period);
         let joined_after = cluster.advance_until_agreement();
-        let calm_bytes_per_second = cluster.calm_bytes_per_second();
-        cluster.log(&format!("joined {} ms, calm {calm_bytes_per_second:.0}", joined_after.as_millis()));
+        let fault_free_bytes_per_second = cluster.fault_free_bytes_per_second();
+        cluster.log(&format!(
+            "joined after {} ms, {fault_free_bytes_per_second:.0} B/s per member without faults",
+            joined_after.as_millis()
+        ));
         let partition = cluster.partition();
-        let back_after = cluster.suspend_member();
-        cluster.log(&format!("back {}", optional_cell(back_after)));
+        let rejoined_after = cluster.suspend_member();
+        cluster.log(&format!("agreement after a suspension, s: {}", optional_cell(rejoined_after)));
         let mass_death = cluster.kill_half();
         let elapsed = cluster.elapsed();
-        Self { members, joined_after, calm_bytes_per_second, partition, back_after, mass_death, elapsed }
+        Self {
+            members,
+            joined_after,
+            fault_free_bytes_per_second,
+            partition,
+            rejoined_after,
+            mass_death,
+            elapsed,
+        }
     }
 
     pub(crate) fn print_row(&self) {
@@ -43,13 +54,13 @@
             "| {} | {} | {:.0} | {} | {} | {} | {} | {} | {} | {:.0} |",
             self.members,
             cell(self.joined_after),
-            self.calm_bytes_per_second,
+            self.fault_free_bytes_per_second,
             cell(self.mass_death.detected_after),
             self.mass_death.bytes_per_survivor,
             cell(self.partition.detected_after),
             cell(self.partition.healed_after),
             self.partition.bytes_per_member,
-            optional_cell(self.back_after),
+            optional_cell(self.rejoined_after),
             self.elapsed.as_secs_f64()
         );
     }
@@ -62,7 +73,7 @@
     }
 }
 
-/// Formats a time until agreement in seconds.
+/// Formats a time until agreement in seconds, or as `never` if it reached [`AGREEMENT_TIMEOUT`].
 fn cell(duration: Duration) -> String {
     if duration >= AGREEMENT_TIMEOUT { "never".into() } else { format!("{:.1}", duration.as_secs_f64()) }
 }
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -143,8 +143,8 @@
     ]
 }
 
-/// Whether the appliance form has this kind of fault. It has no upgrades, and rejects the configuration file of a replica that has
-/// the name of another one.
+/// Whether the appliance form has this kind of fault. It has no upgrades, and rejects the configuration file of a replica that
+/// has the name of another one.
 fn is_applicable(kind: &FaultKind) -> bool {
     !matches!(kind, FaultKind::Upgrade { .. } | FaultKind::NameConflict { .. })
 }
--- a/crates/system_tests/src/lib.rs
+++ b/crates/system_tests/src/lib.rs
@@ -4,9 +4,9 @@
 //! `proof ...: ...` with the verdict, and exits with 1 if a figure is out of its bound. Two programs measure the state machines
 //! in simulated time instead.
 //!
-//! This library holds the code that the programs share: [`Table`] and [`Verdict`] for their reports, [`Distribution`] for percentiles,
-//! [`run_schedules`] for schedules of faults, [`JobRuns`] and [`sole_version`] for histories, [`Gatekeeper`] for single processes,
-//! and [`gatekeeper_output`] for the texts that the programs search for.
+//! This library holds the code that the programs share: [`Table`] and [`Verdict`] for their reports, [`Distribution`] for
+//! percentiles, [`run_schedules`] for schedules of faults, [`JobRuns`] and [`sole_version`] for histories, [`Gatekeeper`] for
+//! single processes, and [`gatekeeper_output`] for the texts that the programs search for.
 
 mod addresses;
 mod distribution;
--- a/crates/system_tests/src/versions.rs
+++ b/crates/system_tests/src/versions.rs
@@ -23,8 +23,8 @@
     pub version: u64,
 }
 
-/// Returns the gatekeeper and its version if the observation is the log event of `config_node` with which a gatekeeper reports that
-/// it applies exactly one version from now on, or `None` otherwise.
+/// Returns the gatekeeper and its version if the observation is the log event of `config_node` with which a gatekeeper reports
+/// that it applies exactly one version from now on, or `None` otherwise.
 pub fn sole_version(observation: &Observation) -> Option<SoleVersion<'_>> {
     let Observation::LogLine { process, fields, .. } = observation else { return None };
     let number = |name: &str| fields.get(name).and_then(Value::as_u64);
