--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated/main.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated/main.rs
@@ -1,7 +1,8 @@
-//! The state machines of shared periodic jobs in simulated time: `proof-periodic-jobs-simulated [INSTANCES [GOSSIP_PERIOD_MS]]`.
+//! Measures the state machines of shared periodic jobs in simulated time:
+//! `proof-periodic-jobs-simulated [INSTANCES [GOSSIP_PERIOD_MS]]`.
 //!
-//! Clusters of 10 to 300 instances with ten jobs for each instance lose a tenth of all datagrams, and then half of their
-//! instances. Shows how the cost grows with the size.
+//! Clusters of 10 to 300 instances, with ten jobs per instance, lose a tenth of all datagrams. At the end of the measurement half
+//! of the instances are killed. The table shows how the cost grows with the size of the cluster.
 
 mod measurement;
 mod memory;
@@ -11,7 +12,7 @@
 use system_tests::Table;
 use system_tests::simulation::SimulationArguments;
 
-/// A cluster of 1,000 instances takes more than ten minutes. It is measured only if the command line names its size.
+/// Default cluster sizes. A cluster of 1,000 instances takes more than ten minutes, so it must be requested on the command line.
 const SIZES: [usize; 4] = [10, 30, 100, 300];
 
 fn main() -> ExitCode {
--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated/measurement.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated/measurement.rs
@@ -1,4 +1,4 @@
-//! The measurement of a cluster of one size.
+//! Measurement of a cluster of one size.
 
 use crate::memory::resident_bytes;
 use cluster_simulation::{Counts, Simulation, SimulationConfig};
@@ -6,48 +6,48 @@
 use system_tests::Table;
 use system_tests::simulation::advance_until;
 
-/// The head of the table of which [`Measurement::print_row`] prints a row.
+/// Head of the table whose rows [`Measurement::print_row`] prints.
 pub(crate) const TABLE_HEAD: &str = "| instances | duties | all see all, s | claims a s | reads a s | gossip a s and instance, bytes | half dead seen by \
     all, s | rounds missed in a row | doubles | memory of an instance, kB | of it a duty, bytes | took, s |\n\
     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
 const JOBS_PER_INSTANCE: usize = 10;
-/// The period of each job.
 const JOB_PERIOD: Duration = Duration::from_secs(5);
 const TWO_JOB_PERIODS: Duration = Duration::from_secs(2 * JOB_PERIOD.as_secs());
 /// Maximum difference between the clocks of two instances.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(100);
 /// Maximum time until all instances see each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(120);
-/// Maximum time until all survivors know that half of the instances have died.
+/// Maximum time from the kill of half of the instances until all survivors have detected it.
 const DETECTION_TIMEOUT: Duration = Duration::from_secs(600);
-/// Maximum number of lease writes for each run without faults.
+/// Maximum number of lease writes per run without faults.
 const MAX_WRITES_PER_RUN: f64 = 1.2;
 
-/// What a cluster of one size takes.
+/// Times, cost and missed runs of a cluster of one size.
 pub(crate) struct Measurement {
     instances: usize,
     jobs: usize,
+    /// Time from the start until all instances saw each other.
     joined_after: Duration,
-    calm: CalmCost,
-    /// Until all survivors know that half of the instances have died.
+    fault_free: FaultFreeCost,
+    /// Time from the kill of half of the instances until all survivors have detected it.
     detected_after: Duration,
-    /// Maximum number of runs that a job missed in a row because of the deaths.
-    missed_runs_after_deaths: u64,
-    /// Runs that started more than once.
+    /// Maximum number of consecutive runs that a job missed because of the kills.
+    missed_runs_after_kills: u64,
+    /// Number of runs that started more than once.
     pub(crate) repeated_runs: u64,
-    /// Real time of the measurement.
+    /// Real time that the measurement took.
     elapsed: Duration,
 }
 
 /// The cost of a cluster without faults.
-struct CalmCost {
+struct FaultFreeCost {
     writes_per_second: f64,
     reads_per_second: f64,
     datagram_bytes_per_second: f64,
-    /// Maximum number of runs that a job missed in a row.
+    /// Maximum number of consecutive runs that a job missed.
     missed_runs: u64,
-    /// Resident memory of this process for each instance.
+    /// Growth of this process's resident memory since before the cluster, divided by the number of instances.
     kilobytes_per_instance: f64,
 }
 
@@ -61,12 +61,12 @@
         let joined_after = advance_until_seen(&mut simulation, instances, JOIN_TIMEOUT);
         eprintln!("{instances}: joined after {} ms, {:.0} s", joined_after.as_millis(), elapsed_seconds());
 
-        let calm = CalmCost::measure(&mut simulation, instances, bytes_before);
+        let fault_free = FaultFreeCost::measure(&mut simulation, instances, bytes_before);
         eprintln!(
-            "{instances}: {:?}, calm gap {}, {:.0} kB each, {:.0} s",
+            "{instances}: {:?}, {} runs missed in a row without faults, {:.0} kB per instance, {:.0} s",
             simulation.counts(),
-            calm.missed_runs,
-            calm.kilobytes_per_instance,
+            fault_free.missed_runs,
+            fault_free.kilobytes_per_instance,
             elapsed_seconds()
         );
 
@@ -78,30 +78,30 @@
             instances,
             jobs: JOBS_PER_INSTANCE * instances,
             joined_after,
-            calm,
+            fault_free,
             detected_after,
-            missed_runs_after_deaths: simulation.take_longest_gap(),
+            missed_runs_after_kills: simulation.take_longest_gap(),
             repeated_runs: simulation.counts().repeated_runs,
             elapsed: started_at.elapsed(),
         }
     }
 
     pub(crate) fn print_row(&self) {
-        let calm = &self.calm;
+        let fault_free = &self.fault_free;
         println!(
             "| {} | {} | {:.1} | {:.0} | {:.0} | {:.0} | {:.1} | {} calm, {} after | {} | {:.0} | {:.0} | {:.0} |",
             self.instances,
             self.jobs,
             self.joined_after.as_secs_f64(),
-            calm.writes_per_second,
-            calm.reads_per_second,
-            calm.datagram_bytes_per_second / self.instances as f64,
+            fault_free.writes_per_second,
+            fault_free.reads_per_second,
+            fault_free.datagram_bytes_per_second / self.instances as f64,
             self.detected_after.as_secs_f64(),
-            calm.missed_runs,
-            self.missed_runs_after_deaths,
+            fault_free.missed_runs,
+            self.missed_runs_after_kills,
             self.repeated_runs,
-            calm.kilobytes_per_instance,
-            calm.kilobytes_per_instance * 1024.0 / self.jobs as f64,
+            fault_free.kilobytes_per_instance,
+            fault_free.kilobytes_per_instance * 1024.0 / self.jobs as f64,
             self.elapsed.as_secs_f64()
         );
     }
@@ -110,15 +110,15 @@
     pub(crate) fn add_to(&self, table: &mut Table) {
         let instances = self.instances;
         table.add_with_maximum(&format!("{instances}: rounds run twice"), self.repeated_runs as f64, 0.0);
-        let missed_runs = self.calm.missed_runs as f64;
+        let missed_runs = self.fault_free.missed_runs as f64;
         table.add_with_maximum(&format!("{instances}: rounds missed in a row, calm"), missed_runs, 1.0);
-        let writes_per_run = self.calm.writes_per_second / self.jobs as f64 * JOB_PERIOD.as_secs_f64();
+        let writes_per_run = self.fault_free.writes_per_second / self.jobs as f64 * JOB_PERIOD.as_secs_f64();
         table.add_with_maximum(&format!("{instances}: claims a round"), writes_per_run, MAX_WRITES_PER_RUN);
     }
 }
 
-impl CalmCost {
-    /// Lets two periods pass and measures the next two.
+impl FaultFreeCost {
+    /// Lets two job periods pass and then measures the next two.
     fn measure(simulation: &mut Simulation, instances: usize, bytes_before: u64) -> Self {
         simulation.advance(TWO_JOB_PERIODS);
         simulation.take_longest_gap();
@@ -152,7 +152,8 @@
     })
 }
 
-/// Advances until this many instances see as many alive. Returns how long that took.
+/// Advances until this many instances see exactly as many live members, or until the timeout. Returns the simulated time that
+/// this took.
 fn advance_until_seen(simulation: &mut Simulation, instances: usize, timeout: Duration) -> Duration {
     advance_until(simulation, timeout, |simulation| simulation.instances_seeing(instances) >= instances)
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/clock_offsets.rs
@@ -1,4 +1,5 @@
-//! Clocks that differ by as much as the configuration allows. Two instances are killed, and the lease store loses its state.
+//! The schedule with clocks that differ by as much as the configuration allows. Two instances are killed, and the lease store
+//! loses its state.
 
 use crate::gaps::{all_run_again_after, max_missed_runs};
 use crate::phases::span_of_faults;
@@ -10,14 +11,14 @@
 use system_tests::{Error, JobRuns, Table, seconds_or_infinity};
 
 const LENGTH_MS: u64 = 18_000;
-/// Clock offset of each instance.
+/// Clock offset of each instance, by its number.
 const OFFSETS_MS: [i64; INSTANCES] =
     [0, MAX_CLOCK_SKEW_MS, MAX_CLOCK_SKEW_MS / 2, 0, MAX_CLOCK_SKEW_MS, 50, 250, 100];
 /// Instances that are killed. Their clocks have no offset.
 const KILLED: [&str; 2] = ["m0", "m3"];
-/// Time after setting the clocks from which jobs run without gaps.
-const SETTLED_US: u64 = 3_000_000;
-/// Maximum time from the loss of the store's state until all jobs have run again, s.
+/// Time from the setting of the clocks until jobs must run without gaps.
+const SETTLING_TIME_US: u64 = 3_000_000;
+/// Maximum time from the loss of the lease store's state until all jobs have run again, s.
 const MAX_RECOVERY_S: f64 = (2 * JOB_PERIOD_MS) as f64 / 1_000.0 + 2.0 * MAX_CLOCK_SKEW_MS as f64 / 1_000.0;
 
 /// Runs the schedule and adds its figures to the table.
@@ -34,7 +35,7 @@
     let offsets_set_us = span_of_faults(&result.history, offset_indexes).from_us;
     let store_lost_us = span_of_faults(&result.history, store_loss_index..store_loss_index + 1).to_us;
     table.add_with_maximum("clocks 300 ms apart: rounds run twice", runs.repeated() as f64, 0.0);
-    let before_loss = Span { from_us: offsets_set_us + SETTLED_US, to_us: store_lost_us };
+    let before_loss = Span { from_us: offsets_set_us + SETTLING_TIME_US, to_us: store_lost_us };
     let missed = max_missed_runs(&runs, &jobs, before_loss);
     table.add_with_maximum("... rounds missed in a row, two killed meanwhile", missed, 1.0);
     let recovery_s = seconds_or_infinity(all_run_again_after(&runs, &jobs, store_lost_us));
--- a/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
@@ -1,9 +1,9 @@
-//! Gaps of a small history. Jobs have a period of 500 ms.
+//! Missed runs, gaps and take-over times of a small history. Jobs have a period of 500 ms.
 
 use super::*;
 use fault_injection::history::{Observation, Record};
 
-/// A run of a job at a time in ms; runs are numbered by ms, as gatekeepers do.
+/// Returns the record of a run. The number of a run is its scheduled time in ms, as on real gatekeepers.
 fn ran(at_ms: u64, job: &str, run: u64, instance: &str) -> Record {
     let observation = Observation::JobRan { job: job.into(), run, instance: instance.into() };
     Record { at_us: at_ms * 1_000, observation }
@@ -36,7 +36,7 @@
     let missed = |names: &[&str], span| max_missed_runs(&runs, &jobs(names), span);
     assert_eq!((runs.count(), runs.repeated()), (6, 1));
     assert_eq!(missed(&["a"], span_ms(1_000, 3_100)), 2.0);
-    // 1,400 ms after its last run, that is 2.8 periods, of which 1.6 are no miss.
+    // The span ends 1,400 ms or 2.8 periods after the last run, of which 1.6 periods are allowed; the rest is rounded up.
     assert_eq!(missed(&["b"], span_ms(1_000, 3_100)), 2.0);
     assert_eq!(missed(&["a"], span_ms(1_000, 1_600)), 0.0);
     // A job that never runs misses all periods.
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn gaps_and_take_overs_are_timed() {
+fn gaps_and_take_over_times_are_measured() {
     let history = history();
     let runs = JobRuns::of(&history);
     assert_eq!(longest_gap(&runs, span_ms(1_000, 3_100)), Duration::from_millis(1_500));
--- a/crates/system_tests/src/bin/proof-periodic-jobs/main.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/main.rs
@@ -1,8 +1,9 @@
-//! Shared periodic jobs on real gatekeepers: 8 instances with 64 jobs every 500 ms, under kills, suspensions, partitions and
-//! outages of the lease store.
+//! Tests shared periodic jobs on real gatekeepers: 8 instances share 64 jobs with a period of 500 ms, under kills, suspensions,
+//! partitions and outages of the lease store.
 //!
-//! The target of the jobs accepts every call, so a run that happens twice is seen twice. A first schedule goes through all faults
-//! with clocks that agree, a second one with clocks that differ by as much as the configuration allows.
+//! The target of the jobs accepts every call, so it records a run twice if the run happens twice. In the first schedule, which
+//! has all kinds of faults, the clocks of the instances agree. In the second one they differ by as much as the configuration
+//! allows.
 
 mod clock_offsets;
 mod gaps;
--- a/crates/system_tests/src/bin/proof-periodic-jobs/phases.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of the schedule with clocks that agree, each with its faults.
+//! The phases of the schedule in which the clocks agree, and the faults of each phase.
 
 use crate::schedule::{CHANGED_JOBS, FIRST_CHANGED_JOB, INSTANCES};
 use fault_injection::history::{Observation, Record, Span};
@@ -8,7 +8,7 @@
 /// The instance that leaves in [`Phase::OneLeaves`].
 pub(crate) const LEAVING_INSTANCE: &str = "m7";
 
-/// A part of the schedule. Its bounds hold from the begin of its first fault to the begin of the next phase.
+/// A part of the schedule. Its bounds apply from the start of its first fault to the start of the next phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Half of the instances are killed at once.
@@ -19,22 +19,22 @@
     TwoSuspended,
     /// The lease store does not respond.
     StoreSilent,
-    /// The lease store is back without its state.
+    /// The lease store responds again but has lost its state.
     StoreEmpty,
-    /// A partition in which both sides reach the lease store.
+    /// A network partition in which both sides can reach the lease store.
     Partition,
-    /// A partition in which one side alone reaches the lease store.
+    /// A network partition in which only one side can reach the lease store.
     PartitionFromStore,
-    /// Responses of the lease store are lost.
+    /// Requests reach the lease store, but its responses are lost.
     ResponsesLost,
     /// One instance shuts down gracefully.
     OneLeaves,
-    /// A reload changes the jobs.
+    /// A reload of the configuration changes the jobs.
     JobsChanged,
 }
 
 impl Phase {
-    /// All phases in their order.
+    /// All phases in the order of their faults.
     pub(crate) const ALL: [Self; 10] = [
         Self::HalfKilled,
         Self::OneSuspended,
@@ -48,7 +48,7 @@
         Self::JobsChanged,
     ];
 
-    /// Returns the name in the table.
+    /// Returns the name of the phase in the table.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::HalfKilled => "half killed at once",
@@ -86,7 +86,7 @@
     }
 }
 
-/// Returns the names of half of the instances.
+/// Returns the names of the instances with even numbers.
 pub(crate) fn every_other_instance() -> impl Iterator<Item = String> {
     (0..INSTANCES).step_by(2).map(instance_name)
 }
@@ -134,7 +134,7 @@
     FaultKind::JobsChanged { target: "*".into(), first_job: FIRST_CHANGED_JOB, job_count: CHANGED_JOBS }
 }
 
-/// Returns the span from the begin of the first of the faults with these indexes to the end of the last.
+/// Returns the span from the start of the first of the faults with these indexes to the end of the last.
 pub(crate) fn span_of_faults(history: &[Record], indexes: Range<usize>) -> Span {
     let times_us = |is_begin: bool| {
         let indexes = indexes.clone();
--- a/crates/system_tests/src/bin/proof-periodic-jobs/phases/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/phases/tests.rs
@@ -1,11 +1,11 @@
-//! The phases are the same in every version, and their times are found in a history.
+//! The faults of the phases stay the same from version to version, and the span of a phase is found in a history.
 
 use super::*;
 use crate::schedule::schedule;
 use fault_harness::digest::digest;
 
 #[test]
-fn phases_are_those_that_they_always_were() {
+fn the_faults_of_all_phases_are_unchanged() {
     let faults = Phase::ALL.into_iter().flat_map(Phase::faults).collect();
     assert_eq!(digest(&schedule("duties", 92_000, faults).to_toml()), 0x3e88_1a42_08bb_25c8);
     let counts = Phase::ALL.map(|phase| phase.faults().len());
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_phase_lasts_from_its_first_fault_to_its_last() {
+fn a_phase_lasts_from_the_start_of_its_first_fault_to_the_end_of_its_last() {
     let history =
         [fault(1_100, 0, true), fault(1_600, 1, true), fault(2_900, 0, false), fault(3_100, 1, false)];
     let span = span_of_faults(&history, 0..2);
--- a/crates/system_tests/src/bin/proof-periodic-jobs/schedule.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/schedule.rs
@@ -1,4 +1,4 @@
-//! The site: instances and their jobs.
+//! The instances and jobs of the site on which both schedules run.
 
 use fault_injection::schedule::{Fault, Form, Schedule, SiteOptions};
 use std::collections::BTreeSet;
@@ -6,14 +6,14 @@
 
 pub(crate) const INSTANCES: usize = 8;
 pub(crate) const JOBS: usize = 64;
-/// The maximum clock skew, as configured, ms.
+/// The configured maximum difference between the clocks of two instances, ms.
 pub(crate) const MAX_CLOCK_SKEW_MS: i64 = 300;
-/// The number of the first job after the reload that changes the jobs.
+/// The lowest job number after the reload that changes the jobs.
 pub(crate) const FIRST_CHANGED_JOB: usize = 16;
-/// The number of jobs after this reload.
+/// How many jobs there are after this reload.
 pub(crate) const CHANGED_JOBS: usize = JOBS - 12;
 
-/// Returns a schedule of the appliance without load.
+/// Returns a schedule for the appliance form that sends no requests.
 pub(crate) fn schedule(name: &str, length_ms: u64, faults: Vec<Fault>) -> Schedule {
     let options = SiteOptions { jobs: JOBS, standbys: INSTANCES - 1, load: false, ..SiteOptions::default() };
     Schedule {
@@ -28,12 +28,12 @@
     }
 }
 
-/// Returns the names of the jobs before any reload.
+/// Returns the names of the jobs before the reload that changes them.
 pub(crate) fn all_jobs() -> BTreeSet<String> {
     job_names(0..JOBS)
 }
 
-/// Returns the names of the jobs after the reload that changes them.
+/// Returns the names of the jobs after this reload.
 pub(crate) fn changed_jobs() -> BTreeSet<String> {
     job_names(FIRST_CHANGED_JOB..FIRST_CHANGED_JOB + CHANGED_JOBS)
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/schedule/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/schedule/tests.rs
@@ -1,4 +1,4 @@
-//! The names of jobs.
+//! Names of jobs before and after the reload.
 
 use super::*;
 
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -1,4 +1,4 @@
-//! All phases, with clocks that agree.
+//! The schedule with all phases, in which the clocks of the instances agree.
 
 use crate::gaps::{all_run_again_after, longest_gap, max_missed_runs, take_over_times};
 use crate::phases::{LEAVING_INSTANCE, Phase, every_other_instance, span_of_faults};
@@ -11,61 +11,62 @@
 use system_tests::{Distribution, Error, JobRuns, Table, seconds_or_infinity};
 
 const LENGTH_MS: u64 = 92_000;
-/// All jobs run from then on.
-const JOBS_RUN_FROM_MS: u64 = 12_000;
-/// Duration of the time without faults before the first phase, s.
-const CALM_S: u64 = 10;
-/// Minimum number of runs, as a share of those that are due.
+/// Time from which all jobs are expected to run.
+const ALL_JOBS_RUN_FROM_MS: u64 = 12_000;
+/// Duration of the measured time without faults before the first phase, s.
+const FAULT_FREE_S: u64 = 10;
+/// Minimum number of runs, as a share of the scheduled runs.
 const MIN_RUN_SHARE: f64 = 0.9;
-/// Maximum number of runs that a job misses in a row.
+/// Maximum number of consecutive runs that a job misses.
 const MAX_MISSED_RUNS: f64 = 1.0;
-/// Maximum time until another instance runs a job, s.
+/// Maximum time until another instance runs a job whose instance is gone, s.
 const MAX_TAKE_OVER_S: f64 = 2.0 * JOB_PERIOD_MS as f64 / 1_000.0;
 /// Maximum time between two runs of a job when half of the instances are killed, s.
 const MAX_GAP_S: f64 = MAX_TAKE_OVER_S + 0.1;
-/// A run that began before the store was silent may reach its target until then.
-const LAST_RUN_BEFORE_SILENCE_US: u64 = 300_000;
-/// All jobs run again this long after the store is back.
+/// Time from the start of the outage in which runs that began earlier may still reach their targets.
+const EARLIER_RUNS_ARRIVE_US: u64 = 300_000;
+/// Time from the return of the lease store after which all jobs are expected to run again.
 const STORE_RECOVERY_US: u64 = 1_000_000;
-/// All instances have reloaded this long after the begin of the fault ...
+/// Time from the start of the fault after which all instances have reloaded the changed jobs.
 const RELOADED_AFTER_US: u64 = 1_500_000;
-/// ... and keep the changed jobs until this long before its end.
-const RELOADED_BEFORE_END_US: u64 = 200_000;
-/// The gatekeeper whose processor time is shown.
+/// Time before the end of the fault until which all instances keep the changed jobs.
+const RELOADED_UNTIL_BEFORE_END_US: u64 = 200_000;
+/// The gatekeeper whose processor time is in the table.
 const MEASURED_GATEKEEPER: &str = "m1";
-/// Requests of the lease store's clients in a traffic record.
+/// Key of the lease writes in the request counts of a traffic observation.
 const LEASE_WRITES: &str = "PUT /v1/txn";
+/// Key of the reads of the lease store in the same counts.
 const LEASE_READS: &str = "GET /v1/kv";
 
-/// Runs all phases, adds their figures to the table, and returns the figures of the last line.
+/// Runs all phases, adds their figures to the table, and returns the figures for the last line of the output.
 pub(crate) fn run(table: &mut Table) -> Result<String, Error> {
     let faults = Phase::ALL.into_iter().flat_map(Phase::faults).collect();
     let result = run_and_report(&schedule("duties", LENGTH_MS, faults), table)?;
     Ok(Measurement::new(&result.history).report(table))
 }
 
-/// A phase and its time, from the begin of its first fault to the end of its last.
+/// A phase and its span, from the start of its first fault to the end of its last fault.
 struct TimedPhase {
     phase: Phase,
     span: Span,
 }
 
-/// The history of all phases.
+/// The history of all phases, evaluated by phase.
 struct Measurement<'a> {
     history: &'a [Record],
     runs: JobRuns<'a>,
     jobs: BTreeSet<String>,
     phases: Vec<TimedPhase>,
-    /// The time without faults before the first phase.
-    calm: Span,
+    /// The measured time without faults before the first phase.
+    fault_free: Span,
 }
 
 impl<'a> Measurement<'a> {
     fn new(history: &'a [Record]) -> Self {
         let phases = timed_phases(history);
         let first_fault_us = phases[0].span.from_us;
-        let calm = Span { from_us: first_fault_us - CALM_S * 1_000_000, to_us: first_fault_us };
-        Self { history, runs: JobRuns::of(history), jobs: all_jobs(), phases, calm }
+        let fault_free = Span { from_us: first_fault_us - FAULT_FREE_S * 1_000_000, to_us: first_fault_us };
+        Self { history, runs: JobRuns::of(history), jobs: all_jobs(), phases, fault_free }
     }
 
     fn span_of(&self, phase: Phase) -> Span {
@@ -86,10 +87,10 @@
         let length_s = LENGTH_MS / 1_000;
         let size = format!("{INSTANCES} instances, {JOBS} duties, period {JOB_PERIOD_MS} ms, {length_s} s");
         table.add("size", size);
-        let due_runs = JOBS as f64 * (LENGTH_MS - JOBS_RUN_FROM_MS) as f64 / JOB_PERIOD_MS as f64;
-        table.add_with_minimum("runs", self.runs.count() as f64, MIN_RUN_SHARE * due_runs);
+        let scheduled_runs = JOBS as f64 * (LENGTH_MS - ALL_JOBS_RUN_FROM_MS) as f64 / JOB_PERIOD_MS as f64;
+        table.add_with_minimum("runs", self.runs.count() as f64, MIN_RUN_SHARE * scheduled_runs);
         table.add_with_maximum("rounds run twice", self.runs.repeated() as f64, 0.0);
-        self.add_missed_runs(table, "rounds missed in a row, calm", self.calm);
+        self.add_missed_runs(table, "rounds missed in a row, calm", self.fault_free);
     }
 
     fn add_missed_runs(&self, table: &mut Table, name: &str, span: Span) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Adds the figures of a phase, up to the begin of the next one.
+    /// Adds the figures of a phase, measured until `next_us`, when the next phase starts.
     fn add_phase(&self, table: &mut Table, TimedPhase { phase, span }: &TimedPhase, next_us: u64) {
         match phase {
             Phase::StoreSilent => self.add_runs_without_store(table, span.from_us),
@@ -117,15 +118,16 @@
         }
     }
 
-    /// Without the lease store no job may run.
+    /// Adds the number of runs while the lease store does not respond. No job may run then.
     fn add_runs_without_store(&self, table: &mut Table, silent_us: u64) {
         let to_us = self.span_of(Phase::StoreEmpty).from_us;
-        let silent = Span { from_us: silent_us + LAST_RUN_BEFORE_SILENCE_US, to_us };
+        let silent = Span { from_us: silent_us + EARLIER_RUNS_ARRIVE_US, to_us };
         let runs = self.runs.within(silent).count();
         table.add_with_maximum("runs while the store is silent (from 0.3 s on)", runs as f64, 0.0);
     }
 
-    /// With an empty lease store all jobs start again.
+    /// Adds how long it takes until all jobs run again after the lease store returned without its state, and the runs that they
+    /// miss later.
     fn add_store_recovery(&self, table: &mut Table, back_us: u64, next_us: u64) {
         let recovery_s = seconds_or_infinity(all_run_again_after(&self.runs, &self.jobs, back_us));
         let name = "the store back empty: the last duty runs again after, s";
@@ -134,10 +136,13 @@
         self.add_missed_runs(table, "... rounds missed in a row later", recovered);
     }
 
+    /// Adds the missed runs of the changed jobs, and the runs of jobs that the reload removed.
     fn add_changed_jobs(&self, table: &mut Table, span: Span) {
         let jobs = changed_jobs();
-        let reloaded =
-            Span { from_us: span.from_us + RELOADED_AFTER_US, to_us: span.to_us - RELOADED_BEFORE_END_US };
+        let reloaded = Span {
+            from_us: span.from_us + RELOADED_AFTER_US,
+            to_us: span.to_us - RELOADED_UNTIL_BEFORE_END_US,
+        };
         let missed = max_missed_runs(&self.runs, &jobs, reloaded);
         let name = format!("... {}", Phase::JobsChanged.name());
         table.add_with_maximum(&name, missed, MAX_MISSED_RUNS);
@@ -146,17 +151,18 @@
         table.add_with_maximum("runs of duties that the reload took away", removed as f64, 0.0);
     }
 
-    /// Adds how long others take to run the jobs of instances that have died or left. Returns the maximum after deaths, s.
+    /// Adds the gaps between runs and the take-over times of jobs whose instances were killed or left. Returns the maximum
+    /// take-over time after the kills, s.
     fn add_take_overs(&self, table: &mut Table) -> f64 {
-        let killed = self.span_of(Phase::HalfKilled);
-        let calm_gap_s = longest_gap(&self.runs, self.calm).as_secs_f64();
-        table.add("longest gap between two runs of a duty, calm, s", format!("{calm_gap_s:.3}"));
-        let with_deaths = Span { from_us: self.calm.from_us, to_us: killed.to_us };
-        let gap_s = longest_gap(&self.runs, with_deaths).as_secs_f64();
+        let kills = self.span_of(Phase::HalfKilled);
+        let fault_free_gap_s = longest_gap(&self.runs, self.fault_free).as_secs_f64();
+        table.add("longest gap between two runs of a duty, calm, s", format!("{fault_free_gap_s:.3}"));
+        let until_kills_end = Span { from_us: self.fault_free.from_us, to_us: kills.to_us };
+        let gap_s = longest_gap(&self.runs, until_kills_end).as_secs_f64();
         table.add_with_maximum("... half killed at once, s", gap_s, MAX_GAP_S);
 
         let killed_instances: Vec<String> = every_other_instance().collect();
-        let times_s = self.take_over_times_s(killed.from_us, &killed_instances);
+        let times_s = self.take_over_times_s(kills.from_us, &killed_instances);
         let median_s = times_s.median();
         let max_s = times_s.maximum().unwrap_or(f64::INFINITY);
         table.add("time to take over when half die, median, s", format!("{median_s:.3}"));
@@ -169,30 +175,32 @@
         max_s
     }
 
-    fn take_over_times_s(&self, at_us: u64, gone_instances: &[String]) -> Distribution {
-        let times = take_over_times(&self.runs, at_us, gone_instances);
+    fn take_over_times_s(&self, gone_us: u64, gone_instances: &[String]) -> Distribution {
+        let times = take_over_times(&self.runs, gone_us, gone_instances);
         times.into_iter().map(seconds_or_infinity).collect()
     }
 
-    /// Adds the cost of the jobs without faults.
+    /// Adds the requests to the lease store, the gossip traffic and the processor time without faults, and the number of leases
+    /// that were recovered in the whole history.
     fn add_cost(&self, table: &mut Table) {
         for (name, kind) in [("claims", LEASE_WRITES), ("reads of the claim store", LEASE_READS)] {
-            let requests = self.calm_increase(|observation| consul_requests(observation, kind));
-            let per_second = requests as f64 / CALM_S as f64;
+            let requests = self.fault_free_increase(|observation| consul_requests(observation, kind));
+            let per_second = requests as f64 / FAULT_FREE_S as f64;
             table.add(&format!("{name} a second, calm"), format!("{per_second:.0}"));
         }
-        let gossip_bytes = self.calm_increase(gossip_bytes);
-        table.add("bytes of gossip a second, all instances, calm", gossip_bytes / CALM_S);
-        let cpu_ms = self.calm_increase(cpu_ms);
-        table.add("processor time of m1, calm", format!("{:.1}%", cpu_ms as f64 / (10 * CALM_S) as f64));
+        let gossip_bytes = self.fault_free_increase(gossip_bytes);
+        table.add("bytes of gossip a second, all instances, calm", gossip_bytes / FAULT_FREE_S);
+        let cpu_ms = self.fault_free_increase(cpu_ms);
+        table
+            .add("processor time of m1, calm", format!("{:.1}%", cpu_ms as f64 / (10 * FAULT_FREE_S) as f64));
         let is_recovery = |record: &&Record| record.observation.is_log_line_with(&LEASE_RECOVERED);
         let recoveries = self.history.iter().filter(is_recovery).count();
         table.add("log lines on claims recovered", recoveries);
     }
 
-    /// Returns by how much a counter grows in the time without faults.
-    fn calm_increase(&self, counter: impl Fn(&Observation) -> Option<u64>) -> u64 {
-        self.counter_at(self.calm.to_us, &counter) - self.counter_at(self.calm.from_us, &counter)
+    /// Returns by how much a counter grows during the measured time without faults.
+    fn fault_free_increase(&self, counter: impl Fn(&Observation) -> Option<u64>) -> u64 {
+        self.counter_at(self.fault_free.to_us, &counter) - self.counter_at(self.fault_free.from_us, &counter)
     }
 
     /// Returns the last value of a counter up to a time, or 0 if there is none.
@@ -212,19 +220,19 @@
     timed.collect()
 }
 
-/// Returns the number of requests of a kind to Consul so far.
+/// Returns the number of requests of a kind that Consul has received so far, or `None` if this is no traffic observation.
 fn consul_requests(observation: &Observation, kind: &str) -> Option<u64> {
     let Observation::Traffic { consul_requests, .. } = observation else { return None };
     Some(consul_requests.get(kind).copied().unwrap_or(0))
 }
 
-/// Returns the bytes of all datagrams so far.
+/// Returns the number of gossip bytes so far, or `None` if this is no traffic observation.
 fn gossip_bytes(observation: &Observation) -> Option<u64> {
     let Observation::Traffic { gossip_bytes, .. } = observation else { return None };
     Some(*gossip_bytes)
 }
 
-/// Returns the processor time of the measured gatekeeper so far, ms.
+/// Returns the processor time of [`MEASURED_GATEKEEPER`] so far in ms, or `None` if this observation does not have it.
 fn cpu_ms(observation: &Observation) -> Option<u64> {
     match observation {
         Observation::ResourceUse { process, cpu_ms, .. } if process == MEASURED_GATEKEEPER => Some(*cpu_ms),
