--- a/crates/system_tests/src/bin/proof-catalogue/main.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/main.rs
@@ -1,8 +1,9 @@
-//! The endpoint list while Consul and its catalogue fail: one real gatekeeper with two Consul agents, and 12 backends under
-//! steady load.
+//! Tests how a gatekeeper keeps its endpoint list while Consul and its catalogue fail. One real gatekeeper with two Consul agents
+//! forwards a steady load to 12 backends.
 //!
-//! A scenario of about six minutes runs step by step and notes the time of each step. The report then evaluates the history of
-//! the site by these times: for each drain, how long after the change of the catalogue the last request reached the backend.
+//! The scenario takes about six minutes and records the span of each of its steps. The report evaluates the history of the site
+//! within these spans: for example, for each drain, the time from the change of the catalogue to the last request that reached
+//! the drained backend.
 
 mod load;
 mod report;
@@ -43,7 +44,7 @@
     Ok(verdict)
 }
 
-/// Returns a schedule without faults: the scenario injects its faults itself.
+/// Returns a schedule without faults, because the scenario injects its faults itself.
 fn schedule() -> Schedule {
     let options = SiteOptions {
         jobs: 0,
--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -1,4 +1,4 @@
-//! The report: the figures of each step of the scenario, with their bounds.
+//! The report with the figures of each step of the scenario and their bounds.
 
 use crate::BACKENDS;
 use crate::load::CLIENTS;
@@ -15,19 +15,19 @@
 use system_tests::gatekeeper_output::status_report;
 use system_tests::{Distribution, Table, seconds_or_infinity};
 
-/// The number of backends that die in an outage.
-const DEAD_IN_OUTAGE: f64 = 2.0;
+/// The number of backends that die during each outage.
+const DEAD_BACKENDS_IN_OUTAGE: f64 = 2.0;
 /// Minimum share of requests that are served without faults.
-const MIN_CALM_SHARE: f64 = 0.999;
+const MIN_FAULT_FREE_SHARE: f64 = 0.999;
 /// Maximum time from a change of the catalogue to the last request at the drained backend, s.
 const MAX_DRAIN_LAG_S: f64 = 1.0;
 /// Maximum number of changes between eligible and not eligible for each flapping backend.
 const MAX_CHANGES_PER_FLAPPING_BACKEND: f64 = 8.0;
-/// Minimum and maximum number of requests to weight 3 for each request to weight 1.
+/// Minimum and maximum ratio of requests at backends with weight 3 to requests at backends with weight 1.
 const WEIGHT_RATIO_BOUNDS: [f64; 2] = [2.4, 3.6];
 /// Maximum time from a restart to the first served request, s.
 const MAX_RESTART_S: f64 = 2.0;
-/// Maximum growth of memory over 100,000 replaced ids, kB.
+/// Maximum memory growth after the replacement of 100,000 ids, kB.
 const MAX_MEMORY_GROWTH_KB: f64 = 20_000.0;
 
 struct Report<'a> {
@@ -36,15 +36,15 @@
     history: &'a [Record],
     requests: Requests,
     /// The share of requests that are served without faults.
-    calm_share: f64,
+    fault_free_share: f64,
 }
 
-/// Fills the table and returns the figures of the last line.
+/// Fills the table and returns the figures for the last line of the output.
 pub(crate) fn report(table: &mut Table, timeline: &Timeline, history: &[Record]) -> String {
     let requests = Requests::of(history);
-    let calm_share = requests.served_share(timeline.calm);
-    let mut report = Report { table, timeline, history, requests, calm_share };
-    report.add_calm();
+    let fault_free_share = requests.served_share(timeline.fault_free);
+    let mut report = Report { table, timeline, history, requests, fault_free_share };
+    report.add_fault_free();
     let max_drain_lag_s = report.add_drains();
     let min_outage_share = report.add_outages();
     report.add_flapping();
@@ -62,16 +62,17 @@
 }
 
 impl Report<'_> {
-    fn add_calm(&mut self) {
+    fn add_fault_free(&mut self) {
         let length = self.timeline.load.seconds();
         self.table.add("size", format!("{BACKENDS} loan servers, {CLIENTS} clients, {length:.0} s"));
-        let calm = self.timeline.calm;
-        let responses_per_second = self.requests.responses(calm).all as f64 / calm.seconds();
+        let fault_free = self.timeline.fault_free;
+        let responses_per_second = self.requests.responses(fault_free).all as f64 / fault_free.seconds();
         self.table.add("answers a second, calm", format!("{responses_per_second:.0}"));
-        self.table.add_with_minimum("served share, calm", self.calm_share, MIN_CALM_SHARE);
+        self.table.add_with_minimum("served share, calm", self.fault_free_share, MIN_FAULT_FREE_SHARE);
     }
 
-    /// Returns the maximum time from a change of the catalogue to the last request at the drained backend, s.
+    /// Adds the drain times. Returns the maximum time from a change of the catalogue to the last request at the drained backend,
+    /// s.
     fn add_drains(&mut self) -> f64 {
         let lag_s =
             |drain: &Drain| self.requests.last_arrival_after(&drain.backend, drain.span).as_secs_f64();
@@ -87,10 +88,10 @@
         max_lag_s
     }
 
-    /// Returns the minimum share of requests that were served in an outage.
+    /// Adds the served share of each outage and returns the smallest one.
     fn add_outages(&mut self) -> f64 {
-        // First attempts at the dead backends are retried at others.
-        let min_share = self.calm_share - DEAD_IN_OUTAGE / BACKENDS as f64;
+        // First attempts at the dead backends fail and are retried at other backends.
+        let min_share = self.fault_free_share - DEAD_BACKENDS_IN_OUTAGE / BACKENDS as f64;
         let mut lowest_share: f64 = 1.0;
         for outage in &self.timeline.outages {
             let share = self.requests.served_share(outage.span);
@@ -111,7 +112,7 @@
             let name = format!("{backends} flapping each second for {FLAPS} s: turns of each");
             self.table.add_with_maximum(&name, changes_per_backend, MAX_CHANGES_PER_FLAPPING_BACKEND);
             let share = self.requests.served_share(span);
-            self.table.add_with_minimum("... served share", share, self.calm_share - 0.01);
+            self.table.add_with_minimum("... served share", share, self.fault_free_share - 0.01);
         }
     }
 
@@ -123,7 +124,11 @@
             ("index going back", damaged.index_back),
         ] {
             let share = self.requests.served_share(span);
-            self.table.add_with_minimum(&format!("served share, {name}"), share, self.calm_share - 0.001);
+            self.table.add_with_minimum(
+                &format!("served share, {name}"),
+                share,
+                self.fault_free_share - 0.001,
+            );
         }
     }
 
@@ -133,7 +138,7 @@
         self.table.add_with_minimum(name, arrivals as f64, 1.0);
     }
 
-    /// Returns the number of requests to weight 3 for each request to weight 1.
+    /// Adds the requests by weight. Returns the ratio of requests at backends with weight 3 to requests at those with weight 1.
     fn add_weights(&mut self) -> f64 {
         let arrivals = |wanted_weight: u32| -> usize {
             let backends = (0..BACKENDS).filter(|&backend| weight(backend) == wanted_weight);
@@ -166,13 +171,13 @@
 
         let share_from = |from_us| self.requests.served_share(Span { from_us, ..restart });
         let share = first_served_us.map_or(0.0, share_from);
-        self.table.add_with_minimum("... served share from then on", share, MIN_CALM_SHARE);
+        self.table.add_with_minimum("... served share from then on", share, MIN_FAULT_FREE_SHARE);
 
         let is_reported = self.timeline.restarts.status_report.contains(status_report::CACHED_LIST);
         self.table.add_condition("... the status says so", is_reported);
     }
 
-    /// Returns when the last process before the end of a span was started.
+    /// Returns the time of the last process start before the end of a span, or the start of the span if there is none.
     fn last_process_start_us(&self, span: Span) -> u64 {
         let is_start = |record: &&Record| {
             record.at_us < span.to_us && matches!(record.observation, Observation::ProcessStarted { .. })
--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -5,16 +5,16 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Responses within a span.
+/// Numbers of responses within a span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ResponseCounts {
     pub(crate) all: usize,
-    /// Those that came from a backend.
+    /// Responses that came from a backend.
     pub(crate) served: usize,
 }
 
 impl ResponseCounts {
-    /// Returns the share of responses that came from a backend, or 0 without responses.
+    /// Returns the share of responses that came from a backend, or 0 if there are no responses.
     pub(crate) fn served_share(self) -> f64 {
         self.served as f64 / self.all.max(1) as f64
     }
@@ -73,7 +73,7 @@
         requests
     }
 
-    /// Counts the responses from the begin of a span until before its end.
+    /// Counts the responses within a span, including its start but not its end.
     pub(crate) fn responses(&self, span: Span) -> ResponseCounts {
         let within = || self.responses.iter().filter(|response| is_within(response.at_us, span));
         let served = within().filter(|response| response.outcome == Outcome::Served);
@@ -85,13 +85,13 @@
         self.responses(span).served_share()
     }
 
-    /// Returns when the first response of a backend after this time came.
+    /// Returns the time of the first response from a backend after `at_us`, or `None` if there is none.
     pub(crate) fn first_served_after_us(&self, at_us: u64) -> Option<u64> {
         let is_first = |response: &&Response| response.at_us > at_us && response.outcome == Outcome::Served;
         self.responses.iter().find(is_first).map(|response| response.at_us)
     }
 
-    /// Returns the times of arrivals at a backend after the begin of a span and before its end, us.
+    /// Returns the times in microseconds of the arrivals at a backend after the start of a span and before its end.
     fn arrivals_us(&self, backend: &str, span: Span) -> impl Iterator<Item = u64> {
         let at_backend = self.arrivals.iter().filter(move |arrival| arrival.backend == backend);
         at_backend
@@ -99,7 +99,7 @@
             .filter(move |&at_us| at_us > span.from_us && at_us < span.to_us)
     }
 
-    /// Returns the time from the begin of a span to the last arrival at a backend within it, or zero without arrivals.
+    /// Returns the time from the start of a span to the last arrival at a backend within it, or zero if there are no arrivals.
     pub(crate) fn last_arrival_after(&self, backend: &str, span: Span) -> Duration {
         let last_us = self.arrivals_us(backend, span).max();
         last_us.map_or(Duration::ZERO, |last_us| Duration::from_micros(last_us - span.from_us))
@@ -115,7 +115,7 @@
         self.log_event_count_with_reason(span, message, "")
     }
 
-    /// Counts the log events within a span whose message and reason contain these texts.
+    /// Counts the log events within a span whose message and field `reason` contain these texts. An empty text matches any.
     pub(crate) fn log_event_count_with_reason(&self, span: Span, message: &str, reason: &str) -> usize {
         let within = self.log_events.iter().filter(|event| is_within(event.at_us, span));
         within.filter(|event| event.message.contains(message) && event.reason.contains(reason)).count()
--- a/crates/system_tests/src/bin/proof-catalogue/requests/tests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests/tests.rs
@@ -1,4 +1,4 @@
-//! Counts and times of a small history.
+//! Responses, arrivals and log events of a small history.
 
 use super::*;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn answers_arrivals_and_log_lines_are_counted_within_a_span() {
+fn responses_arrivals_and_log_events_are_counted_within_a_span() {
     let line = Observation::LogLine {
         process: "m0".into(),
         text: "endpoint not eligible".into(),
@@ -36,7 +36,7 @@
         sent(230, 3),
         arrived(400_000, 3, "l0"),
         ended(500_000, 3, Outcome::Rejected),
-        // The end of a request that was never sent is no response.
+        // The end of a request that was never sent does not count as a response.
         ended(500_001, 9, Outcome::Served),
         record(500_002, line),
         arrived(600_000, 4, "l1"),
@@ -45,7 +45,7 @@
     let all = Span { from_us: 100, to_us: 700_000 };
     assert_eq!(requests.responses(all), ResponseCounts { all: 2, served: 1 });
     assert_eq!(requests.served_share(all), 0.5);
-    // The end of a span is not in it.
+    // A span does not include its end.
     assert_eq!(requests.responses(Span { from_us: 200, to_us: 500_000 }).all, 1);
     assert_eq!((requests.first_served_after_us(199), requests.first_served_after_us(200)), (Some(200), None));
     assert_eq!((requests.arrival_count("l0", all), requests.arrival_count("l1", all)), (2, 1));
--- a/crates/system_tests/src/bin/proof-catalogue/scenario.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario: what happens to Consul, to its catalogue and to the gatekeeper, step by step.
+//! The steps of the scenario: faults of Consul, changes of its catalogue and restarts of the gatekeeper.
 
 use crate::load::Load;
 use crate::timeline::{DamagedResponses, Drain, Flapping, Outage, Restarts, Timeline, pause};
@@ -15,19 +15,19 @@
 const DRAINS: usize = 20;
 /// The backend that is drained while the first Consul agent is down.
 pub(crate) const FAILOVER_BACKEND: usize = 7;
-/// The duration of each outage of Consul.
-const OUTAGE: Duration = Duration::from_secs(30);
-/// The number of flaps, one a second.
+/// The duration of each Consul outage.
+const OUTAGE_DURATION: Duration = Duration::from_secs(30);
+/// The number of health changes of a flapping backend, one per second.
 pub(crate) const FLAPS: u32 = 60;
-/// The backends that flap: first one, then a third of all.
+/// The groups of backends that flap: first a single one, then a third of all.
 const FLAPPING_BACKENDS: [&[usize]; 2] = [&[8], &[8, 9, 10, 11]];
 /// The only gatekeeper.
 const GATEKEEPER: &str = "m0";
-/// An index of the catalogue below those that the gatekeeper has seen.
+/// A catalogue index below those that the gatekeeper has seen.
 const EARLIER_CATALOGUE_INDEX: u64 = 3;
-/// A replaced instance may get requests until the gatekeeper has seen the change.
-const REPLACEMENT_DELAY_US: u64 = 1_000_000;
-/// Length to which the cache file is truncated: about half of it.
+/// Time after a change of the catalogue in which the gatekeeper may still send requests to the replaced instance.
+const REPLACEMENT_GRACE_US: u64 = 1_000_000;
+/// Length to which the cache file is truncated, about half of its full length.
 const TRUNCATED_CACHE_BYTES: u32 = 500;
 
 const HALF_SECOND: Duration = Duration::from_millis(500);
@@ -40,9 +40,9 @@
 pub(crate) fn run(site: &Arc<Site>) -> Result<Timeline, Error> {
     let load = Load::start(site);
     pause(TWO_SECONDS);
-    let calm = pause(Duration::from_secs(5));
+    let fault_free = pause(Duration::from_secs(5));
     let drains = drain_backends(site);
-    // The next step starts with all backends eligible and with no backend held down after a flap.
+    // After this pause all backends are eligible again, and none is still excluded because it flapped.
     pause(ONE_SECOND);
     let outages = consul_outages(site);
     let failover = drain_with_first_agent_down(site);
@@ -54,7 +54,7 @@
     let load = load.stop();
     Ok(Timeline {
         load,
-        calm,
+        fault_free,
         drains,
         outages,
         failover,
@@ -68,7 +68,7 @@
     })
 }
 
-/// How the catalogue tells that a backend drains.
+/// How the catalogue indicates that a backend must be drained.
 #[derive(Clone, Copy)]
 enum DrainKind {
     CheckCritical,
@@ -93,10 +93,10 @@
     }
 }
 
-/// Drains one backend after the other, in all ways by turns.
+/// Drains one backend after the other, cycling through all kinds of drains.
 fn drain_backends(site: &Site) -> Vec<Drain> {
     let kinds = DrainKind::ALL.into_iter().cycle().take(DRAINS);
-    kinds.enumerate().map(|(turn, kind)| drain(site, turn % BACKENDS, kind)).collect()
+    kinds.enumerate().map(|(index, kind)| drain(site, index % BACKENDS, kind)).collect()
 }
 
 fn drain(site: &Site, backend: usize, kind: DrainKind) -> Drain {
@@ -111,14 +111,15 @@
     Drain { backend: name, span }
 }
 
-/// Makes both Consul agents fail in three ways. Two other backends die in each outage.
+/// Makes both Consul agents fail in three ways, one after the other. Two backends die during each outage, different ones each
+/// time.
 fn consul_outages(site: &Site) -> Vec<Outage> {
     let kinds =
         [("silent", Fault::Silent), ("refusing", Fault::Closed), ("answering 500", Fault::Status(500))];
-    let outages = kinds.into_iter().enumerate().map(|(turn, (kind, fault))| {
+    let outages = kinds.into_iter().enumerate().map(|(index, (kind, fault))| {
         fail_consul(site, fault);
         pause(ONE_SECOND);
-        let span = outage_with_dead_backends(site, [2 * turn, 2 * turn + 1]);
+        let span = outage_with_dead_backends(site, [2 * index, 2 * index + 1]);
         fail_consul(site, Fault::None);
         pause(Duration::from_secs(6));
         Outage { kind, span }
@@ -126,24 +127,24 @@
     outages.collect()
 }
 
-/// Waits for [`OUTAGE`] while these backends accept no connections.
+/// Waits for [`OUTAGE_DURATION`] while these backends accept no connections, and returns the span.
 fn outage_with_dead_backends(site: &Site, backends: [usize; 2]) -> Span {
     thread::scope(|scope| {
         let dead = backends.map(|backend| {
             let kind = FaultKind::Backends { target: format!("l{backend}"), mode: FailureMode::Closed };
             scope.spawn(move || {
                 site.inject_fault(0, &kind, &|| {
-                    pause(OUTAGE);
+                    pause(OUTAGE_DURATION);
                 })
             })
         });
-        let span = pause(OUTAGE);
+        let span = pause(OUTAGE_DURATION);
         dead.into_iter().for_each(|backend| drop(backend.join()));
         span
     })
 }
 
-/// Drains a backend while the first Consul agent alone is down, so that the gatekeeper polls the second one.
+/// Drains a backend while only the first Consul agent is down, so that the gatekeeper polls the second one.
 fn drain_with_first_agent_down(site: &Site) -> Span {
     let first_agent = &site.consul_agents(0)[0];
     first_agent.fail(Fault::Closed);
@@ -157,7 +158,7 @@
     span
 }
 
-/// Makes the health of these backends change each second.
+/// Toggles the health of these backends every second, [`FLAPS`] times.
 fn flap(site: &Site, backends: &[usize]) -> Flapping {
     let from_us = now_us();
     for second in 0..FLAPS {
@@ -171,6 +172,7 @@
     Flapping { backends: backends.len(), span }
 }
 
+/// Lets Consul return an empty catalogue, truncated responses and an index that goes back, one after the other.
 fn damaged_responses(site: &Site) -> DamagedResponses {
     let wiped_us = site.set_services(Vec::new());
     pause(THREE_SECONDS);
@@ -187,14 +189,15 @@
     DamagedResponses { wiped, truncated, index_back }
 }
 
-/// Replaces the instance of the first backend by another one at the same address.
+/// Replaces the instance of the first backend with another one at the same address. Returns the span after
+/// [`REPLACEMENT_GRACE_US`].
 fn replace_instance(site: &Site) -> Span {
     let changed_us = site.set_services(with_replaced_instance(site));
     pause(TWO_SECONDS);
-    Span::since(changed_us + REPLACEMENT_DELAY_US)
+    Span::since(changed_us + REPLACEMENT_GRACE_US)
 }
 
-/// Gives the backends weights from 1 to 3 by turns.
+/// Gives the backends weights from 1 to 3 in rotation. Returns a span in which these weights apply.
 fn set_weights(site: &Site) -> Span {
     let mut services = with_replaced_instance(site);
     for (backend, service) in services.iter_mut().enumerate() {
@@ -205,7 +208,7 @@
     pause(Duration::from_secs(6))
 }
 
-/// Returns the weight of a backend in the step with weights.
+/// Returns the weight that [`set_weights`] gives to a backend.
 pub(crate) fn weight(backend: usize) -> u32 {
     backend as u32 % 3 + 1
 }
@@ -233,12 +236,12 @@
     Ok(Restarts { with_cache, status_report, with_truncated_cache })
 }
 
-/// Makes both Consul agents fail in this way, or work again.
+/// Makes both Consul agents fail in this way, or work again with [`Fault::None`].
 fn fail_consul(site: &Site, fault: Fault) {
     site.consul_agents(0).iter().for_each(|agent| agent.fail(fault));
 }
 
-/// Returns the catalogue with critical checks of these backends.
+/// Returns the catalogue in which the health checks of these backends are critical.
 fn with_critical(site: &Site, backends: &[usize]) -> Vec<Service> {
     let mut services = site.healthy_services();
     backends.iter().for_each(|&backend| services[backend].status = CheckStatus::Critical);
--- a/crates/system_tests/src/bin/proof-catalogue/sizes.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/sizes.rs
@@ -1,4 +1,4 @@
-//! What changes of large catalogues cost, and whether memory grows with the number of ids that were ever listed.
+//! Measures the cost of changes in large catalogues, and whether memory grows with the number of ids that were ever listed.
 
 use crate::BACKENDS;
 use crate::timeline::{MemoryGrowth, SizeCost, pause};
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Numbers of instances beside the backends.
+/// Numbers of instances in the catalogue in addition to the backends.
 const SIZES: [usize; 3] = [0, 500, 5_000];
 /// The number of changes, each of one instance.
 const CHANGES: usize = 150;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(20);
-/// How many times all ids are replaced.
+/// How often all ids are replaced.
 const REPLACEMENTS: usize = 50;
 const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(150);
-/// The number of ids that are replaced each time.
+/// The number of ids that each replacement replaces.
 const REPLACED_IDS: usize = 2_000;
 
 /// The resources that the gatekeeper uses at one moment.
@@ -26,7 +26,7 @@
     memory_kb: u64,
 }
 
-/// Measures the cost of changes in catalogues of all sizes.
+/// Measures the cost of changes in a catalogue of each of the [`SIZES`].
 pub(crate) fn cost_of_sizes(site: &Site) -> Vec<SizeCost> {
     SIZES.map(|instances| cost_of_changes(site, instances)).into()
 }
@@ -36,9 +36,9 @@
     pause(Duration::from_secs(1));
     let before = resource_use(site);
     let from_us = now_us();
-    for turn in 0..CHANGES {
+    for change in 0..CHANGES {
         let mut services = with_instances(site, 0, instances);
-        services[turn % BACKENDS].meta.insert("turn".into(), turn.to_string());
+        services[change % BACKENDS].meta.insert("turn".into(), change.to_string());
         site.set_services(services);
         pause(CHANGE_INTERVAL);
     }
@@ -48,7 +48,7 @@
     SizeCost { instances: instances + BACKENDS, cpu_share, memory_kb: after.memory_kb }
 }
 
-/// Measures the memory before and after many ids were listed and replaced.
+/// Measures the memory of the gatekeeper before and after all ids are replaced [`REPLACEMENTS`] times.
 pub(crate) fn memory_growth(site: &Site) -> MemoryGrowth {
     site.set_services(site.healthy_services());
     pause(Duration::from_secs(2));
@@ -62,6 +62,7 @@
     MemoryGrowth { before_kb, after_kb: resource_use(site).memory_kb }
 }
 
+/// Returns the current resource usage of the gatekeeper.
 fn resource_use(site: &Site) -> ResourceUse {
     site.record_resource_use();
     let resource_use = |record: &Record| match record.observation {
@@ -71,7 +72,7 @@
     site.recorder.records_by_time().iter().rev().find_map(resource_use).unwrap_or_default()
 }
 
-/// Returns the catalogue with the backends and this many critical instances, whose ids differ between generations.
+/// Returns the catalogue with the backends and this many critical instances. The ids of the instances differ between generations.
 fn with_instances(site: &Site, generation: usize, instances: usize) -> Vec<Service> {
     let mut services = site.healthy_services();
     services.extend((0..instances).map(|number| {
--- a/crates/system_tests/src/bin/proof-compatibility/main.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/main.rs
@@ -1,11 +1,11 @@
-//! Whether two builds of the gatekeeper work together: `proof-compatibility OLD [NEW]`.
+//! Tests whether two builds of the gatekeeper are compatible: `proof-compatibility OLD [NEW]`.
 //!
-//! Under load, with the stand-ins of the other system tests:
+//! The test has three parts, all under load and with the stand-ins of the other system tests:
 //!
-//! 1. the platform form is upgraded by hot restarts from the old build to the new one and back, several times;
-//! 2. the appliance form is killed and restarted from its disks, each time with the other build: replicas recover the other
-//!    build's logs, and gatekeepers its cached endpoint list while Consul does not respond;
-//! 3. half of a cluster runs the old build and half the new one.
+//! 1. The platform form is upgraded by hot restarts from the old build to the new one and back, several times.
+//! 2. The appliance form is killed and restarted from its disks, each time with the other build: replicas recover the logs that
+//!    the other build wrote, and gatekeepers load the endpoint list that it cached while Consul does not respond.
+//! 3. Half of a cluster runs the old build, and the other half the new one.
 //!
 //! Exits with 1 if a rule is broken or a figure is out of bounds, and with 2 if the arguments are wrong.
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Runs all three parts, adds their figures to the table, and returns the number of requests.
+/// Runs all three parts, adds their figures to the table, and returns the total number of requests.
 fn run(builds: &BuildPair, table: &mut Table) -> Result<u64, Error> {
     let upgrade_requests = upgrades::run(builds, table)?;
     let restart_requests = restarts::run(builds, table)?;
--- a/crates/system_tests/src/bin/proof-compatibility/restarts.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/restarts.rs
@@ -1,4 +1,4 @@
-//! The appliance form is killed and restarted from its disks, each time with the other build.
+//! The part in which the appliance form is killed and restarted from its disks, each time with the other build.
 
 use crate::build_pair::BuildPair;
 use crate::schedules::{add_convergence, request_count, run_and_report, schedule, version_proposed};
@@ -9,17 +9,17 @@
 
 const GATEKEEPERS: usize = 5;
 const LENGTH_MS: u64 = 20_000;
-/// When all gatekeepers are killed and restarted with the other build.
+/// Times at which all gatekeepers are killed, to be restarted with the other build.
 const RESTARTS_MS: [u64; 2] = [6_000, 13_000];
-/// The change of builds at each restart.
+/// Names of the restarts: from which build to which.
 const RESTART_NAMES: [&str; 2] = ["old to new", "new to old"];
-/// Delay before killed gatekeepers are restarted.
-const DOWN_MS: u64 = 300;
-/// Time from the begin of an outage of Consul to a restart.
-const CONSUL_DOWN_BEFORE_MS: u64 = 100;
-/// Duration of an outage of Consul.
-const CONSUL_DOWN_MS: u64 = 3_000;
-/// The versions that are proposed before, between and after the restarts.
+/// Time from the kill of the gatekeepers to their restart.
+const RESTART_DELAY_MS: u64 = 300;
+/// Time from the start of a Consul outage to the kill of the gatekeepers.
+const CONSUL_OUTAGE_LEAD_MS: u64 = 100;
+/// Duration of a Consul outage.
+const CONSUL_OUTAGE_MS: u64 = 3_000;
+/// The versions that the proposals before, between and after the restarts must get.
 const VERSIONS: [u64; 3] = [1, 2, 3];
 /// Minimum number of requests that are served from the cached endpoint list after each restart.
 const MIN_SERVED_FROM_CACHE: f64 = 20.0;
@@ -54,16 +54,16 @@
     }
 }
 
-fn restart_without_consul(at_ms: u64) -> [Fault; 2] {
+fn restart_without_consul(killed_at_ms: u64) -> [Fault; 2] {
     let killed = FaultKind::Killed { target: "*".into() };
     let silent = FaultKind::Consul { target: "*".into(), mode: FailureMode::Silent };
     [
-        Fault::from_millis(at_ms, DOWN_MS, killed),
-        Fault::from_millis(at_ms - CONSUL_DOWN_BEFORE_MS, CONSUL_DOWN_MS, silent),
+        Fault::from_millis(killed_at_ms, RESTART_DELAY_MS, killed),
+        Fault::from_millis(killed_at_ms - CONSUL_OUTAGE_LEAD_MS, CONSUL_OUTAGE_MS, silent),
     ]
 }
 
-/// Returns the number of requests that were served between the end of a restart and Consul's return.
+/// Returns the number of requests that were served between the end of a restart and the end of the Consul outage.
 fn served_from_cached_list(history: &[Record], restart: usize) -> usize {
     let restarted_us = end_of_fault_us(history, "killed", restart);
     let consul_back_us = end_of_fault_us(history, "consul silent", restart);
@@ -74,8 +74,8 @@
     served.filter(|record| restarted_us < record.at_us && record.at_us < consul_back_us).count()
 }
 
-/// Returns when the fault with this kind and number has ended, or the maximum if it has not.
-fn end_of_fault_us(history: &[Record], wanted_kind: &str, number: usize) -> u64 {
-    let is_end = |record: &&Record| matches!(&record.observation, Observation::Fault { kind, begins: false, .. } if kind == wanted_kind);
+/// Returns when the fault with this number among those of its kind ended, or `u64::MAX` if it did not end.
+fn end_of_fault_us(history: &[Record], fault_kind: &str, number: usize) -> u64 {
+    let is_end = |record: &&Record| matches!(&record.observation, Observation::Fault { kind, begins: false, .. } if kind == fault_kind);
     history.iter().filter(is_end).nth(number).map_or(u64::MAX, |record| record.at_us)
 }
--- a/crates/system_tests/src/bin/proof-compatibility/schedules.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/schedules.rs
@@ -1,4 +1,4 @@
-//! Running the schedules of all parts.
+//! Code that the schedules of all parts share.
 
 use fault_injection::builds::Builds;
 use fault_injection::runner::RunResult;
@@ -7,7 +7,7 @@
 
 const BACKENDS: usize = 3;
 
-/// Returns the schedule of a part with this name, without options and faults.
+/// Returns the schedule of the part with this name, with default options and without faults.
 pub(crate) fn schedule(name: &str, form: Form, gatekeepers: usize, length_ms: u64) -> Schedule {
     Schedule {
         name: name.into(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// A new version of the replicated configuration, proposed at a gatekeeper.
+/// Returns the proposal of a new version of the replicated configuration at a gatekeeper.
 pub(crate) fn version_proposed(start_ms: u64, target: &str, units_per_second: f64) -> Fault {
     Fault::from_millis(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
 }
@@ -40,13 +40,13 @@
     Ok(result)
 }
 
-/// Adds the time from the end of the last fault until all gatekeepers agreed.
+/// Adds the time from the end of the last fault until all gatekeepers agreed to the table.
 pub(crate) fn add_convergence(schedule_name: &str, result: &RunResult, table: &mut Table) {
     let time = result.converged_after_ms.map_or("never".to_owned(), |ms| format!("{ms} ms"));
     table.add(&format!("{schedule_name}: all agree after the last fault"), time);
 }
 
-/// Returns the number of requests in a run.
+/// Returns the number of requests in a run of a schedule.
 pub(crate) fn request_count(result: &RunResult) -> u64 {
     result.outcomes.values().sum()
 }
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -1,4 +1,4 @@
-//! The platform form is upgraded by hot restarts from the old build to the new one and back, several times.
+//! The part in which the platform form is upgraded by hot restarts from the old build to the new one and back, several times.
 
 use crate::build_pair::BuildPair;
 use crate::schedules::{request_count, run_and_report, schedule};
@@ -8,16 +8,17 @@
 use system_tests::gatekeeper_output::log_events::{HANDED_OVER, STARTED_WITHOUT_STATE};
 use system_tests::{Error, Table};
 
-/// Number of hot restarts of each gatekeeper, the first from the old build to the new one.
+/// Number of hot restarts of each gatekeeper. The first one is from the old build to the new one.
 const UPGRADES: u64 = 6;
 const GATEKEEPERS: usize = 2;
-/// Interval of the upgrades of a gatekeeper.
+/// Interval between two upgrades of a gatekeeper.
 const INTERVAL_MS: u64 = 2_000;
-/// Time for which the predecessor runs beside its successor.
+/// Time for which the predecessor and its successor run side by side.
 const SIDE_BY_SIDE_MS: u64 = 600;
 const MIN_SERVED: f64 = 500.0;
-/// Outcomes of requests that an upgrade must not cause.
-const LOSSES: [Outcome; 4] = [Outcome::Unanswered, Outcome::NotAccepted, Outcome::Foreign, Outcome::Failed];
+/// Request outcomes that an upgrade must not cause.
+const LOST_OUTCOMES: [Outcome; 4] =
+    [Outcome::Unanswered, Outcome::NotAccepted, Outcome::Foreign, Outcome::Failed];
 
 /// Runs the schedule, adds its figures to the table, and returns the number of requests.
 pub(crate) fn run(builds: &BuildPair, table: &mut Table) -> Result<u64, Error> {
@@ -44,7 +45,7 @@
     table.add("upgrades: requests", request_count(result));
     table.add_with_minimum("upgrades: requests served", count(Outcome::Served) as f64, MIN_SERVED);
     table.add("upgrades: requests rejected by quota", count(Outcome::Rejected));
-    let lost: u64 = LOSSES.into_iter().map(count).sum();
+    let lost: u64 = LOST_OUTCOMES.into_iter().map(count).sum();
     table.add_with_maximum("upgrades: requests lost or failed", lost as f64, 0.0);
 }
 
@@ -56,7 +57,7 @@
     table.add_with_maximum("upgrades: successors that took over nothing, or not all", without_state, 0.0);
 }
 
-/// Counts the log events whose message contains one of these texts.
+/// Returns the number of log events whose message contains any of these texts.
 fn log_event_count(history: &[Record], texts: &[&str]) -> usize {
     history.iter().filter(|record| record.observation.is_log_line_with(texts)).count()
 }
