--- a/crates/system_tests/src/bin/proof-platform-cost/build_cost.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/build_cost.rs
@@ -1,12 +1,12 @@
-//! The cost of a build over all its turns.
+//! Processor time and memory of a build over all its turns.
 
 use crate::turn::TurnCost;
 use system_tests::{Distribution, Table};
 
-/// The cost of a build over all its turns.
+/// Processor time and memory of a build over all its turns.
 #[derive(Clone, Default)]
 pub(crate) struct BuildCost {
-    /// Processor time for each request in each turn, us.
+    /// Processor time per request, one sample for each turn, us.
     cpu_us: Distribution,
     /// Maximum resident memory at the end of a turn, kB.
     max_memory_kb: u64,
@@ -18,12 +18,12 @@
         self.max_memory_kb = self.max_memory_kb.max(turn.memory_kb);
     }
 
-    /// Returns the median of the processor time for each request, us.
+    /// Returns the median over all turns of the processor time per request, us.
     pub(crate) fn median_cpu_us(&self) -> f64 {
         self.cpu_us.median()
     }
 
-    /// Adds the figures of the build with this number.
+    /// Adds the figures of this build to the table. `build` is the position of the build on the command line, from 0.
     pub(crate) fn add_to(&self, table: &mut Table, build: usize) {
         let minimum = self.cpu_us.percentile(0.0);
         let maximum = self.cpu_us.percentile(1.0);
--- a/crates/system_tests/src/bin/proof-platform-cost/client.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/client.rs
@@ -1,18 +1,18 @@
-//! A client that sends queries one after the other on one connection.
+//! A client that sends queries to the gatekeeper, one after the other on one connection.
 
 use fault_harness::wire::resp_command;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use system_tests::STEP_TIMEOUT;
 
-/// Number of tenants for which each client sends requests.
+/// Number of tenants between which the requests of each client rotate.
 const TENANTS: u32 = 200;
-/// The attributes of each query.
+/// Attributes of each query, in the form that `SVC.QUERY` expects.
 const ATTRIBUTES: &str = "c=lookup,t=team,d=2000,units=1,spread=1,first=0";
 
-/// A client with one connection.
+/// A client with one connection to the gatekeeper.
 pub(crate) struct Client {
-    /// Makes the request ids of this client unique.
+    /// Upper half of the request ids, which keeps the ids of different clients apart.
     number: u32,
     requests: TcpStream,
     responses: BufReader<TcpStream>,
@@ -20,10 +20,10 @@
 
 impl Client {
     pub(crate) fn connect(gatekeeper: SocketAddr, number: u32) -> Self {
-        let requests = TcpStream::connect(gatekeeper).expect("the gatekeeper accepts");
-        requests.set_read_timeout(Some(STEP_TIMEOUT)).expect("a time-out can be set");
+        let requests = TcpStream::connect(gatekeeper).expect("connecting to the gatekeeper");
+        requests.set_read_timeout(Some(STEP_TIMEOUT)).expect("setting a read timeout");
         let _ = requests.set_nodelay(true);
-        let responses = BufReader::new(requests.try_clone().expect("a second handle"));
+        let responses = BufReader::new(requests.try_clone().expect("duplicating the connection"));
         Self { number, requests, responses }
     }
 
@@ -37,17 +37,18 @@
         let request_id = format!("{:016x}", u64::from(self.number) << 32 | u64::from(index));
         let tenant = format!("{:016x}", index % TENANTS);
         let request = resp_command(&["SVC.QUERY", &tenant, &request_id, ATTRIBUTES]);
-        self.requests.write_all(&request).expect("a request is sent");
+        self.requests.write_all(&request).expect("sending a request");
         self.read_response()
     }
 
-    /// Reads a response. One that was served is a bulk string, of two lines.
+    /// Reads a response and returns whether the request was served. The response is then a bulk string, which has two lines; any
+    /// other response has one.
     fn read_response(&mut self) -> bool {
         let mut line = String::new();
-        self.responses.read_line(&mut line).expect("a response");
+        self.responses.read_line(&mut line).expect("reading a response");
         let is_served = line.starts_with('$');
         if is_served {
-            self.responses.read_line(&mut line).expect("a value");
+            self.responses.read_line(&mut line).expect("reading the value of a response");
         }
         is_served
     }
--- a/crates/system_tests/src/bin/proof-platform-cost/config.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/config.rs
@@ -3,7 +3,8 @@
 use crate::stand_ins::StandIns;
 use std::net::SocketAddr;
 
-/// Returns the configuration of a gatekeeper that listens here and forwards to the stand-ins. Its quotas are never exhausted.
+/// Returns the configuration of a gatekeeper that listens at `listen` and forwards to the stand-ins. Its quotas are so large that
+/// they are never exhausted.
 pub(crate) fn config_file(listen: SocketAddr, stand_ins: &StandIns) -> String {
     let StandIns { agent, backends } = stand_ins;
     let endpoints: Vec<String> = backends.iter().enumerate().map(endpoint).collect();
--- a/crates/system_tests/src/bin/proof-platform-cost/main.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/main.rs
@@ -1,7 +1,8 @@
-//! Processor time and memory that the platform path takes for each request: `proof-platform-cost [BUILD...]`.
+//! Measures the processor time per request and the memory of the platform form: `proof-platform-cost [BUILD...]`.
 //!
-//! Each `BUILD` is the path of a `snowfield`. Without one, the build beside this program is measured. The builds take turns, so
-//! that a machine whose speed changes slows all of them down. The last build is compared with the first.
+//! Each `BUILD` is the path of a `snowfield` program. Without arguments, the build in the folder of this program is measured. The
+//! builds are measured in alternating turns, so that changes of the machine's speed affect all of them. The last build is
+//! compared with the first one.
 
 mod build_cost;
 mod client;
@@ -16,8 +17,9 @@
 use system_tests::{Table, release_build};
 use turn::{CLIENTS, REQUESTS, measure_turn};
 
+/// Number of turns of each build.
 const TURNS: usize = 5;
-/// Maximum processor time of the last build relative to the first. Turns of one build differ by up to a tenth.
+/// Maximum processor time of the last build relative to the first one. Turns of the same build differ by up to a tenth.
 const MAX_RATIO: f64 = 1.10;
 
 fn main() -> ExitCode {
@@ -31,7 +33,7 @@
     if builds.is_empty() { vec![release_build()] } else { builds }
 }
 
-/// Measures all builds in turn.
+/// Measures all builds in alternating turns.
 fn measure(builds: &[PathBuf]) -> Vec<BuildCost> {
     let stand_ins = StandIns::start();
     let mut costs = vec![BuildCost::default(); builds.len()];
--- a/crates/system_tests/src/bin/proof-platform-cost/stand_ins.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/stand_ins.rs
@@ -11,7 +11,7 @@
 const BACKENDS: usize = 4;
 /// Index of the request id among the arguments of a request to a backend.
 const REQUEST_ID_ARGUMENT: usize = 2;
-/// Interval at which an agent without watch events sends an empty line.
+/// Interval at which the agent sends an empty line, since it has no watch events.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The addresses of the stand-ins, which run until the process ends.
@@ -27,14 +27,14 @@
     }
 }
 
-/// Listens at a free port and serves each connection in a thread.
+/// Listens on a free port of loopback, serves each connection in a thread and returns the address.
 fn listen(serve: fn(TcpStream)) -> SocketAddr {
-    serve_connections(([127, 0, 0, 1], 0).into(), serve).expect("a free port")
+    serve_connections(([127, 0, 0, 1], 0).into(), serve).expect("listening on a free port")
 }
 
 /// A backend that responds to each request at once with the id of the request.
 fn serve_backend(stream: TcpStream) {
-    let mut responses = stream.try_clone().expect("a second handle");
+    let mut responses = stream.try_clone().expect("duplicating a connection");
     let mut requests = BufReader::new(stream);
     while let Some(arguments) = read_resp_command(&mut requests) {
         let request_id = arguments.get(REQUEST_ID_ARGUMENT).map_or("", String::as_str);
--- a/crates/system_tests/src/bin/proof-platform-cost/turn.rs
+++ b/crates/system_tests/src/bin/proof-platform-cost/turn.rs
@@ -1,4 +1,4 @@
-//! One turn of a build.
+//! One turn of a build: a start of the gatekeeper, a warm-up and a measurement under load.
 
 use crate::client::Client;
 use crate::config::config_file;
@@ -12,14 +12,14 @@
 pub(crate) const CLIENTS: u32 = 8;
 /// Number of measured requests of each client.
 pub(crate) const REQUESTS: u32 = 4_000;
-/// Number of requests of each client before the measurement, in which the gatekeeper grows its tables.
+/// Number of requests of each client before the measurement. They let the gatekeeper grow its tables.
 const WARM_UP_REQUESTS: u32 = 500;
 
-/// The cost of a turn.
+/// Processor time and memory in one turn.
 pub(crate) struct TurnCost {
-    /// Processor time for each request, us.
+    /// Processor time per request, us.
     pub(crate) cpu_us_per_request: f64,
-    /// Resident memory at the end, kB.
+    /// Resident memory at the end of the turn, kB.
     pub(crate) memory_kb: u64,
 }
 
@@ -34,15 +34,16 @@
     let before = gatekeeper.resource_usage();
     let served = send_from_all_clients(listen, CLIENTS, REQUESTS);
     let after = gatekeeper.resource_usage();
-    assert_eq!(served, CLIENTS * REQUESTS, "all are served");
+    assert_eq!(served, CLIENTS * REQUESTS, "not all requests were served");
     let cpu_us = (after.cpu_ms - before.cpu_ms) as f64 * 1e3;
     TurnCost { cpu_us_per_request: cpu_us / f64::from(served), memory_kb: after.memory_kb }
 }
 
-/// Sends requests from all clients at a time, and returns how many were served. The clients are numbered from `first_client`.
+/// Sends requests from all clients in parallel and returns how many were served. The clients are numbered from `first_client`, so
+/// that request ids of different calls do not collide.
 fn send_from_all_clients(gatekeeper: SocketAddr, first_client: u32, requests_per_client: u32) -> u32 {
     let send = move |number| Client::connect(gatekeeper, number).send_requests(requests_per_client);
     let clients: Vec<_> =
         (first_client..first_client + CLIENTS).map(|number| thread::spawn(move || send(number))).collect();
-    clients.into_iter().map(|client| client.join().expect("no client fails")).sum()
+    clients.into_iter().map(|client| client.join().expect("a client thread panicked")).sum()
 }
--- a/crates/system_tests/src/bin/proof-replicated-config/arguments.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/arguments.rs
@@ -7,13 +7,13 @@
 const DEFAULT_SCHEDULES: u64 = 200;
 const DEFAULT_FIRST_SEED: u64 = 1;
 
-/// The command line. An argument that is no number counts as none.
+/// The command line. A number that cannot be parsed is replaced by its default.
 pub(crate) struct Arguments {
     /// The number of generated schedules.
     schedules: u64,
     /// The seed of the first generated schedule.
     first_seed: u64,
-    /// The build to test: the release build, or another one, such as one with a seeded fault.
+    /// Path of the build to test: the release build by default, or for example a build with a seeded fault.
     pub(crate) build: PathBuf,
 }
 
--- a/crates/system_tests/src/bin/proof-replicated-config/main.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/main.rs
@@ -1,8 +1,8 @@
-//! The replicated configuration on real gatekeepers under injected faults:
+//! Tests the replicated configuration on real gatekeepers under injected faults:
 //! `proof-replicated-config [SCHEDULES [FIRST_SEED [BUILD]]]`.
 //!
-//! Each gatekeeper logs with the machine's clock on which version it acts. From this follows for how long gatekeepers act on
-//! versions that contradict each other, and how long a roll-out takes.
+//! Each gatekeeper logs, with a time of the machine's clock, which version of the configuration it applies. From these log events
+//! the program calculates for how long gatekeepers apply versions that contradict each other, and how long a roll-out takes.
 
 mod arguments;
 mod rollouts;
--- a/crates/system_tests/src/bin/proof-replicated-config/rollouts.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/rollouts.rs
@@ -1,18 +1,18 @@
-//! Roll-outs of versions.
+//! Durations of roll-outs of configuration versions.
 
 use fault_injection::history::Record;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use system_tests::{accepted_version, sole_version};
 
-/// The roll-out of a version, in microseconds of the history.
+/// The start and end of the roll-out of a version, in microseconds of the history.
 struct Rollout {
     accepted_us: u64,
-    /// When the last gatekeeper that was notified of the version in time acted on it alone.
+    /// When the last gatekeeper that got the version in time applied it as its only version. Equals `accepted_us` if none did.
     complete_us: u64,
 }
 
-/// Returns how long each roll-out took from the acceptance of its version.
+/// Returns the time from the acceptance of each version to the end of its roll-out.
 pub(crate) fn rollout_times(history: &[Record]) -> impl Iterator<Item = Duration> {
     let rollouts = rollouts_by_version(history).into_values();
     rollouts.map(|rollout| Duration::from_micros(rollout.complete_us - rollout.accepted_us))
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -1,25 +1,25 @@
-//! The schedules: hard cases by name, and generated faults with changes of the configuration in between.
+//! The schedules: named ones for hard cases, and generated ones that mix faults with changes of the configuration.
 
 use fault_injection::schedule::{FailureMode, Fault, FaultKind, Form, Schedule, SiteOptions};
 use std::time::Duration;
 
-/// The replica that leads as a rule, because it is the first to stand for election.
+/// The replica that is usually the leader, because it is the first to start an election.
 const LEADER: &str = "m0";
 /// The name of the schedule without faults.
 pub(crate) const WITHOUT_FAULTS: &str = "at rest";
-/// Combined with the seed of a schedule, so that version changes and faults are drawn from different sequences.
+/// Combined with the seed of a schedule, so that version changes and faults come from different random sequences.
 const CHANGES_SEED: u64 = 0xa9ee;
 const LENGTH_MS: u64 = 14_000;
-/// Duration of the part of a schedule in which generated faults begin.
+/// Duration of the part of a schedule in which generated faults start.
 const GENERATED_FAULTS_LENGTH_MS: u64 = 10_000;
-/// Begin of this part. By then there is a leader, and the first leases are granted.
+/// Start of this part. By then a leader is elected, and the first leases are granted.
 const GENERATED_FAULTS_START: Duration = Duration::from_secs(3);
-/// Number of generated schedules out of 256 in which the counter loses its state.
-const COUNTER_LOSS_OF_256: u8 = 60;
-/// Maximum number of gatekeepers with three replicas. Larger sites have five.
+/// Number of generated schedules, out of 256 on average, in which the quota counter loses its state.
+const COUNTER_LOSSES_PER_256: u8 = 60;
+/// Maximum number of gatekeepers of a site with three replicas. Larger sites have five replicas.
 const MAX_SIZE_WITH_THREE_REPLICAS: usize = 8;
 
-/// A new version of the configuration, proposed at this gatekeeper.
+/// Returns the proposal of a new version of the configuration at a gatekeeper.
 fn version_proposed(start_ms: u64, target: &str, units_per_second: f64) -> Fault {
     Fault::from_millis(start_ms, 0, FaultKind::VersionProposed { target: target.into(), units_per_second })
 }
@@ -58,13 +58,13 @@
     FaultKind::ClockOffset { target: target.into(), offset_ms, running: true }
 }
 
-/// Returns the hard cases.
+/// Returns the schedules of the hard cases.
 pub(crate) fn named_schedules() -> Vec<Schedule> {
     [leader_faults(), partitions(), clocks_and_restarts()].concat()
 }
 
 fn leader_faults() -> Vec<Schedule> {
-    let during_a_change = |kind| {
+    let during_version_change = |kind| {
         vec![
             version_proposed(4_500, "m4", 16.0),
             Fault::from_millis(4_520, 3_000, kind),
@@ -80,9 +80,9 @@
                 version_proposed(9_000, "m3", 18.0),
             ],
         ),
-        named("the leader killed in a change", during_a_change(killed(LEADER))),
-        named("the leader stopped in a change", during_a_change(suspended(LEADER))),
-        named("the leader cut off in a change", during_a_change(cut(LEADER, "*"))),
+        named("the leader killed in a change", during_version_change(killed(LEADER))),
+        named("the leader stopped in a change", during_version_change(suspended(LEADER))),
+        named("the leader cut off in a change", during_version_change(cut(LEADER, "*"))),
         named(
             "a stopped leader wakes after its successor changed settings",
             vec![
@@ -143,13 +143,13 @@
     ]
 }
 
-/// Whether the appliance form has this kind of fault. It has no upgrades, and rejects the configuration file of a replica that
-/// has the name of another one.
+/// Returns whether this kind of fault is possible in the appliance form. This form has no upgrades, and it rejects the
+/// configuration file of a replica that has the name of another replica.
 fn is_applicable(kind: &FaultKind) -> bool {
     !matches!(kind, FaultKind::Upgrade { .. } | FaultKind::NameConflict { .. })
 }
 
-/// Returns the schedule of a seed: generated faults with version changes in between.
+/// Returns the schedule that is generated from a seed: faults mixed with proposals of new versions.
 pub(crate) fn generated_schedule(seed: u64) -> Schedule {
     let mut random = fastrand::Rng::with_seed(seed ^ CHANGES_SEED);
     let Schedule { gatekeepers, mut faults, .. } = Schedule::from_seed(seed, GENERATED_FAULTS_LENGTH_MS);
@@ -162,7 +162,7 @@
         let kind = if random.bool() { killed(&target) } else { suspended(&target) };
         faults.push(Fault::from_millis(start_ms, duration_ms, kind));
     }
-    if random.u8(..) < COUNTER_LOSS_OF_256 {
+    if random.u8(..) < COUNTER_LOSSES_PER_256 {
         faults.push(Fault::from_millis(
             4_000,
             2_000,
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules/tests.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules/tests.rs
@@ -1,4 +1,5 @@
-//! The schedules are the same in every version, so that a failure comes back by its seed.
+//! Digests of the schedules. The schedules must not change between versions, so that a failure can be reproduced from its name or
+//! seed.
 
 use super::*;
 use fault_harness::digest::digest;
@@ -8,11 +9,11 @@
 }
 
 #[test]
-fn hard_cases_are_those_that_they_always_were() {
+fn named_schedules_are_unchanged() {
     assert_eq!(digest_of(named_schedules().into_iter()), 0xc0a7_29bc_3e45_3169);
 }
 
 #[test]
-fn a_seed_gives_the_schedule_that_it_always_gave() {
+fn schedules_generated_from_seeds_are_unchanged() {
     assert_eq!(digest_of((0..1_000).map(generated_schedule)), 0xfa67_559b_fb0d_ac11);
 }
--- a/crates/system_tests/src/bin/proof-replicated-config/totals.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/totals.rs
@@ -1,4 +1,4 @@
-//! Figures of all schedules together.
+//! Totals over all schedules.
 
 use crate::rollouts::rollout_times;
 use crate::schedules::WITHOUT_FAULTS;
@@ -10,25 +10,25 @@
 use std::time::Duration;
 use system_tests::{Distribution, ScheduleTotals, Table};
 
-/// A longer contradiction is printed with its schedule.
+/// A contradiction that lasts longer is printed with the name of its schedule.
 const REPORTED_CONTRADICTION_MS: u64 = 100;
 /// Maximum number of violations that are printed for a schedule.
 const MAX_PRINTED_VIOLATIONS: usize = 4;
-/// Maximum time for which two gatekeepers act on versions that contradict each other, s.
+/// Maximum time for which two gatekeepers apply versions that contradict each other, s.
 const MAX_CONTRADICTION_S: f64 = 0.25;
 /// Maximum duration of a roll-out without faults, s.
 const MAX_ROLLOUT_WITHOUT_FAULTS_S: f64 = 1.0;
-/// Number of versions that are proposed without faults.
+/// Number of versions that are proposed in the schedule without faults.
 const VERSIONS_WITHOUT_FAULTS: f64 = 3.0;
 
-/// Figures of all schedules together.
+/// Totals over all schedules.
 #[derive(Default)]
 pub(crate) struct Totals {
     faults: BTreeMap<String, u64>,
     accepted_versions: u64,
-    /// Proposals that were not accepted, by exit code.
+    /// Number of proposals that were not accepted, by exit code.
     rejected_proposals: BTreeMap<i32, u64>,
-    /// The longest contradiction of each schedule, s.
+    /// The duration of the longest contradiction of each schedule, s.
     contradictions_s: Distribution,
     /// Durations of roll-outs in the schedule without faults, s.
     rollouts_without_faults_s: Distribution,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Adds all figures to the table.
+    /// Adds all totals to the table.
     pub(crate) fn add_to(&self, table: &mut Table, schedules: usize) {
         table.add("schedules, operations", format!("{schedules}, {}", self.requests));
         for (kind, count) in &self.faults {
@@ -133,7 +133,7 @@
         table.add("... 99th percentile, s", format_seconds(under_faults.percentile(0.99)));
     }
 
-    /// Returns the figures of the last line.
+    /// Returns the totals for the last line of the output.
     pub(crate) fn summary(&self, schedules: usize) -> String {
         format!(
             "{schedules} schedules, {} versions, {:.3} s apart at worst, {:.3} s to be in force at rest",
--- a/crates/system_tests/src/bin/proof-timing/attempt_timeouts.rs
+++ b/crates/system_tests/src/bin/proof-timing/attempt_timeouts.rs
@@ -1,4 +1,5 @@
-//! When attempts time out. The only backend never responds, so a request ends when its only attempt does.
+//! Measures when attempts time out. The only backend never responds, and a request has one attempt, so the request ends when the
+//! attempt times out.
 
 use crate::backend::ServiceTime;
 use crate::client::{Client, TOO_MANY_REQUESTS};
@@ -10,10 +11,10 @@
     [Duration::from_millis(150), Duration::from_millis(300), Duration::from_millis(700)];
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(800);
 const DEADLINE: Duration = Duration::from_millis(2_500);
-/// Number of requests for each time-out.
+/// Number of requests for each attempt timeout.
 const REQUESTS: usize = 5;
 
-/// Returns the maximum difference between the time-out of an attempt and its duration.
+/// Returns the maximum difference between the timeout of an attempt and its measured duration.
 pub(crate) fn max_deviation(site: &TestSite<'_>) -> Duration {
     site.list_backends(11, 1);
     site.set_service_times(|_| ServiceTime::Never);
@@ -39,7 +40,10 @@
     let sent_at = Instant::now();
     let status = Client::connect(gatekeeper.address).send_request();
     let duration = sent_at.elapsed();
-    let has_attempt = site.attempts() > attempts_before;
-    assert!(!has_attempt || status >= TOO_MANY_REQUESTS, "{status}");
-    has_attempt.then_some(duration)
+    let was_attempted = site.attempts() > attempts_before;
+    assert!(
+        !was_attempted || status >= TOO_MANY_REQUESTS,
+        "status {status} though the backend never responds"
+    );
+    was_attempted.then_some(duration)
 }
--- a/crates/system_tests/src/bin/proof-timing/backend.rs
+++ b/crates/system_tests/src/bin/proof-timing/backend.rs
@@ -1,4 +1,4 @@
-//! A backend with a configurable service time that counts its requests.
+//! A stand-in backend that has a configurable service time and counts its requests.
 
 use fault_harness::connections::serve_connections;
 use fault_harness::sync::lock;
@@ -10,28 +10,28 @@
 use std::time::Duration;
 
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-/// Length of the line that ends the head of a request.
+/// Length of the empty line that ends the head of a request, with its CRLF.
 const EMPTY_LINE_LENGTH: usize = 2;
-/// Service time of a healthy backend.
+/// Service time of a backend that is not slow.
 pub(crate) const HEALTHY: Duration = Duration::from_millis(5);
-/// Service time of a slow backend.
+/// Service time of a slow backend or response.
 pub(crate) const SLOW: Duration = Duration::from_millis(900);
-/// A backend with [`ServiceTime::OccasionallySlow`] is slow for one request in this many.
+/// Number of requests for each slow response of a backend with [`ServiceTime::OccasionallySlow`].
 const REQUESTS_PER_SLOW_RESPONSE: u64 = 50;
 
 /// The service time of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServiceTime {
-    /// The same for each request.
+    /// The same time for each request.
     Constant(Duration),
-    /// [`SLOW`] for one request in fifty, and [`HEALTHY`] for the others.
+    /// [`SLOW`] for the last of every [`REQUESTS_PER_SLOW_RESPONSE`] requests, and [`HEALTHY`] for the others.
     OccasionallySlow,
     /// The backend reads requests and never responds.
     Never,
 }
 
 impl ServiceTime {
-    /// Returns the service time of the request with this number, or `None` if there will be no response.
+    /// Returns the service time of the request with this number, or `None` if the backend never responds.
     fn of_request(self, number: u64) -> Option<Duration> {
         let is_slow = number % REQUESTS_PER_SLOW_RESPONSE == REQUESTS_PER_SLOW_RESPONSE - 1;
         match self {
@@ -49,7 +49,7 @@
     requests: AtomicU64,
 }
 
-/// A backend that runs until the process ends.
+/// A backend that runs until this process exits.
 pub(crate) struct Backend {
     pub(crate) address: SocketAddr,
     state: Arc<State>,
@@ -62,7 +62,8 @@
         let state = Arc::new(State { service_time, requests: AtomicU64::new(0) });
         let shared = state.clone();
         let any_port = ([127, 0, 0, 1], 0).into();
-        let address = serve_connections(any_port, move |stream| serve(stream, &shared)).expect("a free port");
+        let address = serve_connections(any_port, move |stream| serve(stream, &shared))
+            .expect("listening on a free port");
         Self { address, state }
     }
 
@@ -78,7 +79,7 @@
 
 /// Serves a connection until the gatekeeper closes it.
 fn serve(stream: TcpStream, state: &State) {
-    let mut responses = stream.try_clone().expect("a second handle");
+    let mut responses = stream.try_clone().expect("duplicating a connection");
     let mut requests = BufReader::new(stream);
     while read_request(&mut requests) {
         let number = state.requests.fetch_add(1, Ordering::Relaxed);
@@ -97,7 +98,7 @@
     let _ = connection.read(&mut [0]);
 }
 
-/// Reads a request without a body. Returns whether there was one before the end of the connection.
+/// Reads a request without a body. Returns whether the head of a request ended before the connection did.
 fn read_request(connection: &mut impl BufRead) -> bool {
     let mut line = String::new();
     while connection.read_line(&mut line).is_ok_and(|length| length > EMPTY_LINE_LENGTH) {
--- a/crates/system_tests/src/bin/proof-timing/latencies.rs
+++ b/crates/system_tests/src/bin/proof-timing/latencies.rs
@@ -1,4 +1,4 @@
-//! Latencies and load under combinations of backend service times and settings of attempts.
+//! Measures latencies and backend load under combinations of backend service times and attempt settings.
 
 use crate::backend::{HEALTHY, SLOW, ServiceTime};
 use crate::settings::IdempotentClass;
@@ -8,22 +8,24 @@
 
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(600);
 const DEADLINE: Duration = Duration::from_millis(2_500);
-/// Service time of each backend where all are slow.
+/// Service time of each backend in the profile in which all are slow.
 const ALL_SLOW: ServiceTime = ServiceTime::Constant(Duration::from_millis(150));
 /// Minimum share of requests that are served under each combination.
 const MIN_SERVED_SHARE: f64 = 0.95;
-/// The retry budget of the policy is a tenth of the admitted requests, and starts with five retries.
+/// Maximum number of attempts per request. The retry budget of the policy is a tenth of the admitted requests and starts with
+/// five retries.
 const MAX_ATTEMPTS_PER_REQUEST: f64 = 1.15;
-/// Maximum 99th percentile of latencies with hedging, relative to that with one attempt, where backends are occasionally slow.
+/// Maximum 99th percentile of latencies with hedging relative to that with one attempt, both with occasionally slow backends.
 const MAX_TAIL_RATIO: f64 = 0.5;
 
-/// Service times of the backends.
+/// A named choice of service times for the backends.
 struct BackendProfile {
     name: &'static str,
     first_backend: ServiceTime,
     other_backends: ServiceTime,
 }
 
+/// Name of the profile in which all backends are occasionally slow.
 const OCCASIONALLY_SLOW: &str = "one answer in fifty slow";
 
 const BACKEND_PROFILES: [BackendProfile; 3] = [
@@ -40,13 +42,16 @@
     BackendProfile { name: "all slow", first_backend: ALL_SLOW, other_backends: ALL_SLOW },
 ];
 
-/// Settings of attempts of a class.
+/// Named settings of a class on attempts, retries and hedging.
 struct AttemptSettings {
     name: &'static str,
+    /// Lines of TOML.
     toml: &'static str,
 }
 
+/// Name of the settings with a single attempt.
 const ONE_ATTEMPT: &str = "one attempt";
+/// Name of the settings with retries and hedging.
 const HEDGED: &str = "three of 200 ms, copies after 100 ms";
 
 const ATTEMPT_SETTINGS: [AttemptSettings; 3] = [
@@ -55,7 +60,7 @@
     AttemptSettings { name: HEDGED, toml: "attempts = 3\nattempt_ms = 200\ncopy_after_ms = 100" },
 ];
 
-/// The load result of one combination.
+/// The load result of one combination of profile and settings.
 struct Measurement {
     profile: &'static str,
     settings: &'static str,
@@ -67,7 +72,7 @@
     measurements: Vec<Measurement>,
 }
 
-/// Measures all combinations and prints a row for each.
+/// Measures all combinations and prints a table with one row for each.
 pub(crate) fn measure(site: &TestSite<'_>) -> LatencyReport {
     site.list_backends(12, BACKENDS);
     println!(
@@ -135,18 +140,18 @@
         table.add_with_maximum(name, tail_ratio, MAX_TAIL_RATIO);
     }
 
-    /// Returns the maximum over all combinations.
+    /// Returns the maximum number of attempts per request over all combinations.
     pub(crate) fn max_attempts_per_request(&self) -> f64 {
         let attempts = self.measurements.iter().map(|measurement| measurement.load.attempts_per_request);
         attempts.fold(0.0, f64::max)
     }
 
-    /// Returns the 99th percentile of latencies under these settings where backends are occasionally slow.
+    /// Returns the 99th percentile of latencies in ms under these settings with occasionally slow backends.
     fn occasionally_slow_tail_ms(&self, settings: &str) -> f64 {
         let is_wanted = |measurement: &&Measurement| {
             measurement.profile == OCCASIONALLY_SLOW && measurement.settings == settings
         };
-        let measurement = self.measurements.iter().find(is_wanted).expect("each combination is measured");
+        let measurement = self.measurements.iter().find(is_wanted).expect("all combinations were measured");
         measurement.load.latencies_ms.percentile(0.99)
     }
 }
--- a/crates/system_tests/src/bin/proof-timing/main.rs
+++ b/crates/system_tests/src/bin/proof-timing/main.rs
@@ -1,9 +1,9 @@
-//! Time-outs and hedging of a class on a real gatekeeper.
+//! Tests attempt timeouts, retries and hedging of a class on real gatekeepers, in three parts.
 //!
-//! 1. Settings that contradict each other are rejected, each for its own reason.
-//! 2. An attempt ends at its time-out.
-//! 3. Retries and hedged requests are measured by their effect on latencies and load, where one of ten backends is slow, where
-//!    some responses of each are slow, and where all backends are slow.
+//! 1. Invalid settings are rejected, each with the error of the rule that they violate.
+//! 2. An attempt ends when its timeout elapses.
+//! 3. The effect of retries and hedged requests on latencies and load is measured with one slow backend out of ten, with some
+//!    slow responses of each backend, and with all backends slow.
 
 mod attempt_timeouts;
 mod backend;
@@ -19,7 +19,7 @@
 use std::process::ExitCode;
 use system_tests::{Table, TestDirectory, milliseconds};
 
-/// Maximum difference between the time-out of an attempt and its duration, ms.
+/// Maximum difference between the timeout of an attempt and its measured duration, ms.
 const MAX_TIMEOUT_DEVIATION_MS: f64 = 10.0;
 
 fn main() -> ExitCode {
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -1,4 +1,4 @@
-//! Settings of a class that contradict each other, and the reason for which each is rejected.
+//! Invalid settings of a class, and the error with which each must be rejected.
 
 use crate::settings::{Addresses, IdempotentClass, config_file};
 use std::process::Command;
@@ -8,17 +8,17 @@
 
 const LATENCY_OBJECTIVE_MS: u64 = 600;
 const DEADLINE_MS: u64 = 2_500;
-/// Number of variants of each kind of invalid settings.
+/// Number of variants of each rule violation in [`invalid_timing`].
 const VARIANTS: u64 = 9;
 
 /// Invalid settings of a class.
 struct InvalidClass {
     toml: String,
-    /// A part of the error that names the violated rule.
-    reason: &'static str,
+    /// The part of the error text that identifies the violated rule.
+    expected_error: &'static str,
 }
 
-/// How many files with invalid settings were rejected for their own reason.
+/// The number of files with invalid settings, and how many of them were rejected with the expected error.
 pub(crate) struct Rejections {
     pub(crate) files: usize,
     pub(crate) rejected_files: usize,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs `snowfield check` on a file with each of the invalid settings.
+/// Runs `snowfield check` on one file for each of the invalid settings.
 pub(crate) fn check_invalid_settings(directory: &TestDirectory) -> Rejections {
     let free = free_addresses(2);
     let addresses = Addresses { listen: free[0], status: free[1], consul: free[0] };
@@ -43,11 +43,12 @@
 
 fn is_rejected(directory: &TestDirectory, addresses: Addresses, class: &InvalidClass) -> bool {
     let path = directory.write("bad.toml", &config_file(addresses, &class.toml));
-    let output = Command::new(release_build()).args(["check", &path]).output().expect("the program runs");
+    let output =
+        Command::new(release_build()).args(["check", &path]).output().expect("running `snowfield check`");
     let error = String::from_utf8_lossy(&output.stderr);
-    let is_rejected = !output.status.success() && error.contains(class.reason);
+    let is_rejected = !output.status.success() && error.contains(class.expected_error);
     if !is_rejected {
-        println!("not refused for {:?}: {}: {error}", class.reason, class.toml);
+        println!("not refused for {:?}: {}: {error}", class.expected_error, class.toml);
     }
     is_rejected
 }
@@ -56,23 +57,29 @@
     (1..=VARIANTS).flat_map(invalid_timing).chain(zero_values()).chain(invalid_keys()).collect()
 }
 
-/// Returns one variant of each rule on the timing of a class.
+/// Returns one variant of a violation of each rule on the timing of a class.
 fn invalid_timing(variant: u64) -> [InvalidClass; 8] {
     [
         invalid(
-            usual_class(format!("attempts = 3\nattempt_ms = {}", 833 + variant)),
+            class_with_default_times(format!("attempts = 3\nattempt_ms = {}", 833 + variant)),
             settings_errors::ATTEMPTS_EXCEED_DEADLINE,
         ),
         invalid(
             class(LATENCY_OBJECTIVE_MS + variant, LATENCY_OBJECTIVE_MS, String::new()),
             settings_errors::OBJECTIVE_AFTER_DEADLINE,
         ),
-        invalid(usual_class(format!("attempts = {}", 4 + variant)), settings_errors::TOO_MANY_ATTEMPTS),
         invalid(
-            usual_class(format!("attempts = 2\nattempt_ms = {}", 5 * variant)),
+            class_with_default_times(format!("attempts = {}", 4 + variant)),
+            settings_errors::TOO_MANY_ATTEMPTS,
+        ),
+        invalid(
+            class_with_default_times(format!("attempts = 2\nattempt_ms = {}", 5 * variant)),
             settings_errors::ATTEMPT_SHORTER_THAN_CONNECT,
         ),
-        invalid(usual_class(format!("copy_after_ms = {}", 599 + variant)), settings_errors::HEDGE_TOO_LATE),
+        invalid(
+            class_with_default_times(format!("copy_after_ms = {}", 599 + variant)),
+            settings_errors::HEDGE_TOO_LATE,
+        ),
         invalid(
             class(
                 900,
@@ -82,7 +89,7 @@
             settings_errors::HEDGE_NEVER_SENT,
         ),
         invalid(
-            usual_class(format!("attempts = 1\ncopy_after_ms = {variant}")),
+            class_with_default_times(format!("attempts = 1\ncopy_after_ms = {variant}")),
             settings_errors::HEDGE_WITHOUT_ATTEMPT,
         ),
         invalid(
@@ -95,21 +102,21 @@
 fn zero_values() -> impl Iterator<Item = InvalidClass> {
     ["attempts", "attempt_ms", "copy_after_ms"]
         .into_iter()
-        .map(|key| invalid(usual_class(format!("{key} = 0")), settings_errors::ZERO_VALUE))
+        .map(|key| invalid(class_with_default_times(format!("{key} = 0")), settings_errors::ZERO_VALUE))
 }
 
 fn invalid_keys() -> [InvalidClass; 2] {
     [
-        invalid(usual_class("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS),
-        invalid(usual_class("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT),
+        invalid(class_with_default_times("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS),
+        invalid(class_with_default_times("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT),
     ]
 }
 
-fn invalid(toml: String, reason: &'static str) -> InvalidClass {
-    InvalidClass { toml, reason }
+fn invalid(toml: String, expected_error: &'static str) -> InvalidClass {
+    InvalidClass { toml, expected_error }
 }
 
-fn usual_class(further_settings: String) -> String {
+fn class_with_default_times(further_settings: String) -> String {
     class(LATENCY_OBJECTIVE_MS, DEADLINE_MS, further_settings)
 }
 
--- a/crates/system_tests/src/bin/proof-timing/settings.rs
+++ b/crates/system_tests/src/bin/proof-timing/settings.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The API that the gatekeeper serves: one operation, in the class `lookup`.
+/// OpenAPI description of the API that the gatekeeper serves: one operation, in the class `lookup`.
 pub(crate) const API_DESCRIPTION: &str = r#"{"openapi":"3.0.3","info":{"title":"L","version":"1"},"paths":{"/loans":{"get":{"x-snowfield-units":1,"x-snowfield-class":"lookup","responses":{}}}}}"#;
 
-/// The addresses in the configuration file.
+/// The addresses that the configuration file contains.
 #[derive(Clone, Copy)]
 pub(crate) struct Addresses {
     pub(crate) listen: SocketAddr,
@@ -14,7 +14,7 @@
     pub(crate) consul: SocketAddr,
 }
 
-/// Returns the configuration file with these settings of its only class.
+/// Returns the text of a configuration file with one class. `class_toml` has the settings of this class.
 pub(crate) fn config_file(addresses: Addresses, class_toml: &str) -> String {
     let Addresses { listen, status, consul } = addresses;
     format!(
@@ -30,11 +30,12 @@
 pub(crate) struct IdempotentClass {
     pub(crate) latency_objective: Duration,
     pub(crate) deadline: Duration,
-    /// Lines of TOML.
+    /// Further settings of the class, as lines of TOML.
     pub(crate) further_settings: String,
 }
 
 impl IdempotentClass {
+    /// Returns the settings of the class as lines of TOML.
     pub(crate) fn to_toml(&self) -> String {
         let Self { latency_objective, deadline, further_settings } = self;
         format!(
