--- a/crates/system_tests/src/bin/proof-catalogue/report.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/report.rs
@@ -53,7 +53,7 @@
     let weight_ratio = report.add_weights();
     report.add_restart_with_cache();
     report.add_restart_with_truncated_cache();
-    report.add_rules();
+    report.add_rule_violations();
     report.add_sizes();
     report.add_memory_growth();
     format!(
@@ -191,7 +191,8 @@
         self.table.add_with_minimum("half of a list file is refused", rejected as f64, 1.0);
     }
 
-    fn add_rules(&mut self) {
+    /// Adds the numbers of violations of the rules on final answers and on process exits.
+    fn add_rule_violations(&mut self) {
         for rule in [final_answers, unexpected_exits] {
             let violations = rule(self.history, &Site::bounds());
             let first_text = violations.first().map(|violation| violation.text.as_str());
--- a/crates/system_tests/src/bin/proof-catalogue/requests.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/requests.rs
@@ -85,16 +85,16 @@
         self.responses(span).served_share()
     }
 
-    /// Returns the time of the first response from a backend after `at_us`, or `None` if there is none.
-    pub(crate) fn first_served_after_us(&self, at_us: u64) -> Option<u64> {
-        let is_first = |response: &&Response| response.at_us > at_us && response.outcome == Outcome::Served;
+    /// Returns the time of the first response from a backend after `from_us`, or `None` if there is none.
+    pub(crate) fn first_served_after_us(&self, from_us: u64) -> Option<u64> {
+        let is_first = |response: &&Response| response.at_us > from_us && response.outcome == Outcome::Served;
         self.responses.iter().find(is_first).map(|response| response.at_us)
     }
 
     /// Returns the times in microseconds of the arrivals at a backend after the start of a span and before its end.
     fn arrivals_us(&self, backend: &str, span: Span) -> impl Iterator<Item = u64> {
-        let at_backend = self.arrivals.iter().filter(move |arrival| arrival.backend == backend);
-        at_backend
+        let arrivals_at_backend = self.arrivals.iter().filter(move |arrival| arrival.backend == backend);
+        arrivals_at_backend
             .map(|arrival| arrival.at_us)
             .filter(move |&at_us| at_us > span.from_us && at_us < span.to_us)
     }
--- a/crates/system_tests/src/bin/proof-catalogue/scenario.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/scenario.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use system_tests::Error;
 
-const DRAINS: usize = 20;
+/// How many times a backend is drained.
+const DRAIN_COUNT: usize = 20;
 /// The backend that is drained while the first Consul agent is down.
 pub(crate) const FAILOVER_BACKEND: usize = 7;
 /// The duration of each Consul outage.
@@ -95,7 +96,7 @@
 
 /// Drains one backend after the other, cycling through all kinds of drains.
 fn drain_backends(site: &Site) -> Vec<Drain> {
-    let kinds = DrainKind::ALL.into_iter().cycle().take(DRAINS);
+    let kinds = DrainKind::ALL.into_iter().cycle().take(DRAIN_COUNT);
     kinds.enumerate().map(|(index, kind)| drain(site, index % BACKENDS, kind)).collect()
 }
 
@@ -149,7 +150,7 @@
     let first_agent = &site.consul_agents(0)[0];
     first_agent.fail(Fault::Closed);
     pause(THREE_SECONDS);
-    let changed_us = site.set_services(with_critical(site, &[FAILOVER_BACKEND]));
+    let changed_us = site.set_services(with_critical_checks(site, &[FAILOVER_BACKEND]));
     pause(Duration::from_millis(1_500));
     let span = Span::since(changed_us);
     first_agent.fail(Fault::None);
@@ -163,7 +164,8 @@
     let from_us = now_us();
     for second in 0..FLAPS {
         let is_critical = second % 2 == 0;
-        let services = if is_critical { with_critical(site, backends) } else { site.healthy_services() };
+        let services =
+            if is_critical { with_critical_checks(site, backends) } else { site.healthy_services() };
         site.set_services(services);
         pause(ONE_SECOND);
     }
@@ -242,7 +244,7 @@
 }
 
 /// Returns the catalogue in which the health checks of these backends are critical.
-fn with_critical(site: &Site, backends: &[usize]) -> Vec<Service> {
+fn with_critical_checks(site: &Site, backends: &[usize]) -> Vec<Service> {
     let mut services = site.healthy_services();
     backends.iter().for_each(|&backend| services[backend].status = CheckStatus::Critical);
     services
--- a/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
+++ b/crates/system_tests/src/bin/proof-compatibility/upgrades.rs
@@ -14,7 +14,7 @@
 /// Interval between two upgrades of a gatekeeper.
 const INTERVAL_MS: u64 = 2_000;
 /// Time for which the predecessor and its successor run side by side.
-const SIDE_BY_SIDE_MS: u64 = 600;
+const OVERLAP_MS: u64 = 600;
 const MIN_SERVED: f64 = 500.0;
 /// Request outcomes that an upgrade must not cause.
 const LOST_OUTCOMES: [Outcome; 4] =
@@ -32,7 +32,7 @@
     let upgrade = |number| {
         let kind =
             FaultKind::Upgrade { target: "*".into(), new_dies_after_us: None, old_dies_after_us: None };
-        Fault::from_millis(number * INTERVAL_MS, SIDE_BY_SIDE_MS, kind)
+        Fault::from_millis(number * INTERVAL_MS, OVERLAP_MS, kind)
     };
     Schedule {
         faults: (1..=UPGRADES).map(upgrade).collect(),
--- a/crates/system_tests/src/bin/proof-membership/cluster.rs
+++ b/crates/system_tests/src/bin/proof-membership/cluster.rs
@@ -62,7 +62,7 @@
     }
 
     /// Prints a progress message to standard error.
-    pub(crate) fn log(&self, text: &str) {
+    pub(crate) fn print_progress(&self, text: &str) {
         eprintln!("{}: {text}, {:.0} s", self.members, self.elapsed().as_secs_f64());
     }
 
@@ -99,10 +99,10 @@
         self.simulation.partition(0..half, StoreAccess::BothSides);
         let on_same_side = move |observer: usize, other: usize| (observer < half) == (other < half);
         let detected_after = self.advance_until(|simulation| simulation.falsely_alive(on_same_side) == 0);
-        self.log(&format!("partition detected after {} ms", detected_after.as_millis()));
+        self.print_progress(&format!("partition detected after {} ms", detected_after.as_millis()));
         self.simulation.heal();
         let healed_after = self.advance_until_agreement();
-        self.log(&format!("partition healed after {} ms", healed_after.as_millis()));
+        self.print_progress(&format!("partition healed after {} ms", healed_after.as_millis()));
         let bytes_per_member = (self.bytes_sent() - bytes_before) / self.members as u64;
         PartitionResult { detected_after, healed_after, bytes_per_member }
     }
--- a/crates/system_tests/src/bin/proof-membership/measurement.rs
+++ b/crates/system_tests/src/bin/proof-membership/measurement.rs
@@ -29,13 +29,16 @@
         let mut cluster = Cluster::start(members, gossip_period);
         let joined_after = cluster.advance_until_agreement();
         let fault_free_bytes_per_second = cluster.fault_free_bytes_per_second();
-        cluster.log(&format!(
+        cluster.print_progress(&format!(
             "joined after {} ms, {fault_free_bytes_per_second:.0} B/s per member without faults",
             joined_after.as_millis()
         ));
         let partition = cluster.partition();
         let rejoined_after = cluster.suspend_member();
-        cluster.log(&format!("agreement after a suspension, s: {}", optional_cell(rejoined_after)));
+        cluster.print_progress(&format!(
+            "agreement after a suspension, s: {}",
+            format_optional_cell(rejoined_after)
+        ));
         let mass_death = cluster.kill_half();
         let elapsed = cluster.elapsed();
         Self {
@@ -53,14 +56,14 @@
         println!(
             "| {} | {} | {:.0} | {} | {} | {} | {} | {} | {} | {:.0} |",
             self.members,
-            cell(self.joined_after),
+            format_cell(self.joined_after),
             self.fault_free_bytes_per_second,
-            cell(self.mass_death.detected_after),
+            format_cell(self.mass_death.detected_after),
             self.mass_death.bytes_per_survivor,
-            cell(self.partition.detected_after),
-            cell(self.partition.healed_after),
+            format_cell(self.partition.detected_after),
+            format_cell(self.partition.healed_after),
             self.partition.bytes_per_member,
-            optional_cell(self.rejoined_after),
+            format_optional_cell(self.rejoined_after),
             self.elapsed.as_secs_f64()
         );
     }
@@ -74,10 +77,10 @@
 }
 
 /// Formats a time until agreement in seconds, or as `never` if it reached [`AGREEMENT_TIMEOUT`].
-fn cell(duration: Duration) -> String {
+fn format_cell(duration: Duration) -> String {
     if duration >= AGREEMENT_TIMEOUT { "never".into() } else { format!("{:.1}", duration.as_secs_f64()) }
 }
 
-fn optional_cell(duration: Option<Duration>) -> String {
-    duration.map_or_else(|| "not tried".into(), cell)
+fn format_optional_cell(duration: Option<Duration>) -> String {
+    duration.map_or_else(|| "not tried".into(), format_cell)
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/gaps.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/gaps.rs
@@ -12,18 +12,18 @@
 /// The runs of one job within a span.
 struct RunsOfJob {
     /// The numbers of the runs, which grow by [`JOB_PERIOD_MS`] from one run to the next.
-    numbers: BTreeSet<u64>,
-    first_us: u64,
-    last_us: u64,
+    run_numbers: BTreeSet<u64>,
+    first_run_us: u64,
+    last_run_us: u64,
 }
 
 impl RunsOfJob {
     /// Returns the maximum number of consecutive missing runs, including those at the start and at the end of the span.
     fn max_missed(&self, span: Span) -> f64 {
-        let numbers: Vec<u64> = self.numbers.iter().copied().collect();
-        let missing = |pair: &[u64]| (pair[1] - pair[0]) / JOB_PERIOD_MS - 1;
-        let between_runs = numbers.windows(2).map(missing).max().unwrap_or(0);
-        let idle_us = (self.first_us - span.from_us).max(span.to_us - self.last_us);
+        let run_numbers: Vec<u64> = self.run_numbers.iter().copied().collect();
+        let missing_between = |pair: &[u64]| (pair[1] - pair[0]) / JOB_PERIOD_MS - 1;
+        let between_runs = run_numbers.windows(2).map(missing_between).max().unwrap_or(0);
+        let idle_us = (self.first_run_us - span.from_us).max(span.to_us - self.last_run_us);
         let at_span_ends = (periods(idle_us) - MAX_LATE_PERIODS).max(0.0).ceil();
         (between_runs as f64).max(at_span_ends)
     }
@@ -35,10 +35,11 @@
     let runs = runs.within(span);
     let mut by_job: BTreeMap<&str, RunsOfJob> = BTreeMap::new();
     for run in runs.iter() {
-        let no_runs = RunsOfJob { numbers: BTreeSet::new(), first_us: run.at_us, last_us: run.at_us };
+        let no_runs =
+            RunsOfJob { run_numbers: BTreeSet::new(), first_run_us: run.at_us, last_run_us: run.at_us };
         let runs_of_job = by_job.entry(run.job).or_insert(no_runs);
-        runs_of_job.numbers.insert(run.run);
-        runs_of_job.last_us = run.at_us;
+        runs_of_job.run_numbers.insert(run.run);
+        runs_of_job.last_run_us = run.at_us;
     }
     let missed = |job: &String| match by_job.get(job.as_str()) {
         Some(runs_of_job) => runs_of_job.max_missed(span),
--- a/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
@@ -4,7 +4,7 @@
 use fault_injection::history::{Observation, Record};
 
 /// Returns the record of a run. The number of a run is its scheduled time in ms, as on real gatekeepers.
-fn ran(at_ms: u64, job: &str, run: u64, instance: &str) -> Record {
+fn job_ran(at_ms: u64, job: &str, run: u64, instance: &str) -> Record {
     let observation = Observation::JobRan { job: job.into(), run, instance: instance.into() };
     Record { at_us: at_ms * 1_000, observation }
 }
@@ -20,12 +20,12 @@
 /// Job a misses two runs, and one of its runs happens again; job b moves from m0 to m1.
 fn history() -> Vec<Record> {
     vec![
-        ran(1_010, "a", 1_000, "m0"),
-        ran(1_020, "b", 1_000, "m0"),
-        ran(1_510, "a", 1_500, "m0"),
-        ran(1_700, "b", 1_500, "m1"),
-        ran(3_010, "a", 3_000, "m0"),
-        ran(3_020, "a", 3_000, "m1"),
+        job_ran(1_010, "a", 1_000, "m0"),
+        job_ran(1_020, "b", 1_000, "m0"),
+        job_ran(1_510, "a", 1_500, "m0"),
+        job_ran(1_700, "b", 1_500, "m1"),
+        job_ran(3_010, "a", 3_000, "m0"),
+        job_ran(3_020, "a", 3_000, "m1"),
     ]
 }
 
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -100,39 +100,39 @@
     fn add_phases(&self, table: &mut Table) {
         let end_us = self.history.last().map_or(0, |record| record.at_us);
         for (index, timed) in self.phases.iter().enumerate() {
-            let next_us = self.phases.get(index + 1).map_or(end_us, |next| next.span.from_us);
-            self.add_phase(table, timed, next_us);
+            let next_phase_us = self.phases.get(index + 1).map_or(end_us, |next| next.span.from_us);
+            self.add_phase(table, timed, next_phase_us);
         }
     }
 
-    /// Adds the figures of a phase, measured until `next_us`, when the next phase starts.
-    fn add_phase(&self, table: &mut Table, TimedPhase { phase, span }: &TimedPhase, next_us: u64) {
+    /// Adds the figures of a phase, measured until `next_phase_us`, when the next phase starts.
+    fn add_phase(&self, table: &mut Table, TimedPhase { phase, span }: &TimedPhase, next_phase_us: u64) {
         match phase {
             Phase::StoreSilent => self.add_runs_without_store(table, span.from_us),
-            Phase::StoreEmpty => self.add_store_recovery(table, span.to_us, next_us),
+            Phase::StoreEmpty => self.add_store_recovery(table, span.to_us, next_phase_us),
             Phase::JobsChanged => self.add_changed_jobs(table, *span),
             _ => {
-                let until_next = Span { from_us: span.from_us, to_us: next_us };
+                let until_next = Span { from_us: span.from_us, to_us: next_phase_us };
                 self.add_missed_runs(table, &format!("... {}, and after", phase.name()), until_next);
             }
         }
     }
 
     /// Adds the number of runs while the lease store does not respond. No job may run then.
-    fn add_runs_without_store(&self, table: &mut Table, silent_us: u64) {
+    fn add_runs_without_store(&self, table: &mut Table, outage_start_us: u64) {
         let to_us = self.span_of(Phase::StoreEmpty).from_us;
-        let silent = Span { from_us: silent_us + EARLIER_RUNS_ARRIVE_US, to_us };
+        let silent = Span { from_us: outage_start_us + EARLIER_RUNS_ARRIVE_US, to_us };
         let runs = self.runs.within(silent).count();
         table.add_with_maximum("runs while the store is silent (from 0.3 s on)", runs as f64, 0.0);
     }
 
     /// Adds how long it takes until all jobs run again after the lease store returned without its state, and the runs that they
     /// miss later.
-    fn add_store_recovery(&self, table: &mut Table, back_us: u64, next_us: u64) {
-        let recovery_s = seconds_or_infinity(all_run_again_after(&self.runs, &self.jobs, back_us));
+    fn add_store_recovery(&self, table: &mut Table, store_back_us: u64, next_phase_us: u64) {
+        let recovery_s = seconds_or_infinity(all_run_again_after(&self.runs, &self.jobs, store_back_us));
         let name = "the store back empty: the last duty runs again after, s";
         table.add_with_maximum(name, recovery_s, MAX_TAKE_OVER_S);
-        let recovered = Span { from_us: back_us + STORE_RECOVERY_US, to_us: next_us };
+        let recovered = Span { from_us: store_back_us + STORE_RECOVERY_US, to_us: next_phase_us };
         self.add_missed_runs(table, "... rounds missed in a row later", recovered);
     }
 
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -8,7 +8,7 @@
 /// The name of the schedule without faults.
 pub(crate) const WITHOUT_FAULTS: &str = "at rest";
 /// Combined with the seed of a schedule, so that version changes and faults come from different random sequences.
-const CHANGES_SEED: u64 = 0xa9ee;
+const VERSION_CHANGES_SEED: u64 = 0xa9ee;
 const LENGTH_MS: u64 = 14_000;
 /// Duration of the part of a schedule in which generated faults start.
 const GENERATED_FAULTS_LENGTH_MS: u64 = 10_000;
@@ -38,7 +38,7 @@
     }
 }
 
-fn named(name: &str, faults: Vec<Fault>) -> Schedule {
+fn hard_case(name: &str, faults: Vec<Fault>) -> Schedule {
     schedule(name, 1, 6, faults)
 }
 
@@ -72,7 +72,7 @@
         ]
     };
     vec![
-        named(
+        hard_case(
             WITHOUT_FAULTS,
             vec![
                 version_proposed(5_000, "m4", 16.0),
@@ -80,10 +80,10 @@
                 version_proposed(9_000, "m3", 18.0),
             ],
         ),
-        named("the leader killed in a change", during_version_change(killed(LEADER))),
-        named("the leader stopped in a change", during_version_change(suspended(LEADER))),
-        named("the leader cut off in a change", during_version_change(cut(LEADER, "*"))),
-        named(
+        hard_case("the leader killed in a change", during_version_change(killed(LEADER))),
+        hard_case("the leader stopped in a change", during_version_change(suspended(LEADER))),
+        hard_case("the leader cut off in a change", during_version_change(cut(LEADER, "*"))),
+        hard_case(
             "a stopped leader wakes after its successor changed settings",
             vec![
                 version_proposed(3_800, "m5", 19.0),
@@ -96,7 +96,7 @@
 
 fn partitions() -> Vec<Schedule> {
     vec![
-        named(
+        hard_case(
             "a minority with the operator's terminal",
             vec![
                 Fault::from_millis(4_000, 5_000, cut("m0", "*")),
@@ -105,7 +105,7 @@
                 version_proposed(4_500, "m3", 12.0),
             ],
         ),
-        named(
+        hard_case(
             "split in three",
             vec![
                 Fault::from_millis(4_000, 4_000, cut("zone:a", "zone:b")),
@@ -123,7 +123,7 @@
     let five_versions =
         (0..5).map(|i| version_proposed(5_000 + 200 * i, &format!("m{}", i % 4), 11.0 + i as f64));
     vec![
-        named(
+        hard_case(
             "clocks set apart and back",
             vec![
                 Fault::from_millis(3_500, 6_000, clock_offset("m0", -60_000)),
@@ -132,11 +132,11 @@
                 version_proposed(8_000, "m3", 14.0),
             ],
         ),
-        named(
+        hard_case(
             "all restarted at once from disks",
             [version_proposed(4_000, "m4", 12.0)].into_iter().chain(all_killed).collect(),
         ),
-        named(
+        hard_case(
             "five changes within a second, one gatekeeper stopped through all",
             five_versions.chain([Fault::from_millis(4_800, 3_000, suspended("m5"))]).collect(),
         ),
@@ -151,7 +151,7 @@
 
 /// Returns the schedule that is generated from a seed: faults mixed with proposals of new versions.
 pub(crate) fn generated_schedule(seed: u64) -> Schedule {
-    let mut random = fastrand::Rng::with_seed(seed ^ CHANGES_SEED);
+    let mut random = fastrand::Rng::with_seed(seed ^ VERSION_CHANGES_SEED);
     let Schedule { gatekeepers, mut faults, .. } = Schedule::from_seed(seed, GENERATED_FAULTS_LENGTH_MS);
     faults.retain(|fault| is_applicable(&fault.kind));
     faults.iter_mut().for_each(|fault| fault.start += GENERATED_FAULTS_START);
--- a/crates/system_tests/src/bin/proof-timing/backend.rs
+++ b/crates/system_tests/src/bin/proof-timing/backend.rs
@@ -13,9 +13,9 @@
 /// Length of the empty line that ends the head of a request, with its CRLF.
 const EMPTY_LINE_LENGTH: usize = 2;
 /// Service time of a backend that is not slow.
-pub(crate) const HEALTHY: Duration = Duration::from_millis(5);
+pub(crate) const HEALTHY_SERVICE_TIME: Duration = Duration::from_millis(5);
 /// Service time of a slow backend or response.
-pub(crate) const SLOW: Duration = Duration::from_millis(900);
+pub(crate) const SLOW_SERVICE_TIME: Duration = Duration::from_millis(900);
 /// Number of requests for each slow response of a backend with [`ServiceTime::OccasionallySlow`].
 const REQUESTS_PER_SLOW_RESPONSE: u64 = 50;
 
@@ -24,7 +24,8 @@
 pub(crate) enum ServiceTime {
     /// The same time for each request.
     Constant(Duration),
-    /// [`SLOW`] for the last of every [`REQUESTS_PER_SLOW_RESPONSE`] requests, and [`HEALTHY`] for the others.
+    /// [`SLOW_SERVICE_TIME`] for the last of every [`REQUESTS_PER_SLOW_RESPONSE`] requests, and [`HEALTHY_SERVICE_TIME`] for the
+    /// others.
     OccasionallySlow,
     /// The backend reads requests and never responds.
     Never,
@@ -36,8 +37,8 @@
         let is_slow = number % REQUESTS_PER_SLOW_RESPONSE == REQUESTS_PER_SLOW_RESPONSE - 1;
         match self {
             Self::Constant(service_time) => Some(service_time),
-            Self::OccasionallySlow if is_slow => Some(SLOW),
-            Self::OccasionallySlow => Some(HEALTHY),
+            Self::OccasionallySlow if is_slow => Some(SLOW_SERVICE_TIME),
+            Self::OccasionallySlow => Some(HEALTHY_SERVICE_TIME),
             Self::Never => None,
         }
     }
@@ -58,7 +59,7 @@
 impl Backend {
     /// Starts a healthy backend.
     pub(crate) fn start() -> Self {
-        let service_time = Mutex::new(ServiceTime::Constant(HEALTHY));
+        let service_time = Mutex::new(ServiceTime::Constant(HEALTHY_SERVICE_TIME));
         let state = Arc::new(State { service_time, requests: AtomicU64::new(0) });
         let shared = state.clone();
         let any_port = ([127, 0, 0, 1], 0).into();
--- a/crates/system_tests/src/bin/proof-timing/latencies.rs
+++ b/crates/system_tests/src/bin/proof-timing/latencies.rs
@@ -1,6 +1,6 @@
 //! Measures latencies and backend load under combinations of backend service times and attempt settings.
 
-use crate::backend::{HEALTHY, SLOW, ServiceTime};
+use crate::backend::{HEALTHY_SERVICE_TIME, SLOW_SERVICE_TIME, ServiceTime};
 use crate::settings::IdempotentClass;
 use crate::site::{BACKENDS, LoadResult, TestSite};
 use std::time::Duration;
@@ -31,8 +31,8 @@
 const BACKEND_PROFILES: [BackendProfile; 3] = [
     BackendProfile {
         name: "one of ten slow",
-        first_backend: ServiceTime::Constant(SLOW),
-        other_backends: ServiceTime::Constant(HEALTHY),
+        first_backend: ServiceTime::Constant(SLOW_SERVICE_TIME),
+        other_backends: ServiceTime::Constant(HEALTHY_SERVICE_TIME),
     },
     BackendProfile {
         name: OCCASIONALLY_SLOW,
@@ -151,7 +151,8 @@
         let is_wanted = |measurement: &&Measurement| {
             measurement.profile == OCCASIONALLY_SLOW && measurement.settings == settings
         };
-        let measurement = self.measurements.iter().find(is_wanted).expect("all combinations were measured");
+        let measurement =
+            self.measurements.iter().find(is_wanted).expect("a measurement for each profile and settings");
         measurement.load.latencies_ms.percentile(0.99)
     }
 }
--- a/crates/system_tests/src/bin/proof-timing/rejections.rs
+++ b/crates/system_tests/src/bin/proof-timing/rejections.rs
@@ -60,27 +60,27 @@
 /// Returns one variant of a violation of each rule on the timing of a class.
 fn invalid_timing(variant: u64) -> [InvalidClass; 8] {
     [
-        invalid(
+        invalid_class(
             class_with_default_times(format!("attempts = 3\nattempt_ms = {}", 833 + variant)),
             settings_errors::ATTEMPTS_EXCEED_DEADLINE,
         ),
-        invalid(
+        invalid_class(
             class(LATENCY_OBJECTIVE_MS + variant, LATENCY_OBJECTIVE_MS, String::new()),
             settings_errors::OBJECTIVE_AFTER_DEADLINE,
         ),
-        invalid(
+        invalid_class(
             class_with_default_times(format!("attempts = {}", 4 + variant)),
             settings_errors::TOO_MANY_ATTEMPTS,
         ),
-        invalid(
+        invalid_class(
             class_with_default_times(format!("attempts = 2\nattempt_ms = {}", 5 * variant)),
             settings_errors::ATTEMPT_SHORTER_THAN_CONNECT,
         ),
-        invalid(
+        invalid_class(
             class_with_default_times(format!("copy_after_ms = {}", 599 + variant)),
             settings_errors::HEDGE_TOO_LATE,
         ),
-        invalid(
+        invalid_class(
             class(
                 900,
                 DEADLINE_MS,
@@ -88,11 +88,11 @@
             ),
             settings_errors::HEDGE_NEVER_SENT,
         ),
-        invalid(
+        invalid_class(
             class_with_default_times(format!("attempts = 1\ncopy_after_ms = {variant}")),
             settings_errors::HEDGE_WITHOUT_ATTEMPT,
         ),
-        invalid(
+        invalid_class(
             format!("repeat = \"unsafe\"\nwanted_ms = 600\ndeadline_ms = 2500\ncopy_after_ms = {variant}"),
             settings_errors::HEDGE_OF_NON_IDEMPOTENT,
         ),
@@ -102,17 +102,17 @@
 fn zero_values() -> impl Iterator<Item = InvalidClass> {
     ["attempts", "attempt_ms", "copy_after_ms"]
         .into_iter()
-        .map(|key| invalid(class_with_default_times(format!("{key} = 0")), settings_errors::ZERO_VALUE))
+        .map(|key| invalid_class(class_with_default_times(format!("{key} = 0")), settings_errors::ZERO_VALUE))
 }
 
 fn invalid_keys() -> [InvalidClass; 2] {
     [
-        invalid(class_with_default_times("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS),
-        invalid(class_with_default_times("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT),
+        invalid_class(class_with_default_times("attempts = -1".into()), settings_errors::INVALID_ATTEMPTS),
+        invalid_class(class_with_default_times("attempt = 300".into()), settings_errors::UNKNOWN_KEY_ATTEMPT),
     ]
 }
 
-fn invalid(toml: String, expected_error: &'static str) -> InvalidClass {
+fn invalid_class(toml: String, expected_error: &'static str) -> InvalidClass {
     InvalidClass { toml, expected_error }
 }
 
--- a/crates/system_tests/src/job_runs/tests.rs
+++ b/crates/system_tests/src/job_runs/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn ran(at_us: u64, job: &str, run: u64, instance: &str) -> Record {
+fn job_ran(at_us: u64, job: &str, run: u64, instance: &str) -> Record {
     let observation = Observation::JobRan { job: job.into(), run, instance: instance.into() };
     Record { at_us, observation }
 }
@@ -10,7 +10,13 @@
 /// Run 2 of job a happens twice, on two instances.
 fn history() -> [Record; 5] {
     let started = Record { at_us: 5, observation: Observation::ProcessStarted { process: "m0".into() } };
-    [started, ran(10, "a", 1, "m0"), ran(20, "b", 2, "m1"), ran(30, "a", 2, "m0"), ran(40, "a", 2, "m2")]
+    [
+        started,
+        job_ran(10, "a", 1, "m0"),
+        job_ran(20, "b", 2, "m1"),
+        job_ran(30, "a", 2, "m0"),
+        job_ran(40, "a", 2, "m2"),
+    ]
 }
 
 #[test]
