--- a/crates/system_tests/src/bin/proof-checkers/seeded_fault.rs
+++ b/crates/system_tests/src/bin/proof-checkers/seeded_fault.rs
@@ -3,7 +3,7 @@
 /// A deliberate fault in a test build of the gatekeeper.
 #[derive(Clone, Copy)]
 pub(crate) struct SeededFault {
-    /// The name by which the environment variable of the gatekeeper selects the fault.
+    /// The value of the environment variable with which a gatekeeper enables the fault.
     pub(crate) name: &'static str,
     /// The rule that the fault breaks and that a checker has to report.
     pub(crate) rule: &'static str,
--- a/crates/system_tests/src/bin/proof-membership/main.rs
+++ b/crates/system_tests/src/bin/proof-membership/main.rs
@@ -1,9 +1,9 @@
 //! Measures the membership protocol alone in simulated time, in clusters of up to 1,000 members that lose a tenth of all
 //! datagrams: `proof-membership [MEMBERS [GOSSIP_PERIOD_MS]]`.
 //!
-//! The figures are the time until all members have the same view, and the bytes that are sent until then, after each of these
-//! events: the start of all members at once, a partition and its end, the suspension of a member, and the death of half of the
-//! members.
+//! Measures the time until all members have the same view after each of these events: the start of all members at once, a
+//! partition and its end, the suspension of a member, and the death of half of the members. Also measures the bytes that members
+//! send without faults, for a partition, and after the death of half of the members.
 
 mod cluster;
 mod measurement;
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -29,8 +29,8 @@
 const STORE_RECOVERY_US: u64 = 1_000_000;
 /// Time from the start of the fault after which all instances have reloaded the changed jobs.
 const RELOADED_AFTER_US: u64 = 1_500_000;
-/// Time before the end of the fault until which all instances keep the changed jobs.
-const RELOADED_UNTIL_BEFORE_END_US: u64 = 200_000;
+/// Margin before the end of the fault. All instances keep the changed jobs until this margin starts.
+const RELOAD_END_MARGIN_US: u64 = 200_000;
 /// The gatekeeper whose processor time is in the table.
 const MEASURED_GATEKEEPER: &str = "m1";
 /// Key of the lease writes in the request counts of a traffic observation.
@@ -139,10 +139,8 @@
     /// Adds the missed runs of the changed jobs, and the runs of jobs that the reload removed.
     fn add_changed_jobs(&self, table: &mut Table, span: Span) {
         let jobs = changed_jobs();
-        let reloaded = Span {
-            from_us: span.from_us + RELOADED_AFTER_US,
-            to_us: span.to_us - RELOADED_UNTIL_BEFORE_END_US,
-        };
+        let reloaded =
+            Span { from_us: span.from_us + RELOADED_AFTER_US, to_us: span.to_us - RELOAD_END_MARGIN_US };
         let missed = max_missed_runs(&self.runs, &jobs, reloaded);
         let name = format!("... {}", Phase::JobsChanged.name());
         table.add_with_maximum(&name, missed, MAX_MISSED_RUNS);
