--- a/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/gaps/tests.rs
@@ -1,10 +1,10 @@
-//! Gaps of a small history. Jobs have a period of 500 ms.
+//! Missed runs, gaps and take-over times of a small history. Jobs have a period of 500 ms.
 
 use super::*;
 use fault_injection::history::{Observation, Record};
 
-/// A run of a job at a time in ms; runs are numbered by ms, as gatekeepers do.
-fn ran(at_ms: u64, job: &str, run: u64, instance: &str) -> Record {
+/// Returns the record of a run. The number of a run is its scheduled time in ms, as on real gatekeepers.
+fn job_ran(at_ms: u64, job: &str, run: u64, instance: &str) -> Record {
     let observation = Observation::JobRan { job: job.into(), run, instance: instance.into() };
     Record { at_us: at_ms * 1_000, observation }
 }
@@ -20,12 +20,12 @@
 /// Job a misses two runs, and one of its runs happens again; job b moves from m0 to m1.
 fn history() -> Vec<Record> {
     vec![
-        ran(1_010, "a", 1_000, "m0"),
-        ran(1_020, "b", 1_000, "m0"),
-        ran(1_510, "a", 1_500, "m0"),
-        ran(1_700, "b", 1_500, "m1"),
-        ran(3_010, "a", 3_000, "m0"),
-        ran(3_020, "a", 3_000, "m1"),
+        job_ran(1_010, "a", 1_000, "m0"),
+        job_ran(1_020, "b", 1_000, "m0"),
+        job_ran(1_510, "a", 1_500, "m0"),
+        job_ran(1_700, "b", 1_500, "m1"),
+        job_ran(3_010, "a", 3_000, "m0"),
+        job_ran(3_020, "a", 3_000, "m1"),
     ]
 }
 
@@ -36,7 +36,7 @@
     let missed = |names: &[&str], span| max_missed_runs(&runs, &jobs(names), span);
     assert_eq!((runs.count(), runs.repeated()), (6, 1));
     assert_eq!(missed(&["a"], span_ms(1_000, 3_100)), 2.0);
-    // 1,400 ms after its last run, that is 2.8 periods, of which 1.6 are no miss.
+    // The span ends 1,400 ms or 2.8 periods after the last run, of which 1.6 periods are allowed; the rest is rounded up.
     assert_eq!(missed(&["b"], span_ms(1_000, 3_100)), 2.0);
     assert_eq!(missed(&["a"], span_ms(1_000, 1_600)), 0.0);
     // A job that never runs misses all periods.
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn gaps_and_take_overs_are_timed() {
+fn gaps_and_take_over_times_are_measured() {
     let history = history();
     let runs = JobRuns::of(&history);
     assert_eq!(longest_gap(&runs, span_ms(1_000, 3_100)), Duration::from_millis(1_500));
