--- a/crates/stand_in_consul/src/fault.rs
+++ b/crates/stand_in_consul/src/fault.rs
@@ -1,8 +1,8 @@
-//! Faults of a listener.
+//! Faults that can be injected into a listener.
 
 use std::time::Duration;
 
-/// How a listener fails.
+/// How a listener fails requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
@@ -14,10 +14,10 @@
     ResponseLost,
     /// Requests are applied and answered after this delay.
     Delay(Duration),
-    /// Requests are not applied, and are answered at once with this status.
+    /// Requests are not applied, and are answered at once with this HTTP status.
     Status(u16),
     /// Requests are applied, and the connection is closed in the middle of the response.
     ResponseTruncated,
-    /// Connections are closed on the first request.
+    /// Requests are not applied, and the connection is closed without a response.
     Closed,
 }
--- a/crates/stand_in_consul/src/server.rs
+++ b/crates/stand_in_consul/src/server.rs
@@ -20,10 +20,10 @@
 use std::ops::ControlFlow;
 use std::thread;
 
-/// Number of path segments that identify the kind of a request, with the empty one before the first slash.
-const KIND_SEGMENTS: usize = 3;
+/// Number of path segments by which requests are counted, including the empty one before the first slash.
+const COUNTED_SEGMENTS: usize = 3;
 
-/// Whether the connection continues after a request.
+/// Whether the connection stays open after a request.
 type Connection = ControlFlow<()>;
 
 /// Starts a thread that accepts connections until the stand-in is stopped.
@@ -40,7 +40,7 @@
 }
 
 fn serve(listener: &Listener, mut stream: TcpStream) {
-    // Without the option responses are only slower.
+    // A failure is ignored: without the option, responses are only slower.
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     while let Some(request) = Request::read(&mut stream, &mut buffer) {
@@ -52,16 +52,16 @@
 }
 
 fn log_request(listener: &Listener, request: &Request) {
-    let kind = request.path.split('/').take(KIND_SEGMENTS).collect::<Vec<_>>().join("/");
+    let path_prefix = request.path.split('/').take(COUNTED_SEGMENTS).collect::<Vec<_>>().join("/");
     let mut state = listener.state();
     if let Some(log) = &state.request_log {
         // The receiver may have been dropped.
         let _ = log.send(format!("{} {}", request.method, request.target));
     }
-    *state.request_counts.entry(format!("{} {kind}", request.method)).or_default() += 1;
+    *state.request_counts.entry(format!("{} {path_prefix}", request.method)).or_default() += 1;
 }
 
-/// Applies and answers a request, as far as the fault of the listener permits.
+/// Applies and answers a request, unless the fault of the listener prevents one or both.
 fn respond(listener: &Listener, request: &Request, stream: &mut TcpStream) -> Connection {
     let fault = if request.is_write() { listener.take_write_fault() } else { listener.read_fault() };
     match fault {
@@ -78,7 +78,7 @@
     match fault {
         Fault::ResponseLost => return wait_for_client(stream),
         Fault::ResponseTruncated => {
-            // The connection ends in any case.
+            // The connection is closed whether or not the write succeeds.
             let _ = response.send_half(stream, options);
             return Connection::Break(());
         }
--- a/crates/stand_in_consul/src/server/agent.rs
+++ b/crates/stand_in_consul/src/server/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's pages: registration of a service with a TTL check.
+//! Endpoints of the agent: registration of a service, and heartbeats of its TTL check.
 
 use super::request::Request;
 use super::response::Response;
@@ -7,16 +7,17 @@
 use crate::state::State;
 use serde_json::Value;
 
-pub(super) fn serve(listener: &Listener, request: &Request, page: &str) -> Response {
+/// Answers a request to `/v1/agent/`. `subpath` is the rest of the path.
+pub(super) fn serve(listener: &Listener, request: &Request, subpath: &str) -> Response {
     listener.update(|state| {
-        if page == "service/register" {
+        if subpath == "service/register" {
             register(state, &request.body)
-        } else if let Some(id) = page.strip_prefix("service/deregister/") {
+        } else if let Some(id) = subpath.strip_prefix("service/deregister/") {
             deregister(state, id)
-        } else if let Some(id) = page.strip_prefix("check/pass/service:") {
+        } else if let Some(id) = subpath.strip_prefix("check/pass/service:") {
             pass_check(state, id)
         } else {
-            Response::unknown_page()
+            Response::unknown_path()
         }
     })
 }
--- a/crates/stand_in_consul/src/server/blocking.rs
+++ b/crates/stand_in_consul/src/server/blocking.rs
@@ -11,8 +11,8 @@
 /// Wait of a blocking query without the parameter `wait`.
 const DEFAULT_WAIT: Duration = Duration::from_secs(300);
 
-/// Blocks a query with the parameter `index` while `current_index` returns the same index. The wait also ends when the listener's
-/// fault changes, and when the stand-in is restarted or stopped.
+/// Blocks a query with the parameter `index` while `current_index` returns the same index, up to the parameter `wait`. The wait
+/// also ends when the listener's fault is no longer `fault`, and when the stand-in is restarted or stopped.
 pub(super) fn wait_for_change(
     listener: &Listener,
     request: &Request,
--- a/crates/stand_in_consul/src/server/kv.rs
+++ b/crates/stand_in_consul/src/server/kv.rs
@@ -1,4 +1,4 @@
-//! The pages of the KV store.
+//! Endpoints of the KV store.
 
 use super::blocking::wait_for_change;
 use super::clock::now_ms;
@@ -11,26 +11,26 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
 
-/// An entry with its value, as Consul shows it.
+/// Encodes an entry with its value in base64, as Consul does.
 pub(super) fn entry_json(key: &str, entry: &Entry) -> Value {
-    let mut shown = entry_json_without_value(key, entry);
-    shown["Value"] = STANDARD.encode(&entry.value).into();
-    shown
+    let mut fields = entry_json_without_value(key, entry);
+    fields["Value"] = STANDARD.encode(&entry.value).into();
+    fields
 }
 
-/// An entry without its value, as the result of a write in a transaction.
+/// Encodes an entry without its value (`null`), as Consul does for a write in a transaction.
 pub(super) fn entry_json_without_value(key: &str, entry: &Entry) -> Value {
-    let mut shown = json!({
+    let mut fields = json!({
         "LockIndex": entry.lock_index, "Key": key, "Flags": entry.flags, "Value": Value::Null,
         "CreateIndex": entry.create_index, "ModifyIndex": entry.modify_index,
     });
     if let Some(session) = &entry.session {
-        shown["Session"] = session.clone().into();
+        fields["Session"] = session.clone().into();
     }
-    shown
+    fields
 }
 
-/// Reads a key, or with `recurse` all keys with this prefix.
+/// Reads a key, or with the parameter `recurse` all keys that have `key` as a prefix. Blocks as a blocking query does.
 pub(super) fn read(listener: &Listener, request: &Request, key: &str, fault: Fault) -> Response {
     let selector = selector(request, key);
     wait_for_change(listener, request, fault, |state| state.store.index_of(selector));
@@ -42,7 +42,8 @@
     if entries.is_empty() { Response::not_found(index) } else { Response::json(index, &entries.into()) }
 }
 
-/// Writes, locks, unlocks or deletes a key.
+/// Writes, locks, unlocks or deletes a key. With the parameter `recurse`, a deletion removes all keys that have `key` as a
+/// prefix.
 pub(super) fn write(listener: &Listener, request: &Request, key: &str) -> Response {
     match request.method.as_str() {
         "PUT" => listener.update(|state| put(&mut state.store, request, key)),
--- a/crates/stand_in_consul/src/server/request.rs
+++ b/crates/stand_in_consul/src/server/request.rs
@@ -5,16 +5,16 @@
 use std::net::TcpStream;
 use std::ops::Range;
 
-/// Maximum number of bytes of one read.
+/// Maximum number of bytes read from the connection at once.
 const READ_BYTES: usize = 16 * 1024;
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A request.
+/// A parsed HTTP request.
 pub(super) struct Request {
     pub(super) method: String,
     /// Path and query, as the client sent them.
     pub(super) target: String,
-    /// Path, percent-decoded.
+    /// Path without the query, percent-decoded.
     pub(super) path: String,
     /// Parameters of the query, percent-decoded.
     query: HashMap<String, String>,
@@ -56,7 +56,7 @@
         self.method != "GET"
     }
 
-    /// A parameter of the query.
+    /// Returns a parameter of the query; an empty string for a parameter without value, such as `recurse`.
     pub(super) fn parameter(&self, name: &str) -> Option<&str> {
         self.query.get(name).map(String::as_str)
     }
--- a/crates/stand_in_consul/src/server/response.rs
+++ b/crates/stand_in_consul/src/server/response.rs
@@ -1,4 +1,4 @@
-//! Responses, and how they are sent.
+//! HTTP responses: their encoding and sending.
 
 use super::request::Request;
 use crate::state::State;
@@ -8,11 +8,11 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-const UNKNOWN_PAGE: &str = "no such page here";
+const UNKNOWN_PATH: &str = "no such page here";
 /// Body of responses with an injected status.
 const INJECTED_FAULT: &str = "told to fail";
 
-/// A response.
+/// A response, before the headers that [`ResponseOptions`] adds.
 pub(super) struct Response {
     status: u16,
     /// Value of `X-Consul-Index`; 0 for a response without it.
@@ -20,7 +20,7 @@
     body: String,
 }
 
-/// Headers about the state of the servers, and the encoding of the body.
+/// Values of the headers about Consul's servers, and the encoding of the body.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ResponseOptions {
     last_contact_ms: u64,
@@ -47,22 +47,22 @@
         Self { status, index: 0, body: text.to_owned() }
     }
 
-    /// A response that is `true` or `false`.
+    /// A response with the body `true` or `false`.
     pub(super) fn boolean(value: bool) -> Self {
         Self::text(200, if value { "true" } else { "false" })
     }
 
     /// The response to a path that the stand-in does not implement.
-    pub(super) fn unknown_page() -> Self {
-        Self::text(404, UNKNOWN_PAGE)
+    pub(super) fn unknown_path() -> Self {
+        Self::text(404, UNKNOWN_PATH)
     }
 
-    /// The response of a listener with an injected fault.
+    /// The response with the status of an injected fault.
     pub(super) fn injected_fault(status: u16) -> Self {
         Self::text(status, INJECTED_FAULT)
     }
 
-    /// The response to a read without result, with the index of the query.
+    /// The response to a read that found no key, with the index for the next blocking query.
     pub(super) fn not_found(index: u64) -> Self {
         Self { status: 404, index, body: String::new() }
     }
--- a/crates/stand_in_consul/src/server/router.rs
+++ b/crates/stand_in_consul/src/server/router.rs
@@ -1,4 +1,4 @@
-//! Routes requests to the pages of the API.
+//! Routes requests to the endpoints of the API.
 
 use super::request::Request;
 use super::response::Response;
@@ -8,7 +8,8 @@
 
 const LEADER_ADDRESS: &str = "\"127.0.0.1:8300\"";
 
-/// Applies a request and returns its response.
+/// Applies a request and returns its response. `fault` is the fault of the listener at the start of the request: a blocking query
+/// ends when the fault changes.
 pub(super) fn route(listener: &Listener, request: &Request, fault: Fault) -> Response {
     let is_denied = listener.state().token.as_ref().is_some_and(|token| *token != request.token);
     if is_denied {
@@ -20,16 +21,16 @@
         ("GET", ["v1", "kv", key]) => kv::read(listener, request, key, fault),
         (_, ["v1", "kv", key]) => kv::write(listener, request, key),
         ("PUT", ["v1", "txn"]) => transaction::apply(listener, request),
-        ("PUT", ["v1", "session", page]) => session::serve(listener, request, page),
-        ("PUT", ["v1", "agent", page]) => agent::serve(listener, request, page),
-        ("GET", ["v1", "health", page]) => match page.strip_prefix("service/") {
+        ("PUT", ["v1", "session", subpath]) => session::serve(listener, request, subpath),
+        ("PUT", ["v1", "agent", subpath]) => agent::serve(listener, request, subpath),
+        ("GET", ["v1", "health", subpath]) => match subpath.strip_prefix("service/") {
             Some(name) => services::health(listener, request, name, fault),
-            None => Response::unknown_page(),
+            None => Response::unknown_path(),
         },
-        ("GET", ["v1", "catalog", page]) => match page.strip_prefix("service/") {
+        ("GET", ["v1", "catalog", subpath]) => match subpath.strip_prefix("service/") {
             Some(name) => services::catalog(listener, request, name, fault),
-            None => Response::unknown_page(),
+            None => Response::unknown_path(),
         },
-        _ => Response::unknown_page(),
+        _ => Response::unknown_path(),
     }
 }
--- a/crates/stand_in_consul/src/server/services.rs
+++ b/crates/stand_in_consul/src/server/services.rs
@@ -1,4 +1,4 @@
-//! The health and catalogue pages of services.
+//! The health and catalog endpoints of services.
 
 use super::blocking::wait_for_change;
 use super::request::Request;
@@ -9,15 +9,15 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Name of the node of all instances.
+/// Name of the Consul node to which all instances belong.
 const NODE: &str = "a";
 
-/// The health page of a service.
+/// Returns the instances of a service with their checks (`/v1/health/service/`).
 pub(super) fn health(listener: &Listener, request: &Request, name: &str, fault: Fault) -> Response {
     list(listener, request, name, fault, |instance, address| health_json(name, instance, address))
 }
 
-/// The catalogue page of a service.
+/// Returns the instances of a service without their checks (`/v1/catalog/service/`).
 pub(super) fn catalog(listener: &Listener, request: &Request, name: &str, fault: Fault) -> Response {
     list(listener, request, name, fault, catalog_json)
 }
@@ -27,10 +27,10 @@
     request: &Request,
     name: &str,
     fault: Fault,
-    show: impl Fn(&Service, SocketAddr) -> Value,
+    encode: impl Fn(&Service, SocketAddr) -> Value,
 ) -> Response {
     wait_for_change(listener, request, fault, |state| state.services_index);
-    // A fault that was injected during the wait fails the open query.
+    // A fault that is injected during the wait fails the waiting query.
     if listener.read_fault() != fault {
         return Response::injected_fault(500);
     }
@@ -41,7 +41,7 @@
     let entries: Vec<Value> = instances
         .filter(|instance| instance.is_passing() || !only_passing)
         .filter(|instance| tag.is_none_or(|tag| instance.has_tag(tag)))
-        .map(|instance| show(instance, listener.shown_address(instance.address)))
+        .map(|instance| encode(instance, listener.translated_address(instance.address)))
         .collect();
     Response::json(state.services_index, &entries.into())
 }
--- a/crates/stand_in_consul/src/server/session.rs
+++ b/crates/stand_in_consul/src/server/session.rs
@@ -1,4 +1,4 @@
-//! The pages of sessions.
+//! Endpoints of sessions.
 
 use super::blocking::parse_duration;
 use super::clock::now_ms;
@@ -9,21 +9,24 @@
 use serde_json::{Value, json};
 use std::ops::RangeInclusive;
 
+/// Range of a TTL that Consul accepts.
 const TTL_RANGE_MS: RangeInclusive<u64> = 10_000..=86_400_000;
+/// Lock delay of a session that is created without one.
 const DEFAULT_LOCK_DELAY_MS: u64 = 15_000;
 
-pub(super) fn serve(listener: &Listener, request: &Request, page: &str) -> Response {
+/// Answers a request to `/v1/session/`. `subpath` is the rest of the path.
+pub(super) fn serve(listener: &Listener, request: &Request, subpath: &str) -> Response {
     listener.update(|state| {
         let store = &mut state.store;
         store.expire_sessions(now_ms());
-        match page.split_once('/') {
-            None if page == "create" => create(store, &request.body),
+        match subpath.split_once('/') {
+            None if subpath == "create" => create(store, &request.body),
             Some(("renew", id)) => renew(store, id),
             Some(("destroy", id)) => {
                 store.destroy_session(now_ms(), id);
                 Response::boolean(true)
             }
-            _ => Response::unknown_page(),
+            _ => Response::unknown_path(),
         }
     })
 }
--- a/crates/stand_in_consul/src/server/transaction.rs
+++ b/crates/stand_in_consul/src/server/transaction.rs
@@ -1,4 +1,4 @@
-//! The page of transactions.
+//! The endpoint of transactions (`/v1/txn`).
 
 use super::clock::now_ms;
 use super::kv::{entry_json, entry_json_without_value};
@@ -34,25 +34,26 @@
     }
 }
 
-/// The response to a committed transaction. Only reads return values.
+/// The response to a committed transaction. Only reads return values. `is_read` has an item for each operation.
 fn committed(results: &[KeyValue], is_read: &[bool]) -> Response {
-    let show = |(position, KeyValue { key, entry }): (usize, &KeyValue)| {
+    let encode = |(position, KeyValue { key, entry }): (usize, &KeyValue)| {
         let with_value = is_read.get(position).copied().unwrap_or(false);
-        let shown = if with_value { entry_json(key, entry) } else { entry_json_without_value(key, entry) };
-        json!({"KV": shown})
+        let fields = if with_value { entry_json(key, entry) } else { entry_json_without_value(key, entry) };
+        json!({"KV": fields})
     };
-    let results: Vec<Value> = results.iter().enumerate().map(show).collect();
+    let results: Vec<Value> = results.iter().enumerate().map(encode).collect();
     Response::json(0, &json!({"Results": results, "Errors": Value::Null}))
 }
 
+/// The response to a transaction that was not applied, with the error of each failed operation.
 fn rolled_back(failures: &[FailedOperation]) -> Response {
-    let show =
+    let encode =
         |failure: &FailedOperation| json!({"OpIndex": failure.position, "What": failure.error.to_string()});
-    let errors: Vec<Value> = failures.iter().map(show).collect();
+    let errors: Vec<Value> = failures.iter().map(encode).collect();
     Response::text(409, &json!({"Results": Value::Null, "Errors": errors}).to_string())
 }
 
-/// Parses an operation; `None` if a part is missing or invalid.
+/// Parses an operation; `None` if a required field is missing or a field is invalid.
 fn parse_operation(value: &Value) -> Option<KeyOperation> {
     let kv = value.get("KV")?;
     let text = |name: &str| kv.get(name).and_then(Value::as_str);
--- a/crates/stand_in_consul/src/service.rs
+++ b/crates/stand_in_consul/src/service.rs
@@ -1,4 +1,4 @@
-//! Instances of services in the catalogue, and services registered through the agent.
+//! Instances of services in the catalog, and services registered through the agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 /// The status of a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CheckStatus {
-    /// The check passes.
+    /// `passing`. Queries with the parameter `passing` return only instances whose checks all have this status.
     #[default]
     Passing,
-    /// The check is in warning state.
+    /// `warning`. Queries with the parameter `passing` leave the instance out.
     Warning,
-    /// The check is critical.
+    /// `critical`. Queries with the parameter `passing` leave the instance out.
     Critical,
 }
 
 impl CheckStatus {
-    /// Its name in Consul's API.
+    /// Returns the status as Consul's API spells it.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Passing => "passing",
@@ -26,7 +26,7 @@
     }
 }
 
-/// The weights of a service instance.
+/// The relative weights of a service instance, for load balancing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Weights {
     /// Weight while its check passes.
@@ -35,29 +35,29 @@
     pub warning: u32,
 }
 
-/// An instance of a service, as the health and catalogue pages show it.
+/// An instance of a service, as the health and catalog endpoints return it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its id.
+    /// Id of the instance (`ServiceID` in the catalog).
     pub id: String,
     /// The address at which it listens.
     pub address: SocketAddr,
     /// The status of its check.
     pub status: CheckStatus,
-    /// Whether it is in maintenance mode.
+    /// Whether it is in maintenance mode, which adds a critical check.
     pub in_maintenance: bool,
-    /// Whether its node's own check passes.
+    /// Whether the check of its node (`serfHealth`) passes.
     pub is_node_healthy: bool,
-    /// Its weights.
+    /// Weights by the status of its check.
     pub weights: Weights,
-    /// Its tags.
+    /// Tags, by which queries can select instances (`tag`).
     pub tags: Vec<String>,
-    /// Its metadata.
+    /// Metadata as names and values (`Meta`).
     pub meta: BTreeMap<String, String>,
 }
 
 impl Service {
-    /// Creates an instance whose checks pass.
+    /// Creates an instance with passing checks, weights of 1, and neither tags nor metadata.
     pub fn new(id: &str, address: SocketAddr) -> Self {
         Self {
             id: id.to_owned(),
@@ -78,7 +78,7 @@
     }
 
     pub(crate) fn has_tag(&self, tag: &str) -> bool {
-        self.tags.iter().any(|own| own == tag)
+        self.tags.iter().any(|own_tag| own_tag == tag)
     }
 
     /// Whether all checks pass.
@@ -90,10 +90,10 @@
 /// A service registered through the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// The service's name.
+    /// Name of the service. The id is the same unless the registration has its own.
     pub name: String,
-    /// Its port.
+    /// Port of the service; 0 if the registration has no valid port.
     pub port: u16,
-    /// Number of heartbeats of its TTL check.
+    /// Number of times that its TTL check was reported as passing since the registration.
     pub passed_checks: u64,
 }
--- a/crates/stand_in_consul/src/state.rs
+++ b/crates/stand_in_consul/src/state.rs
@@ -7,7 +7,7 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// State of a stand-in.
+/// State of a stand-in, common to all of its listeners.
 #[derive(Debug, Default)]
 pub struct State {
     /// Instances by service name.
@@ -16,17 +16,17 @@
     pub services_index: u64,
     /// Services registered through the agent, by id.
     pub registrations: BTreeMap<String, Registration>,
-    /// The ACL token that requests must have (`X-Consul-Token`), if any.
+    /// The ACL token that requests must have (`X-Consul-Token`); others are answered with 403. `None` accepts all requests.
     pub token: Option<String>,
     /// Value of `X-Consul-LastContact`, in milliseconds.
     pub last_contact_ms: u64,
-    /// Whether responses report that there is no leader.
+    /// Whether responses report that there is no leader (`X-Consul-KnownLeader: false`). Requests are applied nevertheless.
     pub leaderless: bool,
-    /// Whether bodies are compressed for clients that accept it.
+    /// Whether bodies are compressed for clients that accept gzip.
     pub compresses: bool,
     /// The KV store.
     pub(crate) store: Store,
-    /// Changes at each restart, which ends blocking queries.
+    /// Number of restarts. A blocking query ends when it changes.
     pub(crate) incarnation: u64,
     /// Receives the method and the target of each request.
     pub(crate) request_log: Option<Sender<String>>,
@@ -48,7 +48,7 @@
         lock(&self.state)
     }
 
-    /// Changes the state and notifies blocking queries.
+    /// Changes the state and wakes the blocking queries, which check whether their index has changed.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let result = change(&mut self.lock());
         self.notify_changed();
@@ -59,7 +59,7 @@
         self.changed.notify_all();
     }
 
-    /// Waits while the condition holds, up to the time-out.
+    /// Waits while the condition holds, up to the timeout.
     pub(crate) fn wait_while(&self, timeout: Duration, condition: impl FnMut(&mut State) -> bool) {
         drop(self.changed.wait_timeout_while(self.lock(), timeout, condition));
     }
--- a/crates/stand_in_consul/src/store.rs
+++ b/crates/stand_in_consul/src/store.rs
@@ -1,4 +1,4 @@
-//! The KV store and its sessions, without I/O. The caller passes the time, in milliseconds of a monotonic clock.
+//! The KV store and its sessions, without I/O. Callers pass the current time in milliseconds of a monotonic clock.
 
 mod session;
 mod transaction;
@@ -13,14 +13,14 @@
 use rand::rngs::StdRng;
 use std::collections::BTreeMap;
 
-/// Index that stands for a missing key in check-and-set.
+/// The index with which check-and-set expects that the key does not exist.
 const MISSING_KEY_INDEX: u64 = 0;
 
-/// Entry of a key.
+/// The value of a key and its metadata.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Entry {
     pub(crate) value: Vec<u8>,
-    /// Flags set by the last writer.
+    /// Flags of the last write. The store does not interpret them.
     pub(crate) flags: u64,
     /// Index at which the key was created.
     pub(crate) create_index: u64,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Selects keys.
+/// The keys that a query reads or a deletion removes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum KeySelector<'a> {
     /// One key.
@@ -56,7 +56,7 @@
     }
 }
 
-/// The session that is to hold a lock does not exist.
+/// The session for which a lock was requested does not exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid session")]
 pub(crate) struct InvalidSession;
@@ -96,7 +96,7 @@
         self.index
     }
 
-    /// The selected keys with their entries, in order.
+    /// Returns the selected keys with their entries, in lexicographic order.
     pub(crate) fn matching<'a>(
         &'a self,
         selector: KeySelector<'a>,
@@ -104,7 +104,8 @@
         self.keys.iter().filter(move |(key, _)| selector.matches(key))
     }
 
-    /// Index of a query: the last change of the selected keys, or the index of the store if there are none.
+    /// Returns the index of a query: that of the last change of the selected keys, or the index of the store if no key is
+    /// selected.
     pub(crate) fn index_of(&self, selector: KeySelector<'_>) -> u64 {
         self.matching(selector).map(|(_, entry)| entry.modify_index).max().unwrap_or(self.index)
     }
@@ -124,21 +125,21 @@
         id
     }
 
-    /// Draws an id in the format of a UUID.
+    /// Generates a random id in the format of a UUID.
     fn random_id(&mut self) -> String {
         let bits: u128 = self.random.random();
         let hex = format!("{bits:032x}");
         [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]].join("-")
     }
 
-    /// Renews a session and returns it; `None` if it does not exist.
+    /// Restarts the TTL of a session and returns the session; `None` if it does not exist.
     pub(crate) fn renew_session(&mut self, now_ms: u64, id: &str) -> Option<&Session> {
         let session = self.sessions.get_mut(id)?;
         session.renew(now_ms);
         Some(session)
     }
 
-    /// Ends a session. The keys that it holds are released or deleted, and cannot be locked until its lock delay is over.
+    /// Ends a session. The keys that it has locked are released or deleted, and cannot be locked until its lock delay is over.
     pub(crate) fn destroy_session(&mut self, now_ms: u64, id: &str) {
         let Some(session) = self.sessions.remove(id) else { return };
         let locked = self.keys.iter().filter(|(_, entry)| entry.is_locked_by(id));
@@ -173,7 +174,8 @@
         entry
     }
 
-    /// Check-and-set: writes the key if its index is this one. Index 0 stands for a missing key. Returns whether it was written.
+    /// Check-and-set: writes the key if `index` is its current index, or if `index` is 0 and the key does not exist. Returns
+    /// whether it was written.
     pub(crate) fn cas(&mut self, key: &str, value: Vec<u8>, flags: u64, index: u64) -> bool {
         let current_index = self.keys.get(key).map_or(MISSING_KEY_INDEX, |entry| entry.modify_index);
         let is_current = current_index == index;
@@ -208,7 +210,7 @@
         Ok(true)
     }
 
-    /// Writes and unlocks a key if this session holds its lock. Returns whether it did.
+    /// Writes and unlocks a key if this session holds its lock. Returns whether the session held it.
     pub(crate) fn release(&mut self, key: &str, value: Vec<u8>, flags: u64, session: &str) -> bool {
         let is_locked = self.keys.get(key).is_some_and(|entry| entry.is_locked_by(session));
         if is_locked {
--- a/crates/stand_in_consul/src/store/session.rs
+++ b/crates/stand_in_consul/src/store/session.rs
@@ -1,9 +1,9 @@
 //! Sessions, which hold locks on keys.
 
-/// What happens to the keys that a session holds when it ends.
+/// What happens to the keys that a session has locked when it ends (`Behavior`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeysAtEnd {
-    /// Their locks are released.
+    /// Only their locks are released.
     Release,
     /// They are deleted.
     Delete,
@@ -13,14 +13,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SessionOptions {
     pub(crate) name: String,
-    /// Time without renewal after which the session expires, in milliseconds; `None` for never.
+    /// Time without renewal after which the session expires, in milliseconds; `None` if it does not expire.
     pub(crate) ttl_ms: Option<u64>,
-    /// Time after the end of the session for which its keys cannot be locked, in milliseconds.
+    /// Time after the end of the session during which the keys that it had locked cannot be locked, in milliseconds.
     pub(crate) lock_delay_ms: u64,
     pub(crate) keys_at_end: KeysAtEnd,
 }
 
-/// A session.
+/// A session, with the time at which it expires unless it is renewed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Session {
     options: SessionOptions,
@@ -47,7 +47,7 @@
         self.options.keys_at_end
     }
 
-    /// The end of the lock delay, if the session has one and ends now.
+    /// Returns the end of the lock delay if the session ends now; `None` without lock delay.
     pub(super) fn lock_delay_until(&self, now_ms: u64) -> Option<u64> {
         let delay = self.options.lock_delay_ms;
         (delay > 0).then_some(now_ms + delay)
@@ -58,6 +58,6 @@
     }
 
     pub(super) fn has_expired(&self, now_ms: u64) -> bool {
-        self.expires_at_ms.is_some_and(|at| at <= now_ms)
+        self.expires_at_ms.is_some_and(|expiry| expiry <= now_ms)
     }
 }
--- a/crates/stand_in_consul/src/store/tests.rs
+++ b/crates/stand_in_consul/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! Check-and-set, sessions and transactions.
+//! Tests of check-and-set, sessions and transactions.
 
 use super::transaction::OperationError;
 use super::*;
@@ -42,7 +42,7 @@
     assert!(!store.sessions.contains_key(&deleting) && !store.keys.contains_key("d"));
     store.expire_sessions(160);
     assert_eq!(store.keys["k"].session, None);
-    assert_eq!(store.acquire(180, "k", vec![], 0, &other), Ok(false), "the lock delay");
+    assert_eq!(store.acquire(180, "k", vec![], 0, &other), Ok(false), "the lock delay is not over");
     assert_eq!(store.acquire(211, "k", vec![], 0, &other), Ok(true));
     assert_eq!(store.acquire(211, "k", vec![], 0, &releasing), Err(InvalidSession));
     assert!(store.renew_session(211, &releasing).is_none());
@@ -52,19 +52,20 @@
 fn a_transaction_is_applied_as_a_whole_or_not_at_all() {
     let mut store = seeded_store(1);
     let holder = store.create_session(0, options("a", None, 0, KeysAtEnd::Delete));
-    store.acquire(0, "holder", vec![], 0, &holder).expect("a session");
+    store.acquire(0, "holder", vec![], 0, &holder).expect("the session exists");
     let cas = |index| operation("d", Operation::Cas { value: b"1".to_vec(), flags: 0, index });
     let check = operation("holder", Operation::CheckSession(holder.clone()));
-    let done = store.transact(0, vec![check.clone(), cas(0)]).expect("both match");
+    let done =
+        store.transact(0, vec![check.clone(), cas(0)]).expect("the lock is held and the key does not exist");
     assert_eq!(done[1].entry.modify_index, store.index);
     let before = store.keys.clone();
     let stale = FailedOperation { position: 1, error: OperationError::StaleIndex("d".to_owned()) };
-    assert_eq!(store.transact(0, vec![check.clone(), cas(0)]).expect_err("stale")[0], stale);
+    assert_eq!(store.transact(0, vec![check.clone(), cas(0)]).expect_err("the index is stale")[0], stale);
     let set = operation("e", Operation::Set { value: vec![], flags: 0 });
-    assert_eq!(store.transact(0, vec![set, cas(0)]).expect_err("stale")[0], stale);
+    assert_eq!(store.transact(0, vec![set, cas(0)]).expect_err("the index is stale")[0], stale);
     assert_eq!(store.keys, before, "nothing is applied");
     store.destroy_session(0, &holder);
     let index = store.keys["d"].modify_index;
     let lost = FailedOperation { position: 0, error: OperationError::SessionCheck("holder".to_owned()) };
-    assert_eq!(store.transact(0, vec![check, cas(index)]).expect_err("gone")[0], lost);
+    assert_eq!(store.transact(0, vec![check, cas(index)]).expect_err("the session has ended")[0], lost);
 }
--- a/crates/stand_in_consul/src/store/transaction.rs
+++ b/crates/stand_in_consul/src/store/transaction.rs
@@ -5,11 +5,11 @@
 /// An operation on a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Operation {
-    /// Check-and-set: writes the key if its index is this one. Index 0 stands for a missing key.
+    /// Check-and-set: writes the key if `index` is its current index, or if `index` is 0 and the key does not exist.
     Cas { value: Vec<u8>, flags: u64, index: u64 },
     /// Writes the key.
     Set { value: Vec<u8>, flags: u64 },
-    /// Reads the key. Fails if it is missing.
+    /// Reads the key. Fails if it does not exist.
     Get,
     /// Fails unless this session holds the lock of the key.
     CheckSession(String),
@@ -21,14 +21,14 @@
     Lock { value: Vec<u8>, flags: u64, session: String },
 }
 
-/// An operation of a transaction.
+/// An operation of a transaction and the key to which it applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KeyOperation {
     pub(crate) key: String,
     pub(crate) operation: Operation,
 }
 
-/// A key with its entry after a transaction.
+/// A key with its entry as an operation of a transaction left it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KeyValue {
     pub(crate) key: String,
@@ -41,7 +41,7 @@
     /// Check-and-set found another index.
     #[error("failed to set key {0:?}, index is stale")]
     StaleIndex(String),
-    /// The key is missing.
+    /// The key does not exist.
     #[error("key {0:?} doesn't exist")]
     MissingKey(String),
     /// The session does not hold the lock of the key.
@@ -64,7 +64,8 @@
 }
 
 impl Store {
-    /// Applies all operations with one common index, or none if any fails. Returns the entries of the keys that exist afterwards.
+    /// Applies all operations with one common index, or none if any fails. Returns a result for each operation after which its
+    /// key exists, in the order of the operations.
     ///
     /// # Errors
     ///
--- a/crates/stand_in_consul/tests/http.rs
+++ b/crates/stand_in_consul/tests/http.rs
@@ -1,11 +1,12 @@
-//! The HTTP API byte for byte: a script of requests and the recorded responses.
+//! Compares the responses to a fixed sequence of requests with recorded ones, byte for byte. Random session ids are replaced, and
+//! `Content-Length` is left out once a session exists.
 
 use stand_in_consul::{CheckStatus, Consul, Service, Weights};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Requests as method, target and body. `SESSION` stands for the id of the last session created.
+/// Requests as method, target and body. `SESSION` is replaced by the id of the session that was created last.
 const SCRIPT: &[(&str, &str, &str)] = &[
     ("GET", "/v1/status/leader", ""),
     ("GET", "/v1/kv/a", ""),
@@ -79,18 +80,18 @@
     let (mut head, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
-        reader.read_line(&mut line).expect("a line");
+        reader.read_line(&mut line).expect("a line of the head");
         if line.trim().is_empty() {
             break;
         }
         if let Some(value) = line.strip_prefix("Content-Length: ") {
-            length = value.trim().parse().expect("a length");
+            length = value.trim().parse().expect("Content-Length is a number");
         }
         head += &line;
     }
     let mut body = vec![0; length];
-    reader.read_exact(&mut body).expect("a body");
-    (head, String::from_utf8(body).expect("text"))
+    reader.read_exact(&mut body).expect("the whole body");
+    (head, String::from_utf8(body).expect("the body is UTF-8"))
 }
 
 #[test]
@@ -99,8 +100,8 @@
     consul.set_service(11, "loans", services());
     let listener = consul.open();
     listener.translate(SocketAddr::from(([127, 0, 0, 1], 7_000)), SocketAddr::from(([127, 0, 0, 2], 80)));
-    let mut stream = TcpStream::connect(listener.address).expect("it listens");
-    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+    let mut stream = TcpStream::connect(listener.address).expect("the listener accepts connections");
+    let mut reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
     let (mut transcript, mut session) = (String::new(), "none".to_owned());
     for (method, target, body) in SCRIPT {
         let (sent_target, sent_body) =
@@ -114,7 +115,7 @@
         }
         if session != "none" {
             body = body.replace(&session, "SESSION");
-            let end = head.find("Content-Length").expect("a length");
+            let end = head.find("Content-Length").expect("the head has a Content-Length");
             head.truncate(end);
         }
         writeln!(transcript, "{method} {target}\n{}{body}\n", head.replace('\r', ""))
@@ -124,11 +125,11 @@
 }
 
 #[test]
-fn requests_are_counted_by_method_and_kind() {
+fn requests_are_counted_by_method_and_first_two_path_segments() {
     let consul = Consul::start();
     let listener = consul.open();
     for (method, target) in [("GET", "/v1/kv/a/b"), ("GET", "/v1/kv/c"), ("PUT", "/v1/txn")] {
-        let mut stream = TcpStream::connect(listener.address).expect("it listens");
+        let mut stream = TcpStream::connect(listener.address).expect("the listener accepts connections");
         let request = format!("{method} {target} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("the request is sent");
         read_response(&mut BufReader::new(stream));
