--- a/crates/cluster_simulation/src/counts.rs
+++ b/crates/cluster_simulation/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counters, and the log of started runs.
+//! Counters of a simulation, and a log of the started runs.
 
 use job_lease::RunId;
 use periodic_jobs::Run;
@@ -9,17 +9,17 @@
 /// Counters since the start of the simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Writes by compare-and-set that reached the store.
+    /// Compare-and-set writes that reached the store.
     pub writes: u64,
-    /// Applied writes.
+    /// Writes that the store applied. The others failed the comparison, or their session had ended.
     pub writes_applied: u64,
-    /// Reads of the store.
+    /// Reads of leases that reached the store.
     pub reads: u64,
-    /// Datagrams sent.
+    /// Datagrams sent, including lost ones.
     pub datagrams: u64,
-    /// Bytes sent in datagrams.
+    /// Bytes sent in datagrams, including lost ones.
     pub datagram_bytes: u64,
-    /// Started runs.
+    /// Starts of runs. A run that starts twice counts twice.
     pub runs: u64,
     /// Runs that started more than once.
     pub repeated_runs: u64,
@@ -70,7 +70,7 @@
     /// that has never run.
     pub(crate) fn longest_gap(&self, job: &str, now: UnixTime, period: Duration) -> u64 {
         let Some(gap) = self.gaps.get(job) else { return u64::MAX };
-        // The run of the current period may still start, and the one before may be late.
+        // Neither the current nor the previous period counts: the current run may still start, and the previous one may be late.
         let missed = periods_between(gap.last_run.into(), now, period).saturating_sub(2);
         gap.longest.max(missed)
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Returns the number of complete periods between two moments.
+/// Returns the number of complete periods between two points in time.
 fn periods_between(earlier: UnixTime, later: UnixTime, period: Duration) -> u64 {
     whole_millis(later.saturating_since(earlier)) / whole_millis(period)
 }
--- a/crates/cluster_simulation/src/event.rs
+++ b/crates/cluster_simulation/src/event.rs
@@ -5,10 +5,11 @@
 use std::collections::{BinaryHeap, HashMap};
 use timestamps::MonotonicTime;
 
-/// Identifies one start of an instance. Responses to an earlier incarnation are dropped.
+/// Identifies one start of an instance. A response to a call of an earlier start is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Incarnation(pub(crate) u64);
 
+/// An event that an instance or the store handles when it is due.
 #[derive(Debug)]
 pub(crate) enum Event {
     /// The timer of an instance is due.
@@ -21,16 +22,16 @@
     StoreResponse { instance: usize, incarnation: Incarnation, response: StoreResponse },
 }
 
-/// The pending events. Events due at the same moment keep the order in which they were scheduled.
+/// The pending events, by due time. Events due at the same time keep the order in which they were scheduled.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     order: BinaryHeap<Reverse<QueuePosition>>,
-    /// The events by their sequence numbers.
+    /// The events by sequence number.
     events: HashMap<u64, Event>,
     last_sequence: u64,
 }
 
-/// The position of an event in the queue, ordered by due moment, then by sequence number.
+/// The position of an event in the queue: by due time, then by sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     due: MonotonicTime,
@@ -44,14 +45,14 @@
 }
 
 impl EventQueue {
-    /// Schedules an event for this moment.
+    /// Schedules an event for the time `due`.
     pub(crate) fn schedule(&mut self, due: MonotonicTime, event: Event) {
         self.last_sequence += 1;
         self.order.push(Reverse(QueuePosition { due, sequence: self.last_sequence }));
         self.events.insert(self.last_sequence, event);
     }
 
-    /// Removes the next event that is due at or before this moment.
+    /// Removes and returns the next event if it is due at or before `until`.
     pub(crate) fn pop_due(&mut self, until: MonotonicTime) -> Option<DueEvent> {
         let &Reverse(QueuePosition { due, sequence }) = self.order.peek()?;
         if due > until {
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated instance.
+//! A simulated instance: the state machines of one cluster member, and its clocks.
 
 use crate::SimulationConfig;
 use crate::event::{Event, Incarnation};
@@ -14,7 +14,7 @@
 
 /// The Unix time at the start of the simulation.
 const UNIX_START: UnixTime = UnixTime::from_millis(1_800_000_000_000);
-/// The number of instances through which the others join.
+/// The number of instances that the others contact to join the cluster.
 const SEED_PEERS: usize = 3;
 /// The maximum number of events queued for a paused instance. Further events are dropped, as by a socket buffer.
 const MAX_PENDING_EVENTS: usize = 1_000;
@@ -36,7 +36,7 @@
 /// The time between two renewals of the session, as in the package `cluster`.
 const SESSION_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Returns the Unix time of a moment of the simulation, without clock skew.
+/// Converts simulated time to Unix time without clock skew.
 pub(crate) fn unix_time(now: MonotonicTime) -> UnixTime {
     UNIX_START + now.saturating_since(MonotonicTime::ZERO)
 }
@@ -51,20 +51,20 @@
     pub(crate) number: usize,
     pub(crate) membership: Membership,
     pub(crate) scheduler: Scheduler,
-    /// The time by which its Unix clock is fast.
+    /// How far its Unix clock is ahead of the simulated time.
     clock_offset: Duration,
     pub(crate) incarnation: Incarnation,
-    /// The moment of its next tick.
+    /// When its next tick is due. A time in the past, or [`MonotonicTime::NEVER`], means that no tick is scheduled.
     pub(crate) next_tick: MonotonicTime,
     has_jobs: bool,
     paused: bool,
-    /// Whether the members have changed since the last tick, which passes them to the scheduler.
+    /// Whether the members have changed since the last tick. The next tick passes them to the scheduler.
     members_changed: bool,
-    /// The events received while it was paused.
+    /// The events received during a pause, at most [`MAX_PENDING_EVENTS`].
     pending: VecDeque<Event>,
 }
 
-/// The effects of an event on an instance.
+/// What an instance asks for after an event: outputs of its membership and actions of its scheduler.
 #[derive(Default)]
 pub(crate) struct Effects {
     pub(crate) outputs: Vec<Output>,
@@ -72,7 +72,7 @@
 }
 
 impl Instance {
-    /// Starts an instance at this moment.
+    /// Starts an instance at the time `now`.
     pub(crate) fn start(
         number: usize,
         now: MonotonicTime,
@@ -102,23 +102,23 @@
         }
     }
 
-    /// Reads the clocks of the instance at this moment.
+    /// Reads the clocks of the instance at the time `now`.
     pub(crate) fn clocks(&self, now: MonotonicTime) -> ClockReading {
         clock_reading(now, self.clock_offset)
     }
 
-    /// Pauses the instance.
+    /// Pauses the instance. Until it is resumed, it skips its ticks and queues all other events.
     pub(crate) fn pause(&mut self) {
         self.paused = true;
     }
 
-    /// Resumes the instance. Returns the events received during the pause.
+    /// Resumes the instance. Returns the events queued during the pause.
     pub(crate) fn resume(&mut self) -> VecDeque<Event> {
         self.paused = false;
         std::mem::take(&mut self.pending)
     }
 
-    /// Handles an event. Returns `None` if the instance is paused or the event is outdated.
+    /// Handles an event. Returns `None` if the instance is paused, which queues the event, or if the event is outdated.
     pub(crate) fn handle(&mut self, event: Event, now: ClockReading) -> Option<Effects> {
         if self.paused {
             if !matches!(event, Event::Tick { .. }) && self.pending.len() < MAX_PENDING_EVENTS {
@@ -143,22 +143,22 @@
     }
 
     fn tick(&mut self, now: ClockReading, effects: &mut Effects) {
-        // No tick is pending. `ZERO` would count as a pending tick at the start of the simulation.
+        // Marks that no tick is scheduled. `ZERO` would count as a scheduled tick at the start of the simulation.
         self.next_tick = MonotonicTime::NEVER;
         self.membership.tick(now.monotonic, &mut effects.outputs);
-        // Without jobs the scheduler does not need the members.
+        // A scheduler without jobs does not need the members.
         if std::mem::take(&mut self.members_changed) && self.has_jobs {
             self.scheduler.set_members(now, self.membership.alive_names());
         }
         self.scheduler.tick(now, &mut effects.actions);
     }
 
-    /// Returns the numbers of the instances that this one sees alive, excluding itself.
+    /// Returns the numbers of the other instances that this one considers alive.
     pub(crate) fn seen_alive(&self) -> impl Iterator<Item = usize> {
         self.membership.alive_addresses().map(network::instance)
     }
 
-    /// Returns the moment at which the instance needs its next tick.
+    /// Returns when the membership or the scheduler needs its next tick, whichever is earlier.
     pub(crate) fn next_due(&self, now: ClockReading) -> MonotonicTime {
         let to_monotonic = |due: UnixTime| now.monotonic + due.saturating_since(now.unix);
         let jobs_due = self.scheduler.next_tick().map(to_monotonic);
@@ -166,14 +166,14 @@
     }
 }
 
-/// Returns the clocks of an instance at a moment of the simulation.
+/// Returns the readings of an instance's clocks at the simulated time `now`.
 fn clock_reading(now: MonotonicTime, clock_offset: Duration) -> ClockReading {
     ClockReading { unix: unix_time(now) + clock_offset, monotonic: now }
 }
 
 /// Draws the offset of a clock, in whole milliseconds up to the maximum skew.
 fn random_clock_offset(max_clock_skew: Duration, rng: &mut StdRng) -> Duration {
-    // Without skew the generator is not advanced.
+    // Nothing is drawn without skew: a draw would change all random numbers that follow.
     if max_clock_skew.is_zero() {
         return Duration::ZERO;
     }
--- a/crates/cluster_simulation/src/lib.rs
+++ b/crates/cluster_simulation/src/lib.rs
@@ -1,6 +1,6 @@
-//! A deterministic simulation of a cluster. It drives the state machines `membership`, `periodic_jobs` and `job_lease` as the
-//! program does, in simulated time, with a lease store and a network that can be made to fail. The same seed gives the same
-//! sequence of events.
+//! A deterministic simulation of a cluster. It drives the state machines of the packages `membership`, `periodic_jobs` and
+//! `job_lease` as `snowfield` does, but in simulated time, with a lease store and a network that can be made to fail. The same
+//! seed gives the same sequence of events.
 
 mod config;
 mod counts;
--- a/crates/cluster_simulation/src/network.rs
+++ b/crates/cluster_simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: addresses, loss and partitions.
+//! The simulated network: addresses, datagram loss and partitions.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -15,7 +15,7 @@
     SocketAddr::from(([127, high, middle, low], 7_000))
 }
 
-/// Returns the instance with this gossip address.
+/// Returns the number of the instance with this gossip address. It is out of range for an IPv6 address.
 pub(crate) fn instance(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -26,12 +26,12 @@
     }
 }
 
-/// The instances that reach the store during a partition.
+/// Which instances reach the lease store during a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreAccess {
     /// All instances reach the store.
     BothSides,
-    /// The separated instances do not reach the store, the others do.
+    /// Only the instances that are not separated reach the store.
     OtherSide,
 }
 
@@ -43,9 +43,10 @@
     store_access: StoreAccess,
 }
 
-/// The connections between the instances, and from the instances to the store.
+/// The network between the instances, and from the instances to the store.
 #[derive(Debug)]
 pub(crate) struct Network {
+    /// The probability that a datagram is lost.
     loss: f64,
     partition: Option<Partition>,
 }
@@ -55,7 +56,7 @@
         Self { loss, partition: None }
     }
 
-    /// Separates these instances from all others.
+    /// Separates these instances from all others. Replaces an earlier partition.
     pub(crate) fn partition(&mut self, separated: Range<usize>, store_access: StoreAccess) {
         self.partition = Some(Partition { separated, store_access });
     }
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation of a cluster.
+//! The simulation: it advances the time, passes events to instances and the store, and injects faults.
 
 use crate::SimulationConfig;
 use crate::counts::{Counts, RunLog};
@@ -19,12 +19,12 @@
 /// The minimum time between two ticks of an instance.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The live members as one instance sees them.
+/// The members that one instance considers alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// The number of the instance.
     pub instance: usize,
-    /// The names of the live members, including the instance itself.
+    /// The names of these members, including the instance itself.
     pub alive: Vec<String>,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Simulation {
-    /// Starts all instances at once.
+    /// Creates a cluster and starts all of its instances at time zero.
     pub fn new(config: SimulationConfig) -> Self {
         let mut simulation = Self {
             now: MonotonicTime::ZERO,
@@ -64,17 +64,17 @@
         simulation
     }
 
-    /// Returns the moment that the simulation has reached. It starts at zero.
+    /// Returns the current simulated time, which starts at zero.
     pub fn now(&self) -> MonotonicTime {
         self.now
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counters since the start of the simulation.
     pub fn counts(&self) -> Counts {
         Counts { repeated_runs: self.run_log.repeated(), ..self.counts.clone() }
     }
 
-    /// Returns the notices of all schedulers since the start.
+    /// Returns the notices of all schedulers since the start of the simulation, in order of time.
     pub fn notices(&self) -> &[Notice] {
         &self.notices
     }
@@ -95,19 +95,19 @@
         self.schedule_tick(instance, self.now);
     }
 
-    /// Kills an instance.
+    /// Kills an instance without notice to the others. Calls that it has sent still reach the store.
     pub fn kill(&mut self, instance: usize) {
         self.instances[instance] = None;
     }
 
-    /// Pauses an instance.
+    /// Pauses an instance: it handles no events until [`Self::resume`]. Datagrams and responses are queued up to a limit.
     pub fn pause(&mut self, instance: usize) {
         if let Some(instance) = &mut self.instances[instance] {
             instance.pause();
         }
     }
 
-    /// Resumes an instance. Events of the pause are delivered at once.
+    /// Resumes an instance. The events queued during the pause are delivered at once.
     pub fn resume(&mut self, instance: usize) {
         let Some(paused) = &mut self.instances[instance] else { return };
         for event in paused.resume() {
@@ -116,17 +116,17 @@
         self.schedule_tick(instance, self.now);
     }
 
-    /// Sets the fault of the store.
+    /// Sets the fault of the store. [`StoreFault::None`] ends an earlier one.
     pub fn set_store_fault(&mut self, fault: StoreFault) {
         self.store.set_fault(fault);
     }
 
-    /// Loses the responses to the next `count` applied writes.
+    /// Loses the responses to the next `count` applied writes, whose calls then time out.
     pub fn lose_responses(&mut self, count: u32) {
         self.store.lose_responses(count);
     }
 
-    /// Restarts the store without any key. Its indexes start from 0 again.
+    /// Restarts the store without data: its indexes start from 0 again, and all sessions end.
     pub fn restart_store_empty(&mut self) {
         self.store.restart_empty();
     }
@@ -142,15 +142,16 @@
         self.network.heal();
     }
 
-    /// Returns the number of instances that see exactly this many live members.
+    /// Returns the number of instances that consider exactly `members` members alive, including themselves.
     pub fn instances_seeing(&self, members: usize) -> usize {
         self.alive_instances().filter(|instance| instance.membership.alive_count() == members).count()
     }
 
-    /// Returns the number of mistakes in all views. A mistake is a member seen alive that is dead or, by `may_see`,
-    /// unreachable, or a reachable live member that is not seen alive.
-    pub fn mistaken_views(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
-        let is_visible = |observer: usize, other: usize| self.is_alive(other) && may_see(observer, other);
+    /// Returns the number of mistakes in the views of all live instances. A mistake is a member considered alive that is dead or
+    /// unreachable, or a reachable live member that is not considered alive. `can_reach(observer, other)` tells whether the
+    /// instance `observer` can reach `other`.
+    pub fn mistaken_views(&self, can_reach: impl Fn(usize, usize) -> bool) -> usize {
+        let is_visible = |observer: usize, other: usize| self.is_alive(other) && can_reach(observer, other);
         let mistakes = |observer: &Instance| {
             let seen: Vec<usize> = observer.seen_alive().collect();
             let correct = seen.iter().filter(|&&other| is_visible(observer.number, other)).count();
@@ -161,10 +162,11 @@
         self.alive_instances().map(mistakes).sum()
     }
 
-    /// Returns the number of members in all views that are seen alive but are dead or, by `may_see`, unreachable.
-    pub fn falsely_alive(&self, may_see: impl Fn(usize, usize) -> bool) -> usize {
+    /// Returns the number of members, summed over the views of all live instances, that are considered alive but are dead or
+    /// unreachable. `can_reach(observer, other)` tells whether the instance `observer` can reach `other`.
+    pub fn falsely_alive(&self, can_reach: impl Fn(usize, usize) -> bool) -> usize {
         let mistakes = |observer: &Instance| {
-            let is_mistake = |&other: &usize| !self.is_alive(other) || !may_see(observer.number, other);
+            let is_mistake = |&other: &usize| !self.is_alive(other) || !can_reach(observer.number, other);
             observer.seen_alive().filter(is_mistake).count()
         };
         self.alive_instances().map(mistakes).sum()
@@ -187,7 +189,7 @@
         self.instances[instance].is_some()
     }
 
-    /// Advances the time by whole milliseconds and handles the events that become due.
+    /// Advances the time by `span`, a whole number of milliseconds, and handles the events that become due.
     pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(DueEvent { due, event }) = self.events.pop_due(until) {
@@ -197,6 +199,7 @@
         self.now = until;
     }
 
+    /// Schedules a tick of an instance unless one is already scheduled for `due` or earlier.
     fn schedule_tick(&mut self, instance: usize, due: MonotonicTime) {
         let Some(state) = &mut self.instances[instance] else { return };
         if due < state.next_tick || state.next_tick < self.now {
@@ -259,7 +262,7 @@
     }
 
     fn start_run(&mut self, run: Run, now: ClockReading) {
-        // The program checks the deadline again just before it acts.
+        // As in `snowfield`, the deadline is checked again just before the run starts.
         if run.may_start(now) {
             self.counts.runs += 1;
             self.run_log.record(run, self.config.job_period);
--- a/crates/cluster_simulation/src/store.rs
+++ b/crates/cluster_simulation/src/store.rs
@@ -5,9 +5,9 @@
 use periodic_jobs::{StoreCall, StoreResponse};
 use std::time::Duration;
 
-/// The delay of a response.
+/// The time until a response reaches the caller.
 const RESPONSE_DELAY: Duration = Duration::from_millis(2);
-/// The timeout of a call.
+/// The time until a call without response fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A fault of the store.
@@ -15,9 +15,9 @@
 pub enum StoreFault {
     /// No fault.
     None,
-    /// The store ignores all calls.
+    /// The store applies and answers no call. All calls time out.
     Unresponsive,
-    /// The store applies writes, but their responses are lost.
+    /// The store handles all calls, but the responses to writes are lost.
     ResponsesLost,
 }
 
@@ -31,14 +31,14 @@
     pub(crate) response: StoreResponse,
 }
 
-/// A lease store whose writes are bound to sessions.
+/// A lease store that rejects the writes of ended sessions. All sessions end when it loses its data.
 #[derive(Debug)]
 pub(crate) struct SimulatedStore {
     leases: LocalStore,
-    /// Increases each time the store loses its data. It is the id of all sessions.
+    /// Increases each time the store loses its data. It is the id of all sessions, so that earlier ones become invalid.
     incarnation: u64,
     fault: StoreFault,
-    /// The number of applied writes whose responses will be lost.
+    /// The number of further applied writes whose responses will be lost.
     responses_to_lose: u32,
 }
 
@@ -55,13 +55,13 @@
         self.responses_to_lose = count;
     }
 
-    /// Restarts without any key. Its indexes start from 0 again.
+    /// Restarts without data: the indexes start from 0 again, and all sessions end.
     pub(crate) fn restart_empty(&mut self) {
         self.leases = LocalStore::default();
         self.incarnation += 1;
     }
 
-    /// Handles a call. It times out if the store is unresponsive or not reachable by the caller.
+    /// Handles a call. The call times out if the store is unresponsive, or if `reachable` is false.
     pub(crate) fn handle(
         &mut self,
         call: StoreCall,
@@ -89,7 +89,7 @@
                 let outcome = self.compare_and_set(&job, &record, expected_index, &session);
                 let applied = matches!(outcome, CompareAndSetOutcome::Applied { .. });
                 counts.writes_applied += u64::from(applied);
-                if self.takes_response_loss(applied) {
+                if self.take_response_loss(applied) {
                     let outcome = CompareAndSetOutcome::Failed(no_response());
                     let response = StoreResponse::CompareAndSetDone { call, job, record, outcome };
                     return DelayedResponse { delay: CALL_TIMEOUT, response };
@@ -117,8 +117,8 @@
         self.leases.compare_and_set(job, record.clone(), expected_index)
     }
 
-    /// Returns whether the response to this write is lost, and counts it.
-    fn takes_response_loss(&mut self, applied: bool) -> bool {
+    /// Returns whether the response to a write is lost, and decrements the number of responses to lose.
+    fn take_response_loss(&mut self, applied: bool) -> bool {
         let lost = self.fault == StoreFault::ResponsesLost || (self.responses_to_lose > 0 && applied);
         if lost {
             self.responses_to_lose = self.responses_to_lose.saturating_sub(1);
--- a/crates/cluster_simulation/tests/course.rs
+++ b/crates/cluster_simulation/tests/course.rs
@@ -1,11 +1,12 @@
-//! Regression test of whole simulations with fixed seeds: the counters equal those of an earlier build. They depend on the
-//! versions of `foca` and `rand` in `Cargo.lock`.
+//! Regression test of whole simulations with fixed seeds: the counters equal the recorded ones. They depend on the versions of
+//! `foca` and `rand` in `Cargo.lock`, so that a new version requires a new recording.
 
 use cluster_simulation::{Simulation, SimulationConfig, StoreAccess, StoreFault};
 use std::time::Duration;
 
-const COUNTERS: &str = include_str!("fixtures/course.txt");
+const RECORDED_COUNTERS: &str = include_str!("fixtures/course.txt");
 
+/// Formats the counters as a line of the recording.
 fn counter_line(simulation: &mut Simulation, stage: &str) -> String {
     let counts = simulation.counts();
     let gap = simulation.take_longest_gap();
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn simulations_with_fixed_seeds_give_the_counters_of_the_earlier_build() {
+fn simulations_with_fixed_seeds_give_the_recorded_counters() {
     let mut text = String::new();
     for seed in 1..=3 {
         let config = SimulationConfig {
@@ -64,5 +65,5 @@
         simulation.advance(Duration::from_secs(5));
         text += &counter_line(&mut simulation, "store emptied");
     }
-    assert_eq!(text, COUNTERS);
+    assert_eq!(text, RECORDED_COUNTERS);
 }
