--- a/crates/quickstart/src/backend.rs
+++ b/crates/quickstart/src/backend.rs
@@ -9,26 +9,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// Further connections are closed at once.
+/// Connections beyond this number are closed at once.
 const MAX_CONNECTIONS: usize = 64;
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longer than the gatekeeper keeps an idle connection to a backend (15 s by default).
+/// The time without a request after which a connection is closed. It is longer than the gatekeeper keeps an idle connection to a
+/// backend (15 s by default).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-const READ_CHUNK: usize = 4 * 1024;
+/// Maximum number of bytes read from a connection at once.
+const READ_BYTES: usize = 4 * 1024;
 
 /// A backend that listens on loopback until the process ends.
 #[derive(Debug)]
 pub struct Backend {
-    /// Where it listens.
+    /// The loopback address and port at which it listens.
     pub address: SocketAddr,
 }
 
 impl Backend {
-    /// Starts a backend in threads of its own: one that accepts, and one for each connection.
+    /// Starts a backend on a free port. One thread accepts connections, and each connection has a thread of its own.
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// Fails if no port on loopback can be bound.
     pub fn start(id: &'static str) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -46,14 +48,14 @@
         }
         let connections = connections.clone();
         thread::spawn(move || {
-            // The connection ends with its thread, also after an error: the gatekeeper then opens another one.
+            // An error is ignored. It closes this connection only, and the gatekeeper then opens another one.
             let _ = serve(stream, id);
             connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-/// Answers the requests of one connection in turn, until the client closes it.
+/// Answers the requests of one connection one after the other, until the client closes it.
 fn serve(mut stream: TcpStream, id: &str) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
@@ -72,7 +74,7 @@
     )
 }
 
-/// Reads one request and returns its path; `None` at the end of the connection.
+/// Reads one request and returns its path; `None` if the client closes the connection before the end of the request.
 fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<String>> {
     let head = loop {
         if let Some(head) = parse_request_head(buffer).map_err(invalid_request)? {
@@ -94,9 +96,9 @@
     Ok(Some(path))
 }
 
-/// Appends what the client sent; `false` at the end of the connection.
+/// Appends the next received bytes to the buffer; `false` if the client has closed the connection.
 fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<bool> {
-    let mut chunk = [0; READ_CHUNK];
+    let mut chunk = [0; READ_BYTES];
     let length = stream.read(&mut chunk)?;
     buffer.extend_from_slice(&chunk[..length]);
     Ok(length > 0)
--- a/crates/quickstart/src/client.rs
+++ b/crates/quickstart/src/client.rs
@@ -1,19 +1,20 @@
-//! One HTTP request over a connection of its own.
+//! A client that sends one HTTP request on a new connection.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longer than the deadline of any class in `examples/quickstart/snowfield.toml`.
+/// The time that each read of the answer may wait. It is longer than the deadline of any class in
+/// `examples/quickstart/snowfield.toml`.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_ANSWER_BYTES: u64 = 64 * 1024;
 
-/// Sends a GET request for a tenant and returns the whole answer as text.
+/// Sends a GET request for a tenant and returns the whole answer, with its head, as text.
 ///
 /// # Errors
 ///
-/// Nobody listens at the address, or the answer is not complete in time.
+/// Fails if no server listens at the address, or if reading the answer times out.
 pub fn get(address: SocketAddr, path: &str, tenant: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
--- a/crates/quickstart/src/error.rs
+++ b/crates/quickstart/src/error.rs
@@ -1,11 +1,11 @@
-//! Why the quickstart ends early.
+//! Errors of the quickstart.
 
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// Why the quickstart ends early.
+/// An error that ends the quickstart.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The signal handlers cannot be set.
@@ -20,55 +20,55 @@
         /// The first port that was tried.
         from: u16,
     },
-    /// The configuration does not contain the address that is to be replaced.
+    /// The configuration of the example does not contain an address that is to be replaced.
     #[error("examples/quickstart/snowfield.toml does not contain {address}")]
     NoPlaceholder {
-        /// The address.
+        /// The address that the configuration should contain.
         address: String,
     },
     /// A file or directory cannot be written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file or directory.
+        /// The path of the file or directory.
         path: PathBuf,
-        /// Why.
+        /// The error that the operating system reported.
         #[source]
         source: io::Error,
     },
     /// The gatekeeper cannot be started.
     #[error("cannot start {}: {source}; build it with `make build`", path.display())]
     Start {
-        /// The program.
+        /// The path of the gatekeeper's program.
         path: PathBuf,
-        /// Why.
+        /// The error that the operating system reported.
         #[source]
         source: io::Error,
     },
-    /// The gatekeeper ended by itself.
+    /// The gatekeeper ended before it was stopped, or its shutdown failed.
     #[error("the gatekeeper ended with {status}; its log:\n{log}")]
     GatekeeperEnded {
-        /// How.
+        /// The exit status of the process, or the signal that ended it.
         status: ExitStatus,
-        /// Its log.
+        /// What the gatekeeper has logged.
         log: String,
     },
     /// The gatekeeper did not end after SIGTERM.
     #[error("the gatekeeper did not end within {timeout:?}; its log:\n{log}")]
     ShutdownTimedOut {
-        /// How long it had.
+        /// The time that it had for its shutdown.
         timeout: Duration,
-        /// Its log.
+        /// What the gatekeeper has logged.
         log: String,
     },
-    /// The gatekeeper cannot be observed.
+    /// The state of the gatekeeper's process, or the path of its program, cannot be determined.
     #[error("cannot wait for the gatekeeper: {0}")]
     Wait(#[source] io::Error),
-    /// No good answer came in time.
+    /// No answer with status 200 came in time.
     #[error("no answer with status 200 came; the last result was {last}; the gatekeeper's log:\n{log}")]
     NoAnswer {
-        /// The last result.
+        /// The answer to the last request, or the error that it failed with.
         last: String,
-        /// The gatekeeper's log.
+        /// What the gatekeeper has logged.
         log: String,
     },
 }
--- a/crates/quickstart/src/gatekeeper.rs
+++ b/crates/quickstart/src/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! The real gatekeeper as a child process.
+//! The gatekeeper, run as a child process.
 
 use crate::configuration::Configuration;
 use crate::error::Error;
@@ -10,25 +10,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A gatekeeper answers its requests in flight before it ends. The longest deadline in the example is 2.5 s.
+/// The time that the gatekeeper has for its shutdown. It answers its requests in flight before it ends, and the longest deadline
+/// in the example is 2.5 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running gatekeeper. It is killed when this is dropped.
+/// A running gatekeeper. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Gatekeeper {
-    /// The program.
+    /// The path of its program.
     pub program: PathBuf,
     child: Child,
     log: PathBuf,
 }
 
 impl Gatekeeper {
-    /// Starts `snowfield serve` with a configuration. The program is the one beside this one.
+    /// Starts `snowfield serve` with a configuration. The program `snowfield` is in the directory of the quickstart's own
+    /// program.
     ///
     /// # Errors
     ///
-    /// It is not built, or its log cannot be written.
+    /// Fails if the program is not built or the log file cannot be created.
     pub fn start(configuration: &Configuration) -> Result<Self, Error> {
         let program = std::env::current_exe().map_err(Error::Wait)?.with_file_name("snowfield");
         let log = configuration.log.clone();
@@ -37,7 +39,8 @@
         let child = Command::new(&program)
             .arg("serve")
             .arg(&configuration.file)
-            // In a process group of its own, Ctrl-C reaches the quickstart alone, which then stops the gatekeeper.
+            // With a separate process group for the gatekeeper, Ctrl-C reaches the quickstart only, which then stops the
+            // gatekeeper.
             .process_group(0)
             .stdin(Stdio::null())
             .stdout(output)
@@ -47,16 +50,16 @@
         Ok(Self { program, child, log })
     }
 
-    /// What it has logged so far.
+    /// Returns what the gatekeeper has logged so far; an empty string if its log cannot be read.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Checks that it has not ended by itself.
+    /// Checks that the process is still running.
     ///
     /// # Errors
     ///
-    /// It has.
+    /// Fails if the process has ended.
     pub fn check_running(&mut self) -> Result<(), Error> {
         match self.child.try_wait().map_err(Error::Wait)? {
             None => Ok(()),
@@ -68,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// It failed, or did not end in time and was killed.
+    /// Fails if the process ended with a failure, or did not end in time and was killed.
     pub fn stop(mut self) -> Result<(), Error> {
         let _ = kill_process(Pid::from_child(&self.child), Signal::TERM);
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
--- a/crates/quickstart/src/main.rs
+++ b/crates/quickstart/src/main.rs
@@ -26,12 +26,12 @@
 /// The service in Consul whose instances are the backends, as `examples/quickstart/snowfield.toml` names it.
 const SERVICE: &str = "loan-server";
 const BACKEND_IDS: [&str; 2] = ["loan-server-1", "loan-server-2"];
-/// The version of the endpoint list. The stand-in starts at 10.
+/// The index of the endpoint list in Consul. It is higher than 10, with which the stand-in starts.
 const ENDPOINT_LIST_INDEX: u64 = 11;
 /// The request that is sent, and the tenant that sends it.
 const PATH: &str = "/v1/loans/7/balance";
 const TENANT: &str = "al-noor";
-/// Longer than the gatekeeper's start takes on a busy machine.
+/// The time that the first answer may take. It is longer than the gatekeeper's start takes on a busy machine.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -70,12 +70,12 @@
 
     if !arguments.once {
         print_next_steps(&gatekeeper, &configuration);
-        serve(&mut gatekeeper, &stop_requested)?;
+        wait_for_signal(&mut gatekeeper, &stop_requested)?;
     }
     gatekeeper.stop()
 }
 
-/// Returns a flag that SIGINT (Ctrl-C), SIGTERM and SIGHUP (the terminal is closed) set.
+/// Returns a flag that is set by SIGINT (Ctrl-C), SIGTERM and SIGHUP (the terminal is closed).
 fn stop_on_signals() -> Result<Arc<AtomicBool>, Error> {
     let stop_requested = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM, SIGHUP] {
@@ -97,7 +97,7 @@
 }
 
 /// Repeats the request until it is answered with 200, which it is once the gatekeeper listens and has the endpoint list.
-/// Returns `None` if the user ends the program before.
+/// Returns `None` if a signal ends the wait earlier.
 fn wait_for_answer(
     gatekeeper: &mut Gatekeeper,
     address: SocketAddr,
@@ -128,8 +128,8 @@
     println!("Its log is {}.", configuration.log.display());
 }
 
-/// Waits for Ctrl-C.
-fn serve(gatekeeper: &mut Gatekeeper, stop_requested: &AtomicBool) -> Result<(), Error> {
+/// Waits for a signal that ends the program, such as Ctrl-C. Fails if the gatekeeper ends before.
+fn wait_for_signal(gatekeeper: &mut Gatekeeper, stop_requested: &AtomicBool) -> Result<(), Error> {
     while !stop_requested.load(Ordering::Relaxed) {
         gatekeeper.check_running()?;
         thread::sleep(RETRY_INTERVAL);
--- a/crates/quickstart/tests/quickstart.rs
+++ b/crates/quickstart/tests/quickstart.rs
@@ -1,4 +1,4 @@
-//! The quickstart as a newcomer runs it, with the gatekeeper that is built beside it.
+//! Runs the quickstart as a user does, with the gatekeeper that is built in the same directory.
 
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
@@ -6,25 +6,28 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// Longer than anything here may take.
+/// The time that each line of output may take. It is longer than any step of the quickstart.
 const TIMEOUT: Duration = Duration::from_secs(30);
 const QUICKSTART: &str = env!("CARGO_BIN_EXE_quickstart");
-/// Ports that no other test uses. Each process of this test starts at a port of its own, and each test in it.
+/// The start of the ports that no other test uses. They are divided into ranges. Each process of this test takes a range by its
+/// process id, and each test takes its own part of that range.
 const FIRST_PORT: u32 = 9_200;
-const PROCESSES: u32 = 500;
-const PORTS_PER_PROCESS: u32 = 10;
+const PORT_RANGES: u32 = 500;
+const PORTS_PER_RANGE: u32 = 10;
 const PORTS_PER_TEST: u32 = 5;
 
-/// The gatekeeper beside the quickstart. `cargo test --workspace` builds it; `cargo test -p quickstart` alone does not.
+/// Returns the path of the gatekeeper, and fails if it is not built. `cargo test --workspace` builds it, and
+/// `cargo test -p quickstart` does not.
 fn require_gatekeeper() -> PathBuf {
     let path = Path::new(QUICKSTART).with_file_name("snowfield");
     assert!(path.exists(), "{} is not built: cargo build -p snowfield", path.display());
     path
 }
 
-/// A quickstart whose gatekeeper does not get the ports of another test.
+/// Returns the command that starts the quickstart. `test` is the number of the calling test, so that the gatekeepers of two
+/// tests get different ports.
 fn quickstart_command(test: u32) -> Command {
-    let port = FIRST_PORT + std::process::id() % PROCESSES * PORTS_PER_PROCESS + test * PORTS_PER_TEST;
+    let port = FIRST_PORT + std::process::id() % PORT_RANGES * PORTS_PER_RANGE + test * PORTS_PER_TEST;
     let mut command = Command::new(QUICKSTART);
     command.args(["--port", &port.to_string()]);
     command
@@ -40,7 +43,7 @@
     fn start(test: u32) -> Self {
         let mut child =
             quickstart_command(test).stdout(Stdio::piped()).spawn().expect("the quickstart starts");
-        let output = BufReader::new(child.stdout.take().expect("a pipe"));
+        let output = BufReader::new(child.stdout.take().expect("stdout is piped"));
         let (sender, lines) = channel();
         std::thread::spawn(move || {
             output.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok())
@@ -48,20 +51,20 @@
         Self { child, lines }
     }
 
-    /// The first line from now on that begins with this text, without it.
-    fn line_after(&self, start: &str) -> String {
+    /// Waits for the next line that begins with `prefix`, apart from indentation, and returns the rest of the line.
+    fn line_after(&self, prefix: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(TIMEOUT).expect("the line comes in time");
-            if let Some(rest) = line.trim_start().strip_prefix(start) {
+            let line = self.lines.recv_timeout(TIMEOUT).expect("the quickstart prints the line in time");
+            if let Some(rest) = line.trim_start().strip_prefix(prefix) {
                 return rest.to_owned();
             }
         }
     }
 
-    /// Sends SIGINT, as Ctrl-C does, and waits for the end.
+    /// Sends SIGINT, as Ctrl-C does, and waits until the quickstart ends.
     fn interrupt(mut self) -> ExitStatus {
         self.signal("-INT");
-        self.child.wait().expect("it was started")
+        self.child.wait().expect("the quickstart can be waited for")
     }
 
     fn signal(&self, name: &str) {
@@ -70,7 +73,8 @@
     }
 }
 
-/// A test that fails ends the gatekeeper too, which SIGKILL to the quickstart would not.
+/// Stops the quickstart with SIGTERM if a test fails, so that it stops its gatekeeper. After SIGKILL the gatekeeper would keep
+/// running.
 impl Drop for Quickstart {
     fn drop(&mut self) {
         if matches!(self.child.try_wait(), Ok(None)) {
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn prints_the_answer_of_a_backend_and_ends() {
+fn prints_the_answer_of_a_backend_and_exits() {
     require_gatekeeper();
     let output = quickstart_command(0).arg("--once").output().expect("the quickstart runs");
     let text = String::from_utf8_lossy(&output.stdout);
@@ -98,7 +102,7 @@
     let url = quickstart.line_after("curl -i -H 'X-Lender: al-noor' http://");
     let file = quickstart.line_after(&format!("{} status ", gatekeeper.display()));
 
-    let status = Command::new(&gatekeeper).args(["status", &file]).output().expect("the console runs");
+    let status = Command::new(&gatekeeper).args(["status", &file]).output().expect("snowfield status starts");
     let status_text = String::from_utf8_lossy(&status.stdout);
     assert!(status.status.success(), "{status_text}");
     assert!(status_text.contains("served 1"), "the first request is counted:\n{status_text}");
@@ -106,13 +110,13 @@
     assert!(status_text.contains("loan-server-2"), "{status_text}");
 
     assert!(quickstart.interrupt().success());
-    let address = url.split('/').next().expect("an address");
+    let address = url.split('/').next().expect("the URL begins with the address");
     assert!(std::net::TcpStream::connect(address).is_err(), "the gatekeeper ended with the quickstart");
     assert!(!Path::new(&file).exists(), "the files of the run are removed");
 }
 
 #[test]
-fn the_configuration_of_the_example_is_valid_as_it_is() {
+fn the_unchanged_example_configuration_is_valid() {
     let gatekeeper = require_gatekeeper();
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/quickstart/snowfield.toml");
     let mut check = Command::new(gatekeeper)
@@ -120,8 +124,8 @@
         .arg(file)
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the console runs");
+        .expect("snowfield check starts");
     let mut text = String::new();
-    check.stdout.take().expect("a pipe").read_to_string(&mut text).expect("text");
-    assert!(check.wait().expect("it was started").success(), "{text}");
+    check.stdout.take().expect("stdout is piped").read_to_string(&mut text).expect("the output is UTF-8");
+    assert!(check.wait().expect("snowfield check can be waited for").success(), "{text}");
 }
