--- a/crates/known_failures/src/lib.rs
+++ b/crates/known_failures/src/lib.rs
@@ -1,8 +1,9 @@
-//! Judges a test run in which some tests are known to fail.
+//! Decides whether a test run passes when some of its tests are known to fail.
 //!
-//! A test that fails for a real fault may stay in the suite until the fault is fixed, if a line of `KNOWN-RED.txt` names it with its
-//! cause and its issue. The list must stay short and accurate, or it would hide regressions. So the run fails if the list has more
-//! than [`MAX_KNOWN_FAILURES`] lines, if a listed test passes or does not run, and if any other test fails.
+//! A test that fails because of a fault in the code may stay in the suite until the fault is fixed, if a line of `KNOWN-RED.txt`
+//! names the test, the cause and the issue. The list must stay short and accurate, or it would hide regressions. Therefore the
+//! run fails if the list has more than [`MAX_KNOWN_FAILURES`] tests, if a listed test passes or does not run, and if any other
+//! test fails.
 
 mod list;
 mod test_run;
--- a/crates/known_failures/src/list.rs
+++ b/crates/known_failures/src/list.rs
@@ -8,39 +8,39 @@
 /// Maximum number of tests that may be known to fail.
 pub const MAX_KNOWN_FAILURES: usize = 3;
 
-/// An invalid list.
+/// Why a list is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
     /// A line does not have three parts.
     #[error("not of the form TARGET::TEST | CAUSE | ISSUE: {line}")]
     Form {
-        /// The line.
+        /// The line as it stands in the list.
         line: String,
     },
     /// A part of a line is empty, or the test is named without its target.
     #[error("no target and test, no cause or no issue: {line}")]
     MissingPart {
-        /// The line.
+        /// The line as it stands in the list.
         line: String,
     },
     /// A test is listed twice.
     #[error("listed twice: {test}")]
     Repeated {
-        /// The test.
+        /// The test, with its target.
         test: String,
     },
-    /// There are too many lines.
+    /// More than [`MAX_KNOWN_FAILURES`] tests are listed.
     #[error("{count} tests are listed, {MAX_KNOWN_FAILURES} at most may be")]
     TooMany {
-        /// Number of lines.
+        /// Number of listed tests.
         count: usize,
     },
 }
 
-/// A line of the list.
+/// A test that is known to fail: a line of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownFailure {
-    /// The test: its target's name and its own, such as `shutdown::drains_connections`.
+    /// The test with its target, such as `shutdown::drains_connections`.
     pub test: String,
     /// Why it fails.
     pub cause: String,
@@ -67,11 +67,11 @@
     }
 }
 
-/// Parses a list: `TARGET::TEST | CAUSE | ISSUE` on each line that is not blank.
+/// Parses a list. Each line that is not blank has the form `TARGET::TEST | CAUSE | ISSUE`.
 ///
 /// # Errors
 ///
-/// Fails where a line has another form, a test is listed twice, or there are too many lines.
+/// Fails if a line has another form, a test is listed twice, or more than [`MAX_KNOWN_FAILURES`] tests are listed.
 pub fn parse_list(text: &str) -> Result<Vec<KnownFailure>, ListError> {
     let mut list: Vec<KnownFailure> = Vec::new();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
--- a/crates/known_failures/src/test_run.rs
+++ b/crates/known_failures/src/test_run.rs
@@ -1,4 +1,4 @@
-//! The results of a test run, from the output of the test runner, and the problems that fail it.
+//! Parses the results of a test run from the output of `cargo test`, and finds the problems that fail the run.
 
 use crate::list::KnownFailure;
 use std::collections::BTreeMap;
@@ -6,42 +6,42 @@
 #[cfg(test)]
 mod tests;
 
-/// A reason to fail a run.
+/// A reason why a run fails.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
     /// A test that is not listed failed.
     #[error("{test} failed")]
     Failed {
-        /// The test.
+        /// The test, with its target.
         test: String,
     },
     /// A listed test did not run.
     #[error("{test} is listed and did not run")]
     NotRun {
-        /// The test.
+        /// The test, with its target.
         test: String,
     },
-    /// A listed test passes.
+    /// A listed test passes, and must be taken off the list.
     #[error("{test} is listed and passes: take it off")]
     Passes {
-        /// The test.
+        /// The test, with its target.
         test: String,
     },
     /// Several tests have the name of a listed one, or it ran more than once.
     #[error("{test} is the name of several tests")]
     Ambiguous {
-        /// The test.
+        /// The test, with its target.
         test: String,
     },
-    /// A target was killed, or could not be built.
+    /// A target was killed or could not be built, so that results are missing.
     #[error("the tests did not run to their end")]
     Incomplete,
-    /// No test ran.
+    /// The output contains no line about a test.
     #[error("no test ran")]
     NoTests,
 }
 
-/// How often a test passed and failed.
+/// The number of times that a test passed and failed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Results {
     passed: u32,
@@ -53,15 +53,16 @@
 pub struct TestRun {
     /// The target whose tests are running.
     target: String,
+    /// Results by test, with its target (`TARGET::TEST`).
     tests: BTreeMap<String, Results>,
-    /// Targets that reported failed tests.
+    /// Number of targets that reported failed tests.
     failed_targets: usize,
-    /// Failed targets by cargo's own count.
-    counted_targets: usize,
+    /// Number of failed targets that cargo itself reported at the end (`error: 2 targets failed`); 0 without such a line.
+    failed_targets_by_cargo: usize,
 }
 
 impl TestRun {
-    /// Applies one line of the output.
+    /// Updates the results with one line of the output.
     pub fn apply_line(&mut self, line: &str) {
         let line = line.trim();
         if let Some(binary) = line.strip_prefix("Running ").and_then(|rest| rest.rsplit('/').next()) {
@@ -77,7 +78,7 @@
         } else if let Some((count, _)) =
             line.strip_prefix("error: ").and_then(|rest| rest.split_once(" target"))
         {
-            self.counted_targets = count.parse().unwrap_or(self.counted_targets);
+            self.failed_targets_by_cargo = count.parse().unwrap_or(self.failed_targets_by_cargo);
         }
     }
 
@@ -90,15 +91,17 @@
         }
     }
 
-    /// Returns the problems of this run; none where it is good. `succeeded` tells that the runner exited with success.
+    /// Returns the problems of this run; an empty list if the run passes. `succeeded` tells whether `cargo test` exited with
+    /// success.
     pub fn problems(&self, succeeded: bool, known_failures: &[KnownFailure]) -> Vec<Problem> {
         let is_known = |test: &str| known_failures.iter().any(|known| known.test == test);
         let failed = self.tests.iter().filter(|(test, results)| results.failed > 0 && !is_known(test));
         let mut problems: Vec<Problem> =
             failed.map(|(test, _)| Problem::Failed { test: test.clone() }).collect();
         problems.extend(known_failures.iter().filter_map(|known| self.problem_of_known(&known.test)));
-        // A target that was killed or could not be built reports no failed test, but cargo counts it.
-        let is_complete = self.counted_targets > 0 && self.counted_targets == self.failed_targets;
+        // A target that was killed or could not be built reports no failed test, but cargo counts it as failed.
+        let is_complete =
+            self.failed_targets_by_cargo > 0 && self.failed_targets_by_cargo == self.failed_targets;
         if !succeeded && !is_complete {
             problems.push(Problem::Incomplete);
         }
@@ -108,7 +111,7 @@
         problems
     }
 
-    /// Returns the problem of a listed test; `None` where it ran once and failed.
+    /// Returns the problem of a listed test; `None` if it ran once and failed.
     fn problem_of_known(&self, test: &str) -> Option<Problem> {
         let Results { passed, failed } = self.tests.get(test).copied().unwrap_or_default();
         let test = test.to_owned();
@@ -121,7 +124,8 @@
     }
 }
 
-/// Returns a target's name from its file name and the bracket behind it, such as `shutdown-cf30f7086c945f9e)`.
+/// Returns the name of a target, such as `shutdown`, from its file name with hash and the closing parenthesis that follows in the
+/// output, such as `shutdown-cf30f7086c945f9e)`.
 fn target_name(binary: &str) -> &str {
     let binary_without_hash = binary.trim_end_matches(')').rsplit_once('-');
     binary_without_hash.map_or(binary, |(name, _)| name)
--- a/crates/known_failures/src/test_run/tests.rs
+++ b/crates/known_failures/src/test_run/tests.rs
@@ -1,4 +1,4 @@
-//! Texts of problems.
+//! Tests of the messages of problems.
 
 use super::*;
 
--- a/crates/known_failures/tests/verdict.rs
+++ b/crates/known_failures/tests/verdict.rs
@@ -1,10 +1,10 @@
-//! The verdict on each kind of run and list, and the program itself.
+//! Tests of the verdict on each kind of run and list, and of the program.
 
 use known_failures::{TestRun, parse_list};
 use std::process::Command;
 
-/// The output of a run of two targets.
-const GOOD: &str = "\
+/// The output of a run of two targets in which all tests pass.
+const PASSING_OUTPUT: &str = "\
    Compiling link v0.1.0
      Running unittests src/lib.rs (target/debug/deps/link-0123456789abcdef)
 
@@ -22,11 +22,11 @@
 test result: ok. 2 passed; 0 failed; 0 ignored; 0 measured; 0 filtered out; finished in 0.10s
 ";
 
-const LISTED: &str = "shutdown::second | a race on close | issue 33\n";
+const LIST: &str = "shutdown::second | a race on close | issue 33\n";
 
-/// The output where this test fails.
-fn with_failure(test: &str) -> String {
-    let failed = GOOD.replace(&format!("test {test} ... ok"), &format!("test {test} ... FAILED"));
+/// Returns the output of a run in which this test fails.
+fn output_with_failure(test: &str) -> String {
+    let failed = PASSING_OUTPUT.replace(&format!("test {test} ... ok"), &format!("test {test} ... FAILED"));
     let results =
         failed.replace("test result: ok. 2 passed; 0 failed", "test result: FAILED. 1 passed; 1 failed");
     format!(
@@ -34,7 +34,7 @@
     )
 }
 
-/// The texts of the problems of a run.
+/// Returns the messages of the problems of a run.
 fn problems(output: &str, succeeded: bool, list: &str) -> Vec<String> {
     let mut run = TestRun::default();
     output.lines().for_each(|line| run.apply_line(line));
@@ -43,33 +43,34 @@
 }
 
 #[test]
-fn a_run_is_good_when_only_the_listed_tests_fail() {
-    assert_eq!(problems(GOOD, true, ""), Vec::<String>::new());
-    assert_eq!(problems(&with_failure("second"), false, LISTED), Vec::<String>::new());
+fn a_run_passes_when_only_the_listed_tests_fail() {
+    assert_eq!(problems(PASSING_OUTPUT, true, ""), Vec::<String>::new());
+    assert_eq!(problems(&output_with_failure("second"), false, LIST), Vec::<String>::new());
 }
 
 #[test]
 fn reports_unlisted_failures_and_listed_tests_that_pass_or_do_not_run() {
-    assert_eq!(problems(&with_failure("second"), false, ""), ["shutdown::second failed"]);
+    assert_eq!(problems(&output_with_failure("second"), false, ""), ["shutdown::second failed"]);
     assert_eq!(
-        problems(&with_failure("first"), false, LISTED),
+        problems(&output_with_failure("first"), false, LIST),
         ["shutdown::first failed", "shutdown::second is listed and passes: take it off"]
     );
-    assert_eq!(problems(GOOD, true, LISTED), ["shutdown::second is listed and passes: take it off"]);
-    let gone = LISTED.replace("second", "third");
-    assert_eq!(problems(GOOD, true, &gone), ["shutdown::third is listed and did not run"]);
-    // A test of the same name in another target is another test.
-    let elsewhere = LISTED.replace("shutdown", "link");
+    assert_eq!(problems(PASSING_OUTPUT, true, LIST), ["shutdown::second is listed and passes: take it off"]);
+    let gone = LIST.replace("second", "third");
+    assert_eq!(problems(PASSING_OUTPUT, true, &gone), ["shutdown::third is listed and did not run"]);
+    // A test with the same name in another target is a different test.
+    let elsewhere = LIST.replace("shutdown", "link");
     assert!(
-        problems(&with_failure("second"), false, &elsewhere).contains(&"shutdown::second failed".to_owned())
+        problems(&output_with_failure("second"), false, &elsewhere)
+            .contains(&"shutdown::second failed".to_owned())
     );
 }
 
 #[test]
 fn a_target_that_is_killed_or_not_built_fails_the_run() {
     let incomplete = "the tests did not run to their end";
-    let killed = with_failure("second").replace("1 target failed", "2 targets failed");
-    assert_eq!(problems(&killed, false, LISTED), [incomplete]);
+    let killed = output_with_failure("second").replace("1 target failed", "2 targets failed");
+    assert_eq!(problems(&killed, false, LIST), [incomplete]);
     let unbuilt = "error[E0425]: cannot find value `x`\nerror: could not compile `link`\n";
     assert_eq!(problems(unbuilt, false, ""), [incomplete, "no test ran"]);
     assert_eq!(problems("", true, ""), ["no test ran"]);
@@ -92,39 +93,39 @@
     }
 }
 
-/// How the program ended, and its output.
+/// Whether the program exited with success, and its output.
 struct RunOutcome {
-    is_good: bool,
+    succeeded: bool,
     stdout: String,
 }
 
 #[test]
 fn the_program_forwards_the_output_and_prints_known_failures() {
     let directory = std::env::temp_dir().join(format!("known-failures-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     let (list, output) = (directory.join("KNOWN-RED.txt"), directory.join("output"));
-    std::fs::write(&output, with_failure("second")).expect("a file");
+    std::fs::write(&output, output_with_failure("second")).expect("the file is written");
     let run = |command: &str| {
         let mut program = Command::new(env!("CARGO_BIN_EXE_known_failures"));
         program.arg(&list).args(["sh", "-c", command]).current_dir(&directory);
-        let output = program.output().expect("it runs");
+        let output = program.output().expect("the program starts");
         let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
-        RunOutcome { is_good: output.status.success(), stdout }
+        RunOutcome { succeeded: output.status.success(), stdout }
     };
-    assert!(!run("cat output; exit 101").is_good, "no list, and a failure");
-    std::fs::write(&list, LISTED).expect("a file");
-    let RunOutcome { is_good, stdout } = run("cat output; exit 101");
-    assert!(is_good && stdout.contains("test first ... ok"), "{stdout}");
+    assert!(!run("cat output; exit 101").succeeded, "without a list, a failed test fails the run");
+    std::fs::write(&list, LIST).expect("the file is written");
+    let RunOutcome { succeeded, stdout } = run("cat output; exit 101");
+    assert!(succeeded && stdout.contains("test first ... ok"), "{stdout}");
     assert!(stdout.contains("known to fail: shutdown::second: a race on close (issue 33)"), "{stdout}");
     // Cargo writes the names of targets to stderr, between the results on stdout.
     assert!(
         run(
             "while read -r l; do case $l in Running*) echo $l >&2;; *) echo $l;; esac; done <output; exit 101"
         )
-        .is_good
+        .succeeded
     );
-    assert!(!run("exit 101").is_good, "nothing ran");
+    assert!(!run("exit 101").succeeded, "a run without tests fails");
     let passes = run("sed 's/second ... FAILED/second ... ok/' output; exit 0");
-    assert!(!passes.is_good, "a listed test passes");
-    std::fs::remove_dir_all(&directory).expect("it is removed");
+    assert!(!passes.succeeded, "a listed test that passes fails the run");
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
