--- a/crates/known_failures/src/list.rs
+++ b/crates/known_failures/src/list.rs
@@ -42,7 +42,7 @@
 pub struct KnownFailure {
     /// The test with its target, such as `shutdown::drains_connections`.
     pub test: String,
-    /// Why it fails.
+    /// The fault that makes the test fail.
     pub cause: String,
     /// The issue under which it will be fixed.
     pub issue: String,
--- a/crates/stand_in_consul/src/service.rs
+++ b/crates/stand_in_consul/src/service.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The status of a health check.
+/// The status of a health check, which Consul reports by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CheckStatus {
     /// `passing`. Queries with the parameter `passing` return only instances whose checks all have this status.
--- a/crates/stand_in_consul/src/store/transaction.rs
+++ b/crates/stand_in_consul/src/store/transaction.rs
@@ -7,7 +7,7 @@
 pub(crate) enum Operation {
     /// Check-and-set: writes the key if `index` is its current index, or if `index` is 0 and the key does not exist.
     Cas { value: Vec<u8>, flags: u64, index: u64 },
-    /// Writes the key.
+    /// Writes the key, whatever its index.
     Set { value: Vec<u8>, flags: u64 },
     /// Reads the key. Fails if it does not exist.
     Get,
