--- a/crates/system_tests/src/error/tests.rs
+++ b/crates/system_tests/src/error/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(schedule.to_string(), format!("upgrades: {text}"));
     let late = fault_injection::Error::FaultEndsLate { start_ms: 7 };
     let file = Error::ScheduleFile { path: PathBuf::from("a.toml"), source: late };
-    assert_eq!(file.to_string(), "a.toml: a fault of 7 ms ends after length_ms");
+    assert_eq!(file.to_string(), "a.toml: the fault that begins at 7 ms ends after length_ms");
     let missing = Error::file(Path::new("b.toml"))(io::Error::from(io::ErrorKind::NotFound));
     assert_eq!(missing.to_string(), "b.toml: entity not found");
 }
