--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -1,17 +1,17 @@
 //! Updates the health of the backend, the concurrency limit and the latency estimates when an attempt ends.
 
 use crate::backend_latency::{Contact, MAX_RELATIVE_LATENCY, MIN_RELATIVE_LATENCY};
-use crate::concurrency_limit::{Capacity, objective_part};
+use crate::concurrency_limit::{Capacity, objective_fraction};
 use crate::event::Outcome;
 use crate::ids::BackendId;
-use crate::latency_trend::MIN_LATENCY_RATIO;
+use crate::latency_trend::OVERLOAD_LATENCY_RATIO;
 use crate::outlier_detection::{ejection_time, rejection_pause};
 use crate::request::EndedAttempt;
 use crate::state_machine::Policy;
 use crate::time::Timestamp;
 
 /// Ratio of long-term to short-term latency below which samples are kept out of the long-term estimates.
-const SLOWDOWN_RATIO: f64 = 2.0 * MIN_LATENCY_RATIO;
+const SLOWDOWN_RATIO: f64 = 2.0 * OVERLOAD_LATENCY_RATIO;
 
 impl Policy {
     /// Records the outcome of an attempt in the estimates.
@@ -34,7 +34,7 @@
         }
         if has_run && !is_lost {
             let objective = self.settings.classes[class].latency_objective;
-            self.update_concurrency_limit(class, objective_part(elapsed, objective), sent_at);
+            self.update_concurrency_limit(class, objective_fraction(elapsed, objective), sent_at);
             self.record_latency(attempt);
         }
     }
@@ -93,10 +93,15 @@
 
     /// Updates the concurrency limit of the service of a class with a latency, given as a fraction of the
     /// latency objective.
-    pub(crate) fn update_concurrency_limit(&mut self, class: usize, objective_part: f64, sent_at: Timestamp) {
+    pub(crate) fn update_concurrency_limit(
+        &mut self,
+        class: usize,
+        objective_fraction: f64,
+        sent_at: Timestamp,
+    ) {
         let service = self.service_of(class);
         let pool = &mut self.pools[service];
         let capacity = Capacity::of(self.settings.gatekeepers, pool.order.ready().len());
-        pool.concurrency.record_latency(objective_part, sent_at, capacity, self.now);
+        pool.concurrency.record_latency(objective_fraction, sent_at, capacity, self.now);
     }
 }
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -5,7 +5,7 @@
 use crate::backend_latency::MAX_RELATIVE_LATENCY;
 use crate::event::Outcome;
 use crate::ids::{BackendId, RequestId};
-use crate::latency_trend::MIN_LATENCY_RATIO;
+use crate::latency_trend::OVERLOAD_LATENCY_RATIO;
 use crate::outlier_detection::ejection_time;
 use crate::request::{Attempt, EndedAttempt, Request};
 use crate::retry_budget::RetryBudget;
@@ -57,7 +57,7 @@
         self.update_concurrency_limit(class, 1.0, sent_at);
         self.record_relative_latency(class, backend, relative.min(MAX_RELATIVE_LATENCY));
         let is_answering = self.backends.get(backend).is_some_and(|b| b.health.has_answered_since(sent_at));
-        let is_overloaded = self.latency_ratio() < MIN_LATENCY_RATIO;
+        let is_overloaded = self.latency_ratio() < OVERLOAD_LATENCY_RATIO;
         if is_answering || !is_latest || !self.retry_budget.covers_hedge() || is_overloaded {
             return;
         }
--- a/crates/policy/src/class_stats.rs
+++ b/crates/policy/src/class_stats.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Mean latency that is assumed before the first answer, as a fraction of the latency objective.
-pub(crate) const INITIAL_LATENCY_PART: f64 = 0.2;
+pub(crate) const INITIAL_LATENCY_FRACTION: f64 = 0.2;
 /// Weight of one answer in the moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.02;
 
@@ -20,7 +20,7 @@
 
 impl ClassStats {
     pub(crate) fn new(class: &RequestClass) -> Self {
-        Self { mean_latency: class.latency_objective as f64 * INITIAL_LATENCY_PART, largest_cost: 1.0 }
+        Self { mean_latency: class.latency_objective as f64 * INITIAL_LATENCY_FRACTION, largest_cost: 1.0 }
     }
 
     /// A latency as a multiple of the mean of the class.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -7,13 +7,13 @@
 
 /// Mean latency, as a fraction of the objective, below which the limit grows. Latencies range up to three
 /// times their mean, so with a mean of half the objective many answers are already late.
-const EARLY_OBJECTIVE_PART: f64 = 0.3;
+const EARLY_OBJECTIVE_FRACTION: f64 = 0.3;
 /// Mean latency, as a fraction of the objective, above which the limit shrinks.
-const LATE_OBJECTIVE_PART: f64 = 0.45;
+const LATE_OBJECTIVE_FRACTION: f64 = 0.45;
 /// Factor on the limit for each round of late answers.
 const DECREASE_FACTOR: f64 = 0.8;
 /// Attempts that all gatekeepers together may have in flight at a backend in normal operation.
-pub(crate) const MAX_PER_BACKEND: f64 = 8.0;
+pub(crate) const MAX_IN_FLIGHT_PER_BACKEND: f64 = 8.0;
 /// Attempts that all gatekeepers together may have in flight at a backend while answers are late. With fewer
 /// a backend is partly idle, so that lateness is due to the work itself and not to a queue.
 const MIN_PER_BACKEND: f64 = 3.0;
@@ -37,7 +37,7 @@
 
 impl Capacity {
     pub(crate) fn of(gatekeepers: u32, ready_backends: usize) -> Self {
-        let per_backend = MAX_PER_BACKEND / f64::from(gatekeepers);
+        let per_backend = MAX_IN_FLIGHT_PER_BACKEND / f64::from(gatekeepers);
         let even_share = per_backend * ready_backends as f64;
         let upper_bound =
             if per_backend < 1.0 { even_share + 2.0 * (even_share + 1.0).sqrt() } else { even_share };
@@ -64,7 +64,7 @@
     reduced_at: Timestamp,
     last_send: Timestamp,
     /// Mean latency as a fraction of the latency objective.
-    objective_part: f64,
+    objective_fraction: f64,
     updated_at: Timestamp,
 }
 
@@ -74,7 +74,7 @@
             limit: 0.0,
             reduced_at: Timestamp::ZERO,
             last_send: Timestamp::ZERO,
-            objective_part: EARLY_OBJECTIVE_PART,
+            objective_fraction: EARLY_OBJECTIVE_FRACTION,
             updated_at: Timestamp::ZERO,
         }
     }
@@ -109,18 +109,18 @@
     /// reduction can reduce the limit again, so it shrinks once for each round of late answers.
     pub(crate) fn record_latency(
         &mut self,
-        objective_part: f64,
+        objective_fraction: f64,
         sent_at: Timestamp,
         capacity: Capacity,
         now: Timestamp,
     ) {
         let since = now.seconds_since(self.updated_at) / AVERAGING_SECONDS;
         let weight = since.clamp(SAMPLE_WEIGHT_BOUNDS.0, SAMPLE_WEIGHT_BOUNDS.1);
-        self.objective_part += weight * (objective_part.min(1.0) - self.objective_part);
+        self.objective_fraction += weight * (objective_fraction.min(1.0) - self.objective_fraction);
         self.updated_at = now;
         let limit = self.limit;
-        if self.objective_part > LATE_OBJECTIVE_PART && sent_at >= self.reduced_at {
-            let lower_bound = MIN_PER_BACKEND / MAX_PER_BACKEND * capacity.even_share;
+        if self.objective_fraction > LATE_OBJECTIVE_FRACTION && sent_at >= self.reduced_at {
+            let lower_bound = MIN_PER_BACKEND / MAX_IN_FLIGHT_PER_BACKEND * capacity.even_share;
             self.limit = (limit * DECREASE_FACTOR).max(lower_bound);
             self.reduced_at = now;
         } else if self.is_early() {
@@ -130,20 +130,20 @@
 
     /// Whether answers come early enough for the limit to grow.
     pub(crate) fn is_early(&self) -> bool {
-        self.objective_part < EARLY_OBJECTIVE_PART
+        self.objective_fraction < EARLY_OBJECTIVE_FRACTION
     }
 
     /// By how much the mean latency exceeds the bound for early answers, as a fraction of the objective; 0
     /// while answers are early.
     pub(crate) fn lateness(&self) -> f64 {
-        (self.objective_part - EARLY_OBJECTIVE_PART).max(0.0)
+        (self.objective_fraction - EARLY_OBJECTIVE_FRACTION).max(0.0)
     }
 
     pub(crate) fn store(&self, stored: &mut StoredPool) {
         stored.concurrency_limit = self.limit;
         stored.limit_reduced_at = self.reduced_at;
         stored.last_send = self.last_send;
-        stored.objective_part = self.objective_part;
+        stored.objective_part = self.objective_fraction;
         stored.objective_part_updated_at = self.updated_at;
     }
 
@@ -152,14 +152,14 @@
             limit: stored.concurrency_limit,
             reduced_at: stored.limit_reduced_at,
             last_send: stored.last_send.min(now),
-            objective_part: stored.objective_part,
+            objective_fraction: stored.objective_part,
             updated_at: stored.objective_part_updated_at.min(now),
         }
     }
 }
 
 /// Latency of an attempt as a fraction of its objective.
-pub(crate) fn objective_part(elapsed: Micros, latency_objective: Micros) -> f64 {
+pub(crate) fn objective_fraction(elapsed: Micros, latency_objective: Micros) -> f64 {
     elapsed as f64 / latency_objective as f64
 }
 
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Ratio of long-term to short-term p95 latency below which the backends count as overloaded.
-pub(crate) const MIN_LATENCY_RATIO: f64 = 0.3;
+pub(crate) const OVERLOAD_LATENCY_RATIO: f64 = 0.3;
 /// The quantile of both latency estimates.
 const QUANTILE: f64 = 0.95;
 /// Minimum number of samples, and minimum microseconds, for one short-term estimate.
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -3,7 +3,7 @@
 use crate::attempt_rules::AttemptRules;
 use crate::backend::Backend;
 use crate::backend_latency::GOOD_RELATIVE_LATENCY;
-use crate::concurrency_limit::MAX_PER_BACKEND;
+use crate::concurrency_limit::MAX_IN_FLIGHT_PER_BACKEND;
 use crate::endpoints::Backends;
 use crate::event::BackendState;
 use crate::ids::BackendId;
@@ -111,7 +111,7 @@
     /// Whether this gatekeeper's share of the attempts in flight at a backend allows one more.
     fn has_capacity(self, backend: &Backend) -> bool {
         let size = if self.pool.order.has_uneven_sizes() { backend.size().max(1.0) } else { 1.0 };
-        let per_backend = (MAX_PER_BACKEND / f64::from(self.settings.gatekeepers)).max(1.0);
+        let per_backend = (MAX_IN_FLIGHT_PER_BACKEND / f64::from(self.settings.gatekeepers)).max(1.0);
         f64::from(backend.load.in_flight()) < per_backend * size
     }
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -69,9 +69,9 @@
     /// Factor on the priority weight of the class.
     pub priority_factor: f64,
     /// Fraction of its weight that a request forwarded beyond the quota earns.
-    pub beyond_quota_earns: f64,
+    pub beyond_quota_reward_fraction: f64,
     /// Fraction of its weight that a request forwarded beyond the quota loses.
-    pub beyond_quota_costs: f64,
+    pub beyond_quota_penalty_fraction: f64,
 }
 
 /// Meaning of one value in a load report.
@@ -207,8 +207,8 @@
             ceiling_rate: 0.0,
             ceiling_burst: 0.0,
             priority_factor: 1.0,
-            beyond_quota_earns: 0.0,
-            beyond_quota_costs: 0.0,
+            beyond_quota_reward_fraction: 0.0,
+            beyond_quota_penalty_fraction: 0.0,
         }
     }
 }
@@ -221,8 +221,8 @@
             self.ceiling_rate,
             self.ceiling_burst,
             self.priority_factor,
-            self.beyond_quota_earns,
-            self.beyond_quota_costs,
+            self.beyond_quota_reward_fraction,
+            self.beyond_quota_penalty_fraction,
         ]
         .into_iter()
         .all(is_finite_and_non_negative)
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use crate::action::Action;
-use crate::class_stats::{ClassStats, INITIAL_LATENCY_PART};
+use crate::class_stats::{ClassStats, INITIAL_LATENCY_FRACTION};
 use crate::counter_health::CounterHealth;
 use crate::counter_sync::CounterSync;
 use crate::endpoints::Backends;
@@ -181,7 +181,7 @@
 /// Creates a pool for each service number up to the largest that a class names.
 fn new_pools(settings: &Settings, now: Timestamp) -> Vec<ServicePool> {
     let largest_objective = settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(1);
-    let pool = ServicePool::new(largest_objective as f64 * INITIAL_LATENCY_PART, now);
+    let pool = ServicePool::new(largest_objective as f64 * INITIAL_LATENCY_FRACTION, now);
     let last_service = settings.classes.iter().map(|class| class.service).max().unwrap_or(0);
     vec![pool; usize::from(last_service) + 1]
 }
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -16,8 +16,8 @@
     ceiling_rate: 0.0,
     ceiling_burst: 0.0,
     priority_factor: 1.0,
-    beyond_quota_earns: 0.0,
-    beyond_quota_costs: 1.0,
+    beyond_quota_reward_fraction: 0.0,
+    beyond_quota_penalty_fraction: 1.0,
 };
 
 /// Mean cost of a request; costs are uniformly distributed from 1 to 5 units.
--- a/crates/settings/src/platform/policy_settings.rs
+++ b/crates/settings/src/platform/policy_settings.rs
@@ -80,8 +80,8 @@
             ceiling_rate: self.ceiling_rate,
             ceiling_burst: self.ceiling_burst,
             priority_factor: self.price,
-            beyond_quota_earns: self.beyond_earns,
-            beyond_quota_costs: self.excess_cost,
+            beyond_quota_reward_fraction: self.beyond_earns,
+            beyond_quota_penalty_fraction: self.excess_cost,
         }
     }
 }
--- a/crates/simhost/src/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -153,8 +153,8 @@
         ceiling_rate: values.optional(&format!("{path}.ceiling-rate"), 0.0)?,
         ceiling_burst: values.optional(&format!("{path}.ceiling-burst"), 0.0)?,
         priority_factor: values.optional(&format!("{path}.price"), 1.0)?,
-        beyond_quota_earns: values.optional(&format!("{path}.beyond-earns"), 0.0)?,
-        beyond_quota_costs: values.optional(&format!("{path}.excess-cost"), 0.0)?,
+        beyond_quota_reward_fraction: values.optional(&format!("{path}.beyond-earns"), 0.0)?,
+        beyond_quota_penalty_fraction: values.optional(&format!("{path}.excess-cost"), 0.0)?,
     })
 }
 
