--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -56,7 +56,7 @@
         let time_left = (request.deadline - now).saturating_sub(2 * self.settings.tick);
         self.requests.insert(id, request);
         let may_wait = has_capacity && headroom.may_change();
-        if may_wait && self.call_counter(tenant, Urgency::Awaited, out) {
+        if may_wait && self.call_counter(tenant, Urgency::Immediate, out) {
             self.tenants.entry(tenant).and_modify(|quota| quota.waiting.push(id));
         } else if self.decide(id, out) == Decision::Rejected {
             return;
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -22,7 +22,7 @@
         let plan = &self.settings.plans[quota.plan];
         let is_shared = self.settings.shared_counter && plan.rate > 0.0 && quota.gatekeepers() > 1.0;
         let is_call_needed =
-            urgency == Urgency::Awaited || quota.shared.units_to_report(plan) >= NEGLIGIBLE_UNITS;
+            urgency == Urgency::Immediate || quota.shared.units_to_report(plan) >= NEGLIGIBLE_UNITS;
         if !is_shared || !is_call_needed {
             return false;
         }
@@ -55,7 +55,7 @@
         }
         // The counter added the units, but its answer is unreadable. Waiting requests still need the total.
         let needs_total = outcome == Outcome::Error && self.has_waiting_requests(tenant);
-        if needs_total && self.call_counter(tenant, Urgency::Awaited, out) {
+        if needs_total && self.call_counter(tenant, Urgency::Immediate, out) {
             return;
         }
         let Some(quota) = self.tenants.get_mut(&tenant) else { return };
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
     /// The call cannot be postponed: a request waits for the total, or a silent counter is tried.
-    Awaited,
+    Immediate,
     /// The call only reports spend and can be made later.
     Deferrable,
 }
@@ -98,7 +98,7 @@
     ) -> bool {
         self.earn_call_tokens(settings, now);
         let required = match urgency {
-            Urgency::Awaited => 1.0,
+            Urgency::Immediate => 1.0,
             Urgency::Deferrable => 2.0,
         };
         let waits_for_trial = self.is_silent() && now < self.next_trial;
@@ -167,7 +167,7 @@
 
     /// Prepares a state from a snapshot for use: tokens are earned from `now` on, and the times of the last
     /// answer and of the last change of the interval are at most `now`.
-    pub(crate) fn restored(self, now: Timestamp) -> Self {
+    pub(crate) fn clamped_to(self, now: Timestamp) -> Self {
         Self {
             tokens_counted_at: now,
             interval_changed_at: self.interval_changed_at.min(now),
--- a/crates/policy/src/counter_health/tests.rs
+++ b/crates/policy/src/counter_health/tests.rs
@@ -42,8 +42,8 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut take = |urgency| health.take_call_token(urgency, &settings(), &mut rng, at(1_000));
     while take(Urgency::Deferrable) {}
-    assert!(take(Urgency::Awaited));
-    assert!(!take(Urgency::Awaited));
+    assert!(take(Urgency::Immediate));
+    assert!(!take(Urgency::Immediate));
 }
 
 #[test]
@@ -54,8 +54,8 @@
         fail(&mut health, ms);
     }
     assert!(health.is_silent() && health.is_trial_due(at(1_000)));
-    assert!(health.take_call_token(Urgency::Awaited, &settings(), &mut rng, at(1_000)));
+    assert!(health.take_call_token(Urgency::Immediate, &settings(), &mut rng, at(1_000)));
     assert!(!health.is_trial_due(at(1_249)));
-    assert!(!health.take_call_token(Urgency::Awaited, &settings(), &mut rng, at(1_249)));
+    assert!(!health.take_call_token(Urgency::Immediate, &settings(), &mut rng, at(1_249)));
     assert!(health.is_trial_due(at(1_500)));
 }
--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -55,8 +55,8 @@
         self.unreported.range(from..).chain(self.unreported.range(..from)).copied()
     }
 
-    /// Forgets all tenants with unreported spend, because the hot-restart successor reports it.
-    pub(crate) fn forget_unreported(&mut self) {
+    /// Drops all tenants with unreported spend, because the hot-restart successor reports it.
+    pub(crate) fn drop_unreported(&mut self) {
         self.unreported.clear();
     }
 
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -89,8 +89,8 @@
         self.classes.len()
     }
 
-    /// Extends the state to this number of classes. New classes start as healthy.
-    pub(crate) fn add_classes(&mut self, class_count: usize, now: Timestamp) {
+    /// Resizes the state to this number of classes. New classes start as healthy.
+    pub(crate) fn resize_classes(&mut self, class_count: usize, now: Timestamp) {
         self.classes.resize(class_count, ClassHealth::new(now));
     }
 
--- a/crates/policy/src/settings_update.rs
+++ b/crates/policy/src/settings_update.rs
@@ -27,7 +27,7 @@
         self.class_stats.extend(fresh.class_stats.into_iter().skip(self.class_stats.len()));
         let classes = fresh.settings.classes.len();
         for backend in self.backends.iter_mut() {
-            backend.health.add_classes(classes, self.now);
+            backend.health.resize_classes(classes, self.now);
         }
         self.settings = fresh.settings;
         self.max_weight = fresh.max_weight;
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -297,7 +297,7 @@
     }
 
     /// Drops the unreported spend, because the hot-restart successor reports it.
-    pub(crate) fn hand_over_report(&mut self) {
+    pub(crate) fn drop_unreported(&mut self) {
         self.unreported = 0.0;
     }
 
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -84,8 +84,8 @@
             pool: self.pools[0].store(),
             retry_budget: self.retry_budget.tokens(),
         };
-        self.tenants.values_mut().for_each(|quota| quota.shared.hand_over_report());
-        self.counter.forget_unreported();
+        self.tenants.values_mut().for_each(|quota| quota.shared.drop_unreported());
+        self.counter.drop_unreported();
         snapshot
     }
 
@@ -106,7 +106,7 @@
         for (tenant, quota) in snapshot.tenants {
             self.take_over_quota(tenant, quota);
         }
-        self.counter.health = snapshot.counter.restored(self.now);
+        self.counter.health = snapshot.counter.clamped_to(self.now);
         for backend in snapshot.backends {
             self.backends.restore(backend, self.now);
         }
--- a/crates/policy/src/surcharge.rs
+++ b/crates/policy/src/surcharge.rs
@@ -7,9 +7,9 @@
 const MIN_SURCHARGE_RATIO: f64 = 0.05;
 
 /// The factor on the cost of a class. `latency_ratio` is long-term divided by short-term latency, 1 in normal
-/// operation. Below [`OVERLOAD_LATENCY_RATIO`] the class of lowest weight pays its cost divided by the ratio; each
-/// time the ratio halves, the class of the next higher weight pays as well. Among several weights, the class
-/// of the highest weight pays no surcharge.
+/// operation. Below [`OVERLOAD_LATENCY_RATIO`] the class of lowest weight pays its cost divided by the ratio;
+/// each time the ratio halves, the class of the next higher weight pays as well. Among several weights, the
+/// class of the highest weight pays no surcharge.
 pub(crate) fn surcharge_factor(settings: &Settings, class: usize, latency_ratio: f64) -> f64 {
     let class = &settings.classes[class];
     let weight = class.priority_weight;
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -67,7 +67,7 @@
         };
         let mut tenants = self.tenants.range(first_tenant..).chain(self.tenants.range(..first_tenant));
         if let Some((&tenant, _)) = tenants.find(|(_, quota)| may_call(quota)) {
-            self.call_counter(tenant, Urgency::Awaited, out);
+            self.call_counter(tenant, Urgency::Immediate, out);
         }
     }
 
