--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -59,7 +59,7 @@
 
     let (mut ceiling_level, mut lowest_level) = (ceiling_burst, ceiling_burst);
     for step in 0..3_000u32 {
-        let now = at(1 + u64::from(step) * STEP);
+        let now = timestamp(1 + u64::from(step) * STEP);
         ceiling_level = (ceiling_level + ceiling_rate * 0.005).min(ceiling_burst);
         // All traffic arrives at one gatekeeper for a while, then at the other. Both restart repeatedly.
         let busy = (step / STEPS_PER_GATEKEEPER % 2) as usize;
@@ -131,7 +131,7 @@
     let mut in_flight: Vec<InFlight> = Vec::new();
     let (mut in_flight_sum, mut sent) = (0, 0);
     for step in 0..STEPS {
-        let now = at(1 + u64::from(step) * STEP);
+        let now = timestamp(1 + u64::from(step) * STEP);
         for ended in in_flight.extract_if(.., |attempt| attempt.ends_at <= now) {
             let gatekeeper = &mut gatekeepers[ended.gatekeeper];
             gatekeeper.now = now;
@@ -161,7 +161,7 @@
     // The first moment at which a gatekeeper may call the counter depends on its index.
     for index in 0..20 {
         let settings = Settings { gatekeepers: 100, gatekeeper_index: index, ..settings() };
-        let mut harness = Harness::start_at(at(SECOND), settings, &backends(10));
+        let mut harness = Harness::start_at(timestamp(SECOND), settings, &backends(10));
         let first = harness.request(1, 0, 1.0);
 
         let second = harness.feed(RequestEvent { tenant_gatekeepers: 50.0, ..request_of_tenant(8, 2, 0) });
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -94,7 +94,7 @@
     let first = sent_backends(&harness.feed(counter_reply(call.name, 5.0 + call.units, Outcome::Ok)));
 
     let retry = sent_backends(&harness.end_attempt(1, 0, first[0], Outcome::ConnectFailed));
-    let later = harness.tick_until(at(SECOND / 2));
+    let later = harness.tick_until(timestamp(SECOND / 2));
 
     assert_eq!(retry.len(), 1);
     assert_ne!(retry, first);
@@ -183,7 +183,7 @@
     let mut settings = Settings { shared_counter: false, ..settings() };
     let class = &mut settings.classes[usize::from(IDEMPOTENT)];
     (class.max_attempts, class.attempt_timeout, class.hedge_after) = (2, attempt_timeout, hedge_after);
-    let mut harness = Harness::start_at(at(100 * SECOND), settings, &backends(4));
+    let mut harness = Harness::start_at(timestamp(100 * SECOND), settings, &backends(4));
     let timeout = |actions: &[Action]| {
         actions
             .iter()
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -120,7 +120,7 @@
 
 impl Fleet {
     pub fn new(parameters: FleetParameters) -> Self {
-        let now = at(1_000 * SECOND);
+        let now = timestamp(1_000 * SECOND);
         let backend = SimulatedBackend {
             core_free_at: [Timestamp::ZERO; CORES],
             is_silent: false,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -27,7 +27,7 @@
 const HEDGE_TIMER_KIND: u64 = 2;
 
 /// The time at which clocks read this many microseconds.
-pub fn at(micros: Micros) -> Timestamp {
+pub fn timestamp(micros: Micros) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
@@ -91,7 +91,7 @@
 impl Harness {
     /// A gatekeeper that starts when its clock reads 1 us.
     pub fn new(settings: Settings, backends: &[BackendEntry]) -> Self {
-        Self::start_at(at(1), settings, backends)
+        Self::start_at(timestamp(1), settings, backends)
     }
 
     /// A gatekeeper that starts at this time with a cached endpoint list.
--- a/crates/policy/tests/counter_sync.rs
+++ b/crates/policy/tests/counter_sync.rs
@@ -59,7 +59,7 @@
     let call = counter_call(&harness.feed(request(1, 0, 4.0))).expect("spend is reported");
 
     harness.feed(counter_reply(call.name, 0.0, Outcome::Timeout));
-    let later = harness.tick_until(at(3 * SECOND));
+    let later = harness.tick_until(timestamp(3 * SECOND));
 
     assert_eq!(counter_call(&later), None);
 
@@ -68,7 +68,7 @@
     let call = counter_call(&harness.feed(request(1, 0, 4.0))).expect("spend is reported");
 
     let mut later = harness.feed(counter_reply(call.name, 0.0, Outcome::Rejected));
-    later.extend(harness.tick_until(at(3 * SECOND)));
+    later.extend(harness.tick_until(timestamp(3 * SECOND)));
 
     assert_eq!(counter_call(&later), Some(CounterCall { name: call.name, units: 4.0 }));
 }
@@ -98,7 +98,7 @@
     harness.feed(counter_reply(call.name, call.units, Outcome::Ok));
     // The counter is unreachable for 10 s, in which this gatekeeper spends a little of its local share.
     let mut id = 2;
-    while harness.now < at(10 * SECOND) {
+    while harness.now < timestamp(10 * SECOND) {
         harness.now += 100 * MS;
         let mut actions = if id % 20 == 0 { harness.request(id, 0, 0.5) } else { vec![] };
         actions.extend(harness.tick());
@@ -252,7 +252,7 @@
         let settings = Settings { gatekeepers: 300, gatekeeper_index: index, ..settings() };
         let mut harness = Harness::new(settings, &backends(100));
         for step in 1..=100u32 {
-            harness.now = at(1 + SECOND + Micros::from(step) * 20 * MS);
+            harness.now = timestamp(1 + SECOND + Micros::from(step) * 20 * MS);
             let mut actions = harness.feed(RequestEvent {
                 tenant_gatekeepers: 100.0,
                 ..request_of_tenant(u64::from(step), step, 0)
@@ -276,7 +276,7 @@
         let calls_of_one = |index| {
             let settings = Settings { gatekeeper_index: index, ..settings.clone() };
             // Late enough that no request is rejected for lack of capacity, which would save its call.
-            let mut harness = Harness::start_at(at(10 * SECOND), settings, &backends(4));
+            let mut harness = Harness::start_at(timestamp(10 * SECOND), settings, &backends(4));
             let actions: Vec<_> =
                 (1..=5).flat_map(|id| harness.feed(request_of_tenant(u64::from(id), id, 0))).collect();
             counter_calls(&actions).count()
@@ -307,7 +307,7 @@
             counter_timeout: 500 * MS,
             ..settings()
         };
-        Harness::start_at(at(100 * SECOND), settings, &backends(50))
+        Harness::start_at(timestamp(100 * SECOND), settings, &backends(50))
     };
     for tenant in 0..8 {
         let request =
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -37,7 +37,7 @@
             ..unlimited_settings()
         };
         let mut entries = backends(4);
-        entries.iter_mut().for_each(|entry| entry.started = at(1));
+        entries.iter_mut().for_each(|entry| entry.started = timestamp(1));
         let mut harnesses: Vec<Harness> = (0..gatekeepers)
             .map(|index| Harness::new(Settings { gatekeeper_index: index, ..settings.clone() }, &entries))
             .collect();
@@ -45,7 +45,7 @@
         let mut sent = [0u32; 5];
         for step in 1..=50 {
             for harness in &mut harnesses {
-                harness.now = at(u64::from(step) * 20 * MS);
+                harness.now = timestamp(u64::from(step) * 20 * MS);
                 harness.tick();
                 for backend in sent_backends(&harness.request(step, 0, 1.0)) {
                     sent[backend as usize] += 1;
@@ -73,13 +73,14 @@
         overload_duration: SECOND,
         ..settings()
     };
-    let mut harness = Harness::start_at(at(100 * SECOND), settings, &backends(2));
+    let mut harness = Harness::start_at(timestamp(100 * SECOND), settings, &backends(2));
     let operator_ejection = |ejected| Event::OperatorEjection { backend: BackendId(1), ejected };
 
     harness.feed(operator_ejection(true));
     harness.feed(operator_ejection(true));
     let gone = BackendEntry { state: BackendState::Gone, ..backends(1)[0].clone() };
-    let restarted = BackendEntry { id: BackendId(1), started: at(99 * SECOND), ..BackendEntry::default() };
+    let restarted =
+        BackendEntry { id: BackendId(1), started: timestamp(99 * SECOND), ..BackendEntry::default() };
     for entries in [backends(2), vec![gone], vec![restarted]] {
         harness.feed(Event::Endpoints { kind: ListKind::Delta, entries });
         for offset in 0..4 {
--- a/crates/policy/tests/hot_restart.rs
+++ b/crates/policy/tests/hot_restart.rs
@@ -14,8 +14,8 @@
 
 /// A gatekeeper that has been running for 10 s.
 fn running_gatekeeper(settings: Settings) -> Harness {
-    let mut harness = Harness::start_at(at(100 * SECOND), settings, &backends(4));
-    harness.tick_until(at(110 * SECOND));
+    let mut harness = Harness::start_at(timestamp(100 * SECOND), settings, &backends(4));
+    harness.tick_until(timestamp(110 * SECOND));
     harness
 }
 
@@ -53,7 +53,7 @@
 #[test]
 fn a_predecessor_that_resumes_has_what_its_successor_left() {
     let mut predecessor = running_gatekeeper(settings_with_ceiling());
-    let mut successor = Harness::start_at(at(110 * SECOND), settings_with_ceiling(), &backends(4));
+    let mut successor = Harness::start_at(timestamp(110 * SECOND), settings_with_ceiling(), &backends(4));
     assert!(predecessor.serve(0, 0, 1.0));
     hand_over(&mut predecessor, &mut successor);
     // For two seconds the successor admits all that the quota allows. The predecessor mirrors each admission.
@@ -78,7 +78,7 @@
 
 #[test]
 fn unreported_spend_is_handed_over() {
-    let mut predecessor = Harness::start_at(at(100 * SECOND), settings(), &backends(4));
+    let mut predecessor = Harness::start_at(timestamp(100 * SECOND), settings(), &backends(4));
     let call =
         counter_call(&predecessor.feed(request(1, 0, 2.0))).expect("the first request calls the counter");
     let actions = predecessor.feed(counter_reply(call.name, call.units, Outcome::Ok));
@@ -90,10 +90,10 @@
     predecessor.feed(request(3, 0, unreported[1]));
     let unreported_units: f64 = unreported.iter().sum();
 
-    let mut successor = Harness::start_at(at(100 * SECOND), settings(), &backends(4));
+    let mut successor = Harness::start_at(timestamp(100 * SECOND), settings(), &backends(4));
     hand_over(&mut predecessor, &mut successor);
-    let successor_actions = successor.tick_until(at(100_700 * MS));
-    let predecessor_actions = predecessor.tick_until(at(100_700 * MS));
+    let successor_actions = successor.tick_until(timestamp(100_700 * MS));
+    let predecessor_actions = predecessor.tick_until(timestamp(100_700 * MS));
 
     let reported: f64 = counter_calls(&successor_actions).map(|call| call.units).sum();
     assert!(
--- a/crates/policy/tests/outlier_detection.rs
+++ b/crates/policy/tests/outlier_detection.rs
@@ -54,7 +54,7 @@
         outcome: Outcome,
     }
     const PARTITIONED: u32 = 1;
-    let (partition_start, partition_end) = (at(SECOND), at(4 * SECOND));
+    let (partition_start, partition_end) = (timestamp(SECOND), timestamp(4 * SECOND));
     let mut harness = Harness::new(Settings { hedging: false, ..unlimited_settings() }, &backends(4));
 
     let mut in_flight = Vec::new();
@@ -109,7 +109,7 @@
 fn panic_mode_begins_with_the_last_backend_that_falls_silent() {
     for phase in 0..10 {
         let mut harness = Harness::new(unlimited_settings(), &backends(2));
-        harness.tick_until(at((1 + phase) * 20 * MS));
+        harness.tick_until(timestamp((1 + phase) * 20 * MS));
         harness.request(0, 0, 1.0);
         harness.request(1, 0, 1.0);
         for id in 2..30 {
--- a/crates/policy/tests/services.rs
+++ b/crates/policy/tests/services.rs
@@ -85,7 +85,7 @@
     settings.plans[0] =
         Plan { rate: 10.0, burst: 10.0, ceiling_rate: 20.0, ceiling_burst: 20.0, ..Plan::default() };
     let mut harness = Harness::new(settings, &backends_of_two_services());
-    harness.tick_until(at(5 * SECOND));
+    harness.tick_until(timestamp(5 * SECOND));
 
     let mut admitted = 0;
     for id in 0..40 {
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -52,7 +52,7 @@
     fn default() -> Self {
         Self {
             gatekeepers: 4,
-            start: at(1_000 * SECOND),
+            start: timestamp(1_000 * SECOND),
             max_jitter: 0,
             plan: PLAN,
             seed: 0,
@@ -378,7 +378,7 @@
         for (gatekeepers, rate, burst) in [(6, 20.0, 40.0), (6, 400.0, 800.0), (10, 400.0, 800.0)] {
             let exact = Simulation::run(Scenario {
                 gatekeepers,
-                start: at(1_000 * SECOND + seed * 5 * SECOND),
+                start: timestamp(1_000 * SECOND + seed * 5 * SECOND),
                 max_jitter: 30 * MS,
                 plan: Plan { rate, burst, ..PLAN },
                 seed,
@@ -410,7 +410,7 @@
     for seed in 0..24 {
         let exact = Simulation::run(Scenario {
             gatekeepers: 12,
-            start: at(1_000 * SECOND + seed * 3 * SECOND),
+            start: timestamp(1_000 * SECOND + seed * 3 * SECOND),
             max_jitter: 15 * MS,
             plan: Plan { rate: 400.0, burst: 800.0, ..PLAN },
             seed,
@@ -433,7 +433,7 @@
     for seed in 0..12 {
         let exact = Simulation::run(Scenario {
             gatekeepers: 6,
-            start: at(1_000 * SECOND + seed * 3 * SECOND),
+            start: timestamp(1_000 * SECOND + seed * 3 * SECOND),
             max_jitter: 15 * MS,
             plan: Plan { rate: 40.0, burst: 80.0, ..PLAN },
             seed,
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -217,7 +217,7 @@
 
     /// Runs a stream to its end and returns its log.
     fn run(seed: u64) -> Vec<String> {
-        let start = at(1);
+        let start = timestamp(1);
         let mut stream = Self {
             rng: fastrand::Rng::with_seed(seed),
             now: start,
