--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -62,7 +62,7 @@
     pub(super) fn check(&self, now: Timestamp, id: RequestId, class: u16, earlier: &[InFlightAttempt]) {
         let Some(rule) = self.rules.get(usize::from(class)) else { return };
         invariants::check(
-            Guard::Repeating,
+            Guard::Retrying,
             rule.permits(now, earlier),
             format_args!("request {id} of class {class}, attempt {} by rule {rule:?}", earlier.len()),
         );
--- a/crates/invariants/tests/counts.rs
+++ b/crates/invariants/tests/counts.rs
@@ -1,13 +1,13 @@
 //! Violations are counted by guard.
 
-use invariants::{Guard, check, violated, violations};
+use invariants::{Guard, check, report_violation, violations};
 
 #[test]
 fn violations_are_counted_by_guard_and_an_invariant_that_holds_is_not_counted() {
     assert!(Guard::ALL.into_iter().all(|guard| violations(guard) == 0));
     check(Guard::Sending, true, format_args!("all is well"));
     check(Guard::Sending, false, format_args!("request {}", 7));
-    (0..300).for_each(|request| violated(Guard::Closing, format_args!("request {request}")));
+    (0..300).for_each(|request| report_violation(Guard::Closing, format_args!("request {request}")));
     let counts = Guard::ALL.map(violations);
     assert_eq!(counts, [1, 0, 300, 0]);
 }
