--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -4,7 +4,7 @@
 use crate::connection::{CounterConnection, WriteResult};
 use crate::shard::{self, Queued, SHARDS, Shard};
 use exchange::{CounterCall, Exchange, QuotaCounter};
-use link::{Connection, locked, spawn};
+use link::{Connection, lock_or_abort, spawn};
 use policy::Outcome;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, Weak};
@@ -55,15 +55,15 @@
 
     /// Sends all further calls to this address. Unanswered calls keep their connections. Returns whether the address has changed.
     pub fn set_address(&self, address: SocketAddr) -> bool {
-        if std::mem::replace(&mut *locked(&self.address), address) == address {
+        if std::mem::replace(&mut *lock_or_abort(&self.address), address) == address {
             return false;
         }
         for shard in &self.shards {
             // Removed from its shard before it is retired: a call that the retired connection refuses tries the shard again,
             // which must no longer have that connection.
-            let Some(connection) = locked(shard).take_connection() else { continue };
+            let Some(connection) = lock_or_abort(shard).take_connection() else { continue };
             connection.retire();
-            locked(&self.retired).push(Arc::downgrade(&connection));
+            lock_or_abort(&self.retired).push(Arc::downgrade(&connection));
             connection.wake();
         }
         true
@@ -73,11 +73,11 @@
     /// second.
     pub fn close_silent_connections(&self) {
         let mut connections: Vec<_> = {
-            let mut retired = locked(&self.retired);
+            let mut retired = lock_or_abort(&self.retired);
             retired.retain(|connection| connection.strong_count() > 0);
             retired.iter().filter_map(Weak::upgrade).collect()
         };
-        connections.extend(self.shards.iter().filter_map(|shard| locked(shard).connection()));
+        connections.extend(self.shards.iter().filter_map(|shard| lock_or_abort(shard).connection()));
         connections.iter().for_each(|connection| connection.close_if_silent());
     }
 
@@ -88,7 +88,7 @@
         // The connection is closed for any reason that ends the reading, so the error is not needed.
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
-        locked(shard).remove_connection(&connection);
+        lock_or_abort(shard).remove_connection(&connection);
         // It is unknown which of the written calls the counter has received.
         for id in connection.take_pending() {
             (self.on_ended)(CallResult::without_total(id, Outcome::Reset));
@@ -99,11 +99,11 @@
     /// result is `None`.
     fn connect(&self, shard: &Mutex<Shard>) -> Option<OpenedConnection> {
         loop {
-            let address = *locked(&self.address);
+            let address = *lock_or_abort(&self.address);
             let connection = Connection::connect(address, CONNECT_TIMEOUT);
-            let mut shard = locked(shard);
+            let mut shard = lock_or_abort(shard);
             // Compared under the lock of the shard: `set_address` changes the address before it checks the shards.
-            if address != *locked(&self.address) {
+            if address != *lock_or_abort(&self.address) {
                 continue;
             }
             let waiting = shard.take_waiting();
@@ -132,7 +132,7 @@
     fn call(&self, call: CounterCall) {
         let shard = &self.shards[shard::index_of(call.name)];
         loop {
-            let mut state = locked(shard);
+            let mut state = lock_or_abort(shard);
             if let Some(connection) = state.open_connection() {
                 drop(state);
                 match connection.write(&call) {
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -4,7 +4,7 @@
 use crate::error::AnswerError;
 use crate::protocol::{self, Answer};
 use exchange::CounterCall;
-use link::{Connection, Incoming, locked};
+use link::{Connection, Incoming, lock_or_abort};
 use policy::Outcome;
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -64,7 +64,7 @@
     /// Refuses all further calls. The caller must then call [`CounterConnection::wake`], which ends the connection if it has no
     /// unanswered calls.
     pub(crate) fn retire(&self) {
-        locked(&self.pending).retired = true;
+        lock_or_abort(&self.pending).retired = true;
     }
 
     /// Wakes the reader, which checks whether the connection has to end.
@@ -74,8 +74,8 @@
 
     /// Closes the connection if it has unanswered calls and nothing was received for too long.
     pub(crate) fn close_if_silent(&self) {
-        let has_pending = !locked(&self.pending).ids.is_empty();
-        if has_pending && locked(&self.last_received).elapsed() > SILENCE_TIMEOUT {
+        let has_pending = !lock_or_abort(&self.pending).ids.is_empty();
+        if has_pending && lock_or_abort(&self.last_received).elapsed() > SILENCE_TIMEOUT {
             self.close();
         }
     }
@@ -84,7 +84,7 @@
     pub(crate) fn write(&self, call: &CounterCall) -> WriteResult {
         let bytes = protocol::encode(call);
         // The lock is held while the bytes are written, so that calls are queued in the order of writing.
-        let mut pending = locked(&self.pending);
+        let mut pending = lock_or_abort(&self.pending);
         if pending.incomplete_since.is_some_and(|since| since.elapsed() > ANSWER_TIMEOUT) {
             self.close();
             return WriteResult::Retired;
@@ -93,7 +93,7 @@
             return WriteResult::Retired;
         }
         if pending.ids.is_empty() {
-            *locked(&self.last_received) = Instant::now();
+            *lock_or_abort(&self.last_received) = Instant::now();
         }
         if pending.ids.len() >= MAX_PENDING_CALLS || self.connection.send(&bytes).is_err() {
             return WriteResult::Failed;
@@ -109,7 +109,7 @@
         let mut buffer = Vec::new();
         loop {
             match self.connection.receive(&mut buffer, READ_BYTES) {
-                Ok(Incoming::Bytes(_)) => *locked(&self.last_received) = Instant::now(),
+                Ok(Incoming::Bytes(_)) => *lock_or_abort(&self.last_received) = Instant::now(),
                 Ok(Incoming::Woken) => {}
                 Ok(Incoming::End) | Err(_) => return Ok(()),
             }
@@ -129,7 +129,7 @@
             // Malformed bytes arrive in place of the answer to the oldest call, so the counter has received that call.
             let element = resp::element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
             let Some((element, next)) = element else { return Ok(position) };
-            let id = locked(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
+            let id = lock_or_abort(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
                 Answer::Total(total) => on_ended(CallResult::ok(id, total)),
                 Answer::Rejected => on_ended(CallResult::without_total(id, Outcome::Rejected)),
@@ -143,7 +143,7 @@
     }
 
     fn fail_oldest_call(&self, on_ended: &OnCallEnded) {
-        let oldest = locked(&self.pending).ids.pop_front();
+        let oldest = lock_or_abort(&self.pending).ids.pop_front();
         if let Some(id) = oldest {
             on_ended(CallResult::without_total(id, Outcome::Error));
         }
@@ -151,7 +151,7 @@
 
     /// Updates the time since which an incomplete answer has been in the buffer.
     fn update_incomplete_since(&self, consumed: usize, has_incomplete: bool) {
-        let mut pending = locked(&self.pending);
+        let mut pending = lock_or_abort(&self.pending);
         // If an answer was completed, the remaining bytes belong to a later one.
         let since = pending.incomplete_since.filter(|_| consumed == 0);
         pending.incomplete_since = has_incomplete.then(|| since.unwrap_or_else(Instant::now));
@@ -159,12 +159,12 @@
 
     /// Whether the connection is retired and has no unanswered calls.
     fn is_finished(&self) -> bool {
-        let pending = locked(&self.pending);
+        let pending = lock_or_abort(&self.pending);
         pending.retired && pending.ids.is_empty()
     }
 
     /// Removes and returns the ids of the unanswered calls.
     pub(crate) fn take_pending(&self) -> VecDeque<u64> {
-        std::mem::take(&mut locked(&self.pending).ids)
+        std::mem::take(&mut lock_or_abort(&self.pending).ids)
     }
 }
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -1,7 +1,7 @@
 //! A connection of a pool, and the attempt on it.
 
 use exchange::AttemptId;
-use link::{Connection, locked};
+use link::{Connection, lock_or_abort};
 use policy::BackendId;
 use std::io;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
         on_written: impl FnOnce(),
     ) -> io::Result<()> {
         // Locked during the write, so that a reader of the answer waits here and then finds the attempt.
-        let mut attempt = locked(&self.attempt);
+        let mut attempt = lock_or_abort(&self.attempt);
         let is_written = self.socket.send(request)?;
         if is_written {
             on_written();
@@ -52,14 +52,14 @@
 
     /// Whether the connection carries no attempt, or one whose request the kernel has not accepted completely.
     pub(crate) fn is_unwritten(&self) -> bool {
-        let has_attempt = locked(&self.attempt).is_some();
+        let has_attempt = lock_or_abort(&self.attempt).is_some();
         !has_attempt || self.socket.unsent() > 0
     }
 
     /// The attempt on the connection. `on_written` is called if the kernel has accepted the last byte of its request since the
     /// write or the previous call.
     pub(crate) fn active_attempt(&self, on_written: impl FnOnce()) -> Option<(AttemptId, Arc<Q>)> {
-        let mut attempt = locked(&self.attempt);
+        let mut attempt = lock_or_abort(&self.attempt);
         let attempt = attempt.as_mut()?;
         if !attempt.is_written && self.socket.unsent() == 0 {
             attempt.is_written = true;
@@ -70,7 +70,7 @@
 
     /// Removes the attempt, if there is one.
     pub(crate) fn take_attempt(&self) -> Option<ActiveAttempt<Q>> {
-        locked(&self.attempt).take()
+        lock_or_abort(&self.attempt).take()
     }
 
     /// Removes the attempt and closes the connection, which is the only way to cancel an attempt.
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -4,7 +4,7 @@
 use crate::pools_state::PoolsState;
 use crate::protocol::Protocol;
 use exchange::{AttemptEnd, AttemptId, Exchange, StreamBudget};
-use link::locked;
+use link::lock_or_abort;
 use policy::{BackendId, ListKind, Outcome};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, Weak};
@@ -67,11 +67,11 @@
 
     /// Sets the connect timeout of new connections, and the idle timeout of all connections.
     pub fn set_timeouts(&self, connect: Duration, idle: Duration) {
-        *locked(&self.timeouts) = Timeouts { connect, idle };
+        *lock_or_abort(&self.timeouts) = Timeouts { connect, idle };
     }
 
     pub(crate) fn timeouts(&self) -> Timeouts {
-        *locked(&self.timeouts)
+        *lock_or_abort(&self.timeouts)
     }
 
     /// Sets the exchange that the ends of attempts are reported to. A second call has no effect.
@@ -85,7 +85,7 @@
     }
 
     pub(crate) fn state(&self) -> MutexGuard<'_, PoolsState<P::Payload>> {
-        locked(&self.state)
+        lock_or_abort(&self.state)
     }
 
     /// Reports the end of an attempt without an answer to the exchange.
--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -90,7 +90,7 @@
 
     /// Sets the metrics that are extracted from later load reports, and their order.
     pub fn set_columns(&self, columns: &[LoadMetric]) {
-        *link::locked(&self.columns) = columns.into();
+        *link::lock_or_abort(&self.columns) = columns.into();
     }
 
     /// The answer at the start of the buffer. It is parsed item by item, so that malformed bytes are found before more are
@@ -147,7 +147,7 @@
     /// Parses the values of a load report such as `inflight=7,queue=2`, in the order of the settings' columns. A value that is
     /// missing or not a number is NaN and not 0, so that the backend does not seem idle. Empty if no value is known.
     fn parse_load_report(&self, report: &[u8]) -> Vec<f32> {
-        let columns = link::locked(&self.columns).clone();
+        let columns = link::lock_or_abort(&self.columns).clone();
         let mut values = vec![f32::NAN; columns.len()];
         for (name, value) in resp::fields(report, 0..report.len()) {
             let Some(metric) = load_metric(&report[name]) else { continue };
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::error::WatchError;
 use crate::poll_backoff::{PollBackoff, SILENCE_TIMEOUT};
 use crate::response::{BodyItem, Response};
-use link::{Connection, Incoming, locked};
+use link::{Connection, Incoming, lock_or_abort};
 use settings::EndpointList;
 use std::convert::Infallible;
 use std::io;
@@ -95,7 +95,7 @@
 
     /// Continues the watch at this address, from the version of the last list. Returns whether the address has changed.
     pub fn set_address(&self, address: SocketAddr) -> bool {
-        let mut agent = locked(&self.agent);
+        let mut agent = lock_or_abort(&self.agent);
         if std::mem::replace(&mut agent.address, address) == address {
             return false;
         }
@@ -108,7 +108,7 @@
 
     /// Closes the connection if it has been silent for too long. The caller runs this several times a second.
     pub fn close_if_silent(&self) {
-        if let Some(connection) = &locked(&self.agent).connection
+        if let Some(connection) = &lock_or_abort(&self.agent).connection
             && connection.is_silent()
         {
             connection.close();
@@ -120,10 +120,10 @@
     pub fn run(&self, version: u64, mut backoff: PollBackoff, listener: impl Fn(WatchEvent)) {
         let mut session = Session { version, is_lost: false, listener };
         loop {
-            let address = locked(&self.agent).address;
+            let address = lock_or_abort(&self.agent).address;
             let requested_at = Instant::now();
             let Err(error) = self.read_response(address, &mut session, backoff.response_timeout());
-            locked(&self.agent).connection.take();
+            lock_or_abort(&self.agent).connection.take();
             if !self.is_current_address(address) {
                 // A change of the address is not a failure. The watch is requested from the new agent at once.
                 continue;
@@ -134,7 +134,7 @@
     }
 
     fn is_current_address(&self, address: SocketAddr) -> bool {
-        locked(&self.agent).address == address
+        lock_or_abort(&self.agent).address == address
     }
 
     /// Waits for the backoff, or until the agent's address changes.
@@ -199,7 +199,7 @@
         response_timeout: Duration,
     ) -> Result<Arc<Connection>, WatchError> {
         let connection = Arc::new(Connection::connect(address, CONNECT_TIMEOUT).map_err(io::Error::from)?);
-        let mut agent = locked(&self.agent);
+        let mut agent = lock_or_abort(&self.agent);
         if agent.address != address {
             return Err(WatchError::AddressChanged);
         }
@@ -210,7 +210,7 @@
 
     /// Extends the deadline for the next activity of the agent.
     fn extend_deadline(&self) {
-        if let Some(connection) = &mut locked(&self.agent).connection {
+        if let Some(connection) = &mut lock_or_abort(&self.agent).connection {
             connection.extend_deadline();
         }
     }
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -20,7 +20,7 @@
     let watch = Watch::new(listener.local_addr().expect("an address"));
     let (sender, events) = channel();
     let sender = Mutex::new(sender);
-    link::spawn_with(link::LARGE_STACK, move || {
+    link::spawn_with(link::JSON_STACK_BYTES, move || {
         watch.run(u64::MAX, PollBackoff::new(7, AgentMode::Notified), |event| {
             let _ = sender.lock().expect("no panic").send(event);
         });
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -67,7 +67,7 @@
     let watch = Watch::new(address);
     let (sender, events): (Sender<WatchEvent>, _) = channel();
     let (running, sender) = (watch.clone(), Mutex::new(sender));
-    link::spawn_with(link::LARGE_STACK, move || {
+    link::spawn_with(link::JSON_STACK_BYTES, move || {
         running.run(40, PollBackoff::new(7, AgentMode::Notified), |event| {
             let _ = sender.lock().expect("no panic").send(event);
         });
--- a/crates/front_openapi/src/client_connection.rs
+++ b/crates/front_openapi/src/client_connection.rs
@@ -2,7 +2,7 @@
 
 use exchange::FinalAnswer;
 use http::Response;
-use link::{Connection, locked};
+use link::{Connection, lock_or_abort};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -65,14 +65,14 @@
 
     /// Enters a phase. Has no effect if the connection is in this phase already.
     pub(crate) fn enter_phase(&self, phase: Phase) {
-        let mut current = locked(&self.phase);
+        let mut current = lock_or_abort(&self.phase);
         if current.phase != phase {
             *current = CurrentPhase::start(phase);
         }
     }
 
     pub(crate) fn phase(&self) -> CurrentPhase {
-        *locked(&self.phase)
+        *lock_or_abort(&self.phase)
     }
 
     /// Returns when the connection became idle, if it has been idle for at least `min_idle`.
@@ -94,12 +94,12 @@
 
     /// Delivers the final answer to the request in flight.
     pub(crate) fn deliver(&self, answer: FinalAnswer<Response>) {
-        *locked(&self.answer) = Some(answer);
+        *lock_or_abort(&self.answer) = Some(answer);
         self.connection.wake();
     }
 
     /// Takes the final answer, if it has been delivered.
     pub(crate) fn take_answer(&self) -> Option<FinalAnswer<Response>> {
-        locked(&self.answer).take()
+        lock_or_abort(&self.answer).take()
     }
 }
--- a/crates/front_openapi/src/front.rs
+++ b/crates/front_openapi/src/front.rs
@@ -4,7 +4,7 @@
 use crate::{FrontConfig, RouteCounts};
 use exchange::Exchange;
 use http::{Request, Response};
-use link::{Listener, locked, sleep, spawn};
+use link::{Listener, lock_or_abort, sleep, spawn};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
@@ -47,7 +47,7 @@
                 sleep(EVICTION_INTERVAL);
             }
             let client = Arc::new(ClientConnection::new(connection));
-            locked(&self.connections).push(Arc::downgrade(&client));
+            lock_or_abort(&self.connections).push(Arc::downgrade(&client));
             let front = self.clone();
             spawn(move || {
                 front.serve(&client);
@@ -87,7 +87,7 @@
     }
 
     fn is_full(&self) -> bool {
-        let mut connections = locked(&self.connections);
+        let mut connections = lock_or_abort(&self.connections);
         connections.retain(|client| client.strong_count() > 0);
         connections.len() >= self.config.max_connections
     }
@@ -104,7 +104,7 @@
 
     /// Returns the connections that are not closed.
     fn open_clients(&self) -> Vec<Arc<ClientConnection>> {
-        let connections = locked(&self.connections);
+        let connections = lock_or_abort(&self.connections);
         let clients = connections.iter().filter_map(Weak::upgrade);
         clients.filter(|client| !client.connection.is_closed()).collect()
     }
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::{Front, Tenant};
 use exchange::FinalAnswer;
-use link::locked;
+use link::lock_or_abort;
 use openapi::Route;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -48,7 +48,7 @@
     }
 
     fn report_route(&self, number: usize, route: &Route, units: &UnitsByAccount, report: &mut String) {
-        let RouteCounts { served, rejected, failed } = locked(&self.counts)[number];
+        let RouteCounts { served, rejected, failed } = lock_or_abort(&self.counts)[number];
         let forwarded = sum_units(units, |account| self.config.route_of(account) == number);
         let Route { method, path, units: cost, .. } = route;
         // Writing to a string cannot fail.
--- a/crates/front_openapi/src/report/tests.rs
+++ b/crates/front_openapi/src/report/tests.rs
@@ -3,7 +3,7 @@
 use crate::{Front, FrontConfig, HttpExchange, RouteClass, RouteCounts, Tenant};
 use exchange::{Clock, Exchange, FailureReason, FinalAnswer, TenantId};
 use http::Response;
-use link::locked;
+use link::lock_or_abort;
 use openapi::{Description, RouteTable};
 use policy::{Plan, RequestClass, Settings};
 use std::sync::Arc;
@@ -46,7 +46,7 @@
 fn writes_the_report_of_version_0_1_0() {
     let front = front();
     assert!(front.report().contains("served 0  busy 0  failed 0"));
-    locked(&front.counts)[1] = RouteCounts { served: 12_345, rejected: 67, failed: 8 };
+    lock_or_abort(&front.counts)[1] = RouteCounts { served: 12_345, rejected: 67, failed: 8 };
     assert_eq!(front.report(), REPORT);
 }
 
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::resolve::{Resolved, request_target};
 use exchange::FinalAnswer;
 use http::{Request, RequestHead, Response};
-use link::{Incoming, locked};
+use link::{Incoming, lock_or_abort};
 use policy::Micros;
 use std::sync::Arc;
 
@@ -60,7 +60,7 @@
         };
         let request = self.exchange_request(&bytes, &head, body, resolved)?;
         let answer = self.await_answer(client, buffer, request)?;
-        locked(&self.counts)[resolved.route].count(&answer);
+        lock_or_abort(&self.counts)[resolved.route].count(&answer);
         let keep_alive = head.keep_alive && !self.is_draining();
         self.send(client, &encode_answer(&answer, !keep_alive, is_head), keep_alive)
     }
--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -3,7 +3,7 @@
 use crate::answer_queue::{CommandNumber, Slot};
 use crate::client_state::ClientState;
 use crate::memory::Reservation;
-use link::{Connection, locked};
+use link::{Connection, lock_or_abort};
 use std::sync::{Arc, Mutex};
 
 /// One client's connection: its socket and its state.
@@ -20,7 +20,7 @@
     /// Stores the answer to a command until all earlier answers are written. An answer to a command that is no longer queued is
     /// dropped, since the connection has ended.
     pub(crate) fn set_answer(&self, command: CommandNumber, answer: Slot) {
-        let mut state = locked(&self.state);
+        let mut state = lock_or_abort(&self.state);
         let replaced = match state.answers.slot(command) {
             Some(slot) => std::mem::replace(slot, answer),
             None => answer,
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -7,7 +7,7 @@
 use crate::limits::{MAX_READ_BYTES, MAX_READS_WHILE_ENDING};
 use exchange::RequestId;
 use invariants::Guard;
-use link::{Incoming, locked};
+use link::{Incoming, lock_or_abort};
 use resp::Malformed;
 use std::collections::VecDeque;
 
@@ -45,7 +45,7 @@
             ConnectionEnd::Shutdown => close_after_answers(client),
             ConnectionEnd::Idle | ConnectionEnd::ClientGone => {}
         }
-        let unanswered = locked(&client.state).answers.take_all();
+        let unanswered = lock_or_abort(&client.state).answers.take_all();
         check_unanswered(client, end, &unanswered);
         client.socket.close();
         for slot in unanswered {
@@ -69,9 +69,9 @@
     /// unread for the successor. Returns false if the front resumes or the connection fails first.
     pub(crate) fn hand_over(&self, client: &ClientConnection, buffer: &mut Vec<u8>) -> bool {
         loop {
-            let successor = locked(&self.successor).clone();
+            let successor = lock_or_abort(&self.successor).clone();
             let Some(successor) = successor else { return false };
-            if locked(&client.state).answers.is_empty() && client.socket.unsent() == 0 {
+            if lock_or_abort(&client.state).answers.is_empty() && client.socket.unsent() == 0 {
                 let Ok(socket) = client.socket.try_clone_socket() else { return false };
                 successor(socket, std::mem::take(buffer));
                 client.socket.release();
@@ -86,7 +86,7 @@
     /// Answers an error after all earlier commands, and closes the connection. Bytes that still arrive are ignored.
     fn end_with_error(&self, client: &ClientConnection, text: &str) {
         let command = {
-            let mut state = locked(&client.state);
+            let mut state = lock_or_abort(&client.state);
             state.end();
             state.answers.push()
         };
@@ -100,7 +100,7 @@
     // A few more reads notice whether the client disconnects. After them, TCP flow control stops a client that keeps sending.
     let mut unread = Vec::new();
     for _ in 0..MAX_READS_WHILE_ENDING {
-        if locked(&client.state).answers.is_empty() {
+        if lock_or_abort(&client.state).answers.is_empty() {
             break;
         }
         match client.socket.receive(&mut unread, MAX_READ_BYTES) {
@@ -108,7 +108,7 @@
             Ok(Incoming::End) | Err(_) => return,
         }
     }
-    while !locked(&client.state).answers.is_empty() {
+    while !lock_or_abort(&client.state).answers.is_empty() {
         if client.socket.is_peer_closed() || client.socket.flush_and_wait().is_err() {
             return;
         }
--- a/crates/front_resp/src/connection_table.rs
+++ b/crates/front_resp/src/connection_table.rs
@@ -1,7 +1,7 @@
 //! The open client connections and their limit.
 
 use crate::client::ClientConnection;
-use link::locked;
+use link::lock_or_abort;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
@@ -31,7 +31,7 @@
 
     /// Adds a connection, and returns its number.
     pub(crate) fn insert(&self, client: Arc<ClientConnection>) -> ConnectionNumber {
-        let mut open = locked(&self.open);
+        let mut open = lock_or_abort(&self.open);
         open.last_number += 1;
         let number = open.last_number;
         open.by_number.insert(number, client);
@@ -40,12 +40,12 @@
 
     /// Removes a connection whose coroutine has ended.
     pub(crate) fn remove(&self, number: ConnectionNumber) {
-        locked(&self.open).by_number.remove(&number);
+        lock_or_abort(&self.open).by_number.remove(&number);
     }
 
     /// Whether the limit is reached. Closed connections count until their coroutine has ended.
     pub(crate) fn is_full(&self) -> bool {
-        locked(&self.open).by_number.len() >= (self.max_connections)()
+        lock_or_abort(&self.open).by_number.len() >= (self.max_connections)()
     }
 
     /// Returns how many connections must be evicted to restore the reserve for new ones, if `open` are open.
@@ -57,7 +57,7 @@
 
     /// Returns the connections that are not closed, oldest first.
     pub(crate) fn clients(&self) -> Vec<Arc<ClientConnection>> {
-        let open = locked(&self.open);
+        let open = lock_or_abort(&self.open);
         open.by_number.values().filter(|client| !client.socket.is_closed()).cloned().collect()
     }
 
--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::open_requests::OpenRequest;
 use exchange::{AnswerBody, FinalAnswer, Request};
 use invariants::Guard;
-use link::locked;
+use link::lock_or_abort;
 use resp::Query;
 use std::ops::Range;
 use std::sync::Arc;
@@ -48,14 +48,14 @@
         arguments: &[Range<usize>],
     ) -> bool {
         let (number, is_overloaded) = {
-            let mut state = locked(&client.state);
+            let mut state = lock_or_abort(&client.state);
             let number = state.answers.push();
             let has_max_in_flight = state.answers.requests_in_flight() >= MAX_IN_FLIGHT;
             (number, has_max_in_flight || self.memory.complete.is_exceeded())
         };
         match self.parse_command(client, raw, arguments) {
             Command::Answer(bytes) => {
-                locked(&client.state).record_valid_command();
+                lock_or_abort(&client.state).record_valid_command();
                 self.answer(client, number, bytes.to_vec());
             }
             Command::Error(text) => {
@@ -63,7 +63,7 @@
                 return false;
             }
             Command::Submit(submission) => {
-                locked(&client.state).record_request();
+                lock_or_abort(&client.state).record_request();
                 if is_overloaded {
                     self.exchange.count_rejection(submission.request.class);
                     self.answer(client, number, REJECTION.to_vec());
@@ -83,7 +83,7 @@
         if name.eq_ignore_ascii_case(b"CLIENT") || name.eq_ignore_ascii_case(b"SELECT") {
             return Command::Answer(b"+OK\r\n");
         }
-        let rules = locked(&self.rules).clone();
+        let rules = lock_or_abort(&self.rules).clone();
         let mut valid = match rules.validate(raw, arguments) {
             Ok(valid) => valid,
             Err(error) => return Command::Error(error.to_string()),
@@ -110,21 +110,21 @@
             self.is_ready(),
             format_args!("a request was submitted before the front was ready"),
         );
-        locked(&client.state).answers.begin_request();
+        lock_or_abort(&client.state).answers.begin_request();
         let Submission { request, open, reservation } = submission;
         let (front, answered) = (self.clone(), client.clone());
         let reply = move |answer| {
             // Frees the id before the answer is written, since the client may reuse it as soon as it has the answer.
             drop(open);
             drop(reservation);
-            locked(&answered.state).answers.finish_request();
+            lock_or_abort(&answered.state).answers.finish_request();
             match answer {
                 FinalAnswer::Served(AnswerBody::Stream(stream)) => front.stream(&answered, number, stream),
                 answer => front.answer(&answered, number, encode(answer)),
             }
         };
         let id = self.exchange.submit(request, Box::new(reply));
-        if let Some(Slot::Waiting(waiting)) = locked(&client.state).answers.slot(number) {
+        if let Some(Slot::Waiting(waiting)) = lock_or_abort(&client.state).answers.slot(number) {
             *waiting = Some(id);
         }
     }
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -3,7 +3,7 @@
 use crate::client::ClientConnection;
 use crate::connection_table::ConnectionTable;
 use crate::limits::LINGER_TIMEOUT;
-use link::locked;
+use link::lock_or_abort;
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,9 +45,9 @@
         let clients = self.clients();
         let sheddable = clients
             .iter()
-            .filter_map(|client| Some((locked(&client.state).incomplete.sheddable_since()?, client)));
+            .filter_map(|client| Some((lock_or_abort(&client.state).incomplete.sheddable_since()?, client)));
         if let Some((_, client)) = sheddable.min_by_key(|(since, _)| *since) {
-            locked(&client.state).incomplete.shed();
+            lock_or_abort(&client.state).incomplete.shed();
             client.socket.wake();
         }
     }
@@ -57,7 +57,7 @@
     /// Returns `None` for a connection in use.
     fn new(client: Arc<ClientConnection>) -> Option<Self> {
         let evictable_state = {
-            let state = locked(&client.state);
+            let state = lock_or_abort(&client.state);
             let lingering = state.lingering_for().map(EvictableState::Lingering);
             lingering.or_else(|| state.evictable_for().map(EvictableState::Idle))
         };
@@ -72,7 +72,7 @@
                 self.client.socket.close()
             }
             EvictableState::Lingering(_) | EvictableState::Idle(_) => {
-                locked(&self.client.state).request_eviction();
+                lock_or_abort(&self.client.state).request_eviction();
                 self.client.socket.wake();
             }
         }
--- a/crates/front_resp/src/eviction/tests.rs
+++ b/crates/front_resp/src/eviction/tests.rs
@@ -30,14 +30,14 @@
             Reservation::empty(&budget),
             Reservation::empty(&budget),
         );
-        locked(&client.state).backdate_idle(idle);
+        lock_or_abort(&client.state).backdate_idle(idle);
         self.table.insert(client.clone());
         client
     }
 }
 
 fn take_eviction(client: &ClientConnection) -> bool {
-    locked(&client.state).take_eviction()
+    lock_or_abort(&client.state).take_eviction()
 }
 
 #[test]
@@ -56,11 +56,11 @@
 fn does_not_evict_connections_in_use() {
     let mut fixture = Fixture::new();
     let in_use = fixture.open(2 * IDLE_TIMEOUT);
-    locked(&in_use.state).answers.push();
+    lock_or_abort(&in_use.state).answers.push();
     let new = fixture.open(Duration::ZERO);
     fixture.table.evict(2);
-    locked(&in_use.state).answers.take_all();
-    locked(&new.state).backdate_idle(IDLE_TIMEOUT);
+    lock_or_abort(&in_use.state).answers.take_all();
+    lock_or_abort(&new.state).backdate_idle(IDLE_TIMEOUT);
     assert!(!take_eviction(&in_use) && !take_eviction(&new));
 }
 
@@ -69,8 +69,8 @@
     let mut fixture = Fixture::new();
     let idle = fixture.open(2 * IDLE_TIMEOUT);
     let lingering = fixture.open(Duration::ZERO);
-    locked(&lingering.state).end();
-    locked(&lingering.state).backdate_idle(LINGER_TIMEOUT / LINGER_DIVISOR);
+    lock_or_abort(&lingering.state).end();
+    lock_or_abort(&lingering.state).backdate_idle(LINGER_TIMEOUT / LINGER_DIVISOR);
     fixture.table.evict(1);
     assert!(lingering.socket.is_closed());
     assert!(!take_eviction(&idle));
@@ -80,7 +80,7 @@
 fn leaves_a_connection_open_that_has_only_begun_to_linger() {
     let mut fixture = Fixture::new();
     let lingering = fixture.open(Duration::ZERO);
-    locked(&lingering.state).end();
+    lock_or_abort(&lingering.state).end();
     fixture.table.evict(1);
     assert!(!lingering.socket.is_closed());
 }
@@ -89,12 +89,12 @@
 fn sheds_the_oldest_large_incomplete_command() {
     let mut fixture = Fixture::new();
     let small = fixture.open(Duration::ZERO);
-    locked(&small.state).incomplete.update(TYPICAL_REQUEST_BYTES - 1, false);
+    lock_or_abort(&small.state).incomplete.update(TYPICAL_REQUEST_BYTES - 1, false);
     let older = fixture.open(Duration::ZERO);
-    locked(&older.state).incomplete.update(TYPICAL_REQUEST_BYTES, false);
+    lock_or_abort(&older.state).incomplete.update(TYPICAL_REQUEST_BYTES, false);
     let younger = fixture.open(Duration::ZERO);
-    locked(&younger.state).incomplete.update(2 * TYPICAL_REQUEST_BYTES, false);
-    let is_shed = |client: &Arc<ClientConnection>| locked(&client.state).incomplete.is_shed();
+    lock_or_abort(&younger.state).incomplete.update(2 * TYPICAL_REQUEST_BYTES, false);
+    let is_shed = |client: &Arc<ClientConnection>| lock_or_abort(&client.state).incomplete.is_shed();
     fixture.table.shed_incomplete_command();
     assert_eq!([&small, &older, &younger].map(is_shed), [false, true, false]);
     fixture.table.shed_incomplete_command();
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -9,7 +9,7 @@
 use crate::open_requests::OpenRequests;
 use crate::rules::RequestRules;
 use exchange::{AnswerBody, Exchange};
-use link::{Connection, Listener, locked, sleep, spawn};
+use link::{Connection, Listener, lock_or_abort, sleep, spawn};
 use resp::Query;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -79,7 +79,7 @@
 
     /// Replaces the rules by which requests are validated.
     pub fn set_rules(&self, rules: RequestRules) {
-        *locked(&self.rules) = Arc::new(rules);
+        *lock_or_abort(&self.rules) = Arc::new(rules);
     }
 
     /// Marks the front as ready: `PING` is answered with `+PONG` instead of an error.
@@ -111,7 +111,7 @@
         let waited = socket.time_since_last_data().unwrap_or_default();
         let incomplete_since = Instant::now().checked_sub(waited).filter(|_| !incomplete.is_empty());
         let client = self.spawn_connection(socket, incomplete, incomplete_since);
-        locked(&client.state).record_request();
+        lock_or_abort(&client.state).record_request();
     }
 
     /// Serves a connection in a new coroutine. For an adopted connection, `incomplete_since` is the start of the time-out of its
@@ -128,7 +128,7 @@
             Reservation::empty(incomplete_budget),
             Reservation::empty(unread_budget),
         );
-        locked(&client.state).incomplete.resume(incomplete_since);
+        lock_or_abort(&client.state).incomplete.resume(incomplete_since);
         let number = self.connections.insert(client.clone());
         if self.is_draining() {
             // The wake ends the connection after it has been read once.
@@ -145,7 +145,7 @@
     /// Stops admitting requests, and hands each connection over to the successor once it has no request in flight. If this is
     /// called on the worker, no command is partially dispatched when it returns.
     pub fn hand_over_connections(&self, successor: Arc<HandOverConnection>) {
-        *locked(&self.successor) = Some(successor);
+        *lock_or_abort(&self.successor) = Some(successor);
         self.is_handing_over.store(true, Ordering::Release);
         self.connections.wake_all();
     }
@@ -153,7 +153,7 @@
     /// Reverts [`Front::hand_over_connections`] after the successor has failed: serves the connections that were not handed over.
     pub fn resume(&self) {
         self.is_handing_over.store(false, Ordering::Release);
-        *locked(&self.successor) = None;
+        *lock_or_abort(&self.successor) = None;
         self.connections.wake_all();
     }
 
--- a/crates/front_resp/src/open_requests.rs
+++ b/crates/front_resp/src/open_requests.rs
@@ -1,6 +1,6 @@
 //! Ids of the requests in flight. A request whose id is in use is rejected.
 
-use link::locked;
+use link::lock_or_abort;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 
@@ -19,13 +19,13 @@
 impl OpenRequests {
     /// Registers a request; `None` if its id is in use.
     pub(crate) fn register(self: &Arc<Self>, id: Vec<u8>) -> Option<OpenRequest> {
-        let is_new = locked(&self.ids).insert(id.clone());
+        let is_new = lock_or_abort(&self.ids).insert(id.clone());
         is_new.then(|| OpenRequest { requests: self.clone(), id })
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        locked(&self.requests.ids).remove(&self.id);
+        lock_or_abort(&self.requests.ids).remove(&self.id);
     }
 }
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -8,7 +8,7 @@
     CAPACITY_CHECK_INTERVAL, ERROR_READ_DELAY, MAX_BURST, MAX_PIPELINED, MAX_READ_BYTES,
     MAX_RETAINED_BUFFER_BYTES, TYPICAL_REQUEST_BYTES, YIELD_TIME,
 };
-use link::{Incoming, locked, sleep};
+use link::{Incoming, lock_or_abort, sleep};
 use resp::Malformed;
 use std::ops::Range;
 use std::sync::Arc;
@@ -67,11 +67,11 @@
         update_incomplete(client, buffer.len(), &dispatched)?;
         // Checked between reads too, since a client that pipelines without a pause never leaves the input empty.
         if was_read {
-            self.end_if_draining(&mut locked(&client.state))?;
+            self.end_if_draining(&mut lock_or_abort(&client.state))?;
         }
         yield_after(&dispatched);
         self.wait_for_memory(client, buffer.len());
-        if locked(&client.state).incomplete.is_shed() {
+        if lock_or_abort(&client.state).incomplete.is_shed() {
             return Err(ConnectionEnd::Error(COMMAND_SHED));
         }
         Ok(())
@@ -106,7 +106,7 @@
         }
         self.connections.shed_incomplete_command();
         let may_wait = |state: &ClientState| !state.incomplete.is_shed() && !state.is_command_overdue();
-        while budget.is_exceeded() && may_wait(&locked(&client.state)) && !client.socket.is_closed() {
+        while budget.is_exceeded() && may_wait(&lock_or_abort(&client.state)) && !client.socket.is_closed() {
             sleep(CAPACITY_CHECK_INTERVAL);
         }
     }
@@ -126,7 +126,7 @@
 
     /// Ends a woken connection if the front drains, its command is overdue or shed, or the connection is evicted or silent.
     fn check_woken(&self, client: &ClientConnection) -> ServeResult {
-        let mut state = locked(&client.state);
+        let mut state = lock_or_abort(&client.state);
         self.end_if_draining(&mut state)?;
         if state.is_command_overdue() {
             return Err(ConnectionEnd::Error(COMMAND_TIMED_OUT));
@@ -141,7 +141,7 @@
 
 /// Updates the incomplete command after a read. Ends a connection that pipelines too many commands.
 fn update_incomplete(client: &ClientConnection, bytes: usize, dispatched: &Dispatched) -> ServeResult {
-    let mut state = locked(&client.state);
+    let mut state = lock_or_abort(&client.state);
     state.incomplete.update(bytes, dispatched.bytes > 0);
     if state.answers.len() > MAX_PIPELINED { Err(ConnectionEnd::Error(TOO_MANY_COMMANDS)) } else { Ok(()) }
 }
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -3,7 +3,7 @@
 use crate::client::ClientConnection;
 use crate::front::Front;
 use crate::limits::{LINGER_TIMEOUT, MAX_UNREAD_BYTES_UNDER_PRESSURE};
-use link::locked;
+use link::lock_or_abort;
 
 /// What a sweep does with a connection.
 enum SweepAction {
@@ -33,7 +33,7 @@
 impl SweepAction {
     /// Chooses the action for a connection, and updates its reservation of unread bytes.
     fn for_client(client: &ClientConnection, is_under_pressure: bool) -> Self {
-        let mut state = locked(&client.state);
+        let mut state = lock_or_abort(&client.state);
         let unread = client.socket.unsent();
         let is_stalled = unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && unread >= state.unread.bytes();
         state.unread.resize(unread);
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -6,7 +6,7 @@
 use crate::limits::{MAX_UNREAD_BYTES, MAX_UNREAD_BYTES_UNDER_PRESSURE};
 use crate::memory::Reservation;
 use exchange::StreamReader;
-use link::locked;
+use link::lock_or_abort;
 use std::sync::Arc;
 
 impl Front {
@@ -45,7 +45,7 @@
 
     /// Writes the answers that may be written now. Closes the connection of a client that leaves too many bytes unread.
     fn write_due_answers(&self, client: &ClientConnection) {
-        let mut state = locked(&client.state);
+        let mut state = lock_or_abort(&client.state);
         let due = state.answers.take_due(client.socket.unsent());
         if due.is_truncated {
             // Closing the connection tells the client that the value is truncated, so nothing may be sent after it.
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::connect_error::ConnectError;
 use crate::fairness::YIELD_TIME;
-use crate::lock::locked;
+use crate::lock::lock_or_abort;
 use crate::read_state::ReadState;
 use crate::send_buffer::SendBuffer;
 use crate::socket::{RegisteredSocket, Stream};
@@ -102,14 +102,14 @@
         if self.is_closed() {
             return Err(ErrorKind::NotConnected.into());
         }
-        let mut send_buffer = locked(&self.send_buffer);
+        let mut send_buffer = lock_or_abort(&self.send_buffer);
         send_buffer.send(self.stream.inner(), bytes)?;
         Ok(send_buffer.is_empty())
     }
 
     /// Returns the number of bytes that wait for the socket to become writable.
     pub fn unsent(&self) -> usize {
-        locked(&self.send_buffer).unsent()
+        lock_or_abort(&self.send_buffer).unsent()
     }
 
     /// Sets the callback that the connection's own coroutine runs whenever the socket has taken all buffered bytes. Only the
@@ -120,7 +120,7 @@
     }
 
     fn flush(&self) -> io::Result<()> {
-        let mut send_buffer = locked(&self.send_buffer);
+        let mut send_buffer = lock_or_abort(&self.send_buffer);
         if send_buffer.is_empty() {
             return Ok(());
         }
@@ -191,7 +191,7 @@
         if let Some(kind) = self.read_state.take_deferred_error() {
             return Err(kind.into());
         }
-        let mut read_buffer = locked(&READ_BUFFER);
+        let mut read_buffer = lock_or_abort(&READ_BUFFER);
         let max_bytes = max_bytes.min(read_buffer.len());
         let mut total = 0;
         while total < max_bytes {
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -19,6 +19,6 @@
 pub use connect_error::ConnectError;
 pub use connection::{Connection, Incoming};
 pub use listener::Listener;
-pub use lock::locked;
-pub use runtime::{LARGE_STACK, STACK, set_up, spawn, spawn_with};
+pub use lock::lock_or_abort;
+pub use runtime::{DEFAULT_STACK_BYTES, JSON_STACK_BYTES, set_up, spawn, spawn_with};
 pub use timer::sleep;
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -3,7 +3,7 @@
 use crate::accept_state::{AcceptState, SharedAcceptState};
 use crate::connection::Connection;
 use crate::fairness::{MAX_BURST, YIELD_TIME};
-use crate::lock::locked;
+use crate::lock::lock_or_abort;
 use crate::socket::RegisteredSocket;
 use crate::timer::sleep;
 use may::io::WaitIo;
@@ -122,7 +122,7 @@
 
     /// Lets other coroutines run after a burst of accepted connections.
     fn yield_after_burst(&self) {
-        let is_over = locked(&self.burst).count_accept();
+        let is_over = lock_or_abort(&self.burst).count_accept();
         if is_over {
             sleep(YIELD_TIME);
         }
--- a/crates/link/src/lock.rs
+++ b/crates/link/src/lock.rs
@@ -6,7 +6,7 @@
 ///
 /// Aborts the process if the lock is poisoned: a panic may have left the protected state half-changed, and continuing could break
 /// an invariant silently. A gatekeeper that restarts recovers its state.
-pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub fn lock_or_abort<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|_| {
         eprintln!("fatal: a panic left shared state half-changed");
         std::process::abort()
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -1,7 +1,7 @@
 //! The state of a connection's receiving side, independent of its socket.
 
 use crate::fairness::MAX_BURST;
-use crate::lock::locked;
+use crate::lock::lock_or_abort;
 use std::io::ErrorKind;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -81,12 +81,12 @@
 
     /// Keeps an error that occurred after some bytes were read, for the next read.
     pub(crate) fn defer_error(&self, kind: ErrorKind) {
-        *locked(&self.deferred_error) = Some(kind);
+        *lock_or_abort(&self.deferred_error) = Some(kind);
     }
 
     /// Takes the error that an earlier read has deferred. Acquires no lock while the peer is connected.
     pub(crate) fn take_deferred_error(&self) -> Option<ErrorKind> {
-        if self.is_peer_closed() { locked(&self.deferred_error).take() } else { None }
+        if self.is_peer_closed() { lock_or_abort(&self.deferred_error).take() } else { None }
     }
 
     /// Sets the wake flag.
--- a/crates/link/src/runtime.rs
+++ b/crates/link/src/runtime.rs
@@ -4,9 +4,9 @@
 
 /// Default stack size of a coroutine in bytes. Only pages that are touched take memory. The reserve beyond the program's own need
 /// is for formatting a panic message.
-pub const STACK: usize = 128 * 1024;
+pub const DEFAULT_STACK_BYTES: usize = 128 * 1024;
 /// Stack size in bytes of a coroutine that parses JSON, whose parser is recursive.
-pub const LARGE_STACK: usize = 1024 * 1024;
+pub const JSON_STACK_BYTES: usize = 1024 * 1024;
 /// Number of stacks that `may` keeps for reuse.
 const STACK_POOL_CAPACITY: usize = 64;
 
@@ -15,7 +15,7 @@
 pub fn set_up() {
     may::config()
         .set_workers(1)
-        .set_stack_size(bytes_to_words(STACK))
+        .set_stack_size(bytes_to_words(DEFAULT_STACK_BYTES))
         .set_pool_capacity(STACK_POOL_CAPACITY)
         .set_worker_pin(false);
 }
@@ -25,9 +25,9 @@
     bytes / size_of::<usize>()
 }
 
-/// Spawns a coroutine with [`STACK`] bytes of stack.
+/// Spawns a coroutine with a stack of [`DEFAULT_STACK_BYTES`].
 pub fn spawn<F: FnOnce() + Send + 'static>(f: F) -> JoinHandle<()> {
-    spawn_with(STACK, f)
+    spawn_with(DEFAULT_STACK_BYTES, f)
 }
 
 /// Spawns a coroutine with `stack` bytes of stack.
@@ -39,7 +39,7 @@
 pub fn spawn_with<F: FnOnce() + Send + 'static>(stack: usize, f: F) -> JoinHandle<()> {
     // SAFETY: `may` requires that thread-local references do not cross a suspension point, and that stacks do not overflow. No
     // coroutine here keeps such a reference while it waits, and with one worker none ever migrates to another thread. Each stack
-    // ends in a guard page and is far larger than its use: parsers do not recurse, and JSON is parsed on `LARGE_STACK`.
+    // ends in a guard page and is far larger than its use: parsers do not recurse, and JSON has `JSON_STACK_BYTES`.
     unsafe { Builder::new().stack_size(bytes_to_words(stack)).spawn(f) }
         .expect("the system allocates a coroutine's stack")
 }
--- a/crates/link/src/timer.rs
+++ b/crates/link/src/timer.rs
@@ -3,7 +3,7 @@
 //! `may`'s own sleep resumes a coroutine on `may`'s timer thread, in parallel to the worker, and its park with a timeout may
 //! never return. Here a coroutine parks without a timeout and the timer thread unparks it, so it resumes on the worker.
 
-use crate::lock::locked;
+use crate::lock::lock_or_abort;
 use may::coroutine::{self, Coroutine};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -51,10 +51,10 @@
 
 fn run_timer(sleepers: &Mutex<Sleepers>) {
     loop {
-        let next_wake = locked(sleepers).next_wake();
+        let next_wake = lock_or_abort(sleepers).next_wake();
         match next_wake.map(|wakes_at| wakes_at.saturating_duration_since(Instant::now())) {
             Some(Duration::ZERO) => {
-                let sleeper = locked(sleepers).by_time.pop_first();
+                let sleeper = lock_or_abort(sleepers).by_time.pop_first();
                 if let Some((_, coroutine)) = sleeper {
                     coroutine.unpark();
                 }
@@ -69,7 +69,7 @@
 pub fn sleep(duration: Duration) {
     let wakes_at = Instant::now() + duration;
     let timer = TIMER_THREAD.get_or_init(start_timer_thread);
-    locked(&timer.sleepers).insert(wakes_at, coroutine::current());
+    lock_or_abort(&timer.sleepers).insert(wakes_at, coroutine::current());
     timer.thread.unpark();
     while Instant::now() < wakes_at {
         coroutine::park();
--- a/crates/link/tests/connections.rs
+++ b/crates/link/tests/connections.rs
@@ -216,12 +216,12 @@
                 let woken = woken.clone();
                 link::spawn(move || {
                     link::sleep(Duration::from_millis(milliseconds));
-                    link::locked(&woken).push(milliseconds);
+                    link::lock_or_abort(&woken).push(milliseconds);
                 })
             })
             .into_iter()
             .collect();
         sleepers.into_iter().for_each(|sleeper| sleeper.join().expect("no panic"));
-        assert_eq!(*link::locked(&woken), [50, 100, 150]);
+        assert_eq!(*link::lock_or_abort(&woken), [50, 100, 150]);
     });
 }
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -2,7 +2,7 @@
 //! second also while the worker is busy.
 
 use crate::endpoint_ids::EjectionChange;
-use link::locked;
+use link::lock_or_abort;
 use operator::{Command, CommandError, MAX_LINE_BYTES, Metrics, reply};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -83,16 +83,16 @@
 
 impl WaitingClients {
     fn push(&self, number: u64, stream: Arc<TcpStream>) {
-        locked(&self.0).push(WaitingClient { number, stream });
+        lock_or_abort(&self.0).push(WaitingClient { number, stream });
     }
 
     fn remove(&self, number: u64) {
-        locked(&self.0).retain(|client| client.number != number);
+        lock_or_abort(&self.0).retain(|client| client.number != number);
     }
 
     /// Disconnects the oldest client. Its thread then fails to read the line and ends.
     fn evict_oldest(&self) {
-        let mut clients = locked(&self.0);
+        let mut clients = lock_or_abort(&self.0);
         if !clients.is_empty() {
             // Fails if the client has disconnected already.
             let _ = clients.remove(0).stream.shutdown(Shutdown::Both);
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -6,7 +6,7 @@
 use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
 use invariants::Guard;
-use link::locked;
+use link::lock_or_abort;
 use operator::{ClassMetrics, Metrics, RejectionCount, ViolationCount};
 use policy::RejectReason;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -62,27 +62,27 @@
 
     /// Replaces the names of the classes and plans, after a reload.
     pub fn set_names(&self, names: PolicyNames) {
-        *locked(&self.names) = names;
+        *lock_or_abort(&self.names) = names;
     }
 
     /// Returns the names of the classes and plans.
     pub fn names(&self) -> PolicyNames {
-        locked(&self.names).clone()
+        lock_or_abort(&self.names).clone()
     }
 
     /// Whether this process is shutting down.
     pub fn is_ending(&self) -> bool {
-        *locked(&self.phase) == Phase::Ending
+        *lock_or_abort(&self.phase) == Phase::Ending
     }
 
     /// Reports this process as ready from now on.
     pub fn set_ready(&self) {
-        *locked(&self.phase) = Phase::Ready;
+        *lock_or_abort(&self.phase) = Phase::Ready;
     }
 
     /// Reports this process as shutting down from now on.
     pub fn set_ending(&self) {
-        *locked(&self.phase) = Phase::Ending;
+        *lock_or_abort(&self.phase) = Phase::Ending;
     }
 
     /// Counts a reload of the configuration as accepted or as failed.
@@ -95,7 +95,7 @@
     /// several numbers under one name.
     fn class_metrics(&self, outcomes: &exchange::OutcomeCounts) -> Vec<ClassMetrics> {
         let mut classes: Vec<ClassMetrics> = Vec::new();
-        for (name, counts) in locked(&self.names).classes.iter().zip(&outcomes.classes) {
+        for (name, counts) in lock_or_abort(&self.names).classes.iter().zip(&outcomes.classes) {
             let index = classes.iter().position(|class| class.name == *name).unwrap_or_else(|| {
                 classes.push(ClassMetrics { name: name.clone(), ..ClassMetrics::default() });
                 classes.len() - 1
@@ -111,7 +111,7 @@
 
 impl AdminHandler for AdminService {
     fn check_ready(&self) -> Result<(), AdminError> {
-        match *locked(&self.phase) {
+        match *lock_or_abort(&self.phase) {
             Phase::Starting => Err(AdminError::Starting),
             Phase::Ready => Ok(()),
             Phase::Ending => Err(AdminError::Ending),
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -7,7 +7,7 @@
 use destination::{BackendEndpoint, BackendPools, HttpProtocol};
 use exchange::{AnswerCounts, Clock, Status};
 use front_openapi::HttpExchange;
-use link::locked;
+use link::lock_or_abort;
 use policy::{BackendEntry, BackendId, BackendState, ListKind, Timestamp};
 use settings::appliance::ApplianceConfig;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -106,7 +106,7 @@
     pub fn sweep(&self) {
         let status = self.exchange.status();
         let in_flight = status.backends.iter().filter(|(_, backend)| backend.in_flight > 0);
-        *locked(&self.busy_backends) = in_flight.map(|(id, _)| id.0).collect();
+        *lock_or_abort(&self.busy_backends) = in_flight.map(|(id, _)| id.0).collect();
         self.watches().iter().for_each(|watch| watch.advance());
     }
 
@@ -118,7 +118,7 @@
     /// Replaces the endpoint list of the service with this index, and announces the change.
     pub fn set_list(&self, service: usize, list: &EndpointList) {
         let backends = {
-            let mut state = locked(&self.state);
+            let mut state = lock_or_abort(&self.state);
             state.lists[service] = Some(list.clone());
             self.announce(&mut state);
             self.health_checked_backends(&state)
@@ -142,7 +142,7 @@
 
     /// Replaces the set of backends that health checks have ejected, and announces the change.
     pub fn set_ejected(&self, ejected: &BTreeSet<String>) {
-        let mut state = locked(&self.state);
+        let mut state = lock_or_abort(&self.state);
         state.ejected.clone_from(ejected);
         self.announce(&mut state);
     }
@@ -217,7 +217,7 @@
             "operations\n  unanswered {}  served {served}  busy {rejected}  failed {failed}  units {}  counter calls {}\n",
             status.unanswered, status.units_forwarded, status.counter_calls
         );
-        let ejected = locked(&self.state).ejected.clone();
+        let ejected = lock_or_abort(&self.state).ejected.clone();
         for (service, watch) in self.watches().iter().enumerate() {
             self.report_service(service, watch, &status, &ejected, &mut report);
         }
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -8,7 +8,7 @@
     CacheFile, ConsulConfig, LastAnswers, NUMBERS_PER_SERVICE, RegistrationHandle, ServiceWatch, TokenFile,
     WatchConfig,
 };
-use link::locked;
+use link::lock_or_abort;
 use settings::appliance::{self, ApplianceConfig, MinimumHealth, RegistrationConfig};
 use std::path::Path;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
             last_answers.clone(),
             cache.clone(),
             Box::new(move |list| notified_backends.set_list(service, list)),
-            Box::new(move |number| locked(&busy_backends).contains(&number.0)),
+            Box::new(move |number| lock_or_abort(&busy_backends).contains(&number.0)),
         )
     });
     backends.set_watches(watches.collect());
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -9,7 +9,7 @@
     Admission, JOURNAL_DRAIN_TIMEOUT, JournalEnd, Message, PROTOCOL_VERSION, Peer, UpgradeSocket,
     read_journal,
 };
-use link::{Listener, locked, spawn_with};
+use link::{Listener, lock_or_abort, spawn_with};
 use std::net::TcpStream;
 use std::os::fd::{AsFd, OwnedFd};
 use std::path::PathBuf;
@@ -157,7 +157,7 @@
         let (restart, listener) = (self.clone(), listener.clone());
         // This runs on the worker thread, never in the middle of a step of a client connection, so that no request is admitted
         // after the snapshot.
-        spawn_with(link::LARGE_STACK, move || {
+        spawn_with(link::JSON_STACK_BYTES, move || {
             listener.set_paused(true);
             restart.front.hand_over_connections(send_to_successor);
             // Fails if the receiver has timed out.
@@ -168,7 +168,7 @@
 
     fn state_message(&self, snapshot: &PolicySnapshot) -> Result<Message, Error> {
         let names = self.admin.names();
-        let endpoint_ids = locked(&self.endpoint_ids);
+        let endpoint_ids = lock_or_abort(&self.endpoint_ids);
         Ok(Message::State {
             policy_snapshot: postcard::to_stdvec(snapshot).map_err(Error::Snapshot)?,
             backends: endpoint_ids.listed(),
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -4,7 +4,7 @@
 use crate::error::Error;
 use exchange::{BackendId, PolicySnapshot};
 use handover::{Admission, AdmissionJournal, BackendNumber, Message, PROTOCOL_VERSION, Peer};
-use link::{Connection, Listener, locked};
+use link::{Connection, Listener, lock_or_abort};
 use std::collections::HashMap;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
@@ -113,7 +113,7 @@
 
     /// Maps the predecessor's backend numbers to this process's. Backends that are unknown here are left out.
     fn map_backend_numbers(&self, predecessor_numbers: &[BackendNumber]) -> HashMap<BackendId, BackendId> {
-        let endpoint_ids = locked(&self.endpoint_ids);
+        let endpoint_ids = lock_or_abort(&self.endpoint_ids);
         let numbers_in_both =
             |backend: &BackendNumber| Some((BackendId(backend.number), endpoint_ids.number(&backend.id)?));
         predecessor_numbers.iter().filter_map(numbers_in_both).collect()
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -9,7 +9,7 @@
 use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
 use handover::{Message, Peer};
-use link::locked;
+use link::lock_or_abort;
 use pending_calls::{PendingCall, PendingCalls};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -66,8 +66,8 @@
 
     /// Sets the other process of a hot restart; `None` once that process has ended.
     pub fn set_peer(&self, peer: Option<Arc<Peer>>) {
-        *locked(&self.peer) = peer;
-        locked(&self.pending_calls).cancel_all();
+        *lock_or_abort(&self.peer) = peer;
+        lock_or_abort(&self.pending_calls).cancel_all();
     }
 
     /// Handles a message of the other process about ejections; ignores any other message.
@@ -80,7 +80,9 @@
                 // Fails if the other process has ended.
                 let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
-            Message::EjectionApplied { call, applied } => locked(&self.pending_calls).complete(call, applied),
+            Message::EjectionApplied { call, applied } => {
+                lock_or_abort(&self.pending_calls).complete(call, applied)
+            }
             _ => {}
         }
     }
@@ -89,7 +91,7 @@
     /// the backend.
     pub fn change_ejection(&self, id: &str, change: EjectionChange) -> bool {
         let known_here = self.apply(id, change, UnknownId::Reject);
-        let peer = locked(&self.peer).clone();
+        let peer = lock_or_abort(&self.peer).clone();
         let known_to_peer = peer.is_some_and(|peer| self.forward(&peer, id, change, known_here));
         // The endpoint lists of the two processes may differ for a short time. A change of a backend that one process has applies
         // in both.
@@ -102,11 +104,11 @@
     /// Sends a change to the other process, and returns whether that process has applied it. `known_here` says that this process
     /// has the backend.
     fn forward(&self, peer: &Peer, id: &str, change: EjectionChange, known_here: bool) -> bool {
-        let PendingCall { call, reply } = locked(&self.pending_calls).start();
+        let PendingCall { call, reply } = lock_or_abort(&self.pending_calls).start();
         let ejected = change == EjectionChange::Eject;
         let message = Message::SetEjected { call, id: id.to_owned(), ejected, known: known_here };
         let applied = peer.send(&message, None).is_ok() && reply.recv_timeout(PEER_TIMEOUT).unwrap_or(false);
-        locked(&self.pending_calls).cancel(call);
+        lock_or_abort(&self.pending_calls).cancel(call);
         applied
     }
 
@@ -114,7 +116,7 @@
     fn apply(&self, id: &str, change: EjectionChange, unknown_id: UnknownId) -> bool {
         // The ids stay locked until the end, so that the pools, the policy and the file get two changes of one backend in the
         // same order.
-        let mut endpoint_ids = locked(&self.endpoint_ids);
+        let mut endpoint_ids = lock_or_abort(&self.endpoint_ids);
         let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else { return false };
         let ejected = change == EjectionChange::Eject;
         // The pools come first: they reject attempts that the policy decided on before an ejection, and they accept attempts
--- a/crates/snowfield/src/operator_ejections/store.rs
+++ b/crates/snowfield/src/operator_ejections/store.rs
@@ -3,7 +3,7 @@
 use super::file::{self, EjectionsFileError};
 use crate::backoff::ExponentialBackoff;
 use crate::endpoint_ids::EndpointIds;
-use link::locked;
+use link::lock_or_abort;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -59,7 +59,7 @@
         loop {
             backoff.sleep();
             // The file is written under the lock, so that an earlier state never overwrites a later one.
-            let endpoint_ids = locked(&self.endpoint_ids);
+            let endpoint_ids = lock_or_abort(&self.endpoint_ids);
             if file::write(&self.directory, endpoint_ids.ejected()).is_ok() {
                 self.is_pending.store(false, Ordering::Release);
                 tracing::info!("ejections file written");
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -101,7 +101,7 @@
     pub(super) fn announce_cached_list(&self, config: &PlatformConfig) {
         let list = config.cached_list.clone();
         let revision = list.revision;
-        let TranslatedList { entries, endpoints } = link::locked(&self.endpoint_ids).translate(list);
+        let TranslatedList { entries, endpoints } = link::lock_or_abort(&self.endpoint_ids).translate(list);
         tracing::info!(
             name = config.name,
             count = endpoints.len(),
@@ -122,11 +122,12 @@
         let agent_mode =
             if config.settings.polls_endpoints { AgentMode::Polling } else { AgentMode::Notified };
         let backoff = PollBackoff::new(config.seed, agent_mode);
-        spawn_with(link::LARGE_STACK, move || {
+        spawn_with(link::JSON_STACK_BYTES, move || {
             running_watch.run(revision, backoff, |event| {
                 if let WatchEvent::EndpointList(list) = event {
                     let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
-                    let TranslatedList { entries, endpoints } = link::locked(&endpoint_ids).translate(list);
+                    let TranslatedList { entries, endpoints } =
+                        link::lock_or_abort(&endpoint_ids).translate(list);
                     pools.update_endpoints(kind, &endpoints);
                     exchange.update_endpoints(kind, entries);
                 }
