--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -127,7 +127,8 @@
         let mut position = 0;
         loop {
             // Malformed bytes arrive in place of the answer to the oldest call, so the counter has received that call.
-            let element = resp::element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
+            let element =
+                resp::parse_element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
             let Some((element, next)) = element else { return Ok(position) };
             let id = lock_or_abort(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
--- a/crates/counter/src/error.rs
+++ b/crates/counter/src/error.rs
@@ -5,7 +5,7 @@
 pub(crate) enum AnswerError {
     /// The bytes are not valid RESP2.
     #[error("the counter's answer is not valid RESP2: {0}")]
-    Malformed(#[from] resp::Malformed),
+    Malformed(#[from] resp::MalformedInput),
     /// An answer arrived without an unanswered call.
     #[error("the counter sent an answer while no call was unanswered")]
     Unexpected,
--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -4,7 +4,7 @@
 use crate::{Parsed, Protocol, StreamedAnswer};
 use exchange::{AnswerBody, AttemptEnd};
 use policy::{LoadMetric, Micros, Outcome};
-use resp::{Element, Malformed, Query};
+use resp::{Element, MalformedInput, RequestCommand};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
@@ -27,11 +27,11 @@
 }
 
 impl Protocol for RespProtocol {
-    type Payload = Query;
+    type Payload = RequestCommand;
     type Answer = AnswerBody;
 
-    fn encode(&self, query: &Query, _to: SocketAddr, time_left: Micros, out: &mut Vec<u8>) {
-        query.put((time_left / 1000).max(1), out);
+    fn encode(&self, query: &RequestCommand, _to: SocketAddr, time_left: Micros, out: &mut Vec<u8>) {
+        query.encode_with_deadline((time_left / 1000).max(1), out);
     }
 
     fn parse_tail(&self, trailing_items: usize, buffer: &[u8]) -> Result<Option<StreamTail>, &'static str> {
@@ -41,7 +41,7 @@
         }
         let mut consumed = LINE_END.len();
         for _ in 0..trailing_items {
-            match item_end(buffer, consumed).map_err(|Malformed(text)| text)? {
+            match item_end(buffer, consumed).map_err(|MalformedInput(text)| text)? {
                 Some(end) => consumed = end,
                 None => return Ok(None),
             }
@@ -49,7 +49,7 @@
         Ok(Some(StreamTail { consumed, forwarded: LINE_END }))
     }
 
-    fn parse(&self, _query: &Query, buffer: &[u8], _is_end: bool) -> Parsed<AnswerBody> {
+    fn parse(&self, _query: &RequestCommand, buffer: &[u8], _is_end: bool) -> Parsed<AnswerBody> {
         if let Some(streamed) = streamed_answer(buffer) {
             return Parsed::Streamed(streamed);
         }
@@ -58,20 +58,22 @@
                 Parsed::Complete { consumed, keep_alive: true, end }
             }
             Ok(None) => Parsed::Incomplete,
-            Err(Malformed(text)) => Parsed::Malformed(text),
+            Err(MalformedInput(text)) => Parsed::Malformed(text),
         }
     }
 }
 
 /// The end of an item after the value. An invalid number in it is ignored, but an invalid frame is an error: the value before it
 /// may have been cut by a wrong length.
-fn item_end(buffer: &[u8], start: usize) -> Result<Option<usize>, Malformed> {
+fn item_end(buffer: &[u8], start: usize) -> Result<Option<usize>, MalformedInput> {
     resp::message_end(buffer, start).or_else(|_| resp::integer_end(buffer, start))
 }
 
 /// The start of an answer whose value is too large to be buffered; `None` if the buffer does not begin with one.
 fn streamed_answer(buffer: &[u8]) -> Option<StreamedAnswer<AnswerBody>> {
-    let (Element::Array(items @ 1..), value_start) = resp::element(buffer, 0).ok()?? else { return None };
+    let (Element::Array(items @ 1..), value_start) = resp::parse_element(buffer, 0).ok()?? else {
+        return None;
+    };
     let (value_bytes, consumed) = resp::bulk_head(buffer, value_start).ok()??;
     (value_bytes > resp::MAX_BULK_BYTES).then(|| StreamedAnswer {
         consumed,
@@ -95,15 +97,15 @@
 
     /// The answer at the start of the buffer. It is parsed item by item, so that malformed bytes are found before more are
     /// awaited.
-    fn complete_answer(&self, buffer: &[u8]) -> Result<Option<CompleteAnswer>, Malformed> {
-        let Some((first, next)) = resp::element(buffer, 0)? else { return Ok(None) };
+    fn complete_answer(&self, buffer: &[u8]) -> Result<Option<CompleteAnswer>, MalformedInput> {
+        let Some((first, next)) = resp::parse_element(buffer, 0)? else { return Ok(None) };
         match first {
             Element::Array(items @ 1..) => self.served_answer(buffer, next, items),
             Element::Error(text) => {
                 let end = self.error_answer(&buffer[text]);
                 Ok(Some(CompleteAnswer { consumed: next, end }))
             }
-            _ => Err(Malformed("an answer is neither an array with items nor an error")),
+            _ => Err(MalformedInput("an answer is neither an array with items nor an error")),
         }
     }
 
@@ -112,19 +114,19 @@
         buffer: &[u8],
         value_start: usize,
         items: usize,
-    ) -> Result<Option<CompleteAnswer>, Malformed> {
+    ) -> Result<Option<CompleteAnswer>, MalformedInput> {
         if buffer.get(value_start).is_some_and(|&kind| kind != b'$') {
-            return Err(Malformed("the first item of an answer is not a bulk string"));
+            return Err(MalformedInput("the first item of an answer is not a bulk string"));
         }
-        let value_end = match resp::element(buffer, value_start)? {
+        let value_end = match resp::parse_element(buffer, value_start)? {
             Some((Element::Bulk(_), end)) => end,
-            Some(_) => return Err(Malformed("the first item of an answer is not a bulk string")),
+            Some(_) => return Err(MalformedInput("the first item of an answer is not a bulk string")),
             None => return Ok(None),
         };
         let (mut consumed, mut load) = (value_end, Vec::new());
         for item in 1..items {
             let Some(end) = item_end(buffer, consumed)? else { return Ok(None) };
-            let element = resp::element(buffer, consumed);
+            let element = resp::parse_element(buffer, consumed);
             if let (LOAD_REPORT_ITEM, Ok(Some((Element::Bulk(report), _)))) = (item, element) {
                 load = self.parse_load_report(&buffer[report]);
             }
@@ -149,7 +151,7 @@
     fn parse_load_report(&self, report: &[u8]) -> Vec<f32> {
         let columns = link::lock_or_abort(&self.columns).clone();
         let mut values = vec![f32::NAN; columns.len()];
-        for (name, value) in resp::fields(report, 0..report.len()) {
+        for (name, value) in resp::named_values(report, 0..report.len()) {
             let Some(metric) = load_metric(&report[name]) else { continue };
             let value = std::str::from_utf8(&report[value]).ok().and_then(|text| text.parse::<f32>().ok());
             let value = value.filter(|value| value.is_finite() && *value >= 0.0);
--- a/crates/destination/tests/pools.rs
+++ b/crates/destination/tests/pools.rs
@@ -7,7 +7,7 @@
 use policy::{
     BackendEntry, BackendId, BackendState, ListKind, Micros, Plan, RequestClass, Settings, Timestamp,
 };
-use resp::Query;
+use resp::RequestCommand;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 const ANSWER: &[u8] = b"*1\r\n$2\r\nhi\r\n";
 
 type TestPools = BackendPools<RespProtocol>;
-type TestExchange = Exchange<Query, AnswerBody>;
+type TestExchange = Exchange<RequestCommand, AnswerBody>;
 
 /// The exchange and the pools of a gatekeeper with one backend.
 struct Gatekeeper {
@@ -84,7 +84,7 @@
             units: 1.0,
             client_retry: false,
             account: None,
-            payload: Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("the query has a deadline"),
+            payload: RequestCommand::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("the query has a deadline"),
         };
         let reply = move |answer| {
             let _ = sender.send(answer);
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -4,14 +4,14 @@
 use exchange::AnswerBody;
 use fuzz_inputs::{parses_alike_however_split, survives_garbage};
 use policy::{LoadMetric, Outcome};
-use resp::Query;
+use resp::RequestCommand;
 
 fn protocol() -> RespProtocol {
     RespProtocol::new(&[LoadMetric::InFlight, LoadMetric::Queued, LoadMetric::ServiceTimeMillis])
 }
 
-fn query() -> Query {
-    Query::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("the query has a deadline")
+fn query() -> RequestCommand {
+    RequestCommand::new(b"$3\r\nd=9\r\n".to_vec(), 4..7).expect("the query has a deadline")
 }
 
 /// A complete answer.
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -8,7 +8,7 @@
 use exchange::RequestId;
 use invariants::Guard;
 use link::{Incoming, lock_or_abort};
-use resp::Malformed;
+use resp::MalformedInput;
 use std::collections::VecDeque;
 
 /// Why a connection ends.
@@ -29,9 +29,9 @@
 /// `Ok` while a connection is served further, otherwise the reason why it ends.
 pub(crate) type ServeResult = Result<(), ConnectionEnd>;
 
-impl From<Malformed> for ConnectionEnd {
+impl From<MalformedInput> for ConnectionEnd {
     /// A malformed command ends the connection, since the end of the command cannot be determined.
-    fn from(Malformed(text): Malformed) -> Self {
+    fn from(MalformedInput(text): MalformedInput) -> Self {
         Self::Error(text)
     }
 }
--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -9,7 +9,7 @@
 use exchange::{AnswerBody, FinalAnswer, Request};
 use invariants::Guard;
 use link::lock_or_abort;
-use resp::Query;
+use resp::RequestCommand;
 use std::ops::Range;
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 
 /// A valid request whose id is registered as in use.
 struct Submission {
-    request: Request<Query>,
+    request: Request<RequestCommand>,
     open: OpenRequest,
     /// Memory for the bytes of the request.
     reservation: Reservation,
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -10,14 +10,14 @@
 use crate::rules::RequestRules;
 use exchange::{AnswerBody, Exchange};
 use link::{Connection, Listener, lock_or_abort, sleep, spawn};
-use resp::Query;
+use resp::RequestCommand;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
 /// The exchange that the front uses. Its requests are RESP2 commands, and its answers are RESP2 values.
-pub type RespExchange = Exchange<Query, AnswerBody>;
+pub type RespExchange = Exchange<RequestCommand, AnswerBody>;
 
 /// Hands a client's connection over to another process, with the bytes that have arrived of an incomplete command.
 pub type HandOverConnection = dyn Fn(TcpStream, Vec<u8>) + Send + Sync;
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -9,7 +9,7 @@
     MAX_RETAINED_BUFFER_BYTES, TYPICAL_REQUEST_BYTES, YIELD_TIME,
 };
 use link::{Incoming, lock_or_abort, sleep};
-use resp::Malformed;
+use resp::MalformedInput;
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -82,11 +82,11 @@
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
         buffer: &[u8],
-    ) -> Result<Dispatched, Malformed> {
+    ) -> Result<Dispatched, MalformedInput> {
         let mut dispatched = Dispatched { bytes: 0, commands: 0, has_errors: false };
         while !self.is_handing_over() {
             let start = dispatched.bytes;
-            let Some(command) = resp::command(buffer, start)? else { break };
+            let Some(command) = resp::parse_command(buffer, start)? else { break };
             let arguments =
                 command.arguments.iter().map(|argument| argument.start - start..argument.end - start);
             let arguments: Vec<Range<usize>> = arguments.collect();
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -2,7 +2,7 @@
 //! against the settings: a malformed amount or an impossible number of gatekeepers would corrupt that tenant's quota.
 
 use exchange::{Request, TenantId};
-use resp::Query;
+use resp::RequestCommand;
 use std::ops::Range;
 use thiserror::Error;
 
@@ -104,7 +104,7 @@
 /// A valid request and the id that its client gave it.
 #[derive(Debug)]
 pub(crate) struct ValidRequest {
-    pub(crate) request: Request<Query>,
+    pub(crate) request: Request<RequestCommand>,
     pub(crate) id: Vec<u8>,
 }
 
@@ -159,7 +159,7 @@
             units,
             client_retry: values.retry == Some("1"),
             account: None,
-            payload: Query::new(raw.to_vec(), list).ok_or(InvalidRequest::Deadline)?,
+            payload: RequestCommand::new(raw.to_vec(), list).ok_or(InvalidRequest::Deadline)?,
         };
         Ok(ValidRequest { request, id: id.to_vec() })
     }
@@ -200,7 +200,7 @@
     /// UTF-8.
     fn parse(raw: &'a [u8], list: Range<usize>) -> Option<Self> {
         let mut values = Self::default();
-        for (name, value) in resp::fields(raw, list) {
+        for (name, value) in resp::named_values(raw, list) {
             let field = match &raw[name] {
                 b"c" => &mut values.class,
                 b"t" => &mut values.plan,
--- a/crates/front_resp/src/rules/tests.rs
+++ b/crates/front_resp/src/rules/tests.rs
@@ -22,10 +22,10 @@
 }
 
 /// Encodes a command of these arguments and validates it.
-fn validate(arguments: &[&str]) -> Result<Request<Query>, InvalidRequest> {
+fn validate(arguments: &[&str]) -> Result<Request<RequestCommand>, InvalidRequest> {
     let mut raw = Vec::new();
     resp::put_command(&mut raw, &arguments.iter().map(|argument| argument.as_bytes()).collect::<Vec<_>>());
-    let command = resp::command(&raw, 0).expect("valid RESP2").expect("a complete command");
+    let command = resp::parse_command(&raw, 0).expect("valid RESP2").expect("a complete command");
     rules().validate(&raw, &command.arguments).map(|valid| valid.request)
 }
 
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,7 +1,7 @@
 //! Client commands, which RESP2 encodes as arrays of bulk strings.
 
-use crate::element::{Element, MAX_MESSAGE_BYTES, element};
-use crate::error::{Malformed, ParseResult};
+use crate::element::{Element, MAX_MESSAGE_BYTES, parse_element};
+use crate::error::{MalformedInput, ParseResult};
 use std::ops::Range;
 
 /// A parsed command. It refers to its arguments by their ranges in the buffer.
@@ -18,22 +18,22 @@
 /// # Errors
 ///
 /// Returns an error if the input is not an array of bulk strings, is empty, or exceeds a limit.
-pub fn command(buffer: &[u8], start: usize) -> ParseResult<Command> {
-    let Some((first, mut position)) = element(buffer, start)? else { return Ok(None) };
+pub fn parse_command(buffer: &[u8], start: usize) -> ParseResult<Command> {
+    let Some((first, mut position)) = parse_element(buffer, start)? else { return Ok(None) };
     let Element::Array(count @ 1..) = first else {
-        return Err(Malformed("a command is an array of bulk strings"));
+        return Err(MalformedInput("a command is an array of bulk strings"));
     };
     let mut arguments = Vec::with_capacity(count);
     for _ in 0..count {
         if position - start > MAX_MESSAGE_BYTES {
-            return Err(Malformed("a command is too large"));
+            return Err(MalformedInput("a command is too large"));
         }
-        match element(buffer, position)? {
+        match parse_element(buffer, position)? {
             Some((Element::Bulk(argument), next)) => {
                 arguments.push(argument);
                 position = next;
             }
-            Some(_) => return Err(Malformed("a command is an array of bulk strings")),
+            Some(_) => return Err(MalformedInput("a command is an array of bulk strings")),
             None => return Ok(None),
         }
     }
--- a/crates/resp/src/element.rs
+++ b/crates/resp/src/element.rs
@@ -1,6 +1,6 @@
 //! Parsing of single RESP2 elements and of complete messages.
 
-use crate::error::{Malformed, ParseResult};
+use crate::error::{MalformedInput, ParseResult};
 use std::ops::Range;
 
 /// Maximum bytes of a bulk string that is buffered completely.
@@ -38,10 +38,10 @@
 /// # Errors
 ///
 /// Returns an error if the bytes are not RESP2 or exceed a limit.
-pub fn element(buffer: &[u8], start: usize) -> ParseResult<(Element, usize)> {
+pub fn parse_element(buffer: &[u8], start: usize) -> ParseResult<(Element, usize)> {
     let Some(&kind) = buffer.get(start) else { return Ok(None) };
     if !b"+-:$*".contains(&kind) {
-        return Err(Malformed("an unknown type of element"));
+        return Err(MalformedInput("an unknown type of element"));
     }
     let Some((text, next)) = parse_line(buffer, start + 1)? else { return Ok(None) };
     let element = match kind {
@@ -60,21 +60,21 @@
         return Ok(Some((Element::Null, start)));
     }
     let length = usize::try_from(length).ok().filter(|&length| length <= MAX_BULK_BYTES);
-    let end = start + length.ok_or(Malformed("a bulk string's length is out of range"))?;
+    let end = start + length.ok_or(MalformedInput("a bulk string's length is out of range"))?;
     let next = end + LINE_END.len();
     match buffer.get(end..next) {
         Some(LINE_END) => Ok(Some((Element::Bulk(start..end), next))),
-        Some(_) => Err(Malformed("a bulk string has no end")),
+        Some(_) => Err(MalformedInput("a bulk string has no end")),
         None => Ok(None),
     }
 }
 
-fn parse_array_head(count: i64) -> Result<Element, Malformed> {
+fn parse_array_head(count: i64) -> Result<Element, MalformedInput> {
     if count == -1 {
         return Ok(Element::Null);
     }
     let count = usize::try_from(count).ok().filter(|&count| count <= MAX_ARRAY_ITEMS);
-    count.map(Element::Array).ok_or(Malformed("an array's length is out of range"))
+    count.map(Element::Array).ok_or(MalformedInput("an array's length is out of range"))
 }
 
 /// Parses the head of the bulk string that starts at `start`. Returns the string's length, at most [`MAX_STREAMED_BULK_BYTES`],
@@ -87,12 +87,12 @@
     match buffer.get(start) {
         None => return Ok(None),
         Some(b'$') => {}
-        Some(_) => return Err(Malformed("no bulk string")),
+        Some(_) => return Err(MalformedInput("no bulk string")),
     }
     let Some((text, next)) = parse_line(buffer, start + 1)? else { return Ok(None) };
     let length = usize::try_from(parse_integer(&buffer[text])?).ok();
     let length = length.filter(|&length| length <= MAX_STREAMED_BULK_BYTES);
-    Ok(Some((length.ok_or(Malformed("a bulk string's length is out of range"))?, next)))
+    Ok(Some((length.ok_or(MalformedInput("a bulk string's length is out of range"))?, next)))
 }
 
 /// Returns the offset after the integer that starts at `start`. The digits are not validated.
@@ -103,7 +103,7 @@
 pub fn integer_end(buffer: &[u8], start: usize) -> ParseResult<usize> {
     match buffer.get(start) {
         Some(b':') => Ok(parse_line(buffer, start + 1)?.map(|(_, next)| next)),
-        Some(_) => Err(Malformed("no integer")),
+        Some(_) => Err(MalformedInput("no integer")),
         None => Ok(None),
     }
 }
@@ -117,15 +117,15 @@
     let (mut position, mut outstanding) = (start, 1usize);
     while outstanding > 0 {
         if position - start > MAX_MESSAGE_BYTES {
-            return Err(Malformed("a message is too large"));
+            return Err(MalformedInput("a message is too large"));
         }
-        let Some((element, next)) = element(buffer, position)? else { return Ok(None) };
+        let Some((element, next)) = parse_element(buffer, position)? else { return Ok(None) };
         position = next;
         outstanding -= 1;
         if let Element::Array(items) = element {
             outstanding += items;
             if outstanding > MAX_ARRAY_ITEMS {
-                return Err(Malformed("a message holds too many elements"));
+                return Err(MalformedInput("a message holds too many elements"));
             }
         }
     }
@@ -140,13 +140,13 @@
         Some(length) if length > 0 && window[length - 1] == b'\r' => {
             Ok(Some((start..start + length - 1, start + length + 1)))
         }
-        Some(_) => Err(Malformed("a line ends without a carriage return")),
-        None if rest.len() >= MAX_LINE_BYTES => Err(Malformed("a line is too long")),
+        Some(_) => Err(MalformedInput("a line ends without a carriage return")),
+        None if rest.len() >= MAX_LINE_BYTES => Err(MalformedInput("a line is too long")),
         None => Ok(None),
     }
 }
 
-fn parse_integer(digits: &[u8]) -> Result<i64, Malformed> {
-    let text = std::str::from_utf8(digits).map_err(|_| Malformed("a number holds other bytes"))?;
-    text.parse().map_err(|_| Malformed("a number is malformed"))
+fn parse_integer(digits: &[u8]) -> Result<i64, MalformedInput> {
+    let text = std::str::from_utf8(digits).map_err(|_| MalformedInput("a number holds other bytes"))?;
+    text.parse().map_err(|_| MalformedInput("a number is malformed"))
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -8,10 +8,10 @@
 mod error;
 mod query;
 
-pub use command::{Command, command, put_bulk, put_command};
+pub use command::{Command, parse_command, put_bulk, put_command};
 pub use element::{
-    Element, MAX_ARRAY_ITEMS, MAX_BULK_BYTES, MAX_MESSAGE_BYTES, MAX_STREAMED_BULK_BYTES, bulk_head, element,
-    integer_end, message_end,
+    Element, MAX_ARRAY_ITEMS, MAX_BULK_BYTES, MAX_MESSAGE_BYTES, MAX_STREAMED_BULK_BYTES, bulk_head,
+    integer_end, message_end, parse_element,
 };
-pub use error::{Malformed, ParseResult};
-pub use query::{Query, fields};
+pub use error::{MalformedInput, ParseResult};
+pub use query::{RequestCommand, named_values};
--- a/crates/resp/src/query.rs
+++ b/crates/resp/src/query.rs
@@ -7,7 +7,7 @@
 
 /// A client's command as it was received. Its deadline is replaced when it is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Query {
+pub struct RequestCommand {
     raw: Vec<u8>,
     /// Range of the argument that lists names and values.
     list: Range<usize>,
@@ -15,18 +15,18 @@
     deadline: Range<usize>,
 }
 
-impl Query {
+impl RequestCommand {
     /// Wraps the bytes of one command. `list` is the range of the argument with names and values. Returns `None` if the list has
     /// no deadline (`d`).
     pub fn new(raw: Vec<u8>, list: Range<usize>) -> Option<Self> {
         let is_deadline = |(name, _): &(Range<usize>, Range<usize>)| &raw[name.clone()] == DEADLINE_NAME;
-        let (_, deadline) = fields(&raw, list.clone()).find(is_deadline)?;
+        let (_, deadline) = named_values(&raw, list.clone()).find(is_deadline)?;
         Some(Self { raw, list, deadline })
     }
 
     /// Appends the command with the deadline replaced by `deadline_ms`, in milliseconds. All other bytes but the length of the
     /// list stay as they were received.
-    pub fn put(&self, deadline_ms: u64, out: &mut Vec<u8>) {
+    pub fn encode_with_deadline(&self, deadline_ms: u64, out: &mut Vec<u8>) {
         let deadline = deadline_ms.to_string();
         // The bulk string of the list starts at the `$` before its length.
         let frame_start = self.raw[..self.list.start].iter().rposition(|&byte| byte == b'$').unwrap_or(0);
@@ -40,7 +40,10 @@
 }
 
 /// Iterates over a list such as `c=lookup,d=480`, and yields the ranges of each name and its value. Skips items without `=`.
-pub fn fields(buffer: &[u8], list: Range<usize>) -> impl Iterator<Item = (Range<usize>, Range<usize>)> + '_ {
+pub fn named_values(
+    buffer: &[u8],
+    list: Range<usize>,
+) -> impl Iterator<Item = (Range<usize>, Range<usize>)> + '_ {
     let mut next_start = list.start;
     std::iter::from_fn(move || {
         while next_start < list.end {
--- a/crates/resp/tests/codec.rs
+++ b/crates/resp/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Parsing of split, malformed and oversized input, and the exact bytes of forwarded commands.
 
 use fuzz_inputs::{parses_alike_however_split, survives_garbage};
-use resp::{MAX_BULK_BYTES, Malformed, Query};
+use resp::{MAX_BULK_BYTES, MalformedInput, RequestCommand};
 
 const COMMANDS: &[u8] =
     b"*1\r\n$4\r\nPING\r\n*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$16\r\n9b1f03aa5c7e2d41\r\n\
@@ -13,7 +13,7 @@
 #[derive(Debug, PartialEq, Eq)]
 struct Parsed<T> {
     items: Vec<T>,
-    error: Option<Malformed>,
+    error: Option<MalformedInput>,
 }
 
 /// The arguments of one command.
@@ -25,7 +25,7 @@
     for piece in pieces {
         buffer.extend_from_slice(piece);
         loop {
-            match resp::command(&buffer, position) {
+            match resp::parse_command(&buffer, position) {
                 Ok(Some(command)) => {
                     let arguments = command.arguments.into_iter().map(|argument| buffer[argument].to_vec());
                     items.push(arguments.collect());
@@ -86,7 +86,7 @@
         "*1\r\n$3\r\nabcde".into(),
         "+no carriage return\n".into(),
     ] {
-        let command = resp::command(bytes.as_bytes(), 0);
+        let command = resp::parse_command(bytes.as_bytes(), 0);
         let message = resp::message_end(bytes.as_bytes(), 0);
         assert!(command.is_err() || message.is_err(), "{bytes}");
     }
@@ -95,13 +95,17 @@
 #[test]
 fn forwards_a_command_with_another_deadline_and_all_else_unchanged() {
     let raw = b"*5\r\n$10\r\nSVC.SUBMIT\r\n$1\r\n7\r\n$1\r\n9\r\n$15\r\nc=x,d=1000,k=ab\r\n$3\r\n\0\r\n\r\n";
-    let command = resp::command(raw, 0).unwrap().unwrap();
-    let query = Query::new(raw.to_vec(), command.arguments[3].clone()).unwrap();
+    let command = resp::parse_command(raw, 0).unwrap().unwrap();
+    let query = RequestCommand::new(raw.to_vec(), command.arguments[3].clone()).unwrap();
     let mut out = Vec::new();
-    query.put(87, &mut out);
+    query.encode_with_deadline(87, &mut out);
     assert_eq!(
         out,
         b"*5\r\n$10\r\nSVC.SUBMIT\r\n$1\r\n7\r\n$1\r\n9\r\n$13\r\nc=x,d=87,k=ab\r\n$3\r\n\0\r\n\r\n"
     );
-    assert_eq!(Query::new(raw.to_vec(), command.arguments[2].clone()), None, "a list without a deadline");
+    assert_eq!(
+        RequestCommand::new(raw.to_vec(), command.arguments[2].clone()),
+        None,
+        "a list without a deadline"
+    );
 }
