--- a/crates/discovery/src/response.rs
+++ b/crates/discovery/src/response.rs
@@ -2,7 +2,7 @@
 
 use crate::error::WatchError;
 use http::{ChunkedDecoder, Framing, ResponseHead};
-use json_stream::{Item, ObjectStream};
+use json_stream::{ObjectStream, StreamItem};
 use settings::EndpointList;
 
 /// Maximum size of a JSON object in bytes. It has room for a list of a few thousand endpoints.
@@ -71,10 +71,10 @@
     /// Returns the next complete item of the body; `None` if more bytes must arrive.
     pub(crate) fn next_item(&mut self) -> Result<Option<BodyItem>, WatchError> {
         match self.objects.next_item()? {
-            Some(Item::Object(mut object)) => {
+            Some(StreamItem::Object(mut object)) => {
                 Ok(Some(BodyItem::List(simd_json::serde::from_slice(&mut object)?)))
             }
-            Some(Item::LineEnd) => Ok(Some(BodyItem::LineEnd)),
+            Some(StreamItem::LineEnd) => Ok(Some(BodyItem::LineEnd)),
             None => Ok(None),
         }
     }
--- a/crates/json_stream/src/lib.rs
+++ b/crates/json_stream/src/lib.rs
@@ -8,4 +8,4 @@
 mod object_stream;
 
 pub use depth::{MAX_DEPTH, exceeds_max_depth};
-pub use object_stream::{Item, ObjectStream, StreamError};
+pub use object_stream::{ObjectStream, StreamError, StreamItem};
--- a/crates/json_stream/src/object_stream.rs
+++ b/crates/json_stream/src/object_stream.rs
@@ -6,7 +6,7 @@
 
 /// An item of an [`ObjectStream`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Item {
+pub enum StreamItem {
     /// The text of a complete object, which may span several lines.
     Object(Vec<u8>),
     /// The end of a line outside an object. The sender sends empty lines as heartbeats.
@@ -75,14 +75,14 @@
     /// # Errors
     ///
     /// Returns an error if there is text outside an object, or an object is too long or nested too deeply.
-    pub fn next_item(&mut self) -> Result<Option<Item>, StreamError> {
+    pub fn next_item(&mut self) -> Result<Option<StreamItem>, StreamError> {
         while let Some(&byte) = self.bytes.get(self.position) {
             self.position += 1;
             if !self.is_inside_object() {
                 self.object_start = self.position - 1;
                 match byte {
                     b'{' => {}
-                    b'\n' => return Ok(Some(Item::LineEnd)),
+                    b'\n' => return Ok(Some(StreamItem::LineEnd)),
                     b' ' | b'\t' | b'\r' => continue,
                     _ => return Err(StreamError::NotAnObject),
                 }
@@ -90,7 +90,7 @@
             self.depth.advance(byte);
             self.check_limits()?;
             if !self.is_inside_object() {
-                return Ok(Some(Item::Object(self.bytes[self.object_start..self.position].to_vec())));
+                return Ok(Some(StreamItem::Object(self.bytes[self.object_start..self.position].to_vec())));
             }
         }
         self.discard_returned();
--- a/crates/json_stream/tests/objects.rs
+++ b/crates/json_stream/tests/objects.rs
@@ -1,11 +1,11 @@
 //! Splitting of object streams: items, limits and invalid text.
 
-use json_stream::{Item, MAX_DEPTH, ObjectStream, StreamError, exceeds_max_depth};
+use json_stream::{MAX_DEPTH, ObjectStream, StreamError, StreamItem, exceeds_max_depth};
 
 const MAX_OBJECT_BYTES: usize = 4096;
 
 /// Reads all items of a stream that arrives in these pieces.
-fn read_items(pieces: &[&[u8]]) -> Result<Vec<Item>, StreamError> {
+fn read_items(pieces: &[&[u8]]) -> Result<Vec<StreamItem>, StreamError> {
     let (mut stream, mut items) = (ObjectStream::new(MAX_OBJECT_BYTES), Vec::new());
     for piece in pieces {
         stream.input().extend_from_slice(piece);
@@ -16,8 +16,8 @@
     Ok(items)
 }
 
-fn object(text: &str) -> Item {
-    Item::Object(text.as_bytes().to_vec())
+fn object(text: &str) -> StreamItem {
+    StreamItem::Object(text.as_bytes().to_vec())
 }
 
 const INDENTED: &str = "{\n  \"rev\": 43,\n  \"targets\": [\n    {\"uid\": \"s-}\\\"{\\\\\"}\n  ]\n}";
@@ -26,7 +26,7 @@
 fn splits_objects_that_share_or_span_lines_and_reports_line_ends_between_them() {
     let stream = format!("{{\"rev\":41}}\n\r\n{INDENTED}\r\n{{\"rev\":44}}{{\"rev\":45}}\n");
     let items = read_items(&[stream.as_bytes()]).expect("a valid stream");
-    let line_end = || Item::LineEnd;
+    let line_end = || StreamItem::LineEnd;
     let expected = [
         object("{\"rev\":41}"),
         line_end(),
@@ -46,7 +46,7 @@
 fn is_inside_an_object_until_the_object_is_complete() {
     let mut stream = ObjectStream::new(64);
     stream.input().extend_from_slice(b"\n{\"rev\":1,\n\n");
-    assert_eq!(stream.next_item(), Ok(Some(Item::LineEnd)));
+    assert_eq!(stream.next_item(), Ok(Some(StreamItem::LineEnd)));
     assert_eq!(stream.next_item(), Ok(None), "empty lines inside an object are no heartbeats");
     assert!(stream.is_inside_object());
     stream.input().push(b'}');
