--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -52,11 +52,11 @@
         }
     }
 
-    fn withdraw(&self, attempt: AttemptId) {
+    fn cancel_unwritten(&self, attempt: AttemptId) {
         self.end_unwritten_with(attempt, Outcome::Cancelled);
     }
 
-    fn end_unwritten(&self, attempt: AttemptId) {
+    fn expire_unwritten(&self, attempt: AttemptId) {
         self.end_unwritten_with(attempt, Outcome::NotStarted);
     }
 
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -239,12 +239,12 @@
             }
             SideEffect::Withdraw(attempt) => {
                 if let Some(backends) = self.backends.get() {
-                    backends.withdraw(attempt);
+                    backends.cancel_unwritten(attempt);
                 }
             }
             SideEffect::EndUnwritten(attempt) => {
                 if let Some(backends) = self.backends.get() {
-                    backends.end_unwritten(attempt);
+                    backends.expire_unwritten(attempt);
                 }
             }
             SideEffect::Answer(reply, answer) => reply(answer),
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -10,12 +10,12 @@
     fn start(&self, attempt: Attempt<Q>);
     /// Cancels an attempt. Its end is no longer reported.
     fn cancel(&self, attempt: AttemptId);
-    /// Withdraws an attempt whose request has its final answer. If the attempt has not been written completely, it ends with
+    /// Cancels an attempt whose request has its final answer. If the attempt has not been written completely, it ends with
     /// [`Outcome::Cancelled`](policy::Outcome::Cancelled); otherwise it continues.
-    fn withdraw(&self, attempt: AttemptId);
+    fn cancel_unwritten(&self, attempt: AttemptId);
     /// Ends an attempt that has reached [`Attempt::max_start_delay`]. If it has not been written completely, it ends with
     /// [`Outcome::NotStarted`](policy::Outcome::NotStarted); otherwise it continues.
-    fn end_unwritten(&self, attempt: AttemptId);
+    fn expire_unwritten(&self, attempt: AttemptId);
 }
 
 /// A call to the quota counter.
