--- a/crates/catalogue/src/health_response/tests.rs
+++ b/crates/catalogue/src/health_response/tests.rs
@@ -81,5 +81,7 @@
     for end in 0..body.len() {
         assert!(HealthResponse::parse(&body.as_bytes()[..end]).is_err(), "truncated to {end} bytes");
     }
-    fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| drop(HealthResponse::parse(&pieces.concat())));
+    fuzz_inputs::assert_no_panic_on_malformed_input(body.as_bytes(), |pieces| {
+        drop(HealthResponse::parse(&pieces.concat()))
+    });
 }
--- a/crates/destination/tests/resp.rs
+++ b/crates/destination/tests/resp.rs
@@ -2,7 +2,7 @@
 
 use destination::{Parsed, Protocol, RespProtocol};
 use exchange::AnswerBody;
-use fuzz_inputs::{parses_alike_however_split, survives_garbage};
+use fuzz_inputs::{assert_no_panic_on_malformed_input, assert_same_result_for_any_split};
 use policy::{LoadMetric, Outcome};
 use resp::RequestCommand;
 
@@ -60,7 +60,7 @@
     assert_eq!(tail(&[&complete[..], b"noise"].concat()), Ok(Some((complete.len(), &b"\r\n"[..]))));
     (0..complete.len()).for_each(|cut| assert_eq!(tail(&complete[..cut]), Ok(None), "cut at {cut}"));
     assert!(tail(b"xy$-1\r\n$-1\r\n").is_err() && tail(b"\r\n$-1\r\n$x\r\n").is_err());
-    survives_garbage(complete, |pieces| {
+    assert_no_panic_on_malformed_input(complete, |pieces| {
         let _ = protocol().parse_tail(2, &pieces.concat());
     });
 }
@@ -149,6 +149,6 @@
         })
     };
     assert!(matches!(first(&[bytes]), Some(Ok(answer)) if answer.consumed == bytes.len()));
-    parses_alike_however_split(bytes, first);
-    survives_garbage(bytes, |pieces| drop(first(pieces)));
+    assert_same_result_for_any_split(bytes, first);
+    assert_no_panic_on_malformed_input(bytes, |pieces| drop(first(pieces)));
 }
--- a/crates/fuzz_inputs/src/lib.rs
+++ b/crates/fuzz_inputs/src/lib.rs
@@ -47,7 +47,7 @@
 /// # Panics
 ///
 /// Panics if a split changes the result.
-pub fn parses_alike_however_split<R: PartialEq + Debug>(bytes: &[u8], parse: impl Fn(&[&[u8]]) -> R) {
+pub fn assert_same_result_for_any_split<R: PartialEq + Debug>(bytes: &[u8], parse: impl Fn(&[&[u8]]) -> R) {
     let unsplit = parse(&[bytes]);
     for_each_input(&vec(any::<usize>(), SPLITS), |positions| {
         assert_eq!(parse(&split(bytes, &positions)), unsplit, "split at {positions:?}");
@@ -61,7 +61,7 @@
 /// # Panics
 ///
 /// Panics if the parser panics, or if `valid` is empty.
-pub fn survives_garbage(valid: &[u8], parse: impl Fn(&[&[u8]])) {
+pub fn assert_no_panic_on_malformed_input(valid: &[u8], parse: impl Fn(&[&[u8]])) {
     for_each_input(&vec(any::<u8>(), GARBAGE_BYTES), |garbage| parse(&[&garbage]));
     for_each_input(&vec((any::<usize>(), any::<u8>()), REPLACED_BYTES), |replacements| {
         let mut bytes = valid.to_vec();
--- a/crates/fuzz_inputs/tests/inputs.rs
+++ b/crates/fuzz_inputs/tests/inputs.rs
@@ -1,7 +1,7 @@
 //! Checks that the inputs are the same in each run and version, so that failures are reproducible, and that faulty parsers are
 //! found.
 
-use fuzz_inputs::{parses_alike_however_split, survives_garbage};
+use fuzz_inputs::{assert_no_panic_on_malformed_input, assert_same_result_for_any_split};
 use std::cell::RefCell;
 use std::panic::catch_unwind;
 
@@ -33,26 +33,26 @@
 #[test]
 fn splits_are_the_same_in_each_run_and_version() {
     let digest = RefCell::new(Digest::default());
-    parses_alike_however_split(BYTES, |pieces| digest.borrow_mut().add(pieces));
+    assert_same_result_for_any_split(BYTES, |pieces| digest.borrow_mut().add(pieces));
     assert_eq!(digest.into_inner(), Digest { hash: 12_367_585_785_969_809_627, inputs: 258 });
 }
 
 #[test]
 fn malformed_inputs_are_the_same_in_each_run_and_version() {
     let digest = RefCell::new(Digest::default());
-    survives_garbage(BYTES, |pieces| digest.borrow_mut().add(pieces));
+    assert_no_panic_on_malformed_input(BYTES, |pieces| digest.borrow_mut().add(pieces));
     assert_eq!(digest.into_inner(), Digest { hash: 13_318_580_925_060_015_673, inputs: 512 });
 }
 
 #[test]
 fn finds_a_parser_that_depends_on_the_split() {
     let count_pieces = |pieces: &[&[u8]]| pieces.len();
-    assert!(catch_unwind(|| parses_alike_however_split(BYTES, count_pieces)).is_err());
-    parses_alike_however_split(BYTES, |pieces| pieces.concat());
+    assert!(catch_unwind(|| assert_same_result_for_any_split(BYTES, count_pieces)).is_err());
+    assert_same_result_for_any_split(BYTES, |pieces| pieces.concat());
 }
 
 #[test]
 fn finds_a_parser_that_panics_on_malformed_input() {
     let parse_ascii = |pieces: &[&[u8]]| assert!(pieces.concat().is_ascii());
-    assert!(catch_unwind(|| survives_garbage(BYTES, parse_ascii)).is_err());
+    assert!(catch_unwind(|| assert_no_panic_on_malformed_input(BYTES, parse_ascii)).is_err());
 }
--- a/crates/handover/tests/frames.rs
+++ b/crates/handover/tests/frames.rs
@@ -74,7 +74,7 @@
     assert!(directory.messages_from(&[9, 0, 0, 0, 0]).is_empty(), "a truncated frame");
     assert!(directory.messages_from(&[1, 0, 0, 0, 99]).is_empty(), "an unknown variant");
     assert_eq!(directory.messages_from(&[1, 0, 0, 0, 1]), [Message::RequestState]);
-    fuzz_inputs::survives_garbage(&[2, 0, 0, 0, 0, 1, 1, 0, 0, 0, 1], |pieces| {
+    fuzz_inputs::assert_no_panic_on_malformed_input(&[2, 0, 0, 0, 0, 1, 1, 0, 0, 0, 1], |pieces| {
         drop(directory.messages_from(&pieces.concat()))
     });
 }
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-use fuzz_inputs::{parses_alike_however_split, survives_garbage};
+use fuzz_inputs::{assert_no_panic_on_malformed_input, assert_same_result_for_any_split};
 use snowfield_http::{
     self as http, BodyReader, ChunkedDecoder, FinalResponseHead, HttpError, ParsedResponse,
 };
@@ -107,22 +107,22 @@
     let request = |target: &str, body: &str| ParsedRequest { target: target.into(), body: body.into() };
     let expected = vec![request("/a?b", "abc"), request("/c", "def"), request("/d", "")];
     assert_eq!(parse_requests(&[REQUESTS]), Parsed { messages: expected, error: None });
-    parses_alike_however_split(REQUESTS, parse_requests);
+    assert_same_result_for_any_split(REQUESTS, parse_requests);
     assert_eq!(
         parse_responses(&[RESPONSES]).messages,
         [(200, b"hi".to_vec()), (404, b"abc".to_vec()), (204, vec![])]
     );
-    parses_alike_however_split(RESPONSES, parse_responses);
+    assert_same_result_for_any_split(RESPONSES, parse_responses);
     let expected = Decoded { data: b"hello0123456789".to_vec(), is_done: true, error: None };
     assert_eq!(decode_chunks(&[CHUNKS]), expected);
-    parses_alike_however_split(CHUNKS, decode_chunks);
+    assert_same_result_for_any_split(CHUNKS, decode_chunks);
 }
 
 #[test]
 fn survives_malformed_messages() {
-    survives_garbage(REQUESTS, |pieces| drop(parse_requests(pieces)));
-    survives_garbage(RESPONSES, |pieces| drop(parse_responses(pieces)));
-    survives_garbage(CHUNKS, |pieces| drop(decode_chunks(pieces)));
+    assert_no_panic_on_malformed_input(REQUESTS, |pieces| drop(parse_requests(pieces)));
+    assert_no_panic_on_malformed_input(RESPONSES, |pieces| drop(parse_responses(pieces)));
+    assert_no_panic_on_malformed_input(CHUNKS, |pieces| drop(decode_chunks(pieces)));
 }
 
 #[test]
--- a/crates/job_lease/src/consul/tests.rs
+++ b/crates/job_lease/src/consul/tests.rs
@@ -62,7 +62,7 @@
 #[test]
 fn truncated_and_invalid_responses_do_not_panic() {
     let body = r#"{"Results":[{"KV":{"Key":"snowfield/duties/d","ModifyIndex":12}}],"Errors":null}"#;
-    fuzz_inputs::survives_garbage(body.as_bytes(), |pieces| {
+    fuzz_inputs::assert_no_panic_on_malformed_input(body.as_bytes(), |pieces| {
         for status in [200, 409] {
             let response = Response { status, index: 0, body: pieces.concat() };
             let _ = keys().compare_and_set_outcome(&response, "d");
--- a/crates/json_stream/tests/objects.rs
+++ b/crates/json_stream/tests/objects.rs
@@ -38,8 +38,8 @@
         line_end(),
     ];
     assert_eq!(items, expected);
-    fuzz_inputs::parses_alike_however_split(stream.as_bytes(), read_items);
-    fuzz_inputs::survives_garbage(stream.as_bytes(), |pieces| drop(read_items(pieces)));
+    fuzz_inputs::assert_same_result_for_any_split(stream.as_bytes(), read_items);
+    fuzz_inputs::assert_no_panic_on_malformed_input(stream.as_bytes(), |pieces| drop(read_items(pieces)));
 }
 
 #[test]
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -191,7 +191,7 @@
     };
     let payload = keyring.verify(&announcement).expect("authentic").to_vec();
     let receiver = std::cell::RefCell::new(&mut member);
-    fuzz_inputs::survives_garbage(&payload, |pieces| {
+    fuzz_inputs::assert_no_panic_on_malformed_input(&payload, |pieces| {
         let garbage = pieces.concat();
         let mut out = Vec::new();
         receiver.borrow_mut().handle_datagram(MonotonicTime::ZERO, &garbage, &mut out);
--- a/crates/openapi/tests/load.rs
+++ b/crates/openapi/tests/load.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-use fuzz_inputs::survives_garbage;
+use fuzz_inputs::assert_no_panic_on_malformed_input;
 use openapi::{Description, RouteMatch, RouteTable};
 
 fn load(texts: &[&str]) -> Result<RouteTable, String> {
@@ -171,7 +171,7 @@
 #[test]
 fn does_not_panic_on_garbage() {
     let valid = description(DEFAULTS, r#""/a/{x}":{"get":{"x-snowfield-units":3}},"/a/b":{"get":{}}"#);
-    survives_garbage(valid.as_bytes(), |pieces| {
+    assert_no_panic_on_malformed_input(valid.as_bytes(), |pieces| {
         let bytes = pieces.concat();
         let text = String::from_utf8_lossy(&bytes);
         if let Ok(table) = load(&[&text]) {
--- a/crates/operator/src/command/tests.rs
+++ b/crates/operator/src/command/tests.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn garbage_is_rejected_without_a_panic() {
-    fuzz_inputs::survives_garbage(b"exclude s-5be2a07c", |pieces| {
+    fuzz_inputs::assert_no_panic_on_malformed_input(b"exclude s-5be2a07c", |pieces| {
         if let Ok(Command::Eject(id) | Command::Restore(id)) = Command::parse(&pieces.concat()) {
             assert!(!id.is_empty());
         }
--- a/crates/replicated_config/tests/malformed_messages.rs
+++ b/crates/replicated_config/tests/malformed_messages.rs
@@ -34,6 +34,8 @@
         assert_eq!(Message::decode(&bytes).expect("the bytes are a message"), message);
         // A truncated message is an error. Other malformed bytes must not panic.
         (0..bytes.len()).for_each(|n| assert!(Message::decode(&bytes[..n]).is_err(), "{n} bytes"));
-        fuzz_inputs::survives_garbage(&bytes, |pieces| drop(Message::decode(&pieces.concat())));
+        fuzz_inputs::assert_no_panic_on_malformed_input(&bytes, |pieces| {
+            drop(Message::decode(&pieces.concat()))
+        });
     }
 }
--- a/crates/resp/tests/codec.rs
+++ b/crates/resp/tests/codec.rs
@@ -1,6 +1,6 @@
 //! Parsing of split, malformed and oversized input, and the exact bytes of forwarded commands.
 
-use fuzz_inputs::{parses_alike_however_split, survives_garbage};
+use fuzz_inputs::{assert_no_panic_on_malformed_input, assert_same_result_for_any_split};
 use resp::{MAX_BULK_BYTES, MalformedInput, RequestCommand};
 
 const COMMANDS: &[u8] =
@@ -62,16 +62,16 @@
     assert_eq!((parsed.items.len(), parsed.error.is_some()), (1, true));
     let valid = [&COMMANDS[..14], b"*2\r\n$1\r\na\r\n$0\r\n\r\n"].concat();
     assert_eq!(parse_commands(&[&valid]).items, [vec![b"PING".to_vec()], vec![b"a".to_vec(), vec![]]]);
-    parses_alike_however_split(&valid, parse_commands);
-    parses_alike_however_split(COMMANDS, parse_commands);
+    assert_same_result_for_any_split(&valid, parse_commands);
+    assert_same_result_for_any_split(COMMANDS, parse_commands);
     assert_eq!(parse_message_ends(&[ANSWERS]).items.last(), Some(&ANSWERS.len()));
-    parses_alike_however_split(ANSWERS, parse_message_ends);
+    assert_same_result_for_any_split(ANSWERS, parse_message_ends);
 }
 
 #[test]
 fn survives_malformed_commands_and_answers() {
-    survives_garbage(COMMANDS, |pieces| drop(parse_commands(pieces)));
-    survives_garbage(ANSWERS, |pieces| drop(parse_message_ends(pieces)));
+    assert_no_panic_on_malformed_input(COMMANDS, |pieces| drop(parse_commands(pieces)));
+    assert_no_panic_on_malformed_input(ANSWERS, |pieces| drop(parse_message_ends(pieces)));
 }
 
 #[test]
--- a/crates/settings/tests/garbage.rs
+++ b/crates/settings/tests/garbage.rs
@@ -1,6 +1,6 @@
 //! Both configuration files: values of valid files, and rejection of invalid or random bytes without a panic.
 
-use fuzz_inputs::survives_garbage;
+use fuzz_inputs::assert_no_panic_on_malformed_input;
 use settings::appliance::ApplianceConfig;
 use settings::platform::PlatformConfig;
 
@@ -50,9 +50,11 @@
 
 #[test]
 fn garbage_is_rejected_without_a_panic() {
-    survives_garbage(CONFIG.as_bytes(), |pieces| drop(PlatformConfig::parse(&mut pieces.concat())));
+    assert_no_panic_on_malformed_input(CONFIG.as_bytes(), |pieces| {
+        drop(PlatformConfig::parse(&mut pieces.concat()))
+    });
     let toml = include_str!("../../../deploy/openapi.toml");
-    survives_garbage(toml.as_bytes(), |pieces| {
+    assert_no_panic_on_malformed_input(toml.as_bytes(), |pieces| {
         drop(ApplianceConfig::parse(&String::from_utf8_lossy(&pieces.concat())));
     });
 }
