--- a/crates/config_node/src/call.rs
+++ b/crates/config_node/src/call.rs
@@ -14,7 +14,7 @@
 ///
 /// Returns [`Error::Connection`] if the connection fails or no bytes arrive within `timeout`, and [`Error::Unauthenticated`],
 /// [`Error::FrameTooLarge`] or [`Error::Message`] if the answer is not a message of a node with the same keys.
-pub fn call(
+pub fn call_replica(
     address: SocketAddr,
     keys: &Keyring,
     message: &Message,
--- a/crates/config_node/src/error.rs
+++ b/crates/config_node/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A log cannot be created because its file exists already.
-    #[error("{}: there is a log already; it is left as it is", .path.display())]
+    #[error("{}: a replica log already exists; it was left unchanged", .path.display())]
     LogExists {
         /// The file of the log.
         path: PathBuf,
--- a/crates/config_node/src/error/tests.rs
+++ b/crates/config_node/src/error/tests.rs
@@ -13,7 +13,7 @@
     vec![
         (
             Error::LogExists { path: path() },
-            "/var/replica.log: there is a log already; it is left as it is",
+            "/var/replica.log: a replica log already exists; it was left unchanged",
             false,
         ),
         (
--- a/crates/config_node/src/lib.rs
+++ b/crates/config_node/src/lib.rs
@@ -25,7 +25,7 @@
 mod status;
 mod view;
 
-pub use call::call;
+pub use call::call_replica;
 pub use config::{InvalidProposal, NodeConfig, ProposalValidator, ReplicaAddress};
 pub use error::Error;
 pub use node::Node;
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -224,7 +224,7 @@
         stream.write_all(&answer).expect("the answer is sent");
         bytes
     });
-    let result = config_node::call(address, &keys(), request, TIMEOUT, |_| true);
+    let result = config_node::call_replica(address, &keys(), request, TIMEOUT, |_| true);
     ObservedCall { received: server.join().expect("the replica has answered"), result }
 }
 
--- a/crates/config_node/tests/three_nodes.rs
+++ b/crates/config_node/tests/three_nodes.rs
@@ -5,7 +5,7 @@
 use common::{TestDirectory, keys};
 use config_node::{
     ConfigVersion, ConfigView, Error, InvalidProposal, Message, Node, NodeConfig, Proposal, ProposalId,
-    ProposalOutcome, ReplicaAddress, ReplicaLog, call,
+    ProposalOutcome, ReplicaAddress, ReplicaLog, call_replica,
 };
 use std::net::TcpListener;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -76,7 +76,7 @@
         expected_version: None,
         text: format!("text {id}"),
     };
-    call(to.address, &keys(), &Message::Propose(proposal), TIMEOUT, |_| true)
+    call_replica(to.address, &keys(), &Message::Propose(proposal), TIMEOUT, |_| true)
 }
 
 /// Guards against a lease that outlives its validity while the thread that owns the state is blocked, as by a slow disk. Here the
--- a/crates/snowfield/src/error/tests.rs
+++ b/crates/snowfield/src/error/tests.rs
@@ -109,7 +109,7 @@
         ),
         (
             Error::ReplicaLog(config_node::Error::LogExists { path: "m0.log".into() }),
-            "m0.log: there is a log already; it is left as it is",
+            "m0.log: a replica log already exists; it was left unchanged",
         ),
         (
             Error::ConsulToken(consul::TokenError::NoToken { path: "token".into() }),
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -90,7 +90,13 @@
         while Instant::now() < deadline {
             for replica in self.replicas {
                 let is_reply = |reply: &Message| is_answer(reply) || is_redirect(reply);
-                match config_node::call(replica.address, &self.keys, message, REPLICA_TIMEOUT, is_reply) {
+                match config_node::call_replica(
+                    replica.address,
+                    &self.keys,
+                    message,
+                    REPLICA_TIMEOUT,
+                    is_reply,
+                ) {
                     Ok(answer) if is_answer(&answer) => return Ok(answer),
                     Ok(_) => last_failure = format!("{} is not the leader", replica.name),
                     Err(error) => last_failure = format!("{}: {error}", replica.name),
