--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -58,7 +58,7 @@
                 status.job.period.as_millis(),
                 status.owner,
                 last_run(now, &status),
-                status.last_run_here
+                status.last_started_run
             );
         }
     }
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -16,7 +16,7 @@
     /// The run in the last lease record that this instance has seen. `None` if it has not seen any yet.
     pub last_run: Option<LastRun>,
     /// The last run that this instance started. 0 if there is none.
-    pub last_run_here: RunId,
+    pub last_started_run: RunId,
 }
 
 /// The run in the last lease record that an instance has seen.
@@ -112,7 +112,7 @@
             owner: owner.unwrap_or_default().to_owned(),
             rank: self.ranking.rank(local_member),
             last_run: self.last_run.clone(),
-            last_run_here: self.last_started_run,
+            last_started_run: self.last_started_run,
         }
     }
 
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -305,7 +305,10 @@
         harness.advance(PERIOD);
     }
     assert_eq!(harness.run_ids().len(), 5);
-    assert_eq!(harness.scheduler.job_statuses()[0].last_run_here, *harness.run_ids().last().expect("a run"));
+    assert_eq!(
+        harness.scheduler.job_statuses()[0].last_started_run,
+        *harness.run_ids().last().expect("a run")
+    );
 }
 
 #[test]
