--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -13,7 +13,7 @@
 pub use cluster::{ClusterConfig, HealthCheckConfig, PeriodicJobConfig};
 pub use consul::{ConsulConfig, MinimumHealth, RegistrationConfig, ServiceConfig};
 pub use limits::{LimitsConfig, QuotaConfig, SlowStartConfig};
-pub use plan_version::{apply_version, scaled, stricter};
+pub use plan_version::{apply_version, scaled_plans, stricter_plans};
 pub use plans::{PlanConfig, TenantConfig, tenant_number};
 pub use policy_settings::RouteClass;
 pub use replication::{ReplicaConfig, ReplicationConfig};
--- a/crates/settings/src/appliance/plan_version.rs
+++ b/crates/settings/src/appliance/plan_version.rs
@@ -40,7 +40,7 @@
 }
 
 /// The plans with the stricter limits of two versions of the same file, so that neither version is exceeded.
-pub fn stricter(one: &[PlanConfig], other: &[PlanConfig]) -> Vec<PlanConfig> {
+pub fn stricter_plans(one: &[PlanConfig], other: &[PlanConfig]) -> Vec<PlanConfig> {
     one.iter().zip(other).map(|(one, other)| stricter_plan(one, other)).collect()
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// The plans with their limits scaled by `share`, for a gatekeeper without a lease, which may not know the latest version.
-pub fn scaled(plans: &[PlanConfig], share: f64) -> Vec<PlanConfig> {
+pub fn scaled_plans(plans: &[PlanConfig], share: f64) -> Vec<PlanConfig> {
     let scale = |plan: &PlanConfig| PlanConfig {
         name: plan.name.clone(),
         units_per_second: (plan.units_per_second * share).max(MIN_RATE),
--- a/crates/settings/src/key_set.rs
+++ b/crates/settings/src/key_set.rs
@@ -32,7 +32,7 @@
     /// # Errors
     ///
     /// Returns an error with the first missing key.
-    pub fn check_included_in(&self, other: &Self) -> Result<(), SettingsError> {
+    pub fn check_all_present_in(&self, other: &Self) -> Result<(), SettingsError> {
         match self.0.difference(&other.0).next() {
             Some(key) => Err(SettingsError::MissingKey { key: key.clone() }),
             None => Ok(()),
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -28,7 +28,7 @@
 fn rejection(text: &str) -> Option<String> {
     let in_force = keys(&file(CLASS)).expect("a valid file");
     let checked =
-        keys(text).and_then(|other| in_force.check_included_in(&other)).and_then(|()| parse_config(text));
+        keys(text).and_then(|other| in_force.check_all_present_in(&other)).and_then(|()| parse_config(text));
     checked.err().map(|error| error.to_string())
 }
 
--- a/crates/snowfield/src/plan_replication.rs
+++ b/crates/snowfield/src/plan_replication.rs
@@ -7,8 +7,8 @@
 use config_node::{ConfigView, InvalidProposal, Node, NodeConfig, ReplicaAddress};
 use front_openapi::HttpExchange;
 use settings::appliance::{
-    ApplianceConfig, PlanConfig, ReplicaConfig, ReplicationConfig, RouteClass, apply_version, scaled,
-    stricter,
+    ApplianceConfig, PlanConfig, ReplicaConfig, ReplicationConfig, RouteClass, apply_version, scaled_plans,
+    stricter_plans,
 };
 use std::path::Path;
 use std::sync::Arc;
@@ -92,10 +92,10 @@
         None => config.plans.clone(),
     };
     let leased_plans = match &view.proposed {
-        Some(proposed) => stricter(&in_force, &plans_of(&proposed.text)),
+        Some(proposed) => stricter_plans(&in_force, &plans_of(&proposed.text)),
         None => in_force,
     };
-    if view.has_lease { leased_plans } else { scaled(&leased_plans, replication.share_without_lease) }
+    if view.has_lease { leased_plans } else { scaled_plans(&leased_plans, replication.share_without_lease) }
 }
 
 #[cfg(test)]
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -17,7 +17,7 @@
     pub(super) fn reload(&self, path: &Path) -> Result<(), Error> {
         let ConfigFile { config, keys } = config_file::read(path)?;
         let mut in_force = link::lock_or_abort(&self.config_in_force);
-        in_force.keys.check_included_in(&keys).map_err(Error::settings(path))?;
+        in_force.keys.check_all_present_in(&keys).map_err(Error::settings(path))?;
         let mut numbering = in_force.numbering.clone();
         let mut settings = numbering.update(&config).map_err(Error::settings(path))?;
         settings.shared_counter &= self.counter.is_some();
