--- a/crates/fault_harness/src/connections.rs
+++ b/crates/fault_harness/src/connections.rs
@@ -32,14 +32,14 @@
 }
 
 /// Reads and discards what arrives until the peer closes the connection.
-pub fn keep_silent(stream: &mut TcpStream) {
+pub fn discard_input(stream: &mut TcpStream) {
     while stream.read(&mut [0; 512]).is_ok_and(|count| count > 0) {}
 }
 
-/// Like [`keep_silent`], but returns once nothing has arrived for `timeout`.
-pub fn keep_silent_for(stream: &mut TcpStream, timeout: Duration) {
+/// Like [`discard_input`], but returns once nothing has arrived for `timeout`.
+pub fn discard_input_for(stream: &mut TcpStream, timeout: Duration) {
     let _ = stream.set_read_timeout(Some(timeout));
-    keep_silent(stream);
+    discard_input(stream);
 }
 
 /// Makes the connection end with a reset (RST) instead of an orderly close once all its handles are dropped or shut down.
--- a/crates/fault_harness/src/rules.rs
+++ b/crates/fault_harness/src/rules.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use answers::{AnswerFault, answer_fault};
+pub use answers::{AnswerViolation, answer_fault};
 pub use ceilings::{Admission, Excess, largest_excess};
 pub use eligibility::IneligibleSpan;
 pub use token_bucket::TokenBucket;
@@ -20,7 +20,7 @@
 /// No tenant exceeds its hard ceiling.
 pub const HARD_CEILING: &str = "hard ceiling";
 /// No new request reaches a backend that is not eligible.
-pub const NOTHING_TO_INELIGIBLE: &str = "nothing new to who takes no work";
+pub const NO_REQUEST_TO_INELIGIBLE: &str = "nothing new to who takes no work";
 /// No process exits unless the harness asks it to.
 pub const NO_UNREQUESTED_EXIT: &str = "no exit unasked";
 /// A process that is asked to shut down exits with code 0.
--- a/crates/fault_harness/src/rules/answers.rs
+++ b/crates/fault_harness/src/rules/answers.rs
@@ -5,7 +5,7 @@
 
 /// What is wrong with the way a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerFault {
+pub enum AnswerViolation {
     /// The client got an answer that does not belong to its request.
     Foreign,
     /// The gatekeeper closed the client's connection without an answer.
@@ -19,12 +19,14 @@
 /// Returns what is wrong with a request that ended with `outcome` after `took`, if its answer was due within `due`. The caller
 /// may still excuse a fault: an answer may be missing if the gatekeeper was killed, and a gatekeeper may close a connection
 /// before it has read the request.
-pub fn answer_fault(outcome: Outcome, took: Duration, due: Duration) -> Option<AnswerFault> {
+pub fn answer_fault(outcome: Outcome, took: Duration, due: Duration) -> Option<AnswerViolation> {
     match outcome {
-        Outcome::Foreign => Some(AnswerFault::Foreign),
-        Outcome::Closed => Some(AnswerFault::Closed),
-        Outcome::Unanswered => Some(AnswerFault::Missing),
-        Outcome::Served | Outcome::Rejected | Outcome::Failed => (took > due).then_some(AnswerFault::Late),
+        Outcome::Foreign => Some(AnswerViolation::Foreign),
+        Outcome::Closed => Some(AnswerViolation::Closed),
+        Outcome::Unanswered => Some(AnswerViolation::Missing),
+        Outcome::Served | Outcome::Rejected | Outcome::Failed => {
+            (took > due).then_some(AnswerViolation::Late)
+        }
         Outcome::NotAccepted | Outcome::Left => None,
     }
 }
--- a/crates/fault_harness/src/rules/ceilings.rs
+++ b/crates/fault_harness/src/rules/ceilings.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
     /// When the first attempt arrived at its backend.
-    pub at: Duration,
+    pub time: Duration,
     /// The units that the request takes.
     pub units: f64,
 }
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess {
     /// When the admission that caused the excess arrived.
-    pub at: Duration,
+    pub time: Duration,
     /// Units beyond the rate and the burst of the ceiling.
     pub units: f64,
     /// Units beyond rate and burst that are tolerated at this time.
@@ -32,11 +32,11 @@
     admissions: &[Admission],
     allowed: impl Fn(Duration) -> f64,
 ) -> Option<Excess> {
-    let mut bucket = TokenBucket::full(units_per_second, burst, admissions.first()?.at);
+    let mut bucket = TokenBucket::full(units_per_second, burst, admissions.first()?.time);
     let mut largest: Option<Excess> = None;
     for admission in admissions {
-        let level = bucket.take(admission.units, admission.at);
-        let excess = Excess { at: admission.at, units: -level, allowed: allowed(admission.at) };
+        let level = bucket.take(admission.units, admission.time);
+        let excess = Excess { time: admission.time, units: -level, allowed: allowed(admission.time) };
         let untolerated = |excess: &Excess| excess.units - excess.allowed;
         if untolerated(&excess) > largest.as_ref().map_or(0.0, untolerated) {
             largest = Some(excess);
--- a/crates/fault_harness/src/rules/tests.rs
+++ b/crates/fault_harness/src/rules/tests.rs
@@ -15,12 +15,12 @@
     for (outcome, took, fault) in [
         (Outcome::Served, DUE, None),
         (Outcome::Rejected, DUE, None),
-        (Outcome::Served, DUE + ms(1), Some(AnswerFault::Late)),
-        (Outcome::Rejected, DUE + ms(1), Some(AnswerFault::Late)),
-        (Outcome::Failed, DUE + ms(1), Some(AnswerFault::Late)),
-        (Outcome::Foreign, ms(1), Some(AnswerFault::Foreign)),
-        (Outcome::Closed, ms(1), Some(AnswerFault::Closed)),
-        (Outcome::Unanswered, ms(1), Some(AnswerFault::Missing)),
+        (Outcome::Served, DUE + ms(1), Some(AnswerViolation::Late)),
+        (Outcome::Rejected, DUE + ms(1), Some(AnswerViolation::Late)),
+        (Outcome::Failed, DUE + ms(1), Some(AnswerViolation::Late)),
+        (Outcome::Foreign, ms(1), Some(AnswerViolation::Foreign)),
+        (Outcome::Closed, ms(1), Some(AnswerViolation::Closed)),
+        (Outcome::Unanswered, ms(1), Some(AnswerViolation::Missing)),
         (Outcome::NotAccepted, DUE * 2, None),
         (Outcome::Left, DUE * 2, None),
     ] {
@@ -30,7 +30,7 @@
 
 #[test]
 fn admissions_may_use_up_the_burst_and_the_rate() {
-    let at = |at_ms, units| Admission { at: ms(at_ms), units };
+    let at = |at_ms, units| Admission { time: ms(at_ms), units };
     let permitted = [at(1_000, 10.0), at(1_500, 5.0), at(9_000, 10.0)];
     assert_eq!(largest_excess(10.0, 10.0, &permitted, |_| 0.0), None);
     assert_eq!(largest_excess(10.0, 10.0, &[], |_| 0.0), None);
@@ -38,14 +38,14 @@
 
 #[test]
 fn the_largest_excess_over_what_is_allowed_is_found() {
-    let at = |at_ms, units| Admission { at: ms(at_ms), units };
+    let at = |at_ms, units| Admission { time: ms(at_ms), units };
     let broken = [at(0, 12.0), at(0, 1.0), at(1_000, 5.0)];
     let excess = largest_excess(10.0, 10.0, &broken, |_| 1.0);
-    assert_eq!(excess, Some(Excess { at: ms(0), units: 3.0, allowed: 1.0 }));
+    assert_eq!(excess, Some(Excess { time: ms(0), units: 3.0, allowed: 1.0 }));
     assert_eq!(largest_excess(10.0, 10.0, &broken, |_| 3.0), None);
     // The tolerated excess may change with time.
     let allowed = |at| if at == Duration::ZERO { 3.0 } else { -5.0 };
-    assert_eq!(largest_excess(10.0, 10.0, &broken, allowed).map(|excess| excess.at), Some(ms(1_000)));
+    assert_eq!(largest_excess(10.0, 10.0, &broken, allowed).map(|excess| excess.time), Some(ms(1_000)));
 }
 
 #[test]
--- a/crates/fault_harness/src/stand_ins/backend_server.rs
+++ b/crates/fault_harness/src/stand_ins/backend_server.rs
@@ -2,7 +2,7 @@
 //! decides.
 
 use crate::clock::ScheduleClock;
-use crate::connections::{is_temporary, keep_silent, reset_on_close};
+use crate::connections::{discard_input, is_temporary, reset_on_close};
 use crate::wire;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -266,7 +266,7 @@
 /// Stays silent until the peer closes the connection.
 fn hang(stream: &TcpStream) -> io::Result<()> {
     stream.set_read_timeout(None)?;
-    keep_silent(&mut stream.try_clone()?);
+    discard_input(&mut stream.try_clone()?);
     Ok(())
 }
 
--- a/crates/fault_harness/src/stand_ins/endpoint_list.rs
+++ b/crates/fault_harness/src/stand_ins/endpoint_list.rs
@@ -59,7 +59,7 @@
     /// State of the backend after the change.
     pub state: ListedState,
     /// Whether the backend has just started.
-    pub has_started: bool,
+    pub has_just_started: bool,
 }
 
 /// An update that a watch is sent.
@@ -98,7 +98,7 @@
         let revision = list.revision + 1;
         let Some(backend) = list.backends.iter_mut().find(|backend| backend.id == id) else { return };
         (backend.state, backend.revision) = (change.state, revision);
-        if change.has_started {
+        if change.has_just_started {
             backend.boot_ms = unix_ms();
         }
         list.revision = revision;
--- a/crates/fault_harness/src/stand_ins/endpoint_list/tests.rs
+++ b/crates/fault_harness/src/stand_ins/endpoint_list/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use std::time::Instant;
 
-const REMOVED: ListedChange = ListedChange { state: ListedState::Removed, has_started: false };
-const DRAINING: ListedChange = ListedChange { state: ListedState::Draining, has_started: false };
+const REMOVED: ListedChange = ListedChange { state: ListedState::Removed, has_just_started: false };
+const DRAINING: ListedChange = ListedChange { state: ListedState::Draining, has_just_started: false };
 
 fn list() -> EndpointList {
     EndpointList::new(["l0", "l1"].map(str::to_owned), 41)
@@ -56,7 +56,7 @@
 fn the_start_time_of_a_backend_is_listed() {
     let list = list();
     let before = unix_ms();
-    list.change("l0", ListedChange { state: ListedState::Up, has_started: true }, || ());
+    list.change("l0", ListedChange { state: ListedState::Up, has_just_started: true }, || ());
     let backends = list.backends();
     assert!(backends[0].boot_ms >= before && backends[1].boot_ms == 0);
 }
--- a/crates/fault_harness/src/stand_ins/quota_counter.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter.rs
@@ -1,6 +1,6 @@
 //! The quota counter stand-in: a RESP2 server that keeps named totals, each of which expires.
 
-use crate::connections::{keep_silent, reset_on_close};
+use crate::connections::{discard_input, reset_on_close};
 use crate::sync::lock;
 use crate::wire;
 use std::collections::HashMap;
@@ -131,12 +131,12 @@
             let failure = failure();
             let reply = match self.respond(&arguments, failure, &observe) {
                 Response::Send(reply) => reply,
-                Response::KeepSilent => return keep_silent(&mut stream),
+                Response::KeepSilent => return discard_input(&mut stream),
                 Response::Close => return,
             };
             match failure {
                 // No later call can be answered either, as answers have the order of their calls.
-                Some(CounterFailure::ResponseLost) => return keep_silent(&mut stream),
+                Some(CounterFailure::ResponseLost) => return discard_input(&mut stream),
                 Some(CounterFailure::Resetting) => return reset_on_close(&stream),
                 Some(CounterFailure::ResponseTruncated) => {
                     let _ = stream.write_all(&reply.as_bytes()[..reply.len() / 2]);
--- a/crates/fault_harness/src/stand_ins/watch_server.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server.rs
@@ -3,7 +3,7 @@
 use super::endpoint_list::{
     EndpointList, HEARTBEAT_INTERVAL, ListUpdate, write_watch_head, write_watch_line,
 };
-use crate::connections::keep_silent;
+use crate::connections::discard_input;
 use crate::wire;
 use std::io::{self, BufReader};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -42,7 +42,7 @@
 /// The part of a site that decides how the agent of one gatekeeper behaves and records its updates.
 pub trait WatchSite {
     /// What the site notes of an update before it is written, to record it afterwards.
-    type Notice;
+    type PendingUpdate;
 
     /// How the agent answers now.
     fn mode(&self) -> WatchMode {
@@ -51,9 +51,9 @@
     /// The address at which the gatekeeper reaches a backend; none if it cannot reach it.
     fn address(&self, backend: &str) -> Option<SocketAddr>;
     /// An update is about to be written.
-    fn sending(&self, update: &ListUpdate) -> Self::Notice;
+    fn sending(&self, update: &ListUpdate) -> Self::PendingUpdate;
     /// The update was written completely.
-    fn sent(&self, notice: Self::Notice);
+    fn sent(&self, update: Self::PendingUpdate);
 }
 
 /// Serves one watch until it ends.
@@ -82,7 +82,7 @@
             thread::sleep(delay);
         }
         if self.site.mode() == WatchMode::Silent {
-            keep_silent(self.stream);
+            discard_input(self.stream);
             return Ok(());
         }
         write_watch_head(self.stream)?;
@@ -100,7 +100,7 @@
             match self.site.mode() {
                 WatchMode::Down => return Ok(()),
                 WatchMode::Silent => {
-                    keep_silent(self.stream);
+                    discard_input(self.stream);
                     return Ok(());
                 }
                 WatchMode::Healthy | WatchMode::Slow(_) => {}
--- a/crates/fault_harness/src/stand_ins/watch_server/tests.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server/tests.rs
@@ -33,7 +33,11 @@
     }
 
     fn drain(&self, backend: &str) {
-        self.list.change(backend, ListedChange { state: ListedState::Draining, has_started: false }, || ());
+        self.list.change(
+            backend,
+            ListedChange { state: ListedState::Draining, has_just_started: false },
+            || (),
+        );
     }
 
     /// Opens a watch of a gatekeeper that has the list with this revision, or no list if that is 0.
@@ -50,7 +54,7 @@
 }
 
 impl WatchSite for Agent {
-    type Notice = u64;
+    type PendingUpdate = u64;
 
     fn mode(&self) -> WatchMode {
         *lock(&self.mode)
--- a/crates/fault_injection/src/checkers/ceilings.rs
+++ b/crates/fault_injection/src/checkers/ceilings.rs
@@ -18,8 +18,9 @@
     let violations = admissions.into_iter().filter_map(|(tenant, admissions)| {
         let Ceiling { units_per_second, burst, .. } = bounds.ceilings[tenant];
         let slack = slack(&bounds.ceilings[tenant], late_ms);
-        let Excess { at, units, allowed } = largest_excess(units_per_second, burst, &admissions, |_| slack)?;
-        let at_ms = (at - start).as_millis();
+        let Excess { time, units, allowed } =
+            largest_excess(units_per_second, burst, &admissions, |_| slack)?;
+        let at_ms = (time - start).as_millis();
         let text =
             format!("{tenant} is {units:.1} units past its ceiling at {at_ms} ms, {allowed:.1} allowed");
         Some(Violation::new(HARD_CEILING, text))
@@ -53,8 +54,8 @@
                 // Later attempts of the request find no entry and are not counted.
                 let Some((tenant, units)) = unattempted.remove(request_id) else { continue };
                 if bounds.ceilings.contains_key(tenant) {
-                    let at = Duration::from_micros(record.at_us);
-                    admissions.entry(tenant).or_default().push(Admission { at, units });
+                    let time = Duration::from_micros(record.at_us);
+                    admissions.entry(tenant).or_default().push(Admission { time, units });
                 }
             }
             _ => {}
--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -1,7 +1,7 @@
 //! Checks that draining backends receive no new attempts.
 
 use super::fault_spans::{AffectedSpans, delayed_attempts};
-use super::rules::{IneligibleSpan, NOTHING_TO_INELIGIBLE};
+use super::rules::{IneligibleSpan, NO_REQUEST_TO_INELIGIBLE};
 use super::{Bounds, Violation};
 use crate::history::{Observation, Record, Span};
 use serde_json::{Map, Value};
@@ -144,7 +144,7 @@
             let text = format!(
                 "operation {request_id} reached {backend} from {gatekeeper} {late_ms} ms after it said so"
             );
-            violations.push(Violation::new(NOTHING_TO_INELIGIBLE, text).by(gatekeeper));
+            violations.push(Violation::new(NO_REQUEST_TO_INELIGIBLE, text).by(gatekeeper));
         }
     }
     violations
--- a/crates/fault_injection/src/checkers/requests.rs
+++ b/crates/fault_injection/src/checkers/requests.rs
@@ -1,7 +1,7 @@
 //! Checks that each request has exactly one final answer.
 
 use super::fault_spans::AffectedSpans;
-use super::rules::{AnswerFault, ONE_FINAL_ANSWER, answer_fault};
+use super::rules::{AnswerViolation, ONE_FINAL_ANSWER, answer_fault};
 use super::{Bounds, Violation};
 use crate::history::{Observation, Outcome, Record, Span};
 use std::collections::BTreeMap;
@@ -48,18 +48,18 @@
         let took = Duration::from_micros(end_us - request.sent_us);
         let Some(fault) = answer_fault(outcome, took, self.time_limit) else { return };
         // No fault permits the answer to another request.
-        if fault != AnswerFault::Foreign && self.was_affected_by_fault(&request, end_us) {
+        if fault != AnswerViolation::Foreign && self.was_affected_by_fault(&request, end_us) {
             return;
         }
         let (gatekeeper, took_ms) = (request.gatekeeper, took.as_millis());
         self.violation(match fault {
-            AnswerFault::Foreign => {
+            AnswerViolation::Foreign => {
                 format!("operation {request_id} got the answer of another, by {gatekeeper}")
             }
-            AnswerFault::Closed | AnswerFault::Missing => {
+            AnswerViolation::Closed | AnswerViolation::Missing => {
                 format!("operation {request_id} has no answer from {gatekeeper} after {took_ms} ms")
             }
-            AnswerFault::Late => {
+            AnswerViolation::Late => {
                 format!("operation {request_id} was answered by {gatekeeper} after {took_ms} ms")
             }
         });
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -34,7 +34,7 @@
     /// Marks a backend as draining, or as up.
     pub fn set_draining(&self, name: &str, is_draining: bool) {
         let state = if is_draining { ListedState::Draining } else { ListedState::Up };
-        self.list.change(name, ListedChange { state, has_started: false }, || ());
+        self.list.change(name, ListedChange { state, has_just_started: false }, || ());
     }
 
     /// The complete endpoint list for a gatekeeper that reaches the backends at these addresses.
@@ -87,7 +87,7 @@
 }
 
 impl WatchSite for Agent {
-    type Notice = Notice;
+    type PendingUpdate = Notice;
 
     fn address(&self, backend: &str) -> Option<SocketAddr> {
         self.addresses.get(backend).copied()
--- a/crates/platform_soak/src/checkers/endpoints.rs
+++ b/crates/platform_soak/src/checkers/endpoints.rs
@@ -4,7 +4,7 @@
 use super::{MAX_SCHEDULING_DELAY, violation_by};
 use crate::history::{GatekeeperIndex, History, Moment, ProcessEvent};
 use crate::settings::Settings;
-use fault_harness::rules::{IneligibleSpan, NOTHING_TO_INELIGIBLE};
+use fault_harness::rules::{IneligibleSpan, NO_REQUEST_TO_INELIGIBLE};
 use fault_harness::stand_ins::ListedState;
 use fault_harness::violation::Violation;
 use std::time::Duration;
@@ -33,7 +33,7 @@
                     attempt.backend,
                     lateness.as_secs_f64()
                 );
-                violations.push(violation_by(gatekeeper, NOTHING_TO_INELIGIBLE, attempt.began, text));
+                violations.push(violation_by(gatekeeper, NO_REQUEST_TO_INELIGIBLE, attempt.began, text));
             }
         }
     }
--- a/crates/platform_soak/src/checkers/quotas.rs
+++ b/crates/platform_soak/src/checkers/quotas.rs
@@ -24,9 +24,9 @@
     let requests: HashMap<RequestNumber, (usize, f64)> =
         history.requests.iter().map(|request| (request.number, (request.tenant, request.units))).collect();
     let mut admissions: Vec<Vec<Admission>> = settings.tenants.iter().map(|_| Vec::new()).collect();
-    for (at, number) in first_arrivals(history) {
+    for (time, number) in first_arrivals(history) {
         if let Some(&(tenant, units)) = requests.get(&number) {
-            admissions[tenant].push(Admission { at, units });
+            admissions[tenant].push(Admission { time, units });
         }
     }
     let tenants = settings.tenants.iter().enumerate().zip(&admissions);
@@ -64,16 +64,16 @@
     tenant: &Tenant,
     admissions: &[Admission],
 ) -> Option<Violation> {
-    let first_checked = admissions.first()?.at + RATE_LEARNING_TIME;
+    let first_checked = admissions.first()?.time + RATE_LEARNING_TIME;
     let (mut sum, mut begin) = (0.0, 0);
     let mut worst: Option<(f64, Moment, f64)> = None;
     for (end, last) in admissions.iter().enumerate() {
         sum += last.units;
-        while admissions[begin].at + WINDOW < last.at {
+        while admissions[begin].time + WINDOW < last.time {
             sum -= admissions[begin].units;
             begin += 1;
         }
-        let from = admissions[begin].at;
+        let from = admissions[begin].time;
         if from < first_checked || end == begin {
             continue;
         }
@@ -114,5 +114,5 @@
     };
     let excess = largest_excess(tenant.ceiling_rate, tenant.ceiling_burst, admissions, allowed)?;
     let text = format!("tenant {index} was {:.1} units over its ceiling", excess.units);
-    Some(Violation::new(HARD_CEILING, text).at(excess.at))
+    Some(Violation::new(HARD_CEILING, text).at(excess.time))
 }
--- a/crates/platform_soak/src/checkers/requests.rs
+++ b/crates/platform_soak/src/checkers/requests.rs
@@ -3,7 +3,7 @@
 use super::violation_by;
 use crate::client::ANSWER_GRACE;
 use crate::history::{History, Refusal, RequestRecord};
-use fault_harness::rules::{AnswerFault, ONE_FINAL_ANSWER, answer_fault};
+use fault_harness::rules::{AnswerViolation, ONE_FINAL_ANSWER, answer_fault};
 use fault_harness::violation::Violation;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -36,16 +36,20 @@
     let took = request.ended.saturating_sub(request.sent);
     let due = request.deadline + ANSWER_GRACE + history.harness_delay(request.sent, request.ended);
     let text = match answer_fault(request.outcome, took, due)? {
-        AnswerFault::Foreign => "got an answer that does not belong to it",
-        AnswerFault::Closed if was_attempted => "was forwarded, and its connection closed without an answer",
-        AnswerFault::Closed if request.is_first_on_connection => {
+        AnswerViolation::Foreign => "got an answer that does not belong to it",
+        AnswerViolation::Closed if was_attempted => {
+            "was forwarded, and its connection closed without an answer"
+        }
+        AnswerViolation::Closed if request.is_first_on_connection => {
             "was the first on its connection, which was closed without an answer"
         }
         // The gatekeeper closed an idle connection before it read the request.
-        AnswerFault::Closed => return None,
+        AnswerViolation::Closed => return None,
         // A delayed client may have stopped waiting before the answer was due.
-        AnswerFault::Missing if took < due => return None,
-        AnswerFault::Missing | AnswerFault::Late => "had no answer by its deadline and half a second more",
+        AnswerViolation::Missing if took < due => return None,
+        AnswerViolation::Missing | AnswerViolation::Late => {
+            "had no answer by its deadline and half a second more"
+        }
     };
     let from = request.sent.saturating_sub(KILL_MARGIN);
     if history.was_killed(gatekeeper, from, request.ended + KILL_MARGIN) {
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -8,7 +8,7 @@
 use fault_harness::outcome::Outcome;
 use fault_harness::process::ExitRequest;
 use fault_harness::rules::{
-    CLEAN_EXIT, HARD_CEILING, NO_UNREQUESTED_EXIT, NOTHING_TO_INELIGIBLE, ONE_FINAL_ANSWER,
+    CLEAN_EXIT, HARD_CEILING, NO_REQUEST_TO_INELIGIBLE, NO_UNREQUESTED_EXIT, ONE_FINAL_ANSWER,
 };
 use fault_harness::stand_ins::{AttemptOutcome, ListedState};
 
@@ -200,7 +200,7 @@
     history.list_changes.push(list_change(ms(500), 0, ListedState::Removed));
     history.notifications.push(Notification { at: ms(510), gatekeeper: 0, changes: 1 });
     let bound = ms(510) + settings().drain_grace + MAX_SCHEDULING_DELAY + ms(55);
-    for (late, rules) in [(ms(0), vec![]), (ms(1), vec![NOTHING_TO_INELIGIBLE])] {
+    for (late, rules) in [(ms(0), vec![]), (ms(1), vec![NO_REQUEST_TO_INELIGIBLE])] {
         history.requests[0].sent = bound;
         history.attempts = vec![attempt(0, bound + late)];
         assert_eq!(broken_rules(&history), rules, "{late:?}");
