--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// The gossip address cannot be bound.
-    #[error("gossip on {address}: {source}")]
+    #[error("cannot bind the gossip socket on {address}: {source}")]
     BindGossip {
         /// The address from [`Gossip::listen`](crate::Gossip::listen).
         address: SocketAddr,
--- a/crates/cluster/src/error/tests.rs
+++ b/crates/cluster/src/error/tests.rs
@@ -8,7 +8,10 @@
     let source = || io::Error::other("in use");
     let address = SocketAddr::from(([127, 0, 0, 1], 7946));
     let errors = [
-        (ClusterError::BindGossip { address, source: source() }, "gossip on 127.0.0.1:7946: in use"),
+        (
+            ClusterError::BindGossip { address, source: source() },
+            "cannot bind the gossip socket on 127.0.0.1:7946: in use",
+        ),
         (
             ClusterError::SpawnThread { name: "cluster", source: source() },
             "cannot start thread cluster: in use",
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -47,8 +47,8 @@
         source: io::Error,
     },
     /// The file is empty, too long, or contains whitespace or other characters that are invalid in a token.
-    #[error("{}: it holds no token", path.display())]
-    NoToken {
+    #[error("{}: the file does not contain a valid token", path.display())]
+    InvalidToken {
         /// Path of the token file.
         path: PathBuf,
     },
--- a/crates/consul/src/error/tests.rs
+++ b/crates/consul/src/error/tests.rs
@@ -32,7 +32,10 @@
     let error = TokenError::Unreadable { path: path.clone(), source };
     assert_eq!(error.to_string(), "/etc/consul.token: no such file");
     assert!(error.source().is_some());
-    assert_eq!(TokenError::NoToken { path }.to_string(), "/etc/consul.token: it holds no token");
+    assert_eq!(
+        TokenError::InvalidToken { path }.to_string(),
+        "/etc/consul.token: the file does not contain a valid token"
+    );
 }
 
 #[test]
--- a/crates/consul/src/token_file.rs
+++ b/crates/consul/src/token_file.rs
@@ -40,7 +40,7 @@
             .map_err(|source| TokenError::Unreadable { path: path.clone(), source })?;
         let token = text.trim();
         if !is_valid_token(token) {
-            return Err(TokenError::NoToken { path: path.clone() });
+            return Err(TokenError::InvalidToken { path: path.clone() });
         }
         Ok(Some(token.to_owned()))
     }
--- a/crates/snowfield/src/error/tests.rs
+++ b/crates/snowfield/src/error/tests.rs
@@ -105,15 +105,15 @@
         ),
         (
             Error::from(cluster::ClusterError::BindGossip { address, source: connection_refused() }),
-            "cluster: gossip on 127.0.0.1:9600: connection refused",
+            "cluster: cannot bind the gossip socket on 127.0.0.1:9600: connection refused",
         ),
         (
             Error::ReplicaLog(config_node::Error::LogExists { path: "m0.log".into() }),
             "m0.log: a replica log already exists; it was left unchanged",
         ),
         (
-            Error::ConsulToken(consul::TokenError::NoToken { path: "token".into() }),
-            "consul: token_file: token: it holds no token",
+            Error::ConsulToken(consul::TokenError::InvalidToken { path: "token".into() }),
+            "consul: token_file: token: the file does not contain a valid token",
         ),
         (
             Error::ConsulWatch(connection_refused()),
