--- a/crates/config_node/src/connection.rs
+++ b/crates/config_node/src/connection.rs
@@ -15,7 +15,7 @@
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::time::Duration;
 
-/// Time-out for establishing a connection, and for each write.
+/// Timeout for establishing a connection, and for each write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 /// A connection that carries no message for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -48,7 +48,7 @@
     }
 }
 
-/// Disables Nagle's algorithm and sets the write time-out. Errors are ignored: the connection works without these options, but
+/// Disables Nagle's algorithm and sets the write timeout. Errors are ignored: the connection works without these options, but
 /// more slowly.
 fn set_write_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -19,7 +19,7 @@
 const COUNT_BYTES: usize = 8 + 20 + 8;
 /// Size in bytes of a log without frames, which holds only the format identifier.
 const EMPTY_LOG_BYTES: usize = 8;
-/// Time-out for each call, longer than any call takes.
+/// Timeout for each call, longer than any call takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A temporary directory for the two files of a log.
--- a/crates/config_node/tests/three_nodes.rs
+++ b/crates/config_node/tests/three_nodes.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time-out for each step, longer than any step takes.
+/// Timeout for each step, longer than any step takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const LEASE_DURATION: Duration = Duration::from_millis(800);
 
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -20,7 +20,7 @@
     /// The agent responded with a status other than 200.
     #[error("the agent responded with status {0}")]
     Status(u16),
-    /// The HTTP exchange failed: no connection, a time-out, or a malformed or too large response.
+    /// The HTTP exchange failed: no connection, a timeout, or a malformed or too large response.
     #[error("{0}")]
     Transport(#[from] ureq::Error),
     /// The body is not a valid response of the health API.
--- a/crates/consul/src/http_agent.rs
+++ b/crates/consul/src/http_agent.rs
@@ -24,7 +24,7 @@
         .into()
 }
 
-/// Sets the time-out of the complete call on a request, and adds the ACL token if there is one.
+/// Sets the timeout of the complete call on a request, and adds the ACL token if there is one.
 pub(crate) fn with_timeout_and_token<Kind>(
     request: RequestBuilder<Kind>,
     timeout: Duration,
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -65,7 +65,7 @@
     pub fn deregister(&self) {
         let (done, acknowledgement) = sync_channel(1);
         if self.deregister_requests.try_send(DeregisterRequest { done }).is_ok() {
-            // After a time-out nothing more is done: the TTL check expires, and Consul removes the registration later.
+            // After a timeout nothing more is done: the TTL check expires, and Consul removes the registration later.
             let _ = acknowledgement.recv_timeout(DEREGISTER_TIMEOUT);
         }
     }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -15,7 +15,7 @@
 /// A connection with unanswered calls counts as dead after this time without received bytes, since a network partition sends no
 /// reset.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time-out for the rest of an incomplete answer. Answers have a few bytes and arrive in one piece.
+/// Timeout for the rest of an incomplete answer. Answers have a few bytes and arrive in one piece.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 /// Maximum number of bytes of one read.
 const READ_BYTES: usize = 4096;
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client of the quota counter: pipelined `TALLY` calls in RESP2, whose answers arrive in order.
 //!
-//! The exchange applies the time-outs of calls. An answer that arrives after the time-out is still matched to its call here, and
+//! The exchange applies the timeouts of calls. An answer that arrives after the timeout is still matched to its call here, and
 //! so never to a later one.
 
 mod call_result;
--- a/crates/counter/tests/fixtures.rs
+++ b/crates/counter/tests/fixtures.rs
@@ -45,7 +45,7 @@
 
 fn accept(listener: &TcpListener) -> TcpStream {
     let stream = listener.accept().expect("a connection").0;
-    stream.set_read_timeout(Some(TIMEOUT)).expect("the read time-out is set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the read timeout is set");
     stream
 }
 
--- a/crates/discovery/src/poll_backoff.rs
+++ b/crates/discovery/src/poll_backoff.rs
@@ -27,7 +27,7 @@
 const POLLING_MAX_BACKOFF: Duration = Duration::from_secs(6);
 /// Upper bound of the mean backoff of a notified agent. It is short, because its requests put no load on a shared service.
 const NOTIFIED_MAX_BACKOFF: Duration = Duration::from_millis(300);
-/// Time-out for the response of a notified agent. It responds at once with its present list, unless it is down.
+/// Timeout for the response of a notified agent. It responds at once with its present list, unless it is down.
 const NOTIFIED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A watch that ends sooner than this after its request counts as failed: the agent responds at once with its present list, and
 /// closes the connection when its own request to the discovery service fails.
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Time-out for the head of the agent's response, counted from the established connection.
+    /// Timeout for the head of the agent's response, counted from the established connection.
     pub fn response_timeout(&self) -> Duration {
         self.response_timeout
     }
--- a/crates/discovery/src/poll_backoff/tests.rs
+++ b/crates/discovery/src/poll_backoff/tests.rs
@@ -6,7 +6,7 @@
 
 /// Service time of a request in the discovery service.
 const SERVICE_TIME: Duration = Duration::from_millis(60);
-/// Time-out of a request. The service spends the service time on timed-out requests too.
+/// Timeout of a request. The service spends the service time on timed-out requests too.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(1);
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -31,7 +31,7 @@
 /// Accepts a connection and returns the request on it, with the connection.
 fn accept(listener: &TcpListener) -> (String, TcpStream) {
     let mut stream = listener.accept().expect("a connection").0;
-    stream.set_read_timeout(Some(TIMEOUT)).expect("the read time-out is set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the read timeout is set");
     let mut request = Vec::new();
     while !request.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
--- a/crates/front_openapi/src/front.rs
+++ b/crates/front_openapi/src/front.rs
@@ -71,14 +71,14 @@
         self.open_clients().len()
     }
 
-    /// Closes connections that have exceeded the idle time-out or the client time-out. The caller runs it a few times a second.
+    /// Closes connections that have exceeded the idle timeout or the client timeout. The caller runs it a few times a second.
     pub fn close_overdue(&self) {
         let client_timeout = self.config.client_timeout;
         for client in self.open_clients() {
             let current = client.phase();
             match current.phase {
                 Phase::Idle if current.exceeds(IDLE_TIMEOUT) => client.request_close_if_idle(),
-                // The connection's coroutine wakes, checks the time-out and answers 408.
+                // The connection's coroutine wakes, checks the timeout and answers 408.
                 Phase::Reading if current.exceeds(client_timeout) => client.connection.wake(),
                 Phase::Finishing if current.exceeds(client_timeout) => client.connection.close(),
                 _ => {}
--- a/crates/front_openapi/src/receive.rs
+++ b/crates/front_openapi/src/receive.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Ends a woken connection if its close was requested while it is idle, or if its request has exceeded the client time-out.
+    /// Ends a woken connection if its close was requested while it is idle, or if its request has exceeded the client timeout.
     fn check_timeouts(&self, client: &ClientConnection) -> ServeResult {
         let current = client.phase();
         // A wake is reported only when nothing is left to read, so no request has arrived unread.
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -15,7 +15,7 @@
 /// Bytes that a client may pipeline while a request is in flight. Once they are buffered, its connection is not read
 /// (backpressure).
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Time between the exchange's deadline and the client's time-out, to cover the resolution of timers.
+/// Time between the exchange's deadline and the client's timeout, to cover the resolution of timers.
 const DEADLINE_MARGIN_MICROS: Micros = 10_000;
 /// Minimum time that a request has, however short its deadline.
 const MIN_TIME_LEFT_MICROS: Micros = 1_000;
--- a/crates/front_resp/src/client_state.rs
+++ b/crates/front_resp/src/client_state.rs
@@ -1,4 +1,4 @@
-//! The activity of a client's connection, from which its time-outs follow.
+//! The activity of a client's connection, from which its timeouts follow.
 //!
 //! ```text
 //!            first byte              last byte
@@ -83,7 +83,7 @@
         (self.is_ending && self.answers.is_empty()).then(|| self.idle_since.elapsed())
     }
 
-    /// Whether the incomplete command has exceeded its time-out.
+    /// Whether the incomplete command has exceeded its timeout.
     pub(crate) fn is_command_overdue(&self) -> bool {
         let is_first_overdue = !self.had_valid_command && self.idle_since.elapsed() >= FIRST_COMMAND_TIMEOUT;
         self.incomplete.age().is_some_and(|age| age >= COMMAND_TIMEOUT || is_first_overdue)
@@ -100,7 +100,7 @@
         self.idle_time().filter(|&idle| idle >= timeout)
     }
 
-    /// Whether the connection has exceeded the idle time-out without ever receiving a valid command.
+    /// Whether the connection has exceeded the idle timeout without ever receiving a valid command.
     pub(crate) fn is_silent(&self) -> bool {
         !self.had_valid_command && self.idle_time().is_some_and(|idle| idle >= IDLE_TIMEOUT)
     }
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -16,7 +16,7 @@
 pub(crate) enum ConnectionEnd {
     /// The client has disconnected: no answer can reach it.
     ClientGone,
-    /// The idle time-out has passed, or the connection is evicted.
+    /// The idle timeout has passed, or the connection is evicted.
     Idle,
     /// The process shuts down: no more commands are read, and those that were read are answered.
     Shutdown,
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// At the connection limit, a lingering connection is closed after the linger time-out divided by this.
+/// At the connection limit, a lingering connection is closed after the linger timeout divided by this.
 const LINGER_DIVISOR: u32 = 4;
 
 /// A connection that may be evicted.
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -107,14 +107,14 @@
     /// Takes over a connection that another process has served. Its client counts as one that has sent a request. `incomplete`
     /// holds the bytes that have arrived of an incomplete command, and is empty if there is none.
     pub fn adopt(self: &Arc<Self>, socket: Connection, incomplete: Vec<u8>) {
-        // The command's time-out counts from the arrival of its last bytes, whichever process received them.
+        // The command's timeout counts from the arrival of its last bytes, whichever process received them.
         let waited = socket.time_since_last_data().unwrap_or_default();
         let incomplete_since = Instant::now().checked_sub(waited).filter(|_| !incomplete.is_empty());
         let client = self.spawn_connection(socket, incomplete, incomplete_since);
         lock_or_abort(&client.state).record_request();
     }
 
-    /// Serves a connection in a new coroutine. For an adopted connection, `incomplete_since` is the start of the time-out of its
+    /// Serves a connection in a new coroutine. For an adopted connection, `incomplete_since` is the start of the timeout of its
     /// `incomplete` command.
     fn spawn_connection(
         self: &Arc<Self>,
--- a/crates/front_resp/src/incomplete_command.rs
+++ b/crates/front_resp/src/incomplete_command.rs
@@ -6,7 +6,7 @@
 
 /// The incomplete command at the end of a connection's input, if there is one.
 pub(crate) struct IncompleteCommand {
-    /// When its time-out started: at its first byte, or at its last bytes before a hand-over.
+    /// When its timeout started: at its first byte, or at its last bytes before a hand-over.
     since: Option<Instant>,
     reservation: Reservation,
     /// Whether it is to be answered with an error to free its memory for other clients.
@@ -19,13 +19,13 @@
         Self { since: None, reservation, is_shed: false }
     }
 
-    /// Continues with a command that another process has begun to receive. `since` is when its time-out started.
+    /// Continues with a command that another process has begun to receive. `since` is when its timeout started.
     pub(crate) fn resume(&mut self, since: Option<Instant>) {
         self.since = since;
     }
 
     /// Updates the state after a read. `bytes` is the number of bytes after the last complete command. If the read completed a
-    /// command (`has_completed`), these bytes belong to a new one, whose time-out starts now.
+    /// command (`has_completed`), these bytes belong to a new one, whose timeout starts now.
     pub(crate) fn update(&mut self, bytes: usize, has_completed: bool) {
         let since = self.since.filter(|_| !has_completed).unwrap_or_else(Instant::now);
         self.since = (bytes > 0).then_some(since);
@@ -45,7 +45,7 @@
         self.since.is_some()
     }
 
-    /// Time since the command's time-out started; `None` if no command is incomplete.
+    /// Time since the command's timeout started; `None` if no command is incomplete.
     pub(crate) fn age(&self) -> Option<Duration> {
         self.since.map(|since| since.elapsed())
     }
--- a/crates/front_resp/src/lib.rs
+++ b/crates/front_resp/src/lib.rs
@@ -9,7 +9,7 @@
 //! | `front` | [`Front`]: accepting connections, graceful drain, hot restart |
 //! | `connection_table` | the open connections and their limit |
 //! | `eviction` | freeing connections at their limit, and the memory of large commands |
-//! | `sweep` | time-outs that no socket event triggers |
+//! | `sweep` | timeouts that no socket event triggers |
 //! | `client` | one client's connection |
 //! | `client_state` | the activity of a connection: idle, in use, overdue, ending |
 //! | `incomplete_command` | a partially received command |
@@ -21,7 +21,7 @@
 //! | `open_requests` | ids of the requests in flight |
 //! | `rules` | validation of requests |
 //! | `memory` | byte budgets that all clients share |
-//! | `limits` | limits and time-outs of a connection |
+//! | `limits` | limits and timeouts of a connection |
 
 mod answer_queue;
 mod client;
--- a/crates/front_resp/src/limits.rs
+++ b/crates/front_resp/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits and time-outs of client connections.
+//! Limits and timeouts of client connections.
 
 use std::time::Duration;
 
@@ -28,13 +28,13 @@
 pub(crate) const MAX_BURST: usize = 16;
 /// Time for which a connection yields to others after a burst.
 pub(crate) const YIELD_TIME: Duration = Duration::from_millis(1);
-/// Idle time-out of the protocol: after it, a connection without a request in flight may be closed. One that has never received a
+/// Idle timeout of the protocol: after it, a connection without a request in flight may be closed. One that has never received a
 /// valid command is always closed.
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A command must be complete this long after its first byte. The protocol allows 2 s for the head of a command and requires the
 /// error within 3 s. The interval between two sweeps adds to this time.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_250);
-/// Time-out of a client's first command, counted from the start of the connection.
+/// Timeout of a client's first command, counted from the start of the connection.
 pub(crate) const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// A connection that has sent no request may be evicted after this. Clients send their request as soon as they are connected.
 /// Misbehaving clients open hundreds of connections and send nothing, or only `PING`.
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -15,7 +15,7 @@
 
 /// Error text for a command that is shed because other clients need its memory.
 const COMMAND_SHED: &str = "no room for so long a command";
-/// Error text for a command that has exceeded its time-out.
+/// Error text for a command that has exceeded its timeout.
 const COMMAND_TIMED_OUT: &str = "the command did not become whole";
 /// Error text for a client that pipelines more than [`MAX_PIPELINED`] commands.
 const TOO_MANY_COMMANDS: &str = "too many commands at once";
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -1,4 +1,4 @@
-//! The periodic sweep: enforces time-outs that no socket event triggers, and keeps a reserve for new connections.
+//! The periodic sweep: enforces timeouts that no socket event triggers, and keeps a reserve for new connections.
 
 use crate::client::ClientConnection;
 use crate::front::Front;
--- a/crates/handover/src/error.rs
+++ b/crates/handover/src/error.rs
@@ -6,7 +6,7 @@
 /// Why a message could not be sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection failed, or its time-out passed.
+    /// The connection failed, or its timeout passed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The peer announced a frame that exceeds [`MAX_FRAME_BYTES`].
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -19,7 +19,7 @@
 const VALID_GATEKEEPERS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
 /// Accepted values of [`Admission::units`].
 const VALID_UNITS: std::ops::RangeInclusive<f64> = 0.0..=1e9;
-/// Time-out for reading the rest of a journal whose writer has ended. The caller of [`read_journal`] applies it.
+/// Timeout for reading the rest of a journal whose writer has ended. The caller of [`read_journal`] applies it.
 pub const JOURNAL_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An entry of the journal: one admitted request, as it is charged to its tenant's quota.
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -378,7 +378,7 @@
         }
     }
 
-    /// Sends an attempt, and schedules its answer or, if that would come too late, its time-out at the
+    /// Sends an attempt, and schedules its answer or, if that would come too late, its timeout at the
     /// request's deadline.
     fn send(&mut self, gatekeeper: usize, id: u32, backend: u32) {
         self.sent_attempts.push(SentAttempt { at: self.now, gatekeeper, backend });
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -14,9 +14,9 @@
 /// Limit on connected clients, each with a descriptor and a thread. At the limit a new client evicts the oldest one that has sent
 /// no complete line.
 pub const MAX_CLIENTS: usize = 12;
-/// Time-out for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
+/// Timeout for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time-out for sending a reply. A reply fits into the socket's buffer unless the client does not read.
+/// Timeout for sending a reply. A reply fits into the socket's buffer unless the client does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection,
 /// and the reply could be lost.
--- a/crates/snowfield/src/console.rs
+++ b/crates/snowfield/src/console.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use timing::ClassTiming;
 
-/// Time-out for connecting to the status address.
+/// Timeout for connecting to the status address.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time-out for each read of the status.
+/// Timeout for each read of the status.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Interval at which `watch` prints the status.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time-out for the next message of the other process. A successor must be ready to serve within 6 s.
+/// Timeout for the next message of the other process. A successor must be ready to serve within 6 s.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The parts of this process that a hot restart hands over or takes over.
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -21,7 +21,7 @@
 
 /// Pause before the upgrade socket accepts again after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_secs(3);
-/// Time-out from a successor's first message to its request for the state.
+/// Timeout from a successor's first message to its request for the state.
 const STATE_REQUEST_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
 
 /// A hand-over that a successor has requested.
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use store::EjectionsStore;
 
-/// Time-out for a call to the other process. An operator waits for up to 1 s in all.
+/// Timeout for a call to the other process. An operator waits for up to 1 s in all.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Applies the ejections and restorations of operators.
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file: reading it, and deriving the request rules and time-outs from it.
+//! The platform's configuration file: reading it, and deriving the request rules and timeouts from it.
 
 use crate::error::Error;
 use crate::start_retry::with_retries;
@@ -75,17 +75,17 @@
     }
 }
 
-/// Time-outs of connections to backends.
+/// Timeouts of connections to backends.
 #[derive(Clone, Copy)]
 pub(super) struct BackendTimeouts {
-    /// Time-out for connecting.
+    /// Timeout for connecting.
     pub(super) connect: Duration,
     /// Time after which an idle connection is closed: half of the backend's keep-alive time, so that this side closes first.
     pub(super) idle: Duration,
 }
 
 impl BackendTimeouts {
-    /// The time-outs of a configuration.
+    /// The timeouts of a configuration.
     pub(super) fn from_config(config: &PlatformConfig) -> Self {
         Self {
             connect: Duration::from_micros(config.settings.connect_timeout),
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -27,7 +27,7 @@
 const ADMIN_SOCKETS: usize = 5;
 /// Minimum number of connections to clients and backends, however low the configured limit is.
 const MIN_SOCKETS: usize = 16;
-/// Time-out of a start for the first endpoint list and the fleet's clock. The cached list may be old, and a gatekeeper that
+/// Timeout of a start for the first endpoint list and the fleet's clock. The cached list may be old, and a gatekeeper that
 /// serves is expected to know each change that its discovery agent already has.
 const SHARED_STATE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Limit on the duration of a start. Exceeding it is a violated invariant.
@@ -99,7 +99,7 @@
 /// the cached list in force, an unreachable counter this process's own clock.
 fn wait_for_shared_state(first_event: &Receiver<()>, exchange: &RespExchange) {
     let deadline = Instant::now() + SHARED_STATE_TIMEOUT;
-    // After a time-out the cached list stays in force.
+    // After a timeout the cached list stays in force.
     let _ = first_event.recv_timeout(SHARED_STATE_TIMEOUT);
     while !exchange.has_read_fleet_clock() && Instant::now() < deadline {
         std::thread::sleep(FLEET_CLOCK_POLL_INTERVAL);
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -11,9 +11,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time-out for a call to the leader, over all replicas and retries.
+/// Timeout for a call to the leader, over all replicas and retries.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time-out for the answer of one replica.
+/// Timeout for the answer of one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before all replicas are tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
--- a/crates/snowfield/src/timer_thread.rs
+++ b/crates/snowfield/src/timer_thread.rs
@@ -12,7 +12,7 @@
 /// ends.
 ///
 /// This is a thread and not a coroutine: in `may` 0.3.51 a coroutine that was woken out of `park_timeout` and parks again may
-/// never be woken by the time-out. All deadlines depend on this loop.
+/// never be woken by the timeout. All deadlines depend on this loop.
 pub fn start<Q: Send + Sync + 'static, A: Send + 'static>(
     exchange: Arc<Exchange<Q, A>>,
     sweep: impl Fn() + Send + 'static,
