--- a/crates/platform_soak/src/checkers/slow_start.rs
+++ b/crates/platform_soak/src/checkers/slow_start.rs
@@ -13,7 +13,7 @@
 const CAPACITY_FACTOR: f64 = 1.25;
 
 pub(super) fn check(history: &History, settings: &Settings) -> Vec<Violation> {
-    let starts = history.list_changes.iter().filter(|change| change.has_started);
+    let starts = history.list_changes.iter().filter(|change| change.has_just_started);
     starts.filter_map(|change| check_start(history, settings, change.backend, change.at)).collect()
 }
 
@@ -65,7 +65,7 @@
         history.list_changes.iter().filter(|change| change.backend == *backend && change.at < to).all(
             |change| {
                 let is_long_ago = change.at + settings.cold_time < from;
-                change.state == ListedState::Up && (is_long_ago || !change.has_started)
+                change.state == ListedState::Up && (is_long_ago || !change.has_just_started)
                     || is_long_ago
                         && change.state != ListedState::Up
                         && is_up_again(history, *backend, change.at, from)
--- a/crates/platform_soak/src/checkers/tests.rs
+++ b/crates/platform_soak/src/checkers/tests.rs
@@ -70,7 +70,7 @@
 }
 
 fn list_change(at: Moment, backend: BackendIndex, state: ListedState) -> ListChange {
-    ListChange { at, backend, state, has_started: false }
+    ListChange { at, backend, state, has_just_started: false }
 }
 
 /// A history that keeps all rules: one process that serves, one request and its attempt.
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -165,7 +165,7 @@
     /// State of the backend after the change.
     pub state: ListedState,
     /// Whether the backend had just started.
-    pub has_started: bool,
+    pub has_just_started: bool,
 }
 
 /// A change of a discovery agent's reachability.
