--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Changes the listed state of a backend and records the change. `has_just_started` tells whether the backend has just started.
+    /// Changes the listed state of a backend and records the change. `has_just_started` tells whether the backend has just
+    /// started.
     pub fn change(&self, backend: BackendIndex, state: ListedState, has_just_started: bool) {
         self.endpoints.change(&backend_id(backend), ListedChange { state, has_just_started }, || {
             let change = ListChange { at: self.recorder.now(), backend, state, has_just_started };
