--- a/crates/config_node/tests/fixtures.rs
+++ b/crates/config_node/tests/fixtures.rs
@@ -19,7 +19,7 @@
 const COUNT_BYTES: usize = 8 + 20 + 8;
 /// Size in bytes of a log without frames, which holds only the format identifier.
 const EMPTY_LOG_BYTES: usize = 8;
-/// Time-out for each call, longer than any call takes.
+/// Timeout for each call, longer than any call takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A temporary directory for the two files of a log.
@@ -224,7 +224,7 @@
         stream.write_all(&answer).expect("the answer is sent");
         bytes
     });
-    let result = config_node::call(address, &keys(), request, TIMEOUT, |_| true);
+    let result = config_node::call_replica(address, &keys(), request, TIMEOUT, |_| true);
     ObservedCall { received: server.join().expect("the replica has answered"), result }
 }
 
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -20,7 +20,7 @@
     /// The agent responded with a status other than 200.
     #[error("the agent responded with status {0}")]
     Status(u16),
-    /// The HTTP exchange failed: no connection, a time-out, or a malformed or too large response.
+    /// The HTTP exchange failed: no connection, a timeout, or a malformed or too large response.
     #[error("{0}")]
     Transport(#[from] ureq::Error),
     /// The body is not a valid response of the health API.
@@ -47,8 +47,8 @@
         source: io::Error,
     },
     /// The file is empty, too long, or contains whitespace or other characters that are invalid in a token.
-    #[error("{}: it holds no token", path.display())]
-    NoToken {
+    #[error("{}: the file does not contain a valid token", path.display())]
+    InvalidToken {
         /// Path of the token file.
         path: PathBuf,
     },
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -8,14 +8,14 @@
 use crate::resolve::{Resolved, request_target};
 use exchange::FinalAnswer;
 use http::{Request, RequestHead, Response};
-use link::{Incoming, locked};
+use link::{Incoming, lock_or_abort};
 use policy::Micros;
 use std::sync::Arc;
 
 /// Bytes that a client may pipeline while a request is in flight. Once they are buffered, its connection is not read
 /// (backpressure).
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Time between the exchange's deadline and the client's time-out, to cover the resolution of timers.
+/// Time between the exchange's deadline and the client's timeout, to cover the resolution of timers.
 const DEADLINE_MARGIN_MICROS: Micros = 10_000;
 /// Minimum time that a request has, however short its deadline.
 const MIN_TIME_LEFT_MICROS: Micros = 1_000;
@@ -60,7 +60,7 @@
         };
         let request = self.exchange_request(&bytes, &head, body, resolved)?;
         let answer = self.await_answer(client, buffer, request)?;
-        locked(&self.counts)[resolved.route].count(&answer);
+        lock_or_abort(&self.counts)[resolved.route].count(&answer);
         let keep_alive = head.keep_alive && !self.is_draining();
         self.send(client, &encode_answer(&answer, !keep_alive, is_head), keep_alive)
     }
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -2,7 +2,7 @@
 //! second also while the worker is busy.
 
 use crate::endpoint_ids::EjectionChange;
-use link::locked;
+use link::lock_or_abort;
 use operator::{Command, CommandError, MAX_LINE_BYTES, Metrics, reply};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,9 +14,9 @@
 /// Limit on connected clients, each with a descriptor and a thread. At the limit a new client evicts the oldest one that has sent
 /// no complete line.
 pub const MAX_CLIENTS: usize = 12;
-/// Time-out for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
+/// Timeout for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time-out for sending a reply. A reply fits into the socket's buffer unless the client does not read.
+/// Timeout for sending a reply. A reply fits into the socket's buffer unless the client does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection,
 /// and the reply could be lost.
@@ -83,16 +83,16 @@
 
 impl WaitingClients {
     fn push(&self, number: u64, stream: Arc<TcpStream>) {
-        locked(&self.0).push(WaitingClient { number, stream });
+        lock_or_abort(&self.0).push(WaitingClient { number, stream });
     }
 
     fn remove(&self, number: u64) {
-        locked(&self.0).retain(|client| client.number != number);
+        lock_or_abort(&self.0).retain(|client| client.number != number);
     }
 
     /// Disconnects the oldest client. Its thread then fails to read the line and ends.
     fn evict_oldest(&self) {
-        let mut clients = locked(&self.0);
+        let mut clients = lock_or_abort(&self.0);
         if !clients.is_empty() {
             // Fails if the client has disconnected already.
             let _ = clients.remove(0).stream.shutdown(Shutdown::Both);
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -11,9 +11,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time-out for a call to the leader, over all replicas and retries.
+/// Timeout for a call to the leader, over all replicas and retries.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time-out for the answer of one replica.
+/// Timeout for the answer of one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before all replicas are tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -90,7 +90,13 @@
         while Instant::now() < deadline {
             for replica in self.replicas {
                 let is_reply = |reply: &Message| is_answer(reply) || is_redirect(reply);
-                match config_node::call(replica.address, &self.keys, message, REPLICA_TIMEOUT, is_reply) {
+                match config_node::call_replica(
+                    replica.address,
+                    &self.keys,
+                    message,
+                    REPLICA_TIMEOUT,
+                    is_reply,
+                ) {
                     Ok(answer) if is_answer(&answer) => return Ok(answer),
                     Ok(_) => last_failure = format!("{} is not the leader", replica.name),
                     Err(error) => last_failure = format!("{}: {error}", replica.name),
