--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -7,26 +7,26 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The level of the tenant's shared token bucket is certain, and does not cover the cost.
+    /// The level of the tenant's shared token bucket is certain, and does not cover the cost of the request.
     QuotaExhausted,
-    /// This gatekeeper's share of the tenant's quota is spent. It decides while the level of the shared
-    /// bucket is uncertain or the counter does not answer.
+    /// This gatekeeper's share of the tenant's quota is spent. The share limits requests while the level of
+    /// the shared bucket is uncertain or the counter does not answer.
     LocalShareExhausted,
     /// The tenant has as many attempts in flight as its plan allows.
     TooManyInFlight,
     /// This gatekeeper's share of the tenant's hard ceiling is spent.
     CeilingReached,
-    /// The concurrency limit of the service is reached.
+    /// This gatekeeper has as many attempts in flight as the concurrency limit of the service allows.
     NoCapacity,
-    /// No backend accepts the request now: there is none, or all are draining, ejected, in connect backoff,
-    /// at their limit of attempts in flight, or warming up.
+    /// No backend accepts the request now: the service has no backend, or all are draining, ejected, in
+    /// connect backoff, at their limit of attempts in flight, or warming up.
     NoBackend,
     /// The request was admitted, but no attempt succeeded in time.
     AttemptsExhausted,
 }
 
 impl RejectReason {
-    /// All reasons, each at the index of its discriminant.
+    /// All reject reasons, each at the index of its discriminant.
     pub const ALL: [Self; 7] = [
         Self::QuotaExhausted,
         Self::LocalShareExhausted,
@@ -56,7 +56,7 @@
 pub enum Notice {
     /// Calls to the shared counter fail, so quotas are enforced by local shares.
     CounterSilent,
-    /// The shared counter has recovered.
+    /// The shared counter answers again, so quotas are enforced by the shared buckets.
     CounterRecovered,
 }
 
@@ -81,8 +81,9 @@
         backend: BackendId,
         /// Abandon the attempt after this time; 0 means at the client's deadline.
         timeout: Micros,
-        /// Do not write the attempt if no connection is established within this time. Written later, it might
-        /// reach its backend after idempotency keys have expired, and would not be dropped as a duplicate.
+        /// Do not write the attempt if no connection is established within this time. An attempt written
+        /// later might reach its backend after idempotency keys have expired, and would then not be dropped
+        /// as a duplicate.
         max_start_delay: Micros,
     },
     /// Cancel an attempt in flight.
@@ -110,7 +111,7 @@
     Timer {
         /// Time from now until the event.
         after: Micros,
-        /// Returned with the event, to tell what the timer is for.
+        /// Value to return with the event, which tells the state machine what the timer is for.
         token: u64,
     },
     /// Check the health of a backend.
@@ -118,13 +119,13 @@
         /// The backend to check.
         backend: BackendId,
     },
-    /// Add to a count of the shared counter and read its total.
+    /// Add units to a count at the shared counter, and read the total of the count.
     CounterAdd {
-        /// Name of the count; it is created if it does not exist.
+        /// Name of the count; the counter creates the count if it does not exist.
         name: u64,
-        /// Units to add; may be negative.
+        /// Units to add to the count; negative to subtract units.
         units: f64,
-        /// Time after which a count that this call creates expires.
+        /// Time after which the count expires if this call creates it.
         ttl: Micros,
     },
     /// Read the endpoint list and deliver it as an event.
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -155,8 +155,8 @@
         self.counter.schedule(request.tenant, quota, request.price.cost, delay, now);
     }
 
-    /// Settles the cost of a request when its answer states the actual units: charges or refunds the
-    /// difference from the estimate and ends the reservation.
+    /// Corrects the charge of a request when its answer states the actual cost in units: charges or refunds
+    /// the difference from the estimate and ends the reservation.
     pub(crate) fn settle(&mut self, id: RequestId, units: f64) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.settled) else { return };
         request.settled = true;
@@ -178,8 +178,8 @@
         let headroom = quota.headroom(request.price, self.counter_state(), &self.settings, self.now);
         let bucket = -headroom.units / plan.rate;
         let ceiling = quota.seconds_until_ceiling_covers(request.price.cost, plan);
-        // A retry may find capacity at any of the tenant's gatekeepers, so only the delay of answers is
-        // counted.
+        // A retry may find capacity at any of the tenant's gatekeepers, so of this gatekeeper's capacity only
+        // the lateness of answers lengthens the time.
         let pool = self.pool_of(request.class);
         let answer_delay = pool.concurrency.lateness() * pool.means.latency() / SECOND;
         let capacity = if self.has_capacity(request) { 0.0 } else { answer_delay };
--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -21,8 +21,9 @@
             return;
         }
         if outcome == Outcome::Reset {
-            // The time until a reset does not measure the speed of the backend. If it counted as a latency, a
-            // backend that resets connections at once would look the fastest and attract all requests.
+            // The time until a reset does not measure the speed of the backend. If that time counted as a
+            // latency, a backend that resets connections at once would look the fastest and attract all
+            // requests.
             self.record_relative_latency(class, backend, MAX_RELATIVE_LATENCY);
             return;
         }
--- a/crates/policy/src/attempt_rules.rs
+++ b/crates/policy/src/attempt_rules.rs
@@ -1,5 +1,6 @@
 //! Rules on further attempts: whether a retry or a hedged request is safe, so that no request takes effect
-//! twice, and by when it has to start. They depend only on the settings, the request and the backend.
+//! twice, and by when the attempt has to start. The rules depend only on the settings, the request and the
+//! backend.
 
 use crate::event::BackendEntry;
 use crate::request::{Attempt, Request};
@@ -9,11 +10,12 @@
 /// Fraction of the lifetime of an idempotency key that is reserved for the time a retry takes to reach its
 /// backend.
 const DEDUP_MARGIN_FRACTION: f64 = 0.15;
-/// Minimum of this margin in microseconds. The process may be descheduled for 0.15 s between reading the
-/// clock and writing the attempt.
+/// Minimum microseconds of an idempotency key's lifetime that are reserved for the time a retry takes to
+/// reach its backend. The process may be descheduled for 0.15 s between reading the clock and writing the
+/// attempt.
 const MIN_DEDUP_MARGIN: Micros = 160_000;
 
-/// The rules under the present settings, evaluated at the time `now`.
+/// The rules on further attempts under the present settings, evaluated at the time `now`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptRules<'a> {
     settings: &'a Settings,
@@ -29,7 +31,7 @@
         &self.settings.classes[request.class]
     }
 
-    /// Number of the group of backends that share idempotency keys with this one.
+    /// Number of the group of backends that share idempotency keys with `backend`.
     pub(crate) fn dedup_group(self, class: usize, backend: &BackendEntry) -> u32 {
         let (zone, cell) = (u32::from(backend.zone), u32::from(backend.cell));
         match self.settings.classes[class].dedup_scope {
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Whether an attempt of the request may be sent to this backend, be it the first or a further one.
+    /// Whether an attempt of the request, the first or a further one, may be sent to this backend.
     pub(crate) fn may_attempt(self, request: &Request, backend: &BackendEntry) -> bool {
         let is_over = request.answered || request.streaming || self.now >= request.deadline;
         let is_second_in_flight = request.has_attempt_in_flight() && !self.settings.hedging;
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -43,9 +43,10 @@
         out.push(Action::Timer { after: hedge_delay(class), token: hedge_token(id, attempt) });
     }
 
-    /// Sends a hedged request in addition to a slow attempt. It is sent only if the slow attempt is the
-    /// latest one, its backend has answered nothing since, the retry budget and the concurrency limit cover
-    /// it, the latency trend shows no overload, and the class allows a further attempt.
+    /// Sends a hedged request in addition to a slow attempt. The hedged request is sent only if the slow
+    /// attempt is the latest one, its backend has answered nothing since, the retry budget and the
+    /// concurrency limit allow one more attempt, the latency trend shows no overload, and the class allows a
+    /// further attempt.
     pub(crate) fn hedge(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
         let Some(request) = self.requests.get(&id) else { return };
         let slow = request.attempts.get(attempt).filter(|attempt| attempt.is_in_flight());
@@ -53,7 +54,7 @@
         let is_latest = attempt + 1 == request.attempts.len();
         let class = request.class;
         let relative = self.class_stats[class].relative_latency(self.now - sent_at);
-        // The attempt is already known to be slow. It is recorded as such before its answer arrives.
+        // The attempt is already known to be slow, so its latency is recorded before its answer arrives.
         self.update_concurrency_limit(class, 1.0, sent_at);
         self.record_relative_latency(class, backend, relative.min(MAX_RELATIVE_LATENCY));
         let is_answering = self.backends.get(backend).is_some_and(|b| b.health.has_answered_since(sent_at));
@@ -74,8 +75,8 @@
         })
     }
 
-    /// Selects a backend for a retry. It replaces an attempt that has ended, so the concurrency limit is not
-    /// checked.
+    /// Selects a backend for a retry. A retry replaces an attempt that has ended, so the concurrency limit is
+    /// not checked.
     fn select_for_retry(&mut self, id: RequestId) -> Option<BackendId> {
         self.with_request_removed(id, Self::select_backend)
     }
@@ -146,7 +147,7 @@
         self.close(id);
     }
 
-    /// Marks a request as answered: it needs no further answer or attempt.
+    /// Marks a request as answered, so that it gets no further answer or attempt.
     pub(crate) fn close(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.answered = true);
         self.remove_if_finished(id);
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -7,7 +7,8 @@
 use crate::stored::StoredBackend;
 use crate::time::Timestamp;
 
-/// Bounds of a backend's size. A wrong value must not attract all requests to a backend, or keep all from it.
+/// Bounds of a backend's size. A wrong size must not attract all requests to a backend, or keep all requests
+/// from it.
 const SIZE_BOUNDS: (f64, f64) = (0.05, 20.0);
 /// Time constant in seconds of the decay of recent sends.
 const RECENT_SENDS_DECAY_SECONDS: f64 = 1.0;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The state of this backend after a restart. Estimates are reset; attempts in flight still count.
+    /// The state of this backend after a restart: estimates are reset, and attempts in flight still count.
     pub(crate) fn restarted(&self, entry: BackendEntry, slow_start: SlowStart, now: Timestamp) -> Self {
         let fresh = Self::new(entry, slow_start, now, self.health.class_count());
         Self { load: self.load.without_recent_sends(), ..fresh }
@@ -74,7 +75,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackendLoad {
     in_flight: u32,
-    /// Exponentially decaying number of sends. It is used where requests are distributed by size.
+    /// Exponentially decaying number of sends, used where requests are distributed by size.
     recent_sends: f64,
 }
 
@@ -96,7 +97,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Decays the recent sends for this many seconds that have passed.
+    /// Decays the number of recent sends for the seconds that have passed.
     pub(crate) fn decay(&mut self, seconds: f64) {
         self.recent_sends *= (-seconds / RECENT_SENDS_DECAY_SECONDS).exp();
     }
--- a/crates/policy/src/backend_latency.rs
+++ b/crates/policy/src/backend_latency.rs
@@ -10,18 +10,20 @@
 pub(crate) const MIN_RELATIVE_LATENCY: f64 = 0.05;
 /// Time constant in seconds of the decay of a backend's relative latency.
 pub(crate) const LATENCY_DECAY_SECONDS: f64 = 10.0;
-/// Minimum age of the estimate for a first contact, as a fraction of the time constant.
+/// Age above which a backend's latency estimate is old, as a fraction of [`LATENCY_DECAY_SECONDS`]. The next
+/// sample of a backend with an old and good estimate is a [`Contact::First`].
 const FIRST_CONTACT_AGE: f64 = 0.3;
-/// Weight of one sample, and the weight that is added in proportion to the age of the estimate.
+/// Weight of one latency sample; [`AGED_SAMPLE_WEIGHT`] is added in proportion to the age of the estimate.
 const SAMPLE_WEIGHT: f64 = 0.1;
 const AGED_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Whether a sample is representative of backends without a recent estimate.
+/// Whether a latency sample is representative of backends without a recent latency estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Contact {
-    /// The estimate of the backend was old and good.
+    /// First sample of a backend whose latency estimate had become old and was good. Such a sample is
+    /// representative of other backends without a recent estimate.
     First,
-    /// The estimate was recent or bad. Such a sample says nothing about other backends.
+    /// Sample of a backend whose latency estimate was recent or bad, not representative of other backends.
     Further,
 }
 
@@ -37,22 +39,23 @@
         Self { relative: 1.0, updated_at: now }
     }
 
-    /// Expected latency relative to the mean of the class. As the estimate ages, it approaches the latency of
-    /// recent first contacts, so that backends known to be good are preferred while many others are slow.
-    pub(crate) fn expected(&self, first_contact: f64, now: Timestamp) -> f64 {
+    /// Expected latency relative to the mean of the class. As the estimate ages, it approaches
+    /// `first_contact_latency`, the mean over recent samples of kind [`Contact::First`] of all backends, so
+    /// that backends known to be good are preferred while many others are slow.
+    pub(crate) fn expected(&self, first_contact_latency: f64, now: Timestamp) -> f64 {
         let freshness = (-now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).exp();
-        let assumed = first_contact.max(1.0);
+        let assumed = first_contact_latency.max(1.0);
         assumed + (self.relative - assumed) * freshness
     }
 
-    /// Adds a sample of the relative latency.
+    /// Adds a sample of the relative latency. Returns whether the sample is representative of other backends.
     pub(crate) fn record(&mut self, relative: f64, now: Timestamp) -> Contact {
         let age = (now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).min(1.0);
-        let is_first = age > FIRST_CONTACT_AGE && self.relative < GOOD_RELATIVE_LATENCY;
+        let is_first_contact = age > FIRST_CONTACT_AGE && self.relative < GOOD_RELATIVE_LATENCY;
         let weight = SAMPLE_WEIGHT + AGED_SAMPLE_WEIGHT * age;
         self.relative += weight * (relative - self.relative);
         self.updated_at = now;
-        if is_first { Contact::First } else { Contact::Further }
+        if is_first_contact { Contact::First } else { Contact::Further }
     }
 
     pub(crate) fn store(&self, stored: &mut StoredBackend) {
--- a/crates/policy/src/backend_latency/tests.rs
+++ b/crates/policy/src/backend_latency/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn slow_samples_raise_the_expected_latency_and_it_returns_to_that_of_first_contacts() {
+fn the_expected_latency_rises_with_slow_samples_and_returns_to_the_first_contact_latency() {
     let mut latency = BackendLatency::new(at(0));
     for _ in 0..20 {
         latency.record(10.0, at(1));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_sample_is_a_first_contact_only_after_a_pause_and_if_the_backend_was_good() {
+fn a_sample_is_a_first_contact_only_if_the_estimate_was_old_and_good() {
     let mut latency = BackendLatency::new(at(0));
     assert_eq!(latency.record(20.0, at(1)), Contact::Further);
     assert_eq!(latency.record(1.0, at(9)), Contact::Further, "the backend had a high latency");
--- a/crates/policy/src/class_stats.rs
+++ b/crates/policy/src/class_stats.rs
@@ -9,7 +9,8 @@
 /// Weight of one answer in the moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.02;
 
-/// Estimates of one class. The encoding of snapshots depends on the order of the fields.
+/// Latency and cost estimates of one class. Snapshots encode the fields by position, so their order must not
+/// change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ClassStats {
     /// Mean latency in microseconds.
@@ -23,7 +24,7 @@
         Self { mean_latency: class.latency_objective as f64 * INITIAL_LATENCY_PART, largest_cost: 1.0 }
     }
 
-    /// A latency as a multiple of the mean of the class.
+    /// Converts the latency `elapsed` to a multiple of the mean latency of the class.
     pub(crate) fn relative_latency(&self, elapsed: Micros) -> f64 {
         elapsed as f64 / self.mean_latency
     }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -10,7 +10,7 @@
 const EARLY_OBJECTIVE_PART: f64 = 0.3;
 /// Mean latency, as a fraction of the objective, above which the limit shrinks.
 const LATE_OBJECTIVE_PART: f64 = 0.45;
-/// Factor on the limit for each round of late answers.
+/// Factor by which one round of late answers reduces the concurrency limit.
 const DECREASE_FACTOR: f64 = 0.8;
 /// Attempts that all gatekeepers together may have in flight at a backend in normal operation.
 pub(crate) const MAX_PER_BACKEND: f64 = 8.0;
@@ -22,7 +22,7 @@
 const RESERVED_SHARE: f64 = 0.5;
 /// Averaging time in seconds of the mean latency over all backends.
 const AVERAGING_SECONDS: f64 = 1.0;
-/// Lower and upper bound of the weight of one sample in that mean.
+/// Lower and upper bound of the weight of one sample in the mean latency over all backends.
 const SAMPLE_WEIGHT_BOUNDS: (f64, f64) = (0.01, 0.3);
 
 /// Bounds of the concurrency limit.
@@ -100,13 +100,13 @@
         self.last_send = now;
     }
 
-    /// Lets the next attempt follow without an interval, because the last one took no capacity.
+    /// Lets the next attempt follow without an interval, because the last attempt took no capacity.
     pub(crate) fn forget_last_send(&mut self) {
         self.last_send = Timestamp::ZERO;
     }
 
     /// Records a latency as a fraction of its objective. Only an attempt that was sent after the last
-    /// reduction can reduce the limit again, so it shrinks once for each round of late answers.
+    /// reduction can reduce the limit again, so each round of late answers reduces the limit once.
     pub(crate) fn record_latency(
         &mut self,
         objective_part: f64,
@@ -133,7 +133,7 @@
         self.objective_part < EARLY_OBJECTIVE_PART
     }
 
-    /// By how much the mean latency exceeds the bound for early answers, as a fraction of the objective; 0
+    /// Excess of the mean latency over the bound for early answers, as a fraction of the latency objective; 0
     /// while answers are early.
     pub(crate) fn lateness(&self) -> f64 {
         (self.objective_part - EARLY_OBJECTIVE_PART).max(0.0)
--- a/crates/policy/src/count_total.rs
+++ b/crates/policy/src/count_total.rs
@@ -1,5 +1,5 @@
-//! The total of a tenant's count at the shared counter, and how the level of the tenant's bucket follows from
-//! it.
+//! The total of a tenant's count (the sum of all units added to the count at the shared counter), and how the
+//! level of the tenant's bucket follows from the total.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
     /// The level follows exactly from the total.
     Exact,
     /// The total lacks some spend, because the counter was silent or lost totals. Only changes of the total
-    /// are used until the next name.
+    /// are used until the next epoch begins a count under a new name.
     Diverged,
 }
 
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -53,7 +53,8 @@
             }
             _ => quota.shared.call_failed(added, FailedCall::PossiblyAdded),
         }
-        // The counter added the units, but its answer is unreadable. Waiting requests still need the total.
+        // The counter added the units, but its answer is unreadable. Waiting requests still need the total of
+        // the count.
         let needs_total = outcome == Outcome::Error && self.has_waiting_requests(tenant);
         if needs_total && self.call_counter(tenant, Urgency::Awaited, out) {
             return;
@@ -82,7 +83,7 @@
         let age = match total.name {
             name if name == current.name => current.age,
             name if name == previous.name => current.age + EPOCH,
-            // The rate or the clock has changed: no gatekeeper reads that count any more.
+            // The rate or the clock has changed, so no gatekeeper reads the count of this name any more.
             _ => return quota.shared.call_misdirected(added),
         };
         let answer = CounterAnswer {
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -25,7 +25,7 @@
 const MIN_TRIAL_PAUSE: Micros = 250_000;
 /// Fraction of the call timeout within which an answer counts as fast.
 const FAST_ANSWER_FRACTION: f64 = 0.4;
-/// Factor by which a failed call lengthens the interval between calls.
+/// Factor by which a failed call to the counter lengthens the interval between calls.
 const BACKOFF_FACTOR: f64 = 1.5;
 
 /// Whether a call to the counter can be postponed.
@@ -44,7 +44,7 @@
     /// Consecutive failed calls.
     failures: u32,
     last_answer: Timestamp,
-    /// When the counter became silent; `None` while it counts as available.
+    /// Time at which the counter became silent; `None` while the counter counts as available.
     silent_since: Option<Timestamp>,
     recovered_at: Timestamp,
     /// Earliest time of the next trial call while the counter is silent.
@@ -54,7 +54,7 @@
     interval_changed_at: Timestamp,
     /// Calls that may be made at once.
     call_tokens: f64,
-    /// When earned tokens were last added.
+    /// Time at which earned call tokens were last added.
     tokens_counted_at: Timestamp,
 }
 
@@ -87,8 +87,8 @@
         self.is_silent() && now >= self.next_trial
     }
 
-    /// Takes a token for a call and returns whether the call may be made. A deferrable call must leave one
-    /// token for awaited calls, and a silent counter is called only when a trial is due.
+    /// Takes a token for a call and returns whether the call may be made. A call that can be postponed must
+    /// leave one token for calls that cannot, and a silent counter is called only when a trial is due.
     pub(crate) fn take_call_token(
         &mut self,
         urgency: Urgency,
@@ -127,7 +127,7 @@
     ) -> Option<Notice> {
         match outcome {
             Outcome::Ok => self.record_answer(settings, elapsed, now),
-            // The counter answered, though the answer is unreadable: it is neither slow nor silent.
+            // The counter answered, though unreadably, so it counts as neither slow nor silent.
             Outcome::Error => {
                 (self.failures, self.last_answer) = (0, now);
                 None
@@ -187,8 +187,8 @@
     }
 }
 
-/// Shortest pause between two trial calls to a silent counter, in microseconds; the caller adds up to as much
-/// again at random.
+/// Shortest pause between two trial calls to a silent counter, in microseconds. The caller adds a random
+/// pause of at most the same length.
 fn trial_pause(settings: &Settings) -> Micros {
     let shared = (MIN_CALL_INTERVAL * MAX_INTERVAL_FACTOR) as Micros * u64::from(settings.gatekeepers);
     MIN_TRIAL_PAUSE.max(shared)
--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -7,9 +7,11 @@
 use crate::time::{Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest time in microseconds for which spend may stay unreported while the level of the bucket is high.
+/// Longest time in microseconds for which spend may stay unreported while the level of a shared bucket is
+/// high.
 pub(crate) const REPORT_DELAY: Micros = 500_000;
-/// Amounts of at most this many units are not reported, because totals have only seven significant digits.
+/// Amounts of at most this many units are not reported, because the counter's totals have only seven
+/// significant digits.
 pub(crate) const NEGLIGIBLE_UNITS: f64 = 1e-3;
 
 /// The tenants with spend to report, the calls in flight, and the health of the counter.
@@ -27,8 +29,8 @@
         Self { health, unreported: BTreeSet::new(), calls: BTreeMap::new() }
     }
 
-    /// Schedules a report of the tenant's spend, due in `delay` microseconds or earlier if one is due
-    /// already. A negligible number of units is not scheduled.
+    /// Schedules a report of the tenant's spend, due in `delay` microseconds, or earlier if an earlier report
+    /// is already scheduled. A negligible number of units is not scheduled.
     pub(crate) fn schedule(
         &mut self,
         tenant: TenantId,
@@ -65,7 +67,7 @@
         self.calls.insert(name, tenant);
     }
 
-    /// Ends the call for a name and returns its tenant; `None` if no call for this name is in flight.
+    /// Ends the call for a count's name and returns its tenant; `None` if no call for the name is in flight.
     pub(crate) fn call_ended(&mut self, name: u64) -> Option<TenantId> {
         self.calls.remove(&name)
     }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Known backends: applies the endpoint list and operator ejections, and tells which backends are ready.
+//! Known backends: applies the endpoint list and operator ejections, and lists the ready backends.
 
 use crate::backend::Backend;
 use crate::event::{BackendEntry, BackendState, ListKind};
@@ -14,12 +14,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Backends {
     known: BTreeMap<BackendId, Backend>,
-    /// Backends that operators have ejected; they need not be on the endpoint list.
+    /// Backends that operators have ejected, also those that are not on the endpoint list.
     operator_ejections: BTreeSet<BackendId>,
     start_times: StartTimes,
 }
 
-/// Inputs of a change of the known backends, in addition to the change itself.
+/// Values that an update of the known backends depends on, besides the update itself.
 #[derive(Debug)]
 pub(crate) struct ListContext<'a> {
     pub(crate) now: Timestamp,
@@ -60,7 +60,8 @@
         self.operator_ejections.contains(&id)
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list. Backends that left the list stay while they have attempts in
+    /// flight.
     pub(crate) fn apply_list(
         &mut self,
         kind: ListKind,
@@ -68,7 +69,7 @@
         context: &mut ListContext<'_>,
     ) {
         if kind != ListKind::Delta {
-            // Backends that a complete list lacks are gone.
+            // Backends that are missing in a complete list count as gone.
             self.known.values_mut().for_each(|backend| backend.entry.state = BackendState::Gone);
         }
         for entry in entries {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Lower bound of the fraction of its full capacity that a backend has, 1 once it is warm.
+    /// Lower bound of the fraction of its full capacity that a backend has; 1 once the backend is warm.
     pub(crate) fn warm_fraction(&self, backend: &Backend, settings: &Settings, now: Timestamp) -> f64 {
         let slow_start = &backend.slow_start;
         let started = self.start_times.start_of(backend.entry.started, slow_start.notified_start(), now);
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -8,7 +8,7 @@
 pub enum BackendState {
     /// Eligible for new attempts.
     Ready,
-    /// Finishes its requests in flight, and may not be sent new ones.
+    /// Not eligible: the backend finishes its requests in flight, and must not be sent new ones.
     Draining,
     /// Removed from the endpoint list.
     Gone,
@@ -19,21 +19,22 @@
 pub struct BackendEntry {
     /// The number under which this gatekeeper knows the backend.
     pub id: BackendId,
-    /// Number of its zone, comparable with [`Settings::zone`](crate::Settings::zone).
+    /// Number of the backend's zone, comparable with [`Settings::zone`](crate::Settings::zone).
     pub zone: u8,
-    /// Number of its machine type; no decision depends on it.
+    /// Number of the backend's machine type, which no decision depends on.
     pub machine_type: u16,
-    /// Number of its cell within its zone, see [`DedupScope::Cell`](crate::DedupScope::Cell).
+    /// Number of the backend's cell within its zone, see [`DedupScope::Cell`](crate::DedupScope::Cell).
     pub cell: u16,
-    /// Whether it is eligible for new attempts.
+    /// Whether the backend is eligible for new attempts.
     pub state: BackendState,
-    /// Number of the service that it serves, see [`RequestClass::service`](crate::RequestClass::service).
+    /// Number of the service that the backend serves, see
+    /// [`RequestClass::service`](crate::RequestClass::service).
     pub service: u16,
-    /// Its capacity relative to other backends; 1 is usual. Values outside of 0.05 to 20 are clamped, and a
-    /// value that is not finite counts as 1.
+    /// Capacity of the backend relative to other backends; 1 is usual. Values outside of 0.05 to 20 are
+    /// clamped, and a value that is not finite counts as 1.
     pub size: f64,
-    /// Time of its most recent start, on the clock of the endpoint list; [`Timestamp::ZERO`] if it started
-    /// long ago.
+    /// Time of the backend's most recent start, on the clock of the endpoint list; [`Timestamp::ZERO`] if it
+    /// started long ago.
     pub started: Timestamp,
 }
 
@@ -56,11 +57,11 @@
 /// Which entries an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// All entries of a list that this gatekeeper stored earlier; it may be stale.
+    /// All entries of a list that this gatekeeper stored earlier, which may be stale.
     Cached,
-    /// All entries of the current list: backends that it lacks are gone.
+    /// All entries of the current list. Backends that are missing in the list count as gone.
     Full,
-    /// The changed entries only.
+    /// Only the entries that changed since the previous update.
     Delta,
     /// No entries: a poll of the list failed.
     Failed,
@@ -69,24 +70,25 @@
 /// How an attempt, a health check or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served successfully.
+    /// The attempt was served, the check passed, or the counter answered.
     Ok,
-    /// Answered with an error; it may have run.
+    /// Answered with an error; the attempt may have run.
     Error,
-    /// Rejected before execution; it never ran.
+    /// Rejected before execution; the attempt never ran.
     Rejected,
-    /// No answer in time; it may have run, or may still be running.
+    /// No answer in time; the attempt may have run, or may still be running.
     Timeout,
-    /// The connection to the backend could not be established; it never ran.
+    /// The connection to the backend could not be established; the attempt never ran.
     ConnectFailed,
-    /// This gatekeeper could not start it, for lack of a socket or of time. It never ran, and the backend is
-    /// not at fault.
+    /// This gatekeeper could not start the attempt, for lack of a socket or of time. The attempt never ran,
+    /// and the backend is not at fault.
     NotStarted,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled by this gatekeeper; it may have run.
+    /// Cancelled by this gatekeeper; the attempt may have run.
     Cancelled,
-    /// The driver discarded it, for example because its request was over; it never ran, and is not retried.
+    /// The driver discarded the attempt, for example because its request was over. The attempt never ran, and
+    /// is not retried.
     NotSent,
 }
 
@@ -107,41 +109,42 @@
         /// The entries; ignored if the kind is [`ListKind::Failed`].
         entries: Vec<BackendEntry>,
     },
-    /// An operator ejected a backend, or readmitted an ejected one.
+    /// An operator ejected a backend, or readmitted an ejected backend.
     OperatorEjection {
-        /// The backend; it need not be on the endpoint list.
+        /// The backend, which need not be on the endpoint list.
         backend: BackendId,
         /// True to eject the backend, false to readmit it.
         ejected: bool,
     },
     /// A client's request arrived.
     Request {
-        /// Identifies the request until it has ended; a request with the number of an open one is ignored.
+        /// Identifies the request until the request has ended. An event with the id of an open request is
+        /// ignored.
         id: RequestId,
-        /// Number of its class in [`Settings::classes`](crate::Settings::classes).
+        /// Number of the request's class in [`Settings::classes`](crate::Settings::classes).
         class: u16,
-        /// Number of its tenant's plan in [`Settings::plans`](crate::Settings::plans).
+        /// Number of the tenant's plan in [`Settings::plans`](crate::Settings::plans).
         plan: u32,
-        /// The tenant whose quota it is charged to.
+        /// The tenant whose quota the request is charged to.
         tenant: TenantId,
         /// Time until the client gives up.
         time_left: Micros,
         /// Number of gatekeepers that receive this tenant's requests.
         tenant_gatekeepers: f64,
-        /// Its cost in units; an estimate if [`Settings::estimated_costs`](crate::Settings::estimated_costs)
-        /// is set.
+        /// Cost of the request in units; an estimate if
+        /// [`Settings::estimated_costs`](crate::Settings::estimated_costs) is set.
         units: f64,
-        /// Whether the client marked it as a retry; no decision depends on it.
+        /// Whether the client marked the request as a retry. No decision depends on this mark.
         client_retry: bool,
     },
-    /// The answer of an attempt began to stream: no further attempt is made.
+    /// The answer of an attempt began to stream, so the request gets no further attempt.
     StreamStarted {
         /// The request that is being answered.
         id: RequestId,
         /// Number of the attempt within its request, from 0 in order of sending.
         attempt: u8,
     },
-    /// An attempt ended.
+    /// An attempt ended: it was answered or cancelled, it failed, or it was never sent.
     AttemptEnded {
         /// The request that the attempt belongs to.
         id: RequestId,
@@ -149,11 +152,11 @@
         attempt: u8,
         /// The backend that the attempt was sent to.
         backend: BackendId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
         /// Time since the attempt was sent.
         elapsed: Micros,
-        /// Actual cost in units; 0 if the answer did not state it.
+        /// Actual cost of the request in units; 0 if the answer did not state the cost.
         units: f64,
         /// Whether the client already has its answer, so that the state machine gives none.
         answered: bool,
@@ -165,12 +168,12 @@
         /// The request, which needs no answer any more.
         id: RequestId,
     },
-    /// A timer expired.
+    /// A timer that the driver set for an [`Action::Timer`](crate::Action::Timer) expired.
     Timer {
         /// The token of the [`Action::Timer`](crate::Action::Timer) that set the timer.
         token: u64,
     },
-    /// A health check ended.
+    /// A health check that an [`Action::HealthCheck`](crate::Action::HealthCheck) asked for ended.
     HealthCheckEnded {
         /// The backend that was checked.
         backend: BackendId,
@@ -179,17 +182,17 @@
         /// Values of the backend's load report; empty if there was none.
         load: Vec<f32>,
     },
-    /// A call to the shared counter ended.
+    /// A call to the shared counter ended, with or without an answer.
     CounterReply {
         /// Name of the count, as in [`Action::CounterAdd`](crate::Action::CounterAdd).
         name: u64,
-        /// Total of the count after the call; valid only with [`Outcome::Ok`].
+        /// Sum of all units added to the count, after the call; valid only with [`Outcome::Ok`].
         total: f64,
-        /// Duration of the call.
+        /// Time from the start of the call to its end.
         elapsed: Micros,
         /// How the call ended.
         outcome: Outcome,
     },
-    /// Another gatekeeper sent a message; the state machine ignores it.
+    /// Another gatekeeper sent a message, which the state machine ignores.
     PeerMessage,
 }
--- a/crates/policy/src/fleet_summary.rs
+++ b/crates/policy/src/fleet_summary.rs
@@ -4,7 +4,7 @@
 use crate::event::BackendState;
 use crate::state_machine::Policy;
 
-/// Numbers of backends on the endpoint list, and of those among them that currently get no requests.
+/// Number of backends on the endpoint list, and number of listed backends that currently get no requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSummary {
     /// Backends on the list, ready or draining.
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -15,7 +15,7 @@
         Self { units, uncertainty: -1.0 }
     }
 
-    /// Whether a current total from the counter could change the decision.
+    /// Whether a current total from the counter could change the admission decision.
     pub(crate) fn may_change(self) -> bool {
         self.uncertainty >= self.units.abs()
     }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BackendId(pub u32);
 
-/// Identifies the tenant whose quota a request is charged to. It is the same at every gatekeeper.
+/// Identifies the tenant whose quota a request is charged to. A tenant has the same id at every gatekeeper.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TenantId(pub u64);
 
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -22,7 +22,7 @@
 pub(crate) struct LatencyTrend {
     short_term: P2Quantile,
     short_term_since: Timestamp,
-    /// The last complete short-term estimate, and when it was completed.
+    /// The last complete short-term estimate, and the time of its completion.
     estimate: Option<(f64, Timestamp)>,
     long_term: P2Quantile,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,8 +3,8 @@
 //! A gatekeeper is a proxy that enforces the quotas of tenants in front of shared backends.
 //!
 //! A driver passes an [`Event`] for everything that happens to [`Policy::handle`], and carries out the
-//! returned [`Action`]s in order. These modules of `Policy` handle the events and combine the results of the
-//! parts:
+//! returned [`Action`]s in order. These modules of `Policy` handle the events and combine the results of its
+//! parts, which are listed further below:
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -18,8 +18,8 @@
 /// gatekeepers.
 const REJECTION_PAUSE: Micros = 10_000;
 
-/// Microseconds between trials of an ejected backend by this gatekeeper. It grows with the number of
-/// gatekeepers, so that the trials of all of them keep their rate.
+/// Microseconds between trials of an ejected backend by this gatekeeper. The interval grows with the number
+/// of gatekeepers, so that the rate of trials by all gatekeepers together stays the same.
 pub(crate) fn ejection_time(settings: &Settings) -> Micros {
     (EJECTION_TIME * u64::from(settings.gatekeepers)).min(MAX_EJECTION_TIME)
 }
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct BackendHealth {
     last_answer: Timestamp,
-    /// Indexed by class.
+    /// Health of the backend for each class, indexed by class.
     classes: Vec<ClassHealth>,
     /// End of the pause after a rejection, by class and plan.
     rejects_until: BTreeMap<(usize, usize), Timestamp>,
@@ -104,8 +104,8 @@
         self.classes.get(class).and_then(|class| class.ejected_until)
     }
 
-    /// Whether the backend is ejected for every class, and this class is the one to try it with: the class
-    /// that it answered last.
+    /// Whether the backend is ejected for every class, and trial requests are to be of this class: the class
+    /// that the backend answered last.
     pub(crate) fn is_trial_class(&self, class: usize) -> bool {
         let last_answer = self.classes[class].last_answer;
         self.is_ejected() && self.classes.iter().all(|class| class.last_answer <= last_answer)
@@ -131,7 +131,8 @@
         now < self.connect_backoff.until
     }
 
-    /// Whether the backend recently rejected a request of this class and plan, and gets no more of them yet.
+    /// Whether the backend recently rejected a request of this class and plan, so that requests of this class
+    /// and plan are not sent to it for now.
     pub(crate) fn is_in_rejection_pause(&self, class: usize, plan: usize, now: Timestamp) -> bool {
         self.rejects_until.get(&(class, plan)).is_some_and(|&until| now < until)
     }
@@ -147,14 +148,15 @@
         self.classes[class].ejected_until.get_or_insert(next_trial);
     }
 
-    /// Pauses requests of this class and plan only. The backend may reject these and serve others.
+    /// Records that the backend rejected a request. Only requests of the same class and plan are paused, as
+    /// the backend may serve others.
     pub(crate) fn record_rejection(&mut self, class: usize, plan: usize, until: Timestamp) {
         self.rejects_until.insert((class, plan), until);
     }
 
-    /// Starts the connect backoff, or doubles it. It applies to all classes, because the backend is down or
-    /// accepts no more connections. Gatekeepers that have a connection see no such failure, so a backend at
-    /// its connection limit is avoided only by the gatekeepers that cannot use it.
+    /// Starts the connect backoff, or doubles it. The backoff applies to all classes, because the backend is
+    /// down or accepts no more connections. Gatekeepers with an established connection see no connect
+    /// failure, so a backend at its connection limit is avoided only by gatekeepers that cannot use it.
     pub(crate) fn record_connect_failure(&mut self, first_backoff: Micros, now: Timestamp) {
         let backoff = (2 * self.connect_backoff.last).clamp(first_backoff, MAX_EJECTION_TIME);
         self.connect_backoff = ConnectBackoff { until: now + backoff, last: backoff };
--- a/crates/policy/src/pool_updates.rs
+++ b/crates/policy/src/pool_updates.rs
@@ -1,4 +1,5 @@
-//! Updates of the backends of each service: from the endpoint list, from operators, and periodically.
+//! Updates the state of each service's backends: on changes of the endpoint list, on operator ejections, and
+//! periodically.
 
 use crate::concurrency_limit::Capacity;
 use crate::endpoints::ListContext;
@@ -65,7 +66,7 @@
     }
 
     /// Adds slow-start tokens to a backend, and decays its recent sends. Only gatekeepers that have the
-    /// backend in their subset earn tokens, even if other gatekeepers fall back to it.
+    /// backend in their subset earn tokens, even if other gatekeepers fall back to the backend.
     fn update_backend(&mut self, service: usize, id: BackendId, rank: usize, seconds: f64) {
         let (pool, settings) = (&self.pools[service], &self.settings);
         let Some(backend) = self.backends.get(id) else { return };
--- a/crates/policy/src/quantile.rs
+++ b/crates/policy/src/quantile.rs
@@ -39,12 +39,12 @@
         }
     }
 
-    /// The number of samples added so far.
+    /// Number of finite samples added so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The estimate, or `None` before the first sample. It is exact up to five samples.
+    /// The estimate of the quantile, exact up to five samples; `None` before the first sample.
     pub fn value(&self) -> Option<f64> {
         match self.count {
             0 => None,
@@ -87,7 +87,7 @@
     }
 
     /// Index of the interval between markers that contains `sample`. The outer markers are moved to include
-    /// it.
+    /// the sample.
     fn marker_interval(&mut self, sample: f64) -> usize {
         if sample < self.heights[0] {
             self.heights[0] = sample;
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -4,7 +4,7 @@
 use crate::ids::{BackendId, TenantId};
 use crate::time::{Micros, Timestamp};
 
-/// An open request. It is kept until all its attempts have ended, so that late outcomes can still be
+/// An open request. The request is kept until all its attempts have ended, so that late outcomes can still be
 /// recorded.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
@@ -15,7 +15,7 @@
     pub(crate) attempts: Vec<Attempt>,
     /// Whether the client has its final answer, or has disconnected.
     pub(crate) answered: bool,
-    /// Whether its answer has begun to stream.
+    /// Whether the answer of the request has begun to stream.
     pub(crate) streaming: bool,
     pub(crate) price: Price,
     /// Units reported to the counter as spent while the request waits for the counter's reply.
@@ -27,9 +27,9 @@
 /// The units that a request takes from its tenant's quota.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Price {
-    /// The cost, possibly estimated.
+    /// Cost of the request in units, possibly estimated.
     pub(crate) cost: f64,
-    /// The cost including the surcharge.
+    /// Cost of the request in units, including the surcharge.
     pub(crate) charged_cost: f64,
     /// Units reserved in addition to the estimated cost, until the actual cost is settled.
     pub(crate) reserved: f64,
@@ -39,16 +39,16 @@
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) backend: BackendId,
-    /// Number of the group of backends that share idempotency keys with this one.
+    /// Number of the group of backends that share idempotency keys with the attempt's backend.
     pub(crate) dedup_group: u32,
     pub(crate) sent_at: Timestamp,
     /// By this time the attempt has a connection and was written, or it has failed and is never written.
     pub(crate) connect_deadline: Timestamp,
-    /// `None` while it is in flight.
+    /// How the attempt ended; `None` while the attempt is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// The result of an attempt that ended.
+/// An attempt that ended, with its outcome and duration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) class: usize,
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -7,9 +7,9 @@
 const MAX_TOKENS: f64 = 10.0;
 /// Tokens that an admitted request adds.
 const EARNED_PER_REQUEST: f64 = 0.1;
-/// Cost of a hedged request in tokens. It is higher than the cost of a retry: a failed attempt has to be
-/// repeated, but a slow attempt usually still answers, and its backend goes on working on it even after it is
-/// cancelled.
+/// Cost of a hedged request in tokens. A hedged request costs more than a retry: a failed attempt has to be
+/// repeated, but a slow attempt usually still answers, and its backend goes on working on the attempt even
+/// after the attempt is cancelled.
 const HEDGE_COST: f64 = 5.0;
 /// Cost in tokens of a retry after an attempt that may have run.
 const RETRY_COST: f64 = 1.0;
@@ -21,12 +21,12 @@
 }
 
 impl RetryBudget {
-    /// A budget that is half full.
+    /// Creates a budget that is half full.
     pub(crate) fn new() -> Self {
         Self { tokens: MAX_TOKENS / 2.0 }
     }
 
-    /// A budget with the tokens from a snapshot; empty if their number is not finite.
+    /// Creates a budget with the tokens from a snapshot; empty if the number of tokens is not finite.
     pub(crate) fn restore(tokens: f64) -> Self {
         Self { tokens: if tokens.is_finite() { tokens } else { 0.0 } }
     }
@@ -44,8 +44,8 @@
     pub(crate) fn retry_cost(outcome: Outcome) -> f64 {
         match outcome {
             // Each retry that gets no connection puts one more backend into connect backoff, which bounds
-            // such retries. An attempt that this gatekeeper could not start cost the backends nothing, and it
-            // counts against the request's limit of attempts.
+            // such retries. An attempt that this gatekeeper could not start cost the backends nothing, and
+            // counts towards the request's limit of attempts.
             Outcome::ConnectFailed | Outcome::NotStarted => 0.0,
             // An attempt that never ran is cheap to retry, but not free: when all backends reject requests,
             // retries must not multiply the load.
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -18,7 +18,7 @@
 /// The backends from which one is selected for a request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Candidates {
-    /// This ejected backend is due for a trial, and gets the request.
+    /// An ejected backend that is due for a trial request, and gets the request.
     Trial(BackendId),
     /// Backends that accept the request, in this gatekeeper's order of preference.
     Accepting(Vec<BackendId>),
@@ -55,7 +55,7 @@
             if request.was_sent_to(id) || !self.accepts(backend, request) || !may_attempt() {
                 continue;
             }
-            // A trial ignores the latency estimate: it is high after failures, and by it the backend would
+            // A trial ignores the latency estimate. The estimate is high after failures, so the backend would
             // not be selected until the estimate has decayed.
             let is_trial = backend.health.is_trial_class(request.class) && !self.pool.order.in_panic_mode();
             if is_trial && request.attempts.is_empty() {
@@ -89,9 +89,9 @@
         best.map(|(_, id)| id)
     }
 
-    /// Whether a backend accepts this request now. It has to be ready, to have a token if it is in slow
-    /// start, and not to be in a backoff. An ejected backend accepts the request if its next trial is due,
-    /// any other if it has capacity. In panic mode ejections are ignored.
+    /// Whether a backend accepts this request now. The backend has to be ready, to have a token if it is in
+    /// slow start, and not to be in a backoff. An ejected backend accepts the request if its next trial is
+    /// due, any other backend if it has capacity. In panic mode ejections are ignored.
     fn accepts(self, backend: &Backend, request: &Request) -> bool {
         let health = &backend.health;
         let is_warming_up = self.backends.warm_fraction(backend, self.settings, self.now) < 1.0;
@@ -129,8 +129,8 @@
         let cross_zone = CROSS_ZONE_FACTOR * self.settings.cross_zone_cost;
         let cross_zone = if is_same_zone { 1.0 } else { 1.0 + cross_zone };
         let in_flight = f64::from(backend.load.in_flight());
-        // With uneven sizes, recent sends count too. At low load few attempts are in flight, and they alone
-        // would not distribute requests by size.
+        // With uneven sizes, recent sends count as load too. At low load few attempts are in flight, and the
+        // attempts in flight alone would not distribute requests by size.
         let load = if self.pool.order.has_uneven_sizes() {
             (1.0 + in_flight / backend.size()) * (1.0 + backend.load.recent_sends() / backend.size())
         } else {
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -16,7 +16,8 @@
 const MIN_SUBSET_SIZE: usize = 8;
 /// Weight of one sample in the running means of latency, attempt time and cost.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Weight of one sample in the running mean of the latency of first contacts.
+/// Weight of one sample in the running mean of the relative latency over samples of kind
+/// [`Contact::First`](crate::backend_latency::Contact::First).
 const FIRST_CONTACT_WEIGHT: f64 = 0.1;
 /// Weight of one second in the running mean of the answer rate.
 const RATE_WEIGHT: f64 = 0.2;
@@ -68,8 +69,7 @@
     subset_size: usize,
     /// Whether requests are distributed by size, and sizes differ.
     has_uneven_sizes: bool,
-    /// Whether ejections are ignored, because most backends are ejected at once and the cause is common to
-    /// them.
+    /// Whether ejections are ignored, because more than half of the backends are ejected and share the cause.
     in_panic_mode: bool,
 }
 
@@ -96,7 +96,7 @@
         self.has_uneven_sizes = settings.weighted_backends && is_uneven;
     }
 
-    /// Ready backends in order of preference.
+    /// The ready backends, in this gatekeeper's order of preference.
     pub(crate) fn ready(&self) -> &[BackendId] {
         &self.ready
     }
@@ -105,7 +105,8 @@
         self.subset_size
     }
 
-    /// Subset size as a fraction of the ready backends; above 1 if there are fewer backends than that.
+    /// Size of this gatekeeper's subset as a fraction of the ready backends; above 1 if fewer backends are
+    /// ready than the subset should have.
     pub(crate) fn subset_fraction(&self) -> f64 {
         self.subset_size as f64 / self.ready.len().max(1) as f64
     }
@@ -150,7 +151,8 @@
     attempt_time: f64,
     /// Cost of an admitted request in units.
     cost: f64,
-    /// Relative latency of first contacts, see [`Contact::First`](crate::backend_latency::Contact::First).
+    /// Mean relative latency over samples of kind
+    /// [`Contact::First`](crate::backend_latency::Contact::First).
     first_contact_latency: f64,
 }
 
@@ -192,8 +194,10 @@
         self.first_contact_latency += FIRST_CONTACT_WEIGHT * (relative_latency - self.first_contact_latency);
     }
 
-    /// Lets the latency of first contacts return towards 1 over this many seconds. Without this decay,
-    /// backends without recent estimates would never be tried again once first contacts were slow.
+    /// Decays the mean latency of first contacts
+    /// ([`Contact::First`](crate::backend_latency::Contact::First)) towards 1 for the `seconds` that have
+    /// passed. Without this decay, backends without a recent latency estimate would never be tried again
+    /// after samples of other such backends were slow.
     pub(crate) fn forget_first_contacts(&mut self, seconds: f64) {
         let decay = (seconds / LATENCY_DECAY_SECONDS).min(1.0);
         self.first_contact_latency += (1.0 - self.first_contact_latency) * decay;
@@ -220,11 +224,12 @@
 /// is estimated from it.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerRate {
-    /// Running mean of the measured rate.
+    /// Running mean of the measured answers a second.
     measured_rate: f64,
-    /// The measured rate, raised to a minimum for a backend of which little is known.
+    /// The measured answers a second, raised to this gatekeeper's share of the rate of a
+    /// backend that serves one request at a time.
     assumed_rate: f64,
-    /// Answers since the rate was last measured.
+    /// Answers since the answer rate was last measured.
     answers: u64,
     measured_at: Timestamp,
 }
@@ -246,13 +251,14 @@
         self.answers += 1;
     }
 
-    /// Seconds since the rate was last measured.
+    /// Seconds since the answer rate was last measured.
     pub(crate) fn seconds_since_measured(&self, now: Timestamp) -> f64 {
         now.seconds_since(self.measured_at)
     }
 
-    /// Measures the rate since the last measurement. `warm_fraction` is the sum over the ready backends. The
-    /// assumed rate is at least this gatekeeper's share of a backend that serves one request at a time.
+    /// Measures the answer rate since the last measurement. `warm_fraction` is the sum over the ready
+    /// backends. The assumed rate is at least this gatekeeper's share of the rate of a backend that serves
+    /// one request at a time.
     pub(crate) fn measure(
         &mut self,
         warm_fraction: f64,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -6,46 +6,48 @@
 /// Whether the requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing a request again is harmless.
+    /// A request may be executed any number of times.
     Idempotent,
     /// Requests carry an idempotency key; backends of one [`DedupScope`] drop duplicates within
     /// [`RequestClass::idempotency_key_ttl`].
     Keyed,
-    /// A request must never be executed twice.
+    /// A request must never be executed twice, so it is retried only if no earlier attempt can have run.
     NonIdempotent,
 }
 
-/// The group of backends that share idempotency keys: each drops duplicates of what another one received.
+/// The group of backends that share idempotency keys: each backend drops duplicates of requests that another
+/// backend of the group received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every backend.
+    /// All backends share idempotency keys.
     All,
-    /// The backends of one zone.
+    /// The backends of one zone share idempotency keys.
     Zone,
-    /// The backends of one cell.
+    /// The backends of one cell of a zone share idempotency keys.
     Cell,
 }
 
 /// A class of requests that share a deadline, a priority and rules for retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// An answer within this time earns the full weight.
+    /// Latency up to which an answer earns the full weight of its request.
     pub latency_objective: Micros,
     /// Longest time that a client of this class waits for an answer.
     pub deadline: Micros,
-    /// Whether a request may be executed more than once.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// Which backends drop duplicates, for [`Idempotency::Keyed`].
+    /// Group of backends within which duplicates are dropped; used with [`Idempotency::Keyed`] only.
     pub dedup_scope: DedupScope,
-    /// How long duplicates are dropped after the first attempt that may have run.
+    /// Time for which backends drop duplicates, from the first attempt that may have run.
     pub idempotency_key_ttl: Micros,
-    /// Weight of one unit relative to other classes; finite and at least 0.
+    /// Weight of one unit of this class relative to other classes; finite and at least 0.
     pub priority_weight: f64,
-    /// Whether answers are streamed.
+    /// Whether backends stream the answers of this class.
     pub streaming: bool,
     /// Number of the service that serves the class; backends of other services never get its requests.
     pub service: u16,
-    /// Largest number of attempts of one request, if below [`Settings::max_attempts`]; 0 means that limit.
+    /// Largest number of attempts of one request of this class, if below [`Settings::max_attempts`]; 0 means
+    /// [`Settings::max_attempts`].
     pub max_attempts: u32,
     /// Time after which an attempt is given up; 0 means at the client's deadline.
     pub attempt_timeout: Micros,
@@ -56,17 +58,17 @@
 /// A plan: the quotas of each of its tenants, over all gatekeepers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Refill rate of a tenant's token bucket in units a second; 0 means no such quota.
+    /// Refill rate of a tenant's token bucket in units a second; 0 means that no bucket limits the tenant.
     pub rate: f64,
-    /// Capacity of a tenant's token bucket in units; it starts full.
+    /// Capacity of a tenant's token bucket in units. The bucket starts full.
     pub burst: f64,
-    /// Largest number of a tenant's attempts in flight at once; 0 means no such quota.
+    /// Largest number of a tenant's attempts in flight at once; 0 means no limit.
     pub max_in_flight: u32,
     /// Rate of a tenant's hard ceiling in units a second; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// Capacity of the ceiling's token bucket in units.
     pub ceiling_burst: f64,
-    /// Factor on the priority weight of the class.
+    /// Factor by which [`RequestClass::priority_weight`] is multiplied for requests of this plan.
     pub priority_factor: f64,
     /// Fraction of its weight that a request forwarded beyond the quota earns.
     pub beyond_quota_earns: f64,
@@ -81,7 +83,7 @@
     InFlight,
     /// Number of queued requests.
     Queued,
-    /// Share of the processor that is busy.
+    /// Fraction of the processor that is busy.
     Cpu,
     /// Recent service time in milliseconds.
     ServiceTimeMillis,
@@ -125,31 +127,32 @@
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Longest Retry-After that a rejection may carry; 0 means that rejections carry none.
+    /// Longest Retry-After that a rejection may carry; 0 means that rejections carry no Retry-After.
     pub max_retry_after: Micros,
-    /// Time after which a connection that is not established has failed.
+    /// Time within which a connection must be established, or else counts as failed.
     pub connect_timeout: Micros,
-    /// Whether the endpoint list has to be polled.
+    /// Whether the endpoint list arrives only when the state machine asks for it with
+    /// [`Action::PollEndpoints`](crate::Action::PollEndpoints).
     pub polls_endpoints: bool,
-    /// A gatekeeper that has not polled the endpoint list for this long counts as notified of the list as it
-    /// is then.
+    /// Time after the last poll of the endpoint list at which a gatekeeper counts as notified of the list's
+    /// current state, even if it has not polled again. The state machine polls twice in this time.
     pub poll_interval: Micros,
-    /// How load reports arrive.
+    /// Whether backends report their load, and with which answers.
     pub load_reporting: LoadReporting,
-    /// Meanings of the values in a load report, in their order.
+    /// Meanings of the values in a load report, in the order of the values.
     pub load_metrics: Vec<LoadMetric>,
-    /// Least share of its full capacity with which a backend starts; above 0, at most 1.
+    /// Smallest fraction of its full capacity that a backend has when it starts; above 0, at most 1.
     pub slow_start_share: f64,
     /// Longest time from the start of a backend until it has its full capacity.
     pub slow_start_duration: Micros,
-    /// Multiple of its current capacity that a backend in slow start withstands. If it is sent more for
-    /// [`Settings::overload_duration`], it becomes overloaded and fails.
+    /// Load that a backend in slow start withstands, as a multiple of its current capacity. A backend with
+    /// more load than that for [`Settings::overload_duration`] becomes overloaded and fails.
     pub overload_factor: f64,
     /// Time after which an excess over [`Settings::overload_factor`] makes a backend in slow start fail.
     pub overload_duration: Micros,
     /// Time within which requests at a draining backend must end.
     pub drain_grace: Micros,
-    /// Whether a shared quota counter may be called.
+    /// Whether a quota counter, which all gatekeepers share, may be called.
     pub shared_counter: bool,
     /// Time after which a call to the counter is given up.
     pub counter_timeout: Micros,
@@ -163,7 +166,7 @@
     pub weighted_backends: bool,
 }
 
-/// A setting with a value that is out of its range.
+/// The first setting found to be out of its range, and the violated condition.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("setting `{setting}` {problem}")]
 pub struct SettingsError {
@@ -308,7 +311,8 @@
     }
 }
 
-/// Returns an error unless `holds`. `setting` is the name that operators know, not the field name.
+/// Returns an error about a setting unless `holds` is true. `setting` is the name that operators know, not
+/// the field name.
 fn require(holds: bool, setting: &'static str, problem: &'static str) -> Result<(), SettingsError> {
     if holds { Ok(()) } else { Err(SettingsError { setting, problem }) }
 }
--- a/crates/policy/src/settings_update.rs
+++ b/crates/policy/src/settings_update.rs
@@ -5,8 +5,8 @@
 use crate::state_machine::Policy;
 
 impl Policy {
-    /// Replaces the settings. Classes and plans keep their numbers: those that the new settings lack stay as
-    /// they were, for requests in flight.
+    /// Replaces the settings. Classes and plans keep their numbers. Classes and plans that are missing in the
+    /// new settings keep their previous settings, for requests in flight.
     ///
     /// # Errors
     ///
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -2,11 +2,12 @@
 //! and returns the total. Makes no decisions.
 //!
 //! Every gatekeeper adds its spend to the tenant's count of the current epoch. Refill that arrives while the
-//! bucket is full overflows; whichever gatekeeper calls next writes it off by adding it to the count as well.
-//! The level is therefore always the burst plus the refill since the epoch began, minus the total, and a
-//! gatekeeper reads it exactly however long ago its last call was. The counter serves the calls for a name in
-//! order, so an answer also shows the level just before the call. If a write-off was too large, because
-//! another gatekeeper had already made it, the answer to the call shows the excess and it is taken back.
+//! bucket is full overflows and is lost. The gatekeeper that calls next adds the lost units to the count as
+//! well: a *write-off*. The level is therefore always the burst plus the refill since the epoch began, minus
+//! the *total*, the sum of all units added to the count. A gatekeeper computes the exact level from the total
+//! however long ago its last call was. The counter serves the calls for a name in order, so an answer also
+//! shows the level just before the call. If a write-off was too large, because another gatekeeper had already
+//! made it, the answer to the call shows the excess, and the next call subtracts the excess from the count.
 
 use crate::count_total::{BucketView, CountTotal};
 use crate::hash::mix;
@@ -22,17 +23,19 @@
 /// Time constant of the estimated spend rates, in seconds. Traffic spikes last seconds, so the estimated
 /// division of the refill between this gatekeeper and the others has to follow within about one second.
 const SPEND_RATE_TIME_CONSTANT: f64 = 1.5;
-/// Fraction of the burst above which a pending write-off justifies a call of its own: until it is made, other
-/// gatekeepers would read too high a level.
+/// Fraction of the burst above which overflowed units that are not yet added to the count justify a call of
+/// their own: until they are added, other gatekeepers compute too high a level from the total.
 const DUE_WRITE_OFF_FRACTION: f64 = 0.25;
-/// Largest fraction of the burst that a call adds to its write-off on an estimate. Until an excess is taken
-/// back, other gatekeepers read too low a level and reject requests. A missing write-off does no harm: the
-/// gatekeeper that calls next makes it.
+/// Largest number of units, as a fraction of the burst, that a call adds to the count because they are
+/// estimated to have overflowed the bucket. Until units added in excess are subtracted again, other
+/// gatekeepers compute too low a level and reject requests. Overflow that is not added does no harm: the
+/// gatekeeper that calls next adds it.
 const MAX_ESTIMATED_WRITE_OFF_FRACTION: f64 = 0.5;
 /// Largest debt of a bucket (a level below zero), as a fraction of the burst. Gatekeepers that start together
-/// each write off the whole refill since the epoch began, and until all but one have taken that back the
-/// total shows a debt of many bursts. A gatekeeper that believed it would reject requests for as long as the
-/// debt takes to refill, without calling again. Debt from real spend beyond the bucket is small.
+/// each add the whole refill since the epoch began to the count, as overflow. Until all but one of them have
+/// subtracted these units again, the total shows a debt of many bursts. A gatekeeper that relied on such a
+/// total would reject requests, without calling again, until the debt has refilled. Debt from real spend
+/// beyond the bucket is small.
 const MAX_DEBT_FRACTION: f64 = 0.25;
 /// Shortest interval in seconds over which a rate is computed.
 const MIN_RATE_SECONDS: f64 = 1e-3;
@@ -41,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterAnswer {
     pub(crate) total: CountTotal,
-    /// Units that the call added.
+    /// Units that the call added to the count.
     pub(crate) added: f64,
     /// Units that refilled since the epoch of the name began.
     pub(crate) refilled: f64,
@@ -57,12 +60,12 @@
 /// Parameters of a call that is about to start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterCall {
-    /// The name of the count.
+    /// The name of the count, see [`CountName::of`].
     pub(crate) name: u64,
     /// Units that refilled since the epoch of the name began.
     pub(crate) refilled: f64,
-    /// Whether the last call was answered. If not, this call may reach the counter late and be added without
-    /// an answer, so nothing is written off with it.
+    /// Whether the last call was answered. If not, the counter may receive this call late and add its units
+    /// although the answer is lost, so the call adds no overflowed units.
     pub(crate) last_call_answered: bool,
 }
 
@@ -78,16 +81,16 @@
     synced_at: Timestamp,
     /// Spend of this gatekeeper that is not reported to the counter yet.
     unreported: f64,
-    /// Units that overflowed the full bucket and that the call in flight or the next one writes off in the
-    /// count; negative if an earlier call wrote off too much.
+    /// Units that overflowed the full bucket and that the call in flight or the next one adds to the count;
+    /// negative if an earlier call added too many of them.
     written_off: f64,
-    /// How far the level can be derived from the last total.
+    /// Whether the level can be computed exactly from the last total.
     view: BucketView,
     /// Units a second that other gatekeepers spend.
     others_rate: f64,
-    /// Units a second by which other gatekeepers raise the total, including their write-offs.
+    /// Units a second by which other gatekeepers raise the total: their spend, and the overflow they add.
     others_growth: f64,
-    /// The total that was read last.
+    /// The total in the latest answer of the counter; `None` before the first answer.
     last_total: Option<CountTotal>,
     /// Units that the call in flight adds to the count.
     call_in_flight: Option<f64>,
@@ -117,7 +120,7 @@
         self.others_rate
     }
 
-    /// Whether a total has been read.
+    /// Whether the counter has answered a call for this bucket with its total.
     pub(crate) fn is_synced(&self) -> bool {
         self.last_total.is_some()
     }
@@ -152,31 +155,34 @@
         self.synced_level + plan.rate * self.seconds_since_sync(now) - self.spent_since_sync
     }
 
-    /// Takes units, or returns them if negative; the next report to the counter includes them.
+    /// Takes units from the bucket, or returns them if `units` is negative. The next report to the counter
+    /// includes these units.
     pub(crate) fn spend(&mut self, units: f64) {
         self.level -= units;
         self.spent_since_sync += units;
         self.unreported += units;
     }
 
-    /// Removes units from the next report, because this gatekeeper need not report them.
+    /// Subtracts units from the unreported spend, because other gatekeepers need not learn of them.
     pub(crate) fn exclude_from_report(&mut self, units: f64) {
         self.unreported -= units;
     }
 
-    /// Units that are worth a report: the largest of the unreported spend, the excess of earlier write-offs,
-    /// and the pending write-off above the fraction of the burst that justifies a call.
+    /// Number of units that a report to the counter is worth: the largest of the unreported spend, the
+    /// overflow that earlier calls added in excess, and the part of the overflow not yet added that exceeds
+    /// [`DUE_WRITE_OFF_FRACTION`] of the burst.
     pub(crate) fn units_to_report(&self, plan: &Plan) -> f64 {
         let due = self.written_off - DUE_WRITE_OFF_FRACTION * plan.burst;
         self.unreported.abs().max(-self.written_off).max(due)
     }
 
-    /// Starts a call and returns the units that it adds: the unreported spend, and the estimated write-off.
+    /// Starts a call to the counter and returns the units that the call adds to the count: the unreported
+    /// spend, and the units estimated to have overflowed the bucket.
     pub(crate) fn start_call(&mut self, plan: &Plan, call: CounterCall, now: Timestamp) -> f64 {
         let known = self.last_total.filter(|known| known.name == call.name);
         if known.is_none() || !call.last_call_answered {
-            // The pending write-off was due under the previous name, or is left to a gatekeeper whose calls
-            // are answered. An excess under the same name is still taken back.
+            // Overflowed units belong to the count of the previous name, or are left to a gatekeeper whose
+            // calls are answered. Units added in excess to the count of this name are still subtracted.
             self.written_off = self.written_off.min(0.0) * f64::from(known.is_some());
         } else if self.written_off >= 0.0 {
             let growth = self.others_growth * (now - self.synced_at) as f64 / SECOND;
@@ -197,7 +203,7 @@
         self.call_in_flight.take()
     }
 
-    /// Records that a call sent to add these units ended without a total.
+    /// Records that a call that was to add `added` units to the count ended without a total.
     pub(crate) fn call_failed(&mut self, added: f64, failure: FailedCall) {
         match failure {
             FailedCall::NotAdded => self.unreported += added - self.written_off,
@@ -205,21 +211,22 @@
         }
     }
 
-    /// Records that a call added its units to a count that is no longer in use: they must be reported again.
+    /// Records that a call added its units to a count that is no longer in use. The spend among these units
+    /// must be reported again.
     pub(crate) fn call_misdirected(&mut self, added: f64) {
         self.unreported += added - self.written_off;
         self.written_off = 0.0;
     }
 
-    /// Updates the level from the answer to a call.
+    /// Recomputes the level, the spend rates of other gatekeepers and the overflow from a counter's answer.
     pub(crate) fn apply_total(&mut self, plan: &Plan, answer: CounterAnswer, now: Timestamp) {
         let CounterAnswer { total: CountTotal { name, total }, added, refilled, .. } = answer;
         let seconds = self.seconds_since_sync(now);
         let previous_total = self.last_total.filter(|known| known.name == name).map(|known| known.total);
         let others_change = total - added - previous_total.unwrap_or(0.0);
         let reported_spend = added - self.written_off;
-        // The highest level that is possible by what this gatekeeper knows. It includes a debt that was read,
-        // because this gatekeeper's own reservations were reported in that total.
+        // The highest level that is possible by what this gatekeeper knows. If the last total showed a debt,
+        // the debt is included, because this gatekeeper's own reservations were reported in that total.
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
         // Just before the call the bucket held at most a burst or, while the name is new, at most the highest
         // level that is known from before.
@@ -235,8 +242,8 @@
         let min_level = -MAX_DEBT_FRACTION * plan.burst;
         let shown_level = plan.burst + refilled - total - self.written_off;
         let available = shown_level.max(min_level) - self.unreported;
-        // A deeper debt consists of write-offs that others are still taking back, and tells nothing of their
-        // spend.
+        // A deeper debt consists of overflowed units that several gatekeepers have added to the count and not
+        // yet subtracted again. It shows nothing of their spend.
         if previous_total.is_some() && shown_level >= min_level {
             self.learn_rates(
                 (known_max.min(plan.burst) - available).max(0.0),
@@ -250,8 +257,8 @@
             // All local shares are assumed to hold as much as this one, up to the highest possible level.
             answer.local_shares.min(known_max).min(plan.burst) - self.unreported
         } else if self.view == BucketView::Diverged {
-            // After a loss, other gatekeepers repeat write-offs that all had made before. These are neither
-            // spend nor a deeper debt.
+            // After the counter has lost units, other gatekeepers add overflow again that the count already
+            // contained before. These units are neither spend nor a deeper debt.
             (known_max - others_change).max(min_level).min(available)
         } else {
             available
@@ -262,9 +269,9 @@
         self.last_total = Some(CountTotal { name, total });
     }
 
-    /// Whether the counter has lost spend. A loss includes write-offs, so the total then shows a level well
-    /// above a full bucket. When other gatekeepers take back write-offs that all of them made at once, the
-    /// total drops too, but it shows a full bucket at most.
+    /// Whether the counter has lost spend. A counter that loses spend also loses the overflowed units in the
+    /// count, so the total then shows a level well above a full bucket. The total also drops when gatekeepers
+    /// that all added the same overflow subtract it again, but then it shows a full bucket at most.
     fn has_lost_spend(&self, plan: &Plan, answer: CounterAnswer, others_change: f64) -> bool {
         let CounterAnswer { total: CountTotal { total, .. }, refilled, .. } = answer;
         let has_total_dropped = others_change < answer.loss_threshold
@@ -282,7 +289,7 @@
         }
     }
 
-    /// Updates the rates at which other gatekeepers spend and raise the total.
+    /// Updates the rates at which other gatekeepers spend (`spent` units in `seconds`) and raise the total.
     fn learn_rates(&mut self, spent: f64, total_growth: f64, seconds: f64) {
         let seconds = seconds.max(MIN_RATE_SECONDS);
         let weight = 1.0 - (-seconds / SPEND_RATE_TIME_CONSTANT).exp();
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -11,31 +11,32 @@
 /// Maximum tokens that one gatekeeper may accumulate for a backend in slow start.
 const MAX_TOKENS: f64 = 2.0;
 
-/// Token bucket of one backend. While the backend is warming up, each attempt needs a token.
+/// Token bucket of one backend, which limits attempts while the backend is warming up: each needs a token.
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStart {
     tokens: f64,
-    /// Start time on this gatekeeper's clock. It is known only if the gatekeeper was notified of the start;
-    /// otherwise the start in the endpoint list applies.
+    /// Start time of the backend on this gatekeeper's clock; `None` if the gatekeeper was not notified of the
+    /// start, so that the start in the endpoint list applies.
     notified_start: Option<Timestamp>,
-    /// When an operator readmitted the backend, which may have restarted while it was ejected;
-    /// [`Timestamp::ZERO`] if never.
+    /// Time at which an operator readmitted the backend, which may have restarted while it was ejected;
+    /// [`Timestamp::ZERO`] if no operator has readmitted the backend.
     readmitted_at: Timestamp,
 }
 
 impl SlowStart {
-    /// Begins with `fraction` of a token, below 1. With a whole token, every gatekeeper would send an attempt
-    /// at once.
+    /// Creates a bucket that holds `fraction` of a token, below 1. With a whole token, every gatekeeper would
+    /// send an attempt at once.
     pub(crate) fn new(fraction: f64, notified_start: Option<Timestamp>) -> Self {
         Self { tokens: fraction, notified_start, readmitted_at: Timestamp::ZERO }
     }
 
-    /// The state of this backend after a restart, where `fresh` is that of a new backend.
+    /// The slow-start state of this backend after a restart: `fresh`, the state of a new backend, except that
+    /// the time of the last readmission is kept.
     pub(crate) fn restarted(&self, fresh: Self) -> Self {
         Self { readmitted_at: self.readmitted_at, ..fresh }
     }
 
-    /// The state of this backend after an operator readmits it, beginning with `fraction` of a token.
+    /// The slow-start state of this backend after an operator readmits it, with `fraction` of a token.
     pub(crate) fn readmitted(&self, fraction: f64, now: Timestamp) -> Self {
         Self { tokens: fraction, notified_start: self.notified_start, readmitted_at: now }
     }
@@ -52,7 +53,7 @@
         self.tokens >= 1.0
     }
 
-    /// Takes a token for an attempt, also while the backend is warm: it may restart.
+    /// Takes a token for an attempt. A warm backend spends tokens too, because it may restart unnoticed.
     pub(crate) fn spend_token(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_readmitted_backend_keeps_its_notified_start_and_a_restarted_one_its_readmission() {
+fn readmission_keeps_the_notified_start_and_a_restart_keeps_the_readmission_time() {
     let readmitted = SlowStart::new(0.0, Some(at(5))).readmitted(0.3, at(9));
     assert_eq!((readmitted.notified_start(), readmitted.readmitted_at()), (Some(at(5)), at(9)));
     let restarted = readmitted.restarted(SlowStart::new(0.7, None));
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -29,8 +29,8 @@
     backends: Vec<BackendSnapshot>,
     latency_trend: LatencyTrend,
     class_stats: Vec<ClassStats>,
-    /// The pool of the first service; the pools of other services are not handed over. The platform has one
-    /// service.
+    /// The pool of the first service. The pools of other services are not handed over, because the platform
+    /// (`snowfield run`) has only one service.
     pool: StoredPool,
     retry_budget: f64,
 }
@@ -57,7 +57,7 @@
             backend.id = number.unwrap_or_default();
             number.is_some()
         });
-        // Estimates of classes and backends are indexed by class, and are not usable with other classes.
+        // Estimates of classes and backends are indexed by class, and cannot be used with other classes.
         let has_same_classes = classes.iter().enumerate().all(|(index, class)| *class == Some(index));
         if !has_same_classes {
             self.class_stats.clear();
--- a/crates/policy/src/snapshot/clock_change.rs
+++ b/crates/policy/src/snapshot/clock_change.rs
@@ -15,12 +15,12 @@
 /// Converts times of one clock to another clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockChange {
-    /// Microseconds by which the new clock is ahead; negative if it is behind.
+    /// Microseconds by which the new clock is ahead of the old clock; negative if the new clock is behind.
     ahead: i64,
 }
 
 impl ClockChange {
-    /// Converts one time. [`Timestamp::ZERO`] stands for never, and is not changed.
+    /// Converts one time to the new clock. [`Timestamp::ZERO`] stands for never, and is not changed.
     fn convert(self, time: &mut Timestamp) {
         if *time > Timestamp::ZERO {
             *time = time.saturating_add_signed(self.ahead).max(Timestamp::from_micros(1));
--- a/crates/policy/src/start_times.rs
+++ b/crates/policy/src/start_times.rs
@@ -1,17 +1,17 @@
 //! Estimates the start times of backends on this gatekeeper's clock.
 //!
 //! The endpoint list states start times on a clock that is common to all machines. If the wall clock of a
-//! gatekeeper was wrong when the process started, the gatekeeper reads another clock. It converts start times
-//! by this evidence:
+//! gatekeeper was wrong when the process started, the clock of the gatekeeper differs from the common clock.
+//! The gatekeeper converts start times by this evidence:
 //!
 //! - If the gatekeeper is notified of a start while it receives the list from discovery, the start is recent.
 //!   On the gatekeeper's clock it is at most [`MAX_NOTIFICATION_AGE`] before the notification. If the stated
 //!   start lies outside of that range, the time of the notification counts as the start.
 //! - No backend starts in the future. The gatekeeper's clock is therefore behind by at least the time by
 //!   which a stated start is ahead of it.
-//! - The offset from the fleet's clock, if it is known ([`StartTimes::set_clock_offset`]). The fleet's clock
-//!   itself may be wrong. If the two clocks disagree, the one that makes backends younger counts, unless it
-//!   puts a start into the future.
+//! - The offset of the gatekeeper's clock from the fleet's clock, if the offset is known
+//!   ([`StartTimes::set_clock_offset`]). The fleet's clock itself may be wrong. If the two clocks disagree,
+//!   the clock that makes backends younger counts, unless it puts a start into the future.
 
 use crate::event::BackendEntry;
 use crate::ids::BackendId;
@@ -26,7 +26,7 @@
 /// Maximum number of backends whose last start is stored, including backends that left the list.
 const MAX_KNOWN_STARTS: usize = 16_384;
 
-/// Known start times, and what is known of the error of this gatekeeper's clock.
+/// Known start times of backends, and the evidence on the error of this gatekeeper's clock.
 #[derive(Debug, Default)]
 pub(crate) struct StartTimes {
     /// Microseconds by which this gatekeeper's clock is ahead of the fleet's clock; 0 if unknown.
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -1,5 +1,4 @@
-//! The state machine: its parts, and the entry point that dispatches each event to the module that handles
-//! it.
+//! The state machine: its parts, and the entry point that dispatches each event to a handler.
 
 use crate::action::Action;
 use crate::class_stats::{ClassStats, INITIAL_LATENCY_PART};
@@ -37,7 +36,7 @@
     pub(crate) pools: Vec<ServicePool>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) latency_trend: LatencyTrend,
-    /// Indexed by class.
+    /// Latency and cost estimates, indexed by class.
     pub(crate) class_stats: Vec<ClassStats>,
     /// The largest weight that a request can have, over all classes and plans.
     pub(crate) max_weight: f64,
@@ -75,8 +74,8 @@
         })
     }
 
-    /// Handles one event at the time `now`, and appends the resulting actions to `out` in order. A time
-    /// before that of an earlier event counts as that earlier time.
+    /// Handles one event at the time `now`, and appends the resulting actions to `out` in order. If `now` is
+    /// before the time of an earlier event, the time of the earlier event applies.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.tick_started {
--- a/crates/policy/src/stored.rs
+++ b/crates/policy/src/stored.rs
@@ -1,5 +1,5 @@
-//! Plain data forms of the parts, which processes exchange at a hot restart. Fields are serialized by
-//! position, so their order must not change.
+//! Plain data forms of the state machine's parts, which processes exchange at a hot restart. Fields are
+//! serialized by position, so their order must not change.
 
 use crate::count_total::{BucketView, CountTotal};
 use crate::ids::{BackendId, RequestId};
@@ -58,7 +58,7 @@
     pub(crate) ejected_until: Option<Timestamp>,
 }
 
-/// Stored form of one backend, valid for the start that it states.
+/// Stored state of one backend, valid unless the backend has restarted since `started`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct BackendSnapshot {
     pub(crate) id: BackendId,
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -9,7 +9,8 @@
 use crate::stored::StoredQuota;
 use crate::time::{Micros, Timestamp};
 
-/// Uncertainty of a bucket's level, in standard deviations of the spend of others since the last total.
+/// Uncertainty of a bucket's level, in standard deviations of the spend of other gatekeepers since the last
+/// total that the counter returned.
 const UNCERTAINTY_DEVIATIONS: f64 = 2.0;
 /// Fraction of a bucket's level that the tenant's gatekeepers together may leave unreported.
 const MAX_UNREPORTED_FRACTION: f64 = 0.5;
@@ -35,13 +36,13 @@
     local_share: f64,
     /// Units left in this gatekeeper's share of the hard ceiling's bucket.
     ceiling_level: f64,
-    /// Units charged above the cost while latency is high, less what has refilled since.
+    /// Units charged in addition to the cost while latency is high, minus the refill since.
     surcharge: f64,
     /// Units reserved above estimated costs until the actual costs are known.
     reserved: f64,
-    /// When the levels were last refilled.
+    /// Time of the last refill of all levels.
     refilled_at: Timestamp,
-    /// When unreported spend must be reported to the counter.
+    /// Time by which unreported spend must be reported to the counter.
     pub(crate) report_due: Timestamp,
     /// Requests that wait for the answer to the counter call in flight.
     pub(crate) waiting: Vec<RequestId>,
@@ -75,7 +76,7 @@
 }
 
 impl TenantQuota {
-    /// The quota of a new tenant. `uptime` is the time since this gatekeeper started, in seconds.
+    /// Creates the quota of a new tenant. `uptime` is the time since this gatekeeper started, in seconds.
     pub(crate) fn new(
         settings: &Settings,
         plan: usize,
@@ -90,8 +91,8 @@
             shared: SharedBucket::full(limits, now),
             // An even share of one second's refill, and at least the cost of one request.
             local_share: (limits.rate / gatekeepers).max(settings.max_cost),
-            // Holds only the refill since this gatekeeper started: a restart must not fill the ceiling's
-            // bucket again.
+            // The ceiling's bucket holds only the refill since this gatekeeper started, because a restart
+            // must not fill the bucket again.
             ceiling_level: (limits.ceiling_rate * uptime).min(limits.ceiling_burst) / gatekeepers,
             surcharge: 0.0,
             reserved: 0.0,
@@ -145,7 +146,8 @@
             return Headroom { units: self.local_share - required, uncertainty: f64::INFINITY };
         }
         let plan = &settings.plans[self.plan];
-        // No total can show a higher level: if this is too low, the rejection is certain without a call.
+        // No total can show a higher level than `max_units`. If `max_units` is negative, the rejection is
+        // certain without a call to the counter.
         let max_units = self.shared.max_level(plan, now) - required;
         if max_units < 0.0 {
             return Headroom::certain(max_units);
@@ -156,13 +158,13 @@
         Headroom { units: self.shared.level() - required, uncertainty: UNCERTAINTY_DEVIATIONS * deviation }
     }
 
-    /// Whether a price exceeds what is left of this gatekeeper's share of the bucket.
+    /// Whether a price exceeds the units left in this gatekeeper's share of the bucket.
     pub(crate) fn exceeds_local_share(&self, price: Price) -> bool {
         self.local_share < self.required(price)
     }
 
-    /// Whether a cost exceeds what is left of this gatekeeper's share of the hard ceiling. Each share has the
-    /// ceiling's rate and burst divided by the number of the tenant's gatekeepers. The cost known at
+    /// Whether a cost exceeds the units left in this gatekeeper's share of the hard ceiling. Each share has
+    /// the ceiling's rate and burst divided by the number of the tenant's gatekeepers. The cost known at
     /// admission is debited and never refunded, so all gatekeepers together stay below the ceiling whatever
     /// the counter or the other gatekeepers do.
     pub(crate) fn exceeds_ceiling(&self, cost: f64) -> bool {
@@ -189,8 +191,8 @@
         self.reserved += price.reserved;
     }
 
-    /// Whether a report of spend may wait, because the level is high against the unreported spend of all the
-    /// tenant's gatekeepers, each assumed to have as much as this one.
+    /// Whether a report of spend may wait, because the level is high relative to the unreported spend of all
+    /// the tenant's gatekeepers, each assumed to have as much unreported spend as this one.
     pub(crate) fn may_delay_report(&self) -> bool {
         self.shared.unreported().abs() * self.gatekeepers < MAX_UNREPORTED_FRACTION * self.shared.level()
     }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -19,10 +19,10 @@
 impl Timestamp {
     /// The earliest point in time.
     pub const ZERO: Self = Self(0);
-    /// The latest point in time; it stands for never.
+    /// The latest point in time, which stands for never.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The time at which the clock reads this many microseconds.
+    /// Creates the point in time at which the caller's clock reads this many microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
--- a/crates/policy/src/timer_token.rs
+++ b/crates/policy/src/timer_token.rs
@@ -26,16 +26,17 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum TimerKind {
-    /// The periodic work.
+    /// The periodic work is due, see [`TICK`].
     Tick,
-    /// The deadline of a request is near, and it has to be answered now.
+    /// The deadline of a request is near, so the request has to be answered now.
     Deadline { request: RequestId },
-    /// An attempt has no answer after its hedge delay: a hedged request is considered.
+    /// The hedge delay of an attempt has passed. If the attempt has no answer, a hedged request is
+    /// considered.
     Hedge { request: RequestId, attempt: usize },
 }
 
 impl TimerKind {
-    /// Decodes a token. An unknown kind counts as the tick.
+    /// Decodes a token. An unknown kind counts as [`Self::Tick`].
     pub(crate) fn from_token(token: u64) -> Self {
         let request = RequestId(token as u32);
         match token & TOKEN_KIND_MASK {
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -1,4 +1,5 @@
-//! Handles expired timers, and runs the periodic work.
+//! Handles expired timers, and runs the periodic work: for example reports to the counter and
+//! updates of the pools.
 
 use crate::action::Action;
 use crate::counter_health::Urgency;
@@ -10,8 +11,8 @@
 use crate::time::Micros;
 use crate::timer_token::{TICK, TOKEN_TICK, TimerKind};
 
-/// Microseconds between updates of all backends and tenants. With large fleets they are too expensive for
-/// each tick.
+/// Microseconds between updates of all backends and tenants. With large fleets these updates are too
+/// expensive for each tick.
 const POOL_UPDATE_INTERVAL: Micros = 200_000;
 /// A tenant's quota is dropped after this many microseconds without a request. By then its counts have
 /// expired at the shared counter and its bucket is full, so no state is lost.
@@ -28,8 +29,8 @@
 
     fn on_tick(&mut self, out: &mut Actions) {
         out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
-        // The tick starts at a random tenant, so that the rate limit of calls does not always starve the same
-        // ones.
+        // The tick starts at a random tenant, so that the rate limit of counter calls does not always starve
+        // the same tenants.
         let first_tenant = TenantId(self.rng.u64(..));
         self.report_spend(first_tenant, out);
         self.probe_silent_counter(first_tenant, out);
@@ -54,9 +55,9 @@
         }
     }
 
-    /// Reads the total of any tenant while the counter does not answer. Nothing is spent from the shared
-    /// buckets then, so there may be no spend to report, and without this call the recovery of the counter
-    /// would go unnoticed.
+    /// Reads the total of any tenant's count while the counter does not answer. Nothing is spent from the
+    /// shared buckets then, so there may be no spend to report, and without this call the recovery of the
+    /// counter would go unnoticed.
     fn probe_silent_counter(&mut self, first_tenant: TenantId, out: &mut Actions) {
         if !self.counter.health.is_trial_due(self.now) {
             return;
@@ -72,7 +73,7 @@
     }
 
     /// Ejects backends that have attempts in flight for longer than the silence timeout and have sent no
-    /// answer since these were sent.
+    /// answer since these attempts were sent.
     fn eject_silent_backends(&mut self) {
         let (now, next_trial) = (self.now, self.now + ejection_time(&self.settings));
         let mut was_ejected = false;
@@ -84,8 +85,8 @@
                 }
             }
         }
-        // Panic mode is updated at once. If all backends are ejected, every request would be rejected until
-        // the next periodic update.
+        // Panic mode is updated at once. Otherwise, with all backends ejected, every request would be
+        // rejected until the next periodic update.
         if was_ejected {
             (0..self.pools.len()).for_each(|service| self.update_panic_mode(service));
         }
