--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -3,7 +3,7 @@
 use policy::{Micros, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Maximum time for which the process may be descheduled between reading its clock and writing to a connection.
+/// Maximum time in microseconds for which the process may be descheduled between reading its clock and writing to a connection.
 pub const MAX_SCHEDULING_DELAY: Micros = 150_000;
 
 /// A clock that counts microseconds since 1970: one reading of the wall clock, continued by the monotonic clock. The names of
@@ -23,7 +23,7 @@
         Self { wall_time_at_start, started_at: Instant::now() }
     }
 
-    /// The current time. Later adjustments of the wall clock do not affect it.
+    /// The current time. Adjustments of the wall clock after the start do not affect this clock.
     pub fn now(&self) -> Timestamp {
         self.wall_time_at_start + self.started_at.elapsed().as_micros() as Micros
     }
--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -7,11 +7,11 @@
 /// Numbers of final answers since the start of the process, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// Requests that were answered by a backend.
+    /// Number of requests that were answered by a backend.
     pub served: u64,
-    /// Requests that were rejected without effect.
+    /// Number of requests that were rejected without effect.
     pub rejected: u64,
-    /// Requests that failed and may have had an effect.
+    /// Number of requests that failed and may have had an effect.
     pub failed: u64,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The kind that a streamed answer counts as when it ends; `None` if its client disconnected.
+    /// The kind that a streamed answer counts as when its stream ends; `None` if the client disconnected.
     pub(crate) fn of_stream(end: StreamEnd) -> Option<Self> {
         match end {
             StreamEnd::Complete => Some(Self::Served),
@@ -52,23 +52,24 @@
     }
 }
 
-/// Outcomes of requests since the start of the process.
+/// Numbers of requests by outcome since the start of the process, for metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Requests without a final answer, except those of disconnected clients, and requests whose answers are still streaming.
+    /// Number of requests without a final answer, except those of disconnected clients, plus requests whose answers are still
+    /// streaming.
     pub pending: usize,
-    /// Final answers, indexed by the number of the class. A streamed answer is counted when its stream ends.
+    /// Numbers of final answers, indexed by the number of the class. A streamed answer is counted when its stream ends.
     pub classes: Vec<AnswerCounts>,
-    /// Rejections by the policy, indexed in the order of [`RejectReason::ALL`].
+    /// Numbers of rejections by the policy, indexed in the order of [`RejectReason::ALL`].
     pub rejections: [u64; RejectReason::ALL.len()],
 }
 
-/// State and load of one backend.
+/// State of one backend by the endpoint list, and its load from this gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendStatus {
-    /// Its state by the endpoint list: whether it may be sent new requests.
+    /// Whether the backend is eligible for new attempts, by the endpoint list.
     pub state: BackendState,
-    /// Number of attempts in flight.
+    /// Number of this gatekeeper's attempts in flight at the backend.
     pub in_flight: usize,
 }
 
@@ -85,6 +86,6 @@
     pub accounts: BTreeMap<u32, f64>,
     /// Number of calls to the quota counter, including those that read the fleet's clock.
     pub counter_calls: u64,
-    /// State and load of each backend.
+    /// State and load of each known backend, by id.
     pub backends: BTreeMap<BackendId, BackendStatus>,
 }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -28,14 +28,14 @@
     ///
     /// # Errors
     ///
-    /// The settings are not valid.
+    /// Returns the error of the first setting that is out of its range.
     pub fn new(settings: Settings, seed: u64, clock: Clock) -> Result<Arc<Self>, SettingsError> {
         let table = Mutex::new(RequestTable::new(settings, seed, clock.now())?);
         let (backends, counter, timer_waker) = (OnceLock::new(), OnceLock::new(), OnceLock::new());
         Ok(Arc::new(Self { clock, table, backends, counter, timer_waker }))
     }
 
-    /// Sets the backend side and the client of the quota counter, if the gatekeeper uses one. What is already set stays.
+    /// Sets the backend side, and the client of the quota counter if the gatekeeper uses one. Values that are set stay.
     pub fn connect(&self, backends: Arc<dyn Backends<Q>>, counter: Option<Arc<dyn QuotaCounter>>) {
         // `set` fails if a value is already set. The first value stays.
         let _ = self.backends.set(backends);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The current time, by the same clock as [`Attempt::decided_at`](crate::Attempt::decided_at).
+    /// The current time, on the clock of [`Attempt::decided_at`](crate::Attempt::decided_at).
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -82,7 +82,7 @@
         self.drive(|table, now| table.set_latest_deadline(now + time.as_micros() as Micros));
     }
 
-    /// The number of answers that are streaming.
+    /// The number of streamed answers that have begun and not ended.
     pub fn open_streams(&self) -> usize {
         self.lock().open_streams()
     }
@@ -111,7 +111,7 @@
         self.drive(|table, now| table.counter_call_ended(now, id, outcome, total));
     }
 
-    /// Applies an update of the endpoint list.
+    /// Passes an update of the endpoint list to the policy. `kind` tells whether `entries` is the whole list or only changes.
     pub fn update_endpoints(&self, kind: ListKind, entries: Vec<BackendEntry>) {
         self.drive(|table, now| table.update_endpoints(now, kind, entries));
     }
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// The settings are not valid. The previous settings stay in effect.
+    /// Returns the error of the first setting that is out of its range. The previous settings then stay in effect.
     pub fn update_settings(&self, settings: Settings) -> Result<(), SettingsError> {
         self.lock().update_settings(settings)
     }
@@ -180,7 +180,7 @@
         table.timers.schedule_wake_up(self.clock.now())
     }
 
-    /// Counts and the present load, for the operators' console.
+    /// Counts since the start of the process and the present load, for the operators' console.
     pub fn status(&self) -> Status {
         self.lock().status()
     }
@@ -199,8 +199,8 @@
     }
 
     /// Changes the table under its lock, then performs the queued side effects without the lock. Only one caller at a time
-    /// performs them, in order, including those that other callers queue meanwhile: if two callers did, an attempt could be
-    /// cancelled before it starts.
+    /// performs side effects, in order, including those that other callers queue meanwhile: if two callers did, an attempt could
+    /// be cancelled before it starts.
     fn drive(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Timestamp)) {
         let mut table = self.lock();
         change(&mut table, self.clock.now());
@@ -263,8 +263,8 @@
     }
 }
 
-/// Aborts the process if performing a side effect panics. The queue would stay marked as being drained, so that no caller would
-/// perform any further side effect. Forgotten when the queue has been drained.
+/// Guard that aborts the process if performing a side effect panics, and is forgotten when the queue has been drained. After a
+/// panic the queue would stay marked as being drained, so that no caller would perform any further side effect.
 struct AbortOnPanic;
 
 impl Drop for AbortOnPanic {
--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -31,12 +31,13 @@
 use policy::{Micros, Outcome, Timestamp};
 use stamp::Stamp;
 
-/// The name of the count that holds the stamp. All gatekeepers must use the same one.
+/// The name of the count that holds the stamp, which must be the same at all gatekeepers.
 pub(crate) const STAMP_NAME: u64 = 0x666c_6565_745f_7473;
-/// Time until the count that holds the stamp expires. A timekeeper whose stamp has expired places it again within a second.
+/// Time until the count that holds the stamp expires. A timekeeper whose stamp has expired places a new stamp within a second.
 pub(crate) const STAMP_TTL: Micros = 60_000_000;
 
-/// Estimates the clock offset and decides which counter calls that takes. A state machine without I/O.
+/// A state machine without I/O that estimates the offset of this process's clock from the fleet's clock, and decides which
+/// counter calls the estimate needs.
 #[derive(Debug)]
 pub(crate) struct FleetClock {
     election: Election,
@@ -60,22 +61,23 @@
         }
     }
 
-    /// The current estimate of the offset.
+    /// The current estimate of the offset of this process's clock from the fleet's clock.
     pub(crate) fn offset(&self) -> ClockOffset {
         self.estimate.offset()
     }
 
-    /// Whether a call has ended, successfully or not.
+    /// Whether at least one call to the counter has ended, successfully or not.
     pub(crate) fn first_call_ended(&self) -> bool {
         self.first_call_ended
     }
 
-    /// When the next call is due; `None` while a call is in flight.
+    /// Time at which the next call to the counter is due; `None` while a call is in flight.
     pub(crate) fn next_call_at(&self) -> Option<Timestamp> {
         self.in_flight.is_none().then_some(self.next_call_at)
     }
 
-    /// Starts the next call and returns the amount that it adds to the count; `None` if no call is due.
+    /// Starts the next call to the counter and returns the amount that the call adds to the stamp's count; `None` if no call is
+    /// due.
     pub(crate) fn start_call(&mut self, now: Timestamp) -> Option<f64> {
         if self.in_flight.is_some() || now < self.next_call_at {
             return None;
@@ -85,7 +87,8 @@
         Some(call.amount().as_units())
     }
 
-    /// Applies the end of the call in flight. `total` is the count after the call, valid only with [`Outcome::Ok`].
+    /// Applies the end of the call in flight. `total` is the sum of all amounts added to the stamp's count, valid only with
+    /// [`Outcome::Ok`].
     pub(crate) fn on_call_ended(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
         let Some(call) = self.in_flight.take() else { return };
         self.first_call_ended = true;
--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -1,8 +1,8 @@
 //! The election of the timekeeper: the one process that places a stamp and advances it.
 //!
-//! A state machine without clock and randomness. [`Election::next_call`] returns the next counter call, [`Election::on_reply`]
-//! applies its reply and decides how to continue. A stamp *makes progress* if its time has changed since it was last read, which
-//! shows that a timekeeper is alive.
+//! The election is a state machine without clock and randomness. [`Election::next_call`] returns the next counter call,
+//! [`Election::on_reply`] applies the reply and decides how to continue. A stamp *makes progress* if its time has changed since
+//! the last read of the stamp, which shows that a timekeeper is alive.
 //!
 //! ```mermaid
 //! stateDiagram-v2
@@ -43,79 +43,79 @@
 #[cfg(test)]
 mod tests;
 
-/// A process that adopted a stamp takes over as timekeeper after this many reads without progress. Its estimate is off if the
-/// stamp was stale, so it waits longer than processes with a better estimate, which take over sooner.
+/// A process that adopted a stamp takes over as timekeeper after this many reads without progress. The process has a wrong
+/// estimate if the stamp was stale, so it waits longer than processes with a better estimate, which take over sooner.
 const MAX_READS_WITHOUT_PROGRESS: u32 = 30;
 
 /// The role of this process in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Reads the stamp at intervals.
+    /// A process that only reads the stamp, at intervals.
     Follower,
-    /// Found no stamp, and reads once more before it places its own.
+    /// A process that found no stamp, and reads once more before it places its own stamp.
     Candidate,
-    /// Places its own stamp with the next call, as no other process has placed one.
+    /// A process that places its own stamp with the next call, as no other process has placed a stamp.
     Claiming {
-        /// The total of the counter, which does not include a stamp.
+        /// The total of the stamp's count, which contains no stamp.
         residue: Ticks,
     },
-    /// Found a possibly stale stamp, and reads it again.
+    /// A process that found a possibly stale stamp, and reads the stamp again.
     Confirming {
-        /// The stamp that was read.
+        /// The possibly stale stamp.
         stamp: StampTime,
     },
-    /// Adopted the time of a stamp, and reads the stamp until it makes progress.
+    /// A process that adopted the time of a stamp, and reads the stamp until the stamp makes progress.
     Adopted {
-        /// The stamp that was adopted.
+        /// The stamp whose time the process adopted.
         stamp: StampTime,
         /// Number of later reads that found the stamp unchanged.
         reads_without_progress: u32,
     },
-    /// Found that the stamp is stale, and advances it with the next call.
+    /// A process that found the stamp to be stale, and advances the stamp with the next call to become the timekeeper.
     TakingOver {
-        /// The stale stamp.
+        /// The stale stamp, which the next call advances.
         stamp: StampTime,
     },
-    /// Is the timekeeper, and advances the stamp with each call.
+    /// The process that advances the stamp with each call.
     Timekeeper {
         /// The stamp after the last advance.
         stamp: StampTime,
     },
-    /// Found a conflict with another stamp, and rolls back its own addition.
+    /// A process that found a conflict with another process's addition, and rolls back its own addition.
     RollingBack {
-        /// The amount that was added.
+        /// The amount that this process added, which the next call subtracts.
         amount: Ticks,
     },
 }
 
-/// A call to the counter.
+/// A call to the quota counter that reads or changes the stamp's count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
-    /// Reads the stamp.
+    /// Reads the stamp without changing it.
     Read,
-    /// Places a stamp on a counter without one.
+    /// Places a stamp in a count that contains no stamp.
     Place {
         /// The time of the new stamp.
         time: StampTime,
-        /// The amount to add.
+        /// The amount that the call adds to the count: the encoded stamp.
         amount: Ticks,
     },
     /// Advances the stamp to a later time.
     Advance {
         /// The time of the stamp after the call.
         time: StampTime,
-        /// The amount to add.
+        /// The amount that the call adds to the count: the difference from the previous stamp.
         amount: Ticks,
     },
     /// Rolls back an addition after a conflict.
     RollBack {
-        /// The amount to add: the negative of the earlier addition.
+        /// The amount that the call adds to the count: the negative of the earlier addition.
         amount: Ticks,
     },
 }
 
 impl Call {
-    /// The amount that the call adds to the counter.
+    /// The amount that the call adds to the stamp's count; 0 for a read.
     pub(super) fn amount(self) -> Ticks {
         match self {
             Self::Read => Ticks::ZERO,
@@ -124,7 +124,7 @@
     }
 }
 
-/// The decision on a reply.
+/// How the election continues after the reply to a counter call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
     /// Make the next call after this delay.
@@ -201,7 +201,7 @@
                 self.enter(State::TakingOver { stamp }, CallDelay::None)
             }
             (State::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
-                // The stamp may also be stale, if its timekeeper has died. Later reads show whether it makes progress.
+                // The stamp may also be stale, if its timekeeper has died. Later reads show whether the stamp makes progress.
                 self.state = State::Adopted { stamp, reads_without_progress: 0 };
                 Decision::AdoptStamp(stamp)
             }
--- a/crates/exchange/src/fleet_clock/offset.rs
+++ b/crates/exchange/src/fleet_clock/offset.rs
@@ -20,13 +20,13 @@
 pub(crate) struct ClockOffset(i64);
 
 impl ClockOffset {
-    /// The offset in microseconds.
+    /// The offset in microseconds; negative if this process's clock is behind the fleet's clock.
     pub(crate) fn as_micros(self) -> i64 {
         self.0
     }
 }
 
-/// The conclusion from the age of a stamp by this process's estimate of the fleet's time.
+/// Whether a stamp is recent, judged by its age on the fleet's clock as this process estimates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
     /// The stamp agrees with the estimate.
@@ -48,7 +48,7 @@
         self.offset
     }
 
-    /// The fleet's time by the current estimate.
+    /// The fleet's time at the time `now` of this process's clock, by the current estimate of the offset.
     pub(super) fn fleet_time(&self, now: Timestamp) -> StampTime {
         StampTime::from_micros(now.as_micros() as i64 - self.offset.0)
     }
--- a/crates/exchange/src/fleet_clock/stamp.rs
+++ b/crates/exchange/src/fleet_clock/stamp.rs
@@ -25,7 +25,7 @@
         self.0 * TICK as i64
     }
 
-    /// The amount as a counter call takes it.
+    /// The number of ticks as the amount of a counter call.
     pub(super) fn as_units(self) -> f64 {
         self.0 as f64
     }
@@ -52,7 +52,7 @@
 pub(super) struct StampTime(i64);
 
 impl StampTime {
-    /// The stamp time of a time in microseconds since 1970.
+    /// Converts a time in microseconds since 1970 to the time of a stamp.
     pub(super) fn from_micros(micros: i64) -> Self {
         Self((micros / TICK as i64).rem_euclid(PERIOD))
     }
@@ -68,13 +68,13 @@
         Ticks(PERIOD + self.0) - residue
     }
 
-    /// The amount that advances the stamp `from` to this time. It is negative if the time has wrapped around since.
+    /// The amount that advances the stamp `from` to this time; negative if the time has wrapped around since `from`.
     pub(super) fn advance_amount(self, from: Self) -> Ticks {
         Ticks(self.0 - from.0)
     }
 }
 
-/// A decoded total of the counter, with no stamp, one stamp, or several that conflict.
+/// A decoded total of the stamp's count, with no stamp, one stamp, or several stamps that conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Stamp {
     /// The number of stamps that were placed: 0 without a stamp, 2 or more after a conflict.
@@ -95,7 +95,7 @@
         Self { placed_count: 1, time }
     }
 
-    /// The total that this was decoded from, rounded to whole ticks.
+    /// The total that the stamp was decoded from, rounded to whole ticks.
     pub(super) fn total(self) -> Ticks {
         Ticks(self.placed_count * PERIOD + self.time.0)
     }
--- a/crates/exchange/src/in_flight.rs
+++ b/crates/exchange/src/in_flight.rs
@@ -8,7 +8,7 @@
 pub(crate) struct InFlightAttempt {
     pub(crate) backend: BackendId,
     pub(crate) sent_at: Timestamp,
-    /// `None` while the attempt is open.
+    /// How the attempt ended; `None` while the attempt is open.
     pub(crate) outcome: Option<Outcome>,
 }
 
@@ -21,7 +21,7 @@
 /// A request that has no final answer yet, or has open attempts.
 pub(crate) struct InFlightRequest<Q, A> {
     pub(crate) payload: Arc<Q>,
-    /// Taken when the final answer is given or the client disconnects.
+    /// Callback for the final answer; `None` after the final answer or after the client disconnects.
     pub(crate) reply: Option<Reply<A>>,
     pub(crate) deadline: Timestamp,
     pub(crate) admission: Admission,
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -5,10 +5,10 @@
 
 /// The backend side, which sends attempts to backends. No method may block.
 pub trait Backends<Q>: Send + Sync {
-    /// Starts an attempt. Its end is reported with [`Exchange::attempt_ended`](crate::Exchange::attempt_ended), possibly before
-    /// this returns.
+    /// Starts an attempt. The backend side reports the end of the attempt with
+    /// [`Exchange::attempt_ended`](crate::Exchange::attempt_ended), possibly before this returns.
     fn start(&self, attempt: Attempt<Q>);
-    /// Cancels an attempt. Its end is no longer reported.
+    /// Cancels an attempt. The end of a cancelled attempt need not be reported.
     fn cancel(&self, attempt: AttemptId);
     /// Withdraws an attempt whose request has its final answer. If the attempt has not been written completely, it ends with
     /// [`Outcome::Cancelled`](policy::Outcome::Cancelled); otherwise it continues.
@@ -23,7 +23,7 @@
 pub struct CounterCall {
     /// Identifies the call in [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended).
     pub id: u64,
-    /// The name of the count to add to.
+    /// The name of the count that the call reads or adds to.
     pub name: u64,
     /// Amount to add: units of the quota, or ticks of the fleet clock's stamp. 0 only reads the count.
     pub units: f64,
@@ -33,7 +33,7 @@
 
 /// The client of the quota counter. No method may block.
 pub trait QuotaCounter: Send + Sync {
-    /// Makes a call to the counter. Its end is reported with
+    /// Makes a call to the counter. The client reports the end of the call with
     /// [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended), possibly before this returns.
     fn call(&self, call: CounterCall);
 }
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -6,21 +6,22 @@
 /// A request as a front submits it.
 #[derive(Debug)]
 pub struct Request<Q> {
-    /// The number of its class in the settings.
+    /// The number of the request's class in the settings.
     pub class: u16,
-    /// The number of its tenant's plan in the settings.
+    /// The number of the tenant's plan in the settings.
     pub plan: u32,
     /// The tenant whose quota the request takes from.
     pub tenant: TenantId,
     /// Time from the submission within which the request must get its final answer.
     pub time_left: Micros,
-    /// The number of gatekeepers that its tenant's requests come through.
+    /// The number of gatekeepers that receive requests of the tenant.
     pub tenant_gatekeepers: f64,
     /// Cost of the request in units of the quota.
     pub units: f64,
     /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// The account of [`Status::accounts`](crate::Status::accounts) that its units are added to when it is first forwarded.
+    /// The account in [`Status::accounts`](crate::Status::accounts) to which the units of the request are added when the request
+    /// is first forwarded; `None` if no account counts them.
     pub account: Option<u32>,
     /// The content that is forwarded to a backend.
     pub payload: Q,
@@ -55,18 +56,19 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd<A> {
-    /// The outcome that the policy is told.
+    /// The outcome, which is passed to the policy.
     pub outcome: Outcome,
     /// The answer to give to the client. Used only with [`Outcome::Ok`].
     pub answer: Option<A>,
     /// The load that the backend reported, one value for each load metric of the settings; empty if it reported none.
     pub load: Vec<f32>,
-    /// Whether the answer has begun and continues: [`Exchange::stream_ended`](crate::Exchange::stream_ended) follows.
+    /// Whether the answer has begun and is still streaming. [`Exchange::stream_ended`](crate::Exchange::stream_ended) reports its
+    /// end later.
     pub is_streaming: bool,
 }
 
 impl<A> AttemptEnd<A> {
-    /// An end without an answer.
+    /// The end of an attempt that has no answer and no load report.
     pub fn without_answer(outcome: Outcome) -> Self {
         Self { outcome, answer: None, load: Vec::new(), is_streaming: false }
     }
@@ -99,7 +101,7 @@
 /// The final answer of a request. Each request gets exactly one, unless its client disconnects before.
 #[derive(Debug)]
 pub enum FinalAnswer<A> {
-    /// The answer of a backend.
+    /// The request was served: this is the answer of a backend.
     Served(A),
     /// The request was rejected and has had no effect, so a retry is safe.
     Rejected {
@@ -119,7 +121,7 @@
     pub tenant: TenantId,
     /// The number of the tenant's plan in the settings.
     pub plan: u32,
-    /// The number of gatekeepers that the tenant's requests come through.
+    /// The number of gatekeepers that receive requests of the tenant.
     pub tenant_gatekeepers: f64,
     /// Cost of the request in units of the quota.
     pub units: f64,
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -44,12 +44,12 @@
     policy: Policy,
     /// Events that the policy has yet to handle. Applying an action may append events.
     events: VecDeque<Event>,
-    /// Buffer for the policy's actions, reused to avoid allocations. Empty between two events.
+    /// Buffer for the policy's actions, reused to avoid allocations; empty between two events.
     actions: Vec<Action>,
     requests: HashMap<RequestId, InFlightRequest<Q, A>>,
     next_request: u32,
     max_attempts: usize,
-    /// The service of each class, indexed by the number of the class.
+    /// The number of the service that serves each class, indexed by the number of the class.
     class_services: Vec<u16>,
     repeat_rules: RepeatRules,
     /// Upper limit of the deadlines of requests submitted from now on; [`Timestamp::MAX`] unless the process is shutting down.
@@ -59,7 +59,7 @@
     counter_calls: CounterCalls,
     shared_clock: SharedClock,
     statistics: Statistics,
-    /// Set during a hot restart, while the predecessor of this process could still resume.
+    /// Callback for admissions; `None` except during a hot restart, while the predecessor of this process could still resume.
     admission_listener: Option<AdmissionListener>,
     pub(crate) side_effects: SideEffects<Q, A>,
     pub(crate) timers: Timers,
@@ -233,7 +233,7 @@
     }
 }
 
-/// The service of each class, indexed by the number of the class.
+/// The number of the service that serves each class, indexed by the number of the class.
 fn services_of(classes: &[RequestClass]) -> Vec<u16> {
     classes.iter().map(|class| class.service).collect()
 }
--- a/crates/exchange/src/request_table/answers.rs
+++ b/crates/exchange/src/request_table/answers.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The reason, for the client, why the policy rejects or fails a request now.
+    /// The reason that the client is given if the policy rejects or fails a request now.
     fn failure_reason(&self, now: Timestamp, id: RequestId) -> FailureReason {
         let Some(request) = self.requests.get(&id) else { return FailureReason::NoCapacity };
         if now + DEADLINE_MARGIN_TICKS * self.timers.tick() >= request.deadline {
@@ -82,7 +82,7 @@
 
     pub(super) fn deadline_expired(&mut self, now: Timestamp, id: RequestId) {
         self.cancel_open_attempts(now, id, Outcome::Timeout);
-        // The policy ends each request before its deadline. Should it fail to, the request still gets an answer.
+        // The policy normally ends each request before its deadline. If it does not, the request still gets an answer here.
         if self.requests.get(&id).is_some_and(|request| !request.is_over()) {
             self.answer(id, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
             self.feed(now, Event::ClientGone { id });
@@ -90,7 +90,8 @@
         self.remove_if_ended(id);
     }
 
-    /// Removes a request that is over and has no open attempts. It stays until then, since the ends of its attempts refer to it.
+    /// Removes a request that is over and has no open attempts. A request stays until then, since the ends of its attempts refer
+    /// to it.
     pub(super) fn remove_if_ended(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.is_over() && !request.has_open_attempts()) {
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -8,7 +8,7 @@
 use policy::{BackendId, Event, Micros, Outcome, RequestId, Timestamp};
 
 impl<Q, A> RequestTable<Q, A> {
-    /// Starts an attempt. If its request is over, past its deadline or without attempts left, the attempt ends as not sent.
+    /// Starts an attempt. If the request is over, past its deadline or without attempts left, the attempt ends as not sent.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Applies the end of a streamed answer.
+    /// Counts a streamed answer in the class of its request when the stream ends.
     pub(crate) fn stream_ended(&mut self, id: AttemptId, end: StreamEnd) {
         // If the request was over when the answer began, the stream was not recorded as open.
         let Some(class) = self.streams.close(id) else { return };
--- a/crates/exchange/src/request_table/backends.rs
+++ b/crates/exchange/src/request_table/backends.rs
@@ -7,7 +7,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The known backends. A backend that is removed from the list stays until the first update after its last attempt has ended.
+/// The known backends. A backend that is removed from the endpoint list stays until the first update of the list after its last
+/// attempt has ended.
 #[derive(Debug, Default)]
 pub(super) struct KnownBackends {
     statuses: BTreeMap<BackendId, BackendStatus>,
@@ -15,7 +16,7 @@
 }
 
 impl KnownBackends {
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list to the state and the service of each backend.
     pub(super) fn update(&mut self, kind: ListKind, entries: &[BackendEntry]) {
         if matches!(kind, ListKind::Cached | ListKind::Full) {
             self.statuses.values_mut().for_each(|backend| backend.state = BackendState::Gone);
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -11,10 +11,10 @@
 #[cfg(test)]
 mod tests;
 
-/// What a counter call is for.
+/// Why a counter call is made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Purpose {
-    /// The policy adds to a tenant's count.
+    /// The policy adds units to a tenant's count.
     Quota {
         /// The name of the count.
         name: u64,
@@ -23,7 +23,7 @@
     FleetClock,
 }
 
-/// A counter call in flight.
+/// A counter call in flight, with its purpose and start time.
 #[derive(Clone, Copy, Debug)]
 struct InFlightCall {
     purpose: Purpose,
@@ -61,7 +61,7 @@
         id
     }
 
-    /// Removes a call and returns it; `None` if it has already ended.
+    /// Removes a call and returns it; `None` if the call has already ended.
     fn end(&mut self, id: u64) -> Option<InFlightCall> {
         self.in_flight.remove(&id)
     }
@@ -73,7 +73,7 @@
     /// Number of gatekeepers that share the counter; 1 without a shared counter.
     gatekeepers: u32,
     seed: u64,
-    /// `None` before the start, and in a gatekeeper that needs no fleet clock.
+    /// The fleet's clock; `None` before it is started, and in a gatekeeper that needs no fleet clock.
     clock: Option<FleetClock>,
 }
 
@@ -134,13 +134,13 @@
         self.shared_clock.is_read()
     }
 
-    /// Makes the fleet clock's next counter call if it is due, or sets a timer for it.
+    /// Makes the fleet clock's next counter call if the call is due, or sets a timer for the call.
     pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
         let Some(clock) = &mut self.shared_clock.clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
             (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_TTL),
             (None, Some(next_call_at)) => self.timers.set(next_call_at, Timer::FleetClock),
-            // A call is in flight. The next one is scheduled when it ends.
+            // A call is in flight. The next call is scheduled when this call ends.
             (None, None) => {}
         }
     }
--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -1,5 +1,5 @@
-//! The guard on retries and hedged attempts: checks whether a request may be sent once more. It relies only on the outcomes of
-//! the earlier attempts, not on the policy's decision.
+//! The guard on retries and hedged attempts: checks whether a request may be sent once more. The guard relies only on the
+//! outcomes of the earlier attempts, not on the policy's decision.
 
 use crate::clock::MAX_SCHEDULING_DELAY;
 use crate::in_flight::InFlightAttempt;
@@ -12,11 +12,12 @@
 /// The condition under which a request of a class may be sent once more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RepeatRule {
-    /// Always: the request is idempotent.
+    /// The request is idempotent, and may always be sent once more.
     Always,
-    /// Within this time of the first attempt that may have run, while backends still recognize its idempotency key.
+    /// The request may be sent once more within this time of the first attempt that may have run, while backends still recognize
+    /// its idempotency key.
     Within(Micros),
-    /// Only if no earlier attempt can have run.
+    /// The request may be sent once more only if no earlier attempt can have run.
     IfNeverRan,
 }
 
--- a/crates/exchange/src/request_table/statistics.rs
+++ b/crates/exchange/src/request_table/statistics.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Counts since the start of the process.
+/// Counts of requests, answers and units since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Statistics {
     outcomes: OutcomeCounts,
@@ -60,7 +60,7 @@
         self.outcomes.rejections[reason as usize] += 1;
     }
 
-    /// Counts an answer in its class.
+    /// Counts an answer in the class of its request.
     pub(super) fn count_answer(&mut self, class: u16, kind: AnswerKind) {
         if let Some(counts) = self.outcomes.classes.get_mut(usize::from(class)) {
             counts.add(kind);
--- a/crates/exchange/src/request_table/streams.rs
+++ b/crates/exchange/src/request_table/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers that have not ended.
+//! The set of streamed answers that have not ended.
 
 use crate::request::AttemptId;
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
         self.classes.insert(attempt, class);
     }
 
-    /// Closes the stream of an attempt and returns the class of its request; `None` if it is not open.
+    /// Closes the stream of an attempt and returns the class of the attempt's request; `None` if no such stream is open.
     pub(super) fn close(&mut self, attempt: AttemptId) -> Option<u16> {
         self.classes.remove(&attempt)
     }
--- a/crates/exchange/src/side_effect.rs
+++ b/crates/exchange/src/side_effect.rs
@@ -8,25 +8,26 @@
 
 /// An action that the exchange performs after it has released the table's lock.
 pub(crate) enum SideEffect<Q, A> {
-    /// Starts an attempt.
+    /// Asks the backend side to send an attempt.
     Start(Attempt<Q>),
-    /// Cancels an attempt.
+    /// Asks the backend side to cancel an attempt, whether or not it has been written.
     Cancel(AttemptId),
-    /// Cancels an attempt of an answered request unless it has been written completely.
+    /// Asks the backend side to cancel an attempt of an answered request, unless the attempt has been written completely.
     Withdraw(AttemptId),
-    /// Ends an attempt that is too late to be written, unless it has been written completely.
+    /// Asks the backend side to end an attempt that has reached [`Attempt::max_start_delay`], unless the attempt has been written
+    /// completely.
     EndUnwritten(AttemptId),
-    /// Gives a request its final answer.
+    /// Passes the final answer of a request to the front's callback.
     Answer(Reply<A>, FinalAnswer<A>),
-    /// Calls the counter.
+    /// Makes a call to the quota counter.
     CallCounter(CounterCall),
-    /// Logs a notice of the policy.
+    /// Logs a state change that the policy reports for operators.
     Log(Notice),
-    /// Logs that the estimate of the clock offset has changed.
+    /// Logs the new estimate of the offset of this process's clock from the fleet's clock.
     LogClockOffset(ClockOffset),
 }
 
-/// The queue of side effects that are to be performed, in order. Only one caller drains it at a time.
+/// The queue of side effects that are to be performed, in order. Only one caller drains the queue at a time.
 pub(crate) struct SideEffects<Q, A> {
     queue: VecDeque<SideEffect<Q, A>>,
     is_draining: bool,
@@ -48,7 +49,8 @@
         !std::mem::replace(&mut self.is_draining, true)
     }
 
-    /// Removes and returns the next side effect. If there is none, draining has ended, and another caller may start it.
+    /// Removes and returns the next side effect. If the queue is empty, draining has ended, and another caller may start to drain
+    /// the queue.
     pub(crate) fn next(&mut self) -> Option<SideEffect<Q, A>> {
         let next = self.queue.pop_front();
         self.is_draining = next.is_some();
--- a/crates/exchange/src/stream.rs
+++ b/crates/exchange/src/stream.rs
@@ -9,10 +9,11 @@
 
 /// Maximum size of a stream's window in bytes.
 const MAX_WINDOW: usize = 64 * 1024;
-/// Minimum size of a stream's window in bytes. A smaller one would cost too many reads and writes.
+/// Minimum size of a stream's window in bytes. A smaller window would need too many reads and writes.
 const MIN_WINDOW: usize = 8 * 1024;
 
-/// The callback that is called when the other side has made progress, possibly under a lock of that side. It must not block.
+/// The callback that is called when the other side of a stream has made progress, possibly under a lock of that side. The
+/// callback must not block.
 pub type Notify = Box<dyn Fn() + Send + Sync>;
 
 /// The body of a served answer.
@@ -32,12 +33,12 @@
 }
 
 impl StreamBudget {
-    /// Creates a budget of this many bytes. Many streams may exceed it, since each has a minimum window.
+    /// Creates a budget of this many bytes. Many streams together may exceed the budget, since each has a minimum window.
     pub fn new(bytes: usize) -> Arc<Self> {
         Arc::new(Self { bytes, open_streams: AtomicUsize::new(0) })
     }
 
-    /// The window of each stream in bytes: the maximum that is buffered.
+    /// The window of each stream: the maximum number of bytes that are buffered.
     fn window(&self) -> usize {
         let streams = self.open_streams().max(1);
         (self.bytes / streams).clamp(MIN_WINDOW, MAX_WINDOW)
@@ -49,7 +50,7 @@
     }
 }
 
-/// How the writer ended.
+/// How the backend side ended the stream.
 #[derive(Clone, Copy)]
 enum WriterEnd {
     Finished,
@@ -59,7 +60,7 @@
 #[derive(Default)]
 struct State {
     bytes: Vec<u8>,
-    /// `None` while the writer exists.
+    /// How the backend side ended the stream; `None` while the writer exists.
     writer_end: Option<WriterEnd>,
     reader_is_gone: bool,
     notify_reader: Option<Arc<dyn Fn() + Send + Sync>>,
@@ -103,7 +104,7 @@
     }
 }
 
-/// The result of a read.
+/// The result of [`StreamReader::read`]: bytes of a streamed answer, or why none are available.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
     /// The next bytes of the answer.
@@ -124,7 +125,7 @@
 }
 
 impl StreamWriter {
-    /// The number of bytes that may be written now.
+    /// The number of bytes that fit into the stream's window now; 0 if the window is full.
     pub fn capacity(&self) -> usize {
         self.0.budget.window().saturating_sub(self.0.lock().bytes.len())
     }
@@ -134,13 +135,13 @@
         self.0.lock().reader_is_gone
     }
 
-    /// Appends bytes. They must fit into [`StreamWriter::capacity`], which this does not check.
+    /// Appends bytes to the answer. The bytes must fit into [`StreamWriter::capacity`], which is not checked here.
     pub fn write(&self, bytes: &[u8]) {
         self.0.lock().bytes.extend_from_slice(bytes);
         self.0.notify_reader();
     }
 
-    /// Marks the answer as complete.
+    /// Marks the answer as complete: after the buffered bytes, the reader gets [`ReadResult::End`].
     pub fn finish(self) {
         self.0.lock().writer_end = Some(WriterEnd::Finished);
     }
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -11,15 +11,15 @@
 /// What happens when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The policy gets a timer event with this token.
+    /// The policy gets a timer event with the token that it set the timer with.
     Policy(u64),
     /// The deadline of a request passes.
     Deadline(RequestId),
-    /// An attempt times out.
+    /// The time for the answer to an attempt ends.
     Attempt(AttemptId),
-    /// An attempt that has not been written may not be written any more.
+    /// An attempt that has not been written yet must not be written any more.
     WriteDeadline(AttemptId),
-    /// A counter call times out.
+    /// The time for the answer to a counter call ends.
     CounterCall(u64),
     /// The next counter call of the fleet's clock is due.
     FleetClock,
@@ -88,7 +88,7 @@
         self.heap.push(Reverse(Entry { expires_at, serial: self.last_serial, timer }));
     }
 
-    /// When the first timer expires.
+    /// Time at which the first timer expires; `None` if no timer is set.
     pub(crate) fn next_expiry(&self) -> Option<Timestamp> {
         self.heap.peek().map(|Reverse(entry)| entry.expires_at)
     }
