--- a/crates/openapi/src/description.rs
+++ b/crates/openapi/src/description.rs
@@ -45,7 +45,7 @@
         Ok(Self { name: description.name, root, defaults })
     }
 
-    /// Returns the paths with their path items.
+    /// Returns the entries of `paths`: each path with its path item. Extensions are left out.
     pub(crate) fn paths(&self) -> impl Iterator<Item = (&str, &Node)> {
         let paths = self.root.get("paths").map_or(&[][..], Node::entries);
         let is_path = |(path, _): &&(String, Node)| !path.starts_with("x-");
--- a/crates/openapi/src/error.rs
+++ b/crates/openapi/src/error.rs
@@ -3,12 +3,12 @@
 /// Why a set of descriptions cannot be served.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// One description cannot be served.
+    /// A description is invalid, or uses a feature of OpenAPI that is not supported.
     #[error("{description}: {source}")]
     Description {
-        /// Name of the description.
+        /// Name of the description, as passed in [`Description::name`](crate::Description::name).
         description: String,
-        /// The cause.
+        /// Why the description cannot be served.
         source: DescriptionError,
     },
     /// A request could match two paths, and neither of them is at least as specific as the other in every segment.
@@ -16,13 +16,13 @@
         "ambiguous routes: {path} ({description}) and {other_path} ({other_description}) match the same requests"
     )]
     AmbiguousRoutes {
-        /// The first path.
+        /// The path of one of the two routes, as a template with its base path.
         path: String,
-        /// Description of the first path.
+        /// Name of the description that defines `path`.
         description: String,
-        /// The second path.
+        /// The path of the other route, as a template with its base path.
         other_path: String,
-        /// Description of the second path.
+        /// Name of the description that defines `other_path`.
         other_description: String,
     },
 }
@@ -30,117 +30,117 @@
 /// Why a description cannot be served.
 #[derive(Debug, thiserror::Error)]
 pub enum DescriptionError {
-    /// The JSON is nested too deeply.
-    #[error("unreadable JSON: it is nested too deeply")]
+    /// Parsing the JSON could overflow the stack, because the parser is recursive.
+    #[error("unreadable JSON: the description is nested too deeply")]
     NestedTooDeep,
-    /// The text is not valid JSON, or a key occurs twice.
+    /// A text that starts with a brace is not valid JSON, or a key of an object occurs twice.
     #[error("unreadable JSON: {0}")]
     Json(#[from] simd_json::Error),
-    /// The text is not valid YAML, or a key occurs twice.
+    /// A text that does not start with a brace is not valid YAML, or a key of a map occurs twice.
     #[error("unreadable YAML: {0}")]
     Yaml(#[from] yaml_serde::Error),
-    /// The OpenAPI version is missing.
-    #[error("it has no OpenAPI version; 3.0 to 3.2 are supported")]
+    /// The key `openapi` is missing, for example in a description for Swagger 2.0.
+    #[error("the description has no OpenAPI version; 3.0 to 3.2 are supported")]
     NoVersion,
-    /// The OpenAPI version is not supported.
+    /// The value of the key `openapi` is none of the supported versions.
     #[error("OpenAPI version {0:?} is not supported; 3.0 to 3.2 are")]
     UnsupportedVersion(String),
-    /// `paths` is missing.
-    #[error("it has no paths")]
+    /// The key `paths` is missing.
+    #[error("the description has no paths")]
     NoPaths,
-    /// The paths have no operation.
-    #[error("it has no operation")]
+    /// `paths` is empty, or no path item in it has a method.
+    #[error("the description has no operation")]
     NoOperations,
-    /// A path cannot be served.
-    #[error("{path}: {source}")]
+    /// The path item of a path, or one of its operations, is invalid or not supported.
+    #[error("path {path}: {source}")]
     Path {
         /// The path as written in the description.
         path: String,
-        /// The cause.
+        /// Why the path cannot be served.
         source: Box<DescriptionError>,
     },
-    /// An `x-snowfield-` extension is unknown at this location.
+    /// A key with the prefix `x-snowfield-` is misspelled, or is allowed only at other locations.
     #[error("{location} has {key}, which is not allowed there")]
     UnknownExtension {
-        /// Location in the description.
+        /// The object that has the extension, for example an operation.
         location: String,
-        /// Name of the extension.
+        /// Name of the extension, with its prefix.
         key: String,
     },
-    /// A key of `x-snowfield-default` is unknown.
+    /// An `x-snowfield-default` has a key other than `units`, `class` and `service`.
     #[error("{location} has the unknown key {key:?}")]
     UnknownDefault {
-        /// Location in the description.
+        /// The `x-snowfield-default` with the key.
         location: String,
-        /// The unknown key.
+        /// The unknown key, as written.
         key: String,
     },
-    /// An `x-snowfield-default` is empty, or is not an object.
+    /// An `x-snowfield-default` sets no default: it is an empty object, or not an object. The value is its location.
     #[error("{0} is not an object with units, class or service")]
     EmptyDefault(String),
-    /// Units are not a number above 0.
+    /// The units of an operation or a default are 0, negative or not a number. The value is their location.
     #[error("the units of {0} are not a number above 0")]
     InvalidUnits(String),
-    /// A class or service is not text, or is empty.
+    /// The name of a class or of a service is empty, or a value other than text.
     #[error("the {key} of {location} must be text that is not empty")]
     InvalidName {
-        /// `class` or `service`.
+        /// The extension with the invalid name: `class` or `service`.
         key: &'static str,
-        /// Location in the description.
+        /// The operation or the default that has the extension.
         location: String,
     },
-    /// An operation has no units, and no default applies.
+    /// Neither an operation nor a default for it sets the units. The value names the operation.
     #[error("{0} has no units (x-snowfield-units), and no x-snowfield-default applies")]
     NoUnits(String),
-    /// An operation has no class, and no default applies.
+    /// Neither an operation nor a default for it sets the class. The value names the operation.
     #[error("{0} has no class (x-snowfield-class), and no x-snowfield-default applies")]
     NoClass(String),
-    /// A key of a path item is neither a supported method nor another known key.
+    /// A key of a path item is neither a supported method nor another known key, for example `trace`.
     #[error("{0:?} is not a supported method")]
     UnsupportedMethod(String),
-    /// An operation is not an object, or is a reference.
+    /// The value of a method is not an object, or has a `$ref`. Only path items may be references. The value is its location.
     #[error("{0} is not an operation object, or is a reference")]
     NotAnOperation(String),
-    /// A path item is not an object.
-    #[error("it is not a path item object")]
+    /// The value of a path, or the value that its references lead to, is not an object.
+    #[error("the path item is not an object")]
     NotAPathItem,
-    /// A reference points to another document.
+    /// The `$ref` of a path item points to another document. References must begin with `#/`.
     #[error("the reference {0:?} is not local")]
     RemoteReference(String),
     /// An object with a reference has a key other than `summary` and `description`.
     #[error("{0:?} next to a reference is undefined behavior in OpenAPI")]
     KeyBesideReference(String),
-    /// A reference points to a missing object.
+    /// The JSON pointer in the `$ref` of a path item matches nothing in the description.
     #[error("the reference {0:?} points to a missing object")]
     DanglingReference(String),
-    /// References are circular, or too many follow each other.
-    #[error("its references are circular, or too many follow each other")]
+    /// The references of a path item lead back to it, or form a longer chain than is supported.
+    #[error("the references of the path item are circular, or too many follow each other")]
     CircularReference,
-    /// A server has no URL.
+    /// An entry of `servers` has no key `url`.
     #[error("a server has no url")]
     NoServerUrl,
-    /// The path of a server URL has a query, a fragment or undefined variables.
+    /// The URL of a server cannot be used as the prefix of a path. The value is the path of the URL.
     #[error("the base path of the server {0:?} has a query, a fragment or an undefined variable")]
     UnsupportedBasePath(String),
-    /// A server variable has no default.
+    /// A variable in the URL of a server has neither an `enum` nor a `default`. The value is the name of the variable.
     #[error("the server variable {0:?} has no default")]
     NoVariableDefault(String),
-    /// The variables of a server expand to too many base paths.
+    /// The `enum` values of a server's variables have too many combinations.
     #[error("the variables of a server expand to too many base paths")]
     TooManyBasePaths,
-    /// A path is not a valid template.
+    /// A path, with its base path, cannot be matched against request paths.
     #[error("{0}")]
     Template(#[from] TemplateError),
     /// Two operations have the same method and, apart from the names of parameters, the same path.
     #[error("{method} {path} is already defined by {other_description}, as {method} {other_path}")]
     DuplicateRoute {
-        /// Method of both operations.
+        /// Method of both operations, in upper case.
         method: String,
-        /// Path of the later operation.
+        /// Path template of the operation that was read later.
         path: String,
-        /// Description of the earlier operation.
+        /// Name of the description that defines the operation that was read earlier.
         other_description: String,
-        /// Path of the earlier operation.
+        /// Path template of the operation that was read earlier.
         other_path: String,
     },
 }
@@ -148,21 +148,21 @@
 /// Why a path of a description is not a valid template.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TemplateError {
-    /// The path does not begin with a slash.
+    /// A path of the description begins with another character than a slash, or is empty.
     #[error("a path must begin with a slash")]
     NoLeadingSlash,
-    /// A segment is neither literal text nor a single parameter.
+    /// A segment has a parameter and other text, for example `{id}.json`.
     #[error("the segment {0:?} mixes text and parameters, which is not supported")]
     MixedSegment(String),
-    /// A segment contains a question mark or a number sign.
+    /// A segment contains `?` or `#`, which end the path of a URL.
     #[error("the segment {0:?} has a query or a fragment")]
     QueryOrFragment(String),
-    /// Backends may interpret a segment in different ways.
-    #[error("the segment {segment:?}: {source}")]
+    /// Backends may interpret a segment in different ways, so requests with such a segment are rejected.
+    #[error("the segment {segment:?} is not allowed: {source}")]
     Segment {
-        /// The segment.
+        /// The segment as written in the path of the description.
         segment: String,
-        /// The cause.
+        /// Why a request path with this segment is rejected.
         source: PathError,
     },
 }
@@ -171,7 +171,7 @@
 /// operation with a higher cost than that of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    /// The path does not begin with a slash.
+    /// The path of the request target is empty, or the target has another form, for example `*`.
     #[error("the path does not begin with a slash")]
     NoLeadingSlash,
     /// A percent sign is not followed by two hexadecimal digits.
--- a/crates/openapi/src/error/tests.rs
+++ b/crates/openapi/src/error/tests.rs
@@ -14,7 +14,7 @@
     };
     assert_eq!(
         error.to_string(),
-        "loans.json: /loans: its references are circular, or too many follow each other"
+        "loans.json: path /loans: the references of the path item are circular, or too many follow each other"
     );
     assert!(error.source().is_some_and(|path| path.source().is_some()));
     let error = LoadError::AmbiguousRoutes {
@@ -32,14 +32,14 @@
     use DescriptionError::*;
     let location = || "operation GET /a".to_owned();
     let text = |error: DescriptionError| error.to_string();
-    assert_eq!(text(NestedTooDeep), "unreadable JSON: it is nested too deeply");
-    assert_eq!(text(NoVersion), "it has no OpenAPI version; 3.0 to 3.2 are supported");
+    assert_eq!(text(NestedTooDeep), "unreadable JSON: the description is nested too deeply");
+    assert_eq!(text(NoVersion), "the description has no OpenAPI version; 3.0 to 3.2 are supported");
     assert_eq!(
         text(UnsupportedVersion("2.0".into())),
         "OpenAPI version \"2.0\" is not supported; 3.0 to 3.2 are"
     );
-    assert_eq!(text(NoPaths), "it has no paths");
-    assert_eq!(text(NoOperations), "it has no operation");
+    assert_eq!(text(NoPaths), "the description has no paths");
+    assert_eq!(text(NoOperations), "the description has no operation");
     assert_eq!(
         text(UnknownExtension { location: location(), key: "x-snowfield-unit".into() }),
         "operation GET /a has x-snowfield-unit, which is not allowed there"
@@ -78,7 +78,7 @@
         other_path: "/a/{x}".into(),
     };
     for (error, text) in [
-        (NotAPathItem, "it is not a path item object"),
+        (NotAPathItem, "the path item is not an object"),
         (RemoteReference("b.json".into()), "the reference \"b.json\" is not local"),
         (KeyBesideReference("get".into()), "\"get\" next to a reference is undefined behavior in OpenAPI"),
         (DanglingReference("#/x".into()), "the reference \"#/x\" points to a missing object"),
@@ -101,7 +101,7 @@
         ),
         (
             Template(TemplateError::Segment { segment: "..".into(), source: PathError::DotSegment }),
-            "the segment \"..\": a dot segment",
+            "the segment \"..\" is not allowed: a dot segment",
         ),
     ] {
         assert_eq!(error.to_string(), text);
--- a/crates/openapi/src/extensions.rs
+++ b/crates/openapi/src/extensions.rs
@@ -23,7 +23,7 @@
         Self::read(get, location)
     }
 
-    /// Reads the `x-snowfield-default` of a path or a description. Without one, all values are `None`.
+    /// Reads the `x-snowfield-default` of a path or a description. If the key is absent, all values are `None`.
     pub(crate) fn default_of(node: &Node, location: &str) -> Result<Self, DescriptionError> {
         let Some(default) = node.get("x-snowfield-default") else { return Ok(Self::default()) };
         let location = format!("x-snowfield-default of {location}");
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Fills missing values from `fallback`.
+    /// Replaces each value that is `None` by the value in `fallback`.
     pub(crate) fn or(self, fallback: &Self) -> Self {
         Self {
             units: self.units.or(fallback.units),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Rejects extensions other than `known`, so that a misspelled one is not ignored.
+/// Rejects extensions other than `known`, so that a misspelled extension is not ignored.
 pub(crate) fn reject_unknown(node: &Node, location: &str, known: &[&str]) -> Result<(), DescriptionError> {
     for (key, _) in node.entries() {
         if key.strip_prefix(PREFIX).is_some_and(|name| !known.contains(&name)) {
--- a/crates/openapi/src/lib.rs
+++ b/crates/openapi/src/lib.rs
@@ -5,8 +5,8 @@
 //! | extension | where | value |
 //! | --- | --- | --- |
 //! | `x-snowfield-units` | an operation | the units that a request takes from its tenant's quota, above 0 |
-//! | `x-snowfield-class` | an operation | the name of its class of requests |
-//! | `x-snowfield-service` | an operation | the name of the service that serves it, if not the configured one |
+//! | `x-snowfield-class` | an operation | the name of the class that its requests belong to |
+//! | `x-snowfield-service` | an operation | the name of the service that serves it; by default the service in the configuration |
 //! | `x-snowfield-default` | the description or a path | an object with any of `units`, `class` and `service`, for operations without their own |
 //!
 //! The most specific value applies: the operation's own, then the default of its path, then the default of the description. An
--- a/crates/openapi/src/node.rs
+++ b/crates/openapi/src/node.rs
@@ -15,7 +15,7 @@
 }
 
 impl Node {
-    /// The value of a key; `None` if this is not a map or has no such key.
+    /// The value of a key of a map; `None` if the map has no such key, and for another value.
     pub(crate) fn get(&self, key: &str) -> Option<&Node> {
         self.entries().iter().find(|(name, _)| name == key).map(|(_, value)| value)
     }
@@ -30,7 +30,7 @@
         if let Self::List(items) = self { items } else { &[] }
     }
 
-    /// The text; `None` for another value.
+    /// The text of a text value; `None` for another value.
     pub(crate) fn text(&self) -> Option<&str> {
         if let Self::Text(text) = self { Some(text) } else { None }
     }
--- a/crates/openapi/src/reference.rs
+++ b/crates/openapi/src/reference.rs
@@ -3,7 +3,7 @@
 use crate::error::DescriptionError;
 use crate::node::Node;
 
-/// Maximum number of references that are followed from one path item. It also detects circular references.
+/// Maximum number of references that are followed from one path item, which also ends circular references.
 const MAX_REFERENCE_DEPTH: usize = 16;
 /// Keys that an object with a reference may have, including the reference itself.
 const ALLOWED_KEYS: [&str; 3] = ["$ref", "summary", "description"];
--- a/crates/openapi/src/route_table.rs
+++ b/crates/openapi/src/route_table.rs
@@ -11,24 +11,24 @@
     pub method: String,
     /// Path template, with the base path of the server.
     pub path: String,
-    /// `operationId` of the operation; `None` if it has none.
+    /// `operationId` of the operation; `None` if the operation has no such key.
     pub name: Option<String>,
     /// Units that a request takes from the quota of its tenant, above 0.
     pub units: f64,
-    /// Name of the class of requests.
+    /// Name of the class that requests of this route belong to.
     pub class: String,
-    /// Name of the service that serves the route; `None` for the configured one.
+    /// Name of the service that serves the route; `None` for the default service of the configuration.
     pub service: Option<String>,
     /// Name of the description that defines the route.
     pub source: String,
 }
 
-/// Result of [`RouteTable::find`].
+/// Result of [`RouteTable::find`]: the route that matches a request, or why no route does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteMatch {
     /// The route with this index in [`RouteTable::routes`].
     Route(usize),
-    /// The path has routes for other methods only: their names, separated by commas.
+    /// The path has routes for other methods only. The value is a list of these methods, separated by commas.
     MethodNotAllowed(String),
     /// No path template matches.
     NotFound,
--- a/crates/openapi/src/servers.rs
+++ b/crates/openapi/src/servers.rs
@@ -6,7 +6,8 @@
 /// Maximum number of URLs to which the variables of one server may expand.
 const MAX_EXPANDED_URLS: usize = 64;
 
-/// Returns the distinct base paths of a list of servers, without trailing slashes. Without servers, the only base path is empty.
+/// Returns the distinct base paths of a list of servers, without trailing slashes. A description without servers has the empty
+/// base path only.
 pub(crate) fn base_paths(servers: Option<&Node>) -> Result<Vec<String>, DescriptionError> {
     let mut bases = Vec::new();
     for server in servers.map_or(&[][..], Node::items) {
--- a/crates/openapi/src/template.rs
+++ b/crates/openapi/src/template.rs
@@ -18,13 +18,13 @@
 /// Relation between the sets of requests that two templates match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Overlap {
-    /// No request matches both.
+    /// No request matches both templates.
     Disjoint,
-    /// Both match the same requests: they differ only in the names of parameters.
+    /// Both templates match the same requests: they differ only in the names of parameters.
     Same,
-    /// One of them is more specific in a segment, and at least as specific in all others.
+    /// One template is more specific in a segment, and at least as specific in all others.
     Nested,
-    /// Some requests match both, and each is more specific in a segment.
+    /// Some requests match both templates, and each template is more specific than the other in some segment.
     Ambiguous,
 }
 
@@ -40,7 +40,8 @@
         is_same_length && self.0.iter().zip(segments).all(|(segment, bytes)| segment.matches(bytes))
     }
 
-    /// Number of literal segments. Of two unambiguous templates that match one request, the more specific one has more of them.
+    /// Number of literal segments. Of two unambiguous templates that match one request, the more specific template has more
+    /// literal segments.
     pub(crate) fn specificity(&self) -> usize {
         self.0.iter().filter(|segment| matches!(segment, Segment::Literal(_))).count()
     }
