--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The number of violations of a guard that are all logged, before sampling starts.
+/// Number of violations found by one guard that are all logged, before sampling starts.
 const UNSAMPLED_VIOLATIONS: u64 = 20;
 /// One in this many violations of a guard is logged after the first [`UNSAMPLED_VIOLATIONS`].
 const LOG_SAMPLING_PERIOD: u64 = 100;
--- a/crates/seeded_faults/src/lib.rs
+++ b/crates/seeded_faults/src/lib.rs
@@ -4,7 +4,7 @@
 //! build with the feature is never released: it prints a warning when it starts, and activates the one fault that the environment
 //! variable [`FAULT_VARIABLE`] names.
 
-/// The environment variable that names the active fault. It is read once; if it is not set, no fault is active.
+/// The environment variable that names the active fault. The variable is read once; without it, no fault is active.
 pub const FAULT_VARIABLE: &str = "SNOWFIELD_WEAKENED";
 
 /// Whether this build can activate seeded faults.
--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -24,7 +24,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Maximum number of services. Each has its own watch in Consul.
+/// Maximum number of services. Each service has its own watch in Consul.
 const MAX_SERVICES: usize = 32;
 
 /// Format of log lines.
@@ -44,7 +44,7 @@
 pub struct ApplianceConfig {
     /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Address at which the console polls the live status, on the loopback interface.
+    /// Address on the loopback interface at which the console polls the live status; `None` if no status is served.
     pub status: Option<SocketAddr>,
     /// Format of log lines. `SNOWFIELD_LOG` overrides it.
     #[serde(rename = "log", default)]
@@ -59,7 +59,7 @@
     /// Sharing of quotas with other gatekeepers.
     #[serde(default)]
     pub quota: QuotaConfig,
-    /// Limits and timeouts.
+    /// Limits on sizes, connections and attempts, and timeouts of connections.
     #[serde(default)]
     pub limits: LimitsConfig,
     /// Slow start of backends.
@@ -68,7 +68,7 @@
     /// Services other than that of `consul`.
     #[serde(rename = "service", default)]
     pub services: Vec<ServiceConfig>,
-    /// Registration of this process in Consul; `None` if it is not registered.
+    /// Registration of this process in Consul; `None` if the process is not registered.
     #[serde(rename = "register")]
     pub registration: Option<RegistrationConfig>,
     /// Cluster of instances that share health checks and periodic jobs; `None` for a single instance.
@@ -76,7 +76,7 @@
     /// Replication of plans among the gatekeepers; `None` if the plans come from this file only.
     #[serde(rename = "agreed")]
     pub replication: Option<ReplicationConfig>,
-    /// Active health checks of the backends; `None` if there are none.
+    /// Active health checks of the backends; `None` if no backend is checked.
     #[serde(rename = "probe")]
     pub health_check: Option<HealthCheckConfig>,
     /// HTTP calls that are made periodically.
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Names of the services, that of `consul` first.
+    /// Names of the services by number. The service of the table `[consul]` is number 0.
     pub fn service_names(&self) -> Vec<&str> {
         let further = self.services.iter().map(|service| service.name.as_str());
         std::iter::once(self.consul.service.as_str()).chain(further).collect()
@@ -181,12 +181,12 @@
         self.classes.iter().map(|class| class.timing(&self.limits)).collect()
     }
 
-    /// Number of a class: its position in the file.
+    /// Position of a class in the file, from 0; `None` if the file has no class of this name.
     pub fn class_number(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Number of a plan: its position in the file.
+    /// Position of a plan in the file, from 0; `None` if the file has no plan of this name.
     pub fn plan_number(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|plan| plan.name == name)
     }
--- a/crates/settings/src/appliance/classes.rs
+++ b/crates/settings/src/appliance/classes.rs
@@ -19,9 +19,9 @@
 pub struct ClassConfig {
     /// Name of the class, as in the OpenAPI descriptions.
     pub name: String,
-    /// Effect of executing a request again.
+    /// Effect of executing a request of this class again, which decides on retries and hedged requests.
     pub repeat: RepeatEffect,
-    /// Latency objective in milliseconds.
+    /// Latency objective: the time in milliseconds within which clients want the answer.
     #[serde(rename = "wanted_ms")]
     pub latency_objective_ms: u64,
     /// Deadline in milliseconds, after which clients give up.
@@ -32,10 +32,10 @@
     /// Timeout of one attempt in milliseconds, including the time to connect. By default an attempt may last until the deadline.
     #[serde(rename = "attempt_ms")]
     pub attempt_timeout_ms: Option<u64>,
-    /// Delay of a hedged request in milliseconds. By default it is a fraction of the latency objective.
+    /// Delay of a hedged request in milliseconds; by default a fraction of the latency objective.
     #[serde(rename = "copy_after_ms")]
     pub hedge_after_ms: Option<u64>,
-    /// Priority weight of one unit.
+    /// Priority weight of one unit of this class, relative to other classes.
     #[serde(rename = "worth", default = "one")]
     pub priority_weight: f64,
 }
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterConfig {
-    /// Unique name of this instance.
+    /// Name of this instance, which must be unique in the cluster.
     pub name: String,
-    /// UDP address at which it receives gossip.
+    /// UDP address at which this instance receives gossip.
     pub listen: SocketAddr,
-    /// Address at which other instances reach it; `listen` by default.
+    /// Address at which other instances send gossip to this instance; `listen` by default.
     pub advertise: Option<SocketAddr>,
-    /// Addresses of seed members.
+    /// Gossip addresses of the members that this instance contacts to join the cluster.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     /// File with the keys that authenticate gossip, relative to the directory of this file.
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
-    /// Path of the GET request.
+    /// Path of the GET request that checks a backend.
     pub path: String,
     /// Interval between two checks of a backend, in milliseconds.
     #[serde(default = "default_health_check_period_ms")]
@@ -126,7 +126,7 @@
     /// Number of consecutive failures after which a backend is unhealthy.
     #[serde(rename = "down_after", default = "default_threshold")]
     pub unhealthy_threshold: u32,
-    /// Number of consecutive successes after which it is healthy again.
+    /// Number of consecutive successes after which an unhealthy backend is healthy again.
     #[serde(rename = "up_after", default = "default_threshold")]
     pub healthy_threshold: u32,
     /// Maximum share of the backends that health checks may eject at the same time.
@@ -175,13 +175,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeriodicJobConfig {
-    /// Name of the job.
+    /// Name of the job, in keys of the lease store and in log lines.
     pub name: String,
-    /// Period in milliseconds.
+    /// Time between the starts of two runs of the job, in milliseconds.
     pub period_ms: u64,
     /// URL of the POST request: `http://ADDRESS:PORT/PATH`.
     pub url: String,
-    /// Timeout of the call in milliseconds.
+    /// Time in milliseconds within which the service must answer the POST request.
     #[serde(default = "default_job_timeout_ms")]
     pub timeout_ms: u64,
 }
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -28,7 +28,7 @@
     pub tag: Option<String>,
     /// Filter expression in Consul's syntax.
     pub filter: Option<String>,
-    /// File with the ACL token, relative to the directory of this file. It is read before each request to Consul.
+    /// File with the ACL token, relative to the directory of this file. The token is read before each request to Consul.
     pub token_file: Option<PathBuf>,
     /// Datacenter of the service; the agent's own by default.
     pub datacenter: Option<String>,
@@ -51,8 +51,8 @@
     /// Maximum age in seconds of a cached list.
     #[serde(rename = "list_max_age_s", default = "default_cache_max_age_s")]
     pub cache_max_age_s: u64,
-    /// Time in milliseconds for which an instance is suppressed after it recovers from its second recent flap. It doubles with
-    /// each further flap.
+    /// Time in milliseconds for which an instance is suppressed after it recovers from its second recent flap. The time doubles
+    /// with each further flap.
     #[serde(rename = "flap_hold_ms", default = "default_flap_suppression_ms")]
     pub flap_suppression_ms: u64,
     /// Upper bound of the suppression time in milliseconds.
@@ -146,7 +146,7 @@
 pub struct RegistrationConfig {
     /// Name of the service under which this process is registered.
     pub name: String,
-    /// Unique id of this instance.
+    /// Id of this instance, which must be unique among the services of the Consul agent.
     pub id: String,
     /// Address at which clients reach this instance; `listen` by default.
     pub address: Option<SocketAddr>,
@@ -160,7 +160,7 @@
 }
 
 impl RegistrationConfig {
-    /// Validates the table. `listen` is the address at which clients connect.
+    /// Validates the table `[register]`. `listen` is the address at which clients connect.
     pub(super) fn validate(&self, listen: SocketAddr) -> Result<(), SettingsError> {
         for (key, value) in [("register.name", &self.name), ("register.id", &self.id)] {
             if value.is_empty() {
--- a/crates/settings/src/appliance/limits.rs
+++ b/crates/settings/src/appliance/limits.rs
@@ -16,9 +16,9 @@
 pub struct QuotaConfig {
     /// Number of gatekeepers that share the quotas.
     pub gatekeepers: u32,
-    /// Number of this gatekeeper, from 0.
+    /// Number of this gatekeeper among the gatekeepers that share the quotas, from 0.
     pub number: u32,
-    /// Address of the quota counter. Without one each gatekeeper grants an even share of each quota.
+    /// Address of the quota counter; `None` if there is no counter, so that each gatekeeper grants an even share of each quota.
     pub counter: Option<SocketAddr>,
     /// Timeout of a call to the counter, in milliseconds.
     #[serde(rename = "counter_wait_ms")]
@@ -34,7 +34,7 @@
     }
 }
 
-/// Limits and timeouts.
+/// Limits on sizes, connections and attempts, and timeouts of connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsConfig {
@@ -89,7 +89,7 @@
     /// Share of its capacity that a backend has right after its start.
     #[serde(rename = "cold_share")]
     pub initial_share: f64,
-    /// Duration of slow start in milliseconds; 0 for none.
+    /// Duration of slow start in milliseconds; 0 for no slow start.
     #[serde(rename = "cold_ms")]
     pub duration_ms: u64,
     /// Load at which a backend in slow start becomes overloaded, as a multiple of its current capacity.
--- a/crates/settings/src/appliance/plan_version.rs
+++ b/crates/settings/src/appliance/plan_version.rs
@@ -13,7 +13,8 @@
     plans: Vec<PlanConfig>,
 }
 
-/// Minimum rate. The policy requires rates above 0, and one unit per day admits practically no requests.
+/// Minimum rate (in units per second) and burst of a scaled plan. The policy requires values above 0, and one unit per day admits
+/// practically no requests.
 const MIN_RATE: f64 = 1.0 / 86_400.0;
 
 /// Applies a version: returns the plans of the file, with those that the version contains replaced.
--- a/crates/settings/src/appliance/plans.rs
+++ b/crates/settings/src/appliance/plans.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanConfig {
-    /// Name of the plan.
+    /// Name of the plan, to which tenants refer.
     pub name: String,
     /// Quota of each tenant in units per second.
     pub units_per_second: f64,
     /// Units that a tenant may use at once: the capacity of its token bucket.
     pub burst: f64,
-    /// Hard ceiling in units per second; 0 for none.
+    /// Hard ceiling of each tenant in units per second; 0 for no ceiling.
     #[serde(default)]
     pub ceiling_per_second: f64,
     /// Units that the ceiling admits at once: the capacity of its token bucket.
@@ -44,7 +44,7 @@
 pub struct TenantConfig {
     /// Name of the tenant, as in the HTTP header `lender_header`.
     pub name: String,
-    /// Name of its plan.
+    /// Name of the tenant's plan.
     pub plan: String,
 }
 
--- a/crates/settings/src/appliance/policy_settings.rs
+++ b/crates/settings/src/appliance/policy_settings.rs
@@ -20,11 +20,11 @@
 }
 
 impl ApplianceConfig {
-    /// Converts to the settings of the policy with these classes, where one request costs at most `max_units`.
+    /// Converts the file to settings of the policy with these classes, where one request costs at most `max_units`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the policy rejects the settings.
+    /// Returns [`SettingsError::Policy`] if a setting is out of the range that the policy accepts.
     pub fn policy_settings(
         &self,
         max_units: f64,
--- a/crates/settings/src/appliance/replication.rs
+++ b/crates/settings/src/appliance/replication.rs
@@ -24,7 +24,7 @@
     /// File with the Raft log of a replica, relative to the directory of this file.
     #[serde(default = "default_log")]
     pub log: PathBuf,
-    /// Lease duration in milliseconds. Once it has passed, no two gatekeepers apply contradictory versions.
+    /// Lease duration in milliseconds. Once the duration has passed, no two gatekeepers apply contradictory versions.
     #[serde(rename = "lease_ms", default = "default_lease_duration_ms")]
     pub lease_duration_ms: u64,
     /// Share of each quota that this gatekeeper grants without a lease.
@@ -38,7 +38,7 @@
 pub struct ReplicaConfig {
     /// Name of the replica, as in the table `[cluster]` of its own file.
     pub name: String,
-    /// Address at which this instance reaches it.
+    /// Address at which this instance reaches the replica.
     pub address: SocketAddr,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl ReplicationConfig {
-    /// Validates the table. The name of this instance comes from the table `[cluster]`.
+    /// Validates the table `[agreed]`. The name of this instance comes from the table `[cluster]`.
     pub(super) fn validate(&self, cluster: Option<&ClusterConfig>) -> Result<(), SettingsError> {
         let cluster = cluster.ok_or(SettingsError::ReplicationWithoutCluster)?;
         self.validate_replicas()?;
--- a/crates/settings/src/endpoint_list.rs
+++ b/crates/settings/src/endpoint_list.rs
@@ -8,7 +8,7 @@
     /// Version of the list, from the discovery agent; 0 if absent.
     #[serde(rename = "rev", default)]
     pub revision: u64,
-    /// True for a complete list, false for one with only the endpoints that changed since the previous list.
+    /// True for a complete list, false for a list with only the endpoints that changed since the previous list.
     #[serde(rename = "all", default)]
     pub complete: bool,
     /// The endpoints: all of them, or only the changed ones.
@@ -31,15 +31,15 @@
     /// Name of the machine type; empty if absent.
     #[serde(rename = "model", default)]
     pub machine_type: String,
-    /// Number of the cell: a group of backends within which idempotency keys are recognized.
+    /// Number of the backend's cell: a group of backends within which idempotency keys are recognized.
     #[serde(rename = "pod_group", default)]
     pub cell: u16,
-    /// State: `up`, `draining` or `removed`.
+    /// State of the backend: `up`, `draining` or `removed`.
     pub state: String,
-    /// Capacity relative to other backends.
+    /// Capacity relative to other backends; 1 if absent.
     #[serde(rename = "capacity_hint", default = "one")]
     pub capacity: f64,
-    /// Start time in Unix milliseconds; 0 if it started long ago.
+    /// Start time of the backend in Unix milliseconds; 0 if the backend started long ago.
     #[serde(rename = "boot_ms", default)]
     pub started_ms: u64,
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -12,87 +12,87 @@
     /// The text is not TOML with the schema of the appliance's file.
     #[error("{0}")]
     Toml(#[source] Box<toml::de::Error>),
-    /// The JSON is nested too deeply.
+    /// Parsing the JSON could overflow the stack, because the parser is recursive.
     #[error("the JSON is nested too deeply")]
     NestedTooDeep,
-    /// The configuration in force has a key that is missing in the new file.
+    /// On a reload, the new file lacks a key that the file in force has.
     #[error("the key {key} is missing")]
     MissingKey {
         /// Dotted path of the missing key.
         key: String,
     },
-    /// A key has an invalid value.
+    /// The value of a key is out of its range, or has the wrong form.
     #[error("{key} is {value}, but must be {requirement}")]
     InvalidValue {
-        /// Key, with the name of its table or entry.
+        /// The key with the invalid value, prefixed with the name of its table or entry.
         key: String,
-        /// Value in the file.
+        /// The invalid value, as text.
         value: String,
-        /// Allowed values.
+        /// The allowed values, for example `500 to 60000`.
         requirement: String,
     },
-    /// An address is reachable from other machines.
+    /// An address that only this machine may reach is reachable from other machines.
     #[error("{key}: {address} is not on loopback; {reason}")]
     NotOnLoopback {
-        /// Key, with the name of its table.
+        /// The key of the address, prefixed with the name of its table.
         key: &'static str,
-        /// Address in the file.
+        /// The address that the file sets.
         address: SocketAddr,
-        /// Why it must be on the loopback interface.
+        /// Why the address must be on the loopback interface.
         reason: &'static str,
     },
-    /// An address that is announced to other processes has port 0.
+    /// An address that other processes connect to has port 0, which stands for a port that the system chooses.
     #[error("{key}: port 0 cannot be told to others; {remedy}")]
     PortZero {
-        /// Key, with the name of its table.
+        /// The key of the address, prefixed with the name of its table.
         key: &'static str,
         /// Change to the file that corrects the error.
         remedy: &'static str,
     },
-    /// A list is empty.
+    /// A list that needs entries has none.
     #[error("{key}: at least one is needed")]
     EmptyList {
-        /// Key of the list.
+        /// The key of the empty list.
         key: &'static str,
     },
-    /// An entry has no name.
+    /// The name of an entry of a list is empty.
     #[error("a {kind} has no name")]
     Unnamed {
-        /// Key or kind of the entry, for example `plan`.
+        /// The kind of entry, for example `plan`; often the key of the list.
         kind: &'static str,
     },
     /// Two entries of a list have the same name.
     #[error("{kind} {name:?} comes twice")]
     Duplicate {
-        /// Key or kind of the entries, for example `plan`.
+        /// The kind of entry, for example `plan`; often the key of the list.
         kind: &'static str,
-        /// Name that occurs twice.
+        /// The name that occurs more than once.
         name: String,
     },
     /// A tenant has a plan that the file does not define.
     #[error("lender {tenant:?} has the unknown plan {plan:?}")]
     UnknownPlan {
-        /// Name of the tenant.
+        /// Name of the tenant (key `lender` in the file).
         tenant: String,
-        /// Name of the plan.
+        /// Name of the undefined plan.
         plan: String,
     },
-    /// A version of the replicated plans has a plan that the file does not define.
+    /// A version of the replicated plans has a plan that the file does not define. Versions can only change the limits of plans.
     #[error("plan {plan:?} is none of the file's; a new one needs a restart")]
     PlanNotInFile {
-        /// Name of the plan.
+        /// Name of the undefined plan.
         plan: String,
     },
-    /// A plan admits no requests.
+    /// The rate or the burst of a plan is not above 0, so that the plan would admit no requests.
     #[error("plan {plan:?} needs units_per_second and burst above 0")]
     EmptyPlan {
-        /// Name of the plan.
+        /// Name of the plan without a usable quota.
         plan: String,
     },
-    /// The ceiling of a plan is below its quota.
+    /// The hard ceiling of a plan would reject requests within the plan's quota.
     #[error("plan {plan:?} has its ceiling below its quota")]
     CeilingBelowQuota {
-        /// Name of the plan.
+        /// Name of the plan with the two limits.
         plan: String,
     },
     /// The times of some classes violate the timing rules.
@@ -101,9 +101,9 @@
     /// A class of the platform's file has an unknown effect.
     #[error("class {class}: unknown effect {effect:?}")]
     UnknownEffect {
-        /// Name of the class.
+        /// Name of the class, as in the file.
         class: String,
-        /// The unknown effect.
+        /// The value of the class's key `effect`.
         effect: String,
     },
     /// `[agreed]` is present without `[cluster]`, which has the name of this instance and the key file for replication.
@@ -126,7 +126,7 @@
     /// All configurations since the process started have too many different classes or plans together.
     #[error("more than {MAX_CLASSES_OR_PLANS} different classes or plans since the process started")]
     TooManyClassesOrPlans,
-    /// The policy rejects the settings.
+    /// A setting that the file sets, or that follows from the file, is out of the range that the policy accepts.
     #[error("{0}")]
     Policy(#[from] policy::SettingsError),
 }
--- a/crates/settings/src/key_set.rs
+++ b/crates/settings/src/key_set.rs
@@ -8,10 +8,10 @@
 
 /// Maximum nesting depth of the compared keys.
 const MAX_KEY_DEPTH: usize = 8;
-/// Key of the cached endpoint list. Its contents are not settings and change at run time.
+/// Key of the cached endpoint list. The keys inside the list are not compared, since the list changes at run time.
 const ENDPOINT_LIST: &str = "known";
 
-/// The keys of a JSON file, as dotted paths from the root. Of the entries of a list, only their common keys are included.
+/// The keys of a JSON file, as dotted paths from the root. For a list, only keys that all entries have are included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeySet(BTreeSet<String>);
 
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file is not JSON, or is nested too deeply.
+    /// Returns an error if the file is not valid JSON, or its values are nested too deeply.
     pub fn of(json: &mut [u8]) -> Result<Self, SettingsError> {
         check_nesting(json)?;
         let value = simd_json::to_owned_value(json)?;
@@ -40,7 +40,7 @@
     }
 }
 
-/// The keys inside a value, as dotted paths relative to it.
+/// The keys inside a value, as dotted paths relative to the value.
 fn keys(value: &OwnedValue, depth: usize) -> BTreeSet<String> {
     if let Some(object) = value.as_object() {
         return object.iter().flat_map(|(name, inner)| keys_below(name, inner, depth)).collect();
--- a/crates/settings/src/numbering.rs
+++ b/crates/settings/src/numbering.rs
@@ -5,27 +5,27 @@
 use crate::platform::PlatformConfig;
 use policy::{Plan, RequestClass, Settings};
 
-/// Maximum number of classes, and of plans, over all configurations since the process started. It bounds the memory for repeated
-/// reloads.
+/// Maximum number of classes, and of plans, over all configurations since the process started, which bounds the memory for
+/// repeated reloads.
 pub(crate) const MAX_CLASSES_OR_PLANS: usize = 4096;
 
 /// A class of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NumberedClass<'a> {
-    /// Index in the classes of the policy's settings. It never changes while the process runs.
+    /// Index in the classes of the policy's settings, which never changes while the process runs.
     pub number: usize,
-    /// Name in the configuration file.
+    /// Name of the class in the configuration file.
     pub name: &'a str,
-    /// Settings in force.
+    /// Settings of the class in the configuration in force.
     pub class: &'a RequestClass,
 }
 
 /// A plan of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NumberedPlan<'a> {
-    /// Index in the plans of the policy's settings. It never changes while the process runs.
+    /// Index in the plans of the policy's settings, which never changes while the process runs.
     pub number: usize,
-    /// Name in the configuration file.
+    /// Name of the plan in the configuration file.
     pub name: &'a str,
 }
 
@@ -70,7 +70,7 @@
         })
     }
 
-    /// The classes in force.
+    /// The classes of the configuration in force, in their order in the file.
     pub fn classes(&self) -> impl Iterator<Item = NumberedClass<'_>> {
         self.current_classes.iter().map(|&number| {
             let Named { name, value: class } = &self.classes[number];
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The plans in force.
+    /// The plans of the configuration in force, in their order in the file.
     pub fn plans(&self) -> impl Iterator<Item = NumberedPlan<'_>> {
         self.current_plans.iter().map(|&number| NumberedPlan { number, name: &self.plans[number].name })
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns the number of a class, and adds it if it is new or has changed.
+/// Returns the number of a class. A class that is new or has changed is added with a new number.
 fn number_class(classes: &mut Vec<Named<RequestClass>>, name: &str, class: &RequestClass) -> usize {
     let unchanged = classes.iter().position(|known| known.name == name && known.value == *class);
     unchanged.unwrap_or_else(|| {
@@ -103,7 +103,7 @@
     })
 }
 
-/// Returns the number of a plan. Adds it if it is new, and replaces its settings otherwise.
+/// Returns the number of a plan. A new plan is added; the settings of a known plan are replaced.
 fn number_plan(plans: &mut Vec<Named<Plan>>, name: &str, plan: &Plan) -> usize {
     let number = plans.iter().position(|known| known.name == name);
     let number = number.unwrap_or_else(|| {
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -18,7 +18,7 @@
     pub name: String,
     /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Address of the admin listener, if there is one.
+    /// Address of the listener for operators; `None` if the gatekeeper has no such listener.
     pub admin: Option<SocketAddr>,
     /// Address of the discovery agent.
     pub discovery: SocketAddr,
@@ -28,15 +28,15 @@
     pub max_sockets: usize,
     /// Maximum memory of the process in bytes.
     pub max_memory_bytes: usize,
-    /// Address of the quota counter, if there is one.
+    /// Address of the quota counter; `None` if the gatekeeper uses no counter.
     pub counter: Option<SocketAddr>,
     /// The last endpoint list of this gatekeeper; empty if the file has none.
     pub cached_list: EndpointList,
     /// Settings of the policy that follow from the file.
     pub settings: policy::Settings,
-    /// Maximum number of units of one request, if configured.
+    /// Maximum number of units of one request; `None` if the file sets no maximum.
     pub max_units: Option<f64>,
-    /// Time for which backends keep idle connections open.
+    /// Time in microseconds for which backends keep idle connections open.
     pub keepalive: policy::Micros,
     /// Names of the classes, by number.
     pub classes: Vec<String>,
--- a/crates/settings/src/platform/file.rs
+++ b/crates/settings/src/platform/file.rs
@@ -1,5 +1,5 @@
 //! Schema of `config.json`. The names of fields are the keys of the file, with hyphens in the tables below `settings`. The module
-//! `policy_settings` converts them to the names of the policy.
+//! `policy_settings` converts the values to the policy's settings.
 
 use crate::EndpointList;
 use serde::Deserialize;
@@ -9,7 +9,7 @@
     pub(super) name: String,
     pub(super) listen: String,
     pub(super) discovery: String,
-    /// A hexadecimal number.
+    /// Seed of the random number generator, as a hexadecimal number.
     pub(super) seed: String,
     #[serde(default)]
     pub(super) limits: Limits,
@@ -37,9 +37,9 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct Settings {
-    /// Number of gatekeepers.
+    /// Number of gatekeepers in the tier.
     pub(super) balancers: u32,
-    /// Index of this gatekeeper, from 0.
+    /// Index of this gatekeeper in the tier, from 0.
     pub(super) me: u32,
     #[serde(default)]
     pub(super) zone: u8,
@@ -201,7 +201,7 @@
     pub(super) cross_zone: f64,
 }
 
-/// Deserializes a deadline or a number of attempts: a number from 1 to below 10^15. Its fraction is cut off.
+/// Deserializes a deadline or a number of attempts: a number from 1 to below 10^15, of which the fraction is cut off.
 fn above_zero<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
--- a/crates/settings/src/platform/policy_settings.rs
+++ b/crates/settings/src/platform/policy_settings.rs
@@ -7,7 +7,7 @@
 const MAX_ATTEMPTS: u64 = 250;
 
 impl Settings {
-    /// Converts to the settings of the policy. The shared counter is used only if its address is configured (`has_counter`).
+    /// Converts the file to settings of the policy. The shared counter is used only if its address is configured (`has_counter`).
     pub(super) fn into_policy(self, has_counter: bool) -> Result<policy::Settings, SettingsError> {
         let settings = policy::Settings {
             gatekeepers: self.balancers,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -14,7 +14,7 @@
     instances: BTreeMap<u32, Policy>,
     /// The warnings that were written to standard error, so that each is written only once.
     warnings: BTreeSet<String>,
-    /// The actions of the current event. The buffer is reused for all events.
+    /// The actions that result from the current event. The buffer is reused for all events.
     actions: Vec<Action>,
 }
 
--- a/crates/simhost/src/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -13,18 +13,18 @@
 /// An error of the settings text.
 #[derive(Debug, Error)]
 pub(crate) enum ParseError {
-    /// A required setting is missing.
+    /// The text has no line for a required setting. The value is the path of the setting.
     #[error("setting {0} is missing")]
     MissingSetting(String),
-    /// A value cannot be parsed.
+    /// The value of a setting has the wrong type, or is none of the allowed words.
     #[error("setting {key} has the unusable value {value}")]
     InvalidValue {
-        /// Path of the setting.
+        /// Path of the setting, for example `classes.0.effect`.
         key: String,
-        /// Value in the text.
+        /// The value behind the equals sign.
         value: String,
     },
-    /// The policy rejects the settings.
+    /// A setting is out of the range that the policy accepts.
     #[error(transparent)]
     RejectedByPolicy(#[from] SettingsError),
 }
@@ -41,12 +41,12 @@
             .map_err(|_| ParseError::InvalidValue { key: key.to_owned(), value: (*value).to_owned() })
     }
 
-    /// The value of a setting, or its default if it is absent. A value that is present must be valid.
+    /// The value of a setting, or `default` if the setting is absent. A value that is present must be valid.
     fn optional<T: FromStr>(&self, key: &str, default: T) -> Result<T, ParseError> {
         if self.0.contains_key(key) { self.required(key) } else { Ok(default) }
     }
 
-    /// The text of a setting; empty if it is absent.
+    /// The text of a setting; empty if the setting is absent.
     fn text(&self, key: &str) -> &'a str {
         self.0.get(key).copied().unwrap_or("")
     }
--- a/crates/simhost/src/wire/batch.rs
+++ b/crates/simhost/src/wire/batch.rs
@@ -10,7 +10,7 @@
 
 /// Length of a batch's header in bytes.
 const HEADER_BYTES: usize = 20;
-/// Bytes of the header that the length field of a batch includes: all behind that field.
+/// Number of header bytes that the length field of a batch includes: all header bytes behind the length field.
 const COUNTED_HEADER_BYTES: usize = 12;
 
 /// A batch whose records are not decoded yet.
--- a/crates/simhost/src/wire/endpoint_list.rs
+++ b/crates/simhost/src/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists. A list is sent once with a number, and later records refer to it by this number.
+//! Endpoint lists. A list is sent once with a number, and later records refer to the list by this number.
 
 use super::bytes::Fields;
 use super::error::RecordError;
--- a/crates/simhost/src/wire/record.rs
+++ b/crates/simhost/src/wire/record.rs
@@ -38,7 +38,7 @@
     Start { gatekeeper: u32, seed: u64, settings: String },
     /// A gatekeeper is killed.
     Kill { gatekeeper: u32 },
-    /// An event of a gatekeeper.
+    /// An event occurs at a gatekeeper.
     Event { gatekeeper: u32, event: Event },
     /// A record with a code that this version does not know.
     Unknown { code: u16 },
--- a/crates/timestamps/src/lib.rs
+++ b/crates/timestamps/src/lib.rs
@@ -53,12 +53,13 @@
 }
 
 define_moment! {
-    /// A moment of Unix time, in milliseconds since 1970. An adjustment of the wall clock moves it forwards or backwards.
+    /// A moment of Unix time, in milliseconds since 1970. An adjustment of the wall clock moves the current moment forwards or
+    /// backwards.
     UnixTime
 }
 
 define_moment! {
-    /// A moment on a monotonic clock, which adjustments of the wall clock do not affect. Its zero point is up to the caller.
+    /// A moment on a monotonic clock, which adjustments of the wall clock do not affect. The caller sets its zero point.
     MonotonicTime
 }
 
--- a/crates/timing/src/class_timing.rs
+++ b/crates/timing/src/class_timing.rs
@@ -15,9 +15,9 @@
     pub connect_timeout_ms: u64,
     /// Maximum number of attempts of a request of any class (`limits.route_steps`).
     pub attempt_limit: u32,
-    /// Maximum number of attempts of a request of this class, if configured.
+    /// Maximum number of attempts of a request of this class; `None` if only the limit of all classes applies.
     pub max_attempts: Option<u32>,
-    /// Timeout of an attempt, if configured; otherwise an attempt lasts until the deadline.
+    /// Timeout of an attempt; `None` if an attempt may last until the deadline.
     pub attempt_timeout_ms: Option<u64>,
     /// Delay from the start of the first attempt until a hedged attempt may be sent; `None` disables hedging.
     pub hedge_after_ms: Option<u64>,
@@ -31,13 +31,13 @@
 
     /// Maximum duration of an attempt that is followed by a retry, given the timeout of attempts.
     ///
-    /// A non-idempotent request is retried only if the failed attempt was certainly not executed. In the worst case that is known
-    /// when the connect timeout expires without a connection.
+    /// A non-idempotent request is retried only if the failed attempt was certainly not executed. In the worst case this is known
+    /// only when the connect timeout expires without a connection.
     pub(crate) fn time_before_retry_ms(&self, attempt_timeout_ms: u64) -> u64 {
         if self.idempotent { attempt_timeout_ms } else { attempt_timeout_ms.min(self.connect_timeout_ms) }
     }
 
-    /// Duration of all attempts in the worst case, given the timeout of each.
+    /// Duration of all attempts of a request in the worst case, given the timeout of each attempt.
     pub(crate) fn worst_case_ms(&self, attempt_timeout_ms: u64) -> u64 {
         let retries = u64::from(self.effective_max_attempts().saturating_sub(1));
         let before_last = self.time_before_retry_ms(attempt_timeout_ms).saturating_mul(retries);
--- a/crates/timing/src/violation.rs
+++ b/crates/timing/src/violation.rs
@@ -29,7 +29,7 @@
 pub struct TimingViolation {
     /// Name of the class.
     pub class: String,
-    /// The violated rule.
+    /// The rule that the class violates.
     pub rule: TimingRule,
     /// Description of the violation, with the configured values.
     pub problem: String,
