--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -25,7 +25,7 @@
 
 pub(crate) use offset::ClockOffset;
 
-use election::{Call, Decision, Election};
+use election::{Decision, Election, StampCall};
 use offset::OffsetEstimate;
 use pacing::{CallDelay, Pacing};
 use policy::{Micros, Outcome, Timestamp};
@@ -43,7 +43,7 @@
     election: Election,
     estimate: OffsetEstimate,
     pacing: Pacing,
-    in_flight: Option<Call>,
+    in_flight: Option<StampCall>,
     next_call_at: Timestamp,
     first_call_ended: bool,
 }
@@ -99,7 +99,7 @@
         self.next_call_at = now + self.pacing.draw(delay);
     }
 
-    fn on_reply(&mut self, now: Timestamp, call: Call, stamp: Stamp) -> CallDelay {
+    fn on_reply(&mut self, now: Timestamp, call: StampCall, stamp: Stamp) -> CallDelay {
         let freshness = self.estimate.freshness(now, stamp.time);
         match self.election.on_reply(call, stamp, freshness) {
             Decision::CallAfter(delay) => delay,
--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -49,7 +49,7 @@
 
 /// The role of this process in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ElectionState {
     /// A process that only reads the stamp, at intervals.
     Follower,
     /// A process that found no stamp, and reads once more before it places its own stamp.
@@ -90,7 +90,7 @@
 
 /// A call to the quota counter that reads or changes the stamp's count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Call {
+pub(super) enum StampCall {
     /// Reads the stamp without changing it.
     Read,
     /// Places a stamp in a count that contains no stamp.
@@ -114,7 +114,7 @@
     },
 }
 
-impl Call {
+impl StampCall {
     /// The amount that the call adds to the stamp's count; 0 for a read.
     pub(super) fn amount(self) -> Ticks {
         match self {
@@ -136,84 +136,91 @@
 /// The state machine of one process in the election.
 #[derive(Debug)]
 pub(super) struct Election {
-    state: State,
+    state: ElectionState,
 }
 
 impl Election {
     pub(super) fn new() -> Self {
-        Self { state: State::Follower }
+        Self { state: ElectionState::Follower }
     }
 
     #[cfg(test)]
     pub(super) fn is_timekeeper(&self) -> bool {
-        matches!(self.state, State::Timekeeper { .. })
+        matches!(self.state, ElectionState::Timekeeper { .. })
     }
 
     /// Returns the next call. `time` is the fleet's time by the current estimate.
-    pub(super) fn next_call(&self, time: StampTime) -> Call {
+    pub(super) fn next_call(&self, time: StampTime) -> StampCall {
         match self.state {
-            State::Follower | State::Candidate | State::Confirming { .. } | State::Adopted { .. } => {
-                Call::Read
+            ElectionState::Follower
+            | ElectionState::Candidate
+            | ElectionState::Confirming { .. }
+            | ElectionState::Adopted { .. } => StampCall::Read,
+            ElectionState::Claiming { residue } => {
+                StampCall::Place { time, amount: time.placement_amount(residue) }
             }
-            State::Claiming { residue } => Call::Place { time, amount: time.placement_amount(residue) },
-            State::TakingOver { stamp } | State::Timekeeper { stamp } => {
-                Call::Advance { time, amount: time.advance_amount(stamp) }
+            ElectionState::TakingOver { stamp } | ElectionState::Timekeeper { stamp } => {
+                StampCall::Advance { time, amount: time.advance_amount(stamp) }
             }
-            State::RollingBack { amount } => Call::RollBack { amount: -amount },
+            ElectionState::RollingBack { amount } => StampCall::RollBack { amount: -amount },
         }
     }
 
     /// Applies a failed call and returns the delay of the next one.
-    pub(super) fn on_failure(&mut self, call: Call, outcome: Outcome) -> CallDelay {
-        let may_have_added = call != Call::Read && !outcome.never_ran();
+    pub(super) fn on_failure(&mut self, call: StampCall, outcome: Outcome) -> CallDelay {
+        let may_have_added = call != StampCall::Read && !outcome.never_ran();
         if may_have_added {
-            self.state = State::Follower;
+            self.state = ElectionState::Follower;
         }
         CallDelay::Backoff
     }
 
     /// Applies the reply to a call. `stamp` is the decoded total after the call, and `freshness` that of its stamp.
-    pub(super) fn on_reply(&mut self, call: Call, stamp: Stamp, freshness: Freshness) -> Decision {
+    pub(super) fn on_reply(&mut self, call: StampCall, stamp: Stamp, freshness: Freshness) -> Decision {
         match call {
-            Call::Read => self.on_read(stamp, freshness),
-            Call::Place { time, amount } => Decision::CallAfter(self.on_added(stamp, time, amount)),
-            Call::Advance { time, amount } => Decision::CallAfter(self.on_advanced(stamp, time, amount)),
-            Call::RollBack { .. } => self.enter(State::Follower, CallDelay::Backoff),
+            StampCall::Read => self.on_read(stamp, freshness),
+            StampCall::Place { time, amount } => Decision::CallAfter(self.on_added(stamp, time, amount)),
+            StampCall::Advance { time, amount } => Decision::CallAfter(self.on_advanced(stamp, time, amount)),
+            StampCall::RollBack { .. } => self.enter(ElectionState::Follower, CallDelay::Backoff),
         }
     }
 
     fn on_read(&mut self, stamp: Stamp, freshness: Freshness) -> Decision {
         match (stamp.placed_count, self.state) {
-            (0, State::Candidate) => self.enter(State::Claiming { residue: stamp.total() }, CallDelay::None),
-            (0, _) => self.enter(State::Candidate, CallDelay::Vacancy),
+            (0, ElectionState::Candidate) => {
+                self.enter(ElectionState::Claiming { residue: stamp.total() }, CallDelay::None)
+            }
+            (0, _) => self.enter(ElectionState::Candidate, CallDelay::Vacancy),
             (1, _) => self.on_single_stamp(stamp.time, freshness),
-            _ => self.enter(State::Follower, CallDelay::Backoff),
+            _ => self.enter(ElectionState::Follower, CallDelay::Backoff),
         }
     }
 
     fn on_single_stamp(&mut self, stamp: StampTime, freshness: Freshness) -> Decision {
         match (self.state, freshness) {
-            (State::Adopted { stamp: adopted, reads_without_progress }, _) if adopted == stamp => {
+            (ElectionState::Adopted { stamp: adopted, reads_without_progress }, _) if adopted == stamp => {
                 self.on_read_without_progress(stamp, reads_without_progress + 1)
             }
-            (_, Freshness::Fresh) => self.enter(State::Follower, CallDelay::FollowerRead),
-            (State::Confirming { stamp: earlier }, Freshness::PossiblyStale) if earlier == stamp => {
-                self.enter(State::TakingOver { stamp }, CallDelay::None)
+            (_, Freshness::Fresh) => self.enter(ElectionState::Follower, CallDelay::FollowerRead),
+            (ElectionState::Confirming { stamp: earlier }, Freshness::PossiblyStale) if earlier == stamp => {
+                self.enter(ElectionState::TakingOver { stamp }, CallDelay::None)
             }
-            (State::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
+            (ElectionState::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
                 // The stamp may also be stale, if its timekeeper has died. Later reads show whether the stamp makes progress.
-                self.state = State::Adopted { stamp, reads_without_progress: 0 };
+                self.state = ElectionState::Adopted { stamp, reads_without_progress: 0 };
                 Decision::AdoptStamp(stamp)
             }
-            (_, Freshness::PossiblyStale) => self.enter(State::Confirming { stamp }, CallDelay::Confirmation),
+            (_, Freshness::PossiblyStale) => {
+                self.enter(ElectionState::Confirming { stamp }, CallDelay::Confirmation)
+            }
         }
     }
 
     fn on_read_without_progress(&mut self, stamp: StampTime, reads_without_progress: u32) -> Decision {
         if reads_without_progress < MAX_READS_WITHOUT_PROGRESS {
-            self.enter(State::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
+            self.enter(ElectionState::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
         } else {
-            self.enter(State::TakingOver { stamp }, CallDelay::None)
+            self.enter(ElectionState::TakingOver { stamp }, CallDelay::None)
         }
     }
 
@@ -221,7 +228,7 @@
         // If the counter holds only the amount just added, the stamp had expired or the counter had lost it.
         let has_expired = found.total() == amount;
         if has_expired {
-            self.state = State::Claiming { residue: amount };
+            self.state = ElectionState::Claiming { residue: amount };
             CallDelay::None
         } else {
             self.on_added(found, time, amount)
@@ -230,16 +237,16 @@
 
     fn on_added(&mut self, found: Stamp, time: StampTime, amount: Ticks) -> CallDelay {
         if found == Stamp::single(time) {
-            self.state = State::Timekeeper { stamp: time };
+            self.state = ElectionState::Timekeeper { stamp: time };
             return CallDelay::Advance;
         }
         // Another process has added to the counter first, so this process rolls back its own addition.
         let has_added = amount != Ticks::ZERO;
-        self.state = if has_added { State::RollingBack { amount } } else { State::Follower };
+        self.state = if has_added { ElectionState::RollingBack { amount } } else { ElectionState::Follower };
         CallDelay::None
     }
 
-    fn enter(&mut self, state: State, delay: CallDelay) -> Decision {
+    fn enter(&mut self, state: ElectionState, delay: CallDelay) -> Decision {
         self.state = state;
         Decision::CallAfter(delay)
     }
--- a/crates/exchange/src/fleet_clock/election/tests.rs
+++ b/crates/exchange/src/fleet_clock/election/tests.rs
@@ -13,7 +13,7 @@
     Stamp { placed_count, time: stamp_time(ticks) }
 }
 
-fn in_state(state: State) -> Election {
+fn in_state(state: ElectionState) -> Election {
     Election { state }
 }
 
@@ -21,7 +21,7 @@
 #[track_caller]
 fn read(election: &mut Election, stamp: Stamp, freshness: Freshness) -> Decision {
     let call = election.next_call(stamp_time(0));
-    assert_eq!(call, Call::Read);
+    assert_eq!(call, StampCall::Read);
     election.on_reply(call, stamp, freshness)
 }
 
@@ -31,15 +31,15 @@
     election.on_reply(call, reply, Freshness::Fresh)
 }
 
-fn timekeeper(ticks: i64) -> State {
-    State::Timekeeper { stamp: stamp_time(ticks) }
+fn timekeeper(ticks: i64) -> ElectionState {
+    ElectionState::Timekeeper { stamp: stamp_time(ticks) }
 }
 
 #[test]
 fn a_process_that_twice_found_no_stamp_places_one_and_becomes_the_timekeeper() {
     let mut election = Election::new();
     assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Decision::CallAfter(CallDelay::Vacancy));
-    assert_eq!(election.state, State::Candidate);
+    assert_eq!(election.state, ElectionState::Candidate);
     assert_eq!(read(&mut election, stamps(0, 0), Freshness::Fresh), Decision::CallAfter(CallDelay::None));
     assert_eq!(call_and_reply(&mut election, 70, stamps(1, 70)), Decision::CallAfter(CallDelay::Advance));
     assert_eq!(election.state, timekeeper(70));
@@ -48,22 +48,25 @@
 
 #[test]
 fn a_candidate_that_finds_a_fresh_stamp_becomes_a_follower() {
-    let mut election = in_state(State::Candidate);
+    let mut election = in_state(ElectionState::Candidate);
     assert_eq!(
         read(&mut election, stamps(1, 50), Freshness::Fresh),
         Decision::CallAfter(CallDelay::FollowerRead)
     );
-    assert_eq!(election.state, State::Follower);
+    assert_eq!(election.state, ElectionState::Follower);
 }
 
 #[test]
 fn a_process_whose_stamp_conflicts_rolls_its_stamp_back() {
-    let mut election = in_state(State::Claiming { residue: Ticks::ZERO });
+    let mut election = in_state(ElectionState::Claiming { residue: Ticks::ZERO });
     assert_eq!(call_and_reply(&mut election, 70, stamps(2, 140)), Decision::CallAfter(CallDelay::None));
     let call = election.next_call(stamp_time(80));
-    assert_eq!(call, Call::RollBack { amount: -stamp_time(70).placement_amount(Ticks::ZERO) });
+    assert_eq!(call, StampCall::RollBack { amount: -stamp_time(70).placement_amount(Ticks::ZERO) });
     let decision = election.on_reply(call, stamps(1, 70), Freshness::Fresh);
-    assert_eq!((decision, election.state), (Decision::CallAfter(CallDelay::Backoff), State::Follower));
+    assert_eq!(
+        (decision, election.state),
+        (Decision::CallAfter(CallDelay::Backoff), ElectionState::Follower)
+    );
 }
 
 #[test]
@@ -75,7 +78,7 @@
         read(&mut election, stamps(1, 50), Freshness::PossiblyStale),
         Decision::CallAfter(CallDelay::None)
     );
-    assert_eq!(election.state, State::TakingOver { stamp: stamp_time(50) });
+    assert_eq!(election.state, ElectionState::TakingOver { stamp: stamp_time(50) });
     assert_eq!(election.next_call(stamp_time(90)).amount(), Ticks(40));
     assert_eq!(call_and_reply(&mut election, 90, stamps(1, 90)), Decision::CallAfter(CallDelay::Advance));
     assert_eq!(election.state, timekeeper(90));
@@ -83,7 +86,7 @@
 
 #[test]
 fn a_possibly_stale_stamp_that_makes_progress_is_adopted() {
-    let mut election = in_state(State::Confirming { stamp: stamp_time(50) });
+    let mut election = in_state(ElectionState::Confirming { stamp: stamp_time(50) });
     let decision = read(&mut election, stamps(1, 60), Freshness::PossiblyStale);
     assert_eq!(decision, Decision::AdoptStamp(stamp_time(60)));
 }
@@ -103,12 +106,12 @@
         read(&mut election, stamps(1, 60), Freshness::Fresh),
         Decision::CallAfter(CallDelay::FollowerRead)
     );
-    assert_eq!(election.state, State::Follower);
+    assert_eq!(election.state, ElectionState::Follower);
 }
 
 #[test]
 fn an_adopted_stamp_is_taken_over_after_thirty_reads_without_progress() {
-    let mut election = in_state(State::Adopted { stamp: stamp_time(50), reads_without_progress: 0 });
+    let mut election = in_state(ElectionState::Adopted { stamp: stamp_time(50), reads_without_progress: 0 });
     for _ in 1..30 {
         let decision = read(&mut election, stamps(1, 50), Freshness::PossiblyStale);
         assert_eq!(decision, Decision::CallAfter(CallDelay::Confirmation));
@@ -117,7 +120,7 @@
         read(&mut election, stamps(1, 50), Freshness::PossiblyStale),
         Decision::CallAfter(CallDelay::None)
     );
-    assert_eq!(election.state, State::TakingOver { stamp: stamp_time(50) });
+    assert_eq!(election.state, ElectionState::TakingOver { stamp: stamp_time(50) });
 }
 
 #[test]
@@ -127,7 +130,7 @@
         let amount = election.next_call(stamp_time(time)).amount();
         let decision = call_and_reply(&mut election, time, Stamp::decode(amount.as_units()));
         assert_eq!(decision, Decision::CallAfter(CallDelay::None));
-        assert_eq!(election.state, State::Claiming { residue: amount });
+        assert_eq!(election.state, ElectionState::Claiming { residue: amount });
     }
 }
 
@@ -135,39 +138,39 @@
 fn a_timekeeper_that_finds_another_stamp_rolls_back_what_it_added() {
     let mut election = in_state(timekeeper(50));
     assert_eq!(call_and_reply(&mut election, 60, stamps(1, 75)), Decision::CallAfter(CallDelay::None));
-    assert_eq!(election.state, State::RollingBack { amount: Ticks(10) });
+    assert_eq!(election.state, ElectionState::RollingBack { amount: Ticks(10) });
 }
 
 #[test]
 fn a_reader_that_finds_several_stamps_backs_off_until_they_are_rolled_back() {
-    for state in [State::Candidate, State::Confirming { stamp: stamp_time(5) }] {
+    for state in [ElectionState::Candidate, ElectionState::Confirming { stamp: stamp_time(5) }] {
         let mut election = in_state(state);
         assert_eq!(
             read(&mut election, stamps(2, 100), Freshness::Fresh),
             Decision::CallAfter(CallDelay::Backoff)
         );
-        assert_eq!(election.state, State::Follower);
+        assert_eq!(election.state, ElectionState::Follower);
     }
 }
 
 #[test]
 fn a_failed_call_is_repeated_unless_it_may_have_added() {
     let states = [
-        State::Claiming { residue: Ticks::ZERO },
-        State::TakingOver { stamp: stamp_time(5) },
+        ElectionState::Claiming { residue: Ticks::ZERO },
+        ElectionState::TakingOver { stamp: stamp_time(5) },
         timekeeper(5),
-        State::RollingBack { amount: Ticks(3) },
+        ElectionState::RollingBack { amount: Ticks(3) },
     ];
     for state in states {
-        for (outcome, expected) in [(Outcome::Rejected, state), (Outcome::Timeout, State::Follower)] {
+        for (outcome, expected) in [(Outcome::Rejected, state), (Outcome::Timeout, ElectionState::Follower)] {
             let mut election = in_state(state);
             let call = election.next_call(stamp_time(60));
             assert_eq!(election.on_failure(call, outcome), CallDelay::Backoff);
             assert_eq!(election.state, expected, "{state:?} after {outcome:?}");
         }
     }
-    let confirming = State::Confirming { stamp: stamp_time(5) };
+    let confirming = ElectionState::Confirming { stamp: stamp_time(5) };
     let mut election = in_state(confirming);
-    assert_eq!(election.on_failure(Call::Read, Outcome::Timeout), CallDelay::Backoff);
+    assert_eq!(election.on_failure(StampCall::Read, Outcome::Timeout), CallDelay::Backoff);
     assert_eq!(election.state, confirming, "a read adds nothing");
 }
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -227,7 +227,7 @@
             answers: self.statistics.answers(),
             units_forwarded: self.statistics.units_forwarded(),
             accounts: self.statistics.units_by_account().clone(),
-            counter_calls: self.counter_calls.total(),
+            counter_calls: self.counter_calls.call_count(),
             backends: self.backends.statuses().clone(),
         }
     }
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -49,7 +49,7 @@
     }
 
     /// Number of calls made so far.
-    pub(super) fn total(&self) -> u64 {
+    pub(super) fn call_count(&self) -> u64 {
         self.next_id
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Whether the first read of the clock has ended, successfully or not, or no clock was started.
-    fn is_read(&self) -> bool {
+    fn has_ended_first_read(&self) -> bool {
         self.clock.as_ref().is_none_or(FleetClock::first_call_ended)
     }
 }
@@ -131,7 +131,7 @@
 
     /// Whether the first read of the fleet's clock has succeeded or failed, or is not needed.
     pub(crate) fn has_read_fleet_clock(&self) -> bool {
-        self.shared_clock.is_read()
+        self.shared_clock.has_ended_first_read()
     }
 
     /// Makes the fleet clock's next counter call if the call is due, or sets a timer for the call.
--- a/crates/exchange/src/request_table/counter_calls/tests.rs
+++ b/crates/exchange/src/request_table/counter_calls/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!((ended.purpose, ended.started_at), (Purpose::FleetClock, START + 5));
     assert!(calls.end(clock).is_none());
     assert_eq!(calls.end(quota).map(|call| call.purpose), Some(Purpose::Quota { name: 7 }));
-    assert_eq!(calls.total(), 2);
+    assert_eq!(calls.call_count(), 2);
 }
 
 #[test]
@@ -22,10 +22,10 @@
     for (gatekeepers, shared_counter, needs_clock) in [(1, true, false), (4, false, false), (4, true, true)] {
         let settings = Settings { gatekeepers, shared_counter, ..Settings::default() };
         let mut clock = SharedClock::new(&settings, 1);
-        assert!(clock.is_read(), "no clock to read before the start");
+        assert!(clock.has_ended_first_read(), "no clock to read before the start");
         clock.start(START);
         assert_eq!(
-            clock.is_read(),
+            clock.has_ended_first_read(),
             !needs_clock,
             "{gatekeepers} gatekeepers, shared counter: {shared_counter}"
         );
--- a/crates/exchange/src/stream.rs
+++ b/crates/exchange/src/stream.rs
@@ -58,7 +58,7 @@
 }
 
 #[derive(Default)]
-struct State {
+struct StreamState {
     bytes: Vec<u8>,
     /// How the backend side ended the stream; `None` while the writer exists.
     writer_end: Option<WriterEnd>,
@@ -66,14 +66,14 @@
     notify_reader: Option<Arc<dyn Fn() + Send + Sync>>,
 }
 
-struct Shared {
-    state: Mutex<State>,
+struct SharedStream {
+    state: Mutex<StreamState>,
     budget: Arc<StreamBudget>,
     notify_writer: Notify,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl SharedStream {
+    fn lock(&self) -> MutexGuard<'_, StreamState> {
         // Nothing that can panic runs under this lock.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
@@ -86,17 +86,17 @@
     }
 }
 
-impl Drop for Shared {
+impl Drop for SharedStream {
     fn drop(&mut self) {
         self.budget.open_streams.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// The backend's end of a stream. If it is dropped without [`StreamWriter::finish`], the reader gets [`ReadResult::Broken`].
-pub struct StreamWriter(Arc<Shared>);
+pub struct StreamWriter(Arc<SharedStream>);
 
 /// The front's end of a stream. If it is dropped, the writer is notified that the rest of the answer is not wanted.
-pub struct StreamReader(Arc<Shared>);
+pub struct StreamReader(Arc<SharedStream>);
 
 impl std::fmt::Debug for StreamReader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -120,7 +120,7 @@
 /// Opens a stream. `notify_writer` is called when the reader has taken bytes, and when it is dropped.
 pub fn open_stream(budget: &Arc<StreamBudget>, notify_writer: Notify) -> (StreamWriter, StreamReader) {
     budget.open_streams.fetch_add(1, Ordering::Relaxed);
-    let shared = Arc::new(Shared { state: Mutex::default(), budget: budget.clone(), notify_writer });
+    let shared = Arc::new(SharedStream { state: Mutex::default(), budget: budget.clone(), notify_writer });
     (StreamWriter(shared.clone()), StreamReader(shared))
 }
 
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -27,33 +27,33 @@
 
 /// A timer in the heap. Timers that expire at the same time run in the order in which they were set.
 #[derive(Debug)]
-struct Entry {
+struct ScheduledTimer {
     expires_at: Timestamp,
     serial: u64,
     timer: Timer,
 }
 
-impl Entry {
+impl ScheduledTimer {
     fn key(&self) -> (Timestamp, u64) {
         (self.expires_at, self.serial)
     }
 }
 
-impl PartialEq for Entry {
+impl PartialEq for ScheduledTimer {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledTimer {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for ScheduledTimer {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for ScheduledTimer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.key().cmp(&other.key())
     }
@@ -62,7 +62,7 @@
 /// A queue of timers, earliest first.
 #[derive(Debug)]
 pub(crate) struct Timers {
-    heap: BinaryHeap<Reverse<Entry>>,
+    heap: BinaryHeap<Reverse<ScheduledTimer>>,
     last_serial: u64,
     /// Timers that expire within this time of each other may run together.
     tick: Micros,
@@ -85,7 +85,7 @@
 
     pub(crate) fn set(&mut self, expires_at: Timestamp, timer: Timer) {
         self.last_serial += 1;
-        self.heap.push(Reverse(Entry { expires_at, serial: self.last_serial, timer }));
+        self.heap.push(Reverse(ScheduledTimer { expires_at, serial: self.last_serial, timer }));
     }
 
     /// Time at which the first timer expires; `None` if no timer is set.
--- a/crates/openapi/src/description.rs
+++ b/crates/openapi/src/description.rs
@@ -32,7 +32,7 @@
 
 impl<'a> DescriptionReader<'a> {
     pub(crate) fn new(description: &Description<'a>) -> Result<Self, DescriptionError> {
-        let root = parse(description.text)?;
+        let root = parse_description(description.text)?;
         let version = root.get("openapi").and_then(Node::text).ok_or(DescriptionError::NoVersion)?;
         if !SUPPORTED_VERSIONS.iter().any(|supported| version.starts_with(supported)) {
             return Err(DescriptionError::UnsupportedVersion(version.to_owned()));
@@ -96,7 +96,7 @@
             return Err(DescriptionError::NotAnOperation(location));
         }
         let own = Extensions::of_operation(operation, &location)?;
-        let effective = own.or(path_defaults).or(&self.defaults);
+        let effective = own.with_fallback(path_defaults).with_fallback(&self.defaults);
         let Some(units) = effective.units else { return Err(DescriptionError::NoUnits(location)) };
         let Some(class) = effective.class else { return Err(DescriptionError::NoClass(location)) };
         Ok(Route {
@@ -112,7 +112,7 @@
 }
 
 /// Parses a description. Text that starts with a brace is JSON, all other text is YAML.
-fn parse(text: &str) -> Result<Node, DescriptionError> {
+fn parse_description(text: &str) -> Result<Node, DescriptionError> {
     if !text.trim_start().starts_with('{') {
         return Ok(yaml_serde::from_str(text)?);
     }
--- a/crates/openapi/src/extensions.rs
+++ b/crates/openapi/src/extensions.rs
@@ -3,9 +3,9 @@
 use crate::error::DescriptionError;
 use crate::node::Node;
 
-const PREFIX: &str = "x-snowfield-";
+const EXTENSION_PREFIX: &str = "x-snowfield-";
 /// Names of the extensions of an operation without their prefix, which are also the keys of `x-snowfield-default`.
-const KEYS: [&str; 3] = ["units", "class", "service"];
+const EXTENSION_KEYS: [&str; 3] = ["units", "class", "service"];
 
 /// Values of the extensions at one location; `None` for an extension that is absent there.
 #[derive(Clone, Debug, Default)]
@@ -18,8 +18,8 @@
 impl Extensions {
     /// Reads the extensions of an operation.
     pub(crate) fn of_operation(operation: &Node, location: &str) -> Result<Self, DescriptionError> {
-        reject_unknown(operation, location, &KEYS)?;
-        let get = |key: &str| operation.get(&format!("{PREFIX}{key}"));
+        reject_unknown(operation, location, &EXTENSION_KEYS)?;
+        let get = |key: &str| operation.get(&format!("{EXTENSION_PREFIX}{key}"));
         Self::read(get, location)
     }
 
@@ -27,7 +27,7 @@
     pub(crate) fn default_of(node: &Node, location: &str) -> Result<Self, DescriptionError> {
         let Some(default) = node.get("x-snowfield-default") else { return Ok(Self::default()) };
         let location = format!("x-snowfield-default of {location}");
-        let is_unknown = |(key, _): &&(String, Node)| !KEYS.contains(&key.as_str());
+        let is_unknown = |(key, _): &&(String, Node)| !EXTENSION_KEYS.contains(&key.as_str());
         if let Some((key, _)) = default.entries().iter().find(is_unknown) {
             return Err(DescriptionError::UnknownDefault { location, key: key.clone() });
         }
@@ -46,7 +46,7 @@
     }
 
     /// Replaces each value that is `None` by the value in `fallback`.
-    pub(crate) fn or(self, fallback: &Self) -> Self {
+    pub(crate) fn with_fallback(self, fallback: &Self) -> Self {
         Self {
             units: self.units.or(fallback.units),
             class: self.class.or_else(|| fallback.class.clone()),
@@ -58,7 +58,7 @@
 /// Rejects extensions other than `known`, so that a misspelled extension is not ignored.
 pub(crate) fn reject_unknown(node: &Node, location: &str, known: &[&str]) -> Result<(), DescriptionError> {
     for (key, _) in node.entries() {
-        if key.strip_prefix(PREFIX).is_some_and(|name| !known.contains(&name)) {
+        if key.strip_prefix(EXTENSION_PREFIX).is_some_and(|name| !known.contains(&name)) {
             return Err(DescriptionError::UnknownExtension {
                 location: location.to_owned(),
                 key: key.clone(),
--- a/crates/openapi/src/route_table.rs
+++ b/crates/openapi/src/route_table.rs
@@ -38,12 +38,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     routes: Vec<Route>,
-    paths: Vec<Path>,
+    paths: Vec<PathRoutes>,
 }
 
 /// A path template and the indexes of its routes.
 #[derive(Clone, Debug)]
-struct Path {
+struct PathRoutes {
     template: Template,
     routes: Vec<usize>,
 }
@@ -90,7 +90,7 @@
     }
 
     /// The methods of a path, sorted.
-    fn methods_of(&self, path: &Path) -> Vec<&str> {
+    fn methods_of(&self, path: &PathRoutes) -> Vec<&str> {
         let mut methods: Vec<&str> =
             path.routes.iter().map(|&index| self.routes[index].method.as_str()).collect();
         methods.sort_unstable();
@@ -126,7 +126,7 @@
                 }
                 path.routes.push(index);
             }
-            None => self.paths.push(Path { template, routes: vec![index] }),
+            None => self.paths.push(PathRoutes { template, routes: vec![index] }),
         }
         self.routes.push(route);
         Ok(())
@@ -135,7 +135,8 @@
     /// Rejects two templates that one request could match if neither is at least as specific as the other in every segment.
     fn reject_ambiguous(&self) -> Result<(), LoadError> {
         for (position, path) in self.paths.iter().enumerate() {
-            let is_ambiguous = |other: &&Path| path.template.overlap(&other.template) == Overlap::Ambiguous;
+            let is_ambiguous =
+                |other: &&PathRoutes| path.template.overlap(&other.template) == Overlap::Ambiguous;
             if let Some(other) = self.paths[position + 1..].iter().find(is_ambiguous) {
                 let (route, other) = (&self.routes[path.routes[0]], &self.routes[other.routes[0]]);
                 return Err(LoadError::AmbiguousRoutes {
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -58,7 +58,7 @@
         let may_wait = has_capacity && headroom.may_change();
         if may_wait && self.call_counter(tenant, Urgency::Awaited, out) {
             self.tenants.entry(tenant).and_modify(|quota| quota.waiting.push(id));
-        } else if self.decide(id, out) == Decision::Rejected {
+        } else if self.decide_admission(id, out) == Decision::Rejected {
             return;
         }
         out.push(Action::Timer { after: time_left.max(1), token: deadline_token(id) });
@@ -78,7 +78,7 @@
 
     /// Rejects a request that exceeds its tenant's quota or ceiling or the capacity of the backends, and
     /// forwards it otherwise.
-    pub(crate) fn decide(&mut self, id: RequestId, out: &mut Actions) -> Decision {
+    pub(crate) fn decide_admission(&mut self, id: RequestId, out: &mut Actions) -> Decision {
         let Some(mut request) = self.requests.remove(&id) else { return Decision::Rejected };
         let tenant = request.tenant;
         let provisional_spend = std::mem::take(&mut request.provisional_spend);
@@ -95,9 +95,9 @@
                 return Decision::Rejected;
             }
         };
-        self.charge(&request);
+        self.charge_request(&request);
         self.requests.insert(id, request);
-        self.retry_budget.earn();
+        self.retry_budget.earn_tokens();
         self.send(id, backend, out);
         if self.tenants[&tenant].report_due <= self.now {
             self.call_counter(tenant, Urgency::Deferrable, out);
@@ -145,7 +145,7 @@
     }
 
     /// Charges an admitted request to its tenant's quota and schedules the report to the counter.
-    fn charge(&mut self, request: &Request) {
+    fn charge_request(&mut self, request: &Request) {
         let (now, counter_is_silent) = (self.now, self.counter.health.is_silent());
         let service = self.service_of(request.class);
         let Some(quota) = self.tenants.get_mut(&request.tenant) else { return };
@@ -157,14 +157,14 @@
 
     /// Corrects the charge of a request when its answer states the actual cost in units: charges or refunds
     /// the difference from the estimate and ends the reservation.
-    pub(crate) fn settle(&mut self, id: RequestId, units: f64) {
+    pub(crate) fn settle_cost(&mut self, id: RequestId, units: f64) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.settled) else { return };
         request.settled = true;
         let (tenant, difference) = (request.tenant, units - request.price.cost);
         let Some(quota) = self.tenants.get_mut(&tenant) else { return };
-        quota.release(request.price.reserved);
+        quota.release_reservation(request.price.reserved);
         if self.settings.estimated_costs && units.is_finite() && units > 0.0 {
-            quota.settle(difference);
+            quota.charge_difference(difference);
             self.class_stats[request.class].record_cost(units, self.settings.max_cost);
             // The difference is small: it is reported with the next spend, or after a second at the latest.
             self.counter.schedule(tenant, quota, difference, SECOND as Micros, self.now);
--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -73,7 +73,7 @@
         let is_early = pool.concurrency.is_early();
         let stats = &mut self.class_stats[class];
         let relative = stats.relative_latency(elapsed).clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
-        let is_long_term_sample = self.latency_trend.add(relative, is_early, SLOWDOWN_RATIO, self.now);
+        let is_long_term_sample = self.latency_trend.add_sample(relative, is_early, SLOWDOWN_RATIO, self.now);
         if outcome == Outcome::Ok {
             if is_long_term_sample {
                 stats.record_latency(elapsed);
@@ -87,7 +87,7 @@
     pub(crate) fn record_relative_latency(&mut self, class: usize, backend: BackendId, relative: f64) {
         let service = self.service_of(class);
         let Some(backend) = self.backends.get_mut(backend) else { return };
-        if backend.latency.record(relative, self.now) == Contact::First {
+        if backend.latency.record_sample(relative, self.now) == Contact::First {
             self.pools[service].means.record_first_contact(relative);
         }
     }
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -47,7 +47,7 @@
     /// attempt is the latest one, its backend has answered nothing since, the retry budget and the
     /// concurrency limit allow one more attempt, the latency trend shows no overload, and the class allows a
     /// further attempt.
-    pub(crate) fn hedge(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
+    pub(crate) fn send_hedged_request(&mut self, id: RequestId, attempt: usize, out: &mut Actions) {
         let Some(request) = self.requests.get(&id) else { return };
         let slow = request.attempts.get(attempt).filter(|attempt| attempt.is_in_flight());
         let Some(&Attempt { sent_at, backend, .. }) = slow else { return };
@@ -114,14 +114,14 @@
         }
         self.record_outcome(EndedAttempt { class, plan, backend, sent_at, elapsed, outcome });
         if outcome != Outcome::Ok && self.requests.get(&id).is_some_and(|request| !request.answered) {
-            self.retry(id, outcome, out);
+            self.retry_or_give_up(id, outcome, out);
         }
         self.remove_if_finished(id);
     }
 
     /// Retries after a failed attempt, if the budget and the class allow it. Otherwise gives the final answer
     /// once no attempt is in flight.
-    fn retry(&mut self, id: RequestId, outcome: Outcome, out: &mut Actions) {
+    fn retry_or_give_up(&mut self, id: RequestId, outcome: Outcome, out: &mut Actions) {
         let cost = RetryBudget::retry_cost(outcome);
         let may_retry = outcome != Outcome::NotSent && self.retry_budget.covers(cost);
         let backend = may_retry.then(|| self.select_for_retry(id)).flatten();
@@ -129,12 +129,12 @@
             self.retry_budget.spend(cost);
             self.send(id, backend, out);
         } else if !self.requests.get(&id).is_some_and(Request::has_attempt_in_flight) {
-            self.answer(id, out);
+            self.give_up_request(id, out);
         }
     }
 
     /// Gives up an unanswered request: rejects it if the client can safely retry, and fails it otherwise.
-    pub(crate) fn answer(&mut self, id: RequestId, out: &mut Actions) {
+    pub(crate) fn give_up_request(&mut self, id: RequestId, out: &mut Actions) {
         let unanswered = self.requests.get(&id).filter(|request| !request.answered && !request.streaming);
         let Some(request) = unanswered else { return };
         let retry_after = self.retry_after(request);
@@ -144,11 +144,11 @@
         } else {
             Action::Fail { id }
         });
-        self.close(id);
+        self.mark_answered(id);
     }
 
     /// Marks a request as answered, so that it gets no further answer or attempt.
-    pub(crate) fn close(&mut self, id: RequestId) {
+    pub(crate) fn mark_answered(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.answered = true);
         self.remove_if_finished(id);
     }
@@ -157,7 +157,7 @@
     fn remove_if_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.answered && !request.has_attempt_in_flight() {
-            self.settle(id, 0.0);
+            self.settle_cost(id, 0.0);
             self.requests.remove(&id);
         }
     }
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -98,7 +98,7 @@
     }
 
     /// Decays the number of recent sends for the seconds that have passed.
-    pub(crate) fn decay(&mut self, seconds: f64) {
+    pub(crate) fn decay_recent_sends(&mut self, seconds: f64) {
         self.recent_sends *= (-seconds / RECENT_SENDS_DECAY_SECONDS).exp();
     }
 
--- a/crates/policy/src/backend_latency.rs
+++ b/crates/policy/src/backend_latency.rs
@@ -42,14 +42,14 @@
     /// Expected latency relative to the mean of the class. As the estimate ages, it approaches
     /// `first_contact_latency`, the mean over recent samples of kind [`Contact::First`] of all backends, so
     /// that backends known to be good are preferred while many others are slow.
-    pub(crate) fn expected(&self, first_contact_latency: f64, now: Timestamp) -> f64 {
+    pub(crate) fn expected_relative_latency(&self, first_contact_latency: f64, now: Timestamp) -> f64 {
         let freshness = (-now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).exp();
         let assumed = first_contact_latency.max(1.0);
         assumed + (self.relative - assumed) * freshness
     }
 
     /// Adds a sample of the relative latency. Returns whether the sample is representative of other backends.
-    pub(crate) fn record(&mut self, relative: f64, now: Timestamp) -> Contact {
+    pub(crate) fn record_sample(&mut self, relative: f64, now: Timestamp) -> Contact {
         let age = (now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).min(1.0);
         let is_first_contact = age > FIRST_CONTACT_AGE && self.relative < GOOD_RELATIVE_LATENCY;
         let weight = SAMPLE_WEIGHT + AGED_SAMPLE_WEIGHT * age;
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -64,7 +64,7 @@
         let units = quota.shared.units_to_report(&self.settings.plans[quota.plan]);
         self.counter.schedule(tenant, quota, units, 0, self.now);
         for id in waiting {
-            self.decide(id, out);
+            self.decide_admission(id, out);
         }
     }
 
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -118,7 +118,7 @@
     }
 
     /// Records the end of a call. Returns the notice for operators if the counter became silent or recovered.
-    pub(crate) fn record(
+    pub(crate) fn record_call_end(
         &mut self,
         settings: &Settings,
         elapsed: Micros,
--- a/crates/policy/src/counter_health/tests.rs
+++ b/crates/policy/src/counter_health/tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn fail(health: &mut CounterHealth, ms: u64) -> Option<Notice> {
-    health.record(&settings(), 50 * MS, Outcome::Timeout, at(ms))
+    health.record_call_end(&settings(), 50 * MS, Outcome::Timeout, at(ms))
 }
 
 #[test]
@@ -22,7 +22,7 @@
     assert_eq!([50, 100, 150, 200].map(|ms| fail(&mut health, ms)), [None; 4]);
     assert_eq!(fail(&mut health, 201), Some(Notice::CounterSilent));
     assert_eq!((fail(&mut health, 260), health.is_silent()), (None, true));
-    let notice = health.record(&settings(), MS, Outcome::Ok, at(300));
+    let notice = health.record_call_end(&settings(), MS, Outcome::Ok, at(300));
     assert_eq!((notice, health.is_silent()), (Some(Notice::CounterRecovered), false));
     assert!(health.has_recovered_since(at(299)) && !health.has_recovered_since(at(300)));
 }
@@ -31,7 +31,7 @@
 fn an_unreadable_answer_does_not_count_as_silence() {
     let mut health = CounterHealth::new(&settings(), 1, at(0));
     for ms in [100, 200, 300, 400, 500] {
-        assert_eq!(health.record(&settings(), MS, Outcome::Error, at(ms)), None);
+        assert_eq!(health.record_call_end(&settings(), MS, Outcome::Error, at(ms)), None);
     }
     assert!(!health.is_silent() && health.last_call_answered());
 }
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -48,7 +48,7 @@
     /// Adds a sample. Returns whether it was also added to the long-term estimate. A lasting slowdown, in
     /// which the ratio is below `slow_ratio`, is kept out of the long-term estimate, unless answers still
     /// meet their latency objective (`on_time`).
-    pub(crate) fn add(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Timestamp) -> bool {
+    pub(crate) fn add_sample(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Timestamp) -> bool {
         self.short_term.add(sample);
         if self.short_term.count() >= SHORT_TERM_SAMPLES && now >= self.short_term_since + SHORT_TERM_DURATION
         {
--- a/crates/policy/src/pool_updates.rs
+++ b/crates/policy/src/pool_updates.rs
@@ -30,7 +30,7 @@
         for (service, pool) in self.pools.iter_mut().enumerate() {
             let ready = self.backends.ready(service as u16);
             let ready = ready.map(|backend| SizedBackend { id: backend.entry.id, size: backend.size() });
-            pool.order.set(ready.collect(), &self.settings);
+            pool.order.set_backends(ready.collect(), &self.settings);
             let capacity = Capacity::of(self.settings.gatekeepers, pool.order.ready().len());
             pool.concurrency.fit_to(capacity);
         }
@@ -60,7 +60,7 @@
             ready.map(|backend| self.backends.warm_fraction(backend, settings, now)).sum();
         let pool = &mut self.pools[service];
         let seconds = pool.answer_rate.seconds_since_measured(now);
-        pool.answer_rate.measure(warm_fraction, pool.means.latency(), settings.gatekeepers, now);
+        pool.answer_rate.measure_rate(warm_fraction, pool.means.latency(), settings.gatekeepers, now);
         pool.means.forget_first_contacts(seconds);
         seconds
     }
@@ -78,8 +78,8 @@
         };
         let earned = if earns_tokens { token_rate(settings, warm_fraction, share) * seconds } else { 0.0 };
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.slow_start.earn(earned);
-            backend.load.decay(seconds);
+            backend.slow_start.earn_tokens(earned);
+            backend.load.decay_recent_sends(seconds);
         }
     }
 }
--- a/crates/policy/src/quantile.rs
+++ b/crates/policy/src/quantile.rs
@@ -82,7 +82,7 @@
             *desired += step;
         }
         for marker in 1..4 {
-            self.adjust(marker);
+            self.adjust_marker(marker);
         }
     }
 
@@ -102,7 +102,7 @@
 
     /// Moves an inner marker by one position towards its desired position, and adjusts its height by the
     /// parabolic formula, or by the linear one if the parabola would leave the order of heights.
-    fn adjust(&mut self, i: usize) {
+    fn adjust_marker(&mut self, i: usize) {
         let gap = self.desired[i] - self.positions[i];
         let right = self.positions[i + 1] - self.positions[i];
         let left = self.positions[i - 1] - self.positions[i];
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -36,7 +36,7 @@
     }
 
     /// Adds the tokens that an admitted request earns.
-    pub(crate) fn earn(&mut self) {
+    pub(crate) fn earn_tokens(&mut self) {
         self.tokens = (self.tokens + EARNED_PER_REQUEST).min(MAX_TOKENS);
     }
 
--- a/crates/policy/src/retry_budget/tests.rs
+++ b/crates/policy/src/retry_budget/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_full_budget_covers_two_hedged_requests() {
     let mut budget = RetryBudget::new();
-    (0..1_000).for_each(|_| budget.earn());
+    (0..1_000).for_each(|_| budget.earn_tokens());
     for _ in 0..2 {
         assert!(budget.covers_hedge());
         budget.spend_hedge();
@@ -17,9 +17,9 @@
 fn ten_admitted_requests_earn_one_retry_of_an_attempt_that_may_have_run() {
     let mut budget = RetryBudget::restore(0.0);
     let cost = RetryBudget::retry_cost(Outcome::Reset);
-    (0..9).for_each(|_| budget.earn());
+    (0..9).for_each(|_| budget.earn_tokens());
     assert!(!budget.covers(cost));
-    (0..2).for_each(|_| budget.earn());
+    (0..2).for_each(|_| budget.earn_tokens());
     assert!(budget.covers(cost));
 }
 
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -83,7 +83,7 @@
 impl PreferenceOrder {
     /// Sorts the ready backends by a hash of gatekeeper and backend, so that subsets differ between
     /// gatekeepers.
-    pub(crate) fn set(&mut self, mut backends: Vec<SizedBackend>, settings: &Settings) {
+    pub(crate) fn set_backends(&mut self, mut backends: Vec<SizedBackend>, settings: &Settings) {
         let seed = mix(u64::from(settings.gatekeeper_index));
         backends.sort_by_key(|backend| mix(seed ^ u64::from(backend.id.0)));
         self.ready = backends.iter().map(|backend| backend.id).collect();
@@ -259,7 +259,7 @@
     /// Measures the answer rate since the last measurement. `warm_fraction` is the sum over the ready
     /// backends. The assumed rate is at least this gatekeeper's share of the rate of a backend that serves
     /// one request at a time.
-    pub(crate) fn measure(
+    pub(crate) fn measure_rate(
         &mut self,
         warm_fraction: f64,
         mean_latency: f64,
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -245,7 +245,7 @@
         // A deeper debt consists of overflowed units that several gatekeepers have added to the count and not
         // yet subtracted again. It shows nothing of their spend.
         if previous_total.is_some() && shown_level >= min_level {
-            self.learn_rates(
+            self.update_spend_rates(
                 (known_max.min(plan.burst) - available).max(0.0),
                 others_change.max(0.0),
                 seconds,
@@ -290,7 +290,7 @@
     }
 
     /// Updates the rates at which other gatekeepers spend (`spent` units in `seconds`) and raise the total.
-    fn learn_rates(&mut self, spent: f64, total_growth: f64, seconds: f64) {
+    fn update_spend_rates(&mut self, spent: f64, total_growth: f64, seconds: f64) {
         let seconds = seconds.max(MIN_RATE_SECONDS);
         let weight = 1.0 - (-seconds / SPEND_RATE_TIME_CONSTANT).exp();
         self.others_rate += weight * (spent / seconds - self.others_rate);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -58,7 +58,7 @@
         self.tokens -= 1.0;
     }
 
-    pub(crate) fn earn(&mut self, tokens: f64) {
+    pub(crate) fn earn_tokens(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(MAX_TOKENS);
     }
 
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -46,7 +46,7 @@
 fn at_most_two_tokens_accumulate() {
     let mut slow_start = SlowStart::new(0.5, None);
     assert!(!slow_start.has_token());
-    slow_start.earn(9.0);
+    slow_start.earn_tokens(9.0);
     (0..2).for_each(|_| {
         assert!(slow_start.has_token());
         slow_start.spend_token();
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -95,17 +95,17 @@
             }
             Event::AttemptEnded { id, attempt, outcome, elapsed, units, answered, .. } => {
                 if answered {
-                    self.close(id);
+                    self.mark_answered(id);
                 }
                 if outcome == Outcome::Ok {
-                    self.settle(id, units);
+                    self.settle_cost(id, units);
                 }
                 self.on_attempt_ended(id, attempt, outcome, elapsed, out);
             }
-            Event::ClientGone { id } => self.close(id),
+            Event::ClientGone { id } => self.mark_answered(id),
             Event::Timer { token } => self.on_timer(token, out),
             Event::CounterReply { name, total, elapsed, outcome } => {
-                let notice = self.counter.health.record(&self.settings, elapsed, outcome, self.now);
+                let notice = self.counter.health.record_call_end(&self.settings, elapsed, outcome, self.now);
                 out.extend(notice.map(Action::Log));
                 self.on_counter_reply(name, total, outcome, out);
             }
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -126,7 +126,7 @@
     }
 
     /// Units that must be in the bucket for a request to be admitted.
-    fn required(&self, price: Price) -> f64 {
+    fn required_units(&self, price: Price) -> f64 {
         self.reserved + self.surcharge + price.charged_cost + price.reserved
     }
 
@@ -138,7 +138,7 @@
         settings: &Settings,
         now: Timestamp,
     ) -> Headroom {
-        let required = self.required(price);
+        let required = self.required_units(price);
         if counter == CounterState::Unavailable {
             return Headroom::certain(self.local_share - required);
         }
@@ -160,7 +160,7 @@
 
     /// Whether a price exceeds the units left in this gatekeeper's share of the bucket.
     pub(crate) fn exceeds_local_share(&self, price: Price) -> bool {
-        self.local_share < self.required(price)
+        self.local_share < self.required_units(price)
     }
 
     /// Whether a cost exceeds the units left in this gatekeeper's share of the hard ceiling. Each share has
@@ -198,12 +198,12 @@
     }
 
     /// Ends the reservation of a request whose cost is settled.
-    pub(crate) fn release(&mut self, reserved: f64) {
+    pub(crate) fn release_reservation(&mut self, reserved: f64) {
         self.reserved = (self.reserved - reserved).max(0.0);
     }
 
     /// Charges the difference between the actual and the estimated cost, or refunds it.
-    pub(crate) fn settle(&mut self, difference: f64) {
+    pub(crate) fn charge_difference(&mut self, difference: f64) {
         self.shared.spend(difference);
         self.local_share -= difference;
     }
--- a/crates/policy/src/tenant_quota/tests.rs
+++ b/crates/policy/src/tenant_quota/tests.rs
@@ -42,7 +42,7 @@
     let mut quota = TenantQuota::new(&settings, 0, 2.0, 100.0, at(100));
     quota.charge(price(12.0), false, at(100));
     assert!(quota.exceeds_ceiling(0.1));
-    quota.settle(-6.0);
+    quota.charge_difference(-6.0);
     assert!(quota.exceeds_ceiling(0.1));
     assert_eq!(quota.seconds_until_ceiling_covers(6.0, &settings.plans[0]), 0.5);
     quota.refill(&settings, 2.0, at(101));
@@ -65,7 +65,7 @@
     let before = units(&quota);
     quota.charge(Price { cost: 1.0, charged_cost: 1.0, reserved: 2.0 }, true, at(100));
     assert_eq!(units(&quota), before - 3.0);
-    quota.release(2.0);
+    quota.release_reservation(2.0);
     assert_eq!(units(&quota), before - 1.0);
 }
 
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -21,8 +21,8 @@
 impl Policy {
     pub(crate) fn on_timer(&mut self, token: u64, out: &mut Actions) {
         match TimerKind::from_token(token) {
-            TimerKind::Deadline { request } => self.answer(request, out),
-            TimerKind::Hedge { request, attempt } => self.hedge(request, attempt, out),
+            TimerKind::Deadline { request } => self.give_up_request(request, out),
+            TimerKind::Hedge { request, attempt } => self.send_hedged_request(request, attempt, out),
             TimerKind::Tick => self.on_tick(out),
         }
     }
--- a/crates/settings/src/appliance.rs
+++ b/crates/settings/src/appliance.rs
@@ -19,7 +19,7 @@
 pub use replication::{ReplicaConfig, ReplicationConfig};
 
 use crate::SettingsError;
-use crate::validation::{check_loopback, check_names, invalid};
+use crate::validation::{check_loopback, check_names, invalid_value};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -133,7 +133,11 @@
         if !header.is_empty() && header.bytes().all(is_header_byte) {
             Ok(())
         } else {
-            Err(invalid("lender_header", format!("{header:?}"), "a header name of letters, digits, - and _"))
+            Err(invalid_value(
+                "lender_header",
+                format!("{header:?}"),
+                "a header name of letters, digits, - and _",
+            ))
         }
     }
 
@@ -161,7 +165,7 @@
         let names = self.service_names();
         check_names("service", names.iter().copied())?;
         if names.len() > MAX_SERVICES {
-            return Err(invalid(
+            return Err(invalid_value(
                 "service",
                 format!("a list of {}", names.len()),
                 format!("{MAX_SERVICES} at most"),
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -2,7 +2,8 @@
 
 use crate::SettingsError;
 use crate::validation::{
-    PERIOD_RANGE_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique, invalid,
+    PERIOD_RANGE_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique,
+    invalid_value,
 };
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -107,7 +108,7 @@
             return Ok(());
         }
         let requirement = format!("1 to {MAX_PREFIX_BYTES} bytes without a slash at either end");
-        Err(invalid("cluster.prefix", format!("{prefix:?}"), requirement))
+        Err(invalid_value("cluster.prefix", format!("{prefix:?}"), requirement))
     }
 }
 
@@ -153,7 +154,7 @@
 impl HealthCheckConfig {
     fn validate(&self) -> Result<(), SettingsError> {
         if !self.path.starts_with('/') || !is_printable(&self.path) {
-            return Err(invalid(
+            return Err(invalid_value(
                 "probe.path",
                 format!("{:?}", self.path),
                 "a path that begins with a slash, of printable ASCII characters",
@@ -165,7 +166,7 @@
         check_minimum("probe.up_after", self.healthy_threshold, 1)?;
         if !(0.0..1.0).contains(&self.max_ejected_share) {
             let requirement = "0 or above and below 1: health checks may never take out all backends";
-            return Err(invalid("probe.most_out", self.max_ejected_share, requirement));
+            return Err(invalid_value("probe.most_out", self.max_ejected_share, requirement));
         }
         Ok(())
     }
@@ -198,7 +199,7 @@
         check_minimum(key("timeout_ms"), self.timeout_ms, 1)?;
         if !self.has_loopback_target() || !is_printable(&self.url) {
             let requirement = "http://ADDRESS:PORT/PATH on loopback";
-            return Err(invalid(key("url"), format!("{:?}", self.url), requirement));
+            return Err(invalid_value(key("url"), format!("{:?}", self.url), requirement));
         }
         Ok(())
     }
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -1,7 +1,7 @@
 //! The tables `[consul]`, `[[service]]` and `[register]`: the source of the endpoint lists, and the registration of this process.
 
 use crate::SettingsError;
-use crate::validation::{check_minimum, check_range, invalid};
+use crate::validation::{check_minimum, check_range, invalid_value};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -104,12 +104,16 @@
 impl ConsulConfig {
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         if self.service.is_empty() {
-            return Err(invalid("consul.service", "\"\"", "the name of a service"));
+            return Err(invalid_value("consul.service", "\"\"", "the name of a service"));
         }
         check_range("consul.wait_ms", self.wait_ms, WAIT_RANGE_MS)?;
         self.validate_agents()?;
         if !(self.sudden_loss_share > 0.0 && self.sudden_loss_share <= 1.0) {
-            return Err(invalid("consul.sudden_share", self.sudden_loss_share, "above 0 and at most 1"));
+            return Err(invalid_value(
+                "consul.sudden_share",
+                self.sudden_loss_share,
+                "above 0 and at most 1",
+            ));
         }
         check_minimum("consul.flap_longest_ms", self.max_flap_suppression_ms, self.flap_suppression_ms)?;
         check_range("consul.sudden_hold_ms", self.sudden_loss_retention_ms, 0..=MAX_SUDDEN_LOSS_RETENTION_MS)
@@ -119,10 +123,10 @@
         let count = self.further_agents.len();
         if count > MAX_FURTHER_AGENTS {
             let requirement = format!("{MAX_FURTHER_AGENTS} at most");
-            return Err(invalid("consul.agents", format!("a list of {count}"), requirement));
+            return Err(invalid_value("consul.agents", format!("a list of {count}"), requirement));
         }
         if self.further_agents.contains(&self.address) {
-            return Err(invalid("consul.agents", self.address, "another agent than consul.address"));
+            return Err(invalid_value("consul.agents", self.address, "another agent than consul.address"));
         }
         Ok(())
     }
@@ -164,7 +168,7 @@
     pub(super) fn validate(&self, listen: SocketAddr) -> Result<(), SettingsError> {
         for (key, value) in [("register.name", &self.name), ("register.id", &self.id)] {
             if value.is_empty() {
-                return Err(invalid(key, "\"\"", "a name that is not empty"));
+                return Err(invalid_value(key, "\"\"", "a name that is not empty"));
             }
         }
         check_minimum("register.ttl_ms", self.ttl_ms, MIN_TTL_MS)?;
--- a/crates/settings/src/appliance/replication.rs
+++ b/crates/settings/src/appliance/replication.rs
@@ -2,7 +2,7 @@
 
 use super::ClusterConfig;
 use crate::SettingsError;
-use crate::validation::{check_loopback, check_range, check_unique, invalid};
+use crate::validation::{check_loopback, check_range, check_unique, invalid_value};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -72,7 +72,11 @@
     fn validate_replicas(&self) -> Result<(), SettingsError> {
         let count = self.replicas.len();
         if !REPLICA_COUNTS.contains(&count) {
-            return Err(invalid("agreed.voters", format!("a list of {count}"), "a list of three or five"));
+            return Err(invalid_value(
+                "agreed.voters",
+                format!("a list of {count}"),
+                "a list of three or five",
+            ));
         }
         check_unique("voter", self.replicas.iter().map(|replica| replica.name.as_str()))?;
         for (position, replica) in self.replicas.iter().enumerate() {
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -4,7 +4,7 @@
 mod policy_settings;
 
 use crate::json::check_nesting;
-use crate::validation::{check_unique, invalid};
+use crate::validation::{check_unique, invalid_value};
 use crate::{EndpointList, SettingsError};
 use std::net::SocketAddr;
 
@@ -58,7 +58,7 @@
         check_nesting(json)?;
         let file: file::File = simd_json::serde::from_slice(json)?;
         let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|_| invalid("seed", format!("{:?}", file.seed), "a hexadecimal number"))?;
+            .map_err(|_| invalid_value("seed", format!("{:?}", file.seed), "a hexadecimal number"))?;
         let counter = file.counter.as_deref().map(|text| parse_address("counter", text)).transpose()?;
         let admin = file.operator.as_deref().map(|text| parse_address("operator", text)).transpose()?;
         let settings = file.settings;
@@ -86,5 +86,5 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, SettingsError> {
-    text.parse().map_err(|_| invalid(key, format!("{text:?}"), "an IP address and port"))
+    text.parse().map_err(|_| invalid_value(key, format!("{text:?}"), "an IP address and port"))
 }
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -12,7 +12,7 @@
 pub(crate) const PERIOD_RANGE_MS: RangeInclusive<u64> = 100..=86_400_000;
 
 /// Returns the error for an invalid value of a key.
-pub(crate) fn invalid(
+pub(crate) fn invalid_value(
     key: impl Into<String>,
     value: impl Display,
     requirement: impl Into<String>,
@@ -29,7 +29,7 @@
     if range.contains(&value) {
         return Ok(());
     }
-    Err(invalid(key, value, format!("{} to {}", range.start(), range.end())))
+    Err(invalid_value(key, value, format!("{} to {}", range.start(), range.end())))
 }
 
 /// Checks that a number is at least `minimum`.
@@ -38,7 +38,7 @@
     value: T,
     minimum: T,
 ) -> Result<(), SettingsError> {
-    if value >= minimum { Ok(()) } else { Err(invalid(key, value, format!("{minimum} at least"))) }
+    if value >= minimum { Ok(()) } else { Err(invalid_value(key, value, format!("{minimum} at least"))) }
 }
 
 /// Checks that names are unique.
@@ -70,7 +70,11 @@
     if valid {
         return Ok(());
     }
-    Err(invalid(key, format!("{name:?}"), format!("1 to {MAX_NAME_BYTES} letters, digits and any of -_.")))
+    Err(invalid_value(
+        key,
+        format!("{name:?}"),
+        format!("1 to {MAX_NAME_BYTES} letters, digits and any of -_."),
+    ))
 }
 
 /// Checks that all addresses are on the loopback interface.
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -9,7 +9,7 @@
 
 /// The running policy instances.
 #[derive(Default)]
-pub(crate) struct Host {
+pub(crate) struct PolicyHost {
     /// The instances by the number of their gatekeeper.
     instances: BTreeMap<u32, Policy>,
     /// The warnings that were written to standard error, so that each is written only once.
@@ -18,9 +18,9 @@
     actions: Vec<Action>,
 }
 
-impl Host {
+impl PolicyHost {
     /// Applies one record and appends the resulting actions to the reply.
-    pub(crate) fn apply(&mut self, now: Timestamp, record: Record, reply: &mut Reply) {
+    pub(crate) fn apply_record(&mut self, now: Timestamp, record: Record, reply: &mut Reply) {
         match record {
             Record::Start { gatekeeper, seed, settings } => {
                 self.start(now, gatekeeper, seed, &settings, reply);
@@ -60,7 +60,7 @@
             return;
         }
         for action in &self.actions {
-            reply.push(gatekeeper, action);
+            reply.push_action(gatekeeper, action);
         }
     }
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -6,7 +6,7 @@
 mod settings;
 mod wire;
 
-use host::Host;
+use host::PolicyHost;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 use wire::{EndpointLists, Reply, WireError, read_batch};
@@ -30,11 +30,11 @@
 /// Reads batches and writes a reply to each, until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
     let mut lists = EndpointLists::default();
-    let mut host = Host::default();
+    let mut host = PolicyHost::default();
     while let Some(batch) = read_batch(&mut input)? {
         let mut reply = Reply::default();
         for record in batch.records(&mut lists)? {
-            host.apply(batch.time, record, &mut reply);
+            host.apply_record(batch.time, record, &mut reply);
         }
         output.write_all(&reply.into_bytes(batch.number))?;
         output.flush()?;
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -31,7 +31,7 @@
 
 impl Reply {
     /// Appends an action of a gatekeeper.
-    pub(crate) fn push(&mut self, gatekeeper: u32, action: &Action) {
+    pub(crate) fn push_action(&mut self, gatekeeper: u32, action: &Action) {
         match action {
             Action::Send { id, backend, timeout, .. } => {
                 let fields = [id.0.to_be_bytes(), signed_micros(*timeout), backend.0.to_be_bytes()];
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -127,7 +127,7 @@
 #[test]
 fn actions_are_encoded_as_the_wire_protocol_defines() {
     let mut reply = Reply::default();
-    reply.push(
+    reply.push_action(
         3,
         &Action::Send {
             id: RequestId(0x5d3a_91c4),
@@ -136,7 +136,7 @@
             max_start_delay: 9,
         },
     );
-    reply.push(3, &Action::Timer { after: 500_000, token: 77 });
+    reply.push_action(3, &Action::Timer { after: 500_000, token: 77 });
     reply.push_log(5, "two servers known");
     let hex: String = reply.into_bytes(12).iter().map(|byte| format!("{byte:02x}")).collect();
     let expected = concat!(
@@ -150,8 +150,8 @@
     );
     assert_eq!(hex, expected);
     let mut reply = Reply::default();
-    reply.push(3, &Action::CounterAdd { name: 0x0089_f690, units: 4.0, ttl: 3_000_000 });
-    reply.push(
+    reply.push_action(3, &Action::CounterAdd { name: 0x0089_f690, units: 4.0, ttl: 3_000_000 });
+    reply.push_action(
         3,
         &Action::Reject {
             id: RequestId(0x0e6f_2b19),
@@ -159,10 +159,10 @@
             reason: RejectReason::QuotaExhausted,
         },
     );
-    reply.push(3, &Action::Fail { id: RequestId(0x0e6f_2b19) });
-    reply.push(3, &Action::Cancel { id: RequestId(0x5d3a_91c4), attempt: 0 });
-    reply.push(3, &Action::HealthCheck { backend: BackendId(0x2c90_11f2) });
-    reply.push(3, &Action::PollEndpoints);
+    reply.push_action(3, &Action::Fail { id: RequestId(0x0e6f_2b19) });
+    reply.push_action(3, &Action::Cancel { id: RequestId(0x5d3a_91c4), attempt: 0 });
+    reply.push_action(3, &Action::HealthCheck { backend: BackendId(0x2c90_11f2) });
+    reply.push_action(3, &Action::PollEndpoints);
     let hex: String = reply.into_bytes(0)[12..].iter().map(|byte| format!("{byte:02x}")).collect();
     let expected = concat!(
         "0460000000030000000000",
