--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -9,7 +9,7 @@
 const START: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 const HOUR: i64 = 3_600 * SECOND as i64;
 
-/// The counter's total that holds the stamp. It expires after [`STAMP_TTL`].
+/// The quota counter with the total that holds the stamp, which expires after [`STAMP_TTL`].
 #[derive(Default)]
 struct Counter {
     total: f64,
@@ -37,7 +37,7 @@
 
 struct Member {
     clock: FleetClock,
-    /// Microseconds by which its wall clock was ahead when it started.
+    /// Microseconds by which the member's wall clock was ahead when the member started.
     ahead: i64,
     reply: Option<Reply>,
 }
@@ -55,7 +55,7 @@
 
 /// The end of a counter call that its caller has not received yet.
 struct Reply {
-    /// When the caller receives it, by the caller's clock.
+    /// Time at which the caller receives the reply, on the caller's clock.
     arrives_at: Timestamp,
     outcome: Outcome,
     total: f64,
@@ -277,7 +277,7 @@
     fleet.size = 300;
     fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
-    // The timekeeper is last and so among the killed members.
+    // The timekeeper is sorted last, and so is among the killed members.
     fleet.members.sort_by_key(Member::is_timekeeper);
     fleet.members.truncate(90);
     fleet.run(5 * SECOND);
--- a/crates/exchange/src/request_table/tests.rs
+++ b/crates/exchange/src/request_table/tests.rs
@@ -118,7 +118,8 @@
 
 /// Guards against requests without an answer: a request whose backend does not answer must get its final answer in time.
 #[test]
-fn at_a_silent_backend_a_request_is_answered_before_and_its_attempt_cancelled_at_the_deadline() {
+fn a_request_at_a_silent_backend_is_answered_before_its_deadline_and_its_attempt_is_cancelled_at_the_deadline()
+ {
     let mut table = table(&[5]);
     let (_, answers) = submit(&mut table, START);
     assert_eq!(perform_side_effects(&mut table), ["start 0 at 5"]);
@@ -169,10 +170,10 @@
     assert_eq!(table.status().units_forwarded, 1.0);
 }
 
-/// Guards against forwarding a request after its final answer. It happened with a hedged attempt whose connection was still being
-/// established.
+/// Guards against forwarding a request after its final answer, which happened with a hedged attempt whose connection was still
+/// being established.
 #[test]
-fn an_attempt_that_is_not_written_is_withdrawn_before_the_final_answer() {
+fn an_attempt_that_is_not_written_is_cancelled_before_the_final_answer() {
     let mut table = table(&[5, 6]);
     let (id, _answers) = submit(&mut table, START);
     // The policy's hedge timer for attempt 0 of the request expires.
@@ -208,7 +209,7 @@
 }
 
 #[test]
-fn a_failure_states_its_reason() {
+fn a_rejection_or_failure_states_its_reason() {
     let mut empty = table(&[]);
     let (_, answers) = submit(&mut empty, START);
     perform_side_effects(&mut empty);
--- a/crates/exchange/src/stream/tests.rs
+++ b/crates/exchange/src/stream/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::sync::mpsc::{Receiver, channel};
 
-/// A callback, and a channel that receives a message for each call of it.
+/// A callback, and a channel that receives a message for each call of the callback.
 fn notifications() -> (Notify, Receiver<()>) {
     let (sender, receiver) = channel();
     let notify = move || {
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -25,7 +25,7 @@
     let mut total = 0.0;
     let actions = harness.feed(request(1, 0, estimate));
     let backend = sent_backends(&harness.answer_counter_calls_from(actions, &mut total))[0];
-    // Another gatekeeper spends: the bucket is not full, and nothing overflows that would be written off.
+    // Another gatekeeper spends, so the bucket is not full and no refill overflows.
     total += 15.0;
 
     let mut served = attempt_ended(1, 0, backend, Outcome::Ok);
@@ -40,7 +40,7 @@
         harness.answer_counter_calls_from(actions, &mut total);
     }
 
-    // What seemed to overflow a full bucket was written off meanwhile, and has been taken back.
+    // Units that seemed to overflow a full bucket were added to the count, and have been subtracted again.
     let refund = total_before - total;
     assert!((refund - (estimate - actual_cost)).abs() < 0.01, "{refund} of 3 units were refunded");
 }
@@ -77,8 +77,8 @@
     assert!(lowest_level < 38.0, "some requests are admitted");
 }
 
-/// With eight gatekeepers, none may have more than its own share of attempts in flight at a backend, even if
-/// all answers are quick.
+/// With eight gatekeepers, each gatekeeper may have at most its own share of attempts in flight at a backend,
+/// even if all answers are quick.
 #[test]
 fn the_concurrency_limit_recovers_after_backends_held_too_much() {
     let mut harness = Harness::new(Settings { gatekeepers: 8, ..unlimited_settings() }, &backends(1));
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -90,7 +90,7 @@
     let mut harness = Harness::new(settings(), &backends(4));
     let call =
         counter_call(&harness.feed(request(1, NON_IDEMPOTENT, 1.0))).expect("the request calls the counter");
-    // The total shows that another gatekeeper added to the count first, so no units are written off.
+    // The total shows that another gatekeeper added to the count first, so no overflow is added.
     let first = sent_backends(&harness.feed(counter_reply(call.name, 5.0 + call.units, Outcome::Ok)));
 
     let retry = sent_backends(&harness.end_attempt(1, 0, first[0], Outcome::ConnectFailed));
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -83,11 +83,11 @@
     pub backend: u32,
 }
 
-/// Numbers of requests that arrived, and of those among them that ended in some way.
+/// Number of requests that arrived, and numbers of them that ended in a certain way.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
     pub arrived: usize,
-    /// Answered within the latency objective.
+    /// Number of requests that were answered within the latency objective.
     pub answered_in_time: usize,
     pub rejected_or_failed: usize,
 }
@@ -189,7 +189,7 @@
         new_ids
     }
 
-    /// The share of its full capacity that a backend has at `now`. It grows linearly, as slowly as the
+    /// The share of its full capacity that a backend has at `now`. The share grows linearly, as slowly as the
     /// settings allow.
     fn capacity_share(&self, backend: &SimulatedBackend, now: Timestamp) -> f64 {
         if backend.started == Timestamp::ZERO {
@@ -378,7 +378,7 @@
         }
     }
 
-    /// Sends an attempt, and schedules its answer or, if that would come too late, its time-out at the
+    /// Sends an attempt, and schedules its answer or, if the answer would come too late, its timeout at the
     /// request's deadline.
     fn send(&mut self, gatekeeper: usize, id: u32, backend: u32) {
         self.sent_attempts.push(SentAttempt { at: self.now, gatekeeper, backend });
@@ -395,8 +395,8 @@
         }
     }
 
-    /// Adds work to the queue of a backend's less busy core. Returns the time at which it will be done:
-    /// [`Timestamp::MAX`] at a backend that is silent or removed.
+    /// Adds work to the queue of a backend's less busy core. Returns the time at which the work will be done,
+    /// or [`Timestamp::MAX`] if the backend is silent or removed.
     fn enqueue(&mut self, id: u32, work: f64) -> Timestamp {
         let Some(backend) = self.backends.get(&id).filter(|backend| !backend.is_silent) else {
             return Timestamp::MAX;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -125,8 +125,8 @@
         self.serve_attempts(id, &actions) > 0
     }
 
-    /// Ends the attempts of a request among these actions as served, as attempt number 0. Returns how many
-    /// there are.
+    /// Ends the attempts of a request among these actions as served, as attempt number 0. Returns the number
+    /// of attempts.
     pub fn serve_attempts(&mut self, id: u32, actions: &[Action]) -> usize {
         let backends = sent_backends(actions);
         for &backend in &backends {
--- a/crates/policy/tests/common/recorder.rs
+++ b/crates/policy/tests/common/recorder.rs
@@ -22,8 +22,8 @@
     static CREATED: Cell<u32> = const { Cell::new(0) };
 }
 
-/// Computes a digest of the actions of one state machine in order. On drop, it compares the digest with the
-/// recorded one.
+/// Computes a digest of the actions of one state machine in order. When the recorder is dropped, it compares
+/// the digest with the recorded digest.
 #[derive(Debug)]
 pub struct Recorder {
     /// The key of the recorded line in the fixture.
--- a/crates/policy/tests/counter_sync.rs
+++ b/crates/policy/tests/counter_sync.rs
@@ -81,7 +81,7 @@
     harness.now += 100 * MS;
     assert!(is_rejected(&harness.feed(request(2, 0, 4.0))), "others have emptied the bucket");
 
-    // The local share is spent too, and the total starts again from zero.
+    // The local share is spent too, and the total of the count starts again from zero.
     harness.now += 100 * MS;
     let actions = harness.feed(request(3, 0, 0.5));
     if let Some(call) = counter_call(&actions) {
@@ -175,8 +175,9 @@
 }
 
 /// Regression: the units of calls that reach the counter late are added although no reply arrives. Each call
-/// wrote off half a burst along with its spend. After a network partition of 5 s, eight such calls added
-/// 3,200 units that nobody had spent, and all gatekeepers rejected the tenant for eight seconds.
+/// added half a burst, as refill that had overflowed the full bucket, along with its spend. After a network
+/// partition of 5 s, eight such calls added 3,200 units that nobody had spent, and all gatekeepers rejected
+/// the tenant for eight seconds.
 #[test]
 fn calls_that_may_be_added_late_write_nothing_off() {
     const FIRST_UNANSWERED: u32 = 30;
@@ -214,7 +215,7 @@
     }
 
     assert!(late_calls > 10, "{late_calls} calls");
-    // The first unanswered call may still write off an estimate of at most half of the burst of 20.
+    // The first unanswered call may still add estimated overflow, at most half of the burst of 20 units.
     assert!(
         added_late <= spent + 10.0 + 1e-6,
         "{late_calls} late calls added {added_late} units, though only {spent} were spent"
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -101,8 +101,8 @@
     // According to the list, the backend started long ago. If it counted as warm, it would get half of all
     // requests at once.
     harness.feed(Event::Endpoints { kind: ListKind::Full, entries: backends(2) });
-    // This attempt stays in flight at the other backend, so the readmitted one would be selected if it were
-    // warm.
+    // This attempt stays in flight at the other backend, so the readmitted backend would be selected if it
+    // were warm.
     assert_eq!(sent_backends(&harness.request(1, 0, 0.1)), [2]);
     let mut sent_to_readmitted = |requests: u32| {
         let mut sent = 0;
--- a/crates/policy/tests/hot_restart.rs
+++ b/crates/policy/tests/hot_restart.rs
@@ -25,7 +25,7 @@
 }
 
 /// The successor has the remaining units of bucket and ceiling. If the predecessor resumes without knowing
-/// what the successor admitted, it has none.
+/// what the successor admitted, the predecessor has no units.
 #[test]
 fn a_successor_has_the_remaining_quota_and_reports_what_was_not_reported() {
     let mut predecessor = running_gatekeeper(settings_with_ceiling());
--- a/crates/policy/tests/outlier_detection.rs
+++ b/crates/policy/tests/outlier_detection.rs
@@ -283,8 +283,8 @@
     );
 }
 
-/// Ten of 40 backends are fast. The others answer with twelve times their latency, so first contacts with
-/// unknown backends are usually slow.
+/// Ten of 40 backends are fast. The others answer with twelve times their latency, so the first answer of a
+/// backend without a latency estimate is usually slow.
 #[test]
 fn while_first_contacts_go_badly_a_known_good_backend_is_selected() {
     const FAST_BACKENDS: u32 = 10;
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -368,10 +368,10 @@
 }
 
 /// Regression: gatekeepers that start together in the middle of an epoch all read a total of zero, and each
-/// writes off the refill since the start of the epoch. Until all but one have taken that back, the total
-/// shows a debt of many bursts. A gatekeeper that read such a total rejected requests for as long as the debt
-/// took to refill, without reading the total again. Six gatekeepers rejected a tenant that used a tenth of
-/// its quota, some of them for half a minute.
+/// adds the refill since the start of the epoch to the count, as overflow of a full bucket. Until all but one
+/// of them have subtracted these units again, the total shows a debt of many bursts. A gatekeeper that read
+/// such a total rejected requests for as long as the debt took to refill, without reading the total again.
+/// Six gatekeepers rejected a tenant that used a tenth of its quota, some of them for half a minute.
 #[test]
 fn gatekeepers_that_start_at_once_do_not_starve_a_tenant() {
     for seed in 0..6 {
@@ -391,7 +391,7 @@
             // Worst shares with six and with ten gatekeepers: 0.145 and more if debts of any size count;
             // 0.009 and 0.069 if debts count up to a quarter of the burst; 0.009 and 0.056 if a larger debt
             // also does not change the estimated rate of spend; 0.009 and 0.013 if, in addition, gatekeepers
-            // that take back their write-offs are not mistaken for a counter that lost its totals.
+            // that subtract overflow again are not mistaken for a counter that lost its totals.
             assert!(
                 rejected < 0.02,
                 "seed {seed}, {gatekeepers} gatekeepers, {rate} units a second: {rejected:.3}"
@@ -400,9 +400,9 @@
     }
 }
 
-/// Regression: a counter that lost its totals receives all write-offs once more, from each gatekeeper that
-/// calls before it has seen the write-offs of others. Two gatekeepers that did so at the same time mistook
-/// each other's write-offs for spend, that is, a debt of ten bursts and more, and waited for it to refill
+/// Regression: gatekeepers add the overflow of the epoch once more to a counter that lost its totals, each
+/// before it has seen the units that others add. Two gatekeepers that did so at the same time mistook each
+/// other's overflow for spend, that is, a debt of ten bursts and more, and waited for the debt to refill
 /// without reading the total again. Under injected faults, two of twelve gatekeepers rejected a tenant that
 /// used a quarter of its quota for 36 s.
 #[test]
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -23,7 +23,7 @@
 struct Attempt {
     backend: u32,
     sent_at: Timestamp,
-    /// `None` while it is in flight.
+    /// How the attempt ended; `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A final answer that the gatekeeper gives, and not a backend.
+/// A final answer that the gatekeeper gives itself, as opposed to an answer of a backend.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Answer {
     Rejected,
@@ -96,7 +96,7 @@
     requests: BTreeMap<u32, Request>,
     timers: Vec<PendingTimer>,
     counter_calls: Vec<CounterCall>,
-    /// Whether a backend is eligible according to the latest update; a backend without an entry is.
+    /// Whether a backend is eligible according to the latest update. A backend without an entry is eligible.
     eligible: BTreeMap<u32, bool>,
 }
 
@@ -321,8 +321,8 @@
         self.feed(index, attempt_ended(id, number as u8, backend, outcome));
     }
 
-    /// Ends the oldest counter call. The units of a call that times out are added to the total, those of a
-    /// rejected call are not.
+    /// Ends the oldest counter call. The units of a call that times out are added to the total, but not the
+    /// units of a rejected call.
     fn answer_counter_call(&mut self, index: usize) {
         const OUTCOMES: [Outcome; 6] =
             [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected];
