--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -49,7 +49,7 @@
 }
 
 impl FleetClock {
-    /// Creates a clock with an offset of 0. Its first call is due immediately.
+    /// Creates a clock with an offset of 0, whose first call to the counter is due immediately.
     pub(crate) fn new(gatekeepers: u32, seed: u64, now: Timestamp) -> Self {
         Self {
             election: Election::new(),
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,7 +1,7 @@
 //! The exchange between clients and backends.
 //!
 //! [`Exchange`] owns the policy's state machine, the table of requests in flight, the timers and the calls to the quota counter.
-//! It knows no wire protocol and no socket: the payload of a request (`Q`) and an answer (`A`) are opaque here. Each change that
+//! The exchange knows no wire protocol and no socket: a request's payload (`Q`) and an answer (`A`) are opaque. Each change that
 //! concerns the policy is passed to it as a [`policy::Event`]. The resulting side effects are performed after the lock is
 //! released, so that fronts and the backend side may call the exchange from within them.
 //!
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -17,7 +17,7 @@
     Deadline(RequestId),
     /// The time for the answer to an attempt ends.
     Attempt(AttemptId),
-    /// An attempt that has not been written yet must not be written any more.
+    /// The time ends within which an attempt must be written to its backend.
     WriteDeadline(AttemptId),
     /// The time for the answer to a counter call ends.
     CounterCall(u64),
--- a/crates/openapi/tests/load.rs
+++ b/crates/openapi/tests/load.rs
@@ -63,7 +63,7 @@
                 .unwrap();
         assert_eq!(methods_and_paths(&table), expected, "{servers}");
     }
-    // The list of the operation has precedence over that of the path, and that over the list of the description.
+    // The servers of an operation have precedence over those of its path, and these over the servers of the description.
     let paths = r#""/a":{"servers":[{"url":"/p"}],"get":{},"put":{"servers":[{"url":"/o"}]}}"#;
     let table = load(&[&description(&format!(r#"{DEFAULTS}"servers":[{{"url":"/v1"}}],"#), paths)]).unwrap();
     assert_eq!(methods_and_paths(&table), ["GET /p/a", "PUT /o/a"]);
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -13,7 +13,7 @@
 /// Time constant in seconds of the decay of recent sends.
 const RECENT_SENDS_DECAY_SECONDS: f64 = 1.0;
 
-/// State of one backend.
+/// State of one backend: its entry in the endpoint list, its health, and estimates of its load and latency.
 #[derive(Clone, Debug)]
 pub(crate) struct Backend {
     /// The latest entry in the endpoint list.
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -6,8 +6,9 @@
 use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Shortest interval between two calls of one gatekeeper, in microseconds. It is also the initial interval
-/// between the calls of all gatekeepers together, until the counter's latency shows what load it can take.
+/// Shortest interval between two calls of one gatekeeper to the counter, in microseconds. The same value is
+/// the initial interval between the calls of all gatekeepers together, until the counter's latency shows what
+/// load the counter can take.
 const MIN_CALL_INTERVAL: f64 = 1_000.0;
 /// Longest interval between two calls of one gatekeeper, and shortest pause between trial calls to a silent
 /// counter, as a multiple of [`MIN_CALL_INTERVAL`] times the number of gatekeepers.
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -12,7 +12,8 @@
 /// Target number of gatekeepers that prefer the same backend in a large tier. With a subset of the backends,
 /// each gatekeeper holds fewer connections and has better estimates of its backends.
 const GATEKEEPERS_PER_BACKEND: f64 = 12.0;
-/// Minimum size of the subset. It leaves enough backends when a zone fails during a release.
+/// Minimum size of a gatekeeper's subset of backends, which leaves enough backends when a zone fails during a
+/// release.
 const MIN_SUBSET_SIZE: usize = 8;
 /// Weight of one sample in the running means of latency, attempt time and cost.
 const MEAN_WEIGHT: f64 = 0.05;
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -57,7 +57,7 @@
     pub(crate) local_shares: f64,
 }
 
-/// Parameters of a call that is about to start.
+/// Parameters of a call to the counter that is about to start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CounterCall {
     /// The name of the count, see [`CountName::of`].
@@ -228,8 +228,8 @@
         // The highest level that is possible by what this gatekeeper knows. If the last total showed a debt,
         // the debt is included, because this gatekeeper's own reservations were reported in that total.
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
-        // Just before the call the bucket held at most a burst or, while the name is new, at most the highest
-        // level that is known from before.
+        // Just before the call the bucket held at most a burst. While the name is new, the bucket held at most
+        // the highest level that is possible by what this gatekeeper knows.
         let is_exact = previous_total.is_some() && self.view != BucketView::Fresh;
         let max_level = if is_exact {
             plan.burst
@@ -243,7 +243,7 @@
         let shown_level = plan.burst + refilled - total - self.written_off;
         let available = shown_level.max(min_level) - self.unreported;
         // A deeper debt consists of overflowed units that several gatekeepers have added to the count and not
-        // yet subtracted again. It shows nothing of their spend.
+        // yet subtracted again. Such a debt shows nothing of their spend.
         if previous_total.is_some() && shown_level >= min_level {
             self.update_spend_rates(
                 (known_max.min(plan.burst) - available).max(0.0),
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -84,7 +84,7 @@
     (share + (1.0 - share) * age).min(1.0)
 }
 
-/// How many gatekeepers send to a backend, and how much it serves when warm.
+/// Fraction of backends that each gatekeeper prefers, and rate at which a warm backend answers one of them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SenderShare {
     /// Fraction of the ready backends that each gatekeeper prefers; it may exceed 1.
@@ -93,8 +93,8 @@
     pub(crate) warm_rate: f64,
 }
 
-/// Tokens a second that this gatekeeper adds to a backend in slow start. It is the gatekeeper's share of the
-/// rate that overloads the backend, less a margin for random variation. The margin grows with the number of
+/// Tokens a second that this gatekeeper adds to a backend in slow start: the gatekeeper's share of the rate
+/// that overloads the backend, minus a margin for random variation. The margin grows with the number of
 /// gatekeepers, which send without coordination.
 pub(crate) fn token_rate(settings: &Settings, warm_fraction: f64, share: SenderShare) -> f64 {
     let gatekeepers = f64::from(settings.gatekeepers);
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -34,7 +34,7 @@
         let warm_rate = 10.0 / f64::from(gatekeepers);
         let share = SenderShare { subset_fraction: 1.0, warm_rate };
         let total_rate = token_rate(&settings, 0.5, share) * f64::from(gatekeepers);
-        // The warm backend serves 10 requests a second. At half its capacity, 10 requests a second overload it.
+        // The warm backend serves 10 requests a second. At half its capacity, that rate overloads it.
         assert!(
             (2.0..10.0).contains(&total_rate),
             "{gatekeepers} gatekeepers add {total_rate} tokens a second"
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -20,8 +20,8 @@
 /// Actions, in the order in which the driver carries them out.
 pub(crate) type Actions = Vec<Action>;
 
-/// The policy of one gatekeeper. It is deterministic: it has no clock, thread, I/O or global state, so the
-/// same settings, seed and events give the same actions.
+/// The policy of one gatekeeper, as a deterministic state machine without clock, thread, I/O or global state:
+/// the same settings, seed and events give the same actions.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) settings: Settings,
--- a/crates/policy/src/timer_token.rs
+++ b/crates/policy/src/timer_token.rs
@@ -3,8 +3,8 @@
 use crate::ids::RequestId;
 use crate::time::Micros;
 
-/// Microseconds between checks for unreported spend and silent backends. It is short compared with every
-/// latency objective.
+/// Microseconds between checks for unreported spend and silent backends, short compared with every latency
+/// objective.
 pub(crate) const TICK: Micros = 20_000;
 
 /// A token has its kind in the highest byte, the attempt number from bit 32, and the request in the lowest 32
@@ -23,7 +23,7 @@
     TOKEN_HEDGE | u64::from(attempt) << ATTEMPT_SHIFT | u64::from(id.0)
 }
 
-/// What a timer is for.
+/// The purpose of an expired timer, decoded from its token.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum TimerKind {
     /// The periodic work is due, see [`TICK`].
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -153,9 +153,9 @@
     assert!(sent > 100, "{sent} sent");
 }
 
-/// Regression: the cost of each request rejected for lack of capacity was reported to the counter and then
-/// taken back. A hundred gatekeepers made these two useless calls at the same time, just when the load on the
-/// counter was highest.
+/// Regression: the cost of each request rejected for lack of capacity was added to the count at the counter
+/// and then subtracted again. A hundred gatekeepers made these two useless calls at the same time, just when
+/// the load on the counter was highest.
 #[test]
 fn a_request_without_capacity_costs_no_counter_call() {
     // The first moment at which a gatekeeper may call the counter depends on its index.
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 struct Scenario {
     gatekeepers: u32,
-    /// When all gatekeepers start.
+    /// Time at which all gatekeepers start.
     start: Timestamp,
     /// Upper bound of the random addition to [`COUNTER_DELAY`].
     max_jitter: Micros,
--- a/crates/settings/src/appliance/limits.rs
+++ b/crates/settings/src/appliance/limits.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Slow start of backends.
+/// The table `[fleet]`: how backends behave after their start, which limits the load they are sent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlowStartConfig {
--- a/crates/settings/src/appliance/plans.rs
+++ b/crates/settings/src/appliance/plans.rs
@@ -19,7 +19,7 @@
     /// Units that the ceiling admits at once: the capacity of its token bucket.
     #[serde(default)]
     pub ceiling_burst: f64,
-    /// Factor on the priority weight of the class.
+    /// Factor by which the priority weight of a class is multiplied for tenants of this plan; 1 if absent.
     #[serde(default = "one")]
     pub price: f64,
 }
