--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -228,8 +228,8 @@
         // The highest level that is possible by what this gatekeeper knows. If the last total showed a debt,
         // the debt is included, because this gatekeeper's own reservations were reported in that total.
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
-        // Just before the call the bucket held at most a burst. While the name is new, the bucket held at most
-        // the highest level that is possible by what this gatekeeper knows.
+        // Just before the call the bucket held at most a burst. While the name is new, the bucket held at
+        // most the highest level that is possible by what this gatekeeper knows.
         let is_exact = previous_total.is_some() && self.view != BucketView::Fresh;
         let max_level = if is_exact {
             plan.burst
