--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -1,8 +1,8 @@
 //! The election of the timekeeper: the one process that places a stamp and advances it.
 //!
-//! A state machine without clock and randomness. [`Election::next_call`] returns the next counter call, [`Election::on_reply`]
-//! applies its reply and decides how to continue. A stamp *makes progress* if its time has changed since it was last read, which
-//! shows that a timekeeper is alive.
+//! The election is a state machine without clock and randomness. [`Election::next_call`] returns the next counter call,
+//! [`Election::on_reply`] applies the reply and decides how to continue. A stamp *makes progress* if its time has changed since
+//! the last read of the stamp, which shows that a timekeeper is alive.
 //!
 //! ```mermaid
 //! stateDiagram-v2
@@ -43,79 +43,79 @@
 #[cfg(test)]
 mod tests;
 
-/// A process that adopted a stamp takes over as timekeeper after this many reads without progress. Its estimate is off if the
-/// stamp was stale, so it waits longer than processes with a better estimate, which take over sooner.
+/// A process that adopted a stamp takes over as timekeeper after this many reads without progress. The process has a wrong
+/// estimate if the stamp was stale, so it waits longer than processes with a better estimate, which take over sooner.
 const MAX_READS_WITHOUT_PROGRESS: u32 = 30;
 
 /// The role of this process in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    /// Reads the stamp at intervals.
+enum ElectionState {
+    /// A process that only reads the stamp, at intervals.
     Follower,
-    /// Found no stamp, and reads once more before it places its own.
+    /// A process that found no stamp, and reads once more before it places its own stamp.
     Candidate,
-    /// Places its own stamp with the next call, as no other process has placed one.
+    /// A process that places its own stamp with the next call, as no other process has placed a stamp.
     Claiming {
-        /// The total of the counter, which does not include a stamp.
+        /// The total of the stamp's count, which contains no stamp.
         residue: Ticks,
     },
-    /// Found a possibly stale stamp, and reads it again.
+    /// A process that found a possibly stale stamp, and reads the stamp again.
     Confirming {
-        /// The stamp that was read.
+        /// The possibly stale stamp.
         stamp: StampTime,
     },
-    /// Adopted the time of a stamp, and reads the stamp until it makes progress.
+    /// A process that adopted the time of a stamp, and reads the stamp until the stamp makes progress.
     Adopted {
-        /// The stamp that was adopted.
+        /// The stamp whose time the process adopted.
         stamp: StampTime,
         /// Number of later reads that found the stamp unchanged.
         reads_without_progress: u32,
     },
-    /// Found that the stamp is stale, and advances it with the next call.
+    /// A process that found the stamp to be stale, and advances the stamp with the next call to become the timekeeper.
     TakingOver {
-        /// The stale stamp.
+        /// The stale stamp, which the next call advances.
         stamp: StampTime,
     },
-    /// Is the timekeeper, and advances the stamp with each call.
+    /// The process that advances the stamp with each call.
     Timekeeper {
         /// The stamp after the last advance.
         stamp: StampTime,
     },
-    /// Found a conflict with another stamp, and rolls back its own addition.
+    /// A process that found a conflict with another process's addition, and rolls back its own addition.
     RollingBack {
-        /// The amount that was added.
+        /// The amount that this process added, which the next call subtracts.
         amount: Ticks,
     },
 }
 
-/// A call to the counter.
+/// A call to the quota counter that reads or changes the stamp's count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Call {
-    /// Reads the stamp.
+pub(super) enum StampCall {
+    /// Reads the stamp without changing it.
     Read,
-    /// Places a stamp on a counter without one.
+    /// Places a stamp in a count that contains no stamp.
     Place {
         /// The time of the new stamp.
         time: StampTime,
-        /// The amount to add.
+        /// The amount that the call adds to the count: the encoded stamp.
         amount: Ticks,
     },
     /// Advances the stamp to a later time.
     Advance {
         /// The time of the stamp after the call.
         time: StampTime,
-        /// The amount to add.
+        /// The amount that the call adds to the count: the difference from the previous stamp.
         amount: Ticks,
     },
     /// Rolls back an addition after a conflict.
     RollBack {
-        /// The amount to add: the negative of the earlier addition.
+        /// The amount that the call adds to the count: the negative of the earlier addition.
         amount: Ticks,
     },
 }
 
-impl Call {
-    /// The amount that the call adds to the counter.
+impl StampCall {
+    /// The amount that the call adds to the stamp's count; 0 for a read.
     pub(super) fn amount(self) -> Ticks {
         match self {
             Self::Read => Ticks::ZERO,
@@ -124,7 +124,7 @@
     }
 }
 
-/// The decision on a reply.
+/// How the election continues after the reply to a counter call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
     /// Make the next call after this delay.
@@ -136,84 +136,91 @@
 /// The state machine of one process in the election.
 #[derive(Debug)]
 pub(super) struct Election {
-    state: State,
+    state: ElectionState,
 }
 
 impl Election {
     pub(super) fn new() -> Self {
-        Self { state: State::Follower }
+        Self { state: ElectionState::Follower }
     }
 
     #[cfg(test)]
     pub(super) fn is_timekeeper(&self) -> bool {
-        matches!(self.state, State::Timekeeper { .. })
+        matches!(self.state, ElectionState::Timekeeper { .. })
     }
 
     /// Returns the next call. `time` is the fleet's time by the current estimate.
-    pub(super) fn next_call(&self, time: StampTime) -> Call {
+    pub(super) fn next_call(&self, time: StampTime) -> StampCall {
         match self.state {
-            State::Follower | State::Candidate | State::Confirming { .. } | State::Adopted { .. } => {
-                Call::Read
+            ElectionState::Follower
+            | ElectionState::Candidate
+            | ElectionState::Confirming { .. }
+            | ElectionState::Adopted { .. } => StampCall::Read,
+            ElectionState::Claiming { residue } => {
+                StampCall::Place { time, amount: time.placement_amount(residue) }
             }
-            State::Claiming { residue } => Call::Place { time, amount: time.placement_amount(residue) },
-            State::TakingOver { stamp } | State::Timekeeper { stamp } => {
-                Call::Advance { time, amount: time.advance_amount(stamp) }
+            ElectionState::TakingOver { stamp } | ElectionState::Timekeeper { stamp } => {
+                StampCall::Advance { time, amount: time.advance_amount(stamp) }
             }
-            State::RollingBack { amount } => Call::RollBack { amount: -amount },
+            ElectionState::RollingBack { amount } => StampCall::RollBack { amount: -amount },
         }
     }
 
     /// Applies a failed call and returns the delay of the next one.
-    pub(super) fn on_failure(&mut self, call: Call, outcome: Outcome) -> CallDelay {
-        let may_have_added = call != Call::Read && !outcome.never_ran();
+    pub(super) fn on_failure(&mut self, call: StampCall, outcome: Outcome) -> CallDelay {
+        let may_have_added = call != StampCall::Read && !outcome.never_ran();
         if may_have_added {
-            self.state = State::Follower;
+            self.state = ElectionState::Follower;
         }
         CallDelay::Backoff
     }
 
     /// Applies the reply to a call. `stamp` is the decoded total after the call, and `freshness` that of its stamp.
-    pub(super) fn on_reply(&mut self, call: Call, stamp: Stamp, freshness: Freshness) -> Decision {
+    pub(super) fn on_reply(&mut self, call: StampCall, stamp: Stamp, freshness: Freshness) -> Decision {
         match call {
-            Call::Read => self.on_read(stamp, freshness),
-            Call::Place { time, amount } => Decision::CallAfter(self.on_added(stamp, time, amount)),
-            Call::Advance { time, amount } => Decision::CallAfter(self.on_advanced(stamp, time, amount)),
-            Call::RollBack { .. } => self.enter(State::Follower, CallDelay::Backoff),
+            StampCall::Read => self.on_read(stamp, freshness),
+            StampCall::Place { time, amount } => Decision::CallAfter(self.on_added(stamp, time, amount)),
+            StampCall::Advance { time, amount } => Decision::CallAfter(self.on_advanced(stamp, time, amount)),
+            StampCall::RollBack { .. } => self.enter(ElectionState::Follower, CallDelay::Backoff),
         }
     }
 
     fn on_read(&mut self, stamp: Stamp, freshness: Freshness) -> Decision {
         match (stamp.placed_count, self.state) {
-            (0, State::Candidate) => self.enter(State::Claiming { residue: stamp.total() }, CallDelay::None),
-            (0, _) => self.enter(State::Candidate, CallDelay::Vacancy),
+            (0, ElectionState::Candidate) => {
+                self.enter(ElectionState::Claiming { residue: stamp.total() }, CallDelay::None)
+            }
+            (0, _) => self.enter(ElectionState::Candidate, CallDelay::Vacancy),
             (1, _) => self.on_single_stamp(stamp.time, freshness),
-            _ => self.enter(State::Follower, CallDelay::Backoff),
+            _ => self.enter(ElectionState::Follower, CallDelay::Backoff),
         }
     }
 
     fn on_single_stamp(&mut self, stamp: StampTime, freshness: Freshness) -> Decision {
         match (self.state, freshness) {
-            (State::Adopted { stamp: adopted, reads_without_progress }, _) if adopted == stamp => {
+            (ElectionState::Adopted { stamp: adopted, reads_without_progress }, _) if adopted == stamp => {
                 self.on_read_without_progress(stamp, reads_without_progress + 1)
             }
-            (_, Freshness::Fresh) => self.enter(State::Follower, CallDelay::FollowerRead),
-            (State::Confirming { stamp: earlier }, Freshness::PossiblyStale) if earlier == stamp => {
-                self.enter(State::TakingOver { stamp }, CallDelay::None)
+            (_, Freshness::Fresh) => self.enter(ElectionState::Follower, CallDelay::FollowerRead),
+            (ElectionState::Confirming { stamp: earlier }, Freshness::PossiblyStale) if earlier == stamp => {
+                self.enter(ElectionState::TakingOver { stamp }, CallDelay::None)
             }
-            (State::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
-                // The stamp may also be stale, if its timekeeper has died. Later reads show whether it makes progress.
-                self.state = State::Adopted { stamp, reads_without_progress: 0 };
+            (ElectionState::Confirming { .. }, _) | (_, Freshness::OffsetClock) => {
+                // The stamp may also be stale, if its timekeeper has died. Later reads show whether the stamp makes progress.
+                self.state = ElectionState::Adopted { stamp, reads_without_progress: 0 };
                 Decision::AdoptStamp(stamp)
             }
-            (_, Freshness::PossiblyStale) => self.enter(State::Confirming { stamp }, CallDelay::Confirmation),
+            (_, Freshness::PossiblyStale) => {
+                self.enter(ElectionState::Confirming { stamp }, CallDelay::Confirmation)
+            }
         }
     }
 
     fn on_read_without_progress(&mut self, stamp: StampTime, reads_without_progress: u32) -> Decision {
         if reads_without_progress < MAX_READS_WITHOUT_PROGRESS {
-            self.enter(State::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
+            self.enter(ElectionState::Adopted { stamp, reads_without_progress }, CallDelay::Confirmation)
         } else {
-            self.enter(State::TakingOver { stamp }, CallDelay::None)
+            self.enter(ElectionState::TakingOver { stamp }, CallDelay::None)
         }
     }
 
@@ -221,7 +228,7 @@
         // If the counter holds only the amount just added, the stamp had expired or the counter had lost it.
         let has_expired = found.total() == amount;
         if has_expired {
-            self.state = State::Claiming { residue: amount };
+            self.state = ElectionState::Claiming { residue: amount };
             CallDelay::None
         } else {
             self.on_added(found, time, amount)
@@ -230,16 +237,16 @@
 
     fn on_added(&mut self, found: Stamp, time: StampTime, amount: Ticks) -> CallDelay {
         if found == Stamp::single(time) {
-            self.state = State::Timekeeper { stamp: time };
+            self.state = ElectionState::Timekeeper { stamp: time };
             return CallDelay::Advance;
         }
         // Another process has added to the counter first, so this process rolls back its own addition.
         let has_added = amount != Ticks::ZERO;
-        self.state = if has_added { State::RollingBack { amount } } else { State::Follower };
+        self.state = if has_added { ElectionState::RollingBack { amount } } else { ElectionState::Follower };
         CallDelay::None
     }
 
-    fn enter(&mut self, state: State, delay: CallDelay) -> Decision {
+    fn enter(&mut self, state: ElectionState, delay: CallDelay) -> Decision {
         self.state = state;
         Decision::CallAfter(delay)
     }
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -22,7 +22,7 @@
 pub(crate) struct LatencyTrend {
     short_term: P2Quantile,
     short_term_since: Timestamp,
-    /// The last complete short-term estimate, and when it was completed.
+    /// The last complete short-term estimate, and the time of its completion.
     estimate: Option<(f64, Timestamp)>,
     long_term: P2Quantile,
 }
@@ -48,7 +48,7 @@
     /// Adds a sample. Returns whether it was also added to the long-term estimate. A lasting slowdown, in
     /// which the ratio is below `slow_ratio`, is kept out of the long-term estimate, unless answers still
     /// meet their latency objective (`on_time`).
-    pub(crate) fn add(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Timestamp) -> bool {
+    pub(crate) fn add_sample(&mut self, sample: f64, on_time: bool, slow_ratio: f64, now: Timestamp) -> bool {
         self.short_term.add(sample);
         if self.short_term.count() >= SHORT_TERM_SAMPLES && now >= self.short_term_since + SHORT_TERM_DURATION
         {
--- a/crates/policy/src/quantile.rs
+++ b/crates/policy/src/quantile.rs
@@ -39,12 +39,12 @@
         }
     }
 
-    /// The number of samples added so far.
+    /// Number of finite samples added so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The estimate, or `None` before the first sample. It is exact up to five samples.
+    /// The estimate of the quantile, exact up to five samples; `None` before the first sample.
     pub fn value(&self) -> Option<f64> {
         match self.count {
             0 => None,
@@ -82,12 +82,12 @@
             *desired += step;
         }
         for marker in 1..4 {
-            self.adjust(marker);
+            self.adjust_marker(marker);
         }
     }
 
     /// Index of the interval between markers that contains `sample`. The outer markers are moved to include
-    /// it.
+    /// the sample.
     fn marker_interval(&mut self, sample: f64) -> usize {
         if sample < self.heights[0] {
             self.heights[0] = sample;
@@ -102,7 +102,7 @@
 
     /// Moves an inner marker by one position towards its desired position, and adjusts its height by the
     /// parabolic formula, or by the linear one if the parabola would leave the order of heights.
-    fn adjust(&mut self, i: usize) {
+    fn adjust_marker(&mut self, i: usize) {
         let gap = self.desired[i] - self.positions[i];
         let right = self.positions[i + 1] - self.positions[i];
         let left = self.positions[i - 1] - self.positions[i];
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -34,7 +34,7 @@
         let warm_rate = 10.0 / f64::from(gatekeepers);
         let share = SenderShare { subset_fraction: 1.0, warm_rate };
         let total_rate = token_rate(&settings, 0.5, share) * f64::from(gatekeepers);
-        // The warm backend serves 10 a second. At half its capacity, twice half of that overloads it.
+        // The warm backend serves 10 requests a second. At half its capacity, that rate overloads it.
         assert!(
             (2.0..10.0).contains(&total_rate),
             "{gatekeepers} gatekeepers add {total_rate} tokens a second"
@@ -46,7 +46,7 @@
 fn at_most_two_tokens_accumulate() {
     let mut slow_start = SlowStart::new(0.5, None);
     assert!(!slow_start.has_token());
-    slow_start.earn(9.0);
+    slow_start.earn_tokens(9.0);
     (0..2).for_each(|_| {
         assert!(slow_start.has_token());
         slow_start.spend_token();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_readmitted_backend_keeps_its_notified_start_and_a_restarted_one_its_readmission() {
+fn readmission_keeps_the_notified_start_and_a_restart_keeps_the_readmission_time() {
     let readmitted = SlowStart::new(0.0, Some(at(5))).readmitted(0.3, at(9));
     assert_eq!((readmitted.notified_start(), readmitted.readmitted_at()), (Some(at(5)), at(9)));
     let restarted = readmitted.restarted(SlowStart::new(0.7, None));
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -1,5 +1,4 @@
-//! The state machine: its parts, and the entry point that dispatches each event to the module that handles
-//! it.
+//! The state machine: its parts, and the entry point that dispatches each event to a handler.
 
 use crate::action::Action;
 use crate::class_stats::{ClassStats, INITIAL_LATENCY_FRACTION};
@@ -21,8 +20,8 @@
 /// Actions, in the order in which the driver carries them out.
 pub(crate) type Actions = Vec<Action>;
 
-/// The policy of one gatekeeper. It is deterministic: it has no clock, thread, I/O or global state, so the
-/// same settings, seed and events give the same actions.
+/// The policy of one gatekeeper, as a deterministic state machine without clock, thread, I/O or global state:
+/// the same settings, seed and events give the same actions.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) settings: Settings,
@@ -37,7 +36,7 @@
     pub(crate) pools: Vec<ServicePool>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) latency_trend: LatencyTrend,
-    /// Indexed by class.
+    /// Latency and cost estimates, indexed by class.
     pub(crate) class_stats: Vec<ClassStats>,
     /// The largest weight that a request can have, over all classes and plans.
     pub(crate) max_weight: f64,
@@ -75,8 +74,8 @@
         })
     }
 
-    /// Handles one event at the time `now`, and appends the resulting actions to `out` in order. A time
-    /// before that of an earlier event counts as that earlier time.
+    /// Handles one event at the time `now`, and appends the resulting actions to `out` in order. If `now` is
+    /// before the time of an earlier event, the time of the earlier event applies.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.tick_started {
@@ -96,17 +95,17 @@
             }
             Event::AttemptEnded { id, attempt, outcome, elapsed, units, answered, .. } => {
                 if answered {
-                    self.close(id);
+                    self.mark_answered(id);
                 }
                 if outcome == Outcome::Ok {
-                    self.settle(id, units);
+                    self.settle_cost(id, units);
                 }
                 self.on_attempt_ended(id, attempt, outcome, elapsed, out);
             }
-            Event::ClientGone { id } => self.close(id),
+            Event::ClientGone { id } => self.mark_answered(id),
             Event::Timer { token } => self.on_timer(token, out),
             Event::CounterReply { name, total, elapsed, outcome } => {
-                let notice = self.counter.health.record(&self.settings, elapsed, outcome, self.now);
+                let notice = self.counter.health.record_call_end(&self.settings, elapsed, outcome, self.now);
                 out.extend(notice.map(Action::Log));
                 self.on_counter_reply(name, total, outcome, out);
             }
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -2,7 +2,8 @@
 
 use crate::SettingsError;
 use crate::validation::{
-    PERIOD_RANGE_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique, invalid,
+    PERIOD_RANGE_MS, check_identifier, check_loopback, check_minimum, check_range, check_unique,
+    invalid_value,
 };
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -20,13 +21,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterConfig {
-    /// Unique name of this instance.
+    /// Name of this instance, which must be unique in the cluster.
     pub name: String,
-    /// UDP address at which it receives gossip.
+    /// UDP address at which this instance receives gossip.
     pub listen: SocketAddr,
-    /// Address at which other instances reach it; `listen` by default.
+    /// Address at which other instances send gossip to this instance; `listen` by default.
     pub advertise: Option<SocketAddr>,
-    /// Addresses of seed members.
+    /// Gossip addresses of the members that this instance contacts to join the cluster.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     /// File with the keys that authenticate gossip, relative to the directory of this file.
@@ -107,7 +108,7 @@
             return Ok(());
         }
         let requirement = format!("1 to {MAX_PREFIX_BYTES} bytes without a slash at either end");
-        Err(invalid("cluster.prefix", format!("{prefix:?}"), requirement))
+        Err(invalid_value("cluster.prefix", format!("{prefix:?}"), requirement))
     }
 }
 
@@ -115,7 +116,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
-    /// Path of the GET request.
+    /// Path of the GET request that checks a backend.
     pub path: String,
     /// Interval between two checks of a backend, in milliseconds.
     #[serde(default = "default_health_check_period_ms")]
@@ -126,7 +127,7 @@
     /// Number of consecutive failures after which a backend is unhealthy.
     #[serde(rename = "down_after", default = "default_threshold")]
     pub unhealthy_threshold: u32,
-    /// Number of consecutive successes after which it is healthy again.
+    /// Number of consecutive successes after which an unhealthy backend is healthy again.
     #[serde(rename = "up_after", default = "default_threshold")]
     pub healthy_threshold: u32,
     /// Maximum share of the backends that health checks may eject at the same time.
@@ -153,7 +154,7 @@
 impl HealthCheckConfig {
     fn validate(&self) -> Result<(), SettingsError> {
         if !self.path.starts_with('/') || !is_printable(&self.path) {
-            return Err(invalid(
+            return Err(invalid_value(
                 "probe.path",
                 format!("{:?}", self.path),
                 "a path that begins with a slash, of printable ASCII characters",
@@ -165,7 +166,7 @@
         check_minimum("probe.up_after", self.healthy_threshold, 1)?;
         if !(0.0..1.0).contains(&self.max_ejected_share) {
             let requirement = "0 or above and below 1: health checks may never take out all backends";
-            return Err(invalid("probe.most_out", self.max_ejected_share, requirement));
+            return Err(invalid_value("probe.most_out", self.max_ejected_share, requirement));
         }
         Ok(())
     }
@@ -175,13 +176,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeriodicJobConfig {
-    /// Name of the job.
+    /// Name of the job, in keys of the lease store and in log lines.
     pub name: String,
-    /// Period in milliseconds.
+    /// Time between the starts of two runs of the job, in milliseconds.
     pub period_ms: u64,
     /// URL of the POST request: `http://ADDRESS:PORT/PATH`.
     pub url: String,
-    /// Timeout of the call in milliseconds.
+    /// Time in milliseconds within which the service must answer the POST request.
     #[serde(default = "default_job_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -198,7 +199,7 @@
         check_minimum(key("timeout_ms"), self.timeout_ms, 1)?;
         if !self.has_loopback_target() || !is_printable(&self.url) {
             let requirement = "http://ADDRESS:PORT/PATH on loopback";
-            return Err(invalid(key("url"), format!("{:?}", self.url), requirement));
+            return Err(invalid_value(key("url"), format!("{:?}", self.url), requirement));
         }
         Ok(())
     }
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -1,7 +1,7 @@
 //! The tables `[consul]`, `[[service]]` and `[register]`: the source of the endpoint lists, and the registration of this process.
 
 use crate::SettingsError;
-use crate::validation::{check_minimum, check_range, invalid};
+use crate::validation::{check_minimum, check_range, invalid_value};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -28,7 +28,7 @@
     pub tag: Option<String>,
     /// Filter expression in Consul's syntax.
     pub filter: Option<String>,
-    /// File with the ACL token, relative to the directory of this file. It is read before each request to Consul.
+    /// File with the ACL token, relative to the directory of this file. The token is read before each request to Consul.
     pub token_file: Option<PathBuf>,
     /// Datacenter of the service; the agent's own by default.
     pub datacenter: Option<String>,
@@ -51,8 +51,8 @@
     /// Maximum age in seconds of a cached list.
     #[serde(rename = "list_max_age_s", default = "default_cache_max_age_s")]
     pub cache_max_age_s: u64,
-    /// Time in milliseconds for which an instance is suppressed after it recovers from its second recent flap. It doubles with
-    /// each further flap.
+    /// Time in milliseconds for which an instance is suppressed after it recovers from its second recent flap. The time doubles
+    /// with each further flap.
     #[serde(rename = "flap_hold_ms", default = "default_flap_suppression_ms")]
     pub flap_suppression_ms: u64,
     /// Upper bound of the suppression time in milliseconds.
@@ -104,12 +104,16 @@
 impl ConsulConfig {
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         if self.service.is_empty() {
-            return Err(invalid("consul.service", "\"\"", "the name of a service"));
+            return Err(invalid_value("consul.service", "\"\"", "the name of a service"));
         }
         check_range("consul.wait_ms", self.wait_ms, WAIT_RANGE_MS)?;
         self.validate_agents()?;
         if !(self.sudden_loss_share > 0.0 && self.sudden_loss_share <= 1.0) {
-            return Err(invalid("consul.sudden_share", self.sudden_loss_share, "above 0 and at most 1"));
+            return Err(invalid_value(
+                "consul.sudden_share",
+                self.sudden_loss_share,
+                "above 0 and at most 1",
+            ));
         }
         check_minimum("consul.flap_longest_ms", self.max_flap_suppression_ms, self.flap_suppression_ms)?;
         check_range("consul.sudden_hold_ms", self.sudden_loss_retention_ms, 0..=MAX_SUDDEN_LOSS_RETENTION_MS)
@@ -119,10 +123,10 @@
         let count = self.further_agents.len();
         if count > MAX_FURTHER_AGENTS {
             let requirement = format!("{MAX_FURTHER_AGENTS} at most");
-            return Err(invalid("consul.agents", format!("a list of {count}"), requirement));
+            return Err(invalid_value("consul.agents", format!("a list of {count}"), requirement));
         }
         if self.further_agents.contains(&self.address) {
-            return Err(invalid("consul.agents", self.address, "another agent than consul.address"));
+            return Err(invalid_value("consul.agents", self.address, "another agent than consul.address"));
         }
         Ok(())
     }
@@ -146,7 +150,7 @@
 pub struct RegistrationConfig {
     /// Name of the service under which this process is registered.
     pub name: String,
-    /// Unique id of this instance.
+    /// Id of this instance, which must be unique among the services of the Consul agent.
     pub id: String,
     /// Address at which clients reach this instance; `listen` by default.
     pub address: Option<SocketAddr>,
@@ -160,11 +164,11 @@
 }
 
 impl RegistrationConfig {
-    /// Validates the table. `listen` is the address at which clients connect.
+    /// Validates the table `[register]`. `listen` is the address at which clients connect.
     pub(super) fn validate(&self, listen: SocketAddr) -> Result<(), SettingsError> {
         for (key, value) in [("register.name", &self.name), ("register.id", &self.id)] {
             if value.is_empty() {
-                return Err(invalid(key, "\"\"", "a name that is not empty"));
+                return Err(invalid_value(key, "\"\"", "a name that is not empty"));
             }
         }
         check_minimum("register.ttl_ms", self.ttl_ms, MIN_TTL_MS)?;
