--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -16,10 +16,10 @@
 /// An error of the program. Operators read the texts on standard error or in the log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The signal handlers could not be installed.
+    /// At startup, the system refused a handler for SIGHUP, SIGINT or SIGTERM.
     #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The environment names no configuration file.
+    /// The environment variable with the path of the platform's configuration file is not set.
     #[error("BALANCER_CONFIG names no configuration file")]
     NoConfigFile,
     /// An environment variable does not hold an IP address with a port.
@@ -38,15 +38,15 @@
         /// Value of the environment variable.
         value: String,
     },
-    /// A file could not be read.
-    #[error("{}: {source}", path.display())]
+    /// A file is missing, unreadable or not UTF-8.
+    #[error("cannot read {}: {source}", path.display())]
     File {
         /// Path of the configuration, description, key or plan file.
         path: PathBuf,
         /// Error of opening or reading the file.
         source: io::Error,
     },
-    /// A configuration file exceeds the maximum size.
+    /// The platform's configuration file exceeds its maximum size. Its content is not parsed.
     #[error("{}: the file is longer than the limit of {limit} bytes", path.display())]
     FileTooLong {
         /// Path of the platform's configuration file.
@@ -54,8 +54,8 @@
         /// Maximum size in bytes.
         limit: u64,
     },
-    /// A setting or a plan is invalid.
-    #[error("{}: {source}", path.display())]
+    /// A setting or a plan in a file is missing, malformed or out of range.
+    #[error("invalid settings in {}: {source}", path.display())]
     Settings {
         /// Path of the configuration file or plan file.
         path: PathBuf,
@@ -65,8 +65,8 @@
     /// The policy rejects settings that passed all other checks.
     #[error("{0}")]
     Policy(#[from] policy::SettingsError),
-    /// The policy rejects the settings of a file.
-    #[error("{}: {source}", path.display())]
+    /// At a reload, the policy rejects settings that passed all other checks.
+    #[error("the policy rejects the settings in {}: {source}", path.display())]
     PolicyOfFile {
         /// Path of the configuration file.
         path: PathBuf,
@@ -104,8 +104,8 @@
         /// Name of the table, without brackets.
         table: &'static str,
     },
-    /// A key file is invalid.
-    #[error("{}: {source}", path.display())]
+    /// A file was read, but its lines are not the keys that authenticate the members of a cluster.
+    #[error("invalid key file {}: {source}", path.display())]
     Keyring {
         /// Path of the key file.
         path: PathBuf,
@@ -128,22 +128,22 @@
         /// Error of binding the socket or of starting the thread.
         source: io::Error,
     },
-    /// The cluster member could not be started.
+    /// The sockets or threads of this instance as a member of the cluster could not be set up.
     #[error("cluster: {0}")]
     Cluster(#[from] cluster::ClusterError),
-    /// The node for the replicated plans could not be started.
-    #[error("agreed: {0}")]
+    /// The log, the socket or the threads of the node that replicates the plans could not be set up.
+    #[error("cannot start the node for the replicated plans: {0}")]
     ConfigNode(#[from] config_node::Error),
-    /// The log of a replica could not be created.
+    /// `snowfield settings begin` could not create the log of a replica.
     #[error("{0}")]
     ReplicaLog(#[source] config_node::Error),
     /// The file with the Consul ACL token is missing or invalid.
     #[error("consul: token_file: {0}")]
     ConsulToken(#[source] consul::TokenError),
-    /// No thread could be started for a watch on a Consul service.
+    /// At startup, the system refused a thread for a watch on a Consul service.
     #[error("cannot start a watch on a Consul service: {0}")]
     ConsulWatch(#[source] io::Error),
-    /// No thread could be started for the registration of this process in Consul.
+    /// At startup, the system refused the thread that registers this process in Consul.
     #[error("cannot start the registration in Consul: {0}")]
     Registration(#[source] io::Error),
     /// An I/O error without further context.
@@ -152,26 +152,26 @@
     /// The connection to the other process of a hot restart failed, or a message is invalid.
     #[error(transparent)]
     Handover(#[from] handover::Error),
-    /// The predecessor replied to the request for its state with another message.
-    #[error("the predecessor replied with another message than its state")]
+    /// In a hot restart, the reply to [`handover::Message::RequestState`] is not [`handover::Message::State`].
+    #[error("the predecessor replied to the request for its state with an unexpected message")]
     UnexpectedMessage,
-    /// The predecessor's state came without its listener.
-    #[error("the predecessor sent its state without its listener")]
+    /// In a hot restart, the message with the predecessor's state carried no descriptor of its listening socket.
+    #[error("the predecessor sent its state without its listening socket")]
     NoListener,
-    /// The worker did not take the snapshot of the policy in time.
-    #[error("the snapshot of the policy was not ready in time")]
+    /// In a hot restart, the worker of this predecessor did not take the snapshot for its successor in time.
+    #[error("the snapshot of the policy for the successor was not ready in time")]
     StateTimeout,
-    /// The snapshot of the policy could not be encoded.
+    /// In a hot restart, the predecessor cannot serialize the snapshot for its successor.
     #[error("the snapshot of the policy cannot be encoded: {0}")]
     Snapshot(#[source] postcard::Error),
-    /// No route matches a path.
+    /// The path given to `snowfield explain` is in none of the OpenAPI descriptions.
     #[error("no route matches {path}")]
     NoRoute {
         /// Path of the explained request.
         path: String,
     },
-    /// A path is malformed, or backends may interpret it in different ways.
-    #[error("{path}: the path is invalid")]
+    /// The path given to `snowfield explain` is malformed, or backends may interpret it in different ways.
+    #[error("the path {path} is invalid")]
     InvalidPath {
         /// Path of the explained request.
         path: String,
@@ -199,15 +199,15 @@
         source: io::Error,
     },
     /// A log cannot be created for an instance that is not a replica.
-    #[error("this instance is not a voter, only a voter has a log")]
+    #[error("this instance is not a voter; only a voter has a log")]
     NotAReplica,
-    /// A replica answered with an unexpected message.
+    /// The message of a replica is valid but is not the answer to the call.
     #[error("a replica answered with an unexpected message")]
     UnexpectedAnswer,
-    /// The text of a proposal exceeds the maximum size.
+    /// The text of the proposed plans exceeds the maximum size that the replicas accept.
     #[error("the file with the proposed plans is too large")]
     ProposalTooLarge,
-    /// The replicas reject a proposal as invalid, for this reason.
+    /// The leader of the replicas found the proposed plans invalid, for this reason.
     #[error("the proposed plans are rejected: {0}")]
     ProposalRejected(String),
     /// The version in force is not the expected one.
@@ -245,7 +245,7 @@
         move |source| Self::Settings { path: path.to_owned(), source }
     }
 
-    /// The exit code of a process that ends with this error.
+    /// Returns the exit code of a process that ends with this error: 3 for a conflict, 4 without a majority, otherwise 1.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::VersionConflict { .. } | Self::RolloutInProgress { .. } => CONFLICT,
--- a/crates/snowfield/src/error/tests.rs
+++ b/crates/snowfield/src/error/tests.rs
@@ -24,20 +24,23 @@
     let empty_list = || SettingsError::EmptyList { key: "descriptions" };
     let policy_error = policy::Settings { gatekeepers: 0, ..policy::Settings::default() };
     let policy_error = policy_error.validate().expect_err("no gatekeeper");
-    let policy_text = format!("/etc/snowfield/a.toml: {policy_error}");
+    let policy_text = format!("the policy rejects the settings in /etc/snowfield/a.toml: {policy_error}");
     assert_eq!(Error::from(policy_error.clone()).to_string(), policy_error.to_string());
     let keyring = membership::authentication::Keyring::parse("").expect_err("no key");
     assert_texts([
         (Error::NoConfigFile, "BALANCER_CONFIG names no configuration file"),
-        (Error::File { path: path(), source: not_found() }, "/etc/snowfield/a.toml: entity not found"),
-        (Error::file(&path())(not_found()), "/etc/snowfield/a.toml: entity not found"),
+        (
+            Error::File { path: path(), source: not_found() },
+            "cannot read /etc/snowfield/a.toml: entity not found",
+        ),
+        (Error::file(&path())(not_found()), "cannot read /etc/snowfield/a.toml: entity not found"),
         (
             Error::FileTooLong { path: path(), limit: 16 },
             "/etc/snowfield/a.toml: the file is longer than the limit of 16 bytes",
         ),
         (
             Error::settings(&path())(empty_list()),
-            "/etc/snowfield/a.toml: descriptions: at least one is needed",
+            "invalid settings in /etc/snowfield/a.toml: descriptions: at least one is needed",
         ),
         (Error::PolicyOfFile { path: path(), source: policy_error }, policy_text.as_str()),
         (
@@ -46,7 +49,7 @@
         ),
         (
             Error::Keyring { path: path(), source: keyring },
-            "/etc/snowfield/a.toml: it holds no key: a line of 64 hexadecimal digits is needed",
+            "invalid key file /etc/snowfield/a.toml: it holds no key: a line of 64 hexadecimal digits is needed",
         ),
         (Error::NoStatusAddress { path: path() }, "/etc/snowfield/a.toml: no status address is configured"),
     ]);
@@ -65,7 +68,7 @@
             "loans.json: GET /loans takes 500 units, more than the burst of plan \"basic\"",
         ),
         (Error::NoRoute { path: "/loans".into() }, "no route matches /loans"),
-        (Error::InvalidPath { path: "loans".into() }, "loans: the path is invalid"),
+        (Error::InvalidPath { path: "loans".into() }, "the path loans is invalid"),
         (
             Error::WrongMethod { path: "/loans".into(), allowed: "GET, POST".into() },
             "/loans allows only GET, POST",
@@ -101,7 +104,7 @@
         ),
         (
             Error::from(config_node::Error::Listen { address, source: connection_refused() }),
-            "agreed: cannot listen on 127.0.0.1:9600: connection refused",
+            "cannot start the node for the replicated plans: cannot listen on 127.0.0.1:9600: connection refused",
         ),
         (
             Error::from(cluster::ClusterError::BindGossip { address, source: connection_refused() }),
@@ -137,9 +140,12 @@
     let encoding_text = format!("the snapshot of the policy cannot be encoded: {encoding_error}");
     assert_texts([
         (Error::from(handover::Error::Io(connection_refused())), "connection refused"),
-        (Error::UnexpectedMessage, "the predecessor replied with another message than its state"),
-        (Error::NoListener, "the predecessor sent its state without its listener"),
-        (Error::StateTimeout, "the snapshot of the policy was not ready in time"),
+        (
+            Error::UnexpectedMessage,
+            "the predecessor replied to the request for its state with an unexpected message",
+        ),
+        (Error::NoListener, "the predecessor sent its state without its listening socket"),
+        (Error::StateTimeout, "the snapshot of the policy for the successor was not ready in time"),
         (Error::Snapshot(encoding_error), encoding_text.as_str()),
     ]);
 }
@@ -148,7 +154,7 @@
 fn each_settings_command_error_has_its_text_and_exit_code() {
     let proposed_by = || "staff".to_owned();
     for (error, text, exit_code) in [
-        (Error::NotAReplica, "this instance is not a voter, only a voter has a log", 1),
+        (Error::NotAReplica, "this instance is not a voter; only a voter has a log", 1),
         (Error::UnexpectedAnswer, "a replica answered with an unexpected message", 1),
         (Error::ProposalTooLarge, "the file with the proposed plans is too large", 1),
         (
--- a/crates/snowfield/src/operator_ejections/file.rs
+++ b/crates/snowfield/src/operator_ejections/file.rs
@@ -20,7 +20,7 @@
     #[error("the file has no complete first line")]
     NoFirstLine,
     /// The file has another format or version, or states no number of ids.
-    #[error("the first line names an unknown format or version")]
+    #[error("the first line of the file names an unknown format or version")]
     UnknownFormat,
     /// The file is truncated or was altered.
     #[error("the file is truncated or altered: {found} of {expected} ids")]
