--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -1,5 +1,5 @@
-//! The appliance's backends: merges the endpoint lists of all services with the results of health checks, and announces the
-//! result to the connection pools and the policy.
+//! The appliance's backends: merges the endpoint lists of all services with the results of health checks, and passes
+//! the result to the connection pools and the policy.
 
 use catalogue::{Endpoint, EndpointList, EndpointNumber};
 use cluster::{Backend, Cluster};
@@ -18,7 +18,8 @@
 /// Limit on the backends that the status lists for each service.
 const MAX_REPORTED_BACKENDS: usize = 200;
 
-/// Merges the endpoint lists and the results of health checks, and keeps the last announcement of each backend.
+/// Merges the endpoint lists and the results of health checks, and passes the state of
+/// each backend to the connection pools and the policy.
 pub struct Backends {
     clock: Clock,
     exchange: Arc<HttpExchange>,
@@ -34,17 +35,17 @@
 
 #[derive(Default)]
 struct State {
-    /// The endpoint list of each service; `None` until the first one.
+    /// The endpoint list of each service; `None` until the first list of the service arrives.
     lists: Vec<Option<EndpointList>>,
     /// Names of the backends that health checks have ejected.
     ejected: BTreeSet<String>,
-    /// The last announcement of each backend. Restarts and recoveries are detected by comparison with it.
-    announcements: HashMap<EndpointNumber, Announcement>,
+    /// The state of each backend that the pools and the policy have. Restarts and recoveries are detected by comparison with it.
+    published_states: HashMap<EndpointNumber, PublishedState>,
 }
 
-/// An announcement of one backend to the pools and the policy.
+/// The state of one backend, as it was last passed to the pools and the policy.
 #[derive(Clone, Copy)]
-struct Announcement {
+struct PublishedState {
     ready: bool,
     /// Time since which the endpoint list has the backend as eligible. Changes with each restart of the backend.
     eligible_since: Option<MonotonicTime>,
@@ -53,7 +54,7 @@
 }
 
 impl Backends {
-    /// Starts with the services of this configuration, and no endpoint list.
+    /// Creates the backends of the services in this configuration, without any endpoint list yet.
     pub fn new(
         clock: Clock,
         exchange: Arc<HttpExchange>,
@@ -84,11 +85,11 @@
         let _ = self.watches.set(watches);
     }
 
-    /// Starts the watches.
+    /// Starts a thread for each watch that was set with [`Backends::set_watches`].
     ///
     /// # Errors
     ///
-    /// No thread can be started.
+    /// The system cannot start a thread. Watches before that one are running.
     pub fn start_watches(&self) -> std::io::Result<()> {
         self.watches().iter().try_for_each(ServiceWatch::start)
     }
@@ -115,12 +116,12 @@
         if self.services.len() == 1 { id.to_owned() } else { format!("{}/{id}", self.services[service]) }
     }
 
-    /// Replaces the endpoint list of the service with this index, and announces the change.
+    /// Replaces the endpoint list of the service with this index, and updates the pools, the policy and the health checks.
     pub fn set_list(&self, service: usize, list: &EndpointList) {
         let backends = {
             let mut state = locked(&self.state);
             state.lists[service] = Some(list.clone());
-            self.announce(&mut state);
+            self.publish_endpoints(&mut state);
             self.health_checked_backends(&state)
         };
         if let Some(cluster) = self.cluster.get() {
@@ -140,29 +141,29 @@
         backends
     }
 
-    /// Replaces the set of backends that health checks have ejected, and announces the change.
+    /// Replaces the set of backends that health checks have ejected, and updates the pools and the policy.
     pub fn set_ejected(&self, ejected: &BTreeSet<String>) {
         let mut state = locked(&self.state);
         state.ejected.clone_from(ejected);
-        self.announce(&mut state);
+        self.publish_endpoints(&mut state);
     }
 
-    /// Announces the backends of all services to the pools and the policy.
-    fn announce(&self, state: &mut State) {
+    /// Passes the backends of all services to the pools and the policy. Does nothing before the first endpoint list.
+    fn publish_endpoints(&self, state: &mut State) {
         if state.lists.iter().all(Option::is_none) {
             return;
         }
         let now = self.clock.now();
         let mut policy_entries = Vec::new();
         let mut pool_endpoints = Vec::new();
-        let mut announcements = HashMap::new();
+        let mut published_states = HashMap::new();
         for (service, list) in state.lists.iter().enumerate() {
             let Some(list) = list else { continue };
             let mean_weight = mean_weight(list);
             for endpoint in &list.endpoints {
-                let announcement = self.next_announcement(state, service, endpoint, now);
-                announcements.insert(endpoint.number, announcement);
-                let Announcement { ready, started, .. } = announcement;
+                let published_state = self.next_published_state(state, service, endpoint, now);
+                published_states.insert(endpoint.number, published_state);
+                let PublishedState { ready, started, .. } = published_state;
                 let id = BackendId(endpoint.number.0);
                 let address = endpoint.instance.address;
                 let state = if ready { BackendState::Ready } else { BackendState::Draining };
@@ -179,34 +180,34 @@
                 });
             }
         }
-        state.announcements = announcements;
+        state.published_states = published_states;
         self.pools.update_endpoints(ListKind::Full, &pool_endpoints);
         self.exchange.update_endpoints(ListKind::Full, policy_entries);
     }
 
-    /// Returns the announcement of a backend after a new endpoint list or new results of health checks.
-    fn next_announcement(
+    /// Returns the state of a backend according to the present endpoint list and results of health checks.
+    fn next_published_state(
         &self,
         state: &State,
         service: usize,
         entry: &Endpoint,
         now: Timestamp,
-    ) -> Announcement {
+    ) -> PublishedState {
         let is_eligible = entry.eligible || seeded_faults::is_active("drained");
         let ready = is_eligible && !state.ejected.contains(&self.name(service, &entry.instance.id));
         let reported_start =
             entry.instance.started_at.map(|at| Timestamp::from_micros(at.as_millis() * 1000).min(now));
-        let started = match state.announcements.get(&entry.number) {
+        let started = match state.published_states.get(&entry.number) {
             // The backend has neither restarted nor recovered.
             Some(last) if last.eligible_since == entry.eligible_since && (last.ready || !ready) => {
                 last.started
             }
-            // The backend has restarted by its endpoint list or recovered by health checks, so that it may be cold.
+            // The endpoint list shows a restart of the backend, or it passes its health checks again: its caches may be cold.
             Some(_) => reported_start.unwrap_or(now),
             None if entry.eligible_since.is_some() => reported_start.unwrap_or(now),
             None => reported_start.unwrap_or(Timestamp::ZERO),
         };
-        Announcement { ready, eligible_since: entry.eligible_since, started }
+        PublishedState { ready, eligible_since: entry.eligible_since, started }
     }
 
     /// Returns the part of the status that covers requests and backends.
--- a/crates/snowfield/src/consul_watches.rs
+++ b/crates/snowfield/src/consul_watches.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Creates the watches on all services, and announces the cached endpoint lists.
+/// Creates the watches on all services, and passes the cached endpoint lists to the backends.
 ///
 /// # Errors
 ///
--- a/crates/snowfield/src/plan_replication.rs
+++ b/crates/snowfield/src/plan_replication.rs
@@ -1,5 +1,5 @@
-//! The replicated plans: starts the node of this instance, and applies the plans of each new view of the replicated configuration
-//! to the policy.
+//! The replicated plans: starts the node of this instance, and updates the policy with the plans each time the state of the
+//! replicated configuration changes ([`ConfigView`]).
 
 use crate::checked_config::directory;
 use crate::cluster_settings::keyring;
@@ -63,7 +63,7 @@
     }))
 }
 
-/// Updates the policy's settings with the plans of a view.
+/// Updates the policy's settings with the plans that follow from this state of the replicated configuration.
 fn apply_view(
     config: &ApplianceConfig,
     view: &ConfigView,
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -97,8 +97,8 @@
         AdminService::new(self.exchange.clone(), self.pools.clone(), ejections, names)
     }
 
-    /// Announces the endpoint list of the configuration, which holds until discovery sends one.
-    pub(super) fn announce_cached_list(&self, config: &PlatformConfig) {
+    /// Passes the endpoint list in the configuration file to the pools and the policy, to be used until discovery sends one.
+    pub(super) fn apply_cached_list(&self, config: &PlatformConfig) {
         let list = config.cached_list.clone();
         let revision = list.revision;
         let TranslatedList { entries, endpoints } = link::locked(&self.endpoint_ids).translate(list);
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -53,7 +53,7 @@
     let ejections = Arc::new(core.create_operator_ejections(directory.clone()));
     let admin = Arc::new(core.create_admin_service(&numbering, ejections.clone()));
     let admin_listener = start_admin_listener(&config, &admin)?;
-    core.announce_cached_list(&config);
+    core.apply_cached_list(&config);
     let StartedWatch { watch, first_event } = core.start_watch(&config);
     let front = core.create_front(&config, &numbering, max_connections, admin_listener);
     core.start_timers(&front, &watch);
--- a/crates/snowfield/src/timer_thread.rs
+++ b/crates/snowfield/src/timer_thread.rs
@@ -5,14 +5,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval of the sweeps.
+/// Interval between two calls of `sweep` in [`start`], which close idle and silent connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Starts a thread that runs the timers of an exchange when they are due, and `sweep` every [`SWEEP_INTERVAL`], until the process
 /// ends.
 ///
 /// This is a thread and not a coroutine: in `may` 0.3.51 a coroutine that was woken out of `park_timeout` and parks again may
-/// never be woken by the time-out. All deadlines depend on this loop.
+/// never be woken by the timeout. All deadlines depend on this loop.
 pub fn start<Q: Send + Sync + 'static, A: Send + 'static>(
     exchange: Arc<Exchange<Q, A>>,
     sweep: impl Fn() + Send + 'static,
