--- a/crates/front_openapi/src/config.rs
+++ b/crates/front_openapi/src/config.rs
@@ -23,11 +23,11 @@
 pub struct RouteClass {
     /// Number of the class in the policy's settings.
     pub class: u16,
-    /// Time until the client times out, in microseconds.
+    /// Time from the arrival of a request until its client gives up, in microseconds.
     pub deadline: Micros,
 }
 
-/// The configuration of the front.
+/// What the front serves: the routes, the tenants that may call them, and the limits on clients.
 #[derive(Clone, Debug)]
 pub struct FrontConfig {
     /// The routes of the OpenAPI descriptions, with their units.
@@ -39,7 +39,7 @@
     /// The tenants that may send requests. A request of any other is answered with 403.
     pub tenants: Vec<Tenant>,
     /// Number of gatekeepers that serve one tenant.
-    pub tenant_gatekeepers: f64,
+    pub tenant_gatekeeper_count: f64,
     /// Maximum bytes of a request's body after decoding. A longer one is answered with 413.
     pub max_body_bytes: usize,
     /// Maximum number of client connections. At this limit, idle ones are evicted for new ones.
@@ -54,12 +54,12 @@
         (route * self.tenants.len() + tenant) as u32
     }
 
-    /// Returns the route of an account.
+    /// Returns the index in [`FrontConfig::routes`] of the route whose units this account sums up.
     pub(crate) fn route_of(&self, account: u32) -> usize {
         account as usize / self.tenants.len()
     }
 
-    /// Returns the tenant of an account.
+    /// Returns the index in [`FrontConfig::tenants`] of the tenant whose units this account sums up.
     pub(crate) fn tenant_of(&self, account: u32) -> usize {
         account as usize % self.tenants.len()
     }
--- a/crates/front_openapi/src/report/tests.rs
+++ b/crates/front_openapi/src/report/tests.rs
@@ -34,7 +34,7 @@
         routes: table,
         tenant_header: "x-lender".into(),
         tenants: vec![tenant("acme", 1, "gold"), tenant("bank", 2, "basic")],
-        tenant_gatekeepers: 1.0,
+        tenant_gatekeeper_count: 1.0,
         max_body_bytes: 1024,
         max_connections: 8,
         client_timeout: Duration::from_secs(1),
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -34,7 +34,7 @@
             ConnectionEnd::ClientGone => return,
             ConnectionEnd::BetweenRequests => {}
             ConnectionEnd::Problem(problem) => {
-                // Fails if the client has disconnected, and then needs no response.
+                // Sending fails only if the client has disconnected, which then needs no response.
                 let _ = client.connection.send(&problem.encode(true, false));
             }
         }
@@ -94,7 +94,7 @@
             plan: tenant_config.plan,
             tenant: tenant_config.id,
             time_left: class.deadline.saturating_sub(DEADLINE_MARGIN_MICROS).max(MIN_TIME_LEFT_MICROS),
-            tenant_gatekeepers: self.config.tenant_gatekeepers,
+            tenant_gatekeepers: self.config.tenant_gatekeeper_count,
             units: self.config.routes.routes()[route].units,
             client_retry: false,
             account: Some(self.config.account(route, tenant)),
--- a/crates/front_resp/src/answer_queue.rs
+++ b/crates/front_resp/src/answer_queue.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct DueAnswers {
     pub(crate) bytes: Vec<u8>,
-    /// Whether a streamed answer was cut off after these bytes.
+    /// Whether the last of the answers was streamed and ended early, so that the connection must be closed after `bytes`.
     pub(crate) is_truncated: bool,
 }
 
--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -26,7 +26,7 @@
             None => answer,
         };
         drop(state);
-        // Dropped after the lock is released: dropping a streamed answer notifies the backend's side.
+        // The old slot is dropped after the lock is released: dropping a streamed answer notifies the backend's side.
         drop(replaced);
     }
 }
--- a/crates/front_resp/src/incomplete_command.rs
+++ b/crates/front_resp/src/incomplete_command.rs
@@ -6,15 +6,16 @@
 
 /// The incomplete command at the end of a connection's input, if there is one.
 pub(crate) struct IncompleteCommand {
-    /// When its time-out started: at its first byte, or at its last bytes before a hand-over.
+    /// When the timeout of the command started: at its first byte, or at its last bytes before a hand-over. `None` if no command
+    /// is incomplete.
     since: Option<Instant>,
     reservation: Reservation,
-    /// Whether it is to be answered with an error to free its memory for other clients.
+    /// Whether the command is to be answered with an error to free its memory for other clients.
     is_shed: bool,
 }
 
 impl IncompleteCommand {
-    /// Starts without an incomplete command.
+    /// Creates the state of a connection without an incomplete command. `reservation` accounts for the read buffer.
     pub(crate) fn new(reservation: Reservation) -> Self {
         Self { since: None, reservation, is_shed: false }
     }
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -65,7 +65,7 @@
         let dispatched = self.dispatch_commands(client, buffer)?;
         remove_front(buffer, dispatched.bytes);
         update_incomplete(client, buffer.len(), &dispatched)?;
-        // Checked between reads too, since a client that pipelines without a pause never leaves the input empty.
+        // The state is also checked between reads, since a client that pipelines without a pause never leaves the input empty.
         if was_read {
             self.end_if_draining(&mut locked(&client.state))?;
         }
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -55,7 +55,7 @@
     /// The plans that clients may name.
     pub plans: Vec<PlanRule>,
     /// Number of gatekeepers in the fleet: the upper bound of `spread` and `first` in a request.
-    pub gatekeepers: u64,
+    pub gatekeeper_count: u64,
     /// Maximum units of one request; `None` if the settings do not limit them.
     pub max_units: Option<f64>,
 }
@@ -185,10 +185,13 @@
     /// Returns the number of gatekeepers that serve the tenant; 0 if the request does not state it, which the policy treats as
     /// all.
     fn tenant_gatekeepers(&self, values: &Values<'_>) -> Result<f64, InvalidRequest> {
-        let in_range = |spread: &u64| (1..=self.gatekeepers).contains(spread);
+        let in_range = |spread: &u64| (1..=self.gatekeeper_count).contains(spread);
         let spread = values.spread.map_or(Some(0), |text| parse_digits(text).filter(in_range));
         let spread = spread.ok_or(InvalidRequest::Spread)?;
-        if values.first.is_some_and(|text| parse_digits(text).is_none_or(|first| first >= self.gatekeepers)) {
+        if values
+            .first
+            .is_some_and(|text| parse_digits(text).is_none_or(|first| first >= self.gatekeeper_count))
+        {
             return Err(InvalidRequest::First);
         }
         Ok(spread as f64)
--- a/crates/front_resp/src/rules/tests.rs
+++ b/crates/front_resp/src/rules/tests.rs
@@ -16,7 +16,7 @@
     RequestRules {
         classes: vec![class("lookup", 0, true), class("notice", 1, false)],
         plans: vec![PlanRule { name: "team".into(), number: 0 }],
-        gatekeepers: 4,
+        gatekeeper_count: 4,
         max_units: Some(8.0),
     }
 }
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -57,7 +57,7 @@
         if due.bytes.is_empty() && !state.answers.is_empty() || client.socket.is_closed() {
             return;
         }
-        // Sent under the lock, so that a later answer cannot overtake this one.
+        // The bytes are sent under the lock, so that a later answer cannot overtake this one.
         let sent = client.socket.send(&due.bytes);
         let unread = client.socket.unsent();
         let unread_before = state.unread.bytes();
--- a/crates/front_resp/tests/connections.rs
+++ b/crates/front_resp/tests/connections.rs
@@ -69,7 +69,7 @@
     RequestRules {
         classes: vec![ClassRule { name: "lookup".into(), number: 0, is_idempotent: true, deadline_ms: 2500 }],
         plans: vec![PlanRule { name: "team".into(), number: 0 }],
-        gatekeepers: 1,
+        gatekeeper_count: 1,
         max_units: None,
     }
 }
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -187,7 +187,7 @@
         routes,
         tenant_header: config.tenant_header.clone(),
         tenants: config.tenants.iter().map(tenant).collect(),
-        tenant_gatekeepers: f64::from(config.quota.gatekeepers),
+        tenant_gatekeeper_count: f64::from(config.quota.gatekeepers),
         max_body_bytes: config.limits.max_body_bytes,
         max_connections: max_connections(config) / 2,
         client_timeout: Duration::from_millis(config.limits.client_timeout_ms),
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -70,7 +70,7 @@
             .plans()
             .map(|plan| PlanRule { name: plan.name.to_owned(), number: plan.number as u32 })
             .collect(),
-        gatekeepers: u64::from(config.settings.gatekeepers),
+        gatekeeper_count: u64::from(config.settings.gatekeepers),
         max_units: config.max_units,
     }
 }
