--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -23,7 +23,7 @@
 
 /// How an attempt continues once its new connection is established.
 enum AfterConnect {
-    /// The request of the attempt is to be written.
+    /// The attempt is still wanted and in time, so its request is written.
     Write,
     /// The attempt ends with this outcome.
     Fail(Outcome),
@@ -176,7 +176,7 @@
         AfterConnect::Write
     }
 
-    /// Writes the request of an attempt.
+    /// Writes the request of an attempt to an established connection.
     fn write(
         &self,
         connection: &PooledConnection<P::Payload>,
@@ -225,7 +225,8 @@
     }
 }
 
-/// Whether it is too late to write an attempt, by its class or by its client's deadline.
+/// Whether `elapsed` since the decision exceeds the maximum start delay of the attempt's class or the time until the client's
+/// deadline, so that the request must not be written any more.
 fn is_late<Q>(attempt: &Attempt<Q>, elapsed: Micros) -> bool {
     elapsed >= attempt.max_start_delay || elapsed >= attempt.time_left
 }
--- a/crates/destination/src/http.rs
+++ b/crates/destination/src/http.rs
@@ -9,14 +9,14 @@
 /// The lowest status that counts as a failure of the backend.
 const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
-/// Called with each backend that has served an attempt.
+/// Callback that gets the id of a backend that has served an attempt.
 type OnServed = Box<dyn Fn(BackendId) + Send + Sync>;
 
 /// HTTP/1.1. A response with a status of 500 or above counts as a failure of its backend: the request may have run, and is
 /// retried at another backend if it is idempotent.
 #[derive(Default)]
 pub struct HttpProtocol {
-    /// Called with each backend that has served an attempt. Nothing is called if it is `None`.
+    /// Callback for each backend that has served an attempt; `None` if the caller does not need it.
     pub on_served: Option<OnServed>,
 }
 
--- a/crates/destination/src/pool.rs
+++ b/crates/destination/src/pool.rs
@@ -28,7 +28,7 @@
 pub(crate) struct Pool<Q> {
     endpoint: BackendEndpoint,
     changed_at: Instant,
-    /// Ordered by time: the connection that became idle last is at the end.
+    /// Idle connections in the order in which they became idle; the latest is at the end.
     idle: Vec<IdleConnection<Q>>,
 }
 
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -18,7 +18,7 @@
     attempt: Mutex<Option<ActiveAttempt<Q>>>,
 }
 
-/// The attempt on a connection.
+/// An attempt whose request was or is being written to the connection.
 pub(crate) struct ActiveAttempt<Q> {
     pub(crate) id: AttemptId,
     pub(crate) payload: Arc<Q>,
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -15,16 +15,16 @@
 /// Replaces [`QUIET_TIME`] while at least a quarter of the maximum number of connections is open: at thousands of requests a
 /// second, each request would otherwise need a connection of its own.
 const SHORT_QUIET_TIME: Duration = Duration::from_millis(5);
-/// [`SHORT_QUIET_TIME`] applies from the connection limit divided by this.
+/// [`SHORT_QUIET_TIME`] applies once the number of connections reaches the connection limit divided by this.
 const SHORT_QUIET_TIME_DIVISOR: usize = 4;
 /// Maximum time after a change of the endpoint in which an attempt that was decided before the change may reach its write.
 const RECENT_CHANGE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The connection that was checked out for an attempt.
 pub(crate) enum Checkout<Q> {
-    /// An idle connection.
+    /// An idle connection of the pool, which is already established.
     Idle(Arc<PooledConnection<Q>>),
-    /// A new connection to this address.
+    /// The caller must establish a connection to this address.
     New(SocketAddr),
 }
 
--- a/crates/destination/src/protocol.rs
+++ b/crates/destination/src/protocol.rs
@@ -7,7 +7,7 @@
 /// The result of parsing the bytes of an answer that have arrived.
 #[derive(Debug)]
 pub enum Parsed<A> {
-    /// More bytes must arrive.
+    /// The buffer ends within the answer, so more bytes must arrive.
     Incomplete,
     /// A complete answer.
     Complete {
@@ -15,7 +15,7 @@
         consumed: usize,
         /// Whether the connection may carry another attempt.
         keep_alive: bool,
-        /// The end of the attempt.
+        /// How the attempt ended, to be reported to the exchange: its outcome, answer and load report.
         end: AttemptEnd<A>,
     },
     /// A large answer has begun. It is streamed to the client while it arrives.
@@ -42,9 +42,9 @@
 /// The bytes after the value of a streamed answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamTail {
-    /// The number of these bytes.
+    /// Number of bytes that the items after the value occupy in the buffer.
     pub consumed: usize,
-    /// The bytes that the client gets for them.
+    /// The bytes that the client gets in place of the items after the value.
     pub forwarded: &'static [u8],
 }
 
--- a/crates/destination/src/read_answers.rs
+++ b/crates/destination/src/read_answers.rs
@@ -12,7 +12,7 @@
 const MAX_RETAINED_CAPACITY: usize = 32 * 1024;
 
 impl<P: Protocol> BackendPools<P> {
-    /// Reads answers until the connection ends.
+    /// Reads answers and reports them to the exchange until the connection ends.
     pub(crate) fn serve(&self, connection: &Arc<PooledConnection<P::Payload>>) {
         let mut buffer = Vec::new();
         while self.read_answer(connection, &mut buffer) {}
@@ -91,12 +91,13 @@
     }
 
     fn connection_ended(&self, connection: &Arc<PooledConnection<P::Payload>>) {
-        // The backend never ran a request whose last byte was not written. It may have run any other.
+        // The backend cannot run a request before its last byte was sent. It may have run a request that was sent completely.
         let is_unsent = connection.socket.unsent() > 0;
         let outcome = if is_unsent { Outcome::ConnectFailed } else { Outcome::Reset };
         connection.socket.close();
         self.state().connection_ended(connection);
-        // Taken after the close, so that an attempt that another thread has just written to this connection is ended as well.
+        // The attempt is taken after the close, so that one that another thread has just written to the connection is ended as
+        // well.
         if let Some(attempt) = connection.take_attempt() {
             self.unassign(attempt.id);
             self.attempt_failed(attempt.id, outcome);
--- a/crates/handover/src/error.rs
+++ b/crates/handover/src/error.rs
@@ -15,10 +15,10 @@
         /// Announced length in bytes.
         length: usize,
     },
-    /// A message could not be encoded.
+    /// A message of this process cannot be serialized. Nothing was sent.
     #[error("a message to the peer cannot be encoded: {0}")]
     Encode(#[source] postcard::Error),
-    /// A frame does not hold a message of this protocol.
+    /// A frame was received completely, but its body cannot be deserialized.
     #[error("a frame from the peer holds no known message: {0}")]
     Decode(#[source] postcard::Error),
 }
--- a/crates/handover/src/upgrade_socket.rs
+++ b/crates/handover/src/upgrade_socket.rs
@@ -25,7 +25,7 @@
     ///
     /// Fails if the path is unusable or the system has no Unix sockets.
     pub fn bind(directory: &Path) -> io::Result<Self> {
-        // Bound under a temporary name and renamed, so that a successor finds a listener at any time.
+        // The socket is bound under a temporary name and renamed, so that a successor finds a listener at any time.
         let temporary = directory.join(format!("{FILE_NAME}.{}", std::process::id()));
         // An earlier process with the same process id may have left the file behind.
         let _ = std::fs::remove_file(&temporary);
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -110,7 +110,7 @@
 
 fn parse_length(digits: &[u8]) -> Option<u64> {
     let is_number = digits.len() <= MAX_LENGTH_DIGITS && digits.iter().all(u8::is_ascii_digit);
-    // An empty string does not parse.
+    // `is_number` is also true for an empty string, which `parse` rejects.
     std::str::from_utf8(digits).ok().filter(|_| is_number)?.parse().ok()
 }
 
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -19,9 +19,9 @@
 /// The head of a request. It refers to its parts by their ranges in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Range of the method.
+    /// Range in the buffer of the method, such as `GET`.
     pub method: Range<usize>,
-    /// Range of the target, in the form in which it was received.
+    /// Range in the buffer of the request target, in the form in which it was received.
     pub target: Range<usize>,
     /// The header fields, in the order in which they were received.
     pub fields: Vec<HeaderField>,
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -17,10 +17,10 @@
 /// Minor version of HTTP/1.1.
 const HTTP_1_1: u8 = 1;
 
-/// The head of a response.
+/// The status line and header fields of a response, interim or final.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status code.
+    /// The status code, such as 200.
     pub status: u16,
     /// The header fields, in the order in which they were received.
     pub fields: Vec<HeaderField>,
@@ -98,7 +98,7 @@
 /// A backend's response as it is forwarded to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// The final status code that the backend sent, such as 200.
     pub status: u16,
     /// The status line and the end-to-end fields, each terminated by CRLF.
     pub head: Vec<u8>,
--- a/crates/link/src/accept_state.rs
+++ b/crates/link/src/accept_state.rs
@@ -2,17 +2,17 @@
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Whether an accept loop accepts connections.
+/// What an accept loop does with the connections in the accept queue of its socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum AcceptState {
-    /// Accepts connections.
+    /// The loop accepts each connection as it arrives.
     Open,
-    /// Accepts no connections until it is resumed.
+    /// The loop accepts no connections until it is resumed. They stay in the queue.
     Paused,
-    /// Accepts the connections in the backlog, then ends.
+    /// The loop accepts the connections that are in the queue, then ends.
     Closing,
-    /// Ends, and leaves the backlog to the other processes that accept on the socket.
+    /// The loop ends, and leaves the queue to the other processes that accept on the socket.
     Abandoned,
 }
 
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -37,7 +37,7 @@
 /// The result of [`Connection::receive`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incoming {
-    /// This many bytes were read.
+    /// This number of bytes was read and appended to the buffer.
     Bytes(usize),
     /// The peer has shut down its sending side.
     End,
@@ -126,7 +126,7 @@
         }
         send_buffer.flush(self.stream.inner())?;
         let is_flushed = send_buffer.is_empty();
-        // Released first, since the callback may send.
+        // The lock is released before the callback runs, since the callback may send.
         drop(send_buffer);
         if is_flushed && let Some(callback) = self.on_flushed.get() {
             callback();
@@ -239,7 +239,7 @@
     /// Acknowledges the peer's bytes now instead of with the next write. The peer's system may hold back further bytes until then
     /// (Nagle's algorithm).
     pub fn acknowledge(&self) {
-        // A failure only delays the acknowledgement.
+        // If the option cannot be set, the kernel only sends the acknowledgement later.
         let _ = SockRef::from(self.stream.inner()).set_quickack(true);
     }
 
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -27,7 +27,7 @@
     burst: Mutex<Burst>,
 }
 
-/// Connections accepted in quick succession.
+/// Counts the connections that were accepted without a pause, to limit such a burst.
 #[derive(Debug)]
 struct Burst {
     accepted: u32,
@@ -90,8 +90,8 @@
         self.socket.io().inner().as_fd()
     }
 
-    /// Waits for the next connection. Returns `None` once the listener is closed and its backlog is empty or left to other
-    /// processes.
+    /// Waits for the next connection. Returns `None` once the listener is closed and its accept queue is empty, or once the
+    /// listener has left the accept queue to the other processes that listen on the socket.
     pub fn accept(&self) -> Option<Connection> {
         self.yield_after_burst();
         loop {
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -64,7 +64,7 @@
         self.is_drained.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the socket had nothing to read, and no event has come since.
+    /// Whether the socket had nothing to read, and no event has been reported since that read.
     pub(crate) fn is_drained(&self) -> bool {
         self.is_drained.load(Ordering::Relaxed)
     }
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -31,9 +31,9 @@
 /// The TCP stream of a connection.
 #[derive(Debug)]
 pub(crate) enum Stream {
-    /// Connected by this process.
+    /// A connection that this process opened.
     Outbound(TcpStream),
-    /// Accepted or inherited.
+    /// A connection that a listener accepted, or that another process handed over.
     Inbound(RegisteredSocket<net::TcpStream>),
 }
 
--- a/crates/operator/src/metrics.rs
+++ b/crates/operator/src/metrics.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// The label of a series.
+/// The name and the value that distinguish a series from others of the same metric.
 struct Label<'a> {
     name: &'a str,
     value: &'a str,
