--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -61,7 +61,7 @@
     ///
     /// [`AdminError::Starting`] or [`AdminError::Ending`].
     fn check_ready(&self) -> Result<(), AdminError>;
-    /// Collects the metrics.
+    /// Collects the metrics of this process for the reply to `telemetry`.
     fn metrics(&self) -> Metrics;
     /// Ejects or restores a backend. Once a call that ejects has returned, no new attempt is sent to the backend.
     ///
@@ -94,7 +94,7 @@
     fn evict_oldest(&self) {
         let mut clients = locked(&self.0);
         if !clients.is_empty() {
-            // Fails if the client has disconnected already.
+            // `shutdown` fails if the client has disconnected already.
             let _ = clients.remove(0).stream.shutdown(Shutdown::Both);
         }
     }
@@ -165,7 +165,7 @@
         let serve = move || {
             let line = read_line(&client);
             still_waiting.remove(number);
-            // Fails if the client has disconnected.
+            // Sending fails if the client has disconnected, which then needs no reply.
             let _ = send_reply(&client, &execute(&*handler, line));
             drop(counted);
         };
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Replaces the names of the classes and plans, after a reload.
+    /// Sets the names of the classes and plans that a reload has put in force. The next reply with metrics has them.
     pub fn set_names(&self, names: PolicyNames) {
         *locked(&self.names) = names;
     }
 
-    /// Returns the names of the classes and plans.
+    /// Returns the names of all classes and plans since the start of the process, including removed ones.
     pub fn names(&self) -> PolicyNames {
         locked(&self.names).clone()
     }
 
-    /// Whether this process is shutting down.
+    /// Whether [`AdminService::set_ending`] was called.
     pub fn is_ending(&self) -> bool {
         *locked(&self.phase) == Phase::Ending
     }
--- a/crates/snowfield/src/backoff.rs
+++ b/crates/snowfield/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff between attempts.
+//! Exponential backoff of a thread that retries an operation.
 
 use std::thread;
 use std::time::Duration;
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -134,8 +134,8 @@
     Keyring::parse(&text).map_err(|source| Error::Keyring { path: key_file, source })
 }
 
-/// What a successful reload has applied, for the log.
-struct Reloaded {
+/// Summary of a successful reload, for the log.
+struct ReloadSummary {
     /// Number of periodic jobs.
     jobs: usize,
     /// Whether keys were reloaded: only a configuration with a cluster has keys.
@@ -145,18 +145,18 @@
 /// Reloads periodic jobs, keys and the clock offset. An invalid file is logged and changes nothing.
 pub fn reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) {
     match try_reload(path, cluster, config_node) {
-        Ok(Reloaded { jobs, keys }) => {
+        Ok(ReloadSummary { jobs, keys }) => {
             tracing::info!(jobs, keys, "configuration reloaded, other changes need a restart");
         }
         Err(error) => tracing::warn!(%error, "reload failed, previous configuration kept in force"),
     }
 }
 
-fn try_reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) -> Result<Reloaded, Error> {
+fn try_reload(path: &Path, cluster: &Cluster, config_node: Option<&Node>) -> Result<ReloadSummary, Error> {
     let config = CheckedConfig::read(path)?.config;
     let keys = config.cluster.as_ref().map(|_| keyring(&config, path)).transpose()?;
     let jobs = http_jobs(&config.periodic_jobs);
-    let reloaded = Reloaded { jobs: jobs.len(), keys: keys.is_some() };
+    let reloaded = ReloadSummary { jobs: jobs.len(), keys: keys.is_some() };
     cluster.set_http_jobs(jobs);
     if let Some(keys) = keys {
         cluster.set_keyring(keys.clone());
--- a/crates/snowfield/src/command_line.rs
+++ b/crates/snowfield/src/command_line.rs
@@ -122,7 +122,7 @@
                 if error.use_stderr() && !is_help {
                     eprint!("snowfield: ");
                 }
-                // Fails if the reader of the output has closed its end.
+                // `print` fails if the reader of the output has closed its end.
                 let _ = error.print();
                 Err(ExitCode::from(u8::from(error.use_stderr())))
             }
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -21,7 +21,7 @@
 pub enum EjectionChange {
     /// Send no new attempt to the backend.
     Eject,
-    /// Use the backend again.
+    /// Use the backend for new attempts again.
     Restore,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl EndpointIds {
-    /// Starts with the zones and machine types of the configuration, and no id.
+    /// Creates the table without any id. Zones and machine types get the numbers that they have in the configuration.
     pub fn new(config: &PlatformConfig) -> Self {
         let (zones, machine_types) = (config.zones.clone(), config.machine_types.clone());
         Self { zones, machine_types, ..Self::default() }
@@ -143,7 +143,7 @@
         listed.map(|(id, number)| BackendNumber { number: number.0, id: id.clone() }).collect()
     }
 
-    /// The number of an id, if one was assigned.
+    /// Returns the number of the backend with this id; `None` if no endpoint list or ejection has had it.
     pub fn number(&self, id: &str) -> Option<BackendId> {
         self.numbers.get(id).copied()
     }
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -33,7 +33,7 @@
 /// A client connection that is to be sent to the successor.
 struct ConnectionTransfer {
     socket: TcpStream,
-    /// The bytes read so far of an incomplete request.
+    /// The bytes of an incomplete request that this process has read; empty if there are none.
     partial_request: Vec<u8>,
 }
 
@@ -114,7 +114,7 @@
         let restart = self.clone();
         thread::spawn(move || {
             let journal_end = read_journal(reader, |admission| restart.mirror_admission(admission));
-            // Fails if the receiver has timed out, or was dropped in a shutdown.
+            // `send` fails if the receiver has timed out, or was dropped in a shutdown.
             let _ = sender.send(journal_end);
         });
         end
@@ -160,7 +160,7 @@
         spawn_with(link::LARGE_STACK, move || {
             listener.set_paused(true);
             restart.front.hand_over_connections(send_to_successor);
-            // Fails if the receiver has timed out.
+            // `send` fails if the receiver has timed out.
             let _ = sender.send(restart.exchange.hand_over());
         });
         snapshot.recv_timeout(MESSAGE_TIMEOUT).map_err(|_| Error::StateTimeout)
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// A process that has handed over to this one.
+/// The predecessor after it has sent its state, and what this process takes over from it.
 pub struct Predecessor {
     /// The listener for clients, inherited from that process.
     pub listener: Listener,
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -65,8 +65,8 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        for part in [Part::Message, Part::Fields] {
-            let mut visitor = PartVisitor { part, writer: &mut writer, result: Ok(()) };
+        for part in [LinePart::Message, LinePart::Fields] {
+            let mut visitor = LinePartVisitor { part, writer: &mut writer, result: Ok(()) };
             event.record(&mut visitor);
             visitor.result?;
         }
@@ -76,33 +76,33 @@
 
 /// A part of a plain line. The message is written before the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum LinePart {
     Message,
     Fields,
 }
 
-/// Writes one part of an event.
-struct PartVisitor<'a, 'w> {
-    part: Part,
+/// Writes either the message or the other fields of an event.
+struct LinePartVisitor<'a, 'w> {
+    part: LinePart,
     writer: &'a mut Writer<'w>,
     result: fmt::Result,
 }
 
-impl PartVisitor<'_, '_> {
+impl LinePartVisitor<'_, '_> {
     fn write(&mut self, field: &Field, value: &str) {
-        let part = if field.name() == MESSAGE_FIELD { Part::Message } else { Part::Fields };
+        let part = if field.name() == MESSAGE_FIELD { LinePart::Message } else { LinePart::Fields };
         if part != self.part || self.result.is_err() {
             return;
         }
         self.result = match part {
-            Part::Message => self.writer.write_str(value),
-            Part::Fields if needs_no_quotes(value) => write!(self.writer, " {field}={value}"),
-            Part::Fields => write!(self.writer, " {field}={value:?}"),
+            LinePart::Message => self.writer.write_str(value),
+            LinePart::Fields if needs_no_quotes(value) => write!(self.writer, " {field}={value}"),
+            LinePart::Fields => write!(self.writer, " {field}={value:?}"),
         };
     }
 }
 
-impl Visit for PartVisitor<'_, '_> {
+impl Visit for LinePartVisitor<'_, '_> {
     fn record_str(&mut self, field: &Field, value: &str) {
         self.write(field, value);
     }
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -31,7 +31,7 @@
 }
 
 impl OperatorEjections {
-    /// Starts without any ejection. Ejections are stored in `directory`; with `None` they are not stored.
+    /// Creates the service without any ejection. Ejections are stored in `directory`; with `None` they are not stored.
     pub fn new(
         exchange: Arc<RespExchange>,
         pools: Arc<BackendPools<RespProtocol>>,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether the file lacks a change that is in force.
+    /// Whether an ejection or restoration is in force that is not yet written to the file.
     pub fn is_store_pending(&self) -> bool {
         self.store.as_ref().is_some_and(EjectionsStore::is_pending)
     }
@@ -77,7 +77,7 @@
                 let change = if ejected { EjectionChange::Eject } else { EjectionChange::Restore };
                 let unknown_id = if known { UnknownId::Register } else { UnknownId::Reject };
                 let applied = self.apply(&id, change, unknown_id);
-                // Fails if the other process has ended.
+                // `send` fails if the other process has ended.
                 let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
             Message::EjectionApplied { call, applied } => locked(&self.pending_calls).complete(call, applied),
--- a/crates/snowfield/src/operator_ejections/pending_calls.rs
+++ b/crates/snowfield/src/operator_ejections/pending_calls.rs
@@ -30,7 +30,7 @@
     /// Completes a call with the reply of the other process. Ignores a call that has timed out.
     pub(super) fn complete(&mut self, call: u64, applied: bool) {
         if let Some(reply) = self.replies.remove(&call) {
-            // Fails if the call is timing out.
+            // `send` fails if the caller has just timed out.
             let _ = reply.send(applied);
         }
     }
--- a/crates/snowfield/src/operator_ejections/store.rs
+++ b/crates/snowfield/src/operator_ejections/store.rs
@@ -12,7 +12,7 @@
 
 /// Backoff before the first retry of a write.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Limit on the backoff.
+/// Maximum backoff between two retries of a write.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Writes the ids of the ejected backends to a file.
@@ -20,7 +20,7 @@
 pub struct EjectionsStore {
     directory: PathBuf,
     endpoint_ids: Arc<Mutex<EndpointIds>>,
-    /// Whether the file lacks a change that is in force.
+    /// Whether an ejection or restoration is in force that is not yet written to the file.
     is_pending: Arc<AtomicBool>,
 }
 
@@ -39,7 +39,7 @@
         file::read(&self.directory)
     }
 
-    /// Whether the file lacks a change that is in force.
+    /// Whether an ejection or restoration is in force that is not yet written to the file.
     pub fn is_pending(&self) -> bool {
         self.is_pending.load(Ordering::Acquire)
     }
--- a/crates/snowfield/src/platform/running.rs
+++ b/crates/snowfield/src/platform/running.rs
@@ -39,7 +39,7 @@
 }
 
 impl LongestDeadline {
-    /// Starts with the longest deadline of the first configuration.
+    /// Creates the value from the longest deadline in the first configuration.
     pub(super) fn new(deadline: Duration) -> Self {
         Self { micros: AtomicU64::new(deadline.as_micros() as u64) }
     }
@@ -49,7 +49,7 @@
         self.micros.fetch_max(deadline.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// The longest deadline so far.
+    /// Returns the longest deadline in any configuration since the process started.
     pub(super) fn get(&self) -> Duration {
         Duration::from_micros(self.micros.load(Ordering::Relaxed))
     }
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -99,7 +99,7 @@
 /// the cached list in force, an unreachable counter this process's own clock.
 fn wait_for_shared_state(first_event: &Receiver<()>, exchange: &RespExchange) {
     let deadline = Instant::now() + SHARED_STATE_TIMEOUT;
-    // After a time-out the cached list stays in force.
+    // If discovery sends no list in time, the cached list stays in force.
     let _ = first_event.recv_timeout(SHARED_STATE_TIMEOUT);
     while !exchange.has_read_fleet_clock() && Instant::now() < deadline {
         std::thread::sleep(FLEET_CLOCK_POLL_INTERVAL);
--- a/crates/snowfield/src/start_retry.rs
+++ b/crates/snowfield/src/start_retry.rs
@@ -10,7 +10,7 @@
 const RETRY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Backoff before the first retry.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
-/// Limit on the backoff.
+/// Maximum backoff between two retries.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Calls `attempt` until it succeeds or returns a permanent error, for up to [`RETRY_TIMEOUT`].
