--- a/crates/front_openapi/src/client_connection.rs
+++ b/crates/front_openapi/src/client_connection.rs
@@ -23,7 +23,7 @@
     Reading,
     /// A request is in flight at the exchange.
     Waiting,
-    /// The rest of an answer is being sent.
+    /// The socket has not yet taken the whole answer.
     Finishing,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// One client's connection.
+/// A client's connection, its phase and the answer that it waits for.
 pub(crate) struct ClientConnection {
     pub(crate) connection: Connection,
     phase: Mutex<CurrentPhase>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Enters a phase. Has no effect if the connection is in this phase already.
+    /// Enters a phase, whose time counts from now. Has no effect if the connection is in this phase already.
     pub(crate) fn enter_phase(&self, phase: Phase) {
         let mut current = locked(&self.phase);
         if current.phase != phase {
--- a/crates/front_openapi/src/connection_end.rs
+++ b/crates/front_openapi/src/connection_end.rs
@@ -4,7 +4,7 @@
 
 /// Why a client connection serves no more requests.
 pub(crate) enum ConnectionEnd {
-    /// The client has disconnected.
+    /// The client has disconnected, so no response can reach it.
     ClientGone,
     /// The connection is between requests and closes gracefully. A request that arrives during the close stays unread, so the
     /// client may retry it.
--- a/crates/front_openapi/src/receive.rs
+++ b/crates/front_openapi/src/receive.rs
@@ -5,7 +5,7 @@
 use crate::connection_end::{ConnectionEnd, ServeResult};
 use crate::front::MIN_IDLE_FOR_EVICTION;
 use crate::problem::Problem;
-use crate::resolve::Resolved;
+use crate::resolve::ResolvedRequest;
 use http::{BodyReader, Framing, RequestHead};
 use link::Incoming;
 
@@ -19,7 +19,7 @@
     pub(crate) bytes: Vec<u8>,
     pub(crate) head: RequestHead,
     pub(crate) body: Vec<u8>,
-    pub(crate) resolved: Result<Resolved, Problem>,
+    pub(crate) resolved: Result<ResolvedRequest, Problem>,
 }
 
 impl Front {
--- a/crates/front_openapi/src/resolve.rs
+++ b/crates/front_openapi/src/resolve.rs
@@ -7,7 +7,7 @@
 
 /// The route and the tenant of a request.
 #[derive(Clone, Copy)]
-pub(crate) struct Resolved {
+pub(crate) struct ResolvedRequest {
     /// The route's number in the route table.
     pub(crate) route: usize,
     /// The tenant's index in the configuration.
@@ -16,10 +16,10 @@
 
 impl Front {
     /// Resolves the route and the tenant of a request whose head is in `bytes`.
-    pub(crate) fn resolve(&self, bytes: &[u8], head: &RequestHead) -> Result<Resolved, Problem> {
+    pub(crate) fn resolve(&self, bytes: &[u8], head: &RequestHead) -> Result<ResolvedRequest, Problem> {
         let route = find_route(&self.config, bytes, head)?;
         let tenant = find_tenant(&self.config, bytes, head)?;
-        Ok(Resolved { route, tenant })
+        Ok(ResolvedRequest { route, tenant })
     }
 }
 
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::connection_end::{ConnectionEnd, ServeResult};
 use crate::problem::Problem;
 use crate::receive::{CompleteRequest, MAX_READ_BYTES};
-use crate::resolve::{Resolved, request_target};
+use crate::resolve::{ResolvedRequest, request_target};
 use exchange::FinalAnswer;
 use http::{Request, RequestHead, Response};
 use link::{Incoming, locked};
@@ -84,7 +84,7 @@
         bytes: &[u8],
         head: &RequestHead,
         body: Vec<u8>,
-        Resolved { route, tenant }: Resolved,
+        ResolvedRequest { route, tenant }: ResolvedRequest,
     ) -> Result<exchange::Request<Request>, ConnectionEnd> {
         let target = request_target(bytes, head).map_err(ConnectionEnd::Problem)?;
         let class = self.config.classes[route];
--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -6,7 +6,7 @@
 use link::{Connection, locked};
 use std::sync::{Arc, Mutex};
 
-/// One client's connection: its socket and its state.
+/// A client's connection: the socket, and the state behind a lock.
 pub(crate) struct ClientConnection {
     pub(crate) socket: Connection,
     pub(crate) state: Mutex<ClientState>,
--- a/crates/front_resp/src/client_state.rs
+++ b/crates/front_resp/src/client_state.rs
@@ -24,7 +24,7 @@
 pub(crate) struct ClientState {
     /// Pipelined commands and their answers.
     pub(crate) answers: AnswerQueue,
-    /// The command that is being read.
+    /// The command of which only a part has arrived, if there is one.
     pub(crate) incomplete: IncompleteCommand,
     /// Bytes of answers that the client had not read at the last check.
     pub(crate) unread: Reservation,
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -22,7 +22,7 @@
     Shutdown,
     /// A successor continues with the connection.
     HandedOver,
-    /// This error is answered after all earlier commands.
+    /// The client violated the protocol or a limit. The error text is sent after the answers to all earlier commands.
     Error(&'static str),
 }
 
@@ -119,7 +119,7 @@
 /// Checks the invariant that a client which is still connected has the answers to all its requests.
 fn check_unanswered(client: &ClientConnection, end: ConnectionEnd, unanswered: &VecDeque<Slot>) {
     let waiting = || unanswered.iter().filter(|slot| matches!(slot, Slot::Waiting(_)));
-    // This process has closed the socket itself if the client read too slowly.
+    // If the client read too slowly, this process closed the socket, and the client counts as disconnected.
     let is_gone = matches!(end, ConnectionEnd::ClientGone)
         || client.socket.is_peer_closed()
         || client.socket.is_closed();
--- a/crates/front_resp/src/connection_table.rs
+++ b/crates/front_resp/src/connection_table.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns how many connections must be evicted to restore the reserve for new ones, if `open` are open.
-    pub(crate) fn excess(&self, open: usize) -> usize {
+    pub(crate) fn connections_to_evict(&self, open: usize) -> usize {
         let max_connections = (self.max_connections)();
         let target = max_connections - max_connections / RESERVE_DIVISOR;
         open.saturating_sub(target)
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -15,7 +15,7 @@
 const LINGER_DIVISOR: u32 = 4;
 
 /// A connection that may be evicted.
-struct Candidate {
+struct EvictionCandidate {
     client: Arc<ClientConnection>,
     state: EvictableState,
 }
@@ -35,9 +35,10 @@
         if count == 0 {
             return;
         }
-        let mut candidates: Vec<Candidate> = self.clients().into_iter().filter_map(Candidate::new).collect();
+        let mut candidates: Vec<EvictionCandidate> =
+            self.clients().into_iter().filter_map(EvictionCandidate::new).collect();
         candidates.sort_by_key(|candidate| Reverse(candidate.state.precedence()));
-        candidates.into_iter().take(count).for_each(Candidate::evict);
+        candidates.into_iter().take(count).for_each(EvictionCandidate::evict);
     }
 
     /// Sheds the oldest incomplete command among the large ones, to free its memory.
@@ -53,7 +54,7 @@
     }
 }
 
-impl Candidate {
+impl EvictionCandidate {
     /// Returns `None` for a connection in use.
     fn new(client: Arc<ClientConnection>) -> Option<Self> {
         let evictable_state = {
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -31,18 +31,18 @@
     pub(crate) open_requests: Arc<OpenRequests>,
     is_ready: AtomicBool,
     is_draining: AtomicBool,
-    /// Set during a hot restart. Receives each connection as soon as it has no request in flight.
+    /// Callback that gets each connection as soon as it has no request in flight; `None` except during a hot restart.
     pub(crate) successor: Mutex<Option<Arc<HandOverConnection>>>,
     is_handing_over: AtomicBool,
 }
 
 /// Byte budgets that all clients share.
 pub(crate) struct FrontMemory {
-    /// Incomplete commands.
+    /// Budget of the read buffers that hold incomplete commands.
     pub(crate) incomplete: Arc<MemoryBudget>,
-    /// Requests in flight, and answers that wait for earlier ones.
+    /// Budget of the requests in flight, and of the answers that wait for earlier ones.
     pub(crate) complete: Arc<MemoryBudget>,
-    /// Answers that clients have not read.
+    /// Budget of the answers that were sent but that clients have not read.
     pub(crate) unread: Arc<MemoryBudget>,
 }
 
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Replaces the rules by which requests are validated.
+    /// Replaces the rules for requests that arrive from now on. Requests in flight are not checked again.
     pub fn set_rules(&self, rules: RequestRules) {
         *locked(&self.rules) = Arc::new(rules);
     }
@@ -172,7 +172,7 @@
         self.is_draining.load(Ordering::Acquire)
     }
 
-    /// Returns the number of open connections.
+    /// Returns the number of client connections that are open in this process.
     pub fn open_connections(&self) -> usize {
         self.connections.clients().len()
     }
--- a/crates/front_resp/src/limits.rs
+++ b/crates/front_resp/src/limits.rs
@@ -14,7 +14,7 @@
 pub(crate) const STREAM_CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes of answers that a client may leave unread before it is disconnected.
 pub(crate) const MAX_UNREAD_BYTES: usize = 256 * 1024;
-/// Replaces [`MAX_UNREAD_BYTES`] while all clients together exceed their budget of unread bytes.
+/// The limit in place of [`MAX_UNREAD_BYTES`] while all clients together exceed their budget of unread bytes.
 pub(crate) const MAX_UNREAD_BYTES_UNDER_PRESSURE: usize = 16 * 1024;
 /// The budget for incomplete commands is the process's memory divided by this.
 pub(crate) const INCOMPLETE_MEMORY_DIVISOR: usize = 8;
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -21,7 +21,7 @@
 const TOO_MANY_COMMANDS: &str = "too many commands at once";
 
 /// The commands that were dispatched from a buffer.
-struct Dispatched {
+struct DispatchedCommands {
     bytes: usize,
     commands: usize,
     has_errors: bool,
@@ -82,8 +82,8 @@
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
         buffer: &[u8],
-    ) -> Result<Dispatched, Malformed> {
-        let mut dispatched = Dispatched { bytes: 0, commands: 0, has_errors: false };
+    ) -> Result<DispatchedCommands, Malformed> {
+        let mut dispatched = DispatchedCommands { bytes: 0, commands: 0, has_errors: false };
         while !self.is_handing_over() {
             let start = dispatched.bytes;
             let Some(command) = resp::command(buffer, start)? else { break };
@@ -140,7 +140,11 @@
 }
 
 /// Updates the incomplete command after a read. Ends a connection that pipelines too many commands.
-fn update_incomplete(client: &ClientConnection, bytes: usize, dispatched: &Dispatched) -> ServeResult {
+fn update_incomplete(
+    client: &ClientConnection,
+    bytes: usize,
+    dispatched: &DispatchedCommands,
+) -> ServeResult {
     let mut state = locked(&client.state);
     state.incomplete.update(bytes, dispatched.bytes > 0);
     if state.answers.len() > MAX_PIPELINED { Err(ConnectionEnd::Error(TOO_MANY_COMMANDS)) } else { Ok(()) }
@@ -155,7 +159,7 @@
 }
 
 /// Lets other connections run after an error or a burst of pipelined commands.
-fn yield_after(dispatched: &Dispatched) {
+fn yield_after(dispatched: &DispatchedCommands) {
     if dispatched.has_errors {
         sleep(ERROR_READ_DELAY);
     } else if dispatched.commands > MAX_BURST {
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -110,7 +110,7 @@
 
 /// The known values of a request's list.
 #[derive(Default)]
-struct Values<'a> {
+struct RequestValues<'a> {
     class: Option<&'a str>,
     plan: Option<&'a str>,
     deadline: Option<&'a str>,
@@ -144,7 +144,7 @@
             return Err(InvalidRequest::Id);
         }
         let list = arguments[3].clone();
-        let values = Values::parse(raw, list.clone()).ok_or(InvalidRequest::Values)?;
+        let values = RequestValues::parse(raw, list.clone()).ok_or(InvalidRequest::Values)?;
         let class = self.class(&values, is_query)?;
         let plan = self.plan(&values)?;
         let deadline_ms = values.deadline_ms(class)?;
@@ -164,18 +164,18 @@
         Ok(ValidRequest { request, id: id.to_vec() })
     }
 
-    fn class(&self, values: &Values<'_>, is_query: bool) -> Result<&ClassRule, InvalidRequest> {
+    fn class(&self, values: &RequestValues<'_>, is_query: bool) -> Result<&ClassRule, InvalidRequest> {
         let class = self.classes.iter().find(|class| Some(class.name.as_str()) == values.class);
         let class = class.ok_or(InvalidRequest::Class)?;
         if class.is_idempotent == is_query { Ok(class) } else { Err(InvalidRequest::WrongCommand) }
     }
 
-    fn plan(&self, values: &Values<'_>) -> Result<&PlanRule, InvalidRequest> {
+    fn plan(&self, values: &RequestValues<'_>) -> Result<&PlanRule, InvalidRequest> {
         let plan = self.plans.iter().find(|plan| Some(plan.name.as_str()) == values.plan);
         plan.ok_or(InvalidRequest::Plan)
     }
 
-    fn units(&self, values: &Values<'_>) -> Result<f64, InvalidRequest> {
+    fn units(&self, values: &RequestValues<'_>) -> Result<f64, InvalidRequest> {
         let units = values.units.and_then(|text| text.parse::<f64>().ok());
         let in_range =
             |units: &f64| units.is_finite() && *units > 0.0 && self.max_units.is_none_or(|max| *units <= max);
@@ -184,7 +184,7 @@
 
     /// Returns the number of gatekeepers that serve the tenant; 0 if the request does not state it, which the policy treats as
     /// all.
-    fn tenant_gatekeepers(&self, values: &Values<'_>) -> Result<f64, InvalidRequest> {
+    fn tenant_gatekeepers(&self, values: &RequestValues<'_>) -> Result<f64, InvalidRequest> {
         let in_range = |spread: &u64| (1..=self.gatekeeper_count).contains(spread);
         let spread = values.spread.map_or(Some(0), |text| parse_digits(text).filter(in_range));
         let spread = spread.ok_or(InvalidRequest::Spread)?;
@@ -198,7 +198,7 @@
     }
 }
 
-impl<'a> Values<'a> {
+impl<'a> RequestValues<'a> {
     /// Parses the known values. Returns `None` if one is repeated, since two parsers could choose different ones, or is not
     /// UTF-8.
     fn parse(raw: &'a [u8], list: Range<usize>) -> Option<Self> {
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -26,7 +26,7 @@
                 SweepAction::Close => client.socket.close(),
             }
         }
-        self.connections.evict(self.connections.excess(clients.len()));
+        self.connections.evict(self.connections.connections_to_evict(clients.len()));
     }
 }
 
