--- a/crates/counter/src/call_result.rs
+++ b/crates/counter/src/call_result.rs
@@ -14,7 +14,7 @@
     pub total: f64,
 }
 
-/// Called with the result of each call.
+/// Callback that gets the result of each call once, when the call ends.
 pub type OnCallEnded = Box<dyn Fn(CallResult) + Send + Sync>;
 
 impl CallResult {
--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::call_result::{CallResult, OnCallEnded};
 use crate::connection::{CounterConnection, WriteResult};
-use crate::shard::{self, Queued, SHARDS, Shard};
+use crate::shard::{self, EnqueueResult, SHARD_COUNT, Shard};
 use exchange::{CounterCall, Exchange, QuotaCounter};
 use link::{Connection, locked, spawn};
 use policy::Outcome;
@@ -25,7 +25,7 @@
     weak_self: Weak<Self>,
     address: Mutex<SocketAddr>,
     on_ended: OnCallEnded,
-    shards: [Mutex<Shard>; SHARDS],
+    shards: [Mutex<Shard>; SHARD_COUNT],
     /// Connections to earlier addresses that still have unanswered calls.
     retired: Mutex<Vec<Weak<CounterConnection>>>,
 }
@@ -89,7 +89,7 @@
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
         locked(shard).remove_connection(&connection);
-        // It is unknown which of the written calls the counter has received.
+        // The counter may have received any of the written calls, so each may have added its units.
         for id in connection.take_pending() {
             (self.on_ended)(CallResult::without_total(id, Outcome::Reset));
         }
@@ -144,9 +144,9 @@
             let queued = state.enqueue(call);
             drop(state);
             match queued {
-                Queued::Waiting => {}
-                Queued::Full => self.fail_unwritten(&call),
-                Queued::MustConnect => {
+                EnqueueResult::Waiting => {}
+                EnqueueResult::Full => self.fail_unwritten(&call),
+                EnqueueResult::MustConnect => {
                     if let Some(client) = self.weak_self.upgrade() {
                         spawn(move || client.run_connection(&client.shards[shard::index_of(call.name)]));
                     }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -30,7 +30,7 @@
 /// Calls that were written and are not answered yet.
 #[derive(Default)]
 struct PendingCalls {
-    /// Ids of the calls, oldest first.
+    /// Ids of the unanswered calls, oldest first.
     ids: VecDeque<u64>,
     /// When the first bytes of an incomplete answer arrived.
     incomplete_since: Option<Instant>,
@@ -40,7 +40,7 @@
 
 /// Result of [`CounterConnection::write`].
 pub(crate) enum WriteResult {
-    /// The call was written.
+    /// The call was written to the socket or its send buffer.
     Written,
     /// Nothing was written, so nothing was added.
     Failed,
--- a/crates/counter/src/shard.rs
+++ b/crates/counter/src/shard.rs
@@ -6,7 +6,7 @@
 
 /// Number of shards of a client, each with its own connection. All calls of a count use one shard, so that their answers arrive
 /// in order. A slow part of the counter causes head-of-line blocking only in the shards that call it.
-pub(crate) const SHARDS: usize = 4;
+pub(crate) const SHARD_COUNT: usize = 4;
 
 /// Connection of a shard, or the calls that wait until it is open.
 #[derive(Default)]
@@ -18,11 +18,11 @@
 
 /// Index of the shard of the count with this name.
 pub(crate) fn index_of(count_name: u64) -> usize {
-    (count_name % SHARDS as u64) as usize
+    (count_name % SHARD_COUNT as u64) as usize
 }
 
 /// Result of [`Shard::enqueue`].
-pub(crate) enum Queued {
+pub(crate) enum EnqueueResult {
     /// The call waits, and the connection is being opened already.
     Waiting,
     /// The call is the first to wait. The caller must open the connection.
@@ -55,16 +55,16 @@
     }
 
     /// Queues a call until the connection is open.
-    pub(crate) fn enqueue(&mut self, call: CounterCall) -> Queued {
+    pub(crate) fn enqueue(&mut self, call: CounterCall) -> EnqueueResult {
         match &mut self.waiting {
             Some(waiting) if waiting.len() < MAX_PENDING_CALLS => {
                 waiting.push(call);
-                Queued::Waiting
+                EnqueueResult::Waiting
             }
-            Some(_) => Queued::Full,
+            Some(_) => EnqueueResult::Full,
             None => {
                 self.waiting = Some(vec![call]);
-                Queued::MustConnect
+                EnqueueResult::MustConnect
             }
         }
     }
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -40,7 +40,7 @@
         request: &[u8],
         on_written: impl FnOnce(),
     ) -> io::Result<()> {
-        // Locked during the write, so that a reader of the answer waits here and then finds the attempt.
+        // The attempt stays locked during the write, so that a reader of the answer waits here and then finds the attempt.
         let mut attempt = locked(&self.attempt);
         let is_written = self.socket.send(request)?;
         if is_written {
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -60,12 +60,12 @@
         })
     }
 
-    /// The wire protocol that all backends speak.
+    /// Returns the wire protocol that all backends of these pools speak.
     pub fn protocol(&self) -> &P {
         &self.protocol
     }
 
-    /// Sets the connect timeout of new connections, and the idle timeout of all connections.
+    /// Replaces the timeouts: `connect` applies to connections that are opened later, `idle` to all connections.
     pub fn set_timeouts(&self, connect: Duration, idle: Duration) {
         *locked(&self.timeouts) = Timeouts { connect, idle };
     }
@@ -76,7 +76,7 @@
 
     /// Sets the exchange that the ends of attempts are reported to. A second call has no effect.
     pub fn set_exchange(&self, exchange: Arc<Exchange<P::Payload, P::Answer>>) {
-        // Fails if an exchange is set already, which then stays.
+        // `set` fails if the pools have an exchange already, which they then keep.
         let _ = self.exchange.set(exchange);
     }
 
@@ -110,12 +110,12 @@
         self.state().set_operator_ejection(backend, ejected);
     }
 
-    /// Sets whether a successor takes over from this process. While it does, no idle connection is kept.
+    /// Sets whether a successor of a hot restart serves in place of this process. If so, idle connections are closed.
     pub fn set_retired(&self, retired: bool) {
         self.state().set_retired(retired);
     }
 
-    /// The number of attempts whose request was written completely, that is, whose last byte the kernel has accepted.
+    /// Returns the number of attempts since the start of which the kernel has accepted the last byte of the request.
     pub fn attempts_written(&self) -> u64 {
         self.attempts_written.load(Ordering::Relaxed)
     }
@@ -131,7 +131,7 @@
         self.state().sweep(idle_timeout, now);
     }
 
-    /// The number of connections that are open or being established.
+    /// Returns the number of backend connections that are open or being established.
     pub fn open_connections(&self) -> usize {
         self.state().open_connections()
     }
--- a/crates/destination/src/resp.rs
+++ b/crates/destination/src/resp.rs
@@ -10,7 +10,7 @@
 
 /// Index of the load report among the items of an answer. Item 0 is the value.
 const LOAD_REPORT_ITEM: usize = 2;
-/// The terminator of a value.
+/// The bytes that end each RESP2 line and each bulk string.
 const LINE_END: &[u8] = b"\r\n";
 
 /// RESP2. The answer that the client gets is the value with its RESP2 framing, unchanged.
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -25,7 +25,7 @@
 /// An entry of the journal: one admitted request, as it is charged to its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// The tenant's number.
+    /// Number of the tenant whose quota is charged.
     pub tenant: u64,
     /// The plan's number in the predecessor, which reads the journal.
     pub plan: u32,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The writing end of a journal.
+/// The writing end of an admission journal. The successor appends to it what the predecessor must charge.
 #[derive(Debug)]
 pub struct AdmissionJournal(UnixStream);
 
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -20,7 +20,7 @@
 /// A message from either process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// The first message of a successor.
+    /// The first message of a successor, by which the predecessor checks the protocol version.
     Hello {
         /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
@@ -47,9 +47,9 @@
     },
     /// An operator ejects a backend or ends its ejection.
     SetEjected {
-        /// Identifies this message in the reply.
+        /// Number that the reply repeats, so that the sender can match it to this message.
         call: u64,
-        /// The backend's id.
+        /// The backend's id in the endpoint list.
         id: String,
         /// True to eject the backend, false to end its ejection.
         ejected: bool,
--- a/crates/handover/src/peer.rs
+++ b/crates/handover/src/peer.rs
@@ -25,11 +25,11 @@
 /// A peer that makes no progress for this long within a frame has failed.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The connection to the other process.
+/// The connection between the predecessor and the successor of a hot restart.
 #[derive(Debug)]
 pub struct Peer {
     stream: UnixStream,
-    /// Held while a frame is written, so that frames of several threads do not interleave.
+    /// Lock that is held while a frame is written, so that frames of several threads do not interleave.
     write_lock: Mutex<()>,
 }
 
@@ -134,7 +134,7 @@
 
     /// Closes the connection. A thread that waits in [`Peer::receive`] gets an error.
     pub fn close(&self) {
-        // Fails only if the peer has disconnected already.
+        // `shutdown` fails only if the peer has disconnected already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -26,7 +26,7 @@
     DataEnd,
     /// The trailer section after the last chunk.
     Trailer,
-    /// Nothing: the body has ended.
+    /// No further bytes: the body has ended.
     Done,
 }
 
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -35,7 +35,7 @@
 /// The head of a final response, after any interim responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalResponseHead {
-    /// The head. The ranges of its fields are relative to `start`.
+    /// The head of the final response. The ranges of its fields are relative to `start`.
     pub head: ResponseHead,
     /// Offset of the head in the buffer.
     pub start: usize,
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -30,7 +30,7 @@
     read_state: ReadState,
     send_buffer: Mutex<SendBuffer>,
     is_closed: AtomicBool,
-    /// Called whenever the socket has taken all buffered bytes.
+    /// Callback that runs whenever the socket has taken all buffered bytes.
     on_flushed: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
@@ -41,7 +41,7 @@
     Bytes(usize),
     /// The peer has shut down its sending side.
     End,
-    /// [`Connection::wake`] was called.
+    /// [`Connection::wake`] was called, and no bytes are left to read.
     Woken,
 }
 
@@ -115,7 +115,7 @@
     /// Sets the callback that the connection's own coroutine runs whenever the socket has taken all buffered bytes. Only the
     /// first call has an effect.
     pub fn on_flushed(&self, callback: impl Fn() + Send + Sync + 'static) {
-        // Fails if a callback is set already, which is kept.
+        // `set` fails if the connection has a callback already, which it then keeps.
         let _ = self.on_flushed.set(Box::new(callback));
     }
 
@@ -328,7 +328,7 @@
     /// Closes the connection at once and wakes its coroutine.
     pub fn close(&self) {
         if !self.is_closed.swap(true, Ordering::AcqRel) {
-            // Fails if the peer has disconnected already, and nothing is left to shut down.
+            // `shutdown` fails if the peer has disconnected already, and nothing is left to shut down.
             let _ = self.stream.shutdown(Shutdown::Both);
             self.stream.waker().wakeup();
         }
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -89,7 +89,7 @@
         if self.is_peer_closed() { locked(&self.deferred_error).take() } else { None }
     }
 
-    /// Sets the wake flag.
+    /// Sets the wake flag, for which the reader returns [`Incoming::Woken`](crate::Incoming::Woken) once.
     pub(crate) fn wake(&self) {
         self.is_woken.store(true, Ordering::Release);
     }
--- a/crates/operator/src/metrics.rs
+++ b/crates/operator/src/metrics.rs
@@ -10,11 +10,11 @@
 pub struct ClassMetrics {
     /// Name of the class: the value of the series' label `lane`.
     pub name: String,
-    /// Requests that were served.
+    /// Requests that a backend has served since the process started.
     pub completed: u64,
-    /// Requests that were rejected.
+    /// Requests that were answered with a rejection since the process started.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that failed and may have had an effect, since the process started.
     pub failed: u64,
 }
 
--- a/crates/resp/src/element.rs
+++ b/crates/resp/src/element.rs
@@ -26,7 +26,7 @@
     Integer(i64),
     /// The bytes of a bulk string (`$`).
     Bulk(Range<usize>),
-    /// A null bulk string or a null array.
+    /// A null bulk string (`$-1`) or a null array (`*-1`).
     Null,
     /// The head of an array (`*`). This many elements follow it.
     Array(usize),
