--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -107,7 +107,7 @@
                 Ok(connection) => return Some(connection),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     if self.state.get() == AcceptState::Closing {
-                        // From here on the kernel refuses new connections. The call fails only if the socket is shut down already.
+                        // From now on the kernel refuses new connections. The call fails only if the socket is shut down already.
                         let _ = SockRef::from(self.socket.io().inner()).shutdown(Shutdown::Both);
                         return None;
                     }
--- a/crates/snowfield/src/operator_ejections/file/tests.rs
+++ b/crates/snowfield/src/operator_ejections/file/tests.rs
@@ -46,7 +46,7 @@
     assert_eq!(rejection_of(&directory, b"snowfield held 1"), "the file has no complete first line");
     assert_eq!(
         rejection_of(&directory, b"snowfield held 2 0\n"),
-        "the first line names an unknown format or version"
+        "the first line of the file names an unknown format or version"
     );
     assert_eq!(
         rejection_of(&directory, b"snowfield held 1 2\ns-1\n"),
