--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -59,8 +59,8 @@
             return false;
         }
         for shard in &self.shards {
-            // Removed from its shard before it is retired: a call that the retired connection refuses tries the shard again,
-            // which must no longer have that connection.
+            // The shard loses its connection before that connection is retired: a call that the retired connection refuses tries the
+            // shard again, which must no longer have it.
             let Some(connection) = locked(shard).take_connection() else { continue };
             connection.retire();
             locked(&self.retired).push(Arc::downgrade(&connection));
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -56,8 +56,8 @@
         !has_attempt || self.socket.unsent() > 0
     }
 
-    /// The attempt on the connection. `on_written` is called if the kernel has accepted the last byte of its request since the
-    /// write or the previous call.
+    /// Returns the attempt on the connection; `None` if it is idle. `on_written` is called if the kernel has accepted the last
+    /// byte of the request since the write or the previous call.
     pub(crate) fn active_attempt(&self, on_written: impl FnOnce()) -> Option<(AttemptId, Arc<Q>)> {
         let mut attempt = locked(&self.attempt);
         let attempt = attempt.as_mut()?;
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -12,8 +12,8 @@
 /// Time for which a connection is not reused after an answer. Surplus bytes after an answer (a duplicate or garbage) may arrive
 /// some milliseconds late, as the operators' page states, and would otherwise be read as the answer to the next request.
 const QUIET_TIME: Duration = Duration::from_millis(20);
-/// Replaces [`QUIET_TIME`] while at least a quarter of the maximum number of connections is open: at thousands of requests a
-/// second, each request would otherwise need a connection of its own.
+/// Quiet time in place of [`QUIET_TIME`] while at least a quarter of the maximum number of connections is open: at thousands
+/// of requests a second, each request would otherwise need a connection of its own.
 const SHORT_QUIET_TIME: Duration = Duration::from_millis(5);
 /// [`SHORT_QUIET_TIME`] applies once the number of connections reaches the connection limit divided by this.
 const SHORT_QUIET_TIME_DIVISOR: usize = 4;
@@ -44,7 +44,7 @@
     /// The backend is eligible at the address of the connection.
     pub(crate) is_eligible: bool,
     /// The backend's endpoint changed within [`RECENT_CHANGE_WINDOW`], or operators have ejected the backend. The attempt may
-    /// have been decided before that.
+    /// have been decided before the change or the ejection.
     pub(crate) is_recently_changed: bool,
 }
 
--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -22,7 +22,7 @@
     /// The environment variable with the path of the platform's configuration file is not set.
     #[error("BALANCER_CONFIG names no configuration file")]
     NoConfigFile,
-    /// An environment variable does not hold an IP address with a port.
+    /// At startup, the value of an environment variable that overrides an address cannot be parsed.
     #[error("{variable}: {value:?} is not an IP address with a port")]
     InvalidAddress {
         /// Name of the environment variable.
@@ -30,7 +30,7 @@
         /// Value of the environment variable.
         value: String,
     },
-    /// An environment variable does not hold the name of a log format.
+    /// At startup, the log format that an environment variable names is unknown.
     #[error("{variable}: {value:?} is neither \"plain\" nor \"json\"")]
     InvalidLogFormat {
         /// Name of the environment variable.
@@ -112,7 +112,7 @@
         /// What is wrong with the keys. The text never contains a key.
         source: KeyringError,
     },
-    /// The address for clients or for the status cannot be listened on.
+    /// At startup, the socket for clients or for the status could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The configured address.
@@ -184,7 +184,7 @@
         /// Methods of the routes with this path, separated by commas.
         allowed: String,
     },
-    /// The configuration has no status address to ask.
+    /// `snowfield status` or `snowfield watch` needs an address that the configuration file lacks.
     #[error("{}: no status address is configured", path.display())]
     NoStatusAddress {
         /// Path of the configuration file.
@@ -210,7 +210,7 @@
     /// The leader of the replicas found the proposed plans invalid, for this reason.
     #[error("the proposed plans are rejected: {0}")]
     ProposalRejected(String),
-    /// The version in force is not the expected one.
+    /// A proposal was made for an expected version, but another version is in force.
     #[error("version {version}, by {proposed_by}, is in force; nothing is changed")]
     VersionConflict {
         /// Number of the version in force.
@@ -218,7 +218,7 @@
         /// Name of the user who proposed it.
         proposed_by: String,
     },
-    /// The rollout of another version is in progress.
+    /// Another proposal was accepted before, and its rollout is in progress. Propose again once it is in force.
     #[error("version {version}, by {proposed_by}, is proposed and not yet in force; nothing is changed")]
     RolloutInProgress {
         /// Number of the proposed version.
@@ -226,7 +226,7 @@
         /// Name of the user who proposed it.
         proposed_by: String,
     },
-    /// No leader with a majority of the replicas answers.
+    /// No replica answered as the leader within the timeout. A proposal may or may not have been accepted.
     #[error("no majority of the voters answers ({last_failure}); whether a proposal was accepted is unknown")]
     NoMajority {
         /// Name of the last replica that was called, and why its answer could not be used.
