--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -59,7 +59,7 @@
             return false;
         }
         for shard in &self.shards {
-            // The shard loses its connection before that connection is retired: a call that the retired connection refuses tries the
+            // The shard loses its connection before that connection is retired: a call that the retired one refuses tries the
             // shard again, which must no longer have it.
             let Some(connection) = locked(shard).take_connection() else { continue };
             connection.retire();
