--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::call_result::{CallResult, OnCallEnded};
 use crate::connection::{CounterConnection, WriteResult};
-use crate::shard::{self, Queued, SHARDS, Shard};
+use crate::shard::{self, EnqueueResult, SHARD_COUNT, Shard};
 use exchange::{CounterCall, Exchange, QuotaCounter};
 use link::{Connection, lock_or_abort, spawn};
 use policy::Outcome;
@@ -25,7 +25,7 @@
     weak_self: Weak<Self>,
     address: Mutex<SocketAddr>,
     on_ended: OnCallEnded,
-    shards: [Mutex<Shard>; SHARDS],
+    shards: [Mutex<Shard>; SHARD_COUNT],
     /// Connections to earlier addresses that still have unanswered calls.
     retired: Mutex<Vec<Weak<CounterConnection>>>,
 }
@@ -59,8 +59,8 @@
             return false;
         }
         for shard in &self.shards {
-            // Removed from its shard before it is retired: a call that the retired connection refuses tries the shard again,
-            // which must no longer have that connection.
+            // The shard loses its connection before that connection is retired: a call that the retired one refuses tries the
+            // shard again, which must no longer have it.
             let Some(connection) = lock_or_abort(shard).take_connection() else { continue };
             connection.retire();
             lock_or_abort(&self.retired).push(Arc::downgrade(&connection));
@@ -89,7 +89,7 @@
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
         lock_or_abort(shard).remove_connection(&connection);
-        // It is unknown which of the written calls the counter has received.
+        // The counter may have received any of the written calls, so each may have added its units.
         for id in connection.take_pending() {
             (self.on_ended)(CallResult::without_total(id, Outcome::Reset));
         }
@@ -102,7 +102,7 @@
             let address = *lock_or_abort(&self.address);
             let connection = Connection::connect(address, CONNECT_TIMEOUT);
             let mut shard = lock_or_abort(shard);
-            // Compared under the lock of the shard: `set_address` changes the address before it checks the shards.
+            // The address is compared under the lock of the shard: `set_address` changes the address before it checks the shards.
             if address != *lock_or_abort(&self.address) {
                 continue;
             }
@@ -113,8 +113,8 @@
                 return None;
             };
             let connection = Arc::new(CounterConnection::new(connection));
-            // Written before the shard has the connection, so that no later call overtakes the waiting ones. A write never
-            // blocks.
+            // The waiting calls are written before the shard has the connection, so that no later call overtakes them. A write
+            // never blocks.
             let is_unwritten = |call: &CounterCall| !matches!(connection.write(call), WriteResult::Written);
             let unwritten = waiting.into_iter().filter(is_unwritten).collect();
             shard.set_connection(connection.clone());
@@ -144,9 +144,9 @@
             let queued = state.enqueue(call);
             drop(state);
             match queued {
-                Queued::Waiting => {}
-                Queued::Full => self.fail_unwritten(&call),
-                Queued::MustConnect => {
+                EnqueueResult::Waiting => {}
+                EnqueueResult::Full => self.fail_unwritten(&call),
+                EnqueueResult::MustConnect => {
                     if let Some(client) = self.weak_self.upgrade() {
                         spawn(move || client.run_connection(&client.shards[shard::index_of(call.name)]));
                     }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -20,7 +20,7 @@
 /// Maximum number of bytes of one read.
 const READ_BYTES: usize = 4096;
 
-/// A connection to the counter.
+/// A connection to the quota counter, with the calls on it that are not answered yet.
 pub(crate) struct CounterConnection {
     connection: Connection,
     pending: Mutex<PendingCalls>,
@@ -30,7 +30,7 @@
 /// Calls that were written and are not answered yet.
 #[derive(Default)]
 struct PendingCalls {
-    /// Ids of the calls, oldest first.
+    /// Ids of the unanswered calls, oldest first.
     ids: VecDeque<u64>,
     /// When the first bytes of an incomplete answer arrived.
     incomplete_since: Option<Instant>,
@@ -40,7 +40,7 @@
 
 /// Result of [`CounterConnection::write`].
 pub(crate) enum WriteResult {
-    /// The call was written.
+    /// The call was written to the socket or its send buffer.
     Written,
     /// Nothing was written, so nothing was added.
     Failed,
@@ -72,7 +72,7 @@
         self.connection.wake();
     }
 
-    /// Closes the connection if it has unanswered calls and nothing was received for too long.
+    /// Closes the connection if it has unanswered calls and no bytes have arrived from the counter for too long.
     pub(crate) fn close_if_silent(&self) {
         let has_pending = !lock_or_abort(&self.pending).ids.is_empty();
         if has_pending && lock_or_abort(&self.last_received).elapsed() > SILENCE_TIMEOUT {
--- a/crates/destination/src/pooled_connection.rs
+++ b/crates/destination/src/pooled_connection.rs
@@ -18,7 +18,7 @@
     attempt: Mutex<Option<ActiveAttempt<Q>>>,
 }
 
-/// The attempt on a connection.
+/// An attempt whose request was or is being written to the connection.
 pub(crate) struct ActiveAttempt<Q> {
     pub(crate) id: AttemptId,
     pub(crate) payload: Arc<Q>,
@@ -40,7 +40,7 @@
         request: &[u8],
         on_written: impl FnOnce(),
     ) -> io::Result<()> {
-        // Locked during the write, so that a reader of the answer waits here and then finds the attempt.
+        // The attempt stays locked during the write, so that a reader of the answer waits here and then finds the attempt.
         let mut attempt = lock_or_abort(&self.attempt);
         let is_written = self.socket.send(request)?;
         if is_written {
@@ -56,8 +56,8 @@
         !has_attempt || self.socket.unsent() > 0
     }
 
-    /// The attempt on the connection. `on_written` is called if the kernel has accepted the last byte of its request since the
-    /// write or the previous call.
+    /// Returns the attempt on the connection; `None` if it is idle. `on_written` is called if the kernel has accepted the last
+    /// byte of the request since the write or the previous call.
     pub(crate) fn active_attempt(&self, on_written: impl FnOnce()) -> Option<(AttemptId, Arc<Q>)> {
         let mut attempt = lock_or_abort(&self.attempt);
         let attempt = attempt.as_mut()?;
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::connection_end::{ConnectionEnd, ServeResult};
 use crate::problem::Problem;
 use crate::receive::{CompleteRequest, MAX_READ_BYTES};
-use crate::resolve::{Resolved, request_target};
+use crate::resolve::{ResolvedRequest, request_target};
 use exchange::FinalAnswer;
 use http::{Request, RequestHead, Response};
 use link::{Incoming, lock_or_abort};
@@ -34,7 +34,7 @@
             ConnectionEnd::ClientGone => return,
             ConnectionEnd::BetweenRequests => {}
             ConnectionEnd::Problem(problem) => {
-                // Fails if the client has disconnected, and then needs no response.
+                // Sending fails only if the client has disconnected, which then needs no response.
                 let _ = client.connection.send(&problem.encode(true, false));
             }
         }
@@ -84,7 +84,7 @@
         bytes: &[u8],
         head: &RequestHead,
         body: Vec<u8>,
-        Resolved { route, tenant }: Resolved,
+        ResolvedRequest { route, tenant }: ResolvedRequest,
     ) -> Result<exchange::Request<Request>, ConnectionEnd> {
         let target = request_target(bytes, head).map_err(ConnectionEnd::Problem)?;
         let class = self.config.classes[route];
@@ -94,7 +94,7 @@
             plan: tenant_config.plan,
             tenant: tenant_config.id,
             time_left: class.deadline.saturating_sub(DEADLINE_MARGIN_MICROS).max(MIN_TIME_LEFT_MICROS),
-            tenant_gatekeepers: self.config.tenant_gatekeepers,
+            tenant_gatekeepers: self.config.tenant_gatekeeper_count,
             units: self.config.routes.routes()[route].units,
             client_retry: false,
             account: Some(self.config.account(route, tenant)),
--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -6,7 +6,7 @@
 use link::{Connection, lock_or_abort};
 use std::sync::{Arc, Mutex};
 
-/// One client's connection: its socket and its state.
+/// A client's connection: the socket, and the state behind a lock.
 pub(crate) struct ClientConnection {
     pub(crate) socket: Connection,
     pub(crate) state: Mutex<ClientState>,
@@ -26,7 +26,7 @@
             None => answer,
         };
         drop(state);
-        // Dropped after the lock is released: dropping a streamed answer notifies the backend's side.
+        // The old slot is dropped after the lock is released: dropping a streamed answer notifies the backend's side.
         drop(replaced);
     }
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -30,18 +30,18 @@
     read_state: ReadState,
     send_buffer: Mutex<SendBuffer>,
     is_closed: AtomicBool,
-    /// Called whenever the socket has taken all buffered bytes.
+    /// Callback that runs whenever the socket has taken all buffered bytes.
     on_flushed: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
 /// The result of [`Connection::receive`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incoming {
-    /// This many bytes were read.
+    /// This number of bytes was read and appended to the buffer.
     Bytes(usize),
     /// The peer has shut down its sending side.
     End,
-    /// [`Connection::wake`] was called.
+    /// [`Connection::wake`] was called, and no bytes are left to read.
     Woken,
 }
 
@@ -115,7 +115,7 @@
     /// Sets the callback that the connection's own coroutine runs whenever the socket has taken all buffered bytes. Only the
     /// first call has an effect.
     pub fn on_flushed(&self, callback: impl Fn() + Send + Sync + 'static) {
-        // Fails if a callback is set already, which is kept.
+        // `set` fails if the connection has a callback already, which it then keeps.
         let _ = self.on_flushed.set(Box::new(callback));
     }
 
@@ -126,7 +126,7 @@
         }
         send_buffer.flush(self.stream.inner())?;
         let is_flushed = send_buffer.is_empty();
-        // Released first, since the callback may send.
+        // The lock is released before the callback runs, since the callback may send.
         drop(send_buffer);
         if is_flushed && let Some(callback) = self.on_flushed.get() {
             callback();
@@ -239,7 +239,7 @@
     /// Acknowledges the peer's bytes now instead of with the next write. The peer's system may hold back further bytes until then
     /// (Nagle's algorithm).
     pub fn acknowledge(&self) {
-        // A failure only delays the acknowledgement.
+        // If the option cannot be set, the kernel only sends the acknowledgement later.
         let _ = SockRef::from(self.stream.inner()).set_quickack(true);
     }
 
@@ -328,7 +328,7 @@
     /// Closes the connection at once and wakes its coroutine.
     pub fn close(&self) {
         if !self.is_closed.swap(true, Ordering::AcqRel) {
-            // Fails if the peer has disconnected already, and nothing is left to shut down.
+            // `shutdown` fails if the peer has disconnected already, and nothing is left to shut down.
             let _ = self.stream.shutdown(Shutdown::Both);
             self.stream.waker().wakeup();
         }
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -64,7 +64,7 @@
         self.is_drained.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the socket had nothing to read, and no event has come since.
+    /// Whether the socket had nothing to read, and no event has been reported since that read.
     pub(crate) fn is_drained(&self) -> bool {
         self.is_drained.load(Ordering::Relaxed)
     }
@@ -89,7 +89,7 @@
         if self.is_peer_closed() { lock_or_abort(&self.deferred_error).take() } else { None }
     }
 
-    /// Sets the wake flag.
+    /// Sets the wake flag, for which the reader returns [`Incoming::Woken`](crate::Incoming::Woken) once.
     pub(crate) fn wake(&self) {
         self.is_woken.store(true, Ordering::Release);
     }
--- a/crates/snowfield/src/timer_thread.rs
+++ b/crates/snowfield/src/timer_thread.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval of the sweeps.
+/// Interval between two calls of `sweep` in [`start`], which close idle and silent connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Starts a thread that runs the timers of an exchange when they are due, and `sweep` every [`SWEEP_INTERVAL`], until the process
