--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -10,7 +10,8 @@
 pub struct Query {
     /// Position of the agent in the configured order.
     pub agent: usize,
-    /// The index to block on: the agent holds the query until the list changes or the wait ends. With 0 it responds at once.
+    /// The index to block on: the agent holds the query until the list changes or the wait ends. With index 0 the agent responds
+    /// at once.
     pub index: u64,
     /// Whether the agent may answer from any server (a stale read) or only from the leader.
     pub allow_stale: bool,
@@ -23,7 +24,8 @@
 pub enum QueryOutcome {
     /// A valid response with this index (`X-Consul-Index`).
     Response(u64),
-    /// A response that is not used because the servers have no leader, or the responding server last heard from it too long ago.
+    /// A response that is not used because the servers have no leader, or the responding server last heard from the
+    /// leader too long ago.
     TooStale,
     /// No response, an error status, or an invalid body.
     Failed,
@@ -38,12 +40,12 @@
     Unchanged,
 }
 
-/// Settings of an [`AgentSelector`].
+/// Query rate, backoff and failback of an [`AgentSelector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSelectorConfig {
     /// Number of configured agents; at least 1.
     pub agent_count: usize,
-    /// Minimum time between two queries. It bounds the query rate while the list changes constantly.
+    /// Minimum time between two queries, which bounds the query rate while the list changes constantly.
     pub min_query_interval: Duration,
     /// Backoff after consecutive failed queries of one agent, before jitter.
     pub backoff: ExponentialBackoff,
@@ -93,10 +95,10 @@
         self.current
     }
 
-    /// Selects the agent, and returns the next query to send.
+    /// Selects the agent, and returns the query to send to it no earlier than [`Query::not_before`].
     pub fn next_query(&mut self, now: MonotonicTime) -> Query {
         if self.current > 0 && now >= self.selected_at + self.config.failback_after {
-            // Failback: the first agent is queried again. If it fails, another agent is selected for the next interval.
+            // Failback: the first agent is queried again. If the query fails, another agent is selected for the next interval.
             self.select(0, now);
         }
         if self.agents[self.current].backoff_until > now {
@@ -137,7 +139,7 @@
         match outcome {
             QueryOutcome::Response(index) => self.handle_response(agent, *index),
             QueryOutcome::TooStale => {
-                // The next query must be answered by the leader. If there is none, it fails, and another agent is selected.
+                // The next query must be answered by the leader. If there is none, the query fails, and another agent is selected.
                 self.needs_leader = true;
                 self.back_off(now, agent);
                 Freshness::Unchanged
@@ -152,7 +154,7 @@
     fn handle_response(&mut self, agent: usize, index: u64) -> Freshness {
         self.agents[agent] = AgentState::default();
         let is_new = index != self.index || self.index == 0;
-        // Consul's documentation requires clients to reset the index to 0 when it decreases or is not positive.
+        // Consul's documentation requires clients to reset the index to 0 when the index decreases or is not positive.
         self.index = if index < self.index { 0 } else { index };
         self.needs_leader = false;
         if is_new { Freshness::New } else { Freshness::Unchanged }
--- a/crates/catalogue/src/cached_list.rs
+++ b/crates/catalogue/src/cached_list.rs
@@ -22,7 +22,7 @@
     /// When an agent last confirmed the lists, by the clock of the writer.
     #[serde(rename = "at", with = "stored_time")]
     pub confirmed_at: UnixTime,
-    /// The instances that were eligible at that time, by service name.
+    /// The instances that were eligible at `confirmed_at`, by service name.
     pub services: BTreeMap<String, Vec<Instance>>,
 }
 
@@ -31,12 +31,12 @@
 pub struct AgedList {
     /// The decoded contents of the file.
     pub list: CachedList,
-    /// Time between its confirmation and its decoding, in whole seconds.
+    /// Time between the list's confirmation and its decoding, in whole seconds.
     pub age: Duration,
 }
 
 impl CachedList {
-    /// Encodes the lists as the contents of a cache file.
+    /// Encodes the lists as a cache file: the header line with the checksum, then a line of JSON.
     pub fn encode(&self) -> String {
         let body = serde_json::to_string(self).unwrap_or_default();
         format!("{MAGIC} {CACHE_VERSION} {}\n{body}\n", checksum(&body))
--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -11,19 +11,19 @@
 /// Why an endpoint is eligible for requests, or is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EligibilityReason {
-    /// Eligible: Consul lists it with a sufficient health status.
+    /// Eligible: Consul lists the instance with a sufficient health status.
     Listed,
-    /// Not eligible: its health checks report this status.
+    /// Not eligible: the instance's health checks report this status.
     Unhealthy(HealthStatus),
-    /// Not eligible: it is listed as healthy, but has flapped, and flap damping suppresses it until this time.
+    /// Not eligible: the instance is healthy, but has flapped, and flap damping suppresses it until this time.
     Flapping(MonotonicTime),
     /// Not eligible: another eligible instance has the same address.
     DuplicateAddress,
-    /// Not eligible: Consul lists it with weight 0.
+    /// Not eligible: Consul lists the instance with weight 0.
     ZeroWeight,
-    /// Eligible: it vanished in a sudden loss, answered a client shortly before, and is retained until this time.
+    /// Eligible: the endpoint vanished in a sudden loss, answered a client shortly before, and is retained until this time.
     Retained(MonotonicTime),
-    /// Not eligible: Consul no longer lists it.
+    /// Not eligible: Consul no longer lists the instance.
     Deregistered,
 }
 
@@ -37,15 +37,15 @@
 /// An instance of a service at one address, and whether it gets requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Identifies its pair of instance id and address in this process.
+    /// Identifies the pair of instance id and address in this process.
     pub number: EndpointNumber,
     /// The instance as Consul last listed it.
     pub instance: Instance,
-    /// Whether it gets new requests; the same as `reason.is_eligible()`.
+    /// Whether the endpoint gets new requests; the same as `reason.is_eligible()`.
     pub eligible: bool,
-    /// Why it is eligible, or why not.
+    /// Why the endpoint is eligible, or why not.
     pub reason: EligibilityReason,
-    /// When it last became eligible; `None` if it has been eligible since the first list.
+    /// When the endpoint last became eligible; `None` if it has been eligible since the first list.
     pub eligible_since: Option<MonotonicTime>,
 }
 
@@ -70,16 +70,16 @@
     ListChanged {
         /// Number of endpoints in the list.
         listed: usize,
-        /// Number of those that are eligible.
+        /// Number of eligible endpoints in the list.
         eligible: usize,
     },
     /// An endpoint became eligible, ceased to be eligible, or is now suppressed by flap damping.
     EligibilityChanged {
-        /// Node name and service id of its instance.
+        /// Node name and service id of the endpoint's instance.
         id: String,
-        /// Whether it is eligible now.
+        /// Whether the endpoint is eligible now.
         eligible: bool,
-        /// Why it is eligible now, or why not.
+        /// Why the endpoint is eligible now, or why not.
         reason: EligibilityReason,
     },
     /// One response no longer lists a large share of the eligible endpoints, although Consul did not report them as unhealthy.
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -38,7 +38,7 @@
     reason: EligibilityReason,
 }
 
-/// Sizes of a list, as [`WatchEvent::ListChanged`] reports them.
+/// Sizes of an endpoint list, as [`WatchEvent::ListChanged`] reports them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ListCounts {
     listed: usize,
@@ -48,7 +48,7 @@
 /// Returns when an endpoint last answered a client; `None` if it never did.
 pub type LastAnswerAt<'a> = &'a dyn Fn(EndpointNumber) -> Option<MonotonicTime>;
 
-/// Returns whether an endpoint has attempts in flight. The record of such an endpoint is kept.
+/// Returns whether an endpoint has attempts in flight. The record of an endpoint with attempts in flight is kept.
 pub type HasAttempts<'a> = &'a dyn Fn(EndpointNumber) -> bool;
 
 /// Tracks the instances of one service and their histories, and decides which endpoints are eligible.
@@ -80,9 +80,9 @@
         }
     }
 
-    /// Uses the cached list at the start of the process. Its endpoints get no `eligible_since`, like those of a first response.
+    /// Uses the cached list at the start of the process. The cached endpoints get no `eligible_since`, as in a first response.
     ///
-    /// Consul's first response after it is not checked for a sudden loss: instances may have changed while this process was down.
+    /// Consul's next response is not checked for a sudden loss: instances may have changed while this process was down.
     pub fn restore(
         &mut self,
         now: MonotonicTime,
@@ -122,7 +122,7 @@
         self.evaluate(now, events)
     }
 
-    /// When the next flap suppression or retention ends; `None` if there is none.
+    /// When the next flap suppression or retention ends; `None` if none is in progress.
     pub fn next_deadline(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let deadlines = self.records.values().filter_map(Record::deadline);
         deadlines.filter(|&deadline| deadline > now).min()
@@ -143,7 +143,7 @@
     ) {
         let is_listed_and_eligible = |record: &&Record| record.is_listed() && record.is_eligible();
         let eligible_before = self.records.values().filter(is_listed_and_eligible).count();
-        self.records.values_mut().for_each(Record::set_unlisted);
+        self.records.values_mut().for_each(Record::mark_unlisted);
         for instance in instances {
             self.record_listed(now, instance);
         }
@@ -168,7 +168,7 @@
             *last_number = last_number.wrapping_add(1).max(1);
             Record::new(EndpointNumber(*last_number), instance.clone(), now, is_first_list)
         });
-        record.set_listed(instance);
+        record.apply_listed_instance(instance);
     }
 
     /// Returns the former keys of instances whose id is now listed at another address. They are not part of a sudden loss.
--- a/crates/catalogue/src/endpoint_tracker/flap_damping.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping.rs
@@ -6,7 +6,7 @@
 
 /// Flap count from which a recovery is suppressed. A single flap stays below it, because an ordinary restart causes one.
 const SUPPRESSION_THRESHOLD: f64 = 1.5;
-/// Maximum number of doublings of the suppression time, applied before its configured upper bound.
+/// Maximum number of doublings of the suppression time, applied before the configured upper bound of that time.
 const MAX_DOUBLINGS: f64 = 32.0;
 
 /// Flap count with exponential decay, and the start of the current healthy period.
@@ -42,7 +42,7 @@
         healthy_since + self.suppression(now.min(healthy_since), config)
     }
 
-    /// Whether there were more flaps than a restart causes. Uses the count at the last flap, without the decay since then.
+    /// Whether the endpoint flapped more often than in a restart, by the count at the last flap, without the decay since then.
     pub(super) fn has_repeated_flaps(&self) -> bool {
         self.flaps > SUPPRESSION_THRESHOLD
     }
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -21,7 +21,7 @@
     flap_damping: FlapDamping,
     /// End of the retention after a sudden loss; `None` if the endpoint is not retained.
     retained_until: Option<MonotonicTime>,
-    /// When a health response last dropped the instance without a retention. Before that, when the record was created.
+    /// When a health response last dropped the instance without a retention; until then, when the record was created.
     left_at: MonotonicTime,
 }
 
@@ -71,12 +71,12 @@
         self.left_at
     }
 
-    /// Whether the endpoint list contains it.
+    /// Whether the endpoint list contains the instance.
     pub(super) fn is_listed_or_eligible(&self) -> bool {
         self.listed || self.eligible
     }
 
-    /// Whether the last response dropped it while it was eligible. A retained instance vanished in an earlier response.
+    /// Whether the last response dropped the instance while it was eligible. A retained instance vanished in an earlier response.
     pub(super) fn has_vanished(&self) -> bool {
         !self.listed && self.eligible && self.retained_until.is_none()
     }
@@ -85,13 +85,13 @@
         self.retained_until.is_some_and(|until| now >= until)
     }
 
-    /// Whether its record is kept after its deregistration, because it flapped repeatedly and was deregistered recently.
+    /// Whether the record is kept after a deregistration, because the instance flapped repeatedly and left recently.
     pub(super) fn is_remembered_for_flaps(&self, now: MonotonicTime, config: &StabilityConfig) -> bool {
         let remembered_until = self.left_at + config.flap_half_life * REMEMBERED_HALF_LIVES;
         self.flap_damping.has_repeated_flaps() && now < remembered_until
     }
 
-    /// When its flap suppression or its retention ends.
+    /// When the flap suppression or the retention of the instance ends; `None` without either.
     pub(super) fn deadline(&self) -> Option<MonotonicTime> {
         match self.reason {
             EligibilityReason::Flapping(until) | EligibilityReason::Retained(until) => Some(until),
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Marks it as unlisted before a response is applied.
-    pub(super) fn set_unlisted(&mut self) {
+    /// Marks the instance as unlisted before a response is applied.
+    pub(super) fn mark_unlisted(&mut self) {
         self.listed = false;
     }
 
-    /// Applies its entry in the response, which also ends a retention.
-    pub(super) fn set_listed(&mut self, instance: Instance) {
+    /// Applies the instance's entry in the response, which also ends a retention.
+    pub(super) fn apply_listed_instance(&mut self, instance: Instance) {
         self.instance = instance;
         self.listed = true;
         self.retained_until = None;
@@ -129,7 +129,7 @@
         self.retained_until = None;
     }
 
-    /// Records the time of its deregistration, if the response is the first without it and it is not retained.
+    /// Records the time of the deregistration, if this response is the first without the instance and it is not retained.
     pub(super) fn record_departure(&mut self, now: MonotonicTime) {
         let has_left_before = self.reason == EligibilityReason::Deregistered;
         if !self.listed && self.retained_until.is_none() && !has_left_before {
@@ -137,14 +137,14 @@
         }
     }
 
-    /// Updates the start of its healthy period for flap damping.
+    /// Updates the start of the healthy period for flap damping.
     pub(super) fn update_health(&mut self, now: MonotonicTime, config: &StabilityConfig) {
         let is_health_sufficient = self.instance.health <= config.minimum_health;
         let is_healthy = self.listed && is_health_sufficient && self.instance.weight > 0.0;
         self.flap_damping.update_health(now, is_healthy);
     }
 
-    /// Decides whether it is eligible now. With `is_address_taken`, another eligible instance has the same address.
+    /// Decides whether the instance is eligible now. With `is_address_taken`, another eligible instance has the same address.
     pub(super) fn decide(
         &self,
         now: MonotonicTime,
--- a/crates/catalogue/src/error.rs
+++ b/crates/catalogue/src/error.rs
@@ -6,7 +6,7 @@
 /// Why a health response is rejected. The current endpoint list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The body is not JSON, or does not have the schema of the health API.
+    /// Parsing failed: the body is not JSON, or does not have the schema of the health API.
     #[error("the body is not a valid health response: {0}")]
     Unreadable(#[from] serde_json::Error),
     /// The response lists more than [`MAX_INSTANCES`] instances.
@@ -23,7 +23,7 @@
     /// The address is not an IP address. Host names are not resolved.
     #[error("address {0:?} is not an IP address")]
     Address(String),
-    /// The port is 0 or above 65535.
+    /// `Service.Port` is 0 or above 65535.
     #[error("port {0} is not in the range 1 to 65535")]
     Port(u32),
     /// The weight times the capacity is negative, above 65,535,000, or not a number.
@@ -40,23 +40,23 @@
 /// Why a cache file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CachedListError {
-    /// The file does not start with the header of a cache file.
-    #[error("it is not an endpoint cache file")]
+    /// The first line is not the header line of a cache file, so the configured path may be wrong.
+    #[error("the file is not an endpoint cache file")]
     NotACacheFile,
-    /// The file has a format version that this program does not support. The text has at most its first 16 characters.
-    #[error("its format version is {0:?}, but only {known} is supported", known = CACHE_VERSION)]
+    /// The file was written in another format version, of which the text has at most the first 16 characters.
+    #[error("the cache file has format version {0:?}, but only {known} is supported", known = CACHE_VERSION)]
     UnsupportedVersion(String),
-    /// The file is truncated or altered: its checksum does not match.
+    /// The checksum in the header line does not match, or the JSON cannot be parsed.
     #[error("it was cut short or altered")]
     Corrupt,
     /// Consul confirmed the list longer ago than the configured maximum age.
-    #[error("its list is {} s old, more than the maximum age", age.as_secs())]
+    #[error("the cached list is {} s old, more than the maximum age", age.as_secs())]
     TooOld {
         /// Time since Consul confirmed the list, in whole seconds.
         age: Duration,
     },
-    /// The list is dated more than the accepted clock skew in the future: the clock of its writer or of this host is wrong.
-    #[error("its list is dated {} s in the future", ahead.as_secs())]
+    /// The date is ahead of this host's clock by more than the accepted skew: the writer's or this host's clock is wrong.
+    #[error("the cached list is dated {} s in the future", ahead.as_secs())]
     DatedInFuture {
         /// Time from now until the date of the list.
         ahead: Duration,
--- a/crates/catalogue/src/error/tests.rs
+++ b/crates/catalogue/src/error/tests.rs
@@ -39,19 +39,19 @@
 #[test]
 fn a_cached_list_error_says_why_the_file_is_not_used() {
     for (error, text) in [
-        (CachedListError::NotACacheFile, "it is not an endpoint cache file"),
+        (CachedListError::NotACacheFile, "the file is not an endpoint cache file"),
         (
             CachedListError::UnsupportedVersion("2".into()),
-            "its format version is \"2\", but only 1 is supported",
+            "the cache file has format version \"2\", but only 1 is supported",
         ),
         (CachedListError::Corrupt, "it was cut short or altered"),
         (
             CachedListError::TooOld { age: Duration::from_secs(200) },
-            "its list is 200 s old, more than the maximum age",
+            "the cached list is 200 s old, more than the maximum age",
         ),
         (
             CachedListError::DatedInFuture { ahead: Duration::from_secs(900) },
-            "its list is dated 900 s in the future",
+            "the cached list is dated 900 s in the future",
         ),
     ] {
         assert_eq!(error.to_string(), text);
--- a/crates/catalogue/src/exponential_backoff.rs
+++ b/crates/catalogue/src/exponential_backoff.rs
@@ -5,9 +5,9 @@
 /// Initial and maximum delay of an exponential backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExponentialBackoff {
-    /// Backoff after the first failure. It doubles with each further consecutive failure.
+    /// Backoff after the first failure. The backoff doubles with each further consecutive failure.
     pub initial: Duration,
-    /// Upper bound of the backoff. One below a millisecond has the effect of one millisecond.
+    /// Upper bound of the backoff. A bound below one millisecond has the effect of one millisecond.
     pub max: Duration,
 }
 
--- a/crates/catalogue/src/health_response.rs
+++ b/crates/catalogue/src/health_response.rs
@@ -23,9 +23,9 @@
 /// An entry of a response that is not a valid instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidInstance {
-    /// Node name and service id.
+    /// Node name and service id of the entry, separated by a slash.
     pub id: String,
-    /// Why it is invalid.
+    /// Why the entry is invalid.
     pub error: InstanceError,
 }
 
--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -18,7 +18,7 @@
 /// from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HealthStatus {
-    /// All checks are passing, or there are none.
+    /// All checks are passing, or the instance has no checks.
     Passing,
     /// At least one check is in the warning state, and none is worse.
     Warning,
@@ -65,9 +65,9 @@
     pub address: SocketAddr,
     /// The worst status among the checks of the service and its node.
     pub health: HealthStatus,
-    /// The weight in `Service.Weights` for its health status, or 1 if absent, times the capacity in `Service.Meta`.
+    /// The weight in `Service.Weights` for the health status, or 1 if absent, times the capacity in `Service.Meta`.
     pub weight: f64,
-    /// When it started; `None` if `Service.Meta` has no start time.
+    /// When the instance started; `None` if `Service.Meta` has no start time.
     #[serde(rename = "started", default, with = "stored_time::optional")]
     pub started_at: Option<UnixTime>,
 }
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -41,11 +41,11 @@
 pub enum RegistrationChange {
     /// The agent has accepted the registration.
     Registered,
-    /// The agent no longer knows the registration: it has lost it, or has deregistered the service on request.
+    /// The agent has lost the registration, or has deregistered the service on request.
     Lost,
 }
 
-/// State of the registration: decides which request is due next. The caller sends it and reports the outcome.
+/// State of the registration, which decides which request is due next. The caller sends that request and reports the outcome.
 #[derive(Clone, Debug)]
 pub struct Registration {
     ttl: Duration,
--- a/crates/catalogue/src/stability.rs
+++ b/crates/catalogue/src/stability.rs
@@ -8,15 +8,15 @@
 pub struct StabilityConfig {
     /// The worst health status with which an endpoint is still eligible.
     pub minimum_health: HealthStatus,
-    /// Time for which an endpoint stays ineligible after it recovers from its second recent flap. It doubles with each further
-    /// flap.
+    /// Time for which an endpoint stays ineligible after it recovers from its second recent flap. The time doubles with each
+    /// further flap.
     pub flap_suppression: Duration,
-    /// Upper bound of the suppression time.
+    /// Upper bound of the doubled suppression time.
     pub max_flap_suppression: Duration,
     /// Half-life with which an endpoint's flap count decays.
     pub flap_half_life: Duration,
     /// A response is a sudden loss if it no longer lists at least this share (0 to 1) of the eligible endpoints. Endpoints that
-    /// it lists as unhealthy do not count.
+    /// the response lists as unhealthy do not count.
     pub sudden_loss_share: f64,
     /// Time for which endpoints are retained after a sudden loss.
     pub sudden_loss_retention: Duration,
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// The maximum time between two ticks. It bounds the delay until a stale health report is detected.
+/// The maximum time between two ticks, which bounds the delay until a stale health report is detected.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum number of events handled between two ticks, in addition to the first one.
 const MAX_EVENT_BATCH: usize = 256;
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -90,7 +90,7 @@
     fn log_failed_run(&mut self, now: ClockReading, run: &Run, outcome: &RunOutcome) {
         if let Some(LogPermit { suppressed }) = self.log_limiter.permit(LogKind::RunFailed, now.monotonic) {
             let reason = outcome.reason();
-            tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "run failed");
+            tracing::warn!(job = run.job, run = run.id.0, %reason, suppressed, "job run failed");
         }
     }
 
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// An error at the start of the cluster.
+/// Why the threads of the cluster cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// The gossip address cannot be bound.
@@ -14,7 +14,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// A thread cannot be started.
+    /// The operating system refused to create a thread.
     #[error("cannot start thread {name}: {source}")]
     SpawnThread {
         /// The name that the thread would have had.
--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{SyncSender, TrySendError};
 
-/// An input of the coordinator. It arrives through the bounded event queue.
+/// An input of the coordinator, which arrives through the bounded event queue.
 #[derive(Debug)]
 pub(crate) enum Event {
     DatagramReceived(Vec<u8>),
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -88,7 +88,7 @@
         self.update_membership(now, |membership, outputs| membership.tick(now, outputs))
     }
 
-    /// Handles a received datagram.
+    /// Authenticates and decodes a received datagram, and applies its gossip.
     pub(crate) fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8]) -> GossipChanges {
         let changes = self.update_membership(now, |membership, outputs| {
             membership.handle_datagram(now, bytes, outputs);
--- a/crates/cluster/src/handle.rs
+++ b/crates/cluster/src/handle.rs
@@ -62,7 +62,7 @@
         Ok(Arc::new(Self { events, clock_offset_ms }))
     }
 
-    /// Replaces the HTTP jobs. Blocks while the event queue is full.
+    /// Replaces the HTTP jobs. A job whose name remains keeps its state. Blocks while the event queue is full.
     pub fn set_http_jobs(&self, jobs: Vec<HttpJob>) {
         self.send(Event::HttpJobsChanged(jobs));
     }
@@ -77,7 +77,7 @@
         self.clock_offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 
-    /// Replaces the backends to check. Blocks while the event queue is full.
+    /// Replaces the backends to check. Backends that remain keep their reports. Blocks while the event queue is full.
     pub fn set_backends(&self, backends: Vec<Backend>) {
         self.send(Event::BackendsChanged(backends));
     }
@@ -100,7 +100,7 @@
     }
 
     fn send(&self, event: Event) {
-        // This blocks while the queue is full. The gossip receiver drops datagrams instead; see `offer_datagram`.
+        // `send` blocks while the event queue is full. The gossip receiver drops datagrams instead; see `offer_datagram`.
         let _ = self.events.send(event);
     }
 }
--- a/crates/cluster/src/job_table.rs
+++ b/crates/cluster/src/job_table.rs
@@ -23,22 +23,18 @@
         Self { http_jobs: BTreeMap::new(), backends: BTreeMap::new(), health_checks }
     }
 
-    /// Replaces the HTTP jobs.
     pub(crate) fn set_http_jobs(&mut self, jobs: Vec<HttpJob>) {
         self.http_jobs = jobs.into_iter().map(|job| (job_names::http_job(&job.name), job)).collect();
     }
 
-    /// Replaces the backends.
     pub(crate) fn set_backends(&mut self, backends: Vec<Backend>) {
         self.backends = backends.into_iter().map(|backend| (backend.id, backend.address)).collect();
     }
 
-    /// Returns the ids of the backends.
     pub(crate) fn backend_ids(&self) -> impl Iterator<Item = String> {
         self.backends.keys().cloned()
     }
 
-    /// Returns whether there is a backend with this id.
     pub(crate) fn has_backend(&self, id: &str) -> bool {
         self.backends.contains_key(id)
     }
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -9,7 +9,7 @@
 /// The minimum time between two logged events of one kind.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// A kind of log event.
+/// A kind of log event, whose rate is limited separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LogKind {
     AuthenticationFailed,
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -26,7 +26,7 @@
     HealthCheck { backend_id: String, address: SocketAddr, path: String, timeout: Duration },
 }
 
-/// The outcome of a run.
+/// The HTTP status with which a run ended, or why the run has none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
     /// The target responded with this HTTP status.
@@ -48,7 +48,7 @@
         match self {
             Self::Status(status) => format!("status {status}"),
             Self::Failed(reason) => reason.clone(),
-            Self::DeadlinePassed => "its deadline passed before it started".into(),
+            Self::DeadlinePassed => "the deadline of the run passed before the run started".into(),
         }
     }
 }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -10,7 +10,7 @@
 pub struct Settings {
     /// The name of this instance, unique in the cluster. Gossip, leases and the `Snowfield-By` header carry it.
     pub instance: String,
-    /// The settings of gossip. `None` for an instance that has no other members to find.
+    /// The settings of gossip. `None` for an instance that runs without other members.
     pub gossip: Option<Gossip>,
     /// The store that holds the leases of jobs.
     pub lease_store: LeaseStore,
@@ -26,7 +26,7 @@
     pub health_checks: Option<HealthChecks>,
 }
 
-/// The settings of gossip.
+/// The addresses, keys and periods of gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     /// The UDP address to which the gossip socket is bound.
@@ -62,7 +62,7 @@
     },
 }
 
-/// The settings of health checks.
+/// The request, the timeout and the thresholds of health checks.
 #[derive(Clone, Debug)]
 pub struct HealthChecks {
     /// The path of the GET request, with its leading slash.
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -25,7 +25,7 @@
     },
 }
 
-/// The client of the lease store.
+/// Calls the lease store, in memory or in Consul.
 #[derive(Debug)]
 pub(crate) enum StoreClient {
     /// Leases in the memory of this process.
--- a/crates/cluster/src/store_client/consul_api.rs
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -39,7 +39,7 @@
 }
 
 impl ConsulApi {
-    /// Makes a call and waits for its response.
+    /// Makes a call of the scheduler, which may take several HTTP requests, and waits for the response.
     pub(super) fn call(&self, call: StoreCall) -> StoreResponse {
         match call {
             StoreCall::OpenSession => StoreResponse::SessionOpened(self.open_session()),
--- a/crates/cluster/src/worker_pool.rs
+++ b/crates/cluster/src/worker_pool.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// The maximum number of tasks in a queue.
+/// The maximum number of tasks that wait for a worker thread.
 const QUEUE_CAPACITY: usize = 1_024;
 
 /// The queue of a worker pool. The threads end when all clones of the queue are dropped.
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct CacheFile {
     path: PathBuf,
-    /// The lists read at the start; `None` if there was no valid file.
+    /// The lists read from the file at the start; `None` if there was no valid file.
     initial_lists: Option<AgedList>,
     state: Mutex<State>,
 }
@@ -32,14 +32,15 @@
 pub struct CachedInstances {
     /// The instances that were eligible when Consul confirmed the list.
     pub instances: Vec<Instance>,
-    /// Time from Consul's confirmation of the list to its reading, in whole seconds.
+    /// Time between Consul's confirmation of the list and the reading of the file, in whole seconds.
     pub age: Duration,
 }
 
 #[derive(Debug)]
 struct State {
     services: InstancesByService,
-    /// Services without a response since the start. The file is not written while there are any, so that no list gets lost.
+    /// Services without a response since the start. The file is not written while this set is non-empty, so that no
+    /// list gets lost.
     services_without_response: BTreeSet<String>,
     written_at: Option<Instant>,
     written_services: InstancesByService,
@@ -48,7 +49,7 @@
 }
 
 impl State {
-    /// Whether all services have a response and a write is due: the first one, a renewal, or one of changed lists.
+    /// Whether all services have a response and the file must be written: the first time, as a renewal, or with changed lists.
     fn is_write_due(&self) -> bool {
         if !self.services_without_response.is_empty() {
             return false;
@@ -61,8 +62,8 @@
 }
 
 impl CacheFile {
-    /// Reads the file at `path`. An invalid file is logged and ignored. The file is first written once a list of each of
-    /// `services` has been stored.
+    /// Reads the cache file at `path`. Logs and ignores an invalid file. The file is first written once
+    /// [`CacheFile::store`] has got a list of each of `services`.
     pub fn open(path: PathBuf, max_age: Duration, services: impl IntoIterator<Item = String>) -> Self {
         let initial_lists = read(&path, max_age).unwrap_or_else(|error| {
             tracing::warn!(path = %path.display(), %error, "endpoint cache not usable");
@@ -78,7 +79,8 @@
         Self { path, initial_lists, state: Mutex::new(state) }
     }
 
-    /// Returns the instances of a service that were read at the start; `None` if the file was missing, invalid or without them.
+    /// Returns the instances of a service that were read at the start; `None` if the file was missing, invalid or
+    /// without this service.
     pub fn cached(&self, service: &str) -> Option<CachedInstances> {
         let initial_lists = self.initial_lists.as_ref()?;
         let instances = initial_lists.list.services.get(service)?.clone();
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -8,7 +8,7 @@
 /// Why a health query has no usable response. The previous endpoint list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The Consul servers have no leader, so the data may be out of date.
+    /// The response says that no leader is known, so its data may be out of date.
     #[error("the servers have no leader")]
     NoLeader,
     /// The responding server last heard from the leader longer ago than the maximum staleness.
@@ -17,7 +17,7 @@
         /// Time since the server's last contact with the leader.
         since_contact: Duration,
     },
-    /// The agent responded with a status other than 200.
+    /// Any status other than 200, for example 403 for a wrong ACL token.
     #[error("the agent responded with status {0}")]
     Status(u16),
     /// The HTTP exchange failed: no connection, a time-out, or a malformed or too large response.
@@ -29,7 +29,7 @@
 }
 
 impl QueryError {
-    /// Whether the agent responded, but its data is too stale to be used.
+    /// Whether the agent responded with data too stale to be used, so that the next query must go to the leader.
     pub fn is_stale(&self) -> bool {
         matches!(self, Self::NoLeader | Self::Stale { .. })
     }
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -22,7 +22,7 @@
 }
 
 impl LastAnswers {
-    /// Records that an endpoint has just answered a client.
+    /// Records now as the time at which an endpoint last answered a client.
     pub fn record(&self, endpoint: EndpointNumber) {
         let now = self.now();
         locked(&self.times).insert(endpoint, now);
@@ -33,7 +33,7 @@
         MonotonicTime::ZERO + self.clock_start.elapsed()
     }
 
-    /// When an endpoint last answered a client; `None` if it never did, or was forgotten.
+    /// When an endpoint last answered a client; `None` if it never did, or its time was removed.
     pub(crate) fn last_answer_at(&self, endpoint: EndpointNumber) -> Option<MonotonicTime> {
         locked(&self.times).get(&endpoint).copied()
     }
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -24,7 +24,7 @@
     done: SyncSender<()>,
 }
 
-/// The service instance to register.
+/// The name, id, address and TTL of the service instance to register.
 #[derive(Clone, Debug)]
 pub struct RegistrationConfig {
     /// Name of the service in Consul.
@@ -33,7 +33,7 @@
     pub id: String,
     /// The address at which clients reach this instance.
     pub address: SocketAddr,
-    /// Time after the last heartbeat at which its TTL check becomes critical.
+    /// Time after the last heartbeat at which the TTL check of the service becomes critical.
     pub ttl: Duration,
 }
 
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -46,7 +46,8 @@
 }
 
 impl ServiceWatch {
-    /// Creates a watch with the cached list, if there is one. In that case `on_list_change` gets the list before this returns.
+    /// Creates a watch. If there is a cached list, the watch starts with it, and `on_list_change` gets the list before `new`
+    /// returns.
     pub fn new(
         consul_config: ConsulConfig,
         config: WatchConfig,
@@ -119,7 +120,7 @@
         self.publish(state, list, &events);
     }
 
-    /// Ends the flap suppressions and retentions that have expired. The caller runs this about twice a second.
+    /// Ends the flap suppressions and retentions that have expired. The caller calls `advance` about twice a second.
     pub fn advance(&self) {
         let mut state = locked(&self.state);
         let now = self.last_answers.now();
--- a/crates/consul/src/watch/log/tests.rs
+++ b/crates/consul/src/watch/log/tests.rs
@@ -30,7 +30,7 @@
 #[test]
 fn describes_each_reason_in_words_and_whole_seconds() {
     let watch = watch();
-    // When the text is made, slightly less than two seconds remain, and they are rounded up.
+    // Slightly less than two seconds remain when the text is made. The text rounds the remaining time up.
     let until = watch.last_answers.now() + Duration::from_secs(2);
     for (reason, text) in [
         (EligibilityReason::Listed, "it is listed"),
--- a/crates/consul/src/watch/status.rs
+++ b/crates/consul/src/watch/status.rs
@@ -35,25 +35,25 @@
 pub struct WatchStatus {
     /// Status of the listed and retained endpoints, in order of their numbers.
     pub endpoints: Vec<EndpointStatus>,
-    /// Text with the source of the list and the age of the last response, if there is one.
+    /// Text with the source of the list and, once an agent has responded, the age of the last response.
     pub origin: String,
 }
 
 /// Status of an endpoint, as the console shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointStatus {
-    /// Node name and service id of its instance.
+    /// Node name and service id of the endpoint's instance.
     pub id: String,
     /// Identifies the endpoint in this process.
     pub number: EndpointNumber,
-    /// Its health status if it is listed and eligible, or else the reason why it is retained or not eligible.
+    /// The instance's health status if the endpoint is listed and eligible, or else why it is retained or not eligible.
     pub description: String,
-    /// Whether it gets new requests.
+    /// Whether the endpoint gets new requests.
     pub eligible: bool,
 }
 
 impl ServiceWatch {
-    /// Returns the current status.
+    /// Returns the status of all endpoints of the current list, with the source of the list.
     pub fn status(&self) -> WatchStatus {
         let state = locked(&self.state);
         let endpoints = state.list.endpoints.iter().map(|endpoint| self.endpoint_status(endpoint)).collect();
--- a/crates/job_lease/src/consul.rs
+++ b/crates/job_lease/src/consul.rs
@@ -41,7 +41,7 @@
 /// An HTTP request to Consul.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The HTTP method.
+    /// `GET` for reads, `PUT` for all other calls.
     pub method: Method,
     /// The percent-encoded path and query.
     pub target: String,
@@ -54,12 +54,13 @@
         Self { method: Method::Put, target, body }
     }
 
-    /// Renews a session, so that its TTL starts again. Parse the response with [`Response::session_exists`].
+    /// Builds the request that renews a session, so that its TTL starts again. Parse the response with
+    /// [`Response::session_exists`].
     pub fn renew_session(session: &Session) -> Self {
         Self::put(format!("/v1/session/renew/{}", session.id), String::new())
     }
 
-    /// Ends a session. Consul then deletes the session key.
+    /// Builds the request that ends a session. Consul then deletes the session key.
     pub fn destroy_session(session: &Session) -> Self {
         Self::put(format!("/v1/session/destroy/{}", session.id), String::new())
     }
@@ -102,7 +103,8 @@
         format!("{}/{SESSIONS_FOLDER}/{id}", self.prefix)
     }
 
-    /// Reads the lease of one job, or of all jobs if `job` is `None`. Parse the response with [`LeaseKeys::listing`].
+    /// Builds the request that reads the lease of one job, or of all jobs if `job` is `None`. Parse the response with
+    /// [`LeaseKeys::listing`].
     pub fn read_request(&self, job: Option<&str>) -> Request {
         let target = match job {
             Some(job) => format!("/v1/kv/{}?consistent", escape_path(&self.job_key(job))),
--- a/crates/job_lease/src/decision.rs
+++ b/crates/job_lease/src/decision.rs
@@ -8,20 +8,21 @@
     /// The run to acquire.
     pub run: RunId,
     /// The id of the lease: the same for all attempts of one incarnation of an instance at one run, and distinct from the
-    /// ids of other instances and incarnations. Never 0, which marks a seed.
+    /// ids of other instances and incarnations. Never 0, the lease id of a seed record ([`LeaseRecord::seed`]).
     pub lease_id: u64,
-    /// The run with which an absent key is seeded: the run at the time of the instance's clock plus the maximum clock skew.
-    /// No instance can have acquired a later run.
+    /// The run that the seed record of an absent key settles: the run at the time of the instance's clock plus the maximum
+    /// clock skew. No instance can have acquired a later run.
     pub seed_run: RunId,
 }
 
 impl AcquireRequest {
-    /// Returns the record that acquires the run for the instance named `holder`.
+    /// Returns the record whose successful write acquires the run for the instance named `holder`.
     pub fn lease_record(&self, holder: &str) -> LeaseRecord {
         LeaseRecord { run: self.run, holder: holder.to_owned(), lease_id: self.lease_id }
     }
 
-    /// Returns the record that seeds an absent key. It settles the requested run even if that is later than `seed_run`.
+    /// Returns the seed record ([`LeaseRecord::seed`]) for an absent key. The record settles all runs up to `seed_run` or the
+    /// requested run, whichever is later.
     pub fn seed_record(&self) -> LeaseRecord {
         LeaseRecord::seed(self.seed_run.max(self.run))
     }
@@ -30,14 +31,15 @@
 /// The next step of an instance that wants to acquire a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// Give up the run. The record of another lease or of a seed settles it.
+    /// Give up the run: the stored record settles it, as the lease of another instance or as a seed without a lease holder.
     Settled,
     /// Start the run unless its deadline has passed. The key already holds this lease, so an earlier write of the instance
     /// was applied and its response lost.
     AlreadyHeld,
-    /// Write the seed record by compare-and-set, which fails if the key exists by then. The run does not start.
+    /// Write [`AcquireRequest::seed_record`] by compare-and-set, which fails if the key exists by then. The run does not
+    /// start.
     Seed,
-    /// Write the lease record by compare-and-set.
+    /// Write [`AcquireRequest::lease_record`] by compare-and-set, which fails if the key has changed.
     CompareAndSet {
         /// The index that the key must still have for the write to be applied.
         expected_index: u64,
--- a/crates/job_lease/src/error.rs
+++ b/crates/job_lease/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::error::Error;
 
-/// The error of a call to the lease store.
+/// Why a call to the lease store failed, and whether the store may have applied it.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The call was not applied. It was rejected or never sent.
@@ -37,10 +37,10 @@
         /// The full key of the job, with the prefix.
         key: String,
     },
-    /// A transaction was rolled back, but the response lists no error.
+    /// The store responded with status 409 to a transaction without saying which operation failed.
     #[error("a transaction was rolled back, but the response lists no error")]
     RollbackWithoutError,
-    /// A transaction succeeded, but the response does not contain the job's key.
+    /// The store confirmed a transaction without the job's key, so the new index of the key is unknown.
     #[error("a transaction succeeded, but the response does not contain the key {key:?}")]
     KeyMissingInResponse {
         /// The full key of the job, with the prefix.
@@ -49,7 +49,7 @@
     /// The HTTP client failed to send the request or to read the response.
     #[error("{0}")]
     Transport(#[source] Box<dyn Error + Send + Sync>),
-    /// The call timed out.
+    /// The timeout of the call passed without a complete response.
     #[error("the store did not respond in time")]
     NoResponse,
     /// The call was not sent because the call queue is full.
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -18,7 +18,7 @@
 }
 
 impl From<UnixTime> for RunId {
-    /// Returns the run with this scheduled time.
+    /// Returns the id of the run that is scheduled for this time.
     fn from(scheduled: UnixTime) -> Self {
         Self(scheduled.as_millis())
     }
@@ -30,30 +30,31 @@
     }
 }
 
-/// The lease id that marks a seed.
+/// The lease id of a seed record, which settles runs without a lease holder.
 const SEED_LEASE_ID: u64 = 0;
 
 /// The value under a job's key, which states the last settled run. It is stored as JSON with the names given by `rename`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The acquired run, or the run of the seed. This run and all earlier ones are settled.
+    /// The acquired run or, in a seed record, the last run that must not start. This run and all earlier ones are settled.
     #[serde(rename = "round")]
     pub run: RunId,
-    /// The name of the instance that holds the lease. Empty for a seed.
+    /// The name of the instance that holds the lease. Empty in a seed record ([`LeaseRecord::seed`]).
     #[serde(rename = "by")]
     pub holder: String,
-    /// The id of the lease. A restarted instance uses a different one for the same run. 0 for a seed.
+    /// The id of the lease; 0 in a seed record. A restarted instance uses a different id for the same run.
     #[serde(rename = "id")]
     pub lease_id: u64,
 }
 
 impl LeaseRecord {
-    /// Returns a seed: a record that settles all runs up to and including this one without a lease holder.
+    /// Returns a seed record, which settles all runs up to and including this one without a lease holder: none of them can be
+    /// acquired.
     pub fn seed(run: RunId) -> Self {
         Self { run, holder: String::new(), lease_id: SEED_LEASE_ID }
     }
 
-    /// Returns whether the record is a seed, so that no instance holds the lease.
+    /// Returns whether no instance holds the lease, because the record is a seed ([`LeaseRecord::seed`]).
     pub fn is_seed(&self) -> bool {
         self.lease_id == SEED_LEASE_ID
     }
@@ -62,7 +63,7 @@
 /// A lease record and the version of the key that holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredLease {
-    /// The record stored under the key.
+    /// The record of the last settled run.
     pub record: LeaseRecord,
     /// The store's index at the key's last modification (Consul's `ModifyIndex`).
     pub modify_index: u64,
--- a/crates/job_lease/src/store.rs
+++ b/crates/job_lease/src/store.rs
@@ -5,7 +5,7 @@
 /// The expected index of a compare-and-set that requires that the key does not exist.
 pub const ABSENT_KEY_INDEX: u64 = 0;
 
-/// A session with the store. Writes bound to it fail after the session has ended.
+/// A session with the store. Writes bound to the session fail after its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Session {
     /// The session id assigned by the store.
@@ -41,7 +41,7 @@
     pub lease: Option<StoredLease>,
 }
 
-/// The result of a read.
+/// The leases that a read of the store returned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseListing {
     /// One entry per requested job, in the order of the request.
--- a/crates/periodic_jobs/src/action.rs
+++ b/crates/periodic_jobs/src/action.rs
@@ -7,11 +7,11 @@
 /// An action that the scheduler's driver must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Call the lease store.
+    /// Make this call to the lease store and return its response to the scheduler.
     CallStore(StoreCall),
     /// Start a run whose lease this instance holds, if [`Run::may_start`] still allows it.
     StartRun(Run),
-    /// Log a notice for operators.
+    /// Log this event for operators.
     Notify(Notice),
 }
 
@@ -20,40 +20,41 @@
 pub enum Notice {
     /// Successive calls to the lease store have failed. No run starts until the store has recovered.
     StoreUnavailable {
-        /// The cause of the last failure.
+        /// The cause of the last failed call, as text for the log.
         reason: String,
     },
     /// A call to the lease store has succeeded after [`Notice::StoreUnavailable`].
     StoreAvailable,
-    /// All cached leases were discarded and are read again.
+    /// The session and all cached leases were discarded. Leases are read again before the next runs.
     StoreReset(ResetReason),
-    /// The key of a job was absent and has been seeded. Runs up to the seeded one do not start.
+    /// The key of a job was absent, and now has a seed record ([`LeaseRecord::seed`](job_lease::LeaseRecord::seed)). No run up to
+    /// the one in this record starts.
     Seeded {
-        /// The name of the job whose key was seeded.
+        /// The name of the job whose key was absent.
         job: String,
-        /// The seeded run.
+        /// The last run that does not start, as the seed record states.
         run: RunId,
     },
-    /// A run was acquired, but its deadline has passed. It does not start.
+    /// A run was acquired, but its deadline has passed, so the run does not start.
     AcquiredTooLate {
         /// The name of the job whose run does not start.
         job: String,
-        /// The acquired run.
+        /// The acquired run, which no instance starts any more.
         run: RunId,
     },
     /// The response to a compare-and-set was lost, and a read has confirmed the lease.
     LeaseRecovered {
         /// The name of the job whose lease was confirmed.
         job: String,
-        /// The run of the confirmed lease.
+        /// The run that the confirmed lease covers. The run starts unless its deadline has passed.
         run: RunId,
     },
     /// A lease record holds a run that no instance whose clock is within the maximum skew can have acquired or seeded. The clock
     /// of some instance is wrong.
     RecordAheadOfClock {
-        /// The name of the job whose record is ahead.
+        /// The name of the job whose lease record is ahead.
         job: String,
-        /// The run in the lease record.
+        /// The run in the lease record, whose scheduled time is too far in the future.
         run: RunId,
     },
     /// The Unix clock was stepped: it advanced by more or less than the monotonic clock.
--- a/crates/periodic_jobs/src/clock.rs
+++ b/crates/periodic_jobs/src/clock.rs
@@ -7,9 +7,9 @@
 /// A point in time, read on both clocks of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The time on the Unix clock. It may be stepped in either direction.
+    /// The time on the Unix clock, which may be stepped in either direction.
     pub unix: UnixTime,
-    /// The time on the monotonic clock. It never decreases, and is comparable only within one process.
+    /// The time on the monotonic clock, which never decreases and is comparable only within one process.
     pub monotonic: MonotonicTime,
 }
 
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -9,7 +9,7 @@
 /// A periodic job. In each period, at most one instance runs it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Job {
-    /// The name, which must be the same on all instances.
+    /// The name of the job, the same on all instances.
     pub name: String,
     /// The time between the scheduled times of two runs. Fractions of a millisecond are ignored.
     pub period: Duration,
@@ -35,7 +35,7 @@
 /// A run that this instance has acquired and may start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The name of the job.
+    /// The name of the job to which the run belongs.
     pub job: String,
     /// The id of the run: its scheduled time, and its fencing token.
     pub id: RunId,
--- a/crates/periodic_jobs/src/rendezvous.rs
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -14,7 +14,7 @@
 pub struct JobHash(pub u64);
 
 impl JobHash {
-    /// Returns the hash of the job with this name.
+    /// Hashes the name of a job.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name))
     }
@@ -25,7 +25,7 @@
 pub struct MemberHash(pub u64);
 
 impl MemberHash {
-    /// Returns the hash of the member with this name.
+    /// Hashes the name of a member, which is its instance name.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name))
     }
@@ -47,7 +47,7 @@
 }
 
 impl MembershipChange {
-    /// Returns whether no member joined or left.
+    /// Whether both sets have the same members.
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty() && self.left.is_empty()
     }
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -101,7 +101,7 @@
         self.jobs.iter().map(|state| state.status(&self.members, self.local_member)).collect()
     }
 
-    /// Returns whether the lease store is unavailable: its last calls have failed.
+    /// Returns whether the last calls to the lease store have failed, so that no run starts.
     pub fn is_store_unavailable(&self) -> bool {
         self.store.is_unavailable()
     }
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -80,7 +80,7 @@
         let state = &self.jobs[job_index];
         let Config { instance, incarnation, max_clock_skew, .. } = &self.config;
         let run = state.current_run;
-        // The hash differs for each incarnation of an instance. Its lowest bit is set because the id 0 marks a seed.
+        // The hash differs for each incarnation of an instance. Its lowest bit is set because 0 is the lease id of a seed record.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
         let seed_run = state.job.run_at(now.unix + *max_clock_skew);
         AcquireRequest { run, lease_id, seed_run }
--- a/crates/periodic_jobs/src/scheduler/attempt_queue.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt_queue.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Cancels all attempts.
+    /// Cancels the attempts of all jobs.
     pub(super) fn clear(&mut self) {
         self.by_time.clear();
         self.due_at_by_job.clear();
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -7,7 +7,7 @@
 /// The status of a job, as seen by one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStatus {
-    /// The job's name and period.
+    /// The name and the period of the job.
     pub job: Job,
     /// The name of the live member with rank 0, which attempts each run first.
     pub owner: String,
@@ -22,9 +22,9 @@
 /// The run in the last lease record that an instance has seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastRun {
-    /// The acquired run, or the run of a seed.
+    /// The acquired run. In a seed record, which has no lease holder, the last run that does not start.
     pub run: RunId,
-    /// The name of the instance that holds the lease. Empty for a seed.
+    /// The name of the instance that holds the lease. Empty in a seed record.
     pub holder: String,
 }
 
@@ -44,7 +44,7 @@
     /// The write with this id is pending.
     Writing {
         call: CallId,
-        /// Whether the record to write is a seed.
+        /// Whether the record to write is a seed record, which settles runs without a lease holder.
         is_seed: bool,
     },
     /// The outcome of a write is unknown. The lease must be read before the attempt continues.
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Starts the acquired run. If the written record is a seed, schedules the first run after the seeded one instead.
+    /// Starts the acquired run. If the written record is a seed record, which settles runs without a lease holder, schedules the first
+    /// run after the settled ones instead.
     fn handle_applied_write(
         &mut self,
         job_index: usize,
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -16,7 +16,7 @@
     is_opening: bool,
     /// Whether a call that renews the session is pending.
     is_renewing: bool,
-    /// The time from which the interval until the next renewal counts.
+    /// The start of the interval after which the session is renewed next.
     renewed_at: MonotonicTime,
     /// The id of the last read or write.
     last_call: CallId,
@@ -27,7 +27,7 @@
     /// The time of the last trial (a call that checks whether the unavailable store has recovered) or of the last call to open
     /// a session.
     last_trial_at: MonotonicTime,
-    /// The highest index of the store since the last reset. 0 if unknown.
+    /// The store's highest index since the last reset. 0 if unknown.
     store_index: u64,
 }
 
--- a/crates/periodic_jobs/src/store_call.rs
+++ b/crates/periodic_jobs/src/store_call.rs
@@ -7,33 +7,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A call to the lease store. Its response goes to
+/// A call to the lease store. The driver passes the response to
 /// [`Scheduler::handle_store_response`](crate::Scheduler::handle_store_response).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
     /// Open a session, to which all writes are bound.
     OpenSession,
-    /// Renew a session before it expires.
+    /// Renew this session, so that its TTL starts again.
     RenewSession(Session),
-    /// Read the leases of these jobs.
+    /// Read the leases of several jobs in one call.
     ReadLeases {
-        /// The id of this call.
+        /// Identifies the call in [`StoreResponse::LeasesRead`].
         call: CallId,
         /// The names of the jobs whose leases are read.
         jobs: Vec<String>,
     },
-    /// Acquire a run of a job, or seed the job's key, by compare-and-set.
+    /// Write a lease record or a seed record ([`LeaseRecord::seed`]) by compare-and-set.
     CompareAndSet {
-        /// The id of this call.
+        /// Identifies the call in [`StoreResponse::CompareAndSetDone`].
         call: CallId,
         /// The name of the job whose key is written.
         job: String,
-        /// The lease record to write.
+        /// The record to write. A lease record acquires the run, a seed record does not.
         record: LeaseRecord,
         /// The index that the key must still have, or [`ABSENT_KEY_INDEX`](job_lease::ABSENT_KEY_INDEX) if the key must not
         /// exist.
         expected_index: u64,
-        /// The session that the write is bound to.
+        /// The session that the write is bound to: the store rejects the write if the session has ended.
         session: Session,
     },
 }
@@ -41,22 +41,22 @@
 /// The response to a [`StoreCall`].
 #[derive(Debug)]
 pub enum StoreResponse {
-    /// The response to [`StoreCall::OpenSession`].
+    /// The new session, or why [`StoreCall::OpenSession`] failed.
     SessionOpened(Result<Session, StoreError>),
     /// The response to [`StoreCall::RenewSession`].
     SessionRenewed {
         /// The session that was to be renewed.
         session: Session,
-        /// Whether the session still exists.
+        /// Whether the session still exists; an error if the store has not answered that.
         result: Result<bool, StoreError>,
     },
     /// The response to [`StoreCall::ReadLeases`].
     LeasesRead {
         /// The id of the call.
         call: CallId,
-        /// The names of the jobs of the call.
+        /// The names of the jobs whose leases the call reads.
         jobs: Vec<String>,
-        /// The stored leases of these jobs.
+        /// The stored leases, one entry per job; an error if the read failed.
         result: Result<LeaseListing, StoreError>,
     },
     /// The response to [`StoreCall::CompareAndSet`].
@@ -67,7 +67,7 @@
         job: String,
         /// The lease record that was to be written.
         record: LeaseRecord,
-        /// Whether the record was written.
+        /// Whether the record was written, or why not.
         outcome: CompareAndSetOutcome,
     },
 }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the response that reports that the call failed with this error.
+    /// Returns the response to the call with `error` as its result.
     pub fn fail(self, error: StoreError) -> StoreResponse {
         match self {
             Self::OpenSession => StoreResponse::SessionOpened(Err(error)),
