--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -139,7 +139,7 @@
         match outcome {
             QueryOutcome::Response(index) => self.handle_response(agent, *index),
             QueryOutcome::TooStale => {
-                // The next query must be answered by the leader. If there is none, the query fails, and another agent is selected.
+                // The leader must answer the next query. If there is no leader, the query fails, and another agent is selected.
                 self.needs_leader = true;
                 self.back_off(now, agent);
                 Freshness::Unchanged
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -7,7 +7,7 @@
 use crate::{
     EligibilityReason, Endpoint, EndpointList, EndpointNumber, Instance, StabilityConfig, WatchEvent,
 };
-use record::Record;
+use record::InstanceRecord;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct EndpointTracker {
     config: StabilityConfig,
-    records: HashMap<InstanceKey, Record>,
+    records: HashMap<InstanceKey, InstanceRecord>,
     last_number: u32,
     /// Whether Consul has responded since the start.
     has_response: bool,
@@ -124,7 +124,7 @@
 
     /// When the next flap suppression or retention ends; `None` if none is in progress.
     pub fn next_deadline(&self, now: MonotonicTime) -> Option<MonotonicTime> {
-        let deadlines = self.records.values().filter_map(Record::deadline);
+        let deadlines = self.records.values().filter_map(InstanceRecord::deadline);
         deadlines.filter(|&deadline| deadline > now).min()
     }
 
@@ -141,9 +141,9 @@
         last_answer_at: LastAnswerAt<'_>,
         events: &mut Vec<WatchEvent>,
     ) {
-        let is_listed_and_eligible = |record: &&Record| record.is_listed() && record.is_eligible();
+        let is_listed_and_eligible = |record: &&InstanceRecord| record.is_listed() && record.is_eligible();
         let eligible_before = self.records.values().filter(is_listed_and_eligible).count();
-        self.records.values_mut().for_each(Record::mark_unlisted);
+        self.records.values_mut().for_each(InstanceRecord::mark_unlisted);
         for instance in instances {
             self.record_listed(now, instance);
         }
@@ -166,7 +166,7 @@
         let last_number = &mut self.last_number;
         let record = self.records.entry(InstanceKey::of(&instance)).or_insert_with(|| {
             *last_number = last_number.wrapping_add(1).max(1);
-            Record::new(EndpointNumber(*last_number), instance.clone(), now, is_first_list)
+            InstanceRecord::new(EndpointNumber(*last_number), instance.clone(), now, is_first_list)
         });
         record.apply_listed_instance(instance);
     }
@@ -174,9 +174,10 @@
     /// Returns the former keys of instances whose id is now listed at another address. They are not part of a sudden loss.
     fn moved_keys(&self) -> HashSet<InstanceKey> {
         let listed = self.records.values().filter(|record| record.is_listed());
-        let listed_ids: HashSet<&str> = listed.map(Record::id).collect();
-        let has_moved =
-            |key: &InstanceKey, record: &Record| !record.is_listed() && listed_ids.contains(key.id.as_str());
+        let listed_ids: HashSet<&str> = listed.map(InstanceRecord::id).collect();
+        let has_moved = |key: &InstanceKey, record: &InstanceRecord| {
+            !record.is_listed() && listed_ids.contains(key.id.as_str())
+        };
         self.keys_where(has_moved)
     }
 
@@ -185,7 +186,7 @@
         self.keys_where(|key, record| record.has_vanished() && !moved.contains(key))
     }
 
-    fn keys_where(&self, condition: impl Fn(&InstanceKey, &Record) -> bool) -> HashSet<InstanceKey> {
+    fn keys_where(&self, condition: impl Fn(&InstanceKey, &InstanceRecord) -> bool) -> HashSet<InstanceKey> {
         let selected = self.records.iter().filter(|(key, record)| condition(key, record));
         selected.map(|(key, _)| key.clone()).collect()
     }
@@ -247,7 +248,7 @@
     /// Decides the eligibility of all instances. Of several at one address, the one that is already eligible takes precedence,
     /// otherwise the one with the highest number, because it appeared last and replaces the others.
     fn decide(&mut self, now: MonotonicTime) -> Vec<Decision> {
-        let mut records: Vec<(&InstanceKey, &mut Record)> = self.records.iter_mut().collect();
+        let mut records: Vec<(&InstanceKey, &mut InstanceRecord)> = self.records.iter_mut().collect();
         records.sort_by_key(|(_, record)| (!record.is_eligible(), Reverse(record.number())));
         let mut taken_addresses = HashSet::new();
         let mut decisions = Vec::with_capacity(records.len());
@@ -281,7 +282,7 @@
 
     fn list(&self) -> EndpointList {
         let listed_or_eligible = self.records.values().filter(|record| record.is_listed_or_eligible());
-        let mut endpoints: Vec<Endpoint> = listed_or_eligible.map(Record::endpoint).collect();
+        let mut endpoints: Vec<Endpoint> = listed_or_eligible.map(InstanceRecord::endpoint).collect();
         endpoints.sort_by_key(|endpoint| endpoint.number);
         EndpointList { endpoints }
     }
@@ -290,7 +291,7 @@
     /// up to [`MAX_REMEMBERED_INSTANCES`] that flapped repeatedly, so that they keep their flap counts for some half-lives.
     fn remove_departed(&mut self, now: MonotonicTime, has_attempts: HasAttempts<'_>) {
         let has_departed =
-            |record: &Record| !record.is_listed_or_eligible() && !has_attempts(record.number());
+            |record: &InstanceRecord| !record.is_listed_or_eligible() && !has_attempts(record.number());
         let config = &self.config;
         self.records.retain(|_, record| !has_departed(record) || record.is_remembered_for_flaps(now, config));
         let departed = self.records.iter().filter(|(_, record)| has_departed(record));
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -10,7 +10,7 @@
 
 /// The last listed state of an instance, its eligibility, and its flap history.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
+pub(super) struct InstanceRecord {
     number: EndpointNumber,
     instance: Instance,
     /// Whether the last health response lists the instance.
@@ -25,7 +25,7 @@
     left_at: MonotonicTime,
 }
 
-impl Record {
+impl InstanceRecord {
     /// Creates the record of an instance that is listed for the first time. An instance of the first list counts as healthy
     /// since time zero.
     pub(super) fn new(
--- a/crates/catalogue/src/health_response.rs
+++ b/crates/catalogue/src/health_response.rs
@@ -36,7 +36,7 @@
     ///
     /// Returns an error if the body is not a response of the health API, or has more than [`MAX_INSTANCES`] instances.
     pub fn parse(body: &[u8]) -> Result<Self, ResponseError> {
-        let entries: Vec<wire::Entry> = serde_json::from_slice(body)?;
+        let entries: Vec<wire::HealthEntry> = serde_json::from_slice(body)?;
         if entries.len() > MAX_INSTANCES {
             return Err(ResponseError::TooManyInstances { count: entries.len() });
         }
--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -1,6 +1,6 @@
 //! One instance of a service: its address, health status, weight and start time.
 
-use super::wire::{Check, Entry, Service};
+use super::wire::{Check, HealthEntry, Service};
 use crate::error::InstanceError;
 use crate::format::{CAPACITY_KEY, STARTED_KEY};
 use crate::stored_time;
@@ -73,7 +73,7 @@
 }
 
 impl Instance {
-    pub(super) fn from_entry(id: &str, entry: &Entry) -> Result<Self, InstanceError> {
+    pub(super) fn from_entry(id: &str, entry: &HealthEntry) -> Result<Self, InstanceError> {
         let checks = entry.checks.as_deref().unwrap_or_default();
         let health = checks.iter().map(HealthStatus::of_check).max().unwrap_or(HealthStatus::Passing);
         Ok(Self {
@@ -87,7 +87,7 @@
 }
 
 /// Returns the service's address and port, or the node's address if the service has none. Host names are not resolved.
-fn address_of(entry: &Entry) -> Result<SocketAddr, InstanceError> {
+fn address_of(entry: &HealthEntry) -> Result<SocketAddr, InstanceError> {
     let Service { address, port, .. } = &entry.service;
     let text = if address.is_empty() { &entry.node.address } else { address };
     let ip: IpAddr = text.parse().map_err(|_| InstanceError::Address(text.clone()))?;
--- a/crates/catalogue/src/health_response/wire.rs
+++ b/crates/catalogue/src/health_response/wire.rs
@@ -6,7 +6,7 @@
 /// One entry of the response: a service instance, its node, and the checks of both.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub(super) struct Entry {
+pub(super) struct HealthEntry {
     pub(super) node: Node,
     pub(super) service: Service,
     #[serde(default)]
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -105,9 +105,9 @@
 impl RunExecutor {
     fn execute(&self, run: &Run, task: &RunTask) -> RunOutcome {
         let response = match task {
-            RunTask::HttpCall { url, timeout } => self.call(run, url, *timeout),
+            RunTask::HttpCall { url, timeout } => self.send_http_call(run, url, *timeout),
             RunTask::HealthCheck { address, path, timeout, .. } => {
-                self.check(run, &format!("http://{address}{path}"), *timeout)
+                self.send_health_check(run, &format!("http://{address}{path}"), *timeout)
             }
         };
         match response.and_then(read_status) {
@@ -116,7 +116,12 @@
         }
     }
 
-    fn call(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
+    fn send_http_call(
+        &self,
+        run: &Run,
+        url: &str,
+        timeout: Duration,
+    ) -> Result<http::Response<Body>, ureq::Error> {
         with_timeout(self.agent.post(url), timeout)
             .header(INSTANCE_HEADER, &self.instance)
             .header(JOB_HEADER, job_names::configured_name(&run.job))
@@ -125,7 +130,12 @@
             .send_empty()
     }
 
-    fn check(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
+    fn send_health_check(
+        &self,
+        run: &Run,
+        url: &str,
+        timeout: Duration,
+    ) -> Result<http::Response<Body>, ureq::Error> {
         with_timeout(self.agent.get(url), timeout).header(RUN_HEADER, run.id.to_string()).call()
     }
 }
--- a/crates/cluster/src/store_client/consul_api.rs
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -49,7 +49,7 @@
                 StoreResponse::SessionRenewed { session, result }
             }
             StoreCall::ReadLeases { call, jobs } => {
-                let result = self.read(&jobs);
+                let result = self.read_leases(&jobs);
                 StoreResponse::LeasesRead { call, jobs, result }
             }
             StoreCall::CompareAndSet { call, job, record, expected_index, session } => {
@@ -80,7 +80,7 @@
     }
 
     /// Reads the leases of these jobs. A single lease is read by its key, several leases by listing the leases of all jobs.
-    fn read(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
+    fn read_leases(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
         let single_job = if let [job] = jobs { Some(job.as_str()) } else { None };
         let response = self.send(&self.keys.read_request(single_job))?;
         let mut listing = self.keys.listing(&response, jobs)?;
--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -28,7 +28,7 @@
     pub keys: Keyring,
     /// The file of the replica's log. Unused if the node is not a replica.
     pub log: PathBuf,
-    /// How long a lease is valid.
+    /// How long a lease is valid after the node has sent the request for it.
     pub lease_duration: Duration,
 }
 
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Updates the view if the response is accepted.
+    /// Updates the node's [`ConfigView`](crate::ConfigView) if the lease client accepts the response.
     fn on_lease_response(&mut self, now: MonotonicTime, response: LeaseResponse, texts: VersionTexts) {
         if let Some(numbers) = self.lease_requester.on_response(now, response) {
             let expires_at = self.lease_requester.expires_at();
--- a/crates/config_node/src/error.rs
+++ b/crates/config_node/src/error.rs
@@ -13,7 +13,7 @@
         /// The file of the log.
         path: PathBuf,
     },
-    /// A file cannot be read or written.
+    /// An I/O operation on the log or on its frame count failed.
     #[error("{}: cannot read or write the file: {source}", .path.display())]
     File {
         /// The file that cannot be read or written.
@@ -21,7 +21,7 @@
         /// The I/O error.
         source: io::Error,
     },
-    /// The file that counts the log's frames is truncated or damaged.
+    /// Without a valid frame count, missing frames at the end of the log cannot be detected.
     #[error("{}: the frame count of the log is truncated or damaged", .path.display())]
     DamagedFrameCount {
         /// The file that holds the frame count.
@@ -33,7 +33,7 @@
         /// The file of the log.
         path: PathBuf,
     },
-    /// The log holds fewer intact frames than were written.
+    /// Frames that were counted are missing: the replica may have cast a vote that the log no longer records.
     #[error("{}: only {intact} of {written} log frames are intact", .path.display())]
     MissingFrames {
         /// The file of the log.
@@ -43,7 +43,7 @@
         /// Number of frames that were written, according to the frame count.
         written: u64,
     },
-    /// The records of a frame cannot be decoded or encoded.
+    /// The encoding rejected the records of a frame.
     #[error("{}: cannot decode or encode log records: {source}", .path.display())]
     Records {
         /// The file of the log.
@@ -59,7 +59,7 @@
         /// The reason why the records are rejected.
         source: replicated_config::Error,
     },
-    /// The node cannot listen on its address.
+    /// The configured listen address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The configured listen address.
@@ -67,10 +67,10 @@
         /// The I/O error.
         source: io::Error,
     },
-    /// A thread cannot be started.
+    /// The operating system refused to create a thread.
     #[error("cannot start a thread: {0}")]
     Thread(#[source] io::Error),
-    /// A connection failed or timed out.
+    /// An I/O error occurred while a connection was opened, read or written.
     #[error("the connection failed or timed out: {0}")]
     Connection(#[from] io::Error),
     /// The length field of a received frame exceeds the maximum size of an authenticated message.
@@ -81,10 +81,10 @@
         /// Maximum size in bytes.
         max: usize,
     },
-    /// A frame is not authenticated by any key of this node.
+    /// The sender signed with a key that is not in this node's keyring, or the frame was altered.
     #[error("a message is not authenticated by any of this node's keys")]
     Unauthenticated,
-    /// An authenticated frame does not hold a valid message.
+    /// The decoder rejected the content of an authenticated frame.
     #[error("an authenticated frame holds no valid message: {0}")]
     Message(#[source] replicated_config::Error),
 }
--- a/crates/config_node/src/message_io.rs
+++ b/crates/config_node/src/message_io.rs
@@ -21,18 +21,18 @@
         Self(Arc::new(Mutex::new(keys)))
     }
 
-    pub(crate) fn replace(&self, keys: Keyring) {
+    pub(crate) fn replace_keyring(&self, keys: Keyring) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = keys;
     }
 
-    fn current(&self) -> Keyring {
+    fn current_keyring(&self) -> Keyring {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 /// Authenticates and writes a message.
 pub(crate) fn write_message(stream: &mut impl Write, message: &Message, keys: &SharedKeys) -> io::Result<()> {
-    let authenticated = keys.current().sign(&message.encode());
+    let authenticated = keys.current_keyring().sign(&message.encode());
     let length = (authenticated.len() as u32).to_le_bytes();
     stream.write_all(&[&length[..], &authenticated].concat())
 }
@@ -40,7 +40,7 @@
 /// Reads and verifies a message.
 pub(crate) fn read_message(stream: &mut impl Read, keys: &SharedKeys) -> Result<Message, Error> {
     let frame = read_frame(stream)?;
-    let keys = keys.current();
+    let keys = keys.current_keyring();
     let encoded = keys.verify_frame(&frame).ok_or(Error::Unauthenticated)?;
     Message::decode(encoded).map_err(Error::Message)
 }
--- a/crates/config_node/src/node.rs
+++ b/crates/config_node/src/node.rs
@@ -19,7 +19,7 @@
 /// Maximum number of events that wait for the thread that owns the node's state.
 const MAX_QUEUED_EVENTS: usize = 1_024;
 
-/// A running node. It stops when its handle is dropped and its connections are closed.
+/// A running node, which stops when this handle is dropped and its connections are closed.
 pub struct Node {
     events: SyncSender<Event>,
     keys: SharedKeys,
@@ -56,7 +56,7 @@
 
     /// Replaces the keys that authenticate messages. Open connections use the new keys from the next message on.
     pub fn set_keys(&self, keys: Keyring) {
-        self.keys.replace(keys);
+        self.keys.replace_keyring(keys);
     }
 
     /// Requests the status that the admin console shows. The status arrives on the returned channel. If the
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A node's status.
+/// The versions, the remaining lease and the replica of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
     /// The version in force; [`ConfigVersion::NONE`] before the first.
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -10,7 +10,7 @@
 /// Maximum time between two checks of the lease's expiry.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Called with the new view whenever it changes.
+/// Called with the new [`ConfigView`] whenever the enforced versions or the validity of the lease change.
 pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
 
 /// The versions that a gatekeeper enforces, and whether it holds a lease on them.
@@ -20,11 +20,12 @@
     pub in_force: Option<Version>,
     /// The proposed version, which will follow the one in force; `None` if none is proposed.
     pub proposed: Option<Version>,
-    /// Whether the gatekeeper holds a valid lease. Without one there may be later versions that it does not know of.
+    /// Whether the gatekeeper holds a valid lease. Without a lease there may be later versions that the
+    /// gatekeeper does not know of.
     pub has_lease: bool,
 }
 
-/// The view, the state from which it is derived, and the listener to notify.
+/// The last published [`ConfigView`], the state from which it is derived, and the listener to notify.
 struct ViewState {
     node_name: String,
     view: ConfigView,
@@ -40,7 +41,7 @@
         Self { node_name, view, texts, lease_expires_at: MonotonicTime::ZERO, listener }
     }
 
-    /// Derives the view again, and calls the listener if the view has changed.
+    /// Derives the [`ConfigView`] from the known versions and the lease, and calls the listener if it has changed.
     fn publish(&mut self, now: MonotonicTime) {
         let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at > MonotonicTime::ZERO;
         let VersionTexts { in_force, proposed } = self.texts.clone();
@@ -48,7 +49,7 @@
         let view = ConfigView { in_force, proposed, has_lease };
         if view != self.view {
             (self.listener)(&view);
-            self.log(&view);
+            self.log_view(&view);
             self.view = view;
         }
     }
@@ -62,9 +63,9 @@
         }
     }
 
-    fn log(&self, view: &ConfigView) {
-        let version = ConfigVersion::of(view.in_force.as_ref()).0;
-        let proposed = ConfigVersion::of(view.proposed.as_ref()).0;
+    fn log_view(&self, view: &ConfigView) {
+        let version = ConfigVersion::number_of(view.in_force.as_ref()).0;
+        let proposed = ConfigVersion::number_of(view.proposed.as_ref()).0;
         let (leased, name) = (view.has_lease, &self.node_name);
         match (leased, proposed) {
             (false, _) => {
@@ -93,7 +94,7 @@
     VersionTexts { in_force: take_version(numbers.in_force), proposed: take_version(numbers.proposed) }
 }
 
-/// The view, shared by the thread that owns the node's state and the thread that watches the lease.
+/// The [`ConfigView`] of the node, shared by the thread that owns the node's state and the thread that watches the lease.
 pub(crate) struct SharedView {
     state: Mutex<ViewState>,
     updated: Condvar,
@@ -108,7 +109,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls the listener with the current view, whether or not it has changed.
+    /// Calls the listener with the current [`ConfigView`], whether or not the view has changed.
     pub(crate) fn notify_listener(&self) {
         let state = self.lock();
         (state.listener)(&state.view);
@@ -119,7 +120,7 @@
         self.lock().texts.numbers()
     }
 
-    /// Replaces the enforced versions by those with these numbers, whose texts are among `received` or the known versions.
+    /// Replaces the enforced versions by the versions `numbers`, whose texts are among `received` or the known versions.
     pub(crate) fn update(
         &self,
         now: MonotonicTime,
@@ -135,7 +136,8 @@
         self.updated.notify_all();
     }
 
-    /// Derives the view again, then waits until the lease may have expired or [`SharedView::update`] is called.
+    /// Publishes the [`ConfigView`] if it has changed, then waits until the lease may have expired or [`SharedView::update`]
+    /// is called.
     pub(crate) fn publish_and_wait(&self, now: MonotonicTime) {
         let mut state = self.lock();
         state.publish(now);
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -21,7 +21,7 @@
     #[error("the agent responded with status {0}")]
     Status(u16),
     /// The HTTP exchange failed: no connection, a time-out, or a malformed or too large response.
-    #[error("{0}")]
+    #[error("the HTTP request to the agent failed: {0}")]
     Transport(#[from] ureq::Error),
     /// The body is not a valid response of the health API.
     #[error("{0}")]
@@ -39,7 +39,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TokenError {
     /// The file is missing or cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot read the token file: {source}", path.display())]
     Unreadable {
         /// Path of the token file.
         path: PathBuf,
@@ -58,7 +58,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CacheFileError {
     /// The file exists but cannot be read.
-    #[error("{0}")]
+    #[error("cannot read the cache file: {0}")]
     Unreadable(#[from] io::Error),
     /// The contents are invalid, too old, or dated in the future.
     #[error("{0}")]
--- a/crates/health_check/src/config.rs
+++ b/crates/health_check/src/config.rs
@@ -5,7 +5,7 @@
 /// The configuration of a [`HealthTracker`](crate::HealthTracker).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The time between two checks of a backend. It also determines when a report is stale.
+    /// The time between two checks of a backend. The period also determines when a report is stale.
     pub period: Duration,
     /// The number of consecutive failed checks after which a healthy backend counts as failing. 0 has the effect of 1.
     pub unhealthy_threshold: u32,
--- a/crates/health_check/src/report.rs
+++ b/crates/health_check/src/report.rs
@@ -8,7 +8,7 @@
 /// encodings are the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// The time for which the check was scheduled. It orders the reports of a backend.
+    /// The time for which the check was scheduled, by which the reports of a backend are ordered.
     #[serde(with = "unix_millis")]
     pub scheduled_at: UnixTime,
     /// Whether the backend counts as failing by the thresholds. The result of this check may differ.
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -17,7 +17,7 @@
     Healthy,
     /// The backend is failing and receives no new requests.
     Ejected,
-    /// The backend is failing, but the ejection limit is reached. It is judged by its traffic alone.
+    /// The backend is failing, but the ejection limit is reached. The backend is judged by its traffic alone.
     EjectionLimited,
 }
 
@@ -131,7 +131,7 @@
         longest_failing.map(|backend| backend.id).collect()
     }
 
-    /// Returns the maximum number of ejected backends. It is rounded down: a fraction of 0.5 allows one of three backends.
+    /// Returns the maximum number of ejected backends. The limit is rounded down: a fraction of 0.5 allows one of three backends.
     fn max_ejected(&self) -> usize {
         (self.reports.len() as f64 * self.config.max_ejected_fraction) as usize
     }
--- a/crates/job_lease/src/error.rs
+++ b/crates/job_lease/src/error.rs
@@ -47,7 +47,7 @@
         key: String,
     },
     /// The HTTP client failed to send the request or to read the response.
-    #[error("{0}")]
+    #[error("the HTTP request to the store failed: {0}")]
     Transport(#[source] Box<dyn Error + Send + Sync>),
     /// The timeout of the call passed without a complete response.
     #[error("the store did not respond in time")]
--- a/crates/job_lease/src/error/tests.rs
+++ b/crates/job_lease/src/error/tests.rs
@@ -27,7 +27,10 @@
             StoreErrorCause::KeyMissingInResponse { key: key() },
             "a transaction succeeded, but the response does not contain the key \"snowfield/duties/d\"",
         ),
-        (StoreErrorCause::Transport("connection reset".into()), "connection reset"),
+        (
+            StoreErrorCause::Transport("connection reset".into()),
+            "the HTTP request to the store failed: connection reset",
+        ),
         (StoreErrorCause::NoResponse, "the store did not respond in time"),
         (StoreErrorCause::QueueFull, "the call was not sent because too many calls are queued"),
     ];
--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -13,9 +13,9 @@
 pub const OVERHEAD_BYTES: usize = 1 + TAG_BYTES;
 /// The maximum number of keys in a keyring: a key rotation needs the old and the new one.
 pub const MAX_KEYS: usize = 2;
-/// The length of a message authentication code, which is a BLAKE3 hash.
+/// The length in bytes of a message authentication code, which is a BLAKE3 hash.
 const TAG_BYTES: usize = 32;
-/// The length of a key.
+/// The length of a key in bytes.
 const KEY_BYTES: usize = 32;
 /// The first byte of each message, which identifies its format.
 const FORMAT_VERSION: u8 = 1;
@@ -29,7 +29,7 @@
 
 impl std::fmt::Debug for Keyring {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Secrets must not reach the log.
+        // Only the number of keys is written, because secrets must not reach the log.
         write!(f, "Keyring({})", self.keys.len())
     }
 }
@@ -37,16 +37,16 @@
 /// The reason why a key file is unusable. The error text never contains a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyringError {
-    /// The file contains no key.
+    /// All lines are empty or comments.
     #[error("it holds no key: a line of 64 hexadecimal digits is needed")]
     Empty,
-    /// The file contains more than [`MAX_KEYS`] keys.
-    #[error("it holds more than {MAX_KEYS} keys")]
+    /// The file contains more keys than a key rotation needs ([`MAX_KEYS`]).
+    #[error("the key file holds more than {MAX_KEYS} keys")]
     TooManyKeys,
-    /// A line is not 64 hexadecimal digits.
+    /// A line that is neither empty nor a comment has another length or other characters.
     #[error("line {line} is not 64 hexadecimal digits")]
     MalformedLine {
-        /// The line number, from 1.
+        /// The line number, counted from 1.
         line: usize,
     },
 }
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -33,7 +33,7 @@
 fn each_error_text_names_the_fault_in_the_key_file() {
     let texts = [
         (KeyringError::Empty, "it holds no key: a line of 64 hexadecimal digits is needed"),
-        (KeyringError::TooManyKeys, "it holds more than 2 keys"),
+        (KeyringError::TooManyKeys, "the key file holds more than 2 keys"),
         (KeyringError::MalformedLine { line: 7 }, "line 7 is not 64 hexadecimal digits"),
     ];
     for (error, text) in texts {
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -85,7 +85,7 @@
 
     /// Records that a member has failed.
     pub(crate) fn record_failure(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
-        self.failures.add(now, fingerprint);
+        self.failures.add_failure(now, fingerprint);
     }
 
     /// Activates dissemination if enough of the members are suspected or have failed. While dissemination is active, returns
--- a/crates/membership/src/bulk_failure/failure_log.rs
+++ b/crates/membership/src/bulk_failure/failure_log.rs
@@ -21,7 +21,7 @@
 
 impl FailureLog {
     /// Adds a failure, unless it is in the log already or the log is full.
-    pub(super) fn add(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
+    pub(super) fn add_failure(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
         if self.by_age.len() < MAX_FAILURES && self.learned_at.insert(fingerprint, now).is_none() {
             self.by_age.push_back(fingerprint);
             self.digest ^= fingerprint.0;
--- a/crates/membership/src/bulk_failure/failure_log/tests.rs
+++ b/crates/membership/src/bulk_failure/failure_log/tests.rs
@@ -7,7 +7,7 @@
 
 fn log_of(fingerprints: &[u64]) -> FailureLog {
     let mut log = FailureLog::default();
-    fingerprints.iter().for_each(|&fingerprint| log.add(START, MemberFingerprint(fingerprint)));
+    fingerprints.iter().for_each(|&fingerprint| log.add_failure(START, MemberFingerprint(fingerprint)));
     log
 }
 
@@ -20,7 +20,7 @@
 #[test]
 fn old_failures_are_removed_from_the_log_and_its_digest() {
     let mut log = log_of(&[1, 2]);
-    log.add(START + 5 * MAX_AGE, MemberFingerprint(4));
+    log.add_failure(START + 5 * MAX_AGE, MemberFingerprint(4));
     let now = START + Duration::from_millis(550);
     assert_eq!((log.count_within(MAX_AGE, now), log.count_within(6 * MAX_AGE, now)), (1, 3));
     log.remove_older_than(MAX_AGE, now);
@@ -37,6 +37,7 @@
 #[test]
 fn the_log_is_bounded() {
     let mut log = FailureLog::default();
-    (0..2 * MAX_FAILURES as u64).for_each(|fingerprint| log.add(START, MemberFingerprint(fingerprint)));
+    (0..2 * MAX_FAILURES as u64)
+        .for_each(|fingerprint| log.add_failure(START, MemberFingerprint(fingerprint)));
     assert_eq!(log.rotated(0).count(), MAX_FAILURES);
 }
--- a/crates/membership/src/bulk_failure/message.rs
+++ b/crates/membership/src/bulk_failure/message.rs
@@ -15,8 +15,8 @@
 pub(crate) struct MemberFingerprint(pub(crate) u64);
 
 impl MemberFingerprint {
-    /// Returns the fingerprint of a member.
-    pub(crate) fn of(member: &Member) -> Self {
+    /// Hashes the member's identity.
+    pub(crate) fn of_member(member: &Member) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(&postcard::to_stdvec(member).unwrap_or_default()))
     }
 
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -8,8 +8,8 @@
 
 /// The number of members that receive a ping-req after a direct ping has timed out.
 const INDIRECT_PROBES: usize = 3;
-/// The number of times that an update is piggybacked. It is high because, after a bulk failure, most of these transmissions
-/// go to dead members that are not yet detected as dead.
+/// The number of times that an update is piggybacked. The number is high because, after a bulk failure, most of these
+/// transmissions go to dead members that are not yet detected as dead.
 const MAX_TRANSMISSIONS: u8 = 30;
 /// The time for which a dead member is remembered, much longer than any delay of a datagram. A member that restarts within
 /// this time has a greater generation and is accepted at once.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -232,7 +232,7 @@
         let others = self.swim.iter_members().map(|member| member.id());
         let alive = others.chain([&self.config.local_member]);
         let failed: Vec<foca::Member<Member>> = alive
-            .filter(|member| fingerprints.contains(&MemberFingerprint::of(member)))
+            .filter(|member| fingerprints.contains(&MemberFingerprint::of_member(member)))
             .map(|member| foca::Member::down(member.clone()))
             .collect();
         // Bulk failure dissemination spreads these failures, so they need not be piggybacked on gossip as well.
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -35,9 +35,9 @@
 pub struct Counts {
     /// Datagrams passed to the driver for sending, whether or not the network delivers them.
     pub datagrams_sent: u64,
-    /// The total size of these datagrams, authentication codes included and UDP headers excluded.
+    /// The total size of the sent datagrams, authentication codes included and UDP headers excluded.
     pub bytes_sent: u64,
-    /// Authentic datagrams that were processed. Includes SWIM messages that then turned out to be malformed.
+    /// Authentic datagrams that were processed, including SWIM messages that then turned out to be malformed.
     pub datagrams_accepted: u64,
     /// Datagrams dropped because they were too large, in an unknown format or not signed with a key of the cluster.
     pub authentication_failures: u64,
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -43,7 +43,7 @@
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
             Notification::MemberDown(member) => {
-                self.failed.push(MemberFingerprint::of(member));
+                self.failed.push(MemberFingerprint::of_member(member));
                 self.members_changed = true;
             }
             Notification::MemberUp(_) | Notification::Rename(..) => self.members_changed = true,
--- a/crates/membership/src/topics.rs
+++ b/crates/membership/src/topics.rs
@@ -42,7 +42,7 @@
 
     /// Records a version if it is newer than the known one and there is capacity for its topic. Returns whether the version
     /// was recorded.
-    fn record(&mut self, topic: &str, version: u64) -> bool {
+    fn record_version(&mut self, topic: &str, version: u64) -> bool {
         let full = self.versions.len() >= self.max_topics;
         match self.versions.get_mut(topic) {
             Some(known) if *known >= version => false,
@@ -101,7 +101,7 @@
     ) -> Result<Option<BroadcastKey>, postcard::Error> {
         let broadcast: Broadcast = postcard::from_bytes(data)?;
         let mut topics = self.lock();
-        if !topics.record(&broadcast.topic, broadcast.version) {
+        if !topics.record_version(&broadcast.topic, broadcast.version) {
             return Ok(None);
         }
         let key = BroadcastKey { topic: broadcast.topic.clone(), version: broadcast.version };
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the number of members that this member considers alive. It is 0 for a dead member.
+    /// Returns the number of members that this member considers alive. The number is 0 for a dead member.
     fn alive_at(&self, number: usize) -> usize {
         self.members[number].as_ref().map_or(0, |member| member.alive_names().len())
     }
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -20,7 +20,7 @@
     /// spreads the load on the lease store.
     pub fn run_at(&self, time: UnixTime) -> RunId {
         let period_ms = whole_millis(self.period).max(1);
-        let offset_ms = JobHash::of(&self.name).0 % period_ms;
+        let offset_ms = JobHash::from_name(&self.name).0 % period_ms;
         let elapsed_ms = (time.as_millis() + period_ms - offset_ms) % period_ms;
         time.saturating_sub(Duration::from_millis(elapsed_ms)).into()
     }
--- a/crates/periodic_jobs/src/rendezvous.rs
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -15,7 +15,7 @@
 
 impl JobHash {
     /// Hashes the name of a job.
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
@@ -26,7 +26,7 @@
 
 impl MemberHash {
     /// Hashes the name of a member, which is its instance name.
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
@@ -72,7 +72,7 @@
     /// Replaces the set of live members. Returns which members joined and left.
     pub fn replace(&mut self, names: impl IntoIterator<Item = String>) -> MembershipChange {
         let after: BTreeMap<MemberHash, String> =
-            names.into_iter().map(|name| (MemberHash::of(&name), name)).collect();
+            names.into_iter().map(|name| (MemberHash::from_name(&name), name)).collect();
         let joined = after.keys().filter(|member| !self.names.contains_key(member)).copied().collect();
         let left = self.names.keys().filter(|member| !after.contains_key(member)).copied().collect();
         self.names = after;
--- a/crates/periodic_jobs/src/rendezvous/tests.rs
+++ b/crates/periodic_jobs/src/rendezvous/tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn when_a_member_leaves_only_its_jobs_move_and_every_other_member_takes_some() {
     let mut live_members = members(8);
-    let jobs: Vec<JobHash> = (0..800).map(|i| JobHash::of(&format!("d{i}"))).collect();
+    let jobs: Vec<JobHash> = (0..800).map(|i| JobHash::from_name(&format!("d{i}"))).collect();
     let mut rankings: Vec<Ranking> = jobs.iter().map(|&job| Ranking::new(job, &live_members, 4)).collect();
     let owners_before: Vec<_> = rankings.iter().map(Ranking::owner).collect();
     let change = live_members.replace((1..8).map(|i| format!("m{i}")));
@@ -31,7 +31,7 @@
 #[test]
 fn incremental_updates_give_the_same_ranking_as_a_rebuild() {
     let mut live_members = members(20);
-    for job in (0..50).map(|i| JobHash::of(&format!("d{i}"))) {
+    for job in (0..50).map(|i| JobHash::from_name(&format!("d{i}"))) {
         let mut ranking = Ranking::new(job, &live_members, 4);
         for step in 0..10 {
             let change = live_members.replace((step..20 + 2 * step).map(|i| format!("m{i}")));
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -44,7 +44,7 @@
         let mut members = Members::default();
         members.replace([config.instance.clone()]);
         Self {
-            local_member: MemberHash::of(&config.instance),
+            local_member: MemberHash::from_name(&config.instance),
             config,
             members,
             jobs: Vec::new(),
@@ -122,7 +122,7 @@
         }
         let mut jobs_to_read = Vec::new();
         while let Some(job_index) = self.attempts.pop_due(now.unix) {
-            self.attempt(job_index, now, &mut jobs_to_read, actions);
+            self.attempt_run(job_index, now, &mut jobs_to_read, actions);
         }
         if !jobs_to_read.is_empty() {
             self.read_leases(&jobs_to_read, actions);
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -9,7 +9,7 @@
 
 impl Scheduler {
     /// Attempts a job's run of the current period. Adds the job to `jobs_to_read` if its lease must be read first.
-    pub(super) fn attempt(
+    pub(super) fn attempt_run(
         &mut self,
         job_index: usize,
         now: ClockReading,
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -93,7 +93,7 @@
 impl JobState {
     pub(super) fn new(job: Job, members: &Members, max_ranks: usize) -> Self {
         Self {
-            ranking: Ranking::new(JobHash::of(&job.name), members, max_ranks),
+            ranking: Ranking::new(JobHash::from_name(&job.name), members, max_ranks),
             job,
             phase: Phase::Idle,
             current_run: RunId::default(),
--- a/crates/periodic_jobs/src/scheduler/responses.rs
+++ b/crates/periodic_jobs/src/scheduler/responses.rs
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Starts the acquired run. If the written record is a seed record, which settles runs without a lease holder, schedules the first
+    /// Starts the acquired run. If the record is a seed record, which settles runs without a lease holder, schedules the first
     /// run after the settled ones instead.
     fn handle_applied_write(
         &mut self,
--- a/crates/periodic_jobs/tests/agreement.rs
+++ b/crates/periodic_jobs/tests/agreement.rs
@@ -25,12 +25,12 @@
     let mut members = Members::default();
     members.replace((0..6).map(|i| format!("m{i}")));
     let rank_line = |name: &str| {
-        let ranking = Ranking::new(JobHash::of(name), &members, 4);
-        let rank = |i| ranking.rank(MemberHash::of(&format!("m{i}")));
+        let ranking = Ranking::new(JobHash::from_name(name), &members, 4);
+        let rank = |i| ranking.rank(MemberHash::from_name(&format!("m{i}")));
         let ranks: Vec<String> = (0..6).map(|i| format!("{:?}", rank(i))).collect();
         let run = Job { name: name.into(), period: Duration::from_secs(7) }
             .run_at(UnixTime::from_millis(1_800_000_000_000));
-        format!("{name} {:016x} {run} {}\n", JobHash::of(name).0, ranks.join(" "))
+        format!("{name} {:016x} {run} {}\n", JobHash::from_name(name).0, ranks.join(" "))
     };
     JOBS.iter().map(|name| rank_line(name)).collect()
 }
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -32,7 +32,7 @@
 /// The id of a new request and the replica to send the request to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
-    /// The id that the response repeats.
+    /// The id of the request, which the response repeats.
     pub id: RequestId,
     /// The replica to send the request to.
     pub replica: ReplicaId,
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -21,7 +21,7 @@
 pub struct Snapshot {
     /// Index of the last entry that the snapshot includes; 0 before the first snapshot.
     pub index: LogIndex,
-    /// Term of that entry.
+    /// Term of the last entry that the snapshot includes.
     pub term: Term,
     /// The encoded [`ConfigState`](crate::ConfigState). Empty before the first snapshot.
     pub state: Vec<u8>,
@@ -32,7 +32,7 @@
 pub struct HardState {
     /// The latest term that the replica knows of.
     pub term: Term,
-    /// The replica that this replica voted for in this term. Stored as an id, 0 for `None`.
+    /// The replica that this replica voted for in `term`. Stored as an id, 0 for `None`.
     #[serde(with = "crate::ids::zero_for_none")]
     pub vote: Option<ReplicaId>,
     /// Index of the last entry known to be committed.
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -63,9 +63,9 @@
 /// The numbers of the version in force and of the proposed version. [`ConfigVersion::NONE`] stands for a missing version.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionNumbers {
-    /// The version in force.
+    /// Number of the version in force.
     pub in_force: ConfigVersion,
-    /// The proposed version.
+    /// Number of the version that is proposed and not yet in force.
     pub proposed: ConfigVersion,
 }
 
@@ -76,7 +76,7 @@
 pub struct LeaseResponse {
     /// The id of the answered request.
     pub request: RequestId,
-    /// The latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
+    /// Number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
     pub version: ConfigVersion,
     /// Whether the latest version is proposed or in force.
     pub phase: RolloutPhase,
@@ -85,9 +85,9 @@
 /// The version in force and the proposed version with their texts, without those that the recipient has.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionTexts {
-    /// The version in force; `None` if there is none or the recipient has it.
+    /// The version in force; `None` if no version is in force or the recipient has its text.
     pub in_force: Option<Version>,
-    /// The proposed version; `None` if there is none or the recipient has it.
+    /// The proposed version; `None` if no version is proposed or the recipient has its text.
     pub proposed: Option<Version>,
 }
 
@@ -102,8 +102,8 @@
     /// Returns the numbers of these versions, [`ConfigVersion::NONE`] for one that is absent.
     pub fn numbers(&self) -> VersionNumbers {
         VersionNumbers {
-            in_force: ConfigVersion::of(self.in_force.as_ref()),
-            proposed: ConfigVersion::of(self.proposed.as_ref()),
+            in_force: ConfigVersion::number_of(self.in_force.as_ref()),
+            proposed: ConfigVersion::number_of(self.proposed.as_ref()),
         }
     }
 }
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -33,7 +33,7 @@
 /// Maximum number of pending proposals, and separately of waiting lease requests.
 const MAX_PENDING: usize = 4_096;
 
-/// The progress of a replica's log.
+/// The term of a replica and the commit index of its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// The latest term that the replica knows of.
@@ -137,7 +137,7 @@
         leases.holders_behind(now, proposed.number).map(str::to_owned).collect()
     }
 
-    /// Returns when [`Replica::tick`] is due.
+    /// Returns the time at which the caller must call [`Replica::tick`] next.
     pub fn next_tick_at(&self) -> MonotonicTime {
         self.clock.next_tick_at()
     }
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -77,8 +77,8 @@
         let latest = self.state.latest();
         let response = LeaseResponse { request: id, version: latest.number, phase: latest.phase };
         let texts = VersionTexts {
-            in_force: unless_cached(self.state.in_force(), cached.in_force),
-            proposed: unless_cached(self.state.proposed(), cached.proposed),
+            in_force: version_unless_cached(self.state.in_force(), cached.in_force),
+            proposed: version_unless_cached(self.state.proposed(), cached.proposed),
         };
         self.ready.send_to_client(client, Message::LeaseResponse(response, Box::new(texts)));
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Returns a copy of the version, or `None` if the client has it.
-fn unless_cached(version: Option<&Version>, cached: ConfigVersion) -> Option<Version> {
+/// Returns a copy of the version, or `None` if `cached` is its number: the client then has the version's text.
+fn version_unless_cached(version: Option<&Version>, cached: ConfigVersion) -> Option<Version> {
     version.filter(|version| version.number != cached).cloned()
 }
--- a/crates/replicated_config/src/replica/tick_clock.rs
+++ b/crates/replicated_config/src/replica/tick_clock.rs
@@ -19,7 +19,7 @@
         Self { last_tick_at: now }
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time of the node's clock at which the next tick of the Raft library is due.
     pub(super) fn next_tick_at(&self) -> MonotonicTime {
         self.last_tick_at + TICK_INTERVAL
     }
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -43,16 +43,16 @@
     Accepted(ConfigVersion),
     /// The expected version is not in force.
     VersionConflict {
-        /// The version in force.
+        /// Number of the version in force when the proposal was applied.
         in_force: ConfigVersion,
         /// The user who proposed the version in force.
         proposed_by: String,
     },
     /// Another version is proposed and not yet in force.
     RolloutInProgress {
-        /// The version whose rollout is in progress.
+        /// Number of the version whose rollout is in progress.
         version: ConfigVersion,
-        /// The user who proposed that version.
+        /// The user who proposed the version whose rollout is in progress.
         proposed_by: String,
     },
     /// The text is longer than [`MAX_TEXT_BYTES`].
@@ -84,7 +84,7 @@
         self.history.back()
     }
 
-    /// Returns the version that is proposed and not yet in force.
+    /// Returns the version that is proposed and not yet in force; `None` if no rollout is in progress.
     pub fn proposed(&self) -> Option<&Version> {
         self.proposed.as_ref()
     }
@@ -101,7 +101,7 @@
 
     /// Returns the number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
     pub fn latest_number(&self) -> ConfigVersion {
-        ConfigVersion::of(self.proposed().or(self.in_force()))
+        ConfigVersion::number_of(self.proposed().or(self.in_force()))
     }
 
     /// Returns the latest version and its phase. Before the first version the phase is [`RolloutPhase::InForce`].
--- a/crates/replicated_config/src/version.rs
+++ b/crates/replicated_config/src/version.rs
@@ -13,7 +13,7 @@
     pub const NONE: Self = Self(0);
 
     /// Returns the number of a version, or [`ConfigVersion::NONE`] if there is no version.
-    pub fn of(version: Option<&Version>) -> Self {
+    pub fn number_of(version: Option<&Version>) -> Self {
         version.map_or(Self::NONE, |version| version.number)
     }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A version of the configuration.
+/// A numbered text of the configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Version {
     /// The version's number, counted from 1.
--- a/crates/replicated_config/tests/simulation/machine.rs
+++ b/crates/replicated_config/tests/simulation/machine.rs
@@ -30,7 +30,7 @@
     clock_offset: Duration,
     /// False between a crash and the restart.
     pub alive: bool,
-    /// Whether the process is suspended, as by SIGSTOP. It keeps its memory and misses all messages.
+    /// Whether the process is suspended, as by SIGSTOP. A suspended process keeps its memory and misses all messages.
     pub stopped: bool,
     pub replica: Option<Replica>,
     /// The replica's state on disk, which survives a crash.
@@ -89,7 +89,7 @@
         now + self.clock_offset
     }
 
-    /// Lets the replica tick if a tick is due. Returns whether it was.
+    /// Lets the replica tick if a tick is due. Returns whether a tick was due.
     pub fn tick(&mut self, now: MonotonicTime) -> bool {
         let now = self.clock(now);
         let Some(replica) = self.replica.as_mut().filter(|replica| replica.next_tick_at() <= now) else {
--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -184,7 +184,7 @@
     let replicas = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut simulation = Simulation::new(seed, replicas, replicas + 5);
     simulation.ignores_expiry = expiry == LeaseExpiry::Ignored;
-    simulation.network.loss = if seed.is_multiple_of(2) { 0.1 } else { 0.0 };
+    simulation.network.loss_probability = if seed.is_multiple_of(2) { 0.1 } else { 0.0 };
     simulation.run_for(Duration::from_millis(3_500));
     for id in 1..=60 {
         inject_fault(&mut simulation);
@@ -242,7 +242,7 @@
 }
 
 fn recover_all_machines(simulation: &mut Simulation) {
-    simulation.network.loss = 0.0;
+    simulation.network.loss_probability = 0.0;
     simulation.network.heal();
     for i in 0..simulation.machines.len() {
         simulation.machines[i].stopped = false;
--- a/crates/replicated_config/tests/simulation/network.rs
+++ b/crates/replicated_config/tests/simulation/network.rs
@@ -29,14 +29,19 @@
     sent: u64,
     /// The network segment of each machine. Machines of the same segment reach each other.
     pub partition: Vec<u8>,
-    /// Probability that a message is lost. It is duplicated with half this probability.
-    pub loss: f64,
+    /// Probability that a message is lost. A message is duplicated with half this probability.
+    pub loss_probability: f64,
 }
 
 impl Network {
     /// Creates a network without faults.
     pub fn new(machine_count: usize) -> Self {
-        Self { in_flight: BinaryHeap::new(), sent: 0, partition: vec![0; machine_count], loss: 0.0 }
+        Self {
+            in_flight: BinaryHeap::new(),
+            sent: 0,
+            partition: vec![0; machine_count],
+            loss_probability: 0.0,
+        }
     }
 
     /// Returns the number of messages that were sent and not lost.
@@ -58,9 +63,9 @@
         to: usize,
         message: &Message,
     ) {
-        let copies = 1 + usize::from(random.f64() < self.loss / 2.0);
+        let copies = 1 + usize::from(random.f64() < self.loss_probability / 2.0);
         for _ in 0..copies {
-            if self.partition[from] == self.partition[to] && random.f64() >= self.loss {
+            if self.partition[from] == self.partition[to] && random.f64() >= self.loss_probability {
                 self.sent += 1;
                 let arrives_at = now + random_millis(random, MIN_LATENCY..MAX_LATENCY);
                 let bytes = message.encode();
