--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -136,7 +136,7 @@
         "{:?}",
         harness.endpoint("i0")
     );
-    // While it stays healthy, it becomes eligible after its suppression, and its flap count decays within some minutes.
+    // While the endpoint stays healthy, it becomes eligible after its suppression, and its flap count decays within some minutes.
     harness.advance_by(millis(60_000));
     assert_eq!(harness.eligible_ids().len(), 3);
     harness.advance_by(millis(600_000));
@@ -181,7 +181,7 @@
     harness.respond_after(millis(1_000), Vec::new());
     assert_eq!(harness.eligible_ids(), ["i2", "i3", "i4", "i5"]);
     assert_eq!(harness.events[0], WatchEvent::SuddenLoss { vanished: 6, eligible_before: 6, retained: 4 });
-    // A further response without them is part of the same loss.
+    // A further response without the vanished endpoints is part of the same sudden loss.
     harness.respond_after(millis(5_000), Vec::new());
     assert_eq!(harness.eligible_ids().len(), 4);
     harness.advance_by(millis(9_000));
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -60,7 +60,7 @@
         Self { ttl, is_registered: false, next_request_at: MonotonicTime::ZERO, consecutive_failures: 0 }
     }
 
-    /// The request that is due, if any.
+    /// The request that is due at `now`; `None` if none is due yet, and after a deregistration.
     pub fn next_request(&self, now: MonotonicTime) -> Option<RegistrationRequest> {
         let request =
             if self.is_registered { RegistrationRequest::Heartbeat } else { RegistrationRequest::Register };
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// Returns the first request id of this process: the system time in microseconds. It is larger than any id of an earlier process
-/// of this node, unless the system clock was set back by more than the time since that process started.
+/// Returns the first request id of this process: the system time in microseconds. This id is larger than any id of an earlier
+/// process of this node, unless the system clock was set back by more than the time since that process started.
 fn first_request_id() -> RequestId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     RequestId(since_epoch.as_micros() as u64)
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -70,7 +70,7 @@
         &self.state
     }
 
-    /// Appends records. They are on disk when this returns.
+    /// Appends records, which are on disk when `append` returns.
     ///
     /// # Errors
     ///
--- a/crates/config_node/src/replica_log/atomic_file.rs
+++ b/crates/config_node/src/replica_log/atomic_file.rs
@@ -7,7 +7,7 @@
 /// Extension of the temporary file that holds the new content until it is renamed.
 const TEMPORARY_EXTENSION: &str = "new";
 
-/// Replaces a file atomically. The new content is on disk when this returns.
+/// Replaces a file atomically. The new content is on disk when `replace` returns.
 pub(super) fn replace(path: &Path, content: &[u8]) -> io::Result<()> {
     let temporary = path.with_extension(TEMPORARY_EXTENSION);
     let mut file = File::create(&temporary)?;
--- a/crates/config_node/tests/three_nodes.rs
+++ b/crates/config_node/tests/three_nodes.rs
@@ -58,7 +58,7 @@
     Cluster { _nodes: nodes, views, replicas }
 }
 
-/// Waits for a view that meets this condition.
+/// Waits until a node publishes a [`ConfigView`] that meets the condition.
 fn wait_for(views: &Receiver<ConfigView>, condition: impl Fn(&ConfigView) -> bool) -> ConfigView {
     loop {
         let view = views.recv_timeout(TIMEOUT).expect("a view is published");
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -1,4 +1,5 @@
-//! Reads and writes the cache file, which has the endpoint lists that Consul confirmed last. Each write replaces it atomically.
+//! Reads and writes the cache file, which has the endpoint lists that Consul confirmed last. Each write replaces the file
+//! atomically.
 
 use crate::error::CacheFileError;
 use crate::sync::locked;
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -19,7 +19,7 @@
 /// Consul removes a registration whose check has been critical for this long.
 const DEREGISTER_CRITICAL_AFTER: &str = "10m";
 
-/// A request to the registration thread to deregister. `done` acknowledges it.
+/// A request to the registration thread to deregister. `done` acknowledges the deregistration.
 struct DeregisterRequest {
     done: SyncSender<()>,
 }
--- a/crates/consul/src/watch/log.rs
+++ b/crates/consul/src/watch/log.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the text for operators on why an endpoint is eligible or not. It appears in the log and on the console.
+    /// Returns the text for operators on why an endpoint is eligible or not, which appears in the log and on the console.
     pub(super) fn describe_reason(&self, reason: EligibilityReason) -> String {
         let seconds_left =
             |until: MonotonicTime| until.saturating_since(self.last_answers.now()).as_millis().div_ceil(1000);
--- a/crates/consul/tests/requests.rs
+++ b/crates/consul/tests/requests.rs
@@ -116,7 +116,7 @@
         ttl: Duration::from_millis(10_000),
     };
     let registered = consul::register(consul_config(address), registration).expect("the thread is started");
-    // By then the registration and the first heartbeat have been sent, and the second heartbeat is not due yet.
+    // After this wait the registration and the first heartbeat have been sent, and the second heartbeat is not due yet.
     std::thread::sleep(Duration::from_millis(500));
     registered.deregister();
     assert_eq!(received.join().expect("the agent received all requests"), REGISTRATION);
--- a/crates/job_lease/src/error.rs
+++ b/crates/job_lease/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a call to the lease store failed, and whether the store may have applied it.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The call was not applied. It was rejected or never sent.
+    /// The store rejected the call, or the call was never sent.
     #[error("{0}")]
     NotApplied(#[source] StoreErrorCause),
     /// The call may have been applied, or may still be applied.
@@ -31,7 +31,7 @@
     /// Another session holds the key of the new session.
     #[error("the key of the new session is held by another session")]
     SessionKeyHeld,
-    /// The value under a job's key is not a lease record. It is never overwritten.
+    /// Another program has written a value under a job's key. The value is never overwritten.
     #[error("the value under the key {key:?} is not a lease record")]
     ForeignValue {
         /// The full key of the job, with the prefix.
--- a/crates/job_lease/src/local.rs
+++ b/crates/job_lease/src/local.rs
@@ -16,7 +16,7 @@
 }
 
 impl LocalStore {
-    /// Opens a session. It lasts as long as the process and holds no key.
+    /// Opens a session, which lasts as long as the process and holds no key.
     pub fn open_session(&self) -> Session {
         Session { id: "local".into(), key: String::new() }
     }
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -33,7 +33,7 @@
 /// The lease id of a seed record, which settles runs without a lease holder.
 const SEED_LEASE_ID: u64 = 0;
 
-/// The value under a job's key, which states the last settled run. It is stored as JSON with the names given by `rename`.
+/// The value under a job's key, which states the last settled run. The record is stored as JSON with the names given by `rename`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// The acquired run or, in a seed record, the last run that must not start. This run and all earlier ones are settled.
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -19,7 +19,7 @@
     CompareAndSet,
     /// Writes are not bound to a session.
     Session,
-    /// An absent key is acquired without a seed.
+    /// An absent key is acquired at once, without a seed record that settles the runs of an earlier store first.
     Seed,
     /// After a lost response, an instance starts the run without reading the lease again.
     Reread,
@@ -52,7 +52,7 @@
     },
     /// The response was lost or timed out, so the outcome of the write is unknown.
     Uncertain,
-    /// The instance has checked the clock and will start the run. It may pause before the start.
+    /// The instance has checked the clock and will start the run. The instance may pause before the start.
     Starting(RunId),
 }
 
@@ -202,7 +202,7 @@
         Some(())
     }
 
-    /// Lets an instance receive the response to its write. It starts the run only if the run's period is not over.
+    /// Lets an instance receive the response to its write. The run starts only if its period is not over.
     fn receive(&self, state: &mut State, instance_index: usize) -> Option<()> {
         let Phase::Responded { acquired } = state.instances[instance_index].phase else { return None };
         let run = state.instances[instance_index].run;
--- a/crates/job_lease/tests/wire_format.rs
+++ b/crates/job_lease/tests/wire_format.rs
@@ -9,7 +9,7 @@
 
 /// The requests of the earlier build, each as a line with method and target and a line with the body.
 const REQUESTS: &str = include_str!("fixtures/requests.txt");
-/// The records of a lease and of a seed as stored by the earlier build.
+/// A lease record, and a seed record (which settles runs without a lease holder), as stored by the earlier build.
 const LEASE: &str = include_str!("fixtures/lease.json");
 const SEED: &str = include_str!("fixtures/seed.json");
 /// The name of a job, and the job's key in the store.
--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -92,8 +92,8 @@
         self.verify_frame(datagram)
     }
 
-    /// Returns the payload of a message of any length, if it was signed with one of the keys. It is meant for messages on a
-    /// stream, whose reader limits their length.
+    /// Returns the payload of a message of any length, if it was signed with one of the keys. The function is for messages on
+    /// a stream, whose reader limits their length.
     pub fn verify_frame<'a>(&self, frame: &'a [u8]) -> Option<&'a [u8]> {
         let (&version, rest) = frame.split_first()?;
         let (tag, payload) = rest.split_first_chunk::<TAG_BYTES>()?;
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -34,7 +34,7 @@
 /// The maximum time for which dissemination stays active without a break, in activity windows. A bulk failure needs less.
 /// Where datagrams are lost, faster probes cause further suspicions, which must not keep dissemination active forever.
 const MAX_ACTIVE_WINDOWS: u32 = 5;
-/// The time for which a failure is retained, in activity windows. It exceeds [`MAX_ACTIVE_WINDOWS`], so that digests do not
+/// The time for which a failure is retained, in activity windows. This exceeds [`MAX_ACTIVE_WINDOWS`], so that digests do not
 /// differ merely because one member has already removed a failure.
 const FAILURE_RETENTION_WINDOWS: u32 = 10;
 /// The maximum number of messages in a reply to a digest.
@@ -51,8 +51,8 @@
     /// The time for which dissemination stays active after the last evidence of a bulk failure.
     activity_window: Duration,
     failures: FailureLog,
-    /// The moment at which dissemination last became active. It remains set when [`MAX_ACTIVE_WINDOWS`] have passed, and is
-    /// cleared once the failures are too few to activate dissemination.
+    /// The moment at which dissemination last became active. The field remains set when [`MAX_ACTIVE_WINDOWS`] have passed, and
+    /// is cleared once the failures are too few to activate dissemination.
     active_since: Option<MonotonicTime>,
     active_until: MonotonicTime,
     next_poll: MonotonicTime,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Membership`] wraps the state machine of the crate `foca` (Das, Gupta and Motivala, "SWIM", 2002). Its inputs are
 //! datagrams and the time. Its outputs are datagrams to send, membership changes and received broadcasts.
 //! [`authentication`] verifies that the sender of a datagram has a key of the cluster. A broadcast is a small versioned
-//! message on a topic. It is piggybacked on gossip, and an older version never replaces a newer one.
+//! message on a topic. Broadcasts are piggybacked on gossip, and an older version never replaces a newer one.
 //!
 //! Invariants:
 //!
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -10,7 +10,7 @@
 pub struct Member {
     /// The UDP address at which the member receives gossip.
     pub address: SocketAddr,
-    /// The name of the instance. It should be unique; see [`Membership::duplicate_names`](crate::Membership::duplicate_names).
+    /// The name of the instance, which should be unique; see [`Membership::duplicate_names`](crate::Membership::duplicate_names).
     pub name: String,
     /// The generation, which increases at each start and each time others have declared the member dead.
     pub generation: u64,
--- a/crates/periodic_jobs/src/action.rs
+++ b/crates/periodic_jobs/src/action.rs
@@ -49,8 +49,8 @@
         /// The run that the confirmed lease covers. The run starts unless its deadline has passed.
         run: RunId,
     },
-    /// A lease record holds a run that no instance whose clock is within the maximum skew can have acquired or seeded. The clock
-    /// of some instance is wrong.
+    /// A lease record holds a run that no instance whose clock is within the maximum skew can have acquired or settled by a seed
+    /// record. The clock of some instance is wrong.
     RecordAheadOfClock {
         /// The name of the job whose lease record is ahead.
         job: String,
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -135,8 +135,8 @@
             let job = state.job.name.clone();
             actions.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled_run }));
         }
-        // No instance whose clock is within the maximum skew can have written a record ahead of all clocks. It settles only the
-        // current run, so the run of the next period is attempted again.
+        // No instance whose clock is within the maximum skew can have written a record ahead of all clocks. Such a record settles
+        // only the current run, so the run of the next period is attempted again.
         state.last_settled_run = if ahead_of_clocks { state.current_run } else { settled_run };
         state.phase = Phase::Idle;
         self.schedule_next_run(job_index, now);
--- a/crates/periodic_jobs/src/store_call.rs
+++ b/crates/periodic_jobs/src/store_call.rs
@@ -52,7 +52,7 @@
     },
     /// The response to [`StoreCall::ReadLeases`].
     LeasesRead {
-        /// The id of the call.
+        /// The id from the [`StoreCall::ReadLeases`] that is answered.
         call: CallId,
         /// The names of the jobs whose leases the call reads.
         jobs: Vec<String>,
@@ -61,7 +61,7 @@
     },
     /// The response to [`StoreCall::CompareAndSet`].
     CompareAndSetDone {
-        /// The id of the call.
+        /// The id from the [`StoreCall::CompareAndSet`] that is answered.
         call: CallId,
         /// The name of the job whose key was to be written.
         job: String,
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -25,7 +25,7 @@
     Job { name: name.into(), period }
 }
 
-/// Returns the run that is scheduled this much later than `run`.
+/// Returns the run that is scheduled `delay` after `run`.
 fn run_later_by(run: RunId, delay: Duration) -> RunId {
     (UnixTime::from(run) + delay).into()
 }
@@ -162,7 +162,7 @@
         self.store.read(&[job.into()]).leases[0].lease.clone().expect("a lease")
     }
 
-    /// Lets another instance acquire the run that is scheduled this much later than the stored one.
+    /// Lets another instance acquire the run that is scheduled `delay` after the run of the stored lease.
     fn acquire_by_other_instance(&mut self, job: &str, delay: Duration) {
         let stored = self.stored_lease(job);
         let run = run_later_by(stored.record.run, delay);
--- a/crates/replicated_config/src/replica/raft_config.rs
+++ b/crates/replicated_config/src/replica/raft_config.rs
@@ -9,8 +9,8 @@
 const HEARTBEAT_TICKS: usize = 2;
 /// Election timeout of the first replica in ticks, counted from the last heartbeat.
 const ELECTION_TICKS: usize = 16;
-/// Difference between the election timeouts of successive replicas in ticks. It makes simultaneous elections rare without random
-/// numbers, so that a simulated run can be repeated.
+/// Difference between the election timeouts of successive replicas in ticks. The difference makes simultaneous elections rare
+/// without random numbers, so that a simulated run can be repeated.
 const ELECTION_STAGGER_TICKS: usize = 4;
 /// Maximum number of unanswered append messages to one replica.
 const MAX_INFLIGHT_APPENDS: usize = 16;
--- a/crates/replicated_config/src/replica/tick_clock.rs
+++ b/crates/replicated_config/src/replica/tick_clock.rs
@@ -5,7 +5,7 @@
 
 /// Time between two ticks of the Raft library.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of ticks to run after a pause. It exceeds each replica's election timeout.
+/// Maximum number of ticks to run after a pause: more than each replica's election timeout.
 const MAX_CATCH_UP_TICKS: u64 = 64;
 
 /// Counts the ticks that are due by the node's clock.
--- a/crates/replicated_config/src/version.rs
+++ b/crates/replicated_config/src/version.rs
@@ -9,7 +9,7 @@
 pub struct ConfigVersion(pub u64);
 
 impl ConfigVersion {
-    /// Stands for "no version" in messages. It precedes every version.
+    /// Stands for "no version" in messages, and precedes every version.
     pub const NONE: Self = Self(0);
 
     /// Returns the number of a version, or [`ConfigVersion::NONE`] if there is no version.
