--- a/crates/catalogue/src/endpoint_tracker/flap_damping.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct FlapDamping {
     /// Decayed number of flaps at `counted_at`.
-    flaps: f64,
+    flap_count: f64,
     counted_at: MonotonicTime,
     /// Start of the current healthy period; `None` while the endpoint is unhealthy.
     healthy_since: Option<MonotonicTime>,
@@ -22,7 +22,7 @@
 impl FlapDamping {
     /// Starts without flaps. `healthy_since` is the start of the current healthy period, if the endpoint is already healthy.
     pub(super) fn new(now: MonotonicTime, healthy_since: Option<MonotonicTime>) -> Self {
-        Self { flaps: 0.0, counted_at: now, healthy_since }
+        Self { flap_count: 0.0, counted_at: now, healthy_since }
     }
 
     /// Starts or ends a healthy period if the endpoint's health has changed.
@@ -32,7 +32,7 @@
 
     /// Counts a flap, which is a change from eligible to not eligible.
     pub(super) fn count_flap(&mut self, now: MonotonicTime, config: &StabilityConfig) {
-        self.flaps = self.decayed_flaps(now, config) + 1.0;
+        self.flap_count = self.decayed_flaps(now, config) + 1.0;
         self.counted_at = now;
     }
 
@@ -44,16 +44,16 @@
 
     /// Whether the endpoint flapped more often than in a restart, by the count at the last flap, without the decay since then.
     pub(super) fn has_repeated_flaps(&self) -> bool {
-        self.flaps > SUPPRESSION_THRESHOLD
+        self.flap_count > SUPPRESSION_THRESHOLD
     }
 
     /// Returns the duration of the suppression after a recovery at `recovered_at`.
     fn suppression(&self, recovered_at: MonotonicTime, config: &StabilityConfig) -> Duration {
-        let flaps = self.decayed_flaps(recovered_at, config);
-        if flaps < SUPPRESSION_THRESHOLD {
+        let flap_count = self.decayed_flaps(recovered_at, config);
+        if flap_count < SUPPRESSION_THRESHOLD {
             return Duration::ZERO;
         }
-        let doublings = (flaps - 1.0).min(MAX_DOUBLINGS).floor() - 1.0;
+        let doublings = (flap_count - 1.0).min(MAX_DOUBLINGS).floor() - 1.0;
         let millis = whole_millis(config.flap_suppression) as f64 * 2f64.powf(doublings);
         Duration::from_millis(millis as u64).min(config.max_flap_suppression)
     }
@@ -61,7 +61,7 @@
     fn decayed_flaps(&self, now: MonotonicTime, config: &StabilityConfig) -> f64 {
         let elapsed = whole_millis(now.saturating_since(self.counted_at));
         let half_life = whole_millis(config.flap_half_life).max(1);
-        self.flaps * 0.5f64.powf(elapsed as f64 / half_life as f64)
+        self.flap_count * 0.5f64.powf(elapsed as f64 / half_life as f64)
     }
 }
 
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -63,7 +63,7 @@
 
 /// The state of the cluster on this instance, and the resources to act on it.
 pub(crate) struct Coordinator {
-    instance: String,
+    instance_name: String,
     clocks: Clocks,
     gossip: Option<GossipNode>,
     scheduler: Scheduler,
@@ -89,7 +89,7 @@
             |checks: &HealthChecks| HealthMonitor::new(checks.config.clone(), on_ejection_change);
         let health = settings.health_checks.as_ref().map(health_monitor);
         Self {
-            instance: settings.instance,
+            instance_name: settings.instance,
             clocks,
             gossip,
             scheduler,
--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -14,7 +14,7 @@
         match &self.gossip {
             Some(gossip) => self.write_members(gossip, &mut out),
             None => {
-                let _ = writeln!(out, "  {}  alone", self.instance);
+                let _ = writeln!(out, "  {}  alone", self.instance_name);
             }
         }
         self.write_jobs(now, &mut out);
@@ -34,7 +34,7 @@
             counts.malformed,
             counts.over_capacity + self.dropped_datagrams.load(Ordering::Relaxed)
         );
-        let _ = writeln!(out, "  {}  this instance", self.instance);
+        let _ = writeln!(out, "  {}  this instance", self.instance_name);
         for MemberStatus { member, alive } in gossip.members() {
             let state = if alive { "alive" } else { "down" };
             let _ =
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -47,8 +47,13 @@
 
 impl GossipNode {
     /// Creates the node of an instance that starts at `started_at`, which becomes the generation of its identity.
-    pub(crate) fn new(gossip: &Gossip, instance: &str, started_at: UnixTime, socket: Arc<UdpSocket>) -> Self {
-        let config = membership_config(gossip, instance, started_at);
+    pub(crate) fn new(
+        gossip: &Gossip,
+        instance_name: &str,
+        started_at: UnixTime,
+        socket: Arc<UdpSocket>,
+    ) -> Self {
+        let config = membership_config(gossip, instance_name, started_at);
         Self {
             membership: Membership::new(config, gossip.keyring.clone()),
             socket,
@@ -178,9 +183,12 @@
     }
 }
 
-fn membership_config(gossip: &Gossip, instance: &str, started_at: UnixTime) -> membership::Config {
-    let local_member =
-        Member { address: gossip.advertise, name: instance.to_owned(), generation: started_at.as_millis() };
+fn membership_config(gossip: &Gossip, instance_name: &str, started_at: UnixTime) -> membership::Config {
+    let local_member = Member {
+        address: gossip.advertise,
+        name: instance_name.to_owned(),
+        generation: started_at.as_millis(),
+    };
     membership::Config {
         local_member,
         seed_peers: gossip.peers.clone(),
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -70,13 +70,13 @@
 
 /// Starts the worker threads that execute runs and pass the outcomes to `on_finished`.
 pub(crate) fn start(
-    instance: &str,
-    threads: usize,
+    instance_name: &str,
+    thread_count: usize,
     clocks: Clocks,
     on_finished: impl Fn(FinishedRun) + Send + Sync + 'static,
 ) -> TaskQueue<PendingRun> {
-    let executor = RunExecutor { agent: agent(), instance: instance.to_owned() };
-    TaskQueue::start("job-runs", threads, move |PendingRun { run, task }: PendingRun| {
+    let executor = RunExecutor { agent: agent(), instance_name: instance_name.to_owned() };
+    TaskQueue::start("job-runs", thread_count, move |PendingRun { run, task }: PendingRun| {
         // Check the deadline just before the run, because the process may have been paused since it acquired the lease.
         let outcome = if run.may_start(clocks.now()) {
             executor.execute(&run, &task)
@@ -99,7 +99,7 @@
 
 struct RunExecutor {
     agent: Agent,
-    instance: String,
+    instance_name: String,
 }
 
 impl RunExecutor {
@@ -123,7 +123,7 @@
         timeout: Duration,
     ) -> Result<http::Response<Body>, ureq::Error> {
         with_timeout(self.agent.post(url), timeout)
-            .header(INSTANCE_HEADER, &self.instance)
+            .header(INSTANCE_HEADER, &self.instance_name)
             .header(JOB_HEADER, job_names::configured_name(&run.job))
             .header(RUN_HEADER, run.id.to_string())
             .header(DEADLINE_HEADER, run.deadline.unix.as_millis().to_string())
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// All settings of the cluster on this instance.
+/// The settings with which [`Cluster::start`](crate::Cluster::start) starts this instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of this instance, unique in the cluster. Gossip, leases and the `Snowfield-By` header carry it.
--- a/crates/cluster/src/store_client.rs
+++ b/crates/cluster/src/store_client.rs
@@ -12,7 +12,7 @@
 use std::sync::mpsc::SyncSender;
 
 /// The number of worker threads that call Consul.
-const THREADS: usize = 4;
+const THREAD_COUNT: usize = 4;
 
 /// A task for a worker thread that calls Consul.
 #[derive(Debug)]
@@ -42,20 +42,20 @@
     /// Creates the client. For Consul, starts the worker threads that make the calls and pass the responses to `on_response`.
     pub(crate) fn start(
         store: &LeaseStore,
-        instance: &str,
+        instance_name: &str,
         on_response: impl Fn(StoreResponse) + Send + Sync + 'static,
     ) -> Self {
         let LeaseStore::Consul { address, prefix, timeout, token_file } = store.clone() else {
             return Self::Local(LocalStore::default());
         };
         let api = ConsulApi {
-            agent: consul_api::agent(timeout, THREADS),
+            agent: consul_api::agent(timeout, THREAD_COUNT),
             address,
             token: TokenFile::new(token_file),
             keys: LeaseKeys { prefix },
-            instance: instance.to_owned(),
+            instance_name: instance_name.to_owned(),
         };
-        Self::Consul(ConsulCalls(TaskQueue::start("lease-store", THREADS, move |task| match task {
+        Self::Consul(ConsulCalls(TaskQueue::start("lease-store", THREAD_COUNT, move |task| match task {
             StoreTask::Call(call) => on_response(api.call(call)),
             StoreTask::EndSession { session, done } => {
                 api.end_session(&session);
--- a/crates/cluster/src/store_client/consul_api.rs
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -35,7 +35,7 @@
     pub(super) address: SocketAddr,
     pub(super) token: TokenFile,
     pub(super) keys: LeaseKeys,
-    pub(super) instance: String,
+    pub(super) instance_name: String,
 }
 
 impl ConsulApi {
@@ -70,9 +70,9 @@
 
     /// Creates a session and acquires the session's own key.
     fn open_session(&self) -> Result<Session, StoreError> {
-        let created = self.send(&Request::create_session(&self.instance, SESSION_TTL))?;
+        let created = self.send(&Request::create_session(&self.instance_name, SESSION_TTL))?;
         let session = self.keys.created_session(&created)?;
-        if self.send(&Request::acquire_session_key(&session, &self.instance))?.key_acquired()? {
+        if self.send(&Request::acquire_session_key(&session, &self.instance_name))?.key_acquired()? {
             Ok(session)
         } else {
             Err(StoreError::NotApplied(StoreErrorCause::SessionKeyHeld))
--- a/crates/cluster/src/worker_pool.rs
+++ b/crates/cluster/src/worker_pool.rs
@@ -13,10 +13,10 @@
 
 impl<T: Send + 'static> TaskQueue<T> {
     /// Starts a pool of threads with this name, which pass each queued task to `work`.
-    pub(crate) fn start(name: &str, threads: usize, work: impl Fn(T) + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(name: &str, thread_count: usize, work: impl Fn(T) + Send + Sync + 'static) -> Self {
         let (sender, receiver) = sync_channel::<T>(QUEUE_CAPACITY);
         let (receiver, work) = (Arc::new(Mutex::new(receiver)), Arc::new(work));
-        for _ in 0..threads {
+        for _ in 0..thread_count {
             let (receiver, work) = (receiver.clone(), work.clone());
             let run = move || {
                 while let Some(task) = next_task(&receiver) {
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -26,7 +26,7 @@
     /// Size of the file in bytes when it was opened or last compacted.
     compacted_bytes: u64,
     /// Number of frames in the file.
-    frames: u64,
+    frame_count: u64,
     state: DurableState,
 }
 
@@ -62,7 +62,7 @@
         let state = replay(path, &frames)?;
         let bytes = file_size(&frames);
         let file = open_truncated(path, bytes).map_err(Error::file(path))?;
-        Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frames: intact, state })
+        Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frame_count: intact, state })
     }
 
     /// Returns the durable state that results from applying the log's records in order.
@@ -88,12 +88,12 @@
     }
 
     fn append_frame(&mut self, data: &[u8]) -> io::Result<()> {
-        let frame = frame::encode(self.frames, data);
+        let frame = frame::encode(self.frame_count, data);
         self.file.write_all(&frame)?;
         self.file.sync_data()?;
-        self.frames += 1;
+        self.frame_count += 1;
         self.bytes += frame.len() as u64;
-        frame_count::write(&self.path, self.frames)?;
+        frame_count::write(&self.path, self.frame_count)?;
         if self.bytes > COMPACTION_BYTES && self.bytes > 2 * self.compacted_bytes {
             self.compact()?;
         }
@@ -115,7 +115,7 @@
         let content = [&frame::FORMAT[..], &frame::encode(0, &data)].concat();
         atomic_file::replace(&self.path, &content)?;
         self.file = OpenOptions::new().append(true).open(&self.path)?;
-        self.frames = 1;
+        self.frame_count = 1;
         self.bytes = content.len() as u64;
         self.compacted_bytes = self.bytes;
         Ok(())
--- a/crates/config_node/src/replica_log/frame_count.rs
+++ b/crates/config_node/src/replica_log/frame_count.rs
@@ -21,12 +21,12 @@
 }
 
 /// Replaces the frame count of this log.
-pub(super) fn write(log: &Path, frames: u64) -> io::Result<()> {
-    atomic_file::replace(&path(log), &encode(frames))
+pub(super) fn write(log: &Path, frame_count: u64) -> io::Result<()> {
+    atomic_file::replace(&path(log), &encode(frame_count))
 }
 
-pub(super) fn encode(frames: u64) -> Vec<u8> {
-    [&frame::FORMAT[..], &frame::encode(0, &frames.to_le_bytes())].concat()
+pub(super) fn encode(frame_count: u64) -> Vec<u8> {
+    [&frame::FORMAT[..], &frame::encode(0, &frame_count.to_le_bytes())].concat()
 }
 
 fn decode(content: &[u8]) -> Option<u64> {
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -90,15 +90,20 @@
 
     /// Activates dissemination if enough of the members are suspected or have failed. While dissemination is active, returns
     /// the digest to send to a random member, at most once per gossip period.
-    pub(crate) fn poll(&mut self, now: MonotonicTime, suspects: usize, alive: usize) -> Option<u64> {
+    pub(crate) fn poll(
+        &mut self,
+        now: MonotonicTime,
+        suspect_count: usize,
+        alive_count: usize,
+    ) -> Option<u64> {
         if now < self.next_poll {
             return None;
         }
         self.next_poll = now + self.gossip_period;
         self.replies_in_period = 0;
         self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window, now);
-        let failures = suspects + self.failures.count_within(self.activity_window, now);
-        if failures >= MIN_FAILURES.max(alive / ALIVE_PER_FAILURE) {
+        let failure_count = suspect_count + self.failures.count_within(self.activity_window, now);
+        if failure_count >= MIN_FAILURES.max(alive_count / ALIVE_PER_FAILURE) {
             self.extend_activity(now);
         } else if !self.is_active(now) {
             self.active_since = None;
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -67,9 +67,9 @@
     }
 }
 
-fn periodic_params(period: Duration, members: usize) -> Option<foca::PeriodicParams> {
+fn periodic_params(period: Duration, member_count: usize) -> Option<foca::PeriodicParams> {
     let frequency = period.max(MIN_PERIOD);
-    Some(foca::PeriodicParams { frequency, num_members: non_zero(members) })
+    Some(foca::PeriodicParams { frequency, num_members: non_zero(member_count) })
 }
 
 /// Converts a number, raising 0 to 1.
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -17,7 +17,7 @@
 
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.txt");
 const SCENARIO_SUMMARY: &str = include_str!("fixtures/course.txt");
-const MEMBERS: usize = 8;
+const MEMBER_COUNT: usize = 8;
 /// The time between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// The first byte of the payloads of bulk failure dissemination. SWIM payloads start with 0 or 1.
@@ -45,7 +45,7 @@
 
 impl Network {
     fn new() -> Self {
-        let members = (0..MEMBERS).map(|i| Some(member(i))).collect();
+        let members = (0..MEMBER_COUNT).map(|i| Some(member(i))).collect();
         Self { now: MonotonicTime::ZERO, members, sent: Vec::new(), paused: Vec::new(), partitioned: false }
     }
 
@@ -75,7 +75,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + TICK_INTERVAL;
-            for i in (0..MEMBERS).filter(|i| !self.paused.contains(i)).collect::<Vec<_>>() {
+            for i in (0..MEMBER_COUNT).filter(|i| !self.paused.contains(i)).collect::<Vec<_>>() {
                 self.call(i, |member, now, out| member.tick(now, out));
             }
         }
@@ -94,7 +94,7 @@
     network.advance(Duration::from_secs(2));
     network.paused.clear();
     network.advance(Duration::from_secs(1));
-    (4..MEMBERS).for_each(|i| network.members[i] = None);
+    (4..MEMBER_COUNT).for_each(|i| network.members[i] = None);
     network.advance(Duration::from_secs(2));
     network.call(3, |member, now, out| member.leave(now, out));
     network.advance(Duration::from_millis(200));
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -30,7 +30,7 @@
 use tick_clock::TickClock;
 use timestamps::MonotonicTime;
 
-/// Maximum number of pending proposals, and separately of waiting lease requests.
+/// Maximum number of pending proposals. Waiting lease requests have the same limit of their own.
 const MAX_PENDING: usize = 4_096;
 
 /// The term of a replica and the commit index of its log.
--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -30,7 +30,7 @@
             .expect("the version comes into force");
         // The clients are notified, request the proposed version, and confirm it. The leader activates it and notifies them.
         assert!(elapsed <= Duration::from_millis(200), "{elapsed:?}");
-        assert!(simulation.checked_leases > 10_000);
+        assert!(simulation.checked_lease_count > 10_000);
     }
 }
 
@@ -175,8 +175,8 @@
 /// The number of committed versions and of checked leases in a run.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct RunTotals {
-    versions: usize,
-    checked_leases: u64,
+    version_count: usize,
+    checked_lease_count: u64,
 }
 
 /// Runs many proposals while random faults are injected. The simulation checks leases and committed versions at each step.
@@ -211,7 +211,7 @@
         simulation.texts.keys().copied().collect::<Vec<_>>(),
         (1..=number.0).map(ConfigVersion).collect::<Vec<_>>()
     );
-    RunTotals { versions: simulation.texts.len(), checked_leases: simulation.checked_leases }
+    RunTotals { version_count: simulation.texts.len(), checked_lease_count: simulation.checked_lease_count }
 }
 
 fn inject_fault(simulation: &mut Simulation) {
@@ -257,10 +257,10 @@
     let mut total = RunTotals::default();
     for seed in 0..24 {
         let run = run_with_faults(seed, LeaseExpiry::Respected);
-        total.versions += run.versions;
-        total.checked_leases += run.checked_leases;
+        total.version_count += run.version_count;
+        total.checked_lease_count += run.checked_lease_count;
     }
-    assert!(total.versions > 150 && total.checked_leases > 1_000_000, "{total:?}");
+    assert!(total.version_count > 150 && total.checked_lease_count > 1_000_000, "{total:?}");
 }
 
 #[test]
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -40,7 +40,7 @@
     pub texts: BTreeMap<ConfigVersion, String>,
     pub outcomes: Vec<ReceivedOutcome>,
     /// Number of leases that were checked.
-    pub checked_leases: u64,
+    pub checked_lease_count: u64,
     /// Whether clients act on expired leases. Used to test that the lease check detects this.
     pub ignores_expiry: bool,
 }
@@ -63,7 +63,7 @@
             random,
             texts: BTreeMap::new(),
             outcomes: Vec::new(),
-            checked_leases: 0,
+            checked_lease_count: 0,
             ignores_expiry: false,
         }
     }
@@ -162,7 +162,7 @@
     fn check_leases(&mut self) {
         let enforced = self.machines.iter().filter_map(|machine| self.enforced_versions(machine));
         let all: Vec<EnforcedVersions> = enforced.collect();
-        self.checked_leases += all.len() as u64;
+        self.checked_lease_count += all.len() as u64;
         let min_highest = all.iter().map(|versions| versions.highest).min().unwrap_or_default();
         assert!(
             all.iter().all(|versions| versions.lowest <= min_highest),
