--- a/crates/catalogue/src/health_response/instance.rs
+++ b/crates/catalogue/src/health_response/instance.rs
@@ -1,6 +1,6 @@
 //! One instance of a service: its address, health status, weight and start time.
 
-use super::wire::{Check, Entry, Service};
+use super::wire::{Check, HealthEntry, Service};
 use crate::error::InstanceError;
 use crate::format::{CAPACITY_KEY, STARTED_KEY};
 use crate::stored_time;
@@ -18,7 +18,7 @@
 /// from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HealthStatus {
-    /// All checks are passing, or there are none.
+    /// All checks are passing, or the instance has no checks.
     Passing,
     /// At least one check is in the warning state, and none is worse.
     Warning,
@@ -65,15 +65,15 @@
     pub address: SocketAddr,
     /// The worst status among the checks of the service and its node.
     pub health: HealthStatus,
-    /// The weight in `Service.Weights` for its health status, or 1 if absent, times the capacity in `Service.Meta`.
+    /// The weight in `Service.Weights` for the health status, or 1 if absent, times the capacity in `Service.Meta`.
     pub weight: f64,
-    /// When it started; `None` if `Service.Meta` has no start time.
+    /// When the instance started; `None` if `Service.Meta` has no start time.
     #[serde(rename = "started", default, with = "stored_time::optional")]
     pub started_at: Option<UnixTime>,
 }
 
 impl Instance {
-    pub(super) fn from_entry(id: &str, entry: &Entry) -> Result<Self, InstanceError> {
+    pub(super) fn from_entry(id: &str, entry: &HealthEntry) -> Result<Self, InstanceError> {
         let checks = entry.checks.as_deref().unwrap_or_default();
         let health = checks.iter().map(HealthStatus::of_check).max().unwrap_or(HealthStatus::Passing);
         Ok(Self {
@@ -87,7 +87,7 @@
 }
 
 /// Returns the service's address and port, or the node's address if the service has none. Host names are not resolved.
-fn address_of(entry: &Entry) -> Result<SocketAddr, InstanceError> {
+fn address_of(entry: &HealthEntry) -> Result<SocketAddr, InstanceError> {
     let Service { address, port, .. } = &entry.service;
     let text = if address.is_empty() { &entry.node.address } else { address };
     let ip: IpAddr = text.parse().map_err(|_| InstanceError::Address(text.clone()))?;
--- a/crates/catalogue/src/registration.rs
+++ b/crates/catalogue/src/registration.rs
@@ -41,11 +41,11 @@
 pub enum RegistrationChange {
     /// The agent has accepted the registration.
     Registered,
-    /// The agent no longer knows the registration: it has lost it, or has deregistered the service on request.
+    /// The agent has lost the registration, or has deregistered the service on request.
     Lost,
 }
 
-/// State of the registration: decides which request is due next. The caller sends it and reports the outcome.
+/// State of the registration, which decides which request is due next. The caller sends that request and reports the outcome.
 #[derive(Clone, Debug)]
 pub struct Registration {
     ttl: Duration,
@@ -60,7 +60,7 @@
         Self { ttl, is_registered: false, next_request_at: MonotonicTime::ZERO, consecutive_failures: 0 }
     }
 
-    /// The request that is due, if any.
+    /// The request that is due at `now`; `None` if none is due yet, and after a deregistration.
     pub fn next_request(&self, now: MonotonicTime) -> Option<RegistrationRequest> {
         let request =
             if self.is_registered { RegistrationRequest::Heartbeat } else { RegistrationRequest::Register };
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use timestamps::MonotonicTime;
 
-/// The maximum time between two ticks. It bounds the delay until a stale health report is detected.
+/// The maximum time between two ticks, which bounds the delay until a stale health report is detected.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum number of events handled between two ticks, in addition to the first one.
 const MAX_EVENT_BATCH: usize = 256;
@@ -63,7 +63,7 @@
 
 /// The state of the cluster on this instance, and the resources to act on it.
 pub(crate) struct Coordinator {
-    instance: String,
+    instance_name: String,
     clocks: Clocks,
     gossip: Option<GossipNode>,
     scheduler: Scheduler,
@@ -89,7 +89,7 @@
             |checks: &HealthChecks| HealthMonitor::new(checks.config.clone(), on_ejection_change);
         let health = settings.health_checks.as_ref().map(health_monitor);
         Self {
-            instance: settings.instance,
+            instance_name: settings.instance,
             clocks,
             gossip,
             scheduler,
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -47,8 +47,13 @@
 
 impl GossipNode {
     /// Creates the node of an instance that starts at `started_at`, which becomes the generation of its identity.
-    pub(crate) fn new(gossip: &Gossip, instance: &str, started_at: UnixTime, socket: Arc<UdpSocket>) -> Self {
-        let config = membership_config(gossip, instance, started_at);
+    pub(crate) fn new(
+        gossip: &Gossip,
+        instance_name: &str,
+        started_at: UnixTime,
+        socket: Arc<UdpSocket>,
+    ) -> Self {
+        let config = membership_config(gossip, instance_name, started_at);
         Self {
             membership: Membership::new(config, gossip.keyring.clone()),
             socket,
@@ -88,7 +93,7 @@
         self.update_membership(now, |membership, outputs| membership.tick(now, outputs))
     }
 
-    /// Handles a received datagram.
+    /// Authenticates and decodes a received datagram, and applies its gossip.
     pub(crate) fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8]) -> GossipChanges {
         let changes = self.update_membership(now, |membership, outputs| {
             membership.handle_datagram(now, bytes, outputs);
@@ -178,9 +183,12 @@
     }
 }
 
-fn membership_config(gossip: &Gossip, instance: &str, started_at: UnixTime) -> membership::Config {
-    let local_member =
-        Member { address: gossip.advertise, name: instance.to_owned(), generation: started_at.as_millis() };
+fn membership_config(gossip: &Gossip, instance_name: &str, started_at: UnixTime) -> membership::Config {
+    let local_member = Member {
+        address: gossip.advertise,
+        name: instance_name.to_owned(),
+        generation: started_at.as_millis(),
+    };
     membership::Config {
         local_member,
         seed_peers: gossip.peers.clone(),
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -26,7 +26,7 @@
     HealthCheck { backend_id: String, address: SocketAddr, path: String, timeout: Duration },
 }
 
-/// The outcome of a run.
+/// The HTTP status with which a run ended, or why the run has none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
     /// The target responded with this HTTP status.
@@ -48,7 +48,7 @@
         match self {
             Self::Status(status) => format!("status {status}"),
             Self::Failed(reason) => reason.clone(),
-            Self::DeadlinePassed => "its deadline passed before it started".into(),
+            Self::DeadlinePassed => "the deadline of the run passed before the run started".into(),
         }
     }
 }
@@ -70,13 +70,13 @@
 
 /// Starts the worker threads that execute runs and pass the outcomes to `on_finished`.
 pub(crate) fn start(
-    instance: &str,
-    threads: usize,
+    instance_name: &str,
+    thread_count: usize,
     clocks: Clocks,
     on_finished: impl Fn(FinishedRun) + Send + Sync + 'static,
 ) -> TaskQueue<PendingRun> {
-    let executor = RunExecutor { agent: agent(), instance: instance.to_owned() };
-    TaskQueue::start("job-runs", threads, move |PendingRun { run, task }: PendingRun| {
+    let executor = RunExecutor { agent: agent(), instance_name: instance_name.to_owned() };
+    TaskQueue::start("job-runs", thread_count, move |PendingRun { run, task }: PendingRun| {
         // Check the deadline just before the run, because the process may have been paused since it acquired the lease.
         let outcome = if run.may_start(clocks.now()) {
             executor.execute(&run, &task)
@@ -99,15 +99,15 @@
 
 struct RunExecutor {
     agent: Agent,
-    instance: String,
+    instance_name: String,
 }
 
 impl RunExecutor {
     fn execute(&self, run: &Run, task: &RunTask) -> RunOutcome {
         let response = match task {
-            RunTask::HttpCall { url, timeout } => self.call(run, url, *timeout),
+            RunTask::HttpCall { url, timeout } => self.send_http_call(run, url, *timeout),
             RunTask::HealthCheck { address, path, timeout, .. } => {
-                self.check(run, &format!("http://{address}{path}"), *timeout)
+                self.send_health_check(run, &format!("http://{address}{path}"), *timeout)
             }
         };
         match response.and_then(read_status) {
@@ -116,16 +116,26 @@
         }
     }
 
-    fn call(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
+    fn send_http_call(
+        &self,
+        run: &Run,
+        url: &str,
+        timeout: Duration,
+    ) -> Result<http::Response<Body>, ureq::Error> {
         with_timeout(self.agent.post(url), timeout)
-            .header(INSTANCE_HEADER, &self.instance)
+            .header(INSTANCE_HEADER, &self.instance_name)
             .header(JOB_HEADER, job_names::configured_name(&run.job))
             .header(RUN_HEADER, run.id.to_string())
             .header(DEADLINE_HEADER, run.deadline.unix.as_millis().to_string())
             .send_empty()
     }
 
-    fn check(&self, run: &Run, url: &str, timeout: Duration) -> Result<http::Response<Body>, ureq::Error> {
+    fn send_health_check(
+        &self,
+        run: &Run,
+        url: &str,
+        timeout: Duration,
+    ) -> Result<http::Response<Body>, ureq::Error> {
         with_timeout(self.agent.get(url), timeout).header(RUN_HEADER, run.id.to_string()).call()
     }
 }
--- a/crates/cluster/src/store_client/consul_api.rs
+++ b/crates/cluster/src/store_client/consul_api.rs
@@ -35,11 +35,11 @@
     pub(super) address: SocketAddr,
     pub(super) token: TokenFile,
     pub(super) keys: LeaseKeys,
-    pub(super) instance: String,
+    pub(super) instance_name: String,
 }
 
 impl ConsulApi {
-    /// Makes a call and waits for its response.
+    /// Makes a call of the scheduler, which may take several HTTP requests, and waits for the response.
     pub(super) fn call(&self, call: StoreCall) -> StoreResponse {
         match call {
             StoreCall::OpenSession => StoreResponse::SessionOpened(self.open_session()),
@@ -49,7 +49,7 @@
                 StoreResponse::SessionRenewed { session, result }
             }
             StoreCall::ReadLeases { call, jobs } => {
-                let result = self.read(&jobs);
+                let result = self.read_leases(&jobs);
                 StoreResponse::LeasesRead { call, jobs, result }
             }
             StoreCall::CompareAndSet { call, job, record, expected_index, session } => {
@@ -70,9 +70,9 @@
 
     /// Creates a session and acquires the session's own key.
     fn open_session(&self) -> Result<Session, StoreError> {
-        let created = self.send(&Request::create_session(&self.instance, SESSION_TTL))?;
+        let created = self.send(&Request::create_session(&self.instance_name, SESSION_TTL))?;
         let session = self.keys.created_session(&created)?;
-        if self.send(&Request::acquire_session_key(&session, &self.instance))?.key_acquired()? {
+        if self.send(&Request::acquire_session_key(&session, &self.instance_name))?.key_acquired()? {
             Ok(session)
         } else {
             Err(StoreError::NotApplied(StoreErrorCause::SessionKeyHeld))
@@ -80,7 +80,7 @@
     }
 
     /// Reads the leases of these jobs. A single lease is read by its key, several leases by listing the leases of all jobs.
-    fn read(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
+    fn read_leases(&self, jobs: &[String]) -> Result<LeaseListing, StoreError> {
         let single_job = if let [job] = jobs { Some(job.as_str()) } else { None };
         let response = self.send(&self.keys.read_request(single_job))?;
         let mut listing = self.keys.listing(&response, jobs)?;
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -19,12 +19,12 @@
 /// Consul removes a registration whose check has been critical for this long.
 const DEREGISTER_CRITICAL_AFTER: &str = "10m";
 
-/// A request to the registration thread to deregister. `done` acknowledges it.
+/// A request to the registration thread to deregister. `done` acknowledges the deregistration.
 struct DeregisterRequest {
     done: SyncSender<()>,
 }
 
-/// The service instance to register.
+/// The name, id, address and TTL of the service instance to register.
 #[derive(Clone, Debug)]
 pub struct RegistrationConfig {
     /// Name of the service in Consul.
@@ -33,7 +33,7 @@
     pub id: String,
     /// The address at which clients reach this instance.
     pub address: SocketAddr,
-    /// Time after the last heartbeat at which its TTL check becomes critical.
+    /// Time after the last heartbeat at which the TTL check of the service becomes critical.
     pub ttl: Duration,
 }
 
--- a/crates/job_lease/src/error.rs
+++ b/crates/job_lease/src/error.rs
@@ -2,10 +2,10 @@
 
 use std::error::Error;
 
-/// The error of a call to the lease store.
+/// Why a call to the lease store failed, and whether the store may have applied it.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The call was not applied. It was rejected or never sent.
+    /// The store rejected the call, or the call was never sent.
     #[error("{0}")]
     NotApplied(#[source] StoreErrorCause),
     /// The call may have been applied, or may still be applied.
@@ -31,25 +31,25 @@
     /// Another session holds the key of the new session.
     #[error("the key of the new session is held by another session")]
     SessionKeyHeld,
-    /// The value under a job's key is not a lease record. It is never overwritten.
+    /// Another program has written a value under a job's key. The value is never overwritten.
     #[error("the value under the key {key:?} is not a lease record")]
     ForeignValue {
         /// The full key of the job, with the prefix.
         key: String,
     },
-    /// A transaction was rolled back, but the response lists no error.
+    /// The store responded with status 409 to a transaction without saying which operation failed.
     #[error("a transaction was rolled back, but the response lists no error")]
     RollbackWithoutError,
-    /// A transaction succeeded, but the response does not contain the job's key.
+    /// The store confirmed a transaction without the job's key, so the new index of the key is unknown.
     #[error("a transaction succeeded, but the response does not contain the key {key:?}")]
     KeyMissingInResponse {
         /// The full key of the job, with the prefix.
         key: String,
     },
     /// The HTTP client failed to send the request or to read the response.
-    #[error("{0}")]
+    #[error("the HTTP request to the store failed: {0}")]
     Transport(#[source] Box<dyn Error + Send + Sync>),
-    /// The call timed out.
+    /// The timeout of the call passed without a complete response.
     #[error("the store did not respond in time")]
     NoResponse,
     /// The call was not sent because the call queue is full.
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -34,7 +34,7 @@
 /// The maximum time for which dissemination stays active without a break, in activity windows. A bulk failure needs less.
 /// Where datagrams are lost, faster probes cause further suspicions, which must not keep dissemination active forever.
 const MAX_ACTIVE_WINDOWS: u32 = 5;
-/// The time for which a failure is retained, in activity windows. It exceeds [`MAX_ACTIVE_WINDOWS`], so that digests do not
+/// The time for which a failure is retained, in activity windows. This exceeds [`MAX_ACTIVE_WINDOWS`], so that digests do not
 /// differ merely because one member has already removed a failure.
 const FAILURE_RETENTION_WINDOWS: u32 = 10;
 /// The maximum number of messages in a reply to a digest.
@@ -51,8 +51,8 @@
     /// The time for which dissemination stays active after the last evidence of a bulk failure.
     activity_window: Duration,
     failures: FailureLog,
-    /// The moment at which dissemination last became active. It remains set when [`MAX_ACTIVE_WINDOWS`] have passed, and is
-    /// cleared once the failures are too few to activate dissemination.
+    /// The moment at which dissemination last became active. The field remains set when [`MAX_ACTIVE_WINDOWS`] have passed, and
+    /// is cleared once the failures are too few to activate dissemination.
     active_since: Option<MonotonicTime>,
     active_until: MonotonicTime,
     next_poll: MonotonicTime,
@@ -85,20 +85,25 @@
 
     /// Records that a member has failed.
     pub(crate) fn record_failure(&mut self, now: MonotonicTime, fingerprint: MemberFingerprint) {
-        self.failures.add(now, fingerprint);
+        self.failures.add_failure(now, fingerprint);
     }
 
     /// Activates dissemination if enough of the members are suspected or have failed. While dissemination is active, returns
     /// the digest to send to a random member, at most once per gossip period.
-    pub(crate) fn poll(&mut self, now: MonotonicTime, suspects: usize, alive: usize) -> Option<u64> {
+    pub(crate) fn poll(
+        &mut self,
+        now: MonotonicTime,
+        suspect_count: usize,
+        alive_count: usize,
+    ) -> Option<u64> {
         if now < self.next_poll {
             return None;
         }
         self.next_poll = now + self.gossip_period;
         self.replies_in_period = 0;
         self.failures.remove_older_than(FAILURE_RETENTION_WINDOWS * self.activity_window, now);
-        let failures = suspects + self.failures.count_within(self.activity_window, now);
-        if failures >= MIN_FAILURES.max(alive / ALIVE_PER_FAILURE) {
+        let failure_count = suspect_count + self.failures.count_within(self.activity_window, now);
+        if failure_count >= MIN_FAILURES.max(alive_count / ALIVE_PER_FAILURE) {
             self.extend_activity(now);
         } else if !self.is_active(now) {
             self.active_since = None;
--- a/crates/periodic_jobs/src/job.rs
+++ b/crates/periodic_jobs/src/job.rs
@@ -9,7 +9,7 @@
 /// A periodic job. In each period, at most one instance runs it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Job {
-    /// The name, which must be the same on all instances.
+    /// The name of the job, the same on all instances.
     pub name: String,
     /// The time between the scheduled times of two runs. Fractions of a millisecond are ignored.
     pub period: Duration,
@@ -20,7 +20,7 @@
     /// spreads the load on the lease store.
     pub fn run_at(&self, time: UnixTime) -> RunId {
         let period_ms = whole_millis(self.period).max(1);
-        let offset_ms = JobHash::of(&self.name).0 % period_ms;
+        let offset_ms = JobHash::from_name(&self.name).0 % period_ms;
         let elapsed_ms = (time.as_millis() + period_ms - offset_ms) % period_ms;
         time.saturating_sub(Duration::from_millis(elapsed_ms)).into()
     }
@@ -35,7 +35,7 @@
 /// A run that this instance has acquired and may start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The name of the job.
+    /// The name of the job to which the run belongs.
     pub job: String,
     /// The id of the run: its scheduled time, and its fencing token.
     pub id: RunId,
--- a/crates/periodic_jobs/src/rendezvous.rs
+++ b/crates/periodic_jobs/src/rendezvous.rs
@@ -14,8 +14,8 @@
 pub struct JobHash(pub u64);
 
 impl JobHash {
-    /// Returns the hash of the job with this name.
-    pub fn of(name: &str) -> Self {
+    /// Hashes the name of a job.
+    pub fn from_name(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
@@ -25,8 +25,8 @@
 pub struct MemberHash(pub u64);
 
 impl MemberHash {
-    /// Returns the hash of the member with this name.
-    pub fn of(name: &str) -> Self {
+    /// Hashes the name of a member, which is its instance name.
+    pub fn from_name(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
@@ -47,7 +47,7 @@
 }
 
 impl MembershipChange {
-    /// Returns whether no member joined or left.
+    /// Whether both sets have the same members.
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty() && self.left.is_empty()
     }
@@ -72,7 +72,7 @@
     /// Replaces the set of live members. Returns which members joined and left.
     pub fn replace(&mut self, names: impl IntoIterator<Item = String>) -> MembershipChange {
         let after: BTreeMap<MemberHash, String> =
-            names.into_iter().map(|name| (MemberHash::of(&name), name)).collect();
+            names.into_iter().map(|name| (MemberHash::from_name(&name), name)).collect();
         let joined = after.keys().filter(|member| !self.names.contains_key(member)).copied().collect();
         let left = self.names.keys().filter(|member| !after.contains_key(member)).copied().collect();
         self.names = after;
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -44,7 +44,7 @@
         let mut members = Members::default();
         members.replace([config.instance.clone()]);
         Self {
-            local_member: MemberHash::of(&config.instance),
+            local_member: MemberHash::from_name(&config.instance),
             config,
             members,
             jobs: Vec::new(),
@@ -101,7 +101,7 @@
         self.jobs.iter().map(|state| state.status(&self.members, self.local_member)).collect()
     }
 
-    /// Returns whether the lease store is unavailable: its last calls have failed.
+    /// Returns whether the last calls to the lease store have failed, so that no run starts.
     pub fn is_store_unavailable(&self) -> bool {
         self.store.is_unavailable()
     }
@@ -122,7 +122,7 @@
         }
         let mut jobs_to_read = Vec::new();
         while let Some(job_index) = self.attempts.pop_due(now.unix) {
-            self.attempt(job_index, now, &mut jobs_to_read, actions);
+            self.attempt_run(job_index, now, &mut jobs_to_read, actions);
         }
         if !jobs_to_read.is_empty() {
             self.read_leases(&jobs_to_read, actions);
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -9,7 +9,7 @@
 
 impl Scheduler {
     /// Attempts a job's run of the current period. Adds the job to `jobs_to_read` if its lease must be read first.
-    pub(super) fn attempt(
+    pub(super) fn attempt_run(
         &mut self,
         job_index: usize,
         now: ClockReading,
@@ -80,7 +80,7 @@
         let state = &self.jobs[job_index];
         let Config { instance, incarnation, max_clock_skew, .. } = &self.config;
         let run = state.current_run;
-        // The hash differs for each incarnation of an instance. Its lowest bit is set because the id 0 marks a seed.
+        // The hash differs for each incarnation of an instance. Its lowest bit is set because 0 is the lease id of a seed record.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
         let seed_run = state.job.run_at(now.unix + *max_clock_skew);
         AcquireRequest { run, lease_id, seed_run }
@@ -135,8 +135,8 @@
             let job = state.job.name.clone();
             actions.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled_run }));
         }
-        // No instance whose clock is within the maximum skew can have written a record ahead of all clocks. It settles only the
-        // current run, so the run of the next period is attempted again.
+        // No instance whose clock is within the maximum skew can have written a record ahead of all clocks. Such a record settles
+        // only the current run, so the run of the next period is attempted again.
         state.last_settled_run = if ahead_of_clocks { state.current_run } else { settled_run };
         state.phase = Phase::Idle;
         self.schedule_next_run(job_index, now);
--- a/crates/replicated_config/src/replica/tick_clock.rs
+++ b/crates/replicated_config/src/replica/tick_clock.rs
@@ -5,7 +5,7 @@
 
 /// Time between two ticks of the Raft library.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of ticks to run after a pause. It exceeds each replica's election timeout.
+/// Maximum number of ticks to run after a pause: more than each replica's election timeout.
 const MAX_CATCH_UP_TICKS: u64 = 64;
 
 /// Counts the ticks that are due by the node's clock.
@@ -19,7 +19,7 @@
         Self { last_tick_at: now }
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time of the node's clock at which the next tick of the Raft library is due.
     pub(super) fn next_tick_at(&self) -> MonotonicTime {
         self.last_tick_at + TICK_INTERVAL
     }
