--- a/crates/fault_harness/src/lib.rs
+++ b/crates/fault_harness/src/lib.rs
@@ -1,5 +1,5 @@
 //! Shared parts of the fault-injection harnesses. The packages `fault_injection` (sites of appliances and platforms whose links
-//! can fail) and `platform_soak` (large sites of the platform path) build their sites, faults and histories on this package.
+//! can fail) and `platform_soak` (large sites of the platform) build their sites, faults and histories on this package.
 //!
 //! | module | content |
 //! | --- | --- |
--- a/crates/fault_harness/src/outcome.rs
+++ b/crates/fault_harness/src/outcome.rs
@@ -32,7 +32,7 @@
 }
 
 impl Outcome {
-    /// The name in tables and in stored histories.
+    /// The name of the outcome in tables and in stored histories.
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "served",
--- a/crates/fault_harness/src/process.rs
+++ b/crates/fault_harness/src/process.rs
@@ -36,11 +36,11 @@
 /// Duration of each suspension of a throttled process.
 const THROTTLED_SUSPENSION: Duration = Duration::from_millis(45);
 
-/// A running gatekeeper. It is killed when this is dropped.
+/// A running gatekeeper process, which is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
-    /// File name of the program that it runs.
+    /// File name of the program that the process runs.
     program: OsString,
     pid: Pid,
     progress: Arc<Progress>,
--- a/crates/fault_harness/src/rules/eligibility.rs
+++ b/crates/fault_harness/src/rules/eligibility.rs
@@ -12,8 +12,8 @@
 }
 
 impl IneligibleSpan {
-    /// Time from the start of the span to an attempt; none if the attempt is before the end of the grace period or after the
-    /// span.
+    /// Time from the start of the span to an attempt; none if the attempt arrived before the end of the grace period or after
+    /// the span.
     pub fn lateness(&self, attempt: Duration, grace: Duration) -> Option<Duration> {
         let is_late = attempt > self.from + grace && attempt < self.to;
         is_late.then(|| attempt - self.from)
--- a/crates/fault_harness/src/stand_ins/backend_server.rs
+++ b/crates/fault_harness/src/stand_ins/backend_server.rs
@@ -33,36 +33,36 @@
 /// How a backend answers one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerMode {
-    /// It answers with the request's value.
+    /// The backend answers with the request's value.
     #[default]
     Serve,
-    /// It answers with the request's value after this additional time.
+    /// The backend answers with the request's value after this additional time.
     Slow(Duration),
-    /// It answers with an error. The request may have run.
+    /// The backend answers with an error. The request may have run.
     Fail,
-    /// It answers with a rejection. The request never ran.
+    /// The backend answers with a rejection. The request never ran.
     Reject,
-    /// It sends the first half of the answer and closes the connection.
+    /// The backend sends the first half of the answer and closes the connection.
     Truncate,
-    /// It closes the connection without an answer.
+    /// The backend closes the connection without an answer.
     Close,
-    /// It resets the connection without an answer.
+    /// The backend resets the connection without an answer.
     Reset,
-    /// It never answers and keeps the connection open.
+    /// The backend never answers and keeps the connection open.
     Hang,
 }
 
 /// What a backend does with a connection that has been idle for a while.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum IdleMode {
-    /// It keeps the connection.
+    /// The backend keeps the idle connection and serves it again.
     #[default]
     Keep,
-    /// It closes the connection.
+    /// The backend closes the idle connection.
     Close,
-    /// It resets the connection.
+    /// The backend resets the idle connection.
     Reset,
-    /// It keeps the connection open and never answers on it again.
+    /// The backend keeps the idle connection open and never answers on it again.
     Forget,
 }
 
@@ -118,7 +118,7 @@
 
 /// A request and the bytes of the possible answers to it.
 struct Request {
-    /// None for a health check.
+    /// The attempt that the request makes; none for a health check.
     arrival: Option<Arrival>,
     success: Vec<u8>,
     failure: Vec<u8>,
@@ -135,7 +135,7 @@
 /// Serves the connections of one backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendServer {
-    /// The protocol of the connections.
+    /// Protocol in which requests are read and answers are written.
     pub protocol: BackendProtocol,
     /// The clock that times the arrivals of attempts.
     pub clock: ScheduleClock,
--- a/crates/fault_harness/src/stand_ins/backend_server/tests.rs
+++ b/crates/fault_harness/src/stand_ins/backend_server/tests.rs
@@ -17,7 +17,7 @@
 
 /// A site that records the attempts of its backend.
 #[derive(Clone, Default)]
-struct Site {
+struct RecordingBackendSite {
     answer: AnswerMode,
     idle: IdleMode,
     rejects_connections: bool,
@@ -26,7 +26,7 @@
     attempts: Arc<Mutex<Vec<(Arrival, AttemptOutcome)>>>,
 }
 
-impl Site {
+impl RecordingBackendSite {
     fn answering(answer: AnswerMode) -> Self {
         Self { answer, ..Self::default() }
     }
@@ -36,7 +36,7 @@
     }
 }
 
-impl BackendSite for Site {
+impl BackendSite for RecordingBackendSite {
     type Attempt = usize;
 
     fn accepts_requests(&self) -> bool {
@@ -63,7 +63,7 @@
     }
 }
 
-fn connect(protocol: BackendProtocol, site: &Site) -> ClientConnection {
+fn connect(protocol: BackendProtocol, site: &RecordingBackendSite) -> ClientConnection {
     let (server, site) = (BackendServer { protocol, clock: ScheduleClock::start() }, site.clone());
     let any_port = ([127, 0, 0, 1], 0).into();
     let address =
@@ -92,7 +92,7 @@
         (AnswerMode::Close, Reply::Closed, AttemptOutcome::Closed),
         (AnswerMode::Reset, Reply::Closed, AttemptOutcome::Closed),
     ] {
-        let site = Site::answering(mode);
+        let site = RecordingBackendSite::answering(mode);
         assert_eq!(call(&mut connect(BackendProtocol::Resp, &site)), reply, "{mode:?}");
         assert_eq!(site.outcomes(), [outcome], "{mode:?}");
     }
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_arrival_has_the_requests_id_its_times_and_the_time_left() {
-    let site = Site::default();
+    let site = RecordingBackendSite::default();
     let mut connection = connect(BackendProtocol::Resp, &site);
     let command = wire::resp_command(REQUEST);
     connection.send(&command[..5]).expect("the bytes are sent");
@@ -116,7 +116,7 @@
 #[test]
 fn an_attempt_whose_client_closes_the_connection_ends() {
     for mode in [AnswerMode::Slow(TIMEOUT), AnswerMode::Hang] {
-        let site = Site::answering(mode);
+        let site = RecordingBackendSite::answering(mode);
         let mut connection = connect(BackendProtocol::Resp, &site);
         connection.send(&wire::resp_command(REQUEST)).expect("the bytes are sent");
         let has_arrived = || site.outcomes() == [AttemptOutcome::Open];
@@ -131,7 +131,7 @@
 
 /// Returns a connection that has been idle after an answer for long enough to be treated as idle.
 fn idle_connection(idle: IdleMode) -> ClientConnection {
-    let site = Site { idle, ..Site::default() };
+    let site = RecordingBackendSite { idle, ..RecordingBackendSite::default() };
     let mut connection = connect(BackendProtocol::Resp, &site);
     assert_eq!(call(&mut connection), Reply::Complete("00ff".to_owned()), "{idle:?}");
     let is_idle = || site.idle_checks.load(Ordering::Relaxed) > 0;
@@ -159,14 +159,14 @@
 
 #[test]
 fn a_connection_may_be_closed_before_its_first_request() {
-    let site = Site { rejects_connections: true, ..Site::default() };
+    let site = RecordingBackendSite { rejects_connections: true, ..RecordingBackendSite::default() };
     let mut connection = connect(BackendProtocol::Resp, &site);
     assert_eq!(read_reply(&mut connection, TIMEOUT), Reply::Closed);
 }
 
 #[test]
 fn an_http_health_check_is_answered_and_not_recorded_as_an_attempt() {
-    let site = Site::default();
+    let site = RecordingBackendSite::default();
     let mut connection = connect(BackendProtocol::Http, &site);
     let mut body = |request: &[u8]| {
         connection.send(request).expect("the bytes are sent");
--- a/crates/fault_harness/src/stand_ins/endpoint_list.rs
+++ b/crates/fault_harness/src/stand_ins/endpoint_list.rs
@@ -12,11 +12,11 @@
 /// Whether a backend is eligible for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It is eligible.
+    /// The backend is eligible for new requests.
     Up,
-    /// It gets no new requests and finishes those that it has.
+    /// The backend gets no new requests and finishes those that it has.
     Draining,
-    /// It is not on the list any more.
+    /// The backend is not on the list any more.
     Removed,
 }
 
@@ -36,11 +36,11 @@
 pub struct ListedBackend {
     /// Identifies the backend on the list.
     pub id: String,
-    /// Whether it is eligible since its last change.
+    /// State of the backend since its last change.
     pub state: ListedState,
-    /// When it last started, in Unix milliseconds; 0 if that is long ago.
+    /// Unix time in milliseconds at which the backend last started; 0 if that is long ago.
     boot_ms: u64,
-    /// The list's revision with its last change.
+    /// Revision of the list at the backend's last change.
     revision: u64,
 }
 
--- a/crates/fault_harness/src/stand_ins/quota_counter.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter.rs
@@ -1,4 +1,4 @@
-//! The quota counter stand-in: a RESP2 server that keeps named totals, each of which expires.
+//! The quota counter stand-in: a RESP2 server that keeps a sum under each count name. Each sum expires.
 
 use crate::connections::{keep_silent, reset_on_close};
 use crate::sync::lock;
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Maximum lifetime of a total, ms.
+/// Maximum lifetime of the sum of a count, ms.
 const MAX_LIFETIME_MS: u64 = 60_000;
 /// The reply to a call that is rejected.
 const REJECTION: &str = "-BUSY\r\n";
@@ -19,30 +19,30 @@
 /// How the counter fails to answer a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterFailure {
-    /// It answers after this delay.
+    /// The counter answers a call after this delay.
     Slow(Duration),
-    /// It neither applies nor answers calls, and keeps the connection open.
+    /// The counter neither applies nor answers calls, and keeps the connection open.
     Silent,
-    /// It closes the connection on a call, without applying the call.
+    /// The counter closes the connection on a call, without applying the call.
     Closed,
-    /// It rejects calls without applying them.
+    /// The counter rejects calls without applying them.
     Rejecting,
-    /// It applies a call and never answers on this connection again.
+    /// The counter applies a call and never answers on this connection again.
     ResponseLost,
-    /// It applies a call and closes the connection in the middle of the answer.
+    /// The counter applies a call and closes the connection in the middle of the answer.
     ResponseTruncated,
-    /// It applies a call and resets the connection.
+    /// The counter applies a call and resets the connection.
     Resetting,
 }
 
-/// An amount that was added to a total.
+/// An amount that a call added to the sum of a count.
 #[derive(Clone, Copy, Debug)]
 pub struct Addition<'a> {
-    /// Name of the total.
+    /// Name of the count.
     pub name: &'a str,
-    /// The amount that was added.
+    /// The amount that was added, negative if the call subtracted from the sum.
     pub amount: f64,
-    /// The total after the addition, as it is sent in the answer.
+    /// The sum of the count after the addition, as it is sent in the answer.
     pub total: f64,
 }
 
@@ -50,7 +50,7 @@
 #[derive(Debug, PartialEq)]
 enum Call<'a> {
     Ping,
-    /// Adds to a total. The lifetime of a total begins with its first amount.
+    /// Adds an amount to the sum of a count. The lifetime of the sum begins with its first amount.
     Add {
         name: &'a str,
         amount: f64,
@@ -87,7 +87,7 @@
     expires: Instant,
 }
 
-/// Handle of the quota counter. Clones share its totals.
+/// Handle of the quota counter. Clones share its counts.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCounter {
     totals: Arc<Mutex<HashMap<String, Total>>>,
@@ -95,7 +95,7 @@
 }
 
 impl QuotaCounter {
-    /// Deletes all totals, like a counter that restarts without stored state.
+    /// Deletes all counts, like a counter that restarts without stored state.
     pub fn clear(&self) {
         lock(&self.totals).clear();
     }
@@ -105,7 +105,7 @@
         self.additions.load(Ordering::Acquire)
     }
 
-    /// Adds to a total and returns the total as it is sent in the answer.
+    /// Adds an amount to the sum of a count and returns the new sum as it is sent in the answer.
     fn add(&self, name: &str, amount: f64, lifetime: Duration) -> f64 {
         let (mut totals, now) = (lock(&self.totals), Instant::now());
         let new_total = || Total { value: 0.0, expires: now + lifetime };
@@ -180,7 +180,7 @@
     }
 }
 
-/// Rounds a total to seven significant digits, as the protocol sends it.
+/// Rounds the sum of a count to seven significant digits, as the protocol sends it.
 fn round_to_seven_digits(total: f64) -> f64 {
     format!("{total:.6e}").parse().unwrap_or(total)
 }
--- a/crates/fault_harness/src/stand_ins/watch_server.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server.rs
@@ -19,14 +19,14 @@
 /// How a discovery agent answers watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WatchMode {
-    /// It answers at once.
+    /// The agent answers watches at once.
     #[default]
     Healthy,
-    /// It answers a new watch after this time. Open watches are not delayed.
+    /// The agent answers a new watch after this time. Open watches are not delayed.
     Slow(Duration),
-    /// It sends nothing on open and new watches.
+    /// The agent sends nothing on open and new watches.
     Silent,
-    /// It closes open watches and new connections.
+    /// The agent closes open watches and new connections.
     Down,
 }
 
@@ -44,7 +44,7 @@
     /// What the site notes of an update before it is written, to record it afterwards.
     type Notice;
 
-    /// How the agent answers now.
+    /// How the agent answers watches now.
     fn mode(&self) -> WatchMode {
         WatchMode::Healthy
     }
