--- a/crates/platform_soak/src/checkers.rs
+++ b/crates/platform_soak/src/checkers.rs
@@ -42,8 +42,8 @@
 }
 
 impl History {
-    /// Longest scheduling delay of the harness that overlaps the interval from `from` to `to`. The times that it records there
-    /// may be late by this much.
+    /// Longest scheduling delay of the harness that overlaps the interval from `from` to `to`. Times that the harness recorded
+    /// in the interval may be late by up to this delay.
     pub(crate) fn harness_delay(&self, from: Moment, to: Moment) -> Duration {
         let overlaps = |record: &&SchedulingDelay| {
             record.ended >= from && record.ended.saturating_sub(record.delay) <= to
--- a/crates/platform_soak/src/client.rs
+++ b/crates/platform_soak/src/client.rs
@@ -42,24 +42,24 @@
 
 /// A client that sends requests to one gatekeeper, one at a time.
 pub struct Client {
-    /// The gatekeeper that it sends requests to.
+    /// The gatekeeper that the client sends requests to.
     pub gatekeeper: Arc<Gatekeeper>,
-    /// The settings of the site, from which it draws classes and tenants.
+    /// The settings of the site, from which the client draws classes and tenants.
     pub settings: Arc<Settings>,
     /// Rates of misbehaviour, shared by all clients.
     pub behaviour: Arc<Behaviour>,
     /// The next serial number of a request, shared by the clients of the gatekeeper.
     pub serials: Arc<AtomicU32>,
-    /// Collects the records of its requests.
+    /// Collects the records of the client's requests.
     pub recorder: Recorder,
-    /// Draws its pauses, requests and misbehaviour.
+    /// Draws the client's pauses, requests and misbehaviour.
     pub random: fastrand::Rng,
 }
 
 /// An open connection of a client.
 struct Connection {
     stream: ClientConnection,
-    /// Number of requests that have ended on it.
+    /// Number of requests that have ended on the connection.
     answered: u32,
 }
 
@@ -112,7 +112,8 @@
         let mut record = self.exchange(&mut connection, &prepared, disconnect_after)?;
         record.is_first_on_connection = is_first;
         if record.outcome == Outcome::Closed && !is_first {
-            // The gatekeeper closed the idle connection while the request was sent, so the client sends it again on a new one.
+            // The gatekeeper closed the idle connection while the request was sent, so the client sends the request again on a
+            // new connection.
             if let Some(mut new_connection) = self.connect()
                 && let Some(mut resent) = self.exchange(&mut new_connection, &prepared, None)
             {
--- a/crates/platform_soak/src/gatekeeper.rs
+++ b/crates/platform_soak/src/gatekeeper.rs
@@ -44,14 +44,14 @@
 /// One of the processes that run a gatekeeper one after another.
 #[derive(Debug)]
 struct Incarnation {
-    /// Number among the gatekeeper's processes, from 0.
+    /// Number of the process among the gatekeeper's processes, from 0.
     number: usize,
     process: Process,
     lifecycle: Arc<Mutex<Lifecycle>>,
 }
 
 impl Incarnation {
-    /// Whether it should accept new connections from clients.
+    /// Whether the process should accept new connections from clients.
     fn accepts_connections(&self, now: Moment) -> bool {
         let Lifecycle { ready, terminated, was_killed } = *lock(&self.lifecycle);
         let is_ending = terminated.is_some_and(|at| now >= at + ACCEPTS_AFTER_TERMINATION);
@@ -105,9 +105,9 @@
 /// A gatekeeper with all processes that have run it.
 #[derive(Debug)]
 pub struct Gatekeeper {
-    /// Its number in the site, from 0.
+    /// Number of the gatekeeper in the site, from 0.
     pub index: GatekeeperIndex,
-    /// Where its clients connect.
+    /// Address at which the gatekeeper's clients connect.
     pub address: SocketAddr,
     /// The control block by which the harness sets the faults of the shim in this gatekeeper's processes.
     pub control: Control,
@@ -115,7 +115,7 @@
     config_path: PathBuf,
     directory: PathBuf,
     recorder: Recorder,
-    /// All its processes so far, in the order of their starts.
+    /// All processes of the gatekeeper so far, in the order of their starts.
     incarnations: Mutex<Vec<Arc<Incarnation>>>,
     /// Held while a process is replaced, so that replacements do not overlap.
     replacement_lock: Mutex<()>,
@@ -149,7 +149,7 @@
         }))
     }
 
-    /// Writes the configuration file that its processes read.
+    /// Writes the configuration file that the gatekeeper's processes read.
     ///
     /// # Errors
     ///
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// The environment variables of its processes.
+    /// The environment variables of the gatekeeper's processes.
     fn environment(&self) -> Vec<(&'static str, String)> {
         let mut variables = vec![
             ("BALANCER_CONFIG", self.config_path.display().to_string()),
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -59,25 +59,25 @@
 pub struct RequestRecord {
     /// Identifies the request in the run.
     pub number: RequestNumber,
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of the request's tenant in the settings.
     pub tenant: usize,
-    /// The units that it takes from its tenant's quota.
+    /// Units that the request takes from its tenant's quota.
     pub units: f64,
-    /// Its deadline, as time from `sent`.
+    /// Deadline of the request, as time from `sent`.
     pub deadline: Duration,
-    /// When its last byte was written.
+    /// Time at which the last byte of the request was written.
     pub sent: Moment,
-    /// When the client closed its connection, if it did so before the answer.
+    /// Time at which the client closed its connection, if it did so before the answer.
     pub disconnected: Option<Moment>,
-    /// When the client got its answer, closed the connection or stopped waiting.
+    /// Time at which the client got its answer, closed the connection or stopped waiting.
     pub ended: Moment,
-    /// How it ended for the client.
+    /// How the request ended for the client.
     pub outcome: Outcome,
-    /// Whether it was the first request on its connection.
+    /// Whether the request was the first one on its connection.
     pub is_first_on_connection: bool,
-    /// Whether the client sent it again on a new connection because the gatekeeper had closed an idle one.
+    /// Whether the client sent the request again on a new connection because the gatekeeper had closed an idle one.
     pub was_resent: bool,
 }
 
@@ -88,56 +88,56 @@
 /// An attempt that a backend has received completely.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// The request that it belongs to; [`RequestNumber::UNKNOWN`] if its id cannot be parsed.
+    /// The request that the attempt belongs to; [`RequestNumber::UNKNOWN`] if the request's id cannot be parsed.
     pub request: RequestNumber,
-    /// The backend that received it.
+    /// The backend that received the attempt.
     pub backend: BackendIndex,
-    /// When its first byte was read.
+    /// Time at which the first byte of the attempt was read.
     pub began: Moment,
-    /// When its last byte was read.
+    /// Time at which the last byte of the attempt was read.
     pub arrived: Moment,
     /// The time left until the deadline, as stated in the attempt; [`Duration::MAX`] if it states none.
     pub time_left: Duration,
-    /// When it ended; none while it is in flight.
+    /// Time at which the attempt ended; none while the attempt is in flight.
     pub ended: Option<Moment>,
-    /// How it ended at the backend.
+    /// How the attempt ended at the backend.
     pub outcome: AttemptOutcome,
 }
 
 /// An event in the life of a gatekeeper's process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The process was started.
     Started {
-        /// Offset of its wall clock in microseconds.
+        /// Offset of the process's wall clock in microseconds.
         clock_offset_us: i64,
     },
-    /// It logged that it serves.
+    /// The process logged that it serves.
     Ready,
-    /// SIGTERM was sent.
+    /// The harness sent SIGTERM to the process.
     Terminated,
-    /// SIGKILL was sent.
+    /// The harness sent SIGKILL to the process.
     Killed,
-    /// It exited.
+    /// The process exited.
     Exited {
         /// Exit code, or the negative number of the signal that ended the process.
         exit_code: i32,
         /// How the harness had asked the process to exit.
         request: ExitRequest,
     },
-    /// It was resumed after a suspension.
+    /// The process was resumed after a suspension.
     Suspended {
-        /// When it was suspended.
+        /// Time at which the process was suspended.
         from: Moment,
     },
-    /// It logged a violation of one of its invariants.
+    /// The process logged a violation of one of its invariants.
     Violation {
-        /// The log line.
+        /// The log line about the violation.
         line: String,
     },
-    /// It panicked.
+    /// The process panicked.
     Panicked {
-        /// The log line.
+        /// The log line about the panic.
         line: String,
     },
 }
@@ -145,7 +145,7 @@
 /// A process event with its time.
 #[derive(Clone, Debug)]
 pub struct ProcessRecord {
-    /// When it happened.
+    /// Time of the event.
     pub at: Moment,
     /// The gatekeeper that the process runs.
     pub gatekeeper: GatekeeperIndex,
@@ -158,7 +158,7 @@
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// When the list changed.
+    /// Time of the change.
     pub at: Moment,
     /// The backend that changed.
     pub backend: BackendIndex,
@@ -171,7 +171,7 @@
 /// A change of a discovery agent's reachability.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryChange {
-    /// When it changed.
+    /// Time at which the agent became reachable or unreachable.
     pub at: Moment,
     /// The gatekeeper that the agent serves.
     pub gatekeeper: GatekeeperIndex,
@@ -182,7 +182,7 @@
 /// A list update that was sent to a gatekeeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
-    /// When it was sent.
+    /// Time at which the update was sent.
     pub at: Moment,
     /// The gatekeeper that the update was sent to.
     pub gatekeeper: GatekeeperIndex,
@@ -195,16 +195,16 @@
 pub struct PartialRequest {
     /// The gatekeeper that the start of the request was sent to.
     pub gatekeeper: GatekeeperIndex,
-    /// When the client stopped sending.
+    /// Time at which the client stopped sending.
     pub stopped: Moment,
-    /// When the client got an error or a close; none if neither came while it waited.
+    /// Time at which the client got an error or a close; none if neither came while it waited.
     pub ended: Option<Moment>,
 }
 
 /// A change of the quota counter's reachability for some gatekeepers.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterChange {
-    /// When it changed.
+    /// Time at which the counter became reachable or unreachable.
     pub at: Moment,
     /// Number of affected gatekeepers.
     pub gatekeepers: usize,
@@ -213,16 +213,16 @@
 /// A connection that a gatekeeper refused while it should have accepted it.
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
-    /// When the client's connect failed.
+    /// Time at which the client's connect failed.
     pub at: Moment,
-    /// The gatekeeper that refused it.
+    /// The gatekeeper that refused the connection.
     pub gatekeeper: GatekeeperIndex,
 }
 
 /// A measured scheduling delay of the harness itself.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulingDelay {
-    /// When the delayed thread ran.
+    /// Time at which the delayed thread ran.
     pub ended: Moment,
     /// How late the thread ran.
     pub delay: Duration,
@@ -231,7 +231,7 @@
 /// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// When the schedule began, after all gatekeepers served.
+    /// Time at which the schedule began, after all gatekeepers served.
     pub started: Moment,
     /// Requests that clients sent completely.
     pub requests: Vec<RequestRecord>,
--- a/crates/platform_soak/src/lib.rs
+++ b/crates/platform_soak/src/lib.rs
@@ -1,6 +1,6 @@
-//! Soak test of the platform path: a few dozen real gatekeepers (`run`, RESP2) on loopback with stand-ins for clients, backends,
-//! discovery and the quota counter, and faults that overlap in time. A recorder collects the history of a run, and checkers
-//! compare it with the invariants.
+//! Soak test of gatekeepers of the platform (`snowfield run`: RESP2 front with discovery agent and quota counter). A few dozen
+//! real gatekeepers run on loopback with stand-ins for clients, backends, discovery and the quota counter, and with faults that
+//! overlap in time. A recorder collects the history of a run, and checkers compare the history with the invariants.
 //!
 //! | module | content |
 //! | --- | --- |
--- a/crates/platform_soak/src/main.rs
+++ b/crates/platform_soak/src/main.rs
@@ -1,5 +1,6 @@
-//! `proof-soak`: runs schedules of overlapping faults on the platform path and checks the invariants. Exits with 1 if an
-//! invariant is violated, and with 2 if the harness cannot run.
+//! `proof-soak`: runs schedules of overlapping faults on gatekeepers of the platform (`snowfield run`: RESP2 front with
+//! discovery agent and quota counter) and checks the invariants. Exits with 1 if an invariant is violated, and with 2 if
+//! the harness cannot run.
 
 use clap::Parser;
 use fault_harness::outcome::Outcome;
@@ -19,7 +20,7 @@
 /// Exit code if the harness cannot run.
 const EXIT_CANNOT_RUN: u8 = 2;
 
-/// Runs schedules of overlapping faults on real gatekeepers of the platform path.
+/// Runs schedules of overlapping faults on real gatekeepers of the platform (`snowfield run`).
 #[derive(Debug, Parser)]
 struct Options {
     /// Number of schedules to run.
--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -27,11 +27,11 @@
 pub struct Schedule {
     /// The seed that the schedule is drawn from.
     pub seed: u64,
-    /// Minimum time from its start to its end. Faults that last longer extend it.
+    /// Minimum duration of the schedule. Faults that last longer extend it.
     pub length: Duration,
     /// The settings of the site.
     pub settings: Settings,
-    /// Its faults in the order of their starts.
+    /// The faults of the schedule, in the order of their starts.
     pub faults: Vec<Fault>,
 }
 
--- a/crates/platform_soak/src/schedule/fault.rs
+++ b/crates/platform_soak/src/schedule/fault.rs
@@ -21,11 +21,11 @@
 /// How a process of a gatekeeper is replaced by the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartKind {
-    /// It gets SIGTERM, and the next process starts after its exit.
+    /// The process gets SIGTERM, and the next process starts after its exit.
     Graceful,
-    /// It gets SIGKILL, and the next process starts after its exit and a pause.
+    /// The process gets SIGKILL, and the next process starts after its exit and a pause.
     Crash,
-    /// Its successor starts first and takes over from it (hot restart).
+    /// The next process starts first and takes over from the running one (hot restart).
     Upgrade,
 }
 
@@ -34,32 +34,32 @@
 pub enum FaultKind {
     /// A gatekeeper's process is replaced by one with another wall clock offset.
     Restart {
-        /// The gatekeeper.
+        /// Number of the gatekeeper whose process is replaced.
         gatekeeper: GatekeeperIndex,
-        /// How the process is replaced.
+        /// How the process ends and when the next one starts.
         kind: RestartKind,
         /// Offset of the new process's wall clock in microseconds.
         clock_offset_us: i64,
     },
     /// The wall clock of a running process is stepped.
     ClockStep {
-        /// The gatekeeper.
+        /// Number of the gatekeeper whose wall clock is stepped.
         gatekeeper: GatekeeperIndex,
         /// New offset of the wall clock in microseconds.
         clock_offset_us: i64,
     },
     /// A gatekeeper reloads its configuration several times in quick succession.
     Reloads {
-        /// The gatekeeper.
+        /// Number of the gatekeeper that reloads its configuration.
         gatekeeper: GatekeeperIndex,
-        /// Number of reloads.
+        /// Number of reloads during the fault.
         count: u32,
     },
     /// A gatekeeper is suspended several times.
     Suspensions {
-        /// The gatekeeper.
+        /// Number of the gatekeeper whose newest process is suspended.
         gatekeeper: GatekeeperIndex,
-        /// Number of suspensions.
+        /// Number of suspensions during the fault.
         count: u32,
     },
     /// System calls of some gatekeepers fail.
@@ -68,7 +68,7 @@
         first: GatekeeperIndex,
         /// Distance between two affected gatekeepers.
         step: usize,
-        /// The calls that fail.
+        /// Which system calls fail, and with which kind of failure.
         faults: CallFaults,
     },
     /// The discovery agents of some gatekeepers fail.
@@ -77,34 +77,34 @@
         first: GatekeeperIndex,
         /// Distance between two affected gatekeepers.
         step: usize,
-        /// How the agents fail.
+        /// Mode of the agents during the fault; [`DiscoveryMode::Healthy`] after it.
         mode: DiscoveryMode,
     },
     /// The quota counter fails for all gatekeepers.
     Counter {
-        /// How the counter fails.
+        /// Mode of the counter during the fault; [`CounterMode::Healthy`] after it.
         mode: CounterMode,
     },
     /// A backend fails.
     Backend {
-        /// The backend.
+        /// Number of the backend that fails.
         backend: BackendIndex,
-        /// How the backend fails.
+        /// Mode of the backend during the fault; [`BackendMode::Healthy`] after it.
         mode: BackendMode,
     },
     /// A backend is listed as draining, and as up again after the fault.
     Drain {
-        /// The backend.
+        /// Number of the backend that is listed as draining.
         backend: BackendIndex,
     },
     /// A backend is removed from the list, and listed again after the fault without a restart.
     Removal {
-        /// The backend.
+        /// Number of the backend that is removed from the list.
         backend: BackendIndex,
     },
     /// A backend restarts: it is off the list and refuses connections for a while.
     BackendRestart {
-        /// The backend.
+        /// Number of the backend that restarts.
         backend: BackendIndex,
     },
     /// Clients disconnect before the answer.
@@ -115,7 +115,7 @@
     HurriedRequests,
     /// Clients open idle connections up to the maximum number of a gatekeeper's sockets.
     IdleCrowd {
-        /// The gatekeeper.
+        /// Number of the gatekeeper at which the idle connections are opened.
         gatekeeper: GatekeeperIndex,
     },
 }
--- a/crates/platform_soak/src/settings.rs
+++ b/crates/platform_soak/src/settings.rs
@@ -22,28 +22,28 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name in the configuration and on the wire.
+    /// Name of the class in the configuration and on the wire.
     pub name: String,
-    /// The usual deadline of its requests, from when they are sent.
+    /// The usual deadline of the class's requests, from when they are sent.
     pub deadline: Duration,
-    /// The effect of its requests, which determines their retries.
+    /// Effect of the class's requests, which determines their retries.
     pub effect: Effect,
 }
 
 /// A tenant with a plan of its own.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its id on the wire, which clients send in hexadecimal.
+    /// Id of the tenant on the wire, which clients send in hexadecimal.
     pub number: u64,
-    /// Quota of its plan in units a second.
+    /// Quota of the tenant's plan in units a second.
     pub rate: f64,
-    /// Burst of its plan in units.
+    /// Burst of the tenant's plan in units.
     pub burst: f64,
     /// Rate of the hard ceiling in units a second; 0 if the plan has no hard ceiling.
     pub ceiling_rate: f64,
     /// Burst of the hard ceiling in units.
     pub ceiling_burst: f64,
-    /// Its share of the requests that clients send, from 0 to 1.
+    /// The tenant's share of the requests that clients send, from 0 to 1.
     pub request_share: f64,
 }
 
@@ -79,11 +79,11 @@
 /// Addresses in a gatekeeper's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Where the gatekeeper listens.
+    /// Address at which the gatekeeper listens for clients.
     pub listen: SocketAddr,
-    /// Where its discovery agent listens.
+    /// Address at which the gatekeeper's discovery agent listens.
     pub discovery: SocketAddr,
-    /// Where the quota counter listens.
+    /// Address at which the quota counter listens.
     pub counter: SocketAddr,
 }
 
--- a/crates/platform_soak/src/stand_ins/backend.rs
+++ b/crates/platform_soak/src/stand_ins/backend.rs
@@ -21,28 +21,28 @@
 /// How a backend behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendMode {
-    /// It serves requests.
+    /// The backend serves requests.
     #[default]
     Healthy,
-    /// It serves with an additional delay.
+    /// The backend serves requests with an additional delay.
     Slow,
-    /// It never answers.
+    /// The backend never answers.
     Hanging,
-    /// It answers requests with an error.
+    /// The backend answers requests with an error.
     Failing,
-    /// It rejects requests without running them.
+    /// The backend rejects requests without running them.
     Rejecting,
-    /// It resets the connections of about half of the requests.
+    /// The backend resets the connections of about half of the requests.
     Resetting,
-    /// It closes the connections of about half of the requests in the middle of the answer.
+    /// The backend closes the connections of about half of the requests in the middle of the answer.
     Truncating,
-    /// It closes connections after a short idle time.
+    /// The backend closes connections after a short idle time.
     ClosingIdle,
-    /// It resets connections after a short idle time.
+    /// The backend resets connections after a short idle time.
     ResettingIdle,
-    /// It stops answering on connections after a short idle time, and keeps them open.
+    /// The backend stops answering on connections after a short idle time, and keeps them open.
     ForgettingIdle,
-    /// It refuses new connections and resets open ones, like a host without the backend's process.
+    /// The backend refuses new connections and resets open ones, like a host without the backend's process.
     Refusing,
 }
 
--- a/crates/platform_soak/src/stand_ins/counter.rs
+++ b/crates/platform_soak/src/stand_ins/counter.rs
@@ -14,16 +14,16 @@
 /// How the quota counter answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CounterMode {
-    /// It answers at once.
+    /// The counter answers at once.
     #[default]
     Healthy,
-    /// It answers with a delay.
+    /// The counter answers with a delay.
     Slow,
-    /// It applies calls and never answers.
+    /// The counter applies calls and never answers.
     Silent,
-    /// It rejects calls without applying them.
+    /// The counter rejects calls without applying them.
     Rejecting,
-    /// It applies a call and then resets the connection.
+    /// The counter applies a call and then resets the connection.
     Resetting,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Handle of the quota counter. Clones share its totals and its mode.
+/// Handle of the quota counter. Clones share its counts and its mode.
 #[derive(Clone, Default)]
 pub struct Counter {
     quota_counter: QuotaCounter,
@@ -61,7 +61,7 @@
         Ok(counter)
     }
 
-    /// Changes how the counter answers.
+    /// Changes how the counter answers calls from now on, on open connections too.
     pub fn set_mode(&self, mode: CounterMode) {
         *lock(&self.mode) = mode;
     }
--- a/crates/platform_soak/src/stand_ins/discovery.rs
+++ b/crates/platform_soak/src/stand_ins/discovery.rs
@@ -22,14 +22,14 @@
 /// How a discovery agent answers its gatekeeper.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It answers at once.
+    /// The agent answers watches at once.
     #[default]
     Healthy,
-    /// It delays its first answer to a new watch.
+    /// The agent delays its first answer to a new watch.
     Slow,
-    /// It sends nothing on open and new watches.
+    /// The agent sends nothing on open and new watches.
     Silent,
-    /// It closes open watches and new connections.
+    /// The agent closes open watches and new connections.
     Down,
 }
 
