--- a/crates/fault_injection/src/checkers.rs
+++ b/crates/fault_injection/src/checkers.rs
@@ -56,7 +56,7 @@
     pub drain_ms: u64,
     /// Time in ms after the last fault within which all gatekeepers must agree again.
     pub convergence_ms: u64,
-    /// The same limit if the counter restarted with empty state: quotas are exact again only in its next epoch.
+    /// Like `convergence_ms`, if the counter restarted with empty state: quotas are exact again only in its next epoch.
     pub convergence_after_counter_loss_ms: u64,
     /// Maximum time in ms for which two gatekeepers may act on contradicting versions of the configuration.
     pub contradiction_ms: u64,
--- a/crates/fault_injection/src/checkers/convergence.rs
+++ b/crates/fault_injection/src/checkers/convergence.rs
@@ -42,7 +42,8 @@
 struct ActiveVersions {
     /// The version in force.
     in_force: u64,
-    /// The newest version that it has accepted: the proposed version if there is one, otherwise the version in force.
+    /// The newest version that the gatekeeper has accepted: the proposed version if there is one, otherwise the version in
+    /// force.
     newest: u64,
 }
 
--- a/crates/fault_injection/src/checkers/draining.rs
+++ b/crates/fault_injection/src/checkers/draining.rs
@@ -16,14 +16,14 @@
 
 impl LoggedState {
     fn of(fields: &Map<String, Value>) -> Option<Self> {
-        // Older builds log the field under the second name.
+        // Older builds log the field under `older_name`.
         let field = |name: &str, older_name: &str| fields.get(name).or_else(|| fields.get(older_name));
         let (Value::String(id), Value::Bool(accepts_requests)) =
             (field("backend", "server")?, field("eligible", "takes_work")?)
         else {
             return None;
         };
-        // The log has the form `node/id`.
+        // The log names a backend as `node/id`.
         let backend = id.rsplit('/').next().unwrap_or(id).to_owned();
         Some(Self { backend, accepts_requests: *accepts_requests })
     }
--- a/crates/fault_injection/src/checkers/fault_spans.rs
+++ b/crates/fault_injection/src/checkers/fault_spans.rs
@@ -8,7 +8,7 @@
 pub(super) struct FaultSpan<'a> {
     pub(super) span: Span,
     pub(super) kind: &'a str,
-    /// Gatekeepers whose clients may miss answers.
+    /// Gatekeepers whose clients may miss answers during the fault.
     pub(super) affected: &'a [String],
     pub(super) delays_attempts: bool,
 }
--- a/crates/fault_injection/src/error.rs
+++ b/crates/fault_injection/src/error.rs
@@ -7,12 +7,12 @@
 /// Why the harness could not read its input or run a schedule.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A line of a history file is not a valid record.
-    #[error("line {line}: {source}")]
+    /// A history that is replayed or checked has a damaged line.
+    #[error("history line {line}: {source}")]
     HistoryLine {
         /// Line number, counted from 1.
         line: usize,
-        /// The parse error.
+        /// Why the line does not parse.
         #[source]
         source: serde_json::Error,
     },
@@ -27,64 +27,64 @@
         /// Requested number of backends.
         backends: usize,
     },
-    /// A fault ends after the end of its schedule.
+    /// The sum of `at_ms` and `for_ms` of a fault is greater than `length_ms` of the schedule.
     #[error("the fault that begins at {start_ms} ms ends after length_ms")]
     FaultEndsLate {
         /// When the fault begins, in ms from the start of the schedule.
         start_ms: u64,
     },
-    /// A file or folder cannot be read, written or moved.
-    #[error("{}: {source}", path.display())]
+    /// An operation of the file system failed, usually because the path does not exist or is not writable.
+    #[error("cannot read, write or move {}: {source}", path.display())]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The error of the file system.
+        /// Why the operation failed.
         #[source]
         source: io::Error,
     },
-    /// A gatekeeper or one of its commands cannot be started.
-    #[error("{}: {source}", build.display())]
+    /// The executable of a gatekeeper or of one of its commands is missing or cannot be run.
+    #[error("cannot start {}: {source}", build.display())]
     Start {
-        /// The executable.
+        /// Path of the executable.
         build: PathBuf,
-        /// The error of the start.
+        /// Why the executable did not start.
         #[source]
         source: io::Error,
     },
     /// No free network or port is available, or an address cannot be listened on.
     #[error("{0}")]
     Address(#[from] io::Error),
-    /// The command that creates the replicated configuration failed.
+    /// The command exited with a code other than 0 before the site started.
     #[error("cannot create the replicated configuration: {output}")]
     ConfigurationNotCreated {
         /// Standard output and standard error of the command.
         output: String,
     },
-    /// A gatekeeper does not serve in time after the start of the site.
+    /// A gatekeeper did not log in time that it serves, after the start of the site.
     #[error("{gatekeeper} does not serve")]
     NotServing {
         /// Name of the gatekeeper.
         gatekeeper: String,
     },
-    /// A gatekeeper does not serve in time after a restart.
+    /// A gatekeeper did not log in time that it serves, after a restart by a fault.
     #[error("{gatekeeper} does not serve again")]
     NotServingAgain {
         /// Name of the gatekeeper.
         gatekeeper: String,
     },
-    /// The successor of an upgrade does not become ready in time.
+    /// The successor did not report in time that it is ready; its predecessor still serves.
     #[error("the new program of an upgrade is not ready")]
     SuccessorNotReady,
-    /// The successor of an upgrade does not serve once its predecessor has shut down.
+    /// The successor does not serve once its predecessor has shut down.
     #[error("the new program of an upgrade does not serve")]
     SuccessorNotServing,
-    /// The thread that injects a fault panicked.
+    /// Takes the place of the fault's result; the message of the panic is on standard error.
     #[error("the thread that injects a fault panicked")]
     FaultPanicked,
-    /// The gatekeeper that has to write the cached endpoint list received no list.
+    /// Consul's endpoint list did not reach, in time, the gatekeeper that has to write the cached list for the torn-write test.
     #[error("the first gatekeeper received no endpoint list")]
     NoEndpointList,
-    /// The gatekeeper that has to write the cached endpoint list wrote no file.
+    /// The gatekeeper received an endpoint list, and the file of the cached list did not appear or could not be read.
     #[error("the first gatekeeper wrote no cached endpoint list")]
     NoCachedList,
 }
--- a/crates/fault_injection/src/error/tests.rs
+++ b/crates/fault_injection/src/error/tests.rs
@@ -7,8 +7,14 @@
     let not_found = || io::Error::from(io::ErrorKind::NotFound);
     let gatekeeper = || "m1".to_owned();
     let cases = [
-        (Error::file(Path::new("a/b.toml"))(not_found()), "a/b.toml: entity not found"),
-        (Error::start(Path::new("old/snowfield"))(not_found()), "old/snowfield: entity not found"),
+        (
+            Error::file(Path::new("a/b.toml"))(not_found()),
+            "cannot read, write or move a/b.toml: entity not found",
+        ),
+        (
+            Error::start(Path::new("old/snowfield"))(not_found()),
+            "cannot start old/snowfield: entity not found",
+        ),
         (Error::from(io::Error::other("no free addresses")), "no free addresses"),
         (
             Error::ConfigurationNotCreated { output: "exists already".to_owned() },
--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -5,14 +5,14 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// An event, or a sample of resource use or traffic.
+/// One thing that happened in a run, or a sample of resource use or traffic.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "what")]
 pub enum Observation {
     /// A client sends a request; recorded just before the request is written.
     #[serde(rename = "asked")]
     RequestSent {
-        /// Id of the request.
+        /// Id of the request, unique in its site.
         #[serde(rename = "op")]
         request_id: u64,
         /// Name of the tenant whose quota the request uses.
@@ -20,17 +20,17 @@
         tenant: String,
         /// Units that the request costs.
         units: f64,
-        /// Name of the gatekeeper that it was sent to.
+        /// Name of the gatekeeper that the request was sent to.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
     /// A request ended: its client received an answer or gave up.
     #[serde(rename = "ended")]
     RequestEnded {
-        /// Id of the request.
+        /// Id under which [`Observation::RequestSent`] recorded the request.
         #[serde(rename = "op")]
         request_id: u64,
-        /// Outcome of the request for its client.
+        /// How the request ended for its client.
         #[serde(rename = "end")]
         outcome: Outcome,
     },
@@ -40,32 +40,32 @@
         /// Id of the request that the attempt belongs to.
         #[serde(rename = "op")]
         request_id: u64,
-        /// Name of the backend.
+        /// Name of the backend that received the attempt.
         #[serde(rename = "server")]
         backend: String,
-        /// Name of the gatekeeper that sent it.
+        /// Name of the gatekeeper that sent the attempt.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
     /// The quota counter applied a call.
     #[serde(rename = "counted")]
     CounterAdded {
-        /// Name of the counter.
+        /// Name of the count to which the call added.
         #[serde(rename = "name")]
         counter: String,
-        /// The amount added.
+        /// Amount that the call added, in the unit of the count; negative if the call subtracted.
         #[serde(rename = "add")]
         amount: f64,
-        /// The total after the addition.
+        /// Sum that the counter holds under the name of the count after the call.
         total: f64,
-        /// Name of the gatekeeper that called.
+        /// Name of the gatekeeper that made the call.
         #[serde(rename = "via")]
         gatekeeper: String,
     },
     /// The target of a periodic job was called.
     #[serde(rename = "ran")]
     JobRan {
-        /// Name of the job.
+        /// Name of the periodic job.
         #[serde(rename = "duty")]
         job: String,
         /// The number of the run, which serves as its fencing token.
@@ -82,7 +82,7 @@
         #[serde(rename = "who")]
         process: String,
     },
-    /// A process has exited.
+    /// A process exited, with or without a request of the harness.
     #[serde(rename = "exited")]
     ProcessExited {
         /// Name of the process; in a site, that of its gatekeeper.
@@ -98,10 +98,10 @@
     /// A fault begins or ends.
     #[serde(rename = "fault")]
     Fault {
-        /// Index of the fault in the schedule.
+        /// Index of the fault in the schedule, from 0.
         #[serde(rename = "number")]
         index: usize,
-        /// Name of its kind, as [`FaultKind::name`](crate::schedule::FaultKind::name) returns it.
+        /// Name of the fault's kind, as [`FaultKind::name`](crate::schedule::FaultKind::name) returns it.
         kind: String,
         /// True at the begin of the fault, false at its end.
         begins: bool,
@@ -115,13 +115,13 @@
     /// Discovery notified a gatekeeper of a backend's state over a healthy link.
     #[serde(rename = "told")]
     EndpointNotified {
-        /// Name of the gatekeeper.
+        /// Name of the gatekeeper that was notified.
         #[serde(rename = "who")]
         gatekeeper: String,
-        /// Name of the backend.
+        /// Name of the backend whose state was sent.
         #[serde(rename = "server")]
         backend: String,
-        /// Whether the backend accepts new requests.
+        /// Whether the backend accepts new requests in that state.
         #[serde(rename = "takes_work")]
         accepts_requests: bool,
     },
@@ -197,20 +197,20 @@
 }
 
 impl Observation {
-    /// Whether it is a log line whose message contains one of these texts.
+    /// Whether the observation is a log line whose message contains one of these texts.
     pub fn is_log_line_with(&self, texts: &[&str]) -> bool {
         let Self::LogLine { text: message, .. } = self else { return false };
         texts.iter().any(|text| message.contains(text))
     }
 }
 
-/// An observation and its time.
+/// A line of a stored history: an observation with its time.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Record {
-    /// Microseconds of the clock of [`super::now_us`].
+    /// Time of the observation, in microseconds of the clock of [`super::now_us`].
     #[serde(rename = "at")]
     pub at_us: u64,
-    /// The observation.
+    /// What happened at this time, or what was sampled.
     #[serde(flatten)]
     pub observation: Observation,
 }
--- a/crates/fault_injection/src/history/span.rs
+++ b/crates/fault_injection/src/history/span.rs
@@ -5,9 +5,9 @@
 /// A span of a history's time, in microseconds of the clock of [`now_us`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
-    /// The begin of the span.
+    /// Time at which the span begins.
     pub from_us: u64,
-    /// The end of the span; `u64::MAX` if it is open.
+    /// Time at which the span ends; `u64::MAX` if the span is open.
     pub to_us: u64,
 }
 
--- a/crates/fault_injection/src/history/tests.rs
+++ b/crates/fault_injection/src/history/tests.rs
@@ -6,7 +6,7 @@
 fn an_invalid_line_is_reported_with_its_number() {
     let text = "{\"at\":1,\"what\":\"started\",\"who\":\"m0\"}\n{\"at\":2,\"what\":\"unheard of\"}\n";
     let error = read(text).expect_err("no such kind").to_string();
-    assert!(error.starts_with("line 2: unknown variant `unheard of`"), "{error}");
+    assert!(error.starts_with("history line 2: unknown variant `unheard of`"), "{error}");
 }
 
 #[test]
--- a/crates/fault_injection/src/load.rs
+++ b/crates/fault_injection/src/load.rs
@@ -13,11 +13,11 @@
 /// A tenant as clients send it.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Name in the header of HTTP requests and in histories.
+    /// Name of the tenant in the header of HTTP requests and in histories.
     pub name: &'static str,
-    /// Id in RESP2 commands to gatekeepers of the platform.
+    /// Id of the tenant in RESP2 commands to gatekeepers of the platform.
     pub id: u64,
-    /// Name of its plan.
+    /// Name of the tenant's plan.
     pub plan: &'static str,
     /// Mean interval between two requests of the tenant, counting the requests to all gatekeepers.
     pub request_interval: Duration,
--- a/crates/fault_injection/src/load/client.rs
+++ b/crates/fault_injection/src/load/client.rs
@@ -29,7 +29,7 @@
     pub deadline_ms: u64,
     /// Number of gatekeepers that share each tenant's load.
     pub gatekeepers: usize,
-    /// Id of the next request; unique in the site.
+    /// Id of the next request, shared by all clients so that ids are unique in the site.
     pub next_request_id: Arc<AtomicU64>,
 }
 
--- a/crates/fault_injection/src/network/datagram_link.rs
+++ b/crates/fault_injection/src/network/datagram_link.rs
@@ -105,14 +105,14 @@
         target: SocketAddr,
     ) {
         let counters = &self.0.counters;
-        if quality.cut || quality.closed || random.f64() < quality.loss {
+        if quality.cut || quality.closed || random.f64() < quality.loss_share {
             counters.dropped_datagrams.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        let copies = 1 + usize::from(random.f64() < quality.duplicate);
+        let copies = 1 + usize::from(random.f64() < quality.duplicate_share);
         for _ in 0..copies {
             let mut latency = quality.latency(bytes.len(), random);
-            if random.f64() < quality.reorder {
+            if random.f64() < quality.reorder_share {
                 latency += REORDER_DELAY + quality.delay + quality.jitter;
             }
             counters.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
--- a/crates/fault_injection/src/network/link.rs
+++ b/crates/fault_injection/src/network/link.rs
@@ -10,14 +10,14 @@
 /// One direction of the traffic between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Link {
-    /// The node that sends.
+    /// The node that sends over the link.
     pub from: NodeId,
-    /// The node that receives.
+    /// The node that receives over the link.
     pub to: NodeId,
 }
 
 impl Link {
-    /// The link from one node to another.
+    /// The link that carries traffic from one node to another.
     pub fn new(from: NodeId, to: NodeId) -> Self {
         Self { from, to }
     }
@@ -32,23 +32,23 @@
 /// The quality of a link. The default is a healthy link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkQuality {
-    /// Nothing passes, not even the end or reset of a connection.
+    /// Whether nothing passes, not even the end or reset of a connection.
     pub cut: bool,
-    /// Open connections are reset, and new ones are reset at once.
+    /// Whether open connections are reset, and new ones are reset at once.
     pub closed: bool,
-    /// Share of the chunks of a stream within which the connection is reset.
-    pub reset: f64,
-    /// Share of datagrams that are lost, and of chunks of streams that are delayed by retransmission.
-    pub loss: f64,
-    /// Share of datagrams that are duplicated.
-    pub duplicate: f64,
-    /// Share of datagrams that are held back so that later ones overtake them.
-    pub reorder: f64,
+    /// Share of the chunks of a stream within which the connection is reset, from 0 to 1.
+    pub reset_share: f64,
+    /// Share of datagrams that are lost, and of chunks of streams that are delayed by retransmission, from 0 to 1.
+    pub loss_share: f64,
+    /// Share of datagrams that are duplicated, from 0 to 1.
+    pub duplicate_share: f64,
+    /// Share of datagrams that are held back so that later ones overtake them, from 0 to 1.
+    pub reorder_share: f64,
     /// Latency of each chunk and datagram.
     pub delay: Duration,
     /// Maximum random additional latency.
     pub jitter: Duration,
-    /// Rate limit; 0 means unlimited.
+    /// Rate limit of the link; 0 means unlimited.
     pub bytes_per_second: u64,
 }
 
@@ -70,10 +70,10 @@
         Self {
             cut: self.cut || other.cut,
             closed: self.closed || other.closed,
-            reset: either(self.reset, other.reset),
-            loss: either(self.loss, other.loss),
-            duplicate: either(self.duplicate, other.duplicate),
-            reorder: either(self.reorder, other.reorder),
+            reset_share: either(self.reset_share, other.reset_share),
+            loss_share: either(self.loss_share, other.loss_share),
+            duplicate_share: either(self.duplicate_share, other.duplicate_share),
+            reorder_share: either(self.reorder_share, other.reorder_share),
             delay: self.delay + other.delay,
             jitter: self.jitter + other.jitter,
             bytes_per_second: match (self.bytes_per_second, other.bytes_per_second) {
@@ -94,7 +94,7 @@
 /// A link that a fault degrades, and its quality meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFault {
-    /// The degraded link.
+    /// The link whose quality is reduced.
     pub link: Link,
     /// The quality of the link while the fault lasts; combined with that of other faults.
     pub quality: LinkQuality,
--- a/crates/fault_injection/src/network/stream_link.rs
+++ b/crates/fault_injection/src/network/stream_link.rs
@@ -136,7 +136,7 @@
                     return ends.reset();
                 }
             };
-            if length > 0 && random.f64() < quality.reset {
+            if length > 0 && random.f64() < quality.reset_share {
                 let _ = sink.write_all(&chunk[..length / 2]);
                 self.0.counters.resets.fetch_add(1, Ordering::Relaxed);
                 return ends.reset();
@@ -172,7 +172,7 @@
 fn delay_chunk(quality: &LinkQuality, length: usize, random: &mut fastrand::Rng) {
     let mut latency = quality.latency(length, random);
     let mut retransmit_after = RETRANSMIT_AFTER;
-    while length > 0 && random.f64() < quality.loss.min(MAX_LOSS) {
+    while length > 0 && random.f64() < quality.loss_share.min(MAX_LOSS) {
         latency += retransmit_after;
         retransmit_after *= 2;
     }
--- a/crates/fault_injection/src/network/tests.rs
+++ b/crates/fault_injection/src/network/tests.rs
@@ -72,7 +72,7 @@
     let address = echo(&network);
     let mut stream = connect(address);
     exchange(&mut stream, b"one").expect("an echo");
-    network.inject(1, fault(FORWARD, LinkQuality { reset: 1.0, ..LinkQuality::default() }));
+    network.inject(1, fault(FORWARD, LinkQuality { reset_share: 1.0, ..LinkQuality::default() }));
     let error = exchange(&mut stream, b"four").expect_err("the connection is reset");
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
     assert_eq!(network.traffic().resets, 1);
@@ -92,7 +92,7 @@
     for link in [FORWARD, FORWARD.reversed()] {
         network.inject(1, fault(link, LinkQuality::cut()));
         let connects = || TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).is_ok();
-        // A connect may still succeed before the backlog is full.
+        // The first connects may still succeed, until the backlog is full.
         assert!((0..1_000).any(|_| !connects()), "a connect hangs");
         network.heal(1);
         let echoes = |_| {
@@ -118,7 +118,7 @@
     let target = c.local_addr().expect("an address");
     let to = network.datagram_link(node_c, free_address(), target).expect("a free port");
     network.inject(1, fault(Link::new(node_a, node_c), LinkQuality::cut()));
-    let duplicated = LinkQuality { duplicate: 1.0, ..LinkQuality::default() };
+    let duplicated = LinkQuality { duplicate_share: 1.0, ..LinkQuality::default() };
     network.inject(2, fault(Link::new(node_b, node_c), duplicated));
     a.send_to(b"from a", to).expect("the datagram is sent");
     b.send_to(b"from b", to).expect("the datagram is sent");
@@ -139,14 +139,15 @@
     let network = Network::new(4);
     let slow = LinkQuality {
         delay: Duration::from_millis(5),
-        loss: 0.5,
+        loss_share: 0.5,
         bytes_per_second: 100,
         ..LinkQuality::default()
     };
     network.inject(1, fault(FORWARD, slow));
-    network.inject(2, fault(FORWARD, LinkQuality { cut: true, loss: 0.5, bytes_per_second: 50, ..slow }));
+    network
+        .inject(2, fault(FORWARD, LinkQuality { cut: true, loss_share: 0.5, bytes_per_second: 50, ..slow }));
     let both = network.quality(FORWARD);
-    assert_eq!((both.cut, both.loss, both.bytes_per_second), (true, 0.75, 50));
+    assert_eq!((both.cut, both.loss_share, both.bytes_per_second), (true, 0.75, 50));
     assert_eq!(both.delay, Duration::from_millis(10));
     network.heal(2);
     assert_eq!(network.quality(FORWARD), slow);
--- a/crates/fault_injection/src/schedule.rs
+++ b/crates/fault_injection/src/schedule.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// Name in reports; `seed N` for a generated schedule.
+    /// Name of the schedule in reports; `seed N` for a generated schedule.
     pub name: String,
     /// Seed of the random numbers of links and clients.
     pub seed: u64,
@@ -78,7 +78,7 @@
     /// Number of backends.
     #[serde(rename = "loans")]
     pub backends: usize,
-    /// Minimum duration of the load in ms; every fault ends within it.
+    /// Minimum duration of the load in ms. Every fault ends within this time.
     pub length_ms: u64,
     /// Options of the site; the defaults if the file has none.
     #[serde(default, rename = "has", skip_serializing_if = "SiteOptions::is_default")]
--- a/crates/fault_injection/src/schedule/fault.rs
+++ b/crates/fault_injection/src/schedule/fault.rs
@@ -7,27 +7,27 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureMode {
-    /// It accepts requests and never answers; nothing is applied.
+    /// The stand-in accepts requests and never answers; nothing is applied.
     Silent,
-    /// It answers after 0.2 s.
+    /// The stand-in answers after 0.2 s.
     Slow,
-    /// It answers with an error; nothing is applied.
+    /// The stand-in answers with an error; nothing is applied.
     Error,
-    /// It applies requests and never answers.
+    /// The stand-in applies requests and never answers.
     #[serde(rename = "lost")]
     ResponseLost,
-    /// It applies requests, and truncates its answers.
+    /// The stand-in applies requests, and truncates its answers.
     #[serde(rename = "cut")]
     ResponseTruncated,
-    /// It closes each connection immediately.
+    /// The stand-in closes each connection immediately.
     Closed,
-    /// It restarts with empty state when the fault begins.
+    /// The stand-in restarts with empty state when the fault begins.
     #[serde(rename = "empty")]
     RestartedEmpty,
 }
 
 impl FailureMode {
-    /// Every mode, in the order in which generated schedules number them.
+    /// All failure modes, in the order in which generated schedules number them.
     pub const ALL: [Self; 7] = [
         Self::Silent,
         Self::Slow,
@@ -38,7 +38,7 @@
         Self::RestartedEmpty,
     ];
 
-    /// The name in reports and in schedule files.
+    /// The name of the mode in reports and in schedule files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -56,13 +56,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum DiskFault {
-    /// Its gatekeeper is killed, the file is truncated to this per mille of its bytes, and the gatekeeper starts again.
+    /// The gatekeeper is killed, its cached list is truncated to this per mille of its bytes, and the gatekeeper starts again.
     Torn(u32),
-    /// New files in its folder cannot be written, as on a full disk.
+    /// New files in the folder of the cached list cannot be written, as on a full disk.
     Full,
-    /// Its folder is missing.
+    /// The folder of the cached list is missing.
     Lost,
-    /// No file can be created in its folder.
+    /// No file can be created in the folder of the cached list.
     ReadOnly,
 }
 
--- a/crates/fault_injection/src/site.rs
+++ b/crates/fault_injection/src/site.rs
@@ -45,11 +45,11 @@
     schedule: Schedule,
     builds: Builds,
     addresses: AddressPlan,
-    /// Collects the history of the site.
+    /// Collects the observations of all stand-ins, clients and processes of the site.
     pub recorder: Recorder,
     /// The links between all nodes of the site.
     pub network: Network,
-    /// Node ids by name. Gatekeepers come first, then backends.
+    /// Node ids by node name. Gatekeepers come first, then backends.
     nodes: HashMap<String, NodeId>,
     members: Vec<Member>,
     backends: Vec<Backend>,
--- a/crates/fault_injection/src/site/convergence.rs
+++ b/crates/fault_injection/src/site/convergence.rs
@@ -16,7 +16,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Site {
-    /// Describes what still differs between the gatekeepers; empty if all agree and serve.
+    /// Describes the remaining differences between the gatekeepers; empty if all agree and serve.
     pub fn divergence(&self) -> String {
         let parts: Vec<String> = thread::scope(|scope| {
             let checks: Vec<_> =
@@ -35,7 +35,7 @@
         if let Some(missing) = missing {
             return format!("{}: {missing}", member.name);
         }
-        // A new client must be served too.
+        // A request on a new connection must be served too.
         let mut client = self.client(index);
         let tenant = Tenant { request_interval: Duration::ZERO, ..UNLIMITED_TENANT };
         match client.send_request(&tenant) {
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Describes what the telemetry of a gatekeeper of the platform lacks; `None` if all backends are known and available.
+    /// Describes why the telemetry of a gatekeeper of the platform shows no convergence, in words that follow the name of the
+    /// gatekeeper; `None` if all backends are known and available.
     fn missing_in_telemetry(&self, index: usize) -> Option<String> {
         let text = self.admin_call(index, "telemetry").unwrap_or_default();
         let gauge =
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Describes what an appliance's status page lacks; `None` if all members, all backends and the lease store are healthy.
+    /// Describes why the status page of an appliance shows no convergence, in words that follow the name of the appliance;
+    /// `None` if all members, all backends and the lease store are healthy.
     fn missing_in_status(&self, status: &str) -> Option<String> {
         if status.is_empty() {
             return Some("its status page does not answer".into());
--- a/crates/fault_injection/src/site/faults/links.rs
+++ b/crates/fault_injection/src/site/faults/links.rs
@@ -17,10 +17,10 @@
         return LinkQuality::default();
     };
     LinkQuality {
-        reset: *reset,
-        loss: *loss,
-        duplicate: *duplicate,
-        reorder: *reorder,
+        reset_share: *reset,
+        loss_share: *loss,
+        duplicate_share: *duplicate,
+        reorder_share: *reorder,
         delay: Duration::from_millis(*delay_ms),
         jitter: Duration::from_millis(*jitter_ms),
         bytes_per_second: *bytes_per_s,
--- a/crates/fault_injection/src/site/files.rs
+++ b/crates/fault_injection/src/site/files.rs
@@ -31,7 +31,7 @@
     pub(super) name: &'static str,
     units_per_second: f64,
     burst: f64,
-    /// 0 means no ceiling.
+    /// Rate of the hard ceiling in units per second; 0 means no ceiling.
     pub(super) ceiling_per_second: f64,
     pub(super) ceiling_burst: f64,
 }
@@ -86,7 +86,7 @@
     pub(super) listen: SocketAddr,
     pub(super) status: SocketAddr,
     pub(super) counter: SocketAddr,
-    /// In the order in which the appliance tries them.
+    /// Addresses of the agents, in the order in which the appliance tries them.
     pub(super) consul_agents: &'a [SocketAddr],
     pub(super) gossip: GossipAddresses<'a>,
     pub(super) replicas: ReplicaAddresses,
--- a/crates/fault_injection/src/site/member.rs
+++ b/crates/fault_injection/src/site/member.rs
@@ -26,12 +26,12 @@
 /// One gatekeeper of a site.
 pub(super) struct Member {
     pub(super) name: String,
-    /// The address of the link over which clients reach it.
+    /// The address of the link over which clients reach the gatekeeper.
     pub(super) client_address: SocketAddr,
     pub(super) folder: PathBuf,
     pub(super) settings: SettingsFile,
     pub(super) consul_agents: Vec<Listener>,
-    /// The address of the link over which it reaches the target of periodic jobs.
+    /// The address of the link over which the gatekeeper reaches the target of periodic jobs.
     pub(super) job_target: SocketAddr,
     pub(super) state: Mutex<MemberState>,
 }
@@ -40,19 +40,19 @@
 #[derive(Default)]
 pub(super) struct MemberState {
     pub(super) process: Option<Process>,
-    /// The process that replaces it in an upgrade.
+    /// The process that replaces the current one in an upgrade.
     pub(super) successor: Option<Process>,
     /// Number of the last start; 0 before the first one. Each start has an admin address of its own.
     pub(super) starts: u8,
-    /// Offset of its wall clock in ms.
+    /// Offset of the gatekeeper's wall clock in ms.
     pub(super) clock_offset_ms: i64,
-    /// The name of another member under which it runs; absent if it runs under its own.
+    /// The name of another member under which the gatekeeper runs; absent if it runs under its own.
     pub(super) assumed_name: Option<String>,
-    /// Numbers of its periodic jobs, if they differ from the usual ones.
+    /// Numbers of the gatekeeper's periodic jobs, if they differ from the usual ones.
     pub(super) jobs: Option<Range<usize>>,
-    /// Numbers of the gossip keys in its key file; the first one signs. Empty means key 0 alone.
+    /// Numbers of the gossip keys in the gatekeeper's key file; the first one signs. Empty means key 0 alone.
     pub(super) gossip_keys: Vec<u64>,
-    /// Whether a fault is active on it, so that other faults skip it.
+    /// Whether a fault is active on the gatekeeper, so that other faults skip it.
     pub(super) has_fault: bool,
 }
 
@@ -63,12 +63,12 @@
 }
 
 impl Member {
-    /// The path of its settings file.
+    /// The path of the gatekeeper's settings file.
     pub(super) fn settings_path(&self) -> PathBuf {
         self.folder.join(self.settings.file_name)
     }
 
-    /// Writes its settings and its key file for this state, and returns the path of the settings.
+    /// Writes the gatekeeper's settings and key file for this state, and returns the path of the settings.
     pub(super) fn write_files(&self, state: &MemberState, usual_jobs: usize) -> Result<String, Error> {
         let variables = MemberVariables {
             name: state.assumed_name.as_ref().unwrap_or(&self.name),
@@ -90,7 +90,7 @@
         lock(&self.state).process.as_ref().map(Process::log)
     }
 
-    /// Waits until its process logs that it serves. Returns false after a timeout or without a process.
+    /// Waits until the gatekeeper's process logs that it serves. Returns false after a timeout or without a process.
     pub(super) fn wait_until_serving(&self) -> bool {
         // The state is not locked during the wait, since a fault may end the process.
         self.log().is_some_and(|log| log.wait_for(SERVING))
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -28,7 +28,7 @@
 /// Additional time until a slow stand-in answers.
 const SLOW_ANSWER: Duration = Duration::from_millis(200);
 
-/// The current failure mode of a stand-in. Clones share it.
+/// The current failure mode of a stand-in. Clones share the mode.
 #[derive(Clone, Debug, Default)]
 pub struct FailureSwitch(Arc<Mutex<Option<FailureMode>>>);
 
--- a/crates/fault_injection/src/stand_ins/backend.rs
+++ b/crates/fault_injection/src/stand_ins/backend.rs
@@ -11,9 +11,9 @@
 /// A stand-in for a backend. It listens at a separate address for each gatekeeper, to know which one sends an attempt.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Name in the catalogue and in histories.
+    /// Name of the backend in the catalogue and in histories.
     pub name: String,
-    /// Makes the backend fail.
+    /// Switches the failure mode of the backend.
     pub failure: FailureSwitch,
     form: Form,
     recorder: Recorder,
--- a/crates/fault_injection/src/stand_ins/counter.rs
+++ b/crates/fault_injection/src/stand_ins/counter.rs
@@ -6,11 +6,11 @@
 use crate::schedule::FailureMode;
 use std::net::{IpAddr, SocketAddr};
 
-/// The quota counter of a site. Clones share the totals.
+/// The quota counter of a site. Clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     core: QuotaCounter,
-    /// Makes the counter fail.
+    /// Switches the failure mode of the counter.
     pub failure: FailureSwitch,
 }
 
@@ -37,12 +37,12 @@
         })
     }
 
-    /// Clears all totals, like a counter that restarts without its state.
+    /// Deletes all counts, like a counter that restarts without its state.
     pub fn clear(&self) {
         self.core.clear();
     }
 
-    /// Number of calls since the start.
+    /// Number of calls since the start of the site.
     pub fn calls(&self) -> u64 {
         self.core.calls()
     }
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -58,7 +58,7 @@
         let network = route.network.clone();
         let agent = Agent {
             list: self.list.clone(),
-            gatekeeper: gatekeeper.to_owned(),
+            gatekeeper_name: gatekeeper.to_owned(),
             addresses,
             route,
             recorder: recorder.clone(),
@@ -72,7 +72,7 @@
 /// The agent of one gatekeeper.
 struct Agent {
     list: EndpointList,
-    gatekeeper: String,
+    gatekeeper_name: String,
     /// The addresses at which the gatekeeper reaches the backends, by backend name.
     addresses: HashMap<String, SocketAddr>,
     route: WatchRoute,
@@ -82,7 +82,7 @@
 /// A notification that is about to be written.
 struct Notice {
     at_us: u64,
-    /// Whether the link is healthy, so that the notification is certain to arrive now.
+    /// Whether the link is healthy, so that the gatekeeper is certain to receive the notification at `at_us`.
     arrives: bool,
 }
 
@@ -104,7 +104,7 @@
         }
         for backend in self.list.backends() {
             let notified = Observation::EndpointNotified {
-                gatekeeper: self.gatekeeper.clone(),
+                gatekeeper: self.gatekeeper_name.clone(),
                 accepts_requests: backend.state == ListedState::Up,
                 backend: backend.id,
             };
--- a/crates/fault_injection/tests/stored_forms.rs
+++ b/crates/fault_injection/tests/stored_forms.rs
@@ -79,7 +79,7 @@
     let text = fixture("history-0.jsonl");
     let end = text.match_indices('\n').nth(2).expect("three lines").0;
     let error = read(&text[..end - 4]).expect_err("the third line is cut").to_string();
-    assert!(error.starts_with("line 3: "), "{error}");
+    assert!(error.starts_with("history line 3: "), "{error}");
 }
 
 #[test]
