--- a/crates/quickstart/src/error.rs
+++ b/crates/quickstart/src/error.rs
@@ -27,7 +27,7 @@
         address: String,
     },
     /// A file or directory cannot be written.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot write {}: {source}", path.display())]
     File {
         /// The path of the file or directory.
         path: PathBuf,
--- a/crates/system_tests/src/error.rs
+++ b/crates/system_tests/src/error.rs
@@ -10,7 +10,7 @@
     #[error(transparent)]
     Harness(#[from] fault_injection::Error),
     /// The harness could not run a schedule.
-    #[error("{schedule}: {source}")]
+    #[error("cannot run schedule {schedule}: {source}")]
     Schedule {
         /// The name of the schedule.
         schedule: String,
@@ -19,7 +19,7 @@
         source: fault_injection::Error,
     },
     /// A file does not contain a valid schedule.
-    #[error("{}: {source}", path.display())]
+    #[error("{} is not a valid schedule: {source}", path.display())]
     ScheduleFile {
         /// The path of the file.
         path: PathBuf,
@@ -28,7 +28,7 @@
         source: fault_injection::Error,
     },
     /// A file or folder cannot be read or written.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read or write {}: {source}", path.display())]
     File {
         /// The path of the file or folder.
         path: PathBuf,
