--- a/crates/snowfield/tests/common/admin.rs
+++ b/crates/snowfield/tests/common/admin.rs
@@ -12,7 +12,7 @@
 /// Sends bytes to an admin listener and returns the whole reply.
 pub fn send_bytes(admin: SocketAddr, bytes: &[u8]) -> String {
     let mut client = TcpStream::connect(admin).expect("the admin listener accepts connections");
-    client.set_read_timeout(Some(TIMEOUT)).expect("the time-out can be set");
+    client.set_read_timeout(Some(TIMEOUT)).expect("the timeout can be set");
     client.write_all(bytes).expect("the admin listener reads the bytes");
     let mut reply = String::new();
     client.read_to_string(&mut reply).expect("the admin listener replies and closes the connection");
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -21,12 +21,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time-out of each single wait. A test whose wait takes longer fails.
+/// Timeout of each single wait. A test whose wait takes longer fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits for the next message. Fails the test after [`TIMEOUT`].
 pub fn receive<T>(receiver: &Receiver<T>) -> T {
-    receiver.recv_timeout(TIMEOUT).expect("no message arrived within the time-out")
+    receiver.recv_timeout(TIMEOUT).expect("no message arrived within the timeout")
 }
 
 /// A running program, which is killed when this is dropped.
@@ -363,7 +363,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
         let writer = TcpStream::connect(address).expect("the program accepts connections");
-        writer.set_read_timeout(Some(TIMEOUT)).expect("the time-out can be set");
+        writer.set_read_timeout(Some(TIMEOUT)).expect("the timeout can be set");
         let reader = BufReader::new(writer.try_clone().expect("the socket can be cloned"));
         Self { writer, reader }
     }
--- a/crates/snowfield/tests/connections.rs
+++ b/crates/snowfield/tests/connections.rs
@@ -18,10 +18,10 @@
         .reader
         .get_ref()
         .set_read_timeout(Some(std::time::Duration::from_millis(1_950)))
-        .expect("the time-out can be set");
+        .expect("the timeout can be set");
     assert!(client.reader.read(&mut [0; 1]).is_err(), "no reply to a part of a command");
     assert!(started.elapsed().as_millis() < 2_200);
-    client.reader.get_ref().set_read_timeout(Some(TIMEOUT)).expect("the time-out can be set");
+    client.reader.get_ref().set_read_timeout(Some(TIMEOUT)).expect("the timeout can be set");
     client.send(&command[10..]);
     assert_eq!(client.read_reply(), request_id(1));
 }
--- a/crates/snowfield/tests/floods.rs
+++ b/crates/snowfield/tests/floods.rs
@@ -38,7 +38,7 @@
         let mut client = Client::connect(site.listen);
         client.send(&submit_with_body(0x10_0000 + number, 10));
         client.read_reply();
-        client.writer.set_write_timeout(Some(Duration::from_millis(50))).expect("the time-out can be set");
+        client.writer.set_write_timeout(Some(Duration::from_millis(50))).expect("the timeout can be set");
         client
     });
     (clients.collect(), site.program.memory_kb())
@@ -137,7 +137,7 @@
     idle_clients.iter_mut().for_each(|client| client.send(&resp_command(&["PING"])));
     let mut answered = 0;
     for client in &mut idle_clients {
-        client.writer.set_read_timeout(Some(Duration::from_millis(50))).expect("the time-out can be set");
+        client.writer.set_read_timeout(Some(Duration::from_millis(50))).expect("the timeout can be set");
         let mut first = [0];
         answered += u32::from(std::io::Read::read(&mut client.writer, &mut first).is_ok_and(|n| n == 1));
     }
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -113,7 +113,7 @@
     assert_eq!(idle.read_reply(), request_id(5));
 }
 
-/// Regression, found by the soak test: the successor restarted the time-out of a partial request. Its client got the error after
+/// Regression, found by the soak test: the successor restarted the timeout of a partial request. Its client got the error after
 /// 3.7 s, where 3 s are allowed.
 #[test]
 fn a_hot_restart_does_not_extend_the_timeout_of_a_partial_request() {
--- a/crates/snowfield/tests/shutdown_and_cancellation.rs
+++ b/crates/snowfield/tests/shutdown_and_cancellation.rs
@@ -301,7 +301,7 @@
         connections.push(listener.accept().expect("a connection").0);
     }
     let mut connection = connections.pop().expect("there is a connection");
-    connection.set_read_timeout(Some(Duration::from_millis(300))).expect("the time-out can be set");
+    connection.set_read_timeout(Some(Duration::from_millis(300))).expect("the timeout can be set");
     let read = connection.read(&mut [0; 64]);
     assert!(!matches!(read, Ok(1..)), "the attempt was written: {read:?}");
 }
--- a/crates/snowfield/tests/timing.rs
+++ b/crates/snowfield/tests/timing.rs
@@ -69,7 +69,7 @@
     assert!(!succeeded && output.contains("GET, POST"), "{output}");
 }
 
-/// If a backend does not reply, the attempt ends at its time-out. An idempotent request is then retried, and any other request is
+/// If a backend does not reply, the attempt ends at its timeout. An idempotent request is then retried, and any other request is
 /// answered with an error.
 #[test]
 fn an_attempt_ends_at_its_timeout_and_only_an_idempotent_one_is_retried() {
