--- a/crates/known_failures/src/list.rs
+++ b/crates/known_failures/src/list.rs
@@ -11,26 +11,26 @@
 /// Why a list is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// A line does not have three parts.
-    #[error("not of the form TARGET::TEST | CAUSE | ISSUE: {line}")]
+    /// A line does not have exactly three parts between bars.
+    #[error("a line is not of the form TARGET::TEST | CAUSE | ISSUE: {line}")]
     Form {
         /// The line as it stands in the list.
         line: String,
     },
     /// A part of a line is empty, or the test is named without its target.
-    #[error("no target and test, no cause or no issue: {line}")]
+    #[error("a line lacks the target and test, the cause or the issue: {line}")]
     MissingPart {
         /// The line as it stands in the list.
         line: String,
     },
-    /// A test is listed twice.
-    #[error("listed twice: {test}")]
+    /// Two lines name the same test of the same target.
+    #[error("{test} is listed twice")]
     Repeated {
         /// The test, with its target.
         test: String,
     },
-    /// More than [`MAX_KNOWN_FAILURES`] tests are listed.
-    #[error("{count} tests are listed, {MAX_KNOWN_FAILURES} at most may be")]
+    /// A listed fault must be mended before another test may be added.
+    #[error("{count} tests are listed, more than the maximum of {MAX_KNOWN_FAILURES}")]
     TooMany {
         /// Number of listed tests.
         count: usize,
@@ -44,7 +44,7 @@
     pub test: String,
     /// The fault that makes the test fail.
     pub cause: String,
-    /// The issue under which it will be fixed.
+    /// The open issue under which the fault will be fixed.
     pub issue: String,
 }
 
--- a/crates/known_failures/src/list/tests.rs
+++ b/crates/known_failures/src/list/tests.rs
@@ -6,10 +6,13 @@
 fn an_error_names_the_invalid_line_or_count() {
     let line = |test: &str| format!("{test} | a cause | issue 33\n");
     let error = |list: &str| parse_list(list).expect_err("the list is invalid").to_string();
-    assert_eq!(error("a::b | a cause\n"), "not of the form TARGET::TEST | CAUSE | ISSUE: a::b | a cause");
-    let text = "no target and test, no cause or no issue: b | a cause | issue 33";
+    assert_eq!(
+        error("a::b | a cause\n"),
+        "a line is not of the form TARGET::TEST | CAUSE | ISSUE: a::b | a cause"
+    );
+    let text = "a line lacks the target and test, the cause or the issue: b | a cause | issue 33";
     assert_eq!(error(&line("b")), text);
-    assert_eq!(error(&(line("a::b") + &line("a::b"))), "listed twice: a::b");
+    assert_eq!(error(&(line("a::b") + &line("a::b"))), "a::b is listed twice");
     let four: String = ["a::b", "a::c", "a::d", "a::e"].into_iter().map(line).collect();
-    assert_eq!(error(&four), "4 tests are listed, 3 at most may be");
+    assert_eq!(error(&four), "4 tests are listed, more than the maximum of 3");
 }
--- a/crates/known_failures/src/main.rs
+++ b/crates/known_failures/src/main.rs
@@ -10,13 +10,13 @@
 enum Error {
     #[error("usage: known_failures LIST COMMAND...")]
     Usage,
-    #[error("{path}: {source}")]
+    #[error("cannot read {path}: {source}")]
     ReadList { path: String, source: io::Error },
-    #[error("{path}: {source}")]
+    #[error("{path} is not a valid list: {source}")]
     List { path: String, source: ListError },
-    #[error("{program}: {source}")]
+    #[error("cannot start {program}: {source}")]
     Start { program: String, source: io::Error },
-    #[error("{0}")]
+    #[error("cannot forward the output of the command or wait for its end: {0}")]
     Output(#[from] io::Error),
 }
 
--- a/crates/known_failures/src/test_run.rs
+++ b/crates/known_failures/src/test_run.rs
@@ -9,19 +9,19 @@
 /// A reason why a run fails.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// A test that is not listed failed.
+    /// A test fails without being on the list.
     #[error("{test} failed")]
     Failed {
         /// The test, with its target.
         test: String,
     },
-    /// A listed test did not run.
+    /// The list names a test that no longer exists, or the run did not include it.
     #[error("{test} is listed and did not run")]
     NotRun {
         /// The test, with its target.
         test: String,
     },
-    /// A listed test passes, and must be taken off the list.
+    /// The fault of a listed test is fixed, or the test fails only sometimes.
     #[error("{test} is listed and passes: take it off")]
     Passes {
         /// The test, with its target.
