--- a/crates/fault_harness/src/ports/tests.rs
+++ b/crates/fault_harness/src/ports/tests.rs
@@ -34,7 +34,7 @@
         (0..FORKING_THREADS).for_each(|_| drop(scope.spawn(fork_children)));
         while running.load(Ordering::Relaxed) > 0 {
             let address = free_address().expect("a free port");
-            TcpListener::bind(address).expect("it is free");
+            TcpListener::bind(address).expect("the address is free");
         }
     });
 }
--- a/crates/fault_harness/src/stand_ins/quota_counter/tests.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn totals_are_shared_and_exact_to_seven_digits() {
+fn sums_are_shared_and_exact_to_seven_digits() {
     let counter = QuotaCounter::default();
     assert_eq!(total_after(&counter, "1.5").as_deref(), Some("1.5"));
     assert_eq!(total_after(&counter, "1234567.123").as_deref(), Some("1234569"));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_total_expires_after_the_lifetime_of_its_first_amount() {
+fn the_sum_of_a_count_expires_after_the_lifetime_of_its_first_amount() {
     let counter = QuotaCounter::default();
     assert_eq!(counter.add("a", 3.0, Duration::from_millis(20)), 3.0);
     thread::sleep(Duration::from_millis(30));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn additions_are_observed_with_the_total_that_is_answered() {
+fn additions_are_observed_with_the_sum_that_is_answered() {
     let (counter, observed) = (QuotaCounter::default(), RefCell::new(Vec::new()));
     let observe = |added: Addition<'_>| observed.borrow_mut().push((added.amount, added.total));
     let arguments = ["TALLY", "a", "0.25", "60000"].map(str::to_owned);
--- a/crates/fault_injection/src/schedule/tests.rs
+++ b/crates/fault_injection/src/schedule/tests.rs
@@ -8,10 +8,10 @@
     for seed in 0..500 {
         let schedule = Schedule::from_seed(seed, 10_000);
         assert_eq!(schedule, Schedule::from_seed(seed, 10_000));
-        assert_eq!(Schedule::parse(&schedule.to_toml()).expect("it can be run"), schedule);
+        assert_eq!(Schedule::parse(&schedule.to_toml()).expect("the schedule can be run"), schedule);
     }
     for schedule in named_schedules() {
-        assert_eq!(Schedule::parse(&schedule.to_toml()).expect("it can be run"), schedule);
+        assert_eq!(Schedule::parse(&schedule.to_toml()).expect("the schedule can be run"), schedule);
     }
 }
 
--- a/crates/fault_injection/src/site/convergence.rs
+++ b/crates/fault_injection/src/site/convergence.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Describes why the telemetry of a gatekeeper of the platform shows no convergence, in words that follow the name of the
-    /// gatekeeper; `None` if all backends are known and available.
+    /// Describes why the telemetry of a gatekeeper of the platform shows no convergence, for a text that begins with the name of
+    /// the gatekeeper; `None` if all backends are known and available.
     fn missing_in_telemetry(&self, index: usize) -> Option<String> {
         let text = self.admin_call(index, "telemetry").unwrap_or_default();
         let gauge =
@@ -53,15 +53,15 @@
         match (gauge("balancer_members "), gauge("balancer_members_unavailable ")) {
             (Some(total), Some(0)) if total == self.backends.len() => None,
             (Some(total), Some(unavailable)) => Some(format!("{total} backends, {unavailable} unavailable")),
-            _ => Some("its admin address does not answer".into()),
+            _ => Some("the admin address does not answer".into()),
         }
     }
 
-    /// Describes why the status page of an appliance shows no convergence, in words that follow the name of the appliance;
+    /// Describes why the status page of an appliance shows no convergence, for a text that begins with its name;
     /// `None` if all members, all backends and the lease store are healthy.
     fn missing_in_status(&self, status: &str) -> Option<String> {
         if status.is_empty() {
-            return Some("its status page does not answer".into());
+            return Some("the status page does not answer".into());
         }
         let entry = |name: &str| {
             status.lines().find_map(|line| {
@@ -80,7 +80,7 @@
                 return Some(format!("{} is {}", backend.name, shown.unwrap_or("unknown".into())));
             }
         }
-        (!status.contains("claim store answers")).then(|| "its lease store does not answer".into())
+        (!status.contains("claim store answers")).then(|| "the lease store does not answer".into())
     }
 
     /// Whether the process that was started last reports that it is ready.
--- a/crates/fault_injection/src/site/faults/stand_ins.rs
+++ b/crates/fault_injection/src/site/faults/stand_ins.rs
@@ -30,9 +30,9 @@
     switches: impl IntoIterator<Item = &'a FailureSwitch> + Clone,
     mode: FailureMode,
 ) {
-    switches.clone().into_iter().for_each(|switch| switch.set(Some(mode)));
+    switches.clone().into_iter().for_each(|switch| switch.set_mode(Some(mode)));
     (fault.wait_for_end)();
-    switches.into_iter().for_each(|switch| switch.set(None));
+    switches.into_iter().for_each(|switch| switch.set_mode(None));
 }
 
 impl Site {
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -38,8 +38,8 @@
         *lock(&self.0)
     }
 
-    /// Sets the failure mode; `None` makes the stand-in healthy.
-    pub fn set(&self, mode: Option<FailureMode>) {
+    /// Sets how the stand-in fails requests that arrive from now on; `None` makes the stand-in healthy.
+    pub fn set_mode(&self, mode: Option<FailureMode>) {
         *lock(&self.0) = mode;
     }
 }
