--- a/crates/cluster_simulation/src/config.rs
+++ b/crates/cluster_simulation/src/config.rs
@@ -17,7 +17,7 @@
     /// this skew.
     pub max_clock_skew: Duration,
     /// The probability that a datagram is lost, from 0 to 1.
-    pub datagram_loss: f64,
+    pub datagram_loss_probability: f64,
     /// The time between two gossip rounds.
     pub gossip_period: Duration,
     /// The seed of the random number generator.
@@ -32,7 +32,7 @@
             job_period: Duration::from_secs(1),
             standbys: 3,
             max_clock_skew: Duration::ZERO,
-            datagram_loss: 0.0,
+            datagram_loss_probability: 0.0,
             gossip_period: Duration::from_millis(100),
             rng_seed: 1,
         }
--- a/crates/cluster_simulation/src/instance.rs
+++ b/crates/cluster_simulation/src/instance.rs
@@ -51,10 +51,11 @@
     pub(crate) number: usize,
     pub(crate) membership: Membership,
     pub(crate) scheduler: Scheduler,
-    /// How far its Unix clock is ahead of the simulated time.
+    /// How far the Unix clock of the instance is ahead of the simulated time.
     clock_offset: Duration,
     pub(crate) incarnation: Incarnation,
-    /// When its next tick is due. A time in the past, or [`MonotonicTime::NEVER`], means that no tick is scheduled.
+    /// When the next tick of the instance is due. A time in the past, or [`MonotonicTime::NEVER`], means that no tick is
+    /// scheduled.
     pub(crate) next_tick: MonotonicTime,
     has_jobs: bool,
     paused: bool,
--- a/crates/cluster_simulation/src/network.rs
+++ b/crates/cluster_simulation/src/network.rs
@@ -47,13 +47,13 @@
 #[derive(Debug)]
 pub(crate) struct Network {
     /// The probability that a datagram is lost.
-    loss: f64,
+    loss_probability: f64,
     partition: Option<Partition>,
 }
 
 impl Network {
-    pub(crate) fn new(loss: f64) -> Self {
-        Self { loss, partition: None }
+    pub(crate) fn new(loss_probability: f64) -> Self {
+        Self { loss_probability, partition: None }
     }
 
     /// Separates these instances from all others. Replaces an earlier partition.
@@ -83,7 +83,7 @@
 
     /// Returns the delay of a datagram, or `None` if it is lost.
     pub(crate) fn delay(&self, from: usize, to: usize, rng: &mut StdRng) -> Option<Duration> {
-        let lost = rng.random_bool(self.loss);
+        let lost = rng.random_bool(self.loss_probability);
         let delay = Duration::from_millis(rng.random_range(0..=MAX_DELAY_MS));
         (self.connects(from, to) && !lost).then_some(delay)
     }
--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -52,7 +52,7 @@
             instances: (0..config.instances).map(|_| None).collect(),
             rng: StdRng::seed_from_u64(config.rng_seed),
             store: SimulatedStore::new(),
-            network: Network::new(config.datagram_loss),
+            network: Network::new(config.datagram_loss_probability),
             counts: Counts::default(),
             run_log: RunLog::default(),
             notices: Vec::new(),
--- a/crates/cluster_simulation/src/store.rs
+++ b/crates/cluster_simulation/src/store.rs
@@ -13,7 +13,7 @@
 /// A fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// No fault.
+    /// Calls are applied and answered.
     None,
     /// The store applies and answers no call. All calls time out.
     Unresponsive,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct SimulatedStore {
     leases: LocalStore,
-    /// Increases each time the store loses its data. It is the id of all sessions, so that earlier ones become invalid.
+    /// Increases each time the store loses its data. The number is the id of all sessions, so that earlier ones become invalid.
     incarnation: u64,
     fault: StoreFault,
     /// The number of further applied writes whose responses will be lost.
--- a/crates/cluster_simulation/tests/course.rs
+++ b/crates/cluster_simulation/tests/course.rs
@@ -33,7 +33,7 @@
             standbys: 4,
             job_period: Duration::from_secs(1),
             max_clock_skew: Duration::from_millis(100),
-            datagram_loss: 0.1,
+            datagram_loss_probability: 0.1,
             rng_seed: seed,
             ..SimulationConfig::default()
         };
--- a/crates/cluster_simulation/tests/faults.rs
+++ b/crates/cluster_simulation/tests/faults.rs
@@ -161,7 +161,7 @@
 #[test]
 fn members_agree_and_no_job_misses_two_consecutive_runs_with_a_datagram_loss_of_10_percent() {
     let mut simulation = start_cluster(SimulationConfig {
-        datagram_loss: 0.1,
+        datagram_loss_probability: 0.1,
         instances: 30,
         jobs: 300,
         standbys: 4,
@@ -186,7 +186,7 @@
 fn the_same_seed_gives_the_same_counters() {
     let counters = || {
         let mut simulation = start_cluster(SimulationConfig {
-            datagram_loss: 0.1,
+            datagram_loss_probability: 0.1,
             max_clock_skew: Duration::from_millis(100),
             ..config(9)
         });
--- a/crates/quickstart/src/backend.rs
+++ b/crates/quickstart/src/backend.rs
@@ -21,7 +21,7 @@
 /// A backend that listens on loopback until the process ends.
 #[derive(Debug)]
 pub struct Backend {
-    /// The loopback address and port at which it listens.
+    /// The loopback address and port at which the backend listens.
     pub address: SocketAddr,
 }
 
--- a/crates/quickstart/src/configuration.rs
+++ b/crates/quickstart/src/configuration.rs
@@ -33,8 +33,8 @@
 }
 
 impl Configuration {
-    /// Writes the files of a run to a temporary directory. `consul` is the address of Consul. The gatekeeper gets the first free ports
-    /// from `first_port` on.
+    /// Writes the files of a run to a temporary directory. `consul` is the address of Consul. The gatekeeper gets the first free
+    /// ports from `first_port` on.
     ///
     /// # Errors
     ///
@@ -65,12 +65,12 @@
     }
 }
 
-/// Returns the first loopback address with a free port, from the port `from` on.
-fn free_address(from: u16) -> Result<SocketAddr, Error> {
-    let ports = from..from.saturating_add(MAX_PORTS_TRIED);
+/// Returns the first loopback address with a free port, from `first_port` on.
+fn free_address(first_port: u16) -> Result<SocketAddr, Error> {
+    let ports = first_port..first_port.saturating_add(MAX_PORTS_TRIED);
     let addresses = ports.map(|port| SocketAddr::from((Ipv4Addr::LOCALHOST, port)));
     let mut free = addresses.filter(|address| TcpListener::bind(address).is_ok());
-    free.next().ok_or(Error::NoFreePort { from })
+    free.next().ok_or(Error::NoFreePort { first_port })
 }
 
 /// Replaces the address `configured` in the text of the configuration by `address`.
--- a/crates/quickstart/src/error.rs
+++ b/crates/quickstart/src/error.rs
@@ -15,10 +15,10 @@
     #[error("cannot start a backend: {0}")]
     Backend(#[source] io::Error),
     /// No port of loopback is free for the gatekeeper.
-    #[error("no free port on loopback from {from}")]
+    #[error("no free port on loopback from {first_port}")]
     NoFreePort {
-        /// The first port that was tried.
-        from: u16,
+        /// Number of the first port that was tried.
+        first_port: u16,
     },
     /// The configuration of the example does not contain an address that is to be replaced.
     #[error("examples/quickstart/snowfield.toml does not contain {address}")]
@@ -55,7 +55,7 @@
     /// The gatekeeper did not end after SIGTERM.
     #[error("the gatekeeper did not end within {timeout:?}; its log:\n{log}")]
     ShutdownTimedOut {
-        /// The time that it had for its shutdown.
+        /// The time that the gatekeeper had for its shutdown.
         timeout: Duration,
         /// What the gatekeeper has logged.
         log: String,
--- a/crates/quickstart/src/gatekeeper.rs
+++ b/crates/quickstart/src/gatekeeper.rs
@@ -18,7 +18,7 @@
 /// A running gatekeeper. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Gatekeeper {
-    /// The path of its program.
+    /// The path of the gatekeeper's program.
     pub program: PathBuf,
     child: Child,
     log: PathBuf,
--- a/crates/system_tests/src/bin/proof-membership/cluster.rs
+++ b/crates/system_tests/src/bin/proof-membership/cluster.rs
@@ -47,7 +47,7 @@
         let config = SimulationConfig {
             instances: members,
             jobs: 0,
-            datagram_loss: 0.1,
+            datagram_loss_probability: 0.1,
             gossip_period,
             rng_seed: 7,
             ..SimulationConfig::default()
--- a/crates/system_tests/src/bin/proof-periodic-jobs-simulated/measurement.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs-simulated/measurement.rs
@@ -146,7 +146,7 @@
         job_period: JOB_PERIOD,
         standbys: 4,
         max_clock_skew: MAX_CLOCK_SKEW,
-        datagram_loss: 0.1,
+        datagram_loss_probability: 0.1,
         gossip_period,
         rng_seed: 7,
     })
