--- a/crates/snowfield/tests/admin.rs
+++ b/crates/snowfield/tests/admin.rs
@@ -52,7 +52,7 @@
     assert!(!succeeded && output.contains("BALANCER_OPERATOR"), "{output}");
 }
 
-/// Each request is counted under exactly one outcome, and each completely written attempt is counted.
+/// Each request is counted under exactly one outcome, and each attempt that was written completely is counted.
 #[test]
 fn metrics_match_the_replies_to_clients_and_the_requests_at_backends() {
     let (address, events) = start_backend(read_resp_command, |words| match words[2].as_bytes().last() {
--- a/crates/snowfield/tests/appliance.rs
+++ b/crates/snowfield/tests/appliance.rs
@@ -431,7 +431,8 @@
     let site = start_site("room", &SiteOptions { sockets: 128, ..SiteOptions::default() });
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(site.listen)).collect();
     clients.iter_mut().for_each(|client| client.send(get_request("/v1/nothing").as_bytes()));
-    // There are more clients than the table holds: later ones are answered once the first ones have been idle for long enough.
+    // The test has more clients than the connection table holds: later ones are answered once
+    // the first ones have been idle for long enough.
     for client in &mut clients {
         assert_eq!(client.read_response().status(), 404);
     }
--- a/crates/snowfield/tests/common/held_backend.rs
+++ b/crates/snowfield/tests/common/held_backend.rs
@@ -22,7 +22,7 @@
     start_held_backend(move |words| words[2] == request_id(number), others)
 }
 
-/// Replies with the request's id.
+/// Returns the reaction of a backend that replies with the request's id.
 pub fn reply_with_id(words: &[String]) -> Behaviour {
     Behaviour::Reply(backend_reply(&words[2]))
 }
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -8,7 +8,7 @@
     /// The address for clients.
     pub listen: SocketAddr,
     pub agent: Agent,
-    /// Sends lines to the first watch of the program.
+    /// Sends lines of the discovery agent to the first watch of the program.
     pub watch: Sender<String>,
     /// The directory of the configuration file.
     pub directory: TestDirectory,
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -82,7 +82,7 @@
     );
     let (mut idle, mut partial, mut waiting) =
         (Client::connect(site.listen), Client::connect(site.listen), Client::connect(site.listen));
-    // This empties the tenant's token bucket.
+    // The request empties the tenant's token bucket.
     idle.send(&query(1, 2400, 8));
     assert_eq!(idle.read_reply(), request_id(1));
     let whole = query_of_new_tenant(2);
--- a/crates/snowfield/tests/platform.rs
+++ b/crates/snowfield/tests/platform.rs
@@ -101,8 +101,9 @@
             client
         })
         .collect();
-    // There are more clients than the table holds: later ones get their reply once the first ones have been idle for long enough.
-    // The quota is too small for all requests, but a rejection also shows that the connection was accepted.
+    // The test has more clients than the connection table holds: later ones get their reply once the
+    // first ones have been idle for long enough. The quota is too small for all requests, but a rejection also shows that the
+    // connection was accepted.
     for client in &mut clients {
         assert!(!client.read_reply().is_empty());
     }
--- a/crates/stand_in_consul/src/consul.rs
+++ b/crates/stand_in_consul/src/consul.rs
@@ -1,4 +1,4 @@
-//! A stand-in: it holds the state and opens the listeners.
+//! The stand-in itself, which holds the state and opens the listeners.
 
 use crate::listener::Listener;
 use crate::server;
--- a/crates/stand_in_consul/src/fault.rs
+++ b/crates/stand_in_consul/src/fault.rs
@@ -5,7 +5,7 @@
 /// How a listener fails requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// No fault.
+    /// Requests are applied and answered.
     #[default]
     None,
     /// Requests are read but not applied, and never answered.
--- a/crates/stand_in_consul/src/listener.rs
+++ b/crates/stand_in_consul/src/listener.rs
@@ -10,7 +10,7 @@
 /// One address at which a stand-in listens, with its own fault. Clones share the fault and the address translation.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// The loopback address and port at which it listens.
+    /// The loopback address and port at which the listener accepts connections.
     pub address: SocketAddr,
     fault: Arc<Mutex<ListenerFault>>,
     /// Translated addresses of instances, by real address.
--- a/crates/stand_in_consul/src/service.rs
+++ b/crates/stand_in_consul/src/service.rs
@@ -29,9 +29,9 @@
 /// The relative weights of a service instance, for load balancing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Weights {
-    /// Weight while its check passes.
+    /// Weight while the check of the instance passes.
     pub passing: u32,
-    /// Weight while its check is in warning state.
+    /// Weight while the check of the instance is in warning state.
     pub warning: u32,
 }
 
@@ -40,15 +40,15 @@
 pub struct Service {
     /// Id of the instance (`ServiceID` in the catalog).
     pub id: String,
-    /// The address at which it listens.
+    /// The address at which the instance listens.
     pub address: SocketAddr,
-    /// The status of its check.
+    /// The status of the instance's check.
     pub status: CheckStatus,
-    /// Whether it is in maintenance mode, which adds a critical check.
+    /// Whether the instance is in maintenance mode, which adds a critical check.
     pub in_maintenance: bool,
-    /// Whether the check of its node (`serfHealth`) passes.
+    /// Whether the check of the instance's node (`serfHealth`) passes.
     pub is_node_healthy: bool,
-    /// Weights by the status of its check.
+    /// Weights of the instance by the status of its check.
     pub weights: Weights,
     /// Tags, by which queries can select instances (`tag`).
     pub tags: Vec<String>,
@@ -94,6 +94,6 @@
     pub name: String,
     /// Port of the service; 0 if the registration has no valid port.
     pub port: u16,
-    /// Number of times that its TTL check was reported as passing since the registration.
+    /// Number of times that the TTL check of the service was reported as passing since the registration.
     pub passed_checks: u64,
 }
--- a/crates/stand_in_consul/src/state.rs
+++ b/crates/stand_in_consul/src/state.rs
@@ -24,7 +24,6 @@
     pub leaderless: bool,
     /// Whether bodies are compressed for clients that accept gzip.
     pub compresses: bool,
-    /// The KV store.
     pub(crate) store: Store,
     /// Number of restarts. A blocking query ends when it changes.
     pub(crate) incarnation: u64,
--- a/crates/stand_in_consul/src/store/session.rs
+++ b/crates/stand_in_consul/src/store/session.rs
@@ -3,9 +3,9 @@
 /// What happens to the keys that a session has locked when it ends (`Behavior`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeysAtEnd {
-    /// Only their locks are released.
+    /// The locks of the keys are released, and the keys are kept.
     Release,
-    /// They are deleted.
+    /// The keys are deleted.
     Delete,
 }
 
--- a/crates/system_tests/src/bin/proof-catalogue/timeline.rs
+++ b/crates/system_tests/src/bin/proof-catalogue/timeline.rs
@@ -11,7 +11,7 @@
     Span::since(from_us)
 }
 
-/// Spans and results of the steps of the scenario.
+/// The results of one run of the scenario, from which the report is calculated.
 pub(crate) struct Timeline {
     /// The span from the start of the load to its stop.
     pub(crate) load: Span,
@@ -47,7 +47,7 @@
 
 /// Backends whose health changes every second.
 pub(crate) struct Flapping {
-    /// The number of these backends.
+    /// The number of backends whose health changes.
     pub(crate) backends: usize,
     pub(crate) span: Span,
 }
@@ -66,7 +66,7 @@
 pub(crate) struct Restarts {
     /// A restart with the cache file of the endpoint list intact.
     pub(crate) with_cache: Span,
-    /// The status report after this restart.
+    /// The status report of the gatekeeper after the restart with the cache file.
     pub(crate) status_report: String,
     /// A restart with a truncated cache file.
     pub(crate) with_truncated_cache: Span,
--- a/crates/system_tests/src/bin/proof-periodic-jobs/schedule.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/schedule.rs
@@ -10,7 +10,7 @@
 pub(crate) const MAX_CLOCK_SKEW_MS: i64 = 300;
 /// The lowest job number after the reload that changes the jobs.
 pub(crate) const FIRST_CHANGED_JOB: usize = 16;
-/// How many jobs there are after this reload.
+/// Number of jobs after the reload that changes them.
 pub(crate) const CHANGED_JOBS: usize = JOBS - 12;
 
 /// Returns a schedule for the appliance form that sends no requests.
@@ -33,7 +33,7 @@
     job_names(0..JOBS)
 }
 
-/// Returns the names of the jobs after this reload.
+/// Returns the names of the jobs after the reload that changes them.
 pub(crate) fn changed_jobs() -> BTreeSet<String> {
     job_names(FIRST_CHANGED_JOB..FIRST_CHANGED_JOB + CHANGED_JOBS)
 }
--- a/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
+++ b/crates/system_tests/src/bin/proof-periodic-jobs/single_clock.rs
@@ -23,19 +23,19 @@
 const MAX_TAKE_OVER_S: f64 = 2.0 * JOB_PERIOD_MS as f64 / 1_000.0;
 /// Maximum time between two runs of a job when half of the instances are killed, s.
 const MAX_GAP_S: f64 = MAX_TAKE_OVER_S + 0.1;
-/// Time from the start of the outage in which runs that began earlier may still reach their targets.
+/// Time from the start of a lease-store outage in which runs that began before the outage may still reach their targets.
 const EARLIER_RUNS_ARRIVE_US: u64 = 300_000;
 /// Time from the return of the lease store after which all jobs are expected to run again.
 const STORE_RECOVERY_US: u64 = 1_000_000;
-/// Time from the start of the fault after which all instances have reloaded the changed jobs.
+/// Time from the start of the reload fault after which all instances have reloaded the changed jobs.
 const RELOADED_AFTER_US: u64 = 1_500_000;
-/// Margin before the end of the fault. All instances keep the changed jobs until this margin starts.
+/// Margin before the end of the reload fault. All instances keep the changed jobs until this margin starts.
 const RELOAD_END_MARGIN_US: u64 = 200_000;
 /// The gatekeeper whose processor time is in the table.
 const MEASURED_GATEKEEPER: &str = "m1";
 /// Key of the lease writes in the request counts of a traffic observation.
 const LEASE_WRITES: &str = "PUT /v1/txn";
-/// Key of the reads of the lease store in the same counts.
+/// Key of the lease reads in the request counts of a traffic observation.
 const LEASE_READS: &str = "GET /v1/kv";
 
 /// Runs all phases, adds their figures to the table, and returns the figures for the last line of the output.
--- a/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/schedules.rs
@@ -12,7 +12,7 @@
 const LENGTH_MS: u64 = 14_000;
 /// Duration of the part of a schedule in which generated faults start.
 const GENERATED_FAULTS_LENGTH_MS: u64 = 10_000;
-/// Start of this part. By then a leader is elected, and the first leases are granted.
+/// Time in a schedule from which generated faults start. By then a leader is elected, and the first leases are granted.
 const GENERATED_FAULTS_START: Duration = Duration::from_secs(3);
 /// Number of generated schedules, out of 256 on average, in which the quota counter loses its state.
 const COUNTER_LOSSES_PER_256: u8 = 60;
--- a/crates/system_tests/src/bin/proof-replicated-config/totals.rs
+++ b/crates/system_tests/src/bin/proof-replicated-config/totals.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use system_tests::{Distribution, ScheduleTotals, Table};
 
-/// Contradictions that last longer than this are printed with the name of their schedule.
+/// Contradictions that last longer than this time are printed with the name of their schedule.
 const REPORTED_CONTRADICTION_MS: u64 = 100;
 /// Maximum number of violations that are printed for a schedule.
 const MAX_PRINTED_VIOLATIONS: usize = 4;
--- a/crates/system_tests/src/error.rs
+++ b/crates/system_tests/src/error.rs
@@ -6,33 +6,33 @@
 /// An error that aborts a system test.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The fault-injection harness failed.
+    /// An error that the harness reports outside of a schedule that has a name.
     #[error(transparent)]
     Harness(#[from] fault_injection::Error),
-    /// The harness could not run a schedule.
+    /// The site of the schedule could not be started, or one of its files could not be read or written.
     #[error("cannot run schedule {schedule}: {source}")]
     Schedule {
-        /// The name of the schedule.
+        /// Name of the schedule that did not run.
         schedule: String,
-        /// The error of the harness.
+        /// The error with which the harness ended the schedule.
         #[source]
         source: fault_injection::Error,
     },
-    /// A file does not contain a valid schedule.
+    /// The text of the file is not TOML of a schedule, or the schedule is outside of the harness's limits.
     #[error("{} is not a valid schedule: {source}", path.display())]
     ScheduleFile {
-        /// The path of the file.
+        /// Path of the schedule file.
         path: PathBuf,
-        /// The error of the parser.
+        /// Why the schedule was rejected.
         #[source]
         source: fault_injection::Error,
     },
-    /// A file or folder cannot be read or written.
+    /// An operation of the file system failed, usually because the path does not exist or is not writable.
     #[error("cannot read or write {}: {source}", path.display())]
     File {
         /// The path of the file or folder.
         path: PathBuf,
-        /// The error of the file system.
+        /// Why the operation failed.
         #[source]
         source: io::Error,
     },
