--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -22,7 +22,7 @@
 /// The members that one instance considers alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The number of the instance.
+    /// The number of the observing instance.
     pub instance: usize,
     /// The names of these members, including the instance itself.
     pub alive: Vec<String>,
--- a/crates/fault_harness/src/process.rs
+++ b/crates/fault_harness/src/process.rs
@@ -107,7 +107,7 @@
         self.progress.wait_for_exit(timeout)
     }
 
-    /// Whether the process has exited.
+    /// Whether the exit of the process has been recorded; true also after a kill from elsewhere.
     pub fn has_exited(&self) -> bool {
         self.progress.has_exited()
     }
--- a/crates/fault_harness/src/process/launch.rs
+++ b/crates/fault_harness/src/process/launch.rs
@@ -9,7 +9,7 @@
     /// One JSON object per line, with fields and the time of the monotonic clock.
     #[default]
     Json,
-    /// Plain text.
+    /// Plain text. Each line is kept unchanged, without fields or a time.
     Plain,
 }
 
@@ -18,9 +18,9 @@
 pub struct Launch<'a> {
     /// Name of the process in the history.
     pub name: &'a str,
-    /// Path of the program.
+    /// Path of the executable.
     pub build: &'a Path,
-    /// Arguments of the program.
+    /// Command line arguments after the path of the executable.
     pub arguments: &'a [&'a str],
     /// Environment variables that are added to those of the harness.
     pub variables: &'a [(&'a str, String)],
--- a/crates/fault_harness/src/process/usage.rs
+++ b/crates/fault_harness/src/process/usage.rs
@@ -16,7 +16,7 @@
     pub memory_kb: u64,
     /// Number of open file descriptors.
     pub descriptors: u64,
-    /// Number of threads.
+    /// Number of threads of the process.
     pub threads: u64,
     /// User and system time since the start of the process, ms.
     pub cpu_ms: u64,
--- a/crates/fault_harness/src/stand_ins/quota_counter.rs
+++ b/crates/fault_harness/src/stand_ins/quota_counter.rs
@@ -38,7 +38,7 @@
 /// An amount that a call added to the sum of a count.
 #[derive(Clone, Copy, Debug)]
 pub struct Addition<'a> {
-    /// Name of the count.
+    /// Name of the count that the call added to.
     pub name: &'a str,
     /// The amount that was added, negative if the call subtracted from the sum.
     pub amount: f64,
--- a/crates/fault_harness/src/stand_ins/watch_server.rs
+++ b/crates/fault_harness/src/stand_ins/watch_server.rs
@@ -33,7 +33,7 @@
 /// What a watch is sent on a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeForm {
-    /// The complete list.
+    /// All listed backends, also those that have not changed.
     CompleteList,
     /// Only the backends that have changed.
     ChangedBackends,
--- a/crates/fault_harness/src/test_directory.rs
+++ b/crates/fault_harness/src/test_directory.rs
@@ -18,7 +18,7 @@
         Self(path)
     }
 
-    /// The path of the directory.
+    /// Path of the directory, which exists until this value is dropped.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/fault_injection/src/checkers.rs
+++ b/crates/fault_injection/src/checkers.rs
@@ -39,7 +39,7 @@
     pub memory_kb: u64,
     /// Number of open file descriptors.
     pub descriptors: u64,
-    /// Number of threads.
+    /// Number of threads of the process.
     pub threads: u64,
 }
 
--- a/crates/fault_injection/src/checkers/convergence.rs
+++ b/crates/fault_injection/src/checkers/convergence.rs
@@ -40,7 +40,7 @@
 /// The versions that a gatekeeper acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ActiveVersions {
-    /// The version in force.
+    /// The version that is in force at the gatekeeper.
     in_force: u64,
     /// The newest version that the gatekeeper has accepted: the proposed version if there is one, otherwise the version in
     /// force.
--- a/crates/fault_injection/src/error.rs
+++ b/crates/fault_injection/src/error.rs
@@ -10,7 +10,7 @@
     /// A history that is replayed or checked has a damaged line.
     #[error("history line {line}: {source}")]
     HistoryLine {
-        /// Line number, counted from 1.
+        /// Number of the damaged line, from 1.
         line: usize,
         /// Why the line does not parse.
         #[source]
@@ -45,7 +45,7 @@
     /// The executable of a gatekeeper or of one of its commands is missing or cannot be run.
     #[error("cannot start {}: {source}", build.display())]
     Start {
-        /// Path of the executable.
+        /// Path of the executable that did not start.
         build: PathBuf,
         /// Why the executable did not start.
         #[source]
@@ -63,13 +63,13 @@
     /// A gatekeeper did not log in time that it serves, after the start of the site.
     #[error("{gatekeeper} does not serve")]
     NotServing {
-        /// Name of the gatekeeper.
+        /// Name of the gatekeeper, such as `m0`.
         gatekeeper: String,
     },
     /// A gatekeeper did not log in time that it serves, after a restart by a fault.
     #[error("{gatekeeper} does not serve again")]
     NotServingAgain {
-        /// Name of the gatekeeper.
+        /// Name of the gatekeeper, such as `m0`.
         gatekeeper: String,
     },
     /// The successor did not report in time that it is ready; its predecessor still serves.
--- a/crates/fault_injection/src/history/observation.rs
+++ b/crates/fault_injection/src/history/observation.rs
@@ -141,7 +141,7 @@
     /// A log line of a process.
     #[serde(rename = "line")]
     LogLine {
-        /// Name of the process.
+        /// Name of the process that wrote the line.
         #[serde(rename = "who")]
         process: String,
         /// Message of the log event.
@@ -153,7 +153,7 @@
     /// The resources that a process uses.
     #[serde(rename = "holds")]
     ResourceUse {
-        /// Name of the process.
+        /// Name of the process that was sampled.
         #[serde(rename = "who")]
         process: String,
         /// Resident memory in kB.
@@ -162,7 +162,7 @@
         /// Number of open file descriptors.
         #[serde(rename = "files")]
         descriptors: u64,
-        /// Number of threads.
+        /// Number of threads of the process.
         threads: u64,
         /// Processor time since the start of the process, in ms.
         cpu_ms: u64,
--- a/crates/fault_injection/src/runner.rs
+++ b/crates/fault_injection/src/runner.rs
@@ -47,7 +47,7 @@
     pub converged_after_ms: Option<u64>,
     /// Total traffic of all links.
     pub traffic: Traffic,
-    /// The history of the run.
+    /// All observations of the run, ordered by time.
     pub history: Vec<Record>,
 }
 
--- a/crates/fault_injection/src/schedule.rs
+++ b/crates/fault_injection/src/schedule.rs
@@ -72,10 +72,10 @@
     pub seed: u64,
     /// Deployment form of all gatekeepers.
     pub form: Form,
-    /// Number of gatekeepers.
+    /// Number of gatekeepers, from 1 to [`MAX_NODES`].
     #[serde(rename = "programs")]
     pub gatekeepers: usize,
-    /// Number of backends.
+    /// Number of backends, from 1 to [`MAX_NODES`].
     #[serde(rename = "loans")]
     pub backends: usize,
     /// Minimum duration of the load in ms. Every fault ends within this time.
--- a/crates/fault_injection/src/schedule/named.rs
+++ b/crates/fault_injection/src/schedule/named.rs
@@ -5,7 +5,7 @@
 const SEED: u64 = 1;
 const BACKENDS: usize = 6;
 
-/// All named schedules.
+/// Returns all schedules with a name, those for the appliance and those for the platform.
 pub fn named_schedules() -> Vec<Schedule> {
     [
         half_of_gatekeepers_killed(),
--- a/crates/fault_injection/src/stand_ins/discovery.rs
+++ b/crates/fault_injection/src/stand_ins/discovery.rs
@@ -13,7 +13,7 @@
 /// The link over which a gatekeeper receives notifications.
 #[derive(Clone)]
 pub struct WatchRoute {
-    /// The network of the link.
+    /// The network that carries the notifications.
     pub network: Network,
     /// The link from discovery to the gatekeeper.
     pub link: Link,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The agent of one gatekeeper.
+/// The discovery agent that serves watches of one gatekeeper.
 struct Agent {
     list: EndpointList,
     gatekeeper_name: String,
--- a/crates/known_failures/src/list.rs
+++ b/crates/known_failures/src/list.rs
@@ -26,7 +26,7 @@
     /// Two lines name the same test of the same target.
     #[error("{test} is listed twice")]
     Repeated {
-        /// The test, with its target.
+        /// The repeated test, such as `shutdown::drains_connections`.
         test: String,
     },
     /// A listed fault must be mended before another test may be added.
--- a/crates/known_failures/src/test_run.rs
+++ b/crates/known_failures/src/test_run.rs
@@ -12,25 +12,25 @@
     /// A test fails without being on the list.
     #[error("{test} failed")]
     Failed {
-        /// The test, with its target.
+        /// The failed test, such as `shutdown::drains_connections`.
         test: String,
     },
     /// The list names a test that no longer exists, or the run did not include it.
     #[error("{test} is listed and did not run")]
     NotRun {
-        /// The test, with its target.
+        /// The listed test, such as `shutdown::drains_connections`.
         test: String,
     },
     /// The fault of a listed test is fixed, or the test fails only sometimes.
     #[error("{test} is listed and passes: take it off")]
     Passes {
-        /// The test, with its target.
+        /// The listed test, such as `shutdown::drains_connections`.
         test: String,
     },
     /// Several tests have the name of a listed one, or it ran more than once.
     #[error("{test} is the name of several tests")]
     Ambiguous {
-        /// The test, with its target.
+        /// The listed test, such as `shutdown::drains_connections`.
         test: String,
     },
     /// A target was killed or could not be built, so that results are missing.
--- a/crates/platform_soak/src/history.rs
+++ b/crates/platform_soak/src/history.rs
@@ -160,7 +160,7 @@
 pub struct ListChange {
     /// Time of the change.
     pub at: Moment,
-    /// The backend that changed.
+    /// The backend that the change concerns.
     pub backend: BackendIndex,
     /// State of the backend after the change.
     pub state: ListedState,
@@ -206,7 +206,7 @@
 pub struct CounterChange {
     /// Time at which the counter became reachable or unreachable.
     pub at: Moment,
-    /// Number of affected gatekeepers.
+    /// Number of gatekeepers that the counter became reachable or unreachable for.
     pub gatekeepers: usize,
 }
 
--- a/crates/platform_soak/src/schedule.rs
+++ b/crates/platform_soak/src/schedule.rs
@@ -29,7 +29,7 @@
     pub seed: u64,
     /// Minimum duration of the schedule. Faults that last longer extend it.
     pub length: Duration,
-    /// The settings of the site.
+    /// Classes, tenants, time windows and limits that the site runs with.
     pub settings: Settings,
     /// The faults of the schedule, in the order of their starts.
     pub faults: Vec<Fault>,
--- a/crates/platform_soak/src/schedule/fault.rs
+++ b/crates/platform_soak/src/schedule/fault.rs
@@ -85,9 +85,9 @@
         /// Mode of the counter during the fault; [`CounterMode::Healthy`] after it.
         mode: CounterMode,
     },
-    /// A backend fails.
+    /// A backend fails in one of the ways of [`BackendMode`].
     Backend {
-        /// Number of the backend that fails.
+        /// Number of the affected backend.
         backend: BackendIndex,
         /// Mode of the backend during the fault; [`BackendMode::Healthy`] after it.
         mode: BackendMode,
@@ -104,7 +104,7 @@
     },
     /// A backend restarts: it is off the list and refuses connections for a while.
     BackendRestart {
-        /// Number of the backend that restarts.
+        /// Number of the affected backend.
         backend: BackendIndex,
     },
     /// Clients disconnect before the answer.
--- a/crates/platform_soak/src/settings.rs
+++ b/crates/platform_soak/src/settings.rs
@@ -50,11 +50,11 @@
 /// The settings of a site.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of gatekeepers.
+    /// Number of gatekeepers that the site starts.
     pub gatekeepers: usize,
-    /// Number of backends.
+    /// Number of backends that the site starts.
     pub backends: usize,
-    /// The classes of requests.
+    /// Classes that clients draw their requests from.
     pub classes: Vec<Class>,
     /// The tenants, each with a plan of its own.
     pub tenants: Vec<Tenant>,
--- a/crates/platform_soak/src/site.rs
+++ b/crates/platform_soak/src/site.rs
@@ -31,7 +31,7 @@
     pub settings: Arc<Settings>,
     /// Collects the history of the run.
     pub recorder: Recorder,
-    /// The gatekeepers by index.
+    /// The gatekeepers, in the order of their [`GatekeeperIndex`](crate::history::GatekeeperIndex).
     pub gatekeepers: Vec<Arc<Gatekeeper>>,
     /// The gatekeepers' discovery agents, in the same order.
     pub discoveries: Vec<Discovery>,
@@ -39,7 +39,7 @@
     pub list: SharedList,
     /// The quota counter, which all gatekeepers share.
     pub counter: Counter,
-    /// The backends by index.
+    /// The backends, in the order of their [`BackendIndex`](crate::history::BackendIndex).
     pub backends: Vec<Backend>,
     /// Rates of the clients' misbehaviour.
     pub behaviour: Arc<Behaviour>,
--- a/crates/quickstart/src/client.rs
+++ b/crates/quickstart/src/client.rs
@@ -26,7 +26,7 @@
     Ok(answer)
 }
 
-/// Whether the status of an answer is 200.
+/// Whether an answer, as text with its head, has the status 200.
 pub fn is_ok(answer: &str) -> bool {
     answer.starts_with("HTTP/1.1 200 ")
 }
--- a/crates/snowfield/tests/common/mod.rs
+++ b/crates/snowfield/tests/common/mod.rs
@@ -198,20 +198,20 @@
 
 /// The reaction of a backend to a request.
 pub enum Behaviour {
-    /// Sends this reply.
+    /// The backend sends this reply.
     Reply(Vec<u8>),
-    /// Waits for a message, then sends this reply.
+    /// The backend waits for a message, then sends this reply.
     ReplyAfter(Receiver<()>, Vec<u8>),
-    /// Closes the connection.
+    /// The backend closes the connection without a reply.
     Close,
-    /// Sends no reply, and waits until the connection is closed.
+    /// The backend sends no reply, and waits until the connection is closed.
     NoReply,
 }
 
 /// An event at a backend.
 #[derive(Debug)]
 pub enum BackendEvent<T> {
-    /// A request has arrived.
+    /// A request has arrived completely.
     Request(T),
     /// A connection without a request in flight was closed.
     ConnectionClosed,
@@ -316,12 +316,12 @@
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status of a response.
+    /// The status code of an HTTP response.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
 
-    /// The target of a request.
+    /// The path and query of an HTTP request.
     pub fn target(&self) -> &str {
         self.first_line.split(' ').nth(1).expect("a request line")
     }
@@ -354,7 +354,7 @@
     Some(message)
 }
 
-/// A client with one connection.
+/// A client that sends requests and reads replies on one connection.
 pub struct Client {
     pub writer: TcpStream,
     pub reader: BufReader<TcpStream>,
--- a/crates/snowfield/tests/common/site.rs
+++ b/crates/snowfield/tests/common/site.rs
@@ -24,7 +24,7 @@
     pub backends: &'a [SocketAddr],
     /// The address of the quota counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Number of gatekeepers in the fleet.
+    /// Number of gatekeepers in the fleet, `balancers` of the settings.
     pub gatekeepers: u32,
     /// Limit on the attempts of a request.
     pub attempts: u32,
--- a/crates/stand_in_consul/src/state.rs
+++ b/crates/stand_in_consul/src/state.rs
@@ -10,7 +10,7 @@
 /// State of a stand-in, common to all of its listeners.
 #[derive(Debug, Default)]
 pub struct State {
-    /// Instances by service name.
+    /// Instances that the health and catalog endpoints return, by service name.
     pub services: BTreeMap<String, Vec<Service>>,
     /// Index of the last change of the services.
     pub services_index: u64,
--- a/crates/system_tests/src/distribution.rs
+++ b/crates/system_tests/src/distribution.rs
@@ -25,7 +25,7 @@
         self.sorted.last().copied()
     }
 
-    /// Returns the number of samples.
+    /// Returns how many samples were added.
     pub fn count(&self) -> usize {
         self.sorted.len()
     }
--- a/crates/system_tests/src/job_runs.rs
+++ b/crates/system_tests/src/job_runs.rs
@@ -8,7 +8,7 @@
 pub struct JobRun<'a> {
     /// When the run reached the target, in microseconds of the history.
     pub at_us: u64,
-    /// The name of the job.
+    /// The name of the job, as in the settings.
     pub job: &'a str,
     /// The number of the run, which is also the fencing token of its call.
     pub run: u64,
@@ -23,7 +23,7 @@
 }
 
 impl<'a> JobRuns<'a> {
-    /// Returns all runs of a history.
+    /// Returns the runs that a history recorded at the target of the jobs.
     pub fn of(history: &'a [Record]) -> Self {
         Self { runs: history.iter().filter_map(job_run).collect() }
     }
--- a/crates/system_tests/src/versions.rs
+++ b/crates/system_tests/src/versions.rs
@@ -17,7 +17,7 @@
 /// being rolled out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoleVersion<'a> {
-    /// The name of the gatekeeper.
+    /// The name of the gatekeeper, such as `m0`.
     pub gatekeeper: &'a str,
     /// The version that the gatekeeper applies.
     pub version: u64,
