--- a/crates/cluster_simulation/src/simulation.rs
+++ b/crates/cluster_simulation/src/simulation.rs
@@ -22,7 +22,7 @@
 /// The members that one instance considers alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The number of the instance.
+    /// The number of the observing instance.
     pub instance: usize,
     /// The names of these members, including the instance itself.
     pub alive: Vec<String>,
@@ -52,7 +52,7 @@
             instances: (0..config.instances).map(|_| None).collect(),
             rng: StdRng::seed_from_u64(config.rng_seed),
             store: SimulatedStore::new(),
-            network: Network::new(config.datagram_loss),
+            network: Network::new(config.datagram_loss_probability),
             counts: Counts::default(),
             run_log: RunLog::default(),
             notices: Vec::new(),
--- a/crates/fault_injection/src/stand_ins.rs
+++ b/crates/fault_injection/src/stand_ins.rs
@@ -28,7 +28,7 @@
 /// Additional time until a slow stand-in answers.
 const SLOW_ANSWER: Duration = Duration::from_millis(200);
 
-/// The current failure mode of a stand-in. Clones share it.
+/// The current failure mode of a stand-in. Clones share the mode.
 #[derive(Clone, Debug, Default)]
 pub struct FailureSwitch(Arc<Mutex<Option<FailureMode>>>);
 
@@ -38,8 +38,8 @@
         *lock(&self.0)
     }
 
-    /// Sets the failure mode; `None` makes the stand-in healthy.
-    pub fn set(&self, mode: Option<FailureMode>) {
+    /// Sets how the stand-in fails requests that arrive from now on; `None` makes the stand-in healthy.
+    pub fn set_mode(&self, mode: Option<FailureMode>) {
         *lock(&self.0) = mode;
     }
 }
--- a/crates/snowfield/tests/hot_restart.rs
+++ b/crates/snowfield/tests/hot_restart.rs
@@ -82,7 +82,7 @@
     );
     let (mut idle, mut partial, mut waiting) =
         (Client::connect(site.listen), Client::connect(site.listen), Client::connect(site.listen));
-    // This empties the tenant's token bucket.
+    // The request empties the tenant's token bucket.
     idle.send(&query(1, 2400, 8));
     assert_eq!(idle.read_reply(), request_id(1));
     let whole = query_of_new_tenant(2);
@@ -113,7 +113,7 @@
     assert_eq!(idle.read_reply(), request_id(5));
 }
 
-/// Regression, found by the soak test: the successor restarted the time-out of a partial request. Its client got the error after
+/// Regression, found by the soak test: the successor restarted the timeout of a partial request. Its client got the error after
 /// 3.7 s, where 3 s are allowed.
 #[test]
 fn a_hot_restart_does_not_extend_the_timeout_of_a_partial_request() {
