--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -5,7 +5,7 @@
 use crate::event::Outcome;
 use crate::ids::BackendId;
 use crate::latency_trend::OVERLOAD_LATENCY_RATIO;
-use crate::outlier_detection::{ejection_time, rejection_pause};
+use crate::outlier_detection::{rejection_pause, trial_interval};
 use crate::request::EndedAttempt;
 use crate::state_machine::Policy;
 use crate::time::Timestamp;
@@ -44,7 +44,7 @@
     fn record_backend_health(&mut self, attempt: EndedAttempt) -> bool {
         let EndedAttempt { class, plan, .. } = attempt;
         let now = self.now;
-        let next_trial = now + ejection_time(&self.settings);
+        let next_trial = now + trial_interval(&self.settings);
         let pause = rejection_pause(&self.settings);
         let service = self.service_of(class);
         let Some(backend) = self.backends.get_mut(attempt.backend) else { return false };
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -6,7 +6,7 @@
 use crate::event::Outcome;
 use crate::ids::{BackendId, RequestId};
 use crate::latency_trend::OVERLOAD_LATENCY_RATIO;
-use crate::outlier_detection::ejection_time;
+use crate::outlier_detection::trial_interval;
 use crate::request::{Attempt, EndedAttempt, Request};
 use crate::retry_budget::RetryBudget;
 use crate::settings::RequestClass;
@@ -35,7 +35,7 @@
         });
         backend.load.record_send();
         backend.slow_start.spend_token();
-        backend.health.record_send(request.class, now + ejection_time(settings));
+        backend.health.record_send(request.class, now + trial_interval(settings));
         let class = &settings.classes[request.class];
         self.pools[usize::from(class.service)].concurrency.record_send(now);
         self.tenants.entry(request.tenant).and_modify(|quota| quota.in_flight.record_send());
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -91,7 +91,7 @@
             added,
             refilled: refilled(plan.rate, age),
             after_silence: self.counter.health.has_recovered_since(quota.shared.synced_at()),
-            loss_threshold: -2.0 * self.settings.max_cost - plan.burst,
+            total_drop_threshold: -2.0 * self.settings.max_cost - plan.burst,
             local_shares: quota.all_local_shares(),
         };
         quota.shared.apply_total(plan, answer, self.now);
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Applies `change` to all stored times.
+    /// Applies `change` to the times at which the current short-term estimate began and the last one ended.
     pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
         change(&mut self.short_term_since);
         if let Some((_, estimated_at)) = &mut self.estimate {
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -9,19 +9,20 @@
 /// Silence timeout as a fraction of the latency objective. A backend is ejected if an attempt is unanswered
 /// for this long and the backend has sent no answer since the attempt was sent.
 const SILENCE_TIMEOUT_FRACTION: f64 = 0.6;
-/// Microseconds between trials of an ejected backend, counted over all gatekeepers.
-const EJECTION_TIME: Micros = 200_000;
-/// Maximum microseconds between trials by one gatekeeper, and maximum connect backoff. Faults last tens of
-/// seconds.
-const MAX_EJECTION_TIME: Micros = 20_000_000;
+/// Mean microseconds between the trial requests that all gatekeepers together send to one ejected backend.
+const FLEET_TRIAL_INTERVAL: Micros = 200_000;
+/// Maximum microseconds between the trial requests that one gatekeeper sends to an ejected backend, and
+/// maximum connect backoff in microseconds. Faults last tens of seconds.
+const MAX_TRIAL_INTERVAL: Micros = 20_000_000;
 /// Microseconds of the pause after a rejection and of the first connect backoff, multiplied by the number of
 /// gatekeepers.
 const REJECTION_PAUSE: Micros = 10_000;
 
-/// Microseconds between trials of an ejected backend by this gatekeeper. The interval grows with the number
-/// of gatekeepers, so that the rate of trials by all gatekeepers together stays the same.
-pub(crate) fn ejection_time(settings: &Settings) -> Micros {
-    (EJECTION_TIME * u64::from(settings.gatekeepers)).min(MAX_EJECTION_TIME)
+/// Microseconds between the trial requests that this gatekeeper sends to an ejected backend. The interval
+/// grows with the number of gatekeepers, so that the rate of trials by all gatekeepers together stays the
+/// same.
+pub(crate) fn trial_interval(settings: &Settings) -> Micros {
+    (FLEET_TRIAL_INTERVAL * u64::from(settings.gatekeepers)).min(MAX_TRIAL_INTERVAL)
 }
 
 /// Microseconds for which this gatekeeper sends a backend no requests of a class and plan that it rejected.
@@ -158,7 +159,7 @@
     /// down or accepts no more connections. Gatekeepers with an established connection see no connect
     /// failure, so a backend at its connection limit is avoided only by gatekeepers that cannot use it.
     pub(crate) fn record_connect_failure(&mut self, first_backoff: Micros, now: Timestamp) {
-        let backoff = (2 * self.connect_backoff.last).clamp(first_backoff, MAX_EJECTION_TIME);
+        let backoff = (2 * self.connect_backoff.last).clamp(first_backoff, MAX_TRIAL_INTERVAL);
         self.connect_backoff = ConnectBackoff { until: now + backoff, last: backoff };
     }
 
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -195,10 +195,10 @@
         self.first_contact_latency += FIRST_CONTACT_WEIGHT * (relative_latency - self.first_contact_latency);
     }
 
-    /// Decays the mean latency of first contacts
-    /// ([`Contact::First`](crate::backend_latency::Contact::First)) towards 1 for the `seconds` that have
-    /// passed. Without this decay, backends without a recent latency estimate would never be tried again
-    /// after samples of other such backends were slow.
+    /// Decays the mean relative latency of samples of kind
+    /// [`Contact::First`](crate::backend_latency::Contact::First) towards 1 for the `seconds` that have
+    /// passed. This mean is the expected latency of a backend without a recent estimate. If the mean stayed
+    /// high after a few slow samples, the backends without a recent estimate would never be tried again.
     pub(crate) fn forget_first_contacts(&mut self, seconds: f64) {
         let decay = (seconds / LATENCY_DECAY_SECONDS).min(1.0);
         self.first_contact_latency += (1.0 - self.first_contact_latency) * decay;
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -50,9 +50,9 @@
     pub(crate) refilled: f64,
     /// Whether the counter was silent at some time since the last total was read.
     pub(crate) after_silence: bool,
-    /// If other gatekeepers seem to have changed the total by less than this negative number of units, the
-    /// counter may have lost spend.
-    pub(crate) loss_threshold: f64,
+    /// A negative number of units. If the change of the total, apart from this gatekeeper's own units, is
+    /// below this number, the counter may have lost spend.
+    pub(crate) total_drop_threshold: f64,
     /// Units in the local shares of all gatekeepers, assuming that each holds as much as this one.
     pub(crate) local_shares: f64,
 }
@@ -274,7 +274,7 @@
     /// that all added the same overflow subtract it again, but then it shows a full bucket at most.
     fn has_lost_spend(&self, plan: &Plan, answer: CounterAnswer, others_change: f64) -> bool {
         let CounterAnswer { total: CountTotal { total, .. }, refilled, .. } = answer;
-        let has_total_dropped = others_change < answer.loss_threshold
+        let has_total_dropped = others_change < answer.total_drop_threshold
             && total < -others_change
             && refilled - total > DUE_WRITE_OFF_FRACTION * plan.burst;
         answer.after_silence || has_total_dropped
--- a/crates/policy/src/shared_bucket/tests.rs
+++ b/crates/policy/src/shared_bucket/tests.rs
@@ -25,7 +25,7 @@
         added,
         refilled,
         after_silence: false,
-        loss_threshold: -BURST - 8.0,
+        total_drop_threshold: -BURST - 8.0,
         local_shares: BURST,
     };
     bucket.apply_total(&plan(), answer, now);
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -4,7 +4,7 @@
 use crate::action::Action;
 use crate::counter_health::Urgency;
 use crate::ids::TenantId;
-use crate::outlier_detection::{ejection_time, silence_timeout};
+use crate::outlier_detection::{silence_timeout, trial_interval};
 use crate::shared_bucket::EPOCH;
 use crate::state_machine::{Actions, Policy};
 use crate::tenant_quota::TenantQuota;
@@ -75,7 +75,7 @@
     /// Ejects backends that have attempts in flight for longer than the silence timeout and have sent no
     /// answer since these attempts were sent.
     fn eject_silent_backends(&mut self) {
-        let (now, next_trial) = (self.now, self.now + ejection_time(&self.settings));
+        let (now, next_trial) = (self.now, self.now + trial_interval(&self.settings));
         let mut was_ejected = false;
         for request in self.requests.values() {
             let timeout = silence_timeout(self.settings.classes[request.class].latency_objective);
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -221,14 +221,15 @@
             .collect()
     }
 
-    /// The largest number of attempts that a backend was sent in any window, relative to the window's budget.
-    pub fn slow_start_budget_used(&self, id: u32) -> f64 {
+    /// The largest number of attempts that the backend `id` was sent in any of its slow-start windows, as a
+    /// fraction of the window's budget.
+    pub fn max_slow_start_budget_fraction(&self, id: u32) -> f64 {
         self.slow_start_windows(id).into_iter().map(|window| window.sent / window.budget).fold(0.0, f64::max)
     }
 
-    /// The largest number of attempts beyond the budget N that a backend was sent in any window, as a
-    /// multiple of the tolerance for random variation, 2 x sqrt(N) + 2.
-    pub fn slow_start_excess(&self, id: u32) -> f64 {
+    /// The largest number of attempts by which the backend `id` exceeded the budget N of any of its
+    /// slow-start windows, as a multiple of the tolerance for random variation, 2 x sqrt(N) + 2.
+    pub fn max_slow_start_budget_excess(&self, id: u32) -> f64 {
         let excess =
             |window: SlowStartWindow| (window.sent - window.budget) / (2.0 * window.budget.sqrt() + 2.0);
         self.slow_start_windows(id).into_iter().map(excess).fold(0.0, f64::max)
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -83,7 +83,7 @@
         let restarted = fleet.replace_backends(&(1..=36).collect::<Vec<_>>());
         fleet.run_until(start + 20 * SECOND);
 
-        let worst = restarted.iter().map(|&id| fleet.slow_start_budget_used(id)).fold(0.0, f64::max);
+        let worst = restarted.iter().map(|&id| fleet.max_slow_start_budget_fraction(id)).fold(0.0, f64::max);
         assert!(worst < 1.0, "seed {seed}: a backend was sent {worst} of its budget in a window");
         let sent = fleet.attempts_sent_to(&restarted);
         assert!(sent > 1_000, "seed {seed}: {sent} attempts sent to backends in slow start in 12 s");
@@ -112,7 +112,8 @@
             let restarted = fleet.replace_backends(&(1..=backends / 2).collect::<Vec<_>>());
             fleet.run_until(start + 13 * SECOND);
 
-            let worst = restarted.iter().map(|&id| fleet.slow_start_excess(id)).fold(0.0, f64::max);
+            let worst =
+                restarted.iter().map(|&id| fleet.max_slow_start_budget_excess(id)).fold(0.0, f64::max);
             // The bound is a quarter of the tolerance for random variation, because over days, with many more
             // windows, the largest excess is larger.
             assert!(
