--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -72,8 +72,8 @@
 /// One output of the state machine. The driver carries out actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Forward a request to a backend as a new attempt. Attempts of a request are numbered from 0 in this
-    /// order.
+    /// Forward a request to a backend as a new attempt. The attempts of a request are numbered from 0 in the
+    /// order in which they are sent.
     Send {
         /// The request to forward.
         id: RequestId,
@@ -114,7 +114,8 @@
         /// Value to return with the event, which tells the state machine what the timer is for.
         token: u64,
     },
-    /// Check the health of a backend.
+    /// Send a health check to a backend, and deliver its result as
+    /// [`Event::HealthCheckEnded`](crate::Event::HealthCheckEnded).
     HealthCheck {
         /// The backend to check.
         backend: BackendId,
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -27,9 +27,9 @@
 }
 
 impl Policy {
-    /// Decides at once if the level of the tenant's bucket is certain. If a current total could change the
-    /// decision, which is common with many gatekeepers, the request waits for the answer to the tenant's
-    /// counter call; a tenant has at most one call in flight.
+    /// Decides on a new request at once if the level of the tenant's bucket is certain. If a current total
+    /// could change the decision, which is common with many gatekeepers, the request waits for the answer to
+    /// the tenant's counter call; a tenant has at most one call in flight.
     pub(crate) fn on_request(
         &mut self,
         id: RequestId,
@@ -55,7 +55,7 @@
         quota.shared.spend(request.provisional_spend);
         let time_left = (request.deadline - now).saturating_sub(2 * self.settings.tick);
         self.requests.insert(id, request);
-        let may_wait = has_capacity && headroom.may_change();
+        let may_wait = has_capacity && headroom.total_may_change_decision();
         if may_wait && self.call_counter(tenant, Urgency::Immediate, out) {
             self.tenants.entry(tenant).and_modify(|quota| quota.waiting.push(id));
         } else if self.decide_admission(id, out) == Decision::Rejected {
@@ -136,11 +136,11 @@
         let attempt_seconds = means.attempt_seconds();
         let in_flight = &quota.in_flight;
         if !quota.shared.is_synced() || self.counter.health.is_silent() {
-            let is_spaced =
-                in_flight.seconds_since_admission(self.now) >= attempt_seconds * quota.gatekeepers() / target;
+            let is_spaced = in_flight.seconds_since_admission(self.now)
+                >= attempt_seconds * quota.gatekeeper_count() / target;
             return in_flight.attempts() == 0 && is_spaced;
         }
-        let others = quota.shared.others_rate() * attempt_seconds / means.cost().max(1.0);
+        let others = quota.shared.others_spend_rate() * attempt_seconds / means.cost().max(1.0);
         f64::from(in_flight.attempts()) + others < target
     }
 
@@ -178,8 +178,8 @@
         let headroom = quota.headroom(request.price, self.counter_state(), &self.settings, self.now);
         let bucket = -headroom.units / plan.rate;
         let ceiling = quota.seconds_until_ceiling_covers(request.price.cost, plan);
-        // A retry may find capacity at any of the tenant's gatekeepers, so of this gatekeeper's capacity only
-        // the lateness of answers lengthens the time.
+        // Another of the tenant's gatekeepers may have capacity for the retry. A lack of capacity here
+        // lengthens the Retry-After only by the lateness of answers.
         let pool = self.pool_of(request.class);
         let answer_delay = pool.concurrency.lateness() * pool.means.latency() / SECOND;
         let capacity = if self.has_capacity(request) { 0.0 } else { answer_delay };
--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -10,7 +10,7 @@
 use crate::state_machine::Policy;
 use crate::time::Timestamp;
 
-/// Ratio of long-term to short-term latency below which samples are kept out of the long-term estimates.
+/// Ratio of long-term to short-term p95 latency below which new samples do not enter the long-term estimates.
 const SLOWDOWN_RATIO: f64 = 2.0 * OVERLOAD_LATENCY_RATIO;
 
 impl Policy {
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -61,8 +61,8 @@
         stored
     }
 
-    /// Restores the estimates from a snapshot. The entry, the notified start and the attempts in flight
-    /// remain those of this gatekeeper.
+    /// Restores the estimates from a snapshot. The entry in the endpoint list, the start time from its
+    /// notification and the attempts in flight remain those of this gatekeeper.
     pub(crate) fn restore(&mut self, stored: StoredBackend, now: Timestamp) {
         self.load.restore(&stored);
         self.latency = BackendLatency::restore(&stored, now);
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -16,12 +16,12 @@
 pub(crate) const MAX_IN_FLIGHT_PER_BACKEND: f64 = 8.0;
 /// Attempts that all gatekeepers together may have in flight at a backend while answers are late. With fewer
 /// a backend is partly idle, so that lateness is due to the work itself and not to a queue.
-const MIN_PER_BACKEND: f64 = 3.0;
+const MIN_IN_FLIGHT_PER_BACKEND: f64 = 3.0;
 /// Share of the limit that requests of the lowest weight leave to requests of the highest weight when
 /// capacity runs short.
 const RESERVED_SHARE: f64 = 0.5;
 /// Averaging time in seconds of the mean latency over all backends.
-const AVERAGING_SECONDS: f64 = 1.0;
+const LATENCY_AVERAGING_SECONDS: f64 = 1.0;
 /// Lower and upper bound of the weight of one sample in the mean latency over all backends.
 const SAMPLE_WEIGHT_BOUNDS: (f64, f64) = (0.01, 0.3);
 
@@ -114,13 +114,13 @@
         capacity: Capacity,
         now: Timestamp,
     ) {
-        let since = now.seconds_since(self.updated_at) / AVERAGING_SECONDS;
+        let since = now.seconds_since(self.updated_at) / LATENCY_AVERAGING_SECONDS;
         let weight = since.clamp(SAMPLE_WEIGHT_BOUNDS.0, SAMPLE_WEIGHT_BOUNDS.1);
         self.objective_fraction += weight * (objective_fraction.min(1.0) - self.objective_fraction);
         self.updated_at = now;
         let limit = self.limit;
         if self.objective_fraction > LATE_OBJECTIVE_FRACTION && sent_at >= self.reduced_at {
-            let lower_bound = MIN_PER_BACKEND / MAX_IN_FLIGHT_PER_BACKEND * capacity.even_share;
+            let lower_bound = MIN_IN_FLIGHT_PER_BACKEND / MAX_IN_FLIGHT_PER_BACKEND * capacity.even_share;
             self.limit = (limit * DECREASE_FACTOR).max(lower_bound);
             self.reduced_at = now;
         } else if self.is_early() {
@@ -143,8 +143,8 @@
         stored.concurrency_limit = self.limit;
         stored.limit_reduced_at = self.reduced_at;
         stored.last_send = self.last_send;
-        stored.objective_part = self.objective_fraction;
-        stored.objective_part_updated_at = self.updated_at;
+        stored.objective_fraction = self.objective_fraction;
+        stored.objective_fraction_updated_at = self.updated_at;
     }
 
     pub(crate) fn restore(stored: &StoredPool, now: Timestamp) -> Self {
@@ -152,8 +152,8 @@
             limit: stored.concurrency_limit,
             reduced_at: stored.limit_reduced_at,
             last_send: stored.last_send.min(now),
-            objective_fraction: stored.objective_part,
-            updated_at: stored.objective_part_updated_at.min(now),
+            objective_fraction: stored.objective_fraction,
+            updated_at: stored.objective_fraction_updated_at.min(now),
         }
     }
 }
--- a/crates/policy/src/count_total.rs
+++ b/crates/policy/src/count_total.rs
@@ -5,14 +5,15 @@
 
 /// How the level of a tenant's bucket can be derived from the total of its count.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub(crate) enum BucketView {
-    /// The total is the first one read under its name: spend may have been reported under the name before.
+pub(crate) enum LevelAccuracy {
+    /// The total is the first one that this gatekeeper has read from this count, so it may contain spend that
+    /// other gatekeepers reported earlier.
     #[default]
     Fresh,
     /// The level follows exactly from the total.
     Exact,
-    /// The total lacks some spend, because the counter was silent or lost totals. Only changes of the total
-    /// are used until the next epoch begins a count under a new name.
+    /// The total lacks some spend, because the counter was silent or lost totals. The level follows the
+    /// changes of the total only, until the next epoch begins with a new count.
     Diverged,
 }
 
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -6,7 +6,7 @@
 use crate::counter_sync::NEGLIGIBLE_UNITS;
 use crate::event::Outcome;
 use crate::ids::TenantId;
-use crate::shared_bucket::{CountName, CounterAnswer, CounterCall, EPOCH, FailedCall, refilled};
+use crate::shared_bucket::{CountName, CounterAnswer, CounterCall, EPOCH_DURATION, FailedCall, refilled};
 use crate::state_machine::{Actions, Policy};
 
 impl Policy {
@@ -20,7 +20,7 @@
             return true;
         }
         let plan = &self.settings.plans[quota.plan];
-        let is_shared = self.settings.shared_counter && plan.rate > 0.0 && quota.gatekeepers() > 1.0;
+        let is_shared = self.settings.shared_counter && plan.rate > 0.0 && quota.gatekeeper_count() > 1.0;
         let is_call_needed =
             urgency == Urgency::Immediate || quota.shared.units_to_report(plan) >= NEGLIGIBLE_UNITS;
         if !is_shared || !is_call_needed {
@@ -37,14 +37,14 @@
         };
         let units = quota.shared.start_call(plan, call, now);
         self.counter.call_started(tenant, count.name);
-        out.push(Action::CounterAdd { name: count.name, units, ttl: 2 * EPOCH });
+        out.push(Action::CounterAdd { name: count.name, units, ttl: 2 * EPOCH_DURATION });
         true
     }
 
     pub(crate) fn on_counter_reply(&mut self, name: u64, total: f64, outcome: Outcome, out: &mut Actions) {
         let Some(tenant) = self.counter.call_ended(name) else { return };
         let Some(quota) = self.tenants.get_mut(&tenant) else { return };
-        quota.refill(&self.settings, quota.gatekeepers(), self.now);
+        quota.refill(&self.settings, quota.gatekeeper_count(), self.now);
         let Some(added) = quota.shared.take_call() else { return };
         match outcome {
             Outcome::Ok if total.is_finite() => self.apply_total(tenant, CountTotal { name, total }, added),
@@ -78,12 +78,13 @@
         let Some(quota) = self.tenants.get_mut(&tenant) else { return };
         let plan = &self.settings.plans[quota.plan];
         let current = CountName::of(tenant, plan.rate, fleet_time);
-        let previous = CountName::of(tenant, plan.rate, fleet_time.saturating_sub(EPOCH));
-        // A new epoch, and with it a new name, may have begun while the call was in flight.
+        let previous = CountName::of(tenant, plan.rate, fleet_time.saturating_sub(EPOCH_DURATION));
+        // A new epoch may have begun while the call was in flight; the tenant's count then has a new name.
         let age = match total.name {
             name if name == current.name => current.age,
-            name if name == previous.name => current.age + EPOCH,
-            // The rate or the clock has changed, so no gatekeeper reads the count of this name any more.
+            name if name == previous.name => current.age + EPOCH_DURATION,
+            // The rate or the clock has changed, so no gatekeeper reads the count with the name of this call
+            // any more.
             _ => return quota.shared.call_misdirected(added),
         };
         let answer = CounterAnswer {
--- a/crates/policy/src/counter_health.rs
+++ b/crates/policy/src/counter_health.rs
@@ -10,9 +10,9 @@
 /// the initial interval between the calls of all gatekeepers together, until the counter's latency shows what
 /// load the counter can take.
 const MIN_CALL_INTERVAL: f64 = 1_000.0;
-/// Longest interval between two calls of one gatekeeper, and shortest pause between trial calls to a silent
-/// counter, as a multiple of [`MIN_CALL_INTERVAL`] times the number of gatekeepers.
-const MAX_INTERVAL_FACTOR: f64 = 10.0;
+/// This factor times [`MIN_CALL_INTERVAL`] times the number of gatekeepers is the longest interval between
+/// two calls of one gatekeeper. It is also the shortest pause between trial calls to a silent counter.
+const MAX_CALL_INTERVAL_FACTOR: f64 = 10.0;
 /// Lower and upper bound of the call tokens that a gatekeeper may accumulate: enough for the calls of one
 /// timeout, but too few to flood the counter.
 const CALL_TOKEN_BOUNDS: (f64, f64) = (3.0, 8.0);
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct CounterHealth {
     /// Consecutive failed calls.
-    failures: u32,
+    consecutive_failures: u32,
     last_answer: Timestamp,
     /// Time at which the counter became silent; `None` while the counter counts as available.
     silent_since: Option<Timestamp>,
@@ -80,7 +80,7 @@
     }
 
     pub(crate) fn last_call_answered(&self) -> bool {
-        self.failures == 0
+        self.consecutive_failures == 0
     }
 
     /// Whether the counter is silent and a trial call is due.
@@ -130,7 +130,7 @@
             Outcome::Ok => self.record_answer(settings, elapsed, now),
             // The counter answered, though unreadably, so it counts as neither slow nor silent.
             Outcome::Error => {
-                (self.failures, self.last_answer) = (0, now);
+                (self.consecutive_failures, self.last_answer) = (0, now);
                 None
             }
             _ => self.record_failure(settings, now),
@@ -138,7 +138,7 @@
     }
 
     fn record_answer(&mut self, settings: &Settings, elapsed: Micros, now: Timestamp) -> Option<Notice> {
-        (self.failures, self.last_answer) = (0, now);
+        (self.consecutive_failures, self.last_answer) = (0, now);
         let has_recovered = self.silent_since.take().is_some();
         if has_recovered {
             self.recovered_at = now;
@@ -152,14 +152,14 @@
     }
 
     fn record_failure(&mut self, settings: &Settings, now: Timestamp) -> Option<Notice> {
-        self.failures += 1;
+        self.consecutive_failures += 1;
         if now >= self.interval_changed_at + settings.counter_timeout {
             self.call_interval = (self.call_interval * BACKOFF_FACTOR).min(max_interval(settings));
             self.interval_changed_at = now;
         }
         let unanswered_for = now.saturating_since(self.last_answer);
         let is_unanswered = unanswered_for > SILENT_AFTER_TIMEOUTS * settings.counter_timeout;
-        if self.failures < SILENT_AFTER_FAILURES || !is_unanswered || self.is_silent() {
+        if self.consecutive_failures < SILENT_AFTER_FAILURES || !is_unanswered || self.is_silent() {
             return None;
         }
         self.silent_since = Some(now);
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Applies `change` to every stored time.
+    /// Applies `change` to the times of the last answer, of silence and recovery, of the next trial call, and
+    /// of the last updates of the call interval and the call tokens.
     pub(crate) fn change_times(&mut self, change: impl Fn(&mut Timestamp)) {
         change(&mut self.last_answer);
         change(&mut self.recovered_at);
@@ -191,12 +192,12 @@
 /// Shortest pause between two trial calls to a silent counter, in microseconds. The caller adds a random
 /// pause of at most the same length.
 fn trial_pause(settings: &Settings) -> Micros {
-    let shared = (MIN_CALL_INTERVAL * MAX_INTERVAL_FACTOR) as Micros * u64::from(settings.gatekeepers);
+    let shared = (MIN_CALL_INTERVAL * MAX_CALL_INTERVAL_FACTOR) as Micros * u64::from(settings.gatekeepers);
     MIN_TRIAL_PAUSE.max(shared)
 }
 
 fn max_interval(settings: &Settings) -> f64 {
-    MIN_CALL_INTERVAL * MAX_INTERVAL_FACTOR * f64::from(settings.gatekeepers)
+    MIN_CALL_INTERVAL * MAX_CALL_INTERVAL_FACTOR * f64::from(settings.gatekeepers)
 }
 
 /// Most call tokens that one gatekeeper may accumulate: its share of the calls that fit into one timeout.
--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -20,7 +20,7 @@
     pub(crate) health: CounterHealth,
     /// Tenants with spend that is not reported to the counter yet.
     unreported: BTreeSet<TenantId>,
-    /// Calls in flight, by the name of the count.
+    /// Tenants that have a call in flight, by the name of the count that the call adds to.
     calls: BTreeMap<u64, TenantId>,
 }
 
@@ -67,7 +67,8 @@
         self.calls.insert(name, tenant);
     }
 
-    /// Ends the call for a count's name and returns its tenant; `None` if no call for the name is in flight.
+    /// Removes the call in flight to the count with this name, and returns its tenant; `None` if there is no
+    /// such call.
     pub(crate) fn call_ended(&mut self, name: u64) -> Option<TenantId> {
         self.calls.remove(&name)
     }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -13,13 +13,13 @@
 /// All backends on the endpoint list, and those that left it with attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Backends {
-    known: BTreeMap<BackendId, Backend>,
+    known_backends: BTreeMap<BackendId, Backend>,
     /// Backends that operators have ejected, also those that are not on the endpoint list.
     operator_ejections: BTreeSet<BackendId>,
     start_times: StartTimes,
 }
 
-/// Values that an update of the known backends depends on, besides the update itself.
+/// Inputs that an update of the endpoint list needs besides its entries.
 #[derive(Debug)]
 pub(crate) struct ListContext<'a> {
     pub(crate) now: Timestamp,
@@ -30,19 +30,19 @@
 
 impl Backends {
     pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
-        self.known.get(&id)
+        self.known_backends.get(&id)
     }
 
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
-        self.known.get_mut(&id)
+        self.known_backends.get_mut(&id)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Backend> {
-        self.known.values()
+        self.known_backends.values()
     }
 
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
-        self.known.values_mut()
+        self.known_backends.values_mut()
     }
 
     /// The backends of a service that are ready and not ejected by an operator.
@@ -53,7 +53,7 @@
                 && entry.service == service
                 && !self.is_ejected_by_operator(entry.id)
         };
-        self.known.values().filter(is_ready)
+        self.known_backends.values().filter(is_ready)
     }
 
     pub(crate) fn is_ejected_by_operator(&self, id: BackendId) -> bool {
@@ -70,7 +70,7 @@
     ) {
         if kind != ListKind::Delta {
             // Backends that are missing in a complete list count as gone.
-            self.known.values_mut().for_each(|backend| backend.entry.state = BackendState::Gone);
+            self.known_backends.values_mut().for_each(|backend| backend.entry.state = BackendState::Gone);
         }
         for entry in entries {
             self.apply_entry(entry, context);
@@ -78,7 +78,7 @@
         if kind != ListKind::Cached {
             self.start_times.record_discovery_list();
         }
-        self.known
+        self.known_backends
             .retain(|_, backend| backend.entry.state != BackendState::Gone || backend.load.in_flight() > 0);
     }
 
@@ -86,7 +86,7 @@
         let now = context.now;
         let fraction = context.rng.f64();
         let slow_start = SlowStart::new(fraction, self.start_times.observe(&entry, now));
-        match self.known.get_mut(&entry.id) {
+        match self.known_backends.get_mut(&entry.id) {
             Some(known) if known.entry.started == entry.started => known.entry = entry,
             Some(known) => {
                 let slow_start = known.slow_start.restarted(slow_start);
@@ -94,7 +94,8 @@
             }
             None if entry.state == BackendState::Gone => {}
             None => {
-                self.known.insert(entry.id, Backend::new(entry, slow_start, now, context.class_count));
+                self.known_backends
+                    .insert(entry.id, Backend::new(entry, slow_start, now, context.class_count));
             }
         }
     }
@@ -109,7 +110,7 @@
     ) {
         let ejections = &mut self.operator_ejections;
         let has_changed = if ejected { ejections.insert(id) } else { ejections.remove(&id) };
-        if let Some(backend) = self.known.get_mut(&id).filter(|_| has_changed && !ejected) {
+        if let Some(backend) = self.known_backends.get_mut(&id).filter(|_| has_changed && !ejected) {
             let slow_start = backend.slow_start.readmitted(context.rng.f64(), context.now);
             *backend = backend.restarted(backend.entry.clone(), slow_start, context.now);
         }
@@ -127,13 +128,13 @@
         self.start_times.set_clock_offset(offset);
     }
 
-    /// The reading of the fleet's clock at the time `now` of this gatekeeper's clock.
+    /// Converts `now`, a reading of this gatekeeper's clock, to the fleet's clock.
     pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
         self.start_times.fleet_time(now)
     }
 
     pub(crate) fn store(&self) -> Vec<BackendSnapshot> {
-        let stored = self.known.iter().map(|(&id, backend)| BackendSnapshot {
+        let stored = self.known_backends.iter().map(|(&id, backend)| BackendSnapshot {
             id,
             started: backend.entry.started,
             state: backend.store(),
@@ -145,7 +146,7 @@
     /// is the same.
     pub(crate) fn restore(&mut self, snapshot: BackendSnapshot, now: Timestamp) {
         let BackendSnapshot { id, started, state } = snapshot;
-        let Some(backend) = self.known.get_mut(&id) else { return };
+        let Some(backend) = self.known_backends.get_mut(&id) else { return };
         if backend.entry.started == started && state.classes.len() == backend.health.class_count() {
             backend.restore(state, now);
         }
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether a current total from the counter could change the admission decision.
-    pub(crate) fn may_change(self) -> bool {
+    pub(crate) fn total_may_change_decision(self) -> bool {
         self.uncertainty >= self.units.abs()
     }
 
--- a/crates/policy/src/latency_trend.rs
+++ b/crates/policy/src/latency_trend.rs
@@ -8,7 +8,7 @@
 /// Ratio of long-term to short-term p95 latency below which the backends count as overloaded.
 pub(crate) const OVERLOAD_LATENCY_RATIO: f64 = 0.3;
 /// The quantile of both latency estimates.
-const QUANTILE: f64 = 0.95;
+const LATENCY_QUANTILE: f64 = 0.95;
 /// Minimum number of samples, and minimum microseconds, for one short-term estimate.
 const SHORT_TERM_SAMPLES: u64 = 20;
 const SHORT_TERM_DURATION: Micros = 1_000_000;
@@ -30,10 +30,10 @@
 impl LatencyTrend {
     pub(crate) fn new(now: Timestamp) -> Self {
         Self {
-            short_term: P2Quantile::new(QUANTILE),
+            short_term: P2Quantile::new(LATENCY_QUANTILE),
             short_term_since: now,
             estimate: None,
-            long_term: P2Quantile::new(QUANTILE),
+            long_term: P2Quantile::new(LATENCY_QUANTILE),
         }
     }
 
@@ -53,7 +53,7 @@
         if self.short_term.count() >= SHORT_TERM_SAMPLES && now >= self.short_term_since + SHORT_TERM_DURATION
         {
             self.estimate = self.short_term.value().map(|value| (value, now));
-            self.short_term = P2Quantile::new(QUANTILE);
+            self.short_term = P2Quantile::new(LATENCY_QUANTILE);
             self.short_term_since = now;
         }
         if !on_time && self.ratio(now).is_some_and(|ratio| ratio < slow_ratio) {
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -61,8 +61,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ConnectBackoff {
     until: Timestamp,
-    /// Duration of the last backoff in microseconds; 0 after an answer.
-    last: Micros,
+    /// Duration of the last backoff in microseconds; 0 once the backend has answered since.
+    last_duration: Micros,
 }
 
 /// Health of one backend.
@@ -90,7 +90,7 @@
         self.classes.len()
     }
 
-    /// Resizes the state to this number of classes. New classes start as healthy.
+    /// Changes the number of classes. The backend counts as healthy for each added class.
     pub(crate) fn resize_classes(&mut self, class_count: usize, now: Timestamp) {
         self.classes.resize(class_count, ClassHealth::new(now));
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Whether the backend has answered an attempt of any class since this time.
+    /// Whether the backend has answered an attempt of any class after `time`.
     pub(crate) fn has_answered_since(&self, time: Timestamp) -> bool {
         self.last_answer > time
     }
@@ -139,7 +139,7 @@
     }
 
     pub(crate) fn record_success(&mut self, class: usize, now: Timestamp) {
-        self.connect_backoff.last = 0;
+        self.connect_backoff.last_duration = 0;
         self.last_answer = now;
         self.classes[class] = ClassHealth::new(now);
     }
@@ -159,8 +159,8 @@
     /// down or accepts no more connections. Gatekeepers with an established connection see no connect
     /// failure, so a backend at its connection limit is avoided only by gatekeepers that cannot use it.
     pub(crate) fn record_connect_failure(&mut self, first_backoff: Micros, now: Timestamp) {
-        let backoff = (2 * self.connect_backoff.last).clamp(first_backoff, MAX_TRIAL_INTERVAL);
-        self.connect_backoff = ConnectBackoff { until: now + backoff, last: backoff };
+        let backoff = (2 * self.connect_backoff.last_duration).clamp(first_backoff, MAX_TRIAL_INTERVAL);
+        self.connect_backoff = ConnectBackoff { until: now + backoff, last_duration: backoff };
     }
 
     /// Ejects the backend because of an attempt that is unanswered for too long. It is ejected for the class
@@ -189,12 +189,12 @@
         stored.classes = self.classes.iter().map(|class| class.store()).collect();
         stored.rejects_until.clone_from(&self.rejects_until);
         stored.connect_backoff_until = self.connect_backoff.until;
-        stored.connect_backoff = self.connect_backoff.last;
+        stored.connect_backoff = self.connect_backoff.last_duration;
     }
 
     pub(crate) fn restore(stored: StoredBackend) -> Self {
         let connect_backoff =
-            ConnectBackoff { until: stored.connect_backoff_until, last: stored.connect_backoff };
+            ConnectBackoff { until: stored.connect_backoff_until, last_duration: stored.connect_backoff };
         Self {
             last_answer: stored.last_answer,
             classes: stored.classes.into_iter().map(ClassHealth::restore).collect(),
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -9,7 +9,7 @@
 //! shows the level just before the call. If a write-off was too large, because another gatekeeper had already
 //! made it, the answer to the call shows the excess, and the next call subtracts the excess from the count.
 
-use crate::count_total::{BucketView, CountTotal};
+use crate::count_total::{CountTotal, LevelAccuracy};
 use crate::hash::mix;
 use crate::ids::TenantId;
 use crate::settings::Plan;
@@ -19,7 +19,7 @@
 /// Microseconds for which one name of a count is used. Totals are read as differences and buckets refill
 /// continuously, so a longer epoch only means fewer changes of name. The counter keeps a name for two epochs,
 /// 60 s at most.
-pub(crate) const EPOCH: Micros = 30_000_000;
+pub(crate) const EPOCH_DURATION: Micros = 30_000_000;
 /// Time constant of the estimated spend rates, in seconds. Traffic spikes last seconds, so the estimated
 /// division of the refill between this gatekeeper and the others has to follow within about one second.
 const SPEND_RATE_TIME_CONSTANT: f64 = 1.5;
@@ -85,11 +85,11 @@
     /// negative if an earlier call added too many of them.
     written_off: f64,
     /// Whether the level can be computed exactly from the last total.
-    view: BucketView,
+    level_accuracy: LevelAccuracy,
     /// Units a second that other gatekeepers spend.
-    others_rate: f64,
+    others_spend_rate: f64,
     /// Units a second by which other gatekeepers raise the total: their spend, and the overflow they add.
-    others_growth: f64,
+    others_total_growth_rate: f64,
     /// The total in the latest answer of the counter; `None` before the first answer.
     last_total: Option<CountTotal>,
     /// Units that the call in flight adds to the count.
@@ -116,8 +116,8 @@
     }
 
     /// Units a second that other gatekeepers spend.
-    pub(crate) fn others_rate(&self) -> f64 {
-        self.others_rate
+    pub(crate) fn others_spend_rate(&self) -> f64 {
+        self.others_spend_rate
     }
 
     /// Whether the counter has answered a call for this bucket with its total.
@@ -145,8 +145,8 @@
     /// Adds the refill of this many seconds, minus the estimated spend of other gatekeepers, which in the
     /// long run cannot exceed the refill.
     pub(crate) fn refill(&mut self, plan: &Plan, seconds: f64) {
-        let others_rate = self.others_rate.min(plan.rate);
-        self.level = (self.level + (plan.rate - others_rate) * seconds).min(plan.burst);
+        let others_spend_rate = self.others_spend_rate.min(plan.rate);
+        self.level = (self.level + (plan.rate - others_spend_rate) * seconds).min(plan.burst);
     }
 
     /// The highest level that a current total could show: the level if no other gatekeeper has spent
@@ -168,8 +168,8 @@
         self.unreported -= units;
     }
 
-    /// Number of units that a report to the counter is worth: the largest of the unreported spend, the
-    /// overflow that earlier calls added in excess, and the part of the overflow not yet added that exceeds
+    /// Number of units that justify a call to the counter. It is the largest of three amounts: the unreported
+    /// spend; the overflow that earlier calls added in excess; and the overflow that is not yet added, less
     /// [`DUE_WRITE_OFF_FRACTION`] of the burst.
     pub(crate) fn units_to_report(&self, plan: &Plan) -> f64 {
         let due = self.written_off - DUE_WRITE_OFF_FRACTION * plan.burst;
@@ -185,7 +185,7 @@
             // calls are answered. Units added in excess to the count of this name are still subtracted.
             self.written_off = self.written_off.min(0.0) * f64::from(known.is_some());
         } else if self.written_off >= 0.0 {
-            let growth = self.others_growth * (now - self.synced_at) as f64 / SECOND;
+            let growth = self.others_total_growth_rate * (now - self.synced_at) as f64 / SECOND;
             let expected = known.map_or(call.refilled, |known| known.total + (self.written_off + growth));
             self.written_off +=
                 (call.refilled - expected).clamp(0.0, MAX_ESTIMATED_WRITE_OFF_FRACTION * plan.burst);
@@ -230,7 +230,7 @@
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
         // Just before the call the bucket held at most a burst. While the name is new, the bucket held at
         // most the highest level that is possible by what this gatekeeper knows.
-        let is_exact = previous_total.is_some() && self.view != BucketView::Fresh;
+        let is_exact = previous_total.is_some() && self.level_accuracy != LevelAccuracy::Fresh;
         let max_level = if is_exact {
             plan.burst
         } else {
@@ -242,8 +242,8 @@
         let min_level = -MAX_DEBT_FRACTION * plan.burst;
         let shown_level = plan.burst + refilled - total - self.written_off;
         let available = shown_level.max(min_level) - self.unreported;
-        // A deeper debt consists of overflowed units that several gatekeepers have added to the count and not
-        // yet subtracted again. Such a debt shows nothing of their spend.
+        // A level below `min_level` is due to overflowed units that several gatekeepers have added to the
+        // count and not yet subtracted again. Such a level does not show what these gatekeepers spent.
         if previous_total.is_some() && shown_level >= min_level {
             self.update_spend_rates(
                 (known_max.min(plan.burst) - available).max(0.0),
@@ -252,11 +252,11 @@
             );
         }
         let has_lost_spend = self.is_synced() && self.has_lost_spend(plan, answer, others_change);
-        self.view = self.next_view(has_lost_spend, previous_total.is_some());
+        self.level_accuracy = self.next_level_accuracy(has_lost_spend, previous_total.is_some());
         self.level = if has_lost_spend {
             // All local shares are assumed to hold as much as this one, up to the highest possible level.
             answer.local_shares.min(known_max).min(plan.burst) - self.unreported
-        } else if self.view == BucketView::Diverged {
+        } else if self.level_accuracy == LevelAccuracy::Diverged {
             // After the counter has lost units, other gatekeepers add overflow again that the count already
             // contained before. These units are neither spend nor a deeper debt.
             (known_max - others_change).max(min_level).min(available)
@@ -280,12 +280,12 @@
         answer.after_silence || has_total_dropped
     }
 
-    fn next_view(&self, has_lost_spend: bool, is_known_name: bool) -> BucketView {
-        match self.view {
-            _ if has_lost_spend => BucketView::Diverged,
-            _ if !is_known_name => BucketView::Fresh,
-            BucketView::Diverged => BucketView::Diverged,
-            BucketView::Fresh | BucketView::Exact => BucketView::Exact,
+    fn next_level_accuracy(&self, has_lost_spend: bool, is_known_name: bool) -> LevelAccuracy {
+        match self.level_accuracy {
+            _ if has_lost_spend => LevelAccuracy::Diverged,
+            _ if !is_known_name => LevelAccuracy::Fresh,
+            LevelAccuracy::Diverged => LevelAccuracy::Diverged,
+            LevelAccuracy::Fresh | LevelAccuracy::Exact => LevelAccuracy::Exact,
         }
     }
 
@@ -293,8 +293,8 @@
     fn update_spend_rates(&mut self, spent: f64, total_growth: f64, seconds: f64) {
         let seconds = seconds.max(MIN_RATE_SECONDS);
         let weight = 1.0 - (-seconds / SPEND_RATE_TIME_CONSTANT).exp();
-        self.others_rate += weight * (spent / seconds - self.others_rate);
-        self.others_growth += weight * (total_growth / seconds - self.others_growth);
+        self.others_spend_rate += weight * (spent / seconds - self.others_spend_rate);
+        self.others_total_growth_rate += weight * (total_growth / seconds - self.others_total_growth_rate);
     }
 
     /// Treats the bucket as empty until a total is read, because some spend is unknown.
@@ -314,9 +314,9 @@
         stored.spent_since_sync = self.spent_since_sync;
         stored.synced_at = self.synced_at;
         stored.unreported = self.unreported;
-        stored.view = self.view;
-        stored.others_rate = self.others_rate;
-        stored.others_growth = self.others_growth;
+        stored.level_accuracy = self.level_accuracy;
+        stored.others_spend_rate = self.others_spend_rate;
+        stored.others_total_growth_rate = self.others_total_growth_rate;
         // The call in flight adds to the last total, whichever process receives the answer.
         let added = self.call_in_flight.unwrap_or(0.0);
         stored.last_total = self.last_total.map(|known| CountTotal { total: known.total + added, ..known });
@@ -332,9 +332,9 @@
             synced_at: stored.synced_at,
             unreported: stored.unreported,
             written_off: stored.written_off,
-            view: stored.view,
-            others_rate: stored.others_rate,
-            others_growth: stored.others_growth,
+            level_accuracy: stored.level_accuracy,
+            others_spend_rate: stored.others_spend_rate,
+            others_total_growth_rate: stored.others_total_growth_rate,
             last_total: stored.last_total,
             call_in_flight: stored.call_in_flight,
         }
@@ -355,9 +355,9 @@
     /// the name because the refill is computed from it: with another rate, the total would show a wrong
     /// level.
     pub(crate) fn of(tenant: TenantId, rate: f64, fleet_time: Timestamp) -> Self {
-        let time = fleet_time.as_micros() + mix(tenant.0) % EPOCH;
-        let name = mix(mix(tenant.0) ^ mix(rate.to_bits()) ^ (time / EPOCH));
-        Self { name, age: time % EPOCH }
+        let time = fleet_time.as_micros() + mix(tenant.0) % EPOCH_DURATION;
+        let name = mix(mix(tenant.0) ^ mix(rate.to_bits()) ^ (time / EPOCH_DURATION));
+        Self { name, age: time % EPOCH_DURATION }
     }
 
     /// Units that refilled since the epoch of the name began.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -5,13 +5,14 @@
 use crate::time::{SECOND, Timestamp};
 
 /// Safety margin below the attempts that overload a backend in slow start, in standard deviations.
-const RESERVED_DEVIATIONS: f64 = 2.0;
+const SAFETY_MARGIN_DEVIATIONS: f64 = 2.0;
 /// Minimum rate after subtracting the safety margin, as a fraction of the rate without it.
-const MIN_BUDGET_FRACTION: f64 = 0.25;
+const MIN_TOKEN_RATE_FRACTION: f64 = 0.25;
 /// Maximum tokens that one gatekeeper may accumulate for a backend in slow start.
 const MAX_TOKENS: f64 = 2.0;
 
-/// Token bucket of one backend, which limits attempts while the backend is warming up: each needs a token.
+/// Token bucket of one backend, which limits attempts while the backend is warming up. Each attempt takes a
+/// token.
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStart {
     tokens: f64,
@@ -84,7 +85,8 @@
     (share + (1.0 - share) * age).min(1.0)
 }
 
-/// Fraction of backends that each gatekeeper prefers, and rate at which a warm backend answers one of them.
+/// Fraction of backends that each gatekeeper prefers, and rate at which a warm backend answers one
+/// gatekeeper.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SenderShare {
     /// Fraction of the ready backends that each gatekeeper prefers; it may exceed 1.
@@ -102,8 +104,8 @@
     let factor = settings.overload_factor * warm_fraction;
     let budget = factor * share.warm_rate * gatekeepers * seconds;
     let senders = gatekeepers * share.subset_fraction.min(1.0);
-    let margin = RESERVED_DEVIATIONS * budget.min(senders).sqrt();
-    (budget - margin).max(budget * MIN_BUDGET_FRACTION) / senders / seconds
+    let margin = SAFETY_MARGIN_DEVIATIONS * budget.min(senders).sqrt();
+    (budget - margin).max(budget * MIN_TOKEN_RATE_FRACTION) / senders / seconds
 }
 
 #[cfg(test)]
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -122,8 +122,8 @@
     /// Restores the quota of a tenant. A quota of an unknown plan or with an invalid number of gatekeepers is
     /// dropped.
     fn take_over_quota(&mut self, tenant: TenantId, mut quota: StoredQuota) {
-        let has_valid_gatekeepers = quota.gatekeepers.is_finite() && quota.gatekeepers >= 1.0;
-        if quota.plan >= self.settings.plans.len() || !has_valid_gatekeepers {
+        let has_valid_gatekeeper_count = quota.gatekeeper_count.is_finite() && quota.gatekeeper_count >= 1.0;
+        if quota.plan >= self.settings.plans.len() || !has_valid_gatekeeper_count {
             return;
         }
         quota.sanitize(self.now);
@@ -133,8 +133,9 @@
         self.tenants.insert(tenant, TenantQuota::restore(quota));
     }
 
-    /// Charges a request that the successor admitted to the quotas here, so that they are right if the
-    /// predecessor takes over again. The successor reports the spend to the counter.
+    /// Charges a request that the successor admitted to the quotas of this state machine, the predecessor, so
+    /// that the quotas are right if the predecessor has to resume. The successor reports the spend to the
+    /// counter.
     pub fn mirror_admission(
         &mut self,
         now: Timestamp,
--- a/crates/policy/src/snapshot/clock_change.rs
+++ b/crates/policy/src/snapshot/clock_change.rs
@@ -51,7 +51,7 @@
     fn convert_pool(self, pool: &mut StoredPool) {
         self.convert(&mut pool.limit_reduced_at);
         self.convert(&mut pool.last_send);
-        self.convert(&mut pool.objective_part_updated_at);
+        self.convert(&mut pool.objective_fraction_updated_at);
         self.convert(&mut pool.measured_at);
     }
 }
--- a/crates/policy/src/start_times.rs
+++ b/crates/policy/src/start_times.rs
@@ -33,10 +33,10 @@
     clock_offset: i64,
     /// Whether a list from discovery has been applied, so that this gatekeeper is notified of later starts.
     has_discovery_list: bool,
-    /// Minimum over all starts of the age at which a start was first listed, in microseconds on this
-    /// gatekeeper's clock; negative if a start was in the future.
-    min_age: Option<i64>,
-    known: BTreeMap<BackendId, KnownStart>,
+    /// Smallest age that any start had when it was first listed, in microseconds on this gatekeeper's clock;
+    /// negative if that start was in the future.
+    min_start_age: Option<i64>,
+    known_starts: BTreeMap<BackendId, KnownStart>,
 }
 
 /// The last known start of a backend.
@@ -54,7 +54,7 @@
         self.clock_offset = offset;
     }
 
-    /// The reading of the fleet's clock at the time `now` of this gatekeeper's clock.
+    /// Converts `now`, a reading of this gatekeeper's clock, to the fleet's clock.
     pub(crate) fn fleet_time(&self, now: Timestamp) -> Timestamp {
         now.saturating_add_signed(-self.clock_offset)
     }
@@ -71,12 +71,12 @@
         if stated == Timestamp::ZERO {
             return None;
         }
-        if let Some(known) = self.known.get(&entry.id).filter(|known| known.stated == stated) {
+        if let Some(known) = self.known_starts.get(&entry.id).filter(|known| known.stated == stated) {
             return known.notified;
         }
         let age = now.as_micros() as i64 - stated.as_micros() as i64;
         let notified = self.has_discovery_list.then(|| self.notified_start(age, now));
-        self.min_age = Some(self.min_age.map_or(age, |min| min.min(age)));
+        self.min_start_age = Some(self.min_start_age.map_or(age, |min| min.min(age)));
         self.store_start(entry.id, KnownStart { stated, notified });
         notified
     }
@@ -94,11 +94,11 @@
     }
 
     fn store_start(&mut self, backend: BackendId, start: KnownStart) {
-        if self.known.len() >= MAX_KNOWN_STARTS && !self.known.contains_key(&backend) {
+        if self.known_starts.len() >= MAX_KNOWN_STARTS && !self.known_starts.contains_key(&backend) {
             // Any entry may be removed: backends on the list are observed again with the next complete list.
-            self.known.pop_first();
+            self.known_starts.pop_first();
         }
-        self.known.insert(backend, start);
+        self.known_starts.insert(backend, start);
     }
 
     /// Start time of a backend on this gatekeeper's clock; [`Timestamp::ZERO`] if it started long ago.
@@ -121,12 +121,13 @@
 
     /// Microseconds by which this gatekeeper's clock is ahead of the clock of the stated starts.
     fn clock_error(&self) -> i64 {
-        let is_possible = |error: i64| self.min_age.is_none_or(|min| error <= min + FUTURE_START_TOLERANCE);
+        let is_possible =
+            |error: i64| self.min_start_age.is_none_or(|min| error <= min + FUTURE_START_TOLERANCE);
         let (ahead, behind) = (self.clock_offset.max(0), self.clock_offset.min(0));
         match (is_possible(ahead), is_possible(behind)) {
             (true, _) => ahead,
             (false, true) => behind,
-            (false, false) => self.min_age.unwrap_or(0),
+            (false, false) => self.min_start_age.unwrap_or(0),
         }
     }
 }
--- a/crates/policy/src/state_machine.rs
+++ b/crates/policy/src/state_machine.rs
@@ -14,7 +14,7 @@
 use crate::settings::{Plan, Settings, SettingsError};
 use crate::tenant_quota::{CounterState, TenantQuota};
 use crate::time::{Micros, SECOND, Timestamp};
-use crate::timer_token::{TICK, TOKEN_TICK};
+use crate::timer_token::{TICK_INTERVAL, TOKEN_TICK};
 use std::collections::BTreeMap;
 
 /// Actions, in the order in which the driver carries them out.
@@ -80,7 +80,7 @@
         self.now = self.now.max(now);
         if !self.tick_started {
             self.tick_started = true;
-            out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
+            out.push(Action::Timer { after: TICK_INTERVAL, token: TOKEN_TICK });
         }
         match event {
             Event::Endpoints { kind: ListKind::Failed, .. } => self.next_poll = self.now + SECOND as Micros,
--- a/crates/policy/src/stored.rs
+++ b/crates/policy/src/stored.rs
@@ -1,7 +1,7 @@
 //! Plain data forms of the state machine's parts, which processes exchange at a hot restart. Fields are
 //! serialized by position, so their order must not change.
 
-use crate::count_total::{BucketView, CountTotal};
+use crate::count_total::{CountTotal, LevelAccuracy};
 use crate::ids::{BackendId, RequestId};
 use crate::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct StoredQuota {
     pub(crate) plan: usize,
-    pub(crate) gatekeepers: f64,
+    pub(crate) gatekeeper_count: f64,
     pub(crate) level: f64,
     pub(crate) local_share: f64,
     pub(crate) synced_level: f64,
@@ -19,10 +19,10 @@
     pub(crate) refilled_at: Timestamp,
     pub(crate) unreported: f64,
     pub(crate) written_off: f64,
-    pub(crate) view: BucketView,
+    pub(crate) level_accuracy: LevelAccuracy,
     pub(crate) reserved: f64,
-    pub(crate) others_rate: f64,
-    pub(crate) others_growth: f64,
+    pub(crate) others_spend_rate: f64,
+    pub(crate) others_total_growth_rate: f64,
     pub(crate) last_total: Option<CountTotal>,
     pub(crate) synced_at: Timestamp,
     pub(crate) call_in_flight: Option<f64>,
@@ -76,12 +76,12 @@
     pub(crate) concurrency_limit: f64,
     pub(crate) limit_reduced_at: Timestamp,
     pub(crate) last_send: Timestamp,
-    pub(crate) objective_part: f64,
+    pub(crate) objective_fraction: f64,
     pub(crate) mean_latency: f64,
     pub(crate) mean_attempt_time: f64,
     pub(crate) mean_cost: f64,
     pub(crate) first_contact_latency: f64,
-    pub(crate) objective_part_updated_at: Timestamp,
+    pub(crate) objective_fraction_updated_at: Timestamp,
     pub(crate) measured_rate: f64,
     pub(crate) assumed_rate: f64,
     pub(crate) answers: u64,
@@ -99,7 +99,7 @@
             &mut self.unreported,
             &mut self.spent_since_sync,
             &mut self.written_off,
-            &mut self.others_growth,
+            &mut self.others_total_growth_rate,
         ] {
             *value = if value.is_finite() { *value } else { 0.0 };
         }
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -30,7 +30,7 @@
     /// Index of the tenant's plan in the settings.
     pub(crate) plan: usize,
     /// Number of gatekeepers that receive the tenant's requests.
-    gatekeepers: f64,
+    gatekeeper_count: f64,
     pub(crate) shared: SharedBucket,
     /// Units left in this gatekeeper's share of the bucket, which it may spend without the counter.
     local_share: f64,
@@ -80,20 +80,20 @@
     pub(crate) fn new(
         settings: &Settings,
         plan: usize,
-        gatekeepers: f64,
+        gatekeeper_count: f64,
         uptime: f64,
         now: Timestamp,
     ) -> Self {
         let limits = &settings.plans[plan];
         Self {
             plan,
-            gatekeepers,
+            gatekeeper_count,
             shared: SharedBucket::full(limits, now),
             // An even share of one second's refill, and at least the cost of one request.
-            local_share: (limits.rate / gatekeepers).max(settings.max_cost),
+            local_share: (limits.rate / gatekeeper_count).max(settings.max_cost),
             // The ceiling's bucket holds only the refill since this gatekeeper started, because a restart
             // must not fill the bucket again.
-            ceiling_level: (limits.ceiling_rate * uptime).min(limits.ceiling_burst) / gatekeepers,
+            ceiling_level: (limits.ceiling_rate * uptime).min(limits.ceiling_burst) / gatekeeper_count,
             surcharge: 0.0,
             reserved: 0.0,
             refilled_at: now,
@@ -103,24 +103,24 @@
         }
     }
 
-    pub(crate) fn gatekeepers(&self) -> f64 {
-        self.gatekeepers
+    pub(crate) fn gatekeeper_count(&self) -> f64 {
+        self.gatekeeper_count
     }
 
-    /// Refills all levels for the time since the last refill. `gatekeepers` is the current number of
+    /// Refills all levels for the time since the last refill. `gatekeeper_count` is the current number of
     /// gatekeepers that receive the tenant's requests.
-    pub(crate) fn refill(&mut self, settings: &Settings, gatekeepers: f64, now: Timestamp) {
-        self.gatekeepers = gatekeepers;
+    pub(crate) fn refill(&mut self, settings: &Settings, gatekeeper_count: f64, now: Timestamp) {
+        self.gatekeeper_count = gatekeeper_count;
         let plan = &settings.plans[self.plan];
         let seconds = now.seconds_since(self.refilled_at);
         self.refilled_at = now;
-        let ceiling_share = plan.ceiling_burst / gatekeepers;
+        let ceiling_share = plan.ceiling_burst / gatekeeper_count;
         self.ceiling_level =
-            (self.ceiling_level + plan.ceiling_rate / gatekeepers * seconds).min(ceiling_share);
-        self.surcharge = (self.surcharge - plan.rate / gatekeepers * seconds).max(0.0);
+            (self.ceiling_level + plan.ceiling_rate / gatekeeper_count * seconds).min(ceiling_share);
+        self.surcharge = (self.surcharge - plan.rate / gatekeeper_count * seconds).max(0.0);
         self.shared.refill(plan, seconds);
         // The local share does not depend on the spend of other gatekeepers.
-        let share = 1.0 / gatekeepers;
+        let share = 1.0 / gatekeeper_count;
         let local_burst = (plan.burst * share).max(settings.max_cost);
         self.local_share = (self.local_share + plan.rate * share * seconds).min(local_burst);
     }
@@ -153,8 +153,9 @@
             return Headroom::certain(max_units);
         }
         let seconds = self.shared.seconds_since_sync(now);
-        let others_rate = self.shared.others_rate().max(plan.rate * (1.0 - 2.0 / self.gatekeepers));
-        let deviation = (others_rate * seconds * settings.max_cost).sqrt();
+        let others_spend_rate =
+            self.shared.others_spend_rate().max(plan.rate * (1.0 - 2.0 / self.gatekeeper_count));
+        let deviation = (others_spend_rate * seconds * settings.max_cost).sqrt();
         Headroom { units: self.shared.level() - required, uncertainty: UNCERTAINTY_DEVIATIONS * deviation }
     }
 
@@ -194,7 +195,7 @@
     /// Whether a report of spend may wait, because the level is high relative to the unreported spend of all
     /// the tenant's gatekeepers, each assumed to have as much unreported spend as this one.
     pub(crate) fn may_delay_report(&self) -> bool {
-        self.shared.unreported().abs() * self.gatekeepers < MAX_UNREPORTED_FRACTION * self.shared.level()
+        self.shared.unreported().abs() * self.gatekeeper_count < MAX_UNREPORTED_FRACTION * self.shared.level()
     }
 
     /// Ends the reservation of a request whose cost is settled.
@@ -211,7 +212,7 @@
     /// Units in the local shares of all the tenant's gatekeepers, assuming that each holds as much as this
     /// one.
     pub(crate) fn all_local_shares(&self) -> f64 {
-        self.local_share * self.gatekeepers
+        self.local_share * self.gatekeeper_count
     }
 
     /// Whether no counter call or attempt is in flight and the levels were last refilled at least `span`
@@ -242,7 +243,7 @@
     pub(crate) fn store(&self, provisional_spend: f64) -> StoredQuota {
         let mut stored = StoredQuota {
             plan: self.plan,
-            gatekeepers: self.gatekeepers,
+            gatekeeper_count: self.gatekeeper_count,
             local_share: self.local_share,
             ceiling_level: self.ceiling_level - provisional_spend,
             surcharge: self.surcharge,
@@ -258,7 +259,7 @@
     pub(crate) fn restore(stored: StoredQuota) -> Self {
         Self {
             plan: stored.plan,
-            gatekeepers: stored.gatekeepers,
+            gatekeeper_count: stored.gatekeeper_count,
             shared: SharedBucket::restore(&stored),
             local_share: stored.local_share,
             ceiling_level: stored.ceiling_level,
--- a/crates/policy/src/timer_token.rs
+++ b/crates/policy/src/timer_token.rs
@@ -5,7 +5,7 @@
 
 /// Microseconds between checks for unreported spend and silent backends, short compared with every latency
 /// objective.
-pub(crate) const TICK: Micros = 20_000;
+pub(crate) const TICK_INTERVAL: Micros = 20_000;
 
 /// A token has its kind in the highest byte, the attempt number from bit 32, and the request in the lowest 32
 /// bits.
@@ -26,7 +26,7 @@
 /// The purpose of an expired timer, decoded from its token.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum TimerKind {
-    /// The periodic work is due, see [`TICK`].
+    /// The periodic work is due, see [`TICK_INTERVAL`].
     Tick,
     /// The deadline of a request is near, so the request has to be answered now.
     Deadline { request: RequestId },
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -5,18 +5,18 @@
 use crate::counter_health::Urgency;
 use crate::ids::TenantId;
 use crate::outlier_detection::{silence_timeout, trial_interval};
-use crate::shared_bucket::EPOCH;
+use crate::shared_bucket::EPOCH_DURATION;
 use crate::state_machine::{Actions, Policy};
 use crate::tenant_quota::TenantQuota;
 use crate::time::Micros;
-use crate::timer_token::{TICK, TOKEN_TICK, TimerKind};
+use crate::timer_token::{TICK_INTERVAL, TOKEN_TICK, TimerKind};
 
 /// Microseconds between updates of all backends and tenants. With large fleets these updates are too
 /// expensive for each tick.
 const POOL_UPDATE_INTERVAL: Micros = 200_000;
 /// A tenant's quota is dropped after this many microseconds without a request. By then its counts have
 /// expired at the shared counter and its bucket is full, so no state is lost.
-const QUOTA_IDLE_TIMEOUT: Micros = 3 * EPOCH;
+const QUOTA_IDLE_TIMEOUT: Micros = 3 * EPOCH_DURATION;
 
 impl Policy {
     pub(crate) fn on_timer(&mut self, token: u64, out: &mut Actions) {
@@ -28,7 +28,7 @@
     }
 
     fn on_tick(&mut self, out: &mut Actions) {
-        out.push(Action::Timer { after: TICK, token: TOKEN_TICK });
+        out.push(Action::Timer { after: TICK_INTERVAL, token: TOKEN_TICK });
         // The tick starts at a random tenant, so that the rate limit of counter calls does not always starve
         // the same tenants.
         let first_tenant = TenantId(self.rng.u64(..));
@@ -64,7 +64,7 @@
         }
         let may_call = |quota: &TenantQuota| {
             let has_rate = self.settings.plans[quota.plan].rate > 0.0;
-            !quota.shared.is_call_in_flight() && quota.gatekeepers() > 1.0 && has_rate
+            !quota.shared.is_call_in_flight() && quota.gatekeeper_count() > 1.0 && has_rate
         };
         let mut tenants = self.tenants.range(first_tenant..).chain(self.tenants.range(..first_tenant));
         if let Some((&tenant, _)) = tenants.find(|(_, quota)| may_call(quota)) {
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -93,7 +93,7 @@
     assert_eq!(in_flight, 1);
 }
 
-/// Each of 300 gatekeepers receives 20 requests before any answer. If each might have an attempt in flight at
+/// Each of 300 gatekeepers receives 20 requests before any answer. If each could have an attempt in flight at
 /// every one of 100 backends, all 6,000 requests would be sent; all gatekeepers together may have eight
 /// attempts in flight at a backend.
 #[test]
--- a/crates/policy/tests/counter_sync.rs
+++ b/crates/policy/tests/counter_sync.rs
@@ -35,7 +35,8 @@
 
 #[test]
 fn a_gatekeeper_that_just_started_reads_the_level_and_not_a_full_bucket() {
-    // One gatekeeper uses the count's name before the other, and the tenant spends its whole bucket there.
+    // The tenant spends its whole bucket at the first gatekeeper, which reports the spend to the count before
+    // the second gatekeeper starts.
     let mut first = Harness::new(settings(), &backends(4));
     let mut total = 0.0;
     for id in 0..10 {
@@ -81,7 +82,8 @@
     harness.now += 100 * MS;
     assert!(is_rejected(&harness.feed(request(2, 0, 4.0))), "others have emptied the bucket");
 
-    // The local share is spent too, and the total of the count starts again from zero.
+    // The local share is spent too. The counter has lost the total of the count, so its next answer contains
+    // only the units of this gatekeeper's call.
     harness.now += 100 * MS;
     let actions = harness.feed(request(3, 0, 0.5));
     if let Some(call) = counter_call(&actions) {
