--- a/crates/policy/src/attempt_outcomes.rs
+++ b/crates/policy/src/attempt_outcomes.rs
@@ -1,6 +1,6 @@
 //! Updates the health of the backend, the concurrency limit and the latency estimates when an attempt ends.
 
-use crate::backend_latency::{Contact, MAX_RELATIVE_LATENCY, MIN_RELATIVE_LATENCY};
+use crate::backend_latency::{MAX_RELATIVE_LATENCY, MIN_RELATIVE_LATENCY, SampleKind};
 use crate::concurrency_limit::{Capacity, objective_fraction};
 use crate::event::Outcome;
 use crate::ids::BackendId;
@@ -87,8 +87,8 @@
     pub(crate) fn record_relative_latency(&mut self, class: usize, backend: BackendId, relative: f64) {
         let service = self.service_of(class);
         let Some(backend) = self.backends.get_mut(backend) else { return };
-        if backend.latency.record_sample(relative, self.now) == Contact::First {
-            self.pools[service].means.record_first_contact(relative);
+        if backend.latency.record_sample(relative, self.now) == SampleKind::Representative {
+            self.pools[service].means.record_representative_sample(relative);
         }
     }
 
--- a/crates/policy/src/backend_latency.rs
+++ b/crates/policy/src/backend_latency.rs
@@ -11,60 +11,60 @@
 /// Time constant in seconds of the decay of a backend's relative latency.
 pub(crate) const LATENCY_DECAY_SECONDS: f64 = 10.0;
 /// Age above which a backend's latency estimate is old, as a fraction of [`LATENCY_DECAY_SECONDS`]. The next
-/// sample of a backend with an old and good estimate is a [`Contact::First`].
-const FIRST_CONTACT_AGE: f64 = 0.3;
+/// sample of a backend with an old and good estimate is of kind [`SampleKind::Representative`].
+const OLD_ESTIMATE_AGE: f64 = 0.3;
 /// Weight of one latency sample; [`AGED_SAMPLE_WEIGHT`] is added in proportion to the age of the estimate.
 const SAMPLE_WEIGHT: f64 = 0.1;
 const AGED_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// Whether a latency sample is representative of backends without a recent latency estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Contact {
+pub(crate) enum SampleKind {
     /// First sample of a backend whose latency estimate had become old and was good. Such a sample is
     /// representative of other backends without a recent estimate.
-    First,
+    Representative,
     /// Sample of a backend whose latency estimate was recent or bad, not representative of other backends.
-    Further,
+    Unrepresentative,
 }
 
-/// Estimate of the relative latency, and the time of its last update.
+/// Estimate of one backend's latency relative to the mean of the class, and the time of its last update.
 #[derive(Clone, Debug)]
 pub(crate) struct BackendLatency {
-    relative: f64,
+    relative_latency: f64,
     updated_at: Timestamp,
 }
 
 impl BackendLatency {
     pub(crate) fn new(now: Timestamp) -> Self {
-        Self { relative: 1.0, updated_at: now }
+        Self { relative_latency: 1.0, updated_at: now }
     }
 
     /// Expected latency relative to the mean of the class. As the estimate ages, it approaches
-    /// `first_contact_latency`, the mean over recent samples of kind [`Contact::First`] of all backends, so
-    /// that backends known to be good are preferred while many others are slow.
-    pub(crate) fn expected_relative_latency(&self, first_contact_latency: f64, now: Timestamp) -> f64 {
+    /// `representative_latency`, the mean over recent samples of kind [`SampleKind::Representative`] of all
+    /// backends, so that backends known to be good are preferred while many others are slow.
+    pub(crate) fn expected_relative_latency(&self, representative_latency: f64, now: Timestamp) -> f64 {
         let freshness = (-now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).exp();
-        let assumed = first_contact_latency.max(1.0);
-        assumed + (self.relative - assumed) * freshness
+        let assumed = representative_latency.max(1.0);
+        assumed + (self.relative_latency - assumed) * freshness
     }
 
-    /// Adds a sample of the relative latency. Returns whether the sample is representative of other backends.
-    pub(crate) fn record_sample(&mut self, relative: f64, now: Timestamp) -> Contact {
+    /// Adds a sample of the relative latency, and returns the kind of the sample.
+    pub(crate) fn record_sample(&mut self, relative_latency: f64, now: Timestamp) -> SampleKind {
         let age = (now.seconds_since(self.updated_at) / LATENCY_DECAY_SECONDS).min(1.0);
-        let is_first_contact = age > FIRST_CONTACT_AGE && self.relative < GOOD_RELATIVE_LATENCY;
+        let is_representative = age > OLD_ESTIMATE_AGE && self.relative_latency < GOOD_RELATIVE_LATENCY;
         let weight = SAMPLE_WEIGHT + AGED_SAMPLE_WEIGHT * age;
-        self.relative += weight * (relative - self.relative);
+        self.relative_latency += weight * (relative_latency - self.relative_latency);
         self.updated_at = now;
-        if is_first_contact { Contact::First } else { Contact::Further }
+        if is_representative { SampleKind::Representative } else { SampleKind::Unrepresentative }
     }
 
     pub(crate) fn store(&self, stored: &mut StoredBackend) {
-        stored.relative_latency = self.relative;
+        stored.relative_latency = self.relative_latency;
         stored.latency_updated_at = self.updated_at;
     }
 
     pub(crate) fn restore(stored: &StoredBackend, now: Timestamp) -> Self {
-        Self { relative: stored.relative_latency, updated_at: stored.latency_updated_at.min(now) }
+        Self { relative_latency: stored.relative_latency, updated_at: stored.latency_updated_at.min(now) }
     }
 }
 
--- a/crates/policy/src/backend_latency/tests.rs
+++ b/crates/policy/src/backend_latency/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_expected_latency_rises_with_slow_samples_and_returns_to_the_first_contact_latency() {
+fn the_expected_latency_rises_with_slow_samples_and_returns_to_the_representative_latency() {
     let mut latency = BackendLatency::new(at(0));
     for _ in 0..20 {
         latency.record_sample(10.0, at(1));
@@ -22,10 +22,14 @@
 }
 
 #[test]
-fn a_sample_is_a_first_contact_only_if_the_estimate_was_old_and_good() {
+fn a_sample_is_representative_only_if_the_estimate_was_old_and_good() {
     let mut latency = BackendLatency::new(at(0));
-    assert_eq!(latency.record_sample(20.0, at(1)), Contact::Further);
-    assert_eq!(latency.record_sample(1.0, at(9)), Contact::Further, "the backend had a high latency");
+    assert_eq!(latency.record_sample(20.0, at(1)), SampleKind::Unrepresentative);
+    assert_eq!(
+        latency.record_sample(1.0, at(9)),
+        SampleKind::Unrepresentative,
+        "the backend had a high latency"
+    );
     let mut good = BackendLatency::new(at(0));
-    assert_eq!(good.record_sample(1.0, at(9)), Contact::First);
+    assert_eq!(good.record_sample(1.0, at(9)), SampleKind::Representative);
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -15,7 +15,7 @@
 /// Attempts that all gatekeepers together may have in flight at a backend in normal operation.
 pub(crate) const MAX_IN_FLIGHT_PER_BACKEND: f64 = 8.0;
 /// Attempts that all gatekeepers together may have in flight at a backend while answers are late. With fewer
-/// a backend is partly idle, so that lateness is due to the work itself and not to a queue.
+/// attempts, a backend is partly idle, so that lateness is due to the work itself and not to a queue.
 const MIN_IN_FLIGHT_PER_BACKEND: f64 = 3.0;
 /// Share of the limit that requests of the lowest weight leave to requests of the highest weight when
 /// capacity runs short.
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -10,9 +10,9 @@
 use crate::state_machine::{Actions, Policy};
 
 impl Policy {
-    /// Calls the counter, if needed and allowed, to add the tenant's unreported spend to its count and to
-    /// read the total. A tenant has at most one call in flight, and calls are rate limited over all tenants.
-    /// Returns whether a call is in flight.
+    /// Calls the counter, if needed and allowed, to add the tenant's unreported spend to the tenant's count
+    /// and to read the total of the count. A tenant has at most one call in flight, and calls are rate
+    /// limited over all tenants. Returns whether a call is in flight.
     pub(crate) fn call_counter(&mut self, tenant: TenantId, urgency: Urgency, out: &mut Actions) -> bool {
         let now = self.now;
         let Some(quota) = self.tenants.get_mut(&tenant) else { return false };
--- a/crates/policy/src/pool_updates.rs
+++ b/crates/policy/src/pool_updates.rs
@@ -61,7 +61,7 @@
         let pool = &mut self.pools[service];
         let seconds = pool.answer_rate.seconds_since_measured(now);
         pool.answer_rate.measure_rate(warm_fraction, pool.means.latency(), settings.gatekeepers, now);
-        pool.means.forget_first_contacts(seconds);
+        pool.means.decay_representative_latency(seconds);
         seconds
     }
 
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -116,7 +116,7 @@
     }
 
     fn expected_latency(self, backend: &Backend) -> f64 {
-        backend.latency.expected_relative_latency(self.pool.means.first_contact_latency(), self.now)
+        backend.latency.expected_relative_latency(self.pool.means.representative_latency(), self.now)
     }
 
     fn has_good_latency(self, backend: &Backend) -> bool {
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -18,8 +18,8 @@
 /// Weight of one sample in the running means of latency, attempt time and cost.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Weight of one sample in the running mean of the relative latency over samples of kind
-/// [`Contact::First`](crate::backend_latency::Contact::First).
-const FIRST_CONTACT_WEIGHT: f64 = 0.1;
+/// [`SampleKind::Representative`](crate::backend_latency::SampleKind::Representative).
+const REPRESENTATIVE_SAMPLE_WEIGHT: f64 = 0.1;
 /// Weight of one second in the running mean of the answer rate.
 const RATE_WEIGHT: f64 = 0.2;
 
@@ -153,13 +153,13 @@
     /// Cost of an admitted request in units.
     cost: f64,
     /// Mean relative latency over samples of kind
-    /// [`Contact::First`](crate::backend_latency::Contact::First).
-    first_contact_latency: f64,
+    /// [`SampleKind::Representative`](crate::backend_latency::SampleKind::Representative).
+    representative_latency: f64,
 }
 
 impl PoolMeans {
     fn new(latency: f64) -> Self {
-        Self { latency, attempt_time: latency, cost: 0.0, first_contact_latency: 0.0 }
+        Self { latency, attempt_time: latency, cost: 0.0, representative_latency: 0.0 }
     }
 
     pub(crate) fn latency(&self) -> f64 {
@@ -175,8 +175,8 @@
         self.cost
     }
 
-    pub(crate) fn first_contact_latency(&self) -> f64 {
-        self.first_contact_latency
+    pub(crate) fn representative_latency(&self) -> f64 {
+        self.representative_latency
     }
 
     pub(crate) fn record_latency(&mut self, elapsed: Micros) {
@@ -191,24 +191,26 @@
         self.cost += MEAN_WEIGHT * (cost - self.cost);
     }
 
-    pub(crate) fn record_first_contact(&mut self, relative_latency: f64) {
-        self.first_contact_latency += FIRST_CONTACT_WEIGHT * (relative_latency - self.first_contact_latency);
+    pub(crate) fn record_representative_sample(&mut self, relative_latency: f64) {
+        self.representative_latency +=
+            REPRESENTATIVE_SAMPLE_WEIGHT * (relative_latency - self.representative_latency);
     }
 
     /// Decays the mean relative latency of samples of kind
-    /// [`Contact::First`](crate::backend_latency::Contact::First) towards 1 for the `seconds` that have
-    /// passed. This mean is the expected latency of a backend without a recent estimate. If the mean stayed
-    /// high after a few slow samples, the backends without a recent estimate would never be tried again.
-    pub(crate) fn forget_first_contacts(&mut self, seconds: f64) {
+    /// [`SampleKind::Representative`](crate::backend_latency::SampleKind::Representative) towards 1 for the
+    /// `seconds` that have passed. This mean is the expected latency of a backend without a recent estimate.
+    /// If the mean stayed high after a few slow samples, the backends without a recent estimate would never
+    /// be tried again.
+    pub(crate) fn decay_representative_latency(&mut self, seconds: f64) {
         let decay = (seconds / LATENCY_DECAY_SECONDS).min(1.0);
-        self.first_contact_latency += (1.0 - self.first_contact_latency) * decay;
+        self.representative_latency += (1.0 - self.representative_latency) * decay;
     }
 
     fn store(&self, stored: &mut StoredPool) {
         stored.mean_latency = self.latency;
         stored.mean_attempt_time = self.attempt_time;
         stored.mean_cost = self.cost;
-        stored.first_contact_latency = self.first_contact_latency;
+        stored.representative_latency = self.representative_latency;
     }
 
     fn restore(stored: &StoredPool) -> Self {
@@ -216,7 +218,7 @@
             latency: stored.mean_latency,
             attempt_time: stored.mean_attempt_time,
             cost: stored.mean_cost,
-            first_contact_latency: stored.first_contact_latency,
+            representative_latency: stored.representative_latency,
         }
     }
 }
@@ -257,9 +259,9 @@
         now.seconds_since(self.measured_at)
     }
 
-    /// Measures the answer rate since the last measurement. `warm_fraction` is the sum over the ready
-    /// backends. The assumed rate is at least this gatekeeper's share of the rate of a backend that serves
-    /// one request at a time.
+    /// Measures the answer rate since the last measurement. `warm_fraction` is the sum of the warm fractions
+    /// of all ready backends. The assumed rate is at least this gatekeeper's share of the rate of a backend
+    /// that serves one request at a time.
     pub(crate) fn measure_rate(
         &mut self,
         warm_fraction: f64,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -152,8 +152,8 @@
         self.refilled_quota(tenant, plan, gatekeepers).mirror_admission(units, max_cost);
     }
 
-    /// Resumes after the successor exited without handing its state back. Unless all its admissions are
-    /// known, every bucket is assumed to be empty.
+    /// Resumes after the successor exited without handing its state back. Unless all admissions of the
+    /// successor are known, every bucket is assumed to be empty.
     pub fn resume(&mut self, knows_all_admissions: bool) {
         if knows_all_admissions {
             return;
--- a/crates/policy/src/stored.rs
+++ b/crates/policy/src/stored.rs
@@ -80,7 +80,7 @@
     pub(crate) mean_latency: f64,
     pub(crate) mean_attempt_time: f64,
     pub(crate) mean_cost: f64,
-    pub(crate) first_contact_latency: f64,
+    pub(crate) representative_latency: f64,
     pub(crate) objective_fraction_updated_at: Timestamp,
     pub(crate) measured_rate: f64,
     pub(crate) assumed_rate: f64,
--- a/crates/policy/tests/shared_bucket.rs
+++ b/crates/policy/tests/shared_bucket.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Timestamp,
-    /// 0 for initial events.
+    /// Number of the event in order of scheduling, from 1; 0 for events that are scheduled before the run.
     serial: u64,
     event: SimulatedEvent,
 }
--- a/crates/timing/src/class_timing.rs
+++ b/crates/timing/src/class_timing.rs
@@ -3,7 +3,7 @@
 /// Timing of one class of requests. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassTiming {
-    /// Name of the class.
+    /// Name of the class in the configuration.
     pub class: String,
     /// Whether requests are idempotent, so that a request that may already have been executed may be retried or hedged.
     pub idempotent: bool,
--- a/crates/timing/src/violation.rs
+++ b/crates/timing/src/violation.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("class {class:?}: {problem}; {remedy}")]
 pub struct TimingViolation {
-    /// Name of the class.
+    /// Name of the class that violates the rule.
     pub class: String,
     /// The rule that the class violates.
     pub rule: TimingRule,
