--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -81,8 +81,8 @@
         self.with_request_removed(id, Self::select_backend)
     }
 
-    /// Selects a backend while the request is removed from the open requests, so that its own attempts do not
-    /// count towards the concurrency limit.
+    /// Selects a backend while the request is removed from the open requests, so that the attempts of this
+    /// request do not count towards the concurrency limit.
     fn with_request_removed(
         &mut self,
         id: RequestId,
--- a/crates/policy/src/counter_calls.rs
+++ b/crates/policy/src/counter_calls.rs
@@ -81,8 +81,8 @@
         let previous = CountName::of(tenant, plan.rate, fleet_time.saturating_sub(EPOCH_DURATION));
         // A new epoch may have begun while the call was in flight; the tenant's count then has a new name.
         let age = match total.name {
-            name if name == current.name => current.age,
-            name if name == previous.name => current.age + EPOCH_DURATION,
+            name if name == current.name => current.epoch_age,
+            name if name == previous.name => current.epoch_age + EPOCH_DURATION,
             // The rate or the clock has changed, so no gatekeeper reads the count with the name of this call
             // any more.
             _ => return quota.shared.call_misdirected(added),
@@ -91,7 +91,7 @@
             total,
             added,
             refilled: refilled(plan.rate, age),
-            after_silence: self.counter.health.has_recovered_since(quota.shared.synced_at()),
+            was_counter_silent: self.counter.health.has_recovered_since(quota.shared.synced_at()),
             total_drop_threshold: -2.0 * self.settings.max_cost - plan.burst,
             local_shares: quota.all_local_shares(),
         };
--- a/crates/policy/src/counter_sync.rs
+++ b/crates/policy/src/counter_sync.rs
@@ -19,14 +19,14 @@
 pub(crate) struct CounterSync {
     pub(crate) health: CounterHealth,
     /// Tenants with spend that is not reported to the counter yet.
-    unreported: BTreeSet<TenantId>,
+    tenants_to_report: BTreeSet<TenantId>,
     /// Tenants that have a call in flight, by the name of the count that the call adds to.
     calls: BTreeMap<u64, TenantId>,
 }
 
 impl CounterSync {
     pub(crate) fn new(health: CounterHealth) -> Self {
-        Self { health, unreported: BTreeSet::new(), calls: BTreeMap::new() }
+        Self { health, tenants_to_report: BTreeSet::new(), calls: BTreeMap::new() }
     }
 
     /// Schedules a report of the tenant's spend, due in `delay` microseconds, or earlier if an earlier report
@@ -43,27 +43,27 @@
             return;
         }
         let due = now + delay;
-        let is_first = self.unreported.insert(tenant);
+        let is_first = self.tenants_to_report.insert(tenant);
         quota.report_due = if is_first { due } else { quota.report_due.min(due) };
     }
 
     /// Adds a tenant that was restored from a snapshot and has spend to report.
     pub(crate) fn add_unreported(&mut self, tenant: TenantId) {
-        self.unreported.insert(tenant);
+        self.tenants_to_report.insert(tenant);
     }
 
     /// Tenants with unreported spend in order of their ids, starting at `from` and wrapping around.
     pub(crate) fn unreported_from(&self, from: TenantId) -> impl Iterator<Item = TenantId> {
-        self.unreported.range(from..).chain(self.unreported.range(..from)).copied()
+        self.tenants_to_report.range(from..).chain(self.tenants_to_report.range(..from)).copied()
     }
 
     /// Drops all tenants with unreported spend, because the hot-restart successor reports it.
     pub(crate) fn drop_unreported(&mut self) {
-        self.unreported.clear();
+        self.tenants_to_report.clear();
     }
 
     pub(crate) fn call_started(&mut self, tenant: TenantId, name: u64) {
-        self.unreported.remove(&tenant);
+        self.tenants_to_report.remove(&tenant);
         self.calls.insert(name, tenant);
     }
 
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -35,7 +35,7 @@
     (latency_objective as f64 * SILENCE_TIMEOUT_FRACTION) as Micros
 }
 
-/// Health of one backend for one class.
+/// Last answer of one backend to requests of one class, and the ejection of the backend for that class.
 #[derive(Clone, Copy, Debug)]
 struct ClassHealth {
     last_answer: Timestamp,
@@ -65,7 +65,7 @@
     last_duration: Micros,
 }
 
-/// Health of one backend.
+/// Ejections, rejection pauses and connect backoff of one backend, and the times of its answers.
 #[derive(Clone, Debug)]
 pub(crate) struct BackendHealth {
     last_answer: Timestamp,
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -233,13 +233,13 @@
     /// backend that serves one request at a time.
     assumed_rate: f64,
     /// Answers since the answer rate was last measured.
-    answers: u64,
+    answers_since_measured: u64,
     measured_at: Timestamp,
 }
 
 impl AnswerRate {
     fn new(now: Timestamp) -> Self {
-        Self { measured_rate: 0.0, assumed_rate: 0.0, answers: 0, measured_at: now }
+        Self { measured_rate: 0.0, assumed_rate: 0.0, answers_since_measured: 0, measured_at: now }
     }
 
     pub(crate) fn measured_at(&self) -> Timestamp {
@@ -251,7 +251,7 @@
     }
 
     pub(crate) fn record_answer(&mut self) {
-        self.answers += 1;
+        self.answers_since_measured += 1;
     }
 
     /// Seconds since the answer rate was last measured.
@@ -270,9 +270,9 @@
         now: Timestamp,
     ) {
         let seconds = self.seconds_since_measured(now);
-        let rate = self.answers as f64 / warm_fraction.max(1.0) / seconds;
+        let rate = self.answers_since_measured as f64 / warm_fraction.max(1.0) / seconds;
         self.measured_rate += (RATE_WEIGHT * seconds).min(1.0) * (rate - self.measured_rate);
-        (self.answers, self.measured_at) = (0, now);
+        (self.answers_since_measured, self.measured_at) = (0, now);
         let one_at_a_time = SECOND / mean_latency / f64::from(gatekeepers);
         self.assumed_rate = self.measured_rate.max(one_at_a_time);
     }
@@ -280,7 +280,7 @@
     fn store(&self, stored: &mut StoredPool) {
         stored.measured_rate = self.measured_rate;
         stored.assumed_rate = self.assumed_rate;
-        stored.answers = self.answers;
+        stored.answers_since_measured = self.answers_since_measured;
         stored.measured_at = self.measured_at;
     }
 
@@ -288,7 +288,7 @@
         Self {
             measured_rate: stored.measured_rate,
             assumed_rate: stored.assumed_rate,
-            answers: stored.answers,
+            answers_since_measured: stored.answers_since_measured,
             measured_at: stored.measured_at.min(now),
         }
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -111,7 +111,8 @@
     pub gatekeepers: u32,
     /// Number of this gatekeeper, from 0.
     pub gatekeeper_index: u32,
-    /// Zone of this gatekeeper.
+    /// Number of the zone of this gatekeeper, comparable with
+    /// [`BackendEntry::zone`](crate::BackendEntry::zone).
     pub zone: u8,
     /// Shortest time between two deliveries of events to the state machine.
     pub tick: Micros,
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -3,11 +3,11 @@
 //!
 //! Every gatekeeper adds its spend to the tenant's count of the current epoch. Refill that arrives while the
 //! bucket is full overflows and is lost. The gatekeeper that calls next adds the lost units to the count as
-//! well: a *write-off*. The level is therefore always the burst plus the refill since the epoch began, minus
-//! the *total*, the sum of all units added to the count. A gatekeeper computes the exact level from the total
-//! however long ago its last call was. The counter serves the calls for a name in order, so an answer also
-//! shows the level just before the call. If a write-off was too large, because another gatekeeper had already
-//! made it, the answer to the call shows the excess, and the next call subtracts the excess from the count.
+//! well. The level is therefore always the burst plus the refill since the epoch began, minus the *total*,
+//! the sum of all units added to the count. A gatekeeper computes the exact level from the total however long
+//! ago its last call was. The counter serves the calls for a name in order, so an answer also shows the level
+//! just before the call. If a call added lost units that another gatekeeper had already added, the answer to
+//! the call shows the excess, and the next call subtracts the excess from the count.
 
 use crate::count_total::{CountTotal, LevelAccuracy};
 use crate::hash::mix;
@@ -25,12 +25,12 @@
 const SPEND_RATE_TIME_CONSTANT: f64 = 1.5;
 /// Fraction of the burst above which overflowed units that are not yet added to the count justify a call of
 /// their own: until they are added, other gatekeepers compute too high a level from the total.
-const DUE_WRITE_OFF_FRACTION: f64 = 0.25;
+const DUE_OVERFLOW_FRACTION: f64 = 0.25;
 /// Largest number of units, as a fraction of the burst, that a call adds to the count because they are
 /// estimated to have overflowed the bucket. Until units added in excess are subtracted again, other
 /// gatekeepers compute too low a level and reject requests. Overflow that is not added does no harm: the
 /// gatekeeper that calls next adds it.
-const MAX_ESTIMATED_WRITE_OFF_FRACTION: f64 = 0.5;
+const MAX_ESTIMATED_OVERFLOW_FRACTION: f64 = 0.5;
 /// Largest debt of a bucket (a level below zero), as a fraction of the burst. Gatekeepers that start together
 /// each add the whole refill since the epoch began to the count, as overflow. Until all but one of them have
 /// subtracted these units again, the total shows a debt of many bursts. A gatekeeper that relied on such a
@@ -46,10 +46,10 @@
     pub(crate) total: CountTotal,
     /// Units that the call added to the count.
     pub(crate) added: f64,
-    /// Units that refilled since the epoch of the name began.
+    /// Units that arrived as refill since the epoch of the count began.
     pub(crate) refilled: f64,
     /// Whether the counter was silent at some time since the last total was read.
-    pub(crate) after_silence: bool,
+    pub(crate) was_counter_silent: bool,
     /// A negative number of units. If the change of the total, apart from this gatekeeper's own units, is
     /// below this number, the counter may have lost spend.
     pub(crate) total_drop_threshold: f64,
@@ -62,7 +62,7 @@
 pub(crate) struct CounterCall {
     /// The name of the count, see [`CountName::of`].
     pub(crate) name: u64,
-    /// Units that refilled since the epoch of the name began.
+    /// Units that arrived as refill since the epoch of the count began.
     pub(crate) refilled: f64,
     /// Whether the last call was answered. If not, the counter may receive this call late and add its units
     /// although the answer is lost, so the call adds no overflowed units.
@@ -83,7 +83,7 @@
     unreported: f64,
     /// Units that overflowed the full bucket and that the call in flight or the next one adds to the count;
     /// negative if an earlier call added too many of them.
-    written_off: f64,
+    overflow_to_report: f64,
     /// Whether the level can be computed exactly from the last total.
     level_accuracy: LevelAccuracy,
     /// Units a second that other gatekeepers spend.
@@ -93,7 +93,7 @@
     /// The total in the latest answer of the counter; `None` before the first answer.
     last_total: Option<CountTotal>,
     /// Units that the call in flight adds to the count.
-    call_in_flight: Option<f64>,
+    units_in_flight: Option<f64>,
 }
 
 /// How a call to the counter ended without a total.
@@ -139,7 +139,7 @@
     }
 
     pub(crate) fn is_call_in_flight(&self) -> bool {
-        self.call_in_flight.is_some()
+        self.units_in_flight.is_some()
     }
 
     /// Adds the refill of this many seconds, minus the estimated spend of other gatekeepers, which in the
@@ -170,10 +170,10 @@
 
     /// Number of units that justify a call to the counter. It is the largest of three amounts: the unreported
     /// spend; the overflow that earlier calls added in excess; and the overflow that is not yet added, less
-    /// [`DUE_WRITE_OFF_FRACTION`] of the burst.
+    /// [`DUE_OVERFLOW_FRACTION`] of the burst.
     pub(crate) fn units_to_report(&self, plan: &Plan) -> f64 {
-        let due = self.written_off - DUE_WRITE_OFF_FRACTION * plan.burst;
-        self.unreported.abs().max(-self.written_off).max(due)
+        let due = self.overflow_to_report - DUE_OVERFLOW_FRACTION * plan.burst;
+        self.unreported.abs().max(-self.overflow_to_report).max(due)
     }
 
     /// Starts a call to the counter and returns the units that the call adds to the count: the unreported
@@ -183,39 +183,40 @@
         if known.is_none() || !call.last_call_answered {
             // Overflowed units belong to the count of the previous name, or are left to a gatekeeper whose
             // calls are answered. Units added in excess to the count of this name are still subtracted.
-            self.written_off = self.written_off.min(0.0) * f64::from(known.is_some());
-        } else if self.written_off >= 0.0 {
+            self.overflow_to_report = self.overflow_to_report.min(0.0) * f64::from(known.is_some());
+        } else if self.overflow_to_report >= 0.0 {
             let growth = self.others_total_growth_rate * (now - self.synced_at) as f64 / SECOND;
-            let expected = known.map_or(call.refilled, |known| known.total + (self.written_off + growth));
-            self.written_off +=
-                (call.refilled - expected).clamp(0.0, MAX_ESTIMATED_WRITE_OFF_FRACTION * plan.burst);
+            let expected =
+                known.map_or(call.refilled, |known| known.total + (self.overflow_to_report + growth));
+            self.overflow_to_report +=
+                (call.refilled - expected).clamp(0.0, MAX_ESTIMATED_OVERFLOW_FRACTION * plan.burst);
         }
         // The wire format has single precision: the rounding remainder stays unreported.
-        self.written_off = f64::from(self.written_off as f32);
-        let added = f64::from((self.unreported + self.written_off) as f32);
-        self.unreported -= added - self.written_off;
-        self.call_in_flight = Some(added);
+        self.overflow_to_report = f64::from(self.overflow_to_report as f32);
+        let added = f64::from((self.unreported + self.overflow_to_report) as f32);
+        self.unreported -= added - self.overflow_to_report;
+        self.units_in_flight = Some(added);
         added
     }
 
     /// Ends the call in flight and returns the units that it was sent to add; `None` if there was no call.
     pub(crate) fn take_call(&mut self) -> Option<f64> {
-        self.call_in_flight.take()
+        self.units_in_flight.take()
     }
 
     /// Records that a call that was to add `added` units to the count ended without a total.
     pub(crate) fn call_failed(&mut self, added: f64, failure: FailedCall) {
         match failure {
-            FailedCall::NotAdded => self.unreported += added - self.written_off,
-            FailedCall::PossiblyAdded => self.written_off = 0.0,
+            FailedCall::NotAdded => self.unreported += added - self.overflow_to_report,
+            FailedCall::PossiblyAdded => self.overflow_to_report = 0.0,
         }
     }
 
     /// Records that a call added its units to a count that is no longer in use. The spend among these units
     /// must be reported again.
     pub(crate) fn call_misdirected(&mut self, added: f64) {
-        self.unreported += added - self.written_off;
-        self.written_off = 0.0;
+        self.unreported += added - self.overflow_to_report;
+        self.overflow_to_report = 0.0;
     }
 
     /// Recomputes the level, the spend rates of other gatekeepers and the overflow from a counter's answer.
@@ -224,7 +225,7 @@
         let seconds = self.seconds_since_sync(now);
         let previous_total = self.last_total.filter(|known| known.name == name).map(|known| known.total);
         let others_change = total - added - previous_total.unwrap_or(0.0);
-        let reported_spend = added - self.written_off;
+        let reported_spend = added - self.overflow_to_report;
         // The highest level that is possible by what this gatekeeper knows. If the last total showed a debt,
         // the debt is included, because this gatekeeper's own reservations were reported in that total.
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
@@ -236,11 +237,11 @@
         } else {
             (known_max + reported_spend + self.unreported).min(plan.burst)
         };
-        let written_off = self.written_off.max(0.0);
-        let level_before_call = plan.burst + refilled - (total - reported_spend - written_off);
-        self.written_off = (level_before_call - max_level).max(0.0) - written_off;
+        let overflow_to_report = self.overflow_to_report.max(0.0);
+        let level_before_call = plan.burst + refilled - (total - reported_spend - overflow_to_report);
+        self.overflow_to_report = (level_before_call - max_level).max(0.0) - overflow_to_report;
         let min_level = -MAX_DEBT_FRACTION * plan.burst;
-        let shown_level = plan.burst + refilled - total - self.written_off;
+        let shown_level = plan.burst + refilled - total - self.overflow_to_report;
         let available = shown_level.max(min_level) - self.unreported;
         // A level below `min_level` is due to overflowed units that several gatekeepers have added to the
         // count and not yet subtracted again. Such a level does not show what these gatekeepers spent.
@@ -276,8 +277,8 @@
         let CounterAnswer { total: CountTotal { total, .. }, refilled, .. } = answer;
         let has_total_dropped = others_change < answer.total_drop_threshold
             && total < -others_change
-            && refilled - total > DUE_WRITE_OFF_FRACTION * plan.burst;
-        answer.after_silence || has_total_dropped
+            && refilled - total > DUE_OVERFLOW_FRACTION * plan.burst;
+        answer.was_counter_silent || has_total_dropped
     }
 
     fn next_level_accuracy(&self, has_lost_spend: bool, is_known_name: bool) -> LevelAccuracy {
@@ -318,10 +319,10 @@
         stored.others_spend_rate = self.others_spend_rate;
         stored.others_total_growth_rate = self.others_total_growth_rate;
         // The call in flight adds to the last total, whichever process receives the answer.
-        let added = self.call_in_flight.unwrap_or(0.0);
+        let added = self.units_in_flight.unwrap_or(0.0);
         stored.last_total = self.last_total.map(|known| CountTotal { total: known.total + added, ..known });
-        stored.written_off = if self.is_call_in_flight() { 0.0 } else { self.written_off };
-        stored.call_in_flight = None;
+        stored.overflow_to_report = if self.is_call_in_flight() { 0.0 } else { self.overflow_to_report };
+        stored.units_in_flight = None;
     }
 
     pub(crate) fn restore(stored: &StoredQuota) -> Self {
@@ -331,12 +332,12 @@
             spent_since_sync: stored.spent_since_sync,
             synced_at: stored.synced_at,
             unreported: stored.unreported,
-            written_off: stored.written_off,
+            overflow_to_report: stored.overflow_to_report,
             level_accuracy: stored.level_accuracy,
             others_spend_rate: stored.others_spend_rate,
             others_total_growth_rate: stored.others_total_growth_rate,
             last_total: stored.last_total,
-            call_in_flight: stored.call_in_flight,
+            units_in_flight: stored.units_in_flight,
         }
     }
 }
@@ -345,8 +346,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CountName {
     pub(crate) name: u64,
-    /// Microseconds since the epoch of the name began.
-    pub(crate) age: Micros,
+    /// Microseconds since the epoch in which the count has this name began.
+    pub(crate) epoch_age: Micros,
 }
 
 impl CountName {
@@ -357,18 +358,18 @@
     pub(crate) fn of(tenant: TenantId, rate: f64, fleet_time: Timestamp) -> Self {
         let time = fleet_time.as_micros() + mix(tenant.0) % EPOCH_DURATION;
         let name = mix(mix(tenant.0) ^ mix(rate.to_bits()) ^ (time / EPOCH_DURATION));
-        Self { name, age: time % EPOCH_DURATION }
+        Self { name, epoch_age: time % EPOCH_DURATION }
     }
 
-    /// Units that refilled since the epoch of the name began.
+    /// Units that arrived as refill since the epoch of the count began.
     pub(crate) fn refilled(self, rate: f64) -> f64 {
-        refilled(rate, self.age)
+        refilled(rate, self.epoch_age)
     }
 }
 
-/// Units that refill at a rate (in units a second) within `age` microseconds.
-pub(crate) fn refilled(rate: f64, age: Micros) -> f64 {
-    rate * age as f64 / SECOND
+/// Units that refill at a rate (in units a second) within `epoch_age` microseconds.
+pub(crate) fn refilled(rate: f64, epoch_age: Micros) -> f64 {
+    rate * epoch_age as f64 / SECOND
 }
 
 #[cfg(test)]
--- a/crates/policy/src/shared_bucket/tests.rs
+++ b/crates/policy/src/shared_bucket/tests.rs
@@ -24,7 +24,7 @@
         total: CountTotal { name: 1, total: *total },
         added,
         refilled,
-        after_silence: false,
+        was_counter_silent: false,
         total_drop_threshold: -BURST - 8.0,
         local_shares: BURST,
     };
@@ -65,5 +65,5 @@
     assert_ne!(name(8, RATE, 1_000).name, first.name);
     assert_ne!(name(7, RATE + 1.0, 1_000).name, first.name);
     assert_ne!(name(7, RATE, 1_030).name, first.name);
-    assert_eq!(name(7, RATE, 1_030).age, first.age);
+    assert_eq!(name(7, RATE, 1_030).epoch_age, first.epoch_age);
 }
--- a/crates/policy/src/stored.rs
+++ b/crates/policy/src/stored.rs
@@ -18,14 +18,14 @@
     pub(crate) spent_since_sync: f64,
     pub(crate) refilled_at: Timestamp,
     pub(crate) unreported: f64,
-    pub(crate) written_off: f64,
+    pub(crate) overflow_to_report: f64,
     pub(crate) level_accuracy: LevelAccuracy,
     pub(crate) reserved: f64,
     pub(crate) others_spend_rate: f64,
     pub(crate) others_total_growth_rate: f64,
     pub(crate) last_total: Option<CountTotal>,
     pub(crate) synced_at: Timestamp,
-    pub(crate) call_in_flight: Option<f64>,
+    pub(crate) units_in_flight: Option<f64>,
     pub(crate) report_due: Timestamp,
     pub(crate) waiting: Vec<RequestId>,
     pub(crate) ceiling_level: f64,
@@ -84,7 +84,7 @@
     pub(crate) objective_fraction_updated_at: Timestamp,
     pub(crate) measured_rate: f64,
     pub(crate) assumed_rate: f64,
-    pub(crate) answers: u64,
+    pub(crate) answers_since_measured: u64,
     pub(crate) measured_at: Timestamp,
 }
 
@@ -98,7 +98,7 @@
             &mut self.ceiling_level,
             &mut self.unreported,
             &mut self.spent_since_sync,
-            &mut self.written_off,
+            &mut self.overflow_to_report,
             &mut self.others_total_growth_rate,
         ] {
             *value = if value.is_finite() { *value } else { 0.0 };
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -20,7 +20,7 @@
 /// The interval at which the harness runs the periodic timer.
 const TICK: Micros = 20 * MS;
 /// The token of the timer for periodic work.
-const PERIODIC_TIMER: u64 = 0;
+const PERIODIC_TIMER_TOKEN: u64 = 0;
 /// A timer token has its kind in the upper byte and the id of the request in the rest.
 const TIMER_KIND_SHIFT: u32 = 56;
 const DEADLINE_TIMER_KIND: u64 = 1;
@@ -181,7 +181,7 @@
 
     /// Runs the periodic work once.
     pub fn tick(&mut self) -> Vec<Action> {
-        self.feed(Event::Timer { token: PERIODIC_TIMER })
+        self.feed(Event::Timer { token: PERIODIC_TIMER_TOKEN })
     }
 
     /// Advances the clock to this time, and runs the periodic work meanwhile.
@@ -247,7 +247,7 @@
     RequestEvent { id, class, units, ..RequestEvent::default() }
 }
 
-/// A request of one unit.
+/// The arrival of a request of one unit from this tenant.
 pub fn request_of_tenant(tenant: u64, id: u32, class: u16) -> RequestEvent {
     RequestEvent { id, class, tenant: TenantId(tenant), ..RequestEvent::default() }
 }
--- a/crates/policy/tests/counter_sync.rs
+++ b/crates/policy/tests/counter_sync.rs
@@ -9,6 +9,9 @@
     actions.iter().any(|action| matches!(action, Action::Log(_)))
 }
 
+/// All gatekeepers report a tenant's spend to the same count. Each gatekeeper computes the level of the
+/// bucket from the total of the count, so the bucket is empty once the total shows that others have spent its
+/// units.
 #[test]
 fn spend_is_reported_under_one_name_by_all_gatekeepers_and_totals_empty_the_bucket() {
     let mut first = Harness::new(settings(), &backends(4));
@@ -20,8 +23,9 @@
 
     let name = first_call.name;
     let actions = first.feed(counter_reply(name, 4.0, Outcome::Ok));
-    let unused =
-        counter_call(&actions).expect("the overflow since the start of the epoch is written off").units;
+    let unused = counter_call(&actions)
+        .expect("the overflow since the start of the epoch is added to the count")
+        .units;
     first.feed(counter_reply(name, 4.0 + unused, Outcome::Ok));
     second.feed(counter_reply(name, 8.0 + unused, Outcome::Ok));
     first.now += 10 * MS;
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Each gatekeeper loses its first request to a silent backend, so few gatekeepers may send to any one
-/// backend.
+/// Each gatekeeper that sends to a silent backend loses its first request there, so only a few gatekeepers
+/// may send to any one backend.
 #[test]
 fn silent_backends_cost_few_gatekeepers_anything() {
     let silent: Vec<u32> = (1..=6).collect();
--- a/crates/policy/tests/outlier_detection.rs
+++ b/crates/policy/tests/outlier_detection.rs
@@ -53,7 +53,7 @@
         backend: u32,
         outcome: Outcome,
     }
-    const PARTITIONED: u32 = 1;
+    const PARTITIONED_BACKEND: u32 = 1;
     let (partition_start, partition_end) = (timestamp(SECOND), timestamp(4 * SECOND));
     let mut harness = Harness::new(Settings { hedging: false, ..unlimited_settings() }, &backends(4));
 
@@ -65,10 +65,10 @@
         let mut actions = harness.request(id, 0, 1.0);
         actions.extend(harness.tick());
         for backend in sent_backends(&actions) {
-            let is_lost = backend == PARTITIONED && is_partitioned;
+            let is_lost = backend == PARTITIONED_BACKEND && is_partitioned;
             let (elapsed, outcome) = if is_lost { (SECOND, Outcome::Reset) } else { (20 * MS, Outcome::Ok) };
             in_flight.push(InFlight { ends_at: harness.now + elapsed, id, backend, outcome });
-            if backend == PARTITIONED && harness.now >= partition_end {
+            if backend == PARTITIONED_BACKEND && harness.now >= partition_end {
                 first_trial.get_or_insert(harness.now);
             }
         }
--- a/crates/policy/tests/stepped_clock.rs
+++ b/crates/policy/tests/stepped_clock.rs
@@ -11,7 +11,7 @@
 /// A time far from zero, as on a real wall clock.
 const NOW: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 /// The backend that is in slow start.
-const COLD: BackendId = BackendId(9);
+const COLD_BACKEND: BackendId = BackendId(9);
 
 /// Settings with a slow start of 10 s that begins at a tenth of the capacity.
 fn slow_start_settings() -> Settings {
@@ -25,15 +25,15 @@
     }
 }
 
-/// Sends 400 requests in 4 s and returns how many go to [`COLD`]. Up to eight are in flight, so that all
-/// backends are used.
+/// Sends 400 requests in 4 s and returns how many go to [`COLD_BACKEND`]. Up to eight are in flight, so that
+/// all backends are used.
 fn sent_to_cold(harness: &mut Harness) -> usize {
     const IN_FLIGHT: usize = 8;
     let (mut sent_to_cold, mut in_flight) = (0, VecDeque::new());
     for id in 0..400 {
         harness.tick_for(10 * MS);
         for backend in sent_backends(&harness.request(id, 0, 1.0)) {
-            sent_to_cold += usize::from(backend == COLD.0);
+            sent_to_cold += usize::from(backend == COLD_BACKEND.0);
             in_flight.push_back((id, backend));
         }
         while in_flight.len() > IN_FLIGHT {
@@ -47,9 +47,9 @@
     sent_to_cold
 }
 
-/// An entry for [`COLD`] with its start on the fleet's clock.
+/// An entry for [`COLD_BACKEND`] with its start on the fleet's clock.
 fn cold_started(started: Timestamp) -> BackendEntry {
-    BackendEntry { id: COLD, started, ..BackendEntry::default() }
+    BackendEntry { id: COLD_BACKEND, started, ..BackendEntry::default() }
 }
 
 fn notify(harness: &mut Harness, entry: BackendEntry) {
