--- a/crates/policy/src/pool_updates.rs
+++ b/crates/policy/src/pool_updates.rs
@@ -24,8 +24,8 @@
         self.on_endpoints(ListKind::Delta, Vec::new());
     }
 
-    /// Sorts the ready backends of each service by preference, and adapts the concurrency limits to their
-    /// number.
+    /// Sorts the ready backends of each service by preference, and adapts the concurrency limits to the
+    /// number of ready backends.
     fn order_pools(&mut self) {
         for (service, pool) in self.pools.iter_mut().enumerate() {
             let ready = self.backends.ready(service as u16);
--- a/crates/policy/src/service_pool.rs
+++ b/crates/policy/src/service_pool.rs
@@ -224,7 +224,7 @@
 }
 
 /// Answers a second that this gatekeeper gets from one warm backend. The capacity of a backend in slow start
-/// is estimated from it.
+/// is estimated from this rate.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerRate {
     /// Running mean of the measured answers a second.
--- a/crates/policy/src/shared_bucket.rs
+++ b/crates/policy/src/shared_bucket.rs
@@ -149,8 +149,8 @@
         self.level = (self.level + (plan.rate - others_spend_rate) * seconds).min(plan.burst);
     }
 
-    /// The highest level that a current total could show: the level if no other gatekeeper has spent
-    /// anything.
+    /// The highest level that a current total could show: the level if no other gatekeeper has spent anything
+    /// since the last total was read.
     pub(crate) fn max_level(&self, plan: &Plan, now: Timestamp) -> f64 {
         self.synced_level + plan.rate * self.seconds_since_sync(now) - self.spent_since_sync
     }
@@ -226,11 +226,11 @@
         let previous_total = self.last_total.filter(|known| known.name == name).map(|known| known.total);
         let others_change = total - added - previous_total.unwrap_or(0.0);
         let reported_spend = added - self.overflow_to_report;
-        // The highest level that is possible by what this gatekeeper knows. If the last total showed a debt,
-        // the debt is included, because this gatekeeper's own reservations were reported in that total.
+        // The highest level that this gatekeeper considers possible. If the last total showed a debt, the
+        // debt is included, because this gatekeeper's own reservations were reported in that total.
         let known_max = self.synced_level + plan.rate * seconds - self.spent_since_sync;
         // Just before the call the bucket held at most a burst. While the name is new, the bucket held at
-        // most the highest level that is possible by what this gatekeeper knows.
+        // most the highest level that this gatekeeper considers possible.
         let is_exact = previous_total.is_some() && self.level_accuracy != LevelAccuracy::Fresh;
         let max_level = if is_exact {
             plan.burst
@@ -318,7 +318,8 @@
         stored.level_accuracy = self.level_accuracy;
         stored.others_spend_rate = self.others_spend_rate;
         stored.others_total_growth_rate = self.others_total_growth_rate;
-        // The call in flight adds to the last total, whichever process receives the answer.
+        // The counter adds the units of the call in flight to the total, whichever process receives the
+        // answer.
         let added = self.units_in_flight.unwrap_or(0.0);
         stored.last_total = self.last_total.map(|known| CountTotal { total: known.total + added, ..known });
         stored.overflow_to_report = if self.is_call_in_flight() { 0.0 } else { self.overflow_to_report };
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -4,9 +4,11 @@
 use crate::stored::StoredBackend;
 use crate::time::{SECOND, Timestamp};
 
-/// Safety margin below the attempts that overload a backend in slow start, in standard deviations.
+/// Standard deviations by which the number of attempts at a backend in slow start is kept below the number
+/// that overloads the backend.
 const SAFETY_MARGIN_DEVIATIONS: f64 = 2.0;
-/// Minimum rate after subtracting the safety margin, as a fraction of the rate without it.
+/// Minimum token rate after subtracting the safety margin, as a fraction of the token rate without the
+/// margin.
 const MIN_TOKEN_RATE_FRACTION: f64 = 0.25;
 /// Maximum tokens that one gatekeeper may accumulate for a backend in slow start.
 const MAX_TOKENS: f64 = 2.0;
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -89,7 +89,7 @@
         snapshot
     }
 
-    /// Units reported as spent for requests of a tenant that wait for a reply of the counter.
+    /// Units reported as spent for those requests of a tenant that wait for a reply of the counter.
     fn provisional_spend(&self, tenant: TenantId) -> f64 {
         let tenant_requests = self.requests.values().filter(|request| request.tenant == tenant);
         tenant_requests.map(|request| request.provisional_spend).sum()
