--- a/crates/front_resp/tests/connections.rs
+++ b/crates/front_resp/tests/connections.rs
@@ -22,6 +22,7 @@
 /// A front that serves on loopback, without any backend.
 struct Fixture {
     front: Arc<Front>,
+    listener: Arc<Listener>,
     address: SocketAddr,
 }
 
@@ -37,9 +38,10 @@
         let front = Front::new(exchange, rules(), MEMORY_BYTES, move || max_connections);
         front.set_ready();
         let listener = Listener::bind("127.0.0.1:0".parse().expect("a valid address")).expect("a free port");
+        let listener = Arc::new(listener);
         let address = listener.local_address().expect("the listener is bound");
-        let accepting = front.clone();
-        link::spawn(move || accepting.accept_connections(&listener));
+        let (accepting, accepted_from) = (front.clone(), listener.clone());
+        link::spawn(move || accepting.accept_connections(&accepted_from));
         let swept = Arc::downgrade(&front);
         std::thread::spawn(move || {
             while let Some(front) = swept.upgrade() {
@@ -47,7 +49,7 @@
                 std::thread::sleep(SWEEP_INTERVAL);
             }
         });
-        Self { front, address }
+        Self { front, listener, address }
     }
 
     fn connect(&self) -> TcpStream {
@@ -192,11 +194,15 @@
 fn serves_again_after_a_successor_has_failed() {
     let fixture = Fixture::start(8);
     let mut handed_over = fixture.connect_and_ping();
+    // As in a hot restart: otherwise new connections would be accepted and handed over too.
+    fixture.listener.set_paused(true);
     fixture.front.hand_over_connections(Arc::new(|socket, _| drop(socket)));
     assert!(fixture.front.is_handing_over());
     assert_eq!(read_until_close(&mut handed_over), "", "the successor has closed the connection");
+    // The worker has closed that connection after the pause, so the accept loop leaves this one in the backlog.
     let mut waiting = fixture.connect();
     fixture.front.resume();
+    fixture.listener.set_paused(false);
     assert!(!fixture.front.is_handing_over());
     waiting.write_all(PING).expect("the connection is open");
     assert_eq!(read_bytes(&mut waiting, PONG.len()), PONG);
