--- a/crates/front_openapi/src/client_connection.rs
+++ b/crates/front_openapi/src/client_connection.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// What a client connection is doing.
+/// Phase of a client connection between two requests, or in the course of one.
 ///
 /// ```text
 ///            first byte             last byte              final answer
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Enters a phase, whose time counts from now. Has no effect if the connection is in this phase already.
+    /// Enters a phase that begins now. Has no effect if the connection is in this phase already.
     pub(crate) fn enter_phase(&self, phase: Phase) {
         let mut current = lock_or_abort(&self.phase);
         if current.phase != phase {
@@ -81,13 +81,13 @@
         (phase == Phase::Idle && since.elapsed() >= min_idle).then_some(since)
     }
 
-    /// Asks the connection's coroutine to close it, unless a request arrives first.
+    /// Asks the connection's coroutine to close the connection, unless a request arrives first.
     pub(crate) fn request_close_if_idle(&self) {
         self.is_close_requested.store(true, Ordering::Release);
         self.connection.wake();
     }
 
-    /// Clears the request of [`ClientConnection::request_close_if_idle`], and returns whether there was one.
+    /// Returns whether [`ClientConnection::request_close_if_idle`] was called since the last call of this method.
     pub(crate) fn take_close_request(&self) -> bool {
         self.is_close_requested.swap(false, Ordering::AcqRel)
     }
--- a/crates/front_openapi/src/config.rs
+++ b/crates/front_openapi/src/config.rs
@@ -36,13 +36,13 @@
     pub classes: Vec<RouteClass>,
     /// Name of the header in which a client sends the tenant's name.
     pub tenant_header: String,
-    /// The tenants that may send requests. A request of any other is answered with 403.
+    /// The tenants that may send requests. A request of any other tenant is answered with 403.
     pub tenants: Vec<Tenant>,
-    /// Number of gatekeepers that serve one tenant.
+    /// Number of gatekeepers to which one tenant sends its requests.
     pub tenant_gatekeeper_count: f64,
-    /// Maximum bytes of a request's body after decoding. A longer one is answered with 413.
+    /// Maximum bytes of a request's body after decoding. A request with a longer body is answered with 413.
     pub max_body_bytes: usize,
-    /// Maximum number of client connections. At this limit, idle ones are evicted for new ones.
+    /// Maximum number of client connections. At this limit, idle connections are evicted to make room for new ones.
     pub max_connections: usize,
     /// Time limit for a client to send a complete request, and to read an answer.
     pub client_timeout: Duration,
--- a/crates/front_openapi/src/front.rs
+++ b/crates/front_openapi/src/front.rs
@@ -11,7 +11,8 @@
 
 /// A client connection that has been idle for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// At the limit of connections, one that has been idle for at least this long is evicted for a new one.
+/// At the limit of connections, a connection that has been idle for at least this long may be evicted to make room for a new
+/// one.
 pub(crate) const MIN_IDLE_FOR_EVICTION: Duration = Duration::from_secs(2);
 /// Interval between two evictions at the limit of connections.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(2);
@@ -25,7 +26,7 @@
     pub(crate) config: FrontConfig,
     is_draining: AtomicBool,
     connections: Mutex<Vec<Weak<ClientConnection>>>,
-    /// Numbers of final answers by route, indexed by the route's number.
+    /// Counts of the final answers of each route, indexed by the route's number.
     pub(crate) counts: Mutex<Vec<RouteCounts>>,
 }
 
@@ -40,7 +41,7 @@
     /// Accepts client connections until the listener is closed. Runs in a coroutine.
     pub fn accept_connections(self: &Arc<Self>, listener: &Listener) {
         while let Some(connection) = listener.accept() {
-            // At the limit a new connection waits until another one is evicted. If it were closed, its client would only
+            // At the limit a new connection waits until another one is evicted. A client whose connection is closed would only
             // reconnect.
             while self.is_full() {
                 self.evict_longest_idle();
@@ -92,7 +93,7 @@
         connections.len() >= self.config.max_connections
     }
 
-    /// Evicts the longest idle connection, if it has been idle for [`MIN_IDLE_FOR_EVICTION`].
+    /// Evicts the connection that has been idle for the longest time, if this time is at least [`MIN_IDLE_FOR_EVICTION`].
     fn evict_longest_idle(&self) {
         let clients = self.open_clients();
         let evictable =
--- a/crates/front_openapi/src/report.rs
+++ b/crates/front_openapi/src/report.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Sums up the units of the accounts that are included.
+/// Sums up the units of the accounts for which `is_included` returns true.
 fn sum_units(units: &UnitsByAccount, is_included: impl Fn(u32) -> bool) -> f64 {
     let included = units.iter().filter(|(account, _)| is_included(**account));
     // `Iterator::sum` returns -0 for an empty iterator, which would be printed as `-0`.
--- a/crates/front_openapi/src/serve.rs
+++ b/crates/front_openapi/src/serve.rs
@@ -12,12 +12,12 @@
 use policy::Micros;
 use std::sync::Arc;
 
-/// Bytes that a client may pipeline while a request is in flight. Once they are buffered, its connection is not read
-/// (backpressure).
+/// Bytes that a client may pipeline while a request is in flight. Once this many bytes are buffered, the connection is not
+/// read (backpressure).
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Time between the exchange's deadline and the client's timeout, to cover the resolution of timers.
+/// Time by which the exchange's deadline precedes the client's timeout, to cover the resolution of timers.
 const DEADLINE_MARGIN_MICROS: Micros = 10_000;
-/// Minimum time that a request has, however short its deadline.
+/// Minimum time that a request has at the exchange, however short its deadline.
 const MIN_TIME_LEFT_MICROS: Micros = 1_000;
 
 impl Front {
--- a/crates/front_resp/src/answer_queue.rs
+++ b/crates/front_resp/src/answer_queue.rs
@@ -7,7 +7,7 @@
 
 /// The answer to one command.
 pub(crate) enum Slot {
-    /// The answer is outstanding. The id is set once the request is submitted.
+    /// The answer is outstanding. Holds the request's id once the request is submitted to the exchange.
     Waiting(Option<RequestId>),
     /// The answer is complete and waits until all earlier ones are written.
     Answered { bytes: Vec<u8>, _reservation: Reservation },
@@ -18,11 +18,11 @@
 /// Number of a command, counted from 0 in the order of arrival on its connection.
 pub(crate) type CommandNumber = u64;
 
-/// Commands that are not answered yet, in order. An answer is written when it is at the front (head-of-line blocking, as
-/// pipelining requires).
+/// Commands that are not answered yet, in order. Only the answer to the command at the front of the queue is written
+/// (head-of-line blocking, as pipelining requires).
 #[derive(Default)]
 pub(crate) struct AnswerQueue {
-    /// The number of the command at the front.
+    /// The number of the command at the front of the queue.
     first_number: CommandNumber,
     slots: VecDeque<Slot>,
     requests_in_flight: usize,
--- a/crates/front_resp/src/client.rs
+++ b/crates/front_resp/src/client.rs
@@ -6,7 +6,7 @@
 use link::{Connection, lock_or_abort};
 use std::sync::{Arc, Mutex};
 
-/// A client's connection: the socket, and the state behind a lock.
+/// A client's connection: the socket, and the connection's state, which a lock protects.
 pub(crate) struct ClientConnection {
     pub(crate) socket: Connection,
     pub(crate) state: Mutex<ClientState>,
--- a/crates/front_resp/src/client_state.rs
+++ b/crates/front_resp/src/client_state.rs
@@ -24,7 +24,7 @@
 pub(crate) struct ClientState {
     /// Pipelined commands and their answers.
     pub(crate) answers: AnswerQueue,
-    /// The command of which only a part has arrived, if there is one.
+    /// The command at the end of the input, of which only a part has arrived, if there is one.
     pub(crate) incomplete: IncompleteCommand,
     /// Bytes of answers that the client had not read at the last check.
     pub(crate) unread: Reservation,
@@ -94,7 +94,8 @@
         (self.answers.is_empty() && !self.incomplete.is_pending()).then(|| self.idle_since.elapsed())
     }
 
-    /// Idle time of the connection, if it is long enough for an eviction: a shorter time suffices before the first request.
+    /// Idle time of the connection, if this time is long enough for an eviction. A shorter time suffices if the client has sent
+    /// no request yet.
     pub(crate) fn evictable_for(&self) -> Option<Duration> {
         let timeout = if self.had_request { IDLE_TIMEOUT } else { UNUSED_TIMEOUT };
         self.idle_time().filter(|&idle| idle >= timeout)
@@ -110,7 +111,7 @@
         self.is_eviction_requested = true;
     }
 
-    /// Clears the eviction request, and returns whether there was one and the connection is still evictable.
+    /// Clears the eviction request. Returns whether an eviction was requested and the connection is still evictable.
     pub(crate) fn take_eviction(&mut self) -> bool {
         std::mem::take(&mut self.is_eviction_requested) && self.evictable_for().is_some()
     }
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -18,7 +18,7 @@
     ClientGone,
     /// The idle timeout has passed, or the connection is evicted.
     Idle,
-    /// The process shuts down: no more commands are read, and those that were read are answered.
+    /// The process shuts down: no more commands are read, and commands that were read before are answered.
     Shutdown,
     /// A successor continues with the connection.
     HandedOver,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Answers an error after all earlier commands, and closes the connection. Bytes that still arrive are ignored.
+    /// Sends an error after the answers to all earlier commands, and closes the connection. Bytes that still arrive are ignored.
     fn end_with_error(&self, client: &ClientConnection, text: &str) {
         let command = {
             let mut state = lock_or_abort(&client.state);
@@ -97,7 +97,8 @@
 
 /// Waits until all commands are answered, and closes the connection gracefully.
 fn close_after_answers(client: &ClientConnection) {
-    // A few more reads notice whether the client disconnects. After them, TCP flow control stops a client that keeps sending.
+    // A few more reads notice whether the client disconnects. After these reads, TCP flow control stops a client that keeps
+    // sending.
     let mut unread = Vec::new();
     for _ in 0..MAX_READS_WHILE_ENDING {
         if lock_or_abort(&client.state).answers.is_empty() {
--- a/crates/front_resp/src/connection_table.rs
+++ b/crates/front_resp/src/connection_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// The reserve for new connections is the limit divided by this.
+/// The reserve for new connections is the connection limit divided by this number.
 const RESERVE_DIVISOR: usize = 4;
 
 /// Number of a connection, counted from 1 in the order in which this front opened them.
@@ -48,7 +48,7 @@
         lock_or_abort(&self.open).by_number.len() >= (self.max_connections)()
     }
 
-    /// Returns how many connections must be evicted to restore the reserve for new ones, if `open` are open.
+    /// Returns how many of `open` connections must be evicted to restore the reserve for new connections.
     pub(crate) fn connections_to_evict(&self, open: usize) -> usize {
         let max_connections = (self.max_connections)();
         let target = max_connections - max_connections / RESERVE_DIVISOR;
--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -30,7 +30,7 @@
     Submit(Submission),
 }
 
-/// A valid request whose id is registered as in use.
+/// A valid request. Its id is registered, so that no other request can use the id.
 struct Submission {
     request: Request<RequestCommand>,
     open: OpenRequest,
@@ -88,8 +88,8 @@
             Ok(valid) => valid,
             Err(error) => return Command::Error(error.to_string()),
         };
-        // The client's deadline runs from the moment it sent the request. The bytes may have waited while the connection table
-        // was full or this process was descheduled.
+        // The client's deadline runs from the moment at which the client sent the request. Since then the bytes may have waited
+        // while the connection table was full or this process was descheduled.
         let waited = client.socket.time_since_last_data().unwrap_or_default();
         valid.request.time_left = time_left_after(valid.request.time_left, waited);
         let Some(open) = self.open_requests.register(valid.id) else {
@@ -130,7 +130,8 @@
     }
 }
 
-/// Deducts the time that a request has waited. Leaves a minimum, so that a request without time is still answered at once.
+/// Deducts the time that a request has waited. Leaves [`MIN_TIME_LEFT_MICROS`], so that an expired request is still answered
+/// at once.
 fn time_left_after(time_left: u64, waited: Duration) -> u64 {
     time_left.saturating_sub(waited.as_micros() as u64).max(MIN_TIME_LEFT_MICROS)
 }
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// At the connection limit, a lingering connection is closed after the linger timeout divided by this.
+/// At the connection limit, a lingering connection is closed after the linger timeout divided by this number.
 const LINGER_DIVISOR: u32 = 4;
 
 /// A connection that may be evicted.
@@ -81,7 +81,7 @@
 }
 
 impl EvictableState {
-    /// Connections with the greatest value are evicted first.
+    /// The time by which connections are ordered for eviction: the longest time is evicted first.
     fn precedence(self) -> Duration {
         match self {
             Self::Lingering(_) => Duration::MAX,
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -94,8 +94,8 @@
     /// Accepts connections until the listener is closed. Runs in a coroutine.
     pub fn accept_connections(self: &Arc<Self>, listener: &Listener) {
         while let Some(socket) = listener.accept() {
-            // At the limit a new connection waits until others are evicted, and later ones wait in the backlog. If it were
-            // closed, its client would only reconnect.
+            // At the limit a new connection waits until others are evicted, and later ones wait in the backlog. A client whose
+            // connection is closed would only reconnect.
             while self.connections.is_full() {
                 self.connections.evict(1);
                 sleep(CAPACITY_CHECK_INTERVAL);
@@ -157,7 +157,7 @@
         self.connections.wake_all();
     }
 
-    /// Whether connections are being handed over to a successor. No requests are admitted meanwhile.
+    /// Whether connections are being handed over to a successor. During the hand-over no requests are admitted.
     pub fn is_handing_over(&self) -> bool {
         self.is_handing_over.load(Ordering::Acquire)
     }
--- a/crates/front_resp/src/incomplete_command.rs
+++ b/crates/front_resp/src/incomplete_command.rs
@@ -51,7 +51,8 @@
         self.since.map(|since| since.elapsed())
     }
 
-    /// When the command began, if it may be shed: it is larger than typical ones, and not shed yet.
+    /// When the timeout of the command started, if the command may be shed: it is larger than a typical command, and not shed
+    /// yet.
     pub(crate) fn sheddable_since(&self) -> Option<Instant> {
         let is_large = self.reservation.bytes() >= TYPICAL_REQUEST_BYTES;
         self.since.filter(|_| is_large && !self.is_shed)
--- a/crates/front_resp/src/memory.rs
+++ b/crates/front_resp/src/memory.rs
@@ -1,4 +1,4 @@
-//! Byte budgets that all clients share. They keep the process below its memory limit, beyond which the system kills it.
+//! Byte budgets that all clients share. The budgets keep the process below its memory limit, above which the system kills it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,7 +21,7 @@
     }
 }
 
-/// One owner's share of a budget, released when dropped.
+/// The bytes of a budget that one owner has reserved, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: Arc<MemoryBudget>,
--- a/crates/front_resp/src/open_requests.rs
+++ b/crates/front_resp/src/open_requests.rs
@@ -10,7 +10,7 @@
     ids: Mutex<HashSet<Vec<u8>>>,
 }
 
-/// A request in flight. Its id is free again when this is dropped.
+/// A request in flight. Dropping the value frees the request's id.
 pub(crate) struct OpenRequest {
     requests: Arc<OpenRequests>,
     id: Vec<u8>,
--- a/crates/front_resp/src/rules.rs
+++ b/crates/front_resp/src/rules.rs
@@ -9,9 +9,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Time between the exchange's deadline and the client's, to cover network latency and timer resolution.
+/// Time by which the exchange's deadline precedes the client's deadline, to cover network latency and timer resolution.
 const ANSWER_MARGIN_MICROS: u64 = 10_000;
-/// Minimum time that a request has, however short its client's deadline.
+/// Minimum time that a request has at the exchange, however short its client's deadline.
 const MIN_TIME_LEFT_MICROS: u64 = 1_000;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 /// Exclusive upper bound of the tenant numbers in the protocol.
@@ -75,7 +75,7 @@
     /// The id is empty, too long, or not graphic ASCII.
     #[error("no usable id")]
     Id,
-    /// The list of values is malformed or repeats a name.
+    /// The request's list of values is malformed or repeats a name.
     #[error("a malformed list of values")]
     Values,
     /// The class is not in the settings.
@@ -108,7 +108,7 @@
     pub(crate) id: Vec<u8>,
 }
 
-/// The known values of a request's list.
+/// The values in a request's list whose names the protocol defines.
 #[derive(Default)]
 struct RequestValues<'a> {
     class: Option<&'a str>,
@@ -182,8 +182,8 @@
         units.filter(in_range).ok_or(InvalidRequest::Units)
     }
 
-    /// Returns the number of gatekeepers that serve the tenant; 0 if the request does not state it, which the policy treats as
-    /// all.
+    /// Returns the number of gatekeepers that serve the tenant. 0 if the request does not state the number: the policy then
+    /// assumes all gatekeepers.
     fn tenant_gatekeepers(&self, values: &RequestValues<'_>) -> Result<f64, InvalidRequest> {
         let in_range = |spread: &u64| (1..=self.gatekeeper_count).contains(spread);
         let spread = values.spread.map_or(Some(0), |text| parse_digits(text).filter(in_range));
@@ -199,8 +199,8 @@
 }
 
 impl<'a> RequestValues<'a> {
-    /// Parses the known values. Returns `None` if one is repeated, since two parsers could choose different ones, or is not
-    /// UTF-8.
+    /// Parses the list of values. Returns `None` if a known name is repeated, since two parsers could choose different values, or
+    /// if a value is not UTF-8.
     fn parse(raw: &'a [u8], list: Range<usize>) -> Option<Self> {
         let mut values = Self::default();
         for (name, value) in resp::named_values(raw, list) {
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -22,7 +22,7 @@
         self.write_due_answers(client);
     }
 
-    /// Stores a streamed answer, and writes it as it arrives and the client reads.
+    /// Stores a streamed answer, and writes its parts as they arrive and the client reads.
     pub(crate) fn stream(
         self: &Arc<Self>,
         client: &Arc<ClientConnection>,
--- a/crates/handover/src/error.rs
+++ b/crates/handover/src/error.rs
@@ -6,13 +6,13 @@
 /// Why a message could not be sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection failed, or its timeout passed.
+    /// The connection to the peer failed, or the peer sent or read nothing until the timeout.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The peer announced a frame that exceeds [`MAX_FRAME_BYTES`].
+    /// The header of a frame from the peer states a length above [`MAX_FRAME_BYTES`].
     #[error("the peer announced a frame of {length} bytes, at most {MAX_FRAME_BYTES} are allowed")]
     FrameTooLong {
-        /// Announced length in bytes.
+        /// Length of the frame's body in bytes, as the frame's header states it.
         length: usize,
     },
     /// A message of this process cannot be serialized. Nothing was sent.
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -12,8 +12,8 @@
 
 /// Bytes of an encoded entry.
 const ENTRY_BYTES: usize = 28;
-/// More unread entries than this may mean that some were lost. Linux's default socket buffer holds 270 entries of this size with
-/// the kernel's overhead.
+/// Number of unread entries above which entries may have been lost. Linux's default socket buffer holds 270 entries of
+/// [`ENTRY_BYTES`] with the kernel's overhead.
 const MAX_UNREAD_ENTRIES: usize = 64;
 /// Accepted values of [`Admission::tenant_gatekeepers`].
 const VALID_GATEKEEPERS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
@@ -100,7 +100,7 @@
 pub fn read_journal(reader: OwnedFd, mut on_entry: impl FnMut(Admission)) -> JournalEnd {
     let mut reader = UnixStream::from(reader);
     let mut buffer = [0; ENTRY_BYTES * MAX_UNREAD_ENTRIES];
-    // Bytes of an incomplete entry at the front of the buffer.
+    // Number of bytes of an incomplete entry at the front of the buffer.
     let mut partial = 0;
     let mut is_complete = true;
     loop {
--- a/crates/handover/src/peer.rs
+++ b/crates/handover/src/peer.rs
@@ -22,7 +22,7 @@
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 /// Bytes of a frame's header, which holds the length of its body.
 const HEADER_BYTES: usize = 4;
-/// A peer that makes no progress for this long within a frame has failed.
+/// Timeout for progress within a frame. A peer that makes none for this long has failed.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The connection between the predecessor and the successor of a hot restart.
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -20,17 +20,17 @@
     /// The size of a chunk.
     #[default]
     Size,
-    /// The data of a chunk, of which this many bytes are left.
+    /// The data of a chunk. The value is the number of bytes of the chunk that are still to be read.
     Data(u64),
     /// The CRLF after a chunk's data.
     DataEnd,
     /// The trailer section after the last chunk.
     Trailer,
-    /// No further bytes: the body has ended.
+    /// Nothing, since the body has ended.
     Done,
 }
 
-/// The number of bytes that a step of the decoder has consumed; `None` if more must arrive.
+/// The number of bytes that a step of the decoder has consumed; `None` if more bytes must arrive before the step.
 type StepResult = Result<Option<usize>, HttpError>;
 
 impl ChunkedDecoder {
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -32,11 +32,11 @@
     InvalidContentLength,
     /// There are several `Transfer-Encoding` fields.
     RepeatedTransferEncoding,
-    /// The transfer coding is other than `chunked`.
+    /// `Transfer-Encoding` names another coding than `chunked`.
     UnsupportedTransferEncoding,
     /// An HTTP/1.0 request has a `Transfer-Encoding`.
     TransferEncodingInHttp10,
-    /// Both `Content-Length` and `Transfer-Encoding` frame the body.
+    /// The message has both a `Content-Length` and a `Transfer-Encoding` field.
     ConflictingFraming,
     /// The size of a chunk is not a hexadecimal number.
     ChunkSize,
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -5,7 +5,7 @@
 
 /// Maximum bytes of the head of a message: its start line and header fields.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Maximum header fields of a head.
+/// Maximum number of header fields in a head.
 pub const MAX_HEADER_FIELDS: usize = 64;
 /// Maximum digits of a `Content-Length`, so that it fits 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
@@ -44,7 +44,7 @@
     pub value: Range<usize>,
 }
 
-/// Returns the range that `part`, a slice of `buffer`, has in it.
+/// Returns the range of indexes in `buffer` that `part`, a slice of `buffer`, covers.
 pub(crate) fn range_in(buffer: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - buffer.as_ptr() as usize;
     start..start + part.len()
@@ -76,7 +76,7 @@
     tokens.any(|listed| listed.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
 }
 
-/// Returns the framing that the fields state; `None` if they state none. Returns an error if it is ambiguous.
+/// Returns the framing that the fields state; `None` if they state no framing. Returns an error if the framing is ambiguous.
 pub(crate) fn stated_framing(buffer: &[u8], fields: &[HeaderField]) -> Result<Option<Framing>, HttpError> {
     let length = single_value(buffer, fields, "content-length", MalformedMessage::RepeatedContentLength)?;
     let coding =
@@ -95,8 +95,8 @@
     }
 }
 
-/// Returns the value of a field that may occur only once; `None` if it is absent. Returns the error `if_repeated` if it occurs
-/// more than once.
+/// Returns the value of a field that may occur only once; `None` if the field is absent. Returns the error `if_repeated` if the
+/// field occurs more than once.
 fn single_value<'a>(
     buffer: &'a [u8],
     fields: &'a [HeaderField],
@@ -131,7 +131,7 @@
 fn is_end_to_end(buffer: &[u8], fields: &[HeaderField], name: &[u8]) -> bool {
     let has_name = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
     if has_name("host") {
-        // A client must not be able to remove `Host` by listing it in `Connection`.
+        // A client must not be able to remove the field `Host` by listing `Host` in `Connection`.
         return true;
     }
     let is_listed = |name: &str| has_list_token(buffer, fields, "connection", name);
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -16,7 +16,7 @@
 /// Minor version of HTTP/1.0.
 const HTTP_1_0: u8 = 0;
 
-/// The head of a request. It refers to its parts by their ranges in the buffer.
+/// The head of a request. Its parts are ranges of bytes in the buffer from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// Range in the buffer of the method, such as `GET`.
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -187,8 +187,8 @@
     })
 }
 
-/// Returns the `Content-Length` to send. A response without a body keeps the backend's, which states the length that the body
-/// would have in a response to GET.
+/// Returns the `Content-Length` to send. A response without a body keeps the `Content-Length` of the backend, which states the
+/// length that the body would have in a response to GET.
 fn length_to_send(message: &[u8], head: &ResponseHead, body: &[u8]) -> Option<u64> {
     match head.framing {
         Framing::Empty if head.status == NO_CONTENT => None,
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Regression: the clients of discovery and Consul took an interim response for the final one.
+/// Regression: the clients of the discovery agent and of Consul treated an interim response as the final one.
 #[test]
 fn skips_interim_responses() {
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
--- a/crates/openapi/src/description.rs
+++ b/crates/openapi/src/description.rs
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Returns the route of an operation, without a base path.
+    /// Returns the route of an operation. The caller prepends the base path.
     fn read_operation(
         &self,
         path: &str,
--- a/crates/openapi/src/error.rs
+++ b/crates/openapi/src/error.rs
@@ -54,25 +54,25 @@
     /// The path item of a path, or one of its operations, is invalid or not supported.
     #[error("path {path}: {source}")]
     Path {
-        /// The path as written in the description.
+        /// The path of the path item, as written in the description.
         path: String,
-        /// Why the path cannot be served.
+        /// Why the path item cannot be served.
         source: Box<DescriptionError>,
     },
-    /// A key with the prefix `x-snowfield-` is misspelled, or is allowed only at other locations.
+    /// A key with the prefix `x-snowfield-` is not an extension, or is an extension for another kind of object.
     #[error("{location} has {key}, which is not allowed there")]
     UnknownExtension {
-        /// The object that has the extension, for example an operation.
+        /// The object that has the key, for example an operation.
         location: String,
-        /// Name of the extension, with its prefix.
+        /// The key, including the prefix `x-snowfield-`.
         key: String,
     },
     /// An `x-snowfield-default` has a key other than `units`, `class` and `service`.
     #[error("{location} has the unknown key {key:?}")]
     UnknownDefault {
-        /// The `x-snowfield-default` with the key.
+        /// The `x-snowfield-default` that has the unknown key.
         location: String,
-        /// The unknown key, as written.
+        /// The unknown key, as written in the description.
         key: String,
     },
     /// An `x-snowfield-default` sets no default: it is an empty object, or not an object. The value is its location.
@@ -81,18 +81,18 @@
     /// The units of an operation or a default are 0, negative or not a number. The value is their location.
     #[error("the units of {0} are not a number above 0")]
     InvalidUnits(String),
-    /// The name of a class or of a service is empty, or a value other than text.
+    /// The name of a class or of a service is the empty string or not a string.
     #[error("the {key} of {location} must be text that is not empty")]
     InvalidName {
-        /// The extension with the invalid name: `class` or `service`.
+        /// The extension whose value is invalid: `class` or `service`.
         key: &'static str,
-        /// The operation or the default that has the extension.
+        /// The operation or the `x-snowfield-default` with the invalid name.
         location: String,
     },
-    /// Neither an operation nor a default for it sets the units. The value names the operation.
+    /// Neither an operation nor an `x-snowfield-default` that applies to it sets the units. The value names the operation.
     #[error("{0} has no units (x-snowfield-units), and no x-snowfield-default applies")]
     NoUnits(String),
-    /// Neither an operation nor a default for it sets the class. The value names the operation.
+    /// Neither an operation nor an `x-snowfield-default` that applies to it sets the class. The value names the operation.
     #[error("{0} has no class (x-snowfield-class), and no x-snowfield-default applies")]
     NoClass(String),
     /// A key of a path item is neither a supported method nor another known key, for example `trace`.
@@ -134,13 +134,13 @@
     /// Two operations have the same method and, apart from the names of parameters, the same path.
     #[error("{method} {path} is already defined by {other_description}, as {method} {other_path}")]
     DuplicateRoute {
-        /// Method of both operations, in upper case.
+        /// HTTP method of both operations, in upper case.
         method: String,
-        /// Path template of the operation that was read later.
+        /// Path template of the operation that was read second.
         path: String,
-        /// Name of the description that defines the operation that was read earlier.
+        /// Name of the description that defines the operation that was read first.
         other_description: String,
-        /// Path template of the operation that was read earlier.
+        /// Path template of the operation that was read first.
         other_path: String,
     },
 }
--- a/crates/openapi/src/template.rs
+++ b/crates/openapi/src/template.rs
@@ -40,8 +40,8 @@
         is_same_length && self.0.iter().zip(segments).all(|(segment, bytes)| segment.matches(bytes))
     }
 
-    /// Number of literal segments. Of two unambiguous templates that match one request, the more specific template has more
-    /// literal segments.
+    /// Number of literal segments. If two unambiguous templates match the same request, the one with more literal segments is the
+    /// more specific one.
     pub(crate) fn specificity(&self) -> usize {
         self.0.iter().filter(|segment| matches!(segment, Segment::Literal(_))).count()
     }
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -34,16 +34,16 @@
     /// The line is not UTF-8.
     #[error("the line is no text")]
     NotUtf8,
-    /// The line has no word.
+    /// The line is empty or has only white space.
     #[error("an empty line")]
     Empty,
     /// The line has more words than any command.
     #[error("too many words")]
     TooManyWords,
-    /// An id follows a command that takes none.
+    /// The command takes no backend id, but a word follows it.
     #[error("this call takes no id")]
     UnexpectedId,
-    /// No id follows a command that takes one.
+    /// The command takes a backend id, but no id follows it.
     #[error("this call takes the id of a loan server")]
     MissingId,
     /// The first word is not a command.
--- a/crates/operator/src/metrics.rs
+++ b/crates/operator/src/metrics.rs
@@ -23,7 +23,7 @@
 pub struct RejectionCount {
     /// Value of the series' label `reason`.
     pub reason: &'static str,
-    /// Number of requests since the process started.
+    /// Number of requests that were rejected for this reason since the process started.
     pub count: u64,
 }
 
@@ -32,7 +32,7 @@
 pub struct ViolationCount {
     /// Name of the guard: the value of the series' label `guard`.
     pub guard: &'static str,
-    /// Number of violations since the process started.
+    /// Number of violations that the guard has found since the process started.
     pub count: u64,
 }
 
@@ -55,8 +55,8 @@
     pub reloads: u64,
     /// Failed reloads of the configuration.
     pub reload_errors: u64,
-    /// Whether an operator's ejection or restoration is not on disk yet. A process that starts without a predecessor would
-    /// not apply it.
+    /// Whether an operator's ejection or restoration is not on disk yet. A process that starts without a predecessor would not
+    /// know of this change.
     pub ejections_pending: bool,
     /// Violations of invariants, by guard.
     pub violations: Vec<ViolationCount>,
@@ -110,7 +110,7 @@
     }
 }
 
-/// The name and the value that distinguish a series from others of the same metric.
+/// The label that distinguishes a series from other series of the same metric.
 struct Label<'a> {
     name: &'a str,
     value: &'a str,
--- a/crates/settings/src/appliance/cluster.rs
+++ b/crates/settings/src/appliance/cluster.rs
@@ -215,7 +215,7 @@
     text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Validates each of the three tables, and the lease store's timeout against the shortest period.
+/// Validates the tables `[cluster]`, `[probe]` and `[[duty]]`, and the lease store's timeout against the shortest period.
 pub(super) fn validate(
     cluster: Option<&ClusterConfig>,
     health_check: Option<&HealthCheckConfig>,
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -42,7 +42,7 @@
     /// Maximum duration of a blocking query in milliseconds.
     #[serde(default = "default_wait_ms")]
     pub wait_ms: u64,
-    /// The worst health status of an eligible backend.
+    /// The worst health status with which a backend is eligible.
     #[serde(rename = "takes_work", default)]
     pub minimum_health: MinimumHealth,
     /// Cache file of the endpoint lists, relative to the directory of this file.
@@ -66,7 +66,7 @@
     pub sudden_loss_retention_ms: u64,
 }
 
-/// The worst health status of an eligible backend.
+/// The worst health status with which a backend is eligible.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MinimumHealth {
--- a/crates/settings/src/appliance/plan_version.rs
+++ b/crates/settings/src/appliance/plan_version.rs
@@ -17,7 +17,7 @@
 /// practically no requests.
 const MIN_RATE: f64 = 1.0 / 86_400.0;
 
-/// Applies a version: returns the plans of the file, with those that the version contains replaced.
+/// Returns the plans of the file, after replacing the limits of the plans that the version contains.
 ///
 /// # Errors
 ///
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -18,7 +18,7 @@
     /// On a reload, the new file lacks a key that the file in force has.
     #[error("the key {key} is missing")]
     MissingKey {
-        /// Dotted path of the missing key.
+        /// Path of the missing key from the root of the file, with dots between the keys.
         key: String,
     },
     /// The value of a key is out of its range, or has the wrong form.
@@ -49,7 +49,7 @@
         /// Change to the file that corrects the error.
         remedy: &'static str,
     },
-    /// A list that needs entries has none.
+    /// A list that must not be empty has no entries.
     #[error("{key}: at least one is needed")]
     EmptyList {
         /// The key of the empty list.
@@ -58,13 +58,13 @@
     /// The name of an entry of a list is empty.
     #[error("a {kind} has no name")]
     Unnamed {
-        /// The kind of entry, for example `plan`; often the key of the list.
+        /// What the list contains, for example `plan`; often the key of the list.
         kind: &'static str,
     },
     /// Two entries of a list have the same name.
     #[error("{kind} {name:?} comes twice")]
     Duplicate {
-        /// The kind of entry, for example `plan`; often the key of the list.
+        /// What the list contains, for example `plan`; often the key of the list.
         kind: &'static str,
         /// The name that occurs more than once.
         name: String,
@@ -74,13 +74,13 @@
     UnknownPlan {
         /// Name of the tenant (key `lender` in the file).
         tenant: String,
-        /// Name of the undefined plan.
+        /// Name of the plan that the file does not define.
         plan: String,
     },
     /// A version of the replicated plans has a plan that the file does not define. Versions can only change the limits of plans.
     #[error("plan {plan:?} is none of the file's; a new one needs a restart")]
     PlanNotInFile {
-        /// Name of the undefined plan.
+        /// Name of the plan that the file does not define.
         plan: String,
     },
     /// The rate or the burst of a plan is not above 0, so that the plan would admit no requests.
@@ -92,7 +92,7 @@
     /// The hard ceiling of a plan would reject requests within the plan's quota.
     #[error("plan {plan:?} has its ceiling below its quota")]
     CeilingBelowQuota {
-        /// Name of the plan with the two limits.
+        /// Name of the plan whose ceiling is below its quota.
         plan: String,
     },
     /// The times of some classes violate the timing rules.
@@ -103,11 +103,11 @@
     UnknownEffect {
         /// Name of the class, as in the file.
         class: String,
-        /// The value of the class's key `effect`.
+        /// The unknown value of the class's key `effect`.
         effect: String,
     },
     /// `[agreed]` is present without `[cluster]`, which has the name of this instance and the key file for replication.
-    #[error("agreed: the table [cluster] is missing, which has this instance's name and key")]
+    #[error("agreed: the table [cluster] is missing; it sets this instance's name and key file")]
     ReplicationWithoutCluster,
     /// A replica has no `agreed.listen`, or an instance that is not a replica has one.
     #[error("agreed: a voter needs listen, and only a voter has it")]
@@ -118,9 +118,9 @@
          a failed lease request could not be retried in the same period"
     )]
     StoreTimeoutTooLong {
-        /// Timeout of the lease store in milliseconds.
+        /// The configured timeout of a lease request, in milliseconds.
         timeout_ms: u64,
-        /// Shortest period of a job or health check in milliseconds.
+        /// Shortest of the configured periods of jobs and health checks, in milliseconds.
         period_ms: u64,
     },
     /// All configurations since the process started have too many different classes or plans together.
--- a/crates/settings/src/error/tests.rs
+++ b/crates/settings/src/error/tests.rs
@@ -70,7 +70,7 @@
     for (error, text) in [
         (
             SettingsError::ReplicationWithoutCluster,
-            "agreed: the table [cluster] is missing, which has this instance's name and key",
+            "agreed: the table [cluster] is missing; it sets this instance's name and key file",
         ),
         (SettingsError::ReplicaListenerMismatch, "agreed: a voter needs listen, and only a voter has it"),
         (
--- a/crates/settings/src/numbering.rs
+++ b/crates/settings/src/numbering.rs
@@ -5,8 +5,8 @@
 use crate::platform::PlatformConfig;
 use policy::{Plan, RequestClass, Settings};
 
-/// Maximum number of classes, and of plans, over all configurations since the process started, which bounds the memory for
-/// repeated reloads.
+/// Maximum number of classes, and also of plans, in all configurations since the process started. The limit bounds the memory
+/// that repeated reloads use.
 pub(crate) const MAX_CLASSES_OR_PLANS: usize = 4096;
 
 /// A class of the configuration in force.
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -30,7 +30,7 @@
     pub max_memory_bytes: usize,
     /// Address of the quota counter; `None` if the gatekeeper uses no counter.
     pub counter: Option<SocketAddr>,
-    /// The last endpoint list of this gatekeeper; empty if the file has none.
+    /// The endpoint list in the file, to be used until the discovery agent sends one; empty if the file has none.
     pub cached_list: EndpointList,
     /// Settings of the policy that follow from the file.
     pub settings: policy::Settings,
--- a/crates/settings/src/platform/file.rs
+++ b/crates/settings/src/platform/file.rs
@@ -15,7 +15,7 @@
     pub(super) limits: Limits,
     pub(super) counter: Option<String>,
     pub(super) operator: Option<String>,
-    /// The endpoint list that was cached last.
+    /// The endpoint list that the gatekeeper uses until the discovery agent sends one.
     #[serde(default)]
     pub(super) known: EndpointList,
     pub(super) settings: Settings,
--- a/crates/simhost/src/settings.rs
+++ b/crates/simhost/src/settings.rs
@@ -21,7 +21,7 @@
     InvalidValue {
         /// Path of the setting, for example `classes.0.effect`.
         key: String,
-        /// The value behind the equals sign.
+        /// The invalid value: the text behind the equals sign.
         value: String,
     },
     /// A setting is out of the range that the policy accepts.
@@ -33,7 +33,7 @@
 struct SettingValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> SettingValues<'a> {
-    /// The value of a required setting.
+    /// Parses the value of a required setting.
     fn required<T: FromStr>(&self, key: &str) -> Result<T, ParseError> {
         let value = self.0.get(key).ok_or_else(|| ParseError::MissingSetting(key.to_owned()))?;
         value
@@ -41,7 +41,7 @@
             .map_err(|_| ParseError::InvalidValue { key: key.to_owned(), value: (*value).to_owned() })
     }
 
-    /// The value of a setting, or `default` if the setting is absent. A value that is present must be valid.
+    /// Parses the value of a setting. Returns `default` if the setting is absent, and an error if its value is invalid.
     fn optional<T: FromStr>(&self, key: &str, default: T) -> Result<T, ParseError> {
         if self.0.contains_key(key) { self.required(key) } else { Ok(default) }
     }
--- a/crates/simhost/src/wire/error.rs
+++ b/crates/simhost/src/wire/error.rs
@@ -12,7 +12,7 @@
     /// The simulator closed the input inside the header of a batch.
     #[error("input ends after {bytes} bytes of a batch header")]
     TruncatedHeader {
-        /// Number of bytes of the header that were read.
+        /// Number of bytes of the header that were read before the input ended.
         bytes: usize,
     },
     /// The length field of a batch is too small to include the batch's own header.
@@ -20,7 +20,7 @@
     ShortLength {
         /// The number of the batch.
         batch: u32,
-        /// The value of the batch's length field in bytes.
+        /// The length in bytes that the batch's length field states.
         length: usize,
     },
     /// The header of a batch announces more records than its length field has room for.
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -36,7 +36,7 @@
     read_batch(&mut &bytes[..])?.map_or(Ok(vec![]), |batch| batch.records(&mut lists))
 }
 
-/// A batch with a record of each code, apart from that of peer messages, and one of an unknown code.
+/// A batch with one record of each code except the code of peer messages, and with one record of an unknown code.
 fn sample_batch() -> Vec<u8> {
     let mut entry = vec![0x03, 0x12, 0x4a, 0x07, 1, 0, 2, 0, 5, 2];
     entry.extend_from_slice(&1.5f32.to_be_bytes());
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -21,7 +21,7 @@
 /// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection,
 /// and the reply could be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause after `accept` has failed.
+/// Pause between a failed `accept` and the next one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Stack size of each thread in bytes.
 const STACK_BYTES: usize = 64 * 1024;
@@ -37,7 +37,7 @@
     /// The process is shutting down.
     #[error("ending")]
     Ending,
-    /// No backend with this id is listed or ejected.
+    /// The command names the id of a backend that no endpoint list contains and that is not ejected.
     #[error("no such loan server")]
     UnknownBackend,
 }
@@ -100,11 +100,11 @@
     }
 }
 
-/// Counts the connected clients.
+/// Number of connected clients.
 #[derive(Clone, Default)]
 struct ClientCounter(Arc<AtomicUsize>);
 
-/// Keeps a client counted until dropped.
+/// Includes one client in the count of connected clients until dropped.
 struct CountedClient(ClientCounter);
 
 impl ClientCounter {
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sets the names of the classes and plans that a reload has put in force. The next reply with metrics has them.
+    /// Sets the names of the classes and plans after a reload. Metrics that are collected from now on use these names.
     pub fn set_names(&self, names: PolicyNames) {
         *lock_or_abort(&self.names) = names;
     }
@@ -75,7 +75,7 @@
         *lock_or_abort(&self.phase) == Phase::Ending
     }
 
-    /// Reports this process as ready from now on.
+    /// Reports this process as ready to accept clients from now on.
     pub fn set_ready(&self) {
         *lock_or_abort(&self.phase) = Phase::Ready;
     }
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -4,7 +4,7 @@
 mod status;
 
 use crate::checked_config::CheckedConfig;
-use crate::cluster_settings::{self, ClusterStart};
+use crate::cluster_settings::{self, ClusterArguments};
 use crate::error::Error;
 use crate::{log, signals};
 use startup::Running;
@@ -24,8 +24,8 @@
     link::set_up();
     let deadlines = checked.config.classes.iter().map(|class| class.deadline_ms);
     let longest_deadline = Duration::from_millis(deadlines.max().unwrap_or(0));
-    let cluster_start = ClusterStart::from_config(&checked.config, path)?;
-    let running = startup::start(checked, cluster_start, path)?;
+    let cluster_arguments = ClusterArguments::from_config(&checked.config, path)?;
+    let running = startup::start(checked, cluster_arguments, path)?;
     let handler = SignalHandler { running: &running, longest_deadline, path };
     signals::serve_until_shutdown(signals, &running.listener, &handler);
     Ok(())
@@ -51,7 +51,7 @@
     }
 
     fn close_connections(&self) {
-        // The instance leaves before the front drains, so that other instances take over meanwhile.
+        // The instance leaves the cluster before the front drains, so that other instances take over during the drain.
         if let Some(registration) = &self.running.registration {
             registration.deregister();
         }
--- a/crates/snowfield/src/appliance/startup.rs
+++ b/crates/snowfield/src/appliance/startup.rs
@@ -3,7 +3,7 @@
 use super::status::StatusServer;
 use crate::backends::Backends;
 use crate::checked_config::CheckedConfig;
-use crate::cluster_settings::ClusterStart;
+use crate::cluster_settings::ClusterArguments;
 use crate::error::Error;
 use crate::plan_replication::{self, PolicyInputs};
 use crate::start_retry::with_retries;
@@ -54,7 +54,7 @@
 /// A file named in the configuration is missing or invalid, or an address cannot be listened on.
 pub(super) fn start(
     checked: CheckedConfig,
-    cluster_start: Option<ClusterStart>,
+    cluster_arguments: Option<ClusterArguments>,
     path: &Path,
 ) -> Result<Running, Error> {
     let CheckedConfig { config, routes } = checked;
@@ -66,7 +66,7 @@
     let status_listener = config.status.map(listen).transpose()?;
     let front = Front::new(core.exchange.clone(), front_config(&config, routes, &inputs.classes));
     let backends = Arc::new(Backends::new(core.clock, core.exchange.clone(), core.pools.clone(), &config));
-    let cluster = cluster_start.map(|start| join_cluster(start, &backends)).transpose()?;
+    let cluster = cluster_arguments.map(|start| join_cluster(start, &backends)).transpose()?;
     consul_watches::create(&backends, &config, path, &core.last_answers)?;
     start_timers(core, &backends, &front);
     if let Some(listener) = status_listener {
@@ -125,11 +125,11 @@
     }
 }
 
-fn join_cluster(start: ClusterStart, backends: &Arc<Backends>) -> Result<Arc<Cluster>, Error> {
+fn join_cluster(arguments: ClusterArguments, backends: &Arc<Backends>) -> Result<Arc<Cluster>, Error> {
     let notified_backends = backends.clone();
     let on_ejection_change =
         Box::new(move |ejected: &BTreeSet<String>| notified_backends.set_ejected(ejected));
-    let cluster = Cluster::start(start.settings, start.jobs, on_ejection_change)?;
+    let cluster = Cluster::start(arguments.settings, arguments.jobs, on_ejection_change)?;
     backends.set_cluster(cluster.clone());
     Ok(cluster)
 }
@@ -151,7 +151,7 @@
     with_retries(|| Listener::bind(address)).map(Arc::new).map_err(|source| Error::Listen { address, source })
 }
 
-/// Returns the service and the class of a route. Each such pair is a class of the policy.
+/// Returns the pair of the service and the class of a route. The policy has one class for each pair.
 fn route_class(config: &ApplianceConfig, route: &Route) -> RouteClass {
     let names = config.service_names();
     let service = route.service.as_deref().and_then(|service| names.iter().position(|name| *name == service));
@@ -159,7 +159,8 @@
     RouteClass { service: service.unwrap_or(0) as u16, class: config.class_number(&route.class).unwrap_or(0) }
 }
 
-/// Collects the policy's inputs from the routes. The policy's classes are the pairs of service and class that some route has.
+/// Collects the policy's inputs from the routes. The policy has one class for each pair of service and class that occurs in a
+/// route.
 fn policy_inputs(config: &ApplianceConfig, routes: &RouteTable) -> PolicyInputs {
     let classes: BTreeSet<RouteClass> =
         routes.routes().iter().map(|route| route_class(config, route)).collect();
--- a/crates/snowfield/src/appliance/status.rs
+++ b/crates/snowfield/src/appliance/status.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Interval between two checks whether another thread has sent its report.
+/// Interval at which the worker checks whether another thread has sent its report.
 const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Number of checks after which a report counts as missing: half a second in total.
 const MAX_REPORT_POLLS: usize = 100;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Waits for a report of another thread without blocking the worker. `None` after half a second.
+/// Waits for a report of another thread without blocking the worker. `None` if none arrives within half a second.
 fn wait_for_report(report: &Receiver<String>) -> Option<String> {
     for _ in 0..MAX_REPORT_POLLS {
         if let Ok(report) = report.try_recv() {
--- a/crates/snowfield/src/backends.rs
+++ b/crates/snowfield/src/backends.rs
@@ -39,7 +39,8 @@
     lists: Vec<Option<EndpointList>>,
     /// Names of the backends that health checks have ejected.
     ejected: BTreeSet<String>,
-    /// The state of each backend that the pools and the policy have. Restarts and recoveries are detected by comparison with it.
+    /// The state of each backend as last passed to the pools and the policy. A change from this state to the next one shows
+    /// whether a backend has restarted or recovered.
     published_states: HashMap<EndpointNumber, PublishedState>,
 }
 
@@ -47,9 +48,9 @@
 #[derive(Clone, Copy)]
 struct PublishedState {
     ready: bool,
-    /// Time since which the endpoint list has the backend as eligible. Changes with each restart of the backend.
+    /// Time at which the backend became eligible according to the endpoint list. Changes with each restart of the backend.
     eligible_since: Option<MonotonicTime>,
-    /// Start of the backend, at which its slow start begins.
+    /// Time at which the backend started. Its slow start begins at this time.
     started: Timestamp,
 }
 
@@ -89,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// The system cannot start a thread. Watches before that one are running.
+    /// The system cannot start the thread of a watch. The threads that were started before the error continue to run.
     pub fn start_watches(&self) -> std::io::Result<()> {
         self.watches().iter().try_for_each(ServiceWatch::start)
     }
--- a/crates/snowfield/src/backoff.rs
+++ b/crates/snowfield/src/backoff.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Blocks a thread for pauses, each twice as long as the one before, up to a limit.
+/// Blocks a thread between retries. Each pause is twice as long as the previous one, up to a limit.
 pub struct ExponentialBackoff {
     next: Duration,
     max: Duration,
--- a/crates/snowfield/src/cluster_settings.rs
+++ b/crates/snowfield/src/cluster_settings.rs
@@ -15,15 +15,15 @@
 /// Name of an instance whose configuration has no cluster.
 const SINGLE_INSTANCE: &str = "alone";
 
-/// The arguments of [`Cluster::start`].
-pub struct ClusterStart {
+/// The arguments of [`Cluster::start`] that the configuration file determines.
+pub struct ClusterArguments {
     /// Settings of this instance as a member of a cluster, or as a single instance.
     pub settings: Settings,
-    /// Periodic jobs; empty if none are configured.
+    /// Periodic jobs that the cluster runs; empty if the configuration has none.
     pub jobs: Vec<HttpJob>,
 }
 
-impl ClusterStart {
+impl ClusterArguments {
     /// Derives the arguments from the configuration file `path`. `None` if it has neither a cluster nor periodic jobs nor health
     /// checks.
     ///
@@ -82,8 +82,8 @@
 }
 
 fn lease_store(config: &ApplianceConfig, cluster: &ClusterConfig, path: &Path) -> LeaseStore {
-    // The store defaults to the Consul of the endpoint lists, and its token to the token for that Consul. A store at a configured
-    // address has its own token or none.
+    // The lease store defaults to the Consul of the endpoint lists, and its token to the token for that Consul. A lease store at
+    // a configured address has its own token or none.
     let token_file = match (&cluster.store_token_file, cluster.store) {
         (Some(file), _) => Some(file),
         (None, None) => config.consul.token_file.as_ref(),
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -11,9 +11,9 @@
 
 /// Limit on ejected backends. Each stays ejected until an operator restores it.
 const MAX_EJECTED: usize = 4096;
-/// Number of the first backend.
+/// Number that is assigned to the first backend id.
 const FIRST_NUMBER: u32 = 1;
-/// Address of a removed backend whose entry has none. No attempt is sent to it.
+/// Address that stands for the missing address of a removed backend. No attempt is sent to this address.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// What an operator changes about a backend.
@@ -25,12 +25,12 @@
     Restore,
 }
 
-/// How a change is handled for an id that this process has neither listed nor ejected.
+/// How an ejection or restoration is handled if its id is in no endpoint list of this process and is not ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownId {
     /// The change is rejected: the operator may have mistyped the id.
     Reject,
-    /// The id gets a number and the change applies: another process has the backend.
+    /// The id gets a number and the change is applied: the other process of a hot restart knows the backend.
     Register,
 }
 
@@ -103,8 +103,7 @@
         number
     }
 
-    /// Ejects or restores a backend, and returns its number. `None` if the id is unknown and `unknown_id` is
-    /// [`UnknownId::Reject`], or at the limit on ejected backends.
+    /// Ejects or restores a backend, and returns its number. `None` if the change is not applied.
     pub fn change_ejection(
         &mut self,
         id: &str,
@@ -143,7 +142,7 @@
         listed.map(|(id, number)| BackendNumber { number: number.0, id: id.clone() }).collect()
     }
 
-    /// Returns the number of the backend with this id; `None` if no endpoint list or ejection has had it.
+    /// Returns the number of the backend with this id; `None` if the id has been neither in an endpoint list nor ejected.
     pub fn number(&self, id: &str) -> Option<BackendId> {
         self.numbers.get(id).copied()
     }
--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Exit code of most errors.
+/// Exit code of all errors without an exit code of their own.
 const FAILURE: u8 = 1;
-/// Exit code if another proposal was accepted instead.
+/// Exit code of `snowfield settings propose` if the replicas accepted another proposal instead.
 const CONFLICT: u8 = 3;
-/// Exit code if no majority of the replicas answers.
+/// Exit code of `snowfield settings` if no majority of the replicas answers.
 const NO_MAJORITY: u8 = 4;
 
 /// An error of the program. Operators read the texts on standard error or in the log.
@@ -25,25 +25,25 @@
     /// At startup, the value of an environment variable that overrides an address cannot be parsed.
     #[error("{variable}: {value:?} is not an IP address with a port")]
     InvalidAddress {
-        /// Name of the environment variable.
+        /// Name of the environment variable with the invalid value, for example `BALANCER_OPERATOR`.
         variable: &'static str,
-        /// Value of the environment variable.
+        /// The invalid value, as the environment sets it.
         value: String,
     },
     /// At startup, the log format that an environment variable names is unknown.
     #[error("{variable}: {value:?} is neither \"plain\" nor \"json\"")]
     InvalidLogFormat {
-        /// Name of the environment variable.
+        /// Name of the environment variable with the unknown log format, for example `SNOWFIELD_LOG`.
         variable: &'static str,
-        /// Value of the environment variable.
+        /// The invalid value, as the environment sets it.
         value: String,
     },
     /// A file is missing, unreadable or not UTF-8.
     #[error("cannot read {}: {source}", path.display())]
     File {
-        /// Path of the configuration, description, key or plan file.
+        /// Path of the unreadable file: a configuration, description, key or plan file.
         path: PathBuf,
-        /// Error of opening or reading the file.
+        /// Why opening or reading the file failed.
         source: io::Error,
     },
     /// The platform's configuration file exceeds its maximum size. Its content is not parsed.
@@ -51,15 +51,15 @@
     FileTooLong {
         /// Path of the platform's configuration file.
         path: PathBuf,
-        /// Maximum size in bytes.
+        /// Maximum size of the file in bytes.
         limit: u64,
     },
     /// A setting or a plan in a file is missing, malformed or out of range.
     #[error("invalid settings in {}: {source}", path.display())]
     Settings {
-        /// Path of the configuration file or plan file.
+        /// Path of the configuration file or plan file with the invalid setting.
         path: PathBuf,
-        /// Names the invalid setting.
+        /// Which setting is invalid, and why.
         source: SettingsError,
     },
     /// The policy rejects settings that passed all other checks.
@@ -70,7 +70,7 @@
     PolicyOfFile {
         /// Path of the configuration file.
         path: PathBuf,
-        /// Names the invalid setting.
+        /// Which setting is invalid, and why.
         source: policy::SettingsError,
     },
     /// An OpenAPI description is invalid.
@@ -81,19 +81,20 @@
     UndefinedByRoute {
         /// Description, method and path of the route.
         route: String,
-        /// `class` or `service`.
+        /// What the undefined name stands for: `class` or `service`.
         kind: &'static str,
-        /// The undefined name.
+        /// The class or service that the route names and the file does not define.
         name: String,
     },
-    /// A route takes more units than the burst of a plan. All requests of the plan's tenants to it would be rejected.
+    /// One request to a route takes more units than the burst of a plan. The quota would reject every such request of the plan's
+    /// tenants.
     #[error("{route} takes {units} units, more than the burst of plan {plan:?}")]
     RouteExceedsBurst {
         /// Description, method and path of the route.
         route: String,
-        /// Units of one request.
+        /// Units that each request to the route takes from the tenant's quota.
         units: f64,
-        /// Name of the first plan with a smaller burst.
+        /// Name of the first plan whose burst is smaller than the units of one request.
         plan: String,
     },
     /// A configuration file lacks a table that the command or the instance requires.
@@ -101,13 +102,13 @@
     MissingTable {
         /// Path of the configuration file.
         path: PathBuf,
-        /// Name of the table, without brackets.
+        /// Name of the missing table, without brackets.
         table: &'static str,
     },
-    /// A file was read, but its lines are not the keys that authenticate the members of a cluster.
+    /// The lines of a key file are not valid keys. The keys authenticate the members of a cluster.
     #[error("invalid key file {}: {source}", path.display())]
     Keyring {
-        /// Path of the key file.
+        /// Path of the invalid key file.
         path: PathBuf,
         /// What is wrong with the keys. The text never contains a key.
         source: KeyringError,
@@ -115,17 +116,17 @@
     /// At startup, the socket for clients or for the status could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The configured address.
+        /// The address that the configuration sets for this listener.
         address: SocketAddr,
-        /// Error of binding the socket.
+        /// Why the socket could not be bound to the address.
         source: io::Error,
     },
-    /// The admin address cannot be listened on, or the listener's thread cannot be started.
+    /// At startup, the socket of the admin listener could not be bound, or its thread could not be started.
     #[error("cannot start the admin listener on {address}: {source}")]
     AdminListener {
-        /// The configured address.
+        /// The address that the configuration sets for this listener.
         address: SocketAddr,
-        /// Error of binding the socket or of starting the thread.
+        /// Why binding the socket or starting the thread failed.
         source: io::Error,
     },
     /// The sockets or threads of this instance as a member of the cluster could not be set up.
@@ -146,7 +147,7 @@
     /// At startup, the system refused the thread that registers this process in Consul.
     #[error("cannot start the registration in Consul: {0}")]
     Registration(#[source] io::Error),
-    /// An I/O error without further context.
+    /// An I/O error whose text is printed alone, without the failed operation.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The connection to the other process of a hot restart failed, or a message is invalid.
@@ -164,24 +165,24 @@
     /// In a hot restart, the predecessor cannot serialize the snapshot for its successor.
     #[error("the snapshot of the policy cannot be encoded: {0}")]
     Snapshot(#[source] postcard::Error),
-    /// The path given to `snowfield explain` is in none of the OpenAPI descriptions.
+    /// No path in the OpenAPI descriptions matches the path given to `snowfield explain`.
     #[error("no route matches {path}")]
     NoRoute {
-        /// Path of the explained request.
+        /// Path of the request, as given to `snowfield explain`.
         path: String,
     },
     /// The path given to `snowfield explain` is malformed, or backends may interpret it in different ways.
     #[error("the path {path} is invalid")]
     InvalidPath {
-        /// Path of the explained request.
+        /// Path of the request, as given to `snowfield explain`.
         path: String,
     },
-    /// Routes match the path, but none has the method.
+    /// Routes match the path given to `snowfield explain`, but none of them has the given method.
     #[error("{path} allows only {allowed}")]
     WrongMethod {
-        /// Path of the explained request.
+        /// Path of the request, as given to `snowfield explain`.
         path: String,
-        /// Methods of the routes with this path, separated by commas.
+        /// Methods of the routes that match the path, separated by commas.
         allowed: String,
     },
     /// `snowfield status` or `snowfield watch` needs an address that the configuration file lacks.
@@ -195,41 +196,41 @@
     NoStatus {
         /// The configured status address.
         address: SocketAddr,
-        /// Error of connecting, sending or receiving.
+        /// Why connecting to the address, sending the request or receiving the status failed.
         source: io::Error,
     },
-    /// A log cannot be created for an instance that is not a replica.
+    /// `snowfield settings begin` was called for an instance that is not a replica. Only replicas have a log.
     #[error("this instance is not a voter; only a voter has a log")]
     NotAReplica,
-    /// The message of a replica is valid but is not the answer to the call.
+    /// A replica replied to a call with a valid message of another type than the call's answer.
     #[error("a replica answered with an unexpected message")]
     UnexpectedAnswer,
     /// The text of the proposed plans exceeds the maximum size that the replicas accept.
     #[error("the file with the proposed plans is too large")]
     ProposalTooLarge,
-    /// The leader of the replicas found the proposed plans invalid, for this reason.
+    /// The leader of the replicas found the proposed plans invalid. The value is the leader's reason.
     #[error("the proposed plans are rejected: {0}")]
     ProposalRejected(String),
     /// A proposal was made for an expected version, but another version is in force.
     #[error("version {version}, by {proposed_by}, is in force; nothing is changed")]
     VersionConflict {
-        /// Number of the version in force.
+        /// Number of the version of the plans in force.
         version: u64,
-        /// Name of the user who proposed it.
+        /// Name of the user who proposed this version.
         proposed_by: String,
     },
-    /// Another proposal was accepted before, and its rollout is in progress. Propose again once it is in force.
+    /// The rollout of an earlier proposal is in progress. New plans can be proposed once that version is in force.
     #[error("version {version}, by {proposed_by}, is proposed and not yet in force; nothing is changed")]
     RolloutInProgress {
-        /// Number of the proposed version.
+        /// Number of the version whose rollout is in progress.
         version: u64,
-        /// Name of the user who proposed it.
+        /// Name of the user who proposed this version.
         proposed_by: String,
     },
     /// No replica answered as the leader within the timeout. A proposal may or may not have been accepted.
     #[error("no majority of the voters answers ({last_failure}); whether a proposal was accepted is unknown")]
     NoMajority {
-        /// Name of the last replica that was called, and why its answer could not be used.
+        /// Name of the replica that was called last, and why that call failed.
         last_failure: String,
     },
 }
--- a/crates/snowfield/src/hot_restart.rs
+++ b/crates/snowfield/src/hot_restart.rs
@@ -32,12 +32,12 @@
     endpoint_ids: Arc<Mutex<EndpointIds>>,
     /// Holds the client connections.
     front: Arc<Front>,
-    /// Number of client connections that have left the front and are not yet sent to the successor.
+    /// Number of client connections that the front has released and that are not yet sent to the successor.
     connections_in_transfer: AtomicUsize,
 }
 
 impl HotRestart {
-    /// Creates a hot restart that hands over or takes over these parts.
+    /// Combines the parts of this process that a hot restart hands over or takes over.
     pub fn new(
         admin: Arc<AdminService>,
         ejections: Arc<OperatorEjections>,
@@ -50,12 +50,12 @@
         Arc::new(Self { admin, ejections, exchange, pools, endpoint_ids, front, connections_in_transfer })
     }
 
-    /// Whether a successor serves in place of this process.
+    /// Whether this process has handed over to a successor and has not resumed service since.
     pub fn has_handed_over(&self) -> bool {
         self.front.is_handing_over()
     }
 
-    /// Number of client connections that have left the front and are not yet sent to the successor.
+    /// Number of client connections that the front has released and that are not yet sent to the successor.
     pub fn connections_in_transfer(&self) -> usize {
         self.connections_in_transfer.load(Ordering::Acquire)
     }
--- a/crates/snowfield/src/hot_restart/predecessor.rs
+++ b/crates/snowfield/src/hot_restart/predecessor.rs
@@ -26,14 +26,14 @@
 
 /// A hand-over that a successor has requested.
 struct HandOver {
-    /// Receives how the successor's admission journal has ended. `None` if the request came without a journal.
+    /// Receives how the successor's admission journal has ended. `None` if the successor sent no journal with its request.
     journal: Option<Receiver<JournalEnd>>,
 }
 
 /// A client connection that is to be sent to the successor.
 struct ConnectionTransfer {
     socket: TcpStream,
-    /// The bytes of an incomplete request that this process has read; empty if there are none.
+    /// The bytes of an incomplete request that this process has read; empty if the connection has no incomplete request.
     partial_request: Vec<u8>,
 }
 
@@ -155,8 +155,8 @@
     ) -> Result<PolicySnapshot, Error> {
         let (sender, snapshot) = channel();
         let (restart, listener) = (self.clone(), listener.clone());
-        // This runs on the worker thread, never in the middle of a step of a client connection, so that no request is admitted
-        // after the snapshot.
+        // The coroutine runs on the worker thread, never in the middle of a step of a client connection, so that no request is
+        // admitted after the snapshot.
         spawn_with(link::JSON_STACK_BYTES, move || {
             listener.set_paused(true);
             restart.front.hand_over_connections(send_to_successor);
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -14,9 +14,9 @@
 
 /// The predecessor after it has sent its state, and what this process takes over from it.
 pub struct Predecessor {
-    /// The listener for clients, inherited from that process.
+    /// The listener for clients, inherited from the predecessor.
     pub listener: Listener,
-    /// The connection over which that process sends its client connections.
+    /// The connection over which the predecessor sends its client connections.
     pub peer: Arc<Peer>,
 }
 
@@ -60,8 +60,8 @@
         let (message, descriptor) = self.receive_state(predecessor)?;
         let state = PredecessorState::from_message(message, descriptor)?;
         self.ejections.adopt(&state.ejected);
-        // The journal starts before the snapshot is decoded, which may fail: without entries it would tell the predecessor that
-        // nothing was admitted.
+        // The journal starts before the snapshot is decoded, since decoding may fail: a journal without entries would tell the
+        // predecessor that this process admitted nothing.
         self.write_journal(journal, &state.plans);
         self.apply_snapshot(&state);
         Ok(state.listener)
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Starts journaling each admission before its request is forwarded, with the predecessor's number of the plan.
+    /// Starts to write each admission to the journal before its request is forwarded. The entry names the plan by its number in
+    /// the predecessor.
     fn write_journal(&self, journal: AdmissionJournal, predecessor_plans: &[String]) {
         let plan_numbers = indices_in(&self.admin.names().plans, predecessor_plans);
         self.exchange.set_admission_listener(Some(Box::new(move |admission: exchange::Admission| {
@@ -111,7 +112,8 @@
         self.exchange.take_over(snapshot.remap(&backends, &plans, &classes));
     }
 
-    /// Maps the predecessor's backend numbers to this process's. Backends that are unknown here are left out.
+    /// Maps the predecessor's backend numbers to the numbers in this process. Backends that this process does not know are left
+    /// out.
     fn map_backend_numbers(&self, predecessor_numbers: &[BackendNumber]) -> HashMap<BackendId, BackendId> {
         let endpoint_ids = lock_or_abort(&self.endpoint_ids);
         let numbers_in_both =
--- a/crates/snowfield/src/log.rs
+++ b/crates/snowfield/src/log.rs
@@ -13,8 +13,8 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Environment variable that overrides the log format. The platform's configuration has no setting for the format, the
-/// appliance's has one.
+/// Environment variable that overrides the log format. On the platform only this variable sets the format; the appliance's
+/// file has a setting for it.
 const FORMAT_VARIABLE: &str = "SNOWFIELD_LOG";
 /// The name that `tracing` gives the field with the message.
 const MESSAGE_FIELD: &str = "message";
@@ -112,7 +112,8 @@
     }
 }
 
-/// Whether the end of a value is recognizable without quotes. Other values are quoted, with line ends and quotes escaped.
+/// Whether a value can be written without quotes, because its end is recognizable. Other values are quoted, with line ends and
+/// quotes escaped.
 fn needs_no_quotes(value: &str) -> bool {
     let is_plain_char = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
     !value.is_empty() && value.chars().all(is_plain_char)
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -114,8 +114,8 @@
 
     /// Applies a change in this process. Returns whether it was applied; see [`EndpointIds::change_ejection`].
     fn apply(&self, id: &str, change: EjectionChange, unknown_id: UnknownId) -> bool {
-        // The ids stay locked until the end, so that the pools, the policy and the file get two changes of one backend in the
-        // same order.
+        // The ids stay locked until the end of this function, so that the pools, the policy and the file get concurrent changes
+        // of one backend in the same order.
         let mut endpoint_ids = lock_or_abort(&self.endpoint_ids);
         let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else { return false };
         let ejected = change == EjectionChange::Eject;
--- a/crates/snowfield/src/operator_ejections/file.rs
+++ b/crates/snowfield/src/operator_ejections/file.rs
@@ -49,7 +49,7 @@
     fs::rename(&temporary, path(directory))
 }
 
-/// Reads the ids in the file; none if there is no file.
+/// Reads the ids in the file; returns no ids if the file does not exist.
 ///
 /// # Errors
 ///
--- a/crates/snowfield/src/operator_ejections/pending_calls.rs
+++ b/crates/snowfield/src/operator_ejections/pending_calls.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Calls without a reply yet, by call number.
+/// Calls that have not been replied to, by call number.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     last_call: u64,
--- a/crates/snowfield/src/operator_ejections/store.rs
+++ b/crates/snowfield/src/operator_ejections/store.rs
@@ -30,7 +30,7 @@
         Self { directory, endpoint_ids, is_pending: Arc::default() }
     }
 
-    /// Reads the ids in the file; none if there is no file.
+    /// Reads the ids in the file; returns no ids if the file does not exist.
     ///
     /// # Errors
     ///
@@ -44,7 +44,8 @@
         self.is_pending.load(Ordering::Acquire)
     }
 
-    /// Writes the file. If that fails, a thread retries until it succeeds. The caller holds the lock on these ids.
+    /// Writes the ejected ids to the file. If the write fails, a thread retries until it succeeds. The caller holds the lock on
+    /// `endpoint_ids`.
     pub fn store(&self, endpoint_ids: &EndpointIds) {
         let Err(error) = file::write(&self.directory, endpoint_ids.ejected()) else { return };
         tracing::warn!(%error, "ejections file write failed, retrying");
--- a/crates/snowfield/src/plan_replication.rs
+++ b/crates/snowfield/src/plan_replication.rs
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// The key file is missing or invalid, or as [`Node::start`].
+/// The key file is missing or invalid, or [`Node::start`] fails.
 pub fn start(
     config: &ApplianceConfig,
     path: &Path,
@@ -78,14 +78,15 @@
     Ok(())
 }
 
-/// Returns the plans to enforce. During a rollout they have the stricter figures of the version in force and the proposed one.
-/// Without a lease they are scaled to a share of these figures.
+/// Returns the plans to enforce. During a rollout each limit is the stricter of the version in force and the proposed version.
+/// Without a lease the limits are scaled to [`ReplicationConfig::share_without_lease`].
 fn enforced_plans(
     config: &ApplianceConfig,
     replication: &ReplicationConfig,
     view: &ConfigView,
 ) -> Vec<PlanConfig> {
-    // A version that the replicas accepted may still be invalid for this instance's file, whose own plans then hold.
+    // A version that the replicas accepted may still be invalid together with this instance's file. The plans of the file then
+    // apply.
     let plans_of = |text: &str| apply_version(config, text).unwrap_or_else(|_| config.plans.clone());
     let in_force = match &view.in_force {
         Some(version) => plans_of(&version.text),
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -78,14 +78,15 @@
 /// Timeouts of connections to backends.
 #[derive(Clone, Copy)]
 pub(super) struct BackendTimeouts {
-    /// Timeout for connecting.
+    /// Timeout for connecting to a backend.
     pub(super) connect: Duration,
-    /// Time after which an idle connection is closed: half of the backend's keep-alive time, so that this side closes first.
+    /// Time after which an idle connection is closed: half of the backend's keep-alive time, so that the gatekeeper closes before
+    /// the backend does.
     pub(super) idle: Duration,
 }
 
 impl BackendTimeouts {
-    /// The timeouts of a configuration.
+    /// Derives the timeouts from the platform's configuration.
     pub(super) fn from_config(config: &PlatformConfig) -> Self {
         Self {
             connect: Duration::from_micros(config.settings.connect_timeout),
@@ -94,7 +95,7 @@
     }
 }
 
-/// The longest deadline of all classes.
+/// Returns the longest deadline of all classes.
 pub(super) fn longest_deadline(config: &PlatformConfig) -> Duration {
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     Duration::from_micros(deadlines.max().unwrap_or(0))
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -131,7 +131,8 @@
                     pools.update_endpoints(kind, &endpoints);
                     exchange.update_endpoints(kind, entries);
                 }
-                // The start waits for the first event only. For a later one this fails if the channel is full or closed.
+                // The start waits for the first event only. For a later event `try_send` fails, since the channel is full or
+                // closed.
                 let _ = first_event_sender.try_send(());
             });
         });
