--- a/crates/front_resp/src/client_state.rs
+++ b/crates/front_resp/src/client_state.rs
@@ -25,9 +25,9 @@
     /// Pipelined commands and their answers.
     pub(crate) answers: AnswerQueue,
     /// The command at the end of the input, of which only a part has arrived, if there is one.
-    pub(crate) incomplete: IncompleteCommand,
+    pub(crate) incomplete_command: IncompleteCommand,
     /// Bytes of answers that the client had not read at the last check.
-    pub(crate) unread: Reservation,
+    pub(crate) unread_reservation: Reservation,
     /// When the answer queue last became empty.
     idle_since: Instant,
     had_valid_command: bool,
@@ -37,11 +37,11 @@
 }
 
 impl ClientState {
-    pub(crate) fn new(incomplete: Reservation, unread: Reservation) -> Self {
+    pub(crate) fn new(incomplete_reservation: Reservation, unread_reservation: Reservation) -> Self {
         Self {
             answers: AnswerQueue::default(),
-            incomplete: IncompleteCommand::new(incomplete),
-            unread,
+            incomplete_command: IncompleteCommand::new(incomplete_reservation),
+            unread_reservation,
             idle_since: Instant::now(),
             had_valid_command: false,
             had_request: false,
@@ -69,7 +69,7 @@
     /// Stops reading commands. The connection ends after the last answer.
     pub(crate) fn end(&mut self) {
         self.is_ending = true;
-        self.incomplete.clear();
+        self.incomplete_command.clear();
         self.record_idle();
     }
 
@@ -86,12 +86,12 @@
     /// Whether the incomplete command has exceeded its timeout.
     pub(crate) fn is_command_overdue(&self) -> bool {
         let is_first_overdue = !self.had_valid_command && self.idle_since.elapsed() >= FIRST_COMMAND_TIMEOUT;
-        self.incomplete.age().is_some_and(|age| age >= COMMAND_TIMEOUT || is_first_overdue)
+        self.incomplete_command.age().is_some_and(|age| age >= COMMAND_TIMEOUT || is_first_overdue)
     }
 
     /// Time since the last answer was written, if no command waits for its answer or is incomplete.
     fn idle_time(&self) -> Option<Duration> {
-        (self.answers.is_empty() && !self.incomplete.is_pending()).then(|| self.idle_since.elapsed())
+        (self.answers.is_empty() && !self.incomplete_command.is_pending()).then(|| self.idle_since.elapsed())
     }
 
     /// Idle time of the connection, if this time is long enough for an eviction. A shorter time suffices if the client has sent
--- a/crates/front_resp/src/client_state/tests.rs
+++ b/crates/front_resp/src/client_state/tests.rs
@@ -54,7 +54,7 @@
     assert_eq!(state.evictable_for(), None, "a command waits for its answer");
     answer_first_command(&mut state);
     assert!(state.evictable_for().is_some());
-    state.incomplete.update(1, false);
+    state.incomplete_command.update(1, false);
     assert_eq!(state.evictable_for(), None, "a command is incomplete");
 }
 
@@ -83,11 +83,11 @@
 #[test]
 fn an_incomplete_command_is_overdue_after_its_timeout() {
     let mut state = new_connection();
-    state.incomplete.resume(Some(instant_before_now(COMMAND_TIMEOUT)));
+    state.incomplete_command.resume(Some(instant_before_now(COMMAND_TIMEOUT)));
     assert!(state.is_command_overdue());
-    state.incomplete.update(1, false);
+    state.incomplete_command.update(1, false);
     assert!(state.is_command_overdue(), "further bytes do not extend the timeout");
-    state.incomplete.update(1, true);
+    state.incomplete_command.update(1, true);
     assert!(!state.is_command_overdue(), "these bytes begin the next command");
 }
 
@@ -95,7 +95,7 @@
 fn the_timeout_of_the_first_command_counts_from_the_start_of_the_connection() {
     let mut state = idle_for(FIRST_COMMAND_TIMEOUT);
     assert!(!state.is_command_overdue(), "nothing has arrived");
-    state.incomplete.update(1, false);
+    state.incomplete_command.update(1, false);
     assert!(state.is_command_overdue());
     state.record_valid_command();
     assert!(!state.is_command_overdue());
@@ -105,9 +105,9 @@
 fn a_connection_lingers_once_its_last_answer_is_written() {
     let mut state = new_connection();
     state.answers.push();
-    state.incomplete.update(1, true);
+    state.incomplete_command.update(1, true);
     state.end();
-    assert!(state.is_ending() && !state.incomplete.is_pending());
+    assert!(state.is_ending() && !state.incomplete_command.is_pending());
     assert_eq!(state.lingering_for(), None);
     answer_first_command(&mut state);
     assert!(state.lingering_for().is_some());
@@ -117,13 +117,13 @@
 fn only_a_large_incomplete_command_is_shed_and_only_while_incomplete() {
     use crate::limits::TYPICAL_REQUEST_BYTES;
     let mut state = new_connection();
-    state.incomplete.update(TYPICAL_REQUEST_BYTES - 1, false);
-    assert_eq!(state.incomplete.sheddable_since(), None);
-    state.incomplete.update(TYPICAL_REQUEST_BYTES, false);
-    assert!(state.incomplete.sheddable_since().is_some());
-    state.incomplete.shed();
-    assert_eq!(state.incomplete.sheddable_since(), None, "a command is shed once");
-    assert!(state.incomplete.is_shed());
-    state.incomplete.update(0, true);
-    assert!(!state.incomplete.is_shed(), "the command is complete");
+    state.incomplete_command.update(TYPICAL_REQUEST_BYTES - 1, false);
+    assert_eq!(state.incomplete_command.sheddable_since(), None);
+    state.incomplete_command.update(TYPICAL_REQUEST_BYTES, false);
+    assert!(state.incomplete_command.sheddable_since().is_some());
+    state.incomplete_command.shed();
+    assert_eq!(state.incomplete_command.sheddable_since(), None, "a command is shed once");
+    assert!(state.incomplete_command.is_shed());
+    state.incomplete_command.update(0, true);
+    assert!(!state.incomplete_command.is_shed(), "the command is complete");
 }
--- a/crates/front_resp/src/closing.rs
+++ b/crates/front_resp/src/closing.rs
@@ -58,7 +58,7 @@
 
     /// Ends the connection if the front drains and no command is incomplete.
     pub(crate) fn end_if_draining(&self, state: &mut ClientState) -> ServeResult {
-        if !self.is_draining() || state.incomplete.is_pending() {
+        if !self.is_draining() || state.incomplete_command.is_pending() {
             return Ok(());
         }
         state.end();
--- a/crates/front_resp/src/dispatch.rs
+++ b/crates/front_resp/src/dispatch.rs
@@ -51,7 +51,7 @@
             let mut state = lock_or_abort(&client.state);
             let number = state.answers.push();
             let has_max_in_flight = state.answers.requests_in_flight() >= MAX_IN_FLIGHT;
-            (number, has_max_in_flight || self.memory.complete.is_exceeded())
+            (number, has_max_in_flight || self.memory.complete_budget.is_exceeded())
         };
         match self.parse_command(client, raw, arguments) {
             Command::Answer(bytes) => {
@@ -95,7 +95,7 @@
         let Some(open) = self.open_requests.register(valid.id) else {
             return Command::Error("the id is that of an open request".to_owned());
         };
-        let reservation = Reservation::new(&self.memory.complete, raw.len());
+        let reservation = Reservation::new(&self.memory.complete_budget, raw.len());
         Command::Submit(Submission { request: valid.request, open, reservation })
     }
 
--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -44,11 +44,11 @@
     /// Sheds the oldest incomplete command among the large ones, to free its memory.
     pub(crate) fn shed_incomplete_command(&self) {
         let clients = self.clients();
-        let sheddable = clients
-            .iter()
-            .filter_map(|client| Some((lock_or_abort(&client.state).incomplete.sheddable_since()?, client)));
+        let sheddable = clients.iter().filter_map(|client| {
+            Some((lock_or_abort(&client.state).incomplete_command.sheddable_since()?, client))
+        });
         if let Some((_, client)) = sheddable.min_by_key(|(since, _)| *since) {
-            lock_or_abort(&client.state).incomplete.shed();
+            lock_or_abort(&client.state).incomplete_command.shed();
             client.socket.wake();
         }
     }
--- a/crates/front_resp/src/eviction/tests.rs
+++ b/crates/front_resp/src/eviction/tests.rs
@@ -89,12 +89,12 @@
 fn sheds_the_oldest_large_incomplete_command() {
     let mut fixture = Fixture::new();
     let small = fixture.open(Duration::ZERO);
-    lock_or_abort(&small.state).incomplete.update(TYPICAL_REQUEST_BYTES - 1, false);
+    lock_or_abort(&small.state).incomplete_command.update(TYPICAL_REQUEST_BYTES - 1, false);
     let older = fixture.open(Duration::ZERO);
-    lock_or_abort(&older.state).incomplete.update(TYPICAL_REQUEST_BYTES, false);
+    lock_or_abort(&older.state).incomplete_command.update(TYPICAL_REQUEST_BYTES, false);
     let younger = fixture.open(Duration::ZERO);
-    lock_or_abort(&younger.state).incomplete.update(2 * TYPICAL_REQUEST_BYTES, false);
-    let is_shed = |client: &Arc<ClientConnection>| lock_or_abort(&client.state).incomplete.is_shed();
+    lock_or_abort(&younger.state).incomplete_command.update(2 * TYPICAL_REQUEST_BYTES, false);
+    let is_shed = |client: &Arc<ClientConnection>| lock_or_abort(&client.state).incomplete_command.is_shed();
     fixture.table.shed_incomplete_command();
     assert_eq!([&small, &older, &younger].map(is_shed), [false, true, false]);
     fixture.table.shed_incomplete_command();
--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -39,19 +39,19 @@
 /// Byte budgets that all clients share.
 pub(crate) struct FrontMemory {
     /// Budget of the read buffers that hold incomplete commands.
-    pub(crate) incomplete: Arc<MemoryBudget>,
+    pub(crate) incomplete_budget: Arc<MemoryBudget>,
     /// Budget of the requests in flight, and of the answers that wait for earlier ones.
-    pub(crate) complete: Arc<MemoryBudget>,
+    pub(crate) complete_budget: Arc<MemoryBudget>,
     /// Budget of the answers that were sent but that clients have not read.
-    pub(crate) unread: Arc<MemoryBudget>,
+    pub(crate) unread_budget: Arc<MemoryBudget>,
 }
 
 impl FrontMemory {
     fn new(process_bytes: usize) -> Self {
         Self {
-            incomplete: MemoryBudget::new(process_bytes / INCOMPLETE_MEMORY_DIVISOR),
-            complete: MemoryBudget::new(process_bytes / COMPLETE_MEMORY_DIVISOR),
-            unread: MemoryBudget::new(process_bytes / UNREAD_MEMORY_DIVISOR),
+            incomplete_budget: MemoryBudget::new(process_bytes / INCOMPLETE_MEMORY_DIVISOR),
+            complete_budget: MemoryBudget::new(process_bytes / COMPLETE_MEMORY_DIVISOR),
+            unread_budget: MemoryBudget::new(process_bytes / UNREAD_MEMORY_DIVISOR),
         }
     }
 }
@@ -122,13 +122,13 @@
         incomplete: Vec<u8>,
         incomplete_since: Option<Instant>,
     ) -> Arc<ClientConnection> {
-        let FrontMemory { incomplete: incomplete_budget, unread: unread_budget, .. } = &self.memory;
+        let FrontMemory { incomplete_budget, unread_budget, .. } = &self.memory;
         let client = ClientConnection::new(
             socket,
             Reservation::empty(incomplete_budget),
             Reservation::empty(unread_budget),
         );
-        lock_or_abort(&client.state).incomplete.resume(incomplete_since);
+        lock_or_abort(&client.state).incomplete_command.resume(incomplete_since);
         let number = self.connections.insert(client.clone());
         if self.is_draining() {
             // The wake ends the connection after it has been read once.
--- a/crates/front_resp/src/limits.rs
+++ b/crates/front_resp/src/limits.rs
@@ -26,7 +26,7 @@
 /// An incomplete command of fewer bytes than this is never delayed or shed to save memory. Typical requests are smaller.
 pub(crate) const TYPICAL_REQUEST_BYTES: usize = 16 * 1024;
 /// Commands that a client may pipeline in one read before its connection yields to others. Typical clients send one at a time.
-pub(crate) const MAX_BURST: usize = 16;
+pub(crate) const MAX_BURST_COMMANDS: usize = 16;
 /// Time for which a connection yields to others after a burst.
 pub(crate) const YIELD_TIME: Duration = Duration::from_millis(1);
 /// Idle timeout of the protocol, after which a connection without a request in flight may be closed. A connection whose client
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -5,7 +5,7 @@
 use crate::closing::{ConnectionEnd, ServeResult};
 use crate::front::Front;
 use crate::limits::{
-    CAPACITY_CHECK_INTERVAL, ERROR_READ_DELAY, MAX_BURST, MAX_PIPELINED, MAX_READ_BYTES,
+    CAPACITY_CHECK_INTERVAL, ERROR_READ_DELAY, MAX_BURST_COMMANDS, MAX_PIPELINED, MAX_READ_BYTES,
     MAX_RETAINED_BUFFER_BYTES, TYPICAL_REQUEST_BYTES, YIELD_TIME,
 };
 use link::{Incoming, lock_or_abort, sleep};
@@ -71,7 +71,7 @@
         }
         yield_after(&dispatched);
         self.wait_for_memory(client, buffer.len());
-        if lock_or_abort(&client.state).incomplete.is_shed() {
+        if lock_or_abort(&client.state).incomplete_command.is_shed() {
             return Err(ConnectionEnd::Error(COMMAND_SHED));
         }
         Ok(())
@@ -100,12 +100,13 @@
 
     /// Stops reading a large incomplete command while the budget for incomplete commands is exceeded.
     fn wait_for_memory(&self, client: &ClientConnection, incomplete_bytes: usize) {
-        let budget = &self.memory.incomplete;
+        let budget = &self.memory.incomplete_budget;
         if incomplete_bytes < TYPICAL_REQUEST_BYTES || !budget.is_exceeded() {
             return;
         }
         self.connections.shed_incomplete_command();
-        let may_wait = |state: &ClientState| !state.incomplete.is_shed() && !state.is_command_overdue();
+        let may_wait =
+            |state: &ClientState| !state.incomplete_command.is_shed() && !state.is_command_overdue();
         while budget.is_exceeded() && may_wait(&lock_or_abort(&client.state)) && !client.socket.is_closed() {
             sleep(CAPACITY_CHECK_INTERVAL);
         }
@@ -131,7 +132,7 @@
         if state.is_command_overdue() {
             return Err(ConnectionEnd::Error(COMMAND_TIMED_OUT));
         }
-        if state.incomplete.is_shed() {
+        if state.incomplete_command.is_shed() {
             return Err(ConnectionEnd::Error(COMMAND_SHED));
         }
         let is_idle = state.take_eviction() || state.is_silent();
@@ -146,7 +147,7 @@
     dispatched: &DispatchedCommands,
 ) -> ServeResult {
     let mut state = lock_or_abort(&client.state);
-    state.incomplete.update(bytes, dispatched.bytes > 0);
+    state.incomplete_command.update(bytes, dispatched.bytes > 0);
     if state.answers.len() > MAX_PIPELINED { Err(ConnectionEnd::Error(TOO_MANY_COMMANDS)) } else { Ok(()) }
 }
 
@@ -162,7 +163,7 @@
 fn yield_after(dispatched: &DispatchedCommands) {
     if dispatched.has_errors {
         sleep(ERROR_READ_DELAY);
-    } else if dispatched.commands > MAX_BURST {
+    } else if dispatched.commands > MAX_BURST_COMMANDS {
         sleep(YIELD_TIME);
     }
 }
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -18,7 +18,7 @@
     /// keep a reserve for new connections. The caller runs it a few times a second.
     pub fn sweep(&self) {
         let clients = self.connections.clients();
-        let is_under_pressure = self.memory.unread.is_exceeded();
+        let is_under_pressure = self.memory.unread_budget.is_exceeded();
         for client in &clients {
             match SweepAction::for_client(client, is_under_pressure) {
                 SweepAction::Keep => {}
@@ -35,8 +35,9 @@
     fn for_client(client: &ClientConnection, is_under_pressure: bool) -> Self {
         let mut state = lock_or_abort(&client.state);
         let unread = client.socket.unsent();
-        let is_stalled = unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && unread >= state.unread.bytes();
-        state.unread.resize(unread);
+        let is_stalled =
+            unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && unread >= state.unread_reservation.bytes();
+        state.unread_reservation.resize(unread);
         let has_lingered = state.lingering_for().is_some_and(|time| time >= LINGER_TIMEOUT);
         if has_lingered || is_under_pressure && is_stalled {
             return Self::Close;
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -17,7 +17,7 @@
 
     /// Stores a complete answer, and writes all answers that may be written now.
     pub(crate) fn answer(&self, client: &ClientConnection, command: CommandNumber, bytes: Vec<u8>) {
-        let _reservation = Reservation::new(&self.memory.complete, bytes.len());
+        let _reservation = Reservation::new(&self.memory.complete_budget, bytes.len());
         client.set_answer(command, Slot::Answered { bytes, _reservation });
         self.write_due_answers(client);
     }
@@ -60,15 +60,15 @@
         // The bytes are sent under the lock, so that a later answer cannot overtake this one.
         let sent = client.socket.send(&due.bytes);
         let unread = client.socket.unsent();
-        let unread_before = state.unread.bytes();
-        state.unread.resize(unread);
+        let unread_before = state.unread_reservation.bytes();
+        state.unread_reservation.resize(unread);
         let mut wakes_reader = self.is_draining() || self.is_handing_over();
         if state.answers.is_empty() {
             state.record_idle();
             wakes_reader |= state.is_ending();
         }
         drop(state);
-        let is_under_pressure = self.memory.unread.is_exceeded();
+        let is_under_pressure = self.memory.unread_budget.is_exceeded();
         let is_stalled = unread_before > 0 && unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && is_under_pressure;
         if sent.is_err() || unread > MAX_UNREAD_BYTES || is_stalled {
             client.socket.close();
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -16,7 +16,7 @@
 /// [`ENTRY_BYTES`] with the kernel's overhead.
 const MAX_UNREAD_ENTRIES: usize = 64;
 /// Accepted values of [`Admission::tenant_gatekeepers`].
-const VALID_GATEKEEPERS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
+const VALID_TENANT_GATEKEEPER_COUNTS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
 /// Accepted values of [`Admission::units`].
 const VALID_UNITS: std::ops::RangeInclusive<f64> = 0.0..=1e9;
 /// Timeout for reading the rest of a journal whose writer has ended. The caller of [`read_journal`] applies it.
@@ -58,7 +58,7 @@
             tenant_gatekeepers: f64::from_le_bytes(*tenant_gatekeepers),
             units: f64::from_le_bytes(*units),
         };
-        let is_valid = VALID_GATEKEEPERS.contains(&admission.tenant_gatekeepers)
+        let is_valid = VALID_TENANT_GATEKEEPER_COUNTS.contains(&admission.tenant_gatekeepers)
             && VALID_UNITS.contains(&admission.units);
         is_valid.then_some(admission)
     }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -55,7 +55,7 @@
         ejected: bool,
         /// Whether the sender has the backend in its endpoint list or among the ejected ones. If not, the receiver checks its
         /// own.
-        known: bool,
+        known_to_sender: bool,
     },
     /// The reply to [`Message::SetEjected`].
     EjectionApplied {
--- a/crates/handover/tests/wire_format.rs
+++ b/crates/handover/tests/wire_format.rs
@@ -38,7 +38,12 @@
         (
             "hold",
             include_bytes!("fixtures/hold.frame"),
-            Message::SetEjected { call: 1 << 40, id: "s-5be2a07c".into(), ejected: true, known: false },
+            Message::SetEjected {
+                call: 1 << 40,
+                id: "s-5be2a07c".into(),
+                ejected: true,
+                known_to_sender: false,
+            },
         ),
         (
             "held",
--- a/crates/settings/src/numbering.rs
+++ b/crates/settings/src/numbering.rs
@@ -41,9 +41,9 @@
     classes: Vec<Named<RequestClass>>,
     plans: Vec<Named<Plan>>,
     /// Numbers of the classes in force, in their order in the file.
-    current_classes: Vec<usize>,
+    current_class_numbers: Vec<usize>,
     /// Numbers of the plans in force, in their order in the file.
-    current_plans: Vec<usize>,
+    current_plan_numbers: Vec<usize>,
 }
 
 impl Numbering {
@@ -56,13 +56,14 @@
     pub fn update(&mut self, config: &PlatformConfig) -> Result<Settings, SettingsError> {
         let (mut classes, mut plans) = (self.classes.clone(), self.plans.clone());
         let named = config.classes.iter().zip(&config.settings.classes);
-        let current_classes = named.map(|(name, class)| number_class(&mut classes, name, class)).collect();
+        let current_class_numbers =
+            named.map(|(name, class)| number_class(&mut classes, name, class)).collect();
         let named = config.plans.iter().zip(&config.settings.plans);
-        let current_plans = named.map(|(name, plan)| number_plan(&mut plans, name, plan)).collect();
+        let current_plan_numbers = named.map(|(name, plan)| number_plan(&mut plans, name, plan)).collect();
         if classes.len() > MAX_CLASSES_OR_PLANS || plans.len() > MAX_CLASSES_OR_PLANS {
             return Err(SettingsError::TooManyClassesOrPlans);
         }
-        *self = Self { classes, plans, current_classes, current_plans };
+        *self = Self { classes, plans, current_class_numbers, current_plan_numbers };
         Ok(Settings {
             classes: self.classes.iter().map(|class| class.value.clone()).collect(),
             plans: self.plans.iter().map(|plan| plan.value.clone()).collect(),
@@ -72,7 +73,7 @@
 
     /// The classes of the configuration in force, in their order in the file.
     pub fn classes(&self) -> impl Iterator<Item = NumberedClass<'_>> {
-        self.current_classes.iter().map(|&number| {
+        self.current_class_numbers.iter().map(|&number| {
             let Named { name, value: class } = &self.classes[number];
             NumberedClass { number, name, class }
         })
@@ -80,7 +81,9 @@
 
     /// The plans of the configuration in force, in their order in the file.
     pub fn plans(&self) -> impl Iterator<Item = NumberedPlan<'_>> {
-        self.current_plans.iter().map(|&number| NumberedPlan { number, name: &self.plans[number].name })
+        self.current_plan_numbers
+            .iter()
+            .map(|&number| NumberedPlan { number, name: &self.plans[number].name })
     }
 
     /// Names of all classes since the process started, by number.
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -26,7 +26,7 @@
 /// Stack size of each thread in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 /// Buffer size for reads in bytes.
-const READ_BYTES: usize = 256;
+const READ_BUFFER_BYTES: usize = 256;
 
 /// Why a command failed. The text is sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -201,7 +201,7 @@
 fn read_line(mut client: &TcpStream) -> Result<Vec<u8>, LineError> {
     let started = Instant::now();
     let mut line = Vec::new();
-    let mut buffer = [0; READ_BYTES];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         let time_left = LINE_TIMEOUT.saturating_sub(started.elapsed());
         if time_left.is_zero() || client.set_read_timeout(Some(time_left)).is_err() {
@@ -229,7 +229,7 @@
     client.write_all(reply.as_bytes())?;
     client.shutdown(Shutdown::Write)?;
     let started = Instant::now();
-    let mut discarded = [0; READ_BYTES];
+    let mut discarded = [0; READ_BUFFER_BYTES];
     while let time_left @ 1.. = LINGER_TIMEOUT.saturating_sub(started.elapsed()).as_micros() {
         client.set_read_timeout(Some(Duration::from_micros(time_left as u64)))?;
         if client.read(&mut discarded)? == 0 {
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -10,9 +10,9 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// Limit on ejected backends. Each stays ejected until an operator restores it.
-const MAX_EJECTED: usize = 4096;
+const MAX_EJECTED_BACKENDS: usize = 4096;
 /// Number that is assigned to the first backend id.
-const FIRST_NUMBER: u32 = 1;
+const FIRST_BACKEND_NUMBER: u32 = 1;
 /// Address that stands for the missing address of a removed backend. No attempt is sent to this address.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
@@ -27,7 +27,7 @@
 
 /// How an ejection or restoration is handled if its id is in no endpoint list of this process and is not ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnknownId {
+pub enum UnknownIdHandling {
     /// The change is rejected: the operator may have mistyped the id.
     Reject,
     /// The id gets a number and the change is applied: the other process of a hot restart knows the backend.
@@ -98,7 +98,7 @@
         if let Some(number) = self.number(id) {
             return number;
         }
-        let number = BackendId(FIRST_NUMBER + self.numbers.len() as u32);
+        let number = BackendId(FIRST_BACKEND_NUMBER + self.numbers.len() as u32);
         self.numbers.insert(id.to_owned(), number);
         number
     }
@@ -108,18 +108,20 @@
         &mut self,
         id: &str,
         change: EjectionChange,
-        unknown_id: UnknownId,
+        unknown_id_handling: UnknownIdHandling,
     ) -> Option<BackendId> {
-        let number = match unknown_id {
-            UnknownId::Register => self.number_or_assign(id),
-            UnknownId::Reject => self.number(id).filter(|number| self.is_listed_or_ejected(id, *number))?,
+        let number = match unknown_id_handling {
+            UnknownIdHandling::Register => self.number_or_assign(id),
+            UnknownIdHandling::Reject => {
+                self.number(id).filter(|number| self.is_listed_or_ejected(id, *number))?
+            }
         };
         match change {
             EjectionChange::Restore => {
                 self.ejected.remove(id);
             }
             EjectionChange::Eject if self.ejected.contains(id) => {}
-            EjectionChange::Eject if self.ejected.len() >= MAX_EJECTED => return None,
+            EjectionChange::Eject if self.ejected.len() >= MAX_EJECTED_BACKENDS => return None,
             EjectionChange::Eject => {
                 self.ejected.insert(id.to_owned());
             }
--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -7,11 +7,11 @@
 use std::path::{Path, PathBuf};
 
 /// Exit code of all errors without an exit code of their own.
-const FAILURE: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 /// Exit code of `snowfield settings propose` if the replicas accepted another proposal instead.
-const CONFLICT: u8 = 3;
+const EXIT_CONFLICT: u8 = 3;
 /// Exit code of `snowfield settings` if no majority of the replicas answers.
-const NO_MAJORITY: u8 = 4;
+const EXIT_NO_MAJORITY: u8 = 4;
 
 /// An error of the program. Operators read the texts on standard error or in the log.
 #[derive(Debug, thiserror::Error)]
@@ -249,9 +249,9 @@
     /// Returns the exit code of a process that ends with this error: 3 for a conflict, 4 without a majority, otherwise 1.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::VersionConflict { .. } | Self::RolloutInProgress { .. } => CONFLICT,
-            Self::NoMajority { .. } => NO_MAJORITY,
-            _ => FAILURE,
+            Self::VersionConflict { .. } | Self::RolloutInProgress { .. } => EXIT_CONFLICT,
+            Self::NoMajority { .. } => EXIT_NO_MAJORITY,
+            _ => EXIT_FAILURE,
         }
     }
 }
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -5,7 +5,7 @@
 mod pending_calls;
 mod store;
 
-use crate::endpoint_ids::{EjectionChange, EndpointIds, UnknownId};
+use crate::endpoint_ids::{EjectionChange, EndpointIds, UnknownIdHandling};
 use destination::{BackendPools, RespProtocol};
 use front_resp::RespExchange;
 use handover::{Message, Peer};
@@ -55,7 +55,7 @@
     /// Ejects the backends with these ids, which an earlier process has ejected.
     pub fn adopt(&self, ids: &[String]) {
         for id in ids {
-            self.apply(id, EjectionChange::Eject, UnknownId::Register);
+            self.apply(id, EjectionChange::Eject, UnknownIdHandling::Register);
         }
     }
 
@@ -73,10 +73,11 @@
     /// Handles a message of the other process about ejections; ignores any other message.
     pub fn handle_message(&self, peer: &Peer, message: Message) {
         match message {
-            Message::SetEjected { call, id, ejected, known } => {
+            Message::SetEjected { call, id, ejected, known_to_sender } => {
                 let change = if ejected { EjectionChange::Eject } else { EjectionChange::Restore };
-                let unknown_id = if known { UnknownId::Register } else { UnknownId::Reject };
-                let applied = self.apply(&id, change, unknown_id);
+                let unknown_id_handling =
+                    if known_to_sender { UnknownIdHandling::Register } else { UnknownIdHandling::Reject };
+                let applied = self.apply(&id, change, unknown_id_handling);
                 // `send` fails if the other process has ended.
                 let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
@@ -90,13 +91,13 @@
     /// Applies an operator's change in this process and in the other process of a hot restart. Returns whether one of them has
     /// the backend.
     pub fn change_ejection(&self, id: &str, change: EjectionChange) -> bool {
-        let known_here = self.apply(id, change, UnknownId::Reject);
+        let known_here = self.apply(id, change, UnknownIdHandling::Reject);
         let peer = lock_or_abort(&self.peer).clone();
         let known_to_peer = peer.is_some_and(|peer| self.forward(&peer, id, change, known_here));
         // The endpoint lists of the two processes may differ for a short time. A change of a backend that one process has applies
         // in both.
         if known_to_peer && !known_here {
-            self.apply(id, change, UnknownId::Register);
+            self.apply(id, change, UnknownIdHandling::Register);
         }
         known_here || known_to_peer
     }
@@ -106,18 +107,20 @@
     fn forward(&self, peer: &Peer, id: &str, change: EjectionChange, known_here: bool) -> bool {
         let PendingCall { call, reply } = lock_or_abort(&self.pending_calls).start();
         let ejected = change == EjectionChange::Eject;
-        let message = Message::SetEjected { call, id: id.to_owned(), ejected, known: known_here };
+        let message = Message::SetEjected { call, id: id.to_owned(), ejected, known_to_sender: known_here };
         let applied = peer.send(&message, None).is_ok() && reply.recv_timeout(PEER_TIMEOUT).unwrap_or(false);
         lock_or_abort(&self.pending_calls).cancel(call);
         applied
     }
 
     /// Applies a change in this process. Returns whether it was applied; see [`EndpointIds::change_ejection`].
-    fn apply(&self, id: &str, change: EjectionChange, unknown_id: UnknownId) -> bool {
+    fn apply(&self, id: &str, change: EjectionChange, unknown_id_handling: UnknownIdHandling) -> bool {
         // The ids stay locked until the end of this function, so that the pools, the policy and the file get concurrent changes
         // of one backend in the same order.
         let mut endpoint_ids = lock_or_abort(&self.endpoint_ids);
-        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else { return false };
+        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id_handling) else {
+            return false;
+        };
         let ejected = change == EjectionChange::Eject;
         // The pools come first: they reject attempts that the policy decided on before an ejection, and they accept attempts
         // before the policy decides on the first one after a restoration.
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -80,12 +80,12 @@
     /// After a hand-over the successor serves its clients.
     fn start_shutdown(&self) -> Duration {
         if self.running.hot_restart.has_handed_over() {
-            return signals::OVERLAP;
+            return signals::MIN_OVERLAP;
         }
         let earliest_kill = self.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
         let answered_within = earliest_kill.saturating_sub(ANSWER_MARGIN);
         self.running.exchange.answer_all_within(answered_within);
-        answered_within.saturating_sub(LAST_ACCEPT_MARGIN).max(signals::OVERLAP)
+        answered_within.saturating_sub(LAST_ACCEPT_MARGIN).max(signals::MIN_OVERLAP)
     }
 
     /// The overlap also ends while a value is streamed, since its client may take seconds to read it.
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Minimum time of service after SIGTERM. New connections arrive for up to 0.4 s after it.
-pub const OVERLAP: Duration = Duration::from_millis(500);
+pub const MIN_OVERLAP: Duration = Duration::from_millis(500);
 /// Time that a drain may last beyond the longest deadline: the machine may be busy, and clients may still read their last answer.
 const DRAIN_MARGIN: Duration = Duration::from_millis(300);
 /// Interval at which a shutdown checks whether the overlap must end and whether connections are still open.
@@ -22,9 +22,9 @@
     fn reload(&self);
     /// Starts a shutdown, at SIGTERM or SIGINT. Returns the overlap: the time for which clients are still served.
     fn start_shutdown(&self) -> Duration {
-        OVERLAP
+        MIN_OVERLAP
     }
-    /// Whether the overlap ends early. Checked once [`OVERLAP`] has passed.
+    /// Whether the overlap ends early. Checked once [`MIN_OVERLAP`] has passed.
     fn must_end_overlap(&self) -> bool {
         false
     }
@@ -68,7 +68,7 @@
 fn serve_overlap(handler: &impl SignalHandler) {
     let started = Instant::now();
     let overlap = handler.start_shutdown();
-    thread::sleep(OVERLAP.min(overlap));
+    thread::sleep(MIN_OVERLAP.min(overlap));
     while started.elapsed() < overlap && !handler.must_end_overlap() {
         thread::sleep(POLL_INTERVAL);
     }
