--- a/crates/front_resp/src/front.rs
+++ b/crates/front_resp/src/front.rs
@@ -39,19 +39,19 @@
 /// Byte budgets that all clients share.
 pub(crate) struct FrontMemory {
     /// Budget of the read buffers that hold incomplete commands.
-    pub(crate) incomplete_budget: Arc<MemoryBudget>,
+    pub(crate) incomplete_command_budget: Arc<MemoryBudget>,
     /// Budget of the requests in flight, and of the answers that wait for earlier ones.
     pub(crate) complete_budget: Arc<MemoryBudget>,
     /// Budget of the answers that were sent but that clients have not read.
-    pub(crate) unread_budget: Arc<MemoryBudget>,
+    pub(crate) unread_answer_budget: Arc<MemoryBudget>,
 }
 
 impl FrontMemory {
     fn new(process_bytes: usize) -> Self {
         Self {
-            incomplete_budget: MemoryBudget::new(process_bytes / INCOMPLETE_MEMORY_DIVISOR),
+            incomplete_command_budget: MemoryBudget::new(process_bytes / INCOMPLETE_MEMORY_DIVISOR),
             complete_budget: MemoryBudget::new(process_bytes / COMPLETE_MEMORY_DIVISOR),
-            unread_budget: MemoryBudget::new(process_bytes / UNREAD_MEMORY_DIVISOR),
+            unread_answer_budget: MemoryBudget::new(process_bytes / UNREAD_MEMORY_DIVISOR),
         }
     }
 }
@@ -122,7 +122,11 @@
         incomplete: Vec<u8>,
         incomplete_since: Option<Instant>,
     ) -> Arc<ClientConnection> {
-        let FrontMemory { incomplete_budget, unread_budget, .. } = &self.memory;
+        let FrontMemory {
+            incomplete_command_budget: incomplete_budget,
+            unread_answer_budget: unread_budget,
+            ..
+        } = &self.memory;
         let client = ClientConnection::new(
             socket,
             Reservation::empty(incomplete_budget),
--- a/crates/front_resp/src/reader.rs
+++ b/crates/front_resp/src/reader.rs
@@ -100,7 +100,7 @@
 
     /// Stops reading a large incomplete command while the budget for incomplete commands is exceeded.
     fn wait_for_memory(&self, client: &ClientConnection, incomplete_bytes: usize) {
-        let budget = &self.memory.incomplete_budget;
+        let budget = &self.memory.incomplete_command_budget;
         if incomplete_bytes < TYPICAL_REQUEST_BYTES || !budget.is_exceeded() {
             return;
         }
--- a/crates/front_resp/src/sweep.rs
+++ b/crates/front_resp/src/sweep.rs
@@ -18,7 +18,7 @@
     /// keep a reserve for new connections. The caller runs it a few times a second.
     pub fn sweep(&self) {
         let clients = self.connections.clients();
-        let is_under_pressure = self.memory.unread_budget.is_exceeded();
+        let is_under_pressure = self.memory.unread_answer_budget.is_exceeded();
         for client in &clients {
             match SweepAction::for_client(client, is_under_pressure) {
                 SweepAction::Keep => {}
--- a/crates/front_resp/src/writer.rs
+++ b/crates/front_resp/src/writer.rs
@@ -68,7 +68,7 @@
             wakes_reader |= state.is_ending();
         }
         drop(state);
-        let is_under_pressure = self.memory.unread_budget.is_exceeded();
+        let is_under_pressure = self.memory.unread_answer_budget.is_exceeded();
         let is_stalled = unread_before > 0 && unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && is_under_pressure;
         if sent.is_err() || unread > MAX_UNREAD_BYTES || is_stalled {
             client.socket.close();
--- a/crates/json_stream/src/object_stream.rs
+++ b/crates/json_stream/src/object_stream.rs
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Discards the bytes of returned items. Runs once for all items of a read, so that the rest is moved only once.
+    /// Discards the bytes of returned items. Runs once for all items of a read, so that the remaining bytes are moved only once.
     fn discard_returned(&mut self) {
         let returned = if self.is_inside_object() { self.object_start } else { self.position };
         self.bytes.drain(..returned);
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -4,7 +4,7 @@
 use crate::error::{MalformedInput, ParseResult};
 use std::ops::Range;
 
-/// A parsed command. It refers to its arguments by their ranges in the buffer.
+/// A parsed command. Its arguments are ranges of bytes in the buffer from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
     /// The range of each argument's bytes. The first argument is the command's name.
--- a/crates/resp/src/element.rs
+++ b/crates/resp/src/element.rs
@@ -7,7 +7,7 @@
 pub const MAX_BULK_BYTES: usize = 64 * 1024;
 /// Maximum bytes of a bulk string that is streamed.
 pub const MAX_STREAMED_BULK_BYTES: usize = 8 * 1024 * 1024;
-/// Maximum items of one array. Also the maximum number of elements of a message that are still to be parsed at any time.
+/// Maximum number of items in one array. Also limits how many elements of a message are still to be parsed at any time.
 pub const MAX_ARRAY_ITEMS: usize = 64;
 /// Maximum bytes of one message.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
@@ -15,7 +15,7 @@
 const MAX_LINE_BYTES: usize = 1024;
 const LINE_END: &[u8] = b"\r\n";
 
-/// One element of a message. It refers to its text or bytes by their range in the buffer.
+/// One element of a message. Its text or bytes are a range in the buffer from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Element {
     /// A simple string (`+`), without its line end.
@@ -28,7 +28,7 @@
     Bulk(Range<usize>),
     /// A null bulk string (`$-1`) or a null array (`*-1`).
     Null,
-    /// The head of an array (`*`). This many elements follow it.
+    /// The head of an array (`*`). The value is the number of elements that follow the head.
     Array(usize),
 }
 
--- a/crates/resp/src/query.rs
+++ b/crates/resp/src/query.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-/// Name of the deadline in a command's list of names and values.
+/// Name under which the deadline stands in a command's list of names and values.
 const DEADLINE_NAME: &[u8] = b"d";
 
 /// A client's command as it was received. Its deadline is replaced when it is forwarded.
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -14,7 +14,7 @@
 /// Limit on connected clients, each with a descriptor and a thread. At the limit a new client evicts the oldest one that has sent
 /// no complete line.
 pub const MAX_CLIENTS: usize = 12;
-/// Timeout for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
+/// Timeout for receiving a client's line. Some operators' tools send a complete command up to 4 s after they connect.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout for sending a reply. A reply fits into the socket's buffer unless the client does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
     UnknownBackend,
 }
 
-/// Why a client's line was not read. The text is sent to the client.
+/// Why the line with a client's command could not be read. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LineError {
     #[error("no line came")]
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -91,8 +91,8 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Outcomes of requests by class name. A class that was removed and added again with other settings has
-    /// several numbers under one name.
+    /// Returns the outcomes of requests by class name. A class has several numbers under one name if it was removed and
+    /// added again with other settings.
     fn class_metrics(&self, outcomes: &exchange::OutcomeCounts) -> Vec<ClassMetrics> {
         let mut classes: Vec<ClassMetrics> = Vec::new();
         for (name, counts) in lock_or_abort(&self.names).classes.iter().zip(&outcomes.classes) {
--- a/crates/snowfield/src/appliance.rs
+++ b/crates/snowfield/src/appliance.rs
@@ -39,8 +39,8 @@
 }
 
 impl signals::SignalHandler for SignalHandler<'_> {
-    /// Reloads the settings of the cluster. Routes, tenants and plans change with a restart only, since decisions on requests in
-    /// flight depend on them.
+    /// Reloads the settings of the cluster. A change of routes, tenants or plans needs a restart, since decisions on requests in
+    /// flight depend on these settings.
     fn reload(&self) {
         match &self.running.cluster {
             Some(cluster) => {
--- a/crates/snowfield/src/backoff.rs
+++ b/crates/snowfield/src/backoff.rs
@@ -10,9 +10,9 @@
 }
 
 impl ExponentialBackoff {
-    /// Creates a backoff whose first pause is `min` and whose longest is `max`.
-    pub fn new(min: Duration, max: Duration) -> Self {
-        Self { next_pause: min, max_pause: max }
+    /// Creates a backoff whose first pause is `min_pause` and whose longest pause is `max_pause`.
+    pub fn new(min_pause: Duration, max_pause: Duration) -> Self {
+        Self { next_pause: min_pause, max_pause }
     }
 
     /// Blocks the thread for the next pause.
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -108,9 +108,9 @@
         &mut self,
         id: &str,
         change: EjectionChange,
-        unknown_id_handling: UnknownIdHandling,
+        unknown_id: UnknownIdHandling,
     ) -> Option<BackendId> {
-        let number = match unknown_id_handling {
+        let number = match unknown_id {
             UnknownIdHandling::Register => self.number_or_assign(id),
             UnknownIdHandling::Reject => {
                 self.number(id).filter(|number| self.is_listed_or_ejected(id, *number))?
--- a/crates/snowfield/src/endpoint_ids/tests.rs
+++ b/crates/snowfield/src/endpoint_ids/tests.rs
@@ -12,8 +12,7 @@
 #[test]
 fn an_ejection_applies_to_listed_backends_and_to_backends_of_another_process() {
     let mut ids = ids_with_listed("s-0");
-    let mut eject =
-        |id, unknown_id_handling| ids.change_ejection(id, EjectionChange::Eject, unknown_id_handling);
+    let mut eject = |id, unknown_id| ids.change_ejection(id, EjectionChange::Eject, unknown_id);
     assert_eq!(eject("s-0", UnknownIdHandling::Reject), Some(BackendId(1)));
     assert_eq!(eject("s-1", UnknownIdHandling::Reject), None);
     assert_eq!(eject("s-1", UnknownIdHandling::Register), Some(BackendId(2)));
--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -75,9 +75,9 @@
         match message {
             Message::SetEjected { call, id, ejected, known_to_sender } => {
                 let change = if ejected { EjectionChange::Eject } else { EjectionChange::Restore };
-                let unknown_id_handling =
+                let unknown_id =
                     if known_to_sender { UnknownIdHandling::Register } else { UnknownIdHandling::Reject };
-                let applied = self.apply(&id, change, unknown_id_handling);
+                let applied = self.apply(&id, change, unknown_id);
                 // `send` fails if the other process has ended.
                 let _ = peer.send(&Message::EjectionApplied { call, applied }, None);
             }
@@ -114,11 +114,11 @@
     }
 
     /// Applies a change in this process. Returns whether it was applied; see [`EndpointIds::change_ejection`].
-    fn apply(&self, id: &str, change: EjectionChange, unknown_id_handling: UnknownIdHandling) -> bool {
+    fn apply(&self, id: &str, change: EjectionChange, unknown_id: UnknownIdHandling) -> bool {
         // The ids stay locked until the end of this function, so that the pools, the policy and the file get concurrent changes
         // of one backend in the same order.
         let mut endpoint_ids = lock_or_abort(&self.endpoint_ids);
-        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id_handling) else {
+        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else {
             return false;
         };
         let ejected = change == EjectionChange::Eject;
--- a/crates/snowfield/src/plan_replication/tests.rs
+++ b/crates/snowfield/src/plan_replication/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the plans that are enforced with a view, and of the versions and files that are rejected.
+//! Tests of the plans that an instance enforces in a state of the replicated configuration, and of rejected versions and files.
 
 use super::*;
 use config_node::{ConfigVersion, Version};
--- a/crates/snowfield/src/platform.rs
+++ b/crates/snowfield/src/platform.rs
@@ -20,14 +20,14 @@
 /// Environment variable that overrides the admin address of the configuration.
 const ADMIN_VARIABLE: &str = "BALANCER_OPERATOR";
 
-/// Limit on the longest deadline as counted here: SIGKILL follows SIGTERM no sooner than after the longest deadline, up to this
-/// limit, plus [`KILL_MARGIN`].
+/// Limit on the deadline that determines the time of SIGKILL. SIGKILL follows SIGTERM no sooner than after the longest deadline
+/// of all classes, or after this limit if the deadline is longer, plus [`KILL_MARGIN`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Minimum time from the end of the longest deadline to SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// All accepted requests are answered this long before SIGKILL, since a busy worker may be late.
+/// Time before SIGKILL at which all accepted requests must be answered, since a busy worker may be late.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// New requests are accepted until this long before the last answer. Most requests are served within this time.
+/// Time before the last answer at which the front stops accepting requests. Most requests are served within this time.
 const LAST_ACCEPT_MARGIN: Duration = Duration::from_millis(600);
 
 /// Serves until SIGTERM or SIGINT, then shuts down gracefully.
@@ -88,7 +88,7 @@
         answered_within.saturating_sub(LAST_ACCEPT_MARGIN).max(signals::MIN_OVERLAP)
     }
 
-    /// The overlap also ends while a value is streamed, since its client may take seconds to read it.
+    /// The overlap also ends while a value is streamed, since the client may take seconds to read the value.
     fn must_end_overlap(&self) -> bool {
         self.running.hot_restart.has_handed_over() || self.running.exchange.open_streams() > 0
     }
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -51,7 +51,8 @@
             (None, Some(address)) => {
                 tracing::info!(%address, "quota counter not in use before a restart");
             }
-            // Without an address there is no client either, since a file that lacks a key of the previous one is rejected.
+            // A new file without a counter address means that no counter client exists: a file that lacks a key of the previous file
+            // is rejected.
             (_, None) => {}
         }
     }
--- a/crates/snowfield/src/platform/running.rs
+++ b/crates/snowfield/src/platform/running.rs
@@ -32,8 +32,8 @@
     pub(super) numbering: Numbering,
 }
 
-/// The longest deadline of all configurations since the start. A request that was accepted under an earlier one may still be
-/// in flight.
+/// The longest deadline in any configuration since the process started. A request that was accepted under an earlier
+/// configuration may still be in flight.
 pub(super) struct LongestDeadline {
     micros: AtomicU64,
 }
@@ -44,7 +44,7 @@
         Self { micros: AtomicU64::new(deadline.as_micros() as u64) }
     }
 
-    /// Takes a new configuration's longest deadline into account.
+    /// Raises the value to the longest deadline of a new configuration if that deadline is longer.
     pub(super) fn include(&self, deadline: Duration) {
         self.micros.fetch_max(deadline.as_micros() as u64, Ordering::Relaxed);
     }
--- a/crates/snowfield/src/platform/startup.rs
+++ b/crates/snowfield/src/platform/startup.rs
@@ -23,7 +23,7 @@
 /// File descriptors reserved for the listener, discovery, the counter's connections before and after a reload, the file read at
 /// a reload, `may`, the signals and the standard streams: at most 19.
 const RESERVED_SOCKETS: usize = 20;
-/// Further descriptors reserved for the admin listener and hot restarts, with an admin address configured.
+/// Further descriptors that are reserved if an admin address is configured, for the admin listener and hot restarts.
 const ADMIN_SOCKETS: usize = 5;
 /// Minimum number of connections to clients and backends, however low the configured limit is.
 const MIN_SOCKETS: usize = 16;
@@ -95,8 +95,8 @@
     })
 }
 
-/// Waits up to [`SHARED_STATE_TIMEOUT`] for the first endpoint list and the fleet's clock. An unreachable discovery agent leaves
-/// the cached list in force, an unreachable counter this process's own clock.
+/// Waits up to [`SHARED_STATE_TIMEOUT`] for the first endpoint list and the fleet's clock. The cached list stays in force if
+/// the discovery agent is unreachable, and this process's own clock if the counter is unreachable.
 fn wait_for_shared_state(first_event: &Receiver<()>, exchange: &RespExchange) {
     let deadline = Instant::now() + SHARED_STATE_TIMEOUT;
     // If discovery sends no list in time, the cached list stays in force.
@@ -120,8 +120,8 @@
     config.max_sockets.saturating_sub(reserved).max(MIN_SOCKETS)
 }
 
-/// The directory for hot restarts. Without an admin listener there is none, since nobody could ask the successor whether
-/// it is ready.
+/// The directory for hot restarts. `None` without an admin listener, since nobody could ask the successor whether it is
+/// ready.
 fn shared_directory(config: &PlatformConfig) -> Option<PathBuf> {
     config.admin.and_then(|_| std::env::var_os(SHARED_DIRECTORY_VARIABLE)).map(PathBuf::from)
 }
--- a/crates/snowfield/src/settings_command.rs
+++ b/crates/snowfield/src/settings_command.rs
@@ -37,7 +37,7 @@
 /// A file with plans to propose or to compare.
 struct PlanFile {
     text: String,
-    /// The configuration's plans with the changes of the file.
+    /// The plans of the configuration, after applying the changes in the file.
     plans: Vec<PlanConfig>,
 }
 
@@ -98,7 +98,7 @@
     println!("# version {number}, {state}, by {proposed_by}\n{}", text.trim_end());
 }
 
-/// Prints the figures that a file with plans would change.
+/// Prints the limits of plans that the file `rules` would change.
 fn diff(path: &Path, rules: &Path) -> Result<(), Error> {
     let (config, replication) = read_config(path)?;
     let new_plans = read_plan_file(rules, &config)?.plans;
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -15,7 +15,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for the answer of one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before all replicas are tried again.
+/// Pause between calling the last replica and calling all replicas again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Name of the proposer if the environment variable `USER` is not set.
 const UNKNOWN_USER: &str = "somebody";
@@ -40,7 +40,7 @@
         Ok(Self { replicas: &replication.replicas, keys: keyring(config, path)? })
     }
 
-    /// Proposes a version. With an `expected_version` it is accepted only if that version is in force.
+    /// Proposes a version of the plans. With an `expected_version`, the proposal is accepted only if that version is in force.
     ///
     /// # Errors
     ///
@@ -51,7 +51,7 @@
         expected_version: Option<u64>,
     ) -> Result<ProposalOutcome, Error> {
         let proposed_by = std::env::var("USER").unwrap_or_else(|_| UNKNOWN_USER.into());
-        // Retries have the same id, so that a proposal whose answer was lost is accepted once only.
+        // All retries of a proposal have the same id, so that a proposal whose answer was lost is accepted only once.
         let id = ProposalId(unique_id());
         let expected_version = expected_version.map(ConfigVersion);
         let message = Message::Propose(Proposal { id, proposed_by, expected_version, text });
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads the version in force, and the one that is proposed, if any.
+    /// Reads the version in force, and the proposed version if a rollout is in progress.
     ///
     /// # Errors
     ///
@@ -108,7 +108,7 @@
     }
 }
 
-/// Whether this is the answer of a replica that is not the leader.
+/// Whether the answer comes from a replica that is not the leader.
 fn is_redirect(answer: &Message) -> bool {
     matches!(answer, Message::RedirectLeaseRequest { .. } | Message::RedirectProposal { .. })
 }
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Minimum time of service after SIGTERM. New connections arrive for up to 0.4 s after it.
+/// Minimum time of service after SIGTERM. New connections arrive for up to 0.4 s after SIGTERM.
 pub const MIN_OVERLAP: Duration = Duration::from_millis(500);
-/// Time that a drain may last beyond the longest deadline: the machine may be busy, and clients may still read their last answer.
+/// Time that a drain may last after the longest deadline: the machine may be busy, and clients may still read their last answer.
 const DRAIN_MARGIN: Duration = Duration::from_millis(300);
 /// Interval at which a shutdown checks whether the overlap must end and whether connections are still open.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -32,7 +32,8 @@
     fn close_connections(&self);
     /// Number of open client connections.
     fn open_connections(&self) -> usize;
-    /// Number of requests without a final answer, if some may wait for longer than the longest deadline. A drain waits for these.
+    /// Number of requests without a final answer, for a front whose requests may wait for longer than the longest deadline. A drain
+    /// waits for these requests.
     fn unanswered(&self) -> usize {
         0
     }
--- a/crates/snowfield/src/start_retry.rs
+++ b/crates/snowfield/src/start_retry.rs
@@ -1,12 +1,12 @@
-//! Retries with exponential backoff for system calls during the start. They may fail transiently, while other processes
-//! hold the last descriptors, the memory or the address.
+//! Retries with exponential backoff for system calls during the start. A system call may fail transiently, while other
+//! processes hold the last descriptors, the memory or the address.
 
 use crate::backoff::ExponentialBackoff;
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// No retry starts later than this after the first attempt. The whole start must complete within 6 s.
+/// Time after the first attempt during which retries may start. The whole start must complete within 6 s.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Backoff before the first retry.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
