--- a/crates/snowfield/src/operator_ejections.rs
+++ b/crates/snowfield/src/operator_ejections.rs
@@ -118,9 +118,7 @@
         // The ids stay locked until the end of this function, so that the pools, the policy and the file get concurrent changes
         // of one backend in the same order.
         let mut endpoint_ids = lock_or_abort(&self.endpoint_ids);
-        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else {
-            return false;
-        };
+        let Some(backend) = endpoint_ids.change_ejection(id, change, unknown_id) else { return false };
         let ejected = change == EjectionChange::Eject;
         // The pools come first: they reject attempts that the policy decided on before an ejection, and they accept attempts
         // before the policy decides on the first one after a restoration.
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -154,7 +154,8 @@
         let client_limit = move || {
             let reserved_for_attempts =
                 pools.open_connections() + min_reserved / RESERVED_FOR_ATTEMPTS_DIVISOR;
-            // A few admin clients get a descriptor at once. Further admin clients wait until a client connection has released one.
+            // A few admin clients get a descriptor at once. Further admin clients wait until a client connection has released
+            // one.
             let reserved_for_admin = admin_listener
                 .as_ref()
                 .map_or(0, |listener| (listener.client_count() + SPARE_ADMIN_CLIENTS).min(MAX_CLIENTS));
--- a/crates/snowfield/src/platform/reload.rs
+++ b/crates/snowfield/src/platform/reload.rs
@@ -51,7 +51,7 @@
             (None, Some(address)) => {
                 tracing::info!(%address, "quota counter not in use before a restart");
             }
-            // A new file without a counter address means that no counter client exists: a file that lacks a key of the previous file
+            // If the new file has no counter address, no counter client exists: a file that lacks a key of the previous file
             // is rejected.
             (_, None) => {}
         }
--- a/crates/snowfield/src/signals.rs
+++ b/crates/snowfield/src/signals.rs
@@ -32,8 +32,8 @@
     fn close_connections(&self);
     /// Number of open client connections.
     fn open_connections(&self) -> usize;
-    /// Number of requests without a final answer, for a front whose requests may wait for longer than the longest deadline. A drain
-    /// waits for these requests.
+    /// Number of requests without a final answer, for a front whose requests may wait for longer than the longest deadline. A
+    /// drain waits for these requests.
     fn unanswered(&self) -> usize {
         0
     }
