--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -55,7 +55,7 @@
 }
 
 impl EvictionCandidate {
-    /// Returns `None` for a connection in use.
+    /// Creates the candidate for a connection. Returns `None` if the connection is in use.
     fn new(client: Arc<ClientConnection>) -> Option<Self> {
         let evictable_state = {
             let state = lock_or_abort(&client.state);
--- a/crates/front_resp/src/incomplete_command.rs
+++ b/crates/front_resp/src/incomplete_command.rs
@@ -20,7 +20,7 @@
         Self { since: None, reservation, is_shed: false }
     }
 
-    /// Continues with a command that another process has begun to receive. `since` is when its timeout started.
+    /// Continues with a command that another process has begun to receive. `since` is when the command's timeout started.
     pub(crate) fn resume(&mut self, since: Option<Instant>) {
         self.since = since;
     }
@@ -35,7 +35,7 @@
         self.is_shed &= self.since.is_some();
     }
 
-    /// Discards the command of a connection that is no longer read. Its bytes are freed with the read buffer.
+    /// Discards the command of a connection that is no longer read. The command's bytes are freed with the read buffer.
     pub(crate) fn clear(&mut self) {
         self.since = None;
         self.reservation.resize(0);
--- a/crates/front_resp/tests/connections.rs
+++ b/crates/front_resp/tests/connections.rs
@@ -56,7 +56,7 @@
         client
     }
 
-    /// Connects a client whose connection has answered a `PING`.
+    /// Connects a client, and waits for the answer to its `PING`.
     fn connect_and_ping(&self) -> TcpStream {
         let mut client = self.connect();
         client.write_all(PING).expect("the connection is open");
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -27,7 +27,8 @@
     },
     /// The successor is ready to serve and requests the state. Carries the read end of its admission journal.
     RequestState,
-    /// The state of the predecessor, which admits no more requests once it has sent this. Carries its listening socket.
+    /// The state of the predecessor, which admits no more requests once it has sent this message. Carries the predecessor's
+    /// listening socket.
     State {
         /// The policy's snapshot in its own encoding.
         policy_snapshot: Vec<u8>,
@@ -53,13 +54,13 @@
         id: String,
         /// True to eject the backend, false to end its ejection.
         ejected: bool,
-        /// Whether the sender has the backend in its endpoint list or among the ejected ones. If not, the receiver checks its
-        /// own.
+        /// Whether the sender has the backend in its endpoint list or among its ejected backends. If not, the receiver applies
+        /// the change only if the receiver itself has the backend.
         known_to_sender: bool,
     },
     /// The reply to [`Message::SetEjected`].
     EjectionApplied {
-        /// The `call` of the message that this replies to.
+        /// The `call` of the [`Message::SetEjected`] that this message replies to.
         call: u64,
         /// Whether the receiver has applied the change.
         applied: bool,
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -70,7 +70,7 @@
     fields.iter().filter(has_name).map(|field| &buffer[field.value.clone()])
 }
 
-/// Whether a field `name`, as a comma-separated list, contains `token`. Case is ignored.
+/// Whether the comma-separated list in a field `name` contains `token`. Case is ignored.
 pub fn has_list_token(buffer: &[u8], fields: &[HeaderField], name: &str, token: &str) -> bool {
     let mut tokens = header_values(buffer, fields, name).flat_map(|value| value.split(|&byte| byte == b','));
     tokens.any(|listed| listed.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -95,8 +95,8 @@
 }
 
 impl Request {
-    /// Builds the request to forward, with `target` in place of the received one. The ranges of `head` are in `buffer`. Adds
-    /// `Via`.
+    /// Builds the request to forward, with `target` in place of the received target and with an added `Via` field. The ranges of
+    /// `head` are in `buffer`.
     pub fn new(buffer: &[u8], head: &RequestHead, target: &[u8], body: Vec<u8>) -> Self {
         let method = &buffer[head.method.clone()];
         let mut forwarded = Vec::with_capacity(head.length + ADDED_HEAD_BYTES);
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -24,9 +24,9 @@
     pub further_agents: Vec<SocketAddr>,
     /// Name of the service that serves all routes without a service of their own.
     pub service: String,
-    /// Restricts the list to instances with this tag.
+    /// Consul tag that an instance must have to be in the endpoint list; `None` if no tag is required.
     pub tag: Option<String>,
-    /// Filter expression in Consul's syntax.
+    /// Filter expression in Consul's syntax, which selects the instances in the endpoint list; `None` for no filter.
     pub filter: Option<String>,
     /// File with the ACL token, relative to the directory of this file. The token is read before each request to Consul.
     pub token_file: Option<PathBuf>,
@@ -138,9 +138,9 @@
 pub struct ServiceConfig {
     /// Name of the service in Consul.
     pub name: String,
-    /// Restricts the list to instances with this tag.
+    /// Consul tag that an instance must have to be in the endpoint list; `None` if no tag is required.
     pub tag: Option<String>,
-    /// Filter expression in Consul's syntax.
+    /// Filter expression in Consul's syntax, which selects the instances in the endpoint list; `None` for no filter.
     pub filter: Option<String>,
 }
 
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -24,7 +24,7 @@
     KeySet::of(&mut text.as_bytes().to_vec())
 }
 
-/// Why a file is rejected as the replacement of a valid one.
+/// Returns the error with which a reload rejects a file; `None` if it accepts the file.
 fn rejection(text: &str) -> Option<String> {
     let in_force = keys(&file(CLASS)).expect("a valid file");
     let checked =
--- a/crates/snowfield/src/error.rs
+++ b/crates/snowfield/src/error.rs
@@ -100,7 +100,7 @@
     /// A configuration file lacks a table that the command or the instance requires.
     #[error("{}: the table [{table}] is missing", path.display())]
     MissingTable {
-        /// Path of the configuration file.
+        /// Path of the configuration file that lacks the table.
         path: PathBuf,
         /// Name of the missing table, without brackets.
         table: &'static str,
--- a/crates/snowfield/src/hot_restart/successor.rs
+++ b/crates/snowfield/src/hot_restart/successor.rs
@@ -67,7 +67,7 @@
         Ok(state.listener)
     }
 
-    /// Receives the reply to [`Message::RequestState`], and handles messages about ejections until then.
+    /// Receives the reply to [`Message::RequestState`], and handles messages about ejections until the reply arrives.
     fn receive_state(&self, predecessor: &Peer) -> Result<(Message, Option<OwnedFd>), Error> {
         loop {
             match predecessor.receive(Some(MESSAGE_TIMEOUT))? {
--- a/crates/snowfield/src/platform/config_file.rs
+++ b/crates/snowfield/src/platform/config_file.rs
@@ -18,7 +18,7 @@
 pub(super) struct ConfigFile {
     /// The settings of the file.
     pub(super) config: PlatformConfig,
-    /// The keys that the file sets. A reload is rejected if its file lacks one of them.
+    /// The keys that the file sets. A reload is rejected if the new file lacks one of these keys.
     pub(super) keys: KeySet,
 }
 
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -81,7 +81,7 @@
         Ok(Self { exchange, pools, counter, endpoint_ids })
     }
 
-    /// Creates the operators' ejections. They are stored in `directory`; with `None` they are not stored.
+    /// Creates the service for operators' ejections. Ejections are stored in `directory`; with `None` they are not stored.
     pub(super) fn create_operator_ejections(&self, directory: Option<PathBuf>) -> OperatorEjections {
         let (exchange, pools) = (self.exchange.clone(), self.pools.clone());
         OperatorEjections::new(exchange, pools, self.endpoint_ids.clone(), directory)
--- a/crates/snowfield/src/settings_command/replicas.rs
+++ b/crates/snowfield/src/settings_command/replicas.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Timeout for a call to the leader, over all replicas and retries.
+/// Timeout for a call to the leader, which includes the calls to other replicas and all retries.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for the answer of one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
