--- a/crates/front_resp/src/eviction.rs
+++ b/crates/front_resp/src/eviction.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// At the connection limit, a lingering connection is closed after the linger timeout divided by this.
+/// At the connection limit, a lingering connection is closed after the linger timeout divided by this number.
 const LINGER_DIVISOR: u32 = 4;
 
 /// A connection that may be evicted.
@@ -44,18 +44,18 @@
     /// Sheds the oldest incomplete command among the large ones, to free its memory.
     pub(crate) fn shed_incomplete_command(&self) {
         let clients = self.clients();
-        let sheddable = clients
-            .iter()
-            .filter_map(|client| Some((lock_or_abort(&client.state).incomplete.sheddable_since()?, client)));
+        let sheddable = clients.iter().filter_map(|client| {
+            Some((lock_or_abort(&client.state).incomplete_command.sheddable_since()?, client))
+        });
         if let Some((_, client)) = sheddable.min_by_key(|(since, _)| *since) {
-            lock_or_abort(&client.state).incomplete.shed();
+            lock_or_abort(&client.state).incomplete_command.shed();
             client.socket.wake();
         }
     }
 }
 
 impl EvictionCandidate {
-    /// Returns `None` for a connection in use.
+    /// Creates the candidate for a connection. Returns `None` if the connection is in use.
     fn new(client: Arc<ClientConnection>) -> Option<Self> {
         let evictable_state = {
             let state = lock_or_abort(&client.state);
@@ -81,7 +81,7 @@
 }
 
 impl EvictableState {
-    /// Connections with the greatest value are evicted first.
+    /// The time by which connections are ordered for eviction: the longest time is evicted first.
     fn precedence(self) -> Duration {
         match self {
             Self::Lingering(_) => Duration::MAX,
--- a/crates/handover/src/journal.rs
+++ b/crates/handover/src/journal.rs
@@ -12,11 +12,11 @@
 
 /// Bytes of an encoded entry.
 const ENTRY_BYTES: usize = 28;
-/// More unread entries than this may mean that some were lost. Linux's default socket buffer holds 270 entries of this size with
-/// the kernel's overhead.
+/// Number of unread entries above which entries may have been lost. Linux's default socket buffer holds 270 entries of
+/// [`ENTRY_BYTES`] with the kernel's overhead.
 const MAX_UNREAD_ENTRIES: usize = 64;
 /// Accepted values of [`Admission::tenant_gatekeepers`].
-const VALID_GATEKEEPERS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
+const VALID_TENANT_GATEKEEPER_COUNTS: std::ops::RangeInclusive<f64> = 1.0..=1e6;
 /// Accepted values of [`Admission::units`].
 const VALID_UNITS: std::ops::RangeInclusive<f64> = 0.0..=1e9;
 /// Timeout for reading the rest of a journal whose writer has ended. The caller of [`read_journal`] applies it.
@@ -58,7 +58,7 @@
             tenant_gatekeepers: f64::from_le_bytes(*tenant_gatekeepers),
             units: f64::from_le_bytes(*units),
         };
-        let is_valid = VALID_GATEKEEPERS.contains(&admission.tenant_gatekeepers)
+        let is_valid = VALID_TENANT_GATEKEEPER_COUNTS.contains(&admission.tenant_gatekeepers)
             && VALID_UNITS.contains(&admission.units);
         is_valid.then_some(admission)
     }
@@ -100,7 +100,7 @@
 pub fn read_journal(reader: OwnedFd, mut on_entry: impl FnMut(Admission)) -> JournalEnd {
     let mut reader = UnixStream::from(reader);
     let mut buffer = [0; ENTRY_BYTES * MAX_UNREAD_ENTRIES];
-    // Bytes of an incomplete entry at the front of the buffer.
+    // Number of bytes of an incomplete entry at the front of the buffer.
     let mut partial = 0;
     let mut is_complete = true;
     loop {
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -16,7 +16,7 @@
 /// Minor version of HTTP/1.0.
 const HTTP_1_0: u8 = 0;
 
-/// The head of a request. It refers to its parts by their ranges in the buffer.
+/// The head of a request. Its parts are ranges of bytes in the buffer from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// Range in the buffer of the method, such as `GET`.
@@ -95,8 +95,8 @@
 }
 
 impl Request {
-    /// Builds the request to forward, with `target` in place of the received one. The ranges of `head` are in `buffer`. Adds
-    /// `Via`.
+    /// Builds the request to forward, with `target` in place of the received target and with an added `Via` field. The ranges of
+    /// `head` are in `buffer`.
     pub fn new(buffer: &[u8], head: &RequestHead, target: &[u8], body: Vec<u8>) -> Self {
         let method = &buffer[head.method.clone()];
         let mut forwarded = Vec::with_capacity(head.length + ADDED_HEAD_BYTES);
--- a/crates/settings/src/appliance/consul.rs
+++ b/crates/settings/src/appliance/consul.rs
@@ -24,9 +24,9 @@
     pub further_agents: Vec<SocketAddr>,
     /// Name of the service that serves all routes without a service of their own.
     pub service: String,
-    /// Restricts the list to instances with this tag.
+    /// Consul tag that an instance must have to be in the endpoint list; `None` if no tag is required.
     pub tag: Option<String>,
-    /// Filter expression in Consul's syntax.
+    /// Filter expression in Consul's syntax, which selects the instances in the endpoint list; `None` for no filter.
     pub filter: Option<String>,
     /// File with the ACL token, relative to the directory of this file. The token is read before each request to Consul.
     pub token_file: Option<PathBuf>,
@@ -42,7 +42,7 @@
     /// Maximum duration of a blocking query in milliseconds.
     #[serde(default = "default_wait_ms")]
     pub wait_ms: u64,
-    /// The worst health status of an eligible backend.
+    /// The worst health status with which a backend is eligible.
     #[serde(rename = "takes_work", default)]
     pub minimum_health: MinimumHealth,
     /// Cache file of the endpoint lists, relative to the directory of this file.
@@ -66,7 +66,7 @@
     pub sudden_loss_retention_ms: u64,
 }
 
-/// The worst health status of an eligible backend.
+/// The worst health status with which a backend is eligible.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MinimumHealth {
@@ -138,9 +138,9 @@
 pub struct ServiceConfig {
     /// Name of the service in Consul.
     pub name: String,
-    /// Restricts the list to instances with this tag.
+    /// Consul tag that an instance must have to be in the endpoint list; `None` if no tag is required.
     pub tag: Option<String>,
-    /// Filter expression in Consul's syntax.
+    /// Filter expression in Consul's syntax, which selects the instances in the endpoint list; `None` for no filter.
     pub filter: Option<String>,
 }
 
--- a/crates/snowfield/src/admin_listener.rs
+++ b/crates/snowfield/src/admin_listener.rs
@@ -14,19 +14,19 @@
 /// Limit on connected clients, each with a descriptor and a thread. At the limit a new client evicts the oldest one that has sent
 /// no complete line.
 pub const MAX_CLIENTS: usize = 12;
-/// Timeout for receiving a client's line. Some operators' tools complete no command for 4 s after they connect.
+/// Timeout for receiving a client's line. Some operators' tools send a complete command up to 4 s after they connect.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout for sending a reply. A reply fits into the socket's buffer unless the client does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which input after the line is read and discarded. An immediate close with unread input would reset the connection,
 /// and the reply could be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause after `accept` has failed.
+/// Pause between a failed `accept` and the next one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Stack size of each thread in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 /// Buffer size for reads in bytes.
-const READ_BYTES: usize = 256;
+const READ_BUFFER_BYTES: usize = 256;
 
 /// Why a command failed. The text is sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -37,12 +37,12 @@
     /// The process is shutting down.
     #[error("ending")]
     Ending,
-    /// No backend with this id is listed or ejected.
+    /// The command names the id of a backend that no endpoint list contains and that is not ejected.
     #[error("no such loan server")]
     UnknownBackend,
 }
 
-/// Why a client's line was not read. The text is sent to the client.
+/// Why the line with a client's command could not be read. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LineError {
     #[error("no line came")]
@@ -100,11 +100,11 @@
     }
 }
 
-/// Counts the connected clients.
+/// Number of connected clients.
 #[derive(Clone, Default)]
 struct ClientCounter(Arc<AtomicUsize>);
 
-/// Keeps a client counted until dropped.
+/// Includes one client in the count of connected clients until dropped.
 struct CountedClient(ClientCounter);
 
 impl ClientCounter {
@@ -201,7 +201,7 @@
 fn read_line(mut client: &TcpStream) -> Result<Vec<u8>, LineError> {
     let started = Instant::now();
     let mut line = Vec::new();
-    let mut buffer = [0; READ_BYTES];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         let time_left = LINE_TIMEOUT.saturating_sub(started.elapsed());
         if time_left.is_zero() || client.set_read_timeout(Some(time_left)).is_err() {
@@ -229,7 +229,7 @@
     client.write_all(reply.as_bytes())?;
     client.shutdown(Shutdown::Write)?;
     let started = Instant::now();
-    let mut discarded = [0; READ_BYTES];
+    let mut discarded = [0; READ_BUFFER_BYTES];
     while let time_left @ 1.. = LINGER_TIMEOUT.saturating_sub(started.elapsed()).as_micros() {
         client.set_read_timeout(Some(Duration::from_micros(time_left as u64)))?;
         if client.read(&mut discarded)? == 0 {
--- a/crates/snowfield/src/admin_service.rs
+++ b/crates/snowfield/src/admin_service.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sets the names of the classes and plans that a reload has put in force. The next reply with metrics has them.
+    /// Sets the names of the classes and plans after a reload. Metrics that are collected from now on use these names.
     pub fn set_names(&self, names: PolicyNames) {
         *lock_or_abort(&self.names) = names;
     }
@@ -75,7 +75,7 @@
         *lock_or_abort(&self.phase) == Phase::Ending
     }
 
-    /// Reports this process as ready from now on.
+    /// Reports this process as ready to accept clients from now on.
     pub fn set_ready(&self) {
         *lock_or_abort(&self.phase) = Phase::Ready;
     }
@@ -91,8 +91,8 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Outcomes of requests by class name. A class that was removed and added again with other settings has
-    /// several numbers under one name.
+    /// Returns the outcomes of requests by class name. A class has several numbers under one name if it was removed and
+    /// added again with other settings.
     fn class_metrics(&self, outcomes: &exchange::OutcomeCounts) -> Vec<ClassMetrics> {
         let mut classes: Vec<ClassMetrics> = Vec::new();
         for (name, counts) in lock_or_abort(&self.names).classes.iter().zip(&outcomes.classes) {
--- a/crates/snowfield/src/endpoint_ids.rs
+++ b/crates/snowfield/src/endpoint_ids.rs
@@ -10,10 +10,10 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// Limit on ejected backends. Each stays ejected until an operator restores it.
-const MAX_EJECTED: usize = 4096;
-/// Number of the first backend.
-const FIRST_NUMBER: u32 = 1;
-/// Address of a removed backend whose entry has none. No attempt is sent to it.
+const MAX_EJECTED_BACKENDS: usize = 4096;
+/// Number that is assigned to the first backend id.
+const FIRST_BACKEND_NUMBER: u32 = 1;
+/// Address that stands for the missing address of a removed backend. No attempt is sent to this address.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// What an operator changes about a backend.
@@ -25,12 +25,12 @@
     Restore,
 }
 
-/// How a change is handled for an id that this process has neither listed nor ejected.
+/// How an ejection or restoration is handled if its id is in no endpoint list of this process and is not ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnknownId {
+pub enum UnknownIdHandling {
     /// The change is rejected: the operator may have mistyped the id.
     Reject,
-    /// The id gets a number and the change applies: another process has the backend.
+    /// The id gets a number and the change is applied: the other process of a hot restart knows the backend.
     Register,
 }
 
@@ -98,29 +98,30 @@
         if let Some(number) = self.number(id) {
             return number;
         }
-        let number = BackendId(FIRST_NUMBER + self.numbers.len() as u32);
+        let number = BackendId(FIRST_BACKEND_NUMBER + self.numbers.len() as u32);
         self.numbers.insert(id.to_owned(), number);
         number
     }
 
-    /// Ejects or restores a backend, and returns its number. `None` if the id is unknown and `unknown_id` is
-    /// [`UnknownId::Reject`], or at the limit on ejected backends.
+    /// Ejects or restores a backend, and returns its number. `None` if the change is not applied.
     pub fn change_ejection(
         &mut self,
         id: &str,
         change: EjectionChange,
-        unknown_id: UnknownId,
+        unknown_id: UnknownIdHandling,
     ) -> Option<BackendId> {
         let number = match unknown_id {
-            UnknownId::Register => self.number_or_assign(id),
-            UnknownId::Reject => self.number(id).filter(|number| self.is_listed_or_ejected(id, *number))?,
+            UnknownIdHandling::Register => self.number_or_assign(id),
+            UnknownIdHandling::Reject => {
+                self.number(id).filter(|number| self.is_listed_or_ejected(id, *number))?
+            }
         };
         match change {
             EjectionChange::Restore => {
                 self.ejected.remove(id);
             }
             EjectionChange::Eject if self.ejected.contains(id) => {}
-            EjectionChange::Eject if self.ejected.len() >= MAX_EJECTED => return None,
+            EjectionChange::Eject if self.ejected.len() >= MAX_EJECTED_BACKENDS => return None,
             EjectionChange::Eject => {
                 self.ejected.insert(id.to_owned());
             }
@@ -143,7 +144,7 @@
         listed.map(|(id, number)| BackendNumber { number: number.0, id: id.clone() }).collect()
     }
 
-    /// Returns the number of the backend with this id; `None` if no endpoint list or ejection has had it.
+    /// Returns the number of the backend with this id; `None` if the id has been neither in an endpoint list nor ejected.
     pub fn number(&self, id: &str) -> Option<BackendId> {
         self.numbers.get(id).copied()
     }
--- a/crates/snowfield/src/platform/core.rs
+++ b/crates/snowfield/src/platform/core.rs
@@ -81,7 +81,7 @@
         Ok(Self { exchange, pools, counter, endpoint_ids })
     }
 
-    /// Creates the operators' ejections. They are stored in `directory`; with `None` they are not stored.
+    /// Creates the service for operators' ejections. Ejections are stored in `directory`; with `None` they are not stored.
     pub(super) fn create_operator_ejections(&self, directory: Option<PathBuf>) -> OperatorEjections {
         let (exchange, pools) = (self.exchange.clone(), self.pools.clone());
         OperatorEjections::new(exchange, pools, self.endpoint_ids.clone(), directory)
@@ -131,7 +131,8 @@
                     pools.update_endpoints(kind, &endpoints);
                     exchange.update_endpoints(kind, entries);
                 }
-                // The start waits for the first event only. For a later one this fails if the channel is full or closed.
+                // The start waits for the first event only. For a later event `try_send` fails, since the channel is full or
+                // closed.
                 let _ = first_event_sender.try_send(());
             });
         });
@@ -153,7 +154,8 @@
         let client_limit = move || {
             let reserved_for_attempts =
                 pools.open_connections() + min_reserved / RESERVED_FOR_ATTEMPTS_DIVISOR;
-            // A few admin clients find a descriptor at once. Further ones wait until a client connection has released one.
+            // A few admin clients get a descriptor at once. Further admin clients wait until a client connection has released
+            // one.
             let reserved_for_admin = admin_listener
                 .as_ref()
                 .map_or(0, |listener| (listener.client_count() + SPARE_ADMIN_CLIENTS).min(MAX_CLIENTS));
