--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -94,7 +94,7 @@
 
     /// Sends a lease request to a replica, which may be the one on this node.
     fn request_lease(&mut self, now: MonotonicTime) {
-        let cached = self.view.known_numbers();
+        let cached = self.view.known_version_numbers();
         let OutgoingRequest { to, request } = self.lease_requester.start_request(now, cached);
         match self.peers.queue(to) {
             Some(queue) => queue.send(Message::LeaseRequest(request)),
@@ -147,7 +147,7 @@
     }
 
     fn status(&self) -> Status {
-        let VersionNumbers { in_force, proposed } = self.view.known_numbers();
+        let VersionNumbers { in_force, proposed } = self.view.known_version_numbers();
         Status {
             in_force,
             proposed,
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -43,9 +43,10 @@
 
     /// Derives the [`ConfigView`] from the known versions and the lease, and calls the listener if it has changed.
     fn publish(&mut self, now: MonotonicTime) {
-        let ignores_expiry = seeded_faults::is_active("lease") && self.lease_expires_at > MonotonicTime::ZERO;
+        let ignores_lease_expiry =
+            seeded_faults::is_active("lease") && self.lease_expires_at > MonotonicTime::ZERO;
         let VersionTexts { in_force, proposed } = self.texts.clone();
-        let has_lease = now < self.lease_expires_at || ignores_expiry;
+        let has_lease = now < self.lease_expires_at || ignores_lease_expiry;
         let view = ConfigView { in_force, proposed, has_lease };
         if view != self.view {
             (self.listener)(&view);
@@ -116,7 +117,7 @@
     }
 
     /// Returns the numbers of the known versions, whether or not the lease is valid.
-    pub(crate) fn known_numbers(&self) -> VersionNumbers {
+    pub(crate) fn known_version_numbers(&self) -> VersionNumbers {
         self.lock().texts.numbers()
     }
 
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -13,7 +13,7 @@
 use timestamps::UnixTime;
 
 /// Interval at which unchanged lists are written again, so that the file has a recent time of confirmation.
-const RENEW_INTERVAL: Duration = Duration::from_secs(10);
+const UNCHANGED_REWRITE_INTERVAL: Duration = Duration::from_secs(10);
 /// Minimum time between two writes while lists change.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -58,7 +58,7 @@
         let Some(written_at) = self.written_at else { return true };
         let elapsed = written_at.elapsed();
         let has_changed = self.services != self.written_services;
-        elapsed >= RENEW_INTERVAL || (elapsed >= MIN_WRITE_INTERVAL && has_changed)
+        elapsed >= UNCHANGED_REWRITE_INTERVAL || (elapsed >= MIN_WRITE_INTERVAL && has_changed)
     }
 }
 
--- a/crates/job_lease/src/decision.rs
+++ b/crates/job_lease/src/decision.rs
@@ -12,7 +12,7 @@
     pub lease_id: u64,
     /// The run that the seed record of an absent key settles: the run at the time of the instance's clock plus the maximum
     /// clock skew. No instance can have acquired a later run.
-    pub seed_run: RunId,
+    pub run_if_key_absent: RunId,
 }
 
 impl AcquireRequest {
@@ -21,10 +21,10 @@
         LeaseRecord { run: self.run, holder: holder.to_owned(), lease_id: self.lease_id }
     }
 
-    /// Returns the seed record ([`LeaseRecord::seed`]) for an absent key. The record settles all runs up to `seed_run` or the
-    /// requested run, whichever is later.
+    /// Returns the seed record ([`LeaseRecord::seed`]) for an absent key. The record settles all runs up to the later one of
+    /// [`AcquireRequest::run_if_key_absent`] and [`AcquireRequest::run`].
     pub fn seed_record(&self) -> LeaseRecord {
-        LeaseRecord::seed(self.seed_run.max(self.run))
+        LeaseRecord::seed(self.run_if_key_absent.max(self.run))
     }
 }
 
--- a/crates/job_lease/src/decision/tests.rs
+++ b/crates/job_lease/src/decision/tests.rs
@@ -7,7 +7,7 @@
     StoredLease { record, modify_index: 40 + run }
 }
 
-const REQUEST: AcquireRequest = AcquireRequest { run: RunId(7), lease_id: 3, seed_run: RunId(8) };
+const REQUEST: AcquireRequest = AcquireRequest { run: RunId(7), lease_id: 3, run_if_key_absent: RunId(8) };
 
 fn decide_on_stored(run: u64, lease_id: u64) -> Decision {
     decide(Some(&stored(run, lease_id)), &REQUEST)
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn an_absent_key_is_seeded_with_the_seed_run_and_not_acquired() {
+fn seeds_an_absent_key_without_acquiring_the_run() {
     assert_eq!(decide(None, &REQUEST), Decision::Seed);
     let seed = LeaseRecord { run: RunId(8), holder: String::new(), lease_id: 0 };
     assert_eq!(REQUEST.seed_record(), seed);
-    let request_after_seed_run = AcquireRequest { seed_run: RunId(2), ..REQUEST };
+    let request_after_seed = AcquireRequest { run_if_key_absent: RunId(2), ..REQUEST };
     assert_eq!(
-        request_after_seed_run.seed_record().run,
+        request_after_seed.seed_record().run,
         RunId(7),
         "the seed is never earlier than the requested run"
     );
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -120,8 +120,8 @@
     }
 
     fn acquire_request(&self, state: &State, instance_index: usize, run: RunId) -> AcquireRequest {
-        let seed_run = RunId((self.clock_time(state, instance_index) + MAX_CLOCK_SKEW) / PERIOD);
-        AcquireRequest { run, lease_id: instance_index as u64 + 1, seed_run }
+        let run_if_key_absent = RunId((self.clock_time(state, instance_index) + MAX_CLOCK_SKEW) / PERIOD);
+        AcquireRequest { run, lease_id: instance_index as u64 + 1, run_if_key_absent }
     }
 
     /// Applies a compare-and-set in the store. Returns whether the record was written.
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -82,8 +82,8 @@
         let run = state.current_run;
         // The hash differs for each incarnation of an instance. Its lowest bit is set because 0 is the lease id of a seed record.
         let lease_id = stable_hash(&format!("{instance}/{incarnation}/{run}")) | 1;
-        let seed_run = state.job.run_at(now.unix + *max_clock_skew);
-        AcquireRequest { run, lease_id, seed_run }
+        let run_if_key_absent = state.job.run_at(now.unix + *max_clock_skew);
+        AcquireRequest { run, lease_id, run_if_key_absent }
     }
 
     /// Continues a job's attempt with the step that follows from the cached lease.
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -94,7 +94,11 @@
     }
 
     /// Returns the names of the clients that may still hold a lease without knowing of this version.
-    pub fn holders_behind(&self, now: MonotonicTime, version: ConfigVersion) -> impl Iterator<Item = &str> {
+    pub fn holders_without_version(
+        &self,
+        now: MonotonicTime,
+        version: ConfigVersion,
+    ) -> impl Iterator<Item = &str> {
         self.holders_matching(move |lease| lease.is_behind(now, version))
     }
 
--- a/crates/replicated_config/src/lease/table/tests.rs
+++ b/crates/replicated_config/src/lease/table/tests.rs
@@ -14,7 +14,7 @@
     assert!(table.grant(at_ms(4_000), "b", RequestId(1), ConfigVersion(1)));
     assert!(table.grant(at_ms(4_100), "a", RequestId(2), ConfigVersion(2)));
     assert!(!table.may_activate(at_ms(4_200), ConfigVersion(2)));
-    assert_eq!(table.holders_behind(at_ms(4_200), ConfigVersion(2)).collect::<Vec<_>>(), ["b"]);
+    assert_eq!(table.holders_without_version(at_ms(4_200), ConfigVersion(2)).collect::<Vec<_>>(), ["b"]);
     assert!(table.grant(at_ms(4_300), "b", RequestId(2), ConfigVersion(2)));
     assert!(table.may_activate(at_ms(4_300), ConfigVersion(2)));
     // An outdated request does not change the known version of its holder.
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -132,9 +132,9 @@
 
     /// Returns the names of the clients that may still hold a lease without knowing of the proposed version. Empty unless this
     /// replica is the leader and a version is proposed.
-    pub fn holders_behind(&self, now: MonotonicTime) -> Vec<String> {
+    pub fn holders_without_proposed_version(&self, now: MonotonicTime) -> Vec<String> {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return Vec::new() };
-        leases.holders_behind(now, proposed.number).map(str::to_owned).collect()
+        leases.holders_without_version(now, proposed.number).map(str::to_owned).collect()
     }
 
     /// Returns the time at which the caller must call [`Replica::tick`] next.
--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -183,7 +183,7 @@
 fn run_with_faults(seed: u64, expiry: LeaseExpiry) -> RunTotals {
     let replicas = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut simulation = Simulation::new(seed, replicas, replicas + 5);
-    simulation.ignores_expiry = expiry == LeaseExpiry::Ignored;
+    simulation.clients_ignore_lease_expiry = expiry == LeaseExpiry::Ignored;
     simulation.network.loss_probability = if seed.is_multiple_of(2) { 0.1 } else { 0.0 };
     simulation.run_for(Duration::from_millis(3_500));
     for id in 1..=60 {
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -42,7 +42,7 @@
     /// Number of leases that were checked.
     pub checked_lease_count: u64,
     /// Whether clients act on expired leases. Used to test that the lease check detects this.
-    pub ignores_expiry: bool,
+    pub clients_ignore_lease_expiry: bool,
 }
 
 fn in_force(number: ConfigVersion) -> LatestVersion {
@@ -64,7 +64,7 @@
             texts: BTreeMap::new(),
             outcomes: Vec::new(),
             checked_lease_count: 0,
-            ignores_expiry: false,
+            clients_ignore_lease_expiry: false,
         }
     }
 
@@ -150,7 +150,7 @@
         if !machine.is_running() {
             return None;
         }
-        let expired = machine.client.latest().filter(|_| self.ignores_expiry);
+        let expired = machine.client.latest().filter(|_| self.clients_ignore_lease_expiry);
         let latest = machine.client.leased_version(machine.clock(self.now)).or(expired);
         latest.map(|LatestVersion { number, phase }| match phase {
             RolloutPhase::InForce => EnforcedVersions { lowest: number, highest: number },
