--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Selects the first agent that is not in backoff, or the one whose backoff ends first if all are.
+    /// Selects the first agent that is not in backoff. If all agents are in backoff, selects the agent whose backoff ends
+    /// first.
     fn fail_over(&mut self, now: MonotonicTime) {
         let available_at = |&agent: &usize| (self.agents[agent].backoff_until.max(now), agent);
         let best = (0..self.agents.len()).min_by_key(available_at);
@@ -179,7 +180,7 @@
 struct Jitter(u64);
 
 impl Jitter {
-    /// Returns a random duration between half of the backoff and all of it ("equal jitter").
+    /// Returns a random duration from half of `backoff` to the whole of `backoff` ("equal jitter").
     fn apply(&mut self, backoff: Duration) -> Duration {
         let half = whole_millis(backoff) / 2;
         Duration::from_millis(half + self.next_random() % (half + 1))
--- a/crates/catalogue/src/endpoint_list.rs
+++ b/crates/catalogue/src/endpoint_list.rs
@@ -4,7 +4,7 @@
 use timestamps::MonotonicTime;
 
 /// Number of an endpoint, which is one instance id at one address. Numbers are never reused: an instance that changes its
-/// address, or returns after its record was removed, gets a new one.
+/// address, or returns after its record was removed, gets a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointNumber(pub u32);
 
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -59,7 +59,8 @@
     last_number: u32,
     /// Whether Consul has responded since the start.
     has_response: bool,
-    /// Whether there has been a list, from Consul or from the cache file. Instances that appear later may need slow start.
+    /// Whether an instance list was received from Consul or read from the cache file. Instances that appear after the first
+    /// list may need slow start.
     has_list: bool,
     /// End of the retention after a sudden loss; `None` if no retention is in progress.
     retention_ends_at: Option<MonotonicTime>,
@@ -198,7 +199,7 @@
         has_enough_vanished && self.has_response && vanished as f64 >= min_vanished
     }
 
-    /// Retains the vanished endpoints that answered a client recently, and returns how many there are.
+    /// Retains the vanished endpoints that answered a client recently, and returns the number of retained endpoints.
     fn retain_answering(
         &mut self,
         now: MonotonicTime,
@@ -245,8 +246,9 @@
         list
     }
 
-    /// Decides the eligibility of all instances. Of several at one address, the one that is already eligible takes precedence,
-    /// otherwise the one with the highest number, because it appeared last and replaces the others.
+    /// Decides the eligibility of all instances. Of several instances at one address, the one that is already eligible takes
+    /// precedence. If none is eligible, the one with the highest endpoint number does, because it appeared last and replaces
+    /// the others.
     fn decide(&mut self, now: MonotonicTime) -> Vec<Decision> {
         let mut records: Vec<(&InstanceKey, &mut InstanceRecord)> = self.records.iter_mut().collect();
         records.sort_by_key(|(_, record)| (!record.is_eligible(), Reverse(record.number())));
@@ -287,8 +289,9 @@
         EndpointList { endpoints }
     }
 
-    /// Removes the records of deregistered instances. Those with attempts in flight stay, so that they keep their numbers. So do
-    /// up to [`MAX_REMEMBERED_INSTANCES`] that flapped repeatedly, so that they keep their flap counts for some half-lives.
+    /// Removes the records of deregistered instances, with two exceptions. Instances with attempts in flight keep their records
+    /// and thus their endpoint numbers. Up to [`MAX_REMEMBERED_INSTANCES`] instances that flapped repeatedly keep their
+    /// records, and thus their flap counts, for some half-lives.
     fn remove_departed(&mut self, now: MonotonicTime, has_attempts: HasAttempts<'_>) {
         let has_departed =
             |record: &InstanceRecord| !record.is_listed_or_eligible() && !has_attempts(record.number());
--- a/crates/catalogue/src/endpoint_tracker/flap_damping.rs
+++ b/crates/catalogue/src/endpoint_tracker/flap_damping.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 use timestamps::{MonotonicTime, whole_millis};
 
-/// Flap count from which a recovery is suppressed. A single flap stays below it, because an ordinary restart causes one.
+/// Flap count at which flap damping begins to suppress a recovered endpoint. A single flap stays below this threshold, because
+/// an ordinary restart causes one flap.
 const SUPPRESSION_THRESHOLD: f64 = 1.5;
 /// Maximum number of doublings of the suppression time, applied before the configured upper bound of that time.
 const MAX_DOUBLINGS: f64 = 32.0;
@@ -42,7 +43,8 @@
         healthy_since + self.suppression(now.min(healthy_since), config)
     }
 
-    /// Whether the endpoint flapped more often than in a restart, by the count at the last flap, without the decay since then.
+    /// Whether the endpoint flapped more often than in an ordinary restart. This uses the flap count at the last flap, without
+    /// the decay since then.
     pub(super) fn has_repeated_flaps(&self) -> bool {
         self.flap_count > SUPPRESSION_THRESHOLD
     }
--- a/crates/catalogue/src/endpoint_tracker/record.rs
+++ b/crates/catalogue/src/endpoint_tracker/record.rs
@@ -21,7 +21,7 @@
     flap_damping: FlapDamping,
     /// End of the retention after a sudden loss; `None` if the endpoint is not retained.
     retained_until: Option<MonotonicTime>,
-    /// When a health response last dropped the instance without a retention; until then, when the record was created.
+    /// When the instance was last deregistered without being retained. If that has not happened, when the record was created.
     left_at: MonotonicTime,
 }
 
@@ -129,7 +129,8 @@
         self.retained_until = None;
     }
 
-    /// Records the time of the deregistration, if this response is the first without the instance and it is not retained.
+    /// Records the time of the instance's deregistration, if the current response is the first that does not list the instance,
+    /// and the instance is not retained.
     pub(super) fn record_departure(&mut self, now: MonotonicTime) {
         let has_left_before = self.reason == EligibilityReason::Deregistered;
         if !self.listed && self.retained_until.is_none() && !has_left_before {
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -25,7 +25,7 @@
         start_margin: START_MARGIN,
         store_retry_interval: STORE_RETRY_INTERVAL,
         session_renewal_interval: SESSION_RENEWAL_INTERVAL,
-        // The random number distinguishes two starts in the same millisecond.
+        // The random number distinguishes two starts of the instance in the same millisecond.
         incarnation: started_at.as_millis() ^ rand::random::<u64>(),
     }
 }
@@ -36,7 +36,8 @@
         self.update_jobs(self.clocks.now());
     }
 
-    /// Passes the current jobs to the scheduler, and removes the leases of other jobs from the store in memory.
+    /// Passes the jobs of the job table to the scheduler. Removes the leases of all jobs that are not in the table from the
+    /// lease store in memory.
     pub(super) fn update_jobs(&mut self, now: ClockReading) {
         let jobs = self.jobs.jobs();
         let names: BTreeSet<&str> = jobs.iter().map(|job| job.name.as_str()).collect();
--- a/crates/cluster/src/gossip_node.rs
+++ b/crates/cluster/src/gossip_node.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use timestamps::{MonotonicTime, UnixTime};
 
-/// The number of known members at which datagrams of unknown senders are dropped.
+/// The limit on known members. Once this number of members is known, datagrams from unknown senders are dropped.
 const MAX_MEMBERS: usize = 1_024;
 /// The maximum number of broadcast topics, one per backend.
 const MAX_TOPICS: usize = 16_384;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the moment at which [`GossipNode::tick`] must be called next.
+    /// Returns the time at which the caller must call [`GossipNode::tick`] next.
     pub(crate) fn next_tick(&self) -> MonotonicTime {
         self.membership.next_tick()
     }
@@ -102,7 +102,8 @@
         changes
     }
 
-    /// Broadcasts a report of the health check with this job name. The scheduled time of the check is the version.
+    /// Broadcasts a health report. The topic is the name of the health check's job, and the version is the scheduled time of
+    /// the check.
     pub(crate) fn broadcast_report(
         &mut self,
         now: MonotonicTime,
--- a/crates/cluster/src/job_names.rs
+++ b/crates/cluster/src/job_names.rs
@@ -1,4 +1,4 @@
-//! The names of jobs in the lease store and of the broadcast topics of health reports. They must not change, because
+//! The names of jobs in the lease store, and the names of the broadcast topics of health reports. Both must not change, because
 //! instances of all versions share them.
 
 /// The prefix of the names of HTTP jobs.
@@ -6,7 +6,7 @@
 /// The prefix of the names of health checks, which are also the topics of their reports.
 const HEALTH_CHECK_PREFIX: &str = "probe/";
 
-/// Returns the job name of the HTTP job that has this name in the settings.
+/// Returns the job name of the HTTP job whose name in the settings is `name`.
 pub(crate) fn http_job(name: &str) -> String {
     format!("{HTTP_JOB_PREFIX}{name}")
 }
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -30,7 +30,7 @@
 /// The permission to log one event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogPermit {
-    /// The number of events of the kind suppressed since the last logged one. `None` if there were none.
+    /// The number of events of the kind that were suppressed since the last logged event. `None` if no event was suppressed.
     pub(crate) suppressed: Option<u64>,
 }
 
@@ -41,7 +41,8 @@
 }
 
 impl LogLimiter {
-    /// Asks to log an event of this kind. Returns `None` and counts the event as suppressed if it must not be logged.
+    /// Returns the permission to log an event of the given kind at `now`. If the rate limit forbids that, returns `None` and
+    /// counts the event as suppressed.
     pub(crate) fn permit(&mut self, kind: LogKind, now: MonotonicTime) -> Option<LogPermit> {
         let state = self.kinds.entry(kind).or_default();
         if now < state.next_permit_at {
--- a/crates/cluster/src/run_executor.rs
+++ b/crates/cluster/src/run_executor.rs
@@ -43,7 +43,7 @@
         matches!(self, Self::Status(200..=299))
     }
 
-    /// Describes the outcome for the log of failed runs.
+    /// Returns the reason why the run failed, as text for the log.
     pub(crate) fn reason(&self) -> String {
         match self {
             Self::Status(status) => format!("status {status}"),
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -14,7 +14,8 @@
     pub gossip: Option<Gossip>,
     /// The store that holds the leases of jobs.
     pub lease_store: LeaseStore,
-    /// The number of members that attempt a run when the member that owns the job does not.
+    /// The number of standby members per job. They attempt a run, one after the other, if the member that owns the job does not
+    /// acquire it.
     pub standbys: usize,
     /// The maximum clock skew between two instances.
     pub max_clock_skew: Duration,
--- a/crates/config_node/src/client_connections.rs
+++ b/crates/config_node/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that other nodes have opened to this one, and the clients that use them.
+//! Connections that other nodes have opened to this node, and the clients at their other ends.
 
 use crate::connection_id::ConnectionId;
 use crate::message_queue::MessageQueue;
@@ -24,7 +24,7 @@
         self.routes.retain(|_, route| *route != connection);
     }
 
-    /// Sends all further messages to this client over this connection.
+    /// Makes `connection` the one over which all further messages to `client` are sent.
     pub(crate) fn set_route(&mut self, client: &str, connection: ConnectionId) {
         self.routes.insert(client.to_owned(), connection);
     }
--- a/crates/config_node/src/config.rs
+++ b/crates/config_node/src/config.rs
@@ -26,9 +26,9 @@
     pub replicas: Vec<ReplicaAddress>,
     /// The keys that authenticate messages between nodes.
     pub keys: Keyring,
-    /// The file of the replica's log. Unused if the node is not a replica.
+    /// Path of the replica's log file. Unused if the node is not a replica.
     pub log: PathBuf,
-    /// How long a lease is valid after the node has sent the request for it.
+    /// How long a lease is valid, counted from the time at which the node sent the lease request.
     pub lease_duration: Duration,
 }
 
--- a/crates/config_node/src/connection.rs
+++ b/crates/config_node/src/connection.rs
@@ -17,7 +17,7 @@
 
 /// Timeout for establishing a connection, and for each write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A connection that carries no message for this long is closed.
+/// Time after which a connection without messages is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The keys and the event channel that all connections of a node share.
--- a/crates/config_node/src/connection/outgoing.rs
+++ b/crates/config_node/src/connection/outgoing.rs
@@ -11,8 +11,8 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::thread;
 
-/// Starts the thread that sends messages to a replica, and returns their queue. The thread connects when there is a message to
-/// send, and ends when the queue is dropped.
+/// Starts a thread that sends messages to the replica at `address`, and returns the queue of these messages. The thread
+/// connects when the queue has a message, and ends when the queue is dropped.
 pub(crate) fn start_sender(address: SocketAddr, context: ConnectionContext) -> io::Result<MessageQueue> {
     let (queue, messages) = MessageQueue::new();
     let run = move || send_all(address, &messages, &context);
--- a/crates/config_node/src/driver.rs
+++ b/crates/config_node/src/driver.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends a lease request to a replica, which may be the one on this node.
+    /// Sends a lease request to a replica, which may be this node's own replica.
     fn request_lease(&mut self, now: MonotonicTime) {
         let cached = self.view.known_version_numbers();
         let OutgoingRequest { to, request } = self.lease_requester.start_request(now, cached);
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -6,7 +6,8 @@
 use timestamps::MonotonicTime;
 
 impl Driver {
-    /// Handles a message. `connection` is the connection that the message arrived on, if another node has opened it.
+    /// Handles a message. `connection` is the id of the connection on which the message arrived, or `None` if this node opened
+    /// that connection.
     pub(super) fn on_message(&mut self, connection: Option<ConnectionId>, message: Message) {
         let now = self.clock.now();
         match message {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Passes a lease request to the local replica. If there is none, answers with a redirect that names no leader.
+    /// Passes a lease request to the local replica. Without a local replica, answers with a redirect that names no leader.
     pub(super) fn on_lease_request(&mut self, request: LeaseRequest) {
         let now = self.clock.now();
         match &mut self.local_replica {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Validates a proposal and passes it to the local replica. If there is none, answers with a redirect that names no leader.
+    /// Validates a proposal and passes it to the local replica. Without a local replica, answers with a redirect that names no
+    /// leader.
     fn on_proposal(&mut self, connection: ConnectionId, proposal: Proposal) {
         let now = self.clock.now();
         let (proposer, id) = (connection.to_string(), proposal.id);
--- a/crates/config_node/src/error.rs
+++ b/crates/config_node/src/error.rs
@@ -7,7 +7,7 @@
 /// A failure to start a node, to use a replica's log, or to exchange a message.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A log cannot be created because its file exists already.
+    /// A replica's log cannot be created because a log or its frame count exists at the path already.
     #[error("{}: a replica log already exists; it was left unchanged", .path.display())]
     LogExists {
         /// The file of the log.
--- a/crates/config_node/src/event.rs
+++ b/crates/config_node/src/event.rs
@@ -11,7 +11,8 @@
     Connected { connection: ConnectionId, queue: MessageQueue },
     /// A connection that another node had opened is closed.
     Disconnected(ConnectionId),
-    /// A message arrived. `connection` is `None` if this node has opened the connection that the message arrived on.
+    /// A message arrived. `connection` is the id of the connection on which it arrived, or `None` if this node opened that
+    /// connection.
     Received { connection: Option<ConnectionId>, message: Message },
     /// The admin console requests the status, which is sent to this channel.
     StatusRequested(SyncSender<String>),
--- a/crates/config_node/src/lease_requester.rs
+++ b/crates/config_node/src/lease_requester.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use timestamps::MonotonicTime;
 
-/// Number of regular requests per lease duration.
+/// Number of regular lease requests that a node sends per lease duration.
 const REQUESTS_PER_LEASE: u32 = 6;
 
 /// A lease request and the replica to send it to.
@@ -18,7 +18,7 @@
 
 /// Requests and renews this node's lease.
 pub(crate) struct LeaseRequester {
-    /// This node's name, under which the leader records the lease.
+    /// This node's name. The leader records the lease under this name.
     node_name: String,
     replica_count: usize,
     lease_duration: Duration,
@@ -33,12 +33,12 @@
         Self { node_name, replica_count, lease_duration, client, next_request_at: MonotonicTime::ZERO }
     }
 
-    /// Returns when the next request is due.
+    /// Returns when the next lease request is due.
     pub(crate) fn next_request_at(&self) -> MonotonicTime {
         self.next_request_at
     }
 
-    /// Makes a request due at once instead of at the regular time.
+    /// Makes the next lease request due at `now` instead of at its regular time.
     pub(crate) fn request_at_once(&mut self, now: MonotonicTime) {
         self.next_request_at = now;
     }
@@ -58,14 +58,15 @@
         OutgoingRequest { to: addressed.replica, request }
     }
 
-    /// Handles a redirect from a replica that is not the leader. If it names another leader, a request is due at once.
+    /// Handles a redirect from a replica that is not the leader. If the redirect names another replica as the leader, the next
+    /// lease request is due at once.
     pub(crate) fn on_redirect(&mut self, now: MonotonicTime, request: RequestId, leader: Option<ReplicaId>) {
         if self.client.on_redirect(request, leader) {
             self.request_at_once(now);
         }
     }
 
-    /// Handles a response. Returns the versions to enforce, or `None` if the response was not accepted.
+    /// Handles a lease response. Returns the versions to enforce, or `None` if the lease client did not accept the response.
     pub(crate) fn on_response(
         &mut self,
         now: MonotonicTime,
@@ -76,13 +77,13 @@
             return None;
         }
         if self.client.latest() != latest_before {
-            // The next request confirms to the leader that this node knows of the change.
+            // The next lease request tells the leader that this node knows the new latest version.
             self.request_at_once(now);
         }
         Some(enforced_versions(response.latest()))
     }
 
-    /// Returns when the lease expires or has expired; [`MonotonicTime::ZERO`] before the first lease.
+    /// Returns when the lease expires, which may be in the past; [`MonotonicTime::ZERO`] before the first lease.
     pub(crate) fn expires_at(&self) -> MonotonicTime {
         self.client.expires_at()
     }
@@ -95,7 +96,8 @@
     RequestId(since_epoch.as_micros() as u64)
 }
 
-/// Returns the versions that a holder of a lease on the latest version enforces.
+/// Returns the versions to enforce while the lease is valid: the latest version alone if it is in force, or the latest version
+/// and the version before it if the latest is only proposed.
 fn enforced_versions(latest: LatestVersion) -> VersionNumbers {
     let LatestVersion { number, phase } = latest;
     match phase {
--- a/crates/config_node/src/local_replica.rs
+++ b/crates/config_node/src/local_replica.rs
@@ -15,7 +15,7 @@
     last_logged_term: Term,
 }
 
-/// Messages of a replica that may be sent because the records they depend on are on disk.
+/// Messages of a replica that may be sent, because all records that the messages depend on are on disk.
 pub(crate) struct OutgoingMessages {
     pub(crate) to_replicas: Vec<Envelope<ReplicaId>>,
     pub(crate) to_clients: Vec<Envelope<String>>,
--- a/crates/config_node/src/node.rs
+++ b/crates/config_node/src/node.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::thread;
 
-/// Maximum number of events that wait for the thread that owns the node's state.
+/// Capacity of the queue of events for the driver thread, which owns the node's state.
 const MAX_QUEUED_EVENTS: usize = 1_024;
 
 /// A running node, which stops when this handle is dropped and its connections are closed.
@@ -46,7 +46,8 @@
         let clock = Clock::start();
         let view = Arc::new(SharedView::new(config.name.clone(), listener));
         let driver = Driver::new(config, clock, peers, validator, view.clone());
-        // The gatekeeper must know that it has no version before it serves any request.
+        // The initial `ConfigView` has no version. The listener gets this view before `start` returns, so the gatekeeper serves
+        // no request without knowing that there is no version yet.
         view.notify_listener();
         let weak_view = Arc::downgrade(&view);
         spawn("agreed-lease", move || watch_lease(weak_view, clock))?;
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -13,7 +13,8 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A log is compacted when it is larger than this number of bytes and more than twice as large as after the last compaction.
+/// Size in bytes that a log file must exceed to be compacted. The file must also be more than twice as large as after its last
+/// compaction.
 const COMPACTION_BYTES: u64 = 4 << 20;
 
 /// A log that is open for appending.
--- a/crates/config_node/src/replica_log/frame_count.rs
+++ b/crates/config_node/src/replica_log/frame_count.rs
@@ -8,7 +8,7 @@
 /// Extension of the file that holds the frame count.
 const EXTENSION: &str = "count";
 
-/// Returns the path of the file that holds the frame count of this log.
+/// Returns the path of the file that holds the frame count of the log at the path `log`.
 pub(super) fn path(log: &Path) -> PathBuf {
     log.with_extension(EXTENSION)
 }
--- a/crates/config_node/src/status.rs
+++ b/crates/config_node/src/status.rs
@@ -7,9 +7,9 @@
 /// The versions, the remaining lease and the replica of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
-    /// The version in force; [`ConfigVersion::NONE`] before the first.
+    /// Number of the version in force; [`ConfigVersion::NONE`] before the first version is in force.
     pub(crate) in_force: ConfigVersion,
-    /// The proposed version; [`ConfigVersion::NONE`] if none is proposed.
+    /// Number of the proposed version; [`ConfigVersion::NONE`] if no version is proposed.
     pub(crate) proposed: ConfigVersion,
     /// Time until the lease expires; zero without a valid lease.
     pub(crate) remaining_lease: Duration,
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -16,9 +16,9 @@
 /// The versions that a gatekeeper enforces, and whether it holds a lease on them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigView {
-    /// The version in force; `None` before the first.
+    /// The version in force; `None` before the first version is in force.
     pub in_force: Option<Version>,
-    /// The proposed version, which will follow the one in force; `None` if none is proposed.
+    /// The proposed version, which replaces the version in force later; `None` if no version is proposed.
     pub proposed: Option<Version>,
     /// Whether the gatekeeper holds a valid lease. Without a lease there may be later versions that the
     /// gatekeeper does not know of.
@@ -29,7 +29,7 @@
 struct ViewState {
     node_name: String,
     view: ConfigView,
-    /// The known versions, whether or not the lease is valid.
+    /// The versions that the node last received with their texts, kept also after the lease has expired.
     texts: VersionTexts,
     lease_expires_at: MonotonicTime,
     listener: ViewListener,
@@ -84,7 +84,8 @@
     }
 }
 
-/// Selects the versions with these numbers from the received and the known ones. Versions with the same number are equal.
+/// Selects the versions with the given numbers from the received and the known versions. Versions with the same number are
+/// equal.
 fn select_texts(numbers: VersionNumbers, received: VersionTexts, known: VersionTexts) -> VersionTexts {
     let candidates = [received.in_force, received.proposed, known.in_force, known.proposed];
     let mut candidates: Vec<Version> = candidates.into_iter().flatten().collect();
@@ -116,12 +117,13 @@
         (state.listener)(&state.view);
     }
 
-    /// Returns the numbers of the known versions, whether or not the lease is valid.
+    /// Returns the numbers of the versions whose texts the node has, whether or not the lease is valid.
     pub(crate) fn known_version_numbers(&self) -> VersionNumbers {
         self.lock().texts.numbers()
     }
 
-    /// Replaces the enforced versions by the versions `numbers`, whose texts are among `received` or the known versions.
+    /// Replaces the enforced versions by those with the given `numbers`. Their texts are in `received` or among the known
+    /// versions.
     pub(crate) fn update(
         &self,
         now: MonotonicTime,
--- a/crates/consul/src/cache_file.rs
+++ b/crates/consul/src/cache_file.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use timestamps::UnixTime;
 
-/// Interval at which unchanged lists are written again, so that the file has a recent time of confirmation.
+/// Interval at which the file is rewritten while the lists are unchanged, so that the file has a recent confirmation time.
 const UNCHANGED_REWRITE_INTERVAL: Duration = Duration::from_secs(10);
 /// Minimum time between two writes while lists change.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
@@ -50,7 +50,9 @@
 }
 
 impl State {
-    /// Whether all services have a response and the file must be written: the first time, as a renewal, or with changed lists.
+    /// Whether the file must be written now. Before all services have a response, it must not. Afterwards, the first write is
+    /// due at once, a write of changed lists after [`MIN_WRITE_INTERVAL`], and a write of unchanged lists after
+    /// [`UNCHANGED_REWRITE_INTERVAL`].
     fn is_write_due(&self) -> bool {
         if !self.services_without_response.is_empty() {
             return false;
@@ -63,8 +65,8 @@
 }
 
 impl CacheFile {
-    /// Reads the cache file at `path`. Logs and ignores an invalid file. The file is first written once
-    /// [`CacheFile::store`] has got a list of each of `services`.
+    /// Reads the cache file at `path`. Logs and ignores an invalid file. The file is first written when [`CacheFile::store`]
+    /// has received a list for each service in `services`.
     pub fn open(path: PathBuf, max_age: Duration, services: impl IntoIterator<Item = String>) -> Self {
         let initial_lists = read(&path, max_age).unwrap_or_else(|error| {
             tracing::warn!(path = %path.display(), %error, "endpoint cache not usable");
--- a/crates/consul/src/error.rs
+++ b/crates/consul/src/error.rs
@@ -20,7 +20,7 @@
     /// Any status other than 200, for example 403 for a wrong ACL token.
     #[error("the agent responded with status {0}")]
     Status(u16),
-    /// The HTTP exchange failed: no connection, a time-out, or a malformed or too large response.
+    /// The HTTP exchange failed: no connection, a timeout, or a malformed or too large response.
     #[error("the HTTP request to the agent failed: {0}")]
     Transport(#[from] ureq::Error),
     /// The body is not a valid response of the health API.
--- a/crates/consul/src/health_client.rs
+++ b/crates/consul/src/health_client.rs
@@ -12,7 +12,8 @@
 
 /// Maximum size of a response body in bytes, after decompression.
 const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
-/// Timeout of a query in addition to the wait of a blocking query. It allows for the round trip and for an agent under load.
+/// Time by which the timeout of a query exceeds the query's maximum wait. This margin allows for the round trip and for an
+/// agent under load.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Consul extends the wait by a random jitter of up to the wait divided by this number, so that blocking queries end at different
 /// times.
--- a/crates/consul/src/last_answers.rs
+++ b/crates/consul/src/last_answers.rs
@@ -33,7 +33,8 @@
         MonotonicTime::ZERO + self.clock_start.elapsed()
     }
 
-    /// When an endpoint last answered a client; `None` if it never did, or its time was removed.
+    /// When an endpoint last answered a client; `None` if the endpoint never answered a client, or was removed by
+    /// [`LastAnswers::retain`].
     pub(crate) fn last_answer_at(&self, endpoint: EndpointNumber) -> Option<MonotonicTime> {
         locked(&self.times).get(&endpoint).copied()
     }
--- a/crates/consul/src/registration.rs
+++ b/crates/consul/src/registration.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Handle of the thread that keeps a service registered. When it is dropped, the thread ends without deregistering.
+/// Handle of the thread that keeps a service registered. When the handle is dropped, the thread ends without deregistering the
+/// service.
 #[derive(Debug)]
 pub struct RegistrationHandle {
     deregister_requests: SyncSender<DeregisterRequest>,
--- a/crates/consul/src/token_file.rs
+++ b/crates/consul/src/token_file.rs
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Default)]
 struct LastRead {
-    /// The last valid token; `None` if there has been none.
+    /// The token from the last valid read of the file; `None` before the first valid read.
     token: Option<String>,
     /// Whether the last read failed. Of consecutive failures only the first is logged.
     failed: bool,
--- a/crates/health_check/src/report.rs
+++ b/crates/health_check/src/report.rs
@@ -13,7 +13,7 @@
     pub scheduled_at: UnixTime,
     /// Whether the backend counts as failing by the thresholds. The result of this check may differ.
     pub failing: bool,
-    /// The number of consecutive results that contradict `failing`.
+    /// The number of the newest consecutive check results that contradict `failing`.
     pub contrary_results: u32,
     /// The scheduled time of the check that last changed `failing`, or of the first check if `failing` has never changed.
     #[serde(with = "unix_millis")]
@@ -23,7 +23,7 @@
 impl HealthReport {
     /// Returns the report that follows `before` after another check. `before` is `None` for the first check of a backend.
     pub fn after_check(before: Option<&Self>, scheduled_at: UnixTime, passed: bool, config: &Config) -> Self {
-        // A backend starts as healthy before its first check, because its traffic may already show that it is.
+        // A backend counts as healthy before its first check, because its traffic may already show that it is healthy.
         let unchecked = Self {
             scheduled_at: UnixTime::ZERO,
             failing: false,
@@ -40,7 +40,7 @@
         Self { scheduled_at, failing: !before.failing, contrary_results: 0, changed_at: scheduled_at }
     }
 
-    /// Returns whether this check has changed `failing`. Also true for the first report of a backend.
+    /// Returns whether the check of this report changed `failing`. Also true for the first report of a backend.
     pub fn has_changed(&self) -> bool {
         self.changed_at == self.scheduled_at
     }
--- a/crates/health_check/src/tracker.rs
+++ b/crates/health_check/src/tracker.rs
@@ -93,7 +93,8 @@
         self.apply_report(id, report, now).then_some(report)
     }
 
-    /// Stores a report if its backend is known and it is newer than the stored one. Returns whether it was stored.
+    /// Stores a report if its backend is known and the report is newer than the stored report. Returns whether the report was
+    /// stored.
     pub fn apply_report(&mut self, id: &str, report: HealthReport, now: MonotonicTime) -> bool {
         let Some(newest) = self.reports.get_mut(id) else { return false };
         if newest.is_some_and(|newest| newest.report.scheduled_at >= report.scheduled_at) {
--- a/crates/job_lease/src/consul/response.rs
+++ b/crates/job_lease/src/consul/response.rs
@@ -200,8 +200,8 @@
 
 /// Returns the outcome of a transaction that was rolled back.
 fn rolled_back_outcome(errors: &[TransactionError]) -> CompareAndSetOutcome {
-    // If both operations failed, the ended session takes precedence over the conflict because it invalidates all cached
-    // leases.
+    // If both operations failed, the outcome is the ended session and not the conflict, because the end of the session
+    // invalidates all cached leases.
     if errors.iter().any(|error| error.op_index == CHECK_SESSION_OPERATION) {
         CompareAndSetOutcome::SessionEnded
     } else if errors.is_empty() {
--- a/crates/job_lease/src/decision.rs
+++ b/crates/job_lease/src/decision.rs
@@ -1,4 +1,4 @@
-//! The lease protocol for one key.
+//! Decides how an instance acquires a run of a job, from the lease record stored under the job's key.
 
 use crate::{LeaseRecord, RunId, StoredLease};
 
@@ -10,8 +10,8 @@
     /// The id of the lease: the same for all attempts of one incarnation of an instance at one run, and distinct from the
     /// ids of other instances and incarnations. Never 0, the lease id of a seed record ([`LeaseRecord::seed`]).
     pub lease_id: u64,
-    /// The run that the seed record of an absent key settles: the run at the time of the instance's clock plus the maximum
-    /// clock skew. No instance can have acquired a later run.
+    /// The run recorded in the seed record if the job's key is absent: the run whose period contains the time of the instance's
+    /// clock plus the maximum clock skew. No instance can have acquired a later run.
     pub run_if_key_absent: RunId,
 }
 
@@ -31,13 +31,14 @@
 /// The next step of an instance that wants to acquire a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// Give up the run: the stored record settles it, as the lease of another instance or as a seed without a lease holder.
+    /// Give up the run. The stored record settles it, as another lease on this or a later run, or as a seed record without a
+    /// lease holder ([`LeaseRecord::seed`]).
     Settled,
     /// Start the run unless its deadline has passed. The key already holds this lease, so an earlier write of the instance
     /// was applied and its response lost.
     AlreadyHeld,
-    /// Write [`AcquireRequest::seed_record`] by compare-and-set, which fails if the key exists by then. The run does not
-    /// start.
+    /// Write [`AcquireRequest::seed_record`] by compare-and-set. The write fails if another instance has created the key in the
+    /// meantime. The run does not start.
     Seed,
     /// Write [`AcquireRequest::lease_record`] by compare-and-set, which fails if the key has changed.
     CompareAndSet {
--- a/crates/job_lease/src/error.rs
+++ b/crates/job_lease/src/error.rs
@@ -58,7 +58,7 @@
 }
 
 impl StoreError {
-    /// Returns the cause, without whether the call may have been applied.
+    /// Returns the cause, which does not say whether the store may have applied the call.
     pub fn cause(&self) -> &StoreErrorCause {
         let (Self::NotApplied(cause) | Self::OutcomeUnknown(cause)) = self;
         cause
--- a/crates/job_lease/src/record.rs
+++ b/crates/job_lease/src/record.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The lease id of a seed record, which settles runs without a lease holder.
+/// The lease id in a seed record ([`LeaseRecord::seed`]), which has no lease holder.
 const SEED_LEASE_ID: u64 = 0;
 
 /// The value under a job's key, which states the last settled run. The record is stored as JSON with the names given by `rename`.
@@ -48,13 +48,13 @@
 }
 
 impl LeaseRecord {
-    /// Returns a seed record, which settles all runs up to and including this one without a lease holder: none of them can be
-    /// acquired.
+    /// Returns a seed record, which has no lease holder. It settles all runs up to and including `run`, so that no instance can
+    /// acquire them.
     pub fn seed(run: RunId) -> Self {
         Self { run, holder: String::new(), lease_id: SEED_LEASE_ID }
     }
 
-    /// Returns whether no instance holds the lease, because the record is a seed ([`LeaseRecord::seed`]).
+    /// Returns whether this is a seed record ([`LeaseRecord::seed`]), so that no instance holds the lease.
     pub fn is_seed(&self) -> bool {
         self.lease_id == SEED_LEASE_ID
     }
--- a/crates/membership/src/bulk_failure.rs
+++ b/crates/membership/src/bulk_failure.rs
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Returns whether dissemination is active.
+    /// Returns whether bulk failure dissemination is active.
     pub(crate) fn is_active(&self, now: MonotonicTime) -> bool {
         now < self.active_until
     }
 
-    /// Returns the moment at which [`BulkFailureDissemination::poll`] must be called next.
+    /// Returns the time at which the caller must call [`BulkFailureDissemination::poll`] next.
     pub(crate) fn next_poll(&self) -> MonotonicTime {
         self.next_poll
     }
@@ -114,7 +114,7 @@
     /// Handles another member's digest. Returns the messages of the reply, starting with the failure at `offset`. A random
     /// offset makes successive replies cover all failures when one reply cannot hold them.
     pub(crate) fn reply_to_digest(&mut self, now: MonotonicTime, digest: u64, offset: usize) -> Vec<Message> {
-        // The sender has evidence of a bulk failure that this instance may not have yet.
+        // The sender of the digest has evidence of a bulk failure that this instance may not have yet.
         self.extend_activity(now);
         let at_reply_limit = self.replies_in_period >= MAX_REPLIES_PER_PERIOD;
         if digest == self.failures.digest() || self.failures.is_empty() || at_reply_limit {
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -8,8 +8,8 @@
 
 /// The number of members that receive a ping-req after a direct ping has timed out.
 const INDIRECT_PROBES: usize = 3;
-/// The number of times that an update is piggybacked. The number is high because, after a bulk failure, most of these
-/// transmissions go to dead members that are not yet detected as dead.
+/// The number of times that a membership update is piggybacked on gossip. The number is high because, after a bulk failure,
+/// most of these transmissions go to dead members that are not yet detected as dead.
 const MAX_TRANSMISSIONS: u8 = 30;
 /// The time for which a dead member is remembered, much longer than any delay of a datagram. A member that restarts within
 /// this time has a greater generation and is accepted at once.
@@ -40,7 +40,8 @@
     pub gossip_period: Duration,
     /// The time between two join attempts through the seed peers, and between two announcements to dead members.
     pub join_period: Duration,
-    /// The number of known members at which datagrams of unknown senders are dropped. Remembered dead members count too.
+    /// The limit on known members, remembered dead members included. Once this number of members is known, datagrams from
+    /// unknown senders are dropped.
     pub max_members: usize,
     /// The maximum number of broadcast topics. Broadcasts on further topics are dropped.
     pub max_topics: usize,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -115,7 +115,7 @@
         self.keyring = keyring;
     }
 
-    /// Returns the moment at which [`Membership::tick`] must be called next.
+    /// Returns the time at which the caller must call [`Membership::tick`] next.
     pub fn next_tick(&self) -> MonotonicTime {
         let next_timer = self.timers.next_due().unwrap_or(MonotonicTime::NEVER);
         next_timer.min(self.next_join).min(self.bulk_failure.next_poll())
@@ -281,7 +281,7 @@
         call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
     ) {
         let mut effects = SwimEffects::default();
-        // An error concerns this call alone. foca has applied the contents of a datagram up to the error.
+        // An error affects only the current call. Of a datagram, foca has applied the contents before the error.
         if call(&mut self.swim, &mut effects).is_err() {
             self.counts.malformed += 1;
         }
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -43,7 +43,7 @@
     pub authentication_failures: u64,
     /// Authentic datagrams that could not be decoded, and other calls that the SWIM state machine rejected.
     pub malformed: u64,
-    /// SWIM messages received at the limit of members, those from known members included, and broadcasts dropped at the
-    /// limit of topics.
+    /// SWIM messages received while the limit on known members was reached, including messages from known members, and
+    /// broadcasts dropped because the limit on topics was reached.
     pub over_capacity: u64,
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -35,7 +35,7 @@
     pub(crate) members_changed: bool,
     /// Members that were declared dead during the call.
     pub(crate) failed: Vec<MemberFingerprint>,
-    /// The new generation of this instance, if other members had declared it dead and it has rejoined.
+    /// The new generation of this instance, if it rejoined during the call because other members had declared it dead.
     pub(crate) rejoined: Option<u64>,
 }
 
--- a/crates/periodic_jobs/src/action.rs
+++ b/crates/periodic_jobs/src/action.rs
@@ -27,15 +27,15 @@
     StoreAvailable,
     /// The session and all cached leases were discarded. Leases are read again before the next runs.
     StoreReset(ResetReason),
-    /// The key of a job was absent, and now has a seed record ([`LeaseRecord::seed`](job_lease::LeaseRecord::seed)). No run up to
-    /// the one in this record starts.
+    /// The key of a job was absent, and a seed record ([`LeaseRecord::seed`](job_lease::LeaseRecord::seed)) was written under
+    /// it. No run up to and including the run in the seed record starts.
     Seeded {
         /// The name of the job whose key was absent.
         job: String,
         /// The last run that does not start, as the seed record states.
         run: RunId,
     },
-    /// A run was acquired, but its deadline has passed, so the run does not start.
+    /// This instance acquired a run after the run's deadline, so the run does not start.
     AcquiredTooLate {
         /// The name of the job whose run does not start.
         job: String,
--- a/crates/periodic_jobs/src/scheduler.rs
+++ b/crates/periodic_jobs/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one instance: its inputs, and when it attempts which run.
+//! The scheduler of one instance: handles its inputs, and determines when the instance attempts each run.
 
 mod attempt;
 mod attempt_queue;
@@ -18,8 +18,8 @@
 use store_connection::StoreConnection;
 use timestamps::{UnixTime, whole_millis};
 
-/// The difference between the progress of the Unix clock and that of the monotonic clock since the last reading, beyond which
-/// the Unix clock counts as stepped.
+/// Minimum size of a step of the Unix clock. The clock counts as stepped if, since the last reading, it has advanced by this
+/// much more or less than the monotonic clock.
 const MIN_CLOCK_STEP: Duration = Duration::from_millis(250);
 /// The percentage of a period over which the attempts of all ranks are spread. The rest remains for the run.
 const ATTEMPT_SPREAD_PERCENT: u64 = 60;
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Returns the time at which the next attempt is due, and [`Scheduler::tick`] must be called at the latest. `None` if no
-    /// attempt is scheduled.
+    /// Returns the time at which the next attempt is due. The driver must call [`Scheduler::tick`] at this time at the latest.
+    /// `None` if no attempt is scheduled.
     pub fn next_tick(&self) -> Option<UnixTime> {
         self.attempts.next_due()
     }
@@ -111,7 +111,7 @@
         self.store.session()
     }
 
-    /// Renews the session if that is due, and attempts the runs that are due.
+    /// Renews the session with the lease store if its renewal is due, and attempts the runs that are due.
     pub fn tick(&mut self, now: ClockReading, actions: &mut Vec<Action>) {
         self.detect_clock_step(now, actions);
         if self.jobs.is_empty() {
@@ -186,7 +186,7 @@
         }
         let stagger_ms = whole_millis(self.stagger(job));
         let due_unix_ms = scheduled.as_millis() + rank as u64 * stagger_ms;
-        // The time is rounded up so that the attempts of several jobs that are due close together share one read.
+        // The time is rounded up, so that attempts of several jobs at almost the same time share one read of the lease store.
         let granularity_ms = (stagger_ms / 2).max(1);
         UnixTime::from_millis(due_unix_ms.next_multiple_of(granularity_ms))
     }
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Sets the current run of a job. Returns whether it is to be attempted now.
+    /// Makes the run of the current period the job's current run. Returns whether the instance attempts this run now.
     fn prepare_attempt(&mut self, job_index: usize, now: ClockReading) -> bool {
         let state = &mut self.jobs[job_index];
         let run = state.job.run_at(now.unix);
@@ -135,8 +135,8 @@
             let job = state.job.name.clone();
             actions.push(Action::Notify(Notice::RecordAheadOfClock { job, run: settled_run }));
         }
-        // No instance whose clock is within the maximum skew can have written a record ahead of all clocks. Such a record settles
-        // only the current run, so the run of the next period is attempted again.
+        // A record whose run is ahead of all clocks can come only from an instance whose clock is beyond the maximum skew. Such
+        // a record settles only the current run, so the run of the next period is attempted.
         state.last_settled_run = if ahead_of_clocks { state.current_run } else { settled_run };
         state.phase = Phase::Idle;
         self.schedule_next_run(job_index, now);
--- a/crates/periodic_jobs/src/scheduler/job_state.rs
+++ b/crates/periodic_jobs/src/scheduler/job_state.rs
@@ -1,4 +1,4 @@
-//! The scheduler's state of one job, and the part of it that operators see.
+//! The scheduler's state of one job, and the status of a job that operators see.
 
 use crate::rendezvous::{JobHash, MemberHash, Members, Ranking};
 use crate::{CallId, Job};
@@ -13,7 +13,7 @@
     pub owner: String,
     /// The rank of this instance. `None` if it is neither owner nor standby.
     pub rank: Option<usize>,
-    /// The run in the last lease record that this instance has seen. `None` if it has not seen any yet.
+    /// The run in the last lease record that this instance has seen. `None` if the instance has not seen a lease record yet.
     pub last_run: Option<LastRun>,
     /// The last run that this instance started. 0 if there is none.
     pub last_started_run: RunId,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The call to the store that an attempt at a run waits for.
+/// The progress of an attempt at a run: which call to the lease store the attempt waits for.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// No read or write is pending.
@@ -82,7 +82,8 @@
     pub(super) last_settled_run: RunId,
     /// The stored lease as last read or written. `None` if it must be read or the key does not exist.
     pub(super) cached_lease: Option<StoredLease>,
-    /// The run in the last lease record that this instance has seen. Unlike `cached_lease`, it is kept after a reset.
+    /// The run in the last lease record that this instance has seen. Unlike `cached_lease`, this run is kept when the cached
+    /// leases are discarded.
     pub(super) last_run: Option<LastRun>,
     /// The last run that this instance started. 0 if there is none.
     pub(super) last_started_run: RunId,
--- a/crates/periodic_jobs/src/scheduler/store_connection.rs
+++ b/crates/periodic_jobs/src/scheduler/store_connection.rs
@@ -16,11 +16,12 @@
     is_opening: bool,
     /// Whether a call that renews the session is pending.
     is_renewing: bool,
-    /// The start of the interval after which the session is renewed next.
+    /// Start of the current renewal interval. The session is renewed when the interval has passed.
     renewed_at: MonotonicTime,
     /// The id of the last read or write.
     last_call: CallId,
-    /// The first id since the last reset. The results of calls with lower ids may be outdated.
+    /// The first call id that was assigned after the last reset of the session. The results of calls with lower ids may be
+    /// outdated.
     first_valid_call: CallId,
     consecutive_failures: u32,
     is_unavailable: bool,
@@ -50,8 +51,8 @@
         call >= self.first_valid_call
     }
 
-    /// Returns whether to open a session now, and records the call if so. A session is opened if no such call is pending and
-    /// the store is available or a trial is due.
+    /// Returns whether to open a session now, and if so, records the call as pending. A session is opened if no other call to
+    /// open one is pending, and the store is available or a trial is due.
     pub(super) fn start_opening(&mut self, now: ClockReading, retry_interval: Duration) -> bool {
         let may_call = !self.is_unavailable || self.is_trial_due(now, retry_interval);
         if self.is_opening || !may_call {
@@ -112,8 +113,8 @@
         self.is_renewing = false;
     }
 
-    /// Returns whether the store's index has decreased, and records the index if not. An index of 0 is unknown and has no
-    /// effect.
+    /// Returns whether the store's index has decreased. If it has not, records the new index. An index of 0 means that the
+    /// index is unknown, and has no effect.
     pub(super) fn index_decreased(&mut self, store_index: u64) -> bool {
         if store_index > 0 && store_index < self.store_index {
             return true;
--- a/crates/replicated_config/src/lease.rs
+++ b/crates/replicated_config/src/lease.rs
@@ -1,5 +1,5 @@
-//! Leases on the latest version. A lease limits how long a gatekeeper may act on the version that it knows. The leader puts a
-//! proposed version in force only once every holder of a valid lease knows that version.
+//! Leases on the latest version. A lease limits how long a gatekeeper may act on the latest version that it has received. The
+//! leader puts a proposed version in force only once every holder of a valid lease knows that version.
 
 mod client;
 mod table;
--- a/crates/replicated_config/src/lease/client.rs
+++ b/crates/replicated_config/src/lease/client.rs
@@ -12,9 +12,9 @@
 /// A gatekeeper's lease on the latest version.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
-    /// How long a lease is valid after its request was sent.
+    /// How long a lease is valid, counted from the time at which the client sent the lease request.
     lease_duration: Duration,
-    /// Index of the replica to ask next.
+    /// Index, in the configured list, of the replica to send the next lease request to.
     target_index: usize,
     pending: Option<PendingRequest>,
     next_id: RequestId,
@@ -22,19 +22,19 @@
     expires_at: MonotonicTime,
 }
 
-/// The newest request, until its response arrives.
+/// The newest lease request, whose response has not arrived yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     id: RequestId,
     sent_at: MonotonicTime,
 }
 
-/// The id of a new request and the replica to send the request to.
+/// A new lease request's id, and the replica to which the caller must send the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
     /// The id of the request, which the response repeats.
     pub id: RequestId,
-    /// The replica to send the request to.
+    /// The replica to which the caller must send the request.
     pub replica: ReplicaId,
 }
 
@@ -84,14 +84,14 @@
         names_another_replica
     }
 
-    /// Handles a response. Returns whether it was accepted: it answers the pending request, and its version is not older than the
-    /// latest known one.
+    /// Handles a lease response. Returns whether the response was accepted: it answers the pending request, and its version is
+    /// not older than the latest known version.
     pub fn on_response(&mut self, response: LeaseResponse) -> bool {
         let Some(pending) = self.pending.take_if(|pending| pending.id == response.request) else {
             return false;
         };
         let latest = response.latest();
-        // Reads are linearizable, so a valid response is never older than one that was accepted before.
+        // Reads are linearizable, so the version in a valid response is never older than the version in an earlier response.
         if self.latest.is_some_and(|known| known > latest) {
             return false;
         }
@@ -105,7 +105,7 @@
         self.latest.filter(|_| now < self.expires_at)
     }
 
-    /// Returns when the lease expires or has expired; [`MonotonicTime::ZERO`] before the first lease.
+    /// Returns when the lease expires, which may be in the past; [`MonotonicTime::ZERO`] before the first lease.
     pub fn expires_at(&self) -> MonotonicTime {
         self.expires_at
     }
--- a/crates/replicated_config/src/log.rs
+++ b/crates/replicated_config/src/log.rs
@@ -107,7 +107,8 @@
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// Returns the term of the entry at this index, or `None` if the snapshot includes a later entry or the log ends before it.
+    /// Returns the term of the entry at `index`. Returns `None` if the snapshot includes an entry after `index`, or the log
+    /// ends before `index`.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
--- a/crates/replicated_config/src/log_position.rs
+++ b/crates/replicated_config/src/log_position.rs
@@ -26,7 +26,7 @@
         Self(self.0 + 1)
     }
 
-    /// Returns the number of entries from `earlier` to this one, or `None` if this index precedes `earlier`.
+    /// Returns the number of entries from the index `earlier` to this index, or `None` if this index precedes `earlier`.
     pub(crate) fn distance_from(self, earlier: Self) -> Option<usize> {
         self.0.checked_sub(earlier.0).map(|distance| distance as usize)
     }
--- a/crates/replicated_config/src/message.rs
+++ b/crates/replicated_config/src/message.rs
@@ -32,7 +32,8 @@
         /// The leader, if the replica knows one.
         leader: Option<ReplicaId>,
     },
-    /// The leader notifies lease holders that the latest version or its phase has changed, so that they ask for it at once.
+    /// The leader notifies lease holders that the latest version or its phase has changed, so that they send a lease request at
+    /// once.
     VersionChanged(ConfigVersion),
     /// A client proposes a version.
     Propose(Proposal),
@@ -48,7 +49,7 @@
 /// A client's request for the latest version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseRequest {
-    /// The client's name, under which the leader records the lease.
+    /// The client's name. The leader records the lease under this name.
     pub client: String,
     /// The client's id for this request, which the response repeats.
     pub id: RequestId,
@@ -56,7 +57,7 @@
     pub wants_lease: bool,
     /// The latest version that the client knew of when it sent the request.
     pub known_version: ConfigVersion,
-    /// The versions whose texts the client has. The response leaves them out.
+    /// Numbers of the versions whose texts the client has. The response leaves these texts out.
     pub cached: VersionNumbers,
 }
 
@@ -71,18 +72,20 @@
 
 /// The leader's response to a [`LeaseRequest`].
 ///
-/// The leader sends it only after a quorum has confirmed, in a round that started after the request arrived, that it still leads.
+/// The leader sends the response only after a quorum has confirmed that it is still the leader. The round of this confirmation
+/// starts after the request has arrived.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseResponse {
     /// The id of the answered request.
     pub request: RequestId,
-    /// Number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
+    /// Number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first version is proposed.
     pub version: ConfigVersion,
     /// Whether the latest version is proposed or in force.
     pub phase: RolloutPhase,
 }
 
-/// The version in force and the proposed version with their texts, without those that the recipient has.
+/// The version in force and the proposed version, with their texts. Versions whose texts the recipient has already are left
+/// out.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VersionTexts {
     /// The version in force; `None` if no version is in force or the recipient has its text.
@@ -99,7 +102,7 @@
 }
 
 impl VersionTexts {
-    /// Returns the numbers of these versions, [`ConfigVersion::NONE`] for one that is absent.
+    /// Returns the numbers of the two versions; [`ConfigVersion::NONE`] for an absent version.
     pub fn numbers(&self) -> VersionNumbers {
         VersionNumbers {
             in_force: ConfigVersion::number_of(self.in_force.as_ref()),
--- a/crates/replicated_config/src/raft_message.rs
+++ b/crates/replicated_config/src/raft_message.rs
@@ -6,7 +6,8 @@
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// The message types that replicas accept from each other. The library uses its other types only within a replica.
+/// The types of Raft messages that replicas accept from each other. The Raft library uses its other message types only within a
+/// replica.
 const REPLICA_MESSAGE_TYPES: [MessageType; 10] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -98,7 +99,8 @@
         Some(message)
     }
 
-    /// Returns whether the entries follow `index` without a gap. The library would panic at a gap.
+    /// Returns whether the message's entries follow the log index in `index` without a gap. The Raft library would panic at a
+    /// gap.
     fn entries_are_consecutive(&self) -> bool {
         self.entries.is_empty()
             || self
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -1,4 +1,5 @@
-//! A Raft replica without I/O: the library's state machine, the replicated state, and the leases that it grants while it leads.
+//! A Raft replica without I/O: the Raft library's state machine, the replicated state, and the leases that the replica grants
+//! while it is the leader.
 
 mod leadership;
 mod pending_proposals;
@@ -30,7 +31,7 @@
 use tick_clock::TickClock;
 use timestamps::MonotonicTime;
 
-/// Maximum number of pending proposals. Waiting lease requests have the same limit of their own.
+/// Maximum number of pending proposals, and separately the maximum number of waiting lease requests.
 const MAX_PENDING: usize = 4_096;
 
 /// The term of a replica and the commit index of its log.
@@ -56,7 +57,8 @@
     /// Lease requests that wait for a quorum to confirm that this replica leads.
     reads: ReadRounds,
     pending_proposals: PendingProposals,
-    /// The last activation command that this replica has appended; `None` if it has appended none since its start.
+    /// The last activation command that this replica has appended to the log; `None` if the replica has appended no such
+    /// command since its start.
     last_activation: Option<Activation>,
     ready: Ready,
 }
@@ -114,7 +116,7 @@
         self.leases.is_some()
     }
 
-    /// Returns the leader to redirect a client to, or `None` if it is unknown or this replica itself.
+    /// Returns the leader to redirect a client to, or `None` if no leader is known or this replica is the leader.
     fn other_leader(&self) -> Option<ReplicaId> {
         self.leader().filter(|leader| *leader != self.id)
     }
@@ -130,8 +132,8 @@
         self.raw_node.store().durable().entries.len()
     }
 
-    /// Returns the names of the clients that may still hold a lease without knowing of the proposed version. Empty unless this
-    /// replica is the leader and a version is proposed.
+    /// Returns the names of the clients that do not know the proposed version and whose leases may still be valid. The list is
+    /// empty unless this replica is the leader and a version is proposed.
     pub fn holders_without_proposed_version(&self, now: MonotonicTime) -> Vec<String> {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return Vec::new() };
         leases.holders_without_version(now, proposed.number).map(str::to_owned).collect()
@@ -156,7 +158,7 @@
         let Some(message) = message.into_raft(replicas).filter(|message| message.to == self.id.0) else {
             return;
         };
-        // Raft tolerates lost messages, so one that the library rejects is dropped.
+        // Raft tolerates lost messages, so a message that the library rejects is dropped.
         let _ = self.raw_node.step(message);
         self.process_raft_output(now);
     }
@@ -195,7 +197,8 @@
         Some(Message::ProposalOutcome { proposal: id, outcome })
     }
 
-    /// Appends a proposal to the log, unless it is pending already. Drops it if [`MAX_PENDING`] others are; its proposer retries.
+    /// Appends a proposal to the log, unless it is pending already. Drops the proposal if [`MAX_PENDING`] other proposals are
+    /// pending; its proposer retries.
     fn append_proposal(&mut self, proposer: &str, proposal: Proposal) {
         let id = proposal.id;
         let was_pending = self.pending_proposals.insert(id, proposer);
@@ -207,12 +210,13 @@
         }
     }
 
-    /// Appends a command to the log. Returns false if the library does not accept it now.
+    /// Appends a command to the log. Returns false if the Raft library rejects the command, for example because this replica is
+    /// not the leader.
     fn append_command(&mut self, command: &Command) -> bool {
         self.raw_node.propose(Vec::new(), encode(command)).is_ok()
     }
 
-    /// Returns the output since the last call, and removes it from the replica.
+    /// Takes the output that has accumulated since the last call of `take_ready`.
     pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.ready)
     }
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -18,7 +18,8 @@
 }
 
 impl Replica {
-    /// Creates the lease table when this replica becomes the leader, and drops the leader's state when it no longer is.
+    /// Creates the lease table when this replica becomes the leader. Drops the leader's state when this replica is no longer
+    /// the leader.
     pub(super) fn on_role_change(&mut self, now: MonotonicTime, role: StateRole) {
         if role != StateRole::Leader {
             self.step_down();
@@ -34,8 +35,8 @@
         self.pending_proposals.clear();
     }
 
-    /// Appends the command that puts the proposed version in force once no lease prevents it, at most once per term for
-    /// each version. Returns whether the command was appended.
+    /// Appends the command that puts the proposed version in force, if every client with a valid lease knows this version.
+    /// Appends the command at most once per term for each version. Returns whether the command was appended.
     pub(super) fn activate_proposed(&mut self, now: MonotonicTime) -> bool {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return false };
         let activation = Activation { term: self.progress().term, version: proposed.number };
@@ -83,7 +84,8 @@
         self.ready.send_to_client(client, Message::LeaseResponse(response, Box::new(texts)));
     }
 
-    /// Notifies lease holders of a change, so that they request it at once instead of with their next regular request.
+    /// Notifies lease holders that the latest version or its phase has changed, so that they request the version at once
+    /// instead of at their next regular request.
     pub(super) fn notify_lease_holders(&mut self, now: MonotonicTime) {
         let Some(leases) = &self.leases else { return };
         for holder in leases.holders(now) {
@@ -93,7 +95,8 @@
     }
 }
 
-/// Returns a copy of the version, or `None` if `cached` is its number: the client then has the version's text.
+/// Returns a copy of the version to send to a client, or `None` if the client has the text already, because `cached` is the
+/// version's number.
 fn version_unless_cached(version: Option<&Version>, cached: ConfigVersion) -> Option<Version> {
     version.filter(|version| version.number != cached).cloned()
 }
--- a/crates/replicated_config/src/replica/pending_proposals.rs
+++ b/crates/replicated_config/src/replica/pending_proposals.rs
@@ -17,7 +17,7 @@
         self.proposers.insert(proposal, proposer.to_owned()).is_some()
     }
 
-    /// Returns whether more than [`MAX_PENDING`] proposals are pending.
+    /// Returns whether the number of pending proposals exceeds [`MAX_PENDING`].
     pub(super) fn exceeds_limit(&self) -> bool {
         self.proposers.len() > MAX_PENDING
     }
--- a/crates/replicated_config/src/replica/raft_ready.rs
+++ b/crates/replicated_config/src/replica/raft_ready.rs
@@ -11,12 +11,12 @@
 use raft::eraftpb;
 use timestamps::MonotonicTime;
 
-/// The log is compacted when it holds this many entries after its snapshot.
+/// Number of entries after the snapshot at which the log is compacted.
 const COMPACTION_ENTRIES: usize = 256;
 
 impl Replica {
-    /// Starts a read round if possible, then processes the library's output and activates the proposed version until neither
-    /// yields further output. Compacts the log if it has become long.
+    /// Starts a read round if possible. Then processes the Raft library's output, and activates the proposed version if
+    /// possible, until there is no further output. Compacts the log if it has at least [`COMPACTION_ENTRIES`] entries.
     pub(super) fn process_raft_output(&mut self, now: MonotonicTime) {
         self.start_read_round();
         loop {
--- a/crates/replicated_config/src/replica/read_rounds.rs
+++ b/crates/replicated_config/src/replica/read_rounds.rs
@@ -66,8 +66,8 @@
         id.to_context()
     }
 
-    /// Ends the open round if this is its context, and returns its requests. Returns no request for any other context, such as
-    /// that of a dropped round.
+    /// Ends the open round if `context` identifies it, and returns the requests of the round. Returns no request for any other
+    /// context, such as the context of a dropped round.
     pub(super) fn finish(&mut self, context: Vec<u8>) -> Vec<LeaseRequest> {
         let confirmed = RoundId::from_context(context);
         let round = self.open.take_if(|round| Some(round.id) == confirmed);
--- a/crates/replicated_config/src/state.rs
+++ b/crates/replicated_config/src/state.rs
@@ -55,7 +55,7 @@
         /// The user who proposed the version whose rollout is in progress.
         proposed_by: String,
     },
-    /// The text is longer than [`MAX_TEXT_BYTES`].
+    /// The proposed text is longer than [`MAX_TEXT_BYTES`].
     TooLarge,
     /// The leader found the text invalid, for this reason, and did not append the proposal to the log.
     Rejected(String),
@@ -68,7 +68,7 @@
     outcome: ProposalOutcome,
 }
 
-/// The state after all committed commands.
+/// The replicated state that results from applying the committed commands of the log in order.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ConfigState {
     /// Activated versions, oldest first. The last one is in force.
@@ -79,7 +79,7 @@
 }
 
 impl ConfigState {
-    /// Returns the version in force, or `None` before the first.
+    /// Returns the version in force, or `None` before the first version is in force.
     pub fn in_force(&self) -> Option<&Version> {
         self.history.back()
     }
@@ -99,7 +99,8 @@
         self.outcomes.iter().find(|recorded| recorded.proposal == proposal).map(|recorded| &recorded.outcome)
     }
 
-    /// Returns the number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first.
+    /// Returns the number of the latest version, proposed or in force; [`ConfigVersion::NONE`] before the first version is
+    /// proposed.
     pub fn latest_number(&self) -> ConfigVersion {
         ConfigVersion::number_of(self.proposed().or(self.in_force()))
     }
--- a/crates/replicated_config/src/version.rs
+++ b/crates/replicated_config/src/version.rs
@@ -62,7 +62,7 @@
 /// The latest version and its rollout phase. A greater value is further in the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LatestVersion {
-    /// The version's number; [`ConfigVersion::NONE`] before the first version.
+    /// Number of the latest version; [`ConfigVersion::NONE`] before the first version is proposed.
     pub number: ConfigVersion,
     /// Whether the version is proposed or in force.
     pub phase: RolloutPhase,
--- a/crates/replicated_config/tests/simulation/machine.rs
+++ b/crates/replicated_config/tests/simulation/machine.rs
@@ -36,7 +36,7 @@
     /// The replica's state on disk, which survives a crash.
     pub disk: DurableState,
     pub client: LeaseClient,
-    /// When the client sends its next request.
+    /// When the lease client sends its next lease request, on the simulation's clock.
     pub next_request_at: MonotonicTime,
     /// The versions whose texts the client has.
     cached: VersionNumbers,
@@ -126,7 +126,7 @@
                 if self.client.on_response(response) {
                     self.cache(&texts);
                 }
-                // The next request confirms to the leader that this client knows of the change.
+                // The next lease request tells the leader that this client knows the new latest version.
                 if self.client.latest() != latest_before {
                     self.next_request_at = now;
                 }
--- a/crates/replicated_config/tests/simulation/network.rs
+++ b/crates/replicated_config/tests/simulation/network.rs
@@ -9,10 +9,10 @@
 
 /// Minimum latency of a message.
 const MIN_LATENCY: Duration = Duration::from_millis(1);
-/// Upper bound of the latency of a message, which always takes less time.
+/// Exclusive upper bound of the latency of a message.
 const MAX_LATENCY: Duration = Duration::from_millis(8);
 
-/// A message that is being delivered. Messages are ordered by arrival time, then by the order in which they were sent.
+/// A sent message that has not arrived yet. Messages are ordered by arrival time, then by the order of sending.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InFlightMessage {
     arrives_at: MonotonicTime,
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -41,7 +41,8 @@
     pub outcomes: Vec<ReceivedOutcome>,
     /// Number of leases that were checked.
     pub checked_lease_count: u64,
-    /// Whether clients act on expired leases. Used to test that the lease check detects this.
+    /// Whether clients act on expired leases. A test sets this to true to prove that the lease check detects clients that do
+    /// so.
     pub clients_ignore_lease_expiry: bool,
 }
 
@@ -180,7 +181,8 @@
 
     /// Restarts a crashed machine from its disk.
     pub fn restart(&mut self, machine: usize) {
-        // Larger than all earlier request ids: all machines together send far more messages than this one has sent requests.
+        // The number of all sent messages is larger than every earlier request id of this machine, because all machines
+        // together send far more messages than one machine sends requests.
         let first_request = RequestId(self.network.sent());
         self.machines[machine].start(self.now, &self.replicas, first_request);
     }
