--- a/crates/catalogue/src/agent_selector.rs
+++ b/crates/catalogue/src/agent_selector.rs
@@ -60,7 +60,7 @@
 pub struct AgentSelector {
     config: AgentSelectorConfig,
     agents: Vec<AgentState>,
-    current: usize,
+    current_agent: usize,
     index: u64,
     /// Whether the next query must be answered by the leader.
     needs_leader: bool,
@@ -81,7 +81,7 @@
         Self {
             agents: vec![AgentState::default(); config.agent_count.max(1)],
             config,
-            current: 0,
+            current_agent: 0,
             index: 0,
             needs_leader: false,
             last_query_at: MonotonicTime::ZERO,
@@ -92,23 +92,23 @@
 
     /// Position of the selected agent in the configured order.
     pub fn current(&self) -> usize {
-        self.current
+        self.current_agent
     }
 
     /// Selects the agent, and returns the query to send to it no earlier than [`Query::not_before`].
     pub fn next_query(&mut self, now: MonotonicTime) -> Query {
-        if self.current > 0 && now >= self.selected_at + self.config.failback_after {
+        if self.current_agent > 0 && now >= self.selected_at + self.config.failback_after {
             // Failback: the first agent is queried again. If the query fails, another agent is selected for the next interval.
             self.select(0, now);
         }
-        if self.agents[self.current].backoff_until > now {
+        if self.agents[self.current_agent].backoff_until > now {
             self.fail_over(now);
         }
         let earliest = self.last_query_at + self.config.min_query_interval;
-        let not_before = now.max(self.agents[self.current].backoff_until).max(earliest);
+        let not_before = now.max(self.agents[self.current_agent].backoff_until).max(earliest);
         self.last_query_at = not_before;
         Query {
-            agent: self.current,
+            agent: self.current_agent,
             index: self.index,
             allow_stale: self.config.allow_stale && !self.needs_leader,
             not_before,
@@ -120,14 +120,14 @@
     fn fail_over(&mut self, now: MonotonicTime) {
         let available_at = |&agent: &usize| (self.agents[agent].backoff_until.max(now), agent);
         let best = (0..self.agents.len()).min_by_key(available_at);
-        if let Some(agent) = best.filter(|&agent| agent != self.current) {
+        if let Some(agent) = best.filter(|&agent| agent != self.current_agent) {
             self.select(agent, now);
         }
     }
 
     /// Selects an agent, and resets the index to 0, because an index is only meaningful to the server that returned it.
     fn select(&mut self, agent: usize, now: MonotonicTime) {
-        self.current = agent;
+        self.current_agent = agent;
         self.index = 0;
         self.selected_at = now;
     }
--- a/crates/catalogue/src/endpoint_tracker.rs
+++ b/crates/catalogue/src/endpoint_tracker.rs
@@ -27,7 +27,7 @@
 }
 
 impl InstanceKey {
-    fn of(instance: &Instance) -> Self {
+    fn of_instance(instance: &Instance) -> Self {
         Self { id: instance.id.clone(), address: instance.address }
     }
 }
@@ -165,7 +165,7 @@
     fn record_listed(&mut self, now: MonotonicTime, instance: Instance) {
         let is_first_list = !self.has_list;
         let last_number = &mut self.last_number;
-        let record = self.records.entry(InstanceKey::of(&instance)).or_insert_with(|| {
+        let record = self.records.entry(InstanceKey::of_instance(&instance)).or_insert_with(|| {
             *last_number = last_number.wrapping_add(1).max(1);
             InstanceRecord::new(EndpointNumber(*last_number), instance.clone(), now, is_first_list)
         });
--- a/crates/catalogue/src/endpoint_tracker/tests.rs
+++ b/crates/catalogue/src/endpoint_tracker/tests.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_single_restart_is_not_suppressed_and_counts_as_a_start() {
+fn an_endpoint_that_restarted_once_becomes_eligible_without_suppression() {
     let mut harness = Harness::new((0..3).map(instance).collect());
     assert_eq!(harness.endpoint("i0").eligible_since, None, "eligible since the first list");
     harness
@@ -119,7 +119,7 @@
 
 /// Without flap damping, an endpoint whose health alternates every second would lose its traffic thirty times a minute.
 #[test]
-fn a_flapping_endpoint_changes_eligibility_a_few_times_and_its_flap_count_decays() {
+fn flap_damping_limits_the_eligibility_changes_until_the_flap_count_decays() {
     let mut harness = Harness::new((0..3).map(instance).collect());
     let mut eligibility_changes = 0;
     let mut eligible_before = 3;
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_catalogue_emptied_and_restored_within_the_retention_leaves_the_list_unchanged() {
+fn the_list_is_unchanged_if_all_endpoints_vanish_and_reappear_within_the_retention() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let before = harness.list.clone();
     harness.last_answers.extend(before.endpoints.iter().map(|e| (e.number, at_millis(1_500))));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_loss_of_a_small_share_of_the_endpoints_retains_none() {
+fn no_endpoint_is_retained_if_only_a_small_share_vanishes() {
     let mut harness = Harness::new((0..6).map(instance).collect());
     let numbers: Vec<EndpointNumber> = harness.list.endpoints.iter().map(|e| e.number).collect();
     harness.last_answers.extend(numbers.iter().map(|&n| (n, at_millis(1_900))));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn of_two_ids_at_one_address_one_is_eligible_and_a_replacement_takes_over() {
+fn only_one_instance_per_address_is_eligible() {
     let mut harness = Harness::new((0..3).map(instance).collect());
     let twin = Instance { id: "twin".into(), ..instance(0) };
     harness.respond_after(millis(10), vec![instance(0), instance(1), instance(2), twin.clone()]);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn an_instance_that_moves_gets_a_new_number_and_its_old_address_is_dropped_at_once() {
+fn an_instance_at_a_new_address_gets_a_new_endpoint_and_the_old_one_is_not_retained() {
     let mut harness = Harness::new((0..2).map(instance).collect());
     let before = harness.endpoint("i0").number;
     harness.last_answers.extend(harness.list.endpoints.iter().map(|e| (e.number, at_millis(1_001))));
--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -52,7 +52,7 @@
 }
 
 impl RunCounts {
-    fn record(&mut self, outcome: &RunOutcome) {
+    fn count_outcome(&mut self, outcome: &RunOutcome) {
         match outcome {
             RunOutcome::DeadlinePassed => self.deadline_passed += 1,
             _ if outcome.is_success() => self.succeeded += 1,
@@ -71,10 +71,10 @@
     jobs: JobTable,
     runs: TaskQueue<PendingRun>,
     run_counts: RunCounts,
-    health: Option<HealthMonitor>,
+    health_monitor: Option<HealthMonitor>,
     dropped_datagrams: Arc<AtomicU64>,
     log_limiter: LogLimiter,
-    left: bool,
+    has_left: bool,
 }
 
 impl Coordinator {
@@ -97,10 +97,10 @@
             jobs: JobTable::new(settings.health_checks),
             runs,
             run_counts: RunCounts::default(),
-            health,
+            health_monitor: health,
             dropped_datagrams,
             log_limiter: LogLimiter::default(),
-            left: false,
+            has_left: false,
         }
     }
 
@@ -132,12 +132,12 @@
     fn tick(&mut self) {
         let now = self.clocks.now();
         self.update_gossip(now, |gossip| gossip.tick(now.monotonic));
-        if !self.left {
+        if !self.has_left {
             let mut actions = Vec::new();
             self.scheduler.tick(now, &mut actions);
             self.apply_actions(now, actions);
         }
-        if let Some(health) = &mut self.health {
+        if let Some(health) = &mut self.health_monitor {
             health.update_ejections(now.monotonic);
         }
     }
@@ -170,7 +170,7 @@
     fn update_gossip(&mut self, now: ClockReading, update: impl FnOnce(&mut GossipNode) -> GossipChanges) {
         let Some(gossip) = &mut self.gossip else { return };
         let changes = update(gossip);
-        if let Some(health) = &mut self.health {
+        if let Some(health) = &mut self.health_monitor {
             for ReceivedReport { backend_id, report } in changes.reports {
                 health.apply_report(&backend_id, report, now.monotonic);
             }
@@ -182,7 +182,7 @@
 
     fn set_backends(&mut self, now: ClockReading, backends: Vec<Backend>) {
         self.jobs.set_backends(backends);
-        let Some(health) = &mut self.health else { return };
+        let Some(health) = &mut self.health_monitor else { return };
         health.set_backends(self.jobs.backend_ids());
         if let Some(gossip) = &mut self.gossip {
             gossip.retain_backends(|id| self.jobs.has_backend(id));
@@ -193,14 +193,14 @@
     fn handle_store_response(&mut self, now: ClockReading, response: StoreResponse) {
         let mut actions = Vec::new();
         self.scheduler.handle_store_response(now, response, &mut actions);
-        if !self.left {
+        if !self.has_left {
             self.apply_actions(now, actions);
         }
     }
 
     /// Leaves the cluster and ends the lease store session, then notifies `done`. Later calls only drop `done`.
     fn leave(&mut self, now: ClockReading, done: SyncSender<()>) {
-        if std::mem::replace(&mut self.left, true) {
+        if std::mem::replace(&mut self.has_left, true) {
             return;
         }
         self.update_gossip(now, |gossip| gossip.leave(now.monotonic));
--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -80,7 +80,7 @@
 
     pub(super) fn handle_finished_run(&mut self, now: ClockReading, finished: &FinishedRun) {
         let FinishedRun { run, task, outcome } = finished;
-        self.run_counts.record(outcome);
+        self.run_counts.count_outcome(outcome);
         match task {
             RunTask::HealthCheck { backend_id, .. } => self.handle_health_check(now, backend_id, finished),
             RunTask::HttpCall { .. } if outcome.is_success() => {}
@@ -97,12 +97,12 @@
 
     /// Records the result of a health check and disseminates its report.
     fn handle_health_check(&mut self, now: ClockReading, backend_id: &str, finished: &FinishedRun) {
-        let Some(health) = &mut self.health else { return };
+        let Some(health) = &mut self.health_monitor else { return };
         let Some(report) = health.record_check(backend_id, finished, now.monotonic) else {
             return;
         };
         self.update_gossip(now, |gossip| gossip.broadcast_report(now.monotonic, &finished.run.job, &report));
-        if let Some(health) = &mut self.health {
+        if let Some(health) = &mut self.health_monitor {
             health.update_ejections(now.monotonic);
         }
     }
--- a/crates/cluster/src/coordinator/status.rs
+++ b/crates/cluster/src/coordinator/status.rs
@@ -64,7 +64,7 @@
     }
 
     fn write_health(&self, now: ClockReading, out: &mut String) {
-        let Some(health) = &self.health else { return };
+        let Some(health) = &self.health_monitor else { return };
         out.push_str("probes\n");
         for (id, BackendHealth { status, report_age }) in health.health(now.monotonic) {
             let status = match status {
--- a/crates/cluster/src/log_limiter.rs
+++ b/crates/cluster/src/log_limiter.rs
@@ -7,7 +7,7 @@
 use timestamps::MonotonicTime;
 
 /// The minimum time between two logged events of one kind.
-const INTERVAL: Duration = Duration::from_secs(1);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A kind of log event, whose rate is limited separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -49,7 +49,7 @@
             state.suppressed += 1;
             return None;
         }
-        state.next_permit_at = now + INTERVAL;
+        state.next_permit_at = now + MIN_LOG_INTERVAL;
         let suppressed = std::mem::take(&mut state.suppressed);
         Some(LogPermit { suppressed: (suppressed > 0).then_some(suppressed) })
     }
--- a/crates/config_node/src/driver/messages.rs
+++ b/crates/config_node/src/driver/messages.rs
@@ -72,7 +72,7 @@
     fn on_lease_response(&mut self, now: MonotonicTime, response: LeaseResponse, texts: VersionTexts) {
         if let Some(numbers) = self.lease_requester.on_response(now, response) {
             let expires_at = self.lease_requester.expires_at();
-            self.view.update(self.clock.now(), numbers, texts, expires_at);
+            self.view.update_versions(self.clock.now(), numbers, texts, expires_at);
         }
     }
 }
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -23,9 +23,9 @@
     path: PathBuf,
     file: File,
     /// Size of the file in bytes.
-    bytes: u64,
+    file_bytes: u64,
     /// Size of the file in bytes when it was opened or last compacted.
-    compacted_bytes: u64,
+    compacted_file_bytes: u64,
     /// Number of frames in the file.
     frame_count: u64,
     state: DurableState,
@@ -63,7 +63,14 @@
         let state = replay(path, &frames)?;
         let bytes = file_size(&frames);
         let file = open_truncated(path, bytes).map_err(Error::file(path))?;
-        Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frame_count: intact, state })
+        Ok(Self {
+            path: path.to_owned(),
+            file,
+            file_bytes: bytes,
+            compacted_file_bytes: bytes,
+            frame_count: intact,
+            state,
+        })
     }
 
     /// Returns the durable state that results from applying the log's records in order.
@@ -93,9 +100,9 @@
         self.file.write_all(&frame)?;
         self.file.sync_data()?;
         self.frame_count += 1;
-        self.bytes += frame.len() as u64;
+        self.file_bytes += frame.len() as u64;
         frame_count::write(&self.path, self.frame_count)?;
-        if self.bytes > COMPACTION_BYTES && self.bytes > 2 * self.compacted_bytes {
+        if self.file_bytes > COMPACTION_BYTES && self.file_bytes > 2 * self.compacted_file_bytes {
             self.compact()?;
         }
         Ok(())
@@ -117,8 +124,8 @@
         atomic_file::replace(&self.path, &content)?;
         self.file = OpenOptions::new().append(true).open(&self.path)?;
         self.frame_count = 1;
-        self.bytes = content.len() as u64;
-        self.compacted_bytes = self.bytes;
+        self.file_bytes = content.len() as u64;
+        self.compacted_file_bytes = self.file_bytes;
         Ok(())
     }
 }
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -6,9 +6,9 @@
 use timestamps::MonotonicTime;
 
 /// Minimum time between two checks of the lease's expiry.
-const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
+const MIN_EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// Maximum time between two checks of the lease's expiry.
-const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Called with the new [`ConfigView`] whenever the enforced versions or the validity of the lease change.
 pub type ViewListener = Box<dyn Fn(&ConfigView) + Send>;
@@ -30,22 +30,22 @@
     node_name: String,
     view: ConfigView,
     /// The versions that the node last received with their texts, kept also after the lease has expired.
-    texts: VersionTexts,
+    known_versions: VersionTexts,
     lease_expires_at: MonotonicTime,
     listener: ViewListener,
 }
 
 impl ViewState {
     fn new(node_name: String, listener: ViewListener) -> Self {
-        let (view, texts) = (ConfigView::default(), VersionTexts::default());
-        Self { node_name, view, texts, lease_expires_at: MonotonicTime::ZERO, listener }
+        let (view, known_versions) = (ConfigView::default(), VersionTexts::default());
+        Self { node_name, view, known_versions, lease_expires_at: MonotonicTime::ZERO, listener }
     }
 
     /// Derives the [`ConfigView`] from the known versions and the lease, and calls the listener if it has changed.
     fn publish(&mut self, now: MonotonicTime) {
         let ignores_lease_expiry =
             seeded_faults::is_active("lease") && self.lease_expires_at > MonotonicTime::ZERO;
-        let VersionTexts { in_force, proposed } = self.texts.clone();
+        let VersionTexts { in_force, proposed } = self.known_versions.clone();
         let has_lease = now < self.lease_expires_at || ignores_lease_expiry;
         let view = ConfigView { in_force, proposed, has_lease };
         if view != self.view {
@@ -56,11 +56,13 @@
     }
 
     /// Returns the time until the next check of the lease's expiry.
-    fn time_until_check(&self, now: MonotonicTime) -> Duration {
+    fn time_until_expiry_check(&self, now: MonotonicTime) -> Duration {
         if self.view.has_lease {
-            self.lease_expires_at.saturating_since(now).clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)
+            self.lease_expires_at
+                .saturating_since(now)
+                .clamp(MIN_EXPIRY_CHECK_INTERVAL, MAX_EXPIRY_CHECK_INTERVAL)
         } else {
-            MAX_CHECK_INTERVAL
+            MAX_EXPIRY_CHECK_INTERVAL
         }
     }
 
@@ -86,7 +88,7 @@
 
 /// Selects the versions with the given numbers from the received and the known versions. Versions with the same number are
 /// equal.
-fn select_texts(numbers: VersionNumbers, received: VersionTexts, known: VersionTexts) -> VersionTexts {
+fn select_versions(numbers: VersionNumbers, received: VersionTexts, known: VersionTexts) -> VersionTexts {
     let candidates = [received.in_force, received.proposed, known.in_force, known.proposed];
     let mut candidates: Vec<Version> = candidates.into_iter().flatten().collect();
     let mut take_version = |number: ConfigVersion| {
@@ -119,12 +121,12 @@
 
     /// Returns the numbers of the versions whose texts the node has, whether or not the lease is valid.
     pub(crate) fn known_version_numbers(&self) -> VersionNumbers {
-        self.lock().texts.numbers()
+        self.lock().known_versions.numbers()
     }
 
     /// Replaces the enforced versions by those with the given `numbers`. Their texts are in `received` or among the known
     /// versions.
-    pub(crate) fn update(
+    pub(crate) fn update_versions(
         &self,
         now: MonotonicTime,
         numbers: VersionNumbers,
@@ -132,19 +134,19 @@
         lease_expires_at: MonotonicTime,
     ) {
         let mut state = self.lock();
-        let known = std::mem::take(&mut state.texts);
-        state.texts = select_texts(numbers, received, known);
+        let known = std::mem::take(&mut state.known_versions);
+        state.known_versions = select_versions(numbers, received, known);
         state.lease_expires_at = lease_expires_at;
         state.publish(now);
         self.updated.notify_all();
     }
 
-    /// Publishes the [`ConfigView`] if it has changed, then waits until the lease may have expired or [`SharedView::update`]
+    /// Publishes the [`ConfigView`] if it has changed, then waits until the lease may have expired or [`SharedView::update_versions`]
     /// is called.
     pub(crate) fn publish_and_wait(&self, now: MonotonicTime) {
         let mut state = self.lock();
         state.publish(now);
-        let timeout = state.time_until_check(now);
+        let timeout = state.time_until_expiry_check(now);
         drop(self.updated.wait_timeout(state, timeout));
     }
 }
--- a/crates/consul/src/token_file.rs
+++ b/crates/consul/src/token_file.rs
@@ -20,7 +20,7 @@
     /// The token from the last valid read of the file; `None` before the first valid read.
     token: Option<String>,
     /// Whether the last read failed. Of consecutive failures only the first is logged.
-    failed: bool,
+    has_failed: bool,
 }
 
 impl TokenFile {
@@ -49,10 +49,10 @@
     pub fn current(&self) -> Option<String> {
         let mut last_read = locked(&self.last_read);
         match self.read() {
-            Ok(token) => *last_read = LastRead { token, failed: false },
-            Err(error) if !last_read.failed => {
+            Ok(token) => *last_read = LastRead { token, has_failed: false },
+            Err(error) if !last_read.has_failed => {
                 tracing::warn!(%error, "token file not usable, previous token kept in use");
-                last_read.failed = true;
+                last_read.has_failed = true;
             }
             Err(_) => {}
         }
--- a/crates/consul/src/watch/status/tests.rs
+++ b/crates/consul/src/watch/status/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_origin_has_its_text() {
+fn each_list_origin_is_described_by_its_text() {
     let age = Duration::from_secs(42);
     for (origin, text) in [
         (ListOrigin::NoList, "no list yet"),
--- a/crates/health_check/src/tracker/tests.rs
+++ b/crates/health_check/src/tracker/tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn at_most_the_fraction_is_ejected_and_the_longest_failing_backends_come_first() {
+fn the_longest_failing_backends_are_ejected_up_to_the_maximum_fraction() {
     let mut tracker = tracker(5);
     for i in 0..5 {
         tracker.apply_report(&format!("d{i}"), report(50, true, 40 - i), at(0));
--- a/crates/job_lease/src/error/tests.rs
+++ b/crates/job_lease/src/error/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_cause_has_its_message() {
+fn each_cause_of_a_store_error_has_its_message() {
     let unreadable = serde_json::from_str::<u8>("x").expect_err("no JSON");
     let unreadable_message = format!("the response of the store cannot be parsed: {unreadable}");
     let key = || "snowfield/duties/d".to_owned();
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn without_any_one_guard_a_run_starts_twice() {
+fn a_run_starts_twice_if_any_single_guard_is_missing() {
     for (removed_guard, bounds) in [
         (RemovedGuard::CompareAndSet, bounds(0, 0, 5)),
         (RemovedGuard::Session, bounds(1, 1, 5)),
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_message_with_one_changed_byte_or_cut_short_is_rejected() {
+fn a_message_that_is_truncated_or_has_one_changed_byte_is_rejected() {
     let keyring = keyring(&"0f".repeat(32));
     let message = keyring.sign(b"hello");
     assert_eq!(keyring.verify(&message), Some(&b"hello"[..]));
--- a/crates/membership/src/bulk_failure/failure_log/tests.rs
+++ b/crates/membership/src/bulk_failure/failure_log/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_log_is_bounded() {
+fn the_failure_log_is_bounded() {
     let mut log = FailureLog::default();
     (0..2 * MAX_FAILURES as u64)
         .for_each(|fingerprint| log.add_failure(START, MemberFingerprint(fingerprint)));
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -31,7 +31,7 @@
     timers: TimerQueue,
     next_join: MonotonicTime,
     counts: Counts,
-    left: bool,
+    has_left: bool,
 }
 
 impl Membership {
@@ -54,7 +54,7 @@
             timers: TimerQueue::default(),
             next_join: MonotonicTime::ZERO,
             counts: Counts::default(),
-            left: false,
+            has_left: false,
         }
     }
 
@@ -123,7 +123,7 @@
 
     /// Runs the timers that are due: joins, probes, gossip and bulk failure dissemination.
     pub fn tick(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if self.left {
+        if self.has_left {
             return;
         }
         if now >= self.next_join {
@@ -166,7 +166,7 @@
 
     /// Handles a received datagram. A datagram that is not authentic or cannot be decoded is dropped and counted.
     pub fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8], out: &mut Vec<Output>) {
-        if self.left {
+        if self.has_left {
             return;
         }
         let Some(payload) = self.keyring.verify(bytes) else {
@@ -267,9 +267,9 @@
 
     /// Announces to the cluster that this instance leaves. Later datagrams and ticks are ignored.
     pub fn leave(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if !self.left {
+        if !self.has_left {
             self.call_swim(now, out, |swim, effects| swim.leave_cluster(effects));
-            self.left = true;
+            self.has_left = true;
         }
     }
 
@@ -297,14 +297,14 @@
         for outgoing in effects.payloads {
             self.send(outgoing.to, &outgoing.payload, out);
         }
-        for fingerprint in effects.failed {
+        for fingerprint in effects.failed_members {
             self.bulk_failure.record_failure(now, fingerprint);
         }
         let received = self.topics.lock().take_received();
         for Broadcast { topic, version, body } in received {
             out.push(Output::Broadcast { topic, version, body });
         }
-        if let Some(generation) = effects.rejoined {
+        if let Some(generation) = effects.rejoined_generation {
             self.config.local_member.generation = generation;
             out.push(Output::Rejoined { generation });
         }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -34,20 +34,20 @@
     pub(crate) timers: Vec<TimerRequest>,
     pub(crate) members_changed: bool,
     /// Members that were declared dead during the call.
-    pub(crate) failed: Vec<MemberFingerprint>,
+    pub(crate) failed_members: Vec<MemberFingerprint>,
     /// The new generation of this instance, if it rejoined during the call because other members had declared it dead.
-    pub(crate) rejoined: Option<u64>,
+    pub(crate) rejoined_generation: Option<u64>,
 }
 
 impl Runtime<Member> for SwimEffects {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
             Notification::MemberDown(member) => {
-                self.failed.push(MemberFingerprint::of_member(member));
+                self.failed_members.push(MemberFingerprint::of_member(member));
                 self.members_changed = true;
             }
             Notification::MemberUp(_) | Notification::Rename(..) => self.members_changed = true,
-            Notification::Rejoin(local_member) => self.rejoined = Some(local_member.generation),
+            Notification::Rejoin(local_member) => self.rejoined_generation = Some(local_member.generation),
             _ => {}
         }
     }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -99,13 +99,13 @@
     }
 
     /// Returns the number of members that this member considers alive. The number is 0 for a dead member.
-    fn alive_at(&self, number: usize) -> usize {
+    fn alive_count_at(&self, number: usize) -> usize {
         self.members[number].as_ref().map_or(0, |member| member.alive_names().len())
     }
 
     fn assert_all_see(&self, members: std::ops::Range<usize>, alive: usize) {
         for number in members {
-            assert_eq!(self.alive_at(number), alive, "member {number}");
+            assert_eq!(self.alive_count_at(number), alive, "member {number}");
         }
     }
 }
@@ -116,7 +116,7 @@
     network.assert_all_see(0..6, 6);
     network.members[5] = None;
     network.advance(Duration::from_secs(3), ALWAYS);
-    assert_eq!(network.alive_at(0), 5);
+    assert_eq!(network.alive_count_at(0), 5);
     // A member that leaves is declared dead at once, without suspicion.
     let mut out = Vec::new();
     let now = network.now;
@@ -128,14 +128,14 @@
     // A member restarted under its name and address is alive at once, although the others remember it as dead.
     network.members[5] = Some(start_member(config(5, 2), "ab"));
     network.advance(Duration::from_secs(2), ALWAYS);
-    assert_eq!(network.alive_at(0), 5);
+    assert_eq!(network.alive_count_at(0), 5);
 }
 
 #[test]
 fn a_partition_heals() {
     let mut network = Network::converged(6);
     network.advance(Duration::from_secs(4), PARTITIONED);
-    assert_eq!((network.alive_at(0), network.alive_at(5)), (3, 3));
+    assert_eq!((network.alive_count_at(0), network.alive_count_at(5)), (3, 3));
     network.advance(Duration::from_secs(6), ALWAYS);
     network.assert_all_see(0..6, 6);
 }
@@ -176,7 +176,7 @@
     let mut network = Network::new(3);
     network.members[2] = Some(start_member(config(2, 1), "cd"));
     network.advance(Duration::from_secs(3), ALWAYS);
-    assert_eq!((network.alive_at(0), network.alive_at(2)), (2, 1));
+    assert_eq!((network.alive_count_at(0), network.alive_count_at(2)), (2, 1));
     assert!(network.member(0).counts().authentication_failures > 0);
 }
 
@@ -220,7 +220,7 @@
     let mut network = Network::converged(6);
     let paused = network.members[3].take();
     network.advance(Duration::from_secs(60), ALWAYS);
-    assert_eq!(network.alive_at(0), 5);
+    assert_eq!(network.alive_count_at(0), 5);
     network.members[3] = paused;
     network.advance(Duration::from_secs(2), ALWAYS);
     network.assert_all_see(0..6, 6);
@@ -285,7 +285,7 @@
     };
     network.advance(Duration::from_secs(6), lossy);
     (0..80).for_each(|i| network.members[i] = None);
-    let all_know_the_failures = |network: &Network| (80..160).all(|i| network.alive_at(i) == 80);
+    let all_know_the_failures = |network: &Network| (80..160).all(|i| network.alive_count_at(i) == 80);
     let elapsed_tenths = (0..100).find(|_| {
         network.advance(Duration::from_millis(100), lossy);
         all_know_the_failures(&network)
--- a/crates/periodic_jobs/src/rendezvous/tests.rs
+++ b/crates/periodic_jobs/src/rendezvous/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn when_a_member_leaves_only_its_jobs_move_and_every_other_member_takes_some() {
+fn only_the_jobs_of_a_departed_member_move_and_they_spread_over_all_others() {
     let mut live_members = members(8);
     let jobs: Vec<JobHash> = (0..800).map(|i| JobHash::from_name(&format!("d{i}"))).collect();
     let mut rankings: Vec<Ranking> = jobs.iter().map(|&job| Ranking::new(job, &live_members, 4)).collect();
--- a/crates/periodic_jobs/src/scheduler/attempt.rs
+++ b/crates/periodic_jobs/src/scheduler/attempt.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Makes the run of the current period the job's current run. Returns whether the instance attempts this run now.
+    /// Prepares a job for an attempt at the run of the current period. Returns whether to attempt this run now.
     fn prepare_attempt(&mut self, job_index: usize, now: ClockReading) -> bool {
         let state = &mut self.jobs[job_index];
         let run = state.job.run_at(now.unix);
--- a/crates/periodic_jobs/tests/scheduler.rs
+++ b/crates/periodic_jobs/tests/scheduler.rs
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn while_the_store_is_unavailable_no_run_starts_and_calls_are_limited() {
+fn no_run_starts_and_calls_are_limited_while_the_store_is_unavailable() {
     let mut harness = Harness::with_seeded_jobs(&["d", "e", "f", "g"]);
     harness.store_unavailable = true;
     harness.advance(10 * PERIOD);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_record_ahead_of_all_clocks_is_reported_once_and_stops_only_the_job_it_belongs_to() {
+fn a_record_ahead_of_all_clocks_is_reported_once_and_stops_only_its_own_job() {
     let mut harness = Harness::with_seeded_jobs(&["d", "e"]);
     harness.acquire_by_other_instance("d", Duration::from_secs(3_600));
     harness.advance(5 * PERIOD);
--- a/crates/replicated_config/src/lease/client/tests.rs
+++ b/crates/replicated_config/src/lease/client/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_lease_starts_when_its_request_is_sent_and_only_the_newest_request_is_accepted() {
+fn a_lease_runs_from_the_sending_of_the_newest_request() {
     let mut client = client(7);
     let first = client.start_request(at_ms(1_000), 3).id;
     let second = client.start_request(at_ms(1_500), 3).id;
--- a/crates/replicated_config/src/lease/table.rs
+++ b/crates/replicated_config/src/lease/table.rs
@@ -37,7 +37,7 @@
 
     /// Returns whether the lease prevents that `version` is put in force: the lease is valid, and its holder does not know
     /// `version`, so the holder may still act on an earlier version alone.
-    fn is_behind(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
+    fn prevents_activation(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
         self.known_version < version && self.is_valid(now)
     }
 }
@@ -86,7 +86,7 @@
     /// Returns whether `version` may be put in force, which requires that every client with a valid lease knows `version`.
     pub fn may_activate(&self, now: MonotonicTime, version: ConfigVersion) -> bool {
         now >= self.earlier_leases_expire_at
-            && !self.granted.values().any(|lease| lease.is_behind(now, version))
+            && !self.granted.values().any(|lease| lease.prevents_activation(now, version))
     }
 
     /// Returns the names of the clients whose leases, granted by this leader, may still be valid.
@@ -100,7 +100,7 @@
         now: MonotonicTime,
         version: ConfigVersion,
     ) -> impl Iterator<Item = &str> {
-        self.holders_matching(move |lease| lease.is_behind(now, version))
+        self.holders_matching(move |lease| lease.prevents_activation(now, version))
     }
 
     fn holders_matching(&self, condition: impl Fn(&GrantedLease) -> bool) -> impl Iterator<Item = &str> {
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -32,7 +32,7 @@
 use timestamps::MonotonicTime;
 
 /// Maximum number of pending proposals, and separately the maximum number of waiting lease requests.
-const MAX_PENDING: usize = 4_096;
+const MAX_PENDING_REQUESTS: usize = 4_096;
 
 /// The term of a replica and the commit index of its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// The granted leases; `None` unless this replica is the leader.
     leases: Option<LeaseTable>,
     /// Lease requests that wait for a quorum to confirm that this replica leads.
-    reads: ReadRounds,
+    read_rounds: ReadRounds,
     pending_proposals: PendingProposals,
     /// The last activation command that this replica has appended to the log; `None` if the replica has appended no such
     /// command since its start.
@@ -92,7 +92,7 @@
             clock: TickClock::new(now),
             lease_duration,
             leases: None,
-            reads: ReadRounds::default(),
+            read_rounds: ReadRounds::default(),
             pending_proposals: PendingProposals::default(),
             last_activation: None,
             ready: Ready::default(),
@@ -170,7 +170,7 @@
             self.ready.send_to_client(request.client, redirect);
             return;
         }
-        self.reads.enqueue(request);
+        self.read_rounds.enqueue(request);
         self.process_raft_output(now);
     }
 
@@ -197,7 +197,7 @@
         Some(Message::ProposalOutcome { proposal: id, outcome })
     }
 
-    /// Appends a proposal to the log, unless it is pending already. Drops the proposal if [`MAX_PENDING`] other proposals are
+    /// Appends a proposal to the log, unless it is pending already. Drops the proposal if [`MAX_PENDING_REQUESTS`] other proposals are
     /// pending; its proposer retries.
     fn append_proposal(&mut self, proposer: &str, proposal: Proposal) {
         let id = proposal.id;
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -31,7 +31,7 @@
     /// Drops the leader's state. Clients and proposers retry, and are redirected to the new leader.
     fn step_down(&mut self) {
         self.leases = None;
-        self.reads.clear();
+        self.read_rounds.clear();
         self.pending_proposals.clear();
     }
 
@@ -54,15 +54,15 @@
     pub(super) fn start_read_round(&mut self) {
         // A leader knows which entries are committed only once it has committed an entry of its own term.
         let may_read = self.is_leader() && self.raw_node.raft.commit_to_current_term();
-        if may_read && self.reads.can_start() {
-            let context = self.reads.start();
+        if may_read && self.read_rounds.can_start() {
+            let context = self.read_rounds.start();
             self.raw_node.read_index(context);
         }
     }
 
     /// Answers the lease requests of a confirmed round, and starts the next round.
     pub(super) fn finish_read_round(&mut self, now: MonotonicTime, context: Vec<u8>) {
-        for request in self.reads.finish(context) {
+        for request in self.read_rounds.finish(context) {
             self.respond(now, request);
         }
         self.start_read_round();
--- a/crates/replicated_config/src/replica/pending_proposals.rs
+++ b/crates/replicated_config/src/replica/pending_proposals.rs
@@ -1,6 +1,6 @@
 //! Proposals that the leader has appended to its log, and the proposers that wait for their outcomes.
 
-use super::MAX_PENDING;
+use super::MAX_PENDING_REQUESTS;
 use crate::ids::ProposalId;
 use std::collections::HashMap;
 
@@ -17,9 +17,9 @@
         self.proposers.insert(proposal, proposer.to_owned()).is_some()
     }
 
-    /// Returns whether the number of pending proposals exceeds [`MAX_PENDING`].
+    /// Returns whether the number of pending proposals exceeds [`MAX_PENDING_REQUESTS`].
     pub(super) fn exceeds_limit(&self) -> bool {
-        self.proposers.len() > MAX_PENDING
+        self.proposers.len() > MAX_PENDING_REQUESTS
     }
 
     /// Removes a proposal and returns its proposer.
--- a/crates/replicated_config/src/replica/read_rounds.rs
+++ b/crates/replicated_config/src/replica/read_rounds.rs
@@ -2,7 +2,7 @@
 //! started after the request arrived, that this replica still leads. One round is open at a time. Requests that arrive meanwhile
 //! wait for the next round.
 
-use super::MAX_PENDING;
+use super::MAX_PENDING_REQUESTS;
 use crate::message::LeaseRequest;
 
 /// Identifies a confirmation round of one replica.
@@ -42,10 +42,10 @@
 
 impl ReadRounds {
     /// Adds a request to the next round. Keeps only the newest request of each client, in whichever order they arrive, because
-    /// the client no longer accepts a response to an earlier one. Drops the request of a further client if [`MAX_PENDING`]
+    /// the client no longer accepts a response to an earlier one. Drops the request of a further client if [`MAX_PENDING_REQUESTS`]
     /// requests wait; that client retries.
     pub(super) fn enqueue(&mut self, request: LeaseRequest) {
-        let has_capacity = self.waiting.len() < MAX_PENDING;
+        let has_capacity = self.waiting.len() < MAX_PENDING_REQUESTS;
         match self.waiting.iter_mut().find(|other| other.client == request.client) {
             Some(other) if other.id < request.id => *other = request,
             None if has_capacity => self.waiting.push(request),
--- a/crates/replicated_config/src/replica/read_rounds/tests.rs
+++ b/crates/replicated_config/src/replica/read_rounds/tests.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_request_beyond_the_limit_is_dropped() {
     let mut rounds = ReadRounds::default();
-    (0..=MAX_PENDING).for_each(|client| rounds.enqueue(request(&client.to_string(), 1)));
+    (0..=MAX_PENDING_REQUESTS).for_each(|client| rounds.enqueue(request(&client.to_string(), 1)));
     let context = rounds.start();
-    assert_eq!(rounds.finish(context).len(), MAX_PENDING);
+    assert_eq!(rounds.finish(context).len(), MAX_PENDING_REQUESTS);
 }
--- a/crates/replicated_config/tests/simulation/machine.rs
+++ b/crates/replicated_config/tests/simulation/machine.rs
@@ -124,7 +124,7 @@
             Message::LeaseResponse(response, texts) => {
                 let latest_before = self.client.latest();
                 if self.client.on_response(response) {
-                    self.cache(&texts);
+                    self.record_cached_texts(&texts);
                 }
                 // The next lease request tells the leader that this client knows the new latest version.
                 if self.client.latest() != latest_before {
@@ -149,7 +149,7 @@
     }
 
     /// Records that the client has received these texts.
-    fn cache(&mut self, texts: &VersionTexts) {
+    fn record_cached_texts(&mut self, texts: &VersionTexts) {
         if let Some(version) = &texts.in_force {
             self.cached.in_force = version.number;
         }
--- a/crates/replicated_config/tests/simulation/main.rs
+++ b/crates/replicated_config/tests/simulation/main.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn after_the_leaders_crash_a_proposal_is_committed_within_three_seconds() {
+fn a_proposal_is_committed_within_three_seconds_of_a_leader_crash() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 3, 8);
         simulation.run_for(Duration::from_millis(3_500));
@@ -103,7 +103,7 @@
     simulation.run_for(Duration::from_millis(3_500));
     let leader = simulation.leader().expect("there is a leader");
     // A partition separates the leader and one client from the others.
-    simulation.network.partition = (0..6).map(|i| u8::from(i == leader || i == 5)).collect();
+    simulation.network.segment_of_machine = (0..6).map(|i| u8::from(i == leader || i == 5)).collect();
     assert_eq!(simulation.propose(5, 1, Duration::from_secs(6)), None);
     assert_eq!(simulation.machines[5].client.leased_version(simulation.clock(5)), None);
     // The majority commits a version, and the minority adopts it once the partition has ended.
@@ -112,7 +112,7 @@
         simulation.propose(other, 2, Duration::from_secs(3)).map(|proposed| proposed.outcome),
         Some(ProposalOutcome::Accepted(ConfigVersion(1)))
     );
-    simulation.network.heal();
+    simulation.network.end_partitions();
     assert!(simulation.time_until_in_force(ConfigVersion(1), Duration::from_secs(5)).is_some());
 }
 
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_retried_proposal_is_applied_once_across_a_leader_change() {
+fn a_proposal_retried_after_a_leader_change_is_applied_once() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(seed, 3, 5);
         simulation.run_for(Duration::from_millis(3_500));
@@ -222,9 +222,9 @@
         1 if simulation.machines[i].alive => simulation.machines[i].stopped = true,
         2 => {
             let sides = simulation.random.u8(..);
-            simulation.network.partition = (0..machines).map(|i| sides >> (i % 8) & 1).collect();
+            simulation.network.segment_of_machine = (0..machines).map(|i| sides >> (i % 8) & 1).collect();
         }
-        3 | 4 => simulation.network.heal(),
+        3 | 4 => simulation.network.end_partitions(),
         5 => (0..simulation.replicas.len()).for_each(|i| simulation.machines[i].crash()),
         _ => {}
     }
@@ -243,7 +243,7 @@
 
 fn recover_all_machines(simulation: &mut Simulation) {
     simulation.network.loss_probability = 0.0;
-    simulation.network.heal();
+    simulation.network.end_partitions();
     for i in 0..simulation.machines.len() {
         simulation.machines[i].stopped = false;
         if !simulation.machines[i].alive {
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn under_random_faults_no_two_leases_contradict_and_no_committed_version_is_lost() {
+fn leases_agree_and_committed_versions_survive_under_random_faults() {
     let mut total = RunTotals::default();
     for seed in 0..24 {
         let run = run_with_faults(seed, LeaseExpiry::Respected);
--- a/crates/replicated_config/tests/simulation/network.rs
+++ b/crates/replicated_config/tests/simulation/network.rs
@@ -26,9 +26,9 @@
 pub struct Network {
     in_flight: BinaryHeap<Reverse<InFlightMessage>>,
     /// Number of messages that were sent and not lost.
-    sent: u64,
+    sent_message_count: u64,
     /// The network segment of each machine. Machines of the same segment reach each other.
-    pub partition: Vec<u8>,
+    pub segment_of_machine: Vec<u8>,
     /// Probability that a message is lost. A message is duplicated with half this probability.
     pub loss_probability: f64,
 }
@@ -38,20 +38,20 @@
     pub fn new(machine_count: usize) -> Self {
         Self {
             in_flight: BinaryHeap::new(),
-            sent: 0,
-            partition: vec![0; machine_count],
+            sent_message_count: 0,
+            segment_of_machine: vec![0; machine_count],
             loss_probability: 0.0,
         }
     }
 
     /// Returns the number of messages that were sent and not lost.
-    pub fn sent(&self) -> u64 {
-        self.sent
+    pub fn sent_message_count(&self) -> u64 {
+        self.sent_message_count
     }
 
     /// Ends all partitions.
-    pub fn heal(&mut self) {
-        self.partition.fill(0);
+    pub fn end_partitions(&mut self) {
+        self.segment_of_machine.fill(0);
     }
 
     /// Sends a message, which may be delayed, lost or duplicated.
@@ -65,11 +65,14 @@
     ) {
         let copies = 1 + usize::from(random.f64() < self.loss_probability / 2.0);
         for _ in 0..copies {
-            if self.partition[from] == self.partition[to] && random.f64() >= self.loss_probability {
-                self.sent += 1;
+            if self.segment_of_machine[from] == self.segment_of_machine[to]
+                && random.f64() >= self.loss_probability
+            {
+                self.sent_message_count += 1;
                 let arrives_at = now + random_millis(random, MIN_LATENCY..MAX_LATENCY);
                 let bytes = message.encode();
-                let message = InFlightMessage { arrives_at, serial: self.sent, from, to, bytes };
+                let message =
+                    InFlightMessage { arrives_at, serial: self.sent_message_count, from, to, bytes };
                 self.in_flight.push(Reverse(message));
             }
         }
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -183,7 +183,7 @@
     pub fn restart(&mut self, machine: usize) {
         // The number of all sent messages is larger than every earlier request id of this machine, because all machines
         // together send far more messages than one machine sends requests.
-        let first_request = RequestId(self.network.sent());
+        let first_request = RequestId(self.network.sent_message_count());
         self.machines[machine].start(self.now, &self.replicas, first_request);
     }
 
