--- a/crates/cluster/src/coordinator.rs
+++ b/crates/cluster/src/coordinator.rs
@@ -85,9 +85,9 @@
         let scheduler = Scheduler::new(jobs::scheduler_config(&settings, started_at));
         let gossip_node = |(gossip, socket)| GossipNode::new(&gossip, &settings.instance, started_at, socket);
         let gossip = settings.gossip.zip(gossip_socket).map(gossip_node);
-        let health_monitor =
+        let new_monitor =
             |checks: &HealthChecks| HealthMonitor::new(checks.config.clone(), on_ejection_change);
-        let health = settings.health_checks.as_ref().map(health_monitor);
+        let health_monitor = settings.health_checks.as_ref().map(new_monitor);
         Self {
             instance_name: settings.instance,
             clocks,
@@ -97,7 +97,7 @@
             jobs: JobTable::new(settings.health_checks),
             runs,
             run_counts: RunCounts::default(),
-            health_monitor: health,
+            health_monitor,
             dropped_datagrams,
             log_limiter: LogLimiter::default(),
             has_left: false,
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -61,13 +61,13 @@
             return Err(Error::MissingFrames { path: path.to_owned(), intact, written });
         }
         let state = replay(path, &frames)?;
-        let bytes = file_size(&frames);
-        let file = open_truncated(path, bytes).map_err(Error::file(path))?;
+        let file_bytes = file_size(&frames);
+        let file = open_truncated(path, file_bytes).map_err(Error::file(path))?;
         Ok(Self {
             path: path.to_owned(),
             file,
-            file_bytes: bytes,
-            compacted_file_bytes: bytes,
+            file_bytes,
+            compacted_file_bytes: file_bytes,
             frame_count: intact,
             state,
         })
--- a/crates/config_node/src/view.rs
+++ b/crates/config_node/src/view.rs
@@ -141,8 +141,8 @@
         self.updated.notify_all();
     }
 
-    /// Publishes the [`ConfigView`] if it has changed, then waits until the lease may have expired or [`SharedView::update_versions`]
-    /// is called.
+    /// Publishes the [`ConfigView`] if it has changed, then waits until the lease may have expired or
+    /// [`SharedView::update_versions`] is called.
     pub(crate) fn publish_and_wait(&self, now: MonotonicTime) {
         let mut state = self.lock();
         state.publish(now);
--- a/crates/replicated_config/src/replica.rs
+++ b/crates/replicated_config/src/replica.rs
@@ -197,8 +197,8 @@
         Some(Message::ProposalOutcome { proposal: id, outcome })
     }
 
-    /// Appends a proposal to the log, unless it is pending already. Drops the proposal if [`MAX_PENDING_REQUESTS`] other proposals are
-    /// pending; its proposer retries.
+    /// Appends a proposal to the log, unless it is pending already. Drops the proposal if [`MAX_PENDING_REQUESTS`] other
+    /// proposals are pending; its proposer retries.
     fn append_proposal(&mut self, proposer: &str, proposal: Proposal) {
         let id = proposal.id;
         let was_pending = self.pending_proposals.insert(id, proposer);
--- a/crates/replicated_config/src/replica/read_rounds.rs
+++ b/crates/replicated_config/src/replica/read_rounds.rs
@@ -42,8 +42,8 @@
 
 impl ReadRounds {
     /// Adds a request to the next round. Keeps only the newest request of each client, in whichever order they arrive, because
-    /// the client no longer accepts a response to an earlier one. Drops the request of a further client if [`MAX_PENDING_REQUESTS`]
-    /// requests wait; that client retries.
+    /// the client no longer accepts a response to an earlier request. If [`MAX_PENDING_REQUESTS`] requests wait, drops the
+    /// request of a further client; that client retries.
     pub(super) fn enqueue(&mut self, request: LeaseRequest) {
         let has_capacity = self.waiting.len() < MAX_PENDING_REQUESTS;
         match self.waiting.iter_mut().find(|other| other.client == request.client) {
