--- a/crates/cluster/src/coordinator/jobs.rs
+++ b/crates/cluster/src/coordinator/jobs.rs
@@ -25,7 +25,7 @@
         start_margin: START_MARGIN,
         store_retry_interval: STORE_RETRY_INTERVAL,
         session_renewal_interval: SESSION_RENEWAL_INTERVAL,
-        // The random number distinguishes two starts in the same millisecond.
+        // The random number distinguishes two starts of the instance in the same millisecond.
         incarnation: started_at.as_millis() ^ rand::random::<u64>(),
     }
 }
@@ -36,7 +36,8 @@
         self.update_jobs(self.clocks.now());
     }
 
-    /// Passes the current jobs to the scheduler, and removes the leases of other jobs from the store in memory.
+    /// Passes the jobs of the job table to the scheduler. Removes the leases of all jobs that are not in the table from the
+    /// lease store in memory.
     pub(super) fn update_jobs(&mut self, now: ClockReading) {
         let jobs = self.jobs.jobs();
         let names: BTreeSet<&str> = jobs.iter().map(|job| job.name.as_str()).collect();
@@ -79,7 +80,7 @@
 
     pub(super) fn handle_finished_run(&mut self, now: ClockReading, finished: &FinishedRun) {
         let FinishedRun { run, task, outcome } = finished;
-        self.run_counts.record(outcome);
+        self.run_counts.count_outcome(outcome);
         match task {
             RunTask::HealthCheck { backend_id, .. } => self.handle_health_check(now, backend_id, finished),
             RunTask::HttpCall { .. } if outcome.is_success() => {}
@@ -96,12 +97,12 @@
 
     /// Records the result of a health check and disseminates its report.
     fn handle_health_check(&mut self, now: ClockReading, backend_id: &str, finished: &FinishedRun) {
-        let Some(health) = &mut self.health else { return };
+        let Some(health) = &mut self.health_monitor else { return };
         let Some(report) = health.record_check(backend_id, finished, now.monotonic) else {
             return;
         };
         self.update_gossip(now, |gossip| gossip.broadcast_report(now.monotonic, &finished.run.job, &report));
-        if let Some(health) = &mut self.health {
+        if let Some(health) = &mut self.health_monitor {
             health.update_ejections(now.monotonic);
         }
     }
--- a/crates/config_node/src/replica_log.rs
+++ b/crates/config_node/src/replica_log.rs
@@ -13,7 +13,8 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A log is compacted when it is larger than this number of bytes and more than twice as large as after the last compaction.
+/// Size in bytes that a log file must exceed to be compacted. The file must also be more than twice as large as after its last
+/// compaction.
 const COMPACTION_BYTES: u64 = 4 << 20;
 
 /// A log that is open for appending.
@@ -22,9 +23,9 @@
     path: PathBuf,
     file: File,
     /// Size of the file in bytes.
-    bytes: u64,
+    file_bytes: u64,
     /// Size of the file in bytes when it was opened or last compacted.
-    compacted_bytes: u64,
+    compacted_file_bytes: u64,
     /// Number of frames in the file.
     frame_count: u64,
     state: DurableState,
@@ -60,9 +61,16 @@
             return Err(Error::MissingFrames { path: path.to_owned(), intact, written });
         }
         let state = replay(path, &frames)?;
-        let bytes = file_size(&frames);
-        let file = open_truncated(path, bytes).map_err(Error::file(path))?;
-        Ok(Self { path: path.to_owned(), file, bytes, compacted_bytes: bytes, frame_count: intact, state })
+        let file_bytes = file_size(&frames);
+        let file = open_truncated(path, file_bytes).map_err(Error::file(path))?;
+        Ok(Self {
+            path: path.to_owned(),
+            file,
+            file_bytes,
+            compacted_file_bytes: file_bytes,
+            frame_count: intact,
+            state,
+        })
     }
 
     /// Returns the durable state that results from applying the log's records in order.
@@ -92,9 +100,9 @@
         self.file.write_all(&frame)?;
         self.file.sync_data()?;
         self.frame_count += 1;
-        self.bytes += frame.len() as u64;
+        self.file_bytes += frame.len() as u64;
         frame_count::write(&self.path, self.frame_count)?;
-        if self.bytes > COMPACTION_BYTES && self.bytes > 2 * self.compacted_bytes {
+        if self.file_bytes > COMPACTION_BYTES && self.file_bytes > 2 * self.compacted_file_bytes {
             self.compact()?;
         }
         Ok(())
@@ -116,8 +124,8 @@
         atomic_file::replace(&self.path, &content)?;
         self.file = OpenOptions::new().append(true).open(&self.path)?;
         self.frame_count = 1;
-        self.bytes = content.len() as u64;
-        self.compacted_bytes = self.bytes;
+        self.file_bytes = content.len() as u64;
+        self.compacted_file_bytes = self.file_bytes;
         Ok(())
     }
 }
--- a/crates/job_lease/tests/model.rs
+++ b/crates/job_lease/tests/model.rs
@@ -120,8 +120,8 @@
     }
 
     fn acquire_request(&self, state: &State, instance_index: usize, run: RunId) -> AcquireRequest {
-        let seed_run = RunId((self.clock_time(state, instance_index) + MAX_CLOCK_SKEW) / PERIOD);
-        AcquireRequest { run, lease_id: instance_index as u64 + 1, seed_run }
+        let run_if_key_absent = RunId((self.clock_time(state, instance_index) + MAX_CLOCK_SKEW) / PERIOD);
+        AcquireRequest { run, lease_id: instance_index as u64 + 1, run_if_key_absent }
     }
 
     /// Applies a compare-and-set in the store. Returns whether the record was written.
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn without_any_one_guard_a_run_starts_twice() {
+fn a_run_starts_twice_if_any_single_guard_is_missing() {
     for (removed_guard, bounds) in [
         (RemovedGuard::CompareAndSet, bounds(0, 0, 5)),
         (RemovedGuard::Session, bounds(1, 1, 5)),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -31,7 +31,7 @@
     timers: TimerQueue,
     next_join: MonotonicTime,
     counts: Counts,
-    left: bool,
+    has_left: bool,
 }
 
 impl Membership {
@@ -54,7 +54,7 @@
             timers: TimerQueue::default(),
             next_join: MonotonicTime::ZERO,
             counts: Counts::default(),
-            left: false,
+            has_left: false,
         }
     }
 
@@ -115,7 +115,7 @@
         self.keyring = keyring;
     }
 
-    /// Returns the moment at which [`Membership::tick`] must be called next.
+    /// Returns the time at which the caller must call [`Membership::tick`] next.
     pub fn next_tick(&self) -> MonotonicTime {
         let next_timer = self.timers.next_due().unwrap_or(MonotonicTime::NEVER);
         next_timer.min(self.next_join).min(self.bulk_failure.next_poll())
@@ -123,7 +123,7 @@
 
     /// Runs the timers that are due: joins, probes, gossip and bulk failure dissemination.
     pub fn tick(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if self.left {
+        if self.has_left {
             return;
         }
         if now >= self.next_join {
@@ -166,7 +166,7 @@
 
     /// Handles a received datagram. A datagram that is not authentic or cannot be decoded is dropped and counted.
     pub fn handle_datagram(&mut self, now: MonotonicTime, bytes: &[u8], out: &mut Vec<Output>) {
-        if self.left {
+        if self.has_left {
             return;
         }
         let Some(payload) = self.keyring.verify(bytes) else {
@@ -267,9 +267,9 @@
 
     /// Announces to the cluster that this instance leaves. Later datagrams and ticks are ignored.
     pub fn leave(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if !self.left {
+        if !self.has_left {
             self.call_swim(now, out, |swim, effects| swim.leave_cluster(effects));
-            self.left = true;
+            self.has_left = true;
         }
     }
 
@@ -281,7 +281,7 @@
         call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
     ) {
         let mut effects = SwimEffects::default();
-        // An error concerns this call alone. foca has applied the contents of a datagram up to the error.
+        // An error affects only the current call. Of a datagram, foca has applied the contents before the error.
         if call(&mut self.swim, &mut effects).is_err() {
             self.counts.malformed += 1;
         }
@@ -297,14 +297,14 @@
         for outgoing in effects.payloads {
             self.send(outgoing.to, &outgoing.payload, out);
         }
-        for fingerprint in effects.failed {
+        for fingerprint in effects.failed_members {
             self.bulk_failure.record_failure(now, fingerprint);
         }
         let received = self.topics.lock().take_received();
         for Broadcast { topic, version, body } in received {
             out.push(Output::Broadcast { topic, version, body });
         }
-        if let Some(generation) = effects.rejoined {
+        if let Some(generation) = effects.rejoined_generation {
             self.config.local_member.generation = generation;
             out.push(Output::Rejoined { generation });
         }
--- a/crates/replicated_config/src/replica/leadership.rs
+++ b/crates/replicated_config/src/replica/leadership.rs
@@ -18,7 +18,8 @@
 }
 
 impl Replica {
-    /// Creates the lease table when this replica becomes the leader, and drops the leader's state when it no longer is.
+    /// Creates the lease table when this replica becomes the leader. Drops the leader's state when this replica is no longer
+    /// the leader.
     pub(super) fn on_role_change(&mut self, now: MonotonicTime, role: StateRole) {
         if role != StateRole::Leader {
             self.step_down();
@@ -30,12 +31,12 @@
     /// Drops the leader's state. Clients and proposers retry, and are redirected to the new leader.
     fn step_down(&mut self) {
         self.leases = None;
-        self.reads.clear();
+        self.read_rounds.clear();
         self.pending_proposals.clear();
     }
 
-    /// Appends the command that puts the proposed version in force once no lease prevents it, at most once per term for
-    /// each version. Returns whether the command was appended.
+    /// Appends the command that puts the proposed version in force, if every client with a valid lease knows this version.
+    /// Appends the command at most once per term for each version. Returns whether the command was appended.
     pub(super) fn activate_proposed(&mut self, now: MonotonicTime) -> bool {
         let (Some(leases), Some(proposed)) = (&self.leases, self.state.proposed()) else { return false };
         let activation = Activation { term: self.progress().term, version: proposed.number };
@@ -53,15 +54,15 @@
     pub(super) fn start_read_round(&mut self) {
         // A leader knows which entries are committed only once it has committed an entry of its own term.
         let may_read = self.is_leader() && self.raw_node.raft.commit_to_current_term();
-        if may_read && self.reads.can_start() {
-            let context = self.reads.start();
+        if may_read && self.read_rounds.can_start() {
+            let context = self.read_rounds.start();
             self.raw_node.read_index(context);
         }
     }
 
     /// Answers the lease requests of a confirmed round, and starts the next round.
     pub(super) fn finish_read_round(&mut self, now: MonotonicTime, context: Vec<u8>) {
-        for request in self.reads.finish(context) {
+        for request in self.read_rounds.finish(context) {
             self.respond(now, request);
         }
         self.start_read_round();
@@ -83,7 +84,8 @@
         self.ready.send_to_client(client, Message::LeaseResponse(response, Box::new(texts)));
     }
 
-    /// Notifies lease holders of a change, so that they request it at once instead of with their next regular request.
+    /// Notifies lease holders that the latest version or its phase has changed, so that they request the version at once
+    /// instead of at their next regular request.
     pub(super) fn notify_lease_holders(&mut self, now: MonotonicTime) {
         let Some(leases) = &self.leases else { return };
         for holder in leases.holders(now) {
@@ -93,7 +95,8 @@
     }
 }
 
-/// Returns a copy of the version, or `None` if `cached` is its number: the client then has the version's text.
+/// Returns a copy of the version to send to a client, or `None` if the client has the text already, because `cached` is the
+/// version's number.
 fn version_unless_cached(version: Option<&Version>, cached: ConfigVersion) -> Option<Version> {
     version.filter(|version| version.number != cached).cloned()
 }
--- a/crates/replicated_config/tests/simulation/machine.rs
+++ b/crates/replicated_config/tests/simulation/machine.rs
@@ -36,7 +36,7 @@
     /// The replica's state on disk, which survives a crash.
     pub disk: DurableState,
     pub client: LeaseClient,
-    /// When the client sends its next request.
+    /// When the lease client sends its next lease request, on the simulation's clock.
     pub next_request_at: MonotonicTime,
     /// The versions whose texts the client has.
     cached: VersionNumbers,
@@ -124,9 +124,9 @@
             Message::LeaseResponse(response, texts) => {
                 let latest_before = self.client.latest();
                 if self.client.on_response(response) {
-                    self.cache(&texts);
+                    self.record_cached_texts(&texts);
                 }
-                // The next request confirms to the leader that this client knows of the change.
+                // The next lease request tells the leader that this client knows the new latest version.
                 if self.client.latest() != latest_before {
                     self.next_request_at = now;
                 }
@@ -149,7 +149,7 @@
     }
 
     /// Records that the client has received these texts.
-    fn cache(&mut self, texts: &VersionTexts) {
+    fn record_cached_texts(&mut self, texts: &VersionTexts) {
         if let Some(version) = &texts.in_force {
             self.cached.in_force = version.number;
         }
--- a/crates/replicated_config/tests/simulation/simulation.rs
+++ b/crates/replicated_config/tests/simulation/simulation.rs
@@ -41,8 +41,9 @@
     pub outcomes: Vec<ReceivedOutcome>,
     /// Number of leases that were checked.
     pub checked_lease_count: u64,
-    /// Whether clients act on expired leases. Used to test that the lease check detects this.
-    pub ignores_expiry: bool,
+    /// Whether clients act on expired leases. A test sets this to true to prove that the lease check detects clients that do
+    /// so.
+    pub clients_ignore_lease_expiry: bool,
 }
 
 fn in_force(number: ConfigVersion) -> LatestVersion {
@@ -64,7 +65,7 @@
             texts: BTreeMap::new(),
             outcomes: Vec::new(),
             checked_lease_count: 0,
-            ignores_expiry: false,
+            clients_ignore_lease_expiry: false,
         }
     }
 
@@ -150,7 +151,7 @@
         if !machine.is_running() {
             return None;
         }
-        let expired = machine.client.latest().filter(|_| self.ignores_expiry);
+        let expired = machine.client.latest().filter(|_| self.clients_ignore_lease_expiry);
         let latest = machine.client.leased_version(machine.clock(self.now)).or(expired);
         latest.map(|LatestVersion { number, phase }| match phase {
             RolloutPhase::InForce => EnforcedVersions { lowest: number, highest: number },
@@ -180,8 +181,9 @@
 
     /// Restarts a crashed machine from its disk.
     pub fn restart(&mut self, machine: usize) {
-        // Larger than all earlier request ids: all machines together send far more messages than this one has sent requests.
-        let first_request = RequestId(self.network.sent());
+        // The number of all sent messages is larger than every earlier request id of this machine, because all machines
+        // together send far more messages than one machine sends requests.
+        let first_request = RequestId(self.network.sent_message_count());
         self.machines[machine].start(self.now, &self.replicas, first_request);
     }
 
