--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -19,7 +19,7 @@
     unwritten: Vec<CounterCall>,
 }
 
-/// Client of one counter. It connects on demand, and again after a connection has ended.
+/// Client of one quota counter. The client connects on demand, and again after a connection has ended.
 pub struct CounterClient {
     /// Reference to itself for the coroutines that run connections.
     weak_self: Weak<Self>,
@@ -31,7 +31,7 @@
 }
 
 impl CounterClient {
-    /// Creates a client that reports the result of each call to `on_ended`. It connects on its first call.
+    /// Creates a client that reports the result of each call to `on_ended`. The client connects on its first call.
     pub fn new(address: SocketAddr, on_ended: OnCallEnded) -> Arc<Self> {
         Arc::new_cyclic(|weak_self| Self {
             weak_self: weak_self.clone(),
@@ -85,7 +85,7 @@
     fn run_connection(&self, shard: &Mutex<Shard>) {
         let Some(OpenedConnection { connection, unwritten }) = self.connect(shard) else { return };
         unwritten.iter().for_each(|call| self.fail_unwritten(call));
-        // The connection is closed for any reason that ends the reading, so the error is not needed.
+        // Whatever ends the reading, the connection is closed next, so the error is not needed.
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
         lock_or_abort(shard).remove_connection(&connection);
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the quota counter: pipelined `TALLY` calls in RESP2, whose answers arrive in order.
 //!
-//! The exchange applies the timeouts of calls. An answer that arrives after the timeout is still matched to its call here, and
-//! so never to a later one.
+//! The exchange applies the timeouts of calls. This client still matches an answer that arrives after the timeout to the
+//! call that it belongs to, so that no answer is matched to a later call.
 
 mod call_result;
 mod client;
--- a/crates/destination/src/attempt.rs
+++ b/crates/destination/src/attempt.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Microseconds that the seeded fault `deadlines` adds to the time left that the backend is told.
+/// Microseconds that the seeded fault `deadlines` adds to the remaining time that the request states to the backend.
 const SEEDED_DEADLINE_EXTENSION: Micros = 400_000;
 /// Initial capacity in bytes of the buffer for an encoded request. Most requests fit in it.
 const REQUEST_CAPACITY: usize = 512;
@@ -200,8 +200,9 @@
 
     /// Whether an attempt may be written: it is still wanted, and its backend is eligible. Called right before the write.
     ///
-    /// Also checks the invariant of sending. It is violated if the attempt's deadline has passed by [`MAX_SCHEDULING_DELAY`] or
-    /// more, or if the backend is not eligible although it has neither changed recently nor been ejected by operators.
+    /// Also checks the invariant of sending. A violation is one of two cases: the attempt's deadline has passed by
+    /// [`MAX_SCHEDULING_DELAY`] or more, or the backend is not eligible although its endpoint has not changed recently and
+    /// operators have not ejected the backend.
     fn may_write(&self, attempt: &Attempt<P::Payload>, address: SocketAddr, elapsed: Micros) -> bool {
         let WritePermission { is_wanted, is_eligible, is_recently_changed } =
             self.state().write_permission(attempt.id, attempt.backend, address);
@@ -218,7 +219,7 @@
         is_wanted && is_eligible
     }
 
-    /// Microseconds since the decision to make an attempt. Each write reads it again, because the process may
+    /// Microseconds since the decision to make an attempt. Each write determines this time anew, because the process may
     /// have been descheduled.
     fn elapsed(&self, attempt: &Attempt<P::Payload>) -> Micros {
         self.exchange().now().saturating_since(attempt.decided_at)
--- a/crates/destination/src/pool.rs
+++ b/crates/destination/src/pool.rs
@@ -74,7 +74,7 @@
     }
 
     /// Adds a connection that has become idle, and acknowledges its answer at once. The backend's system may hold back surplus
-    /// bytes after the answer until then, and they must arrive before the connection is reused.
+    /// bytes after the answer until the acknowledgement, and these bytes must arrive before the connection is reused.
     pub(crate) fn put_idle(&mut self, connection: Arc<PooledConnection<Q>>) {
         connection.socket.acknowledge();
         self.idle.push(IdleConnection { connection, since: Instant::now() });
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -15,7 +15,7 @@
 /// Quiet time in place of [`QUIET_TIME`] while at least a quarter of the maximum number of connections is open: at thousands
 /// of requests a second, each request would otherwise need a connection of its own.
 const SHORT_QUIET_TIME: Duration = Duration::from_millis(5);
-/// [`SHORT_QUIET_TIME`] applies once the number of connections reaches the connection limit divided by this.
+/// [`SHORT_QUIET_TIME`] applies once the number of connections reaches the connection limit divided by this number.
 const SHORT_QUIET_TIME_DIVISOR: usize = 4;
 /// Maximum time after a change of the endpoint in which an attempt that was decided before the change may reach its write.
 const RECENT_CHANGE_WINDOW: Duration = Duration::from_millis(500);
--- a/crates/destination/src/protocol.rs
+++ b/crates/destination/src/protocol.rs
@@ -9,7 +9,7 @@
 pub enum Parsed<A> {
     /// The buffer ends within the answer, so more bytes must arrive.
     Incomplete,
-    /// A complete answer.
+    /// The buffer begins with a complete answer.
     Complete {
         /// The length of the answer in bytes.
         consumed: usize,
--- a/crates/destination/src/read_answers.rs
+++ b/crates/destination/src/read_answers.rs
@@ -96,8 +96,8 @@
         let outcome = if is_unsent { Outcome::ConnectFailed } else { Outcome::Reset };
         connection.socket.close();
         self.state().connection_ended(connection);
-        // The attempt is taken after the close, so that one that another thread has just written to the connection is ended as
-        // well.
+        // The attempt is taken after the close, so that an attempt that another thread has just written to the connection is
+        // ended as well.
         if let Some(attempt) = connection.take_attempt() {
             self.unassign(attempt.id);
             self.attempt_failed(attempt.id, outcome);
--- a/crates/discovery/src/poll_backoff/tests.rs
+++ b/crates/discovery/src/poll_backoff/tests.rs
@@ -4,34 +4,35 @@
 use std::collections::{BTreeSet, VecDeque};
 use timestamps::MonotonicTime;
 
-/// Service time of a request in the discovery service.
+/// Time that the simulated discovery service takes for one request.
 const SERVICE_TIME: Duration = Duration::from_millis(60);
-/// Timeout of a request. The service spends the service time on timed-out requests too.
+/// Timeout of a request, counted from its arrival in the queue. The discovery service also spends [`SERVICE_TIME`] on requests
+/// that have timed out.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(1);
-/// The simulation ends without a recovery after this time.
+/// Time after which the simulation ends if a gatekeeper still has no watch.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(60);
-/// Maximum length of the service's queue. Further requests are rejected at once.
-const MAX_QUEUE: usize = 90;
+/// Maximum number of requests in the discovery service's queue. Further requests are rejected at once.
+const MAX_QUEUED_REQUESTS: usize = 90;
 const GATEKEEPERS: usize = 100;
 
 /// The result of a simulated recovery.
 #[derive(Debug)]
 struct Recovery {
-    /// Time until the last gatekeeper had its watch again; `None` if that took more than [`MAX_RECOVERY_TIME`].
+    /// Time until the last gatekeeper had its watch again; `None` if a gatekeeper had no watch after [`MAX_RECOVERY_TIME`].
     time: Option<Duration>,
-    /// Number of requests to the service.
+    /// Number of requests to the discovery service, including retries.
     requests: usize,
 }
 
 /// Simulates a hundred gatekeepers whose watches end at the same moment, and a discovery service with a fixed service time.
-/// `backoff` returns the backoff of a gatekeeper whose watch ended at this age.
+/// `backoff` gets the index of a gatekeeper and the age at which its watch ended, and returns the gatekeeper's backoff.
 fn simulate_recovery(seed: u64, mut backoff: impl FnMut(usize, Duration) -> Duration) -> Recovery {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut first_request_at = |gatekeeper| {
         let stagger = Duration::from_millis(random.u64(0..5));
-        MonotonicTime::ZERO + backoff(gatekeeper, MIN_WORKING_AGE) + stagger
+        MonotonicTime::ZERO + backoff(gatekeeper, MIN_AGE_OF_WORKING_WATCH) + stagger
     };
     let mut due: BTreeSet<(MonotonicTime, usize)> =
         (0..GATEKEEPERS).map(|gatekeeper| (first_request_at(gatekeeper), gatekeeper)).collect();
@@ -43,7 +44,7 @@
         {
             due.pop_first();
             requests += 1;
-            if queue.len() < MAX_QUEUE {
+            if queue.len() < MAX_QUEUED_REQUESTS {
                 queue.push_back((now, gatekeeper));
             } else {
                 due.insert((now + STEP + backoff(gatekeeper, Duration::ZERO), gatekeeper));
@@ -93,10 +94,10 @@
 fn a_watch_that_worked_is_requested_again_almost_at_once() {
     let mut backoff = PollBackoff::new(7, AgentMode::Polling);
     for age in [Duration::ZERO, Duration::from_secs(2)] {
-        assert!(backoff.next_backoff(age) >= POLLING_INITIAL_BACKOFF / 10);
+        assert!(backoff.next_backoff(age) >= INITIAL_MEAN_BACKOFF_POLLING_AGENT / 10);
     }
     for _ in 0..100 {
-        assert!(backoff.next_backoff(MIN_WORKING_AGE) <= MAX_BACKOFF_AFTER_SUCCESS);
+        assert!(backoff.next_backoff(MIN_AGE_OF_WORKING_WATCH) <= MAX_BACKOFF_AFTER_SUCCESS);
     }
 }
 
@@ -106,7 +107,7 @@
         let mut backoff = PollBackoff::new(seed, AgentMode::Polling);
         (0..1_000).map(|_| backoff.next_backoff(Duration::ZERO)).collect::<Vec<_>>()
     };
-    assert!(backoffs(1).iter().all(|backoff| *backoff <= 2 * POLLING_MAX_BACKOFF));
+    assert!(backoffs(1).iter().all(|backoff| *backoff <= 2 * MAX_MEAN_BACKOFF_POLLING_AGENT));
     assert_ne!(backoffs(1), backoffs(2));
 }
 
--- a/crates/discovery/tests/fixtures.rs
+++ b/crates/discovery/tests/fixtures.rs
@@ -14,7 +14,8 @@
 const RESPONSE: &[u8] = include_bytes!("fixtures/response.http");
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a watch whose agent is this listener. It requests the changes after version 18446744073709551615.
+/// Starts a watch that connects to this listener as its agent, and returns the channel of its events. The first request asks for
+/// the changes after version 18446744073709551615, the largest `u64`.
 fn start_watch(listener: &TcpListener) -> Receiver<WatchEvent> {
     link::set_up();
     let watch = Watch::new(listener.local_addr().expect("an address"));
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -141,7 +141,7 @@
         }
     });
     assert!(matches!(next(&events), WatchEvent::Lost));
-    // The first request after that gets no response and times out.
+    // The first request after the silent watch gets no response and times out.
     let unanswered = next(&requests);
     assert!(unanswered.line.contains("index=40"));
     let mut answered = next(&requests);
--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -9,9 +9,9 @@
 pub struct AnswerCounts {
     /// Number of requests that were answered by a backend.
     pub served: u64,
-    /// Number of requests that were rejected without effect.
+    /// Number of requests that were rejected, and that no backend has run.
     pub rejected: u64,
-    /// Number of requests that failed and may have had an effect.
+    /// Number of requests that failed, and that a backend may have run.
     pub failed: u64,
 }
 
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -35,7 +35,7 @@
         Ok(Arc::new(Self { clock, table, backends, counter, timer_waker }))
     }
 
-    /// Sets the backend side, and the client of the quota counter if the gatekeeper uses one. Values that are set stay.
+    /// Sets the backend side, and the client of the quota counter if the gatekeeper uses one. A value that is already set stays.
     pub fn connect(&self, backends: Arc<dyn Backends<Q>>, counter: Option<Arc<dyn QuotaCounter>>) {
         // `set` fails if a value is already set. The first value stays.
         let _ = self.backends.set(backends);
@@ -105,8 +105,8 @@
         self.lock().stream_ended(id, end);
     }
 
-    /// Reports the end of a counter call. The end of a call that has timed out is ignored. `total` is the count after the call,
-    /// valid only with [`Outcome::Ok`].
+    /// Reports the end of a counter call. The end of a call that has timed out is ignored. `total` is the sum of the count after
+    /// the call, valid only with [`Outcome::Ok`].
     pub fn counter_call_ended(&self, id: u64, outcome: Outcome, total: f64) {
         self.drive(|table, now| table.counter_call_ended(now, id, outcome, total));
     }
--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -1,4 +1,5 @@
-//! The election of the timekeeper: the one process that places a stamp and advances it.
+//! The election of the timekeeper: the one process that places a stamp (a reading of its clock) in the clock count at the quota
+//! counter, and advances the stamp.
 //!
 //! The election is a state machine without clock and randomness. [`Election::next_call`] returns the next counter call,
 //! [`Election::on_reply`] applies the reply and decides how to continue. A stamp *makes progress* if its time has changed since
@@ -43,8 +44,8 @@
 #[cfg(test)]
 mod tests;
 
-/// A process that adopted a stamp takes over as timekeeper after this many reads without progress. The process has a wrong
-/// estimate if the stamp was stale, so it waits longer than processes with a better estimate, which take over sooner.
+/// A process that adopted the time of a stamp takes over as timekeeper after this many reads of an unchanged stamp. The process
+/// has a wrong clock offset if the stamp was stale, so it waits longer than processes with a better estimate of their offset.
 const MAX_READS_WITHOUT_PROGRESS: u32 = 30;
 
 /// The role of this process in the election.
@@ -56,7 +57,7 @@
     Candidate,
     /// A process that places its own stamp with the next call, as no other process has placed a stamp.
     Claiming {
-        /// The total of the stamp's count, which contains no stamp.
+        /// The sum of the clock count, which holds no stamp.
         residue: Ticks,
     },
     /// A process that found a possibly stale stamp, and reads the stamp again.
@@ -88,34 +89,34 @@
     },
 }
 
-/// A call to the quota counter that reads or changes the stamp's count.
+/// A call to the quota counter that reads or changes the clock count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StampCall {
     /// Reads the stamp without changing it.
     Read,
-    /// Places a stamp in a count that contains no stamp.
+    /// Places a stamp in a clock count that holds no stamp.
     Place {
-        /// The time of the new stamp.
+        /// The clock reading of the new stamp.
         time: StampTime,
-        /// The amount that the call adds to the count: the encoded stamp.
+        /// The amount that the call adds to the clock count: the encoded stamp.
         amount: Ticks,
     },
     /// Advances the stamp to a later time.
     Advance {
-        /// The time of the stamp after the call.
+        /// The clock reading of the stamp after the call.
         time: StampTime,
-        /// The amount that the call adds to the count: the difference from the previous stamp.
+        /// The amount that the call adds to the clock count: the difference from the previous stamp.
         amount: Ticks,
     },
-    /// Rolls back an addition after a conflict.
+    /// Rolls back this process's addition to the clock count after a conflict with another process.
     RollBack {
-        /// The amount that the call adds to the count: the negative of the earlier addition.
+        /// The amount that the call adds to the clock count: the negative of the earlier addition.
         amount: Ticks,
     },
 }
 
 impl StampCall {
-    /// The amount that the call adds to the stamp's count; 0 for a read.
+    /// The amount that the call adds to the clock count; 0 for a read.
     pub(super) fn amount(self) -> Ticks {
         match self {
             Self::Read => Ticks::ZERO,
@@ -129,7 +130,8 @@
 pub(super) enum Decision {
     /// Make the next call after this delay.
     CallAfter(CallDelay),
-    /// Correct the offset estimate by this stamp, which has the fleet's time, and then read the stamp again to confirm it.
+    /// Correct the estimate of the clock offset by this stamp, which has the fleet's time. Then read the stamp again to confirm
+    /// that a timekeeper advances the stamp.
     AdoptStamp(StampTime),
 }
 
@@ -149,7 +151,7 @@
         matches!(self.state, ElectionState::Timekeeper { .. })
     }
 
-    /// Returns the next call. `time` is the fleet's time by the current estimate.
+    /// Returns the next call to the quota counter. `time` is the fleet's time, as this process currently estimates it.
     pub(super) fn next_call(&self, time: StampTime) -> StampCall {
         match self.state {
             ElectionState::Follower
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Applies a failed call and returns the delay of the next one.
+    /// Applies the failure of a call and returns the delay of the next call.
     pub(super) fn on_failure(&mut self, call: StampCall, outcome: Outcome) -> CallDelay {
         let may_have_added = call != StampCall::Read && !outcome.never_ran();
         if may_have_added {
@@ -175,7 +177,8 @@
         CallDelay::Backoff
     }
 
-    /// Applies the reply to a call. `stamp` is the decoded total after the call, and `freshness` that of its stamp.
+    /// Applies the reply to a call. `stamp` is the decoded sum of the clock count after the call, and `freshness` tells whether
+    /// the time of the stamp is recent.
     pub(super) fn on_reply(&mut self, call: StampCall, stamp: Stamp, freshness: Freshness) -> Decision {
         match call {
             StampCall::Read => self.on_read(stamp, freshness),
@@ -225,7 +228,7 @@
     }
 
     fn on_advanced(&mut self, found: Stamp, time: StampTime, amount: Ticks) -> CallDelay {
-        // If the counter holds only the amount just added, the stamp had expired or the counter had lost it.
+        // If the sum of the clock count is only the amount just added, the stamp had expired or the counter had lost the stamp.
         let has_expired = found.total() == amount;
         if has_expired {
             self.state = ElectionState::Claiming { residue: amount };
@@ -240,7 +243,7 @@
             self.state = ElectionState::Timekeeper { stamp: time };
             return CallDelay::Advance;
         }
-        // Another process has added to the counter first, so this process rolls back its own addition.
+        // Another process has changed the clock count first, so this process rolls back its own addition.
         let has_added = amount != Ticks::ZERO;
         self.state = if has_added { ElectionState::RollingBack { amount } } else { ElectionState::Follower };
         CallDelay::None
--- a/crates/exchange/src/fleet_clock/election/tests.rs
+++ b/crates/exchange/src/fleet_clock/election/tests.rs
@@ -8,7 +8,7 @@
     StampTime::from_micros(ticks * TICK as i64)
 }
 
-/// The decoded total of a counter after `placed_count` stamps were placed.
+/// The decoded sum of a clock count in which `placed_count` stamps were placed, with a time of `ticks`.
 fn stamps(placed_count: i64, ticks: i64) -> Stamp {
     Stamp { placed_count, time: stamp_time(ticks) }
 }
@@ -17,7 +17,7 @@
     Election { state }
 }
 
-/// Asserts that the next call is a read, and applies this reply to it.
+/// Asserts that the next call is a read, and applies a reply with this stamp to the read.
 #[track_caller]
 fn read(election: &mut Election, stamp: Stamp, freshness: Freshness) -> Decision {
     let call = election.next_call(stamp_time(0));
@@ -25,7 +25,7 @@
     election.on_reply(call, stamp, freshness)
 }
 
-/// Makes the next call at this time, and applies this reply to it.
+/// Makes the next call at the time `ticks`, and applies this reply to the call.
 fn call_and_reply(election: &mut Election, ticks: i64, reply: Stamp) -> Decision {
     let call = election.next_call(stamp_time(ticks));
     election.on_reply(call, reply, Freshness::Fresh)
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_timekeeper_whose_stamp_expired_places_another_on_what_it_added() {
+fn a_timekeeper_whose_stamp_expired_places_a_new_stamp() {
     for (stamp, time) in [(50, 60), (999_995, 5)] {
         let mut election = in_state(timekeeper(stamp));
         let amount = election.next_call(stamp_time(time)).amount();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_timekeeper_that_finds_another_stamp_rolls_back_what_it_added() {
+fn a_timekeeper_that_finds_another_stamp_rolls_back_its_addition() {
     let mut election = in_state(timekeeper(50));
     assert_eq!(call_and_reply(&mut election, 60, stamps(1, 75)), Decision::CallAfter(CallDelay::None));
     assert_eq!(election.state, ElectionState::RollingBack { amount: Ticks(10) });
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_failed_call_is_repeated_unless_it_may_have_added() {
+fn a_failed_call_is_repeated_unless_it_may_have_changed_the_clock_count() {
     let states = [
         ElectionState::Claiming { residue: Ticks::ZERO },
         ElectionState::TakingOver { stamp: stamp_time(5) },
--- a/crates/exchange/src/fleet_clock/offset.rs
+++ b/crates/exchange/src/fleet_clock/offset.rs
@@ -1,4 +1,5 @@
-//! The estimate of the clock offset, from the comparison of a stamp with this process's clock.
+//! The estimate of the clock offset, from the comparison of a stamp (a reading of the timekeeper's clock) with this process's
+//! clock.
 
 use super::stamp::{StampTime, Ticks};
 use policy::Timestamp;
@@ -7,12 +8,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Ages at which a stamp shows no offset. A stamp is advanced once a second, and clocks may differ by 0.5 s.
+/// Ages at which a stamp shows no clock offset. The timekeeper advances its stamp once a second, and clocks may differ by 0.5 s.
 const TOLERANCE: RangeInclusive<Ticks> = Ticks(-5)..=Ticks(20);
 /// Ages at which a stamp may be stale because its timekeeper has died. A stale stamp cannot be much older than 60 s, since the
-/// counter expires it.
+/// count that holds the stamp then expires at the quota counter.
 const POSSIBLY_STALE: RangeInclusive<Ticks> = Ticks(0)..=Ticks(620);
-/// The mean age at which a stamp that is advanced once a second is read.
+/// Mean age of a stamp when a gatekeeper reads it, given that the timekeeper advances the stamp once a second.
 const MEAN_AGE: Ticks = Ticks(5);
 
 /// The time by which this process's clock is ahead of the fleet's clock; negative if it is behind.
@@ -29,11 +30,12 @@
 /// Whether a stamp is recent, judged by its age on the fleet's clock as this process estimates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// The stamp agrees with the estimate.
+    /// The stamp's age shows no clock offset: the stamp agrees with this process's estimate of the fleet's time.
     Fresh,
-    /// The timekeeper has died, or its clock is behind the estimate.
+    /// The timekeeper has died, or its clock is behind this process's estimate of the fleet's time.
     PossiblyStale,
-    /// The stamp lies in the future or is older than a stale stamp can be, so the timekeeper's clock differs from the estimate.
+    /// The stamp lies in the future or is older than a stale stamp can be, so the timekeeper's clock differs from this process's
+    /// estimate of the fleet's time.
     OffsetClock,
 }
 
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Corrects the offset so that the stamp, which was read just now, has the mean age.
+    /// Corrects the clock offset so that the stamp, which was read just now, has the age [`MEAN_AGE`].
     pub(super) fn adopt(&mut self, now: Timestamp, stamp: StampTime) {
         let correction = self.fleet_time(now).since(stamp) - MEAN_AGE;
         self.offset.0 += correction.as_micros();
--- a/crates/exchange/src/fleet_clock/pacing.rs
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -1,27 +1,28 @@
-//! The pacing of counter calls: intervals, jitter and backoff.
+//! The pacing of the calls that read or advance the fleet's time at the quota counter: intervals, jitter and backoff.
 
 use policy::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Interval at which the timekeeper advances the stamp.
+/// Interval at which the timekeeper advances its stamp (the fleet's time at the quota counter) to its present time.
 const ADVANCE_INTERVAL: Micros = 1_000_000;
-/// Base of the mean interval at which a follower reads the stamp.
-const READ_INTERVAL: Micros = 20_000_000;
-/// Increase of the mean interval between reads for each gatekeeper of the fleet, which bounds the call rate of all gatekeepers.
+/// Mean interval at which a follower reads the timekeeper's stamp, before [`READ_INTERVAL_PER_GATEKEEPER`] is added.
+const BASE_READ_INTERVAL: Micros = 20_000_000;
+/// Increase of the mean interval between a follower's reads for each gatekeeper of the fleet. The increase bounds the call rate
+/// of all gatekeepers together.
 const READ_INTERVAL_PER_GATEKEEPER: Micros = 200_000;
-/// Minimum delay of a read that confirms a stamp. By then a timekeeper that is alive has advanced it.
+/// Minimum delay of a read that confirms a stamp. A timekeeper that is alive has advanced the stamp after this delay.
 const CONFIRMATION_INTERVAL: Micros = 1_200_000;
 /// Maximum jitter of a read that confirms a stamp, in a fleet of fewer than [`GATEKEEPERS_PER_JITTER_GROUP`] gatekeepers.
 const CONFIRMATION_JITTER: Micros = 400_000;
-/// Maximum jitter before a counter without a stamp is read again, in a fleet of fewer than [`GATEKEEPERS_PER_JITTER_GROUP`]
-/// gatekeepers.
+/// Maximum jitter of the second read after a read that found no stamp, in a fleet of fewer than
+/// [`GATEKEEPERS_PER_JITTER_GROUP`] gatekeepers.
 const VACANCY_JITTER: Micros = 1_000_000;
 /// Maximum backoff after a failed call or a conflict, in a fleet of fewer than [`GATEKEEPERS_PER_JITTER_GROUP`] gatekeepers. The
 /// minimum is half of the maximum.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// The maximum jitter of a small fleet is added once more for each full group of this many gatekeepers.
+/// For each full group of this many gatekeepers, the maximum jitter of a small fleet is added once more.
 const GATEKEEPERS_PER_JITTER_GROUP: u64 = 50;
 
 /// The reason for the delay of the next call.
@@ -35,13 +36,13 @@
     FollowerRead,
     /// A stamp is read again to see whether it makes progress.
     Confirmation,
-    /// The counter holds no stamp, and is read once more before this process places a stamp.
+    /// A read found no stamp. The process reads once more before it places its own stamp.
     Vacancy,
     /// A call failed, or several processes had placed or advanced a stamp.
     Backoff,
 }
 
-/// Draws the delays between calls.
+/// Draws the random delays between the fleet clock's calls to the quota counter.
 #[derive(Debug)]
 pub(super) struct Pacing {
     gatekeepers: u64,
@@ -54,12 +55,12 @@
     }
 
     /// Returns the time until the next call, at random where the delay has a range.
-    pub(super) fn draw(&mut self, delay: CallDelay) -> Micros {
+    pub(super) fn draw_delay(&mut self, delay: CallDelay) -> Micros {
         match delay {
             CallDelay::None => 0,
             CallDelay::Advance => ADVANCE_INTERVAL,
             CallDelay::FollowerRead => {
-                let interval = READ_INTERVAL + READ_INTERVAL_PER_GATEKEEPER * self.gatekeepers;
+                let interval = BASE_READ_INTERVAL + READ_INTERVAL_PER_GATEKEEPER * self.gatekeepers;
                 interval / 2 + self.random.u64(..interval)
             }
             CallDelay::Confirmation => CONFIRMATION_INTERVAL + self.jitter(CONFIRMATION_JITTER),
--- a/crates/exchange/src/fleet_clock/pacing/tests.rs
+++ b/crates/exchange/src/fleet_clock/pacing/tests.rs
@@ -7,7 +7,7 @@
 /// The minimum and the maximum of many drawn delays.
 fn range_of(gatekeepers: u32, delay: CallDelay) -> (Micros, Micros) {
     let mut pacing = Pacing::new(gatekeepers, 1);
-    let draws: Vec<Micros> = (0..DRAWS).map(|_| pacing.draw(delay)).collect();
+    let draws: Vec<Micros> = (0..DRAWS).map(|_| pacing.draw_delay(delay)).collect();
     (*draws.iter().min().expect("at least one draw"), *draws.iter().max().expect("at least one draw"))
 }
 
--- a/crates/exchange/src/fleet_clock/stamp.rs
+++ b/crates/exchange/src/fleet_clock/stamp.rs
@@ -1,7 +1,8 @@
-//! The stamp codec: stores the timekeeper's time and the number of placed stamps in one total of the counter.
+//! The stamp codec: stores the timekeeper's time and the number of placed stamps in the sum of the clock count.
 //!
-//! A total has seven decimal digits. The highest digit counts the stamps that were placed, one for each timekeeper. The six lower
-//! digits hold the time in ticks of 0.1 s, which wrap around after 100,000 s.
+//! The clock count is the count at the quota counter that holds the fleet's time. The sum of the clock count has seven decimal
+//! digits. The highest digit is the number of stamps that were placed, one for each timekeeper. The six lower digits hold the
+//! time in ticks of 0.1 s, which wrap around after 100,000 s.
 
 use policy::Micros;
 use std::ops::{Neg, Sub};
@@ -9,12 +10,13 @@
 #[cfg(test)]
 mod tests;
 
-/// One tick of a stamp in microseconds.
+/// One tick, the unit of a stamp's time, in microseconds.
 pub(super) const TICK: Micros = 100_000;
-/// Ticks after which a stamp's time wraps around. Placing a stamp adds its time and this number, which counts the stamp.
+/// Number of ticks after which a stamp's time wraps around. To place a stamp, a process adds the stamp's time plus this period to
+/// the clock count, so that the highest digit of the sum increases by one.
 pub(super) const PERIOD: i64 = 1_000_000;
 
-/// A signed number of ticks: a difference of two stamp times, or an amount in the counter.
+/// A signed number of ticks: the difference of two stamp times, or an amount that a call adds to the clock count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ticks(pub(super) i64);
 
@@ -25,7 +27,7 @@
         self.0 * TICK as i64
     }
 
-    /// The number of ticks as the amount of a counter call.
+    /// Converts the number of ticks to the amount that a counter call adds to the clock count.
     pub(super) fn as_units(self) -> f64 {
         self.0 as f64
     }
@@ -47,7 +49,7 @@
     }
 }
 
-/// The time in a stamp: ticks since 1970, modulo [`PERIOD`].
+/// The clock reading that a stamp holds: ticks since 1970, modulo [`PERIOD`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StampTime(i64);
 
@@ -63,39 +65,39 @@
         Ticks(if ticks > PERIOD / 2 { ticks - PERIOD } else { ticks })
     }
 
-    /// The amount that places a stamp of this time on a counter without a stamp, whose total is `residue`.
+    /// The amount that places a stamp of this time in a clock count that holds no stamp, and whose sum is `residue`.
     pub(super) fn placement_amount(self, residue: Ticks) -> Ticks {
         Ticks(PERIOD + self.0) - residue
     }
 
-    /// The amount that advances the stamp `from` to this time; negative if the time has wrapped around since `from`.
+    /// The amount that advances a stamp from the time `from` to this time; negative if the time has wrapped around since `from`.
     pub(super) fn advance_amount(self, from: Self) -> Ticks {
         Ticks(self.0 - from.0)
     }
 }
 
-/// A decoded total of the stamp's count, with no stamp, one stamp, or several stamps that conflict.
+/// The decoded sum of the clock count, which holds no stamp, one stamp, or several stamps that conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Stamp {
     /// The number of stamps that were placed: 0 without a stamp, 2 or more after a conflict.
     pub(super) placed_count: i64,
-    /// The time of the stamp, valid only if exactly one was placed.
+    /// The clock reading of the stamp, valid only if exactly one stamp was placed.
     pub(super) time: StampTime,
 }
 
 impl Stamp {
-    /// Decodes a total. A total that cannot result from a stamp has a `placed_count` other than 0 and 1.
+    /// Decodes the sum of the clock count. A sum that cannot result from a stamp has a `placed_count` other than 0 and 1.
     pub(super) fn decode(total: f64) -> Self {
         let total = if total.is_finite() { total.round() as i64 } else { -1 };
         Self { placed_count: total.div_euclid(PERIOD), time: StampTime(total.rem_euclid(PERIOD)) }
     }
 
-    /// The decoded total of a counter that holds exactly one stamp, of this time.
+    /// The decoded sum of a clock count that holds exactly one stamp, with this time.
     pub(super) fn single(time: StampTime) -> Self {
         Self { placed_count: 1, time }
     }
 
-    /// The total that the stamp was decoded from, rounded to whole ticks.
+    /// The sum of the clock count that the stamp was decoded from, rounded to whole ticks.
     pub(super) fn total(self) -> Ticks {
         Ticks(self.placed_count * PERIOD + self.time.0)
     }
--- a/crates/exchange/src/fleet_clock/stamp/tests.rs
+++ b/crates/exchange/src/fleet_clock/stamp/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_placed_stamp_decodes_to_its_time_whatever_the_counter_held() {
+fn a_placed_stamp_decodes_to_its_time_whatever_the_clock_count_held() {
     for residue in [0, 7, -7, PERIOD - 1] {
         let time = stamp_time(123_456);
         let total = Ticks(residue + time.placement_amount(Ticks(residue)).0);
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -1,22 +1,22 @@
-//! Simulates fleets of gatekeepers that share one counter.
+//! The fleet's clock in simulated fleets of gatekeepers that share one quota counter.
 
 use super::stamp::{PERIOD, TICK};
 use super::*;
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 1_000;
-/// A time far from zero, so that a clock can be hours behind.
+/// Start time of each simulation, far from zero, so that a clock can be hours behind.
 const START: Timestamp = Timestamp::from_micros(1_790_000_000 * SECOND);
 const HOUR: i64 = 3_600 * SECOND as i64;
 
-/// The quota counter with the total that holds the stamp, which expires after [`STAMP_TTL`].
+/// A simulated quota counter, which holds only the clock count. The clock count expires after [`CLOCK_COUNT_TTL`].
 #[derive(Default)]
 struct Counter {
     total: f64,
     expires_at: Timestamp,
-    /// Total number of calls.
+    /// Number of calls since the start of the simulation.
     calls: u64,
-    /// The outcome of all calls; `None` if they succeed.
+    /// The outcome of each call; `None` if calls succeed.
     outcome: Option<Outcome>,
 }
 
@@ -28,7 +28,7 @@
             _ => {}
         }
         if now >= self.expires_at {
-            (self.total, self.expires_at) = (0.0, now + STAMP_TTL);
+            (self.total, self.expires_at) = (0.0, now + CLOCK_COUNT_TTL);
         }
         self.total += amount;
         (self.outcome.unwrap_or(Outcome::Ok), self.total)
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -25,7 +25,7 @@
     pub id: u64,
     /// The name of the count that the call reads or adds to.
     pub name: u64,
-    /// Amount to add: units of the quota, or ticks of the fleet clock's stamp. 0 only reads the count.
+    /// Amount to add to the count: units of the quota, or ticks of the fleet's clock. 0 only reads the count.
     pub units: f64,
     /// Time until the count expires, if this call creates it. The counter keeps the expiry of an existing count.
     pub ttl: Micros,
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -95,7 +95,7 @@
         let class_services = services_of(&settings.classes);
         let repeat_rules = RepeatRules::of(&settings.classes);
         self.policy.update_settings(settings)?;
-        self.repeat_rules.update(repeat_rules);
+        self.repeat_rules.replace_rules(repeat_rules);
         self.max_attempts = max_attempts;
         self.counter_calls.set_timeout(counter_timeout);
         self.timers.set_tick(tick);
@@ -182,7 +182,7 @@
 
     /// Applies an update of the endpoint list.
     pub(crate) fn update_endpoints(&mut self, now: Timestamp, kind: ListKind, entries: Vec<BackendEntry>) {
-        self.backends.update(kind, &entries);
+        self.backends.apply_list_update(kind, &entries);
         self.feed(now, Event::Endpoints { kind, entries });
     }
 
--- a/crates/exchange/src/request_table/answers.rs
+++ b/crates/exchange/src/request_table/answers.rs
@@ -11,7 +11,7 @@
 /// In a build with seeded faults, an active fault of this module affects one request in this many.
 const SEEDED_FAULT_PERIOD: u32 = 50;
 /// Bytes that the seeded fault `holds` leaks for each affected request.
-const SEEDED_FAULT_LEAK: usize = 32 << 20;
+const SEEDED_FAULT_LEAK_BYTES: usize = 32 << 20;
 
 impl<Q, A> RequestTable<Q, A> {
     /// Applies the policy's rejection of a request.
@@ -58,7 +58,7 @@
             return FailureReason::DeadlineExceeded;
         }
         match request.last_outcome {
-            None if !self.backends.has_ready(request.service) => FailureReason::NoBackend,
+            None if !self.backends.has_ready_backend(request.service) => FailureReason::NoBackend,
             None | Some(Outcome::Rejected | Outcome::NotStarted | Outcome::NotSent) => {
                 FailureReason::NoCapacity
             }
@@ -105,7 +105,7 @@
     let has_seeded_fault = seeded_faults::ENABLED && id.0 % SEEDED_FAULT_PERIOD == SEEDED_FAULT_PERIOD - 1;
     if has_seeded_fault && seeded_faults::is_active("holds") {
         // Nothing uses the allocation, so the compiler would remove it without `black_box`.
-        std::mem::forget(std::hint::black_box(vec![1u8; SEEDED_FAULT_LEAK]));
+        std::mem::forget(std::hint::black_box(vec![1u8; SEEDED_FAULT_LEAK_BYTES]));
     }
     has_seeded_fault && seeded_faults::is_active("answers")
 }
--- a/crates/exchange/src/request_table/attempts.rs
+++ b/crates/exchange/src/request_table/attempts.rs
@@ -22,7 +22,7 @@
         let attempts_are_exhausted = request.attempts.len() >= self.max_attempts;
         let must_not_be_sent = request.is_over() || now >= request.deadline || attempts_are_exhausted;
         if !must_not_be_sent && !request.attempts.is_empty() {
-            self.repeat_rules.check(now, id, request.class, &request.attempts);
+            self.repeat_rules.check_further_attempt(now, id, request.class, &request.attempts);
         }
         request.attempts.push(InFlightAttempt { backend, sent_at: now, outcome: None });
         if must_not_be_sent {
--- a/crates/exchange/src/request_table/backends.rs
+++ b/crates/exchange/src/request_table/backends.rs
@@ -17,7 +17,7 @@
 
 impl KnownBackends {
     /// Applies an update of the endpoint list to the state and the service of each backend.
-    pub(super) fn update(&mut self, kind: ListKind, entries: &[BackendEntry]) {
+    pub(super) fn apply_list_update(&mut self, kind: ListKind, entries: &[BackendEntry]) {
         if matches!(kind, ListKind::Cached | ListKind::Full) {
             self.statuses.values_mut().for_each(|backend| backend.state = BackendState::Gone);
         }
@@ -32,7 +32,7 @@
     }
 
     /// Whether any backend of a service is eligible.
-    pub(super) fn has_ready(&self, service: u16) -> bool {
+    pub(super) fn has_ready_backend(&self, service: u16) -> bool {
         self.statuses.iter().any(|(id, backend)| {
             backend.state == BackendState::Ready && self.services.get(id) == Some(&service)
         })
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the quota counter, by the policy and by the fleet's clock.
 
 use super::RequestTable;
-use crate::fleet_clock::{FleetClock, STAMP_NAME, STAMP_TTL};
+use crate::fleet_clock::{CLOCK_COUNT_NAME, CLOCK_COUNT_TTL, FleetClock};
 use crate::ports::CounterCall;
 use crate::side_effect::SideEffect;
 use crate::timers::Timer;
@@ -16,10 +16,10 @@
 enum Purpose {
     /// The policy adds units to a tenant's count.
     Quota {
-        /// The name of the count.
+        /// Name of the tenant's count at the quota counter.
         name: u64,
     },
-    /// The fleet's clock reads or changes its stamp.
+    /// The fleet's clock reads or changes the clock count, which holds the fleet's time at the quota counter.
     FleetClock,
 }
 
@@ -103,7 +103,7 @@
         self.timers.set(now + self.counter_calls.timeout, Timer::CounterCall(id));
         let name = match purpose {
             Purpose::Quota { name } => name,
-            Purpose::FleetClock => STAMP_NAME,
+            Purpose::FleetClock => CLOCK_COUNT_NAME,
         };
         self.side_effects.push(SideEffect::CallCounter(CounterCall { id, name, units, ttl }));
     }
@@ -138,7 +138,7 @@
     pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
         let Some(clock) = &mut self.shared_clock.clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
-            (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, STAMP_TTL),
+            (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, CLOCK_COUNT_TTL),
             (None, Some(next_call_at)) => self.timers.set(next_call_at, Timer::FleetClock),
             // A call is in flight. The next call is scheduled when this call ends.
             (None, None) => {}
--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Whether a further attempt is permitted after the earlier ones. An open attempt may have run.
+    /// Whether this rule permits a further attempt of a request after its `earlier` attempts. An earlier attempt that has not
+    /// ended counts as one that the backend may have run.
     fn permits(self, now: Timestamp, earlier: &[InFlightAttempt]) -> bool {
         let may_have_run = |attempt: &&InFlightAttempt| !attempt.outcome.is_some_and(Outcome::never_ran);
         let Some(first) = earlier.iter().find(may_have_run) else { return true };
@@ -54,13 +55,20 @@
     }
 
     /// Replaces the rules of the classes that `newer` has. The rules of removed classes stay for their requests in flight.
-    pub(super) fn update(&mut self, newer: Self) {
+    pub(super) fn replace_rules(&mut self, newer: Self) {
         let replaced = newer.rules.len().min(self.rules.len());
         self.rules.splice(..replaced, newer.rules);
     }
 
-    /// Reports a violation of the invariant if the class does not permit a further attempt after the earlier ones.
-    pub(super) fn check(&self, now: Timestamp, id: RequestId, class: u16, earlier: &[InFlightAttempt]) {
+    /// Reports a violation of the retry invariant if the rule of the class does not permit a further attempt of the request after
+    /// its `earlier` attempts.
+    pub(super) fn check_further_attempt(
+        &self,
+        now: Timestamp,
+        id: RequestId,
+        class: u16,
+        earlier: &[InFlightAttempt],
+    ) {
         let Some(rule) = self.rules.get(usize::from(class)) else { return };
         invariants::check(
             Guard::Retrying,
--- a/crates/exchange/src/request_table/repeat_guard/tests.rs
+++ b/crates/exchange/src/request_table/repeat_guard/tests.rs
@@ -47,8 +47,8 @@
     let class = |idempotency| RequestClass { idempotency, ..RequestClass::default() };
     let older = [class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let mut rules = RepeatRules::of(&older);
-    rules.update(RepeatRules::of(&[class(Idempotency::NonIdempotent)]));
+    rules.replace_rules(RepeatRules::of(&[class(Idempotency::NonIdempotent)]));
     assert_eq!(rules.rules, [RepeatRule::IfNeverRan; 2]);
-    rules.update(RepeatRules::of(&[older[0].clone(), older[0].clone(), older[1].clone()]));
+    rules.replace_rules(RepeatRules::of(&[older[0].clone(), older[0].clone(), older[1].clone()]));
     assert_eq!(rules.rules, [RepeatRule::Always, RepeatRule::Always, RepeatRule::IfNeverRan]);
 }
--- a/crates/exchange/src/request_table/tests.rs
+++ b/crates/exchange/src/request_table/tests.rs
@@ -118,8 +118,7 @@
 
 /// Guards against requests without an answer: a request whose backend does not answer must get its final answer in time.
 #[test]
-fn a_request_at_a_silent_backend_is_answered_before_its_deadline_and_its_attempt_is_cancelled_at_the_deadline()
- {
+fn a_request_at_a_silent_backend_is_answered_before_its_deadline_cancels_its_attempt() {
     let mut table = table(&[5]);
     let (_, answers) = submit(&mut table, START);
     assert_eq!(perform_side_effects(&mut table), ["start 0 at 5"]);
--- a/crates/exchange/src/timers.rs
+++ b/crates/exchange/src/timers.rs
@@ -66,7 +66,7 @@
     last_serial: u64,
     /// Timers that expire within this time of each other may run together.
     tick: Micros,
-    /// The scheduled wake-up of the timer thread; `None` if it was scheduled without a timer, or not yet.
+    /// The scheduled wake-up of the timer thread; `None` before the first one is scheduled, and while no timer is set.
     wakes_at: Option<Timestamp>,
 }
 
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -38,9 +38,9 @@
 pub(crate) struct ReadState {
     is_woken: AtomicBool,
     is_peer_closed: AtomicBool,
-    /// The last read would have blocked, so more bytes can only come with an event.
+    /// Whether the last read would have blocked, so that more bytes can only come with an event.
     is_drained: AtomicBool,
-    /// The worker has polled for events at least once during this connection's life.
+    /// Whether the worker has polled for events at least once during this connection's life.
     was_polled: AtomicBool,
     /// Consecutive reads that did not have to wait.
     burst: AtomicU32,
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -21,8 +21,8 @@
 }
 
 impl<T: AsRawFd> Drop for RegisteredSocket<T> {
-    /// Deregisters the socket before it is closed. `CoIo` on its own closes it first. If another process holds the socket too,
-    /// epoll would then keep reporting its events with a pointer to freed memory.
+    /// Deregisters the socket before the socket is closed. `CoIo` on its own closes the socket first. If another process also
+    /// holds the socket, epoll would then keep reporting the socket's events with a pointer to freed memory.
     fn drop(&mut self) {
         drop(self.0.take().map(CoIo::into_inner));
     }
