--- a/crates/discovery/src/poll_backoff.rs
+++ b/crates/discovery/src/poll_backoff.rs
@@ -4,8 +4,8 @@
 //! All gatekeepers lose their watches at the same moment when the agents or the discovery service fail, and all start together
 //! after a release. The discovery service serves requests in order of arrival. Requests that wait too long time out. If timed-out
 //! requests were retried at once, the queue would stay so long that every request timed out (a retry storm). Therefore each
-//! consecutive failure doubles the backoff, and jitter spreads the requests. A single watch that ends after it worked is requested
-//! again within [`MAX_BACKOFF_AFTER_SUCCESS`].
+//! consecutive failure doubles the backoff, and jitter spreads the requests. A single watch that ends after it worked is
+//! requested again within [`MAX_BACKOFF_AFTER_SUCCESS`].
 //!
 //! With an agent that is notified of changes, a gatekeeper must receive a list within 6 s after the agent has it and is
 //! reachable, regardless of the requests that failed before. In the worst case a silent watch is detected after
