--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -16,7 +16,7 @@
 struct OpenedConnection {
     connection: Arc<CounterConnection>,
     /// Calls that waited for the connection and could not be written to it.
-    unwritten: Vec<CounterCall>,
+    unwritten_calls: Vec<CounterCall>,
 }
 
 /// Client of one quota counter. The client connects on demand, and again after a connection has ended.
@@ -27,7 +27,7 @@
     on_ended: OnCallEnded,
     shards: [Mutex<Shard>; SHARD_COUNT],
     /// Connections to earlier addresses that still have unanswered calls.
-    retired: Mutex<Vec<Weak<CounterConnection>>>,
+    retired_connections: Mutex<Vec<Weak<CounterConnection>>>,
 }
 
 impl CounterClient {
@@ -38,7 +38,7 @@
             address: Mutex::new(address),
             on_ended,
             shards: Default::default(),
-            retired: Mutex::default(),
+            retired_connections: Mutex::default(),
         })
     }
 
@@ -63,7 +63,7 @@
             // shard again, which must no longer have it.
             let Some(connection) = lock_or_abort(shard).take_connection() else { continue };
             connection.retire();
-            lock_or_abort(&self.retired).push(Arc::downgrade(&connection));
+            lock_or_abort(&self.retired_connections).push(Arc::downgrade(&connection));
             connection.wake();
         }
         true
@@ -73,9 +73,9 @@
     /// second.
     pub fn close_silent_connections(&self) {
         let mut connections: Vec<_> = {
-            let mut retired = lock_or_abort(&self.retired);
-            retired.retain(|connection| connection.strong_count() > 0);
-            retired.iter().filter_map(Weak::upgrade).collect()
+            let mut retired_connections = lock_or_abort(&self.retired_connections);
+            retired_connections.retain(|connection| connection.strong_count() > 0);
+            retired_connections.iter().filter_map(Weak::upgrade).collect()
         };
         connections.extend(self.shards.iter().filter_map(|shard| lock_or_abort(shard).connection()));
         connections.iter().for_each(|connection| connection.close_if_silent());
@@ -83,8 +83,8 @@
 
     /// Opens the connection of a shard with the waiting calls, and reads answers until it ends.
     fn run_connection(&self, shard: &Mutex<Shard>) {
-        let Some(OpenedConnection { connection, unwritten }) = self.connect(shard) else { return };
-        unwritten.iter().for_each(|call| self.fail_unwritten(call));
+        let Some(OpenedConnection { connection, unwritten_calls }) = self.connect(shard) else { return };
+        unwritten_calls.iter().for_each(|call| self.fail_unwritten(call));
         // Whatever ends the reading, the connection is closed next, so the error is not needed.
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
@@ -116,9 +116,9 @@
             // The waiting calls are written before the shard has the connection, so that no later call overtakes them. A write
             // never blocks.
             let is_unwritten = |call: &CounterCall| !matches!(connection.write(call), WriteResult::Written);
-            let unwritten = waiting.into_iter().filter(is_unwritten).collect();
+            let unwritten_calls = waiting.into_iter().filter(is_unwritten).collect();
             shard.set_connection(connection.clone());
-            return Some(OpenedConnection { connection, unwritten });
+            return Some(OpenedConnection { connection, unwritten_calls });
         }
     }
 
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -31,11 +31,11 @@
 #[derive(Default)]
 struct PendingCalls {
     /// Ids of the unanswered calls, oldest first.
-    ids: VecDeque<u64>,
+    call_ids: VecDeque<u64>,
     /// When the first bytes of an incomplete answer arrived.
     incomplete_since: Option<Instant>,
     /// Whether the counter has another address now. No more calls are written, and the connection ends with the last answer.
-    retired: bool,
+    is_retired: bool,
 }
 
 /// Result of [`CounterConnection::write`].
@@ -64,7 +64,7 @@
     /// Refuses all further calls. The caller must then call [`CounterConnection::wake`], which ends the connection if it has no
     /// unanswered calls.
     pub(crate) fn retire(&self) {
-        lock_or_abort(&self.pending).retired = true;
+        lock_or_abort(&self.pending).is_retired = true;
     }
 
     /// Wakes the reader, which checks whether the connection has to end.
@@ -74,7 +74,7 @@
 
     /// Closes the connection if it has unanswered calls and no bytes have arrived from the counter for too long.
     pub(crate) fn close_if_silent(&self) {
-        let has_pending = !lock_or_abort(&self.pending).ids.is_empty();
+        let has_pending = !lock_or_abort(&self.pending).call_ids.is_empty();
         if has_pending && lock_or_abort(&self.last_received).elapsed() > SILENCE_TIMEOUT {
             self.close();
         }
@@ -89,16 +89,16 @@
             self.close();
             return WriteResult::Retired;
         }
-        if pending.retired {
+        if pending.is_retired {
             return WriteResult::Retired;
         }
-        if pending.ids.is_empty() {
+        if pending.call_ids.is_empty() {
             *lock_or_abort(&self.last_received) = Instant::now();
         }
-        if pending.ids.len() >= MAX_PENDING_CALLS || self.connection.send(&bytes).is_err() {
+        if pending.call_ids.len() >= MAX_PENDING_CALLS || self.connection.send(&bytes).is_err() {
             return WriteResult::Failed;
         }
-        pending.ids.push_back(call.id);
+        pending.call_ids.push_back(call.id);
         WriteResult::Written
     }
 
@@ -130,7 +130,7 @@
             let element =
                 resp::parse_element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
             let Some((element, next)) = element else { return Ok(position) };
-            let id = lock_or_abort(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
+            let id = lock_or_abort(&self.pending).call_ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
                 Answer::Total(total) => on_ended(CallResult::ok(id, total)),
                 Answer::Rejected => on_ended(CallResult::without_total(id, Outcome::Rejected)),
@@ -144,7 +144,7 @@
     }
 
     fn fail_oldest_call(&self, on_ended: &OnCallEnded) {
-        let oldest = lock_or_abort(&self.pending).ids.pop_front();
+        let oldest = lock_or_abort(&self.pending).call_ids.pop_front();
         if let Some(id) = oldest {
             on_ended(CallResult::without_total(id, Outcome::Error));
         }
@@ -161,11 +161,11 @@
     /// Whether the connection is retired and has no unanswered calls.
     fn is_finished(&self) -> bool {
         let pending = lock_or_abort(&self.pending);
-        pending.retired && pending.ids.is_empty()
+        pending.is_retired && pending.call_ids.is_empty()
     }
 
     /// Removes and returns the ids of the unanswered calls.
     pub(crate) fn take_pending(&self) -> VecDeque<u64> {
-        std::mem::take(&mut lock_or_abort(&self.pending).ids)
+        std::mem::take(&mut lock_or_abort(&self.pending).call_ids)
     }
 }
--- a/crates/destination/src/pool.rs
+++ b/crates/destination/src/pool.rs
@@ -21,7 +21,7 @@
 
 struct IdleConnection<Q> {
     connection: Arc<PooledConnection<Q>>,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// The pool of one backend.
@@ -77,14 +77,14 @@
     /// bytes after the answer until the acknowledgement, and these bytes must arrive before the connection is reused.
     pub(crate) fn put_idle(&mut self, connection: Arc<PooledConnection<Q>>) {
         connection.socket.acknowledge();
-        self.idle.push(IdleConnection { connection, since: Instant::now() });
+        self.idle.push(IdleConnection { connection, idle_since: Instant::now() });
     }
 
     /// Takes the connection that became idle last, among those that have been idle for `quiet_time`. A connection with unread
     /// bytes is closed: its backend has sent bytes without a request, or has closed the connection.
     pub(crate) fn take_idle(&mut self, quiet_time: Duration) -> Option<Arc<PooledConnection<Q>>> {
         let now = Instant::now();
-        let is_quiet = |idle: &IdleConnection<_>| now.duration_since(idle.since) >= quiet_time;
+        let is_quiet = |idle: &IdleConnection<_>| now.duration_since(idle.idle_since) >= quiet_time;
         loop {
             let last = self.idle.partition_point(is_quiet).checked_sub(1)?;
             let connection = self.idle.remove(last).connection;
@@ -97,7 +97,7 @@
 
     /// When the connection that has been idle longest became idle.
     pub(crate) fn oldest_idle_since(&self) -> Option<Instant> {
-        self.idle.first().map(|idle| idle.since)
+        self.idle.first().map(|idle| idle.idle_since)
     }
 
     /// Closes the connection that has been idle longest.
@@ -121,7 +121,7 @@
     /// Closes the connections that have been idle for `timeout`.
     pub(crate) fn close_expired(&mut self, timeout: Duration, now: Instant) {
         self.idle.retain(|idle| {
-            let is_fresh = now.duration_since(idle.since) < timeout;
+            let is_fresh = now.duration_since(idle.idle_since) < timeout;
             if !is_fresh {
                 idle.connection.socket.close();
             }
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -59,7 +59,7 @@
     /// Whether a successor takes over from this process. No idle connection is kept then.
     is_retired: bool,
     /// Connections whose answers are being streamed.
-    streaming: Vec<Weak<PooledConnection<Q>>>,
+    streaming_connections: Vec<Weak<PooledConnection<Q>>>,
 }
 
 impl<Q> PoolsState<Q> {
@@ -71,7 +71,7 @@
             max_connections,
             operator_ejections: HashSet::new(),
             is_retired: false,
-            streaming: Vec::new(),
+            streaming_connections: Vec::new(),
         }
     }
 
@@ -181,7 +181,7 @@
 
     /// Registers a connection whose answer is streamed, so that [`PoolsState::sweep`] wakes it.
     pub(crate) fn add_streaming(&mut self, connection: &Arc<PooledConnection<Q>>) {
-        self.streaming.push(Arc::downgrade(connection));
+        self.streaming_connections.push(Arc::downgrade(connection));
     }
 
     pub(crate) fn update_endpoints(&mut self, kind: ListKind, endpoints: &[BackendEndpoint]) {
@@ -225,7 +225,10 @@
             pool.close_expired(idle_timeout, now);
         }
         let is_open = |connection: Arc<PooledConnection<_>>| !connection.socket.is_closed();
-        self.streaming.retain(|connection| connection.upgrade().is_some_and(is_open));
-        self.streaming.iter().filter_map(Weak::upgrade).for_each(|connection| connection.socket.wake());
+        self.streaming_connections.retain(|connection| connection.upgrade().is_some_and(is_open));
+        self.streaming_connections
+            .iter()
+            .filter_map(Weak::upgrade)
+            .for_each(|connection| connection.socket.wake());
     }
 }
--- a/crates/discovery/src/poll_backoff/tests.rs
+++ b/crates/discovery/src/poll_backoff/tests.rs
@@ -23,7 +23,7 @@
     /// Time until the last gatekeeper had its watch again; `None` if a gatekeeper had no watch after [`MAX_RECOVERY_TIME`].
     time: Option<Duration>,
     /// Number of requests to the discovery service, including retries.
-    requests: usize,
+    request_count: usize,
 }
 
 /// Simulates a hundred gatekeepers whose watches end at the same moment, and a discovery service with a fixed service time.
@@ -36,14 +36,14 @@
     };
     let mut due: BTreeSet<(MonotonicTime, usize)> =
         (0..GATEKEEPERS).map(|gatekeeper| (first_request_at(gatekeeper), gatekeeper)).collect();
-    let (mut queue, mut recovered, mut requests) = (VecDeque::new(), 0, 0);
+    let (mut queue, mut recovered, mut request_count) = (VecDeque::new(), 0, 0);
     let (mut now, mut next_service_at) = (MonotonicTime::ZERO, MonotonicTime::ZERO);
     while now < MonotonicTime::ZERO + MAX_RECOVERY_TIME {
         while let Some(&(due_at, gatekeeper)) = due.first()
             && due_at <= now
         {
             due.pop_first();
-            requests += 1;
+            request_count += 1;
             if queue.len() < MAX_QUEUED_REQUESTS {
                 queue.push_back((now, gatekeeper));
             } else {
@@ -57,7 +57,7 @@
             if now.saturating_since(queued_at) <= REQUEST_TIMEOUT {
                 recovered += 1;
                 if recovered == GATEKEEPERS {
-                    return Recovery { time: Some(now.saturating_since(MonotonicTime::ZERO)), requests };
+                    return Recovery { time: Some(now.saturating_since(MonotonicTime::ZERO)), request_count };
                 }
             } else {
                 let due_at = queued_at + REQUEST_TIMEOUT + backoff(gatekeeper, REQUEST_TIMEOUT);
@@ -66,7 +66,7 @@
         }
         now = now + STEP;
     }
-    Recovery { time: None, requests }
+    Recovery { time: None, request_count }
 }
 
 /// Guards against a retry storm: with a fixed backoff of 200 ms, no request was served in time once all watches had ended at the
@@ -81,7 +81,7 @@
             recovery.time.is_some_and(|time| time < Duration::from_secs(25)),
             "seed {seed}: {recovery:?}"
         );
-        assert!(recovery.requests < 400, "seed {seed}: {recovery:?}");
+        assert!(recovery.request_count < 400, "seed {seed}: {recovery:?}");
     }
     let with_fixed_backoff = simulate_recovery(1, |_, _| MAX_BACKOFF_AFTER_SUCCESS);
     assert_eq!(
--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -46,19 +46,19 @@
     election: Election,
     estimate: OffsetEstimate,
     pacing: Pacing,
-    in_flight: Option<StampCall>,
+    call_in_flight: Option<StampCall>,
     next_call_at: Timestamp,
     first_call_ended: bool,
 }
 
 impl FleetClock {
     /// Creates a clock with an offset of 0, whose first call to the counter is due immediately.
-    pub(crate) fn new(gatekeepers: u32, seed: u64, now: Timestamp) -> Self {
+    pub(crate) fn new(gatekeeper_count: u32, seed: u64, now: Timestamp) -> Self {
         Self {
             election: Election::new(),
             estimate: OffsetEstimate::default(),
-            pacing: Pacing::new(gatekeepers, seed),
-            in_flight: None,
+            pacing: Pacing::new(gatekeeper_count, seed),
+            call_in_flight: None,
             next_call_at: now,
             first_call_ended: false,
         }
@@ -76,24 +76,24 @@
 
     /// Time at which the next call to the counter is due; `None` while a call is in flight.
     pub(crate) fn next_call_at(&self) -> Option<Timestamp> {
-        self.in_flight.is_none().then_some(self.next_call_at)
+        self.call_in_flight.is_none().then_some(self.next_call_at)
     }
 
     /// Starts the next call to the quota counter and returns the amount that the call adds to the clock count; `None` if no call
     /// is due.
     pub(crate) fn start_call(&mut self, now: Timestamp) -> Option<f64> {
-        if self.in_flight.is_some() || now < self.next_call_at {
+        if self.call_in_flight.is_some() || now < self.next_call_at {
             return None;
         }
         let call = self.election.next_call(self.estimate.fleet_time(now));
-        self.in_flight = Some(call);
+        self.call_in_flight = Some(call);
         Some(call.amount().as_units())
     }
 
     /// Applies the end of the counter call in flight. `total` is the sum of the clock count after the call, valid only with
     /// [`Outcome::Ok`].
     pub(crate) fn on_call_ended(&mut self, now: Timestamp, outcome: Outcome, total: f64) {
-        let Some(call) = self.in_flight.take() else { return };
+        let Some(call) = self.call_in_flight.take() else { return };
         self.first_call_ended = true;
         let delay = match outcome {
             Outcome::Ok => self.on_reply(now, call, Stamp::decode(total)),
--- a/crates/exchange/src/fleet_clock/pacing.rs
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -45,13 +45,13 @@
 /// Draws the random delays between the fleet clock's calls to the quota counter.
 #[derive(Debug)]
 pub(super) struct Pacing {
-    gatekeepers: u64,
+    gatekeeper_count: u64,
     random: fastrand::Rng,
 }
 
 impl Pacing {
-    pub(super) fn new(gatekeepers: u32, seed: u64) -> Self {
-        Self { gatekeepers: u64::from(gatekeepers), random: fastrand::Rng::with_seed(seed) }
+    pub(super) fn new(gatekeeper_count: u32, seed: u64) -> Self {
+        Self { gatekeeper_count: u64::from(gatekeeper_count), random: fastrand::Rng::with_seed(seed) }
     }
 
     /// Returns the time until the next call, at random where the delay has a range.
@@ -60,7 +60,7 @@
             CallDelay::None => 0,
             CallDelay::Advance => ADVANCE_INTERVAL,
             CallDelay::FollowerRead => {
-                let interval = BASE_READ_INTERVAL + READ_INTERVAL_PER_GATEKEEPER * self.gatekeepers;
+                let interval = BASE_READ_INTERVAL + READ_INTERVAL_PER_GATEKEEPER * self.gatekeeper_count;
                 interval / 2 + self.random.u64(..interval)
             }
             CallDelay::Confirmation => CONFIRMATION_INTERVAL + self.jitter(CONFIRMATION_JITTER),
@@ -71,6 +71,6 @@
 
     /// A random delay below `max`, which is raised with the number of gatekeepers so that gatekeepers do not all call at once.
     fn jitter(&mut self, max: Micros) -> Micros {
-        self.random.u64(..max * (1 + self.gatekeepers / GATEKEEPERS_PER_JITTER_GROUP))
+        self.random.u64(..max * (1 + self.gatekeeper_count / GATEKEEPERS_PER_JITTER_GROUP))
     }
 }
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -15,14 +15,14 @@
     total: f64,
     expires_at: Timestamp,
     /// Number of calls since the start of the simulation.
-    calls: u64,
+    call_count: u64,
     /// The outcome of each call; `None` if calls succeed.
     outcome: Option<Outcome>,
 }
 
 impl Counter {
     fn add(&mut self, now: Timestamp, amount: f64) -> (Outcome, f64) {
-        self.calls += 1;
+        self.call_count += 1;
         match self.outcome {
             Some(outcome) if outcome.never_ran() => return (outcome, 0.0),
             _ => {}
@@ -38,7 +38,7 @@
 struct Member {
     clock: FleetClock,
     /// Microseconds by which the member's wall clock was ahead when the member started.
-    ahead: i64,
+    ahead_micros: i64,
     reply: Option<Reply>,
 }
 
@@ -63,7 +63,7 @@
 
 struct Fleet {
     /// Number of gatekeepers that each member's settings state.
-    size: u32,
+    gatekeeper_count: u32,
     now: Timestamp,
     counter: Counter,
     members: Vec<Member>,
@@ -73,7 +73,7 @@
 impl Fleet {
     fn new() -> Self {
         Self {
-            size: 4,
+            gatekeeper_count: 4,
             now: START,
             counter: Counter::default(),
             members: Vec::new(),
@@ -81,11 +81,11 @@
         }
     }
 
-    /// Starts a member whose wall clock is `ahead` microseconds ahead.
-    fn start(&mut self, ahead: i64) -> usize {
+    /// Starts a member whose wall clock is `ahead_micros` microseconds ahead.
+    fn start(&mut self, ahead_micros: i64) -> usize {
         let seed = self.members.len() as u64;
-        let clock = FleetClock::new(self.size, seed, local(self.now, ahead));
-        self.members.push(Member { clock, ahead, reply: None });
+        let clock = FleetClock::new(self.gatekeeper_count, seed, local(self.now, ahead_micros));
+        self.members.push(Member { clock, ahead_micros, reply: None });
         self.members.len() - 1
     }
 
@@ -101,7 +101,7 @@
         let end = self.now + time;
         while self.now < end {
             for member in &mut self.members {
-                let now = local(self.now, member.ahead);
+                let now = local(self.now, member.ahead_micros);
                 if let Some(reply) = member.reply.take_if(|reply| now >= reply.arrives_at) {
                     member.clock.on_call_ended(now, reply.outcome, reply.total);
                 }
@@ -117,13 +117,13 @@
 
     /// The largest difference between two members' estimates of the fleet's time.
     fn spread(&self) -> i64 {
-        let times = || self.members.iter().map(|member| member.ahead - member.offset());
+        let times = || self.members.iter().map(|member| member.ahead_micros - member.offset());
         times().max().unwrap_or(0) - times().min().unwrap_or(0)
     }
 }
 
-fn local(now: Timestamp, ahead: i64) -> Timestamp {
-    let local = now.as_micros().checked_add_signed(ahead);
+fn local(now: Timestamp, ahead_micros: i64) -> Timestamp {
+    let local = now.as_micros().checked_add_signed(ahead_micros);
     Timestamp::from_micros(local.expect("times are far from zero"))
 }
 
@@ -133,28 +133,32 @@
 #[test]
 fn correct_clocks_get_no_offset() {
     let mut fleet = Fleet::new();
-    for ahead in [0, 3_000, -20_000, 150_000] {
-        fleet.start(ahead);
+    for ahead_micros in [0, 3_000, -20_000, 150_000] {
+        fleet.start(ahead_micros);
     }
     fleet.run(300 * SECOND);
     for member in &fleet.members {
-        assert_eq!(member.offset(), 0, "with a clock {} us ahead", member.ahead);
+        assert_eq!(member.offset(), 0, "with a clock {} us ahead", member.ahead_micros);
     }
 }
 
 #[test]
 fn a_process_with_a_wrong_clock_learns_its_offset_within_two_seconds() {
-    for ahead in [HOUR, -HOUR, 5 * SECOND as i64, -5 * SECOND as i64, 12 * HOUR, -12 * HOUR] {
+    for ahead_micros in [HOUR, -HOUR, 5 * SECOND as i64, -5 * SECOND as i64, 12 * HOUR, -12 * HOUR] {
         let mut fleet = Fleet::new();
         fleet.start_on_correct_clocks(3);
         fleet.run(20 * SECOND);
-        fleet.start(ahead);
+        fleet.start(ahead_micros);
         fleet.run(2 * SECOND);
-        assert!(fleet.spread() <= TOLERANCE, "clock {ahead} us ahead: estimates {} us apart", fleet.spread());
+        assert!(
+            fleet.spread() <= TOLERANCE,
+            "clock {ahead_micros} us ahead: estimates {} us apart",
+            fleet.spread()
+        );
         fleet.run(200 * SECOND);
         assert!(
             fleet.spread() <= TOLERANCE,
-            "clock {ahead} us ahead: estimates {} us apart later",
+            "clock {ahead_micros} us ahead: estimates {} us apart later",
             fleet.spread()
         );
     }
@@ -174,8 +178,8 @@
 fn members_that_start_together_agree_even_if_their_clocks_are_wrong() {
     for offsets in [[HOUR, 0, 0, 0], [HOUR, HOUR, 0, 0], [-HOUR, HOUR, 0, 5_000_000], [HOUR; 4]] {
         let mut fleet = Fleet::new();
-        for ahead in offsets {
-            fleet.start(ahead);
+        for ahead_micros in offsets {
+            fleet.start(ahead_micros);
         }
         fleet.run(5 * SECOND);
         assert!(
@@ -225,7 +229,7 @@
             "calls end with {outcome:?}: estimates {} us apart",
             fleet.spread()
         );
-        let mut on_correct_clocks = fleet.members.iter().filter(|member| member.ahead == 0);
+        let mut on_correct_clocks = fleet.members.iter().filter(|member| member.ahead_micros == 0);
         assert!(on_correct_clocks.all(|member| member.offset() == 0), "calls end with {outcome:?}");
     }
 }
@@ -259,12 +263,12 @@
 #[test]
 fn a_large_fleet_makes_few_calls() {
     let mut fleet = Fleet::new();
-    fleet.size = 300;
+    fleet.gatekeeper_count = 300;
     fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
-    let before = fleet.counter.calls;
+    let calls_before = fleet.counter.call_count;
     fleet.run(60 * SECOND);
-    let calls = fleet.counter.calls - before;
+    let calls = fleet.counter.call_count - calls_before;
     assert!(calls < 60 * 20, "300 gatekeepers make {calls} calls in a minute");
     assert!(fleet.members.iter().all(|member| member.offset() == 0));
 }
@@ -274,17 +278,17 @@
 #[test]
 fn a_large_fleet_makes_few_calls_after_a_mass_restart() {
     let mut fleet = Fleet::new();
-    fleet.size = 300;
+    fleet.gatekeeper_count = 300;
     fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
     // The timekeeper is sorted last, and so is among the killed members.
     fleet.members.sort_by_key(Member::is_timekeeper);
     fleet.members.truncate(90);
     fleet.run(5 * SECOND);
-    let before = fleet.counter.calls;
+    let calls_before = fleet.counter.call_count;
     fleet.start_on_correct_clocks(210);
     fleet.run(10 * SECOND);
-    let calls = fleet.counter.calls - before;
+    let calls = fleet.counter.call_count - calls_before;
     assert!(calls < 600, "{calls} calls after 210 gatekeepers start together");
     assert!(fleet.members.iter().all(|member| member.offset() == 0));
 }
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -47,7 +47,7 @@
     /// Buffer for the policy's actions, reused to avoid allocations; empty between two events.
     actions: Vec<Action>,
     requests: HashMap<RequestId, InFlightRequest<Q, A>>,
-    next_request: u32,
+    next_request_id: u32,
     max_attempts: usize,
     /// The number of the service that serves each class, indexed by the number of the class.
     class_services: Vec<u16>,
@@ -71,7 +71,7 @@
             events: VecDeque::new(),
             actions: Vec::new(),
             requests: HashMap::new(),
-            next_request: 0,
+            next_request_id: 0,
             max_attempts: settings.max_attempts as usize,
             class_services: services_of(&settings.classes),
             repeat_rules: RepeatRules::of(&settings.classes),
@@ -132,11 +132,11 @@
 
     /// Returns an id that no request in flight has.
     fn unused_id(&mut self) -> RequestId {
-        while self.requests.contains_key(&RequestId(self.next_request)) {
-            self.next_request = self.next_request.wrapping_add(1);
+        while self.requests.contains_key(&RequestId(self.next_request_id)) {
+            self.next_request_id = self.next_request_id.wrapping_add(1);
         }
-        let id = RequestId(self.next_request);
-        self.next_request = self.next_request.wrapping_add(1);
+        let id = RequestId(self.next_request_id);
+        self.next_request_id = self.next_request_id.wrapping_add(1);
         id
     }
 
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub(super) struct SharedClock {
     /// Number of gatekeepers that share the counter; 1 without a shared counter.
-    gatekeepers: u32,
+    gatekeeper_count: u32,
     seed: u64,
     /// The fleet's clock; `None` before it is started, and in a gatekeeper that needs no fleet clock.
     clock: Option<FleetClock>,
@@ -80,14 +80,14 @@
 impl SharedClock {
     /// Prepares the clock without starting it.
     pub(super) fn new(settings: &Settings, seed: u64) -> Self {
-        let gatekeepers = if settings.shared_counter { settings.gatekeepers } else { 1 };
-        Self { gatekeepers, seed, clock: None }
+        let gatekeeper_count = if settings.shared_counter { settings.gatekeepers } else { 1 };
+        Self { gatekeeper_count, seed, clock: None }
     }
 
     /// Starts the clock, unless this gatekeeper shares no counter with others.
     fn start(&mut self, now: Timestamp) {
-        if self.gatekeepers > 1 {
-            self.clock = Some(FleetClock::new(self.gatekeepers, self.seed, now));
+        if self.gatekeeper_count > 1 {
+            self.clock = Some(FleetClock::new(self.gatekeeper_count, self.seed, now));
         }
     }
 
--- a/crates/exchange/src/request_table/streams.rs
+++ b/crates/exchange/src/request_table/streams.rs
@@ -6,20 +6,20 @@
 /// The open streams by attempt, each with the class of its request.
 #[derive(Debug, Default)]
 pub(super) struct OpenStreams {
-    classes: HashMap<AttemptId, u16>,
+    class_by_attempt: HashMap<AttemptId, u16>,
 }
 
 impl OpenStreams {
     pub(super) fn open(&mut self, attempt: AttemptId, class: u16) {
-        self.classes.insert(attempt, class);
+        self.class_by_attempt.insert(attempt, class);
     }
 
     /// Closes the stream of an attempt and returns the class of the attempt's request; `None` if no such stream is open.
     pub(super) fn close(&mut self, attempt: AttemptId) -> Option<u16> {
-        self.classes.remove(&attempt)
+        self.class_by_attempt.remove(&attempt)
     }
 
     pub(super) fn count(&self) -> usize {
-        self.classes.len()
+        self.class_by_attempt.len()
     }
 }
--- a/crates/exchange/src/stream.rs
+++ b/crates/exchange/src/stream.rs
@@ -8,9 +8,9 @@
 mod tests;
 
 /// Maximum size of a stream's window in bytes.
-const MAX_WINDOW: usize = 64 * 1024;
+const MAX_WINDOW_BYTES: usize = 64 * 1024;
 /// Minimum size of a stream's window in bytes. A smaller window would need too many reads and writes.
-const MIN_WINDOW: usize = 8 * 1024;
+const MIN_WINDOW_BYTES: usize = 8 * 1024;
 
 /// The callback that is called when the other side of a stream has made progress, possibly under a lock of that side. The
 /// callback must not block.
@@ -28,20 +28,20 @@
 /// The buffer space that the streams of a process share. Each stream's window is an equal share of it, within limits.
 #[derive(Debug)]
 pub struct StreamBudget {
-    bytes: usize,
+    total_bytes: usize,
     open_streams: AtomicUsize,
 }
 
 impl StreamBudget {
-    /// Creates a budget of this many bytes. Many streams together may exceed the budget, since each has a minimum window.
-    pub fn new(bytes: usize) -> Arc<Self> {
-        Arc::new(Self { bytes, open_streams: AtomicUsize::new(0) })
+    /// Creates a budget of `total_bytes`. Many streams together may exceed the budget, since each has a minimum window.
+    pub fn new(total_bytes: usize) -> Arc<Self> {
+        Arc::new(Self { total_bytes, open_streams: AtomicUsize::new(0) })
     }
 
     /// The window of each stream: the maximum number of bytes that are buffered.
     fn window(&self) -> usize {
         let streams = self.open_streams().max(1);
-        (self.bytes / streams).clamp(MIN_WINDOW, MAX_WINDOW)
+        (self.total_bytes / streams).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
     }
 
     /// The number of streams of which at least one end exists.
@@ -59,7 +59,7 @@
 
 #[derive(Default)]
 struct StreamState {
-    bytes: Vec<u8>,
+    buffered_bytes: Vec<u8>,
     /// How the backend side ended the stream; `None` while the writer exists.
     writer_end: Option<WriterEnd>,
     reader_is_gone: bool,
@@ -127,7 +127,7 @@
 impl StreamWriter {
     /// The number of bytes that fit into the stream's window now; 0 if the window is full.
     pub fn capacity(&self) -> usize {
-        self.0.budget.window().saturating_sub(self.0.lock().bytes.len())
+        self.0.budget.window().saturating_sub(self.0.lock().buffered_bytes.len())
     }
 
     /// Whether the reader was dropped, so that the rest of the answer is not wanted.
@@ -137,7 +137,7 @@
 
     /// Appends bytes to the answer. The bytes must fit into [`StreamWriter::capacity`], which is not checked here.
     pub fn write(&self, bytes: &[u8]) {
-        self.0.lock().bytes.extend_from_slice(bytes);
+        self.0.lock().buffered_bytes.extend_from_slice(bytes);
         self.0.notify_reader();
     }
 
@@ -163,16 +163,16 @@
     /// Removes and returns up to `max_bytes` bytes that have arrived.
     pub fn read(&self, max_bytes: usize) -> ReadResult {
         let mut state = self.0.lock();
-        if state.bytes.is_empty() {
+        if state.buffered_bytes.is_empty() {
             return match state.writer_end {
                 None => ReadResult::Pending,
                 Some(WriterEnd::Finished) => ReadResult::End,
                 Some(WriterEnd::Dropped) => ReadResult::Broken,
             };
         }
-        let count = state.bytes.len().min(max_bytes);
-        let rest = state.bytes.split_off(count);
-        let read = std::mem::replace(&mut state.bytes, rest);
+        let count = state.buffered_bytes.len().min(max_bytes);
+        let rest = state.buffered_bytes.split_off(count);
+        let read = std::mem::replace(&mut state.buffered_bytes, rest);
         drop(state);
         (self.0.notify_writer)();
         ReadResult::Bytes(read)
@@ -185,7 +185,7 @@
             let mut state = self.0.lock();
             state.reader_is_gone = true;
             state.notify_reader = None;
-            state.bytes = Vec::new();
+            state.buffered_bytes = Vec::new();
         }
         (self.0.notify_writer)();
     }
--- a/crates/exchange/src/stream/tests.rs
+++ b/crates/exchange/src/stream/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(reader.read(9), ReadResult::Pending);
     writer.write(b"abcde");
     reader_notifications.try_recv().expect("the reader is notified");
-    assert_eq!(writer.capacity(), MAX_WINDOW - 5);
+    assert_eq!(writer.capacity(), MAX_WINDOW_BYTES - 5);
     assert_eq!(reader.read(3), ReadResult::Bytes(b"abc".to_vec()));
     writer_notifications.try_recv().expect("the writer is notified");
     writer.write(b"f");
@@ -61,13 +61,13 @@
 
 #[test]
 fn windows_share_the_budget_down_to_the_minimum() {
-    let budget = StreamBudget::new(10 * MIN_WINDOW);
+    let budget = StreamBudget::new(10 * MIN_WINDOW_BYTES);
     let stream = open(&budget);
-    assert_eq!(stream.writer.capacity(), MAX_WINDOW);
+    assert_eq!(stream.writer.capacity(), MAX_WINDOW_BYTES);
     let four_more: Vec<_> = (0..4).map(|_| open(&budget)).collect();
-    assert_eq!(stream.writer.capacity(), 2 * MIN_WINDOW);
+    assert_eq!(stream.writer.capacity(), 2 * MIN_WINDOW_BYTES);
     let many_more: Vec<_> = (0..400).map(|_| open(&budget)).collect();
-    assert!(many_more.iter().all(|other| other.writer.capacity() == MIN_WINDOW));
+    assert!(many_more.iter().all(|other| other.writer.capacity() == MIN_WINDOW_BYTES));
     drop((four_more, many_more));
-    assert_eq!((budget.open_streams(), stream.writer.capacity()), (1, MAX_WINDOW));
+    assert_eq!((budget.open_streams(), stream.writer.capacity()), (1, MAX_WINDOW_BYTES));
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -47,7 +47,7 @@
 
 /// The result of reading until the socket would block or a limit is reached.
 struct Received {
-    bytes: usize,
+    byte_count: usize,
     is_end: bool,
 }
 
@@ -169,13 +169,13 @@
         }
         let received = self.read_available(buffer, max_bytes)?;
         // If the peer sent more than fits, its end of stream is known only after the worker has polled for events.
-        if received.bytes == max_bytes && self.read_state.take_first_poll() {
+        if received.byte_count == max_bytes && self.read_state.take_first_poll() {
             sleep(YIELD_TIME);
             self.poll_events();
         }
-        if received.bytes > 0 {
+        if received.byte_count > 0 {
             self.read_state.restore_wake(is_woken);
-            return Ok(Some(Incoming::Bytes(received.bytes)));
+            return Ok(Some(Incoming::Bytes(received.byte_count)));
         }
         if received.is_end {
             return Ok(Some(Incoming::End));
@@ -198,7 +198,7 @@
             match self.stream.inner().read(&mut read_buffer[..max_bytes - total]) {
                 Ok(0) => {
                     self.read_state.set_peer_closed();
-                    return Ok(Received { bytes: total, is_end: true });
+                    return Ok(Received { byte_count: total, is_end: true });
                 }
                 Ok(count) => {
                     buffer.extend_from_slice(&read_buffer[..count]);
@@ -219,7 +219,7 @@
                 }
             }
         }
-        Ok(Received { bytes: total, is_end: false })
+        Ok(Received { byte_count: total, is_end: false })
     }
 
     fn poll_events(&self) {
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -30,19 +30,19 @@
 /// Counts the connections that were accepted without a pause, to limit such a burst.
 #[derive(Debug)]
 struct Burst {
-    accepted: u32,
+    accepted_count: u32,
     started_at: Instant,
 }
 
 impl Burst {
     fn start() -> Self {
-        Self { accepted: 0, started_at: Instant::now() }
+        Self { accepted_count: 0, started_at: Instant::now() }
     }
 
     /// Counts an accepted connection, and returns whether the burst has reached its maximum, so that the accept loop must yield.
     fn count_accept(&mut self) -> bool {
-        self.accepted += 1;
-        let is_over = self.accepted > MAX_BURST;
+        self.accepted_count += 1;
+        let is_over = self.accepted_count > MAX_BURST;
         if is_over || self.started_at.elapsed() > YIELD_TIME {
             *self = Self::start();
         }
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -43,7 +43,7 @@
     /// Whether the worker has polled for events at least once during this connection's life.
     was_polled: AtomicBool,
     /// Consecutive reads that did not have to wait.
-    burst: AtomicU32,
+    burst_read_count: AtomicU32,
     /// An error that occurred after some bytes were read. The system reports it once, so it is kept for the next read.
     deferred_error: Mutex<Option<ErrorKind>>,
 }
@@ -111,7 +111,7 @@
 
     /// Counts a read, and returns whether the burst has reached its maximum, so that the reader must yield.
     pub(crate) fn count_read(&self) -> bool {
-        let is_over = self.burst.fetch_add(1, Ordering::Relaxed) >= MAX_BURST;
+        let is_over = self.burst_read_count.fetch_add(1, Ordering::Relaxed) >= MAX_BURST;
         if is_over {
             self.end_burst();
         }
@@ -120,6 +120,6 @@
 
     /// Ends the burst, because the reader has waited or is about to wait.
     pub(crate) fn end_burst(&self) {
-        self.burst.store(0, Ordering::Relaxed);
+        self.burst_read_count.store(0, Ordering::Relaxed);
     }
 }
--- a/crates/link/src/send_buffer.rs
+++ b/crates/link/src/send_buffer.rs
@@ -8,7 +8,7 @@
 pub(crate) struct SendBuffer {
     bytes: Vec<u8>,
     /// Number of `bytes`, from the front, that the socket has taken.
-    sent: usize,
+    sent_bytes: usize,
 }
 
 impl SendBuffer {
@@ -24,7 +24,7 @@
 
     /// Writes as many buffered bytes as the socket takes, and frees the buffer once it has taken them all.
     pub(crate) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
-        write_available(stream, &self.bytes, &mut self.sent)?;
+        write_available(stream, &self.bytes, &mut self.sent_bytes)?;
         if self.unsent() == 0 {
             *self = Self::default();
         }
@@ -38,7 +38,7 @@
 
     /// Returns the number of bytes that the socket has not taken.
     pub(crate) fn unsent(&self) -> usize {
-        self.bytes.len() - self.sent
+        self.bytes.len() - self.sent_bytes
     }
 }
 
