--- a/crates/counter/src/client.rs
+++ b/crates/counter/src/client.rs
@@ -89,7 +89,7 @@
         let _ = connection.read_answers(&self.on_ended);
         connection.close();
         lock_or_abort(shard).remove_connection(&connection);
-        // The counter may have received any of the written calls, so each may have added its units.
+        // The counter may have received any of the written calls, and may have added the units of each.
         for id in connection.take_pending() {
             (self.on_ended)(CallResult::without_total(id, Outcome::Reset));
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Reports that a call was not written, so that nothing was added.
+    /// Reports that a call was not written, so that the counter added no units for the call.
     fn fail_unwritten(&self, call: &CounterCall) {
         (self.on_ended)(CallResult::without_total(call.id, Outcome::ConnectFailed));
     }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -32,7 +32,7 @@
 struct PendingCalls {
     /// Ids of the unanswered calls, oldest first.
     call_ids: VecDeque<u64>,
-    /// When the first bytes of an incomplete answer arrived.
+    /// Time at which the first bytes of an incomplete answer arrived; `None` if no incomplete answer is in the buffer.
     incomplete_since: Option<Instant>,
     /// Whether the counter has another address now. No more calls are written, and the connection ends with the last answer.
     is_retired: bool,
@@ -42,9 +42,9 @@
 pub(crate) enum WriteResult {
     /// The call was written to the socket or its send buffer.
     Written,
-    /// Nothing was written, so nothing was added.
+    /// No byte of the call was written, so the counter added no units.
     Failed,
-    /// Nothing was written. The caller must use another connection.
+    /// The connection is retired, and no byte of the call was written. The caller must use another connection.
     Retired,
 }
 
@@ -153,7 +153,7 @@
     /// Updates the time since which an incomplete answer has been in the buffer.
     fn update_incomplete_since(&self, consumed: usize, has_incomplete: bool) {
         let mut pending = lock_or_abort(&self.pending);
-        // If an answer was completed, the remaining bytes belong to a later one.
+        // If an answer was completed, the remaining bytes belong to a later answer.
         let since = pending.incomplete_since.filter(|_| consumed == 0);
         pending.incomplete_since = has_incomplete.then(|| since.unwrap_or_else(Instant::now));
     }
--- a/crates/counter/src/protocol.rs
+++ b/crates/counter/src/protocol.rs
@@ -13,14 +13,14 @@
 /// First words of the error lines by which the counter says that nothing was added.
 const REJECTION_CODES: [&[u8]; 2] = [b"BUSY", b"ERR"];
 
-/// Meaning of an answer.
+/// What an answer of the counter says about the units of its call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Answer {
-    /// The units were added, and the count now has this sum.
+    /// The units of the call were added. The value is the sum of the count after the call.
     Total(f64),
     /// The counter rejected the call and added no units.
     Rejected,
-    /// The answer is neither a number nor a known error line. The units must be assumed to be added.
+    /// The answer is neither a number nor a known error line. The caller must assume that the units of the call were added.
     Invalid,
 }
 
--- a/crates/counter/src/shard.rs
+++ b/crates/counter/src/shard.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// Number of shards of a client, each with its own connection. All calls of a count use one shard, so that their answers arrive
-/// in order. A slow part of the counter causes head-of-line blocking only in the shards that call it.
+/// in order. A slow part of the counter delays only the shards that call that part (head-of-line blocking).
 pub(crate) const SHARD_COUNT: usize = 4;
 
 /// Connection of a shard, or the calls that wait until it is open.
@@ -36,7 +36,7 @@
         self.connection.clone()
     }
 
-    /// The connection; `None` if there is none or it is closed.
+    /// The open connection of the shard; `None` if the shard has no connection or its connection is closed.
     pub(crate) fn open_connection(&self) -> Option<Arc<CounterConnection>> {
         self.connection.clone().filter(|connection| !connection.is_closed())
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Ends the queueing, and returns the waiting calls in order.
+    /// Removes and returns the calls that wait for the connection, in order. The connection no longer counts as being opened.
     pub(crate) fn take_waiting(&mut self) -> Vec<CounterCall> {
         self.waiting.take().unwrap_or_default()
     }
--- a/crates/destination/src/protocol.rs
+++ b/crates/destination/src/protocol.rs
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are malformed, so the length of the value may have been wrong.
+    /// Returns the reason if the bytes are malformed, in which case the stated length of the value may have been wrong.
     fn parse_tail(&self, _trailing_items: usize, _buffer: &[u8]) -> Result<Option<StreamTail>, &'static str> {
         Err("the protocol has no streamed answers")
     }
--- a/crates/destination/tests/pools.rs
+++ b/crates/destination/tests/pools.rs
@@ -34,7 +34,7 @@
 }
 
 /// A submitted request, and the channel of its final answer.
-struct Submitted {
+struct SubmittedRequest {
     id: RequestId,
     answers: Receiver<FinalAnswer<AnswerBody>>,
 }
@@ -73,7 +73,7 @@
         gatekeeper
     }
 
-    fn submit(&self) -> Submitted {
+    fn submit(&self) -> SubmittedRequest {
         let (sender, answers) = channel();
         let request = Request {
             class: 0,
@@ -89,11 +89,11 @@
         let reply = move |answer| {
             let _ = sender.send(answer);
         };
-        Submitted { id: self.exchange.submit(request, Box::new(reply)), answers }
+        SubmittedRequest { id: self.exchange.submit(request, Box::new(reply)), answers }
     }
 }
 
-impl Submitted {
+impl SubmittedRequest {
     fn answer(&self) -> FinalAnswer<AnswerBody> {
         self.answers.recv_timeout(TIMEOUT).expect("a final answer arrives in time")
     }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -59,7 +59,7 @@
 }
 
 /// State of a running watch that lasts over several connections.
-struct Session<Listener> {
+struct WatchSession<Listener> {
     /// Version of the last list that was received.
     version: u64,
     /// Whether the end of the watch was logged, and no list has arrived since.
@@ -67,7 +67,7 @@
     listener: Listener,
 }
 
-impl<Listener: Fn(WatchEvent)> Session<Listener> {
+impl<Listener: Fn(WatchEvent)> WatchSession<Listener> {
     fn on_list(&mut self, list: EndpointList) {
         if self.is_lost {
             tracing::info!(version = list.revision, "discovery watch recovered");
@@ -118,7 +118,7 @@
     /// Runs the watch until the process ends, and requests the changes after this version first. The caller must be a coroutine
     /// with a large stack, since parsing JSON recurses.
     pub fn run(&self, version: u64, mut backoff: PollBackoff, listener: impl Fn(WatchEvent)) {
-        let mut session = Session { version, is_lost: false, listener };
+        let mut session = WatchSession { version, is_lost: false, listener };
         loop {
             let address = lock_or_abort(&self.agent).address;
             let requested_at = Instant::now();
@@ -153,7 +153,7 @@
     fn read_response(
         &self,
         address: SocketAddr,
-        session: &mut Session<impl Fn(WatchEvent)>,
+        session: &mut WatchSession<impl Fn(WatchEvent)>,
         response_timeout: Duration,
     ) -> Result<Infallible, WatchError> {
         let connection = self.connect(address, response_timeout)?;
@@ -176,7 +176,7 @@
         &self,
         received: &mut Vec<u8>,
         response: &mut Response,
-        session: &mut Session<impl Fn(WatchEvent)>,
+        session: &mut WatchSession<impl Fn(WatchEvent)>,
     ) -> Result<(), WatchError> {
         let had_head = response.has_head();
         response.consume(received)?;
--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -24,7 +24,7 @@
 }
 
 impl AnswerKind {
-    pub(crate) fn of<A>(answer: &FinalAnswer<A>) -> Self {
+    pub(crate) fn of_answer<A>(answer: &FinalAnswer<A>) -> Self {
         match answer {
             FinalAnswer::Served(_) => Self::Served,
             FinalAnswer::Rejected { .. } => Self::Rejected,
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -53,7 +53,7 @@
     /// quota counter. From then on, the names of shared counts are derived from the fleet's time. Must be called after
     /// [`Exchange::connect`]. Has no effect unless, by the settings, several gatekeepers share a counter.
     pub fn start_fleet_clock(&self) {
-        self.drive(RequestTable::start_fleet_clock);
+        self.change_table(RequestTable::start_fleet_clock);
     }
 
     /// Whether the first read of the fleet's clock has succeeded or failed, or is not needed.
@@ -72,14 +72,14 @@
     /// disconnects.
     pub fn submit(&self, request: Request<Q>, reply: Reply<A>) -> RequestId {
         let mut id = RequestId(0);
-        self.drive(|table, now| id = table.submit(now, request, reply));
+        self.change_table(|table, now| id = table.submit(now, request, reply));
         id
     }
 
     /// Prepares a graceful shutdown: each request that is submitted from now on gets its final answer within `time` of this call,
     /// even if its own deadline is later.
     pub fn answer_all_within(&self, time: Duration) {
-        self.drive(|table, now| table.set_latest_deadline(now + time.as_micros() as Micros));
+        self.change_table(|table, now| table.set_latest_deadline(now + time.as_micros() as Micros));
     }
 
     /// The number of streamed answers that have begun and not ended.
@@ -92,12 +92,12 @@
         if seeded_faults::is_active("gone") {
             return;
         }
-        self.drive(|table, now| table.client_gone(now, id));
+        self.change_table(|table, now| table.client_gone(now, id));
     }
 
     /// Reports the end of an attempt. The end of an attempt that was cancelled or has already ended is ignored.
     pub fn attempt_ended(&self, id: AttemptId, end: AttemptEnd<A>) {
-        self.drive(|table, now| table.attempt_ended(now, id, end));
+        self.change_table(|table, now| table.attempt_ended(now, id, end));
     }
 
     /// Reports the end of a streamed answer. For the policy, the attempt ended when the answer began.
@@ -108,18 +108,18 @@
     /// Reports the end of a counter call. The end of a call that has timed out is ignored. `total` is the sum of the count after
     /// the call, valid only with [`Outcome::Ok`].
     pub fn counter_call_ended(&self, id: u64, outcome: Outcome, total: f64) {
-        self.drive(|table, now| table.counter_call_ended(now, id, outcome, total));
+        self.change_table(|table, now| table.counter_call_ended(now, id, outcome, total));
     }
 
     /// Passes an update of the endpoint list to the policy. `kind` tells whether `entries` is the whole list or only changes.
     pub fn update_endpoints(&self, kind: ListKind, entries: Vec<BackendEntry>) {
-        self.drive(|table, now| table.update_endpoints(now, kind, entries));
+        self.change_table(|table, now| table.update_endpoints(now, kind, entries));
     }
 
     /// Sets or clears the operators' ejection of a backend. Once this returns, the policy no longer selects an ejected backend.
     /// The backend side must be notified before this call, so that it refuses attempts that were decided earlier.
     pub fn set_operator_ejection(&self, backend: BackendId, ejected: bool) {
-        self.drive(|table, now| table.feed(now, Event::OperatorEjection { backend, ejected }));
+        self.change_table(|table, now| table.feed(now, Event::OperatorEjection { backend, ejected }));
     }
 
     /// Replaces the settings. Classes and plans must have the same numbers in the new settings.
@@ -175,7 +175,7 @@
     /// Runs the expired timers. Returns the time after which to call this again, or `None` if no timer is set. Timers that expire
     /// within one tick (a setting of the policy) run together, so a timer runs up to one tick late.
     pub fn run_due_timers(&self) -> Option<Micros> {
-        self.drive(RequestTable::run_due_timers);
+        self.change_table(RequestTable::run_due_timers);
         let mut table = self.lock();
         table.timers.schedule_wake_up(self.clock.now())
     }
@@ -201,7 +201,7 @@
     /// Changes the table under its lock, then performs the queued side effects without the lock. Only one caller at a time
     /// performs side effects, in order, including those that other callers queue meanwhile: if two callers did, an attempt could
     /// be cancelled before it starts.
-    fn drive(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Timestamp)) {
+    fn change_table(&self, change: impl FnOnce(&mut RequestTable<Q, A>, Timestamp)) {
         let mut table = self.lock();
         change(&mut table, self.clock.now());
         self.wake_timers(&mut table);
--- a/crates/exchange/src/fleet_clock.rs
+++ b/crates/exchange/src/fleet_clock.rs
@@ -74,7 +74,7 @@
         self.first_call_ended
     }
 
-    /// Time at which the next call to the counter is due; `None` while a call is in flight.
+    /// Time at which the fleet clock's next call to the quota counter is due; `None` while a call is in flight.
     pub(crate) fn next_call_at(&self) -> Option<Timestamp> {
         self.call_in_flight.is_none().then_some(self.next_call_at)
     }
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -84,7 +84,7 @@
     /// Starts a member whose wall clock is `ahead_micros` microseconds ahead.
     fn start(&mut self, ahead_micros: i64) -> usize {
         let seed = self.members.len() as u64;
-        let clock = FleetClock::new(self.gatekeeper_count, seed, local(self.now, ahead_micros));
+        let clock = FleetClock::new(self.gatekeeper_count, seed, local_time(self.now, ahead_micros));
         self.members.push(Member { clock, ahead_micros, reply: None });
         self.members.len() - 1
     }
@@ -101,7 +101,7 @@
         let end = self.now + time;
         while self.now < end {
             for member in &mut self.members {
-                let now = local(self.now, member.ahead_micros);
+                let now = local_time(self.now, member.ahead_micros);
                 if let Some(reply) = member.reply.take_if(|reply| now >= reply.arrives_at) {
                     member.clock.on_call_ended(now, reply.outcome, reply.total);
                 }
@@ -116,13 +116,13 @@
     }
 
     /// The largest difference between two members' estimates of the fleet's time.
-    fn spread(&self) -> i64 {
+    fn estimate_spread(&self) -> i64 {
         let times = || self.members.iter().map(|member| member.ahead_micros - member.offset());
         times().max().unwrap_or(0) - times().min().unwrap_or(0)
     }
 }
 
-fn local(now: Timestamp, ahead_micros: i64) -> Timestamp {
+fn local_time(now: Timestamp, ahead_micros: i64) -> Timestamp {
     let local = now.as_micros().checked_add_signed(ahead_micros);
     Timestamp::from_micros(local.expect("times are far from zero"))
 }
@@ -151,15 +151,15 @@
         fleet.start(ahead_micros);
         fleet.run(2 * SECOND);
         assert!(
-            fleet.spread() <= TOLERANCE,
+            fleet.estimate_spread() <= TOLERANCE,
             "clock {ahead_micros} us ahead: estimates {} us apart",
-            fleet.spread()
+            fleet.estimate_spread()
         );
         fleet.run(200 * SECOND);
         assert!(
-            fleet.spread() <= TOLERANCE,
+            fleet.estimate_spread() <= TOLERANCE,
             "clock {ahead_micros} us ahead: estimates {} us apart later",
-            fleet.spread()
+            fleet.estimate_spread()
         );
     }
 }
@@ -171,7 +171,7 @@
     fleet.run(10 * SECOND);
     fleet.start(HOUR);
     fleet.run(10 * STEP);
-    assert!(fleet.spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= TOLERANCE);
 }
 
 #[test]
@@ -183,15 +183,15 @@
         }
         fleet.run(5 * SECOND);
         assert!(
-            fleet.spread() <= TOLERANCE,
+            fleet.estimate_spread() <= TOLERANCE,
             "clocks {offsets:?} us ahead: estimates {} us apart",
-            fleet.spread()
+            fleet.estimate_spread()
         );
         fleet.run(120 * SECOND);
         assert!(
-            fleet.spread() <= TOLERANCE,
+            fleet.estimate_spread() <= TOLERANCE,
             "clocks {offsets:?} us ahead: estimates {} us apart later",
-            fleet.spread()
+            fleet.estimate_spread()
         );
     }
 }
@@ -208,7 +208,7 @@
     assert!(fleet.members.iter().all(|member| member.offset() == 0), "a stale stamp changes no offset");
     fleet.start(-HOUR);
     fleet.run(2 * SECOND);
-    assert!(fleet.spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= TOLERANCE);
 }
 
 #[test]
@@ -225,9 +225,9 @@
         fleet.counter.outcome = None;
         fleet.run(6 * SECOND);
         assert!(
-            fleet.spread() <= TOLERANCE,
+            fleet.estimate_spread() <= TOLERANCE,
             "calls end with {outcome:?}: estimates {} us apart",
-            fleet.spread()
+            fleet.estimate_spread()
         );
         let mut on_correct_clocks = fleet.members.iter().filter(|member| member.ahead_micros == 0);
         assert!(on_correct_clocks.all(|member| member.offset() == 0), "calls end with {outcome:?}");
@@ -244,7 +244,7 @@
     assert_eq!(Stamp::decode(fleet.counter.total).placed_count, 1);
     fleet.start(HOUR);
     fleet.run(SECOND);
-    assert!(fleet.spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= TOLERANCE);
 }
 
 #[test]
@@ -256,7 +256,7 @@
     fleet.run(4 * SECOND);
     fleet.start(HOUR);
     fleet.run(60 * SECOND);
-    assert!(fleet.spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= TOLERANCE);
     assert!(fleet.members[..3].iter().all(|member| member.offset() == 0));
 }
 
@@ -281,7 +281,7 @@
     fleet.gatekeeper_count = 300;
     fleet.start_on_correct_clocks(300);
     fleet.run(30 * SECOND);
-    // The timekeeper is sorted last, and so is among the killed members.
+    // The sort puts the timekeeper last, so that the timekeeper is among the removed members.
     fleet.members.sort_by_key(Member::is_timekeeper);
     fleet.members.truncate(90);
     fleet.run(5 * SECOND);
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -23,7 +23,7 @@
 pub struct CounterCall {
     /// Identifies the call in [`Exchange::counter_call_ended`](crate::Exchange::counter_call_ended).
     pub id: u64,
-    /// The name of the count that the call reads or adds to.
+    /// Name of the count that the call reads or adds to. Calls with the same name share a count.
     pub name: u64,
     /// Amount to add to the count: units of the quota, or ticks of the fleet's clock. 0 only reads the count.
     pub units: f64,
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -60,7 +60,7 @@
     pub outcome: Outcome,
     /// The answer to give to the client. Used only with [`Outcome::Ok`].
     pub answer: Option<A>,
-    /// The load that the backend reported, one value for each load metric of the settings; empty if it reported none.
+    /// The load that the backend reported, one value for each load metric of the settings; empty if the backend reported no load.
     pub load: Vec<f32>,
     /// Whether the answer has begun and is still streaming. [`Exchange::stream_ended`](crate::Exchange::stream_ended) reports its
     /// end later.
@@ -98,7 +98,7 @@
     DeadlineExceeded,
 }
 
-/// The final answer of a request. Each request gets exactly one, unless its client disconnects before.
+/// The final answer of a request. Each request gets exactly one, unless its client disconnects first.
 #[derive(Debug)]
 pub enum FinalAnswer<A> {
     /// The request was served: this is the answer of a backend.
--- a/crates/exchange/src/request_table.rs
+++ b/crates/exchange/src/request_table.rs
@@ -74,7 +74,7 @@
             next_request_id: 0,
             max_attempts: settings.max_attempts as usize,
             class_services: services_of(&settings.classes),
-            repeat_rules: RepeatRules::of(&settings.classes),
+            repeat_rules: RepeatRules::of_classes(&settings.classes),
             latest_deadline: Timestamp::MAX,
             backends: KnownBackends::default(),
             streams: OpenStreams::default(),
@@ -93,7 +93,7 @@
         let (max_attempts, tick) = (settings.max_attempts as usize, settings.tick);
         let counter_timeout = settings.counter_timeout;
         let class_services = services_of(&settings.classes);
-        let repeat_rules = RepeatRules::of(&settings.classes);
+        let repeat_rules = RepeatRules::of_classes(&settings.classes);
         self.policy.update_settings(settings)?;
         self.repeat_rules.replace_rules(repeat_rules);
         self.max_attempts = max_attempts;
--- a/crates/exchange/src/request_table/answers.rs
+++ b/crates/exchange/src/request_table/answers.rs
@@ -37,7 +37,7 @@
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer<A>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(reply) = request.reply.take() else { return };
-        self.statistics.request_answered(request.class, AnswerKind::of(&answer), request.is_streaming);
+        self.statistics.request_answered(request.class, AnswerKind::of_answer(&answer), request.is_streaming);
         // Withdrawals are queued before the answer, since nothing of the request may be written to a backend after its answer.
         for attempt in request.open_attempts(id) {
             self.side_effects.push(SideEffect::Withdraw(attempt));
@@ -82,7 +82,8 @@
 
     pub(super) fn deadline_expired(&mut self, now: Timestamp, id: RequestId) {
         self.cancel_open_attempts(now, id, Outcome::Timeout);
-        // The policy normally ends each request before its deadline. If it does not, the request still gets an answer here.
+        // The policy normally ends each request before its deadline. If the policy does not, the request still gets its answer
+        // here.
         if self.requests.get(&id).is_some_and(|request| !request.is_over()) {
             self.answer(id, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
             self.feed(now, Event::ClientGone { id });
--- a/crates/exchange/src/request_table/counter_calls.rs
+++ b/crates/exchange/src/request_table/counter_calls.rs
@@ -11,9 +11,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a counter call is made.
+/// Which part of the gatekeeper makes a counter call, and so receives the result of the call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Purpose {
+enum CallPurpose {
     /// The policy adds units to a tenant's count.
     Quota {
         /// Name of the tenant's count at the quota counter.
@@ -26,7 +26,7 @@
 /// A counter call in flight, with its purpose and start time.
 #[derive(Clone, Copy, Debug)]
 struct InFlightCall {
-    purpose: Purpose,
+    purpose: CallPurpose,
     started_at: Timestamp,
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// Records the start of a call and returns its id.
-    fn start(&mut self, now: Timestamp, purpose: Purpose) -> u64 {
+    fn start(&mut self, now: Timestamp, purpose: CallPurpose) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
         self.in_flight.insert(id, InFlightCall { purpose, started_at: now });
@@ -78,48 +78,49 @@
 }
 
 impl SharedClock {
-    /// Prepares the clock without starting it.
+    /// Creates the state of a gatekeeper whose fleet clock is not started.
     pub(super) fn new(settings: &Settings, seed: u64) -> Self {
         let gatekeeper_count = if settings.shared_counter { settings.gatekeepers } else { 1 };
         Self { gatekeeper_count, seed, clock: None }
     }
 
-    /// Starts the clock, unless this gatekeeper shares no counter with others.
+    /// Starts the fleet's clock. Has no effect on a gatekeeper that shares no counter with others.
     fn start(&mut self, now: Timestamp) {
         if self.gatekeeper_count > 1 {
             self.clock = Some(FleetClock::new(self.gatekeeper_count, self.seed, now));
         }
     }
 
-    /// Whether the first read of the clock has ended, successfully or not, or no clock was started.
+    /// Whether the first read of the fleet's clock has ended, successfully or not. Also true if the fleet's clock was not
+    /// started.
     fn has_ended_first_read(&self) -> bool {
         self.clock.as_ref().is_none_or(FleetClock::first_call_ended)
     }
 }
 
 impl<Q, A> RequestTable<Q, A> {
-    fn call_counter(&mut self, now: Timestamp, purpose: Purpose, units: f64, ttl: Micros) {
+    fn call_counter(&mut self, now: Timestamp, purpose: CallPurpose, units: f64, ttl: Micros) {
         let id = self.counter_calls.start(now, purpose);
         self.timers.set(now + self.counter_calls.timeout, Timer::CounterCall(id));
         let name = match purpose {
-            Purpose::Quota { name } => name,
-            Purpose::FleetClock => CLOCK_COUNT_NAME,
+            CallPurpose::Quota { name } => name,
+            CallPurpose::FleetClock => CLOCK_COUNT_NAME,
         };
         self.side_effects.push(SideEffect::CallCounter(CounterCall { id, name, units, ttl }));
     }
 
     pub(super) fn call_quota_counter(&mut self, now: Timestamp, name: u64, units: f64, ttl: Micros) {
-        self.call_counter(now, Purpose::Quota { name }, units, ttl);
+        self.call_counter(now, CallPurpose::Quota { name }, units, ttl);
     }
 
     /// Applies the end of a counter call. The end of a call that has already ended, for example by its timeout, is ignored.
     pub(crate) fn counter_call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, total: f64) {
         let Some(InFlightCall { purpose, started_at }) = self.counter_calls.end(id) else { return };
         match purpose {
-            Purpose::Quota { name } => {
+            CallPurpose::Quota { name } => {
                 self.feed(now, Event::CounterReply { name, total, elapsed: now - started_at, outcome });
             }
-            Purpose::FleetClock => self.fleet_clock_call_ended(now, outcome, total),
+            CallPurpose::FleetClock => self.fleet_clock_call_ended(now, outcome, total),
         }
     }
 
@@ -138,7 +139,7 @@
     pub(super) fn call_for_fleet_clock(&mut self, now: Timestamp) {
         let Some(clock) = &mut self.shared_clock.clock else { return };
         match (clock.start_call(now), clock.next_call_at()) {
-            (Some(amount), _) => self.call_counter(now, Purpose::FleetClock, amount, CLOCK_COUNT_TTL),
+            (Some(amount), _) => self.call_counter(now, CallPurpose::FleetClock, amount, CLOCK_COUNT_TTL),
             (None, Some(next_call_at)) => self.timers.set(next_call_at, Timer::FleetClock),
             // A call is in flight. The next call is scheduled when this call ends.
             (None, None) => {}
--- a/crates/exchange/src/request_table/counter_calls/tests.rs
+++ b/crates/exchange/src/request_table/counter_calls/tests.rs
@@ -7,13 +7,13 @@
 #[test]
 fn each_counter_call_ends_once() {
     let mut calls = CounterCalls::new(30_000);
-    let quota = calls.start(START, Purpose::Quota { name: 7 });
-    let clock = calls.start(START + 5, Purpose::FleetClock);
+    let quota = calls.start(START, CallPurpose::Quota { name: 7 });
+    let clock = calls.start(START + 5, CallPurpose::FleetClock);
     assert_ne!(quota, clock);
     let ended = calls.end(clock).expect("the call is in flight");
-    assert_eq!((ended.purpose, ended.started_at), (Purpose::FleetClock, START + 5));
+    assert_eq!((ended.purpose, ended.started_at), (CallPurpose::FleetClock, START + 5));
     assert!(calls.end(clock).is_none());
-    assert_eq!(calls.end(quota).map(|call| call.purpose), Some(Purpose::Quota { name: 7 }));
+    assert_eq!(calls.end(quota).map(|call| call.purpose), Some(CallPurpose::Quota { name: 7 }));
     assert_eq!(calls.call_count(), 2);
 }
 
--- a/crates/exchange/src/request_table/repeat_guard.rs
+++ b/crates/exchange/src/request_table/repeat_guard.rs
@@ -22,7 +22,7 @@
 }
 
 impl RepeatRule {
-    fn of(class: &RequestClass) -> Self {
+    fn of_class(class: &RequestClass) -> Self {
         match class.idempotency {
             Idempotency::Idempotent => Self::Always,
             Idempotency::Keyed => Self::Within(class.idempotency_key_ttl),
@@ -50,8 +50,8 @@
 }
 
 impl RepeatRules {
-    pub(super) fn of(classes: &[RequestClass]) -> Self {
-        Self { rules: classes.iter().map(RepeatRule::of).collect() }
+    pub(super) fn of_classes(classes: &[RequestClass]) -> Self {
+        Self { rules: classes.iter().map(RepeatRule::of_class).collect() }
     }
 
     /// Replaces the rules of the classes that `newer` has. The rules of removed classes stay for their requests in flight.
--- a/crates/exchange/src/request_table/repeat_guard/tests.rs
+++ b/crates/exchange/src/request_table/repeat_guard/tests.rs
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn after_attempts_that_never_ran_each_rule_permits_another_one() {
+fn each_rule_permits_an_attempt_after_attempts_that_never_ran() {
     let earlier = [attempt(2 * WINDOW, Some(Outcome::Rejected)), attempt(0, Some(Outcome::ConnectFailed))];
     assert_eq!(permitted(&earlier), [true; 3]);
 }
 
 #[test]
-fn after_an_attempt_that_may_have_run_the_rule_decides_on_another_one() {
+fn the_rule_decides_on_an_attempt_after_one_that_may_have_run() {
     for outcome in [None, Some(Outcome::Timeout), Some(Outcome::Reset), Some(Outcome::Error)] {
         assert_eq!(permitted(&[attempt(0, outcome)]), [true, true, false], "{outcome:?}");
     }
@@ -46,9 +46,9 @@
 fn classes_that_are_missing_in_new_settings_keep_their_rules() {
     let class = |idempotency| RequestClass { idempotency, ..RequestClass::default() };
     let older = [class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
-    let mut rules = RepeatRules::of(&older);
-    rules.replace_rules(RepeatRules::of(&[class(Idempotency::NonIdempotent)]));
+    let mut rules = RepeatRules::of_classes(&older);
+    rules.replace_rules(RepeatRules::of_classes(&[class(Idempotency::NonIdempotent)]));
     assert_eq!(rules.rules, [RepeatRule::IfNeverRan; 2]);
-    rules.replace_rules(RepeatRules::of(&[older[0].clone(), older[0].clone(), older[1].clone()]));
+    rules.replace_rules(RepeatRules::of_classes(&[older[0].clone(), older[0].clone(), older[1].clone()]));
     assert_eq!(rules.rules, [RepeatRule::Always, RepeatRule::Always, RepeatRule::IfNeverRan]);
 }
--- a/crates/exchange/src/request_table/streams.rs
+++ b/crates/exchange/src/request_table/streams.rs
@@ -3,7 +3,7 @@
 use crate::request::AttemptId;
 use std::collections::HashMap;
 
-/// The open streams by attempt, each with the class of its request.
+/// The streamed answers that have begun and not ended, by attempt, each with the class of its request.
 #[derive(Debug, Default)]
 pub(super) struct OpenStreams {
     class_by_attempt: HashMap<AttemptId, u16>,
--- a/crates/link/src/accept_state.rs
+++ b/crates/link/src/accept_state.rs
@@ -1,4 +1,4 @@
-//! The state of an accept loop.
+//! The state of a listener's accept loop: open, paused, closing or abandoned.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
--- a/crates/link/src/connect_error.rs
+++ b/crates/link/src/connect_error.rs
@@ -29,7 +29,7 @@
                 | libc::ENOBUFS
                 | libc::ENOMEM,
             ) => true,
-            // The kernel reports these both if this machine has no route and if the remote machine does not answer.
+            // The kernel reports these errors in two cases: this machine has no route, or the remote machine does not answer.
             Some(libc::EHOSTUNREACH | libc::ENETUNREACH | libc::ETIMEDOUT) => {
                 elapsed < MIN_NETWORK_ROUND_TRIP
             }
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -24,17 +24,17 @@
 pub struct Listener {
     socket: RegisteredSocket<TcpListener>,
     state: SharedAcceptState,
-    burst: Mutex<Burst>,
+    burst: Mutex<AcceptBurst>,
 }
 
 /// Counts the connections that were accepted without a pause, to limit such a burst.
 #[derive(Debug)]
-struct Burst {
+struct AcceptBurst {
     accepted_count: u32,
     started_at: Instant,
 }
 
-impl Burst {
+impl AcceptBurst {
     fn start() -> Self {
         Self { accepted_count: 0, started_at: Instant::now() }
     }
@@ -73,7 +73,7 @@
     pub fn inherit(listener: TcpListener) -> io::Result<Self> {
         let socket = RegisteredSocket::new(listener)?;
         let state = SharedAcceptState::new(AcceptState::Open);
-        Ok(Self { socket, state, burst: Mutex::new(Burst::start()) })
+        Ok(Self { socket, state, burst: Mutex::new(AcceptBurst::start()) })
     }
 
     /// Returns the address that the socket is bound to.
--- a/crates/link/src/read_state.rs
+++ b/crates/link/src/read_state.rs
@@ -42,7 +42,7 @@
     is_drained: AtomicBool,
     /// Whether the worker has polled for events at least once during this connection's life.
     was_polled: AtomicBool,
-    /// Consecutive reads that did not have to wait.
+    /// Number of consecutive reads that did not have to wait, which limits a burst of reads.
     burst_read_count: AtomicU32,
     /// An error that occurred after some bytes were read. The system reports it once, so it is kept for the next read.
     deferred_error: Mutex<Option<ErrorKind>>,
--- a/crates/link/tests/connections.rs
+++ b/crates/link/tests/connections.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn knows_an_end_of_stream_together_with_the_bytes_before_it() {
+fn the_end_of_stream_is_known_together_with_the_bytes_before_it() {
     in_coroutine(|| {
         let (connection, mut peer) = connected_pair();
         let mut buffer = Vec::new();
