--- a/crates/discovery/src/poll_backoff.rs
+++ b/crates/discovery/src/poll_backoff.rs
@@ -39,9 +39,9 @@
 const MAX_DOUBLINGS: u32 = 16;
 /// Smallest multiple of the mean backoff that the jitter chooses. The backoff is uniformly distributed between 0.1 and 1.9 times
 /// the mean.
-const MIN_JITTER: f64 = 0.1;
+const MIN_JITTER_FACTOR: f64 = 0.1;
 /// Difference between the largest and the smallest multiple of the mean backoff that the jitter chooses.
-const JITTER_RANGE: f64 = 1.8;
+const JITTER_FACTOR_RANGE: f64 = 1.8;
 
 /// How the agent learns of changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let mean = self.initial_mean_backoff.saturating_mul(1 << doublings).min(self.max_mean_backoff);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        mean.mul_f64(MIN_JITTER + JITTER_RANGE * self.random.f64())
+        mean.mul_f64(MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * self.random.f64())
     }
 }
 
--- a/crates/exchange/src/fleet_clock/election/tests.rs
+++ b/crates/exchange/src/fleet_clock/election/tests.rs
@@ -1,11 +1,11 @@
 //! Transitions of the election's state machine, one counter call at a time.
 
-use super::super::stamp::TICK;
+use super::super::stamp::TICK_MICROS;
 use super::*;
 
 /// The stamp time that is this many ticks after 1970.
 fn stamp_time(ticks: i64) -> StampTime {
-    StampTime::from_micros(ticks * TICK as i64)
+    StampTime::from_micros(ticks * TICK_MICROS as i64)
 }
 
 /// The decoded sum of a clock count in which `placed_count` stamps were placed, with a time of `ticks`.
--- a/crates/exchange/src/fleet_clock/offset.rs
+++ b/crates/exchange/src/fleet_clock/offset.rs
@@ -9,12 +9,12 @@
 mod tests;
 
 /// Ages at which a stamp shows no clock offset. The timekeeper advances its stamp once a second, and clocks may differ by 0.5 s.
-const TOLERANCE: RangeInclusive<Ticks> = Ticks(-5)..=Ticks(20);
+const FRESH_AGES: RangeInclusive<Ticks> = Ticks(-5)..=Ticks(20);
 /// Ages at which a stamp may be stale because its timekeeper has died. A stale stamp cannot be much older than 60 s, since the
 /// count that holds the stamp then expires at the quota counter.
-const POSSIBLY_STALE: RangeInclusive<Ticks> = Ticks(0)..=Ticks(620);
+const POSSIBLY_STALE_AGES: RangeInclusive<Ticks> = Ticks(0)..=Ticks(620);
 /// Mean age of a stamp when a gatekeeper reads it, given that the timekeeper advances the stamp once a second.
-const MEAN_AGE: Ticks = Ticks(5);
+const MEAN_STAMP_AGE: Ticks = Ticks(5);
 
 /// The time by which this process's clock is ahead of the fleet's clock; negative if it is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,18 +57,18 @@
 
     pub(super) fn freshness(&self, now: Timestamp, stamp: StampTime) -> Freshness {
         let age = self.fleet_time(now).since(stamp);
-        if TOLERANCE.contains(&age) {
+        if FRESH_AGES.contains(&age) {
             Freshness::Fresh
-        } else if POSSIBLY_STALE.contains(&age) {
+        } else if POSSIBLY_STALE_AGES.contains(&age) {
             Freshness::PossiblyStale
         } else {
             Freshness::OffsetClock
         }
     }
 
-    /// Corrects the clock offset so that the stamp, which was read just now, has the age [`MEAN_AGE`].
+    /// Corrects the clock offset so that the stamp, which was read just now, has the age [`MEAN_STAMP_AGE`].
     pub(super) fn adopt(&mut self, now: Timestamp, stamp: StampTime) {
-        let correction = self.fleet_time(now).since(stamp) - MEAN_AGE;
+        let correction = self.fleet_time(now).since(stamp) - MEAN_STAMP_AGE;
         self.offset.0 += correction.as_micros();
     }
 }
--- a/crates/exchange/src/fleet_clock/offset/tests.rs
+++ b/crates/exchange/src/fleet_clock/offset/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use policy::Micros;
 
-const TICK: Micros = super::super::stamp::TICK;
+const TICK_MICROS: Micros = super::super::stamp::TICK_MICROS;
 const NOW: Timestamp = Timestamp::from_micros(1_790_000_000_000_000);
 
 /// A stamp that is `age` ticks old at `NOW`.
@@ -34,8 +34,8 @@
         let mut estimate = OffsetEstimate::default();
         let stamp = stamp_of_age(age);
         estimate.adopt(NOW, stamp);
-        assert_eq!(estimate.offset().as_micros(), (age - 5) * TICK as i64);
-        assert_eq!(estimate.fleet_time(NOW).since(stamp), MEAN_AGE);
+        assert_eq!(estimate.offset().as_micros(), (age - 5) * TICK_MICROS as i64);
+        assert_eq!(estimate.fleet_time(NOW).since(stamp), MEAN_STAMP_AGE);
         assert_eq!(estimate.freshness(NOW, stamp), Freshness::Fresh);
     }
 }
@@ -45,5 +45,5 @@
     let mut estimate = OffsetEstimate::default();
     estimate.adopt(NOW, stamp_of_age(1_000));
     estimate.adopt(NOW, stamp_of_age(-500));
-    assert_eq!(estimate.offset().as_micros(), (-500 - 5) * TICK as i64);
+    assert_eq!(estimate.offset().as_micros(), (-500 - 5) * TICK_MICROS as i64);
 }
--- a/crates/exchange/src/fleet_clock/stamp.rs
+++ b/crates/exchange/src/fleet_clock/stamp.rs
@@ -11,10 +11,10 @@
 mod tests;
 
 /// One tick, the unit of a stamp's time, in microseconds.
-pub(super) const TICK: Micros = 100_000;
+pub(super) const TICK_MICROS: Micros = 100_000;
 /// Number of ticks after which a stamp's time wraps around. To place a stamp, a process adds the stamp's time plus this period to
 /// the clock count, so that the highest digit of the sum increases by one.
-pub(super) const PERIOD: i64 = 1_000_000;
+pub(super) const WRAP_PERIOD_TICKS: i64 = 1_000_000;
 
 /// A signed number of ticks: the difference of two stamp times, or an amount that a call adds to the clock count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,7 +24,7 @@
     pub(super) const ZERO: Self = Self(0);
 
     pub(super) const fn as_micros(self) -> i64 {
-        self.0 * TICK as i64
+        self.0 * TICK_MICROS as i64
     }
 
     /// Converts the number of ticks to the amount that a counter call adds to the clock count.
@@ -49,25 +49,25 @@
     }
 }
 
-/// The clock reading that a stamp holds: ticks since 1970, modulo [`PERIOD`].
+/// The clock reading that a stamp holds: ticks since 1970, modulo [`WRAP_PERIOD_TICKS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StampTime(i64);
 
 impl StampTime {
     /// Converts a time in microseconds since 1970 to the time of a stamp.
     pub(super) fn from_micros(micros: i64) -> Self {
-        Self((micros / TICK as i64).rem_euclid(PERIOD))
+        Self((micros / TICK_MICROS as i64).rem_euclid(WRAP_PERIOD_TICKS))
     }
 
     /// Ticks from `earlier` to this time, the shorter way around the period; negative if `earlier` is later.
     pub(super) fn since(self, earlier: Self) -> Ticks {
-        let ticks = (self.0 - earlier.0).rem_euclid(PERIOD);
-        Ticks(if ticks > PERIOD / 2 { ticks - PERIOD } else { ticks })
+        let ticks = (self.0 - earlier.0).rem_euclid(WRAP_PERIOD_TICKS);
+        Ticks(if ticks > WRAP_PERIOD_TICKS / 2 { ticks - WRAP_PERIOD_TICKS } else { ticks })
     }
 
     /// The amount that places a stamp of this time in a clock count that holds no stamp, and whose sum is `residue`.
     pub(super) fn placement_amount(self, residue: Ticks) -> Ticks {
-        Ticks(PERIOD + self.0) - residue
+        Ticks(WRAP_PERIOD_TICKS + self.0) - residue
     }
 
     /// The amount that advances a stamp from the time `from` to this time; negative if the time has wrapped around since `from`.
@@ -89,7 +89,10 @@
     /// Decodes the sum of the clock count. A sum that cannot result from a stamp has a `placed_count` other than 0 and 1.
     pub(super) fn decode(total: f64) -> Self {
         let total = if total.is_finite() { total.round() as i64 } else { -1 };
-        Self { placed_count: total.div_euclid(PERIOD), time: StampTime(total.rem_euclid(PERIOD)) }
+        Self {
+            placed_count: total.div_euclid(WRAP_PERIOD_TICKS),
+            time: StampTime(total.rem_euclid(WRAP_PERIOD_TICKS)),
+        }
     }
 
     /// The decoded sum of a clock count that holds exactly one stamp, with this time.
@@ -99,6 +102,6 @@
 
     /// The sum of the clock count that the stamp was decoded from, rounded to whole ticks.
     pub(super) fn total(self) -> Ticks {
-        Ticks(self.placed_count * PERIOD + self.time.0)
+        Ticks(self.placed_count * WRAP_PERIOD_TICKS + self.time.0)
     }
 }
--- a/crates/exchange/src/fleet_clock/stamp/tests.rs
+++ b/crates/exchange/src/fleet_clock/stamp/tests.rs
@@ -4,12 +4,12 @@
 
 /// The stamp time that is this many ticks after 1970.
 fn stamp_time(ticks: i64) -> StampTime {
-    StampTime::from_micros(ticks * TICK as i64)
+    StampTime::from_micros(ticks * TICK_MICROS as i64)
 }
 
 #[test]
 fn a_placed_stamp_decodes_to_its_time_whatever_the_clock_count_held() {
-    for residue in [0, 7, -7, PERIOD - 1] {
+    for residue in [0, 7, -7, WRAP_PERIOD_TICKS - 1] {
         let time = stamp_time(123_456);
         let total = Ticks(residue + time.placement_amount(Ticks(residue)).0);
         assert_eq!(Stamp::decode(total.as_units()), Stamp::single(time), "with a residue of {residue}");
@@ -18,9 +18,9 @@
 
 #[test]
 fn an_advanced_stamp_decodes_to_the_later_time_even_after_it_wraps_around() {
-    for (from, to) in [(10, 20), (PERIOD - 4, PERIOD + 6)] {
+    for (from, to) in [(10, 20), (WRAP_PERIOD_TICKS - 4, WRAP_PERIOD_TICKS + 6)] {
         let (from, to) = (stamp_time(from), stamp_time(to));
-        let total = PERIOD + from.0 + to.advance_amount(from).0;
+        let total = WRAP_PERIOD_TICKS + from.0 + to.advance_amount(from).0;
         assert_eq!(Stamp::decode(total as f64), Stamp::single(to));
         assert_eq!(to.since(from), Ticks(10));
         assert_eq!(from.since(to), Ticks(-10));
@@ -29,18 +29,23 @@
 
 #[test]
 fn a_difference_is_taken_the_shorter_way_around_the_period() {
-    let half = PERIOD / 2;
-    for (difference, expected) in [(0, 0), (half, half), (half + 1, 1 - half), (PERIOD, 0), (-1, -1)] {
-        assert_eq!(stamp_time(PERIOD + difference).since(stamp_time(PERIOD)), Ticks(expected));
+    let half = WRAP_PERIOD_TICKS / 2;
+    for (difference, expected) in
+        [(0, 0), (half, half), (half + 1, 1 - half), (WRAP_PERIOD_TICKS, 0), (-1, -1)]
+    {
+        assert_eq!(
+            stamp_time(WRAP_PERIOD_TICKS + difference).since(stamp_time(WRAP_PERIOD_TICKS)),
+            Ticks(expected)
+        );
     }
 }
 
 #[test]
 fn each_placed_stamp_is_counted() {
     for placed_count in 0..5 {
-        let stamp = Stamp::decode((placed_count * PERIOD + 42) as f64);
+        let stamp = Stamp::decode((placed_count * WRAP_PERIOD_TICKS + 42) as f64);
         assert_eq!(stamp, Stamp { placed_count, time: stamp_time(42) });
-        assert_eq!(stamp.total(), Ticks(placed_count * PERIOD + 42));
+        assert_eq!(stamp.total(), Ticks(placed_count * WRAP_PERIOD_TICKS + 42));
     }
 }
 
--- a/crates/exchange/src/fleet_clock/tests.rs
+++ b/crates/exchange/src/fleet_clock/tests.rs
@@ -1,6 +1,6 @@
 //! The fleet's clock in simulated fleets of gatekeepers that share one quota counter.
 
-use super::stamp::{PERIOD, TICK};
+use super::stamp::{TICK_MICROS, WRAP_PERIOD_TICKS};
 use super::*;
 
 const SECOND: Micros = 1_000_000;
@@ -128,7 +128,7 @@
 }
 
 /// Maximum difference between two members' estimates of the fleet's time.
-const TOLERANCE: i64 = 2 * SECOND as i64;
+const MAX_ESTIMATE_SPREAD: i64 = 2 * SECOND as i64;
 
 #[test]
 fn correct_clocks_get_no_offset() {
@@ -151,13 +151,13 @@
         fleet.start(ahead_micros);
         fleet.run(2 * SECOND);
         assert!(
-            fleet.estimate_spread() <= TOLERANCE,
+            fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD,
             "clock {ahead_micros} us ahead: estimates {} us apart",
             fleet.estimate_spread()
         );
         fleet.run(200 * SECOND);
         assert!(
-            fleet.estimate_spread() <= TOLERANCE,
+            fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD,
             "clock {ahead_micros} us ahead: estimates {} us apart later",
             fleet.estimate_spread()
         );
@@ -171,7 +171,7 @@
     fleet.run(10 * SECOND);
     fleet.start(HOUR);
     fleet.run(10 * STEP);
-    assert!(fleet.estimate_spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD);
 }
 
 #[test]
@@ -183,13 +183,13 @@
         }
         fleet.run(5 * SECOND);
         assert!(
-            fleet.estimate_spread() <= TOLERANCE,
+            fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD,
             "clocks {offsets:?} us ahead: estimates {} us apart",
             fleet.estimate_spread()
         );
         fleet.run(120 * SECOND);
         assert!(
-            fleet.estimate_spread() <= TOLERANCE,
+            fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD,
             "clocks {offsets:?} us ahead: estimates {} us apart later",
             fleet.estimate_spread()
         );
@@ -208,7 +208,7 @@
     assert!(fleet.members.iter().all(|member| member.offset() == 0), "a stale stamp changes no offset");
     fleet.start(-HOUR);
     fleet.run(2 * SECOND);
-    assert!(fleet.estimate_spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD);
 }
 
 #[test]
@@ -225,7 +225,7 @@
         fleet.counter.outcome = None;
         fleet.run(6 * SECOND);
         assert!(
-            fleet.estimate_spread() <= TOLERANCE,
+            fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD,
             "calls end with {outcome:?}: estimates {} us apart",
             fleet.estimate_spread()
         );
@@ -244,19 +244,19 @@
     assert_eq!(Stamp::decode(fleet.counter.total).placed_count, 1);
     fleet.start(HOUR);
     fleet.run(SECOND);
-    assert!(fleet.estimate_spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD);
 }
 
 #[test]
 fn the_wrap_around_of_the_stamp_changes_no_offset() {
-    let period = PERIOD as u64 * TICK;
+    let period = WRAP_PERIOD_TICKS as u64 * TICK_MICROS;
     let mut fleet = Fleet::new();
     fleet.now = Timestamp::from_micros((START.as_micros() / period + 1) * period - 5 * SECOND);
     fleet.start_on_correct_clocks(3);
     fleet.run(4 * SECOND);
     fleet.start(HOUR);
     fleet.run(60 * SECOND);
-    assert!(fleet.estimate_spread() <= TOLERANCE);
+    assert!(fleet.estimate_spread() <= MAX_ESTIMATE_SPREAD);
     assert!(fleet.members[..3].iter().all(|member| member.offset() == 0));
 }
 
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -48,7 +48,7 @@
 /// The result of reading until the socket would block or a limit is reached.
 struct Received {
     byte_count: usize,
-    is_end: bool,
+    has_ended: bool,
 }
 
 impl std::fmt::Debug for Connection {
@@ -177,7 +177,7 @@
             self.read_state.restore_wake(is_woken);
             return Ok(Some(Incoming::Bytes(received.byte_count)));
         }
-        if received.is_end {
+        if received.has_ended {
             return Ok(Some(Incoming::End));
         }
         if is_woken {
@@ -198,7 +198,7 @@
             match self.stream.inner().read(&mut read_buffer[..max_bytes - total]) {
                 Ok(0) => {
                     self.read_state.set_peer_closed();
-                    return Ok(Received { byte_count: total, is_end: true });
+                    return Ok(Received { byte_count: total, has_ended: true });
                 }
                 Ok(count) => {
                     buffer.extend_from_slice(&read_buffer[..count]);
@@ -219,7 +219,7 @@
                 }
             }
         }
-        Ok(Received { byte_count: total, is_end: false })
+        Ok(Received { byte_count: total, has_ended: false })
     }
 
     fn poll_events(&self) {
