--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Writes a call without blocking.
+    /// Writes a call to the socket or its send buffer, without blocking.
     pub(crate) fn write(&self, call: &CounterCall) -> WriteResult {
         let bytes = protocol::encode(call);
         // The lock is held while the bytes are written, so that calls are queued in the order of writing.
--- a/crates/destination/src/pools.rs
+++ b/crates/destination/src/pools.rs
@@ -115,7 +115,7 @@
         self.state().set_retired(retired);
     }
 
-    /// Returns the number of attempts since the start of which the kernel has accepted the last byte of the request.
+    /// Returns the number of attempts, since the start of the process, whose request the kernel has accepted completely.
     pub fn attempts_written(&self) -> u64 {
         self.attempts_written.load(Ordering::Relaxed)
     }
--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -15,7 +15,7 @@
     pub failed: u64,
 }
 
-/// The kind of a final answer, for counting.
+/// The kind under which [`AnswerCounts`] counts a final answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum AnswerKind {
     Served,
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -149,7 +149,7 @@
         self.lock().set_admission_listener(listener);
     }
 
-    /// Charges the tenant's quota in this process for an admission by the successor of this process.
+    /// Charges the tenant's quota in this process for a request that the successor of this process has admitted.
     pub fn mirror_admission(&self, admission: Admission) {
         let Admission { tenant, plan, tenant_gatekeepers, units } = admission;
         let now = self.clock.now();
--- a/crates/exchange/src/fleet_clock/election.rs
+++ b/crates/exchange/src/fleet_clock/election.rs
@@ -51,7 +51,7 @@
 /// The role of this process in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ElectionState {
-    /// A process that only reads the stamp, at intervals.
+    /// A process that only reads the timekeeper's stamp, at intervals.
     Follower,
     /// A process that found no stamp, and reads once more before it places its own stamp.
     Candidate,
@@ -65,7 +65,7 @@
         /// The possibly stale stamp.
         stamp: StampTime,
     },
-    /// A process that adopted the time of a stamp, and reads the stamp until the stamp makes progress.
+    /// A process that adopted the time of a stamp, and reads the stamp until a timekeeper advances the stamp.
     Adopted {
         /// The stamp whose time the process adopted.
         stamp: StampTime,
--- a/crates/exchange/src/fleet_clock/pacing.rs
+++ b/crates/exchange/src/fleet_clock/pacing.rs
@@ -34,7 +34,7 @@
     Advance,
     /// A follower has read a fresh stamp, and reads the stamp again after the read interval.
     FollowerRead,
-    /// A stamp is read again to see whether it makes progress.
+    /// A process reads a stamp again to see whether a timekeeper still advances the stamp.
     Confirmation,
     /// A read found no stamp. The process reads once more before it places its own stamp.
     Vacancy,
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -17,7 +17,7 @@
 pub enum Guard {
     /// Before an attempt is written to a backend: the backend is eligible, and the attempt is in time.
     Sending = 0,
-    /// Before a request is sent once more (a retry or a hedged attempt): its class permits one after the earlier attempts.
+    /// Before a request is sent once more (a retry or a hedged attempt): its class permits a further attempt now.
     Retrying,
     /// Before the connection of a connected client is closed: all its requests have been answered.
     Closing,
