--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -9,9 +9,9 @@
 pub struct AnswerCounts {
     /// Number of requests that were answered by a backend.
     pub served: u64,
-    /// Number of requests that were rejected, and that no backend has run.
+    /// Number of requests that were rejected ([`FinalAnswer::Rejected`]), so that a retry by the client is safe.
     pub rejected: u64,
-    /// Number of requests that failed, and that a backend may have run.
+    /// Number of requests that failed ([`FinalAnswer::Failed`]) and may have had an effect, so that a retry may repeat the effect.
     pub failed: u64,
 }
 
