--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -11,7 +11,7 @@
     pub served: u64,
     /// Number of requests that were rejected ([`FinalAnswer::Rejected`]), so that a retry by the client is safe.
     pub rejected: u64,
-    /// Number of requests that failed ([`FinalAnswer::Failed`]) and may have had an effect, so that a retry may repeat the effect.
+    /// Number of requests that failed ([`FinalAnswer::Failed`]) and may have had an effect, which a retry may repeat.
     pub failed: u64,
 }
 
