--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -31,20 +31,20 @@
 #[derive(Default)]
 struct PendingCalls {
     /// Ids of the unanswered calls, oldest first.
-    ids: VecDeque<u64>,
-    /// When the first bytes of an incomplete answer arrived.
+    call_ids: VecDeque<u64>,
+    /// Time at which the first bytes of an incomplete answer arrived; `None` if no incomplete answer is in the buffer.
     incomplete_since: Option<Instant>,
     /// Whether the counter has another address now. No more calls are written, and the connection ends with the last answer.
-    retired: bool,
+    is_retired: bool,
 }
 
 /// Result of [`CounterConnection::write`].
 pub(crate) enum WriteResult {
     /// The call was written to the socket or its send buffer.
     Written,
-    /// Nothing was written, so nothing was added.
+    /// No byte of the call was written, so the counter added no units.
     Failed,
-    /// Nothing was written. The caller must use another connection.
+    /// The connection is retired, and no byte of the call was written. The caller must use another connection.
     Retired,
 }
 
@@ -64,7 +64,7 @@
     /// Refuses all further calls. The caller must then call [`CounterConnection::wake`], which ends the connection if it has no
     /// unanswered calls.
     pub(crate) fn retire(&self) {
-        lock_or_abort(&self.pending).retired = true;
+        lock_or_abort(&self.pending).is_retired = true;
     }
 
     /// Wakes the reader, which checks whether the connection has to end.
@@ -74,13 +74,13 @@
 
     /// Closes the connection if it has unanswered calls and no bytes have arrived from the counter for too long.
     pub(crate) fn close_if_silent(&self) {
-        let has_pending = !lock_or_abort(&self.pending).ids.is_empty();
+        let has_pending = !lock_or_abort(&self.pending).call_ids.is_empty();
         if has_pending && lock_or_abort(&self.last_received).elapsed() > SILENCE_TIMEOUT {
             self.close();
         }
     }
 
-    /// Writes a call without blocking.
+    /// Writes a call to the socket or its send buffer, without blocking.
     pub(crate) fn write(&self, call: &CounterCall) -> WriteResult {
         let bytes = protocol::encode(call);
         // The lock is held while the bytes are written, so that calls are queued in the order of writing.
@@ -89,16 +89,16 @@
             self.close();
             return WriteResult::Retired;
         }
-        if pending.retired {
+        if pending.is_retired {
             return WriteResult::Retired;
         }
-        if pending.ids.is_empty() {
+        if pending.call_ids.is_empty() {
             *lock_or_abort(&self.last_received) = Instant::now();
         }
-        if pending.ids.len() >= MAX_PENDING_CALLS || self.connection.send(&bytes).is_err() {
+        if pending.call_ids.len() >= MAX_PENDING_CALLS || self.connection.send(&bytes).is_err() {
             return WriteResult::Failed;
         }
-        pending.ids.push_back(call.id);
+        pending.call_ids.push_back(call.id);
         WriteResult::Written
     }
 
@@ -130,7 +130,7 @@
             let element =
                 resp::parse_element(buffer, position).inspect_err(|_| self.fail_oldest_call(on_ended))?;
             let Some((element, next)) = element else { return Ok(position) };
-            let id = lock_or_abort(&self.pending).ids.pop_front().ok_or(AnswerError::Unexpected)?;
+            let id = lock_or_abort(&self.pending).call_ids.pop_front().ok_or(AnswerError::Unexpected)?;
             match protocol::interpret(buffer, &element) {
                 Answer::Total(total) => on_ended(CallResult::ok(id, total)),
                 Answer::Rejected => on_ended(CallResult::without_total(id, Outcome::Rejected)),
@@ -144,7 +144,7 @@
     }
 
     fn fail_oldest_call(&self, on_ended: &OnCallEnded) {
-        let oldest = lock_or_abort(&self.pending).ids.pop_front();
+        let oldest = lock_or_abort(&self.pending).call_ids.pop_front();
         if let Some(id) = oldest {
             on_ended(CallResult::without_total(id, Outcome::Error));
         }
@@ -153,7 +153,7 @@
     /// Updates the time since which an incomplete answer has been in the buffer.
     fn update_incomplete_since(&self, consumed: usize, has_incomplete: bool) {
         let mut pending = lock_or_abort(&self.pending);
-        // If an answer was completed, the remaining bytes belong to a later one.
+        // If an answer was completed, the remaining bytes belong to a later answer.
         let since = pending.incomplete_since.filter(|_| consumed == 0);
         pending.incomplete_since = has_incomplete.then(|| since.unwrap_or_else(Instant::now));
     }
@@ -161,11 +161,11 @@
     /// Whether the connection is retired and has no unanswered calls.
     fn is_finished(&self) -> bool {
         let pending = lock_or_abort(&self.pending);
-        pending.retired && pending.ids.is_empty()
+        pending.is_retired && pending.call_ids.is_empty()
     }
 
     /// Removes and returns the ids of the unanswered calls.
     pub(crate) fn take_pending(&self) -> VecDeque<u64> {
-        std::mem::take(&mut lock_or_abort(&self.pending).ids)
+        std::mem::take(&mut lock_or_abort(&self.pending).call_ids)
     }
 }
--- a/crates/destination/src/pools_state.rs
+++ b/crates/destination/src/pools_state.rs
@@ -15,7 +15,7 @@
 /// Quiet time in place of [`QUIET_TIME`] while at least a quarter of the maximum number of connections is open: at thousands
 /// of requests a second, each request would otherwise need a connection of its own.
 const SHORT_QUIET_TIME: Duration = Duration::from_millis(5);
-/// [`SHORT_QUIET_TIME`] applies once the number of connections reaches the connection limit divided by this.
+/// [`SHORT_QUIET_TIME`] applies once the number of connections reaches the connection limit divided by this number.
 const SHORT_QUIET_TIME_DIVISOR: usize = 4;
 /// Maximum time after a change of the endpoint in which an attempt that was decided before the change may reach its write.
 const RECENT_CHANGE_WINDOW: Duration = Duration::from_millis(500);
@@ -59,7 +59,7 @@
     /// Whether a successor takes over from this process. No idle connection is kept then.
     is_retired: bool,
     /// Connections whose answers are being streamed.
-    streaming: Vec<Weak<PooledConnection<Q>>>,
+    streaming_connections: Vec<Weak<PooledConnection<Q>>>,
 }
 
 impl<Q> PoolsState<Q> {
@@ -71,7 +71,7 @@
             max_connections,
             operator_ejections: HashSet::new(),
             is_retired: false,
-            streaming: Vec::new(),
+            streaming_connections: Vec::new(),
         }
     }
 
@@ -181,7 +181,7 @@
 
     /// Registers a connection whose answer is streamed, so that [`PoolsState::sweep`] wakes it.
     pub(crate) fn add_streaming(&mut self, connection: &Arc<PooledConnection<Q>>) {
-        self.streaming.push(Arc::downgrade(connection));
+        self.streaming_connections.push(Arc::downgrade(connection));
     }
 
     pub(crate) fn update_endpoints(&mut self, kind: ListKind, endpoints: &[BackendEndpoint]) {
@@ -225,7 +225,10 @@
             pool.close_expired(idle_timeout, now);
         }
         let is_open = |connection: Arc<PooledConnection<_>>| !connection.socket.is_closed();
-        self.streaming.retain(|connection| connection.upgrade().is_some_and(is_open));
-        self.streaming.iter().filter_map(Weak::upgrade).for_each(|connection| connection.socket.wake());
+        self.streaming_connections.retain(|connection| connection.upgrade().is_some_and(is_open));
+        self.streaming_connections
+            .iter()
+            .filter_map(Weak::upgrade)
+            .for_each(|connection| connection.socket.wake());
     }
 }
--- a/crates/exchange/src/counts.rs
+++ b/crates/exchange/src/counts.rs
@@ -9,13 +9,13 @@
 pub struct AnswerCounts {
     /// Number of requests that were answered by a backend.
     pub served: u64,
-    /// Number of requests that were rejected without effect.
+    /// Number of requests that were rejected ([`FinalAnswer::Rejected`]), so that a retry by the client is safe.
     pub rejected: u64,
-    /// Number of requests that failed and may have had an effect.
+    /// Number of requests that failed ([`FinalAnswer::Failed`]) and may have had an effect, which a retry may repeat.
     pub failed: u64,
 }
 
-/// The kind of a final answer, for counting.
+/// The kind under which [`AnswerCounts`] counts a final answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum AnswerKind {
     Served,
@@ -24,7 +24,7 @@
 }
 
 impl AnswerKind {
-    pub(crate) fn of<A>(answer: &FinalAnswer<A>) -> Self {
+    pub(crate) fn of_answer<A>(answer: &FinalAnswer<A>) -> Self {
         match answer {
             FinalAnswer::Served(_) => Self::Served,
             FinalAnswer::Rejected { .. } => Self::Rejected,
